--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -30,7 +30,9 @@
     ids = [line[0] for line in lines]
     if len(ids) > MOST:
         faults.append(f"{len(ids)} tests are named, {MOST} at most")
-    faults += [f"{one}: is named twice" for one in sorted({one for one in ids if ids.count(one) > 1})]
+    faults += [
+        f"{one}: is named twice" for one in sorted({one for one in ids if ids.count(one) > 1})
+    ]
     return ids, faults
 
 
@@ -45,7 +47,9 @@
     red = sorted({place for name, place in blocks if is_test(name, place)})
     other = sorted({f"{name} ({place})" for name, place in blocks if not is_test(name, place)})
     if len(blocks) != sum(int(counts.get(name, 0)) for name in COUNTED):
-        faults.append("the output can't be read: it closes with other counts than it tells failures")
+        faults.append(
+            "the output can't be read: it closes with other counts than it tells failures"
+        )
     if (status != 0) != bool(blocks):
         faults.append(f"the run ended with status {status} and told {len(blocks)} failures")
     begun = {place for name, place in BEGUN.findall(log) if is_test(name, place)}
@@ -54,12 +58,18 @@
             faults.append(f"{one}: is named in the list and did not run")
         elif one not in red:
             faults.append(f"{one}: is named in the list and does not fail")
-    faults += [f"{one}: failed" for one in red if one not in ids] + [f"{one}: failed" for one in other]
+    faults += [f"{one}: failed" for one in red if one not in ids] + [
+        f"{one}: failed" for one in other
+    ]
     skipped = int(counts.get("skipped", 0))
     # One that stands for no test is not among those that ran, except a module that can't be loaded.
     among = len(red) + sum("_FailedTest" in one for one in other)
-    return (faults, [one for one in red if one in ids], max(0, int(ran[-1]) - among - skipped),
-            len(red) + len(other))
+    return (
+        faults,
+        [one for one in red if one in ids],
+        max(0, int(ran[-1]) - among - skipped),
+        len(red) + len(other),
+    )
 
 
 def main(words):
--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -12,17 +12,24 @@
 import time
 
 from thymeknot.laboratory import crowds
-from thymeknot.laboratory.experiments import crowd_figures, crowds_compared, mass_compared, vast_compared
+from thymeknot.laboratory.experiments import (
+    crowd_figures,
+    crowds_compared,
+    mass_compared,
+    vast_compared,
+)
 
-BEFORE = "at:91b8f20"           # the decisions as the fleet trial first met them
-BEFORE_VAST = "at:9db9198"      # and as the vast days did
-BEFORE_MASS = "at:292be0d"      # and as the mass days did
+BEFORE = "at:91b8f20"  # the decisions as the fleet trial first met them
+BEFORE_VAST = "at:9db9198"  # and as the vast days did
+BEFORE_MASS = "at:292be0d"  # and as the mass days did
 
 
 def main(arguments):
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--before", help=f"of the usual kinds, {BEFORE} if left out, and of mass, {BEFORE_MASS}")
+    parser.add_argument(
+        "--before", help=f"of the usual kinds, {BEFORE} if left out, and of mass, {BEFORE_MASS}"
+    )
     parser.add_argument("--before-vast", default=BEFORE_VAST)
     parser.add_argument("--vast-days", type=int, default=7, help="of each vast kind")
     parser.add_argument("--mass-days", type=int, default=4, help="of each mass kind")
@@ -30,45 +37,89 @@
     parser.add_argument("--instances", type=int, default=60)
     parser.add_argument("--pods", type=int, default=36)
     parser.add_argument("--workers", type=int, default=os.cpu_count() or 1)
-    parser.add_argument("--kinds", default=",".join((*crowds.KINDS, "vast", "mass")),
-                        help="vast: the three vast ones, mass: the four mass ones")
+    parser.add_argument(
+        "--kinds",
+        default=",".join((*crowds.KINDS, "vast", "mass")),
+        help="vast: the three vast ones, mass: the four mass ones",
+    )
     parser.add_argument("--short", action="store_true")
     told = parser.parse_args(arguments)
     size, vast_size, mass_size = {"instances": told.instances, "pods": told.pods}, {}, {}
-    days, vast_days, mass_days, before = told.days, told.vast_days, told.mass_days, told.before or BEFORE
+    days, vast_days, mass_days, before = (
+        told.days,
+        told.vast_days,
+        told.mass_days,
+        told.before or BEFORE,
+    )
     if told.short:
         size, days, vast_days = {"instances": 12, "pods": 9, "seconds": 12, "load": 0.4}, 1, 1
-        vast_size, mass_size, mass_days = {**size, "seconds": 16}, {"instances": 12, "pods": 9, "seconds": 20}, 1
+        vast_size, mass_size, mass_days = (
+            {**size, "seconds": 16},
+            {"instances": 12, "pods": 9, "seconds": 20},
+            1,
+        )
     begin, kinds = time.monotonic(), told.kinds.split(",")
     vast = crowds.VAST if "vast" in kinds else tuple(one for one in kinds if one in crowds.VAST)
     mass = crowds.MASS if "mass" in kinds else tuple(one for one in kinds if one in crowds.MASS)
     usual = [one for one in kinds if one in crowds.KINDS]
     figures = {"seed": told.seed}
     if usual:
-        pairs = crowds_compared(before, "now", usual, range(told.seed, told.seed + days), size, told.workers)
+        pairs = crowds_compared(
+            before, "now", usual, range(told.seed, told.seed + days), size, told.workers
+        )
         some = crowd_figures(pairs)
         for kind, one in some.pop("by_kind").items():
-            print(f"{kind:9}", *(f"{name} {of['before']:.3f} -> {of['now']:.3f}" for name, of in one.items()))
+            print(
+                f"{kind:9}",
+                *(f"{name} {of['before']:.3f} -> {of['now']:.3f}" for name, of in one.items()),
+            )
         figures.update(days=len(pairs), **size, before=before, **some)
     if vast:
-        pairs = crowds_compared(told.before_vast, "now", vast, range(told.seed, told.seed + vast_days), vast_size,
-                                told.workers)
+        pairs = crowds_compared(
+            told.before_vast,
+            "now",
+            vast,
+            range(told.seed, told.seed + vast_days),
+            vast_size,
+            told.workers,
+        )
         figures["vast"] = {
-            "days": len(pairs), "before": told.before_vast, **vast_compared(pairs),
-            "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5]}
+            "days": len(pairs),
+            "before": told.before_vast,
+            **vast_compared(pairs),
+            "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5],
+        }
         for kind in vast:
             told_of = figures["vast"][kind]
-            print(f"{kind:9}", *(f"{name} {one['before']} -> {one['now']}" for name, one in told_of.items()
-                                 if isinstance(one, dict)))
+            print(
+                f"{kind:9}",
+                *(
+                    f"{name} {one['before']} -> {one['now']}"
+                    for name, one in told_of.items()
+                    if isinstance(one, dict)
+                ),
+            )
     if mass:
         before = told.before or BEFORE_MASS
-        pairs = crowds_compared(before, "now", mass, range(told.seed, told.seed + mass_days), mass_size, told.workers)
-        figures["mass"] = {"days": len(pairs), "before": before, **mass_compared(pairs),
-                           "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5]}
+        pairs = crowds_compared(
+            before, "now", mass, range(told.seed, told.seed + mass_days), mass_size, told.workers
+        )
+        figures["mass"] = {
+            "days": len(pairs),
+            "before": before,
+            **mass_compared(pairs),
+            "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5],
+        }
         for kind in (*mass, "all"):
             told_of = figures["mass"][kind]
-            print(f"{kind:9}", *(f"{name} {one['before']} -> {one['now']}" for name, one in told_of.items()
-                                 if isinstance(one, dict)))
+            print(
+                f"{kind:9}",
+                *(
+                    f"{name} {one['before']} -> {one['now']}"
+                    for name, one in told_of.items()
+                    if isinstance(one, dict)
+                ),
+            )
     print(json.dumps({**figures, "took_s": round(time.monotonic() - begin)}))
     return 0
 
--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -29,20 +29,34 @@
     much = int(most * (0.1 + 0.9 * chance.draw()))
     workers += workers % 2
     matrix = [[much // 4, much], [much // 2, 0]] if pattern == "matrix" else []
-    return Gang(workers, pattern, much, int((2 + 6 * chance.draw()) * SECOND), f"p{int(chance.draw() * 3)}",
-                60 * SECOND, needs={"gpu": 1}, priority=int(chance.draw() * 20), matrix=matrix)
+    return Gang(
+        workers,
+        pattern,
+        much,
+        int((2 + 6 * chance.draw()) * SECOND),
+        f"p{int(chance.draw() * 3)}",
+        60 * SECOND,
+        needs={"gpu": 1},
+        priority=int(chance.draw() * 20),
+        matrix=matrix,
+    )
 
 
 # -- small cases ------------------------------------------------------------------------------------------------------
 
+
 def small(chance):
     """4 to 7 racks, partly taken, of unlike uplinks, with plans and others' traffic; a gang of 4 to 20."""
     racks = 4 + int(chance.draw() * 4)
-    places = Places(uplinks={f"zone/c{at % 2}/z{at}": int((1 + 3 * chance.draw()) * GIGA) for at in range(3)})
+    places = Places(
+        uplinks={f"zone/c{at % 2}/z{at}": int((1 + 3 * chance.draw()) * GIGA) for at in range(3)}
+    )
     for at in range(racks):
         zone = int(chance.draw() * 3)
         hosts = {f"r{at}m{one}": Stated(4, {"gpu": 4}) for one in range(1 + int(chance.draw() * 4))}
-        places.stand(f"r{at}", f"z{zone}", f"c{zone % 2}", int((0.5 + 2 * chance.draw()) * GIGA), hosts)
+        places.stand(
+            f"r{at}", f"z{zone}", f"c{zone % 2}", int((0.5 + 2 * chance.draw()) * GIGA), hosts
+        )
         for machine in hosts:
             places.take({machine: int(chance.draw() ** 2 * 5)}, (("gpu", 1),))
             if chance.draw() < 0.15:
@@ -74,11 +88,14 @@
     for site, (_, base, rate) in enumerate(scorer.sites):
         inside = [at for at in racks if site in (scorer.zone[at], scorer.cluster[at])]
         groups += [(inside, base + much * rate)] if inside else []
-    bases = [scorer.base[at] for at in racks] + [base for site, (_, base, _) in enumerate(scorer.sites)
-                                                 if any(site in (scorer.zone[at], scorer.cluster[at]) for at in racks)]
+    bases = [scorer.base[at] for at in racks] + [
+        base
+        for site, (_, base, _) in enumerate(scorer.sites)
+        if any(site in (scorer.zone[at], scorer.cluster[at]) for at in racks)
+    ]
     many, last = len(racks), 2 * len(racks) + 2 * len(groups)
     place = {at: one for one, at in enumerate(racks)}
-    size = last + 2                     # workers, planned, entered, all within, step, loss
+    size = last + 2  # workers, planned, entered, all within, step, loss
     price, rows, low, high = np.zeros(size), [], [], []
     price[last], price[last + 1] = weights.step, weights.loss
 
@@ -87,6 +104,7 @@
         low.append(least)
         high.append(most)
         return rows[-1]
+
     row(workers, workers)[:many] = 1
     for at, one in place.items():
         price[one] -= weights.fragments / scorer.slots[at]
@@ -109,14 +127,23 @@
         line[within] = -workers
         line = row(0, np.inf)
         line[last], line[entered], line[within] = 1, -load, load
-    top = np.concatenate([[min(workers, scorer.room[at]) for at in racks], np.ones(many + 2 * len(groups)),
-                          [np.inf, 1]])
+    top = np.concatenate(
+        [
+            [min(workers, scorer.room[at]) for at in racks],
+            np.ones(many + 2 * len(groups)),
+            [np.inf, 1],
+        ]
+    )
     least = np.zeros(size)
     least[last] = scorer.floor
     whole = np.concatenate([np.ones(many), np.zeros(many), np.ones(2 * len(groups)), [0, 0]])
-    answer = milp(price, integrality=whole, bounds=Bounds(least, top),
-                  constraints=LinearConstraint(np.array(rows), low, high),
-                  options={"time_limit": seconds, "mip_rel_gap": 1e-6})
+    answer = milp(
+        price,
+        integrality=whole,
+        bounds=Bounds(least, top),
+        constraints=LinearConstraint(np.array(rows), low, high),
+        options={"time_limit": seconds, "mip_rel_gap": 1e-6},
+    )
     return answer.fun, answer.mip_dual_bound
 
 
@@ -132,7 +159,9 @@
             apart.append(abs(solved(scorer, 10)[0] / scorer.total(best) - 1))
     places = large(chance)
     while len(found) < vast:
-        gang = Gang(int(64 + 448 * chance.draw()), "ring", GIGA, 4 * SECOND, "p", SECOND, needs={"gpu": 1})
+        gang = Gang(
+            int(64 + 448 * chance.draw()), "ring", GIGA, 4 * SECOND, "p", SECOND, needs={"gpu": 1}
+        )
         scorer = score.Scorer(places, gang, 0)
         found.append(scorer.total(search.fast(scorer)) / solved(scorer, 3)[0] - 1)
         places.take(search.find(places, gang, 0).places, gang.shape())
@@ -141,6 +170,7 @@
 
 # -- a network of its own ---------------------------------------------------------------------------------------------
 
+
 def pairs(gang):
     """Arrays (from, to, bytes) of all pairs of workers that talk, from what the patterns mean."""
     count = gang.workers
@@ -152,7 +182,7 @@
     elif gang.pattern == "pipeline":
         much = gang.bytes * (abs(one - other) == 1)
     elif gang.pattern == "tree":
-        up = np.array(parents(count))       # which tree it is, is agreed; what it loads is counted here
+        up = np.array(parents(count))  # which tree it is, is agreed; what it loads is counted here
         much = gang.bytes * ((up[one] == other) | (up[other] == one))
     else:
         size = count // len(gang.matrix)
@@ -173,9 +203,11 @@
         racks = [places.racks[name] for name in names]
         self.zone = np.array([zones.index((rack.cluster, rack.zone)) for rack in racks])
         self.cluster = np.array([clusters.index(rack.cluster) for rack in racks])
-        wide = ([rack.bandwidth for rack in racks]
-                + [places.uplinks.get(f"zone/{cluster}/{zone}", np.inf) for cluster, zone in zones]
-                + [places.uplinks.get(f"cluster/{cluster}", np.inf) for cluster in clusters])
+        wide = (
+            [rack.bandwidth for rack in racks]
+            + [places.uplinks.get(f"zone/{cluster}/{zone}", np.inf) for cluster, zone in zones]
+            + [places.uplinks.get(f"cluster/{cluster}", np.inf) for cluster in clusters]
+        )
         self.zones_at, self.clusters_at = len(racks), len(racks) + len(zones)
         self.wide = np.array(wide + wide, float)
         self.links = len(wide)
@@ -207,14 +239,18 @@
         left, used = self.wide.copy(), routes >= 0
         while len(at):
             on = used[at]
-            load = np.bincount(routes[at][on], np.broadcast_to(many[at][:, None], on.shape)[on], len(left))
+            load = np.bincount(
+                routes[at][on], np.broadcast_to(many[at][:, None], on.shape)[on], len(left)
+            )
             with np.errstate(divide="ignore", invalid="ignore"):
                 room = np.where(load > 0, left / load, np.inf)
             step = max(0.0, min(room.min(), most[at].min() - level))
             level += step
             left -= step * load
             tight = (left <= 1e-6 * self.wide) & (load > 0)
-            full = (on & tight[np.where(on, routes[at], 0)]).any(1) | (most[at] <= level * (1 + 1e-9))
+            full = (on & tight[np.where(on, routes[at], 0)]).any(1) | (
+                most[at] <= level * (1 + 1e-9)
+            )
             rates[at[full]] = level
             at = at[~full]
         return rates
@@ -226,7 +262,9 @@
         most = np.concatenate([much / target for (_, much, _), target in flows])
         many = np.concatenate([some for (_, _, some), _ in flows])
         steps = np.round(np.log2(np.maximum(1.0, most)))
-        keys, group = np.unique(np.column_stack([routes[:, 0], routes[:, 1], steps]), axis=0, return_inverse=True)
+        keys, group = np.unique(
+            np.column_stack([routes[:, 0], routes[:, 1], steps]), axis=0, return_inverse=True
+        )
         group = group.reshape(-1)
         first = np.zeros(len(keys), int)
         first[group] = np.arange(len(group))
@@ -241,19 +279,31 @@
             return sent
         mine = len(routes)
         theirs, some, most = self.together(others)
-        rates = self.rates(np.concatenate([routes, theirs]), np.concatenate([many, some]),
-                           np.concatenate([np.full(mine, float(self.host)), most]))
+        rates = self.rates(
+            np.concatenate([routes, theirs]),
+            np.concatenate([many, some]),
+            np.concatenate([np.full(mine, float(self.host)), most]),
+        )
         return max(sent, float((much / np.maximum(1.0, rates[:mine])).max()))
 
 
 def large(chance):
     """200 racks of 25 machines of 8 slots in 20 zones of 4 clusters; some machines of each rack are others'."""
-    places = Places(uplinks={**{f"zone/c{at % 4}/z{at}": 40 * GIGA for at in range(20)},
-                             **{f"cluster/c{at}": 50 * GIGA for at in range(4)}})
+    places = Places(
+        uplinks={
+            **{f"zone/c{at % 4}/z{at}": 40 * GIGA for at in range(20)},
+            **{f"cluster/c{at}": 50 * GIGA for at in range(4)},
+        }
+    )
     for at in range(200):
         zone = at % 20
-        places.stand(f"r{at:03}", f"z{zone}", f"c{zone % 4}", 10 * GIGA,
-                     {f"r{at:03}m{one:02}": Stated(8, {"gpu": 8}) for one in range(25)})
+        places.stand(
+            f"r{at:03}",
+            f"z{zone}",
+            f"c{zone % 4}",
+            10 * GIGA,
+            {f"r{at:03}m{one:02}": Stated(8, {"gpu": 8}) for one in range(25)},
+        )
         for machine in places.racks[f"r{at:03}"].hosts:
             if chance.draw() < 0.4:
                 places.take({machine: 1 + int(chance.draw() * 8)}, (("gpu", 1),))
@@ -282,59 +332,103 @@
 def steps(places, placed, every):
     """Seconds of a step by the network, over its target, of each `every`th gang."""
     network, order = Network(places), places.order()
-    flows = [network.flows(gang, [(name, counts[name]) for name in order if name in counts]) for gang, counts in placed]
+    flows = [
+        network.flows(gang, [(name, counts[name]) for name in order if name in counts])
+        for gang, counts in placed
+    ]
     found = []
     for at in range(0, len(placed), every):
         gang = placed[at][0]
-        others = [(flows[other], placed[other][0].target / SECOND) for other in range(len(placed)) if other != at]
+        others = [
+            (flows[other], placed[other][0].target / SECOND)
+            for other in range(len(placed))
+            if other != at
+        ]
         found.append(network.step(gang, flows[at], others) / (gang.target / SECOND))
     return np.array(found)
 
 
 def fleets(seed, gangs):
-    ways = {"search": None, "first_fit": search.first_fit, "random": search.random_fit(Chance(seed + 7)),
-            "packing": search.packing, "spreading": search.spreading}
+    ways = {
+        "search": None,
+        "first_fit": search.first_fit,
+        "random": search.random_fit(Chance(seed + 7)),
+        "packing": search.packing,
+        "spreading": search.spreading,
+    }
     found, took, first, began = {}, [], None, time.monotonic()
     for name, how in ways.items():
         places, placed, some = filled(seed, how, gangs)
         found[name] = steps(places, placed, 2)
         if name == "search":
             took, first = some, len(placed)
-        print(f"{time.monotonic() - began:.1f} s {name}: {len(placed)} gangs, step over target "
-              f"{found[name].mean():.3f} mean, {np.median(found[name]):.3f} p50, "
-              f"{np.quantile(found[name], 0.95):.3f} p95, {(found[name] > 1).mean():.2f} late, "
-              f"search {np.mean(some):.1f} ms", flush=True)
+        print(
+            f"{time.monotonic() - began:.1f} s {name}: {len(placed)} gangs, step over target "
+            f"{found[name].mean():.3f} mean, {np.median(found[name]):.3f} p50, "
+            f"{np.quantile(found[name], 0.95):.3f} p95, {(found[name] > 1).mean():.2f} late, "
+            f"search {np.mean(some):.1f} ms",
+            flush=True,
+        )
     return found, took, first
 
 
 # -- a play of two schedulers -----------------------------------------------------------------------------------------
 
+
 def wrongs(image):
     """(half placed, slots twice), counted from the image alone."""
     used, half = {}, 0
     for life in image["gangs"].values():
         many = sum(life["places"].values())
-        half += many not in ((0,) if life["state"] == "offered" else range(life["gang"]["workers"] + 1)
-                             if life["state"] == "hurt" else (life["gang"]["workers"],))
+        half += many not in (
+            (0,)
+            if life["state"] == "offered"
+            else range(life["gang"]["workers"] + 1)
+            if life["state"] == "hurt"
+            else (life["gang"]["workers"],)
+        )
         half += life["state"] in state.LEASED and life["lease"] <= image["at"]
         for machine, some in life["places"].items():
             used[machine] = used.get(machine, 0) + some
-    return half, sum(used.get(machine, 0) > host["slots"] for rack in image["places"]["racks"].values()
-                     for machine, host in rack["hosts"].items())
+    return half, sum(
+        used.get(machine, 0) > host["slots"]
+        for rack in image["places"]["racks"].values()
+        for machine, host in rack["hosts"].items()
+    )
 
 
 def play(seed, turns, kind=state.Machine):
     """Two schedulers that score at once over 8 racks and commit later, in any order, die between hold and bind, while
     racks and machines are lost and come back and drains ask. Answers sums by name."""
     chance, machine, at = Chance(seed), kind(), 0
-    sums = {"half_placed": 0, "slots_twice": 0, "holds": 0, "stale": 0, "done": 0, "lost": 0, "drained": 0, "mended": 0,
-            "preempted": 0}
+    sums = {
+        "half_placed": 0,
+        "slots_twice": 0,
+        "holds": 0,
+        "stale": 0,
+        "done": 0,
+        "lost": 0,
+        "drained": 0,
+        "mended": 0,
+        "preempted": 0,
+    }
     for rack in range(8):
-        machine.apply(at, {"part": "gangs", "do": "stand", "rack": f"r{rack}", "zone": f"z{rack // 3}", "cluster": "c",
-                           "bandwidth": GIGA, "machines": {f"r{rack}m{one}": {"slots": 4, "has": {"gpu": 4}}
-                                                           for one in range(4)}})
+        machine.apply(
+            at,
+            {
+                "part": "gangs",
+                "do": "stand",
+                "rack": f"r{rack}",
+                "zone": f"z{rack // 3}",
+                "cluster": "c",
+                "bandwidth": GIGA,
+                "machines": {f"r{rack}m{one}": {"slots": 4, "has": {"gpu": 4}} for one in range(4)},
+            },
+        )
     for publisher in range(3):
-        machine.apply(at, {"part": "gangs", "do": "share", "publisher": f"p{publisher}", "thousandths": 333})
+        machine.apply(
+            at, {"part": "gangs", "do": "share", "publisher": f"p{publisher}", "thousandths": 333}
+        )
 
     def do(what, **fields):
         reply = machine.apply(at, {"part": "gangs", "do": what, **fields})
@@ -347,20 +441,27 @@
         names = list(names)
         return names[int(chance.draw() * len(names))] if names else None
 
-    wanted = [None, None]           # what each scheduler has scored and not committed yet
+    wanted = [None, None]  # what each scheduler has scored and not committed yet
     everywhere = [f"r{rack}m{one}" for rack in range(8) for one in range(4)]
     for turn in range(turns):
         at += int(chance.draw() * 4 * SECOND)
         gangs = machine.all.gangs
-        in_state = {name: [gang for gang, _ in group] for name, group in groupby(
-            sorted(((gang, life.state) for gang, life in gangs.items()), key=lambda one: one[1]), lambda one: one[1])}
+        in_state = {
+            name: [gang for gang, _ in group]
+            for name, group in groupby(
+                sorted(
+                    ((gang, life.state) for gang, life in gangs.items()), key=lambda one: one[1]
+                ),
+                lambda one: one[1],
+            )
+        }
         lot = chance.draw()
         who = int(chance.draw() * 2)
         if lot < 0.10 and len(gangs) < 30:
             gang = some_gang(chance, 2 + int(chance.draw() * 24))
             job = {name: getattr(gang, name) for name in gang.__struct_fields__}
             do("offer", gang=f"g{turn}", job=job)
-        elif lot < 0.35:            # score
+        elif lot < 0.35:  # score
             name = pick(machine.queue()[:2])
             plan = name and search.find(machine.view(), gangs[name].gang, at)
             wanted[who] = plan and (name, plan)
@@ -370,28 +471,54 @@
             reply = do("hold", gang=name, places=plan.places, versions=plan.versions)
             sums["holds"] += "ok" in reply
             sums["stale"] += "scored at" in reply.get("refused", "")
-            if "ok" in reply and chance.draw() < 0.8 and "ok" in do("bind", gang=name, fence=reply["fence"]):
+            if (
+                "ok" in reply
+                and chance.draw() < 0.8
+                and "ok" in do("bind", gang=name, fence=reply["fence"])
+            ):
                 do("start", gang=name, fence=reply["fence"])
         elif lot < 0.72 and (name := pick(in_state.get("running", ()))):
-            sums["preempted"] += do("checkpoint", gang=name, fence=gangs[name].fence).get("next") == "yield"
+            sums["preempted"] += (
+                do("checkpoint", gang=name, fence=gangs[name].fence).get("next") == "yield"
+            )
         elif lot < 0.76 and (name := pick(in_state.get("running", ()))):
             sums["done"] += "ok" in do("done", gang=name, fence=gangs[name].fence)
         elif lot < 0.84 and (name := pick(in_state.get("hurt", ()))):
             plan, _ = search.mended(machine.view(), gangs[name].gang, at, gangs[name].places, 0)
             if plan:
-                reply = do("mend", gang=name, fence=gangs[name].fence, places=plan.places, versions=plan.versions)
-                sums["mended"] += "ok" in reply and "ok" in do("start", gang=name, fence=reply["fence"])
+                reply = do(
+                    "mend",
+                    gang=name,
+                    fence=gangs[name].fence,
+                    places=plan.places,
+                    versions=plan.versions,
+                )
+                sums["mended"] += "ok" in reply and "ok" in do(
+                    "start", gang=name, fence=reply["fence"]
+                )
         elif lot < 0.87 and machine.queue() and (name := pick(in_state.get("running", ()))):
             do("preempt", gang=name, by=machine.queue()[0])
         elif 0.87 <= lot < 0.90:
-            sums["drained"] += "ok" in do("drain_asked", machine=pick(everywhere), drain="d", unit=chance.draw() < 0.3)
+            sums["drained"] += "ok" in do(
+                "drain_asked", machine=pick(everywhere), drain="d", unit=chance.draw() < 0.3
+            )
         elif 0.90 <= lot < 0.92:
             kind_ = "rack" if chance.draw() < 0.3 else "machine"
-            sums["lost"] += "ok" in do("lost", kind=kind_, name=pick(machine.all.places.racks if kind_ == "rack"
-                                                                     else everywhere))
+            sums["lost"] += "ok" in do(
+                "lost",
+                kind=kind_,
+                name=pick(machine.all.places.racks if kind_ == "rack" else everywhere),
+            )
         elif 0.92 <= lot < 0.99:
-            do("back", machine=pick(name for name in everywhere if machine.all.places.host(name).fits(()) < 1
-                                    or chance.draw() < 0.1) or everywhere[0])
+            do(
+                "back",
+                machine=pick(
+                    name
+                    for name in everywhere
+                    if machine.all.places.host(name).fits(()) < 1 or chance.draw() < 0.1
+                )
+                or everywhere[0],
+            )
         else:
             do("tick")
     return sums
@@ -405,29 +532,56 @@
     reader.add_argument("--turns", type=int, default=12_000)
     asked, began = reader.parse_args(), time.monotonic()
     found = np.array(gaps(asked.seed, asked.cases))
-    print(f"{len(found)} small cases: gap {found.mean():.4f} mean, {found.max():.4f} most, {(found < 1e-9).mean():.2f} "
-          f"exact; {time.monotonic() - began:.1f} s", flush=True)
+    print(
+        f"{len(found)} small cases: gap {found.mean():.4f} mean, {found.max():.4f} most, {(found < 1e-9).mean():.2f} "
+        f"exact; {time.monotonic() - began:.1f} s",
+        flush=True,
+    )
     apart, proved = against_solver(asked.seed, 40, 6)
-    print(f"rings against HiGHS: exact differs by {apart:.1e} at most on 40 small ones; 6 of 64 to 512 workers at 200 "
-          f"racks are {np.mean(proved):+.3f} mean, {max(proved):+.3f} most over what it finds in 3 s; "
-          f"{time.monotonic() - began:.1f} s", flush=True)
+    print(
+        f"rings against HiGHS: exact differs by {apart:.1e} at most on 40 small ones; 6 of 64 to 512 workers at 200 "
+        f"racks are {np.mean(proved):+.3f} mean, {max(proved):+.3f} most over what it finds in 3 s; "
+        f"{time.monotonic() - began:.1f} s",
+        flush=True,
+    )
     by_way, took, placed = fleets(asked.seed, asked.gangs)
     print(f"{time.monotonic() - began:.1f} s", flush=True)
     sums = play(asked.seed, asked.turns)
     print(f"play: {sums}; {time.monotonic() - began:.1f} s", flush=True)
     mean = {name: float(some.mean()) for name, some in by_way.items()}
-    print(json.dumps({
-        "seed": asked.seed, "gang_cases": len(found), "gang_gap_mean": round(float(found.mean()), 4),
-        "gang_gap_most": round(float(found.max()), 4), "gangs_placed": placed,
-        "gang_exact_off_solver": round(apart, 6), "gang_ring_over_solver_mean": round(float(np.mean(proved)), 4),
-        "gang_ring_over_solver_most": round(max(proved), 4),
-        **{f"gang_step_over_{name}": round(mean["search"] / mean[name], 3) for name in mean if name != "search"},
-        **{f"gang_step_p50_over_{name}": round(float(np.median(by_way["search"]) / np.median(some)), 3)
-           for name, some in by_way.items() if name != "search"},
-        "gang_late_share": round(float((by_way["search"] > 1).mean()), 3),
-        "gang_ms_p50": round(float(np.quantile(took, 0.5)), 1), "gang_ms_p99": round(float(np.quantile(took, 0.99)), 1),
-        "half_placed": sums.pop("half_placed"), "slots_twice": sums.pop("slots_twice"),
-        **{f"play_{name}": many for name, many in sums.items()}, "took_s": round(time.monotonic() - began, 1)}))
+    print(
+        json.dumps(
+            {
+                "seed": asked.seed,
+                "gang_cases": len(found),
+                "gang_gap_mean": round(float(found.mean()), 4),
+                "gang_gap_most": round(float(found.max()), 4),
+                "gangs_placed": placed,
+                "gang_exact_off_solver": round(apart, 6),
+                "gang_ring_over_solver_mean": round(float(np.mean(proved)), 4),
+                "gang_ring_over_solver_most": round(max(proved), 4),
+                **{
+                    f"gang_step_over_{name}": round(mean["search"] / mean[name], 3)
+                    for name in mean
+                    if name != "search"
+                },
+                **{
+                    f"gang_step_p50_over_{name}": round(
+                        float(np.median(by_way["search"]) / np.median(some)), 3
+                    )
+                    for name, some in by_way.items()
+                    if name != "search"
+                },
+                "gang_late_share": round(float((by_way["search"] > 1).mean()), 3),
+                "gang_ms_p50": round(float(np.quantile(took, 0.5)), 1),
+                "gang_ms_p99": round(float(np.quantile(took, 0.99)), 1),
+                "half_placed": sums.pop("half_placed"),
+                "slots_twice": sums.pop("slots_twice"),
+                **{f"play_{name}": many for name, many in sums.items()},
+                "took_s": round(time.monotonic() - began, 1),
+            }
+        )
+    )
 
 
 if __name__ == "__main__":
--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -35,6 +35,7 @@
         for one in world.live():
             buried[0] += sum(fields.get("now") == "dead" for _, fields in one.node.said)
             one.node.said.clear()
+
     world.run(3 * SECOND, watch)
     for at in range(3):
         teller, pod = f"n{(at * 7 + 3) % count}", PODS[at]
@@ -45,17 +46,28 @@
         last = [None]
 
         def heard(pod=pod, teller=teller, last=last):
-            if last[0] is None and all(teller in one.node.belief.claims.get(pod, {}) or one.name == teller
-                                       for one in world.live()):
+            if last[0] is None and all(
+                teller in one.node.belief.claims.get(pod, {}) or one.name == teller
+                for one in world.live()
+            ):
                 last[0] = world.now
+
         world.run(span // 3, lambda heard=heard: (heard(), watch()), SECOND // 5)
-        reached.append(sum(teller in one.node.belief.claims.get(pod, {}) for one in world.live()) / (count - 1))
+        reached.append(
+            sum(teller in one.node.belief.claims.get(pod, {}) for one in world.live()) / (count - 1)
+        )
         lasts.append((last[0] - begin) / SECOND if last[0] else None)
         sent.append((world.sent - before) / count / (span / 3 / SECOND))
-    return {"instances": count, "loss": loss, "spread_s": max(lasts) if None not in lasts else None,
-            "reached": round(min(reached), 3), "messages_per_instance_s": round(sum(sent) / len(sent), 2),
-            "buried": buried[0], "simulated_s": (span + 3 * SECOND) / SECOND,
-            "took_s": round(time.monotonic() - began, 1)}
+    return {
+        "instances": count,
+        "loss": loss,
+        "spread_s": max(lasts) if None not in lasts else None,
+        "reached": round(min(reached), 3),
+        "messages_per_instance_s": round(sum(sent) / len(sent), 2),
+        "buried": buried[0],
+        "simulated_s": (span + 3 * SECOND) / SECOND,
+        "took_s": round(time.monotonic() - began, 1),
+    }
 
 
 def _resident_mb():
@@ -86,49 +98,78 @@
                     one.node.belief.ended(one.clock(), PODS[pod].pod, pod == at % 3)
                 one.node.doubts.clear()
                 one.node.said.clear()
-                buried += sum(member.state == "dead" and world.instances[name].node is not None
-                              and world.now - since > 20 * SECOND
-                              for name, member in one.node.members.all.items())
+                buried += sum(
+                    member.state == "dead"
+                    and world.instances[name].node is not None
+                    and world.now - since > 20 * SECOND
+                    for name, member in one.node.members.all.items()
+                )
+
         world.run(minute - SECOND, traffic)
         if (at + 1) % max(1, span // minute // 4) == 0:
             memory.append(round(_resident_mb(), 2))
-    return {"memory_mb_by_quarter": memory[:4], "memory_growth": round(memory[-1] / memory[0] - 1, 4),
-            "false_dead_per_hour": round(buried * 3600 * SECOND / span, 2), "sent": world.sent}
+    return {
+        "memory_mb_by_quarter": memory[:4],
+        "memory_growth": round(memory[-1] / memory[0] - 1, 4),
+        "false_dead_per_hour": round(buried * 3600 * SECOND / span, 2),
+        "sent": world.sent,
+    }
 
 
 def gain(task):
     """Share of the quiet instances' deliveries that failed, one pod of twelve failing 60%."""
     kind, gossip, seed, span = task
-    loud, quiet, liars, terms = {"many": (8, 32, 0, TERMS), "five": (2, 2, 1, TERMS), "crowd": (
-        12, 20, 8, TERMS._replace(hearsay=TERMS.hearsay._replace(liars=8, witnesses=9)))}[kind]
+    loud, quiet, liars, terms = {
+        "many": (8, 32, 0, TERMS),
+        "five": (2, 2, 1, TERMS),
+        "crowd": (12, 20, 8, TERMS._replace(hearsay=TERMS.hearsay._replace(liars=8, witnesses=9))),
+    }[kind]
     rates = {f"n{at}": 40.0 if at < loud else 1.0 for at in range(loud + quiet + liars)}
     names = list(rates)
-    shop = Shop(rates, 12, {"s-5": 0.6}, seed, gossip, names[loud + quiet:], terms)
+    shop = Shop(rates, 12, {"s-5": 0.6}, seed, gossip, names[loud + quiet :], terms)
     shop.world.run(span)
-    doubted = sum(pod != "s-5" and balancer.pods[pod].doubted > 0
-                  for name, balancer in shop.balancers.items() if name not in names[loud + quiet:]
-                  for pod in balancer.pods)
-    return kind, gossip, shop.share_failed(names[loud:loud + quiet]), doubted
+    doubted = sum(
+        pod != "s-5" and balancer.pods[pod].doubted > 0
+        for name, balancer in shop.balancers.items()
+        if name not in names[loud + quiet :]
+        for pod in balancer.pods
+    )
+    return kind, gossip, shop.share_failed(names[loud : loud + quiet]), doubted
 
 
 def simulated(seed, short, pool):
     """All figures of simulated time."""
     span, sizes = (6, (8, 64)) if short else (9, SIZES)
-    tasks = sorted(((count, loss, seed, span * SECOND) for count in sizes for loss in LOSSES), reverse=True)
+    tasks = sorted(
+        ((count, loss, seed, span * SECOND) for count in sizes for loss in LOSSES), reverse=True
+    )
     spreads = pool.map(spread, tasks)
     hours = pool.map(hour, [(seed, (4 if short else 60) * 60 * SECOND)])
     rounds = 1 if short else 3
-    gains = pool.map(gain, [(kind, gossip, seed + at, (20 if short else 40) * SECOND)
-                            for kind in ("many", "five", "crowd") for at in range(rounds)
-                            for gossip in (True, False)])
-    figures = {"simulated": sorted(spreads, key=lambda one: (one["instances"], one["loss"])), **next(iter(hours))}
+    gains = pool.map(
+        gain,
+        [
+            (kind, gossip, seed + at, (20 if short else 40) * SECOND)
+            for kind in ("many", "five", "crowd")
+            for at in range(rounds)
+            for gossip in (True, False)
+        ],
+    )
+    figures = {
+        "simulated": sorted(spreads, key=lambda one: (one["instances"], one["loss"])),
+        **next(iter(hours)),
+    }
     shares, doubted = {}, {}
     for kind, gossip, share, wrong in gains:
         shares.setdefault((kind, gossip), []).append(share)
         doubted[kind] = doubted.get(kind, 0) + wrong
-    figures["failed_share_quiet"] = {kind: {"with": round(sum(shares[kind, True]) / rounds, 4),
-                                            "without": round(sum(shares[kind, False]) / rounds, 4)}
-                                     for kind in ("many", "five", "crowd")}
+    figures["failed_share_quiet"] = {
+        kind: {
+            "with": round(sum(shares[kind, True]) / rounds, 4),
+            "without": round(sum(shares[kind, False]) / rounds, 4),
+        }
+        for kind in ("many", "five", "crowd")
+    }
     figures["simulated_wrongful_doubts"] = doubted
     figures["spread_s"] = max((one["spread_s"] or 1e9) for one in figures["simulated"])
     return figures
@@ -148,6 +189,7 @@
             print(json.dumps(one))
     if chosen.part != "simulated":
         from measure.gossip_loopback import loopback
+
         figures.update(loopback(chosen.seed, chosen.short))
     figures["took_s"] = round(time.monotonic() - began, 1)
     print(json.dumps(figures))
--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -61,8 +61,11 @@
         entries = [pod.entry(f"s-{at}") for at, pod in enumerate(self.pods)]
         self.programs, self.more = {}, more
         for name in names:
-            self.programs[name] = Program(*entries, operator=lambda folder, name=name: self.text(name),
-                                          change=lambda told: told["settings"].update(balancers=len(names)))
+            self.programs[name] = Program(
+                *entries,
+                operator=lambda folder, name=name: self.text(name),
+                change=lambda told: told["settings"].update(balancers=len(names)),
+            )
         try:
             for program in self.programs.values():
                 program.__enter__()
@@ -73,11 +76,18 @@
     def text(self, name, peers=None):
         path, seeds = os.path.join(self.folder.name, f"{name}.key"), list(self.ports.values())[:2]
         told = ", ".join(f'"127.0.0.1:{port}"' for port in seeds)
-        return (f'gossip: {{name: "{name}", listen: "127.0.0.1:{self.ports[name]}", key: "{path}", seeds: [{told}]\n'
-                f'from: ["127.0.0.1/32"], peers: [{peers or self.peers}]\n{self.more}\n}}\n')
+        return (
+            f'gossip: {{name: "{name}", listen: "127.0.0.1:{self.ports[name]}", key: "{path}", seeds: [{told}]\n'
+            f'from: ["127.0.0.1/32"], peers: [{peers or self.peers}]\n{self.more}\n}}\n'
+        )
 
     def ring(self):
-        return Ring([Peer(name, None, (PeerKey(one.text(), None),)) for name, one in self.identities.items()])
+        return Ring(
+            [
+                Peer(name, None, (PeerKey(one.text(), None),))
+                for name, one in self.identities.items()
+            ]
+        )
 
     def lines(self, name):
         """The lines logged and not yet taken."""
@@ -105,8 +115,19 @@
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(address)
         self.socket.settimeout(0.02)
-        node = Node(TERMS, fleet.identities[HOSTILE], fleet.ring(), Sources(["127.0.0.1/32"]), address,
-                    [("127.0.0.1", fleet.ports["n0"])], now, Chance(9), 77, lambda: os.urandom(8), time.time)
+        node = Node(
+            TERMS,
+            fleet.identities[HOSTILE],
+            fleet.ring(),
+            Sources(["127.0.0.1/32"]),
+            address,
+            [("127.0.0.1", fleet.ports["n0"])],
+            now,
+            Chance(9),
+            77,
+            lambda: os.urandom(8),
+            time.time,
+        )
         self.liar, self.over = Liar(node, pods), threading.Event()
 
     def run(self):
@@ -140,8 +161,12 @@
     out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     stranger = made("n1")
     stranger.key_id = key_id
-    forged = [codec.sealed_frame(Frame("n1", "n0", 5, at, 5, Ping(os.urandom(8), bytes(128)), []), stranger)
-              for at in range(200)]
+    forged = [
+        codec.sealed_frame(
+            Frame("n1", "n0", 5, at, 5, Ping(os.urandom(8), bytes(128)), []), stranger
+        )
+        for at in range(200)
+    ]
     datagrams, sent, begin = forged + [os.urandom(300) for _ in range(200)], 0, time.monotonic()
     while (passed := time.monotonic() - begin) < seconds:
         while sent < passed * rate:
@@ -165,6 +190,7 @@
                     self.twice += self.ran[words[2]] == 2
                 fails = self.chance.random() < ill
             return b"-ERR failed\r\n" if fails else b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
+
         return answer
 
 
@@ -174,7 +200,9 @@
     fleet = Fleet([pods.answer(0.6 if at == 5 else 0.0) for at in range(6)])
     hostile = None
     try:
-        healthy = [Pod(f"s-{at}", pod.address, 41, 0) for at, pod in enumerate(fleet.pods) if at != 5]
+        healthy = [
+            Pod(f"s-{at}", pod.address, 41, 0) for at, pod in enumerate(fleet.pods) if at != 5
+        ]
         hostile = HostilePeer(fleet, healthy)
         hostile.start()
         events = {name: [] for name in HONEST}
@@ -182,50 +210,94 @@
         def gather():
             for name in HONEST:
                 events[name] += fleet.lines(name)
-        until(lambda: all(len({line["peer"] for line in events[name] if line["event"] == "peer"}) >= 4
-                          for name in HONEST), lambda: (time.sleep(0.1), gather()))
-        figures["met_s"] = round(max(line["at"] for name in HONEST for line in events[name]
-                                     if line["event"] == "peer") - min(
-            line["at"] for name in HONEST for line in events[name]), 1)
+
+        until(
+            lambda: all(
+                len({line["peer"] for line in events[name] if line["event"] == "peer"}) >= 4
+                for name in HONEST
+            ),
+            lambda: (time.sleep(0.1), gather()),
+        )
+        figures["met_s"] = round(
+            max(line["at"] for name in HONEST for line in events[name] if line["event"] == "peer")
+            - min(line["at"] for name in HONEST for line in events[name]),
+            1,
+        )
         context = multiprocessing.get_context("spawn")
         with ProcessPoolExecutor(6, context) as pool:
             span = 5 if short else 14
-            loads = [pool.submit(drive, fleet.programs[name].port, 120 if name != "n3" else 15, span,
-                                 seed + at, "pay" if name == "n1" else "read") for at, name in enumerate(HONEST)]
+            loads = [
+                pool.submit(
+                    drive,
+                    fleet.programs[name].port,
+                    120 if name != "n3" else 15,
+                    span,
+                    seed + at,
+                    "pay" if name == "n1" else "read",
+                )
+                for at, name in enumerate(HONEST)
+            ]
             results = [one for load in loads for one in load.result()]
             gather()
-            answers = {how: sum(one[2] == how for one in results) for how in ("done", "deferred", "abandoned", "lost")}
+            answers = {
+                how: sum(one[2] == how for one in results)
+                for how in ("done", "deferred", "abandoned", "lost")
+            }
             # Latency of usual clients with the flood and without, by turns, against the same instance.
             windows, with_, without, rates = 1 if short else 8, [], [], []
             key_id, port = fleet.identities["n1"].key_id, fleet.programs["n0"].port
             for at in range(windows):
                 for flooded in (bool(at % 2), not at % 2):
-                    other = pool.submit(flood, fleet.ports["n0"], key_id, 10_000, 1.9) if flooded else None
+                    other = (
+                        pool.submit(flood, fleet.ports["n0"], key_id, 10_000, 1.9)
+                        if flooded
+                        else None
+                    )
                     time.sleep(0.2)
-                    took = [one[1] for one in pool.submit(drive, port, 250, 1.5, seed + at, "read").result()]
+                    took = [
+                        one[1]
+                        for one in pool.submit(drive, port, 250, 1.5, seed + at, "read").result()
+                    ]
                     (with_ if flooded else without).extend(took)
                     if other:
                         rates.append(other.result())
             time.sleep(1)
         gather()
-        doubts = [(name, line) for name in HONEST for line in events[name] if line["event"] == "doubt"]
-        figures["wrongful_exclusions"] = sum(line["pod"] != "s-5" and line["span"] > 0 for _, line in doubts)
-        figures["failing_pod_doubted"] = sum(line["pod"] == "s-5" and line["span"] > 0 for _, line in doubts)
-        figures["wrong_dead"] = sum(line["event"] == "peer" and line["peer"] in HONEST
-                                    and line["now"] in ("dead", "left") for name in HONEST for line in events[name])
+        doubts = [
+            (name, line) for name in HONEST for line in events[name] if line["event"] == "doubt"
+        ]
+        figures["wrongful_exclusions"] = sum(
+            line["pod"] != "s-5" and line["span"] > 0 for _, line in doubts
+        )
+        figures["failing_pod_doubted"] = sum(
+            line["pod"] == "s-5" and line["span"] > 0 for _, line in doubts
+        )
+        figures["wrong_dead"] = sum(
+            line["event"] == "peer" and line["peer"] in HONEST and line["now"] in ("dead", "left")
+            for name in HONEST
+            for line in events[name]
+        )
         counts = [line for name in HONEST for line in events[name] if line["event"] == "gossip"]
         figures["bytes_per_second_most"] = max(line["bytes_most"] for line in counts)
         figures["datagrams_per_second_most"] = max(line["datagrams_most"] for line in counts)
         figures["ceiling"] = CEILING
-        figures["verified_per_second_most"] = round(max(line["verified"] / line["span"] for line in counts), 1)
+        figures["verified_per_second_most"] = round(
+            max(line["verified"] / line["span"] for line in counts), 1
+        )
         figures["rules_broken"] = pods.twice + answers["lost"]
         figures["answers"] = answers
-        figures["faults"] = sum(line["event"] == "fault" for name in HONEST for line in events[name])
+        figures["faults"] = sum(
+            line["event"] == "fault" for name in HONEST for line in events[name]
+        )
         figures["flood_per_s"] = min(rates)
-        figures["p99_ms"] = {"flood": round(1000 * quantile(with_, 0.99), 2),
-                             "none": round(1000 * quantile(without, 0.99), 2)}
-        figures["p50_ms"] = {"flood": round(1000 * quantile(with_, 0.5), 2),
-                             "none": round(1000 * quantile(without, 0.5), 2)}
+        figures["p99_ms"] = {
+            "flood": round(1000 * quantile(with_, 0.99), 2),
+            "none": round(1000 * quantile(without, 0.99), 2),
+        }
+        figures["p50_ms"] = {
+            "flood": round(1000 * quantile(with_, 0.5), 2),
+            "none": round(1000 * quantile(without, 0.5), 2),
+        }
         figures["p99_flood_ratio"] = round(quantile(with_, 0.99) / quantile(without, 0.99), 3)
     finally:
         if hostile:
--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -6,7 +6,7 @@
 from thymeknot.gossip.codec import Accuse, Alive, Claim, Frame, Hints, Item, Left, Push
 from thymeknot.gossip.hearsay import Pod
 
-KEPT = 200                      # datagrams it heard, to be sent again
+KEPT = 200  # datagrams it heard, to be sent again
 
 
 class Liar:
@@ -25,14 +25,27 @@
         if number is None:
             node.number += 1
             number = node.number
-        item = Item(name or node.name, node.start if start is None else start, number, now - node.began, body)
+        item = Item(
+            name or node.name,
+            node.start if start is None else start,
+            number,
+            now - node.began,
+            body,
+        )
         return codec.sealed_item(item, node.identity)
 
     def _frame(self, now, to, body, items, name=None, start=None):
         node = self.node
         node.number += 1
-        frame = Frame(name or node.name, to, node.start if start is None else start, node.number, now - node.began,
-                      body, items)
+        frame = Frame(
+            name or node.name,
+            to,
+            node.start if start is None else start,
+            node.number,
+            now - node.began,
+            body,
+            items,
+        )
         return codec.sealed_frame(frame, node.identity)
 
     def lies(self, now):
@@ -41,10 +54,20 @@
         peers = [one for one in self.node.members.live if one.address]
         items = []
         for victim in peers:
-            items.append(self._item(now, Accuse(victim.name, victim.start, victim.incarnation + self.round % 3)))
-            items.append(self._item(now, Left(), victim.name, victim.start))  # another's name, its own key
-            items.append(self._item(now, Alive(*victim.address, 1 << 40), victim.name, victim.start))
-        stale = [self._item(now, Claim(*pod, 50, 50)) for pod in self.pods]  # old news, ever signed anew
+            items.append(
+                self._item(
+                    now, Accuse(victim.name, victim.start, victim.incarnation + self.round % 3)
+                )
+            )
+            items.append(
+                self._item(now, Left(), victim.name, victim.start)
+            )  # another's name, its own key
+            items.append(
+                self._item(now, Alive(*victim.address, 1 << 40), victim.name, victim.start)
+            )
+        stale = [
+            self._item(now, Claim(*pod, 50, 50)) for pod in self.pods
+        ]  # old news, ever signed anew
         numbers = []
         for _ in self.pods:
             self.node.number += 1
@@ -52,14 +75,34 @@
         for at, peer in enumerate(peers):
             ill = at % 2 == self.round % 2
             # Two tongues: the same number says one thing here and another there.
-            tongues = [self._item(now, Claim(*pod, 40, 40 if ill else 0), number=number)
-                       for pod, number in zip(self.pods, numbers)] if self.round % 4 == 0 else []
-            everything = items + stale + tongues + [self._item(now, Claim(f"pod-{self.round}", "", 1, 0, 9, 9))]
+            tongues = (
+                [
+                    self._item(now, Claim(*pod, 40, 40 if ill else 0), number=number)
+                    for pod, number in zip(self.pods, numbers)
+                ]
+                if self.round % 4 == 0
+                else []
+            )
+            everything = (
+                items
+                + stale
+                + tongues
+                + [self._item(now, Claim(f"pod-{self.round}", "", 1, 0, 9, 9))]
+            )
             for begin in range(0, len(everything), 6):
-                self.node.out.append((peer.address, self._frame(now, peer.name, Push(), everything[begin:begin + 6])))
-            false = [(one.name, "10.255.255.1" if one.address[0].startswith("10.") else "127.0.0.1", 9)
-                     for one in peers][:20]
-            self.node.out.append((peer.address, self._frame(now, peer.name, Hints(False, false), [])))
+                self.node.out.append(
+                    (
+                        peer.address,
+                        self._frame(now, peer.name, Push(), everything[begin : begin + 6]),
+                    )
+                )
+            false = [
+                (one.name, "10.255.255.1" if one.address[0].startswith("10.") else "127.0.0.1", 9)
+                for one in peers
+            ][:20]
+            self.node.out.append(
+                (peer.address, self._frame(now, peer.name, Hints(False, false), []))
+            )
             if not self.spoil:
                 continue
             other = peers[(at + 1) % len(peers)]
@@ -69,7 +112,7 @@
             self.node.out.append((peer.address, mine[:-1] + bytes((mine[-1] ^ 1,))))
             self.node.out.append((peer.address, bytes(range(200)) * 3))
             self.node.out.append((peer.address, mine[:30] + bytes(range(100))))
-            for content in self.heard[self.round % 7::7][:4]:
+            for content in self.heard[self.round % 7 :: 7][:4]:
                 self.node.out.append((peer.address, content))
 
 
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -23,10 +23,13 @@
     could offer: where it falls short of its own rate by 3%, it is the one that is saturated."""
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
+
     pods = [PodPeer(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
     held, rate, why = 0, start, "none failed"
-    with Program(*(pod.entry(f"s-{at}") for at, pod in enumerate(pods))) as program, \
-            ProcessPoolExecutor(2, get_context("spawn")) as pool:
+    with (
+        Program(*(pod.entry(f"s-{at}") for at, pod in enumerate(pods))) as program,
+        ProcessPoolExecutor(2, get_context("spawn")) as pool,
+    ):
         while rate < 4000:
             results = pool.submit(drive, program.port, rate, 2, seed, "read", 32).result()
             last = max(at + took for at, took, _, _ in results)
@@ -48,9 +51,13 @@
     at 85% load one run of this length wanders by some percent, as busy spells last thousands of arrivals."""
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
+
     errors = []
     with ProcessPoolExecutor(runs, get_context("spawn")) as pool:
-        waiting = {load: [pool.submit(queue, 4, load, count, seed * 1000 + at) for at in range(runs)] for load in loads}
+        waiting = {
+            load: [pool.submit(queue, 4, load, count, seed * 1000 + at) for at in range(runs)]
+            for load in loads
+        }
         for some in waiting.values():
             found = np.mean([one.result() for one in some], axis=0)
             errors += [abs(found[0] / found[2] - 1), abs(found[1] / found[3] - 1)]
@@ -66,7 +73,9 @@
     gaps, keys = gamma(chance, 1.0, 1.0), zipf_keys(chance, 20_000, 0.9)
     figures["arrivals_p"] = round(numbers.arrivals_p([gaps.next() for _ in range(50_000)]), 4)
     figures["zipf_p"] = round(numbers.zipf_p([keys.next() for _ in range(50_000)], 20_000, 0.9), 4)
-    figures["rules_found"] = sum(rule in broken_by(breaker, seed) for rule, breaker in BREAKERS.items())
+    figures["rules_found"] = sum(
+        rule in broken_by(breaker, seed) for rule, breaker in BREAKERS.items()
+    )
     figures["rules_false"] = len(broken_by(balancer, seed))
     day = days.drawn(seed, instances=400, pods=80, rate=400.0, seconds=60)
     begin = time.monotonic()
--- a/measure/load.py
+++ b/measure/load.py
@@ -7,7 +7,9 @@
 
 
 def command(*words):
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+    return b"*%d\r\n" % len(words) + b"".join(
+        b"$%d\r\n%s\r\n" % (len(word), word) for word in words
+    )
 
 
 class Line:
@@ -23,7 +25,7 @@
         self.source = self.connection.makefile("rb")
 
     def ask(self, *words):
-        """"done", "deferred" or "abandoned"; "lost" where there is no answer. Between transactions a sidecar may close
+        """ "done", "deferred" or "abandoned"; "lost" where there is no answer. Between transactions a sidecar may close
         a connection: then it is sent once more on a new one, as the protocol has it."""
         line = b""
         for _ in range(2):
@@ -38,7 +40,13 @@
             if line:
                 break
             self._connect()
-        return "lost" if not line.endswith(b"\r\n") else "deferred" if line.startswith(b"-BUSY") else "abandoned"
+        return (
+            "lost"
+            if not line.endswith(b"\r\n")
+            else "deferred"
+            if line.startswith(b"-BUSY")
+            else "abandoned"
+        )
 
 
 def drive(port, rate, seconds, seed, lane="read", lines=16, left=2000):
@@ -62,9 +70,15 @@
                 at, name, key = due.pop()
             time.sleep(max(0.0, begin + at - time.monotonic()))
             sent = time.monotonic()
-            words = (word, key.encode(), name.encode(), f"c={lane},t=t{int(key[0], 16) % 4},d={left}".encode())
+            words = (
+                word,
+                key.encode(),
+                name.encode(),
+                f"c={lane},t=t{int(key[0], 16) % 4},d={left}".encode(),
+            )
             how = line.ask(*(words if lane == "read" else (*words, b"BODY")))
             results.append((at, time.monotonic() - sent, how, name))
+
     threads = [threading.Thread(target=work, daemon=True) for _ in range(lines)]
     for thread in threads:
         thread.start()
--- a/measure/shop.py
+++ b/measure/shop.py
@@ -11,13 +11,37 @@
 from thymeknot.gossip.hearsay import Pod
 
 SECOND = 10_000
-LANES = {"read": i.Lane("read", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, SECOND // 2, 2 * SECOND, 1.0, 0.0)}
+LANES = {
+    "read": i.Lane("read", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, SECOND // 2, 2 * SECOND, 1.0, 0.0)
+}
 SHOP = i.Terms(
-    lanes=LANES, balancers=1, subscribes=False, max_deliveries=3, max_retry_after=SECOND, second_copies=False,
-    may_recall=False, retry_after=True, reports=(), ask_within=10 * SECOND, cold_from=0.25, cold=4 * SECOND,
-    fall_multiple=2.0, overload_for=SECOND, exposure_window=2 * SECOND, allowance=2.0, guarded_stages=1,
-    waves=(0.1, 0.5, 1.0), by_lane=False, keys_stay=True, replaces=False, decided_by=i.BY_COUNT, votes_to_revert=1,
-    vote_life=4 * SECOND, vote_wait=SECOND, votes_per_s=100.0)
+    lanes=LANES,
+    balancers=1,
+    subscribes=False,
+    max_deliveries=3,
+    max_retry_after=SECOND,
+    second_copies=False,
+    may_recall=False,
+    retry_after=True,
+    reports=(),
+    ask_within=10 * SECOND,
+    cold_from=0.25,
+    cold=4 * SECOND,
+    fall_multiple=2.0,
+    overload_for=SECOND,
+    exposure_window=2 * SECOND,
+    allowance=2.0,
+    guarded_stages=1,
+    waves=(0.1, 0.5, 1.0),
+    by_lane=False,
+    keys_stay=True,
+    replaces=False,
+    decided_by=i.BY_COUNT,
+    votes_to_revert=1,
+    vote_life=4 * SECOND,
+    vote_wait=SECOND,
+    votes_per_s=100.0,
+)
 
 
 class Shop:
@@ -35,14 +59,26 @@
         if gossip:
             self.world.begin()
             self.world.acquaint()
-        self.liars = {name: Liar(self.world.instances[name].node, [one for one in self.said if one.pod not in ill],
-                                 spoil=False) for name in liars if gossip}
+        self.liars = {
+            name: Liar(
+                self.world.instances[name].node,
+                [one for one in self.said if one.pod not in ill],
+                spoil=False,
+            )
+            for name in liars
+            if gossip
+        }
         for name in rates:
-            balancer = Balancer(SHOP._replace(balancers=len(rates)), self.chance.getrandbits(60), self.world.now)
+            balancer = Balancer(
+                SHOP._replace(balancers=len(rates)), self.chance.getrandbits(60), self.world.now
+            )
             self.balancers[name] = balancer
             self.counts[name] = {"deliveries": 0, "failed": 0, "ill": 0, "done": 0, "taken": 0}
             news = i.News(1, 2, i.RELEASED, False, i.DONE, 1.0, 0)
-            self._act(name, balancer.handle(self.world.now, [i.PodList(i.REMEMBERED, tuple(self.pods)), news]))
+            self._act(
+                name,
+                balancer.handle(self.world.now, [i.PodList(i.REMEMBERED, tuple(self.pods)), news]),
+            )
             if gossip:
                 self.world.instances[name].node.belief.listed(self.said)
             self._next(name)
@@ -55,14 +91,28 @@
         self.world.at(self.world.now + SECOND, self._lie)
 
     def _next(self, name):
-        self.world.at(self.world.now + max(1, int(self.chance.expovariate(self.rates[name]) * SECOND)),
-                      self._arrive, name)
+        self.world.at(
+            self.world.now + max(1, int(self.chance.expovariate(self.rates[name]) * SECOND)),
+            self._arrive,
+            name,
+        )
 
     def _arrive(self, name):
         self.numbers += 1
         self.counts[name]["taken"] += 1
-        self._tell(name, i.Taken(f"{self.numbers:x}", "read", None, f"{self.chance.getrandbits(40):x}", 2 * SECOND,
-                                 None, False, False))
+        self._tell(
+            name,
+            i.Taken(
+                f"{self.numbers:x}",
+                "read",
+                None,
+                f"{self.chance.getrandbits(40):x}",
+                2 * SECOND,
+                None,
+                False,
+                False,
+            ),
+        )
         self._next(name)
 
     def _tell(self, name, event):
@@ -71,7 +121,9 @@
         events = []
         if node is not None and node.doubts:
             doubts, node.doubts = node.doubts, []
-            events = [i.Doubted(one.pod.pod, one.pod.build, one.pod.started, one.until) for one in doubts]
+            events = [
+                i.Doubted(one.pod.pod, one.pod.build, one.pod.started, one.until) for one in doubts
+            ]
         self._act(name, self.balancers[name].handle(now, [*events, event]))
 
     def _act(self, name, actions):
@@ -80,7 +132,14 @@
                 self.world.at(action.at, self._tell, name, i.TimerDue(action.token))
             elif type(action) is i.Deliver:
                 latency = int(self.chance.gammavariate(4, 50))
-                self.world.at(self.world.now + latency, self._ended, name, action, latency, self._number(name, action))
+                self.world.at(
+                    self.world.now + latency,
+                    self._ended,
+                    name,
+                    action,
+                    latency,
+                    self._number(name, action),
+                )
 
     def _number(self, name, action):
         return len(self.balancers[name].open[action.id].sent) - 1
@@ -95,8 +154,18 @@
         node = self.world.instances[name].node
         if node is not None:
             node.belief.ended(self.world.instances[name].clock(), action.pod, failed)
-        self._tell(name, i.Ended(action.id, i.ERROR if failed else i.DONE, not failed, latency, action.pod, number,
-                                 None))
+        self._tell(
+            name,
+            i.Ended(
+                action.id,
+                i.ERROR if failed else i.DONE,
+                not failed,
+                latency,
+                action.pod,
+                number,
+                None,
+            ),
+        )
 
     def share_failed(self, names):
         deliveries = sum(self.counts[name]["deliveries"] for name in names)
--- a/measure/why.py
+++ b/measure/why.py
@@ -45,7 +45,9 @@
         record.say(name, R.POSITION, 0.3, 0.2, 0.5)
         for number in range(sent):
             record.say(name, R.SENT, f"s-{self.chance.randrange(12)}", 1, False, 9000, 1.0)
-            record.say(name, R.ENDED, "s-1", number, "done" if end == R.DONE else "error", 200, False)
+            record.say(
+                name, R.ENDED, "s-1", number, "done" if end == R.DONE else "error", 200, False
+            )
         if end == R.DONE:
             record.ended(name, end)
         else:
@@ -60,18 +62,31 @@
     for second in range(20):
         for at in range(10_000):
             rig.now += 1
-            rig.one(f"c{second}-{at}", tenant="loud", key=f"k{second}-{at}",
-                    end=R.DEFERRED if at % 2 else R.DONE)
+            rig.one(
+                f"c{second}-{at}",
+                tenant="loud",
+                key=f"k{second}-{at}",
+                end=R.DEFERRED if at % 2 else R.DONE,
+            )
             if at % 5000 == 77:
                 name = f"pay{second}-{at}"
-                rig.one(name, "pay", tenant=f"t{second % 3}", end=(R.ABANDONED, R.DONE, R.DEFERRED)[second % 3])
+                rig.one(
+                    name,
+                    "pay",
+                    tenant=f"t{second % 3}",
+                    end=(R.ABANDONED, R.DONE, R.DEFERRED)[second % 3],
+                )
                 costly.append(name)
     rig.record.flush(rig.now + SECOND)
     kept = {one["region"]: one for one in rig.record.kept()["regions"]}
     slots = min(kept["pay, unusual"]["slots"], kept["pay, as usual"]["slots"])
     within = costly[-slots:]  # the guarantee: as many as the region's slots, whatever else comes
-    return {"costly_kept": sum(any(rig.record.by_name(name)) for name in within), "costly_within": len(within),
-            "flooded": 200_000, "stays_s": kept["pay, unusual"]["stays_s"]}
+    return {
+        "costly_kept": sum(any(rig.record.by_name(name)) for name in within),
+        "costly_within": len(within),
+        "flooded": 200_000,
+        "stays_s": kept["pay, unusual"]["stays_s"],
+    }
 
 
 def resident_mb():
@@ -88,8 +103,13 @@
         for at in range(40):
             rig.now += SECOND // 40
             tenant = f"t{rig.chance.randrange(1_000_000)}"
-            rig.one(f"{second}-{at}", "pay" if at == 3 else "read", tenant,
-                    end=R.DEFERRED if at % 7 == 0 else R.DONE, sent=1 + (at % 9 == 0))
+            rig.one(
+                f"{second}-{at}",
+                "pay" if at == 3 else "read",
+                tenant,
+                end=R.DEFERRED if at % 7 == 0 else R.DONE,
+                sent=1 + (at % 9 == 0),
+            )
         if (second + 1) % (seconds // 4) == 0:
             memory.append(resident_mb())
     record = rig.record
@@ -115,8 +135,15 @@
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "n1.why")
         for at in range(count):
-            with subprocess.Popen([sys.executable, "-c", "import sys; from measure.why import write_for_ever; "
-                                   f"write_for_ever({path!r}, {seed + at})"], stdout=subprocess.PIPE) as process:
+            with subprocess.Popen(
+                [
+                    sys.executable,
+                    "-c",
+                    "import sys; from measure.why import write_for_ever; "
+                    f"write_for_ever({path!r}, {seed + at})",
+                ],
+                stdout=subprocess.PIPE,
+            ) as process:
                 process.stdout.readline()
                 time.sleep(chance.random() * 0.03)
                 process.send_signal(signal.SIGKILL)
@@ -162,6 +189,7 @@
 def ask_for_ever(port, seconds):
     """Asks as much as it can for a while; every other answer is not read."""
     import socket
+
     end, asked = time.monotonic() + seconds, 0
     unread = socket.create_connection(("127.0.0.1", port))
     unread.sendall(b'{"ask":"find"}\n' * 50)
@@ -182,35 +210,52 @@
     cpu, count, asked, calm, lines = {True: 0.0, False: 0.0}, {True: 0, False: 0}, [], [], 0
     try:
         programs[False] = Program(*entries)
-        programs[True] = Program(*entries, operator=lambda folder: f'why: {{listen: "127.0.0.1:{port}"}}')
+        programs[True] = Program(
+            *entries, operator=lambda folder: f'why: {{listen: "127.0.0.1:{port}"}}'
+        )
         for program in programs.values():
             program.__enter__()
         with ProcessPoolExecutor(3, get_context("spawn")) as pool:
             for at in range(2 if short else 8):
                 for on in (True, False) if at % 2 else (False, True):
                     before = cpu_of(programs[on].process)
-                    results = pool.submit(drive, programs[on].port, 400, 1 if short else 3, seed + at).result()
+                    results = pool.submit(
+                        drive, programs[on].port, 400, 1 if short else 3, seed + at
+                    ).result()
                     cpu[on] += cpu_of(programs[on].process) - before
                     count[on] += len(results)
             for at in range(2 if short else 6):
                 for ask in (True, False) if at % 2 else (False, True):
                     other = pool.submit(ask_for_ever, port, 2) if ask else None
-                    took = [one[1] for one in pool.submit(drive, programs[True].port, 200, 1.8, seed + at).result()]
+                    took = [
+                        one[1]
+                        for one in pool.submit(
+                            drive, programs[True].port, 200, 1.8, seed + at
+                        ).result()
+                    ]
                     (asked if ask else calm).extend(took)
                     lines += other.result() if other else 0
         found = {}
-        until(lambda: found, lambda: found.update(
-            next(iter(lines_of(f"127.0.0.1:{port}", None, {"ask": "kept"})))))
+        until(
+            lambda: found,
+            lambda: found.update(next(iter(lines_of(f"127.0.0.1:{port}", None, {"ask": "kept"})))),
+        )
     finally:
         for program in programs.values():
             program.__exit__()
         for part in (*pods, kept):
             part.close()
     each = {on: 1000 * cpu[on] / max(1, count[on]) for on in (True, False)}
-    return {"cpu_ms": {"on": round(each[True], 4), "off": round(each[False], 4)},
-            "cpu_ratio_on": round(each[True] / each[False], 3), "p99_ms": {
-                "asked": round(1000 * quantile(asked, 0.99), 2), "calm": round(1000 * quantile(calm, 0.99), 2)},
-            "query_p99_effect": round(quantile(asked, 0.99) / quantile(calm, 0.99), 3), "lines_answered": lines}
+    return {
+        "cpu_ms": {"on": round(each[True], 4), "off": round(each[False], 4)},
+        "cpu_ratio_on": round(each[True] / each[False], 3),
+        "p99_ms": {
+            "asked": round(1000 * quantile(asked, 0.99), 2),
+            "calm": round(1000 * quantile(calm, 0.99), 2),
+        },
+        "query_p99_effect": round(quantile(asked, 0.99) / quantile(calm, 0.99), 3),
+        "lines_answered": lines,
+    }
 
 
 def main(arguments):
@@ -224,7 +269,9 @@
         right, total, met, wrong = mix(10 if short else 100)
         for one in wrong[:5]:
             print("wrong:", one)
-        figures.update(explained_right=right, transactions=total, reasons_covered=len(met), reasons=len(R))
+        figures.update(
+            explained_right=right, transactions=total, reasons_covered=len(met), reasons=len(R)
+        )
         with ProcessPoolExecutor(2, get_context("spawn")) as pool:
             simulated = pool.submit(hours, (chosen.seed, 400 if short else 4 * 3600))
             flooded = pool.submit(flood, chosen.seed)
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -12,7 +12,7 @@
 
 NOW = 1000 * SECOND
 WHY = WhyTerms(8, None, "", 0.4, 0.2, 15 * 60 * SECOND, 200)
-LOW, HIGH = "k-9", "a"          # placed by the ramp that the case sets: 0 is above no key, 1 below none
+LOW, HIGH = "k-9", "a"  # placed by the ramp that the case sets: 0 is above no key, 1 below none
 
 
 class Case:
@@ -33,7 +33,9 @@
     def end(self, name, outcome=i.ERROR, address="old-1", number=0, latency=100):
         if outcome == i.DONE:
             self.record.ended(name, R.DONE)
-        return self.balancer.handle(self.now, [ended(name, outcome, address, number, outcome == i.DONE, latency)])
+        return self.balancer.handle(
+            self.now, [ended(name, outcome, address, number, outcome == i.DONE, latency)]
+        )
 
     def expect(self, name, end, *reasons):
         self.expected[name] = end, {*reasons, *((end,) if end else ())}
@@ -45,9 +47,19 @@
         wrong = []
         for name, (end, reasons) in self.expected.items():
             found = list(self.record.by_name(name))
-            if not found or found[-1].end != (end or 0) or {note[0] for note in found[-1].notes} != set(reasons):
-                wrong.append((name, end, sorted(R(one).name for one in reasons),
-                              sorted(R(note[0]).name for one in found for note in one.notes)))
+            if (
+                not found
+                or found[-1].end != (end or 0)
+                or {note[0] for note in found[-1].notes} != set(reasons)
+            ):
+                wrong.append(
+                    (
+                        name,
+                        end,
+                        sorted(R(one).name for one in reasons),
+                        sorted(R(note[0]).name for one in found for note in one.notes),
+                    )
+                )
         return len(self.expected) - len(wrong), len(self.expected), wrong
 
 
@@ -62,7 +74,7 @@
 
 
 def by_position(case, name):
-    case.balancer.ramp, case.balancer.ramped = 1.0, NOW + 10 ** 9
+    case.balancer.ramp, case.balancer.ramped = 1.0, NOW + 10**9
     usual(case, name, key=LOW)
 
 
@@ -155,7 +167,9 @@
 
 def by_lot(case, name):
     actions = case.take(name)
-    if any(isinstance(action, i.Deliver) for action in actions):  # one in ten is let in all the same
+    if any(
+        isinstance(action, i.Deliver) for action in actions
+    ):  # one in ten is let in all the same
         case.end(name, i.DONE, sent_to(actions))
         case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION)
     else:
@@ -222,19 +236,47 @@
 # What makes the state, what is done to each transaction; "each": every transaction has a state of its own.
 CASES = {
     "as usual": (lambda **more: Case(*OLD, **more), usual, True),
-    "position": (lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more), by_position, True),
-    "stays": (lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more), staying, True),
-    "astray": (lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more), astray, True),
-    "guarded": (lambda **more: Case(*TRIAL, told=news(0, cap=1.0), allowance=1000.0, **more), guarded, True),
-    "exposed": (lambda **more: Case(*TRIAL, told=news(2, cap=0.01), allowance=0.0, **more), exposed, True),
+    "position": (
+        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more),
+        by_position,
+        True,
+    ),
+    "stays": (
+        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more),
+        staying,
+        True,
+    ),
+    "astray": (
+        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more),
+        astray,
+        True,
+    ),
+    "guarded": (
+        lambda **more: Case(*TRIAL, told=news(0, cap=1.0), allowance=1000.0, **more),
+        guarded,
+        True,
+    ),
+    "exposed": (
+        lambda **more: Case(*TRIAL, told=news(2, cap=0.01), allowance=0.0, **more),
+        exposed,
+        True,
+    ),
     "closed": (lambda **more: Case(*TRIAL, told=news(2, cap=0.0), **more), closed, True),
     "unreachable": (lambda **more: Case(*OLD, **more), unreachable, True),
     "doubted": (lambda **more: Case(*OLD, **more), doubted, True),
     "again": (lambda **more: Case(*OLD, **more), again, True),
-    "cold": (lambda **more: Case(pod("c-1", started=NOW - 1), pod("c-2", started=NOW - 1), balancers=10 ** 6, **more),
-             cold, True),
-    "outside": (lambda **more: Case(pod("z-1", zone="a"), pod("z-2", zone="b")._replace(size=1e-6), **more), outside,
-                True),
+    "cold": (
+        lambda **more: Case(
+            pod("c-1", started=NOW - 1), pod("c-2", started=NOW - 1), balancers=10**6, **more
+        ),
+        cold,
+        True,
+    ),
+    "outside": (
+        lambda **more: Case(pod("z-1", zone="a"), pod("z-2", zone="b")._replace(size=1e-6), **more),
+        outside,
+        True,
+    ),
     "no pod": (lambda **more: Case(pod("old-1", condition=i.DRAINING), **more), no_pod, True),
     "no news": (lambda **more: Case(bare=True, **more), no_news, True),
     "most": (lambda **more: Case(*OLD, max_deliveries=1, **more), most, True),
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -19,7 +19,9 @@
 from thymeknot.why.terms import WhyTerms
 
 SECOND = 10_000
-TERMS = SHOP._replace(lanes={name: LANES[name] for name in ("read", "pay")}, balancers=3, guarded_stages=0)
+TERMS = SHOP._replace(
+    lanes={name: LANES[name] for name in ("read", "pay")}, balancers=3, guarded_stages=0
+)
 WHY = WhyTerms(8, None, "", 0.4, 0.3, 60 * SECOND, 200)
 
 
@@ -29,7 +31,9 @@
     def __init__(self, seed, rate, pods, ill, news, pace=150):
         self.world, self.chance = World([], seed), random.Random(seed)
         self.rate, self.ill, self.pace = rate, ill, pace
-        self.record = Record(WHY, TERMS.lanes, Arena(10_000), 0, lambda: self.world.now, Chance(seed))
+        self.record = Record(
+            WHY, TERMS.lanes, Arena(10_000), 0, lambda: self.world.now, Chance(seed)
+        )
         self.balancer = Balancer(TERMS, seed, self.world.now, self.record.say)
         self.tell(i.PodList(i.REMEMBERED, tuple(pods)))
         self.tell(news)
@@ -51,10 +55,15 @@
     phase, swarm = i.ON_TRIAL, (0, 0, 0.0)
 
     def arrive(self):
-        name, lane = f"{self.chance.getrandbits(48):012x}", "pay" if self.chance.random() < 0.2 else "read"
+        name, lane = (
+            f"{self.chance.getrandbits(48):012x}",
+            "pay" if self.chance.random() < 0.2 else "read",
+        )
         self.record.taken(name, name, "t", lane, False)
         self.tell(i.Taken(name, lane, "t", name, 3 * SECOND, None, False, False))
-        self.world.at(self.world.now + max(1, int(self.chance.expovariate(self.rate) * SECOND)), self.arrive)
+        self.world.at(
+            self.world.now + max(1, int(self.chance.expovariate(self.rate) * SECOND)), self.arrive
+        )
 
     def ended(self, action, number, took):
         first, last, share = self.swarm
@@ -62,43 +71,68 @@
         failed = self.chance.random() < (share if hit else self.ill.get(action.pod, 0.001))
         if not failed:
             self.record.ended(action.id, R.DONE)
-        self.tell(i.Ended(action.id, i.ERROR if failed else i.DONE, not failed, took, action.pod, number, None))
+        self.tell(
+            i.Ended(
+                action.id, i.ERROR if failed else i.DONE, not failed, took, action.pod, number, None
+            )
+        )
         if not failed:
             self.record.over(action.id)
 
 
 def pods(prefix, count, build, started=0):
-    return [i.Pod(f"{prefix}-{at}", "a", 1.0, 0, i.READY, started, "m", build) for at in range(count)]
+    return [
+        i.Pod(f"{prefix}-{at}", "a", 1.0, 0, i.READY, started, "m", build) for at in range(count)
+    ]
 
 
 def went_back(seed):
     """A good build whose machines are behind something that fails for half a second: the votes that a sidecar cast, and
     what the record holds of the build's failures."""
-    sidecar = Sidecar(seed, 40, pods("old", 12, 1) + pods("new", 8, 2), {},
-                      i.News(2, 2, i.ON_TRIAL, False, i.DONE, 0.5, 0))
+    sidecar = Sidecar(
+        seed,
+        40,
+        pods("old", 12, 1) + pods("new", 8, 2),
+        {},
+        i.News(2, 2, i.ON_TRIAL, False, i.DONE, 0.5, 0),
+    )
     sidecar.swarm = sidecar.world.now + 6 * SECOND, sidecar.world.now + 13 * SECOND // 2, 0.6
     sidecar.world.run(12 * SECOND)
     record = sidecar.record
     record.flush(sidecar.world.now, 0)
     votes = [one for one in record.find(reason=int(R.VOTED)) if one]
     failures = collections.Counter(
-        note[2] for entry in record.find(reason=int(R.ENDED)) if entry
-        for note in entry.notes if note[0] == R.ENDED and note[4] == "error")
+        note[2]
+        for entry in record.find(reason=int(R.ENDED))
+        if entry
+        for note in entry.notes
+        if note[0] == R.ENDED and note[4] == "error"
+    )
     return list(reversed(votes)), failures
 
 
 def after_restart(seed):
     """All pods cold just after a release, at a sidecar that has just restarted: why transactions were deferred."""
     now = 1000 * SECOND
-    sidecar = Sidecar(seed, 60, pods("new", 4, 2, now - SECOND), {},
-                      i.News(2, 2, i.RELEASED, False, i.DONE, 1.0, 0), 400)
+    sidecar = Sidecar(
+        seed,
+        60,
+        pods("new", 4, 2, now - SECOND),
+        {},
+        i.News(2, 2, i.RELEASED, False, i.DONE, 1.0, 0),
+        400,
+    )
     sidecar.phase = i.RELEASED
     sidecar.world.run(6 * SECOND)
     record = sidecar.record
     record.flush(sidecar.world.now, 0)
     deferred = [one for one in record.find(reason=int(R.DEFERRED)) if one]
-    why = collections.Counter(R(note[0]).name for entry in deferred for note in entry.notes
-                              if note[0] not in (R.POSITION, R.DEFERRED, R.SENT, R.ENDED))
+    why = collections.Counter(
+        R(note[0]).name
+        for entry in deferred
+        for note in entry.notes
+        if note[0] not in (R.POSITION, R.DEFERRED, R.SENT, R.ENDED)
+    )
     return deferred, why, record.tally()
 
 
--- a/measure/world.py
+++ b/measure/world.py
@@ -12,8 +12,23 @@
 
 SECOND = 10_000
 HEARSAY = HearsayTerms(3, 1, 3, 0.35, 0.25, 20 * SECOND, 4 * SECOND, True)
-TERMS = GossipTerms("", "", None, "", (), ("10.0.0.0/8",), (), (), SECOND, 3 * SECOND // 10, 3, 5,
-                    Ceiling(32_000, 60), Verifications(600, 120, 20), HEARSAY)
+TERMS = GossipTerms(
+    "",
+    "",
+    None,
+    "",
+    (),
+    ("10.0.0.0/8",),
+    (),
+    (),
+    SECOND,
+    3 * SECOND // 10,
+    3,
+    5,
+    Ceiling(32_000, 60),
+    Verifications(600, 120, 20),
+    HEARSAY,
+)
 
 
 class PlainIdentity:
@@ -48,14 +63,31 @@
     """A node at an address, with a clock that may be ahead or stand still."""
 
     def __init__(self, world, name, address, ahead=0, terms=TERMS):
-        self.world, self.name, self.address, self.ahead, self.terms = world, name, address, ahead, terms
+        self.world, self.name, self.address, self.ahead, self.terms = (
+            world,
+            name,
+            address,
+            ahead,
+            terms,
+        )
         self.node, self.stalled_till, self.waiting, self.turn = None, 0, [], 0
 
     def begin(self, seeds):
         world, self.turn = self.world, self.turn + 1
         start = int(world.chance.draw() * (1 << 50))
-        self.node = Node(self.terms, world.identity(self.name), world.ring, world.sources, self.address, seeds,
-                         self.clock(), Chance(start), start, world.nonce, lambda: world.unix)
+        self.node = Node(
+            self.terms,
+            world.identity(self.name),
+            world.ring,
+            world.sources,
+            self.address,
+            seeds,
+            self.clock(),
+            Chance(start),
+            start,
+            world.nonce,
+            lambda: world.unix,
+        )
         world.at(world.now + int(world.chance.draw() * TICK), self._tick, self.turn)
 
     def clock(self):
@@ -98,7 +130,12 @@
     """Time in tenths of a millisecond. loss, copies: shares of the datagrams; delay: (least, most)."""
 
     def __init__(self, names, seed, loss=0.0, copies=0.0, delay=(2, 30), groups=None):
-        self.now, self.unix, self.chance, self.number = 1000 * SECOND, 1_800_000_000, Chance(seed), 0
+        self.now, self.unix, self.chance, self.number = (
+            1000 * SECOND,
+            1_800_000_000,
+            Chance(seed),
+            0,
+        )
         self.loss, self.copies, self.delay, self.queue = loss, copies, delay, []
         self.ring, self.sources = PlainRing(names, groups), Sources(TERMS.from_)
         self.instances, self.by_address, self.side, self.sent, self.taps = {}, {}, {}, 0, []
@@ -111,7 +148,8 @@
 
     def nonce(self):
         return int(self.chance.draw() * (1 << 31)).to_bytes(4, "big") + int(
-            self.chance.draw() * (1 << 31)).to_bytes(4, "big")
+            self.chance.draw() * (1 << 31)
+        ).to_bytes(4, "big")
 
     def at(self, moment, call, *arguments):
         self.number += 1
@@ -126,8 +164,13 @@
         for _ in range(1 + (self.chance.draw() < self.copies)):
             if self.chance.draw() >= self.loss:
                 least, most = self.delay
-                self.at(self.now + least + int(self.chance.draw() * (most - least)), self._arrive, source, address,
-                        content)
+                self.at(
+                    self.now + least + int(self.chance.draw() * (most - least)),
+                    self._arrive,
+                    source,
+                    address,
+                    content,
+                )
 
     def _arrive(self, source, address, content):
         instance = self.by_address.get(address)
--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -2,6 +2,11 @@
 
 from hypothesis import HealthCheck, settings
 
-settings.register_profile("suite", deadline=None, derandomize=True, database=None,
-                          suppress_health_check=[HealthCheck.too_slow])
+settings.register_profile(
+    "suite",
+    deadline=None,
+    derandomize=True,
+    database=None,
+    suppress_health_check=[HealthCheck.too_slow],
+)
 settings.load_profile("suite")
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -63,7 +63,9 @@
 
 def identity(name):
     """An identity whose private key follows from its name."""
-    return Identity(name, Ed25519PrivateKey.from_private_bytes(hashlib.sha256(name.encode()).digest()))
+    return Identity(
+        name, Ed25519PrivateKey.from_private_bytes(hashlib.sha256(name.encode()).digest())
+    )
 
 
 def as_json(value):
@@ -77,8 +79,12 @@
 def lanes():
     """Two request classes, one that may be repeated and one that may not."""
     return {
-        "read": interface.Lane("read", interface.RETRIABLE, interface.GROUP_ALL, 0, 2000, 6000, 1.0, 0.0),
-        "pay": interface.Lane("pay", interface.BINDING, interface.GROUP_ALL, 0, 4000, 12000, 6.0, 0.2),
+        "read": interface.Lane(
+            "read", interface.RETRIABLE, interface.GROUP_ALL, 0, 2000, 6000, 1.0, 0.0
+        ),
+        "pay": interface.Lane(
+            "pay", interface.BINDING, interface.GROUP_ALL, 0, 4000, 12000, 6.0, 0.2
+        ),
     }
 
 
@@ -97,7 +103,9 @@
         record.taken(name, f"key{number}", "acme" if number % 2 else None, lane, number % 5 == 0)
         record.say(name, Reason.POSITION, 0.25, 0.5, 0.3)
         record.say(name, Reason.SENT, f"s-{number % 4}", 41, True, 1500, 0.75)
-        record.say(name, Reason.ENDED, f"s-{number % 4}", 0, "done" if number % 4 else "reset", 120, False)
+        record.say(
+            name, Reason.ENDED, f"s-{number % 4}", 0, "done" if number % 4 else "reset", 120, False
+        )
         if number % 4:
             record.ended(name, Reason.DONE)
         else:
@@ -106,7 +114,10 @@
     record.say(None, Reason.VOTED, 41, 2, 3, 1.25, 250)
     record.flush(10_000_000)
     notes = [[int(reason), 10, "s-1", 2, 3.5, True, None] for reason in Reason]
-    arena.write(RECORD_SLOTS - 1, packed(Entry(5, "e" * 40, "k", "t", "pay", True, int(Reason.LEFT), 9, notes), 999))
+    arena.write(
+        RECORD_SLOTS - 1,
+        packed(Entry(5, "e" * 40, "k", "t", "pay", True, int(Reason.LEFT), 9, notes), 999),
+    )
     arena.memory.flush()
     arena.close()
     with open(path, "rb") as source:
@@ -116,7 +127,9 @@
 def record_layout():
     """Where each region of the record lies."""
     regions = laid_out(record_settings(), lanes(), RECORD_SLOTS)
-    return [[list(name) if isinstance(name, tuple) else name, *where] for name, where in regions.items()]
+    return [
+        [list(name) if isinstance(name, tuple) else name, *where] for name, where in regions.items()
+    ]
 
 
 # The replicated log on disk, and its messages.
@@ -130,17 +143,29 @@
     """What a node persists in turn: votes, entries, a truncation, a snapshot and entries after it."""
     members = agreement.Members({"a": 0, "b": 0, "c": 7}, {"d": 9})
     return [
-        [agreement.Voted(1, "a"), log_entry(1, 1, part="turns", do="tick"), log_entry(2, 1, part="gangs", do="tick")],
+        [
+            agreement.Voted(1, "a"),
+            log_entry(1, 1, part="turns", do="tick"),
+            log_entry(2, 1, part="gangs", do="tick"),
+        ],
         [agreement.Voted(2, None), agreement.Cut(2)],
-        [log_entry(2, part="keepers", voters={"a": 0}, learners={"d": 9}), log_entry(3, part="turns", do="tick")],
+        [
+            log_entry(2, part="keepers", voters={"a": 0}, learners={"d": 9}),
+            log_entry(3, part="turns", do="tick"),
+        ],
         [agreement.Snapshot(2, 2, 2000, members, b"\x00state\xff")],
-        [log_entry(4, part="turns", do="seen", as_of=1, units={"u": ["ready", 0, "b"]}), agreement.Voted(3, "b")],
+        [
+            log_entry(4, part="turns", do="seen", as_of=1, units={"u": ["ready", 0, "b"]}),
+            agreement.Voted(3, "b"),
+        ],
     ]
 
 
 def raft_directory(folder, case, groups):
     """Writes a node's directory and lineage file; gives bytes by file name."""
-    store = Store(os.path.join(folder, "disk"), os.path.join(folder, "lineage"), lambda: DISK_INCARNATION)
+    store = Store(
+        os.path.join(folder, "disk"), os.path.join(folder, "lineage"), lambda: DISK_INCARNATION
+    )
     store.open()
     for records in groups:
         fault = store.persist(records)
@@ -161,7 +186,9 @@
     return [
         agreement.Ask(4, 1, 2, True, 10, 3, False),
         agreement.Vote(4, 1, True, False),
-        agreement.Append(4, 1, 9, 3, (log_entry(10), log_entry(11, part="turns", do="tick")), 8, 77),
+        agreement.Append(
+            4, 1, 9, 3, (log_entry(10), log_entry(11, part="turns", do="tick")), 8, 77
+        ),
         agreement.Appended(4, 1, True, 11, 77),
         agreement.Image(4, 1, 9, 3, 9000, members, 64, 128, b"part", 78),
         agreement.Imaged(4, 1, 9, 128, True, 78),
@@ -172,7 +199,10 @@
 def raft_wire():
     """Encoded messages, a signed letter of each kind, and the AMP boxes that carry them, in hex."""
     session = bytes(range(32))
-    found = {f"message {number}": agreement.to_bytes(one).hex() for number, one in enumerate(raft_messages())}
+    found = {
+        f"message {number}": agreement.to_bytes(one).hex()
+        for number, one in enumerate(raft_messages())
+    }
     for kind in (letters.KEEPER, letters.PROPOSE, letters.READ, letters.REPLY):
         body = msgspec.msgpack.encode({"kind": kind})
         sealed = letters.sealed(identity("a"), "b", session, kind + 1, kind, body)
@@ -180,7 +210,10 @@
     for number, (command, arguments) in enumerate(
         (
             (letters.Hello, {"nonce": bytes(16)}),
-            (letters.Deliver, letters.sealed(identity("a"), "b", session, 1, letters.KEEPER, b"\x80")),
+            (
+                letters.Deliver,
+                letters.sealed(identity("a"), "b", session, 1, letters.KEEPER, b"\x80"),
+            ),
             (letters.Ask, letters.sealed(identity("a"), "b", session, 2, letters.PROPOSE, b"\x80")),
         )
     ):
@@ -246,7 +279,10 @@
         codec.Push(),
         codec.Hints(True, [("b", "127.0.0.1", 7002)]),
     )
-    frames = [codec.Frame("a", "b", 1000, at, 3000 + at, body, sealed[:2]) for at, body in enumerate(bodies)]
+    frames = [
+        codec.Frame("a", "b", 1000, at, 3000 + at, body, sealed[:2])
+        for at, body in enumerate(bodies)
+    ]
     return {
         "items": [one.hex() for one in sealed],
         "datagrams": [codec.sealed_frame(frame, signer).hex() for frame in frames],
@@ -256,7 +292,11 @@
 # Logs.
 
 LOG_FIELDS = {
-    "turned away": {"deferred": {"over limit": 3, "no pod": 1}, "abandoned": {"may have run": 2}, "pressure": 1.2},
+    "turned away": {
+        "deferred": {"over limit": 3, "no pod": 1},
+        "abandoned": {"may have run": 2},
+        "pressure": 1.2,
+    },
     "vote": {"build": 4, "stage": 1, "verdict": 3, "outcome": "done"},
     "stream ended": {"address": "127.0.0.1:1", "reason": "refused", "refusals": 2},
     "stream silent": {"address": "127.0.0.1:1"},
@@ -268,7 +308,10 @@
 def event_log():
     """One line of each event, in the order of their declaration."""
     lines = []
-    with mock.patch.object(logs, "_written", lines.append), mock.patch.object(logs.time, "time", lambda: 1.5):
+    with (
+        mock.patch.object(logs, "_written", lines.append),
+        mock.patch.object(logs.time, "time", lambda: 1.5),
+    ):
         for event, level in LEVELS.items():
             lines.append(logs._rendered(None, level, {"event": event, **LOG_FIELDS.get(event, {})}))
     return b"".join(lines)
@@ -294,7 +337,9 @@
 
     def hear(self, name, reason, *operands):
         """Takes in a reason as it is named."""
-        self.digest.update("|".join(f"{one}" for one in (name, int(reason), *map(_plain, operands))).encode())
+        self.digest.update(
+            "|".join(f"{one}" for one in (name, int(reason), *map(_plain, operands))).encode()
+        )
 
     def handle(self, now, events):
         """The actions of the decisions, unchanged."""
@@ -344,7 +389,10 @@
 
 def main(words):
     """Writes the files, or with --check names those that differ."""
-    found = {**files(), "simulated_days.json": as_json({kind: simulated_day(kind) for kind in SIMULATED_DAYS})}
+    found = {
+        **files(),
+        "simulated_days.json": as_json({kind: simulated_day(kind) for kind in SIMULATED_DAYS}),
+    }
     status = 0
     for name, content in found.items():
         path = os.path.join(FOLDER, name)
--- a/tests/golden/state_machine_commands.py
+++ b/tests/golden/state_machine_commands.py
@@ -7,21 +7,43 @@
     name: {"kind": "pod", "rack": f"r{number // 2}", "zone": "z", "service": "shop"}
     for number, name in enumerate(_PODS)
 }
-_BUDGETS = [{"name": "racks", "each": "rack", "most": 1}, {"name": "all", "where": {"zone": "z"}, "least": 5}]
+_BUDGETS = [
+    {"name": "racks", "each": "rack", "most": 1},
+    {"name": "all", "where": {"zone": "z"}, "least": 5},
+]
 
 
 def _seen(at, names, status="ready", build="old", start=0):
-    return at, {"do": "seen", "as_of": at, "units": {name: [status, start, build] for name in names}}
+    return at, {
+        "do": "seen",
+        "as_of": at,
+        "units": {name: [status, start, build] for name in names},
+    }
 
 
 def _release(at, name, **fields):
-    command = {"do": "release", "release": name, "epoch": 1, "where": {"service": "shop"}, "build": "new"}
+    command = {
+        "do": "release",
+        "release": name,
+        "epoch": 1,
+        "where": {"service": "shop"},
+        "build": "new",
+    }
     return at, {**command, "earlier": "old", "waves": [0.25, 1.0], **fields}
 
 
 # (agreed time, command); fencing numbers follow from the order of the grants.
 DISRUPTION = [
-    (0, {"do": "declare", "epoch": 2, "units": _UNITS, "budgets": _BUDGETS, "terms": {"patience": 100_000}}),
+    (
+        0,
+        {
+            "do": "declare",
+            "epoch": 2,
+            "units": _UNITS,
+            "budgets": _BUDGETS,
+            "terms": {"patience": 100_000},
+        },
+    ),
     (1, {"do": "declare", "epoch": 1, "units": {}}),
     (2, {"do": "declare", "epoch": 2, "budgets": [{"name": "b", "most": 0}]}),
     (3, {"do": "declare", "epoch": 2, "units": {"u8": {"kind": "train"}}}),
@@ -29,7 +51,10 @@
     (5, {"do": "declare", "epoch": 2, "gone": ["nobody"]}),
     _seen(10, _PODS),
     (11, {"do": "seen", "as_of": 99, "units": {}}),
-    (12, {"do": "seen", "as_of": 12, "units": {"stranger": ["ready", 0, ""], "u1": ["odd", 0, ""]}}),
+    (
+        12,
+        {"do": "seen", "as_of": 12, "units": {"stranger": ["ready", 0, ""], "u1": ["odd", 0, ""]}},
+    ),
     (13, {"do": "ready", "unit": "u7", "as_of": 13, "start": 0, "build": "old"}),
     (14, {"do": "ready", "unit": "nobody", "as_of": 14, "start": 0}),
     (20, {"do": "ask", "unit": "u0", "plan": "ann", "epoch": 1, "urgency": 3}),
@@ -73,7 +98,17 @@
     (69, {"do": "tick"}),
     (70, {"do": "resume", "halt": 2}),
     _seen(71, ["u3"], "gone"),
-    (72, {"do": "vote", "release": "summer", "epoch": 1, "wave": 0, "verdict": "back", "why": "it fails"}),
+    (
+        72,
+        {
+            "do": "vote",
+            "release": "summer",
+            "epoch": 1,
+            "wave": 0,
+            "verdict": "back",
+            "why": "it fails",
+        },
+    ),
     (73, {"do": "back", "release": "summer", "epoch": 0}),
     (74, {"do": "tick"}),
     (75, {"do": "tick", "part": "gangs"}),
@@ -94,12 +129,25 @@
 
 def _rack(rack, zone, slots=4):
     machines = {f"{rack}m{number}": {"slots": slots, "has": {"gpu": 2}} for number in range(2)}
-    return {"do": "stand", "rack": rack, "zone": zone, "cluster": "c", "bandwidth": 10**9, "machines": machines}
+    return {
+        "do": "stand",
+        "rack": rack,
+        "zone": zone,
+        "cluster": "c",
+        "bandwidth": 10**9,
+        "machines": machines,
+    }
 
 
 _FIRST = {"gang": "g", "fence": 1}
 _HOLD = {"do": "hold", "gang": "g", "places": {"r0m0": 2, "r0m1": 2}}
-_MEND = {"do": "mend", "gang": "g", "fence": 1, "versions": {"r1": 1}, "places": {"r0m1": 2, "r1m0": 2}}
+_MEND = {
+    "do": "mend",
+    "gang": "g",
+    "fence": 1,
+    "versions": {"r1": 1},
+    "places": {"r0m1": 2, "r1m0": 2},
+}
 GANG_SCHEDULING = [
     (1, _rack("r0", "z0")),
     (2, _rack("r1", "z1")),
@@ -137,7 +185,14 @@
     (33, {"do": "preempt", "gang": "g", "by": "h"}),
     (34, {"do": "preempt", "gang": "h", "by": "g"}),
     (35, {"do": "checkpoint", "gang": "g", "fence": 2}),
-    (36, {"do": "offer", "gang": "i", "job": _job(pattern="matrix", workers=2, matrix=[[0, 5], [5, 0]])}),
+    (
+        36,
+        {
+            "do": "offer",
+            "gang": "i",
+            "job": _job(pattern="matrix", workers=2, matrix=[[0, 5], [5, 0]]),
+        },
+    ),
     (37, {"do": "withdraw", "gang": "i"}),
     (38, {"do": "withdraw", "gang": "nobody"}),
     (39, {"do": "lost", "kind": "rack", "name": "r1"}),
@@ -156,5 +211,6 @@
     (200 * SECOND, {"do": "tick"}),
 ]
 GANG_SCHEDULING = [
-    (at, {"part": "gangs", **command} if isinstance(command, dict) else command) for at, command in GANG_SCHEDULING
+    (at, {"part": "gangs", **command} if isinstance(command, dict) else command)
+    for at, command in GANG_SCHEDULING
 ]
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -23,16 +23,39 @@
 LANES = {
     "read": i.Lane("read", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, SECOND, 4 * SECOND, 1.0, 0.0),
     "mark": i.Lane("mark", i.FINGERPRINTED, i.GROUP_ALL, 2 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0),
-    "zoned": i.Lane("zoned", i.FINGERPRINTED, i.GROUP_ZONE, 2 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0),
+    "zoned": i.Lane(
+        "zoned", i.FINGERPRINTED, i.GROUP_ZONE, 2 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0
+    ),
     "pay": i.Lane("pay", i.BINDING, i.GROUP_ALL, 5 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0),
 }
 TERMS = i.Terms(
-    lanes=LANES, balancers=2, subscribes=False, max_deliveries=4, max_retry_after=SECOND, second_copies=True,
-    may_recall=True, retry_after=True, reports=(), ask_within=10 * SECOND, cold_from=0.25, cold=4 * SECOND,
-    fall_multiple=2.0, overload_for=SECOND, exposure_window=2 * SECOND, allowance=2.0,
-    guarded_stages=1, waves=(0.1, 0.5, 0.5, 1.0, 1.0),
-    by_lane=False, keys_stay=True, replaces=False,
-    decided_by=i.BY_COUNT, votes_to_revert=1, vote_life=4 * SECOND, vote_wait=SECOND, votes_per_s=100.0)
+    lanes=LANES,
+    balancers=2,
+    subscribes=False,
+    max_deliveries=4,
+    max_retry_after=SECOND,
+    second_copies=True,
+    may_recall=True,
+    retry_after=True,
+    reports=(),
+    ask_within=10 * SECOND,
+    cold_from=0.25,
+    cold=4 * SECOND,
+    fall_multiple=2.0,
+    overload_for=SECOND,
+    exposure_window=2 * SECOND,
+    allowance=2.0,
+    guarded_stages=1,
+    waves=(0.1, 0.5, 0.5, 1.0, 1.0),
+    by_lane=False,
+    keys_stay=True,
+    replaces=False,
+    decided_by=i.BY_COUNT,
+    votes_to_revert=1,
+    vote_life=4 * SECOND,
+    vote_wait=SECOND,
+    votes_per_s=100.0,
+)
 
 
 def pod(address, build=1, started=0, condition=i.READY, zone="a"):
@@ -78,22 +101,61 @@
 
 # Stand-ins of the outside systems, on free loopback ports, and the program itself.
 
-PATIENCE = 20                   # seconds that a test waits at most; nothing passes by waiting
+PATIENCE = 20  # seconds that a test waits at most; nothing passes by waiting
 
 SETTINGS = {
-    "balancers": 1, "discovery": "automatic", "stats": {"names": [], "source": "silent"},
+    "balancers": 1,
+    "discovery": "automatic",
+    "stats": {"names": [], "source": "silent"},
     "categories": [
-        {"name": name, "semantics": effect, "key_scope": "all", "window": 5_000_000_000, "promise": 3_000_000_000,
-         "give_up": 20_000_000_000, "worth": 1.0, "late_worth": 0.5}
-        for name, effect in (("read", "idempotent"), ("mark", "deduplicated"), ("pay", "at_most_once"))],
-    "permissions": {"max_attempts": 4, "max_retry_after": 500_000_000, "second_copies": False, "may_cancel": True,
-                    "retry_after": True, "connect_timeout": 250_000_000, "conn_idle": 15_000_000_000,
-                    "max_open": 20000},
-    "rules": {"ask_within": 10_000_000_000, "cold_from": 0.31, "cold": 4_800_000_000, "fall_multiple": 2.0,
-              "overload_for": 1_500_000_000},
-    "extra": {"window": 3_000_000_000, "allowance": 3.0, "guarded_stages": 0, "waves": [0.5, 1.0], "counts": "all",
-              "keys_stay": True, "swap": "parallel", "decided_by": "by_count", "votes_to_revert": 1,
-              "vote_life": 4_000_000_000, "vote_wait": 1_200_000_000, "calls_per_s": 150.0}}
+        {
+            "name": name,
+            "semantics": effect,
+            "key_scope": "all",
+            "window": 5_000_000_000,
+            "promise": 3_000_000_000,
+            "give_up": 20_000_000_000,
+            "worth": 1.0,
+            "late_worth": 0.5,
+        }
+        for name, effect in (
+            ("read", "idempotent"),
+            ("mark", "deduplicated"),
+            ("pay", "at_most_once"),
+        )
+    ],
+    "permissions": {
+        "max_attempts": 4,
+        "max_retry_after": 500_000_000,
+        "second_copies": False,
+        "may_cancel": True,
+        "retry_after": True,
+        "connect_timeout": 250_000_000,
+        "conn_idle": 15_000_000_000,
+        "max_open": 20000,
+    },
+    "rules": {
+        "ask_within": 10_000_000_000,
+        "cold_from": 0.31,
+        "cold": 4_800_000_000,
+        "fall_multiple": 2.0,
+        "overload_for": 1_500_000_000,
+    },
+    "extra": {
+        "window": 3_000_000_000,
+        "allowance": 3.0,
+        "guarded_stages": 0,
+        "waves": [0.5, 1.0],
+        "counts": "all",
+        "keys_stay": True,
+        "swap": "parallel",
+        "decided_by": "by_count",
+        "votes_to_revert": 1,
+        "vote_life": 4_000_000_000,
+        "vote_wait": 1_200_000_000,
+        "calls_per_s": 150.0,
+    },
+}
 
 
 def until(done, act):
@@ -109,7 +171,9 @@
     """(a socket that keeps a free loopback port, the port). Who asks the machine for any port is never given it, and
     who wants this one can listen there, again and again; until somebody does, connections are refused."""
     place = socket.socket()
-    place.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)  # as the listener does; two that do may share it
+    place.setsockopt(
+        socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
+    )  # as the listener does; two that do may share it
     place.bind(("127.0.0.1", 0))
     return place, place.getsockname()[1]
 
@@ -152,7 +216,9 @@
     def stop(self):
         """Takes no further connection, and nobody else does at its address."""
         with contextlib.suppress(OSError):
-            self.listener.shutdown(socket.SHUT_RDWR)  # one that is closed alone takes one more: accept() holds it
+            self.listener.shutdown(
+                socket.SHUT_RDWR
+            )  # one that is closed alone takes one more: accept() holds it
         self.listener.close()
 
     def close(self):
@@ -174,7 +240,9 @@
 
     def __init__(self, answer=None):
         self.heard, self.ended = queue.Queue(), queue.Queue()
-        self.answer = answer or (lambda words: b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2]))
+        self.answer = answer or (
+            lambda words: b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2])
+        )
         super().__init__()
 
     def serve(self, connection, source):
@@ -188,8 +256,18 @@
         self.ended.put(True)
 
     def entry(self, name, build=41, state="Ready", **more):
-        return {"id": name, "addr": self.address, "zone": "a", "kind": "m", "cell": 0, "state": state,
-                "weight": 1.0, "started_ms": 0, "image_id": build, **more}
+        return {
+            "id": name,
+            "addr": self.address,
+            "zone": "a",
+            "kind": "m",
+            "cell": 0,
+            "state": state,
+            "weight": 1.0,
+            "started_ms": 0,
+            "image_id": build,
+            **more,
+        }
 
 
 class HttpPeer(Peer):
@@ -199,23 +277,34 @@
 
     def __init__(self, answer=None, silent=False):
         self.streams, self.asked, self.calls, self.answer = [], queue.Queue(), queue.Queue(), answer
-        self.silent, self.said, self.lock, self.over = silent, None, threading.Lock(), threading.Event()
+        self.silent, self.said, self.lock, self.over = (
+            silent,
+            None,
+            threading.Lock(),
+            threading.Event(),
+        )
         super().__init__()
         threading.Thread(target=self._live, daemon=True).start()
 
     def serve(self, connection, source):
         while first := source.readline():
             length = 0
-            while (line := source.readline().strip()):
+            while line := source.readline().strip():
                 if line.lower().startswith(b"content-length:"):
                     length = int(line.split(b":")[1])
             if first.startswith(b"GET"):
                 return self._stream(connection, source, first.split()[1].decode())
             form = dict(parse_qsl(source.read(length).decode()))
-            status, body = self.answer(form) if self.answer else (400, b"<Error><Code>throttled</Code></Error>")
+            status, body = (
+                self.answer(form)
+                if self.answer
+                else (400, b"<Error><Code>throttled</Code></Error>")
+            )
             if status == 200:
                 self.carried_out(body.decode())
-            connection.sendall(b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body))
+            connection.sendall(
+                b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
+            )
             self.calls.put(form)
 
     def _stream(self, connection, source, path):
@@ -229,7 +318,7 @@
                 self._tell(self.said or [self.missed(path)], [connection])
         self.asked.put(path)
         try:
-            source.read(1)      # it ends, or takes a byte too many: either is its end
+            source.read(1)  # it ends, or takes a byte too many: either is its end
         finally:
             with self.lock:
                 self.streams.remove(connection)
@@ -243,7 +332,9 @@
 
     def _tell(self, texts, streams=None):
         """Each in a piece of its own. One that has ended is none: who asks instead of it is told what it missed."""
-        data = b"".join(b"%x\r\n%s\r\n" % (len(text), text) for text in (text.encode() for text in texts))
+        data = b"".join(
+            b"%x\r\n%s\r\n" % (len(text), text) for text in (text.encode() for text in texts)
+        )
         for stream in streams or self.streams:
             try:
                 stream.sendall(data)
@@ -269,19 +360,30 @@
 
 class DiscoveryPeer(HttpPeer):
     """Keeps the changes and whole lists that it was given, each entry's last under its version."""
+
     SIGN, EVERY = "\n", 2.0
 
     def __init__(self, **more):
-        self.entries, self.version, self.whole = {}, 0, 0  # id -> (version, entry); that of the last whole list
+        self.entries, self.version, self.whole = (
+            {},
+            0,
+            0,
+        )  # id -> (version, entry); that of the last whole list
         super().__init__(**more)
 
     def missed(self, path):
         """The first line: what changed after the version that is asked from, or the whole list."""
         since = int(path.rpartition("index=")[2])
         whole = since < self.whole
-        return self._line(max(self.version, since), whole, [
-            entry for version, entry in self.entries.values()
-            if whole and entry["state"] != "Gone" or not whole and version > since])
+        return self._line(
+            max(self.version, since),
+            whole,
+            [
+                entry
+                for version, entry in self.entries.values()
+                if whole and entry["state"] != "Gone" or not whole and version > since
+            ],
+        )
 
     @staticmethod
     def _line(version, full, entries):
@@ -298,8 +400,15 @@
 
 class PlatformPeer(HttpPeer):
     """Keeps the state of the newest build, also as a vote that counts changes it."""
+
     SIGN, EVERY = ":\n", 1.0
-    NEWS = {"version": 41, "step": 1, "status": "released", "maxWeight": 1.0, "observedAgoMs": 60000}
+    NEWS = {
+        "version": 41,
+        "step": 1,
+        "status": "released",
+        "maxWeight": 1.0,
+        "observedAgoMs": 60000,
+    }
 
     def __init__(self, answer=None, news=NEWS, **more):
         self._stands(news)
@@ -318,14 +427,24 @@
 
     def push_news(self, version=41, step=1, status="released", cap=1.0):
         with self.lock:
-            self._stands({"version": version, "step": step, "status": status, "maxWeight": cap, "observedAgoMs": 5})
+            self._stands(
+                {
+                    "version": version,
+                    "step": step,
+                    "status": status,
+                    "maxWeight": cap,
+                    "observedAgoMs": 5,
+                }
+            )
             self.told(self.missed(None))
 
 
 def coded(code):
     """Programs that are made meanwhile are started by this code."""
     start = subprocess.Popen
-    return mock.patch(f"{__name__}.subprocess.Popen", lambda words, **more: start([words[0], "-c", code], **more))
+    return mock.patch(
+        f"{__name__}.subprocess.Popen", lambda words, **more: start([words[0], "-c", code], **more)
+    )
 
 
 def begun_by(code):
@@ -356,13 +475,27 @@
 class Program:
     """The program, started on a configuration beside stand-ins of all that it speaks to."""
 
-    def __init__(self, *entries, answer=None, news=PlatformPeer.NEWS, change=None, operator=None, silent=False):
+    def __init__(
+        self,
+        *entries,
+        answer=None,
+        news=PlatformPeer.NEWS,
+        change=None,
+        operator=None,
+        silent=False,
+    ):
         self.discovery, self.platform = DiscoveryPeer(silent=silent), PlatformPeer(answer, news)
         self.place, self.port = reserved()
-        told = {"name": "n1", "listen": f"127.0.0.1:{self.port}", "discovery": self.discovery.address,
-                "seed": "8c1f30d27a5be964", "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-                "deployer": {"address": self.platform.address, "news": dict(news)},
-                "known": {"version": 7, "full": True, "servers": list(entries)}, "settings": copy.deepcopy(SETTINGS)}
+        told = {
+            "name": "n1",
+            "listen": f"127.0.0.1:{self.port}",
+            "discovery": self.discovery.address,
+            "seed": "8c1f30d27a5be964",
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
+            "deployer": {"address": self.platform.address, "news": dict(news)},
+            "known": {"version": 7, "full": True, "servers": list(entries)},
+            "settings": copy.deepcopy(SETTINGS),
+        }
         if change:
             change(told)
         self.folder = tempfile.TemporaryDirectory()
@@ -375,8 +508,12 @@
             with open(self.operator, "w", encoding="utf-8") as target:
                 target.write(operator(self.folder.name))
             words += ["--operator", self.operator]
-        self.process = subprocess.Popen(words, stdout=subprocess.PIPE,
-                                        stderr=subprocess.PIPE, env={**os.environ, "NODE_CONFIG": path})
+        self.process = subprocess.Popen(
+            words,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            env={**os.environ, "NODE_CONFIG": path},
+        )
 
     def write(self, told):
         with open(self.path, "w", encoding="utf-8") as target:
@@ -384,8 +521,10 @@
 
     def logged(self, event):
         """The next line of this event."""
-        until(lambda: self.line["event"] == event,
-              lambda: setattr(self, "line", json.loads(self.lines.get(timeout=PATIENCE))))
+        until(
+            lambda: self.line["event"] == event,
+            lambda: setattr(self, "line", json.loads(self.lines.get(timeout=PATIENCE))),
+        )
         line, self.line = self.line, {"event": None}
         return line
 
@@ -393,6 +532,7 @@
         def state():
             with open(f"/proc/{self.process.pid}/stat", encoding="utf-8") as source:
                 return source.read().rpartition(")")[2].split()[0]
+
         until(lambda: state() == "T", lambda: time.sleep(0.005))
 
     def __enter__(self):
@@ -408,7 +548,9 @@
 
     def read(self, source):
         """Keeps the lines that are logged there."""
-        self.readers.append(threading.Thread(target=lambda: [self.lines.put(line) for line in source], daemon=True))
+        self.readers.append(
+            threading.Thread(target=lambda: [self.lines.put(line) for line in source], daemon=True)
+        )
         self.readers[-1].start()
 
     def __exit__(self, *_):
@@ -453,4 +595,6 @@
 
 def command(*words):
     words = [word if isinstance(word, bytes) else word.encode() for word in words]
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%s\r\n" % (len(word), word) for word in words)
+    return b"*%d\r\n" % len(words) + b"".join(
+        b"$%d\r\n%s\r\n" % (len(word), word) for word in words
+    )
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -24,32 +24,38 @@
 from thymeknot.service import configuration, logs
 from thymeknot.sidecar import Sidecar
 
-MS = 10                         # times are whole tenths of a millisecond, as the sidecar's
+MS = 10  # times are whole tenths of a millisecond, as the sidecar's
 BORN = 1_000_000
-SLACK = 500 * MS                # beyond a request's time, for its answer
-TOLD_SLACK = 50 * MS            # every time limit of the protocol is longer by this
-CAP_SLACK = 150 * MS            # a lower cap binds then
-LEFT_SLACK = 100 * MS           # attempts for a client that has gone
-STALLS = 9_900 * MS             # a client that reads nothing for so long may be cut off
-FINISHES = 150 * MS             # after SIGTERM's end of service, for a connection that is owed nothing
-FIRST_COMMAND = 500 * MS        # a new connection is waited for so long, for the command that it was opened for
-BEGINS = 2_400 * MS             # a command that takes so long to come may be turned away
+SLACK = 500 * MS  # beyond a request's time, for its answer
+TOLD_SLACK = 50 * MS  # every time limit of the protocol is longer by this
+CAP_SLACK = 150 * MS  # a lower cap binds then
+LEFT_SLACK = 100 * MS  # attempts for a client that has gone
+STALLS = 9_900 * MS  # a client that reads nothing for so long may be cut off
+FINISHES = 150 * MS  # after SIGTERM's end of service, for a connection that is owed nothing
+FIRST_COMMAND = (
+    500 * MS
+)  # a new connection is waited for so long, for the command that it was opened for
+BEGINS = 2_400 * MS  # a command that takes so long to come may be turned away
 LANES = ("read", "mark", "pay")
-TIMES = (300, 1500, 4000)       # milliseconds that a client waits
-WINDOW, MOST = 5_000 * MS, 4    # of the settings: how long a fingerprint holds, attempts
+TIMES = (300, 1500, 4000)  # milliseconds that a client waits
+WINDOW, MOST = 5_000 * MS, 4  # of the settings: how long a fingerprint holds, attempts
 DISCOVERIES, PLATFORMS = (2, 8), (3, 9)
 REFUSES, HANGS, COMES_UP = "refuses", "hangs", "comes up"
 
 # Faults of the program that are known and not mended yet are left out of the drawn orders by these switches; each has
 # a test of its own in test_orders.py. Once one is mended, True draws it again.
-ENDS_WHILE_NOT_READ = True     # a client leaves while the sidecar does not read from it
-SECOND_COPIES_MEET_OTHERS = True  # a pod's second copy of an answer comes after the connection's next request
-ANSWERS_AT_ONCE = True         # a pod answers within the same tenth of a millisecond
-PODS_TAKE_NOTHING = True       # not one byte of an attempt goes out before its pod is told draining
-DRAINS_WHILE_COMING_BACK = True  # `drain` or `finish` before the listener that an `undrain` waits for has closed
-
-
-QUICK = copy.deepcopy(SETTINGS)     # idle connections to pods are retired soon, or the ends take long
+ENDS_WHILE_NOT_READ = True  # a client leaves while the sidecar does not read from it
+SECOND_COPIES_MEET_OTHERS = (
+    True  # a pod's second copy of an answer comes after the connection's next request
+)
+ANSWERS_AT_ONCE = True  # a pod answers within the same tenth of a millisecond
+PODS_TAKE_NOTHING = True  # not one byte of an attempt goes out before its pod is told draining
+DRAINS_WHILE_COMING_BACK = (
+    True  # `drain` or `finish` before the listener that an `undrain` waits for has closed
+)
+
+
+QUICK = copy.deepcopy(SETTINGS)  # idle connections to pods are retired soon, or the ends take long
 QUICK["permissions"]["conn_idle"] = 4_000_000_000
 
 
@@ -94,10 +100,12 @@
         if self.budget is not None:
             if self.budget <= 0:
                 raise BlockingIOError(11, "full")
-            data = data[:self.budget]
+            data = data[: self.budget]
             self.budget -= len(data)
         self.rig.stirred = True
-        if self.far_gone:  # the first bytes to one that has closed go out; what comes back is a reset
+        if (
+            self.far_gone
+        ):  # the first bytes to one that has closed go out; what comes back is a reset
             self.reset = self.swallowed = True
             return len(data)
         count = self.real.send(data)
@@ -115,7 +123,7 @@
     def getsockopt(self, *_):
         return 0
 
-    shut = False                    # the sidecar sends no more: who reads sees the end
+    shut = False  # the sidecar sends no more: who reads sees the end
 
     def close(self):
         self.closed, self.closed_at = True, self.rig.now
@@ -204,7 +212,13 @@
     """A listener, as tcp.Port is one."""
 
     def __init__(self, reactor, factory):
-        self.reactor, self.factory, self.queue, self.open, self.reads = reactor, factory, [], True, True
+        self.reactor, self.factory, self.queue, self.open, self.reads = (
+            reactor,
+            factory,
+            [],
+            True,
+            True,
+        )
         self.sessionno, self.numberAccepts = 0, 100
         self.socket, self.lets_in = self, True
 
@@ -215,7 +229,7 @@
     def doRead(self):
         if not self.open:
             raise Wrong("a listener that is closed was read")
-        queue, self.queue = self.queue[:self.numberAccepts], self.queue[self.numberAccepts:]
+        queue, self.queue = self.queue[: self.numberAccepts], self.queue[self.numberAccepts :]
         for wire in queue:
             self.sessionno += 1
             protocol = self.factory.buildProtocol(None)
@@ -239,6 +253,7 @@
                 wire.close()
             self.queue = []
             done.callback(None)
+
         self.reactor.callLater(0, ended)
         return done
 
@@ -268,7 +283,9 @@
                     self._doReadOrWrite(one, method)
 
     def addReader(self, reader):
-        self.order.setdefault(reader, len(self.order))  # else the order would hang on where objects lie in memory
+        self.order.setdefault(
+            reader, len(self.order)
+        )  # else the order would hang on where objects lie in memory
         SelectReactor.addReader(self, reader)
 
     def addWriter(self, writer):
@@ -287,7 +304,11 @@
         return self.doors[-1]
 
     def next_due(self):
-        times = [call.getTime() for call in (*self._pendingTimedCalls, *self._newTimedCalls) if call.active()]
+        times = [
+            call.getTime()
+            for call in (*self._pendingTimedCalls, *self._newTimedCalls)
+            if call.active()
+        ]
         return min(times, default=None)
 
     def over(self):
@@ -306,7 +327,13 @@
     def __init__(self, rig, number):
         self.rig, self.number, self.wire = rig, number, Wire(rig)
         self.asked, self.out, self.buffer, self.got = [], 0, b"", 0
-        self.half, self.spoilt_at, self.gone_at, self.stalled_since, self.freed_at = b"", None, None, None, 0
+        self.half, self.spoilt_at, self.gone_at, self.stalled_since, self.freed_at = (
+            b"",
+            None,
+            None,
+            None,
+            0,
+        )
         self.excused, self.eof, self.was_slow = False, False, False
         self.begun_at, self.opened_at = rig.now, rig.now
 
@@ -317,7 +344,9 @@
     @property
     def slow(self):
         """It may be turned away: its first command, or half of one, is too long in coming."""
-        self.was_slow |= bool(self.half or not self.asked) and self.rig.now >= self.begun_at + BEGINS
+        self.was_slow |= (
+            bool(self.half or not self.asked) and self.rig.now >= self.begun_at + BEGINS
+        )
         return self.was_slow
 
 
@@ -335,11 +364,23 @@
         self.state, self.started, self.mode, self.lag = "Ready", 0, "good", 40 * MS
         self.dials, self.budget = COMES_UP, None
         self.known = 0, build
-        self.barred_at, self.stale_at = None, None     # told: nothing new; nothing on what was dialled before
+        self.barred_at, self.stale_at = (
+            None,
+            None,
+        )  # told: nothing new; nothing on what was dialled before
 
     def entry(self):
-        return {"id": self.name, "addr": f"127.0.0.1:{self.port}", "state": self.state, "zone": "a", "kind": "m",
-                "cell": 0, "weight": 1.0, "started_ms": self.started, "image_id": self.build}
+        return {
+            "id": self.name,
+            "addr": f"127.0.0.1:{self.port}",
+            "state": self.state,
+            "zone": "a",
+            "kind": "m",
+            "cell": 0,
+            "weight": 1.0,
+            "started_ms": self.started,
+            "image_id": self.build,
+        }
 
 
 def whole_command(buffer):
@@ -352,7 +393,7 @@
         size = re.compile(rb"\$(\d+)\r\n").match(buffer, at)
         if not size or len(buffer) < size.end() + int(size[1]) + 2:
             return None
-        words.append(buffer[size.end():size.end() + int(size[1])])
+        words.append(buffer[size.end() : size.end() + int(size[1])])
         at = size.end() + int(size[1]) + 2
     return words, at
 
@@ -365,7 +406,11 @@
     if buffer[:1] != b"$":
         return buffer[:end], end + 2
     size = int(buffer[1:end])
-    return None if len(buffer) < end + 4 + size else (buffer[:1] + buffer[end + 2:end + 2 + size], end + 4 + size)
+    return (
+        None
+        if len(buffer) < end + 4 + size
+        else (buffer[:1] + buffer[end + 2 : end + 2 + size], end + 4 + size)
+    )
 
 
 class Rig:
@@ -373,27 +418,52 @@
 
     def __init__(self):
         self.now, self.wires, self.soon, self.count = BORN, [], [], 0
-        self.stirred = self.touched = False     # in this round; by the others, for the next one
+        self.stirred = self.touched = False  # in this round; by the others, for the next one
         self.clients, self.links, self.attempts, self.made, self.faults = [], [], [], {}, []
         self.ended_links = []
         self.by_nonce, self.streams, self.stream_mode, self.version = {}, [], "live", 7
         self.emptied, self.drains, self.state, self.finished_at = 0, 0, "serving", None
         self.pods = [Pod(self, 1, 41), Pod(self, 2, 41), Pod(self, 3, 42)]
-        self.news = {"version": 42, "step": 1, "status": "trial", "maxWeight": 1.0, "observedAgoMs": 0}
-        self.told_news, self.closed_at = dict(self.news), None      # the newest build takes nothing: from when
-        self.waits, self.told = [], {"name": "n1", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "seed": "1f",
-                                     "limits": {"sockets": 1024}, "settings": QUICK,
-                                     "deployer": {"address": "127.0.0.1:3", "news": dict(self.news)},
-                                     "known": {"version": 7, "full": True, "servers": [p.entry() for p in self.pods]}}
+        self.news = {
+            "version": 42,
+            "step": 1,
+            "status": "trial",
+            "maxWeight": 1.0,
+            "observedAgoMs": 0,
+        }
+        self.told_news, self.closed_at = (
+            dict(self.news),
+            None,
+        )  # the newest build takes nothing: from when
+        self.waits, self.told = (
+            [],
+            {
+                "name": "n1",
+                "listen": "127.0.0.1:1",
+                "discovery": "127.0.0.1:2",
+                "seed": "1f",
+                "limits": {"sockets": 1024},
+                "settings": QUICK,
+                "deployer": {"address": "127.0.0.1:3", "news": dict(self.news)},
+                "known": {"version": 7, "full": True, "servers": [p.entry() for p in self.pods]},
+            },
+        )
         self.reactor = Reactor(self)
         fault = self._fault
-        self.patches = [mock.patch.object(logs, "fault", fault), mock.patch.object(logs, "log", self._logged)]
+        self.patches = [
+            mock.patch.object(logs, "fault", fault),
+            mock.patch.object(logs, "log", self._logged),
+        ]
         for patch in self.patches:
             patch.start()
         twisted_log.addObserver(self._observe)
         self.overdue = []
-        self.sidecar = Sidecar(configuration.read(self.told, 0), self.reactor,
-                               Deadlines(lambda: self.now, self.reactor.callLater, fault), 0)
+        self.sidecar = Sidecar(
+            configuration.read(self.told, 0),
+            self.reactor,
+            Deadlines(lambda: self.now, self.reactor.callLater, fault),
+            0,
+        )
         self.sidecar.begin()
         self.sidecar.serve()
         self.turn()
@@ -470,7 +540,8 @@
             self._serve(link)
         # Read to the end: the rest is for the checker alone.
         self.links = [link for link in self.links if not link[0].closed] + [
-            link for link in self.links if link[0].closed and self.ended_links.append(link)]
+            link for link in self.links if link[0].closed and self.ended_links.append(link)
+        ]
 
     def dialled(self, dial):
         port = dial.addr[1]
@@ -515,7 +586,9 @@
             wire.lists = wire.port in DISCOVERIES
             self.streams.append(wire)
             if self.stream_mode == "live":
-                self.tell_pods(self.pods, full=True, to=[wire]) if wire.lists else self.tell_news(to=[wire])
+                self.tell_pods(self.pods, full=True, to=[wire]) if wire.lists else self.tell_news(
+                    to=[wire]
+                )
             self._life(wire)
 
     def _life(self, wire):
@@ -529,7 +602,12 @@
         """told() is called as the sidecar reads the last byte."""
         data = b"%x\r\n%s\r\n" % (len(text), text)
         for wire in to or self.streams:
-            if wire.lists == lists and self.stream_mode == "live" and not wire.closed and wire.put(data):
+            if (
+                wire.lists == lists
+                and self.stream_mode == "live"
+                and not wire.closed
+                and wire.put(data)
+            ):
                 wire.marks.append((self._put_so_far(wire), told))
 
     def _put_so_far(self, wire):
@@ -554,8 +632,14 @@
                     pod.barred_at = None
                 elif pod.barred_at is None:
                     pod.barred_at = self.now
-        self._push(json.dumps({"version": self.version, "full": full, "servers": entries}).encode() + b"\n",
-                   True, told, to)
+
+        self._push(
+            json.dumps({"version": self.version, "full": full, "servers": entries}).encode()
+            + b"\n",
+            True,
+            told,
+            to,
+        )
 
     def tell_news(self, to=None):
         news = dict(self.news)
@@ -567,6 +651,7 @@
             if shut and self.closed_at is None:
                 self.closed_at = self.now
             self.told_news = news
+
         words = "&".join(f"{name}={value}" for name, value in news.items())
         self._push(f"event: progress\ndata: {words}\n\n".encode(), False, told, to)
 
@@ -576,24 +661,30 @@
             words, length = found
             begin, link[1] = wire.parsed, link[1][length:]
             wire.parsed += length
-            attempt = Attempt(pod, wire, words, wire.written_at(begin), wire.written_at(wire.parsed - 1))
+            attempt = Attempt(
+                pod, wire, words, wire.written_at(begin), wire.written_at(wire.parsed - 1)
+            )
             attempt.end = wire.parsed
             self.attempts.append(attempt)
             self.check_attempt(attempt)
             if pod.mode != "silent":
-                self.later(pod.lag, lambda attempt=attempt, mode=pod.mode: self._answer(attempt, mode))
+                self.later(
+                    pod.lag, lambda attempt=attempt, mode=pod.mode: self._answer(attempt, mode)
+                )
 
     def _answer(self, attempt, mode):
         wire = attempt.wire
         if mode in ("good", "big", "twice", "half", "spoilt"):
             self.count += 1
-            value = f"{attempt.nonce}:{self.count}".encode() + b"." * (60_000 if mode == "big" else 0)
+            value = f"{attempt.nonce}:{self.count}".encode() + b"." * (
+                60_000 if mode == "big" else 0
+            )
             good = b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(value), value)
             if mode == "half":
-                wire.put(good[:len(good) // 2])
+                wire.put(good[: len(good) // 2])
                 return
             if mode == "spoilt":
-                wire.put(b"*3\r\n$%d\r\n" % (len(value) - 1) + good[good.index(value):])
+                wire.put(b"*3\r\n$%d\r\n" % (len(value) - 1) + good[good.index(value) :])
                 return
             self.made[value] = attempt.nonce
             wire.put(good)
@@ -618,27 +709,41 @@
         client, asked = self.by_nonce[nonce]
         if attempt.words[:3] != asked.wants[:3] or attempt.words[4:] != asked.wants[4:]:
             raise Wrong(f"a pod got {attempt.words}, its client sent {asked.wants}")
-        earlier = [other for other in self.attempts if other.nonce == nonce and other is not attempt]
+        earlier = [
+            other for other in self.attempts if other.nonce == nonce and other is not attempt
+        ]
         if len(earlier) >= MOST:
             raise Wrong(f"{nonce} is sent for the {len(earlier) + 1}th time")
-        perhaps = [other for other in earlier
-                   if other.turned_away is None or other.turned_away > attempt.whole]
+        perhaps = [
+            other
+            for other in earlier
+            if other.turned_away is None or other.turned_away > attempt.whole
+        ]
         if perhaps and asked.lane == "pay":
             raise Wrong(f"binding {nonce} is sent again while it may have run")
         if perhaps and asked.lane == "mark" and attempt.whole >= perhaps[0].whole + WINDOW:
             raise Wrong(f"fingerprinted {nonce} is sent again after its window")
         self.check_begun(attempt.wire, attempt.begun, f"{nonce} to {pod.name}")
         if client.gone_at is not None and attempt.whole > client.gone_at + LEFT_SLACK:
-            raise Wrong(f"{nonce} is sent {(attempt.whole - client.gone_at) / 10_000} s after its client left")
+            raise Wrong(
+                f"{nonce} is sent {(attempt.whole - client.gone_at) / 10_000} s after its client left"
+            )
 
     def check_begun(self, wire, begun, what):
         pod = wire.pod
         if pod.barred_at is not None and begun > pod.barred_at + TOLD_SLACK:
             raise Wrong(f"{what}: begun after its drain was told")
-        if pod.stale_at is not None and wire.made_at < pod.stale_at and begun > pod.stale_at + TOLD_SLACK:
+        if (
+            pod.stale_at is not None
+            and wire.made_at < pod.stale_at
+            and begun > pod.stale_at + TOLD_SLACK
+        ):
             raise Wrong(f"{what}: begun on a connection to the process before")
-        if (self.closed_at is not None and pod.known[1] >= self.told_news["version"]
-                and begun > self.closed_at + CAP_SLACK):
+        if (
+            self.closed_at is not None
+            and pod.known[1] >= self.told_news["version"]
+            and begun > self.closed_at + CAP_SLACK
+        ):
             raise Wrong(f"{what}: begun though the newest build takes nothing")
 
     def _hear(self, client):
@@ -656,19 +761,26 @@
         if (wire.closed or wire.shut) and not client.eof:
             client.eof = True
             if client.buffer and client.gone_at is None and not wire.aborted:
-                raise Wrong(f"client {client.number}: closed within an answer: {client.buffer[:40]}")
+                raise Wrong(
+                    f"client {client.number}: closed within an answer: {client.buffer[:40]}"
+                )
             self.check_closed(client)
 
     def _answered(self, client, answer):
         if client.got >= len(client.asked):
-            if client.spoilt_at is not None and answer.startswith(b"-ERR syntax") or (
-                    client.slow and client.half and answer.startswith(b"-ERR no whole command")):
+            if (
+                client.spoilt_at is not None
+                and answer.startswith(b"-ERR syntax")
+                or (client.slow and client.half and answer.startswith(b"-ERR no whole command"))
+            ):
                 client.excused = True
                 return
             raise Wrong(f"client {client.number}: an answer that nothing asked for: {answer[:60]}")
         asked = client.asked[client.got]
         if asked.read_at is None:
-            raise Wrong(f"client {client.number}: {answer[:60]} before {asked.nonce or asked.kind} was read")
+            raise Wrong(
+                f"client {client.number}: {answer[:60]} before {asked.nonce or asked.kind} was read"
+            )
         client.got += 1
         asked.answered = self.now
         if asked.kind == "ping" and answer != b"+PONG":
@@ -682,90 +794,150 @@
             if nonce != asked.nonce:
                 raise Wrong(f"{asked.nonce} is answered with {answer[:60]}, made for {nonce}")
         elif answer.startswith(b"-BUSY"):
-            perhaps = [one for one in self.attempts if one.nonce == asked.nonce and one.turned_away is None]
+            perhaps = [
+                one for one in self.attempts if one.nonce == asked.nonce and one.turned_away is None
+            ]
             if perhaps and asked.lane == "pay":
                 raise Wrong(f"binding {asked.nonce} is refused though it may have run")
         elif answer.startswith(b"-ERR this id is in hand"):
-            others = [(other, one) for other, one in self.by_nonce.values()
-                      if one.name == asked.name and one is not asked]
+            others = [
+                (other, one)
+                for other, one in self.by_nonce.values()
+                if one.name == asked.name and one is not asked
+            ]
             # As it was read: the answer may have waited behind others.
-            if all((one.answered or other.wire.closed_at or asked.read_at) < asked.read_at for other, one in others):
+            if all(
+                (one.answered or other.wire.closed_at or asked.read_at) < asked.read_at
+                for other, one in others
+            ):
                 raise Wrong(f"{asked.nonce}: no other holds its id, and it is turned away for it")
         elif not answer.startswith(b"-ERR"):
             raise Wrong(f"{asked.nonce} is answered with {answer[:60]}")
 
     def check_times(self):
         for client in self.clients:
-            if client.gone_at is not None or client.excused or client.slow and client.got == len(client.asked):
+            if (
+                client.gone_at is not None
+                or client.excused
+                or client.slow
+                and client.got == len(client.asked)
+            ):
                 continue
             if client.stalled_since is not None:
                 client.excused |= self.now >= client.stalled_since + STALLS
                 continue
             self.check_finished(client)
             due = client.freed_at
-            for asked in client.asked[client.got:]:
+            for asked in client.asked[client.got :]:
                 if asked.read_at is None:
                     break
                 due = max(due, asked.read_at + asked.left * MS)
                 if asked.answered is None and self.now > due + SLACK:
-                    raise Wrong(f"client {client.number}: {asked.nonce or asked.kind} is not answered in time")
+                    raise Wrong(
+                        f"client {client.number}: {asked.nonce or asked.kind} is not answered in time"
+                    )
 
     def check_finished(self, client):
         """After `finish` one that is owed nothing closes."""
-        if (self.finished_at is None or client.wire.closed or client.eof or client.half or client.slow
-                or client.spoilt_at is not None):
+        if (
+            self.finished_at is None
+            or client.wire.closed
+            or client.eof
+            or client.half
+            or client.slow
+            or client.spoilt_at is not None
+        ):
             return
         if client.got < len(client.asked) or client.wire.read < client.out:
             return
-        since = max([self.finished_at, client.opened_at, client.freed_at]
-                    + [asked.answered for asked in client.asked[:client.got]])
+        since = max(
+            [self.finished_at, client.opened_at, client.freed_at]
+            + [asked.answered for asked in client.asked[: client.got]]
+        )
         if not client.asked:  # its first command may be on its way
             since = max(since, client.opened_at + FIRST_COMMAND)
         if self.now > since + FINISHES:
-            raise Wrong(f"client {client.number}: owed nothing and open {(self.now - since) / 10_000} s after the end")
+            raise Wrong(
+                f"client {client.number}: owed nothing and open {(self.now - since) / 10_000} s after the end"
+            )
 
     def check_closed(self, client):
         if client.gone_at is not None or client.excused:
             return
         if client.stalled_since is not None and self.now >= client.stalled_since + STALLS:
             return
-        owed = [asked for asked in client.asked[client.got:] if asked.read_at is not None]
+        owed = [asked for asked in client.asked[client.got :] if asked.read_at is not None]
         if owed:
             raise Wrong(f"client {client.number}: closed with {owed[0].nonce or owed[0].kind} owed")
-        if client.spoilt_at is None and not client.slow and self.state == "serving" and not self.drains:
+        if (
+            client.spoilt_at is None
+            and not client.slow
+            and self.state == "serving"
+            and not self.drains
+        ):
             raise Wrong(f"client {client.number}: closed for no reason")
 
     def check_end(self):
         for client in self.clients:
-            owed = [asked for asked in client.asked[client.got:] if asked.read_at is not None]
+            owed = [asked for asked in client.asked[client.got :] if asked.read_at is not None]
             if client.gone_at is None and not client.excused and owed:
-                raise Wrong(f"client {client.number}: {owed[0].nonce or owed[0].kind} was never answered")
+                raise Wrong(
+                    f"client {client.number}: {owed[0].nonce or owed[0].kind} was never answered"
+                )
             if not client.wire.closed:
                 raise Wrong(f"client {client.number}: its connection is open at the end")
         for wire, rest, _ in self.links + self.ended_links:
             if rest and hasattr(wire, "pod"):
-                self.check_begun(wire, wire.written_at(wire.parsed), f"half a command to {wire.pod.name}")
+                self.check_begun(
+                    wire, wire.written_at(wire.parsed), f"half a command to {wire.pod.name}"
+                )
         if any(door.open for door in self.reactor.doors):
             raise Wrong("it listens at the end")
         if self.emptied != 1:
             raise Wrong(f"emptied was called {self.emptied} times")
         sidecar = self.sidecar
-        left = {"clients": len(sidecar.clients), "transactions": len(sidecar.transactions),
-                "ids": len(sidecar.by_id), "waiting": len(sidecar.pools.unwritten()),
-                "dialling": sidecar.pools.dialling, "connections": len(sidecar.pools.connections),
-                "open to decide": len(sidecar.balancer.open), "calls": sidecar.platform.out + sidecar.discovery.out,
-                "counted out": sum(known.out for known in sidecar.balancer.pods.values()),
-                "idle": sum(len(pool.idle) for pool in sidecar.pools.by_pod.values())}
+        left = {
+            "clients": len(sidecar.clients),
+            "transactions": len(sidecar.transactions),
+            "ids": len(sidecar.by_id),
+            "waiting": len(sidecar.pools.unwritten()),
+            "dialling": sidecar.pools.dialling,
+            "connections": len(sidecar.pools.connections),
+            "open to decide": len(sidecar.balancer.open),
+            "calls": sidecar.platform.out + sidecar.discovery.out,
+            "counted out": sum(known.out for known in sidecar.balancer.pods.values()),
+            "idle": sum(len(pool.idle) for pool in sidecar.pools.by_pod.values()),
+        }
         left = {what: count for what, count in left.items() if count}
         if left:
             raise Wrong(f"left at the end: {left}")
-        standing = {"Sidecar.tell", "Sidecar._refusals", "KeptStream._look", "KeptStream._still_asked",
-                    "KeptStream._ask", "Stream.dial_late", "Call.dial_late"}
-        live = [call.__qualname__ for call, _ in sidecar.deadlines.live.values() if call.__qualname__ not in standing]
+        standing = {
+            "Sidecar.tell",
+            "Sidecar._refusals",
+            "KeptStream._look",
+            "KeptStream._still_asked",
+            "KeptStream._ask",
+            "Stream.dial_late",
+            "Call.dial_late",
+        }
+        live = [
+            call.__qualname__
+            for call, _ in sidecar.deadlines.live.values()
+            if call.__qualname__ not in standing
+        ]
         periodic = [call.__name__ for call, _ in sidecar.deadlines.live.values()]
-        if live or periodic.count("tell") != 1 or periodic.count("_refusals") != 1 or len(periodic) > 12:
+        if (
+            live
+            or periodic.count("tell") != 1
+            or periodic.count("_refusals") != 1
+            or len(periodic) > 12
+        ):
             raise Wrong(f"deadlines left: {live or periodic}")
-        open_ = [wire.port for wire in self.wires if not wire.closed and wire.port not in DISCOVERIES + PLATFORMS]
+        open_ = [
+            wire.port
+            for wire in self.wires
+            if not wire.closed and wire.port not in DISCOVERIES + PLATFORMS
+        ]
         if open_:
             raise Wrong(f"descriptors left open: {open_}")
         if len([wire for wire in self.wires if not wire.closed]) > 4:
@@ -793,7 +965,11 @@
         for client in self.clients:
             self.free(client.number)
         for pod in self.pods:
-            pod.mode, pod.lag, pod.dials = ("good" if pod.mode != "silent" else "silent"), MS, COMES_UP
+            pod.mode, pod.lag, pod.dials = (
+                ("good" if pod.mode != "silent" else "silent"),
+                MS,
+                COMES_UP,
+            )
             self.pod_takes(self.pods.index(pod), None)
         self.dials_end(True)
         self.wait(1_000 * MS)
@@ -812,7 +988,11 @@
 
     def open(self):
         door = self.reactor.doors[-1]
-        if door.open and door.lets_in and len([one for one in self.clients if one.gone_at is None]) < 6:
+        if (
+            door.open
+            and door.lets_in
+            and len([one for one in self.clients if one.gone_at is None]) < 6
+        ):
             client = Client(self, len(self.clients))
             self.clients.append(client)
             door.queue.append(client.wire)
@@ -823,12 +1003,23 @@
         name = of.name if of else f"id{self.count}"
         lane = of.lane if of else LANES[lane % 3]
         left = TIMES[left % 3]
-        words = [b"SVC.QUERY" if lane == "read" else b"SVC.SUBMIT", b"k%d" % (key % 3), name.encode(),
-                 f"c={lane},t=x,d={left}".encode(), nonce.encode()]
+        words = [
+            b"SVC.QUERY" if lane == "read" else b"SVC.SUBMIT",
+            b"k%d" % (key % 3),
+            name.encode(),
+            f"c={lane},t=x,d={left}".encode(),
+            nonce.encode(),
+        ]
         return Asked("request", 0, name, nonce, lane, left, words), command(*words)
 
     def _put(self, client, asked, data):
-        if client is None or client.gone_at is not None or client.half or client.spoilt_at is not None or client.slow:
+        if (
+            client is None
+            or client.gone_at is not None
+            or client.half
+            or client.spoilt_at is not None
+            or client.slow
+        ):
             return
         client.begun_at = self.now if client.asked else client.opened_at
         before = client.out
@@ -862,7 +1053,13 @@
 
     def part(self, number, lane, left):
         client = self.client(number)
-        if client and client.gone_at is None and not client.half and client.spoilt_at is None and not client.slow:
+        if (
+            client
+            and client.gone_at is None
+            and not client.half
+            and client.spoilt_at is None
+            and not client.slow
+        ):
             asked, data = self._request(client, lane, left, 1)
             client.begun_at = self.now if client.asked else client.opened_at
             client.send(data[:9])
@@ -877,7 +1074,13 @@
 
     def garbage(self, number):
         client = self.client(number)
-        if client and client.gone_at is None and not client.half and client.spoilt_at is None and not client.slow:
+        if (
+            client
+            and client.gone_at is None
+            and not client.half
+            and client.spoilt_at is None
+            and not client.slow
+        ):
             client.send(b"what is this?\r\n")
             client.spoilt_at = self.now
 
@@ -901,7 +1104,9 @@
             return
         if client and client.gone_at is None:
             client.gone_at = self.now
-            unread = client.wire.budget is not None  # a window that is full is of bytes not read: closing resets
+            unread = (
+                client.wire.budget is not None
+            )  # a window that is full is of bytes not read: closing resets
             try:
                 unread |= bool(client.wire.far.recv(1, socket.MSG_PEEK))
             except OSError:
@@ -952,7 +1157,11 @@
         elif what == "restarted":
             pod.started, pod.state = self.now // 10, "Ready"
         elif what == "other build":
-            pod.build, pod.started, pod.state = 83 - pod.build if pod.build in (41, 42) else 42, self.now // 10, "Ready"
+            pod.build, pod.started, pod.state = (
+                83 - pod.build if pod.build in (41, 42) else 42,
+                self.now // 10,
+                "Ready",
+            )
         else:
             pod.state = what
         self.tell_pods([pod])
@@ -963,10 +1172,21 @@
 
     def built(self, status, cap):
         if status == "next":
-            self.news = {**self.news, "version": self.news["version"] + 1, "step": 0, "status": "trial"}
+            self.news = {
+                **self.news,
+                "version": self.news["version"] + 1,
+                "step": 0,
+                "status": "trial",
+            }
         else:
-            self.news = {**self.news, "status": status, "step": 1}  # of two stages, as the settings have it
-        self.news["maxWeight"] = {"rolling_back": 0.0, "withdrawn": 0.0, "released": 1.0}.get(status, cap)
+            self.news = {
+                **self.news,
+                "status": status,
+                "step": 1,
+            }  # of two stages, as the settings have it
+        self.news["maxWeight"] = {"rolling_back": 0.0, "withdrawn": 0.0, "released": 1.0}.get(
+            status, cap
+        )
         self.tell_news()
 
     def streams_are(self, mode):
@@ -1017,18 +1237,20 @@
 
 def smallest(starts, orders, error, tries=150):
     """Fewer of the orders that show the same; what a bounded search finds."""
+
     def shows(fewer):
         try:
             play(*starts, *fewer)
         except Exception as other:
             return re.sub(r"\d+", "", repr(other)) == re.sub(r"\d+", "", repr(error))
         return False
+
     orders, size = list(orders), max(1, len(orders) // 2)
     while tries > 0:
         at, before = 0, len(orders)
         while at < len(orders) and tries > 0:
             tries -= 1
-            fewer = orders[:at] + orders[at + size:]
+            fewer = orders[:at] + orders[at + size :]
             if shows(fewer):
                 orders = fewer
             else:
--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -17,7 +17,7 @@
 from thymeknot.gossip.terms import Peer, PeerKey
 
 READ, PAY = "c=read,t=acme,d=6000", "c=pay,t=acme,d=6000"
-LOOK = 0.03                     # seconds between two looks of the checker
+LOOK = 0.03  # seconds between two looks of the checker
 
 
 class Relay:
@@ -27,8 +27,8 @@
     def __init__(self, port):
         self.to, self.listener = port, socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        self.there = self.back = True           # whether bytes go from the asker, and to it
-        self.delay = 0.0                        # seconds for each piece
+        self.there = self.back = True  # whether bytes go from the asker, and to it
+        self.delay = 0.0  # seconds for each piece
         self.closed, self.wake = False, threading.Event()
         self.listener.setblocking(False)
         self.thread = threading.Thread(target=self._run, daemon=True)
@@ -53,6 +53,7 @@
                     except (KeyError, ValueError):
                         pass
                     side.close()
+
         while not self.closed:
             ready = watched.select(0.1)
             held = False
@@ -145,7 +146,9 @@
 
     def __init__(self, ports, threads=3):
         self.ports, self.closed, self.got, self.lock = ports, False, [], threading.Lock()
-        self.threads = [threading.Thread(target=self._run, args=(at,), daemon=True) for at in range(threads)]
+        self.threads = [
+            threading.Thread(target=self._run, args=(at,), daemon=True) for at in range(threads)
+        ]
         for thread in self.threads:
             thread.start()
 
@@ -159,7 +162,7 @@
                 one = socket.create_connection(("127.0.0.1", self.ports[name]), timeout=8)
             except OSError:
                 time.sleep(0.005)
-                continue                        # not taken: no transaction
+                continue  # not taken: no transaction
             with one:
                 answer = talk(one, what, words)
             with self.lock:
@@ -174,9 +177,12 @@
     def unanswered(self):
         """Transactions that did not get exactly one answer, be it a refusal: (id, sidecar, what came)."""
         with self.lock:
-            return [(what, name, answer) for what, name, _, answer in self.got
-                    if answer != b"$%d\r\n%s\r\n+PONG\r\n" % (len(what), what.encode())
-                    and not (answer.startswith((b"-BUSY", b"-ERR")) and answer.count(b"\r\n") == 2)]
+            return [
+                (what, name, answer)
+                for what, name, _, answer in self.got
+                if answer != b"$%d\r\n%s\r\n+PONG\r\n" % (len(what), what.encode())
+                and not (answer.startswith((b"-BUSY", b"-ERR")) and answer.count(b"\r\n") == 2)
+            ]
 
     def done(self):
         with self.lock:
@@ -185,7 +191,11 @@
 
 def talk(one, what, words):
     """Sends one transaction and a PING behind it: what comes up to the PONG is its one answer."""
-    verb = ("SVC.QUERY", "k", what, words) if words == READ else ("SVC.SUBMIT", "k", what, words, "BODY")
+    verb = (
+        ("SVC.QUERY", "k", what, words)
+        if words == READ
+        else ("SVC.SUBMIT", "k", what, words, "BODY")
+    )
     answer = b""
     try:
         one.sendall(command(*verb) + command("PING"))
@@ -204,17 +214,29 @@
         self.names, self.most = [f"n{at}" for at in range(count)], most
         self.ran, self.slow, self.lock = [], threading.Event(), threading.Lock()
         self.pods = [PodPeer(self._answer) for _ in range(2)]
-        self.kept = [reserved() for _ in self.names]   # also while a process is killed and has not come back
+        self.kept = [
+            reserved() for _ in self.names
+        ]  # also while a process is killed and has not come back
         self.ports = {name: port for name, (_, port) in zip(self.names, self.kept)}
-        self.identities = {name: keys.new(name, os.path.join(self.folder.name, f"{name}.key"))
-                           for name in [*self.names, "op"]}
-        self.paths = {(one, two): Relay(self.ports[two]) for one in self.names for two in self.names if one != two}
+        self.identities = {
+            name: keys.new(name, os.path.join(self.folder.name, f"{name}.key"))
+            for name in [*self.names, "op"]
+        }
+        self.paths = {
+            (one, two): Relay(self.ports[two])
+            for one in self.names
+            for two in self.names
+            if one != two
+        }
         self.programs, self.checker, self.clients, self.askers = {}, None, None, []
         entries = [pod.entry(f"s-{at}") for at, pod in enumerate(self.pods)]
         try:
             for name in self.names:
-                self.programs[name] = Program(*entries, operator=lambda folder, name=name: self.text(name),
-                                              change=lambda told: told["settings"].update(balancers=count))
+                self.programs[name] = Program(
+                    *entries,
+                    operator=lambda folder, name=name: self.text(name),
+                    change=lambda told: told["settings"].update(balancers=count),
+                )
             for program in self.programs.values():
                 program.__enter__()
         except BaseException:
@@ -234,22 +256,38 @@
     def text(self, name):
         def place(other):
             return self.ports[other] if other == name else self.paths[name, other].port
-        keepers = ", ".join(f'{{name: "{one}", address: "127.0.0.1:{place(one)}", '
-                            f'keys: [{{key: "{self.identities[one].text()}"}}]}}' for one in self.names)
+
+        keepers = ", ".join(
+            f'{{name: "{one}", address: "127.0.0.1:{place(one)}", '
+            f'keys: [{{key: "{self.identities[one].text()}"}}]}}'
+            for one in self.names
+        )
         units = ", ".join(f'{{name: "{one}", kind: "sidecar", zone: "z"}}' for one in self.names)
-        units += ', {name: "p0", kind: "pod"}'     # nobody holds it and no budget binds it: it can be granted always
-        return (f'fleet: {{name: "{name}", key: "{self.folder.name}/{name}.key", data: "{self.folder.name}/{name}"\n'
-                f'founds: true, from: ["127.0.0.0/8"], keepers: [{keepers}]\n'
-                f'peers: [{keys.record(self.identities["op"])}]\n'
-                f'unit: "{name}", units: [{units}]\n'
-                f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: {self.most}}}]\n'
-                'bound: "1s", silent: "2s", permit: "4s", tick: "100ms"\n}\n')
+        units += ', {name: "p0", kind: "pod"}'  # nobody holds it and no budget binds it: it can be granted always
+        return (
+            f'fleet: {{name: "{name}", key: "{self.folder.name}/{name}.key", data: "{self.folder.name}/{name}"\n'
+            f'founds: true, from: ["127.0.0.0/8"], keepers: [{keepers}]\n'
+            f"peers: [{keys.record(self.identities['op'])}]\n"
+            f'unit: "{name}", units: [{units}]\n'
+            f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: {self.most}}}]\n'
+            'bound: "1s", silent: "2s", permit: "4s", tick: "100ms"\n}\n'
+        )
 
     def asker(self, *names, word="op"):
         """An operator's client, at these keepers alone or at all."""
-        ring = Ring([Peer(name, None, (PeerKey(one.text(), None),)) for name, one in self.identities.items()])
-        made = Asker(self.identities["op"], ring, {name: f"127.0.0.1:{self.ports[name]}"
-                                                   for name in names or self.names}, word, time.time_ns())
+        ring = Ring(
+            [
+                Peer(name, None, (PeerKey(one.text(), None),))
+                for name, one in self.identities.items()
+            ]
+        )
+        made = Asker(
+            self.identities["op"],
+            ring,
+            {name: f"127.0.0.1:{self.ports[name]}" for name in names or self.names},
+            word,
+            time.time_ns(),
+        )
         self.askers.append(made)
         return made
 
@@ -278,8 +316,12 @@
         """With its disk, on its own ports."""
         program = self.programs[name]
         former = program.process
-        program.process = subprocess.Popen(former.args, stdout=subprocess.PIPE, stderr=subprocess.PIPE,
-                                           env={**os.environ, "NODE_CONFIG": program.path})
+        program.process = subprocess.Popen(
+            former.args,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.PIPE,
+            env={**os.environ, "NODE_CONFIG": program.path},
+        )
         program.readers.pop().join()
         former.stdout.close()
         former.stderr.close()
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -11,8 +11,8 @@
 from tests.processes.rig import PAY, Checker, Fleet, talk
 from thymeknot.agreement import wire
 
-LONG = PAY.replace("d=6000", "d=15000")     # its time must not end before the test lets it go
-WITHIN = 15                     # seconds that a condition has to come about
+LONG = PAY.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
+WITHIN = 15  # seconds that a condition has to come about
 
 
 class Plays(unittest.TestCase):
@@ -20,7 +20,9 @@
         made = Fleet(3, most)
         self.addCleanup(made.close)
         self.op = made.asker()
-        self.until(lambda: self.status()["units"] == 3 and self.status()["out"] == 0, "the fleet stands")
+        self.until(
+            lambda: self.status()["units"] == 3 and self.status()["out"] == 0, "the fleet stands"
+        )
         self.until(lambda: not made.checker.out() and made.clients.done() > 20, "all serve")
         return made
 
@@ -38,7 +40,9 @@
         return self.op.read({"do": "status", "unit": unit}).get("state")
 
     def ask(self, unit, epoch=1):
-        return self.op.propose({"part": "turns", "do": "ask", "unit": unit, "plan": f"op-{unit}", "epoch": epoch})
+        return self.op.propose(
+            {"part": "turns", "do": "ask", "unit": unit, "plan": f"op-{unit}", "epoch": epoch}
+        )
 
     def back(self, unit):
         return self.op.propose({"part": "turns", "do": "back", "unit": unit})
@@ -54,14 +58,20 @@
 class Looks(unittest.TestCase):
     def test_those_are_out_together_who_were_so_at_one_moment(self):
         """In the order of a look: each "a" or "b" that answers, or not, at its turn."""
-        for turns, out in ((("a", "b"), ""), (("!a", "b"), "a"), (("a", "!b"), "b"), (("!a", "!b", "!a", "!b"), "ab"),
-                           (("!a", "!b", "a", "!b"), "b")):     # a came back before b went, or as the look went on
+        for turns, out in (
+            (("a", "b"), ""),
+            (("!a", "b"), "a"),
+            (("a", "!b"), "b"),
+            (("!a", "!b", "!a", "!b"), "ab"),
+            (("!a", "!b", "a", "!b"), "b"),
+        ):  # a came back before b went, or as the look went on
             checker, said = Checker.__new__(Checker), list(turns)
             checker.ports = {"a": "a", "b": "b"}
 
             def serves(port, said=said):
                 self.assertEqual(said[0].strip("!"), port)
                 return not said.pop(0).startswith("!")
+
             checker.serves = serves
             self.assertEqual((checker._look(), said), (frozenset(out), []))
 
@@ -102,19 +112,30 @@
         def kept(*told):
             taken.append(seal(*told))
             return taken[-1]
+
         with patch.object(wire, "sealed", kept):
             good.once("n0", wire.READ, {"query": {"do": "status"}})
-        for kind, why in (("replayed", "came before"), ("replayed", "another connection"), ("forged", "not signed")):
+        for kind, why in (
+            ("replayed", "came before"),
+            ("replayed", "another connection"),
+            ("forged", "not signed"),
+        ):
             if why == "another connection":
                 good.close()
-            told = taken[0] if kind == "replayed" else {**taken[0], "content": taken[0]["content"] + b"x"}
+            told = (
+                taken[0]
+                if kind == "replayed"
+                else {**taken[0], "content": taken[0]["content"] + b"x"}
+            )
             with patch.object(wire, "sealed", lambda *_, told=told: told):
                 self.assertRaisesRegex(wire.Bad, why, good.once, "n0", wire.READ, {})
             line = fleet.programs["n0"].logged("letter refused")
             self.assertEqual(line["kind"], kind)
-            time.sleep(1.05)                    # such a line is written once a second at most
+            time.sleep(1.05)  # such a line is written once a second at most
         with self.assertRaisesRegex(wire.Bad, "in the name of n1"):
-            good.once("n0", wire.PROPOSE, {"origin": "n1", "incarnation": 1, "number": 1, "command": {}})
+            good.once(
+                "n0", wire.PROPOSE, {"origin": "n1", "incarnation": 1, "number": 1, "command": {}}
+            )
         with socket.create_connection(("127.0.0.1", fleet.ports["n0"]), timeout=5) as one:
             one.sendall(b"GET / HTTP/1.1\r\n\r\n")
             try:
@@ -124,8 +145,20 @@
 
     def command(self, fleet, *words):
         """(exit code, what it says)."""
-        done = subprocess.run([sys.executable, "-m", "thymeknot", "--operator", fleet.programs["n2"].operator, "fleet",
-                               *words], capture_output=True, text=True, timeout=WITHIN)
+        done = subprocess.run(
+            [
+                sys.executable,
+                "-m",
+                "thymeknot",
+                "--operator",
+                fleet.programs["n2"].operator,
+                "fleet",
+                *words,
+            ],
+            capture_output=True,
+            text=True,
+            timeout=WITHIN,
+        )
         return done.returncode, done.stdout + done.stderr
 
     def by_commands(self, fleet):
@@ -147,9 +180,14 @@
         fleet = self.fleet()
         leader = self.op.leader
         gone, third = (name for name in fleet.names if name != leader)
-        slow, answer = socket.create_connection(("127.0.0.1", fleet.programs[gone].port), timeout=20), []
+        slow, answer = (
+            socket.create_connection(("127.0.0.1", fleet.programs[gone].port), timeout=20),
+            [],
+        )
         self.addCleanup(slow.close)
-        taken = threading.Thread(target=lambda: answer.append(talk(slow, "slow-1", LONG)), daemon=True)
+        taken = threading.Thread(
+            target=lambda: answer.append(talk(slow, "slow-1", LONG)), daemon=True
+        )
         taken.start()
         self.until(lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "a slow one is taken")
         self.assertTrue(self.ask(gone)["ok"])
@@ -185,7 +223,9 @@
         small = fleet.asker(alone, word="small")
         fleet.cut(alone)
         said = []
-        asking = threading.Thread(target=lambda: said.append(self.small_ask(small, alone)), daemon=True)
+        asking = threading.Thread(
+            target=lambda: said.append(self.small_ask(small, alone)), daemon=True
+        )
         asking.start()
         self.op = fleet.asker(one, other, word="large")
         self.until(lambda: alone in self.status().get("away", {}), "the cut one counts as out")
@@ -197,7 +237,10 @@
         self.assertEqual(fleet.checker.most_out(), 1)
         fleet.heal()
         self.back(one)
-        self.until(lambda: fleet.checker.out() == {other} or self.state(other) == "out", "healed: room for the other")
+        self.until(
+            lambda: fleet.checker.out() == {other} or self.state(other) == "out",
+            "healed: room for the other",
+        )
         self.back(other)
         self.until(lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home")
         self.assertLessEqual(fleet.checker.most_out(), 2)
@@ -205,8 +248,11 @@
 
     def small_ask(self, small, unit):
         from thymeknot.fleet.asking import Silent
+
         try:
-            return small.propose({"part": "turns", "do": "ask", "unit": unit, "plan": "small", "epoch": 1}, 4.0)
+            return small.propose(
+                {"part": "turns", "do": "ask", "unit": unit, "plan": "small", "epoch": 1}, 4.0
+            )
         except Silent:
             return "silent"
 
--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -13,7 +13,10 @@
     return {"votes": False, "reply": None, "outs": []}
 
 
-@given(parsers.parse("a fleet of {many:d} units in {zones:d} zones on a lossy network"), target_fixture="world")
+@given(
+    parsers.parse("a fleet of {many:d} units in {zones:d} zones on a lossy network"),
+    target_fixture="world",
+)
 def a_fleet(many, zones):
     world = World(many + zones, *fleet(zones, 4, many // zones // 4))
     assert world.declared["ok"]
@@ -31,7 +34,16 @@
 
 
 def release(world, waves, name="spring", build="new", **more):
-    return world.order(do="release", release=name, epoch=1, where={}, build=build, earlier="old", waves=waves, **more)
+    return world.order(
+        do="release",
+        release=name,
+        epoch=1,
+        where={},
+        build=build,
+        earlier="old",
+        waves=waves,
+        **more,
+    )
 
 
 def state(world, name="spring"):
@@ -40,6 +52,7 @@
 
 # Asking.
 
+
 @when(parsers.parse("{who} asks for all units of {label} {value} from the {end} on"))
 def ask_all(world, who, label, value, end):
     for name in sorted(some(world, label, value), reverse=end == "last"):
@@ -79,7 +92,11 @@
         assert world.order(do="cancel", unit=name)["ok"]
 
 
-@when(parsers.re(r"for (?P<seconds>\d+) seconds others of zone (?P<zone>\w+) go out and come back in turn"))
+@when(
+    parsers.re(
+        r"for (?P<seconds>\d+) seconds others of zone (?P<zone>\w+) go out and come back in turn"
+    )
+)
 def busy(world, story, seconds, zone):
     """Others ask again as soon as they are home, with all urgency there is."""
     names = [name for name in some(world, "zone", zone) if name != "unit-000"]
@@ -87,10 +104,13 @@
     def turn():
         for name in names:
             if world.seats[name].holder.state == "out":
-                world.act(world.seats[name], world.seats[name].holder.done(world.clock(world.seats[name])))
+                world.act(
+                    world.seats[name], world.seats[name].holder.done(world.clock(world.seats[name]))
+                )
             elif world.seats[name].holder.state == "in":
                 world.order(do="ask", unit=name, plan="crowd", epoch=1, urgency=0)
         world.after(SECOND, turn)
+
     turn()
     story["busy"] = int(seconds)
 
@@ -103,6 +123,7 @@
 
 # What happens to the fleet.
 
+
 @when(parsers.parse("{seconds:d} seconds pass"))
 def passes(world, seconds):
     world.run(seconds)
@@ -122,11 +143,15 @@
 
 @when(parsers.parse("{many:d} units crash for {seconds:d} seconds in the course of it"))
 def crash_course(world, many, seconds):
-    for number, name in enumerate(sorted(world.seats)[::len(world.seats) // many][:many]):
+    for number, name in enumerate(sorted(world.seats)[:: len(world.seats) // many][:many]):
         world.after((10 + 15 * number) * SECOND, lambda name=name: world.crash(name, seconds))
 
 
-@when(parsers.parse("all units with the new build crash for {seconds:d} seconds and never get warm again"))
+@when(
+    parsers.parse(
+        "all units with the new build crash for {seconds:d} seconds and never get warm again"
+    )
+)
 def crash_new(world, seconds):
     world.sick = "new"
     for name in world.builds("new"):
@@ -147,8 +172,10 @@
 def slow(world, seconds):
     carry = world.carry
     world.carry = lambda sender, to, call: (
-        world.after(seconds * SECOND, lambda: carry(sender, to, call)) if sender == "keepers"
-        else carry(sender, to, call))
+        world.after(seconds * SECOND, lambda: carry(sender, to, call))
+        if sender == "keepers"
+        else carry(sender, to, call)
+    )
 
 
 @when("all keepers are lost")
@@ -167,14 +194,18 @@
         for seat in world.seats.values():
             if seat.alive and seat.holder.state == "out":
                 world.act(seat, seat.holder.done(world.clock(seat)))
-            if (unit := world.keepers.machine.fleet.units[seat.name]).state == "asked" and world.keepers.up:
+            if (
+                unit := world.keepers.machine.fleet.units[seat.name]
+            ).state == "asked" and world.keepers.up:
                 world.order(do="cancel", unit=unit.name)
         world.after(SECOND, home)
+
     home()
 
 
 # Releases and halts.
 
+
 @when(parsers.re(r"a release in waves of (?P<waves>[\d., and]+) begins"))
 def begin(world, waves):
     shares = [float(part) for part in waves.replace("and", ",").replace(" ", "").split(",") if part]
@@ -193,6 +224,7 @@
         if known.state == "going" and done >= known.waves[known.wave]:
             world.order(do="vote", release="spring", epoch=1, wave=known.wave, verdict="on")
         world.after(SECOND, vote)
+
     vote()
 
 
@@ -203,6 +235,7 @@
             if halt.cause == "crashes":
                 world.order(do="resume", halt=number)
         world.after(5 * SECOND, resume)
+
     resume()
 
 
@@ -229,7 +262,9 @@
 
 @when("one unit of it will say that its disk is gone")
 def lame(world, story):
-    name = next(name for name, seat in world.seats.items() if seat.holder.state in ("draining", "out"))
+    name = next(
+        name for name, seat in world.seats.items() if seat.holder.state in ("draining", "out")
+    )
     world.seats[name].lame, story["lame"] = "its disk is gone", name
 
 
@@ -255,13 +290,19 @@
 
 @when("the class pay is served too little in zone z0")
 def served(world):
-    reply = world.order(do="halt", by="class pay", why="9 of 10 in time, 95 of 100 are due", cause="class",
-                        where={"zone": "z0", "lane": "pay"})
+    reply = world.order(
+        do="halt",
+        by="class pay",
+        why="9 of 10 in time, 95 of 100 are due",
+        cause="class",
+        where={"zone": "z0", "lane": "pay"},
+    )
     world.outside.halted(reply["halt"], world.now, set(some(world, "zone", "z0")))
 
 
 # What is seen.
 
+
 @then("no rule was broken")
 def unbroken(world):
     assert world.outside.breaches == []
@@ -269,20 +310,33 @@
 
 @then(parsers.parse("{many:d} units of {label} {value} are out"))
 def are_out(world, many, label, value):
-    assert len([name for name in some(world, label, value) if not world.seats[name].serving]) == many
+    assert (
+        len([name for name in some(world, label, value) if not world.seats[name].serving]) == many
+    )
 
 
 @then(parsers.parse("at most {many:d} unit of {label} {value} is out or cut off"))
 def at_most(world, many, label, value):
     cut = {name for pair in world.cuts for name in pair}
-    assert len([name for name in some(world, label, value)
-                if not world.seats[name].serving or name in cut]) <= many
+    assert (
+        len(
+            [
+                name
+                for name in some(world, label, value)
+                if not world.seats[name].serving or name in cut
+            ]
+        )
+        <= many
+    )
 
 
 @then("whoever waits is told a budget and the units in its way")
 def told_why(world):
     waiting = [one for one in world.order(do="status")["away"].values() if one["state"] == "asked"]
-    asked = [world.order(do="status", unit=name) for name, unit in world.keepers.machine.fleet.asked.items()]
+    asked = [
+        world.order(do="status", unit=name)
+        for name, unit in world.keepers.machine.fleet.asked.items()
+    ]
     assert asked and len(waiting) == len(asked)
     for one in asked:
         assert "budget" in one["waits"] and any(name.startswith("unit-") for name in one["by"]), one
@@ -315,13 +369,18 @@
 
 @then("the keepers know who is out")
 def know(world):
-    assert world.until(lambda: world.order(do="status")["out"] == len(world.seats) - len(world.serving()), 30)
+    assert world.until(
+        lambda: world.order(do="status")["out"] == len(world.seats) - len(world.serving()), 30
+    )
 
 
 @then(parsers.parse("no unit of zone {zone} that lives is out"))
 def none_out(world, zone):
-    assert [name for name in some(world, "zone", zone)
-            if world.seats[name].alive and not world.seats[name].serving] == []
+    assert [
+        name
+        for name in some(world, "zone", zone)
+        if world.seats[name].alive and not world.seats[name].serving
+    ] == []
 
 
 @then(parsers.parse("unit-000 was out within {seconds:d} seconds"))
@@ -377,7 +436,9 @@
 
 @then("nothing went out after the bound")
 def nothing_after(world, story):
-    assert [one for one in world.outside.goings if one[0] > story["halted"] + world.outside.bound] == []
+    assert [
+        one for one in world.outside.goings if one[0] > story["halted"] + world.outside.bound
+    ] == []
 
 
 @then("a halt names a budget and who broke it")
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -41,9 +41,18 @@
 QUICK = (0, i.DONE, 1_500, 8)
 # What an instance of a crowd met: outcomes, what waits in hand, for how long it has had traffic -> what share it takes.
 CASES = {
-    "one request a second, one of them slow":
-        ([*((at * SECOND, i.DONE, 1_800, 1) for at in range(10, 0, -1)), (0, i.DONE, 4_500, 1)], (), 20, ALL),
-    "one request a second and slow answers": ([(SECOND, i.DONE, 9_000, 1), (0, i.DONE, 9_000, 1)], (), 20, SOME),
+    "one request a second, one of them slow": (
+        [*((at * SECOND, i.DONE, 1_800, 1) for at in range(10, 0, -1)), (0, i.DONE, 4_500, 1)],
+        (),
+        20,
+        ALL,
+    ),
+    "one request a second and slow answers": (
+        [(SECOND, i.DONE, 9_000, 1), (0, i.DONE, 9_000, 1)],
+        (),
+        20,
+        SOME,
+    ),
     "five open where one is the mean": ([QUICK, (SECOND, *QUICK[1:])], [0] * 5, 20, ALL),
     "forty open where one is the mean": ([QUICK, (SECOND, *QUICK[1:])], [0] * 40, 20, NONE),
     "restarted into a burst with nothing known": ([], [0] * 50, 0.5, ALL),
@@ -56,10 +65,18 @@
     "a true overload at the same traffic": ([(0, i.DONE, 9_000, 10)], (), 20, HALF),
     "silence, before its time-outs come": ([(0, i.DONE, 3_000, 2)], [6_000] * 6, 20, NONE),
     "a storm, now": ([(0, i.DONE, 15_000, 30), (0, i.FULL, 50, 30)], (), 20, HALF),
-    "a storm three seconds ago and no answer since":
-        ([(3 * SECOND, i.DONE, 15_000, 30), (3 * SECOND, i.FULL, 50, 30)], (), 20, ALL),
-    "an overload of a minute":
-        ([(at * SECOND // 10, i.DONE, 9_000, 1) for at in range(600, -1, -1)], (), 60, (0.05, 0.95)),
+    "a storm three seconds ago and no answer since": (
+        [(3 * SECOND, i.DONE, 15_000, 30), (3 * SECOND, i.FULL, 50, 30)],
+        (),
+        20,
+        ALL,
+    ),
+    "an overload of a minute": (
+        [(at * SECOND // 10, i.DONE, 9_000, 1) for at in range(600, -1, -1)],
+        (),
+        60,
+        (0.05, 0.95),
+    ),
     "the worst there is": ([(0, i.DONE, 400_000, 500)], (), 20, (0.08, 0.5)),
 }
 
@@ -69,7 +86,13 @@
         for name, (outcomes, waiting, since, (least, most)) in CASES.items():
             made, chance = fed(Admission(MANY), outcomes), Chance(5)
             held, since = [Open(ago) for ago in waiting], int(since * SECOND)
-            share = sum(made.refused(NOW, READ, held, since, 10, chance.draw) is None for _ in range(400)) / 400
+            share = (
+                sum(
+                    made.refused(NOW, READ, held, since, 10, chance.draw) is None
+                    for _ in range(400)
+                )
+                / 400
+            )
             with self.subTest(name):
                 self.assertTrue(least <= share <= most, share)
 
@@ -78,41 +101,74 @@
         self.assertIsNone(loud.refused(NOW, READ, (), 20 * SECOND, 500, lambda: 1.0))
         few, many = (fed(Admission(TERMS._replace(balancers=count)), [QUICK]) for count in (3, 200))
         held = [Open(0)] * 20
-        self.assertEqual(few.limit(NOW, READ, 20 * SECOND), few.refused(NOW, READ, held, 20 * SECOND, 10, None)[2])
-        self.assertLess(many.limit(NOW, READ, 20 * SECOND), many.refused(NOW, READ, held, 20 * SECOND, 10, None)[2])
+        self.assertEqual(
+            few.limit(NOW, READ, 20 * SECOND),
+            few.refused(NOW, READ, held, 20 * SECOND, 10, None)[2],
+        )
+        self.assertLess(
+            many.limit(NOW, READ, 20 * SECOND),
+            many.refused(NOW, READ, held, 20 * SECOND, 10, None)[2],
+        )
 
     @settings(max_examples=60, deadline=None)
-    @given(some.lists(some.tuples(some.just(0), some.sampled_from([i.DONE, i.FULL, i.EXPIRED, i.UNCONNECTED]),
-                                  some.integers(1, 60_000), some.just(1)), max_size=40))
+    @given(
+        some.lists(
+            some.tuples(
+                some.just(0),
+                some.sampled_from([i.DONE, i.FULL, i.EXPIRED, i.UNCONNECTED]),
+                some.integers(1, 60_000),
+                some.just(1),
+            ),
+            max_size=40,
+        )
+    )
     def test_all_lapses_and_what_can_not_tip_the_bound_is_not_looked_at(self, outcomes):
         made, held = fed(Admission(MANY), outcomes), [Open(9_000)] * 7
-        plain = fed(Admission(MANY), [*outcomes, (0, i.FULL, 50, 7)])  # the seven counted in any case
+        plain = fed(
+            Admission(MANY), [*outcomes, (0, i.FULL, 50, 7)]
+        )  # the seven counted in any case
         self.assertAlmostEqual(made.pressure(NOW, held), plain.pressure(NOW, ()))
         self.assertLessEqual(made.pressure(NOW + 3 * SECOND, ()), 1.0)
 
 
 class InTheDecisions(unittest.TestCase):
     def test_a_build_that_is_slow_on_trial_sheds_nothing(self):
-        for phase, queues in ((i.ON_TRIAL, False), (i.RELEASED, True)):  # released, it is what there is
+        for phase, queues in (
+            (i.ON_TRIAL, False),
+            (i.RELEASED, True),
+        ):  # released, it is what there is
             made = made_of(pod("old-1"), pod("new-1", 2), told=news(cap=1.0), balancers=200)
             made.handle(NOW, [news(phase=phase, cap=1.0)])
             for at in range(30):
-                made._learn(type("Tx", (), {"lane": READ, "key": f"k{at}"}), made.pods["new-1"],
-                            ended(f"t{at}", i.DONE, "new-1", closed=True, latency=20_000))
+                made._learn(
+                    type("Tx", (), {"lane": READ, "key": f"k{at}"}),
+                    made.pods["new-1"],
+                    ended(f"t{at}", i.DONE, "new-1", closed=True, latency=20_000),
+                )
             self.assertEqual(made.admission.pressure(NOW, ()) > 1.0, queues)
 
     def test_turned_away_with_its_reason_and_the_time_to_come_back(self):
         told, made = [], made_of(balancers=200)
         made.say = lambda name, reason, *operands: told.append(reason)
         fed(made.admission, [(0, i.DONE, 400_000, 500)])
-        deferred = [one for at in range(20) for one in made.handle(NOW, [taken(f"t{at}")]) if type(one) is i.Defer]
+        deferred = [
+            one
+            for at in range(20)
+            for one in made.handle(NOW, [taken(f"t{at}")])
+            if type(one) is i.Defer
+        ]
         self.assertTrue(deferred and all(one.wait > 0 for one in deferred))
         self.assertIn(Reason.BY_LOT, told)
 
     def test_on_is_withdrawn_while_on_trial_and_not_once_released(self):
         for phase, votes in ((i.ON_TRIAL, 1), (i.RELEASED, 0)):
             made = made_of(told=news(4, cap=1.0))
-            made.vote, made.vote_at, made.ask_at, made.news = (2, 4, i.ON), NOW, NOW, news(4, phase, 1.0)
+            made.vote, made.vote_at, made.ask_at, made.news = (
+                (2, 4, i.ON),
+                NOW,
+                NOW,
+                news(4, phase, 1.0),
+            )
             made.doubt, made.actions = 0.7, []
             made._cast()
             self.assertEqual(kinds(made.actions).count(i.Vote), votes, phase)
@@ -132,6 +188,7 @@
 
 class Days(unittest.TestCase):
     """Small days of the laboratory; figures with intervals: make measure-fleet."""
+
     SIZE = {"instances": 30, "pods": 18, "seconds": 20, "load": 0.45}
 
     def played(self, kind, policy=balancer, seed=2, **more):
@@ -143,7 +200,9 @@
         (now, _), (before, _) = (self.played("calm", one, good=False) for one in (balancer, was))
         self.assertLess(now.needless()[1], 0.05)
         self.assertGreater(before.needless()[1], 2 * now.needless()[1])
-        (now, end), (before, _) = (self.played("overload", one, good=False) for one in (balancer, was))
+        (now, end), (before, _) = (
+            self.played("overload", one, good=False) for one in (balancer, was)
+        )
         self.assertGreater(now.needless(8, 14)[0], 0.1)
         self.assertGreater(now.service(), before.service() - 0.05)
         self.assertLessEqual(now.recovered(end), 5)
@@ -161,7 +220,10 @@
         self.assertEqual(now.checker.rules_broken(), [])
 
     def test_a_bad_build_seen_by_quiet_instances_alone_is_not_kept(self):
-        found = [crowd_played(("now", "calm", seed, {**self.SIZE, "good": False, "seconds": 30})) for seed in (2, 4)]
+        found = [
+            crowd_played(("now", "calm", seed, {**self.SIZE, "good": False, "seconds": 30}))
+            for seed in (2, 4)
+        ]
         self.assertEqual([one["bad_kept"] for one in found], [False, False])
 
     def test_a_zone_that_is_lost_does_not_shut_the_rest(self):
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -11,7 +11,17 @@
 from thymeknot.agreement import interface as say
 from thymeknot.agreement.core import LEADER, LEARNER, STEPS, STOPPED, Keeper
 from thymeknot.agreement.explorer import BROKEN, FOCUS, Register, explore, search
-from thymeknot.agreement.interface import Append, Ask, Members, Received, Recovered, Send, Stored, TimerDue, Vote
+from thymeknot.agreement.interface import (
+    Append,
+    Ask,
+    Members,
+    Received,
+    Recovered,
+    Send,
+    Stored,
+    TimerDue,
+    Vote,
+)
 from thymeknot.agreement.log import Log, founded
 from thymeknot.agreement.machine import Parts, Sessions
 from thymeknot.agreement.store import Damaged, Files, Store
@@ -23,7 +33,11 @@
 
 
 def sent(effects, kind=None):
-    return [(one.peer, one.message) for one in effects if type(one) is Send and (not kind or type(one.message) is kind)]
+    return [
+        (one.peer, one.message)
+        for one in effects
+        if type(one) is Send and (not kind or type(one.message) is kind)
+    ]
 
 
 def of(effects, kind):
@@ -35,8 +49,12 @@
 
     def __init__(self, names="abc", terms=TERMS, more=""):
         self.now, self.gone, self.told = 0, set(), []
-        self.all = {name: Keeper(name, names, terms, Chance(at), Recovered(0 if name in names else 7), Register(), 0)
-                    for at, name in enumerate(names + more)}
+        self.all = {
+            name: Keeper(
+                name, names, terms, Chance(at), Recovered(0 if name in names else 7), Register(), 0
+            )
+            for at, name in enumerate(names + more)
+        }
 
     def tell(self, name, event):
         waiting = [(name, event)]
@@ -47,7 +65,9 @@
                 effects.append(one)
                 if type(one) is say.Persist:
                     waiting.append((name, Stored(one.upto)))
-                elif type(one) is Send and not {name, one.peer} & self.gone and one.peer in self.all:
+                elif (
+                    type(one) is Send and not {name, one.peer} & self.gone and one.peer in self.all
+                ):
                     waiting.append((one.peer, Received(name, one.message)))
         self.told += effects
         return effects
@@ -88,14 +108,20 @@
         self.assertEqual(of(effects, say.Answered), [say.Answered("t", {"ok": True, "place": 1})])
         fleet.pass_time(600)
         self.assertEqual([one.machine.order for one in fleet.all.values()], [[1]] * 3)
-        self.assertEqual(of(fleet.tell("a", say.ReadAsked("r")), say.ReadReady), [say.ReadReady("r", 2)])
-        self.assertEqual(of(fleet.propose("b", 2), say.Refused), [say.Refused("t", "does not lead", 0, "a")])
+        self.assertEqual(
+            of(fleet.tell("a", say.ReadAsked("r")), say.ReadReady), [say.ReadReady("r", 2)]
+        )
+        self.assertEqual(
+            of(fleet.propose("b", 2), say.Refused), [say.Refused("t", "does not lead", 0, "a")]
+        )
 
     def test_one_keeper_alone_starts_again(self):
         fleet = Fleet("a")
         fleet.lead()
         fleet.propose("a", 1)
-        self.assertEqual(of(fleet.tell("a", say.ReadAsked("r")), say.ReadReady), [say.ReadReady("r", 2)])
+        self.assertEqual(
+            of(fleet.tell("a", say.ReadAsked("r")), say.ReadReady), [say.ReadReady("r", 2)]
+        )
         kept = fleet.all["a"]
         stored = Recovered(0, kept.term, kept.vote, None, tuple(kept.log.entries))
         fleet.all["a"] = Keeper("a", "a", TERMS, Chance(2), stored, Register(), fleet.now)
@@ -114,7 +140,9 @@
         effects = keeper.handle(LEAST, Received("a", Ask(1, 0, 0, False, 0, 0, False)))
         self.assertEqual(sent(effects), [])
         upto = of(effects, say.Persist)[-1].upto
-        self.assertEqual(sent(keeper.handle(LEAST + 1, Stored(upto))), [("a", Vote(1, 0, False, True))])
+        self.assertEqual(
+            sent(keeper.handle(LEAST + 1, Stored(upto))), [("a", Vote(1, 0, False, True))]
+        )
         effects = keeper.handle(LEAST + 2, Received("c", Ask(1, 0, 0, False, 0, 0, False)))
         self.assertEqual(sent(effects), [("c", Vote(1, 0, False, False))])
 
@@ -154,16 +182,22 @@
         fleet.propose("a", 1)
         fleet.pass_time(LEAST + 1_000)
         self.assertNotEqual(fleet.all["a"].role, LEADER)
-        self.assertTrue(any(one.reason.startswith("unknown") for one in of(fleet.told, say.Refused)))
+        self.assertTrue(
+            any(one.reason.startswith("unknown") for one in of(fleet.told, say.Refused))
+        )
 
     def test_bounded(self):
         fleet = Fleet()
         fleet.lead()
         fleet.gone = {"b", "c"}
-        refused = [one for number in range(1, 9) for one in of(fleet.propose("a", number), say.Refused)]
+        refused = [
+            one for number in range(1, 9) for one in of(fleet.propose("a", number), say.Refused)
+        ]
         self.assertEqual(len(refused), 8 - TERMS.most_waiting)
         self.assertGreater(refused[0].again, 0)
-        self.assertIsNone(of(fleet.propose("a", 9, part="x", much="x" * 70_000), say.Refused)[0].again)
+        self.assertIsNone(
+            of(fleet.propose("a", 9, part="x", much="x" * 70_000), say.Refused)[0].again
+        )
 
     def test_learner_by_snapshot_then_voter_and_transfer(self):
         fleet = Fleet(more="d")
@@ -171,8 +205,12 @@
         for number in range(1, 30):
             fleet.propose("a", number)
         self.assertGreater(leader.log.base, 0)
-        self.assertIn("no learner", of(fleet.propose("a", 30, part="keepers", do="promote", name="d"),
-                                       say.Refused)[0].reason)
+        self.assertIn(
+            "no learner",
+            of(fleet.propose("a", 30, part="keepers", do="promote", name="d"), say.Refused)[
+                0
+            ].reason,
+        )
         fleet.propose("a", 31, part="keepers", do="add", name="d", life=7)
         self.assertEqual(fleet.all["d"].role, LEARNER)
         fleet.pass_time(600)
@@ -209,7 +247,9 @@
 
     def do(self, origin, incarnation, number):
         command = {"part": "register", "id": f"{origin}{incarnation}{number}"}
-        return self.sessions.apply(0, origin, incarnation, number, lambda at: self.sessions.machine.apply(at, command))
+        return self.sessions.apply(
+            0, origin, incarnation, number, lambda at: self.sessions.machine.apply(at, command)
+        )
 
     def test_once(self):
         self.assertEqual(self.do("a", 1, 5), self.do("a", 1, 5))
@@ -227,7 +267,11 @@
         self.assertIn("no part", Parts({}).apply(0, {"part": [1]})["refused"])
 
     @settings(max_examples=60, deadline=None, derandomize=True)
-    @given(st.lists(st.tuples(st.sampled_from(("append", "cut", "compact")), st.integers(1, 6)), max_size=30))
+    @given(
+        st.lists(
+            st.tuples(st.sampled_from(("append", "cut", "compact")), st.integers(1, 6)), max_size=30
+        )
+    )
     def test_log_against_a_list(self, steps):
         log, plain, done = Log(founded("a")), [], 0
         for term, (what, some) in enumerate(steps, 1):
@@ -237,13 +281,15 @@
                     log.append(plain[-1])
             elif what == "cut" and log.last - some >= done:
                 log.cut(log.last - some + 1)
-                del plain[len(plain) - some:]
+                del plain[len(plain) - some :]
             elif what == "compact" and log.last > done:
                 done = min(log.last, done + some)
                 last = plain[done - 1]
                 log.compact(say.Snapshot(done, last.term, last.at, log.members_at(done), b"x"), 2)
-            self.assertEqual(log.entries, plain[log.base:])
-            self.assertEqual((log.last, log.term(log.last)), (len(plain), plain[-1].term if plain else 0))
+            self.assertEqual(log.entries, plain[log.base :])
+            self.assertEqual(
+                (log.last, log.term(log.last)), (len(plain), plain[-1].term if plain else 0)
+            )
 
 
 class Faulty(Files):
@@ -256,7 +302,7 @@
         if self.full is not None and self.written + len(content) > self.full:
             raise OSError(errno.ENOSPC, "no space left on device")
         self.written += len(content)
-        return os.write(file, content[:self.short])
+        return os.write(file, content[: self.short])
 
 
 class Disks(unittest.TestCase):
@@ -277,10 +323,15 @@
         return store, opened
 
     def entries(self, *indices, term=1):
-        return [say.Entry(index, term, index, "o", 1, index, {"part": "x", "n": index}) for index in indices]
+        return [
+            say.Entry(index, term, index, "o", 1, index, {"part": "x", "n": index})
+            for index in indices
+        ]
 
     def segment(self):
-        return next(f"{self.folder}/{name}" for name in os.listdir(self.folder) if name.endswith(".seg"))
+        return next(
+            f"{self.folder}/{name}" for name in os.listdir(self.folder) if name.endswith(".seg")
+        )
 
     def filled(self):
         store, _ = self.open(True)
@@ -293,8 +344,13 @@
         for _ in range(2):
             store.close()
             store, opened = self.open()
-            self.assertEqual(opened, (Recovered(0, 1, "a", None, (*self.entries(1, 2), *self.entries(3, 4, term=2))),
-                                      ()))
+            self.assertEqual(
+                opened,
+                (
+                    Recovered(0, 1, "a", None, (*self.entries(1, 2), *self.entries(3, 4, term=2))),
+                    (),
+                ),
+            )
 
     def test_snapshot(self):
         store = self.filled()
