--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -37,19 +37,38 @@
     def test_a_refusal_makes_it_rarer_and_what_stands_makes_it_usual(self):
         pace = Pace(lambda: 0.5)
         for how, age, wait, state in (
-                (LOST, 0, 5_000, FRESH), (REFUSED, STEADY, 5_000, FRESH), (REFUSED, STEADY - 1, 20_000, TURNED_AWAY),
-                (REFUSED, 0, 40_000, TURNED_AWAY), (REFUSED, 0, 60_000, TURNED_AWAY), (REFUSED, 0, 60_000, TURNED_AWAY),
-                (LOST, 0, 60_000, TURNED_AWAY), (STOOD, 0, 5_000, FRESH), (REFUSED, 0, 20_000, TURNED_AWAY),
-                (STOOD, 0, 5_000, FRESH), (SPOILT, 0, 5_000, WARNED), (LOST, 0, 5_000, WARNED),
-                (SPOILT, STEADY, 5_000, FRESH), (SPOILT, 0, 5_000, WARNED), (STOOD, 0, 5_000, FRESH),
-                (SPOILT, 0, 5_000, WARNED), (SPOILT, STEADY - 1, 20_000, TURNED_AWAY),
-                (SPOILT, 0, 40_000, TURNED_AWAY), (STOOD, 0, 5_000, FRESH), (SPOILT, 0, 5_000, WARNED),
-                (REFUSED, 0, 20_000, TURNED_AWAY)):
+            (LOST, 0, 5_000, FRESH),
+            (REFUSED, STEADY, 5_000, FRESH),
+            (REFUSED, STEADY - 1, 20_000, TURNED_AWAY),
+            (REFUSED, 0, 40_000, TURNED_AWAY),
+            (REFUSED, 0, 60_000, TURNED_AWAY),
+            (REFUSED, 0, 60_000, TURNED_AWAY),
+            (LOST, 0, 60_000, TURNED_AWAY),
+            (STOOD, 0, 5_000, FRESH),
+            (REFUSED, 0, 20_000, TURNED_AWAY),
+            (STOOD, 0, 5_000, FRESH),
+            (SPOILT, 0, 5_000, WARNED),
+            (LOST, 0, 5_000, WARNED),
+            (SPOILT, STEADY, 5_000, FRESH),
+            (SPOILT, 0, 5_000, WARNED),
+            (STOOD, 0, 5_000, FRESH),
+            (SPOILT, 0, 5_000, WARNED),
+            (SPOILT, STEADY - 1, 20_000, TURNED_AWAY),
+            (SPOILT, 0, 40_000, TURNED_AWAY),
+            (STOOD, 0, 5_000, FRESH),
+            (SPOILT, 0, 5_000, WARNED),
+            (REFUSED, 0, 20_000, TURNED_AWAY),
+        ):
             self.assertEqual((pace.ended(how, age), pace.state), (wait, state))
 
-    @given(st.lists(st.tuples(st.sampled_from((REFUSED, LOST, SPOILT, STOOD)), st.integers(0, 10 * STEADY)),
-                    max_size=60),
-           st.integers(1, 2 ** 60), st.integers(1, 10_000))
+    @given(
+        st.lists(
+            st.tuples(st.sampled_from((REFUSED, LOST, SPOILT, STOOD)), st.integers(0, 10 * STEADY)),
+            max_size=60,
+        ),
+        st.integers(1, 2**60),
+        st.integers(1, 10_000),
+    )
     def test_it_is_asked_again_within_bounds_whatever_comes(self, ends, seed, asking):
         pace = Pace(Chance(seed).draw)
         self.assertTrue(0 <= pace.first(asking) <= SPREAD_MOST)
@@ -61,7 +80,9 @@
     """The laboratory's service as kept streams dial it."""
 
     def __init__(self, rate, clock):
-        self.deadlines = Deadlines(lambda: int(clock.seconds() * 10_000), clock.callLater, lambda *fault: None)
+        self.deadlines = Deadlines(
+            lambda: int(clock.seconds() * 10_000), clock.callLater, lambda *fault: None
+        )
         super().__init__(rate, self.deadlines.add, self.deadlines.clock)
         self.host = "discovery"
 
@@ -76,13 +97,24 @@
 
 class Askings(unittest.TestCase):
     def started(self, service, asking, seed):
-        stream = KeptStream(service, Chance(seed << 33), 10 ** 9, lambda: b"", lambda: lambda content: True,
-                            lambda *line, **fields: None, FIRST_WORD[True])
+        stream = KeptStream(
+            service,
+            Chance(seed << 33),
+            10**9,
+            lambda: b"",
+            lambda: lambda content: True,
+            lambda *line, **fields: None,
+            FIRST_WORD[True],
+        )
         stream.start_among(asking)
         return stream
 
     def test_forty_have_a_list_before_long_from_a_service_of_eight_calls_a_second(self):
-        for asking, seconds, kill_at, refused in ((40, 20, None, 80), (0, 30, None, 120), (40, 40, 20.0, 160)):
+        for asking, seconds, kill_at, refused in (
+            (40, 20, None, 80),
+            (0, 30, None, 120),
+            (40, 40, 20.0, 160),
+        ):
             clock = Clock()
             service = Overbooked(8, clock)
             streams = [self.started(service, asking, seed) for seed in range(1, 41)]
@@ -94,7 +126,9 @@
             self.assertEqual(sum(stream.stream is not None for stream in streams), 40)
             self.assertLess(service.refused, refused)
 
-    def test_all_that_start_at_once_have_a_list_of_a_service_that_takes_one_call_of_each_in_eight_seconds(self):
+    def test_all_that_start_at_once_have_a_list_of_a_service_that_takes_one_call_of_each_in_eight_seconds(
+        self,
+    ):
         for asking, rate, seconds, refused in ((60, 7.5, 17, 40), (200, 25, 22, 260)):
             clock = Clock()
             service = Overbooked(rate, clock)
@@ -119,29 +153,88 @@
 class Lists(unittest.TestCase):
     def test_which_lists_are_believed(self):
         for told, believed in (
-                ([("a", 7, True, 3), ("a", 7, True, 3), ("a", 9, False, 0), ("a", 8, True, 3)], [1, 1, 1, 0]),
-                ([("a", 7, True, 3), ("a", 6, True, 3), ("a", 6, True, 3), ("a", 7, True, 3)], [1, 0, 1, 1]),
-                ([("a", 7, True, 3), ("a", 7, True, 0), ("a", 7, True, 0), ("a", 6, True, 0)], [1, 0, 0, 0]),
-                ([("a", 7, True, 3), ("a", 8, True, 0), ("a", 9, True, 0), ("a", 9, True, 3)], [1, 0, 1, 1]),
-                ([("a", 7, True, 3), ("a", 8, True, 0), ("a", 8, True, 3), ("a", 9, True, 0)], [1, 0, 1, 0]),
-                ([("a", 7, True, 3), ("a", 8, True, 0), ("a", 7, True, 0), ("a", 8, False, 0), ("a", 9, True, 0)],
-                 [1, 0, 0, 1, 0]),
-                ([("a", 7, True, 3), ("a", 6, True, 3), ("a", 8, True, 0), ("a", 6, True, 3), ("a", 6, True, 3)],
-                 [1, 0, 0, 0, 1]),
-                ([("a", 7, True, 3), ("b", 9, True, 0), ("b", 9, True, 0), ("b", 10, True, 0), ("b", 10, True, 0)],
-                 [1, 0, 0, 0, 1]),
-                ([("a", 7, True, 3), ("a", 6, True, 3), ("a", 8, True, 3), ("a", 7, True, 3)], [1, 0, 1, 0]),
-                ([("a", 7, True, 3), ("b", 2, True, 3), ("b", 1, False, 1), ("a", 7, True, 3)], [1, 1, 1, 1])):
+            (
+                [("a", 7, True, 3), ("a", 7, True, 3), ("a", 9, False, 0), ("a", 8, True, 3)],
+                [1, 1, 1, 0],
+            ),
+            (
+                [("a", 7, True, 3), ("a", 6, True, 3), ("a", 6, True, 3), ("a", 7, True, 3)],
+                [1, 0, 1, 1],
+            ),
+            (
+                [("a", 7, True, 3), ("a", 7, True, 0), ("a", 7, True, 0), ("a", 6, True, 0)],
+                [1, 0, 0, 0],
+            ),
+            (
+                [("a", 7, True, 3), ("a", 8, True, 0), ("a", 9, True, 0), ("a", 9, True, 3)],
+                [1, 0, 1, 1],
+            ),
+            (
+                [("a", 7, True, 3), ("a", 8, True, 0), ("a", 8, True, 3), ("a", 9, True, 0)],
+                [1, 0, 1, 0],
+            ),
+            (
+                [
+                    ("a", 7, True, 3),
+                    ("a", 8, True, 0),
+                    ("a", 7, True, 0),
+                    ("a", 8, False, 0),
+                    ("a", 9, True, 0),
+                ],
+                [1, 0, 0, 1, 0],
+            ),
+            (
+                [
+                    ("a", 7, True, 3),
+                    ("a", 6, True, 3),
+                    ("a", 8, True, 0),
+                    ("a", 6, True, 3),
+                    ("a", 6, True, 3),
+                ],
+                [1, 0, 0, 0, 1],
+            ),
+            (
+                [
+                    ("a", 7, True, 3),
+                    ("b", 9, True, 0),
+                    ("b", 9, True, 0),
+                    ("b", 10, True, 0),
+                    ("b", 10, True, 0),
+                ],
+                [1, 0, 0, 0, 1],
+            ),
+            (
+                [("a", 7, True, 3), ("a", 6, True, 3), ("a", 8, True, 3), ("a", 7, True, 3)],
+                [1, 0, 1, 0],
+            ),
+            (
+                [("a", 7, True, 3), ("b", 2, True, 3), ("b", 1, False, 1), ("a", 7, True, 3)],
+                [1, 1, 1, 1],
+            ),
+        ):
             belief = Belief()
-            self.assertEqual([belief.doubt(*one, 3) is None for one in told], [bool(one) for one in believed], told)
+            self.assertEqual(
+                [belief.doubt(*one, 3) is None for one in told],
+                [bool(one) for one in believed],
+                told,
+            )
         self.assertIsNone(Belief().doubt("a", 1, True, 0, 0))  # with nothing known, nobody is news
 
     def test_a_list_that_would_take_all_that_is_known_ends_its_stream_alone(self):
-        for spoilt in (b'{"version":6,"full":true,"servers":[]}', b'{"version":6,"full":true,"servers":[}', b"nonsense",
-                       b'{"version":8,"full":true,"servers":[]}', b'{"version":8,"full":true}', b"\xff\x00",
-                       b'{"version":6,"full":true,"servers":[{"id":"s-9","addr":"127.0.0.1:9","state":"Ready"}]}'):
+        for spoilt in (
+            b'{"version":6,"full":true,"servers":[]}',
+            b'{"version":6,"full":true,"servers":[}',
+            b"nonsense",
+            b'{"version":8,"full":true,"servers":[]}',
+            b'{"version":8,"full":true}',
+            b"\xff\x00",
+            b'{"version":6,"full":true,"servers":[{"id":"s-9","addr":"127.0.0.1:9","state":"Ready"}]}',
+        ):
             network = Network(entry("s-1"))
-            stream, held = network.connect(0), (dict(network.sidecar.listed), network.sidecar.version)
+            stream, held = (
+                network.connect(0),
+                (dict(network.sidecar.listed), network.sidecar.version),
+            )
             stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             stream.dataReceived(b"%x\r\n%s\n\r\n" % (len(spoilt) + 1, spoilt))
             self.assertEqual((network.sidecar.listed, network.sidecar.version), held, spoilt)
@@ -154,8 +247,13 @@
 class Held(unittest.TestCase):
     def test_connections_are_used_again_refused_and_expire(self):
         some, line, other = Connections(1), (0, 1, "p"), (1, 1, "p")
-        for now, of, taken, good in ((0, line, True, True), (20, line, True, True), (40, other, False, None),
-                                     (40 + IDLE, other, True, False), (60 + IDLE, line, True, None)):
+        for now, of, taken, good in (
+            (0, line, True, True),
+            (20, line, True, True),
+            (40, other, False, None),
+            (40 + IDLE, other, True, False),
+            (60 + IDLE, line, True, None),
+        ):
             self.assertEqual(some.take(now, of, "p"), taken)
             if good is not None:
                 some.give(now + 10, of, "p", good)
--- a/tests/test_ends_clients.py
+++ b/tests/test_ends_clients.py
@@ -15,7 +15,14 @@
 from tests.helpers import command, reserved
 from tests.test_sidecar import ANSWER, Network, entry
 from thymeknot import interface as i
-from thymeknot.protocol.client import LINGERS, LOOKS, MAKES_ROOM, MOST_WAITING, SPEAKS_WITHIN, ClientConnection
+from thymeknot.protocol.client import (
+    LINGERS,
+    LOOKS,
+    MAKES_ROOM,
+    MOST_WAITING,
+    SPEAKS_WITHIN,
+    ClientConnection,
+)
 from thymeknot.sidecar import CLOSING, REST_WITHIN
 
 PING, PONG = command("PING"), b"+PONG\r\n"
@@ -85,14 +92,16 @@
         self.addCleanup(near.close)
         return near, connection
 
-    def test_a_request_that_waits_unread_as_the_last_answer_goes_out_is_answered_before_the_close(self):
+    def test_a_request_that_waits_unread_as_the_last_answer_goes_out_is_answered_before_the_close(
+        self,
+    ):
         network = self.network()
         near, connection = self.opens(network)
         near.sendall(PING)
         connection.finish = lambda: None  # until it is told
         network.step()
         del connection.finish
-        near.sendall(PING)      # in the machine: the loop does not turn before the end is asked for
+        near.sendall(PING)  # in the machine: the loop does not turn before the end is asked for
         connection.finish()
         network.step()
         network.pass_on(2 * LINGERS)
@@ -114,7 +123,7 @@
         network.step()
         connection.finish()
         network.step()
-        near.sendall(PING)      # sending has ended: its client reads that, and asks elsewhere
+        near.sendall(PING)  # sending has ended: its client reads that, and asks elsewhere
         network.step()
         self.assertEqual(all_of(near), PONG)
         network.pass_on(2 * LINGERS)
@@ -131,8 +140,10 @@
         self.assertEqual(all_of(near), PONG)
 
     def test_an_error_behind_good_commands_is_told_whatever_comes_behind_it(self):
-        for wrong, why in ((b"nonsense\r\n", b"neither an array nor a string begins here"),
-                           (b"*1\r\n*1\r\n", b"an array in a command")):
+        for wrong, why in (
+            (b"nonsense\r\n", b"neither an array nor a string begins here"),
+            (b"*1\r\n*1\r\n", b"an array in a command"),
+        ):
             network = self.network()
             near, connection = self.opens(network)
             near.sendall(PING + wrong)
@@ -178,8 +189,10 @@
             network.pass_on(2 * LOOKS)
             self.assertEqual(len(network.sidecar.transactions), 0)
             dialled = len(network.dialled())
-            self.assertEqual([network.connect(at - dialled).transport.value() for at in range(dialled)],
-                             [b""] * dialled)
+            self.assertEqual(
+                [network.connect(at - dialled).transport.value() for at in range(dialled)],
+                [b""] * dialled,
+            )
 
     def test_half_a_command_whose_rest_is_not_read_yet_is_not_ended_for_being_late(self):
         network = self.network(*(entry(f"s-{at}") for at in range(9)))
@@ -188,7 +201,9 @@
         network.step()
         near.sendall(PING[5:])
         network.pass_on(SPEAKS_WITHIN + 10)
-        self.assertEqual((connection.reading, connection.sound, connection.parser.held), (False, True, 5))
+        self.assertEqual(
+            (connection.reading, connection.sound, connection.parser.held), (False, True, 5)
+        )
         for _ in range(9):
             network.pass_on(5_000)  # the time of what is in hand is over
         near.shutdown(socket.SHUT_WR)
@@ -201,13 +216,15 @@
         near, connection = self.opens(network)
         near.sendall(PING[:5])
         network.step()
-        near.sendall(PING[5:])      # in the machine: the loop does not turn before the deadline
+        near.sendall(PING[5:])  # in the machine: the loop does not turn before the deadline
         connection._says_nothing()
         network.step()
         network.pass_on(2 * LOOKS)
         self.assertEqual(near.recv(99), PONG)
 
-    def test_one_that_never_spoke_is_closed_without_a_word_or_its_client_takes_that_for_an_answer(self):
+    def test_one_that_never_spoke_is_closed_without_a_word_or_its_client_takes_that_for_an_answer(
+        self,
+    ):
         for speaks in (False, True):
             network = self.network()
             near, connection = self.opens(network)
@@ -217,7 +234,9 @@
                 connection._says_nothing()
             network.pass_on(200)
             network.pass_on(2 * LINGERS)
-            self.assertEqual((near.recv(99), len(network.sidecar.clients)), (PONG, 1) if speaks else (b"", 0))
+            self.assertEqual(
+                (near.recv(99), len(network.sidecar.clients)), (PONG, 1) if speaks else (b"", 0)
+            )
 
     def test_a_copy_that_is_read_before_the_end_of_the_firsts_connection_takes_its_place(self):
         """Its client has closed that connection, and asks on another: the loop may come to this one first, or does not
@@ -228,7 +247,7 @@
         network.step()
         pod = network.connect()
         pod.resumeProducing()
-        first.close()               # the loop does not turn before the copy is read
+        first.close()  # the loop does not turn before the copy is read
         second = network.ask("01")
         self.assertEqual(second.transport.value(), b"")
         network.connect().resumeProducing()
@@ -255,7 +274,7 @@
             pod = network.connect()
             pod.resumeProducing()
             pod.dataReceived(ANSWER)
-            network.pass_on(200)    # it has rested: what is decided is written
+            network.pass_on(200)  # it has rested: what is decided is written
             sent = pod.transport.value()
             near, connection = self.opens(network)
             near.sendall(query("01") + query("02") + query("02"))
@@ -273,7 +292,7 @@
         network.step()
         pod = network.connect()
         pod.resumeProducing()
-        near.close()                # the loop has not turned since
+        near.close()  # the loop has not turned since
         pod.dataReceived(b"-ERR failed\r\n")
         self.assertEqual((len(network.dialled()), len(network.sidecar.transactions)), (1, 0))
         self.assertEqual(network.sidecar.balancer.open, {})
@@ -294,8 +313,8 @@
             near.sendall(PING)
             network.step()
             if not blocked:
-                connection.pauseProducing = lambda: None    # not noticed before
-            connection.transport.write(b"x" * (16 << 20))   # an answer, more than the machine holds
+                connection.pauseProducing = lambda: None  # not noticed before
+            connection.transport.write(b"x" * (16 << 20))  # an answer, more than the machine holds
             network.step()
             connection.give_way()
             network.pass_on(MAKES_ROOM - 100)
@@ -331,6 +350,7 @@
                 near.sendall(PING)
                 network.step(9)
                 return near.recv(99) == PONG
+
         self.assertTrue(takes())
         return network, takes
 
@@ -338,7 +358,9 @@
         network, takes = self.listening()
         said = []
         network.sidecar.drain(lambda: said.append("empty"))
-        network.sidecar.undrain(lambda: said.append("first back"), said.append)   # its listener is closing still
+        network.sidecar.undrain(
+            lambda: said.append("first back"), said.append
+        )  # its listener is closing still
         network.sidecar.drain(lambda: said.append("empty again"))
         self.assertFalse(takes())
         network.pass_on(1_000)
@@ -366,12 +388,15 @@
 
     def test_all_that_the_machine_has_accepted_is_taken_before_the_listener_closes(self):
         network, factory = self.network(), Factory()
-        factory.noisy, factory.buildProtocol = False, lambda address: ClientConnection(network.sidecar)
+        factory.noisy, factory.buildProtocol = (
+            False,
+            lambda address: ClientConnection(network.sidecar),
+        )
         port = network.sidecar.port = network.loop.listenTCP(0, factory, interface="127.0.0.1")
         address = "127.0.0.1", port.getHost().port
         first = socket.create_connection(address)
         self.addCleanup(first.close)
-        network.step(9)         # the port has learnt that one comes at a time
+        network.step(9)  # the port has learnt that one comes at a time
         crowd = [socket.create_connection(address, timeout=5) for _ in range(30)]
         for near in crowd:
             self.addCleanup(near.close)
@@ -391,10 +416,14 @@
         self.assertEqual(all_of(first), b"")
         self.assertEqual(emptied, [True])
 
-
-    def test_who_comes_between_the_last_one_taken_and_the_close_is_not_accepted_and_then_reset(self):
+    def test_who_comes_between_the_last_one_taken_and_the_close_is_not_accepted_and_then_reset(
+        self,
+    ):
         network, factory = self.network(), Factory()
-        factory.noisy, factory.buildProtocol = False, lambda address: ClientConnection(network.sidecar)
+        factory.noisy, factory.buildProtocol = (
+            False,
+            lambda address: ClientConnection(network.sidecar),
+        )
         port = network.sidecar.port = network.loop.listenTCP(0, factory, interface="127.0.0.1")
         address = "127.0.0.1", port.getHost().port
         network.sidecar.finish(lambda: None)
@@ -404,18 +433,20 @@
             near.settimeout(5)
         early.connect(address)
         early.sendall(PING)
-        network.reactor.advance(0)      # the last one is taken
+        network.reactor.advance(0)  # the last one is taken
         late.setblocking(False)
         late.connect_ex(address)
-        self.assertEqual(select.select([], [late], [], 0.2)[1], [])     # the machine lets nobody in
-        network.step(9)                 # the listener closes
+        self.assertEqual(select.select([], [late], [], 0.2)[1], [])  # the machine lets nobody in
+        network.step(9)  # the listener closes
         self.assertTrue(port.disconnected)
         network.pass_on(400)
         network.pass_on(2 * LINGERS)
         self.assertEqual(all_of(early), PONG)
         late.setblocking(True)
         late.settimeout(5)
-        self.assertEqual(select.select([], [late], [], 5)[1], [late])   # it asks once more in a second, and is told
+        self.assertEqual(
+            select.select([], [late], [], 5)[1], [late]
+        )  # it asks once more in a second, and is told
         self.assertEqual(late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), errno.ECONNREFUSED)
 
 
@@ -444,15 +475,19 @@
     def test_by_one_that_serves(self):
         network, crowd, most, _ = self.taken(False)
         self.assertLessEqual(most, network.sidecar.most_clients + CLOSING)
-        self.assertEqual({near.recv(99)[:1] for near in crowd}, {b"-"})     # its time is over: nothing else is there
+        self.assertEqual(
+            {near.recv(99)[:1] for near in crowd}, {b"-"}
+        )  # its time is over: nothing else is there
         self.assertFalse(network.sidecar.held_off)
 
     def test_by_one_that_ends(self):
         network, crowd, most, said = self.taken(True)
         self.assertLessEqual(most, network.sidecar.most_clients + CLOSING)
         self.assertEqual({all_of(near)[:1] for near in crowd}, {b"-"})
-        self.assertEqual((said, len(network.sidecar.clients), network.sidecar.drained.called), (["empty"], 0, True))
-
+        self.assertEqual(
+            (said, len(network.sidecar.clients), network.sidecar.drained.called),
+            (["empty"], 0, True),
+        )
 
     def test_one_that_is_new_keeps_its_place_before_one_that_is_idle(self):
         """Its first command is on its way, and a new connection that is closed without an answer counts as refused."""
@@ -462,7 +497,7 @@
             idle.dataReceived(PING)
             network.reactor.advance(waited)
             while not (new.closing or idle.closing):
-                network.client().places.append(None)    # in hand
+                network.client().places.append(None)  # in hand
             self.assertEqual([one.closing for one in (new, idle)], [at == goes for at in range(2)])
 
     def test_nor_does_a_crowd_close_it(self):
@@ -475,14 +510,16 @@
         network.client()
         self.assertTrue(any(one.closing for one in clients))
 
-
     def test_by_one_that_comes_back_before_its_drain_is_over(self):
         network = Real(entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         sidecar, network.reactor.listenTCP = network.sidecar, network.loop.listenTCP
         sidecar.start, said = sidecar.start._replace(listen=("127.0.0.1", 0)), []
         sidecar.serve()
-        crowd = [socket.create_connection(sidecar.port.socket.getsockname(), timeout=5) for _ in range(60)]
+        crowd = [
+            socket.create_connection(sidecar.port.socket.getsockname(), timeout=5)
+            for _ in range(60)
+        ]
         for at, near in enumerate(crowd):
             self.addCleanup(near.close)
             near.sendall(query(f"{at}", 300))
@@ -506,6 +543,7 @@
             near = socket.create_connection(address, timeout=5)
             self.addCleanup(near.close)
             near.sendall(query(f"{at}", 300))
+
         for at in range(60):
             comes(at)
         sidecar.finish(lambda: None)
@@ -527,7 +565,7 @@
         network.reactor.advance(0.6)
         network.reactor.advance(0)
         self.assertEqual([held.id for held in network.sidecar.transactions], ["01"])
-        network.ask("03", connection=client)   # the kill may come at any moment
+        network.ask("03", connection=client)  # the kill may come at any moment
         self.assertEqual([held.id for held in network.sidecar.transactions], ["01"])
         connection = network.connect(network.streams)
         connection.resumeProducing()
@@ -544,14 +582,19 @@
 
             def startReading(self):
                 self.on = True
+
         network = Network(entry("s-1"), sockets=64)
         network.sidecar.port = Port()
         clients = [network.ask(f"{at}") for at in range(network.sidecar.most_clients)]
-        self.assertEqual((len(network.sidecar.transactions) > 2, network.sidecar.port.on), (True, True))
+        self.assertEqual(
+            (len(network.sidecar.transactions) > 2, network.sidecar.port.on), (True, True)
+        )
         busy = [client for client in clients if client.places]
         for client in clients:
             if client not in busy:
-                client.dataReceived(command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9])
+                client.dataReceived(
+                    command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9]
+                )
                 client.transport.stale = True
         network.client()
         self.assertFalse(network.sidecar.port.on)
@@ -566,7 +609,9 @@
 
     def left(self, lane, written, recalls):
         network = Network(entry("s-1"), entry("s-2"))
-        network.sidecar.terms = network.sidecar.balancer.terms = network.sidecar.terms._replace(may_recall=recalls)
+        network.sidecar.terms = network.sidecar.balancer.terms = network.sidecar.terms._replace(
+            may_recall=recalls
+        )
         first = network.ask("01", lane=lane)
         connection = network.connect(network.streams)
         if written:
@@ -590,7 +635,9 @@
                 self.assertTrue(connection.transport.disconnected)
                 self.assertEqual((second.transport.value(), len(network.dialled())), (b"", 2))
                 second.connectionLost(None)
-                self.assertEqual((len(network.sidecar.transactions), network.sidecar.balancer.open), (0, {}))
+                self.assertEqual(
+                    (len(network.sidecar.transactions), network.sidecar.balancer.open), (0, {})
+                )
 
     def test_or_its_failure(self):
         network, connection, second = self.left("pay", True, False)
@@ -600,14 +647,21 @@
 
     def test_or_an_answer_at_its_own_end(self):
         network, _, second = self.left("pay", True, False)
-        network.sidecar._held("01").attempts[0].ends += 10 ** 6
+        network.sidecar._held("01").attempts[0].ends += 10**6
         network.sidecar.deadlines.cancel(network.sidecar._held("01").attempts[0].deadline)
         network.reactor.advance(5.1)
         network.reactor.advance(0)
         self.assertEqual(second.transport.value(), b"-ERR abandoned\r\n")
 
-    def test_where_the_first_was_recalled_one_that_may_have_run_is_not_run_again_while_it_may_be_asked_for(self):
-        for lane, written, dials in (("read", True, 2), ("pay", False, 2), ("pay", True, 1), ("mark", True, 1)):
+    def test_where_the_first_was_recalled_one_that_may_have_run_is_not_run_again_while_it_may_be_asked_for(
+        self,
+    ):
+        for lane, written, dials in (
+            ("read", True, 2),
+            ("pay", False, 2),
+            ("pay", True, 1),
+            ("mark", True, 1),
+        ):
             network, _, second = self.left(lane, written, True)
             self.assertEqual(len(network.dialled()), dials, (lane, written))
             self.assertEqual(second.transport.value()[:4], b"-ERR" if dials == 1 else b"")
@@ -632,15 +686,22 @@
         other, decide = network.ask("other"), network.sidecar.balancer.handle
 
         def handle(now, events):
-            if type(events[0]) is i.ClientLeft:  # another of its own ends at the same moment, and a new one comes
+            if (
+                type(events[0]) is i.ClientLeft
+            ):  # another of its own ends at the same moment, and a new one comes
                 last = network.sidecar._held("5")
-                for attempt in [attempt for attempt in last.attempts if attempt.out] if last else ():
+                for attempt in (
+                    [attempt for attempt in last.attempts if attempt.out] if last else ()
+                ):
                     attempt.give_up()
                 network.ask(f"new{events[0].id}")
             return decide(now, events)
+
         network.sidecar.balancer.handle = handle
         client.connectionLost(None)
-        self.assertEqual({held.id for held in network.sidecar.transactions} & {f"{at}" for at in range(6)}, set())
+        self.assertEqual(
+            {held.id for held in network.sidecar.transactions} & {f"{at}" for at in range(6)}, set()
+        )
         self.assertIn("other", {held.id for held in network.sidecar.transactions})
         self.assertEqual((network.faults, len(other.places)), ([], 1))
 
--- a/tests/test_ends_life.py
+++ b/tests/test_ends_life.py
@@ -11,7 +11,16 @@
 import unittest
 from unittest import mock
 
-from tests.helpers import PATIENCE, DiscoveryPeer, Program, begun_by, coded, patient, stands_still, until
+from tests.helpers import (
+    PATIENCE,
+    DiscoveryPeer,
+    Program,
+    begun_by,
+    coded,
+    patient,
+    stands_still,
+    until,
+)
 from tests.test_sockets import READ, WithPods, value
 from thymeknot.service import life
 from thymeknot.sidecar import Sidecar
@@ -19,9 +28,15 @@
 
 def settled(process):
     """Once nothing of a signal is pending: what it was sent has been delivered."""
+
     def pending():
         with open(f"/proc/{process.pid}/status", encoding="utf-8") as source:
-            return [line for line in source if line.startswith(("SigPnd", "ShdPnd")) and int(line.split()[1], 16)]
+            return [
+                line
+                for line in source
+                if line.startswith(("SigPnd", "ShdPnd")) and int(line.split()[1], 16)
+            ]
+
     until(lambda: not pending(), lambda: None)
 
 
@@ -42,6 +57,7 @@
                 if error.errno != errno.ENXIO:  # nobody reads yet
                     raise
                 time.sleep(0.005)
+
         until(lambda: opened, attempt)
         target = os.fdopen(opened[0], "wb", buffering=0)
         target.write(content if isinstance(content, bytes) else json.dumps(content).encode())
@@ -71,8 +87,12 @@
         running.process.send_signal(signal.SIGHUP)
         running.settled()
         running.end(first)
-        running.end(running.fill({**running.told, "discovery": new.address}))  # goes on only where it is read again
-        running.discovery.asked.put("perhaps never")  # it may move before it has asked at the former address
+        running.end(
+            running.fill({**running.told, "discovery": new.address})
+        )  # goes on only where it is read again
+        running.discovery.asked.put(
+            "perhaps never"
+        )  # it may move before it has asked at the former address
         running.__enter__()
         self.assertEqual(running.logged("configuration taken up")["discovery"], new.address)
         new.asked.get(timeout=PATIENCE)
@@ -108,6 +128,7 @@
         def change(told):
             host, _, port = told["listen"].rpartition(":")
             held.append(socket.create_server((host, int(port))))
+
         running = Program(change=change)
         self.addCleanup(running.__exit__)
         self.addCleanup(held[0].close)
@@ -140,18 +161,25 @@
             self.assertEqual((running.process.returncode, out, error), (-number, b"", b""))
 
     def test_sigterm_before_it_serves_ends_it_soon_with_nothing_taken(self):
-        for numbers in ([signal.SIGTERM], [signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGTERM]):
+        for numbers in (
+            [signal.SIGTERM],
+            [signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGTERM],
+        ):
             with patient():
                 running = Program(silent=True)
             self.addCleanup(running.__exit__)
-            running.discovery.asked.get(timeout=PATIENCE)  # it has begun, and waits for the first list
+            running.discovery.asked.get(
+                timeout=PATIENCE
+            )  # it has begun, and waits for the first list
             for number in numbers:
                 running.process.send_signal(number)
             out, error = running.process.communicate(timeout=PATIENCE)
             self.assertEqual((running.process.returncode, error), (0, b""))
             events = [json.loads(line)["event"] for line in out.splitlines()]
             # A watch that hears nothing may have been given up before the signal, too.
-            self.assertEqual([one for one in events if one != "stream ended"], ["stopping", "stopped"])
+            self.assertEqual(
+                [one for one in events if one != "stream ended"], ["stopping", "stopped"]
+            )
 
     def test_a_sighup_while_it_loads_does_not_end_it(self):
         """Sent to itself at the import of the module that reads the file, so before anything of the start."""
@@ -216,10 +244,11 @@
         def whole(content):
             heard.append(content)
             return bytes(content).endswith(b"\n")
+
         read = Sidecar._then(whole, lambda: heard.append("told"))
-        for content in (b'{"version"', b':9}\n', b"\n"):
+        for content in (b'{"version"', b":9}\n", b"\n"):
             read(memoryview(content))
-        self.assertEqual(heard, [b'{"version"', b':9}\n', "told", b"\n", "told"])
+        self.assertEqual(heard, [b'{"version"', b":9}\n", "told", b"\n", "told"])
 
     def test_a_silent_agent_is_waited_for_no_longer_than_the_bound(self):
         pod = self.pod()
@@ -230,6 +259,7 @@
     def test_lists_that_are_asked_for_are_not_waited_for(self):
         def change(told):
             told["settings"].update(discovery="subscribe", balancers=400)
+
         with patient():
             running = Program(change=change)
         self.addCleanup(running.__exit__)
@@ -247,6 +277,7 @@
         def answer(words):
             release.wait(PATIENCE)
             return value(words[2])
+
         pod = self.pod(answer)
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
@@ -273,17 +304,23 @@
         with stands_still():
             running = self.program(pod.entry("s-1"))
         with running.client() as first:
-            self.assertEqual(first.ask("PING"), b"+PONG")  # one came the last time: so many are taken at once
+            self.assertEqual(
+                first.ask("PING"), b"+PONG"
+            )  # one came the last time: so many are taken at once
             running.process.send_signal(signal.SIGTERM)
             running.stood_still()
-            begun = time.monotonic()                       # its end is set
+            begun = time.monotonic()  # its end is set
             clients = [running.client() for _ in range(30)]
             for number, client in enumerate(clients):
                 self.addCleanup(client.__exit__)
                 client.send("SVC.QUERY", "a", f"{number:02x}", READ)
-            time.sleep(max(0, begun + 2 * life.SERVES_ON - time.monotonic()))  # the end comes while it stands still
+            time.sleep(
+                max(0, begun + 2 * life.SERVES_ON - time.monotonic())
+            )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
-            self.assertEqual([client.answer() for client in clients], [b"%02x" % number for number in range(30)])
+            self.assertEqual(
+                [client.answer() for client in clients], [b"%02x" % number for number in range(30)]
+            )
         self.assertEqual(running.process.wait(PATIENCE), 0)
 
     def test_at_the_limit_of_descriptors_none_that_the_machine_accepted_is_closed_upon(self):
@@ -291,8 +328,10 @@
         limited = f"import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\nlife.FIRST_LIST = {PATIENCE}"
         for sockets, stops in ((64, False), (64, True), (256, False)):
             with begun_by(limited):
-                running = Program(silent=True, change=lambda told, sockets=sockets: told["limits"].update(
-                    sockets=sockets))
+                running = Program(
+                    silent=True,
+                    change=lambda told, sockets=sockets: told["limits"].update(sockets=sockets),
+                )
             self.addCleanup(running.__exit__)
             until(lambda running=running: running.discovery.streams, lambda: time.sleep(0.005))
             running.discovery.say("\n")
@@ -305,7 +344,9 @@
                 running.process.send_signal(signal.SIGTERM)
                 time.sleep(2 * life.SERVES_ON)  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
-            self.assertEqual([client.answer() for client in clients], [b"+PONG"] * 100, (sockets, stops))
+            self.assertEqual(
+                [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, stops)
+            )
 
     def test_the_features_of_one_that_stops_take_up_no_file(self):
         for stopping in (False, True):
@@ -313,8 +354,10 @@
             made.extra, made.sidecar, made.stopping = mock.Mock(), mock.Mock(), stopping
             with mock.patch.object(life.logs, "log"):
                 made._reconfigure()
-            self.assertEqual((made.extra.reconfigure.call_count, made.sidecar.reconfigure.call_count),
-                             (0 if stopping else 1, 1))
+            self.assertEqual(
+                (made.extra.reconfigure.call_count, made.sidecar.reconfigure.call_count),
+                (0 if stopping else 1, 1),
+            )
 
     def test_a_vote_that_is_out_does_not_hold_up_the_end(self):
         voted, release = queue.Queue(), threading.Event()
@@ -323,13 +366,29 @@
             voted.put(form)
             release.wait(PATIENCE)
             return 500, b""
-        pod = self.pod(lambda words: b"-ERR failed\r\n" if words[0] == b"SVC.SUBMIT" else value(words[2]))
-        running = self.program(pod.entry("s-1", 42), self.pod().entry("s-2"), answer=answer, news={
-            "version": 42, "step": 0, "status": "trial", "maxWeight": 1.0, "observedAgoMs": 60000})
+
+        pod = self.pod(
+            lambda words: b"-ERR failed\r\n" if words[0] == b"SVC.SUBMIT" else value(words[2])
+        )
+        running = self.program(
+            pod.entry("s-1", 42),
+            self.pod().entry("s-2"),
+            answer=answer,
+            news={
+                "version": 42,
+                "step": 0,
+                "status": "trial",
+                "maxWeight": 1.0,
+                "observedAgoMs": 60000,
+            },
+        )
         self.addCleanup(release.set)
         count = iter(range(100_000))
         with running.client() as client:
-            until(lambda: not voted.empty(), lambda: client.ask("SVC.QUERY", "a", f"{next(count):x}", READ))
+            until(
+                lambda: not voted.empty(),
+                lambda: client.ask("SVC.QUERY", "a", f"{next(count):x}", READ),
+            )
             running.process.send_signal(signal.SIGTERM)
             running.logged("stopping")
             self.assertEqual(client.answer(), b"")
@@ -342,11 +401,13 @@
         running = self.program()
         text = json.dumps({**running.told, "discovery": new.address})
         with open(running.path, "w", encoding="utf-8") as target:
-            target.write(text[:len(text) // 2])
+            target.write(text[: len(text) // 2])
             target.flush()
             running.process.send_signal(signal.SIGHUP)
-            self.assertRegex(running.logged("configuration kept")["error"], "^NODE_CONFIG: is no JSON")
-            target.write(text[len(text) // 2:])
+            self.assertRegex(
+                running.logged("configuration kept")["error"], "^NODE_CONFIG: is no JSON"
+            )
+            target.write(text[len(text) // 2 :])
         running.process.send_signal(signal.SIGHUP)
         self.assertEqual(running.logged("configuration taken up")["discovery"], new.address)
         new.asked.get(timeout=PATIENCE)
--- a/tests/test_ends_news.py
+++ b/tests/test_ends_news.py
@@ -10,14 +10,18 @@
 
 
 def event(build=42, step=0, status="trial", cap=0.5, ago=5):
-    text = (f"event: progress\ndata: version={build}&step={step}&status={status}&maxWeight={cap}"
-            f"&observedAgoMs={ago}\n\n").encode()
+    text = (
+        f"event: progress\ndata: version={build}&step={step}&status={status}&maxWeight={cap}"
+        f"&observedAgoMs={ago}\n\n"
+    ).encode()
     return b"%x\r\n%s\r\n" % (len(text), text)
 
 
 def reply(build=42, step=0, status="trial", cap=0.5, ago=5):
-    body = (f"<Response><entries><item><version>{build}</version><step>{step}</step><status>{status}</status>"
-            f"<maxWeight>{cap}</maxWeight><observedAgoMs>{ago}</observedAgoMs></item></entries></Response>").encode()
+    body = (
+        f"<Response><entries><item><version>{build}</version><step>{step}</step><status>{status}</status>"
+        f"<maxWeight>{cap}</maxWeight><observedAgoMs>{ago}</observedAgoMs></item></entries></Response>"
+    ).encode()
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
@@ -25,8 +29,15 @@
     def after(self, told, answered):
         """The state held once a vote's call was out for 0.2 s, the stream told this halfway, and then its answer
         came."""
-        network = Network(entry("s-1"), entry("s-2", build=42), version=42, step=0, status="trial", maxWeight=0.5,
-                          observedAgoMs=3000)
+        network = Network(
+            entry("s-1"),
+            entry("s-2", build=42),
+            version=42,
+            step=0,
+            status="trial",
+            maxWeight=0.5,
+            observedAgoMs=3000,
+        )
         stream = network.connect(1)
         stream.dataReceived(HEAD + event(ago=3000))
         network.sidecar._vote(i.Vote(42, 0, i.ON))
@@ -40,26 +51,34 @@
         network.sidecar.balancer._vote_answered = lambda news: votes.append(news.outcome)
         call.dataReceived(reply(**answered))
         self.assertEqual(votes, [i.DONE])  # the vote counted, whichever state is the newer
-        here, there = ((held.build, STATES[held.phase], held.cap)
-                       for held in (network.sidecar.news, network.sidecar.balancer.news))
+        here, there = (
+            (held.build, STATES[held.phase], held.cap)
+            for held in (network.sidecar.news, network.sidecar.balancer.news)
+        )
         self.assertEqual(here, there)
         return here
 
     def test_one_that_is_older_opens_nothing_that_was_closed(self):
         for ago in (3000, 50, 0):  # also where it was so long on its way that it looks newer
-            self.assertEqual(self.after({"status": "rolling_back", "cap": 0.0}, {"ago": ago}),
-                             (42, "rolling_back", 0.0))
+            self.assertEqual(
+                self.after({"status": "rolling_back", "cap": 0.0}, {"ago": ago}),
+                (42, "rolling_back", 0.0),
+            )
         self.assertEqual(self.after({"cap": 0.1}, {}), (42, "trial", 0.1))
-        self.assertEqual(self.after({"build": 43, "cap": 0.05}, {"status": "released", "cap": 1.0}),
-                         (43, "trial", 0.05))
+        self.assertEqual(
+            self.after({"build": 43, "cap": 0.05}, {"status": "released", "cap": 1.0}),
+            (43, "trial", 0.05),
+        )
 
     def test_one_that_is_newer_moves_on(self):
         self.assertEqual(self.after(None, {"step": 1, "cap": 0.9, "ago": 0}), (42, "trial", 0.9))
         self.assertEqual(self.after(None, {"build": 43, "cap": 0.1, "ago": 0}), (43, "trial", 0.1))
 
     def test_one_that_closes_binds_at_once_whatever_the_stream_told(self):
-        self.assertEqual(self.after({"step": 1, "cap": 0.9}, {"status": "rolling_back", "cap": 0.0, "ago": 0}),
-                         (42, "rolling_back", 0.0))
+        self.assertEqual(
+            self.after({"step": 1, "cap": 0.9}, {"status": "rolling_back", "cap": 0.0, "ago": 0}),
+            (42, "rolling_back", 0.0),
+        )
 
 
 if __name__ == "__main__":
--- a/tests/test_ends_pods.py
+++ b/tests/test_ends_pods.py
@@ -47,6 +47,7 @@
     def count(attempt, outcome, answer=None):
         ends.append((attempt.held.id, attempt.number, outcome))
         return ended(attempt, outcome, answer)
+
     network.sidecar.ended = count
     return ends
 
@@ -87,13 +88,17 @@
                 client.connectionLost(Failure(ConnectionLost()))
             connection.connectionLost(Failure(ConnectionLost()))
             self.assertEqual(ends, [("01", 0, outcome)])
-            self.assertEqual((len(network.sidecar.transactions), len(network.sidecar.pools)), (0, 0))
+            self.assertEqual(
+                (len(network.sidecar.transactions), len(network.sidecar.pools)), (0, 0)
+            )
 
     def test_an_answer_that_has_come_goes_before_a_deadline_of_the_same_turn(self):
         network, turns = Network(entry("s-1")), []
         deadlines, wake = network.sidecar.deadlines, network.sidecar.deadlines.wake
         # A loop reads its sockets between two calls that are due: what is due at once comes a turn later.
-        deadlines.wake = lambda seconds, *call: (turns.append(call) if not seconds else wake(seconds, *call))
+        deadlines.wake = lambda seconds, *call: (
+            turns.append(call) if not seconds else wake(seconds, *call)
+        )
         client = network.ask(left=200)
         connection = network.connect()
         connection.resumeProducing()
@@ -144,7 +149,9 @@
                     pass_on(network, 1)
             self.assertTrue(connection.transport.disconnecting or connection.transport.disconnected)
             network.ask("02")
-            self.assertEqual((connection.transport.value(), pods_dialled(network)), (b"", [7001, 7001]), end)
+            self.assertEqual(
+                (connection.transport.value(), pods_dialled(network)), (b"", [7001, 7001]), end
+            )
             connection.connectionLost(Failure(ConnectionLost()))
             self.assertEqual(network.faults, [])
 
@@ -162,7 +169,9 @@
         attempt = connection.begun.__self__
         connection.dataReceived(ANSWER)
         self.assertIs(attempt.out, False)
-        self.assertNotIn(attempt, [getattr(held, "__self__", held) for held in vars(connection).values()])
+        self.assertNotIn(
+            attempt, [getattr(held, "__self__", held) for held in vars(connection).values()]
+        )
 
     def test_a_fault_in_what_comes_after_an_answer_costs_no_answer(self):
         network = Network(entry("s-1"))
@@ -172,8 +181,10 @@
         network.sidecar.pools.ready = lambda _: 1 / 0
         faults, network.sidecar.pools.fault = [], lambda *fault: faults.append(fault)
         connection.dataReceived(ANSWER)
-        self.assertEqual((client.transport.value(), connection.transport.disconnected, len(faults)),
-                         (b"$1\r\nv\r\n", True, 1))
+        self.assertEqual(
+            (client.transport.value(), connection.transport.disconnected, len(faults)),
+            (b"$1\r\nv\r\n", True, 1),
+        )
         self.assertEqual(len(network.sidecar.transactions), 0)
 
 
@@ -200,7 +211,9 @@
             connection.dataReceived(late)
             network.reactor.advance(0.02)
             self.assertTrue(connection.transport.disconnected)
-            self.assertEqual((connection.transport.value(), clients[1].transport.value()), (b"", b""))
+            self.assertEqual(
+                (connection.transport.value(), clients[1].transport.value()), (b"", b"")
+            )
             other = network.connect()
             other.resumeProducing()
             other.dataReceived(ANSWER.replace(b"v", b"2"))
@@ -223,7 +236,9 @@
 
     def test_nobody_overtakes_who_waits(self):
         network, connection, _ = self.answered("02")
-        network.sidecar.deadlines.clock = lambda: 1_000_200  # its rest is over, and its deadline has not come
+        network.sidecar.deadlines.clock = lambda: (
+            1_000_200
+        )  # its rest is over, and its deadline has not come
         network.ask("03")
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
         self.assertIn(b"$2\r\n03\r\n", network.connect().transport.value())
@@ -248,11 +263,15 @@
         connection = network.connect()
         connection.dataReceived(ANSWER)
         self.assertEqual((client.transport.value(), connection.transport.disconnected), (b"", True))
-        self.assertEqual(pods_dialled(network), [7001, 7001])  # it never ran, so a binding one may go again
+        self.assertEqual(
+            pods_dialled(network), [7001, 7001]
+        )  # it never ran, so a binding one may go again
 
 
 class Restarted(unittest.TestCase):
-    def test_another_process_at_the_same_address_gets_nothing_on_what_was_open_or_dialled_before(self):
+    def test_another_process_at_the_same_address_gets_nothing_on_what_was_open_or_dialled_before(
+        self,
+    ):
         for change in ({"build": 40}, {"started_ms": 9}):
             network = Network(entry("s-1"))
             clients = [network.ask(name) for name in ("01", "02")]
@@ -271,21 +290,29 @@
             new.resumeProducing()
             for connection in (out, new):  # what was out may end, and its connection ends with it
                 connection.dataReceived(ANSWER)
-            self.assertEqual((out.transport.disconnected, new.transport.disconnected), (True, False))
+            self.assertEqual(
+                (out.transport.disconnected, new.transport.disconnected), (True, False)
+            )
             self.assertEqual([client.transport.value() for client in clients], [b"$1\r\nv\r\n"] * 3)
 
 
 class Cost(unittest.TestCase):
     def dials(self, rest, a_second, pods, took):
         """Connections dialled in half a minute, of pods that take so many steps of 5 ms for an answer."""
-        network, chance, due, connected = Network(*(entry(f"s-{at}") for at in range(1, pods + 1))), \
-            random.Random(11), [], 0
+        network, chance, due, connected = (
+            Network(*(entry(f"s-{at}") for at in range(1, pods + 1))),
+            random.Random(11),
+            [],
+            0,
+        )
         client = network.client()
         with mock.patch.object(pools, "REST", rest):
             for step in range(6000):
                 if chance.random() < a_second / 200:
                     network.ask(f"{step}", connection=client)
-                clients = [one for one in network.reactor.tcpClients[network.streams:] if one[1] > 7000]
+                clients = [
+                    one for one in network.reactor.tcpClients[network.streams :] if one[1] > 7000
+                ]
                 for dialled in clients[connected:]:
                     connection = dialled[2].buildProtocol(None)
                     connection.makeConnection(Transport())
@@ -344,6 +371,7 @@
             def two():
                 for name in (f"{next(names)}", f"{next(names)}"):
                     self.assertEqual(client.ask("SVC.QUERY", "a", name, READ), name.encode())
+
             # A pair that the machine held apart for longer than the rest goes on one connection, and is no case.
             until(lambda: pod.copies, two)
 
@@ -357,8 +385,12 @@
 
     def stand_still(self):
         self.process.send_signal(signal.SIGSTOP)
-        until(lambda: Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(") ")[2][0] == "T",
-              lambda: time.sleep(0.001))
+        until(
+            lambda: (
+                Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(") ")[2][0] == "T"
+            ),
+            lambda: time.sleep(0.001),
+        )
 
     def serve(self, connection, source):
         words = words_of(source)
@@ -408,7 +440,9 @@
     def test_a_value_that_is_whole_is_served_wherever_the_connection_ends_behind_it(self):
         value_ends = ANSWER.index(b"v\r\n") + 3
         for at, why in itertools.product(range(len(ANSWER)), (ConnectionLost, ConnectionDone)):
-            network = Network(entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0)
+            network = Network(
+                entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+            )
             ends, client = counted(network), network.ask("01", lane="pay")
             connection = network.connect()
             connection.resumeProducing()
@@ -417,7 +451,9 @@
             whole = at >= value_ends
             self.assertEqual(ends, [("01", 0, i.DONE if whole else i.RESET)], at)
             self.assertRegex(client.transport.value(), rb"^\$1\r\nv\r\n$" if whole else b"^-ERR")
-            self.assertEqual((network.sidecar.balancer.pins, len(network.sidecar.transactions)), ({"key"}, 0))
+            self.assertEqual(
+                (network.sidecar.balancer.pins, len(network.sidecar.transactions)), ({"key"}, 0)
+            )
             self.assertEqual((len(network.sidecar.pools), network.faults), (0, []))
 
 
@@ -468,7 +504,9 @@
         connection.dataReceived(ANSWER)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
 
-    def test_a_binding_request_that_may_have_run_is_written_no_second_time_whatever_asks_for_it(self):
+    def test_a_binding_request_that_may_have_run_is_written_no_second_time_whatever_asks_for_it(
+        self,
+    ):
         for reached in ("written", "in part", "not connected"):
             network = Network(entry("s-1"))
             network.sidecar.balancer.handle = lambda *_: []
@@ -502,15 +540,25 @@
     def test_what_was_told_since_takes_back_what_waits_and_what_is_written_in_part(self):
         changes = {
             "drain": lambda network: network.list(entry("s-1", build=42, state="Terminating")),
-            "gone from a whole list": lambda network: network.sidecar._listing(discovery.read_list(
-                {"version": 9, "full": True, "servers": [entry("s-2", build=42)]}, 0), "again"),
+            "gone from a whole list": lambda network: network.sidecar._listing(
+                discovery.read_list(
+                    {"version": 9, "full": True, "servers": [entry("s-2", build=42)]}, 0
+                ),
+                "again",
+            ),
             "gone": lambda network: network.list(entry("s-1", build=42, state="Gone")),
             "restart": lambda network: network.list(entry("s-1", build=42, started_ms=5000)),
             "other build": lambda network: network.list(entry("s-1", build=41)),
             "moved": lambda network: network.list(entry("s-1", build=42, addr="127.0.0.1:8001")),
-            "lower cap": lambda network: network.sidecar.tell(i.News(42, 0, i.ON_TRIAL, False, i.DONE, 0.0, 0)),
-            "going back": lambda network: network.sidecar.tell(i.News(42, 0, i.GOING_BACK, False, i.DONE, 0.0, 0)),
-            "withdrawn": lambda network: network.sidecar.tell(i.News(42, 0, i.WITHDRAWN, False, i.DONE, 0.0, 0)),
+            "lower cap": lambda network: network.sidecar.tell(
+                i.News(42, 0, i.ON_TRIAL, False, i.DONE, 0.0, 0)
+            ),
+            "going back": lambda network: network.sidecar.tell(
+                i.News(42, 0, i.GOING_BACK, False, i.DONE, 0.0, 0)
+            ),
+            "withdrawn": lambda network: network.sidecar.tell(
+                i.News(42, 0, i.WITHDRAWN, False, i.DONE, 0.0, 0)
+            ),
         }
         for written in (False, True):
             for name, change in changes.items():
@@ -518,9 +566,15 @@
 
     def test_what_changes_nothing_for_it_takes_nothing_back(self):
         changes = {
-            "the same list": lambda network: network.list(entry("s-1", build=42), entry("s-2", build=42)),
-            "higher stage": lambda network: network.sidecar.tell(i.News(42, 1, i.ON_TRIAL, False, i.DONE, 1.0, 0)),
-            "newer build": lambda network: network.sidecar.tell(i.News(43, 0, i.ON_TRIAL, False, i.DONE, 0.5, 0)),
+            "the same list": lambda network: network.list(
+                entry("s-1", build=42), entry("s-2", build=42)
+            ),
+            "higher stage": lambda network: network.sidecar.tell(
+                i.News(42, 1, i.ON_TRIAL, False, i.DONE, 1.0, 0)
+            ),
+            "newer build": lambda network: network.sidecar.tell(
+                i.News(43, 0, i.ON_TRIAL, False, i.DONE, 0.5, 0)
+            ),
         }
         for written in (False, True):
             for name, change in changes.items():
@@ -530,18 +584,31 @@
         network = Network(entry("s-1"))
         network.ask("01")
         network.list(entry("s-1", addr="127.0.0.1:8001"))
-        self.assertEqual(pods_dialled(network), [7001, 8001])  # at once, not when the former dial ends
+        self.assertEqual(
+            pods_dialled(network), [7001, 8001]
+        )  # at once, not when the former dial ends
         self.assertEqual(network.connect(network.streams).transport.value(), b"")
         self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
-        self.assertEqual(len(network.sidecar.pools), 2)  # the former is ended, and the loop has not told of it yet
+        self.assertEqual(
+            len(network.sidecar.pools), 2
+        )  # the former is ended, and the loop has not told of it yet
 
     def test_a_key_that_the_newest_build_answered_meanwhile_goes_to_no_earlier_one(self):
         for keys_stay, goes_to in ((True, 7002), (False, 7001)):
-            network = Network(entry("s-1"), entry("s-2", build=42), version=42, step=0, status="trial", maxWeight=0.5)
+            network = Network(
+                entry("s-1"),
+                entry("s-2", build=42),
+                version=42,
+                step=0,
+                status="trial",
+                maxWeight=0.5,
+            )
             network.sidecar.balancer.terms = network.sidecar.terms._replace(keys_stay=keys_stay)
             network.ask("01", lane="pay")
             self.assertEqual(pods_dialled(network), [7001])
-            network.sidecar.tell(i.AnsweredUnheard("key", 42))  # by an attempt of another request with this key
+            network.sidecar.tell(
+                i.AnsweredUnheard("key", 42)
+            )  # by an attempt of another request with this key
             self.assertEqual(bool(network.connect().transport.value()), not keys_stay)
             self.assertEqual(pods_dialled(network)[-1], goes_to)
             if keys_stay:
@@ -551,7 +618,9 @@
         back = i.News(41, 0, i.RELEASED, False, i.DONE, 1.0, 0)
         self.assertEqual(self.changed(lambda network: network.sidecar.tell(back), False), b"")
 
-    def test_what_waits_for_a_client_that_has_gone_is_not_written_where_nothing_may_be_recalled(self):
+    def test_what_waits_for_a_client_that_has_gone_is_not_written_where_nothing_may_be_recalled(
+        self,
+    ):
         network = Network(entry("s-1"))
         network.sidecar.balancer.terms = network.sidecar.terms._replace(may_recall=False)
         network.ask("01").connectionLost(Failure(ConnectionLost()))
@@ -562,7 +631,11 @@
 class Retired(unittest.TestCase):
     def test_none_is_used_past_the_idle_time_however_short_that_is(self):
         """The pod closes it by then, and what is written to it ends as a reset: a binding one would be lost."""
-        for idle, waits, dialled in ((4_000, 0.2, 1), (4_000, 0.35, 2), (1, 0.02, 2)):  # less than between two looks
+        for idle, waits, dialled in (
+            (4_000, 0.2, 1),
+            (4_000, 0.35, 2),
+            (1, 0.02, 2),
+        ):  # less than between two looks
             network = Network(entry("s-1"))
             network.sidecar.pools.reach = network.sidecar.reach._replace(idle=idle)
             network.ask("01", lane="pay")
@@ -577,25 +650,51 @@
 
 class Bunched(unittest.TestCase):
     """Dials that hang for nearly the told time and come up at once: all that waited is written in one moment."""
+
     HANG, RATE = 1.0, 20
 
     def test_where_all_may_go_there_the_edge_of_the_window_turns_nothing_away(self):
         terms = Network(entry("s-1")).sidecar.terms
         for cap, may in ((1.0, True), (0.9, False)):
             exposure, news = Exposure(terms), i.News(42, 1, i.ON_TRIAL, False, i.DONE, cap, 0)
-            for at in (0, terms.exposure_window):  # ten at once, and a window later: its edge lies within their bucket
-                allowed = [exposure.took(at, "read") or exposure.allows(at, news, 42, "read") and not exposure.wrote(
-                    at, news, 42, "read") for _ in range(10)]
+            for at in (
+                0,
+                terms.exposure_window,
+            ):  # ten at once, and a window later: its edge lies within their bucket
+                allowed = [
+                    exposure.took(at, "read")
+                    or exposure.allows(at, news, 42, "read")
+                    and not exposure.wrote(at, news, 42, "read")
+                    for _ in range(10)
+                ]
             self.assertEqual(all(allowed), may, cap)
 
     def test_exposure_is_kept_to_when_it_is_written(self):
         for seed, cap in ((0, 0.5), (1, 0.5), (2, 0.5), (3, 1.0)):
-            network, chance = Network(*(entry(f"s-{at}", 41 + at // 5) for at in range(1, 9)), version=42, step=0,
-                                      status="trial", maxWeight=cap), random.Random(seed)
-            sidecar, client, live, seen, trial = network.sidecar, network.client(), [], network.streams, 0
-            sidecar.pools.reach = sidecar.reach._replace(connect_within=int(self.HANG * 10_000) + 100)
+            network, chance = (
+                Network(
+                    *(entry(f"s-{at}", 41 + at // 5) for at in range(1, 9)),
+                    version=42,
+                    step=0,
+                    status="trial",
+                    maxWeight=cap,
+                ),
+                random.Random(seed),
+            )
+            sidecar, client, live, seen, trial = (
+                network.sidecar,
+                network.client(),
+                [],
+                network.streams,
+                0,
+            )
+            sidecar.pools.reach = sidecar.reach._replace(
+                connect_within=int(self.HANG * 10_000) + 100
+            )
             terms, dials = sidecar.terms, []
-            checker = Checker(terms.lanes, 0, terms.exposure_window, terms.allowance + 2)  # as the protocol has it
+            checker = Checker(
+                terms.lanes, 0, terms.exposure_window, terms.allowance + 2
+            )  # as the protocol has it
             checker.cap(0, "", 42, cap * 1.04, 0, "trial")
             for step in range(2000):
                 now, hangs = step * 100, step >= 800 and step % 400 < self.HANG * 100
@@ -603,7 +702,9 @@
                 network.reactor.advance(0)
                 if chance.random() < self.RATE / 100:
                     checker.taken(now, "", f"{step}", "read", now + 50_000)
-                    client.dataReceived(command("SVC.QUERY", f"{chance.random()}", f"{step}", "c=read,d=5000"))
+                    client.dataReceived(
+                        command("SVC.QUERY", f"{chance.random()}", f"{step}", "c=read,d=5000")
+                    )
                 dials += [dial for dial in network.reactor.tcpClients[seen:] if dial[1] > 7000]
                 seen = len(network.reactor.tcpClients)
                 for dial in [dial for dial in dials if dial[1] <= 7004 or not hangs]:
@@ -613,14 +714,19 @@
                 for connection in list(live):
                     pod = connection.connector.pool.pod
                     if connection.transport.value():
-                        name, build = connection.transport.value().split(b"\r\n")[6].decode(), sidecar.listed[pod].build
+                        name, build = (
+                            connection.transport.value().split(b"\r\n")[6].decode(),
+                            sidecar.listed[pod].build,
+                        )
                         checker.sent(now, "", name, pod, build, "read")
                         connection.transport.clear()
                         connection.resumeProducing()
                         trial += build == 42
                     elif connection.waiting is not None:
                         connection.dataReceived(ANSWER)
-                    elif connection.transport.disconnecting or (hangs and int(pod[2:]) > 4):  # the pod pauses
+                    elif connection.transport.disconnecting or (
+                        hangs and int(pod[2:]) > 4
+                    ):  # the pod pauses
                         live.remove(connection)
                         connection.connectionLost(Failure(ConnectionLost()))
             self.assertEqual([text for rule, _, text in checker.broken if rule == 5], [])
@@ -665,6 +771,7 @@
                 except OSError:
                     return
                 threading.Thread(target=serve, args=(connection,), daemon=True).start()
+
         threading.Thread(target=accept, daemon=True).start()
 
     def close(self):
@@ -687,13 +794,16 @@
         def change(told):
             told["settings"]["categories"][1]["window"] = int(window * 1e9)
             told["settings"]["permissions"]["connect_timeout"] = 9_000_000_000
+
         with self.program(pod.entry("s-1"), change=change).client() as client:
             client.send("SVC.SUBMIT", "a", "01", MARK, "B")
             connection = pod.take_one()
             pod.hold()
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
             connection.close()  # reset: it may have run
-            time.sleep(window + 0.1)  # it was decided before it was heard: its window is over, however long this takes
+            time.sleep(
+                window + 0.1
+            )  # it was decided before it was heard: its window is over, however long this takes
             pod.release()
             # The next one waits for the same dials, so where the repeat is written it is heard before the answer.
             with self.subTest("answered"):
@@ -701,7 +811,9 @@
             self.assertEqual(client.ask("SVC.QUERY", "a", "02", READ), b"02")
         self.assertEqual(pod.heard, [b"01", b"02"])
 
-    def test_a_binding_request_is_written_once_at_most_where_dials_are_held_and_connections_reset(self):
+    def test_a_binding_request_is_written_once_at_most_where_dials_are_held_and_connections_reset(
+        self,
+    ):
         held, pod = self.held_pod(), self.pod(lambda words: None)
         held.hold()
         names = [b"%d" % at for at in range(10, 18)]
@@ -710,7 +822,10 @@
                 self.assertRegex(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), b"^-")
             written = [pod.heard.get()[2] for _ in range(pod.heard.qsize())]
             held.release()
-            until(lambda: held.heard, lambda: client.ask("SVC.QUERY", "b", f"{time.monotonic_ns()}", READ))
+            until(
+                lambda: held.heard,
+                lambda: client.ask("SVC.QUERY", "b", f"{time.monotonic_ns()}", READ),
+            )
         self.assertEqual(sorted(set(written)), sorted(written))
         self.assertNotEqual(written, [])
         self.assertEqual([name for name in held.heard if name in names], [])
@@ -723,10 +838,11 @@
         network.ask("01", lane="pay")
         connection = network.reactor.tcpClients[-1][2].buildProtocol(None)
         connection.makeConnection(Stale())
-        self.assertEqual((connection.transport.value(), connection.transport.disconnected), (b"", True))
+        self.assertEqual(
+            (connection.transport.value(), connection.transport.disconnected), (b"", True)
+        )
         self.assertEqual((ends, pods_dialled(network)), ([("01", 0, i.UNCONNECTED)], [7001, 7001]))
 
-
     def test_a_dial_that_has_reached_itself_carries_nothing(self):
         """At a port of this machine that nobody listens at: what is written comes back, and reads as an answer."""
         network = Network(entry("s-1"))
@@ -737,7 +853,9 @@
         if asked := transport.value():
             connection.resumeProducing()
             connection.dataReceived(asked)
-        self.assertEqual((client.transport.value(), transport.value(), transport.disconnected), (b"", b"", True))
+        self.assertEqual(
+            (client.transport.value(), transport.value(), transport.disconnected), (b"", b"", True)
+        )
         self.assertEqual((ends, pods_dialled(network)), ([("01", 0, i.UNCONNECTED)], [7001, 7001]))
         connection.connectionLost(Failure(ConnectionLost()))
         self.assertEqual((len(network.sidecar.pools), network.faults), (1, []))
@@ -745,6 +863,7 @@
 
 class BadAnswers(unittest.TestCase):
     """What a pod sends without sense or end costs its own connection, and is let go."""
+
     BULK = b"$%d\r\n%s\r\n" % (500_000, b"x" * 500_000)
 
     def ended(self, content):
@@ -757,12 +876,16 @@
         with mock.patch.object(logs, "seldom") as told:
             for at in range(0, len(content), 65536):
                 if not connection.transport.disconnected:
-                    connection.dataReceived(content[at:at + 65536])
-                    read += len(content[at:at + 65536])
+                    connection.dataReceived(content[at : at + 65536])
+                    read += len(content[at : at + 65536])
         self.assertTrue(connection.transport.disconnected, content[:20])
         self.assertEqual(connection.parser.held, 0)
         if not client.transport.value().startswith(b"$"):
-            lines = [call.kwargs["reason"] for call in told.call_args_list if call.args[0] == "unheard answer"]
+            lines = [
+                call.kwargs["reason"]
+                for call in told.call_args_list
+                if call.args[0] == "unheard answer"
+            ]
             self.assertRegex(lines[-1], "answer")  # what was wrong with it
         beside.dataReceived(ANSWER)
         self.assertEqual(other.transport.value(), b"$1\r\nv\r\n")
@@ -772,9 +895,20 @@
         return ends[0][2], read
 
     def test_what_can_be_no_answer_ends_as_one_that_may_have_run(self):
-        for content in (b"$999999999999999999\r\n", b"*3\r\n$999999\r\n", b"*64\r\n" * 2, b"*1\r\n*1\r\n*1\r\n",
-                        b"*999999999\r\n", b"*-5\r\n", b"+" + b"x" * 9000, b"-" + b"x" * 9000, b":" + b"9" * 9000,
-                        b"*3\r\n$-1\r\n$-1\r\n$-1\r\n", b"\x00" * 70_000, b"+OK\r\n" * 20_000):
+        for content in (
+            b"$999999999999999999\r\n",
+            b"*3\r\n$999999\r\n",
+            b"*64\r\n" * 2,
+            b"*1\r\n*1\r\n*1\r\n",
+            b"*999999999\r\n",
+            b"*-5\r\n",
+            b"+" + b"x" * 9000,
+            b"-" + b"x" * 9000,
+            b":" + b"9" * 9000,
+            b"*3\r\n$-1\r\n$-1\r\n$-1\r\n",
+            b"\x00" * 70_000,
+            b"+OK\r\n" * 20_000,
+        ):
             self.assertEqual(self.ended(content)[0], i.RESET, content[:20])
 
     def test_an_answer_without_end_is_not_read_for_ever(self):
@@ -788,37 +922,82 @@
     def test_a_load_report_that_is_none_is_let_go_and_the_value_stands(self):
         network = Network(entry("s-1"))
         network.sidecar.terms = network.sidecar.terms._replace(reports=("load", "queue"))
-        for report, load in ((b"load=0.5,queue=3", (0.5, 3.0)), (b"queue=3,load=0.5,more=9", (0.5, 3.0)),
-                             (b"load=nan,queue=3", None), (b"load=0.5,queue=inf", None), (b"load=1e999,queue=1", None),
-                             (b"load=-inf,queue=3", None), (b"load=0.5", None), (b"load,queue=3", None),
-                             (b"\xff\xfe", None), (b",=,,", None), (b"load=0.5,queue=3," + b"a=1," * 99_000, None)):
+        for report, load in (
+            (b"load=0.5,queue=3", (0.5, 3.0)),
+            (b"queue=3,load=0.5,more=9", (0.5, 3.0)),
+            (b"load=nan,queue=3", None),
+            (b"load=0.5,queue=inf", None),
+            (b"load=1e999,queue=1", None),
+            (b"load=-inf,queue=3", None),
+            (b"load=0.5", None),
+            (b"load,queue=3", None),
+            (b"\xff\xfe", None),
+            (b",=,,", None),
+            (b"load=0.5,queue=3," + b"a=1," * 99_000, None),
+        ):
             heard = []
             network.ask(f"{report[:30]}")
             connection = network.connect()
             connection.resumeProducing()
             handle = network.sidecar.balancer.handle
             network.sidecar.balancer.handle = lambda now, events, handle=handle, heard=heard: (
-                heard.extend(events) or handle(now, events))
-            connection.dataReceived(b"*3\r\n$1\r\nv\r\n$-1\r\n$%d\r\n%s\r\n" % (len(report), report))
+                heard.extend(events) or handle(now, events)
+            )
+            connection.dataReceived(
+                b"*3\r\n$1\r\nv\r\n$-1\r\n$%d\r\n%s\r\n" % (len(report), report)
+            )
             network.sidecar.balancer.handle = handle
-            self.assertEqual([(event.outcome, event.load) for event in heard], [(i.DONE, load)], report[:30])
-
-
-ANSWERS = {"good": ANSWER, "busy": b"-BUSY\r\n", "error": b"-ERR failed\r\n", "part": ANSWER[:9], "twice": ANSWER * 2,
-           "spoilt": ANSWER[:-5] + b"$x1\r\n", "noise": b"noise\r\n", "null": b"*1\r\n$-1\r\n"}
-LISTED = {"ready": {}, "draining": {"state": "Terminating"}, "gone": {"state": "Gone"},
-          "moved": {}, "restarted": {"started_ms": 7000}, "other build": {"build": 40}}
+            self.assertEqual(
+                [(event.outcome, event.load) for event in heard], [(i.DONE, load)], report[:30]
+            )
+
+
+ANSWERS = {
+    "good": ANSWER,
+    "busy": b"-BUSY\r\n",
+    "error": b"-ERR failed\r\n",
+    "part": ANSWER[:9],
+    "twice": ANSWER * 2,
+    "spoilt": ANSWER[:-5] + b"$x1\r\n",
+    "noise": b"noise\r\n",
+    "null": b"*1\r\n$-1\r\n",
+}
+LISTED = {
+    "ready": {},
+    "draining": {"state": "Terminating"},
+    "gone": {"state": "Gone"},
+    "moved": {},
+    "restarted": {"started_ms": 7000},
+    "other build": {"build": 40},
+}
 # What comes, how often among all that comes, and its choices; a number chooses, or says which of what there is.
-WHAT = {"ask": (6, [("read", 200), ("read", 5000), ("mark", 5000), ("pay", 200), ("pay", 5000)]),
-        "exchange": (5, [("read", 5000), ("mark", 5000), ("pay", 5000)]),
-        "up": (6, None), "up_full": (1, None), "flush": (6, None), "served": (8, None), "answered": (2, None),
-        "fail": (2, None),
-        "reset": (1, None), "leave": (1, None), "turn": (3, [()]), "moment": (6, [(0.005,), (0.02,), (0.1,)]),
-        "later": (1, [(0.3,), (1.0,)]), "news": (1, [(0.0,), (1.0,), (1.0,)]), "back": (1, [("s-1",), ("s-2",)]),
-        "list": (2, [(name, how) for name in ("s-1", "s-2") for how in sorted(LISTED)]),
-        "move": (1, [("s-1",), ("s-2",)])}
-STEPS = st.lists(st.tuples(st.sampled_from([what for what, (often, _) in WHAT.items() for _ in range(often)]),
-                           st.integers(0, 63)), min_size=50, max_size=90)
+WHAT = {
+    "ask": (6, [("read", 200), ("read", 5000), ("mark", 5000), ("pay", 200), ("pay", 5000)]),
+    "exchange": (5, [("read", 5000), ("mark", 5000), ("pay", 5000)]),
+    "up": (6, None),
+    "up_full": (1, None),
+    "flush": (6, None),
+    "served": (8, None),
+    "answered": (2, None),
+    "fail": (2, None),
+    "reset": (1, None),
+    "leave": (1, None),
+    "turn": (3, [()]),
+    "moment": (6, [(0.005,), (0.02,), (0.1,)]),
+    "later": (1, [(0.3,), (1.0,)]),
+    "news": (1, [(0.0,), (1.0,), (1.0,)]),
+    "back": (1, [("s-1",), ("s-2",)]),
+    "list": (2, [(name, how) for name in ("s-1", "s-2") for how in sorted(LISTED)]),
+    "move": (1, [("s-1",), ("s-2",)]),
+}
+STEPS = st.lists(
+    st.tuples(
+        st.sampled_from([what for what, (often, _) in WHAT.items() for _ in range(often)]),
+        st.integers(0, 63),
+    ),
+    min_size=50,
+    max_size=90,
+)
 
 
 class Stale(Transport):
@@ -886,7 +1065,9 @@
             name = connection.transport.value().split(b"\r\n")[6].decode()
             connection.transport.clear()
             pod, news = connection.delivery.pod, self.sidecar.news
-            self.test.assertTrue(self.sidecar._stands(pod) and (news.cap or pod.build < news.build), name)
+            self.test.assertTrue(
+                self.sidecar._stands(pod) and (news.cap or pod.build < news.build), name
+            )
             if name.startswith("pay"):
                 self.test.assertFalse(self.may_have_run.get(name), name)
             self.may_have_run[name] = True
@@ -917,18 +1098,26 @@
         self.network.list(entry(name, told.pop("build", 41), **told))
 
     def news(self, cap):
-        self.sidecar.tell(i.News(41, 1, i.RELEASED if cap == 1.0 else i.ON_TRIAL, False, i.DONE, cap, 0))
+        self.sidecar.tell(
+            i.News(41, 1, i.RELEASED if cap == 1.0 else i.ON_TRIAL, False, i.DONE, cap, 0)
+        )
 
     def turn(self):
         """The loop tells of the connections that were ended."""
-        ended = [one for one in self.connections if one.transport.disconnecting or one.transport.disconnected]
+        ended = [
+            one
+            for one in self.connections
+            if one.transport.disconnecting or one.transport.disconnected
+        ]
         for connection in ended:
             self.connections.remove(connection)
             connection.connectionLost(Failure(ConnectionLost()))
 
     def served(self, place):
         """One that waits for its answer gets a good one."""
-        if connection := self.pick([one for one in self.open() if one.written and one.waiting], place):
+        if connection := self.pick(
+            [one for one in self.open() if one.written and one.waiting], place
+        ):
             self.answer(self.connections.index(connection), "good")
 
     def answered(self, number):
@@ -960,15 +1149,25 @@
         live = self.sidecar.deadlines.live
         for call, arguments in live.values():
             for one in (getattr(call, "__self__", None), *arguments):
-                self.test.assertFalse(type(one) is PodConnection and one not in self.connections, call)
+                self.test.assertFalse(
+                    type(one) is PodConnection and one not in self.connections, call
+                )
         for pool in by_pod.values():
             same(pool.dialling, sum(dial.pool is pool for dial, _ in dials))
             self.test.assertLessEqual(len(pool.waiting), pool.dialling)
             for connection in pool.idle:
-                same((connection.waiting, connection.delivery, connection.connector.pool), (None, None, pool))
-                same((connection.transport.disconnecting, connection.transport.disconnected), (False, False))
+                same(
+                    (connection.waiting, connection.delivery, connection.connector.pool),
+                    (None, None, pool),
+                )
+                same(
+                    (connection.transport.disconnecting, connection.transport.disconnected),
+                    (False, False),
+                )
             for attempt in pool.waiting:
-                same((attempt.out, attempt.connection, attempt.deadline in live), (True, None, True))
+                same(
+                    (attempt.out, attempt.connection, attempt.deadline in live), (True, None, True)
+                )
         for connection in self.connections:
             if connection.transport.disconnecting or connection.transport.disconnected:
                 self.test.assertIsNone(connection.waiting)
@@ -977,7 +1176,8 @@
             self.test.assertTrue(held.out or not held.over, held.id)
             for attempt in held.attempts:
                 where = sum(attempt in pool.waiting for pool in by_pod.values()) + any(
-                    one.delivery is attempt and one.waiting is not None for one in self.connections)
+                    one.delivery is attempt and one.waiting is not None for one in self.connections
+                )
                 same(where, 1) if attempt.out else None
 
     def end(self):
@@ -989,13 +1189,19 @@
             self.moment(1.0)
             self.turn()
             self.check()
-        self.test.assertEqual((len(self.sidecar.transactions), self.sidecar.by_id, self.pools.unwritten()), (0, {}, []))
+        self.test.assertEqual(
+            (len(self.sidecar.transactions), self.sidecar.by_id, self.pools.unwritten()),
+            (0, {}, []),
+        )
         for name, client in self.clients.items():
             self.test.assertRegex(client.transport.value(), rb"^(\$1\r\nv|-[^\r]*)\r\n$", name)
         self.test.assertEqual((len(self.pools), self.connections), (0, []))
-        kept = [call for call, arguments in self.sidecar.deadlines.live.values()
-                for one in (getattr(call, "__self__", None), *arguments)
-                if type(one).__name__ in ("Attempt", "Held", "Pool", "PodConnection")]
+        kept = [
+            call
+            for call, arguments in self.sidecar.deadlines.live.values()
+            for one in (getattr(call, "__self__", None), *arguments)
+            if type(one).__name__ in ("Attempt", "Held", "Pool", "PodConnection")
+        ]
         self.test.assertEqual(kept, [])
 
 
--- a/tests/test_ends_streams.py
+++ b/tests/test_ends_streams.py
@@ -28,8 +28,13 @@
 
 
 def listed(version, *names, indent=None, full=True):
-    return json.dumps({"version": version, "full": full, "servers": [entry(name) for name in names]},
-                      indent=indent).encode() + b"\n"
+    return (
+        json.dumps(
+            {"version": version, "full": full, "servers": [entry(name) for name in names]},
+            indent=indent,
+        ).encode()
+        + b"\n"
+    )
 
 
 class WithNetwork(unittest.TestCase):
@@ -48,7 +53,9 @@
 
     def last(self, port):
         """The place of the last dial to this port."""
-        return max(at for at, (_, to, *_) in enumerate(self.network.reactor.tcpClients) if to == port)
+        return max(
+            at for at, (_, to, *_) in enumerate(self.network.reactor.tcpClients) if to == port
+        )
 
     def connected(self, port, *chunks):
         stream = self.network.connect(self.last(port))
@@ -76,7 +83,10 @@
             self.assertLess(self.network.reactor.seconds() - began, 5.1, port)
 
     def test_lines_of_an_object_that_never_ends_are_silence(self):
-        for line in (b'{"id":"s-2"},\n', SIGN[2]):  # a sign of life behind what was cut is JSON, and none
+        for line in (
+            b'{"id":"s-2"},\n',
+            SIGN[2],
+        ):  # a sign of life behind what was cut is JSON, and none
             self.network = Network(entry("s-1"))
             stream, began = self.connected(2, SIGN[2], b'{"version":9,"full":true,"servers":[\n'), 0
             while self.asked(2) == 1 and began < 12:
@@ -98,7 +108,9 @@
             old = self.connected(port, SIGN[port])
             self.until_asked(port, 10)
             new = self.connected(port, b"noise\n")
-            self.assertEqual((new.transport.disconnected, old.transport.disconnected), (True, False))
+            self.assertEqual(
+                (new.transport.disconnected, old.transport.disconnected), (True, False)
+            )
             self.assertIs(self.kept[port].stream, old)
 
     def test_what_one_that_was_given_up_still_says_is_not_heard(self):
@@ -122,10 +134,16 @@
             self.assertEqual((late.transport.disconnected, late.transport.value()), (True, b""))
 
     def test_why_a_stream_ended_is_said(self):
-        for said, reason in ((HEAD.replace(b"200", b"503"), "status 503"), (HEAD + b"0\r\n\r\n", "the answer ended"),
-                             (HEAD + chunk(b"noise\n"), "unreadable: no JSON"), (b"noise\r\n\r\n", "no status line")):
+        for said, reason in (
+            (HEAD.replace(b"200", b"503"), "status 503"),
+            (HEAD + b"0\r\n\r\n", "the answer ended"),
+            (HEAD + chunk(b"noise\n"), "unreadable: no JSON"),
+            (b"noise\r\n\r\n", "no status line"),
+        ):
             network, lines = Network(entry("s-1")), []
-            network.sidecar.watch.log = lambda event, lines=lines, **fields: lines.append((event, fields["reason"]))
+            network.sidecar.watch.log = lambda event, lines=lines, **fields: lines.append(
+                (event, fields["reason"])
+            )
             stream = network.connect(0)
             stream.dataReceived(said)
             self.assertTrue(stream.transport.disconnected)
@@ -136,13 +154,17 @@
 class Silence(WithNetwork):
     def test_it_is_seen_early_enough_whatever_the_moment_of_the_last_word(self):
         for port, silence, most in ((2, discovery.SILENCE, 4.51), (3, platform.SILENCE, 4.01)):
-            for words in range(40):  # the last word comes at another moment of what was looked at before
+            for words in range(
+                40
+            ):  # the last word comes at another moment of what was looked at before
                 self.network = Network(entry("s-1"))
                 stream = self.connected(port, SIGN[port])
                 for _ in range(words):
                     self.pass_on(0.13)
                     stream.dataReceived(chunk(SIGN[port]))
-                self.assertAlmostEqual(self.until_asked(port, most + 0.02), silence / 10_000, delta=0.03)
+                self.assertAlmostEqual(
+                    self.until_asked(port, most + 0.02), silence / 10_000, delta=0.03
+                )
 
     def test_one_failed_dial_and_the_answer_fit_in_before_what_is_missed_counts_as_told(self):
         for draw in (0.0, 0.5, 0.999):
@@ -166,7 +188,9 @@
                 self.connected(port, SIGN[port], b"noise\n")
                 self.until_asked(port, 9)
         live = self.network.sidecar.deadlines.live.values()
-        self.assertLessEqual(len([call for call, _ in live if call.__name__ in ("_look", "_watch")]), 2)
+        self.assertLessEqual(
+            len([call for call, _ in live if call.__name__ in ("_look", "_watch")]), 2
+        )
 
 
 class FirstWord(WithNetwork):
@@ -216,7 +240,10 @@
     def move(self, network, discovery=2, platform=3):
         """A new configuration with these ports."""
         changed = told(entry("s-1"))
-        changed["discovery"], changed["deployer"]["address"] = f"127.0.0.1:{discovery}", f"127.0.0.1:{platform}"
+        changed["discovery"], changed["deployer"]["address"] = (
+            f"127.0.0.1:{discovery}",
+            f"127.0.0.1:{platform}",
+        )
         network.sidecar.reconfigure(configuration.read(changed, 0))
 
     def test_refusals_of_a_former_address_do_not_slow_the_asking_at_a_new_one(self):
@@ -235,7 +262,9 @@
     def test_nor_does_its_stream_that_ends_after_the_move(self):
         self.network = Network(entry("s-1"), asked_for=True)
         self.pass_on(0.1)
-        for _ in range(2):  # it has only begun when it is closed, which at the present address is a refusal
+        for _ in range(
+            2
+        ):  # it has only begun when it is closed, which at the present address is a refusal
             discovery, platform = self.connected(2, SIGN[2]), self.connected(3, SIGN[3])
             self.move(self.network, 8, 9)
             for former in (discovery, platform):
@@ -265,21 +294,31 @@
             self.assertFalse(old.transport.disconnected)
             old.dataReceived(chunk(SIGN[2]))
             self.connected(8, listed(3, "s-2"))
-            self.assertEqual((list(self.network.sidecar.listed), old.transport.disconnected), (["s-2"], True))
+            self.assertEqual(
+                (list(self.network.sidecar.listed), old.transport.disconnected), (["s-2"], True)
+            )
             self.assertLess(self.network.reactor.seconds() - began, 3)
 
     def test_a_new_address_is_asked_for_all_that_it_has_and_believed_whatever_its_version(self):
-        for said, names in ((listed(3, "s-2"), ["s-2"]), (listed(12, "s-2"), ["s-2"]),
-                            (listed(3, "s-2", full=False), ["s-1", "s-2"]), (listed(3, full=False), ["s-1"])):
+        for said, names in (
+            (listed(3, "s-2"), ["s-2"]),
+            (listed(12, "s-2"), ["s-2"]),
+            (listed(3, "s-2", full=False), ["s-1", "s-2"]),
+            (listed(3, full=False), ["s-1"]),
+        ):
             self.network = Network(entry("s-1"))
             old = self.connected(2, listed(8, "s-1"))
             self.move(self.network, 8)
-            old.dataReceived(chunk(listed(9, "s-1")))  # what the former one counts is not what the new one does
+            old.dataReceived(
+                chunk(listed(9, "s-1"))
+            )  # what the former one counts is not what the new one does
             self.network.refuse(self.last(8))
             self.until_asked(8, 1)
             new = self.connected(8, said)
             self.assertIn(b"index=0 ", new.transport.value())
-            self.assertEqual((list(self.network.sidecar.listed), old.transport.disconnected), (names, True))
+            self.assertEqual(
+                (list(self.network.sidecar.listed), old.transport.disconnected), (names, True)
+            )
             new.dataReceived(chunk(listed(4, "s-3", full=False)))
             self.assertEqual(list(self.network.sidecar.listed), [*names, "s-3"])
             new.connectionLost(Failure(ConnectionDone()))
@@ -306,7 +345,9 @@
         self.assertEqual((list(self.network.sidecar.listed), self.asked(8)), (["s-1"], 1))
 
     def test_while_the_agent_is_silent_there_is_always_one_that_it_can_answer(self):
-        for _ in range(200):  # 20 s of a discovery that is down: each connection comes up and is silent
+        for _ in range(
+            200
+        ):  # 20 s of a discovery that is down: each connection comes up and is silent
             if self.kept[2].asked.transport is None:
                 stream = self.connected(2)
             self.pass_on(0.1)
@@ -326,7 +367,9 @@
                 self.connected(2).dataReceived(HEAD.replace(b"200", b"503"))
                 self.until_asked(2, 9)
             stream = self.connected(2, listed(3, "s-2"))
-            self.assertEqual((list(self.network.sidecar.listed), stream.transport.disconnected), (["s-1"], True))
+            self.assertEqual(
+                (list(self.network.sidecar.listed), stream.transport.disconnected), (["s-1"], True)
+            )
             self.assertLess(self.until_asked(2, 9), most)
             self.connected(2, listed(3, "s-2"))
             self.assertEqual(list(self.network.sidecar.listed), ["s-2"])
@@ -343,12 +386,19 @@
 
     def test_an_empty_list_is_asked_for_less_often_where_a_service_is_shared(self):
         wavers = listed(9), listed(3, "s-2")  # now this, now that
-        for asked_for, most, said in ((False, 45, [listed(7)]), (True, 8, [listed(7)]), (False, 45, wavers),
-                                      (True, 8, wavers)):
+        for asked_for, most, said in (
+            (False, 45, [listed(7)]),
+            (True, 8, [listed(7)]),
+            (False, 45, wavers),
+            (True, 8, wavers),
+        ):
             self.network, said = Network(entry("s-1"), asked_for=asked_for), itertools.cycle(said)
             self.pass_on(0.1)
             for _ in range(200):
-                if self.network.sidecar.watch.asked and self.network.sidecar.watch.asked.transport is None:
+                if (
+                    self.network.sidecar.watch.asked
+                    and self.network.sidecar.watch.asked.transport is None
+                ):
                     self.connected(2, next(said))
                 self.pass_on(0.1)
             self.assertEqual(list(self.network.sidecar.listed), ["s-1"])
@@ -362,7 +412,9 @@
             self.assertEqual(list(self.network.sidecar.listed), ["s-1"])
             self.assertLess(self.until_asked(2, 9), 0.85)
             self.connected(2, listed(9))
-            self.assertEqual((list(self.network.sidecar.listed), self.network.sidecar.addresses), ([], {}))
+            self.assertEqual(
+                (list(self.network.sidecar.listed), self.network.sidecar.addresses), ([], {})
+            )
             self.assertRegex(self.network.ask().transport.value(), b"^-BUSY")
 
 
@@ -371,8 +423,13 @@
         news = b"event: progress\ndata: version=41&step=1&status=released&maxWeight=1&observedAgoMs=5\n\n"
         for port, asked_for, most in ((2, False, 90), (2, True, 20), (3, False, 20)):
             good = chunk(listed(8, "s-1") if port == 2 else news)
-            for said in (*(HEAD.replace(b"200", status) for status in (b"301", b"500", b"503")), b"noise\r\n\r\n",
-                         HEAD + chunk(b"noise\n"), HEAD + good + chunk(b"noise\n"), HEAD + good + b"0\r\n\r\n"):
+            for said in (
+                *(HEAD.replace(b"200", status) for status in (b"301", b"500", b"503")),
+                b"noise\r\n\r\n",
+                HEAD + chunk(b"noise\n"),
+                HEAD + good + chunk(b"noise\n"),
+                HEAD + good + b"0\r\n\r\n",
+            ):
                 self.network = Network(entry("s-1"), asked_for=asked_for)
                 kept = {2: self.network.sidecar.watch, 3: self.network.sidecar.stream}[port]
                 self.pass_on(0.1)
@@ -389,7 +446,10 @@
         network = self.network = Network(entry("s-1"))
         kept, lines = {2: network.sidecar.watch, 3: network.sidecar.stream}[port], []
         kept.log = lambda event, **fields: lines.append((event, fields["reason"]))
-        stream, held = self.connected(port, SIGN[port]), (network.sidecar.listed, network.sidecar.news)
+        stream, held = (
+            self.connected(port, SIGN[port]),
+            (network.sidecar.listed, network.sidecar.news),
+        )
         other = self.connected(5 - port, SIGN[5 - port])
         for one in said:
             if not stream.transport.disconnected:
@@ -398,14 +458,20 @@
         self.assertEqual([event for event, _ in lines], ["stream ended"])
         self.assertRegex(lines[0][1], "^unreadable: .{5,}")
         self.assertLessEqual(len(lines[0][1]), 200)
-        self.assertEqual(((network.sidecar.listed, network.sidecar.news), network.faults), (held, []))
+        self.assertEqual(
+            ((network.sidecar.listed, network.sidecar.news), network.faults), (held, [])
+        )
         self.assertFalse(other.transport.disconnected)
         return lines[0][1]
 
     def test_floods_end_their_stream_at_a_bound(self):
         for port in (2, 3):
-            for flood, times in ((chunk(b"x" * 65536), 70), (b"1" * 4096, 5), (b"1;" + b"x" * 4096, 5),
-                                 (chunk(b"data: " + b"x" * 60_000 + b"\n"), 3)):
+            for flood, times in (
+                (chunk(b"x" * 65536), 70),
+                (b"1" * 4096, 5),
+                (b"1;" + b"x" * 4096, 5),
+                (chunk(b"data: " + b"x" * 60_000 + b"\n"), 3),
+            ):
                 self.ends(port, *[flood] * times)
 
     def test_a_stream_that_ends_and_has_trailers_without_end_is_asked_for_anew(self):
@@ -420,28 +486,56 @@
             self.assertLess(began, 5.1)
 
     def test_sizes_that_are_none_end_it(self):
-        for size in (b"", b"-1", b"+1", b"0x1", b"1_0", b"zz", b" 1", b"fffffff", b"f" * 9, b"\xb2", b"1;"[1:]):
+        for size in (
+            b"",
+            b"-1",
+            b"+1",
+            b"0x1",
+            b"1_0",
+            b"zz",
+            b" 1",
+            b"fffffff",
+            b"f" * 9,
+            b"\xb2",
+            b"1;"[1:],
+        ):
             self.ends(2, size + b"\r\n")
 
     def test_heads_that_are_none_end_their_connection(self):
-        for head in (b"HTTP/1.1 \xb2\xb2\xb2 X", b"HTTP/1.1 " + b"9" * 5000 + b" X",
-                     b"HTTP/1.1 200 OK\r\nContent-Length: \xb2", b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000,
-                     b"HTTP/1.1 200 OK\r\nContent-Length: 1_0", b"x" * 20_000):
+        for head in (
+            b"HTTP/1.1 \xb2\xb2\xb2 X",
+            b"HTTP/1.1 " + b"9" * 5000 + b" X",
+            b"HTTP/1.1 200 OK\r\nContent-Length: \xb2",
+            b"HTTP/1.1 200 OK\r\nContent-Length: " + b"9" * 5000,
+            b"HTTP/1.1 200 OK\r\nContent-Length: 1_0",
+            b"x" * 20_000,
+        ):
             with self.assertRaises(http.Malformed, msg=head[:60]):
                 list(http.Parser().feed(head + b"\r\n\r\n"))
 
     def test_numbers_in_a_list_that_no_pod_has_end_its_stream_and_change_nothing(self):
-        for key, values in (("weight", ("1e300", "5e-324", "-1", "0", "1e999", "NaN", "true", '"1"', "null")),
-                            ("started_ms", ("-1", "1e300", "1e999", "true", '"0"', "999999999999999999")),
-                            ("image_id", ("-1", "1.5", "true", "99999999999999999999")),
-                            ("cell", ("1.5", "true", '"3"')),
-                            ("addr", ('"127.0.0.1:0"', '"127.0.0.1:65536"', '"127.0.0.1:\u00b2"', '":7"', "5"))):
+        for key, values in (
+            ("weight", ("1e300", "5e-324", "-1", "0", "1e999", "NaN", "true", '"1"', "null")),
+            ("started_ms", ("-1", "1e300", "1e999", "true", '"0"', "999999999999999999")),
+            ("image_id", ("-1", "1.5", "true", "99999999999999999999")),
+            ("cell", ("1.5", "true", '"3"')),
+            ("addr", ('"127.0.0.1:0"', '"127.0.0.1:65536"', '"127.0.0.1:\u00b2"', '":7"', "5")),
+        ):
             for value in values:
-                one = '{"id":"s-2","addr":"127.0.0.1:7","state":"Ready"}'.replace('"addr":"127.0.0.1:7",', "") \
-                    if key == "addr" else '{"id":"s-2","addr":"127.0.0.1:7","state":"Ready"}'
-                text = '{"version":9,"full":true,"servers":[%s]}\n' % one.replace("}", f',"{key}":{value}}}')
+                one = (
+                    '{"id":"s-2","addr":"127.0.0.1:7","state":"Ready"}'.replace(
+                        '"addr":"127.0.0.1:7",', ""
+                    )
+                    if key == "addr"
+                    else '{"id":"s-2","addr":"127.0.0.1:7","state":"Ready"}'
+                )
+                text = '{"version":9,"full":true,"servers":[%s]}\n' % one.replace(
+                    "}", f',"{key}":{value}}}'
+                )
                 reason = self.ends(2, chunk(text.encode()))
-                self.assertTrue(f"servers.0.{key}" in reason or "no JSON" in reason, (key, value, reason))
+                self.assertTrue(
+                    f"servers.0.{key}" in reason or "no JSON" in reason, (key, value, reason)
+                )
         for version in ("true", "-1", "1.5", "null", "99999999999999999999"):
             self.ends(2, chunk(b'{"version":%s,"full":true,"servers":[]}\n' % version.encode()))
         for full in ("1", '"yes"', "null"):
@@ -449,14 +543,30 @@
         self.ends(2, chunk(b'{"version":9,"servers":[{"state":"%s"}]}\n' % (b"x" * 99_999)))
 
     def test_numbers_in_news_and_counts_that_make_no_sense_end_their_stream(self):
-        good = {"progress": {"version": 42, "step": 1, "status": "trial", "maxWeight": 0.5, "observedAgoMs": 5},
-                "metrics": {"version": 41, "kind": "read", "requests": 9, "failures": 1, "avgMs": 2,
-                            "observedAgoMs": 5}}
+        good = {
+            "progress": {
+                "version": 42,
+                "step": 1,
+                "status": "trial",
+                "maxWeight": 0.5,
+                "observedAgoMs": 5,
+            },
+            "metrics": {
+                "version": 41,
+                "kind": "read",
+                "requests": 9,
+                "failures": 1,
+                "avgMs": 2,
+                "observedAgoMs": 5,
+            },
+        }
         odd = ("-1", "nan", "inf", "-inf", "1e300", "", "x", "9" * 5000)
         for event, fields in good.items():
             for name in fields.keys() - {"status", "kind"}:
                 for value in odd:
-                    data = "&".join(f"{key}={value if key == name else one}" for key, one in fields.items())
+                    data = "&".join(
+                        f"{key}={value if key == name else one}" for key, one in fields.items()
+                    )
                     reason = self.ends(3, chunk(f"event: {event}\ndata: {data}\n\n".encode()))
                     self.assertIn(name, reason)
             self.ends(3, chunk(f"event: {event}\ndata: {'a=1&' * 200}\n\n".encode()))
@@ -475,8 +585,10 @@
 
 
 class Calls(WithNetwork):
-    NEWS = (b'<?xml version="1.0"?><Response><entries><item><version>41</version><step>1</step><status>released'
-            b"</status><maxWeight>1</maxWeight><observedAgoMs>310</observedAgoMs></item></entries></Response>")
+    NEWS = (
+        b'<?xml version="1.0"?><Response><entries><item><version>41</version><step>1</step><status>released'
+        b"</status><maxWeight>1</maxWeight><observedAgoMs>310</observedAgoMs></item></entries></Response>"
+    )
 
     def setUp(self):
         super().setUp()
@@ -487,7 +599,9 @@
         self.network.sidecar._vote(i.Vote(41, 1, i.BACK))
 
     def outcomes(self):
-        return [event.outcome for event in self.heard if type(event) is i.News and event.answers_vote]
+        return [
+            event.outcome for event in self.heard if type(event) is i.News and event.answers_vote
+        ]
 
     def written(self, port=3):
         call = self.connected(port)
@@ -498,7 +612,12 @@
         return b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
 
     def test_a_vote_out_while_the_platform_moves_ends_once_and_leaves_the_new_address_alone(self):
-        for end, outcome in (("answer", i.DONE), ("reset", i.EXPIRED), ("nothing", i.EXPIRED), ("no dial", i.ERROR)):
+        for end, outcome in (
+            ("answer", i.DONE),
+            ("reset", i.EXPIRED),
+            ("nothing", i.EXPIRED),
+            ("no dial", i.ERROR),
+        ):
             self.setUp()
             former = self.network.sidecar.platform
             self.vote()
@@ -506,7 +625,9 @@
             call = None if end == "no dial" else self.written()
             Moves.move(self, self.network, platform=9)
             self.vote()
-            self.assertEqual((former.out, self.network.sidecar.platform.out, self.asked(9)), (1, 1, 2))
+            self.assertEqual(
+                (former.out, self.network.sidecar.platform.out, self.asked(9)), (1, 1, 2)
+            )
             if end == "answer":
                 call.dataReceived(self.sized(self.NEWS))
                 self.assertTrue(call.transport.disconnected)
@@ -522,7 +643,10 @@
             self.assertEqual(len(self.outcomes()), 1)
 
     def test_what_comes_after_the_end_of_a_call_is_nothing(self):
-        for before, after in ((b"", self.sized(self.NEWS)), (self.sized(self.NEWS)[:60], self.sized(self.NEWS)[60:])):
+        for before, after in (
+            (b"", self.sized(self.NEWS)),
+            (self.sized(self.NEWS)[:60], self.sized(self.NEWS)[60:]),
+        ):
             self.setUp()
             self.vote()
             call = self.written()
@@ -536,20 +660,25 @@
     def test_two_answers_in_one_read_are_one(self):
         self.vote()
         call = self.written()
-        call.dataReceived(self.sized(b"<Error><Code>throttled</Code></Error>", 400) + self.sized(self.NEWS))
+        call.dataReceived(
+            self.sized(b"<Error><Code>throttled</Code></Error>", 400) + self.sized(self.NEWS)
+        )
         self.assertEqual(self.outcomes(), [i.FULL])
 
     def test_interim_answers_are_passed_over_and_some_have_no_body(self):
         interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n"
-        for said, outcomes in ((interim + self.sized(self.NEWS), [i.DONE]), (interim, []),
-                               (b"HTTP/1.1 204 X\r\nContent-Length: 9\r\n\r\n", [i.EXPIRED]),
-                               (b"HTTP/1.1 304 X\r\nTransfer-Encoding: chunked\r\n\r\n", [i.EXPIRED])):
+        for said, outcomes in (
+            (interim + self.sized(self.NEWS), [i.DONE]),
+            (interim, []),
+            (b"HTTP/1.1 204 X\r\nContent-Length: 9\r\n\r\n", [i.EXPIRED]),
+            (b"HTTP/1.1 304 X\r\nTransfer-Encoding: chunked\r\n\r\n", [i.EXPIRED]),
+        ):
             for step in (1, len(said)):
                 self.setUp()
                 self.vote()
                 call = self.written()
                 for at in range(0, len(said), step):
-                    call.dataReceived(said[at:at + step])
+                    call.dataReceived(said[at : at + step])
                 self.assertEqual(self.outcomes(), outcomes, said)
         stream = self.connected(2)
         stream.dataReceived(interim + HEAD + chunk(listed(9, "s-2")))
@@ -559,40 +688,59 @@
         size = b"%x" % len(self.NEWS)
         whole = HEAD + size + b' ;a="b;c"\r\n' + self.NEWS + b"\r\n00;x\r\nX: y\r\n"
         for said, outcome, at_once in (
-                (whole + b"\r\n", i.DONE, True), (whole + b"X: y\r\n" * 9000, i.EXPIRED, False),
-                (HEAD + size + b"\n" + self.NEWS + b"\n0\n\n", i.EXPIRED, False), (HEAD + b"\r\n", i.EXPIRED, True),
-                (HEAD + size + b";" + b"x" * 17_000, i.EXPIRED, True), (whole + b"x" * 17_000, i.EXPIRED, True),
-                (HEAD + b"0\r\n\r\n", i.EXPIRED, True), (self.sized(b""), i.EXPIRED, True),
-                (self.sized(b"", 500), i.EXPIRED, True), (self.sized(b"", 301), i.EXPIRED, True)):
+            (whole + b"\r\n", i.DONE, True),
+            (whole + b"X: y\r\n" * 9000, i.EXPIRED, False),
+            (HEAD + size + b"\n" + self.NEWS + b"\n0\n\n", i.EXPIRED, False),
+            (HEAD + b"\r\n", i.EXPIRED, True),
+            (HEAD + size + b";" + b"x" * 17_000, i.EXPIRED, True),
+            (whole + b"x" * 17_000, i.EXPIRED, True),
+            (HEAD + b"0\r\n\r\n", i.EXPIRED, True),
+            (self.sized(b""), i.EXPIRED, True),
+            (self.sized(b"", 500), i.EXPIRED, True),
+            (self.sized(b"", 301), i.EXPIRED, True),
+        ):
             self.setUp()
             self.vote()
             call = self.written()
             call.dataReceived(said)
-            self.assertEqual((self.outcomes(), call.transport.disconnected), ([outcome] * at_once, at_once), said[:90])
+            self.assertEqual(
+                (self.outcomes(), call.transport.disconnected),
+                ([outcome] * at_once, at_once),
+                said[:90],
+            )
             self.assertLess(len(call.parser.rest), 20_000)
             self.pass_on(1.3)
-            self.assertEqual((self.outcomes(), self.network.sidecar.platform.out), ([outcome], 0), said[:90])
+            self.assertEqual(
+                (self.outcomes(), self.network.sidecar.platform.out), ([outcome], 0), said[:90]
+            )
 
     def test_an_answer_without_a_length_is_whole_only_where_the_peer_ends_it(self):
-        for end, cut, outcome in ((ConnectionDone, 0, i.DONE), (ConnectionLost, 0, i.EXPIRED),
-                                  (ConnectionDone, 60, i.EXPIRED)):
+        for end, cut, outcome in (
+            (ConnectionDone, 0, i.DONE),
+            (ConnectionLost, 0, i.EXPIRED),
+            (ConnectionDone, 60, i.EXPIRED),
+        ):
             self.setUp()
             self.vote()
             call = self.written()
-            call.dataReceived(b"HTTP/1.1 200 OK\r\n\r\n" + self.NEWS[:len(self.NEWS) - cut])
+            call.dataReceived(b"HTTP/1.1 200 OK\r\n\r\n" + self.NEWS[: len(self.NEWS) - cut])
             self.assertEqual(self.outcomes(), [])
             call.connectionLost(Failure(end()))
             self.assertEqual((self.outcomes(), self.network.faults), ([outcome], []))
 
-    def test_a_platform_that_closes_at_once_may_count_the_vote_only_where_it_was_written_whole(self):
+    def test_a_platform_that_closes_at_once_may_count_the_vote_only_where_it_was_written_whole(
+        self,
+    ):
         for whole, end in itertools.product((False, True), (ConnectionDone, ConnectionLost)):
             self.setUp()
             self.vote()
             call = self.connected(3)
             call.resumeProducing() if whole else None
             call.connectionLost(Failure(end()))
-            self.assertEqual((self.outcomes(), self.network.sidecar.platform.out),
-                             ([i.EXPIRED if whole else i.ERROR], 0))
+            self.assertEqual(
+                (self.outcomes(), self.network.sidecar.platform.out),
+                ([i.EXPIRED if whole else i.ERROR], 0),
+            )
 
     def test_an_answer_with_a_length_that_ends_before_it_may_count(self):
         self.vote()
@@ -608,8 +756,12 @@
         call.dataReceived(self.sized(self.NEWS))
         self.pass_on(0.3)
         live = self.network.sidecar.deadlines.live.values()
-        self.assertEqual([due for due, _ in live if getattr(due, "__self__", None) in (call, stream)], [])
-        self.assertEqual([self.network.reactor.connectors[at].stoppedConnecting for at in places], [False, False])
+        self.assertEqual(
+            [due for due, _ in live if getattr(due, "__self__", None) in (call, stream)], []
+        )
+        self.assertEqual(
+            [self.network.reactor.connectors[at].stoppedConnecting for at in places], [False, False]
+        )
         self.assertFalse(stream.transport.disconnected)
 
     def test_more_calls_than_fit_never_ran_and_their_places_come_back(self):
@@ -634,14 +786,20 @@
         self.assertLess(held, 100_000)
 
     def test_a_list_that_was_fetched_is_answered_once_whatever_comes(self):
-        for said, kind in ((self.sized(listed(9, "s-2")), i.WHOLE), (self.sized(listed(3, "s-2")), i.MISSED),
-                           (self.sized(b"noise"), i.MISSED), (self.sized(b"", 503), i.MISSED),
-                           (self.sized(listed(9, "s-2").replace(b"}]", b',"started_ms":1e300}]')), i.MISSED),
-                           (b"noise\r\n\r\n", i.MISSED)):
+        for said, kind in (
+            (self.sized(listed(9, "s-2")), i.WHOLE),
+            (self.sized(listed(3, "s-2")), i.MISSED),
+            (self.sized(b"noise"), i.MISSED),
+            (self.sized(b"", 503), i.MISSED),
+            (self.sized(listed(9, "s-2").replace(b"}]", b',"started_ms":1e300}]')), i.MISSED),
+            (b"noise\r\n\r\n", i.MISSED),
+        ):
             self.setUp()
             self.network.sidecar._fetch(i.FetchList())
             self.written(2).dataReceived(said)
-            self.assertEqual([event.kind for event in self.heard if type(event) is i.PodList], [kind], said[:60])
+            self.assertEqual(
+                [event.kind for event in self.heard if type(event) is i.PodList], [kind], said[:60]
+            )
 
     def test_one_fetched_at_a_former_address_changes_nothing_there(self):
         self.network.sidecar._fetch(i.FetchList())
@@ -651,8 +809,13 @@
         call.dataReceived(self.sized(listed(9, "s-3")))
         self.assertEqual(list(self.network.sidecar.listed), ["s-2"])
         stream.dataReceived(chunk(listed(4, "s-4")))
-        self.assertEqual((list(self.network.sidecar.listed), stream.transport.disconnected), (["s-4"], False))
-        self.assertEqual([event.kind for event in self.heard if type(event) is i.PodList], [i.WHOLE, i.MISSED, i.WHOLE])
+        self.assertEqual(
+            (list(self.network.sidecar.listed), stream.transport.disconnected), (["s-4"], False)
+        )
+        self.assertEqual(
+            [event.kind for event in self.heard if type(event) is i.PodList],
+            [i.WHOLE, i.MISSED, i.WHOLE],
+        )
 
 
 class Together(WithNetwork):
@@ -661,8 +824,10 @@
     def told(self, chunks):
         network, lists = Network(entry("s-1"), entry("s-2", 42)), []
         handle = network.sidecar.balancer.handle
-        network.sidecar.balancer.handle = lambda now, events: lists.extend(
-            event for event in events if type(event) is i.PodList) or handle(now, events)
+        network.sidecar.balancer.handle = lambda now, events: (
+            lists.extend(event for event in events if type(event) is i.PodList)
+            or handle(now, events)
+        )
         stream = network.connect(0)
         stream.dataReceived(HEAD)
         for content in chunks:
@@ -670,23 +835,37 @@
         sidecar = network.sidecar
         known = {name: known.listed for name, known in sidecar.balancer.pods.items()}
         self.assertEqual((known, sidecar.addresses.keys()), (sidecar.listed, sidecar.listed.keys()))
-        return (known, sidecar.addresses, sidecar.version, stream.transport.disconnected), len(lists)
+        return (known, sidecar.addresses, sidecar.version, stream.transport.disconnected), len(
+            lists
+        )
 
     def test_whatever_comes_together_ends_as_one_by_one(self):
         chance = random.Random(5)
         for _ in range(200):
             texts = []
             for version in range(8, 8 + chance.randint(1, 12)):
-                some = [entry(f"s-{chance.randint(1, 4)}", chance.choice((41, 42)),
-                              chance.choice(("Ready", "Terminating", "Gone")), addr=f"h:{chance.randint(1, 9)}",
-                              started_ms=chance.choice((0, 9))) for _ in range(chance.randint(0, 3))]
+                some = [
+                    entry(
+                        f"s-{chance.randint(1, 4)}",
+                        chance.choice((41, 42)),
+                        chance.choice(("Ready", "Terminating", "Gone")),
+                        addr=f"h:{chance.randint(1, 9)}",
+                        started_ms=chance.choice((0, 9)),
+                    )
+                    for _ in range(chance.randint(0, 3))
+                ]
                 whole = bool(some) and chance.random() < 0.1
-                texts.append(json.dumps({"version": version, "full": whole, "servers": some}).encode() + b"\n")
+                texts.append(
+                    json.dumps({"version": version, "full": whole, "servers": some}).encode()
+                    + b"\n"
+                )
             texts.insert(chance.randint(0, len(texts)), chance.choice((b"\n", b"noise\n", b"\n")))
             self.assertEqual(self.told([b"".join(texts)])[0], self.told(texts)[0], texts)
 
     def test_hundreds_of_changes_cost_one_look_at_all_that_are_known(self):
-        _, lists = self.told([b"".join(listed(8 + at, f"s-{at}", full=False) for at in range(1, 400))])
+        _, lists = self.told(
+            [b"".join(listed(8 + at, f"s-{at}", full=False) for at in range(1, 400))]
+        )
         self.assertEqual(lists, 1)
 
     def test_a_pod_that_goes_and_comes_back_in_one_chunk_gets_what_waits_for_it(self):
@@ -694,8 +873,13 @@
         network.ask("01")
         gone = json.dumps({"version": 8, "servers": [entry("s-1", state="Gone")]}).encode() + b"\n"
         for started, dialled in ((0, 1), (9, 2)):  # the same process, and another one
-            back = json.dumps({"version": 9, "servers": [entry("s-1", started_ms=started)]}).encode() + b"\n"
-            self.connected(2, gone + back) if started == 0 else self.kept[2].stream.dataReceived(chunk(gone + back))
+            back = (
+                json.dumps({"version": 9, "servers": [entry("s-1", started_ms=started)]}).encode()
+                + b"\n"
+            )
+            self.connected(2, gone + back) if started == 0 else self.kept[2].stream.dataReceived(
+                chunk(gone + back)
+            )
             self.assertEqual(network.dialled().count(7001), dialled)
         self.assertEqual(network.connect(network.streams).transport.value(), b"")
         self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
@@ -710,29 +894,54 @@
                 stream.dataReceived(HEAD)
                 for at in range(0, len(body), step):
                     self.assertEqual(list(network.sidecar.listed), ["s-1"])
-                    stream.dataReceived(chunk(body[at:at + step]))
+                    stream.dataReceived(chunk(body[at : at + step]))
                 self.assertEqual(list(network.sidecar.listed), ["s-2", "s-3"])
-                stream.dataReceived(chunk(b"\n" + listed(10, "s-4", indent=2) + b"\n\n" + listed(11, "s-5")))
-                self.assertEqual((list(network.sidecar.listed), network.sidecar.version), (["s-5"], 11))
+                stream.dataReceived(
+                    chunk(b"\n" + listed(10, "s-4", indent=2) + b"\n\n" + listed(11, "s-5"))
+                )
+                self.assertEqual(
+                    (list(network.sidecar.listed), network.sidecar.version), (["s-5"], 11)
+                )
                 self.assertFalse(stream.transport.disconnected)
 
     def test_brackets_and_quotes_in_strings_and_shapes_of_the_page(self):
         odd = {"version": 9, "full": True, "servers": [entry("s-2", zone='}]"{[\\', kind='\\"')]}
-        for text in (json.dumps(odd, indent=2), '{"version":9,"full":true,"servers":[\n  {"id":"s-2","addr":"h:7",'
-                     '"state":"Ready","weight":1.5e0,"cell":-1}]}', '{\n\n"version":9,"full":true,"servers":[]}'):
+        for text in (
+            json.dumps(odd, indent=2),
+            '{"version":9,"full":true,"servers":[\n  {"id":"s-2","addr":"h:7",'
+            '"state":"Ready","weight":1.5e0,"cell":-1}]}',
+            '{\n\n"version":9,"full":true,"servers":[]}',
+        ):
             lists = discovery.Lists()
             found = list(lists.feed(text.encode() + b"\r\n\n"))
             self.assertEqual(found, [json.loads(text), None])
 
     def test_nonsense_ends_it_with_its_line(self):
-        for text in (b"noise\n", b'{"version":9]\n', b'{"version":9,\n"servers":[}\n', b'{\nnoise\n', b'{"a\n', b"}\n",
-                     b'{"version":\n}\n', b'[\n', b'{\n}}\n', b'{"a":1}{"b":2}\n', b'{\n"a":1\n}{\n'):
+        for text in (
+            b"noise\n",
+            b'{"version":9]\n',
+            b'{"version":9,\n"servers":[}\n',
+            b"{\nnoise\n",
+            b'{"a\n',
+            b"}\n",
+            b'{"version":\n}\n',
+            b"[\n",
+            b"{\n}}\n",
+            b'{"a":1}{"b":2}\n',
+            b'{\n"a":1\n}{\n',
+        ):
             with self.assertRaises(discovery.Unreadable, msg=text):
                 list(discovery.Lists().feed(text))
 
     def test_a_list_that_was_cut_ends_it_as_soon_as_another_begins(self):
-        for whole in (listed(9, "s-2", "s-3"), listed(9, "s-2", "s-3", indent=0), listed(9, "s-2", "s-3", indent=2)):
-            ends = range(whole.index(b"version") + 9, len(whole) - 2)  # before that only silence tells
+        for whole in (
+            listed(9, "s-2", "s-3"),
+            listed(9, "s-2", "s-3", indent=0),
+            listed(9, "s-2", "s-3", indent=2),
+        ):
+            ends = range(
+                whole.index(b"version") + 9, len(whole) - 2
+            )  # before that only silence tells
             for at, indent, sign in itertools.product(ends, (None, 2), (b"", b"\n", b"\n\n\n")):
                 lists, another = discovery.Lists(), listed(10, "s-4", "s-5", indent=indent)
                 with self.assertRaises(discovery.Unreadable, msg=whole[:at] + sign):
@@ -754,14 +963,14 @@
         for indent in (None, 4):
             body, lists, found = listed(9, *names, indent=indent), discovery.Lists(), []
             for at in range(0, len(body), 65536):
-                found += lists.feed(body[at:at + 65536])
+                found += lists.feed(body[at : at + 65536])
             self.assertEqual([len(one["servers"]) for one in found], [5000])
 
 
 class OnSockets(unittest.TestCase):
     def setUp(self):
         self.old, self.new = PodPeer(), PodPeer()
-        with patient():     # once it serves, a watch has been heard and stands
+        with patient():  # once it serves, a watch has been heard and stands
             self.running = Program(self.old.entry("s-1"))
         self.running.__enter__()
         for last in (self.running.__exit__, self.old.close, self.new.close):
@@ -770,17 +979,28 @@
     def goes_to_new(self):
         with self.running.client() as client:
             number = itertools.count()
-            until(lambda: not self.new.heard.empty(),
-                  lambda: client.ask("SVC.QUERY", "a", f"{next(number)}", "c=read,d=4000"))
+            until(
+                lambda: not self.new.heard.empty(),
+                lambda: client.ask("SVC.QUERY", "a", f"{next(number)}", "c=read,d=4000"),
+            )
 
     def whole(self, version, **more):
-        return json.dumps({"version": version, "full": True, "servers": [self.new.entry("s-2")]}, **more) + "\n"
+        return (
+            json.dumps(
+                {"version": version, "full": True, "servers": [self.new.entry("s-2")]}, **more
+            )
+            + "\n"
+        )
 
     def test_an_indented_list_in_pieces_beside_signs_of_life(self):
         stood, text = list(self.running.discovery.streams), self.whole(9, indent=4)
-        self.running.discovery.say("\n", *(text[at:at + 50] for at in range(0, len(text), 50)), "\n")
+        self.running.discovery.say(
+            "\n", *(text[at : at + 50] for at in range(0, len(text), 50)), "\n"
+        )
         self.goes_to_new()
-        self.assertTrue([one for one in stood if one in self.running.discovery.streams])  # none was asked for instead
+        self.assertTrue(
+            [one for one in stood if one in self.running.discovery.streams]
+        )  # none was asked for instead
 
     def test_nonsense_amid_an_indented_list_ends_the_watch_alone_and_says_why(self):
         self.running.discovery.say('{"version": 9,\n"full": true,\nnoise\n')
@@ -815,6 +1035,7 @@
                         with contextlib.suppress(OSError):
                             if connection.recv(4096).startswith(b"GET"):
                                 connection.sendall(body)
+
             answering = threading.Thread(target=answers, daemon=True)
             answering.start()
             fillers.callback(answering.join)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -53,7 +53,9 @@
 
     def test_pods_of_a_build_take_turns(self):
         made = balancer(pod("a"), pod("b"), pod("c"))
-        self.assertEqual({sent(made.handle(NOW, [taken(str(n))]))[0] for n in range(3)}, {"a", "b", "c"})
+        self.assertEqual(
+            {sent(made.handle(NOW, [taken(str(n))]))[0] for n in range(3)}, {"a", "b", "c"}
+        )
 
     def test_failures_vote_back_and_successes_vote_on(self):
         made = balancer(told=news())
@@ -94,7 +96,9 @@
         judged(made, i.DONE, "new-1", 60, latency=5000)
         self.assertNotEqual(made._verdict(), i.BACK)
 
-    def test_resets_and_spoilt_answers_that_the_earlier_build_has_too_are_not_held_against_the_new_one(self):
+    def test_resets_and_spoilt_answers_that_the_earlier_build_has_too_are_not_held_against_the_new_one(
+        self,
+    ):
         for earlier, verdict in ((0, i.BACK), (3, i.ON)):
             made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
             judged(made, i.DONE, "old-1", 50)
@@ -125,7 +129,9 @@
 
     def test_who_sees_enough_of_few_pods_waits_for_a_second_one(self):
         for arrivals, back in ((0, True), (900, False)):
-            made = balancer(pod("old-1"), pod("new-0", 2), pod("new-1", 2), pod("new-2", 2), told=news())
+            made = balancer(
+                pod("old-1"), pod("new-0", 2), pod("new-1", 2), pod("new-2", 2), told=news()
+            )
             made.arrivals.add(NOW, arrivals)
             judged(made, i.ERROR, "new-0", 30)
             made.now += SECOND
@@ -195,7 +201,11 @@
         self.assertEqual(made._verdict(), i.BACK)
 
     def test_it_is_blamed_while_it_lasts_and_later_where_machines_are_replaced(self):
-        for swap, slow, age, back in ((True, 9.0, 11, False), (True, 9.0, 12, True), (False, 4.0, 9, False)):
+        for swap, slow, age, back in (
+            (True, 9.0, 11, False),
+            (True, 9.0, 12, True),
+            (False, 4.0, 9, False),
+        ):
             made = balancer(told=news(), replaces=swap)
             made.all_slow, made.ill_since, made.now = slow, NOW, NOW + age * SECOND
             self.assertEqual(made._verdict() == i.BACK, back)
@@ -233,7 +243,10 @@
             self.assertEqual(made._busier() > 1.5, excused)
 
     def test_mean_times_speak_before_nine_in_ten_are_over_the_mark(self):
-        for times, slow in ((1.2, False), (1.9, True)):  # spread as work is: few are far above the mean
+        for times, slow in (
+            (1.2, False),
+            (1.9, True),
+        ):  # spread as work is: few are far above the mean
             made = judging()
             for share in (0.4, 0.6, 0.8, 1.0, 1.3, 1.9) * 12:
                 judged(made, i.DONE, "old-1", latency=int(500 * times * share))
@@ -255,7 +268,9 @@
         made = balancer(*earlier, *late, told=news(3, build=2))
         made.handle(NOW, [news(0, i.WITHDRAWN, 0.0, 2), news(0, build=3)])
         gone = tuple(one._replace(condition=i.DRAINING) for one in late)
-        made.handle(NOW, [i.PodList(i.CHANGES, (*gone, *(pod(f"n-{n}", 3, NOW) for n in range(4))))])
+        made.handle(
+            NOW, [i.PodList(i.CHANGES, (*gone, *(pod(f"n-{n}", 3, NOW) for n in range(4))))]
+        )
         made.now += 9 * SECOND
         self.assertEqual(made._verdict(), i.ON)
 
@@ -269,7 +284,9 @@
             for number in range(9):
                 if number % 3 < zones:
                     judged(made, i.ERROR, f"new-{number}", 6)
-            self.assertEqual((made._verdict(), made.doubt >= doubt, made.doubt > 1), (vote, True, zones > 1))
+            self.assertEqual(
+                (made._verdict(), made.doubt >= doubt, made.doubt > 1), (vote, True, zones > 1)
+            )
 
     def test_without_zones_all_failures_count(self):
         pods = [pod(f"old-{n}") for n in range(9)] + [pod(f"new-{n}", 2) for n in range(9)]
@@ -281,7 +298,9 @@
 
     def test_connections_that_fail_at_both_builds_are_not_the_new_ones(self):
         for earlier, vote in ((5, i.NO_VOTE), (0, i.BACK)):
-            made = balancer(pod("old-1"), pod("old-2"), *(pod(f"new-{n}", 2) for n in range(6)), told=news())
+            made = balancer(
+                pod("old-1"), pod("old-2"), *(pod(f"new-{n}", 2) for n in range(6)), told=news()
+            )
             judged(made, i.DONE, "old-1", 60)
             judged(made, i.UNCONNECTED, "old-2", earlier)
             for number in range(6):
@@ -302,23 +321,37 @@
         self.assertGreater(made.p0["failed"], 0.4)
 
     def test_a_vote_for_on_waits_until_the_newest_pods_are_warm_enough_to_judge(self):
-        for cold, age, vote in ((2, 1.0, i.NO_VOTE), (2, 1.5, i.ON), (40, 2.9, i.NO_VOTE), (40, 3.1, i.ON)):
+        for cold, age, vote in (
+            (2, 1.0, i.NO_VOTE),
+            (2, 1.5, i.ON),
+            (40, 2.9, i.NO_VOTE),
+            (40, 3.1, i.ON),
+        ):
             made = balancer(pod("old-1"), pod("new-1", 2, NOW), told=news(), cold=cold * SECOND)
             made.offset, made.clear_since, made.now = 0, NOW - 9 * SECOND, NOW + int(age * SECOND)
             self.assertEqual(made._verdict(), vote, (cold, age))
 
     def test_the_last_stages_release_waits_until_the_newest_pods_can_carry_all(self):
-        for stage, age, vote in ((1, 3.1, i.ON), (4, 3.1, i.NO_VOTE), (4, 4.1, i.ON)):  # cold: 4 s, 0.75 after 2.7
+        for stage, age, vote in (
+            (1, 3.1, i.ON),
+            (4, 3.1, i.NO_VOTE),
+            (4, 4.1, i.ON),
+        ):  # cold: 4 s, 0.75 after 2.7
             made = balancer(pod("old-1"), pod("new-1", 2, NOW), told=news(stage=stage))
             made.offset, made.clear_since, made.now = 0, NOW - 9 * SECOND, NOW + int(age * SECOND)
             self.assertEqual(made._verdict(), vote, (stage, age))
 
     def test_a_trials_pod_that_starts_again_is_not_new(self):
         pods = [pod("old-1"), pod("old-2"), pod("new-1", 2, NOW), pod("new-2", 2, NOW)]
-        for again, vote in ((pod("new-1", 2, NOW + 8 * SECOND), i.ON), (pod("new-3", 2, NOW + 8 * SECOND), i.NO_VOTE)):
+        for again, vote in (
+            (pod("new-1", 2, NOW + 8 * SECOND), i.ON),
+            (pod("new-3", 2, NOW + 8 * SECOND), i.NO_VOTE),
+        ):
             made = balancer(*pods, told=news())
             made._verdict()
-            made.handle(NOW + 7 * SECOND, [i.PodList(i.CHANGES, (pods[2]._replace(condition=i.GONE),))])
+            made.handle(
+                NOW + 7 * SECOND, [i.PodList(i.CHANGES, (pods[2]._replace(condition=i.GONE),))]
+            )
             made.handle(NOW + 9 * SECOND, [i.PodList(i.CHANGES, (again,))])
             self.assertEqual(made._verdict(), vote)
 
@@ -376,7 +409,10 @@
         self.assertEqual(made._verdict(), i.ON)
 
     def test_after_a_release_tallies_of_the_rush_do_not_send_it_back_and_worse_ones_do(self):
-        for failed, back in ((27, False), (45, True)):  # of a hundred: half of the machines leave at once
+        for failed, back in (
+            (27, False),
+            (45, True),
+        ):  # of a hundred: half of the machines leave at once
             made = balancer(told=news())
             made.handle(NOW, [news(4, i.RELEASED, 1.0)])
             for at in range(4):
@@ -393,13 +429,17 @@
     def test_a_new_instance_does_not_take_silence_for_overload(self):
         made = balancer()
         made.born = NOW - SECOND // 2
-        self.assertGreater(made.admission.limit(NOW, made.terms.lanes["read"], NOW - made.born), 100)
+        self.assertGreater(
+            made.admission.limit(NOW, made.terms.lanes["read"], NOW - made.born), 100
+        )
 
     def test_beyond_the_limit_the_cheapest_lane_is_deferred_first(self):
         made = balancer()
         for lane in ("read", "pay"):
             made.admission.answered(NOW, LANES[lane], 100)
-        self.assertLess(*(made.admission.limit(NOW, LANES[lane], 5 * SECOND) for lane in ("read", "pay")))
+        self.assertLess(
+            *(made.admission.limit(NOW, LANES[lane], 5 * SECOND) for lane in ("read", "pay"))
+        )
 
     def test_a_pod_fast_at_failing_is_passed_over(self):
         made = balancer(pod("a"), pod("b"))
@@ -427,7 +467,10 @@
     def test_rings_are_made_once_for_each_key_and_not_with_every_transaction(self):
         with mock.patch.object(records, "Ring", wraps=Ring) as made:
             rings = {}
-            kept = [records.ring(rings, key, SECOND, 10) for key in ("read", "buy", "read", False, False)]
+            kept = [
+                records.ring(rings, key, SECOND, 10)
+                for key in ("read", "buy", "read", False, False)
+            ]
         self.assertEqual((made.call_count, len(rings)), (3, 3))
         self.assertTrue(kept[0] is kept[2] is not kept[1] and kept[3] is kept[4])
 
@@ -440,6 +483,7 @@
             exposure.took(NOW, "read")
             exposure.wrote(NOW, told, told.build, "read")
             exposure.allows(NOW, told, told.build, "read")
+
         one("first")
         with mock.patch.object(Ring, "__init__", autospec=True, side_effect=Ring.__init__) as rings:
             one("next")
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -27,7 +27,9 @@
 class Letters(unittest.TestCase):
     def setUp(self):
         self.one, self.two, self.other = made("n1"), made("n2"), made("n1")
-        self.ring = Ring([Peer(one.name, None, (PeerKey(one.text(), None),)) for one in (self.one, self.two)])
+        self.ring = Ring(
+            [Peer(one.name, None, (PeerKey(one.text(), None),)) for one in (self.one, self.two)]
+        )
 
     def opened(self, told, session=SESSION, last=0, ring=None):
         try:
@@ -50,8 +52,16 @@
         revoked = Ring([Peer("n1", None, (PeerKey(self.one.text(), None),))], [self.one.text()])
         self.assertEqual(self.opened(good, ring=revoked), "unknown")
         content = msgspec.msgpack.encode(["n1", 7])
-        self.assertEqual(self.opened({"key": self.one.key_id, "content": content,
-                                      "signature": self.one.sign(wire.MARK + content)}), "nonsense")
+        self.assertEqual(
+            self.opened(
+                {
+                    "key": self.one.key_id,
+                    "content": content,
+                    "signature": self.one.sign(wire.MARK + content),
+                }
+            ),
+            "nonsense",
+        )
         self.assertRaises(wire.Bad, self.sealed, body=bytes(wire.LETTER_MOST))
 
 
@@ -66,9 +76,14 @@
             def ask(self, kind, body):
                 asked.append((self.name, kind, msgspec.msgpack.decode(body).get("number")))
                 return Deferred() if self.told is None else succeed(self.told)
+
         deadlines = Deadlines(lambda: int(clock.seconds() * 10_000), clock.callLater, self.fail)
-        ways = {"a": Channel("a", {"why": "does not lead", "again": 0, "leader": "b", "unknown": False}),
-                "b": Channel("b", {"reply": {"ok": True}})}
+        ways = {
+            "a": Channel(
+                "a", {"why": "does not lead", "again": 0, "leader": "b", "unknown": False}
+            ),
+            "b": Channel("b", {"reply": {"ok": True}}),
+        }
         one = client.Client(deadlines, ways, Chance(1), "n1", 5, msgspec.msgpack.encode)
         one.place, found = 0, []
         one.propose({"do": "x"}).addCallback(found.append)
@@ -107,12 +122,25 @@
     def test_the_example_is_taken_and_what_cannot_work_is_named_with_line_and_key(self):
         self.assertIsNone(self.said(lambda text: text))
         for change, told in (
-                (lambda text: re.sub(r'\n.*name: "n3", address.*', "", text), r"F:11: fleet\.keepers: 2 keepers"),
-                (lambda text: text.replace("least: 2", "least: 3"), r"F:\d+: fleet\.budgets: .*all is impossible"),
-                (lambda text: text.replace('each: "zone"', 'where: {rack: "c9"}'), r"fleet\.budgets: .*no unit"),
-                (lambda text: text.replace('unit: "n1"', 'unit: "n9"'), r"F:\d+: fleet\.unit: n9"),
-                (lambda text: text.replace('"n1.key"', '"none.key"'), r"F:\d+: fleet\.key: can't be read"),
-                (lambda text: text.replace('rack: "a1"', 'shelf: "a1"'), r"shelf: no such field")):
+            (
+                lambda text: re.sub(r'\n.*name: "n3", address.*', "", text),
+                r"F:11: fleet\.keepers: 2 keepers",
+            ),
+            (
+                lambda text: text.replace("least: 2", "least: 3"),
+                r"F:\d+: fleet\.budgets: .*all is impossible",
+            ),
+            (
+                lambda text: text.replace('each: "zone"', 'where: {rack: "c9"}'),
+                r"fleet\.budgets: .*no unit",
+            ),
+            (lambda text: text.replace('unit: "n1"', 'unit: "n9"'), r"F:\d+: fleet\.unit: n9"),
+            (
+                lambda text: text.replace('"n1.key"', '"none.key"'),
+                r"F:\d+: fleet\.key: can't be read",
+            ),
+            (lambda text: text.replace('rack: "a1"', 'shelf: "a1"'), r"shelf: no such field"),
+        ):
             self.assertRegex(self.said(change), told)
 
     def test_starts_grow(self):
@@ -121,11 +149,15 @@
             self.assertEqual(sorted(set(numbers)), numbers)
 
     def test_off_it_is_not_imported(self):
-        code = ("import sys; from thymeknot.service import features, life; import thymeknot.sidecar; "
-                "features.Features(None); "
-                "print([name for name in sys.modules if name.startswith(('thymeknot.fleet', 'thymeknot.agreement', "
-                "'thymeknot.turns', 'twisted.protocols.amp', 'msgspec'))])")
-        done = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=30)
+        code = (
+            "import sys; from thymeknot.service import features, life; import thymeknot.sidecar; "
+            "features.Features(None); "
+            "print([name for name in sys.modules if name.startswith(('thymeknot.fleet', 'thymeknot.agreement', "
+            "'thymeknot.turns', 'twisted.protocols.amp', 'msgspec'))])"
+        )
+        done = subprocess.run(
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=30
+        )
         self.assertEqual(done.stdout.strip(), "[]", done.stderr)
 
 
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -21,8 +21,14 @@
     def __init__(self, racks=2, hosts=2, slots=4, kind=state.Machine, terms=None):
         self.machine, self.at = kind(terms), SECOND
         for at in range(racks):
-            self.ok("stand", rack=f"r{at}", zone=f"z{at // 2}", cluster="c", bandwidth=10**9,
-                    machines={f"r{at}m{one}": {"slots": slots} for one in range(hosts)})
+            self.ok(
+                "stand",
+                rack=f"r{at}",
+                zone=f"z{at // 2}",
+                cluster="c",
+                bandwidth=10**9,
+                machines={f"r{at}m{one}": {"slots": slots} for one in range(hosts)},
+            )
 
     def do(self, what, **fields):
         return self.machine.apply(self.at, {"part": "gangs", "do": what, **fields})
@@ -33,8 +39,19 @@
         return reply
 
     def offer(self, name, workers=4, **more):
-        return self.do("offer", gang=name, job={"workers": workers, "pattern": "ring", "bytes": 10**6, "target": SECOND,
-                                                "publisher": "p", "checkpoint": 60 * SECOND, **more})
+        return self.do(
+            "offer",
+            gang=name,
+            job={
+                "workers": workers,
+                "pattern": "ring",
+                "bytes": 10**6,
+                "target": SECOND,
+                "publisher": "p",
+                "checkpoint": 60 * SECOND,
+                **more,
+            },
+        )
 
     def plan(self, name):
         return search.find(self.machine.view(), self.life(name).gang, self.at)
@@ -55,7 +72,11 @@
         return self.machine.all.gangs[name]
 
     def state(self, name):
-        return self.life(name).state if name in self.machine.all.gangs else self.machine.all.ended.get(name)
+        return (
+            self.life(name).state
+            if name in self.machine.all.gangs
+            else self.machine.all.ended.get(name)
+        )
 
     def on(self, name):
         return sorted(self.life(name).places)
@@ -74,11 +95,16 @@
             whole = life["state"] in ("held", "bound", "running", "moving")
             if placed and life["state"] == "offered" or whole and placed != life["gang"]["workers"]:
                 found.append(f"{name} half placed")
-            if life["state"] in ("held", "bound", "hurt", "moving") and life["lease"] <= image["at"]:
+            if (
+                life["state"] in ("held", "bound", "hurt", "moving")
+                and life["lease"] <= image["at"]
+            ):
                 found.append(f"{name} past its lease")
         for rack in image["places"]["racks"].values():
             for machine, host in rack["hosts"].items():
-                if used.get(machine, 0) > host["slots"] or host["free"] != host["slots"] - used.get(machine, 0):
+                if used.get(machine, 0) > host["slots"] or host["free"] != host["slots"] - used.get(
+                    machine, 0
+                ):
                     found.append(f"{machine} has slots twice")
         return found
 
@@ -118,8 +144,14 @@
     def test_all_or_none(self):
         fleet = Fleet()
         fleet.offer("g")
-        self.assertIn("All or none", fleet.do("hold", gang="g", places={"r0m0": 3}, versions={"r0": 1})["refused"])
-        self.assertIn("No version", fleet.do("hold", gang="g", places={"r0m0": 4}, versions={"r1": 1})["refused"])
+        self.assertIn(
+            "All or none",
+            fleet.do("hold", gang="g", places={"r0m0": 3}, versions={"r0": 1})["refused"],
+        )
+        self.assertIn(
+            "No version",
+            fleet.do("hold", gang="g", places={"r0m0": 4}, versions={"r1": 1})["refused"],
+        )
         self.assertIn("have room for 16", fleet.offer("h", workers=17)["refused"])
 
     def test_image_and_load_go_on_alike(self):
@@ -133,31 +165,53 @@
             fleet.later(20)
         self.assertEqual(one.machine.image(), other.machine.image())
 
-    plain = some.recursive(some.none() | some.booleans() | some.integers() | some.floats() | some.text(max_size=5),
-                           lambda inner: some.lists(inner, max_size=3) | some.dictionaries(some.text(max_size=6), inner,
-                                                                                           max_size=3), max_leaves=6)
+    plain = some.recursive(
+        some.none() | some.booleans() | some.integers() | some.floats() | some.text(max_size=5),
+        lambda inner: (
+            some.lists(inner, max_size=3)
+            | some.dictionaries(some.text(max_size=6), inner, max_size=3)
+        ),
+        max_leaves=6,
+    )
 
     @quick
-    @given(some.sampled_from("stand uplink share planned offer hold bind start checkpoint done mend withdraw preempt "
-                             "lost back drain_asked tick nonsense".split()),
-           some.dictionaries(some.sampled_from("gang job fence versions places machine name kind by drain".split()),
-                             plain, max_size=4), plain)
+    @given(
+        some.sampled_from(
+            "stand uplink share planned offer hold bind start checkpoint done mend withdraw preempt "
+            "lost back drain_asked tick nonsense".split()
+        ),
+        some.dictionaries(
+            some.sampled_from("gang job fence versions places machine name kind by drain".split()),
+            plain,
+            max_size=4,
+        ),
+        plain,
+    )
     def test_nonsense_is_refused_with_a_sentence_and_changes_nothing(self, what, fields, other):
         fleet = Fleet()
         for command in ({"part": "gangs", "do": what, **fields}, other):
             before = fleet.machine.image()
             reply = fleet.machine.apply(fleet.at, command)
-            self.assertTrue(reply.get("ok") and what == "tick" or reply["refused"].endswith("."), reply)
+            self.assertTrue(
+                reply.get("ok") and what == "tick" or reply["refused"].endswith("."), reply
+            )
             after = fleet.machine.image()
             before.pop("counted"), after.pop("counted")
             self.assertEqual(before, after)
 
     def test_jobs_that_mean_nothing(self):
         fleet = Fleet()
-        for more, says in (({"pattern": "star"}, "none of"), ({"pattern": "matrix"}, "needs a matrix"),
-                           ({"matrix": [[1]]}, "alone"), ({"pattern": "matrix", "matrix": [[1], [1]]}, "square"),
-                           ({"pattern": "matrix", "matrix": [[1] * 3] * 3}, "evenly"), ({"spare": 4}, "spare"),
-                           ({"workers": 1}, "`int` >= 2"), ({"workers": 513}, "<= 512"), ({"bytes": 1.5}, "float")):
+        for more, says in (
+            ({"pattern": "star"}, "none of"),
+            ({"pattern": "matrix"}, "needs a matrix"),
+            ({"matrix": [[1]]}, "alone"),
+            ({"pattern": "matrix", "matrix": [[1], [1]]}, "square"),
+            ({"pattern": "matrix", "matrix": [[1] * 3] * 3}, "evenly"),
+            ({"spare": 4}, "spare"),
+            ({"workers": 1}, "`int` >= 2"),
+            ({"workers": 513}, "<= 512"),
+            ({"bytes": 1.5}, "float"),
+        ):
             self.assertIn(says, fleet.offer("g", **more)["refused"])
 
 
@@ -212,7 +266,9 @@
     def test_a_scheduler_that_dies_between_hold_and_bind(self):
         fleet, fence = self.dies()
         self.assertEqual((fleet.state("g"), fleet.broken()), ("offered", []))
-        self.assertIn("offered", fleet.do("bind", gang="g", fence=fence)["refused"])     # it wakes up again
+        self.assertIn(
+            "offered", fleet.do("bind", gang="g", fence=fence)["refused"]
+        )  # it wakes up again
         fleet.later(2)
         self.assertNotEqual(fleet.hold("g")["fence"], fence)
 
@@ -220,7 +276,11 @@
         self.assertIn("g past its lease", self.dies(Lasting)[0].broken())
 
     def test_random_plays_keep_the_rules_and_find_the_broken_variants(self):
-        for kind, what in ((state.Machine, None), (Unread, "slots_twice"), (Lasting, "half_placed")):
+        for kind, what in (
+            (state.Machine, None),
+            (Unread, "slots_twice"),
+            (Lasting, "half_placed"),
+        ):
             sums = play(3, 600, kind)
             for name in ("slots_twice", "half_placed"):
                 if kind is state.Machine or name == what:
@@ -263,7 +323,7 @@
         fleet.ok("lost", kind="worker", name=home, gang="g")
         life = fleet.life("g")
         places = fleet.machine.view()
-        places.host(home).closed = "another"        # nobody new there
+        places.host(home).closed = "another"  # nobody new there
         places.changed(home)
         plan, way = search.mended(places, life.gang, fleet.at, life.places, 0)
         self.assertEqual((way, len(plan.places)), ("whole", 1))
@@ -300,7 +360,9 @@
         said = fleet.ok("checkpoint", gang="g", fence=fence)
         self.assertEqual((said["next"], fleet.state("g")), ("mend", "hurt"))
         fleet.ok("drain_asked", machine=machine, drain="d")
-        plan, _ = search.mended(fleet.machine.view(), fleet.life("g").gang, fleet.at, fleet.life("g").places, 0)
+        plan, _ = search.mended(
+            fleet.machine.view(), fleet.life("g").gang, fleet.at, fleet.life("g").places, 0
+        )
         self.assertNotIn(machine, plan.places)
         self.assertEqual(fleet.broken(), [])
 
@@ -309,15 +371,24 @@
         fleet.run("g", workers=4, spare=1)
         fleet.later(1)
         first, fence = fleet.on("g")[0], fleet.life("g").fence
-        self.assertEqual(fleet.ok("drain_asked", machine=first, drain="d", unit=True)["gangs"], ["g"])
+        self.assertEqual(
+            fleet.ok("drain_asked", machine=first, drain="d", unit=True)["gangs"], ["g"]
+        )
         life = fleet.life("g")
         plan, _ = search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
-        fence = fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)["fence"]
+        fence = fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)[
+            "fence"
+        ]
         second = fleet.on("g")[0]
-        self.assertIn("until its checkpoint", fleet.do("drain_asked", machine=second, drain="d", unit=True)["refused"])
+        self.assertIn(
+            "until its checkpoint",
+            fleet.do("drain_asked", machine=second, drain="d", unit=True)["refused"],
+        )
         fleet.ok("start", gang="g", fence=fence)
         fleet.later(1)
-        self.assertEqual(fleet.ok("drain_asked", machine=second, drain="d", unit=True)["gangs"], ["g"])
+        self.assertEqual(
+            fleet.ok("drain_asked", machine=second, drain="d", unit=True)["gangs"], ["g"]
+        )
         self.assertEqual(fleet.life("g").state, "hurt")
 
     def test_a_rack_is_lost_under_a_gang_while_it_drains(self):
@@ -330,7 +401,9 @@
         fleet.ok("drain_asked", machine="r0m0", drain="d")
         life = fleet.life("g")
         plan, way = search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
-        self.assertEqual((way, {machine[:2] for machine in plan.places}), ("in place", {"r1", "r2"}))
+        self.assertEqual(
+            (way, {machine[:2] for machine in plan.places}), ("in place", {"r1", "r2"})
+        )
         fleet.ok("mend", gang="g", fence=life.fence, places=plan.places, versions=plan.versions)
 
 
@@ -349,7 +422,9 @@
             fleet.ok("done", gang=f"high{turn}", fence=fence)
         fleet.run("low")
         fleet.offer("again", priority=90)
-        self.assertIn("as often as one has to", fleet.do("preempt", gang="low", by="again")["refused"])
+        self.assertIn(
+            "as often as one has to", fleet.do("preempt", gang="low", by="again")["refused"]
+        )
 
     def test_a_gang_that_owes_its_checkpoint_is_not_safe_from_everybody(self):
         fleet = Fleet(racks=1, hosts=1)
@@ -391,7 +466,9 @@
                 plan = fleet.plan(name)
                 if plan and fleet.hold(name, plan).get("ok"):
                     if name == "large":
-                        return self.assertGreater(fleet.at, 1000 * SECOND)   # not before its age outweighs priority
+                        return self.assertGreater(
+                            fleet.at, 1000 * SECOND
+                        )  # not before its age outweighs priority
                     fence = fleet.life(name).fence
                     fleet.ok("bind", gang=name, fence=fence)
                     fleet.ok("start", gang=name, fence=fence)
@@ -404,10 +481,10 @@
             fleet.ok("share", publisher=publisher, thousandths=500)
         self.assertIn("1100", fleet.do("share", publisher="r", thousandths=100)["refused"])
         fleet.run("p1", workers=8)
-        fence = fleet.run("p2", workers=8, priority=90)         # borrowed: nobody else waits
+        fence = fleet.run("p2", workers=8, priority=90)  # borrowed: nobody else waits
         fleet.offer("q1", workers=8, publisher="q", priority=0)
         fleet.offer("p3", workers=4, priority=99)
-        fleet.ok("preempt", gang="p2", by="q1")                 # whatever the priorities
+        fleet.ok("preempt", gang="p2", by="q1")  # whatever the priorities
         self.assertEqual(fleet.ok("checkpoint", gang="p2", fence=fence)["next"], "yield")
         self.assertIn("q1 is due", fleet.hold("p3")["refused"])
         fleet.run("q1")
@@ -417,7 +494,13 @@
 def places_of(racks, hosts=2, slots=4, chance=None):
     places = Places(uplinks={"zone/c/z0": 3 * 10**9, "zone/c/z1": 10**9})
     for at in range(racks):
-        places.stand(f"r{at}", f"z{at % 2}", "c", 10**9, {f"r{at}m{one}": Stated(slots) for one in range(hosts)})
+        places.stand(
+            f"r{at}",
+            f"z{at % 2}",
+            "c",
+            10**9,
+            {f"r{at}m{one}": Stated(slots) for one in range(hosts)},
+        )
         for machine in places.racks[f"r{at}"].hosts if chance else ():
             places.take({machine: int(chance.draw() * (slots + 1))}, ())
         if chance:
@@ -442,16 +525,27 @@
         for one, other, much in pairs(gang):
             out += much * (low <= one < high) * (not low <= other < high)
             back += much * (low <= other < high) * (not low <= one < high)
-        self.assertAlmostEqual(gang.crossing(low, high) / max(1, out, back), max(out, back) / max(1, out, back))
+        self.assertAlmostEqual(
+            gang.crossing(low, high) / max(1, out, back), max(out, back) / max(1, out, back)
+        )
 
     @quick
-    @given(some.sampled_from(list(jobs.PATTERNS)), some.integers(1, 4), some.integers(2, 4), some.integers(0, 2**30))
+    @given(
+        some.sampled_from(list(jobs.PATTERNS)),
+        some.integers(1, 4),
+        some.integers(2, 4),
+        some.integers(0, 2**30),
+    )
     def test_exact_is_the_best_of_all_and_fast_is_near(self, pattern, half, racks, seed):
         places, gang = places_of(racks, chance=Chance(seed)), gang_of(2 * half, pattern)
         scorer = score.Scorer(places, gang, 0)
-        every = [{at: many for at, many in enumerate(counts) if many}
-                 for counts in itertools.product(*(range(min(room, gang.workers) + 1) for room in scorer.room))
-                 if sum(counts) == gang.workers]
+        every = [
+            {at: many for at, many in enumerate(counts) if many}
+            for counts in itertools.product(
+                *(range(min(room, gang.workers) + 1) for room in scorer.room)
+            )
+            if sum(counts) == gang.workers
+        ]
         best = min(map(scorer.total, every), default=None)
         found = search.exact(scorer)
         self.assertEqual(found is None, best is None)
@@ -462,8 +556,13 @@
     def test_the_score_explains_itself(self):
         plan = search.find(places_of(4, hosts=1), gang_of(12, "all"), 0)
         parts = plan.score.parts.values()
-        self.assertAlmostEqual(plan.score.total, sum(part["value"] * part["weight"] for part in parts))
-        self.assertRegex(plan.score.sentence(), r"A step takes 0.\d+ s of 10.000 s by the uplink .* takes \d+% of it.")
+        self.assertAlmostEqual(
+            plan.score.total, sum(part["value"] * part["weight"] for part in parts)
+        )
+        self.assertRegex(
+            plan.score.sentence(),
+            r"A step takes 0.\d+ s of 10.000 s by the uplink .* takes \d+% of it.",
+        )
         self.assertEqual(sum(plan.places.values()), 12)
 
     def test_plans_and_others_traffic_turn_a_gang_away(self):
@@ -478,7 +577,12 @@
 
     def test_baselines_place_all_or_nothing(self):
         scorer = score.Scorer(places_of(4), gang_of(20), 0)
-        for how in (search.first_fit, search.random_fit(Chance(1)), search.packing, search.spreading):
+        for how in (
+            search.first_fit,
+            search.random_fit(Chance(1)),
+            search.packing,
+            search.spreading,
+        ):
             self.assertEqual(sum(how(scorer).values()), 20)
             self.assertIsNone(how(score.Scorer(places_of(2), gang_of(20), 0)))
 
@@ -487,10 +591,16 @@
     """(from, to, bytes) of all pairs that talk, written down anew from what the patterns mean."""
     last, size = gang.workers - 1, gang.workers // max(1, len(gang.matrix))
     for one, other in itertools.permutations(range(gang.workers), 2):
-        much = {"ring": gang.bytes * (other == (one + 1) % gang.workers), "all": gang.bytes / last,
-                "pipeline": gang.bytes * (abs(one - other) == 1), "matrix": 0,
-                "tree": gang.bytes * (jobs.parents(gang.workers)[one] == other
-                                      or jobs.parents(gang.workers)[other] == one)}[gang.pattern]
+        much = {
+            "ring": gang.bytes * (other == (one + 1) % gang.workers),
+            "all": gang.bytes / last,
+            "pipeline": gang.bytes * (abs(one - other) == 1),
+            "matrix": 0,
+            "tree": gang.bytes
+            * (
+                jobs.parents(gang.workers)[one] == other or jobs.parents(gang.workers)[other] == one
+            ),
+        }[gang.pattern]
         if gang.matrix:
             here, there = one // size, other // size
             much = gang.matrix[here][there] / (size - (here == there))
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -90,15 +90,21 @@
                 begin = HEAD + slot * SLOT
                 content = generate.packed(entry, number)
                 self.assertEqual(content, bytes(arena.memory[begin : begin + len(content)]))
-        self.assertEqual({note[0] for note in whole[-1][2].notes}, {int(reason) for reason in Reason})
+        self.assertEqual(
+            {note[0] for note in whole[-1][2].notes}, {int(reason) for reason in Reason}
+        )
 
     def test_a_start_recovers_what_an_earlier_version_has_written(self):
         arena = Arena(generate.RECORD_SLOTS, self.path)
         self.addCleanup(arena.close)
-        record = Record(generate.record_settings(), generate.lanes(), arena, 1_000_000, lambda: 0, Chance(5))
+        record = Record(
+            generate.record_settings(), generate.lanes(), arena, 1_000_000, lambda: 0, Chance(5)
+        )
         self.assertEqual((record.recovered, record.torn), (22, 0))
         found = list(record.by_name("0000000000000019"))
-        self.assertEqual([(one.lane, one.key, one.tenant) for one in found], [("pay", "key25", "acme")])
+        self.assertEqual(
+            [(one.lane, one.key, one.tenant) for one in found], [("pay", "key25", "acme")]
+        )
 
 
 class RaftFiles(unittest.TestCase):
@@ -108,9 +114,15 @@
         """The directory of a case as the store opens it: what was recovered, and the segment's bytes by then."""
         folder = tempfile.TemporaryDirectory()
         self.addCleanup(folder.cleanup)
-        shutil.copytree(os.path.join(generate.FOLDER, "raft", case), os.path.join(folder.name, "disk"))
-        os.rename(os.path.join(folder.name, "disk", "lineage"), os.path.join(folder.name, "lineage"))
-        store = Store(os.path.join(folder.name, "disk"), os.path.join(folder.name, "lineage"), lambda: 99)
+        shutil.copytree(
+            os.path.join(generate.FOLDER, "raft", case), os.path.join(folder.name, "disk")
+        )
+        os.rename(
+            os.path.join(folder.name, "disk", "lineage"), os.path.join(folder.name, "lineage")
+        )
+        store = Store(
+            os.path.join(folder.name, "disk"), os.path.join(folder.name, "lineage"), lambda: 99
+        )
         self.addCleanup(store.close)
         found = store.open()
         self.assertEqual(found.said, ())
@@ -118,14 +130,18 @@
 
     def test_a_log_with_a_vote_and_a_truncation_is_read(self):
         entries = (generate.log_entry(1, 1, part="turns", do="tick"),)
-        self.assertEqual(self.opened("log"), Recovered(generate.DISK_INCARNATION, 2, None, None, entries))
+        self.assertEqual(
+            self.opened("log"), Recovered(generate.DISK_INCARNATION, 2, None, None, entries)
+        )
 
     def test_a_snapshot_with_entries_after_it_is_read(self):
         groups = generate.disk_records()
         snapshot = groups[3][0]._replace(whole=True)
         self.assertIs(type(snapshot), Snapshot)
         entries = (groups[2][1], groups[4][0])
-        self.assertEqual(self.opened("snapshot"), Recovered(generate.DISK_INCARNATION, 3, "b", snapshot, entries))
+        self.assertEqual(
+            self.opened("snapshot"), Recovered(generate.DISK_INCARNATION, 3, "b", snapshot, entries)
+        )
 
     def test_every_message_is_read_and_written_to_the_same_bytes(self):
         wire = stored_json("raft_wire.json")
@@ -139,9 +155,13 @@
         wire = stored_json("raft_wire.json")
         for kind in (letters.KEEPER, letters.PROPOSE, letters.READ, letters.REPLY):
             with self.subTest(kind):
-                sealed = {name: bytes.fromhex(value) for name, value in wire[f"letter {kind}"].items()}
+                sealed = {
+                    name: bytes.fromhex(value) for name, value in wire[f"letter {kind}"].items()
+                }
                 read = letters.opened(ring(), 0, "b", bytes(range(32)), kind, **sealed)
-                self.assertEqual((read.sender, read.kind, letters.plain(read.body)), ("a", kind, {"kind": kind}))
+                self.assertEqual(
+                    (read.sender, read.kind, letters.plain(read.body)), ("a", kind, {"kind": kind})
+                )
 
 
 class StateMachines(unittest.TestCase):
@@ -153,7 +173,9 @@
     def test_every_stored_command_has_its_stored_reply(self):
         for name, machine in self.machines():
             exchanges = stored_json(f"{name}_exchanges.json")
-            replies, _, _ = generate.applied(machine(), [(at, command) for at, command, _ in exchanges])
+            replies, _, _ = generate.applied(
+                machine(), [(at, command) for at, command, _ in exchanges]
+            )
             for (at, command, wanted), reply in zip(exchanges, replies):
                 with self.subTest(machine=name, at=at, command=command):
                     self.assertEqual(json.loads(json.dumps(reply)), wanted)
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -41,11 +41,14 @@
     """Has an instance lie once a second, and overhear what it gets."""
     liar = Liar(made.instances[name].node, pods)
     instance = made.instances[name]
-    made.taps.append(lambda source, address, content: address == instance.address and liar.overheard(content))
+    made.taps.append(
+        lambda source, address, content: address == instance.address and liar.overheard(content)
+    )
 
     def lie():
         liar.lies(instance.clock())
         instance.flush()
+
     return lie
 
 
@@ -79,8 +82,10 @@
     def test_loss_copies_and_disorder_bury_nobody(self):
         made = settled(8, loss=0.3, copies=0.2, delay=(2, 900))
         buried = []
-        made.run(120 * SECOND, lambda: buried.extend(
-            name for name in made.instances if "dead" in made.states(name)))
+        made.run(
+            120 * SECOND,
+            lambda: buried.extend(name for name in made.instances if "dead" in made.states(name)),
+        )
         self.assertEqual(buried, [])
 
     def test_half_cut_off_then_healed(self):
@@ -120,7 +125,9 @@
         self.assertIn("dead", made.states("n2"))
         made.run(20 * SECOND)
         self.all_alive(made)
-        self.assertEqual({one.state for one in made.instances["n2"].node.members.all.values()}, {"alive"})
+        self.assertEqual(
+            {one.state for one in made.instances["n2"].node.members.all.values()}, {"alive"}
+        )
 
     def test_one_that_leaves_is_gone_at_once_and_another_name_at_an_address_takes_it(self):
         made = settled()
@@ -135,7 +142,10 @@
         new.begin([made.instances["n0"].address])
         made.run(8 * SECOND)
         self.assertEqual(set(made.states("n3")), {"alive"})
-        self.assertEqual({made.instances[name].node.members.all["n1"].state for name in ("n0", "n2", "n4")}, {"dead"})
+        self.assertEqual(
+            {made.instances[name].node.members.all["n1"].state for name in ("n0", "n2", "n4")},
+            {"dead"},
+        )
 
 
 class Liars(unittest.TestCase):
@@ -149,9 +159,12 @@
                 deliver(made, name, "s-1", 1, 0)
                 wrong.extend(state for state in made.states(name) if state in ("dead", "left"))
             wrong.extend(doubts(made))
+
         made.run(90 * SECOND, round_of_lies)
         self.assertEqual(wrong, [])
-        self.assertLess(made.instances["n0"].node.belief.trust("n4"), 0.05)  # two tongues were heard
+        self.assertLess(
+            made.instances["n0"].node.belief.trust("n4"), 0.05
+        )  # two tongues were heard
         for kind in ("sender", "signature", "form", "recipient", "version"):
             self.assertTrue(any(one.node.dropped[kind] for one in made.live()), kind)
 
@@ -174,6 +187,7 @@
                 deliver(made, name, "s-6", 4, 3)
                 deliver(made, name, "s-2", 4, 0)
             found.extend(doubts(made))
+
         made.run(10 * SECOND, traffic)
         self.assertIn(("n0", "s-6"), found)
         self.assertEqual({pod for _, pod in found}, {"s-6"})
@@ -191,6 +205,7 @@
                 deliver(made, name, "s-6", 6, 6)
             deliver(made, "n0", "s-6", 8, 0)
             found.extend(doubts(made))
+
         made.run(6 * SECOND, traffic)
         self.assertNotIn(("n0", "s-6"), found)
         self.assertLess(made.instances["n0"].node.belief.trust("n1"), 0.2)
@@ -210,7 +225,10 @@
             for pod in ("s-5", "s-6", "s-7"):
                 deliver(made, name, pod, 60, 0)
         made.run(5 * SECOND)
-        self.assertEqual(len([one for one in doubts(made) if one[0] == "n0"]), int(len(PODS) * HEARSAY.most_share))
+        self.assertEqual(
+            len([one for one in doubts(made) if one[0] == "n0"]),
+            int(len(PODS) * HEARSAY.most_share),
+        )
         made = settled(6)
         for name in ("n1", "n2", "n3", "n4", "n5"):
             for pod in PODS:
@@ -237,7 +255,9 @@
         self.assertEqual(claimed, {"n2", "n3", "n4"})
         made.ring.revoked = {"n4"}
         node.rekey(made.ring, made.instances["n0"].clock())
-        self.assertEqual({origin for words in node.belief.claims.values() for origin in words}, {"n2", "n3"})
+        self.assertEqual(
+            {origin for words in node.belief.claims.values() for origin in words}, {"n2", "n3"}
+        )
         self.assertNotIn("n4", node.members.all)
         doubts(made)
         made.run(2 * SECOND)
@@ -247,8 +267,11 @@
     def test_datagrams_sent_again_after_the_victims_restart_count_for_nothing(self):
         made, heard = settled(), []
         victim = made.instances["n0"]
-        made.taps.append(lambda source, address, content: address == victim.address
-                         and heard.append((source, content)))
+        made.taps.append(
+            lambda source, address, content: (
+                address == victim.address and heard.append((source, content))
+            )
+        )
         for name in ("n1", "n2", "n3", "n4"):
             deliver(made, name, "s-1", 10, 10)
         made.run(3 * SECOND)
@@ -259,7 +282,9 @@
         victim.begin([])
         victim.node.belief.listed(PODS)
         captured = list(heard)
-        made.run(30 * SECOND, lambda: [victim.received(source, content) for source, content in captured])
+        made.run(
+            30 * SECOND, lambda: [victim.received(source, content) for source, content in captured]
+        )
         self.assertEqual({one.state for one in victim.node.members.all.values()}, {"unproved"})
         self.assertEqual(victim.node.belief.claims, {})
         self.assertEqual(victim.node.doubts, [])
@@ -268,14 +293,17 @@
 class Ceilings(unittest.TestCase):
     def test_no_second_sends_more_than_the_ceiling_whatever_comes_in(self):
         made, times = settled(loss=0.1), {}
-        made.taps.append(lambda source, address, content: times.setdefault(source, []).append(
-            (made.now, len(content))))
+        made.taps.append(
+            lambda source, address, content: times.setdefault(source, []).append(
+                (made.now, len(content))
+            )
+        )
         lie = with_liar(made)
         made.run(30 * SECOND, lambda: [lie() for _ in range(10)], SECOND // 10)
         for name in ("n0", "n1", "n2", "n3"):
             mine = times[made.instances[name].address]
             for at, (begin, _) in enumerate(mine):
-                within = [size for moment, size in mine[at:at + 200] if moment < begin + SECOND]
+                within = [size for moment, size in mine[at : at + 200] if moment < begin + SECOND]
                 self.assertLessEqual(len(within), TERMS.ceiling.datagrams + 1)
                 self.assertLessEqual(sum(within), TERMS.ceiling.bytes)
             self.assertLess(made.instances[name].node.verified, 50 * TERMS.verifications.total)
@@ -291,18 +319,23 @@
             if (address, source) in sizes and len(content) > sizes[address, source]:
                 shorter.append((len(content), sizes[address, source]))
             sizes[source, address] = len(content)
+
         made.taps.append(tap)
         victim = made.instances["n0"]
         made.run(SECOND // 2)
         # A captured ping from an address that proved nothing: only as much comes back, and only there.
         self.assertEqual(shorter, [])
         pings = []
-        made.taps.append(lambda source, address, content: address == victim.address and pings.append(content))
+        made.taps.append(
+            lambda source, address, content: address == victim.address and pings.append(content)
+        )
         made.instances["n1"].kill()
         made.instances["n1"].begin([victim.address])
         made.run(2 * SECOND)
         stranger, back = ("10.9.9.9", 99), []
-        made.taps.append(lambda source, address, content: address == stranger and back.append(content))
+        made.taps.append(
+            lambda source, address, content: address == stranger and back.append(content)
+        )
         made.run(30 * SECOND)
         for content in pings[:50]:
             victim.received(stranger, content)
@@ -339,8 +372,12 @@
             self.assertLessEqual(sum("n4" in words for words in node.belief.claims.values()), 16)
             self.assertLessEqual(len(node.aside), 256)
             self.assertLessEqual(len(node.probes), 32)
-            self.assertTrue(all(len(one.digests) <= 64 and len(one.accusers) <= 16
-                                for one in node.members.all.values()))
+            self.assertTrue(
+                all(
+                    len(one.digests) <= 64 and len(one.accusers) <= 16
+                    for one in node.members.all.values()
+                )
+            )
 
 
 if __name__ == "__main__":
--- a/tests/test_gossip_sockets.py
+++ b/tests/test_gossip_sockets.py
@@ -15,7 +15,9 @@
         figures = loopback(3, True)
         for name in ("wrongful_exclusions", "wrong_dead", "rules_broken", "faults"):
             self.assertEqual(figures[name], 0, name)
-        self.assertLessEqual(figures["bytes_per_second_most"], 2 * figures["ceiling"])  # clock seconds, not any second
+        self.assertLessEqual(
+            figures["bytes_per_second_most"], 2 * figures["ceiling"]
+        )  # clock seconds, not any second
         self.assertEqual(figures["answers"]["lost"], 0)
         self.assertGreater(figures["answers"]["done"], 500)
 
@@ -30,9 +32,17 @@
                 said[name] += fleet.lines(name)
 
         def met(name, other, state):
-            return any(line["event"] == "peer" and (line["peer"], line["now"]) == (other, state)
-                       for line in said[name])
-        until(lambda: all(met(name, other, "alive") for name in said for other in said if name != other), gather)
+            return any(
+                line["event"] == "peer" and (line["peer"], line["now"]) == (other, state)
+                for line in said[name]
+            )
+
+        until(
+            lambda: all(
+                met(name, other, "alive") for name in said for other in said if name != other
+            ),
+            gather,
+        )
         # n2 is revoked at n0: it is no peer there any more, and n0 is none that it can reach.
         n0 = fleet.programs["n0"]
         with open(n0.operator, "w", encoding="utf-8") as target:
@@ -44,8 +54,13 @@
         with open(n0.operator, "w", encoding="utf-8") as target:
             target.write("gossip: name: 7")
         n0.process.send_signal(signal.SIGHUP)
-        until(lambda: any(line["event"] == "operator file kept" and "gossip.name" in line["error"]
-                          for line in said["n0"]), gather)
+        until(
+            lambda: any(
+                line["event"] == "operator file kept" and "gossip.name" in line["error"]
+                for line in said["n0"]
+            ),
+            gather,
+        )
         fleet.programs["n1"].process.send_signal(signal.SIGTERM)
         until(lambda: met("n0", "n1", "left") and met("n2", "n1", "left"), gather)
         self.assertEqual(keys.record(fleet.identities["n0"])[:13], '{name: "n0", ')
--- a/tests/test_gossip_words.py
+++ b/tests/test_gossip_words.py
@@ -53,15 +53,28 @@
     """A frame as n1 would send it next to n0, changed as told."""
     node = WORLD.instances["n1"].node
     node.number += 1
-    frame = Frame(sender, to, node.start if start is None else start, number or node.number, WORLD.now - node.began,
-                  body or Push(), list(items))
+    frame = Frame(
+        sender,
+        to,
+        node.start if start is None else start,
+        number or node.number,
+        WORLD.now - node.began,
+        body or Push(),
+        list(items),
+    )
     return codec.sealed_frame(frame, identity or KEYS["n1"])
 
 
 def item_of(body, origin="n1", identity=None, start=None, age=0):
     node = WORLD.instances["n1"].node
     node.number += 1
-    item = Item(origin, node.start if start is None else start, node.number, WORLD.now - node.began - age, body)
+    item = Item(
+        origin,
+        node.start if start is None else start,
+        node.number,
+        WORLD.now - node.began - age,
+        body,
+    )
     return codec.sealed_item(item, identity or KEYS["n1"])
 
 
@@ -86,11 +99,19 @@
         stranger = made("n1")
         good = frame_of()
         for kind, datagram in (
-                ("size", b""), ("size", good + bytes(1400)), ("version", b"\2" + good[1:]),
-                ("key", frame_of(identity=stranger)), ("sender", frame_of(identity=KEYS["n2"])),
-                ("sender", frame_of(sender="n2")), ("recipient", frame_of(to="n2")), ("recipient", frame_of(to="")),
-                ("signature", good[:-1] + bytes((good[-1] ^ 1,))), ("form", good[:9] + b"\xc1" + good[10:]),
-                ("unproved", frame_of(start=7)), ("unproved", frame_of(body=Ack(bytes(8), None), start=7))):
+            ("size", b""),
+            ("size", good + bytes(1400)),
+            ("version", b"\2" + good[1:]),
+            ("key", frame_of(identity=stranger)),
+            ("sender", frame_of(identity=KEYS["n2"])),
+            ("sender", frame_of(sender="n2")),
+            ("recipient", frame_of(to="n2")),
+            ("recipient", frame_of(to="")),
+            ("signature", good[:-1] + bytes((good[-1] ^ 1,))),
+            ("form", good[:9] + b"\xc1" + good[10:]),
+            ("unproved", frame_of(start=7)),
+            ("unproved", frame_of(body=Ack(bytes(8), None), start=7)),
+        ):
             self.assertEqual(dropped(datagram), kind)
         self.assertEqual(dropped(good, ("192.0.2.1", 7946)), "network")
 
@@ -106,12 +127,17 @@
         claim, pod = Claim("s-1", "", 1, 0, 9, 9), Pod("s-1", "", 1, 0)
         NODE.belief.listed([pod])
         signed = item_of(claim)  # its last byte is zero in one of sixteen: it is turned, not set
-        for kind, item in (("key", item_of(claim, origin="n2")), ("signature", signed[:-1] + bytes([signed[-1] ^ 1])),
-                           ("key", item_of(Left(), "n2")), ("unproved", item_of(Alive("10.0.0.9", 9, 0), start=9)),
-                           ("lapsed", item_of(claim, age=TERMS.hearsay.lapse + SECOND)),
-                           ("lapsed", item_of(claim, age=-3 * SECOND)),
-                           ("lapsed", item_of(Claim("s-9", "", 1, 0, 9, 9))), ("size", b"x"),
-                           ("form", bytes(120))):
+        for kind, item in (
+            ("key", item_of(claim, origin="n2")),
+            ("signature", signed[:-1] + bytes([signed[-1] ^ 1])),
+            ("key", item_of(Left(), "n2")),
+            ("unproved", item_of(Alive("10.0.0.9", 9, 0), start=9)),
+            ("lapsed", item_of(claim, age=TERMS.hearsay.lapse + SECOND)),
+            ("lapsed", item_of(claim, age=-3 * SECOND)),
+            ("lapsed", item_of(Claim("s-9", "", 1, 0, 9, 9))),
+            ("size", b"x"),
+            ("form", bytes(120)),
+        ):
             WORLD.now += SECOND // 10
             self.assertEqual(dropped(frame_of(items=[item])), kind)
         self.assertEqual(NODE.belief.claims, {})
@@ -121,25 +147,37 @@
 
     def test_an_instance_called_dead_says_that_it_lives(self):
         before = NODE.incarnation
-        self.assertIsNone(dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start, before))])))
+        self.assertIsNone(
+            dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start, before))]))
+        )
         self.assertEqual(NODE.incarnation, before + 1)
-        self.assertIsNone(dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start + 1, before + 9))])))
+        self.assertIsNone(
+            dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start + 1, before + 9))]))
+        )
         self.assertEqual(NODE.incarnation, before + 1)  # of another start: old news
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=1500), st.integers(0, 400), st.binary(max_size=30))
     def test_noise_of_any_form_is_dropped_and_never_answered_with_more(self, noise, at, patch):
         WORLD.now += SECOND // 10
-        for datagram in (noise, codec.frame_bytes(Frame("n1", "n0", 1, 1, 1, Push(), []), KEYS["n1"].key_id) + noise,
-                         (good := frame_of())[:at] + patch + good[at + len(patch):]):
+        for datagram in (
+            noise,
+            codec.frame_bytes(Frame("n1", "n0", 1, 1, 1, Push(), []), KEYS["n1"].key_id) + noise,
+            (good := frame_of())[:at] + patch + good[at + len(patch) :],
+        ):
             if datagram != good:
                 self.assertIsNotNone(dropped(datagram))
                 self.assertLessEqual(sum(len(out.content) for out in NODE.out), len(datagram))
 
     def test_the_longest_frames_fit(self):
-        claims = [item_of(Claim("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000)) for _ in range(30)]
+        claims = [
+            item_of(Claim("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000))
+            for _ in range(30)
+        ]
         self.assertLessEqual(len(claims[0]), codec.ITEM_MOST)
-        NODE.rumours.add(codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x")
+        NODE.rumours.add(
+            codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x"
+        )
         picked = NODE.rumours.pick(3, 1100)
         self.assertLessEqual(len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MOST)
 
@@ -155,16 +193,20 @@
     def test_a_revoked_key_is_nobodys_and_faulty_rings_are_refused(self):
         mine = KEYS["n1"]
         self.assertIsNone(Ring([peer("n1", (mine, None))], [mine.text()]).owner(mine.key_id, 0))
-        for peers, said in (([peer("n1", (mine, None)), peer("n2", (mine, None))], "the same key"),
-                            ([peer("n1", (mine, None)), peer("n1", (KEYS["n2"], None))], "twice"),
-                            ([peer("n1", (mine, "tomorrow"))], "no time")):
+        for peers, said in (
+            ([peer("n1", (mine, None)), peer("n2", (mine, None))], "the same key"),
+            ([peer("n1", (mine, None)), peer("n1", (KEYS["n2"], None))], "twice"),
+            ([peer("n1", (mine, "tomorrow"))], "no time"),
+        ):
             with self.assertRaisesRegex(Unusable, said):
                 Ring(peers)
 
     def test_networks(self):
         sources = Sources(["127.0.0.0/8", "10.1.0.0/16", "::1/128"])
-        self.assertEqual([host in sources for host in ("127.9.9.9", "10.1.2.3", "10.2.0.1", "::1", "not one")],
-                         [True, True, False, True, False])
+        self.assertEqual(
+            [host in sources for host in ("127.9.9.9", "10.1.2.3", "10.2.0.1", "::1", "not one")],
+            [True, True, False, True, False],
+        )
         with self.assertRaisesRegex(Unusable, "from"):
             Sources(["300.0.0.0/8"])
 
@@ -199,11 +241,15 @@
     def test_a_doubted_pod_is_turned_to_later_and_never_excluded(self):
         made_ = balancer(pod("old-1"), pod("old-2"))
         made_.handle(NOW, [i.Doubted("old-1", 1, 0, NOW + SECOND)])
-        self.assertEqual({*sent(made_.handle(NOW, [taken(f"t{at}") for at in range(8)]))}, {"old-2"})
+        self.assertEqual(
+            {*sent(made_.handle(NOW, [taken(f"t{at}") for at in range(8)]))}, {"old-2"}
+        )
         made_.handle(NOW, [i.Doubted("old-2", 1, 0, NOW + SECOND)])
         self.assertEqual(len(sent(made_.handle(NOW, [taken(f"u{at}") for at in range(4)]))), 4)
         made_.handle(NOW, [i.Doubted("old-1", 1, 0, NOW)])
-        self.assertEqual({*sent(made_.handle(NOW, [taken(f"v{at}") for at in range(4)]))}, {"old-1"})
+        self.assertEqual(
+            {*sent(made_.handle(NOW, [taken(f"v{at}") for at in range(4)]))}, {"old-1"}
+        )
         made_ = balancer(pod("old-1"), pod("old-2"))
         made_.handle(NOW, [i.Doubted("old-1", 1, 0, NOW + SECOND)])
         later = made_.handle(NOW + 2 * SECOND, [taken(f"w{at}") for at in range(8)])
@@ -212,8 +258,11 @@
     def test_of_another_build_or_start_it_changes_nothing_and_never_a_vote(self):
         made_ = balancer()
         sums = dict(made_.sums)
-        for event in (i.Doubted("old-1", 2, 0, NOW + SECOND), i.Doubted("old-1", 1, 5, NOW + SECOND),
-                      i.Doubted("gone", 1, 0, NOW + SECOND)):
+        for event in (
+            i.Doubted("old-1", 2, 0, NOW + SECOND),
+            i.Doubted("old-1", 1, 5, NOW + SECOND),
+            i.Doubted("gone", 1, 0, NOW + SECOND),
+        ):
             self.assertNotIn(i.Vote, kinds(made_.handle(NOW, [event])))
         self.assertEqual([known.doubted for known in made_.pods.values()], [0, 0, 0])
         self.assertEqual(made_.sums, sums)
--- a/tests/test_helpers.py
+++ b/tests/test_helpers.py
@@ -10,8 +10,10 @@
 from thymeknot.protocol import platform
 
 NEWS = {"version": 42, "step": 0, "status": "trial", "maxWeight": 0.5, "observedAgoMs": 5}
-BACK = (b"<Response><entries><item><version>42</version><step>0</step><status>rolling_back</status>"
-        b"<maxWeight>0</maxWeight><observedAgoMs>3</observedAgoMs></item></entries></Response>")
+BACK = (
+    b"<Response><entries><item><version>42</version><step>0</step><status>rolling_back</status>"
+    b"<maxWeight>0</maxWeight><observedAgoMs>3</observedAgoMs></item></entries></Response>"
+)
 
 
 def entry(name, state="Ready"):
@@ -42,11 +44,13 @@
     def test_the_first_line_is_what_changed_after_the_version_or_the_whole_list(self):
         peer = self.peer(DiscoveryPeer())
         one, two, gone = entry("1"), entry("2"), entry("1", "Gone")
-        cases = [((), ((7, (7, False, [])), (0, (0, False, [])))),
-                 ((8, one), ((7, (8, False, [one])), (8, (8, False, [])), (9, (9, False, [])))),
-                 ((9, two), ((7, (9, False, [one, two])), (8, (9, False, [two])))),
-                 ((10, gone), ((7, (10, False, [gone, two])), (9, (10, False, [gone])))),
-                 ((11, two), ((10, (11, True, [two])), (7, (11, True, [two]))))]
+        cases = [
+            ((), ((7, (7, False, [])), (0, (0, False, [])))),
+            ((8, one), ((7, (8, False, [one])), (8, (8, False, [])), (9, (9, False, [])))),
+            ((9, two), ((7, (9, False, [one, two])), (8, (9, False, [two])))),
+            ((10, gone), ((7, (10, False, [gone, two])), (9, (10, False, [gone])))),
+            ((11, two), ((10, (11, True, [two])), (7, (11, True, [two])))),
+        ]
         for (version, *entries), asked in [(given or (0,), asked) for given, asked in cases]:
             if entries:
                 peer.push_list(version, *entries, full=version == 11)
@@ -60,7 +64,7 @@
         for seen in (False, True):
             peer = self.peer(DiscoveryPeer(silent=True))
             former, _ = self.watch(peer, 7)
-            with peer.lock:         # it does not see the end before this is let go
+            with peer.lock:  # it does not see the end before this is let go
                 former.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 socket.close(former.detach())
                 peer._tell(["\n"])
@@ -84,8 +88,10 @@
         self.assertEqual([json.loads(each())["version"] for each in (first, second)], [8, 8])
 
     def test_signs_of_life_come_as_often_as_the_page_has_them(self):
-        for peer, path, sign in ((DiscoveryPeer(), "/v1/servers?stream=1&index=7", "\n"),
-                                 (PlatformPeer(), "/v2/projects/main/stream", ":\n")):
+        for peer, path, sign in (
+            (DiscoveryPeer(), "/v1/servers?stream=1&index=7", "\n"),
+            (PlatformPeer(), "/v2/projects/main/stream", ":\n"),
+        ):
             _, told = self.asks(self.peer(peer), path)
             self.assertEqual([told(), told(), told()][1:], [sign] * 2)
 
@@ -97,8 +103,11 @@
             data = told.partition("data: ")[2].strip()
             news = platform.read_event("progress", data)
             return news.build, news.phase, news.cap
+
         self.assertEqual(state(), (42, platform.PHASES["trial"], 0.5))
-        with contextlib.closing(socket.create_connection(("127.0.0.1", int(peer.address[10:])))) as call:
+        with contextlib.closing(
+            socket.create_connection(("127.0.0.1", int(peer.address[10:])))
+        ) as call:
             call.sendall(b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n=")
             peer.calls.get(timeout=PATIENCE)
         self.assertEqual(state(), (42, platform.PHASES["rolling_back"], 0.0))
@@ -113,8 +122,10 @@
         for _ in range(2):
             with self.assertRaises(ConnectionRefusedError):
                 socket.create_connection(("127.0.0.1", port))
-            with socket.create_server(("127.0.0.1", port)) as listener, \
-                    socket.create_connection(("127.0.0.1", port)):
+            with (
+                socket.create_server(("127.0.0.1", port)) as listener,
+                socket.create_connection(("127.0.0.1", port)),
+            ):
                 listener.accept()[0].close()
 
     def test_one_that_asks_for_any_port_is_not_given_it(self):
@@ -123,7 +134,10 @@
         with socket.socket() as other, self.assertRaises(OSError):
             other.bind(("127.0.0.1", port))
         with contextlib.ExitStack() as others:
-            given = [others.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname()[1] for _ in range(500)]
+            given = [
+                others.enter_context(socket.create_server(("127.0.0.1", 0))).getsockname()[1]
+                for _ in range(500)
+            ]
         self.assertNotIn(port, given)
 
     def test_a_peer_that_stops_takes_not_one_connection_more(self):
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -46,7 +46,10 @@
     def test_skipped(self):
         self.fail("unseen")
 """
-BAD = [f"tests.test_a.Case.{name}" for name in ("test_bad", "test_parts", "test_raises", "test_surprise")]
+BAD = [
+    f"tests.test_a.Case.{name}"
+    for name in ("test_bad", "test_parts", "test_raises", "test_surprise")
+]
 UP = """
 import unittest
 
@@ -67,14 +70,22 @@
         for name, text in {"__init__": "", **modules}.items():
             with open(os.path.join(folder, "tests", f"{name}.py"), "w", encoding="utf-8") as target:
                 target.write(text)
-        ended = subprocess.run([sys.executable, "-m", "unittest", "discover", "-s", "tests", "-t", ".", "-v"],
-                               cwd=folder, stdout=subprocess.PIPE, stderr=subprocess.STDOUT, text=True, timeout=60)
+        ended = subprocess.run(
+            [sys.executable, "-m", "unittest", "discover", "-s", "tests", "-t", ".", "-v"],
+            cwd=folder,
+            stdout=subprocess.PIPE,
+            stderr=subprocess.STDOUT,
+            text=True,
+            timeout=60,
+        )
         return ended.stdout, ended.returncode
 
 
 def without(*names):
     """The suite with these tests made good."""
-    text = SUITE.replace("    @unittest.expectedFailure\n", "") if "test_surprise" in names else SUITE
+    text = (
+        SUITE.replace("    @unittest.expectedFailure\n", "") if "test_surprise" in names else SUITE
+    )
     for name in names:
         text = text.replace(f"def {name}(self):", f"def {name}(self):\n        return")
     return text
@@ -104,23 +115,37 @@
         self.assertEqual(self.judged(self.three, *BAD[:2])[0], [f"{BAD[2]}: failed"])
 
     def test_one_that_is_named_and_passes_fails(self):
-        self.assertEqual(self.judged(self.good, BAD[0])[0], [f"{BAD[0]}: is named in the list and does not fail"])
+        self.assertEqual(
+            self.judged(self.good, BAD[0])[0], [f"{BAD[0]}: is named in the list and does not fail"]
+        )
 
     def test_one_that_is_named_and_skipped_fails(self):
         name = "tests.test_a.Case.test_skipped"
-        self.assertEqual(self.judged(self.good, name)[0], [f"{name}: is named in the list and does not fail"])
+        self.assertEqual(
+            self.judged(self.good, name)[0], [f"{name}: is named in the list and does not fail"]
+        )
 
     def test_one_that_is_named_and_does_not_exist_fails(self):
         name = "tests.test_a.Case.test_gone"
-        self.assertEqual(self.judged(self.good, name)[0], [f"{name}: is named in the list and did not run"])
+        self.assertEqual(
+            self.judged(self.good, name)[0], [f"{name}: is named in the list and did not run"]
+        )
 
     def test_more_than_three_fail_even_where_all_of_them_do(self):
         self.assertEqual(self.judged(self.all, *BAD)[0], ["4 tests are named, 3 at most"])
 
     def test_a_line_without_a_cause_and_a_name_twice_fail(self):
-        faults = known_red.judge(*self.three, "\n".join([BAD[0], *(f"{one} why" for one in (BAD[0], *BAD[1:3]))]))[0]
-        self.assertEqual(faults, [f"{BAD[0]}: no cause is told", "4 tests are named, 3 at most",
-                                  f"{BAD[0]}: is named twice"])
+        faults = known_red.judge(
+            *self.three, "\n".join([BAD[0], *(f"{one} why" for one in (BAD[0], *BAD[1:3]))])
+        )[0]
+        self.assertEqual(
+            faults,
+            [
+                f"{BAD[0]}: no cause is told",
+                "4 tests are named, 3 at most",
+                f"{BAD[0]}: is named twice",
+            ],
+        )
 
     def test_a_module_that_can_t_be_loaded_fails_also_where_it_is_named(self):
         ran = run(test_a=SUITE, test_b="import no_such_module_at_all\n")
@@ -131,8 +156,10 @@
             self.assertEqual((passed, failed), (2, 5))
 
     def test_a_class_that_can_t_be_set_up_fails_also_where_it_is_named(self):
-        faults, _, passed, failed = self.judged(run(test_a=without(*(one.split(".")[-1] for one in BAD)), test_b=UP),
-                                                "tests.test_b.Up.test_unseen")
+        faults, _, passed, failed = self.judged(
+            run(test_a=without(*(one.split(".")[-1] for one in BAD)), test_b=UP),
+            "tests.test_b.Up.test_unseen",
+        )
         self.assertIn("setUpClass (tests.test_b.Up): failed", faults)
         self.assertIn("tests.test_b.Up.test_unseen: is named in the list and did not run", faults)
         self.assertEqual((passed, failed), (6, 1))
@@ -144,7 +171,9 @@
 
     def test_a_status_or_counts_that_do_not_fit_what_was_told_fail(self):
         self.assertEqual(len(known_red.judge(self.good[0], 139)[0]), 1)
-        self.assertEqual(len(known_red.judge(self.good[0].replace("OK (", "FAILED (failures=1, "), 0)[0]), 1)
+        self.assertEqual(
+            len(known_red.judge(self.good[0].replace("OK (", "FAILED (failures=1, "), 0)[0]), 1
+        )
 
     def test_it_prints_what_it_passes_over_and_closes_with_the_counts(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -158,7 +187,9 @@
                 with contextlib.redirect_stdout(told):
                     self.assertEqual(known_red.main([log, str(self.three[1]), known]), status)
                 for one in lines:
-                    self.assertIn(f"known red, passed over: {one} a cause, issue 7\n", told.getvalue())
+                    self.assertIn(
+                        f"known red, passed over: {one} a cause, issue 7\n", told.getvalue()
+                    )
                 self.assertTrue(told.getvalue().endswith("3 passed, 3 failed\n"))
 
 
--- a/tests/test_laboratory.py
+++ b/tests/test_laboratory.py
@@ -26,17 +26,27 @@
 class SameSeed(unittest.TestCase):
     def test_a_day_is_the_same_here_and_in_another_process(self):
         here = Fleet(days.drawn(5, **SMALL), balancer).play().figures()
-        code = ("import json; from thymeknot.laboratory import days; from thymeknot.laboratory.fleet import *; "
-                f"print(json.dumps([repr(days.drawn(5, **{SMALL!r})), "
-                f"Fleet(days.drawn(5, **{SMALL!r}), balancer).play().figures()]))")
-        there = subprocess.run([sys.executable, "-c", code], capture_output=True, text=True, timeout=60)
+        code = (
+            "import json; from thymeknot.laboratory import days; from thymeknot.laboratory.fleet import *; "
+            f"print(json.dumps([repr(days.drawn(5, **{SMALL!r})), "
+            f"Fleet(days.drawn(5, **{SMALL!r}), balancer).play().figures()]))"
+        )
+        there = subprocess.run(
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=60
+        )
         drawn, figures = json.loads(there.stdout)
-        self.assertEqual((drawn, figures), (repr(days.drawn(5, **SMALL)), json.loads(json.dumps(here))))
+        self.assertEqual(
+            (drawn, figures), (repr(days.drawn(5, **SMALL)), json.loads(json.dumps(here)))
+        )
         self.assertNotEqual(repr(days.drawn(6, **SMALL)), drawn)
 
     def test_two_policies_meet_the_same_arrivals(self):
-        asked = {name: Fleet(days.drawn(5, **SMALL)._replace(retries=0, faults=()), policy).play().scores["asked"]
-                 for name, policy in TEXTBOOK.items()}
+        asked = {
+            name: Fleet(days.drawn(5, **SMALL)._replace(retries=0, faults=()), policy)
+            .play()
+            .scores["asked"]
+            for name, policy in TEXTBOOK.items()
+        }
         self.assertEqual(len(set(asked.values())), 1)
 
 
@@ -52,14 +62,19 @@
         gaps, keys = gamma(chance, 1.0, 1.0), zipf_keys(chance, 500, 0.9)
         self.assertGreater(numbers.arrivals_p([gaps.next() for _ in range(20_000)]), 0.001)
         self.assertGreater(numbers.zipf_p([keys.next() for _ in range(20_000)], 500, 0.9), 0.001)
-        self.assertLess(numbers.zipf_p([keys.next() for _ in range(20_000)], 500, 1.2), 1e-6)  # it can fail
+        self.assertLess(
+            numbers.zipf_p([keys.next() for _ in range(20_000)], 500, 1.2), 1e-6
+        )  # it can fail
 
     def test_a_cold_pod_does_its_part_and_a_full_one_turns_away(self):
         pod = Pod("p", "a", 1, 1.0, 1, Build(1), 1000, 1000, 0.25)
-        self.assertEqual([pod.warmth(at) for at in (1000, 1500, 2000, 9000)], [0.25, 0.625, 1.0, 1.0])
+        self.assertEqual(
+            [pod.warmth(at) for at in (1000, 1500, 2000, 9000)], [0.25, 0.625, 1.0, 1.0]
+        )
 
         class Job:
             work, lane = 100, "fetch"
+
         self.assertEqual(pod.take(1000, Job), 400)
         self.assertIsNone(pod.take(1000, Job))
         self.assertIs(pod.take(1000, Job), False)
@@ -101,8 +116,10 @@
         one.taken(0, 1, "w", "fetch", 100)
         one.killed(50, 1)
         one.ended(1000)
-        self.assertEqual([text for _, _, text in one.broken],
-                         ["t: a second answer", "u: answered 51 late", "v: no answer"])
+        self.assertEqual(
+            [text for _, _, text in one.broken],
+            ["t: a second answer", "u: answered 51 late", "v: no answer"],
+        )
 
     def test_a_binding_one_goes_again_only_if_proved_unrun(self):
         for ran, broken in ((False, []), (None, [2]), (True, [2])):
@@ -143,8 +160,10 @@
         self.assertEqual(one.broken, [])
         one.sent(20, 0, "t2", "p", 1, "fetch", "k")
         one.sent(20, 0, "t3", "p", 2, "pay")
-        self.assertEqual([text.split(":")[1][:20] for _, _, text in one.broken],
-                         [" its key was answere", " pay in guarded stag"])
+        self.assertEqual(
+            [text.split(":")[1][:20] for _, _, text in one.broken],
+            [" its key was answere", " pay in guarded stag"],
+        )
 
     def test_an_instance_that_starts_anew_has_no_allowance_of_its_earlier_life(self):
         for killed, rules in ((False, []), (True, [5])):
@@ -163,11 +182,31 @@
         for instance in range(7):
             one.started(instance, "p", 9_000)
         for at in range(40):
-            one.sent(10_000 + at * 100, at % 7, f"t{at}", "p", 1, "fetch", work=100.0, started=9_000, capacity=1.0)
+            one.sent(
+                10_000 + at * 100,
+                at % 7,
+                f"t{at}",
+                "p",
+                1,
+                "fetch",
+                work=100.0,
+                started=9_000,
+                capacity=1.0,
+            )
         self.assertEqual(one.broken, [])
         for at in range(80):
             for some in (one, untold):
-                some.sent(15_000 + at * 10, at % 7, f"u{at}", "p", 1, "fetch", work=200.0, started=9_000, capacity=1.0)
+                some.sent(
+                    15_000 + at * 10,
+                    at % 7,
+                    f"u{at}",
+                    "p",
+                    1,
+                    "fetch",
+                    work=200.0,
+                    started=9_000,
+                    capacity=1.0,
+                )
         self.assertEqual((one.rules_broken(), untold.rules_broken()), ([4], []))
 
 
