--- a/thymeknot/agreement/core.py
+++ b/thymeknot/agreement/core.py
@@ -52,52 +52,92 @@
 # (role, input) -> next role, effect. What is missing changes nothing and is answered by nothing. An effect may give a
 # further input, which is taken before anything else.
 STEPS = {
-    (FOLLOWER, "overdue"): (PREVOTE, "sound_out"), (PREVOTE, "overdue"): (PREVOTE, "sound_out"),
-    (CANDIDATE, "overdue"): (PREVOTE, "sound_out"), (LEADER, "overdue"): (LEADER, "beat"),
+    (FOLLOWER, "overdue"): (PREVOTE, "sound_out"),
+    (PREVOTE, "overdue"): (PREVOTE, "sound_out"),
+    (CANDIDATE, "overdue"): (PREVOTE, "sound_out"),
+    (LEADER, "overdue"): (LEADER, "beat"),
     (FOLLOWER, "hurried"): (CANDIDATE, "stand_forced"),
-    (PREVOTE, "voted"): (PREVOTE, "count"), (CANDIDATE, "voted"): (CANDIDATE, "count"),
-    (PREVOTE, "carried"): (CANDIDATE, "stand"), (CANDIDATE, "carried"): (LEADER, "lead"),
-    (FOLLOWER, "newer"): (FOLLOWER, "adopt"), (PREVOTE, "newer"): (FOLLOWER, "adopt"),
-    (CANDIDATE, "newer"): (FOLLOWER, "adopt"), (LEARNER, "newer"): (LEARNER, "adopt"),
+    (PREVOTE, "voted"): (PREVOTE, "count"),
+    (CANDIDATE, "voted"): (CANDIDATE, "count"),
+    (PREVOTE, "carried"): (CANDIDATE, "stand"),
+    (CANDIDATE, "carried"): (LEADER, "lead"),
+    (FOLLOWER, "newer"): (FOLLOWER, "adopt"),
+    (PREVOTE, "newer"): (FOLLOWER, "adopt"),
+    (CANDIDATE, "newer"): (FOLLOWER, "adopt"),
+    (LEARNER, "newer"): (LEARNER, "adopt"),
     (LEADER, "newer"): (FOLLOWER, "give_way"),
-    (FOLLOWER, "asked"): (FOLLOWER, "judge"), (PREVOTE, "asked"): (PREVOTE, "judge"),
-    (CANDIDATE, "asked"): (CANDIDATE, "judge"), (LEADER, "asked"): (LEADER, "judge"),
+    (FOLLOWER, "asked"): (FOLLOWER, "judge"),
+    (PREVOTE, "asked"): (PREVOTE, "judge"),
+    (CANDIDATE, "asked"): (CANDIDATE, "judge"),
+    (LEADER, "asked"): (LEADER, "judge"),
     (LEARNER, "asked"): (LEARNER, "judge"),
-    (FOLLOWER, "append"): (FOLLOWER, "take"), (PREVOTE, "append"): (FOLLOWER, "take"),
-    (CANDIDATE, "append"): (FOLLOWER, "take"), (LEARNER, "append"): (LEARNER, "take"),
-    (FOLLOWER, "image"): (FOLLOWER, "gather"), (PREVOTE, "image"): (FOLLOWER, "gather"),
-    (CANDIDATE, "image"): (FOLLOWER, "gather"), (LEARNER, "image"): (LEARNER, "gather"),
-    (FOLLOWER, "stale"): (FOLLOWER, "correct"), (PREVOTE, "stale"): (PREVOTE, "correct"),
-    (CANDIDATE, "stale"): (CANDIDATE, "correct"), (LEADER, "stale"): (LEADER, "correct"),
+    (FOLLOWER, "append"): (FOLLOWER, "take"),
+    (PREVOTE, "append"): (FOLLOWER, "take"),
+    (CANDIDATE, "append"): (FOLLOWER, "take"),
+    (LEARNER, "append"): (LEARNER, "take"),
+    (FOLLOWER, "image"): (FOLLOWER, "gather"),
+    (PREVOTE, "image"): (FOLLOWER, "gather"),
+    (CANDIDATE, "image"): (FOLLOWER, "gather"),
+    (LEARNER, "image"): (LEARNER, "gather"),
+    (FOLLOWER, "stale"): (FOLLOWER, "correct"),
+    (PREVOTE, "stale"): (PREVOTE, "correct"),
+    (CANDIDATE, "stale"): (CANDIDATE, "correct"),
+    (LEADER, "stale"): (LEADER, "correct"),
     (LEARNER, "stale"): (LEARNER, "correct"),
-    (LEADER, "appended"): (LEADER, "follow_up"), (LEADER, "imaged"): (LEADER, "follow_image"),
-    (LEADER, "proposed"): (LEADER, "propose"), (LEADER, "read"): (LEADER, "read"),
-    (FOLLOWER, "proposed"): (FOLLOWER, "send_on"), (FOLLOWER, "read"): (FOLLOWER, "send_on"),
-    (PREVOTE, "proposed"): (PREVOTE, "send_on"), (PREVOTE, "read"): (PREVOTE, "send_on"),
-    (CANDIDATE, "proposed"): (CANDIDATE, "send_on"), (CANDIDATE, "read"): (CANDIDATE, "send_on"),
-    (LEARNER, "proposed"): (LEARNER, "send_on"), (LEARNER, "read"): (LEARNER, "send_on"),
-    (STOPPED, "proposed"): (STOPPED, "send_on"), (STOPPED, "read"): (STOPPED, "send_on"),
-    (LEADER, "stood still"): (FOLLOWER, "step_down"), (LEADER, "unheard"): (FOLLOWER, "step_down"),
+    (LEADER, "appended"): (LEADER, "follow_up"),
+    (LEADER, "imaged"): (LEADER, "follow_image"),
+    (LEADER, "proposed"): (LEADER, "propose"),
+    (LEADER, "read"): (LEADER, "read"),
+    (FOLLOWER, "proposed"): (FOLLOWER, "send_on"),
+    (FOLLOWER, "read"): (FOLLOWER, "send_on"),
+    (PREVOTE, "proposed"): (PREVOTE, "send_on"),
+    (PREVOTE, "read"): (PREVOTE, "send_on"),
+    (CANDIDATE, "proposed"): (CANDIDATE, "send_on"),
+    (CANDIDATE, "read"): (CANDIDATE, "send_on"),
+    (LEARNER, "proposed"): (LEARNER, "send_on"),
+    (LEARNER, "read"): (LEARNER, "send_on"),
+    (STOPPED, "proposed"): (STOPPED, "send_on"),
+    (STOPPED, "read"): (STOPPED, "send_on"),
+    (LEADER, "stood still"): (FOLLOWER, "step_down"),
+    (LEADER, "unheard"): (FOLLOWER, "step_down"),
     (LEADER, "left"): (LEARNER, "step_down"),
-    (FOLLOWER, "unlisted"): (LEARNER, None), (PREVOTE, "unlisted"): (LEARNER, None),
-    (CANDIDATE, "unlisted"): (LEARNER, None), (LEARNER, "listed"): (FOLLOWER, "rest"),
-    (FOLLOWER, "disk failed"): (STOPPED, "stop"), (PREVOTE, "disk failed"): (STOPPED, "stop"),
-    (CANDIDATE, "disk failed"): (STOPPED, "stop"), (LEADER, "disk failed"): (STOPPED, "stop"),
+    (FOLLOWER, "unlisted"): (LEARNER, None),
+    (PREVOTE, "unlisted"): (LEARNER, None),
+    (CANDIDATE, "unlisted"): (LEARNER, None),
+    (LEARNER, "listed"): (FOLLOWER, "rest"),
+    (FOLLOWER, "disk failed"): (STOPPED, "stop"),
+    (PREVOTE, "disk failed"): (STOPPED, "stop"),
+    (CANDIDATE, "disk failed"): (STOPPED, "stop"),
+    (LEADER, "disk failed"): (STOPPED, "stop"),
     (LEARNER, "disk failed"): (STOPPED, "stop"),
 }
-WORDS = {Ask: "asked", Vote: "voted", Append: "append", Appended: "appended", Image: "image", Imaged: "imaged",
-         Hurry: "hurried"}
-HANDLED = {Received: "_received", TimerDue: "_timed", Proposed: "_proposed", ReadAsked: "_asked_read",
-           Stored: "_is_stored", DiskFailed: "_disk_failed"}
+WORDS = {
+    Ask: "asked",
+    Vote: "voted",
+    Append: "append",
+    Appended: "appended",
+    Image: "image",
+    Imaged: "imaged",
+    Hurry: "hurried",
+}
+HANDLED = {
+    Received: "_received",
+    TimerDue: "_timed",
+    Proposed: "_proposed",
+    ReadAsked: "_asked_read",
+    Stored: "_is_stored",
+    DiskFailed: "_disk_failed",
+}
 
 
 class Peer:
     """Another keeper as a leader sees it. life: the one it spoke under last."""
+
     __slots__ = ("life", "next", "match", "heard", "round", "busy", "image")
 
     def __init__(self, life, following, now):
         self.life, self.next, self.match, self.heard, self.round = life, following, 0, now, 0
-        self.busy, self.image = 0, None     # entries are out until then; (snapshot, bytes sent)
+        self.busy, self.image = 0, None  # entries are out until then; (snapshot, bytes sent)
 
 
 class Waiting(NamedTuple):
@@ -127,11 +167,11 @@
         if self.log.snapshot.content:
             self.sessions.load(self.log.snapshot.content)
         self.committed = self.applied = self.log.snapshot.index
-        self.serial = self.stored = 0       # of what was given to Persist, of what is on the disk
+        self.serial = self.stored = 0  # of what was given to Persist, of what is on the disk
         self.safe, self.marks, self.held = self.log.last, deque(), deque()  # last index on the disk
         self.out, self.before, self.timer = [], now, None
         self.leader, self.votes, self.peers, self.gathered = None, set(), {}, None
-        self.heard = now                    # as if of a leader: what was promised to one before a restart still holds
+        self.heard = now  # as if of a leader: what was promised to one before a restart still holds
         self.forced = False
         self._idle()
         self.role = FOLLOWER if self._votes() else LEARNER
@@ -167,7 +207,8 @@
         asks = kind is Ask
         # A pre-vote names a term that nobody has; and who hears a leader lets no other disturb it (thesis, 4.2.3).
         hypothetical = (asks and (message.pre or not self._welcome(now, message))) or (
-            kind is Vote and message.pre and message.granted)
+            kind is Vote and message.pre and message.granted
+        )
         if message.term > self.term:
             if not hypothetical:
                 self._step(now, "newer", message.term)
@@ -226,7 +267,7 @@
         else:
             self.held.append((self.serial, thing))
             if len(self.held) > self.terms.held_most:
-                self.held.popleft()         # the oldest says the least by now
+                self.held.popleft()  # the oldest says the least by now
 
     def _set_timer(self):
         if self.role not in (LEARNER, STOPPED) and self.due != self.timer:
@@ -299,8 +340,12 @@
         """A vote counts for what is being asked now, and under the life that the members' list names."""
         sender, vote = event
         asked = self.term + 1 if vote.pre else self.term
-        if (vote.granted and vote.pre == (self.role == PREVOTE) and vote.term == asked
-                and self.log.members.voters.get(sender) == vote.life):
+        if (
+            vote.granted
+            and vote.pre == (self.role == PREVOTE)
+            and vote.term == asked
+            and self.log.members.voters.get(sender) == vote.life
+        ):
             return self._add(sender)
         return None
 
@@ -318,7 +363,9 @@
                 self.vote = sender
                 self._persist(Voted(self.term, sender))
                 self._rest(now)
-        self._hold(now, Send(sender, Vote(ask.term if granted else self.term, self.life, ask.pre, granted)))
+        self._hold(
+            now, Send(sender, Vote(ask.term if granted else self.term, self.life, ask.pre, granted))
+        )
 
     def _adopt(self, now, term):
         if term > self.term:
@@ -334,7 +381,9 @@
         """Those that wait are told that their outcome is unknown: another leader may carry it through."""
         self.out.append(StoodDown(reason))
         for waiting in self.waiting.values():
-            self.out.append(Refused(waiting.token, "unknown: " + reason, self.terms.election.most, None))
+            self.out.append(
+                Refused(waiting.token, "unknown: " + reason, self.terms.election.most, None)
+            )
         for token, _, _ in self.reads:
             self.out.append(Refused(token, reason, self.terms.election.most, None))
         if self.handing:
@@ -361,7 +410,9 @@
         if type(message) is Ask:
             self._hold(now, Send(sender, Vote(self.term, self.life, message.pre, False)))
         else:
-            self._hold(now, Send(sender, Appended(self.term, self.life, False, self.log.last + 1, 0)))
+            self._hold(
+                now, Send(sender, Appended(self.term, self.life, False, self.log.last + 1, 0))
+            )
 
     # Following.
 
@@ -374,7 +425,9 @@
         self._heed(now, sender)
         hint = self.log.conflict(message.previous, message.previous_term)
         if hint is not None:
-            self._hold(now, Send(sender, Appended(self.term, self.life, False, hint, message.round)))
+            self._hold(
+                now, Send(sender, Appended(self.term, self.life, False, hint, message.round))
+            )
             return None
         fresh = []
         for entry in message.entries:
@@ -412,12 +465,16 @@
         if self.gathered is None or self.gathered[0] != key:
             self.gathered = key, bytearray()
         content = self.gathered[1]
-        if part.offset == len(content) and len(content) + len(part.part) <= min(part.total, self.terms.image_bytes):
+        if part.offset == len(content) and len(content) + len(part.part) <= min(
+            part.total, self.terms.image_bytes
+        ):
             content += part.part
         done = len(content) == part.total
         if done:
             self.gathered = None
-            snapshot = Snapshot(part.index, part.entry_term, part.at, part.members, bytes(content), True)
+            snapshot = Snapshot(
+                part.index, part.entry_term, part.at, part.members, bytes(content), True
+            )
             self.log.reset(snapshot)
             self.sessions.load(snapshot.content)
             self.committed = self.applied = self.safe = part.index
@@ -427,7 +484,9 @@
         return self._listed() if done else None
 
     def _imaged(self, now, sender, part, upto, done):
-        self._hold(now, Send(sender, Imaged(self.term, self.life, part.index, upto, done, part.round)))
+        self._hold(
+            now, Send(sender, Imaged(self.term, self.life, part.index, upto, done, part.round))
+        )
 
     # Leading.
 
@@ -437,7 +496,7 @@
         self.began, self.began_at = now, self.log.last_at
         self._meet(now)
         self.leases = self.terms.leased_reads
-        self.own = self.log.last + 1        # nothing before it was agreed can be told from what was not
+        self.own = self.log.last + 1  # nothing before it was agreed can be told from what was not
         self._append(now, "", 0, 0, {"part": KEEPERS, "do": "nothing"})
         self._start_round(now)
 
@@ -446,14 +505,25 @@
         voters, learners = self.log.members
         names = {**learners, **voters}
         names.pop(self.name, None)
-        self.peers = {name: self.peers.get(name) or Peer(life, self.log.last + 1, now) for name, life in names.items()}
+        self.peers = {
+            name: self.peers.get(name) or Peer(life, self.log.last + 1, now)
+            for name, life in names.items()
+        }
 
     def _agreed_time(self, now):
         """Never back, and no faster than this leader's clock since it began to lead."""
         return max(self.log.last_at, self.began_at + now - self.began)
 
     def _append(self, now, origin, incarnation, number, command):
-        entry = Entry(self.log.last + 1, self.term, self._agreed_time(now), origin, incarnation, number, command)
+        entry = Entry(
+            self.log.last + 1,
+            self.term,
+            self._agreed_time(now),
+            origin,
+            incarnation,
+            number,
+            command,
+        )
         self.log.append(entry)
         self._persist(entry)
         if named_members(entry):
@@ -477,26 +547,54 @@
             entries = self.log.some(peer.next, self.terms.batch, self.terms.batch_bytes)
             peer.busy = now + self.terms.heartbeat
         if entries or beat:
-            self.out.append(Send(name, Append(self.term, self.life, previous, term, entries, self.committed,
-                                              self.round)))
+            self.out.append(
+                Send(
+                    name,
+                    Append(
+                        self.term, self.life, previous, term, entries, self.committed, self.round
+                    ),
+                )
+            )
 
     def _send_image(self, now, name, peer):
         # The one that was begun is gone on with, though there may be a later one: else a slow peer never ends.
         snapshot, offset = peer.image or (self.log.snapshot, 0)
         peer.image, peer.busy = (snapshot, offset), now + self.terms.heartbeat
-        self.out.append(Send(name, Image(
-            self.term, self.life, snapshot.index, snapshot.term, snapshot.at, snapshot.members, offset,
-            len(snapshot.content), snapshot.content[offset:offset + self.terms.chunk], self.round)))
+        self.out.append(
+            Send(
+                name,
+                Image(
+                    self.term,
+                    self.life,
+                    snapshot.index,
+                    snapshot.term,
+                    snapshot.at,
+                    snapshot.members,
+                    offset,
+                    len(snapshot.content),
+                    snapshot.content[offset : offset + self.terms.chunk],
+                    self.round,
+                ),
+            )
+        )
 
     def _beat(self, now, _):
         """Check of the quorum, a round of heartbeats, and what is overdue with them."""
         self.due = now + self.terms.heartbeat
         least = self.terms.election.least
-        if not self._majority(lambda name, life: self._answers(name, life) and (
-                name == self.name or now - self.peers[name].heard < least)):
+        if not self._majority(
+            lambda name, life: (
+                self._answers(name, life)
+                and (name == self.name or now - self.peers[name].heard < least)
+            )
+        ):
             return "unheard", "no word of a majority for an election's time"
         if self.handing and now >= self.handing[2]:
-            self.out.append(Refused(self.handing[0], "it did not catch up in time", self.terms.heartbeat, self.name))
+            self.out.append(
+                Refused(
+                    self.handing[0], "it did not catch up in time", self.terms.heartbeat, self.name
+                )
+            )
             self.handing = None
         self._start_round(now)
         return None
@@ -509,7 +607,9 @@
         """One round at a time: a later one begins when a majority answered. A repeated one keeps its beginning."""
         if self.confirmed == self.round:
             self.round, self.round_at = self.round + 1, now
-            self.reads = [(token, index, self.round if at is None else at) for token, index, at in self.reads]
+            self.reads = [
+                (token, index, self.round if at is None else at) for token, index, at in self.reads
+            ]
         self.due = now + self.terms.heartbeat
         for name in self.peers:
             self._feed(now, name, True)
@@ -524,16 +624,26 @@
         self._serve()
 
     def _round_heard(self):
-        return self._majority(lambda name, life: self._answers(name, life) and (
-            name == self.name or self.peers[name].round >= self.round))
+        return self._majority(
+            lambda name, life: (
+                self._answers(name, life)
+                and (name == self.name or self.peers[name].round >= self.round)
+            )
+        )
 
     def _spoke(self, now, sender, message):
         """The peer, if it is one, with what any answer of this term tells."""
         peer = self.peers.get(sender)
         if peer is None:
             return None
-        if peer.life != message.life:       # another disk: what the former one held is gone
-            peer.life, peer.match, peer.next, peer.round, peer.image = message.life, 0, self.log.last + 1, 0, None
+        if peer.life != message.life:  # another disk: what the former one held is gone
+            peer.life, peer.match, peer.next, peer.round, peer.image = (
+                message.life,
+                0,
+                self.log.last + 1,
+                0,
+                None,
+            )
         peer.heard, peer.round = now, max(peer.round, message.round)
         return peer
 
@@ -543,7 +653,7 @@
         if peer is None:
             return None
         if not message.ok or message.match >= peer.next:
-            peer.busy = 0                   # not at a mere beat's answer: what is out would be sent twice
+            peer.busy = 0  # not at a mere beat's answer: what is out would be sent twice
         if message.ok:
             peer.match = max(peer.match, min(message.match, self.log.last))
             peer.next = max(peer.next, peer.match + 1) if peer.image else peer.match + 1
@@ -578,8 +688,17 @@
         if self.role != LEADER:
             return
         voters = self.log.members.voters
-        held = sorted((0 if not self._answers(name, life) else self.safe if name == self.name
-                       else self.peers[name].match for name, life in voters.items()), reverse=True)
+        held = sorted(
+            (
+                0
+                if not self._answers(name, life)
+                else self.safe
+                if name == self.name
+                else self.peers[name].match
+                for name, life in voters.items()
+            ),
+            reverse=True,
+        )
         index = held[len(voters) // 2]
         if index > self.committed and self._countable(index):
             self._commit_to(index)
@@ -606,7 +725,7 @@
         token, origin, incarnation, number, command = event
         terms = self.terms
         known = self.sessions.known(origin, incarnation, number)
-        if known is not None:               # agreed before: its reply can't change any more
+        if known is not None:  # agreed before: its reply can't change any more
             self.out.append(Answered(token, known))
             return None
         try:
@@ -614,7 +733,9 @@
         except (TypeError, ValueError, OverflowError, RecursionError) as wrong:
             return self._refuse(token, f"can't be written: {wrong}", None)
         if size > terms.command_bytes or not origin:
-            return self._refuse(token, "larger than a command may be" if origin else "has no origin", None)
+            return self._refuse(
+                token, "larger than a command may be" if origin else "has no origin", None
+            )
         if len(self.waiting) >= terms.most_waiting or self.bytes + size > terms.most_bytes:
             # What waits takes a round, or as many as its messages need.
             rounds = 1 + len(self.waiting) // terms.batch
@@ -633,7 +754,9 @@
 
     def _alone(self):
         """One change of members at a time, and none before an entry of this term is agreed and applied."""
-        return self.log.changes[-1][0] <= self.applied and self.applied == self.committed >= self.own
+        return (
+            self.log.changes[-1][0] <= self.applied and self.applied == self.committed >= self.own
+        )
 
     def _changed(self, now, token, command):
         """The entry's command for a change of members, or None with the reason told. Pure checks: an operator's slip
@@ -643,7 +766,9 @@
         if not isinstance(name, str) or not isinstance(life, int):
             return self._refuse(token, "no name, or a life that is no number", None)
         if not self._alone():
-            return self._refuse(token, "another change of members is under way", self.terms.heartbeat)
+            return self._refuse(
+                token, "another change of members is under way", self.terms.heartbeat
+            )
         if do == "add":
             if voters.get(name) == life:
                 return self._refuse(token, "it is a voter under this life", None)
@@ -654,7 +779,9 @@
             if name not in learners or peer is None:
                 return self._refuse(token, "it is no learner", None)
             if not self._ready(now, peer, learners[name]):
-                return self._refuse(token, "it lags, or is not there under this life", self.terms.heartbeat)
+                return self._refuse(
+                    token, "it lags, or is not there under this life", self.terms.heartbeat
+                )
             voters[name] = learners.pop(name)
         elif do == "remove":
             if name not in voters and name not in learners:
@@ -674,8 +801,12 @@
         return {"part": KEEPERS, "voters": voters, "learners": learners}
 
     def _ready(self, now, peer, life):
-        return (peer.life == life and now - peer.heard < self.terms.election.least
-                and peer.match + self.terms.caught_up >= self.committed and peer.match > 0)
+        return (
+            peer.life == life
+            and now - peer.heard < self.terms.election.least
+            and peer.match + self.terms.caught_up >= self.committed
+            and peer.match > 0
+        )
 
     def _hand_over(self, now):
         if self.handing and self.peers[self.handing[1]].match == self.log.last:
@@ -694,7 +825,7 @@
             self._serve()
             return None
         self.reads.append((event.token, index, None))
-        if self.confirmed == self.round:    # else it joins the next one
+        if self.confirmed == self.round:  # else it joins the next one
             self._start_round(now)
         return None
 
@@ -733,7 +864,13 @@
                 self._step(now, "left", "is a voter no longer")
         if self.applied - self.log.snapshot.index >= self.terms.snapshot_after:
             last = self.log.entry(self.applied)
-            snapshot = Snapshot(last.index, last.term, last.at, self.log.members_at(last.index), self.sessions.image())
+            snapshot = Snapshot(
+                last.index,
+                last.term,
+                last.at,
+                self.log.members_at(last.index),
+                self.sessions.image(),
+            )
             self.log.compact(snapshot, self.terms.keep)
             self._persist(snapshot)
 
@@ -742,12 +879,22 @@
             return None
         members = named_members(entry)
         if members:
-            return self.sessions.apply(entry.at, entry.origin, entry.incarnation, entry.number,
-                                       lambda at: {"ok": True, "voters": members.voters, "learners": members.learners})
+            return self.sessions.apply(
+                entry.at,
+                entry.origin,
+                entry.incarnation,
+                entry.number,
+                lambda at: {"ok": True, "voters": members.voters, "learners": members.learners},
+            )
         if entry.command.get("part") == KEEPERS:
             return refused("keepers know no such command")
-        return self.sessions.apply(entry.at, entry.origin, entry.incarnation, entry.number,
-                                   lambda at: self.machine.apply(at, entry.command))
+        return self.sessions.apply(
+            entry.at,
+            entry.origin,
+            entry.incarnation,
+            entry.number,
+            lambda at: self.machine.apply(at, entry.command),
+        )
 
 
 __all__ = ["Keeper", "Members", "STEPS"]
--- a/thymeknot/agreement/endpoint.py
+++ b/thymeknot/agreement/endpoint.py
@@ -15,7 +15,7 @@
 from . import interface as i
 from . import wire
 
-UNREAD_MOST = 4 * 65_536        # bytes of one box: four values of AMP's longest
+UNREAD_MOST = 4 * 65_536  # bytes of one box: four values of AMP's longest
 CONNECTIONS_MOST = 1_024
 
 
@@ -96,7 +96,7 @@
         self.identity, self.ring, self.sources, self.channels = identity, ring, sources, channels
         self.store, self.look, self.refused, self.lines = store, look, {}, set()
         self.writing, self.waiting, self.timer, self.tokens, self.token = False, [], None, {}, 0
-        self.heard = lambda: None       # called after each event, for those who watch
+        self.heard = lambda: None  # called after each event, for those who watch
         self.closed, self.port, self.led = False, None, None
         self.keeper = keeper(self.clock())
         # A core that was just made has told nobody when it wants to be woken.
@@ -122,12 +122,16 @@
         logs.seldom("letter refused", kind=kind, why=why, count=self.refused[kind])
 
     def opened(self, session, last, key, content, signature):
-        return wire.opened(self.ring(), time.time(), self.identity.name, session, last, key, content, signature)
+        return wire.opened(
+            self.ring(), time.time(), self.identity.name, session, last, key, content, signature
+        )
 
     def delivered(self, letter):
         """Raises wire.Bad."""
         if letter.kind != wire.KEEPER or letter.sender not in self.channels:
-            raise wire.Bad("nonsense", f"{letter.sender} is no keeper, or that is no keeper's message")
+            raise wire.Bad(
+                "nonsense", f"{letter.sender} is no keeper, or that is no keeper's message"
+            )
         message = i.from_bytes(letter.body)
         if isinstance(message, str):
             raise wire.Bad("nonsense", message)
@@ -140,9 +144,12 @@
         if letter.kind == wire.READ and isinstance(told.get("query"), dict):
             event = i.ReadAsked(self.token)
         elif letter.kind == wire.PROPOSE and isinstance(told.get("command"), dict):
-            origin, incarnation, number = (told.get(name) for name in ("origin", "incarnation", "number"))
-            if not (isinstance(origin, str) and isinstance(incarnation, int) and isinstance(number, int)) or not (
-                    0 <= incarnation < 1 << 62 and 0 <= number < 1 << 62):
+            origin, incarnation, number = (
+                told.get(name) for name in ("origin", "incarnation", "number")
+            )
+            if not (
+                isinstance(origin, str) and isinstance(incarnation, int) and isinstance(number, int)
+            ) or not (0 <= incarnation < 1 << 62 and 0 <= number < 1 << 62):
                 raise wire.Bad("nonsense", "no origin, incarnation and number")
             if origin != letter.sender and not origin.startswith(letter.sender + "/"):
                 raise wire.Bad("forged", f"{letter.sender} speaks in the name of {origin[:40]}")
@@ -157,11 +164,25 @@
     def answered(self, letter, session, told):
         """The arguments of a signed answer."""
         try:
-            return wire.sealed(self.identity, letter.sender, session, letter.number, wire.REPLY,
-                               msgspec.msgpack.encode(told))
+            return wire.sealed(
+                self.identity,
+                letter.sender,
+                session,
+                letter.number,
+                wire.REPLY,
+                msgspec.msgpack.encode(told),
+            )
         except wire.Bad as bad:
-            return wire.sealed(self.identity, letter.sender, session, letter.number, wire.REPLY, msgspec.msgpack.encode(
-                {"reply": {"refused": f"the answer: {bad}; ask for less", "by": [], "again": 0}}))
+            return wire.sealed(
+                self.identity,
+                letter.sender,
+                session,
+                letter.number,
+                wire.REPLY,
+                msgspec.msgpack.encode(
+                    {"reply": {"refused": f"the answer: {bad}; ask for less", "by": [], "again": 0}}
+                ),
+            )
 
     # Into the core and out of it.
 
@@ -235,8 +256,15 @@
         self._end(effect.token, {"reply": told})
 
     def _refused(self, effect):
-        self._end(effect.token, {"why": effect.reason, "again": effect.again, "leader": effect.leader,
-                                 "unknown": effect.reason.startswith("unknown")})
+        self._end(
+            effect.token,
+            {
+                "why": effect.reason,
+                "again": effect.again,
+                "leader": effect.leader,
+                "unknown": effect.reason.startswith("unknown"),
+            },
+        )
 
     def _stood_down(self, effect):
         logs.log("keeper stood down", why=effect.reason)
@@ -244,8 +272,16 @@
     def _applied(self, effect):
         pass
 
-    DO = {i.Persist: _persist, i.Send: _send, i.Answered: _answered, i.ReadReady: _read_ready, i.Refused: _refused,
-          i.Applied: _applied, i.SetTimer: _set_timer, i.StoodDown: _stood_down}
+    DO = {
+        i.Persist: _persist,
+        i.Send: _send,
+        i.Answered: _answered,
+        i.ReadReady: _read_ready,
+        i.Refused: _refused,
+        i.Applied: _applied,
+        i.SetTimer: _set_timer,
+        i.StoodDown: _stood_down,
+    }
 
     def close(self):
         """What is being written is finished; nothing more is said."""
--- a/thymeknot/agreement/explorer.py
+++ b/thymeknot/agreement/explorer.py
@@ -33,13 +33,43 @@
 from .terms import Election, Terms
 
 NAMES = "abcde"
-SMALL = Terms(heartbeat=100, election=Election(500, 1_000), lease=300, leased_reads=True, drift=0.01, most_waiting=16,
-              most_bytes=4096, command_bytes=512, batch=2, batch_bytes=512, snapshot_after=24, keep=4, chunk=256,
-              sessions_most=8, caught_up=4, held_most=64)
-SETTLED = 40 * 1_000            # simulated time within which a healed fleet must answer
-FAULTS = ("cut", "cut one way", "heal", "stall", "crash", "lose tail", "lose disk", "crash of the leader",
-          "leader half heard", "change", "changes at once", "transfer", "transfer and cut", "power lost", "disk failed",
-          "elections struck")
+SMALL = Terms(
+    heartbeat=100,
+    election=Election(500, 1_000),
+    lease=300,
+    leased_reads=True,
+    drift=0.01,
+    most_waiting=16,
+    most_bytes=4096,
+    command_bytes=512,
+    batch=2,
+    batch_bytes=512,
+    snapshot_after=24,
+    keep=4,
+    chunk=256,
+    sessions_most=8,
+    caught_up=4,
+    held_most=64,
+)
+SETTLED = 40 * 1_000  # simulated time within which a healed fleet must answer
+FAULTS = (
+    "cut",
+    "cut one way",
+    "heal",
+    "stall",
+    "crash",
+    "lose tail",
+    "lose disk",
+    "crash of the leader",
+    "leader half heard",
+    "change",
+    "changes at once",
+    "transfer",
+    "transfer and cut",
+    "power lost",
+    "disk failed",
+    "elections struck",
+)
 
 
 class Register:
@@ -61,14 +91,16 @@
 
 
 class Report(NamedTuple):
-    states: int                 # events that keepers handled
-    faults: dict                # kind -> count
-    writes: int                 # acknowledged
-    reads: int                  # answered
-    leaders: int                # terms that had one
-    counterexamples: tuple      # sentences; one ends the run
-    standstill: Optional[str]   # a sentence, if a fleet that has its voters didn't get on after its faults were over
-    bereft: bool                # faults and operators left too few whole voters for anything to be agreed
+    states: int  # events that keepers handled
+    faults: dict  # kind -> count
+    writes: int  # acknowledged
+    reads: int  # answered
+    leaders: int  # terms that had one
+    counterexamples: tuple  # sentences; one ends the run
+    standstill: Optional[
+        str
+    ]  # a sentence, if a fleet that has its voters didn't get on after its faults were over
+    bereft: bool  # faults and operators left too few whole voters for anything to be agreed
 
 
 class Broken(Exception):
@@ -119,17 +151,30 @@
         self.pause = 200 + self.chance.draw() * 3_000
         if focus:
             self.mix, self.pause = [float(kind in focus) for kind in FAULTS], 800
-            self.loss, self.copies, self.slow = (part / 8 for part in (self.loss, self.copies, self.slow))
+            self.loss, self.copies, self.slow = (
+                part / 8 for part in (self.loss, self.copies, self.slow)
+            )
         count = 3 if self.chance.draw() < 0.6 else 5
         self.founders = NAMES[:count]
         drift = terms.drift
-        self.hosts = {name: Host(name, 0 if name in self.founders else self.life(),
-                                 1 + (self.chance.draw() * 2 - 1) * drift, int(self.chance.draw() * 10**6))
-                      for name in NAMES[:max(4, count)]}
+        self.hosts = {
+            name: Host(
+                name,
+                0 if name in self.founders else self.life(),
+                1 + (self.chance.draw() * 2 - 1) * drift,
+                int(self.chance.draw() * 10**6),
+            )
+            for name in NAMES[: max(4, count)]
+        }
         for host in self.hosts.values():
             self.boot(host)
         for client in range(3):
-            self.origins[f"client{client}"] = [0, 0, None, None]     # incarnation, number, command, when sent
+            self.origins[f"client{client}"] = [
+                0,
+                0,
+                None,
+                None,
+            ]  # incarnation, number, command, when sent
             self.at(self.chance.draw() * 500, self.client, f"client{client}")
         self.at(self.chance.draw() * 500, self.reader)
         self.at(self.pause, self.fault)
@@ -171,10 +216,21 @@
 
     def boot(self, host):
         host.boots += 1
-        stored = replayed(host.disk.records, host.disk.life) if host.disk.records else Recovered(host.disk.life)
+        stored = (
+            replayed(host.disk.records, host.disk.life)
+            if host.disk.records
+            else Recovered(host.disk.life)
+        )
         host.register, host.reads, host.timer, host.delayed = Register(), {}, None, []
-        host.keeper = self.make(host.name, self.founders if host.disk.life == 0 else None, self.terms, self.chance,
-                                stored, host.register, self.clock(host))
+        host.keeper = self.make(
+            host.name,
+            self.founders if host.disk.life == 0 else None,
+            self.terms,
+            self.chance,
+            stored,
+            host.register,
+            self.clock(host),
+        )
         host.serials = {}
         self.tell(host, TimerDue())
 
@@ -185,7 +241,7 @@
         if host.stalled > self.now:
             host.delayed.append(event)
             heard = [one for one in host.delayed if type(one) is Received]
-            if len(heard) > 64:             # a socket's buffer is full; what the disk has to say isn't lost
+            if len(heard) > 64:  # a socket's buffer is full; what the disk has to say isn't lost
                 host.delayed.remove(heard[0])
             return
         self.states += 1
@@ -197,7 +253,7 @@
 
     def wake(self, host):
         waiting, host.delayed = host.delayed, []
-        if self.chance.draw() < 0.5:        # its clients' sockets may well be the first that it looks at
+        if self.chance.draw() < 0.5:  # its clients' sockets may well be the first that it looks at
             for event in [one for one in waiting if type(one) is not Received]:
                 waiting.remove(event)
                 self.tell(host, event)
@@ -211,11 +267,21 @@
             self.deafen(host.name)
             self.at(1_000, self.heal)
             self.at(1, self.arrive, host.name, peer, message)
-        if (host.name, peer) in self.severed or self.chance.draw() < self.loss or peer not in self.hosts:
+        if (
+            (host.name, peer) in self.severed
+            or self.chance.draw() < self.loss
+            or peer not in self.hosts
+        ):
             return
         for _ in range(2 if self.chance.draw() < self.copies else 1):
             late = self.late if self.chance.draw() < self.slow else 0
-            self.at(1 + self.chance.draw() * 20 + self.chance.draw() * late, self.arrive, host.name, peer, message)
+            self.at(
+                1 + self.chance.draw() * 20 + self.chance.draw() * late,
+                self.arrive,
+                host.name,
+                peer,
+                message,
+            )
 
     def arrive(self, sender, peer, message):
         if (sender, peer) not in self.severed:
@@ -223,8 +289,14 @@
 
     def persist(self, host, effect):
         host.disk.records.extend(effect.records)
-        self.at(1 + self.chance.draw() * self.sync_slow, self.synced, host, host.boots, len(host.disk.records),
-                effect.upto)
+        self.at(
+            1 + self.chance.draw() * self.sync_slow,
+            self.synced,
+            host,
+            host.boots,
+            len(host.disk.records),
+            effect.upto,
+        )
 
     def synced(self, host, boots, length, upto):
         if host.boots == boots and host.keeper is not None:
@@ -253,7 +325,9 @@
             if self.chance.draw() < 0.5:
                 kept += self.lot(len(disk.records) - disk.synced + 1)
             del disk.records[kept:]
-        disk.records = self.make.tampered(disk.records) if hasattr(self.make, "tampered") else disk.records
+        disk.records = (
+            self.make.tampered(disk.records) if hasattr(self.make, "tampered") else disk.records
+        )
         disk.synced = len(disk.records)
         host.keeper, host.stalled = None, 0
         host.boots += 1
@@ -277,8 +351,14 @@
             self.propose(host, name, *state[:3])
 
     def likely(self):
-        leading = [host for host in self.hosts.values() if host.keeper and host.keeper.role == LEADER]
-        return self.one(leading) if leading and self.chance.draw() < 0.9 else self.one(self.hosts.values())
+        leading = [
+            host for host in self.hosts.values() if host.keeper and host.keeper.role == LEADER
+        ]
+        return (
+            self.one(leading)
+            if leading and self.chance.draw() < 0.9
+            else self.one(self.hosts.values())
+        )
 
     def token(self, about):
         self.tokens += 1
@@ -288,7 +368,12 @@
         return self.tokens
 
     def propose(self, host, origin, incarnation, number, command):
-        self.tell(host, Proposed(self.token((origin, incarnation, number)), origin, incarnation, number, command))
+        self.tell(
+            host,
+            Proposed(
+                self.token((origin, incarnation, number)), origin, incarnation, number, command
+            ),
+        )
 
     def reader(self):
         self.at(20 + self.chance.draw() * 150, self.reader)
@@ -319,8 +404,10 @@
         if call is not None:
             self.reads_done += 1
             if len(host.register.order) < call[1]:
-                raise Broken(f"{host.name} read {len(host.register.order)} writes of {call[1]} that were "
-                             "acknowledged before it was asked")
+                raise Broken(
+                    f"{host.name} read {len(host.register.order)} writes of {call[1]} that were "
+                    "acknowledged before it was asked"
+                )
 
     def refused(self, host, effect):
         self.calls.pop(effect.token, None)
@@ -330,10 +417,15 @@
         content = (effect.at, msgspec.msgpack.encode(effect.command))
         before = self.chosen.setdefault(effect.index, content)
         if before != content:
-            raise Broken(f"{host.name} applied another entry at {effect.index} than was applied there before")
+            raise Broken(
+                f"{host.name} applied another entry at {effect.index} than was applied there before"
+            )
         if self.chosen.get(effect.index - 1, (0,))[0] > effect.at:
             raise Broken(f"agreed time goes back at {effect.index}")
-        if effect.command.get("part") == "register" and host.register.times[effect.command["id"]] > 1:
+        if (
+            effect.command.get("part") == "register"
+            and host.register.times[effect.command["id"]] > 1
+        ):
             raise Broken(f"{effect.command['id']} was applied twice")
 
     def check(self, host):
@@ -358,18 +450,29 @@
         self.at(self.pause * self.chance.draw() * 2 if done else 50, self.fault)
 
     def leader(self):
-        leading = [host for host in self.hosts.values() if host.keeper and host.keeper.role == LEADER]
+        leading = [
+            host for host in self.hosts.values() if host.keeper and host.keeper.role == LEADER
+        ]
         return max(leading, key=lambda host: host.keeper.term) if leading else None
 
     def seated(self):
         """A leader of whose term something is agreed."""
         host = self.leader()
-        return host if host and host.keeper.committed >= host.keeper.own and host.stalled <= self.now else None
+        return (
+            host
+            if host and host.keeper.committed >= host.keeper.own and host.stalled <= self.now
+            else None
+        )
 
     def cut(self):
         """Two sides; a few messages still on their way are gone too."""
         side = {name for name in self.hosts if self.chance.draw() < 0.5}
-        self.severed = {(one, other) for one in self.hosts for other in self.hosts if (one in side) != (other in side)}
+        self.severed = {
+            (one, other)
+            for one in self.hosts
+            for other in self.hosts
+            if (one in side) != (other in side)
+        }
         self.at(self.chance.draw() * 4_000, self.heal)
         return True
 
@@ -409,8 +512,11 @@
         if host is None:
             return False
         learners = [name for name in host.keeper.log.members.learners if name in self.hosts]
-        other = self.one(learners if learners and self.chance.draw() < 0.5 else
-                         [name for name in self.hosts if name != host.name])
+        other = self.one(
+            learners
+            if learners and self.chance.draw() < 0.5
+            else [name for name in self.hosts if name != host.name]
+        )
         self.severed = {(host.name, name) for name in self.hosts if name not in (host.name, other)}
         self.at(20 + self.chance.draw() * 400, self.gone, host)
         return True
@@ -445,7 +551,11 @@
         if leader is None:
             return False
         voters, learners = leader.keeper.log.members
-        strange = [name for name, life in {**voters, **learners}.items() if self.hosts[name].disk.life != life]
+        strange = [
+            name
+            for name, life in {**voters, **learners}.items()
+            if self.hosts[name].disk.life != life
+        ]
         outside = [name for name in self.hosts if name not in voters and name not in learners]
         kind = self.chance.draw()
         if strange:
@@ -474,8 +584,12 @@
         others = [name for name in voters if name != leader.name]
         if self.chance.draw() < 0.5:
             near = {leader.name, self.one(others)} if len(voters) > 3 else {leader.name}
-            self.severed = {(one, other) for one in self.hosts for other in self.hosts
-                            if (one in near) != (other in near)}
+            self.severed = {
+                (one, other)
+                for one in self.hosts
+                for other in self.hosts
+                if (one in near) != (other in near)
+            }
             others = [name for name in others if name not in near]
             self.at(200 + self.chance.draw() * 2_000, self.heal)
         for step in range(min(2, len(voters) - 2)):
@@ -518,13 +632,23 @@
 
     def operate(self, leader, command):
         self.tokens += 1
-        self.tell(leader, Proposed(self.token(("operator",)), f"operator{self.tokens}", 0, 1,
-                                   {"part": KEEPERS, **command}))
+        self.tell(
+            leader,
+            Proposed(
+                self.token(("operator",)),
+                f"operator{self.tokens}",
+                0,
+                1,
+                {"part": KEEPERS, **command},
+            ),
+        )
 
     def transfer(self):
         leader = self.leader()
         if leader:
-            self.operate(leader, {"do": "transfer", "name": self.one(leader.keeper.log.members.voters)})
+            self.operate(
+                leader, {"do": "transfer", "name": self.one(leader.keeper.log.members.voters)}
+            )
         return leader is not None
 
     def disk_failed(self):
@@ -549,26 +673,53 @@
                 self.crash(host, True)
         before = self.writes_done
         self.run_for(SETTLED, lambda: self.writes_done >= before + 6)
-        self.bereft = not all(self.whole(host.keeper.log.members.voters) for host in self.hosts.values() if host.keeper)
+        self.bereft = not all(
+            self.whole(host.keeper.log.members.voters)
+            for host in self.hosts.values()
+            if host.keeper
+        )
         if self.writes_done < before + 6 and not self.bereft:
             raise Standstill("nothing is agreed though all faults are over")
-        if self.writes_done > before and self.acked > max(len(host.register.order) for host in self.hosts.values()):
+        if self.writes_done > before and self.acked > max(
+            len(host.register.order) for host in self.hosts.values()
+        ):
             raise Broken("what was acknowledged is gone")
 
     def whole(self, voters):
         """Whether enough of them have the disk that the list names. No list: one that nobody took in yet."""
-        return not voters or 2 * sum(self.hosts[name].disk.life == life for name, life in voters.items()) > len(voters)
-
-
-CARRIED = {Send: World.send, Persist: World.persist, SetTimer: World.timer, Answered: World.answered,
-           ReadReady: World.read_ready, Refused: World.refused, Applied: World.applied,
-           interface.StoodDown: lambda world, host, effect: None}
-DONE = {"cut": World.cut, "cut one way": World.cut_one_way, "heal": World.heal, "stall": World.stall,
-        "crash": World.crash_one, "lose tail": lambda world: world.crash_one(True), "lose disk": World.lose_disk,
-        "crash of the leader": World.crash_leader, "leader half heard": World.half_heard, "change": World.change,
-        "transfer": World.transfer, "disk failed": World.disk_failed,
-        "changes at once": World.changes, "transfer and cut": World.transfer_and_cut, "power lost": World.power,
-        "elections struck": World.strikes}
+        return not voters or 2 * sum(
+            self.hosts[name].disk.life == life for name, life in voters.items()
+        ) > len(voters)
+
+
+CARRIED = {
+    Send: World.send,
+    Persist: World.persist,
+    SetTimer: World.timer,
+    Answered: World.answered,
+    ReadReady: World.read_ready,
+    Refused: World.refused,
+    Applied: World.applied,
+    interface.StoodDown: lambda world, host, effect: None,
+}
+DONE = {
+    "cut": World.cut,
+    "cut one way": World.cut_one_way,
+    "heal": World.heal,
+    "stall": World.stall,
+    "crash": World.crash_one,
+    "lose tail": lambda world: world.crash_one(True),
+    "lose disk": World.lose_disk,
+    "crash of the leader": World.crash_leader,
+    "leader half heard": World.half_heard,
+    "change": World.change,
+    "transfer": World.transfer,
+    "disk failed": World.disk_failed,
+    "changes at once": World.changes,
+    "transfer and cut": World.transfer_and_cut,
+    "power lost": World.power,
+    "elections struck": World.strikes,
+}
 
 
 def explore(seed, steps, variant: Optional[str] = None, terms=SMALL, focus=None):
@@ -582,8 +733,16 @@
         found.append(f"seed {seed}, event {world.states}, at {world.now}: {wrong}")
     except Standstill as wrong:
         standstill = f"seed {seed}, event {world.states}, at {world.now}: {wrong}"
-    return Report(world.states, dict(world.faults), world.writes_done, world.reads_done, len(world.leaders),
-                  tuple(found), standstill, world.bereft)
+    return Report(
+        world.states,
+        dict(world.faults),
+        world.writes_done,
+        world.reads_done,
+        len(world.leaders),
+        tuple(found),
+        standstill,
+        world.bereft,
+    )
 
 
 def search(variant, seeds, steps):
@@ -599,6 +758,7 @@
 
 # Keepers that are wrong in one thing each: what doesn't find them finds nothing.
 
+
 class Unsynced(Keeper):
     """Answers before it wrote."""
 
@@ -646,6 +806,7 @@
 
 class StoodStill(Keeper):
     """Its lease lasts while it stands still, since it looks at its clock with its timer only."""
+
     early = 0
 
     def handle(self, now, event):
@@ -667,6 +828,7 @@
 
 class LostVotes(Keeper):
     """A disk that was lost votes as if it knew."""
+
     keeps_life = True
 
 
@@ -704,21 +866,35 @@
     def _take(self, now, event):
         sender, message = event
         term = self.log.term(message.previous)
-        return super()._take(now, event if term is None else event._replace(
-            message=message._replace(previous_term=term)))
+        return super()._take(
+            now,
+            event if term is None else event._replace(message=message._replace(previous_term=term)),
+        )
 
 
 BROKEN = {
-    "answers before it wrote": Unsynced, "forgets its vote": Forgetful, "counts an earlier term's": CountsOld,
-    "applies twice": Twice, "reads alone": ReadsAlone, "stood still": StoodStill, "many changes": ManyChanges,
-    "lost disk votes": LostVotes, "time goes back": TimeBack, "votes for an older log": VotesOld,
-    "learners count": LearnersCount, "takes without a look": Overwrites,
+    "answers before it wrote": Unsynced,
+    "forgets its vote": Forgetful,
+    "counts an earlier term's": CountsOld,
+    "applies twice": Twice,
+    "reads alone": ReadsAlone,
+    "stood still": StoodStill,
+    "many changes": ManyChanges,
+    "lost disk votes": LostVotes,
+    "time goes back": TimeBack,
+    "votes for an older log": VotesOld,
+    "learners count": LearnersCount,
+    "takes without a look": Overwrites,
 }
 
 # Under which faults a variant shows soon; the others do so under any mix.
 FOCUS = {
-    "answers before it wrote": ("power lost",), "counts an earlier term's": ("elections struck",),
-    "reads alone": ("transfer and cut",), "stood still": ("stall",), "many changes": ("changes at once",),
-    "learners count": ("change", "leader half heard", "lose tail"), "lost disk votes": ("lose disk", "change"),
+    "answers before it wrote": ("power lost",),
+    "counts an earlier term's": ("elections struck",),
+    "reads alone": ("transfer and cut",),
+    "stood still": ("stall",),
+    "many changes": ("changes at once",),
+    "learners count": ("change", "leader half heard", "lose tail"),
+    "lost disk votes": ("lose disk", "change"),
     "forgets its vote": ("elections struck",),
 }
--- a/thymeknot/agreement/interface.py
+++ b/thymeknot/agreement/interface.py
@@ -11,12 +11,13 @@
 
 
 class Members(NamedTuple):
-    voters: dict[str, int]          # name -> life
+    voters: dict[str, int]  # name -> life
     learners: dict[str, int]
 
 
 class Entry(NamedTuple):
     """origin "": the leader's own. at: agreed time, tenths of a millisecond."""
+
     index: int
     term: int
     at: int
@@ -28,6 +29,7 @@
 
 # Records on a disk, in the order of their Persist; an Entry is one as well.
 
+
 class Voted(NamedTuple):
     term: int
     vote: Optional[str]
@@ -35,11 +37,13 @@
 
 class Cut(NamedTuple):
     """Entries from this index on are gone."""
+
     index: int
 
 
 class Snapshot(NamedTuple):
     """whole: it came from a leader and replaces the log; else the entries after it stay."""
+
     index: int
     term: int
     at: int
@@ -50,6 +54,7 @@
 
 class Recovered(NamedTuple):
     """What a disk gave back. See `log.replayed`."""
+
     life: int
     term: int = 0
     vote: Optional[str] = None
@@ -59,9 +64,11 @@
 
 # Messages. term, life: the sender's, but for a granted pre-vote, which names the term it was asked for.
 
+
 class Ask(NamedTuple):
     """A vote is asked for. you: the life that the asker's members' list names. pre: only whether it would be granted.
     forced: the leader itself wished it, so that its lease is no reason to refuse."""
+
     term: int
     life: int
     you: int
@@ -90,6 +97,7 @@
 
 class Appended(NamedTuple):
     """match: the sender's log is the leader's up to there, if ok; else where the leader should try next."""
+
     term: int
     life: int
     ok: bool
@@ -99,6 +107,7 @@
 
 class Image(NamedTuple):
     """A part of a snapshot; total in bytes."""
+
     term: int
     life: int
     index: int
@@ -113,6 +122,7 @@
 
 class Imaged(NamedTuple):
     """upto: bytes held so far. done: the snapshot is taken in."""
+
     term: int
     life: int
     index: int
@@ -123,6 +133,7 @@
 
 class Hurry(NamedTuple):
     """The leader wants its place taken."""
+
     term: int
     life: int
 
@@ -147,6 +158,7 @@
 
 # Events.
 
+
 class Received(NamedTuple):
     sender: str
     message: Any
@@ -158,6 +170,7 @@
 
 class Proposed(NamedTuple):
     """token: the caller's, hashable, given back with the outcome. command: see core for part "keepers"."""
+
     token: Any
     origin: str
     incarnation: int
@@ -171,6 +184,7 @@
 
 class Stored(NamedTuple):
     """All of Persist up to this `upto` is on the disk."""
+
     upto: int
 
 
@@ -180,8 +194,10 @@
 
 # Effects, to be carried out in their order.
 
+
 class Persist(NamedTuple):
     """sync: tell Stored(upto) only once it would outlast a loss of power."""
+
     records: tuple
     sync: bool
     upto: int
@@ -199,6 +215,7 @@
 
 class ReadReady(NamedTuple):
     """The machine, as it stands now (index: how far it is applied), may be read for this token."""
+
     token: Any
     index: int
 
@@ -206,6 +223,7 @@
 class Refused(NamedTuple):
     """again: tenths of a millisecond until it is worth while, None if never. leader: whom to ask, if known. A reason
     that begins with "unknown" leaves the outcome open: ask again under the same number."""
+
     token: Any
     reason: str
     again: Optional[int]
@@ -221,6 +239,7 @@
 
 class SetTimer(NamedTuple):
     """Wants TimerDue then, by the clock of `handle`; the one before it is void."""
+
     at: int
 
 
--- a/thymeknot/agreement/log.py
+++ b/thymeknot/agreement/log.py
@@ -4,7 +4,7 @@
 
 from .interface import Cut, Entry, Members, Recovered, Snapshot, Voted
 
-KEEPERS = "keepers"             # the part of commands that concern the keepers themselves
+KEEPERS = "keepers"  # the part of commands that concern the keepers themselves
 
 
 def named_members(entry):
@@ -76,7 +76,7 @@
 
     def cut(self, index):
         """Takes away the entries from `index` on, and what they said of the members."""
-        del self.entries[index - self.base - 1:], self.sizes[index - self.base - 1:]
+        del self.entries[index - self.base - 1 :], self.sizes[index - self.base - 1 :]
         while self.changes[-1][0] >= index and len(self.changes) > 1:
             self.changes.pop()
 
@@ -87,9 +87,11 @@
         if base > self.base:
             last = self.entry(base)
             members = self.members_at(base)
-            del self.entries[:base - self.base], self.sizes[:base - self.base]
+            del self.entries[: base - self.base], self.sizes[: base - self.base]
             self.base, self.base_term, self.base_at = base, last.term, last.at
-            self.changes = [(base, members)] + [change for change in self.changes if change[0] > base]
+            self.changes = [(base, members)] + [
+                change for change in self.changes if change[0] > base
+            ]
 
     def conflict(self, index, term):
         """None if the log holds that entry; else the index a leader should try as the next one: behind a log that is
--- a/thymeknot/agreement/machine.py
+++ b/thymeknot/agreement/machine.py
@@ -1,8 +1,8 @@
 """What the log is applied to. A machine is pure: the same commands at the same agreed times give the same replies.
 
-    apply(at, command) -> reply     total: it raises for no command, however ill formed, since it would on all keepers
-    image() -> plain value          all of its state, as msgpack can write it
-    load(image)                     takes the place of the state it had
+apply(at, command) -> reply     total: it raises for no command, however ill formed, since it would on all keepers
+image() -> plain value          all of its state, as msgpack can write it
+load(image)                     takes the place of the state it had
 """
 
 import msgspec
@@ -43,12 +43,16 @@
     Source: Ongaro's thesis, 6.3."""
 
     def __init__(self, machine, most):
-        self.machine, self.most, self.origins = machine, most, {}   # in the order of their last word
+        self.machine, self.most, self.origins = machine, most, {}  # in the order of their last word
 
     def known(self, origin, incarnation, number):
         """The reply if this needs no applying: a repeated one, or what says why it can't be."""
         session = self.origins.get(origin)
-        if session is None or incarnation > session[0] or (incarnation == session[0] and number > session[1]):
+        if (
+            session is None
+            or incarnation > session[0]
+            or (incarnation == session[0] and number > session[1])
+        ):
             return None
         if incarnation < session[0]:
             return refused("an older incarnation of this origin", [origin])
@@ -70,8 +74,9 @@
 
     def image(self):
         """Bytes."""
-        return msgspec.msgpack.encode([[[name, *session] for name, session in self.origins.items()],
-                                       self.machine.image()])
+        return msgspec.msgpack.encode(
+            [[[name, *session] for name, session in self.origins.items()], self.machine.image()]
+        )
 
     def load(self, content):
         origins, image = msgspec.msgpack.decode(content)
--- a/thymeknot/agreement/store.py
+++ b/thymeknot/agreement/store.py
@@ -25,8 +25,8 @@
 
 HEAD, SLOT = struct.Struct(">II"), struct.Struct(">QQQ")
 KINDS = (Entry, Voted, Cut, Snapshot)
-BEGIN = len(KINDS)              # the kind of a segment's first record
-RECORD_MOST = 1 << 20           # no record is longer: a length beyond it is damage
+BEGIN = len(KINDS)  # the kind of a segment's first record
+RECORD_MOST = 1 << 20  # no record is longer: a length beyond it is damage
 
 
 class Damaged(Exception):
@@ -35,18 +35,22 @@
 
 class Fault(NamedTuple):
     """An error as a value: what a write came to."""
+
     reason: str
 
 
 class Opened(NamedTuple):
     recovered: Recovered
-    said: tuple                 # sentences for a log: a torn tail, a directory put away
+    said: tuple  # sentences for a log: a torn tail, a directory put away
 
 
 class Files:
     """What the store needs of an operating system; tests put faults in its place."""
+
     open, close, fsync, pwrite = map(staticmethod, (os.open, os.close, os.fsync, os.pwrite))
-    replace, unlink, listdir, write = map(staticmethod, (os.replace, os.unlink, os.listdir, os.write))
+    replace, unlink, listdir, write = map(
+        staticmethod, (os.replace, os.unlink, os.listdir, os.write)
+    )
     makedirs = staticmethod(os.makedirs)
 
     def read(self, path):
@@ -71,7 +75,7 @@
             return found, at, False
         length, crc = HEAD.unpack_from(content, at)
         end = at + HEAD.size + length
-        body = content[at + HEAD.size:end]
+        body = content[at + HEAD.size : end]
         # A length of nought is what a file that grew before its bytes came is full of.
         if not 0 < length <= longest or len(body) < length or zlib.crc32(body) != crc:
             return found, at, _whole_after(content, at + 1)
@@ -85,7 +89,11 @@
     for at in range(start, len(content) - HEAD.size):
         length, crc = HEAD.unpack_from(content, at)
         end = at + HEAD.size + length
-        if 0 < length <= RECORD_MOST and end <= len(content) and zlib.crc32(content[at + HEAD.size:end]) == crc:
+        if (
+            0 < length <= RECORD_MOST
+            and end <= len(content)
+            and zlib.crc32(content[at + HEAD.size : end]) == crc
+        ):
             return True
     return False
 
@@ -117,12 +125,16 @@
         if segments:
             records, said = self._read(segments[-1])
         if known and (self.life, self.count >= known[1]) != (known[0], True):
-            said.append(f"the disk is not what it was: life {self.life}, {self.count} records, where life {known[0]}"
-                        f" with {known[1]} was acknowledged; it begins as a newcomer")
+            said.append(
+                f"the disk is not what it was: life {self.life}, {self.count} records, where life {known[0]}"
+                f" with {known[1]} was acknowledged; it begins as a newcomer"
+            )
             self._put_away()
             segments, records = [], []
         elif segments and not known:
-            said.append("no lineage was found: the disk may be an old copy, so it begins as a newcomer")
+            said.append(
+                "no lineage was found: the disk may be an old copy, so it begins as a newcomer"
+            )
             self._put_away()
             segments, records = [], []
         if not segments:
@@ -145,7 +157,7 @@
         content = self.files.read(self.lineage) or b""
         found = []
         for slot in range(2):
-            part = content[slot * SLOT.size:(slot + 1) * SLOT.size]
+            part = content[slot * SLOT.size : (slot + 1) * SLOT.size]
             if len(part) == SLOT.size:
                 life, count, crc = SLOT.unpack(part)
                 if zlib.crc32(part[:16]) == crc:
@@ -246,7 +258,9 @@
     def _write_snapshot(self, snapshot):
         """The snapshot as a file of its own, then a segment that begins with its name and what of the log follows it;
         only then are older files gone."""
-        entries = () if snapshot.whole else [one for one in self._entries() if one.index > snapshot.index]
+        entries = (
+            () if snapshot.whole else [one for one in self._entries() if one.index > snapshot.index]
+        )
         self._begin_segment(snapshot, entries)
 
     def _entries(self):
@@ -269,7 +283,10 @@
         """One new segment that says all by itself: so neither opening nor a snapshot has to join several. Written
         under another name and put in its place whole."""
         files, old = self.files, list(self.files.listdir(self.folder))
-        body = [framed(msgspec.msgpack.encode((BEGIN, (self.count, self.life)))), self._framed(self.voted)]
+        body = [
+            framed(msgspec.msgpack.encode((BEGIN, (self.count, self.life)))),
+            self._framed(self.voted),
+        ]
         if snapshot:
             name = f"{self.number + 1:012}.snap"
             self._whole(name, framed(msgspec.msgpack.encode(snapshot)))
@@ -297,7 +314,7 @@
         try:
             view = memoryview(content)
             while view:
-                view = view[files.write(file, view):]
+                view = view[files.write(file, view) :]
             files.fsync(file)
         finally:
             files.close(file)
@@ -319,7 +336,9 @@
     def _acknowledge(self):
         self.slot ^= 1
         head = struct.pack(">QQ", self.life, self.count)
-        self.files.pwrite(self.second, head + struct.pack(">Q", zlib.crc32(head)), self.slot * SLOT.size)
+        self.files.pwrite(
+            self.second, head + struct.pack(">Q", zlib.crc32(head)), self.slot * SLOT.size
+        )
         self.files.fsync(self.second)
 
     def close(self):
@@ -327,4 +346,3 @@
             if file is not None:
                 self.files.close(file)
         self.file = self.second = None
-
--- a/thymeknot/agreement/wire.py
+++ b/thymeknot/agreement/wire.py
@@ -11,9 +11,9 @@
 import msgspec
 from twisted.protocols import amp
 
-NONCE = 16                      # bytes, of each end
-LETTER_MOST = 60_000            # bytes; AMP's own limit of a value is 65,535
-MARK = b"thymeknot fleet 1\0"   # what is signed here can't be taken for gossip's datagrams
+NONCE = 16  # bytes, of each end
+LETTER_MOST = 60_000  # bytes; AMP's own limit of a value is 65,535
+MARK = b"thymeknot fleet 1\0"  # what is signed here can't be taken for gossip's datagrams
 KEEPER, PROPOSE, READ, REPLY = range(4)
 
 
@@ -36,6 +36,7 @@
 
 class Hello(amp.Command):
     """Each end's share of the session."""
+
     arguments = [(b"nonce", amp.String())]
     response = [(b"nonce", amp.String())]
 
@@ -46,13 +47,19 @@
 
 class Deliver(amp.Command):
     """A keeper's message. Nothing is answered: what answers there are, are messages themselves."""
+
     arguments = [(b"key", amp.String()), (b"content", amp.String()), (b"signature", amp.String())]
     requiresAnswer = False
 
 
 class Ask(amp.Command):
     """A client's command or read, and its signed reply."""
-    arguments = response = [(b"key", amp.String()), (b"content", amp.String()), (b"signature", amp.String())]
+
+    arguments = response = [
+        (b"key", amp.String()),
+        (b"content", amp.String()),
+        (b"signature", amp.String()),
+    ]
     errors = {Refusal: b"REFUSED"}
 
 
--- a/thymeknot/asking/belief.py
+++ b/thymeknot/asking/belief.py
@@ -14,15 +14,24 @@
 # is empty without a new version is of a service that has not heard of the pods yet: keeping them costs connections that
 # fail at most.
 BELIEF = {
-    (FIRM, NEWER): (FIRM, TAKE), (DOUBTING, NEWER): (FIRM, TAKE), (EMPTYING, NEWER): (FIRM, TAKE),
-    (FIRM, OLDER): (DOUBTING, ASK), (DOUBTING, OLDER): (FIRM, TAKE), (EMPTYING, OLDER): (DOUBTING, KEEP),
-    (FIRM, EMPTY): (FIRM, KEEP), (DOUBTING, EMPTY): (DOUBTING, KEEP), (EMPTYING, EMPTY): (EMPTYING, KEEP),
-    (FIRM, EMPTIED): (EMPTYING, ASK), (DOUBTING, EMPTIED): (EMPTYING, KEEP), (EMPTYING, EMPTIED): (FIRM, TAKE),
+    (FIRM, NEWER): (FIRM, TAKE),
+    (DOUBTING, NEWER): (FIRM, TAKE),
+    (EMPTYING, NEWER): (FIRM, TAKE),
+    (FIRM, OLDER): (DOUBTING, ASK),
+    (DOUBTING, OLDER): (FIRM, TAKE),
+    (EMPTYING, OLDER): (DOUBTING, KEEP),
+    (FIRM, EMPTY): (FIRM, KEEP),
+    (DOUBTING, EMPTY): (DOUBTING, KEEP),
+    (EMPTYING, EMPTY): (EMPTYING, KEEP),
+    (FIRM, EMPTIED): (EMPTYING, ASK),
+    (DOUBTING, EMPTIED): (EMPTYING, KEEP),
+    (EMPTYING, EMPTIED): (FIRM, TAKE),
 }
 
 
 class Doubt(NamedTuple):
     """Why a list is passed over, and whether it is believed if it is told again."""
+
     reason: str
     again: bool
 
--- a/thymeknot/asking/pace.py
+++ b/thymeknot/asking/pace.py
@@ -4,10 +4,13 @@
 """
 
 SECOND = 10_000
-AGAIN = 2_000, 8_000        # after an asking that the service had no part in; by chance, so that a crowd spreads
-LONGEST = 8 * SECOND        # between two askings at most: what is told late must still be told
-LONGEST_FREE = SECOND       # of a peer that serves this one alone, at no cost
-STEADY = 2 * SECOND         # what ends sooner after its asking was refused, though it had begun
+AGAIN = (
+    2_000,
+    8_000,
+)  # after an asking that the service had no part in; by chance, so that a crowd spreads
+LONGEST = 8 * SECOND  # between two askings at most: what is told late must still be told
+LONGEST_FREE = SECOND  # of a peer that serves this one alone, at no cost
+STEADY = 2 * SECOND  # what ends sooner after its asking was refused, though it had begun
 # All ask first within it, for each that asks and in all: such a service takes one call of each in 2 to 8 s, and what it
 # has counts as told after 6 s.
 SPREAD, SPREAD_MOST = 1_000, 6 * SECOND
@@ -18,11 +21,18 @@
 # a link that is cut says nothing of that, and changes nothing. An answer that is spoilt may be one of few; the next one
 # says that the service makes no sense, and asking it twice a second for ever helps nobody.
 PACE = {
-    (FRESH, REFUSED): (TURNED_AWAY, 1), (FRESH, LOST): (FRESH, 0), (FRESH, STOOD): (FRESH, 0),
-    (TURNED_AWAY, REFUSED): (TURNED_AWAY, 1), (TURNED_AWAY, LOST): (TURNED_AWAY, 0),
+    (FRESH, REFUSED): (TURNED_AWAY, 1),
+    (FRESH, LOST): (FRESH, 0),
+    (FRESH, STOOD): (FRESH, 0),
+    (TURNED_AWAY, REFUSED): (TURNED_AWAY, 1),
+    (TURNED_AWAY, LOST): (TURNED_AWAY, 0),
     (TURNED_AWAY, STOOD): (FRESH, None),
-    (FRESH, SPOILT): (WARNED, 0), (WARNED, SPOILT): (TURNED_AWAY, 1), (TURNED_AWAY, SPOILT): (TURNED_AWAY, 1),
-    (WARNED, REFUSED): (TURNED_AWAY, 1), (WARNED, LOST): (WARNED, 0), (WARNED, STOOD): (FRESH, None),
+    (FRESH, SPOILT): (WARNED, 0),
+    (WARNED, SPOILT): (TURNED_AWAY, 1),
+    (TURNED_AWAY, SPOILT): (TURNED_AWAY, 1),
+    (WARNED, REFUSED): (TURNED_AWAY, 1),
+    (WARNED, LOST): (WARNED, 0),
+    (WARNED, STOOD): (FRESH, None),
 }
 
 
--- a/thymeknot/balance.py
+++ b/thymeknot/balance.py
@@ -8,46 +8,139 @@
 from . import interface as i
 from .admission import FEW, SECOND, Admission
 from .reasons import Reason as R
-from .records import Chance, Delivery, Ring, Transaction, Usual, aged, merged, noted, placed, position, ring
+from .records import (
+    Chance,
+    Delivery,
+    Ring,
+    Transaction,
+    Usual,
+    aged,
+    merged,
+    noted,
+    placed,
+    position,
+    ring,
+)
 
 # The ramp and the test, as the design page starts them; slowness is tested like failure, more strictly.
-RAMP_TIME, RAMP_SHARE, LISTED = 2 * SECOND, 0.8, 0.75  # of a stage's pods: listed, for a vote for on
+RAMP_TIME, RAMP_SHARE, LISTED = (
+    2 * SECOND,
+    0.8,
+    0.75,
+)  # of a stage's pods: listed, for a vote for on
 P1_OVER_P0, P0_FLOOR = {"failed": 5.0, "slow": 5.0}, {"failed": 0.01, "slow": 0.1}
 FALSE_BACK, FALSE_ON, SLOW_STRICTER = 0.05, 0.2, 10
 ON_BOUND = log(FALSE_ON / (1 - FALSE_BACK))
 ENOUGH_OUTCOMES, AFTER_START, QUIET_FOR, AT_ONCE = 20, 3 * SECOND, 5 * SECOND // 2, 2 * SECOND
-HOLD_PART, ONE_PERIOD = 0.5, 0.6  # of the back bound: holds; a period's tallies; a second's, one vote acts:
-ONE_SECOND = {("failed", True): 0.75, ("failed", False): 9.0, ("slow", True): 0.5, ("slow", False): 0.5}
+HOLD_PART, ONE_PERIOD = (
+    0.5,
+    0.6,
+)  # of the back bound: holds; a period's tallies; a second's, one vote acts:
+ONE_SECOND = {
+    ("failed", True): 0.75,
+    ("failed", False): 9.0,
+    ("slow", True): 0.5,
+    ("slow", False): 0.5,
+}
 ONE_POD, ONE_ZONE = {"failed": 0.55, "slow": 0.45}, 0.9  # one of them adds so much: never the whole
-COLD_FAILS, FREED_FAILS, TIMES, TIMES_MOST = 0.3, 0.15, 1.5, 3.0  # in tallies: may fail cold, freed; slow
+COLD_FAILS, FREED_FAILS, TIMES, TIMES_MOST = (
+    0.3,
+    0.15,
+    1.5,
+    3.0,
+)  # in tallies: may fail cold, freed; slow
 BASELINE, WARM_ENOUGH, SLOW_QUANTILE = 5, 0.75, 0.9  # outcomes, and warmth, that say something
-ILL_FOR = {False: 5 * SECOND, True: 12 * SECOND}  # slowness of all may pass; True: machines replaced
-BUSIER, MARGIN, BLAMED_FROM, LEARNT, PERIODS = 1.5, 1.3, 0.15, 0.25, 3  # excuses; slow; ramp; of one; awaited
-LOUD, SETTLED, MATURE, USUAL_SHED = 15, 3 * SECOND, 20, 0.05  # rate, age, outcomes, deferrals: the usual
-EARLIER, WAY_FAILS = ("all", "failed", "slow", "error", "way"), 0.02  # of its outcomes: an unsound way
-HOT_SHARE, HOT_LEAST, KEYS_MOST = 0.03, 8, 10_000  # of all with keys; lately; answered or failed, remembered
-SHUN, SHUN_MOST, FORGOTTEN = SECOND // 2, 4 * SECOND, 0.5  # an unreachable pod; of failures, at each exchange
-UPKEEP, UPKEEP_MOST, EXCHANGE = SECOND // 20, SECOND // 4, 4 * SECOND  # the second with hardly any traffic
-DRAWN, LOOK, CROWD, FEW_PODS = 6, 24, 0.75, (3, 5)  # pods in use; looked at; sidecars a pod; to quiet, loud
-COLD_PART, COLD_LEAST, COLD_LOTS, RATE_UP, RATE_DOWN = 0.5, 4, 3, 4 * SECOND, 20 * SECOND  # of a fall; spans
-SECOND_COPIES, RETRIES, COPY_AFTER = 0.05, 0.15, (3.0, 0.4)  # of all; times mean, goal of its lane: the later
-
-NEW, OUT, OVER, ANY, USUAL, TRIAL, FREED, FALLEN = "new out over any usual trial freed fallen".split()
+ILL_FOR = {
+    False: 5 * SECOND,
+    True: 12 * SECOND,
+}  # slowness of all may pass; True: machines replaced
+BUSIER, MARGIN, BLAMED_FROM, LEARNT, PERIODS = (
+    1.5,
+    1.3,
+    0.15,
+    0.25,
+    3,
+)  # excuses; slow; ramp; of one; awaited
+LOUD, SETTLED, MATURE, USUAL_SHED = (
+    15,
+    3 * SECOND,
+    20,
+    0.05,
+)  # rate, age, outcomes, deferrals: the usual
+EARLIER, WAY_FAILS = (
+    ("all", "failed", "slow", "error", "way"),
+    0.02,
+)  # of its outcomes: an unsound way
+HOT_SHARE, HOT_LEAST, KEYS_MOST = (
+    0.03,
+    8,
+    10_000,
+)  # of all with keys; lately; answered or failed, remembered
+SHUN, SHUN_MOST, FORGOTTEN = (
+    SECOND // 2,
+    4 * SECOND,
+    0.5,
+)  # an unreachable pod; of failures, at each exchange
+UPKEEP, UPKEEP_MOST, EXCHANGE = (
+    SECOND // 20,
+    SECOND // 4,
+    4 * SECOND,
+)  # the second with hardly any traffic
+DRAWN, LOOK, CROWD, FEW_PODS = (
+    6,
+    24,
+    0.75,
+    (3, 5),
+)  # pods in use; looked at; sidecars a pod; to quiet, loud
+COLD_PART, COLD_LEAST, COLD_LOTS, RATE_UP, RATE_DOWN = (
+    0.5,
+    4,
+    3,
+    4 * SECOND,
+    20 * SECOND,
+)  # of a fall; spans
+SECOND_COPIES, RETRIES, COPY_AFTER = (
+    0.05,
+    0.15,
+    (3.0, 0.4),
+)  # of all; times mean, goal of its lane: the later
+
+NEW, OUT, OVER, ANY, USUAL, TRIAL, FREED, FALLEN = (
+    "new out over any usual trial freed fallen".split()
+)
 # A transaction's life: (state, input) -> next state, effect. What is missing changes nothing.
 LIFE = {
-    (NEW, "taken"): (OUT, "place"), (OUT, "given up"): (OVER, "turn_away"), (OUT, "left"): (OVER, "close"),
-    (OUT, "unrun"): (OUT, "again"), (OUT, "perhaps run"): (OUT, "again"), (OUT, "slow"): (OUT, "second"),
-    (OUT, "answered"): (OVER, "close"), (OVER, "answered"): (OVER, "forget"),
-    (OVER, "unrun"): (OVER, "forget"), (OVER, "perhaps run"): (OVER, "forget"),
+    (NEW, "taken"): (OUT, "place"),
+    (OUT, "given up"): (OVER, "turn_away"),
+    (OUT, "left"): (OVER, "close"),
+    (OUT, "unrun"): (OUT, "again"),
+    (OUT, "perhaps run"): (OUT, "again"),
+    (OUT, "slow"): (OUT, "second"),
+    (OUT, "answered"): (OVER, "close"),
+    (OVER, "answered"): (OVER, "forget"),
+    (OVER, "unrun"): (OVER, "forget"),
+    (OVER, "perhaps run"): (OVER, "forget"),
+}
+PROOF = {
+    i.DONE: "answered",
+    i.ERROR: "perhaps run",
+    i.EXPIRED: "perhaps run",
+    i.RESET: "perhaps run",
+    i.RECALLED: "perhaps run",
+    i.FULL: "unrun",
+    i.UNCONNECTED: "unrun",
+    i.UNSENT: "unrun",
 }
-PROOF = {i.DONE: "answered", i.ERROR: "perhaps run", i.EXPIRED: "perhaps run", i.RESET: "perhaps run",
-         i.RECALLED: "perhaps run", i.FULL: "unrun", i.UNCONNECTED: "unrun", i.UNSENT: "unrun"}
 
 
 # The newest build's life here: (state, input) -> next state, effect. A build not met on trial is usual.
 BUILD = {
-    (ANY, "offered"): (TRIAL, "begin"), (ANY, "met"): (USUAL, "begin"), (TRIAL, "moved"): (TRIAL, "go_on"),
-    (ANY, "fell"): (FALLEN, "begin"), (FALLEN, "fell"): (FALLEN, None), (TRIAL, "released"): (FREED, "go_on"),
+    (ANY, "offered"): (TRIAL, "begin"),
+    (ANY, "met"): (USUAL, "begin"),
+    (TRIAL, "moved"): (TRIAL, "go_on"),
+    (ANY, "fell"): (FALLEN, "begin"),
+    (FALLEN, "fell"): (FALLEN, None),
+    (TRIAL, "released"): (FREED, "go_on"),
 }
 
 
@@ -56,14 +149,28 @@
 
     def __init__(self, terms, seed, now, say=None):
         self.say, self.subject = say, None
-        self.terms, self.now, self.chance, self.actions, self.born = terms, now, Chance(seed), [], None
+        self.terms, self.now, self.chance, self.actions, self.born = (
+            terms,
+            now,
+            Chance(seed),
+            [],
+            None,
+        )
         self.pods, self.turn, self.watch_at, self.upkeep, self.fleet = {}, 0, now, 0, 1
         self.sides, self.drawn, self.exchange_at = {True: [], False: []}, {True: [], False: []}, now
         self.room, self.warm, self.warm_at = {True: 0.0, False: 0.0}, 0.0, 0
         self.open, self.due, self.tokens, self.keys, self.keys_at = {}, {}, 0, {}, now
-        self.most = [min(most, 1 + most * FEW / terms.balancers) for most in (20.0, 5.0)]  # it adds up
-        self.retries, self.copies, self.admission = self.most[0] / 4, self.most[1] / 4, Admission(terms)
-        self.arrivals, self.fresh, self.shed, self.served = (Ring(s * SECOND, 2 * s) for s in (8, 8, 8, 4))
+        self.most = [
+            min(most, 1 + most * FEW / terms.balancers) for most in (20.0, 5.0)
+        ]  # it adds up
+        self.retries, self.copies, self.admission = (
+            self.most[0] / 4,
+            self.most[1] / 4,
+            Admission(terms),
+        )
+        self.arrivals, self.fresh, self.shed, self.served = (
+            Ring(s * SECOND, 2 * s) for s in (8, 8, 8, 4)
+        )
         self.lost, self.warm_rate, self.means, self.crowd = 0.0, 0.0, self.admission.means, Usual()
         self.marks, self.taken, self.p0, self.pins, self.met = {}, {}, dict(P0_FLOOR), set(), {}
         self.earlier = {what: Ring(8 * SECOND, 16) for what in EARLIER}
@@ -76,7 +183,14 @@
         self.turn_of_all = int(terms.balancers / terms.votes_per_s * SECOND)
         self.in_turns = max(0, self.turn_of_all - AT_ONCE)
         self.renew = min(0.8 * terms.vote_life, max(terms.vote_life // 2, self.turn_of_all))
-        self.vote, self.vote_at, self.asked, self.ask_at, self.rows, self.rows_at = None, 0, None, now, [], 0
+        self.vote, self.vote_at, self.asked, self.ask_at, self.rows, self.rows_at = (
+            None,
+            0,
+            None,
+            now,
+            [],
+            0,
+        )
         self.news, self.build, self.by_votes = None, USUAL, terms.decided_by != i.BY_CLOCK
         self._begin()
 
@@ -92,7 +206,9 @@
             self.say(self.subject, reason, *operands)
 
     def _listed(self, event):
-        if event.kind == i.MISSED:  # the watch may have dropped; a call that fails at once must not storm
+        if (
+            event.kind == i.MISSED
+        ):  # the watch may have dropped; a call that fails at once must not storm
             self.watch_at = min(self.watch_at, self.now + int((1 + self.chance.draw()) * SECOND))
             return
         self.pods = merged(self.pods, event, self.terms.overload_for)
@@ -121,21 +237,26 @@
         self.warm, self.room, lots = 0.0, {True: 0.0, False: 0.0}, COLD_LOTS if self._crowd() else 1
         for known in self.sides[True] + self.sides[False]:
             share = known.share(self.now, self.terms)
-            self.room[known.side] += known.listed.size * share ** lots
+            self.room[known.side] += known.listed.size * share**lots
             self.warm += known.listed.size * (share == 1.0)
             self.warm_at = max(self.warm_at, known.listed.started + self.terms.cold + UPKEEP_MOST)
 
     def _draw(self, new, drop=()):
         """Draws the pods in use, by lots: with all, the quiet dial each time. drop: these go last."""
-        side, fit = self.sides[new], self.arrivals.total(self.now) * (1 - self.lost) ** 4  # who refuse: fewer
-        self.drawn[new] = placed(side, drop, self.chance)[:max(DRAWN, int(fit))]
+        side, fit = (
+            self.sides[new],
+            self.arrivals.total(self.now) * (1 - self.lost) ** 4,
+        )  # who refuse: fewer
+        self.drawn[new] = placed(side, drop, self.chance)[: max(DRAWN, int(fit))]
 
     def _cold_room(self, known, share):
         """Rule 4. Each keeps to its part of what warm pods are seen to take; the fewer pods it uses, the less
         others use this one. With a part of less than a delivery each pod and span is drawn for."""
         rate, span = self.warm_rate * known.listed.size, self.terms.overload_for
-        part = max(COLD_PART * self.terms.fall_multiple * share * rate * span / SECOND,
-                   COLD_LEAST / self.terms.balancers)
+        part = max(
+            COLD_PART * self.terms.fall_multiple * share * rate * span / SECOND,
+            COLD_LEAST / self.terms.balancers,
+        )
         part *= len(self.sides.get(known.side, ())) / (len(self.drawn.get(known.side, ())) or 1)
         if known.lot[0] != self.now // span:
             known.lot = self.now // span, self.chance.draw()
@@ -155,7 +276,9 @@
             change = {i.ON_TRIAL: "offered", i.RELEASED: "released"}.get(news.phase, "fell")
         else:
             change = "moved" if old.stage != news.stage else None
-        self.build, effect = BUILD.get((self.build, change), BUILD.get((ANY, change), (self.build, None)))
+        self.build, effect = BUILD.get(
+            (self.build, change), BUILD.get((ANY, change), (self.build, None))
+        )
         if effect:
             getattr(self, "_" + effect)()
 
@@ -164,20 +287,30 @@
         self.usual, self.all_slow, self.ill_since, self.sums, self.by_pod = None, 0.0, None, {}, {}
         self._go_on()
 
-    def _go_on(self):  # failures are kept, or the quiet never have enough; each stage's cold pods are slow
+    def _go_on(
+        self,
+    ):  # failures are kept, or the quiet never have enough; each stage's cold pods are slow
         self.ramped, self.clear_since = self.now, self.now
         # Each has its place: the first fit into what the platform takes at once, the others come one by one.
         turn = max(0.0, self.chance.draw() * self.turn_of_all - AT_ONCE)
         self.offset = turn - min(self.in_turns, self.warm_by) / 2
         self.sums = self.left = {"failed": max(0.0, self.sums.get("failed", 0.0)), "slow": 0.0}
         self.by_pod = {key: had for key, had in self.by_pod.items() if "failed" in key[0]}
-        self.seen, self.doubt, self.swarm, self.bad_keys, self.saying_back = 0, 0.0, {}, set(), False
+        self.seen, self.doubt, self.swarm, self.bad_keys, self.saying_back = (
+            0,
+            0.0,
+            {},
+            set(),
+            False,
+        )
 
     def _climb(self):
         """The design's: it climbs to what the trial's ready pods can carry, and does not fall."""
         if self.news and self.news.phase in (i.ON_TRIAL, i.RELEASED):
             part = self.room[True] / (sum(self.room.values()) or 1.0)
-            part *= self.ill_since is None or not self._crowd()  # what slows all in step gets no more
+            part *= (
+                self.ill_since is None or not self._crowd()
+            )  # what slows all in step gets no more
             target = min(RAMP_SHARE * self.news.cap, part) if self.news.phase == i.ON_TRIAL else 1.0
             step = target * (self.now - self.ramped) / RAMP_TIME
             self.ramp, self.ramped = max(self.ramp, min(target, self.ramp + step)), self.now
@@ -193,20 +326,34 @@
             return True
         if guarded and lane.effect != i.RETRIABLE:
             return self._why(R.GUARDED, news.stage, self.terms.guarded_stages) or False
-        taken, tried, free = self._ring(self.taken, lane), self._ring(self.tried, lane), self.terms.allowance
+        taken, tried, free = (
+            self._ring(self.taken, lane),
+            self._ring(self.tried, lane),
+            self.terms.allowance,
+        )
         if news.cap <= 0:
             return self._why(R.CLOSED, news.phase, news.cap) or False
-        may = (first and news.cap >= 1) or all(  # each window with the one attempt has the one taken, too
-            tried.total(self.now, False, back) + 1 <= free + news.cap * taken.total(self.now, True, back)
-            for back in (120, 90, 60, 30))
+        may = (
+            first and news.cap >= 1
+        ) or all(  # each window with the one attempt has the one taken, too
+            tried.total(self.now, False, back) + 1
+            <= free + news.cap * taken.total(self.now, True, back)
+            for back in (120, 90, 60, 30)
+        )
         if not may:
-            self._why(R.EXPOSURE, tried.total(self.now), taken.total(self.now, True), news.cap, free)
+            self._why(
+                R.EXPOSURE, tried.total(self.now), taken.total(self.now, True), news.cap, free
+            )
         return may
 
     def _judge(self, tx, known, outcome, latency):
         if self.news is None or outcome in (i.FULL, i.RECALLED, i.UNSENT):
             return
-        share, build, failed = known.share(self.now, self.terms), known.listed.build, outcome != i.DONE
+        share, build, failed = (
+            known.share(self.now, self.terms),
+            known.listed.build,
+            outcome != i.DONE,
+        )
         cell = tx.lane.name, known.listed.machine
         mark, settled, mean = self.marks.get(cell, (2.0 * latency, 0, max(1, latency)))
         way, judging = outcome in (i.RESET, i.UNCONNECTED), self.build in (TRIAL, FREED)
@@ -226,12 +373,19 @@
             # earlier build does not show that sound. One key that fails again and again is one failure.
             seen, lost = (self.earlier[what].total(self.now) for what in ("all", "way"))
             sound = compared and lost < max(2, WAY_FAILS * seen)
-            if ((outcome == i.EXPIRED and (share < 1.0 or not compared)) or (way and not sound)
-                    or (failed and tx.key in self.bad_keys)):
+            if (
+                (outcome == i.EXPIRED and (share < 1.0 or not compared))
+                or (way and not sound)
+                or (failed and tx.key in self.bad_keys)
+            ):
                 return
             self.bad_keys.update([tx.key] if failed and len(self.bad_keys) < KEYS_MOST else [])
             self.seen += 1
-            alone = outcome in (i.DONE, i.ERROR) and len(self.sides[True]) <= FEW_PODS[0] and not self._few()
+            alone = (
+                outcome in (i.DONE, i.ERROR)
+                and len(self.sides[True]) <= FEW_PODS[0]
+                and not self._few()
+            )
             self._add("failed", failed, None if alone else known.listed)
             # A build may be slow and never fail. In a burst a pod's time hangs on the load more than on it.
             if compared and settled and share >= WARM_ENOUGH and self._busier() <= BUSIER:
@@ -243,7 +397,9 @@
         for back, least in ((16, BASELINE), (4, 1)):
             seen = self.earlier["all"].total(self.now, False, back)
             for what, floor in P0_FLOOR.items() if seen >= least else ():
-                seen = max(seen, 2 * BASELINE if what == "slow" else 2)  # in a storm one failure will do
+                seen = max(
+                    seen, 2 * BASELINE if what == "slow" else 2
+                )  # in a storm one failure will do
                 rate = max(floor, min(0.6, self.earlier[what].total(self.now, False, back) / seen))
                 self.p0[what] = rate if back == 16 or seen >= MATURE else max(rate, self.p0[what])
         return self.earlier["all"].total(self.now, False, 4) >= BASELINE
@@ -256,7 +412,10 @@
         step = self._weight(what, bad, self.p0[what])
         if pod:
             had, zone = self.by_pod.get((what, pod.address), 0.0), (what + " in", pod.zone)
-            bound, (last, room) = ONE_POD[what] * self.back_at[what], self.swarm.get(what, (None, 0.0))
+            bound, (last, room) = (
+                ONE_POD[what] * self.back_at[what],
+                self.swarm.get(what, (None, 0.0)),
+            )
             if last != self.now // SECOND:
                 room = ONE_SECOND[what, self.terms.votes_to_revert == 1] * self.back_at[what]
             there = self.by_pod.get(zone, 0.0)
@@ -270,12 +429,16 @@
         # The sum rests near the bound for 'on': a build that turns bad late must not have to eat up its past.
         self.sums[what] = max(ON_BOUND * (3 if what == "slow" else 1), self.sums[what] + step)
         # Of few an ill pod would be taken for its build: who sees enough waits for a second, where all wait.
-        worst = max([had for (of, _), had in self.by_pod.items() if of == "failed" and self._few()] + [0.0])
+        worst = max(
+            [had for (of, _), had in self.by_pod.items() if of == "failed" and self._few()] + [0.0]
+        )
         self.left = {**self.sums, "failed": self.sums["failed"] - worst}
         # A sum that rests tries anew with each chance failure: the more of them, the higher the bound.
         seen, pods = self.arrivals.total(self.now), len(self.sides[True])
         many = self.by_votes and pods > FEW_PODS[1] and seen >= 8 * LOUD
-        self.bounds["failed"] = self.back_at["failed"] + log(max(1, many * self.p0["failed"] * seen))
+        self.bounds["failed"] = self.back_at["failed"] + log(
+            max(1, many * self.p0["failed"] * seen)
+        )
         self.doubt = max(self.left[what] / bound for what, bound in self.bounds.items())
         self.clear_since = self.now if self.doubt > HOLD_PART else self.clear_since
 
@@ -291,15 +454,27 @@
         if self.build not in (TRIAL, FREED):
             return
         earlier = {row.lane: row for row in rows if row.build < self.news.build}
-        seen, failed = (sum(getattr(row, it) for row in earlier.values()) for it in ("deliveries", "failed"))
+        seen, failed = (
+            sum(getattr(row, it) for row in earlier.values()) for it in ("deliveries", "failed")
+        )
         at, crowd = self.now - rows[0].age - SECOND, self._crowd()  # then new pods got nothing
-        had = [one.share(at, self.terms) for one in self.sides[True] if one.listed.started < at or not crowd]
-        warmth = sum(share ** (1 + crowd) for share in had) / (sum(share ** crowd for share in had) or 1)
+        had = [
+            one.share(at, self.terms)
+            for one in self.sides[True]
+            if one.listed.started < at or not crowd
+        ]
+        warmth = sum(share ** (1 + crowd) for share in had) / (
+            sum(share**crowd for share in had) or 1
+        )
         if warmth < WARM_ENOUGH or (seen < 2 * BASELINE and self.build == TRIAL):
             return
         # Cold pods fail more. After a release half of the machines leave, and the rest is pushed for a while.
         rate = min(0.6, failed / seen if seen >= 2 * BASELINE else self.lost)
-        p0 = max(P0_FLOOR["failed"], rate) + COLD_FAILS * (1 - warmth) + FREED_FAILS * (self.build == FREED)
+        p0 = (
+            max(P0_FLOOR["failed"], rate)
+            + COLD_FAILS * (1 - warmth)
+            + FREED_FAILS * (self.build == FREED)
+        )
         steps = {"failed": 0.0, "slow": 0.0}
         bad, good = (self._weight("failed", ill, p0) for ill in (True, False))
         for row in rows:
@@ -312,13 +487,17 @@
                     times = min(TIMES_MOST, row.latency * warmth / base.latency)
                     steps["slow"] += count * (times - TIMES) / 2
         for what, step in steps.items():
-            self._book(what, min(step, ONE_PERIOD * self.back_at[what] * (not self._few())))  # of one ill pod
+            self._book(
+                what, min(step, ONE_PERIOD * self.back_at[what] * (not self._few()))
+            )  # of one ill pod
 
     def _weigh_all(self, rows, began):
         """Of a crowd each sees too little of all: there the platform's means tell, of a period since then."""
         margin = TIMES if self.build == FREED else MARGIN  # half of the machines have left since
-        step = sum(count * (min(TIMES_MOST, times / max(1.0, traffic) ** 2) - margin)
-                   for count, times, traffic in self.crowd.compared(rows))
+        step = sum(
+            count * (min(TIMES_MOST, times / max(1.0, traffic) ** 2) - margin)
+            for count, times, traffic in self.crowd.compared(rows)
+        )
         if self.crowd.seen >= MATURE and self.build in (TRIAL, FREED) and self.ramp >= BLAMED_FROM:
             if self.by_votes and self._crowd():
                 self._ail(step, began)
@@ -332,8 +511,10 @@
         busier, deferred = self._busier(), cell is None and self.usual
         if (self.usual[2] > USUAL_SHED or busier > BUSIER) if deferred else seen < MATURE:
             return
-        excused = busier ** 2 if busier > BUSIER else 1
-        step = (TIMES_MOST if outcome == i.EXPIRED else min(TIMES_MOST, latency / mean / excused)) - MARGIN
+        excused = busier**2 if busier > BUSIER else 1
+        step = (
+            TIMES_MOST if outcome == i.EXPIRED else min(TIMES_MOST, latency / mean / excused)
+        ) - MARGIN
         self._ail(step, self.now)
 
     def _ail(self, step, since):
@@ -350,32 +531,50 @@
 
     def _busier(self):  # the traffic of two seconds without marked repeats, against the usual
         span = (4 * self.fresh.width + self.now % self.fresh.width) / SECOND
-        return (self.fresh.total(self.now, False, 4) - 3) / (self.usual[1] * span + 1) if self.usual else 1.0
-
-    def _settle(self):  # what was usual before the build came or, for one that started later, at first
+        return (
+            (self.fresh.total(self.now, False, 4) - 3) / (self.usual[1] * span + 1)
+            if self.usual
+            else 1.0
+        )
+
+    def _settle(
+        self,
+    ):  # what was usual before the build came or, for one that started later, at first
         age, taken = self.now - (self.born or self.now), self.fresh.total(self.now)
         rate = taken * SECOND / min(self.arrivals.span, age + 1)
         fit = age >= SETTLED and rate >= LOUD and self.terms.balancers < CROWD * self.places
         if self.build == TRIAL and self.usual is None and fit:
-            self.usual = dict(self.marks), rate, self.shed.total(self.now) / self.arrivals.total(self.now)
+            self.usual = (
+                dict(self.marks),
+                rate,
+                self.shed.total(self.now) / self.arrivals.total(self.now),
+            )
 
     def _verdict(self):
         news, part = self.news, self.doubt
         errs, seen = (self.earlier[what].total(self.now) for what in ("error", "all"))
         worse = errs >= max(BASELINE, P1_OVER_P0["failed"] * P0_FLOOR["failed"] * seen)
         if self.ill_since is not None and not (worse and self.sums["failed"] <= 0):
-            blamed = self.now >= self.ill_since + ILL_FOR[self.terms.replaces]  # till then it may pass
+            blamed = (
+                self.now >= self.ill_since + ILL_FOR[self.terms.replaces]
+            )  # till then it may pass
             part = max(part, 1.1 if blamed and self.all_slow > self.back_at["slow"] else 1.0)
         self.saying_back = part > 1 or (self.saying_back and part > HOLD_PART)
         if self.saying_back or news.phase != i.ON_TRIAL:
-            return i.BACK if self.saying_back and news.phase in (i.ON_TRIAL, i.RELEASED) else i.NO_VOTE
+            return (
+                i.BACK if self.saying_back and news.phase in (i.ON_TRIAL, i.RELEASED) else i.NO_VOTE
+            )
         if self.terms.decided_by == i.BY_CLOCK or part > HOLD_PART:
             return i.HOLD if self.terms.decided_by == i.BY_CLOCK and part > HOLD_PART else i.NO_VOTE
         # A list that lags hides the pods to judge. One that starts again, as after a lost zone, was met.
-        started = [self.met.setdefault(one.listed.address, one.listed.started) for one in self.sides[True]]
+        started = [
+            self.met.setdefault(one.listed.address, one.listed.started) for one in self.sides[True]
+        ]
         places = self.places if self.terms.replaces else len(self.sides[False])  # others leave late
         last = news.stage + 1 >= len(self.terms.waves)  # the earlier ones leave: warm, and seen
-        listed = len(started) >= max(1, int(LISTED * self.terms.waves[-1 if last else news.stage] * places))
+        listed = len(started) >= max(
+            1, int(LISTED * self.terms.waves[-1 if last else news.stage] * places)
+        )
         warm = max(started, default=0) + (self.terms.cold if last else self.warm_by)
         uncounted = last and self._crowd() and self.crowd.lacks(warm, self.now, PERIODS)
         if not listed or uncounted or self.now < warm + self.offset:
@@ -391,7 +590,9 @@
         vote, stands = self.vote, self.vote is not None and age < self.terms.vote_life
         if wanted[2] == i.NO_VOTE:
             moved = vote and (vote[1] != wanted[1] or self.news.phase != i.ON_TRIAL)
-            if not stands or vote[0] != wanted[0] or (vote[2] == i.ON and moved):  # it binds nothing then
+            if (
+                not stands or vote[0] != wanted[0] or (vote[2] == i.ON and moved)
+            ):  # it binds nothing then
                 return
         elif stands and vote == wanted and age < self.renew:
             return
@@ -401,7 +602,9 @@
         self.asked, self.ask_at = wanted, self.now + self.terms.vote_wait + SECOND // 10
         self.actions.append(i.Vote(*wanted))
 
-    def _vote_answered(self, news):  # what was turned away, or unanswered, is asked again, not in step
+    def _vote_answered(
+        self, news
+    ):  # what was turned away, or unanswered, is asked again, not in step
         pause = SECOND // 5 + int(self.chance.draw() * max(SECOND, self.in_turns))
         self.ask_at = self.now + (UPKEEP if news.outcome == i.DONE else max(pause, SECOND))
         if news.outcome == i.DONE and self.asked:
@@ -426,8 +629,14 @@
         self._step(tx, "taken")
 
     def _place(self, tx):
-        refused = self.admission.refused(self.now, tx.lane, self.open.values(), self.now - self.born,
-                                         self.arrivals.total(self.now), self.chance.draw)
+        refused = self.admission.refused(
+            self.now,
+            tx.lane,
+            self.open.values(),
+            self.now - self.born,
+            self.arrivals.total(self.now),
+            self.chance.draw,
+        )
         if refused:
             self._why(R.BY_LOT if refused[0] else R.OVER_LIMIT, *refused[1:])
             self.shed.add(self.now)
@@ -440,13 +649,20 @@
         if news is None or len(tx.sent) >= self.terms.max_deliveries or self.now >= tx.ends:
             most = (R.MOST_DELIVERIES, len(tx.sent), self.terms.max_deliveries)
             late = (R.TIME_OVER, tx.ends - self.now, 0)
-            return self._why(*((R.NO_NEWS,) if not news else late if self.now >= tx.ends else most)) or False
+            return (
+                self._why(*((R.NO_NEWS,) if not news else late if self.now >= tx.ends else most))
+                or False
+            )
         at, open_ = position(tx.key), news.phase in (i.ON_TRIAL, i.RELEASED)
-        stays = open_ and (tx.key in self.pins or len(self.pins) >= KEYS_MOST)  # more than it can tell: all
+        stays = open_ and (
+            tx.key in self.pins or len(self.pins) >= KEYS_MOST
+        )  # more than it can tell: all
         below = at < self.ramp and open_
         seen = self.keys.get(tx.key, 0)
         hot = seen >= HOT_LEAST and seen >= HOT_SHARE * sum(self.keys.values())
-        astray = news.phase == i.ON_TRIAL and (tx.sent or tx.key in self.bad_keys or hot)  # no flood, no loop
+        astray = news.phase == i.ON_TRIAL and (
+            tx.sent or tx.key in self.bad_keys or hot
+        )  # no flood, no loop
         order = (True, False) if below and not astray else (False, True)
         if stays:
             self._why(R.STAYS, len(self.pins))
@@ -455,7 +671,9 @@
             if astray and below:
                 self._why(R.ASTRAY, len(tx.sent), tx.key in self.bad_keys, hot)
         for new in (True,) if stays else order:
-            known = self._choose(tx, new) if not new or self._may_try(tx.lane, not tx.sent) else None
+            known = (
+                self._choose(tx, new) if not new or self._may_try(tx.lane, not tx.sent) else None
+            )
             if known:
                 return self._deliver(tx, known, new)
         return False
@@ -472,8 +690,15 @@
             for known in (pool[start:] + pool[:start])[:LOOK]:
                 share, pod = known.share(self.now, self.terms), known.listed
                 if self._same_group(tx, pod) and (share == 1.0 or self._cold_room(known, share)):
-                    avoid = (R.UNREACHABLE if self.now < known.shunned else R.DOUBTED
-                             if self.now < known.doubted else R.USED if pod.address in used else None)
+                    avoid = (
+                        R.UNREACHABLE
+                        if self.now < known.shunned
+                        else R.DOUBTED
+                        if self.now < known.doubted
+                        else R.USED
+                        if pod.address in used
+                        else None
+                    )
                     cost = self._cost(known) * (known.out + 1) / share
                     found.append((cost + 1e6 * (avoid is not None), known))
                 else:
@@ -490,7 +715,9 @@
         if self.terms.balancers < CROWD * len(self.sides[new]):
             near = [known for cost, known in found if cost <= best * 1.15]
             return near[self.turn % len(near)]
-        return found[self.chance.pick([1 / cost for cost, _ in found])][1]  # or hundreds meet at the cheapest
+        return found[self.chance.pick([1 / cost for cost, _ in found])][
+            1
+        ]  # or hundreds meet at the cheapest
 
     def _cost(self, known):
         return max(1e-9, known.pace) * (1 + 8 * known.fails) * (1 + known.load) / known.listed.size
@@ -500,14 +727,18 @@
         suspect, group = tx.suspect(), tx.lane.group
         if suspect is None or tx.lane.effect == i.RETRIABLE or group == i.GROUP_ALL:
             return True
-        return pod.zone == suspect.pod.zone and (group != i.GROUP_CELL or pod.cell == suspect.pod.cell)
+        return pod.zone == suspect.pod.zone and (
+            group != i.GROUP_CELL or pod.cell == suspect.pod.cell
+        )
 
     def _deliver(self, tx, known, new):
         self._ring(self.tried, tx.lane).add(self.now, int(new))
         known.out += 1
         known.sent.add(self.now)
         tx.sent.append(Delivery(known, self.now))
-        ends = tx.ends if tx.lane.late_earnings > 0 or self.now >= tx.goal else min(tx.ends, tx.goal)
+        ends = (
+            tx.ends if tx.lane.late_earnings > 0 or self.now >= tx.goal else min(tx.ends, tx.goal)
+        )
         if self.say:
             pod = known.listed
             self._why(R.SENT, pod.address, pod.build, new, ends - self.now, self._cost(known))
@@ -522,9 +753,15 @@
     def _may(self, tx, defer):
         """Rule 2: whether a deferral, or else another delivery, is allowed now."""
         suspect = tx.suspect()
-        return (suspect is None or tx.lane.effect == i.RETRIABLE
-                or (tx.lane.effect == i.FINGERPRINTED and self.now < suspect.at + tx.lane.window
-                    and (tx.lane.group == i.GROUP_ALL or not defer)))
+        return (
+            suspect is None
+            or tx.lane.effect == i.RETRIABLE
+            or (
+                tx.lane.effect == i.FINGERPRINTED
+                and self.now < suspect.at + tx.lane.window
+                and (tx.lane.group == i.GROUP_ALL or not defer)
+            )
+        )
 
     def _in_time(self, tx):
         return self.now + self.means.get(tx.lane.name, 0) < min(tx.goal, tx.ends)
@@ -535,7 +772,9 @@
             return
         cost = 0 if tx.suspect() is None else 1
         if not self._in_time(tx):
-            self._why(R.TIME_OVER, min(tx.goal, tx.ends) - self.now, self.means.get(tx.lane.name, 0))
+            self._why(
+                R.TIME_OVER, min(tx.goal, tx.ends) - self.now, self.means.get(tx.lane.name, 0)
+            )
         elif self.retries < cost:
             self._why(R.NO_BUDGET, self.retries)
         elif not self._may(tx, False):
@@ -555,7 +794,11 @@
 
     def _turn_away(self, tx):
         """The final answer, at once: sitting on it would only keep the client from trying again."""
-        wait = min(self.terms.max_retry_after, tx.lane.latency_goal // 2) if self.terms.retry_after else 0
+        wait = (
+            min(self.terms.max_retry_after, tx.lane.latency_goal // 2)
+            if self.terms.retry_after
+            else 0
+        )
         may = self._may(tx, True)
         self._why(*((R.DEFERRED, wait) if may else (R.ABANDONED, tx.suspect().pod.address)))
         self.actions.append(i.Defer(tx.id, wait) if may else i.Abandon(tx.id))
@@ -563,7 +806,9 @@
 
     def _close(self, tx):
         if self.terms.may_recall and not tx.streams:
-            self.actions += [i.Recall(tx.id, at) for at, delivery in enumerate(tx.sent) if delivery.out]
+            self.actions += [
+                i.Recall(tx.id, at) for at, delivery in enumerate(tx.sent) if delivery.out
+            ]
         self._forget(tx)
 
     def _forget(self, tx):
@@ -576,7 +821,14 @@
         delivery, proof = tx.sent[event.number], PROOF[event.outcome]
         delivery.out, delivery.perhaps = False, proof != "unrun"
         delivery.known.out -= 1
-        self._why(R.ENDED, delivery.pod.address, event.number, event.outcome, event.latency, proof == "unrun")
+        self._why(
+            R.ENDED,
+            delivery.pod.address,
+            event.number,
+            event.outcome,
+            event.latency,
+            proof == "unrun",
+        )
         self._learn(tx, delivery.known, event)
         if event.outcome == i.DONE:
             self._pin(i.AnsweredUnheard(tx.key, delivery.pod.build))
@@ -604,7 +856,9 @@
             lane, share = tx.lane, known.share(self.now, self.terms)
             self.admission.answered(self.now, lane, event.latency)
             gain = min(0.5, 0.08 + 0.1 * (self.now - known.heard) / SECOND)
-            known.pace += gain * (min(4.0, event.latency * share / self.means[lane.name]) - known.pace)
+            known.pace += gain * (
+                min(4.0, event.latency * share / self.means[lane.name]) - known.pace
+            )
             known.heard, known.shun = self.now, 0
             self.served.add(self.now, share == 1.0)
 
@@ -613,11 +867,15 @@
             self.open[event.id].streams |= type(event) is i.StreamBegan
             self._step(self.open[event.id], "left" if type(event) is i.ClientLeft else "streams")
 
-    def _complain(self, event):  # a client found an answer wrong: what was booked as a success is a failure
+    def _complain(
+        self, event
+    ):  # a client found an answer wrong: what was booked as a success is a failure
         if event.pod in self.pods and self.pods[event.pod].side and self.build in (TRIAL, FREED):
             self._add("failed", True)
 
-    def _doubt(self, event):  # hearsay delays a turn and proves nothing: no vote, limit or rule looks at it
+    def _doubt(
+        self, event
+    ):  # hearsay delays a turn and proves nothing: no vote, limit or rule looks at it
         known = self.pods.get(event.pod)
         if known and (known.listed.build, known.listed.started) == (event.build, event.started):
             known.doubted = event.until
@@ -632,7 +890,9 @@
         self.actions.append(i.SetTimer(self.now + self.upkeep, 0))
         self._settle()
         self._climb()
-        if self.rows and self.now >= self.rows_at + UPKEEP_MOST:  # a period's rows do not come all at once
+        if (
+            self.rows and self.now >= self.rows_at + UPKEEP_MOST
+        ):  # a period's rows do not come all at once
             self._weigh_tallies()
         if self.news and self.now >= self.ask_at:
             self._cast()
@@ -640,7 +900,9 @@
             self.exchange_at = self.now + EXCHANGE
             for new in self.drawn:
                 self._draw(new, sorted(self.drawn[new], key=self._cost)[-1:])
-            for known in self.pods.values():  # else one that failed is not met again while others stand idle
+            for known in (
+                self.pods.values()
+            ):  # else one that failed is not met again while others stand idle
                 known.fails *= FORGOTTEN if known.shun else 1.0
         if self.terms.subscribes and self.now >= self.watch_at:
             self.watch_at = self.now + self.terms.ask_within // 2
@@ -649,11 +911,26 @@
             self._measure()
         # A mean, as peaks of hundreds do not add up; one that overload does not pull down quickly.
         rate = self.served.total(self.now) / 4 / (self.warm or 1e9)
-        span = min(RATE_UP if rate > self.warm_rate else RATE_DOWN, self.now - (self.born or self.now))
+        span = min(
+            RATE_UP if rate > self.warm_rate else RATE_DOWN, self.now - (self.born or self.now)
+        )
         self.warm_rate += (rate - self.warm_rate) * passed / max(SECOND, span)
         if self.now >= self.keys_at + 2 * SECOND:
-            self.keys_at, self.keys = self.now, {key: n / 2 for key, n in self.keys.items() if n > 0.5}
-
-    EVENTS = {i.PodList: _listed, i.News: _told, i.Taken: _take, i.Ended: _end, i.ClientLeft: _follow,
-              i.StreamBegan: _follow, i.TimerDue: _tick, i.Complaint: _complain, i.Tally: _tallied,
-              i.AnsweredUnheard: _pin, i.Doubted: _doubt}
+            self.keys_at, self.keys = (
+                self.now,
+                {key: n / 2 for key, n in self.keys.items() if n > 0.5},
+            )
+
+    EVENTS = {
+        i.PodList: _listed,
+        i.News: _told,
+        i.Taken: _take,
+        i.Ended: _end,
+        i.ClientLeft: _follow,
+        i.StreamBegan: _follow,
+        i.TimerDue: _tick,
+        i.Complaint: _complain,
+        i.Tally: _tallied,
+        i.AnsweredUnheard: _pin,
+        i.Doubted: _doubt,
+    }
--- a/thymeknot/benchlink.py
+++ b/thymeknot/benchlink.py
@@ -34,7 +34,9 @@
         name, *values = text.split(" ")
         if rows or name == "ENTRY":
             if name != "ENTRY" or not rows:
-                raise wire.Malformed("an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short")
+                raise wire.Malformed(
+                    "an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short"
+                )
             table, left = rows
             self.lists[table].append(wire.pod(values))
             return (table, left - 1) if left > 1 else None
--- a/thymeknot/command/ask.py
+++ b/thymeknot/command/ask.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-WITHIN = 10                     # seconds that an answer may pause
+WITHIN = 10  # seconds that an answer may pause
 
 
 class Unreachable(Exception):
@@ -31,7 +31,9 @@
             connection.sendall(orjson.dumps(told) + b"\n")
             for line in source:
                 yield (found := orjson.loads(line))
-                if told["ask"] != "watch" and ("end" in found and "id" not in found or "error" in found):
+                if told["ask"] != "watch" and (
+                    "end" in found and "id" not in found or "error" in found
+                ):
                     return
     except (OSError, ValueError) as error:
         raise Unreachable(f"{place}: {error}") from None
@@ -41,6 +43,7 @@
     from ..reasons import Reason as R
     from ..why import arena, asking
     from ..why.record import fits
+
     try:
         left = arena.left_over(path)
     except (OSError, ValueError) as error:
@@ -53,8 +56,16 @@
         elif told["ask"] == "find":
             reason = told.get("reason")
             latest = found[0][2].at
-            begin = latest - told["since"] * 10_000 if "since" in told else None  # back from its last entry
-            fit = fits(entry, told.get("lane"), told.get("tenant"), int(R[reason.upper()]) if reason else None, begin)
+            begin = (
+                latest - told["since"] * 10_000 if "since" in told else None
+            )  # back from its last entry
+            fit = fits(
+                entry,
+                told.get("lane"),
+                told.get("tenant"),
+                int(R[reason.upper()]) if reason else None,
+                begin,
+            )
             fit = fit and ("pod" not in told or told["pod"] in asking.pods(entry))
         else:
             raise Unreachable(f"{told['ask']}: asked of a live instance only")
--- a/thymeknot/command/fleet.py
+++ b/thymeknot/command/fleet.py
@@ -10,7 +10,7 @@
 from ..fleet.terms import FleetTerms
 from ..operator import files
 
-DONE, REFUSED, FAULTY, NOBODY = range(4)    # exit codes
+DONE, REFUSED, FAULTY, NOBODY = range(4)  # exit codes
 
 
 class Unusable(ValueError):
@@ -31,17 +31,28 @@
     except ValueError as error:
         raise Unusable(f"{path}: {error}") from None
     # A word of its own for each call: two operators at one instance must not end each other's commands.
-    return Asker(identity, ring, {one.name: one.address for one in told.keepers}, f"op-{secrets.token_hex(6)}",
-                 time.time_ns() // 1_000_000)
+    return Asker(
+        identity,
+        ring,
+        {one.name: one.address for one in told.keepers},
+        f"op-{secrets.token_hex(6)}",
+        time.time_ns() // 1_000_000,
+    )
 
 
 def asked(path, command, read, within):
     """(exit code, reply)."""
     one = asker(path)
     try:
-        reply = one.read(command, within) if read else one.propose({"part": "turns", **command}, within)
+        reply = (
+            one.read(command, within) if read else one.propose({"part": "turns", **command}, within)
+        )
     except Silent as silent:
-        return NOBODY, {"refused": f"{silent}; it may have been carried out: look at the status", "by": [], "again": 0}
+        return NOBODY, {
+            "refused": f"{silent}; it may have been carried out: look at the status",
+            "by": [],
+            "again": 0,
+        }
     except wire.Bad as bad:
         return FAULTY, {"refused": str(bad), "by": [], "again": 0}
     finally:
@@ -56,15 +67,28 @@
         return [reply["refused"] + again]
     if "units" in reply and "away" in reply:
         found = [f"{reply['units']} units, {reply['out']} out"]
-        found += [f"  {name}: {one['state']}" + (f", {one['waits']}" if "waits" in one else "")
-                  + (f", counts as out: {one['out']}" if "out" in one else "")
-                  + (f", {one['fault']}" if "fault" in one else "") for name, one in reply["away"].items()]
-        found += [f"  budget {name} {one['said']}; {one['out']} are" for name, one in reply["budgets"].items()]
+        found += [
+            f"  {name}: {one['state']}"
+            + (f", {one['waits']}" if "waits" in one else "")
+            + (f", counts as out: {one['out']}" if "out" in one else "")
+            + (f", {one['fault']}" if "fault" in one else "")
+            for name, one in reply["away"].items()
+        ]
+        found += [
+            f"  budget {name} {one['said']}; {one['out']} are"
+            for name, one in reply["budgets"].items()
+        ]
         return found + [f"  {sentence}" for sentence in reply["halts"].values()]
     if "halt" in reply:
-        return [f"halt {reply['halt']} stands; within {reply['bound'] / 10_000:g} s nothing more goes out"]
+        return [
+            f"halt {reply['halt']} stands; within {reply['bound'] / 10_000:g} s nothing more goes out"
+        ]
     if "was" in reply:
         return [f"over: {reply['was']}"]
     if "called" in reply:
-        return ["called back: " + (", ".join(reply["called"]) or "none: nothing was out or asked for")]
-    return [f"{reply['unit']}: {reply['state']}" + (f", {reply['waits']}" if "waits" in reply else "")]
+        return [
+            "called back: " + (", ".join(reply["called"]) or "none: nothing was out or asked for")
+        ]
+    return [
+        f"{reply['unit']}: {reply['state']}" + (f", {reply['waits']}" if "waits" in reply else "")
+    ]
--- a/thymeknot/command/main.py
+++ b/thymeknot/command/main.py
@@ -12,7 +12,12 @@
 
 
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
-@click.option("--operator", metavar="FILE", envvar=VARIABLE, help="what is switched on beside the configuration")
+@click.option(
+    "--operator",
+    metavar="FILE",
+    envvar=VARIABLE,
+    help="what is switched on beside the configuration",
+)
 @click.pass_context
 def thymeknot(context, operator):
     """Shifts traffic while a service's software is being replaced. Without a command: serve."""
@@ -26,6 +31,7 @@
 def serve(context):
     """Serves by the configuration at NODE_CONFIG."""
     from ..service import life
+
     context.exit(life.serve(os.environ, context.find_root().obj))
 
 
@@ -34,8 +40,12 @@
 def check(context):
     """Reads the configuration and the operator's file and names every fault."""
     from ..service import configuration, features
+
     faults = []
-    for read in (lambda: configuration.load(os.environ, 0), lambda: features.Features(context.find_root().obj)):
+    for read in (
+        lambda: configuration.load(os.environ, 0),
+        lambda: features.Features(context.find_root().obj),
+    ):
         try:
             read()
         except (configuration.Faulty, features.Faulty) as error:
@@ -57,10 +67,21 @@
 
 
 @thymeknot.group(cls=IdOrCommand)
-@click.option("--at", "place", default="127.0.0.1:6390", metavar="ADDRESS", envvar="THYMEKNOT_WHY", show_default=True,
-              help="where an instance answers: host:port or unix:PATH")
-@click.option("--file", "path", type=click.Path(exists=True, dir_okay=False),
-              help="a record that was left over, instead")
+@click.option(
+    "--at",
+    "place",
+    default="127.0.0.1:6390",
+    metavar="ADDRESS",
+    envvar="THYMEKNOT_WHY",
+    show_default=True,
+    help="where an instance answers: host:port or unix:PATH",
+)
+@click.option(
+    "--file",
+    "path",
+    type=click.Path(exists=True, dir_okay=False),
+    help="a record that was left over, instead",
+)
 @click.option("--json", "plain", is_flag=True, help="lines of JSON")
 @click.pass_context
 def why(context, place, path, plain):
@@ -91,10 +112,13 @@
 def _show(line, plain):
     if plain or "lines" not in line:
         import orjson
+
         line.pop("lines", None)
         click.echo(orjson.dumps(line, option=0 if plain else orjson.OPT_INDENT_2).decode())
         return
-    click.echo(time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(line["at"])) + "\n".join(line["lines"]))
+    click.echo(
+        time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(line["at"])) + "\n".join(line["lines"])
+    )
 
 
 @why.command("id", hidden=True)
@@ -116,8 +140,12 @@
 
 
 def _filters(command):
-    for name, told in (("reason", "a reason's name"), ("pod", "sent to this pod"), ("tenant", "of this tenant"),
-                       ("lane", "of this lane")):
+    for name, told in (
+        ("reason", "a reason's name"),
+        ("pod", "sent to this pod"),
+        ("tenant", "of this tenant"),
+        ("lane", "of this lane"),
+    ):
         command = click.option(f"--{name}", help=told)(command)
     return command
 
@@ -129,7 +157,10 @@
 @click.pass_context
 def find(context, **told):
     """The latest that fit all that is told."""
-    _asked(context, {"ask": "find", **{name: value for name, value in told.items() if value is not None}})
+    _asked(
+        context,
+        {"ask": "find", **{name: value for name, value in told.items() if value is not None}},
+    )
 
 
 @why.command()
@@ -151,7 +182,10 @@
 @click.pass_context
 def watch(context, **told):
     """Entries as they are made, until interrupted."""
-    _asked(context, {"ask": "watch", **{name: value for name, value in told.items() if value is not None}})
+    _asked(
+        context,
+        {"ask": "watch", **{name: value for name, value in told.items() if value is not None}},
+    )
 
 
 @thymeknot.group()
@@ -166,6 +200,7 @@
 def keys_new(context, name, file):
     """Makes a key and prints its record for the ring."""
     from ..gossip import keys as ring
+
     context.exit(ring.main(["new", name, file]))
 
 
@@ -176,12 +211,19 @@
 def keys_show(context, name, file):
     """Prints the record of a key there is."""
     from ..gossip import keys as ring
+
     context.exit(ring.main(["show", name, file]))
 
 
 @thymeknot.group()
 @click.option("--json", "plain", is_flag=True, help="the reply as one line of JSON")
-@click.option("--within", default=10.0, show_default=True, type=click.FloatRange(0.1, 600), help="seconds to wait")
+@click.option(
+    "--within",
+    default=10.0,
+    show_default=True,
+    type=click.FloatRange(0.1, 600),
+    help="seconds to wait",
+)
 @click.pass_context
 def fleet(context, plain, within):
     """Who may go out, agreed by all. The operator's file says where the keepers are and who asks."""
@@ -196,8 +238,12 @@
         raise click.UsageError(f"{error.name} is missing: pip install 'thymeknot[fleet]'") from None
     path, plain, within = context.obj
     try:
-        code, reply = words.asked(path, {name: value for name, value in command.items() if value is not None}, read,
-                                  within)
+        code, reply = words.asked(
+            path,
+            {name: value for name, value in command.items() if value is not None},
+            read,
+            within,
+        )
     except words.Unusable as error:
         raise click.UsageError(str(error)) from None
     for line in [_json(reply)] if plain else words.lines(reply):
@@ -216,12 +262,18 @@
 @fleet.command("drain")
 @click.argument("unit")
 @click.option("--urgency", default=0, show_default=True, type=click.IntRange(0, 9))
-@click.option("--wait/--now", default=True, show_default=True, help="whether to queue where nothing fits")
-@click.option("--epoch", default=1, show_default=True, type=click.IntRange(0), help="an older one is refused")
+@click.option(
+    "--wait/--now", default=True, show_default=True, help="whether to queue where nothing fits"
+)
+@click.option(
+    "--epoch", default=1, show_default=True, type=click.IntRange(0), help="an older one is refused"
+)
 @click.pass_context
 def fleet_drain(context, unit, urgency, wait, epoch):
     """Asks that a unit goes out; it does when its budgets have room."""
-    _agreed(context, do="ask", unit=unit, plan=f"drain:{unit}", epoch=epoch, urgency=urgency, queue=wait)
+    _agreed(
+        context, do="ask", unit=unit, plan=f"drain:{unit}", epoch=epoch, urgency=urgency, queue=wait
+    )
 
 
 @fleet.command("back")
@@ -239,6 +291,7 @@
 def fleet_halt(context, why, zone):
     """Lets nothing more go out, for a reason given in words."""
     import getpass
+
     _agreed(context, do="halt", by=getpass.getuser(), why=why, where={"zone": zone} if zone else {})
 
 
@@ -252,11 +305,18 @@
 
 @thymeknot.command()
 @click.argument("files", nargs=-1, required=True, type=click.File("rb"))
-@click.option("--every", default=5.0, show_default=True, type=click.FloatRange(0.1), help="seconds of a stretch")
+@click.option(
+    "--every",
+    default=5.0,
+    show_default=True,
+    type=click.FloatRange(0.1),
+    help="seconds of a stretch",
+)
 @click.option("--json", "plain", is_flag=True, help="lines of JSON")
 def logs(files, every, plain):
     """What the logs of a fleet say together: a FILE for each sidecar."""
     from .summary import Summary
+
     summary = Summary(every)
     for source in files:
         for line in source:
@@ -267,22 +327,65 @@
 
 
 @thymeknot.command()
-@click.option("--at", "place", default="127.0.0.1:6379", metavar="ADDRESS", show_default=True, help="a sidecar")
-@click.option("--rate", default=100.0, show_default=True, type=click.FloatRange(0.01), help="requests a second; of a "
-              "ramp, the first")
-@click.option("--seconds", default=10, show_default=True, type=click.IntRange(1, 3600), help="of a stretch")
-@click.option("--lane", "lanes", multiple=True, default=("read=1",), show_default=True, metavar="NAME=SHARE[,KIND]",
-              help="read, write or marked; again for each lane")
-@click.option("--lines", default=64, show_default=True, type=click.IntRange(1, 20_000), help="connections at most")
+@click.option(
+    "--at",
+    "place",
+    default="127.0.0.1:6379",
+    metavar="ADDRESS",
+    show_default=True,
+    help="a sidecar",
+)
+@click.option(
+    "--rate",
+    default=100.0,
+    show_default=True,
+    type=click.FloatRange(0.01),
+    help="requests a second; of a ramp, the first",
+)
+@click.option(
+    "--seconds", default=10, show_default=True, type=click.IntRange(1, 3600), help="of a stretch"
+)
+@click.option(
+    "--lane",
+    "lanes",
+    multiple=True,
+    default=("read=1",),
+    show_default=True,
+    metavar="NAME=SHARE[,KIND]",
+    help="read, write or marked; again for each lane",
+)
+@click.option(
+    "--lines",
+    default=64,
+    show_default=True,
+    type=click.IntRange(1, 20_000),
+    help="connections at most",
+)
 @click.option("--patience", default=2.0, show_default=True, help="seconds that a client waits")
 @click.option("--goal-ms", default=50.0, show_default=True, help="of the quantile")
 @click.option("--quantile", default=0.99, show_default=True, type=click.FloatRange(0.5, 0.9999))
 @click.option("--not-done", default=0.01, show_default=True, help="share that may end otherwise")
-@click.option("--ramp", is_flag=True, help="climb until the goal fails; tells the highest rate held")
+@click.option(
+    "--ramp", is_flag=True, help="climb until the goal fails; tells the highest rate held"
+)
 @click.option("--seed", default=1, show_default=True)
 @click.option("--protocol", default="resp2", show_default=True, type=click.Choice(["resp2"]))
 @click.pass_context
-def load(context, place, rate, seconds, lanes, lines, patience, goal_ms, quantile, not_done, ramp, seed, protocol):
+def load(
+    context,
+    place,
+    rate,
+    seconds,
+    lanes,
+    lines,
+    patience,
+    goal_ms,
+    quantile,
+    not_done,
+    ramp,
+    seed,
+    protocol,
+):
     """Sends at its own times whatever the answers do. Latencies count from when a request was due."""
     try:
         from ..load import plan, run
@@ -297,12 +400,32 @@
         raise click.UsageError(str(error)) from None
     goal = plan.Goal(quantile, int(goal_ms * 10), not_done)
     climbing = plan.Ramp(rate) if ramp else None
-    found = run.stretches(host, int(port), {"seed": seed, "rate": rate, "seconds": seconds, "lanes": told,
-                                            "keys": 10_000}, goal, lambda line: click.echo(line, err=True),
-                          lines, int(patience * plan.SECOND), protocol, climbing)
+    found = run.stretches(
+        host,
+        int(port),
+        {"seed": seed, "rate": rate, "seconds": seconds, "lanes": told, "keys": 10_000},
+        goal,
+        lambda line: click.echo(line, err=True),
+        lines,
+        int(patience * plan.SECOND),
+        protocol,
+        climbing,
+    )
     last = found[-1][3].figures(seconds)
-    click.echo(_json({"verdict": found[-1][1], "why": found[-1][2], **last, **(
-        {"held_per_s": round(climbing.held, 1), "held_until": climbing.why} if climbing else {})}))
+    click.echo(
+        _json(
+            {
+                "verdict": found[-1][1],
+                "why": found[-1][2],
+                **last,
+                **(
+                    {"held_per_s": round(climbing.held, 1), "held_until": climbing.why}
+                    if climbing
+                    else {}
+                ),
+            }
+        )
+    )
     context.exit(0 if climbing or found[-1][1] == plan.HELD else 1)
 
 
@@ -312,8 +435,12 @@
 
 
 def _size(command):
-    for name, default, told in (("seconds", 40, "of the day"), ("rate", 400.0, "transactions a second"),
-                                ("pods", 24, "pods"), ("instances", 40, "sidecars")):
+    for name, default, told in (
+        ("seconds", 40, "of the day"),
+        ("rate", 400.0, "transactions a second"),
+        ("pods", 24, "pods"),
+        ("instances", 40, "sidecars"),
+    ):
         command = click.option(f"--{name}", default=default, show_default=True, help=told)(command)
     command = click.option("--seed", default=1, show_default=True, help="the first day's")(command)
     return command
@@ -321,10 +448,13 @@
 
 @lab.command("run")
 @_size
-@click.option("--policy", default="now", show_default=True, help="now, at:REVISION, random, turns, ...")
+@click.option(
+    "--policy", default="now", show_default=True, help="now, at:REVISION, random, turns, ..."
+)
 def lab_run(seed, policy, **size):
     """Plays one day and prints its figures."""
     from ..laboratory import experiments
+
     try:
         click.echo(_json(experiments.played((policy, seed, size))))
     except experiments.Unknown as error:
@@ -337,27 +467,45 @@
 @_size
 @click.option("--days", default=8, show_default=True)
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
-@click.option("--keep", type=click.Path(), help="a file of results; one that stands there is gone on with")
+@click.option(
+    "--keep", type=click.Path(), help="a file of results; one that stands there is gone on with"
+)
 def lab_compare(one, two, seed, days, workers, keep, **size):
     """Two policies on the same days: the difference with its interval, and the least that could be seen."""
     from ..laboratory import experiments
-    with click.progressbar(length=2 * days, label="days", file=click.get_text_stream("stderr")) as bar:
+
+    with click.progressbar(
+        length=2 * days, label="days", file=click.get_text_stream("stderr")
+    ) as bar:
         try:
-            found, broken, _ = experiments.compared(one, two, range(seed, seed + days), size, workers, keep,
-                                                    lambda done, count: bar.update(done - bar.pos))
+            found, broken, _ = experiments.compared(
+                one,
+                two,
+                range(seed, seed + days),
+                size,
+                workers,
+                keep,
+                lambda done, count: bar.update(done - bar.pos),
+            )
         except experiments.Unknown as error:
             raise click.UsageError(str(error)) from None
     for name, gap in found.items():
-        click.echo(f"{name:10} {one} - {two}: {gap.mean:+.4f}  [{gap.low:+.4f}, {gap.high:+.4f}]  "
-                   f"least seen {gap.least:.4f}, {gap.pairs} days")
+        click.echo(
+            f"{name:10} {one} - {two}: {gap.mean:+.4f}  [{gap.low:+.4f}, {gap.high:+.4f}]  "
+            f"least seen {gap.least:.4f}, {gap.pairs} days"
+        )
     click.echo(f"rules broken: {broken or 'none'}")
 
 
 @lab.command("fleet")
 @click.argument("one")
 @click.argument("two")
-@click.option("--kinds", default="herd,zone", show_default=True,
-              help="of calm, roll, herd, zone, split, join, overload")
+@click.option(
+    "--kinds",
+    default="herd,zone",
+    show_default=True,
+    help="of calm, roll, herd, zone, split, join, overload",
+)
 @click.option("--days", default=4, show_default=True, help="of each kind")
 @click.option("--instances", default=60, show_default=True)
 @click.option("--pods", default=36, show_default=True)
@@ -366,11 +514,21 @@
 def lab_fleet(one, two, kinds, days, instances, pods, seed, workers):
     """Two policies on the same days of a whole fleet: two less one with its interval."""
     from ..laboratory import experiments
+
     kinds = _kinds(kinds)
-    with click.progressbar(length=2 * days * len(kinds), label="days", file=click.get_text_stream("stderr")) as bar:
+    with click.progressbar(
+        length=2 * days * len(kinds), label="days", file=click.get_text_stream("stderr")
+    ) as bar:
         try:
-            pairs = experiments.crowds_compared(one, two, kinds, range(seed, seed + days), {
-                "instances": instances, "pods": pods}, workers, lambda done, count: bar.update(done - bar.pos))
+            pairs = experiments.crowds_compared(
+                one,
+                two,
+                kinds,
+                range(seed, seed + days),
+                {"instances": instances, "pods": pods},
+                workers,
+                lambda done, count: bar.update(done - bar.pos),
+            )
         except experiments.Unknown as error:
             raise click.UsageError(str(error)) from None
     click.echo(_json(experiments.crowd_figures(pairs)))
@@ -378,6 +536,7 @@
 
 def _kinds(text):
     from ..laboratory import crowds
+
     wrong = [kind for kind in text.split(",") if kind not in crowds.KINDS]
     if wrong:
         raise click.UsageError(f"{', '.join(wrong)}: none of {', '.join(crowds.KINDS)}")
@@ -387,19 +546,25 @@
 @lab.command("report")
 @click.argument("folder", type=click.Path(file_okay=False))
 @click.option("--kind", default="herd", show_default=True)
-@click.option("--policy", "names", multiple=True, default=("now",), show_default=True, help="again for each")
+@click.option(
+    "--policy", "names", multiple=True, default=("now",), show_default=True, help="again for each"
+)
 @click.option("--instances", default=60, show_default=True)
 @click.option("--pods", default=36, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 def lab_report(folder, kind, names, instances, pods, seed):
     """A page with pictures of one day of a fleet, played with each policy, in FOLDER."""
     from ..laboratory import crowds, experiments
+
     _kinds(kind)
     try:
         from ..laboratory import report
+
         policies = {name: experiments.policy(name) for name in names}
     except ImportError as error:
-        raise click.UsageError(f"{error.name} is missing: pip install 'thymeknot[laboratory]'") from None
+        raise click.UsageError(
+            f"{error.name} is missing: pip install 'thymeknot[laboratory]'"
+        ) from None
     except experiments.Unknown as error:
         raise click.UsageError(str(error)) from None
     day, _ = crowds.drawn(seed, kind, instances=instances, pods=pods)
@@ -413,10 +578,14 @@
 def lab_search(seed, days, against, **size):
     """The days on which the module does worst beside another policy, shrunk to what matters."""
     from ..laboratory import experiments
-    for one in experiments.searched("now", range(seed, seed + days), size, os.cpu_count() or 1, against):
+
+    for one in experiments.searched(
+        "now", range(seed, seed + days), size, os.cpu_count() or 1, against
+    ):
         click.echo(_json(one))
 
 
 def _json(value):
     import orjson
+
     return orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS).decode()
--- a/thymeknot/command/summary.py
+++ b/thymeknot/command/summary.py
@@ -18,8 +18,13 @@
         event = orjson.loads(line[begin:])
     except orjson.JSONDecodeError:
         return None
-    return event if isinstance(event, dict) and isinstance(event.get("event"), str) and isinstance(
-        event.get("at"), (int, float)) else None
+    return (
+        event
+        if isinstance(event, dict)
+        and isinstance(event.get("event"), str)
+        and isinstance(event.get("at"), (int, float))
+        else None
+    )
 
 
 class Summary:
@@ -80,20 +85,37 @@
     def _fault(self, whose, event, span):
         self.faults[f"{event['event']} {event.get('at_line', '')}".strip()] += 1
 
-    EVENTS = {"turned away": _turned_away, "vote": _vote, "fault": _fault, "overdue": _fault, "stream ended": _stream,
-              "stream silent": _stream, "list not fetched": _stream, "ready": _started}
+    EVENTS = {
+        "turned away": _turned_away,
+        "vote": _vote,
+        "fault": _fault,
+        "overdue": _fault,
+        "stream ended": _stream,
+        "stream silent": _stream,
+        "list not fetched": _stream,
+        "ready": _started,
+    }
 
     def figures(self):
         asked = sum(self.votes.values())
         full = sum(count for name, count in self.votes.items() if name.endswith(" full"))
-        return {"sidecars": len(self.sidecars), "starts": self.starts, "streams": dict(self.streams.most_common()),
-                "turned_away": dict(self.reasons.most_common()),
-                "busiest": dict(self.by.most_common(BUSIEST)), "votes": dict(self.votes.most_common()),
-                "votes_full_share": round(full / asked, 3) if asked else None, "faults": dict(self.faults),
-                "unread_lines": self.unread}
+        return {
+            "sidecars": len(self.sidecars),
+            "starts": self.starts,
+            "streams": dict(self.streams.most_common()),
+            "turned_away": dict(self.reasons.most_common()),
+            "busiest": dict(self.by.most_common(BUSIEST)),
+            "votes": dict(self.votes.most_common()),
+            "votes_full_share": round(full / asked, 3) if asked else None,
+            "faults": dict(self.faults),
+            "unread_lines": self.unread,
+        }
 
     def stretches(self):
         """(seconds since the first event, counts most first) of each stretch in which something was."""
         for place in sorted(self.spans):
             if self.spans[place]:
-                yield round(place * self.every - self.begun, 1), dict(self.spans[place].most_common())
+                yield (
+                    round(place * self.every - self.begun, 1),
+                    dict(self.spans[place].most_common()),
+                )
--- a/thymeknot/fleet/asking.py
+++ b/thymeknot/fleet/asking.py
@@ -10,8 +10,8 @@
 from ..agreement import wire
 from ..gossip.terms import address
 
-STEP = 1.0                      # seconds for an answer to one try
-PAUSE = 0.05                    # between two tries
+STEP = 1.0  # seconds for an answer to one try
+PAUSE = 0.05  # between two tries
 LENGTH = struct.Struct(">H")
 
 
@@ -34,8 +34,16 @@
         return self.again(command, within)
 
     def again(self, command, within=10.0):
-        return self._asked(wire.PROPOSE, {"command": command, "origin": self.origin, "incarnation": self.incarnation,
-                                          "number": self.number}, within)
+        return self._asked(
+            wire.PROPOSE,
+            {
+                "command": command,
+                "origin": self.origin,
+                "incarnation": self.incarnation,
+                "number": self.number,
+            },
+            within,
+        )
 
     def read(self, query, within=10.0):
         return self._asked(wire.READ, {"query": query}, within)
@@ -45,18 +53,30 @@
         line = self.lines.pop(name, None) or self._connected(name)
         source, connection, session, number = line
         try:
-            sealed = wire.sealed(self.identity, name, session, number + 1, kind, msgspec.msgpack.encode(told))
-            connection.sendall(Box(_command=b"Ask", _ask=b"%d" % (number + 1), **sealed).serialize())
+            sealed = wire.sealed(
+                self.identity, name, session, number + 1, kind, msgspec.msgpack.encode(told)
+            )
+            connection.sendall(
+                Box(_command=b"Ask", _ask=b"%d" % (number + 1), **sealed).serialize()
+            )
             back = _box(source)
             if b"_error_description" in back:
                 raise wire.Bad("refused", back[b"_error_description"].decode("utf-8", "replace"))
-            letter = wire.opened(self.ring, time.time(), self.identity.name, session, number, back[b"key"],
-                                 back[b"content"], back[b"signature"])
+            letter = wire.opened(
+                self.ring,
+                time.time(),
+                self.identity.name,
+                session,
+                number,
+                back[b"key"],
+                back[b"content"],
+                back[b"signature"],
+            )
             if letter.sender != name or letter.kind != wire.REPLY or letter.number != number + 1:
                 raise wire.Bad("misled", "an answer to another question")
             said = wire.plain(letter.body)
         except BaseException:
-            _close(source, connection)          # what it may still say would be taken for another answer
+            _close(source, connection)  # what it may still say would be taken for another answer
             raise
         self.lines[name] = source, connection, session, number + 1
         return said
@@ -82,7 +102,11 @@
             if "reply" in said:
                 self.leader = name
                 return said["reply"]
-            if said.get("again", 0) is None and not said.get("unknown") and said.get("leader") == name:
+            if (
+                said.get("again", 0) is None
+                and not said.get("unknown")
+                and said.get("leader") == name
+            ):
                 return {"refused": said["why"], "by": [], "again": 0}
             self.turn += 1
             self.leader = said.get("leader") if said.get("leader") in self.places else None
@@ -105,11 +129,11 @@
     found = {}
     try:
         for _ in range(16):
-            length, = LENGTH.unpack(source.read(2))
+            (length,) = LENGTH.unpack(source.read(2))
             if not length:
                 return found
             name = source.read(length)
-            length, = LENGTH.unpack(source.read(2))
+            (length,) = LENGTH.unpack(source.read(2))
             found[name] = source.read(length)
     except struct.error:
         raise OSError("the connection ended") from None
--- a/thymeknot/fleet/feature.py
+++ b/thymeknot/fleet/feature.py
@@ -21,7 +21,7 @@
 from .seat import Seat
 from .terms import AGREEMENT, Impossible, declarations, faulty
 
-DECLARED_EVERY = 10_000         # tenths of a millisecond between two looks whether the declaration stands
+DECLARED_EVERY = 10_000  # tenths of a millisecond between two looks whether the declaration stands
 
 
 def built(told, settings, folder):
@@ -74,13 +74,27 @@
 
 class Fleet:
     def __init__(self, sidecar, told, settings, folder):
-        self.sidecar, self.told, self.deadlines, self.clock = sidecar, told, sidecar.deadlines, sidecar.clock
+        self.sidecar, self.told, self.deadlines, self.clock = (
+            sidecar,
+            told,
+            sidecar.deadlines,
+            sidecar.clock,
+        )
         self.identity, self.ring, sources, self.declared = built(told, settings, folder)
         data = os.path.join(folder, told.data)
         try:
             self.start = started(data)
-            self.channels = {one.name: Channel(sidecar.reactor, one.name, address(one.address), self.identity,
-                                               lambda: self.ring, time.time) for one in told.keepers}
+            self.channels = {
+                one.name: Channel(
+                    sidecar.reactor,
+                    one.name,
+                    address(one.address),
+                    self.identity,
+                    lambda: self.ring,
+                    time.time,
+                )
+                for one in told.keepers
+            }
             self.endpoint = self._keeper(data, sources) if told.keeper() else None
         except (OSError, Damaged) as error:
             raise Impossible(("fleet", "data"), str(error)) from None
@@ -95,27 +109,56 @@
             self._tick()
         if told.unit:
             terms = TurnTerms(bound=told.bound, silent=told.silent, permit=told.permit)
-            self.seat = Seat(sidecar, self._client("unit"), told.unit, self.start, told.build, terms)
+            self.seat = Seat(
+                sidecar, self._client("unit"), told.unit, self.start, told.build, terms
+            )
 
     def _client(self, word):
-        return Client(self.deadlines, self.channels, Chance(secrets.randbits(64)), f"{self.told.name}/{word}",
-                      self.start, msgspec.msgpack.encode)
+        return Client(
+            self.deadlines,
+            self.channels,
+            Chance(secrets.randbits(64)),
+            f"{self.told.name}/{word}",
+            self.start,
+            msgspec.msgpack.encode,
+        )
 
     def _keeper(self, data, sources):
         told = self.told
-        store = Store(os.path.join(data, "log"), os.path.join(data, told.lineage or "lineage"),
-                      lambda: secrets.randbits(62) + 1)
-        used = os.path.isdir(store.folder) and bool(os.listdir(store.folder)) or os.path.exists(store.lineage)
+        store = Store(
+            os.path.join(data, "log"),
+            os.path.join(data, told.lineage or "lineage"),
+            lambda: secrets.randbits(62) + 1,
+        )
+        used = (
+            os.path.isdir(store.folder)
+            and bool(os.listdir(store.folder))
+            or os.path.exists(store.lineage)
+        )
         opened = store.open(told.founds and not used)
         for sentence in opened.said:
             logs.log("keeper's disk", error=sentence)
         names, self.machine = [one.name for one in told.keepers], Parts({"turns": Machine()})
         others = {name: channel for name, channel in self.channels.items() if name != told.name}
         return Endpoint(
-            self.sidecar.reactor, self.deadlines, self.identity, lambda: self.ring, sources, others,
-            lambda now: Keeper(told.name, names, AGREEMENT, Chance(secrets.randbits(64)), opened.recovered,
-                               self.machine, now),
-            store, lambda query: look(self.machine, query))
+            self.sidecar.reactor,
+            self.deadlines,
+            self.identity,
+            lambda: self.ring,
+            sources,
+            others,
+            lambda now: Keeper(
+                told.name,
+                names,
+                AGREEMENT,
+                Chance(secrets.randbits(64)),
+                opened.recovered,
+                self.machine,
+                now,
+            ),
+            store,
+            lambda query: look(self.machine, query),
+        )
 
     def _tick(self):
         """While it leads, agreed time goes on by entries, and the declaration of the highest epoch stands."""
@@ -131,7 +174,9 @@
             for command in self.declared:
                 self.clocks.propose(command).addCallback(self._took)
         self.busy = True
-        self.clocks.propose({"part": "turns", "do": "tick"}, self.told.tick * 4).addCallback(self._ticked)
+        self.clocks.propose({"part": "turns", "do": "tick"}, self.told.tick * 4).addCallback(
+            self._ticked
+        )
 
     def _took(self, reply):
         if "refused" in reply:
--- a/thymeknot/fleet/seat.py
+++ b/thymeknot/fleet/seat.py
@@ -3,13 +3,18 @@
 from ..service import logs
 from ..turns.holder import Holder
 
-BEATS = 16                      # looks at the time within a bound; the holder asks for four at least
+BEATS = 16  # looks at the time within a bound; the holder asks for four at least
 
 
 class Seat:
     def __init__(self, sidecar, client, unit, start, build, terms):
         """client: the seam to the keepers, for this alone. start: a number that grows with each start."""
-        self.sidecar, self.client, self.deadlines, self.clock = sidecar, client, sidecar.deadlines, sidecar.clock
+        self.sidecar, self.client, self.deadlines, self.clock = (
+            sidecar,
+            client,
+            sidecar.deadlines,
+            sidecar.clock,
+        )
         self.unit, self.beat = unit, max(1, terms.bound // BEATS)
         # How long an answer is worth waiting for: the holder takes none that is older than its bound.
         self.within, self.beating, self.closed = terms.bound, None, False
@@ -57,6 +62,7 @@
             logs.log("back", unit=self.unit)
             if then:
                 then()
+
         self.sidecar.undrain(listens, failed)
 
     DO = {"say": _say, "drain": _drain, "come": _come, "serve": _serve}
--- a/thymeknot/fleet/terms.py
+++ b/thymeknot/fleet/terms.py
@@ -9,7 +9,7 @@
 KEEPERS = (1, 3, 5, 7)
 # A letter is at most AMP's 64 KiB, so that an entry and a message with several have to be smaller than the core's own.
 AGREEMENT = Terms(command_bytes=32 << 10, batch_bytes=24 << 10, chunk=32 << 10)
-DECLARED = 16 << 10             # about so many bytes of units in one declaration
+DECLARED = 16 << 10  # about so many bytes of units in one declaration
 
 
 class Impossible(ValueError):
@@ -57,8 +57,10 @@
 def declarations(told, settings):
     """The commands that say what the operator's file does; the budgets come last, when their units are there. Raises
     Impossible."""
-    units = {one["name"]: {label: value for label, value in one.items() if label != "name"}
-             for one in settings["units"]}
+    units = {
+        one["name"]: {label: value for label, value in one.items() if label != "name"}
+        for one in settings["units"]
+    }
     if len(units) < len(settings["units"]):
         raise Impossible(("fleet", "units"), "a name stands twice")
     first = {"part": "turns", "do": "declare", "epoch": told.epoch}
@@ -69,8 +71,14 @@
         if size > DECLARED:
             found.append({**first, "units": part})
             part, size = {}, 0
-    found.append({**first, "units": part, "budgets": settings["budgets"], "terms": {
-        "bound": told.bound, "silent": told.silent, "permit": told.permit}})
+    found.append(
+        {
+            **first,
+            "units": part,
+            "budgets": settings["budgets"],
+            "terms": {"bound": told.bound, "silent": told.silent, "permit": told.permit},
+        }
+    )
     return found
 
 
@@ -78,13 +86,22 @@
     """Raises Impossible where the settings can't work together: the machine itself says what it would not take."""
     names = [one.name for one in told.keepers]
     if len(names) not in KEEPERS or len(set(names)) < len(names):
-        raise Impossible(("fleet", "keepers"), f"{len(names)} keepers; there are 1, 3, 5 or 7, each named once: an "
-                         "even number outlasts no more losses than one less")
+        raise Impossible(
+            ("fleet", "keepers"),
+            f"{len(names)} keepers; there are 1, 3, 5 or 7, each named once: an "
+            "even number outlasts no more losses than one less",
+        )
     if told.unit and told.unit not in {one["name"] for one in settings["units"]}:
         raise Impossible(("fleet", "unit"), f"{told.unit} is none of the units")
     machine = Machine()
     for command in declarations(told, settings):
         reply = machine.apply(0, command)
         if "refused" in reply:
-            about = "budgets" if "budget" in reply["refused"] else "bound" if "permits" in reply["refused"] else "units"
+            about = (
+                "budgets"
+                if "budget" in reply["refused"]
+                else "bound"
+                if "permits" in reply["refused"]
+                else "units"
+            )
             raise Impossible(("fleet", about), reply["refused"])
--- a/thymeknot/gangs/jobs.py
+++ b/thymeknot/gangs/jobs.py
@@ -24,6 +24,7 @@
     spare: how many workers may be out at once without the gang's leave, which is what a drain may take as a unit.
     lasts: how long it is expected to run; only the score reads it.
     """
+
     workers: Annotated[int, Meta(ge=WORKERS_LEAST, le=WORKERS_MOST)]
     pattern: Annotated[str, Meta(max_length=16)]
     bytes: Amount
@@ -84,8 +85,9 @@
 @cache
 def _cut(workers, low, high):
     up = parents(workers)
-    return (sum(up[rank] < low for rank in range(low, high) if rank)
-            + sum(low <= up[rank] < high for rank in range(high, workers)))
+    return sum(up[rank] < low for rank in range(low, high) if rank) + sum(
+        low <= up[rank] < high for rank in range(high, workers)
+    )
 
 
 def _tree(gang, low, high):
@@ -94,7 +96,10 @@
 
 def _matrix(gang, low, high):
     size = gang.workers // len(gang.matrix)
-    inside = [max(0, min(high, (part + 1) * size) - max(low, part * size)) for part in range(len(gang.matrix))]
+    inside = [
+        max(0, min(high, (part + 1) * size) - max(low, part * size))
+        for part in range(len(gang.matrix))
+    ]
     out = back = 0
     for one, row in enumerate(gang.matrix):
         for other, much in enumerate(row):
@@ -114,13 +119,14 @@
     """One sentence on what a well-formed gang still can't mean, or None."""
     parts = len(gang.matrix)
     for bad, sentence in (
-            (gang.pattern not in PATTERNS, f"The pattern is none of {', '.join(PATTERNS)}."),
-            (gang.pattern == "matrix" and not parts, "The pattern matrix needs a matrix."),
-            (gang.pattern != "matrix" and parts, "A matrix goes with the pattern matrix alone."),
-            (any(len(row) != parts for row in gang.matrix), "The matrix is not square."),
-            (parts and gang.workers % parts, "The matrix's parts do not divide the workers evenly."),
-            (gang.spare >= gang.workers, "A gang can't spare all its workers."),
-            (len(gang.needs) > 16, "A worker needs at most 16 kinds of resources.")):
+        (gang.pattern not in PATTERNS, f"The pattern is none of {', '.join(PATTERNS)}."),
+        (gang.pattern == "matrix" and not parts, "The pattern matrix needs a matrix."),
+        (gang.pattern != "matrix" and parts, "A matrix goes with the pattern matrix alone."),
+        (any(len(row) != parts for row in gang.matrix), "The matrix is not square."),
+        (parts and gang.workers % parts, "The matrix's parts do not divide the workers evenly."),
+        (gang.spare >= gang.workers, "A gang can't spare all its workers."),
+        (len(gang.needs) > 16, "A worker needs at most 16 kinds of resources."),
+    ):
         if bad:
             return sentence
     return None
--- a/thymeknot/gangs/score.py
+++ b/thymeknot/gangs/score.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from math import inf
 
-TENTHS = 10_000         # of a millisecond, in a second
+TENTHS = 10_000  # of a millisecond, in a second
 
 
 @dataclass(frozen=True)
@@ -15,6 +15,7 @@
     planned: share of the workers who would be in the way of a drain, wave or move. loss: share that one rack takes.
     harm: by how much links that others use would be over full, summed: the fullest link alone would hide what a gang
     that is too much for any place does to a small one at its side."""
+
     step: float = 1.0
     harm: float = 0.5
     fragments: float = 0.1
@@ -25,6 +26,7 @@
 @dataclass(frozen=True)
 class Score:
     """total, and parts: {name: {"value", "weight", "says"}}; total is the sum of value by weight."""
+
     total: float
     parts: dict
 
@@ -49,11 +51,19 @@
         many = counts.get(name, 0)
         if many:
             rack = places.racks[name]
-            for link in ("rack/" + name, f"zone/{rack.cluster}/{rack.zone}", "cluster/" + rack.cluster):
+            for link in (
+                "rack/" + name,
+                f"zone/{rack.cluster}/{rack.zone}",
+                "cluster/" + rack.cluster,
+            ):
                 first, _ = runs.get(link, (low, low))
                 runs[link] = first, low + many
             low += many
-    return [(link, crossing) for link, (first, end) in runs.items() if (crossing := gang.crossing(first, end))]
+    return [
+        (link, crossing)
+        for link, (first, end) in runs.items()
+        if (crossing := gang.crossing(first, end))
+    ]
 
 
 class Scorer:
@@ -72,7 +82,9 @@
         for name in self.names:
             rack = places.racks[name]
             room = places.room(name, self.shape)
-            soon = [machine for machine, host in rack.hosts.items() if 0 < host.planned < self.until]
+            soon = [
+                machine for machine, host in rack.hosts.items() if 0 < host.planned < self.until
+            ]
             fits = places.fits(name, self.shape)
             self.room.append(room)
             self.clean.append(room - sum(fits.get(machine, 0) for machine in soon))
@@ -80,12 +92,16 @@
             self.base.append(self._carried("rack/" + name, rack.bandwidth))
             self.rate.append(1 / (max(1, rack.bandwidth) * self.target))
             self.link = min(self.link, rack.link)
-            for kind, link in ((self.zone, f"zone/{rack.cluster}/{rack.zone}"),
-                               (self.cluster, "cluster/" + rack.cluster)):
+            for kind, link in (
+                (self.zone, f"zone/{rack.cluster}/{rack.zone}"),
+                (self.cluster, "cluster/" + rack.cluster),
+            ):
                 if link not in known:
                     known[link] = len(self.sites)
                     wide = places.uplinks.get(link, inf)
-                    self.sites.append((link, self._carried(link, wide), 1 / (max(1, wide) * self.target)))
+                    self.sites.append(
+                        (link, self._carried(link, wide), 1 / (max(1, wide) * self.target))
+                    )
                 kind.append(known[link])
         self.floor = gang.loudest() / max(1, self.link) / self.target if self.names else 0.0
         self._crossed, self.asked = {}, 0
@@ -162,24 +178,50 @@
     def total(self, counts):
         (step, _), harm, fragments, planned, (loss, _) = self.values(counts)
         weights = self.weights
-        return (weights.step * step + weights.harm * harm + weights.fragments * fragments + weights.planned * planned
-                + weights.loss * loss)
+        return (
+            weights.step * step
+            + weights.harm * harm
+            + weights.fragments * fragments
+            + weights.planned * planned
+            + weights.loss * loss
+        )
 
     def explain(self, counts):
         """The Score of {index: workers}, with its parts."""
         (step, link), harm, fragments, planned, (loss, fullest) = self.values(counts)
-        where = f"the uplink of rack {self.names[link]}" if isinstance(link, int) else (
-            "a worker's own machine" if link == "machine" else f"the uplink of {link}")
-        others = self.base[link] if isinstance(link, int) else next(
-            (base for name, base, _ in self.sites if name == link), 0.0)
+        where = (
+            f"the uplink of rack {self.names[link]}"
+            if isinstance(link, int)
+            else ("a worker's own machine" if link == "machine" else f"the uplink of {link}")
+        )
+        others = (
+            self.base[link]
+            if isinstance(link, int)
+            else next((base for name, base, _ in self.sites if name == link), 0.0)
+        )
         values = {
-            "step": (step, f"A step takes {step * self.target:.3f} s of {self.target:.3f} s by {where}, which others "
-                           f"fill to {others:.0%}."),
+            "step": (
+                step,
+                f"A step takes {step * self.target:.3f} s of {self.target:.3f} s by {where}, which others "
+                f"fill to {others:.0%}.",
+            ),
             "harm": (harm, f"Links that others use would be over full by {harm:.0%} together."),
-            "fragments": (fragments, f"It leaves {fragments:.2f} racks' room over in {len(counts)} racks."),
-            "planned": (planned, f"{planned:.0%} of it stands where a drain, wave or move is planned before its end."),
-            "loss": (loss, f"The loss of rack {self.names[fullest]} takes {loss:.0%} of it." if counts else "")}
+            "fragments": (
+                fragments,
+                f"It leaves {fragments:.2f} racks' room over in {len(counts)} racks.",
+            ),
+            "planned": (
+                planned,
+                f"{planned:.0%} of it stands where a drain, wave or move is planned before its end.",
+            ),
+            "loss": (
+                loss,
+                f"The loss of rack {self.names[fullest]} takes {loss:.0%} of it." if counts else "",
+            ),
+        }
         weights = self.weights
-        parts = {name: {"value": value, "weight": getattr(weights, name), "says": says}
-                 for name, (value, says) in values.items()}
+        parts = {
+            name: {"value": value, "weight": getattr(weights, name), "says": says}
+            for name, (value, says) in values.items()
+        }
         return Score(sum(part["value"] * part["weight"] for part in parts.values()), parts)
--- a/thymeknot/gangs/search.py
+++ b/thymeknot/gangs/search.py
@@ -8,14 +8,15 @@
 
 from .score import Score, Scorer, put
 
-EXACT_MOST = 3_000      # ways to share the workers out, up to which all are gone through
-ASKED_MOST = 700        # scores that an improvement may ask for: 30 to 60 us each
+EXACT_MOST = 3_000  # ways to share the workers out, up to which all are gone through
+ASKED_MOST = 700  # scores that an improvement may ask for: 30 to 60 us each
 STARTS_IMPROVED = 4
 
 
 @dataclass(frozen=True)
 class Plan:
     """places: {machine: workers}. versions: {rack: version scored}. score: why here and not elsewhere."""
+
     places: dict
     versions: dict
     score: Score
@@ -126,10 +127,12 @@
     for racks in sites.values():
         if sum(room[at] for at in racks) < workers:
             continue
-        orders = (sorted(racks, key=lambda at: (-room[at], quiet[at])),
-                  sorted(racks, key=lambda at: (-scorer.clean[at], quiet[at])),
-                  sorted(racks, key=lambda at: (quiet[at], -room[at])),
-                  sorted(racks, key=lambda at: (scorer.slots[at] - room[at] == 0, -room[at])))
+        orders = (
+            sorted(racks, key=lambda at: (-room[at], quiet[at])),
+            sorted(racks, key=lambda at: (-scorer.clean[at], quiet[at])),
+            sorted(racks, key=lambda at: (quiet[at], -room[at])),
+            sorted(racks, key=lambda at: (scorer.slots[at] - room[at] == 0, -room[at])),
+        )
         for order in orders:
             counts = _filled(scorer, order)
             yield counts
@@ -153,10 +156,16 @@
                 continue
             for many in sorted({min(have, free), min(free, (have + 1) // 2), 1}, reverse=True):
                 yield giver, taker, many
-    for one in counts:          # two that have room for each other's workers change places
+    for one in counts:  # two that have room for each other's workers change places
         for other in near:
             mine, theirs = counts.get(one, 0), counts.get(other, 0)
-            if theirs and one < other and mine != theirs and room[one] >= theirs and room[other] >= mine:
+            if (
+                theirs
+                and one < other
+                and mine != theirs
+                and room[one] >= theirs
+                and room[other] >= mine
+            ):
                 yield one, other, mine - theirs
 
 
@@ -164,19 +173,32 @@
     """Goes on as long as a step makes it better and the budget of scores lasts. Takes the first better step and goes
     on from there: the best of all steps costs as many scores as there are steps."""
     counts, until, better = dict(counts), scorer.asked + budget, True
-    usable = sorted((at for at, room in enumerate(scorer.room) if room > 0),
-                    key=lambda at: scorer.base[at] + scorer.rate[at] * scorer.gang.bytes
-                    + 0.1 * (scorer.room[at] / scorer.slots[at]))
+    usable = sorted(
+        (at for at, room in enumerate(scorer.room) if room > 0),
+        key=lambda at: (
+            scorer.base[at]
+            + scorer.rate[at] * scorer.gang.bytes
+            + 0.1 * (scorer.room[at] / scorer.slots[at])
+        ),
+    )
     while better and scorer.asked < until:
         better = False
         zones = {scorer.zone[at] for at in counts}
-        near = list(counts) + [at for at in usable if at not in counts and scorer.zone[at] in zones][:12]
+        near = (
+            list(counts)
+            + [at for at in usable if at not in counts and scorer.zone[at] in zones][:12]
+        )
         near += [at for at in usable if at not in near][:4]
         for giver, taker, many in list(_steps(scorer, counts, near)):
             if scorer.asked >= until:
                 break
             have, had = counts.get(giver, 0), counts.get(taker, 0)
-            if have < many or had + many > scorer.room[taker] or had + many < 0 or have - many > scorer.room[giver]:
+            if (
+                have < many
+                or had + many > scorer.room[taker]
+                or had + many < 0
+                or have - many > scorer.room[giver]
+            ):
                 continue
             trial = dict(counts)
             trial[giver], trial[taker] = have - many, had + many
@@ -198,8 +220,10 @@
     if not begun:
         return None
     begun.sort()
-    ends = [_improved(scorer, dict(key), value, ASKED_MOST // STARTS_IMPROVED)
-            for value, key in begun[:STARTS_IMPROVED]]
+    ends = [
+        _improved(scorer, dict(key), value, ASKED_MOST // STARTS_IMPROVED)
+        for value, key in begun[:STARTS_IMPROVED]
+    ]
     return min(ends, key=lambda end: end[1])[0]
 
 
@@ -210,8 +234,10 @@
 
 def random_fit(chance):
     """Racks in any order; chance: of `thymeknot.records`."""
+
     def fit(scorer):
         return _filled(scorer, sorted(range(len(scorer.room)), key=lambda at: chance.draw()))
+
     return fit
 
 
@@ -239,24 +265,41 @@
     room = scorer.room
     index = {name: place for place, name in enumerate(scorer.names)}
     stay = {index[name]: many for name, many in own.items()}
-    patch = Scorer(places, gang, at, weights)       # where it stays, its own slots are room that it has
+    patch = Scorer(places, gang, at, weights)  # where it stays, its own slots are room that it has
     for place, many in stay.items():
         patch.room[place] += many
         patch.clean[place] += many
     ways = []
     patched, need = dict(stay), missing
-    for _ in range(missing):        # one worker after the other to where it costs least
-        near = sorted((place for place in range(len(room)) if room[place] > patched.get(place, 0) - stay.get(place, 0)),
-                      key=lambda place: (place not in patched, scorer.zone[place] not in
-                                         {scorer.zone[other] for other in patched}, scorer.base[place], -room[place]))
+    for _ in range(missing):  # one worker after the other to where it costs least
+        near = sorted(
+            (
+                place
+                for place in range(len(room))
+                if room[place] > patched.get(place, 0) - stay.get(place, 0)
+            ),
+            key=lambda place: (
+                place not in patched,
+                scorer.zone[place] not in {scorer.zone[other] for other in patched},
+                scorer.base[place],
+                -room[place],
+            ),
+        )
         if not near:
             break
-        chosen = min(near[:8], key=lambda place: patch.total({**patched, place: patched.get(place, 0) + 1}))
+        chosen = min(
+            near[:8], key=lambda place: patch.total({**patched, place: patched.get(place, 0) + 1})
+        )
         patched[chosen] = patched.get(chosen, 0) + 1
         need -= 1
     if not need:
-        ways.append((patch.total(patched) * rest + since + restart * max(1, missing) / gang.workers, "in place",
-                     patched))
+        ways.append(
+            (
+                patch.total(patched) * rest + since + restart * max(1, missing) / gang.workers,
+                "in place",
+                patched,
+            )
+        )
     moved = choose(scorer)
     if moved:
         ways.append((patch.total(moved) * rest + since + restart * 2, "whole", moved))
@@ -269,11 +312,25 @@
     for place, many in counts.items():
         more = many - stay.get(place, 0)
         if more:
-            for machine, some in places.pick(scorer.names[place], shape, more, scorer.until).items():
+            for machine, some in places.pick(
+                scorer.names[place], shape, more, scorer.until
+            ).items():
                 plan_places[machine] = plan_places.get(machine, 0) + some
     versions = {scorer.names[place]: places.racks[scorer.names[place]].version for place in counts}
     return Plan(plan_places, versions, patch.explain(counts)), way
 
 
-__all__ = ["Plan", "choose", "exact", "fast", "find", "first_fit", "made", "mended", "packing", "put", "random_fit",
-           "spreading"]
+__all__ = [
+    "Plan",
+    "choose",
+    "exact",
+    "fast",
+    "find",
+    "first_fit",
+    "made",
+    "mended",
+    "packing",
+    "put",
+    "random_fit",
+    "spreading",
+]
--- a/thymeknot/gangs/state.py
+++ b/thymeknot/gangs/state.py
@@ -18,38 +18,46 @@
 
 SECOND = 10_000
 OFFERED, HELD, BOUND, RUNNING, HURT, MOVING, DONE, REFUSED = (
-    "offered", "held", "bound", "running", "hurt", "moving", "done", "refused")
+    "offered",
+    "held",
+    "bound",
+    "running",
+    "hurt",
+    "moving",
+    "done",
+    "refused",
+)
 
 # (state, input) -> (next, effect). What is not named is refused and changes nothing.
 TABLE = {
-    (OFFERED, "hold"):          (HELD, "take"),
-    (OFFERED, "exhausted"):     (REFUSED, "end"),
-    (OFFERED, "withdraw"):      (REFUSED, "end"),
-    (HELD, "bind"):             (BOUND, "renew"),
-    (HELD, "lapse"):            (OFFERED, "give_up"),
-    (HELD, "lost"):             (OFFERED, "give_up"),       # all or none: what is left of it holds nothing
-    (HELD, "taken"):            (OFFERED, "give_up"),
-    (HELD, "withdraw"):         (REFUSED, "end"),
-    (BOUND, "start"):           (RUNNING, "run"),
-    (BOUND, "lapse"):           (OFFERED, "give_up"),
-    (BOUND, "lost"):            (OFFERED, "give_up"),
-    (BOUND, "withdraw"):        (REFUSED, "end"),
-    (RUNNING, "checkpoint"):    (RUNNING, "note"),
-    (RUNNING, "preempted"):     (OFFERED, "yield_slots"),
-    (RUNNING, "lost"):          (HURT, "drop"),
-    (RUNNING, "taken"):         (HURT, "drop"),             # a drain, after its checkpoint or as a unit of its budget
-    (RUNNING, "done"):          (DONE, "end"),
-    (RUNNING, "withdraw"):      (REFUSED, "end"),
-    (HURT, "lost"):             (HURT, "drop_more"),
-    (HURT, "taken"):            (HURT, "drop_more"),
-    (HURT, "mend in place"):    (BOUND, "swap"),
-    (HURT, "mend whole"):       (MOVING, "swap"),
-    (HURT, "lapse"):            (OFFERED, "give_up"),
-    (HURT, "withdraw"):         (REFUSED, "end"),
-    (MOVING, "start"):          (RUNNING, "run"),
-    (MOVING, "lapse"):          (OFFERED, "give_up"),
-    (MOVING, "lost"):           (OFFERED, "give_up"),
-    (MOVING, "withdraw"):       (REFUSED, "end"),
+    (OFFERED, "hold"): (HELD, "take"),
+    (OFFERED, "exhausted"): (REFUSED, "end"),
+    (OFFERED, "withdraw"): (REFUSED, "end"),
+    (HELD, "bind"): (BOUND, "renew"),
+    (HELD, "lapse"): (OFFERED, "give_up"),
+    (HELD, "lost"): (OFFERED, "give_up"),  # all or none: what is left of it holds nothing
+    (HELD, "taken"): (OFFERED, "give_up"),
+    (HELD, "withdraw"): (REFUSED, "end"),
+    (BOUND, "start"): (RUNNING, "run"),
+    (BOUND, "lapse"): (OFFERED, "give_up"),
+    (BOUND, "lost"): (OFFERED, "give_up"),
+    (BOUND, "withdraw"): (REFUSED, "end"),
+    (RUNNING, "checkpoint"): (RUNNING, "note"),
+    (RUNNING, "preempted"): (OFFERED, "yield_slots"),
+    (RUNNING, "lost"): (HURT, "drop"),
+    (RUNNING, "taken"): (HURT, "drop"),  # a drain, after its checkpoint or as a unit of its budget
+    (RUNNING, "done"): (DONE, "end"),
+    (RUNNING, "withdraw"): (REFUSED, "end"),
+    (HURT, "lost"): (HURT, "drop_more"),
+    (HURT, "taken"): (HURT, "drop_more"),
+    (HURT, "mend in place"): (BOUND, "swap"),
+    (HURT, "mend whole"): (MOVING, "swap"),
+    (HURT, "lapse"): (OFFERED, "give_up"),
+    (HURT, "withdraw"): (REFUSED, "end"),
+    (MOVING, "start"): (RUNNING, "run"),
+    (MOVING, "lapse"): (OFFERED, "give_up"),
+    (MOVING, "lost"): (OFFERED, "give_up"),
+    (MOVING, "withdraw"): (REFUSED, "end"),
 }
 WITH_SLOTS = (HELD, BOUND, RUNNING, HURT, MOVING)
 LEASED = (HELD, BOUND, HURT, MOVING)
@@ -57,24 +65,26 @@
 
 class Terms(msgspec.Struct, frozen=True):
     """What the operator may set. Times in tenths of a millisecond."""
-    hold: int = 10 * SECOND         # from hold to bind
-    start: int = 30 * SECOND        # from bind, or from a mend, to start
-    mend: int = 60 * SECOND         # from the loss to a mend
-    age: int = 60 * SECOND          # each such time of waiting is worth one step of priority
-    patience: int = 60 * SECOND     # who waited so long gets room kept
-    starved: int = 1800 * SECOND    # who waited so long counts as within its publisher's share
-    tries: int = 8                  # leases of one gang that may lapse in a row
-    again: int = SECOND             # back-off after the first; twice as long after each further one
+
+    hold: int = 10 * SECOND  # from hold to bind
+    start: int = 30 * SECOND  # from bind, or from a mend, to start
+    mend: int = 60 * SECOND  # from the loss to a mend
+    age: int = 60 * SECOND  # each such time of waiting is worth one step of priority
+    patience: int = 60 * SECOND  # who waited so long gets room kept
+    starved: int = 1800 * SECOND  # who waited so long counts as within its publisher's share
+    tries: int = 8  # leases of one gang that may lapse in a row
+    again: int = SECOND  # back-off after the first; twice as long after each further one
     again_most: int = 60 * SECOND
-    preempted_most: int = 2         # times in a gang's life
-    ending_most: int = 4            # gangs that end for others at once
-    remembered: int = 1000          # gangs that are done or refused
+    preempted_most: int = 2  # times in a gang's life
+    ending_most: int = 4  # gangs that end for others at once
+    remembered: int = 1000  # gangs that are done or refused
     offered_most: int = 2000
 
 
 class Life(msgspec.Struct):
     """A gang in the state. since: when its waiting began. lease: when it lapses, 0 for none. ending: who it makes room
     for, and by when (`ends`) at the latest."""
+
     gang: Gang
     number: int
     since: int
@@ -84,7 +94,7 @@
     lease: int = 0
     tries: int = 0
     again: int = 0
-    saved: int = 0                  # when it last started or wrote a checkpoint
+    saved: int = 0  # when it last started or wrote a checkpoint
     preempted: int = 0
     ending: str = ""
     ends: int = 0
@@ -93,6 +103,7 @@
 
 class Image(msgspec.Struct):
     """All of the state, as it is written down and read back."""
+
     at: int = 0
     fence: int = 0
     number: int = 0
@@ -103,12 +114,16 @@
     counted: dict[str, int] = {}
 
 
-Places_ = Annotated[dict[Name, Annotated[int, Meta(ge=1, le=jobs.WORKERS_MOST)]],
-                    Meta(min_length=1, max_length=jobs.WORKERS_MOST)]
+Places_ = Annotated[
+    dict[Name, Annotated[int, Meta(ge=1, le=jobs.WORKERS_MOST)]],
+    Meta(min_length=1, max_length=jobs.WORKERS_MOST),
+]
 Versions = Annotated[dict[Name, Amount], Meta(min_length=1, max_length=jobs.WORKERS_MOST)]
 
 
-class Command(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="do", tag=str.lower):
+class Command(
+    msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="do", tag=str.lower
+):
     part: Literal["gangs"]
 
 
@@ -122,7 +137,9 @@
 
 
 class Uplink(Command):
-    of: Annotated[str, Meta(pattern=r"\A(zone/[A-Za-z0-9_.:-]+|cluster)/[A-Za-z0-9_.:-]+\Z", max_length=160)]
+    of: Annotated[
+        str, Meta(pattern=r"\A(zone/[A-Za-z0-9_.:-]+|cluster)/[A-Za-z0-9_.:-]+\Z", max_length=160)
+    ]
     bandwidth: Span
 
 
@@ -182,6 +199,7 @@
 
 class Lost(Command):
     """kind: a worker of `gang` on machine `name`, a machine, or a rack."""
+
     kind: Literal["worker", "machine", "rack"]
     name: Name
     gang: str = ""
@@ -193,6 +211,7 @@
 
 class DrainAsked(Command, tag="drain_asked"):
     """unit: take the machine at once if no gang on it misses more workers than it can spare."""
+
     machine: Name
     drain: Name
     unit: bool = False
@@ -202,8 +221,25 @@
     pass
 
 
-COMMANDS = Union[Stand, Uplink, Share, Planned, Offer, Hold, Bind, Start, Checkpoint, Done, Mend, Withdraw, Preempt,
-                 Lost, Back, DrainAsked, Tick]
+COMMANDS = Union[
+    Stand,
+    Uplink,
+    Share,
+    Planned,
+    Offer,
+    Hold,
+    Bind,
+    Start,
+    Checkpoint,
+    Done,
+    Mend,
+    Withdraw,
+    Preempt,
+    Lost,
+    Back,
+    DrainAsked,
+    Tick,
+]
 
 
 class No(Exception):
@@ -219,7 +255,9 @@
 
     def __init__(self, terms=None):
         self.terms, self.all = terms or Terms(), Image()
-        self._used = None           # slots by publisher, counted once for each command: every waiting gang asks
+        self._used = (
+            None  # slots by publisher, counted once for each command: every waiting gang asks
+        )
 
     # -- the seam --
 
@@ -265,8 +303,14 @@
     def queue(self):
         """Names of the offered gangs in the order in which they are due, without those that back off."""
         self._used = None
-        return [name for _, name in sorted((self._key(name), name) for name, life in self.all.gangs.items()
-                                           if life.state == OFFERED and life.again <= self.all.at)]
+        return [
+            name
+            for _, name in sorted(
+                (self._key(name), name)
+                for name, life in self.all.gangs.items()
+                if life.state == OFFERED and life.again <= self.all.at
+            )
+        ]
 
     # -- the table's effects --
 
@@ -274,7 +318,11 @@
         life = self._life(name)
         step = TABLE.get((life.state, what))
         if step is None:
-            raise No(f"Gang {name} is {life.state}: {what} does not go with that.", [name], self._left(life))
+            raise No(
+                f"Gang {name} is {life.state}: {what} does not go with that.",
+                [name],
+                self._left(life),
+            )
         life.state = step[0]
         life.lease = 0
         getattr(self, "_do_" + step[1])(name, life, **more)
@@ -301,14 +349,22 @@
         life.fence, life.lease = self._fence(), self.all.at + self.terms.start
 
     def _swap(self, life, places):
-        deltas = {machine: places.get(machine, 0) - life.places.get(machine, 0)
-                  for machine in sorted({*places, *life.places})}
+        deltas = {
+            machine: places.get(machine, 0) - life.places.get(machine, 0)
+            for machine in sorted({*places, *life.places})
+        }
         self.all.places.take(deltas, life.gang.shape())
         life.places = dict(places)
 
     def _do_drop(self, name, life, dropped):
-        self._swap(life, {machine: left for machine, many in life.places.items()
-                          if (left := many - dropped.get(machine, 0)) > 0})
+        self._swap(
+            life,
+            {
+                machine: left
+                for machine, many in life.places.items()
+                if (left := many - dropped.get(machine, 0)) > 0
+            },
+        )
         life.ending, life.ends = "", 0
         life.lease = self.all.at + self.terms.mend
 
@@ -321,7 +377,11 @@
         self._swap(life, {})
         life.tries += 1
         wait = min(self.terms.again_most, self.terms.again << min(life.tries - 1, 20))
-        life.again = self.all.at + wait // 2 + binascii.crc32(f"{name} {life.tries}".encode()) % (wait // 2 + 1)
+        life.again = (
+            self.all.at
+            + wait // 2
+            + binascii.crc32(f"{name} {life.tries}".encode()) % (wait // 2 + 1)
+        )
         if life.tries >= self.terms.tries:
             self._go(name, "exhausted", why=f"{life.tries} leases in a row lapsed or were lost")
 
@@ -343,7 +403,9 @@
         if asked.rack in self.all.places.racks:
             raise No(f"Rack {asked.rack} stands already.")
         try:
-            self.all.places.stand(asked.rack, asked.zone, asked.cluster, asked.bandwidth, asked.machines, asked.link)
+            self.all.places.stand(
+                asked.rack, asked.zone, asked.cluster, asked.bandwidth, asked.machines, asked.link
+            )
         except ValueError as bad:
             raise No(str(bad)) from None
 
@@ -351,9 +413,13 @@
         self.all.places.uplinks[asked.of] = asked.bandwidth
 
     def _share(self, asked):
-        others = sum(share for publisher, share in self.all.shares.items() if publisher != asked.publisher)
+        others = sum(
+            share for publisher, share in self.all.shares.items() if publisher != asked.publisher
+        )
         if others + asked.thousandths > 1000:
-            raise No(f"The shares of all publishers would be {others + asked.thousandths} thousandths.")
+            raise No(
+                f"The shares of all publishers would be {others + asked.thousandths} thousandths."
+            )
         self.all.shares[asked.publisher] = asked.thousandths
 
     def _planned(self, asked):
@@ -375,7 +441,10 @@
             raise No("Too many gangs are here already.", again=self.terms.again_most)
         whole = self.all.places.whole(asked.job.shape())
         if whole < asked.job.workers:
-            raise No(f"All machines together have room for {whole} of its {asked.job.workers} workers.", [name])
+            raise No(
+                f"All machines together have room for {whole} of its {asked.job.workers} workers.",
+                [name],
+            )
         self.all.number += 1
         self.all.gangs[name] = Life(asked.job, self.all.number, self.all.at)
 
@@ -384,9 +453,14 @@
         if life.state != OFFERED:
             raise No(f"Gang {name} is {life.state}, not offered.", [name], self._left(life))
         if life.again > self.all.at:
-            raise No(f"Gang {name} backs off after {life.tries} tries.", [name], life.again - self.all.at)
+            raise No(
+                f"Gang {name} backs off after {life.tries} tries.", [name], life.again - self.all.at
+            )
         if sum(places.values()) != life.gang.workers:
-            raise No(f"All or none: {sum(places.values())} of {life.gang.workers} workers have a place.", [name])
+            raise No(
+                f"All or none: {sum(places.values())} of {life.gang.workers} workers have a place.",
+                [name],
+            )
         self._room(life, places, asked.versions)
         self._turn(name, life, places)
         life = self._go(name, "hold", places=places)
@@ -409,8 +483,12 @@
             if self._due(life.ending):
                 self._go(name, "preempted")
                 return {"next": "yield"}
-            life.ending, life.ends = "", 0      # whom it was to make room for has found room or is gone
-        closed = {machine: many for machine, many in life.places.items() if self.all.places.host(machine).closed}
+            life.ending, life.ends = "", 0  # whom it was to make room for has found room or is gone
+        closed = {
+            machine: many
+            for machine, many in life.places.items()
+            if self.all.places.host(machine).closed
+        }
         if closed:
             self._go(name, "taken", dropped=closed)
             return {"next": "mend", "without": sorted(closed), "until": life.lease}
@@ -422,13 +500,23 @@
         if life.state != HURT:
             raise No(f"Gang {name} is {life.state}, not hurt.", [name])
         if sum(places.values()) != life.gang.workers:
-            raise No(f"All or none: {sum(places.values())} of {life.gang.workers} workers have a place.", [name])
+            raise No(
+                f"All or none: {sum(places.values())} of {life.gang.workers} workers have a place.",
+                [name],
+            )
         for machine in places:
             self._known(machine)
-        more = {machine: many - life.places.get(machine, 0) for machine, many in places.items()
-                if many > life.places.get(machine, 0)}
+        more = {
+            machine: many - life.places.get(machine, 0)
+            for machine, many in places.items()
+            if many > life.places.get(machine, 0)
+        }
         self._room(life, more, asked.versions)
-        way = "in place" if all(places.get(machine, 0) >= many for machine, many in life.places.items()) else "whole"
+        way = (
+            "in place"
+            if all(places.get(machine, 0) >= many for machine, many in life.places.items())
+            else "whole"
+        )
         if not life.places:
             way = "whole"
         life = self._go(name, "mend " + way, places=places)
@@ -444,18 +532,36 @@
         ending = [name for name, life in self.all.gangs.items() if life.ending]
         back = self._over(victim.gang) and not self._over(by.gang, by.gang.workers)
         for bad, sentence, again in (
-                (victim.state != RUNNING, f"Gang {asked.gang} is {victim.state}, not running.", self._left(victim)),
-                (by.state != OFFERED, f"Gang {asked.by} is {by.state}, not offered.", 0),
-                (victim.ending, f"Gang {asked.gang} makes room for {victim.ending} already.", 0),
-                (victim.preempted >= self.terms.preempted_most,
-                 f"Gang {asked.gang} made room {victim.preempted} times, as often as one has to.", 0),
-                (len(ending) >= self.terms.ending_most, f"{len(ending)} gangs make room for others already.",
-                 self.terms.age),
-                (any(self.all.gangs[name].ending == asked.by for name in ending)
-                 and self._promised(asked.by) >= by.gang.workers, f"Enough makes room for {asked.by} already.", 0),
-                (not back and self._aged(by) <= victim.gang.priority,
-                 f"Gang {asked.by} has no higher priority than {asked.gang} yet.",
-                 (victim.gang.priority + 1 - by.gang.priority) * self.terms.age - (self.all.at - by.since))):
+            (
+                victim.state != RUNNING,
+                f"Gang {asked.gang} is {victim.state}, not running.",
+                self._left(victim),
+            ),
+            (by.state != OFFERED, f"Gang {asked.by} is {by.state}, not offered.", 0),
+            (victim.ending, f"Gang {asked.gang} makes room for {victim.ending} already.", 0),
+            (
+                victim.preempted >= self.terms.preempted_most,
+                f"Gang {asked.gang} made room {victim.preempted} times, as often as one has to.",
+                0,
+            ),
+            (
+                len(ending) >= self.terms.ending_most,
+                f"{len(ending)} gangs make room for others already.",
+                self.terms.age,
+            ),
+            (
+                any(self.all.gangs[name].ending == asked.by for name in ending)
+                and self._promised(asked.by) >= by.gang.workers,
+                f"Enough makes room for {asked.by} already.",
+                0,
+            ),
+            (
+                not back and self._aged(by) <= victim.gang.priority,
+                f"Gang {asked.by} has no higher priority than {asked.gang} yet.",
+                (victim.gang.priority + 1 - by.gang.priority) * self.terms.age
+                - (self.all.at - by.since),
+            ),
+        ):
             if bad:
                 raise No(sentence, [asked.gang], max(0, again))
         victim.ending = asked.by
@@ -472,7 +578,11 @@
             return {"gangs": [asked.gang]}
         if asked.kind == "rack" and asked.name not in places.racks:
             raise No(f"No rack {asked.name} stands here.")
-        machines = list(places.racks[asked.name].hosts) if asked.kind == "rack" else [self._known(asked.name)]
+        machines = (
+            list(places.racks[asked.name].hosts)
+            if asked.kind == "rack"
+            else [self._known(asked.name)]
+        )
         for machine in machines:
             places.host(machine).gone = True
             places.changed(machine, stood=True)
@@ -482,7 +592,9 @@
         """All workers off these machines; names of the gangs that had some there."""
         machines, hit = set(machines), []
         for name, life in list(self.all.gangs.items()):
-            dropped = {machine: many for machine, many in life.places.items() if machine in machines}
+            dropped = {
+                machine: many for machine, many in life.places.items() if machine in machines
+            }
             if dropped:
                 self._go(name, what, dropped=dropped)
                 hit.append(name)
@@ -504,16 +616,26 @@
         waits, again = [], 0
         here = {name: life for name, life in self.all.gangs.items() if machine in life.places}
         for name, life in here.items():
-            if life.state in (HURT, HELD):      # stands still, or was never told of its places
+            if life.state in (HURT, HELD):  # stands still, or was never told of its places
                 continue
             out = life.gang.workers - sum(life.places.values()) + life.places[machine]
-            if life.state == RUNNING and (life.saved == self.all.at or asked.unit and out <= life.gang.spare):
+            if life.state == RUNNING and (
+                life.saved == self.all.at or asked.unit and out <= life.gang.spare
+            ):
                 continue
             waits.append(name)
-            again = max(again, life.saved + life.gang.checkpoint - self.all.at if life.state == RUNNING
-                        else self._left(life))
+            again = max(
+                again,
+                life.saved + life.gang.checkpoint - self.all.at
+                if life.state == RUNNING
+                else self._left(life),
+            )
         if waits:
-            raise No(f"Gang {waits[0]} runs on {machine} until its checkpoint.", waits, max(SECOND // 10, again))
+            raise No(
+                f"Gang {waits[0]} runs on {machine} until its checkpoint.",
+                waits,
+                max(SECOND // 10, again),
+            )
         return {"gangs": self._off([machine], "taken")}
 
     def _tick(self, asked):
@@ -541,10 +663,19 @@
         if unread := [name for name in racks if name not in versions]:
             raise No(f"No version of rack {unread[0]} was scored.", unread)
         if stale := self._stale(racks, versions):
-            raise No(f"Rack {stale[0]} is at version {known.racks[stale[0]].version}, scored at {versions[stale[0]]}.",
-                     stale, SECOND // 100)
-        if full := [machine for machine, many in places.items() if known.host(machine).fits(shape) < many]:
-            raise No(f"Machine {full[0]} has no room for {places[full[0]]} workers.", full, self.terms.again)
+            raise No(
+                f"Rack {stale[0]} is at version {known.racks[stale[0]].version}, scored at {versions[stale[0]]}.",
+                stale,
+                SECOND // 100,
+            )
+        if full := [
+            machine for machine, many in places.items() if known.host(machine).fits(shape) < many
+        ]:
+            raise No(
+                f"Machine {full[0]} has no room for {places[full[0]]} workers.",
+                full,
+                self.terms.again,
+            )
 
     def _stale(self, racks, versions):
         return [name for name in racks if versions[name] != self.all.places.racks[name].version]
@@ -558,9 +689,14 @@
             if other == name or waiting.state != OFFERED or waiting.again > self.all.at:
                 continue
             key = self._key(other)
-            ahead = key < mine and (key[0] < mine[0] or self.all.at - waiting.since >= self.terms.patience)
-            if ahead and (first is None or key < first[0]) and self.all.places.whole(
-                    waiting.gang.shape()) >= waiting.gang.workers:
+            ahead = key < mine and (
+                key[0] < mine[0] or self.all.at - waiting.since >= self.terms.patience
+            )
+            if (
+                ahead
+                and (first is None or key < first[0])
+                and self.all.places.whole(waiting.gang.shape()) >= waiting.gang.workers
+            ):
                 first = key, other
         if first is None:
             return
@@ -574,12 +710,18 @@
             room -= before - max(0, host.fits(shape))
             host.take(-many, life.gang.shape())
         if room < head.gang.workers:
-            raise No(f"Gang {first[1]} is due before {name} and would find no room.", [first[1]], self.terms.again)
+            raise No(
+                f"Gang {first[1]} is due before {name} and would find no room.",
+                [first[1]],
+                self.terms.again,
+            )
 
     def _key(self, name):
         life = self.all.gangs[name]
-        borrows = (self._over(life.gang, life.gang.workers)
-                   and self.all.at - life.since < self.terms.starved)
+        borrows = (
+            self._over(life.gang, life.gang.workers)
+            and self.all.at - life.since < self.terms.starved
+        )
         return int(borrows), -self._aged(life), life.number
 
     def _aged(self, life):
@@ -592,10 +734,13 @@
         if self._used is None:
             self._used = {}
             for life in self.all.gangs.values():
-                self._used[life.gang.publisher] = (self._used.get(life.gang.publisher, 0)
-                                                   + sum(life.places.values()))
+                self._used[life.gang.publisher] = self._used.get(life.gang.publisher, 0) + sum(
+                    life.places.values()
+                )
         used = self._used.get(gang.publisher, 0)
-        return used + more > self.all.shares.get(gang.publisher, 0) * self.all.places.whole(()) // 1000
+        return (
+            used + more > self.all.shares.get(gang.publisher, 0) * self.all.places.whole(()) // 1000
+        )
 
     def _promised(self, by):
         return sum(life.gang.workers for life in self.all.gangs.values() if life.ending == by)
@@ -606,13 +751,19 @@
     def _life(self, name):
         if name in self.all.gangs:
             return self.all.gangs[name]
-        raise No(f"Gang {name} was {self.all.ended[name]}." if name in self.all.ended
-                 else f"No gang {name} is known.", [name])
+        raise No(
+            f"Gang {name} was {self.all.ended[name]}."
+            if name in self.all.ended
+            else f"No gang {name} is known.",
+            [name],
+        )
 
     def _fenced(self, asked):
         life = self._life(asked.gang)
         if asked.fence != life.fence:
-            raise No(f"Gang {asked.gang} is at fence {life.fence}, not {asked.fence}.", [asked.gang])
+            raise No(
+                f"Gang {asked.gang} is at fence {life.fence}, not {asked.fence}.", [asked.gang]
+            )
         return asked.gang
 
     def _known(self, machine):
--- a/thymeknot/gossip/budget.py
+++ b/thymeknot/gossip/budget.py
@@ -1,11 +1,12 @@
 """Ceilings: what goes out a second, and what is looked at a second. Times are tenths of a millisecond."""
 
 SECOND = 10_000
-LANES = 16                      # in which addresses that proved nothing share: one flood blocks one lane
+LANES = 16  # in which addresses that proved nothing share: one flood blocks one lane
 
 
 class Bucket:
     """A rate with a burst; never more than rate x time + burst."""
+
     __slots__ = ("rate", "burst", "left", "at")
 
     def __init__(self, rate, burst, now):
@@ -31,14 +32,18 @@
 
     def __init__(self, ceiling, now):
         # The burst is within the ceiling: rate and burst together are what was set.
-        self.buckets = (Bucket(ceiling.bytes * 0.8, ceiling.bytes * 0.2, now),
-                        Bucket(ceiling.datagrams * 0.8, max(2.0, ceiling.datagrams * 0.2), now))
+        self.buckets = (
+            Bucket(ceiling.bytes * 0.8, ceiling.bytes * 0.2, now),
+            Bucket(ceiling.datagrams * 0.8, max(2.0, ceiling.datagrams * 0.2), now),
+        )
         self.refused = 0
 
     def may(self, now, size, kind):
         spare, amounts = self.SPARED[kind], (size, 1)
-        fits = all(bucket.holds(now, amount + spare * (bucket.burst - amount))
-                   for bucket, amount in zip(self.buckets, amounts))
+        fits = all(
+            bucket.holds(now, amount + spare * (bucket.burst - amount))
+            for bucket, amount in zip(self.buckets, amounts)
+        )
         if not fits:
             self.refused += 1
             return False
@@ -60,8 +65,10 @@
 
     def proved(self, addresses):
         """The addresses with buckets of their own, no others."""
-        self.peers = {one: self.peers.get(one) or Bucket(self.terms.peer, self.terms.peer / 2, self.now)
-                      for one in addresses}
+        self.peers = {
+            one: self.peers.get(one) or Bucket(self.terms.peer, self.terms.peer / 2, self.now)
+            for one in addresses
+        }
 
     def lane(self, source):
         """The bucket that a source draws on."""
