--- a/thymeknot/sidecar.py
+++ b/thymeknot/sidecar.py
@@ -26,15 +26,17 @@
 from .service import logs
 from .service.refusals import Refusals
 
-LEAST = 64                  # as the configuration has it
-KEPT_FOR_OTHERS = 40        # descriptors: discovery, the platform, the loop's own, standard streams
-FOR_PODS = 0.4              # of the others: connections to pods; the rest is for clients
-READ_FIRST = 300            # between the last connection taken and the first closed: what is there is read
-REST_WITHIN = 10_000        # at the end, for connections that the machine has accepted and that find no place
-LOOKED_AT = 16              # connections that may make room for another: the eldest
-CLOSING = 8                 # connections beyond the places for clients, while those that make room for them close
+LEAST = 64  # as the configuration has it
+KEPT_FOR_OTHERS = 40  # descriptors: discovery, the platform, the loop's own, standard streams
+FOR_PODS = 0.4  # of the others: connections to pods; the rest is for clients
+READ_FIRST = 300  # between the last connection taken and the first closed: what is there is read
+REST_WITHIN = (
+    10_000  # at the end, for connections that the machine has accepted and that find no place
+)
+LOOKED_AT = 16  # connections that may make room for another: the eldest
+CLOSING = 8  # connections beyond the places for clients, while those that make room for them close
 CROWDED, IDLE_LEAST = 1 / 3, 2_000  # of the places for clients; tenths of a millisecond
-OVERDUE = 50                # so long after its client's end a transaction still without an answer gets one
+OVERDUE = 50  # so long after its client's end a transaction still without an answer gets one
 BUSY, ABANDONED = "BUSY", resp.failure("ERR abandoned")
 
 
@@ -46,24 +48,59 @@
 
 class Held:
     """A transaction in hand: whose it is, where its answer belongs, its attempts."""
-    __slots__ = ("id", "slot", "command", "connection", "place", "ends", "attempts", "out", "over",
-                 "deadline", "heir")
+
+    __slots__ = (
+        "id",
+        "slot",
+        "command",
+        "connection",
+        "place",
+        "ends",
+        "attempts",
+        "out",
+        "over",
+        "deadline",
+        "heir",
+    )
 
     def __init__(self, name, command, connection, place, ends):
-        self.id, self.command, self.connection, self.place, self.ends = name, command, connection, place, ends
+        self.id, self.command, self.connection, self.place, self.ends = (
+            name,
+            command,
+            connection,
+            place,
+            ends,
+        )
         self.slot, self.attempts, self.out, self.over, self.deadline = None, [], 0, False, None
-        self.heir = False       # whether a second copy of it waits for what the first one brings
+        self.heir = False  # whether a second copy of it waits for what the first one brings
 
 
 class Attempt:
     """A delivery on its way, and its one end."""
-    __slots__ = ("sidecar", "held", "number", "pod", "at", "ends", "out", "connection", "deadline", "write_by",
-                 "newest", "may_have_run")
+
+    __slots__ = (
+        "sidecar",
+        "held",
+        "number",
+        "pod",
+        "at",
+        "ends",
+        "out",
+        "connection",
+        "deadline",
+        "write_by",
+        "newest",
+        "may_have_run",
+    )
 
     def __init__(self, sidecar, held, pod, at, ends):
         self.sidecar, self.held, self.number, self.pod = sidecar, held, len(held.attempts), pod
         self.at, self.ends, self.out, self.connection, self.deadline = at, ends, True, None, None
-        self.newest, self.may_have_run, self.write_by = sidecar.news and sidecar.news.build, True, self._write_by()
+        self.newest, self.may_have_run, self.write_by = (
+            sidecar.news and sidecar.news.build,
+            True,
+            self._write_by(),
+        )
 
     def _write_by(self):
         """Until when its last byte may be written, by what earlier attempts may have done: a repeat is known as one
@@ -78,16 +115,26 @@
         """Whether what was decided holds still, there: it may have waited since, for a connection."""
         pod, now, news = self.pod, self.sidecar.clock(), self.sidecar.news
         newest = news.build if news else None
-        return (pod is not None and not self.held.over and now < self.write_by
-                and self.sidecar._stands(pod) and self.sidecar.addresses[pod.address] == address
-                and (newest == self.newest or pod.build < newest) and not self._key_stays()
-                and self.sidecar.exposure.allows(now, news, pod.build, self.held.command.lane))
+        return (
+            pod is not None
+            and not self.held.over
+            and now < self.write_by
+            and self.sidecar._stands(pod)
+            and self.sidecar.addresses[pod.address] == address
+            and (newest == self.newest or pod.build < newest)
+            and not self._key_stays()
+            and self.sidecar.exposure.allows(now, news, pod.build, self.held.command.lane)
+        )
 
     def _key_stays(self):
         """Whether its key stays with the newest build, which has answered it since."""
         news, command = self.sidecar.news, self.held.command
-        return (news is not None and self.pod.build < news.build and news.phase in (i.ON_TRIAL, i.RELEASED)
-                and (command.key or command.id).decode() in self.sidecar.balancer.pins)
+        return (
+            news is not None
+            and self.pod.build < news.build
+            and news.phase in (i.ON_TRIAL, i.RELEASED)
+            and (command.key or command.id).decode() in self.sidecar.balancer.pins
+        )
 
     def written(self):
         """Whether its last byte has gone to the network."""
@@ -121,7 +168,9 @@
     def _came_back(self, end):
         """What came of it, as a value."""
         good = isinstance(end, Answer) and end.failure is None
-        if (good and not self.out) or (self.out and isinstance(end, Broken) and end.reached == WRITTEN):
+        if (good and not self.out) or (
+            self.out and isinstance(end, Broken) and end.reached == WRITTEN
+        ):
             self.sidecar.answered_unheard(self, "late" if good else end.reason)
         if not self.out:
             return
@@ -151,26 +200,60 @@
         for_pods = int(spare * FOR_PODS)
         self.pools = Pools(reactor, deadlines, self.reach, for_pods, logs.fault)
         self.clients, self.most_clients, self.held_off = Slots(), spare - for_pods, False
-        self.transactions, self.by_id, self.perhaps = Slots(), {}, set()  # perhaps: ids that may have run, let go
+        self.transactions, self.by_id, self.perhaps = (
+            Slots(),
+            {},
+            set(),
+        )  # perhaps: ids that may have run, let go
         self.listed, self.addresses, self.version, self.told_by = {}, {}, start.known.version, None
         self.news, self.news_at, self.exposure = None, 0, Exposure(start.terms)
-        self.listening, self.closes = False, None  # until all is taken that the machine has accepted; its end
-        self.inbox, self.deciding, self.port, self.emptied, self.belief = [], False, None, None, Belief()
-        self.drained, self.finishing = None, None  # drained: the end of its listener, while it takes no new work
-        self.returning = None       # the way back that is under way, from the end of its listener to the next one
-        self.killed = None          # by then the process may be ended from outside, once it was told to stop
-        self.gossip = self.why = self.fleet = None  # hear of ends, lists and answers, where an operator's file has them
+        self.listening, self.closes = (
+            False,
+            None,
+        )  # until all is taken that the machine has accepted; its end
+        self.inbox, self.deciding, self.port, self.emptied, self.belief = (
+            [],
+            False,
+            None,
+            None,
+            Belief(),
+        )
+        self.drained, self.finishing = (
+            None,
+            None,
+        )  # drained: the end of its listener, while it takes no new work
+        self.returning = (
+            None  # the way back that is under way, from the end of its listener to the next one
+        )
+        self.killed = (
+            None  # by then the process may be ended from outside, once it was told to stop
+        )
+        self.gossip = self.why = self.fleet = (
+            None  # hear of ends, lists and answers, where an operator's file has them
+        )
         self.refusals = Refusals(logs.log)
         self.balancer = Balancer(self.terms, start.seed, self.clock(), self.refusals.hear)
         chance = Chance(~start.seed)
         self.discovery, self.platform = self._caller(start.discovery), self._caller(start.platform)
-        self.watch = KeptStream(self.discovery, chance, discovery.SILENCE,
-                                lambda: discovery.watch(self.discovery.host, self._since()),
-                                self._watch_reader, logs.seldom, discovery.FIRST_WORD[self.terms.subscribes],
-                                free=not self.terms.subscribes)  # the agent on the same machine
-        self.stream = KeptStream(self.platform, chance, platform.SILENCE,
-                                 lambda: platform.stream(self.platform.host),
-                                 self._stream_reader, logs.seldom, platform.FIRST_WORD)
+        self.watch = KeptStream(
+            self.discovery,
+            chance,
+            discovery.SILENCE,
+            lambda: discovery.watch(self.discovery.host, self._since()),
+            self._watch_reader,
+            logs.seldom,
+            discovery.FIRST_WORD[self.terms.subscribes],
+            free=not self.terms.subscribes,
+        )  # the agent on the same machine
+        self.stream = KeptStream(
+            self.platform,
+            chance,
+            platform.SILENCE,
+            lambda: platform.stream(self.platform.host),
+            self._stream_reader,
+            logs.seldom,
+            platform.FIRST_WORD,
+        )
 
     def _caller(self, address):
         return Caller(self.reactor, self.deadlines, address, self.reach.connect_within)
@@ -185,10 +268,21 @@
         if start.platform != self.platform.address:
             self.platform = self._caller(start.platform)
             self.stream.move(self.platform)
-        keys = {"name": "name", "listen": "listen", "seed": "seed", "sockets": "limits.sockets",
-                "terms": "settings", "reach": "settings"}
-        return sorted({key for field, key in keys.items()
-                       if getattr(start, field) != getattr(self.start, field)})
+        keys = {
+            "name": "name",
+            "listen": "listen",
+            "seed": "seed",
+            "sockets": "limits.sockets",
+            "terms": "settings",
+            "reach": "settings",
+        }
+        return sorted(
+            {
+                key
+                for field, key in keys.items()
+                if getattr(start, field) != getattr(self.start, field)
+            }
+        )
 
     def begin(self, told=None):
         """The first moment of the decisions: the list as last known, and the news. told() is called whenever the
@@ -198,7 +292,9 @@
         self._listing(self.start.known, self.discovery.address)
         self.tell(self.start.news)
         # Where lists are asked for, all ask one service: a fleet that starts at once must not come there at once.
-        self.watch.start_among(self.terms.balancers) if self.terms.subscribes else self.watch.start()
+        self.watch.start_among(
+            self.terms.balancers
+        ) if self.terms.subscribes else self.watch.start()
         self.stream.start()
         self._refusals()
 
@@ -209,6 +305,7 @@
             if alive:  # less is a part of a line
                 told()
             return alive
+
         return both
 
     def _refusals(self):
@@ -249,7 +346,9 @@
         """Also where some wait still: a crowd that goes on coming would hold up the end for ever."""
         self.deadlines.cancel(self.closes)
         self.listening = False
-        self.reactor.callLater(0, self._accept_last)  # and what comes until it closes, just before that
+        self.reactor.callLater(
+            0, self._accept_last
+        )  # and what comes until it closes, just before that
         maybeDeferred(self.port.stopListening).chainDeferred(self.drained)
 
     def _accept_all(self):
@@ -265,7 +364,7 @@
             take_no_more(self.port.socket)
             self._accept_all()
 
-    drain = finish          # for a while: a fleet's permit lets it go out, and `undrain` brings it back
+    drain = finish  # for a while: a fleet's permit lets it go out, and `undrain` brings it back
 
     def undrain(self, listens, failed):
         """Takes new work again, and calls listens(), or failed(why); what was on its way to an end still ends. Told to
@@ -289,6 +388,7 @@
                 self.drained = succeed(None)
                 return failed(str(error))
             return listens()
+
         self.drained.addCallback(closed_before)
 
     def _finish_clients(self):
@@ -362,14 +462,30 @@
             connection.finish()
         if not full and len(self.clients) < self.most_clients * CROWDED:
             return
-        idle = sorted((one for one in self.clients if one is not connection and not one.closing and not one.places),
-                      key=lambda one: (one.awaited(now), one.spoke, one.used_at))[:LOOKED_AT]
+        idle = sorted(
+            (
+                one
+                for one in self.clients
+                if one is not connection and not one.closing and not one.places
+            ),
+            key=lambda one: (one.awaited(now), one.spoke, one.used_at),
+        )[:LOOKED_AT]
         idle = [one for one in idle if nothing_waits(one.transport)]
-        rested = [one for one in idle if one.idle() and now >= one.used_at + IDLE_LEAST and not one.awaited(now)]
-        for one in rested[:int(len(self.clients) - self.most_clients * CROWDED)] or (idle[:1] if full else ()):
+        rested = [
+            one
+            for one in idle
+            if one.idle() and now >= one.used_at + IDLE_LEAST and not one.awaited(now)
+        ]
+        for one in rested[: int(len(self.clients) - self.most_clients * CROWDED)] or (
+            idle[:1] if full else ()
+        ):
             one.give_way()
-        if full and (not idle or len(self.clients) >= self.most_clients + CLOSING) and not self.held_off:
-            self.held_off = True    # also until those that make room have closed
+        if (
+            full
+            and (not idle or len(self.clients) >= self.most_clients + CLOSING)
+            and not self.held_off
+        ):
+            self.held_off = True  # also until those that make room have closed
             self.port.stopReading()
             if not idle:
                 logs.seldom("clients held off", connections=len(self.clients))
@@ -390,7 +506,9 @@
                 if self.why is not None:
                     self.why.ended(held.id, self.why.left)
                 self.tell(i.ClientLeft(held.id))
-                for attempt in held.attempts:  # also where none may be recalled: these are not out yet
+                for (
+                    attempt
+                ) in held.attempts:  # also where none may be recalled: these are not out yet
                     if attempt.out and not attempt.written():
                         attempt.withdraw()
                 self._remember(held)
@@ -434,7 +552,9 @@
         self.exposure.took(connection.used_at, command.lane)
         if self.why is not None:
             self.why.taken(name, command)
-        return self.tell(i.Taken(name, command.lane, command.tenant, key, left, None, command.repeat, False))
+        return self.tell(
+            i.Taken(name, command.lane, command.tenant, key, left, None, command.repeat, False)
+        )
 
     def _repeated(self, name, connection, place, command):
         """A client whose connection was closed under a request that it thinks unread sends it once more. Where the
@@ -452,8 +572,11 @@
 
     def _remember(self, held):
         """What may have run and was let go without an answer is not taken again for as long as it was asked for."""
-        if (self.terms.lanes[held.command.lane].effect != i.RETRIABLE and held.id not in self.perhaps
-                and any(attempt.may_have_run for attempt in held.attempts)):
+        if (
+            self.terms.lanes[held.command.lane].effect != i.RETRIABLE
+            and held.id not in self.perhaps
+            and any(attempt.may_have_run for attempt in held.attempts)
+        ):
             self.perhaps.add(held.id)
             self.deadlines.add(held.ends, self.perhaps.discard, held.id)
 
@@ -498,10 +621,14 @@
         if held is None:
             return self.inbox.append(i.Ended(action.id, i.UNSENT, True, 0, action.pod, 0, None))
         self._ask_for(held)
-        attempt = Attempt(self, held, self.listed.get(action.pod), now, min(now + action.time_out, held.ends))
+        attempt = Attempt(
+            self, held, self.listed.get(action.pod), now, min(now + action.time_out, held.ends)
+        )
         held.attempts.append(attempt)
         held.out += 1
-        if attempt.number >= self.terms.max_deliveries or not attempt.may_be_written(self.addresses.get(action.pod)):
+        if attempt.number >= self.terms.max_deliveries or not attempt.may_be_written(
+            self.addresses.get(action.pod)
+        ):
             return self.ended(attempt, i.UNSENT)
         attempt.deadline = self.deadlines.add(attempt.write_by, attempt.due)
         if not self.pools.send(action.pod, self.addresses[action.pod], attempt):
@@ -510,7 +637,9 @@
 
     def _recall(self, action):
         held = self._held(action.id)
-        attempt = held.attempts[action.number] if held and action.number < len(held.attempts) else None
+        attempt = (
+            held.attempts[action.number] if held and action.number < len(held.attempts) else None
+        )
         if attempt and attempt.out:
             attempt.give_up(i.RECALLED)
 
@@ -528,7 +657,9 @@
             held.connection.answer(held.place, resp.value(answer.value))
         load = self._load(answer.report) if answer and answer.report else None
         pod = attempt.pod.address if attempt.pod else ""
-        event = i.Ended(held.id, outcome, held.over, self.clock() - attempt.at, pod, attempt.number, load)
+        event = i.Ended(
+            held.id, outcome, held.over, self.clock() - attempt.at, pod, attempt.number, load
+        )
         if self.gossip is not None and attempt.pod:
             self.gossip.ended(attempt, outcome)
         if held.heir and not held.out:  # the decisions are done with it
@@ -541,13 +672,20 @@
     def answered_unheard(self, attempt, reason):
         """An answer that came too late, in part, spoilt, or may yet come: its key counts as answered."""
         command, after = attempt.held.command, self.clock() - attempt.at
-        logs.seldom("unheard answer", id=attempt.held.id, pod=attempt.pod.address, after=after,
-                    reason=reason)
+        logs.seldom(
+            "unheard answer",
+            id=attempt.held.id,
+            pod=attempt.pod.address,
+            after=after,
+            reason=reason,
+        )
         self.tell(i.AnsweredUnheard((command.key or command.id).decode(), attempt.pod.build))
 
     def _load(self, report):
         """The values of a report of names and values, in the order in which the terms name them."""
-        told = dict(pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(","))
+        told = dict(
+            pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(",")
+        )
         try:
             load = tuple(float(told[name]) for name in self.terms.reports)
         except (KeyError, ValueError):
@@ -566,7 +704,10 @@
         if doubt:
             raise discovery.Unbelieved(*doubt)
         self.version, self.told_by = listing.version, source
-        before, self.listed = self.listed, dict(self.listed) if listing.pods.kind == i.CHANGES else {}
+        before, self.listed = (
+            self.listed,
+            dict(self.listed) if listing.pods.kind == i.CHANGES else {},
+        )
         changed = set()
         for pod in listing.pods.pods:
             known = before.get(pod.address)
@@ -577,12 +718,17 @@
                 self.listed.pop(pod.address, None)
             else:
                 self.listed[pod.address] = pod
-        self.addresses = {pod: address for pod, address in {**self.addresses, **listing.addresses}.items()
-                          if pod in self.listed}
+        self.addresses = {
+            pod: address
+            for pod, address in {**self.addresses, **listing.addresses}.items()
+            if pod in self.listed
+        }
         self.inbox.append(listing.pods)
         if self.gossip is not None:
             self.gossip.listed()
-        self._withdraw(lambda pod, address: not self._stands(pod) or self.addresses[pod.address] != address)
+        self._withdraw(
+            lambda pod, address: not self._stands(pod) or self.addresses[pod.address] != address
+        )
         self.pools.keep_only({pod: at for pod, at in self.addresses.items() if pod not in changed})
         self.tell()
 
@@ -592,12 +738,18 @@
 
     def _stands(self, pod):
         now = self.listed.get(pod.address)
-        return now is not None and now.condition == i.READY and (
-            (now.started, now.build) == (pod.started, pod.build))
+        return (
+            now is not None
+            and now.condition == i.READY
+            and ((now.started, now.build) == (pod.started, pod.build))
+        )
 
     def _withdraw(self, fails):
         """What is not written whole must not be carried past what was told since; until its last byte none runs."""
-        deciding, self.deciding = self.deciding, True  # what they become is decided with the news at hand
+        deciding, self.deciding = (
+            self.deciding,
+            True,
+        )  # what they become is decided with the news at hand
         try:
             for attempt, address in self.pools.unwritten():
                 if fails(attempt.pod, address):
@@ -616,9 +768,11 @@
                     alive.append(True)
                     if told is not None:
                         yield discovery.read_list(told, self.epoch)
+
             for listing in discovery.folded(listings()):
                 self._listing(listing, source)
             return bool(alive)
+
         return read
 
     def _subscribe(self, action):
@@ -634,7 +788,9 @@
             if source != self.discovery.address:
                 raise discovery.Unreadable("asked at a former address")
             if not isinstance(end, Reply) or end.status != 200:
-                raise discovery.Unreadable(f"status {end.status}" if isinstance(end, Reply) else end.reason)
+                raise discovery.Unreadable(
+                    f"status {end.status}" if isinstance(end, Reply) else end.reason
+                )
             self._listing(discovery.read_json(end.body, self.epoch), source)
         except Exception as error:  # the decisions are owed one answer, whatever came
             logs.log("list not fetched", error=str(error)[:MOST_REASON])
@@ -655,10 +811,13 @@
 
         def read(content):
             for event, data in events.feed(content):
-                told = platform.read_event(event, data)  # what can't be read ends the stream: it is asked for anew
+                told = platform.read_event(
+                    event, data
+                )  # what can't be read ends the stream: it is asked for anew
                 if told is not None and (type(told) is i.News or told.lane in self.terms.lanes):
                     self.tell(told)
             return b"\n" in bytes(content)  # any whole line
+
         return read
 
     def _newest(self, news, asked):
@@ -681,12 +840,29 @@
 
         def answered(end):
             news = self._newest(platform.vote_news(action.build, end), asked)
-            logs.log("vote", build=action.build, stage=action.stage, verdict=action.verdict,
-                     outcome=news.outcome)
+            logs.log(
+                "vote",
+                build=action.build,
+                stage=action.stage,
+                verdict=action.verdict,
+                outcome=news.outcome,
+            )
             self.tell(news)
+
         vote = self.platform.call(platform.vote(self.platform.host, action), self.terms.vote_wait)
         vote.addCallback(answered)
 
-    ACTIONS = {i.Deliver: _deliver, i.Recall: _recall, i.Defer: _defer, i.Abandon: _abandon,
-               i.SetTimer: _timer, i.CloseIdle: _close_idle, i.Subscribe: _subscribe, i.FetchList: _fetch,
-               i.Vote: _vote, i.Note: _note, i.Probe: _not_spoken, i.Tell: _not_spoken}
+    ACTIONS = {
+        i.Deliver: _deliver,
+        i.Recall: _recall,
+        i.Defer: _defer,
+        i.Abandon: _abandon,
+        i.SetTimer: _timer,
+        i.CloseIdle: _close_idle,
+        i.Subscribe: _subscribe,
+        i.FetchList: _fetch,
+        i.Vote: _vote,
+        i.Note: _note,
+        i.Probe: _not_spoken,
+        i.Tell: _not_spoken,
+    }
--- a/thymeknot/turns/budgets.py
+++ b/thymeknot/turns/budgets.py
@@ -9,7 +9,7 @@
 
 BUDGETS_MOST = 64
 ROOMS_MOST = 16_384
-NAMED_MOST = 8                  # units that a sentence names; a status has them all
+NAMED_MOST = 8  # units that a sentence names; a status has them all
 # kind: (what may be out of `size`, how it is said)
 KINDS = {
     "most": (lambda amount, size: amount, "lets {amount} be out"),
@@ -20,12 +20,27 @@
 
 class Room:
     """A budget at one place: who belongs to it, who is out, and how many may be."""
-    __slots__ = ("name", "where", "kind", "amount", "size", "allowed", "outs", "kept", "whole", "mended")
+
+    __slots__ = (
+        "name",
+        "where",
+        "kind",
+        "amount",
+        "size",
+        "allowed",
+        "outs",
+        "kept",
+        "whole",
+        "mended",
+    )
 
     def __init__(self, name, where, kind, amount):
         self.name, self.where, self.kind, self.amount = name, where, kind, amount
         self.size, self.allowed, self.outs, self.kept = 0, 0, {}, 0
-        self.whole, self.mended = False, 0          # nobody was seen yet: that is no crash and breaks nothing
+        self.whole, self.mended = (
+            False,
+            0,
+        )  # nobody was seen yet: that is no crash and breaks nothing
 
     def over(self):
         return len(self.outs) > self.allowed
@@ -45,7 +60,10 @@
         raise Refusal("a budget is a mapping with a name")
     kinds = [kind for kind in KINDS if kind in given]
     if len(kinds) != 1 or set(given) - {"name", "where", "each", *kinds}:
-        raise Refusal(f"budget {name} needs exactly one of {', '.join(KINDS)}, and may have where and each", [name])
+        raise Refusal(
+            f"budget {name} needs exactly one of {', '.join(KINDS)}, and may have where and each",
+            [name],
+        )
     kind, amount, each = kinds[0], given[kinds[0]], given.get("each")
     if kind == "share":
         # A whole number of a share is most often a percentage that was meant: 10 would be a thousand in a hundred.
@@ -55,7 +73,13 @@
         raise Refusal(f"budget {name}: {kind} is a whole number", [name])
     if each is not None and each not in LABELS:
         raise Refusal(f"budget {name}: each is one of {', '.join(LABELS)}", [name])
-    return {"name": name, "where": selector(given.get("where", {})), "each": each, "kind": kind, "amount": amount}
+    return {
+        "name": name,
+        "where": selector(given.get("where", {})),
+        "each": each,
+        "kind": kind,
+        "amount": amount,
+    }
 
 
 def rooms(budgets, units):
@@ -65,7 +89,11 @@
     for one in budgets:
         found = False
         for name in sorted(units):
-            if not chosen(one["where"], units[name]) or one["each"] and one["each"] not in units[name]:
+            if (
+                not chosen(one["where"], units[name])
+                or one["each"]
+                and one["each"] not in units[name]
+            ):
                 continue
             found, where, label = True, one["where"], one["name"]
             if one["each"]:
@@ -75,12 +103,17 @@
             room.size += 1
             of[name].append(room)
         if not found:
-            raise Refusal(f"budget {one['name']} chooses no unit: {spoken(one['where'])}", [one["name"]])
+            raise Refusal(
+                f"budget {one['name']} chooses no unit: {spoken(one['where'])}", [one["name"]]
+            )
     if len(made) > ROOMS_MOST:
         raise Refusal(f"the budgets make {len(made)} places of their own; at most {ROOMS_MOST}")
     for room in made.values():
         room.allowed = KINDS[room.kind][0](room.amount, room.size)
         if room.allowed < 1:
-            raise Refusal(f"budget {room.name} is impossible: it {room.said()}, and it has {room.size}, "
-                          "so nobody could ever go out; to stop all, halt", [room.name])
+            raise Refusal(
+                f"budget {room.name} is impossible: it {room.said()}, and it has {room.size}, "
+                "so nobody could ever go out; to stop all, halt",
+                [room.name],
+            )
     return made, of
--- a/thymeknot/turns/halts.py
+++ b/thymeknot/turns/halts.py
@@ -38,13 +38,21 @@
     def add(self, at, cause, why, by, where=None, release=None, room=None):
         """One more, or the one that already says the same. Raises Refusal if there are too many to keep."""
         for halt in self.all.values():
-            if (halt.cause, halt.where, halt.release, halt.room, halt.by) == (cause, where, release, room, by):
+            if (halt.cause, halt.where, halt.release, halt.room, halt.by) == (
+                cause,
+                where,
+                release,
+                room,
+                by,
+            ):
                 # Said again it is newer: a way back that was ordered before it stops too.
                 del self.all[halt.number]
                 break
         else:
             if len(self.all) >= HALTS_MOST:
-                raise Refusal(f"{HALTS_MOST} halts stand already; one of all units needs no more beside it")
+                raise Refusal(
+                    f"{HALTS_MOST} halts stand already; one of all units needs no more beside it"
+                )
         self.number += 1
         halt = self.all[self.number] = Halt(self.number, where, release, room, cause, why, by, at)
         return halt
@@ -66,9 +74,17 @@
     def stopping(self, release, labels, back):
         """The halt that stops a release with units of these labels, or None."""
         for halt in self.all.values():
-            if CAUSES[halt.cause][2] or back and (not CAUSES[halt.cause][1] or halt.number <= release.knows):
+            if (
+                CAUSES[halt.cause][2]
+                or back
+                and (not CAUSES[halt.cause][1] or halt.number <= release.knows)
+            ):
                 continue
-            if halt.release == release.name or halt.release is None and any(chosen(halt.where, one) for one in labels):
+            if (
+                halt.release == release.name
+                or halt.release is None
+                and any(chosen(halt.where, one) for one in labels)
+            ):
                 return halt
         return None
 
--- a/thymeknot/turns/holder.py
+++ b/thymeknot/turns/holder.py
@@ -12,25 +12,52 @@
 
 from .units import Terms
 
-IN, BEGINNING, DRAINING, OUT, RETURNING, LEAVING = "in", "beginning", "draining", "out", "returning", "leaving"
+IN, BEGINNING, DRAINING, OUT, RETURNING, LEAVING = (
+    "in",
+    "beginning",
+    "draining",
+    "out",
+    "returning",
+    "leaving",
+)
 # (state, input) -> next state, effect. What is missing changes nothing.
 TURN = {
     (IN, "begin"): (BEGINNING, "begin"),
-    (BEGINNING, "yes"): (DRAINING, "drain"), (BEGINNING, "no"): (IN, "drop"), (BEGINNING, "late"): (IN, "give"),
-    (BEGINNING, "return"): (IN, "give"), (BEGINNING, "done"): (IN, "give"),
-    (DRAINING, "emptied"): (OUT, "tell"), (DRAINING, "return"): (IN, "serve"), (DRAINING, "done"): (IN, "serve"),
-    (OUT, "return"): (RETURNING, "come"), (OUT, "done"): (RETURNING, "come"),
-    (OUT, "drain"): (OUT, "tell"),                                      # the keepers did not hear that it is empty
-    (IN, "drain"): (IN, "give"), (IN, "stay"): (IN, "give"),            # nor that it gave up, or is home
-    (RETURNING, "drain"): (RETURNING, "give"), (RETURNING, "stay"): (RETURNING, "give"),
-    (RETURNING, "ready"): (IN, "home"), (RETURNING, "failed"): (RETURNING, "fail"),
+    (BEGINNING, "yes"): (DRAINING, "drain"),
+    (BEGINNING, "no"): (IN, "drop"),
+    (BEGINNING, "late"): (IN, "give"),
+    (BEGINNING, "return"): (IN, "give"),
+    (BEGINNING, "done"): (IN, "give"),
+    (DRAINING, "emptied"): (OUT, "tell"),
+    (DRAINING, "return"): (IN, "serve"),
+    (DRAINING, "done"): (IN, "serve"),
+    (OUT, "return"): (RETURNING, "come"),
+    (OUT, "done"): (RETURNING, "come"),
+    (OUT, "drain"): (OUT, "tell"),  # the keepers did not hear that it is empty
+    (IN, "drain"): (IN, "give"),
+    (IN, "stay"): (IN, "give"),  # nor that it gave up, or is home
+    (RETURNING, "drain"): (RETURNING, "give"),
+    (RETURNING, "stay"): (RETURNING, "give"),
+    (RETURNING, "ready"): (IN, "home"),
+    (RETURNING, "failed"): (RETURNING, "fail"),
     # A build that never gets warm goes without having served.
-    (RETURNING, "begin"): (LEAVING, "begin"), (LEAVING, "yes"): (OUT, "leave"), (LEAVING, "no"): (RETURNING, "drop"),
-    (LEAVING, "late"): (RETURNING, "give"), (LEAVING, "return"): (RETURNING, "give"),
-    (LEAVING, "ready"): (IN, "home"), (LEAVING, "failed"): (RETURNING, "fail"),
+    (RETURNING, "begin"): (LEAVING, "begin"),
+    (LEAVING, "yes"): (OUT, "leave"),
+    (LEAVING, "no"): (RETURNING, "drop"),
+    (LEAVING, "late"): (RETURNING, "give"),
+    (LEAVING, "return"): (RETURNING, "give"),
+    (LEAVING, "ready"): (IN, "home"),
+    (LEAVING, "failed"): (RETURNING, "fail"),
 }
-STATUS = {IN: "ready", BEGINNING: "ready", DRAINING: "out", OUT: "out", RETURNING: "cold", LEAVING: "cold"}
-WAITING_MOST = 64               # questions without an answer that are remembered
+STATUS = {
+    IN: "ready",
+    BEGINNING: "ready",
+    DRAINING: "out",
+    OUT: "out",
+    RETURNING: "cold",
+    LEAVING: "cold",
+}
+WAITING_MOST = 64  # questions without an answer that are remembered
 EPOCHS_MOST = 64
 
 
@@ -39,10 +66,13 @@
         """start: a number that grows with each start of the process; `now` its monotonic clock."""
         self.unit, self.start, self.build, self.terms = unit, start, build, terms or Terms()
         self.state, self.fault = IN if ready else RETURNING, None
-        self.heard_at, self.fresh = 0, None         # agreed time heard last; when the newest answer was asked for
-        self.token, self.waiting = 0, {}            # token: (when it was said, what)
+        self.heard_at, self.fresh = (
+            0,
+            None,
+        )  # agreed time heard last; when the newest answer was asked for
+        self.token, self.waiting = 0, {}  # token: (when it was said, what)
         self.beat_at, self.fence, self.until, self.epoch, self.target = now, 0, 0, 0, ""
-        self.spent, self.epochs = 0, {}             # fencing numbers up to this one are worth nothing here
+        self.spent, self.epochs = 0, {}  # fencing numbers up to this one are worth nothing here
         self.effects = []
 
     def bound(self):
@@ -62,9 +92,9 @@
         if now >= self.beat_at:
             self.beat_at = now + self.terms.bound // 4
             if self.state in (BEGINNING, LEAVING):
-                self._ask_begin(now)                # the answer may be lost; the machine takes it twice
+                self._ask_begin(now)  # the answer may be lost; the machine takes it twice
             if self.state == RETURNING and self.fault:
-                self._give(now)                     # until somebody comes: nobody else can tell why
+                self._give(now)  # until somebody comes: nobody else can tell why
             else:
                 self._see(now)
         return self._taken()
@@ -127,14 +157,25 @@
         self.effects.append(("say", self.token, {"part": "turns", **command}))
 
     def _see(self, now):
-        self._say(now, {"do": "seen", "as_of": self.heard_at,
-                        "units": {self.unit: [STATUS[self.state], self.start, self.build]}})
+        self._say(
+            now,
+            {
+                "do": "seen",
+                "as_of": self.heard_at,
+                "units": {self.unit: [STATUS[self.state], self.start, self.build]},
+            },
+        )
 
     def _ordered(self, order, at, late, now):
         """An order of the keepers, asked for `at`. Where a drain begins its epoch and fencing number are checked."""
         do, fence, plan, epoch = order["do"], order["fence"], order["plan"], order["epoch"]
         if do == "begin":
-            if self.state not in (IN, RETURNING) or late or fence <= self.spent or epoch < self.epochs.get(plan, 0):
+            if (
+                self.state not in (IN, RETURNING)
+                or late
+                or fence <= self.spent
+                or epoch < self.epochs.get(plan, 0)
+            ):
                 return
             self.epochs.pop(plan, None)
             if len(self.epochs) >= EPOCHS_MOST:
@@ -142,7 +183,9 @@
             self.epochs[plan] = epoch
             self.fence, self.epoch, self.target = fence, epoch, order["build"]
             # The permit's rest counts from when it was asked for: the answer is not older than that.
-            self.until = at + min(order["left"] - order["left"] * self.terms.drift // 1000, 2 * self.bound())
+            self.until = at + min(
+                order["left"] - order["left"] * self.terms.drift // 1000, 2 * self.bound()
+            )
             self._step("begin", now)
         elif fence == self.fence or fence > self.fence and self.state in (IN, RETURNING):
             self.fence = fence
@@ -158,8 +201,17 @@
         getattr(self, "_" + effect)(now)
 
     def _ask_begin(self, now):
-        self._say(now, {"do": "begin", "unit": self.unit, "fence": self.fence, "epoch": self.epoch,
-                        "start": self.start}, self.fence)
+        self._say(
+            now,
+            {
+                "do": "begin",
+                "unit": self.unit,
+                "fence": self.fence,
+                "epoch": self.epoch,
+                "start": self.start,
+            },
+            self.fence,
+        )
 
     _begin = _ask_begin
 
@@ -179,8 +231,15 @@
     def _give(self, now):
         """It did not begin, or is on its way home: the keepers have to know, since they may think that it is out."""
         self.spent = max(self.spent, self.fence)
-        self._say(now, {"do": "return", "unit": self.unit, "fence": self.fence,
-                        **({"fault": self.fault} if self.fault else {})})
+        self._say(
+            now,
+            {
+                "do": "return",
+                "unit": self.unit,
+                "fence": self.fence,
+                **({"fault": self.fault} if self.fault else {}),
+            },
+        )
         self._see(now)
 
     def _tell(self, now):
--- a/thymeknot/turns/machine.py
+++ b/thymeknot/turns/machine.py
@@ -15,12 +15,14 @@
 from .units import Refusal, Terms, chosen, labels, named, selector
 
 SECOND = 10_000
-SIZE_MOST = 65_536              # what a command may weigh, about its bytes as msgpack
+SIZE_MOST = 65_536  # what a command may weigh, about its bytes as msgpack
 UNITS_MOST = 65_536
-ASKED_MOST = 1_024              # that wait at once; releases feed theirs in
+ASKED_MOST = 1_024  # that wait at once; releases feed theirs in
 PLANS_MOST = 256
-FORGET = 24 * 3_600 * SECOND    # an unused plan's epoch is remembered for so long: no command travels longer
-SHOWN_MOST = 512                # units in one status
+FORGET = (
+    24 * 3_600 * SECOND
+)  # an unused plan's epoch is remembered for so long: no command travels longer
+SHOWN_MOST = 512  # units in one status
 VERDICTS = ("on", "hold", "back")
 REQUIRED = object()
 
@@ -40,31 +42,80 @@
 NAME, NATURAL = (named, "a name of 1 to 128 characters"), (natural, "a whole number, not negative")
 WORDS, TAG = (words, "a sentence of 1 to 512 characters"), (tagged, "a name, or empty")
 FLAG = (lambda value: isinstance(value, bool), "true or false")
-MAPPING, LIST = (lambda value: isinstance(value, dict), "a mapping"), (lambda value: isinstance(value, list), "a list")
+MAPPING, LIST = (
+    (lambda value: isinstance(value, dict), "a mapping"),
+    (lambda value: isinstance(value, list), "a list"),
+)
 URGENCY = (lambda value: natural(value) and value <= 9, "0 to 9")
 # do: {field: ((check, what it has to be), default)}
 FIELDS = {
-    "declare": {"epoch": (NATURAL, REQUIRED), "units": (MAPPING, None), "gone": (LIST, None), "budgets": (LIST, None),
-                "terms": (MAPPING, None)},
+    "declare": {
+        "epoch": (NATURAL, REQUIRED),
+        "units": (MAPPING, None),
+        "gone": (LIST, None),
+        "budgets": (LIST, None),
+        "terms": (MAPPING, None),
+    },
     "seen": {"as_of": (NATURAL, REQUIRED), "units": (MAPPING, REQUIRED)},
-    "ask": {"unit": (NAME, REQUIRED), "plan": (NAME, REQUIRED), "epoch": (NATURAL, REQUIRED),
-            "urgency": (URGENCY, 0), "build": (TAG, ""), "queue": (FLAG, True)},
+    "ask": {
+        "unit": (NAME, REQUIRED),
+        "plan": (NAME, REQUIRED),
+        "epoch": (NATURAL, REQUIRED),
+        "urgency": (URGENCY, 0),
+        "build": (TAG, ""),
+        "queue": (FLAG, True),
+    },
     "tick": {},
-    "begin": {"unit": (NAME, REQUIRED), "fence": (NATURAL, REQUIRED), "epoch": (NATURAL, REQUIRED),
-              "start": (NATURAL, REQUIRED)},
+    "begin": {
+        "unit": (NAME, REQUIRED),
+        "fence": (NATURAL, REQUIRED),
+        "epoch": (NATURAL, REQUIRED),
+        "start": (NATURAL, REQUIRED),
+    },
     "out": {"unit": (NAME, REQUIRED), "fence": (NATURAL, REQUIRED)},
     "return": {"unit": (NAME, REQUIRED), "fence": (NATURAL, REQUIRED), "fault": (WORDS, None)},
-    "ready": {"unit": (NAME, REQUIRED), "as_of": (NATURAL, REQUIRED), "start": (NATURAL, REQUIRED),
-              "build": (TAG, "")},
-    "halt": {"by": (NAME, REQUIRED), "why": (WORDS, REQUIRED), "where": (MAPPING, None), "release": (NAME, None),
-             "cause": ((lambda value: value in ("operator", "gang", "class"), "operator, gang or class"), "operator")},
+    "ready": {
+        "unit": (NAME, REQUIRED),
+        "as_of": (NATURAL, REQUIRED),
+        "start": (NATURAL, REQUIRED),
+        "build": (TAG, ""),
+    },
+    "halt": {
+        "by": (NAME, REQUIRED),
+        "why": (WORDS, REQUIRED),
+        "where": (MAPPING, None),
+        "release": (NAME, None),
+        "cause": (
+            (lambda value: value in ("operator", "gang", "class"), "operator, gang or class"),
+            "operator",
+        ),
+    },
     "resume": {"halt": (NATURAL, REQUIRED)},
-    "back": {"release": (NAME, None), "unit": (NAME, None), "plan": (NAME, None), "epoch": (NATURAL, None)},
-    "release": {"release": (NAME, REQUIRED), "epoch": (NATURAL, REQUIRED), "where": (MAPPING, REQUIRED),
-                "build": (NAME, REQUIRED), "earlier": (NAME, REQUIRED), "waves": (LIST, REQUIRED),
-                "gate": (FLAG, True), "auto": (FLAG, True), "urgency": (URGENCY, 0), "wait": (FLAG, False)},
-    "vote": {"release": (NAME, REQUIRED), "epoch": (NATURAL, REQUIRED), "wave": (NATURAL, REQUIRED),
-             "verdict": ((lambda value: value in VERDICTS, "on, hold or back"), REQUIRED), "why": (WORDS, None)},
+    "back": {
+        "release": (NAME, None),
+        "unit": (NAME, None),
+        "plan": (NAME, None),
+        "epoch": (NATURAL, None),
+    },
+    "release": {
+        "release": (NAME, REQUIRED),
+        "epoch": (NATURAL, REQUIRED),
+        "where": (MAPPING, REQUIRED),
+        "build": (NAME, REQUIRED),
+        "earlier": (NAME, REQUIRED),
+        "waves": (LIST, REQUIRED),
+        "gate": (FLAG, True),
+        "auto": (FLAG, True),
+        "urgency": (URGENCY, 0),
+        "wait": (FLAG, False),
+    },
+    "vote": {
+        "release": (NAME, REQUIRED),
+        "epoch": (NATURAL, REQUIRED),
+        "wave": (NATURAL, REQUIRED),
+        "verdict": ((lambda value: value in VERDICTS, "on, hold or back"), REQUIRED),
+        "why": (WORDS, None),
+    },
     "cancel": {"unit": (NAME, REQUIRED), "plan": (NAME, None), "epoch": (NATURAL, None)},
     "status": {"unit": (NAME, None), "where": (MAPPING, None)},
 }
@@ -93,7 +144,7 @@
     def __init__(self):
         self.fleet, self.halts = Fleet(), Halts()
         self.releases = Releases(self.fleet, self.halts)
-        self.epoch, self.plans = 0, {}              # of the declaration; by plan's name [epoch, last used]
+        self.epoch, self.plans = 0, {}  # of the declaration; by plan's name [epoch, last used]
 
     def apply(self, at, command):
         """Takes a command at agreed time `at`, never earlier than the last; gives its reply."""
@@ -108,7 +159,9 @@
             reply = {"refused": refusal.sentence, "by": refusal.by, "again": refusal.again}
         self.settle(do)
         if reply.pop("late", None):
-            reply.update(self.answer(reply["unit"]))    # after settling: a grant at once is told at once
+            reply.update(
+                self.answer(reply["unit"])
+            )  # after settling: a grant at once is told at once
         reply["at"] = fleet.at
         return reply
 
@@ -122,7 +175,11 @@
             raise Refusal(f"no command {str(do)[:40]!r}; there are {', '.join(FIELDS)}")
         if command.get("part", "turns") != "turns":
             raise Refusal("this command is for another part")
-        unknown = [str(field)[:40] for field in command if field not in fields and field not in ("do", "part")]
+        unknown = [
+            str(field)[:40]
+            for field in command
+            if field not in fields and field not in ("do", "part")
+        ]
         if unknown:
             raise Refusal(f"{do} has no field {unknown[0]!r}")
         read = {}
@@ -154,14 +211,27 @@
         """Those who crashed broke a budget: its place is halted until it is whole, releases there until told."""
         why = planner.way(self.fleet, room)
         try:
-            self.stop(self.halts.add(self.fleet.at, "budget", why, "budget " + room.name, room.where, None, room.name))
+            self.stop(
+                self.halts.add(
+                    self.fleet.at, "budget", why, "budget " + room.name, room.where, None, room.name
+                )
+            )
             for release in list(self.releases.all.values()):
                 units = self.releases.mine(release)
-                if release.state == "going" and any(chosen(room.where, unit.labels) for unit in units):
-                    self.stop(self.halts.add(self.fleet.at, "crashes", why, "budget " + room.name,
-                                             release=release.name))
+                if release.state == "going" and any(
+                    chosen(room.where, unit.labels) for unit in units
+                ):
+                    self.stop(
+                        self.halts.add(
+                            self.fleet.at,
+                            "crashes",
+                            why,
+                            "budget " + room.name,
+                            release=release.name,
+                        )
+                    )
         except Refusal:
-            pass                                    # so many halts stand; the budget itself still grants nothing
+            pass  # so many halts stand; the budget itself still grants nothing
 
     def held(self, unit):
         halt = self.halts.holding(unit, self.releases.of(unit.ask))
@@ -185,9 +255,15 @@
         known = self.plans.get(plan)
         if known is None:
             if len(self.plans) >= PLANS_MOST:
-                used = {unit.ask.plan for unit in [*self.fleet.asked.values(), *self.fleet.held.values()]}
-                for name in [name for name, (_, at) in self.plans.items()
-                             if name not in used and self.fleet.at - at > FORGET]:
+                used = {
+                    unit.ask.plan
+                    for unit in [*self.fleet.asked.values(), *self.fleet.held.values()]
+                }
+                for name in [
+                    name
+                    for name, (_, at) in self.plans.items()
+                    if name not in used and self.fleet.at - at > FORGET
+                ]:
                     del self.plans[name]
             if len(self.plans) >= PLANS_MOST:
                 raise Refusal(f"{PLANS_MOST} plans are known already", again=FORGET)
@@ -204,25 +280,34 @@
 
     def _declare(self, epoch, units, gone, budgets, terms):
         if epoch < self.epoch:
-            raise Refusal(f"a declaration of epoch {epoch} is older than that of epoch {self.epoch}")
+            raise Refusal(
+                f"a declaration of epoch {epoch} is older than that of epoch {self.epoch}"
+            )
         fleet = self.fleet
         wanted = {name: unit.labels for name, unit in fleet.units.items()}
         for name, given in (units or {}).items():
             given = labels(name, given)
             if name in wanted and wanted[name] != given and fleet.units[name].state in HELD:
-                raise Refusal(f"unit {name} is {fleet.units[name].state}: it can't be moved meanwhile", [name])
+                raise Refusal(
+                    f"unit {name} is {fleet.units[name].state}: it can't be moved meanwhile", [name]
+                )
             wanted[name] = given
         for name in gone or []:
             if not named(name) or name not in wanted:
                 raise Refusal(f"no unit {str(name)[:40]} was declared")
             if name in fleet.units and fleet.units[name].state in HELD:
-                raise Refusal(f"unit {name} is {fleet.units[name].state}: it can't be taken away meanwhile", [name])
+                raise Refusal(
+                    f"unit {name} is {fleet.units[name].state}: it can't be taken away meanwhile",
+                    [name],
+                )
             del wanted[name]
         if len(wanted) > UNITS_MOST:
             raise Refusal(f"more than {UNITS_MOST} units")
         kept = fleet.budgets if budgets is None else [budget_words.budget(one) for one in budgets]
         if len({one["name"] for one in kept}) < len(kept) or len(kept) > budget_words.BUDGETS_MOST:
-            raise Refusal(f"budgets have names of their own, and are at most {budget_words.BUDGETS_MOST}")
+            raise Refusal(
+                f"budgets have names of their own, and are at most {budget_words.BUDGETS_MOST}"
+            )
         made = self.terms(terms or {})
         fleet.declare(wanted, kept)
         self.epoch, fleet.terms = epoch, made
@@ -233,10 +318,14 @@
         for name, value in given.items():
             _, least, most = Terms.RANGES.get(name, (0, 1, 0))
             if not natural(value) or not least <= value <= most:
-                raise Refusal(f"term {str(name)[:40]} is unknown, or not a whole number of {least} to {most}")
+                raise Refusal(
+                    f"term {str(name)[:40]} is unknown, or not a whole number of {least} to {most}"
+                )
             now[name] = value
         if now["permit"] < now["bound"] or now["silent"] < now["bound"]:
-            raise Refusal("permits and silence last at least for the bound: else a holder could begin after both")
+            raise Refusal(
+                "permits and silence last at least for the bound: else a holder could begin after both"
+            )
         return Terms(**now)
 
     def _seen(self, as_of, units):
@@ -248,8 +337,14 @@
         orders, strange = {}, []
         for name, told in sorted(units.items(), key=lambda pair: str(pair[0])):
             unit = self.fleet.units.get(name)
-            if (unit is None or not isinstance(told, list) or len(told) != 3 or told[0] not in STATUSES
-                    or not natural(told[1]) or not tagged(told[2])):
+            if (
+                unit is None
+                or not isinstance(told, list)
+                or len(told) != 3
+                or told[0] not in STATUSES
+                or not natural(told[1])
+                or not tagged(told[2])
+            ):
                 strange.append(str(name)[:40])
                 continue
             self.fleet.look(unit, as_of, *told)
@@ -266,8 +361,14 @@
 
     def order(self, unit):
         """What its holder is to do, and by which permit."""
-        return {"do": ORDERS[unit.state], "fence": unit.fence, "plan": unit.ask.plan, "epoch": unit.ask.epoch,
-                "left": max(0, unit.until - self.fleet.at), "build": unit.ask.build}
+        return {
+            "do": ORDERS[unit.state],
+            "fence": unit.fence,
+            "plan": unit.ask.plan,
+            "epoch": unit.ask.epoch,
+            "left": max(0, unit.until - self.fleet.at),
+            "build": unit.ask.build,
+        }
 
     def _ask(self, unit, plan, epoch, urgency, build, queue):
         one = self.unit(unit)
@@ -275,7 +376,9 @@
             raise Refusal(f"plans that begin with {PLAN} are asked for by releases", [plan])
         self.newest(plan, epoch)
         if one.ask and one.ask.plan != plan:
-            raise Refusal(f"unit {unit} is {one.state} by {one.ask.plan} already", [one.ask.plan], SECOND)
+            raise Refusal(
+                f"unit {unit} is {one.state} by {one.ask.plan} already", [one.ask.plan], SECOND
+            )
         if not one.ask:
             if len(self.fleet.asked) >= ASKED_MOST:
                 raise Refusal(f"{ASKED_MOST} units wait already", again=10 * SECOND)
@@ -299,7 +402,11 @@
     def answer(self, name):
         """Where a unit stands: its order, or why it waits."""
         unit, reply = self.fleet.units[name], {}
-        reply.update(state=unit.state, ready=unit.ready(self.fleet.at, self.fleet.terms.silent), build=unit.build)
+        reply.update(
+            state=unit.state,
+            ready=unit.ready(self.fleet.at, self.fleet.terms.silent),
+            build=unit.build,
+        )
         if unit.state in HELD:
             reply["order"] = self.order(unit)
         if not reply["ready"]:
@@ -320,9 +427,14 @@
         unit = self.unit(name)
         if unit.state not in HELD:
             waits = self.answer(name).get("waits")
-            raise Refusal(f"unit {name} has no permit; it is {unit.state}" + (f": {waits}" if waits else ""), [name])
+            raise Refusal(
+                f"unit {name} has no permit; it is {unit.state}" + (f": {waits}" if waits else ""),
+                [name],
+            )
         if fence != unit.fence:
-            raise Refusal(f"permit {fence} of unit {name} is over; the newest is {unit.fence}", [name])
+            raise Refusal(
+                f"permit {fence} of unit {name} is over; the newest is {unit.fence}", [name]
+            )
         return unit
 
     def _begin(self, unit, fence, epoch, start):
@@ -332,7 +444,7 @@
         if epoch != one.ask.epoch or self.plans.get(one.ask.plan, [epoch])[0] != epoch:
             raise Refusal(f"epoch {epoch} of {one.ask.plan} is over", [one.ask.plan])
         if one.state == DRAINING:
-            return {"unit": unit, "late": True}     # said twice: an answer was lost
+            return {"unit": unit, "late": True}  # said twice: an answer was lost
         if one.state != GRANTED:
             raise Refusal(f"unit {unit} is {one.state}: it has begun already", [unit])
         halted, over = self.held(one), self.fleet.over(one)
@@ -371,7 +483,9 @@
     def _resume(self, halt):
         found = self.halts.all.pop(halt, None)
         if found is None:
-            raise Refusal(f"no halt {halt} stands; there are {', '.join(map(str, sorted(self.halts.all))) or 'none'}")
+            raise Refusal(
+                f"no halt {halt} stands; there are {', '.join(map(str, sorted(self.halts.all))) or 'none'}"
+            )
         self.fleet.freed = True
         return {"was": found.sentence(), "stands": sorted(self.halts.all)}
 
@@ -383,11 +497,17 @@
         if unit is not None:
             units = [self.unit(unit)]
         else:
-            units = [one for one in [*self.fleet.asked.values(), *self.fleet.held.values()] if one.ask.plan == plan]
+            units = [
+                one
+                for one in [*self.fleet.asked.values(), *self.fleet.held.values()]
+                if one.ask.plan == plan
+            ]
         mine = [one for one in units if one.ask and one.ask.plan.startswith(PLAN)]
         if mine:
-            raise Refusal(f"unit {mine[0].name} is {mine[0].state} by {mine[0].ask.plan}: bring the release back",
-                          [mine[0].ask.plan])
+            raise Refusal(
+                f"unit {mine[0].name} is {mine[0].state} by {mine[0].ask.plan}: bring the release back",
+                [mine[0].ask.plan],
+            )
         if plan is not None and epoch is not None:
             self.newest(plan, epoch)
         return {"called": sorted(one.name for one in units if self.fleet.step(one, "turned"))}
@@ -397,30 +517,50 @@
         if release is None:
             raise Refusal(f"no release {name}", [name])
         if epoch is not None and epoch < release.epoch:
-            raise Refusal(f"epoch {epoch} of release {name} is over; it is {release.epoch} now", [name])
+            raise Refusal(
+                f"epoch {epoch} of release {name} is over; it is {release.epoch} now", [name]
+            )
         other = self.releases.before(None, set(release.members)) if release.state in ENDED else None
         if other:
-            raise Refusal(f"release {other.name} is {other.state} with units of {name}: it goes first",
-                          [other.name], 10 * SECOND)
+            raise Refusal(
+                f"release {other.name} is {other.state} with units of {name}: it goes first",
+                [other.name],
+                10 * SECOND,
+            )
         if not self.releases.step(release, "turned"):
-            raise Refusal(f"release {name} is {release.state}: there is nothing to bring back", [name])
+            raise Refusal(
+                f"release {name} is {release.state}: there is nothing to bring back", [name]
+            )
         return {"release": name, "state": release.state}
 
     def _release(self, release, epoch, where, build, earlier, waves, gate, auto, urgency, wait):
         known = self.releases.all.get(release)
         if known and epoch < known.epoch:
-            raise Refusal(f"epoch {epoch} of release {release} is over; it is {known.epoch} now", [release])
+            raise Refusal(
+                f"epoch {epoch} of release {release} is over; it is {known.epoch} now", [release]
+            )
         if known and epoch == known.epoch:
             if (known.build, known.earlier) != (build, earlier):
-                raise Refusal(f"release {release} of epoch {epoch} is of build {known.build}; a new one needs a "
-                              "higher epoch", [release])
-            return {"release": release, "state": known.state}       # said twice
+                raise Refusal(
+                    f"release {release} of epoch {epoch} is of build {known.build}; a new one needs a "
+                    "higher epoch",
+                    [release],
+                )
+            return {"release": release, "state": known.state}  # said twice
         if known and known.state not in ENDED:
-            raise Refusal(f"release {release} is {known.state}; its way back goes first", [release], 10 * SECOND)
+            raise Refusal(
+                f"release {release} is {known.state}; its way back goes first",
+                [release],
+                10 * SECOND,
+            )
         if build == earlier:
-            raise Refusal(f"build {build} is the earlier one too: there is nothing to release", [release])
+            raise Refusal(
+                f"build {build} is the earlier one too: there is nothing to release", [release]
+            )
         kept = selector(where)
-        members = [name for name, unit in sorted(self.fleet.units.items()) if chosen(kept, unit.labels)]
+        members = [
+            name for name, unit in sorted(self.fleet.units.items()) if chosen(kept, unit.labels)
+        ]
         if not members:
             raise Refusal(f"release {release} chooses no unit", [release])
         # Racks in turn: else those that ask at once would stand in few racks, whose budgets let few of them go.
@@ -433,18 +573,28 @@
         other = self.releases.before(None, set(members))
         if other and not wait:
             doing = "on its way back" if other.state in BACK else other.state
-            raise Refusal(f"release {other.name} is {doing} with the same units; ask again after it, or with wait",
-                          [other.name], 10 * SECOND)
+            raise Refusal(
+                f"release {other.name} is {doing} with the same units; ask again after it, or with wait",
+                [other.name],
+                10 * SECOND,
+            )
         if not self.releases.forget():
             raise Refusal("too many releases are under way", again=60 * SECOND)
         made = self.releases.add(release, epoch, members, build, earlier, ends, gate, auto, urgency)
-        return {"release": release, "state": made.state, "units": len(members), "waves": ends,
-                **({"waits": f"release {other.name} goes first"} if other else {})}
+        return {
+            "release": release,
+            "state": made.state,
+            "units": len(members),
+            "waves": ends,
+            **({"waits": f"release {other.name} goes first"} if other else {}),
+        }
 
     def waves(self, given, many):
         """How many units are done after each wave: of rising shares (over 0, the last 1.0) of all."""
-        if not 0 < len(given) <= 64 or any(isinstance(part, bool) or not isinstance(part, int | float)
-                                           or not 0 < part <= 1 for part in given):
+        if not 0 < len(given) <= 64 or any(
+            isinstance(part, bool) or not isinstance(part, int | float) or not 0 < part <= 1
+            for part in given
+        ):
             raise Refusal("waves are 1 to 64 shares over 0, up to 1")
         if sorted(set(given)) != given or given[-1] != 1:
             raise Refusal("waves are rising shares of all units, and the last is 1")
@@ -458,26 +608,43 @@
             raise Refusal(f"no release {release} of epoch {epoch}", [release])
         if verdict == "back":
             if known.state not in ("going", "halted"):
-                raise Refusal(f"release {release} is {known.state}: there is nothing to turn", [release])
-            halt = self.halts.add(self.fleet.at, "vote", why or "the decision module voted back", "vote",
-                                  release=release)
+                raise Refusal(
+                    f"release {release} is {known.state}: there is nothing to turn", [release]
+                )
+            halt = self.halts.add(
+                self.fleet.at,
+                "vote",
+                why or "the decision module voted back",
+                "vote",
+                release=release,
+            )
             self.stop(halt)
             self.releases.step(known, "halted")
             if known.auto:
                 self.releases.step(known, "turned")
-            return {"state": known.state, "halt": halt.number, "bound": self.fleet.terms.halt_bound()}
+            return {
+                "state": known.state,
+                "halt": halt.number,
+                "bound": self.fleet.terms.halt_bound(),
+            }
         if wave != known.wave:
-            raise Refusal(f"release {release} is in wave {known.wave}, the vote is on wave {wave}", [release])
+            raise Refusal(
+                f"release {release} is in wave {known.wave}, the vote is on wave {wave}", [release]
+            )
         known.voted = wave + 1 if verdict == "on" else wave
         return {"state": known.state, "wave": known.wave}
 
     def _cancel(self, unit, plan, epoch):
         one = self.unit(unit)
         if not one.ask or plan is not None and one.ask.plan != plan:
-            raise Refusal(f"unit {unit} is {one.state}" + (f" by {one.ask.plan}" if one.ask else ""), [unit])
+            raise Refusal(
+                f"unit {unit} is {one.state}" + (f" by {one.ask.plan}" if one.ask else ""), [unit]
+            )
         if one.ask.plan.startswith(PLAN):
-            raise Refusal(f"unit {unit} is {one.state} by {one.ask.plan}: halt the release or bring it back",
-                          [one.ask.plan])
+            raise Refusal(
+                f"unit {unit} is {one.state} by {one.ask.plan}: halt the release or bring it back",
+                [one.ask.plan],
+            )
         if epoch is not None and epoch < one.ask.epoch:
             raise Refusal(f"epoch {epoch} of {one.ask.plan} is over", [one.ask.plan])
         self.fleet.step(one, "turned")
@@ -491,28 +658,53 @@
         found = [one for _, one in sorted(fleet.units.items()) if chosen(kept, one.labels)]
         away = [one for one in found if one.ask or not one.ready(fleet.at, fleet.terms.silent)]
         return {
-            "terms": fleet.terms.plain(), "units": len(found), "out": sum(
-                not one.ready(fleet.at, fleet.terms.silent) for one in found), "more": max(0, len(away) - SHOWN_MOST),
+            "terms": fleet.terms.plain(),
+            "units": len(found),
+            "out": sum(not one.ready(fleet.at, fleet.terms.silent) for one in found),
+            "more": max(0, len(away) - SHOWN_MOST),
             "away": {one.name: self.answer(one.name) for one in away[:SHOWN_MOST]},
-            "budgets": {name: {"allowed": room.allowed, "out": len(room.outs), "said": room.said()}
-                        for name, room in sorted(fleet.rooms.items())[:SHOWN_MOST]},
-            "halts": {str(number): halt.sentence() for number, halt in sorted(self.halts.all.items())},
-            "releases": {name: {"state": one.state, "epoch": one.epoch, "wave": one.wave, "waves": len(one.waves),
-                                "voted": one.voted, "aside": dict(sorted(one.aside.items())[:SHOWN_MOST]),
-                                "home": sum(each.build == one.build and each.ready(fleet.at, fleet.terms.silent)
-                                            for each in self.releases.mine(one)), "units": len(one.members)}
-                         for name, one in sorted(self.releases.all.items())},
+            "budgets": {
+                name: {"allowed": room.allowed, "out": len(room.outs), "said": room.said()}
+                for name, room in sorted(fleet.rooms.items())[:SHOWN_MOST]
+            },
+            "halts": {
+                str(number): halt.sentence() for number, halt in sorted(self.halts.all.items())
+            },
+            "releases": {
+                name: {
+                    "state": one.state,
+                    "epoch": one.epoch,
+                    "wave": one.wave,
+                    "waves": len(one.waves),
+                    "voted": one.voted,
+                    "aside": dict(sorted(one.aside.items())[:SHOWN_MOST]),
+                    "home": sum(
+                        each.build == one.build and each.ready(fleet.at, fleet.terms.silent)
+                        for each in self.releases.mine(one)
+                    ),
+                    "units": len(one.members),
+                }
+                for name, one in sorted(self.releases.all.items())
+            },
         }
 
     # As it is set down and taken up again.
 
     def image(self):
         """Plain values, the same for the same history."""
-        return {"fleet": self.fleet.image(), "halts": self.halts.image(), "releases": self.releases.image(),
-                "epoch": self.epoch, "plans": dict(sorted(self.plans.items()))}
+        return {
+            "fleet": self.fleet.image(),
+            "halts": self.halts.image(),
+            "releases": self.releases.image(),
+            "epoch": self.epoch,
+            "plans": dict(sorted(self.plans.items())),
+        }
 
     def load(self, image):
         self.fleet.load(image["fleet"])
         self.halts.load(image["halts"])
         self.releases.load(image["releases"])
-        self.epoch, self.plans = image["epoch"], {name: list(known) for name, known in image["plans"].items()}
+        self.epoch, self.plans = (
+            image["epoch"],
+            {name: list(known) for name, known in image["plans"].items()},
+        )
--- a/thymeknot/turns/outside.py
+++ b/thymeknot/turns/outside.py
@@ -9,8 +9,11 @@
 
     def __init__(self, groups, notice, bound):
         self.groups, self.notice, self.bound = groups, notice, bound
-        self.away, self.down = {}, {}               # by name since when: by itself, by a crash
-        self.answers, self.used = {}, {}            # by name: (when, fence) said yes to; the highest that it went by
+        self.away, self.down = {}, {}  # by name since when: by itself, by a crash
+        self.answers, self.used = (
+            {},
+            {},
+        )  # by name: (when, fence) said yes to; the highest that it went by
         self.halts, self.dark, self.breaches, self.goings = {}, None, [], []
 
     def breach(self, now, rule, said):
@@ -35,14 +38,26 @@
         self.goings.append((now, name))
         self.away[name] = now
         for group, names, most in self.groups:
-            out = {one for one in names if one in self.away or now - self.down.get(one, now) > self.notice}
+            out = {
+                one
+                for one in names
+                if one in self.away or now - self.down.get(one, now) > self.notice
+            }
             # One that crashed and did not serve since takes nothing away by going.
             if name in names and name not in self.down and len(out) > most:
-                self.breach(now, "A1", f"{name} went, {len(out)} of {group} are out and {most} may be: {sorted(out)}")
+                self.breach(
+                    now,
+                    "A1",
+                    f"{name} went, {len(out)} of {group} are out and {most} may be: {sorted(out)}",
+                )
         said = self.answers.get(name, {}).get(fence)
         if said is None or now - said > self.bound or fence <= self.used.get(name, 0):
-            self.breach(now, "A2", f"{name} went by permit {fence}, which was confirmed {said} and used "
-                                   f"{self.used.get(name)}")
+            self.breach(
+                now,
+                "A2",
+                f"{name} went by permit {fence}, which was confirmed {said} and used "
+                f"{self.used.get(name)}",
+            )
         self.used[name] = max(fence, self.used.get(name, 0))
         for number, (at, names) in self.halts.items():
             if name in names and not back and now - at > self.bound:
--- a/thymeknot/turns/planner.py
+++ b/thymeknot/turns/planner.py
@@ -13,7 +13,10 @@
 
 def order(asked, step):
     """Those that asked, in the order of their turn."""
-    return sorted(asked, key=lambda unit: (not unit.ask.back, unit.ask.at - unit.ask.urgency * step, unit.name))
+    return sorted(
+        asked,
+        key=lambda unit: (not unit.ask.back, unit.ask.at - unit.ask.urgency * step, unit.name),
+    )
 
 
 def full(fleet, unit):
@@ -45,8 +48,9 @@
         blocked = full(fleet, unit)
         if not blocked:
             fleet.step(unit, "granted")
-        elif (fleet.at - unit.ask.at >= fleet.terms.patience
-              and all(coming(fleet, room) for room in blocked if len(room.outs) >= room.allowed)):
+        elif fleet.at - unit.ask.at >= fleet.terms.patience and all(
+            coming(fleet, room) for room in blocked if len(room.outs) >= room.allowed
+        ):
             for room in unit.rooms:
                 room.kept = 1
     fleet.freed = False
@@ -63,8 +67,10 @@
 def way(fleet, room):
     """The sentence that names a budget and who is in the way."""
     names = sorted(room.outs)
-    told = ", ".join("%s (%s)" % (name, fleet.units[name].why(fleet.at, fleet.terms.silent))
-                     for name in names[:NAMED_MOST])
+    told = ", ".join(
+        "%s (%s)" % (name, fleet.units[name].why(fleet.at, fleet.terms.silent))
+        for name in names[:NAMED_MOST]
+    )
     more = f" and {len(names) - NAMED_MOST} more" if len(names) > NAMED_MOST else ""
     kept = " and one place is kept for who waits longest" if room.kept else ""
     return f"budget {room.name} {room.said()}, {len(names)} are: {told}{more}{kept}"
--- a/thymeknot/turns/releases.py
+++ b/thymeknot/turns/releases.py
@@ -14,31 +14,69 @@
 from .state import ASKED, DRAINING, GRANTED, IN, OUT, RETURNING, Ask
 
 RELEASES_MOST = 64
-PLAN = "release:"               # the plans of releases; nobody else may ask by such a name
-FEED = 256                      # units of a release that ask at once: the queue is for others too
-TRIES = 5                       # permits that one lets lapse before it is set aside
+PLAN = "release:"  # the plans of releases; nobody else may ask by such a name
+FEED = 256  # units of a release that ask at once: the queue is for others too
+TRIES = 5  # permits that one lets lapse before it is set aside
 # (state, input) -> next state, effect. What is missing changes nothing.
 COURSE = {
-    ("waiting", "free"): ("going", "ask"), ("waiting", "turned"): ("backed", "end"),
-    ("going", "halted"): ("halted", "stop"), ("going", "turned"): ("backing", "turn"),
+    ("waiting", "free"): ("going", "ask"),
+    ("waiting", "turned"): ("backed", "end"),
+    ("going", "halted"): ("halted", "stop"),
+    ("going", "turned"): ("backing", "turn"),
     ("going", "finished"): ("done", "end"),
-    ("halted", "resumed"): ("going", "ask"), ("halted", "turned"): ("backing", "turn"),
-    ("backing", "halted"): ("held", "stop"), ("backing", "turned"): ("backing", "turn"),
-    ("backing", "home"): ("backed", "end"), ("backing", "stuck"): ("left", "end"),
-    ("held", "resumed"): ("backing", "turn"), ("held", "turned"): ("backing", "turn"),
-    ("left", "turned"): ("backing", "turn"), ("done", "turned"): ("backing", "turn"),
+    ("halted", "resumed"): ("going", "ask"),
+    ("halted", "turned"): ("backing", "turn"),
+    ("backing", "halted"): ("held", "stop"),
+    ("backing", "turned"): ("backing", "turn"),
+    ("backing", "home"): ("backed", "end"),
+    ("backing", "stuck"): ("left", "end"),
+    ("held", "resumed"): ("backing", "turn"),
+    ("held", "turned"): ("backing", "turn"),
+    ("left", "turned"): ("backing", "turn"),
+    ("done", "turned"): ("backing", "turn"),
 }
 ENDED = ("done", "backed", "left")
 BACK = ("backing", "held", "left")
 
 
 class Release:
-    KEPT = ("name", "epoch", "members", "build", "earlier", "waves", "gate", "auto", "urgency", "state", "wave",
-            "voted", "knows", "aside", "at", "number")
-
-    def __init__(self, name, epoch, members, build, earlier, waves, gate, auto, urgency, at, number):
-        self.name, self.epoch, self.members, self.build, self.earlier = name, epoch, members, build, earlier
-        self.waves, self.gate, self.auto, self.urgency, self.at, self.number = waves, gate, auto, urgency, at, number
+    KEPT = (
+        "name",
+        "epoch",
+        "members",
+        "build",
+        "earlier",
+        "waves",
+        "gate",
+        "auto",
+        "urgency",
+        "state",
+        "wave",
+        "voted",
+        "knows",
+        "aside",
+        "at",
+        "number",
+    )
+
+    def __init__(
+        self, name, epoch, members, build, earlier, waves, gate, auto, urgency, at, number
+    ):
+        self.name, self.epoch, self.members, self.build, self.earlier = (
+            name,
+            epoch,
+            members,
+            build,
+            earlier,
+        )
+        self.waves, self.gate, self.auto, self.urgency, self.at, self.number = (
+            waves,
+            gate,
+            auto,
+            urgency,
+            at,
+            number,
+        )
         self.state, self.wave, self.voted, self.knows, self.aside = "waiting", 0, 0, 0, {}
         self.plan = PLAN + name
 
@@ -47,8 +85,24 @@
 
     @classmethod
     def of(cls, plain):
-        made = cls(*(plain[name] for name in ("name", "epoch", "members", "build", "earlier", "waves", "gate", "auto",
-                                              "urgency", "at", "number")))
+        made = cls(
+            *(
+                plain[name]
+                for name in (
+                    "name",
+                    "epoch",
+                    "members",
+                    "build",
+                    "earlier",
+                    "waves",
+                    "gate",
+                    "auto",
+                    "urgency",
+                    "at",
+                    "number",
+                )
+            )
+        )
         for name in cls.KEPT:
             setattr(made, name, plain[name])
         return made
@@ -73,8 +127,11 @@
     def forget(self):
         """Makes place for one more by dropping the release that ended first; gives whether there is place."""
         if len(self.all) >= RELEASES_MOST:
-            ended = min((one for one in self.all.values() if one.state in ("done", "backed")),
-                        key=lambda one: one.number, default=None)
+            ended = min(
+                (one for one in self.all.values() if one.state in ("done", "backed")),
+                key=lambda one: one.number,
+                default=None,
+            )
             if ended is None:
                 return False
             del self.all[ended.name]
@@ -82,10 +139,18 @@
 
     def before(self, release, members):
         """The first release that has one of these units and is not over, or None."""
-        return next((one for one in sorted(self.all.values(), key=lambda one: one.number)
-                     if one is not release and one.name != (release and release.name) and one.state not in ENDED
-                     and (release is None or one.number < release.number)
-                     and not members.isdisjoint(one.members)), None)
+        return next(
+            (
+                one
+                for one in sorted(self.all.values(), key=lambda one: one.number)
+                if one is not release
+                and one.name != (release and release.name)
+                and one.state not in ENDED
+                and (release is None or one.number < release.number)
+                and not members.isdisjoint(one.members)
+            ),
+            None,
+        )
 
     def step(self, release, what):
         state, effect = COURSE.get((release.state, what), (release.state, None))
@@ -96,7 +161,7 @@
         return True
 
     def _ask(self, release):
-        pass                                        # the next round asks
+        pass  # the next round asks
 
     def _stop(self, release):
         """Nothing more of it goes out: what it asked for is taken back, permits that nobody began are worth nothing."""
@@ -148,7 +213,11 @@
 
     def want(self, release, unit, back):
         build = release.earlier if back else release.build
-        self.fleet.step(unit, "asked", Ask(self.fleet.at, release.urgency, release.plan, release.epoch, back, build))
+        self.fleet.step(
+            unit,
+            "asked",
+            Ask(self.fleet.at, release.urgency, release.plan, release.epoch, back, build),
+        )
 
     def room(self, release):
         """How many more of it may ask."""
@@ -157,7 +226,7 @@
     def forth(self, release):
         fleet, terms, free, waits = self.fleet, self.fleet.terms, self.room(release), False
         members = self.mine(release)
-        for unit in members[:release.waves[release.wave]]:
+        for unit in members[: release.waves[release.wave]]:
             ready = unit.ready(fleet.at, terms.silent)
             if unit.state != IN or ready and unit.build != release.build:
                 if unit.state == IN and unit.tries >= TRIES:
@@ -177,7 +246,7 @@
             elif fleet.at - max(unit.since, unit.seen, release.at) > terms.home:
                 release.aside[unit.name] = "is " + unit.why(fleet.at, terms.silent)
             else:
-                waits = True                        # not seen ready since it came back, or silent for a moment
+                waits = True  # not seen ready since it came back, or silent for a moment
         if waits:
             return
         if release.waves[release.wave] >= len(release.members):
@@ -200,9 +269,14 @@
             mine = unit.ask and unit.ask.plan == release.plan
             if unit.state == IN and unit.build == release.build:
                 if unit.tries >= TRIES:
-                    aside[unit.name] = (f"was granted {unit.tries} times and did not begin; it is "
-                                        + ("ready" if unit.ready(fleet.at, fleet.terms.silent)
-                                           else unit.why(fleet.at, fleet.terms.silent)))
+                    aside[unit.name] = (
+                        f"was granted {unit.tries} times and did not begin; it is "
+                        + (
+                            "ready"
+                            if unit.ready(fleet.at, fleet.terms.silent)
+                            else unit.why(fleet.at, fleet.terms.silent)
+                        )
+                    )
                     continue
                 waits = True
                 if free > 0:
@@ -229,11 +303,17 @@
 
     def of(self, ask):
         """The release that asks, or None."""
-        return self.all.get(ask.plan[len(PLAN):]) if ask.plan.startswith(PLAN) else None
+        return self.all.get(ask.plan[len(PLAN) :]) if ask.plan.startswith(PLAN) else None
 
     def image(self):
-        return [self.number, [one.plain() for one in sorted(self.all.values(), key=lambda one: one.number)]]
+        return [
+            self.number,
+            [one.plain() for one in sorted(self.all.values(), key=lambda one: one.number)],
+        ]
 
     def load(self, image):
         self.number = image[0]
-        self.all = {plain["name"]: Release.of({**plain, "aside": dict(plain["aside"])}) for plain in image[1]}
+        self.all = {
+            plain["name"]: Release.of({**plain, "aside": dict(plain["aside"])})
+            for plain in image[1]
+        }
--- a/thymeknot/turns/state.py
+++ b/thymeknot/turns/state.py
@@ -13,43 +13,98 @@
 from .budgets import rooms
 from .units import Terms
 
-IN, ASKED, GRANTED, DRAINING, OUT, RETURNING = "in", "asked", "granted", "draining", "out", "returning"
-HELD = (GRANTED, DRAINING, OUT, RETURNING)          # states with a permit
+IN, ASKED, GRANTED, DRAINING, OUT, RETURNING = (
+    "in",
+    "asked",
+    "granted",
+    "draining",
+    "out",
+    "returning",
+)
+HELD = (GRANTED, DRAINING, OUT, RETURNING)  # states with a permit
 STATUSES = ("ready", "cold", "out", "gone")
 # (state, input) -> next state, effect. What is missing changes nothing. Nothing leads to draining but a checked begin.
 LIFE = {
     (IN, "asked"): (ASKED, "queue"),
-    (ASKED, "granted"): (GRANTED, "permit"), (ASKED, "turned"): (IN, "forget"),
-    (GRANTED, "began"): (DRAINING, "drain"), (GRANTED, "lapsed"): (IN, "doubt"), (GRANTED, "turned"): (IN, "doubt"),
-    (GRANTED, "restarted"): (IN, "doubt"), (GRANTED, "halted"): (ASKED, "wait"),
-    (DRAINING, "emptied"): (OUT, "rest"), (DRAINING, "turned"): (RETURNING, "call"),
-    (DRAINING, "returned"): (RETURNING, "call"), (DRAINING, "restarted"): (RETURNING, "call"),
-    (OUT, "turned"): (RETURNING, "call"), (OUT, "returned"): (RETURNING, "call"),
+    (ASKED, "granted"): (GRANTED, "permit"),
+    (ASKED, "turned"): (IN, "forget"),
+    (GRANTED, "began"): (DRAINING, "drain"),
+    (GRANTED, "lapsed"): (IN, "doubt"),
+    (GRANTED, "turned"): (IN, "doubt"),
+    (GRANTED, "restarted"): (IN, "doubt"),
+    (GRANTED, "halted"): (ASKED, "wait"),
+    (DRAINING, "emptied"): (OUT, "rest"),
+    (DRAINING, "turned"): (RETURNING, "call"),
+    (DRAINING, "returned"): (RETURNING, "call"),
+    (DRAINING, "restarted"): (RETURNING, "call"),
+    (OUT, "turned"): (RETURNING, "call"),
+    (OUT, "returned"): (RETURNING, "call"),
     (OUT, "restarted"): (RETURNING, "call"),
-    (RETURNING, "failed"): (RETURNING, "name"), (RETURNING, "ready"): (IN, "home"),
+    (RETURNING, "failed"): (RETURNING, "name"),
+    (RETURNING, "ready"): (IN, "home"),
 }
 
 
 class Ask:
     """Somebody wants it out: since when, how urgently (0 to 9), for which plan and epoch, whether on a way back."""
+
     __slots__ = ("at", "urgency", "plan", "epoch", "back", "build")
 
     def __init__(self, at, urgency, plan, epoch, back=False, build=""):
-        self.at, self.urgency, self.plan, self.epoch, self.back, self.build = at, urgency, plan, epoch, back, build
+        self.at, self.urgency, self.plan, self.epoch, self.back, self.build = (
+            at,
+            urgency,
+            plan,
+            epoch,
+            back,
+            build,
+        )
 
     def plain(self):
         return [self.at, self.urgency, self.plan, self.epoch, self.back, self.build]
 
 
 class Unit:
-    __slots__ = ("name", "labels", "state", "since", "ask", "fence", "until", "tries", "told", "seen", "start",
-                 "build", "status", "doubt", "fault", "rooms", "queued")
-    KEPT = ("state", "since", "fence", "until", "tries", "told", "seen", "start", "build", "status", "doubt", "fault")
+    __slots__ = (
+        "name",
+        "labels",
+        "state",
+        "since",
+        "ask",
+        "fence",
+        "until",
+        "tries",
+        "told",
+        "seen",
+        "start",
+        "build",
+        "status",
+        "doubt",
+        "fault",
+        "rooms",
+        "queued",
+    )
+    KEPT = (
+        "state",
+        "since",
+        "fence",
+        "until",
+        "tries",
+        "told",
+        "seen",
+        "start",
+        "build",
+        "status",
+        "doubt",
+        "fault",
+    )
 
     def __init__(self, name, labels):
         self.name, self.labels, self.state, self.since = name, labels, IN, 0
         self.ask, self.fence, self.until, self.tries = None, 0, 0, 0
-        self.told = self.seen = self.doubt = -1     # dates of the last report, of the last as ready, of the last doubt
+        self.told = self.seen = (
+            self.doubt
+        ) = -1  # dates of the last report, of the last as ready, of the last doubt
         self.start, self.build, self.status, self.fault = -1, "", "gone", ""
         self.rooms, self.queued = [], False
 
@@ -139,7 +194,9 @@
         if self.at - self.heard >= self.terms.silent:
             # Nobody at all was heard: it is the observers that are lost. All count as out; no crash broke a budget.
             self.broken = []
-        for unit in [one for one in self.held.values() if one.state == GRANTED and one.until <= self.at]:
+        for unit in [
+            one for one in self.held.values() if one.state == GRANTED and one.until <= self.at
+        ]:
             unit.tries += 1
             self.step(unit, "lapsed")
 
@@ -157,7 +214,9 @@
         if build:
             unit.build = build
         elif status == "ready" and unit.state == RETURNING and unit.ask.build:
-            unit.build = unit.ask.build             # one that does not tell its build has the one it went out for
+            unit.build = (
+                unit.ask.build
+            )  # one that does not tell its build has the one it went out for
         if status == "ready":
             unit.seen = as_of
             if unit.evident(self.at, self.terms.silent):
@@ -197,7 +256,7 @@
         unit.ask, unit.doubt = None, self.at
 
     def _wait(self, unit):
-        unit.doubt = self.at                        # it keeps its age, and its permit is worth nothing
+        unit.doubt = self.at  # it keeps its age, and its permit is worth nothing
 
     def _drain(self, unit):
         unit.tries = 0
@@ -206,7 +265,7 @@
         pass
 
     def _call(self, unit):
-        unit.doubt = self.at                        # what was seen before it was called proves nothing
+        unit.doubt = self.at  # what was seen before it was called proves nothing
 
     def _name(self, unit, fault):
         unit.fault = fault
@@ -217,12 +276,23 @@
     # As it is set down and taken up again.
 
     def image(self):
-        return {"at": self.at, "fence": self.fence, "heard": self.heard, "terms": self.terms.plain(),
-                "budgets": self.budgets, "rooms": {room.name: [room.whole, room.mended]
-                                                   for room in self.rooms.values()},
-                "units": [[unit.name, unit.labels, unit.ask.plain() if unit.ask else None,
-                           [getattr(unit, name) for name in Unit.KEPT]]
-                          for _, unit in sorted(self.units.items())]}
+        return {
+            "at": self.at,
+            "fence": self.fence,
+            "heard": self.heard,
+            "terms": self.terms.plain(),
+            "budgets": self.budgets,
+            "rooms": {room.name: [room.whole, room.mended] for room in self.rooms.values()},
+            "units": [
+                [
+                    unit.name,
+                    unit.labels,
+                    unit.ask.plain() if unit.ask else None,
+                    [getattr(unit, name) for name in Unit.KEPT],
+                ]
+                for _, unit in sorted(self.units.items())
+            ],
+        }
 
     def load(self, image):
         self.__init__()
@@ -237,7 +307,9 @@
                 self.asked[name] = unit
             elif unit.state in HELD:
                 self.held[name] = unit
-        self.rooms, of = rooms(self.budgets, {name: unit.labels for name, unit in self.units.items()})
+        self.rooms, of = rooms(
+            self.budgets, {name: unit.labels for name, unit in self.units.items()}
+        )
         for unit in self.units.values():
             unit.rooms = of[unit.name]
             self.count(unit)
--- a/thymeknot/turns/units.py
+++ b/thymeknot/turns/units.py
@@ -6,7 +6,7 @@
 
 LABELS = ("kind", "rack", "zone", "cluster", "lane", "service")
 KINDS = ("sidecar", "pod")
-NAME_MOST = 128                 # characters of a name; what a log keeps for ever must not be a letter of someone's
+NAME_MOST = 128  # characters of a name; what a log keeps for ever must not be a letter of someone's
 
 
 class Refusal(Exception):
@@ -22,15 +22,19 @@
 
     # name: (default, least, most)
     RANGES = {
-        "bound": (20_000, 1_000, 600_000),          # a holder told nothing for so long begins nothing
-        "silent": (60_000, 1_000, 6_000_000),       # one not seen ready for so long counts as out
-        "permit": (100_000, 1_000, 6_000_000),      # a permit that was not begun for so long lapses
-        "patience": (300_000, 0, 36_000_000),       # who waits longer has room kept for it
-        "step": (600_000, 0, 36_000_000),           # a degree of urgency is worth so much age
-        "home": (600_000, 1_000, 36_000_000),       # one on its way back for longer is named
-        "hold": (6_000_000, 10_000, 864_000_000),   # one that is out for longer is named
-        "rest": (100_000, 0, 36_000_000),           # a broken budget must be whole for so long before its halt ends
-        "drift": (10, 0, 100),                      # thousandths by which a monotonic clock may be wrong
+        "bound": (20_000, 1_000, 600_000),  # a holder told nothing for so long begins nothing
+        "silent": (60_000, 1_000, 6_000_000),  # one not seen ready for so long counts as out
+        "permit": (100_000, 1_000, 6_000_000),  # a permit that was not begun for so long lapses
+        "patience": (300_000, 0, 36_000_000),  # who waits longer has room kept for it
+        "step": (600_000, 0, 36_000_000),  # a degree of urgency is worth so much age
+        "home": (600_000, 1_000, 36_000_000),  # one on its way back for longer is named
+        "hold": (6_000_000, 10_000, 864_000_000),  # one that is out for longer is named
+        "rest": (
+            100_000,
+            0,
+            36_000_000,
+        ),  # a broken budget must be whole for so long before its halt ends
+        "drift": (10, 0, 100),  # thousandths by which a monotonic clock may be wrong
     }
     __slots__ = tuple(RANGES)
 
@@ -55,8 +59,13 @@
     """The labels of a unit as they are kept. Raises Refusal with a sentence that names it."""
     if not named(name):
         raise Refusal("a unit's name is 1 to %d printable characters" % NAME_MOST)
-    if not isinstance(given, dict) or any(label not in LABELS or not named(value) for label, value in given.items()):
-        raise Refusal(f"unit {name} has a label that is unknown or no name; there are {', '.join(LABELS)}", [name])
+    if not isinstance(given, dict) or any(
+        label not in LABELS or not named(value) for label, value in given.items()
+    ):
+        raise Refusal(
+            f"unit {name} has a label that is unknown or no name; there are {', '.join(LABELS)}",
+            [name],
+        )
     if given.get("kind") not in KINDS:
         raise Refusal(f"unit {name} is neither of {' and '.join(KINDS)}", [name])
     return {label: given[label] for label in LABELS if label in given}
@@ -69,8 +78,15 @@
     pairs = []
     for label, values in given.items():
         values = [values] if isinstance(values, str) else values
-        if label not in LABELS or not isinstance(values, list) or not values or not all(map(named, values)):
-            raise Refusal(f"a selector has {str(label)[:NAME_MOST]!r} that is no label, or no values for it")
+        if (
+            label not in LABELS
+            or not isinstance(values, list)
+            or not values
+            or not all(map(named, values))
+        ):
+            raise Refusal(
+                f"a selector has {str(label)[:NAME_MOST]!r} that is no label, or no values for it"
+            )
         pairs.append([label, sorted(set(values))])
     return sorted(pairs)
 
--- a/thymeknot/turns/world.py
+++ b/thymeknot/turns/world.py
@@ -27,7 +27,9 @@
     def propose(self, command, then):
         self.number += 1
         key = self.origin, self.incarnation, self.number
-        self.world.carry(self.origin, "keepers", lambda: self.world.keepers.take(key, command, then))
+        self.world.carry(
+            self.origin, "keepers", lambda: self.world.keepers.take(key, command, then)
+        )
 
 
 class Keepers:
@@ -72,12 +74,21 @@
 
     def __init__(self, name, labels, rate, offset):
         self.name, self.labels, self.rate, self.offset = name, labels, rate, offset
-        self.alive, self.serving, self.build, self.start, self.life, self.cold = True, True, "old", 0, 0, COLD
+        self.alive, self.serving, self.build, self.start, self.life, self.cold = (
+            True,
+            True,
+            "old",
+            0,
+            0,
+            COLD,
+        )
         self.stopped_until, self.lame, self.holder, self.client = 0, None, None, None
 
 
 class World:
-    def __init__(self, seed, units, budgets, groups, terms=None, loss=0.02, holder=Holder, machine=Machine):
+    def __init__(
+        self, seed, units, budgets, groups, terms=None, loss=0.02, holder=Holder, machine=Machine
+    ):
         """units: labels by name. groups: the budgets again for the checker outside. loss: of each message."""
         self.chance, self.now, self.events, self.count = Chance(seed * 2 + 1), 0, [], 0
         self.terms, self.loss, self.cuts, self.made = terms or Terms(), loss, set(), holder
@@ -85,12 +96,14 @@
         bound = self.terms.halt_bound()
         self.outside = Outside(groups, self.terms.silent + bound + TICK, bound)
         self.keepers, self.seats, self.backs = Keepers(self, machine()), {}, set()
-        self.sick = None                            # a build that never gets warm once it crashed
+        self.sick = None  # a build that never gets warm once it crashed
         for name, labels in units.items():
             rate = 1 + drift * (2 * self.chance.draw() - 1) * 0.9
             self.seats[name] = Seat(name, labels, rate, int(self.chance.draw() * 1e7))
             self.begin(self.seats[name], True)
-        self.declared = self.order(do="declare", epoch=1, units=units, budgets=budgets, terms=self.terms.plain())
+        self.declared = self.order(
+            do="declare", epoch=1, units=units, budgets=budgets, terms=self.terms.plain()
+        )
         self.after(TICK, self.tick)
 
     # Time and the network.
@@ -125,7 +138,11 @@
         if (sender, to) in self.cuts or self.chance.draw() < self.loss:
             return
         for _ in range(2 if self.chance.draw() < 0.01 else 1):
-            wait = 20 + self.chance.draw() * 80 + (self.chance.draw() < 0.02) * self.chance.draw() * 3 * SECOND
+            wait = (
+                20
+                + self.chance.draw() * 80
+                + (self.chance.draw() < 0.02) * self.chance.draw() * 3 * SECOND
+            )
             self.after(wait, lambda: self.reach(to, call))
 
     def reach(self, to, call):
@@ -150,24 +167,33 @@
         seat.start += 1
         seat.life += 1
         seat.alive, seat.client = True, Client(self, seat.name, seat.start)
-        seat.holder = self.made(seat.name, seat.start, seat.build, self.terms, self.clock(seat), ready)
-        self.after(self.chance.draw() * self.terms.bound / 4, lambda life=seat.life: self.beat(seat, life))
+        seat.holder = self.made(
+            seat.name, seat.start, seat.build, self.terms, self.clock(seat), ready
+        )
+        self.after(
+            self.chance.draw() * self.terms.bound / 4, lambda life=seat.life: self.beat(seat, life)
+        )
 
     def mine(self, seat, life, wait, call):
         """Calls back after so long if this start of it still lives then, and when it is not stopped."""
+
         def due():
             if seat.alive and seat.life == life:
                 if seat.stopped_until > self.now:
                     self.after(seat.stopped_until - self.now, due)
                 else:
                     call()
+
         self.after(wait, due)
 
     def beat(self, seat, life):
         if seat.alive and seat.life == life:
             if seat.stopped_until <= self.now:
                 self.act(seat, seat.holder.due(self.clock(seat)))
-            self.after(max(self.terms.bound / 8, seat.stopped_until - self.now), lambda: self.beat(seat, life))
+            self.after(
+                max(self.terms.bound / 8, seat.stopped_until - self.now),
+                lambda: self.beat(seat, life),
+            )
 
     def act(self, seat, effects):
         """Does what a holder wants."""
@@ -175,21 +201,36 @@
         for what, *facts in effects:
             if what == "say":
                 token, command = facts
-                seat.client.propose(command, lambda reply, token=token: seat.alive and seat.life == life and self.act(
-                    seat, seat.holder.told(self.clock(seat), token, reply)))
+                seat.client.propose(
+                    command,
+                    lambda reply, token=token: (
+                        seat.alive
+                        and seat.life == life
+                        and self.act(seat, seat.holder.told(self.clock(seat), token, reply))
+                    ),
+                )
             elif what == "drain":
                 fence, build = facts
                 seat.serving = False
                 self.outside.went(self.now, seat.name, fence, seat.name in self.backs)
-                self.mine(seat, life, WORK * (0.2 + self.chance.draw()), lambda build=build: self.empty(seat, build))
+                self.mine(
+                    seat,
+                    life,
+                    WORK * (0.2 + self.chance.draw()),
+                    lambda build=build: self.empty(seat, build),
+                )
             elif what == "come":
-                build, = facts
+                (build,) = facts
                 seat.build = build or seat.build
                 if seat.lame:
                     self.act(seat, seat.holder.failed(self.clock(seat), seat.lame))
                 else:
-                    self.mine(seat, life, seat.cold * (0.5 + self.chance.draw()), lambda: self.act(
-                        seat, seat.holder.ready(self.clock(seat), seat.build)))
+                    self.mine(
+                        seat,
+                        life,
+                        seat.cold * (0.5 + self.chance.draw()),
+                        lambda: self.act(seat, seat.holder.ready(self.clock(seat), seat.build)),
+                    )
             else:
                 seat.serving = True
                 self.outside.serves(self.now, seat.name)
@@ -199,9 +240,13 @@
             return
         life = seat.life
         self.act(seat, seat.holder.emptied(self.clock(seat)))
-        if build:                                   # it went out to be replaced: that is done after a while
-            self.mine(seat, life, WORK * (0.5 + self.chance.draw()), lambda: self.act(
-                seat, seat.holder.done(self.clock(seat), build)))
+        if build:  # it went out to be replaced: that is done after a while
+            self.mine(
+                seat,
+                life,
+                WORK * (0.5 + self.chance.draw()),
+                lambda: self.act(seat, seat.holder.done(self.clock(seat), build)),
+            )
 
     def crash(self, name, back_after=None):
         """Kills it; back_after: seconds until it starts again, cold."""
@@ -218,7 +263,12 @@
             life = seat.life
             if seat.build == self.sick:
                 return
-            self.mine(seat, life, seat.cold, lambda: self.act(seat, seat.holder.ready(self.clock(seat), seat.build)))
+            self.mine(
+                seat,
+                life,
+                seat.cold,
+                lambda: self.act(seat, seat.holder.ready(self.clock(seat), seat.build)),
+            )
 
     def stop(self, name, seconds):
         """SIGSTOP, and SIGCONT after so long."""
@@ -246,13 +296,27 @@
     units, groups = {}, []
     for number in range(zones * racks * each):
         zone, rack = number % zones, number // zones % racks
-        units[f"unit-{number:03}"] = {"kind": "pod" if number % 2 else "sidecar", "zone": f"z{zone}",
-                                      "rack": f"z{zone}r{rack}", "cluster": "east", "lane": "pay"}
+        units[f"unit-{number:03}"] = {
+            "kind": "pod" if number % 2 else "sidecar",
+            "zone": f"z{zone}",
+            "rack": f"z{zone}r{rack}",
+            "cluster": "east",
+            "lane": "pay",
+        }
     for label, most in (("rack", 1), ("zone", 3)):
-        groups += [(f"{label} {value}", {name for name, one in units.items() if one[label] == value}, most)
-                   for value in sorted({one[label] for one in units.values()})]
+        groups += [
+            (f"{label} {value}", {name for name, one in units.items() if one[label] == value}, most)
+            for value in sorted({one[label] for one in units.values()})
+        ]
     for kind in ("pod", "sidecar"):
         names = {name for name, one in units.items() if one["kind"] == kind}
         groups.append((kind, names, int(len(names) * 0.2 + 1e-9)))
-    return units, [{"name": "racks", "each": "rack", "most": 1}, {"name": "zones", "each": "zone", "most": 3},
-                   {"name": "kinds", "each": "kind", "share": 0.2}], groups
+    return (
+        units,
+        [
+            {"name": "racks", "each": "rack", "most": 1},
+            {"name": "zones", "each": "zone", "most": 3},
+            {"name": "kinds", "each": "kind", "share": 0.2},
+        ],
+        groups,
+    )
--- a/thymeknot/why/arena.py
+++ b/thymeknot/why/arena.py
@@ -24,11 +24,13 @@
         else:
             try:
                 self.memory = self._mapped(path, say)
-            except OSError as error:  # a full disk or a path that can't be written: kept in memory instead
+            except (
+                OSError
+            ) as error:  # a full disk or a path that can't be written: kept in memory instead
                 say("record in memory", error=os.strerror(error.errno or 0), path=path)
                 self.path, self.memory = None, bytearray(HEAD + slots * SLOT)
         if self.path is None:
-            self.memory[:_head.size + 4] = self._header()
+            self.memory[: _head.size + 4] = self._header()
 
     def _header(self):
         told = _head.pack(MAGIC, VERSION, SLOT, self.slots)
@@ -61,18 +63,18 @@
     def write(self, slot, content):
         """The content first, its checksum last: what is torn in between does not fit."""
         at = HEAD + slot * SLOT
-        self.memory[at:at + 4] = b"\0\0\0\0"
-        self.memory[at + 4:at + len(content)] = content[4:]
-        self.memory[at:at + 4] = content[:4]
+        self.memory[at : at + 4] = b"\0\0\0\0"
+        self.memory[at + 4 : at + len(content)] = content[4:]
+        self.memory[at : at + 4] = content[:4]
 
     def clear(self, slot):
         at = HEAD + slot * SLOT
-        self.memory[at:at + SLOT] = bytes(SLOT)
+        self.memory[at : at + SLOT] = bytes(SLOT)
 
     def read(self, slot):
         """(number, Entry) or None."""
         at = HEAD + slot * SLOT
-        return unpacked(bytes(self.memory[at:at + SLOT]))
+        return unpacked(bytes(self.memory[at : at + SLOT]))
 
     def whole(self):
         """(slot, number, Entry) of all that is whole; how many slots hold something that is not."""
@@ -83,7 +85,7 @@
                 found.append((slot, *read))
             else:
                 at = HEAD + slot * SLOT
-                torn += any(self.memory[at:at + 14])
+                torn += any(self.memory[at : at + 14])
         return found, torn
 
     def close(self):
@@ -95,9 +97,9 @@
     """Why a head is not ours."""
     if len(head) < _head.size + 4 or head[:8] != MAGIC:
         return "no record"
-    if crc32(head[:_head.size]) != int.from_bytes(head[_head.size:], "little"):
+    if crc32(head[: _head.size]) != int.from_bytes(head[_head.size :], "little"):
         return "damaged head"
-    _, version, size, count = _head.unpack(head[:_head.size])
+    _, version, size, count = _head.unpack(head[: _head.size])
     if version != VERSION or size != SLOT:
         return f"version {version}, slots of {size}"
     return f"{count} slots, {slots} are set" if count != slots else "another size"
@@ -111,7 +113,9 @@
     if not said.endswith("are set"):
         raise ValueError(f"{path}: {said}")
     arena = Arena.__new__(Arena)
-    arena.slots, arena.path = _head.unpack(head[:_head.size])[3], path
+    arena.slots, arena.path = _head.unpack(head[: _head.size])[3], path
     with open(path, "rb") as source:
-        arena.memory = source.read(HEAD + arena.slots * SLOT).ljust(HEAD + arena.slots * SLOT, b"\0")
+        arena.memory = source.read(HEAD + arena.slots * SLOT).ljust(
+            HEAD + arena.slots * SLOT, b"\0"
+        )
     return arena
--- a/thymeknot/why/asking.py
+++ b/thymeknot/why/asking.py
@@ -24,11 +24,17 @@
     if reason is not None and reason.upper() not in R.__members__:
         raise ValueError(f"reason: none of {', '.join(R.__members__)}")
     for name, value in (("since", since), ("limit", limit)):
-        if value is not None and not (isinstance(value, (int, float)) and not isinstance(value, bool) and value >= 0):
+        if value is not None and not (
+            isinstance(value, (int, float)) and not isinstance(value, bool) and value >= 0
+        ):
             raise ValueError(f"{name}: a number is asked for")
-    return {"lane": _text(told, "lane"), "tenant": _text(told, "tenant"), "pod": _text(told, "pod"),
-            "reason": None if reason is None else int(R[reason.upper()]),
-            "since": None if since is None else int(since * UNITS)}, limit
+    return {
+        "lane": _text(told, "lane"),
+        "tenant": _text(told, "tenant"),
+        "pod": _text(told, "pod"),
+        "reason": None if reason is None else int(R[reason.upper()]),
+        "since": None if since is None else int(since * UNITS),
+    }, limit
 
 
 def shown(entry):
@@ -71,6 +77,7 @@
 
 class Watch:
     """Entries as they come, for one that watches: so many wait at most, what is beyond is counted and told."""
+
     MOST = 256
 
     def __init__(self, fields):
@@ -78,8 +85,11 @@
 
     def __call__(self, entry):
         lane, tenant, reason = self.fields["lane"], self.fields["tenant"], self.fields["reason"]
-        fit = ((lane is None or entry.lane == lane) and (tenant is None or entry.tenant == tenant)
-               and (reason is None or any(note[0] == reason for note in entry.notes)))
+        fit = (
+            (lane is None or entry.lane == lane)
+            and (tenant is None or entry.tenant == tenant)
+            and (reason is None or any(note[0] == reason for note in entry.notes))
+        )
         if fit and len(self.waiting) < self.MOST:
             self.waiting.append(entry)
         else:
--- a/thymeknot/why/entries.py
+++ b/thymeknot/why/entries.py
@@ -12,14 +12,15 @@
 
 from ..reasons import Reason
 
-SLOT = 768                      # bytes; a transaction of four deliveries with all its reasons takes some 400
+SLOT = 768  # bytes; a transaction of four deliveries with all its reasons takes some 400
 HEAD = struct.Struct("<IHQ")
 NOTES_MOST = 40
-TEXT_MOST = 64                  # of an id, key, tenant: longer ones are cut, and so found by their first part alone
+TEXT_MOST = 64  # of an id, key, tenant: longer ones are cut, and so found by their first part alone
 
 
 class Entry(Struct, array_like=True, gc=False):
     """at: Unix time in tenths of a millisecond when it was taken. notes: (reason, time since, operands ...)."""
+
     at: int
     id: str
     key: Optional[str]
@@ -29,7 +30,7 @@
     end: int
     took: int
     notes: list[list[Union[int, float, str, bool, None]]]
-    cut: int = 0                # notes left out for want of room
+    cut: int = 0  # notes left out for want of room
 
 
 _encode, _decode = msgpack.Encoder().encode, msgpack.Decoder(Entry).decode
@@ -40,8 +41,18 @@
     content = _encode(entry)
     while len(content) > SLOT - HEAD.size:
         if not entry.notes:
-            entry = Entry(entry.at, entry.id[:16], None, None, entry.lane[:16], entry.repeat, entry.end, entry.took, [],
-                          entry.cut)
+            entry = Entry(
+                entry.at,
+                entry.id[:16],
+                None,
+                None,
+                entry.lane[:16],
+                entry.repeat,
+                entry.end,
+                entry.took,
+                [],
+                entry.cut,
+            )
         else:
             del entry.notes[len(entry.notes) // 2]
             entry.cut += 1
@@ -55,10 +66,10 @@
     check, length, number = HEAD.unpack_from(slot)
     if not 0 < length <= len(slot) - HEAD.size:
         return None
-    if crc32(slot[4:HEAD.size + length]) != check:
+    if crc32(slot[4 : HEAD.size + length]) != check:
         return None
     try:
-        return number, _decode(slot[HEAD.size:HEAD.size + length])
+        return number, _decode(slot[HEAD.size : HEAD.size + length])
     except (DecodeError, UnicodeDecodeError):
         return None
 
@@ -69,4 +80,6 @@
 
 def pods(entry):
     """Pods that it was sent to."""
-    return {note[2] for note in entry.notes if note[0] in (Reason.SENT, Reason.ENDED) and len(note) > 2}
+    return {
+        note[2] for note in entry.notes if note[0] in (Reason.SENT, Reason.ENDED) and len(note) > 2
+    }
--- a/thymeknot/why/listener.py
+++ b/thymeknot/why/listener.py
@@ -18,10 +18,10 @@
 from .entries import SLOT
 from .record import Record
 
-STEPS = 4                       # entries looked at in a round of the loop
-REST = 30                       # times as long as they took, before the next ones: askers get a small part of the core
+STEPS = 4  # entries looked at in a round of the loop
+REST = 30  # times as long as they took, before the next ones: askers get a small part of the core
 CONNECTIONS = 8
-IDLE = 100_000                  # an asker that neither asks nor reads is ended
+IDLE = 100_000  # an asker that neither asks nor reads is ended
 UPKEEP = 5_000
 
 
@@ -32,7 +32,13 @@
 @implementer(IPullProducer)
 class Asker(Protocol):
     def __init__(self, owner):
-        self.owner, self.received, self.steps, self.watch, self.deadline = owner, b"", None, None, None
+        self.owner, self.received, self.steps, self.watch, self.deadline = (
+            owner,
+            b"",
+            None,
+            None,
+            None,
+        )
 
     def connectionMade(self):
         self._live()
@@ -41,7 +47,9 @@
         """Something was read or written: the time to the end starts anew."""
         if self.deadline is not None:
             self.owner.deadlines.cancel(self.deadline)
-        self.deadline = self.owner.deadlines.add(self.owner.clock() + IDLE, self.transport.abortConnection)
+        self.deadline = self.owner.deadlines.add(
+            self.owner.clock() + IDLE, self.transport.abortConnection
+        )
 
     def dataReceived(self, data):
         self._live()
@@ -124,13 +132,19 @@
     def __init__(self, sidecar, terms, folder):
         self.sidecar, self.terms, self.reactor = sidecar, terms, sidecar.reactor
         self.clock, self.deadlines, self.askers = sidecar.clock, sidecar.deadlines, 0
-        self.took = 0.0             # seconds that an asker's last steps took
+        self.took = 0.0  # seconds that an asker's last steps took
         path = None
         if terms.directory:
             path = os.path.join(folder, terms.directory, f"{sidecar.start.name}.why")
         self.arena = Arena(terms.megabytes * 1_000_000 // SLOT, path, logs.log)
-        self.record = Record(terms, sidecar.terms.lanes, self.arena, sidecar.epoch, sidecar.clock,
-                             Chance(sidecar.start.seed ^ 0x77))
+        self.record = Record(
+            terms,
+            sidecar.terms.lanes,
+            self.arena,
+            sidecar.epoch,
+            sidecar.clock,
+            Chance(sidecar.start.seed ^ 0x77),
+        )
         self.ended, self.over = self.record.ended, self.record.over
         self.done, self.left, self.abandoned = Reason.DONE, Reason.LEFT, Reason.ABANDONED
         sidecar.refusals.then = self.record.say
@@ -140,17 +154,26 @@
             if terms.listen.startswith("unix:"):
                 place = os.path.join(folder, terms.listen[5:])
                 if os.path.exists(place) and stat.S_ISSOCK(os.stat(place).st_mode):
-                    os.unlink(place)  # a former run's, which nobody listens on: names belong to one instance
+                    os.unlink(
+                        place
+                    )  # a former run's, which nobody listens on: names belong to one instance
                 self.port = self.reactor.listenUNIX(place, factory, backlog=8, mode=0o600)
             else:
                 host, _, port = terms.listen.rpartition(":")
-                self.port = self.reactor.listenTCP(int(port), factory, backlog=8, interface=host.strip("[]"))
+                self.port = self.reactor.listenTCP(
+                    int(port), factory, backlog=8, interface=host.strip("[]")
+                )
         except (CannotListenError, OSError) as error:
             raise Unusable(f"why.listen: {error}") from None
         at = self.port.getHost()  # port 0 was any free one
-        logs.log("record", listen=f"{at.host}:{at.port}" if hasattr(at, "port") else terms.listen,
-                 slots=self.arena.slots, file=self.arena.path, recovered=self.record.recovered,
-                 torn=self.record.torn)
+        logs.log(
+            "record",
+            listen=f"{at.host}:{at.port}" if hasattr(at, "port") else terms.listen,
+            slots=self.arena.slots,
+            file=self.arena.path,
+            recovered=self.record.recovered,
+            torn=self.record.torn,
+        )
         self._upkeep()
 
     def _asker(self, address):
@@ -164,7 +187,9 @@
         self.deadlines.add(self.clock() + UPKEEP, self._upkeep)
 
     def taken(self, name, command):
-        self.record.taken(name, command.key.decode() or None, command.tenant, command.lane, command.repeat)
+        self.record.taken(
+            name, command.key.decode() or None, command.tenant, command.lane, command.repeat
+        )
 
     def reconfigure(self, terms, folder):
         """All of it takes a new start."""
--- a/thymeknot/why/record.py
+++ b/thymeknot/why/record.py
@@ -19,12 +19,12 @@
 from .shares import Shares
 
 SECOND = 10_000
-CLOSES_AFTER = SECOND // 20     # what a delivery's end proves is noted just after the answer
-VOTES, LEAST = 0.05, 8          # part of the slots; slots of a region at least
-UNUSUAL = 0.6                   # of a costly lane's part
+CLOSES_AFTER = SECOND // 20  # what a delivery's end proves is noted just after the answer
+VOTES, LEAST = 0.05, 8  # part of the slots; slots of a region at least
+UNUSUAL = 0.6  # of a costly lane's part
 HITTERS, LANES_MOST = 64, 64
 OPEN_MOST = 50_000
-TIMED = 8                       # one end in so many goes into the times' sketch
+TIMED = 8  # one end in so many goes into the times' sketch
 SENT, DONE, ENDS_AWAY = R.SENT, R.DONE, (R.DEFERRED, R.ABANDONED)  # looked up at every note
 
 
@@ -79,14 +79,23 @@
 
     def __init__(self, terms, lanes, arena, epoch, clock, chance):
         self.terms, self.lanes, self.arena, self.epoch, self.clock, self.chance = (
-            terms, lanes, arena, epoch, clock, chance)
-        self.regions = {name: Region(name, *where) for name, where in laid_out(terms, lanes, arena.slots).items()}
+            terms,
+            lanes,
+            arena,
+            epoch,
+            clock,
+            chance,
+        )
+        self.regions = {
+            name: Region(name, *where)
+            for name, where in laid_out(terms, lanes, arena.slots).items()
+        }
         self.open, self.closing, self.number, self.lost = {}, deque(), 0, 0
         self.meta, self.by_id, self.by_key, self.by_pod = {}, {}, {}, {}
         self.reasons, self.ends = [0] * (max(R) + 1), {}
-        self.share_at, self.share = clock(), 1.0    # of what goes as usual, kept
+        self.share_at, self.share = clock(), 1.0  # of what goes as usual, kept
         self.times, self.keys, self.tenants = {}, Heavy(HITTERS), Heavy(HITTERS)
-        self.usual, self.watchers = 0, []           # usual: since the share was worked out
+        self.usual, self.watchers = 0, []  # usual: since the share was worked out
         self.recovered, self.torn = self._recover() if arena.path else (0, 0)
 
     def _recover(self):
@@ -95,13 +104,19 @@
         found, torn = self.arena.whole()
         whole = {slot: (number, entry) for slot, number, entry in found}
         for region in self.regions.values():
-            mine = {slot: one for slot, one in whole.items() if region.first <= slot < region.first + region.slots
-                    and self._region_of(one[1].lane, one[1]) is region}
+            mine = {
+                slot: one
+                for slot, one in whole.items()
+                if region.first <= slot < region.first + region.slots
+                and self._region_of(one[1].lane, one[1]) is region
+            }
             if not mine:
                 continue
             region.used = max(mine) - region.first + 1  # slots are first used in their order
-            for slot in sorted(range(region.first, region.first + region.used),
-                               key=lambda slot, mine=mine: mine[slot][0] if slot in mine else 0):
+            for slot in sorted(
+                range(region.first, region.first + region.used),
+                key=lambda slot, mine=mine: mine[slot][0] if slot in mine else 0,
+            ):
                 number, entry = mine.get(slot, (0, None))
                 region.shares.add(entry.tenant if entry else None, slot)
                 if entry:
@@ -141,7 +156,9 @@
         if len(held.notes) >= NOTES_MOST:
             held.cut += 1
             del held.notes[NOTES_MOST // 2]
-        held.notes.append((reason, self.clock() - held.at, *operands))  # tuples of numbers cost the collector nothing
+        held.notes.append(
+            (reason, self.clock() - held.at, *operands)
+        )  # tuples of numbers cost the collector nothing
 
     def ended(self, name, reason):
         """The final answer as the sidecar gave it."""
@@ -162,7 +179,9 @@
         if now - self.share_at >= SECOND and "ordinary" in self.regions:
             rate = self.usual * SECOND / (now - self.share_at)
             self.share_at, self.usual = now, 0
-            self.share = min(1.0, self.regions["ordinary"].slots / max(1e-9, rate * self.terms.span / SECOND))
+            self.share = min(
+                1.0, self.regions["ordinary"].slots / max(1e-9, rate * self.terms.span / SECOND)
+            )
         while self.closing and now - self.closing[0][1] >= wait:
             name, _, held = self.closing.popleft()
             if self.open.get(name) is held:
@@ -171,8 +190,17 @@
     def _vote(self, operands):
         build, stage, verdict, doubt, seen = operands
         now = self.clock()
-        entry = Entry(now + self.epoch, f"vote-{build}-{stage}", None, None, "votes", False, int(R.VOTED), 0,
-                      [[int(R.VOTED), 0, build, stage, int(verdict), float(doubt), seen]])
+        entry = Entry(
+            now + self.epoch,
+            f"vote-{build}-{stage}",
+            None,
+            None,
+            "votes",
+            False,
+            int(R.VOTED),
+            0,
+            [[int(R.VOTED), 0, build, stage, int(verdict), float(doubt), seen]],
+        )
         self._keep(self.regions["votes"], entry, now)
 
     def _close(self, name):
@@ -180,16 +208,30 @@
         took = (held.over_at if held.over_at is not None else now) - held.at
         self._tally(held, took)
         lane = self.lanes.get(held.lane)
-        if (held.end == DONE and held.sent <= 1 and lane is not None and took <= lane.latency_goal
-                and (held.lane, False) not in self.regions):
+        if (
+            held.end == DONE
+            and held.sent <= 1
+            and lane is not None
+            and took <= lane.latency_goal
+            and (held.lane, False) not in self.regions
+        ):
             # As most of it is: one in so many that the region's slots last for the span that is set.
             self.usual += 1
             if self.chance.draw() >= self.share:
                 self.lost += 1
                 return
-        entry = Entry(held.at + self.epoch, name[:TEXT_MOST], held.key and held.key[:TEXT_MOST],
-                      held.tenant and held.tenant[:TEXT_MOST], held.lane, held.repeat, held.end, took, held.notes,
-                      held.cut)
+        entry = Entry(
+            held.at + self.epoch,
+            name[:TEXT_MOST],
+            held.key and held.key[:TEXT_MOST],
+            held.tenant and held.tenant[:TEXT_MOST],
+            held.lane,
+            held.repeat,
+            held.end,
+            took,
+            held.notes,
+            held.cut,
+        )
         self._keep(self._region_of(held.lane, entry), entry, now)
 
     def _region_of(self, name, entry):
@@ -256,18 +298,35 @@
     def by_name(self, name):
         """All that is kept under an id, or else under a key; the latest last. Open ones come as they stand."""
         name = name[:TEXT_MOST]
-        for slot, number in sorted((self.by_id.get(name) or self.by_key.get(name) or {}).items(),
-                                   key=lambda one: one[1]):
+        for slot, number in sorted(
+            (self.by_id.get(name) or self.by_key.get(name) or {}).items(), key=lambda one: one[1]
+        ):
             entry = self._read(slot, number)
             if entry:
                 yield entry
-        for one, held in [(one, held) for one, held in self.open.items() if name in (one, held.key)]:
-            yield Entry(held.at + self.epoch, one, held.key, held.tenant, held.lane, held.repeat, held.end,
-                        self.clock() - held.at, list(held.notes), held.cut)
+        for one, held in [
+            (one, held) for one, held in self.open.items() if name in (one, held.key)
+        ]:
+            yield Entry(
+                held.at + self.epoch,
+                one,
+                held.key,
+                held.tenant,
+                held.lane,
+                held.repeat,
+                held.end,
+                self.clock() - held.at,
+                list(held.notes),
+                held.cut,
+            )
 
     def find(self, lane=None, tenant=None, pod=None, reason=None, since=None):
         """Entries that fit all that is told, the latest first; None between them while it looks on."""
-        slots = self.by_pod.get(pod, {}) if pod else {slot: number for slot, (_, number) in self.meta.items()}
+        slots = (
+            self.by_pod.get(pod, {})
+            if pod
+            else {slot: number for slot, (_, number) in self.meta.items()}
+        )
         begin = None if since is None else self.clock() + self.epoch - since
         for slot, number in sorted(slots.items(), key=lambda one: -one[1]):
             entry = self._read(slot, number)
@@ -278,12 +337,24 @@
 
     def tally(self):
         """Sums over all that ever was, kept or not."""
-        return {"ends": [[lane, R(end).name if end else "OPEN", count]
-                         for (lane, end), count in sorted(self.ends.items())],
-                "reasons": {R(reason).name: count for reason, count in enumerate(self.reasons) if count},
-                "ms": {lane: {str(share): round(sketch.get_quantile_value(share), 1) for share in (0.5, 0.9, 0.99)}
-                       for lane, sketch in self.times.items()},
-                "turned away, tenants": self.tenants.top(10), "turned away, keys": self.keys.top(10)}
+        return {
+            "ends": [
+                [lane, R(end).name if end else "OPEN", count]
+                for (lane, end), count in sorted(self.ends.items())
+            ],
+            "reasons": {
+                R(reason).name: count for reason, count in enumerate(self.reasons) if count
+            },
+            "ms": {
+                lane: {
+                    str(share): round(sketch.get_quantile_value(share), 1)
+                    for share in (0.5, 0.9, 0.99)
+                }
+                for lane, sketch in self.times.items()
+            },
+            "turned away, tenants": self.tenants.top(10),
+            "turned away, keys": self.keys.top(10),
+        }
 
     def kept(self):
         """What is kept: for each region its slots, how many are used, entries a second of late, and for how many
@@ -291,15 +362,34 @@
         now, found = self.clock(), []
         for region in self.regions.values():
             rate = region.rate.total(now) / 60
-            name = region.name if isinstance(region.name, str) else (
-                f"{region.name[0]}, {'unusual' if region.name[1] else 'as usual'}")
-            found.append({"region": name, "slots": region.slots, "used": region.used, "a_second": round(rate, 2),
-                          "stays_s": round(region.slots / rate) if rate else None})
-        return {"regions": found, "megabytes": round(self.arena.slots * SLOT / 1e6, 1), "file": self.arena.path,
-                "recovered": self.recovered, "torn": self.torn, "open": len(self.open)}
+            name = (
+                region.name
+                if isinstance(region.name, str)
+                else (f"{region.name[0]}, {'unusual' if region.name[1] else 'as usual'}")
+            )
+            found.append(
+                {
+                    "region": name,
+                    "slots": region.slots,
+                    "used": region.used,
+                    "a_second": round(rate, 2),
+                    "stays_s": round(region.slots / rate) if rate else None,
+                }
+            )
+        return {
+            "regions": found,
+            "megabytes": round(self.arena.slots * SLOT / 1e6, 1),
+            "file": self.arena.path,
+            "recovered": self.recovered,
+            "torn": self.torn,
+            "open": len(self.open),
+        }
 
 
 def fits(entry, lane, tenant, reason, begin):
-    return ((lane is None or entry.lane == lane) and (tenant is None or entry.tenant == tenant)
-            and (begin is None or entry.at >= begin)
-            and (reason is None or any(note[0] == reason for note in entry.notes)))
+    return (
+        (lane is None or entry.lane == lane)
+        and (tenant is None or entry.tenant == tenant)
+        and (begin is None or entry.at >= begin)
+        and (reason is None or any(note[0] == reason for note in entry.notes))
+    )
--- a/thymeknot/wire.py
+++ b/thymeknot/wire.py
@@ -6,10 +6,20 @@
 
 UNIT = 100_000  # nanoseconds in a tenth of a millisecond
 LEAST_RATE = 1e-6  # a second; less is no rate, and the time between two leaves the numbers
-MOST = 2 ** 63     # of a whole number: more may not be a float any more, and ends in the middle of a decision
-
-OUTCOMES = {"delivered": i.DONE, "app_error": i.ERROR, "shed": i.FULL, "expired": i.EXPIRED,
-            "dial_failed": i.UNCONNECTED, "dropped": i.RESET, "revoked": i.RECALLED, "unused": i.UNSENT}
+MOST = (
+    2**63
+)  # of a whole number: more may not be a float any more, and ends in the middle of a decision
+
+OUTCOMES = {
+    "delivered": i.DONE,
+    "app_error": i.ERROR,
+    "shed": i.FULL,
+    "expired": i.EXPIRED,
+    "dial_failed": i.UNCONNECTED,
+    "dropped": i.RESET,
+    "revoked": i.RECALLED,
+    "unused": i.UNSENT,
+}
 LIST_KINDS = {"delta": i.CHANGES, "full": i.WHOLE, "cached": i.REMEMBERED, "failed": i.MISSED}
 CONDITIONS = {"on": i.READY, "fading": i.DRAINING, "off": i.GONE}
 EFFECTS = {"idempotent": i.RETRIABLE, "deduplicated": i.FINGERPRINTED, "at_most_once": i.BINDING}
@@ -73,15 +83,22 @@
 
 # Message name -> (event, how each value is read, in the event's order, places of the values on the line).
 EVENTS = {
-    "INGRESS": (i.Taken, (_text, _text, _tenant, _maybe(_text), time, _maybe(_span), _FLAG, _FLAG), None),
+    "INGRESS": (
+        i.Taken,
+        (_text, _text, _tenant, _maybe(_text), time, _maybe(_span), _FLAG, _FLAG),
+        None,
+    ),
     "FIRST": (i.StreamBegan, (_text, _text, _count, _span), (0, 2, 3, 1)),
     "RESULT": (i.Ended, (_text, _OUTCOME, _FLAG, _span, _text, _count, _load), None),
     "GONE": (i.ClientLeft, (_text,), None),
     "TICK_DUE": (i.TimerDue, (_count,), None),
     "HEALTH": (i.Probed, (_text, _OUTCOME, _span, _load), None),
     "MAIL": (i.Message, (_count, _content), None),
-    "ROLLOUT_STATE": (i.News, (_count, _maybe(_count), _maybe(_PHASE), _FLAG, _OUTCOME, _maybe(float),
-                               _maybe(_span)), None),
+    "ROLLOUT_STATE": (
+        i.News,
+        (_count, _maybe(_count), _maybe(_PHASE), _FLAG, _OUTCOME, _maybe(float), _maybe(_span)),
+        None,
+    ),
     "PLATFORM_SAW": (i.Tally, (_count, _text, _count, _count, _span, _span), None),
     "FLAGGED": (i.Complaint, (_span, _text, _text), None),
 }
@@ -91,7 +108,9 @@
     """The event of a line: its name and the values after the instance."""
     shape, decoders, places = EVENTS[name]
     if len(values) != len(decoders):
-        raise Malformed(f"{name} takes {len(decoders)} values after the instance, not {len(values)}")
+        raise Malformed(
+            f"{name} takes {len(decoders)} values after the instance, not {len(values)}"
+        )
     if places:
         values = [values[place] for place in places]
     try:
@@ -104,8 +123,16 @@
     """The pod of an ENTRY line."""
     try:
         zone, size, cell, condition, started, address, machine, build = values
-        return i.Pod(_text(address), zone, float(size), int(cell), CONDITIONS[condition], _since(started),
-                     machine, int(float(build)))
+        return i.Pod(
+            _text(address),
+            zone,
+            float(size),
+            int(cell),
+            CONDITIONS[condition],
+            _since(started),
+            machine,
+            int(float(build)),
+        )
     except (ValueError, KeyError) as error:
         raise Malformed(f"ENTRY: bad value ({error})") from None
 
@@ -186,11 +213,19 @@
 def _lane(read, at):
     def own(name, *how):
         return read(f"categories.{at}.{name}", *how)
+
     name, effect = own("name", _text), own("semantics", EFFECTS.__getitem__)
     marked = effect == i.FINGERPRINTED
-    return i.Lane(name, effect, own("key_scope", GROUPS.__getitem__, i.GROUP_ALL, marked),
-                  own("window", _span, 0, marked), own("promise", _length), own("give_up", _length),
-                  own("worth", _amount), own("late_worth", _amount))
+    return i.Lane(
+        name,
+        effect,
+        own("key_scope", GROUPS.__getitem__, i.GROUP_ALL, marked),
+        own("window", _span, 0, marked),
+        own("promise", _length),
+        own("give_up", _length),
+        own("worth", _amount),
+        own("late_worth", _amount),
+    )
 
 
 def terms(pairs):
@@ -203,7 +238,10 @@
         if lane.name in names:  # one of them would be served by the limits of the other
             raise Malformed(f"setting categories.{at}.name comes twice: {lane.name!r}")
         names.add(lane.name)
-    subscribes, retry_after = read("discovery", DISCOVERIES.__getitem__), read("permissions.retry_after", bools)
+    subscribes, retry_after = (
+        read("discovery", DISCOVERIES.__getitem__),
+        read("permissions.retry_after", bools),
+    )
     return i.Terms(
         lanes={lane.name: lane for lane in lanes},
         balancers=read("balancers", _whole),
