--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -19,6 +19,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from twisted.protocols.amp import AmpBox
 
+from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
 from thymeknot import interface
 from thymeknot.agreement import interface as agreement
 from thymeknot.agreement import wire as letters
@@ -42,8 +43,6 @@
 from thymeknot.why.terms import WhyTerms
 from thymeknot.wire import line
 
-from .state_machine_commands import DISRUPTION, GANG_SCHEDULING
-
 FOLDER = os.path.dirname(os.path.abspath(__file__))
 RAFT_FOLDER = "raft"
 DISK_INCARNATION = 7
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -6,6 +6,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as some
 
+from tests.helpers import LANES, NOW, SECOND, TERMS, ended, kinds, news, pod, taken
+from tests.helpers import balancer as made_of
 from thymeknot import interface as i
 from thymeknot.admission import Admission
 from thymeknot.laboratory import crowds
@@ -14,9 +16,6 @@
 from thymeknot.reasons import Reason
 from thymeknot.records import Chance
 
-from .helpers import LANES, NOW, SECOND, TERMS, ended, kinds, news, pod, taken
-from .helpers import balancer as made_of
-
 READ, MANY = LANES["read"], TERMS._replace(balancers=200)
 ALL, SOME, HALF, NONE = (1.0, 1.0), (0.6, 0.999), (0.05, 0.6), (0.0, 0.0)
 
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -6,9 +6,11 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
+from tests.test_sidecar import Network, Transport, entry
 from thymeknot import interface as i
-from thymeknot.asking.belief import Belief
-from thymeknot.asking.pace import (
+from thymeknot.laboratory.agents import IDLE, Connections, Service
+from thymeknot.memory.deadlines import Deadlines
+from thymeknot.polling.adaptive_interval import (
     AGAIN,
     FRESH,
     LONGEST,
@@ -22,14 +24,11 @@
     WARNED,
     Pace,
 )
-from thymeknot.laboratory.agents import IDLE, Connections, Service
-from thymeknot.memory.deadlines import Deadlines
+from thymeknot.polling.snapshot_validation import Belief
 from thymeknot.protocol.calls import KeptStream
 from thymeknot.protocol.discovery import FIRST_WORD
 from thymeknot.records import Chance
 
-from .test_sidecar import Network, Transport, entry
-
 HEAD = b"HTTP/1.1 %d X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
 
 
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -3,14 +3,13 @@
 import unittest
 from unittest import mock
 
+from tests.helpers import LANES, NOW, balancer, ended, news, pod, sent, taken
 from thymeknot import interface as i
 from thymeknot import records
 from thymeknot.balance import NEW, SECOND, position
 from thymeknot.memory.exposure import Exposure
 from thymeknot.records import Ring, Transaction
 
-from .helpers import LANES, NOW, balancer, ended, news, pod, sent, taken
-
 USUAL = {("read", "std"): (900, 100, 500)}
 
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -12,13 +12,12 @@
 from hypothesis import strategies as some
 from twisted.internet.defer import succeed
 
+from tests.helpers import PodPeer, Program, words_of
 from thymeknot.load import plan
 from thymeknot.load.driver import Driver
 from thymeknot.load.speakers import Resp2
 from thymeknot.protocol.resp import Malformed
 
-from .helpers import PodPeer, Program, words_of
-
 READ = plan.Lane("read", 1.0, "read")
 GOAL = plan.Goal(0.99, 500, 0.01)
 GOOD = b"$2\r\nok\r\n"
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -2,11 +2,10 @@
 
 import unittest
 
+from tests.helpers import NOW, TERMS, balancer, ended, kinds, news, pod, pressed, sent, taken
 from thymeknot import interface as i
 from thymeknot.balance import DRAWN, SECOND, UPKEEP_MOST
 
-from .helpers import NOW, TERMS, balancer, ended, kinds, news, pod, pressed, sent, taken
-
 OLD = [pod(f"old-{n}") for n in range(40)]
 
 
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -2,6 +2,8 @@
 
 import unittest
 
+from tests.helpers import NOW, SECOND, ended, pod, taken
+from tests.helpers import balancer as made_of
 from thymeknot import interface as i
 from thymeknot.laboratory import crowds
 from thymeknot.laboratory.days import Fault
@@ -9,9 +11,6 @@
 from thymeknot.reasons import Reason as R
 from thymeknot.service.refusals import EVERY, Refusals
 
-from .helpers import NOW, SECOND, ended, pod, taken
-from .helpers import balancer as made_of
-
 
 class Sums(unittest.TestCase):
     def setUp(self):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -2,11 +2,10 @@
 
 import unittest
 
+from tests.helpers import NOW, balancer, ended, kinds, news, pod, sent, taken
 from thymeknot import interface as i
 from thymeknot.balance import KEYS_MOST, SECOND
 
-from .helpers import NOW, balancer, ended, kinds, news, pod, sent, taken
-
 
 class EveryTransactionIsAnswered(unittest.TestCase):
     def test_without_a_pod_it_is_deferred_at_once(self):
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -2,15 +2,14 @@
 
 import unittest
 
+from tests.helpers import NOW, ended, pod, sent, taken
+from tests.helpers import balancer as made_with
 from thymeknot import interface as i
 from thymeknot.laboratory.crowds import VAST, vast
 from thymeknot.laboratory.days import SECOND, Fault, Offer
 from thymeknot.laboratory.experiments import crowd_played, vast_figures
 from thymeknot.laboratory.fleet import REFUSED_CALLS, SILENT_CALLS, Fleet, balancer
 
-from .helpers import NOW, ended, pod, sent, taken
-from .helpers import balancer as made_with
-
 SIZE = {"instances": 16, "pods": 15, "seconds": 28}
 GOOD, BAD = ((Offer(3 * SECOND, 2, not fails, fails, 1.0, 0, 0.0),) for fails in (0.0, 0.35))
 PAUSES = Fault("pause", 0, 28 * SECOND, (0, 2, 4, 6, 8, 10), 0.5 * SECOND)
--- a/thymeknot/laboratory/agents.py
+++ b/thymeknot/laboratory/agents.py
@@ -3,7 +3,7 @@
 
 from collections import deque
 
-from ..asking.pace import REFUSED, Pace
+from ..polling.adaptive_interval import REFUSED, Pace
 
 PATIENCE, ROOM = 20_000, 2.2  # a call waits in turn so long; waiting calls, in seconds of answers
 NO_ROOM = 500  # until one is told that there is none
--- a/thymeknot/protocol/calls.py
+++ b/thymeknot/protocol/calls.py
@@ -6,7 +6,7 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ..asking.pace import LONGEST, LONGEST_FREE, LOST, REFUSED, SPOILT, Pace
+from ..polling.adaptive_interval import LONGEST, LONGEST_FREE, LOST, REFUSED, SPOILT, Pace
 from . import http
 from .reached import NOT_CONNECTED, Broken, WholeWriter
 
--- a/thymeknot/protocol/discovery.py
+++ b/thymeknot/protocol/discovery.py
@@ -6,7 +6,7 @@
 import orjson
 
 from .. import interface as i
-from ..asking.pace import REFUSED, STOOD
+from ..polling.adaptive_interval import REFUSED, STOOD
 from . import http
 
 PATH = "/v1/servers"
--- a/thymeknot/sidecar.py
+++ b/thymeknot/sidecar.py
@@ -12,11 +12,11 @@
 from twisted.internet.protocol import Factory
 
 from . import interface as i
-from .asking.belief import Belief
 from .balance import PROOF, Balancer
 from .memory.exposure import Exposure
 from .memory.pools import Pools
 from .memory.slots import Slots
+from .polling.snapshot_validation import Belief
 from .protocol import discovery, http, platform, resp
 from .protocol.calls import MOST_REASON, Caller, KeptStream, Reply
 from .protocol.client import ClientConnection
