--- a/measure/why.py
+++ b/measure/why.py
@@ -20,12 +20,12 @@
 from measure.why_cases import NOW, WHY, mix
 from tests.helpers import LANES, PodPeer, Program, reserved, until
 from thymeknot.command.ask import lines_of
+from thymeknot.decision_log.entry_codec import SLOT
+from thymeknot.decision_log.fair_eviction import Shares
+from thymeknot.decision_log.recorder import Record
+from thymeknot.decision_log.slot_file import Arena
 from thymeknot.reasons import Reason as R
 from thymeknot.records import Chance
-from thymeknot.why.arena import Arena
-from thymeknot.why.entries import SLOT
-from thymeknot.why.record import Record
-from thymeknot.why.shares import Shares
 
 SECOND = 10_000
 
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -4,11 +4,11 @@
 from tests.helpers import LANES, TERMS, balancer, ended, news, pod, taken
 from thymeknot import interface as i
 from thymeknot.balance import SECOND, Balancer
+from thymeknot.decision_log.recorder import Record
+from thymeknot.decision_log.settings import WhyTerms
+from thymeknot.decision_log.slot_file import Arena
 from thymeknot.reasons import Reason as R
 from thymeknot.records import Chance
-from thymeknot.why.arena import Arena
-from thymeknot.why.record import Record
-from thymeknot.why.terms import WhyTerms
 
 NOW = 1000 * SECOND
 WHY = WhyTerms(8, None, "", 0.4, 0.2, 15 * 60 * SECOND, 200)
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -11,12 +11,12 @@
 from tests.helpers import LANES
 from thymeknot import interface as i
 from thymeknot.balance import Balancer
+from thymeknot.decision_log.explanations import explained
+from thymeknot.decision_log.recorder import Record
+from thymeknot.decision_log.settings import WhyTerms
+from thymeknot.decision_log.slot_file import Arena
 from thymeknot.reasons import Reason as R
 from thymeknot.records import Chance
-from thymeknot.why.arena import Arena
-from thymeknot.why.record import Record
-from thymeknot.why.sentences import explained
-from thymeknot.why.terms import WhyTerms
 
 SECOND = 10_000
 TERMS = SHOP._replace(
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -27,6 +27,10 @@
 from thymeknot.agreement.store import Store
 from thymeknot.balance import Balancer
 from thymeknot.command.summary import Summary
+from thymeknot.decision_log.entry_codec import Entry, packed
+from thymeknot.decision_log.recorder import Record, laid_out
+from thymeknot.decision_log.settings import WhyTerms
+from thymeknot.decision_log.slot_file import Arena
 from thymeknot.gangs.state import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.identity import Identity
@@ -37,10 +41,6 @@
 from thymeknot.service import logs
 from thymeknot.service.events import LEVELS
 from thymeknot.turns.machine import Machine as DisruptionMachine
-from thymeknot.why.arena import Arena
-from thymeknot.why.entries import Entry, packed
-from thymeknot.why.record import Record, laid_out
-from thymeknot.why.terms import WhyTerms
 from thymeknot.wire import line
 
 FOLDER = os.path.dirname(os.path.abspath(__file__))
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -14,6 +14,9 @@
 from thymeknot.agreement.interface import Recovered, Snapshot
 from thymeknot.agreement.machine import Parts, Sessions
 from thymeknot.agreement.store import Store
+from thymeknot.decision_log.entry_codec import SLOT
+from thymeknot.decision_log.recorder import Record
+from thymeknot.decision_log.slot_file import HEAD, Arena, left_over
 from thymeknot.gangs.state import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.identity import Ring
@@ -21,9 +24,6 @@
 from thymeknot.reasons import Reason
 from thymeknot.records import Chance
 from thymeknot.turns.machine import Machine as DisruptionMachine
-from thymeknot.why.arena import HEAD, Arena, left_over
-from thymeknot.why.entries import SLOT
-from thymeknot.why.record import Record
 
 
 def stored(name):
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -150,7 +150,7 @@
             ".features as f; f.Features(None); "
             "print(sorted({name.split('.')[0] for name in sys.modules} & set('lark msgspec cryptography netaddr "
             "argparse click numpy scipy hdrh'.split()) | {name for name in sys.modules if name.startswith(("
-            "'thymeknot.gossip', 'thymeknot.operator', 'thymeknot.why', 'thymeknot.load', "
+            "'thymeknot.gossip', 'thymeknot.operator', 'thymeknot.decision_log', 'thymeknot.load', "
             "'thymeknot.laboratory'))}))"
         )
         ended = self.run_it(code=code)
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -16,14 +16,14 @@
 from measure.why_cases import NOW, WHY, mix
 from tests.helpers import LANES, PATIENCE, SETTINGS, PodPeer, Program, reserved, until
 from thymeknot.command.ask import lines_of
+from thymeknot.decision_log.entry_codec import SLOT, Entry, packed, unpacked
+from thymeknot.decision_log.explanations import SAID, explained
+from thymeknot.decision_log.fair_eviction import Shares
+from thymeknot.decision_log.heavy_hitters import Heavy
+from thymeknot.decision_log.query_protocol import Watch, answer
+from thymeknot.decision_log.recorder import laid_out
+from thymeknot.decision_log.slot_file import HEAD, Arena, left_over
 from thymeknot.reasons import Reason as R
-from thymeknot.why.arena import HEAD, Arena, left_over
-from thymeknot.why.asking import Watch, answer
-from thymeknot.why.entries import SLOT, Entry, packed, unpacked
-from thymeknot.why.heavy import Heavy
-from thymeknot.why.record import laid_out
-from thymeknot.why.sentences import SAID, explained
-from thymeknot.why.shares import Shares
 
 OK = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
 READ, PAY = "c=read,t=acme,d=15000", "c=pay,t=acme,d=15000"
@@ -207,7 +207,7 @@
     def test_a_full_disk_means_memory(self):
         code = (
             "import resource; resource.setrlimit(resource.RLIMIT_FSIZE, (100000, 100000)); import signal; "
-            "signal.signal(signal.SIGXFSZ, signal.SIG_IGN); from thymeknot.why.arena import Arena; "
+            "signal.signal(signal.SIGXFSZ, signal.SIG_IGN); from thymeknot.decision_log.slot_file import Arena; "
             f"print(Arena(1000, {self.path!r}).path)"
         )
         ended = subprocess.run(
--- a/thymeknot/command/ask.py
+++ b/thymeknot/command/ask.py
@@ -40,12 +40,12 @@
 
 
 def _of_file(path, told):
+    from ..decision_log import query_protocol, slot_file
+    from ..decision_log.recorder import fits
     from ..reasons import Reason as R
-    from ..why import arena, asking
-    from ..why.record import fits
 
     try:
-        left = arena.left_over(path)
+        left = slot_file.left_over(path)
     except (OSError, ValueError) as error:
         raise Unreachable(str(error)) from None
     found = sorted(left.whole()[0], key=lambda one: -one[1])
@@ -66,12 +66,12 @@
                 int(R[reason.upper()]) if reason else None,
                 begin,
             )
-            fit = fit and ("pod" not in told or told["pod"] in asking.pods(entry))
+            fit = fit and ("pod" not in told or told["pod"] in query_protocol.pods(entry))
         else:
             raise Unreachable(f"{told['ask']}: asked of a live instance only")
         if fit:
             count += 1
-            yield asking.shown(entry)
+            yield query_protocol.shown(entry)
             if count >= told.get("limit", 10_000):
                 break
     yield {"end": count}
--- a/thymeknot/why/asking.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -5,8 +5,8 @@
 import orjson
 
 from ..reasons import Reason as R
-from .entries import pods as pods
-from .sentences import explained, plain
+from .entry_codec import pods as pods
+from .explanations import explained, plain
 
 LINE_MOST = 4096
 UNITS = 10_000
--- a/thymeknot/why/listener.py
+++ b/thymeknot/decision_log/query_server.py
@@ -13,10 +13,10 @@
 from ..reasons import Reason
 from ..records import Chance
 from ..service import logs
-from .arena import Arena
-from .asking import LINE_MOST, answer, watched
-from .entries import SLOT
-from .record import Record
+from .entry_codec import SLOT
+from .query_protocol import LINE_MOST, answer, watched
+from .recorder import Record
+from .slot_file import Arena
 
 STEPS = 4  # entries looked at in a round of the loop
 REST = 30  # times as long as they took, before the next ones: askers get a small part of the core
--- a/thymeknot/why/record.py
+++ b/thymeknot/decision_log/recorder.py
@@ -14,9 +14,9 @@
 from .. import interface as i
 from ..reasons import Reason as R
 from ..records import Ring
-from .entries import NOTES_MOST, SLOT, TEXT_MOST, Entry, packed, pods
-from .heavy import Heavy
-from .shares import Shares
+from .entry_codec import NOTES_MOST, SLOT, TEXT_MOST, Entry, packed, pods
+from .fair_eviction import Shares
+from .heavy_hitters import Heavy
 
 SECOND = 10_000
 CLOSES_AFTER = SECOND // 20  # what a delivery's end proves is noted just after the answer
--- a/thymeknot/why/arena.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -9,7 +9,7 @@
 import struct
 from zlib import crc32
 
-from .entries import SLOT, unpacked
+from .entry_codec import SLOT, unpacked
 
 MAGIC, VERSION, HEAD = b"tkwhy\0\0\0", 1, 4096
 _head = struct.Struct("<8sIIQ")
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -26,7 +26,7 @@
 def _why(settings, folder):
     files, terms, listener = (
         import_module(f"..{name}", __package__)
-        for name in ("operator.files", "why.terms", "why.listener")
+        for name in ("operator.files", "decision_log.settings", "decision_log.query_server")
     )
     told = files.record(terms.WhyTerms, settings)
     return lambda sidecar: listener.Why(sidecar, told, folder), told
