--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -38,8 +38,8 @@
 from thymeknot.laboratory.fleet import Fleet
 from thymeknot.reasons import Reason
 from thymeknot.records import Chance
-from thymeknot.service import logs
-from thymeknot.service.events import LEVELS
+from thymeknot.service import structured_log
+from thymeknot.service.log_events import LEVELS
 from thymeknot.turns.machine import Machine as DisruptionMachine
 from thymeknot.wire import line
 
@@ -308,11 +308,13 @@
     """One line of each event, in the order of their declaration."""
     lines = []
     with (
-        mock.patch.object(logs, "_written", lines.append),
-        mock.patch.object(logs.time, "time", lambda: 1.5),
+        mock.patch.object(structured_log, "_written", lines.append),
+        mock.patch.object(structured_log.time, "time", lambda: 1.5),
     ):
         for event, level in LEVELS.items():
-            lines.append(logs._rendered(None, level, {"event": event, **LOG_FIELDS.get(event, {})}))
+            lines.append(
+                structured_log._rendered(None, level, {"event": event, **LOG_FIELDS.get(event, {})})
+            )
     return b"".join(lines)
 
 
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -21,7 +21,7 @@
 
 from tests.helpers import SETTINGS, command
 from thymeknot.memory.deadlines import Deadlines
-from thymeknot.service import configuration, logs
+from thymeknot.service import configuration, structured_log
 from thymeknot.sidecar import Sidecar
 
 MS = 10  # times are whole tenths of a millisecond, as the sidecar's
@@ -451,8 +451,8 @@
         self.reactor = Reactor(self)
         fault = self._fault
         self.patches = [
-            mock.patch.object(logs, "fault", fault),
-            mock.patch.object(logs, "log", self._logged),
+            mock.patch.object(structured_log, "fault", fault),
+            mock.patch.object(structured_log, "log", self._logged),
         ]
         for patch in self.patches:
             patch.start()
--- a/tests/test_ends_life.py
+++ b/tests/test_ends_life.py
@@ -22,7 +22,7 @@
     until,
 )
 from tests.test_sockets import READ, WithPods, value
-from thymeknot.service import life
+from thymeknot.service import lifecycle
 from thymeknot.sidecar import Sidecar
 
 
@@ -198,7 +198,7 @@
 
     def test_a_signal_as_the_interpreter_ends_does_not_change_how_it_ended(self):
         """The interpreter gives back its handlers before it clears its modules: what comes then would end it."""
-        for number in (signal.SIGHUP, *life.STOPS):
+        for number in (signal.SIGHUP, *lifecycle.STOPS):
             for told, code in ((lambda told: None, 0), (lambda told: told.pop("seed"), 2)):
                 last = f"""class Last:
     kill, own = os.kill, os.getpid()
@@ -315,7 +315,7 @@
                 self.addCleanup(client.__exit__)
                 client.send("SVC.QUERY", "a", f"{number:02x}", READ)
             time.sleep(
-                max(0, begun + 2 * life.SERVES_ON - time.monotonic())
+                max(0, begun + 2 * lifecycle.SERVES_ON - time.monotonic())
             )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
@@ -342,7 +342,7 @@
                 client.send("PING")
             if stops:
                 running.process.send_signal(signal.SIGTERM)
-                time.sleep(2 * life.SERVES_ON)  # the end comes while it stands still
+                time.sleep(2 * lifecycle.SERVES_ON)  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
                 [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, stops)
@@ -350,9 +350,9 @@
 
     def test_the_features_of_one_that_stops_take_up_no_file(self):
         for stopping in (False, True):
-            made = life.Life({"NODE_CONFIG": "deploy/example.json"}, None)
+            made = lifecycle.Life({"NODE_CONFIG": "deploy/example.json"}, None)
             made.extra, made.sidecar, made.stopping = mock.Mock(), mock.Mock(), stopping
-            with mock.patch.object(life.logs, "log"):
+            with mock.patch.object(lifecycle.logs, "log"):
                 made._reconfigure()
             self.assertEqual(
                 (made.extra.reconfigure.call_count, made.sidecar.reconfigure.call_count),
--- a/tests/test_ends_pods.py
+++ b/tests/test_ends_pods.py
@@ -30,7 +30,7 @@
 from thymeknot.memory.exposure import Exposure
 from thymeknot.protocol import discovery
 from thymeknot.protocol.pod import PodConnection
-from thymeknot.service import logs
+from thymeknot.service import structured_log
 
 
 class Broken(Transport):
@@ -873,7 +873,7 @@
         connection, beside = network.connect(network.streams), network.connect(network.streams + 1)
         for one in (connection, beside):
             one.resumeProducing()
-        with mock.patch.object(logs, "seldom") as told:
+        with mock.patch.object(structured_log, "seldom") as told:
             for at in range(0, len(content), 65536):
                 if not connection.transport.disconnected:
                     connection.dataReceived(content[at : at + 65536])
@@ -1009,7 +1009,7 @@
 
     def __init__(self, test):
         self.test, self.faults = test, []
-        logs.fault = lambda *fault: self.faults.append(fault)
+        structured_log.fault = lambda *fault: self.faults.append(fault)
         self.network = Network(entry("s-1"), entry("s-2"))
         self.sidecar, self.pools = self.network.sidecar, self.network.sidecar.pools
         self.clients, self.dials, self.connections, self.may_have_run, self.seen = {}, [], [], {}, 0
@@ -1209,7 +1209,7 @@
     @settings(derandomize=True, max_examples=120, deadline=None, database=None)
     @given(STEPS)
     def test_whatever_the_order_counts_agree_and_nothing_is_left(self, steps):
-        with mock.patch.object(logs, "fault"), mock.patch.object(logs, "log"):
+        with mock.patch.object(structured_log, "fault"), mock.patch.object(structured_log, "log"):
             world = World(self)
             for step in steps:
                 world.step(*step)
--- a/tests/test_ends_streams.py
+++ b/tests/test_ends_streams.py
@@ -16,7 +16,8 @@
 from tests.helpers import PATIENCE, PodPeer, Program, patient, until
 from tests.test_sidecar import Network, entry, told
 from thymeknot import interface as i
-from thymeknot.protocol import discovery, http, platform
+from thymeknot.protocol import deployer as platform
+from thymeknot.protocol import discovery, http
 from thymeknot.service import configuration
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -150,7 +150,7 @@
 
     def test_off_it_is_not_imported(self):
         code = (
-            "import sys; from thymeknot.service import features, life; import thymeknot.sidecar; "
+            "import sys; from thymeknot.service import features, lifecycle; import thymeknot.sidecar; "
             "features.Features(None); "
             "print([name for name in sys.modules if name.startswith(('thymeknot.fleet', 'thymeknot.agreement', "
             "'thymeknot.turns', 'twisted.protocols.amp', 'msgspec'))])"
--- a/tests/test_helpers.py
+++ b/tests/test_helpers.py
@@ -7,7 +7,7 @@
 import unittest
 
 from tests.helpers import PATIENCE, DiscoveryPeer, Peer, PlatformPeer, reserved, until
-from thymeknot.protocol import platform
+from thymeknot.protocol import deployer
 
 NEWS = {"version": 42, "step": 0, "status": "trial", "maxWeight": 0.5, "observedAgoMs": 5}
 BACK = (
@@ -101,18 +101,18 @@
         def state():
             told = self.asks(peer, "/v2/projects/main/stream")[1]()
             data = told.partition("data: ")[2].strip()
-            news = platform.read_event("progress", data)
+            news = deployer.read_event("progress", data)
             return news.build, news.phase, news.cap
 
-        self.assertEqual(state(), (42, platform.PHASES["trial"], 0.5))
+        self.assertEqual(state(), (42, deployer.PHASES["trial"], 0.5))
         with contextlib.closing(
             socket.create_connection(("127.0.0.1", int(peer.address[10:])))
         ) as call:
             call.sendall(b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n=")
             peer.calls.get(timeout=PATIENCE)
-        self.assertEqual(state(), (42, platform.PHASES["rolling_back"], 0.0))
+        self.assertEqual(state(), (42, deployer.PHASES["rolling_back"], 0.0))
         peer.push_news(43, cap=0.25)
-        self.assertEqual(state(), (43, platform.PHASES["released"], 0.25))
+        self.assertEqual(state(), (43, deployer.PHASES["released"], 0.25))
 
 
 class Ports(unittest.TestCase):
--- a/tests/test_logs.py
+++ b/tests/test_logs.py
@@ -8,11 +8,11 @@
 import unittest
 
 import thymeknot
-from thymeknot.service.events import LEVELS
-from thymeknot.service.logs import VARIABLE
+from thymeknot.service.log_events import LEVELS
+from thymeknot.service.structured_log import VARIABLE
 
 CALL = re.compile(
-    r'(?:logs\.(?:log|seldom)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|said\.append\(\("([^"]+)"',
+    r'(?:structured_log\.(?:log|seldom)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|said\.append\(\("([^"]+)"',
     re.M,
 )
 
@@ -20,7 +20,7 @@
 class Logs(unittest.TestCase):
     def lines(self, code, **more):
         ended = subprocess.run(
-            [sys.executable, "-c", f"from thymeknot.service import logs; {code}"],
+            [sys.executable, "-c", f"from thymeknot.service import structured_log as logs; {code}"],
             timeout=20,
             capture_output=True,
             text=True,
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -6,9 +6,9 @@
 
 from tests.helpers import command
 from thymeknot import interface as i
-from thymeknot.protocol import client, discovery, http, platform, pod, resp
+from thymeknot.protocol import client, deployer, discovery, http, pod, resp
 from thymeknot.protocol.calls import Reply
-from thymeknot.protocol.reached import NOT_ALL_WRITTEN, NOT_CONNECTED, WRITTEN, Broken
+from thymeknot.protocol.write_progress import NOT_ALL_WRITTEN, NOT_CONNECTED, WRITTEN, Broken
 
 EVENTS = b"event: progress\ndata: a=1\n\n:\n\ndata:b=2\n\n"
 STREAM = (
@@ -213,7 +213,7 @@
             b"</item></entries></Response>"
         )
         self.assertEqual(
-            platform.vote_news(42, Reply(200, good)),
+            deployer.vote_news(42, Reply(200, good)),
             i.News(42, 1, i.ON_TRIAL, True, i.DONE, 0.28, 3100),
         )
         error = b"<Error><Code>%s</Code></Error>"
@@ -229,11 +229,11 @@
             (Broken(WRITTEN, ""), i.EXPIRED),
         ):
             self.assertEqual(
-                platform.vote_news(42, end), i.News(42, None, None, True, outcome, None, None)
+                deployer.vote_news(42, end), i.News(42, None, None, True, outcome, None, None)
             )
 
     def test_a_vote_is_a_form(self):
-        call = platform.vote("h:1", i.Vote(42, 1, i.BACK))
+        call = deployer.vote("h:1", i.Vote(42, 1, i.BACK))
         head, body = call.split(b"\r\n\r\n")
         self.assertEqual(body, b"Action=PutApproval&version=42&step=1&vote=abort")
         self.assertIn(b"Content-Length: %d" % len(body), head)
@@ -241,21 +241,21 @@
     def test_what_the_stream_tells(self):
         progress = "version=42&step=1&status=released&maxWeight=1&observedAgoMs=310"
         self.assertEqual(
-            platform.read_event("progress", progress),
+            deployer.read_event("progress", progress),
             i.News(42, 1, i.RELEASED, False, i.DONE, 1.0, 3100),
         )
         metrics = "version=42&kind=a&requests=57&failures=2&avgMs=18.5&observedAgoMs=900"
         self.assertEqual(
-            platform.read_event("metrics", metrics), i.Tally(42, "a", 57, 2, 185, 9000)
+            deployer.read_event("metrics", metrics), i.Tally(42, "a", 57, 2, 185, 9000)
         )
-        self.assertIsNone(platform.read_event("weather", "a=1"))
+        self.assertIsNone(deployer.read_event("weather", "a=1"))
         for data, field in (
             ("version=x", "version"),
             ("version=1&step=1&status=odd", "status"),
             ("version=1&step=1&status=trial&maxWeight=7", "maxWeight"),
         ):
-            with self.assertRaisesRegex(platform.Unreadable, field):
-                platform.read_event("progress", data)
+            with self.assertRaisesRegex(deployer.Unreadable, field):
+                deployer.read_event("progress", data)
 
 
 class Discovery(unittest.TestCase):
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -9,7 +9,7 @@
 from thymeknot.laboratory.days import Fault
 from thymeknot.laboratory.fleet import Fleet, balancer
 from thymeknot.reasons import Reason as R
-from thymeknot.service.refusals import EVERY, Refusals
+from thymeknot.service.rejection_summary import EVERY, Refusals
 
 
 class Sums(unittest.TestCase):
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -14,7 +14,8 @@
 from thymeknot.memory.deadlines import Deadlines
 from thymeknot.memory.slots import Slots
 from thymeknot.protocol.client import ClientConnection
-from thymeknot.service import configuration, life
+from thymeknot.service import configuration
+from thymeknot.service import lifecycle as life
 from thymeknot.sidecar import Sidecar
 
 ANSWER = b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
--- a/thymeknot/__main__.py
+++ b/thymeknot/__main__.py
@@ -12,6 +12,6 @@
     signal.signal(
         signal.SIGHUP, signal.SIG_IGN
     )  # the file that it announces is read after this anyway
-    from .service.life import main
+    from .service.lifecycle import main
 
     sys.exit(main(os.environ))
--- a/thymeknot/agreement/endpoint.py
+++ b/thymeknot/agreement/endpoint.py
@@ -11,7 +11,7 @@
 from twisted.internet.threads import deferToThread
 from twisted.protocols import amp
 
-from ..service import logs
+from ..service import structured_log
 from . import interface as i
 from . import wire
 
@@ -119,7 +119,7 @@
 
     def refuse(self, kind, why):
         self.refused[kind] = self.refused.get(kind, 0) + 1
-        logs.seldom("letter refused", kind=kind, why=why, count=self.refused[kind])
+        structured_log.seldom("letter refused", kind=kind, why=why, count=self.refused[kind])
 
     def opened(self, session, last, key, content, signature):
         return wire.opened(
@@ -193,7 +193,7 @@
             self.DO[type(effect)](self, effect)
         if self.keeper.role != self.led:
             self.led = self.keeper.role
-            logs.log("keeper", role=self.led, term=self.keeper.term)
+            structured_log.log("keeper", role=self.led, term=self.keeper.term)
         self.heard()
 
     def _due(self):
@@ -227,7 +227,7 @@
         if self.closed:
             return self.store.close()
         if fault is not None:
-            logs.log("keeper's disk", error=fault.reason)
+            structured_log.log("keeper's disk", error=fault.reason)
             return self.tell(i.DiskFailed(fault.reason))
         if self.waiting:
             self._write()
@@ -235,7 +235,7 @@
 
     def _unwritten(self, failure):
         self.writing = False
-        logs.log("keeper's disk", error=str(failure.value))
+        structured_log.log("keeper's disk", error=str(failure.value))
         self.tell(i.DiskFailed(str(failure.value)))
 
     def _end(self, token, told):
@@ -251,7 +251,7 @@
         try:
             told = self.look(query)
         except Exception as error:  # a query must not end the keeper
-            logs.fault("query", error)
+            structured_log.fault("query", error)
             told = {"refused": "the query can't be answered", "by": [], "again": 0}
         self._end(effect.token, {"reply": told})
 
@@ -267,7 +267,7 @@
         )
 
     def _stood_down(self, effect):
-        logs.log("keeper stood down", why=effect.reason)
+        structured_log.log("keeper stood down", why=effect.reason)
 
     def _applied(self, effect):
         pass
--- a/thymeknot/command/main.py
+++ b/thymeknot/command/main.py
@@ -30,9 +30,9 @@
 @click.pass_context
 def serve(context):
     """Serves by the configuration at NODE_CONFIG."""
-    from ..service import life
+    from ..service import lifecycle
 
-    context.exit(life.serve(os.environ, context.find_root().obj))
+    context.exit(lifecycle.serve(os.environ, context.find_root().obj))
 
 
 @thymeknot.command()
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -12,7 +12,7 @@
 
 from ..reasons import Reason
 from ..records import Chance
-from ..service import logs
+from ..service import structured_log
 from .entry_codec import SLOT
 from .query_protocol import LINE_MOST, answer, watched
 from .recorder import Record
@@ -136,7 +136,7 @@
         path = None
         if terms.directory:
             path = os.path.join(folder, terms.directory, f"{sidecar.start.name}.why")
-        self.arena = Arena(terms.megabytes * 1_000_000 // SLOT, path, logs.log)
+        self.arena = Arena(terms.megabytes * 1_000_000 // SLOT, path, structured_log.log)
         self.record = Record(
             terms,
             sidecar.terms.lanes,
@@ -166,7 +166,7 @@
         except (CannotListenError, OSError) as error:
             raise Unusable(f"why.listen: {error}") from None
         at = self.port.getHost()  # port 0 was any free one
-        logs.log(
+        structured_log.log(
             "record",
             listen=f"{at.host}:{at.port}" if hasattr(at, "port") else terms.listen,
             slots=self.arena.slots,
--- a/thymeknot/fleet/feature.py
+++ b/thymeknot/fleet/feature.py
@@ -14,7 +14,7 @@
 from ..gossip import identity as identities
 from ..gossip.terms import address
 from ..records import Chance
-from ..service import logs
+from ..service import structured_log
 from ..turns.machine import Machine
 from ..turns.units import Refusal
 from ..turns.units import Terms as TurnTerms
@@ -137,7 +137,7 @@
         )
         opened = store.open(told.founds and not used)
         for sentence in opened.said:
-            logs.log("keeper's disk", error=sentence)
+            structured_log.log("keeper's disk", error=sentence)
         names, self.machine = [one.name for one in told.keepers], Parts({"turns": Machine()})
         others = {name: channel for name, channel in self.channels.items() if name != told.name}
         return Endpoint(
@@ -180,7 +180,7 @@
 
     def _took(self, reply):
         if "refused" in reply:
-            logs.log("not declared", why=reply["refused"])
+            structured_log.log("not declared", why=reply["refused"])
 
     def _ticked(self, _):
         self.busy = False
--- a/thymeknot/fleet/seat.py
+++ b/thymeknot/fleet/seat.py
@@ -1,6 +1,6 @@
 """The holder of turns on the real sidecar: says what it wants said, drains and brings back what it wants drained."""
 
-from ..service import logs
+from ..service import structured_log
 from ..turns.holder import Holder
 
 BEATS = 16  # looks at the time within a bound; the holder asks for four at least
@@ -39,11 +39,13 @@
             self._act(self.holder.told(self.clock(), token, reply))
 
     def _drain(self, fence, build):
-        logs.log("drain", unit=self.unit, fence=fence, transactions=len(self.sidecar.transactions))
+        structured_log.log(
+            "drain", unit=self.unit, fence=fence, transactions=len(self.sidecar.transactions)
+        )
         self.sidecar.drain(lambda: self._emptied(fence))
 
     def _emptied(self, fence):
-        logs.log("drained", unit=self.unit, fence=fence)
+        structured_log.log("drained", unit=self.unit, fence=fence)
         self._act(self.holder.emptied(self.clock()))
 
     def _come(self, build):
@@ -55,11 +57,11 @@
             return
 
         def failed(why):
-            logs.log("can't come back", unit=self.unit, why=why)
+            structured_log.log("can't come back", unit=self.unit, why=why)
             self._act(self.holder.failed(self.clock(), why))
 
         def listens():
-            logs.log("back", unit=self.unit)
+            structured_log.log("back", unit=self.unit)
             if then:
                 then()
 
--- a/thymeknot/gossip/endpoint.py
+++ b/thymeknot/gossip/endpoint.py
@@ -11,7 +11,7 @@
 
 from .. import interface as i
 from ..records import Chance
-from ..service import logs
+from ..service import structured_log
 from . import identity as identities
 from . import terms as t
 from .hearsay import Pod
@@ -116,7 +116,7 @@
         doubts, self.node.doubts = self.node.doubts, []
         if doubts:
             for doubt in doubts:
-                logs.log(
+                structured_log.log(
                     "doubt",
                     pod=doubt.pod.pod,
                     build=doubt.pod.build,
@@ -136,7 +136,7 @@
             )
         said, self.node.said = self.node.said, []
         for event, fields in said:
-            logs.log(event, **fields)
+            structured_log.log(event, **fields)
 
     def _count(self, out):
         """What went out in the busiest second, for the log."""
@@ -155,7 +155,7 @@
         if now - self.told_at >= TELL_EVERY:
             span, self.told_at = (now - self.told_at) / 10_000, now
             node = self.node
-            logs.log(
+            structured_log.log(
                 "gossip",
                 span=span,
                 live=len(node.members.live),
@@ -174,7 +174,7 @@
             }
             if dropped:
                 self.told = dict(self.node.dropped)
-                logs.log("gossip dropped", **dropped)
+                structured_log.log("gossip dropped", **dropped)
 
     # From the sidecar.
 
--- a/thymeknot/memory/pools.py
+++ b/thymeknot/memory/pools.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from ..protocol.pod import PodConnector
-from ..protocol.reached import NOT_CONNECTED, Broken
+from ..protocol.write_progress import NOT_CONNECTED, Broken
 from .slots import Slots
 
 IDLE_PART = 0.8  # of the told idle time: then a connection is retired, before the pod does it
--- a/thymeknot/protocol/calls.py
+++ b/thymeknot/protocol/calls.py
@@ -8,7 +8,7 @@
 
 from ..polling.adaptive_interval import LONGEST, LONGEST_FREE, LOST, REFUSED, SPOILT, Pace
 from . import http
-from .reached import NOT_CONNECTED, Broken, WholeWriter
+from .write_progress import NOT_CONNECTED, Broken, WholeWriter
 
 MOST_REASON = 200  # characters: what could not be read may be long
 
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -9,7 +9,7 @@
 from zope.interface import implementer
 
 from . import resp
-from .reached import has_left, nothing_waits
+from .write_progress import has_left, nothing_waits
 
 QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
 MOST_WAITING = 64  # commands in hand on one connection; beyond it, it is not read on
--- a/thymeknot/protocol/platform.py
+++ b/thymeknot/protocol/deployer.py
@@ -7,7 +7,7 @@
 from .. import interface as i
 from . import http
 from .calls import Reply
-from .reached import WRITTEN
+from .write_progress import WRITTEN
 
 BASE = "/v2/projects/main/"
 SIGN_OF_LIFE = 10_000  # tenths of a millisecond
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from . import resp
-from .reached import NOT_CONNECTED, Broken, WholeWriter, nothing_waits
+from .write_progress import NOT_CONNECTED, Broken, WholeWriter, nothing_waits
 
 MOST_VALUE = (
     512 * 1024
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -7,7 +7,8 @@
 
 from .. import interface as i
 from .. import wire
-from ..protocol import discovery, platform
+from ..protocol import deployer as platform
+from ..protocol import discovery
 
 
 class Faulty(ValueError):
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -3,7 +3,7 @@
 import os
 from importlib import import_module
 
-from . import logs
+from . import structured_log
 
 VARIABLE = "THYMEKNOT_OPERATOR"
 
@@ -74,7 +74,7 @@
             except ValueError as error:
                 raise Faulty(f"{self.path}: {error}") from None
             setattr(sidecar, name, self.running[name])
-            logs.log("switched on", feature=name)
+            structured_log.log("switched on", feature=name)
 
     def reconfigure(self):
         """Takes up another file: what runs is given its new settings, what doesn't waits for the next start."""
@@ -88,7 +88,7 @@
                     one.reconfigure(made[name][1], folder)
                 except ValueError as error:
                     raise Faulty(f"{self.path}: {error}") from None
-        logs.log(
+        structured_log.log(
             "operator file taken up", only_at_a_start=sorted(made.keys() ^ self.running.keys())
         )
 
--- a/thymeknot/service/life.py
+++ b/thymeknot/service/lifecycle.py
@@ -6,7 +6,7 @@
 import sys
 import time
 
-from . import configuration, features, logs
+from . import configuration, features, structured_log
 
 STOPS = signal.SIGTERM, signal.SIGINT
 SERVES_ON = 0.5  # seconds after SIGTERM in which new connections still come
@@ -81,9 +81,12 @@
         self.reactor = loop()
         for number in STOPS:
             signal.signal(number, self._told_to_stop)
-        logs.take_over()
+        structured_log.take_over()
         self.sidecar = Sidecar(
-            start, self.reactor, Deadlines(clock, self.reactor.callLater, logs.fault), self.epoch
+            start,
+            self.reactor,
+            Deadlines(clock, self.reactor.callLater, structured_log.fault),
+            self.epoch,
         )
         if start.terms.subscribes:
             self.sidecar.begin()
@@ -119,10 +122,12 @@
         except features.Faulty as error:
             return self._fail(str(error))
         except Exception as error:  # must not stay up without a listener
-            logs.fault("start", error)
+            structured_log.fault("start", error)
             return self._fail(f"start: {type(error).__name__}: {error}")
         start = self.sidecar.start
-        logs.log("ready", name=start.name, listen=start.listen, pods=len(self.sidecar.listed))
+        structured_log.log(
+            "ready", name=start.name, listen=start.listen, pods=len(self.sidecar.listed)
+        )
         gc.collect()
         gc.freeze()  # what stands from the start is not looked through again
         if self.again:
@@ -134,7 +139,7 @@
         if self.serving or error.socketError.errno != errno.EADDRINUSE or self.tries >= TRIES:
             return False
         if not self.tries:
-            logs.log("address in use", listen=self.sidecar.start.listen)
+            structured_log.log("address in use", listen=self.sidecar.start.listen)
         self.tries, self.waits = self.tries + 1, True
         self.reactor.callLater(AGAIN, self._listen_again)
         return True
@@ -164,7 +169,7 @@
             return
         self.stopping = True
         self.extra.leave()
-        logs.log(
+        structured_log.log(
             "stopping",
             clients=len(self.sidecar.clients),
             transactions=len(self.sidecar.transactions),
@@ -181,7 +186,7 @@
             self._emptied()
 
     def _emptied(self):
-        logs.log("stopped")
+        structured_log.log("stopped")
         self.reactor.callLater(LAST, self.reactor.stop)
 
     def _reconfigure(self):
@@ -191,17 +196,17 @@
             if not self.stopping:
                 self.extra.reconfigure()
         except features.Faulty as error:
-            logs.log("operator file kept", error=str(error))
+            structured_log.log("operator file kept", error=str(error))
         except Exception as error:
-            logs.fault("operator file", error)
+            structured_log.fault("operator file", error)
         try:
             later = self.sidecar.reconfigure(configuration.load(self.environment, self.epoch))
         except configuration.Faulty as error:
-            logs.log("configuration kept", error=str(error))
+            structured_log.log("configuration kept", error=str(error))
         except Exception as error:  # a file must not end the program, whatever it holds
-            logs.fault("configuration", error)
+            structured_log.fault("configuration", error)
         else:
-            logs.log(
+            structured_log.log(
                 "configuration taken up",
                 discovery=self.sidecar.discovery.host,
                 platform=self.sidecar.platform.host,
--- a/thymeknot/service/logs.py
+++ b/thymeknot/service/structured_log.py
@@ -8,7 +8,7 @@
 import orjson
 import structlog
 
-from .events import LEVELS
+from .log_events import LEVELS
 
 MOST_KINDS = 100
 VARIABLE = "THYMEKNOT_LOG"
--- a/thymeknot/sidecar.py
+++ b/thymeknot/sidecar.py
@@ -17,14 +17,14 @@
 from .memory.pools import Pools
 from .memory.slots import Slots
 from .polling.snapshot_validation import Belief
-from .protocol import discovery, http, platform, resp
+from .protocol import deployer, discovery, http, resp
 from .protocol.calls import MOST_REASON, Caller, KeptStream, Reply
 from .protocol.client import ClientConnection
 from .protocol.pod import Answer
-from .protocol.reached import WRITTEN, Broken, has_left, nothing_waits, take_no_more
+from .protocol.write_progress import WRITTEN, Broken, has_left, nothing_waits, take_no_more
 from .records import Chance
-from .service import logs
-from .service.refusals import Refusals
+from .service import structured_log
+from .service.rejection_summary import Refusals
 
 LEAST = 64  # as the configuration has it
 KEPT_FOR_OTHERS = 40  # descriptors: discovery, the platform, the loop's own, standard streams
@@ -198,7 +198,7 @@
         self.clock, self.terms, self.reach = deadlines.clock, start.terms, start.reach
         spare = descriptors(start.sockets) - KEPT_FOR_OTHERS
         for_pods = int(spare * FOR_PODS)
-        self.pools = Pools(reactor, deadlines, self.reach, for_pods, logs.fault)
+        self.pools = Pools(reactor, deadlines, self.reach, for_pods, structured_log.fault)
         self.clients, self.most_clients, self.held_off = Slots(), spare - for_pods, False
         self.transactions, self.by_id, self.perhaps = (
             Slots(),
@@ -231,7 +231,7 @@
         self.gossip = self.why = self.fleet = (
             None  # hear of ends, lists and answers, where an operator's file has them
         )
-        self.refusals = Refusals(logs.log)
+        self.refusals = Refusals(structured_log.log)
         self.balancer = Balancer(self.terms, start.seed, self.clock(), self.refusals.hear)
         chance = Chance(~start.seed)
         self.discovery, self.platform = self._caller(start.discovery), self._caller(start.platform)
@@ -241,18 +241,18 @@
             discovery.SILENCE,
             lambda: discovery.watch(self.discovery.host, self._since()),
             self._watch_reader,
-            logs.seldom,
+            structured_log.seldom,
             discovery.FIRST_WORD[self.terms.subscribes],
             free=not self.terms.subscribes,
         )  # the agent on the same machine
         self.stream = KeptStream(
             self.platform,
             chance,
-            platform.SILENCE,
-            lambda: platform.stream(self.platform.host),
+            deployer.SILENCE,
+            lambda: deployer.stream(self.platform.host),
             self._stream_reader,
-            logs.seldom,
-            platform.FIRST_WORD,
+            structured_log.seldom,
+            deployer.FIRST_WORD,
         )
 
     def _caller(self, address):
@@ -422,7 +422,7 @@
         try:
             actions = self.balancer.handle(self.clock(), [event])
         except Exception as error:  # costs the transaction of this event, not the program
-            logs.fault("decisions", error)
+            structured_log.fault("decisions", error)
             self._carry_out(self.balancer.actions)
             held = self._held(getattr(event, "id", None))
             if held and not held.over and not held.out:
@@ -436,21 +436,21 @@
             try:
                 self.ACTIONS[type(action)](self, action)
             except Exception as error:  # the other actions stand
-                logs.fault(type(action).__name__, error)
+                structured_log.fault(type(action).__name__, error)
 
     def _timer(self, action):
         self.deadlines.add(action.at, self.tell, i.TimerDue(action.token))
 
     def _note(self, action):
-        logs.log("note", text=action.text)
+        structured_log.log("note", text=action.text)
 
     def _not_spoken(self, action):
-        logs.log("not spoken here", action=type(action).__name__)
+        structured_log.log("not spoken here", action=type(action).__name__)
 
     # Clients.
 
     def fault(self, where, error):
-        logs.fault(where, error)
+        structured_log.fault(where, error)
 
     def opened(self, connection):
         connection.slot, connection.used_at = self.clients.add(connection), self.clock()
@@ -488,7 +488,7 @@
             self.held_off = True  # also until those that make room have closed
             self.port.stopReading()
             if not idle:
-                logs.seldom("clients held off", connections=len(self.clients))
+                structured_log.seldom("clients held off", connections=len(self.clients))
 
     def rested(self):
         """A connection is idle: if new ones are held off, the next of them finds whom to take the place of."""
@@ -587,7 +587,7 @@
     def _overdue(self, held):
         """No answer by its client's end: the decisions have missed it, and one is still owed."""
         if not held.over:
-            logs.log("overdue", id=held.id, out=held.out)
+            structured_log.log("overdue", id=held.id, out=held.out)
             if self.why is not None:
                 self.why.ended(held.id, self.why.abandoned)
             self._final(held, ABANDONED)
@@ -632,7 +632,7 @@
             return self.ended(attempt, i.UNSENT)
         attempt.deadline = self.deadlines.add(attempt.write_by, attempt.due)
         if not self.pools.send(action.pod, self.addresses[action.pod], attempt):
-            logs.seldom("no descriptor for a pod", connections=len(self.pools))
+            structured_log.seldom("no descriptor for a pod", connections=len(self.pools))
             return self.ended(attempt, i.UNSENT)
 
     def _recall(self, action):
@@ -672,7 +672,7 @@
     def answered_unheard(self, attempt, reason):
         """An answer that came too late, in part, spoilt, or may yet come: its key counts as answered."""
         command, after = attempt.held.command, self.clock() - attempt.at
-        logs.seldom(
+        structured_log.seldom(
             "unheard answer",
             id=attempt.held.id,
             pod=attempt.pod.address,
@@ -793,7 +793,7 @@
                 )
             self._listing(discovery.read_json(end.body, self.epoch), source)
         except Exception as error:  # the decisions are owed one answer, whatever came
-            logs.log("list not fetched", error=str(error)[:MOST_REASON])
+            structured_log.log("list not fetched", error=str(error)[:MOST_REASON])
             self.tell(i.PodList(i.MISSED, ()))
 
     # The platform.
@@ -811,7 +811,7 @@
 
         def read(content):
             for event, data in events.feed(content):
-                told = platform.read_event(
+                told = deployer.read_event(
                     event, data
                 )  # what can't be read ends the stream: it is asked for anew
                 if told is not None and (type(told) is i.News or told.lane in self.terms.lanes):
@@ -839,8 +839,8 @@
         asked = self.clock()
 
         def answered(end):
-            news = self._newest(platform.vote_news(action.build, end), asked)
-            logs.log(
+            news = self._newest(deployer.vote_news(action.build, end), asked)
+            structured_log.log(
                 "vote",
                 build=action.build,
                 stage=action.stage,
@@ -849,7 +849,7 @@
             )
             self.tell(news)
 
-        vote = self.platform.call(platform.vote(self.platform.host, action), self.terms.vote_wait)
+        vote = self.platform.call(deployer.vote(self.platform.host, action), self.terms.vote_wait)
         vote.addCallback(answered)
 
     ACTIONS = {
