--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -21,10 +21,6 @@
 
 from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
 from thymeknot import interface
-from thymeknot.agreement import interface as agreement
-from thymeknot.agreement import wire as letters
-from thymeknot.agreement.machine import Parts, Sessions
-from thymeknot.agreement.store import Store
 from thymeknot.balance import Balancer
 from thymeknot.command.summary import Summary
 from thymeknot.decision_log.entry_codec import Entry, packed
@@ -36,6 +32,10 @@
 from thymeknot.gossip.identity import Identity
 from thymeknot.laboratory import crowds, days
 from thymeknot.laboratory.fleet import Fleet
+from thymeknot.raft import message_codec as letters
+from thymeknot.raft import messages as agreement
+from thymeknot.raft.state_machine import Parts, Sessions
+from thymeknot.raft.storage import Store
 from thymeknot.reasons import Reason
 from thymeknot.records import Chance
 from thymeknot.service import structured_log
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -9,7 +9,7 @@
 from unittest.mock import patch
 
 from tests.processes.rig import PAY, Checker, Fleet, talk
-from thymeknot.agreement import wire
+from thymeknot.raft import message_codec
 
 LONG = PAY.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
 WITHIN = 15  # seconds that a condition has to come about
@@ -107,14 +107,14 @@
     def refused(self, fleet):
         """What is forged, replayed or nonsense ends by itself, and is counted in the log."""
         good, taken = fleet.asker("n0", word="x"), []
-        seal = wire.sealed
+        seal = message_codec.sealed
 
         def kept(*told):
             taken.append(seal(*told))
             return taken[-1]
 
-        with patch.object(wire, "sealed", kept):
-            good.once("n0", wire.READ, {"query": {"do": "status"}})
+        with patch.object(message_codec, "sealed", kept):
+            good.once("n0", message_codec.READ, {"query": {"do": "status"}})
         for kind, why in (
             ("replayed", "came before"),
             ("replayed", "another connection"),
@@ -127,14 +127,18 @@
                 if kind == "replayed"
                 else {**taken[0], "content": taken[0]["content"] + b"x"}
             )
-            with patch.object(wire, "sealed", lambda *_, told=told: told):
-                self.assertRaisesRegex(wire.Bad, why, good.once, "n0", wire.READ, {})
+            with patch.object(message_codec, "sealed", lambda *_, told=told: told):
+                self.assertRaisesRegex(
+                    message_codec.Bad, why, good.once, "n0", message_codec.READ, {}
+                )
             line = fleet.programs["n0"].logged("letter refused")
             self.assertEqual(line["kind"], kind)
             time.sleep(1.05)  # such a line is written once a second at most
-        with self.assertRaisesRegex(wire.Bad, "in the name of n1"):
+        with self.assertRaisesRegex(message_codec.Bad, "in the name of n1"):
             good.once(
-                "n0", wire.PROPOSE, {"origin": "n1", "incarnation": 1, "number": 1, "command": {}}
+                "n0",
+                message_codec.PROPOSE,
+                {"origin": "n1", "incarnation": 1, "number": 1, "command": {}},
             )
         with socket.create_connection(("127.0.0.1", fleet.ports["n0"]), timeout=5) as one:
             one.sendall(b"GET / HTTP/1.1\r\n\r\n")
--- a/tests/test_agreement.py
+++ b/tests/test_agreement.py
@@ -8,10 +8,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thymeknot.agreement import interface as say
-from thymeknot.agreement.core import LEADER, LEARNER, STEPS, STOPPED, Keeper
-from thymeknot.agreement.explorer import BROKEN, FOCUS, Register, explore, search
-from thymeknot.agreement.interface import (
+from thymeknot.raft import messages as say
+from thymeknot.raft.log import Log, founded
+from thymeknot.raft.messages import (
     Append,
     Ask,
     Members,
@@ -22,10 +21,11 @@
     TimerDue,
     Vote,
 )
-from thymeknot.agreement.log import Log, founded
-from thymeknot.agreement.machine import Parts, Sessions
-from thymeknot.agreement.store import Damaged, Files, Store
-from thymeknot.agreement.terms import Terms, faulty
+from thymeknot.raft.model_checker import BROKEN, FOCUS, Register, explore, search
+from thymeknot.raft.node import LEADER, LEARNER, STEPS, STOPPED, Keeper
+from thymeknot.raft.settings import Terms, faulty
+from thymeknot.raft.state_machine import Parts, Sessions
+from thymeknot.raft.storage import Damaged, Files, Store
 from thymeknot.records import Chance
 
 TERMS = Terms(snapshot_after=10, keep=2, chunk=64, most_waiting=4, leased_reads=True)
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -12,12 +12,12 @@
 from twisted.internet.task import Clock
 
 from tests.test_operator import FOLDER
-from thymeknot.agreement import client, wire
 from thymeknot.fleet import feature
 from thymeknot.gossip import keys
 from thymeknot.gossip.identity import Ring, made
 from thymeknot.gossip.terms import Peer, PeerKey
 from thymeknot.memory.deadlines import Deadlines
+from thymeknot.raft import client, message_codec
 from thymeknot.records import Chance
 from thymeknot.service import features
 
@@ -33,12 +33,12 @@
 
     def opened(self, told, session=SESSION, last=0, ring=None):
         try:
-            return wire.opened(ring or self.ring, 0.0, "n2", session, last, **told).body
-        except wire.Bad as bad:
+            return message_codec.opened(ring or self.ring, 0.0, "n2", session, last, **told).body
+        except message_codec.Bad as bad:
             return bad.kind
 
     def sealed(self, by=None, to="n2", number=1, body=b"body"):
-        return wire.sealed(by or self.one, to, SESSION, number, wire.KEEPER, body)
+        return message_codec.sealed(by or self.one, to, SESSION, number, message_codec.KEEPER, body)
 
     def test_what_is_taken_and_what_is_refused_by_kind(self):
         good = self.sealed()
@@ -48,7 +48,9 @@
         self.assertEqual(self.opened(self.sealed(to="n3")), "misled")
         self.assertEqual(self.opened(self.sealed(self.other)), "unknown")
         self.assertEqual(self.opened({**good, "content": good["content"] + b"\0"}), "forged")
-        self.assertEqual(self.opened({**good, "content": bytes(wire.LETTER_MOST + 1)}), "oversized")
+        self.assertEqual(
+            self.opened({**good, "content": bytes(message_codec.LETTER_MOST + 1)}), "oversized"
+        )
         revoked = Ring([Peer("n1", None, (PeerKey(self.one.text(), None),))], [self.one.text()])
         self.assertEqual(self.opened(good, ring=revoked), "unknown")
         content = msgspec.msgpack.encode(["n1", 7])
@@ -57,12 +59,12 @@
                 {
                     "key": self.one.key_id,
                     "content": content,
-                    "signature": self.one.sign(wire.MARK + content),
+                    "signature": self.one.sign(message_codec.MARK + content),
                 }
             ),
             "nonsense",
         )
-        self.assertRaises(wire.Bad, self.sealed, body=bytes(wire.LETTER_MOST))
+        self.assertRaises(message_codec.Bad, self.sealed, body=bytes(message_codec.LETTER_MOST))
 
 
 class Ways(unittest.TestCase):
@@ -89,7 +91,7 @@
         one.propose({"do": "x"}).addCallback(found.append)
         clock.pump([0.01] * 20)
         self.assertEqual(found, [{"ok": True}])
-        self.assertEqual(asked, [("a", wire.PROPOSE, 1), ("b", wire.PROPOSE, 1)])
+        self.assertEqual(asked, [("a", message_codec.PROPOSE, 1), ("b", message_codec.PROPOSE, 1)])
         ways["b"].told = None
         one.propose({"do": "y"}, 20_000).addCallback(found.append)
         one.propose({"do": "z"}, 100_000)
@@ -152,7 +154,7 @@
         code = (
             "import sys; from thymeknot.service import features, lifecycle; import thymeknot.sidecar; "
             "features.Features(None); "
-            "print([name for name in sys.modules if name.startswith(('thymeknot.fleet', 'thymeknot.agreement', "
+            "print([name for name in sys.modules if name.startswith(('thymeknot.fleet', 'thymeknot.raft', "
             "'thymeknot.turns', 'twisted.protocols.amp', 'msgspec'))])"
         )
         done = subprocess.run(
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -9,11 +9,6 @@
 import msgspec
 
 from tests.golden import generate
-from thymeknot.agreement import interface as agreement
-from thymeknot.agreement import wire as letters
-from thymeknot.agreement.interface import Recovered, Snapshot
-from thymeknot.agreement.machine import Parts, Sessions
-from thymeknot.agreement.store import Store
 from thymeknot.decision_log.entry_codec import SLOT
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.slot_file import HEAD, Arena, left_over
@@ -21,6 +16,11 @@
 from thymeknot.gossip import codec
 from thymeknot.gossip.identity import Ring
 from thymeknot.gossip.terms import Peer, PeerKey
+from thymeknot.raft import message_codec as letters
+from thymeknot.raft import messages as agreement
+from thymeknot.raft.messages import Recovered, Snapshot
+from thymeknot.raft.state_machine import Parts, Sessions
+from thymeknot.raft.storage import Store
 from thymeknot.reasons import Reason
 from thymeknot.records import Chance
 from thymeknot.turns.machine import Machine as DisruptionMachine
--- a/thymeknot/command/fleet.py
+++ b/thymeknot/command/fleet.py
@@ -4,11 +4,11 @@
 import secrets
 import time
 
-from ..agreement import wire
 from ..fleet.asking import Asker, Silent
 from ..fleet.feature import built
 from ..fleet.terms import FleetTerms
 from ..operator import files
+from ..raft import message_codec
 
 DONE, REFUSED, FAULTY, NOBODY = range(4)  # exit codes
 
@@ -53,7 +53,7 @@
             "by": [],
             "again": 0,
         }
-    except wire.Bad as bad:
+    except message_codec.Bad as bad:
         return FAULTY, {"refused": str(bad), "by": [], "again": 0}
     finally:
         one.close()
--- a/thymeknot/fleet/asking.py
+++ b/thymeknot/fleet/asking.py
@@ -7,8 +7,8 @@
 import msgspec
 from twisted.protocols.amp import Box
 
-from ..agreement import wire
 from ..gossip.terms import address
+from ..raft import message_codec
 
 STEP = 1.0  # seconds for an answer to one try
 PAUSE = 0.05  # between two tries
@@ -35,7 +35,7 @@
 
     def again(self, command, within=10.0):
         return self._asked(
-            wire.PROPOSE,
+            message_codec.PROPOSE,
             {
                 "command": command,
                 "origin": self.origin,
@@ -46,14 +46,14 @@
         )
 
     def read(self, query, within=10.0):
-        return self._asked(wire.READ, {"query": query}, within)
+        return self._asked(message_codec.READ, {"query": query}, within)
 
     def once(self, name, kind, told):
         """What one keeper says: {"reply": r}, or why, again, leader, unknown. Raises OSError, KeyError, wire.Bad."""
         line = self.lines.pop(name, None) or self._connected(name)
         source, connection, session, number = line
         try:
-            sealed = wire.sealed(
+            sealed = message_codec.sealed(
                 self.identity, name, session, number + 1, kind, msgspec.msgpack.encode(told)
             )
             connection.sendall(
@@ -61,8 +61,10 @@
             )
             back = _box(source)
             if b"_error_description" in back:
-                raise wire.Bad("refused", back[b"_error_description"].decode("utf-8", "replace"))
-            letter = wire.opened(
+                raise message_codec.Bad(
+                    "refused", back[b"_error_description"].decode("utf-8", "replace")
+                )
+            letter = message_codec.opened(
                 self.ring,
                 time.time(),
                 self.identity.name,
@@ -72,9 +74,13 @@
                 back[b"content"],
                 back[b"signature"],
             )
-            if letter.sender != name or letter.kind != wire.REPLY or letter.number != number + 1:
-                raise wire.Bad("misled", "an answer to another question")
-            said = wire.plain(letter.body)
+            if (
+                letter.sender != name
+                or letter.kind != message_codec.REPLY
+                or letter.number != number + 1
+            ):
+                raise message_codec.Bad("misled", "an answer to another question")
+            said = message_codec.plain(letter.body)
         except BaseException:
             _close(source, connection)  # what it may still say would be taken for another answer
             raise
@@ -83,7 +89,7 @@
 
     def _connected(self, name):
         connection = socket.create_connection(address(self.places[name]), timeout=STEP)
-        source, mine = connection.makefile("rb"), wire.nonce()
+        source, mine = connection.makefile("rb"), message_codec.nonce()
         try:
             connection.sendall(Box(_command=b"Hello", _ask=b"0", nonce=mine).serialize())
             return source, connection, mine + _box(source)[b"nonce"], 0
@@ -97,7 +103,7 @@
             name = self.leader or names[self.turn % len(names)]
             try:
                 said = self.once(name, kind, told)
-            except (OSError, KeyError, wire.Bad):
+            except (OSError, KeyError, message_codec.Bad):
                 said = {}
             if "reply" in said:
                 self.leader = name
--- a/thymeknot/fleet/feature.py
+++ b/thymeknot/fleet/feature.py
@@ -6,13 +6,13 @@
 
 import msgspec
 
-from ..agreement.client import Channel, Client
-from ..agreement.core import LEADER, Keeper
-from ..agreement.endpoint import Endpoint
-from ..agreement.machine import Parts
-from ..agreement.store import Damaged, Store
 from ..gossip import identity as identities
 from ..gossip.terms import address
+from ..raft.client import Channel, Client
+from ..raft.node import LEADER, Keeper
+from ..raft.peer_server import Endpoint
+from ..raft.state_machine import Parts
+from ..raft.storage import Damaged, Store
 from ..records import Chance
 from ..service import structured_log
 from ..turns.machine import Machine
--- a/thymeknot/fleet/terms.py
+++ b/thymeknot/fleet/terms.py
@@ -2,8 +2,8 @@
 
 from typing import NamedTuple, Optional
 
-from ..agreement.terms import Terms
 from ..gossip.terms import Peer, PeerKey
+from ..raft.settings import Terms
 from ..turns.machine import Machine
 
 KEEPERS = (1, 3, 5, 7)
--- a/thymeknot/agreement/client.py
+++ b/thymeknot/raft/client.py
@@ -10,7 +10,7 @@
 from twisted.internet.endpoints import HostnameEndpoint, connectProtocol
 from twisted.protocols import amp
 
-from . import wire
+from . import message_codec
 
 CONNECTS_WITHIN = 1.0  # seconds
 FULL_FOR = 2.0  # seconds that a connection may take nothing; then it is thought half open
@@ -75,7 +75,7 @@
         made.addCallbacks(self._greet, self._failed)
 
     def _greet(self, line):
-        mine = wire.nonce()
+        mine = message_codec.nonce()
         late = self.reactor.callLater(CONNECTS_WITHIN, line.transport.abortConnection)
 
         def begun(told):
@@ -92,7 +92,7 @@
             line.transport.abortConnection()
             self._failed(failure)
 
-        line.callRemote(wire.Hello, nonce=mine).addCallbacks(begun, failed)
+        line.callRemote(message_codec.Hello, nonce=mine).addCallbacks(begun, failed)
 
     def _failed(self, _):
         self.connecting = False
@@ -115,13 +115,13 @@
             return None
         self.full_since = None
         self.number += 1
-        return wire.sealed(self.identity, self.name, self.session, self.number, kind, body)
+        return message_codec.sealed(self.identity, self.name, self.session, self.number, kind, body)
 
     def send(self, body):
         """A keeper's message, or its loss."""
-        told = self._sealed(wire.KEEPER, body)
+        told = self._sealed(message_codec.KEEPER, body)
         if told:
-            self.line.callRemote(wire.Deliver, **told)
+            self.line.callRemote(message_codec.Deliver, **told)
 
     def ask(self, kind, body):
         """A Deferred of the reply, or None where nothing can be sent now. It fails with wire.Refusal, wire.Bad or
@@ -132,14 +132,20 @@
         session, number = self.session, self.number
 
         def came(back):
-            letter = wire.opened(
+            letter = message_codec.opened(
                 self.ring(), self.unix(), self.identity.name, session, number - 1, **back
             )
-            if letter.sender != self.name or letter.kind != wire.REPLY or letter.number != number:
-                raise wire.Bad("misled", f"an answer of {letter.sender} to another question")
-            return wire.plain(letter.body)
-
-        return self.line.callRemote(wire.Ask, **told).addCallback(came)
+            if (
+                letter.sender != self.name
+                or letter.kind != message_codec.REPLY
+                or letter.number != number
+            ):
+                raise message_codec.Bad(
+                    "misled", f"an answer of {letter.sender} to another question"
+                )
+            return message_codec.plain(letter.body)
+
+        return self.line.callRemote(message_codec.Ask, **told).addCallback(came)
 
     def close(self):
         if self.line:
@@ -181,7 +187,7 @@
     def propose(self, command, within=30_000):
         """A Deferred of the reply; one with "unknown" where none came within so many tenths of a millisecond: then it
         may have been carried out, or may be yet unless a later command of this client is."""
-        waiting = Waiting(wire.PROPOSE, {"command": command}, self.clock() + within)
+        waiting = Waiting(message_codec.PROPOSE, {"command": command}, self.clock() + within)
         if len(self.queue) >= QUEUE_MOST:
             self._end(
                 waiting,
@@ -199,7 +205,7 @@
 
     def read(self, query, within=30_000):
         """As `propose`, but it changes nothing and waits for no other."""
-        waiting = Waiting(wire.READ, {"query": query}, self.clock() + within)
+        waiting = Waiting(message_codec.READ, {"query": query}, self.clock() + within)
         self._try(waiting)
         return waiting.answer
 
--- a/thymeknot/agreement/log.py
+++ b/thymeknot/raft/log.py
@@ -2,7 +2,7 @@
 
 import msgspec
 
-from .interface import Cut, Entry, Members, Recovered, Snapshot, Voted
+from .messages import Cut, Entry, Members, Recovered, Snapshot, Voted
 
 KEEPERS = "keepers"  # the part of commands that concern the keepers themselves
 
--- a/thymeknot/agreement/explorer.py
+++ b/thymeknot/raft/model_checker.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from ..records import Chance
-from . import interface
-from .core import LEADER, STOPPED, Keeper
-from .interface import (
+from . import messages
+from .log import KEEPERS, replayed
+from .messages import (
     Answered,
     Applied,
     Persist,
@@ -28,9 +28,9 @@
     Stored,
     TimerDue,
 )
-from .log import KEEPERS, replayed
-from .machine import Sessions
-from .terms import Election, Terms
+from .node import LEADER, STOPPED, Keeper
+from .settings import Election, Terms
+from .state_machine import Sessions
 
 NAMES = "abcde"
 SMALL = Terms(
@@ -262,7 +262,7 @@
 
     def send(self, host, effect):
         peer, message = effect
-        if type(message) is interface.Hurry and self.deaf:
+        if type(message) is messages.Hurry and self.deaf:
             self.deaf = False
             self.deafen(host.name)
             self.at(1_000, self.heal)
@@ -656,7 +656,7 @@
         host = self.one(self.hosts.values())
         if host.keeper is None or host.stalled > self.now:
             return False
-        self.tell(host, interface.DiskFailed("by chance"))
+        self.tell(host, messages.DiskFailed("by chance"))
         self.at(500 + self.chance.draw() * 2_000, self.crash, host, True)
         return True
 
@@ -700,7 +700,7 @@
     ReadReady: World.read_ready,
     Refused: World.refused,
     Applied: World.applied,
-    interface.StoodDown: lambda world, host, effect: None,
+    messages.StoodDown: lambda world, host, effect: None,
 }
 DONE = {
     "cut": World.cut,
@@ -775,7 +775,7 @@
 
     @staticmethod
     def tampered(records):
-        return [one for one in records if type(one) is not interface.Voted]
+        return [one for one in records if type(one) is not messages.Voted]
 
 
 class CountsOld(Keeper):
--- a/thymeknot/agreement/core.py
+++ b/thymeknot/raft/node.py
@@ -15,7 +15,8 @@
 
 import msgspec
 
-from .interface import (
+from .log import KEEPERS, Log, founded, named_members
+from .messages import (
     Answered,
     Append,
     Appended,
@@ -43,8 +44,7 @@
     Vote,
     Voted,
 )
-from .log import KEEPERS, Log, founded, named_members
-from .machine import Sessions, refused
+from .state_machine import Sessions, refused
 
 FOLLOWER, PREVOTE, CANDIDATE = "follower", "prevote", "candidate"
 LEADER, LEARNER, STOPPED = "leader", "learner", "stopped"
--- a/thymeknot/agreement/endpoint.py
+++ b/thymeknot/raft/peer_server.py
@@ -12,8 +12,8 @@
 from twisted.protocols import amp
 
 from ..service import structured_log
-from . import interface as i
-from . import wire
+from . import message_codec
+from . import messages as i
 
 UNREAD_MOST = 4 * 65_536  # bytes of one box: four values of AMP's longest
 CONNECTIONS_MOST = 1_024
@@ -52,37 +52,37 @@
 
     def _opened(self, key, content, signature):
         if self.session is None:
-            raise wire.Bad("nonsense", "no greeting came first")
+            raise message_codec.Bad("nonsense", "no greeting came first")
         letter = self.endpoint.opened(self.session, self.last, key, content, signature)
         self.last = letter.number
         return letter
 
-    @wire.Hello.responder
+    @message_codec.Hello.responder
     def hello(self, nonce):
-        if self.session is not None or len(nonce) != wire.NONCE:
+        if self.session is not None or len(nonce) != message_codec.NONCE:
             self.endpoint.refuse("nonsense", "a greeting that came twice, or of another length")
-            raise wire.Refusal("greeted before")
-        mine = wire.nonce()
+            raise message_codec.Refusal("greeted before")
+        mine = message_codec.nonce()
         self.session = nonce + mine
         return {"nonce": mine}
 
-    @wire.Deliver.responder
+    @message_codec.Deliver.responder
     def deliver(self, key, content, signature):
         try:
             letter = self._opened(key, content, signature)
             self.endpoint.delivered(letter)
-        except wire.Bad as bad:
+        except message_codec.Bad as bad:
             self.endpoint.refuse(bad.kind, str(bad))
         return {}
 
-    @wire.Ask.responder
+    @message_codec.Ask.responder
     def ask(self, key, content, signature):
         try:
             letter = self._opened(key, content, signature)
             answer = self.endpoint.asked(letter)
-        except wire.Bad as bad:
+        except message_codec.Bad as bad:
             self.endpoint.refuse(bad.kind, str(bad))
-            raise wire.Refusal(str(bad)) from None
+            raise message_codec.Refusal(str(bad)) from None
         session = self.session
         return answer.addCallback(lambda told: self.endpoint.answered(letter, session, told))
 
@@ -122,40 +122,42 @@
         structured_log.seldom("letter refused", kind=kind, why=why, count=self.refused[kind])
 
     def opened(self, session, last, key, content, signature):
-        return wire.opened(
+        return message_codec.opened(
             self.ring(), time.time(), self.identity.name, session, last, key, content, signature
         )
 
     def delivered(self, letter):
         """Raises wire.Bad."""
-        if letter.kind != wire.KEEPER or letter.sender not in self.channels:
-            raise wire.Bad(
+        if letter.kind != message_codec.KEEPER or letter.sender not in self.channels:
+            raise message_codec.Bad(
                 "nonsense", f"{letter.sender} is no keeper, or that is no keeper's message"
             )
         message = i.from_bytes(letter.body)
         if isinstance(message, str):
-            raise wire.Bad("nonsense", message)
+            raise message_codec.Bad("nonsense", message)
         self.tell(i.Received(letter.sender, message))
 
     def asked(self, letter):
         """A Deferred of what is told. Raises wire.Bad."""
-        told = wire.plain(letter.body)
+        told = message_codec.plain(letter.body)
         self.token += 1
-        if letter.kind == wire.READ and isinstance(told.get("query"), dict):
+        if letter.kind == message_codec.READ and isinstance(told.get("query"), dict):
             event = i.ReadAsked(self.token)
-        elif letter.kind == wire.PROPOSE and isinstance(told.get("command"), dict):
+        elif letter.kind == message_codec.PROPOSE and isinstance(told.get("command"), dict):
             origin, incarnation, number = (
                 told.get(name) for name in ("origin", "incarnation", "number")
             )
             if not (
                 isinstance(origin, str) and isinstance(incarnation, int) and isinstance(number, int)
             ) or not (0 <= incarnation < 1 << 62 and 0 <= number < 1 << 62):
-                raise wire.Bad("nonsense", "no origin, incarnation and number")
+                raise message_codec.Bad("nonsense", "no origin, incarnation and number")
             if origin != letter.sender and not origin.startswith(letter.sender + "/"):
-                raise wire.Bad("forged", f"{letter.sender} speaks in the name of {origin[:40]}")
+                raise message_codec.Bad(
+                    "forged", f"{letter.sender} speaks in the name of {origin[:40]}"
+                )
             event = i.Proposed(self.token, origin, incarnation, number, told["command"])
         else:
-            raise wire.Bad("nonsense", "neither a command nor a query")
+            raise message_codec.Bad("nonsense", "neither a command nor a query")
         answer = Deferred()
         self.tokens[self.token] = answer, told.get("query")
         self.tell(event)
@@ -164,21 +166,21 @@
     def answered(self, letter, session, told):
         """The arguments of a signed answer."""
         try:
-            return wire.sealed(
+            return message_codec.sealed(
                 self.identity,
                 letter.sender,
                 session,
                 letter.number,
-                wire.REPLY,
+                message_codec.REPLY,
                 msgspec.msgpack.encode(told),
             )
-        except wire.Bad as bad:
-            return wire.sealed(
+        except message_codec.Bad as bad:
+            return message_codec.sealed(
                 self.identity,
                 letter.sender,
                 session,
                 letter.number,
-                wire.REPLY,
+                message_codec.REPLY,
                 msgspec.msgpack.encode(
                     {"reply": {"refused": f"the answer: {bad}; ask for less", "by": [], "again": 0}}
                 ),
--- a/thymeknot/agreement/store.py
+++ b/thymeknot/raft/storage.py
@@ -20,8 +20,8 @@
 
 import msgspec
 
-from .interface import Cut, Entry, Recovered, Snapshot, Voted
 from .log import replayed
+from .messages import Cut, Entry, Recovered, Snapshot, Voted
 
 HEAD, SLOT = struct.Struct(">II"), struct.Struct(">QQQ")
 KINDS = (Entry, Voted, Cut, Snapshot)
