--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -27,6 +27,7 @@
 from thymeknot.decision_log.recorder import Record, laid_out
 from thymeknot.decision_log.settings import WhyTerms
 from thymeknot.decision_log.slot_file import Arena
+from thymeknot.disruption.state_machine import Machine as DisruptionMachine
 from thymeknot.gangs.state import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.identity import Identity
@@ -40,7 +41,6 @@
 from thymeknot.records import Chance
 from thymeknot.service import structured_log
 from thymeknot.service.log_events import LEVELS
-from thymeknot.turns.machine import Machine as DisruptionMachine
 from thymeknot.wire import line
 
 FOLDER = os.path.dirname(os.path.abspath(__file__))
--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -11,7 +11,7 @@
 from collections import Counter
 
 from tests.helpers import PATIENCE, PodPeer, Program, command, reserved
-from thymeknot.fleet.asking import Asker
+from thymeknot.coordination.blocking_client import Asker
 from thymeknot.gossip import keys
 from thymeknot.gossip.identity import Ring
 from thymeknot.gossip.terms import Peer, PeerKey
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -251,7 +251,7 @@
         self.kept(fleet)
 
     def small_ask(self, small, unit):
-        from thymeknot.fleet.asking import Silent
+        from thymeknot.coordination.blocking_client import Silent
 
         try:
             return small.propose(
--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -1,9 +1,9 @@
-"""What the stories' words do. The checker is `thymeknot.turns.outside`, which looks at who serves."""
+"""What the stories' words do. The checker is `thymeknot.disruption.invariant_checker`, which looks at who serves."""
 
 from pytest import fixture
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from thymeknot.turns.world import SECOND, World, fleet
+from thymeknot.disruption.simulated_fleet import SECOND, World, fleet
 
 scenarios("drains.feature", "releases.feature", "halts.feature")
 
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -12,7 +12,7 @@
 from twisted.internet.task import Clock
 
 from tests.test_operator import FOLDER
-from thymeknot.fleet import feature
+from thymeknot.coordination import feature
 from thymeknot.gossip import keys
 from thymeknot.gossip.identity import Ring, made
 from thymeknot.gossip.terms import Peer, PeerKey
@@ -154,8 +154,8 @@
         code = (
             "import sys; from thymeknot.service import features, lifecycle; import thymeknot.sidecar; "
             "features.Features(None); "
-            "print([name for name in sys.modules if name.startswith(('thymeknot.fleet', 'thymeknot.raft', "
-            "'thymeknot.turns', 'twisted.protocols.amp', 'msgspec'))])"
+            "print([name for name in sys.modules if name.startswith(('thymeknot.coordination', 'thymeknot.raft', "
+            "'thymeknot.disruption', 'twisted.protocols.amp', 'msgspec'))])"
         )
         done = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=30
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -12,6 +12,7 @@
 from thymeknot.decision_log.entry_codec import SLOT
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.slot_file import HEAD, Arena, left_over
+from thymeknot.disruption.state_machine import Machine as DisruptionMachine
 from thymeknot.gangs.state import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.identity import Ring
@@ -23,7 +24,6 @@
 from thymeknot.raft.storage import Store
 from thymeknot.reasons import Reason
 from thymeknot.records import Chance
-from thymeknot.turns.machine import Machine as DisruptionMachine
 
 
 def stored(name):
--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
-from thymeknot.turns import planner
-from thymeknot.turns.holder import Holder
-from thymeknot.turns.machine import FIELDS, Machine
-from thymeknot.turns.state import LIFE, Fleet, Unit
-from thymeknot.turns.units import Terms
-from thymeknot.turns.world import SECOND, World, fleet
+from thymeknot.disruption import scheduler
+from thymeknot.disruption.agent import Holder
+from thymeknot.disruption.permits import LIFE, Fleet, Unit
+from thymeknot.disruption.simulated_fleet import SECOND, World, fleet
+from thymeknot.disruption.state_machine import FIELDS, Machine
+from thymeknot.disruption.targets import Terms
 
 NAMES = [f"u{number}" for number in range(8)]
 BUDGETS = [{"name": "racks", "each": "rack", "most": 1}, {"name": "all", "least": 5}]
@@ -533,7 +533,7 @@
         self.assertEqual(self.halted(Machine, slow=True), "")
 
     def test_a_way_back_outside_the_budgets(self):
-        def loose(fleet, held, plan=planner.plan):
+        def loose(fleet, held, plan=scheduler.plan):
             for unit in [one for one in fleet.asked.values() if one.ask.back]:
                 fleet.step(unit, "granted")
             plan(fleet, held)
@@ -541,9 +541,9 @@
         def unasked(self, unit, over=Fleet.over):
             return None if unit.ask.back else over(self, unit)
 
-        with Changed(planner, "plan", loose):
+        with Changed(scheduler, "plan", loose):
             self.assertEqual(self.back(), "", "the begin is checked by itself")
-        with Changed(planner, "plan", loose), Changed(Fleet, "over", unasked):
+        with Changed(scheduler, "plan", loose), Changed(Fleet, "over", unasked):
             self.assertIn("A1", self.back())
         self.assertEqual(self.back(), "")
 
--- a/thymeknot/command/fleet.py
+++ b/thymeknot/command/fleet.py
@@ -4,9 +4,9 @@
 import secrets
 import time
 
-from ..fleet.asking import Asker, Silent
-from ..fleet.feature import built
-from ..fleet.terms import FleetTerms
+from ..coordination.blocking_client import Asker, Silent
+from ..coordination.feature import built
+from ..coordination.settings import FleetTerms
 from ..operator import files
 from ..raft import message_codec
 
--- a/thymeknot/fleet/seat.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -1,7 +1,7 @@
 """The holder of turns on the real sidecar: says what it wants said, drains and brings back what it wants drained."""
 
+from ..disruption.agent import Holder
 from ..service import structured_log
-from ..turns.holder import Holder
 
 BEATS = 16  # looks at the time within a bound; the holder asks for four at least
 
--- a/thymeknot/fleet/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -6,6 +6,9 @@
 
 import msgspec
 
+from ..disruption.state_machine import Machine
+from ..disruption.targets import Refusal
+from ..disruption.targets import Terms as TurnTerms
 from ..gossip import identity as identities
 from ..gossip.terms import address
 from ..raft.client import Channel, Client
@@ -15,11 +18,8 @@
 from ..raft.storage import Damaged, Store
 from ..records import Chance
 from ..service import structured_log
-from ..turns.machine import Machine
-from ..turns.units import Refusal
-from ..turns.units import Terms as TurnTerms
-from .seat import Seat
-from .terms import AGREEMENT, Impossible, declarations, faulty
+from .drain_agent import Seat
+from .settings import AGREEMENT, Impossible, declarations, faulty
 
 DECLARED_EVERY = 10_000  # tenths of a millisecond between two looks whether the declaration stands
 
--- a/thymeknot/fleet/terms.py
+++ b/thymeknot/coordination/settings.py
@@ -2,9 +2,9 @@
 
 from typing import NamedTuple, Optional
 
+from ..disruption.state_machine import Machine
 from ..gossip.terms import Peer, PeerKey
 from ..raft.settings import Terms
-from ..turns.machine import Machine
 
 KEEPERS = (1, 3, 5, 7)
 # A letter is at most AMP's 64 KiB, so that an entry and a message with several have to be smaller than the core's own.
--- a/thymeknot/turns/holder.py
+++ b/thymeknot/disruption/agent.py
@@ -10,7 +10,7 @@
 build) come back with that build, or with what there is if it is empty, ("serve",) take new work again at once.
 """
 
-from .units import Terms
+from .targets import Terms
 
 IN, BEGINNING, DRAINING, OUT, RETURNING, LEAVING = (
     "in",
--- a/thymeknot/turns/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -5,7 +5,7 @@
 With `each` it holds for every value of that label by itself: `{"name": "racks", "each": "rack", "most": 1}`.
 """
 
-from .units import LABELS, Refusal, chosen, named, selector, spoken
+from .targets import LABELS, Refusal, chosen, named, selector, spoken
 
 BUDGETS_MOST = 64
 ROOMS_MOST = 16_384
--- a/thymeknot/turns/halts.py
+++ b/thymeknot/disruption/halts.py
@@ -1,7 +1,7 @@
 """Halts: what stops, why, and what ends it. A halt holds asks, ends permits that were not begun, and stops releases.
 It never holds one that is out from coming back."""
 
-from .units import Refusal, chosen, spoken
+from .targets import Refusal, chosen, spoken
 
 HALTS_MOST = 256
 # cause: (holds the asks of ways back, stops ways back of releases, ends when its budget is whole again). A budget that
--- a/thymeknot/turns/state.py
+++ b/thymeknot/disruption/permits.py
@@ -11,7 +11,7 @@
 from heapq import heapify, heappop, heappush
 
 from .budgets import rooms
-from .units import Terms
+from .targets import Terms
 
 IN, ASKED, GRANTED, DRAINING, OUT, RETURNING = (
     "in",
--- a/thymeknot/turns/releases.py
+++ b/thymeknot/disruption/rollouts.py
@@ -10,8 +10,8 @@
 back is named with the reason and not waited for; ordered again, the way back tries them again.
 """
 
-from . import planner
-from .state import ASKED, DRAINING, GRANTED, IN, OUT, RETURNING, Ask
+from . import scheduler
+from .permits import ASKED, DRAINING, GRANTED, IN, OUT, RETURNING, Ask
 
 RELEASES_MOST = 64
 PLAN = "release:"  # the plans of releases; nobody else may ask by such a name
@@ -291,7 +291,7 @@
             reason = self.overdue(unit)
             if unit.state == ASKED:
                 # Named at once, and waited for no longer than one that is on its way: who crashed may start again.
-                reason = planner.stuck(fleet, unit)
+                reason = scheduler.stuck(fleet, unit)
                 waits |= bool(reason) and fleet.at - unit.ask.at <= fleet.terms.home
             if reason:
                 aside[unit.name] = reason
--- a/thymeknot/turns/planner.py
+++ b/thymeknot/disruption/scheduler.py
@@ -8,7 +8,7 @@
 """
 
 from .budgets import NAMED_MOST
-from .state import HELD, RETURNING
+from .permits import HELD, RETURNING
 
 
 def order(asked, step):
--- a/thymeknot/turns/world.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -8,10 +8,10 @@
 from heapq import heappop, heappush
 
 from ..records import Chance
-from .holder import Holder
-from .machine import Machine
-from .outside import Outside
-from .units import Terms
+from .agent import Holder
+from .invariant_checker import Outside
+from .state_machine import Machine
+from .targets import Terms
 
 SECOND = 10_000
 TICK = SECOND // 5
--- a/thymeknot/turns/machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -8,11 +8,11 @@
 """
 
 from . import budgets as budget_words
-from . import planner
+from . import scheduler
 from .halts import Halts
-from .releases import BACK, ENDED, PLAN, Releases
-from .state import ASKED, DRAINING, GRANTED, HELD, OUT, RETURNING, STATUSES, Ask, Fleet
-from .units import Refusal, Terms, chosen, labels, named, selector
+from .permits import ASKED, DRAINING, GRANTED, HELD, OUT, RETURNING, STATUSES, Ask, Fleet
+from .rollouts import BACK, ENDED, PLAN, Releases
+from .targets import Refusal, Terms, chosen, labels, named, selector
 
 SECOND = 10_000
 SIZE_MOST = 65_536  # what a command may weigh, about its bytes as msgpack
@@ -205,11 +205,11 @@
         if do in ("tick", "halt", "resume", "back", "release", "vote", "cancel") or broken:
             self.releases.round()
         if fleet.freed or do == "tick":
-            planner.plan(fleet, self.held)
+            scheduler.plan(fleet, self.held)
 
     def break_(self, room):
         """Those who crashed broke a budget: its place is halted until it is whole, releases there until told."""
-        why = planner.way(self.fleet, room)
+        why = scheduler.way(self.fleet, room)
         try:
             self.stop(
                 self.halts.add(
@@ -393,8 +393,8 @@
     def at_once(self, unit, ask):
         """Refuses what would have to wait, for those who don't want to."""
         unit.ask = ask
-        sentence, full = self.held(unit), planner.full(self.fleet, unit)
-        why, by = planner.waits(self.fleet, unit) if full else (sentence, [])
+        sentence, full = self.held(unit), scheduler.full(self.fleet, unit)
+        why, by = scheduler.waits(self.fleet, unit) if full else (sentence, [])
         unit.ask = None
         if sentence or full:
             raise Refusal(sentence or why, by, SECOND)
@@ -415,7 +415,7 @@
             reply["fault"] = unit.fault
         if unit.state == ASKED:
             halted = self.held(unit)
-            why, by = (halted, []) if halted else planner.waits(self.fleet, unit)
+            why, by = (halted, []) if halted else scheduler.waits(self.fleet, unit)
             reply.update(waits=why, by=by, again=SECOND)
         return reply
 
@@ -451,7 +451,7 @@
         if over and not one.idle(at, self.fleet.terms.silent):
             # Others crashed since it was granted. One that does not serve may go: it may be what mends it.
             self.fleet.step(one, "halted")
-            raise Refusal(planner.way(self.fleet, over), [over.name, *sorted(over.outs)], SECOND)
+            raise Refusal(scheduler.way(self.fleet, over), [over.name, *sorted(over.outs)], SECOND)
         if halted:
             self.fleet.step(one, "halted")
             raise Refusal(halted, again=SECOND)
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -35,7 +35,7 @@
 def _fleet(settings, folder):
     files, terms, feature = (
         import_module(f"..{name}", __package__)
-        for name in ("operator.files", "fleet.terms", "fleet.feature")
+        for name in ("operator.files", "coordination.settings", "coordination.feature")
     )
     told = files.record(terms.FleetTerms, settings)
     feature.built(told, settings, folder)
