--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -14,12 +14,12 @@
 import numpy as np
 from scipy.optimize import Bounds, LinearConstraint, milp
 
-from thymeknot.gangs import score, search, state
-from thymeknot.gangs.jobs import Gang, parents
-from thymeknot.gangs.places import Places, Stated
+from thymeknot.gang_scheduling import placement_score, placement_search, state_machine
+from thymeknot.gang_scheduling.jobs import Gang, parents
+from thymeknot.gang_scheduling.topology import Places, Stated
 from thymeknot.records import Chance
 
-SECOND = state.SECOND
+SECOND = state_machine.SECOND
 PATTERNS = ("ring", "all", "tree", "pipeline", "matrix")
 GIGA = 10**9
 
@@ -70,10 +70,10 @@
     chance, found = Chance(seed), []
     while len(found) < cases:
         places, gang = small(chance)
-        scorer = score.Scorer(places, gang, 0)
-        quick = search.fast(scorer)
+        scorer = placement_score.Scorer(places, gang, 0)
+        quick = placement_search.fast(scorer)
         if quick:
-            best = scorer.total(search.exact(scorer))
+            best = scorer.total(placement_search.exact(scorer))
             found.append(scorer.total(quick) / best - 1)
     return found
 
@@ -153,8 +153,10 @@
     chance, apart, found = Chance(seed + 99), [], []
     while len(apart) < cases:
         places, gang = small(chance)
-        scorer = score.Scorer(places, msgspec.structs.replace(gang, pattern="ring", matrix=[]), 0)
-        best = search.exact(scorer)
+        scorer = placement_score.Scorer(
+            places, msgspec.structs.replace(gang, pattern="ring", matrix=[]), 0
+        )
+        best = placement_search.exact(scorer)
         if best:
             apart.append(abs(solved(scorer, 10)[0] / scorer.total(best) - 1))
     places = large(chance)
@@ -162,9 +164,9 @@
         gang = Gang(
             int(64 + 448 * chance.draw()), "ring", GIGA, 4 * SECOND, "p", SECOND, needs={"gpu": 1}
         )
-        scorer = score.Scorer(places, gang, 0)
-        found.append(scorer.total(search.fast(scorer)) / solved(scorer, 3)[0] - 1)
-        places.take(search.find(places, gang, 0).places, gang.shape())
+        scorer = placement_score.Scorer(places, gang, 0)
+        found.append(scorer.total(placement_search.fast(scorer)) / solved(scorer, 3)[0] - 1)
+        places.take(placement_search.find(places, gang, 0).places, gang.shape())
     return max(apart), found
 
 
@@ -319,12 +321,12 @@
     for _ in range(gangs):
         gang = some_gang(chance, int(2 * 256 ** chance.draw()), 2 * GIGA)
         began = time.process_time()
-        plan = search.find(places, gang, 0, how=how)
+        plan = placement_search.find(places, gang, 0, how=how)
         took.append(1000 * (time.process_time() - began))
         if plan:
             places.take(plan.places, gang.shape())
             counts = places.counts(plan.places)
-            score.put(places, gang, counts)
+            placement_score.put(places, gang, counts)
             placed.append((gang, counts))
     return places, placed, took
 
@@ -351,10 +353,10 @@
 def fleets(seed, gangs):
     ways = {
         "search": None,
-        "first_fit": search.first_fit,
-        "random": search.random_fit(Chance(seed + 7)),
-        "packing": search.packing,
-        "spreading": search.spreading,
+        "first_fit": placement_search.first_fit,
+        "random": placement_search.random_fit(Chance(seed + 7)),
+        "packing": placement_search.packing,
+        "spreading": placement_search.spreading,
     }
     found, took, first, began = {}, [], None, time.monotonic()
     for name, how in ways.items():
@@ -387,7 +389,7 @@
             if life["state"] == "hurt"
             else (life["gang"]["workers"],)
         )
-        half += life["state"] in state.LEASED and life["lease"] <= image["at"]
+        half += life["state"] in state_machine.LEASED and life["lease"] <= image["at"]
         for machine, some in life["places"].items():
             used[machine] = used.get(machine, 0) + some
     return half, sum(
@@ -397,7 +399,7 @@
     )
 
 
-def play(seed, turns, kind=state.Machine):
+def play(seed, turns, kind=state_machine.Machine):
     """Two schedulers that score at once over 8 racks and commit later, in any order, die between hold and bind, while
     racks and machines are lost and come back and drains ask. Answers sums by name."""
     chance, machine, at = Chance(seed), kind(), 0
@@ -463,7 +465,7 @@
             do("offer", gang=f"g{turn}", job=job)
         elif lot < 0.35:  # score
             name = pick(machine.queue()[:2])
-            plan = name and search.find(machine.view(), gangs[name].gang, at)
+            plan = name and placement_search.find(machine.view(), gangs[name].gang, at)
             wanted[who] = plan and (name, plan)
         elif lot < 0.60 and wanted[who]:
             name, plan = wanted[who]
@@ -484,7 +486,9 @@
         elif lot < 0.76 and (name := pick(in_state.get("running", ()))):
             sums["done"] += "ok" in do("done", gang=name, fence=gangs[name].fence)
         elif lot < 0.84 and (name := pick(in_state.get("hurt", ()))):
-            plan, _ = search.mended(machine.view(), gangs[name].gang, at, gangs[name].places, 0)
+            plan, _ = placement_search.mended(
+                machine.view(), gangs[name].gang, at, gangs[name].places, 0
+            )
             if plan:
                 reply = do(
                     "mend",
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -28,7 +28,7 @@
 from thymeknot.decision_log.settings import WhyTerms
 from thymeknot.decision_log.slot_file import Arena
 from thymeknot.disruption.state_machine import Machine as DisruptionMachine
-from thymeknot.gangs.state import Machine as GangMachine
+from thymeknot.gang_scheduling.state_machine import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.identity import Identity
 from thymeknot.laboratory import crowds, days
--- a/tests/test_gangs.py
+++ b/tests/test_gangs.py
@@ -7,18 +7,18 @@
 from hypothesis import strategies as some
 
 from measure.gangs import play
-from thymeknot.gangs import jobs, score, search, state
-from thymeknot.gangs.places import Places, Stated
+from thymeknot.gang_scheduling import jobs, placement_score, placement_search, state_machine
+from thymeknot.gang_scheduling.topology import Places, Stated
 from thymeknot.records import Chance
 
-SECOND = state.SECOND
+SECOND = state_machine.SECOND
 quick = settings(derandomize=True, deadline=None, max_examples=60)
 
 
 class Fleet:
     """A machine of the state with `racks` racks of `hosts` machines of `slots` slots, and a clock."""
 
-    def __init__(self, racks=2, hosts=2, slots=4, kind=state.Machine, terms=None):
+    def __init__(self, racks=2, hosts=2, slots=4, kind=state_machine.Machine, terms=None):
         self.machine, self.at = kind(terms), SECOND
         for at in range(racks):
             self.ok(
@@ -54,7 +54,7 @@
         )
 
     def plan(self, name):
-        return search.find(self.machine.view(), self.life(name).gang, self.at)
+        return placement_search.find(self.machine.view(), self.life(name).gang, self.at)
 
     def hold(self, name, plan=None):
         plan = plan or self.plan(name)
@@ -111,8 +111,8 @@
 
 class Life(unittest.TestCase):
     def test_every_pair_of_the_table_and_no_other(self):
-        states = [state.OFFERED, *state.WITH_SLOTS]
-        inputs = sorted({what for _, what in state.TABLE})
+        states = [state_machine.OFFERED, *state_machine.WITH_SLOTS]
+        inputs = sorted({what for _, what in state_machine.TABLE})
         for now, what in itertools.product(states, inputs):
             fleet = Fleet()
             fleet.run("g")
@@ -125,9 +125,9 @@
                 fleet.machine._swap(life, {})
             try:
                 fleet.machine._go("g", what, **more)
-                self.assertEqual(life.state, state.TABLE[now, what][0], (now, what))
-            except state.No as refusal:
-                self.assertNotIn((now, what), state.TABLE)
+                self.assertEqual(life.state, state_machine.TABLE[now, what][0], (now, what))
+            except state_machine.No as refusal:
+                self.assertNotIn((now, what), state_machine.TABLE)
                 self.assertIn("does not go with that", refusal.reply["refused"])
                 self.assertEqual(life.state, now)
 
@@ -215,14 +215,14 @@
             self.assertIn(says, fleet.offer("g", **more)["refused"])
 
 
-class Unread(state.Machine):
+class Unread(state_machine.Machine):
     """Broken: versions are not read, and room is taken for granted with them, as a scheduler that trusts its score."""
 
     def _room(self, life, places, versions):
         pass
 
 
-class Lasting(state.Machine):
+class Lasting(state_machine.Machine):
     """Broken: leases are not read."""
 
     def _lapse(self):
@@ -230,7 +230,7 @@
 
 
 class Schedulers(unittest.TestCase):
-    def two(self, kind=state.Machine):
+    def two(self, kind=state_machine.Machine):
         """Two schedulers score one rack at once, and both commit."""
         fleet = Fleet(racks=1, hosts=1, kind=kind)
         fleet.offer("g")
@@ -255,7 +255,7 @@
     def test_unread_versions_are_found(self):
         self.assertIn("r0m0 has slots twice", self.two(Unread)[0].broken())
 
-    def dies(self, kind=state.Machine):
+    def dies(self, kind=state_machine.Machine):
         """The scheduler dies between hold and bind."""
         fleet = Fleet(racks=1, hosts=1, kind=kind)
         fleet.offer("g")
@@ -277,13 +277,13 @@
 
     def test_random_plays_keep_the_rules_and_find_the_broken_variants(self):
         for kind, what in (
-            (state.Machine, None),
+            (state_machine.Machine, None),
             (Unread, "slots_twice"),
             (Lasting, "half_placed"),
         ):
             sums = play(3, 600, kind)
             for name in ("slots_twice", "half_placed"):
-                if kind is state.Machine or name == what:
+                if kind is state_machine.Machine or name == what:
                     self.assertEqual(sums[name] > 0, name == what, (kind, name))
 
     def test_tries_end_and_are_spread(self):
@@ -309,7 +309,9 @@
         old = fleet.run("g")
         fleet.ok("lost", kind="worker", name=fleet.on("g")[0], gang="g")
         life = fleet.life("g")
-        plan, way = search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
+        plan, way = placement_search.mended(
+            fleet.machine.view(), life.gang, fleet.at, life.places, 0
+        )
         reply = fleet.ok("mend", gang="g", fence=old, places=plan.places, versions=plan.versions)
         self.assertEqual((way, reply["way"], fleet.state("g")), ("in place", "in place", "bound"))
         self.assertIn("fence", fleet.do("start", gang="g", fence=old)["refused"])
@@ -325,7 +327,7 @@
         places = fleet.machine.view()
         places.host(home).closed = "another"  # nobody new there
         places.changed(home)
-        plan, way = search.mended(places, life.gang, fleet.at, life.places, 0)
+        plan, way = placement_search.mended(places, life.gang, fleet.at, life.places, 0)
         self.assertEqual((way, len(plan.places)), ("whole", 1))
         fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)
         self.assertEqual((fleet.state("g"), fleet.broken()), ("moving", []))
@@ -360,7 +362,7 @@
         said = fleet.ok("checkpoint", gang="g", fence=fence)
         self.assertEqual((said["next"], fleet.state("g")), ("mend", "hurt"))
         fleet.ok("drain_asked", machine=machine, drain="d")
-        plan, _ = search.mended(
+        plan, _ = placement_search.mended(
             fleet.machine.view(), fleet.life("g").gang, fleet.at, fleet.life("g").places, 0
         )
         self.assertNotIn(machine, plan.places)
@@ -375,7 +377,7 @@
             fleet.ok("drain_asked", machine=first, drain="d", unit=True)["gangs"], ["g"]
         )
         life = fleet.life("g")
-        plan, _ = search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
+        plan, _ = placement_search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
         fence = fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)[
             "fence"
         ]
@@ -400,7 +402,9 @@
         self.assertEqual((fleet.state("g"), fleet.broken()), ("hurt", []))
         fleet.ok("drain_asked", machine="r0m0", drain="d")
         life = fleet.life("g")
-        plan, way = search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
+        plan, way = placement_search.mended(
+            fleet.machine.view(), life.gang, fleet.at, life.places, 0
+        )
         self.assertEqual(
             (way, {machine[:2] for machine in plan.places}), ("in place", {"r1", "r2"})
         )
@@ -538,7 +542,7 @@
     )
     def test_exact_is_the_best_of_all_and_fast_is_near(self, pattern, half, racks, seed):
         places, gang = places_of(racks, chance=Chance(seed)), gang_of(2 * half, pattern)
-        scorer = score.Scorer(places, gang, 0)
+        scorer = placement_score.Scorer(places, gang, 0)
         every = [
             {at: many for at, many in enumerate(counts) if many}
             for counts in itertools.product(
@@ -547,14 +551,14 @@
             if sum(counts) == gang.workers
         ]
         best = min(map(scorer.total, every), default=None)
-        found = search.exact(scorer)
+        found = placement_search.exact(scorer)
         self.assertEqual(found is None, best is None)
         if found:
             self.assertAlmostEqual(scorer.total(found), best)
-            self.assertLessEqual(scorer.total(search.fast(scorer)), 1.3 * best + 0.05)
+            self.assertLessEqual(scorer.total(placement_search.fast(scorer)), 1.3 * best + 0.05)
 
     def test_the_score_explains_itself(self):
-        plan = search.find(places_of(4, hosts=1), gang_of(12, "all"), 0)
+        plan = placement_search.find(places_of(4, hosts=1), gang_of(12, "all"), 0)
         parts = plan.score.parts.values()
         self.assertAlmostEqual(
             plan.score.total, sum(part["value"] * part["weight"] for part in parts)
@@ -567,24 +571,24 @@
 
     def test_plans_and_others_traffic_turn_a_gang_away(self):
         places = places_of(2)
-        home = next(iter(search.find(places, gang_of(8), 0).versions))
+        home = next(iter(placement_search.find(places, gang_of(8), 0).versions))
         for machine in places.racks[home].hosts:
             places.host(machine).planned = 5
-        self.assertNotIn(home, search.find(places, gang_of(8), 0).versions)
+        self.assertNotIn(home, placement_search.find(places, gang_of(8), 0).versions)
         busy = places_of(4, hosts=1)
-        score.put(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
-        self.assertEqual(sorted(search.find(busy, gang_of(8), 0).versions), ["r1", "r3"])
+        placement_score.put(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
+        self.assertEqual(sorted(placement_search.find(busy, gang_of(8), 0).versions), ["r1", "r3"])
 
     def test_baselines_place_all_or_nothing(self):
-        scorer = score.Scorer(places_of(4), gang_of(20), 0)
+        scorer = placement_score.Scorer(places_of(4), gang_of(20), 0)
         for how in (
-            search.first_fit,
-            search.random_fit(Chance(1)),
-            search.packing,
-            search.spreading,
+            placement_search.first_fit,
+            placement_search.random_fit(Chance(1)),
+            placement_search.packing,
+            placement_search.spreading,
         ):
             self.assertEqual(sum(how(scorer).values()), 20)
-            self.assertIsNone(how(score.Scorer(places_of(2), gang_of(20), 0)))
+            self.assertIsNone(how(placement_score.Scorer(places_of(2), gang_of(20), 0)))
 
 
 def pairs(gang):
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -13,7 +13,7 @@
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.slot_file import HEAD, Arena, left_over
 from thymeknot.disruption.state_machine import Machine as DisruptionMachine
-from thymeknot.gangs.state import Machine as GangMachine
+from thymeknot.gang_scheduling.state_machine import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.identity import Ring
 from thymeknot.gossip.terms import Peer, PeerKey
--- a/thymeknot/gangs/search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from math import comb
 
-from .score import Score, Scorer, put
+from .placement_score import Score, Scorer, put
 
 EXACT_MOST = 3_000  # ways to share the workers out, up to which all are gone through
 ASKED_MOST = 700  # scores that an improvement may ask for: 30 to 60 us each
--- a/thymeknot/gangs/state.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -12,9 +12,9 @@
 import msgspec
 from msgspec import Meta
 
-from . import jobs, score
+from . import jobs, placement_score
 from .jobs import Amount, Gang, Name, Span
-from .places import HOST_LINK, Places, Stated
+from .topology import HOST_LINK, Places, Stated
 
 SECOND = 10_000
 OFFERED, HELD, BOUND, RUNNING, HURT, MOVING, DONE, REFUSED = (
@@ -297,7 +297,7 @@
         places.carried.clear()
         for life in self.all.gangs.values():
             if life.state in WITH_SLOTS and life.state != HURT:
-                score.put(places, life.gang, places.counts(life.places))
+                placement_score.put(places, life.gang, places.counts(life.places))
         return places
 
     def queue(self):
