--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -17,10 +17,10 @@
 from tests.helpers import PodPeer, Program, until
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Frame, Ping
-from thymeknot.gossip.hearsay import Pod
-from thymeknot.gossip.identity import Ring, Sources, made
+from thymeknot.gossip.keyring import Ring, Sources, made
 from thymeknot.gossip.node import TICK, Node
-from thymeknot.gossip.terms import Peer, PeerKey
+from thymeknot.gossip.settings import Peer, PeerKey
+from thymeknot.gossip.suspicion import Pod
 from thymeknot.records import Chance
 
 HONEST, HOSTILE = ("n0", "n1", "n2", "n3"), "n4"
--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -4,7 +4,7 @@
 
 from thymeknot.gossip import codec
 from thymeknot.gossip.codec import Accuse, Alive, Claim, Frame, Hints, Item, Left, Push
-from thymeknot.gossip.hearsay import Pod
+from thymeknot.gossip.suspicion import Pod
 
 KEPT = 200  # datagrams it heard, to be sent again
 
--- a/measure/shop.py
+++ b/measure/shop.py
@@ -8,7 +8,7 @@
 from measure.world import TERMS, World
 from thymeknot import interface as i
 from thymeknot.balance import Balancer
-from thymeknot.gossip.hearsay import Pod
+from thymeknot.gossip.suspicion import Pod
 
 SECOND = 10_000
 LANES = {
--- a/measure/world.py
+++ b/measure/world.py
@@ -5,9 +5,9 @@
 import heapq
 from hashlib import blake2b
 
-from thymeknot.gossip.identity import Sources
+from thymeknot.gossip.keyring import Sources
 from thymeknot.gossip.node import TICK, Node
-from thymeknot.gossip.terms import Ceiling, GossipTerms, HearsayTerms, Verifications
+from thymeknot.gossip.settings import Ceiling, GossipTerms, HearsayTerms, Verifications
 from thymeknot.records import Chance
 
 SECOND = 10_000
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -30,7 +30,7 @@
 from thymeknot.disruption.state_machine import Machine as DisruptionMachine
 from thymeknot.gang_scheduling.state_machine import Machine as GangMachine
 from thymeknot.gossip import codec
-from thymeknot.gossip.identity import Identity
+from thymeknot.gossip.keyring import Identity
 from thymeknot.laboratory import crowds, days
 from thymeknot.laboratory.fleet import Fleet
 from thymeknot.raft import message_codec as letters
--- a/tests/processes/rig.py
+++ b/tests/processes/rig.py
@@ -13,8 +13,8 @@
 from tests.helpers import PATIENCE, PodPeer, Program, command, reserved
 from thymeknot.coordination.blocking_client import Asker
 from thymeknot.gossip import keys
-from thymeknot.gossip.identity import Ring
-from thymeknot.gossip.terms import Peer, PeerKey
+from thymeknot.gossip.keyring import Ring
+from thymeknot.gossip.settings import Peer, PeerKey
 
 READ, PAY = "c=read,t=acme,d=6000", "c=pay,t=acme,d=6000"
 LOOK = 0.03  # seconds between two looks of the checker
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -14,8 +14,8 @@
 from tests.test_operator import FOLDER
 from thymeknot.coordination import feature
 from thymeknot.gossip import keys
-from thymeknot.gossip.identity import Ring, made
-from thymeknot.gossip.terms import Peer, PeerKey
+from thymeknot.gossip.keyring import Ring, made
+from thymeknot.gossip.settings import Peer, PeerKey
 from thymeknot.memory.deadlines import Deadlines
 from thymeknot.raft import client, message_codec
 from thymeknot.records import Chance
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -15,8 +15,8 @@
 from thymeknot.disruption.state_machine import Machine as DisruptionMachine
 from thymeknot.gang_scheduling.state_machine import Machine as GangMachine
 from thymeknot.gossip import codec
-from thymeknot.gossip.identity import Ring
-from thymeknot.gossip.terms import Peer, PeerKey
+from thymeknot.gossip.keyring import Ring
+from thymeknot.gossip.settings import Peer, PeerKey
 from thymeknot.raft import message_codec as letters
 from thymeknot.raft import messages as agreement
 from thymeknot.raft.messages import Recovered, Snapshot
--- a/tests/test_gossip.py
+++ b/tests/test_gossip.py
@@ -4,8 +4,8 @@
 
 from measure.hostile import Liar, pods_of
 from measure.world import HEARSAY, SECOND, TERMS, World
-from thymeknot.gossip.budget import Bucket, Checking, Sending
-from thymeknot.gossip.terms import Verifications
+from thymeknot.gossip.rate_limits import Bucket, Checking, Sending
+from thymeknot.gossip.settings import Verifications
 
 PODS = pods_of(8)
 
--- a/tests/test_gossip_words.py
+++ b/tests/test_gossip_words.py
@@ -13,10 +13,10 @@
 from thymeknot import interface as i
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Ack, Alive, Claim, Frame, Item, Left, Ping, Push
-from thymeknot.gossip.hearsay import Pod
-from thymeknot.gossip.identity import Ring, Sources, Unusable, made, read_identity
-from thymeknot.gossip.terms import Peer, PeerKey
-from thymeknot.gossip.windows import Window
+from thymeknot.gossip.keyring import Ring, Sources, Unusable, made, read_identity
+from thymeknot.gossip.replay_window import Window
+from thymeknot.gossip.settings import Peer, PeerKey
+from thymeknot.gossip.suspicion import Pod
 
 KEYS = {name: made(name) for name in ("n0", "n1", "n2")}
 UNTIL = "2027-01-31T00:00:00Z"
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thymeknot.operator import files, grammar, values
-from thymeknot.operator.values import Faulty
+from thymeknot.operator_config import grammar, loader, unification
+from thymeknot.operator_config.unification import Faulty
 
 KEY = "A" * 43 + "="
 LEAST = f'''gossip: {{
@@ -22,7 +22,7 @@
 
 def faults(text):
     try:
-        return files.read(text, "x.cue")
+        return loader.read(text, "x.cue")
     except Faulty as error:
         return [str(fault) for fault in error.faults]
 
@@ -31,19 +31,19 @@
     told, bad = grammar.parse(f"a: {text}", "x.cue"), []
     asked = grammar.parse(f"a: {schema}", "schema")
     definitions = {name: value for name, (value, _) in asked.fields.items() if name.startswith("#")}
-    met = values.meet(values.resolved(asked, definitions), told, (), bad)
-    result = values.concrete(met, (), bad)
+    met = unification.meet(unification.resolved(asked, definitions), told, (), bad)
+    result = unification.concrete(met, (), bad)
     return [fault.text for fault in bad] or result["a"]
 
 
 class Reads(unittest.TestCase):
     def test_what_is_left_out_gets_its_default_and_durations_are_tenths_of_a_millisecond(self):
-        told = files.read(LEAST, "x.cue")["gossip"]
+        told = loader.read(LEAST, "x.cue")["gossip"]
         self.assertEqual(
             (told["probe_every"], told["relays"], told["ceiling"]),
             (10_000, 3, {"bytes": 32000, "datagrams": 60}),
         )
-        told = files.read(
+        told = loader.read(
             LEAST + 'gossip: probe_timeout: "12ms"\ngossip: hearsay: lapse: "1m30s"', "x.cue"
         )["gossip"]
         self.assertEqual((told["probe_timeout"], told["hearsay"]["lapse"]), (120, 900_000))
@@ -115,7 +115,7 @@
     @given(st.text(alphabet='ab#{}[]:,|&*"\\\n ?.<>=!~1-/_', max_size=60))
     def test_no_text_does_more_than_be_refused(self, text):
         try:
-            files.read(text, "x.cue")
+            loader.read(text, "x.cue")
         except Faulty as error:
             self.assertTrue(error.faults and all(fault.file == "x.cue" for fault in error.faults))
 
@@ -123,7 +123,7 @@
         found = [name for name in os.listdir(FOLDER) if name.endswith(".cue")]
         self.assertIn("gossip.cue", found)
         for name in found:
-            self.assertTrue(files.load(os.path.join(FOLDER, name)))
+            self.assertTrue(loader.load(os.path.join(FOLDER, name)))
 
 
 class Program(unittest.TestCase):
@@ -150,7 +150,7 @@
             ".features as f; f.Features(None); "
             "print(sorted({name.split('.')[0] for name in sys.modules} & set('lark msgspec cryptography netaddr "
             "argparse click numpy scipy hdrh'.split()) | {name for name in sys.modules if name.startswith(("
-            "'thymeknot.gossip', 'thymeknot.operator', 'thymeknot.decision_log', 'thymeknot.load', "
+            "'thymeknot.gossip', 'thymeknot.operator_config', 'thymeknot.decision_log', 'thymeknot.load', "
             "'thymeknot.laboratory'))}))"
         )
         ended = self.run_it(code=code)
--- a/thymeknot/command/fleet.py
+++ b/thymeknot/command/fleet.py
@@ -7,7 +7,7 @@
 from ..coordination.blocking_client import Asker, Silent
 from ..coordination.feature import built
 from ..coordination.settings import FleetTerms
-from ..operator import files
+from ..operator_config import loader
 from ..raft import message_codec
 
 DONE, REFUSED, FAULTY, NOBODY = range(4)  # exit codes
@@ -20,12 +20,12 @@
 def asker(path):
     """Speaks by the name and key of an operator's file. Raises Unusable."""
     try:
-        settings = files.load(path).get("fleet") if path else None
-    except files.Faulty as error:
+        settings = loader.load(path).get("fleet") if path else None
+    except loader.Faulty as error:
         raise Unusable("\n".join(str(fault) for fault in error.faults)) from None
     if settings is None:
         raise Unusable("an operator's file with `fleet` says who the keepers are: --operator FILE")
-    told = files.record(FleetTerms, settings)
+    told = loader.record(FleetTerms, settings)
     try:
         identity, ring, _, _ = built(told, settings, os.path.dirname(os.path.abspath(path)))
     except ValueError as error:
--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -7,7 +7,7 @@
 import msgspec
 from twisted.protocols.amp import Box
 
-from ..gossip.terms import address
+from ..gossip.settings import address
 from ..raft import message_codec
 
 STEP = 1.0  # seconds for an answer to one try
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -9,8 +9,8 @@
 from ..disruption.state_machine import Machine
 from ..disruption.targets import Refusal
 from ..disruption.targets import Terms as TurnTerms
-from ..gossip import identity as identities
-from ..gossip.terms import address
+from ..gossip import keyring as identities
+from ..gossip.settings import address
 from ..raft.client import Channel, Client
 from ..raft.node import LEADER, Keeper
 from ..raft.peer_server import Endpoint
--- a/thymeknot/coordination/settings.py
+++ b/thymeknot/coordination/settings.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple, Optional
 
 from ..disruption.state_machine import Machine
-from ..gossip.terms import Peer, PeerKey
+from ..gossip.settings import Peer, PeerKey
 from ..raft.settings import Terms
 
 KEEPERS = (1, 3, 5, 7)
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -9,7 +9,7 @@
 
 from msgspec import DecodeError, Meta, Struct, msgpack
 
-from .identity import KEY_ID, SIGNATURE
+from .keyring import KEY_ID, SIGNATURE
 
 VERSION, MOST, LEAST = 1, 1400, 1 + KEY_ID + 8 + SIGNATURE
 ITEM_MOST = 400
--- a/thymeknot/gossip/keys.py
+++ b/thymeknot/gossip/keys.py
@@ -7,7 +7,7 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from .identity import Identity, Unusable, read_identity
+from .keyring import Identity, Unusable, read_identity
 
 
 def record(identity):
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -6,7 +6,7 @@
 
 from math import log
 
-from .windows import Window
+from .replay_window import Window
 
 SECOND = 10_000
 UNPROVED, ALIVE, SUSPECT, DEAD, LEFT = "unproved", "alive", "suspect", "dead", "left"
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -9,11 +9,11 @@
 from typing import NamedTuple
 
 from . import codec
-from .budget import SECOND, Checking, Sending
 from .codec import Accuse, Ack, Alive, Ask, Claim, Frame, Hints, Item, Left, Passed, Ping, Push
-from .hearsay import Belief
+from .dissemination_queue import Rumours
 from .membership import ALIVE, DEAD, SUSPECT, UNPROVED, Members
-from .rumours import Rumours
+from .rate_limits import SECOND, Checking, Sending
+from .suspicion import Belief
 
 TICK = SECOND // 10
 PUSHES = 5  # rounds of rumours in a period
--- a/thymeknot/gossip/endpoint.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -12,10 +12,10 @@
 from .. import interface as i
 from ..records import Chance
 from ..service import structured_log
-from . import identity as identities
-from . import terms as t
-from .hearsay import Pod
+from . import keyring as identities
+from . import settings as t
 from .node import TICK, Node
+from .suspicion import Pod
 
 READ_AT_ONCE = 24  # datagrams a round; what stays comes in the next one
 READ_BUFFER = 1 << 20  # asked of the system, so that a flood leaves room between two rounds
--- a/thymeknot/operator/grammar.py
+++ b/thymeknot/operator_config/grammar.py
@@ -9,7 +9,7 @@
 from lark import Lark, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
 
-from .values import TOP, Atom, Basic, Either, Fault, Faulty, ListOf, Reference, Struct, meet
+from .unification import TOP, Atom, Basic, Either, Fault, Faulty, ListOf, Reference, Struct, meet
 
 GRAMMAR = r"""
 start: _members
--- a/thymeknot/operator/files.py
+++ b/thymeknot/operator_config/loader.py
@@ -5,7 +5,7 @@
 from typing import get_type_hints
 
 from .grammar import MOST_BYTES, parse
-from .values import Fault, Faulty, Struct, concrete, meet, resolved
+from .unification import Fault, Faulty, Struct, concrete, meet, resolved
 
 VARIABLE = "THYMEKNOT_OPERATOR"
 
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -16,7 +16,7 @@
     """What makes the endpoint, once there is a sidecar."""
     files, terms, endpoint = (
         import_module(f"..{name}", __package__)
-        for name in ("operator.files", "gossip.terms", "gossip.endpoint")
+        for name in ("operator_config.loader", "gossip.settings", "gossip.udp_transport")
     )
     told = files.record(terms.GossipTerms, settings)
     endpoint.built(told, folder)
@@ -26,7 +26,7 @@
 def _why(settings, folder):
     files, terms, listener = (
         import_module(f"..{name}", __package__)
-        for name in ("operator.files", "decision_log.settings", "decision_log.query_server")
+        for name in ("operator_config.loader", "decision_log.settings", "decision_log.query_server")
     )
     told = files.record(terms.WhyTerms, settings)
     return lambda sidecar: listener.Why(sidecar, told, folder), told
@@ -35,7 +35,7 @@
 def _fleet(settings, folder):
     files, terms, feature = (
         import_module(f"..{name}", __package__)
-        for name in ("operator.files", "coordination.settings", "coordination.feature")
+        for name in ("operator_config.loader", "coordination.settings", "coordination.feature")
     )
     told = files.record(terms.FleetTerms, settings)
     feature.built(told, settings, folder)
@@ -53,7 +53,7 @@
         self.made = self._read() if path else {}
 
     def _read(self):
-        files = import_module("..operator.files", __package__)
+        files = import_module("..operator_config.loader", __package__)
         try:
             settings = files.load(self.path)
         except files.Faulty as error:
