--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -11,8 +11,8 @@
 import sys
 import time
 
-from thymeknot.laboratory import crowds
-from thymeknot.laboratory.experiments import (
+from thymeknot.simulation import large_fleet_scenarios
+from thymeknot.simulation.experiments import (
     crowd_figures,
     crowds_compared,
     mass_compared,
@@ -39,7 +39,7 @@
     parser.add_argument("--workers", type=int, default=os.cpu_count() or 1)
     parser.add_argument(
         "--kinds",
-        default=",".join((*crowds.KINDS, "vast", "mass")),
+        default=",".join((*large_fleet_scenarios.KINDS, "vast", "mass")),
         help="vast: the three vast ones, mass: the four mass ones",
     )
     parser.add_argument("--short", action="store_true")
@@ -59,9 +59,17 @@
             1,
         )
     begin, kinds = time.monotonic(), told.kinds.split(",")
-    vast = crowds.VAST if "vast" in kinds else tuple(one for one in kinds if one in crowds.VAST)
-    mass = crowds.MASS if "mass" in kinds else tuple(one for one in kinds if one in crowds.MASS)
-    usual = [one for one in kinds if one in crowds.KINDS]
+    vast = (
+        large_fleet_scenarios.VAST
+        if "vast" in kinds
+        else tuple(one for one in kinds if one in large_fleet_scenarios.VAST)
+    )
+    mass = (
+        large_fleet_scenarios.MASS
+        if "mass" in kinds
+        else tuple(one for one in kinds if one in large_fleet_scenarios.MASS)
+    )
+    usual = [one for one in kinds if one in large_fleet_scenarios.KINDS]
     figures = {"seed": told.seed}
     if usual:
         pairs = crowds_compared(
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -11,11 +11,11 @@
 
 from measure.load import drive, quantile
 from tests.helpers import PodPeer, Program
-from thymeknot.laboratory import days, numbers
-from thymeknot.laboratory.experiments import run
-from thymeknot.laboratory.fleet import Fleet, balancer, gamma, zipf_keys
-from thymeknot.laboratory.policies import BREAKERS
-from thymeknot.laboratory.trial import broken_by, queue
+from thymeknot.simulation import scenarios, statistics
+from thymeknot.simulation.baseline_policies import BREAKERS
+from thymeknot.simulation.calibration import broken_by, queue
+from thymeknot.simulation.experiments import run
+from thymeknot.simulation.simulator import Fleet, balancer, gamma, zipf_keys
 
 
 def held_per_core(seed, start=200):
@@ -71,13 +71,15 @@
     figures = {"seed": seed, "queue_error": round(queue_error(seed), 4)}
     chance = np.random.Generator(np.random.PCG64(seed))
     gaps, keys = gamma(chance, 1.0, 1.0), zipf_keys(chance, 20_000, 0.9)
-    figures["arrivals_p"] = round(numbers.arrivals_p([gaps.next() for _ in range(50_000)]), 4)
-    figures["zipf_p"] = round(numbers.zipf_p([keys.next() for _ in range(50_000)], 20_000, 0.9), 4)
+    figures["arrivals_p"] = round(statistics.arrivals_p([gaps.next() for _ in range(50_000)]), 4)
+    figures["zipf_p"] = round(
+        statistics.zipf_p([keys.next() for _ in range(50_000)], 20_000, 0.9), 4
+    )
     figures["rules_found"] = sum(
         rule in broken_by(breaker, seed) for rule, breaker in BREAKERS.items()
     )
     figures["rules_false"] = len(broken_by(balancer, seed))
-    day = days.drawn(seed, instances=400, pods=80, rate=400.0, seconds=60)
+    day = scenarios.drawn(seed, instances=400, pods=80, rate=400.0, seconds=60)
     begin = time.monotonic()
     big = Fleet(day, balancer).play()
     figures["sim_seconds"] = round(time.monotonic() - begin, 1)
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -22,7 +22,7 @@
 from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
 from thymeknot import interface
 from thymeknot.balance import Balancer
-from thymeknot.command.summary import Summary
+from thymeknot.cli.log_summary import Summary
 from thymeknot.decision_log.entry_codec import Entry, packed
 from thymeknot.decision_log.recorder import Record, laid_out
 from thymeknot.decision_log.settings import WhyTerms
@@ -31,8 +31,6 @@
 from thymeknot.gang_scheduling.state_machine import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.keyring import Identity
-from thymeknot.laboratory import crowds, days
-from thymeknot.laboratory.fleet import Fleet
 from thymeknot.raft import message_codec as letters
 from thymeknot.raft import messages as agreement
 from thymeknot.raft.state_machine import Parts, Sessions
@@ -41,6 +39,8 @@
 from thymeknot.records import Chance
 from thymeknot.service import structured_log
 from thymeknot.service.log_events import LEVELS
+from thymeknot.simulation import large_fleet_scenarios, scenarios
+from thymeknot.simulation.simulator import Fleet
 from thymeknot.wire import line
 
 FOLDER = os.path.dirname(os.path.abspath(__file__))
@@ -360,7 +360,11 @@
 def simulated_day(kind):
     """(digest of all actions and reasons, figures) of one day of the project's own simulation."""
     seed, size = SIMULATED_DAYS[kind]
-    day = days.drawn(seed, **size) if kind == "drawn" else crowds.of_kind(seed, kind, **size)[0]
+    day = (
+        scenarios.drawn(seed, **size)
+        if kind == "drawn"
+        else large_fleet_scenarios.of_kind(seed, kind, **size)[0]
+    )
     digest = hashlib.blake2b(digest_size=16)
 
     def engine(settings, seed, now):
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -10,11 +10,11 @@
 from tests.helpers import balancer as made_of
 from thymeknot import interface as i
 from thymeknot.admission import Admission
-from thymeknot.laboratory import crowds
-from thymeknot.laboratory.experiments import crowd_played, earlier
-from thymeknot.laboratory.fleet import Fleet, balancer
 from thymeknot.reasons import Reason
 from thymeknot.records import Chance
+from thymeknot.simulation import large_fleet_scenarios
+from thymeknot.simulation.experiments import crowd_played, earlier
+from thymeknot.simulation.simulator import Fleet, balancer
 
 READ, MANY = LANES["read"], TERMS._replace(balancers=200)
 ALL, SOME, HALF, NONE = (1.0, 1.0), (0.6, 0.999), (0.05, 0.6), (0.0, 0.0)
@@ -191,7 +191,7 @@
     SIZE = {"instances": 30, "pods": 18, "seconds": 20, "load": 0.45}
 
     def played(self, kind, policy=balancer, seed=2, **more):
-        day, (_, end) = crowds.drawn(seed, kind, **{**self.SIZE, **more})
+        day, (_, end) = large_fleet_scenarios.drawn(seed, kind, **{**self.SIZE, **more})
         return Fleet(day, policy).play(), end
 
     def test_before_and_now(self):
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -8,7 +8,6 @@
 
 from tests.test_sidecar import Network, Transport, entry
 from thymeknot import interface as i
-from thymeknot.laboratory.agents import IDLE, Connections, Service
 from thymeknot.memory.deadlines import Deadlines
 from thymeknot.polling.adaptive_interval import (
     AGAIN,
@@ -28,6 +27,7 @@
 from thymeknot.protocol.calls import KeptStream
 from thymeknot.protocol.discovery import FIRST_WORD
 from thymeknot.records import Chance
+from thymeknot.simulation.shared_services import IDLE, Connections, Service
 
 HEAD = b"HTTP/1.1 %d X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
 
--- a/tests/test_ends_pods.py
+++ b/tests/test_ends_pods.py
@@ -25,12 +25,12 @@
 from tests.test_sidecar import ANSWER, Network, Transport, entry
 from tests.test_sockets import MARK, PAY, READ, WithPods, value
 from thymeknot import interface as i
-from thymeknot.laboratory.rules import Checker
 from thymeknot.memory import pools
 from thymeknot.memory.exposure import Exposure
 from thymeknot.protocol import discovery
 from thymeknot.protocol.pod import PodConnection
 from thymeknot.service import structured_log
+from thymeknot.simulation.invariants import Checker
 
 
 class Broken(Transport):
--- a/tests/test_laboratory.py
+++ b/tests/test_laboratory.py
@@ -7,15 +7,15 @@
 
 import numpy as np
 
-from thymeknot.laboratory import days, numbers
-from thymeknot.laboratory.fleet import Fleet, balancer, gamma, zipf_keys
-from thymeknot.laboratory.pods import Build, Pod
-from thymeknot.laboratory.policies import BREAKERS, TEXTBOOK
-from thymeknot.laboratory.rules import Checker
-from thymeknot.laboratory.trial import broken_by, queue
-
-SECOND = days.SECOND
-LANES = {one.lane.name: one.lane for one in days.LANES}
+from thymeknot.simulation import scenarios, statistics
+from thymeknot.simulation.baseline_policies import BREAKERS, TEXTBOOK
+from thymeknot.simulation.calibration import broken_by, queue
+from thymeknot.simulation.invariants import Checker
+from thymeknot.simulation.servers import Build, Pod
+from thymeknot.simulation.simulator import Fleet, balancer, gamma, zipf_keys
+
+SECOND = scenarios.SECOND
+LANES = {one.lane.name: one.lane for one in scenarios.LANES}
 SMALL = {"instances": 6, "pods": 8, "rate": 60.0, "seconds": 20}
 
 
@@ -25,9 +25,9 @@
 
 class SameSeed(unittest.TestCase):
     def test_a_day_is_the_same_here_and_in_another_process(self):
-        here = Fleet(days.drawn(5, **SMALL), balancer).play().figures()
+        here = Fleet(scenarios.drawn(5, **SMALL), balancer).play().figures()
         code = (
-            "import json; from thymeknot.laboratory import days; from thymeknot.laboratory.fleet import *; "
+            "import json; from thymeknot.simulation import scenarios as days; from thymeknot.simulation.simulator import *; "
             f"print(json.dumps([repr(days.drawn(5, **{SMALL!r})), "
             f"Fleet(days.drawn(5, **{SMALL!r}), balancer).play().figures()]))"
         )
@@ -36,13 +36,13 @@
         )
         drawn, figures = json.loads(there.stdout)
         self.assertEqual(
-            (drawn, figures), (repr(days.drawn(5, **SMALL)), json.loads(json.dumps(here)))
+            (drawn, figures), (repr(scenarios.drawn(5, **SMALL)), json.loads(json.dumps(here)))
         )
-        self.assertNotEqual(repr(days.drawn(6, **SMALL)), drawn)
+        self.assertNotEqual(repr(scenarios.drawn(6, **SMALL)), drawn)
 
     def test_two_policies_meet_the_same_arrivals(self):
         asked = {
-            name: Fleet(days.drawn(5, **SMALL)._replace(retries=0, faults=()), policy)
+            name: Fleet(scenarios.drawn(5, **SMALL)._replace(retries=0, faults=()), policy)
             .play()
             .scores["asked"]
             for name, policy in TEXTBOOK.items()
@@ -60,10 +60,10 @@
     def test_draws_fit_what_they_are_drawn_from(self):
         chance = np.random.Generator(np.random.PCG64(4))
         gaps, keys = gamma(chance, 1.0, 1.0), zipf_keys(chance, 500, 0.9)
-        self.assertGreater(numbers.arrivals_p([gaps.next() for _ in range(20_000)]), 0.001)
-        self.assertGreater(numbers.zipf_p([keys.next() for _ in range(20_000)], 500, 0.9), 0.001)
+        self.assertGreater(statistics.arrivals_p([gaps.next() for _ in range(20_000)]), 0.001)
+        self.assertGreater(statistics.zipf_p([keys.next() for _ in range(20_000)], 500, 0.9), 0.001)
         self.assertLess(
-            numbers.zipf_p([keys.next() for _ in range(20_000)], 500, 1.2), 1e-6
+            statistics.zipf_p([keys.next() for _ in range(20_000)], 500, 1.2), 1e-6
         )  # it can fail
 
     def test_a_cold_pod_does_its_part_and_a_full_one_turns_away(self):
@@ -92,7 +92,7 @@
         chance, held = np.random.Generator(np.random.PCG64(8)), 0
         for _ in range(300):
             one = chance.normal(0.5, 0.1, 12)
-            found = numbers.paired(one + chance.normal(0.03, 0.02, 12), one)
+            found = statistics.paired(one + chance.normal(0.03, 0.02, 12), one)
             held += found.low <= 0.03 <= found.high
         self.assertTrue(270 <= held <= 298, held)
 
--- a/tests/test_load.py
+++ b/tests/test_load.py
@@ -13,13 +13,13 @@
 from twisted.internet.defer import succeed
 
 from tests.helpers import PodPeer, Program, words_of
-from thymeknot.load import plan
-from thymeknot.load.driver import Driver
-from thymeknot.load.speakers import Resp2
+from thymeknot.load_generator import schedule
+from thymeknot.load_generator.codecs import Resp2
+from thymeknot.load_generator.driver import Driver
 from thymeknot.protocol.resp import Malformed
 
-READ = plan.Lane("read", 1.0, "read")
-GOAL = plan.Goal(0.99, 500, 0.01)
+READ = schedule.Lane("read", 1.0, "read")
+GOAL = schedule.Goal(0.99, 500, 0.01)
 GOOD = b"$2\r\nok\r\n"
 
 
@@ -45,9 +45,9 @@
 
 class Plan(unittest.TestCase):
     def test_the_same_seed_is_the_same_plan_and_arrivals_and_lanes_keep_their_rate(self):
-        lanes = [plan.lane("read=3"), plan.lane("pay=1,write")]
+        lanes = [schedule.lane("read=3"), schedule.lane("pay=1,write")]
         one, two, other = (
-            list(plan.schedule(seed, 500, 10 * plan.SECOND, lanes)) for seed in (3, 3, 4)
+            list(schedule.schedule(seed, 500, 10 * schedule.SECOND, lanes)) for seed in (3, 3, 4)
         )
         self.assertEqual(one, two)
         self.assertNotEqual(one, other)
@@ -66,19 +66,19 @@
             "read=inf",
             "read=nan",
         ):
-            with self.assertRaises(plan.Wrong):
-                plan.lane(text)
+            with self.assertRaises(schedule.Wrong):
+                schedule.lane(text)
 
     def test_what_the_tool_did_itself_is_looked_at_first(self):
         for more, verdict in (
-            ({"latency": 9_000, "done": 1, "late": 900}, plan.SATURATED),
-            ({"latency": 9_000}, plan.FAILED),
-            ({"done": 980}, plan.FAILED),
-            ({}, plan.HELD),
+            ({"latency": 9_000, "done": 1, "late": 900}, schedule.SATURATED),
+            ({"latency": 9_000}, schedule.FAILED),
+            ({"done": 980}, schedule.FAILED),
+            ({}, schedule.HELD),
         ):
             self.assertEqual(
-                plan.judged(
-                    plan.Stretch(
+                schedule.judged(
+                    schedule.Stretch(
                         **{
                             "rate": 100.0,
                             "latency": 100,
@@ -97,32 +97,32 @@
     @settings(max_examples=100, deadline=None)
     @given(some.floats(20, 20_000))
     def test_a_ramp_ends_and_finds_the_rate(self, truth):
-        ramp, steps = plan.Ramp(10), 0
-        while ramp.state != plan.OVER:
-            ramp.told(plan.HELD if ramp.rate <= truth else plan.FAILED, "")
+        ramp, steps = schedule.Ramp(10), 0
+        while ramp.state != schedule.OVER:
+            ramp.told(schedule.HELD if ramp.rate <= truth else schedule.FAILED, "")
             steps += 1
             self.assertLess(steps, 60)
         self.assertTrue(0.9 * truth <= ramp.held <= truth, (truth, ramp.held))
 
     def test_a_saturated_tool_blames_nobody_and_nothing_held_ends_too(self):
         for shown, held, failed in (
-            ([plan.HELD, plan.SATURATED], 100, float("inf")),
-            ([plan.FAILED] * 60, 0.0, 0.0),
+            ([schedule.HELD, schedule.SATURATED], 100, float("inf")),
+            ([schedule.FAILED] * 60, 0.0, 0.0),
         ):
-            ramp = plan.Ramp(100)
+            ramp = schedule.Ramp(100)
             for one in shown:
-                if ramp.state != plan.OVER:
+                if ramp.state != schedule.OVER:
                     ramp.told(one, "")
-            self.assertEqual((ramp.state, ramp.held), (plan.OVER, held))
+            self.assertEqual((ramp.state, ramp.held), (schedule.OVER, held))
             self.assertGreaterEqual(ramp.failed, failed)
 
 
 class Speaks(unittest.TestCase):
     def test_each_kind_as_the_protocol_has_it(self):
-        told = plan.Request(0, "a" * 16, "k1", READ, "t1")
+        told = schedule.Request(0, "a" * 16, "k1", READ, "t1")
         self.assertEqual(Resp2().request(told, 20_000).count(b"\r\n$"), 4)
         self.assertIn(b"c=read,t=t1,d=2000\r\n", Resp2().request(told, 20_000))
-        marked = Resp2().request(told._replace(lane=plan.Lane("mark", 1, "marked")), 20_000)
+        marked = Resp2().request(told._replace(lane=schedule.Lane("mark", 1, "marked")), 20_000)
         self.assertTrue(
             marked.startswith(b"*5\r\n$10\r\nSVC.SUBMIT") and f"k={'a' * 16}".encode() in marked
         )
@@ -170,7 +170,7 @@
             "500",
         )  # of 50 ms, 13 of the tool's own would be too much
         server.close()
-        self.assertEqual((code, told["verdict"]), (1, plan.FAILED), told)
+        self.assertEqual((code, told["verdict"]), (1, schedule.FAILED), told)
         # On one line one answer was slow as it was served; some 80 were due while it was.
         self.assertGreater(told["corrected_ms"]["read"]["p90"], 100, told)
         self.assertLess(told["served_ms"]["read"]["p90"], 50, told)
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -3,10 +3,10 @@
 import unittest
 
 from thymeknot import interface as i
-from thymeknot.laboratory.crowds import MASS, mass
-from thymeknot.laboratory.days import SECOND, Fault
-from thymeknot.laboratory.experiments import crowd_played, mass_compared
-from thymeknot.laboratory.fleet import REFUSED_CALLS, Fleet, balancer
+from thymeknot.simulation.experiments import crowd_played, mass_compared
+from thymeknot.simulation.large_fleet_scenarios import MASS, mass
+from thymeknot.simulation.scenarios import SECOND, Fault
+from thymeknot.simulation.simulator import REFUSED_CALLS, Fleet, balancer
 
 SIZE, PERIOD = {"instances": 24, "pods": 18}, 2 * SECOND
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -150,8 +150,8 @@
             ".features as f; f.Features(None); "
             "print(sorted({name.split('.')[0] for name in sys.modules} & set('lark msgspec cryptography netaddr "
             "argparse click numpy scipy hdrh'.split()) | {name for name in sys.modules if name.startswith(("
-            "'thymeknot.gossip', 'thymeknot.operator_config', 'thymeknot.decision_log', 'thymeknot.load', "
-            "'thymeknot.laboratory'))}))"
+            "'thymeknot.gossip', 'thymeknot.operator_config', 'thymeknot.decision_log', 'thymeknot.load_generator', "
+            "'thymeknot.simulation'))}))"
         )
         ended = self.run_it(code=code)
         self.assertEqual((ended.stdout.strip(), ended.returncode), ("[]", 0), ended.stderr)
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -5,11 +5,11 @@
 from tests.helpers import NOW, SECOND, ended, pod, taken
 from tests.helpers import balancer as made_of
 from thymeknot import interface as i
-from thymeknot.laboratory import crowds
-from thymeknot.laboratory.days import Fault
-from thymeknot.laboratory.fleet import Fleet, balancer
 from thymeknot.reasons import Reason as R
 from thymeknot.service.rejection_summary import EVERY, Refusals
+from thymeknot.simulation import large_fleet_scenarios
+from thymeknot.simulation.scenarios import Fault
+from thymeknot.simulation.simulator import Fleet, balancer
 
 
 class Sums(unittest.TestCase):
@@ -85,7 +85,7 @@
     """What a fault does to what reaches pods and instances, seen from outside the decisions."""
 
     def made(self, kind, seed=3):
-        day, (begin, _) = crowds.drawn(seed, kind, 9, 6, 20, 0.3, good=True)
+        day, (begin, _) = large_fleet_scenarios.drawn(seed, kind, 9, 6, 20, 0.3, good=True)
         return Fleet(day._replace(offers=()), balancer), begin
 
     def test_a_lost_zone_says_nothing_and_comes_back_cold(self):
@@ -178,6 +178,6 @@
         )
 
     def test_days_of_each_kind_keep_the_rules(self):
-        for kind in crowds.KINDS:
-            day, _ = crowds.drawn(2, kind, 12, 9, 15, 0.4)
+        for kind in large_fleet_scenarios.KINDS:
+            day, _ = large_fleet_scenarios.drawn(2, kind, 12, 9, 15, 0.4)
             self.assertEqual(Fleet(day, balancer).play().checker.broken, [], kind)
--- a/tests/test_reports.py
+++ b/tests/test_reports.py
@@ -7,12 +7,12 @@
 import tempfile
 import unittest
 
-from thymeknot.command.summary import SPAN_MOST, Summary
-from thymeknot.laboratory import crowds
-from thymeknot.laboratory.experiments import crowd_figures
-from thymeknot.laboratory.fleet import Fleet, balancer
-from thymeknot.laboratory.report import written
-from thymeknot.laboratory.watched import Watched
+from thymeknot.cli.log_summary import SPAN_MOST, Summary
+from thymeknot.simulation import large_fleet_scenarios
+from thymeknot.simulation.experiments import crowd_figures
+from thymeknot.simulation.recording import Watched
+from thymeknot.simulation.report import written
+from thymeknot.simulation.simulator import Fleet, balancer
 
 SMALL = {"instances": 12, "pods": 9, "seconds": 12, "load": 0.4}
 
@@ -93,14 +93,14 @@
 
 class Pages(unittest.TestCase):
     def test_watching_changes_nothing_and_counts_all(self):
-        day, _ = crowds.drawn(3, "herd", **SMALL)
+        day, _ = large_fleet_scenarios.drawn(3, "herd", **SMALL)
         plain, watched = Fleet(day, balancer).play(), Watched(day, balancer).play()
         self.assertEqual(plain.figures(), watched.figures())
         self.assertEqual(sum(watched.how["done"]), plain.ends["done"])
         self.assertEqual(sum(sum(one) for one in watched.sent.values()), sum(plain.by_pod.values()))
 
     def test_a_page_has_a_picture_for_each_policy_and_its_figures(self):
-        day, _ = crowds.drawn(3, "zone", **SMALL)
+        day, _ = large_fleet_scenarios.drawn(3, "zone", **SMALL)
         with tempfile.TemporaryDirectory() as folder:
             found = written(day, {"now": balancer, "<now>": balancer}, folder, "zone & more")
             with open(os.path.join(folder, "index.html"), encoding="utf-8") as page:
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -17,10 +17,10 @@
 from thymeknot import interface as i
 from thymeknot.balance import Balancer
 from thymeknot.benchlink import Host
-from thymeknot.laboratory.rules import Checker
 from thymeknot.records import Known, Ring
 from thymeknot.service import configuration
 from thymeknot.service.configuration import Faulty, pairs
+from thymeknot.simulation.invariants import Checker
 
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 BATCHES, STEP, UNIT = 240, 20_000_000, 100_000
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -5,10 +5,10 @@
 from tests.helpers import NOW, ended, pod, sent, taken
 from tests.helpers import balancer as made_with
 from thymeknot import interface as i
-from thymeknot.laboratory.crowds import VAST, vast
-from thymeknot.laboratory.days import SECOND, Fault, Offer
-from thymeknot.laboratory.experiments import crowd_played, vast_figures
-from thymeknot.laboratory.fleet import REFUSED_CALLS, SILENT_CALLS, Fleet, balancer
+from thymeknot.simulation.experiments import crowd_played, vast_figures
+from thymeknot.simulation.large_fleet_scenarios import VAST, vast
+from thymeknot.simulation.scenarios import SECOND, Fault, Offer
+from thymeknot.simulation.simulator import REFUSED_CALLS, SILENT_CALLS, Fleet, balancer
 
 SIZE = {"instances": 16, "pods": 15, "seconds": 28}
 GOOD, BAD = ((Offer(3 * SECOND, 2, not fails, fails, 1.0, 0, 0.0),) for fails in (0.0, 0.35))
--- a/thymeknot/__main__.py
+++ b/thymeknot/__main__.py
@@ -6,7 +6,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:]:
-        from .command.main import thymeknot
+        from .cli.main import thymeknot
 
         thymeknot(prog_name="thymeknot")
     signal.signal(
--- a/thymeknot/command/main.py
+++ b/thymeknot/cli/main.py
@@ -6,7 +6,7 @@
 import click
 
 from ..service.features import VARIABLE
-from .ask import Unreachable, lines_of
+from .decision_log_client import Unreachable, lines_of
 
 DURATIONS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
@@ -233,7 +233,7 @@
 def _agreed(context, read=False, **command):
     """Exit codes: 0 done, 1 refused, 2 faulty words or files, 3 no keeper answers."""
     try:
-        from . import fleet as words
+        from . import coordination_commands as words
     except ImportError as error:
         raise click.UsageError(f"{error.name} is missing: pip install 'thymeknot[fleet]'") from None
     path, plain, within = context.obj
@@ -315,7 +315,7 @@
 @click.option("--json", "plain", is_flag=True, help="lines of JSON")
 def logs(files, every, plain):
     """What the logs of a fleet say together: a FILE for each sidecar."""
-    from .summary import Summary
+    from .log_summary import Summary
 
     summary = Summary(every)
     for source in files:
@@ -388,18 +388,18 @@
 ):
     """Sends at its own times whatever the answers do. Latencies count from when a request was due."""
     try:
-        from ..load import plan, run
+        from ..load_generator import run, schedule
     except ImportError as error:
         raise click.UsageError(f"{error.name} is missing: pip install 'thymeknot[load]'") from None
     host, _, port = place.rpartition(":")
     try:
-        told = [plan.lane(one) for one in lanes]
+        told = [schedule.lane(one) for one in lanes]
         if not port.isdigit():
-            raise plan.Wrong(f"{place}: HOST:PORT")
-    except plan.Wrong as error:
+            raise schedule.Wrong(f"{place}: HOST:PORT")
+    except schedule.Wrong as error:
         raise click.UsageError(str(error)) from None
-    goal = plan.Goal(quantile, int(goal_ms * 10), not_done)
-    climbing = plan.Ramp(rate) if ramp else None
+    goal = schedule.Goal(quantile, int(goal_ms * 10), not_done)
+    climbing = schedule.Ramp(rate) if ramp else None
     found = run.stretches(
         host,
         int(port),
@@ -407,7 +407,7 @@
         goal,
         lambda line: click.echo(line, err=True),
         lines,
-        int(patience * plan.SECOND),
+        int(patience * schedule.SECOND),
         protocol,
         climbing,
     )
@@ -426,7 +426,7 @@
             }
         )
     )
-    context.exit(0 if climbing or found[-1][1] == plan.HELD else 1)
+    context.exit(0 if climbing or found[-1][1] == schedule.HELD else 1)
 
 
 @thymeknot.group()
@@ -453,7 +453,7 @@
 )
 def lab_run(seed, policy, **size):
     """Plays one day and prints its figures."""
-    from ..laboratory import experiments
+    from ..simulation import experiments
 
     try:
         click.echo(_json(experiments.played((policy, seed, size))))
@@ -472,7 +472,7 @@
 )
 def lab_compare(one, two, seed, days, workers, keep, **size):
     """Two policies on the same days: the difference with its interval, and the least that could be seen."""
-    from ..laboratory import experiments
+    from ..simulation import experiments
 
     with click.progressbar(
         length=2 * days, label="days", file=click.get_text_stream("stderr")
@@ -513,7 +513,7 @@
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
 def lab_fleet(one, two, kinds, days, instances, pods, seed, workers):
     """Two policies on the same days of a whole fleet: two less one with its interval."""
-    from ..laboratory import experiments
+    from ..simulation import experiments
 
     kinds = _kinds(kinds)
     with click.progressbar(
@@ -535,11 +535,13 @@
 
 
 def _kinds(text):
-    from ..laboratory import crowds
+    from ..simulation import large_fleet_scenarios
 
-    wrong = [kind for kind in text.split(",") if kind not in crowds.KINDS]
+    wrong = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
     if wrong:
-        raise click.UsageError(f"{', '.join(wrong)}: none of {', '.join(crowds.KINDS)}")
+        raise click.UsageError(
+            f"{', '.join(wrong)}: none of {', '.join(large_fleet_scenarios.KINDS)}"
+        )
     return text.split(",")
 
 
@@ -554,11 +556,11 @@
 @click.option("--seed", default=1, show_default=True)
 def lab_report(folder, kind, names, instances, pods, seed):
     """A page with pictures of one day of a fleet, played with each policy, in FOLDER."""
-    from ..laboratory import crowds, experiments
+    from ..simulation import experiments, large_fleet_scenarios
 
     _kinds(kind)
     try:
-        from ..laboratory import report
+        from ..simulation import report
 
         policies = {name: experiments.policy(name) for name in names}
     except ImportError as error:
@@ -567,7 +569,7 @@
         ) from None
     except experiments.Unknown as error:
         raise click.UsageError(str(error)) from None
-    day, _ = crowds.drawn(seed, kind, instances=instances, pods=pods)
+    day, _ = large_fleet_scenarios.drawn(seed, kind, instances=instances, pods=pods)
     click.echo(_json(report.written(day, policies, folder, f"{kind}, seed {seed}")))
 
 
@@ -577,7 +579,7 @@
 @click.option("--against", default="random", show_default=True)
 def lab_search(seed, days, against, **size):
     """The days on which the module does worst beside another policy, shrunk to what matters."""
-    from ..laboratory import experiments
+    from ..simulation import experiments
 
     for one in experiments.searched(
         "now", range(seed, seed + days), size, os.cpu_count() or 1, against
--- a/thymeknot/load/driver.py
+++ b/thymeknot/load_generator/driver.py
@@ -6,8 +6,8 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ..protocol.resp import Malformed
-from .plan import SECOND
-from .tally import Tally
+from .latency_histogram import Tally
+from .schedule import SECOND
 
 SLACK = SECOND // 2  # beyond a client's time, until a request counts as lost
 TICK = 0.001  # seconds between two looks at what is due
--- a/thymeknot/load/run.py
+++ b/thymeknot/load_generator/run.py
@@ -2,9 +2,9 @@
 
 import time
 
+from .codecs import SPEAKERS
 from .driver import Driver
-from .plan import OVER, SECOND, Stretch, judged, schedule
-from .speakers import SPEAKERS
+from .schedule import OVER, SECOND, Stretch, judged, schedule
 
 
 def stretches(
--- a/thymeknot/laboratory/trial.py
+++ b/thymeknot/simulation/calibration.py
@@ -4,10 +4,10 @@
 
 import numpy as np
 
-from . import numbers
-from .days import SECOND, Offer, drawn
-from .fleet import Fleet, gamma
-from .pods import Build, Pod
+from . import statistics
+from .scenarios import SECOND, Offer, drawn
+from .servers import Build, Pod
+from .simulator import Fleet, gamma
 
 
 def queue(servers, load, count, seed):
@@ -47,8 +47,8 @@
     return (
         float(times.mean()),
         float(np.quantile(times, 0.95)),
-        numbers.mmc_mean(servers, rate, mean),
-        numbers.mmc_quantile(servers, rate, mean, 0.95),
+        statistics.mmc_mean(servers, rate, mean),
+        statistics.mmc_quantile(servers, rate, mean, 0.95),
     )
 
 
--- a/thymeknot/laboratory/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -12,10 +12,10 @@
 import orjson
 
 from .. import interface
-from . import crowds, days, numbers
-from .agents import EarlierPace
-from .fleet import Fleet, balancer
-from .policies import TEXTBOOK
+from . import large_fleet_scenarios, scenarios, statistics
+from .baseline_policies import TEXTBOOK
+from .shared_services import EarlierPace
+from .simulator import Fleet, balancer
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 _versions = {}
@@ -83,7 +83,7 @@
 def played(task):
     """One day with one policy: its figures, with what it takes to play it again."""
     name, seed, size = task
-    fleet = Fleet(days.drawn(seed, **size), policy(name)).play()
+    fleet = Fleet(scenarios.drawn(seed, **size), policy(name)).play()
     return {
         "policy": name,
         "seed": seed,
@@ -97,10 +97,10 @@
 def crowd_played(task):
     """One day of a whole fleet (policy, kind, seed, size of crowds.drawn): what its decisions are judged by."""
     name, kind, seed, size = task
-    day, (_, end) = crowds.of_kind(seed, kind, **size)
+    day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
     fleet, offer = Fleet(day, policy(name)).play(), day.offers[0]
     turned_away, needless = fleet.needless()
-    if kind in crowds.VAST:
+    if kind in large_fleet_scenarios.VAST:
         return {
             "policy": name,
             "kind": kind,
@@ -109,7 +109,7 @@
             "recover_s": fleet.recovered(end),
             **vast_figures(fleet),
         }
-    if kind in crowds.MASS:
+    if kind in large_fleet_scenarios.MASS:
         return {
             "policy": name,
             "kind": kind,
@@ -263,7 +263,7 @@
     before, now = ([float(one[at][name]) for one in some] for at in (0, 1))
     if not some:
         return None
-    gap = numbers.paired(now, before)
+    gap = statistics.paired(now, before)
     low, high = (round(one, 4) if math.isfinite(one) else None for one in (gap.low, gap.high))
     return {
         "before": round(sum(before) / len(before), 4),
@@ -349,7 +349,7 @@
     first, second = results[::2], results[1::2]
     return (
         {
-            figure: numbers.paired(
+            figure: statistics.paired(
                 [each[figure] for each in first], [each[figure] for each in second]
             )
             for figure in ("service", "worst_10s", "harm")
@@ -383,7 +383,7 @@
 
 def shrunk(name, against, seed, size, gap):
     """The kinds of a day's troubles without which the gap would close by over a tenth."""
-    day, kept = days.drawn(seed, **size), list(days.drawn(seed, **size).faults)
+    day, kept = scenarios.drawn(seed, **size), list(scenarios.drawn(seed, **size).faults)
     for fault in list(kept):
         fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
         rest = (
--- a/thymeknot/laboratory/crowds.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -6,7 +6,7 @@
 import numpy as np
 
 from .. import interface as i
-from .days import SECOND, WAVES, Day, Fault, LaneMix, Offer
+from .scenarios import SECOND, WAVES, Day, Fault, LaneMix, Offer
 
 KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
 # Some forty instances by sixty pods, three stages, two builds, a trouble of its own beside each day's. Lists are asked
--- a/thymeknot/laboratory/watched.py
+++ b/thymeknot/simulation/recording.py
@@ -2,9 +2,9 @@
 
 import numpy as np
 
-from .days import SECOND
-from .fleet import Fleet
-from .pods import UP
+from .scenarios import SECOND
+from .servers import UP
+from .simulator import Fleet
 
 LOOK = SECOND // 2
 
--- a/thymeknot/laboratory/report.py
+++ b/thymeknot/simulation/report.py
@@ -9,8 +9,8 @@
 from matplotlib import pyplot  # noqa: E402  the backend comes first
 
 from .. import interface as i  # noqa: E402
-from .days import SECOND  # noqa: E402
-from .watched import LOOK, Watched  # noqa: E402
+from .recording import LOOK, Watched  # noqa: E402
+from .scenarios import SECOND  # noqa: E402
 
 VERDICTS = {i.NO_VOTE: "withdrawn", i.ON: "on", i.HOLD: "hold", i.BACK: "back"}
 COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
--- a/thymeknot/laboratory/fleet.py
+++ b/thymeknot/simulation/simulator.py
@@ -12,10 +12,10 @@
 
 from .. import interface as i
 from ..records import Chance
-from .agents import Connections, Discovery, pace_of
-from .days import SECOND
-from .pods import DOWN, DRAINING, UP, Build, Pod
-from .rules import Checker
+from .invariants import Checker
+from .scenarios import SECOND
+from .servers import DOWN, DRAINING, UP, Build, Pod
+from .shared_services import Connections, Discovery, pace_of
 
 GRACE = 2500  # of drains
 CONNECTING = 2500  # a new connection that does not come up
