--- a/measure/shop.py
+++ b/measure/shop.py
@@ -6,41 +6,69 @@
 
 from measure.hostile import Liar
 from measure.world import TERMS, World
-from thymeknot import interface as i
 from thymeknot.balance import Balancer
 from thymeknot.gossip.suspicion import Pod
+from thymeknot.interface.actions import SendAttempt, SetTimer
+from thymeknot.interface.enums import (
+    DeduplicationScope,
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    PromotionMode,
+    ReleasePhase,
+    UpdateKind,
+)
+from thymeknot.interface.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
+    ReleaseUpdate,
+    RequestReceived,
+    SuspicionReported,
+    TimerFired,
+)
+from thymeknot.interface.settings import RequestClass, Settings
 
 SECOND = 10_000
 LANES = {
-    "read": i.Lane("read", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, SECOND // 2, 2 * SECOND, 1.0, 0.0)
+    "read": RequestClass(
+        "read",
+        Idempotency.IDEMPOTENT,
+        DeduplicationScope.ALL,
+        5 * SECOND,
+        SECOND // 2,
+        2 * SECOND,
+        1.0,
+        0.0,
+    )
 }
-SHOP = i.Terms(
-    lanes=LANES,
-    balancers=1,
-    subscribes=False,
-    max_deliveries=3,
+SHOP = Settings(
+    request_classes=LANES,
+    instances=1,
+    lists_polled=False,
+    max_attempts=3,
     max_retry_after=SECOND,
-    second_copies=False,
-    may_recall=False,
-    retry_after=True,
-    reports=(),
-    ask_within=10 * SECOND,
-    cold_from=0.25,
-    cold=4 * SECOND,
-    fall_multiple=2.0,
-    overload_for=SECOND,
+    hedging_allowed=False,
+    cancellation_allowed=False,
+    retry_after_allowed=True,
+    load_metrics=(),
+    poll_within=10 * SECOND,
+    warmup_initial_fraction=0.25,
+    warmup_duration=4 * SECOND,
+    overload_factor=2.0,
+    overload_window=SECOND,
     exposure_window=2 * SECOND,
-    allowance=2.0,
+    exposure_allowance=2.0,
     guarded_stages=1,
-    waves=(0.1, 0.5, 1.0),
-    by_lane=False,
-    keys_stay=True,
-    replaces=False,
-    decided_by=i.BY_COUNT,
+    stage_fractions=(0.1, 0.5, 1.0),
+    exposure_by_class=False,
+    sticky_keys=True,
+    replaces_machines=False,
+    promotion_mode=PromotionMode.QUORUM,
     votes_to_revert=1,
-    vote_life=4 * SECOND,
-    vote_wait=SECOND,
-    votes_per_s=100.0,
+    vote_lifetime=4 * SECOND,
+    vote_timeout=SECOND,
+    votes_per_second=100.0,
 )
 
 
@@ -51,7 +79,10 @@
     def __init__(self, rates, pods, ill, seed, gossip=True, liars=(), terms=TERMS, loss=0.0):
         self.world, self.chance = World(list(rates), seed, loss=loss), random.Random(seed)
         self.rates, self.ill, self.gossip, self.terms = rates, ill, gossip, terms
-        self.pods = [i.Pod(f"s-{at}", "a", 1.0, 0, i.READY, 0, "m", 1) for at in range(pods)]
+        self.pods = [
+            Endpoint(f"s-{at}", "a", 1.0, 0, EndpointCondition.READY, 0, "m", 1)
+            for at in range(pods)
+        ]
         self.said = [Pod(pod.address, "", 1, 0) for pod in self.pods]
         self.balancers, self.counts, self.numbers = {}, {}, 0
         for instance in self.world.instances.values():
@@ -70,14 +101,16 @@
         }
         for name in rates:
             balancer = Balancer(
-                SHOP._replace(balancers=len(rates)), self.chance.getrandbits(60), self.world.now
+                SHOP._replace(instances=len(rates)), self.chance.getrandbits(60), self.world.now
             )
             self.balancers[name] = balancer
             self.counts[name] = {"deliveries": 0, "failed": 0, "ill": 0, "done": 0, "taken": 0}
-            news = i.News(1, 2, i.RELEASED, False, i.DONE, 1.0, 0)
+            news = ReleaseUpdate(1, 2, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0)
             self._act(
                 name,
-                balancer.handle(self.world.now, [i.PodList(i.REMEMBERED, tuple(self.pods)), news]),
+                balancer.handle(
+                    self.world.now, [EndpointUpdate(UpdateKind.CACHED, tuple(self.pods)), news]
+                ),
             )
             if gossip:
                 self.world.instances[name].node.belief.listed(self.said)
@@ -102,7 +135,7 @@
         self.counts[name]["taken"] += 1
         self._tell(
             name,
-            i.Taken(
+            RequestReceived(
                 f"{self.numbers:x}",
                 "read",
                 None,
@@ -122,15 +155,16 @@
         if node is not None and node.doubts:
             doubts, node.doubts = node.doubts, []
             events = [
-                i.Doubted(one.pod.pod, one.pod.build, one.pod.started, one.until) for one in doubts
+                SuspicionReported(one.pod.pod, one.pod.build, one.pod.started, one.until)
+                for one in doubts
             ]
         self._act(name, self.balancers[name].handle(now, [*events, event]))
 
     def _act(self, name, actions):
         for action in list(actions):
-            if type(action) is i.SetTimer:
-                self.world.at(action.at, self._tell, name, i.TimerDue(action.token))
-            elif type(action) is i.Deliver:
+            if type(action) is SetTimer:
+                self.world.at(action.at, self._tell, name, TimerFired(action.token))
+            elif type(action) is SendAttempt:
                 latency = int(self.chance.gammavariate(4, 50))
                 self.world.at(
                     self.world.now + latency,
@@ -145,23 +179,23 @@
         return len(self.balancers[name].open[action.id].sent) - 1
 
     def _ended(self, name, action, latency, number):
-        failed = self.chance.random() < self.ill.get(action.pod, 0.002)
+        failed = self.chance.random() < self.ill.get(action.endpoint, 0.002)
         counts = self.counts[name]
         counts["deliveries"] += 1
         counts["failed"] += failed
-        counts["ill"] += action.pod in self.ill
+        counts["ill"] += action.endpoint in self.ill
         counts["done"] += not failed
         node = self.world.instances[name].node
         if node is not None:
-            node.belief.ended(self.world.instances[name].clock(), action.pod, failed)
+            node.belief.ended(self.world.instances[name].clock(), action.endpoint, failed)
         self._tell(
             name,
-            i.Ended(
+            AttemptEnded(
                 action.id,
-                i.ERROR if failed else i.DONE,
+                Outcome.ERROR if failed else Outcome.DONE,
                 not failed,
                 latency,
-                action.pod,
+                action.endpoint,
                 number,
                 None,
             ),
--- a/measure/why.py
+++ b/measure/why.py
@@ -24,7 +24,7 @@
 from thymeknot.decision_log.fair_eviction import Shares
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.slot_file import Arena
-from thymeknot.reasons import Reason as R
+from thymeknot.interface.reasons import Reason as R
 from thymeknot.records import Chance
 
 SECOND = 10_000
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -2,12 +2,14 @@
 Every reason of the table occurs. Figures from it are simulated."""
 
 from tests.helpers import LANES, TERMS, balancer, ended, news, pod, taken
-from thymeknot import interface as i
 from thymeknot.balance import SECOND, Balancer
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.settings import WhyTerms
 from thymeknot.decision_log.slot_file import Arena
-from thymeknot.reasons import Reason as R
+from thymeknot.interface.actions import SendAttempt
+from thymeknot.interface.enums import EndpointCondition, Outcome, Verdict
+from thymeknot.interface.events import ClientDisconnected, SuspicionReported, TimerFired
+from thymeknot.interface.reasons import Reason as R
 from thymeknot.records import Chance
 
 NOW = 1000 * SECOND
@@ -30,11 +32,11 @@
         self.record.taken(name, key, tenant, lane, False)
         return self.balancer.handle(self.now, [taken(name, lane, key, left)])
 
-    def end(self, name, outcome=i.ERROR, address="old-1", number=0, latency=100):
-        if outcome == i.DONE:
+    def end(self, name, outcome=Outcome.ERROR, address="old-1", number=0, latency=100):
+        if outcome == Outcome.DONE:
             self.record.ended(name, R.DONE)
         return self.balancer.handle(
-            self.now, [ended(name, outcome, address, number, outcome == i.DONE, latency)]
+            self.now, [ended(name, outcome, address, number, outcome == Outcome.DONE, latency)]
         )
 
     def expect(self, name, end, *reasons):
@@ -64,12 +66,12 @@
 
 
 def sent_to(actions):
-    return [action.pod for action in actions if isinstance(action, i.Deliver)][-1]
+    return [action.endpoint for action in actions if isinstance(action, SendAttempt)][-1]
 
 
 def usual(case, name, **more):
     where = sent_to(case.take(name, **more))
-    case.end(name, i.DONE, where)
+    case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION)
 
 
@@ -81,28 +83,28 @@
 def staying(case, name):
     case.balancer.pins = {name}
     where = sent_to(case.take(name, key=name))
-    case.end(name, i.DONE, where)
+    case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.STAYS)
 
 
 def astray(case, name):
     case.balancer.ramp, case.balancer.bad_keys = 1.0, {name}
     where = sent_to(case.take(name, key=name))
-    case.end(name, i.DONE, where)
+    case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.ASTRAY)
 
 
 def guarded(case, name):
     case.balancer.ramp = 1.0
     where = sent_to(case.take(name, "pay", key=HIGH))
-    case.end(name, i.DONE, where)
+    case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.GUARDED)
 
 
 def exposed(case, name):
     case.balancer.ramp = 1.0
     where = sent_to(case.take(name, key=HIGH))
-    case.end(name, i.DONE, where)
+    case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.EXPOSURE)
 
 
@@ -115,22 +117,22 @@
 def unreachable(case, name):
     case.balancer.pods["old-1"].shunned = NOW + SECOND
     where = sent_to(case.take(name))
-    case.end(name, i.DONE, where)
+    case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.UNREACHABLE, R.POSITION)
 
 
 def doubted(case, name):
-    case.balancer.handle(NOW, [i.Doubted("old-1", 1, 0, NOW + SECOND)])
+    case.balancer.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
     where = sent_to(case.take(name))
-    case.end(name, i.DONE, where)
+    case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.DOUBTED, R.POSITION)
 
 
 def again(case, name):
     where = sent_to(case.take(name))
     case.balancer.retries = 2.0
-    other = sent_to(case.end(name, i.ERROR, where))
-    case.end(name, i.DONE, other, 1)
+    other = sent_to(case.end(name, Outcome.ERROR, where))
+    case.end(name, Outcome.DONE, other, 1)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.USED, R.POSITION)
 
 
@@ -145,7 +147,7 @@
     case.balancer.retries = 2.0
     del case.balancer.pods[where]
     case.balancer._sort()
-    case.end(name, i.ERROR, where)
+    case.end(name, Outcome.ERROR, where)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.OUTSIDE, R.NO_POD, R.POSITION)
 
 
@@ -168,9 +170,9 @@
 def by_lot(case, name):
     actions = case.take(name)
     if any(
-        isinstance(action, i.Deliver) for action in actions
+        isinstance(action, SendAttempt) for action in actions
     ):  # one in ten is let in all the same
-        case.end(name, i.DONE, sent_to(actions))
+        case.end(name, Outcome.DONE, sent_to(actions))
         case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION)
     else:
         case.expect(name, R.DEFERRED, R.BY_LOT)
@@ -185,14 +187,14 @@
 def most(case, name):
     where = sent_to(case.take(name))
     case.balancer.retries = 2.0
-    case.end(name, i.ERROR, where)
+    case.end(name, Outcome.ERROR, where)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.MOST_DELIVERIES, R.POSITION)
 
 
 def too_late(case, name):
     where = sent_to(case.take(name))
     case.now += 2 * SECOND
-    case.end(name, i.ERROR, where, latency=2 * SECOND)
+    case.end(name, Outcome.ERROR, where, latency=2 * SECOND)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.TIME_OVER, R.POSITION)
     case.now -= 2 * SECOND
 
@@ -200,21 +202,21 @@
 def no_budget(case, name):
     where = sent_to(case.take(name))
     case.balancer.retries = 0.0
-    case.end(name, i.ERROR, where)
+    case.end(name, Outcome.ERROR, where)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.NO_BUDGET, R.POSITION)
 
 
 def may_have_run(case, name):
     where = sent_to(case.take(name, "pay"))
     case.balancer.retries = 2.0
-    case.end(name, i.RESET, where)
+    case.end(name, Outcome.RESET, where)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.MAY_HAVE_RUN, R.POSITION)
 
 
 def went_away(case, name):
     case.take(name)
     case.record.ended(name, R.LEFT)
-    case.balancer.handle(case.now, [i.ClientLeft(name)])
+    case.balancer.handle(case.now, [ClientDisconnected(name)])
     case.expect(name, R.LEFT, R.SENT, R.POSITION)
 
 
@@ -224,9 +226,9 @@
     where = sent_to(case.take(name))
     token = next(token for token, one in balancer_.due.items() if one == name)
     case.now += SECOND // 2
-    other = sent_to(balancer_.handle(case.now, [i.TimerDue(token)]))
-    case.end(name, i.DONE, other, 1)
-    case.end(name, i.EXPIRED, where, 0)
+    other = sent_to(balancer_.handle(case.now, [TimerFired(token)]))
+    case.end(name, Outcome.DONE, other, 1)
+    case.end(name, Outcome.TIMED_OUT, where, 0)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.SECOND_COPY, R.USED, R.POSITION)
     case.now -= SECOND // 2
 
@@ -237,27 +239,27 @@
 CASES = {
     "as usual": (lambda **more: Case(*OLD, **more), usual, True),
     "position": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more),
+        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0, **more),
         by_position,
         True,
     ),
     "stays": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more),
+        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0, **more),
         staying,
         True,
     ),
     "astray": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0, **more),
+        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0, **more),
         astray,
         True,
     ),
     "guarded": (
-        lambda **more: Case(*TRIAL, told=news(0, cap=1.0), allowance=1000.0, **more),
+        lambda **more: Case(*TRIAL, told=news(0, cap=1.0), exposure_allowance=1000.0, **more),
         guarded,
         True,
     ),
     "exposed": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=0.01), allowance=0.0, **more),
+        lambda **more: Case(*TRIAL, told=news(2, cap=0.01), exposure_allowance=0.0, **more),
         exposed,
         True,
     ),
@@ -267,7 +269,7 @@
     "again": (lambda **more: Case(*OLD, **more), again, True),
     "cold": (
         lambda **more: Case(
-            pod("c-1", started=NOW - 1), pod("c-2", started=NOW - 1), balancers=10**6, **more
+            pod("c-1", started=NOW - 1), pod("c-2", started=NOW - 1), instances=10**6, **more
         ),
         cold,
         True,
@@ -277,9 +279,13 @@
         outside,
         True,
     ),
-    "no pod": (lambda **more: Case(pod("old-1", condition=i.DRAINING), **more), no_pod, True),
+    "no pod": (
+        lambda **more: Case(pod("old-1", condition=EndpointCondition.DRAINING), **more),
+        no_pod,
+        True,
+    ),
     "no news": (lambda **more: Case(bare=True, **more), no_news, True),
-    "most": (lambda **more: Case(*OLD, max_deliveries=1, **more), most, True),
+    "most": (lambda **more: Case(*OLD, max_attempts=1, **more), most, True),
     "too late": (lambda **more: Case(*OLD, **more), too_late, True),
     "no budget": (lambda **more: Case(*OLD, **more), no_budget, True),
     "may have run": (lambda **more: Case(*OLD, **more), may_have_run, True),
@@ -304,10 +310,10 @@
 
 def voting():
     """A bad build on trial, and the votes that the record holds of it."""
-    case = Case(*TRIAL, told=news(2, cap=1.0), allowance=1000.0)
+    case = Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0)
     for _ in range(40):
         case.balancer._add("failed", True)
-    case.balancer.handle(NOW + SECOND, [i.TimerDue(0)])
+    case.balancer.handle(NOW + SECOND, [TimerFired(0)])
     return [entry for entry in case.record.find(reason=int(R.VOTED)) if entry]
 
 
@@ -333,6 +339,6 @@
         right, total, wrong = right + good, total + all_, wrong + bad
         met |= {reason for _, reasons in case.expected.values() for reason in reasons}
     votes = voting()
-    right, total = right + bool(votes and votes[0].notes[0][4] == i.BACK), total + 1
+    right, total = right + bool(votes and votes[0].notes[0][4] == Verdict.ABORT), total + 1
     met |= {R.VOTED} if votes else set()
     return right, total, met, wrong
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -9,18 +9,27 @@
 from measure.shop import SHOP
 from measure.world import World
 from tests.helpers import LANES
-from thymeknot import interface as i
 from thymeknot.balance import Balancer
 from thymeknot.decision_log.explanations import explained
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.settings import WhyTerms
 from thymeknot.decision_log.slot_file import Arena
-from thymeknot.reasons import Reason as R
+from thymeknot.interface.actions import CastVote, Fail, Reject, SendAttempt, SetTimer
+from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind
+from thymeknot.interface.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
+    ReleaseUpdate,
+    RequestReceived,
+    TimerFired,
+)
+from thymeknot.interface.reasons import Reason as R
 from thymeknot.records import Chance
 
 SECOND = 10_000
 TERMS = SHOP._replace(
-    lanes={name: LANES[name] for name in ("read", "pay")}, balancers=3, guarded_stages=0
+    request_classes={name: LANES[name] for name in ("read", "pay")}, instances=3, guarded_stages=0
 )
 WHY = WhyTerms(8, None, "", 0.4, 0.3, 60 * SECOND, 200)
 
@@ -32,27 +41,31 @@
         self.world, self.chance = World([], seed), random.Random(seed)
         self.rate, self.ill, self.pace = rate, ill, pace
         self.record = Record(
-            WHY, TERMS.lanes, Arena(10_000), 0, lambda: self.world.now, Chance(seed)
+            WHY, TERMS.request_classes, Arena(10_000), 0, lambda: self.world.now, Chance(seed)
         )
         self.balancer = Balancer(TERMS, seed, self.world.now, self.record.say)
-        self.tell(i.PodList(i.REMEMBERED, tuple(pods)))
+        self.tell(EndpointUpdate(UpdateKind.CACHED, tuple(pods)))
         self.tell(news)
         self.arrive()
 
     def tell(self, event):
         for action in list(self.balancer.handle(self.world.now, [event])):
-            if type(action) is i.SetTimer:
-                self.world.at(action.at, self.tell, i.TimerDue(action.token))
-            elif type(action) is i.Deliver:
+            if type(action) is SetTimer:
+                self.world.at(action.at, self.tell, TimerFired(action.token))
+            elif type(action) is SendAttempt:
                 number = len(self.balancer.open[action.id].sent) - 1
                 took = int(self.chance.gammavariate(4, self.pace))
                 self.world.at(self.world.now + took, self.ended, action, number, took)
-            elif type(action) is i.Vote:
-                self.tell(i.News(action.build, action.stage, self.phase, True, i.DONE, 0.5, 0))
-            elif type(action) in (i.Defer, i.Abandon):
+            elif type(action) is CastVote:
+                self.tell(
+                    ReleaseUpdate(
+                        action.build, action.stage, self.phase, True, Outcome.DONE, 0.5, 0
+                    )
+                )
+            elif type(action) in (Reject, Fail):
                 self.record.over(action.id)
 
-    phase, swarm = i.ON_TRIAL, (0, 0, 0.0)
+    phase, swarm = ReleasePhase.ON_TRIAL, (0, 0, 0.0)
 
     def arrive(self):
         name, lane = (
@@ -60,20 +73,26 @@
             "pay" if self.chance.random() < 0.2 else "read",
         )
         self.record.taken(name, name, "t", lane, False)
-        self.tell(i.Taken(name, lane, "t", name, 3 * SECOND, None, False, False))
+        self.tell(RequestReceived(name, lane, "t", name, 3 * SECOND, None, False, False))
         self.world.at(
             self.world.now + max(1, int(self.chance.expovariate(self.rate) * SECOND)), self.arrive
         )
 
     def ended(self, action, number, took):
         first, last, share = self.swarm
-        hit = first <= self.world.now < last and action.pod.startswith("new")
-        failed = self.chance.random() < (share if hit else self.ill.get(action.pod, 0.001))
+        hit = first <= self.world.now < last and action.endpoint.startswith("new")
+        failed = self.chance.random() < (share if hit else self.ill.get(action.endpoint, 0.001))
         if not failed:
             self.record.ended(action.id, R.DONE)
         self.tell(
-            i.Ended(
-                action.id, i.ERROR if failed else i.DONE, not failed, took, action.pod, number, None
+            AttemptEnded(
+                action.id,
+                Outcome.ERROR if failed else Outcome.DONE,
+                not failed,
+                took,
+                action.endpoint,
+                number,
+                None,
             )
         )
         if not failed:
@@ -82,7 +101,8 @@
 
 def pods(prefix, count, build, started=0):
     return [
-        i.Pod(f"{prefix}-{at}", "a", 1.0, 0, i.READY, started, "m", build) for at in range(count)
+        Endpoint(f"{prefix}-{at}", "a", 1.0, 0, EndpointCondition.READY, started, "m", build)
+        for at in range(count)
     ]
 
 
@@ -94,7 +114,7 @@
         40,
         pods("old", 12, 1) + pods("new", 8, 2),
         {},
-        i.News(2, 2, i.ON_TRIAL, False, i.DONE, 0.5, 0),
+        ReleaseUpdate(2, 2, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 0.5, 0),
     )
     sidecar.swarm = sidecar.world.now + 6 * SECOND, sidecar.world.now + 13 * SECOND // 2, 0.6
     sidecar.world.run(12 * SECOND)
@@ -119,10 +139,10 @@
         60,
         pods("new", 4, 2, now - SECOND),
         {},
-        i.News(2, 2, i.RELEASED, False, i.DONE, 1.0, 0),
+        ReleaseUpdate(2, 2, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0),
         400,
     )
-    sidecar.phase = i.RELEASED
+    sidecar.phase = ReleasePhase.RELEASED
     sidecar.world.run(6 * SECOND)
     record = sidecar.record
     record.flush(sidecar.world.now, 0)
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -20,7 +20,6 @@
 from twisted.protocols.amp import AmpBox
 
 from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
-from thymeknot import interface
 from thymeknot.balance import Balancer
 from thymeknot.cli.log_summary import Summary
 from thymeknot.decision_log.entry_codec import Entry, packed
@@ -31,11 +30,13 @@
 from thymeknot.gang_scheduling.state_machine import Machine as GangMachine
 from thymeknot.gossip import codec
 from thymeknot.gossip.keyring import Identity
+from thymeknot.interface.enums import DeduplicationScope, Idempotency
+from thymeknot.interface.reasons import Reason
+from thymeknot.interface.settings import RequestClass
 from thymeknot.raft import message_codec as letters
 from thymeknot.raft import messages as agreement
 from thymeknot.raft.state_machine import Parts, Sessions
 from thymeknot.raft.storage import Store
-from thymeknot.reasons import Reason
 from thymeknot.records import Chance
 from thymeknot.service import structured_log
 from thymeknot.service.log_events import LEVELS
@@ -78,11 +79,11 @@
 def lanes():
     """Two request classes, one that may be repeated and one that may not."""
     return {
-        "read": interface.Lane(
-            "read", interface.RETRIABLE, interface.GROUP_ALL, 0, 2000, 6000, 1.0, 0.0
+        "read": RequestClass(
+            "read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 2000, 6000, 1.0, 0.0
         ),
-        "pay": interface.Lane(
-            "pay", interface.BINDING, interface.GROUP_ALL, 0, 4000, 12000, 6.0, 0.2
+        "pay": RequestClass(
+            "pay", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 4000, 12000, 6.0, 0.2
         ),
     }
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,61 +16,108 @@
 from unittest import mock
 from urllib.parse import parse_qsl, urlencode
 
-from thymeknot import interface as i
 from thymeknot.balance import SECOND, Balancer
+from thymeknot.interface.actions import SendAttempt
+from thymeknot.interface.enums import (
+    DeduplicationScope,
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    PromotionMode,
+    ReleasePhase,
+    UpdateKind,
+)
+from thymeknot.interface.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
+    ReleaseUpdate,
+    RequestReceived,
+)
+from thymeknot.interface.settings import RequestClass, Settings
 
 NOW = 1000 * SECOND
 LANES = {
-    "read": i.Lane("read", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, SECOND, 4 * SECOND, 1.0, 0.0),
-    "mark": i.Lane("mark", i.FINGERPRINTED, i.GROUP_ALL, 2 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0),
-    "zoned": i.Lane(
-        "zoned", i.FINGERPRINTED, i.GROUP_ZONE, 2 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0
+    "read": RequestClass(
+        "read",
+        Idempotency.IDEMPOTENT,
+        DeduplicationScope.ALL,
+        5 * SECOND,
+        SECOND,
+        4 * SECOND,
+        1.0,
+        0.0,
+    ),
+    "mark": RequestClass(
+        "mark", Idempotency.KEYED, DeduplicationScope.ALL, 2 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0
+    ),
+    "zoned": RequestClass(
+        "zoned",
+        Idempotency.KEYED,
+        DeduplicationScope.ZONE,
+        2 * SECOND,
+        SECOND,
+        4 * SECOND,
+        5.0,
+        0.0,
+    ),
+    "pay": RequestClass(
+        "pay",
+        Idempotency.NON_IDEMPOTENT,
+        DeduplicationScope.ALL,
+        5 * SECOND,
+        SECOND,
+        4 * SECOND,
+        5.0,
+        0.0,
     ),
-    "pay": i.Lane("pay", i.BINDING, i.GROUP_ALL, 5 * SECOND, SECOND, 4 * SECOND, 5.0, 0.0),
 }
-TERMS = i.Terms(
-    lanes=LANES,
-    balancers=2,
-    subscribes=False,
-    max_deliveries=4,
+TERMS = Settings(
+    request_classes=LANES,
+    instances=2,
+    lists_polled=False,
+    max_attempts=4,
     max_retry_after=SECOND,
-    second_copies=True,
-    may_recall=True,
-    retry_after=True,
-    reports=(),
-    ask_within=10 * SECOND,
-    cold_from=0.25,
-    cold=4 * SECOND,
-    fall_multiple=2.0,
-    overload_for=SECOND,
+    hedging_allowed=True,
+    cancellation_allowed=True,
+    retry_after_allowed=True,
+    load_metrics=(),
+    poll_within=10 * SECOND,
+    warmup_initial_fraction=0.25,
+    warmup_duration=4 * SECOND,
+    overload_factor=2.0,
+    overload_window=SECOND,
     exposure_window=2 * SECOND,
-    allowance=2.0,
+    exposure_allowance=2.0,
     guarded_stages=1,
-    waves=(0.1, 0.5, 0.5, 1.0, 1.0),
-    by_lane=False,
-    keys_stay=True,
-    replaces=False,
-    decided_by=i.BY_COUNT,
+    stage_fractions=(0.1, 0.5, 0.5, 1.0, 1.0),
+    exposure_by_class=False,
+    sticky_keys=True,
+    replaces_machines=False,
+    promotion_mode=PromotionMode.QUORUM,
     votes_to_revert=1,
-    vote_life=4 * SECOND,
-    vote_wait=SECOND,
-    votes_per_s=100.0,
+    vote_lifetime=4 * SECOND,
+    vote_timeout=SECOND,
+    votes_per_second=100.0,
 )
 
 
-def pod(address, build=1, started=0, condition=i.READY, zone="a"):
-    return i.Pod(address, zone, 1.0, 0, condition, started, "std", build)
+def pod(address, build=1, started=0, condition=EndpointCondition.READY, zone="a"):
+    return Endpoint(address, zone, 1.0, 0, condition, started, "std", build)
 
 
-def news(stage=1, phase=i.ON_TRIAL, cap=0.5, build=2):
-    return i.News(build, stage, phase, False, i.DONE, cap, 0)
+def news(stage=1, phase=ReleasePhase.ON_TRIAL, cap=0.5, build=2):
+    return ReleaseUpdate(build, stage, phase, False, Outcome.DONE, cap, 0)
 
 
 def balancer(*pods, told=None, **changes):
     """An instance that knows these pods (two of the earlier build, one of the new) and this news."""
     made = Balancer(TERMS._replace(**changes), 7, NOW - 10 * SECOND)
     pods = pods or (pod("old-1"), pod("old-2"), pod("new-1", 2))
-    made.handle(NOW - 10 * SECOND, [i.PodList(i.REMEMBERED, pods), news(4, i.RELEASED, 1.0, 1)])
+    made.handle(
+        NOW - 10 * SECOND,
+        [EndpointUpdate(UpdateKind.CACHED, pods), news(4, ReleasePhase.RELEASED, 1.0, 1)],
+    )
     if told:
         made.handle(NOW - 10 * SECOND, [told])
     made.actions, made.now, made.born = [], NOW, NOW - 10 * SECOND
@@ -84,11 +131,11 @@
 
 
 def taken(name="t1", lane="read", key=None, left=3 * SECOND):
-    return i.Taken(name, lane, None, key, left, None, False, False)
+    return RequestReceived(name, lane, None, key, left, None, False, False)
 
 
-def ended(name="t1", outcome=i.ERROR, address="old-1", number=0, closed=False, latency=100):
-    return i.Ended(name, outcome, closed, latency, address, number, None)
+def ended(name="t1", outcome=Outcome.ERROR, address="old-1", number=0, closed=False, latency=100):
+    return AttemptEnded(name, outcome, closed, latency, address, number, None)
 
 
 def kinds(actions):
@@ -96,7 +143,7 @@
 
 
 def sent(actions):
-    return [action.pod for action in actions if isinstance(action, i.Deliver)]
+    return [action.endpoint for action in actions if isinstance(action, SendAttempt)]
 
 
 # Stand-ins of the outside systems, on free loopback ports, and the program itself.
@@ -450,26 +497,26 @@
 def begun_by(code):
     """They begin with this code, and end with Life's."""
     return coded(f"""import os, signal, sys
-from thymeknot.service import life
+from thymeknot.service import lifecycle
 {code}
-sys.exit(life.main(os.environ))""")
+sys.exit(lifecycle.main(os.environ))""")
 
 
 def patient():
     """Has the program wait for its first list for as long as the test does: what comes before it, comes every time."""
-    return begun_by(f"life.FIRST_LIST = {PATIENCE}")
+    return begun_by(f"lifecycle.FIRST_LIST = {PATIENCE}")
 
 
 def stands_still():
     """Has the program stop itself at SIGTERM, its end set, up to SIGCONT: what comes in its last half second, comes
     every time."""
-    return begun_by("""stop = life.Life._stop
+    return begun_by("""stop = lifecycle.Life._stop
 def stands(one):
     first = not one.stopping
     stop(one)
     if first:
         os.kill(os.getpid(), signal.SIGSTOP)
-life.Life._stop = stands""")
+lifecycle.Life._stop = stands""")
 
 
 class Program:
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,15 +8,17 @@
 
 from tests.helpers import LANES, NOW, SECOND, TERMS, ended, kinds, news, pod, taken
 from tests.helpers import balancer as made_of
-from thymeknot import interface as i
 from thymeknot.admission import Admission
-from thymeknot.reasons import Reason
+from thymeknot.interface.actions import CastVote, Reject
+from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
+from thymeknot.interface.reasons import Reason
 from thymeknot.records import Chance
 from thymeknot.simulation import large_fleet_scenarios
-from thymeknot.simulation.experiments import crowd_played, earlier
+from thymeknot.simulation.earlier_versions import load_version
+from thymeknot.simulation.experiments import crowd_played
 from thymeknot.simulation.simulator import Fleet, balancer
 
-READ, MANY = LANES["read"], TERMS._replace(balancers=200)
+READ, MANY = LANES["read"], TERMS._replace(instances=200)
 ALL, SOME, HALF, NONE = (1.0, 1.0), (0.6, 0.999), (0.05, 0.6), (0.0, 0.0)
 
 
@@ -32,22 +34,25 @@
     for ago, outcome, latency, count in outcomes:
         for _ in range(count):
             made.ended(NOW - ago, READ, ended(outcome=outcome, latency=latency), 1.0)
-            if outcome == i.DONE:
+            if outcome == Outcome.DONE:
                 made.answered(NOW - ago, READ, latency)
     return made
 
 
-QUICK = (0, i.DONE, 1_500, 8)
+QUICK = (0, Outcome.DONE, 1_500, 8)
 # What an instance of a crowd met: outcomes, what waits in hand, for how long it has had traffic -> what share it takes.
 CASES = {
     "one request a second, one of them slow": (
-        [*((at * SECOND, i.DONE, 1_800, 1) for at in range(10, 0, -1)), (0, i.DONE, 4_500, 1)],
+        [
+            *((at * SECOND, Outcome.DONE, 1_800, 1) for at in range(10, 0, -1)),
+            (0, Outcome.DONE, 4_500, 1),
+        ],
         (),
         20,
         ALL,
     ),
     "one request a second and slow answers": (
-        [(SECOND, i.DONE, 9_000, 1), (0, i.DONE, 9_000, 1)],
+        [(SECOND, Outcome.DONE, 9_000, 1), (0, Outcome.DONE, 9_000, 1)],
         (),
         20,
         SOME,
@@ -55,28 +60,43 @@
     "five open where one is the mean": ([QUICK, (SECOND, *QUICK[1:])], [0] * 5, 20, ALL),
     "forty open where one is the mean": ([QUICK, (SECOND, *QUICK[1:])], [0] * 40, 20, NONE),
     "restarted into a burst with nothing known": ([], [0] * 50, 0.5, ALL),
-    "a third of the pods silent": ([QUICK, (0, i.EXPIRED, SECOND, 4)], [5_000] * 2, 20, ALL),
-    "pods that drain say they are full": ([QUICK, (0, i.FULL, 50, 4)], (), 20, ALL),
-    "connections refused at a few pods": ([QUICK, (0, i.UNCONNECTED, 2_500, 4)], (), 20, ALL),
-    "connections refused everywhere": ([QUICK, (0, i.UNCONNECTED, 2_500, 30)], (), 20, HALF),
-    "queues full everywhere": ([QUICK, (0, i.FULL, 50, 30)], (), 20, HALF),
-    "a patience shorter than the goal": ([(0, i.EXPIRED, SECOND // 3, 30)], (), 20, ALL),
-    "a true overload at the same traffic": ([(0, i.DONE, 9_000, 10)], (), 20, HALF),
-    "silence, before its time-outs come": ([(0, i.DONE, 3_000, 2)], [6_000] * 6, 20, NONE),
-    "a storm, now": ([(0, i.DONE, 15_000, 30), (0, i.FULL, 50, 30)], (), 20, HALF),
+    "a third of the pods silent": (
+        [QUICK, (0, Outcome.TIMED_OUT, SECOND, 4)],
+        [5_000] * 2,
+        20,
+        ALL,
+    ),
+    "pods that drain say they are full": ([QUICK, (0, Outcome.REJECTED, 50, 4)], (), 20, ALL),
+    "connections refused at a few pods": (
+        [QUICK, (0, Outcome.CONNECT_FAILED, 2_500, 4)],
+        (),
+        20,
+        ALL,
+    ),
+    "connections refused everywhere": (
+        [QUICK, (0, Outcome.CONNECT_FAILED, 2_500, 30)],
+        (),
+        20,
+        HALF,
+    ),
+    "queues full everywhere": ([QUICK, (0, Outcome.REJECTED, 50, 30)], (), 20, HALF),
+    "a patience shorter than the goal": ([(0, Outcome.TIMED_OUT, SECOND // 3, 30)], (), 20, ALL),
+    "a true overload at the same traffic": ([(0, Outcome.DONE, 9_000, 10)], (), 20, HALF),
+    "silence, before its time-outs come": ([(0, Outcome.DONE, 3_000, 2)], [6_000] * 6, 20, NONE),
+    "a storm, now": ([(0, Outcome.DONE, 15_000, 30), (0, Outcome.REJECTED, 50, 30)], (), 20, HALF),
     "a storm three seconds ago and no answer since": (
-        [(3 * SECOND, i.DONE, 15_000, 30), (3 * SECOND, i.FULL, 50, 30)],
+        [(3 * SECOND, Outcome.DONE, 15_000, 30), (3 * SECOND, Outcome.REJECTED, 50, 30)],
         (),
         20,
         ALL,
     ),
     "an overload of a minute": (
-        [(at * SECOND // 10, i.DONE, 9_000, 1) for at in range(600, -1, -1)],
+        [(at * SECOND // 10, Outcome.DONE, 9_000, 1) for at in range(600, -1, -1)],
         (),
         60,
         (0.05, 0.95),
     ),
-    "the worst there is": ([(0, i.DONE, 400_000, 500)], (), 20, (0.08, 0.5)),
+    "the worst there is": ([(0, Outcome.DONE, 400_000, 500)], (), 20, (0.08, 0.5)),
 }
 
 
@@ -96,9 +116,9 @@
                 self.assertTrue(least <= share <= most, share)
 
     def test_the_loud_draw_no_lots_and_few_sidecars_leave_nothing_to_chance(self):
-        loud = fed(Admission(MANY), [(0, i.DONE, 9_000, 100)])
+        loud = fed(Admission(MANY), [(0, Outcome.DONE, 9_000, 100)])
         self.assertIsNone(loud.refused(NOW, READ, (), 20 * SECOND, 500, lambda: 1.0))
-        few, many = (fed(Admission(TERMS._replace(balancers=count)), [QUICK]) for count in (3, 200))
+        few, many = (fed(Admission(TERMS._replace(instances=count)), [QUICK]) for count in (3, 200))
         held = [Open(0)] * 20
         self.assertEqual(
             few.limit(NOW, READ, 20 * SECOND),
@@ -114,7 +134,9 @@
         some.lists(
             some.tuples(
                 some.just(0),
-                some.sampled_from([i.DONE, i.FULL, i.EXPIRED, i.UNCONNECTED]),
+                some.sampled_from(
+                    [Outcome.DONE, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED]
+                ),
                 some.integers(1, 60_000),
                 some.just(1),
             ),
@@ -124,7 +146,7 @@
     def test_all_lapses_and_what_can_not_tip_the_bound_is_not_looked_at(self, outcomes):
         made, held = fed(Admission(MANY), outcomes), [Open(9_000)] * 7
         plain = fed(
-            Admission(MANY), [*outcomes, (0, i.FULL, 50, 7)]
+            Admission(MANY), [*outcomes, (0, Outcome.REJECTED, 50, 7)]
         )  # the seven counted in any case
         self.assertAlmostEqual(made.pressure(NOW, held), plain.pressure(NOW, ()))
         self.assertLessEqual(made.pressure(NOW + 3 * SECOND, ()), 1.0)
@@ -133,55 +155,55 @@
 class InTheDecisions(unittest.TestCase):
     def test_a_build_that_is_slow_on_trial_sheds_nothing(self):
         for phase, queues in (
-            (i.ON_TRIAL, False),
-            (i.RELEASED, True),
+            (ReleasePhase.ON_TRIAL, False),
+            (ReleasePhase.RELEASED, True),
         ):  # released, it is what there is
-            made = made_of(pod("old-1"), pod("new-1", 2), told=news(cap=1.0), balancers=200)
+            made = made_of(pod("old-1"), pod("new-1", 2), told=news(cap=1.0), instances=200)
             made.handle(NOW, [news(phase=phase, cap=1.0)])
             for at in range(30):
                 made._learn(
                     type("Tx", (), {"lane": READ, "key": f"k{at}"}),
                     made.pods["new-1"],
-                    ended(f"t{at}", i.DONE, "new-1", closed=True, latency=20_000),
+                    ended(f"t{at}", Outcome.DONE, "new-1", closed=True, latency=20_000),
                 )
             self.assertEqual(made.admission.pressure(NOW, ()) > 1.0, queues)
 
     def test_turned_away_with_its_reason_and_the_time_to_come_back(self):
-        told, made = [], made_of(balancers=200)
+        told, made = [], made_of(instances=200)
         made.say = lambda name, reason, *operands: told.append(reason)
-        fed(made.admission, [(0, i.DONE, 400_000, 500)])
+        fed(made.admission, [(0, Outcome.DONE, 400_000, 500)])
         deferred = [
             one
             for at in range(20)
             for one in made.handle(NOW, [taken(f"t{at}")])
-            if type(one) is i.Defer
+            if type(one) is Reject
         ]
-        self.assertTrue(deferred and all(one.wait > 0 for one in deferred))
+        self.assertTrue(deferred and all(one.retry_after > 0 for one in deferred))
         self.assertIn(Reason.BY_LOT, told)
 
     def test_on_is_withdrawn_while_on_trial_and_not_once_released(self):
-        for phase, votes in ((i.ON_TRIAL, 1), (i.RELEASED, 0)):
+        for phase, votes in ((ReleasePhase.ON_TRIAL, 1), (ReleasePhase.RELEASED, 0)):
             made = made_of(told=news(4, cap=1.0))
             made.vote, made.vote_at, made.ask_at, made.news = (
-                (2, 4, i.ON),
+                (2, 4, Verdict.PROMOTE),
                 NOW,
                 NOW,
                 news(4, phase, 1.0),
             )
             made.doubt, made.actions = 0.7, []
             made._cast()
-            self.assertEqual(kinds(made.actions).count(i.Vote), votes, phase)
+            self.assertEqual(kinds(made.actions).count(CastVote), votes, phase)
 
     def test_failures_of_one_moment_hold_a_good_build_and_those_of_two_send_a_bad_one_back(self):
         new = [pod(f"new-{at}", 2) for at in range(8)]
-        for moments, verdict in ((1, i.NO_VOTE), (3, i.BACK)):
+        for moments, verdict in ((1, Verdict.ABSTAIN), (3, Verdict.ABORT)):
             made = made_of(*(pod(f"old-{at}") for at in range(12)), *new, told=news(cap=1.0))
             made.earlier["all"].add(NOW, 40)  # the earlier build goes on without a fault
             for second in range(moments):
                 made.now = NOW + second * SECOND
                 for at in range(5):  # each at another pod and with another key
                     tx = type("Tx", (), {"lane": READ, "key": f"k{second}-{at}"})
-                    made._judge(tx, made.pods[f"new-{at}"], i.ERROR, 100)
+                    made._judge(tx, made.pods[f"new-{at}"], Outcome.ERROR, 100)
             self.assertEqual(made._verdict(), verdict, moments)
 
 
@@ -195,7 +217,7 @@
         return Fleet(day, policy).play(), end
 
     def test_before_and_now(self):
-        was = earlier("91b8f20")
+        was = load_version("91b8f20")
         (now, _), (before, _) = (self.played("calm", one, good=False) for one in (balancer, was))
         self.assertLess(now.needless()[1], 0.05)
         self.assertGreater(before.needless()[1], 2 * now.needless()[1])
@@ -210,12 +232,12 @@
         now, _ = self.played("herd", good=True, seconds=25)
         killed = [one for one in now.day.faults if one.kind == "kill"]
         self.assertEqual([len(one.what) for one in killed], [21])
-        self.assertNotIn(now.news[2], (i.GOING_BACK, i.WITHDRAWN))
+        self.assertNotIn(now.news[2], (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN))
         self.assertGreaterEqual(now.news[1], 2)
         self.assertTrue(0 < now.scores["behind"] < now.scores["asked"])
         self.assertLess(now.needless()[1], 0.1)
         accepted = now.votes_asked["asked"] - now.votes_asked["full"]
-        self.assertLessEqual(accepted, now.day.terms.votes_per_s * (2 + now.now / SECOND) + 1)
+        self.assertLessEqual(accepted, now.day.terms.votes_per_second * (2 + now.now / SECOND) + 1)
         self.assertEqual(now.checker.rules_broken(), [])
 
     def test_a_bad_build_seen_by_quiet_instances_alone_is_not_kept(self):
--- a/tests/test_asking.py
+++ b/tests/test_asking.py
@@ -7,7 +7,7 @@
 from twisted.internet.task import Clock
 
 from tests.test_sidecar import Network, Transport, entry
-from thymeknot import interface as i
+from thymeknot.interface.actions import SubscribeToEndpoints
 from thymeknot.memory.deadlines import Deadlines
 from thymeknot.polling.adaptive_interval import (
     AGAIN,
@@ -145,7 +145,7 @@
                 network.reactor.advance(0.1)
         asked = len(network.reactor.tcpClients)
         self.assertGreaterEqual(asked, 11)
-        network.sidecar._carry_out([i.Subscribe(True)])
+        network.sidecar._carry_out([SubscribeToEndpoints(True)])
         self.assertEqual(len(network.reactor.tcpClients), asked)
 
 
--- a/tests/test_ends_clients.py
+++ b/tests/test_ends_clients.py
@@ -14,7 +14,7 @@
 
 from tests.helpers import command, reserved
 from tests.test_sidecar import ANSWER, Network, entry
-from thymeknot import interface as i
+from thymeknot.interface.events import ClientDisconnected
 from thymeknot.protocol.client import (
     LINGERS,
     LOOKS,
@@ -610,7 +610,7 @@
     def left(self, lane, written, recalls):
         network = Network(entry("s-1"), entry("s-2"))
         network.sidecar.terms = network.sidecar.balancer.terms = network.sidecar.terms._replace(
-            may_recall=recalls
+            cancellation_allowed=recalls
         )
         first = network.ask("01", lane=lane)
         connection = network.connect(network.streams)
@@ -687,7 +687,7 @@
 
         def handle(now, events):
             if (
-                type(events[0]) is i.ClientLeft
+                type(events[0]) is ClientDisconnected
             ):  # another of its own ends at the same moment, and a new one comes
                 last = network.sidecar._held("5")
                 for attempt in (
--- a/tests/test_ends_life.py
+++ b/tests/test_ends_life.py
@@ -325,7 +325,7 @@
 
     def test_at_the_limit_of_descriptors_none_that_the_machine_accepted_is_closed_upon(self):
         """Also where the machine allows fewer than the configuration names."""
-        limited = f"import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\nlife.FIRST_LIST = {PATIENCE}"
+        limited = f"import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\nlifecycle.FIRST_LIST = {PATIENCE}"
         for sockets, stops in ((64, False), (64, True), (256, False)):
             with begun_by(limited):
                 running = Program(
@@ -352,7 +352,7 @@
         for stopping in (False, True):
             made = lifecycle.Life({"NODE_CONFIG": "deploy/example.json"}, None)
             made.extra, made.sidecar, made.stopping = mock.Mock(), mock.Mock(), stopping
-            with mock.patch.object(lifecycle.logs, "log"):
+            with mock.patch.object(lifecycle.structured_log, "log"):
                 made._reconfigure()
             self.assertEqual(
                 (made.extra.reconfigure.call_count, made.sidecar.reconfigure.call_count),
--- a/tests/test_ends_news.py
+++ b/tests/test_ends_news.py
@@ -3,10 +3,15 @@
 import unittest
 
 from tests.test_sidecar import Network, entry
-from thymeknot import interface as i
+from thymeknot.interface.actions import CastVote
+from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 
 HEAD = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-STATES = {i.ON_TRIAL: "trial", i.GOING_BACK: "rolling_back", i.RELEASED: "released"}
+STATES = {
+    ReleasePhase.ON_TRIAL: "trial",
+    ReleasePhase.ROLLING_BACK: "rolling_back",
+    ReleasePhase.RELEASED: "released",
+}
 
 
 def event(build=42, step=0, status="trial", cap=0.5, ago=5):
@@ -40,7 +45,7 @@
         )
         stream = network.connect(1)
         stream.dataReceived(HEAD + event(ago=3000))
-        network.sidecar._vote(i.Vote(42, 0, i.ON))
+        network.sidecar._vote(CastVote(42, 0, Verdict.PROMOTE))
         call = network.connect()
         call.resumeProducing()
         network.reactor.advance(0.1)
@@ -50,7 +55,7 @@
         votes = []
         network.sidecar.balancer._vote_answered = lambda news: votes.append(news.outcome)
         call.dataReceived(reply(**answered))
-        self.assertEqual(votes, [i.DONE])  # the vote counted, whichever state is the newer
+        self.assertEqual(votes, [Outcome.DONE])  # the vote counted, whichever state is the newer
         here, there = (
             (held.build, STATES[held.phase], held.cap)
             for held in (network.sidecar.news, network.sidecar.balancer.news)
--- a/tests/test_ends_pods.py
+++ b/tests/test_ends_pods.py
@@ -24,7 +24,9 @@
 from tests.helpers import PATIENCE, PodPeer, command, until, words_of
 from tests.test_sidecar import ANSWER, Network, Transport, entry
 from tests.test_sockets import MARK, PAY, READ, WithPods, value
-from thymeknot import interface as i
+from thymeknot.interface.actions import SendAttempt
+from thymeknot.interface.enums import Outcome, ReleasePhase
+from thymeknot.interface.events import LateResponseSeen, ReleaseUpdate
 from thymeknot.memory import pools
 from thymeknot.memory.exposure import Exposure
 from thymeknot.protocol import discovery
@@ -63,7 +65,7 @@
 
 class OneEnd(unittest.TestCase):
     def test_what_is_written_in_part_ends_once_whoever_ends_it(self):
-        for end, outcome in (("time", i.UNCONNECTED), ("client", i.RECALLED)):
+        for end, outcome in (("time", Outcome.CONNECT_FAILED), ("client", Outcome.CANCELLED)):
             network = Network(entry("s-1"))
             ends, client = counted(network), network.ask(left=200)
             connection = network.connect()
@@ -76,7 +78,7 @@
             self.assertEqual((len(network.sidecar.transactions), network.sidecar.by_id), (0, {}))
 
     def test_what_is_given_up_as_the_other_side_closes_ends_once(self):
-        for end, outcome in (("time", i.EXPIRED), ("client", i.RECALLED)):
+        for end, outcome in (("time", Outcome.TIMED_OUT), ("client", Outcome.CANCELLED)):
             network = Network(entry("s-1"))
             ends, client = counted(network), network.ask(left=200)
             connection = network.connect()
@@ -449,7 +451,7 @@
             connection.dataReceived(ANSWER[:at])
             connection.connectionLost(Failure(why()))
             whole = at >= value_ends
-            self.assertEqual(ends, [("01", 0, i.DONE if whole else i.RESET)], at)
+            self.assertEqual(ends, [("01", 0, Outcome.DONE if whole else Outcome.RESET)], at)
             self.assertRegex(client.transport.value(), rb"^\$1\r\nv\r\n$" if whole else b"^-ERR")
             self.assertEqual(
                 (network.sidecar.balancer.pins, len(network.sidecar.transactions)), ({"key"}, 0)
@@ -463,8 +465,8 @@
     def again(self, lane="mark", window=10_000):
         """A network whose request may have run once, 0.9 s ago, and is asked for again: it waits for its dial."""
         network = Network(entry("s-1"))
-        lanes = network.sidecar.terms.lanes
-        lanes[lane] = lanes[lane]._replace(window=window)
+        lanes = network.sidecar.terms.request_classes
+        lanes[lane] = lanes[lane]._replace(deduplication_window=window)
         client = network.ask("01", lane=lane)
         connection = network.connect()
         connection.resumeProducing()
@@ -511,7 +513,7 @@
             network = Network(entry("s-1"))
             network.sidecar.balancer.handle = lambda *_: []
             network.ask("01", lane="pay")
-            network.sidecar._carry_out([i.Deliver("01", "s-1", 20_000)])
+            network.sidecar._carry_out([SendAttempt("01", "s-1", 20_000)])
             if reached == "not connected":
                 network.refuse()
             else:
@@ -520,9 +522,11 @@
                     connection.resumeProducing()
                 connection.connectionLost(Failure(ConnectionLost()))
             ends = counted(network)
-            network.sidecar._carry_out([i.Deliver("01", "s-1", 20_000)])
+            network.sidecar._carry_out([SendAttempt("01", "s-1", 20_000)])
             if reached == "written":
-                self.assertEqual((pods_dialled(network), ends), ([7001], [("01", 1, i.UNSENT)]))
+                self.assertEqual(
+                    (pods_dialled(network), ends), ([7001], [("01", 1, Outcome.NOT_SENT)])
+                )
             else:
                 self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
 
@@ -551,13 +555,13 @@
             "other build": lambda network: network.list(entry("s-1", build=41)),
             "moved": lambda network: network.list(entry("s-1", build=42, addr="127.0.0.1:8001")),
             "lower cap": lambda network: network.sidecar.tell(
-                i.News(42, 0, i.ON_TRIAL, False, i.DONE, 0.0, 0)
+                ReleaseUpdate(42, 0, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 0.0, 0)
             ),
             "going back": lambda network: network.sidecar.tell(
-                i.News(42, 0, i.GOING_BACK, False, i.DONE, 0.0, 0)
+                ReleaseUpdate(42, 0, ReleasePhase.ROLLING_BACK, False, Outcome.DONE, 0.0, 0)
             ),
             "withdrawn": lambda network: network.sidecar.tell(
-                i.News(42, 0, i.WITHDRAWN, False, i.DONE, 0.0, 0)
+                ReleaseUpdate(42, 0, ReleasePhase.WITHDRAWN, False, Outcome.DONE, 0.0, 0)
             ),
         }
         for written in (False, True):
@@ -570,10 +574,10 @@
                 entry("s-1", build=42), entry("s-2", build=42)
             ),
             "higher stage": lambda network: network.sidecar.tell(
-                i.News(42, 1, i.ON_TRIAL, False, i.DONE, 1.0, 0)
+                ReleaseUpdate(42, 1, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 1.0, 0)
             ),
             "newer build": lambda network: network.sidecar.tell(
-                i.News(43, 0, i.ON_TRIAL, False, i.DONE, 0.5, 0)
+                ReleaseUpdate(43, 0, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 0.5, 0)
             ),
         }
         for written in (False, True):
@@ -603,11 +607,11 @@
                 status="trial",
                 maxWeight=0.5,
             )
-            network.sidecar.balancer.terms = network.sidecar.terms._replace(keys_stay=keys_stay)
+            network.sidecar.balancer.terms = network.sidecar.terms._replace(sticky_keys=keys_stay)
             network.ask("01", lane="pay")
             self.assertEqual(pods_dialled(network), [7001])
             network.sidecar.tell(
-                i.AnsweredUnheard("key", 42)
+                LateResponseSeen("key", 42)
             )  # by an attempt of another request with this key
             self.assertEqual(bool(network.connect().transport.value()), not keys_stay)
             self.assertEqual(pods_dialled(network)[-1], goes_to)
@@ -615,14 +619,14 @@
                 self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
 
     def test_news_of_an_earlier_build_takes_back_what_waits_for_one_that_is_none_then(self):
-        back = i.News(41, 0, i.RELEASED, False, i.DONE, 1.0, 0)
+        back = ReleaseUpdate(41, 0, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0)
         self.assertEqual(self.changed(lambda network: network.sidecar.tell(back), False), b"")
 
     def test_what_waits_for_a_client_that_has_gone_is_not_written_where_nothing_may_be_recalled(
         self,
     ):
         network = Network(entry("s-1"))
-        network.sidecar.balancer.terms = network.sidecar.terms._replace(may_recall=False)
+        network.sidecar.balancer.terms = network.sidecar.terms._replace(cancellation_allowed=False)
         network.ask("01").connectionLost(Failure(ConnectionLost()))
         self.assertEqual(network.connect().transport.value(), b"")
         self.assertEqual((len(network.sidecar.transactions), network.sidecar.by_id), (0, {}))
@@ -637,7 +641,7 @@
             (1, 0.02, 2),
         ):  # less than between two looks
             network = Network(entry("s-1"))
-            network.sidecar.pools.reach = network.sidecar.reach._replace(idle=idle)
+            network.sidecar.pools.reach = network.sidecar.reach._replace(idle_timeout=idle)
             network.ask("01", lane="pay")
             connection = network.connect()
             connection.resumeProducing()
@@ -656,7 +660,10 @@
     def test_where_all_may_go_there_the_edge_of_the_window_turns_nothing_away(self):
         terms = Network(entry("s-1")).sidecar.terms
         for cap, may in ((1.0, True), (0.9, False)):
-            exposure, news = Exposure(terms), i.News(42, 1, i.ON_TRIAL, False, i.DONE, cap, 0)
+            exposure, news = (
+                Exposure(terms),
+                ReleaseUpdate(42, 1, ReleasePhase.ON_TRIAL, False, Outcome.DONE, cap, 0),
+            )
             for at in (
                 0,
                 terms.exposure_window,
@@ -689,11 +696,11 @@
                 0,
             )
             sidecar.pools.reach = sidecar.reach._replace(
-                connect_within=int(self.HANG * 10_000) + 100
+                connect_timeout=int(self.HANG * 10_000) + 100
             )
             terms, dials = sidecar.terms, []
             checker = Checker(
-                terms.lanes, 0, terms.exposure_window, terms.allowance + 2
+                terms.request_classes, 0, terms.exposure_window, terms.exposure_allowance + 2
             )  # as the protocol has it
             checker.cap(0, "", 42, cap * 1.04, 0, "trial")
             for step in range(2000):
@@ -841,7 +848,9 @@
         self.assertEqual(
             (connection.transport.value(), connection.transport.disconnected), (b"", True)
         )
-        self.assertEqual((ends, pods_dialled(network)), ([("01", 0, i.UNCONNECTED)], [7001, 7001]))
+        self.assertEqual(
+            (ends, pods_dialled(network)), ([("01", 0, Outcome.CONNECT_FAILED)], [7001, 7001])
+        )
 
     def test_a_dial_that_has_reached_itself_carries_nothing(self):
         """At a port of this machine that nobody listens at: what is written comes back, and reads as an answer."""
@@ -856,7 +865,9 @@
         self.assertEqual(
             (client.transport.value(), transport.value(), transport.disconnected), (b"", b"", True)
         )
-        self.assertEqual((ends, pods_dialled(network)), ([("01", 0, i.UNCONNECTED)], [7001, 7001]))
+        self.assertEqual(
+            (ends, pods_dialled(network)), ([("01", 0, Outcome.CONNECT_FAILED)], [7001, 7001])
+        )
         connection.connectionLost(Failure(ConnectionLost()))
         self.assertEqual((len(network.sidecar.pools), network.faults), (1, []))
 
@@ -909,19 +920,19 @@
             b"\x00" * 70_000,
             b"+OK\r\n" * 20_000,
         ):
-            self.assertEqual(self.ended(content)[0], i.RESET, content[:20])
+            self.assertEqual(self.ended(content)[0], Outcome.RESET, content[:20])
 
     def test_an_answer_without_end_is_not_read_for_ever(self):
         for content in (b"*64\r\n" + self.BULK * 8, b"*64\r\n$1\r\nv\r\n" + self.BULK * 8):
             outcome, read = self.ended(content)
-            self.assertEqual((outcome, read < 800_000), (i.DONE, True))  # its value was whole
+            self.assertEqual((outcome, read < 800_000), (Outcome.DONE, True))  # its value was whole
 
     def test_an_array_in_an_answer_ends_it_and_a_whole_value_before_it_stands(self):
-        self.assertEqual(self.ended(b"*3\r\n$1\r\nv\r\n" + b"*64\r\n" * 3)[0], i.DONE)
+        self.assertEqual(self.ended(b"*3\r\n$1\r\nv\r\n" + b"*64\r\n" * 3)[0], Outcome.DONE)
 
     def test_a_load_report_that_is_none_is_let_go_and_the_value_stands(self):
         network = Network(entry("s-1"))
-        network.sidecar.terms = network.sidecar.terms._replace(reports=("load", "queue"))
+        network.sidecar.terms = network.sidecar.terms._replace(load_metrics=("load", "queue"))
         for report, load in (
             (b"load=0.5,queue=3", (0.5, 3.0)),
             (b"queue=3,load=0.5,more=9", (0.5, 3.0)),
@@ -948,7 +959,9 @@
             )
             network.sidecar.balancer.handle = handle
             self.assertEqual(
-                [(event.outcome, event.load) for event in heard], [(i.DONE, load)], report[:30]
+                [(event.outcome, event.load) for event in heard],
+                [(Outcome.DONE, load)],
+                report[:30],
             )
 
 
@@ -1099,7 +1112,15 @@
 
     def news(self, cap):
         self.sidecar.tell(
-            i.News(41, 1, i.RELEASED if cap == 1.0 else i.ON_TRIAL, False, i.DONE, cap, 0)
+            ReleaseUpdate(
+                41,
+                1,
+                ReleasePhase.RELEASED if cap == 1.0 else ReleasePhase.ON_TRIAL,
+                False,
+                Outcome.DONE,
+                cap,
+                0,
+            )
         )
 
     def turn(self):
--- a/tests/test_ends_streams.py
+++ b/tests/test_ends_streams.py
@@ -15,7 +15,9 @@
 
 from tests.helpers import PATIENCE, PodPeer, Program, patient, until
 from tests.test_sidecar import Network, entry, told
-from thymeknot import interface as i
+from thymeknot.interface.actions import CastVote, FetchEndpoints
+from thymeknot.interface.enums import Outcome, UpdateKind, Verdict
+from thymeknot.interface.events import EndpointUpdate, FleetCounts, ReleaseUpdate
 from thymeknot.protocol import deployer as platform
 from thymeknot.protocol import discovery, http
 from thymeknot.service import configuration
@@ -574,7 +576,7 @@
 
     def test_counts_of_which_none_came_back_have_no_mean(self):
         told = "version=42&kind=read&requests=3&failures=3&avgMs=nan&observedAgoMs=5"
-        self.assertEqual(platform.read_event("metrics", told), i.Tally(42, "read", 3, 3, 0, 50))
+        self.assertEqual(platform.read_event("metrics", told), FleetCounts(42, "read", 3, 3, 0, 50))
 
     def test_an_event_without_an_end_is_bounded(self):
         events, fed = http.EventStream(), 0
@@ -597,11 +599,13 @@
         sidecar.balancer.handle = lambda now, events: self.heard.extend(events) or []
 
     def vote(self):
-        self.network.sidecar._vote(i.Vote(41, 1, i.BACK))
+        self.network.sidecar._vote(CastVote(41, 1, Verdict.ABORT))
 
     def outcomes(self):
         return [
-            event.outcome for event in self.heard if type(event) is i.News and event.answers_vote
+            event.outcome
+            for event in self.heard
+            if type(event) is ReleaseUpdate and event.answers_vote
         ]
 
     def written(self, port=3):
@@ -614,10 +618,10 @@
 
     def test_a_vote_out_while_the_platform_moves_ends_once_and_leaves_the_new_address_alone(self):
         for end, outcome in (
-            ("answer", i.DONE),
-            ("reset", i.EXPIRED),
-            ("nothing", i.EXPIRED),
-            ("no dial", i.ERROR),
+            ("answer", Outcome.DONE),
+            ("reset", Outcome.TIMED_OUT),
+            ("nothing", Outcome.TIMED_OUT),
+            ("no dial", Outcome.ERROR),
         ):
             self.setUp()
             former = self.network.sidecar.platform
@@ -653,10 +657,12 @@
             call = self.written()
             call.dataReceived(before)
             self.pass_on(1.3)
-            self.assertEqual(self.outcomes(), [i.EXPIRED])
+            self.assertEqual(self.outcomes(), [Outcome.TIMED_OUT])
             call.dataReceived(after)
             call.connectionLost(Failure(ConnectionDone()))
-            self.assertEqual((self.outcomes(), self.network.sidecar.platform.out), ([i.EXPIRED], 0))
+            self.assertEqual(
+                (self.outcomes(), self.network.sidecar.platform.out), ([Outcome.TIMED_OUT], 0)
+            )
 
     def test_two_answers_in_one_read_are_one(self):
         self.vote()
@@ -664,15 +670,15 @@
         call.dataReceived(
             self.sized(b"<Error><Code>throttled</Code></Error>", 400) + self.sized(self.NEWS)
         )
-        self.assertEqual(self.outcomes(), [i.FULL])
+        self.assertEqual(self.outcomes(), [Outcome.REJECTED])
 
     def test_interim_answers_are_passed_over_and_some_have_no_body(self):
         interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n"
         for said, outcomes in (
-            (interim + self.sized(self.NEWS), [i.DONE]),
+            (interim + self.sized(self.NEWS), [Outcome.DONE]),
             (interim, []),
-            (b"HTTP/1.1 204 X\r\nContent-Length: 9\r\n\r\n", [i.EXPIRED]),
-            (b"HTTP/1.1 304 X\r\nTransfer-Encoding: chunked\r\n\r\n", [i.EXPIRED]),
+            (b"HTTP/1.1 204 X\r\nContent-Length: 9\r\n\r\n", [Outcome.TIMED_OUT]),
+            (b"HTTP/1.1 304 X\r\nTransfer-Encoding: chunked\r\n\r\n", [Outcome.TIMED_OUT]),
         ):
             for step in (1, len(said)):
                 self.setUp()
@@ -689,16 +695,16 @@
         size = b"%x" % len(self.NEWS)
         whole = HEAD + size + b' ;a="b;c"\r\n' + self.NEWS + b"\r\n00;x\r\nX: y\r\n"
         for said, outcome, at_once in (
-            (whole + b"\r\n", i.DONE, True),
-            (whole + b"X: y\r\n" * 9000, i.EXPIRED, False),
-            (HEAD + size + b"\n" + self.NEWS + b"\n0\n\n", i.EXPIRED, False),
-            (HEAD + b"\r\n", i.EXPIRED, True),
-            (HEAD + size + b";" + b"x" * 17_000, i.EXPIRED, True),
-            (whole + b"x" * 17_000, i.EXPIRED, True),
-            (HEAD + b"0\r\n\r\n", i.EXPIRED, True),
-            (self.sized(b""), i.EXPIRED, True),
-            (self.sized(b"", 500), i.EXPIRED, True),
-            (self.sized(b"", 301), i.EXPIRED, True),
+            (whole + b"\r\n", Outcome.DONE, True),
+            (whole + b"X: y\r\n" * 9000, Outcome.TIMED_OUT, False),
+            (HEAD + size + b"\n" + self.NEWS + b"\n0\n\n", Outcome.TIMED_OUT, False),
+            (HEAD + b"\r\n", Outcome.TIMED_OUT, True),
+            (HEAD + size + b";" + b"x" * 17_000, Outcome.TIMED_OUT, True),
+            (whole + b"x" * 17_000, Outcome.TIMED_OUT, True),
+            (HEAD + b"0\r\n\r\n", Outcome.TIMED_OUT, True),
+            (self.sized(b""), Outcome.TIMED_OUT, True),
+            (self.sized(b"", 500), Outcome.TIMED_OUT, True),
+            (self.sized(b"", 301), Outcome.TIMED_OUT, True),
         ):
             self.setUp()
             self.vote()
@@ -717,9 +723,9 @@
 
     def test_an_answer_without_a_length_is_whole_only_where_the_peer_ends_it(self):
         for end, cut, outcome in (
-            (ConnectionDone, 0, i.DONE),
-            (ConnectionLost, 0, i.EXPIRED),
-            (ConnectionDone, 60, i.EXPIRED),
+            (ConnectionDone, 0, Outcome.DONE),
+            (ConnectionLost, 0, Outcome.TIMED_OUT),
+            (ConnectionDone, 60, Outcome.TIMED_OUT),
         ):
             self.setUp()
             self.vote()
@@ -740,7 +746,7 @@
             call.connectionLost(Failure(end()))
             self.assertEqual(
                 (self.outcomes(), self.network.sidecar.platform.out),
-                ([i.EXPIRED if whole else i.ERROR], 0),
+                ([Outcome.TIMED_OUT if whole else Outcome.ERROR], 0),
             )
 
     def test_an_answer_with_a_length_that_ends_before_it_may_count(self):
@@ -748,7 +754,7 @@
         call = self.written()
         call.dataReceived(self.sized(self.NEWS)[:-9])
         call.connectionLost(Failure(ConnectionDone()))
-        self.assertEqual(self.outcomes(), [i.EXPIRED])
+        self.assertEqual(self.outcomes(), [Outcome.TIMED_OUT])
 
     def test_no_deadline_of_a_call_or_a_dial_is_left_or_acts_on_what_came_up(self):
         self.vote()
@@ -768,12 +774,14 @@
     def test_more_calls_than_fit_never_ran_and_their_places_come_back(self):
         for _ in range(20):
             self.vote()
-        self.assertEqual(self.outcomes(), [i.ERROR] * 4)
+        self.assertEqual(self.outcomes(), [Outcome.ERROR] * 4)
         self.pass_on(0.3)
         for at, connector in enumerate(self.network.reactor.connectors):
             if connector.stoppedConnecting and self.network.reactor.tcpClients[at][1] == 3:
                 self.network.refuse(at)
-        self.assertEqual((self.outcomes(), self.network.sidecar.platform.out), ([i.ERROR] * 20, 0))
+        self.assertEqual(
+            (self.outcomes(), self.network.sidecar.platform.out), ([Outcome.ERROR] * 20, 0)
+        )
 
     def test_a_body_in_slices_of_a_byte_costs_its_length(self):
         self.vote()
@@ -788,22 +796,27 @@
 
     def test_a_list_that_was_fetched_is_answered_once_whatever_comes(self):
         for said, kind in (
-            (self.sized(listed(9, "s-2")), i.WHOLE),
-            (self.sized(listed(3, "s-2")), i.MISSED),
-            (self.sized(b"noise"), i.MISSED),
-            (self.sized(b"", 503), i.MISSED),
-            (self.sized(listed(9, "s-2").replace(b"}]", b',"started_ms":1e300}]')), i.MISSED),
-            (b"noise\r\n\r\n", i.MISSED),
+            (self.sized(listed(9, "s-2")), UpdateKind.FULL),
+            (self.sized(listed(3, "s-2")), UpdateKind.FETCH_FAILED),
+            (self.sized(b"noise"), UpdateKind.FETCH_FAILED),
+            (self.sized(b"", 503), UpdateKind.FETCH_FAILED),
+            (
+                self.sized(listed(9, "s-2").replace(b"}]", b',"started_ms":1e300}]')),
+                UpdateKind.FETCH_FAILED,
+            ),
+            (b"noise\r\n\r\n", UpdateKind.FETCH_FAILED),
         ):
             self.setUp()
-            self.network.sidecar._fetch(i.FetchList())
+            self.network.sidecar._fetch(FetchEndpoints())
             self.written(2).dataReceived(said)
             self.assertEqual(
-                [event.kind for event in self.heard if type(event) is i.PodList], [kind], said[:60]
+                [event.kind for event in self.heard if type(event) is EndpointUpdate],
+                [kind],
+                said[:60],
             )
 
     def test_one_fetched_at_a_former_address_changes_nothing_there(self):
-        self.network.sidecar._fetch(i.FetchList())
+        self.network.sidecar._fetch(FetchEndpoints())
         call = self.written(2)
         Moves.move(self, self.network, discovery=8)
         stream = self.connected(8, listed(3, "s-2"))
@@ -814,8 +827,8 @@
             (list(self.network.sidecar.listed), stream.transport.disconnected), (["s-4"], False)
         )
         self.assertEqual(
-            [event.kind for event in self.heard if type(event) is i.PodList],
-            [i.WHOLE, i.MISSED, i.WHOLE],
+            [event.kind for event in self.heard if type(event) is EndpointUpdate],
+            [UpdateKind.FULL, UpdateKind.FETCH_FAILED, UpdateKind.FULL],
         )
 
 
@@ -826,7 +839,7 @@
         network, lists = Network(entry("s-1"), entry("s-2", 42)), []
         handle = network.sidecar.balancer.handle
         network.sidecar.balancer.handle = lambda now, events: (
-            lists.extend(event for event in events if type(event) is i.PodList)
+            lists.extend(event for event in events if type(event) is EndpointUpdate)
             or handle(now, events)
         )
         stream = network.connect(0)
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -4,9 +4,18 @@
 from unittest import mock
 
 from tests.helpers import LANES, NOW, balancer, ended, news, pod, sent, taken
-from thymeknot import interface as i
 from thymeknot import records
 from thymeknot.balance import NEW, SECOND, position
+from thymeknot.interface.actions import CastVote
+from thymeknot.interface.enums import (
+    EndpointCondition,
+    Outcome,
+    PromotionMode,
+    ReleasePhase,
+    UpdateKind,
+    Verdict,
+)
+from thymeknot.interface.events import ComplaintReceived, EndpointUpdate, FleetCounts
 from thymeknot.memory.exposure import Exposure
 from thymeknot.records import Ring, Transaction
 
@@ -22,7 +31,9 @@
 def judged(made, outcome, address, times=1, latency=1000, key=None):
     """Books outcomes of one pod, as deliveries that ended just so."""
     for number in range(times):
-        tx = Transaction(taken(f"{address}-{number}", key=key), made.terms.lanes["read"], NOW, NEW)
+        tx = Transaction(
+            taken(f"{address}-{number}", key=key), made.terms.request_classes["read"], NOW, NEW
+        )
         made._judge(tx, made.pods[address], outcome, latency)
 
 
@@ -58,73 +69,77 @@
 
     def test_failures_vote_back_and_successes_vote_on(self):
         made = balancer(told=news())
-        judged(made, i.DONE, "new-1", 90)
-        self.assertEqual(made._verdict(), i.ON)
-        judged(made, i.ERROR, "new-1", 6)
-        self.assertEqual(made._verdict(), i.BACK)
+        judged(made, Outcome.DONE, "new-1", 90)
+        self.assertEqual(made._verdict(), Verdict.PROMOTE)
+        judged(made, Outcome.ERROR, "new-1", 6)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_under_the_clock_half_the_bound_holds(self):
-        made = balancer(told=news(), decided_by=i.BY_CLOCK)
+        made = balancer(told=news(), promotion_mode=PromotionMode.TIMER)
         made.doubt = 0.6
-        self.assertEqual(made._verdict(), i.HOLD)
+        self.assertEqual(made._verdict(), Verdict.PAUSE)
         made.doubt = 0.4
-        self.assertEqual(made._verdict(), i.NO_VOTE)
+        self.assertEqual(made._verdict(), Verdict.ABSTAIN)
 
     def test_a_vote_is_renewed_before_it_lapses_and_withdrawn_when_its_ground_is_gone(self):
         made = balancer(told=news())
-        made.vote, made.vote_at, made.ask_at = (2, 1, i.ON), NOW - made.terms.vote_life // 2, NOW
+        made.vote, made.vote_at, made.ask_at = (
+            (2, 1, Verdict.PROMOTE),
+            NOW - made.terms.vote_lifetime // 2,
+            NOW,
+        )
         made._cast()
-        self.assertIn(i.Vote(2, 1, i.ON), made.actions)
+        self.assertIn(CastVote(2, 1, Verdict.PROMOTE), made.actions)
         made.actions, made.ask_at, made.clear_since = [], NOW, NOW
         made._cast()
-        self.assertIn(i.Vote(2, 1, i.NO_VOTE), made.actions)
+        self.assertIn(CastVote(2, 1, Verdict.ABSTAIN), made.actions)
 
     def test_an_unanswered_vote_is_asked_again(self):
         made = balancer(told=news())
         made._cast()
-        made.actions, made.now = [], NOW + made.terms.vote_wait + SECOND
+        made.actions, made.now = [], NOW + made.terms.vote_timeout + SECOND
         made._cast()
-        self.assertIn(i.Vote(2, 1, i.ON), made.actions)
+        self.assertIn(CastVote(2, 1, Verdict.PROMOTE), made.actions)
 
 
 class FailuresFound(unittest.TestCase):
     def test_one_slow_machine_does_not_send_a_build_back(self):
         made = balancer(told=news())
         made.marks["read", "std"] = (500, 100, 300)
-        judged(made, i.DONE, "old-1", 20, latency=100)
-        judged(made, i.DONE, "new-1", 60, latency=5000)
-        self.assertNotEqual(made._verdict(), i.BACK)
+        judged(made, Outcome.DONE, "old-1", 20, latency=100)
+        judged(made, Outcome.DONE, "new-1", 60, latency=5000)
+        self.assertNotEqual(made._verdict(), Verdict.ABORT)
 
     def test_resets_and_spoilt_answers_that_the_earlier_build_has_too_are_not_held_against_the_new_one(
         self,
     ):
-        for earlier, verdict in ((0, i.BACK), (3, i.ON)):
+        for earlier, verdict in ((0, Verdict.ABORT), (3, Verdict.PROMOTE)):
             made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
-            judged(made, i.DONE, "old-1", 50)
-            judged(made, i.RESET, "old-1", earlier)
+            judged(made, Outcome.DONE, "old-1", 50)
+            judged(made, Outcome.RESET, "old-1", earlier)
             for address in ("new-0", "new-1", "new-2"):
                 made.now += SECOND // 2
-                judged(made, i.DONE, address, 9)
-                judged(made, i.RESET, address, 5, key=address)
-                judged(made, i.RESET, address, 5)
+                judged(made, Outcome.DONE, address, 9)
+                judged(made, Outcome.RESET, address, 5, key=address)
+                judged(made, Outcome.RESET, address, 5)
             self.assertEqual(made._verdict(), verdict)
 
     def test_errors_still_send_it_back_where_the_way_is_unsound(self):
         made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
-        judged(made, i.DONE, "old-1", 50)
-        judged(made, i.RESET, "old-1", 5)
-        judged(made, i.ERROR, "new-0", 9)
+        judged(made, Outcome.DONE, "old-1", 50)
+        judged(made, Outcome.RESET, "old-1", 5)
+        judged(made, Outcome.ERROR, "new-0", 9)
         made.now += SECOND
-        judged(made, i.ERROR, "new-1", 9)
-        self.assertEqual(made._verdict(), i.BACK)
+        judged(made, Outcome.ERROR, "new-1", 9)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_one_pod_of_many_that_errs_does_not_send_a_build_back_but_two_do(self):
         made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
-        judged(made, i.ERROR, "new-0", 9)
-        self.assertNotEqual(made._verdict(), i.BACK)
+        judged(made, Outcome.ERROR, "new-0", 9)
+        self.assertNotEqual(made._verdict(), Verdict.ABORT)
         made.now += SECOND
-        judged(made, i.ERROR, "new-1", 9)
-        self.assertEqual(made._verdict(), i.BACK)
+        judged(made, Outcome.ERROR, "new-1", 9)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_who_sees_enough_of_few_pods_waits_for_a_second_one(self):
         for arrivals, back in ((0, True), (900, False)):
@@ -132,17 +147,20 @@
                 pod("old-1"), pod("new-0", 2), pod("new-1", 2), pod("new-2", 2), told=news()
             )
             made.arrivals.add(NOW, arrivals)
-            judged(made, i.ERROR, "new-0", 30)
+            judged(made, Outcome.ERROR, "new-0", 30)
             made.now += SECOND
-            judged(made, i.ERROR, "new-1", 1)
-            made.rows = [i.Tally(2, "read", 20, 9, 100, 0), i.Tally(1, "read", 90, 0, 100, 0)]
+            judged(made, Outcome.ERROR, "new-1", 1)
+            made.rows = [
+                FleetCounts(2, "read", 20, 9, 100, 0),
+                FleetCounts(1, "read", 90, 0, 100, 0),
+            ]
             made._weigh_tallies()
-            self.assertEqual(made._verdict() == i.BACK, back)
+            self.assertEqual(made._verdict() == Verdict.ABORT, back)
             made.now += SECOND
-            judged(made, i.ERROR, "new-1", 9)
+            judged(made, Outcome.ERROR, "new-1", 9)
             made.now += SECOND
-            judged(made, i.ERROR, "new-2", 9)
-            self.assertEqual(made._verdict(), i.BACK)
+            judged(made, Outcome.ERROR, "new-2", 9)
+            self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_after_many_chance_failures_a_cluster_is_no_proof_but_a_bad_build_is(self):
         made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(20)), told=news())
@@ -150,38 +168,38 @@
         made.arrivals.add(NOW, 600)
         made._compare = lambda: True
         for n in range(3):
-            judged(made, i.EXPIRED, f"new-{n}")
-        self.assertNotEqual(made._verdict(), i.BACK)
+            judged(made, Outcome.TIMED_OUT, f"new-{n}")
+        self.assertNotEqual(made._verdict(), Verdict.ABORT)
         for n in range(3, 9):
             made.now += SECOND  # a second is one piece of evidence
-            judged(made, i.EXPIRED, f"new-{n}")
-        self.assertEqual(made._verdict(), i.BACK)
+            judged(made, Outcome.TIMED_OUT, f"new-{n}")
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_slow_pods_together_do_but_not_within_one_second(self):
         made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
         made.marks["read", "std"] = (500, 100, 300)
         verdicts = []
         for _ in range(3):
-            judged(made, i.DONE, "old-1", 20, latency=100)
+            judged(made, Outcome.DONE, "old-1", 20, latency=100)
             for address in ("new-0", "new-1", "new-2", "new-3"):
-                judged(made, i.DONE, address, 4, latency=5000)
+                judged(made, Outcome.DONE, address, 4, latency=5000)
             verdicts.append(made._verdict())
             made.now += SECOND
-        self.assertNotEqual(verdicts[0], i.BACK)
-        self.assertEqual(verdicts[2], i.BACK)
+        self.assertNotEqual(verdicts[0], Verdict.ABORT)
+        self.assertEqual(verdicts[2], Verdict.ABORT)
 
     def test_cold_slowness_and_time_outs_prove_nothing(self):
         made = balancer(pod("old-1"), pod("new-1", 2, started=NOW - 1), told=news())
         made.marks["read", "std"] = (500, 100, 300)
-        judged(made, i.DONE, "old-1", 20, latency=100)
-        judged(made, i.DONE, "new-1", 20, latency=5000)
-        judged(made, i.EXPIRED, "new-1", 20)
+        judged(made, Outcome.DONE, "old-1", 20, latency=100)
+        judged(made, Outcome.DONE, "new-1", 20, latency=5000)
+        judged(made, Outcome.TIMED_OUT, "new-1", 20)
         self.assertLessEqual(max(made.sums.values()), 0)
 
     def test_one_failing_key_is_one_failure(self):
         made = balancer(told=news())
-        judged(made, i.ERROR, "new-1", 50, key="k")
-        self.assertNotEqual(made._verdict(), i.BACK)
+        judged(made, Outcome.ERROR, "new-1", 50, key="k")
+        self.assertNotEqual(made._verdict(), Verdict.ABORT)
 
     def test_a_failing_key_and_a_hot_one_leave_the_trial(self):
         made = balancer(told=news(cap=1.0))
@@ -193,11 +211,11 @@
 
     def test_slowness_of_all_builds_holds_then_sends_back(self):
         made = judging()
-        judged(made, i.DONE, "old-1", 60, latency=5000)
-        self.assertEqual(made._verdict(), i.NO_VOTE)
+        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
+        self.assertEqual(made._verdict(), Verdict.ABSTAIN)
         made.ramp = 0.3
         made.now += 5 * SECOND
-        self.assertEqual(made._verdict(), i.BACK)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_it_is_blamed_while_it_lasts_and_later_where_machines_are_replaced(self):
         for swap, slow, age, back in (
@@ -205,23 +223,27 @@
             (True, 9.0, 12, True),
             (False, 4.0, 9, False),
         ):
-            made = balancer(told=news(), replaces=swap)
+            made = balancer(told=news(), replaces_machines=swap)
             made.all_slow, made.ill_since, made.now = slow, NOW, NOW + age * SECOND
-            self.assertEqual(made._verdict() == i.BACK, back)
+            self.assertEqual(made._verdict() == Verdict.ABORT, back)
 
     def test_a_build_with_little_traffic_is_held_for_it_only(self):
         made = judging()
-        judged(made, i.DONE, "old-1", 60, latency=5000)
+        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
         made.now += 5 * SECOND
-        judged(made, i.DONE, "old-1", 1, latency=5000)
-        self.assertEqual(made._verdict(), i.NO_VOTE)
+        judged(made, Outcome.DONE, "old-1", 1, latency=5000)
+        self.assertEqual(made._verdict(), Verdict.ABSTAIN)
 
     def test_an_earlier_build_that_errs_by_itself_is_nothing_to_stay_with(self):
-        for errors, trial, vote in ((9, -1.0, i.ON), (2, -1.0, i.NO_VOTE), (9, 1.0, i.NO_VOTE)):
+        for errors, trial, vote in (
+            (9, -1.0, Verdict.PROMOTE),
+            (2, -1.0, Verdict.ABSTAIN),
+            (9, 1.0, Verdict.ABSTAIN),
+        ):
             made = judging()
-            judged(made, i.DONE, "old-1", 60, latency=5000)
-            judged(made, i.ERROR, "old-2", errors)
-            judged(made, i.DONE, "new-1", 20)
+            judged(made, Outcome.DONE, "old-1", 60, latency=5000)
+            judged(made, Outcome.ERROR, "old-2", errors)
+            judged(made, Outcome.DONE, "new-1", 20)
             made.sums["failed"] = trial
             made.now += 4 * SECOND
             self.assertEqual(made._verdict(), vote)
@@ -229,16 +251,16 @@
     def test_more_traffic_excuses_slowness_of_all(self):
         made = judging(rate=10.0)
         made.fresh.add(NOW, 100)
-        judged(made, i.DONE, "old-1", 60, latency=5000)
+        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
         self.assertIsNone(made.ill_since)
-        judged(made, i.EXPIRED, "old-1", 60)
+        judged(made, Outcome.TIMED_OUT, "old-1", 60)
         self.assertIsNotNone(made.ill_since)
 
     def test_repeats_of_clients_excuse_nothing(self):
         for repeat, excused in ((False, True), (True, False)):
             made = judging(rate=10.0)
             for number in range(100):
-                made.handle(NOW, [taken(str(number))._replace(repeat=repeat)])
+                made.handle(NOW, [taken(str(number))._replace(is_retry=repeat)])
             self.assertEqual(made._busier() > 1.5, excused)
 
     def test_mean_times_speak_before_nine_in_ten_are_over_the_mark(self):
@@ -248,7 +270,7 @@
         ):  # spread as work is: few are far above the mean
             made = judging()
             for share in (0.4, 0.6, 0.8, 1.0, 1.3, 1.9) * 12:
-                judged(made, i.DONE, "old-1", latency=int(500 * times * share))
+                judged(made, Outcome.DONE, "old-1", latency=int(500 * times * share))
             self.assertEqual(made.ill_since is not None, slow)
 
     def test_a_stage_of_a_fifth_of_the_ramp_is_blamed_too(self):
@@ -256,85 +278,92 @@
         for ramp, back in ((0.08, False), (0.2, True)):
             made = judging()
             made.ramp = ramp
-            judged(made, i.DONE, "old-1", 60, latency=5000)
+            judged(made, Outcome.DONE, "old-1", 60, latency=5000)
             made.now += 5 * SECOND
-            judged(made, i.DONE, "old-1", 1, latency=5000)
-            self.assertEqual(made._verdict() == i.BACK, back)
+            judged(made, Outcome.DONE, "old-1", 1, latency=5000)
+            self.assertEqual(made._verdict() == Verdict.ABORT, back)
 
     def test_pods_of_a_build_that_was_taken_off_are_no_places_of_the_next(self):
         # News comes before the list: what drains by then was counted, and half of the sidecars never voted.
         earlier, late = [pod(f"o-{n}") for n in range(40)], [pod(f"g-{n}", 2) for n in range(40)]
         made = balancer(*earlier, *late, told=news(3, build=2))
-        made.handle(NOW, [news(0, i.WITHDRAWN, 0.0, 2), news(0, build=3)])
-        gone = tuple(one._replace(condition=i.DRAINING) for one in late)
+        made.handle(NOW, [news(0, ReleasePhase.WITHDRAWN, 0.0, 2), news(0, build=3)])
+        gone = tuple(one._replace(condition=EndpointCondition.DRAINING) for one in late)
         made.handle(
-            NOW, [i.PodList(i.CHANGES, (*gone, *(pod(f"n-{n}", 3, NOW) for n in range(4))))]
+            NOW,
+            [EndpointUpdate(UpdateKind.DELTA, (*gone, *(pod(f"n-{n}", 3, NOW) for n in range(4))))],
         )
         made.now += 9 * SECOND
-        self.assertEqual(made._verdict(), i.ON)
+        self.assertEqual(made._verdict(), Verdict.PROMOTE)
 
     def test_one_lost_zone_is_not_the_build_two_are(self):
         # A trial's pods are new: there connections fail in 0.25 s, where the earlier build's time out much later.
         pods = [pod(f"old-{n}", zone="abc"[n % 3]) for n in range(9)]
         pods += [pod(f"new-{n}", 2, zone="abc"[n % 3]) for n in range(9)]
-        for zones, doubt, vote in ((1, 0.85, i.NO_VOTE), (2, 1.0, i.BACK), (3, 1.0, i.BACK)):
-            made = balancer(*pods, told=news(), votes_to_revert=10, balancers=40)
-            judged(made, i.DONE, "old-1", 60)
+        for zones, doubt, vote in (
+            (1, 0.85, Verdict.ABSTAIN),
+            (2, 1.0, Verdict.ABORT),
+            (3, 1.0, Verdict.ABORT),
+        ):
+            made = balancer(*pods, told=news(), votes_to_revert=10, instances=40)
+            judged(made, Outcome.DONE, "old-1", 60)
             for number in range(9):
                 if number % 3 < zones:
-                    judged(made, i.ERROR, f"new-{number}", 6)
+                    judged(made, Outcome.ERROR, f"new-{number}", 6)
             self.assertEqual(
                 (made._verdict(), made.doubt >= doubt, made.doubt > 1), (vote, True, zones > 1)
             )
 
     def test_without_zones_all_failures_count(self):
         pods = [pod(f"old-{n}") for n in range(9)] + [pod(f"new-{n}", 2) for n in range(9)]
-        made = balancer(*pods, told=news(), votes_to_revert=10, balancers=40)
-        judged(made, i.DONE, "old-1", 60)
+        made = balancer(*pods, told=news(), votes_to_revert=10, instances=40)
+        judged(made, Outcome.DONE, "old-1", 60)
         for number in range(3):
-            judged(made, i.ERROR, f"new-{number}", 6)
-        self.assertEqual(made._verdict(), i.BACK)
+            judged(made, Outcome.ERROR, f"new-{number}", 6)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_connections_that_fail_at_both_builds_are_not_the_new_ones(self):
-        for earlier, vote in ((5, i.NO_VOTE), (0, i.BACK)):
+        for earlier, vote in ((5, Verdict.ABSTAIN), (0, Verdict.ABORT)):
             made = balancer(
                 pod("old-1"), pod("old-2"), *(pod(f"new-{n}", 2) for n in range(6)), told=news()
             )
-            judged(made, i.DONE, "old-1", 60)
-            judged(made, i.UNCONNECTED, "old-2", earlier)
+            judged(made, Outcome.DONE, "old-1", 60)
+            judged(made, Outcome.CONNECT_FAILED, "old-2", earlier)
             for number in range(6):
                 made.now = NOW + number * SECOND // 4
-                judged(made, i.UNCONNECTED, f"new-{number}")
-            self.assertEqual(made._verdict() == i.BACK, vote == i.BACK)
+                judged(made, Outcome.CONNECT_FAILED, f"new-{number}")
+            self.assertEqual(made._verdict() == Verdict.ABORT, vote == Verdict.ABORT)
 
     def test_a_storm_that_is_over_does_not_hide_a_bad_build(self):
         made = balancer(told=news())
-        judged(made, i.DONE, "old-1", 30)
-        judged(made, i.EXPIRED, "old-1", 30)
+        judged(made, Outcome.DONE, "old-1", 30)
+        judged(made, Outcome.TIMED_OUT, "old-1", 30)
         made.now += 3 * SECOND
-        judged(made, i.DONE, "old-1", 40)
-        judged(made, i.DONE, "new-1")
+        judged(made, Outcome.DONE, "old-1", 40)
+        judged(made, Outcome.DONE, "new-1")
         self.assertLess(made.p0["failed"], 0.02)
-        judged(made, i.EXPIRED, "old-1", 40)  # and while it lasts it is the rate
-        judged(made, i.DONE, "new-1")
+        judged(made, Outcome.TIMED_OUT, "old-1", 40)  # and while it lasts it is the rate
+        judged(made, Outcome.DONE, "new-1")
         self.assertGreater(made.p0["failed"], 0.4)
 
     def test_a_vote_for_on_waits_until_the_newest_pods_are_warm_enough_to_judge(self):
         for cold, age, vote in (
-            (2, 1.0, i.NO_VOTE),
-            (2, 1.5, i.ON),
-            (40, 2.9, i.NO_VOTE),
-            (40, 3.1, i.ON),
+            (2, 1.0, Verdict.ABSTAIN),
+            (2, 1.5, Verdict.PROMOTE),
+            (40, 2.9, Verdict.ABSTAIN),
+            (40, 3.1, Verdict.PROMOTE),
         ):
-            made = balancer(pod("old-1"), pod("new-1", 2, NOW), told=news(), cold=cold * SECOND)
+            made = balancer(
+                pod("old-1"), pod("new-1", 2, NOW), told=news(), warmup_duration=cold * SECOND
+            )
             made.offset, made.clear_since, made.now = 0, NOW - 9 * SECOND, NOW + int(age * SECOND)
             self.assertEqual(made._verdict(), vote, (cold, age))
 
     def test_the_last_stages_release_waits_until_the_newest_pods_can_carry_all(self):
         for stage, age, vote in (
-            (1, 3.1, i.ON),
-            (4, 3.1, i.NO_VOTE),
-            (4, 4.1, i.ON),
+            (1, 3.1, Verdict.PROMOTE),
+            (4, 3.1, Verdict.ABSTAIN),
+            (4, 4.1, Verdict.PROMOTE),
         ):  # cold: 4 s, 0.75 after 2.7
             made = balancer(pod("old-1"), pod("new-1", 2, NOW), told=news(stage=stage))
             made.offset, made.clear_since, made.now = 0, NOW - 9 * SECOND, NOW + int(age * SECOND)
@@ -343,29 +372,34 @@
     def test_a_trials_pod_that_starts_again_is_not_new(self):
         pods = [pod("old-1"), pod("old-2"), pod("new-1", 2, NOW), pod("new-2", 2, NOW)]
         for again, vote in (
-            (pod("new-1", 2, NOW + 8 * SECOND), i.ON),
-            (pod("new-3", 2, NOW + 8 * SECOND), i.NO_VOTE),
+            (pod("new-1", 2, NOW + 8 * SECOND), Verdict.PROMOTE),
+            (pod("new-3", 2, NOW + 8 * SECOND), Verdict.ABSTAIN),
         ):
             made = balancer(*pods, told=news())
             made._verdict()
             made.handle(
-                NOW + 7 * SECOND, [i.PodList(i.CHANGES, (pods[2]._replace(condition=i.GONE),))]
+                NOW + 7 * SECOND,
+                [
+                    EndpointUpdate(
+                        UpdateKind.DELTA, (pods[2]._replace(condition=EndpointCondition.GONE),)
+                    )
+                ],
             )
-            made.handle(NOW + 9 * SECOND, [i.PodList(i.CHANGES, (again,))])
+            made.handle(NOW + 9 * SECOND, [EndpointUpdate(UpdateKind.DELTA, (again,))])
             self.assertEqual(made._verdict(), vote)
 
     def test_a_quiet_instance_does_not_take_chance_for_usual(self):
         made = balancer(told=news())
         made.usual = {("read", "std"): (900, 19, 500)}, 50.0, 0.0
-        judged(made, i.DONE, "old-1", 60, latency=5000)
+        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
         self.assertIsNone(made.ill_since)
 
     def test_resets_with_nothing_to_compare_are_not_the_builds(self):
         made = balancer(pod("new-1", 2), told=news())
-        judged(made, i.RESET, "new-1", 50)
-        self.assertNotEqual(made._verdict(), i.BACK)
-        judged(made, i.ERROR, "new-1", 50)
-        self.assertEqual(made._verdict(), i.BACK)
+        judged(made, Outcome.RESET, "new-1", 50)
+        self.assertNotEqual(made._verdict(), Verdict.ABORT)
+        judged(made, Outcome.ERROR, "new-1", 50)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_an_instance_with_little_traffic_or_of_a_crowd_does_not_judge_all(self):
         for rate, places, judges in ((13, 9, False), (17, 9, True), (17, 2, False)):
@@ -388,24 +422,24 @@
         made = balancer(told=news())
         for later in range(6):
             made.now = NOW + later * SECOND
-            judged(made, i.DONE, "old-1", 30)
-        judged(made, i.ERROR, "old-1", 15)
-        judged(made, i.ERROR, "new-1", 4)
-        judged(made, i.DONE, "new-1", 4)
-        self.assertNotEqual(made._verdict(), i.BACK)
+            judged(made, Outcome.DONE, "old-1", 30)
+        judged(made, Outcome.ERROR, "old-1", 15)
+        judged(made, Outcome.ERROR, "new-1", 4)
+        judged(made, Outcome.DONE, "new-1", 4)
+        self.assertNotEqual(made._verdict(), Verdict.ABORT)
 
     def test_one_chance_failure_does_not_bar_a_quiet_vote(self):
         made = balancer(told=news(), votes_to_revert=2)
         made.sums["failed"], made.now = 1.0, NOW + 5 * SECOND
-        self.assertEqual(made._verdict(), i.ON)
+        self.assertEqual(made._verdict(), Verdict.PROMOTE)
 
     def test_no_vote_for_on_while_the_list_hides_the_stages_pods(self):
         earlier = [pod(f"old-{n}") for n in range(8)]
         made = balancer(*earlier, pod("new-1", 2), pod("new-2", 2), told=news(stage=2))
         made.now += 9 * SECOND
-        self.assertEqual(made._verdict(), i.NO_VOTE)
-        made.handle(made.now, [i.PodList(i.CHANGES, (pod("new-3", 2),))])
-        self.assertEqual(made._verdict(), i.ON)
+        self.assertEqual(made._verdict(), Verdict.ABSTAIN)
+        made.handle(made.now, [EndpointUpdate(UpdateKind.DELTA, (pod("new-3", 2),))])
+        self.assertEqual(made._verdict(), Verdict.PROMOTE)
 
     def test_after_a_release_tallies_of_the_rush_do_not_send_it_back_and_worse_ones_do(self):
         for failed, back in (
@@ -413,23 +447,23 @@
             (45, True),
         ):  # of a hundred: half of the machines leave at once
             made = balancer(told=news())
-            made.handle(NOW, [news(4, i.RELEASED, 1.0)])
+            made.handle(NOW, [news(4, ReleasePhase.RELEASED, 1.0)])
             for at in range(4):
                 made.now = NOW + at * 2 * SECOND
-                made.rows = [i.Tally(2, "read", 100, failed, 100, 0)]
+                made.rows = [FleetCounts(2, "read", 100, failed, 100, 0)]
                 made._weigh_tallies()
-            self.assertEqual(made._verdict() == i.BACK, back, failed)
+            self.assertEqual(made._verdict() == Verdict.ABORT, back, failed)
 
     def test_a_complaint_counts_as_a_failure(self):
         made = balancer(told=news())
-        made.handle(NOW, [i.Complaint(0, "new-1", "read")] * 5)
-        self.assertEqual(made._verdict(), i.BACK)
+        made.handle(NOW, [ComplaintReceived(0, "new-1", "read")] * 5)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_a_new_instance_does_not_take_silence_for_overload(self):
         made = balancer()
         made.born = NOW - SECOND // 2
         self.assertGreater(
-            made.admission.limit(NOW, made.terms.lanes["read"], NOW - made.born), 100
+            made.admission.limit(NOW, made.terms.request_classes["read"], NOW - made.born), 100
         )
 
     def test_beyond_the_limit_the_cheapest_lane_is_deferred_first(self):
@@ -450,10 +484,10 @@
 
     def test_an_answer_within_the_clocks_step_is_no_mean_of_nothing(self):
         made = balancer(told=news())
-        judged(made, i.DONE, "old-1", 60, latency=0)
+        judged(made, Outcome.DONE, "old-1", 60, latency=0)
         made.usual = dict(made.marks), 50.0, 0.0
-        judged(made, i.DONE, "old-1", 1, latency=0)
-        judged(made, i.DONE, "old-1", 1, latency=500)
+        judged(made, Outcome.DONE, "old-1", 1, latency=0)
+        judged(made, Outcome.DONE, "old-1", 1, latency=500)
         self.assertEqual(made.usual[0]["read", "std"][1], 60)
 
     def test_a_ring_forgets_in_time(self):
--- a/tests/test_golden.py
+++ b/tests/test_golden.py
@@ -17,12 +17,12 @@
 from thymeknot.gossip import codec
 from thymeknot.gossip.keyring import Ring
 from thymeknot.gossip.settings import Peer, PeerKey
+from thymeknot.interface.reasons import Reason
 from thymeknot.raft import message_codec as letters
 from thymeknot.raft import messages as agreement
 from thymeknot.raft.messages import Recovered, Snapshot
 from thymeknot.raft.state_machine import Parts, Sessions
 from thymeknot.raft.storage import Store
-from thymeknot.reasons import Reason
 from thymeknot.records import Chance
 
 
--- a/tests/test_gossip_words.py
+++ b/tests/test_gossip_words.py
@@ -10,13 +10,14 @@
 
 from measure.world import SECOND, TERMS, World
 from tests.helpers import NOW, balancer, kinds, pod, sent, taken
-from thymeknot import interface as i
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Ack, Alive, Claim, Frame, Item, Left, Ping, Push
 from thymeknot.gossip.keyring import Ring, Sources, Unusable, made, read_identity
 from thymeknot.gossip.replay_window import Window
 from thymeknot.gossip.settings import Peer, PeerKey
 from thymeknot.gossip.suspicion import Pod
+from thymeknot.interface.actions import CastVote
+from thymeknot.interface.events import SuspicionReported
 
 KEYS = {name: made(name) for name in ("n0", "n1", "n2")}
 UNTIL = "2027-01-31T00:00:00Z"
@@ -240,18 +241,18 @@
 class InTheDecisions(unittest.TestCase):
     def test_a_doubted_pod_is_turned_to_later_and_never_excluded(self):
         made_ = balancer(pod("old-1"), pod("old-2"))
-        made_.handle(NOW, [i.Doubted("old-1", 1, 0, NOW + SECOND)])
+        made_.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
         self.assertEqual(
             {*sent(made_.handle(NOW, [taken(f"t{at}") for at in range(8)]))}, {"old-2"}
         )
-        made_.handle(NOW, [i.Doubted("old-2", 1, 0, NOW + SECOND)])
+        made_.handle(NOW, [SuspicionReported("old-2", 1, 0, NOW + SECOND)])
         self.assertEqual(len(sent(made_.handle(NOW, [taken(f"u{at}") for at in range(4)]))), 4)
-        made_.handle(NOW, [i.Doubted("old-1", 1, 0, NOW)])
+        made_.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW)])
         self.assertEqual(
             {*sent(made_.handle(NOW, [taken(f"v{at}") for at in range(4)]))}, {"old-1"}
         )
         made_ = balancer(pod("old-1"), pod("old-2"))
-        made_.handle(NOW, [i.Doubted("old-1", 1, 0, NOW + SECOND)])
+        made_.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
         later = made_.handle(NOW + 2 * SECOND, [taken(f"w{at}") for at in range(8)])
         self.assertEqual({*sent(later)}, {"old-1", "old-2"})
 
@@ -259,11 +260,11 @@
         made_ = balancer()
         sums = dict(made_.sums)
         for event in (
-            i.Doubted("old-1", 2, 0, NOW + SECOND),
-            i.Doubted("old-1", 1, 5, NOW + SECOND),
-            i.Doubted("gone", 1, 0, NOW + SECOND),
+            SuspicionReported("old-1", 2, 0, NOW + SECOND),
+            SuspicionReported("old-1", 1, 5, NOW + SECOND),
+            SuspicionReported("gone", 1, 0, NOW + SECOND),
         ):
-            self.assertNotIn(i.Vote, kinds(made_.handle(NOW, [event])))
+            self.assertNotIn(CastVote, kinds(made_.handle(NOW, [event])))
         self.assertEqual([known.doubted for known in made_.pods.values()], [0, 0, 0])
         self.assertEqual(made_.sums, sums)
 
--- a/tests/test_laboratory.py
+++ b/tests/test_laboratory.py
@@ -27,7 +27,8 @@
     def test_a_day_is_the_same_here_and_in_another_process(self):
         here = Fleet(scenarios.drawn(5, **SMALL), balancer).play().figures()
         code = (
-            "import json; from thymeknot.simulation import scenarios as days; from thymeknot.simulation.simulator import *; "
+            "import json; from thymeknot.simulation import scenarios as days; "
+            "from thymeknot.simulation.simulator import *; "
             f"print(json.dumps([repr(days.drawn(5, **{SMALL!r})), "
             f"Fleet(days.drawn(5, **{SMALL!r}), balancer).play().figures()]))"
         )
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -3,8 +3,17 @@
 import unittest
 
 from tests.helpers import NOW, TERMS, balancer, ended, kinds, news, pod, pressed, sent, taken
-from thymeknot import interface as i
 from thymeknot.balance import DRAWN, SECOND, UPKEEP_MOST
+from thymeknot.interface.actions import Reject, SendAttempt, SetTimer
+from thymeknot.interface.enums import (
+    UTILISATION,
+    EndpointCondition,
+    Outcome,
+    ReleasePhase,
+    UpdateKind,
+    Verdict,
+)
+from thymeknot.interface.events import EndpointUpdate, FleetCounts, TimerFired
 
 OLD = [pod(f"old-{n}") for n in range(40)]
 
@@ -22,7 +31,7 @@
         made = balancer(*OLD)
         before = {known.listed.address for known in made.drawn[True]}
         made.exchange_at = made.now = NOW
-        made._tick(i.TimerDue(0))
+        made._tick(TimerFired(0))
         after = {known.listed.address for known in made.drawn[True]}
         self.assertEqual((len(before), len(after)), (DRAWN, DRAWN))
         self.assertGreaterEqual(len(before & after), DRAWN - 1)
@@ -45,11 +54,13 @@
             for seed in range(60):
                 made = drawing(
                     seed,
-                    balancer(*OLD, *early, told=news(phase=i.RELEASED, cap=1.0), balancers=216),
+                    balancer(
+                        *OLD, *early, told=news(phase=ReleasePhase.RELEASED, cap=1.0), instances=216
+                    ),
                 )
                 made.arrivals.add(NOW, 20)
                 made._draw(True)
-                made.handle(NOW, [i.PodList(i.CHANGES, tuple(late))])
+                made.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, tuple(late))])
                 part += sum(known.listed in late for known in made.drawn[True])
                 whole += len(made.drawn[True])
             right = len(late) / len({one.address for one in (*early, *late)})
@@ -59,20 +70,28 @@
         pods = [one._replace(size=1.2 if n < 4 else 1.0) for n, one in enumerate(OLD)]
         met = set()
         for seed in range(60):
-            made = drawing(seed, balancer(*pods, balancers=400))
+            made = drawing(seed, balancer(*pods, instances=400))
             made._draw(True)
             met.update(sent(made.handle(NOW, [taken()])))
         self.assertGreater(len(met), 8)
 
     def test_when_all_drawn_ones_are_gone_others_are_drawn(self):
         made = balancer(*OLD)
-        gone = tuple(known.listed._replace(condition=i.GONE) for known in made.drawn[True])
-        made.handle(NOW, [i.PodList(i.CHANGES, gone)])
+        gone = tuple(
+            known.listed._replace(condition=EndpointCondition.GONE) for known in made.drawn[True]
+        )
+        made.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, gone)])
         self.assertNotIn(sent(made.handle(NOW, [taken()]))[0], {one.address for one in gone})
         made.handle(
-            NOW, [i.PodList(i.CHANGES, tuple(one._replace(condition=i.DRAINING) for one in OLD))]
+            NOW,
+            [
+                EndpointUpdate(
+                    UpdateKind.DELTA,
+                    tuple(one._replace(condition=EndpointCondition.DRAINING) for one in OLD),
+                )
+            ],
         )
-        self.assertEqual(kinds(made.handle(NOW, [taken("t2")])), [i.Defer])
+        self.assertEqual(kinds(made.handle(NOW, [taken("t2")])), [Reject])
 
     def test_when_all_drawn_ones_are_unreachable_others_are_drawn(self):
         made = balancer(*OLD)
@@ -88,28 +107,32 @@
         made.handle(
             NOW,
             [
-                ended(outcome=i.DONE, address="new-1", closed=True),
-                i.PodList(i.CHANGES, (pod("new-1", 2, condition=i.DRAINING),)),
+                ended(outcome=Outcome.DONE, address="new-1", closed=True),
+                EndpointUpdate(
+                    UpdateKind.DELTA, (pod("new-1", 2, condition=EndpointCondition.DRAINING),)
+                ),
             ],
         )
-        self.assertEqual(kinds(made.handle(NOW, [taken("t2", key="k")])), [i.Defer])
+        self.assertEqual(kinds(made.handle(NOW, [taken("t2", key="k")])), [Reject])
 
     def test_pods_that_answer_at_once_are_drawn_by_lot_too(self):
-        made = balancer(*OLD, balancers=400)
+        made = balancer(*OLD, instances=400)
         for known in made.pods.values():
             known.pace = 0.0
-        self.assertEqual(kinds(made.handle(NOW, [taken()])), [i.Deliver, i.SetTimer])
+        self.assertEqual(kinds(made.handle(NOW, [taken()])), [SendAttempt, SetTimer])
 
     def test_after_a_restart_the_remembered_list_serves_until_a_whole_one_comes(self):
         made = balancer(*OLD)
         self.assertEqual(len(sent(made.handle(NOW, [taken()]))), 1)
-        made.handle(NOW, [i.PodList(i.WHOLE, (pod("other"),))])
+        made.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (pod("other"),))])
         self.assertEqual(sent(made.handle(NOW, [taken("t2")])), ["other"])
 
     def test_an_absurd_load_report_is_none(self):
-        made = balancer(reports=(i.UTILISATION,))
+        made = balancer(load_metrics=(UTILISATION,))
         address = sent(made.handle(NOW, [taken()]))[0]
-        made.handle(NOW, [ended(outcome=i.DONE, address=address)._replace(load=(float("nan"),))])
+        made.handle(
+            NOW, [ended(outcome=Outcome.DONE, address=address)._replace(load=(float("nan"),))]
+        )
         self.assertEqual(made.pods[address].load, 0.0)
 
 
@@ -119,32 +142,35 @@
     def told(self, made, mean, failed=0, many=80, trial=20):
         made.now += 2 * SECOND
         rows = [
-            i.Tally(1, "read", many - trial, failed, mean, 5_000),
-            i.Tally(2, "read", trial, 0, mean, 5_000),
+            FleetCounts(1, "read", many - trial, failed, mean, 5_000),
+            FleetCounts(2, "read", trial, 0, mean, 5_000),
         ]
-        made.handle(made.now, [row for row in rows if row.deliveries])
-        made.handle(made.now + UPKEEP_MOST, [i.TimerDue(0)])
+        made.handle(made.now, [row for row in rows if row.attempts])
+        made.handle(made.now + UPKEEP_MOST, [TimerFired(0)])
         return made._verdict()
 
-    def fleet(self, phase=i.ON_TRIAL):
+    def fleet(self, phase=ReleasePhase.ON_TRIAL):
         made = balancer(
-            *OLD, *[pod(f"new-{n}", 2) for n in range(40)], balancers=216, votes_to_revert=54
+            *OLD, *[pod(f"new-{n}", 2) for n in range(40)], instances=216, votes_to_revert=54
         )
         for _ in range(4):
             self.told(made, 2_200, 2, trial=0)
-        made.handle(made.now, [news(phase=i.ON_TRIAL)])
-        if phase == i.RELEASED:
+        made.handle(made.now, [news(phase=ReleasePhase.ON_TRIAL)])
+        if phase == ReleasePhase.RELEASED:
             made.handle(made.now, [news(4, phase, 1.0)])
         made.places, made.ramp, made.offset = 40, 0.4, 0
         return made
 
     def test_a_build_that_slows_all_is_held_at_once_and_goes_back_after_a_while(self):
-        for phase, waits in ((i.ON_TRIAL, i.NO_VOTE), (i.RELEASED, i.NO_VOTE)):
+        for phase, waits in (
+            (ReleasePhase.ON_TRIAL, Verdict.ABSTAIN),
+            (ReleasePhase.RELEASED, Verdict.ABSTAIN),
+        ):
             made = self.fleet(phase)
             self.assertEqual(self.told(made, 3_600, 6), waits, phase)
             self.assertIsNotNone(made.ill_since)
             votes = [self.told(made, 4_400, 8) for _ in range(3)]
-            self.assertEqual(votes[-1], i.BACK, phase)
+            self.assertEqual(votes[-1], Verdict.ABORT, phase)
 
     def test_what_else_makes_all_slower_does_not_send_a_build_back(self):
         for name, mean, failed, many in (
@@ -154,11 +180,11 @@
         ):
             made = self.fleet()
             votes = {self.told(made, mean, failed, many) for _ in range(5)}
-            self.assertNotIn(i.BACK, votes, name)
+            self.assertNotIn(Verdict.ABORT, votes, name)
 
     def test_a_released_build_is_not_sent_back_for_the_machines_that_have_left(self):
-        made = self.fleet(i.RELEASED)
-        self.assertNotIn(i.BACK, [self.told(made, 3_050, 4, 80, 80) for _ in range(6)])
+        made = self.fleet(ReleasePhase.RELEASED)
+        self.assertNotIn(Verdict.ABORT, [self.told(made, 3_050, 4, 80, 80) for _ in range(6)])
 
     def test_slowness_that_passes_leaves_no_trace(self):
         made = self.fleet()
@@ -168,7 +194,7 @@
         self.assertEqual(
             made.ramp, before
         )  # what slows all in step with the trial's traffic gets no more of it
-        self.assertNotIn(i.BACK, [self.told(made, 2_300) for _ in range(4)])
+        self.assertNotIn(Verdict.ABORT, [self.told(made, 2_300) for _ in range(4)])
         self.assertIsNone(made.ill_since)
         made._climb()
         self.assertGreater(made.ramp, before)
@@ -179,25 +205,37 @@
 
     def vote(self, stage, counted, **terms):
         """That of an instance whose trial has its last stage's pods since NOW. counted: when the last period ended."""
-        terms = {"balancers": 216, "votes_to_revert": 54, "vote_life": 60 * SECOND, **terms}
+        terms = {"instances": 216, "votes_to_revert": 54, "vote_lifetime": 60 * SECOND, **terms}
         made = balancer(
             *OLD, *[pod(f"new-{n}", 2, NOW) for n in range(40)], told=news(stage), **terms
         )
         made.offset, made.clear_since, made.places = 0, NOW - 60 * SECOND, 40
         for until in range(NOW - 8 * SECOND, counted + 1, 2 * SECOND):
             made.crowd.told(until)
-        made.now = NOW + TERMS.cold + SECOND
+        made.now = NOW + TERMS.warmup_duration + SECOND
         return made._verdict()
 
     def test_a_crowd_waits_for_the_counts_of_warm_pods_before_it_lets_the_earlier_ones_go(self):
-        warm = NOW + TERMS.cold
+        warm = NOW + TERMS.warmup_duration
         for what, stage, counted, wanted, terms in (
-            ("counted before they were warm", 4, warm - SECOND, i.NO_VOTE, {}),
-            ("counted when they were warm", 4, warm, i.ON, {}),
-            ("an earlier stage", 3, warm - SECOND, i.ON, {}),
-            ("few sidecars, who see enough each", 4, warm - SECOND, i.ON, {"balancers": 20}),
-            ("a platform that has told of one period alone", 4, NOW - 8 * SECOND, i.ON, {}),
-            ("a platform that tells nothing any more", 4, NOW - 2 * SECOND, i.ON, {}),
+            ("counted before they were warm", 4, warm - SECOND, Verdict.ABSTAIN, {}),
+            ("counted when they were warm", 4, warm, Verdict.PROMOTE, {}),
+            ("an earlier stage", 3, warm - SECOND, Verdict.PROMOTE, {}),
+            (
+                "few sidecars, who see enough each",
+                4,
+                warm - SECOND,
+                Verdict.PROMOTE,
+                {"instances": 20},
+            ),
+            (
+                "a platform that has told of one period alone",
+                4,
+                NOW - 8 * SECOND,
+                Verdict.PROMOTE,
+                {},
+            ),
+            ("a platform that tells nothing any more", 4, NOW - 2 * SECOND, Verdict.PROMOTE, {}),
         ):
             self.assertEqual(self.vote(stage, counted, **terms), wanted, what)
 
@@ -208,7 +246,7 @@
             self.assertEqual(made.crowd.period, period * SECOND)
 
     def test_a_stage_beyond_the_waves_counts_as_the_last(self):
-        self.assertEqual(self.vote(9, NOW + TERMS.cold), i.ON)
+        self.assertEqual(self.vote(9, NOW + TERMS.warmup_duration), Verdict.PROMOTE)
 
 
 class ManyColdPods(unittest.TestCase):
@@ -223,7 +261,7 @@
             (216, 0.18, 0.2),
             (2, 0.24, 0.28),
         ):  # of 40 and nine, that is 0.18
-            made = balancer(*OLD, *warm, *cold, told=news(cap=1.0), balancers=balancers)
+            made = balancer(*OLD, *warm, *cold, told=news(cap=1.0), instances=balancers)
             made._measure()
             made.ramped = NOW - 9 * SECOND
             made._climb()
@@ -236,12 +274,12 @@
                 *[pod(f"new-{n}", 2) for n in range(27)],
                 *[pod(f"late-{n}", 2, NOW - 8_000) for n in range(late)],
                 told=news(),
-                balancers=216,
+                instances=216,
                 votes_to_revert=54,
             )
             made.rows = [
-                i.Tally(1, "read", 95, 1, 2_000, 7_000),
-                i.Tally(2, "read", 23, 9, 3_800, 7_000),
+                FleetCounts(1, "read", 95, 1, 2_000, 7_000),
+                FleetCounts(2, "read", 23, 9, 3_800, 7_000),
             ]
             made._weigh_tallies()
             self.assertGreater(
@@ -253,35 +291,40 @@
     def tally(self, made, bad, late=1000, times=1):
         for _ in range(times):
             made.handle(
-                made.now, [i.Tally(1, "read", 99, 0, 999, 0), i.Tally(2, "read", 40, bad, late, 0)]
+                made.now,
+                [FleetCounts(1, "read", 99, 0, 999, 0), FleetCounts(2, "read", 40, bad, late, 0)],
             )
             made.now += 2 * SECOND
-            made._tick(i.TimerDue(0))
+            made._tick(TimerFired(0))
 
     def test_tallies_send_a_failing_build_back_but_one_period_does_not(self):
-        made = balancer(told=news(), balancers=400, votes_to_revert=100)
+        made = balancer(told=news(), instances=400, votes_to_revert=100)
         self.tally(made, 15)
-        self.assertNotEqual(made._verdict(), i.BACK)
+        self.assertNotEqual(made._verdict(), Verdict.ABORT)
         self.tally(made, 15)
-        self.assertEqual(made._verdict(), i.BACK)
+        self.assertEqual(made._verdict(), Verdict.ABORT)
 
     def test_tallies_send_a_slow_build_back_and_not_a_good_one(self):
         for latency, back in ((3000, True), (1100, False)):
-            made = balancer(told=news(), balancers=400, votes_to_revert=100)
+            made = balancer(told=news(), instances=400, votes_to_revert=100)
             self.tally(made, 0, latency, times=3)
-            self.assertEqual(made._verdict() == i.BACK, back)
+            self.assertEqual(made._verdict() == Verdict.ABORT, back)
 
     def test_a_way_on_which_all_is_lost_does_not_turn_the_evidence_round(self):
-        made = balancer(told=news(), balancers=400, votes_to_revert=100)
-        made.handle(NOW, [news(phase=i.RELEASED, cap=1.0)])  # the earlier build is counted no more
+        made = balancer(told=news(), instances=400, votes_to_revert=100)
+        made.handle(
+            NOW, [news(phase=ReleasePhase.RELEASED, cap=1.0)]
+        )  # the earlier build is counted no more
         made.lost = 0.99
-        made.handle(NOW, [i.Tally(2, "read", 40, 40, 1_000, 0)])
+        made.handle(NOW, [FleetCounts(2, "read", 40, 40, 1_000, 0)])
         made._weigh_tallies()
         self.assertGreater(made.sums["failed"], 0)
 
     def test_tallies_of_cold_pods_prove_nothing(self):
         made = balancer(pod("old-1"), pod("new-1", 2, started=NOW), told=news())
-        made.handle(NOW, [i.Tally(1, "read", 100, 0, 1000, 0), i.Tally(2, "read", 40, 20, 5000, 0)])
+        made.handle(
+            NOW, [FleetCounts(1, "read", 100, 0, 1000, 0), FleetCounts(2, "read", 40, 20, 5000, 0)]
+        )
         made._weigh_tallies()
         self.assertLessEqual(max(made.sums.values()), 0)
 
@@ -292,7 +335,7 @@
         self.assertEqual(made.sums, {"failed": 1.5, "slow": 0.0})
 
     def test_more_that_must_err_together_may_err_more(self):
-        one, many = balancer(balancers=540), balancer(balancers=540, votes_to_revert=43)
+        one, many = balancer(instances=540), balancer(instances=540, votes_to_revert=43)
         self.assertGreater(one.back_at["failed"], 2 * many.back_at["failed"])
 
     def test_one_recent_failure_of_the_earlier_build_tells_a_storm(self):
@@ -312,7 +355,7 @@
         ):  # of 8/3 s
             due = []
             for seed in range(50):
-                made = balancer(balancers=400, votes_per_s=calls)
+                made = balancer(instances=400, votes_per_second=calls)
                 made.chance.state = seed << 40
                 made.handle(NOW, [news()])
                 due.append(made.offset / SECOND)
@@ -321,16 +364,16 @@
             self.assertTrue(abs(sum(one == min(due) for one in due) - at_once) <= 5, due)
 
     def test_savings_of_hundreds_are_small(self):
-        self.assertLess(balancer(balancers=400).copies, 1)
+        self.assertLess(balancer(instances=400).copies, 1)
 
     def test_slow_answers_defer_by_chance_where_there_is_too_little_open_to_count(self):
-        made = balancer(*OLD, balancers=400)
+        made = balancer(*OLD, instances=400)
         pressed(made, 1.0)
-        deferred = sum(kinds(made.handle(NOW, [taken(str(n))])) == [i.Defer] for n in range(40))
+        deferred = sum(kinds(made.handle(NOW, [taken(str(n))])) == [Reject] for n in range(40))
         self.assertTrue(20 < deferred < 40)
 
     def test_upkeep_follows_the_traffic(self):
         made = balancer()
         made.arrivals.add(NOW, 500)
-        made._tick(i.TimerDue(0))
+        made._tick(TimerFired(0))
         self.assertLess(made.upkeep, UPKEEP_MOST)
--- a/tests/test_mass.py
+++ b/tests/test_mass.py
@@ -2,7 +2,8 @@
 
 import unittest
 
-from thymeknot import interface as i
+from thymeknot.interface.enums import Outcome
+from thymeknot.interface.events import AttemptEnded, FleetCounts
 from thymeknot.simulation.experiments import crowd_played, mass_compared
 from thymeknot.simulation.large_fleet_scenarios import MASS, mass
 from thymeknot.simulation.scenarios import SECOND, Fault
@@ -19,12 +20,15 @@
         self.ended, self.tallies = {}, {}
 
     def _tell(self, instance, event):
-        if type(event) is i.Ended and event.outcome not in (i.UNSENT, i.RECALLED):
+        if type(event) is AttemptEnded and event.outcome not in (
+            Outcome.NOT_SENT,
+            Outcome.CANCELLED,
+        ):
             some = self.ended.setdefault(self.now // PERIOD, [0, 0, 0])
             some[0] += 1
-            some[1] += event.outcome != i.DONE
-            some[2] += event.latency * (event.outcome == i.DONE)
-        if type(event) is i.Tally:
+            some[1] += event.outcome != Outcome.DONE
+            some[2] += event.latency * (event.outcome == Outcome.DONE)
+        if type(event) is FleetCounts:
             self.tallies.setdefault(instance, []).append((self.now, event))
         super()._tell(instance, event)
 
@@ -40,9 +44,9 @@
                 self.assertTrue(5_000 < row.age < 6_500, row)
                 self.assertEqual((at - row.age) % PERIOD, 0)
                 some = counted.setdefault((at - row.age) // PERIOD - 1, [0, 0, 0])
-                some[0] += row.deliveries
+                some[0] += row.attempts
                 some[1] += row.failed
-                some[2] += row.latency * (row.deliveries - row.failed)
+                some[2] += row.latency * (row.attempts - row.failed)
             self.assertEqual(
                 sorted(counted), [0, 1, 3, 4, 5]
             )  # the third's was due while calls were down
@@ -57,7 +61,7 @@
         day, _ = mass(4, **SIZE, seconds=12)
         for every in (PERIOD, 0):
             fleet = Noted(day._replace(tally_every=every), balancer).play()
-            told = sum(row.deliveries for _, row in fleet.tallies.get(0, ()))
+            told = sum(row.attempts for _, row in fleet.tallies.get(0, ()))
             seen = sum(one[0] for one in fleet.ended.values())
             self.assertTrue(0.05 * seen < told < 0.15 * seen if every else not told, (told, seen))
 
--- a/tests/test_protocol.py
+++ b/tests/test_protocol.py
@@ -5,7 +5,9 @@
 import unittest
 
 from tests.helpers import command
-from thymeknot import interface as i
+from thymeknot.interface.actions import CastVote
+from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind, Verdict
+from thymeknot.interface.events import Endpoint, EndpointUpdate, FleetCounts, ReleaseUpdate
 from thymeknot.protocol import client, deployer, discovery, http, pod, resp
 from thymeknot.protocol.calls import Reply
 from thymeknot.protocol.write_progress import NOT_ALL_WRITTEN, NOT_CONNECTED, WRITTEN, Broken
@@ -214,26 +216,27 @@
         )
         self.assertEqual(
             deployer.vote_news(42, Reply(200, good)),
-            i.News(42, 1, i.ON_TRIAL, True, i.DONE, 0.28, 3100),
+            ReleaseUpdate(42, 1, ReleasePhase.ON_TRIAL, True, Outcome.DONE, 0.28, 3100),
         )
         error = b"<Error><Code>%s</Code></Error>"
         for end, outcome in (
-            (Reply(400, error % b"throttled"), i.FULL),
-            (Reply(400, error % b"conflict"), i.UNSENT),
-            (Reply(500, error % b"internal"), i.ERROR),
-            (Reply(400, error % b"invalid"), i.ERROR),
-            (Reply(200, b"<Response/>"), i.EXPIRED),
-            (Reply(302, b""), i.EXPIRED),
-            (Broken(NOT_CONNECTED, ""), i.ERROR),
-            (Broken(NOT_ALL_WRITTEN, ""), i.ERROR),
-            (Broken(WRITTEN, ""), i.EXPIRED),
+            (Reply(400, error % b"throttled"), Outcome.REJECTED),
+            (Reply(400, error % b"conflict"), Outcome.NOT_SENT),
+            (Reply(500, error % b"internal"), Outcome.ERROR),
+            (Reply(400, error % b"invalid"), Outcome.ERROR),
+            (Reply(200, b"<Response/>"), Outcome.TIMED_OUT),
+            (Reply(302, b""), Outcome.TIMED_OUT),
+            (Broken(NOT_CONNECTED, ""), Outcome.ERROR),
+            (Broken(NOT_ALL_WRITTEN, ""), Outcome.ERROR),
+            (Broken(WRITTEN, ""), Outcome.TIMED_OUT),
         ):
             self.assertEqual(
-                deployer.vote_news(42, end), i.News(42, None, None, True, outcome, None, None)
+                deployer.vote_news(42, end),
+                ReleaseUpdate(42, None, None, True, outcome, None, None),
             )
 
     def test_a_vote_is_a_form(self):
-        call = deployer.vote("h:1", i.Vote(42, 1, i.BACK))
+        call = deployer.vote("h:1", CastVote(42, 1, Verdict.ABORT))
         head, body = call.split(b"\r\n\r\n")
         self.assertEqual(body, b"Action=PutApproval&version=42&step=1&vote=abort")
         self.assertIn(b"Content-Length: %d" % len(body), head)
@@ -242,11 +245,11 @@
         progress = "version=42&step=1&status=released&maxWeight=1&observedAgoMs=310"
         self.assertEqual(
             deployer.read_event("progress", progress),
-            i.News(42, 1, i.RELEASED, False, i.DONE, 1.0, 3100),
+            ReleaseUpdate(42, 1, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 3100),
         )
         metrics = "version=42&kind=a&requests=57&failures=2&avgMs=18.5&observedAgoMs=900"
         self.assertEqual(
-            deployer.read_event("metrics", metrics), i.Tally(42, "a", 57, 2, 185, 9000)
+            deployer.read_event("metrics", metrics), FleetCounts(42, "a", 57, 2, 185, 9000)
         )
         self.assertIsNone(deployer.read_event("weather", "a=1"))
         for data, field in (
@@ -286,11 +289,11 @@
             listing,
             discovery.Listing(
                 4,
-                i.PodList(
-                    i.WHOLE,
+                EndpointUpdate(
+                    UpdateKind.FULL,
                     (
-                        i.Pod("s-1", "a", 1.5, 3, i.READY, 10000, "m2", 41),
-                        i.Pod("s-2", "a", 1.5, 3, i.DRAINING, 0, "m2", 41),
+                        Endpoint("s-1", "a", 1.5, 3, EndpointCondition.READY, 10000, "m2", 41),
+                        Endpoint("s-2", "a", 1.5, 3, EndpointCondition.DRAINING, 0, "m2", 41),
                     ),
                 ),
                 {"s-1": "127.0.0.1:9", "s-2": "127.0.0.1:9"},
@@ -300,7 +303,8 @@
             b'{"version":5,"full":false,"servers":[{"id":"s-1","state":"Gone"}]}', 0
         )
         self.assertEqual(
-            (gone.pods.kind, gone.pods.pods[0].condition, gone.addresses), (i.CHANGES, i.GONE, {})
+            (gone.update.kind, gone.update.endpoints[0].condition, gone.addresses),
+            (UpdateKind.DELTA, EndpointCondition.GONE, {}),
         )
 
     def test_the_faulty_key_is_named(self):
--- a/tests/test_refusals.py
+++ b/tests/test_refusals.py
@@ -4,8 +4,10 @@
 
 from tests.helpers import NOW, SECOND, ended, pod, taken
 from tests.helpers import balancer as made_of
-from thymeknot import interface as i
-from thymeknot.reasons import Reason as R
+from thymeknot.interface.actions import CancelAttempt, CastVote, Fail, SendAttempt
+from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
+from thymeknot.interface.events import AttemptEnded, EndpointUpdate, RequestReceived
+from thymeknot.interface.reasons import Reason as R
 from thymeknot.service.rejection_summary import EVERY, Refusals
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.scenarios import Fault
@@ -73,10 +75,10 @@
         self.assertEqual(heard, [("t", R.DEFERRED, 50)])
 
     def test_the_decisions_name_what_turned_it_away(self):
-        made = made_of(pod("a"), max_deliveries=1)
+        made = made_of(pod("a"), max_attempts=1)
         made.say = self.refusals.hear
         made.handle(NOW, [taken()])
-        made.handle(NOW, [ended(outcome=i.FULL, address="a")])
+        made.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
         self.refusals.due(NOW + EVERY)
         self.assertEqual(self.lines[0][1]["deferred"], {"MOST_DELIVERIES": 1})
 
@@ -132,19 +134,19 @@
 
     def test_the_platform_turns_votes_away_beyond_its_calls(self):
         fleet, _ = self.made("calm")
-        fleet.day = fleet.day._replace(terms=fleet.day.terms._replace(votes_per_s=2.0))
-        fleet.news, fleet.calls = [2, 0, i.ON_TRIAL, 0.08], 4.0
+        fleet.day = fleet.day._replace(terms=fleet.day.terms._replace(votes_per_second=2.0))
+        fleet.news, fleet.calls = [2, 0, ReleasePhase.ON_TRIAL, 0.08], 4.0
         for instance in range(9):
-            fleet._vote(instance, fleet.turns[instance], i.Vote(2, 0, i.ON))
+            fleet._vote(instance, fleet.turns[instance], CastVote(2, 0, Verdict.PROMOTE))
         self.assertEqual(fleet.votes_asked["full"], 5)
         told = [arguments[2] for _, _, call, arguments in fleet.heap if call == fleet._told_vote]
-        self.assertEqual((told.count(i.DONE), told.count(i.FULL)), (4, 5))
+        self.assertEqual((told.count(Outcome.DONE), told.count(Outcome.REJECTED)), (4, 5))
         fleet.now = fleet.calls_at = SECOND
         fleet.now = 2 * SECOND
-        fleet._vote(0, fleet.turns[0], i.Vote(2, 1, i.ON))  # for another stage
+        fleet._vote(0, fleet.turns[0], CastVote(2, 1, Verdict.PROMOTE))  # for another stage
         self.assertEqual((fleet.votes_asked["full"], fleet.votes_asked["moot"]), (5, 1))
         self.assertIn(
-            i.UNSENT,
+            Outcome.NOT_SENT,
             [arguments[2] for _, _, call, arguments in fleet.heap if call == fleet._told_vote],
         )
 
@@ -159,22 +161,23 @@
                 told.extend(events)
                 actions = []
                 for event in events:
-                    if type(event) is i.PodList:
-                        self.pods = event.pods
-                    elif type(event) is i.Taken:
+                    if type(event) is EndpointUpdate:
+                        self.pods = event.endpoints
+                    elif type(event) is RequestReceived:
                         actions += [
-                            i.Deliver(event.id, self.pods[0].address, event.left),
-                            i.Recall(event.id, 0),
+                            SendAttempt(event.id, self.pods[0].address, event.time_left),
+                            CancelAttempt(event.id, 0),
                         ]
-                    elif type(event) is i.Ended and not event.closed:
-                        actions.append(i.Abandon(event.id))
+                    elif type(event) is AttemptEnded and not event.closed:
+                        actions.append(Fail(event.id))
                 return actions
 
         fleet, _ = self.made("calm")
         Fleet(fleet.day._replace(faults=()), Recalls).play()
-        ends = [event.outcome for event in told if type(event) is i.Ended]
+        ends = [event.outcome for event in told if type(event) is AttemptEnded]
         self.assertEqual(
-            (set(ends), len(ends)), ({i.RECALLED}, sum(type(one) is i.Taken for one in told))
+            (set(ends), len(ends)),
+            ({Outcome.CANCELLED}, sum(type(one) is RequestReceived for one in told)),
         )
 
     def test_days_of_each_kind_keep_the_rules(self):
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,33 +3,38 @@
 import unittest
 
 from tests.helpers import NOW, balancer, ended, kinds, news, pod, sent, taken
-from thymeknot import interface as i
 from thymeknot.balance import KEYS_MOST, SECOND
+from thymeknot.interface.actions import Fail, Reject, SendAttempt, SetTimer
+from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind
+from thymeknot.interface.events import ClientDisconnected, EndpointUpdate, LateResponseSeen
 
 
 class EveryTransactionIsAnswered(unittest.TestCase):
     def test_without_a_pod_it_is_deferred_at_once(self):
-        made = balancer(pod("gone", condition=i.DRAINING))
-        self.assertEqual(kinds(made.handle(NOW, [taken()])), [i.Defer])
+        made = balancer(pod("gone", condition=EndpointCondition.DRAINING))
+        self.assertEqual(kinds(made.handle(NOW, [taken()])), [Reject])
 
     def test_an_expired_grace_is_answered_without_a_delivery(self):
-        self.assertEqual(kinds(balancer().handle(NOW, [taken(left=0)])), [i.Defer])
+        self.assertEqual(kinds(balancer().handle(NOW, [taken(left=0)])), [Reject])
 
     def test_nothing_is_sent_after_the_answer(self):
         made = balancer()
-        made.handle(NOW, [taken(lane="pay"), ended(outcome=i.DONE, closed=True)])
+        made.handle(NOW, [taken(lane="pay"), ended(outcome=Outcome.DONE, closed=True)])
         self.assertEqual(
-            made.handle(NOW + 1, [ended(outcome=i.DONE, closed=True), i.ClientLeft("t1")]), []
+            made.handle(
+                NOW + 1, [ended(outcome=Outcome.DONE, closed=True), ClientDisconnected("t1")]
+            ),
+            [],
         )
 
     def test_an_error_after_the_goal_is_answered_at_once(self):
         made = balancer()
         address = sent(made.handle(NOW, [taken()]))[0]
-        actions = made.handle(NOW + SECOND, [ended(outcome=i.ERROR, address=address)])
-        self.assertEqual(kinds(actions), [i.Defer])
+        actions = made.handle(NOW + SECOND, [ended(outcome=Outcome.ERROR, address=address)])
+        self.assertEqual(kinds(actions), [Reject])
 
     def test_the_delivery_ends_with_the_client(self):
-        self.assertEqual(balancer().handle(NOW, [taken(left=123)])[0].time_out, 123)
+        self.assertEqual(balancer().handle(NOW, [taken(left=123)])[0].timeout, 123)
 
 
 class NoEffectTwice(unittest.TestCase):
@@ -39,65 +44,68 @@
         return first, made.handle(NOW + later, [ended(outcome=outcome, address=first)])
 
     def test_a_binding_one_that_may_have_run_is_abandoned(self):
-        for outcome in (i.ERROR, i.EXPIRED, i.RESET, i.RECALLED):
-            self.assertEqual(kinds(self.after("pay", outcome)[1]), [i.Abandon], outcome)
+        for outcome in (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
+            self.assertEqual(kinds(self.after("pay", outcome)[1]), [Fail], outcome)
 
     def test_a_binding_one_proved_unrun_goes_again(self):
-        for outcome in (i.FULL, i.UNCONNECTED, i.UNSENT):
-            self.assertEqual(kinds(self.after("pay", outcome)[1]), [i.Deliver], outcome)
+        for outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
+            self.assertEqual(kinds(self.after("pay", outcome)[1]), [SendAttempt], outcome)
 
     def test_a_fingerprinted_one_goes_again_within_its_window_only(self):
-        lanes = {"mark": balancer().terms.lanes["mark"]._replace(latency_goal=3 * SECOND)}
+        lanes = {
+            "mark": balancer().terms.request_classes["mark"]._replace(latency_objective=3 * SECOND)
+        }
         self.assertEqual(
-            kinds(self.after("mark", i.ERROR, 2 * SECOND - 1, lanes=lanes)[1]), [i.Deliver]
+            kinds(self.after("mark", Outcome.ERROR, 2 * SECOND - 1, request_classes=lanes)[1]),
+            [SendAttempt],
         )
         self.assertEqual(
-            kinds(self.after("mark", i.ERROR, 2 * SECOND, lanes=lanes)[1]), [i.Abandon]
+            kinds(self.after("mark", Outcome.ERROR, 2 * SECOND, request_classes=lanes)[1]), [Fail]
         )
 
     def test_a_zoned_fingerprint_stays_in_its_zone_and_is_not_deferred(self):
         made = balancer(pod("a"), pod("c", zone="z"))
         first = sent(made.handle(NOW, [taken(lane="zoned")]))[0]
-        again = made.handle(NOW + 1, [ended(outcome=i.ERROR, address=first)])
-        self.assertTrue(sent(again) == [first] or kinds(again) == [i.Abandon])
+        again = made.handle(NOW + 1, [ended(outcome=Outcome.ERROR, address=first)])
+        self.assertTrue(sent(again) == [first] or kinds(again) == [Fail])
 
     def test_an_unrun_delivery_does_not_hide_a_later_one_that_may_have_run(self):
         made = balancer(pod("a"), pod("b"))
         first = sent(made.handle(NOW, [taken(lane="pay")]))[0]
-        second = sent(made.handle(NOW + 1, [ended(outcome=i.FULL, address=first)]))[0]
+        second = sent(made.handle(NOW + 1, [ended(outcome=Outcome.REJECTED, address=first)]))[0]
         self.assertEqual(
-            kinds(made.handle(NOW + 2, [ended(outcome=i.ERROR, address=second, number=1)])),
-            [i.Abandon],
+            kinds(made.handle(NOW + 2, [ended(outcome=Outcome.ERROR, address=second, number=1)])),
+            [Fail],
         )
 
     def test_no_second_copy_where_they_are_off(self):
-        made = balancer(second_copies=False)
-        self.assertNotIn(i.SetTimer, kinds(made.handle(NOW, [taken()])))
+        made = balancer(hedging_allowed=False)
+        self.assertNotIn(SetTimer, kinds(made.handle(NOW, [taken()])))
 
 
 class DrainsAreKept(unittest.TestCase):
     def test_nothing_goes_to_a_draining_pod_or_one_that_is_gone(self):
-        for condition in (i.DRAINING, i.GONE):
+        for condition in (EndpointCondition.DRAINING, EndpointCondition.GONE):
             made = balancer(pod("a"), pod("b"))
-            made.handle(NOW, [i.PodList(i.CHANGES, (pod("a", condition=condition),))])
+            made.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, (pod("a", condition=condition),))])
             self.assertEqual({sent(made.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"})
 
     def test_a_pod_left_out_of_a_whole_list_is_gone(self):
         made = balancer(pod("a"), pod("b"))
-        made.handle(NOW, [i.PodList(i.WHOLE, (pod("b"),))])
+        made.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (pod("b"),))])
         self.assertEqual({sent(made.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"})
 
     def test_a_failed_list_changes_nothing_and_is_asked_for_again(self):
-        made = balancer(pod("a"), subscribes=True)
+        made = balancer(pod("a"), lists_polled=True)
         made.watch_at = NOW + 9 * SECOND
-        made.handle(NOW, [i.PodList(i.MISSED, ())])
+        made.handle(NOW, [EndpointUpdate(UpdateKind.FETCH_FAILED, ())])
         self.assertEqual(sent(made.handle(NOW, [taken()])), ["a"])
         self.assertLessEqual(made.watch_at, NOW + 2 * SECOND)
 
 
 class AColdPodIsNotPushedOver(unittest.TestCase):
     def room(self, age, already, rate=8.0):
-        made = balancer(pod("cold", started=NOW - age), fall_multiple=2.0)
+        made = balancer(pod("cold", started=NOW - age), overload_factor=2.0)
         made.warm_rate, known = rate, made.pods["cold"]
         known.sent.add(NOW, already)
         return made._cold_room(known, known.share(NOW, made.terms))
@@ -113,7 +121,7 @@
     def test_parts_of_hundreds_add_up_to_less_than_pushes_it_over(self):
         going = 0
         for seed in range(400):
-            made = balancer(pod("cold", started=NOW), balancers=400)
+            made = balancer(pod("cold", started=NOW), instances=400)
             made.chance.state, made.warm_rate = seed << 40, 8.0 / 400
             going += made._cold_room(made.pods["cold"], 0.25)
         self.assertTrue(0 < going < 2.0 * 0.25 * 8.0 * 3)
@@ -122,7 +130,7 @@
 class ExposureStaysWithinTheCap(unittest.TestCase):
     def left(self, taken_before, tried, cap=0.5, **changes):
         made = balancer(told=news(cap=cap), **changes)
-        lane = made.terms.lanes["read"]
+        lane = made.terms.request_classes["read"]
         made._ring(made.taken, lane).add(NOW - SECOND // 10, taken_before)
         made._ring(made.tried, lane).add(NOW, tried)
         return made, made._may_try(lane)
@@ -134,35 +142,35 @@
     def test_where_all_may_go_there_what_is_now_taken_does_and_a_later_attempt_counts(self):
         for cap, first, may in ((1.0, True, True), (1.0, False, False), (0.99, True, False)):
             made, _ = self.left(0, 9, cap=cap)
-            self.assertEqual(made._may_try(made.terms.lanes["read"], first), may)
+            self.assertEqual(made._may_try(made.terms.request_classes["read"], first), may)
 
     def test_lanes_count_by_themselves_where_told(self):
-        made, own = self.left(0, 2, by_lane=True)
+        made, own = self.left(0, 2, exposure_by_class=True)
         self.assertFalse(own)
-        self.assertTrue(made._may_try(made.terms.lanes["pay"]))
+        self.assertTrue(made._may_try(made.terms.request_classes["pay"]))
 
     def test_guarded_stages_are_for_retriable_ones(self):
         for stage, lane, may in ((0, "read", True), (0, "pay", False), (1, "pay", True)):
             made = balancer(told=news(stage=stage))
-            self.assertEqual(made._may_try(made.terms.lanes[lane]), may)
+            self.assertEqual(made._may_try(made.terms.request_classes[lane]), may)
 
     def test_at_cap_nothing_goes_and_a_later_build_waits_for_its_news(self):
-        made = balancer(pod("new", 2), told=news(phase=i.GOING_BACK, cap=0.0))
-        self.assertEqual(kinds(made.handle(NOW, [taken()])), [i.Defer])
-        self.assertEqual(kinds(balancer(pod("new", 2)).handle(NOW, [taken()])), [i.Defer])
+        made = balancer(pod("new", 2), told=news(phase=ReleasePhase.ROLLING_BACK, cap=0.0))
+        self.assertEqual(kinds(made.handle(NOW, [taken()])), [Reject])
+        self.assertEqual(kinds(balancer(pod("new", 2)).handle(NOW, [taken()])), [Reject])
 
     def test_a_key_that_the_new_build_answered_goes_to_no_earlier_one(self):
         made = balancer(told=news(cap=0.0))
         made.pins.add("k")
-        self.assertEqual(kinds(made.handle(NOW, [taken(key="k")])), [i.Defer])
-        made.handle(NOW, [news(phase=i.GOING_BACK, cap=0.0)])
+        self.assertEqual(kinds(made.handle(NOW, [taken(key="k")])), [Reject])
+        made.handle(NOW, [news(phase=ReleasePhase.ROLLING_BACK, cap=0.0)])
         self.assertIn(sent(made.handle(NOW, [taken("t2", key="k")]))[0], ("old-1", "old-2"))
 
     def test_keys_that_stay_are_those_of_the_newest_build_and_bounded(self):
         made = balancer(told=news(cap=0.0))
         for key in range(KEYS_MOST + 9):
-            made.handle(NOW, [i.AnsweredUnheard(str(key), 1), i.AnsweredUnheard(str(key), 2)])
+            made.handle(NOW, [LateResponseSeen(str(key), 1), LateResponseSeen(str(key), 2)])
         self.assertEqual(len(made.pins), KEYS_MOST)
-        self.assertEqual(kinds(made.handle(NOW, [taken(key="another")])), [i.Defer])
+        self.assertEqual(kinds(made.handle(NOW, [taken(key="another")])), [Reject])
         made.handle(NOW, [news(build=3)])
         self.assertEqual(made.pins, set())
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,9 +14,42 @@
 
 from tests.helpers import PATIENCE, SETTINGS, PodPeer, Program
 from tests.test_sidecar import Network
-from thymeknot import interface as i
 from thymeknot.balance import Balancer
 from thymeknot.benchlink import Host
+from thymeknot.interface.actions import (
+    CancelAttempt,
+    CastVote,
+    Fail,
+    FetchEndpoints,
+    LogNote,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from thymeknot.interface.enums import (
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    PromotionMode,
+    ReleasePhase,
+    UpdateKind,
+    Verdict,
+)
+from thymeknot.interface.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    ComplaintReceived,
+    Endpoint,
+    EndpointUpdate,
+    FleetCounts,
+    LateResponseSeen,
+    ReleaseUpdate,
+    RequestReceived,
+    ResponseStarted,
+    SuspicionReported,
+    TimerFired,
+)
 from thymeknot.records import Known, Ring
 from thymeknot.service import configuration
 from thymeknot.service.configuration import Faulty, pairs
@@ -350,9 +383,10 @@
 class Taken(unittest.TestCase):
     def test_names_that_differ_in_case_are_classes_of_their_own(self):
         told = changed("settings.categories.1.name", "Read")
-        lanes = configuration.read(told, 0).terms.lanes
+        lanes = configuration.read(told, 0).terms.request_classes
         self.assertEqual(
-            (lanes["read"].effect, lanes["Read"].effect), (i.RETRIABLE, i.FINGERPRINTED)
+            (lanes["read"].idempotency, lanes["Read"].idempotency),
+            (Idempotency.IDEMPOTENT, Idempotency.KEYED),
         )
 
     def test_thousands_of_classes_and_no_time_for_repeats(self):
@@ -362,7 +396,10 @@
             for number in range(5000)
         ]
         read = configuration.read(told, 0).terms
-        self.assertEqual((len(read.lanes), read.lanes["c4999"].window), (5000, 0))
+        self.assertEqual(
+            (len(read.request_classes), read.request_classes["c4999"].deduplication_window),
+            (5000, 0),
+        )
 
     def test_what_means_the_same_is_read_as_the_same(self):
         """Whole numbers as others write them, no voter needed, and keys added that could pass for others."""
@@ -393,7 +430,9 @@
         for lane in told["settings"]["categories"]:
             if lane["semantics"] != "deduplicated":
                 del lane["key_scope"], lane["window"]
-        self.assertEqual(list(configuration.read(told, 0).terms.lanes), ["read", "mark", "pay"])
+        self.assertEqual(
+            list(configuration.read(told, 0).terms.request_classes), ["read", "mark", "pay"]
+        )
         for path, new, named in (
             ("discovery", "subscribe", "ask_within"),
             ("permissions.retry_after", True, "max_ret"),
@@ -406,8 +445,10 @@
 
     def test_a_pod_that_starts_at_nothing_or_at_once_has_some_capacity(self):
         for cold, cold_from in ((0, 0.3), (0, 0.0), (50_000, 0.0)):
-            known = Known(i.Pod("p", "a", 1.0, 0, i.READY, 70, "m", 1), 10)
-            terms = configuration.read(example(), 0).terms._replace(cold=cold, cold_from=cold_from)
+            known = Known(Endpoint("p", "a", 1.0, 0, EndpointCondition.READY, 70, "m", 1), 10)
+            terms = configuration.read(example(), 0).terms._replace(
+                warmup_duration=cold, warmup_initial_fraction=cold_from
+            )
             for now in (20, 70, 71):  # the clock may be behind the pod's
                 self.assertGreater(known.share(now, terms), 0, (cold, cold_from, now))
 
@@ -510,15 +551,15 @@
 
     TURNS, GRACE = 120, 2_500
     RAN = {
-        **dict.fromkeys((i.ERROR, i.EXPIRED, i.RESET, i.RECALLED)),
-        i.DONE: True,
-        **dict.fromkeys((i.FULL, i.UNCONNECTED, i.UNSENT), False),
+        **dict.fromkeys((Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)),
+        Outcome.DONE: True,
+        **dict.fromkeys((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT), False),
     }
     PHASES = {
-        i.ON_TRIAL: "trial",
-        i.GOING_BACK: "back",
-        i.RELEASED: "released",
-        i.WITHDRAWN: "withdrawn",
+        ReleasePhase.ON_TRIAL: "trial",
+        ReleasePhase.ROLLING_BACK: "back",
+        ReleasePhase.RELEASED: "released",
+        ReleasePhase.WITHDRAWN: "withdrawn",
     }
 
     def __init__(self, seed, calm=False):
@@ -531,19 +572,19 @@
         )
         self.terms = terms = configuration.read(drawn(self.chance), 0).terms
         self.checker = Checker(
-            terms.lanes,
+            terms.request_classes,
             self.GRACE,
             terms.exposure_window,
-            terms.allowance,
-            terms.by_lane,
+            terms.exposure_allowance,
+            terms.exposure_by_class,
             terms.guarded_stages,
         )
         self.made, self.pods, self.held, self.said = Balancer(terms, seed, self.now), {}, {}, []
-        self.order = 1, 0, i.RELEASED, 1.0
-        least = min(lane.latency_goal for lane in terms.lanes.values())
+        self.order = 1, 0, ReleasePhase.RELEASED, 1.0
+        least = min(lane.latency_objective for lane in terms.request_classes.values())
         self.step = min(2_000, least) if calm else self.chance.choice((1, 100, 2_000, 5_000))
         many = self.chance.choice((1, 4, 12)) if not calm else 8
-        self.listed([self.pod(number, 1 + number % 2) for number in range(many)], i.REMEMBERED)
+        self.listed([self.pod(number, 1 + number % 2) for number in range(many)], UpdateKind.CACHED)
         self.tell(self.news())
 
     # What comes.
@@ -551,8 +592,15 @@
     def pod(self, number, build):
         any_of = self.chance.choice
         started = 0 if self.calm else any_of((0, 0, self.now, self.now - 3_000, self.now + 50))
-        condition = i.READY if self.calm else any_of((i.READY,) * 6 + (i.DRAINING, i.GONE))
-        return i.Pod(
+        condition = (
+            EndpointCondition.READY
+            if self.calm
+            else any_of(
+                (EndpointCondition.READY,) * 6
+                + (EndpointCondition.DRAINING, EndpointCondition.GONE)
+            )
+        )
+        return Endpoint(
             f"p{number}",
             any_of("ab"),
             any_of((0.01, 1.0, 100.0)),
@@ -567,28 +615,33 @@
         for pod in pods:
             self.pods[pod.address] = pod
             self.checker.listed(
-                self.now, 0, pod.address, "ready" if pod.condition == i.READY else "gone"
+                self.now,
+                0,
+                pod.address,
+                "ready" if pod.condition == EndpointCondition.READY else "gone",
             )
-        self.tell(i.PodList(kind, tuple(pods)))
+        self.tell(EndpointUpdate(kind, tuple(pods)))
 
-    def news(self, answers=False, outcome=i.DONE):
+    def news(self, answers=False, outcome=Outcome.DONE):
         build, stage, phase, cap = self.order
-        if outcome != i.DONE:
-            return i.News(build, None, None, answers, outcome, None, None)
+        if outcome != Outcome.DONE:
+            return ReleaseUpdate(build, None, None, answers, outcome, None, None)
         self.checker.cap(self.now, 0, build, cap, stage, self.PHASES[phase])
-        return i.News(build, stage, phase, answers, i.DONE, cap, 0)
+        return ReleaseUpdate(build, stage, phase, answers, Outcome.DONE, cap, 0)
 
     def moved(self):
         build, stage, phase, _ = self.order
-        if phase != i.ON_TRIAL:
-            self.order = build + 1, 0, i.ON_TRIAL, self.chance.random()
-        elif stage + 1 < len(self.terms.waves) and self.chance.random() < 0.7:
+        if phase != ReleasePhase.ON_TRIAL:
+            self.order = build + 1, 0, ReleasePhase.ON_TRIAL, self.chance.random()
+        elif stage + 1 < len(self.terms.stage_fractions) and self.chance.random() < 0.7:
             self.order = build, stage + 1, phase, self.chance.choice((0.0, 0.1, 1.0))
         else:
             self.order = (
                 build,
                 stage,
-                *self.chance.choice(((i.RELEASED, 1.0), (i.GOING_BACK, 0.0))),
+                *self.chance.choice(
+                    ((ReleasePhase.RELEASED, 1.0), (ReleasePhase.ROLLING_BACK, 0.0))
+                ),
             )
         self.tell(self.news())
 
@@ -596,9 +649,9 @@
         name, self.number, lane = (
             f"{self.number:x}",
             self.number + 1,
-            self.chance.choice(list(self.terms.lanes)),
+            self.chance.choice(list(self.terms.request_classes)),
         )
-        limit = self.terms.lanes[lane].outer_limit
+        limit = self.terms.request_classes[lane].outer_limit
         left = limit if self.calm else min(limit, self.chance.choice((1, 100, 5_000, 20_000)))
         key = None if self.calm else self.chance.choice((None, "k", "ключ", name))
         self.held[name] = {
@@ -611,7 +664,7 @@
         }
         self.checker.taken(self.now, 0, name, lane, self.now + left)
         self.tell(
-            i.Taken(
+            RequestReceived(
                 name,
                 lane,
                 self.chance.choice((None, "tenant é")),
@@ -627,7 +680,7 @@
         any_of, build, lane = (
             self.chance.choice,
             self.order[0],
-            self.chance.choice(list(self.terms.lanes)),
+            self.chance.choice(list(self.terms.request_classes)),
         )
         for _ in range(1 if self.calm else any_of((0, 1, 1, 3))):
             self.asked()
@@ -645,12 +698,12 @@
                     self.pod(any_of(range(14)), max(1, build - any_of((-1, 0, 0, 1, 1))))
                     for _ in range(any_of((0, 1, 5)))
                 ],
-                any_of((i.CHANGES, i.CHANGES, i.WHOLE)),
+                any_of((UpdateKind.DELTA, UpdateKind.DELTA, UpdateKind.FULL)),
             )
         elif what == "tally":
             self.tell(
                 *(
-                    i.Tally(
+                    FleetCounts(
                         some,
                         lane,
                         any_of((0, 1, 50)),
@@ -664,9 +717,9 @@
         elif what in ("complaint", "doubt", "unheard"):
             self.tell(
                 {
-                    "complaint": i.Complaint(spread, pod, lane),
-                    "unheard": i.AnsweredUnheard("k", build - 1),
-                    "doubt": i.Doubted(
+                    "complaint": ComplaintReceived(spread, pod, lane),
+                    "unheard": LateResponseSeen("k", build - 1),
+                    "doubt": SuspicionReported(
                         pod, self.pods[pod].build, self.pods[pod].started, self.now + spread
                     ),
                 }[what]
@@ -675,10 +728,10 @@
             name = any_of(waiting)
             if what == "left":
                 self.over(name, "left")
-                self.tell(i.ClientLeft(name))
+                self.tell(ClientDisconnected(name))
             elif what == "stream" and len(sent := self.held[name]["sent"]) == 1 and sent[0]["out"]:
                 self.held[name]["streams"] = 1
-                self.tell(i.StreamBegan(name, sent[0]["pod"], 0, 1))
+                self.tell(ResponseStarted(name, sent[0]["pod"], 0, 1))
 
     # What the instance does.
 
@@ -697,28 +750,38 @@
             self.ACTIONS[type(action)](self, action)
 
     def deliver(self, action):
-        held, pod = self.held[action.id], self.pods[action.pod]
+        held, pod = self.held[action.id], self.pods[action.endpoint]
         self.checker.sent(
-            self.now, 0, action.id, action.pod, pod.build, held["lane"], held["key"] or action.id
+            self.now,
+            0,
+            action.id,
+            action.endpoint,
+            pod.build,
+            held["lane"],
+            held["key"] or action.id,
         )
         if (
             held["over"]
-            or sum(one["out"] for one in held["sent"]) > self.terms.second_copies
-            or action.time_out <= 0
+            or sum(one["out"] for one in held["sent"]) > self.terms.hedging_allowed
+            or action.timeout <= 0
         ):
             self.checker._broke(2, self.now, f"{action}: {held}")
-        held["sent"].append({"out": True, "pod": action.pod, "build": pod.build, "at": self.now})
-        if len(held["sent"]) > self.terms.max_deliveries:
+        held["sent"].append(
+            {"out": True, "pod": action.endpoint, "build": pod.build, "at": self.now}
+        )
+        if len(held["sent"]) > self.terms.max_attempts:
             self.checker._broke(2, self.now, f"{action}: one too many")
-        within = min(action.time_out, held["ends"] - self.now)
+        within = min(action.timeout, held["ends"] - self.now)
         after = self.chance.choice((0, 1, 50, 2_000, 10**6)) if not self.calm else self.step // 8
-        outcome = self.chance.choice([i.DONE] * 6 + [one for one in self.RAN if one != i.RECALLED])
+        outcome = self.chance.choice(
+            [Outcome.DONE] * 6 + [one for one in self.RAN if one != Outcome.CANCELLED]
+        )
         self.at(
             self.now + min(after, within),
             self.end,
             action.id,
             len(held["sent"]) - 1,
-            i.DONE if self.calm else i.EXPIRED if after > within else outcome,
+            Outcome.DONE if self.calm else Outcome.TIMED_OUT if after > within else outcome,
         )
 
     def end(self, name, number, outcome):
@@ -728,47 +791,55 @@
             return
         attempt["out"] = False
         self.checker.proved(0, name, number, self.RAN[outcome])
-        if (outcome == i.DONE or held["streams"]) and not held["over"]:
+        if (outcome == Outcome.DONE or held["streams"]) and not held["over"]:
             self.over(name, "done")
-        if outcome == i.DONE and self.terms.keys_stay:
+        if outcome == Outcome.DONE and self.terms.sticky_keys:
             self.checker.key_answered(0, held["key"] or name, attempt["build"])
-        load = (float("nan"),) * len(self.terms.reports) if self.chance.random() < 0.1 else None
+        load = (
+            (float("nan"),) * len(self.terms.load_metrics) if self.chance.random() < 0.1 else None
+        )
         self.tell(
-            i.Ended(
+            AttemptEnded(
                 name, outcome, held["over"], self.now - attempt["at"], attempt["pod"], number, load
             )
         )
 
     def recall(self, action):
         if self.held[action.id]["sent"][action.number]["out"]:
-            self.at(self.now, self.end, action.id, action.number, i.RECALLED)
+            self.at(self.now, self.end, action.id, action.number, Outcome.CANCELLED)
 
     def ask(self, _):
-        self.at(self.now + 100, self.tell, i.PodList(self.chance.choice((i.MISSED, i.CHANGES)), ()))
+        self.at(
+            self.now + 100,
+            self.tell,
+            EndpointUpdate(self.chance.choice((UpdateKind.FETCH_FAILED, UpdateKind.DELTA)), ()),
+        )
 
     def vote(self, action):
         allowed = {
-            i.ON: self.terms.decided_by != i.BY_CLOCK,
-            i.HOLD: self.terms.decided_by == i.BY_CLOCK,
+            Verdict.PROMOTE: self.terms.promotion_mode != PromotionMode.TIMER,
+            Verdict.PAUSE: self.terms.promotion_mode == PromotionMode.TIMER,
         }
         if not allowed.get(action.verdict, True):
             self.checker._broke(5, self.now, f"{action} is no vote here")
         self.at(
             self.now + self.chance.choice((1, 500)),
             lambda how: self.tell(self.news(True, how)),
-            self.chance.choice((i.DONE, i.DONE, i.FULL, i.UNSENT, i.EXPIRED)),
+            self.chance.choice(
+                (Outcome.DONE, Outcome.DONE, Outcome.REJECTED, Outcome.NOT_SENT, Outcome.TIMED_OUT)
+            ),
         )
 
     ACTIONS = {
-        i.Deliver: deliver,
-        i.Recall: recall,
-        i.Subscribe: ask,
-        i.FetchList: ask,
-        i.Vote: vote,
-        i.Defer: lambda self, action: self.over(action.id, "deferred"),
-        i.Abandon: lambda self, action: self.over(action.id, "abandoned"),
-        i.SetTimer: lambda self, action: self.at(action.at, self.tell, i.TimerDue(action.token)),
-        i.Note: lambda self, action: None,
+        SendAttempt: deliver,
+        CancelAttempt: recall,
+        SubscribeToEndpoints: ask,
+        FetchEndpoints: ask,
+        CastVote: vote,
+        Reject: lambda self, action: self.over(action.id, "deferred"),
+        Fail: lambda self, action: self.over(action.id, "abandoned"),
+        SetTimer: lambda self, action: self.at(action.at, self.tell, TimerFired(action.token)),
+        LogNote: lambda self, action: None,
     }
 
     def play(self):
@@ -778,7 +849,7 @@
         last = (
             self.now
             + self.step * self.TURNS
-            + max(lane.outer_limit for lane in self.terms.lanes.values())
+            + max(lane.outer_limit for lane in self.terms.request_classes.values())
             + 1
         )
         while self.queue[0][0] <= last:
@@ -790,7 +861,7 @@
             self.checker._broke(
                 1, last, f"open yet: {list(self.made.open)} {list(self.checker.open)}"
             )
-        if not any(values and values[0] == i.TimerDue(0) for _, _, _, values in self.queue):
+        if not any(values and values[0] == TimerFired(0) for _, _, _, values in self.queue):
             self.checker._broke(0, last, "it has stopped looking")
 
 
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -10,7 +10,9 @@
 from twisted.python.failure import Failure
 
 from tests.helpers import SETTINGS, command
-from thymeknot import interface as i
+from thymeknot.interface.actions import CastVote
+from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
+from thymeknot.interface.events import ReleaseUpdate
 from thymeknot.memory.deadlines import Deadlines
 from thymeknot.memory.slots import Slots
 from thymeknot.protocol.client import ClientConnection
@@ -103,7 +105,7 @@
             lambda *fault: self.faults.append(fault),
         )
         start = configuration.read(told(*entries, **news), 0)._replace(sockets=sockets)
-        start = start._replace(terms=start.terms._replace(subscribes=asked_for))
+        start = start._replace(terms=start.terms._replace(lists_polled=asked_for))
         self.sidecar = Sidecar(start, self.reactor, deadlines, 0)
         self.sidecar.begin()
         self.streams = len(self.reactor.tcpClients)
@@ -165,7 +167,9 @@
     def test_nor_past_a_lower_cap(self):
         network = Network(entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0)
         client = network.ask()
-        network.sidecar.tell(i.News(42, 0, i.GOING_BACK, False, i.DONE, 0.0, 0))
+        network.sidecar.tell(
+            ReleaseUpdate(42, 0, ReleasePhase.ROLLING_BACK, False, Outcome.DONE, 0.0, 0)
+        )
         self.assertRegex(client.transport.value(), b"^-BUSY")
         self.assertEqual(network.connect().transport.value(), b"")
 
@@ -447,7 +451,7 @@
     def vote(self, network):
         """What the decisions hear of a vote, once the connector of its call is there."""
         heard = []
-        network.sidecar._vote(i.Vote(41, 1, i.BACK))
+        network.sidecar._vote(CastVote(41, 1, Verdict.ABORT))
         network.sidecar.balancer.handle = lambda now, events: heard.extend(events) or []
         return heard
 
@@ -461,19 +465,22 @@
         call = network.connect()
         call.resumeProducing()
         self.pass_on(network, 1.3)
-        self.assertEqual([event.outcome for event in heard if type(event) is i.News], [i.EXPIRED])
+        self.assertEqual(
+            [event.outcome for event in heard if type(event) is ReleaseUpdate], [Outcome.TIMED_OUT]
+        )
 
     def test_one_that_was_not_written_whole_or_never_connected_does_not(self):
         network = Network()
         heard = self.vote(network)
         network.connect()
         self.pass_on(network, 1.3)
-        network.sidecar._vote(i.Vote(41, 1, i.BACK))
+        network.sidecar._vote(CastVote(41, 1, Verdict.ABORT))
         self.pass_on(network, 1.3)
         self.assertTrue(network.reactor.connectors[-1].stoppedConnecting)
         network.refuse()
         self.assertEqual(
-            [event.outcome for event in heard if type(event) is i.News], [i.ERROR, i.ERROR]
+            [event.outcome for event in heard if type(event) is ReleaseUpdate],
+            [Outcome.ERROR, Outcome.ERROR],
         )
 
     def test_a_stream_that_shows_no_sign_of_life_is_asked_for_again(self):
@@ -529,7 +536,7 @@
         self.assertFalse(old.transport.disconnected)
         new.dataReceived(life)
         self.assertEqual((old.transport.disconnected, network.sidecar.stream.stream), (True, new))
-        network.sidecar._vote(i.Vote(41, 1, i.BACK))
+        network.sidecar._vote(CastVote(41, 1, Verdict.ABORT))
         self.assertEqual(network.reactor.tcpClients[-1][1], 9)
 
     def test_what_takes_a_new_start_is_named_by_its_key(self):
@@ -565,7 +572,9 @@
         for _ in range(70):
             call.dataReceived(b"x" * 65536)
         self.assertTrue(call.transport.disconnected)
-        self.assertEqual([event.outcome for event in heard if type(event) is i.News], [i.EXPIRED])
+        self.assertEqual(
+            [event.outcome for event in heard if type(event) is ReleaseUpdate], [Outcome.TIMED_OUT]
+        )
 
     def test_a_refused_stream_is_asked_for_again_without_a_fault(self):
         network = Network()
@@ -631,4 +640,6 @@
         self.assertEqual(
             (start.name, start.sockets, start.seed), ("sidecar", configuration.SOCKETS, 31)
         )
-        self.assertEqual((start.terms.waves, start.reach.connect_within), ((0.5, 1.0), 2500))
+        self.assertEqual(
+            (start.terms.stage_fractions, start.reach.connect_timeout), ((0.5, 1.0), 2500)
+        )
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -4,7 +4,8 @@
 
 from tests.helpers import NOW, ended, pod, sent, taken
 from tests.helpers import balancer as made_with
-from thymeknot import interface as i
+from thymeknot.interface.enums import Outcome
+from thymeknot.interface.events import TimerFired
 from thymeknot.simulation.experiments import crowd_played, vast_figures
 from thymeknot.simulation.large_fleet_scenarios import VAST, vast
 from thymeknot.simulation.scenarios import SECOND, Fault, Offer
@@ -83,8 +84,8 @@
         # Two transactions a second to four pods. One can't be reached, or stands still for a second in four: then
         # time alone forgets nothing, since from hundreds that costs more than it brings (grown deck 0.619 to 0.396).
         for ill, tried_most, again in (
-            (lambda now: i.UNCONNECTED, 4, True),
-            (lambda now: i.EXPIRED if now // SECOND % 4 == 0 else i.DONE, 6, False),
+            (lambda now: Outcome.CONNECT_FAILED, 4, True),
+            (lambda now: Outcome.TIMED_OUT if now // SECOND % 4 == 0 else Outcome.DONE, 6, False),
         ):
             made, uses, well = (
                 made_with(*(pod(f"old-{n}") for n in range(4))),
@@ -92,13 +93,15 @@
                 NOW + 12 * SECOND,
             )
             for now in range(NOW, NOW + 30 * SECOND, SECOND // 2):
-                number, waiting = 0, sent(made.handle(now, [i.TimerDue(0), taken(f"t{now}")]))
+                number, waiting = 0, sent(made.handle(now, [TimerFired(0), taken(f"t{now}")]))
                 while waiting:
                     at = waiting.pop()
-                    outcome = ill(now) if at == "old-1" and now < well else i.DONE
+                    outcome = ill(now) if at == "old-1" and now < well else Outcome.DONE
                     uses += [now] if at == "old-1" else []
                     waiting += sent(
-                        made.handle(now, [ended(f"t{now}", outcome, at, number, outcome == i.DONE)])
+                        made.handle(
+                            now, [ended(f"t{now}", outcome, at, number, outcome == Outcome.DONE)]
+                        )
                     )
                     number += 1
             tried, used = [at for at in uses if at < well], [at for at in uses if at >= well]
--- a/tests/test_why.py
+++ b/tests/test_why.py
@@ -23,7 +23,7 @@
 from thymeknot.decision_log.query_protocol import Watch, answer
 from thymeknot.decision_log.recorder import laid_out
 from thymeknot.decision_log.slot_file import HEAD, Arena, left_over
-from thymeknot.reasons import Reason as R
+from thymeknot.interface.reasons import Reason as R
 
 OK = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
 READ, PAY = "c=read,t=acme,d=15000", "c=pay,t=acme,d=15000"
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,9 +3,29 @@
 import io
 import unittest
 
-from thymeknot import interface as i
 from thymeknot import wire
 from thymeknot.benchlink import Host, serve
+from thymeknot.interface.actions import (
+    CancelAttempt,
+    CastVote,
+    Fail,
+    LogNote,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, Verdict
+from thymeknot.interface.events import (
+    AttemptEnded,
+    ComplaintReceived,
+    Endpoint,
+    PeerMessage,
+    ReleaseUpdate,
+    RequestReceived,
+    ResponseStarted,
+)
 
 PAIRS = """balancers=3 categories.count=1 categories.0.give_up=2000000000 categories.0.key_scope=all
 categories.0.late_worth=0.0 categories.0.name=fetch categories.0.promise=800000000
@@ -23,19 +43,23 @@
 class Reading(unittest.TestCase):
     def test_events(self):
         cases = {
-            "INGRESS 25 fetch sao 91f0 240000000 - 0 1": i.Taken(
+            "INGRESS 25 fetch sao 91f0 240000000 - 0 1": RequestReceived(
                 "25", "fetch", "sao", "91f0", 2400, None, False, True
             ),
-            "RESULT 25 delivered 1 18500000 10.1.1.1:50 0 0.5,2": i.Ended(
-                "25", i.DONE, True, 185, "10.1.1.1:50", 0, (0.5, 2.0)
+            "RESULT 25 delivered 1 18500000 10.1.1.1:50 0 0.5,2": AttemptEnded(
+                "25", Outcome.DONE, True, 185, "10.1.1.1:50", 0, (0.5, 2.0)
             ),
-            "ROLLOUT_STATE 42 2 0 1 delivered 0.125 310000000": i.News(
-                42, 2, i.ON_TRIAL, True, i.DONE, 0.125, 3100
+            "ROLLOUT_STATE 42 2 0 1 delivered 0.125 310000000": ReleaseUpdate(
+                42, 2, ReleasePhase.ON_TRIAL, True, Outcome.DONE, 0.125, 3100
             ),
-            "ROLLOUT_STATE 42 - - 1 shed - -": i.News(42, None, None, True, i.FULL, None, None),
-            "FIRST 25 300000 10.1.1.1:50 1": i.StreamBegan("25", "10.1.1.1:50", 1, 3),
-            "FLAGGED 2400000000 10.1.1.1:50 fetch": i.Complaint(24000, "10.1.1.1:50", "fetch"),
-            "MAIL 2 aGk=": i.Message(2, b"hi"),
+            "ROLLOUT_STATE 42 - - 1 shed - -": ReleaseUpdate(
+                42, None, None, True, Outcome.REJECTED, None, None
+            ),
+            "FIRST 25 300000 10.1.1.1:50 1": ResponseStarted("25", "10.1.1.1:50", 1, 3),
+            "FLAGGED 2400000000 10.1.1.1:50 fetch": ComplaintReceived(
+                24000, "10.1.1.1:50", "fetch"
+            ),
+            "MAIL 2 aGk=": PeerMessage(2, b"hi"),
         }
         for line, event in cases.items():
             name, *values = line.split()
@@ -44,11 +68,12 @@
     def test_a_pod(self):
         row = "bien 1.5 0 fading 6100000000 10.2.2.2:44 std 42".split()
         self.assertEqual(
-            wire.pod(row), i.Pod("10.2.2.2:44", "bien", 1.5, 0, i.DRAINING, 61000, "std", 42)
+            wire.pod(row),
+            Endpoint("10.2.2.2:44", "bien", 1.5, 0, EndpointCondition.DRAINING, 61000, "std", 42),
         )
 
     def test_terms(self):
-        self.assertEqual(wire.terms(PAIRS).lanes["fetch"].latency_goal, 8000)
+        self.assertEqual(wire.terms(PAIRS).request_classes["fetch"].latency_objective, 8000)
 
     def test_a_missing_or_senseless_setting_is_named(self):
         with self.assertRaisesRegex(wire.Malformed, "extra.window"):
@@ -67,15 +92,15 @@
 class Writing(unittest.TestCase):
     def test_actions(self):
         cases = {
-            "TRY s-1 25 10.1.1.1:50 80000000": i.Deliver("25", "10.1.1.1:50", 800),
-            "ABANDON s-1 25 1": i.Recall("25", 1),
-            "REJECT s-1 25 100000": i.Defer("25", 1),
-            "RESPOND_ERROR s-1 25": i.Abandon("25"),
-            "NOTIFY_ME s-1 8912200000 77": i.SetTimer(89122, 77),
-            "POST s-1 all aGkgNw==": i.Tell(None, b"hi 7"),
-            "TAIL s-1 1": i.Subscribe(True),
-            "VERDICT s-1 42 2 1": i.Vote(42, 2, i.ON),
-            "TRACE s-1 two (odd) lines": i.Note("two {odd}\nlines"),
+            "TRY s-1 25 10.1.1.1:50 80000000": SendAttempt("25", "10.1.1.1:50", 800),
+            "ABANDON s-1 25 1": CancelAttempt("25", 1),
+            "REJECT s-1 25 100000": Reject("25", 1),
+            "RESPOND_ERROR s-1 25": Fail("25"),
+            "NOTIFY_ME s-1 8912200000 77": SetTimer(89122, 77),
+            "POST s-1 all aGkgNw==": SendPeerMessage(None, b"hi 7"),
+            "TAIL s-1 1": SubscribeToEndpoints(True),
+            "VERDICT s-1 42 2 1": CastVote(42, 2, Verdict.PROMOTE),
+            "TRACE s-1 two (odd) lines": LogNote("two {odd}\nlines"),
         }
         for line, action in cases.items():
             self.assertEqual(wire.line("s-1", action), line)
--- a/thymeknot/admission.py
+++ b/thymeknot/admission.py
@@ -1,7 +1,7 @@
 """Whether a transaction is taken in hand or turned away at once: a part of the decisions, see balance.py.
 Each bound binds only as far as it is sure. Source: docs/design/admission.md."""
 
-from . import interface as i
+from .interface.enums import Outcome
 from .records import Ring
 
 SECOND = 10_000
@@ -40,26 +40,26 @@
 
     def __init__(self, terms):
         self.many, self.least = (
-            terms.balancers > FEW,
-            max(3.0, LIMIT_LEAST * min(1.0, FEW / terms.balancers)),
+            terms.instances > FEW,
+            max(3.0, LIMIT_LEAST * min(1.0, FEW / terms.instances)),
         )
         self.answers, self.heard, self.times, self.unheard = (Ring(2 * SECOND, 8) for _ in range(4))
         self.usual, self.means, self.lanes = USUAL, {}, {}
 
     def ended(self, now, lane, end, share):
         """An outcome at a pod with this share of its capacity."""
-        times = min(2.0, end.latency * share / lane.latency_goal)
-        late = end.outcome == i.EXPIRED and end.latency >= 0.99 * lane.latency_goal
-        if late or end.outcome in (i.FULL, i.UNCONNECTED):
+        times = min(2.0, end.latency * share / lane.latency_objective)
+        late = end.outcome == Outcome.TIMED_OUT and end.latency >= 0.99 * lane.latency_objective
+        if late or end.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             self.unheard.add(now)
-        elif end.outcome == i.DONE:
+        elif end.outcome == Outcome.DONE:
             self.heard.add(now)
             self.times.add(now, times)
             apart = times - self.usual
             self.usual = min(GOAL_PART, self.usual + (UP if apart > 0 else DOWN) * apart)
 
     def answered(self, now, lane, latency):
-        self.answers.add(now, GOAL_PART * lane.latency_goal)
+        self.answers.add(now, GOAL_PART * lane.latency_objective)
         mean = self.means.get(lane.name, latency)
         self.means[lane.name], self.lanes[lane.name] = (
             max(1.0, mean + 0.03 * (latency - mean)),
@@ -73,7 +73,7 @@
         return max(self.least, come) * self.part(lane)
 
     def part(self, lane):
-        worth = {name: self.lanes[name].earnings / mean for name, mean in self.means.items()}
+        worth = {name: self.lanes[name].priority_weight / mean for name, mean in self.means.items()}
         low, high = min(worth.values(), default=0), max(worth.values(), default=0)
         rank = (worth[lane.name] - low) / (high - low) if lane.name in worth and high > low else 0.5
         return LANE_PART[0] + (LANE_PART[1] - LANE_PART[0]) * rank
@@ -89,7 +89,7 @@
         )
         if late + len(open_) > bound:  # else what is open could not tip it
             late += sum(
-                now - tx.sent[-1].at > GOAL_PART * tx.lane.latency_goal
+                now - tx.sent[-1].at > GOAL_PART * tx.lane.latency_objective
                 for tx in open_
                 if tx.sent and tx.sent[-1].out
             )
