--- a/thymeknot/balance.py
+++ b/thymeknot/balance.py
@@ -5,9 +5,42 @@
 
 from math import inf, log
 
-from . import interface as i
 from .admission import FEW, SECOND, Admission
-from .reasons import Reason as R
+from .interface.actions import (
+    CancelAttempt,
+    CastVote,
+    Fail,
+    LogNote,
+    Reject,
+    SendAttempt,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from .interface.enums import (
+    UTILISATION,
+    DeduplicationScope,
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    PromotionMode,
+    ReleasePhase,
+    UpdateKind,
+    Verdict,
+)
+from .interface.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    ComplaintReceived,
+    EndpointUpdate,
+    FleetCounts,
+    LateResponseSeen,
+    ReleaseUpdate,
+    RequestReceived,
+    ResponseStarted,
+    SuspicionReported,
+    TimerFired,
+)
+from .interface.reasons import Reason as R
 from .records import (
     Chance,
     Delivery,
@@ -122,14 +155,14 @@
     (OVER, "perhaps run"): (OVER, "forget"),
 }
 PROOF = {
-    i.DONE: "answered",
-    i.ERROR: "perhaps run",
-    i.EXPIRED: "perhaps run",
-    i.RESET: "perhaps run",
-    i.RECALLED: "perhaps run",
-    i.FULL: "unrun",
-    i.UNCONNECTED: "unrun",
-    i.UNSENT: "unrun",
+    Outcome.DONE: "answered",
+    Outcome.ERROR: "perhaps run",
+    Outcome.TIMED_OUT: "perhaps run",
+    Outcome.RESET: "perhaps run",
+    Outcome.CANCELLED: "perhaps run",
+    Outcome.REJECTED: "unrun",
+    Outcome.CONNECT_FAILED: "unrun",
+    Outcome.NOT_SENT: "unrun",
 }
 
 
@@ -161,7 +194,7 @@
         self.room, self.warm, self.warm_at = {True: 0.0, False: 0.0}, 0.0, 0
         self.open, self.due, self.tokens, self.keys, self.keys_at = {}, {}, 0, {}, now
         self.most = [
-            min(most, 1 + most * FEW / terms.balancers) for most in (20.0, 5.0)
+            min(most, 1 + most * FEW / terms.instances) for most in (20.0, 5.0)
         ]  # it adds up
         self.retries, self.copies, self.admission = (
             self.most[0] / 4,
@@ -177,12 +210,12 @@
         # All share the allowed error; where many must err together, each may err more (Poisson tail's bound).
         needed, self.warm_by = terms.votes_to_revert, aged(WARM_ENOUGH, terms, AFTER_START)
         together = needed * (FALSE_BACK if needed == 1 else 0.7 * FALSE_BACK ** (1 / needed))
-        odds = (1 - FALSE_ON) / min(FALSE_BACK, together / terms.balancers)
+        odds = (1 - FALSE_ON) / min(FALSE_BACK, together / terms.instances)
         self.back_at = {"failed": log(odds), "slow": log(odds * SLOW_STRICTER)}
         self.bounds = dict(self.back_at)
-        self.turn_of_all = int(terms.balancers / terms.votes_per_s * SECOND)
+        self.turn_of_all = int(terms.instances / terms.votes_per_second * SECOND)
         self.in_turns = max(0, self.turn_of_all - AT_ONCE)
-        self.renew = min(0.8 * terms.vote_life, max(terms.vote_life // 2, self.turn_of_all))
+        self.renew = min(0.8 * terms.vote_lifetime, max(terms.vote_lifetime // 2, self.turn_of_all))
         self.vote, self.vote_at, self.asked, self.ask_at, self.rows, self.rows_at = (
             None,
             0,
@@ -191,7 +224,11 @@
             [],
             0,
         )
-        self.news, self.build, self.by_votes = None, USUAL, terms.decided_by != i.BY_CLOCK
+        self.news, self.build, self.by_votes = (
+            None,
+            USUAL,
+            terms.promotion_mode != PromotionMode.TIMER,
+        )
         self._begin()
 
     def handle(self, now, events):
@@ -199,7 +236,7 @@
         for event in events:
             self.subject = getattr(event, "id", None)
             self.EVENTS.get(type(event), lambda *_: None)(self, event)
-        return self.actions if self.upkeep else self._tick(i.TimerDue(0)) or self.actions
+        return self.actions if self.upkeep else self._tick(TimerFired(0)) or self.actions
 
     def _why(self, reason, *operands):
         if self.say:
@@ -207,11 +244,11 @@
 
     def _listed(self, event):
         if (
-            event.kind == i.MISSED
+            event.kind == UpdateKind.FETCH_FAILED
         ):  # the watch may have dropped; a call that fails at once must not storm
             self.watch_at = min(self.watch_at, self.now + int((1 + self.chance.draw()) * SECOND))
             return
-        self.pods = merged(self.pods, event, self.terms.overload_for)
+        self.pods = merged(self.pods, event, self.terms.overload_window)
         self._sort()
 
     def _sort(self):
@@ -220,7 +257,7 @@
             known.side = None
         build, self.sides = self.news.build if self.news else 0, {True: [], False: []}
         for known in self.pods.values():
-            if known.listed.condition == i.READY and known.listed.build <= build:
+            if known.listed.condition == EndpointCondition.READY and known.listed.build <= build:
                 known.side = known.listed.build == build
                 self.sides[known.side].append(known)
         self.zones = len({known.listed.zone for known in self.sides[True]})
@@ -230,7 +267,7 @@
 
     def _crowd(self):
         self.fleet = max(self.fleet, *map(len, self.sides.values()))  # a lost zone makes no crowd
-        return self.terms.balancers >= CROWD * self.fleet
+        return self.terms.instances >= CROWD * self.fleet
 
     def _measure(self):
         """What the ready pods of each side can carry at least, and the sum of the warm ones' sizes."""
@@ -239,7 +276,9 @@
             share = known.share(self.now, self.terms)
             self.room[known.side] += known.listed.size * share**lots
             self.warm += known.listed.size * (share == 1.0)
-            self.warm_at = max(self.warm_at, known.listed.started + self.terms.cold + UPKEEP_MOST)
+            self.warm_at = max(
+                self.warm_at, known.listed.started + self.terms.warmup_duration + UPKEEP_MOST
+            )
 
     def _draw(self, new, drop=()):
         """Draws the pods in use, by lots: with all, the quiet dial each time. drop: these go last."""
@@ -252,10 +291,10 @@
     def _cold_room(self, known, share):
         """Rule 4. Each keeps to its part of what warm pods are seen to take; the fewer pods it uses, the less
         others use this one. With a part of less than a delivery each pod and span is drawn for."""
-        rate, span = self.warm_rate * known.listed.size, self.terms.overload_for
+        rate, span = self.warm_rate * known.listed.size, self.terms.overload_window
         part = max(
-            COLD_PART * self.terms.fall_multiple * share * rate * span / SECOND,
-            COLD_LEAST / self.terms.balancers,
+            COLD_PART * self.terms.overload_factor * share * rate * span / SECOND,
+            COLD_LEAST / self.terms.instances,
         )
         part *= len(self.sides.get(known.side, ())) / (len(self.drawn.get(known.side, ())) or 1)
         if known.lot[0] != self.now // span:
@@ -265,15 +304,17 @@
     def _told(self, news):
         if news.answers_vote:
             self._vote_answered(news)
-        if news.outcome != i.DONE:
+        if news.outcome != Outcome.DONE:
             return
         old, self.news = self.news, news
         if old is None or old.build != news.build:
             self.pins, self.met = set(), {}
             self._sort()
-            change = "offered" if news.phase == i.ON_TRIAL else "met"
+            change = "offered" if news.phase == ReleasePhase.ON_TRIAL else "met"
         elif old.phase != news.phase:
-            change = {i.ON_TRIAL: "offered", i.RELEASED: "released"}.get(news.phase, "fell")
+            change = {ReleasePhase.ON_TRIAL: "offered", ReleasePhase.RELEASED: "released"}.get(
+                news.phase, "fell"
+            )
         else:
             change = "moved" if old.stage != news.stage else None
         self.build, effect = BUILD.get(
@@ -306,30 +347,36 @@
 
     def _climb(self):
         """The design's: it climbs to what the trial's ready pods can carry, and does not fall."""
-        if self.news and self.news.phase in (i.ON_TRIAL, i.RELEASED):
+        if self.news and self.news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED):
             part = self.room[True] / (sum(self.room.values()) or 1.0)
             part *= (
                 self.ill_since is None or not self._crowd()
             )  # what slows all in step gets no more
-            target = min(RAMP_SHARE * self.news.cap, part) if self.news.phase == i.ON_TRIAL else 1.0
+            target = (
+                min(RAMP_SHARE * self.news.cap, part)
+                if self.news.phase == ReleasePhase.ON_TRIAL
+                else 1.0
+            )
             step = target * (self.now - self.ramped) / RAMP_TIME
             self.ramp, self.ramped = max(self.ramp, min(target, self.ramp + step)), self.now
 
     def _ring(self, rings, lane):
-        return ring(rings, self.terms.by_lane and lane.name, self.terms.exposure_window, 120)
+        return ring(
+            rings, self.terms.exposure_by_class and lane.name, self.terms.exposure_window, 120
+        )
 
     def _may_try(self, lane, first=False):
         """Rule 5, also for windows still to come: this one's later parts must carry themselves. first: taken now."""
         news = self.news
-        guarded = news.phase == i.ON_TRIAL and news.stage < self.terms.guarded_stages
-        if news.phase == i.RELEASED:
+        guarded = news.phase == ReleasePhase.ON_TRIAL and news.stage < self.terms.guarded_stages
+        if news.phase == ReleasePhase.RELEASED:
             return True
-        if guarded and lane.effect != i.RETRIABLE:
+        if guarded and lane.idempotency != Idempotency.IDEMPOTENT:
             return self._why(R.GUARDED, news.stage, self.terms.guarded_stages) or False
         taken, tried, free = (
             self._ring(self.taken, lane),
             self._ring(self.tried, lane),
-            self.terms.allowance,
+            self.terms.exposure_allowance,
         )
         if news.cap <= 0:
             return self._why(R.CLOSED, news.phase, news.cap) or False
@@ -347,34 +394,39 @@
         return may
 
     def _judge(self, tx, known, outcome, latency):
-        if self.news is None or outcome in (i.FULL, i.RECALLED, i.UNSENT):
+        if self.news is None or outcome in (Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         share, build, failed = (
             known.share(self.now, self.terms),
             known.listed.build,
-            outcome != i.DONE,
+            outcome != Outcome.DONE,
         )
         cell = tx.lane.name, known.listed.machine
         mark, settled, mean = self.marks.get(cell, (2.0 * latency, 0, max(1, latency)))
-        way, judging = outcome in (i.RESET, i.UNCONNECTED), self.build in (TRIAL, FREED)
-        slow = outcome == i.EXPIRED or (not failed and latency * share > mark)
+        way, judging = (
+            outcome in (Outcome.RESET, Outcome.CONNECT_FAILED),
+            self.build in (TRIAL, FREED),
+        )
+        slow = outcome == Outcome.TIMED_OUT or (not failed and latency * share > mark)
         if judging and share == 1.0:
             self._judge_all(cell, outcome, latency)
         if build < self.news.build or not judging:
-            if share == 1.0 and outcome in (i.DONE, i.EXPIRED):
+            if share == 1.0 and outcome in (Outcome.DONE, Outcome.TIMED_OUT):
                 gain = max(0.05, 1 / (2 + 0.2 * settled))
                 rise = 1 + gain * (SLOW_QUANTILE - 1 + slow)
                 self.marks[cell] = mark * rise, settled + 1, mean + 0.4 * gain * (latency - mean)
-            for what, one in zip(EARLIER, (1, failed and not way, slow, outcome == i.ERROR, way)):
+            for what, one in zip(
+                EARLIER, (1, failed and not way, slow, outcome == Outcome.ERROR, way)
+            ):
                 self.earlier[what].add(self.now, one)
         elif build == self.news.build:
-            compared = self._compare() and self.news.phase == i.ON_TRIAL
+            compared = self._compare() and self.news.phase == ReleasePhase.ON_TRIAL
             # A cold pod's time-outs prove nothing of the build, nor does what is lost on the way where the
             # earlier build does not show that sound. One key that fails again and again is one failure.
             seen, lost = (self.earlier[what].total(self.now) for what in ("all", "way"))
             sound = compared and lost < max(2, WAY_FAILS * seen)
             if (
-                (outcome == i.EXPIRED and (share < 1.0 or not compared))
+                (outcome == Outcome.TIMED_OUT and (share < 1.0 or not compared))
                 or (way and not sound)
                 or (failed and tx.key in self.bad_keys)
             ):
@@ -382,7 +434,7 @@
             self.bad_keys.update([tx.key] if failed and len(self.bad_keys) < KEYS_MOST else [])
             self.seen += 1
             alone = (
-                outcome in (i.DONE, i.ERROR)
+                outcome in (Outcome.DONE, Outcome.ERROR)
                 and len(self.sides[True]) <= FEW_PODS[0]
                 and not self._few()
             )
@@ -444,7 +496,7 @@
 
     def _tallied(self, event):
         self.rows_at = self.rows_at if self.rows else self.now
-        if event.lane in self.terms.lanes and event.failed <= event.deliveries > 0:
+        if event.request_class in self.terms.request_classes and event.failed <= event.attempts > 0:
             self.rows.append(event)
 
     def _weigh_tallies(self):
@@ -453,9 +505,9 @@
         self._weigh_all(rows, self.crowd.told(self.now - rows[0].age))
         if self.build not in (TRIAL, FREED):
             return
-        earlier = {row.lane: row for row in rows if row.build < self.news.build}
+        earlier = {row.request_class: row for row in rows if row.build < self.news.build}
         seen, failed = (
-            sum(getattr(row, it) for row in earlier.values()) for it in ("deliveries", "failed")
+            sum(getattr(row, it) for row in earlier.values()) for it in ("attempts", "failed")
         )
         at, crowd = self.now - rows[0].age - SECOND, self._crowd()  # then new pods got nothing
         had = [
@@ -478,12 +530,12 @@
         steps = {"failed": 0.0, "slow": 0.0}
         bad, good = (self._weight("failed", ill, p0) for ill in (True, False))
         for row in rows:
-            done, base = row.deliveries - row.failed, earlier.get(row.lane)
+            done, base = row.attempts - row.failed, earlier.get(row.request_class)
             if row.build == self.news.build:
-                self.seen += row.deliveries
+                self.seen += row.attempts
                 steps["failed"] += row.failed * bad + done * good
-                if base and done and base.latency and base.deliveries - base.failed >= BASELINE:
-                    count = 1 / (1 / done + 1 / (base.deliveries - base.failed))
+                if base and done and base.latency and base.attempts - base.failed >= BASELINE:
+                    count = 1 / (1 / done + 1 / (base.attempts - base.failed))
                     times = min(TIMES_MOST, row.latency * warmth / base.latency)
                     steps["slow"] += count * (times - TIMES) / 2
         for what, step in steps.items():
@@ -513,7 +565,9 @@
             return
         excused = busier**2 if busier > BUSIER else 1
         step = (
-            TIMES_MOST if outcome == i.EXPIRED else min(TIMES_MOST, latency / mean / excused)
+            TIMES_MOST
+            if outcome == Outcome.TIMED_OUT
+            else min(TIMES_MOST, latency / mean / excused)
         ) - MARGIN
         self._ail(step, self.now)
 
@@ -542,7 +596,7 @@
     ):  # what was usual before the build came or, for one that started later, at first
         age, taken = self.now - (self.born or self.now), self.fresh.total(self.now)
         rate = taken * SECOND / min(self.arrivals.span, age + 1)
-        fit = age >= SETTLED and rate >= LOUD and self.terms.balancers < CROWD * self.places
+        fit = age >= SETTLED and rate >= LOUD and self.terms.instances < CROWD * self.places
         if self.build == TRIAL and self.usual is None and fit:
             self.usual = (
                 dict(self.marks),
@@ -556,59 +610,74 @@
         worse = errs >= max(BASELINE, P1_OVER_P0["failed"] * P0_FLOOR["failed"] * seen)
         if self.ill_since is not None and not (worse and self.sums["failed"] <= 0):
             blamed = (
-                self.now >= self.ill_since + ILL_FOR[self.terms.replaces]
+                self.now >= self.ill_since + ILL_FOR[self.terms.replaces_machines]
             )  # till then it may pass
             part = max(part, 1.1 if blamed and self.all_slow > self.back_at["slow"] else 1.0)
         self.saying_back = part > 1 or (self.saying_back and part > HOLD_PART)
-        if self.saying_back or news.phase != i.ON_TRIAL:
+        if self.saying_back or news.phase != ReleasePhase.ON_TRIAL:
             return (
-                i.BACK if self.saying_back and news.phase in (i.ON_TRIAL, i.RELEASED) else i.NO_VOTE
+                Verdict.ABORT
+                if self.saying_back and news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
+                else Verdict.ABSTAIN
+            )
+        if self.terms.promotion_mode == PromotionMode.TIMER or part > HOLD_PART:
+            return (
+                Verdict.PAUSE
+                if self.terms.promotion_mode == PromotionMode.TIMER and part > HOLD_PART
+                else Verdict.ABSTAIN
             )
-        if self.terms.decided_by == i.BY_CLOCK or part > HOLD_PART:
-            return i.HOLD if self.terms.decided_by == i.BY_CLOCK and part > HOLD_PART else i.NO_VOTE
         # A list that lags hides the pods to judge. One that starts again, as after a lost zone, was met.
         started = [
             self.met.setdefault(one.listed.address, one.listed.started) for one in self.sides[True]
         ]
-        places = self.places if self.terms.replaces else len(self.sides[False])  # others leave late
-        last = news.stage + 1 >= len(self.terms.waves)  # the earlier ones leave: warm, and seen
+        places = (
+            self.places if self.terms.replaces_machines else len(self.sides[False])
+        )  # others leave late
+        last = news.stage + 1 >= len(
+            self.terms.stage_fractions
+        )  # the earlier ones leave: warm, and seen
         listed = len(started) >= max(
-            1, int(LISTED * self.terms.waves[-1 if last else news.stage] * places)
+            1, int(LISTED * self.terms.stage_fractions[-1 if last else news.stage] * places)
         )
-        warm = max(started, default=0) + (self.terms.cold if last else self.warm_by)
+        warm = max(started, default=0) + (self.terms.warmup_duration if last else self.warm_by)
         uncounted = last and self._crowd() and self.crowd.lacks(warm, self.now, PERIODS)
         if not listed or uncounted or self.now < warm + self.offset:
-            return i.NO_VOTE
+            return Verdict.ABSTAIN
         # A quiet instance never sees enough: with too little to hold the build it says on after a while.
         wait = self.offset + QUIET_FOR * (1 if self.left["failed"] <= 0 else 2)
         enough = max(self.left.values()) < ON_BOUND and self.seen >= ENOUGH_OUTCOMES
-        return i.ON if enough or self.now >= self.clear_since + wait else i.NO_VOTE
+        return Verdict.PROMOTE if enough or self.now >= self.clear_since + wait else Verdict.ABSTAIN
 
     def _cast(self):
         """Casts, renews and withdraws the vote; an unanswered one is asked again."""
         wanted, age = (self.news.build, self.news.stage, self._verdict()), self.now - self.vote_at
-        vote, stands = self.vote, self.vote is not None and age < self.terms.vote_life
-        if wanted[2] == i.NO_VOTE:
-            moved = vote and (vote[1] != wanted[1] or self.news.phase != i.ON_TRIAL)
+        vote, stands = self.vote, self.vote is not None and age < self.terms.vote_lifetime
+        if wanted[2] == Verdict.ABSTAIN:
+            moved = vote and (vote[1] != wanted[1] or self.news.phase != ReleasePhase.ON_TRIAL)
             if (
-                not stands or vote[0] != wanted[0] or (vote[2] == i.ON and moved)
+                not stands or vote[0] != wanted[0] or (vote[2] == Verdict.PROMOTE and moved)
             ):  # it binds nothing then
                 return
         elif stands and vote == wanted and age < self.renew:
             return
-        if self.asked != wanted and wanted[2] in (i.HOLD, i.BACK):
-            self.actions.append(i.Note(noted(wanted, self.sums, self.p0, self.all_slow, self.seen)))
+        if self.asked != wanted and wanted[2] in (Verdict.PAUSE, Verdict.ABORT):
+            self.actions.append(
+                LogNote(noted(wanted, self.sums, self.p0, self.all_slow, self.seen))
+            )
         self._why(R.VOTED, *wanted, self.doubt, self.seen)
-        self.asked, self.ask_at = wanted, self.now + self.terms.vote_wait + SECOND // 10
-        self.actions.append(i.Vote(*wanted))
+        self.asked, self.ask_at = wanted, self.now + self.terms.vote_timeout + SECOND // 10
+        self.actions.append(CastVote(*wanted))
 
     def _vote_answered(
         self, news
     ):  # what was turned away, or unanswered, is asked again, not in step
         pause = SECOND // 5 + int(self.chance.draw() * max(SECOND, self.in_turns))
-        self.ask_at = self.now + (UPKEEP if news.outcome == i.DONE else max(pause, SECOND))
-        if news.outcome == i.DONE and self.asked:
-            self.vote, self.vote_at = (None if self.asked[2] == i.NO_VOTE else self.asked), self.now
+        self.ask_at = self.now + (UPKEEP if news.outcome == Outcome.DONE else max(pause, SECOND))
+        if news.outcome == Outcome.DONE and self.asked:
+            self.vote, self.vote_at = (
+                (None if self.asked[2] == Verdict.ABSTAIN else self.asked),
+                self.now,
+            )
 
     def _step(self, tx, what):
         tx.state, effect = LIFE.get((tx.state, what), (tx.state, None))
@@ -616,12 +685,12 @@
             getattr(self, "_" + effect)(tx)
 
     def _take(self, event):
-        lane = self.terms.lanes[event.lane]
+        lane = self.terms.request_classes[event.request_class]
         tx = self.open[event.id] = Transaction(event, lane, self.now, NEW)
         self.born = self.now if self.born is None else self.born  # with its first traffic
         self._ring(self.taken, lane).add(self.now)
         self.arrivals.add(self.now)
-        self.fresh.add(self.now, not event.repeat)
+        self.fresh.add(self.now, not event.is_retry)
         if event.key:
             self.keys[event.key] = self.keys.get(event.key, 0) + 1
         self.retries = min(self.most[0], self.retries + RETRIES)
@@ -640,27 +709,27 @@
         if refused:
             self._why(R.BY_LOT if refused[0] else R.OVER_LIMIT, *refused[1:])
             self.shed.add(self.now)
-            self._judge_all(None, i.EXPIRED, 0)  # limits would hide slowness of all
+            self._judge_all(None, Outcome.TIMED_OUT, 0)  # limits would hide slowness of all
         if refused or not self._send(tx):
             self._step(tx, "given up")
 
     def _send(self, tx):
         news = self.news
-        if news is None or len(tx.sent) >= self.terms.max_deliveries or self.now >= tx.ends:
-            most = (R.MOST_DELIVERIES, len(tx.sent), self.terms.max_deliveries)
+        if news is None or len(tx.sent) >= self.terms.max_attempts or self.now >= tx.ends:
+            most = (R.MOST_DELIVERIES, len(tx.sent), self.terms.max_attempts)
             late = (R.TIME_OVER, tx.ends - self.now, 0)
             return (
                 self._why(*((R.NO_NEWS,) if not news else late if self.now >= tx.ends else most))
                 or False
             )
-        at, open_ = position(tx.key), news.phase in (i.ON_TRIAL, i.RELEASED)
+        at, open_ = position(tx.key), news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
         stays = open_ and (
             tx.key in self.pins or len(self.pins) >= KEYS_MOST
         )  # more than it can tell: all
         below = at < self.ramp and open_
         seen = self.keys.get(tx.key, 0)
         hot = seen >= HOT_LEAST and seen >= HOT_SHARE * sum(self.keys.values())
-        astray = news.phase == i.ON_TRIAL and (
+        astray = news.phase == ReleasePhase.ON_TRIAL and (
             tx.sent or tx.key in self.bad_keys or hot
         )  # no flood, no loop
         order = (True, False) if below and not astray else (False, True)
@@ -712,7 +781,7 @@
             self._why(reason, pods)
         if not found:
             return self._why(R.NO_POD, len(self.sides[new]), new)
-        if self.terms.balancers < CROWD * len(self.sides[new]):
+        if self.terms.instances < CROWD * len(self.sides[new]):
             near = [known for cost, known in found if cost <= best * 1.15]
             return near[self.turn % len(near)]
         return found[self.chance.pick([1 / cost for cost, _ in found])][
@@ -724,11 +793,15 @@
 
     def _same_group(self, tx, pod):
         """Rule 2: what may have run goes again only to pods that would drop the repeat."""
-        suspect, group = tx.suspect(), tx.lane.group
-        if suspect is None or tx.lane.effect == i.RETRIABLE or group == i.GROUP_ALL:
+        suspect, group = tx.suspect(), tx.lane.deduplication_scope
+        if (
+            suspect is None
+            or tx.lane.idempotency == Idempotency.IDEMPOTENT
+            or group == DeduplicationScope.ALL
+        ):
             return True
         return pod.zone == suspect.pod.zone and (
-            group != i.GROUP_CELL or pod.cell == suspect.pod.cell
+            group != DeduplicationScope.CELL or pod.cell == suspect.pod.cell
         )
 
     def _deliver(self, tx, known, new):
@@ -737,17 +810,23 @@
         known.sent.add(self.now)
         tx.sent.append(Delivery(known, self.now))
         ends = (
-            tx.ends if tx.lane.late_earnings > 0 or self.now >= tx.goal else min(tx.ends, tx.goal)
+            tx.ends
+            if tx.lane.late_priority_weight > 0 or self.now >= tx.goal
+            else min(tx.ends, tx.goal)
         )
         if self.say:
             pod = known.listed
             self._why(R.SENT, pod.address, pod.build, new, ends - self.now, self._cost(known))
-        self.actions.append(i.Deliver(tx.id, known.listed.address, max(1, ends - self.now)))
-        if len(tx.sent) == 1 and self.terms.second_copies and tx.lane.effect == i.RETRIABLE:
-            goal, self.tokens = tx.lane.latency_goal, self.tokens + 1
+        self.actions.append(SendAttempt(tx.id, known.listed.address, max(1, ends - self.now)))
+        if (
+            len(tx.sent) == 1
+            and self.terms.hedging_allowed
+            and tx.lane.idempotency == Idempotency.IDEMPOTENT
+        ):
+            goal, self.tokens = tx.lane.latency_objective, self.tokens + 1
             wait = max(COPY_AFTER[0] * self.means.get(tx.lane.name, goal), COPY_AFTER[1] * goal)
             self.due[self.tokens] = tx.id
-            self.actions.append(i.SetTimer(self.now + int(wait), self.tokens))
+            self.actions.append(SetTimer(self.now + int(wait), self.tokens))
         return True
 
     def _may(self, tx, defer):
@@ -755,11 +834,11 @@
         suspect = tx.suspect()
         return (
             suspect is None
-            or tx.lane.effect == i.RETRIABLE
+            or tx.lane.idempotency == Idempotency.IDEMPOTENT
             or (
-                tx.lane.effect == i.FINGERPRINTED
-                and self.now < suspect.at + tx.lane.window
-                and (tx.lane.group == i.GROUP_ALL or not defer)
+                tx.lane.idempotency == Idempotency.KEYED
+                and self.now < suspect.at + tx.lane.deduplication_window
+                and (tx.lane.deduplication_scope == DeduplicationScope.ALL or not defer)
             )
         )
 
@@ -795,19 +874,19 @@
     def _turn_away(self, tx):
         """The final answer, at once: sitting on it would only keep the client from trying again."""
         wait = (
-            min(self.terms.max_retry_after, tx.lane.latency_goal // 2)
-            if self.terms.retry_after
+            min(self.terms.max_retry_after, tx.lane.latency_objective // 2)
+            if self.terms.retry_after_allowed
             else 0
         )
         may = self._may(tx, True)
         self._why(*((R.DEFERRED, wait) if may else (R.ABANDONED, tx.suspect().pod.address)))
-        self.actions.append(i.Defer(tx.id, wait) if may else i.Abandon(tx.id))
+        self.actions.append(Reject(tx.id, wait) if may else Fail(tx.id))
         self._close(tx)
 
     def _close(self, tx):
-        if self.terms.may_recall and not tx.streams:
+        if self.terms.cancellation_allowed and not tx.streams:
             self.actions += [
-                i.Recall(tx.id, at) for at, delivery in enumerate(tx.sent) if delivery.out
+                CancelAttempt(tx.id, at) for at, delivery in enumerate(tx.sent) if delivery.out
             ]
         self._forget(tx)
 
@@ -830,29 +909,33 @@
             proof == "unrun",
         )
         self._learn(tx, delivery.known, event)
-        if event.outcome == i.DONE:
-            self._pin(i.AnsweredUnheard(tx.key, delivery.pod.build))
+        if event.outcome == Outcome.DONE:
+            self._pin(LateResponseSeen(tx.key, delivery.pod.build))
         self._step(tx, "answered" if event.closed else proof)
 
     def _pin(self, event):  # on sockets also by an answer that came too late, in part or spoilt
-        if self.terms.keys_stay and event.build == self.news.build and len(self.pins) < KEYS_MOST:
+        if self.terms.sticky_keys and event.build == self.news.build and len(self.pins) < KEYS_MOST:
             self.pins.add(event.key)
 
     def _learn(self, tx, known, event):
         self._judge(tx, known, event.outcome, event.latency)
-        if event.load and i.UTILISATION in self.terms.reports:
-            load = event.load[self.terms.reports.index(i.UTILISATION)]  # an absurd report is none
+        if event.load and UTILISATION in self.terms.load_metrics:
+            load = event.load[
+                self.terms.load_metrics.index(UTILISATION)
+            ]  # an absurd report is none
             known.load = load if 0 <= load <= 2 else known.load
-        if event.outcome in (i.RECALLED, i.UNSENT):
+        if event.outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         if not (known.side and self.build == TRIAL):  # a build's own slowness is no overload
             self.admission.ended(self.now, tx.lane, event, known.share(self.now, self.terms))
-        known.fails += 0.1 * ((event.outcome != i.DONE) - known.fails)
-        self.lost += 0.05 * ((event.outcome in (i.UNCONNECTED, i.RESET)) - self.lost)  # on the way
-        if event.outcome == i.UNCONNECTED:
+        known.fails += 0.1 * ((event.outcome != Outcome.DONE) - known.fails)
+        self.lost += 0.05 * (
+            (event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)) - self.lost
+        )  # on the way
+        if event.outcome == Outcome.CONNECT_FAILED:
             known.shun = min(SHUN_MOST, max(SHUN, 2 * known.shun))
             known.shunned = self.now + known.shun
-        if event.outcome == i.DONE:
+        if event.outcome == Outcome.DONE:
             lane, share = tx.lane, known.share(self.now, self.terms)
             self.admission.answered(self.now, lane, event.latency)
             gain = min(0.5, 0.08 + 0.1 * (self.now - known.heard) / SECOND)
@@ -864,19 +947,25 @@
 
     def _follow(self, event):
         if event.id in self.open:
-            self.open[event.id].streams |= type(event) is i.StreamBegan
-            self._step(self.open[event.id], "left" if type(event) is i.ClientLeft else "streams")
+            self.open[event.id].streams |= type(event) is ResponseStarted
+            self._step(
+                self.open[event.id], "left" if type(event) is ClientDisconnected else "streams"
+            )
 
     def _complain(
         self, event
     ):  # a client found an answer wrong: what was booked as a success is a failure
-        if event.pod in self.pods and self.pods[event.pod].side and self.build in (TRIAL, FREED):
+        if (
+            event.endpoint in self.pods
+            and self.pods[event.endpoint].side
+            and self.build in (TRIAL, FREED)
+        ):
             self._add("failed", True)
 
     def _doubt(
         self, event
     ):  # hearsay delays a turn and proves nothing: no vote, limit or rule looks at it
-        known = self.pods.get(event.pod)
+        known = self.pods.get(event.endpoint)
         if known and (known.listed.build, known.listed.started) == (event.build, event.started):
             known.doubted = event.until
 
@@ -887,7 +976,7 @@
             return tx and self._step(tx, "slow")
         passed, often = self.upkeep, self.arrivals.span // (self.arrivals.total(self.now) + 1)
         self.upkeep = max(UPKEEP, min(UPKEEP_MOST, often))  # once for a transaction
-        self.actions.append(i.SetTimer(self.now + self.upkeep, 0))
+        self.actions.append(SetTimer(self.now + self.upkeep, 0))
         self._settle()
         self._climb()
         if (
@@ -904,9 +993,9 @@
                 self.pods.values()
             ):  # else one that failed is not met again while others stand idle
                 known.fails *= FORGOTTEN if known.shun else 1.0
-        if self.terms.subscribes and self.now >= self.watch_at:
-            self.watch_at = self.now + self.terms.ask_within // 2
-            self.actions.append(i.Subscribe(True))
+        if self.terms.lists_polled and self.now >= self.watch_at:
+            self.watch_at = self.now + self.terms.poll_within // 2
+            self.actions.append(SubscribeToEndpoints(True))
         if self.now <= self.warm_at:
             self._measure()
         # A mean, as peaks of hundreds do not add up; one that overload does not pull down quickly.
@@ -922,15 +1011,15 @@
             )
 
     EVENTS = {
-        i.PodList: _listed,
-        i.News: _told,
-        i.Taken: _take,
-        i.Ended: _end,
-        i.ClientLeft: _follow,
-        i.StreamBegan: _follow,
-        i.TimerDue: _tick,
-        i.Complaint: _complain,
-        i.Tally: _tallied,
-        i.AnsweredUnheard: _pin,
-        i.Doubted: _doubt,
+        EndpointUpdate: _listed,
+        ReleaseUpdate: _told,
+        RequestReceived: _take,
+        AttemptEnded: _end,
+        ClientDisconnected: _follow,
+        ResponseStarted: _follow,
+        TimerFired: _tick,
+        ComplaintReceived: _complain,
+        FleetCounts: _tallied,
+        LateResponseSeen: _pin,
+        SuspicionReported: _doubt,
     }
--- a/thymeknot/benchlink.py
+++ b/thymeknot/benchlink.py
@@ -4,7 +4,8 @@
 
 from . import wire
 from .balance import Balancer
-from .interface import MISSED, PodList
+from .interface.enums import UpdateKind
+from .interface.events import EndpointUpdate
 
 MESSAGES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *wire.EVENTS}
 
@@ -81,10 +82,10 @@
         try:
             how, _, table = values
             kind = wire.LIST_KINDS[how]
-            pods = () if kind == MISSED else tuple(self.lists[int(table)])
+            pods = () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(table)])
         except (ValueError, KeyError):
             raise wire.Malformed("ANNOUNCE: bad value") from None
-        return PodList(kind, pods)
+        return EndpointUpdate(kind, pods)
 
     def _decide(self, now, instance, events, replies):
         try:
--- a/thymeknot/cli/decision_log_client.py
+++ b/thymeknot/cli/decision_log_client.py
@@ -42,7 +42,7 @@
 def _of_file(path, told):
     from ..decision_log import query_protocol, slot_file
     from ..decision_log.recorder import fits
-    from ..reasons import Reason as R
+    from ..interface.reasons import Reason as R
 
     try:
         left = slot_file.left_over(path)
--- a/thymeknot/decision_log/entry_codec.py
+++ b/thymeknot/decision_log/entry_codec.py
@@ -10,7 +10,7 @@
 
 from msgspec import DecodeError, Struct, msgpack
 
-from ..reasons import Reason
+from ..interface.reasons import Reason
 
 SLOT = 768  # bytes; a transaction of four deliveries with all its reasons takes some 400
 HEAD = struct.Struct("<IHQ")
--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -1,6 +1,6 @@
 """Reasons to sentences that a person reads, with the figures that decided and what would have changed it. Pure."""
 
-from ..reasons import Reason as R
+from ..interface.reasons import Reason as R
 
 VERDICTS = ("nothing", "on", "hold", "back")
 PROVED = {True: "it has not run", False: "it may have run"}
--- a/thymeknot/decision_log/query_protocol.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -4,7 +4,7 @@
 
 import orjson
 
-from ..reasons import Reason as R
+from ..interface.reasons import Reason as R
 from .entry_codec import pods as pods
 from .explanations import explained, plain
 
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -10,7 +10,7 @@
 from twisted.internet.protocol import Factory, Protocol
 from zope.interface import implementer
 
-from ..reasons import Reason
+from ..interface.reasons import Reason
 from ..records import Chance
 from ..service import structured_log
 from .entry_codec import SLOT
@@ -139,7 +139,7 @@
         self.arena = Arena(terms.megabytes * 1_000_000 // SLOT, path, structured_log.log)
         self.record = Record(
             terms,
-            sidecar.terms.lanes,
+            sidecar.terms.request_classes,
             self.arena,
             sidecar.epoch,
             sidecar.clock,
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -11,8 +11,8 @@
 
 from ddsketch import DDSketch
 
-from .. import interface as i
-from ..reasons import Reason as R
+from ..interface.enums import Idempotency
+from ..interface.reasons import Reason as R
 from ..records import Ring
 from .entry_codec import NOTES_MOST, SLOT, TEXT_MOST, Entry, packed, pods
 from .fair_eviction import Shares
@@ -54,18 +54,20 @@
     """{(lane, whether unusual): (first slot, slots)} with "votes" and "ordinary" beside them. lanes: interface.Lane by
     name; those beyond LANES_MOST share the last one's regions."""
     known = list(lanes.values())[:LANES_MOST]
-    costly = [lane for lane in known if lane.effect != i.RETRIABLE]
-    cheap = [lane for lane in known if lane.effect == i.RETRIABLE]
+    costly = [lane for lane in known if lane.idempotency != Idempotency.IDEMPOTENT]
+    cheap = [lane for lane in known if lane.idempotency == Idempotency.IDEMPOTENT]
     parts = {"votes": VOTES, "ordinary": terms.ordinary if cheap else 0.0}
     rest = 1.0 - sum(parts.values())
-    worth = sum(lane.earnings for lane in costly)
+    worth = sum(lane.priority_weight for lane in costly)
     own = 0.0 if not costly else rest if not cheap else min(rest, terms.costly)
     for lane in costly:
-        part = own * (lane.earnings / worth if worth else 1 / len(costly))
+        part = own * (lane.priority_weight / worth if worth else 1 / len(costly))
         parts[lane.name, True], parts[lane.name, False] = part * UNUSUAL, part * (1 - UNUSUAL)
-    worth = sum(lane.earnings for lane in cheap)
+    worth = sum(lane.priority_weight for lane in cheap)
     for lane in cheap:
-        parts[lane.name, True] = (rest - own) * (lane.earnings / worth if worth else 1 / len(cheap))
+        parts[lane.name, True] = (rest - own) * (
+            lane.priority_weight / worth if worth else 1 / len(cheap)
+        )
     free, first, found = slots - LEAST * len(parts), 0, {}
     for name, part in parts.items():
         count = LEAST + int(free * part)
@@ -212,7 +214,7 @@
             held.end == DONE
             and held.sent <= 1
             and lane is not None
-            and took <= lane.latency_goal
+            and took <= lane.latency_objective
             and (held.lane, False) not in self.regions
         ):
             # As most of it is: one in so many that the region's slots last for the span that is set.
@@ -241,7 +243,7 @@
         if lane is None or region is None:
             return self.regions["ordinary"] if "ordinary" in self.regions else self.regions["votes"]
         sent = sum(note[0] == R.SENT for note in entry.notes)
-        if entry.end != R.DONE or sent > 1 or entry.took > lane.latency_goal:
+        if entry.end != R.DONE or sent > 1 or entry.took > lane.latency_objective:
             return region
         return self.regions.get((name, False)) or self.regions["ordinary"]
 
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -9,7 +9,8 @@
 from twisted.internet.interfaces import IReadDescriptor
 from zope.interface import implementer
 
-from .. import interface as i
+from ..interface.enums import EndpointCondition, Outcome
+from ..interface.events import SuspicionReported
 from ..records import Chance
 from ..service import structured_log
 from . import keyring as identities
@@ -20,7 +21,7 @@
 READ_AT_ONCE = 24  # datagrams a round; what stays comes in the next one
 READ_BUFFER = 1 << 20  # asked of the system, so that a flood leaves room between two rounds
 TELL_EVERY = 100_000  # of counts of what was dropped
-FAILED = {i.ERROR, i.RESET, i.UNCONNECTED}
+FAILED = {Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED}
 
 
 def built(terms, folder):
@@ -125,7 +126,7 @@
             epoch = self.sidecar.epoch
             self.sidecar.tell(
                 *(
-                    i.Doubted(
+                    SuspicionReported(
                         one.pod.pod,
                         one.pod.build,
                         one.pod.started - epoch if one.pod.started else 0,
@@ -181,15 +182,17 @@
     def ended(self, attempt, outcome):
         """An end of an attempt, where it says something of the pod: not what was recalled or turned away, nor a
         time-out that only the client's short patience made."""
-        if outcome == i.DONE or outcome in FAILED:
-            self.node.belief.ended(self.clock(), attempt.pod.address, outcome != i.DONE)
-        elif outcome == i.EXPIRED:
-            lane = self.sidecar.terms.lanes[attempt.held.command.lane]
-            if attempt.ends - attempt.at >= 0.99 * lane.latency_goal:
+        if outcome == Outcome.DONE or outcome in FAILED:
+            self.node.belief.ended(self.clock(), attempt.pod.address, outcome != Outcome.DONE)
+        elif outcome == Outcome.TIMED_OUT:
+            lane = self.sidecar.terms.request_classes[attempt.held.command.lane]
+            if attempt.ends - attempt.at >= 0.99 * lane.latency_objective:
                 self.node.belief.ended(self.clock(), attempt.pod.address, True)
 
     def listed(self):
-        ready = [pod for pod in self.sidecar.listed.values() if pod.condition == i.READY]
+        ready = [
+            pod for pod in self.sidecar.listed.values() if pod.condition == EndpointCondition.READY
+        ]
         places = self.sidecar.addresses if self.terms.hearsay.match_address else {}
         # A pod's start is told in Unix time: each instance counts from a start of its own.
         self.node.belief.listed(
--- /dev/null
+++ b/thymeknot/interface/clock.py
@@ -0,0 +1,8 @@
+"""The unit of time of the whole program: whole tenths of a millisecond."""
+
+from typing import TypeAlias
+
+Ticks: TypeAlias = int
+"""A moment or a duration in tenths of a millisecond."""
+
+TICKS_PER_SECOND = 10_000
--- a/thymeknot/memory/exposure.py
+++ b/thymeknot/memory/exposure.py
@@ -1,7 +1,7 @@
 """Rule 5 as it stands when an attempt is written: it may have waited for its connection since it was decided, and what
 comes up at once would bunch."""
 
-from .. import interface as i
+from ..interface.enums import ReleasePhase
 from ..records import ring
 
 BUCKETS = 120  # of the window, as the decisions count it
@@ -14,11 +14,13 @@
         self.terms, self.taken, self.written, self.build = terms, {}, {}, None
 
     def _ring(self, rings, lane):
-        return ring(rings, self.terms.by_lane and lane, self.terms.exposure_window, BUCKETS)
+        return ring(
+            rings, self.terms.exposure_by_class and lane, self.terms.exposure_window, BUCKETS
+        )
 
     @staticmethod
     def _counts(news, build):
-        return news is not None and news.phase == i.ON_TRIAL and news.build == build
+        return news is not None and news.phase == ReleasePhase.ON_TRIAL and news.build == build
 
     def took(self, now, lane):
         self._ring(self.taken, lane).add(now)
@@ -36,5 +38,6 @@
             return True
         taken = self._ring(self.taken, lane).total(now, news.cap < 1)
         return (
-            self._ring(self.written, lane).total(now) + 1 <= self.terms.allowance + news.cap * taken
+            self._ring(self.written, lane).total(now) + 1
+            <= self.terms.exposure_allowance + news.cap * taken
         )
--- a/thymeknot/memory/pools.py
+++ b/thymeknot/memory/pools.py
@@ -66,7 +66,7 @@
 
     def _retired_at(self, connection):
         """One that has just come up is there for what it was dialled for, however short the idle time."""
-        return connection.used_at + max(REST, int(IDLE_PART * self.reach.idle))
+        return connection.used_at + max(REST, int(IDLE_PART * self.reach.idle_timeout))
 
     def _serve(self, pool):
         """The delivery that has waited longest is next, as soon as a connection has rested or come up."""
@@ -95,7 +95,7 @@
         host, _, port = pool.address.rpartition(":")
         dialled = self.reactor.connectTCP(host, int(port), connector, timeout=None)
         connector.deadline = self.deadlines.add(
-            self.deadlines.clock() + self.reach.connect_within, dialled.stopConnecting
+            self.deadlines.clock() + self.reach.connect_timeout, dialled.stopConnecting
         )
 
     def _dialled(self, connector):
--- a/thymeknot/protocol/deployer.py
+++ b/thymeknot/protocol/deployer.py
@@ -4,7 +4,8 @@
 from html import unescape
 from urllib.parse import parse_qsl
 
-from .. import interface as i
+from ..interface.enums import Outcome, ReleasePhase, Verdict
+from ..interface.events import FleetCounts, ReleaseUpdate
 from . import http
 from .calls import Reply
 from .write_progress import WRITTEN
@@ -16,19 +17,24 @@
     2 * SIGN_OF_LIFE
 )  # how the newest build stands is told at once; if not, the first sign has come by then
 MOST_TIME, MOST_WHOLE, MOST_FIELDS = 10**13, 2**53, 100  # milliseconds; of what floats hold exactly
-VERDICTS = {i.NO_VOTE: "abstain", i.ON: "promote", i.HOLD: "pause", i.BACK: "abort"}
+VERDICTS = {
+    Verdict.ABSTAIN: "abstain",
+    Verdict.PROMOTE: "promote",
+    Verdict.PAUSE: "pause",
+    Verdict.ABORT: "abort",
+}
 PHASES = {
-    "trial": i.ON_TRIAL,
-    "rolling_back": i.GOING_BACK,
-    "released": i.RELEASED,
-    "withdrawn": i.WITHDRAWN,
+    "trial": ReleasePhase.ON_TRIAL,
+    "rolling_back": ReleasePhase.ROLLING_BACK,
+    "released": ReleasePhase.RELEASED,
+    "withdrawn": ReleasePhase.WITHDRAWN,
 }
 # What came back from a call (status, code) -> what it means for a vote. Missing: it may count.
 REFUSALS = {
-    (400, "throttled"): i.FULL,
-    (400, "conflict"): i.UNSENT,
-    (400, "invalid"): i.ERROR,
-    (500, "internal"): i.ERROR,
+    (400, "throttled"): Outcome.REJECTED,
+    (400, "conflict"): Outcome.NOT_SENT,
+    (400, "invalid"): Outcome.ERROR,
+    (500, "internal"): Outcome.ERROR,
 }
 LEAF = re.compile(r"<([A-Za-z][\w.-]*)(?:\s[^<>]*)?>([^<>]*)</\1\s*>")
 
@@ -89,8 +95,8 @@
     """News of the names and values that tell how the newest build stands."""
     build, stage = _read(told, "version", _whole), _read(told, "step", _whole)
     phase, cap = _read(told, "status", PHASES.__getitem__), _read(told, "maxWeight", _share)
-    return i.News(
-        build, stage, phase, answers_vote, i.DONE, cap, _read(told, "observedAgoMs", _tenths)
+    return ReleaseUpdate(
+        build, stage, phase, answers_vote, Outcome.DONE, cap, _read(told, "observedAgoMs", _tenths)
     )
 
 
@@ -104,7 +110,7 @@
         latency = (
             _read(told, "avgMs", _tenths) if failed < counted else 0
         )  # of none there is no mean
-        return i.Tally(
+        return FleetCounts(
             _read(told, "version", _whole),
             _read(told, "kind", str),
             counted,
@@ -128,8 +134,8 @@
             try:
                 return read_news(told, True)
             except Unreadable:
-                return i.News(build, None, None, True, i.EXPIRED, None, None)
-        outcome = REFUSALS.get((end.status, told.get("Code")), i.EXPIRED)
+                return ReleaseUpdate(build, None, None, True, Outcome.TIMED_OUT, None, None)
+        outcome = REFUSALS.get((end.status, told.get("Code")), Outcome.TIMED_OUT)
     else:
-        outcome = i.EXPIRED if end.reached == WRITTEN else i.ERROR
-    return i.News(build, None, None, True, outcome, None, None)
+        outcome = Outcome.TIMED_OUT if end.reached == WRITTEN else Outcome.ERROR
+    return ReleaseUpdate(build, None, None, True, outcome, None, None)
--- a/thymeknot/protocol/discovery.py
+++ b/thymeknot/protocol/discovery.py
@@ -5,7 +5,8 @@
 
 import orjson
 
-from .. import interface as i
+from ..interface.enums import EndpointCondition, UpdateKind
+from ..interface.events import Endpoint, EndpointUpdate
 from ..polling.adaptive_interval import REFUSED, STOOD
 from . import http
 
@@ -21,7 +22,11 @@
 # Weights are divided by and added up: one pod must not hide all others. Times are Unix time in milliseconds.
 WEIGHTS, LATEST, MOST_VERSION = (1e-6, 1e6), 10**14, 2**63 - 1
 ADDRESS, MOST_PORT = re.compile(r"\S+:([0-9]{1,5})"), 65_535
-CONDITIONS = {"Ready": i.READY, "Terminating": i.DRAINING, "Gone": i.GONE}
+CONDITIONS = {
+    "Ready": EndpointCondition.READY,
+    "Terminating": EndpointCondition.DRAINING,
+    "Gone": EndpointCondition.GONE,
+}
 
 # Of a line of JSON: its strings; what stands outside of them in no JSON; what opens and closes.
 STRINGS, BRACKETS = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"'), re.compile(rb"[][{}]")
@@ -46,7 +51,7 @@
 
 class Listing(NamedTuple):
     version: int
-    pods: i.PodList
+    update: EndpointUpdate
     addresses: dict  # of the pods that are listed with one
 
 
@@ -72,9 +77,9 @@
     if read("state", str) not in CONDITIONS:
         raise Unreadable(f"{key}.state is not known: {value['state']!r}")
     condition = CONDITIONS[value["state"]]
-    address = read("addr", str, "" if condition == i.GONE else None)
+    address = read("addr", str, "" if condition == EndpointCondition.GONE else None)
     found = ADDRESS.fullmatch(address)
-    if condition != i.GONE and not (found and 0 < int(found[1]) <= MOST_PORT):
+    if condition != EndpointCondition.GONE and not (found and 0 < int(found[1]) <= MOST_PORT):
         raise Unreadable(f"{key}.addr is no address with a port")
 
     def number(name, kinds, least, most, default=0):
@@ -84,7 +89,7 @@
         return found
 
     started = number("started_ms", (int, float), 0, LATEST)
-    pod = i.Pod(
+    pod = Endpoint(
         read("id", str),
         read("zone", str, ""),
         float(number("weight", (int, float), *WEIGHTS, 1.0)),
@@ -107,10 +112,10 @@
     if type(whole) is not bool:
         raise Unreadable("full is neither true nor false")
     entries = [_entry(entry, at, epoch) for at, entry in enumerate(value["servers"])]
-    kind = kind or (i.WHOLE if whole else i.CHANGES)
+    kind = kind or (UpdateKind.FULL if whole else UpdateKind.DELTA)
     return Listing(
         version,
-        i.PodList(kind, tuple(pod for pod, _ in entries)),
+        EndpointUpdate(kind, tuple(pod for pod, _ in entries)),
         {pod.address: address for pod, address in entries if address},
     )
 
@@ -121,7 +126,7 @@
     held, wrong = [], None
     try:
         for listing in listings:
-            if held and not listing.pods.kind == held[-1].pods.kind == i.CHANGES:
+            if held and not listing.update.kind == held[-1].update.kind == UpdateKind.DELTA:
                 yield _one(held)
                 held = []
             held.append(listing)
@@ -137,10 +142,10 @@
     first, last = listings[0], listings[-1]
     if first is last:
         return first
-    pods = tuple(pod for listing in listings for pod in listing.pods.pods)
+    pods = tuple(pod for listing in listings for pod in listing.update.endpoints)
     return Listing(
         last.version,
-        i.PodList(first.pods.kind, pods),
+        EndpointUpdate(first.update.kind, pods),
         {pod: address for listing in listings for pod, address in listing.addresses.items()},
     )
 
--- a/thymeknot/records.py
+++ b/thymeknot/records.py
@@ -2,7 +2,7 @@
 
 from math import inf
 
-from .interface import CHANGES, GONE
+from .interface.enums import EndpointCondition, UpdateKind
 
 
 class Chance:
@@ -65,7 +65,11 @@
 class Transaction:
     def __init__(self, taken, lane, now, state):
         self.id, self.lane, self.key, self.state = taken.id, lane, taken.key or taken.id, state
-        self.ends, self.goal, self.streams = now + taken.left, now + lane.latency_goal, False
+        self.ends, self.goal, self.streams = (
+            now + taken.time_left,
+            now + lane.latency_objective,
+            False,
+        )
         self.sent = []  # the deliveries in their order
 
     def out(self):
@@ -100,19 +104,22 @@
         if not started:  # most are: every transaction asks for a dozen of these
             return 1.0
         age = max(1, at - started)
-        if age >= terms.cold:
+        if age >= terms.warmup_duration:
             return 1.0
-        return terms.cold_from + (1 - terms.cold_from) * age / terms.cold
+        return (
+            terms.warmup_initial_fraction
+            + (1 - terms.warmup_initial_fraction) * age / terms.warmup_duration
+        )
 
 
 def merged(pods, event, span):
     """The pods by address after a list: a whole one names all, a restarted or replaced pod is a new one."""
-    if event.kind != CHANGES:
-        named = {pod.address for pod in event.pods}
+    if event.kind != UpdateKind.DELTA:
+        named = {pod.address for pod in event.endpoints}
         pods = {address: known for address, known in pods.items() if address in named}
-    for pod in event.pods:
+    for pod in event.endpoints:
         known = pods.get(pod.address)
-        if pod.condition == GONE:
+        if pod.condition == EndpointCondition.GONE:
             pods.pop(pod.address, None)
         elif known and (known.listed.started, known.listed.build) == (pod.started, pod.build):
             known.listed = pod
@@ -125,12 +132,12 @@
     """(deliveries done, their mean latency, failed) by lane, of tallies of all builds together; and all of them."""
     lanes = {}
     for row in rows:
-        done, time, failed = lanes.get(row.lane, (0, 0.0, 0))
-        some = row.deliveries - row.failed
-        lanes[row.lane] = done + some, time + some * row.latency, failed + row.failed
+        done, time, failed = lanes.get(row.request_class, (0, 0.0, 0))
+        some = row.attempts - row.failed
+        lanes[row.request_class] = done + some, time + some * row.latency, failed + row.failed
     return (
         {lane: (done, time / max(1, done), failed) for lane, (done, time, failed) in lanes.items()},
-        sum(row.deliveries for row in rows),
+        sum(row.attempts for row in rows),
     )
 
 
@@ -209,4 +216,9 @@
 
 def aged(part, terms, most):
     """How old a pod is, at the latest, when it has this part of its capacity; most, if that is less."""
-    return min(most, terms.cold * max(0.0, part - terms.cold_from) / max(1e-9, 1 - terms.cold_from))
+    return min(
+        most,
+        terms.warmup_duration
+        * max(0.0, part - terms.warmup_initial_fraction)
+        / max(1e-9, 1 - terms.warmup_initial_fraction),
+    )
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -5,8 +5,10 @@
 
 import orjson
 
-from .. import interface as i
 from .. import wire
+from ..interface.enums import UpdateKind
+from ..interface.events import ReleaseUpdate
+from ..interface.settings import ConnectionLimits, Settings
 from ..protocol import deployer as platform
 from ..protocol import discovery
 
@@ -24,10 +26,10 @@
     platform: tuple
     seed: int
     sockets: int
-    news: i.News
+    news: ReleaseUpdate
     known: discovery.Listing
-    terms: i.Terms
-    reach: i.Reach
+    terms: Settings
+    reach: ConnectionLimits
 
 
 SOCKETS = 1024  # where no limit is told
@@ -124,7 +126,7 @@
     except platform.Unreadable as error:
         raise Faulty(f"deployer.news.{error}") from None
     try:
-        known = discovery.read_list(_at(told, "known", dict), epoch, i.REMEMBERED)
+        known = discovery.read_list(_at(told, "known", dict), epoch, UpdateKind.CACHED)
     except discovery.Unreadable as error:
         raise Faulty(f"known.{error}") from None
     except (
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -88,7 +88,7 @@
             Deadlines(clock, self.reactor.callLater, structured_log.fault),
             self.epoch,
         )
-        if start.terms.subscribes:
+        if start.terms.lists_polled:
             self.sidecar.begin()
             self.reactor.callWhenRunning(self._listen)
         else:
@@ -175,7 +175,7 @@
             transactions=len(self.sidecar.transactions),
         )
         if self.serving:
-            longest = max(lane.outer_limit for lane in self.sidecar.terms.lanes.values())
+            longest = max(lane.outer_limit for lane in self.sidecar.terms.request_classes.values())
             self.reactor.callLater(
                 SERVES_ON,
                 self.sidecar.finish,
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,7 +1,7 @@
 """Why work is turned away, summed: what is told of each final answer that is no answer of a pod becomes one log line
 every few seconds, none where there was nothing. Bounded by the closed table of reasons."""
 
-from ..reasons import Reason
+from ..interface.reasons import Reason
 
 EVERY = 50_000  # tenths of a millisecond between two lines
 FINAL = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
--- a/thymeknot/sidecar.py
+++ b/thymeknot/sidecar.py
@@ -11,8 +11,31 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import Factory
 
-from . import interface as i
 from .balance import PROOF, Balancer
+from .interface.actions import (
+    CancelAttempt,
+    CastVote,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    LogNote,
+    ProbeEndpoint,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from .interface.enums import EndpointCondition, Idempotency, Outcome, ReleasePhase, UpdateKind
+from .interface.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    EndpointUpdate,
+    LateResponseSeen,
+    ReleaseUpdate,
+    RequestReceived,
+    TimerFired,
+)
 from .memory.exposure import Exposure
 from .memory.pools import Pools
 from .memory.slots import Slots
@@ -106,10 +129,14 @@
         """Until when its last byte may be written, by what earlier attempts may have done: a repeat is known as one
         for its lane's window, counted as the decisions count it; a binding one may not be repeated at all."""
         suspect = next((earlier for earlier in self.held.attempts if earlier.may_have_run), None)
-        lane = self.sidecar.terms.lanes[self.held.command.lane]
-        if suspect is None or lane.effect == i.RETRIABLE:
+        lane = self.sidecar.terms.request_classes[self.held.command.lane]
+        if suspect is None or lane.idempotency == Idempotency.IDEMPOTENT:
             return self.ends
-        return min(self.ends, suspect.at + lane.window) if lane.effect == i.FINGERPRINTED else 0
+        return (
+            min(self.ends, suspect.at + lane.deduplication_window)
+            if lane.idempotency == Idempotency.KEYED
+            else 0
+        )
 
     def may_be_written(self, address):
         """Whether what was decided holds still, there: it may have waited since, for a connection."""
@@ -132,7 +159,7 @@
         return (
             news is not None
             and self.pod.build < news.build
-            and news.phase in (i.ON_TRIAL, i.RELEASED)
+            and news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
             and (command.key or command.id).decode() in self.sidecar.balancer.pins
         )
 
@@ -141,7 +168,7 @@
         return self.connection is not None and self.connection.written
 
     def withdraw(self):
-        self.give_up(i.UNSENT)
+        self.give_up(Outcome.NOT_SENT)
 
     def due(self):
         """At the latest moment to be written by, and at the end of its time."""
@@ -160,7 +187,7 @@
         delivered.addCallback(self._came_back)
 
     def not_connected(self, broken):
-        self.sidecar.ended(self, i.UNCONNECTED)
+        self.sidecar.ended(self, Outcome.CONNECT_FAILED)
 
     def _begun(self):
         self.sidecar.answered_unheard(self, "in part or unreadable")
@@ -175,11 +202,15 @@
         if not self.out:
             return
         if isinstance(end, Broken):
-            self.sidecar.ended(self, i.RESET if end.reached == WRITTEN else i.UNCONNECTED)
+            self.sidecar.ended(
+                self, Outcome.RESET if end.reached == WRITTEN else Outcome.CONNECT_FAILED
+            )
         elif good:
-            self.sidecar.ended(self, i.DONE, end)
+            self.sidecar.ended(self, Outcome.DONE, end)
         else:
-            self.sidecar.ended(self, i.FULL if end.failure.split(" ")[0] == BUSY else i.ERROR)
+            self.sidecar.ended(
+                self, Outcome.REJECTED if end.failure.split(" ")[0] == BUSY else Outcome.ERROR
+            )
 
     def give_up(self, outcome=None):
         """Ends it, as a time-out where nothing else is said. What was written may be answered yet, unread."""
@@ -188,7 +219,9 @@
         self.sidecar.pools.give_up(self, self.connection)
         if written:
             self.sidecar.answered_unheard(self, "given up")
-        self.sidecar.ended(self, outcome or (i.EXPIRED if written else i.UNCONNECTED))
+        self.sidecar.ended(
+            self, outcome or (Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
+        )
         self.may_have_run = written
 
 
@@ -242,8 +275,8 @@
             lambda: discovery.watch(self.discovery.host, self._since()),
             self._watch_reader,
             structured_log.seldom,
-            discovery.FIRST_WORD[self.terms.subscribes],
-            free=not self.terms.subscribes,
+            discovery.FIRST_WORD[self.terms.lists_polled],
+            free=not self.terms.lists_polled,
         )  # the agent on the same machine
         self.stream = KeptStream(
             self.platform,
@@ -256,7 +289,7 @@
         )
 
     def _caller(self, address):
-        return Caller(self.reactor, self.deadlines, address, self.reach.connect_within)
+        return Caller(self.reactor, self.deadlines, address, self.reach.connect_timeout)
 
     def reconfigure(self, start):
         """Takes up the addresses of a new configuration; calls that are out end at the former ones. What it knows
@@ -293,8 +326,8 @@
         self.tell(self.start.news)
         # Where lists are asked for, all ask one service: a fleet that starts at once must not come there at once.
         self.watch.start_among(
-            self.terms.balancers
-        ) if self.terms.subscribes else self.watch.start()
+            self.terms.instances
+        ) if self.terms.lists_polled else self.watch.start()
         self.stream.start()
         self._refusals()
 
@@ -417,7 +450,7 @@
             self.deciding = False
 
     def _decide(self, event):
-        if type(event) is i.News:
+        if type(event) is ReleaseUpdate:
             self._told(event)
         try:
             actions = self.balancer.handle(self.clock(), [event])
@@ -427,7 +460,7 @@
             held = self._held(getattr(event, "id", None))
             if held and not held.over and not held.out:
                 self._final(held, ABANDONED)
-                self.inbox.append(i.ClientLeft(held.id))
+                self.inbox.append(ClientDisconnected(held.id))
         else:
             self._carry_out(actions)
 
@@ -439,7 +472,7 @@
                 structured_log.fault(type(action).__name__, error)
 
     def _timer(self, action):
-        self.deadlines.add(action.at, self.tell, i.TimerDue(action.token))
+        self.deadlines.add(action.at, self.tell, TimerFired(action.token))
 
     def _note(self, action):
         structured_log.log("note", text=action.text)
@@ -505,7 +538,7 @@
                 held.over = True
                 if self.why is not None:
                     self.why.ended(held.id, self.why.left)
-                self.tell(i.ClientLeft(held.id))
+                self.tell(ClientDisconnected(held.id))
                 for (
                     attempt
                 ) in held.attempts:  # also where none may be recalled: these are not out yet
@@ -528,7 +561,7 @@
 
     def take(self, connection, place, command):
         name = command.id.decode()
-        if command.lane not in self.terms.lanes:
+        if command.lane not in self.terms.request_classes:
             return connection.answer(place, resp.failure("ERR no such lane"))
         if name in self.by_id:
             self._ask_for(self._held(name))
@@ -536,11 +569,11 @@
                 return None
         if name in self.by_id or name in self.perhaps:
             return self._repeated(name, connection, place, command)
-        if len(self.transactions) + len(self.perhaps) >= self.reach.most_open:
+        if len(self.transactions) + len(self.perhaps) >= self.reach.max_open:
             return connection.answer(place, resp.failure(BUSY))
         # Nothing is earned after the lane's outer limit: no client has a transaction held for longer.
         connection.used_at = self.clock()
-        left = min(command.left * 10, self.terms.lanes[command.lane].outer_limit)
+        left = min(command.left * 10, self.terms.request_classes[command.lane].outer_limit)
         if self.killed is not None:
             left = min(left, self.killed - connection.used_at)
             if left <= 0:
@@ -553,7 +586,9 @@
         if self.why is not None:
             self.why.taken(name, command)
         return self.tell(
-            i.Taken(name, command.lane, command.tenant, key, left, None, command.repeat, False)
+            RequestReceived(
+                name, command.lane, command.tenant, key, left, None, command.repeat, False
+            )
         )
 
     def _repeated(self, name, connection, place, command):
@@ -566,14 +601,16 @@
             return connection.answer(place, resp.failure("ERR this id is in hand already"))
         now = self.clock()
         held.connection, held.place, held.over, held.heir = connection, place, False, True
-        held.ends = now + min(command.left * 10, self.terms.lanes[held.command.lane].outer_limit)
+        held.ends = now + min(
+            command.left * 10, self.terms.request_classes[held.command.lane].outer_limit
+        )
         self.deadlines.cancel(held.deadline)
         held.deadline = self.deadlines.add(held.ends + OVERDUE, self._overdue, held)
 
     def _remember(self, held):
         """What may have run and was let go without an answer is not taken again for as long as it was asked for."""
         if (
-            self.terms.lanes[held.command.lane].effect != i.RETRIABLE
+            self.terms.request_classes[held.command.lane].idempotency != Idempotency.IDEMPOTENT
             and held.id not in self.perhaps
             and any(attempt.may_have_run for attempt in held.attempts)
         ):
@@ -591,7 +628,7 @@
             if self.why is not None:
                 self.why.ended(held.id, self.why.abandoned)
             self._final(held, ABANDONED)
-            self.tell(i.ClientLeft(held.id))
+            self.tell(ClientDisconnected(held.id))
 
     def _final(self, held, content):
         if held and not held.over:
@@ -608,7 +645,7 @@
             self.deadlines.cancel(held.deadline)
 
     def _defer(self, action):
-        wait = -(-action.wait // 10)
+        wait = -(-action.retry_after // 10)
         self._final(self._held(action.id), resp.failure(f"{BUSY} {wait}" if wait else BUSY))
 
     def _abandon(self, action):
@@ -619,21 +656,23 @@
     def _deliver(self, action):
         now, held = self.clock(), self._held(action.id)
         if held is None:
-            return self.inbox.append(i.Ended(action.id, i.UNSENT, True, 0, action.pod, 0, None))
+            return self.inbox.append(
+                AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, action.endpoint, 0, None)
+            )
         self._ask_for(held)
         attempt = Attempt(
-            self, held, self.listed.get(action.pod), now, min(now + action.time_out, held.ends)
+            self, held, self.listed.get(action.endpoint), now, min(now + action.timeout, held.ends)
         )
         held.attempts.append(attempt)
         held.out += 1
-        if attempt.number >= self.terms.max_deliveries or not attempt.may_be_written(
-            self.addresses.get(action.pod)
+        if attempt.number >= self.terms.max_attempts or not attempt.may_be_written(
+            self.addresses.get(action.endpoint)
         ):
-            return self.ended(attempt, i.UNSENT)
+            return self.ended(attempt, Outcome.NOT_SENT)
         attempt.deadline = self.deadlines.add(attempt.write_by, attempt.due)
-        if not self.pools.send(action.pod, self.addresses[action.pod], attempt):
+        if not self.pools.send(action.endpoint, self.addresses[action.endpoint], attempt):
             structured_log.seldom("no descriptor for a pod", connections=len(self.pools))
-            return self.ended(attempt, i.UNSENT)
+            return self.ended(attempt, Outcome.NOT_SENT)
 
     def _recall(self, action):
         held = self._held(action.id)
@@ -641,7 +680,7 @@
             held.attempts[action.number] if held and action.number < len(held.attempts) else None
         )
         if attempt and attempt.out:
-            attempt.give_up(i.RECALLED)
+            attempt.give_up(Outcome.CANCELLED)
 
     def ended(self, attempt, outcome, answer=None):
         """The one end of an attempt. The first good answer goes to the client by itself."""
@@ -650,14 +689,14 @@
         held.out -= 1
         if attempt.deadline is not None:
             self.deadlines.cancel(attempt.deadline)
-        if outcome == i.DONE and not held.over:
+        if outcome == Outcome.DONE and not held.over:
             held.over = True
             if self.why is not None:
                 self.why.ended(held.id, self.why.done)
             held.connection.answer(held.place, resp.value(answer.value))
         load = self._load(answer.report) if answer and answer.report else None
         pod = attempt.pod.address if attempt.pod else ""
-        event = i.Ended(
+        event = AttemptEnded(
             held.id, outcome, held.over, self.clock() - attempt.at, pod, attempt.number, load
         )
         if self.gossip is not None and attempt.pod:
@@ -679,7 +718,7 @@
             after=after,
             reason=reason,
         )
-        self.tell(i.AnsweredUnheard((command.key or command.id).decode(), attempt.pod.build))
+        self.tell(LateResponseSeen((command.key or command.id).decode(), attempt.pod.build))
 
     def _load(self, report):
         """The values of a report of names and values, in the order in which the terms name them."""
@@ -687,34 +726,34 @@
             pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(",")
         )
         try:
-            load = tuple(float(told[name]) for name in self.terms.reports)
+            load = tuple(float(told[name]) for name in self.terms.load_metrics)
         except (KeyError, ValueError):
             return None
         return load if all(map(isfinite, load)) else None
 
     def _close_idle(self, action):
-        self.pools.retire(action.pod)
+        self.pools.retire(action.endpoint)
 
     # The list of pods.
 
     def _listing(self, listing, source):
         """Takes up a list that this address told; one that is not believed is an Unbelieved, and changes nothing."""
-        whole, names = listing.pods.kind != i.CHANGES, len(listing.pods.pods)
+        whole, names = listing.update.kind != UpdateKind.DELTA, len(listing.update.endpoints)
         doubt = self.belief.doubt(source, listing.version, whole, names, len(self.listed))
         if doubt:
             raise discovery.Unbelieved(*doubt)
         self.version, self.told_by = listing.version, source
         before, self.listed = (
             self.listed,
-            dict(self.listed) if listing.pods.kind == i.CHANGES else {},
+            dict(self.listed) if listing.update.kind == UpdateKind.DELTA else {},
         )
         changed = set()
-        for pod in listing.pods.pods:
+        for pod in listing.update.endpoints:
             known = before.get(pod.address)
             # What stands open to an earlier process may be silent: it is another pod under the same id.
             if known and (known.started, known.build) != (pod.started, pod.build):
                 changed.add(pod.address)
-            if pod.condition == i.GONE:
+            if pod.condition == EndpointCondition.GONE:
                 self.listed.pop(pod.address, None)
             else:
                 self.listed[pod.address] = pod
@@ -723,7 +762,7 @@
             for pod, address in {**self.addresses, **listing.addresses}.items()
             if pod in self.listed
         }
-        self.inbox.append(listing.pods)
+        self.inbox.append(listing.update)
         if self.gossip is not None:
             self.gossip.listed()
         self._withdraw(
@@ -740,7 +779,7 @@
         now = self.listed.get(pod.address)
         return (
             now is not None
-            and now.condition == i.READY
+            and now.condition == EndpointCondition.READY
             and ((now.started, now.build) == (pod.started, pod.build))
         )
 
@@ -779,7 +818,7 @@
         pass  # the watch stands, or is asked for as often as discovery bears: a call beside it would be one too many
 
     def _fetch(self, action):
-        fetched = self.discovery.call(discovery.fetch(self.discovery.host), self.terms.vote_wait)
+        fetched = self.discovery.call(discovery.fetch(self.discovery.host), self.terms.vote_timeout)
         fetched.addCallback(self._fetched, self.discovery.address)
 
     def _fetched(self, end, source):
@@ -794,13 +833,13 @@
             self._listing(discovery.read_json(end.body, self.epoch), source)
         except Exception as error:  # the decisions are owed one answer, whatever came
             structured_log.log("list not fetched", error=str(error)[:MOST_REASON])
-            self.tell(i.PodList(i.MISSED, ()))
+            self.tell(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
 
     # The platform.
 
     def _told(self, news):
         """Before the decisions hear it: a lower cap binds what still waits for a connection."""
-        if news.outcome != i.DONE:
+        if news.outcome != Outcome.DONE:
             return
         old, self.news, self.news_at = self.news, news, self.clock()
         if old and old.build == news.build and (news.cap < old.cap or news.phase != old.phase):
@@ -814,7 +853,9 @@
                 told = deployer.read_event(
                     event, data
                 )  # what can't be read ends the stream: it is asked for anew
-                if told is not None and (type(told) is i.News or told.lane in self.terms.lanes):
+                if told is not None and (
+                    type(told) is ReleaseUpdate or told.request_class in self.terms.request_classes
+                ):
                     self.tell(told)
             return b"\n" in bytes(content)  # any whole line
 
@@ -824,7 +865,7 @@
         """The state that answers a call, as long as what the stream told while it was out is not the newer one: where
         neither is surely the newer, the one that lets less through holds. The next answer or event tells."""
         held = self.news
-        if news.outcome != i.DONE or held is None:
+        if news.outcome != Outcome.DONE or held is None:
             return news
         older = news.build < held.build
         if news.build == held.build and asked - news.age <= self.news_at - held.age:
@@ -833,7 +874,7 @@
 
     @staticmethod
     def _lets_through(news):
-        return {i.ON_TRIAL: news.cap, i.RELEASED: 1.0}.get(news.phase, 0.0)
+        return {ReleasePhase.ON_TRIAL: news.cap, ReleasePhase.RELEASED: 1.0}.get(news.phase, 0.0)
 
     def _vote(self, action):
         asked = self.clock()
@@ -849,20 +890,22 @@
             )
             self.tell(news)
 
-        vote = self.platform.call(deployer.vote(self.platform.host, action), self.terms.vote_wait)
+        vote = self.platform.call(
+            deployer.vote(self.platform.host, action), self.terms.vote_timeout
+        )
         vote.addCallback(answered)
 
     ACTIONS = {
-        i.Deliver: _deliver,
-        i.Recall: _recall,
-        i.Defer: _defer,
-        i.Abandon: _abandon,
-        i.SetTimer: _timer,
-        i.CloseIdle: _close_idle,
-        i.Subscribe: _subscribe,
-        i.FetchList: _fetch,
-        i.Vote: _vote,
-        i.Note: _note,
-        i.Probe: _not_spoken,
-        i.Tell: _not_spoken,
+        SendAttempt: _deliver,
+        CancelAttempt: _recall,
+        Reject: _defer,
+        Fail: _abandon,
+        SetTimer: _timer,
+        CloseIdleConnections: _close_idle,
+        SubscribeToEndpoints: _subscribe,
+        FetchEndpoints: _fetch,
+        CastVote: _vote,
+        LogNote: _note,
+        ProbeEndpoint: _not_spoken,
+        SendPeerMessage: _not_spoken,
     }
--- a/thymeknot/simulation/baseline_policies.py
+++ b/thymeknot/simulation/baseline_policies.py
@@ -1,7 +1,22 @@
 """Policies to compare with, and such as break one rule each, by which the checkers are checked. All have the Balancer's
 face: handle(now, events) -> actions. They vote by the clock, on after a while, or not at all."""
 
-from .. import interface as i
+from ..interface.actions import CastVote, Fail, Reject, SendAttempt, SetTimer
+from ..interface.enums import (
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    ReleasePhase,
+    UpdateKind,
+    Verdict,
+)
+from ..interface.events import (
+    AttemptEnded,
+    EndpointUpdate,
+    ReleaseUpdate,
+    RequestReceived,
+    TimerFired,
+)
 from ..records import Chance
 
 VOTE_AFTER = 50_000
@@ -24,20 +39,20 @@
                 one(self, event)
         if not self.set:
             self.set = True
-            self.actions.append(i.SetTimer(now + 5000, 0))
+            self.actions.append(SetTimer(now + 5000, 0))
         return self.actions
 
     def _listed(self, event):
-        if event.kind not in (i.CHANGES, i.MISSED):
+        if event.kind not in (UpdateKind.DELTA, UpdateKind.FETCH_FAILED):
             self.pods = {}
-        for pod in event.pods:
-            if pod.condition == i.READY:
+        for pod in event.endpoints:
+            if pod.condition == EndpointCondition.READY:
                 self.pods[pod.address] = pod
             else:
                 self.pods.pop(pod.address, None)
 
     def _told(self, news):
-        if news.outcome != i.DONE:
+        if news.outcome != Outcome.DONE:
             return
         if self.news is None or (news.build, news.stage) != (self.news.build, self.news.stage):
             self.staged_at = self.now
@@ -46,23 +61,23 @@
         self.news = news
 
     def _tick(self, event):
-        self.actions.append(i.SetTimer(self.now + 5000, 0))
+        self.actions.append(SetTimer(self.now + 5000, 0))
         news = self.news
         if (
             self.votes
             and news
-            and news.phase == i.ON_TRIAL
+            and news.phase == ReleasePhase.ON_TRIAL
             and self.now >= self.staged_at + VOTE_AFTER
         ):
-            self.actions.append(i.Vote(news.build, news.stage, i.ON))
+            self.actions.append(CastVote(news.build, news.stage, Verdict.PROMOTE))
 
     def _may_try(self, lane):
         """The cap, counted plainly; the trial's guarded stages; its own part alone."""
         news, since = self.news, self.now - self.terms.exposure_window
-        if news.phase == i.RELEASED:
+        if news.phase == ReleasePhase.RELEASED:
             return True
-        if news.phase != i.ON_TRIAL or (
-            news.stage < self.terms.guarded_stages and lane.effect != i.RETRIABLE
+        if news.phase != ReleasePhase.ON_TRIAL or (
+            news.stage < self.terms.guarded_stages and lane.idempotency != Idempotency.IDEMPOTENT
         ):
             return False
         self.taken, self.tried = (
@@ -70,35 +85,40 @@
         )
         # Of those taken, the oldest leave the window before the deliveries do: half of them must carry it.
         late = [at for at in self.taken if at > since + self.terms.exposure_window // 2]
-        return len(self.tried) + 1 <= self.terms.allowance / 2 + news.cap * min(
+        return len(self.tried) + 1 <= self.terms.exposure_allowance / 2 + news.cap * min(
             len(late), len(self.taken) / 2
         )
 
     def _take(self, event):
-        lane = self.terms.lanes[event.lane]
+        lane = self.terms.request_classes[event.request_class]
         self.taken.append(self.now)
         newest = self.news.build if self.news else 0
         trial = [pod for pod in self.pods.values() if pod.build == newest]
         usual = [
-            pod for pod in self.pods.values() if pod.build < newest or self.news.phase == i.RELEASED
+            pod
+            for pod in self.pods.values()
+            if pod.build < newest or self.news.phase == ReleasePhase.RELEASED
         ]
         key = event.key or event.id
-        stays = key in self.pins and self.news.phase in (i.ON_TRIAL, i.RELEASED)
+        stays = key in self.pins and self.news.phase in (
+            ReleasePhase.ON_TRIAL,
+            ReleasePhase.RELEASED,
+        )
         may = bool(trial) and self._may_try(lane)
         part = len(trial) / max(1, len(self.pods))
         if may and (stays or not usual or self.chance.draw() < part):
             pool = trial
-            if self.news.phase == i.ON_TRIAL:
+            if self.news.phase == ReleasePhase.ON_TRIAL:
                 self.tried.append(self.now)
         else:
             pool = [] if stays else usual
         if not pool:
-            self.actions.append(i.Defer(event.id, self.terms.max_retry_after))
+            self.actions.append(Reject(event.id, self.terms.max_retry_after))
             return
         pod = self.choose(pool)
         self.open[event.id] = pod, key, lane
         self.out[pod.address] = self.out.get(pod.address, 0) + 1
-        self.actions.append(i.Deliver(event.id, pod.address, event.left))
+        self.actions.append(SendAttempt(event.id, pod.address, event.time_left))
 
     def choose(self, pool):
         return pool[int(self.chance.draw() * len(pool))]
@@ -109,17 +129,23 @@
             return
         pod, key, lane = held
         self.out[pod.address] -= 1
-        if event.outcome == i.DONE:
+        if event.outcome == Outcome.DONE:
             if pod.build == self.news.build and len(self.pins) < 20_000:
                 self.pins.add(key)
         elif not event.closed:
-            unrun = event.outcome in (i.FULL, i.UNCONNECTED, i.UNSENT)
-            if unrun or lane.effect == i.RETRIABLE:
-                self.actions.append(i.Defer(event.id, self.terms.max_retry_after))
+            unrun = event.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+            if unrun or lane.idempotency == Idempotency.IDEMPOTENT:
+                self.actions.append(Reject(event.id, self.terms.max_retry_after))
             else:
-                self.actions.append(i.Abandon(event.id))
+                self.actions.append(Fail(event.id))
 
-    EVENTS = {i.PodList: _listed, i.News: _told, i.TimerDue: _tick, i.Taken: _take, i.Ended: _ended}
+    EVENTS = {
+        EndpointUpdate: _listed,
+        ReleaseUpdate: _told,
+        TimerFired: _tick,
+        RequestReceived: _take,
+        AttemptEnded: _ended,
+    }
 
 
 class Random(Plain):
@@ -153,12 +179,12 @@
     """Breaks rule 1: of one transaction it never says anything."""
 
     def _ended(self, event):
-        if event.outcome != i.DONE and not hasattr(self, "dropped"):
+        if event.outcome != Outcome.DONE and not hasattr(self, "dropped"):
             self.dropped = self.open.pop(event.id, None)
             return
         Plain._ended(self, event)
 
-    EVENTS = {**Plain.EVENTS, i.Ended: _ended}
+    EVENTS = {**Plain.EVENTS, AttemptEnded: _ended}
 
 
 class Repeats(Plain):
@@ -168,18 +194,18 @@
         held = self.open.get(event.id)
         if (
             held
-            and event.outcome == i.ERROR
-            and held[2].effect == i.BINDING
+            and event.outcome == Outcome.ERROR
+            and held[2].idempotency == Idempotency.NON_IDEMPOTENT
             and not event.closed
             and event.number == 0
         ):
             self.actions.append(
-                i.Deliver(event.id, self.choose(list(self.pods.values())).address, 5000)
+                SendAttempt(event.id, self.choose(list(self.pods.values())).address, 5000)
             )
             return
         Plain._ended(self, event)
 
-    EVENTS = {**Plain.EVENTS, i.Ended: _ended}
+    EVENTS = {**Plain.EVENTS, AttemptEnded: _ended}
 
 
 class Undrained(Plain):
@@ -189,14 +215,16 @@
         Plain._listed(
             self,
             event._replace(
-                pods=tuple(
-                    pod._replace(condition=i.READY) if pod.condition == i.DRAINING else pod
-                    for pod in event.pods
+                endpoints=tuple(
+                    pod._replace(condition=EndpointCondition.READY)
+                    if pod.condition == EndpointCondition.DRAINING
+                    else pod
+                    for pod in event.endpoints
                 )
             ),
         )
 
-    EVENTS = {**Plain.EVENTS, i.PodList: _listed}
+    EVENTS = {**Plain.EVENTS, EndpointUpdate: _listed}
 
 
 class Pushes(Plain):
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -4,77 +4,32 @@
 import math
 import multiprocessing
 import os
-import subprocess
-import types
 from concurrent.futures import ProcessPoolExecutor, as_completed
-from hashlib import blake2b
 
 import orjson
 
-from .. import interface
+from ..interface.enums import ReleasePhase
 from . import large_fleet_scenarios, scenarios, statistics
 from .baseline_policies import TEXTBOOK
-from .shared_services import EarlierPace
+from .earlier_versions import UnknownRevisionError, load_version
 from .simulator import Fleet, balancer
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
-_versions = {}
 
 
 class Unknown(ValueError):
     """No such policy, version or result."""
 
 
-def earlier(revision):
-    """The decisions as they were at a revision of this repository, side by side with today's."""
-    if revision in _versions:
-        return _versions[revision]
-
-    def text(path):
-        shown = subprocess.run(
-            ["git", "-C", ROOT, "show", f"{revision}:thymeknot/{path}.py"], capture_output=True
-        )
-        if shown.returncode:
-            raise Unknown(f"{revision}: {shown.stderr.decode().strip()}")
-        return shown.stdout.decode()
-
-    package = f"thymeknot_{blake2b(revision.encode(), digest_size=4).hexdigest()}"
-    import sys
-
-    holder = types.ModuleType(package)
-    holder.__path__ = []
-    sys.modules[package] = holder
-    # Events and actions are today's: the emulator tells them apart by their type.
-    sys.modules[f"{package}.interface"] = holder.interface = interface
-    for name in ("reasons", "records", "admission", "balance"):
-        try:
-            code = text(name)
-        except Unknown:
-            if name in ("reasons", "admission"):  # older than these
-                continue
-            raise
-        module = types.ModuleType(f"{package}.{name}")
-        module.__package__ = package
-        sys.modules[module.__name__] = module
-        setattr(holder, name, module)
-        exec(compile(code, f"{revision}:{name}.py", "exec"), module.__dict__)
-    made = holder.balance.Balancer
-    _versions[revision] = version = lambda terms, seed, now: made(terms, seed, now)
-    try:  # and how often it asks for lists
-        code, pace = text("asking/pace"), types.ModuleType(f"{package}.pace")
-        exec(compile(code, f"{revision}:asking/pace.py", "exec"), pace.__dict__)
-        version.pace = pace.Pace
-    except Unknown:
-        version.pace = EarlierPace
-    return version
-
-
 def policy(name):
     """`now` is today's module, `at:REVISION` an earlier one, else one of the textbook's."""
     if name == "now":
         return balancer
     if name.startswith("at:"):
-        return earlier(name[3:])
+        try:
+            return load_version(name[3:])
+        except UnknownRevisionError as error:
+            raise Unknown(str(error)) from None
     if name not in TEXTBOOK:
         raise Unknown(f"{name}: none of now, at:REVISION, {', '.join(TEXTBOOK)}")
     return TEXTBOOK[name]
@@ -118,7 +73,7 @@
             "recover_s": fleet.recovered(end),
             **mass_figures(fleet),
         }
-    back = fleet.news[2] in (interface.GOING_BACK, interface.WITHDRAWN)
+    back = fleet.news[2] in (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
     return {
         "policy": name,
         "kind": kind,
@@ -134,7 +89,7 @@
         "good_back": offer.good and back,
         "bad_released": not offer.good and bool(fleet.released),
         "bad_kept": not offer.good
-        and fleet.news[2] == interface.RELEASED
+        and fleet.news[2] == ReleasePhase.RELEASED
         and fleet.news[0] == offer.build,
         "votes": fleet.votes_asked,
         "rules_broken": fleet.checker.rules_broken(),
--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -72,11 +72,12 @@
         self.over[instance, name] = how
         if now > ends + self.slack:
             self._broke(1, now, f"{name}: answered {now - ends} late")
-        effect = self.lanes[lane].effect
+        effect = self.lanes[lane].idempotency
         if how == "deferred" and effect != "retriable":
             unproved = [one for one in self.sent_of[instance, name] if one["run"] is not False]
             if unproved and (
-                effect == "binding" or now > unproved[0]["at"] + self.lanes[lane].window
+                effect == "binding"
+                or now > unproved[0]["at"] + self.lanes[lane].deduplication_window
             ):
                 self._broke(2, now, f"{name}: deferred though it may have run")
         return None
@@ -108,13 +109,13 @@
         if told is not None and now > told + self.grace:
             self._broke(3, now, f"{name}: to {pod} {now - told} after it was told gone")
         earlier = [one for one in self.sent_of[instance, name] if one["run"] is not False]
-        effect = self.lanes[lane].effect
+        effect = self.lanes[lane].idempotency
         if earlier and effect == "binding":
             self._broke(2, now, f"{name}: sent again though it may have run")
         if (
             earlier
             and effect == "fingerprinted"
-            and now > earlier[0]["at"] + self.lanes[lane].window
+            and now > earlier[0]["at"] + self.lanes[lane].deduplication_window
         ):
             self._broke(2, now, f"{name}: sent again after its window")
         self.sent_of[instance, name].append({"at": now, "run": None})
@@ -142,7 +143,7 @@
             )
         if build != newest or phase != "trial":
             return
-        if stage < self.guarded and self.lanes[lane].effect != "retriable":
+        if stage < self.guarded and self.lanes[lane].idempotency != "retriable":
             self._broke(5, now, f"{name}: {lane} in guarded stage {stage}")
         counted = lane if self.by_lane else ""
         tried, taken = self.tried_at[instance, newest, counted], self.taken_at[instance, counted]
@@ -186,7 +187,7 @@
     def ran(self, now, name, lane):
         """A pod carried it out."""
         self.runs[name].append(now)
-        if self.lanes[lane].effect == "binding" and len(self.runs[name]) > 1:
+        if self.lanes[lane].idempotency == "binding" and len(self.runs[name]) > 1:
             self._broke(2, now, f"{name}: ran {len(self.runs[name])} times")
 
     def rules_broken(self):
--- a/thymeknot/simulation/large_fleet_scenarios.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -5,7 +5,8 @@
 
 import numpy as np
 
-from .. import interface as i
+from ..interface.enums import DeduplicationScope, Idempotency, PromotionMode
+from ..interface.settings import RequestClass, Settings
 from .scenarios import SECOND, WAVES, Day, Fault, LaneMix, Offer
 
 KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
@@ -17,25 +18,54 @@
 BESIDE = ("slow all", "burst", "calls", "discovery", "network", "pods")
 LANES = (
     LaneMix(
-        i.Lane("fetch", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, 8_000, 20_000, 1.0, 0.0),
+        RequestClass(
+            "fetch",
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.ALL,
+            5 * SECOND,
+            8_000,
+            20_000,
+            1.0,
+            0.0,
+        ),
         0.55,
         1_200,
         0.8,
     ),
     LaneMix(
-        i.Lane("sync", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, 25_000, 75_000, 1.0, 0.2),
+        RequestClass(
+            "sync",
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.ALL,
+            5 * SECOND,
+            25_000,
+            75_000,
+            1.0,
+            0.2,
+        ),
         0.22,
         2_900,
         0.8,
     ),
     LaneMix(
-        i.Lane("buy", i.FINGERPRINTED, i.GROUP_ALL, 5 * SECOND, 8_000, 25_000, 5.0, 0.0),
+        RequestClass(
+            "buy", Idempotency.KEYED, DeduplicationScope.ALL, 5 * SECOND, 8_000, 25_000, 5.0, 0.0
+        ),
         0.12,
         1_200,
         0.7,
     ),
     LaneMix(
-        i.Lane("pay", i.BINDING, i.GROUP_ALL, 5 * SECOND, 15_000, 40_000, 5.0, 0.0),
+        RequestClass(
+            "pay",
+            Idempotency.NON_IDEMPOTENT,
+            DeduplicationScope.ALL,
+            5 * SECOND,
+            15_000,
+            40_000,
+            5.0,
+            0.0,
+        ),
         0.11,
         2_900,
         0.8,
@@ -51,33 +81,33 @@
 
 
 def terms(instances, cold, cold_from, calls, lanes=LANES):
-    return i.Terms(
-        lanes={one.lane.name: one.lane for one in lanes},
-        balancers=instances,
-        subscribes=False,
-        max_deliveries=4,
+    return Settings(
+        request_classes={one.lane.name: one.lane for one in lanes},
+        instances=instances,
+        lists_polled=False,
+        max_attempts=4,
         max_retry_after=SECOND // 2,
-        second_copies=False,
-        may_recall=True,
-        retry_after=True,
-        reports=(),
-        ask_within=10 * SECOND,
-        cold_from=cold_from,
-        cold=cold,
-        fall_multiple=2.0,
-        overload_for=3 * SECOND // 2,
+        hedging_allowed=False,
+        cancellation_allowed=True,
+        retry_after_allowed=True,
+        load_metrics=(),
+        poll_within=10 * SECOND,
+        warmup_initial_fraction=cold_from,
+        warmup_duration=cold,
+        overload_factor=2.0,
+        overload_window=3 * SECOND // 2,
         exposure_window=3 * SECOND,
-        allowance=3.0,
+        exposure_allowance=3.0,
         guarded_stages=2,
-        waves=WAVES,
-        by_lane=False,
-        keys_stay=True,
-        replaces=False,
-        decided_by=i.BY_COUNT,
+        stage_fractions=WAVES,
+        exposure_by_class=False,
+        sticky_keys=True,
+        replaces_machines=False,
+        promotion_mode=PromotionMode.QUORUM,
         votes_to_revert=max(1, math.ceil(REVERT * instances)),
-        vote_life=4 * SECOND,
-        vote_wait=12_000,
-        votes_per_s=calls,
+        vote_lifetime=4 * SECOND,
+        vote_timeout=12_000,
+        votes_per_second=calls,
     )
 
 
@@ -247,7 +277,7 @@
         one._replace(
             work=one.work / 2,
             lane=one.lane._replace(
-                latency_goal=int(one.work / 2 * float(chance.uniform(5, 9))),
+                latency_objective=int(one.work / 2 * float(chance.uniform(5, 9))),
                 outer_limit=int(one.work * 10),
             ),
         )
@@ -280,7 +310,7 @@
         )
     faults, begin, end = _vast_faults(kind, chance, instances, pods, span)
     held = terms(instances, cold, cold_from, calls, lanes)._replace(
-        waves=(0.08, 0.25, 1.0), guarded_stages=1, subscribes=kind == "herd-vast"
+        stage_fractions=(0.08, 0.25, 1.0), guarded_stages=1, lists_polled=kind == "herd-vast"
     )
     return Day(
         seed,
@@ -373,7 +403,8 @@
     lanes = tuple(
         one._replace(
             lane=one.lane._replace(
-                latency_goal=MASS_GOALS[one.lane.name][0], outer_limit=MASS_GOALS[one.lane.name][1]
+                latency_objective=MASS_GOALS[one.lane.name][0],
+                outer_limit=MASS_GOALS[one.lane.name][1],
             )
         )
         for one in LANES
@@ -409,7 +440,7 @@
     faults, begin, end = _mass_faults(kind, chance, instances, pods, span)
     # What clients are told of cold pods is the least of what those have.
     held = terms(instances, cold, 0.31, instances * 0.25, lanes)._replace(
-        waves=(0.08, 0.25, 1.0), guarded_stages=1
+        stage_fractions=(0.08, 0.25, 1.0), guarded_stages=1
     )
     return Day(
         seed,
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -52,7 +52,7 @@
             self.at(self.now + LOOK, self._look)
 
     def _deliver(self, instance, turn, action):
-        pod = self.pods.get(action.pod)
+        pod = self.pods.get(action.endpoint)
         if pod:
             self.sent[pod.build.number][self._place()] += 1
         super()._deliver(instance, turn, action)
@@ -63,7 +63,7 @@
             self.how[how][self._place()] += 1
             if how == "done":
                 self.took[self._place()].append(
-                    (self.now - held.first) / self.lanes[held.lane].lane.latency_goal
+                    (self.now - held.first) / self.lanes[held.lane].lane.latency_objective
                 )
         super()._answered(instance, name, how, wait)
 
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -8,11 +8,16 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402  the backend comes first
 
-from .. import interface as i  # noqa: E402
+from ..interface.enums import ReleasePhase, Verdict  # noqa: E402
 from .recording import LOOK, Watched  # noqa: E402
 from .scenarios import SECOND  # noqa: E402
 
-VERDICTS = {i.NO_VOTE: "withdrawn", i.ON: "on", i.HOLD: "hold", i.BACK: "back"}
+VERDICTS = {
+    Verdict.ABSTAIN: "withdrawn",
+    Verdict.PROMOTE: "on",
+    Verdict.PAUSE: "hold",
+    Verdict.ABORT: "back",
+}
 COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
 
 
@@ -54,7 +59,10 @@
         )
     axes[1].step(
         times,
-        [cap if phase == i.ON_TRIAL else float("nan") for _, _, _, phase, cap, _ in fleet.looks],
+        [
+            cap if phase == ReleasePhase.ON_TRIAL else float("nan")
+            for _, _, _, phase, cap, _ in fleet.looks
+        ],
         label="cap",
         color="black",
         linewidth=0.8,
@@ -67,7 +75,7 @@
         if fleet.cast[verdict].any():
             axes[3].plot(times, fleet.cast[verdict][:steps] * per_s, label=name)
     axes[3].axhline(
-        day.terms.votes_per_s,
+        day.terms.votes_per_second,
         color="black",
         linewidth=0.8,
         linestyle=":",
--- a/thymeknot/simulation/scenarios.py
+++ b/thymeknot/simulation/scenarios.py
@@ -5,13 +5,14 @@
 
 import numpy as np
 
-from .. import interface as i
+from ..interface.enums import DeduplicationScope, Idempotency, PromotionMode
+from ..interface.settings import RequestClass, Settings
 
 SECOND = 10_000
 
 
 class LaneMix(NamedTuple):
-    lane: i.Lane
+    lane: RequestClass
     share: float  # of the transactions
     work: float  # mean, in tenths of a millisecond on one core of speed 1
     spread: float  # standard deviation over mean; 1 is exponential
@@ -69,7 +70,7 @@
     cold_from: float
     offers: tuple
     faults: tuple
-    terms: i.Terms
+    terms: Settings
     advance: int = 0  # votes that move a build on; half of the instances if 0
     caps: tuple = (0.08, 0.2, 0.5, 1.0, 1.0)  # of the stages
     lists: float = 0.0  # calls a second that discovery answers; 0: it tells all unasked
@@ -91,16 +92,42 @@
 
 LANES = (
     LaneMix(
-        i.Lane("fetch", i.RETRIABLE, i.GROUP_ALL, 5 * SECOND, 2000, 6000, 1.0, 0.0), 0.7, 80, 0.8
+        RequestClass(
+            "fetch",
+            Idempotency.IDEMPOTENT,
+            DeduplicationScope.ALL,
+            5 * SECOND,
+            2000,
+            6000,
+            1.0,
+            0.0,
+        ),
+        0.7,
+        80,
+        0.8,
     ),
     LaneMix(
-        i.Lane("sync", i.FINGERPRINTED, i.GROUP_ALL, 5 * SECOND, 3000, 9000, 2.0, 0.2),
+        RequestClass(
+            "sync", Idempotency.KEYED, DeduplicationScope.ALL, 5 * SECOND, 3000, 9000, 2.0, 0.2
+        ),
         0.2,
         120,
         0.8,
     ),
     LaneMix(
-        i.Lane("pay", i.BINDING, i.GROUP_ALL, 5 * SECOND, 4000, 12000, 6.0, 0.2), 0.1, 150, 0.6
+        RequestClass(
+            "pay",
+            Idempotency.NON_IDEMPOTENT,
+            DeduplicationScope.ALL,
+            5 * SECOND,
+            4000,
+            12000,
+            6.0,
+            0.2,
+        ),
+        0.1,
+        150,
+        0.6,
     ),
 )
 WAVES, CAPS = (0.04, 0.1, 0.25, 0.55, 1.0), (0.08, 0.2, 0.5, 1.0, 1.0)
@@ -108,33 +135,33 @@
 
 
 def terms(lanes, instances, cold, cold_from):
-    return i.Terms(
-        lanes={one.lane.name: one.lane for one in lanes},
-        balancers=instances,
-        subscribes=False,
-        max_deliveries=4,
+    return Settings(
+        request_classes={one.lane.name: one.lane for one in lanes},
+        instances=instances,
+        lists_polled=False,
+        max_attempts=4,
         max_retry_after=SECOND // 2,
-        second_copies=False,
-        may_recall=True,
-        retry_after=True,
-        reports=(),
-        ask_within=10 * SECOND,
-        cold_from=cold_from,
-        cold=cold,
-        fall_multiple=2.0,
-        overload_for=3 * SECOND // 2,
+        hedging_allowed=False,
+        cancellation_allowed=True,
+        retry_after_allowed=True,
+        load_metrics=(),
+        poll_within=10 * SECOND,
+        warmup_initial_fraction=cold_from,
+        warmup_duration=cold,
+        overload_factor=2.0,
+        overload_window=3 * SECOND // 2,
         exposure_window=3 * SECOND,
-        allowance=3.0,
+        exposure_allowance=3.0,
         guarded_stages=2,
-        waves=WAVES,
-        by_lane=False,
-        keys_stay=True,
-        replaces=False,
-        decided_by=i.BY_COUNT,
+        stage_fractions=WAVES,
+        exposure_by_class=False,
+        sticky_keys=True,
+        replaces_machines=False,
+        promotion_mode=PromotionMode.QUORUM,
         votes_to_revert=max(1, instances // 20),
-        vote_life=4 * SECOND,
-        vote_wait=12_000,
-        votes_per_s=150.0,
+        vote_lifetime=4 * SECOND,
+        vote_timeout=12_000,
+        votes_per_second=150.0,
     )
 
 
@@ -151,7 +178,7 @@
     lanes = tuple(
         one._replace(
             lane=one.lane._replace(
-                latency_goal=int(one.lane.latency_goal * stretch),
+                latency_objective=int(one.lane.latency_objective * stretch),
                 outer_limit=int(one.lane.outer_limit * stretch),
             )
         )
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -10,7 +10,24 @@
 
 import numpy as np
 
-from .. import interface as i
+from ..interface.actions import CancelAttempt, CastVote, Fail, Reject, SendAttempt, SetTimer
+from ..interface.enums import (
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    ReleasePhase,
+    UpdateKind,
+    Verdict,
+)
+from ..interface.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
+    FleetCounts,
+    ReleaseUpdate,
+    RequestReceived,
+    TimerFired,
+)
 from ..records import Chance
 from .invariants import Checker
 from .scenarios import SECOND
@@ -25,10 +42,10 @@
     0.25,
 )  # of the goal: a wait that is no cause to turn away; of the pods that have no more
 PHASES = {
-    i.ON_TRIAL: "trial",
-    i.GOING_BACK: "back",
-    i.RELEASED: "released",
-    i.WITHDRAWN: "withdrawn",
+    ReleasePhase.ON_TRIAL: "trial",
+    ReleasePhase.ROLLING_BACK: "back",
+    ReleasePhase.RELEASED: "released",
+    ReleasePhase.WITHDRAWN: "withdrawn",
 }
 CHUNK = 4096
 
@@ -160,9 +177,9 @@
             guarded=day.terms.guarded_stages,
             cold=day.cold,
             cold_from=day.cold_from,
-            overload=day.terms.overload_for,
+            overload=day.terms.overload_window,
         )
-        self.news = [1, len(day.terms.waves) - 1, i.RELEASED, 1.0]
+        self.news = [1, len(day.terms.stage_fractions) - 1, ReleasePhase.RELEASED, 1.0]
         self.votes, self.moved_at, self.trial = {}, 0, None
         self.transactions, self.balancers, self.turns = {}, {}, [0] * day.instances
         self.scores = {"asked": 0.0, "earned": 0.0, "harm": 0.0, "behind": 0.0}
@@ -171,8 +188,8 @@
             [0, 0, 0] for _ in range(day.span // SECOND + 20)
         ]  # asked, turned away unsent, of these needless
         self.votes_asked = {"asked": 0, "full": 0, "moot": 0}
-        self.calls, self.calls_at, self.newest_good = 2 * day.terms.votes_per_s, 0, 0
-        self.lost, self.votes_wait = set(), day.terms.vote_wait
+        self.calls, self.calls_at, self.newest_good = 2 * day.terms.votes_per_second, 0, 0
+        self.lost, self.votes_wait = set(), day.terms.vote_timeout
         self.lost_answers, self.cuts, self.up_to = 0.0, set(), {}
         self.spans = [[0.0, 0.0] for _ in range(day.span // SECOND + 20)]
         self.ends, self.latencies, self.by_pod, self.released, self.sent_back = {}, {}, {}, [], []
@@ -243,8 +260,8 @@
             chance = Chance(self.day.seed * 77 + instance * 13 + self.turns[instance] << 33)
             pace = pace_of(self.policy, chance.draw)
             self.discovery.begin(instance, self.turns[instance], pace, self.day.instances)
-        self._tell(instance, i.PodList(i.REMEMBERED, listed))
-        self._tell(instance, i.News(build, stage, phase, False, i.DONE, cap, 0))
+        self._tell(instance, EndpointUpdate(UpdateKind.CACHED, listed))
+        self._tell(instance, ReleaseUpdate(build, stage, phase, False, Outcome.DONE, cap, 0))
 
     def _watch(self, instance, turn, whole):
         """Whether this life of it is still there; whole: it gets the list."""
@@ -254,19 +271,24 @@
                 self._entry(pod) for pod in self.pods.values() if pod.state in (UP, DRAINING)
             ]
             self._note_list(instance, entries)
-            self._tell(instance, i.PodList(i.WHOLE, tuple(entries)))
+            self._tell(instance, EndpointUpdate(UpdateKind.FULL, tuple(entries)))
         return there
 
     def _note_list(self, instance, entries):
         for entry in entries:
             self.checker.listed(
-                self.now, instance, entry.address, "ready" if entry.condition == i.READY else "gone"
+                self.now,
+                instance,
+                entry.address,
+                "ready" if entry.condition == EndpointCondition.READY else "gone",
             )
             self.checker.started(instance, entry.address, entry.started)
 
     def _entry(self, pod, condition=None):
-        condition = condition or (i.READY if pod.state == UP else i.DRAINING)
-        return i.Pod(pod.name, pod.zone, 1.0, 0, condition, pod.started, "m", pod.build.number)
+        condition = condition or (
+            EndpointCondition.READY if pod.state == UP else EndpointCondition.DRAINING
+        )
+        return Endpoint(pod.name, pod.zone, 1.0, 0, condition, pod.started, "m", pod.build.number)
 
     def _tell(self, instance, event):
         policy = self.balancers.get(instance)
@@ -275,24 +297,24 @@
         turn = self.turns[instance]
         for action in list(policy.handle(self.now, [event])):
             kind = type(action)
-            if kind is i.SetTimer:
+            if kind is SetTimer:
                 self.at(max(self.now, action.at), self._timer, instance, turn, action.token)
-            elif kind is i.Deliver:
+            elif kind is SendAttempt:
                 self._deliver(instance, turn, action)
-            elif kind is i.Recall:
+            elif kind is CancelAttempt:
                 held = self.transactions.get((instance, action.id))
                 if held and action.number < len(held.sent):
-                    self.at(self.now, self._end, held.sent[action.number], i.RECALLED, None)
-            elif kind is i.Defer:
-                self._answered(instance, action.id, "deferred", action.wait)
-            elif kind is i.Abandon:
+                    self.at(self.now, self._end, held.sent[action.number], Outcome.CANCELLED, None)
+            elif kind is Reject:
+                self._answered(instance, action.id, "deferred", action.retry_after)
+            elif kind is Fail:
                 self._answered(instance, action.id, "abandoned", 0)
-            elif kind is i.Vote:
+            elif kind is CastVote:
                 self.at(self.now + 500, self._vote, instance, turn, action)
 
     def _timer(self, instance, turn, token):
         if self.turns[instance] == turn:
-            self._tell(instance, i.TimerDue(token))
+            self._tell(instance, TimerFired(token))
 
     # Clients.
 
@@ -311,9 +333,13 @@
             if lot < 0:
                 lane = one
                 break
-        key = f"k{self.keys.next()}" if lane.lane.effect != i.BINDING else f"b{self.count}"
-        self.scores["asked"] += lane.lane.earnings
-        self.spans[self.now // SECOND][0] += lane.lane.earnings
+        key = (
+            f"k{self.keys.next()}"
+            if lane.lane.idempotency != Idempotency.NON_IDEMPOTENT
+            else f"b{self.count}"
+        )
+        self.scores["asked"] += lane.lane.priority_weight
+        self.spans[self.now // SECOND][0] += lane.lane.priority_weight
         self._ask(
             instance,
             lane.lane.name,
@@ -338,7 +364,9 @@
         )
         self.checker.taken(self.now, instance, name, lane, self.now + left)
         self.tries[self.now // SECOND][0] += 1
-        self._tell(instance, i.Taken(name, lane, f"t{tenant}", key, left, None, tries > 0, False))
+        self._tell(
+            instance, RequestReceived(name, lane, f"t{tenant}", key, left, None, tries > 0, False)
+        )
 
     def _answered(self, instance, name, how, wait):
         self.checker.answered(self.now, instance, name, how)
@@ -350,7 +378,9 @@
         if how == "done":
             took = self.now - held.first
             earned = (
-                lane.earnings if took <= lane.latency_goal else lane.earnings * lane.late_earnings
+                lane.priority_weight
+                if took <= lane.latency_objective
+                else lane.priority_weight * lane.late_priority_weight
             )
             self.scores["earned"] += earned
             self.scores["behind"] += earned * (held.sent[-1].build < self.newest_good)
@@ -360,7 +390,7 @@
         if not held.sent:
             some = self.tries[self.now // SECOND]
             some[1] += 1
-            some[2] += self._needless(instance, lane.latency_goal)
+            some[2] += self._needless(instance, lane.latency_objective)
         if how == "deferred" and held.tries < self.day.retries:
             pause = wait if self.clients.next() < self.day.heeds else 50
             self.at(
@@ -387,7 +417,7 @@
             for pod in self.pods.values()
             if pod.state == UP
             and self._reached(instance, pod)
-            and (pod.build.number < self.news[0] or self.news[2] == i.RELEASED)
+            and (pod.build.number < self.news[0] or self.news[2] == ReleasePhase.RELEASED)
         ]
         return sum(pod.fits(self.now, ROOM * goal) for pod in usual) > ROOMY * len(usual)
 
@@ -402,7 +432,7 @@
 
     def _deliver(self, instance, turn, action):
         # Where lists do not come, what has gone is sent to: nobody answers there.
-        pod = self.pods.get(action.pod) or self.former.get(action.pod)
+        pod = self.pods.get(action.endpoint) or self.former.get(action.endpoint)
         held = self.transactions.get((instance, action.id))
         build = pod.build.number if pod else 0
         number = len(held.sent) if held else 0
@@ -415,19 +445,19 @@
             held.key if held else "",
             held.work if held else 1.0,
             self.now,
-            action.pod,
+            action.endpoint,
             build,
         )
         if held is None or pod is None:
-            self.at(self.now, self._end, job, i.UNSENT, False)
+            self.at(self.now, self._end, job, Outcome.NOT_SENT, False)
             return
         held.sent.append(job)
-        self.by_pod[action.pod] = self.by_pod.get(action.pod, 0) + 1
+        self.by_pod[action.endpoint] = self.by_pod.get(action.endpoint, 0) + 1
         self.checker.sent(
             self.now,
             instance,
             action.id,
-            action.pod,
+            action.endpoint,
             build,
             held.lane,
             held.key,
@@ -435,26 +465,28 @@
             pod.started,
             pod.cores * pod.speed,
         )
-        ends, line = min(self.now + action.time_out, held.ends), (instance, turn, action.pod)
+        ends, line = min(self.now + action.timeout, held.ends), (instance, turn, action.endpoint)
         if pod.silent or not self._reached(instance, pod):
             # Nothing is said: what stands open takes the delivery, a new connection never comes up.
             if self.now - self.up_to.pop(line, -(10**9)) > 15 * SECOND:
-                self.at(min(ends, self.now + CONNECTING), self._end, job, i.UNCONNECTED, False)
+                self.at(
+                    min(ends, self.now + CONNECTING), self._end, job, Outcome.CONNECT_FAILED, False
+                )
             else:
-                self.at(ends, self._end, job, i.EXPIRED, None)
+                self.at(ends, self._end, job, Outcome.TIMED_OUT, None)
             return
         made = self.connections.made
-        job.linked = self.connections.take(self.now, line, action.pod)
+        job.linked = self.connections.take(self.now, line, action.endpoint)
         fresh = self.day.handshake and self.connections.made > made
         self.dispatched += 1
         self.trial_share += 0.002 * ((build == self.news[0]) - self.trial_share)
         if not job.linked:
-            self.at(min(ends, self.now + 10), self._end, job, i.UNCONNECTED, False)
+            self.at(min(ends, self.now + 10), self._end, job, Outcome.CONNECT_FAILED, False)
             return
         if self.losses.next() < self.loss or pod.state == DOWN:
-            self.at(min(ends, self.now + 2500), self._end, job, i.UNCONNECTED, False)
+            self.at(min(ends, self.now + 2500), self._end, job, Outcome.CONNECT_FAILED, False)
             return
-        self.at(ends, self._end, job, i.EXPIRED, None)
+        self.at(ends, self._end, job, Outcome.TIMED_OUT, None)
         way = self.delays.next()
         if fresh:  # its two round trips, and what the pod's cores do for it
             way, job.work = 5 * way, job.work + self.day.handshake * (0.5 + self.samples.next())
@@ -463,12 +495,20 @@
     def _reach(self, job):
         pod = self.pods.get(job.pod)
         shared = (
-            self.builds[self.news[0]].shared if self.news[2] in (i.ON_TRIAL, i.RELEASED) else 0.0
+            self.builds[self.news[0]].shared
+            if self.news[2] in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
+            else 0.0
         )
         job.work *= self.slow_all * (1 + shared * self.trial_share)
         took = pod.take(self.now, job) if pod else False
         if took is False:
-            self.at(self.now + max(1, round(self.delays.next())), self._end, job, i.FULL, False)
+            self.at(
+                self.now + max(1, round(self.delays.next())),
+                self._end,
+                job,
+                Outcome.REJECTED,
+                False,
+            )
         elif took is not None:
             self.at(self.now + took, self._served, pod, job)
 
@@ -486,19 +526,25 @@
             build.fails if build.strikes(pod, self.now, job.lane) else 0.001
         )
         fails = fails or (pod.name in self.listed and self.strikes.next() < self.listed[pod.name])
-        if fails and self.lanes[job.lane].lane.effect != i.RETRIABLE and build.fails:
-            self.scores["harm"] += self.lanes[job.lane].lane.earnings
+        if (
+            fails
+            and self.lanes[job.lane].lane.idempotency != Idempotency.IDEMPOTENT
+            and build.fails
+        ):
+            self.scores["harm"] += self.lanes[job.lane].lane.priority_weight
         if pod.silent or not self._reached(job.instance, pod):
             return
         if self.lost_answers and self.strikes.next() < self.lost_answers:
-            self.at(self.now + max(1, round(self.delays.next())), self._end, job, i.RESET, None)
+            self.at(
+                self.now + max(1, round(self.delays.next())), self._end, job, Outcome.RESET, None
+            )
             return
         self.up_to[job.instance, job.turn, job.pod] = self.now
         self.at(
             self.now + max(1, round(self.delays.next())),
             self._end,
             job,
-            i.ERROR if fails else i.DONE,
+            Outcome.ERROR if fails else Outcome.DONE,
             None if fails else True,
         )
 
@@ -511,27 +557,27 @@
                 self.now,
                 (job.instance, job.turn, job.pod),
                 job.pod,
-                outcome in (i.DONE, i.ERROR, i.FULL),
+                outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED),
             )
         instance = job.instance
         if self.turns[instance] != job.turn or self.balancers.get(instance) is None:
             return
-        if self.day.tally_every and outcome not in (i.UNSENT, i.RECALLED):
+        if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self._sample(job, outcome)
         held = self.transactions.get((instance, job.name))
         over = (instance, job.name) in self.checker.over
         if held is not None and job in held.sent:
             self.checker.proved(instance, job.name, job.number, ran)
-        if outcome == i.DONE:
+        if outcome == Outcome.DONE:
             self.checker.key_answered(instance, job.key, job.build)
             if not over:
                 self._answered(instance, job.name, "done", 0)
         self._tell(
             instance,
-            i.Ended(
+            AttemptEnded(
                 job.name,
                 outcome,
-                over or outcome == i.DONE,
+                over or outcome == Outcome.DONE,
                 self.now - job.sent_at,
                 job.pod,
                 job.number,
@@ -571,10 +617,12 @@
         if self.discovery and self.discovery.standing.get(instance) != self.turns[instance]:
             return  # nothing is told to those without a watch; they get the whole list with the next one
         entries = [
-            entry for entry in entries if entry.condition != i.READY or entry.address in self.pods
+            entry
+            for entry in entries
+            if entry.condition != EndpointCondition.READY or entry.address in self.pods
         ]
         self._note_list(instance, entries)
-        self._tell(instance, i.PodList(i.CHANGES, entries))
+        self._tell(instance, EndpointUpdate(UpdateKind.DELTA, entries))
 
     def _announce(self):
         news = tuple(self.news)
@@ -582,21 +630,21 @@
             lag = self.day.news_lag * (0.5 + self.misc.random()) + self.slow_news
             self.at(self.now + int(lag), self._told_news, instance, news)
 
-    def _told_news(self, instance, news, answers=False, outcome=i.DONE):
+    def _told_news(self, instance, news, answers=False, outcome=Outcome.DONE):
         if self.balancers.get(instance) is None or self._off(instance):
             return
         build, stage, phase, cap = news
-        if outcome == i.DONE:
+        if outcome == Outcome.DONE:
             self.checker.cap(self.now, instance, build, cap, stage, PHASES[phase])
-        self._tell(instance, i.News(build, stage, phase, answers, outcome, cap, 0))
+        self._tell(instance, ReleaseUpdate(build, stage, phase, answers, outcome, cap, 0))
 
     def _sample(self, job, outcome):
         """The platform counts a part of the attempts when they end."""
         if self.samples.next() < self.day.tally_share:
             some = self.counted.setdefault((job.build, job.lane), [0, 0, 0])
             some[0] += 1
-            some[1] += outcome != i.DONE
-            some[2] += (self.now - job.sent_at) * (outcome == i.DONE)
+            some[1] += outcome != Outcome.DONE
+            some[2] += (self.now - job.sent_at) * (outcome == Outcome.DONE)
 
     def _tally(self):
         """A period is over: what was counted is told to each instance a while later."""
@@ -615,17 +663,17 @@
         if self._off(instance) or self.calls_down is not None:
             return  # it is not told again
         for row in rows:
-            self._tell(instance, i.Tally(*row, self.now - end))
+            self._tell(instance, FleetCounts(*row, self.now - end))
 
     def _offer(self, offer):
-        if self.news[2] == i.ON_TRIAL:  # it takes off what is still on trial
+        if self.news[2] == ReleasePhase.ON_TRIAL:  # it takes off what is still on trial
             self._back()
             self.sent_back.pop()  # not by votes
         self.builds[offer.build] = Build(
             offer.build, offer.fails, offer.slow, offer.after, None, offer.load, offer.shared
         )
         self.trial_share = 0.0
-        self.news = [offer.build, 0, i.ON_TRIAL, self.day.caps[0]]
+        self.news = [offer.build, 0, ReleasePhase.ON_TRIAL, self.day.caps[0]]
         self.votes, self.trial = {}, offer
         self.newest_good = offer.build if offer.good else self.newest_good
         self.course.append((self.now, offer.build, "offered"))
@@ -635,7 +683,7 @@
         build, stage = self.news[0], self.news[1]
         self.course.append((self.now, build, "stage"))
         self._announce()
-        wanted = max(1, round(self.day.terms.waves[stage] * self.day.pods))
+        wanted = max(1, round(self.day.terms.stage_fractions[stage] * self.day.pods))
         running = sum(pod.build.number == build for pod in self.pods.values())
         spread = self.day.boot_spread
         boots = [
@@ -648,7 +696,10 @@
         self.at(self.moved_at + self.day.stage_least, self._count_votes, build, stage)
 
     def _boot(self, build, at):
-        if self.news[0] != build or self.news[2] not in (i.ON_TRIAL, i.RELEASED):
+        if self.news[0] != build or self.news[2] not in (
+            ReleasePhase.ON_TRIAL,
+            ReleasePhase.RELEASED,
+        ):
             return
         name = f"p{at}-{build}"
         if any(self.day.zones[at % 3] == zone for zone in self.lost):
@@ -669,30 +720,36 @@
 
     def _vote(self, instance, turn, vote):
         if self.turns[instance] != turn or self._off(instance) or self.calls_down == SILENT_CALLS:
-            self.at(self.now + self.votes_wait, self._told_vote, instance, turn, i.EXPIRED)
+            self.at(self.now + self.votes_wait, self._told_vote, instance, turn, Outcome.TIMED_OUT)
             return
         self.votes_asked["asked"] += 1
         self.calls = min(
-            2 * self.day.terms.votes_per_s,
-            self.calls + (self.now - self.calls_at) * self.day.terms.votes_per_s / SECOND,
+            2 * self.day.terms.votes_per_second,
+            self.calls + (self.now - self.calls_at) * self.day.terms.votes_per_second / SECOND,
         )
         self.calls_at = self.now
         if self.calls < 1 or self.calls_down == REFUSED_CALLS:
             self.votes_asked["full"] += 1
-            self.at(self.now + 500, self._told_vote, instance, turn, i.FULL)
+            self.at(self.now + 500, self._told_vote, instance, turn, Outcome.REJECTED)
             return
         self.calls -= 1
         build, stage, phase, _ = self.news
         fits = (
             vote.build == build
-            and (vote.stage == stage or vote.verdict == i.BACK)
-            and phase in (i.ON_TRIAL, i.RELEASED)
+            and (vote.stage == stage or vote.verdict == Verdict.ABORT)
+            and phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
         )
         if fits:
             self.votes[instance] = vote.verdict, self.now
             self._count_votes(build, stage)
         self.votes_asked["moot"] += not fits
-        self.at(self.now + 500, self._told_vote, instance, turn, i.DONE if fits else i.UNSENT)
+        self.at(
+            self.now + 500,
+            self._told_vote,
+            instance,
+            turn,
+            Outcome.DONE if fits else Outcome.NOT_SENT,
+        )
 
     def _told_vote(self, instance, turn, outcome):
         if self.turns[instance] == turn:
@@ -704,26 +761,29 @@
         return bool(self.cuts) and here != there and bool(self.cuts & {here, there})
 
     def _count_votes(self, build, stage):
-        if (build, stage) != tuple(self.news[:2]) or self.news[2] not in (i.ON_TRIAL, i.RELEASED):
+        if (build, stage) != tuple(self.news[:2]) or self.news[2] not in (
+            ReleasePhase.ON_TRIAL,
+            ReleasePhase.RELEASED,
+        ):
             return
         live = [
             verdict
             for verdict, at in self.votes.values()
-            if self.now - at <= self.day.terms.vote_life
+            if self.now - at <= self.day.terms.vote_lifetime
         ]
-        if live.count(i.BACK) >= self.day.terms.votes_to_revert:
+        if live.count(Verdict.ABORT) >= self.day.terms.votes_to_revert:
             self._back()
         elif (
-            self.news[2] == i.ON_TRIAL
-            and live.count(i.ON) >= max(1, self.day.advance or self.day.instances // 2)
+            self.news[2] == ReleasePhase.ON_TRIAL
+            and live.count(Verdict.PROMOTE) >= max(1, self.day.advance or self.day.instances // 2)
             and self.now >= self.moved_at + self.day.stage_least
         ):
             self.votes = {}
             if stage + 1 < len(self.day.caps):
-                self.news[1:] = [stage + 1, i.ON_TRIAL, self.day.caps[stage + 1]]
+                self.news[1:] = [stage + 1, ReleasePhase.ON_TRIAL, self.day.caps[stage + 1]]
                 self._stage()
             else:
-                self.news[2:] = [i.RELEASED, 1.0]
+                self.news[2:] = [ReleasePhase.RELEASED, 1.0]
                 self.released.append(build)
                 self.course.append((self.now, build, "released"))
                 self._announce()
@@ -734,14 +794,14 @@
 
     def _leave(self, build):
         """The machines of earlier builds go, unless the released one has been taken back since."""
-        if self.news[0] > build or self.news[2] == i.RELEASED:
+        if self.news[0] > build or self.news[2] == ReleasePhase.RELEASED:
             self._drain(lambda pod: pod.build.number < build)
 
     def _back(self):
         build = self.news[0]
         self.sent_back.append(build)
         self.course.append((self.now, build, "back"))
-        self.news[2:] = [i.GOING_BACK, 0.0]
+        self.news[2:] = [ReleasePhase.ROLLING_BACK, 0.0]
         self._announce()
         earlier = [
             pod for pod in self.pods.values() if pod.build.number < build and pod.state == UP
@@ -768,8 +828,8 @@
         self.at(self.now + 2 * SECOND, self._withdrawn, build)
 
     def _withdrawn(self, build):
-        if self.news[0] == build and self.news[2] == i.GOING_BACK:
-            self.news[2:] = [i.WITHDRAWN, 0.0]
+        if self.news[0] == build and self.news[2] == ReleasePhase.ROLLING_BACK:
+            self.news[2:] = [ReleasePhase.WITHDRAWN, 0.0]
             self._announce()
 
     def _drain(self, which):
@@ -784,7 +844,7 @@
         pod.state = DOWN
         self.connections.drop(lambda line: line[2] == pod.name)
         self.former[pod.name] = self.pods.pop(pod.name, pod)
-        self._list(self._entry(pod, i.GONE))
+        self._list(self._entry(pod, EndpointCondition.GONE))
 
     # Faults.
 
--- a/thymeknot/wire.py
+++ b/thymeknot/wire.py
@@ -2,7 +2,44 @@
 
 import base64
 
-from . import interface as i
+from .interface.actions import (
+    CancelAttempt,
+    CastVote,
+    CloseIdleConnections,
+    Fail,
+    FetchEndpoints,
+    LogNote,
+    ProbeEndpoint,
+    Reject,
+    SendAttempt,
+    SendPeerMessage,
+    SetTimer,
+    SubscribeToEndpoints,
+)
+from .interface.enums import (
+    UTILISATION,
+    DeduplicationScope,
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    PromotionMode,
+    ReleasePhase,
+    UpdateKind,
+)
+from .interface.events import (
+    AttemptEnded,
+    ClientDisconnected,
+    ComplaintReceived,
+    Endpoint,
+    FleetCounts,
+    PeerMessage,
+    ProbeEnded,
+    ReleaseUpdate,
+    RequestReceived,
+    ResponseStarted,
+    TimerFired,
+)
+from .interface.settings import ConnectionLimits, RequestClass, Settings
 
 UNIT = 100_000  # nanoseconds in a tenth of a millisecond
 LEAST_RATE = 1e-6  # a second; less is no rate, and the time between two leaves the numbers
@@ -11,25 +48,51 @@
 )  # of a whole number: more may not be a float any more, and ends in the middle of a decision
 
 OUTCOMES = {
-    "delivered": i.DONE,
-    "app_error": i.ERROR,
-    "shed": i.FULL,
-    "expired": i.EXPIRED,
-    "dial_failed": i.UNCONNECTED,
-    "dropped": i.RESET,
-    "revoked": i.RECALLED,
-    "unused": i.UNSENT,
+    "delivered": Outcome.DONE,
+    "app_error": Outcome.ERROR,
+    "shed": Outcome.REJECTED,
+    "expired": Outcome.TIMED_OUT,
+    "dial_failed": Outcome.CONNECT_FAILED,
+    "dropped": Outcome.RESET,
+    "revoked": Outcome.CANCELLED,
+    "unused": Outcome.NOT_SENT,
+}
+LIST_KINDS = {
+    "delta": UpdateKind.DELTA,
+    "full": UpdateKind.FULL,
+    "cached": UpdateKind.CACHED,
+    "failed": UpdateKind.FETCH_FAILED,
+}
+CONDITIONS = {
+    "on": EndpointCondition.READY,
+    "fading": EndpointCondition.DRAINING,
+    "off": EndpointCondition.GONE,
+}
+EFFECTS = {
+    "idempotent": Idempotency.IDEMPOTENT,
+    "deduplicated": Idempotency.KEYED,
+    "at_most_once": Idempotency.NON_IDEMPOTENT,
+}
+GROUPS = {
+    "all": DeduplicationScope.ALL,
+    "zone": DeduplicationScope.ZONE,
+    "cell": DeduplicationScope.CELL,
+}
+DECIDERS = {
+    "first_voice": PromotionMode.FIRST_VOTE,
+    "by_count": PromotionMode.QUORUM,
+    "automatic": PromotionMode.TIMER,
 }
-LIST_KINDS = {"delta": i.CHANGES, "full": i.WHOLE, "cached": i.REMEMBERED, "failed": i.MISSED}
-CONDITIONS = {"on": i.READY, "fading": i.DRAINING, "off": i.GONE}
-EFFECTS = {"idempotent": i.RETRIABLE, "deduplicated": i.FINGERPRINTED, "at_most_once": i.BINDING}
-GROUPS = {"all": i.GROUP_ALL, "zone": i.GROUP_ZONE, "cell": i.GROUP_CELL}
-DECIDERS = {"first_voice": i.FIRST_VOICE, "by_count": i.BY_COUNT, "automatic": i.BY_CLOCK}
 DISCOVERIES = {"automatic": False, "subscribe": True}
 SWAPS = {"parallel": False, "replace": True}
 COUNTS = {"all": False, "each_class": True}
-REPORTS = {"busy": i.UTILISATION}
-PHASES = {"0": i.ON_TRIAL, "1": i.GOING_BACK, "2": i.RELEASED, "3": i.WITHDRAWN}
+REPORTS = {"busy": UTILISATION}
+PHASES = {
+    "0": ReleasePhase.ON_TRIAL,
+    "1": ReleasePhase.ROLLING_BACK,
+    "2": ReleasePhase.RELEASED,
+    "3": ReleasePhase.WITHDRAWN,
+}
 FLAGS = {"0": False, "1": True}
 BOOLS = {"false": False, "true": True, "0": False, "1": True}
 
@@ -84,23 +147,23 @@
 # Message name -> (event, how each value is read, in the event's order, places of the values on the line).
 EVENTS = {
     "INGRESS": (
-        i.Taken,
+        RequestReceived,
         (_text, _text, _tenant, _maybe(_text), time, _maybe(_span), _FLAG, _FLAG),
         None,
     ),
-    "FIRST": (i.StreamBegan, (_text, _text, _count, _span), (0, 2, 3, 1)),
-    "RESULT": (i.Ended, (_text, _OUTCOME, _FLAG, _span, _text, _count, _load), None),
-    "GONE": (i.ClientLeft, (_text,), None),
-    "TICK_DUE": (i.TimerDue, (_count,), None),
-    "HEALTH": (i.Probed, (_text, _OUTCOME, _span, _load), None),
-    "MAIL": (i.Message, (_count, _content), None),
+    "FIRST": (ResponseStarted, (_text, _text, _count, _span), (0, 2, 3, 1)),
+    "RESULT": (AttemptEnded, (_text, _OUTCOME, _FLAG, _span, _text, _count, _load), None),
+    "GONE": (ClientDisconnected, (_text,), None),
+    "TICK_DUE": (TimerFired, (_count,), None),
+    "HEALTH": (ProbeEnded, (_text, _OUTCOME, _span, _load), None),
+    "MAIL": (PeerMessage, (_count, _content), None),
     "ROLLOUT_STATE": (
-        i.News,
+        ReleaseUpdate,
         (_count, _maybe(_count), _maybe(_PHASE), _FLAG, _OUTCOME, _maybe(float), _maybe(_span)),
         None,
     ),
-    "PLATFORM_SAW": (i.Tally, (_count, _text, _count, _count, _span, _span), None),
-    "FLAGGED": (i.Complaint, (_span, _text, _text), None),
+    "PLATFORM_SAW": (FleetCounts, (_count, _text, _count, _count, _span, _span), None),
+    "FLAGGED": (ComplaintReceived, (_span, _text, _text), None),
 }
 
 
@@ -123,7 +186,7 @@
     """The pod of an ENTRY line."""
     try:
         zone, size, cell, condition, started, address, machine, build = values
-        return i.Pod(
+        return Endpoint(
             _text(address),
             zone,
             float(size),
@@ -215,11 +278,11 @@
         return read(f"categories.{at}.{name}", *how)
 
     name, effect = own("name", _text), own("semantics", EFFECTS.__getitem__)
-    marked = effect == i.FINGERPRINTED
-    return i.Lane(
+    marked = effect == Idempotency.KEYED
+    return RequestClass(
         name,
         effect,
-        own("key_scope", GROUPS.__getitem__, i.GROUP_ALL, marked),
+        own("key_scope", GROUPS.__getitem__, DeduplicationScope.ALL, marked),
         own("window", _span, 0, marked),
         own("promise", _length),
         own("give_up", _length),
@@ -242,60 +305,62 @@
         read("discovery", DISCOVERIES.__getitem__),
         read("permissions.retry_after", bools),
     )
-    return i.Terms(
-        lanes={lane.name: lane for lane in lanes},
-        balancers=read("balancers", _whole),
-        subscribes=subscribes,
-        max_deliveries=read("permissions.max_attempts", _whole),
+    return Settings(
+        request_classes={lane.name: lane for lane in lanes},
+        instances=read("balancers", _whole),
+        lists_polled=subscribes,
+        max_attempts=read("permissions.max_attempts", _whole),
         max_retry_after=read("permissions.max_retry_after", _span, 0, retry_after),
-        second_copies=read("permissions.second_copies", bools),
-        may_recall=read("permissions.may_cancel", bools),
-        retry_after=retry_after,
-        reports=read("stats.names", _report_names, (), False),
-        ask_within=read("rules.ask_within", _span, 0, subscribes),
-        cold_from=read("rules.cold_from", _share),
-        cold=read("rules.cold", _span),
-        fall_multiple=read("rules.fall_multiple", _positive),
-        overload_for=read("rules.overload_for", _length),
+        hedging_allowed=read("permissions.second_copies", bools),
+        cancellation_allowed=read("permissions.may_cancel", bools),
+        retry_after_allowed=retry_after,
+        load_metrics=read("stats.names", _report_names, (), False),
+        poll_within=read("rules.ask_within", _span, 0, subscribes),
+        warmup_initial_fraction=read("rules.cold_from", _share),
+        warmup_duration=read("rules.cold", _span),
+        overload_factor=read("rules.fall_multiple", _positive),
+        overload_window=read("rules.overload_for", _length),
         exposure_window=read("extra.window", _length),
-        allowance=read("extra.allowance", _amount),
+        exposure_allowance=read("extra.allowance", _amount),
         guarded_stages=read("extra.guarded_stages", _count),
-        waves=read("extra.waves", _shares),
-        by_lane=read("extra.counts", COUNTS.__getitem__),
-        keys_stay=read("extra.keys_stay", bools),
-        replaces=read("extra.swap", SWAPS.__getitem__),
-        decided_by=read("extra.decided_by", DECIDERS.__getitem__),
+        stage_fractions=read("extra.waves", _shares),
+        exposure_by_class=read("extra.counts", COUNTS.__getitem__),
+        sticky_keys=read("extra.keys_stay", bools),
+        replaces_machines=read("extra.swap", SWAPS.__getitem__),
+        promotion_mode=read("extra.decided_by", DECIDERS.__getitem__),
         votes_to_revert=read("extra.votes_to_revert", _voters),
-        vote_life=read("extra.vote_life", _length),
-        vote_wait=read("extra.vote_wait", _length),
-        votes_per_s=read("extra.calls_per_s", _rate),
+        vote_lifetime=read("extra.vote_life", _length),
+        vote_timeout=read("extra.vote_wait", _length),
+        votes_per_second=read("extra.calls_per_s", _rate),
     )
 
 
 def reach(pairs):
     """The bounds of connections among the same settings."""
     read = _Settings(pairs).read
-    return i.Reach(
-        connect_within=read("permissions.connect_timeout", _length),
-        idle=read("permissions.conn_idle", _length),
-        most_open=read("permissions.max_open", _whole),
+    return ConnectionLimits(
+        connect_timeout=read("permissions.connect_timeout", _length),
+        idle_timeout=read("permissions.conn_idle", _length),
+        max_open=read("permissions.max_open", _whole),
     )
 
 
 # Action -> the words that follow the instance on its line.
 ACTIONS = {
-    i.Deliver: lambda a: f"TRY {{}} {a.id} {a.pod} {a.time_out * UNIT}",
-    i.Recall: lambda a: f"ABANDON {{}} {a.id} {a.number}",
-    i.Defer: lambda a: f"REJECT {{}} {a.id} {a.wait * UNIT}",
-    i.Abandon: lambda a: f"RESPOND_ERROR {{}} {a.id}",
-    i.SetTimer: lambda a: f"NOTIFY_ME {{}} {a.at * UNIT} {a.token}",
-    i.Probe: lambda a: f"TEST {{}} {a.pod}",
-    i.CloseIdle: lambda a: f"SHUT_IDLE {{}} {a.pod}",
-    i.Tell: lambda a: f"POST {{}} {'all' if a.peer is None else a.peer} {_base64(a.content)}",
-    i.Subscribe: lambda a: f"TAIL {{}} {int(a.on)}",
-    i.FetchList: lambda a: "FETCH {}",
-    i.Vote: lambda a: f"VERDICT {{}} {a.build} {a.stage} {a.verdict}",
-    i.Note: lambda a: f"TRACE {{}} {_plain(a.text)}",
+    SendAttempt: lambda a: f"TRY {{}} {a.id} {a.endpoint} {a.timeout * UNIT}",
+    CancelAttempt: lambda a: f"ABANDON {{}} {a.id} {a.number}",
+    Reject: lambda a: f"REJECT {{}} {a.id} {a.retry_after * UNIT}",
+    Fail: lambda a: f"RESPOND_ERROR {{}} {a.id}",
+    SetTimer: lambda a: f"NOTIFY_ME {{}} {a.at * UNIT} {a.token}",
+    ProbeEndpoint: lambda a: f"TEST {{}} {a.endpoint}",
+    CloseIdleConnections: lambda a: f"SHUT_IDLE {{}} {a.endpoint}",
+    SendPeerMessage: lambda a: (
+        f"POST {{}} {'all' if a.peer is None else a.peer} {_base64(a.content)}"
+    ),
+    SubscribeToEndpoints: lambda a: f"TAIL {{}} {int(a.on)}",
+    FetchEndpoints: lambda a: "FETCH {}",
+    CastVote: lambda a: f"VERDICT {{}} {a.build} {a.stage} {a.verdict}",
+    LogNote: lambda a: f"TRACE {{}} {_plain(a.text)}",
 }
 
 
