--- a/measure/shop.py
+++ b/measure/shop.py
@@ -6,7 +6,6 @@
 
 from measure.hostile import Liar
 from measure.world import TERMS, World
-from thymeknot.balance import Balancer
 from thymeknot.gossip.suspicion import Pod
 from thymeknot.interface.actions import SendAttempt, SetTimer
 from thymeknot.interface.enums import (
@@ -28,6 +27,7 @@
     TimerFired,
 )
 from thymeknot.interface.settings import RequestClass, Settings
+from thymeknot.policy.engine import DecisionEngine
 
 SECOND = 10_000
 LANES = {
@@ -100,7 +100,7 @@
             if gossip
         }
         for name in rates:
-            balancer = Balancer(
+            balancer = DecisionEngine(
                 SHOP._replace(instances=len(rates)), self.chance.getrandbits(60), self.world.now
             )
             self.balancers[name] = balancer
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -2,7 +2,6 @@
 Every reason of the table occurs. Figures from it are simulated."""
 
 from tests.helpers import LANES, TERMS, balancer, ended, news, pod, taken
-from thymeknot.balance import SECOND, Balancer
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.settings import WhyTerms
 from thymeknot.decision_log.slot_file import Arena
@@ -10,6 +9,7 @@
 from thymeknot.interface.enums import EndpointCondition, Outcome, Verdict
 from thymeknot.interface.events import ClientDisconnected, SuspicionReported, TimerFired
 from thymeknot.interface.reasons import Reason as R
+from thymeknot.policy.engine import SECOND, DecisionEngine
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 NOW = 1000 * SECOND
@@ -22,7 +22,9 @@
 
     def __init__(self, *pods, told=None, bare=False, record=None, **changes):
         self.now = NOW
-        self.balancer = Balancer(TERMS, 7, NOW) if bare else balancer(*pods, told=told, **changes)
+        self.balancer = (
+            DecisionEngine(TERMS, 7, NOW) if bare else balancer(*pods, told=told, **changes)
+        )
         self.record = record or Record(
             WHY, LANES, Arena(10_000), 0, lambda: self.now, LinearCongruentialGenerator(3)
         )
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -9,7 +9,6 @@
 from measure.shop import SHOP
 from measure.world import World
 from tests.helpers import LANES
-from thymeknot.balance import Balancer
 from thymeknot.decision_log.explanations import explained
 from thymeknot.decision_log.recorder import Record
 from thymeknot.decision_log.settings import WhyTerms
@@ -25,6 +24,7 @@
     TimerFired,
 )
 from thymeknot.interface.reasons import Reason as R
+from thymeknot.policy.engine import DecisionEngine
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 SECOND = 10_000
@@ -48,7 +48,7 @@
             lambda: self.world.now,
             LinearCongruentialGenerator(seed),
         )
-        self.balancer = Balancer(TERMS, seed, self.world.now, self.record.say)
+        self.balancer = DecisionEngine(TERMS, seed, self.world.now, self.record.say)
         self.tell(EndpointUpdate(UpdateKind.CACHED, tuple(pods)))
         self.tell(news)
         self.arrive()
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -20,7 +20,6 @@
 from twisted.protocols.amp import AmpBox
 
 from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
-from thymeknot.balance import Balancer
 from thymeknot.cli.log_summary import Summary
 from thymeknot.decision_log.entry_codec import Entry, packed
 from thymeknot.decision_log.recorder import Record, laid_out
@@ -33,6 +32,7 @@
 from thymeknot.interface.enums import DeduplicationScope, Idempotency
 from thymeknot.interface.reasons import Reason
 from thymeknot.interface.settings import RequestClass
+from thymeknot.policy.engine import DecisionEngine
 from thymeknot.raft import message_codec as letters
 from thymeknot.raft import messages as agreement
 from thymeknot.raft.state_machine import Parts, Sessions
@@ -41,8 +41,8 @@
 from thymeknot.service.log_events import LEVELS
 from thymeknot.simulation import large_fleet_scenarios, scenarios
 from thymeknot.simulation.simulator import Fleet
+from thymeknot.simulator_wire.codec import write_action
 from thymeknot.state.random_source import LinearCongruentialGenerator
-from thymeknot.wire import line
 
 FOLDER = os.path.dirname(os.path.abspath(__file__))
 RAFT_FOLDER = "raft"
@@ -337,7 +337,7 @@
 
     def __init__(self, settings, seed, now, digest):
         self.digest = digest
-        self.engine = Balancer(settings, seed, now, self.hear)
+        self.engine = DecisionEngine(settings, seed, now, self.hear)
 
     def hear(self, name, reason, *operands):
         """Takes in a reason as it is named."""
@@ -349,7 +349,7 @@
         """The actions of the decisions, unchanged."""
         actions = self.engine.handle(now, events)
         for action in actions:
-            self.digest.update(line(now, action).encode())
+            self.digest.update(write_action(now, action).encode())
         return actions
 
     def __getattr__(self, name):
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -16,7 +16,6 @@
 from unittest import mock
 from urllib.parse import parse_qsl, urlencode
 
-from thymeknot.balance import SECOND, Balancer
 from thymeknot.interface.actions import SendAttempt
 from thymeknot.interface.enums import (
     DeduplicationScope,
@@ -35,6 +34,7 @@
     RequestReceived,
 )
 from thymeknot.interface.settings import RequestClass, Settings
+from thymeknot.policy.engine import SECOND, DecisionEngine
 
 NOW = 1000 * SECOND
 LANES = {
@@ -112,7 +112,7 @@
 
 def balancer(*pods, told=None, **changes):
     """An instance that knows these pods (two of the earlier build, one of the new) and this news."""
-    made = Balancer(TERMS._replace(**changes), 7, NOW - 10 * SECOND)
+    made = DecisionEngine(TERMS._replace(**changes), 7, NOW - 10 * SECOND)
     pods = pods or (pod("old-1"), pod("old-2"), pod("new-1", 2))
     made.handle(
         NOW - 10 * SECOND,
--- a/tests/orders.py
+++ b/tests/orders.py
@@ -20,8 +20,8 @@
 from twisted.python import log as twisted_log
 
 from tests.helpers import SETTINGS, command
+from thymeknot.proxy.proxy import Proxy
 from thymeknot.service import configuration, structured_log
-from thymeknot.sidecar import Sidecar
 from thymeknot.state.timer_queue import TimerQueue
 
 MS = 10  # times are whole tenths of a millisecond, as the sidecar's
@@ -458,7 +458,7 @@
             patch.start()
         twisted_log.addObserver(self._observe)
         self.overdue = []
-        self.sidecar = Sidecar(
+        self.sidecar = Proxy(
             configuration.read(self.told, 0),
             self.reactor,
             TimerQueue(lambda: self.now, self.reactor.callLater, fault),
--- a/tests/test_admission.py
+++ b/tests/test_admission.py
@@ -8,10 +8,10 @@
 
 from tests.helpers import LANES, NOW, SECOND, TERMS, ended, kinds, news, pod, taken
 from tests.helpers import balancer as made_of
-from thymeknot.admission import Admission
 from thymeknot.interface.actions import CastVote, Reject
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 from thymeknot.interface.reasons import Reason
+from thymeknot.policy.load_shedding import LoadShedder
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.earlier_versions import load_version
 from thymeknot.simulation.experiments import crowd_played
@@ -103,7 +103,7 @@
 class Cases(unittest.TestCase):
     def test_each_takes_its_share(self):
         for name, (outcomes, waiting, since, (least, most)) in CASES.items():
-            made, chance = fed(Admission(MANY), outcomes), LinearCongruentialGenerator(5)
+            made, chance = fed(LoadShedder(MANY), outcomes), LinearCongruentialGenerator(5)
             held, since = [Open(ago) for ago in waiting], int(since * SECOND)
             share = (
                 sum(
@@ -116,9 +116,11 @@
                 self.assertTrue(least <= share <= most, share)
 
     def test_the_loud_draw_no_lots_and_few_sidecars_leave_nothing_to_chance(self):
-        loud = fed(Admission(MANY), [(0, Outcome.DONE, 9_000, 100)])
+        loud = fed(LoadShedder(MANY), [(0, Outcome.DONE, 9_000, 100)])
         self.assertIsNone(loud.refused(NOW, READ, (), 20 * SECOND, 500, lambda: 1.0))
-        few, many = (fed(Admission(TERMS._replace(instances=count)), [QUICK]) for count in (3, 200))
+        few, many = (
+            fed(LoadShedder(TERMS._replace(instances=count)), [QUICK]) for count in (3, 200)
+        )
         held = [Open(0)] * 20
         self.assertEqual(
             few.limit(NOW, READ, 20 * SECOND),
@@ -144,9 +146,9 @@
         )
     )
     def test_all_lapses_and_what_can_not_tip_the_bound_is_not_looked_at(self, outcomes):
-        made, held = fed(Admission(MANY), outcomes), [Open(9_000)] * 7
+        made, held = fed(LoadShedder(MANY), outcomes), [Open(9_000)] * 7
         plain = fed(
-            Admission(MANY), [*outcomes, (0, Outcome.REJECTED, 50, 7)]
+            LoadShedder(MANY), [*outcomes, (0, Outcome.REJECTED, 50, 7)]
         )  # the seven counted in any case
         self.assertAlmostEqual(made.pressure(NOW, held), plain.pressure(NOW, ()))
         self.assertLessEqual(made.pressure(NOW + 3 * SECOND, ()), 1.0)
--- a/tests/test_ends_clients.py
+++ b/tests/test_ends_clients.py
@@ -23,7 +23,7 @@
     SPEAKS_WITHIN,
     ClientConnection,
 )
-from thymeknot.sidecar import CLOSING, REST_WITHIN
+from thymeknot.proxy.proxy import CLOSING, REST_WITHIN
 
 PING, PONG = command("PING"), b"+PONG\r\n"
 
--- a/tests/test_ends_life.py
+++ b/tests/test_ends_life.py
@@ -22,8 +22,8 @@
     until,
 )
 from tests.test_sockets import READ, WithPods, value
+from thymeknot.proxy.proxy import Proxy
 from thymeknot.service import lifecycle
-from thymeknot.sidecar import Sidecar
 
 
 def settled(process):
@@ -245,7 +245,7 @@
             heard.append(content)
             return bytes(content).endswith(b"\n")
 
-        read = Sidecar._then(whole, lambda: heard.append("told"))
+        read = Proxy._then(whole, lambda: heard.append("told"))
         for content in (b'{"version"', b":9}\n", b"\n"):
             read(memoryview(content))
         self.assertEqual(heard, [b'{"version"', b":9}\n", "told", b"\n", "told"])
--- a/tests/test_failures.py
+++ b/tests/test_failures.py
@@ -4,7 +4,6 @@
 from unittest import mock
 
 from tests.helpers import LANES, NOW, balancer, ended, news, pod, sent, taken
-from thymeknot.balance import NEW, SECOND
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.enums import (
     EndpointCondition,
@@ -15,6 +14,7 @@
     Verdict,
 )
 from thymeknot.interface.events import ComplaintReceived, EndpointUpdate, FleetCounts
+from thymeknot.policy.engine import NEW, SECOND
 from thymeknot.state import sliding_window
 from thymeknot.state.key_hash import key_position
 from thymeknot.state.request_state import RequestState
--- a/tests/test_fleet_words.py
+++ b/tests/test_fleet_words.py
@@ -154,7 +154,7 @@
 
     def test_off_it_is_not_imported(self):
         code = (
-            "import sys; from thymeknot.service import features, lifecycle; import thymeknot.sidecar; "
+            "import sys; from thymeknot.service import features, lifecycle; import thymeknot.proxy.proxy; "
             "features.Features(None); "
             "print([name for name in sys.modules if name.startswith(('thymeknot.coordination', 'thymeknot.raft', "
             "'thymeknot.disruption', 'twisted.protocols.amp', 'msgspec'))])"
--- a/tests/test_many.py
+++ b/tests/test_many.py
@@ -3,7 +3,6 @@
 import unittest
 
 from tests.helpers import NOW, TERMS, balancer, ended, kinds, news, pod, pressed, sent, taken
-from thymeknot.balance import DRAWN, SECOND, UPKEEP_MOST
 from thymeknot.interface.actions import Reject, SendAttempt, SetTimer
 from thymeknot.interface.enums import (
     UTILISATION,
@@ -14,6 +13,7 @@
     Verdict,
 )
 from thymeknot.interface.events import EndpointUpdate, FleetCounts, TimerFired
+from thymeknot.policy.engine import DRAWN, SECOND, UPKEEP_MOST
 
 OLD = [pod(f"old-{n}") for n in range(40)]
 
--- a/tests/test_operator.py
+++ b/tests/test_operator.py
@@ -146,7 +146,7 @@
 
     def test_what_is_off_is_not_imported(self):
         code = (
-            "import sys, thymeknot.__main__, thymeknot.sidecar, thymeknot.service.lifecycle as l, thymeknot.service"
+            "import sys, thymeknot.__main__, thymeknot.proxy.proxy, thymeknot.service.lifecycle as l, thymeknot.service"
             ".features as f; f.Features(None); "
             "print(sorted({name.split('.')[0] for name in sys.modules} & set('lark msgspec cryptography netaddr "
             "argparse click numpy scipy hdrh'.split()) | {name for name in sys.modules if name.startswith(("
--- a/tests/test_orders.py
+++ b/tests/test_orders.py
@@ -8,9 +8,9 @@
 
 from tests import orders
 from tests.orders import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
-from thymeknot.balance import Balancer
+from thymeknot.policy.engine import DecisionEngine
 from thymeknot.protocol.client import ClientConnection
-from thymeknot.sidecar import Attempt, Sidecar
+from thymeknot.proxy.proxy import Attempt, Proxy
 
 ONE, POD = st.integers(0, 3), st.integers(0, 2)
 LANE = LEFT = KEY = st.integers(0, 2)
@@ -76,8 +76,8 @@
 DRAWN = st.lists(ORDERS, min_size=20, max_size=50)
 # Without it the draws would follow from a digest of the test's source, and a formatter would change them: this is that
 # digest before the first formatted commit.
-SEED_HIGH = 0x391c06ca5be5a373cebcffe4ff4afe851df38bf072ffc468
-SEED_LOW = 0xf03789d4856c1f038ca2b16b767af3f8e8ad7a7bc8396ddb
+SEED_HIGH = 0x391C06CA5BE5A373CEBCFFE4FF4AFE851DF38BF072FFC468
+SEED_LOW = 0xF03789D4856C1F038CA2B16B767AF3F8E8AD7A7BC8396DDB
 SEED = (SEED_HIGH << 192) + SEED_LOW
 HOW = settings(
     derandomize=True,
@@ -200,7 +200,7 @@
 
     def test_deliveries_that_wait_and_are_carried_past_a_drain(self):
         with (
-            mock.patch.object(Sidecar, "_withdraw", lambda self, fails: None),
+            mock.patch.object(Proxy, "_withdraw", lambda self, fails: None),
             mock.patch.object(
                 Attempt, "may_be_written", lambda self, address: True
             ),  # which would hold it, too
@@ -231,7 +231,7 @@
 
     def test_a_binding_request_that_is_sent_again_though_it_may_have_run(self):
         with (
-            mock.patch.object(Balancer, "_may", lambda self, tx, defer: True),
+            mock.patch.object(DecisionEngine, "_may", lambda self, tx, defer: True),
             self.assertRaises(Wrong) as found,
         ):
             play(
@@ -243,7 +243,7 @@
 
     def test_a_client_that_has_gone_and_is_not_noticed(self):
         with (
-            mock.patch.object(Sidecar, "gone", lambda self, connection: None),
+            mock.patch.object(Proxy, "gone", lambda self, connection: None),
             self.assertRaises(Wrong) as found,
         ):
             play(
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -3,10 +3,10 @@
 import unittest
 
 from tests.helpers import NOW, balancer, ended, kinds, news, pod, sent, taken
-from thymeknot.balance import KEYS_MOST, SECOND
 from thymeknot.interface.actions import Fail, Reject, SendAttempt, SetTimer
 from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind
 from thymeknot.interface.events import ClientDisconnected, EndpointUpdate, LateResponseSeen
+from thymeknot.policy.engine import KEYS_MOST, SECOND
 
 
 class EveryTransactionIsAnswered(unittest.TestCase):
--- a/tests/test_settings.py
+++ b/tests/test_settings.py
@@ -14,8 +14,6 @@
 
 from tests.helpers import PATIENCE, SETTINGS, PodPeer, Program
 from tests.test_sidecar import Network
-from thymeknot.balance import Balancer
-from thymeknot.benchlink import Host
 from thymeknot.interface.actions import (
     CancelAttempt,
     CastVote,
@@ -50,9 +48,11 @@
     SuspicionReported,
     TimerFired,
 )
+from thymeknot.policy.engine import DecisionEngine
 from thymeknot.service import configuration
 from thymeknot.service.configuration import Faulty, pairs
 from thymeknot.simulation.invariants import Checker
+from thymeknot.simulator_wire.host import Host
 from thymeknot.state.endpoint_state import EndpointState
 from thymeknot.state.sliding_window import SlidingWindow
 
@@ -582,7 +582,12 @@
             terms.exposure_by_class,
             terms.guarded_stages,
         )
-        self.made, self.pods, self.held, self.said = Balancer(terms, seed, self.now), {}, {}, []
+        self.made, self.pods, self.held, self.said = (
+            DecisionEngine(terms, seed, self.now),
+            {},
+            {},
+            [],
+        )
         self.order = 1, 0, ReleasePhase.RELEASED, 1.0
         least = min(lane.latency_objective for lane in terms.request_classes.values())
         self.step = min(2_000, least) if calm else self.chance.choice((1, 100, 2_000, 5_000))
--- a/tests/test_sidecar.py
+++ b/tests/test_sidecar.py
@@ -14,9 +14,9 @@
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 from thymeknot.interface.events import ReleaseUpdate
 from thymeknot.protocol.client import ClientConnection
+from thymeknot.proxy.proxy import Proxy
 from thymeknot.service import configuration
 from thymeknot.service import lifecycle as life
-from thymeknot.sidecar import Sidecar
 from thymeknot.state.slot_table import SlotTable
 from thymeknot.state.timer_queue import TimerQueue
 
@@ -106,7 +106,7 @@
         )
         start = configuration.read(told(*entries, **news), 0)._replace(sockets=sockets)
         start = start._replace(terms=start.terms._replace(lists_polled=asked_for))
-        self.sidecar = Sidecar(start, self.reactor, deadlines, 0)
+        self.sidecar = Proxy(start, self.reactor, deadlines, 0)
         self.sidecar.begin()
         self.streams = len(self.reactor.tcpClients)
 
--- a/tests/test_wire.py
+++ b/tests/test_wire.py
@@ -3,8 +3,6 @@
 import io
 import unittest
 
-from thymeknot import wire
-from thymeknot.benchlink import Host, serve
 from thymeknot.interface.actions import (
     CancelAttempt,
     CastVote,
@@ -26,6 +24,8 @@
     RequestReceived,
     ResponseStarted,
 )
+from thymeknot.simulator_wire import codec
+from thymeknot.simulator_wire.host import Host, serve
 
 PAIRS = """balancers=3 categories.count=1 categories.0.give_up=2000000000 categories.0.key_scope=all
 categories.0.late_worth=0.0 categories.0.name=fetch categories.0.promise=800000000
@@ -63,30 +63,32 @@
         }
         for line, event in cases.items():
             name, *values = line.split()
-            self.assertEqual(wire.event(name, values), event)
+            self.assertEqual(codec.read_event(name, values), event)
 
     def test_a_pod(self):
         row = "bien 1.5 0 fading 6100000000 10.2.2.2:44 std 42".split()
         self.assertEqual(
-            wire.pod(row),
+            codec.read_endpoint(row),
             Endpoint("10.2.2.2:44", "bien", 1.5, 0, EndpointCondition.DRAINING, 61000, "std", 42),
         )
 
     def test_terms(self):
-        self.assertEqual(wire.terms(PAIRS).request_classes["fetch"].latency_objective, 8000)
+        self.assertEqual(
+            codec.read_settings(PAIRS).request_classes["fetch"].latency_objective, 8000
+        )
 
     def test_a_missing_or_senseless_setting_is_named(self):
-        with self.assertRaisesRegex(wire.Malformed, "extra.window"):
-            wire.terms([pair for pair in PAIRS if not pair.startswith("extra.window")])
-        with self.assertRaisesRegex(wire.Malformed, "balancers"):
-            wire.terms(
+        with self.assertRaisesRegex(codec.MalformedLineError, "extra.window"):
+            codec.read_settings([pair for pair in PAIRS if not pair.startswith("extra.window")])
+        with self.assertRaisesRegex(codec.MalformedLineError, "balancers"):
+            codec.read_settings(
                 ["balancers=none" if pair.startswith("balancers") else pair for pair in PAIRS]
             )
 
     def test_bad_values_are_refused(self):
         for line in ("RESULT 25 fine 1 1 a 0 -", "GONE", "TICK_DUE x"):
-            with self.assertRaises(wire.Malformed):
-                wire.event(*[line.split()[0], line.split()[1:]])
+            with self.assertRaises(codec.MalformedLineError):
+                codec.read_event(*[line.split()[0], line.split()[1:]])
 
 
 class Writing(unittest.TestCase):
@@ -103,7 +105,7 @@
             "TRACE s-1 two (odd) lines": LogNote("two {odd}\nlines"),
         }
         for line, action in cases.items():
-            self.assertEqual(wire.line("s-1", action), line)
+            self.assertEqual(codec.write_action("s-1", action), line)
 
 
 class Hosting(unittest.TestCase):
@@ -127,7 +129,7 @@
 
     def test_what_the_wire_does_not_allow_is_named(self):
         for line in ("GONE sidecar-9 25", "HELLO sidecar-3", "ENTRY a 1 0 on - p std 41"):
-            with self.assertRaisesRegex(wire.Malformed, line.split()[0]):
+            with self.assertRaisesRegex(codec.MalformedLineError, line.split()[0]):
                 Host().batch(5, [line])
 
     def test_a_killed_instance_is_forgotten(self):
--- /dev/null
+++ b/thymeknot/policy/__init__.py
@@ -0,0 +1,1 @@
+"""All decisions: pure modules without input or output, with their constants."""
--- a/thymeknot/balance.py
+++ b/thymeknot/policy/engine.py
@@ -5,8 +5,7 @@
 
 from math import inf, log
 
-from .admission import FEW, SECOND, Admission
-from .interface.actions import (
+from ..interface.actions import (
     CancelAttempt,
     CastVote,
     Fail,
@@ -16,7 +15,7 @@
     SetTimer,
     SubscribeToEndpoints,
 )
-from .interface.enums import (
+from ..interface.enums import (
     UTILISATION,
     DeduplicationScope,
     EndpointCondition,
@@ -27,7 +26,7 @@
     UpdateKind,
     Verdict,
 )
-from .interface.events import (
+from ..interface.events import (
     AttemptEnded,
     ClientDisconnected,
     ComplaintReceived,
@@ -40,14 +39,15 @@
     SuspicionReported,
     TimerFired,
 )
-from .interface.reasons import Reason as R
-from .policy.voting import describe_vote
-from .state.endpoint_state import age_at_fraction, apply_update, order_by_rank
-from .state.fleet_baseline import FleetBaseline
-from .state.key_hash import key_position
-from .state.random_source import LinearCongruentialGenerator
-from .state.request_state import AttemptState, RequestState
-from .state.sliding_window import SlidingWindow, window_of
+from ..interface.reasons import Reason as R
+from ..state.endpoint_state import age_at_fraction, apply_update, order_by_rank
+from ..state.fleet_baseline import FleetBaseline
+from ..state.key_hash import key_position
+from ..state.random_source import LinearCongruentialGenerator
+from ..state.request_state import AttemptState, RequestState
+from ..state.sliding_window import SlidingWindow, window_of
+from .load_shedding import FEW, SECOND, LoadShedder
+from .voting import describe_vote
 
 # The ramp and the test, as the design page starts them; slowness is tested like failure, more strictly.
 RAMP_TIME, RAMP_SHARE, LISTED = (
@@ -171,7 +171,7 @@
 }
 
 
-class Balancer:
+class DecisionEngine:
     """say(id, reason, *operands): is told why, where and when it is decided; id is None for votes."""
 
     def __init__(self, terms, seed, now, say=None):
@@ -193,7 +193,7 @@
         self.retries, self.copies, self.admission = (
             self.most[0] / 4,
             self.most[1] / 4,
-            Admission(terms),
+            LoadShedder(terms),
         )
         self.arrivals, self.fresh, self.shed, self.served = (
             SlidingWindow(s * SECOND, 2 * s) for s in (8, 8, 8, 4)
--- a/thymeknot/admission.py
+++ b/thymeknot/policy/load_shedding.py
@@ -1,8 +1,8 @@
 """Whether a transaction is taken in hand or turned away at once: a part of the decisions, see balance.py.
 Each bound binds only as far as it is sure. Source: docs/design/admission.md."""
 
-from .interface.enums import Outcome
-from .state.sliding_window import SlidingWindow
+from ..interface.enums import Outcome
+from ..state.sliding_window import SlidingWindow
 
 SECOND = 10_000
 GOAL_PART, LIMIT_LEAST = (
@@ -35,7 +35,7 @@
 }
 
 
-class Admission:
+class LoadShedder:
     """One for each instance. Asked with every transaction, told of every outcome that says how pods are."""
 
     def __init__(self, terms):
--- a/thymeknot/sidecar.py
+++ b/thymeknot/proxy/proxy.py
@@ -11,8 +11,7 @@
 from twisted.internet.error import CannotListenError
 from twisted.internet.protocol import Factory
 
-from .balance import PROOF, Balancer
-from .interface.actions import (
+from ..interface.actions import (
     CancelAttempt,
     CastVote,
     CloseIdleConnections,
@@ -26,8 +25,8 @@
     SetTimer,
     SubscribeToEndpoints,
 )
-from .interface.enums import EndpointCondition, Idempotency, Outcome, ReleasePhase, UpdateKind
-from .interface.events import (
+from ..interface.enums import EndpointCondition, Idempotency, Outcome, ReleasePhase, UpdateKind
+from ..interface.events import (
     AttemptEnded,
     ClientDisconnected,
     EndpointUpdate,
@@ -36,18 +35,19 @@
     RequestReceived,
     TimerFired,
 )
-from .polling.snapshot_validation import Belief
-from .protocol import deployer, discovery, http, resp
-from .protocol.calls import MOST_REASON, Caller, KeptStream, Reply
-from .protocol.client import ClientConnection
-from .protocol.pod import Answer
-from .protocol.write_progress import WRITTEN, Broken, has_left, nothing_waits, take_no_more
-from .service import structured_log
-from .service.rejection_summary import Refusals
-from .state.connection_pool import ConnectionPools
-from .state.random_source import LinearCongruentialGenerator
-from .state.slot_table import SlotTable
-from .state.trial_exposure import TrialExposure
+from ..policy.engine import PROOF, DecisionEngine
+from ..polling.snapshot_validation import Belief
+from ..protocol import deployer, discovery, http, resp
+from ..protocol.calls import MOST_REASON, Caller, KeptStream, Reply
+from ..protocol.client import ClientConnection
+from ..protocol.pod import Answer
+from ..protocol.write_progress import WRITTEN, Broken, has_left, nothing_waits, take_no_more
+from ..service import structured_log
+from ..service.rejection_summary import Refusals
+from ..state.connection_pool import ConnectionPools
+from ..state.random_source import LinearCongruentialGenerator
+from ..state.slot_table import SlotTable
+from ..state.trial_exposure import TrialExposure
 
 LEAST = 64  # as the configuration has it
 KEPT_FOR_OTHERS = 40  # descriptors: discovery, the platform, the loop's own, standard streams
@@ -69,7 +69,7 @@
     return most if allowed == resource.RLIM_INFINITY else min(most, max(allowed, LEAST))
 
 
-class Held:
+class InFlightRequest:
     """A transaction in hand: whose it is, where its answer belongs, its attempts."""
 
     __slots__ = (
@@ -225,7 +225,7 @@
         self.may_have_run = written
 
 
-class Sidecar:
+class Proxy:
     def __init__(self, start, reactor, deadlines, epoch):
         self.start, self.reactor, self.deadlines, self.epoch = start, reactor, deadlines, epoch
         self.clock, self.terms, self.reach = deadlines.clock, start.terms, start.reach
@@ -265,7 +265,7 @@
             None  # hear of ends, lists and answers, where an operator's file has them
         )
         self.refusals = Refusals(structured_log.log)
-        self.balancer = Balancer(self.terms, start.seed, self.clock(), self.refusals.hear)
+        self.balancer = DecisionEngine(self.terms, start.seed, self.clock(), self.refusals.hear)
         chance = LinearCongruentialGenerator(~start.seed)
         self.discovery, self.platform = self._caller(start.discovery), self._caller(start.platform)
         self.watch = KeptStream(
@@ -578,7 +578,7 @@
             left = min(left, self.killed - connection.used_at)
             if left <= 0:
                 return connection.answer(place, resp.failure(BUSY))
-        held = Held(name, command, connection, place, connection.used_at + left)
+        held = InFlightRequest(name, command, connection, place, connection.used_at + left)
         held.slot = self.by_id[name] = self.transactions.add(held)
         held.deadline = self.deadlines.add(held.ends + OVERDUE, self._overdue, held)
         key = command.key.decode() or None
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -5,12 +5,12 @@
 
 import orjson
 
-from .. import wire
 from ..interface.enums import UpdateKind
 from ..interface.events import ReleaseUpdate
 from ..interface.settings import ConnectionLimits, Settings
 from ..protocol import deployer as platform
 from ..protocol import discovery
+from ..simulator_wire import codec
 
 
 class Faulty(ValueError):
@@ -118,8 +118,8 @@
     except RecursionError:
         raise Faulty("settings: are nested too deep") from None
     try:
-        terms, reach = wire.terms(settings), wire.reach(settings)
-    except wire.Malformed as error:
+        terms, reach = codec.read_settings(settings), codec.read_connection_limits(settings)
+    except codec.MalformedLineError as error:
         raise Faulty(f"settings: {error}") from None
     try:
         news = platform.read_news(_at(told, "deployer.news", dict))
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -75,14 +75,14 @@
         except (configuration.Faulty, features.Faulty) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
             return 2
-        from ..sidecar import Sidecar
+        from ..proxy.proxy import Proxy
         from ..state.timer_queue import TimerQueue
 
         self.reactor = loop()
         for number in STOPS:
             signal.signal(number, self._told_to_stop)
         structured_log.take_over()
-        self.sidecar = Sidecar(
+        self.sidecar = Proxy(
             start,
             self.reactor,
             TimerQueue(clock, self.reactor.callLater, structured_log.fault),
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -995,6 +995,6 @@
 
 def balancer(terms, seed, now):
     """The project's own decisions."""
-    from ..balance import Balancer
+    from ..policy.engine import DecisionEngine
 
-    return Balancer(terms, LinearCongruentialGenerator(seed).state, now)
+    return DecisionEngine(terms, LinearCongruentialGenerator(seed).state, now)
--- a/thymeknot/wire.py
+++ b/thymeknot/simulator_wire/codec.py
@@ -2,7 +2,7 @@
 
 import base64
 
-from .interface.actions import (
+from ..interface.actions import (
     CancelAttempt,
     CastVote,
     CloseIdleConnections,
@@ -16,7 +16,7 @@
     SetTimer,
     SubscribeToEndpoints,
 )
-from .interface.enums import (
+from ..interface.enums import (
     UTILISATION,
     DeduplicationScope,
     EndpointCondition,
@@ -26,7 +26,7 @@
     ReleasePhase,
     UpdateKind,
 )
-from .interface.events import (
+from ..interface.events import (
     AttemptEnded,
     ClientDisconnected,
     ComplaintReceived,
@@ -39,7 +39,7 @@
     ResponseStarted,
     TimerFired,
 )
-from .interface.settings import ConnectionLimits, RequestClass, Settings
+from ..interface.settings import ConnectionLimits, RequestClass, Settings
 
 UNIT = 100_000  # nanoseconds in a tenth of a millisecond
 LEAST_RATE = 1e-6  # a second; less is no rate, and the time between two leaves the numbers
@@ -97,11 +97,11 @@
 BOOLS = {"false": False, "true": True, "0": False, "1": True}
 
 
-class Malformed(ValueError):
+class MalformedLineError(ValueError):
     """A line that the wire does not allow."""
 
 
-def time(text):
+def read_time(text):
     return int(text) // UNIT
 
 
@@ -148,7 +148,7 @@
 EVENTS = {
     "INGRESS": (
         RequestReceived,
-        (_text, _text, _tenant, _maybe(_text), time, _maybe(_span), _FLAG, _FLAG),
+        (_text, _text, _tenant, _maybe(_text), read_time, _maybe(_span), _FLAG, _FLAG),
         None,
     ),
     "FIRST": (ResponseStarted, (_text, _text, _count, _span), (0, 2, 3, 1)),
@@ -167,11 +167,11 @@
 }
 
 
-def event(name, values):
+def read_event(name, values):
     """The event of a line: its name and the values after the instance."""
     shape, decoders, places = EVENTS[name]
     if len(values) != len(decoders):
-        raise Malformed(
+        raise MalformedLineError(
             f"{name} takes {len(decoders)} values after the instance, not {len(values)}"
         )
     if places:
@@ -179,10 +179,10 @@
     try:
         return shape(*[decode(value) for decode, value in zip(decoders, values)])
     except (ValueError, KeyError) as error:
-        raise Malformed(f"{name}: bad value ({error})") from None
+        raise MalformedLineError(f"{name}: bad value ({error})") from None
 
 
-def pod(values):
+def read_endpoint(values):
     """The pod of an ENTRY line."""
     try:
         zone, size, cell, condition, started, address, machine, build = values
@@ -197,10 +197,10 @@
             int(float(build)),
         )
     except (ValueError, KeyError) as error:
-        raise Malformed(f"ENTRY: bad value ({error})") from None
+        raise MalformedLineError(f"ENTRY: bad value ({error})") from None
 
 
-class _Settings:
+class _SettingPairs:
     """The pairs of a NEW_INSTANCE line, each asked for by name."""
 
     def __init__(self, pairs):
@@ -211,11 +211,13 @@
         if not heard and self.values.get(name, "-") == "-":
             return unheard
         if name not in self.values:
-            raise Malformed(f"required setting {name} is missing")
+            raise MalformedLineError(f"required setting {name} is missing")
         try:
             value = decode(self.values[name])
         except (ValueError, KeyError):
-            raise Malformed(f"setting {name} makes no sense: {self.values[name]!r}") from None
+            raise MalformedLineError(
+                f"setting {name} makes no sense: {self.values[name]!r}"
+            ) from None
         return value
 
 
@@ -291,15 +293,15 @@
     )
 
 
-def terms(pairs):
+def read_settings(pairs):
     """The Terms of a NEW_INSTANCE line's settings."""
-    read = _Settings(pairs).read
+    read = _SettingPairs(pairs).read
     lanes = [_lane(read, at) for at in range(read("categories.count", _whole))]
     bools = BOOLS.__getitem__
     names = set()
     for at, lane in enumerate(lanes):
         if lane.name in names:  # one of them would be served by the limits of the other
-            raise Malformed(f"setting categories.{at}.name comes twice: {lane.name!r}")
+            raise MalformedLineError(f"setting categories.{at}.name comes twice: {lane.name!r}")
         names.add(lane.name)
     subscribes, retry_after = (
         read("discovery", DISCOVERIES.__getitem__),
@@ -335,9 +337,9 @@
     )
 
 
-def reach(pairs):
+def read_connection_limits(pairs):
     """The bounds of connections among the same settings."""
-    read = _Settings(pairs).read
+    read = _SettingPairs(pairs).read
     return ConnectionLimits(
         connect_timeout=read("permissions.connect_timeout", _length),
         idle_timeout=read("permissions.conn_idle", _length),
@@ -372,11 +374,11 @@
     return " ".join(text.replace("{", "(").replace("}", ")").split())
 
 
-def line(instance, action):
+def write_action(instance, action):
     """The line of an action."""
     return ACTIONS[type(action)](action).format(instance)
 
 
-def fault(instance, reason):
+def write_fault(instance, reason):
     """The line that says the decisions themselves failed."""
     return f"FAULT {instance} {_plain(reason)}"
--- a/thymeknot/benchlink.py
+++ b/thymeknot/simulator_wire/host.py
@@ -2,12 +2,12 @@
 
 import sys
 
-from . import wire
-from .balance import Balancer
-from .interface.enums import UpdateKind
-from .interface.events import EndpointUpdate
+from ..interface.enums import UpdateKind
+from ..interface.events import EndpointUpdate
+from ..policy.engine import DecisionEngine
+from . import codec
 
-MESSAGES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *wire.EVENTS}
+MESSAGES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *codec.EVENTS}
 
 
 class Host:
@@ -23,10 +23,10 @@
         for text in lines:
             try:
                 rows = self._line(now, text, inboxes, replies, rows)
-            except wire.Malformed as error:
-                raise wire.Malformed(f"{error}: {text!r}") from None
+            except codec.MalformedLineError as error:
+                raise codec.MalformedLineError(f"{error}: {text!r}") from None
         if rows:
-            raise wire.Malformed("the batch ends inside a CENSUS")
+            raise codec.MalformedLineError("the batch ends inside a CENSUS")
         for name, events in inboxes.items():
             self._decide(now, name, events, replies)
         return replies
@@ -35,64 +35,64 @@
         name, *values = text.split(" ")
         if rows or name == "ENTRY":
             if name != "ENTRY" or not rows:
-                raise wire.Malformed(
+                raise codec.MalformedLineError(
                     "an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short"
                 )
             table, left = rows
-            self.lists[table].append(wire.pod(values))
+            self.lists[table].append(codec.read_endpoint(values))
             return (table, left - 1) if left > 1 else None
         if name == "CENSUS":
             try:
                 table, count = (int(value) for value in values)
             except ValueError:
-                raise wire.Malformed("CENSUS takes a number and a count") from None
+                raise codec.MalformedLineError("CENSUS takes a number and a count") from None
             self.lists[table] = []
             return (table, count) if count else None
         if name not in MESSAGES:
-            raise wire.Malformed("no such message")
+            raise codec.MalformedLineError("no such message")
         if not values:
-            raise wire.Malformed("no instance named")
+            raise codec.MalformedLineError("no instance named")
         instance, *values = values
         if name == "NEW_INSTANCE":
             self._start(now, instance, values, inboxes, replies)
         elif instance not in self.instances:
-            raise wire.Malformed("an event for an unknown instance")
+            raise codec.MalformedLineError("an event for an unknown instance")
         elif name == "KILLED":
             inboxes.pop(instance, None)
             del self.instances[instance]
         elif name == "ANNOUNCE":
             inboxes.setdefault(instance, []).append(self._announced(values))
         else:
-            inboxes.setdefault(instance, []).append(wire.event(name, values))
+            inboxes.setdefault(instance, []).append(codec.read_event(name, values))
         return None
 
     def _start(self, now, instance, values, inboxes, replies):
         try:
             seed = int(values[0])
         except (IndexError, ValueError):
-            raise wire.Malformed("NEW_INSTANCE without a seed") from None
+            raise codec.MalformedLineError("NEW_INSTANCE without a seed") from None
         inboxes.pop(instance, None)
-        terms = wire.terms(values[1:])
+        terms = codec.read_settings(values[1:])
         try:
-            self.instances[instance] = Balancer(terms, seed, now)
+            self.instances[instance] = DecisionEngine(terms, seed, now)
         except Exception as error:  # whatever the decisions raise has to reach the operators
-            replies.append(wire.fault(instance, f"{type(error).__name__}: {error}"))
+            replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
     def _announced(self, values):
         try:
             how, _, table = values
-            kind = wire.LIST_KINDS[how]
+            kind = codec.LIST_KINDS[how]
             pods = () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(table)])
         except (ValueError, KeyError):
-            raise wire.Malformed("ANNOUNCE: bad value") from None
+            raise codec.MalformedLineError("ANNOUNCE: bad value") from None
         return EndpointUpdate(kind, pods)
 
     def _decide(self, now, instance, events, replies):
         try:
             actions = self.instances[instance].handle(now, events)
-            replies.extend(wire.line(instance, action) for action in actions)
+            replies.extend(codec.write_action(instance, action) for action in actions)
         except Exception as error:  # whatever the decisions raise has to reach the operators
-            replies.append(wire.fault(instance, f"{type(error).__name__}: {error}"))
+            replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
 
 def serve(source, sink):
@@ -102,14 +102,14 @@
         text = text.rstrip("\n")
         if text.startswith("BATCH "):
             if now is not None:
-                raise wire.Malformed(f"a BATCH inside a batch: {text!r}")
+                raise codec.MalformedLineError(f"a BATCH inside a batch: {text!r}")
             try:
-                now = wire.time(text[6:])
+                now = codec.read_time(text[6:])
             except ValueError:
-                raise wire.Malformed(f"BATCH without a clock: {text!r}") from None
+                raise codec.MalformedLineError(f"BATCH without a clock: {text!r}") from None
         elif now is None:
             if text:
-                raise wire.Malformed(f"a line outside a batch: {text!r}")
+                raise codec.MalformedLineError(f"a line outside a batch: {text!r}")
         elif text == "YOUR_TURN":
             sink.write("\n".join(host.batch(now, lines) + ["OK\n"]))
             sink.flush()
@@ -117,14 +117,14 @@
         elif text:
             lines.append(text)
     if now is not None:
-        raise wire.Malformed("the input ends inside a batch")
+        raise codec.MalformedLineError("the input ends inside a batch")
 
 
 def main():
     try:
         serve(sys.stdin, sys.stdout)
-    except wire.Malformed as error:
-        print(f"benchlink: {error}", file=sys.stderr)
+    except codec.MalformedLineError as error:
+        print(f"simulator_wire: {error}", file=sys.stderr)
         return 1
     return 0
 
