--- a/tests/test_turns.py
+++ b/tests/test_turns.py
@@ -9,17 +9,18 @@
 from hypothesis.stateful import RuleBasedStateMachine, precondition, rule, run_state_machine_as_test
 
 from thymeknot.disruption import scheduler
-from thymeknot.disruption.agent import Holder
+from thymeknot.disruption.agent import DisruptionAgent
 from thymeknot.disruption.permits import LIFE, Fleet, Unit
-from thymeknot.disruption.simulated_fleet import SECOND, World, fleet
-from thymeknot.disruption.state_machine import FIELDS, Machine
-from thymeknot.disruption.targets import Terms
+from thymeknot.disruption.simulated_fleet import World, fleet
+from thymeknot.disruption.state_machine import FIELDS, DisruptionStateMachine
+from thymeknot.disruption.targets import DisruptionSettings
+from thymeknot.interface.clock import TICKS_PER_SECOND
 
 NAMES = [f"u{number}" for number in range(8)]
 BUDGETS = [{"name": "racks", "each": "rack", "most": 1}, {"name": "all", "least": 5}]
 
 
-def made(terms=None, machine=Machine, ready=NAMES):
+def made(terms=None, machine=DisruptionStateMachine, ready=NAMES):
     one = machine()
     units = {
         name: {"kind": "pod", "rack": f"r{number // 2}", "zone": "z"}
@@ -261,7 +262,7 @@
         world.run(12)
         world.crash("unit-003")
         world.run(5)
-        one, other = world.keepers.machine, Machine()
+        one, other = world.keepers.machine, DisruptionStateMachine()
         other.load(json.loads(json.dumps(one.image())))
         apply, same = one.apply, []
 
@@ -299,14 +300,14 @@
 
     def test_a_yes_counts_within_the_bound_alone(self):
         for late, drains in ((19_000, True), (19_900, False), (50_000, False)):
-            holder = Holder("u", 0, "old")
+            holder = DisruptionAgent("u", 0, "old")
             (token,) = self.order(holder, 100)
             effects = holder.told(100 + late, token, {"ok": True, "at": 6})
             self.assertEqual(any(what == "drain" for what, *_ in effects), drains, late)
             self.assertEqual(holder.state, "draining" if drains else "in")
 
     def test_old_fences_and_epochs_are_not_begun_again(self):
-        holder = Holder("u", 0, "old")
+        holder = DisruptionAgent("u", 0, "old")
         (token,) = self.order(holder, 100, fence=4, epoch=3)
         holder.told(101, token, {"refused": "halted", "by": [], "again": 0, "at": 6})
         self.assertEqual(self.order(holder, 10_000, fence=4, epoch=3), [])
@@ -314,7 +315,7 @@
         self.assertEqual(len(self.order(holder, 30_000, fence=5, epoch=3)), 1)
 
     def test_alone_it_begins_nothing_and_comes_back(self):
-        holder = Holder("u", 0, "old")
+        holder = DisruptionAgent("u", 0, "old")
         (token,) = self.order(holder, 0)
         holder.told(10, token, {"ok": True, "at": 6})
         holder.emptied(20)
@@ -328,7 +329,7 @@
     """A model beside it that knows only what was said yes to and what was crashed: whoever went and is not back is out,
     and so is who crashed longer ago than anybody may not know it."""
 
-    machine = Machine
+    machine = DisruptionStateMachine
 
     def __init__(self):
         super().__init__()
@@ -443,12 +444,12 @@
         self.do(do="cancel", unit=name)
 
     def teardown(self):
-        other = Machine()
+        other = DisruptionStateMachine()
         other.load(self.one.image())
         assert other.image() == self.one.image()
 
 
-def search(machine=Machine, examples=60):
+def search(machine=DisruptionStateMachine, examples=60):
     kind = type("Search", (Search,), {"machine": machine})
     run_state_machine_as_test(
         kind,
@@ -480,7 +481,7 @@
         setattr(self.owner, self.name, self.was)
 
 
-class NoFence(Machine):
+class NoFence(DisruptionStateMachine):
     """Takes any permit of a unit that was ever granted."""
 
     def _begin(self, unit, fence, epoch, start):
@@ -512,12 +513,12 @@
     def test_halt_told_to_reachable_ones_only(self):
         """Stops those who hear it, and goes on saying yes to the others."""
 
-        class Told(Machine):
+        class Told(DisruptionStateMachine):
             def _halt(self, **fields):
                 self.reachable = {
                     name
                     for name, unit in self.fleet.units.items()
-                    if unit.seen + SECOND > self.fleet.at
+                    if unit.seen + TICKS_PER_SECOND > self.fleet.at
                 }
                 return super()._halt(**fields)
 
@@ -525,12 +526,12 @@
                 return super().held(unit) if unit.name in getattr(self, "reachable", ()) else None
 
         self.assertIn("A3", self.halted(Told))
-        self.assertEqual(self.halted(Machine), "")
+        self.assertEqual(self.halted(DisruptionStateMachine), "")
 
     def test_holders_without_a_bound(self):
-        with Changed(Holder, "bound", lambda self: 10**9):
-            self.assertIn("A2", self.halted(Machine, slow=True))
-        self.assertEqual(self.halted(Machine, slow=True), "")
+        with Changed(DisruptionAgent, "bound", lambda self: 10**9):
+            self.assertIn("A2", self.halted(DisruptionStateMachine, slow=True))
+        self.assertEqual(self.halted(DisruptionStateMachine, slow=True), "")
 
     def test_a_way_back_outside_the_budgets(self):
         def loose(fleet, held, plan=scheduler.plan):
@@ -599,18 +600,23 @@
 
     def halted(self, machine, slow=False):
         world = World(
-            5, *fleet(3, 2, 5), machine=machine, terms=Terms(permit=200_000, silent=200_000)
+            5,
+            *fleet(3, 2, 5),
+            machine=machine,
+            terms=DisruptionSettings(permit=200_000, silent=200_000),
         )
         world.run(8)
         names = sorted(world.seats)
         for name in names:
-            world.seats[name].stopped_until = world.now + 9 * SECOND if name in names[::2] else 0
+            world.seats[name].stopped_until = (
+                world.now + 9 * TICKS_PER_SECOND if name in names[::2] else 0
+            )
         for name in names:
             world.order(do="ask", unit=name, plan="ann", epoch=1)
         carry = world.carry
         if slow:  # a yes that is long on its way
             world.carry = lambda sender, to, call: world.after(
-                4 * SECOND if sender == "keepers" else 0, lambda: carry(sender, to, call)
+                4 * TICKS_PER_SECOND if sender == "keepers" else 0, lambda: carry(sender, to, call)
             )
         world.run(2)
         if not slow:
--- a/tests/test_vast.py
+++ b/tests/test_vast.py
@@ -4,26 +4,32 @@
 
 from tests.helpers import NOW, ended, pod, sent, taken
 from tests.helpers import balancer as made_with
+from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome
 from thymeknot.interface.events import TimerFired
 from thymeknot.simulation.experiments import crowd_played, vast_figures
 from thymeknot.simulation.large_fleet_scenarios import VAST, vast
-from thymeknot.simulation.scenarios import SECOND, Fault, Offer
-from thymeknot.simulation.simulator import REFUSED_CALLS, SILENT_CALLS, Fleet, balancer
+from thymeknot.simulation.scenarios import Fault, Offer
+from thymeknot.simulation.simulator import REFUSED_CALLS, SILENT_CALLS, Simulator, current_engine
 
 SIZE = {"instances": 16, "pods": 15, "seconds": 28}
-GOOD, BAD = ((Offer(3 * SECOND, 2, not fails, fails, 1.0, 0, 0.0),) for fails in (0.0, 0.35))
-PAUSES = Fault("pause", 0, 28 * SECOND, (0, 2, 4, 6, 8, 10), 0.5 * SECOND)
-ALL_DIE = Fault("kill", 9 * SECOND, 9 * SECOND + 1, tuple(range(16)), 0.3 * SECOND)
-LATE = Fault("discovery", 8 * SECOND, 14 * SECOND, (), SECOND)
+GOOD, BAD = (
+    (Offer(3 * TICKS_PER_SECOND, 2, not fails, fails, 1.0, 0, 0.0),) for fails in (0.0, 0.35)
+)
+PAUSES = Fault("pause", 0, 28 * TICKS_PER_SECOND, (0, 2, 4, 6, 8, 10), 0.5 * TICKS_PER_SECOND)
+ALL_DIE = Fault(
+    "kill", 9 * TICKS_PER_SECOND, 9 * TICKS_PER_SECOND + 1, tuple(range(16)), 0.3 * TICKS_PER_SECOND
+)
+LATE = Fault("discovery", 8 * TICKS_PER_SECOND, 14 * TICKS_PER_SECOND, (), TICKS_PER_SECOND)
 LOST, AGAIN = (
-    Fault("zone", begin * SECOND, end * SECOND, (1,), 0.0) for begin, end in ((9, 12), (13, 15))
+    Fault("zone", begin * TICKS_PER_SECOND, end * TICKS_PER_SECOND, (1,), 0.0)
+    for begin, end in ((9, 12), (13, 15))
 )
-ILL = Fault("ill", 0, 28 * SECOND, (0,), 1.0)
+ILL = Fault("ill", 0, 28 * TICKS_PER_SECOND, (0,), 1.0)
 
 
 def calls(size):
-    return Fault("calls", 5 * SECOND, 15 * SECOND, (), size)
+    return Fault("calls", 5 * TICKS_PER_SECOND, 15 * TICKS_PER_SECOND, (), size)
 
 
 class HardCases(unittest.TestCase):
@@ -51,8 +57,8 @@
         ):
             with self.subTest(what):
                 day, _ = vast(5, kind, **SIZE)
-                fleet = Fleet(
-                    day._replace(faults=faults, offers=offers, **changes), balancer
+                fleet = Simulator(
+                    day._replace(faults=faults, offers=offers, **changes), current_engine
                 ).play()
                 figures = vast_figures(fleet)
                 self.assertEqual(fleet.checker.rules_broken(), [], fleet.checker.broken[:3])
@@ -85,14 +91,18 @@
         # time alone forgets nothing, since from hundreds that costs more than it brings (grown deck 0.619 to 0.396).
         for ill, tried_most, again in (
             (lambda now: Outcome.CONNECT_FAILED, 4, True),
-            (lambda now: Outcome.TIMED_OUT if now // SECOND % 4 == 0 else Outcome.DONE, 6, False),
+            (
+                lambda now: Outcome.TIMED_OUT if now // TICKS_PER_SECOND % 4 == 0 else Outcome.DONE,
+                6,
+                False,
+            ),
         ):
             made, uses, well = (
                 made_with(*(pod(f"old-{n}") for n in range(4))),
                 [],
-                NOW + 12 * SECOND,
+                NOW + 12 * TICKS_PER_SECOND,
             )
-            for now in range(NOW, NOW + 30 * SECOND, SECOND // 2):
+            for now in range(NOW, NOW + 30 * TICKS_PER_SECOND, TICKS_PER_SECOND // 2):
                 number, waiting = 0, sent(made.handle(now, [TimerFired(0), taken(f"t{now}")]))
                 while waiting:
                     at = waiting.pop()
@@ -108,12 +118,12 @@
             self.assertLessEqual(len(tried), tried_most)  # of 24
             self.assertEqual(bool(used), again)
             if again:
-                self.assertLessEqual(used[0], well + 9 * SECOND)
+                self.assertLessEqual(used[0], well + 9 * TICKS_PER_SECOND)
                 self.assertLessEqual(
-                    sum(at < used[0] + 2 * SECOND for at in used), 2
+                    sum(at < used[0] + 2 * TICKS_PER_SECOND for at in used), 2
                 )  # of four: its turn, not all
                 self.assertGreater(len(used), 2)
-            made.now, out = NOW + 40 * SECOND, []
+            made.now, out = NOW + 40 * TICKS_PER_SECOND, []
             for number in range(60):  # and when the others are busy, it is used in any case
                 out += sent(made.handle(made.now, [taken(f"busy{number}")]))
             self.assertTrue(0 < out.count("old-1") <= out.count("old-2"), out)
--- a/thymeknot/cli/coordination_commands.py
+++ b/thymeknot/cli/coordination_commands.py
@@ -4,9 +4,9 @@
 import secrets
 import time
 
-from ..coordination.blocking_client import Asker, Silent
+from ..coordination.blocking_client import BlockingClient, NoAnswerError
 from ..coordination.feature import built
-from ..coordination.settings import FleetTerms
+from ..coordination.settings import CoordinationSettings
 from ..operator_config import loader
 from ..raft import message_codec
 
@@ -21,17 +21,17 @@
     """Speaks by the name and key of an operator's file. Raises Unusable."""
     try:
         settings = loader.load(path).get("fleet") if path else None
-    except loader.Faulty as error:
+    except loader.OperatorConfigError as error:
         raise Unusable("\n".join(str(fault) for fault in error.faults)) from None
     if settings is None:
         raise Unusable("an operator's file with `fleet` says who the keepers are: --operator FILE")
-    told = loader.record(FleetTerms, settings)
+    told = loader.record(CoordinationSettings, settings)
     try:
         identity, ring, _, _ = built(told, settings, os.path.dirname(os.path.abspath(path)))
     except ValueError as error:
         raise Unusable(f"{path}: {error}") from None
     # A word of its own for each call: two operators at one instance must not end each other's commands.
-    return Asker(
+    return BlockingClient(
         identity,
         ring,
         {one.name: one.address for one in told.keepers},
@@ -47,13 +47,13 @@
         reply = (
             one.read(command, within) if read else one.propose({"part": "turns", **command}, within)
         )
-    except Silent as silent:
+    except NoAnswerError as silent:
         return NOBODY, {
             "refused": f"{silent}; it may have been carried out: look at the status",
             "by": [],
             "again": 0,
         }
-    except message_codec.Bad as bad:
+    except message_codec.MessageError as bad:
         return FAULTY, {"refused": str(bad), "by": [], "again": 0}
     finally:
         one.close()
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -48,7 +48,7 @@
     ):
         try:
             read()
-        except (configuration.Faulty, features.Faulty) as error:
+        except (configuration.ConfigurationError, features.FeatureError) as error:
             faults.append(str(error))
     for fault in faults:
         click.echo(fault, err=True)
@@ -395,8 +395,8 @@
     try:
         told = [schedule.lane(one) for one in lanes]
         if not port.isdigit():
-            raise schedule.Wrong(f"{place}: HOST:PORT")
-    except schedule.Wrong as error:
+            raise schedule.ScheduleError(f"{place}: HOST:PORT")
+    except schedule.ScheduleError as error:
         raise click.UsageError(str(error)) from None
     goal = schedule.Goal(quantile, int(goal_ms * 10), not_done)
     climbing = schedule.Ramp(rate) if ramp else None
@@ -407,7 +407,7 @@
         goal,
         lambda line: click.echo(line, err=True),
         lines,
-        int(patience * schedule.SECOND),
+        int(patience * schedule.TICKS_PER_SECOND),
         protocol,
         climbing,
     )
@@ -457,7 +457,7 @@
 
     try:
         click.echo(_json(experiments.played((policy, seed, size))))
-    except experiments.Unknown as error:
+    except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
 
 
@@ -487,7 +487,7 @@
                 keep,
                 lambda done, count: bar.update(done - bar.pos),
             )
-        except experiments.Unknown as error:
+        except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
     for name, gap in found.items():
         click.echo(
@@ -529,7 +529,7 @@
                 workers,
                 lambda done, count: bar.update(done - bar.pos),
             )
-        except experiments.Unknown as error:
+        except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
     click.echo(_json(experiments.crowd_figures(pairs)))
 
@@ -567,7 +567,7 @@
         raise click.UsageError(
             f"{error.name} is missing: pip install 'thymeknot[laboratory]'"
         ) from None
-    except experiments.Unknown as error:
+    except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
     day, _ = large_fleet_scenarios.drawn(seed, kind, instances=instances, pods=pods)
     click.echo(_json(report.written(day, policies, folder, f"{kind}, seed {seed}")))
--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -15,11 +15,11 @@
 LENGTH = struct.Struct(">H")
 
 
-class Silent(Exception):
+class NoAnswerError(Exception):
     """No keeper answered within the time: what was asked for may have been done, or not."""
 
 
-class Asker:
+class BlockingClient:
     """places: address by keeper's name. word: told apart by it from others of this identity. incarnation: grows with
     each Asker of that word."""
 
@@ -53,7 +53,7 @@
         line = self.lines.pop(name, None) or self._connected(name)
         source, connection, session, number = line
         try:
-            sealed = message_codec.sealed(
+            sealed = message_codec.sign_message(
                 self.identity, name, session, number + 1, kind, msgspec.msgpack.encode(told)
             )
             connection.sendall(
@@ -61,10 +61,10 @@
             )
             back = _box(source)
             if b"_error_description" in back:
-                raise message_codec.Bad(
+                raise message_codec.MessageError(
                     "refused", back[b"_error_description"].decode("utf-8", "replace")
                 )
-            letter = message_codec.opened(
+            letter = message_codec.open_message(
                 self.ring,
                 time.time(),
                 self.identity.name,
@@ -79,8 +79,8 @@
                 or letter.kind != message_codec.REPLY
                 or letter.number != number + 1
             ):
-                raise message_codec.Bad("misled", "an answer to another question")
-            said = message_codec.plain(letter.body)
+                raise message_codec.MessageError("misled", "an answer to another question")
+            said = message_codec.decode_mapping(letter.body)
         except BaseException:
             _close(source, connection)  # what it may still say would be taken for another answer
             raise
@@ -89,7 +89,7 @@
 
     def _connected(self, name):
         connection = socket.create_connection(address(self.places[name]), timeout=STEP)
-        source, mine = connection.makefile("rb"), message_codec.nonce()
+        source, mine = connection.makefile("rb"), message_codec.new_nonce()
         try:
             connection.sendall(Box(_command=b"Hello", _ask=b"0", nonce=mine).serialize())
             return source, connection, mine + _box(source)[b"nonce"], 0
@@ -103,7 +103,7 @@
             name = self.leader or names[self.turn % len(names)]
             try:
                 said = self.once(name, kind, told)
-            except (OSError, KeyError, message_codec.Bad):
+            except (OSError, KeyError, message_codec.MessageError):
                 said = {}
             if "reply" in said:
                 self.leader = name
@@ -117,7 +117,7 @@
             self.turn += 1
             self.leader = said.get("leader") if said.get("leader") in self.places else None
             time.sleep(PAUSE)
-        raise Silent(f"no keeper answered within {within:g} s")
+        raise NoAnswerError(f"no keeper answered within {within:g} s")
 
     def close(self):
         for source, connection, _, _ in self.lines.values():
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -1,29 +1,29 @@
 """The holder of turns on the real sidecar: says what it wants said, drains and brings back what it wants drained."""
 
-from ..disruption.agent import Holder
+from ..disruption.agent import DisruptionAgent
 from ..service import structured_log
 
 BEATS = 16  # looks at the time within a bound; the holder asks for four at least
 
 
-class Seat:
-    def __init__(self, sidecar, client, unit, start, build, terms):
+class DrainAgent:
+    def __init__(self, proxy, client, unit, start, build, terms):
         """client: the seam to the keepers, for this alone. start: a number that grows with each start."""
-        self.sidecar, self.client, self.deadlines, self.clock = (
-            sidecar,
+        self.proxy, self.client, self.timers, self.clock = (
+            proxy,
             client,
-            sidecar.deadlines,
-            sidecar.clock,
+            proxy.timers,
+            proxy.clock,
         )
         self.unit, self.beat = unit, max(1, terms.bound // BEATS)
         # How long an answer is worth waiting for: the holder takes none that is older than its bound.
         self.within, self.beating, self.closed = terms.bound, None, False
-        self.holder = Holder(unit, start, build, terms, self.clock(), True)
+        self.holder = DisruptionAgent(unit, start, build, terms, self.clock(), True)
         self._beat()
 
     def _beat(self):
         if not self.closed:
-            self.beating = self.deadlines.add(self.clock() + self.beat, self._beat)
+            self.beating = self.timers.add(self.clock() + self.beat, self._beat)
             self._act(self.holder.due(self.clock()))
 
     def _act(self, effects):
@@ -40,9 +40,9 @@
 
     def _drain(self, fence, build):
         structured_log.log(
-            "drain", unit=self.unit, fence=fence, transactions=len(self.sidecar.transactions)
+            "drain", unit=self.unit, fence=fence, transactions=len(self.proxy.transactions)
         )
-        self.sidecar.drain(lambda: self._emptied(fence))
+        self.proxy.drain(lambda: self._emptied(fence))
 
     def _emptied(self, fence):
         structured_log.log("drained", unit=self.unit, fence=fence)
@@ -53,7 +53,7 @@
 
     def _serve(self, then=None):
         """Takes new work again; that it does already is as well."""
-        if not self.sidecar.drained:
+        if not self.proxy.drained:
             return
 
         def failed(why):
@@ -65,10 +65,10 @@
             if then:
                 then()
 
-        self.sidecar.undrain(listens, failed)
+        self.proxy.undrain(listens, failed)
 
     DO = {"say": _say, "drain": _drain, "come": _come, "serve": _serve}
 
     def close(self):
         self.closed = True
-        self.deadlines.cancel(self.beating)
+        self.timers.cancel(self.beating)
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -6,19 +6,19 @@
 
 import msgspec
 
-from ..disruption.state_machine import Machine
-from ..disruption.targets import Refusal
-from ..disruption.targets import Terms as TurnTerms
+from ..disruption.state_machine import DisruptionStateMachine
+from ..disruption.targets import CommandRejectedError
+from ..disruption.targets import DisruptionSettings as TurnTerms
 from ..gossip import keyring as identities
 from ..gossip.settings import address
-from ..raft.client import Channel, Client
-from ..raft.node import LEADER, Keeper
-from ..raft.peer_server import Endpoint
+from ..raft.client import PeerChannel, RaftClient
+from ..raft.node import LEADER, RaftNode
+from ..raft.peer_server import PeerServer
 from ..raft.state_machine import Parts
-from ..raft.storage import Damaged, Store
+from ..raft.storage import DamagedStorageError, RaftStorage
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
-from .drain_agent import Seat
+from .drain_agent import DrainAgent
 from .settings import AGREEMENT, Impossible, declarations, faulty
 
 DECLARED_EVERY = 10_000  # tenths of a millisecond between two looks whether the declaration stands
@@ -30,11 +30,11 @@
     try:
         with open(os.path.join(folder, told.key), "rb") as source:
             mine = identities.read_identity(told.name, source.read())
-        ring = identities.Ring(told.ring(), told.revoked)
-        sources = identities.Sources(told.from_)
+        ring = identities.Keyring(told.ring(), told.revoked)
+        sources = identities.AllowedNetworks(told.from_)
     except OSError as error:
         raise Impossible(("fleet", "key"), f"can't be read: {os.strerror(error.errno)}") from None
-    except identities.Unusable as error:
+    except identities.KeyringError as error:
         raise Impossible(("fleet",), str(error)) from None
     if ring.owner(mine.key_id, time.time()) not in (None, told.name):
         raise Impossible(("fleet", "key"), "belongs to another name in the ring")
@@ -66,27 +66,27 @@
     try:
         do, fields = turns.read(query)
         if do != "status":
-            raise Refusal("a read is of status")
+            raise CommandRejectedError("a read is of status")
         return {"ok": True, "at": turns.fleet.at, **turns._status(**fields)}
-    except Refusal as refusal:
+    except CommandRejectedError as refusal:
         return {"refused": refusal.sentence, "by": refusal.by, "again": refusal.again}
 
 
-class Fleet:
-    def __init__(self, sidecar, told, settings, folder):
-        self.sidecar, self.told, self.deadlines, self.clock = (
-            sidecar,
+class CoordinationFeature:
+    def __init__(self, proxy, told, settings, folder):
+        self.proxy, self.told, self.timers, self.clock = (
+            proxy,
             told,
-            sidecar.deadlines,
-            sidecar.clock,
+            proxy.timers,
+            proxy.clock,
         )
         self.identity, self.ring, sources, self.declared = built(told, settings, folder)
         data = os.path.join(folder, told.data)
         try:
             self.start = started(data)
             self.channels = {
-                one.name: Channel(
-                    sidecar.reactor,
+                one.name: PeerChannel(
+                    proxy.reactor,
                     one.name,
                     address(one.address),
                     self.identity,
@@ -96,7 +96,7 @@
                 for one in told.keepers
             }
             self.endpoint = self._keeper(data, sources) if told.keeper() else None
-        except (OSError, Damaged) as error:
+        except (OSError, DamagedStorageError) as error:
             raise Impossible(("fleet", "data"), str(error)) from None
         self.seat, self.clocks, self.ticking = None, None, None
         if self.endpoint:
@@ -109,13 +109,13 @@
             self._tick()
         if told.unit:
             terms = TurnTerms(bound=told.bound, silent=told.silent, permit=told.permit)
-            self.seat = Seat(
-                sidecar, self._client("unit"), told.unit, self.start, told.build, terms
+            self.seat = DrainAgent(
+                proxy, self._client("unit"), told.unit, self.start, told.build, terms
             )
 
     def _client(self, word):
-        return Client(
-            self.deadlines,
+        return RaftClient(
+            self.timers,
             self.channels,
             LinearCongruentialGenerator(secrets.randbits(64)),
             f"{self.told.name}/{word}",
@@ -125,7 +125,7 @@
 
     def _keeper(self, data, sources):
         told = self.told
-        store = Store(
+        store = RaftStorage(
             os.path.join(data, "log"),
             os.path.join(data, told.lineage or "lineage"),
             lambda: secrets.randbits(62) + 1,
@@ -138,16 +138,19 @@
         opened = store.open(told.founds and not used)
         for sentence in opened.said:
             structured_log.log("keeper's disk", error=sentence)
-        names, self.machine = [one.name for one in told.keepers], Parts({"turns": Machine()})
+        names, self.machine = (
+            [one.name for one in told.keepers],
+            Parts({"turns": DisruptionStateMachine()}),
+        )
         others = {name: channel for name, channel in self.channels.items() if name != told.name}
-        return Endpoint(
-            self.sidecar.reactor,
-            self.deadlines,
+        return PeerServer(
+            self.proxy.reactor,
+            self.timers,
             self.identity,
             lambda: self.ring,
             sources,
             others,
-            lambda now: Keeper(
+            lambda now: RaftNode(
                 told.name,
                 names,
                 AGREEMENT,
@@ -162,7 +165,7 @@
 
     def _tick(self):
         """While it leads, agreed time goes on by entries, and the declaration of the highest epoch stands."""
-        self.ticking = self.deadlines.add(self.clock() + self.told.tick, self._tick)
+        self.ticking = self.timers.add(self.clock() + self.told.tick, self._tick)
         if self.endpoint.keeper.role != LEADER:
             self.looked = 0
             return
@@ -200,9 +203,9 @@
             if client:
                 client.close()
         if self.ticking is not None:
-            self.deadlines.cancel(self.ticking)
+            self.timers.cancel(self.ticking)
         if self.endpoint:
             self.endpoint.close()
 
 
-__all__ = ["Fleet", "built"]
+__all__ = ["CoordinationFeature", "built"]
--- a/thymeknot/coordination/settings.py
+++ b/thymeknot/coordination/settings.py
@@ -2,13 +2,13 @@
 
 from typing import NamedTuple, Optional
 
-from ..disruption.state_machine import Machine
+from ..disruption.state_machine import DisruptionStateMachine
 from ..gossip.settings import Peer, PeerKey
-from ..raft.settings import Terms
+from ..raft.settings import RaftSettings
 
 KEEPERS = (1, 3, 5, 7)
 # A letter is at most AMP's 64 KiB, so that an entry and a message with several have to be smaller than the core's own.
-AGREEMENT = Terms(command_bytes=32 << 10, batch_bytes=24 << 10, chunk=32 << 10)
+AGREEMENT = RaftSettings(command_bytes=32 << 10, batch_bytes=24 << 10, chunk=32 << 10)
 DECLARED = 16 << 10  # about so many bytes of units in one declaration
 
 
@@ -26,7 +26,7 @@
     keys: tuple[PeerKey, ...]
 
 
-class FleetTerms(NamedTuple):
+class CoordinationSettings(NamedTuple):
     name: str
     key: str
     data: str
@@ -93,7 +93,7 @@
         )
     if told.unit and told.unit not in {one["name"] for one in settings["units"]}:
         raise Impossible(("fleet", "unit"), f"{told.unit} is none of the units")
-    machine = Machine()
+    machine = DisruptionStateMachine()
     for command in declarations(told, settings):
         reply = machine.apply(0, command)
         if "refused" in reply:
--- a/thymeknot/decision_log/fair_eviction.py
+++ b/thymeknot/decision_log/fair_eviction.py
@@ -4,7 +4,7 @@
 from collections import OrderedDict, deque
 
 
-class Shares:
+class FairEviction:
     """Slots by holder. Counts of slots are themselves counted: holders by how many slots they hold."""
 
     def __init__(self):
--- a/thymeknot/decision_log/heavy_hitters.py
+++ b/thymeknot/decision_log/heavy_hitters.py
@@ -1,7 +1,7 @@
 """Heavy hitters in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi 2005)."""
 
 
-class Heavy:
+class HeavyHitters:
     """The names seen most often, of any number of names, in so many counters. A count is too high by `over` at most."""
 
     def __init__(self, size):
--- a/thymeknot/decision_log/query_protocol.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -4,12 +4,12 @@
 
 import orjson
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.reasons import Reason as R
 from .entry_codec import pods as pods
 from .explanations import explained, plain
 
 LINE_MOST = 4096
-UNITS = 10_000
 
 
 def _text(told, name, most=96):
@@ -33,7 +33,7 @@
         "tenant": _text(told, "tenant"),
         "pod": _text(told, "pod"),
         "reason": None if reason is None else int(R[reason.upper()]),
-        "since": None if since is None else int(since * UNITS),
+        "since": None if since is None else int(since * TICKS_PER_SECOND),
     }, limit
 
 
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -15,8 +15,8 @@
 from ..state.random_source import LinearCongruentialGenerator
 from .entry_codec import SLOT
 from .query_protocol import LINE_MOST, answer, watched
-from .recorder import Record
-from .slot_file import Arena
+from .recorder import Recorder
+from .slot_file import SlotFile
 
 STEPS = 4  # entries looked at in a round of the loop
 REST = 30  # times as long as they took, before the next ones: askers get a small part of the core
@@ -46,8 +46,8 @@
     def _live(self):
         """Something was read or written: the time to the end starts anew."""
         if self.deadline is not None:
-            self.owner.deadlines.cancel(self.deadline)
-        self.deadline = self.owner.deadlines.add(
+            self.owner.timers.cancel(self.deadline)
+        self.deadline = self.owner.timers.add(
             self.owner.clock() + IDLE, self.transport.abortConnection
         )
 
@@ -115,10 +115,10 @@
             if lines:
                 self._live()
                 self.transport.write(b"".join(lines))
-        self.owner.deadlines.add(self.owner.clock() + UPKEEP // 5, self._look)
+        self.owner.timers.add(self.owner.clock() + UPKEEP // 5, self._look)
 
     def connectionLost(self, reason):
-        self.owner.deadlines.cancel(self.deadline)
+        self.owner.timers.cancel(self.deadline)
         self.owner.askers -= 1
         self.steps = None
         if self.watch is not None:
@@ -126,28 +126,28 @@
             self.watch = None
 
 
-class Why:
+class DecisionLogFeature:
     """The feature as the sidecar knows it: `taken`, `ended`, `over` and the decisions' `say`."""
 
-    def __init__(self, sidecar, terms, folder):
-        self.sidecar, self.terms, self.reactor = sidecar, terms, sidecar.reactor
-        self.clock, self.deadlines, self.askers = sidecar.clock, sidecar.deadlines, 0
+    def __init__(self, proxy, terms, folder):
+        self.proxy, self.terms, self.reactor = proxy, terms, proxy.reactor
+        self.clock, self.timers, self.askers = proxy.clock, proxy.timers, 0
         self.took = 0.0  # seconds that an asker's last steps took
         path = None
         if terms.directory:
-            path = os.path.join(folder, terms.directory, f"{sidecar.start.name}.why")
-        self.arena = Arena(terms.megabytes * 1_000_000 // SLOT, path, structured_log.log)
-        self.record = Record(
+            path = os.path.join(folder, terms.directory, f"{proxy.start.name}.why")
+        self.arena = SlotFile(terms.megabytes * 1_000_000 // SLOT, path, structured_log.log)
+        self.record = Recorder(
             terms,
-            sidecar.terms.request_classes,
+            proxy.settings.request_classes,
             self.arena,
-            sidecar.epoch,
-            sidecar.clock,
-            LinearCongruentialGenerator(sidecar.start.seed ^ 0x77),
+            proxy.epoch,
+            proxy.clock,
+            LinearCongruentialGenerator(proxy.start.seed ^ 0x77),
         )
         self.ended, self.over = self.record.ended, self.record.over
         self.done, self.left, self.abandoned = Reason.DONE, Reason.LEFT, Reason.ABANDONED
-        sidecar.refusals.then = self.record.say
+        proxy.refusals.then = self.record.say
         factory = Factory()
         factory.noisy, factory.buildProtocol = False, self._asker
         try:
@@ -184,11 +184,15 @@
 
     def _upkeep(self):
         self.record.flush(self.clock())
-        self.deadlines.add(self.clock() + UPKEEP, self._upkeep)
+        self.timers.add(self.clock() + UPKEEP, self._upkeep)
 
     def taken(self, name, command):
         self.record.taken(
-            name, command.key.decode() or None, command.tenant, command.lane, command.repeat
+            name,
+            command.key.decode() or None,
+            command.tenant,
+            command.request_class,
+            command.repeat,
         )
 
     def reconfigure(self, terms, folder):
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -11,15 +11,15 @@
 
 from ddsketch import DDSketch
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import Idempotency
 from ..interface.reasons import Reason as R
 from ..state.sliding_window import SlidingWindow
 from .entry_codec import NOTES_MOST, SLOT, TEXT_MOST, Entry, packed, pods
-from .fair_eviction import Shares
-from .heavy_hitters import Heavy
+from .fair_eviction import FairEviction
+from .heavy_hitters import HeavyHitters
 
-SECOND = 10_000
-CLOSES_AFTER = SECOND // 20  # what a delivery's end proves is noted just after the answer
+CLOSES_AFTER = TICKS_PER_SECOND // 20  # what a delivery's end proves is noted just after the answer
 VOTES, LEAST = 0.05, 8  # part of the slots; slots of a region at least
 UNUSUAL = 0.6  # of a costly lane's part
 HITTERS, LANES_MOST = 64, 64
@@ -30,8 +30,14 @@
 
 class Region:
     def __init__(self, name, first, slots):
-        self.name, self.first, self.slots, self.used, self.shares = name, first, slots, 0, Shares()
-        self.rate = SlidingWindow(60 * SECOND, 12)
+        self.name, self.first, self.slots, self.used, self.shares = (
+            name,
+            first,
+            slots,
+            0,
+            FairEviction(),
+        )
+        self.rate = SlidingWindow(60 * TICKS_PER_SECOND, 12)
 
     def place(self, holder):
         """A slot for one more of this holder, and whether it was in use."""
@@ -76,7 +82,7 @@
     return found
 
 
-class Record:
+class Recorder:
     """arena: see arena.py. lanes: interface.Lane by name. epoch: Unix time less the clock."""
 
     def __init__(self, terms, lanes, arena, epoch, clock, chance):
@@ -96,7 +102,7 @@
         self.meta, self.by_id, self.by_key, self.by_pod = {}, {}, {}, {}
         self.reasons, self.ends = [0] * (max(R) + 1), {}
         self.share_at, self.share = clock(), 1.0  # of what goes as usual, kept
-        self.times, self.keys, self.tenants = {}, Heavy(HITTERS), Heavy(HITTERS)
+        self.times, self.keys, self.tenants = {}, HeavyHitters(HITTERS), HeavyHitters(HITTERS)
         self.usual, self.watchers = 0, []  # usual: since the share was worked out
         self.recovered, self.torn = self._recover() if arena.path else (0, 0)
 
@@ -178,11 +184,13 @@
             self.closing.append((name, now, held))
 
     def flush(self, now, wait=CLOSES_AFTER):
-        if now - self.share_at >= SECOND and "ordinary" in self.regions:
-            rate = self.usual * SECOND / (now - self.share_at)
+        if now - self.share_at >= TICKS_PER_SECOND and "ordinary" in self.regions:
+            rate = self.usual * TICKS_PER_SECOND / (now - self.share_at)
             self.share_at, self.usual = now, 0
             self.share = min(
-                1.0, self.regions["ordinary"].slots / max(1e-9, rate * self.terms.span / SECOND)
+                1.0,
+                self.regions["ordinary"].slots
+                / max(1e-9, rate * self.terms.span / TICKS_PER_SECOND),
             )
         while self.closing and now - self.closing[0][1] >= wait:
             name, _, held = self.closing.popleft()
--- a/thymeknot/decision_log/settings.py
+++ b/thymeknot/decision_log/settings.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple, Optional
 
 
-class WhyTerms(NamedTuple):
+class DecisionLogSettings(NamedTuple):
     megabytes: int
     directory: Optional[str]
     listen: str
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -15,7 +15,7 @@
 _head = struct.Struct("<8sIIQ")
 
 
-class Arena:
+class SlotFile:
     def __init__(self, slots, path=None, say=lambda event, **fields: None):
         """slots: how many. path: of the file, or None. say(event, **fields) hears of what was set aside."""
         self.slots, self.path, self.file = slots, path, None
@@ -112,7 +112,7 @@
     said = told_of(head, -1)
     if not said.endswith("are set"):
         raise ValueError(f"{path}: {said}")
-    arena = Arena.__new__(Arena)
+    arena = SlotFile.__new__(SlotFile)
     arena.slots, arena.path = _head.unpack(head[: _head.size])[3], path
     with open(path, "rb") as source:
         arena.memory = source.read(HEAD + arena.slots * SLOT).ljust(
--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -10,7 +10,7 @@
 build) come back with that build, or with what there is if it is empty, ("serve",) take new work again at once.
 """
 
-from .targets import Terms
+from .targets import DisruptionSettings
 
 IN, BEGINNING, DRAINING, OUT, RETURNING, LEAVING = (
     "in",
@@ -61,10 +61,15 @@
 EPOCHS_MOST = 64
 
 
-class Holder:
+class DisruptionAgent:
     def __init__(self, unit, start, build, terms=None, now=0, ready=True):
         """start: a number that grows with each start of the process; `now` its monotonic clock."""
-        self.unit, self.start, self.build, self.terms = unit, start, build, terms or Terms()
+        self.unit, self.start, self.build, self.terms = (
+            unit,
+            start,
+            build,
+            terms or DisruptionSettings(),
+        )
         self.state, self.fault = IN if ready else RETURNING, None
         self.heard_at, self.fresh = (
             0,
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -5,7 +5,7 @@
 With `each` it holds for every value of that label by itself: `{"name": "racks", "each": "rack", "most": 1}`.
 """
 
-from .targets import LABELS, Refusal, chosen, named, selector, spoken
+from .targets import LABELS, CommandRejectedError, chosen, named, selector, spoken
 
 BUDGETS_MOST = 64
 ROOMS_MOST = 16_384
@@ -57,10 +57,10 @@
     """A budget in its kept form. Raises Refusal with a sentence that names it."""
     name = given.get("name") if isinstance(given, dict) else None
     if not named(name):
-        raise Refusal("a budget is a mapping with a name")
+        raise CommandRejectedError("a budget is a mapping with a name")
     kinds = [kind for kind in KINDS if kind in given]
     if len(kinds) != 1 or set(given) - {"name", "where", "each", *kinds}:
-        raise Refusal(
+        raise CommandRejectedError(
             f"budget {name} needs exactly one of {', '.join(KINDS)}, and may have where and each",
             [name],
         )
@@ -68,11 +68,13 @@
     if kind == "share":
         # A whole number of a share is most often a percentage that was meant: 10 would be a thousand in a hundred.
         if not isinstance(amount, float) or not 0 < amount < 1:
-            raise Refusal(f"budget {name}: a share is a fraction over 0 and under 1", [name])
+            raise CommandRejectedError(
+                f"budget {name}: a share is a fraction over 0 and under 1", [name]
+            )
     elif isinstance(amount, bool) or not isinstance(amount, int) or not 0 <= amount <= 1_000_000:
-        raise Refusal(f"budget {name}: {kind} is a whole number", [name])
+        raise CommandRejectedError(f"budget {name}: {kind} is a whole number", [name])
     if each is not None and each not in LABELS:
-        raise Refusal(f"budget {name}: each is one of {', '.join(LABELS)}", [name])
+        raise CommandRejectedError(f"budget {name}: each is one of {', '.join(LABELS)}", [name])
     return {
         "name": name,
         "where": selector(given.get("where", {})),
@@ -103,15 +105,17 @@
             room.size += 1
             of[name].append(room)
         if not found:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"budget {one['name']} chooses no unit: {spoken(one['where'])}", [one["name"]]
             )
     if len(made) > ROOMS_MOST:
-        raise Refusal(f"the budgets make {len(made)} places of their own; at most {ROOMS_MOST}")
+        raise CommandRejectedError(
+            f"the budgets make {len(made)} places of their own; at most {ROOMS_MOST}"
+        )
     for room in made.values():
         room.allowed = KINDS[room.kind][0](room.amount, room.size)
         if room.allowed < 1:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"budget {room.name} is impossible: it {room.said()}, and it has {room.size}, "
                 "so nobody could ever go out; to stop all, halt",
                 [room.name],
--- a/thymeknot/disruption/halts.py
+++ b/thymeknot/disruption/halts.py
@@ -1,7 +1,7 @@
 """Halts: what stops, why, and what ends it. A halt holds asks, ends permits that were not begun, and stops releases.
 It never holds one that is out from coming back."""
 
-from .targets import Refusal, chosen, spoken
+from .targets import CommandRejectedError, chosen, spoken
 
 HALTS_MOST = 256
 # cause: (holds the asks of ways back, stops ways back of releases, ends when its budget is whole again). A budget that
@@ -50,7 +50,7 @@
                 break
         else:
             if len(self.all) >= HALTS_MOST:
-                raise Refusal(
+                raise CommandRejectedError(
                     f"{HALTS_MOST} halts stand already; one of all units needs no more beside it"
                 )
         self.number += 1
--- a/thymeknot/disruption/permits.py
+++ b/thymeknot/disruption/permits.py
@@ -11,7 +11,7 @@
 from heapq import heapify, heappop, heappush
 
 from .budgets import rooms
-from .targets import Terms
+from .targets import DisruptionSettings
 
 IN, ASKED, GRANTED, DRAINING, OUT, RETURNING = (
     "in",
@@ -134,7 +134,7 @@
     """All units, who of them is out by room, and the fencing number that never comes twice."""
 
     def __init__(self):
-        self.at, self.fence, self.terms = 0, 0, Terms()
+        self.at, self.fence, self.terms = 0, 0, DisruptionSettings()
         self.units, self.budgets, self.rooms = {}, [], {}
         self.asked, self.held, self.silences = {}, {}, []
         self.freed, self.broken, self.heard = True, [], -1
@@ -297,7 +297,7 @@
     def load(self, image):
         self.__init__()
         self.at, self.fence, self.heard = image["at"], image["fence"], image["heard"]
-        self.terms, self.budgets = Terms(**image["terms"]), image["budgets"]
+        self.terms, self.budgets = DisruptionSettings(**image["terms"]), image["budgets"]
         for name, labels, ask, kept in image["units"]:
             unit = self.units[name] = Unit(name, labels)
             unit.ask = Ask(*ask) if ask else None
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -7,15 +7,15 @@
 
 from heapq import heappop, heappush
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..state.random_source import LinearCongruentialGenerator
-from .agent import Holder
+from .agent import DisruptionAgent
 from .invariant_checker import Outside
-from .state_machine import Machine
-from .targets import Terms
+from .state_machine import DisruptionStateMachine
+from .targets import DisruptionSettings
 
-SECOND = 10_000
-TICK = SECOND // 5
-COLD, WORK = 2 * SECOND, 3 * SECOND
+TICK = TICKS_PER_SECOND // 5
+COLD, WORK = 2 * TICKS_PER_SECOND, 3 * TICKS_PER_SECOND
 
 
 class Client:
@@ -87,7 +87,15 @@
 
 class World:
     def __init__(
-        self, seed, units, budgets, groups, terms=None, loss=0.02, holder=Holder, machine=Machine
+        self,
+        seed,
+        units,
+        budgets,
+        groups,
+        terms=None,
+        loss=0.02,
+        holder=DisruptionAgent,
+        machine=DisruptionStateMachine,
     ):
         """units: labels by name. groups: the budgets again for the checker outside. loss: of each message."""
         self.chance, self.now, self.events, self.count = (
@@ -96,7 +104,12 @@
             [],
             0,
         )
-        self.terms, self.loss, self.cuts, self.made = terms or Terms(), loss, set(), holder
+        self.terms, self.loss, self.cuts, self.made = (
+            terms or DisruptionSettings(),
+            loss,
+            set(),
+            holder,
+        )
         drift = self.terms.drift / 1000
         bound = self.terms.halt_bound()
         self.outside = Outside(groups, self.terms.silent + bound + TICK, bound)
@@ -118,7 +131,7 @@
         heappush(self.events, (self.now + max(1, int(wait)), self.count, call))
 
     def run(self, seconds):
-        end = self.now + int(seconds * SECOND)
+        end = self.now + int(seconds * TICKS_PER_SECOND)
         while self.events and self.events[0][0] <= end:
             self.now, _, call = heappop(self.events)
             call()
@@ -146,7 +159,7 @@
             wait = (
                 20
                 + self.chance.draw() * 80
-                + (self.chance.draw() < 0.02) * self.chance.draw() * 3 * SECOND
+                + (self.chance.draw() < 0.02) * self.chance.draw() * 3 * TICKS_PER_SECOND
             )
             self.after(wait, lambda: self.reach(to, call))
 
@@ -259,7 +272,7 @@
         seat.alive, seat.serving = False, False
         self.outside.crashed(self.now, name)
         if back_after is not None:
-            self.after(back_after * SECOND, lambda: self.restart(name))
+            self.after(back_after * TICKS_PER_SECOND, lambda: self.restart(name))
 
     def restart(self, name):
         seat = self.seats[name]
@@ -278,7 +291,7 @@
     def stop(self, name, seconds):
         """SIGSTOP, and SIGCONT after so long."""
         seat = self.seats[name]
-        seat.stopped_until = self.now + int(seconds * SECOND)
+        seat.stopped_until = self.now + int(seconds * TICKS_PER_SECOND)
 
     def cut(self, names, way="both"):
         for name in names:
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -7,20 +7,20 @@
 a refused begin ends its permit.
 """
 
+from ..interface.clock import TICKS_PER_SECOND
 from . import budgets as budget_words
 from . import scheduler
 from .halts import Halts
 from .permits import ASKED, DRAINING, GRANTED, HELD, OUT, RETURNING, STATUSES, Ask, Fleet
 from .rollouts import BACK, ENDED, PLAN, Releases
-from .targets import Refusal, Terms, chosen, labels, named, selector
+from .targets import CommandRejectedError, DisruptionSettings, chosen, labels, named, selector
 
-SECOND = 10_000
 SIZE_MOST = 65_536  # what a command may weigh, about its bytes as msgpack
 UNITS_MOST = 65_536
 ASKED_MOST = 1_024  # that wait at once; releases feed theirs in
 PLANS_MOST = 256
 FORGET = (
-    24 * 3_600 * SECOND
+    24 * 3_600 * TICKS_PER_SECOND
 )  # an unused plan's epoch is remembered for so long: no command travels longer
 SHOWN_MOST = 512  # units in one status
 VERDICTS = ("on", "hold", "back")
@@ -140,7 +140,7 @@
     return total
 
 
-class Machine:
+class DisruptionStateMachine:
     def __init__(self):
         self.fleet, self.halts = Fleet(), Halts()
         self.releases = Releases(self.fleet, self.halts)
@@ -154,7 +154,7 @@
         try:
             do, fields = self.read(command)
             reply = {"ok": True, **(getattr(self, "_" + do)(**fields) or {})}
-        except Refusal as refusal:
+        except CommandRejectedError as refusal:
             do = None
             reply = {"refused": refusal.sentence, "by": refusal.by, "again": refusal.again}
         self.settle(do)
@@ -168,31 +168,35 @@
     def read(self, command):
         """What is to be done, and its fields by FIELDS. Raises Refusal."""
         if type(command) is not dict or weight(command) > SIZE_MOST:
-            raise Refusal(f"a command is a mapping of plain values of at most {SIZE_MOST} bytes")
+            raise CommandRejectedError(
+                f"a command is a mapping of plain values of at most {SIZE_MOST} bytes"
+            )
         do = command.get("do")
         fields = FIELDS.get(do) if isinstance(do, str) else None
         if fields is None:
-            raise Refusal(f"no command {str(do)[:40]!r}; there are {', '.join(FIELDS)}")
+            raise CommandRejectedError(
+                f"no command {str(do)[:40]!r}; there are {', '.join(FIELDS)}"
+            )
         if command.get("part", "turns") != "turns":
-            raise Refusal("this command is for another part")
+            raise CommandRejectedError("this command is for another part")
         unknown = [
             str(field)[:40]
             for field in command
             if field not in fields and field not in ("do", "part")
         ]
         if unknown:
-            raise Refusal(f"{do} has no field {unknown[0]!r}")
+            raise CommandRejectedError(f"{do} has no field {unknown[0]!r}")
         read = {}
         for field, ((check, words), default) in fields.items():
             value = command.get(field)
             if value is None:
                 if default is REQUIRED:
-                    raise Refusal(f"{do} needs {field}: {words}")
+                    raise CommandRejectedError(f"{do} needs {field}: {words}")
                 read[field] = default
             elif check(value):
                 read[field] = value
             else:
-                raise Refusal(f"{do}: {field} is not {words}")
+                raise CommandRejectedError(f"{do}: {field} is not {words}")
         return do, read
 
     def settle(self, do):
@@ -230,7 +234,7 @@
                             release=release.name,
                         )
                     )
-        except Refusal:
+        except CommandRejectedError:
             pass  # so many halts stand; the budget itself still grants nothing
 
     def held(self, unit):
@@ -247,7 +251,7 @@
     def unit(self, name):
         unit = self.fleet.units.get(name)
         if unit is None:
-            raise Refusal(f"no unit {name} was declared", [name])
+            raise CommandRejectedError(f"no unit {name} was declared", [name])
         return unit
 
     def newest(self, plan, epoch):
@@ -266,10 +270,12 @@
                 ]:
                     del self.plans[name]
             if len(self.plans) >= PLANS_MOST:
-                raise Refusal(f"{PLANS_MOST} plans are known already", again=FORGET)
+                raise CommandRejectedError(f"{PLANS_MOST} plans are known already", again=FORGET)
             known = self.plans[plan] = [epoch, self.fleet.at]
         if epoch < known[0]:
-            raise Refusal(f"epoch {epoch} of {plan} is over; it is {known[0]} now", [plan])
+            raise CommandRejectedError(
+                f"epoch {epoch} of {plan} is over; it is {known[0]} now", [plan]
+            )
         if epoch > known[0]:
             for unit in [*self.fleet.asked.values(), *self.fleet.held.values()]:
                 if unit.ask.plan == plan and unit.state in (ASKED, GRANTED):
@@ -280,7 +286,7 @@
 
     def _declare(self, epoch, units, gone, budgets, terms):
         if epoch < self.epoch:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"a declaration of epoch {epoch} is older than that of epoch {self.epoch}"
             )
         fleet = self.fleet
@@ -288,24 +294,24 @@
         for name, given in (units or {}).items():
             given = labels(name, given)
             if name in wanted and wanted[name] != given and fleet.units[name].state in HELD:
-                raise Refusal(
+                raise CommandRejectedError(
                     f"unit {name} is {fleet.units[name].state}: it can't be moved meanwhile", [name]
                 )
             wanted[name] = given
         for name in gone or []:
             if not named(name) or name not in wanted:
-                raise Refusal(f"no unit {str(name)[:40]} was declared")
+                raise CommandRejectedError(f"no unit {str(name)[:40]} was declared")
             if name in fleet.units and fleet.units[name].state in HELD:
-                raise Refusal(
+                raise CommandRejectedError(
                     f"unit {name} is {fleet.units[name].state}: it can't be taken away meanwhile",
                     [name],
                 )
             del wanted[name]
         if len(wanted) > UNITS_MOST:
-            raise Refusal(f"more than {UNITS_MOST} units")
+            raise CommandRejectedError(f"more than {UNITS_MOST} units")
         kept = fleet.budgets if budgets is None else [budget_words.budget(one) for one in budgets]
         if len({one["name"] for one in kept}) < len(kept) or len(kept) > budget_words.BUDGETS_MOST:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"budgets have names of their own, and are at most {budget_words.BUDGETS_MOST}"
             )
         made = self.terms(terms or {})
@@ -316,23 +322,23 @@
     def terms(self, given):
         now = self.fleet.terms.plain()
         for name, value in given.items():
-            _, least, most = Terms.RANGES.get(name, (0, 1, 0))
+            _, least, most = DisruptionSettings.RANGES.get(name, (0, 1, 0))
             if not natural(value) or not least <= value <= most:
-                raise Refusal(
+                raise CommandRejectedError(
                     f"term {str(name)[:40]} is unknown, or not a whole number of {least} to {most}"
                 )
             now[name] = value
         if now["permit"] < now["bound"] or now["silent"] < now["bound"]:
-            raise Refusal(
+            raise CommandRejectedError(
                 "permits and silence last at least for the bound: else a holder could begin after both"
             )
-        return Terms(**now)
+        return DisruptionSettings(**now)
 
     def _seen(self, as_of, units):
         """units: {name: [status, start, build]}. Units that are not declared, or told of in another form, are
         counted in the reply and say nothing; the others are taken."""
         if as_of > self.fleet.at:
-            raise Refusal(f"as_of {as_of} is ahead of agreed time {self.fleet.at}")
+            raise CommandRejectedError(f"as_of {as_of} is ahead of agreed time {self.fleet.at}")
         self.fleet.heard = self.fleet.at
         orders, strange = {}, []
         for name, told in sorted(units.items(), key=lambda pair: str(pair[0])):
@@ -373,15 +379,21 @@
     def _ask(self, unit, plan, epoch, urgency, build, queue):
         one = self.unit(unit)
         if plan.startswith(PLAN):
-            raise Refusal(f"plans that begin with {PLAN} are asked for by releases", [plan])
+            raise CommandRejectedError(
+                f"plans that begin with {PLAN} are asked for by releases", [plan]
+            )
         self.newest(plan, epoch)
         if one.ask and one.ask.plan != plan:
-            raise Refusal(
-                f"unit {unit} is {one.state} by {one.ask.plan} already", [one.ask.plan], SECOND
+            raise CommandRejectedError(
+                f"unit {unit} is {one.state} by {one.ask.plan} already",
+                [one.ask.plan],
+                TICKS_PER_SECOND,
             )
         if not one.ask:
             if len(self.fleet.asked) >= ASKED_MOST:
-                raise Refusal(f"{ASKED_MOST} units wait already", again=10 * SECOND)
+                raise CommandRejectedError(
+                    f"{ASKED_MOST} units wait already", again=10 * TICKS_PER_SECOND
+                )
             ask = Ask(self.fleet.at, urgency, plan, epoch, False, build)
             if not queue:
                 self.at_once(one, ask)
@@ -397,7 +409,7 @@
         why, by = scheduler.waits(self.fleet, unit) if full else (sentence, [])
         unit.ask = None
         if sentence or full:
-            raise Refusal(sentence or why, by, SECOND)
+            raise CommandRejectedError(sentence or why, by, TICKS_PER_SECOND)
 
     def answer(self, name):
         """Where a unit stands: its order, or why it waits."""
@@ -416,7 +428,7 @@
         if unit.state == ASKED:
             halted = self.held(unit)
             why, by = (halted, []) if halted else scheduler.waits(self.fleet, unit)
-            reply.update(waits=why, by=by, again=SECOND)
+            reply.update(waits=why, by=by, again=TICKS_PER_SECOND)
         return reply
 
     def _tick(self):
@@ -427,12 +439,12 @@
         unit = self.unit(name)
         if unit.state not in HELD:
             waits = self.answer(name).get("waits")
-            raise Refusal(
+            raise CommandRejectedError(
                 f"unit {name} has no permit; it is {unit.state}" + (f": {waits}" if waits else ""),
                 [name],
             )
         if fence != unit.fence:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"permit {fence} of unit {name} is over; the newest is {unit.fence}", [name]
             )
         return unit
@@ -440,21 +452,25 @@
     def _begin(self, unit, fence, epoch, start):
         one, at = self.permitted(unit, fence), self.fleet.at
         if start != one.start:
-            raise Refusal(f"permit {fence} was given to another start of unit {unit}", [unit])
+            raise CommandRejectedError(
+                f"permit {fence} was given to another start of unit {unit}", [unit]
+            )
         if epoch != one.ask.epoch or self.plans.get(one.ask.plan, [epoch])[0] != epoch:
-            raise Refusal(f"epoch {epoch} of {one.ask.plan} is over", [one.ask.plan])
+            raise CommandRejectedError(f"epoch {epoch} of {one.ask.plan} is over", [one.ask.plan])
         if one.state == DRAINING:
             return {"unit": unit, "late": True}  # said twice: an answer was lost
         if one.state != GRANTED:
-            raise Refusal(f"unit {unit} is {one.state}: it has begun already", [unit])
+            raise CommandRejectedError(f"unit {unit} is {one.state}: it has begun already", [unit])
         halted, over = self.held(one), self.fleet.over(one)
         if over and not one.idle(at, self.fleet.terms.silent):
             # Others crashed since it was granted. One that does not serve may go: it may be what mends it.
             self.fleet.step(one, "halted")
-            raise Refusal(scheduler.way(self.fleet, over), [over.name, *sorted(over.outs)], SECOND)
+            raise CommandRejectedError(
+                scheduler.way(self.fleet, over), [over.name, *sorted(over.outs)], TICKS_PER_SECOND
+            )
         if halted:
             self.fleet.step(one, "halted")
-            raise Refusal(halted, again=SECOND)
+            raise CommandRejectedError(halted, again=TICKS_PER_SECOND)
         self.fleet.step(one, "began")
         return {"unit": unit, "late": True}
 
@@ -472,9 +488,11 @@
 
     def _halt(self, by, why, where, release, cause):
         if (where is None) == (release is None):
-            raise Refusal("a halt is of a release or of where a selector says: {} is all")
+            raise CommandRejectedError(
+                "a halt is of a release or of where a selector says: {} is all"
+            )
         if release is not None and release not in self.releases.all:
-            raise Refusal(f"no release {release}", [release])
+            raise CommandRejectedError(f"no release {release}", [release])
         where = selector(where) if where is not None else None
         halt = self.halts.add(self.fleet.at, cause, why, by, where, release)
         self.stop(halt)
@@ -483,7 +501,7 @@
     def _resume(self, halt):
         found = self.halts.all.pop(halt, None)
         if found is None:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"no halt {halt} stands; there are {', '.join(map(str, sorted(self.halts.all))) or 'none'}"
             )
         self.fleet.freed = True
@@ -491,7 +509,7 @@
 
     def _back(self, release, unit, plan, epoch):
         if sum(one is not None for one in (release, unit, plan)) != 1:
-            raise Refusal("back is of one release, unit or plan")
+            raise CommandRejectedError("back is of one release, unit or plan")
         if release is not None:
             return self.turn(release, epoch)
         if unit is not None:
@@ -504,7 +522,7 @@
             ]
         mine = [one for one in units if one.ask and one.ask.plan.startswith(PLAN)]
         if mine:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"unit {mine[0].name} is {mine[0].state} by {mine[0].ask.plan}: bring the release back",
                 [mine[0].ask.plan],
             )
@@ -515,20 +533,20 @@
     def turn(self, name, epoch):
         release = self.releases.all.get(name)
         if release is None:
-            raise Refusal(f"no release {name}", [name])
+            raise CommandRejectedError(f"no release {name}", [name])
         if epoch is not None and epoch < release.epoch:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"epoch {epoch} of release {name} is over; it is {release.epoch} now", [name]
             )
         other = self.releases.before(None, set(release.members)) if release.state in ENDED else None
         if other:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"release {other.name} is {other.state} with units of {name}: it goes first",
                 [other.name],
-                10 * SECOND,
+                10 * TICKS_PER_SECOND,
             )
         if not self.releases.step(release, "turned"):
-            raise Refusal(
+            raise CommandRejectedError(
                 f"release {name} is {release.state}: there is nothing to bring back", [name]
             )
         return {"release": name, "state": release.state}
@@ -536,25 +554,25 @@
     def _release(self, release, epoch, where, build, earlier, waves, gate, auto, urgency, wait):
         known = self.releases.all.get(release)
         if known and epoch < known.epoch:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"epoch {epoch} of release {release} is over; it is {known.epoch} now", [release]
             )
         if known and epoch == known.epoch:
             if (known.build, known.earlier) != (build, earlier):
-                raise Refusal(
+                raise CommandRejectedError(
                     f"release {release} of epoch {epoch} is of build {known.build}; a new one needs a "
                     "higher epoch",
                     [release],
                 )
             return {"release": release, "state": known.state}  # said twice
         if known and known.state not in ENDED:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"release {release} is {known.state}; its way back goes first",
                 [release],
-                10 * SECOND,
+                10 * TICKS_PER_SECOND,
             )
         if build == earlier:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"build {build} is the earlier one too: there is nothing to release", [release]
             )
         kept = selector(where)
@@ -562,7 +580,7 @@
             name for name, unit in sorted(self.fleet.units.items()) if chosen(kept, unit.labels)
         ]
         if not members:
-            raise Refusal(f"release {release} chooses no unit", [release])
+            raise CommandRejectedError(f"release {release} chooses no unit", [release])
         # Racks in turn: else those that ask at once would stand in few racks, whose budgets let few of them go.
         racks, turn = {}, {}
         for name in members:
@@ -573,13 +591,15 @@
         other = self.releases.before(None, set(members))
         if other and not wait:
             doing = "on its way back" if other.state in BACK else other.state
-            raise Refusal(
+            raise CommandRejectedError(
                 f"release {other.name} is {doing} with the same units; ask again after it, or with wait",
                 [other.name],
-                10 * SECOND,
+                10 * TICKS_PER_SECOND,
             )
         if not self.releases.forget():
-            raise Refusal("too many releases are under way", again=60 * SECOND)
+            raise CommandRejectedError(
+                "too many releases are under way", again=60 * TICKS_PER_SECOND
+            )
         made = self.releases.add(release, epoch, members, build, earlier, ends, gate, auto, urgency)
         return {
             "release": release,
@@ -595,9 +615,9 @@
             isinstance(part, bool) or not isinstance(part, int | float) or not 0 < part <= 1
             for part in given
         ):
-            raise Refusal("waves are 1 to 64 shares over 0, up to 1")
+            raise CommandRejectedError("waves are 1 to 64 shares over 0, up to 1")
         if sorted(set(given)) != given or given[-1] != 1:
-            raise Refusal("waves are rising shares of all units, and the last is 1")
+            raise CommandRejectedError("waves are rising shares of all units, and the last is 1")
         return sorted({max(1, int(part * many + 1e-9)) for part in given})
 
     def _vote(self, release, epoch, wave, verdict, why):
@@ -605,10 +625,10 @@
         back while it did not begin, `back` halts and, with auto, turns the release."""
         known = self.releases.all.get(release)
         if known is None or epoch != known.epoch:
-            raise Refusal(f"no release {release} of epoch {epoch}", [release])
+            raise CommandRejectedError(f"no release {release} of epoch {epoch}", [release])
         if verdict == "back":
             if known.state not in ("going", "halted"):
-                raise Refusal(
+                raise CommandRejectedError(
                     f"release {release} is {known.state}: there is nothing to turn", [release]
                 )
             halt = self.halts.add(
@@ -628,7 +648,7 @@
                 "bound": self.fleet.terms.halt_bound(),
             }
         if wave != known.wave:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"release {release} is in wave {known.wave}, the vote is on wave {wave}", [release]
             )
         known.voted = wave + 1 if verdict == "on" else wave
@@ -637,16 +657,16 @@
     def _cancel(self, unit, plan, epoch):
         one = self.unit(unit)
         if not one.ask or plan is not None and one.ask.plan != plan:
-            raise Refusal(
+            raise CommandRejectedError(
                 f"unit {unit} is {one.state}" + (f" by {one.ask.plan}" if one.ask else ""), [unit]
             )
         if one.ask.plan.startswith(PLAN):
-            raise Refusal(
+            raise CommandRejectedError(
                 f"unit {unit} is {one.state} by {one.ask.plan}: halt the release or bring it back",
                 [one.ask.plan],
             )
         if epoch is not None and epoch < one.ask.epoch:
-            raise Refusal(f"epoch {epoch} of {one.ask.plan} is over", [one.ask.plan])
+            raise CommandRejectedError(f"epoch {epoch} of {one.ask.plan} is over", [one.ask.plan])
         self.fleet.step(one, "turned")
         return {"unit": unit, "late": True}
 
--- a/thymeknot/disruption/targets.py
+++ b/thymeknot/disruption/targets.py
@@ -9,7 +9,7 @@
 NAME_MOST = 128  # characters of a name; what a log keeps for ever must not be a letter of someone's
 
 
-class Refusal(Exception):
+class CommandRejectedError(Exception):
     """What the machine answers instead of doing it: a sentence, who stands in the way, and when to come again."""
 
     def __init__(self, sentence, by=(), again=0):
@@ -17,7 +17,7 @@
         self.sentence, self.by, self.again = sentence, list(by), again
 
 
-class Terms:
+class DisruptionSettings:
     """What an operator sets for all, in tenths of a millisecond unless said otherwise."""
 
     # name: (default, least, most)
@@ -58,23 +58,25 @@
 def labels(name, given):
     """The labels of a unit as they are kept. Raises Refusal with a sentence that names it."""
     if not named(name):
-        raise Refusal("a unit's name is 1 to %d printable characters" % NAME_MOST)
+        raise CommandRejectedError("a unit's name is 1 to %d printable characters" % NAME_MOST)
     if not isinstance(given, dict) or any(
         label not in LABELS or not named(value) for label, value in given.items()
     ):
-        raise Refusal(
+        raise CommandRejectedError(
             f"unit {name} has a label that is unknown or no name; there are {', '.join(LABELS)}",
             [name],
         )
     if given.get("kind") not in KINDS:
-        raise Refusal(f"unit {name} is neither of {' and '.join(KINDS)}", [name])
+        raise CommandRejectedError(f"unit {name} is neither of {' and '.join(KINDS)}", [name])
     return {label: given[label] for label in LABELS if label in given}
 
 
 def selector(given):
     """A selector in its kept form: sorted pairs of a label and its sorted values. Raises Refusal."""
     if not isinstance(given, dict):
-        raise Refusal("a selector is a mapping of labels to a value or a list of values")
+        raise CommandRejectedError(
+            "a selector is a mapping of labels to a value or a list of values"
+        )
     pairs = []
     for label, values in given.items():
         values = [values] if isinstance(values, str) else values
@@ -84,7 +86,7 @@
             or not values
             or not all(map(named, values))
         ):
-            raise Refusal(
+            raise CommandRejectedError(
                 f"a selector has {str(label)[:NAME_MOST]!r} that is no label, or no values for it"
             )
         pairs.append([label, sorted(set(values))])
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -12,11 +12,11 @@
 import msgspec
 from msgspec import Meta
 
+from ..interface.clock import TICKS_PER_SECOND
 from . import jobs, placement_score
 from .jobs import Amount, Gang, Name, Span
 from .topology import HOST_LINK, Places, Stated
 
-SECOND = 10_000
 OFFERED, HELD, BOUND, RUNNING, HURT, MOVING, DONE, REFUSED = (
     "offered",
     "held",
@@ -63,18 +63,20 @@
 LEASED = (HELD, BOUND, HURT, MOVING)
 
 
-class Terms(msgspec.Struct, frozen=True):
+class GangSettings(msgspec.Struct, frozen=True):
     """What the operator may set. Times in tenths of a millisecond."""
 
-    hold: int = 10 * SECOND  # from hold to bind
-    start: int = 30 * SECOND  # from bind, or from a mend, to start
-    mend: int = 60 * SECOND  # from the loss to a mend
-    age: int = 60 * SECOND  # each such time of waiting is worth one step of priority
-    patience: int = 60 * SECOND  # who waited so long gets room kept
-    starved: int = 1800 * SECOND  # who waited so long counts as within its publisher's share
+    hold: int = 10 * TICKS_PER_SECOND  # from hold to bind
+    start: int = 30 * TICKS_PER_SECOND  # from bind, or from a mend, to start
+    mend: int = 60 * TICKS_PER_SECOND  # from the loss to a mend
+    age: int = 60 * TICKS_PER_SECOND  # each such time of waiting is worth one step of priority
+    patience: int = 60 * TICKS_PER_SECOND  # who waited so long gets room kept
+    starved: int = (
+        1800 * TICKS_PER_SECOND
+    )  # who waited so long counts as within its publisher's share
     tries: int = 8  # leases of one gang that may lapse in a row
-    again: int = SECOND  # back-off after the first; twice as long after each further one
-    again_most: int = 60 * SECOND
+    again: int = TICKS_PER_SECOND  # back-off after the first; twice as long after each further one
+    again_most: int = 60 * TICKS_PER_SECOND
     preempted_most: int = 2  # times in a gang's life
     ending_most: int = 4  # gangs that end for others at once
     remembered: int = 1000  # gangs that are done or refused
@@ -242,7 +244,7 @@
 ]
 
 
-class No(Exception):
+class CommandRejectedError(Exception):
     """A refusal on its way to the reply."""
 
     def __init__(self, sentence, by=(), again=0):
@@ -250,11 +252,11 @@
         self.reply = {"refused": sentence, "by": sorted(by)[:8], "again": again}
 
 
-class Machine:
+class GangStateMachine:
     """The state and its commands. Not for threads; each keeper has its own, all alike."""
 
     def __init__(self, terms=None):
-        self.terms, self.all = terms or Terms(), Image()
+        self.terms, self.all = terms or GangSettings(), Image()
         self._used = (
             None  # slots by publisher, counted once for each command: every waiting gang asks
         )
@@ -273,8 +275,10 @@
             reply = getattr(self, "_" + type(asked).__name__.lower())(asked)
             return {"ok": True, **(reply or {})}
         except msgspec.ValidationError as bad:
-            return self._refused(No(f"The command can't be read: {str(bad)[:200]}."))
-        except No as refusal:
+            return self._refused(
+                CommandRejectedError(f"The command can't be read: {str(bad)[:200]}.")
+            )
+        except CommandRejectedError as refusal:
             return self._refused(refusal)
 
     def _refused(self, refusal):
@@ -318,7 +322,7 @@
         life = self._life(name)
         step = TABLE.get((life.state, what))
         if step is None:
-            raise No(
+            raise CommandRejectedError(
                 f"Gang {name} is {life.state}: {what} does not go with that.",
                 [name],
                 self._left(life),
@@ -401,13 +405,13 @@
 
     def _stand(self, asked):
         if asked.rack in self.all.places.racks:
-            raise No(f"Rack {asked.rack} stands already.")
+            raise CommandRejectedError(f"Rack {asked.rack} stands already.")
         try:
             self.all.places.stand(
                 asked.rack, asked.zone, asked.cluster, asked.bandwidth, asked.machines, asked.link
             )
         except ValueError as bad:
-            raise No(str(bad)) from None
+            raise CommandRejectedError(str(bad)) from None
 
     def _uplink(self, asked):
         self.all.places.uplinks[asked.of] = asked.bandwidth
@@ -417,7 +421,7 @@
             share for publisher, share in self.all.shares.items() if publisher != asked.publisher
         )
         if others + asked.thousandths > 1000:
-            raise No(
+            raise CommandRejectedError(
                 f"The shares of all publishers would be {others + asked.thousandths} thousandths."
             )
         self.all.shares[asked.publisher] = asked.thousandths
@@ -432,16 +436,22 @@
     def _offer(self, asked):
         name = asked.gang
         if name in self.all.gangs:
-            raise No(f"Gang {name} is {self.all.gangs[name].state} already.", [name])
+            raise CommandRejectedError(
+                f"Gang {name} is {self.all.gangs[name].state} already.", [name]
+            )
         if name in self.all.ended:
-            raise No(f"Gang {name} was {self.all.ended[name]}; a new one needs a new name.", [name])
+            raise CommandRejectedError(
+                f"Gang {name} was {self.all.ended[name]}; a new one needs a new name.", [name]
+            )
         if sentence := jobs.wrong(asked.job):
-            raise No(sentence, [name])
+            raise CommandRejectedError(sentence, [name])
         if len(self.all.gangs) >= self.terms.offered_most:
-            raise No("Too many gangs are here already.", again=self.terms.again_most)
+            raise CommandRejectedError(
+                "Too many gangs are here already.", again=self.terms.again_most
+            )
         whole = self.all.places.whole(asked.job.shape())
         if whole < asked.job.workers:
-            raise No(
+            raise CommandRejectedError(
                 f"All machines together have room for {whole} of its {asked.job.workers} workers.",
                 [name],
             )
@@ -451,13 +461,15 @@
     def _hold(self, asked):
         name, life, places = asked.gang, self._life(asked.gang), asked.places
         if life.state != OFFERED:
-            raise No(f"Gang {name} is {life.state}, not offered.", [name], self._left(life))
+            raise CommandRejectedError(
+                f"Gang {name} is {life.state}, not offered.", [name], self._left(life)
+            )
         if life.again > self.all.at:
-            raise No(
+            raise CommandRejectedError(
                 f"Gang {name} backs off after {life.tries} tries.", [name], life.again - self.all.at
             )
         if sum(places.values()) != life.gang.workers:
-            raise No(
+            raise CommandRejectedError(
                 f"All or none: {sum(places.values())} of {life.gang.workers} workers have a place.",
                 [name],
             )
@@ -498,9 +510,9 @@
         name = self._fenced(asked)
         life, places = self.all.gangs[name], asked.places
         if life.state != HURT:
-            raise No(f"Gang {name} is {life.state}, not hurt.", [name])
+            raise CommandRejectedError(f"Gang {name} is {life.state}, not hurt.", [name])
         if sum(places.values()) != life.gang.workers:
-            raise No(
+            raise CommandRejectedError(
                 f"All or none: {sum(places.values())} of {life.gang.workers} workers have a place.",
                 [name],
             )
@@ -563,7 +575,7 @@
             ),
         ):
             if bad:
-                raise No(sentence, [asked.gang], max(0, again))
+                raise CommandRejectedError(sentence, [asked.gang], max(0, again))
         victim.ending = asked.by
         victim.ends = self.all.at + 2 * victim.gang.checkpoint
         return {"until": victim.ends}
@@ -573,11 +585,13 @@
         if asked.kind == "worker":
             life = self._life(asked.gang)
             if not life.places.get(asked.name):
-                raise No(f"Gang {asked.gang} has no worker on {asked.name}.", [asked.gang])
+                raise CommandRejectedError(
+                    f"Gang {asked.gang} has no worker on {asked.name}.", [asked.gang]
+                )
             self._go(asked.gang, "lost", dropped={asked.name: 1})
             return {"gangs": [asked.gang]}
         if asked.kind == "rack" and asked.name not in places.racks:
-            raise No(f"No rack {asked.name} stands here.")
+            raise CommandRejectedError(f"No rack {asked.name} stands here.")
         machines = (
             list(places.racks[asked.name].hosts)
             if asked.kind == "rack"
@@ -610,7 +624,9 @@
         machine = self._known(asked.machine)
         host = self.all.places.host(machine)
         if host.closed and host.closed != asked.drain:
-            raise No(f"Machine {machine} is drain {host.closed}'s already.", [host.closed])
+            raise CommandRejectedError(
+                f"Machine {machine} is drain {host.closed}'s already.", [host.closed]
+            )
         host.closed = asked.drain
         self.all.places.changed(machine)
         waits, again = [], 0
@@ -631,10 +647,10 @@
                 else self._left(life),
             )
         if waits:
-            raise No(
+            raise CommandRejectedError(
                 f"Gang {waits[0]} runs on {machine} until its checkpoint.",
                 waits,
-                max(SECOND // 10, again),
+                max(TICKS_PER_SECOND // 10, again),
             )
         return {"gangs": self._off([machine], "taken")}
 
@@ -661,17 +677,17 @@
             self._known(machine)
         racks = sorted(known.counts(places))
         if unread := [name for name in racks if name not in versions]:
-            raise No(f"No version of rack {unread[0]} was scored.", unread)
+            raise CommandRejectedError(f"No version of rack {unread[0]} was scored.", unread)
         if stale := self._stale(racks, versions):
-            raise No(
+            raise CommandRejectedError(
                 f"Rack {stale[0]} is at version {known.racks[stale[0]].version}, scored at {versions[stale[0]]}.",
                 stale,
-                SECOND // 100,
+                TICKS_PER_SECOND // 100,
             )
         if full := [
             machine for machine, many in places.items() if known.host(machine).fits(shape) < many
         ]:
-            raise No(
+            raise CommandRejectedError(
                 f"Machine {full[0]} has no room for {places[full[0]]} workers.",
                 full,
                 self.terms.again,
@@ -710,7 +726,7 @@
             room -= before - max(0, host.fits(shape))
             host.take(-many, life.gang.shape())
         if room < head.gang.workers:
-            raise No(
+            raise CommandRejectedError(
                 f"Gang {first[1]} is due before {name} and would find no room.",
                 [first[1]],
                 self.terms.again,
@@ -751,7 +767,7 @@
     def _life(self, name):
         if name in self.all.gangs:
             return self.all.gangs[name]
-        raise No(
+        raise CommandRejectedError(
             f"Gang {name} was {self.all.ended[name]}."
             if name in self.all.ended
             else f"No gang {name} is known.",
@@ -761,14 +777,14 @@
     def _fenced(self, asked):
         life = self._life(asked.gang)
         if asked.fence != life.fence:
-            raise No(
+            raise CommandRejectedError(
                 f"Gang {asked.gang} is at fence {life.fence}, not {asked.fence}.", [asked.gang]
             )
         return asked.gang
 
     def _known(self, machine):
         if machine not in self.all.places.where:
-            raise No(f"No machine {machine} stands here.")
+            raise CommandRejectedError(f"No machine {machine} stands here.")
         return machine
 
     def _left(self, life):
--- a/thymeknot/gossip/keyring.py
+++ b/thymeknot/gossip/keyring.py
@@ -15,7 +15,7 @@
 MOST_HOSTS = 4096  # whose answer of the address set is remembered
 
 
-class Unusable(ValueError):
+class KeyringError(ValueError):
     """A key, ring or network that can't be used; the text says which."""
 
 
@@ -40,7 +40,7 @@
         return base64.b64encode(self.public).decode()
 
 
-def made(name):
+def new_identity(name):
     return Identity(name, Ed25519PrivateKey.generate())
 
 
@@ -49,9 +49,9 @@
     try:
         private = serialization.load_pem_private_key(content, None)
     except (ValueError, TypeError) as error:
-        raise Unusable(f"no private key that can be read: {error}") from None
+        raise KeyringError(f"no private key that can be read: {error}") from None
     if not isinstance(private, Ed25519PrivateKey):
-        raise Unusable("the private key is none of Ed25519")
+        raise KeyringError("the private key is none of Ed25519")
     return Identity(name, private)
 
 
@@ -61,7 +61,7 @@
     until: float  # Unix seconds; after it the key is nobody's
 
 
-class Ring:
+class Keyring:
     """The peers' public keys. A key counts from when the ring holds it until its stated end or its revocation."""
 
     def __init__(self, peers, revoked=()):
@@ -77,12 +77,12 @@
                     continue
                 holder = self.entries.get(number)
                 if holder and holder.name != peer.name:
-                    raise Unusable(f"the same key stands for {holder.name} and for {peer.name}")
+                    raise KeyringError(f"the same key stands for {holder.name} and for {peer.name}")
                 self.entries[number] = Entry(
                     peer.name, Ed25519PublicKey.from_public_bytes(public), _unix(told.until)
                 )
         if len(self.groups) != len(peers):
-            raise Unusable("a name stands twice among the peers")
+            raise KeyringError("a name stands twice among the peers")
 
     def owner(self, number, unix):
         """The name that a key belongs to now, or None."""
@@ -108,17 +108,17 @@
     try:
         return calendar.timegm(time.strptime(text, "%Y-%m-%dT%H:%M:%SZ"))
     except ValueError:
-        raise Unusable(f"{text} is no time such as 2027-01-31T00:00:00Z") from None
+        raise KeyringError(f"{text} is no time such as 2027-01-31T00:00:00Z") from None
 
 
-class Sources:
+class AllowedNetworks:
     """The set of networks that peers may speak from."""
 
     def __init__(self, networks):
         try:
             self.set = IPSet([IPNetwork(one) for one in networks])
         except (AddrFormatError, ValueError) as error:
-            raise Unusable(f"from: {error}") from None
+            raise KeyringError(f"from: {error}") from None
         self.known = {}
 
     def __contains__(self, host):
--- a/thymeknot/gossip/keys.py
+++ b/thymeknot/gossip/keys.py
@@ -7,7 +7,7 @@
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
-from .keyring import Identity, Unusable, read_identity
+from .keyring import Identity, KeyringError, read_identity
 
 
 def record(identity):
@@ -42,7 +42,7 @@
         else:
             with open(chosen.file, "rb") as source:
                 identity = read_identity(chosen.name, source.read())
-    except (OSError, Unusable) as error:
+    except (OSError, KeyringError) as error:
         print(f"keys: {error}", file=sys.stderr)
         return 2
     print(record(identity))
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -6,9 +6,9 @@
 
 from math import log
 
-from .replay_window import Window
+from ..interface.clock import TICKS_PER_SECOND
+from .replay_window import ReplayWindow
 
-SECOND = 10_000
 UNPROVED, ALIVE, SUSPECT, DEAD, LEFT = "unproved", "alive", "suspect", "dead", "left"
 LOOKERS = 16  # of all instances, in a period, that look at one who was accused: it must answer them
 LOOKS_LEAST = 4  # own probes that must fail before one is dead, however long that takes
@@ -61,7 +61,7 @@
 
     def __init__(self, name):
         self.name, self.address, self.state, self.since, self.rested = name, None, UNPROVED, 0, 0
-        self.looked, self.told_at = -SECOND, 0
+        self.looked, self.told_at = -TICKS_PER_SECOND, 0
         self.begin(None)
 
     def begin(self, start):
@@ -73,7 +73,7 @@
             0,
             {},
         )
-        self.frames, self.items, self.digests = Window(FRAMES), Window(ITEMS), {}
+        self.frames, self.items, self.digests = ReplayWindow(FRAMES), ReplayWindow(ITEMS), {}
 
     def remember(self, number, digest):
         """Keeps what an item's bytes were, for a while: another content under its number is a lie in two tongues."""
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -8,25 +8,28 @@
 from hashlib import blake2b
 from typing import NamedTuple
 
+from ..interface.clock import TICKS_PER_SECOND
 from . import codec
 from .codec import Accuse, Ack, Alive, Ask, Claim, Frame, Hints, Item, Left, Passed, Ping, Push
 from .dissemination_queue import Rumours
 from .membership import ALIVE, DEAD, SUSPECT, UNPROVED, Members
-from .rate_limits import SECOND, Checking, Sending
+from .rate_limits import Checking, Sending
 from .suspicion import Belief
 
-TICK = SECOND // 10
+TICK = TICKS_PER_SECOND // 10
 PUSHES = 5  # rounds of rumours in a period
 FANOUT = 2
-HINTS_EVERY, PROVE_AT_ONCE = 5 * SECOND, 4
+HINTS_EVERY, PROVE_AT_ONCE = 5 * TICKS_PER_SECOND, 4
 ROOM = 1100  # bytes of items in a datagram
-STALLED = SECOND // 2  # late by so much, it is this instance that stood still
-ASIDE_MOST, ASIDE_OF_ONE, ASIDE_FOR = 256, 8, 5 * SECOND
+STALLED = TICKS_PER_SECOND // 2  # late by so much, it is this instance that stood still
+ASIDE_MOST, ASIDE_OF_ONE, ASIDE_FOR = 256, 8, 5 * TICKS_PER_SECOND
 OUT_MOST = 512  # nonces that are out
 ACCUSED_AFTER = (
     3  # own probes that failed: with loss, each first one would be told to all, and by all
 )
-FUTURE = SECOND  # an item may seem to come from so much later than its origin's clock allows
+FUTURE = (
+    TICKS_PER_SECOND  # an item may seem to come from so much later than its origin's clock allows
+)
 COUNTED = (
     "size",
     "version",
@@ -59,7 +62,7 @@
     content: bytes
 
 
-class Node:
+class GossipNode:
     """identity, ring, sources: see identity.py. nonce() gives 8 bytes nobody can guess; unix() seconds.
     announced: (host, port) where others reach this one. Effects are gathered in `out` (datagrams), `doubts`, `said`
     (what a log should hold) and are the caller's to take."""
--- a/thymeknot/gossip/rate_limits.py
+++ b/thymeknot/gossip/rate_limits.py
@@ -1,6 +1,7 @@
 """Ceilings: what goes out a second, and what is looked at a second. Times are tenths of a millisecond."""
 
-SECOND = 10_000
+from ..interface.clock import TICKS_PER_SECOND
+
 LANES = 16  # in which addresses that proved nothing share: one flood blocks one lane
 
 
@@ -13,7 +14,7 @@
         self.rate, self.burst, self.left, self.at = rate, burst, float(burst), now
 
     def holds(self, now, amount=1):
-        self.left = min(self.burst, self.left + (now - self.at) * self.rate / SECOND)
+        self.left = min(self.burst, self.left + (now - self.at) * self.rate / TICKS_PER_SECOND)
         self.at = now
         return self.left >= amount
 
--- a/thymeknot/gossip/replay_window.py
+++ b/thymeknot/gossip/replay_window.py
@@ -1,7 +1,7 @@
 """Which numbers of a sender were seen: a sliding window of bits, so that nothing is taken twice."""
 
 
-class Window:
+class ReplayWindow:
     """Numbers within `size` of the highest one; what is older counts as seen."""
 
     __slots__ = ("size", "highest", "bits")
--- a/thymeknot/gossip/settings.py
+++ b/thymeknot/gossip/settings.py
@@ -14,7 +14,7 @@
     unknown: int  # of them, for all addresses that proved nothing
 
 
-class HearsayTerms(NamedTuple):
+class SuspicionSettings(NamedTuple):
     witnesses: int
     liars: int
     enough: int
@@ -36,7 +36,7 @@
     keys: tuple[PeerKey, ...]
 
 
-class GossipTerms(NamedTuple):
+class GossipSettings(NamedTuple):
     name: str
     listen: str
     announce: Optional[str]
@@ -51,7 +51,7 @@
     suspect_times: int
     ceiling: Ceiling
     verifications: Verifications
-    hearsay: HearsayTerms
+    hearsay: SuspicionSettings
 
 
 def address(text):
--- a/thymeknot/gossip/suspicion.py
+++ b/thymeknot/gossip/suspicion.py
@@ -9,9 +9,9 @@
 from math import comb
 from typing import NamedTuple
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..state.sliding_window import SlidingWindow
 
-SECOND = 10_000
 BUCKETS, FRESH = 10, 3  # of the lapse; the latest of them are fresh
 TRIED_MOST = 20  # that one claim counts for: the loudest witness is one among several
 OWN_ENOUGH = 4  # own deliveries of late that outweigh any hearsay
@@ -24,10 +24,10 @@
 JUDGED_AFTER = 6  # own deliveries that prove another's word right or wrong
 FLIPS_MOST, FLIP = 3, 0.4  # a word that swings by so much, so often, is worth nothing for a while
 CLAIMS_MOST, CLAIMS_OF_ONE = 2048, 16
-TELL_EVERY, TELL_MOST = 2 * SECOND, 6
+TELL_EVERY, TELL_MOST = 2 * TICKS_PER_SECOND, 6
 LONGER_MOST, LOOK = (
     4,
-    SECOND,
+    TICKS_PER_SECOND,
 )  # times the doubt grows when it comes again; between two: the pod is tried
 RATE_LEAST = 0.01
 
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -15,7 +15,7 @@
 from ..state.random_source import LinearCongruentialGenerator
 from . import keyring as identities
 from . import settings as t
-from .node import TICK, Node
+from .node import TICK, GossipNode
 from .suspicion import Pod
 
 READ_AT_ONCE = 24  # datagrams a round; what stays comes in the next one
@@ -29,28 +29,28 @@
     try:
         with open(os.path.join(folder, terms.key), "rb") as source:
             mine = identities.read_identity(terms.name, source.read())
-        ring = identities.Ring(terms.peers, terms.revoked)
-        sources = identities.Sources(terms.from_)
+        ring = identities.Keyring(terms.peers, terms.revoked)
+        sources = identities.AllowedNetworks(terms.from_)
     except OSError as error:
-        raise identities.Unusable(
+        raise identities.KeyringError(
             f"gossip.key: can't be read: {os.strerror(error.errno)}"
         ) from None
     if ring.owner(mine.key_id, time.time()) not in (None, terms.name):
-        raise identities.Unusable("gossip.key: belongs to another name in the ring")
+        raise identities.KeyringError("gossip.key: belongs to another name in the ring")
     return mine, ring, sources
 
 
 @implementer(IReadDescriptor)
-class Endpoint:
+class GossipFeature:
     """Joins a Node to a socket and a Sidecar. The sidecar calls `ended` and `listed`; doubts come to it as events."""
 
-    def __init__(self, sidecar, terms, folder):
-        self.sidecar, self.reactor, self.terms = sidecar, sidecar.reactor, terms
-        self.clock, self.deadlines = sidecar.clock, sidecar.deadlines
+    def __init__(self, proxy, terms, folder):
+        self.proxy, self.reactor, self.terms = proxy, proxy.reactor, terms
+        self.clock, self.timers = proxy.clock, proxy.timers
         mine, ring, sources = built(terms, folder)
         announced = t.address(terms.announce or terms.listen)
         start = time.time_ns() // 1_000_000
-        self.node = Node(
+        self.node = GossipNode(
             terms,
             mine,
             ring,
@@ -73,7 +73,7 @@
             self.socket.bind((host, port))
         except OSError as error:
             self.socket.close()
-            raise identities.Unusable(
+            raise identities.KeyringError(
                 f"gossip.listen: {os.strerror(error.errno)}: {terms.listen}"
             ) from None
         self.buffer = bytearray(2048)
@@ -123,8 +123,8 @@
                     build=doubt.pod.build,
                     span=(doubt.until - self.clock()) / 10_000,
                 )
-            epoch = self.sidecar.epoch
-            self.sidecar.tell(
+            epoch = self.proxy.epoch
+            self.proxy.tell(
                 *(
                     SuspicionReported(
                         one.pod.pod,
@@ -149,7 +149,7 @@
         self.most = [max(pair) for pair in zip(self.most, self.sent)]
 
     def _tick(self):
-        self.ticking = self.deadlines.add(self.clock() + TICK, self._tick)
+        self.ticking = self.timers.add(self.clock() + TICK, self._tick)
         now = self.clock()
         self.node.tick(now)
         self._flush()
@@ -185,15 +185,15 @@
         if outcome == Outcome.DONE or outcome in FAILED:
             self.node.belief.ended(self.clock(), attempt.pod.address, outcome != Outcome.DONE)
         elif outcome == Outcome.TIMED_OUT:
-            lane = self.sidecar.terms.request_classes[attempt.held.command.lane]
+            lane = self.proxy.settings.request_classes[attempt.held.command.request_class]
             if attempt.ends - attempt.at >= 0.99 * lane.latency_objective:
                 self.node.belief.ended(self.clock(), attempt.pod.address, True)
 
     def listed(self):
         ready = [
-            pod for pod in self.sidecar.listed.values() if pod.condition == EndpointCondition.READY
+            pod for pod in self.proxy.listed.values() if pod.condition == EndpointCondition.READY
         ]
-        places = self.sidecar.addresses if self.terms.hearsay.match_address else {}
+        places = self.proxy.addresses if self.terms.hearsay.match_address else {}
         # A pod's start is told in Unix time: each instance counts from a start of its own.
         self.node.belief.listed(
             [
@@ -201,7 +201,7 @@
                     pod.address,
                     str(places.get(pod.address, "")),
                     max(0, pod.build),
-                    pod.started + self.sidecar.epoch if pod.started else 0,
+                    pod.started + self.proxy.epoch if pod.started else 0,
                 )
                 for pod in ready
             ]
@@ -219,5 +219,5 @@
 
     def close(self):
         self.reactor.removeReader(self)
-        self.deadlines.cancel(self.ticking)
+        self.timers.cancel(self.ticking)
         self.socket.close()
--- a/thymeknot/load_generator/driver.py
+++ b/thymeknot/load_generator/driver.py
@@ -5,11 +5,11 @@
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ..protocol.resp import Malformed
+from ..interface.clock import TICKS_PER_SECOND
+from ..protocol.resp import MalformedRespError
 from .latency_histogram import Tally
-from .schedule import SECOND
 
-SLACK = SECOND // 2  # beyond a client's time, until a request counts as lost
+SLACK = TICKS_PER_SECOND // 2  # beyond a client's time, until a request counts as lost
 TICK = 0.001  # seconds between two looks at what is due
 
 
@@ -37,10 +37,10 @@
         try:
             for how in self.speaker.heard(data):
                 if self.out is None:
-                    raise Malformed("an answer that nothing asked for")
+                    raise MalformedRespError("an answer that nothing asked for")
                 self.used = True
                 self.ended(how)
-        except Malformed:
+        except MalformedRespError:
             self.transport.abortConnection()
             return
         if self.out is None:
--- a/thymeknot/load_generator/run.py
+++ b/thymeknot/load_generator/run.py
@@ -2,13 +2,22 @@
 
 import time
 
+from ..interface.clock import TICKS_PER_SECOND
 from .codecs import SPEAKERS
 from .driver import Driver
-from .schedule import OVER, SECOND, Stretch, judged, schedule
+from .schedule import OVER, Stretch, judged, schedule
 
 
 def stretches(
-    host, port, plan, goal, told, lines=64, patience=2 * SECOND, protocol="resp2", ramp=None
+    host,
+    port,
+    plan,
+    goal,
+    told,
+    lines=64,
+    patience=2 * TICKS_PER_SECOND,
+    protocol="resp2",
+    ramp=None,
 ):
     """plan: {seed, rate, seconds, lanes, keys}. Gives a list of (rate, verdict, why, Tally); one, or as many as the
     ramp takes. told(line) hears how it goes."""
@@ -18,7 +27,7 @@
         return time.monotonic_ns() // 100_000
 
     reactor.seconds = time.monotonic
-    found, span = [], plan["seconds"] * SECOND
+    found, span = [], plan["seconds"] * TICKS_PER_SECOND
 
     def begin():
         rate = ramp.rate if ramp else plan["rate"]
--- a/thymeknot/load_generator/schedule.py
+++ b/thymeknot/load_generator/schedule.py
@@ -5,7 +5,8 @@
 from random import Random
 from typing import NamedTuple
 
-SECOND = 10_000
+from ..interface.clock import TICKS_PER_SECOND
+
 HELD, FAILED, SATURATED = "held", "failed", "saturated"
 CLIMB, NARROW, OVER = "climb", "narrow", "over"
 # (state, what a stretch showed) -> next state, effect. A generator that is saturated says nothing of the server.
@@ -59,7 +60,7 @@
     due: int
 
 
-class Wrong(ValueError):
+class ScheduleError(ValueError):
     """Words that can't be used, with what would do."""
 
 
@@ -70,14 +71,14 @@
     try:
         made = Lane(name, float(share), kind or "read")
     except ValueError:
-        raise Wrong(f"{text}: the share is no number") from None
+        raise ScheduleError(f"{text}: the share is no number") from None
     if (
         not name
         or "," in name
         or not 0 < made.share < math.inf
         or made.kind not in ("read", "write", "marked")
     ):
-        raise Wrong(f"{text}: NAME=SHARE, and behind it read, write or marked")
+        raise ScheduleError(f"{text}: NAME=SHARE, and behind it read, write or marked")
     return made
 
 
@@ -86,7 +87,7 @@
     chance, at = Random(seed), 0.0
     steps = list(accumulate(1 / place**exponent for place in range(1, keys + 1)))
     while True:
-        at += chance.expovariate(rate / SECOND)
+        at += chance.expovariate(rate / TICKS_PER_SECOND)
         if at >= span:
             return
         (key,), (one,) = (
--- a/thymeknot/operator_config/grammar.py
+++ b/thymeknot/operator_config/grammar.py
@@ -9,7 +9,18 @@
 from lark import Lark, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
 
-from .unification import TOP, Atom, Basic, Either, Fault, Faulty, ListOf, Reference, Struct, meet
+from .unification import (
+    TOP,
+    Atom,
+    Basic,
+    Either,
+    Fault,
+    ListOf,
+    OperatorConfigError,
+    Reference,
+    Struct,
+    meet,
+)
 
 GRAMMAR = r"""
 start: _members
@@ -58,7 +69,7 @@
     try:
         return ast.literal_eval(str(token))
     except (SyntaxError, ValueError):
-        raise Faulty(
+        raise OperatorConfigError(
             [Fault(None, token.line, (), f"no string that can be read: {token}")]
         ) from None
 
@@ -94,7 +105,7 @@
                 value, optional = meet(had[0], value, (name,), faults), had[1] and optional
             fields[name] = value, optional
         if faults:
-            raise Faulty(faults)
+            raise OperatorConfigError(faults)
         return Struct(fields, is_open, False, self._at(meta))
 
     def member(self, meta, label, value):
@@ -121,7 +132,7 @@
             return TOP
         if token in KINDS:
             return Basic(str(token), (), self._at(meta))
-        raise Faulty(
+        raise OperatorConfigError(
             [Fault(self.file, meta.line, (), f"no such name: {token} (strings stand in quotes)")]
         )
 
@@ -143,7 +154,7 @@
         for other in others:
             first = meet(first, other, (), faults)
         if faults:
-            raise Faulty(faults)
+            raise OperatorConfigError(faults)
         return first
 
     def marked(self, meta, value):
@@ -162,16 +173,18 @@
 def parse(text, file):
     """The Struct that a text tells. file: the name that faults give. Raises Faulty."""
     if len(text) > MOST_BYTES:
-        raise Faulty([Fault(file, 1, (), f"{len(text)} characters, {MOST_BYTES} at most")])
+        raise OperatorConfigError(
+            [Fault(file, 1, (), f"{len(text)} characters, {MOST_BYTES} at most")]
+        )
     try:
         return _Reader(file).transform(_parser.parse(text))
     except UnexpectedInput as error:
         found = getattr(error, "token", None) or getattr(error, "char", "")
         said = "the file ends too early" if str(found) == "" else f"unexpected {str(found)!r}"
-        raise Faulty([Fault(file, max(error.line, 1), (), said)]) from None
+        raise OperatorConfigError([Fault(file, max(error.line, 1), (), said)]) from None
     except VisitError as error:
-        if not isinstance(error.orig_exc, Faulty):
+        if not isinstance(error.orig_exc, OperatorConfigError):
             raise
-        raise Faulty(
+        raise OperatorConfigError(
             [fault if fault.file else fault._replace(file=file) for fault in error.orig_exc.faults]
         ) from None
--- a/thymeknot/operator_config/loader.py
+++ b/thymeknot/operator_config/loader.py
@@ -5,7 +5,7 @@
 from typing import get_type_hints
 
 from .grammar import MOST_BYTES, parse
-from .unification import Fault, Faulty, Struct, concrete, meet, resolved
+from .unification import Fault, OperatorConfigError, Struct, concrete, meet, resolved
 
 VARIABLE = "THYMEKNOT_OPERATOR"
 
@@ -36,7 +36,7 @@
     settings = concrete(whole, (), faults, told.at)
     if faults:
         # A fault of a schema's own place is one of what was left out: the file and its first line say where.
-        raise Faulty(
+        raise OperatorConfigError(
             sorted(
                 (
                     fault
@@ -71,9 +71,11 @@
         with open(path, encoding="utf-8") as source:
             text = source.read(MOST_BYTES + 1)
     except OSError as error:
-        raise Faulty([Fault(path, 0, (), f"can't be read: {os.strerror(error.errno)}")]) from None
+        raise OperatorConfigError(
+            [Fault(path, 0, (), f"can't be read: {os.strerror(error.errno)}")]
+        ) from None
     except UnicodeDecodeError:
-        raise Faulty([Fault(path, 0, (), "is no UTF-8")]) from None
+        raise OperatorConfigError([Fault(path, 0, (), "is no UTF-8")]) from None
     return read(text, path)
 
 
--- a/thymeknot/operator_config/unification.py
+++ b/thymeknot/operator_config/unification.py
@@ -36,7 +36,7 @@
         return f"{self.file}:{self.line}: " + (f"{key}: " if key else "") + self.text
 
 
-class Faulty(ValueError):
+class OperatorConfigError(ValueError):
     """Settings that can't be used: all their faults."""
 
     def __init__(self, faults):
@@ -286,7 +286,7 @@
     if isinstance(value, Reference):
         if value.name not in definitions or value.name in within:
             said = "refers to itself" if value.name in within else "is not defined"
-            raise Faulty([Fault(*value.at, (), f"{value.name} {said}")])
+            raise OperatorConfigError([Fault(*value.at, (), f"{value.name} {said}")])
         return _closed(resolved(definitions[value.name], definitions, (*within, value.name)))
     if isinstance(value, Struct):
         return value._replace(
--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -15,6 +15,7 @@
     SetTimer,
     SubscribeToEndpoints,
 )
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import (
     UTILISATION,
     DeduplicationScope,
@@ -46,19 +47,24 @@
 from ..state.random_source import LinearCongruentialGenerator
 from ..state.request_state import AttemptState, RequestState
 from ..state.sliding_window import SlidingWindow, window_of
-from .load_shedding import FEW, SECOND, LoadShedder
+from .load_shedding import FEW, LoadShedder
 from .voting import describe_vote
 
 # The ramp and the test, as the design page starts them; slowness is tested like failure, more strictly.
 RAMP_TIME, RAMP_SHARE, LISTED = (
-    2 * SECOND,
+    2 * TICKS_PER_SECOND,
     0.8,
     0.75,
 )  # of a stage's pods: listed, for a vote for on
 P1_OVER_P0, P0_FLOOR = {"failed": 5.0, "slow": 5.0}, {"failed": 0.01, "slow": 0.1}
 FALSE_BACK, FALSE_ON, SLOW_STRICTER = 0.05, 0.2, 10
 ON_BOUND = log(FALSE_ON / (1 - FALSE_BACK))
-ENOUGH_OUTCOMES, AFTER_START, QUIET_FOR, AT_ONCE = 20, 3 * SECOND, 5 * SECOND // 2, 2 * SECOND
+ENOUGH_OUTCOMES, AFTER_START, QUIET_FOR, AT_ONCE = (
+    20,
+    3 * TICKS_PER_SECOND,
+    5 * TICKS_PER_SECOND // 2,
+    2 * TICKS_PER_SECOND,
+)
 HOLD_PART, ONE_PERIOD = (
     0.5,
     0.6,
@@ -78,8 +84,8 @@
 )  # in tallies: may fail cold, freed; slow
 BASELINE, WARM_ENOUGH, SLOW_QUANTILE = 5, 0.75, 0.9  # outcomes, and warmth, that say something
 ILL_FOR = {
-    False: 5 * SECOND,
-    True: 12 * SECOND,
+    False: 5 * TICKS_PER_SECOND,
+    True: 12 * TICKS_PER_SECOND,
 }  # slowness of all may pass; True: machines replaced
 BUSIER, MARGIN, BLAMED_FROM, LEARNT, PERIODS = (
     1.5,
@@ -90,7 +96,7 @@
 )  # excuses; slow; ramp; of one; awaited
 LOUD, SETTLED, MATURE, USUAL_SHED = (
     15,
-    3 * SECOND,
+    3 * TICKS_PER_SECOND,
     20,
     0.05,
 )  # rate, age, outcomes, deferrals: the usual
@@ -104,14 +110,14 @@
     10_000,
 )  # of all with keys; lately; answered or failed, remembered
 SHUN, SHUN_MOST, FORGOTTEN = (
-    SECOND // 2,
-    4 * SECOND,
+    TICKS_PER_SECOND // 2,
+    4 * TICKS_PER_SECOND,
     0.5,
 )  # an unreachable pod; of failures, at each exchange
 UPKEEP, UPKEEP_MOST, EXCHANGE = (
-    SECOND // 20,
-    SECOND // 4,
-    4 * SECOND,
+    TICKS_PER_SECOND // 20,
+    TICKS_PER_SECOND // 4,
+    4 * TICKS_PER_SECOND,
 )  # the second with hardly any traffic
 DRAWN, LOOK, CROWD, FEW_PODS = (
     6,
@@ -123,8 +129,8 @@
     0.5,
     4,
     3,
-    4 * SECOND,
-    20 * SECOND,
+    4 * TICKS_PER_SECOND,
+    20 * TICKS_PER_SECOND,
 )  # of a fall; spans
 SECOND_COPIES, RETRIES, COPY_AFTER = (
     0.05,
@@ -174,10 +180,10 @@
 class DecisionEngine:
     """say(id, reason, *operands): is told why, where and when it is decided; id is None for votes."""
 
-    def __init__(self, terms, seed, now, say=None):
+    def __init__(self, settings, seed, now, say=None):
         self.say, self.subject = say, None
-        self.terms, self.now, self.chance, self.actions, self.born = (
-            terms,
+        self.settings, self.now, self.chance, self.actions, self.born = (
+            settings,
             now,
             LinearCongruentialGenerator(seed),
             [],
@@ -188,15 +194,15 @@
         self.room, self.warm, self.warm_at = {True: 0.0, False: 0.0}, 0.0, 0
         self.open, self.due, self.tokens, self.keys, self.keys_at = {}, {}, 0, {}, now
         self.most = [
-            min(most, 1 + most * FEW / terms.instances) for most in (20.0, 5.0)
+            min(most, 1 + most * FEW / settings.instances) for most in (20.0, 5.0)
         ]  # it adds up
         self.retries, self.copies, self.admission = (
             self.most[0] / 4,
             self.most[1] / 4,
-            LoadShedder(terms),
+            LoadShedder(settings),
         )
         self.arrivals, self.fresh, self.shed, self.served = (
-            SlidingWindow(s * SECOND, 2 * s) for s in (8, 8, 8, 4)
+            SlidingWindow(s * TICKS_PER_SECOND, 2 * s) for s in (8, 8, 8, 4)
         )
         self.lost, self.warm_rate, self.means, self.crowd = (
             0.0,
@@ -205,19 +211,21 @@
             FleetBaseline(),
         )
         self.marks, self.taken, self.p0, self.pins, self.met = {}, {}, dict(P0_FLOOR), set(), {}
-        self.earlier = {what: SlidingWindow(8 * SECOND, 16) for what in EARLIER}
+        self.earlier = {what: SlidingWindow(8 * TICKS_PER_SECOND, 16) for what in EARLIER}
         # All share the allowed error; where many must err together, each may err more (Poisson tail's bound).
         needed, self.warm_by = (
-            terms.votes_to_revert,
-            age_at_fraction(WARM_ENOUGH, terms, AFTER_START),
+            settings.votes_to_revert,
+            age_at_fraction(WARM_ENOUGH, settings, AFTER_START),
         )
         together = needed * (FALSE_BACK if needed == 1 else 0.7 * FALSE_BACK ** (1 / needed))
-        odds = (1 - FALSE_ON) / min(FALSE_BACK, together / terms.instances)
+        odds = (1 - FALSE_ON) / min(FALSE_BACK, together / settings.instances)
         self.back_at = {"failed": log(odds), "slow": log(odds * SLOW_STRICTER)}
         self.bounds = dict(self.back_at)
-        self.turn_of_all = int(terms.instances / terms.votes_per_second * SECOND)
+        self.turn_of_all = int(settings.instances / settings.votes_per_second * TICKS_PER_SECOND)
         self.in_turns = max(0, self.turn_of_all - AT_ONCE)
-        self.renew = min(0.8 * terms.vote_lifetime, max(terms.vote_lifetime // 2, self.turn_of_all))
+        self.renew = min(
+            0.8 * settings.vote_lifetime, max(settings.vote_lifetime // 2, self.turn_of_all)
+        )
         self.vote, self.vote_at, self.asked, self.ask_at, self.rows, self.rows_at = (
             None,
             0,
@@ -229,7 +237,7 @@
         self.news, self.build, self.by_votes = (
             None,
             USUAL,
-            terms.promotion_mode != PromotionMode.TIMER,
+            settings.promotion_mode != PromotionMode.TIMER,
         )
         self._begin()
 
@@ -248,9 +256,11 @@
         if (
             event.kind == UpdateKind.FETCH_FAILED
         ):  # the watch may have dropped; a call that fails at once must not storm
-            self.watch_at = min(self.watch_at, self.now + int((1 + self.chance.draw()) * SECOND))
+            self.watch_at = min(
+                self.watch_at, self.now + int((1 + self.chance.draw()) * TICKS_PER_SECOND)
+            )
             return
-        self.pods = apply_update(self.pods, event, self.terms.overload_window)
+        self.pods = apply_update(self.pods, event, self.settings.overload_window)
         self._sort()
 
     def _sort(self):
@@ -269,17 +279,17 @@
 
     def _crowd(self):
         self.fleet = max(self.fleet, *map(len, self.sides.values()))  # a lost zone makes no crowd
-        return self.terms.instances >= CROWD * self.fleet
+        return self.settings.instances >= CROWD * self.fleet
 
     def _measure(self):
         """What the ready pods of each side can carry at least, and the sum of the warm ones' sizes."""
         self.warm, self.room, lots = 0.0, {True: 0.0, False: 0.0}, COLD_LOTS if self._crowd() else 1
         for known in self.sides[True] + self.sides[False]:
-            share = known.share(self.now, self.terms)
+            share = known.share(self.now, self.settings)
             self.room[known.side] += known.listed.size * share**lots
             self.warm += known.listed.size * (share == 1.0)
             self.warm_at = max(
-                self.warm_at, known.listed.started + self.terms.warmup_duration + UPKEEP_MOST
+                self.warm_at, known.listed.started + self.settings.warmup_duration + UPKEEP_MOST
             )
 
     def _draw(self, new, drop=()):
@@ -293,10 +303,10 @@
     def _cold_room(self, known, share):
         """Rule 4. Each keeps to its part of what warm pods are seen to take; the fewer pods it uses, the less
         others use this one. With a part of less than a delivery each pod and span is drawn for."""
-        rate, span = self.warm_rate * known.listed.size, self.terms.overload_window
+        rate, span = self.warm_rate * known.listed.size, self.settings.overload_window
         part = max(
-            COLD_PART * self.terms.overload_factor * share * rate * span / SECOND,
-            COLD_LEAST / self.terms.instances,
+            COLD_PART * self.settings.overload_factor * share * rate * span / TICKS_PER_SECOND,
+            COLD_LEAST / self.settings.instances,
         )
         part *= len(self.sides.get(known.side, ())) / (len(self.drawn.get(known.side, ())) or 1)
         if known.lot[0] != self.now // span:
@@ -362,23 +372,26 @@
             step = target * (self.now - self.ramped) / RAMP_TIME
             self.ramp, self.ramped = max(self.ramp, min(target, self.ramp + step)), self.now
 
-    def _ring(self, rings, lane):
+    def _ring(self, rings, request_class):
         return window_of(
-            rings, self.terms.exposure_by_class and lane.name, self.terms.exposure_window, 120
+            rings,
+            self.settings.exposure_by_class and request_class.name,
+            self.settings.exposure_window,
+            120,
         )
 
-    def _may_try(self, lane, first=False):
+    def _may_try(self, request_class, first=False):
         """Rule 5, also for windows still to come: this one's later parts must carry themselves. first: taken now."""
         news = self.news
-        guarded = news.phase == ReleasePhase.ON_TRIAL and news.stage < self.terms.guarded_stages
+        guarded = news.phase == ReleasePhase.ON_TRIAL and news.stage < self.settings.guarded_stages
         if news.phase == ReleasePhase.RELEASED:
             return True
-        if guarded and lane.idempotency != Idempotency.IDEMPOTENT:
-            return self._why(R.GUARDED, news.stage, self.terms.guarded_stages) or False
+        if guarded and request_class.idempotency != Idempotency.IDEMPOTENT:
+            return self._why(R.GUARDED, news.stage, self.settings.guarded_stages) or False
         taken, tried, free = (
-            self._ring(self.taken, lane),
-            self._ring(self.tried, lane),
-            self.terms.exposure_allowance,
+            self._ring(self.taken, request_class),
+            self._ring(self.tried, request_class),
+            self.settings.exposure_allowance,
         )
         if news.cap <= 0:
             return self._why(R.CLOSED, news.phase, news.cap) or False
@@ -399,11 +412,11 @@
         if self.news is None or outcome in (Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         share, build, failed = (
-            known.share(self.now, self.terms),
+            known.share(self.now, self.settings),
             known.listed.build,
             outcome != Outcome.DONE,
         )
-        cell = tx.lane.name, known.listed.machine
+        cell = tx.request_class.name, known.listed.machine
         mark, settled, mean = self.marks.get(cell, (2.0 * latency, 0, max(1, latency)))
         way, judging = (
             outcome in (Outcome.RESET, Outcome.CONNECT_FAILED),
@@ -470,13 +483,13 @@
                 ONE_POD[what] * self.back_at[what],
                 self.swarm.get(what, (None, 0.0)),
             )
-            if last != self.now // SECOND:
-                room = ONE_SECOND[what, self.terms.votes_to_revert == 1] * self.back_at[what]
+            if last != self.now // TICKS_PER_SECOND:
+                room = ONE_SECOND[what, self.settings.votes_to_revert == 1] * self.back_at[what]
             there = self.by_pod.get(zone, 0.0)
             top = self.bounds[what] * (ONE_ZONE if self.zones > 1 and not self._few() else inf)
             step = max(min(step, bound - had, room, max(0.0, top - there)), -bound - had)
             self.by_pod[what, pod.address], self.by_pod[zone] = had + step, max(-top, there + step)
-            self.swarm[what] = self.now // SECOND, room - max(0.0, step)
+            self.swarm[what] = self.now // TICKS_PER_SECOND, room - max(0.0, step)
         self._book(what, step)
 
     def _book(self, what, step):
@@ -498,7 +511,10 @@
 
     def _tallied(self, event):
         self.rows_at = self.rows_at if self.rows else self.now
-        if event.request_class in self.terms.request_classes and event.failed <= event.attempts > 0:
+        if (
+            event.request_class in self.settings.request_classes
+            and event.failed <= event.attempts > 0
+        ):
             self.rows.append(event)
 
     def _weigh_tallies(self):
@@ -511,9 +527,12 @@
         seen, failed = (
             sum(getattr(row, it) for row in earlier.values()) for it in ("attempts", "failed")
         )
-        at, crowd = self.now - rows[0].age - SECOND, self._crowd()  # then new pods got nothing
+        at, crowd = (
+            self.now - rows[0].age - TICKS_PER_SECOND,
+            self._crowd(),
+        )  # then new pods got nothing
         had = [
-            one.share(at, self.terms)
+            one.share(at, self.settings)
             for one in self.sides[True]
             if one.listed.started < at or not crowd
         ]
@@ -586,7 +605,7 @@
         return few and self.arrivals.total(self.now) >= 8 * LOUD
 
     def _busier(self):  # the traffic of two seconds without marked repeats, against the usual
-        span = (4 * self.fresh.width + self.now % self.fresh.width) / SECOND
+        span = (4 * self.fresh.width + self.now % self.fresh.width) / TICKS_PER_SECOND
         return (
             (self.fresh.total(self.now, False, 4) - 3) / (self.usual[1] * span + 1)
             if self.usual
@@ -597,8 +616,8 @@
         self,
     ):  # what was usual before the build came or, for one that started later, at first
         age, taken = self.now - (self.born or self.now), self.fresh.total(self.now)
-        rate = taken * SECOND / min(self.arrivals.span, age + 1)
-        fit = age >= SETTLED and rate >= LOUD and self.terms.instances < CROWD * self.places
+        rate = taken * TICKS_PER_SECOND / min(self.arrivals.span, age + 1)
+        fit = age >= SETTLED and rate >= LOUD and self.settings.instances < CROWD * self.places
         if self.build == TRIAL and self.usual is None and fit:
             self.usual = (
                 dict(self.marks),
@@ -612,7 +631,7 @@
         worse = errs >= max(BASELINE, P1_OVER_P0["failed"] * P0_FLOOR["failed"] * seen)
         if self.ill_since is not None and not (worse and self.sums["failed"] <= 0):
             blamed = (
-                self.now >= self.ill_since + ILL_FOR[self.terms.replaces_machines]
+                self.now >= self.ill_since + ILL_FOR[self.settings.replaces_machines]
             )  # till then it may pass
             part = max(part, 1.1 if blamed and self.all_slow > self.back_at["slow"] else 1.0)
         self.saying_back = part > 1 or (self.saying_back and part > HOLD_PART)
@@ -622,10 +641,10 @@
                 if self.saying_back and news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
                 else Verdict.ABSTAIN
             )
-        if self.terms.promotion_mode == PromotionMode.TIMER or part > HOLD_PART:
+        if self.settings.promotion_mode == PromotionMode.TIMER or part > HOLD_PART:
             return (
                 Verdict.PAUSE
-                if self.terms.promotion_mode == PromotionMode.TIMER and part > HOLD_PART
+                if self.settings.promotion_mode == PromotionMode.TIMER and part > HOLD_PART
                 else Verdict.ABSTAIN
             )
         # A list that lags hides the pods to judge. One that starts again, as after a lost zone, was met.
@@ -633,15 +652,15 @@
             self.met.setdefault(one.listed.address, one.listed.started) for one in self.sides[True]
         ]
         places = (
-            self.places if self.terms.replaces_machines else len(self.sides[False])
+            self.places if self.settings.replaces_machines else len(self.sides[False])
         )  # others leave late
         last = news.stage + 1 >= len(
-            self.terms.stage_fractions
+            self.settings.stage_fractions
         )  # the earlier ones leave: warm, and seen
         listed = len(started) >= max(
-            1, int(LISTED * self.terms.stage_fractions[-1 if last else news.stage] * places)
+            1, int(LISTED * self.settings.stage_fractions[-1 if last else news.stage] * places)
         )
-        warm = max(started, default=0) + (self.terms.warmup_duration if last else self.warm_by)
+        warm = max(started, default=0) + (self.settings.warmup_duration if last else self.warm_by)
         uncounted = last and self._crowd() and self.crowd.lacks(warm, self.now, PERIODS)
         if not listed or uncounted or self.now < warm + self.offset:
             return Verdict.ABSTAIN
@@ -653,7 +672,7 @@
     def _cast(self):
         """Casts, renews and withdraws the vote; an unanswered one is asked again."""
         wanted, age = (self.news.build, self.news.stage, self._verdict()), self.now - self.vote_at
-        vote, stands = self.vote, self.vote is not None and age < self.terms.vote_lifetime
+        vote, stands = self.vote, self.vote is not None and age < self.settings.vote_lifetime
         if wanted[2] == Verdict.ABSTAIN:
             moved = vote and (vote[1] != wanted[1] or self.news.phase != ReleasePhase.ON_TRIAL)
             if (
@@ -667,14 +686,21 @@
                 LogNote(describe_vote(wanted, self.sums, self.p0, self.all_slow, self.seen))
             )
         self._why(R.VOTED, *wanted, self.doubt, self.seen)
-        self.asked, self.ask_at = wanted, self.now + self.terms.vote_timeout + SECOND // 10
+        self.asked, self.ask_at = (
+            wanted,
+            self.now + self.settings.vote_timeout + TICKS_PER_SECOND // 10,
+        )
         self.actions.append(CastVote(*wanted))
 
     def _vote_answered(
         self, news
     ):  # what was turned away, or unanswered, is asked again, not in step
-        pause = SECOND // 5 + int(self.chance.draw() * max(SECOND, self.in_turns))
-        self.ask_at = self.now + (UPKEEP if news.outcome == Outcome.DONE else max(pause, SECOND))
+        pause = TICKS_PER_SECOND // 5 + int(
+            self.chance.draw() * max(TICKS_PER_SECOND, self.in_turns)
+        )
+        self.ask_at = self.now + (
+            UPKEEP if news.outcome == Outcome.DONE else max(pause, TICKS_PER_SECOND)
+        )
         if news.outcome == Outcome.DONE and self.asked:
             self.vote, self.vote_at = (
                 (None if self.asked[2] == Verdict.ABSTAIN else self.asked),
@@ -687,10 +713,10 @@
             getattr(self, "_" + effect)(tx)
 
     def _take(self, event):
-        lane = self.terms.request_classes[event.request_class]
-        tx = self.open[event.id] = RequestState(event, lane, self.now, NEW)
+        request_class = self.settings.request_classes[event.request_class]
+        tx = self.open[event.id] = RequestState(event, request_class, self.now, NEW)
         self.born = self.now if self.born is None else self.born  # with its first traffic
-        self._ring(self.taken, lane).add(self.now)
+        self._ring(self.taken, request_class).add(self.now)
         self.arrivals.add(self.now)
         self.fresh.add(self.now, not event.is_retry)
         if event.key:
@@ -702,7 +728,7 @@
     def _place(self, tx):
         refused = self.admission.refused(
             self.now,
-            tx.lane,
+            tx.request_class,
             self.open.values(),
             self.now - self.born,
             self.arrivals.total(self.now),
@@ -717,8 +743,8 @@
 
     def _send(self, tx):
         news = self.news
-        if news is None or len(tx.sent) >= self.terms.max_attempts or self.now >= tx.ends:
-            most = (R.MOST_DELIVERIES, len(tx.sent), self.terms.max_attempts)
+        if news is None or len(tx.sent) >= self.settings.max_attempts or self.now >= tx.ends:
+            most = (R.MOST_DELIVERIES, len(tx.sent), self.settings.max_attempts)
             late = (R.TIME_OVER, tx.ends - self.now, 0)
             return (
                 self._why(*((R.NO_NEWS,) if not news else late if self.now >= tx.ends else most))
@@ -746,7 +772,9 @@
                 self._why(R.ASTRAY, len(tx.sent), tx.key in self.bad_keys, hot)
         for new in (True,) if stays else order:
             known = (
-                self._choose(tx, new) if not new or self._may_try(tx.lane, not tx.sent) else None
+                self._choose(tx, new)
+                if not new or self._may_try(tx.request_class, not tx.sent)
+                else None
             )
             if known:
                 return self._deliver(tx, known, new)
@@ -762,7 +790,7 @@
             self.turn += LOOK if len(pool) > LOOK else 1
             start = self.turn % len(pool) if len(pool) > LOOK else 0
             for known in (pool[start:] + pool[:start])[:LOOK]:
-                share, pod = known.share(self.now, self.terms), known.listed
+                share, pod = known.share(self.now, self.settings), known.listed
                 if self._same_group(tx, pod) and (share == 1.0 or self._cold_room(known, share)):
                     avoid = (
                         R.UNREACHABLE
@@ -786,7 +814,7 @@
             self._why(reason, pods)
         if not found:
             return self._why(R.NO_POD, len(self.sides[new]), new)
-        if self.terms.instances < CROWD * len(self.sides[new]):
+        if self.settings.instances < CROWD * len(self.sides[new]):
             near = [known for cost, known in found if cost <= best * 1.15]
             return near[self.turn % len(near)]
         return found[self.chance.pick([1 / cost for cost, _ in found])][
@@ -798,10 +826,10 @@
 
     def _same_group(self, tx, pod):
         """Rule 2: what may have run goes again only to pods that would drop the repeat."""
-        suspect, group = tx.suspect(), tx.lane.deduplication_scope
+        suspect, group = tx.suspect(), tx.request_class.deduplication_scope
         if (
             suspect is None
-            or tx.lane.idempotency == Idempotency.IDEMPOTENT
+            or tx.request_class.idempotency == Idempotency.IDEMPOTENT
             or group == DeduplicationScope.ALL
         ):
             return True
@@ -810,13 +838,13 @@
         )
 
     def _deliver(self, tx, known, new):
-        self._ring(self.tried, tx.lane).add(self.now, int(new))
+        self._ring(self.tried, tx.request_class).add(self.now, int(new))
         known.out += 1
         known.sent.add(self.now)
         tx.sent.append(AttemptState(known, self.now))
         ends = (
             tx.ends
-            if tx.lane.late_priority_weight > 0 or self.now >= tx.goal
+            if tx.request_class.late_priority_weight > 0 or self.now >= tx.goal
             else min(tx.ends, tx.goal)
         )
         if self.say:
@@ -825,11 +853,13 @@
         self.actions.append(SendAttempt(tx.id, known.listed.address, max(1, ends - self.now)))
         if (
             len(tx.sent) == 1
-            and self.terms.hedging_allowed
-            and tx.lane.idempotency == Idempotency.IDEMPOTENT
+            and self.settings.hedging_allowed
+            and tx.request_class.idempotency == Idempotency.IDEMPOTENT
         ):
-            goal, self.tokens = tx.lane.latency_objective, self.tokens + 1
-            wait = max(COPY_AFTER[0] * self.means.get(tx.lane.name, goal), COPY_AFTER[1] * goal)
+            goal, self.tokens = tx.request_class.latency_objective, self.tokens + 1
+            wait = max(
+                COPY_AFTER[0] * self.means.get(tx.request_class.name, goal), COPY_AFTER[1] * goal
+            )
             self.due[self.tokens] = tx.id
             self.actions.append(SetTimer(self.now + int(wait), self.tokens))
         return True
@@ -839,16 +869,16 @@
         suspect = tx.suspect()
         return (
             suspect is None
-            or tx.lane.idempotency == Idempotency.IDEMPOTENT
+            or tx.request_class.idempotency == Idempotency.IDEMPOTENT
             or (
-                tx.lane.idempotency == Idempotency.KEYED
-                and self.now < suspect.at + tx.lane.deduplication_window
-                and (tx.lane.deduplication_scope == DeduplicationScope.ALL or not defer)
+                tx.request_class.idempotency == Idempotency.KEYED
+                and self.now < suspect.at + tx.request_class.deduplication_window
+                and (tx.request_class.deduplication_scope == DeduplicationScope.ALL or not defer)
             )
         )
 
     def _in_time(self, tx):
-        return self.now + self.means.get(tx.lane.name, 0) < min(tx.goal, tx.ends)
+        return self.now + self.means.get(tx.request_class.name, 0) < min(tx.goal, tx.ends)
 
     def _again(self, tx):
         """A delivery ended without an answer: another while it can still earn, else the answer at once."""
@@ -857,7 +887,9 @@
         cost = 0 if tx.suspect() is None else 1
         if not self._in_time(tx):
             self._why(
-                R.TIME_OVER, min(tx.goal, tx.ends) - self.now, self.means.get(tx.lane.name, 0)
+                R.TIME_OVER,
+                min(tx.goal, tx.ends) - self.now,
+                self.means.get(tx.request_class.name, 0),
             )
         elif self.retries < cost:
             self._why(R.NO_BUDGET, self.retries)
@@ -870,7 +902,7 @@
 
     def _second(self, tx):
         """A second copy for one much later than its lane, as long as few need it and there is room."""
-        limit = self.admission.limit(self.now, tx.lane, self.now - self.born)
+        limit = self.admission.limit(self.now, tx.request_class, self.now - self.born)
         room = self.copies >= 1 and 2 * len(self.open) <= limit and not tx.streams and tx.out() == 1
         if room and self._in_time(tx) and self._may(tx, False):
             self._why(R.SECOND_COPY, self.now - tx.sent[0].at)
@@ -879,8 +911,8 @@
     def _turn_away(self, tx):
         """The final answer, at once: sitting on it would only keep the client from trying again."""
         wait = (
-            min(self.terms.max_retry_after, tx.lane.latency_objective // 2)
-            if self.terms.retry_after_allowed
+            min(self.settings.max_retry_after, tx.request_class.latency_objective // 2)
+            if self.settings.retry_after_allowed
             else 0
         )
         may = self._may(tx, True)
@@ -889,7 +921,7 @@
         self._close(tx)
 
     def _close(self, tx):
-        if self.terms.cancellation_allowed and not tx.streams:
+        if self.settings.cancellation_allowed and not tx.streams:
             self.actions += [
                 CancelAttempt(tx.id, at) for at, delivery in enumerate(tx.sent) if delivery.out
             ]
@@ -919,20 +951,26 @@
         self._step(tx, "answered" if event.closed else proof)
 
     def _pin(self, event):  # on sockets also by an answer that came too late, in part or spoilt
-        if self.terms.sticky_keys and event.build == self.news.build and len(self.pins) < KEYS_MOST:
+        if (
+            self.settings.sticky_keys
+            and event.build == self.news.build
+            and len(self.pins) < KEYS_MOST
+        ):
             self.pins.add(event.key)
 
     def _learn(self, tx, known, event):
         self._judge(tx, known, event.outcome, event.latency)
-        if event.load and UTILISATION in self.terms.load_metrics:
+        if event.load and UTILISATION in self.settings.load_metrics:
             load = event.load[
-                self.terms.load_metrics.index(UTILISATION)
+                self.settings.load_metrics.index(UTILISATION)
             ]  # an absurd report is none
             known.load = load if 0 <= load <= 2 else known.load
         if event.outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
         if not (known.side and self.build == TRIAL):  # a build's own slowness is no overload
-            self.admission.ended(self.now, tx.lane, event, known.share(self.now, self.terms))
+            self.admission.ended(
+                self.now, tx.request_class, event, known.share(self.now, self.settings)
+            )
         known.fails += 0.1 * ((event.outcome != Outcome.DONE) - known.fails)
         self.lost += 0.05 * (
             (event.outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)) - self.lost
@@ -941,11 +979,11 @@
             known.shun = min(SHUN_MOST, max(SHUN, 2 * known.shun))
             known.shunned = self.now + known.shun
         if event.outcome == Outcome.DONE:
-            lane, share = tx.lane, known.share(self.now, self.terms)
-            self.admission.answered(self.now, lane, event.latency)
-            gain = min(0.5, 0.08 + 0.1 * (self.now - known.heard) / SECOND)
+            request_class, share = tx.request_class, known.share(self.now, self.settings)
+            self.admission.answered(self.now, request_class, event.latency)
+            gain = min(0.5, 0.08 + 0.1 * (self.now - known.heard) / TICKS_PER_SECOND)
             known.pace += gain * (
-                min(4.0, event.latency * share / self.means[lane.name]) - known.pace
+                min(4.0, event.latency * share / self.means[request_class.name]) - known.pace
             )
             known.heard, known.shun = self.now, 0
             self.served.add(self.now, share == 1.0)
@@ -998,8 +1036,8 @@
                 self.pods.values()
             ):  # else one that failed is not met again while others stand idle
                 known.fails *= FORGOTTEN if known.shun else 1.0
-        if self.terms.lists_polled and self.now >= self.watch_at:
-            self.watch_at = self.now + self.terms.poll_within // 2
+        if self.settings.lists_polled and self.now >= self.watch_at:
+            self.watch_at = self.now + self.settings.poll_within // 2
             self.actions.append(SubscribeToEndpoints(True))
         if self.now <= self.warm_at:
             self._measure()
@@ -1008,8 +1046,8 @@
         span = min(
             RATE_UP if rate > self.warm_rate else RATE_DOWN, self.now - (self.born or self.now)
         )
-        self.warm_rate += (rate - self.warm_rate) * passed / max(SECOND, span)
-        if self.now >= self.keys_at + 2 * SECOND:
+        self.warm_rate += (rate - self.warm_rate) * passed / max(TICKS_PER_SECOND, span)
+        if self.now >= self.keys_at + 2 * TICKS_PER_SECOND:
             self.keys_at, self.keys = (
                 self.now,
                 {key: n / 2 for key, n in self.keys.items() if n > 0.5},
--- a/thymeknot/policy/load_shedding.py
+++ b/thymeknot/policy/load_shedding.py
@@ -1,10 +1,10 @@
 """Whether a transaction is taken in hand or turned away at once: a part of the decisions, see balance.py.
 Each bound binds only as far as it is sure. Source: docs/design/admission.md."""
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import Outcome
 from ..state.sliding_window import SlidingWindow
 
-SECOND = 10_000
 GOAL_PART, LIMIT_LEAST = (
     0.5,
     16,
@@ -38,20 +38,23 @@
 class LoadShedder:
     """One for each instance. Asked with every transaction, told of every outcome that says how pods are."""
 
-    def __init__(self, terms):
+    def __init__(self, settings):
         self.many, self.least = (
-            terms.instances > FEW,
-            max(3.0, LIMIT_LEAST * min(1.0, FEW / terms.instances)),
+            settings.instances > FEW,
+            max(3.0, LIMIT_LEAST * min(1.0, FEW / settings.instances)),
         )
         self.answers, self.heard, self.times, self.unheard = (
-            SlidingWindow(2 * SECOND, 8) for _ in range(4)
+            SlidingWindow(2 * TICKS_PER_SECOND, 8) for _ in range(4)
         )
-        self.usual, self.means, self.lanes = USUAL, {}, {}
+        self.usual, self.means, self.request_classes = USUAL, {}, {}
 
-    def ended(self, now, lane, end, share):
+    def ended(self, now, request_class, end, share):
         """An outcome at a pod with this share of its capacity."""
-        times = min(2.0, end.latency * share / lane.latency_objective)
-        late = end.outcome == Outcome.TIMED_OUT and end.latency >= 0.99 * lane.latency_objective
+        times = min(2.0, end.latency * share / request_class.latency_objective)
+        late = (
+            end.outcome == Outcome.TIMED_OUT
+            and end.latency >= 0.99 * request_class.latency_objective
+        )
         if late or end.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
             self.unheard.add(now)
         elif end.outcome == Outcome.DONE:
@@ -60,24 +63,35 @@
             apart = times - self.usual
             self.usual = min(GOAL_PART, self.usual + (UP if apart > 0 else DOWN) * apart)
 
-    def answered(self, now, lane, latency):
-        self.answers.add(now, GOAL_PART * lane.latency_objective)
-        mean = self.means.get(lane.name, latency)
-        self.means[lane.name], self.lanes[lane.name] = (
+    def answered(self, now, request_class, latency):
+        self.answers.add(now, GOAL_PART * request_class.latency_objective)
+        mean = self.means.get(request_class.name, latency)
+        self.means[request_class.name], self.request_classes[request_class.name] = (
             max(1.0, mean + 0.03 * (latency - mean)),
-            lane,
+            request_class,
         )
 
-    def limit(self, now, lane, since):
+    def limit(self, now, request_class, since):
         """Open work may be what answers come for within part of the goal (Little's law), so no queue lasts.
         Lanes that earn least go first. No answers yet are no sign of overload. since: its first traffic."""
-        come = self.answers.total(now) / min(2 * SECOND, since) if since > SECOND else 1000.0
-        return max(self.least, come) * self.part(lane)
+        come = (
+            self.answers.total(now) / min(2 * TICKS_PER_SECOND, since)
+            if since > TICKS_PER_SECOND
+            else 1000.0
+        )
+        return max(self.least, come) * self.part(request_class)
 
-    def part(self, lane):
-        worth = {name: self.lanes[name].priority_weight / mean for name, mean in self.means.items()}
+    def part(self, request_class):
+        worth = {
+            name: self.request_classes[name].priority_weight / mean
+            for name, mean in self.means.items()
+        }
         low, high = min(worth.values(), default=0), max(worth.values(), default=0)
-        rank = (worth[lane.name] - low) / (high - low) if lane.name in worth and high > low else 0.5
+        rank = (
+            (worth[request_class.name] - low) / (high - low)
+            if request_class.name in worth and high > low
+            else 0.5
+        )
         return LANE_PART[0] + (LANE_PART[1] - LANE_PART[0]) * rank
 
     def pressure(self, now, open_):
@@ -91,7 +105,7 @@
         )
         if late + len(open_) > bound:  # else what is open could not tip it
             late += sum(
-                now - tx.sent[-1].at > GOAL_PART * tx.lane.latency_objective
+                now - tx.sent[-1].at > GOAL_PART * tx.request_class.latency_objective
                 for tx in open_
                 if tx.sent and tx.sent[-1].out
             )
@@ -99,11 +113,11 @@
             seen, times = seen + late, times + late
         return times / seen / (self.usual + ROOM * (1 - self.usual))
 
-    def refused(self, now, lane, open_, since, recent, draw):
+    def refused(self, now, request_class, open_, since, recent, draw):
         """None if it is taken, else (whether by the lot, what was looked at, what it was held to)."""
-        pressure, limit = self.pressure(now, open_), self.limit(now, lane, since)
+        pressure, limit = self.pressure(now, open_), self.limit(now, request_class, since)
         chance, by_lot = ADMITS[PRESSED if pressure > 1 else CALM, self.many]
         if len(open_) > limit + chance * limit**0.5:
             return False, len(open_), limit + chance * limit**0.5
-        odds = self.part(lane) / pressure if by_lot and recent < QUIET else 1.0
+        odds = self.part(request_class) / pressure if by_lot and recent < QUIET else 1.0
         return (True, pressure, odds) if odds < 1 and draw() > odds else None
--- a/thymeknot/polling/adaptive_interval.py
+++ b/thymeknot/polling/adaptive_interval.py
@@ -3,17 +3,18 @@
 Times are whole tenths of a millisecond. Source: docs/design/vast.md.
 """
 
-SECOND = 10_000
+from ..interface.clock import TICKS_PER_SECOND
+
 AGAIN = (
     2_000,
     8_000,
 )  # after an asking that the service had no part in; by chance, so that a crowd spreads
-LONGEST = 8 * SECOND  # between two askings at most: what is told late must still be told
-LONGEST_FREE = SECOND  # of a peer that serves this one alone, at no cost
-STEADY = 2 * SECOND  # what ends sooner after its asking was refused, though it had begun
+LONGEST = 8 * TICKS_PER_SECOND  # between two askings at most: what is told late must still be told
+LONGEST_FREE = TICKS_PER_SECOND  # of a peer that serves this one alone, at no cost
+STEADY = 2 * TICKS_PER_SECOND  # what ends sooner after its asking was refused, though it had begun
 # All ask first within it, for each that asks and in all: such a service takes one call of each in 2 to 8 s, and what it
 # has counts as told after 6 s.
-SPREAD, SPREAD_MOST = 1_000, 6 * SECOND
+SPREAD, SPREAD_MOST = 1_000, 6 * TICKS_PER_SECOND
 
 FRESH, WARNED, TURNED_AWAY = "fresh", "warned", "turned away"
 REFUSED, LOST, SPOILT, STOOD = "refused", "lost", "spoilt", "stood"
@@ -36,7 +37,7 @@
 }
 
 
-class Pace:
+class AdaptiveInterval:
     """One for each service that is asked. draw() gives chance from 0 to 1, seeded from outside."""
 
     def __init__(self, draw, longest=LONGEST):
--- a/thymeknot/polling/snapshot_validation.py
+++ b/thymeknot/polling/snapshot_validation.py
@@ -36,7 +36,7 @@
     again: bool
 
 
-class Belief:
+class SnapshotValidator:
     """One for each sidecar. source: the address that tells; each counts for itself."""
 
     def __init__(self):
--- a/thymeknot/protocol/calls.py
+++ b/thymeknot/protocol/calls.py
@@ -6,9 +6,16 @@
 from twisted.internet.error import ConnectionDone
 from twisted.internet.protocol import ClientFactory, Protocol
 
-from ..polling.adaptive_interval import LONGEST, LONGEST_FREE, LOST, REFUSED, SPOILT, Pace
+from ..polling.adaptive_interval import (
+    LONGEST,
+    LONGEST_FREE,
+    LOST,
+    REFUSED,
+    SPOILT,
+    AdaptiveInterval,
+)
 from . import http
-from .write_progress import NOT_CONNECTED, Broken, WholeWriter
+from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter
 
 MOST_REASON = 200  # characters: what could not be read may be long
 
@@ -44,7 +51,7 @@
         elif isinstance(part, http.Body):
             self.body += part.content
             if len(self.body) > http.MOST_BODY:
-                raise http.Malformed("an answer that is too large")
+                raise http.MalformedHttpError("an answer that is too large")
         else:
             self._finish(Reply(self.status, bytes(self.body)))
 
@@ -81,7 +88,7 @@
     def __init__(self, request, read, owner):
         self.request, self.read, self.owner = request, read, owner
         self.parser, self.good, self.over, self.connector = http.Parser(), False, False, None
-        self.caller, self.asked_at = owner.caller, owner.deadlines.clock()
+        self.caller, self.asked_at = owner.caller, owner.timers.clock()
 
     def connectionMade(self):
         if not self.owner.has(self):  # given up while it was on its way
@@ -143,16 +150,16 @@
         return self.made
 
     def clientConnectionFailed(self, connector, reason):
-        self.failed(Broken(NOT_CONNECTED, reason.getErrorMessage()))
+        self.failed(BrokenConnection(NOT_CONNECTED, reason.getErrorMessage()))
 
 
-class Caller:
+class HttpCaller:
     """Calls to one address, each on a connection of its own: one that stood idle may be closed under it."""
 
     MOST = 16  # at once; the platform holds 32 connections of a sidecar
 
-    def __init__(self, reactor, deadlines, address, connect_within):
-        self.reactor, self.deadlines, self.address, self.out = reactor, deadlines, address, 0
+    def __init__(self, reactor, timers, address, connect_within):
+        self.reactor, self.timers, self.address, self.out = reactor, timers, address, 0
         self.connect_within, self.host = connect_within, f"{address[0]}:{address[1]}"
 
     def dial(self, protocol, failed, late):
@@ -160,29 +167,27 @@
         connector = self.reactor.connectTCP(
             *self.address, Connector(protocol, failed), timeout=None
         )
-        self.deadlines.add(self.deadlines.clock() + self.connect_within, late)
+        self.timers.add(self.timers.clock() + self.connect_within, late)
         return connector
 
     def call(self, request, within):
         """The Deferred fires with a Reply or a Broken, within the time."""
         if self.out >= self.MOST:
-            return succeed(Broken(NOT_CONNECTED, "too many calls at once"))
+            return succeed(BrokenConnection(NOT_CONNECTED, "too many calls at once"))
         call = Call(request)
         self.out += 1
         call.connector = self.dial(call, call.broken, call.dial_late)
-        late = self.deadlines.add(
-            self.deadlines.clock() + within, call.give_up, "no answer in time"
-        )
+        late = self.timers.add(self.timers.clock() + within, call.give_up, "no answer in time")
 
         def finished(end):
             self.out -= 1
-            self.deadlines.cancel(late)
+            self.timers.cancel(late)
             return end
 
         return call.done.addCallback(finished)
 
 
-class KeptStream:
+class WatchStream:
     """Keeps one stream standing: asks again, spread by chance, when it ends or falls silent.
 
     One that connects and says nothing for as long as a first word takes (first, or silence) is given up, and the next
@@ -200,19 +205,19 @@
             0,
             None,
         )  # quiet: how many in a row said nothing
-        self.caller, self.deadlines, self.silence, self.free = (
+        self.caller, self.timers, self.silence, self.free = (
             caller,
-            caller.deadlines,
+            caller.timers,
             silence,
             free,
         )
-        self.pace = Pace(chance.draw, LONGEST_FREE if free else LONGEST)
+        self.pace = AdaptiveInterval(chance.draw, LONGEST_FREE if free else LONGEST)
         self.ask, self.reader, self.log = ask, reader, log
         self.stream, self.asked, self.last, self.again, self.look = None, None, 0, None, None
 
     def start_among(self, asking):
         """Asks for the first time when so many others may do the same."""
-        self.again = self.deadlines.add(self.deadlines.clock() + self.pace.first(asking), self._ask)
+        self.again = self.timers.add(self.timers.clock() + self.pace.first(asking), self._ask)
 
     def start(self):
         """Asks for a stream; until it speaks it is not the one that stands."""
@@ -222,17 +227,17 @@
 
     def connected(self, asked):
         within = min(self.first << min(self.quiet, 10), max(self.first, self.silence))
-        self.deadlines.cancel(self.due)
-        self.due = self.deadlines.add(self.deadlines.clock() + within, self._still_asked, asked)
+        self.timers.cancel(self.due)
+        self.due = self.timers.add(self.timers.clock() + within, self._still_asked, asked)
 
     def move(self, caller):
         """Asks at another address, now and from now on; what was refused at the former one counts no more."""
-        self.pace = Pace(self.pace.draw, self.pace.longest)
+        self.pace = AdaptiveInterval(self.pace.draw, self.pace.longest)
         self.caller, asked, self.asked, self.quiet = caller, self.asked, None, 0
         if asked:
             asked.drop()
         if self.again is not None:
-            self.deadlines.cancel(self.again)
+            self.timers.cancel(self.again)
         self.start()
 
     def has(self, stream):
@@ -243,13 +248,13 @@
         return (
             self.stream is not None
             and self.stream.caller is self.caller
-            and self.deadlines.clock() < self.last + self.silence
+            and self.timers.clock() < self.last + self.silence
         )
 
     def heard(self, stream):
-        former, self.last = self.stream, self.deadlines.clock()
+        former, self.last = self.stream, self.timers.clock()
         if self.look is None:  # one look ahead, whatever streams come and go
-            self.look = self.deadlines.add(self.last + self.silence, self._look)
+            self.look = self.timers.add(self.last + self.silence, self._look)
         self.quiet = 0 if stream.caller is self.caller else self.quiet
         if stream is self.asked:
             self.stream, self.asked = stream, None
@@ -263,7 +268,7 @@
         """how: REFUSED where the peer ended it, SPOILT where it made no sense; no connection and silence are LOST."""
         if not self.has(stream):
             return
-        now = self.deadlines.clock()
+        now = self.timers.clock()
         age = now - stream.asked_at if stream is self.stream else 0
         wait = self.pace.ended(how, age) if stream.caller is self.caller else self.pace.wait()
         self.log(
@@ -274,7 +279,7 @@
         else:
             self.asked = None
         if not self.asked and self.again is None:
-            self.again = self.deadlines.add(now + wait, self._ask)
+            self.again = self.timers.add(now + wait, self._ask)
 
     def _ask(self):
         self.again = None
@@ -286,8 +291,8 @@
         self.look, ends = None, self.last + self.silence
         if self.stream is None:
             return
-        if self.deadlines.clock() < ends:
-            self.look = self.deadlines.add(ends, self._look)
+        if self.timers.clock() < ends:
+            self.look = self.timers.add(ends, self._look)
         elif not self.asked and self.again is None:
             self.log("stream silent", address=self.stream.caller.host)
             self.start()
@@ -298,5 +303,5 @@
             self.ended(asked, "says nothing", how=LOST)
             asked.drop()
             if self.free:
-                self.deadlines.cancel(self.again)
+                self.timers.cancel(self.again)
                 self._ask()
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -33,7 +33,7 @@
     id: bytes
     pairs: tuple  # name and value, in the client's order
     body: tuple  # the words after the pairs
-    lane: str
+    request_class: str
     tenant: Optional[str]
     left: int  # milliseconds
     repeat: bool
@@ -65,7 +65,7 @@
     if not left.isdigit() or len(left) > 9 or int(left) <= 0:
         return "d, the time in milliseconds, is missing or no number"
     try:
-        lane, tenant = told[b"c"].decode(), told.get(b"t", b"").decode() or None
+        request_class, tenant = told[b"c"].decode(), told.get(b"t", b"").decode() or None
         words[1].decode(), words[2].decode()
     except UnicodeDecodeError:
         return "a name is not UTF-8"
@@ -75,7 +75,7 @@
         words[2],
         pairs,
         tuple(words[4:]),
-        lane,
+        request_class,
         tenant,
         int(left),
         told.get(b"r") == b"1",
@@ -89,11 +89,11 @@
     def feed(self, data):
         yield from super().feed(data)
         if self.held > MOST_COMMAND:
-            raise resp.Malformed(f"a command of over {MOST_COMMAND} bytes")
+            raise resp.MalformedRespError(f"a command of over {MOST_COMMAND} bytes")
 
     def _array(self, buffer, at, length, depth):
         if depth:
-            raise resp.Malformed("an array in a command")
+            raise resp.MalformedRespError("an array in a command")
         return super()._array(buffer, at, length, depth)
 
 
@@ -109,7 +109,7 @@
     is read from there on, and what crosses that is sent once more by its client."""
 
     def __init__(self, owner):
-        self.owner, self.parser, self.deadlines = owner, CommandParser(), owner.deadlines
+        self.owner, self.parser, self.timers = owner, CommandParser(), owner.timers
         self.slot, self.first, self.places = None, 0, deque()
         self.sound, self.closing, self.reading, self.used_at, self.opened_at = (
             True,
@@ -128,7 +128,7 @@
         self.due, self.last, self.looking, self.waits, self.linger = None, None, None, None, LINGERS
 
     def connectionMade(self):
-        self.opened_at = self.deadlines.clock()
+        self.opened_at = self.timers.clock()
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self._expect(SPEAKS_WITHIN)
@@ -137,7 +137,7 @@
     def connectionLost(self, reason):
         self.sound, self.gone = False, True
         for deadline in (self.due, self.last, self.looking, self.waits):
-            self.deadlines.cancel(deadline)
+            self.timers.cancel(deadline)
         self.owner.left(self)
 
     def readConnectionLost(self):
@@ -156,7 +156,7 @@
 
     def _expect(self, within):
         """A whole command within this time, or the connection is closed; one that stands idle later is not."""
-        self.due = self.deadlines.add(self.deadlines.clock() + within, self._says_nothing)
+        self.due = self.timers.add(self.timers.clock() + within, self._says_nothing)
 
     def _says_nothing(self, again=True):
         """Half a command is answered with an error. One that said nothing is closed without a word: its client may be
@@ -167,7 +167,7 @@
         if not self.reading:  # the rest may be there: it is we who do not read it
             return self._expect(SPEAKS_WITHIN)
         if again and not nothing_waits(self.transport):
-            self.due = self.deadlines.add(self.deadlines.clock() + LOOKS, self._says_nothing, False)
+            self.due = self.timers.add(self.timers.clock() + LOOKS, self._says_nothing, False)
         elif self.parser.held:
             self.sound = False
             self.answer(self._place(), resp.failure("ERR no whole command in time"))
@@ -187,7 +187,7 @@
         self.blocked = False
         self._read_on()
         if not self.closing:
-            self.deadlines.cancel(self.last)
+            self.timers.cancel(self.last)
             self.last = None
 
     def stopProducing(self):
@@ -195,8 +195,8 @@
 
     def _end_within(self, within):
         if self.last is None:
-            self.last = self.deadlines.add(
-                self.deadlines.clock() + within, self.transport.abortConnection
+            self.last = self.timers.add(
+                self.timers.clock() + within, self.transport.abortConnection
             )
 
     def _read_on(self):
@@ -219,7 +219,7 @@
             return
         if has_left(self.transport):
             return self.readConnectionLost()
-        self.looking = self.deadlines.add(self.deadlines.clock() + LOOKS, self._look)
+        self.looking = self.timers.add(self.timers.clock() + LOOKS, self._look)
 
     def idle(self):
         return not self.places and not self.parser.held
@@ -238,7 +238,7 @@
                 if self.gone:
                     return
                 self._command(message)
-        except resp.Malformed as error:
+        except resp.MalformedRespError as error:
             self.sound = (
                 False  # what follows can't be told apart any more: answer what is owed, then close
             )
@@ -259,7 +259,7 @@
 
     def _command(self, parts):
         place, self.spoke = self._place(), True
-        self.deadlines.cancel(self.due)
+        self.timers.cancel(self.due)
         self.due = None
         if not (
             isinstance(parts, list)
@@ -286,7 +286,7 @@
         while self.places and self.places[0] is not None:
             self.transport.write(self.places.popleft())
             self.first += 1
-        self.used_at = self.deadlines.clock()
+        self.used_at = self.timers.clock()
         self._read_on()
         if self.closing:
             self.finish()
@@ -296,7 +296,7 @@
     def give_way(self):
         """Closes for want of places, at once: half a first command is not waited for."""
         self.linger = 0
-        self.deadlines.cancel(self.last)
+        self.timers.cancel(self.last)
         self.last = None
         self.finish()
         if not self.ended:
@@ -306,11 +306,9 @@
         """Closes once everything owed is answered; a command that has begun to come is waited for, and on a new
         connection the first one."""
         self.closing = True
-        if self.sound and self.linger and self.awaited(self.deadlines.clock()):
+        if self.sound and self.linger and self.awaited(self.timers.clock()):
             speaks = self.opened_at + SPEAKS_FIRST
-            self.waits = (
-                self.deadlines.add(speaks, self.finish) if self.waits is None else self.waits
-            )
+            self.waits = self.timers.add(speaks, self.finish) if self.waits is None else self.waits
             return
         if not self.ended and not self.places and (not self.sound or self.idle()):
             self.ended = True
@@ -325,7 +323,7 @@
     def _go_on(self):
         """A request has come before the end: it is read and answered first."""
         self.ended = self.flushing = self.blocked = False
-        self.deadlines.cancel(self.last)
+        self.timers.cancel(self.last)
         self.last = None
         self.transport.unregisterProducer()
         self.transport.registerProducer(self, True)
@@ -346,7 +344,7 @@
             return self.transport.loseConnection()
         if self.sound:
             self.transport.pauseProducing()
-        self.deadlines.cancel(self.last)
-        self.last = self.deadlines.add(
-            self.deadlines.clock() + self.linger, self.transport.loseConnection
+        self.timers.cancel(self.last)
+        self.last = self.timers.add(
+            self.timers.clock() + self.linger, self.transport.loseConnection
         )
--- a/thymeknot/protocol/deployer.py
+++ b/thymeknot/protocol/deployer.py
@@ -39,7 +39,7 @@
 LEAF = re.compile(r"<([A-Za-z][\w.-]*)(?:\s[^<>]*)?>([^<>]*)</\1\s*>")
 
 
-class Unreadable(ValueError):
+class UnreadableReleaseError(ValueError):
     """What came is not what the platform says. The text names the faulty field."""
 
 
@@ -65,9 +65,11 @@
     try:
         return decode(told[name])
     except KeyError:
-        raise Unreadable(f"{name} is missing or not known: {told.get(name)!r}") from None
+        raise UnreadableReleaseError(
+            f"{name} is missing or not known: {told.get(name)!r}"
+        ) from None
     except (TypeError, ValueError, OverflowError):
-        raise Unreadable(f"{name} makes no sense: {told[name]!r}") from None
+        raise UnreadableReleaseError(f"{name} makes no sense: {told[name]!r}") from None
 
 
 def _tenths(milliseconds):
@@ -133,7 +135,7 @@
         if end.status == 200:
             try:
                 return read_news(told, True)
-            except Unreadable:
+            except UnreadableReleaseError:
                 return ReleaseUpdate(build, None, None, True, Outcome.TIMED_OUT, None, None)
         outcome = REFUSALS.get((end.status, told.get("Code")), Outcome.TIMED_OUT)
     else:
--- a/thymeknot/protocol/discovery.py
+++ b/thymeknot/protocol/discovery.py
@@ -35,11 +35,11 @@
 KEYS = re.compile(rb'"(version|servers)"\s*:')  # that a list has once each, and no entry has
 
 
-class Unreadable(ValueError):
+class UnreadableListError(ValueError):
     """What came is no list. The text names the faulty key."""
 
 
-class Unbelieved(Unreadable):
+class StaleSnapshotError(UnreadableListError):
     """A list that reads well and would take all that is known. Where it is never believed, the peer is asked again less
     and less often. Where it is if it comes again, all that it tells counts as told meanwhile: the peer is asked as if
     its stream had stood."""
@@ -49,7 +49,7 @@
         self.how = STOOD if again else REFUSED
 
 
-class Listing(NamedTuple):
+class EndpointListing(NamedTuple):
     version: int
     update: EndpointUpdate
     addresses: dict  # of the pods that are listed with one
@@ -66,26 +66,26 @@
 def _entry(value, at, epoch):
     key = f"servers.{at}"
     if not isinstance(value, dict):
-        raise Unreadable(f"{key} is no object")
+        raise UnreadableListError(f"{key} is no object")
 
     def read(name, kinds, default=None):
         found = value.get(name, default)
         if not isinstance(found, kinds) or isinstance(found, bool):
-            raise Unreadable(f"{key}.{name} is missing or of a wrong type")
+            raise UnreadableListError(f"{key}.{name} is missing or of a wrong type")
         return found
 
     if read("state", str) not in CONDITIONS:
-        raise Unreadable(f"{key}.state is not known: {value['state']!r}")
+        raise UnreadableListError(f"{key}.state is not known: {value['state']!r}")
     condition = CONDITIONS[value["state"]]
     address = read("addr", str, "" if condition == EndpointCondition.GONE else None)
     found = ADDRESS.fullmatch(address)
     if condition != EndpointCondition.GONE and not (found and 0 < int(found[1]) <= MOST_PORT):
-        raise Unreadable(f"{key}.addr is no address with a port")
+        raise UnreadableListError(f"{key}.addr is no address with a port")
 
     def number(name, kinds, least, most, default=0):
         found = read(name, kinds, default)
         if not least <= found <= most:
-            raise Unreadable(f"{key}.{name} is not from {least} to {most}")
+            raise UnreadableListError(f"{key}.{name} is not from {least} to {most}")
         return found
 
     started = number("started_ms", (int, float), 0, LATEST)
@@ -105,15 +105,15 @@
 def read_list(value, epoch, kind=None):
     """A Listing of a list's object. epoch: Unix time less the sidecar's clock, in tenths of a millisecond."""
     if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
-        raise Unreadable("servers is missing or no list")
+        raise UnreadableListError("servers is missing or no list")
     version, whole = value.get("version"), value.get("full", False)
     if type(version) is not int or not 0 <= version <= MOST_VERSION:
-        raise Unreadable("version is missing or no whole number from 0 on")
+        raise UnreadableListError("version is missing or no whole number from 0 on")
     if type(whole) is not bool:
-        raise Unreadable("full is neither true nor false")
+        raise UnreadableListError("full is neither true nor false")
     entries = [_entry(entry, at, epoch) for at, entry in enumerate(value["servers"])]
     kind = kind or (UpdateKind.FULL if whole else UpdateKind.DELTA)
-    return Listing(
+    return EndpointListing(
         version,
         EndpointUpdate(kind, tuple(pod for pod, _ in entries)),
         {pod.address: address for pod, address in entries if address},
@@ -143,7 +143,7 @@
     if first is last:
         return first
     pods = tuple(pod for listing in listings for pod in listing.update.endpoints)
-    return Listing(
+    return EndpointListing(
         last.version,
         EndpointUpdate(first.update.kind, pods),
         {pod: address for listing in listings for pod, address in listing.addresses.items()},
@@ -172,27 +172,27 @@
                     yield orjson.loads(line)
                 except orjson.JSONDecodeError as error:
                     if not line.lstrip().startswith(b"{"):
-                        raise Unreadable(f"no JSON: {error}") from None
+                        raise UnreadableListError(f"no JSON: {error}") from None
                     yield from self._go_on(line)
 
     def _go_on(self, line):
         self.begun = bytearray() if self.begun is None else self.begun
         self.begun += line + b"\n"
         if len(self.begun) > http.MOST_LINE:
-            raise Unreadable("a list that is too long")
+            raise UnreadableListError("a list that is too long")
         self.keys += KEYS.findall(line)
         if len(self.keys) > len(set(self.keys)):
-            raise Unreadable("a list within another, which was cut")
+            raise UnreadableListError("a list within another, which was cut")
         plain = STRINGS.sub(b"", line)
         if NO_JSON.search(plain):
-            raise Unreadable(f"no JSON: {bytes(line[:50])!r}")
+            raise UnreadableListError(f"no JSON: {bytes(line[:50])!r}")
         for at, bracket in enumerate(BRACKETS.findall(plain)):
             if bracket in CLOSERS and (self.closers or not at):
                 self.closers += CLOSERS[bracket]
             elif self.closers[-1:] == bracket:
                 self.closers.pop()
             else:
-                raise Unreadable(f"no JSON: {bytes(line[:50])!r} closes what is not open")
+                raise UnreadableListError(f"no JSON: {bytes(line[:50])!r} closes what is not open")
         if not self.closers:
             text, self.begun, self.keys = self.begun, None, []
             yield parse(text)
@@ -202,7 +202,7 @@
     try:
         return orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise Unreadable(f"no JSON: {error}") from None
+        raise UnreadableListError(f"no JSON: {error}") from None
 
 
 def read_json(text, epoch):
--- a/thymeknot/protocol/http.py
+++ b/thymeknot/protocol/http.py
@@ -17,7 +17,7 @@
 )  # 5,000 pods, indented by 4: 1.45 MB
 
 
-class Malformed(ValueError):
+class MalformedHttpError(ValueError):
     """What came is not HTTP/1.1, or larger than is taken."""
 
 
@@ -61,19 +61,19 @@
     def _line(self, buffer, at, most):
         end = buffer.find(b"\r\n", at, at + most)
         if end < 0 and len(buffer) - at >= most:
-            raise Malformed("a line without an end")
+            raise MalformedHttpError("a line without an end")
         return (None, at) if end < 0 else (buffer[at:end], end + 2)
 
     def _head(self, buffer, at):
         end = buffer.find(b"\r\n\r\n", at, at + MOST_HEAD)
         if end < 0:
             if len(buffer) - at >= MOST_HEAD:
-                raise Malformed("a head without an end")
+                raise MalformedHttpError("a head without an end")
             return None, at
         first, *lines = buffer[at:end].decode("latin-1").split("\r\n")
         words = first.split(" ", 2)
         if len(words) < 2 or not words[0].startswith("HTTP/1.") or not STATUS.fullmatch(words[1]):
-            raise Malformed("no status line")
+            raise MalformedHttpError("no status line")
         headers = {
             name.strip().lower(): text.strip()
             for name, _, text in (line.partition(":") for line in lines)
@@ -90,7 +90,7 @@
             self.state = self._until_closed
             return [head], after
         if not LENGTH.fullmatch(length) or int(length) > MOST_BODY:
-            raise Malformed("a length that is no number, or too large")
+            raise MalformedHttpError("a length that is no number, or too large")
         self.left, self.state = int(length), self._sized
         return [head], after
 
@@ -117,10 +117,10 @@
             return None, at
         size = line.partition(b";")[0]
         if not SIZE.fullmatch(size):
-            raise Malformed("a chunk without a size")
+            raise MalformedHttpError("a chunk without a size")
         self.left = int(size, 16)
         if self.left > MOST_BODY:
-            raise Malformed("a chunk that is too large")
+            raise MalformedHttpError("a chunk that is too large")
         self.state = self._in_chunk if self.left else self._trailer
         return [], after
 
@@ -129,7 +129,7 @@
             if len(buffer) - at < 2:
                 return None, at
             if buffer[at : at + 2] != b"\r\n":
-                raise Malformed("a chunk longer than it says")
+                raise MalformedHttpError("a chunk longer than it says")
             self.state = self._chunk
             return [], at + 2
         part = memoryview(buffer)[at : at + self.left]
@@ -158,12 +158,12 @@
         first, *others = bytes(content).split(b"\n")
         self.rest += first  # in place: a long line comes in many slices
         if len(self.rest) > self.most:
-            raise Malformed("a line that is too long")
+            raise MalformedHttpError("a line that is too long")
         if not others:
             return []
         whole, self.rest = [bytes(self.rest), *others[:-1]], bytearray(others[-1])
         if max(len(self.rest), *map(len, whole)) > self.most:
-            raise Malformed("a line that is too long")
+            raise MalformedHttpError("a line that is too long")
         return [line.rstrip(b"\r") for line in whole]
 
 
@@ -182,10 +182,10 @@
                 continue
             self.size += len(line) + 1
             if self.size > MOST_EVENT:
-                raise Malformed("an event without an end")
+                raise MalformedHttpError("an event without an end")
             name, _, text = line.decode("utf-8", "replace").partition(":")
             if name not in FIELDS:
-                raise Malformed("a line that is no field of an event")
+                raise MalformedHttpError("a line that is no field of an event")
             text = text[1:] if text.startswith(" ") else text
             if name == "event":
                 self.event = text
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -7,7 +7,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from . import resp
-from .write_progress import NOT_CONNECTED, Broken, WholeWriter, nothing_waits
+from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter, nothing_waits
 
 MOST_VALUE = (
     512 * 1024
@@ -17,7 +17,7 @@
 PARTS = 3  # of a good answer: the value, null, the load report or null
 
 
-class Answer(NamedTuple):
+class PodResponse(NamedTuple):
     """What a pod answered: its value and its load report, or the text of its failure."""
 
     value: Optional[memoryview]
@@ -28,11 +28,11 @@
 def read_answer(message):
     """An Answer, or None where the message is none that a pod gives."""
     if isinstance(message, resp.Failure):
-        return Answer(None, None, message.text)
+        return PodResponse(None, None, message.text)
     if isinstance(message, list) and message and isinstance(message[0], memoryview):
         report = message[2] if len(message) == PARTS else None
         told = isinstance(report, memoryview) and len(report) <= MOST_REPORT
-        return Answer(message[0], bytes(report) if told else None, None)
+        return PodResponse(message[0], bytes(report) if told else None, None)
     return None
 
 
@@ -46,7 +46,7 @@
 
     def _array(self, buffer, at, length, depth):
         if depth:
-            raise resp.Malformed("an array in an answer")
+            raise resp.MalformedRespError("an array in an answer")
         return super()._array(buffer, at, length, depth)
 
 
@@ -62,7 +62,7 @@
             None,
             None,
         )
-        self.begun, self.deadlines, self.delivery = nothing, [], None
+        self.begun, self.timers, self.delivery = nothing, [], None
 
     def connectionMade(self):
         self.transport.setTcpNoDelay(True)
@@ -98,7 +98,7 @@
         messages, wrong = [], None
         try:
             messages += self.parser.feed(data)
-        except resp.Malformed as error:
+        except resp.MalformedRespError as error:
             wrong = f"unreadable answer: {error}"
         if self.parser.held > MOST_ANSWER:
             wrong = wrong or f"an answer of over {MOST_ANSWER} bytes"
@@ -158,7 +158,7 @@
                 self.parser.first_part()
             ):  # whole, and cut behind it: as where something wrong follows
                 waiting, self.waiting = self.waiting, None
-                waiting.callback(Answer(value, None, None))
+                waiting.callback(PodResponse(value, None, None))
         self._broken(reason.getErrorMessage())
 
 
@@ -174,4 +174,4 @@
         return PodConnection(self.owner, self)
 
     def clientConnectionFailed(self, connector, reason):
-        self.failed.callback(Broken(NOT_CONNECTED, reason.getErrorMessage()))
+        self.failed.callback(BrokenConnection(NOT_CONNECTED, reason.getErrorMessage()))
--- a/thymeknot/protocol/resp.py
+++ b/thymeknot/protocol/resp.py
@@ -8,7 +8,7 @@
 INCOMPLETE = object()
 
 
-class Malformed(ValueError):
+class MalformedRespError(ValueError):
     """Not RESP2, or larger than the protocol allows: where the next message begins is unknown."""
 
 
@@ -56,7 +56,7 @@
         if buffer[:1] == b"*":
             try:
                 part, _ = self._message(buffer, self._line(buffer, 0)[1], 1)
-            except Malformed:
+            except MalformedRespError:
                 return
             if isinstance(part, memoryview):
                 yield part
@@ -65,7 +65,7 @@
         found = buffer.find(b"\r\n", at, at + MOST_LINE)
         if found < 0:
             if len(buffer) - at >= MOST_LINE:
-                raise Malformed("a line without an end")
+                raise MalformedRespError("a line without an end")
             return None, len(buffer) + 1
         return buffer[at + 1 : found], found + 2
 
@@ -75,7 +75,7 @@
             return INCOMPLETE, at + 1
         kind = buffer[at]
         if kind not in b"*$+-:":
-            raise Malformed("neither an array nor a string begins here")
+            raise MalformedRespError("neither an array nor a string begins here")
         line, end = self._line(buffer, at)
         if line is None:
             return INCOMPLETE, end
@@ -89,7 +89,7 @@
         if number == -1:
             return None, end
         if number < 0:
-            raise Malformed("a negative length")
+            raise MalformedRespError("a negative length")
         if kind == 0x24:
             return self._bulk(buffer, end, number)
         return self._array(buffer, end, number, depth)
@@ -97,22 +97,22 @@
     def _number(self, line):
         digits = line[1:] if line[:1] == b"-" else line
         if not digits.isdigit() or len(digits) > 18:
-            raise Malformed("a length that is no number")
+            raise MalformedRespError("a length that is no number")
         return int(line)
 
     def _bulk(self, buffer, at, length):
         if length > self.most:
-            raise Malformed(f"a value of {length} bytes, over {self.most}")
+            raise MalformedRespError(f"a value of {length} bytes, over {self.most}")
         end = at + length + 2
         if len(buffer) < end:
             return INCOMPLETE, end
         if buffer[end - 2 : end] != b"\r\n":
-            raise Malformed("a value longer than it says")
+            raise MalformedRespError("a value longer than it says")
         return memoryview(buffer)[at : end - 2], end
 
     def _array(self, buffer, at, length, depth):
         if length > MOST_PARTS or depth >= MOST_DEPTH:
-            raise Malformed("an array of too many parts")
+            raise MalformedRespError("an array of too many parts")
         parts = []
         for _ in range(length):
             part, at = self._message(buffer, at, depth + 1)
--- a/thymeknot/protocol/write_progress.py
+++ b/thymeknot/protocol/write_progress.py
@@ -10,7 +10,7 @@
 NOT_CONNECTED, NOT_ALL_WRITTEN, WRITTEN = "not connected", "not all written", "written"
 
 
-class Broken(NamedTuple):
+class BrokenConnection(NamedTuple):
     """The way to the peer failed; how far the attempt had come decides whether it may have been carried out."""
 
     reached: str
@@ -75,4 +75,4 @@
         """The transport says so when it is lost; connectionLost follows."""
 
     def how_far(self, reason):
-        return Broken(WRITTEN if self.written else NOT_ALL_WRITTEN, reason)
+        return BrokenConnection(WRITTEN if self.written else NOT_ALL_WRITTEN, reason)
