--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -36,14 +36,20 @@
     TimerFired,
 )
 from ..policy.engine import PROOF, DecisionEngine
-from ..polling.snapshot_validation import Belief
+from ..polling.snapshot_validation import SnapshotValidator
 from ..protocol import deployer, discovery, http, resp
-from ..protocol.calls import MOST_REASON, Caller, KeptStream, Reply
+from ..protocol.calls import MOST_REASON, HttpCaller, Reply, WatchStream
 from ..protocol.client import ClientConnection
-from ..protocol.pod import Answer
-from ..protocol.write_progress import WRITTEN, Broken, has_left, nothing_waits, take_no_more
+from ..protocol.pod import PodResponse
+from ..protocol.write_progress import (
+    WRITTEN,
+    BrokenConnection,
+    has_left,
+    nothing_waits,
+    take_no_more,
+)
 from ..service import structured_log
-from ..service.rejection_summary import Refusals
+from ..service.rejection_summary import RejectionSummary
 from ..state.connection_pool import ConnectionPools
 from ..state.random_source import LinearCongruentialGenerator
 from ..state.slot_table import SlotTable
@@ -102,7 +108,7 @@
     """A delivery on its way, and its one end."""
 
     __slots__ = (
-        "sidecar",
+        "proxy",
         "held",
         "number",
         "pod",
@@ -116,11 +122,11 @@
         "may_have_run",
     )
 
-    def __init__(self, sidecar, held, pod, at, ends):
-        self.sidecar, self.held, self.number, self.pod = sidecar, held, len(held.attempts), pod
+    def __init__(self, proxy, held, pod, at, ends):
+        self.proxy, self.held, self.number, self.pod = proxy, held, len(held.attempts), pod
         self.at, self.ends, self.out, self.connection, self.deadline = at, ends, True, None, None
         self.newest, self.may_have_run, self.write_by = (
-            sidecar.news and sidecar.news.build,
+            proxy.news and proxy.news.build,
             True,
             self._write_by(),
         )
@@ -129,38 +135,38 @@
         """Until when its last byte may be written, by what earlier attempts may have done: a repeat is known as one
         for its lane's window, counted as the decisions count it; a binding one may not be repeated at all."""
         suspect = next((earlier for earlier in self.held.attempts if earlier.may_have_run), None)
-        lane = self.sidecar.terms.request_classes[self.held.command.lane]
-        if suspect is None or lane.idempotency == Idempotency.IDEMPOTENT:
+        request_class = self.proxy.settings.request_classes[self.held.command.request_class]
+        if suspect is None or request_class.idempotency == Idempotency.IDEMPOTENT:
             return self.ends
         return (
-            min(self.ends, suspect.at + lane.deduplication_window)
-            if lane.idempotency == Idempotency.KEYED
+            min(self.ends, suspect.at + request_class.deduplication_window)
+            if request_class.idempotency == Idempotency.KEYED
             else 0
         )
 
     def may_be_written(self, address):
         """Whether what was decided holds still, there: it may have waited since, for a connection."""
-        pod, now, news = self.pod, self.sidecar.clock(), self.sidecar.news
+        pod, now, news = self.pod, self.proxy.clock(), self.proxy.news
         newest = news.build if news else None
         return (
             pod is not None
             and not self.held.over
             and now < self.write_by
-            and self.sidecar._stands(pod)
-            and self.sidecar.addresses[pod.address] == address
+            and self.proxy._stands(pod)
+            and self.proxy.addresses[pod.address] == address
             and (newest == self.newest or pod.build < newest)
             and not self._key_stays()
-            and self.sidecar.exposure.allows(now, news, pod.build, self.held.command.lane)
+            and self.proxy.exposure.allows(now, news, pod.build, self.held.command.request_class)
         )
 
     def _key_stays(self):
         """Whether its key stays with the newest build, which has answered it since."""
-        news, command = self.sidecar.news, self.held.command
+        news, command = self.proxy.news, self.held.command
         return (
             news is not None
             and self.pod.build < news.build
             and news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
-            and (command.key or command.id).decode() in self.sidecar.balancer.pins
+            and (command.key or command.id).decode() in self.proxy.engine.pins
         )
 
     def written(self):
@@ -172,43 +178,45 @@
 
     def due(self):
         """At the latest moment to be written by, and at the end of its time."""
-        if self.sidecar.clock() >= self.ends:
+        if self.proxy.clock() >= self.ends:
             self.give_up()
         elif not self.written():
             self.withdraw()
         else:
-            self.deadline = self.sidecar.deadlines.add(self.ends, self.due)
+            self.deadline = self.proxy.timers.add(self.ends, self.due)
 
     def write_to(self, connection):
-        self.connection, now = connection, self.sidecar.clock()
-        self.sidecar.exposure.wrote(now, self.sidecar.news, self.pod.build, self.held.command.lane)
+        self.connection, now = connection, self.proxy.clock()
+        self.proxy.exposure.wrote(
+            now, self.proxy.news, self.pod.build, self.held.command.request_class
+        )
         left = max(1, (self.ends - now) // 10)
         delivered = connection.deliver(self.held.command.words(left), self._begun)
         delivered.addCallback(self._came_back)
 
     def not_connected(self, broken):
-        self.sidecar.ended(self, Outcome.CONNECT_FAILED)
+        self.proxy.ended(self, Outcome.CONNECT_FAILED)
 
     def _begun(self):
-        self.sidecar.answered_unheard(self, "in part or unreadable")
+        self.proxy.answered_unheard(self, "in part or unreadable")
 
     def _came_back(self, end):
         """What came of it, as a value."""
-        good = isinstance(end, Answer) and end.failure is None
+        good = isinstance(end, PodResponse) and end.failure is None
         if (good and not self.out) or (
-            self.out and isinstance(end, Broken) and end.reached == WRITTEN
+            self.out and isinstance(end, BrokenConnection) and end.reached == WRITTEN
         ):
-            self.sidecar.answered_unheard(self, "late" if good else end.reason)
+            self.proxy.answered_unheard(self, "late" if good else end.reason)
         if not self.out:
             return
-        if isinstance(end, Broken):
-            self.sidecar.ended(
+        if isinstance(end, BrokenConnection):
+            self.proxy.ended(
                 self, Outcome.RESET if end.reached == WRITTEN else Outcome.CONNECT_FAILED
             )
         elif good:
-            self.sidecar.ended(self, Outcome.DONE, end)
+            self.proxy.ended(self, Outcome.DONE, end)
         else:
-            self.sidecar.ended(
+            self.proxy.ended(
                 self, Outcome.REJECTED if end.failure.split(" ")[0] == BUSY else Outcome.ERROR
             )
 
@@ -216,22 +224,28 @@
         """Ends it, as a time-out where nothing else is said. What was written may be answered yet, unread."""
         written = self.written()
         self.out = False  # its one end is this: what its connection says of its own is none
-        self.sidecar.pools.give_up(self, self.connection)
+        self.proxy.pools.give_up(self, self.connection)
         if written:
-            self.sidecar.answered_unheard(self, "given up")
-        self.sidecar.ended(
+            self.proxy.answered_unheard(self, "given up")
+        self.proxy.ended(
             self, outcome or (Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
         )
         self.may_have_run = written
 
 
 class Proxy:
-    def __init__(self, start, reactor, deadlines, epoch):
-        self.start, self.reactor, self.deadlines, self.epoch = start, reactor, deadlines, epoch
-        self.clock, self.terms, self.reach = deadlines.clock, start.terms, start.reach
+    def __init__(self, start, reactor, timers, epoch):
+        self.start, self.reactor, self.timers, self.epoch = start, reactor, timers, epoch
+        self.clock, self.settings, self.connection_limits = (
+            timers.clock,
+            start.settings,
+            start.connection_limits,
+        )
         spare = descriptors(start.sockets) - KEPT_FOR_OTHERS
         for_pods = int(spare * FOR_PODS)
-        self.pools = ConnectionPools(reactor, deadlines, self.reach, for_pods, structured_log.fault)
+        self.pools = ConnectionPools(
+            reactor, timers, self.connection_limits, for_pods, structured_log.fault
+        )
         self.clients, self.most_clients, self.held_off = SlotTable(), spare - for_pods, False
         self.transactions, self.by_id, self.perhaps = (
             SlotTable(),
@@ -239,7 +253,7 @@
             set(),
         )  # perhaps: ids that may have run, let go
         self.listed, self.addresses, self.version, self.told_by = {}, {}, start.known.version, None
-        self.news, self.news_at, self.exposure = None, 0, TrialExposure(start.terms)
+        self.news, self.news_at, self.exposure = None, 0, TrialExposure(start.settings)
         self.listening, self.closes = (
             False,
             None,
@@ -249,7 +263,7 @@
             False,
             None,
             None,
-            Belief(),
+            SnapshotValidator(),
         )
         self.drained, self.finishing = (
             None,
@@ -264,21 +278,21 @@
         self.gossip = self.why = self.fleet = (
             None  # hear of ends, lists and answers, where an operator's file has them
         )
-        self.refusals = Refusals(structured_log.log)
-        self.balancer = DecisionEngine(self.terms, start.seed, self.clock(), self.refusals.hear)
+        self.refusals = RejectionSummary(structured_log.log)
+        self.engine = DecisionEngine(self.settings, start.seed, self.clock(), self.refusals.hear)
         chance = LinearCongruentialGenerator(~start.seed)
         self.discovery, self.platform = self._caller(start.discovery), self._caller(start.platform)
-        self.watch = KeptStream(
+        self.watch = WatchStream(
             self.discovery,
             chance,
             discovery.SILENCE,
             lambda: discovery.watch(self.discovery.host, self._since()),
             self._watch_reader,
             structured_log.seldom,
-            discovery.FIRST_WORD[self.terms.lists_polled],
-            free=not self.terms.lists_polled,
+            discovery.FIRST_WORD[self.settings.lists_polled],
+            free=not self.settings.lists_polled,
         )  # the agent on the same machine
-        self.stream = KeptStream(
+        self.stream = WatchStream(
             self.platform,
             chance,
             deployer.SILENCE,
@@ -289,7 +303,9 @@
         )
 
     def _caller(self, address):
-        return Caller(self.reactor, self.deadlines, address, self.reach.connect_timeout)
+        return HttpCaller(
+            self.reactor, self.timers, address, self.connection_limits.connect_timeout
+        )
 
     def reconfigure(self, start):
         """Takes up the addresses of a new configuration; calls that are out end at the former ones. What it knows
@@ -306,8 +322,8 @@
             "listen": "listen",
             "seed": "seed",
             "sockets": "limits.sockets",
-            "terms": "settings",
-            "reach": "settings",
+            "settings": "settings",
+            "connection_limits": "settings",
         }
         return sorted(
             {
@@ -326,8 +342,8 @@
         self.tell(self.start.news)
         # Where lists are asked for, all ask one service: a fleet that starts at once must not come there at once.
         self.watch.start_among(
-            self.terms.instances
-        ) if self.terms.lists_polled else self.watch.start()
+            self.settings.instances
+        ) if self.settings.lists_polled else self.watch.start()
         self.stream.start()
         self._refusals()
 
@@ -342,8 +358,8 @@
         return both
 
     def _refusals(self):
-        pressure = round(self.balancer.admission.pressure(self.clock(), ()), 2)
-        self.deadlines.add(self.refusals.due(self.clock(), pressure=pressure), self._refusals)
+        pressure = round(self.engine.admission.pressure(self.clock(), ()), 2)
+        self.timers.add(self.refusals.due(self.clock(), pressure=pressure), self._refusals)
 
     def serve(self):
         factory = Factory()
@@ -363,10 +379,10 @@
         self.emptied, self.killed, self.returning = emptied, killed, None
         if not self.drained:
             self.drained = Deferred()
-            self.closes = self.deadlines.add(self.clock() + REST_WITHIN, self._close_listener)
+            self.closes = self.timers.add(self.clock() + REST_WITHIN, self._close_listener)
             self._accept_rest()
-        self.deadlines.cancel(self.finishing)
-        self.finishing = self.deadlines.add(self.clock() + READ_FIRST, self._finish_clients)
+        self.timers.cancel(self.finishing)
+        self.finishing = self.timers.add(self.clock() + READ_FIRST, self._finish_clients)
 
     def _accept_rest(self):
         """Closes the listener once all is taken that the machine has accepted; what finds no place waits for one."""
@@ -377,7 +393,7 @@
 
     def _close_listener(self):
         """Also where some wait still: a crowd that goes on coming would hold up the end for ever."""
-        self.deadlines.cancel(self.closes)
+        self.timers.cancel(self.closes)
         self.listening = False
         self.reactor.callLater(
             0, self._accept_last
@@ -402,11 +418,11 @@
     def undrain(self, listens, failed):
         """Takes new work again, and calls listens(), or failed(why); what was on its way to an end still ends. Told to
         go out once more before it listens, it stays out, and calls neither."""
-        self.deadlines.cancel(self.finishing)
+        self.timers.cancel(self.finishing)
         self.emptied, self.killed, self.held_off = None, None, False
         returning = self.returning = object()
         if self.listening:  # for what found no place
-            self.deadlines.cancel(self.closes)
+            self.timers.cancel(self.closes)
             self.drained = None
             self.port.startReading()
             return listens()
@@ -453,10 +469,10 @@
         if type(event) is ReleaseUpdate:
             self._told(event)
         try:
-            actions = self.balancer.handle(self.clock(), [event])
+            actions = self.engine.handle(self.clock(), [event])
         except Exception as error:  # costs the transaction of this event, not the program
             structured_log.fault("decisions", error)
-            self._carry_out(self.balancer.actions)
+            self._carry_out(self.engine.actions)
             held = self._held(getattr(event, "id", None))
             if held and not held.over and not held.out:
                 self._final(held, ABANDONED)
@@ -472,7 +488,7 @@
                 structured_log.fault(type(action).__name__, error)
 
     def _timer(self, action):
-        self.deadlines.add(action.at, self.tell, TimerFired(action.token))
+        self.timers.add(action.at, self.tell, TimerFired(action.token))
 
     def _note(self, action):
         structured_log.log("note", text=action.text)
@@ -561,7 +577,7 @@
 
     def take(self, connection, place, command):
         name = command.id.decode()
-        if command.lane not in self.terms.request_classes:
+        if command.request_class not in self.settings.request_classes:
             return connection.answer(place, resp.failure("ERR no such lane"))
         if name in self.by_id:
             self._ask_for(self._held(name))
@@ -569,25 +585,27 @@
                 return None
         if name in self.by_id or name in self.perhaps:
             return self._repeated(name, connection, place, command)
-        if len(self.transactions) + len(self.perhaps) >= self.reach.max_open:
+        if len(self.transactions) + len(self.perhaps) >= self.connection_limits.max_open:
             return connection.answer(place, resp.failure(BUSY))
         # Nothing is earned after the lane's outer limit: no client has a transaction held for longer.
         connection.used_at = self.clock()
-        left = min(command.left * 10, self.terms.request_classes[command.lane].outer_limit)
+        left = min(
+            command.left * 10, self.settings.request_classes[command.request_class].outer_limit
+        )
         if self.killed is not None:
             left = min(left, self.killed - connection.used_at)
             if left <= 0:
                 return connection.answer(place, resp.failure(BUSY))
         held = InFlightRequest(name, command, connection, place, connection.used_at + left)
         held.slot = self.by_id[name] = self.transactions.add(held)
-        held.deadline = self.deadlines.add(held.ends + OVERDUE, self._overdue, held)
+        held.deadline = self.timers.add(held.ends + OVERDUE, self._overdue, held)
         key = command.key.decode() or None
-        self.exposure.took(connection.used_at, command.lane)
+        self.exposure.took(connection.used_at, command.request_class)
         if self.why is not None:
             self.why.taken(name, command)
         return self.tell(
             RequestReceived(
-                name, command.lane, command.tenant, key, left, None, command.repeat, False
+                name, command.request_class, command.tenant, key, left, None, command.repeat, False
             )
         )
 
@@ -602,20 +620,21 @@
         now = self.clock()
         held.connection, held.place, held.over, held.heir = connection, place, False, True
         held.ends = now + min(
-            command.left * 10, self.terms.request_classes[held.command.lane].outer_limit
+            command.left * 10, self.settings.request_classes[held.command.request_class].outer_limit
         )
-        self.deadlines.cancel(held.deadline)
-        held.deadline = self.deadlines.add(held.ends + OVERDUE, self._overdue, held)
+        self.timers.cancel(held.deadline)
+        held.deadline = self.timers.add(held.ends + OVERDUE, self._overdue, held)
 
     def _remember(self, held):
         """What may have run and was let go without an answer is not taken again for as long as it was asked for."""
         if (
-            self.terms.request_classes[held.command.lane].idempotency != Idempotency.IDEMPOTENT
+            self.settings.request_classes[held.command.request_class].idempotency
+            != Idempotency.IDEMPOTENT
             and held.id not in self.perhaps
             and any(attempt.may_have_run for attempt in held.attempts)
         ):
             self.perhaps.add(held.id)
-            self.deadlines.add(held.ends, self.perhaps.discard, held.id)
+            self.timers.add(held.ends, self.perhaps.discard, held.id)
 
     def _held(self, name):
         slot = self.by_id.get(name)
@@ -642,7 +661,7 @@
         if held.over and not held.out and self.by_id.get(held.id) == held.slot:
             del self.by_id[held.id]
             self.transactions.remove(held.slot)
-            self.deadlines.cancel(held.deadline)
+            self.timers.cancel(held.deadline)
 
     def _defer(self, action):
         wait = -(-action.retry_after // 10)
@@ -665,11 +684,11 @@
         )
         held.attempts.append(attempt)
         held.out += 1
-        if attempt.number >= self.terms.max_attempts or not attempt.may_be_written(
+        if attempt.number >= self.settings.max_attempts or not attempt.may_be_written(
             self.addresses.get(action.endpoint)
         ):
             return self.ended(attempt, Outcome.NOT_SENT)
-        attempt.deadline = self.deadlines.add(attempt.write_by, attempt.due)
+        attempt.deadline = self.timers.add(attempt.write_by, attempt.due)
         if not self.pools.send(action.endpoint, self.addresses[action.endpoint], attempt):
             structured_log.seldom("no descriptor for a pod", connections=len(self.pools))
             return self.ended(attempt, Outcome.NOT_SENT)
@@ -688,7 +707,7 @@
         attempt.out, attempt.may_have_run = False, PROOF[outcome] != "unrun"
         held.out -= 1
         if attempt.deadline is not None:
-            self.deadlines.cancel(attempt.deadline)
+            self.timers.cancel(attempt.deadline)
         if outcome == Outcome.DONE and not held.over:
             held.over = True
             if self.why is not None:
@@ -726,7 +745,7 @@
             pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(",")
         )
         try:
-            load = tuple(float(told[name]) for name in self.terms.load_metrics)
+            load = tuple(float(told[name]) for name in self.settings.load_metrics)
         except (KeyError, ValueError):
             return None
         return load if all(map(isfinite, load)) else None
@@ -741,7 +760,7 @@
         whole, names = listing.update.kind != UpdateKind.DELTA, len(listing.update.endpoints)
         doubt = self.belief.doubt(source, listing.version, whole, names, len(self.listed))
         if doubt:
-            raise discovery.Unbelieved(*doubt)
+            raise discovery.StaleSnapshotError(*doubt)
         self.version, self.told_by = listing.version, source
         before, self.listed = (
             self.listed,
@@ -818,16 +837,18 @@
         pass  # the watch stands, or is asked for as often as discovery bears: a call beside it would be one too many
 
     def _fetch(self, action):
-        fetched = self.discovery.call(discovery.fetch(self.discovery.host), self.terms.vote_timeout)
+        fetched = self.discovery.call(
+            discovery.fetch(self.discovery.host), self.settings.vote_timeout
+        )
         fetched.addCallback(self._fetched, self.discovery.address)
 
     def _fetched(self, end, source):
         """source: the address that was asked. What a former one answers late is no news of the present one."""
         try:
             if source != self.discovery.address:
-                raise discovery.Unreadable("asked at a former address")
+                raise discovery.UnreadableListError("asked at a former address")
             if not isinstance(end, Reply) or end.status != 200:
-                raise discovery.Unreadable(
+                raise discovery.UnreadableListError(
                     f"status {end.status}" if isinstance(end, Reply) else end.reason
                 )
             self._listing(discovery.read_json(end.body, self.epoch), source)
@@ -854,7 +875,8 @@
                     event, data
                 )  # what can't be read ends the stream: it is asked for anew
                 if told is not None and (
-                    type(told) is ReleaseUpdate or told.request_class in self.terms.request_classes
+                    type(told) is ReleaseUpdate
+                    or told.request_class in self.settings.request_classes
                 ):
                     self.tell(told)
             return b"\n" in bytes(content)  # any whole line
@@ -891,7 +913,7 @@
             self.tell(news)
 
         vote = self.platform.call(
-            deployer.vote(self.platform.host, action), self.terms.vote_timeout
+            deployer.vote(self.platform.host, action), self.settings.vote_timeout
         )
         vote.addCallback(answered)
 
--- a/thymeknot/raft/client.py
+++ b/thymeknot/raft/client.py
@@ -46,7 +46,7 @@
         self.lost(self)
 
 
-class Channel:
+class PeerChannel:
     """The way to one keeper: connected when it is needed, with a session of its own each time."""
 
     def __init__(self, reactor, name, place, identity, ring, unix):
@@ -75,7 +75,7 @@
         made.addCallbacks(self._greet, self._failed)
 
     def _greet(self, line):
-        mine = message_codec.nonce()
+        mine = message_codec.new_nonce()
         late = self.reactor.callLater(CONNECTS_WITHIN, line.transport.abortConnection)
 
         def begun(told):
@@ -115,7 +115,9 @@
             return None
         self.full_since = None
         self.number += 1
-        return message_codec.sealed(self.identity, self.name, self.session, self.number, kind, body)
+        return message_codec.sign_message(
+            self.identity, self.name, self.session, self.number, kind, body
+        )
 
     def send(self, body):
         """A keeper's message, or its loss."""
@@ -132,7 +134,7 @@
         session, number = self.session, self.number
 
         def came(back):
-            letter = message_codec.opened(
+            letter = message_codec.open_message(
                 self.ring(), self.unix(), self.identity.name, session, number - 1, **back
             )
             if (
@@ -140,10 +142,10 @@
                 or letter.kind != message_codec.REPLY
                 or letter.number != number
             ):
-                raise message_codec.Bad(
+                raise message_codec.MessageError(
                     "misled", f"an answer of {letter.sender} to another question"
                 )
-            return message_codec.plain(letter.body)
+            return message_codec.decode_mapping(letter.body)
 
         return self.line.callRemote(message_codec.Ask, **told).addCallback(came)
 
@@ -167,7 +169,7 @@
         self.serial = 0
 
 
-class Client:
+class RaftClient:
     """channels: by keeper's name. origin: this identity's name, or that and "/" and a word. incarnation: a number that
     grows with each start of the process. One command is out at a time, since a later number ends the earlier ones."""
 
--- a/thymeknot/raft/message_codec.py
+++ b/thymeknot/raft/message_codec.py
@@ -17,7 +17,7 @@
 KEEPER, PROPOSE, READ, REPLY = range(4)
 
 
-class Bad(ValueError):
+class MessageError(ValueError):
     """A letter that can't be taken. kind: the word that it is counted under."""
 
     def __init__(self, kind, text):
@@ -25,7 +25,7 @@
         self.kind = kind
 
 
-class Letter(NamedTuple):
+class SignedMessage(NamedTuple):
     sender: str
     to: str
     session: bytes
@@ -63,43 +63,47 @@
     errors = {Refusal: b"REFUSED"}
 
 
-def nonce():
+def new_nonce():
     return secrets.token_bytes(NONCE)
 
 
-def sealed(identity, to, session, number, kind, body):
+def sign_message(identity, to, session, number, kind, body):
     """The arguments of a Deliver or Ask. Raises Bad where it is too long."""
-    content = msgspec.msgpack.encode(Letter(identity.name, to, session, number, kind, body))
+    content = msgspec.msgpack.encode(SignedMessage(identity.name, to, session, number, kind, body))
     if len(content) > LETTER_MOST:
-        raise Bad("oversized", f"{len(content)} bytes are more than the {LETTER_MOST} of a letter")
+        raise MessageError(
+            "oversized", f"{len(content)} bytes are more than the {LETTER_MOST} of a letter"
+        )
     return {"key": identity.key_id, "content": content, "signature": identity.sign(MARK + content)}
 
 
-def opened(ring, unix, me, session, last, key, content, signature):
+def open_message(ring, unix, me, session, last, key, content, signature):
     """The Letter. last: the highest number that this connection brought. Raises Bad."""
     if len(content) > LETTER_MOST:
-        raise Bad("oversized", f"{len(content)} bytes are more than the {LETTER_MOST} of a letter")
+        raise MessageError(
+            "oversized", f"{len(content)} bytes are more than the {LETTER_MOST} of a letter"
+        )
     owner = ring.owner(key, unix)
     if owner is None:
-        raise Bad("unknown", "the key is none of the ring's, or was revoked")
+        raise MessageError("unknown", "the key is none of the ring's, or was revoked")
     if not ring.holds(key, MARK + content, signature):
-        raise Bad("forged", f"not signed by {owner}")
+        raise MessageError("forged", f"not signed by {owner}")
     try:
-        letter = msgspec.msgpack.decode(content, type=Letter)
+        letter = msgspec.msgpack.decode(content, type=SignedMessage)
     except (msgspec.DecodeError, msgspec.ValidationError) as wrong:
-        raise Bad("nonsense", f"no letter: {wrong}") from None
+        raise MessageError("nonsense", f"no letter: {wrong}") from None
     if letter.sender != owner:
-        raise Bad("forged", f"signed by {owner}, and says that it is of {letter.sender}")
+        raise MessageError("forged", f"signed by {owner}, and says that it is of {letter.sender}")
     if letter.to != me:
-        raise Bad("misled", f"it is for {letter.to}")
+        raise MessageError("misled", f"it is for {letter.to}")
     if letter.session != session or letter.number <= last:
-        raise Bad("replayed", "it is of another connection, or came before")
+        raise MessageError("replayed", "it is of another connection, or came before")
     return letter
 
 
-def plain(content) -> dict[str, Any]:
+def decode_mapping(content) -> dict[str, Any]:
     """The mapping of a body. Raises Bad."""
     try:
         return msgspec.msgpack.decode(content, type=dict[str, Any])
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as wrong:
-        raise Bad("nonsense", f"no mapping: {wrong}") from None
+        raise MessageError("nonsense", f"no mapping: {wrong}") from None
--- a/thymeknot/raft/model_checker.py
+++ b/thymeknot/raft/model_checker.py
@@ -28,12 +28,12 @@
     Stored,
     TimerDue,
 )
-from .node import LEADER, STOPPED, Keeper
-from .settings import Election, Terms
+from .node import LEADER, STOPPED, RaftNode
+from .settings import Election, RaftSettings
 from .state_machine import Sessions
 
 NAMES = "abcde"
-SMALL = Terms(
+SMALL = RaftSettings(
     heartbeat=100,
     election=Election(500, 1_000),
     lease=300,
@@ -134,7 +134,7 @@
         for _ in range(4):
             self.chance.draw()
         self.variant, self.terms, self.now, self.queue, self.sequence = variant, terms, 0, [], 0
-        self.make = BROKEN[variant] if variant else Keeper
+        self.make = BROKEN[variant] if variant else RaftNode
         self.lives, self.states, self.faults = 100, 0, Counter()
         self.leaders, self.chosen, self.chosen_at, self.last_index = {}, {}, {}, 0
         self.origins, self.calls, self.tokens = {}, {}, 0
@@ -759,7 +759,7 @@
 # Keepers that are wrong in one thing each: what doesn't find them finds nothing.
 
 
-class Unsynced(Keeper):
+class Unsynced(RaftNode):
     """Answers before it wrote."""
 
     def _hold(self, now, thing):
@@ -770,7 +770,7 @@
         self.safe = self.log.last
 
 
-class Forgetful(Keeper):
+class Forgetful(RaftNode):
     """Its term and vote are gone at a restart."""
 
     @staticmethod
@@ -778,14 +778,14 @@
         return [one for one in records if type(one) is not messages.Voted]
 
 
-class CountsOld(Keeper):
+class CountsOld(RaftNode):
     """Takes an earlier term's entries for agreed since a majority holds them."""
 
     def _countable(self, index):
         return True
 
 
-class Twice(Keeper):
+class Twice(RaftNode):
     """Applies a repeated number again."""
 
     def _sessions(self, machine):
@@ -797,14 +797,14 @@
         return None
 
 
-class ReadsAlone(Keeper):
+class ReadsAlone(RaftNode):
     """Serves reads without having asked whether it leads still."""
 
     def _leased(self, now):
         return True
 
 
-class StoodStill(Keeper):
+class StoodStill(RaftNode):
     """Its lease lasts while it stands still, since it looks at its clock with its timer only."""
 
     early = 0
@@ -819,27 +819,27 @@
         return self.leases and self.early < self.lease_until
 
 
-class ManyChanges(Keeper):
+class ManyChanges(RaftNode):
     """Takes a change of members before the one before is agreed."""
 
     def _alone(self):
         return True
 
 
-class LostVotes(Keeper):
+class LostVotes(RaftNode):
     """A disk that was lost votes as if it knew."""
 
     keeps_life = True
 
 
-class TimeBack(Keeper):
+class TimeBack(RaftNode):
     """Stamps by its own clock, whatever earlier leaders stamped."""
 
     def _agreed_time(self, now):
         return now
 
 
-class VotesOld(Keeper):
+class VotesOld(RaftNode):
     """Votes for a log older than its own."""
 
     def _judge(self, now, event):
@@ -848,7 +848,7 @@
         return super()._judge(now, event._replace(message=ask._replace(last_term=last)))
 
 
-class LearnersCount(Keeper):
+class LearnersCount(RaftNode):
     """A learner's acknowledgement counts as a voter's."""
 
     def _commit(self, now):
@@ -860,7 +860,7 @@
             self._commit_to(index)
 
 
-class Overwrites(Keeper):
+class Overwrites(RaftNode):
     """Takes a leader's entries without a look at what is before them."""
 
     def _take(self, now, event):
--- a/thymeknot/raft/node.py
+++ b/thymeknot/raft/node.py
@@ -152,7 +152,7 @@
         self.term = term
 
 
-class Keeper:
+class RaftNode:
     """members: the names of those that found the fleet, or None for one that is to be taken in. stored: an
     interface.Recovered. chance: draw() in [0, 1). now: tenths of a millisecond of a monotonic clock that stands in no
     relation to other keepers' clocks but its rate (`terms.drift`)."""
@@ -897,4 +897,4 @@
         )
 
 
-__all__ = ["Keeper", "Members", "STEPS"]
+__all__ = ["RaftNode", "Members", "STEPS"]
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -52,7 +52,7 @@
 
     def _opened(self, key, content, signature):
         if self.session is None:
-            raise message_codec.Bad("nonsense", "no greeting came first")
+            raise message_codec.MessageError("nonsense", "no greeting came first")
         letter = self.endpoint.opened(self.session, self.last, key, content, signature)
         self.last = letter.number
         return letter
@@ -62,7 +62,7 @@
         if self.session is not None or len(nonce) != message_codec.NONCE:
             self.endpoint.refuse("nonsense", "a greeting that came twice, or of another length")
             raise message_codec.Refusal("greeted before")
-        mine = message_codec.nonce()
+        mine = message_codec.new_nonce()
         self.session = nonce + mine
         return {"nonce": mine}
 
@@ -71,7 +71,7 @@
         try:
             letter = self._opened(key, content, signature)
             self.endpoint.delivered(letter)
-        except message_codec.Bad as bad:
+        except message_codec.MessageError as bad:
             self.endpoint.refuse(bad.kind, str(bad))
         return {}
 
@@ -80,14 +80,14 @@
         try:
             letter = self._opened(key, content, signature)
             answer = self.endpoint.asked(letter)
-        except message_codec.Bad as bad:
+        except message_codec.MessageError as bad:
             self.endpoint.refuse(bad.kind, str(bad))
             raise message_codec.Refusal(str(bad)) from None
         session = self.session
         return answer.addCallback(lambda told: self.endpoint.answered(letter, session, told))
 
 
-class Endpoint:
+class PeerServer:
     """keeper(now): makes the core, with what the store gave back. look(query): a reply of the machine as it stands,
     that changes nothing. ring(): gossip's Ring of now. sources: a set of networks."""
 
@@ -122,24 +122,24 @@
         structured_log.seldom("letter refused", kind=kind, why=why, count=self.refused[kind])
 
     def opened(self, session, last, key, content, signature):
-        return message_codec.opened(
+        return message_codec.open_message(
             self.ring(), time.time(), self.identity.name, session, last, key, content, signature
         )
 
     def delivered(self, letter):
         """Raises wire.Bad."""
         if letter.kind != message_codec.KEEPER or letter.sender not in self.channels:
-            raise message_codec.Bad(
+            raise message_codec.MessageError(
                 "nonsense", f"{letter.sender} is no keeper, or that is no keeper's message"
             )
         message = i.from_bytes(letter.body)
         if isinstance(message, str):
-            raise message_codec.Bad("nonsense", message)
+            raise message_codec.MessageError("nonsense", message)
         self.tell(i.Received(letter.sender, message))
 
     def asked(self, letter):
         """A Deferred of what is told. Raises wire.Bad."""
-        told = message_codec.plain(letter.body)
+        told = message_codec.decode_mapping(letter.body)
         self.token += 1
         if letter.kind == message_codec.READ and isinstance(told.get("query"), dict):
             event = i.ReadAsked(self.token)
@@ -150,14 +150,14 @@
             if not (
                 isinstance(origin, str) and isinstance(incarnation, int) and isinstance(number, int)
             ) or not (0 <= incarnation < 1 << 62 and 0 <= number < 1 << 62):
-                raise message_codec.Bad("nonsense", "no origin, incarnation and number")
+                raise message_codec.MessageError("nonsense", "no origin, incarnation and number")
             if origin != letter.sender and not origin.startswith(letter.sender + "/"):
-                raise message_codec.Bad(
+                raise message_codec.MessageError(
                     "forged", f"{letter.sender} speaks in the name of {origin[:40]}"
                 )
             event = i.Proposed(self.token, origin, incarnation, number, told["command"])
         else:
-            raise message_codec.Bad("nonsense", "neither a command nor a query")
+            raise message_codec.MessageError("nonsense", "neither a command nor a query")
         answer = Deferred()
         self.tokens[self.token] = answer, told.get("query")
         self.tell(event)
@@ -166,7 +166,7 @@
     def answered(self, letter, session, told):
         """The arguments of a signed answer."""
         try:
-            return message_codec.sealed(
+            return message_codec.sign_message(
                 self.identity,
                 letter.sender,
                 session,
@@ -174,8 +174,8 @@
                 message_codec.REPLY,
                 msgspec.msgpack.encode(told),
             )
-        except message_codec.Bad as bad:
-            return message_codec.sealed(
+        except message_codec.MessageError as bad:
+            return message_codec.sign_message(
                 self.identity,
                 letter.sender,
                 session,
--- a/thymeknot/raft/settings.py
+++ b/thymeknot/raft/settings.py
@@ -11,7 +11,7 @@
     most: int
 
 
-class Terms(NamedTuple):
+class RaftSettings(NamedTuple):
     heartbeat: int = 500
     election: Election = Election(3_000, 6_000)
     lease: int = (
@@ -40,7 +40,7 @@
         return int(min(self.lease, self.election.least * (1 - self.drift) / (1 + self.drift)))
 
 
-def faulty(terms: Terms) -> Optional[str]:
+def faulty(terms: RaftSettings) -> Optional[str]:
     """One sentence on what can't work together, or None."""
     least, most = terms.election
     if not 0 < terms.heartbeat * 2 <= terms.lease:
--- a/thymeknot/raft/storage.py
+++ b/thymeknot/raft/storage.py
@@ -29,11 +29,11 @@
 RECORD_MOST = 1 << 20  # no record is longer: a length beyond it is damage
 
 
-class Damaged(Exception):
+class DamagedStorageError(Exception):
     """The directory can't be trusted and can't be mended: an operator must look. Names the file and the place."""
 
 
-class Fault(NamedTuple):
+class WriteFault(NamedTuple):
     """An error as a value: what a write came to."""
 
     reason: str
@@ -98,7 +98,7 @@
     return False
 
 
-class Store:
+class RaftStorage:
     """folder: of this keeper alone. lineage: a file's path, best on another disk. fresh(): a number of 63 bits, not 0,
     that nobody had. most: bytes that all files may take. files: an operating system, see Files."""
 
@@ -120,7 +120,7 @@
         known = self._lineage()
         segments = sorted(name for name in files.listdir(self.folder) if name.endswith(".seg"))
         if found and (known or segments):
-            raise Damaged("this keeper was used before: it can't found a fleet again")
+            raise DamagedStorageError("this keeper was used before: it can't found a fleet again")
         said, records = [], []
         if segments:
             records, said = self._read(segments[-1])
@@ -142,7 +142,7 @@
         try:
             recovered = replayed(records, self.life)
         except ValueError as wrong:
-            raise Damaged(f"{self.folder}: {wrong}") from wrong
+            raise DamagedStorageError(f"{self.folder}: {wrong}") from wrong
         self.voted = Voted(recovered.term, recovered.vote)
         self._begin_second()
         self._begin_segment(recovered.snapshot, recovered.entries)
@@ -172,7 +172,7 @@
         content = self.files.read(path)
         found, end, damage = bodies(content)
         if damage or not found:
-            raise Damaged(f"{path}: damage at byte {end}, with later records behind it")
+            raise DamagedStorageError(f"{path}: damage at byte {end}, with later records behind it")
         if end < len(content):
             said.append(f"{path}: {len(content) - end} bytes of a record that broke off were cut")
         self.number = int(name[:-4])
@@ -180,7 +180,7 @@
             for place, body in enumerate(found):
                 self._take(place, body, records)
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError, IndexError) as wrong:
-            raise Damaged(f"{path}: {wrong}") from wrong
+            raise DamagedStorageError(f"{path}: {wrong}") from wrong
         return records, said
 
     def _take(self, place, body, records):
@@ -223,7 +223,7 @@
         try:
             return self._persisted(records)
         except (OSError, ValueError, TypeError) as wrong:
-            self.failed = Fault(f"{type(wrong).__name__}: {wrong}")
+            self.failed = WriteFault(f"{type(wrong).__name__}: {wrong}")
             return self.failed
 
     def _persisted(self, records):
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -13,11 +13,11 @@
 from ..simulator_wire import codec
 
 
-class Faulty(ValueError):
+class ConfigurationError(ValueError):
     """A configuration that can't be used. The text begins with the faulty key."""
 
 
-class Start(NamedTuple):
+class StartConfiguration(NamedTuple):
     """All that a sidecar is told at its start."""
 
     name: str
@@ -27,9 +27,9 @@
     seed: int
     sockets: int
     news: ReleaseUpdate
-    known: discovery.Listing
-    terms: Settings
-    reach: ConnectionLimits
+    known: discovery.EndpointListing
+    settings: Settings
+    connection_limits: ConnectionLimits
 
 
 SOCKETS = 1024  # where no limit is told
@@ -71,14 +71,14 @@
         value = value.get(name)
         value = {} if value is None else value  # null is as good as left out
         if not isinstance(value, dict):
-            raise Faulty(f"{'.'.join(inner[:at])}: is no object: {value!r}"[:200])
+            raise ConfigurationError(f"{'.'.join(inner[:at])}: is no object: {value!r}"[:200])
     value = value.get(last)
     if value is None and default:
         return default[0]
     if value is None:
-        raise Faulty(f"{path}: is missing")
+        raise ConfigurationError(f"{path}: is missing")
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise Faulty(f"{path}: is of a wrong type: {value!r}"[:200])
+        raise ConfigurationError(f"{path}: is of a wrong type: {value!r}"[:200])
     return value
 
 
@@ -89,7 +89,7 @@
     if not _host(host) or not (
         port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536
     ):
-        raise Faulty(f"{path}: is no address with a port: {text!r}"[:200])
+        raise ConfigurationError(f"{path}: is no address with a port: {text!r}"[:200])
     return host, int(port)
 
 
@@ -106,37 +106,38 @@
     try:
         return int(text, 16) if isinstance(text, str) else text
     except ValueError:
-        raise Faulty(f"seed: is no hexadecimal number: {text!r}") from None
+        raise ConfigurationError(f"seed: is no hexadecimal number: {text!r}") from None
 
 
 def read(told, epoch):
     """The Start that an object tells. epoch: Unix time less the clock, in tenths of a millisecond."""
     if not isinstance(told, dict):
-        raise Faulty("the configuration is no object")
+        raise ConfigurationError("the configuration is no object")
     try:
-        settings = pairs(_at(told, "settings", dict))
+        setting_pairs = pairs(_at(told, "settings", dict))
     except RecursionError:
-        raise Faulty("settings: are nested too deep") from None
+        raise ConfigurationError("settings: are nested too deep") from None
     try:
-        terms, reach = codec.read_settings(settings), codec.read_connection_limits(settings)
+        settings = codec.read_settings(setting_pairs)
+        connection_limits = codec.read_connection_limits(setting_pairs)
     except codec.MalformedLineError as error:
-        raise Faulty(f"settings: {error}") from None
+        raise ConfigurationError(f"settings: {error}") from None
     try:
         news = platform.read_news(_at(told, "deployer.news", dict))
-    except platform.Unreadable as error:
-        raise Faulty(f"deployer.news.{error}") from None
+    except platform.UnreadableReleaseError as error:
+        raise ConfigurationError(f"deployer.news.{error}") from None
     try:
         known = discovery.read_list(_at(told, "known", dict), epoch, UpdateKind.CACHED)
-    except discovery.Unreadable as error:
-        raise Faulty(f"known.{error}") from None
+    except discovery.UnreadableListError as error:
+        raise ConfigurationError(f"known.{error}") from None
     except (
         OverflowError
     ) as error:  # a number that reads well and leaves its bounds where it is used
-        raise Faulty(f"known: {error}") from None
+        raise ConfigurationError(f"known: {error}") from None
     sockets = _at(told, "limits.sockets", int, SOCKETS)
     if sockets < 64:
-        raise Faulty(f"limits.sockets: {sockets} are too few, 64 at least")
-    return Start(
+        raise ConfigurationError(f"limits.sockets: {sockets} are too few, 64 at least")
+    return StartConfiguration(
         _at(told, "name", str, "sidecar"),
         _address(told, "listen"),
         _address(told, "discovery"),
@@ -145,8 +146,8 @@
         sockets,
         news,
         known,
-        terms,
-        reach,
+        settings,
+        connection_limits,
     )
 
 
@@ -154,12 +155,14 @@
     """The Start of the file that NODE_CONFIG names."""
     path = environment.get("NODE_CONFIG")
     if not path:
-        raise Faulty("NODE_CONFIG: is missing from the environment")
+        raise ConfigurationError("NODE_CONFIG: is missing from the environment")
     try:
         with open(path, "rb") as source:
             told = orjson.loads(source.read())
     except OSError as error:
-        raise Faulty(f"NODE_CONFIG: can't be read: {os.strerror(error.errno)}: {path}") from None
+        raise ConfigurationError(
+            f"NODE_CONFIG: can't be read: {os.strerror(error.errno)}: {path}"
+        ) from None
     except orjson.JSONDecodeError as error:
-        raise Faulty(f"NODE_CONFIG: is no JSON: {error}") from None
+        raise ConfigurationError(f"NODE_CONFIG: is no JSON: {error}") from None
     return read(told, epoch)
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -8,7 +8,7 @@
 VARIABLE = "THYMEKNOT_OPERATOR"
 
 
-class Faulty(ValueError):
+class FeatureError(ValueError):
     """An operator's file that can't be used: a line for each fault."""
 
 
@@ -18,9 +18,9 @@
         import_module(f"..{name}", __package__)
         for name in ("operator_config.loader", "gossip.settings", "gossip.udp_transport")
     )
-    told = files.record(terms.GossipTerms, settings)
+    told = files.record(terms.GossipSettings, settings)
     endpoint.built(told, folder)
-    return lambda sidecar: endpoint.Endpoint(sidecar, told, folder), told
+    return lambda proxy: endpoint.GossipFeature(proxy, told, folder), told
 
 
 def _why(settings, folder):
@@ -28,8 +28,8 @@
         import_module(f"..{name}", __package__)
         for name in ("operator_config.loader", "decision_log.settings", "decision_log.query_server")
     )
-    told = files.record(terms.WhyTerms, settings)
-    return lambda sidecar: listener.Why(sidecar, told, folder), told
+    told = files.record(terms.DecisionLogSettings, settings)
+    return lambda proxy: listener.DecisionLogFeature(proxy, told, folder), told
 
 
 def _fleet(settings, folder):
@@ -37,9 +37,12 @@
         import_module(f"..{name}", __package__)
         for name in ("operator_config.loader", "coordination.settings", "coordination.feature")
     )
-    told = files.record(terms.FleetTerms, settings)
+    told = files.record(terms.CoordinationSettings, settings)
     feature.built(told, settings, folder)
-    return lambda sidecar: feature.Fleet(sidecar, told, settings, folder), (told, settings)
+    return lambda proxy: feature.CoordinationFeature(proxy, told, settings, folder), (
+        told,
+        settings,
+    )
 
 
 MAKERS = {"gossip": _gossip, "why": _why, "fleet": _fleet}
@@ -56,24 +59,24 @@
         files = import_module("..operator_config.loader", __package__)
         try:
             settings = files.load(self.path)
-        except files.Faulty as error:
-            raise Faulty("\n".join(str(fault) for fault in error.faults)) from None
+        except files.OperatorConfigError as error:
+            raise FeatureError("\n".join(str(fault) for fault in error.faults)) from None
         folder, made = os.path.dirname(os.path.abspath(self.path)), {}
         for name, told in settings.items():
             try:
                 made[name] = MAKERS[name](told, folder)
             except ValueError as error:
                 line = files.line(self.path, error.key) if hasattr(error, "key") else ""
-                raise Faulty(f"{self.path}:{line} {error}") from None
+                raise FeatureError(f"{self.path}:{line} {error}") from None
         return made
 
-    def begin(self, sidecar):
+    def begin(self, proxy):
         for name, (make, _) in self.made.items():
             try:
-                self.running[name] = make(sidecar)
+                self.running[name] = make(proxy)
             except ValueError as error:
-                raise Faulty(f"{self.path}: {error}") from None
-            setattr(sidecar, name, self.running[name])
+                raise FeatureError(f"{self.path}: {error}") from None
+            setattr(proxy, name, self.running[name])
             structured_log.log("switched on", feature=name)
 
     def reconfigure(self):
@@ -87,7 +90,7 @@
                 try:
                     one.reconfigure(made[name][1], folder)
                 except ValueError as error:
-                    raise Faulty(f"{self.path}: {error}") from None
+                    raise FeatureError(f"{self.path}: {error}") from None
         structured_log.log(
             "operator file taken up", only_at_a_start=sorted(made.keys() ^ self.running.keys())
         )
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -44,7 +44,7 @@
 
 def serve(environment, operator):
     """Serves by the environment's configuration and the operator's file at this path, or None. Gives an exit code."""
-    code = Life(environment, operator).run()
+    code = Lifecycle(environment, operator).run()
     for number in (
         signal.SIGHUP,
         *STOPS,
@@ -53,7 +53,7 @@
     return code
 
 
-class Life:
+class Lifecycle:
     """One sidecar, from its first signal to its end.
 
     Until there is a loop, SIGTERM and SIGINT end the process by themselves: nothing is open yet. A SIGHUP is heard
@@ -63,7 +63,7 @@
         self.environment, self.operator, self.code = environment, operator, 0
         self.again, self.serving, self.stopping = False, False, False
         self.epoch = time.time_ns() // 100_000 - clock()
-        self.extra = self.reactor = self.sidecar = None
+        self.extra = self.reactor = self.proxy = None
         self.tries, self.waits = 0, False  # for an address that is in use
 
     def run(self):
@@ -72,7 +72,7 @@
         try:
             start = self._read()
             self.extra = features.Features(self.operator)
-        except (configuration.Faulty, features.Faulty) as error:
+        except (configuration.ConfigurationError, features.FeatureError) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
             return 2
         from ..proxy.proxy import Proxy
@@ -82,17 +82,17 @@
         for number in STOPS:
             signal.signal(number, self._told_to_stop)
         structured_log.take_over()
-        self.sidecar = Proxy(
+        self.proxy = Proxy(
             start,
             self.reactor,
             TimerQueue(clock, self.reactor.callLater, structured_log.fault),
             self.epoch,
         )
-        if start.terms.lists_polled:
-            self.sidecar.begin()
+        if start.settings.lists_polled:
+            self.proxy.begin()
             self.reactor.callWhenRunning(self._listen)
         else:
-            self.sidecar.begin(self._listen)
+            self.proxy.begin(self._listen)
             self.reactor.callLater(FIRST_LIST, self._listen)
         self.reactor.run(installSignalHandlers=False)
         return self.code
@@ -103,7 +103,7 @@
             self.again = False
             try:
                 return configuration.load(self.environment, self.epoch)
-            except configuration.Faulty:
+            except configuration.ConfigurationError:
                 if not self.again:
                     raise
 
@@ -114,19 +114,19 @@
         from twisted.internet.error import CannotListenError
 
         try:
-            self.sidecar.serve()
+            self.proxy.serve()
             self.serving = True
-            self.extra.begin(self.sidecar)
+            self.extra.begin(self.proxy)
         except CannotListenError as error:
             return self._in_use(error) or self._fail(f"listen: {error}")
-        except features.Faulty as error:
+        except features.FeatureError as error:
             return self._fail(str(error))
         except Exception as error:  # must not stay up without a listener
             structured_log.fault("start", error)
             return self._fail(f"start: {type(error).__name__}: {error}")
-        start = self.sidecar.start
+        start = self.proxy.start
         structured_log.log(
-            "ready", name=start.name, listen=start.listen, pods=len(self.sidecar.listed)
+            "ready", name=start.name, listen=start.listen, pods=len(self.proxy.listed)
         )
         gc.collect()
         gc.freeze()  # what stands from the start is not looked through again
@@ -139,7 +139,7 @@
         if self.serving or error.socketError.errno != errno.EADDRINUSE or self.tries >= TRIES:
             return False
         if not self.tries:
-            structured_log.log("address in use", listen=self.sidecar.start.listen)
+            structured_log.log("address in use", listen=self.proxy.start.listen)
         self.tries, self.waits = self.tries + 1, True
         self.reactor.callLater(AGAIN, self._listen_again)
         return True
@@ -171,14 +171,17 @@
         self.extra.leave()
         structured_log.log(
             "stopping",
-            clients=len(self.sidecar.clients),
-            transactions=len(self.sidecar.transactions),
+            clients=len(self.proxy.clients),
+            transactions=len(self.proxy.transactions),
         )
         if self.serving:
-            longest = max(lane.outer_limit for lane in self.sidecar.terms.request_classes.values())
+            longest = max(
+                request_class.outer_limit
+                for request_class in self.proxy.settings.request_classes.values()
+            )
             self.reactor.callLater(
                 SERVES_ON,
-                self.sidecar.finish,
+                self.proxy.finish,
                 self._emptied,
                 clock() + min(longest, COUNTED) + SPARED,
             )
@@ -195,20 +198,20 @@
         try:
             if not self.stopping:
                 self.extra.reconfigure()
-        except features.Faulty as error:
+        except features.FeatureError as error:
             structured_log.log("operator file kept", error=str(error))
         except Exception as error:
             structured_log.fault("operator file", error)
         try:
-            later = self.sidecar.reconfigure(configuration.load(self.environment, self.epoch))
-        except configuration.Faulty as error:
+            later = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
+        except configuration.ConfigurationError as error:
             structured_log.log("configuration kept", error=str(error))
         except Exception as error:  # a file must not end the program, whatever it holds
             structured_log.fault("configuration", error)
         else:
             structured_log.log(
                 "configuration taken up",
-                discovery=self.sidecar.discovery.host,
-                platform=self.sidecar.platform.host,
+                discovery=self.proxy.discovery.host,
+                platform=self.proxy.platform.host,
                 only_at_a_start=later,
             )
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -31,7 +31,7 @@
         ROLE[_reason] = _role
 
 
-class Refusals:
+class RejectionSummary:
     """The decisions' listener. hear(name, reason, *operands) is called as they decide; then: who hears it too."""
 
     def __init__(self, log):
--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -4,10 +4,11 @@
 
 import numpy as np
 
+from ..interface.clock import TICKS_PER_SECOND
 from . import statistics
-from .scenarios import SECOND, Offer, drawn
+from .scenarios import Offer, drawn
 from .servers import Build, Pod
-from .simulator import Fleet, gamma
+from .simulator import Simulator, gamma
 
 
 def queue(servers, load, count, seed):
@@ -55,9 +56,9 @@
 def hard_day(seed):
     """A day on which each breaker has its occasion: a release that drains the earlier pods, errors, cold pods."""
     day = drawn(seed, instances=6, pods=8, rate=100.0, seconds=60, load=0.3, troubles=0)
-    return day._replace(offers=(Offer(3 * SECOND, 2, True, 0.03, 1.0, 0, 0.0),))
+    return day._replace(offers=(Offer(3 * TICKS_PER_SECOND, 2, True, 0.03, 1.0, 0, 0.0),))
 
 
 def broken_by(policy, seed):
     """The rules that the checkers find broken on that day."""
-    return Fleet(hard_day(seed), policy).play().checker.rules_broken()
+    return Simulator(hard_day(seed), policy).play().checker.rules_broken()
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -12,33 +12,33 @@
 from . import large_fleet_scenarios, scenarios, statistics
 from .baseline_policies import TEXTBOOK
 from .earlier_versions import UnknownRevisionError, load_version
-from .simulator import Fleet, balancer
+from .simulator import Simulator, current_engine
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 
-class Unknown(ValueError):
+class UnknownPolicyError(ValueError):
     """No such policy, version or result."""
 
 
 def policy(name):
     """`now` is today's module, `at:REVISION` an earlier one, else one of the textbook's."""
     if name == "now":
-        return balancer
+        return current_engine
     if name.startswith("at:"):
         try:
             return load_version(name[3:])
         except UnknownRevisionError as error:
-            raise Unknown(str(error)) from None
+            raise UnknownPolicyError(str(error)) from None
     if name not in TEXTBOOK:
-        raise Unknown(f"{name}: none of now, at:REVISION, {', '.join(TEXTBOOK)}")
+        raise UnknownPolicyError(f"{name}: none of now, at:REVISION, {', '.join(TEXTBOOK)}")
     return TEXTBOOK[name]
 
 
 def played(task):
     """One day with one policy: its figures, with what it takes to play it again."""
     name, seed, size = task
-    fleet = Fleet(scenarios.drawn(seed, **size), policy(name)).play()
+    fleet = Simulator(scenarios.drawn(seed, **size), policy(name)).play()
     return {
         "policy": name,
         "seed": seed,
@@ -53,7 +53,7 @@
     """One day of a whole fleet (policy, kind, seed, size of crowds.drawn): what its decisions are judged by."""
     name, kind, seed, size = task
     day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
-    fleet, offer = Fleet(day, policy(name)).play(), day.offers[0]
+    fleet, offer = Simulator(day, policy(name)).play(), day.offers[0]
     turned_away, needless = fleet.needless()
     if kind in large_fleet_scenarios.VAST:
         return {
@@ -342,8 +342,8 @@
     for fault in list(kept):
         fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
         rest = (
-            Fleet(fewer, policy(name)).play().service()
-            - Fleet(fewer, policy(against)).play().service()
+            Simulator(fewer, policy(name)).play().service()
+            - Simulator(fewer, policy(against)).play().service()
         )
         if rest <= gap + abs(gap) * 0.1:
             kept.remove(fault)
--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -6,7 +6,7 @@
 from collections import defaultdict
 
 
-class Checker:
+class InvariantChecker:
     """grace: for drains. window, allowance: of exposure. cap_grace: a lower cap binds after it."""
 
     def __init__(
--- a/thymeknot/simulation/large_fleet_scenarios.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -5,9 +5,10 @@
 
 import numpy as np
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import DeduplicationScope, Idempotency, PromotionMode
 from ..interface.settings import RequestClass, Settings
-from .scenarios import SECOND, WAVES, Day, Fault, LaneMix, Offer
+from .scenarios import WAVES, Day, Fault, LaneMix, Offer
 
 KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
 # Some forty instances by sixty pods, three stages, two builds, a trouble of its own beside each day's. Lists are asked
@@ -22,7 +23,7 @@
             "fetch",
             Idempotency.IDEMPOTENT,
             DeduplicationScope.ALL,
-            5 * SECOND,
+            5 * TICKS_PER_SECOND,
             8_000,
             20_000,
             1.0,
@@ -37,7 +38,7 @@
             "sync",
             Idempotency.IDEMPOTENT,
             DeduplicationScope.ALL,
-            5 * SECOND,
+            5 * TICKS_PER_SECOND,
             25_000,
             75_000,
             1.0,
@@ -49,7 +50,14 @@
     ),
     LaneMix(
         RequestClass(
-            "buy", Idempotency.KEYED, DeduplicationScope.ALL, 5 * SECOND, 8_000, 25_000, 5.0, 0.0
+            "buy",
+            Idempotency.KEYED,
+            DeduplicationScope.ALL,
+            5 * TICKS_PER_SECOND,
+            8_000,
+            25_000,
+            5.0,
+            0.0,
         ),
         0.12,
         1_200,
@@ -60,7 +68,7 @@
             "pay",
             Idempotency.NON_IDEMPOTENT,
             DeduplicationScope.ALL,
-            5 * SECOND,
+            5 * TICKS_PER_SECOND,
             15_000,
             40_000,
             5.0,
@@ -86,17 +94,17 @@
         instances=instances,
         lists_polled=False,
         max_attempts=4,
-        max_retry_after=SECOND // 2,
+        max_retry_after=TICKS_PER_SECOND // 2,
         hedging_allowed=False,
         cancellation_allowed=True,
         retry_after_allowed=True,
         load_metrics=(),
-        poll_within=10 * SECOND,
+        poll_within=10 * TICKS_PER_SECOND,
         warmup_initial_fraction=cold_from,
         warmup_duration=cold,
         overload_factor=2.0,
-        overload_window=3 * SECOND // 2,
-        exposure_window=3 * SECOND,
+        overload_window=3 * TICKS_PER_SECOND // 2,
+        exposure_window=3 * TICKS_PER_SECOND,
         exposure_allowance=3.0,
         guarded_stages=2,
         stage_fractions=WAVES,
@@ -105,7 +113,7 @@
         replaces_machines=False,
         promotion_mode=PromotionMode.QUORUM,
         votes_to_revert=max(1, math.ceil(REVERT * instances)),
-        vote_lifetime=4 * SECOND,
+        vote_lifetime=4 * TICKS_PER_SECOND,
         vote_timeout=12_000,
         votes_per_second=calls,
     )
@@ -120,13 +128,13 @@
 def _faults(kind, chance, instances, pods, span):
     """What happens on a day of this kind: (faults, begin of the worst of it, its end)."""
     begin = int(chance.uniform(0.25, 0.35) * span)
-    end = begin + 6 * SECOND
+    end = begin + 6 * TICKS_PER_SECOND
     pauses = Fault(
         "pause",
         begin // 2,
         span,
         _some(chance, pods, 0.3),
-        float(chance.uniform(0.5, 1.2)) * SECOND,
+        float(chance.uniform(0.5, 1.2)) * TICKS_PER_SECOND,
     )
     ill = Fault("ill", 0, span, _some(chance, pods, 1 / 8), float(chance.uniform(0.3, 0.7)))
     zone = int(chance.integers(0, 3))
@@ -141,7 +149,7 @@
                 begin + at * step,
                 begin + at * step + 1,
                 tuple(order[at * part : (at + 1) * part]),
-                float(chance.uniform(0.3, 1.0)) * SECOND,
+                float(chance.uniform(0.3, 1.0)) * TICKS_PER_SECOND,
             )
             for at in range(10)
         )
@@ -156,23 +164,23 @@
                     begin,
                     begin + 1,
                     _some(chance, instances, 0.7),
-                    float(chance.uniform(0.5, 1.5)) * SECOND,
+                    float(chance.uniform(0.5, 1.5)) * TICKS_PER_SECOND,
                 ),
             ),
             begin,
-            begin + 2 * SECOND,
+            begin + 2 * TICKS_PER_SECOND,
         )
     if kind == "zone":
-        later = min(span - 6 * SECOND, end + 4 * SECOND)
+        later = min(span - 6 * TICKS_PER_SECOND, end + 4 * TICKS_PER_SECOND)
         slow = Fault("pods", 0, span, _some(chance, pods, 1 / 8), float(chance.uniform(1.5, 3)))
         return (
             (
-                Fault("zone", begin, begin + 5 * SECOND, (zone,), 0.0),
+                Fault("zone", begin, begin + 5 * TICKS_PER_SECOND, (zone,), 0.0),
                 slow if chance.random() < 0.5 else ill,
-                Fault("cut", later, later + 4 * SECOND, ((zone + 1) % 3,), 0.0),
+                Fault("cut", later, later + 4 * TICKS_PER_SECOND, ((zone + 1) % 3,), 0.0),
             ),
             begin,
-            later + 4 * SECOND,
+            later + 4 * TICKS_PER_SECOND,
         )
     if kind == "split":
         how = (
@@ -183,7 +191,7 @@
         return (
             (
                 how,
-                Fault("discovery", begin, end, (), float(chance.uniform(1, 3)) * SECOND),
+                Fault("discovery", begin, end, (), float(chance.uniform(1, 3)) * TICKS_PER_SECOND),
                 Fault("lost answers", begin // 2, span, (), float(chance.uniform(0.005, 0.03))),
             ),
             begin,
@@ -198,7 +206,11 @@
             begin,
             span,
         )
-    return (Fault("burst", begin, end + 4 * SECOND, (), 2.6),), begin, end + 4 * SECOND
+    return (
+        (Fault("burst", begin, end + 4 * TICKS_PER_SECOND, (), 2.6),),
+        begin,
+        end + 4 * TICKS_PER_SECOND,
+    )
 
 
 def _vast_faults(kind, chance, instances, pods, span):
@@ -217,7 +229,7 @@
         begin // 2,
         span,
         _some(chance, pods, 0.4 if kind == "join-vast" else 0.3),
-        float(chance.uniform(0.3, 0.9)) * SECOND,
+        float(chance.uniform(0.3, 0.9)) * TICKS_PER_SECOND,
     )
     name, at = str(chance.choice(BESIDE)), int(chance.uniform(0.15, 0.6) * span)
     sizes = {
@@ -225,13 +237,13 @@
         "burst": chance.uniform(1.2, 1.6),
         "calls": 0.0,
         "pods": chance.uniform(1.3, 2),
-        "discovery": chance.uniform(1, 3) * SECOND,
+        "discovery": chance.uniform(1, 3) * TICKS_PER_SECOND,
         "network": chance.uniform(0.02, 0.08),
     }
     beside = Fault(
         name,
         at,
-        at + int(chance.uniform(4, 10) * SECOND),
+        at + int(chance.uniform(4, 10) * TICKS_PER_SECOND),
         _some(chance, pods, 0.3),
         float(sizes[name]),
     )
@@ -241,11 +253,11 @@
             begin,
             begin + 1,
             _some(chance, instances, 0.7),
-            float(chance.uniform(0.3, 1)) * SECOND,
+            float(chance.uniform(0.3, 1)) * TICKS_PER_SECOND,
         )
-        return (pauses, kill, beside), begin, begin + 5 * SECOND
+        return (pauses, kill, beside), begin, begin + 5 * TICKS_PER_SECOND
     if kind == "zone-vast":
-        zone, end = int(chance.integers(0, 3)), begin + int(chance.uniform(4, 7) * SECOND)
+        zone, end = int(chance.integers(0, 3)), begin + int(chance.uniform(4, 7) * TICKS_PER_SECOND)
         there = tuple(one for one in range(instances) if one % 3 == zone)
         return (
             (
@@ -263,14 +275,19 @@
 def vast(seed, kind="herd-vast", instances=40, pods=60, seconds=44, load=0.55, good=None):
     """A day of one of the VAST kinds, as drawn(): (day, (begin, end) of the worst of it). good: of both builds."""
     chance = np.random.Generator(np.random.PCG64([seed, 100 + VAST.index(kind)]))
-    span, cold, cold_from, cores = seconds * SECOND, int(chance.uniform(1.9, 4) * SECOND), 0.35, 2
+    span, cold, cold_from, cores = (
+        seconds * TICKS_PER_SECOND,
+        int(chance.uniform(1.9, 4) * TICKS_PER_SECOND),
+        0.35,
+        2,
+    )
     speeds = tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
-    work = sum(one.share * one.work / 2 for one in LANES) / SECOND
+    work = sum(one.share * one.work / 2 for one in LANES) / TICKS_PER_SECOND
     rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * cores / work
     shares = chance.lognormal(0, 0.6, instances)
     calls, boot = (
         instances * float(chance.uniform(0.3, 0.6)),
-        int(chance.uniform(1.3, 2.0) * SECOND),
+        int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND),
     )
     # Work and goals are of one size: what comes late by half is late.
     lanes = tuple(
@@ -294,8 +311,8 @@
             chance.uniform(2, 3.5),
             chance.uniform(1.5, 3.5),
         )
-        late = int(chance.uniform(2.5, 6) * SECOND) if how == 4 and not fine else 0
-        at = int((chance.uniform(3, 5) + number * seconds * 0.45) * SECOND)
+        late = int(chance.uniform(2.5, 6) * TICKS_PER_SECOND) if how == 4 and not fine else 0
+        at = int((chance.uniform(3, 5) + number * seconds * 0.45) * TICKS_PER_SECOND)
         offers.append(
             Offer(
                 at,
@@ -333,7 +350,7 @@
         0.0005,
         2_500,
         4_000,
-        int(0.8 * SECOND),
+        int(0.8 * TICKS_PER_SECOND),
         boot,
         cold,
         cold_from,
@@ -350,10 +367,13 @@
 def _mass_faults(kind, chance, instances, pods, span):
     """As _faults, for the mass kinds."""
     begin = int(chance.uniform(0.2, 0.6) * span)
-    paused, each = 1 / 3 if kind == "join-mass" else 0.3, float(chance.uniform(0.3, 0.9)) * SECOND
+    paused, each = (
+        1 / 3 if kind == "join-mass" else 0.3,
+        float(chance.uniform(0.3, 0.9)) * TICKS_PER_SECOND,
+    )
     pauses = Fault("pause", span // 8, span, _some(chance, pods, paused), each)
     if kind == "calm-mass":
-        end = begin + int(chance.uniform(5, 6) * SECOND)
+        end = begin + int(chance.uniform(5, 6) * TICKS_PER_SECOND)
         return (Fault("burst", begin, end, (), 1.5),), begin, end
     if kind == "roll-mass":
         begin = int(chance.uniform(0.15, 0.4) * span)
@@ -368,7 +388,7 @@
                 begin + at * step,
                 begin + at * step + 1,
                 tuple(order[at * part : (at + 1) * part]),
-                float(chance.uniform(0.3, 1.0)) * SECOND,
+                float(chance.uniform(0.3, 1.0)) * TICKS_PER_SECOND,
             )
             for at in range(10)
         )
@@ -383,9 +403,14 @@
             float(chance.uniform(1.5, 3)) if slow else float(chance.uniform(0.3, 0.7)),
         )
         return (
-            (bad, Fault("zone", begin, begin + 5 * SECOND, (int(chance.integers(0, 3)),), 0.0)),
+            (
+                bad,
+                Fault(
+                    "zone", begin, begin + 5 * TICKS_PER_SECOND, (int(chance.integers(0, 3)),), 0.0
+                ),
+            ),
             begin,
-            (begin + 5 * SECOND),
+            (begin + 5 * TICKS_PER_SECOND),
         )
     return (
         (pauses, Fault("lost answers", 0, span, (), float(chance.uniform(0.005, 0.02)))),
@@ -397,8 +422,11 @@
 def mass(seed, kind="calm-mass", instances=216, pods=108, seconds=46, load=0.58, good=None):
     """A day of one of the MASS kinds, as drawn(): (day, (begin, end) of the worst of it). good: of both builds."""
     chance = np.random.Generator(np.random.PCG64([seed, 200 + MASS.index(kind)]))
-    span, cores = seconds * SECOND, 2
-    cold, cold_from = int(chance.uniform(1.9, 4.8) * SECOND), float(chance.uniform(0.31, 0.57))
+    span, cores = seconds * TICKS_PER_SECOND, 2
+    cold, cold_from = (
+        int(chance.uniform(1.9, 4.8) * TICKS_PER_SECOND),
+        float(chance.uniform(0.31, 0.57)),
+    )
     speeds = tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
     lanes = tuple(
         one._replace(
@@ -409,7 +437,7 @@
         )
         for one in LANES
     )
-    work = sum(one.share * one.work for one in lanes) / SECOND
+    work = sum(one.share * one.work for one in lanes) / TICKS_PER_SECOND
     rate = load * float(chance.uniform(0.95, 1.05)) * sum(speeds) * cores / work
     shares = chance.lognormal(0, 0.9, instances)
     offers = []
@@ -423,9 +451,12 @@
             chance.uniform(2, 3.5),
             chance.uniform(1.5, 3.5),
         )
-        late, usual = int(chance.uniform(2.5, 6) * SECOND), float(chance.uniform(0.92, 1.1))
+        late, usual = (
+            int(chance.uniform(2.5, 6) * TICKS_PER_SECOND),
+            float(chance.uniform(0.92, 1.1)),
+        )
         # Each its own way to be bad: errors, slow, slowing all, only where busy, after a while.
-        one = Offer(int(at * seconds / 46 * SECOND), 2 + number, fine, 0.0, usual, 0, 0.0)
+        one = Offer(int(at * seconds / 46 * TICKS_PER_SECOND), 2 + number, fine, 0.0, usual, 0, 0.0)
         offers.append(
             one
             if fine
@@ -463,8 +494,8 @@
         0.0005,
         4_000,
         3_000,
-        int(3.25 * SECOND),
-        int(1.45 * SECOND),
+        int(3.25 * TICKS_PER_SECOND),
+        int(1.45 * TICKS_PER_SECOND),
         cold,
         cold_from,
         tuple(offers),
@@ -472,12 +503,12 @@
         held,
         advance=math.ceil(ADVANCE * instances),
         caps=(0.16, 0.5, 1.0),
-        tally_every=2 * SECOND,
+        tally_every=2 * TICKS_PER_SECOND,
         machines_first=False,
         boot_spread=0.17,
         drain_after=6_700,
-        gone_after=7 * SECOND,
-        list_every=SECOND // 10,
+        gone_after=7 * TICKS_PER_SECOND,
+        list_every=TICKS_PER_SECOND // 10,
         handshake=int(chance.uniform(5, 16)),
     ), (begin, end)
 
@@ -491,27 +522,32 @@
     """A day of one of the KINDS; rate follows from load, the share of what all pods can do. good: of the build
     offered; drawn with a half if None. Gives (day, (begin, end) of the worst of it)."""
     chance = np.random.Generator(np.random.PCG64([seed, KINDS.index(kind)]))
-    span, cold, cold_from, cores = seconds * SECOND, int(chance.uniform(2, 4.8) * SECOND), 0.35, 2
+    span, cold, cold_from, cores = (
+        seconds * TICKS_PER_SECOND,
+        int(chance.uniform(2, 4.8) * TICKS_PER_SECOND),
+        0.35,
+        2,
+    )
     speeds = tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
-    work = sum(one.share * one.work for one in LANES) / SECOND
+    work = sum(one.share * one.work for one in LANES) / TICKS_PER_SECOND
     rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * cores / work
     shares = chance.lognormal(0, 0.9, instances)
     fine, how = bool(chance.random() < 0.5) if good is None else good, int(chance.integers(0, 4))
     fails, slow = float(chance.uniform(0.1, 0.6)), float(chance.uniform(2, 4))
     offer = Offer(
-        int(chance.uniform(3, 6) * SECOND),
+        int(chance.uniform(3, 6) * TICKS_PER_SECOND),
         2,
         fine,
         0.0 if fine or how == 1 else fails,
         float(chance.uniform(0.92, 1.1)) if fine or how != 1 else slow,
-        2 * SECOND if how == 2 and not fine else 0,
+        2 * TICKS_PER_SECOND if how == 2 and not fine else 0,
         0.4 if how == 3 and not fine else 0.0,
     )
     faults, begin, end = _faults(kind, chance, instances, pods, span)
     patient = kind != "join"
     calls, boot = (
         instances * float(chance.uniform(0.2, 0.75)),
-        int(chance.uniform(1.3, 2.0) * SECOND),
+        int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND),
     )
     return Day(
         seed,
@@ -534,7 +570,7 @@
         0.0005,
         5_000,
         4_000,
-        SECOND,
+        TICKS_PER_SECOND,
         boot,
         cold,
         cold_from,
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -2,14 +2,14 @@
 
 import numpy as np
 
-from .scenarios import SECOND
+from ..interface.clock import TICKS_PER_SECOND
 from .servers import UP
-from .simulator import Fleet
+from .simulator import Simulator
 
-LOOK = SECOND // 2
+LOOK = TICKS_PER_SECOND // 2
 
 
-class Watched(Fleet):
+class Watched(Simulator):
     """Plays as a Fleet does; looks: what was seen every half second, counts: what happened in each of those."""
 
     def __init__(self, day, policy):
@@ -34,7 +34,7 @@
         running = [pod.build.number for pod in self.pods.values() if pod.state == UP]
         self.looks.append(
             (
-                self.now / SECOND,
+                self.now / TICKS_PER_SECOND,
                 build,
                 stage,
                 phase,
@@ -46,7 +46,9 @@
         for pod in self.pods.values():
             if pod.state == UP:
                 place = int(pod.name[1:].split("-")[0])
-                by_place[place] = max(by_place[place], pod.wait / (pod.cores * pod.speed * SECOND))
+                by_place[place] = max(
+                    by_place[place], pod.wait / (pod.cores * pod.speed * TICKS_PER_SECOND)
+                )
         self.load.append(by_place)
         if self.now < self.day.span:
             self.at(self.now + LOOK, self._look)
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -8,9 +8,9 @@
 matplotlib.use("Agg")
 from matplotlib import pyplot  # noqa: E402  the backend comes first
 
+from ..interface.clock import TICKS_PER_SECOND  # noqa: E402
 from ..interface.enums import ReleasePhase, Verdict  # noqa: E402
 from .recording import LOOK, Watched  # noqa: E402
-from .scenarios import SECOND  # noqa: E402
 
 VERDICTS = {
     Verdict.ABSTAIN: "withdrawn",
@@ -24,12 +24,12 @@
 def _bands(axis, day):
     for number, fault in enumerate(day.faults):
         axis.axvspan(
-            fault.begin / SECOND,
-            max(fault.end, fault.begin + LOOK) / SECOND,
+            fault.begin / TICKS_PER_SECOND,
+            max(fault.end, fault.begin + LOOK) / TICKS_PER_SECOND,
             alpha=0.08,
             color=f"C{number}",
         )
-    axis.set_xlim(0, day.span / SECOND)
+    axis.set_xlim(0, day.span / TICKS_PER_SECOND)
 
 
 def drawn(fleet, path, title):
@@ -38,7 +38,7 @@
     times = [at for at, *_ in fleet.looks]
     figure, axes = pyplot.subplots(6, 1, figsize=(11, 15), sharex=True, constrained_layout=True)
     figure.suptitle(title)
-    per_s = SECOND / LOOK
+    per_s = TICKS_PER_SECOND / LOOK
     axes[0].stackplot(
         times,
         [fleet.sent[name][:steps] * per_s for name in fleet.names],
@@ -129,7 +129,7 @@
         for key in keys
     )
     faults = "".join(
-        f"<li>{fault.begin / SECOND:.1f} to {fault.end / SECOND:.1f} s: {html.escape(fault.kind)}, "
+        f"<li>{fault.begin / TICKS_PER_SECOND:.1f} to {fault.end / TICKS_PER_SECOND:.1f} s: {html.escape(fault.kind)}, "
         f"{len(fault.what)} struck</li>"
         for fault in day.faults
     )
--- a/thymeknot/simulation/scenarios.py
+++ b/thymeknot/simulation/scenarios.py
@@ -5,11 +5,10 @@
 
 import numpy as np
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import DeduplicationScope, Idempotency, PromotionMode
 from ..interface.settings import RequestClass, Settings
 
-SECOND = 10_000
-
 
 class LaneMix(NamedTuple):
     lane: RequestClass
@@ -81,7 +80,7 @@
     machines_first: bool = True  # a stage's clock starts when its machines run, else with the stage
     boot_spread: float = 0.3
     drain_after: int = 0  # a release, by the earlier machines
-    gone_after: int = 4 * SECOND  # a drain's begin
+    gone_after: int = 4 * TICKS_PER_SECOND  # a drain's begin
     list_every: int = (
         0  # changes to the list are told together, so often at most; 0: each by itself
     )
@@ -96,7 +95,7 @@
             "fetch",
             Idempotency.IDEMPOTENT,
             DeduplicationScope.ALL,
-            5 * SECOND,
+            5 * TICKS_PER_SECOND,
             2000,
             6000,
             1.0,
@@ -108,7 +107,14 @@
     ),
     LaneMix(
         RequestClass(
-            "sync", Idempotency.KEYED, DeduplicationScope.ALL, 5 * SECOND, 3000, 9000, 2.0, 0.2
+            "sync",
+            Idempotency.KEYED,
+            DeduplicationScope.ALL,
+            5 * TICKS_PER_SECOND,
+            3000,
+            9000,
+            2.0,
+            0.2,
         ),
         0.2,
         120,
@@ -119,7 +125,7 @@
             "pay",
             Idempotency.NON_IDEMPOTENT,
             DeduplicationScope.ALL,
-            5 * SECOND,
+            5 * TICKS_PER_SECOND,
             4000,
             12000,
             6.0,
@@ -140,17 +146,17 @@
         instances=instances,
         lists_polled=False,
         max_attempts=4,
-        max_retry_after=SECOND // 2,
+        max_retry_after=TICKS_PER_SECOND // 2,
         hedging_allowed=False,
         cancellation_allowed=True,
         retry_after_allowed=True,
         load_metrics=(),
-        poll_within=10 * SECOND,
+        poll_within=10 * TICKS_PER_SECOND,
         warmup_initial_fraction=cold_from,
         warmup_duration=cold,
         overload_factor=2.0,
-        overload_window=3 * SECOND // 2,
-        exposure_window=3 * SECOND,
+        overload_window=3 * TICKS_PER_SECOND // 2,
+        exposure_window=3 * TICKS_PER_SECOND,
         exposure_allowance=3.0,
         guarded_stages=2,
         stage_fractions=WAVES,
@@ -159,7 +165,7 @@
         replaces_machines=False,
         promotion_mode=PromotionMode.QUORUM,
         votes_to_revert=max(1, instances // 20),
-        vote_lifetime=4 * SECOND,
+        vote_lifetime=4 * TICKS_PER_SECOND,
         vote_timeout=12_000,
         votes_per_second=150.0,
     )
@@ -170,8 +176,13 @@
 ):
     """A day of this size. load: share of what all pods can do, by which their speed is set."""
     chance = np.random.Generator(np.random.PCG64(seed))
-    span, cold, cold_from, cores = seconds * SECOND, int(chance.uniform(3, 6) * SECOND), 0.31, 2
-    work = sum(one.share * one.work for one in lanes) / SECOND
+    span, cold, cold_from, cores = (
+        seconds * TICKS_PER_SECOND,
+        int(chance.uniform(3, 6) * TICKS_PER_SECOND),
+        0.31,
+        2,
+    )
+    work = sum(one.share * one.work for one in lanes) / TICKS_PER_SECOND
     speed = rate * work / (load * pods * cores)
     # Few transactions a pod at a given load mean long ones: what clients bear grows with them.
     stretch = max(1.0, 1 / speed)
@@ -192,14 +203,14 @@
         how = int(chance.integers(0, 4))
         told.append(
             Offer(
-                int((4 + number * seconds / max(1, offers)) * SECOND),
+                int((4 + number * seconds / max(1, offers)) * TICKS_PER_SECOND),
                 2 + number,
                 good,
                 0.0 if good or how == 1 else float(chance.uniform(0.1, 0.5)),
                 float(chance.uniform(0.9, 1.1))
                 if good or how != 1
                 else float(chance.uniform(2, 4)),
-                int(chance.uniform(2, 6) * SECOND) if how == 2 and not good else 0,
+                int(chance.uniform(2, 6) * TICKS_PER_SECOND) if how == 2 and not good else 0,
                 float(chance.uniform(0.3, 0.6)) if how == 3 and not good else 0.0,
             )
         )
@@ -214,10 +225,10 @@
                 "ill pod": Fault("ill", begin, end, some[:1], float(chance.uniform(0.3, 0.8))),
                 "loss": Fault("network", begin, end, (), float(chance.uniform(0.02, 0.15))),
                 "late list": Fault(
-                    "discovery", begin, end, (), float(chance.uniform(1, 4)) * SECOND
+                    "discovery", begin, end, (), float(chance.uniform(1, 4)) * TICKS_PER_SECOND
                 ),
                 "late news": Fault(
-                    "platform", begin, end, (), float(chance.uniform(1, 5)) * SECOND
+                    "platform", begin, end, (), float(chance.uniform(1, 5)) * TICKS_PER_SECOND
                 ),
                 "kills": Fault(
                     "kill",
@@ -227,7 +238,7 @@
                         int(one)
                         for one in chance.choice(instances, max(1, instances // 5), replace=False)
                     ),
-                    float(chance.uniform(0.3, 2)) * SECOND,
+                    float(chance.uniform(0.3, 2)) * TICKS_PER_SECOND,
                 ),
                 "burst": Fault("burst", begin, end, (), float(chance.uniform(1.3, 2.0))),
             }[str(name)]
@@ -253,8 +264,8 @@
         0.0005,
         3000,
         3000,
-        SECOND,
-        2 * SECOND,
+        TICKS_PER_SECOND,
+        2 * TICKS_PER_SECOND,
         cold,
         cold_from,
         tuple(told),
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -3,7 +3,7 @@
 
 from collections import deque
 
-from ..polling.adaptive_interval import REFUSED, Pace
+from ..polling.adaptive_interval import REFUSED, AdaptiveInterval
 
 PATIENCE, ROOM = 20_000, 2.2  # a call waits in turn so long; waiting calls, in seconds of answers
 NO_ROOM = 500  # until one is told that there is none
@@ -124,4 +124,4 @@
 
 def pace_of(policy, draw):
     """The pace at which instances of this policy ask: the policy's own, or today's."""
-    return getattr(policy, "pace", Pace)(draw)
+    return getattr(policy, "pace", AdaptiveInterval)(draw)
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -11,6 +11,7 @@
 import numpy as np
 
 from ..interface.actions import CancelAttempt, CastVote, Fail, Reject, SendAttempt, SetTimer
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import (
     EndpointCondition,
     Idempotency,
@@ -29,8 +30,7 @@
     TimerFired,
 )
 from ..state.random_source import LinearCongruentialGenerator
-from .invariants import Checker
-from .scenarios import SECOND
+from .invariants import InvariantChecker
 from .servers import DOWN, DRAINING, UP, Build, Pod
 from .shared_services import Connections, Discovery, pace_of
 
@@ -142,7 +142,7 @@
         )
 
 
-class Fleet:
+class Simulator:
     """day: see days.py. policy(terms, seed, now): has handle(now, events) -> actions, as the Balancer has."""
 
     def __init__(self, day, policy):
@@ -169,10 +169,10 @@
             for at, speed in enumerate(day.speeds)
         }
         self.listed, self.former = {}, {}
-        self.checker = Checker(
+        self.checker = InvariantChecker(
             {one.lane.name: one.lane for one in day.lanes},
             GRACE,
-            3 * SECOND,
+            3 * TICKS_PER_SECOND,
             3.0,
             guarded=day.terms.guarded_stages,
             cold=day.cold,
@@ -185,13 +185,13 @@
         self.scores = {"asked": 0.0, "earned": 0.0, "harm": 0.0, "behind": 0.0}
         self.shares = list(accumulate(day.busy))
         self.tries = [
-            [0, 0, 0] for _ in range(day.span // SECOND + 20)
+            [0, 0, 0] for _ in range(day.span // TICKS_PER_SECOND + 20)
         ]  # asked, turned away unsent, of these needless
         self.votes_asked = {"asked": 0, "full": 0, "moot": 0}
         self.calls, self.calls_at, self.newest_good = 2 * day.terms.votes_per_second, 0, 0
         self.lost, self.votes_wait = set(), day.terms.vote_timeout
         self.lost_answers, self.cuts, self.up_to = 0.0, set(), {}
-        self.spans = [[0.0, 0.0] for _ in range(day.span // SECOND + 20)]
+        self.spans = [[0.0, 0.0] for _ in range(day.span // TICKS_PER_SECOND + 20)]
         self.ends, self.latencies, self.by_pod, self.released, self.sent_back = {}, {}, {}, [], []
         self.slow_news = self.slow_list = 0
         self.loss, self.burst = day.loss, 1.0
@@ -231,7 +231,7 @@
         self.at(0, self._arrive)
         if day.tally_every:
             self.at(day.tally_every, self._tally)
-        last = day.span + 2 * SECOND
+        last = day.span + 2 * TICKS_PER_SECOND
         while self.heap and self.heap[0][0] <= last:
             self.now, _, call, arguments = heapq.heappop(self.heap)
             call(*arguments)
@@ -325,7 +325,7 @@
         if self.now >= day.span:
             return
         self.at(
-            self.now + max(1, round(self.gaps.next() * SECOND / (day.rate * self.burst))),
+            self.now + max(1, round(self.gaps.next() * TICKS_PER_SECOND / (day.rate * self.burst))),
             self._arrive,
         )
         instance = min(day.instances - 1, bisect_right(self.shares, self.uniform.next()))
@@ -341,7 +341,7 @@
             else f"b{self.count}"
         )
         self.scores["asked"] += lane.lane.priority_weight
-        self.spans[self.now // SECOND][0] += lane.lane.priority_weight
+        self.spans[self.now // TICKS_PER_SECOND][0] += lane.lane.priority_weight
         self._ask(
             instance,
             lane.lane.name,
@@ -365,7 +365,7 @@
             name, instance, lane, key, tenant, self.now, self.now + left, tries, first, work
         )
         self.checker.taken(self.now, instance, name, lane, self.now + left)
-        self.tries[self.now // SECOND][0] += 1
+        self.tries[self.now // TICKS_PER_SECOND][0] += 1
         self._tell(
             instance, RequestReceived(name, lane, f"t{tenant}", key, left, None, tries > 0, False)
         )
@@ -386,11 +386,11 @@
             )
             self.scores["earned"] += earned
             self.scores["behind"] += earned * (held.sent[-1].build < self.newest_good)
-            self.spans[held.first // SECOND][1] += earned
+            self.spans[held.first // TICKS_PER_SECOND][1] += earned
             self.latencies.setdefault(held.lane, []).append(took)
             return self._done_with(instance, name, held)
         if not held.sent:
-            some = self.tries[self.now // SECOND]
+            some = self.tries[self.now // TICKS_PER_SECOND]
             some[1] += 1
             some[2] += self._needless(instance, lane.latency_objective)
         if how == "deferred" and held.tries < self.day.retries:
@@ -470,7 +470,7 @@
         ends, line = min(self.now + action.timeout, held.ends), (instance, turn, action.endpoint)
         if pod.silent or not self._reached(instance, pod):
             # Nothing is said: what stands open takes the delivery, a new connection never comes up.
-            if self.now - self.up_to.pop(line, -(10**9)) > 15 * SECOND:
+            if self.now - self.up_to.pop(line, -(10**9)) > 15 * TICKS_PER_SECOND:
                 self.at(
                     min(ends, self.now + CONNECTING), self._end, job, Outcome.CONNECT_FAILED, False
                 )
@@ -694,7 +694,9 @@
         ]
         for at, boot in zip(range(running, wanted), boots):
             self.at(self.now + boot, self._boot, build, at)
-        self.moved_at = self.now + (max(boots, default=0) + SECOND) * self.day.machines_first
+        self.moved_at = (
+            self.now + (max(boots, default=0) + TICKS_PER_SECOND) * self.day.machines_first
+        )
         self.at(self.moved_at + self.day.stage_least, self._count_votes, build, stage)
 
     def _boot(self, build, at):
@@ -705,7 +707,7 @@
             return
         name = f"p{at}-{build}"
         if any(self.day.zones[at % 3] == zone for zone in self.lost):
-            return self.at(self.now + SECOND, self._boot, build, at)
+            return self.at(self.now + TICKS_PER_SECOND, self._boot, build, at)
         pod = Pod(
             name,
             self.day.zones[at % 3],
@@ -727,7 +729,8 @@
         self.votes_asked["asked"] += 1
         self.calls = min(
             2 * self.day.terms.votes_per_second,
-            self.calls + (self.now - self.calls_at) * self.day.terms.votes_per_second / SECOND,
+            self.calls
+            + (self.now - self.calls_at) * self.day.terms.votes_per_second / TICKS_PER_SECOND,
         )
         self.calls_at = self.now
         if self.calls < 1 or self.calls_down == REFUSED_CALLS:
@@ -827,7 +830,7 @@
                 self.pods[pod.name] = pod
                 self._list(self._entry(pod))
         self._drain(lambda pod: pod.build.number == build)
-        self.at(self.now + 2 * SECOND, self._withdrawn, build)
+        self.at(self.now + 2 * TICKS_PER_SECOND, self._withdrawn, build)
 
     def _withdrawn(self, build):
         if self.news[0] == build and self.news[2] == ReleasePhase.ROLLING_BACK:
@@ -904,8 +907,8 @@
         for pod in self.pods.values():
             if int(pod.name[1:].split("-")[0]) in fault.what and self.misc.random() < 0.3:
                 pod.paused = self.now + int(fault.size * (0.5 + self.misc.random()))
-        if self.now + SECOND < fault.end:
-            self.at(self.now + SECOND, self._pause, fault)
+        if self.now + TICKS_PER_SECOND < fault.end:
+            self.at(self.now + TICKS_PER_SECOND, self._pause, fault)
 
     def _zone(self, zone, begins):
         """All that runs in a zone is lost at once and says nothing; it comes back cold, at the same places."""
@@ -941,7 +944,7 @@
     def worst(self, seconds=10):
         """The same in the worst stretch."""
         best = 1.0
-        whole = self.day.span // SECOND
+        whole = self.day.span // TICKS_PER_SECOND
         for begin in range(max(1, whole - seconds)):
             asked = sum(one[0] for one in self.spans[begin : begin + seconds])
             earned = sum(one[1] for one in self.spans[begin : begin + seconds])
@@ -956,11 +959,11 @@
 
     def recovered(self, end, least=0.05):
         """Seconds from this moment until no more than this share is turned away for two seconds on end."""
-        begin = -(-end // SECOND)
-        for at in range(begin, self.day.span // SECOND - 1):
+        begin = -(-end // TICKS_PER_SECOND)
+        for at in range(begin, self.day.span // TICKS_PER_SECOND - 1):
             if self.needless(at, at + 2)[0] <= least:
                 return at - begin
-        return self.day.span // SECOND - begin
+        return self.day.span // TICKS_PER_SECOND - begin
 
     def spent(self, build, end):
         """(seconds from its offer to its release or, if it was not released, until end; seconds that it could hurt:
@@ -969,8 +972,8 @@
         told = {what: at for at, one, what in self.course if one == build}
         begin = told.get("released", told.get("stage", end))
         return (
-            (told.get("released", end) - told.get("offered", end)) / SECOND,
-            (max(begin, told.get("back", end)) - begin) / SECOND,
+            (told.get("released", end) - told.get("offered", end)) / TICKS_PER_SECOND,
+            (max(begin, told.get("back", end)) - begin) / TICKS_PER_SECOND,
         )
 
     def worth(self, behind=0.5, harm=5.0):
@@ -993,7 +996,7 @@
         }
 
 
-def balancer(terms, seed, now):
+def current_engine(terms, seed, now):
     """The project's own decisions."""
     from ..policy.engine import DecisionEngine
 
--- a/thymeknot/simulator_wire/codec.py
+++ b/thymeknot/simulator_wire/codec.py
@@ -296,19 +296,19 @@
 def read_settings(pairs):
     """The Terms of a NEW_INSTANCE line's settings."""
     read = _SettingPairs(pairs).read
-    lanes = [_lane(read, at) for at in range(read("categories.count", _whole))]
+    request_classes = [_lane(read, at) for at in range(read("categories.count", _whole))]
     bools = BOOLS.__getitem__
     names = set()
-    for at, lane in enumerate(lanes):
-        if lane.name in names:  # one of them would be served by the limits of the other
-            raise MalformedLineError(f"setting categories.{at}.name comes twice: {lane.name!r}")
-        names.add(lane.name)
+    for at, request_class in enumerate(request_classes):
+        if request_class.name in names:  # one of them would be served by the limits of the other
+            raise MalformedLineError(f"setting categories.{at}.name comes twice: {request_class.name!r}")
+        names.add(request_class.name)
     subscribes, retry_after = (
         read("discovery", DISCOVERIES.__getitem__),
         read("permissions.retry_after", bools),
     )
     return Settings(
-        request_classes={lane.name: lane for lane in lanes},
+        request_classes={request_class.name: request_class for request_class in request_classes},
         instances=read("balancers", _whole),
         lists_polled=subscribes,
         max_attempts=read("permissions.max_attempts", _whole),
--- a/thymeknot/simulator_wire/host.py
+++ b/thymeknot/simulator_wire/host.py
@@ -72,9 +72,9 @@
         except (IndexError, ValueError):
             raise codec.MalformedLineError("NEW_INSTANCE without a seed") from None
         inboxes.pop(instance, None)
-        terms = codec.read_settings(values[1:])
+        settings = codec.read_settings(values[1:])
         try:
-            self.instances[instance] = DecisionEngine(terms, seed, now)
+            self.instances[instance] = DecisionEngine(settings, seed, now)
         except Exception as error:  # whatever the decisions raise has to reach the operators
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
--- a/thymeknot/state/connection_pool.py
+++ b/thymeknot/state/connection_pool.py
@@ -3,7 +3,7 @@
 from collections import deque
 
 from ..protocol.pod import PodConnector
-from ..protocol.write_progress import NOT_CONNECTED, Broken
+from ..protocol.write_progress import NOT_CONNECTED, BrokenConnection
 from .slot_table import SlotTable
 
 IDLE_PART = 0.8  # of the told idle time: then a connection is retired, before the pod does it
@@ -25,8 +25,8 @@
     when it has one, if it still may_be_written(address), else to withdraw(), and told not_connected(broken) when none
     comes up for it."""
 
-    def __init__(self, reactor, deadlines, reach, most, fault):
-        self.reactor, self.deadlines, self.reach = reactor, deadlines, reach
+    def __init__(self, reactor, timers, connection_limits, most, fault):
+        self.reactor, self.timers, self.connection_limits = reactor, timers, connection_limits
         self.most, self.fault = most, fault
         self.by_pod, self.connections, self.dialling = {}, SlotTable(), 0
 
@@ -51,7 +51,7 @@
 
     def _rested(self, pool):
         """Takes the latest used idle connection on which nothing came while it rested; None where there is none."""
-        now = self.deadlines.clock()
+        now = self.timers.clock()
         for connection in pool.idle[::-1]:
             if now < connection.rests_until:
                 continue
@@ -66,7 +66,7 @@
 
     def _retired_at(self, connection):
         """One that has just come up is there for what it was dialled for, however short the idle time."""
-        return connection.used_at + max(REST, int(IDLE_PART * self.reach.idle_timeout))
+        return connection.used_at + max(REST, int(IDLE_PART * self.connection_limits.idle_timeout))
 
     def _serve(self, pool):
         """The delivery that has waited longest is next, as soon as a connection has rested or come up."""
@@ -77,9 +77,9 @@
                 self._write(pool.waiting.popleft(), connection)
             else:
                 break
-        self.deadlines.cancel(pool.due)
+        self.timers.cancel(pool.due)
         if pool.waiting and pool.idle:
-            pool.due = self.deadlines.add(
+            pool.due = self.timers.add(
                 min(connection.rests_until for connection in pool.idle), self._serve, pool
             )
 
@@ -94,12 +94,12 @@
         connector.failed.addCallback(self._not_connected, connector)
         host, _, port = pool.address.rpartition(":")
         dialled = self.reactor.connectTCP(host, int(port), connector, timeout=None)
-        connector.deadline = self.deadlines.add(
-            self.deadlines.clock() + self.reach.connect_timeout, dialled.stopConnecting
+        connector.deadline = self.timers.add(
+            self.timers.clock() + self.connection_limits.connect_timeout, dialled.stopConnecting
         )
 
     def _dialled(self, connector):
-        self.deadlines.cancel(connector.deadline)
+        self.timers.cancel(connector.deadline)
         connector.pool.dialling -= 1
         self.dialling -= 1
 
@@ -118,7 +118,7 @@
         self._dialled(connection.connector)
         connection.slot, connection.used_at = (
             self.connections.add(connection),
-            self.deadlines.clock(),
+            self.timers.clock(),
         )
         if connection.is_to_itself():
             connection.drop("a dial that has reached itself")
@@ -127,7 +127,8 @@
             self._look(connection)
         # A pod that is full, or ending, may say so before anything is asked: such a connection carries nothing.
         self._fall_short(
-            connection.connector.pool, Broken(NOT_CONNECTED, "nothing to carry an attempt came up")
+            connection.connector.pool,
+            BrokenConnection(NOT_CONNECTED, "nothing to carry an attempt came up"),
         )
 
     def ready(self, connection):
@@ -137,7 +138,7 @@
     def _stand(self, connection, rest):
         """A connection stands idle, for what waits or is to come."""
         connection.used_at, pool, connection.delivery = (
-            self.deadlines.clock(),
+            self.timers.clock(),
             connection.connector.pool,
             None,
         )
@@ -155,26 +156,24 @@
     def lost(self, connection):
         self.ending(connection)
         self.connections.remove(connection.slot)
-        for deadline in connection.deadlines:
-            self.deadlines.cancel(deadline)
+        for deadline in connection.timers:
+            self.timers.cancel(deadline)
 
     def _look(self, connection):
         if self.connections.get(connection.slot) is not connection:
             return
-        now, due = self.deadlines.clock(), self._retired_at(connection)
+        now, due = self.timers.clock(), self._retired_at(connection)
         if connection.waiting is None and now >= due:
             self._close([connection])
         else:
-            connection.deadlines[:1] = [
-                self.deadlines.add(max(due, now + AGAIN), self._look, connection)
-            ]
+            connection.timers[:1] = [self.timers.add(max(due, now + AGAIN), self._look, connection)]
 
     def give_up(self, delivery, connection):
         """Ends a delivery at once, whether it waits or is out on a connection."""
         if connection is not None:
             connection.give_up()
-            connection.deadlines.append(
-                self.deadlines.add(self.deadlines.clock() + LATE, connection.drop, "given up")
+            connection.timers.append(
+                self.timers.add(self.timers.clock() + LATE, connection.drop, "given up")
             )
             return
         for pool in self.by_pod.values():
--- a/thymeknot/state/endpoint_state.py
+++ b/thymeknot/state/endpoint_state.py
@@ -21,7 +21,7 @@
         self.place = None  # in the draw of the pods in use
         self.side = None  # True: of the newest build; False: of an earlier one
 
-    def share(self, at, terms):
+    def share(self, at, settings):
         """The part of its capacity that it has at least: it gains no slower than evenly. Never nothing: what it costs
         is divided by this, and a pod that starts at no capacity may be asked for at the moment of its start, or before
         by a clock that is behind."""
@@ -29,11 +29,11 @@
         if not started:  # most are: every transaction asks for a dozen of these
             return 1.0
         age = max(1, at - started)
-        if age >= terms.warmup_duration:
+        if age >= settings.warmup_duration:
             return 1.0
         return (
-            terms.warmup_initial_fraction
-            + (1 - terms.warmup_initial_fraction) * age / terms.warmup_duration
+            settings.warmup_initial_fraction
+            + (1 - settings.warmup_initial_fraction) * age / settings.warmup_duration
         )
 
 
@@ -63,11 +63,11 @@
     return sorted(side, key=lambda known: known.place)
 
 
-def age_at_fraction(part, terms, most):
+def age_at_fraction(part, settings, most):
     """How old a pod is, at the latest, when it has this part of its capacity; most, if that is less."""
     return min(
         most,
-        terms.warmup_duration
-        * max(0.0, part - terms.warmup_initial_fraction)
-        / max(1e-9, 1 - terms.warmup_initial_fraction),
+        settings.warmup_duration
+        * max(0.0, part - settings.warmup_initial_fraction)
+        / max(1e-9, 1 - settings.warmup_initial_fraction),
     )
--- a/thymeknot/state/request_state.py
+++ b/thymeknot/state/request_state.py
@@ -2,11 +2,16 @@
 
 
 class RequestState:
-    def __init__(self, taken, lane, now, state):
-        self.id, self.lane, self.key, self.state = taken.id, lane, taken.key or taken.id, state
+    def __init__(self, taken, request_class, now, state):
+        self.id, self.request_class, self.key, self.state = (
+            taken.id,
+            request_class,
+            taken.key or taken.id,
+            state,
+        )
         self.ends, self.goal, self.streams = (
             now + taken.time_left,
-            now + lane.latency_objective,
+            now + request_class.latency_objective,
             False,
         )
         self.sent = []  # the deliveries in their order
--- a/thymeknot/state/timer_queue.py
+++ b/thymeknot/state/timer_queue.py
@@ -2,7 +2,8 @@
 
 from heapq import heapify, heappop, heappush
 
-UNITS = 10_000  # in a second
+from ..interface.clock import TICKS_PER_SECOND
+
 SWEEP = 256  # cancelled ones that are worth a sweep, if they are the most
 
 
@@ -30,7 +31,9 @@
     def _arm(self):
         if self.heap and (self.woken_for is None or self.heap[0][0] < self.woken_for):
             self.woken_for = self.heap[0][0]
-            self.wake(max(0, self.woken_for - self.clock()) / UNITS, self._due, self.woken_for)
+            self.wake(
+                max(0, self.woken_for - self.clock()) / TICKS_PER_SECOND, self._due, self.woken_for
+            )
 
     def _due(self, woken_for):
         # Once more round the loop: what has come already is read before a deadline says that it has not.
