--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -14,7 +14,7 @@
 from measure.hostile import Liar
 from measure.load import drive, quantile
 from measure.world import TERMS
-from tests.helpers import PodPeer, Program, until
+from tests.support.stand_ins import PodPeer, Program, until
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Frame, Ping
 from thymeknot.gossip.keyring import AllowedNetworks, Keyring, new_identity
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from measure.load import drive, quantile
-from tests.helpers import PodPeer, Program
+from tests.support.stand_ins import PodPeer, Program
 from thymeknot.simulation import scenarios, statistics
 from thymeknot.simulation.baseline_policies import BREAKERS
 from thymeknot.simulation.calibration import broken_by, queue
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -8,7 +8,7 @@
 
 from measure.shop import SHOP
 from measure.world import World
-from tests.helpers import LANES
+from tests.support.stand_ins import LANES
 from thymeknot.decision_log.explanations import explained
 from thymeknot.decision_log.recorder import Recorder
 from thymeknot.decision_log.settings import DecisionLogSettings
--- a/tests/test_ends_clients.py
+++ b/tests/integration/test_client_connections.py
@@ -12,8 +12,8 @@
 from twisted.internet.tcp import Server
 from twisted.python.failure import Failure
 
-from tests.helpers import command, reserved
-from tests.test_sidecar import ANSWER, Network, entry
+from tests.support.stand_ins import command, reserved
+from tests.unit.proxy.test_proxy import ANSWER, Network, entry
 from thymeknot.interface.events import ClientDisconnected
 from thymeknot.protocol.client import (
     LINGERS,
--- a/tests/test_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -6,8 +6,8 @@
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
 
-from tests import orders
-from tests.orders import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
+from tests.support import order_rig
+from tests.support.order_rig import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.protocol.client import ClientConnection
 from thymeknot.proxy.proxy import Attempt, Proxy
@@ -106,7 +106,7 @@
     in orders.py."""
 
     def test_a_client_that_leaves_while_it_is_not_read_from_has_no_more_attempts(self):
-        with mock.patch.object(orders, "ENDS_WHILE_NOT_READ", True):
+        with mock.patch.object(order_rig, "ENDS_WHILE_NOT_READ", True):
             for how in ("close", "shut", "reset"):
                 with self.subTest(how):
                     play(
@@ -132,7 +132,7 @@
                 )
 
     def test_a_second_copy_of_an_answer_is_not_taken_for_the_next_requests(self):
-        with mock.patch.object(orders, "SECOND_COPIES_MEET_OTHERS", True):
+        with mock.patch.object(order_rig, "SECOND_COPIES_MEET_OTHERS", True):
             play(
                 *STARTS,
                 ("listed", 1, "Gone", -1),
@@ -145,7 +145,7 @@
             )
 
     def test_what_has_not_begun_to_go_out_is_not_begun_after_a_drain(self):
-        with mock.patch.object(orders, "PODS_TAKE_NOTHING", True):
+        with mock.patch.object(order_rig, "PODS_TAKE_NOTHING", True):
             play(
                 *STARTS,
                 *(("pod_takes", pod, 0, -1) for pod in range(3)),
@@ -155,7 +155,7 @@
             )
 
     def test_answers_that_take_no_time_are_no_fault(self):
-        with mock.patch.object(orders, "ANSWERS_AT_ONCE", True):
+        with mock.patch.object(order_rig, "ANSWERS_AT_ONCE", True):
             play(
                 *STARTS,
                 ("pod_does", 1, "twice", 0, -1),
@@ -165,7 +165,7 @@
             )
 
     def test_a_drain_while_it_comes_back_from_another_does_not_leave_it_listening(self):
-        with mock.patch.object(orders, "DRAINS_WHILE_COMING_BACK", True):
+        with mock.patch.object(order_rig, "DRAINS_WHILE_COMING_BACK", True):
             play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("passes", 100, -1))
 
 
--- a/tests/test_ends_life.py
+++ b/tests/integration/test_lifecycle.py
@@ -11,7 +11,8 @@
 import unittest
 from unittest import mock
 
-from tests.helpers import (
+from tests.integration.test_sockets import READ, WithPods, value
+from tests.support.stand_ins import (
     PATIENCE,
     DiscoveryPeer,
     Program,
@@ -21,7 +22,6 @@
     stands_still,
     until,
 )
-from tests.test_sockets import READ, WithPods, value
 from thymeknot.proxy.proxy import Proxy
 from thymeknot.service import lifecycle
 
--- a/tests/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -5,7 +5,7 @@
 import threading
 import unittest
 
-from tests.helpers import (
+from tests.support.stand_ins import (
     PATIENCE,
     DiscoveryPeer,
     PlatformPeer,
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -8,7 +8,7 @@
 import unittest
 from unittest.mock import patch
 
-from tests.processes.rig import PAY, Checker, Fleet, talk
+from tests.support.process_rig import PAY, Checker, Fleet, talk
 from thymeknot.raft import message_codec
 
 LONG = PAY.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
--- a/tests/stories/__init__.py
+++ b/tests/stories/__init__.py
@@ -1,1 +1,1 @@
-"""Stories in plain words over a fleet in memory; `steps` says what the words do. Run by tests/test_stories.py."""
+"""Stories in plain words over a fleet in memory; `steps` says what the words do."""
--- a/tests/test_stories.py
+++ b/tests/stories/test_stories.py
@@ -6,7 +6,7 @@
 import unittest
 from pathlib import Path
 
-STORIES = Path(__file__).parent / "stories"
+STORIES = Path(__file__).parent
 
 
 class Stories(unittest.TestCase):
--- a/tests/orders.py
+++ b/tests/support/order_rig.py
@@ -19,7 +19,7 @@
 from twisted.internet.selectreactor import SelectReactor
 from twisted.python import log as twisted_log
 
-from tests.helpers import SETTINGS, command
+from tests.support.stand_ins import SETTINGS, command
 from thymeknot.proxy.proxy import Proxy
 from thymeknot.service import configuration, structured_log
 from thymeknot.state.timer_queue import TimerQueue
--- a/tests/processes/rig.py
+++ b/tests/support/process_rig.py
@@ -10,7 +10,7 @@
 import time
 from collections import Counter
 
-from tests.helpers import PATIENCE, PodPeer, Program, command, reserved
+from tests.support.stand_ins import PATIENCE, PodPeer, Program, command, reserved
 from thymeknot.coordination.blocking_client import BlockingClient
 from thymeknot.gossip import keys
 from thymeknot.gossip.keyring import Keyring
--- /dev/null
+++ b/tests/unit/__init__.py
@@ -0,0 +1,1 @@
+"""Tests, by the package that they test."""
--- a/tests/test_fleet_words.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -11,7 +11,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.task import Clock
 
-from tests.test_operator import FOLDER
+from tests.unit.operator_config.test_operator_config import FOLDER
 from thymeknot.coordination import feature
 from thymeknot.gossip import keys
 from thymeknot.gossip.keyring import Keyring, new_identity
--- a/tests/test_why.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -14,7 +14,7 @@
 
 from measure.why import Clocked, flood, kills
 from measure.why_cases import NOW, WHY, mix
-from tests.helpers import LANES, PATIENCE, SETTINGS, PodPeer, Program, reserved, until
+from tests.support.stand_ins import LANES, PATIENCE, SETTINGS, PodPeer, Program, reserved, until
 from thymeknot.cli.decision_log_client import lines_of
 from thymeknot.decision_log.entry_codec import SLOT, Entry, packed, unpacked
 from thymeknot.decision_log.explanations import SAID, explained
--- a/tests/test_load.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as some
 from twisted.internet.defer import succeed
 
-from tests.helpers import PodPeer, Program, words_of
+from tests.support.stand_ins import PodPeer, Program, words_of
 from thymeknot.load_generator import schedule
 from thymeknot.load_generator.codecs import Resp2
 from thymeknot.load_generator.driver import Driver
--- a/tests/test_operator.py
+++ b/tests/unit/operator_config/test_operator_config.py
@@ -17,7 +17,7 @@
     peers: [{{name: "n2", keys: [{{key: "{KEY}"}}]}}]
 }}
 '''
-FOLDER = os.path.join(os.path.dirname(__file__), os.pardir, "deploy")
+FOLDER = os.path.join(os.path.dirname(__file__), *[os.pardir] * 3, "deploy")
 
 
 def faults(text):
--- a/tests/test_failures.py
+++ b/tests/unit/policy/test_design_and_failures.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from tests.helpers import LANES, NOW, balancer, ended, news, pod, sent, taken
+from tests.support.stand_ins import LANES, NOW, balancer, ended, news, pod, sent, taken
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import (
--- a/tests/test_many.py
+++ b/tests/unit/policy/test_large_fleets.py
@@ -2,7 +2,18 @@
 
 import unittest
 
-from tests.helpers import NOW, TERMS, balancer, ended, kinds, news, pod, pressed, sent, taken
+from tests.support.stand_ins import (
+    NOW,
+    TERMS,
+    balancer,
+    ended,
+    kinds,
+    news,
+    pod,
+    pressed,
+    sent,
+    taken,
+)
 from thymeknot.interface.actions import Reject, SendAttempt, SetTimer
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import (
--- a/tests/test_asking.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from tests.test_sidecar import Network, Transport, entry
+from tests.unit.proxy.test_proxy import Network, Transport, entry
 from thymeknot.interface.actions import SubscribeToEndpoints
 from thymeknot.polling.adaptive_interval import (
     AGAIN,
--- a/tests/test_ends_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -13,8 +13,8 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from tests.helpers import PATIENCE, PodPeer, Program, patient, until
-from tests.test_sidecar import Network, entry, told
+from tests.support.stand_ins import PATIENCE, PodPeer, Program, patient, until
+from tests.unit.proxy.test_proxy import Network, entry, told
 from thymeknot.interface.actions import CastVote, FetchEndpoints
 from thymeknot.interface.enums import Outcome, UpdateKind, Verdict
 from thymeknot.interface.events import EndpointUpdate, FleetCounts, ReleaseUpdate
--- a/tests/test_ends_pods.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -21,9 +21,9 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from tests.helpers import PATIENCE, PodPeer, command, until, words_of
-from tests.test_sidecar import ANSWER, Network, Transport, entry
-from tests.test_sockets import MARK, PAY, READ, WithPods, value
+from tests.integration.test_sockets import MARK, PAY, READ, WithPods, value
+from tests.support.stand_ins import PATIENCE, PodPeer, command, until, words_of
+from tests.unit.proxy.test_proxy import ANSWER, Network, Transport, entry
 from thymeknot.interface.actions import SendAttempt
 from thymeknot.interface.enums import Outcome, ReleasePhase
 from thymeknot.interface.events import LateResponseSeen, ReleaseUpdate
--- a/tests/test_sidecar.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -9,7 +9,7 @@
 from twisted.internet.testing import MemoryReactorClock, StringTransport
 from twisted.python.failure import Failure
 
-from tests.helpers import SETTINGS, command
+from tests.support.stand_ins import SETTINGS, command
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 from thymeknot.interface.events import ReleaseUpdate
--- a/tests/test_ends_news.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.test_sidecar import Network, entry
+from tests.unit.proxy.test_proxy import Network, entry
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 
--- a/tests/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -12,8 +12,8 @@
 
 import orjson
 
-from tests.helpers import PATIENCE, SETTINGS, PodPeer, Program
-from tests.test_sidecar import Network
+from tests.support.stand_ins import PATIENCE, SETTINGS, PodPeer, Program
+from tests.unit.proxy.test_proxy import Network
 from thymeknot.interface.actions import (
     CancelAttempt,
     CastVote,
@@ -56,7 +56,7 @@
 from thymeknot.state.endpoint_state import EndpointState
 from thymeknot.state.sliding_window import SlidingWindow
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+ROOT = os.path.abspath(os.path.join(os.path.dirname(__file__), *[os.pardir] * 3))
 BATCHES, STEP, UNIT = 240, 20_000_000, 100_000
 FIRST_BATCH = 5_000_000_000
 
@@ -195,7 +195,10 @@
 
 def alone(place, name="sidecar-2"):
     """What one of them does in a process of its own: nothing that another left in this one can reach it."""
-    code = f"import json; from tests.test_settings import made, play; print(json.dumps(play(made({name!r})[{place}])))"
+    code = (
+        "import json; from tests.unit.service.test_settings import made, play; "
+        f"print(json.dumps(play(made({name!r})[{place}])))"
+    )
     ended = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True, timeout=60
     )
--- a/tests/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -9,7 +9,7 @@
 import tempfile
 import unittest
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+ROOT = os.path.abspath(os.path.join(os.path.dirname(__file__), *[os.pardir] * 2))
 CI = os.path.join(ROOT, ".ci")
 SPEC = importlib.util.spec_from_file_location("known_red", os.path.join(CI, "known_red.py"))
 known_red = importlib.util.module_from_spec(SPEC)
--- a/tests/test_sites.py
+++ b/tests/unit/test_sites.py
@@ -6,7 +6,7 @@
 import tomllib
 import unittest
 
-ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
+ROOT = os.path.abspath(os.path.join(os.path.dirname(__file__), *[os.pardir] * 2))
 FOLDER = os.path.join(ROOT, "deploy", "sites")
 NAMED = "class", "tenant"
 
