--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -154,6 +154,16 @@
                 ("passes", 100, -1),
             )
 
+    def test_an_attempt_decided_after_its_client_has_left_is_ended_by_its_own_number(self):
+        play(
+            *STARTS,
+            ("pod_takes", 1, 0, 0),
+            ("flood", 0, 0, 0),
+            ("pod_does", 1, "busy", 2000, -1),
+            ("leave", 0, "shut", -1),
+            ("listed", 1, "Terminating", -1),
+        )
+
     def test_answers_that_take_no_time_are_no_fault(self):
         with mock.patch.object(order_rig, "ANSWERS_AT_ONCE", True):
             play(
