--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -213,13 +213,21 @@
 
         until(
             lambda: all(
-                len({line["peer"] for line in events[name] if line["event"] == "peer"}) >= 4
+                len(
+                    {line["peer"] for line in events[name] if line["event"] == "peer state changed"}
+                )
+                >= 4
                 for name in HONEST
             ),
             lambda: (time.sleep(0.1), gather()),
         )
         figures["met_s"] = round(
-            max(line["at"] for name in HONEST for line in events[name] if line["event"] == "peer")
+            max(
+                line["at"]
+                for name in HONEST
+                for line in events[name]
+                if line["event"] == "peer state changed"
+            )
             - min(line["at"] for name in HONEST for line in events[name]),
             1,
         )
@@ -264,7 +272,10 @@
             time.sleep(1)
         gather()
         doubts = [
-            (name, line) for name in HONEST for line in events[name] if line["event"] == "doubt"
+            (name, line)
+            for name in HONEST
+            for line in events[name]
+            if line["event"] == "endpoint suspected"
         ]
         figures["wrongful_exclusions"] = sum(
             line["pod"] != "s-5" and line["span"] > 0 for _, line in doubts
@@ -273,7 +284,9 @@
             line["pod"] == "s-5" and line["span"] > 0 for _, line in doubts
         )
         figures["wrong_dead"] = sum(
-            line["event"] == "peer" and line["peer"] in HONEST and line["now"] in ("dead", "left")
+            line["event"] == "peer state changed"
+            and line["peer"] in HONEST
+            and line["now"] in ("dead", "left")
             for name in HONEST
             for line in events[name]
         )
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -38,7 +38,7 @@
 from thymeknot.raft.state_machine import Parts, Sessions
 from thymeknot.raft.storage import RaftStorage
 from thymeknot.service import structured_log
-from thymeknot.service.log_events import LEVELS
+from thymeknot.service.log_events import CURRENT_NAMES, LEVELS
 from thymeknot.simulation import large_fleet_scenarios, scenarios
 from thymeknot.simulation.simulator import Simulator
 from thymeknot.simulator_wire.codec import write_action
@@ -310,16 +310,15 @@
 }
 
 
-def event_log():
-    """One line of each event, in the order of their declaration."""
+def event_log(names):
+    """One line of each event, in the order of their declaration, by these names."""
     lines = []
-    with (
-        mock.patch.object(structured_log, "_written", lines.append),
-        mock.patch.object(structured_log.time, "time", lambda: 1.5),
-    ):
+    former = {current: name for name, current in CURRENT_NAMES.items()}
+    with mock.patch.object(structured_log.time, "time", lambda: 1.5):
         for event, level in LEVELS.items():
+            fields = LOG_FIELDS.get(former.get(event, event), {})
             lines.append(
-                structured_log._rendered(None, level, {"event": event, **LOG_FIELDS.get(event, {})})
+                structured_log._rendered(None, level, {"event": names.get(event, event), **fields})
             )
     return b"".join(lines)
 
@@ -393,7 +392,9 @@
     found.update(state_machine("disruption", DisruptionMachine(), DISRUPTION))
     found.update(state_machine("gang_scheduling", GangMachine(), GANG_SCHEDULING))
     found["gossip.json"] = as_json(gossip_datagrams())
-    found["events.log"] = event_log()
+    former = {current: name for name, current in CURRENT_NAMES.items()}
+    found["events.log"] = event_log(former)
+    found["events_current.log"] = event_log({})
     found["events_summary.json"] = as_json(log_summary(found["events.log"]))
     return found
 
--- a/tests/integration/test_gossip.py
+++ b/tests/integration/test_gossip.py
@@ -33,7 +33,8 @@
 
         def met(name, other, state):
             return any(
-                line["event"] == "peer" and (line["peer"], line["now"]) == (other, state)
+                line["event"] == "peer state changed"
+                and (line["peer"], line["now"]) == (other, state)
                 for line in said[name]
             )
 
@@ -49,14 +50,14 @@
             revoked = f']\nrevoked: ["{fleet.identities["n2"].text()}"]\nhearsay'
             target.write(fleet.text("n0").replace("]\nhearsay", revoked))
         n0.process.send_signal(signal.SIGHUP)
-        until(lambda: any(line["event"] == "operator file taken up" for line in said["n0"]), gather)
+        until(lambda: any(line["event"] == "operator file reloaded" for line in said["n0"]), gather)
         # A file that can't be used changes nothing and is named.
         with open(n0.operator, "w", encoding="utf-8") as target:
             target.write("gossip: name: 7")
         n0.process.send_signal(signal.SIGHUP)
         until(
             lambda: any(
-                line["event"] == "operator file kept" and "gossip.name" in line["error"]
+                line["event"] == "operator file rejected" and "gossip.name" in line["error"]
                 for line in said["n0"]
             ),
             gather,
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -94,7 +94,7 @@
             "perhaps never"
         )  # it may move before it has asked at the former address
         running.__enter__()
-        self.assertEqual(running.logged("configuration taken up")["discovery"], new.address)
+        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
         new.asked.get(timeout=PATIENCE)
 
     def test_a_half_written_file_that_a_sighup_announces_anew_is_read_once_more_at_the_start(self):
@@ -119,7 +119,7 @@
         running.end(running.fill({**running.told, "name": "n2"}))
         running.discovery.asked.put("again")
         running.__enter__()
-        self.assertEqual(running.logged("configuration taken up")["only_at_a_start"], ["name"])
+        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
 
     def in_use(self):
         """The program as it waits for its address; who has that."""
@@ -144,7 +144,7 @@
         running.__enter__()
         with running.client() as client:
             self.assertEqual(client.ask("PING"), b"+PONG")
-        self.assertEqual(running.logged("configuration taken up")["only_at_a_start"], ["name"])
+        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
 
     def test_sigterm_ends_that_wait(self):
         running, _ = self.in_use()
@@ -287,13 +287,13 @@
             running.logged("stopping")
             running.write({**running.told, "discovery": new.address})
             running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.logged("configuration taken up")["discovery"], new.address)
+            self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
             running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration taken up")
+            running.logged("configuration reloaded")
             with open(running.path, "w", encoding="utf-8") as target:
                 target.write("{")
             running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration kept")
+            running.logged("configuration rejected")
             running.process.send_signal(signal.SIGTERM)
             release.set()
             self.assertEqual((client.answer(), client.answer()), (b"01", b""))
@@ -408,11 +408,11 @@
             target.flush()
             running.process.send_signal(signal.SIGHUP)
             self.assertRegex(
-                running.logged("configuration kept")["error"], "^NODE_CONFIG: is no JSON"
+                running.logged("configuration rejected")["error"], "^NODE_CONFIG: is no JSON"
             )
             target.write(text[len(text) // 2 :])
         running.process.send_signal(signal.SIGHUP)
-        self.assertEqual(running.logged("configuration taken up")["discovery"], new.address)
+        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
         new.asked.get(timeout=PATIENCE)
 
 
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -292,7 +292,7 @@
             pod.heard.get(timeout=PATIENCE)
             running.write({**running.told, "discovery": "nowhere"})
             running.process.send_signal(signal.SIGHUP)
-            self.assertRegex(running.logged("configuration kept")["error"], "^discovery: ")
+            self.assertRegex(running.logged("configuration rejected")["error"], "^discovery: ")
             running.write(
                 {
                     **running.told,
@@ -302,7 +302,7 @@
             )
             for _ in range(2):
                 running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.logged("configuration taken up")["only_at_a_start"], [])
+            self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], [])
             discovery.asked.get(timeout=PATIENCE)
             platform.asked.get(timeout=PATIENCE)
             running.discovery.close()
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -131,7 +131,7 @@
                 self.assertRaisesRegex(
                     message_codec.MessageError, why, good.once, "n0", message_codec.READ, {}
                 )
-            line = fleet.programs["n0"].logged("letter refused")
+            line = fleet.programs["n0"].logged("message rejected")
             self.assertEqual(line["kind"], kind)
             time.sleep(1.05)  # such a line is written once a second at most
         with self.assertRaisesRegex(message_codec.MessageError, "in the name of n1"):
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -474,7 +474,7 @@
         self.faults.append(f"{where}: {what!r} at {place}")
 
     def _logged(self, event, **fields):
-        if event == "overdue":
+        if event == "request overdue":
             self.overdue.append(fields)
 
     def _observe(self, event):
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -31,8 +31,11 @@
     def test_what_the_logs_of_two_say_together(self):
         summary = Summary(5.0)
         for whose, text in (
-            ("a", line("turned away", deferred={"OVER_LIMIT": 3}, abandoned={"TIME_OVER": 1})),
-            ("b", b"6.916 " + line("turned away", 101, deferred={"OVER_LIMIT": 2})),
+            (
+                "a",
+                line("requests rejected", deferred={"OVER_LIMIT": 3}, abandoned={"TIME_OVER": 1}),
+            ),
+            ("b", b"6.916 " + line("requests rejected", 101, deferred={"OVER_LIMIT": 2})),
             ("b", line("vote", 107, verdict=1, outcome="full")),
             ("a", line("vote", verdict=1, outcome="done")),
             ("a", line("fault", at_line="x.py:3")),
@@ -72,7 +75,7 @@
             summary.feed("a", text)
         self.assertEqual((summary.unread, summary.figures()["votes"]), (7, {}))
         for odd in (3, None, "x", [1], {"X": "y"}):
-            summary.feed("a", line("turned away", deferred=odd))
+            summary.feed("a", line("requests rejected", deferred=odd))
         self.assertEqual(summary.figures()["turned_away"], {})
         summary.feed("a", line("vote", verdict=9, outcome=None))
         for at in range(SPAN_MOST + 50):
@@ -81,7 +84,7 @@
 
     def test_the_command(self):
         with tempfile.NamedTemporaryFile(suffix=".log") as log:
-            log.write(line("turned away", deferred={"BY_LOT": 2}))
+            log.write(line("requests rejected", deferred={"BY_LOT": 2}))
             log.flush()
             told = ran("logs", "--json", log.name)
         self.assertEqual(
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -199,10 +199,10 @@
             target.seek(8)
             target.write(b"\7")
         SlotFile(5, self.path, self.say)
-        self.assertEqual(self.said[-1], ("record set aside", "damaged head"))
+        self.assertEqual(self.said[-1], ("decision log set aside", "damaged head"))
         for bad in (os.path.join(self.path, "below a file"), "/proc/none/n1.why"):
             self.assertIsNone(SlotFile(3, bad, self.say).path)
-        self.assertEqual(self.said[-1][0], "record in memory")
+        self.assertEqual(self.said[-1][0], "decision log in memory")
 
     def test_a_full_disk_means_memory(self):
         code = (
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -895,7 +895,7 @@
             lines = [
                 call.kwargs["reason"]
                 for call in told.call_args_list
-                if call.args[0] == "unheard answer"
+                if call.args[0] == "late response discarded"
             ]
             self.assertRegex(lines[-1], "answer")  # what was wrong with it
         beside.dataReceived(ANSWER)
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -45,7 +45,7 @@
             self.lines,
             [
                 (
-                    "turned away",
+                    "requests rejected",
                     {
                         "seconds": 5.0,
                         "deferred": {
--- a/tests/unit/service/test_structured_log.py
+++ b/tests/unit/service/test_structured_log.py
@@ -52,11 +52,11 @@
         self.assertEqual((other["level"], errors), ("error", ""))
 
     def test_levels_below_the_one_asked_for_are_not_written(self):
-        code = "logs.log('vote'); logs.log('configuration kept'); logs.log('overdue')"
+        code = "logs.log('vote'); logs.log('configuration rejected'); logs.log('request overdue')"
         for level, events in (
-            ("warning", ["configuration kept", "overdue"]),
-            ("error", ["overdue"]),
-            ("nonsense", ["vote", "configuration kept", "overdue"]),
+            ("warning", ["configuration rejected", "request overdue"]),
+            ("error", ["request overdue"]),
+            ("nonsense", ["vote", "configuration rejected", "request overdue"]),
         ):
             self.assertEqual(
                 [line["event"] for line in self.lines(code, **{VARIABLE: level})[0]], events
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -228,6 +228,15 @@
         summed = generate.log_summary(stored("events.log"))
         self.assertEqual(json.loads(json.dumps(summed)), stored_json("events_summary.json"))
 
+    def test_a_log_by_the_current_names_gives_the_same_sums(self):
+        former, current = (
+            generate.log_summary(stored(name)) for name in ("events.log", "events_current.log")
+        )
+        faults = former["figures"]["faults"]
+        faults["request overdue"] = faults.pop("overdue")
+        self.assertEqual(current["figures"], former["figures"])
+        self.assertEqual(current["stretches"], former["stretches"])
+
 
 if __name__ == "__main__":
     unittest.main()
--- a/thymeknot/cli/log_summary.py
+++ b/thymeknot/cli/log_summary.py
@@ -5,6 +5,8 @@
 
 import orjson
 
+from ..service.log_events import CURRENT_NAMES
+
 BUSIEST, SPAN_MOST = 5, 10_000  # sidecars named; stretches of time kept
 VERDICTS = ("none", "on", "hold", "back")
 
@@ -42,7 +44,8 @@
             self.unread += 1
             return
         self.sidecars.add(whose)
-        take = self.EVENTS.get(event["event"])
+        name = CURRENT_NAMES.get(event["event"], event["event"])
+        take = self.EVENTS.get(name)
         if take:
             take(self, whose, event, self._span(event["at"]))
 
@@ -86,13 +89,13 @@
         self.faults[f"{event['event']} {event.get('at_line', '')}".strip()] += 1
 
     EVENTS = {
-        "turned away": _turned_away,
+        "requests rejected": _turned_away,
         "vote": _vote,
         "fault": _fault,
-        "overdue": _fault,
+        "request overdue": _fault,
         "stream ended": _stream,
         "stream silent": _stream,
-        "list not fetched": _stream,
+        "endpoint list not fetched": _stream,
         "ready": _started,
     }
 
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -40,7 +40,7 @@
 
     def _drain(self, fence, build):
         structured_log.log(
-            "drain", unit=self.unit, fence=fence, transactions=len(self.proxy.transactions)
+            "drain started", unit=self.unit, fence=fence, transactions=len(self.proxy.transactions)
         )
         self.proxy.drain(lambda: self._emptied(fence))
 
@@ -57,11 +57,11 @@
             return
 
         def failed(why):
-            structured_log.log("can't come back", unit=self.unit, why=why)
+            structured_log.log("listener not reopened", unit=self.unit, why=why)
             self._act(self.holder.failed(self.clock(), why))
 
         def listens():
-            structured_log.log("back", unit=self.unit)
+            structured_log.log("drain ended", unit=self.unit)
             if then:
                 then()
 
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -137,7 +137,7 @@
         )
         opened = store.open(told.founds and not used)
         for sentence in opened.said:
-            structured_log.log("keeper's disk", error=sentence)
+            structured_log.log("raft storage failed", error=sentence)
         names, self.machine = (
             [one.name for one in told.keepers],
             Parts({"turns": DisruptionStateMachine()}),
@@ -183,7 +183,7 @@
 
     def _took(self, reply):
         if "refused" in reply:
-            structured_log.log("not declared", why=reply["refused"])
+            structured_log.log("declaration rejected", why=reply["refused"])
 
     def _ticked(self, _):
         self.busy = False
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -167,7 +167,7 @@
             raise Unusable(f"why.listen: {error}") from None
         at = self.port.getHost()  # port 0 was any free one
         structured_log.log(
-            "record",
+            "decision log opened",
             listen=f"{at.host}:{at.port}" if hasattr(at, "port") else terms.listen,
             slots=self.arena.slots,
             file=self.arena.path,
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -27,7 +27,7 @@
             except (
                 OSError
             ) as error:  # a full disk or a path that can't be written: kept in memory instead
-                say("record in memory", error=os.strerror(error.errno or 0), path=path)
+                say("decision log in memory", error=os.strerror(error.errno or 0), path=path)
                 self.path, self.memory = None, bytearray(HEAD + slots * SLOT)
         if self.path is None:
             self.memory[: _head.size + 4] = self._header()
@@ -45,7 +45,7 @@
             if head != self._header() or os.path.getsize(path) != size:
                 aside = f"{path}.aside"
                 os.replace(path, aside)
-                say("record set aside", path=aside, because=told_of(head, self.slots))
+                say("decision log set aside", path=aside, because=told_of(head, self.slots))
         fresh = not os.path.exists(path)
         number = os.open(path, os.O_RDWR | os.O_CREAT, 0o600)
         try:
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -394,7 +394,7 @@
             item.number
         ):  # another content under the same number, and the origin's own signature
             self.belief.caught(origin.name)
-            self.said.append(("two tongues", {"peer": origin.name}))
+            self.said.append(("equivocation detected", {"peer": origin.name}))
             return "lie"
         origin.items.mark(item.number)
         origin.remember(item.number, digest)
@@ -562,7 +562,7 @@
             ),
         )
         for name, before, after in self.members.events:
-            self.said.append(("peer", {"peer": name, "before": before, "now": after}))
+            self.said.append(("peer state changed", {"peer": name, "before": before, "now": after}))
             if after == DEAD:
                 self.belief.forget_origin(name)
         self.members.events = []
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -118,7 +118,7 @@
         if doubts:
             for doubt in doubts:
                 structured_log.log(
-                    "doubt",
+                    "endpoint suspected",
                     pod=doubt.pod.pod,
                     build=doubt.pod.build,
                     span=(doubt.until - self.clock()) / 10_000,
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -494,7 +494,7 @@
         structured_log.log("note", text=action.text)
 
     def _not_spoken(self, action):
-        structured_log.log("not spoken here", action=type(action).__name__)
+        structured_log.log("action not supported", action=type(action).__name__)
 
     # Clients.
 
@@ -537,7 +537,7 @@
             self.held_off = True  # also until those that make room have closed
             self.port.stopReading()
             if not idle:
-                structured_log.seldom("clients held off", connections=len(self.clients))
+                structured_log.seldom("accepting paused", connections=len(self.clients))
 
     def rested(self):
         """A connection is idle: if new ones are held off, the next of them finds whom to take the place of."""
@@ -643,7 +643,7 @@
     def _overdue(self, held):
         """No answer by its client's end: the decisions have missed it, and one is still owed."""
         if not held.over:
-            structured_log.log("overdue", id=held.id, out=held.out)
+            structured_log.log("request overdue", id=held.id, out=held.out)
             if self.why is not None:
                 self.why.ended(held.id, self.why.abandoned)
             self._final(held, ABANDONED)
@@ -690,7 +690,7 @@
             return self.ended(attempt, Outcome.NOT_SENT)
         attempt.deadline = self.timers.add(attempt.write_by, attempt.due)
         if not self.pools.send(action.endpoint, self.addresses[action.endpoint], attempt):
-            structured_log.seldom("no descriptor for a pod", connections=len(self.pools))
+            structured_log.seldom("no descriptor for an endpoint", connections=len(self.pools))
             return self.ended(attempt, Outcome.NOT_SENT)
 
     def _recall(self, action):
@@ -731,7 +731,7 @@
         """An answer that came too late, in part, spoilt, or may yet come: its key counts as answered."""
         command, after = attempt.held.command, self.clock() - attempt.at
         structured_log.seldom(
-            "unheard answer",
+            "late response discarded",
             id=attempt.held.id,
             pod=attempt.pod.address,
             after=after,
@@ -853,7 +853,7 @@
                 )
             self._listing(discovery.read_json(end.body, self.epoch), source)
         except Exception as error:  # the decisions are owed one answer, whatever came
-            structured_log.log("list not fetched", error=str(error)[:MOST_REASON])
+            structured_log.log("endpoint list not fetched", error=str(error)[:MOST_REASON])
             self.tell(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
 
     # The platform.
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -119,7 +119,7 @@
 
     def refuse(self, kind, why):
         self.refused[kind] = self.refused.get(kind, 0) + 1
-        structured_log.seldom("letter refused", kind=kind, why=why, count=self.refused[kind])
+        structured_log.seldom("message rejected", kind=kind, why=why, count=self.refused[kind])
 
     def opened(self, session, last, key, content, signature):
         return message_codec.open_message(
@@ -195,7 +195,7 @@
             self.DO[type(effect)](self, effect)
         if self.keeper.role != self.led:
             self.led = self.keeper.role
-            structured_log.log("keeper", role=self.led, term=self.keeper.term)
+            structured_log.log("raft role", role=self.led, term=self.keeper.term)
         self.heard()
 
     def _due(self):
@@ -229,7 +229,7 @@
         if self.closed:
             return self.store.close()
         if fault is not None:
-            structured_log.log("keeper's disk", error=fault.reason)
+            structured_log.log("raft storage failed", error=fault.reason)
             return self.tell(i.DiskFailed(fault.reason))
         if self.waiting:
             self._write()
@@ -237,7 +237,7 @@
 
     def _unwritten(self, failure):
         self.writing = False
-        structured_log.log("keeper's disk", error=str(failure.value))
+        structured_log.log("raft storage failed", error=str(failure.value))
         self.tell(i.DiskFailed(str(failure.value)))
 
     def _end(self, token, told):
@@ -269,7 +269,7 @@
         )
 
     def _stood_down(self, effect):
-        structured_log.log("keeper stood down", why=effect.reason)
+        structured_log.log("raft node stepped down", why=effect.reason)
 
     def _applied(self, effect):
         pass
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -77,7 +77,7 @@
             except ValueError as error:
                 raise FeatureError(f"{self.path}: {error}") from None
             setattr(proxy, name, self.running[name])
-            structured_log.log("switched on", feature=name)
+            structured_log.log("feature started", feature=name)
 
     def reconfigure(self):
         """Takes up another file: what runs is given its new settings, what doesn't waits for the next start."""
@@ -92,7 +92,7 @@
                 except ValueError as error:
                     raise FeatureError(f"{self.path}: {error}") from None
         structured_log.log(
-            "operator file taken up", only_at_a_start=sorted(made.keys() ^ self.running.keys())
+            "operator file reloaded", only_at_a_start=sorted(made.keys() ^ self.running.keys())
         )
 
     def leave(self):
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -199,18 +199,18 @@
             if not self.stopping:
                 self.extra.reconfigure()
         except features.FeatureError as error:
-            structured_log.log("operator file kept", error=str(error))
+            structured_log.log("operator file rejected", error=str(error))
         except Exception as error:
             structured_log.fault("operator file", error)
         try:
             later = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
         except configuration.ConfigurationError as error:
-            structured_log.log("configuration kept", error=str(error))
+            structured_log.log("configuration rejected", error=str(error))
         except Exception as error:  # a file must not end the program, whatever it holds
             structured_log.fault("configuration", error)
         else:
             structured_log.log(
-                "configuration taken up",
+                "configuration reloaded",
                 discovery=self.proxy.discovery.host,
                 platform=self.proxy.platform.host,
                 only_at_a_start=later,
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,16 +1,35 @@
-"""Why work is turned away, summed: what is told of each final answer that is no answer of a pod becomes one log line
-every few seconds, none where there was nothing. Bounded by the closed table of reasons."""
+"""Why requests are rejected or failed, summed into one log line every few seconds.
 
+It listens to the reasons that the decisions name. Nothing is logged where nothing was rejected. The sums are bounded by
+the closed table of reasons.
+"""
+
+from collections.abc import Callable
+from enum import IntEnum
+from typing import Any, Final
+
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.reasons import Reason
 
-EVERY = 50_000  # tenths of a millisecond between two lines
-FINAL = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
-BESIDE, DECIDES, BEHIND, ENDS = range(4)
-# What a reason is to a final answer, by its number: nothing, what decided it, what kept the last pods out where none
-# will do, or the answer itself. A list, since it is asked several times for every transaction.
-ROLE = [DECIDES] * (max(Reason) + 1)
-for _some, _role in (
-    (
+EVERY: Final[Ticks] = 5 * TICKS_PER_SECOND
+"""Between two lines."""
+
+FINAL: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
+"""The reasons that are final answers, with the keys of the log line."""
+
+
+class Role(IntEnum):
+    """What a reason is to a final answer."""
+
+    NONE = 0
+    DECIDES = 1
+    EXCLUDES_ENDPOINTS = 2
+    """It kept the last endpoints out where none will do."""
+    FINAL_ANSWER = 3
+
+
+ROLES: Final[dict[Reason, Role]] = {
+    **dict.fromkeys(
         (
             Reason.POSITION,
             Reason.STAYS,
@@ -22,54 +41,73 @@
             Reason.DONE,
             Reason.LEFT,
         ),
-        BESIDE,
+        Role.NONE,
+    ),
+    **dict.fromkeys(
+        (Reason.UNREACHABLE, Reason.DOUBTED, Reason.USED, Reason.COLD, Reason.OUTSIDE),
+        Role.EXCLUDES_ENDPOINTS,
     ),
-    ((Reason.UNREACHABLE, Reason.DOUBTED, Reason.USED, Reason.COLD, Reason.OUTSIDE), BEHIND),
-    (FINAL, ENDS),
-):
-    for _reason in _some:
-        ROLE[_reason] = _role
+    **dict.fromkeys(FINAL, Role.FINAL_ANSWER),
+}
+
+ROLE_BY_NUMBER: Final = [
+    ROLES.get(Reason(number), Role.DECIDES) if number else Role.DECIDES
+    for number in range(max(Reason) + 1)
+]
+"""A list, since it is asked several times for every request."""
 
 
 class RejectionSummary:
-    """The decisions' listener. hear(name, reason, *operands) is called as they decide; then: who hears it too."""
+    """Listens to the decisions: `hear` is called as they decide. `then`, if set, hears everything too."""
 
-    def __init__(self, log):
-        self.log, self.then, self.counts, self.since = log, None, {}, None
-        self.name = self.last = self.behind = None
+    def __init__(self, log: Callable[..., None]) -> None:
+        self.log = log
+        self.then: Callable[..., None] | None = None
+        self.counts: dict[tuple[str, str], int] = {}
+        self.since: Ticks = 0
+        self._request: str | None = None
+        self._deciding: Reason | None = None
+        self._excluding: Reason | None = None
 
-    def hear(self, name, reason, *operands):
-        role = ROLE[reason]
+    def hear(self, name: str | None, reason: Reason, *operands: Any) -> None:
+        """Takes a reason for a request (None for votes) as the decisions name it."""
+        role = ROLE_BY_NUMBER[reason]
         if role:
             self._count(name, reason, role)
         if self.then is not None:
             self.then(name, reason, *operands)
 
-    def _count(self, name, reason, role):
-        if name != self.name:  # what decided another transaction says nothing of this one
-            self.name, self.last, self.behind = name, None, None
-        if role == BEHIND:
-            self.behind = reason
-        elif role == DECIDES:
-            self.last = reason
+    def _count(self, name: str | None, reason: Reason, role: Role) -> None:
+        if name != self._request:  # what decided another request says nothing of this one
+            self._request = name
+            self._deciding = None
+            self._excluding = None
+        if role == Role.EXCLUDES_ENDPOINTS:
+            self._excluding = reason
+        elif role == Role.DECIDES:
+            self._deciding = reason
         else:
-            why = self.last.name if self.last else "NOTHING"
-            if self.last is Reason.NO_POD and self.behind is not None:
-                why = f"{why}/{self.behind.name}"
-            key = FINAL[reason], why
+            key = FINAL[reason], self._cause()
             self.counts[key] = self.counts.get(key, 0) + 1
-            self.name = None
+            self._request = None
+
+    def _cause(self) -> str:
+        if self._deciding is None:
+            return "NOTHING"
+        if self._deciding is Reason.NO_POD and self._excluding is not None:
+            return f"{self._deciding.name}/{self._excluding.name}"
+        return self._deciding.name
 
-    def due(self, now, **beside):
-        """Writes what came together since the last line; gives when it wants to be called again."""
+    def due(self, now: Ticks, **beside: Any) -> Ticks:
+        """Logs what came together since the last line; gives when it wants to be called again."""
         if self.counts:
-            told = {"deferred": {}, "abandoned": {}}
-            for (how, why), count in sorted(self.counts.items(), key=lambda one: -one[1]):
-                told[how][why] = count
+            sums: dict[str, dict[str, int]] = {"deferred": {}, "abandoned": {}}
+            for (answer, cause), count in sorted(self.counts.items(), key=lambda one: -one[1]):
+                sums[answer][cause] = count
             self.log(
-                "turned away",
-                seconds=(now - self.since) / 10_000,
-                **{how: of for how, of in told.items() if of},
+                "requests rejected",
+                seconds=(now - self.since) / TICKS_PER_SECOND,
+                **{answer: causes for answer, causes in sums.items() if causes},
                 **beside,
             )
             self.counts = {}
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -1,38 +1,54 @@
-"""Logs: one JSON line an event, on standard output. Events and their levels are declared in events.py; the lines are
-structlog's, rendered by orjson. What is below the level in THYMEKNOT_LOG (info, if unset) is not written."""
+"""Logs: one JSON line an event, on standard output.
+
+Events and their levels are declared in log_events. The lines are structlog's, rendered by orjson. What is below the
+level in THYMEKNOT_LOG (info, if unset) is not written.
+"""
 
 import logging
 import os
 import time
+from collections.abc import Callable, Iterable, MutableMapping
+from typing import Any, Final
 
 import orjson
 import structlog
 
 from .log_events import LEVELS
 
-MOST_KINDS = 100
-VARIABLE = "THYMEKNOT_LOG"
-LEAST = {
+VARIABLE: Final = "THYMEKNOT_LOG"
+LEVELS_BY_NAME: Final = {
     "debug": logging.DEBUG,
     "info": logging.INFO,
     "warning": logging.WARNING,
     "error": logging.ERROR,
 }
-_last = {}
+STANDARD_OUTPUT: Final = 1
 
+Fields = MutableMapping[str, Any]
 
-def seldom(event, **fields):
-    """What may come with every transaction, or again and again, is written once a second at most."""
-    now, what = time.monotonic(), (event, fields.get("address"))
-    if len(_last) > MOST_KINDS:  # addresses come and go with the configuration
-        _last.clear()
-    if now - _last.get(what, -1.0) >= 1.0:
-        _last[what] = now
-        log(event, **fields)
 
+class EventRateLimit:
+    """Lets each event through once in an interval, by event and address."""
+
+    INTERVAL_SECONDS = 1.0
+    MAX_KINDS = 100
+    """Addresses come and go with the configuration: beyond so many kinds all are forgotten."""
+
+    def __init__(self) -> None:
+        self._last_written: dict[tuple[str, Any], float] = {}
+
+    def permits(self, kind: tuple[str, Any], now: float) -> bool:
+        """Whether this kind is to be written now; if so, it is counted as written."""
+        if len(self._last_written) > self.MAX_KINDS:
+            self._last_written.clear()
+        if now - self._last_written.get(kind, -self.INTERVAL_SECONDS) < self.INTERVAL_SECONDS:
+            return False
+        self._last_written[kind] = now
+        return True
 
-def _rendered(logger, level, fields):
-    """The line of fields that begin with the event: its time first, its level where that is above info."""
+
+def _rendered(logger: Any, level: int, fields: Fields) -> bytes:
+    """The line of fields that begin with the event: time first, the level where it is above info."""
     if level > logging.INFO:
         fields["level"] = logging.getLevelName(level).lower()
     return orjson.dumps(
@@ -40,54 +56,70 @@
     )
 
 
-def _written(line):
+def _written(line: bytes) -> None:
     try:
-        os.write(1, line)
+        os.write(STANDARD_OUTPUT, line)
     except OSError:
         pass  # a log that can't be written must not stop the service
 
 
-class _Bound(structlog.BoundLoggerBase):
-    """structlog's own filtering logger copies the context and looks its method up by name for each line, three times
-    the cost of the line; here there is no context, one chain and one way out."""
+class _DirectLogger(structlog.BoundLoggerBase):
+    """Runs the processors and writes, without a context.
+
+    structlog's own filtering logger copies the context and looks its method up by name for each line, which costs
+    three times as much.
+    """
 
-    def log(self, level, fields):
+    _processors: Iterable[Callable[[Any, Any, Any], Any]]
+
+    def log(self, level: int, fields: Any) -> None:
+        """Writes the fields unless their level is below the one asked for."""
         if level >= _least:
             for process in self._processors:
                 fields = process(self._logger, level, fields)
             self._logger(fields)
 
 
-_least = LEAST.get(os.environ.get(VARIABLE, "info").lower(), logging.INFO)
+_least = LEVELS_BY_NAME.get(os.environ.get(VARIABLE, "info").lower(), logging.INFO)
 _log = (
-    structlog.wrap_logger(_written, [_rendered], _Bound, cache_logger_on_first_use=True).bind().log
+    structlog.wrap_logger(_written, [_rendered], _DirectLogger, cache_logger_on_first_use=True)
+    .bind()
+    .log
 )
+_rate_limit = EventRateLimit()
 
 
-def log(event, **fields):
-    """An event that events.py declares; an undeclared one is an error in the program, and is written as such."""
+def log(event: str, **fields: Any) -> None:
+    """Logs an event of log_events; an undeclared one is a fault of the program, and logged as an error."""
     _log(LEVELS.get(event, logging.ERROR), {"event": event, **fields})
 
 
-def take_over():
-    """Has what the network library logs come out as events of the same kind."""
-    from twisted.logger import LogLevel, globalLogBeginner
-
-    def observe(event):
-        if event["log_level"] >= LogLevel.error:
-            failure = event.get("log_failure")
-            fault(
-                "network library",
-                failure.value if failure else RuntimeError(str(event.get("log_format"))),
-            )
-
-    globalLogBeginner.beginLoggingTo([observe], redirectStandardIO=False, discardBuffer=True)
+def seldom(event: str, **fields: Any) -> None:
+    """Logs what may come with every request, once a second at most for an event and address."""
+    if _rate_limit.permits((event, fields.get("address")), time.monotonic()):
+        log(event, **fields)
 
 
-def fault(where, error):
-    """An exception that was stopped: what it was and where it arose."""
-    trace, place = error.__traceback__, "unknown"
+def fault(where: str, error: BaseException) -> None:
+    """Logs an exception that was stopped: what it was and where it arose."""
+    trace = error.__traceback__
+    place = "unknown"
     while trace is not None:
-        place = f"{os.path.basename(trace.tb_frame.f_code.co_filename)}:{trace.tb_lineno}"
+        file = os.path.basename(trace.tb_frame.f_code.co_filename)
+        place = f"{file}:{trace.tb_lineno}"
         trace = trace.tb_next
     log("fault", where=where, error=f"{type(error).__name__}: {error}", at_line=place)
+
+
+def take_over() -> None:
+    """Makes errors that the network library logs come out as events of the same kind."""
+    from twisted.logger import LogLevel, globalLogBeginner  # noqa: PLC0415 (only a server has it)
+
+    def observe(event: Any) -> None:
+        if event["log_level"] < LogLevel.error:
+            return
+        failure = event.get("log_failure")
+        error = failure.value if failure else RuntimeError(str(event.get("log_format")))
+        fault("network library", error)
+
+    globalLogBeginner.beginLoggingTo([observe], redirectStandardIO=False, discardBuffer=True)
