--- a/thymeknot/protocol/deployer.py
+++ b/thymeknot/protocol/deployer.py
@@ -1,49 +1,65 @@
-"""The platform's calls, answers and news, its words to ours."""
+"""The release platform: its calls, responses and stream events, translated to events."""
 
 import re
+from collections.abc import Callable, Mapping
 from html import unescape
+from typing import Any, Final, TypeVar
 from urllib.parse import parse_qsl
 
+from ..interface.actions import CastVote
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import Outcome, ReleasePhase, Verdict
 from ..interface.events import FleetCounts, ReleaseUpdate
 from . import http
 from .calls import Reply
-from .write_progress import WRITTEN
-
-BASE = "/v2/projects/main/"
-SIGN_OF_LIFE = 10_000  # tenths of a millisecond
-SILENCE = 4 * SIGN_OF_LIFE
-FIRST_WORD = (
-    2 * SIGN_OF_LIFE
-)  # how the newest build stands is told at once; if not, the first sign has come by then
-MOST_TIME, MOST_WHOLE, MOST_FIELDS = 10**13, 2**53, 100  # milliseconds; of what floats hold exactly
-VERDICTS = {
+from .write_progress import WRITTEN, BrokenConnection
+
+BASE: Final = "/v2/projects/main/"
+HEARTBEAT: Final[Ticks] = TICKS_PER_SECOND
+"""Between two signs of life on the stream, by the protocol."""
+SILENCE: Final[Ticks] = 4 * HEARTBEAT
+"""A stream that says nothing for so long is broken."""
+FIRST_WORD: Final[Ticks] = 2 * HEARTBEAT
+"""The newest build is told at once; if not, the first heartbeat has come by then."""
+MOST_TIME: Final = 10**13
+"""Milliseconds that a time may have."""
+MOST_WHOLE: Final = 2**53
+"""Of a whole number: what a float holds exactly."""
+MOST_FIELDS: Final = 100
+"""Fields of a form."""
+TICKS_PER_MILLISECOND: Final = 10
+HTTP_OK: Final = 200
+VERDICTS: Final = {
     Verdict.ABSTAIN: "abstain",
     Verdict.PROMOTE: "promote",
     Verdict.PAUSE: "pause",
     Verdict.ABORT: "abort",
 }
-PHASES = {
+PHASES: Final = {
     "trial": ReleasePhase.ON_TRIAL,
     "rolling_back": ReleasePhase.ROLLING_BACK,
     "released": ReleasePhase.RELEASED,
     "withdrawn": ReleasePhase.WITHDRAWN,
 }
-# What came back from a call (status, code) -> what it means for a vote. Missing: it may count.
-REFUSALS = {
+REFUSALS: Final[dict[tuple[int, str | None], Outcome]] = {
     (400, "throttled"): Outcome.REJECTED,
     (400, "conflict"): Outcome.NOT_SENT,
     (400, "invalid"): Outcome.ERROR,
     (500, "internal"): Outcome.ERROR,
 }
-LEAF = re.compile(r"<([A-Za-z][\w.-]*)(?:\s[^<>]*)?>([^<>]*)</\1\s*>")
+"""What a response (status, code) means for a vote; for any other one, the vote may count."""
+LEAF: Final = re.compile(r"<([A-Za-z][\w.-]*)(?:\s[^<>]*)?>([^<>]*)</\1\s*>")
+
+
+Value = TypeVar("Value")
 
 
 class UnreadableReleaseError(ValueError):
-    """What came is not what the platform says. The text names the faulty field."""
+    """The platform's message can't be read. The text names the faulty field."""
 
 
-def vote(host, action):
+def vote(host: str, action: CastVote) -> bytes:
+    """The call that casts a vote."""
     return http.request(
         "POST",
         BASE,
@@ -57,11 +73,12 @@
     )
 
 
-def stream(host):
+def stream(host: str) -> bytes:
+    """The call that opens the event stream."""
     return http.request("GET", BASE + "stream", host)
 
 
-def _read(told, name, decode):
+def _read(told: Mapping[str, Any], name: str, decode: Callable[[Any], Value]) -> Value:
     try:
         return decode(told[name])
     except KeyError:
@@ -72,69 +89,76 @@
         raise UnreadableReleaseError(f"{name} makes no sense: {told[name]!r}") from None
 
 
-def _tenths(milliseconds):
+def _ticks(milliseconds: Any) -> Ticks:
     value = float(milliseconds)
     if not 0 <= value <= MOST_TIME:
         raise ValueError(milliseconds)
-    return int(value * 10)
+    return int(value * TICKS_PER_MILLISECOND)
 
 
-def _whole(text):
+def _whole(text: Any) -> int:
     value = int(text)
     if not 0 <= value <= MOST_WHOLE:
         raise ValueError(text)
     return value
 
 
-def _share(text):
+def _share(text: Any) -> float:
     value = float(text)
     if not 0 <= value <= 1:
         raise ValueError(text)
     return value
 
 
-def read_news(told, answers_vote=False):
-    """News of the names and values that tell how the newest build stands."""
-    build, stage = _read(told, "version", _whole), _read(told, "step", _whole)
-    phase, cap = _read(told, "status", PHASES.__getitem__), _read(told, "maxWeight", _share)
+def read_news(told: Mapping[str, Any], *, answers_vote: bool = False) -> ReleaseUpdate:
+    """The release update of the names and values that tell how the newest build stands."""
     return ReleaseUpdate(
-        build, stage, phase, answers_vote, Outcome.DONE, cap, _read(told, "observedAgoMs", _tenths)
+        build=_read(told, "version", _whole),
+        stage=_read(told, "step", _whole),
+        phase=_read(told, "status", PHASES.__getitem__),
+        answers_vote=answers_vote,
+        outcome=Outcome.DONE,
+        cap=_read(told, "maxWeight", _share),
+        age=_read(told, "observedAgoMs", _ticks),
     )
 
 
-def read_event(event, data):
-    """News or a Tally of an event of the stream; None for a kind that is not known."""
+def read_event(event: str, data: str) -> ReleaseUpdate | FleetCounts | None:
+    """What an event of the stream tells; None for a kind that is not known."""
     told = dict(parse_qsl(data, keep_blank_values=True, max_num_fields=MOST_FIELDS))
     if event == "progress":
         return read_news(told)
     if event == "metrics":
-        counted, failed = _read(told, "requests", _whole), _read(told, "failures", _whole)
-        latency = (
-            _read(told, "avgMs", _tenths) if failed < counted else 0
-        )  # of none there is no mean
-        return FleetCounts(
-            _read(told, "version", _whole),
-            _read(told, "kind", str),
-            counted,
-            failed,
-            latency,
-            _read(told, "observedAgoMs", _tenths),
-        )
+        return _read_counts(told)
     return None
 
 
-def leaves(text):
+def _read_counts(told: Mapping[str, Any]) -> FleetCounts:
+    attempts = _read(told, "requests", _whole)
+    failed = _read(told, "failures", _whole)
+    latency = _read(told, "avgMs", _ticks) if failed < attempts else 0  # of none there is no mean
+    return FleetCounts(
+        build=_read(told, "version", _whole),
+        request_class=_read(told, "kind", str),
+        attempts=attempts,
+        failed=failed,
+        latency=latency,
+        age=_read(told, "observedAgoMs", _ticks),
+    )
+
+
+def leaves(text: str) -> dict[str, str]:
     """The elements of a piece of XML that hold text alone, by name."""
     return {name: unescape(content.strip()) for name, content in LEAF.findall(text)}
 
 
-def vote_news(build, end):
-    """The News that answers a vote, of a Reply or a Broken."""
+def vote_news(build: int, end: Reply | BrokenConnection) -> ReleaseUpdate:
+    """The release update that answers a vote, whichever way the call ended."""
     if isinstance(end, Reply):
         told = leaves(end.body.decode("utf-8", "replace"))
-        if end.status == 200:
+        if end.status == HTTP_OK:
             try:
-                return read_news(told, True)
+                return read_news(told, answers_vote=True)
             except UnreadableReleaseError:
                 return ReleaseUpdate(build, None, None, True, Outcome.TIMED_OUT, None, None)
         outcome = REFUSALS.get((end.status, told.get("Code")), Outcome.TIMED_OUT)
--- a/thymeknot/protocol/write_progress.py
+++ b/thymeknot/protocol/write_progress.py
@@ -1,25 +1,43 @@
-"""How far an attempt came, as a value, and the writing that knows it."""
+"""How far a request to a peer was written, as a value, and the writer that knows it."""
 
 import select
 import socket
 import struct
 from array import array
-from typing import NamedTuple
+from enum import StrEnum
+from typing import Any, Final, NamedTuple
 
-ATTACH_FILTER, RETURN = 26, 0x06  # SO_ATTACH_FILTER and BPF_RET, which the library does not name
-NOT_CONNECTED, NOT_ALL_WRITTEN, WRITTEN = "not connected", "not all written", "written"
+SO_ATTACH_FILTER: Final = 26
+"""The socket option that attaches a packet filter; the socket module does not name it."""
+BPF_RET: Final = 0x06
+"""The filter instruction that returns how many bytes pass."""
+
+
+class WriteProgress(StrEnum):
+    """How far a request was written when its connection ended."""
+
+    NOT_CONNECTED = "not connected"
+    NOT_ALL_WRITTEN = "not all written"
+    WRITTEN = "written"
+
+
+NOT_CONNECTED: Final = WriteProgress.NOT_CONNECTED
+NOT_ALL_WRITTEN: Final = WriteProgress.NOT_ALL_WRITTEN
+WRITTEN: Final = WriteProgress.WRITTEN
 
 
 class BrokenConnection(NamedTuple):
-    """The way to the peer failed; how far the attempt had come decides whether it may have been carried out."""
+    """The connection failed. How far the request was written tells whether it may have run."""
 
-    reached: str
+    reached: WriteProgress
     reason: str
 
 
-def nothing_waits(transport):
-    """Whether nothing has come that was not read: no byte, and not the end. The machine is asked, since the loop may
-    not have got to it yet."""
+def nothing_waits(transport: Any) -> bool:
+    """Whether nothing is left to read: no byte, and not the end.
+
+    The operating system is asked, since the event loop may not have read it yet.
+    """
     try:
         transport.getHandle().recv(1, socket.MSG_PEEK)
     except BlockingIOError:
@@ -29,7 +47,7 @@
     return False
 
 
-def has_left(transport):
+def has_left(transport: Any) -> bool:
     """Whether the peer has shut its sending side or is gone, whatever waits unread before that."""
     if transport.disconnected:
         return True
@@ -38,41 +56,50 @@
     return bool(poll.poll(0))
 
 
-def take_no_more(listener):
-    """Has the machine drop what comes for this listener from here on. What it accepted between the last one taken and
-    the close would be reset by that; who is not accepted is refused, and asks elsewhere."""
-    nothing = array(
-        "B", struct.pack("=HBBI", RETURN, 0, 0, 0)
-    )  # a filter of one word: no byte passes
+def take_no_more(listener: socket.socket) -> None:
+    """Makes the operating system drop new connections to this listener.
+
+    Connections accepted between the last one taken and the close would be reset by the close; one
+    that is not accepted is refused, and its client asks elsewhere.
+    """
+    drop_everything = array("B", struct.pack("=HBBI", BPF_RET, 0, 0, 0))
+    program = struct.pack("@HP", 1, drop_everything.buffer_info()[0])
     try:
-        listener.setsockopt(
-            socket.SOL_SOCKET, ATTACH_FILTER, struct.pack("@HP", 1, nothing.buffer_info()[0])
-        )
+        listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     except OSError:
-        pass  # the close is as close behind as it can be
+        pass  # without a filter, the close follows as soon as it can
 
 
 class WholeWriter:
-    """For protocols that must know when the last byte of what they write has gone to the network.
+    """For protocols that must know when the last byte of a request has gone to the network.
 
-    It is a pull producer of its transport: one is asked for more exactly when nothing is left to write."""
+    It is a pull producer of its transport, which asks for more exactly when nothing is left to
+    write.
+    """
 
-    written, _content = False, None
+    transport: Any
+    written = False
+    _content: bytes | None = None
 
-    def write_whole(self, content):
-        self.written, self._content = False, content
+    def write_whole(self, content: bytes) -> None:
+        """Writes the content; `written` becomes true once its last byte has gone."""
+        self.written = False
+        self._content = content
         self.transport.registerProducer(self, False)
 
-    def resumeProducing(self):
+    def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
+        """Called by the transport when nothing is left to write."""
         if self._content:
-            content, self._content = self._content, None
+            content = self._content
+            self._content = None
             self.transport.write(content)
         else:
             self.written = True
             self.transport.unregisterProducer()
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The transport says so when it is lost; connectionLost follows."""
 
-    def how_far(self, reason):
+    def how_far(self, reason: str) -> BrokenConnection:
+        """The end of the connection as a value."""
         return BrokenConnection(WRITTEN if self.written else NOT_ALL_WRITTEN, reason)
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -1,29 +1,30 @@
 """The one place where configuration is read, checked and given defaults."""
 
 import os
-from typing import NamedTuple
+from collections.abc import Mapping
+from typing import Any, Final, NamedTuple
 
 import orjson
 
+from ..interface.clock import Ticks
 from ..interface.enums import UpdateKind
 from ..interface.events import ReleaseUpdate
 from ..interface.settings import ConnectionLimits, Settings
-from ..protocol import deployer as platform
-from ..protocol import discovery
+from ..protocol import deployer, discovery
 from ..simulator_wire import codec
 
 
 class ConfigurationError(ValueError):
-    """A configuration that can't be used. The text begins with the faulty key."""
+    """The configuration can't be used. The text begins with the faulty key."""
 
 
 class StartConfiguration(NamedTuple):
-    """All that a sidecar is told at its start."""
+    """All that a sidecar is told at its start. Addresses are (host, port)."""
 
     name: str
-    listen: tuple
-    discovery: tuple
-    platform: tuple
+    listen: tuple[str, int]
+    discovery: tuple[str, int]
+    platform: tuple[str, int]
     seed: int
     sockets: int
     news: ReleaseUpdate
@@ -32,31 +33,39 @@
     connection_limits: ConnectionLimits
 
 
-SOCKETS = 1024  # where no limit is told
-UNHEARD = set(
-    ".="
-)  # no setting is named with these, and such a name could pass for the path of another one
+SOCKETS: Final = 1024
+"""Descriptors, where no limit is told."""
+LEAST_SOCKETS: Final = 64
+LEAST_PORT: Final = 1
+MOST_PORT: Final = 65_535
+MOST_PORT_DIGITS: Final = 5
+MOST_ERROR_LENGTH: Final = 200
+"""Characters of an error that repeats a value."""
+HEXADECIMAL: Final = 16
+RESERVED_CHARACTERS: Final = frozenset(".=")
+"""No setting is named with these, and such a name could pass for the path of another one."""
 
 
-def pairs(value, path=""):
-    """The settings' nested object as the wire's names and values."""
+def pairs(value: Any, path: str = "") -> list[str]:
+    """The settings' nested object as the simulator wire's names and values."""
     if isinstance(value, dict):
         return [
             pair
             for name, inner in value.items()
-            if not UNHEARD & set(name)
+            if not RESERVED_CHARACTERS & set(name)
             for pair in pairs(inner, f"{path}.{name}" if path else name)
         ]
     if isinstance(value, list):
         if value and all(isinstance(inner, dict) for inner in value):
-            return [f"{path}.count={len(value)}"] + [
+            listed = [
                 pair for at, inner in enumerate(value) for pair in pairs(inner, f"{path}.{at}")
             ]
+            return [f"{path}.count={len(value)}", *listed]
         return [f"{path}=" + ",".join(_text(inner) for inner in value)]
     return [f"{path}={_text(value)}"]
 
 
-def _text(value):
+def _text(value: Any) -> str:
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, float) and value.is_integer():  # as some write a whole number
@@ -64,95 +73,122 @@
     return "-" if value is None else str(value)
 
 
-def _at(value, path, kind, *default):
-    """What stands at a dotted path, checked for its type."""
+def _at(value: Any, path: str, kind: type | tuple[type, ...], *default: Any) -> Any:
+    """The value at a dotted path, checked for its type."""
     *inner, last = path.split(".")
     for at, name in enumerate(inner, 1):
         value = value.get(name)
         value = {} if value is None else value  # null is as good as left out
         if not isinstance(value, dict):
-            raise ConfigurationError(f"{'.'.join(inner[:at])}: is no object: {value!r}"[:200])
+            raise ConfigurationError(
+                f"{'.'.join(inner[:at])}: is no object: {value!r}"[:MOST_ERROR_LENGTH]
+            )
     value = value.get(last)
     if value is None and default:
         return default[0]
     if value is None:
         raise ConfigurationError(f"{path}: is missing")
     if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise ConfigurationError(f"{path}: is of a wrong type: {value!r}"[:200])
+        raise ConfigurationError(f"{path}: is of a wrong type: {value!r}"[:MOST_ERROR_LENGTH])
     return value
 
 
-def _address(value, path):
-    text = _at(value, path, str)
+def _address(value: Any, path: str) -> tuple[str, int]:
+    text: str = _at(value, path, str)
     host, _, port = text.rpartition(":")
-    # Other digits than these are no number, and a long row of them is one that takes too long to read.
-    if not _host(host) or not (
-        port.isascii() and port.isdigit() and len(port) <= 5 and 0 < int(port) < 65536
-    ):
-        raise ConfigurationError(f"{path}: is no address with a port: {text!r}"[:200])
+    if not _is_host(host) or not _is_port(port):
+        message = f"{path}: is no address with a port: {text!r}"
+        raise ConfigurationError(message[:MOST_ERROR_LENGTH])
     return host, int(port)
 
 
-def _host(text):
-    """Whether the network library can look for it: what it can't encode, it raises at every use."""
+def _is_port(text: str) -> bool:
+    # int() takes other digits than ASCII's, and takes long over a long row of them.
+    if not (text.isascii() and text.isdigit() and len(text) <= MOST_PORT_DIGITS):
+        return False
+    return LEAST_PORT <= int(text) <= MOST_PORT
+
+
+def _is_host(text: str) -> bool:
+    """Whether the network library can use it: what it can't encode, it raises at every use."""
     try:
         return bool(text) and text.isprintable() and bool(text.encode("idna"))
     except UnicodeError:
         return False
 
 
-def _seed(value):
+def _seed(value: Any) -> int:
     text = _at(value, "seed", (str, int))
     try:
-        return int(text, 16) if isinstance(text, str) else text
+        return int(text, HEXADECIMAL) if isinstance(text, str) else int(text)
     except ValueError:
         raise ConfigurationError(f"seed: is no hexadecimal number: {text!r}") from None
 
 
-def read(told, epoch):
-    """The Start that an object tells. epoch: Unix time less the clock, in tenths of a millisecond."""
+def read(told: Any, epoch: Ticks) -> StartConfiguration:
+    """The configuration that a JSON object tells.
+
+    Args:
+        told: the object.
+        epoch: Unix time less the monotonic clock.
+
+    Raises:
+        ConfigurationError: it can't be used.
+    """
     if not isinstance(told, dict):
         raise ConfigurationError("the configuration is no object")
+    settings, connection_limits = _read_settings(told)
+    return StartConfiguration(
+        news=_read_release(told),
+        known=_read_known(told, epoch),
+        sockets=_read_sockets(told),
+        name=_at(told, "name", str, "sidecar"),
+        listen=_address(told, "listen"),
+        discovery=_address(told, "discovery"),
+        platform=_address(told, "deployer.address"),
+        seed=_seed(told),
+        settings=settings,
+        connection_limits=connection_limits,
+    )
+
+
+def _read_settings(told: Any) -> tuple[Settings, ConnectionLimits]:
     try:
         setting_pairs = pairs(_at(told, "settings", dict))
     except RecursionError:
         raise ConfigurationError("settings: are nested too deep") from None
     try:
         settings = codec.read_settings(setting_pairs)
-        connection_limits = codec.read_connection_limits(setting_pairs)
+        return settings, codec.read_connection_limits(setting_pairs)
     except codec.MalformedLineError as error:
         raise ConfigurationError(f"settings: {error}") from None
+
+
+def _read_release(told: Any) -> ReleaseUpdate:
     try:
-        news = platform.read_news(_at(told, "deployer.news", dict))
-    except platform.UnreadableReleaseError as error:
+        return deployer.read_news(_at(told, "deployer.news", dict))
+    except deployer.UnreadableReleaseError as error:
         raise ConfigurationError(f"deployer.news.{error}") from None
+
+
+def _read_known(told: Any, epoch: Ticks) -> discovery.EndpointListing:
     try:
-        known = discovery.read_list(_at(told, "known", dict), epoch, UpdateKind.CACHED)
+        return discovery.read_list(_at(told, "known", dict), epoch, UpdateKind.CACHED)
     except discovery.UnreadableListError as error:
         raise ConfigurationError(f"known.{error}") from None
-    except (
-        OverflowError
-    ) as error:  # a number that reads well and leaves its bounds where it is used
+    except OverflowError as error:  # a number that reads well and is out of bounds in use
         raise ConfigurationError(f"known: {error}") from None
-    sockets = _at(told, "limits.sockets", int, SOCKETS)
-    if sockets < 64:
-        raise ConfigurationError(f"limits.sockets: {sockets} are too few, 64 at least")
-    return StartConfiguration(
-        _at(told, "name", str, "sidecar"),
-        _address(told, "listen"),
-        _address(told, "discovery"),
-        _address(told, "deployer.address"),
-        _seed(told),
-        sockets,
-        news,
-        known,
-        settings,
-        connection_limits,
-    )
 
 
-def load(environment, epoch):
-    """The Start of the file that NODE_CONFIG names."""
+def _read_sockets(told: Any) -> int:
+    sockets: int = _at(told, "limits.sockets", int, SOCKETS)
+    if sockets < LEAST_SOCKETS:
+        raise ConfigurationError(f"limits.sockets: {sockets} are too few, {LEAST_SOCKETS} at least")
+    return sockets
+
+
+def load(environment: Mapping[str, str], epoch: Ticks) -> StartConfiguration:
+    """The configuration of the file that NODE_CONFIG names. Raises ConfigurationError."""
     path = environment.get("NODE_CONFIG")
     if not path:
         raise ConfigurationError("NODE_CONFIG: is missing from the environment")
@@ -160,9 +196,8 @@
         with open(path, "rb") as source:
             told = orjson.loads(source.read())
     except OSError as error:
-        raise ConfigurationError(
-            f"NODE_CONFIG: can't be read: {os.strerror(error.errno)}: {path}"
-        ) from None
+        reason = os.strerror(error.errno or 0)
+        raise ConfigurationError(f"NODE_CONFIG: can't be read: {reason}: {path}") from None
     except orjson.JSONDecodeError as error:
         raise ConfigurationError(f"NODE_CONFIG: is no JSON: {error}") from None
     return read(told, epoch)
--- a/thymeknot/service/log_events.py
+++ b/thymeknot/service/log_events.py
@@ -78,4 +78,4 @@
     "record set aside": "decision log set aside",
     "record in memory": "decision log in memory",
 }
-"""Events by the names that versions up to 0.1.0 logged: logs are stored data and are read as well."""
+"""Events by the names that versions up to 0.1.0 logged: old logs are read as well."""
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,7 +1,7 @@
 """Why requests are rejected or failed, summed into one log line every few seconds.
 
-It listens to the reasons that the decisions name. Nothing is logged where nothing was rejected. The sums are bounded by
-the closed table of reasons.
+It listens to the reasons that the decisions name. Nothing is logged where nothing was rejected. The
+sums are bounded by the closed table of reasons.
 """
 
 from collections.abc import Callable
@@ -58,7 +58,7 @@
 
 
 class RejectionSummary:
-    """Listens to the decisions: `hear` is called as they decide. `then`, if set, hears everything too."""
+    """Listens to the decisions: `hear` is called as they decide; `then`, if set, hears all too."""
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -1,14 +1,14 @@
 """Logs: one JSON line an event, on standard output.
 
-Events and their levels are declared in log_events. The lines are structlog's, rendered by orjson. What is below the
-level in THYMEKNOT_LOG (info, if unset) is not written.
+Events and their levels are declared in log_events. The lines are structlog's, rendered by orjson.
+What is below the level in THYMEKNOT_LOG (info, if unset) is not written.
 """
 
 import logging
 import os
 import time
 from collections.abc import Callable, Iterable, MutableMapping
-from typing import Any, Final
+from typing import Any, Final, cast
 
 import orjson
 import structlog
@@ -47,8 +47,8 @@
         return True
 
 
-def _rendered(logger: Any, level: int, fields: Fields) -> bytes:
-    """The line of fields that begin with the event: time first, the level where it is above info."""
+def _rendered(logger: Any, level: Any, fields: Fields) -> bytes:
+    """The line of these fields: time first, the level where it is above info."""
     if level > logging.INFO:
         fields["level"] = logging.getLevelName(level).lower()
     return orjson.dumps(
@@ -66,8 +66,8 @@
 class _DirectLogger(structlog.BoundLoggerBase):
     """Runs the processors and writes, without a context.
 
-    structlog's own filtering logger copies the context and looks its method up by name for each line, which costs
-    three times as much.
+    structlog's own filtering logger copies the context and looks its method up by name for each
+    line, which costs three times as much.
     """
 
     _processors: Iterable[Callable[[Any, Any, Any], Any]]
@@ -90,12 +90,12 @@
 
 
 def log(event: str, **fields: Any) -> None:
-    """Logs an event of log_events; an undeclared one is a fault of the program, and logged as an error."""
+    """Logs an event of log_events; one that is not declared there is logged as an error."""
     _log(LEVELS.get(event, logging.ERROR), {"event": event, **fields})
 
 
 def seldom(event: str, **fields: Any) -> None:
-    """Logs what may come with every request, once a second at most for an event and address."""
+    """Logs what may come with every request: once a second at most, by event and address."""
     if _rate_limit.permits((event, fields.get("address")), time.monotonic()):
         log(event, **fields)
 
@@ -113,7 +113,7 @@
 
 def take_over() -> None:
     """Makes errors that the network library logs come out as events of the same kind."""
-    from twisted.logger import LogLevel, globalLogBeginner  # noqa: PLC0415 (only a server has it)
+    from twisted.logger import ILogObserver, LogLevel, globalLogBeginner  # noqa: PLC0415 (only a server has it)
 
     def observe(event: Any) -> None:
         if event["log_level"] < LogLevel.error:
@@ -122,4 +122,6 @@
         error = failure.value if failure else RuntimeError(str(event.get("log_format")))
         fault("network library", error)
 
-    globalLogBeginner.beginLoggingTo([observe], redirectStandardIO=False, discardBuffer=True)
+    globalLogBeginner.beginLoggingTo(
+        [cast(ILogObserver, observe)], redirectStandardIO=False, discardBuffer=True
+    )
