--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -8,7 +8,8 @@
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind, Verdict
 from thymeknot.interface.events import Endpoint, EndpointUpdate, FleetCounts, ReleaseUpdate
-from thymeknot.protocol import client, deployer, discovery, http, pod, resp
+from thymeknot.protocol import command as commands
+from thymeknot.protocol import deployer, discovery, http, pod, resp
 from thymeknot.protocol.calls import Reply
 from thymeknot.protocol.write_progress import (
     NOT_ALL_WRITTEN,
@@ -112,7 +113,7 @@
 
 class Commands(unittest.TestCase):
     def test_a_command_passes_on_as_it_came_with_the_time_left(self):
-        read = client.read_command(
+        read = commands.read_command(
             [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=480,k=5c,r=1", b"BODY"]
         )
         self.assertEqual(
@@ -131,7 +132,7 @@
             ([b"Q", b"k", b"i", b"c=\xff,d=5"], "UTF-8"),
             ([b"Q", b"k", b"", b"c=a,d=5"], "id"),
         ):
-            self.assertIn(reason, client.read_command(words))
+            self.assertIn(reason, commands.read_command(words).reason)
 
     def test_what_is_held_of_a_command_that_is_never_whole_is_bounded_and_so_is_the_work_on_it(
         self,
@@ -143,11 +144,11 @@
             nested + 63 * (nested + 64 * (nested + 64 * b"*0\r\n")),
             nested + 63 * (nested + 64 * part),
         ):
-            parser, began = client.CommandParser(), time.process_time()
+            parser, began = commands.CommandParser(), time.process_time()
             with self.assertRaises(resp.MalformedRespError):
                 for at in range(0, len(data), 65536):
                     list(parser.feed(data[at : at + 65536]))
-                    self.assertLessEqual(parser.held, client.MOST_COMMAND)
+                    self.assertLessEqual(parser.held, commands.MOST_COMMAND)
             self.assertLess(time.process_time() - began, 0.1)
 
     def test_what_a_pod_may_answer(self):
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -1,172 +1,158 @@
-"""A client's connection: commands in, answers out in the order of the commands."""
+"""A client's connection: commands in, responses out in the order of the commands."""
 
 import socket
 from collections import deque
-from typing import NamedTuple, Optional
+from typing import Any, Final, Protocol
 
 from twisted.internet.interfaces import IHalfCloseableProtocol
-from twisted.internet.protocol import Protocol
+from twisted.internet.protocol import Protocol as TwistedProtocol
 from zope.interface import implementer
 
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import resp
+from .command import QUERY, SUBMIT, Command, CommandFault, CommandParser, read_command
 from .write_progress import has_left, nothing_waits
 
-QUERY, SUBMIT = b"SVC.QUERY", b"SVC.SUBMIT"
-MOST_WAITING = 64  # commands in hand on one connection; beyond it, it is not read on
-MOST_COMMAND = 2 * resp.MOST_BULK  # all its words: a body, and room for what stands before it
-SPEAKS_WITHIN = 25_000  # tenths of a millisecond: for a first command, and for one that has begun
-READS_WITHIN = (
-    100_000  # for a client that has stopped reading its answers, or does not read the last ones
-)
-MAKES_ROOM = 5_000  # the same for one whose place is wanted
-SPEAKS_FIRST = 5_000  # a new connection that is to end still has its first command coming
-LINGERS = 2_000  # from the end of sending to the close: a close over unread bytes resets, which may
-# destroy the last answer on its way
-LOOKS = 1_000  # how often one that is not read from is asked whether its client is still there
-
-
-class Command(NamedTuple):
-    """A transaction as a client words it. What is kept as bytes outlives the buffer that it was read into."""
-
-    name: bytes
-    key: bytes
-    id: bytes
-    pairs: tuple  # name and value, in the client's order
-    body: tuple  # the words after the pairs
-    request_class: str
-    tenant: Optional[str]
-    left: int  # milliseconds
-    repeat: bool
-
-    def words(self, left):
-        """The command as a pod gets it: unchanged but for the time that the sidecar will wait."""
-        told = [(name, b"%d" % left if name == b"d" else value) for name, value in self.pairs]
-        return [
-            self.name,
-            self.key,
-            self.id,
-            b",".join(b"%s=%s" % pair for pair in told),
-            *self.body,
-        ]
-
-
-def read_command(parts):
-    """A Command of the words of one, or a text that says what is wrong with it."""
-    words = [bytes(part) for part in parts]
-    if len(words) < 4:
-        return "a command takes a key, an id and a list of names and values"
-    pairs = tuple(pair.partition(b"=")[::2] for pair in words[3].split(b","))
-    told = dict(pairs)
-    if not words[2]:
-        return "the id is missing"
-    if not told.get(b"c"):
-        return "c, the lane, is missing"
-    left = told.get(b"d", b"")
-    if not left.isdigit() or len(left) > 9 or int(left) <= 0:
-        return "d, the time in milliseconds, is missing or no number"
-    try:
-        request_class, tenant = told[b"c"].decode(), told.get(b"t", b"").decode() or None
-        words[1].decode(), words[2].decode()
-    except UnicodeDecodeError:
-        return "a name is not UTF-8"
-    return Command(
-        words[0],
-        words[1],
-        words[2],
-        pairs,
-        tuple(words[4:]),
-        request_class,
-        tenant,
-        int(left),
-        told.get(b"r") == b"1",
-    )
+MOST_WAITING: Final = 64
+"""Commands in flight on one connection; beyond them it is not read on."""
+SPEAKS_WITHIN: Final[Ticks] = 5 * TICKS_PER_SECOND // 2
+"""For a first command, and for one that has begun, to be complete."""
+READS_WITHIN: Final[Ticks] = 10 * TICKS_PER_SECOND
+"""For a client that has stopped reading its responses, or does not read the last ones."""
+MAKES_ROOM: Final[Ticks] = TICKS_PER_SECOND // 2
+"""The same for one whose place is wanted."""
+SPEAKS_FIRST: Final[Ticks] = TICKS_PER_SECOND // 2
+"""A new connection that is to end still has its first command coming."""
+LINGERS: Final[Ticks] = TICKS_PER_SECOND // 5
+"""From the end of sending to the close: a close over unread bytes resets the connection, which may
+destroy the last response on its way."""
+LOOKS: Final[Ticks] = TICKS_PER_SECOND // 10
+"""How often one that is not read from is asked whether its client is still there."""
 
 
-class CommandParser(resp.Parser):
-    """For commands: no arrays in the array, and a bound on all of it. Else a few kilobytes would have the parser go
-    through a million parts again with each piece, and many strings that are never whole would fill the memory."""
+class Owner(Protocol):
+    """What a connection tells and asks."""
 
-    def feed(self, data):
-        yield from super().feed(data)
-        if self.held > MOST_COMMAND:
-            raise resp.MalformedRespError(f"a command of over {MOST_COMMAND} bytes")
+    timers: Any
+    held_off: bool
 
-    def _array(self, buffer, at, length, depth):
-        if depth:
-            raise resp.MalformedRespError("an array in a command")
-        return super()._array(buffer, at, length, depth)
+    def opened(self, connection: "ClientConnection") -> None:
+        """It is open."""
 
+    def take(self, connection: "ClientConnection", place: int, command: Command) -> None:
+        """A request is complete; its response belongs at this place."""
 
-@implementer(IHalfCloseableProtocol)
-class ClientConnection(Protocol):
-    """Its owner is asked to take(connection, place, command), told of gone(connection), once its client waits for
-    nothing more, and of left(connection).
-
-    It is a producer of its transport: a client that does not read its answers is not read from either.
-
-    Between requests it may be closed, but a request that was read is owed its answer. So the end goes in steps: all
-    is written, then the machine is asked whether a request waits unread, and in the same moment sending ends; nothing
-    is read from there on, and what crosses that is sent once more by its client."""
-
-    def __init__(self, owner):
-        self.owner, self.parser, self.timers = owner, CommandParser(), owner.timers
-        self.slot, self.first, self.places = None, 0, deque()
-        self.sound, self.closing, self.reading, self.used_at, self.opened_at = (
-            True,
-            False,
-            True,
-            0,
-            0,
-        )
-        self.spoke, self.blocked, self.ended, self.flushing, self.gone = (
-            False,
-            False,
-            False,
-            False,
-            False,
-        )
-        self.due, self.last, self.looking, self.waits, self.linger = None, None, None, None, LINGERS
+    def gone(self, connection: "ClientConnection") -> None:
+        """Its client waits for nothing more."""
+
+    def left(self, connection: "ClientConnection") -> None:
+        """It is closed."""
+
+    def rested(self) -> None:
+        """All its requests are answered while accepting is paused."""
+
+    def fault(self, where: str, error: BaseException) -> None:
+        """An exception was stopped."""
 
-    def connectionMade(self):
+
+@implementer(IHalfCloseableProtocol)
+class ClientConnection(TwistedProtocol):
+    """One client's connection.
+
+    It is a producer of its transport: a client that does not read its responses is not read from
+    either.
+
+    Between requests it may be closed, but a request that was read is owed its response. So the end
+    goes in steps: everything is written, then the operating system is asked whether a request waits
+    unread, and in the same moment sending ends. Nothing is read from there on; a request that
+    crosses the end is sent once more by its client.
+    """
+
+    transport: Any  # Twisted's interfaces lack the calls of a TCP transport
+
+    def __init__(self, owner: Owner) -> None:
+        self.owner = owner
+        self.timers = owner.timers
+        self.parser = CommandParser()
+        self.slot: int | None = None
+        self.first = 0
+        """The number of the first place that is not answered."""
+        self.places: deque[bytes | None] = deque()
+        """Responses that are not written, in the order of their commands; None is awaited."""
+        self.sound = True
+        """Whether what comes can be read as commands."""
+        self.spoke = False
+        self.reading = True
+        self.blocked = False
+        """Whether the client does not read what is written."""
+        self.closing = False
+        self.ended = False
+        """Whether everything is answered and only flushing is left."""
+        self.flushing = False
+        self.gone = False
+        """Whether the client waits for nothing more."""
+        self.opened_at: Ticks = 0
+        self.used_at: Ticks = 0
+        self.linger = LINGERS
+        self.due: int | None = None
+        """The timer of a command that has to be complete."""
+        self.last: int | None = None
+        """The timer by which the connection is aborted or closed."""
+        self.looking: int | None = None
+        """The timer of the next look for a client that is not read from."""
+        self.waits: int | None = None
+        """The timer until which a first command is waited for."""
+
+    def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
         self.opened_at = self.timers.clock()
         self.transport.setTcpNoDelay(True)
         self.transport.registerProducer(self, True)
         self._expect(SPEAKS_WITHIN)
         self.owner.opened(self)
 
-    def connectionLost(self, reason):
-        self.sound, self.gone = False, True
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
+        self.sound = False
+        self.gone = True
         for deadline in (self.due, self.last, self.looking, self.waits):
             self.timers.cancel(deadline)
         self.owner.left(self)
 
-    def readConnectionLost(self):
-        """The client has shut its sending side. It has gone as far as can be told, and what waits is not sent on;
-        what is answered already still goes out, for it may be reading."""
+    def readConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
+        """The client has shut its sending side, so it counts as gone.
+
+        What waits is not forwarded; what is answered already still goes out, since it may be
+        reading.
+        """
         if self.gone:
             return
-        self.sound, self.gone = False, True
+        self.sound = False
+        self.gone = True
         self.owner.gone(self)
         self.first += len(self.places)
         self.places.clear()
         self.finish()
 
-    def writeConnectionLost(self):
+    def writeConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
         """Sending ends by shutdown alone, not by the transport."""
 
-    def _expect(self, within):
-        """A whole command within this time, or the connection is closed; one that stands idle later is not."""
+    def _expect(self, within: Ticks) -> None:
+        """A complete command has to come within this time; one that is idle later may stay."""
         self.due = self.timers.add(self.timers.clock() + within, self._says_nothing)
 
-    def _says_nothing(self, again=True):
-        """Half a command is answered with an error. One that said nothing is closed without a word: its client may be
-        about to speak, and would take that for the answer."""
+    def _says_nothing(self, again: bool = True) -> None:
+        """Half a command is answered with an error.
+
+        A connection that said nothing is closed without a word: its client may be about to send,
+        and would take that for the response.
+        """
         self.due = None
         if not self.sound or (self.spoke and not self.parser.held):
             return
-        if not self.reading:  # the rest may be there: it is we who do not read it
-            return self._expect(SPEAKS_WITHIN)
-        if again and not nothing_waits(self.transport):
+        if not self.reading:  # the rest may be there: it is this side that does not read it
+            self._expect(SPEAKS_WITHIN)
+        elif again and not nothing_waits(self.transport):
             self.due = self.timers.add(self.timers.clock() + LOOKS, self._says_nothing, False)
         elif self.parser.held:
             self.sound = False
@@ -175,32 +161,35 @@
         else:
             self.finish()
 
-    def pauseProducing(self):
+    def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The client does not read what is written."""
         self.blocked = True
         self._read_on()
         self._end_within(READS_WITHIN)
 
-    def resumeProducing(self):
-        if self.ended:  # nothing is left to write
-            return self._shut() if self.flushing else None
+    def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
+        """The client reads again, or nothing is left to write."""
+        if self.ended:
+            if self.flushing:
+                self._shut()
+            return
         self.blocked = False
         self._read_on()
         if not self.closing:
             self.timers.cancel(self.last)
             self.last = None
 
-    def stopProducing(self):
+    def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The transport says so when it is lost; connectionLost follows."""
 
-    def _end_within(self, within):
+    def _end_within(self, within: Ticks) -> None:
         if self.last is None:
             self.last = self.timers.add(
                 self.timers.clock() + within, self.transport.abortConnection
             )
 
-    def _read_on(self):
-        """Reads as long as what is in hand and what is not read are within bounds."""
+    def _read_on(self) -> None:
+        """Reads as long as requests in flight and unread responses are within bounds."""
         if self.ended or self.gone:
             return
         reading = not self.blocked and len(self.places) <= (
@@ -212,23 +201,26 @@
             if not reading and self.looking is None:
                 self._look()
 
-    def _look(self):
-        """One that is not read from would not notice that its client has left."""
+    def _look(self) -> None:
+        """Looks for the client's end, which a connection that is not read from would not notice."""
         self.looking = None
         if self.reading or self.gone:
             return
         if has_left(self.transport):
-            return self.readConnectionLost()
+            self.readConnectionLost()
+            return
         self.looking = self.timers.add(self.timers.clock() + LOOKS, self._look)
 
-    def idle(self):
+    def idle(self) -> bool:
+        """Whether no request is in flight and none has begun to come."""
         return not self.places and not self.parser.held
 
-    def awaited(self, now):
+    def awaited(self, now: Ticks) -> bool:
         """Whether it is new, and the command that it was opened for is on its way."""
         return not self.spoke and now < self.opened_at + SPEAKS_FIRST
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
         if not self.sound:
             return
         if self.flushing:  # it was read in the same turn in which all had been answered
@@ -239,9 +231,8 @@
                     return
                 self._command(message)
         except resp.MalformedRespError as error:
-            self.sound = (
-                False  # what follows can't be told apart any more: answer what is owed, then close
-            )
+            # What follows can't be told apart any more: answer what is owed, then close.
+            self.sound = False
             self.answer(self._place(), resp.failure(f"ERR syntax: {error}"))
             self.finish()
         except Exception as error:  # a fault here must cost this connection alone
@@ -253,32 +244,32 @@
             self.finish()
         self._read_on()
 
-    def _place(self):
+    def _place(self) -> int:
         self.places.append(None)
         return self.first + len(self.places) - 1
 
-    def _command(self, parts):
-        place, self.spoke = self._place(), True
+    def _command(self, parts: Any) -> None:
+        place = self._place()
+        self.spoke = True
         self.timers.cancel(self.due)
         self.due = None
-        if not (
-            isinstance(parts, list)
-            and parts
-            and all(isinstance(part, memoryview) for part in parts)
-        ):
-            return self.answer(place, resp.failure("ERR a command is an array of strings"))
+        if not _is_array_of_strings(parts):
+            self.answer(place, resp.failure("ERR a command is an array of strings"))
+            return
         name = bytes(parts[0]).upper()
         if name == b"PING":
-            return self.answer(place, resp.status("PONG"))
-        if name not in (QUERY, SUBMIT):
-            return self.answer(place, resp.failure("ERR unknown command"))
-        command = read_command(parts)
-        if isinstance(command, str):
-            return self.answer(place, resp.failure(f"ERR {command}"))
-        self.owner.take(self, place, command)
-
-    def answer(self, place, content):
-        """Puts an answer in its place and writes all that is due; a place is answered once."""
+            self.answer(place, resp.status("PONG"))
+        elif name not in (QUERY, SUBMIT):
+            self.answer(place, resp.failure("ERR unknown command"))
+        else:
+            command = read_command(parts)
+            if isinstance(command, CommandFault):
+                self.answer(place, resp.failure(f"ERR {command.reason}"))
+            else:
+                self.owner.take(self, place, command)
+
+    def answer(self, place: int, content: bytes) -> None:
+        """Puts a response in its place and writes all that is due; a place is answered once."""
         at = place - self.first
         if not self.connected or at < 0 or self.places[at] is not None:
             return
@@ -293,8 +284,8 @@
         elif self.owner.held_off and not self.places:
             self.owner.rested()
 
-    def give_way(self):
-        """Closes for want of places, at once: half a first command is not waited for."""
+    def give_way(self) -> None:
+        """Closes at once for want of places: half a first command is not waited for."""
         self.linger = 0
         self.timers.cancel(self.last)
         self.last = None
@@ -302,25 +293,26 @@
         if not self.ended:
             self.transport.abortConnection()
 
-    def finish(self):
-        """Closes once everything owed is answered; a command that has begun to come is waited for, and on a new
-        connection the first one."""
+    def finish(self) -> None:
+        """Closes once everything owed is answered.
+
+        A command that has begun to come is waited for, and on a new connection the first one.
+        """
         self.closing = True
         if self.sound and self.linger and self.awaited(self.timers.clock()):
-            speaks = self.opened_at + SPEAKS_FIRST
-            self.waits = self.timers.add(speaks, self.finish) if self.waits is None else self.waits
+            if self.waits is None:
+                self.waits = self.timers.add(self.opened_at + SPEAKS_FIRST, self.finish)
             return
         if not self.ended and not self.places and (not self.sound or self.idle()):
             self.ended = True
             self.transport.unregisterProducer()
-            self.transport.registerProducer(
-                self, False
-            )  # asked for more exactly when nothing is left to write
+            # A pull producer is asked for more exactly when nothing is left to write.
+            self.transport.registerProducer(self, False)
             self.flushing = True
             self._end_within(READS_WITHIN if self.linger else MAKES_ROOM)
             self.transport.startWriting()
 
-    def _go_on(self):
+    def _go_on(self) -> None:
         """A request has come before the end: it is read and answered first."""
         self.ended = self.flushing = self.blocked = False
         self.timers.cancel(self.last)
@@ -328,23 +320,34 @@
         self.transport.unregisterProducer()
         self.transport.registerProducer(self, True)
 
-    def _shut(self):
-        """Ends sending if nothing waits unread, in one moment; what is not sound is read on, unheard."""
+    def _shut(self) -> None:
+        """Ends sending if nothing waits unread, in one moment."""
         if self.sound and not nothing_waits(self.transport):
             self._go_on()
             self.reading = False  # also where the client's slow reading had stopped it
-            return self._read_on()
+            self._read_on()
+            return
         self.flushing = False
         self.transport.unregisterProducer()
         try:
             self.transport.getHandle().shutdown(socket.SHUT_WR)
         except OSError:
-            return self.transport.abortConnection()
+            self.transport.abortConnection()
+            return
         if self.gone or not self.linger:
-            return self.transport.loseConnection()
+            self.transport.loseConnection()
+            return
         if self.sound:
             self.transport.pauseProducing()
         self.timers.cancel(self.last)
         self.last = self.timers.add(
             self.timers.clock() + self.linger, self.transport.loseConnection
         )
+
+
+def _is_array_of_strings(parts: Any) -> bool:
+    return (
+        isinstance(parts, list)
+        and bool(parts)
+        and all(isinstance(part, memoryview) for part in parts)
+    )
