--- a/thymeknot/__main__.py
+++ b/thymeknot/__main__.py
@@ -4,14 +4,30 @@
 import signal
 import sys
 
-if __name__ == "__main__":
-    if sys.argv[1:]:
-        from .cli.main import thymeknot
+UNUSABLE = 2
+"""Exit code: the words, the files or the installation can't be used."""
+
+
+def main() -> int:
+    """Serves, or runs the command that the words name, and gives the exit code."""
+    words = sys.argv[1:]
+    if not words:
+        # Before anything is loaded: the file that a SIGHUP announces is read after this anyway.
+        signal.signal(signal.SIGHUP, signal.SIG_IGN)
+    from .service import required_libraries  # noqa: PLC0415  after the signal, as all below
 
-        thymeknot(prog_name="thymeknot")
-    signal.signal(
-        signal.SIGHUP, signal.SIG_IGN
-    )  # the file that it announces is read after this anyway
-    from .service.lifecycle import main
+    try:
+        if words:
+            with required_libraries.libraries_from(required_libraries.COMMANDS):
+                from .cli.main import thymeknot  # noqa: PLC0415  needs click, unlike a sidecar
+            thymeknot(prog_name="thymeknot")  # ends the process with its own exit code
+        from .service import lifecycle  # noqa: PLC0415
 
-    sys.exit(main(os.environ))
+        return lifecycle.main(os.environ)
+    except required_libraries.MissingLibraryError as error:
+        print(f"thymeknot: {error}", file=sys.stderr)
+        return UNUSABLE
+
+
+if __name__ == "__main__":
+    sys.exit(main())
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -6,6 +6,14 @@
 import click
 
 from ..service.features import VARIABLE
+from ..service.required_libraries import (
+    COMMANDS,
+    COORDINATION,
+    GOSSIP,
+    LABORATORY,
+    LOAD,
+    libraries_from,
+)
 from .decision_log_client import Unreachable, lines_of
 
 DURATIONS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -89,6 +97,7 @@
     context.obj = place, path, plain
 
 
+@libraries_from(COMMANDS)
 def _asked(context, told):
     """Prints what answers, and ends with the code that tells whether anything did."""
     place, path, plain = context.obj
@@ -197,6 +206,7 @@
 @click.argument("name")
 @click.argument("file", type=click.Path())
 @click.pass_context
+@libraries_from(GOSSIP)
 def keys_new(context, name, file):
     """Makes a key and prints its record for the ring."""
     from ..gossip import keys as ring
@@ -208,6 +218,7 @@
 @click.argument("name")
 @click.argument("file", type=click.Path(exists=True))
 @click.pass_context
+@libraries_from(GOSSIP)
 def keys_show(context, name, file):
     """Prints the record of a key there is."""
     from ..gossip import keys as ring
@@ -230,12 +241,11 @@
     context.obj = context.find_root().obj, plain, within
 
 
+@libraries_from(COORDINATION)
 def _agreed(context, read=False, **command):
     """Exit codes: 0 done, 1 refused, 2 faulty words or files, 3 no keeper answers."""
-    try:
-        from . import coordination_commands as words
-    except ImportError as error:
-        raise click.UsageError(f"{error.name} is missing: pip install 'thymeknot[fleet]'") from None
+    from . import coordination_commands as words
+
     path, plain, within = context.obj
     try:
         code, reply = words.asked(
@@ -371,6 +381,7 @@
 @click.option("--seed", default=1, show_default=True)
 @click.option("--protocol", default="resp2", show_default=True, type=click.Choice(["resp2"]))
 @click.pass_context
+@libraries_from(LOAD)
 def load(
     context,
     place,
@@ -387,10 +398,8 @@
     protocol,
 ):
     """Sends at its own times whatever the answers do. Latencies count from when a request was due."""
-    try:
-        from ..load_generator import run, schedule
-    except ImportError as error:
-        raise click.UsageError(f"{error.name} is missing: pip install 'thymeknot[load]'") from None
+    from ..load_generator import run, schedule
+
     host, _, port = place.rpartition(":")
     try:
         told = [schedule.lane(one) for one in lanes]
@@ -451,6 +460,7 @@
 @click.option(
     "--policy", default="now", show_default=True, help="now, at:REVISION, random, turns, ..."
 )
+@libraries_from(LABORATORY)
 def lab_run(seed, policy, **size):
     """Plays one day and prints its figures."""
     from ..simulation import experiments
@@ -470,6 +480,7 @@
 @click.option(
     "--keep", type=click.Path(), help="a file of results; one that stands there is gone on with"
 )
+@libraries_from(LABORATORY)
 def lab_compare(one, two, seed, days, workers, keep, **size):
     """Two policies on the same days: the difference with its interval, and the least that could be seen."""
     from ..simulation import experiments
@@ -511,6 +522,7 @@
 @click.option("--pods", default=36, show_default=True)
 @click.option("--seed", default=1, show_default=True)
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
+@libraries_from(LABORATORY)
 def lab_fleet(one, two, kinds, days, instances, pods, seed, workers):
     """Two policies on the same days of a whole fleet: two less one with its interval."""
     from ..simulation import experiments
@@ -554,19 +566,16 @@
 @click.option("--instances", default=60, show_default=True)
 @click.option("--pods", default=36, show_default=True)
 @click.option("--seed", default=1, show_default=True)
+@libraries_from(LABORATORY)
 def lab_report(folder, kind, names, instances, pods, seed):
     """A page with pictures of one day of a fleet, played with each policy, in FOLDER."""
     from ..simulation import experiments, large_fleet_scenarios
 
     _kinds(kind)
-    try:
-        from ..simulation import report
+    from ..simulation import report
 
+    try:
         policies = {name: experiments.policy(name) for name in names}
-    except ImportError as error:
-        raise click.UsageError(
-            f"{error.name} is missing: pip install 'thymeknot[laboratory]'"
-        ) from None
     except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
     day, _ = large_fleet_scenarios.drawn(seed, kind, instances=instances, pods=pods)
@@ -577,6 +586,7 @@
 @_size
 @click.option("--days", default=24, show_default=True)
 @click.option("--against", default="random", show_default=True)
+@libraries_from(LABORATORY)
 def lab_search(seed, days, against, **size):
     """The days on which the module does worst beside another policy, shrunk to what matters."""
     from ..simulation import experiments
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -4,6 +4,7 @@
 from importlib import import_module
 
 from . import structured_log
+from .required_libraries import COMMANDS, libraries_from
 
 VARIABLE = "THYMEKNOT_OPERATOR"
 
@@ -56,7 +57,8 @@
         self.made = self._read() if path else {}
 
     def _read(self):
-        files = import_module("..operator_config.loader", __package__)
+        with libraries_from(COMMANDS):
+            files = import_module("..operator_config.loader", __package__)
         try:
             settings = files.load(self.path)
         except files.OperatorConfigError as error:
@@ -64,7 +66,8 @@
         folder, made = os.path.dirname(os.path.abspath(self.path)), {}
         for name, told in settings.items():
             try:
-                made[name] = MAKERS[name](told, folder)
+                with libraries_from(f"requirements-{name}.txt"):
+                    made[name] = MAKERS[name](told, folder)
             except ValueError as error:
                 line = files.line(self.path, error.key) if hasattr(error, "key") else ""
                 raise FeatureError(f"{self.path}:{line} {error}") from None
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -5,6 +5,7 @@
 import signal
 import sys
 import time
+from collections.abc import Mapping
 
 from . import configuration, features, structured_log
 
@@ -37,12 +38,12 @@
     return reactor
 
 
-def main(environment):
+def main(environment: Mapping[str, str]) -> int:
     """Serves without words: an operator's file is named by the environment, if at all."""
     return serve(environment, environment.get(features.VARIABLE) or None)
 
 
-def serve(environment, operator):
+def serve(environment: Mapping[str, str], operator: str | None) -> int:
     """Serves by the environment's configuration and the operator's file at this path, or None. Gives an exit code."""
     code = Lifecycle(environment, operator).run()
     for number in (
