--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -1,103 +1,133 @@
-"""What an operator's file switches on beside the platform's own. Nothing of it is imported where there is none."""
+"""The features that an operator's file switches on; without it nothing of them is imported."""
 
 import os
+from collections.abc import Callable
 from importlib import import_module
+from types import ModuleType
+from typing import Any, Final, NamedTuple, Protocol
 
 from . import structured_log
 from .required_libraries import COMMANDS, libraries_from
 
-VARIABLE = "THYMEKNOT_OPERATOR"
+VARIABLE: Final = "THYMEKNOT_OPERATOR"
+"""The environment variable that names the operator's file."""
 
 
 class FeatureError(ValueError):
     """An operator's file that can't be used: a line for each fault."""
 
 
-def _gossip(settings, folder):
-    """What makes the endpoint, once there is a sidecar."""
-    files, terms, endpoint = (
-        import_module(f"..{name}", __package__)
-        for name in ("operator_config.loader", "gossip.settings", "gossip.udp_transport")
-    )
-    told = files.record(terms.GossipSettings, settings)
-    endpoint.built(told, folder)
-    return lambda proxy: endpoint.GossipFeature(proxy, told, folder), told
+class Feature(Protocol):
+    """What a running feature is told."""
 
+    def reconfigure(self, settings: Any, folder: str) -> None:
+        """Takes up new settings; raises ValueError and keeps the former ones."""
 
-def _why(settings, folder):
-    files, terms, listener = (
-        import_module(f"..{name}", __package__)
-        for name in ("operator_config.loader", "decision_log.settings", "decision_log.query_server")
-    )
-    told = files.record(terms.DecisionLogSettings, settings)
-    return lambda proxy: listener.DecisionLogFeature(proxy, told, folder), told
+    def leave(self) -> None:
+        """The sidecar stops."""
 
 
-def _fleet(settings, folder):
-    files, terms, feature = (
-        import_module(f"..{name}", __package__)
-        for name in ("operator_config.loader", "coordination.settings", "coordination.feature")
-    )
-    told = files.record(terms.CoordinationSettings, settings)
+class CheckedFeature(NamedTuple):
+    """A feature whose settings can be used."""
+
+    make: Callable[[Any], Feature]
+    """Begins it with a proxy."""
+    settings: Any
+    """What `Feature.reconfigure` takes."""
+
+
+def _module(name: str) -> ModuleType:
+    return import_module(f"..{name}", __package__)
+
+
+def _record(kind: Any, settings: Any) -> Any:
+    """The typed settings of a record of the operator's file. Raises ValueError."""
+    return _module("operator_config.loader").record(kind, settings)
+
+
+def _check_gossip(settings: Any, folder: str) -> CheckedFeature:
+    told = _record(_module("gossip.settings").GossipSettings, settings)
+    transport = _module("gossip.udp_transport")
+    transport.built(told, folder)
+    return CheckedFeature(lambda proxy: transport.GossipFeature(proxy, told, folder), told)
+
+
+def _check_decision_log(settings: Any, folder: str) -> CheckedFeature:
+    told = _record(_module("decision_log.settings").DecisionLogSettings, settings)
+    server = _module("decision_log.query_server")
+    return CheckedFeature(lambda proxy: server.DecisionLogFeature(proxy, told, folder), told)
+
+
+def _check_coordination(settings: Any, folder: str) -> CheckedFeature:
+    told = _record(_module("coordination.settings").CoordinationSettings, settings)
+    feature = _module("coordination.feature")
     feature.built(told, settings, folder)
-    return lambda proxy: feature.CoordinationFeature(proxy, told, settings, folder), (
-        told,
-        settings,
+    return CheckedFeature(
+        lambda proxy: feature.CoordinationFeature(proxy, told, settings, folder), (told, settings)
     )
 
 
-MAKERS = {"gossip": _gossip, "why": _why, "fleet": _fleet}
+CHECKS: Final[dict[str, Callable[[Any, str], CheckedFeature]]] = {
+    "gossip": _check_gossip,
+    "why": _check_decision_log,
+    "fleet": _check_coordination,
+}
+"""By the feature's key in the operator's file, which is the proxy's attribute as well."""
 
 
 class Features:
-    """The features of one file, by name: checked at once, begun with the sidecar."""
+    """The features of one operator's file: checked at once, begun with the sidecar."""
 
-    def __init__(self, path):
-        self.path, self.running = path, {}
-        self.made = self._read() if path else {}
+    def __init__(self, path: str | None) -> None:
+        self.path = path
+        self.running: dict[str, Feature] = {}
+        self.made = self._read(path) if path else {}
 
-    def _read(self):
+    @staticmethod
+    def _read(path: str) -> dict[str, CheckedFeature]:
         with libraries_from(COMMANDS):
-            files = import_module("..operator_config.loader", __package__)
+            loader = _module("operator_config.loader")
         try:
-            settings = files.load(self.path)
-        except files.OperatorConfigError as error:
+            settings = loader.load(path)
+        except loader.OperatorConfigError as error:
             raise FeatureError("\n".join(str(fault) for fault in error.faults)) from None
-        folder, made = os.path.dirname(os.path.abspath(self.path)), {}
+        folder = os.path.dirname(os.path.abspath(path))
+        made = {}
         for name, told in settings.items():
             try:
                 with libraries_from(f"requirements-{name}.txt"):
-                    made[name] = MAKERS[name](told, folder)
+                    made[name] = CHECKS[name](told, folder)
             except ValueError as error:
-                line = files.line(self.path, error.key) if hasattr(error, "key") else ""
-                raise FeatureError(f"{self.path}:{line} {error}") from None
+                line = loader.line(path, error.key) if hasattr(error, "key") else ""
+                raise FeatureError(f"{path}:{line} {error}") from None
         return made
 
-    def begin(self, proxy):
-        for name, (make, _) in self.made.items():
+    def begin(self, proxy: Any) -> None:
+        """Begins each feature and makes it known to the proxy. Raises FeatureError."""
+        for name, checked in self.made.items():
             try:
-                self.running[name] = make(proxy)
+                self.running[name] = checked.make(proxy)
             except ValueError as error:
                 raise FeatureError(f"{self.path}: {error}") from None
             setattr(proxy, name, self.running[name])
             structured_log.log("feature started", feature=name)
 
-    def reconfigure(self):
-        """Takes up another file: what runs is given its new settings, what doesn't waits for the next start."""
+    def reconfigure(self) -> None:
+        """Reads the file again; features that do not run wait for the next start."""
         if not self.path:
             return
-        made = self._read()
+        made = self._read(self.path)
         folder = os.path.dirname(os.path.abspath(self.path))
-        for name, one in self.running.items():
+        for name, feature in self.running.items():
             if name in made:
                 try:
-                    one.reconfigure(made[name][1], folder)
+                    feature.reconfigure(made[name].settings, folder)
                 except ValueError as error:
                     raise FeatureError(f"{self.path}: {error}") from None
-        structured_log.log(
-            "operator file reloaded", only_at_a_start=sorted(made.keys() ^ self.running.keys())
-        )
+        changed = sorted(made.keys() ^ self.running.keys())
+        structured_log.log("operator file reloaded", only_at_a_start=changed)
 
-    def leave(self):
-        for one in self.running.values():
-            one.leave()
+    def leave(self) -> None:
+        """Tells each feature that the sidecar stops."""
+        for feature in self.running.values():
+            feature.leave()
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -1,4 +1,4 @@
-"""Start, ready, a new configuration and stop of the one program."""
+"""The life of the sidecar's process: start, readiness, reload by SIGHUP, and graceful shutdown."""
 
 import errno
 import gc
@@ -6,50 +6,59 @@
 import sys
 import time
 from collections.abc import Mapping
+from typing import Any, Final
 
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import configuration, features, structured_log
 
-STOPS = signal.SIGTERM, signal.SIGINT
-SERVES_ON = 0.5  # seconds after SIGTERM in which new connections still come
-LAST = 0.05  # and for what the last answers need to go out
-SPARED, COUNTED = (
-    6_500,
-    30_000,
-)  # after SIGTERM the kill comes no sooner than so long after the longest deadline, which
-# counts as this at most: tenths of a millisecond, 50 ms less than the platform gives
-# Where lists are pushed, what the agent on the machine has counts as told from the first moment, and the list that the
-# configuration holds is older: it listens once the agent has spoken, or after this long. An agent that is up answers
-# at once; one that is silent longer is down, and learns nothing that could count as told.
+STOPS: Final = (signal.SIGTERM, signal.SIGINT)
+SERVES_ON: Final = 0.5
+"""Seconds after SIGTERM in which new connections still come."""
+LAST: Final = 0.05
+"""Seconds that the last responses need to go out."""
+SPARED: Final[Ticks] = 6_500
+"""After SIGTERM the kill comes no sooner than so long after the longest deadline: 50 ms less than
+the platform gives."""
+COUNTED: Final[Ticks] = 3 * TICKS_PER_SECOND
+"""What the longest deadline counts as at most."""
 FIRST_LIST = 0.5
-# The process before this one may hold the address until it is killed, by the platform 3.7 s after SIGTERM or so.
-TRIES, AGAIN = 100, 0.05
+"""Seconds. Where lists are pushed, what the agent on the machine has counts as told from the first
+moment, and the list that the configuration holds is older: the sidecar listens once the agent has
+spoken, or after this long. An agent that is up answers at once; one that is silent longer is down,
+and learns nothing that could count as told."""
+TRIES: Final = 100
+"""How often an address that is in use is tried: the process before this one may hold it until it is
+killed, by the platform about 3.7 s after SIGTERM."""
+AGAIN: Final = 0.05
+"""Seconds between two of these."""
+EXIT_UNUSABLE: Final = 2
+TICK_NANOSECONDS: Final = 100_000
 
 
-def clock():
-    """Tenths of a millisecond of a clock that only goes forward."""
-    return time.monotonic_ns() // 100_000
+def clock() -> Ticks:
+    """The monotonic clock."""
+    return time.monotonic_ns() // TICK_NANOSECONDS
 
 
-def loop():
-    """The network's loop. Its own clock is Unix time, and a step back of that would hold up every deadline."""
-    from twisted.internet import reactor
+def loop() -> Any:
+    """The event loop. Its own clock is Unix time: a step back of that would hold up all timers."""
+    from twisted.internet import reactor  # noqa: PLC0415 (importing it installs it)
 
-    reactor.seconds = time.monotonic
-    return reactor
+    installed: Any = reactor
+    installed.seconds = time.monotonic
+    return installed
 
 
 def main(environment: Mapping[str, str]) -> int:
-    """Serves without words: an operator's file is named by the environment, if at all."""
+    """Serves without a command: an operator's file is named by the environment, if at all."""
     return serve(environment, environment.get(features.VARIABLE) or None)
 
 
 def serve(environment: Mapping[str, str], operator: str | None) -> int:
-    """Serves by the environment's configuration and the operator's file at this path, or None. Gives an exit code."""
+    """Serves by the environment's configuration and the operator's file. Gives an exit code."""
     code = Lifecycle(environment, operator).run()
-    for number in (
-        signal.SIGHUP,
-        *STOPS,
-    ):  # the interpreter gives back handlers as it ends: one more would end it so
+    # The interpreter restores default handlers as it ends: another signal would end it by itself.
+    for number in (signal.SIGHUP, *STOPS):
         signal.signal(number, signal.SIG_IGN)
     return code
 
@@ -57,17 +66,29 @@
 class Lifecycle:
     """One sidecar, from its first signal to its end.
 
-    Until there is a loop, SIGTERM and SIGINT end the process by themselves: nothing is open yet. A SIGHUP is heard
-    from the first moment and remembered, since the file may have been replaced while it was being read."""
-
-    def __init__(self, environment, operator):
-        self.environment, self.operator, self.code = environment, operator, 0
-        self.again, self.serving, self.stopping = False, False, False
-        self.epoch = time.time_ns() // 100_000 - clock()
-        self.extra = self.reactor = self.proxy = None
-        self.tries, self.waits = 0, False  # for an address that is in use
+    Until there is a loop, SIGTERM and SIGINT end the process by themselves: nothing is open yet. A
+    SIGHUP is heard from the first moment and remembered, since the file may have been replaced
+    while it was being read.
+    """
+
+    def __init__(self, environment: Mapping[str, str], operator: str | None) -> None:
+        self.environment = environment
+        self.operator = operator
+        self.code = 0
+        self.again = False
+        """Whether a SIGHUP came before the configuration could be read again."""
+        self.serving = False
+        self.stopping = False
+        self.epoch: Ticks = time.time_ns() // TICK_NANOSECONDS - clock()
+        self.extra: Any = None
+        self.reactor: Any = None
+        self.proxy: Any = None
+        self.tries = 0
+        self.waits = False
+        """Whether it waits for an address that is in use."""
 
-    def run(self):
+    def run(self) -> int:
+        """Serves until it is told to stop. Gives an exit code."""
         signal.signal(signal.SIGHUP, self._told_to_read)
         signal.signal(signal.SIGINT, signal.SIG_DFL)  # ends it without a traceback
         try:
@@ -75,9 +96,10 @@
             self.extra = features.Features(self.operator)
         except (configuration.ConfigurationError, features.FeatureError) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
-            return 2
-        from ..proxy.proxy import Proxy
-        from ..state.timer_queue import TimerQueue
+            return EXIT_UNUSABLE
+        # Not before the files are checked: a faulty one is told at once.
+        from ..proxy.proxy import Proxy  # noqa: PLC0415
+        from ..state.timer_queue import TimerQueue  # noqa: PLC0415
 
         self.reactor = loop()
         for number in STOPS:
@@ -98,8 +120,8 @@
         self.reactor.run(installSignalHandlers=False)
         return self.code
 
-    def _read(self):
-        """The configuration. One that was replaced while it was read, and can't be used, is read once more."""
+    def _read(self) -> configuration.StartConfiguration:
+        """The configuration; a faulty one that was replaced while it was read is read again."""
         while True:
             self.again = False
             try:
@@ -108,23 +130,30 @@
                 if not self.again:
                     raise
 
-    def _listen(self):
-        """Serves, from now on; the first call counts."""
+    def _listen(self) -> None:
+        """Begins to serve; the first call counts."""
         if self.serving or self.stopping or self.waits:
             return
-        from twisted.internet.error import CannotListenError
+        from twisted.internet.error import CannotListenError  # noqa: PLC0415 (as above)
 
         try:
             self.proxy.serve()
             self.serving = True
             self.extra.begin(self.proxy)
         except CannotListenError as error:
-            return self._in_use(error) or self._fail(f"listen: {error}")
+            if not self._in_use(error):
+                self._fail(f"listen: {error}")
+            return
         except features.FeatureError as error:
-            return self._fail(str(error))
+            self._fail(str(error))
+            return
         except Exception as error:  # must not stay up without a listener
             structured_log.fault("start", error)
-            return self._fail(f"start: {type(error).__name__}: {error}")
+            self._fail(f"start: {type(error).__name__}: {error}")
+            return
+        self._ready()
+
+    def _ready(self) -> None:
         start = self.proxy.start
         structured_log.log(
             "ready", name=start.name, listen=start.listen, pods=len(self.proxy.listed)
@@ -135,37 +164,39 @@
             self.again = False
             self._reconfigure()
 
-    def _in_use(self, error):
+    def _in_use(self, error: Any) -> bool:
         """Whether it is tried again: another process has the address still."""
         if self.serving or error.socketError.errno != errno.EADDRINUSE or self.tries >= TRIES:
             return False
         if not self.tries:
             structured_log.log("address in use", listen=self.proxy.start.listen)
-        self.tries, self.waits = self.tries + 1, True
+        self.tries += 1
+        self.waits = True
         self.reactor.callLater(AGAIN, self._listen_again)
         return True
 
-    def _listen_again(self):
+    def _listen_again(self) -> None:
         self.waits = False
         self._listen()
 
-    def _fail(self, why):
+    def _fail(self, why: str) -> None:
         print(f"thymeknot: {why}", file=sys.stderr)
-        self.code, self.stopping = 2, True
+        self.code = EXIT_UNUSABLE
+        self.stopping = True
         self.reactor.stop()
 
     # Signals.
 
-    def _told_to_read(self, *_):
+    def _told_to_read(self, *_: Any) -> None:
         if self.serving:
             self.reactor.callFromThread(self._reconfigure)
         else:
             self.again = True
 
-    def _told_to_stop(self, *_):
+    def _told_to_stop(self, *_: Any) -> None:
         self.reactor.callFromThread(self._stop)
 
-    def _stop(self):
+    def _stop(self) -> None:
         if self.stopping:  # a second signal must not stop it twice
             return
         self.stopping = True
@@ -189,13 +220,16 @@
         else:
             self._emptied()
 
-    def _emptied(self):
+    def _emptied(self) -> None:
         structured_log.log("stopped")
         self.reactor.callLater(LAST, self.reactor.stop)
 
-    def _reconfigure(self):
-        """Reads the file again. A sidecar that stops still sends what it has in hand by the list, so it moves to
-        another discovery, too; its operator's features have left, and take up nothing."""
+    def _reconfigure(self) -> None:
+        """Reads the files again.
+
+        A sidecar that stops still forwards what it has in flight by the endpoint list, so it moves
+        to another discovery, too; its features have left, and take up nothing.
+        """
         try:
             if not self.stopping:
                 self.extra.reconfigure()
--- a/thymeknot/service/required_libraries.py
+++ b/thymeknot/service/required_libraries.py
@@ -1,4 +1,4 @@
-"""Which requirements file a command needs, and the error that names it where a library is missing."""
+"""The requirements file that a command needs, and the error that names it."""
 
 from collections.abc import Iterator
 from contextlib import contextmanager
@@ -19,8 +19,8 @@
 def libraries_from(requirements: str) -> Iterator[None]:
     """Turns a failed import of a library into an error that says what to install.
 
-    It is a context manager and a decorator. A module of the program itself that is not found is a fault of the
-    program, and its error passes unchanged.
+    It is a context manager and a decorator. A module of the program itself that is not found is a
+    fault of the program, and its error passes unchanged.
 
     Args:
         requirements: The file that lists what the command needs.
