--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -9,18 +9,13 @@
 from tests.unit.proxy.test_proxy import Network, Transport, entry
 from thymeknot.interface.actions import SubscribeToEndpoints
 from thymeknot.polling.adaptive_interval import (
-    AGAIN,
-    FRESH,
-    LONGEST,
-    LOST,
-    REFUSED,
-    SPOILT,
-    SPREAD_MOST,
-    STEADY,
-    STOOD,
-    TURNED_AWAY,
-    WARNED,
+    ESTABLISHED_AFTER,
+    MAX_INITIAL_SPREAD,
+    MAX_INTERVAL,
+    MIN_REGULAR_INTERVAL,
     AdaptiveInterval,
+    CallResult,
+    IntervalState,
 )
 from thymeknot.polling.snapshot_validation import SnapshotValidator
 from thymeknot.protocol.calls import WatchStream
@@ -36,33 +31,43 @@
     def test_a_refusal_makes_it_rarer_and_what_stands_makes_it_usual(self):
         pace = AdaptiveInterval(lambda: 0.5)
         for how, age, wait, state in (
-            (LOST, 0, 5_000, FRESH),
-            (REFUSED, STEADY, 5_000, FRESH),
-            (REFUSED, STEADY - 1, 20_000, TURNED_AWAY),
-            (REFUSED, 0, 40_000, TURNED_AWAY),
-            (REFUSED, 0, 60_000, TURNED_AWAY),
-            (REFUSED, 0, 60_000, TURNED_AWAY),
-            (LOST, 0, 60_000, TURNED_AWAY),
-            (STOOD, 0, 5_000, FRESH),
-            (REFUSED, 0, 20_000, TURNED_AWAY),
-            (STOOD, 0, 5_000, FRESH),
-            (SPOILT, 0, 5_000, WARNED),
-            (LOST, 0, 5_000, WARNED),
-            (SPOILT, STEADY, 5_000, FRESH),
-            (SPOILT, 0, 5_000, WARNED),
-            (STOOD, 0, 5_000, FRESH),
-            (SPOILT, 0, 5_000, WARNED),
-            (SPOILT, STEADY - 1, 20_000, TURNED_AWAY),
-            (SPOILT, 0, 40_000, TURNED_AWAY),
-            (STOOD, 0, 5_000, FRESH),
-            (SPOILT, 0, 5_000, WARNED),
-            (REFUSED, 0, 20_000, TURNED_AWAY),
+            (CallResult.LOST, 0, 5_000, IntervalState.REGULAR),
+            (CallResult.REFUSED, ESTABLISHED_AFTER, 5_000, IntervalState.REGULAR),
+            (CallResult.REFUSED, ESTABLISHED_AFTER - 1, 20_000, IntervalState.BACKING_OFF),
+            (CallResult.REFUSED, 0, 40_000, IntervalState.BACKING_OFF),
+            (CallResult.REFUSED, 0, 60_000, IntervalState.BACKING_OFF),
+            (CallResult.REFUSED, 0, 60_000, IntervalState.BACKING_OFF),
+            (CallResult.LOST, 0, 60_000, IntervalState.BACKING_OFF),
+            (CallResult.ESTABLISHED, 0, 5_000, IntervalState.REGULAR),
+            (CallResult.REFUSED, 0, 20_000, IntervalState.BACKING_OFF),
+            (CallResult.ESTABLISHED, 0, 5_000, IntervalState.REGULAR),
+            (CallResult.MALFORMED, 0, 5_000, IntervalState.SUSPECT),
+            (CallResult.LOST, 0, 5_000, IntervalState.SUSPECT),
+            (CallResult.MALFORMED, ESTABLISHED_AFTER, 5_000, IntervalState.REGULAR),
+            (CallResult.MALFORMED, 0, 5_000, IntervalState.SUSPECT),
+            (CallResult.ESTABLISHED, 0, 5_000, IntervalState.REGULAR),
+            (CallResult.MALFORMED, 0, 5_000, IntervalState.SUSPECT),
+            (CallResult.MALFORMED, ESTABLISHED_AFTER - 1, 20_000, IntervalState.BACKING_OFF),
+            (CallResult.MALFORMED, 0, 40_000, IntervalState.BACKING_OFF),
+            (CallResult.ESTABLISHED, 0, 5_000, IntervalState.REGULAR),
+            (CallResult.MALFORMED, 0, 5_000, IntervalState.SUSPECT),
+            (CallResult.REFUSED, 0, 20_000, IntervalState.BACKING_OFF),
         ):
             self.assertEqual((pace.ended(how, age), pace.state), (wait, state))
 
     @given(
         st.lists(
-            st.tuples(st.sampled_from((REFUSED, LOST, SPOILT, STOOD)), st.integers(0, 10 * STEADY)),
+            st.tuples(
+                st.sampled_from(
+                    (
+                        CallResult.REFUSED,
+                        CallResult.LOST,
+                        CallResult.MALFORMED,
+                        CallResult.ESTABLISHED,
+                    )
+                ),
+                st.integers(0, 10 * ESTABLISHED_AFTER),
+            ),
             max_size=60,
         ),
         st.integers(1, 2**60),
@@ -70,9 +75,9 @@
     )
     def test_it_is_asked_again_within_bounds_whatever_comes(self, ends, seed, asking):
         pace = AdaptiveInterval(LinearCongruentialGenerator(seed).draw)
-        self.assertTrue(0 <= pace.first(asking) <= SPREAD_MOST)
+        self.assertTrue(0 <= pace.first(asking) <= MAX_INITIAL_SPREAD)
         for how, age in ends:
-            self.assertTrue(AGAIN[0] <= pace.ended(how, age) <= LONGEST)
+            self.assertTrue(MIN_REGULAR_INTERVAL <= pace.ended(how, age) <= MAX_INTERVAL)
 
 
 class Overbooked(Service):
--- a/thymeknot/polling/adaptive_interval.py
+++ b/thymeknot/polling/adaptive_interval.py
@@ -1,65 +1,122 @@
-"""When one of many asks a service again: each has only its own outcomes to go by, and their sum must come down.
+"""How long one of many callers waits before it calls a shared service again.
 
-Times are whole tenths of a millisecond. Source: docs/design/vast.md.
+A caller knows only how its own calls ended, and the rate of all callers together must fall when the
+service is overloaded. Times are ticks (tenths of a millisecond). Source: docs/design/vast.md.
 """
 
-from ..interface.clock import TICKS_PER_SECOND
-
-AGAIN = (
-    2_000,
-    8_000,
-)  # after an asking that the service had no part in; by chance, so that a crowd spreads
-LONGEST = 8 * TICKS_PER_SECOND  # between two askings at most: what is told late must still be told
-LONGEST_FREE = TICKS_PER_SECOND  # of a peer that serves this one alone, at no cost
-STEADY = 2 * TICKS_PER_SECOND  # what ends sooner after its asking was refused, though it had begun
-# All ask first within it, for each that asks and in all: such a service takes one call of each in 2 to 8 s, and what it
-# has counts as told after 6 s.
-SPREAD, SPREAD_MOST = 1_000, 6 * TICKS_PER_SECOND
-
-FRESH, WARNED, TURNED_AWAY = "fresh", "warned", "turned away"
-REFUSED, LOST, SPOILT, STOOD = "refused", "lost", "spoilt", "stood"
-# (state, input) -> next state, what the count of refusals in a row becomes. A refusal says that all ask too much;
-# a link that is cut says nothing of that, and changes nothing. An answer that is spoilt may be one of few; the next one
-# says that the service makes no sense, and asking it twice a second for ever helps nobody.
-PACE = {
-    (FRESH, REFUSED): (TURNED_AWAY, 1),
-    (FRESH, LOST): (FRESH, 0),
-    (FRESH, STOOD): (FRESH, 0),
-    (TURNED_AWAY, REFUSED): (TURNED_AWAY, 1),
-    (TURNED_AWAY, LOST): (TURNED_AWAY, 0),
-    (TURNED_AWAY, STOOD): (FRESH, None),
-    (FRESH, SPOILT): (WARNED, 0),
-    (WARNED, SPOILT): (TURNED_AWAY, 1),
-    (TURNED_AWAY, SPOILT): (TURNED_AWAY, 1),
-    (WARNED, REFUSED): (TURNED_AWAY, 1),
-    (WARNED, LOST): (WARNED, 0),
-    (WARNED, STOOD): (FRESH, None),
+from collections.abc import Callable
+from enum import StrEnum
+
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+
+# The regular interval is drawn between these two, so that many callers spread.
+MIN_REGULAR_INTERVAL: Ticks = 2_000
+MAX_REGULAR_INTERVAL: Ticks = 8_000
+# Between two calls of a shared service at most: a late update must still arrive.
+MAX_INTERVAL: Ticks = 8 * TICKS_PER_SECOND
+# The same for a peer that serves this caller alone, where a call costs others nothing.
+MAX_DEDICATED_INTERVAL: Ticks = TICKS_PER_SECOND
+# What was refused or malformed at least this long after its call counts as established before.
+ESTABLISHED_AFTER: Ticks = 2 * TICKS_PER_SECOND
+# The first calls are spread over this time for each caller: such a service takes one call of each
+# in 2 to 8 s.
+INITIAL_SPREAD_PER_CALLER: Ticks = 1_000
+# All first calls are made within this time: what the service has counted is sent after 6 s.
+MAX_INITIAL_SPREAD: Ticks = 6 * TICKS_PER_SECOND
+# Doublings of the regular interval at most: far more than MAX_INTERVAL allows, and a small number.
+MAX_DOUBLINGS = 10
+
+
+class IntervalState(StrEnum):
+    """What the last calls say of the service."""
+
+    REGULAR = "fresh"
+    SUSPECT = "warned"
+    """One answer was malformed."""
+    BACKING_OFF = "turned away"
+
+
+class CallResult(StrEnum):
+    """How a call, or the stream that it opened, ended."""
+
+    REFUSED = "refused"
+    """The service ended it."""
+    LOST = "lost"
+    """No connection, or silence: it says nothing about the load of the service."""
+    MALFORMED = "spoilt"
+    ESTABLISHED = "stood"
+    """It had been useful before it ended."""
+
+
+# (state, result) -> next state, and what is added to the number of refusals in a row (None: it
+# starts again from 0). A refusal means that all callers together ask too much; a lost connection
+# does not, and changes nothing. One malformed answer may be an exception; after a second one the
+# service is not worth two calls a second.
+TRANSITIONS: dict[tuple[IntervalState, CallResult], tuple[IntervalState, int | None]] = {
+    (IntervalState.REGULAR, CallResult.REFUSED): (IntervalState.BACKING_OFF, 1),
+    (IntervalState.REGULAR, CallResult.LOST): (IntervalState.REGULAR, 0),
+    (IntervalState.REGULAR, CallResult.ESTABLISHED): (IntervalState.REGULAR, 0),
+    (IntervalState.BACKING_OFF, CallResult.REFUSED): (IntervalState.BACKING_OFF, 1),
+    (IntervalState.BACKING_OFF, CallResult.LOST): (IntervalState.BACKING_OFF, 0),
+    (IntervalState.BACKING_OFF, CallResult.ESTABLISHED): (IntervalState.REGULAR, None),
+    (IntervalState.REGULAR, CallResult.MALFORMED): (IntervalState.SUSPECT, 0),
+    (IntervalState.SUSPECT, CallResult.MALFORMED): (IntervalState.BACKING_OFF, 1),
+    (IntervalState.BACKING_OFF, CallResult.MALFORMED): (IntervalState.BACKING_OFF, 1),
+    (IntervalState.SUSPECT, CallResult.REFUSED): (IntervalState.BACKING_OFF, 1),
+    (IntervalState.SUSPECT, CallResult.LOST): (IntervalState.SUSPECT, 0),
+    (IntervalState.SUSPECT, CallResult.ESTABLISHED): (IntervalState.REGULAR, None),
 }
 
 
 class AdaptiveInterval:
-    """One for each service that is asked. draw() gives chance from 0 to 1, seeded from outside."""
+    """The interval between calls of one service by one caller.
+
+    Attributes:
+        draw: Gives a random number from 0 to 1; seeded by the caller.
+        longest: The longest interval while backing off, in ticks.
+        state: What the last calls say of the service.
+        refusals: How many calls in a row were refused.
+    """
 
-    def __init__(self, draw, longest=LONGEST):
-        self.draw, self.longest, self.state, self.refusals = draw, longest, FRESH, 0
+    def __init__(self, draw: Callable[[], float], longest: Ticks = MAX_INTERVAL) -> None:
+        self.draw = draw
+        self.longest = longest
+        self.state = IntervalState.REGULAR
+        self.refusals = 0
 
-    def first(self, asking):
-        """How long to wait before the first asking, where so many ask."""
-        return int(self.draw() * min(SPREAD_MOST, SPREAD * asking))
+    def first(self, asking: int) -> Ticks:
+        """Returns the wait before the first call, where `asking` callers start at once."""
+        return int(self.draw() * min(MAX_INITIAL_SPREAD, INITIAL_SPREAD_PER_CALLER * asking))
 
-    def ended(self, how, age=0):
-        """An asking, or what it brought, ended: REFUSED, LOST, SPOILT or STOOD. age: since it was asked for; what was
-        refused or spoilt after it had stood for a while was not turned away. Gives how long to wait."""
-        if how in (REFUSED, SPOILT) and age >= STEADY:
-            how = STOOD
-        self.state, step = PACE[self.state, how]
+    def ended(self, how: CallResult, age: Ticks = 0) -> Ticks:
+        """Notes how a call, or the stream that it opened, ended.
+
+        Args:
+            how: The result.
+            age: The time since the call. What is refused or malformed after ESTABLISHED_AFTER was
+                not rejected by an overloaded service.
+
+        Returns:
+            The wait before the next call.
+        """
+        if how in (CallResult.REFUSED, CallResult.MALFORMED) and age >= ESTABLISHED_AFTER:
+            how = CallResult.ESTABLISHED
+        self.state, step = TRANSITIONS[self.state, how]
         self.refusals = 0 if step is None else self.refusals + step
         return self.wait()
 
-    def wait(self):
-        """Four times what is usual after the first refusal, twice that after each further one, up to the longest."""
-        least, most = AGAIN
-        wait = least + int(self.draw() * (most - least))
-        if self.state != TURNED_AWAY:
+    def wait(self) -> Ticks:
+        """Returns the wait before the next call: exponential backoff with jitter.
+
+        It is four times the regular interval after the first refusal and doubles with each further
+        one, up to the longest.
+        """
+        wait = MIN_REGULAR_INTERVAL + int(
+            self.draw() * (MAX_REGULAR_INTERVAL - MIN_REGULAR_INTERVAL)
+        )
+        if self.state != IntervalState.BACKING_OFF:
             return wait
-        return min(wait << min(self.refusals + 1, 10), int(self.longest * (0.5 + self.draw() / 2)))
+        return min(
+            wait << min(self.refusals + 1, MAX_DOUBLINGS),
+            int(self.longest * (0.5 + self.draw() / 2)),
+        )
--- a/thymeknot/polling/snapshot_validation.py
+++ b/thymeknot/polling/snapshot_validation.py
@@ -1,59 +1,120 @@
-"""Whether a whole list is believed: one that names nobody, or is older than the last, would take all that is known.
+"""Whether a snapshot of the endpoint list is believed.
 
-Pure. Source: docs/design/vast.md. Changes are always believed: they add to what is known, and a drain binds at once.
+One that names no endpoint, or is older than the last, would remove all that is known. Changes are
+always believed: they add to what is known, and a drain takes effect at once. Pure. Source:
+docs/design/vast.md.
 """
 
+from enum import StrEnum
 from typing import NamedTuple
 
-FIRM, DOUBTING, EMPTYING = "firm", "doubting", "emptying"
-NEWER, OLDER, EMPTY, EMPTIED = "newer", "older", "empty", "emptied"
-TAKE, KEEP, ASK = "take", "keep", "ask"
-# (state, input) -> next state, effect. ASK: not taken, but asked for again at once, and taken if it is told again: an
-# older list is one of a service that counts anew, an emptied one (of a version that is new) has taken note of the pods
-# that it no longer names, and what was told counts. Who tells now this, now that is asked less and less often. One that
-# is empty without a new version is of a service that has not heard of the pods yet: keeping them costs connections that
-# fail at most.
-BELIEF = {
-    (FIRM, NEWER): (FIRM, TAKE),
-    (DOUBTING, NEWER): (FIRM, TAKE),
-    (EMPTYING, NEWER): (FIRM, TAKE),
-    (FIRM, OLDER): (DOUBTING, ASK),
-    (DOUBTING, OLDER): (FIRM, TAKE),
-    (EMPTYING, OLDER): (DOUBTING, KEEP),
-    (FIRM, EMPTY): (FIRM, KEEP),
-    (DOUBTING, EMPTY): (DOUBTING, KEEP),
-    (EMPTYING, EMPTY): (EMPTYING, KEEP),
-    (FIRM, EMPTIED): (EMPTYING, ASK),
-    (DOUBTING, EMPTIED): (EMPTYING, KEEP),
-    (EMPTYING, EMPTIED): (FIRM, TAKE),
+
+class ValidatorState(StrEnum):
+    """Whether the last snapshot was taken."""
+
+    TRUSTING = "firm"
+    SAW_OLDER = "doubting"
+    SAW_EMPTIED = "emptying"
+
+
+class SnapshotKind(StrEnum):
+    """How a list compares with the last one that was taken."""
+
+    NEWER = "newer"
+    """Not older than the last, or no snapshot at all."""
+    OLDER = "older"
+    EMPTY = "empty"
+    """It names no endpoint and has no newer version."""
+    EMPTIED = "emptied"
+    """It names no endpoint and has a newer version."""
+
+
+class Decision(StrEnum):
+    """What is done with a list."""
+
+    TAKE = "take"
+    KEEP = "keep"
+    """It is not taken; what is known stays."""
+    FETCH_AGAIN = "ask"
+    """It is not taken, but fetched again at once, and taken if it comes again."""
+
+
+# (state, kind) -> next state, decision. An older snapshot comes from a service that numbers its
+# versions anew, an emptied one from a service that has noted the end of the endpoints that it no
+# longer names: both count if they are confirmed. A service that answers differently each time is
+# polled less and less often. A snapshot that is empty without a newer version comes from a service
+# that has not discovered the endpoints yet: keeping them costs failed connections at most.
+TRANSITIONS: dict[tuple[ValidatorState, SnapshotKind], tuple[ValidatorState, Decision]] = {
+    (ValidatorState.TRUSTING, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
+    (ValidatorState.SAW_OLDER, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
+    (ValidatorState.TRUSTING, SnapshotKind.OLDER): (ValidatorState.SAW_OLDER, Decision.FETCH_AGAIN),
+    (ValidatorState.SAW_OLDER, SnapshotKind.OLDER): (ValidatorState.TRUSTING, Decision.TAKE),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.OLDER): (ValidatorState.SAW_OLDER, Decision.KEEP),
+    (ValidatorState.TRUSTING, SnapshotKind.EMPTY): (ValidatorState.TRUSTING, Decision.KEEP),
+    (ValidatorState.SAW_OLDER, SnapshotKind.EMPTY): (ValidatorState.SAW_OLDER, Decision.KEEP),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.EMPTY): (ValidatorState.SAW_EMPTIED, Decision.KEEP),
+    (ValidatorState.TRUSTING, SnapshotKind.EMPTIED): (
+        ValidatorState.SAW_EMPTIED,
+        Decision.FETCH_AGAIN,
+    ),
+    (ValidatorState.SAW_OLDER, SnapshotKind.EMPTIED): (ValidatorState.SAW_EMPTIED, Decision.KEEP),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.EMPTIED): (ValidatorState.TRUSTING, Decision.TAKE),
 }
 
 
 class Doubt(NamedTuple):
-    """Why a list is passed over, and whether it is believed if it is told again."""
+    """Why a list is not taken."""
 
     reason: str
     again: bool
+    """Whether it is fetched again at once, and believed if it comes again."""
 
 
 class SnapshotValidator:
-    """One for each sidecar. source: the address that tells; each counts for itself."""
+    """Validates the lists that one sidecar gets.
+
+    Attributes:
+        state: Whether the last snapshot was taken.
+        source: The address that sent the last list; each address counts its own versions.
+        version: The version of the last list that was taken from this source.
+    """
+
+    def __init__(self) -> None:
+        self.state = ValidatorState.TRUSTING
+        self.source: object = None
+        self.version = 0
+
+    def doubt(
+        self, source: object, version: int, whole: bool, names: int, known: int
+    ) -> Doubt | None:
+        """Decides whether a list is taken.
 
-    def __init__(self):
-        self.state, self.source, self.version = FIRM, None, None
+        Args:
+            source: The address that sent it.
+            version: Its version.
+            whole: Whether it is a snapshot, rather than changes.
+            names: How many endpoints it names.
+            known: How many endpoints are known now.
 
-    def doubt(self, source, version, whole, names, known):
-        """The Doubt of a list of this version, which names so many, while so many are known; None where it is taken,
-        and its version is the last."""
+        Returns:
+            Why it is not taken; None where it is, and its version is then the last.
+        """
         if source != self.source:
-            self.state, self.source, self.version = FIRM, source, version
+            self.state = ValidatorState.TRUSTING
+            self.source = source
+            self.version = version
         if whole and known and not names:
-            what = EMPTIED if version > self.version else EMPTY
+            kind = SnapshotKind.EMPTIED if version > self.version else SnapshotKind.EMPTY
+        elif whole and version < self.version:
+            kind = SnapshotKind.OLDER
         else:
-            what = OLDER if whole and version < self.version else NEWER
-        self.state, effect = BELIEF[self.state, what]
-        if effect != TAKE:
-            reason = f"is older than {self.version}" if what == OLDER else "names no pod"
-            return Doubt(f"version {version} {reason}", effect == ASK)
+            kind = SnapshotKind.NEWER
+        self.state, decision = TRANSITIONS[self.state, kind]
+        if decision != Decision.TAKE:
+            reason = (
+                f"is older than {self.version}" if kind == SnapshotKind.OLDER else "names no pod"
+            )
+            return Doubt(f"version {version} {reason}", decision == Decision.FETCH_AGAIN)
         self.version = version
         return None
--- a/thymeknot/protocol/calls.py
+++ b/thymeknot/protocol/calls.py
@@ -7,12 +7,10 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from ..polling.adaptive_interval import (
-    LONGEST,
-    LONGEST_FREE,
-    LOST,
-    REFUSED,
-    SPOILT,
+    MAX_DEDICATED_INTERVAL,
+    MAX_INTERVAL,
     AdaptiveInterval,
+    CallResult,
 )
 from . import http
 from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter
@@ -113,7 +111,9 @@
                     self.owner.heard(self)
         except Exception as error:  # what can't be read ends this connection alone
             self.owner.ended(
-                self, f"unreadable: {error}"[:MOST_REASON], how=getattr(error, "how", SPOILT)
+                self,
+                f"unreadable: {error}"[:MOST_REASON],
+                how=getattr(error, "how", CallResult.MALFORMED),
             )
             self.drop()
 
@@ -123,7 +123,7 @@
 
     def not_connected(self, broken):
         self.over = True
-        self.owner.ended(self, broken.reason, how=LOST)
+        self.owner.ended(self, broken.reason, how=CallResult.LOST)
 
     def dial_late(self):
         if self.transport is None:
@@ -211,7 +211,7 @@
             silence,
             free,
         )
-        self.pace = AdaptiveInterval(chance.draw, LONGEST_FREE if free else LONGEST)
+        self.pace = AdaptiveInterval(chance.draw, MAX_DEDICATED_INTERVAL if free else MAX_INTERVAL)
         self.ask, self.reader, self.log = ask, reader, log
         self.stream, self.asked, self.last, self.again, self.look = None, None, 0, None, None
 
@@ -264,8 +264,8 @@
             asked, self.asked = self.asked, None
             asked.drop()
 
-    def ended(self, stream, reason, how=REFUSED):
-        """how: REFUSED where the peer ended it, SPOILT where it made no sense; no connection and silence are LOST."""
+    def ended(self, stream, reason, how=CallResult.REFUSED):
+        """how: REFUSED where the peer ended it, MALFORMED where it made no sense; no connection and silence are LOST."""
         if not self.has(stream):
             return
         now = self.timers.clock()
@@ -300,7 +300,7 @@
     def _still_asked(self, asked):
         if asked is self.asked:
             self.quiet += 1
-            self.ended(asked, "says nothing", how=LOST)
+            self.ended(asked, "says nothing", how=CallResult.LOST)
             asked.drop()
             if self.free:
                 self.timers.cancel(self.again)
--- a/thymeknot/protocol/discovery.py
+++ b/thymeknot/protocol/discovery.py
@@ -7,7 +7,7 @@
 
 from ..interface.enums import EndpointCondition, UpdateKind
 from ..interface.events import Endpoint, EndpointUpdate
-from ..polling.adaptive_interval import REFUSED, STOOD
+from ..polling.adaptive_interval import CallResult
 from . import http
 
 PATH = "/v1/servers"
@@ -46,7 +46,7 @@
 
     def __init__(self, reason, again):
         super().__init__(reason)
-        self.how = STOOD if again else REFUSED
+        self.how = CallResult.ESTABLISHED if again else CallResult.REFUSED
 
 
 class EndpointListing(NamedTuple):
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -3,7 +3,7 @@
 
 from collections import deque
 
-from ..polling.adaptive_interval import REFUSED, AdaptiveInterval
+from ..polling.adaptive_interval import AdaptiveInterval, CallResult
 
 PATIENCE, ROOM = 20_000, 2.2  # a call waits in turn so long; waiting calls, in seconds of answers
 NO_ROOM = 500  # until one is told that there is none
@@ -74,7 +74,9 @@
             if good:
                 self.told(instance, turn, True)
             elif watch or self.standing.get(instance) != turn:
-                wait = pace.ended(REFUSED) if watch else 10_000 + int(pace.draw() * 10_000)
+                wait = (
+                    pace.ended(CallResult.REFUSED) if watch else 10_000 + int(pace.draw() * 10_000)
+                )
                 self.at(self.now() + wait, self._ask, instance, turn, pace, watch)
 
         if self.told(instance, turn, False):  # else it has died since
