--- a/thymeknot/interface/actions.py
+++ b/thymeknot/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions that an instance asks for."""
+"""Actions that a decision engine asks its host to carry out."""
 
 from typing import NamedTuple
 
@@ -7,7 +7,7 @@
 
 
 class SendAttempt(NamedTuple):
-    """Send the request to this endpoint, with this time-out."""
+    """Send the request to this endpoint, with this timeout."""
 
     id: str
     endpoint: str
@@ -15,27 +15,28 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Give up the attempt of this number."""
+    """Cancel the attempt of this number of a request."""
 
     id: str
     number: int
 
 
 class Reject(NamedTuple):
-    """The final answer: refused, with the promise of no effect. `retry_after`: 0 says nothing of when."""
+    """The final response: rejected, with the promise that the request has had no effect."""
 
     id: str
     retry_after: Ticks
+    """When the client may try again; 0 says nothing about it."""
 
 
 class Fail(NamedTuple):
-    """The final answer: failed, and it may have run."""
+    """The final response: failed, and the request may have run."""
 
     id: str
 
 
 class SetTimer(NamedTuple):
-    """Tell TimerFired with this token at this moment."""
+    """Report TimerFired with this token at this moment."""
 
     at: Ticks
     token: int
@@ -54,24 +55,25 @@
 
 
 class SendPeerMessage(NamedTuple):
-    """Send a message to another instance, or to all if `peer` is None."""
+    """Send a message to another instance."""
 
     peer: int | None
+    """The number of the instance; None for all others."""
     content: bytes
 
 
 class SubscribeToEndpoints(NamedTuple):
-    """Ask for the endpoint list, or no longer."""
+    """Start or end the subscription to the endpoint list."""
 
     on: bool
 
 
 class FetchEndpoints(NamedTuple):
-    """Ask for the whole endpoint list once."""
+    """Fetch a full snapshot of the endpoint list once."""
 
 
 class CastVote(NamedTuple):
-    """Vote on a stage of a build."""
+    """Vote on a stage of the rollout of a build."""
 
     build: int
     stage: int
@@ -79,7 +81,7 @@
 
 
 class LogNote(NamedTuple):
-    """Log a line for those on call."""
+    """Log a line for the operators."""
 
     text: str
 
--- a/thymeknot/interface/clock.py
+++ b/thymeknot/interface/clock.py
@@ -5,4 +5,4 @@
 Ticks: TypeAlias = int
 """A moment or a duration in tenths of a millisecond."""
 
-TICKS_PER_SECOND = 10_000
+TICKS_PER_SECOND: Ticks = 10_000
--- a/thymeknot/interface/enums.py
+++ b/thymeknot/interface/enums.py
@@ -1,4 +1,7 @@
-"""Codes that events, actions and settings carry. Their values are logged and stored, so they never change."""
+"""Codes that events, actions and settings carry.
+
+Their values are logged and stored, so they never change.
+"""
 
 from enum import IntEnum, StrEnum
 
@@ -8,12 +11,16 @@
 
     DONE = "done"
     ERROR = "error"
+    """The endpoint answered with an error of the application."""
     REJECTED = "full"
+    """The endpoint rejected it because of overload, and did not run it."""
     TIMED_OUT = "expired"
     CONNECT_FAILED = "unconnected"
     RESET = "reset"
+    """The connection was lost before the response was complete."""
     CANCELLED = "recalled"
     NOT_SENT = "unsent"
+    """Nothing of it was written."""
 
 
 class Idempotency(StrEnum):
@@ -21,12 +28,12 @@
 
     IDEMPOTENT = "retriable"
     KEYED = "fingerprinted"
-    """Repeats carry an idempotency key, by which endpoints drop them for a while."""
+    """Retries carry an idempotency key, by which endpoints drop them for a while."""
     NON_IDEMPOTENT = "binding"
 
 
 class DeduplicationScope(StrEnum):
-    """Which endpoints drop the repeats of a request with an idempotency key."""
+    """Which endpoints recognise the retries of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -34,12 +41,14 @@
 
 
 class UpdateKind(StrEnum):
-    """What an endpoint list is."""
+    """What an update of the endpoint list is."""
 
     DELTA = "changes"
     FULL = "whole"
     CACHED = "remembered"
+    """A full list that was stored earlier."""
     FETCH_FAILED = "missed"
+    """No list: the fetch failed."""
 
 
 class EndpointCondition(StrEnum):
@@ -60,7 +69,7 @@
 
 
 class Verdict(IntEnum):
-    """What a vote says of the build on trial."""
+    """What a vote says about the build on trial."""
 
     ABSTAIN = 0
     PROMOTE = 1
@@ -69,7 +78,7 @@
 
 
 class PromotionMode(StrEnum):
-    """Who moves a build on."""
+    """What promotes a build to its next stage."""
 
     FIRST_VOTE = "first voice"
     QUORUM = "by count"
@@ -77,4 +86,4 @@
 
 
 UTILISATION = "utilisation"
-"""The value of a load report that tells how busy the cores are."""
+"""The name of the value of a load report that says how busy the cores are."""
--- a/thymeknot/interface/reasons.py
+++ b/thymeknot/interface/reasons.py
@@ -1,37 +1,67 @@
-"""Why something was decided: a closed table of numbers that the decisions name as they decide. Operands come in the
-order given here, as numbers but for pods and outcomes; times are tenths of a millisecond. Sentences: why/sentences.py.
+"""Why something was decided: the closed table of reasons that the decision log records.
+
+Each reason has operands, in the order given beside it. They are numbers, except endpoints (their
+addresses) and outcomes; times are ticks. The sentences that explain them to operators are in
+decision_log/explanations.py.
 """
 
 from enum import IntEnum
 
 
 class Reason(IntEnum):
-    """Numbers are kept for ever: records on disk hold them."""
+    """Why something was decided. The numbers never change: records on disk hold them."""
 
-    POSITION = 1  # on which side of the ramp: position, ramp, cap
-    STAYS = 2  # the key was answered by the newest build: keys that stay so
-    ASTRAY = 3  # off the trial: deliveries before, whether the key failed there, whether it is hot
-    GUARDED = 4  # the trial's stage is for retriable lanes alone: stage, guarded stages
-    EXPOSURE = 5  # the trial's allowance is used up: deliveries there, taken, cap, allowance
-    CLOSED = 6  # the trial takes nothing now: phase, cap
-    SENT = 7  # delivery: pod, its build, whether the newest, time-out, the pod's cost
-    UNREACHABLE = 8  # pods passed over until they are asked again: how many
-    DOUBTED = 9  # pods passed over by hearsay: how many
-    USED = 10  # pods passed over as this transaction was there already: how many
-    COLD = 11  # cold pods whose room is used up: how many
-    OUTSIDE = 12  # pods that would not drop a repeat: how many
-    NO_POD = 13  # nothing will do: ready pods, whether of the newest build
-    OVER_LIMIT = 14  # more open than answers come for: open, limit
-    BY_LOT = 15  # a quiet instance with slow answers: pressure, chance
-    NO_NEWS = 16  # nothing was told of builds yet
-    MOST_DELIVERIES = 17  # deliveries made, most
-    TIME_OVER = 18  # no time left: left, the lane's mean
-    NO_BUDGET = 19  # too many repeated lately: retries left
-    MAY_HAVE_RUN = 20  # repeating could run it twice: the pod where it may have run, for how long
-    ENDED = 21  # a delivery's end: pod, number, outcome, latency, whether proved not run
-    DEFERRED = 22  # the final answer: wait
-    ABANDONED = 23  # the final answer: the pod where it may have run
-    DONE = 24  # the final answer: latency
-    LEFT = 25  # the client went away
-    VOTED = 26  # build, stage, verdict, doubt, seen
-    SECOND_COPY = 27  # sent beside a slow one: wait
+    POSITION = 1
+    """The key's position chose the side of the traffic split: position, ramp, cap."""
+    STAYS = 2
+    """Sticky: the newest build has answered this key. Operand: how many keys are sticky."""
+    ASTRAY = 3
+    """Kept off the build on trial: attempts before, whether the key failed there, whether hot."""
+    GUARDED = 4
+    """The stage is open to idempotent request classes alone: stage, guarded stages."""
+    EXPOSURE = 5
+    """The exposure budget is used up: attempts there, requests taken, cap, allowance."""
+    CLOSED = 6
+    """The build on trial takes no requests now: phase, cap."""
+    SENT = 7
+    """An attempt: endpoint, its build, whether it is the newest, timeout, the endpoint's cost."""
+    UNREACHABLE = 8
+    """Endpoints passed over because they are ejected: how many."""
+    DOUBTED = 9
+    """Endpoints passed over because peers suspect them: how many."""
+    USED = 10
+    """Endpoints passed over because this request was sent there before: how many."""
+    COLD = 11
+    """Endpoints passed over because they are warming up and have no room: how many."""
+    OUTSIDE = 12
+    """Endpoints passed over because they would not deduplicate a retry: how many."""
+    NO_POD = 13
+    """No endpoint is suitable: ready endpoints, whether of the newest build."""
+    OVER_LIMIT = 14
+    """More requests are in flight than are answered in time: in flight, limit."""
+    BY_LOT = 15
+    """Load shedding at random, where an instance has slow responses: pressure, random share."""
+    NO_NEWS = 16
+    """No release update has come yet."""
+    MOST_DELIVERIES = 17
+    """The limit of attempts is reached: attempts made, limit."""
+    TIME_OVER = 18
+    """No time is left: time left, the request class's mean latency."""
+    NO_BUDGET = 19
+    """The retry budget is used up: retries left."""
+    MAY_HAVE_RUN = 20
+    """A retry might run the request twice: the endpoint where it may have run, for how long."""
+    ENDED = 21
+    """An attempt's end: endpoint, number, outcome, latency, whether it provably did not run."""
+    DEFERRED = 22
+    """The final response, rejected: retry-after."""
+    ABANDONED = 23
+    """The final response, failed: the endpoint where it may have run."""
+    DONE = 24
+    """The final response, good: latency."""
+    LEFT = 25
+    """The client has disconnected."""
+    VOTED = 26
+    """A vote: build, stage, verdict, doubt, seen."""
+    SECOND_COPY = 27
+    """A hedged request beside a slow attempt: wait."""
