--- a/thymeknot/simulator_wire/__init__.py
+++ b/thymeknot/simulator_wire/__init__.py
@@ -1,1 +1,4 @@
-"""The line protocol of the users' simulator: its lines, and a host of instances on standard input and output."""
+"""The line protocol of the users' simulator.
+
+The modules translate its lines, and host instances on standard input and output.
+"""
--- a/thymeknot/simulator_wire/codec.py
+++ b/thymeknot/simulator_wire/codec.py
@@ -1,8 +1,15 @@
-"""The simulator's wire: its lines to events and Terms, actions to its lines. Names and units only."""
+"""Translates the lines of the simulator's protocol to events and settings, and actions to lines.
+
+Only names and units change here. The words of the lines and of the settings are the simulator's;
+its times are nanoseconds.
+"""
 
 import base64
+from collections.abc import Callable, Iterable, Sequence
+from typing import Any, NamedTuple, TypeVar
 
 from ..interface.actions import (
+    Action,
     CancelAttempt,
     CastVote,
     CloseIdleConnections,
@@ -16,6 +23,7 @@
     SetTimer,
     SubscribeToEndpoints,
 )
+from ..interface.clock import Ticks
 from ..interface.enums import (
     UTILISATION,
     DeduplicationScope,
@@ -31,6 +39,7 @@
     ClientDisconnected,
     ComplaintReceived,
     Endpoint,
+    Event,
     FleetCounts,
     PeerMessage,
     ProbeEnded,
@@ -41,11 +50,15 @@
 )
 from ..interface.settings import ConnectionLimits, RequestClass, Settings
 
-UNIT = 100_000  # nanoseconds in a tenth of a millisecond
-LEAST_RATE = 1e-6  # a second; less is no rate, and the time between two leaves the numbers
-MOST = (
-    2**63
-)  # of a whole number: more may not be a float any more, and ends in the middle of a decision
+Value = TypeVar("Value")
+Decoder = Callable[[str], Any]
+"""Reads one value of a line. Raises ValueError or KeyError."""
+
+NANOSECONDS_PER_TICK = 100_000
+# Per second: the time between two events of a lower rate would leave the range of the numbers.
+MIN_RATE = 1e-6
+# Of a whole number: a larger one may not fit a float, which would fail within a decision.
+MAX_INTEGER = 2**63
 
 OUTCOMES = {
     "delivered": Outcome.DONE,
@@ -57,7 +70,7 @@
     "revoked": Outcome.CANCELLED,
     "unused": Outcome.NOT_SENT,
 }
-LIST_KINDS = {
+UPDATE_KINDS = {
     "delta": UpdateKind.DELTA,
     "full": UpdateKind.FULL,
     "cached": UpdateKind.CACHED,
@@ -68,25 +81,25 @@
     "fading": EndpointCondition.DRAINING,
     "off": EndpointCondition.GONE,
 }
-EFFECTS = {
+IDEMPOTENCY = {
     "idempotent": Idempotency.IDEMPOTENT,
     "deduplicated": Idempotency.KEYED,
     "at_most_once": Idempotency.NON_IDEMPOTENT,
 }
-GROUPS = {
+DEDUPLICATION_SCOPES = {
     "all": DeduplicationScope.ALL,
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.CELL,
 }
-DECIDERS = {
+PROMOTION_MODES = {
     "first_voice": PromotionMode.FIRST_VOTE,
     "by_count": PromotionMode.QUORUM,
     "automatic": PromotionMode.TIMER,
 }
-DISCOVERIES = {"automatic": False, "subscribe": True}
-SWAPS = {"parallel": False, "replace": True}
-COUNTS = {"all": False, "each_class": True}
-REPORTS = {"busy": UTILISATION}
+LISTS_POLLED = {"automatic": False, "subscribe": True}
+REPLACES_MACHINES = {"parallel": False, "replace": True}
+EXPOSURE_BY_CLASS = {"all": False, "each_class": True}
+LOAD_METRICS = {"busy": UTILISATION}
 PHASES = {
     "0": ReleasePhase.ON_TRIAL,
     "1": ReleasePhase.ROLLING_BACK,
@@ -94,82 +107,114 @@
     "3": ReleasePhase.WITHDRAWN,
 }
 FLAGS = {"0": False, "1": True}
-BOOLS = {"false": False, "true": True, "0": False, "1": True}
+BOOLEANS = {"false": False, "true": True, "0": False, "1": True}
 
 
 class MalformedLineError(ValueError):
-    """A line that the wire does not allow."""
+    """A line that the protocol does not allow."""
 
 
-def read_time(text):
-    return int(text) // UNIT
+def read_time(text: str) -> Ticks:
+    """Returns the ticks of a number of nanoseconds. Raises ValueError."""
+    return int(text) // NANOSECONDS_PER_TICK
 
 
-def _count(text):
+def _count(text: str) -> int:
     value = int(text)
-    if not 0 <= value <= MOST:
+    if not 0 <= value <= MAX_INTEGER:
         raise ValueError(f"not from 0 to 2^63: {text}")
     return value
 
 
-def _span(text):
-    return _count(text) // UNIT
+def _duration(text: str) -> Ticks:
+    return _count(text) // NANOSECONDS_PER_TICK
 
 
-def _text(text):
+def _text(text: str) -> str:
     if text == "-" or not text:
         raise ValueError("empty")
     return text
 
 
-def _maybe(decode):
+def _optional(decode: Decoder) -> Decoder:
     return lambda text: None if text == "-" else decode(text)
 
 
-def _tenant(text):
+def _tenant(text: str) -> str | None:
     return None if text in ("-", "0") else text
 
 
-def _load(text):
-    return None if text == "-" else tuple(float(v) for v in text.split(","))
+def _load(text: str) -> tuple[float, ...] | None:
+    return None if text == "-" else tuple(float(value) for value in text.split(","))
 
 
-def _content(text):
+def _content(text: str) -> bytes:
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
-def _since(text):
-    return 0 if text == "-" else int(text) // UNIT
+def _start_time(text: str) -> Ticks:
+    return 0 if text == "-" else read_time(text)
+
+
+_outcome = OUTCOMES.__getitem__
+_flag = FLAGS.__getitem__
+_phase = PHASES.__getitem__
 
 
-_OUTCOME, _FLAG, _PHASE = OUTCOMES.__getitem__, FLAGS.__getitem__, PHASES.__getitem__
+class EventLine(NamedTuple):
+    """How a line is read as an event."""
+
+    event: Callable[..., Event]
+    decoders: tuple[Decoder, ...]
+    """How each field of the event is read, in the event's order."""
+    places: tuple[int, ...] | None = None
+    """The place of each field on the line; None where the line has the event's order."""
+
 
-# Message name -> (event, how each value is read, in the event's order, places of the values on the line).
 EVENTS = {
-    "INGRESS": (
+    "INGRESS": EventLine(
         RequestReceived,
-        (_text, _text, _tenant, _maybe(_text), read_time, _maybe(_span), _FLAG, _FLAG),
-        None,
+        (
+            _text,
+            _text,
+            _tenant,
+            _optional(_text),
+            read_time,
+            _optional(_duration),
+            _flag,
+            _flag,
+        ),
     ),
-    "FIRST": (ResponseStarted, (_text, _text, _count, _span), (0, 2, 3, 1)),
-    "RESULT": (AttemptEnded, (_text, _OUTCOME, _FLAG, _span, _text, _count, _load), None),
-    "GONE": (ClientDisconnected, (_text,), None),
-    "TICK_DUE": (TimerFired, (_count,), None),
-    "HEALTH": (ProbeEnded, (_text, _OUTCOME, _span, _load), None),
-    "MAIL": (PeerMessage, (_count, _content), None),
-    "ROLLOUT_STATE": (
+    "FIRST": EventLine(ResponseStarted, (_text, _text, _count, _duration), (0, 2, 3, 1)),
+    "RESULT": EventLine(AttemptEnded, (_text, _outcome, _flag, _duration, _text, _count, _load)),
+    "GONE": EventLine(ClientDisconnected, (_text,)),
+    "TICK_DUE": EventLine(TimerFired, (_count,)),
+    "HEALTH": EventLine(ProbeEnded, (_text, _outcome, _duration, _load)),
+    "MAIL": EventLine(PeerMessage, (_count, _content)),
+    "ROLLOUT_STATE": EventLine(
         ReleaseUpdate,
-        (_count, _maybe(_count), _maybe(_PHASE), _FLAG, _OUTCOME, _maybe(float), _maybe(_span)),
-        None,
+        (
+            _count,
+            _optional(_count),
+            _optional(_phase),
+            _flag,
+            _outcome,
+            _optional(float),
+            _optional(_duration),
+        ),
     ),
-    "PLATFORM_SAW": (FleetCounts, (_count, _text, _count, _count, _span, _span), None),
-    "FLAGGED": (ComplaintReceived, (_span, _text, _text), None),
+    "PLATFORM_SAW": EventLine(FleetCounts, (_count, _text, _count, _count, _duration, _duration)),
+    "FLAGGED": EventLine(ComplaintReceived, (_duration, _text, _text)),
 }
 
 
-def read_event(name, values):
-    """The event of a line: its name and the values after the instance."""
-    shape, decoders, places = EVENTS[name]
+def read_event(name: str, values: Sequence[str]) -> Event:
+    """Returns the event of a line: its name and the values after the instance.
+
+    Raises:
+        MalformedLineError: The number of values or one of them is wrong.
+    """
+    event, decoders, places = EVENTS[name]
     if len(values) != len(decoders):
         raise MalformedLineError(
             f"{name} takes {len(decoders)} values after the instance, not {len(values)}"
@@ -177,13 +222,17 @@
     if places:
         values = [values[place] for place in places]
     try:
-        return shape(*[decode(value) for decode, value in zip(decoders, values)])
+        return event(*[decode(value) for decode, value in zip(decoders, values)])
     except (ValueError, KeyError) as error:
         raise MalformedLineError(f"{name}: bad value ({error})") from None
 
 
-def read_endpoint(values):
-    """The pod of an ENTRY line."""
+def read_endpoint(values: Sequence[str]) -> Endpoint:
+    """Returns the endpoint of an ENTRY line.
+
+    Raises:
+        MalformedLineError: The number of values or one of them is wrong.
+    """
     try:
         zone, size, cell, condition, started, address, machine, build = values
         return Endpoint(
@@ -192,7 +241,7 @@
             float(size),
             int(cell),
             CONDITIONS[condition],
-            _since(started),
+            _start_time(started),
             machine,
             int(float(build)),
         )
@@ -201,186 +250,213 @@
 
 
 class _SettingPairs:
-    """The pairs of a NEW_INSTANCE line, each asked for by name."""
+    """The name=value pairs of a NEW_INSTANCE line, each read by name."""
 
-    def __init__(self, pairs):
-        self.values = dict(pair.partition("=")[::2] for pair in pairs)
+    def __init__(self, pairs: Iterable[str]) -> None:
+        self._values: dict[str, str] = dict(pair.partition("=")[::2] for pair in pairs)
 
-    def read(self, name, decode, unheard=None, heard=True):
-        """unheard: what stands for a setting that may be left out, as no decision looks at it where it is not heard."""
-        if not heard and self.values.get(name, "-") == "-":
-            return unheard
-        if name not in self.values:
+    def read(self, name: str, decode: Callable[[str], Value]) -> Value:
+        """Returns the value of a setting. Raises MalformedLineError."""
+        if name not in self._values:
             raise MalformedLineError(f"required setting {name} is missing")
         try:
-            value = decode(self.values[name])
+            return decode(self._values[name])
         except (ValueError, KeyError):
             raise MalformedLineError(
-                f"setting {name} makes no sense: {self.values[name]!r}"
+                f"setting {name} makes no sense: {self._values[name]!r}"
             ) from None
-        return value
+
+    def read_if(
+        self, required: bool, name: str, decode: Callable[[str], Value], default: Value
+    ) -> Value:
+        """Returns the value of a setting, or the default where it is neither required nor there."""
+        if not required and self._values.get(name, "-") == "-":
+            return default
+        return self.read(name, decode)
 
 
-def _positive(text):
+def _positive(text: str) -> float:
     value = float(text)
     if not 0 < value < float("inf"):
         raise ValueError(text)
     return value
 
 
-def _rate(text):
+def _rate(text: str) -> float:
     value = _positive(text)
-    if value < LEAST_RATE:
+    if value < MIN_RATE:
         raise ValueError(text)
     return value
 
 
-def _length(text):
-    value = _span(text)
+def _positive_duration(text: str) -> Ticks:
+    value = _duration(text)
     if not value:
         raise ValueError(text)
     return value
 
 
-def _share(text):
+def _fraction(text: str) -> float:
     value = float(text)
     if not 0 <= value <= 1:
         raise ValueError(text)
     return value
 
 
-def _shares(text):
-    return tuple(_share(share) for share in text.split(","))
+def _fractions(text: str) -> tuple[float, ...]:
+    return tuple(_fraction(fraction) for fraction in text.split(","))
 
 
-def _report_names(text):
-    return tuple(REPORTS.get(name, name) for name in text.split(",") if name)
+def _load_metrics(text: str) -> tuple[str, ...]:
+    return tuple(LOAD_METRICS.get(name, name) for name in text.split(",") if name)
 
 
-def _whole(text):
+def _positive_count(text: str) -> int:
     value = _count(text)
     if not value:
         raise ValueError(text)
     return value
 
 
-def _voters(text):
-    return max(1, _count(text))  # where none is needed each votes as if it decided alone
+def _voters(text: str) -> int:
+    return max(1, _count(text))  # where none is needed each instance votes as if it decided alone
 
 
-def _amount(text):
+def _amount(text: str) -> float:
     value = float(text)
     if not 0 <= value < float("inf"):
         raise ValueError(text)
     return value
 
 
-def _lane(read, at):
-    def own(name, *how):
-        return read(f"categories.{at}.{name}", *how)
+_boolean = BOOLEANS.__getitem__
 
-    name, effect = own("name", _text), own("semantics", EFFECTS.__getitem__)
-    marked = effect == Idempotency.KEYED
+
+def _request_class(settings: _SettingPairs, index: int) -> RequestClass:
+    prefix = f"categories.{index}."
+    name = settings.read(prefix + "name", _text)
+    idempotency = settings.read(prefix + "semantics", IDEMPOTENCY.__getitem__)
+    keyed = idempotency == Idempotency.KEYED
     return RequestClass(
-        name,
-        effect,
-        own("key_scope", GROUPS.__getitem__, DeduplicationScope.ALL, marked),
-        own("window", _span, 0, marked),
-        own("promise", _length),
-        own("give_up", _length),
-        own("worth", _amount),
-        own("late_worth", _amount),
+        name=name,
+        idempotency=idempotency,
+        deduplication_scope=settings.read_if(
+            keyed,
+            prefix + "key_scope",
+            DEDUPLICATION_SCOPES.__getitem__,
+            DeduplicationScope.ALL,
+        ),
+        deduplication_window=settings.read_if(keyed, prefix + "window", _duration, 0),
+        latency_objective=settings.read(prefix + "promise", _positive_duration),
+        outer_limit=settings.read(prefix + "give_up", _positive_duration),
+        priority_weight=settings.read(prefix + "worth", _amount),
+        late_priority_weight=settings.read(prefix + "late_worth", _amount),
     )
 
 
-def read_settings(pairs):
-    """The Terms of a NEW_INSTANCE line's settings."""
-    read = _SettingPairs(pairs).read
-    request_classes = [_lane(read, at) for at in range(read("categories.count", _whole))]
-    bools = BOOLS.__getitem__
-    names = set()
-    for at, request_class in enumerate(request_classes):
-        if request_class.name in names:  # one of them would be served by the limits of the other
+def _request_classes(settings: _SettingPairs) -> dict[str, RequestClass]:
+    count = settings.read("categories.count", _positive_count)
+    request_classes = [_request_class(settings, index) for index in range(count)]
+    by_name: dict[str, RequestClass] = {}
+    for index, request_class in enumerate(request_classes):
+        if request_class.name in by_name:  # one would be served by the limits of the other
             raise MalformedLineError(
-                f"setting categories.{at}.name comes twice: {request_class.name!r}"
+                f"setting categories.{index}.name comes twice: {request_class.name!r}"
             )
-        names.add(request_class.name)
-    subscribes, retry_after = (
-        read("discovery", DISCOVERIES.__getitem__),
-        read("permissions.retry_after", bools),
-    )
+        by_name[request_class.name] = request_class
+    return by_name
+
+
+def read_settings(pairs: Iterable[str]) -> Settings:
+    """Returns the settings of a NEW_INSTANCE line's name=value pairs.
+
+    Raises:
+        MalformedLineError: A setting is missing, comes twice or makes no sense; it is named.
+    """
+    settings = _SettingPairs(pairs)
+    read = settings.read
+    read_if = settings.read_if
+    request_classes = _request_classes(settings)
+    lists_polled = read("discovery", LISTS_POLLED.__getitem__)
+    retry_after_allowed = read("permissions.retry_after", _boolean)
     return Settings(
-        request_classes={request_class.name: request_class for request_class in request_classes},
-        instances=read("balancers", _whole),
-        lists_polled=subscribes,
-        max_attempts=read("permissions.max_attempts", _whole),
-        max_retry_after=read("permissions.max_retry_after", _span, 0, retry_after),
-        hedging_allowed=read("permissions.second_copies", bools),
-        cancellation_allowed=read("permissions.may_cancel", bools),
-        retry_after_allowed=retry_after,
-        load_metrics=read("stats.names", _report_names, (), False),
-        poll_within=read("rules.ask_within", _span, 0, subscribes),
-        warmup_initial_fraction=read("rules.cold_from", _share),
-        warmup_duration=read("rules.cold", _span),
+        request_classes=request_classes,
+        instances=read("balancers", _positive_count),
+        lists_polled=lists_polled,
+        max_attempts=read("permissions.max_attempts", _positive_count),
+        max_retry_after=read_if(retry_after_allowed, "permissions.max_retry_after", _duration, 0),
+        hedging_allowed=read("permissions.second_copies", _boolean),
+        cancellation_allowed=read("permissions.may_cancel", _boolean),
+        retry_after_allowed=retry_after_allowed,
+        load_metrics=read_if(False, "stats.names", _load_metrics, ()),
+        poll_within=read_if(lists_polled, "rules.ask_within", _duration, 0),
+        warmup_initial_fraction=read("rules.cold_from", _fraction),
+        warmup_duration=read("rules.cold", _duration),
         overload_factor=read("rules.fall_multiple", _positive),
-        overload_window=read("rules.overload_for", _length),
-        exposure_window=read("extra.window", _length),
+        overload_window=read("rules.overload_for", _positive_duration),
+        exposure_window=read("extra.window", _positive_duration),
         exposure_allowance=read("extra.allowance", _amount),
         guarded_stages=read("extra.guarded_stages", _count),
-        stage_fractions=read("extra.waves", _shares),
-        exposure_by_class=read("extra.counts", COUNTS.__getitem__),
-        sticky_keys=read("extra.keys_stay", bools),
-        replaces_machines=read("extra.swap", SWAPS.__getitem__),
-        promotion_mode=read("extra.decided_by", DECIDERS.__getitem__),
+        stage_fractions=read("extra.waves", _fractions),
+        exposure_by_class=read("extra.counts", EXPOSURE_BY_CLASS.__getitem__),
+        sticky_keys=read("extra.keys_stay", _boolean),
+        replaces_machines=read("extra.swap", REPLACES_MACHINES.__getitem__),
+        promotion_mode=read("extra.decided_by", PROMOTION_MODES.__getitem__),
         votes_to_revert=read("extra.votes_to_revert", _voters),
-        vote_lifetime=read("extra.vote_life", _length),
-        vote_timeout=read("extra.vote_wait", _length),
+        vote_lifetime=read("extra.vote_life", _positive_duration),
+        vote_timeout=read("extra.vote_wait", _positive_duration),
         votes_per_second=read("extra.calls_per_s", _rate),
     )
 
 
-def read_connection_limits(pairs):
-    """The bounds of connections among the same settings."""
+def read_connection_limits(pairs: Iterable[str]) -> ConnectionLimits:
+    """Returns the limits of connections among the same pairs.
+
+    Raises:
+        MalformedLineError: A setting is missing or makes no sense; it is named.
+    """
     read = _SettingPairs(pairs).read
     return ConnectionLimits(
-        connect_timeout=read("permissions.connect_timeout", _length),
-        idle_timeout=read("permissions.conn_idle", _length),
-        max_open=read("permissions.max_open", _whole),
+        connect_timeout=read("permissions.connect_timeout", _positive_duration),
+        idle_timeout=read("permissions.conn_idle", _positive_duration),
+        max_open=read("permissions.max_open", _positive_count),
     )
 
 
-# Action -> the words that follow the instance on its line.
-ACTIONS = {
-    SendAttempt: lambda a: f"TRY {{}} {a.id} {a.endpoint} {a.timeout * UNIT}",
-    CancelAttempt: lambda a: f"ABANDON {{}} {a.id} {a.number}",
-    Reject: lambda a: f"REJECT {{}} {a.id} {a.retry_after * UNIT}",
-    Fail: lambda a: f"RESPOND_ERROR {{}} {a.id}",
-    SetTimer: lambda a: f"NOTIFY_ME {{}} {a.at * UNIT} {a.token}",
-    ProbeEndpoint: lambda a: f"TEST {{}} {a.endpoint}",
-    CloseIdleConnections: lambda a: f"SHUT_IDLE {{}} {a.endpoint}",
-    SendPeerMessage: lambda a: (
-        f"POST {{}} {'all' if a.peer is None else a.peer} {_base64(a.content)}"
+# Action -> its line, with {} for the instance.
+ACTIONS: dict[type, Callable[[Any], str]] = {
+    SendAttempt: lambda action: (
+        f"TRY {{}} {action.id} {action.endpoint} {action.timeout * NANOSECONDS_PER_TICK}"
+    ),
+    CancelAttempt: lambda action: f"ABANDON {{}} {action.id} {action.number}",
+    Reject: lambda action: f"REJECT {{}} {action.id} {action.retry_after * NANOSECONDS_PER_TICK}",
+    Fail: lambda action: f"RESPOND_ERROR {{}} {action.id}",
+    SetTimer: lambda action: f"NOTIFY_ME {{}} {action.at * NANOSECONDS_PER_TICK} {action.token}",
+    ProbeEndpoint: lambda action: f"TEST {{}} {action.endpoint}",
+    CloseIdleConnections: lambda action: f"SHUT_IDLE {{}} {action.endpoint}",
+    SendPeerMessage: lambda action: (
+        f"POST {{}} {'all' if action.peer is None else action.peer} {_base64(action.content)}"
     ),
-    SubscribeToEndpoints: lambda a: f"TAIL {{}} {int(a.on)}",
-    FetchEndpoints: lambda a: "FETCH {}",
-    CastVote: lambda a: f"VERDICT {{}} {a.build} {a.stage} {a.verdict}",
-    LogNote: lambda a: f"TRACE {{}} {_plain(a.text)}",
+    SubscribeToEndpoints: lambda action: f"TAIL {{}} {int(action.on)}",
+    FetchEndpoints: lambda action: "FETCH {}",
+    CastVote: lambda action: f"VERDICT {{}} {action.build} {action.stage} {action.verdict}",
+    LogNote: lambda action: f"TRACE {{}} {_plain(action.text)}",
 }
 
 
-def _base64(content):
+def _base64(content: bytes) -> str:
     return base64.b64encode(content).decode() or "-"
 
 
-def _plain(text):
+def _plain(text: str) -> str:
     return " ".join(text.replace("{", "(").replace("}", ")").split())
 
 
-def write_action(instance, action):
-    """The line of an action."""
+def write_action(instance: str, action: Action) -> str:
+    """Returns the line of an action."""
     return ACTIONS[type(action)](action).format(instance)
 
 
-def write_fault(instance, reason):
-    """The line that says the decisions themselves failed."""
+def write_fault(instance: str, reason: str) -> str:
+    """Returns the line that reports that the decision engine itself failed."""
     return f"FAULT {instance} {_plain(reason)}"
--- a/thymeknot/simulator_wire/host.py
+++ b/thymeknot/simulator_wire/host.py
@@ -1,53 +1,93 @@
-"""Hosts instances of the decision module on standard input and output, speaking the simulator's wire."""
+"""Hosts decision engines on standard input and output, for the users' simulator."""
 
 import sys
+from collections.abc import Callable, Iterable, Sequence
+from typing import NamedTuple, Protocol, TextIO
 
+from ..interface.actions import Action
+from ..interface.clock import Ticks
 from ..interface.enums import UpdateKind
-from ..interface.events import EndpointUpdate
+from ..interface.events import Endpoint, EndpointUpdate, Event
+from ..interface.settings import Settings
 from ..policy.engine import DecisionEngine
 from . import codec
 
 MESSAGES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *codec.EVENTS}
+BATCH_START = "BATCH "
+BATCH_END = "YOUR_TURN"
+
+
+class Engine(Protocol):
+    """What is hosted: it answers the events of a moment with actions."""
+
+    def handle(self, now: Ticks, events: list[Event], /) -> Iterable[Action]:
+        """Returns the actions that the events of this moment lead to."""
+
+
+MAKE_ENGINE: Callable[[Settings, int, Ticks], Engine] = DecisionEngine
+"""Makes the engine of a new instance from its settings, its seed and the time."""
+
+
+class OpenCensus(NamedTuple):
+    """A CENSUS whose ENTRY lines are being read."""
+
+    table: int
+    """The number of the endpoint list."""
+    missing: int
+    """How many ENTRY lines follow."""
 
 
 class Host:
-    """The instances of one process. They share nothing but the numbered lists that the wire itself shares."""
+    """The instances of one process.
+
+    They share nothing but the numbered endpoint lists that the protocol itself shares.
+
+    Attributes:
+        instances: The engine of each running instance, by its name.
+        lists: The endpoint lists, by their number.
+    """
 
-    def __init__(self):
-        self.instances = {}
-        self.lists = {}
+    def __init__(self) -> None:
+        self.instances: dict[str, Engine] = {}
+        self.lists: dict[int, list[Endpoint]] = {}
 
-    def batch(self, now, lines):
-        """The reply lines to one batch. Each instance is given its events of the batch in one call."""
-        inboxes, replies, rows = {}, [], None
+    def batch(self, now: Ticks, lines: Iterable[str]) -> list[str]:
+        """Handles the lines of one batch; each instance gets its events in one call.
+
+        Returns:
+            The lines of the reply.
+
+        Raises:
+            MalformedLineError: A line is not allowed; the text quotes it.
+        """
+        inboxes: dict[str, list[Event]] = {}
+        replies: list[str] = []
+        census: OpenCensus | None = None
         for text in lines:
             try:
-                rows = self._line(now, text, inboxes, replies, rows)
+                census = self._read_line(now, text, inboxes, replies, census)
             except codec.MalformedLineError as error:
                 raise codec.MalformedLineError(f"{error}: {text!r}") from None
-        if rows:
+        if census:
             raise codec.MalformedLineError("the batch ends inside a CENSUS")
         for name, events in inboxes.items():
             self._decide(now, name, events, replies)
         return replies
 
-    def _line(self, now, text, inboxes, replies, rows):
+    def _read_line(
+        self,
+        now: Ticks,
+        text: str,
+        inboxes: dict[str, list[Event]],
+        replies: list[str],
+        census: OpenCensus | None,
+    ) -> OpenCensus | None:
+        """Takes in one line; returns the CENSUS that it leaves open."""
         name, *values = text.split(" ")
-        if rows or name == "ENTRY":
-            if name != "ENTRY" or not rows:
-                raise codec.MalformedLineError(
-                    "an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short"
-                )
-            table, left = rows
-            self.lists[table].append(codec.read_endpoint(values))
-            return (table, left - 1) if left > 1 else None
+        if census or name == "ENTRY":
+            return self._read_entry(name, values, census)
         if name == "CENSUS":
-            try:
-                table, count = (int(value) for value in values)
-            except ValueError:
-                raise codec.MalformedLineError("CENSUS takes a number and a count") from None
-            self.lists[table] = []
-            return (table, count) if count else None
+            return self._open_census(values)
         if name not in MESSAGES:
             raise codec.MalformedLineError("no such message")
         if not values:
@@ -61,12 +101,38 @@
             inboxes.pop(instance, None)
             del self.instances[instance]
         elif name == "ANNOUNCE":
-            inboxes.setdefault(instance, []).append(self._announced(values))
+            inboxes.setdefault(instance, []).append(self._endpoint_update(values))
         else:
             inboxes.setdefault(instance, []).append(codec.read_event(name, values))
         return None
 
-    def _start(self, now, instance, values, inboxes, replies):
+    def _read_entry(
+        self, name: str, values: Sequence[str], census: OpenCensus | None
+    ) -> OpenCensus | None:
+        if name != "ENTRY" or not census:
+            raise codec.MalformedLineError(
+                "an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short"
+            )
+        table, missing = census
+        self.lists[table].append(codec.read_endpoint(values))
+        return OpenCensus(table, missing - 1) if missing > 1 else None
+
+    def _open_census(self, values: Sequence[str]) -> OpenCensus | None:
+        try:
+            table, count = (int(value) for value in values)
+        except ValueError:
+            raise codec.MalformedLineError("CENSUS takes a number and a count") from None
+        self.lists[table] = []
+        return OpenCensus(table, count) if count else None
+
+    def _start(
+        self,
+        now: Ticks,
+        instance: str,
+        values: Sequence[str],
+        inboxes: dict[str, list[Event]],
+        replies: list[str],
+    ) -> None:
         try:
             seed = int(values[0])
         except (IndexError, ValueError):
@@ -74,53 +140,65 @@
         inboxes.pop(instance, None)
         settings = codec.read_settings(values[1:])
         try:
-            self.instances[instance] = DecisionEngine(settings, seed, now)
-        except Exception as error:  # whatever the decisions raise has to reach the operators
+            self.instances[instance] = MAKE_ENGINE(settings, seed, now)
+        except Exception as error:  # whatever the engine raises has to reach the operators
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
-    def _announced(self, values):
+    def _endpoint_update(self, values: Sequence[str]) -> EndpointUpdate:
         try:
-            how, _, table = values
-            kind = codec.LIST_KINDS[how]
-            pods = () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(table)])
+            kind_word, _, table = values
+            kind = codec.UPDATE_KINDS[kind_word]
+            endpoints = () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(table)])
         except (ValueError, KeyError):
             raise codec.MalformedLineError("ANNOUNCE: bad value") from None
-        return EndpointUpdate(kind, pods)
+        return EndpointUpdate(kind, endpoints)
 
-    def _decide(self, now, instance, events, replies):
+    def _decide(self, now: Ticks, instance: str, events: list[Event], replies: list[str]) -> None:
         try:
             actions = self.instances[instance].handle(now, events)
             replies.extend(codec.write_action(instance, action) for action in actions)
-        except Exception as error:  # whatever the decisions raise has to reach the operators
+        except Exception as error:  # whatever the engine raises has to reach the operators
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
 
-def serve(source, sink):
-    """Answers batches until the input ends."""
-    host, now, lines = Host(), None, []
-    for text in source:
-        text = text.rstrip("\n")
-        if text.startswith("BATCH "):
-            if now is not None:
-                raise codec.MalformedLineError(f"a BATCH inside a batch: {text!r}")
-            try:
-                now = codec.read_time(text[6:])
-            except ValueError:
-                raise codec.MalformedLineError(f"BATCH without a clock: {text!r}") from None
+def serve(source: Iterable[str], sink: TextIO) -> None:
+    """Answers batches of lines until the input ends.
+
+    Raises:
+        MalformedLineError: A line is not allowed.
+    """
+    host = Host()
+    now: Ticks | None = None
+    lines: list[str] = []
+    for line in source:
+        text = line.rstrip("\n")
+        if text.startswith(BATCH_START):
+            now = _batch_time(text, now)
         elif now is None:
             if text:
                 raise codec.MalformedLineError(f"a line outside a batch: {text!r}")
-        elif text == "YOUR_TURN":
-            sink.write("\n".join(host.batch(now, lines) + ["OK\n"]))
+        elif text == BATCH_END:
+            sink.write("\n".join([*host.batch(now, lines), "OK\n"]))
             sink.flush()
-            now, lines = None, []
+            now = None
+            lines = []
         elif text:
             lines.append(text)
     if now is not None:
         raise codec.MalformedLineError("the input ends inside a batch")
 
 
-def main():
+def _batch_time(text: str, open_batch: Ticks | None) -> Ticks:
+    if open_batch is not None:
+        raise codec.MalformedLineError(f"a BATCH inside a batch: {text!r}")
+    try:
+        return codec.read_time(text.removeprefix(BATCH_START))
+    except ValueError:
+        raise codec.MalformedLineError(f"BATCH without a clock: {text!r}") from None
+
+
+def main() -> int:
+    """Serves standard input; returns the exit code."""
     try:
         serve(sys.stdin, sys.stdout)
     except codec.MalformedLineError as error:
