--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,13 @@
 # Whatever is checked: the program, its tests, the measurements and the scripts of CI.
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
-TYPED = thymeknot/interface thymeknot/polling thymeknot/simulator_wire
+TYPED = thymeknot/interface thymeknot/polling thymeknot/simulator_wire \
+	thymeknot/state/key_hash.py \
+	thymeknot/state/random_source.py \
+	thymeknot/state/sliding_window.py \
+	thymeknot/state/slot_table.py \
+	thymeknot/state/timer_queue.py \
+	thymeknot/state/trial_exposure.py
 
 format: build-dev
 	.venv/bin/ruff check -q --select I --fix $(CHECKED)
--- a/thymeknot/state/__init__.py
+++ b/thymeknot/state/__init__.py
@@ -1,1 +1,4 @@
-"""What is kept in memory: windows of counts, requests, endpoints, connections, timers and the random source."""
+"""State that the decision engine and the proxy keep; nothing here decides.
+
+The modules are pure but for connection_pool, which opens and closes connections.
+"""
--- a/thymeknot/state/random_source.py
+++ b/thymeknot/state/random_source.py
@@ -1,21 +1,35 @@
 """Random numbers that are the same for the same seed, wherever they are drawn."""
 
+from collections.abc import Sequence
+
+# The multiplier and increment that Knuth chose for MMIX.
+MULTIPLIER = 6364136223846793005
+INCREMENT = 1442695040888963407
+STATE_MASK = 0xFFFFFFFFFFFFFFFF  # the state has 64 bits
+DROPPED_BITS = 33  # the low bits of the state repeat soon
+DRAW_RANGE = 2147483648  # 2^31: what is left of 64 bits without the dropped ones
+
 
 class LinearCongruentialGenerator:
-    """A linear congruential generator, of which the high bits are used."""
+    """A linear congruential generator of which the high bits are used.
 
-    def __init__(self, seed):
+    Attributes:
+        state: Its 64 bits; the seed at first.
+    """
+
+    def __init__(self, seed: int) -> None:
         self.state = seed
 
-    def draw(self):
-        self.state = (self.state * 6364136223846793005 + 1442695040888963407) & 0xFFFFFFFFFFFFFFFF
-        return (self.state >> 33) / 2147483648
-
-    def pick(self, weights):
-        """A place in the weights, each as likely as it weighs."""
-        lot = self.draw() * sum(weights)
-        for place, weight in enumerate(weights):
-            lot -= weight
-            if lot <= 0:
-                return place
+    def draw(self) -> float:
+        """Returns the next random number, from 0 to below 1."""
+        self.state = (self.state * MULTIPLIER + INCREMENT) & STATE_MASK
+        return (self.state >> DROPPED_BITS) / DRAW_RANGE
+
+    def pick(self, weights: Sequence[float]) -> int:
+        """Returns an index into the weights; each is as likely as it weighs."""
+        rest = self.draw() * sum(weights)
+        for index, weight in enumerate(weights):
+            rest -= weight
+            if rest <= 0:
+                return index
         return len(weights) - 1
--- a/thymeknot/state/sliding_window.py
+++ b/thymeknot/state/sliding_window.py
@@ -1,38 +1,68 @@
-"""Counts over the last span of time."""
+"""Sums over the latest span of time."""
+
+from collections.abc import Hashable
+from typing import TypeVar
+
+from ..interface.clock import Ticks
+
+Key = TypeVar("Key", bound=Hashable)
 
 
 class SlidingWindow:
-    """Counts over the last span of time, in buckets that are used again: as many as cover the span, at most as told. In
-    a short span more of them, of a moment at least, would count what is older."""
+    """A sum over the latest span of time, in a ring of buckets that are used again.
 
-    def __init__(self, span, buckets):
-        self.span, self.width = span, max(1, -(-span // buckets))
-        self.size = -(-span // self.width) + 1
-        self.counts, self.last = [0] * self.size, 0
+    The buckets are as many as cover the span, and as many as asked for at most: in a short span
+    more of them, each a tick long at least, would count what is older.
 
-    def _turn(self, now):
+    Attributes:
+        span: What the window covers, in ticks.
+        width: What one bucket covers, in ticks.
+    """
+
+    def __init__(self, span: Ticks, buckets: int) -> None:
+        self.span = span
+        self.width = max(1, -(-span // buckets))
+        # One more than covers the span: the oldest bucket is partly outside.
+        self._size = -(-span // self.width) + 1
+        self._sums: list[float] = [0] * self._size
+        self._last = 0  # the number of the newest bucket, counted since time 0
+
+    def _advance(self, now: Ticks) -> None:
         bucket = now // self.width
-        if bucket <= self.last:
+        if bucket <= self._last:
             return
-        for step in range(max(self.last + 1, bucket - self.size + 1), bucket + 1):
-            self.counts[step % self.size] = 0
-        self.last = bucket
-
-    def add(self, now, amount=1):
-        self._turn(now)
-        self.counts[self.last % self.size] += amount
-
-    def total(self, now, full_only=False, back=None):
-        """The last `back` buckets' sum (all if None), with the partly covered oldest one or without it."""
-        self._turn(now)
-        wanted = (self.size if back is None else min(self.size, back + 1)) - full_only
-        begin = (self.last + 1 - wanted) % self.size
-        end = begin + wanted  # slices: every transaction asks for a dozen of these sums
-        if end <= self.size:
-            return sum(self.counts[begin:end])
-        return sum(self.counts[begin:]) + sum(self.counts[: end - self.size])
-
-
-def window_of(rings, key, span, buckets):
-    """The ring of this key. Every transaction asks for several: none is made that is not kept."""
-    return rings.get(key) or rings.setdefault(key, SlidingWindow(span, buckets))
+        for step in range(max(self._last + 1, bucket - self._size + 1), bucket + 1):
+            self._sums[step % self._size] = 0
+        self._last = bucket
+
+    def add(self, now: Ticks, amount: float = 1) -> None:
+        """Adds an amount at this moment."""
+        self._advance(now)
+        self._sums[self._last % self._size] += amount
+
+    def total(self, now: Ticks, full_only: bool = False, back: int | None = None) -> float:
+        """Returns the sum over the window; whole amounts give a whole sum.
+
+        Args:
+            now: The end of the window.
+            full_only: Whether the oldest bucket, which is partly outside, is left out.
+            back: How many buckets count before the newest; None for all.
+        """
+        self._advance(now)
+        size = self._size
+        wanted = (size if back is None else min(size, back + 1)) - full_only
+        begin = (self._last + 1 - wanted) % size
+        end = begin + wanted  # slices: every request asks for a dozen of these sums
+        if end <= size:
+            return sum(self._sums[begin:end])
+        return sum(self._sums[begin:]) + sum(self._sums[: end - size])
+
+
+def window_of(
+    windows: dict[Key, SlidingWindow], key: Key, span: Ticks, buckets: int
+) -> SlidingWindow:
+    """Returns the window of this key, which is made and kept where there is none yet.
+
+    Every request asks for several: none is made that is not kept.
+    """
+    return windows.get(key) or windows.setdefault(key, SlidingWindow(span, buckets))
