--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -10,7 +10,8 @@
 from tests.support.order_rig import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.protocol.client import ClientConnection
-from thymeknot.proxy.proxy import Attempt, Proxy
+from thymeknot.proxy.attempt import Attempt
+from thymeknot.proxy.proxy import Proxy
 
 ONE, POD = st.integers(0, 3), st.integers(0, 2)
 LANE = LEFT = KEY = st.integers(0, 2)
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -40,10 +40,7 @@
 from ..protocol import deployer, discovery, http, resp
 from ..protocol.calls import MOST_REASON, HttpCaller, Reply, WatchStream
 from ..protocol.client import ClientConnection
-from ..protocol.pod import PodResponse
 from ..protocol.write_progress import (
-    WRITTEN,
-    BrokenConnection,
     has_left,
     nothing_waits,
     take_no_more,
@@ -54,6 +51,8 @@
 from ..state.random_source import LinearCongruentialGenerator
 from ..state.slot_table import SlotTable
 from ..state.trial_exposure import TrialExposure
+from .attempt import BUSY, Attempt
+from .in_flight import InFlightRequest
 
 LEAST = 64  # as the configuration has it
 KEPT_FOR_OTHERS = 40  # descriptors: discovery, the platform, the loop's own, standard streams
@@ -66,7 +65,7 @@
 CLOSING = 8  # connections beyond the places for clients, while those that make room for them close
 CROWDED, IDLE_LEAST = 1 / 3, 2_000  # of the places for clients; tenths of a millisecond
 OVERDUE = 50  # so long after its client's end a transaction still without an answer gets one
-BUSY, ABANDONED = "BUSY", resp.failure("ERR abandoned")
+ABANDONED = resp.failure("ERR abandoned")
 
 
 def descriptors(most):
@@ -75,164 +74,6 @@
     return most if allowed == resource.RLIM_INFINITY else min(most, max(allowed, LEAST))
 
 
-class InFlightRequest:
-    """A transaction in hand: whose it is, where its answer belongs, its attempts."""
-
-    __slots__ = (
-        "id",
-        "slot",
-        "command",
-        "connection",
-        "place",
-        "ends",
-        "attempts",
-        "out",
-        "over",
-        "deadline",
-        "heir",
-    )
-
-    def __init__(self, name, command, connection, place, ends):
-        self.id, self.command, self.connection, self.place, self.ends = (
-            name,
-            command,
-            connection,
-            place,
-            ends,
-        )
-        self.slot, self.attempts, self.out, self.over, self.deadline = None, [], 0, False, None
-        self.heir = False  # whether a second copy of it waits for what the first one brings
-
-
-class Attempt:
-    """A delivery on its way, and its one end."""
-
-    __slots__ = (
-        "proxy",
-        "held",
-        "number",
-        "pod",
-        "at",
-        "ends",
-        "out",
-        "connection",
-        "deadline",
-        "write_by",
-        "newest",
-        "may_have_run",
-    )
-
-    def __init__(self, proxy, held, pod, at, ends):
-        self.proxy, self.held, self.number, self.pod = proxy, held, len(held.attempts), pod
-        self.at, self.ends, self.out, self.connection, self.deadline = at, ends, True, None, None
-        self.newest, self.may_have_run, self.write_by = (
-            proxy.news and proxy.news.build,
-            True,
-            self._write_by(),
-        )
-
-    def _write_by(self):
-        """Until when its last byte may be written, by what earlier attempts may have done: a repeat is known as one
-        for its lane's window, counted as the decisions count it; a binding one may not be repeated at all."""
-        suspect = next((earlier for earlier in self.held.attempts if earlier.may_have_run), None)
-        request_class = self.proxy.settings.request_classes[self.held.command.request_class]
-        if suspect is None or request_class.idempotency == Idempotency.IDEMPOTENT:
-            return self.ends
-        return (
-            min(self.ends, suspect.at + request_class.deduplication_window)
-            if request_class.idempotency == Idempotency.KEYED
-            else 0
-        )
-
-    def may_be_written(self, address):
-        """Whether what was decided holds still, there: it may have waited since, for a connection."""
-        pod, now, news = self.pod, self.proxy.clock(), self.proxy.news
-        newest = news.build if news else None
-        return (
-            pod is not None
-            and not self.held.over
-            and now < self.write_by
-            and self.proxy._stands(pod)
-            and self.proxy.addresses[pod.address] == address
-            and (newest == self.newest or pod.build < newest)
-            and not self._key_stays()
-            and self.proxy.exposure.allows(now, news, pod.build, self.held.command.request_class)
-        )
-
-    def _key_stays(self):
-        """Whether its key stays with the newest build, which has answered it since."""
-        news, command = self.proxy.news, self.held.command
-        return (
-            news is not None
-            and self.pod.build < news.build
-            and news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
-            and (command.key or command.id).decode() in self.proxy.engine.pins
-        )
-
-    def written(self):
-        """Whether its last byte has gone to the network."""
-        return self.connection is not None and self.connection.written
-
-    def withdraw(self):
-        self.give_up(Outcome.NOT_SENT)
-
-    def due(self):
-        """At the latest moment to be written by, and at the end of its time."""
-        if self.proxy.clock() >= self.ends:
-            self.give_up()
-        elif not self.written():
-            self.withdraw()
-        else:
-            self.deadline = self.proxy.timers.add(self.ends, self.due)
-
-    def write_to(self, connection):
-        self.connection, now = connection, self.proxy.clock()
-        self.proxy.exposure.wrote(
-            now, self.proxy.news, self.pod.build, self.held.command.request_class
-        )
-        left = max(1, (self.ends - now) // 10)
-        delivered = connection.deliver(self.held.command.words(left), self._begun)
-        delivered.addCallback(self._came_back)
-
-    def not_connected(self, broken):
-        self.proxy.ended(self, Outcome.CONNECT_FAILED)
-
-    def _begun(self):
-        self.proxy.answered_unheard(self, "in part or unreadable")
-
-    def _came_back(self, end):
-        """What came of it, as a value."""
-        good = isinstance(end, PodResponse) and end.failure is None
-        if (good and not self.out) or (
-            self.out and isinstance(end, BrokenConnection) and end.reached == WRITTEN
-        ):
-            self.proxy.answered_unheard(self, "late" if good else end.reason)
-        if not self.out:
-            return
-        if isinstance(end, BrokenConnection):
-            self.proxy.ended(
-                self, Outcome.RESET if end.reached == WRITTEN else Outcome.CONNECT_FAILED
-            )
-        elif good:
-            self.proxy.ended(self, Outcome.DONE, end)
-        else:
-            self.proxy.ended(
-                self, Outcome.REJECTED if end.failure.split(" ")[0] == BUSY else Outcome.ERROR
-            )
-
-    def give_up(self, outcome=None):
-        """Ends it, as a time-out where nothing else is said. What was written may be answered yet, unread."""
-        written = self.written()
-        self.out = False  # its one end is this: what its connection says of its own is none
-        self.proxy.pools.give_up(self, self.connection)
-        if written:
-            self.proxy.answered_unheard(self, "given up")
-        self.proxy.ended(
-            self, outcome or (Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
-        )
-        self.may_have_run = written
-
-
 class Proxy:
     def __init__(self, start, reactor, timers, epoch):
         self.start, self.reactor, self.timers, self.epoch = start, reactor, timers, epoch
