--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -23,7 +23,8 @@
     SPEAKS_WITHIN,
     ClientConnection,
 )
-from thymeknot.proxy.proxy import CLOSING, REST_WITHIN
+from thymeknot.proxy.client_listener import CLOSING_ALLOWANCE
+from thymeknot.proxy.graceful_shutdown import ACCEPT_REST_WITHIN
 
 PING, PONG = command("PING"), b"+PONG\r\n"
 
@@ -55,7 +56,7 @@
         near = socket.create_connection(self.listener.getsockname(), timeout=5)
         far, address = self.listener.accept()
         far.setblocking(False)
-        connection = ClientConnection(self.proxy)
+        connection = ClientConnection(self.proxy.listener)
         transport = Server(far, connection, address, None, 0, self.loop)
         transport.startReading()
         connection.makeConnection(transport)
@@ -302,7 +303,7 @@
         near, connection = self.opens(network)
         near.sendall(PING)
         network.step()
-        connection.give_way()
+        connection.evict()
         network.step()
         self.assertEqual((all_of(near), len(network.proxy.clients)), (PONG, 0))
 
@@ -316,7 +317,7 @@
                 connection.pauseProducing = lambda: None  # not noticed before
             connection.transport.write(b"x" * (16 << 20))  # an answer, more than the machine holds
             network.step()
-            connection.give_way()
+            connection.evict()
             network.pass_on(MAKES_ROOM - 100)
             self.assertEqual(len(network.proxy.clients), 1)
             network.pass_on(200)
@@ -328,7 +329,7 @@
         near.sendall(PING)
         network.step()
         near.sendall(PING)
-        connection.give_way()
+        connection.evict()
         network.step()
         self.assertEqual(all_of(near), PONG * 2)
 
@@ -338,6 +339,7 @@
         kept, port = reserved()
         self.addCleanup(kept.close)
         proxy.start = proxy.start._replace(listen=("127.0.0.1", port))
+        proxy.listener.address = proxy.start.listen
         proxy.serve()
 
         def takes():
@@ -390,9 +392,11 @@
         network, factory = self.network(), Factory()
         factory.noisy, factory.buildProtocol = (
             False,
-            lambda address: ClientConnection(network.proxy),
+            lambda address: ClientConnection(network.proxy.listener),
+        )
+        port = network.proxy.listener.port = network.loop.listenTCP(
+            0, factory, interface="127.0.0.1"
         )
-        port = network.proxy.port = network.loop.listenTCP(0, factory, interface="127.0.0.1")
         address = "127.0.0.1", port.getHost().port
         first = socket.create_connection(address)
         self.addCleanup(first.close)
@@ -422,9 +426,11 @@
         network, factory = self.network(), Factory()
         factory.noisy, factory.buildProtocol = (
             False,
-            lambda address: ClientConnection(network.proxy),
+            lambda address: ClientConnection(network.proxy.listener),
+        )
+        port = network.proxy.listener.port = network.loop.listenTCP(
+            0, factory, interface="127.0.0.1"
         )
-        port = network.proxy.port = network.loop.listenTCP(0, factory, interface="127.0.0.1")
         address = "127.0.0.1", port.getHost().port
         network.proxy.finish(lambda: None)
         early, late = (socket.socket() for _ in range(2))
@@ -458,9 +464,9 @@
         network = Real(entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
-        proxy.start = proxy.start._replace(listen=("127.0.0.1", 0))
+        proxy.listener.address = ("127.0.0.1", 0)
         proxy.serve()
-        address, most, said = proxy.port.socket.getsockname(), [], []
+        address, most, said = proxy.listener.port.socket.getsockname(), [], []
         crowd = [socket.create_connection(address, timeout=5) for _ in range(60)]
         for at, near in enumerate(crowd):
             self.addCleanup(near.close)
@@ -474,15 +480,15 @@
 
     def test_by_one_that_serves(self):
         network, crowd, most, _ = self.taken(False)
-        self.assertLessEqual(most, network.proxy.most_clients + CLOSING)
+        self.assertLessEqual(most, network.proxy.listener.most_clients + CLOSING_ALLOWANCE)
         self.assertEqual(
             {near.recv(99)[:1] for near in crowd}, {b"-"}
         )  # its time is over: nothing else is there
-        self.assertFalse(network.proxy.held_off)
+        self.assertFalse(network.proxy.listener.accepting_paused)
 
     def test_by_one_that_ends(self):
         network, crowd, most, said = self.taken(True)
-        self.assertLessEqual(most, network.proxy.most_clients + CLOSING)
+        self.assertLessEqual(most, network.proxy.listener.most_clients + CLOSING_ALLOWANCE)
         self.assertEqual({all_of(near)[:1] for near in crowd}, {b"-"})
         self.assertEqual(
             (said, len(network.proxy.clients), network.proxy.drained.called),
@@ -502,7 +508,7 @@
 
     def test_nor_does_a_crowd_close_it(self):
         network = Network(entry("s-1"))
-        clients = [network.client() for _ in range(network.proxy.most_clients // 2)]
+        clients = [network.client() for _ in range(network.proxy.listener.most_clients // 2)]
         network.reactor.advance(0.3)
         network.client()
         self.assertFalse(any(one.closing for one in clients))
@@ -514,10 +520,11 @@
         network = Real(entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
-        proxy.start, said = proxy.start._replace(listen=("127.0.0.1", 0)), []
+        proxy.listener.address, said = ("127.0.0.1", 0), []
         proxy.serve()
         crowd = [
-            socket.create_connection(proxy.port.socket.getsockname(), timeout=5) for _ in range(60)
+            socket.create_connection(proxy.listener.port.socket.getsockname(), timeout=5)
+            for _ in range(60)
         ]
         for at, near in enumerate(crowd):
             self.addCleanup(near.close)
@@ -525,18 +532,18 @@
         proxy.drain(lambda: said.append("empty"))
         network.step()
         proxy.undrain(lambda: said.append("back"), said.append)
-        for _ in range(REST_WITHIN // 100 + 9):
+        for _ in range(ACCEPT_REST_WITHIN // 100 + 9):
             network.pass_on(100)
         self.assertEqual({near.recv(99)[:1] for near in crowd}, {b"-"})
-        self.assertEqual((said, proxy.listening, proxy.drained), (["back"], True, None))
+        self.assertEqual((said, proxy.listener.listening, proxy.drained), (["back"], True, None))
 
     def test_a_crowd_that_goes_on_coming_does_not_hold_up_the_end(self):
         network = Real(entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
-        proxy.start = proxy.start._replace(listen=("127.0.0.1", 0))
+        proxy.listener.address = ("127.0.0.1", 0)
         proxy.serve()
-        address, rounds = proxy.port.socket.getsockname(), REST_WITHIN // 100 + 2
+        address, rounds = proxy.listener.port.socket.getsockname(), ACCEPT_REST_WITHIN // 100 + 2
 
         def comes(at):
             near = socket.create_connection(address, timeout=5)
@@ -547,18 +554,18 @@
             comes(at)
         proxy.finish(lambda: None)
         for at in range(rounds):
-            if proxy.listening:
+            if proxy.listener.listening:
                 for _ in range(3):
                     comes(f"{at}.{_}")
             network.pass_on(100)
-        self.assertEqual((proxy.listening, proxy.drained.called), (False, True))
+        self.assertEqual((proxy.listener.listening, proxy.drained.called), (False, True))
 
 
 class Stopping(unittest.TestCase):
     def test_what_is_taken_after_the_stop_has_its_answer_before_the_kill(self):
         network = Network(entry("s-1"))
         client = network.ask("01")
-        network.proxy.port, network.proxy.drained = None, True
+        network.proxy.shutdown.listener_closed = True
         network.proxy.finish(lambda: None, network.proxy.clock() + 5_000)
         network.ask("02", connection=client)
         network.reactor.advance(0.6)
@@ -583,9 +590,11 @@
                 self.on = True
 
         network = Network(entry("s-1"), sockets=64)
-        network.proxy.port = Port()
-        clients = [network.ask(f"{at}") for at in range(network.proxy.most_clients)]
-        self.assertEqual((len(network.proxy.transactions) > 2, network.proxy.port.on), (True, True))
+        network.proxy.listener.port = Port()
+        clients = [network.ask(f"{at}") for at in range(network.proxy.listener.most_clients)]
+        self.assertEqual(
+            (len(network.proxy.transactions) > 2, network.proxy.listener.port.on), (True, True)
+        )
         busy = [client for client in clients if client.places]
         for client in clients:
             if client not in busy:
@@ -594,11 +603,11 @@
                 )
                 client.transport.stale = True
         network.client()
-        self.assertFalse(network.proxy.port.on)
+        self.assertFalse(network.proxy.listener.port.on)
         connection = network.connect(network.streams)
         connection.resumeProducing()
         connection.dataReceived(ANSWER)
-        self.assertTrue(network.proxy.port.on)
+        self.assertTrue(network.proxy.listener.port.on)
 
 
 class Repeated(unittest.TestCase):
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -111,7 +111,7 @@
         self.streams = len(self.reactor.tcpClients)
 
     def client(self):
-        connection = ClientConnection(self.proxy)
+        connection = ClientConnection(self.proxy.listener)
         connection.makeConnection(Transport())
         return connection
 
@@ -347,7 +347,7 @@
     def test_who_never_spoke_makes_room_before_a_client_that_did(self):
         network = Network(entry("s-1"), sockets=64)
         usual = network.ask("01")
-        clients = [network.client() for _ in range(network.proxy.most_clients - 2)]
+        clients = [network.client() for _ in range(network.proxy.listener.most_clients - 2)]
         clients[0].dataReceived(b"*2")
         clients[1].transport.stale = True  # its command has come, but is not read yet
         newest = [network.client() for _ in range(2)]
@@ -360,14 +360,14 @@
     def test_a_crowd_that_asks_once_and_stays_leaves_places_for_those_to_come(self):
         network = Network()
         clients = []
-        for _ in range(3 * network.proxy.most_clients):
+        for _ in range(3 * network.proxy.listener.most_clients):
             clients.append(network.client())
             clients[-1].dataReceived(command("PING"))
             network.reactor.advance(0.05)
             if clients[0].transport.disconnecting:
                 clients.pop(0).connectionLost(Failure(ConnectionRefusedError()))
-        self.assertLess(len(network.proxy.clients), network.proxy.most_clients / 2)
-        self.assertGreater(len(network.proxy.clients), network.proxy.most_clients / 4)
+        self.assertLess(len(network.proxy.clients), network.proxy.listener.most_clients / 2)
+        self.assertGreater(len(network.proxy.clients), network.proxy.listener.most_clients / 4)
 
     def test_no_transaction_is_held_for_longer_than_its_lane_can_earn(self):
         network = Network()
@@ -390,7 +390,7 @@
 
     def test_an_idle_client_makes_room_for_another(self):
         network = Network(entry("s-1"), sockets=64)
-        clients = [network.client() for _ in range(network.proxy.most_clients)]
+        clients = [network.client() for _ in range(network.proxy.listener.most_clients)]
         self.assertEqual(
             [client.transport.disconnecting for client in clients],
             [True] + [False] * (len(clients) - 1),
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -275,10 +275,20 @@
     def test_the_settings_it_started_with_stay_whole(self):
         network = Network()
         proxy = network.proxy
-        before = proxy.settings, proxy.connection_limits, proxy.engine.settings, proxy.most_clients
+        before = (
+            proxy.settings,
+            proxy.connection_limits,
+            proxy.engine.settings,
+            proxy.listener.most_clients,
+        )
         proxy.reconfigure(configuration.read({**example(), "settings": other_settings()}, 0))
         self.assertEqual(
-            (proxy.settings, proxy.connection_limits, proxy.engine.settings, proxy.most_clients),
+            (
+                proxy.settings,
+                proxy.connection_limits,
+                proxy.engine.settings,
+                proxy.listener.most_clients,
+            ),
             before,
         )
         for was, stays in zip(
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -290,10 +290,10 @@
         self._read_on()
         if self.closing:
             self.finish()
-        elif self.owner.held_off and not self.places:
-            self.owner.rested()
+        elif self.owner.accepting_paused and not self.places:
+            self.owner.became_idle()
 
-    def give_way(self):
+    def evict(self):
         """Closes for want of places, at once: half a first command is not waited for."""
         self.linger = 0
         self.timers.cancel(self.last)
--- /dev/null
+++ b/thymeknot/proxy/descriptor_budget.py
@@ -0,0 +1,43 @@
+"""How the file descriptors of the process are shared between clients and endpoints."""
+
+import resource
+from typing import NamedTuple
+
+LEAST_DESCRIPTORS = 64
+"""Counted on even where the machine allows fewer: the configuration takes no lower limit."""
+
+RESERVED_DESCRIPTORS = 40
+"""For discovery, the platform, the reactor's own descriptors and the standard streams."""
+
+ENDPOINT_SHARE = 0.4
+"""Of what is not reserved: connections to endpoints. The rest is for clients."""
+
+
+class DescriptorBudget(NamedTuple):
+    """How many connections each side may have.
+
+    Attributes:
+        clients: Connections of clients.
+        endpoints: Connections to endpoints.
+    """
+
+    clients: int
+    endpoints: int
+
+
+def allowed_descriptors(most: int) -> int:
+    """Returns how many descriptors the machine allows, at most so many.
+
+    Where the machine refuses one, the network library closes the connection that has come.
+    """
+    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    if allowed == resource.RLIM_INFINITY:
+        return most
+    return min(most, max(allowed, LEAST_DESCRIPTORS))
+
+
+def descriptor_budget(most: int) -> DescriptorBudget:
+    """Shares out the descriptors that the machine allows, at most so many."""
+    spare = allowed_descriptors(most) - RESERVED_DESCRIPTORS
+    for_endpoints = int(spare * ENDPOINT_SHARE)
+    return DescriptorBudget(spare - for_endpoints, for_endpoints)
--- /dev/null
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -0,0 +1,143 @@
+"""Drains the clients' connections, at the end of the process or for a while, and takes up work again."""
+
+from collections.abc import Callable
+from typing import Any
+
+from twisted.internet.defer import Deferred, maybeDeferred, succeed
+from twisted.internet.error import CannotListenError
+
+from ..interface.clock import Ticks
+from ..protocol.write_progress import take_no_more
+from .client_listener import ClientListener
+
+READ_BEFORE_CLOSING = 300
+"""Ticks from the last connection accepted to the first one closed: what has come is read."""
+
+ACCEPT_REST_WITHIN = 10_000
+"""Ticks from the end of service, for connections that the machine has accepted and that find no place."""
+
+
+def _nothing() -> None:
+    """Does nothing: stands in for what was called already."""
+
+
+class GracefulShutdown:
+    """Ends a listener without a client that is refused, cut off or left without its answer.
+
+    Attributes:
+        listener: What it drains.
+        on_drained: Called once the port and all connections are closed; None while it serves.
+        answer_by: When the process may be ended from outside, once it was told to stop.
+        listener_closed: The closing of the port, fired once it is closed; None while it serves.
+    """
+
+    def __init__(self, listener: ClientListener) -> None:
+        self.listener = listener
+        self.reactor = listener.reactor
+        self.timers = listener.timers
+        self.clock = listener.clock
+        self.on_drained: Callable[[], None] | None = None
+        self.answer_by: Ticks | None = None
+        self.listener_closed: Deferred[Any] | None = None
+        self._close_timer: int | None = None
+        self._finish_timer: int | None = None
+        self._return: object | None = None  # the latest return, until the next shutdown
+        listener.shutdown = self
+
+    def began(self) -> bool:
+        """Returns whether no new work is to be taken."""
+        return self.on_drained is not None
+
+    def clients_finishing(self) -> bool:
+        """Returns whether the connections have been told to close once nothing is owed to them."""
+        return self.on_drained is not None and self._finish_timer is None
+
+    def finish(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
+        """Takes no new work, and closes each client's connection once nothing is owed to it.
+
+        Args:
+            on_drained: Called once the port and all connections are closed.
+            answer_by: The moment by which the process may be ended from outside: what is still
+                taken has its answer before that.
+        """
+        self.on_drained = on_drained
+        self.answer_by = answer_by
+        self._return = None
+        if not self.listener_closed:
+            self.listener_closed = Deferred()
+            self._close_timer = self.timers.add(
+                self.clock() + ACCEPT_REST_WITHIN, self._close_listener
+            )
+            self.accept_rest()
+        self.timers.cancel(self._finish_timer)
+        self._finish_timer = self.timers.add(
+            self.clock() + READ_BEFORE_CLOSING, self._finish_clients
+        )
+
+    def accept_rest(self) -> None:
+        """Closes the port once all is accepted that the machine has; the rest waits for places."""
+        self.listener.accepting_paused = False
+        self.listener.accept_all()
+        if not self.listener.accepting_paused:
+            self._close_listener()
+
+    def _close_listener(self) -> None:
+        """Closes the port, also where some wait still: a crowd that goes on coming would hold up the end."""
+        self.timers.cancel(self._close_timer)
+        self.listener.listening = False
+        # What comes until the port closes is accepted just before that.
+        self.reactor.callLater(0, self._accept_last)
+        maybeDeferred(self.listener.port.stopListening).chainDeferred(self.listener_closed)
+
+    def _accept_last(self) -> None:
+        if self.listener_closed and not self.listener_closed.called:
+            take_no_more(self.listener.port.socket)
+            self.listener.accept_all()
+
+    def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
+        """Takes new work again; connections that were closing still close.
+
+        Where it is drained once more before the port is open, it stays drained and calls neither.
+
+        Args:
+            listens: Called once the port is open.
+            failed: Called with the reason where the port can't be opened.
+        """
+        self.timers.cancel(self._finish_timer)
+        self.on_drained = None
+        self.answer_by = None
+        self.listener.accepting_paused = False
+        returning = self._return = object()
+        if self.listener.listening:  # for what found no place
+            self.timers.cancel(self._close_timer)
+            self.listener_closed = None
+            self.listener.port.startReading()
+            listens()
+            return
+
+        def closed_before(_: object) -> None:
+            if self._return is not returning:
+                return
+            self.listener_closed = None
+            try:
+                self.listener.serve()
+            except CannotListenError as error:
+                self.listener_closed = succeed(None)
+                failed(str(error))
+                return
+            listens()
+
+        self.listener_closed.addCallback(closed_before)
+
+    def _finish_clients(self) -> None:
+        self._finish_timer = None
+        for connection in self.listener.clients:
+            connection.finish()
+        self.end_if_empty()
+
+    def end_if_empty(self) -> None:
+        """Calls `on_drained`, once, if the port and all connections are closed."""
+        if self.on_drained and not self.listener.clients and not self.listener.listening:
+            on_drained = self.on_drained
+            self.on_drained = _nothing
+            on_drained()
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -3,14 +3,8 @@
 The only file that knows both sides. It decides nothing: where, when and whether are the Balancer's.
 """
 
-import resource
-from functools import partial
 from math import isfinite
 
-from twisted.internet.defer import Deferred, maybeDeferred, succeed
-from twisted.internet.error import CannotListenError
-from twisted.internet.protocol import Factory
-
 from ..interface.actions import (
     CancelAttempt,
     CastVote,
@@ -39,11 +33,8 @@
 from ..polling.snapshot_validation import SnapshotValidator
 from ..protocol import deployer, discovery, http, resp
 from ..protocol.calls import MOST_REASON, HttpCaller, Reply, WatchStream
-from ..protocol.client import ClientConnection
 from ..protocol.write_progress import (
     has_left,
-    nothing_waits,
-    take_no_more,
 )
 from ..service import structured_log
 from ..service.rejection_summary import RejectionSummary
@@ -52,28 +43,15 @@
 from ..state.slot_table import SlotTable
 from ..state.trial_exposure import TrialExposure
 from .attempt import BUSY, Attempt
+from .client_listener import ClientListener
+from .descriptor_budget import descriptor_budget
+from .graceful_shutdown import GracefulShutdown
 from .in_flight import InFlightRequest
 
-LEAST = 64  # as the configuration has it
-KEPT_FOR_OTHERS = 40  # descriptors: discovery, the platform, the loop's own, standard streams
-FOR_PODS = 0.4  # of the others: connections to pods; the rest is for clients
-READ_FIRST = 300  # between the last connection taken and the first closed: what is there is read
-REST_WITHIN = (
-    10_000  # at the end, for connections that the machine has accepted and that find no place
-)
-LOOKED_AT = 16  # connections that may make room for another: the eldest
-CLOSING = 8  # connections beyond the places for clients, while those that make room for them close
-CROWDED, IDLE_LEAST = 1 / 3, 2_000  # of the places for clients; tenths of a millisecond
 OVERDUE = 50  # so long after its client's end a transaction still without an answer gets one
 ABANDONED = resp.failure("ERR abandoned")
 
 
-def descriptors(most):
-    """So many of these as the machine allows: where it refuses one, the network's library closes what has come."""
-    allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return most if allowed == resource.RLIM_INFINITY else min(most, max(allowed, LEAST))
-
-
 class Proxy:
     def __init__(self, start, reactor, timers, epoch):
         self.start, self.reactor, self.timers, self.epoch = start, reactor, timers, epoch
@@ -82,12 +60,14 @@
             start.settings,
             start.connection_limits,
         )
-        spare = descriptors(start.sockets) - KEPT_FOR_OTHERS
-        for_pods = int(spare * FOR_PODS)
+        budget = descriptor_budget(start.sockets)
         self.pools = ConnectionPools(
-            reactor, timers, self.connection_limits, for_pods, structured_log.fault
+            reactor, timers, self.connection_limits, budget.endpoints, structured_log.fault
+        )
+        self.listener = ClientListener(
+            reactor, timers, start.listen, start.sockets, budget.clients, self.take, self.gone
         )
-        self.clients, self.most_clients, self.held_off = SlotTable(), spare - for_pods, False
+        self.shutdown = GracefulShutdown(self.listener)
         self.transactions, self.by_id, self.perhaps = (
             SlotTable(),
             {},
@@ -95,27 +75,7 @@
         )  # perhaps: ids that may have run, let go
         self.listed, self.addresses, self.version, self.told_by = {}, {}, start.known.version, None
         self.news, self.news_at, self.exposure = None, 0, TrialExposure(start.settings)
-        self.listening, self.closes = (
-            False,
-            None,
-        )  # until all is taken that the machine has accepted; its end
-        self.inbox, self.deciding, self.port, self.emptied, self.belief = (
-            [],
-            False,
-            None,
-            None,
-            SnapshotValidator(),
-        )
-        self.drained, self.finishing = (
-            None,
-            None,
-        )  # drained: the end of its listener, while it takes no new work
-        self.returning = (
-            None  # the way back that is under way, from the end of its listener to the next one
-        )
-        self.killed = (
-            None  # by then the process may be ended from outside, once it was told to stop
-        )
+        self.inbox, self.deciding, self.belief = [], False, SnapshotValidator()
         self.gossip = self.why = self.fleet = (
             None  # hear of ends, lists and answers, where an operator's file has them
         )
@@ -202,95 +162,28 @@
         pressure = round(self.engine.admission.pressure(self.clock(), ()), 2)
         self.timers.add(self.refusals.due(self.clock(), pressure=pressure), self._refusals)
 
-    def serve(self):
-        factory = Factory()
-        factory.noisy, factory.buildProtocol = False, lambda address: ClientConnection(self)
-        host, port = self.start.listen
-        self.port = self.reactor.listenTCP(port, factory, backlog=512, interface=host)
-        self.port.doRead, self.listening = partial(self._accept, self.port, self.port.doRead), True
+    # What other packages use of the parts.
 
-    def _accept(self, port, accept):
-        """No more at once than there are places for: the network's library closes what finds no descriptor."""
-        port.numberAccepts = max(1, min(port.numberAccepts, self.most_clients - len(self.clients)))
-        accept()
+    @property
+    def clients(self):
+        return self.listener.clients
 
-    def finish(self, emptied, killed=None):
-        """Takes no more: closes each client's connection once it is owed nothing, then calls emptied. killed: the
-        moment by which the process may be ended from outside: what is still taken has its answer before that."""
-        self.emptied, self.killed, self.returning = emptied, killed, None
-        if not self.drained:
-            self.drained = Deferred()
-            self.closes = self.timers.add(self.clock() + REST_WITHIN, self._close_listener)
-            self._accept_rest()
-        self.timers.cancel(self.finishing)
-        self.finishing = self.timers.add(self.clock() + READ_FIRST, self._finish_clients)
-
-    def _accept_rest(self):
-        """Closes the listener once all is taken that the machine has accepted; what finds no place waits for one."""
-        self.held_off = False
-        self._accept_all()
-        if not self.held_off:
-            self._close_listener()
-
-    def _close_listener(self):
-        """Also where some wait still: a crowd that goes on coming would hold up the end for ever."""
-        self.timers.cancel(self.closes)
-        self.listening = False
-        self.reactor.callLater(
-            0, self._accept_last
-        )  # and what comes until it closes, just before that
-        maybeDeferred(self.port.stopListening).chainDeferred(self.drained)
-
-    def _accept_all(self):
-        """What the machine has accepted already is taken too; the loop's port takes but some at a time."""
-        for _ in range(self.start.sockets):
-            before = self.port.sessionno
-            self.port.doRead()
-            if self.port.sessionno == before or self.held_off:
-                return
-
-    def _accept_last(self):
-        if self.drained and not self.drained.called:
-            take_no_more(self.port.socket)
-            self._accept_all()
-
-    drain = finish  # for a while: a fleet's permit lets it go out, and `undrain` brings it back
+    @property
+    def drained(self):
+        return self.shutdown.listener_closed
 
-    def undrain(self, listens, failed):
-        """Takes new work again, and calls listens(), or failed(why); what was on its way to an end still ends. Told to
-        go out once more before it listens, it stays out, and calls neither."""
-        self.timers.cancel(self.finishing)
-        self.emptied, self.killed, self.held_off = None, None, False
-        returning = self.returning = object()
-        if self.listening:  # for what found no place
-            self.timers.cancel(self.closes)
-            self.drained = None
-            self.port.startReading()
-            return listens()
-
-        def closed_before(_):
-            if self.returning is not returning:
-                return None
-            self.drained = None
-            try:
-                self.serve()
-            except CannotListenError as error:
-                self.drained = succeed(None)
-                return failed(str(error))
-            return listens()
+    def serve(self):
+        self.listener.serve()
 
-        self.drained.addCallback(closed_before)
+    def finish(self, emptied, killed=None):
+        self.shutdown.finish(emptied, killed)
 
-    def _finish_clients(self):
-        self.finishing = None
-        for connection in self.clients:
-            connection.finish()
-        self._if_emptied()
+    def drain(self, emptied):
+        """For a while: a permit lets this instance go out, and `undrain` brings it back."""
+        self.shutdown.finish(emptied)
 
-    def _if_emptied(self):
-        if self.emptied and not self.clients and not self.listening:
-            emptied, self.emptied = self.emptied, lambda: None  # told once
-            emptied()
+    def undrain(self, listens, failed):
+        self.shutdown.undrain(listens, failed)
 
     # Events into the decisions, their actions out.
 
@@ -339,55 +232,6 @@
 
     # Clients.
 
-    def fault(self, where, error):
-        structured_log.fault(where, error)
-
-    def opened(self, connection):
-        connection.slot, connection.used_at = self.clients.add(connection), self.clock()
-        # Between transactions a connection may be closed, first one that said nothing whole for half a second, but none
-        # for which something waits unread. A crowd of clients that ask once and stay would hold the places that those
-        # to come need: from a third of the places on, those that have been idle for a while go when one comes.
-        full, now = len(self.clients) >= self.most_clients, self.clock()
-        if self.emptied is not None and self.finishing is None:  # it had to wait for a place
-            connection.finish()
-        if not full and len(self.clients) < self.most_clients * CROWDED:
-            return
-        idle = sorted(
-            (
-                one
-                for one in self.clients
-                if one is not connection and not one.closing and not one.places
-            ),
-            key=lambda one: (one.awaited(now), one.spoke, one.used_at),
-        )[:LOOKED_AT]
-        idle = [one for one in idle if nothing_waits(one.transport)]
-        rested = [
-            one
-            for one in idle
-            if one.idle() and now >= one.used_at + IDLE_LEAST and not one.awaited(now)
-        ]
-        for one in rested[: int(len(self.clients) - self.most_clients * CROWDED)] or (
-            idle[:1] if full else ()
-        ):
-            one.give_way()
-        if (
-            full
-            and (not idle or len(self.clients) >= self.most_clients + CLOSING)
-            and not self.held_off
-        ):
-            self.held_off = True  # also until those that make room have closed
-            self.port.stopReading()
-            if not idle:
-                structured_log.seldom("clients held off", connections=len(self.clients))
-
-    def rested(self):
-        """A connection is idle: if new ones are held off, the next of them finds whom to take the place of."""
-        if self.held_off and self.emptied is None:
-            self.held_off = False
-            self.port.startReading()
-        elif self.held_off and self.listening:
-            self._accept_rest()
-
     def gone(self, connection):
         """Its client waits for nothing more."""
         for held in self.transactions if connection.places else ():
@@ -410,12 +254,6 @@
         if not held.over and has_left(held.connection.transport):
             held.connection.readConnectionLost()
 
-    def left(self, connection):
-        self.clients.remove(connection.slot)
-        self.gone(connection)
-        self.rested()
-        self._if_emptied()
-
     def take(self, connection, place, command):
         name = command.id.decode()
         if command.request_class not in self.settings.request_classes:
@@ -433,8 +271,9 @@
         left = min(
             command.left * 10, self.settings.request_classes[command.request_class].outer_limit
         )
-        if self.killed is not None:
-            left = min(left, self.killed - connection.used_at)
+        answer_by = self.shutdown.answer_by
+        if answer_by is not None:
+            left = min(left, answer_by - connection.used_at)
             if left <= 0:
                 return connection.answer(place, resp.failure(BUSY))
         held = InFlightRequest(name, command, connection, place, connection.used_at + left)
