--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -631,7 +631,9 @@
             self.assertEqual((second.transport.value(), len(network.dialled())), (b"", 1))
             connection.dataReceived(ANSWER)
             self.assertEqual(second.transport.value(), b"$1\r\nv\r\n")
-            self.assertEqual((len(network.proxy.transactions), network.proxy.by_id), (0, {}))
+            self.assertEqual(
+                (len(network.proxy.transactions), network.proxy.requests.by_id), (0, {})
+            )
 
     def test_what_has_not_gone_out_whole_goes_no_further_and_the_copy_is_sent_anew(self):
         """Also where what is out may not be recalled: it is not out."""
@@ -653,8 +655,8 @@
 
     def test_or_an_answer_at_its_own_end(self):
         network, _, second = self.left("pay", True, False)
-        network.proxy._held("01").attempts[0].ends += 10**6
-        network.proxy.timers.cancel(network.proxy._held("01").attempts[0].deadline)
+        network.proxy.requests.find("01").attempts[0].ends += 10**6
+        network.proxy.timers.cancel(network.proxy.requests.find("01").attempts[0].deadline)
         network.reactor.advance(5.1)
         network.reactor.advance(0)
         self.assertEqual(second.transport.value(), b"-ERR abandoned\r\n")
@@ -674,7 +676,7 @@
             if dials == 1:  # and nothing of it is kept
                 network.reactor.advance(5.1)
                 network.reactor.advance(0)
-                self.assertEqual(network.proxy.perhaps, set())
+                self.assertEqual(network.proxy.requests.may_have_run, set())
 
     def test_a_copy_while_the_first_ones_client_is_there_is_refused(self):
         network = Network(entry("s-1"))
@@ -695,7 +697,7 @@
             if (
                 type(events[0]) is ClientDisconnected
             ):  # another of its own ends at the same moment, and a new one comes
-                last = network.proxy._held("5")
+                last = network.proxy.requests.find("5")
                 for attempt in (
                     [attempt for attempt in last.attempts if attempt.out] if last else ()
                 ):
--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -201,7 +201,7 @@
 
     def test_deliveries_that_wait_and_are_carried_past_a_drain(self):
         with (
-            mock.patch.object(Proxy, "_withdraw", lambda self, fails: None),
+            mock.patch.object(Proxy, "withdraw_unwritten", lambda self, fails: None),
             mock.patch.object(
                 Attempt, "may_be_written", lambda self, address: True
             ),  # which would hold it, too
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -22,7 +22,7 @@
     stands_still,
     until,
 )
-from thymeknot.proxy.proxy import Proxy
+from thymeknot.proxy.endpoint_updates import followed_by
 from thymeknot.service import lifecycle
 
 
@@ -245,7 +245,7 @@
             heard.append(content)
             return bytes(content).endswith(b"\n")
 
-        read = Proxy._then(whole, lambda: heard.append("told"))
+        read = followed_by(whole, lambda: heard.append("told"))
         for content in (b'{"version"', b":9}\n", b"\n"):
             read(memoryview(content))
         self.assertEqual(heard, [b'{"version"', b":9}\n", "told", b"\n", "told"])
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -899,7 +899,7 @@
         left = {
             "clients": len(proxy.clients),
             "transactions": len(proxy.transactions),
-            "ids": len(proxy.by_id),
+            "ids": len(proxy.requests.by_id),
             "waiting": len(proxy.pools.unwritten()),
             "dialling": proxy.pools.dialling,
             "connections": len(proxy.pools.connections),
@@ -913,7 +913,7 @@
             raise Wrong(f"left at the end: {left}")
         standing = {
             "Proxy.tell",
-            "Proxy._refusals",
+            "Proxy._log_rejections",
             "WatchStream._look",
             "WatchStream._still_asked",
             "WatchStream._ask",
@@ -929,7 +929,7 @@
         if (
             live
             or periodic.count("tell") != 1
-            or periodic.count("_refusals") != 1
+            or periodic.count("_log_rejections") != 1
             or len(periodic) > 12
         ):
             raise Wrong(f"deadlines left: {live or periodic}")
--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -234,11 +234,11 @@
             network = Network(entry("s-1"))
             stream, held = (
                 network.connect(0),
-                (dict(network.proxy.listed), network.proxy.version),
+                (dict(network.proxy.listed), network.proxy.endpoints.version),
             )
             stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             stream.dataReceived(b"%x\r\n%s\n\r\n" % (len(spoilt) + 1, spoilt))
-            self.assertEqual((network.proxy.listed, network.proxy.version), held, spoilt)
+            self.assertEqual((network.proxy.listed, network.proxy.endpoints.version), held, spoilt)
             self.assertTrue(stream.transport.disconnected and not network.faults)
             for _ in range(40):
                 network.reactor.advance(0.1)
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -43,7 +43,7 @@
 class WithNetwork(unittest.TestCase):
     def setUp(self):
         self.network = Network(entry("s-1"))
-        self.kept = {2: self.network.proxy.watch, 3: self.network.proxy.stream}
+        self.kept = {2: self.network.proxy.endpoints.watch, 3: self.network.proxy.releases.stream}
 
     def pass_on(self, seconds):
         """So much time, in steps of 10 ms; each due deadline looks at what has come first, so the loop turns twice."""
@@ -144,7 +144,7 @@
             (b"noise\r\n\r\n", "no status line"),
         ):
             network, lines = Network(entry("s-1")), []
-            network.proxy.watch.log = lambda event, lines=lines, **fields: lines.append(
+            network.proxy.endpoints.watch.log = lambda event, lines=lines, **fields: lines.append(
                 (event, fields["reason"])
             )
             stream = network.connect(0)
@@ -172,7 +172,7 @@
     def test_one_failed_dial_and_the_answer_fit_in_before_what_is_missed_counts_as_told(self):
         for draw in (0.0, 0.5, 0.999):
             network = self.network = Network(entry("s-1"))
-            network.proxy.watch.pace.draw = lambda draw=draw: draw
+            network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
             self.connected(2, listed(8, "s-1"))
             began = network.reactor.seconds()
             self.until_asked(2, 6)
@@ -200,7 +200,7 @@
     def test_one_that_connects_and_says_nothing_is_replaced_in_time_for_the_list(self):
         for draw in (0.0, 0.999):
             self.network = Network(entry("s-1"))
-            self.network.proxy.watch.pace.draw = lambda draw=draw: draw
+            self.network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
             self.connected(2, listed(8, "s-1"))
             began = self.network.reactor.seconds()
             self.until_asked(2, 6)
@@ -279,13 +279,13 @@
             self.move(self.network)
 
     def last_ended(self, port):
-        kept = {2: self.network.proxy.watch, 3: self.network.proxy.stream}[port]
+        kept = {2: self.network.proxy.endpoints.watch, 3: self.network.proxy.releases.stream}[port]
         return kept.asked is None
 
     def test_a_new_address_that_is_silent_first_and_refuses_next_is_heard_within_four_seconds(self):
         for draw in (0.0, 0.999):
             self.network = Network(entry("s-1"))
-            self.network.proxy.watch.pace.draw = lambda draw=draw: draw
+            self.network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
             old = self.connected(2, listed(8, "s-1"))
             self.move(self.network, 8)
             began = self.network.reactor.seconds()
@@ -399,8 +399,8 @@
             self.pass_on(0.1)
             for _ in range(200):
                 if (
-                    self.network.proxy.watch.asked
-                    and self.network.proxy.watch.asked.transport is None
+                    self.network.proxy.endpoints.watch.asked
+                    and self.network.proxy.endpoints.watch.asked.transport is None
                 ):
                     self.connected(2, next(said))
                 self.pass_on(0.1)
@@ -434,7 +434,10 @@
                 HEAD + good + b"0\r\n\r\n",
             ):
                 self.network = Network(entry("s-1"), asked_for=asked_for)
-                kept = {2: self.network.proxy.watch, 3: self.network.proxy.stream}[port]
+                kept = {
+                    2: self.network.proxy.endpoints.watch,
+                    3: self.network.proxy.releases.stream,
+                }[port]
                 self.pass_on(0.1)
                 for _ in range(600):
                     if kept.asked and kept.asked.transport is None:
@@ -447,11 +450,11 @@
     def ends(self, port, *said):
         """These bytes end the stream that stands, alone, with a reason of bounded length; which is given."""
         network = self.network = Network(entry("s-1"))
-        kept, lines = {2: network.proxy.watch, 3: network.proxy.stream}[port], []
+        kept, lines = {2: network.proxy.endpoints.watch, 3: network.proxy.releases.stream}[port], []
         kept.log = lambda event, **fields: lines.append((event, fields["reason"]))
         stream, held = (
             self.connected(port, SIGN[port]),
-            (network.proxy.listed, network.proxy.news),
+            (network.proxy.listed, network.proxy.releases.latest),
         )
         other = self.connected(5 - port, SIGN[5 - port])
         for one in said:
@@ -461,7 +464,9 @@
         self.assertEqual([event for event, _ in lines], ["stream ended"])
         self.assertRegex(lines[0][1], "^unreadable: .{5,}")
         self.assertLessEqual(len(lines[0][1]), 200)
-        self.assertEqual(((network.proxy.listed, network.proxy.news), network.faults), (held, []))
+        self.assertEqual(
+            ((network.proxy.listed, network.proxy.releases.latest), network.faults), (held, [])
+        )
         self.assertFalse(other.transport.disconnected)
         return lines[0][1]
 
@@ -597,7 +602,7 @@
         proxy.engine.handle = lambda now, events: self.heard.extend(events) or []
 
     def vote(self):
-        self.network.proxy._vote(CastVote(41, 1, Verdict.ABORT))
+        self.network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
 
     def outcomes(self):
         return [
@@ -805,7 +810,7 @@
             (b"noise\r\n\r\n", UpdateKind.FETCH_FAILED),
         ):
             self.setUp()
-            self.network.proxy._fetch(FetchEndpoints())
+            self.network.proxy.endpoints.fetch(FetchEndpoints())
             self.written(2).dataReceived(said)
             self.assertEqual(
                 [event.kind for event in self.heard if type(event) is EndpointUpdate],
@@ -814,7 +819,7 @@
             )
 
     def test_one_fetched_at_a_former_address_changes_nothing_there(self):
-        self.network.proxy._fetch(FetchEndpoints())
+        self.network.proxy.endpoints.fetch(FetchEndpoints())
         call = self.written(2)
         Moves.move(self, self.network, discovery=8)
         stream = self.connected(8, listed(3, "s-2"))
@@ -847,7 +852,12 @@
         proxy = network.proxy
         known = {name: known.listed for name, known in proxy.engine.pods.items()}
         self.assertEqual((known, proxy.addresses.keys()), (proxy.listed, proxy.listed.keys()))
-        return (known, proxy.addresses, proxy.version, stream.transport.disconnected), len(lists)
+        return (
+            known,
+            proxy.addresses,
+            proxy.endpoints.version,
+            stream.transport.disconnected,
+        ), len(lists)
 
     def test_whatever_comes_together_ends_as_one_by_one(self):
         chance = random.Random(5)
@@ -909,7 +919,9 @@
                 stream.dataReceived(
                     chunk(b"\n" + listed(10, "s-4", indent=2) + b"\n\n" + listed(11, "s-5"))
                 )
-                self.assertEqual((list(network.proxy.listed), network.proxy.version), (["s-5"], 11))
+                self.assertEqual(
+                    (list(network.proxy.listed), network.proxy.endpoints.version), (["s-5"], 11)
+                )
                 self.assertFalse(stream.transport.disconnected)
 
     def test_brackets_and_quotes_in_strings_and_shapes_of_the_page(self):
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -75,7 +75,9 @@
                 client.connectionLost(Failure(ConnectionLost()))
             self.assertTrue(connection.transport.disconnected)
             self.assertEqual(ends, [("01", 0, outcome)])
-            self.assertEqual((len(network.proxy.transactions), network.proxy.by_id), (0, {}))
+            self.assertEqual(
+                (len(network.proxy.transactions), network.proxy.requests.by_id), (0, {})
+            )
 
     def test_what_is_given_up_as_the_other_side_closes_ends_once(self):
         for end, outcome in (("time", Outcome.TIMED_OUT), ("client", Outcome.CANCELLED)):
@@ -542,7 +544,7 @@
     def test_what_was_told_since_takes_back_what_waits_and_what_is_written_in_part(self):
         changes = {
             "drain": lambda network: network.list(entry("s-1", build=42, state="Terminating")),
-            "gone from a whole list": lambda network: network.proxy._listing(
+            "gone from a whole list": lambda network: network.proxy.endpoints.take_up(
                 discovery.read_list(
                     {"version": 9, "full": True, "servers": [entry("s-2", build=42)]}, 0
                 ),
@@ -627,7 +629,7 @@
         network.proxy.engine.settings = network.proxy.settings._replace(cancellation_allowed=False)
         network.ask("01").connectionLost(Failure(ConnectionLost()))
         self.assertEqual(network.connect().transport.value(), b"")
-        self.assertEqual((len(network.proxy.transactions), network.proxy.by_id), (0, {}))
+        self.assertEqual((len(network.proxy.transactions), network.proxy.requests.by_id), (0, {}))
 
 
 class Retired(unittest.TestCase):
@@ -1077,9 +1079,9 @@
         if connection := self.pick([one for one in self.open() if one.transport.producer], place):
             name = connection.transport.value().split(b"\r\n")[6].decode()
             connection.transport.clear()
-            pod, news = connection.delivery.pod, self.proxy.news
+            pod, news = connection.delivery.pod, self.proxy.releases.latest
             self.test.assertTrue(
-                self.proxy._stands(pod) and (news.cap or pod.build < news.build), name
+                self.proxy.endpoints.is_ready(pod) and (news.cap or pod.build < news.build), name
             )
             if name.startswith("pay"):
                 self.test.assertFalse(self.may_have_run.get(name), name)
@@ -1211,7 +1213,7 @@
             self.turn()
             self.check()
         self.test.assertEqual(
-            (len(self.proxy.transactions), self.proxy.by_id, self.pools.unwritten()),
+            (len(self.proxy.transactions), self.proxy.requests.by_id, self.pools.unwritten()),
             (0, {}, []),
         )
         for name, client in self.clients.items():
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -142,7 +142,7 @@
         )
 
     def list(self, *entries):
-        self.proxy._listing(
+        self.proxy.endpoints.take_up(
             configuration.discovery.read_list({"version": 9, "servers": list(entries)}, 0), "again"
         )
 
@@ -162,7 +162,7 @@
         network.list(entry("s-1", build=40))
         self.assertTrue(network.connect(-2).transport.disconnected)
         self.assertEqual(network.connect(-1).transport.value()[:3], b"*4\r")
-        self.assertEqual(len(network.proxy.by_id), 1)
+        self.assertEqual(len(network.proxy.requests.by_id), 1)
 
     def test_nor_past_a_lower_cap(self):
         network = Network(entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0)
@@ -444,14 +444,14 @@
         connection.resumeProducing()
         connection.dataReceived(ANSWER)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
-        self.assertEqual((len(network.proxy.transactions), network.proxy.by_id), (0, {}))
+        self.assertEqual((len(network.proxy.transactions), network.proxy.requests.by_id), (0, {}))
 
 
 class Calls(unittest.TestCase):
     def vote(self, network):
         """What the decisions hear of a vote, once the connector of its call is there."""
         heard = []
-        network.proxy._vote(CastVote(41, 1, Verdict.ABORT))
+        network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
         network.proxy.engine.handle = lambda now, events: heard.extend(events) or []
         return heard
 
@@ -474,7 +474,7 @@
         heard = self.vote(network)
         network.connect()
         self.pass_on(network, 1.3)
-        network.proxy._vote(CastVote(41, 1, Verdict.ABORT))
+        network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
         self.pass_on(network, 1.3)
         self.assertTrue(network.reactor.connectors[-1].stoppedConnecting)
         network.refuse()
@@ -535,8 +535,10 @@
         new.dataReceived(head)
         self.assertFalse(old.transport.disconnected)
         new.dataReceived(life)
-        self.assertEqual((old.transport.disconnected, network.proxy.stream.stream), (True, new))
-        network.proxy._vote(CastVote(41, 1, Verdict.ABORT))
+        self.assertEqual(
+            (old.transport.disconnected, network.proxy.releases.stream.stream), (True, new)
+        )
+        network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
         self.assertEqual(network.reactor.tcpClients[-1][1], 9)
 
     def test_what_takes_a_new_start_is_named_by_its_key(self):
@@ -555,13 +557,13 @@
             b"\x00noise\n",
         ):
             network = Network()
-            stream, held = network.connect(1), network.proxy.news
+            stream, held = network.connect(1), network.proxy.releases.latest
             stream.dataReceived(head + b"%x\r\n%s\r\n" % (len(spoilt), spoilt))
             self.assertTrue(stream.transport.disconnected)
             for _ in range(9):
                 self.pass_on(network, 0.1)
             self.assertEqual([port for _, port, *_ in network.reactor.tcpClients].count(3), 2)
-            self.assertEqual((network.proxy.news, network.faults), (held, []))
+            self.assertEqual((network.proxy.releases.latest, network.faults), (held, []))
 
     def test_an_answer_without_an_end_is_not_kept(self):
         network = Network()
--- a/tests/unit/proxy/test_release_channel.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -45,7 +45,7 @@
         )
         stream = network.connect(1)
         stream.dataReceived(HEAD + event(ago=3000))
-        network.proxy._vote(CastVote(42, 0, Verdict.PROMOTE))
+        network.proxy.releases.cast_vote(CastVote(42, 0, Verdict.PROMOTE))
         call = network.connect()
         call.resumeProducing()
         network.reactor.advance(0.1)
@@ -58,7 +58,7 @@
         self.assertEqual(votes, [Outcome.DONE])  # the vote counted, whichever state is the newer
         here, there = (
             (held.build, STATES[held.phase], held.cap)
-            for held in (network.proxy.news, network.proxy.engine.news)
+            for held in (network.proxy.releases.latest, network.proxy.engine.news)
         )
         self.assertEqual(here, there)
         return here
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -4,7 +4,7 @@
 
 from ..interface.clock import Ticks
 from ..interface.enums import Idempotency, Outcome, ReleasePhase
-from ..interface.events import Endpoint
+from ..interface.events import Endpoint, ReleaseUpdate
 from ..protocol.pod import PodConnection, PodResponse
 from ..protocol.write_progress import WRITTEN, BrokenConnection
 from .in_flight import InFlightRequest
@@ -52,7 +52,7 @@
     def __init__(
         self, proxy: "Proxy", held: InFlightRequest, pod: Endpoint | None, at: Ticks, ends: Ticks
     ) -> None:
-        news = proxy.news
+        update = proxy.releases.latest
         self.proxy = proxy
         self.held = held
         self.number = len(held.attempts)
@@ -62,7 +62,7 @@
         self.out = True
         self.connection: PodConnection | None = None
         self.deadline: int | None = None
-        self.newest = news and news.build
+        self.newest = update and update.build
         self.may_have_run = True
         self.write_by = self._write_by()
 
@@ -88,27 +88,27 @@
         proxy = self.proxy
         pod = self.pod
         now = proxy.clock()
-        news = proxy.news
-        newest = news.build if news else None
+        endpoints = proxy.endpoints
+        update = proxy.releases.latest
+        newest = update.build if update else None
         return (
             pod is not None
             and not self.held.over
             and now < self.write_by
-            and proxy._stands(pod)
-            and proxy.addresses[pod.address] == address
+            and endpoints.is_ready(pod)
+            and endpoints.addresses[pod.address] == address
             and (newest == self.newest or pod.build < newest)
-            and not self._key_stays()
-            and proxy.exposure.allows(now, news, pod.build, self.held.command.request_class)
+            and not self._key_stays(update)
+            and proxy.exposure.allows(now, update, pod.build, self.held.command.request_class)
         )
 
-    def _key_stays(self) -> bool:
+    def _key_stays(self, update: ReleaseUpdate | None) -> bool:
         """Returns whether its key stays with the newest build, which has answered it since."""
-        news = self.proxy.news
         command = self.held.command
         return (
-            news is not None
-            and self.pod.build < news.build
-            and news.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
+            update is not None
+            and self.pod.build < update.build
+            and update.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
             and (command.key or command.id).decode() in self.proxy.engine.pins
         )
 
@@ -134,7 +134,7 @@
         self.connection = connection
         now = self.proxy.clock()
         self.proxy.exposure.wrote(
-            now, self.proxy.news, self.pod.build, self.held.command.request_class
+            now, self.proxy.releases.latest, self.pod.build, self.held.command.request_class
         )
         left = max(1, (self.ends - now) // 10)
         delivered = connection.deliver(self.held.command.words(left), self._begun)
@@ -145,7 +145,7 @@
         self.proxy.ended(self, Outcome.CONNECT_FAILED)
 
     def _begun(self) -> None:
-        self.proxy.answered_unheard(self, "in part or unreadable")
+        self.proxy.response_discarded(self, "in part or unreadable")
 
     def _came_back(self, end: PodResponse | BrokenConnection) -> None:
         """Ends it by the response, or by how its connection broke."""
@@ -153,7 +153,7 @@
         if (good and not self.out) or (
             self.out and isinstance(end, BrokenConnection) and end.reached == WRITTEN
         ):
-            self.proxy.answered_unheard(self, "late" if good else end.reason)
+            self.proxy.response_discarded(self, "late" if good else end.reason)
         if not self.out:
             return
         if isinstance(end, BrokenConnection):
@@ -177,7 +177,7 @@
         self.out = False  # its one end is this: what its connection says of its own is none
         self.proxy.pools.give_up(self, self.connection)
         if written:
-            self.proxy.answered_unheard(self, "given up")
+            self.proxy.response_discarded(self, "given up")
         self.proxy.ended(
             self, outcome or (Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
         )
--- /dev/null
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -0,0 +1,201 @@
+"""The endpoints as discovery lists them: watched, fetched, validated and handed to the decisions."""
+
+from collections.abc import Callable, Iterator
+from typing import TYPE_CHECKING
+
+from ..interface.actions import FetchEndpoints, SubscribeToEndpoints
+from ..interface.enums import EndpointCondition, UpdateKind
+from ..interface.events import Endpoint, EndpointUpdate
+from ..polling.snapshot_validation import SnapshotValidator
+from ..protocol import discovery
+from ..protocol.calls import MOST_REASON, Reply, WatchStream
+from ..protocol.write_progress import BrokenConnection
+from ..service import structured_log
+from ..state.random_source import LinearCongruentialGenerator
+
+if TYPE_CHECKING:
+    from .proxy import Proxy
+
+Address = tuple[str, int]
+"""Host and port."""
+
+StreamReader = Callable[[memoryview], bool]
+"""Reads a piece of a stream; returns whether a sign of life was in it."""
+
+
+def followed_by(read: StreamReader, heard: Callable[[], None]) -> StreamReader:
+    """Returns a reader that calls heard() after each piece with a sign of life in it."""
+
+    def both(content: memoryview) -> bool:
+        alive = read(content)
+        if alive:  # less is a part of a line
+            heard()
+        return alive
+
+    return both
+
+
+class EndpointUpdates:
+    """Keeps the list of endpoints.
+
+    Attributes:
+        proxy: Who is told of updates, and whose connections follow them.
+        listed: Each listed endpoint by its name.
+        addresses: Where each listed endpoint listens, by its name.
+        version: The version of the list.
+        discovery: Calls to the discovery service.
+        watch: The stream of updates, from the agent on the same machine or by polling.
+    """
+
+    def __init__(self, proxy: "Proxy", chance: LinearCongruentialGenerator) -> None:
+        polled = proxy.settings.lists_polled
+        self.proxy = proxy
+        self.listed: dict[str, Endpoint] = {}
+        self.addresses: dict[str, str] = {}
+        self.version: int = proxy.start.known.version
+        self._source: Address | None = None  # the address that told the list
+        self._validator = SnapshotValidator()
+        self.discovery = proxy.caller(proxy.start.discovery)
+        self.watch = WatchStream(
+            self.discovery,
+            chance,
+            discovery.SILENCE,
+            lambda: discovery.watch(self.discovery.host, self._version_to_ask_from()),
+            self._watch_reader,
+            structured_log.seldom,
+            discovery.FIRST_WORD[polled],
+            free=not polled,
+        )
+
+    def call_when_heard(self, heard: Callable[[], None]) -> None:
+        """Has heard() called whenever the watch has spoken.
+
+        Each list in what came is taken up by then; an empty line says that there is none.
+        """
+        self.watch.reader = lambda: followed_by(self._watch_reader(), heard)
+
+    def start(self) -> None:
+        """Begins to watch.
+
+        Where lists are polled all instances ask one service: a fleet that starts at once must not
+        come there at once.
+        """
+        settings = self.proxy.settings
+        if settings.lists_polled:
+            self.watch.start_among(settings.instances)
+        else:
+            self.watch.start()
+
+    def move(self, address: Address) -> None:
+        """Goes on at this address; calls that are out end at the former one."""
+        if address != self.discovery.address:
+            self.discovery = self.proxy.caller(address)
+            self.watch.move(self.discovery)
+
+    def take_up(self, listing: discovery.EndpointListing, source: Address) -> None:
+        """Takes up a list that this address told.
+
+        Raises:
+            StaleSnapshotError: The list is not believed; nothing has changed.
+        """
+        update = listing.update
+        whole = update.kind != UpdateKind.DELTA
+        doubt = self._validator.doubt(
+            source, listing.version, whole, len(update.endpoints), len(self.listed)
+        )
+        if doubt:
+            raise discovery.StaleSnapshotError(*doubt)
+        self.version = listing.version
+        self._source = source
+        replaced = self._merge(update.endpoints, {} if whole else dict(self.listed))
+        self.addresses = {
+            name: address
+            for name, address in {**self.addresses, **listing.addresses}.items()
+            if name in self.listed
+        }
+        proxy = self.proxy
+        proxy.inbox.append(update)
+        if proxy.gossip is not None:
+            proxy.gossip.listed()
+        proxy.withdraw_unwritten(
+            lambda pod, address: not self.is_ready(pod) or self.addresses[pod.address] != address
+        )
+        proxy.pools.keep_only(
+            {name: address for name, address in self.addresses.items() if name not in replaced}
+        )
+        proxy.tell()
+
+    def _merge(self, endpoints: tuple[Endpoint, ...], listed: dict[str, Endpoint]) -> set[str]:
+        """Adds the told endpoints to these; returns the names under which another process runs now.
+
+        What stands open to an earlier process may be silent: it is another endpoint of that name.
+        """
+        before = self.listed
+        self.listed = listed
+        replaced = set()
+        for pod in endpoints:
+            known = before.get(pod.address)
+            if known and (known.started, known.build) != (pod.started, pod.build):
+                replaced.add(pod.address)
+            if pod.condition == EndpointCondition.GONE:
+                listed.pop(pod.address, None)
+            else:
+                listed[pod.address] = pod
+        return replaced
+
+    def is_ready(self, pod: Endpoint) -> bool:
+        """Returns whether this process of the endpoint is still listed as ready."""
+        now = self.listed.get(pod.address)
+        return (
+            now is not None
+            and now.condition == EndpointCondition.READY
+            and ((now.started, now.build) == (pod.started, pod.build))
+        )
+
+    def _version_to_ask_from(self) -> int:
+        """Returns the last version of the present address; 0 asks a new one for the whole list."""
+        return self.version if self._source == self.discovery.address else 0
+
+    def _watch_reader(self) -> StreamReader:
+        lists = discovery.Lists()
+        source = self.discovery.address
+
+        def read(content: memoryview) -> bool:
+            alive = False
+
+            def listings() -> Iterator[discovery.EndpointListing]:
+                nonlocal alive
+                for told in lists.feed(content):
+                    alive = True
+                    if told is not None:
+                        yield discovery.read_list(told, self.proxy.epoch)
+
+            for listing in discovery.folded(listings()):
+                self.take_up(listing, source)
+            return alive
+
+        return read
+
+    def subscribe(self, action: SubscribeToEndpoints) -> None:
+        """Does nothing: the watch stands, or polls as often as discovery bears."""
+
+    def fetch(self, action: FetchEndpoints) -> None:
+        """Asks for the whole list once; the decisions are told of it, or that it did not come."""
+        fetched = self.discovery.call(
+            discovery.fetch(self.discovery.host), self.proxy.settings.vote_timeout
+        )
+        fetched.addCallback(self._fetched, self.discovery.address)
+
+    def _fetched(self, end: Reply | BrokenConnection, source: Address) -> None:
+        """Takes up a list that was asked for at this address, if that is the present one still."""
+        try:
+            if source != self.discovery.address:
+                raise discovery.UnreadableListError("asked at a former address")
+            if not isinstance(end, Reply) or end.status != 200:
+                raise discovery.UnreadableListError(
+                    f"status {end.status}" if isinstance(end, Reply) else end.reason
+                )
+            self.take_up(discovery.read_json(end.body, self.proxy.epoch), source)
+        except Exception as error:  # the decisions are owed one answer, whatever came
+            structured_log.log("list not fetched", error=str(error)[:MOST_REASON])
+            self.proxy.tell(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -3,7 +3,10 @@
 from typing import TYPE_CHECKING
 
 from ..interface.clock import Ticks
+from ..interface.enums import Idempotency
 from ..protocol.client import ClientConnection, Command
+from ..state.slot_table import SlotTable
+from ..state.timer_queue import TimerQueue
 
 if TYPE_CHECKING:
     from .attempt import Attempt
@@ -54,3 +57,45 @@
         self.over = False
         self.deadline: int | None = None
         self.heir = False
+
+
+class RequestTable:
+    """The requests in flight, and the ids that may not be taken again for a while.
+
+    Attributes:
+        timers: All timers of the program.
+        by_slot: The requests by their number.
+        by_id: The number of each request by its id.
+        may_have_run: Ids of requests that may have run and were let go without an answer.
+    """
+
+    def __init__(self, timers: TimerQueue) -> None:
+        self.timers = timers
+        self.by_slot = SlotTable()
+        self.by_id: dict[str, int] = {}
+        self.may_have_run: set[str] = set()
+
+    def find(self, name: str | None) -> InFlightRequest | None:
+        """Returns the request of this id, if there is one."""
+        slot = self.by_id.get(name)
+        return None if slot is None else self.by_slot.get(slot)
+
+    def release(self, request: InFlightRequest) -> None:
+        """Lets go of a request that is over and of which no attempt is out."""
+        if request.over and not request.out and self.by_id.get(request.id) == request.slot:
+            del self.by_id[request.id]
+            self.by_slot.remove(request.slot)
+            self.timers.cancel(request.deadline)
+
+    def remember(self, request: InFlightRequest, idempotency: Idempotency) -> None:
+        """Bars the id of a request that may have run, for as long as its client would have waited.
+
+        Called for one that is let go without an answer. An idempotent one may run again.
+        """
+        if (
+            idempotency != Idempotency.IDEMPOTENT
+            and request.id not in self.may_have_run
+            and any(attempt.may_have_run for attempt in request.attempts)
+        ):
+            self.may_have_run.add(request.id)
+            self.timers.add(request.ends, self.may_have_run.discard, request.id)
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -1,11 +1,14 @@
 """Between the network and the decisions: what comes in becomes events, actions become what goes out.
 
-The only file that knows both sides. It decides nothing: where, when and whether are the Balancer's.
+It decides nothing: where, when and whether a request is sent are the decision engine's.
 """
 
+from collections.abc import Callable, Iterable
 from math import isfinite
+from typing import Any
 
 from ..interface.actions import (
+    Action,
     CancelAttempt,
     CastVote,
     CloseIdleConnections,
@@ -19,47 +22,95 @@
     SetTimer,
     SubscribeToEndpoints,
 )
-from ..interface.enums import EndpointCondition, Idempotency, Outcome, ReleasePhase, UpdateKind
+from ..interface.clock import Ticks
+from ..interface.enums import Outcome
 from ..interface.events import (
     AttemptEnded,
     ClientDisconnected,
-    EndpointUpdate,
+    Endpoint,
+    Event,
     LateResponseSeen,
     ReleaseUpdate,
     RequestReceived,
     TimerFired,
 )
 from ..policy.engine import PROOF, DecisionEngine
-from ..polling.snapshot_validation import SnapshotValidator
-from ..protocol import deployer, discovery, http, resp
-from ..protocol.calls import MOST_REASON, HttpCaller, Reply, WatchStream
-from ..protocol.write_progress import (
-    has_left,
-)
+from ..protocol import resp
+from ..protocol.calls import HttpCaller
+from ..protocol.client import ClientConnection, Command
+from ..protocol.pod import PodResponse
+from ..protocol.write_progress import has_left
 from ..service import structured_log
+from ..service.configuration import StartConfiguration
 from ..service.rejection_summary import RejectionSummary
 from ..state.connection_pool import ConnectionPools
 from ..state.random_source import LinearCongruentialGenerator
 from ..state.slot_table import SlotTable
+from ..state.timer_queue import TimerQueue
 from ..state.trial_exposure import TrialExposure
 from .attempt import BUSY, Attempt
 from .client_listener import ClientListener
 from .descriptor_budget import descriptor_budget
+from .endpoint_updates import Address, EndpointUpdates
 from .graceful_shutdown import GracefulShutdown
-from .in_flight import InFlightRequest
+from .in_flight import InFlightRequest, RequestTable
+from .release_channel import ReleaseChannel
+
+OVERDUE_AFTER = 50
+"""Ticks after its client's end: a request still without an answer gets one."""
+
+FAILED_ANSWER = resp.failure("ERR abandoned")
+"""The answer to a request that has failed and may have run."""
 
-OVERDUE = 50  # so long after its client's end a transaction still without an answer gets one
-ABANDONED = resp.failure("ERR abandoned")
+KEYS_READ_AT_START = {
+    "name": "name",
+    "listen": "listen",
+    "seed": "seed",
+    "sockets": "limits.sockets",
+    "settings": "settings",
+    "connection_limits": "settings",
+}
+"""Which key of the configuration each field of StartConfiguration that binds at the start comes from."""
 
 
 class Proxy:
-    def __init__(self, start, reactor, timers, epoch):
-        self.start, self.reactor, self.timers, self.epoch = start, reactor, timers, epoch
-        self.clock, self.settings, self.connection_limits = (
-            timers.clock,
-            start.settings,
-            start.connection_limits,
-        )
+    """One instance: it owns its connections, requests and decisions, and carries between them.
+
+    Attributes:
+        start: The configuration that it was started with.
+        reactor: Twisted's reactor; it has no static type.
+        timers: All timers of the program.
+        epoch: Unix time less the clock, in ticks.
+        clock: The time, in ticks.
+        settings: The settings of the decisions.
+        connection_limits: The settings of the connections.
+        pools: The connections to endpoints.
+        listener: The listening port and the clients' connections.
+        shutdown: Drains the listener.
+        requests: The requests in flight.
+        transactions: The table of these by slot.
+        exposure: What was received and what was sent to the newest build on trial.
+        inbox: Events that the decisions are yet to be told of.
+        deciding: Whether the decisions are being told of events: further ones wait in `inbox`.
+        gossip: Hears of ended attempts and lists; None without the feature.
+        why: Hears of requests' starts and ends; None without the feature.
+        fleet: Drains this instance as it is told; None without the feature.
+        refusals: Sums up why requests are rejected.
+        engine: The decisions.
+        endpoints: The list of endpoints.
+        releases: Votes and release updates.
+    """
+
+    def __init__(
+        self, start: StartConfiguration, reactor: Any, timers: TimerQueue, epoch: Ticks
+    ) -> None:
+        self.start = start
+        self.reactor = reactor
+        self.timers = timers
+        self.epoch = epoch
+        self.clock: Callable[[], Ticks] = timers.clock
+        self.settings = start.settings
+        self.connection_limits = start.connection_limits
         budget = descriptor_budget(start.sockets)
         self.pools = ConnectionPools(
             reactor, timers, self.connection_limits, budget.endpoints, structured_log.fault
@@ -68,127 +119,130 @@
             reactor, timers, start.listen, start.sockets, budget.clients, self.take, self.gone
         )
         self.shutdown = GracefulShutdown(self.listener)
-        self.transactions, self.by_id, self.perhaps = (
-            SlotTable(),
-            {},
-            set(),
-        )  # perhaps: ids that may have run, let go
-        self.listed, self.addresses, self.version, self.told_by = {}, {}, start.known.version, None
-        self.news, self.news_at, self.exposure = None, 0, TrialExposure(start.settings)
-        self.inbox, self.deciding, self.belief = [], False, SnapshotValidator()
-        self.gossip = self.why = self.fleet = (
-            None  # hear of ends, lists and answers, where an operator's file has them
-        )
+        self.requests = RequestTable(timers)
+        self.transactions = self.requests.by_slot
+        self.exposure = TrialExposure(start.settings)
+        self.inbox: list[Event] = []
+        self.deciding = False
+        self.gossip: Any = None
+        self.why: Any = None
+        self.fleet: Any = None
         self.refusals = RejectionSummary(structured_log.log)
         self.engine = DecisionEngine(self.settings, start.seed, self.clock(), self.refusals.hear)
         chance = LinearCongruentialGenerator(~start.seed)
-        self.discovery, self.platform = self._caller(start.discovery), self._caller(start.platform)
-        self.watch = WatchStream(
-            self.discovery,
-            chance,
-            discovery.SILENCE,
-            lambda: discovery.watch(self.discovery.host, self._since()),
-            self._watch_reader,
-            structured_log.seldom,
-            discovery.FIRST_WORD[self.settings.lists_polled],
-            free=not self.settings.lists_polled,
-        )  # the agent on the same machine
-        self.stream = WatchStream(
-            self.platform,
-            chance,
-            deployer.SILENCE,
-            lambda: deployer.stream(self.platform.host),
-            self._stream_reader,
-            structured_log.seldom,
-            deployer.FIRST_WORD,
-        )
+        self.endpoints = EndpointUpdates(self, chance)
+        self.releases = ReleaseChannel(self, chance)
+        self._carriers: dict[type, Callable[[Any], None]] = {
+            SendAttempt: self._send,
+            CancelAttempt: self._cancel,
+            Reject: self._reject,
+            Fail: self._fail,
+            SetTimer: self._set_timer,
+            CloseIdleConnections: self._close_idle,
+            SubscribeToEndpoints: self.endpoints.subscribe,
+            FetchEndpoints: self.endpoints.fetch,
+            CastVote: self.releases.cast_vote,
+            LogNote: self._log_note,
+            ProbeEndpoint: self._not_supported,
+            SendPeerMessage: self._not_supported,
+        }
 
-    def _caller(self, address):
+    def caller(self, address: Address) -> HttpCaller:
+        """Returns what makes calls to this address."""
         return HttpCaller(
             self.reactor, self.timers, address, self.connection_limits.connect_timeout
         )
 
-    def reconfigure(self, start):
-        """Takes up the addresses of a new configuration; calls that are out end at the former ones. What it knows
-        of pods and builds is older than what the streams have told. Gives the keys that take a new start; `known` and
-        `deployer.news` are not among them, since they only tell how things stood then."""
-        if start.discovery != self.discovery.address:
-            self.discovery = self._caller(start.discovery)
-            self.watch.move(self.discovery)
-        if start.platform != self.platform.address:
-            self.platform = self._caller(start.platform)
-            self.stream.move(self.platform)
-        keys = {
-            "name": "name",
-            "listen": "listen",
-            "seed": "seed",
-            "sockets": "limits.sockets",
-            "settings": "settings",
-            "connection_limits": "settings",
-        }
+    def reconfigure(self, start: StartConfiguration) -> list[str]:
+        """Takes up the addresses of a new configuration.
+
+        Calls that are out end at the former addresses. What the configuration knows of endpoints
+        and builds is older than what the streams have told.
+
+        Returns:
+            The changed keys that take a new start. `known` and `deployer.news` are not among them,
+            since they only tell how things stood then.
+        """
+        self.endpoints.move(start.discovery)
+        self.releases.move(start.platform)
         return sorted(
             {
                 key
-                for field, key in keys.items()
+                for field, key in KEYS_READ_AT_START.items()
                 if getattr(start, field) != getattr(self.start, field)
             }
         )
 
-    def begin(self, told=None):
-        """The first moment of the decisions: the list as last known, and the news. told() is called whenever the
-        watch has spoken: each list in what came is taken up by then, and an empty line says that there is none."""
-        if told is not None:
-            self.watch.reader = lambda: self._then(self._watch_reader(), told)
-        self._listing(self.start.known, self.discovery.address)
-        self.tell(self.start.news)
-        # Where lists are asked for, all ask one service: a fleet that starts at once must not come there at once.
-        self.watch.start_among(
-            self.settings.instances
-        ) if self.settings.lists_polled else self.watch.start()
-        self.stream.start()
-        self._refusals()
-
-    @staticmethod
-    def _then(read, told):
-        def both(content):
-            alive = read(content)
-            if alive:  # less is a part of a line
-                told()
-            return alive
+    def begin(self, heard: Callable[[], None] | None = None) -> None:
+        """Tells the decisions what is known at the start, and begins to listen for more.
 
-        return both
+        Args:
+            heard: Called whenever the watch of endpoints has spoken.
+        """
+        if heard is not None:
+            self.endpoints.call_when_heard(heard)
+        self.endpoints.take_up(self.start.known, self.endpoints.discovery.address)
+        self.tell(self.start.news)
+        self.endpoints.start()
+        self.releases.start()
+        self._log_rejections()
 
-    def _refusals(self):
+    def _log_rejections(self) -> None:
         pressure = round(self.engine.admission.pressure(self.clock(), ()), 2)
-        self.timers.add(self.refusals.due(self.clock(), pressure=pressure), self._refusals)
+        self.timers.add(self.refusals.due(self.clock(), pressure=pressure), self._log_rejections)
 
     # What other packages use of the parts.
 
     @property
-    def clients(self):
+    def clients(self) -> SlotTable:
+        """The clients' open connections."""
         return self.listener.clients
 
     @property
-    def drained(self):
+    def drained(self) -> Any:
+        """The closing of the listening port, a Deferred; None while it serves."""
         return self.shutdown.listener_closed
 
-    def serve(self):
+    @property
+    def listed(self) -> dict[str, Endpoint]:
+        """Each listed endpoint by its name."""
+        return self.endpoints.listed
+
+    @property
+    def addresses(self) -> dict[str, str]:
+        """Where each listed endpoint listens, by its name."""
+        return self.endpoints.addresses
+
+    @property
+    def discovery(self) -> HttpCaller:
+        """Calls to the discovery service."""
+        return self.endpoints.discovery
+
+    @property
+    def platform(self) -> HttpCaller:
+        """Calls to the platform."""
+        return self.releases.platform
+
+    def serve(self) -> None:
+        """Opens the listening port; raises CannotListenError where the address can't be had."""
         self.listener.serve()
 
-    def finish(self, emptied, killed=None):
-        self.shutdown.finish(emptied, killed)
+    def finish(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
+        """Drains for good; see GracefulShutdown.finish."""
+        self.shutdown.finish(on_drained, answer_by)
 
-    def drain(self, emptied):
-        """For a while: a permit lets this instance go out, and `undrain` brings it back."""
-        self.shutdown.finish(emptied)
+    def drain(self, on_drained: Callable[[], None]) -> None:
+        """Drains for a while: a permit lets this instance go out, and `undrain` brings it back."""
+        self.shutdown.finish(on_drained)
 
-    def undrain(self, listens, failed):
+    def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
+        """Takes new work again; see GracefulShutdown.undrain."""
         self.shutdown.undrain(listens, failed)
 
     # Events into the decisions, their actions out.
 
-    def tell(self, *events):
-        """Hands events to the decisions in their order, with those that their actions bring about."""
+    def tell(self, *events: Event) -> None:
+        """Hands events to the decisions in order, with those that their actions bring about."""
         self.inbox += events
         if self.deciding:
             return
@@ -199,88 +253,110 @@
         finally:
             self.deciding = False
 
-    def _decide(self, event):
+    def _decide(self, event: Event) -> None:
         if type(event) is ReleaseUpdate:
-            self._told(event)
+            self.releases.take_up(event)
         try:
             actions = self.engine.handle(self.clock(), [event])
-        except Exception as error:  # costs the transaction of this event, not the program
+        except Exception as error:  # costs the request of this event, not the program
             structured_log.fault("decisions", error)
             self._carry_out(self.engine.actions)
-            held = self._held(getattr(event, "id", None))
-            if held and not held.over and not held.out:
-                self._final(held, ABANDONED)
-                self.inbox.append(ClientDisconnected(held.id))
+            request = self.requests.find(getattr(event, "id", None))
+            if request and not request.over and not request.out:
+                self._answer(request, FAILED_ANSWER)
+                self.inbox.append(ClientDisconnected(request.id))
         else:
             self._carry_out(actions)
 
-    def _carry_out(self, actions):
+    def _carry_out(self, actions: Iterable[Action]) -> None:
         for action in list(actions):
             try:
-                self.ACTIONS[type(action)](self, action)
+                self._carriers[type(action)](action)
             except Exception as error:  # the other actions stand
                 structured_log.fault(type(action).__name__, error)
 
-    def _timer(self, action):
+    def _set_timer(self, action: SetTimer) -> None:
         self.timers.add(action.at, self.tell, TimerFired(action.token))
 
-    def _note(self, action):
+    def _log_note(self, action: LogNote) -> None:
         structured_log.log("note", text=action.text)
 
-    def _not_spoken(self, action):
+    def _not_supported(self, action: ProbeEndpoint | SendPeerMessage) -> None:
         structured_log.log("not spoken here", action=type(action).__name__)
 
-    # Clients.
+    def _close_idle(self, action: CloseIdleConnections) -> None:
+        self.pools.retire(action.endpoint)
+
+    def withdraw_unwritten(self, fails: Callable[[Endpoint, str], bool]) -> None:
+        """Withdraws the attempts whose endpoint and address fail, as long as none can have run.
 
-    def gone(self, connection):
-        """Its client waits for nothing more."""
-        for held in self.transactions if connection.places else ():
-            if held.connection is connection and not held.over:
-                held.over = True
+        What is not written whole must not be carried past what was told since. The decisions hear
+        of the ends together with what was told.
+        """
+        deciding = self.deciding
+        self.deciding = True
+        try:
+            for attempt, address in self.pools.unwritten():
+                if fails(attempt.pod, address):
+                    attempt.withdraw()
+        finally:
+            self.deciding = deciding
+
+    # Clients' requests.
+
+    def gone(self, connection: ClientConnection) -> None:
+        """Ends the requests of a connection whose client waits for nothing more."""
+        for request in self.transactions if connection.places else ():
+            if request.connection is connection and not request.over:
+                request.over = True
                 if self.why is not None:
-                    self.why.ended(held.id, self.why.left)
-                self.tell(ClientDisconnected(held.id))
-                for (
-                    attempt
-                ) in held.attempts:  # also where none may be recalled: these are not out yet
+                    self.why.ended(request.id, self.why.left)
+                self.tell(ClientDisconnected(request.id))
+                # Also where none may be cancelled: these are not out yet.
+                for attempt in request.attempts:
                     if attempt.out and not attempt.written():
                         attempt.withdraw()
-                self._remember(held)
-                self._let_go(held)
+                request_class = self.settings.request_classes[request.command.request_class]
+                self.requests.remember(request, request_class.idempotency)
+                self.requests.release(request)
 
     @staticmethod
-    def _ask_for(held):
-        """Whether its client is there: the loop may have read something else before the end, or does not read it."""
-        if not held.over and has_left(held.connection.transport):
-            held.connection.readConnectionLost()
+    def _notice_if_gone(request: InFlightRequest) -> None:
+        """Ends the request's connection if its client has left.
+
+        The reactor may have read something else before the end, or does not read that connection.
+        """
+        if not request.over and has_left(request.connection.transport):
+            request.connection.readConnectionLost()
 
-    def take(self, connection, place, command):
+    def take(self, connection: ClientConnection, place: int, command: Command) -> None:
+        """Takes a request, or answers at once why it is not taken."""
         name = command.id.decode()
-        if command.request_class not in self.settings.request_classes:
+        request_class = self.settings.request_classes.get(command.request_class)
+        if request_class is None:
             return connection.answer(place, resp.failure("ERR no such lane"))
-        if name in self.by_id:
-            self._ask_for(self._held(name))
+        requests = self.requests
+        if name in requests.by_id:
+            self._notice_if_gone(requests.find(name))
             if connection.gone:  # it was the same
                 return None
-        if name in self.by_id or name in self.perhaps:
-            return self._repeated(name, connection, place, command)
-        if len(self.transactions) + len(self.perhaps) >= self.connection_limits.max_open:
+        if name in requests.by_id or name in requests.may_have_run:
+            return self._take_repeat(name, connection, place, command)
+        if len(self.transactions) + len(requests.may_have_run) >= self.connection_limits.max_open:
             return connection.answer(place, resp.failure(BUSY))
-        # Nothing is earned after the lane's outer limit: no client has a transaction held for longer.
-        connection.used_at = self.clock()
-        left = min(
-            command.left * 10, self.settings.request_classes[command.request_class].outer_limit
-        )
+        now = connection.used_at = self.clock()
+        # Nothing is earned after the outer limit: no client has a request held for longer.
+        left = min(command.left * 10, request_class.outer_limit)
         answer_by = self.shutdown.answer_by
         if answer_by is not None:
-            left = min(left, answer_by - connection.used_at)
+            left = min(left, answer_by - now)
             if left <= 0:
                 return connection.answer(place, resp.failure(BUSY))
-        held = InFlightRequest(name, command, connection, place, connection.used_at + left)
-        held.slot = self.by_id[name] = self.transactions.add(held)
-        held.deadline = self.timers.add(held.ends + OVERDUE, self._overdue, held)
+        request = InFlightRequest(name, command, connection, place, now + left)
+        request.slot = requests.by_id[name] = self.transactions.add(request)
+        request.deadline = self.timers.add(request.ends + OVERDUE_AFTER, self._overdue, request)
         key = command.key.decode() or None
-        self.exposure.took(connection.used_at, command.request_class)
+        self.exposure.took(now, command.request_class)
         if self.why is not None:
             self.why.taken(name, command)
         return self.tell(
@@ -289,138 +365,137 @@
             )
         )
 
-    def _repeated(self, name, connection, place, command):
-        """A client whose connection was closed under a request that it thinks unread sends it once more. Where the
-        first copy is out still, what it brings is the answer; where it may have run, it does not run again."""
-        held = self._held(name)
-        if held is None:
+    def _take_repeat(
+        self, name: str, connection: ClientConnection, place: int, command: Command
+    ) -> None:
+        """Takes a request whose id was taken before.
+
+        A client whose connection was closed under a request that it thinks unread sends it once
+        more. Where attempts of the first copy are out still, what they bring is the answer; where
+        it may have run, it does not run again.
+        """
+        request = self.requests.find(name)
+        if request is None:
             return connection.answer(place, resp.failure("ERR this id may have run already"))
-        if not held.over or not held.connection.gone or held.command[:3] != command[:3]:
+        if not request.over or not request.connection.gone or request.command[:3] != command[:3]:
             return connection.answer(place, resp.failure("ERR this id is in hand already"))
         now = self.clock()
-        held.connection, held.place, held.over, held.heir = connection, place, False, True
-        held.ends = now + min(
-            command.left * 10, self.settings.request_classes[held.command.request_class].outer_limit
-        )
-        self.timers.cancel(held.deadline)
-        held.deadline = self.timers.add(held.ends + OVERDUE, self._overdue, held)
-
-    def _remember(self, held):
-        """What may have run and was let go without an answer is not taken again for as long as it was asked for."""
-        if (
-            self.settings.request_classes[held.command.request_class].idempotency
-            != Idempotency.IDEMPOTENT
-            and held.id not in self.perhaps
-            and any(attempt.may_have_run for attempt in held.attempts)
-        ):
-            self.perhaps.add(held.id)
-            self.timers.add(held.ends, self.perhaps.discard, held.id)
-
-    def _held(self, name):
-        slot = self.by_id.get(name)
-        return None if slot is None else self.transactions.get(slot)
-
-    def _overdue(self, held):
-        """No answer by its client's end: the decisions have missed it, and one is still owed."""
-        if not held.over:
-            structured_log.log("overdue", id=held.id, out=held.out)
+        request.connection = connection
+        request.place = place
+        request.over = False
+        request.heir = True
+        request_class = self.settings.request_classes[request.command.request_class]
+        request.ends = now + min(command.left * 10, request_class.outer_limit)
+        self.timers.cancel(request.deadline)
+        request.deadline = self.timers.add(request.ends + OVERDUE_AFTER, self._overdue, request)
+        return None
+
+    def _overdue(self, request: InFlightRequest) -> None:
+        """Answers a request that the decisions have missed: an answer is still owed."""
+        if not request.over:
+            structured_log.log("overdue", id=request.id, out=request.out)
             if self.why is not None:
-                self.why.ended(held.id, self.why.abandoned)
-            self._final(held, ABANDONED)
-            self.tell(ClientDisconnected(held.id))
-
-    def _final(self, held, content):
-        if held and not held.over:
-            held.over = True
-            held.connection.answer(held.place, content)
-            self._let_go(held)
-            if self.why is not None and not held.out:
-                self.why.over(held.id)
-
-    def _let_go(self, held):
-        if held.over and not held.out and self.by_id.get(held.id) == held.slot:
-            del self.by_id[held.id]
-            self.transactions.remove(held.slot)
-            self.timers.cancel(held.deadline)
-
-    def _defer(self, action):
-        wait = -(-action.retry_after // 10)
-        self._final(self._held(action.id), resp.failure(f"{BUSY} {wait}" if wait else BUSY))
-
-    def _abandon(self, action):
-        self._final(self._held(action.id), ABANDONED)
-
-    # Deliveries.
-
-    def _deliver(self, action):
-        now, held = self.clock(), self._held(action.id)
-        if held is None:
-            return self.inbox.append(
-                AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, action.endpoint, 0, None)
-            )
-        self._ask_for(held)
+                self.why.ended(request.id, self.why.abandoned)
+            self._answer(request, FAILED_ANSWER)
+            self.tell(ClientDisconnected(request.id))
+
+    def _answer(self, request: InFlightRequest | None, content: bytes) -> None:
+        """Gives a request its final answer, if it is owed one."""
+        if request and not request.over:
+            request.over = True
+            request.connection.answer(request.place, content)
+            self.requests.release(request)
+            if self.why is not None and not request.out:
+                self.why.over(request.id)
+
+    def _reject(self, action: Reject) -> None:
+        milliseconds = -(-action.retry_after // 10)
+        content = resp.failure(f"{BUSY} {milliseconds}" if milliseconds else BUSY)
+        self._answer(self.requests.find(action.id), content)
+
+    def _fail(self, action: Fail) -> None:
+        self._answer(self.requests.find(action.id), FAILED_ANSWER)
+
+    # Attempts.
+
+    def _send(self, action: SendAttempt) -> None:
+        now = self.clock()
+        request = self.requests.find(action.id)
+        endpoint = action.endpoint
+        if request is None:
+            self.inbox.append(AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, endpoint, 0, None))
+            return
+        self._notice_if_gone(request)
+        endpoints = self.endpoints
         attempt = Attempt(
-            self, held, self.listed.get(action.endpoint), now, min(now + action.timeout, held.ends)
+            self,
+            request,
+            endpoints.listed.get(endpoint),
+            now,
+            min(now + action.timeout, request.ends),
         )
-        held.attempts.append(attempt)
-        held.out += 1
+        request.attempts.append(attempt)
+        request.out += 1
         if attempt.number >= self.settings.max_attempts or not attempt.may_be_written(
-            self.addresses.get(action.endpoint)
+            endpoints.addresses.get(endpoint)
         ):
-            return self.ended(attempt, Outcome.NOT_SENT)
+            self.ended(attempt, Outcome.NOT_SENT)
+            return
         attempt.deadline = self.timers.add(attempt.write_by, attempt.due)
-        if not self.pools.send(action.endpoint, self.addresses[action.endpoint], attempt):
+        if not self.pools.send(endpoint, endpoints.addresses[endpoint], attempt):
             structured_log.seldom("no descriptor for a pod", connections=len(self.pools))
-            return self.ended(attempt, Outcome.NOT_SENT)
+            self.ended(attempt, Outcome.NOT_SENT)
 
-    def _recall(self, action):
-        held = self._held(action.id)
-        attempt = (
-            held.attempts[action.number] if held and action.number < len(held.attempts) else None
-        )
-        if attempt and attempt.out:
+    def _cancel(self, action: CancelAttempt) -> None:
+        request = self.requests.find(action.id)
+        if request is None or action.number >= len(request.attempts):
+            return
+        attempt = request.attempts[action.number]
+        if attempt.out:
             attempt.give_up(Outcome.CANCELLED)
 
-    def ended(self, attempt, outcome, answer=None):
-        """The one end of an attempt. The first good answer goes to the client by itself."""
-        held = attempt.held
-        attempt.out, attempt.may_have_run = False, PROOF[outcome] != "unrun"
-        held.out -= 1
+    def ended(self, attempt: Attempt, outcome: Outcome, answer: PodResponse | None = None) -> None:
+        """Takes up the one end of an attempt. The first good answer goes to the client at once."""
+        request = attempt.held
+        attempt.out = False
+        attempt.may_have_run = PROOF[outcome] != "unrun"
+        request.out -= 1
         if attempt.deadline is not None:
             self.timers.cancel(attempt.deadline)
-        if outcome == Outcome.DONE and not held.over:
-            held.over = True
+        if outcome == Outcome.DONE and not request.over:
+            request.over = True
             if self.why is not None:
-                self.why.ended(held.id, self.why.done)
-            held.connection.answer(held.place, resp.value(answer.value))
+                self.why.ended(request.id, self.why.done)
+            request.connection.answer(request.place, resp.value(answer.value))
         load = self._load(answer.report) if answer and answer.report else None
-        pod = attempt.pod.address if attempt.pod else ""
+        endpoint = attempt.pod.address if attempt.pod else ""
+        latency = self.clock() - attempt.at
         event = AttemptEnded(
-            held.id, outcome, held.over, self.clock() - attempt.at, pod, attempt.number, load
+            request.id, outcome, request.over, latency, endpoint, attempt.number, load
         )
         if self.gossip is not None and attempt.pod:
             self.gossip.ended(attempt, outcome)
-        if held.heir and not held.out:  # the decisions are done with it
-            self._final(held, ABANDONED)
-        self._let_go(held)
+        if request.heir and not request.out:  # the decisions are done with it
+            self._answer(request, FAILED_ANSWER)
+        self.requests.release(request)
         self.tell(event)
-        if self.why is not None and held.over and not held.out:
-            self.why.over(held.id)
+        if self.why is not None and request.over and not request.out:
+            self.why.over(request.id)
 
-    def answered_unheard(self, attempt, reason):
-        """An answer that came too late, in part, spoilt, or may yet come: its key counts as answered."""
-        command, after = attempt.held.command, self.clock() - attempt.at
+    def response_discarded(self, attempt: Attempt, reason: str) -> None:
+        """Counts a key as answered: a response came too late, in part, spoilt, or may yet come."""
+        command = attempt.held.command
         structured_log.seldom(
             "unheard answer",
             id=attempt.held.id,
             pod=attempt.pod.address,
-            after=after,
+            after=self.clock() - attempt.at,
             reason=reason,
         )
         self.tell(LateResponseSeen((command.key or command.id).decode(), attempt.pod.build))
 
-    def _load(self, report):
-        """The values of a report of names and values, in the order in which the terms name them."""
+    def _load(self, report: bytes) -> tuple[float, ...] | None:
+        """Returns the values of a load report in the order of the settings; None for a bad one."""
         told = dict(
             pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(",")
         )
@@ -429,185 +504,3 @@
         except (KeyError, ValueError):
             return None
         return load if all(map(isfinite, load)) else None
-
-    def _close_idle(self, action):
-        self.pools.retire(action.endpoint)
-
-    # The list of pods.
-
-    def _listing(self, listing, source):
-        """Takes up a list that this address told; one that is not believed is an Unbelieved, and changes nothing."""
-        whole, names = listing.update.kind != UpdateKind.DELTA, len(listing.update.endpoints)
-        doubt = self.belief.doubt(source, listing.version, whole, names, len(self.listed))
-        if doubt:
-            raise discovery.StaleSnapshotError(*doubt)
-        self.version, self.told_by = listing.version, source
-        before, self.listed = (
-            self.listed,
-            dict(self.listed) if listing.update.kind == UpdateKind.DELTA else {},
-        )
-        changed = set()
-        for pod in listing.update.endpoints:
-            known = before.get(pod.address)
-            # What stands open to an earlier process may be silent: it is another pod under the same id.
-            if known and (known.started, known.build) != (pod.started, pod.build):
-                changed.add(pod.address)
-            if pod.condition == EndpointCondition.GONE:
-                self.listed.pop(pod.address, None)
-            else:
-                self.listed[pod.address] = pod
-        self.addresses = {
-            pod: address
-            for pod, address in {**self.addresses, **listing.addresses}.items()
-            if pod in self.listed
-        }
-        self.inbox.append(listing.update)
-        if self.gossip is not None:
-            self.gossip.listed()
-        self._withdraw(
-            lambda pod, address: not self._stands(pod) or self.addresses[pod.address] != address
-        )
-        self.pools.keep_only({pod: at for pod, at in self.addresses.items() if pod not in changed})
-        self.tell()
-
-    def _since(self):
-        """The version to ask from: each address counts for itself, so from a new one the whole list is wanted."""
-        return self.version if self.told_by == self.discovery.address else 0
-
-    def _stands(self, pod):
-        now = self.listed.get(pod.address)
-        return (
-            now is not None
-            and now.condition == EndpointCondition.READY
-            and ((now.started, now.build) == (pod.started, pod.build))
-        )
-
-    def _withdraw(self, fails):
-        """What is not written whole must not be carried past what was told since; until its last byte none runs."""
-        deciding, self.deciding = (
-            self.deciding,
-            True,
-        )  # what they become is decided with the news at hand
-        try:
-            for attempt, address in self.pools.unwritten():
-                if fails(attempt.pod, address):
-                    attempt.withdraw()
-        finally:
-            self.deciding = deciding
-
-    def _watch_reader(self):
-        lists, source = discovery.Lists(), self.discovery.address
-
-        def read(content):
-            alive = []
-
-            def listings():
-                for told in lists.feed(content):
-                    alive.append(True)
-                    if told is not None:
-                        yield discovery.read_list(told, self.epoch)
-
-            for listing in discovery.folded(listings()):
-                self._listing(listing, source)
-            return bool(alive)
-
-        return read
-
-    def _subscribe(self, action):
-        pass  # the watch stands, or is asked for as often as discovery bears: a call beside it would be one too many
-
-    def _fetch(self, action):
-        fetched = self.discovery.call(
-            discovery.fetch(self.discovery.host), self.settings.vote_timeout
-        )
-        fetched.addCallback(self._fetched, self.discovery.address)
-
-    def _fetched(self, end, source):
-        """source: the address that was asked. What a former one answers late is no news of the present one."""
-        try:
-            if source != self.discovery.address:
-                raise discovery.UnreadableListError("asked at a former address")
-            if not isinstance(end, Reply) or end.status != 200:
-                raise discovery.UnreadableListError(
-                    f"status {end.status}" if isinstance(end, Reply) else end.reason
-                )
-            self._listing(discovery.read_json(end.body, self.epoch), source)
-        except Exception as error:  # the decisions are owed one answer, whatever came
-            structured_log.log("list not fetched", error=str(error)[:MOST_REASON])
-            self.tell(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
-
-    # The platform.
-
-    def _told(self, news):
-        """Before the decisions hear it: a lower cap binds what still waits for a connection."""
-        if news.outcome != Outcome.DONE:
-            return
-        old, self.news, self.news_at = self.news, news, self.clock()
-        if old and old.build == news.build and (news.cap < old.cap or news.phase != old.phase):
-            self._withdraw(lambda pod, _: pod.build >= news.build)
-
-    def _stream_reader(self):
-        events = http.EventStream()
-
-        def read(content):
-            for event, data in events.feed(content):
-                told = deployer.read_event(
-                    event, data
-                )  # what can't be read ends the stream: it is asked for anew
-                if told is not None and (
-                    type(told) is ReleaseUpdate
-                    or told.request_class in self.settings.request_classes
-                ):
-                    self.tell(told)
-            return b"\n" in bytes(content)  # any whole line
-
-        return read
-
-    def _newest(self, news, asked):
-        """The state that answers a call, as long as what the stream told while it was out is not the newer one: where
-        neither is surely the newer, the one that lets less through holds. The next answer or event tells."""
-        held = self.news
-        if news.outcome != Outcome.DONE or held is None:
-            return news
-        older = news.build < held.build
-        if news.build == held.build and asked - news.age <= self.news_at - held.age:
-            older = self._lets_through(news) > self._lets_through(held)
-        return held._replace(answers_vote=True) if older else news
-
-    @staticmethod
-    def _lets_through(news):
-        return {ReleasePhase.ON_TRIAL: news.cap, ReleasePhase.RELEASED: 1.0}.get(news.phase, 0.0)
-
-    def _vote(self, action):
-        asked = self.clock()
-
-        def answered(end):
-            news = self._newest(deployer.vote_news(action.build, end), asked)
-            structured_log.log(
-                "vote",
-                build=action.build,
-                stage=action.stage,
-                verdict=action.verdict,
-                outcome=news.outcome,
-            )
-            self.tell(news)
-
-        vote = self.platform.call(
-            deployer.vote(self.platform.host, action), self.settings.vote_timeout
-        )
-        vote.addCallback(answered)
-
-    ACTIONS = {
-        SendAttempt: _deliver,
-        CancelAttempt: _recall,
-        Reject: _defer,
-        Fail: _abandon,
-        SetTimer: _timer,
-        CloseIdleConnections: _close_idle,
-        SubscribeToEndpoints: _subscribe,
-        FetchEndpoints: _fetch,
-        CastVote: _vote,
-        LogNote: _note,
-        ProbeEndpoint: _not_spoken,
-        SendPeerMessage: _not_spoken,
-    }
--- /dev/null
+++ b/thymeknot/proxy/release_channel.py
@@ -0,0 +1,127 @@
+"""How the newest build stands, told by the platform's stream and by the answers to votes."""
+
+from typing import TYPE_CHECKING
+
+from ..interface.actions import CastVote
+from ..interface.clock import Ticks
+from ..interface.enums import Outcome, ReleasePhase
+from ..interface.events import ReleaseUpdate
+from ..protocol import deployer, http
+from ..protocol.calls import Reply, WatchStream
+from ..protocol.write_progress import BrokenConnection
+from ..service import structured_log
+from ..state.random_source import LinearCongruentialGenerator
+from .endpoint_updates import Address, StreamReader
+
+if TYPE_CHECKING:
+    from .proxy import Proxy
+
+
+def traffic_share(update: ReleaseUpdate) -> float:
+    """Returns the largest share of requests that may go to the newest build."""
+    if update.phase == ReleasePhase.ON_TRIAL:
+        return update.cap
+    return 1.0 if update.phase == ReleasePhase.RELEASED else 0.0
+
+
+class ReleaseChannel:
+    """Casts votes, and keeps the latest release update.
+
+    Attributes:
+        proxy: Who is told of updates.
+        latest: The latest update; None until one has come.
+        platform: Calls to the platform.
+        stream: The platform's stream of updates.
+    """
+
+    def __init__(self, proxy: "Proxy", chance: LinearCongruentialGenerator) -> None:
+        self.proxy = proxy
+        self.latest: ReleaseUpdate | None = None
+        self._latest_at: Ticks = 0
+        self.platform = proxy.caller(proxy.start.platform)
+        self.stream = WatchStream(
+            self.platform,
+            chance,
+            deployer.SILENCE,
+            lambda: deployer.stream(self.platform.host),
+            self._stream_reader,
+            structured_log.seldom,
+            deployer.FIRST_WORD,
+        )
+
+    def start(self) -> None:
+        """Begins to listen to the platform."""
+        self.stream.start()
+
+    def move(self, address: Address) -> None:
+        """Goes on at this address; calls that are out end at the former one."""
+        if address != self.platform.address:
+            self.platform = self.proxy.caller(address)
+            self.stream.move(self.platform)
+
+    def take_up(self, update: ReleaseUpdate) -> None:
+        """Keeps an update before the decisions hear it.
+
+        A lower cap, or another phase, binds what still waits for a connection.
+        """
+        if update.outcome != Outcome.DONE:
+            return
+        old = self.latest
+        self.latest = update
+        self._latest_at = self.proxy.clock()
+        if (
+            old
+            and old.build == update.build
+            and (update.cap < old.cap or update.phase != old.phase)
+        ):
+            self.proxy.withdraw_unwritten(lambda pod, _: pod.build >= update.build)
+
+    def _stream_reader(self) -> StreamReader:
+        events = http.EventStream()
+
+        def read(content: memoryview) -> bool:
+            for event, data in events.feed(content):
+                # What can't be read ends the stream: it is asked for anew.
+                told = deployer.read_event(event, data)
+                if told is not None and (
+                    type(told) is ReleaseUpdate
+                    or told.request_class in self.proxy.settings.request_classes
+                ):
+                    self.proxy.tell(told)
+            return b"\n" in bytes(content)  # any whole line
+
+        return read
+
+    def _reconciled(self, update: ReleaseUpdate, asked: Ticks) -> ReleaseUpdate:
+        """Returns the state that answers a vote cast at this moment.
+
+        It is the answer's, unless what the stream told meanwhile is newer. Where neither is surely
+        the newer, the one that lets less through holds; the next answer or event tells.
+        """
+        held = self.latest
+        if update.outcome != Outcome.DONE or held is None:
+            return update
+        older = update.build < held.build
+        if update.build == held.build and asked - update.age <= self._latest_at - held.age:
+            older = traffic_share(update) > traffic_share(held)
+        return held._replace(answers_vote=True) if older else update
+
+    def cast_vote(self, action: CastVote) -> None:
+        """Sends a vote; the decisions are told of the answer, or that none came in time."""
+        asked = self.proxy.clock()
+
+        def answered(end: Reply | BrokenConnection) -> None:
+            update = self._reconciled(deployer.vote_news(action.build, end), asked)
+            structured_log.log(
+                "vote",
+                build=action.build,
+                stage=action.stage,
+                verdict=action.verdict,
+                outcome=update.outcome,
+            )
+            self.proxy.tell(update)
+
+        vote = self.platform.call(
+            deployer.vote(self.platform.host, action), self.proxy.settings.vote_timeout
+        )
+        vote.addCallback(answered)
