--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -10,7 +10,8 @@
 from tests.support.order_rig import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.protocol.client import ClientConnection
-from thymeknot.proxy.proxy import Attempt, Proxy
+from thymeknot.proxy.attempt import Attempt
+from thymeknot.proxy.proxy import Proxy
 
 ONE, POD = st.integers(0, 3), st.integers(0, 2)
 LANE = LEFT = KEY = st.integers(0, 2)
@@ -210,7 +211,7 @@
 
     def test_deliveries_that_wait_and_are_carried_past_a_drain(self):
         with (
-            mock.patch.object(Proxy, "_withdraw", lambda self, fails: None),
+            mock.patch.object(Proxy, "withdraw_unwritten", lambda self, fails: None),
             mock.patch.object(
                 Attempt, "may_be_written", lambda self, address: True
             ),  # which would hold it, too
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -34,7 +34,7 @@
     """What a connection tells and asks."""
 
     timers: Any
-    held_off: bool
+    accepting_paused: bool
 
     def opened(self, connection: "ClientConnection") -> None:
         """It is open."""
@@ -48,7 +48,7 @@
     def left(self, connection: "ClientConnection") -> None:
         """It is closed."""
 
-    def rested(self) -> None:
+    def became_idle(self) -> None:
         """All its requests are answered while accepting is paused."""
 
     def fault(self, where: str, error: BaseException) -> None:
@@ -281,10 +281,10 @@
         self._read_on()
         if self.closing:
             self.finish()
-        elif self.owner.held_off and not self.places:
-            self.owner.rested()
+        elif self.owner.accepting_paused and not self.places:
+            self.owner.became_idle()
 
-    def give_way(self) -> None:
+    def evict(self) -> None:
         """Closes at once for want of places: half a first command is not waited for."""
         self.linger = 0
         self.timers.cancel(self.last)
