--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -15,7 +15,7 @@
 from scipy.optimize import Bounds, LinearConstraint, milp
 
 from thymeknot.gang_scheduling import placement_score, placement_search, state_machine
-from thymeknot.gang_scheduling.jobs import Gang, parents
+from thymeknot.gang_scheduling.jobs import Gang, tree_parents
 from thymeknot.gang_scheduling.topology import Places, Stated
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
@@ -54,11 +54,11 @@
     for at in range(racks):
         zone = int(chance.draw() * 3)
         hosts = {f"r{at}m{one}": Stated(4, {"gpu": 4}) for one in range(1 + int(chance.draw() * 4))}
-        places.stand(
+        places.add_rack(
             f"r{at}", f"z{zone}", f"c{zone % 2}", int((0.5 + 2 * chance.draw()) * GIGA), hosts
         )
         for machine in hosts:
-            places.take({machine: int(chance.draw() ** 2 * 5)}, (("gpu", 1),))
+            places.reserve({machine: int(chance.draw() ** 2 * 5)}, (("gpu", 1),))
             if chance.draw() < 0.15:
                 places.host(machine).planned = 1
         places.carried[f"rack/r{at}"] = chance.draw() ** 2 * GIGA
@@ -166,7 +166,7 @@
         )
         scorer = placement_score.Scorer(places, gang, 0)
         found.append(scorer.total(placement_search.fast(scorer)) / solved(scorer, 3)[0] - 1)
-        places.take(placement_search.find(places, gang, 0).places, gang.shape())
+        places.reserve(placement_search.find(places, gang, 0).places, gang.resource_shape())
     return max(apart), found
 
 
@@ -184,7 +184,9 @@
     elif gang.pattern == "pipeline":
         much = gang.bytes * (abs(one - other) == 1)
     elif gang.pattern == "tree":
-        up = np.array(parents(count))  # which tree it is, is agreed; what it loads is counted here
+        up = np.array(
+            tree_parents(count)
+        )  # which tree it is, is agreed; what it loads is counted here
         much = gang.bytes * ((up[one] == other) | (up[other] == one))
     else:
         size = count // len(gang.matrix)
@@ -276,7 +278,7 @@
     def step(self, gang, flows, others):
         """Seconds of a step: until the last byte is there, while others send as much as their targets ask for."""
         routes, much, many = flows
-        sent = gang.loudest() / self.host
+        sent = gang.busiest_worker_bytes() / self.host
         if not len(routes):
             return sent
         mine = len(routes)
@@ -299,7 +301,7 @@
     )
     for at in range(200):
         zone = at % 20
-        places.stand(
+        places.add_rack(
             f"r{at:03}",
             f"z{zone}",
             f"c{zone % 4}",
@@ -308,7 +310,7 @@
         )
         for machine in places.racks[f"r{at:03}"].hosts:
             if chance.draw() < 0.4:
-                places.take({machine: 1 + int(chance.draw() * 8)}, (("gpu", 1),))
+                places.reserve({machine: 1 + int(chance.draw() * 8)}, (("gpu", 1),))
             if chance.draw() < 0.03:
                 places.host(machine).planned = 1
     return places
@@ -324,8 +326,8 @@
         plan = placement_search.find(places, gang, 0, how=how)
         took.append(1000 * (time.process_time() - began))
         if plan:
-            places.take(plan.places, gang.shape())
-            counts = places.counts(plan.places)
+            places.reserve(plan.places, gang.resource_shape())
+            counts = places.workers_by_rack(plan.places)
             placement_score.put(places, gang, counts)
             placed.append((gang, counts))
     return places, placed, took
@@ -333,7 +335,7 @@
 
 def steps(places, placed, every):
     """Seconds of a step by the network, over its target, of each `every`th gang."""
-    network, order = Network(places), places.order()
+    network, order = Network(places), places.rack_order()
     flows = [
         network.flows(gang, [(name, counts[name]) for name in order if name in counts])
         for gang, counts in placed
@@ -519,7 +521,7 @@
                 machine=pick(
                     name
                     for name in everywhere
-                    if machine.all.places.host(name).fits(()) < 1 or chance.draw() < 0.1
+                    if machine.all.places.host(name).capacity(()) < 1 or chance.draw() < 0.1
                 )
                 or everywhere[0],
             )
--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -326,7 +326,7 @@
         life = fleet.life("g")
         places = fleet.machine.view()
         places.host(home).closed = "another"  # nobody new there
-        places.changed(home)
+        places.mark_changed(home)
         plan, way = placement_search.mended(places, life.gang, fleet.at, life.places, 0)
         self.assertEqual((way, len(plan.places)), ("whole", 1))
         fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)
@@ -356,7 +356,7 @@
         fleet.later(1)
         reply = fleet.do("drain_asked", machine=machine, drain="d")
         self.assertEqual((reply["by"], reply["again"]), (["g"], 59 * SECOND))
-        self.assertEqual(fleet.machine.all.places.host(machine).fits(()), 0)
+        self.assertEqual(fleet.machine.all.places.host(machine).capacity(()), 0)
         self.assertIn("drain d's", fleet.do("drain_asked", machine=machine, drain="e")["refused"])
         fleet.later(30)
         said = fleet.ok("checkpoint", gang="g", fence=fence)
@@ -498,7 +498,7 @@
 def places_of(racks, hosts=2, slots=4, chance=None):
     places = Places(uplinks={"zone/c/z0": 3 * 10**9, "zone/c/z1": 10**9})
     for at in range(racks):
-        places.stand(
+        places.add_rack(
             f"r{at}",
             f"z{at % 2}",
             "c",
@@ -506,7 +506,7 @@
             {f"r{at}m{one}": Stated(slots) for one in range(hosts)},
         )
         for machine in places.racks[f"r{at}"].hosts if chance else ():
-            places.take({machine: int(chance.draw() * (slots + 1))}, ())
+            places.reserve({machine: int(chance.draw() * (slots + 1))}, ())
         if chance:
             places.carried[f"rack/r{at}"] = chance.draw() * 10**9
             places.host(f"r{at}m0").planned = int(chance.draw() * 2)
@@ -520,7 +520,7 @@
 
 class Search(unittest.TestCase):
     @quick
-    @given(some.sampled_from(list(jobs.PATTERNS)), some.integers(1, 8), some.data())
+    @given(some.sampled_from(list(jobs.CROSSING_BYTES)), some.integers(1, 8), some.data())
     def test_crossing_bytes_are_those_of_the_pairs(self, pattern, half, data):
         gang = gang_of(2 * half, pattern)
         low = data.draw(some.integers(0, gang.workers))
@@ -530,12 +530,12 @@
             out += much * (low <= one < high) * (not low <= other < high)
             back += much * (low <= other < high) * (not low <= one < high)
         self.assertAlmostEqual(
-            gang.crossing(low, high) / max(1, out, back), max(out, back) / max(1, out, back)
+            gang.crossing_bytes(low, high) / max(1, out, back), max(out, back) / max(1, out, back)
         )
 
     @quick
     @given(
-        some.sampled_from(list(jobs.PATTERNS)),
+        some.sampled_from(list(jobs.CROSSING_BYTES)),
         some.integers(1, 4),
         some.integers(2, 4),
         some.integers(0, 2**30),
@@ -605,7 +605,8 @@
             "matrix": 0,
             "tree": gang.bytes
             * (
-                jobs.parents(gang.workers)[one] == other or jobs.parents(gang.workers)[other] == one
+                jobs.tree_parents(gang.workers)[one] == other
+                or jobs.tree_parents(gang.workers)[other] == one
             ),
         }[gang.pattern]
         if gang.matrix:
--- a/thymeknot/gang_scheduling/jobs.py
+++ b/thymeknot/gang_scheduling/jobs.py
@@ -1,31 +1,62 @@
-"""A gang: workers that step together, and the bytes that cross the edge of a part of them.
+"""A gang: workers that step together, and the bytes that cross the boundary of a part of them.
 
-Ranks stand in the order of clusters, zones and racks, so what stands under one uplink is always one run of ranks. Its
-crossing bytes then follow from the run's two ends, and a score needs no list of half a million pairs.
+Ranks are assigned in the order of clusters, zones and racks, so the workers under one uplink are
+always one contiguous range of ranks. The bytes that cross the uplink then follow from the two ends
+of the range, and a score needs no list of half a million pairs.
 """
 
+from collections.abc import Callable
+from enum import StrEnum
 from functools import cache
-from typing import Annotated
+from typing import Annotated, TypeAlias
 
 import msgspec
 from msgspec import Meta
 
+MIN_WORKERS = 2  # workers: one worker alone exchanges nothing
+MAX_WORKERS = 512  # workers in one gang, which bounds a search and a command
+MAX_MATRIX_PARTS = 64  # rows of a traffic matrix, which bounds a command
+MAX_RESOURCE_KINDS = 16  # kinds of resources that a worker may need
+
 Name = Annotated[str, Meta(pattern=r"\A[A-Za-z0-9_.:/-]{1,64}\Z")]
 Amount = Annotated[int, Meta(ge=0, le=1 << 50)]
 Span = Annotated[int, Meta(ge=1, le=1 << 50)]
-WORKERS_LEAST, WORKERS_MOST, PARTS_MOST = 2, 512, 64
 
+ResourceShape: TypeAlias = tuple[tuple[str, int], ...]
+"""What one worker needs beside its slot: sorted (resource, amount), without zero amounts."""
 
-class Gang(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a publisher asks for. Times in tenths of a millisecond.
 
-    bytes: what a worker sends a step (ring, pipeline and tree: over each of its edges, each way it has).
-    matrix: for the pattern of that name; its row a says what each worker of part a sends to all of part b together.
-    spare: how many workers may be out at once without the gang's leave, which is what a drain may take as a unit.
-    lasts: how long it is expected to run; only the score reads it.
+class TrafficPattern(StrEnum):
+    """How the workers of a gang exchange data in a step."""
+
+    RING = "ring"
+    ALL_TO_ALL = "all"
+    TREE = "tree"
+    PIPELINE = "pipeline"
+    MATRIX = "matrix"
+
+
+class Gang(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+    """What a publisher asks for. Its field names are stored keys.
+
+    Attributes:
+        workers: Number of workers.
+        pattern: A value of `TrafficPattern`; `validation_error` checks it.
+        bytes: Bytes that a worker sends in a step (ring, pipeline, tree: over each of its edges,
+            each way it has).
+        target: Duration that a step should take, in ticks.
+        publisher: Who owns the gang; shares are by publisher.
+        checkpoint: Interval between checkpoints, in ticks.
+        needs: Amount of each resource that one worker needs beside its slot.
+        priority: Higher is scheduled first.
+        lasts: How long it is expected to run, in ticks; only the score reads it.
+        spare: How many workers may be out at once without the gang's leave, which a drain may take
+            as a unit.
+        matrix: For the pattern "matrix"; row a says what each worker of part a sends to all of
+            part b together.
     """
 
-    workers: Annotated[int, Meta(ge=WORKERS_LEAST, le=WORKERS_MOST)]
+    workers: Annotated[int, Meta(ge=MIN_WORKERS, le=MAX_WORKERS)]
     pattern: Annotated[str, Meta(max_length=16)]
     bytes: Amount
     target: Span
@@ -35,98 +66,125 @@
     priority: Annotated[int, Meta(ge=0, le=100)] = 10
     lasts: Span = 36_000_000
     spare: Amount = 0
-    matrix: Annotated[list[list[Amount]], Meta(max_length=PARTS_MOST)] = []
+    matrix: Annotated[list[list[Amount]], Meta(max_length=MAX_MATRIX_PARTS)] = []
+
+    def resource_shape(self) -> ResourceShape:
+        """Returns what one worker needs beside its slot, in a form that can be a key."""
+        return tuple(sorted((name, amount) for name, amount in self.needs.items() if amount))
 
-    def shape(self):
-        """What one worker needs beside its slot, in a form that can be a key."""
-        return tuple(sorted((name, much) for name, much in self.needs.items() if much))
+    def crossing_bytes(self, low: int, high: int) -> float:
+        """Returns the bytes a step between ranks low to high (exclusive) and the rest.
 
-    def crossing(self, low, high):
-        """Bytes a step over the edge of ranks low to high (without it), in the fuller direction."""
-        if low == 0 and high == self.workers or low == high:
+        The two directions may differ; the fuller one counts.
+        """
+        if (low == 0 and high == self.workers) or low == high:
             return 0
-        return PATTERNS[self.pattern](self, low, high)
+        return CROSSING_BYTES[self.pattern](self, low, high)
 
-    def loudest(self):
-        """Bytes a step that the busiest worker sends or gets on its own machine's link, at the least."""
-        if self.pattern == "matrix":
-            columns = [sum(column) for column in zip(*self.matrix)]
-            return max(max(map(sum, self.matrix)), max(columns))
-        return self.bytes * EDGES[self.pattern]
+    def busiest_worker_bytes(self) -> int:
+        """Returns the least that the busiest worker sends or receives on its own link in a step."""
+        if self.pattern == TrafficPattern.MATRIX:
+            columns: list[int] = [sum(column) for column in zip(*self.matrix)]
+            rows = [sum(row) for row in self.matrix]
+            return max(rows + columns)
+        return self.bytes * EDGES_PER_WORKER[self.pattern]
 
 
-def _ring(gang, low, high):
+def _ring_crossing(gang: Gang, low: int, high: int) -> float:
     return gang.bytes
 
 
-def _all(gang, low, high):
-    some = high - low
-    return gang.bytes * some * (gang.workers - some) / (gang.workers - 1)
+def _all_to_all_crossing(gang: Gang, low: int, high: int) -> float:
+    inside = high - low
+    return gang.bytes * inside * (gang.workers - inside) / (gang.workers - 1)
 
 
-def _pipeline(gang, low, high):
+def _pipeline_crossing(gang: Gang, low: int, high: int) -> float:
     return gang.bytes * ((low > 0) + (high < gang.workers))
 
 
 @cache
-def parents(workers):
-    """The binary tree in the order a walk meets it: subtrees are runs, so a run of ranks cuts few edges."""
-    found, open_runs = [-1] * workers, [(0, workers)]
-    while open_runs:
-        root, end = open_runs.pop()
+def tree_parents(workers: int) -> tuple[int, ...]:
+    """Returns each rank's parent (-1 for the root) in a binary tree in preorder.
+
+    Subtrees are contiguous ranges, so a range of ranks cuts few edges.
+    """
+    found = [-1] * workers
+    open_ranges = [(0, workers)]
+    while open_ranges:
+        root, end = open_ranges.pop()
         middle = root + 1 + (end - root) // 2
         for child, until in ((root + 1, min(middle, end)), (middle, end)):
             if child < until:
                 found[child] = root
-                open_runs.append((child, until))
+                open_ranges.append((child, until))
     return tuple(found)
 
 
 @cache
-def _cut(workers, low, high):
-    up = parents(workers)
-    return sum(up[rank] < low for rank in range(low, high) if rank) + sum(
-        low <= up[rank] < high for rank in range(high, workers)
+def _tree_edges_cut(workers: int, low: int, high: int) -> int:
+    parents = tree_parents(workers)
+    return sum(parents[rank] < low for rank in range(low, high) if rank) + sum(
+        low <= parents[rank] < high for rank in range(high, workers)
     )
 
 
-def _tree(gang, low, high):
-    return gang.bytes * _cut(gang.workers, low, high)
+def _tree_crossing(gang: Gang, low: int, high: int) -> float:
+    return gang.bytes * _tree_edges_cut(gang.workers, low, high)
 
 
-def _matrix(gang, low, high):
+def _matrix_crossing(gang: Gang, low: int, high: int) -> float:
     size = gang.workers // len(gang.matrix)
     inside = [
         max(0, min(high, (part + 1) * size) - max(low, part * size))
         for part in range(len(gang.matrix))
     ]
-    out = back = 0
-    for one, row in enumerate(gang.matrix):
-        for other, much in enumerate(row):
-            mine, theirs = inside[one], inside[other]
-            partners = size - 1 if one == other else size
-            if partners and much:
-                out += much * mine * (size - theirs) / partners
-                back += much * (size - mine) * theirs / partners
-    return max(out, back)
-
-
-PATTERNS = {"ring": _ring, "all": _all, "tree": _tree, "pipeline": _pipeline, "matrix": _matrix}
-EDGES = {"ring": 1, "all": 1, "tree": 3, "pipeline": 2}
-
-
-def wrong(gang):
-    """One sentence on what a well-formed gang still can't mean, or None."""
+    sent = received = 0.0
+    for sender, row in enumerate(gang.matrix):
+        for receiver, amount in enumerate(row):
+            partners = size - 1 if sender == receiver else size
+            if partners and amount:
+                sent += amount * inside[sender] * (size - inside[receiver]) / partners
+                received += amount * (size - inside[sender]) * inside[receiver] / partners
+    return max(sent, received)
+
+
+CROSSING_BYTES: dict[str, Callable[[Gang, int, int], float]] = {
+    TrafficPattern.RING: _ring_crossing,
+    TrafficPattern.ALL_TO_ALL: _all_to_all_crossing,
+    TrafficPattern.TREE: _tree_crossing,
+    TrafficPattern.PIPELINE: _pipeline_crossing,
+    TrafficPattern.MATRIX: _matrix_crossing,
+}
+
+# Edges over which the busiest worker of a pattern sends `Gang.bytes` in a step.
+EDGES_PER_WORKER: dict[str, int] = {
+    TrafficPattern.RING: 1,
+    TrafficPattern.ALL_TO_ALL: 1,
+    TrafficPattern.TREE: 3,
+    TrafficPattern.PIPELINE: 2,
+}
+
+
+def validation_error(gang: Gang) -> str | None:
+    """Returns one sentence on why a well-formed gang is still invalid, or None."""
     parts = len(gang.matrix)
-    for bad, sentence in (
-        (gang.pattern not in PATTERNS, f"The pattern is none of {', '.join(PATTERNS)}."),
-        (gang.pattern == "matrix" and not parts, "The pattern matrix needs a matrix."),
-        (gang.pattern != "matrix" and parts, "A matrix goes with the pattern matrix alone."),
+    is_matrix = gang.pattern == TrafficPattern.MATRIX
+    for invalid, sentence in (
+        (
+            gang.pattern not in CROSSING_BYTES,
+            f"The pattern is none of {', '.join(CROSSING_BYTES)}.",
+        ),
+        (is_matrix and not parts, "The pattern matrix needs a matrix."),
+        (not is_matrix and parts, "A matrix goes with the pattern matrix alone."),
         (any(len(row) != parts for row in gang.matrix), "The matrix is not square."),
         (parts and gang.workers % parts, "The matrix's parts do not divide the workers evenly."),
         (gang.spare >= gang.workers, "A gang can't spare all its workers."),
-        (len(gang.needs) > 16, "A worker needs at most 16 kinds of resources."),
+        (
+            len(gang.needs) > MAX_RESOURCE_KINDS,
+            f"A worker needs at most {MAX_RESOURCE_KINDS} kinds of resources.",
+        ),
     ):
-        if bad:
+        if invalid:
             return sentence
     return None
--- a/thymeknot/gang_scheduling/placement_score.py
+++ b/thymeknot/gang_scheduling/placement_score.py
@@ -47,7 +47,7 @@
 def crossings(places, gang, counts):
     """(link, bytes a step) of each uplink that the gang's traffic crosses."""
     low, runs = 0, {}
-    for name in places.order():
+    for name in places.rack_order():
         many = counts.get(name, 0)
         if many:
             rack = places.racks[name]
@@ -62,30 +62,34 @@
     return [
         (link, crossing)
         for link, (first, end) in runs.items()
-        if (crossing := gang.crossing(first, end))
+        if (crossing := gang.crossing_bytes(first, end))
     ]
 
 
 class Scorer:
     """Scores of one gang over the places as they are now; made anew when they change.
 
-    Index i is the rack's place in `places.order()`. Sites are the zones and clusters above, runs of these.
+    Index i is the rack's place in `places.rack_order()`. Sites are the zones and clusters above, runs of these.
     """
 
     def __init__(self, places, gang, at, weights=None):
         self.places, self.gang, self.weights = places, gang, weights or Weights()
-        self.names, self.shape, self.until = places.order(), gang.shape(), at + gang.lasts
+        self.names, self.shape, self.until = (
+            places.rack_order(),
+            gang.resource_shape(),
+            at + gang.lasts,
+        )
         self.target, self.workers = gang.target / TENTHS, gang.workers
         self.room, self.clean, self.slots, self.base, self.rate = [], [], [], [], []
         self.zone, self.cluster, self.sites, known = [], [], [], {}
         self.link = inf
         for name in self.names:
             rack = places.racks[name]
-            room = places.room(name, self.shape)
+            room = places.rack_capacity(name, self.shape)
             soon = [
                 machine for machine, host in rack.hosts.items() if 0 < host.planned < self.until
             ]
-            fits = places.fits(name, self.shape)
+            fits = places.machine_capacities(name, self.shape)
             self.room.append(room)
             self.clean.append(room - sum(fits.get(machine, 0) for machine in soon))
             self.slots.append(max(1, rack.slots))
@@ -103,7 +107,9 @@
                         (link, self._carried(link, wide), 1 / (max(1, wide) * self.target))
                     )
                 kind.append(known[link])
-        self.floor = gang.loudest() / max(1, self.link) / self.target if self.names else 0.0
+        self.floor = (
+            gang.busiest_worker_bytes() / max(1, self.link) / self.target if self.names else 0.0
+        )
         self._crossed, self.asked = {}, 0
 
     def _carried(self, link, bandwidth):
@@ -114,7 +120,7 @@
         key = low * 1024 + high
         found = self._crossed.get(key)
         if found is None:
-            found = self._crossed[key] = self.gang.crossing(low, high)
+            found = self._crossed[key] = self.gang.crossing_bytes(low, high)
         return found
 
     def rack_step(self, at, low, high):
--- a/thymeknot/gang_scheduling/placement_search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -32,7 +32,7 @@
 def made(scorer, counts):
     places, picked = scorer.places, {}
     for index, many in counts.items():
-        picked.update(places.pick(scorer.names[index], scorer.shape, many, scorer.until))
+        picked.update(places.pick_machines(scorer.names[index], scorer.shape, many, scorer.until))
     versions = {scorer.names[index]: places.racks[scorer.names[index]].version for index in counts}
     return Plan(picked, versions, scorer.explain(counts))
 
@@ -259,7 +259,7 @@
     to the checkpoint, so what decides is loading by all against by a few, and each step of the rest of the run by what
     the two places are worth.
     """
-    shape, own, rest = gang.shape(), places.counts(left), rest or gang.lasts
+    shape, own, rest = gang.resource_shape(), places.workers_by_rack(left), rest or gang.lasts
     missing = gang.workers - sum(left.values())
     scorer = Scorer(places, gang, at, weights)
     room = scorer.room
@@ -312,7 +312,7 @@
     for place, many in counts.items():
         more = many - stay.get(place, 0)
         if more:
-            for machine, some in places.pick(
+            for machine, some in places.pick_machines(
                 scorer.names[place], shape, more, scorer.until
             ).items():
                 plan_places[machine] = plan_places.get(machine, 0) + some
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -15,7 +15,7 @@
 from ..interface.clock import TICKS_PER_SECOND
 from . import jobs, placement_score
 from .jobs import Amount, Gang, Name, Span
-from .topology import HOST_LINK, Places, Stated
+from .topology import DEFAULT_HOST_LINK, Places, Stated
 
 OFFERED, HELD, BOUND, RUNNING, HURT, MOVING, DONE, REFUSED = (
     "offered",
@@ -117,10 +117,10 @@
 
 
 Places_ = Annotated[
-    dict[Name, Annotated[int, Meta(ge=1, le=jobs.WORKERS_MOST)]],
-    Meta(min_length=1, max_length=jobs.WORKERS_MOST),
+    dict[Name, Annotated[int, Meta(ge=1, le=jobs.MAX_WORKERS)]],
+    Meta(min_length=1, max_length=jobs.MAX_WORKERS),
 ]
-Versions = Annotated[dict[Name, Amount], Meta(min_length=1, max_length=jobs.WORKERS_MOST)]
+Versions = Annotated[dict[Name, Amount], Meta(min_length=1, max_length=jobs.MAX_WORKERS)]
 
 
 class Command(
@@ -135,7 +135,7 @@
     cluster: Name
     bandwidth: Span
     machines: Annotated[dict[Name, Stated], Meta(min_length=1, max_length=512)]
-    link: Span = HOST_LINK
+    link: Span = DEFAULT_HOST_LINK
 
 
 class Uplink(Command):
@@ -301,7 +301,7 @@
         places.carried.clear()
         for life in self.all.gangs.values():
             if life.state in WITH_SLOTS and life.state != HURT:
-                placement_score.put(places, life.gang, places.counts(life.places))
+                placement_score.put(places, life.gang, places.workers_by_rack(life.places))
         return places
 
     def queue(self):
@@ -334,7 +334,7 @@
         return life
 
     def _do_take(self, name, life, places):
-        self.all.places.take(places, life.gang.shape())
+        self.all.places.reserve(places, life.gang.resource_shape())
         life.places, life.fence = dict(places), self._fence()
         life.lease = self.all.at + self.terms.hold
 
@@ -357,7 +357,7 @@
             machine: places.get(machine, 0) - life.places.get(machine, 0)
             for machine in sorted({*places, *life.places})
         }
-        self.all.places.take(deltas, life.gang.shape())
+        self.all.places.reserve(deltas, life.gang.resource_shape())
         life.places = dict(places)
 
     def _do_drop(self, name, life, dropped):
@@ -407,7 +407,7 @@
         if asked.rack in self.all.places.racks:
             raise CommandRejectedError(f"Rack {asked.rack} stands already.")
         try:
-            self.all.places.stand(
+            self.all.places.add_rack(
                 asked.rack, asked.zone, asked.cluster, asked.bandwidth, asked.machines, asked.link
             )
         except ValueError as bad:
@@ -431,7 +431,7 @@
             self._known(machine)
         for machine in asked.machines:
             self.all.places.host(machine).planned = asked.at
-            self.all.places.changed(machine)
+            self.all.places.mark_changed(machine)
 
     def _offer(self, asked):
         name = asked.gang
@@ -443,13 +443,13 @@
             raise CommandRejectedError(
                 f"Gang {name} was {self.all.ended[name]}; a new one needs a new name.", [name]
             )
-        if sentence := jobs.wrong(asked.job):
+        if sentence := jobs.validation_error(asked.job):
             raise CommandRejectedError(sentence, [name])
         if len(self.all.gangs) >= self.terms.offered_most:
             raise CommandRejectedError(
                 "Too many gangs are here already.", again=self.terms.again_most
             )
-        whole = self.all.places.whole(asked.job.shape())
+        whole = self.all.places.total_capacity(asked.job.resource_shape())
         if whole < asked.job.workers:
             raise CommandRejectedError(
                 f"All machines together have room for {whole} of its {asked.job.workers} workers.",
@@ -599,7 +599,7 @@
         )
         for machine in machines:
             places.host(machine).gone = True
-            places.changed(machine, stood=True)
+            places.mark_changed(machine, total_changed=True)
         return {"gangs": self._off(machines, "lost")}
 
     def _off(self, machines, what):
@@ -617,7 +617,7 @@
     def _back(self, asked):
         host = self.all.places.host(self._known(asked.machine))
         host.gone, host.closed, host.planned = False, "", 0
-        self.all.places.changed(asked.machine, stood=True)
+        self.all.places.mark_changed(asked.machine, total_changed=True)
 
     def _drainasked(self, asked):
         """ok: the machine is empty and takes nobody. Refused: it takes nobody new, and `again` says when to ask."""
@@ -628,7 +628,7 @@
                 f"Machine {machine} is drain {host.closed}'s already.", [host.closed]
             )
         host.closed = asked.drain
-        self.all.places.changed(machine)
+        self.all.places.mark_changed(machine)
         waits, again = [], 0
         here = {name: life for name, life in self.all.gangs.items() if machine in life.places}
         for name, life in here.items():
@@ -672,10 +672,10 @@
 
     def _room(self, life, places, versions):
         """Refuses unless the places have room and their racks are as they were when they were scored."""
-        known, shape = self.all.places, life.gang.shape()
+        known, shape = self.all.places, life.gang.resource_shape()
         for machine in places:
             self._known(machine)
-        racks = sorted(known.counts(places))
+        racks = sorted(known.workers_by_rack(places))
         if unread := [name for name in racks if name not in versions]:
             raise CommandRejectedError(f"No version of rack {unread[0]} was scored.", unread)
         if stale := self._stale(racks, versions):
@@ -685,7 +685,9 @@
                 TICKS_PER_SECOND // 100,
             )
         if full := [
-            machine for machine, many in places.items() if known.host(machine).fits(shape) < many
+            machine
+            for machine, many in places.items()
+            if known.host(machine).capacity(shape) < many
         ]:
             raise CommandRejectedError(
                 f"Machine {full[0]} has no room for {places[full[0]]} workers.",
@@ -711,20 +713,21 @@
             if (
                 ahead
                 and (first is None or key < first[0])
-                and self.all.places.whole(waiting.gang.shape()) >= waiting.gang.workers
+                and self.all.places.total_capacity(waiting.gang.resource_shape())
+                >= waiting.gang.workers
             ):
                 first = key, other
         if first is None:
             return
         head, known = self.all.gangs[first[1]], self.all.places
-        shape = head.gang.shape()
-        room = sum(known.room(rack, shape) for rack in known.racks)
+        shape = head.gang.resource_shape()
+        room = sum(known.rack_capacity(rack, shape) for rack in known.racks)
         for machine, many in places.items():
             host = known.host(machine)
-            before = host.fits(shape)
-            host.take(many, life.gang.shape())
-            room -= before - max(0, host.fits(shape))
-            host.take(-many, life.gang.shape())
+            before = host.capacity(shape)
+            host.reserve(many, life.gang.resource_shape())
+            room -= before - max(0, host.capacity(shape))
+            host.reserve(-many, life.gang.resource_shape())
         if room < head.gang.workers:
             raise CommandRejectedError(
                 f"Gang {first[1]} is due before {name} and would find no room.",
@@ -755,7 +758,8 @@
                 )
         used = self._used.get(gang.publisher, 0)
         return (
-            used + more > self.all.shares.get(gang.publisher, 0) * self.all.places.whole(()) // 1000
+            used + more
+            > self.all.shares.get(gang.publisher, 0) * self.all.places.total_capacity(()) // 1000
         )
 
     def _promised(self, by):
--- a/thymeknot/gang_scheduling/topology.py
+++ b/thymeknot/gang_scheduling/topology.py
@@ -1,54 +1,86 @@
-"""Where workers can stand: machines in racks, racks in zones, zones in clusters, and the uplink of each.
+"""Where workers can run: machines in racks, racks in zones, zones in clusters, and the uplinks.
 
-Bandwidth is in bytes a second each way. A rack's version goes up with whatever changes its room or its prospects; a
-placement commits only against the versions that were scored, which is all that keeps two schedulers apart.
+Bandwidth is in bytes a second each way. A rack's version goes up with whatever changes its capacity
+or its prospects. A placement commits only against the versions that were scored, and that alone
+keeps two schedulers apart.
 """
 
+from collections.abc import Mapping
+from typing import NamedTuple
+
 import msgspec
 
-from .jobs import Amount, Name
+from ..interface.clock import Ticks
+from .jobs import Amount, Name, ResourceShape
+
+DEFAULT_HOST_LINK = 3_125_000_000  # bytes a second: 25 Gbit/s, where a rack states none
+MAX_CACHED_RACK_CAPACITIES = 4096  # entries by rack and shape; the cache is emptied beyond it
+MAX_CACHED_TOTALS = 256  # entries by shape; the cache is emptied beyond it
+
 
-HOST_LINK = 3_125_000_000  # 25 Gbit/s, where a rack states none
+class MachineAlreadyPlacedError(ValueError):
+    """A new rack names a machine that is in another rack."""
 
 
 class Host(msgspec.Struct, omit_defaults=True):
-    """A machine. left: resources that are free. planned: when it is to go by plan, 0 if never."""
+    """A machine. Its field names are stored keys.
+
+    Attributes:
+        slots: Workers that the machine can take when it is empty.
+        free: Slots that are free.
+        has: Amount of each resource of the machine.
+        left: Amount of each resource that is free.
+        closed: Name of the drain that asked for the machine, or empty.
+        gone: Whether the machine is lost.
+        planned: Agreed time in ticks at which it is to go by plan, 0 if never.
+    """
 
     slots: int
     free: int
     has: dict[str, int]
     left: dict[str, int]
-    closed: str = ""  # the drain that asked for it
+    closed: str = ""
     gone: bool = False
     planned: int = 0
 
-    def fits(self, shape):
-        """How many more workers of that shape; none where a drain waits or that is lost."""
+    def capacity(self, shape: ResourceShape) -> int:
+        """Returns how many more workers fit; none on a machine that drains or is lost."""
         if self.closed or self.gone:
             return 0
-        most, left = self.free, self.left
-        for name, much in shape:
-            many = left.get(name, 0) // much
-            if many < most:
-                most = many
+        most = self.free
+        left = self.left
+        for name, amount in shape:
+            workers = left.get(name, 0) // amount
+            if workers < most:  # noqa: PLR1730 - a call of min() here is felt in each search
+                most = workers
         return most
 
-    def whole(self, shape):
-        """How many if nobody else were on it."""
-        return (
-            0
-            if self.gone
-            else min([self.slots] + [self.has.get(name, 0) // much for name, much in shape])
-        )
+    def empty_capacity(self, shape: ResourceShape) -> int:
+        """Returns how many workers would fit if nobody else were on the machine."""
+        if self.gone:
+            return 0
+        return min([self.slots, *(self.has.get(name, 0) // amount for name, amount in shape)])
 
-    def take(self, many, shape):
-        """many below 0 gives back."""
-        self.free -= many
-        for name, much in shape:
-            self.left[name] = self.left.get(name, 0) - many * much
+    def reserve(self, workers: int, shape: ResourceShape) -> None:
+        """Takes slots and resources for so many workers; a negative number gives them back."""
+        self.free -= workers
+        for name, amount in shape:
+            self.left[name] = self.left.get(name, 0) - workers * amount
 
 
 class Rack(msgspec.Struct):
+    """A rack. Its field names are stored keys.
+
+    Attributes:
+        zone: Name of its zone.
+        cluster: Name of its cluster.
+        bandwidth: Bytes a second of its uplink.
+        link: Bytes a second of each of its machines' links.
+        hosts: Its machines by name.
+        version: Goes up with each change of capacity or prospects.
+        slots: Sum of the machines' slots.
+    """
+
     zone: str
     cluster: str
     bandwidth: int
@@ -59,121 +91,189 @@
 
 
 class Stated(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A machine as the operator states it."""
+    """A machine as the operator states it.
+
+    Attributes:
+        slots: Workers that the machine can take.
+        has: Amount of each resource.
+    """
 
     slots: Amount
     has: dict[Name, Amount] = {}
 
 
+class _RackCapacity(NamedTuple):
+    """Cached capacity of a rack for one shape.
+
+    Attributes:
+        version: The rack's version that was read.
+        by_machine: {machine: workers that fit}, without machines where none fits.
+        total: Sum of `by_machine`.
+    """
+
+    version: int
+    by_machine: dict[str, int]
+    total: int
+
+
 class Places(msgspec.Struct, dict=True):
-    """All racks, and the uplinks above them by ("zone" or "cluster")/name; an uplink nobody stated is no limit."""
+    """All racks and the uplinks above them. Its field names are stored keys.
+
+    Attributes:
+        racks: Racks by name.
+        uplinks: Bytes a second by "zone/CLUSTER/ZONE" or "cluster/CLUSTER"; one that nobody stated
+            is no limit.
+        where: Name of the rack of each machine.
+        stood: Goes up with each change of what could be there at all.
+    """
 
     racks: dict[str, Rack] = {}
     uplinks: dict[str, int] = {}
-    where: dict[str, str] = {}  # a machine's rack
-    stood: int = 0  # goes up with what could be there at all
+    where: dict[str, str] = {}
+    stood: int = 0
+
+    def __post_init__(self) -> None:
+        """Sets what is derived and not stored."""
+        self._capacities: dict[tuple[str, ResourceShape], _RackCapacity] = {}
+        self._totals: dict[ResourceShape, tuple[int, int]] = {}  # shape: (stood, workers)
+        self._order: list[str] | None = None
+        # Bytes a second that placed gangs send over each uplink, kept by `placement_score`.
+        self.carried: dict[str, float] = {}
 
-    def __post_init__(self):
-        self._rooms, self._wholes, self._order = {}, {}, None
-        self.carried = {}  # bytes a second that placed gangs put on each uplink, kept by `score.put`
+    def add_rack(
+        self,
+        name: str,
+        zone: str,
+        cluster: str,
+        bandwidth: int,
+        machines: Mapping[str, Stated],
+        link: int = DEFAULT_HOST_LINK,
+    ) -> None:
+        """Adds a rack of machines by name.
 
-    def stand(self, name, zone, cluster, bandwidth, machines, link=HOST_LINK):
-        """A new rack, of machines by name. Raises ValueError, in a sentence, if one stands elsewhere already."""
+        Raises:
+            MachineAlreadyPlacedError: A machine is in a rack already.
+        """
         for machine in machines:
             if machine in self.where:
-                raise ValueError(f"Machine {machine} stands in rack {self.where[machine]} already.")
+                raise MachineAlreadyPlacedError(
+                    f"Machine {machine} stands in rack {self.where[machine]} already."
+                )
         hosts = {
-            machine: Host(one.slots, one.slots, dict(one.has), dict(one.has))
-            for machine, one in sorted(machines.items())
+            machine: Host(stated.slots, stated.slots, dict(stated.has), dict(stated.has))
+            for machine, stated in sorted(machines.items())
         }
-        self.racks[name] = Rack(
-            zone, cluster, bandwidth, link, hosts, 1, sum(one.slots for one in hosts.values())
-        )
+        slots = sum(host.slots for host in hosts.values())
+        self.racks[name] = Rack(zone, cluster, bandwidth, link, hosts, 1, slots)
         self.where.update(dict.fromkeys(hosts, name))
-        self.stood, self._order = self.stood + 1, None
+        self.stood += 1
+        self._order = None
 
-    def host(self, machine):
+    def host(self, machine: str) -> Host:
+        """Returns a machine by name."""
         return self.racks[self.where[machine]].hosts[machine]
 
-    def order(self):
-        """Names of racks such that what shares an uplink is next to each other: ranks are given in this order."""
+    def rack_order(self) -> list[str]:
+        """Returns the names of racks in the order in which ranks are assigned.
+
+        Racks that share an uplink are next to each other.
+        """
         if self._order is None or len(self._order) != len(self.racks):
             self._order = sorted(
                 self.racks, key=lambda name: (self.racks[name].cluster, self.racks[name].zone, name)
             )
         return self._order
 
-    def fits(self, name, shape):
-        """{machine: how many workers of that shape fit} of a rack, without those where none does."""
-        rack, key = self.racks[name], (name, shape)
-        known = self._rooms.get(key)
-        if known is None or known[0] != rack.version:
-            if len(self._rooms) > 4096:
-                self._rooms.clear()
-            fits = {
-                machine: many
+    def _capacity(self, name: str, shape: ResourceShape) -> _RackCapacity:
+        rack = self.racks[name]
+        key = (name, shape)
+        known = self._capacities.get(key)
+        if known is None or known.version != rack.version:
+            if len(self._capacities) > MAX_CACHED_RACK_CAPACITIES:
+                self._capacities.clear()
+            by_machine = {
+                machine: workers
                 for machine, host in rack.hosts.items()
-                if (many := host.fits(shape)) > 0
+                if (workers := host.capacity(shape)) > 0
             }
-            known = self._rooms[key] = rack.version, fits, sum(fits.values())
-        return known[1]
+            known = _RackCapacity(rack.version, by_machine, sum(by_machine.values()))
+            self._capacities[key] = known
+        return known
+
+    def machine_capacities(self, name: str, shape: ResourceShape) -> dict[str, int]:
+        """Returns {machine: workers that fit} of a rack, without machines where none fits."""
+        return self._capacity(name, shape).by_machine
 
-    def room(self, name, shape):
-        self.fits(name, shape)
-        return self._rooms[name, shape][2]
+    def rack_capacity(self, name: str, shape: ResourceShape) -> int:
+        """Returns how many workers fit into a rack."""
+        return self._capacity(name, shape).total
 
-    def whole(self, shape):
-        """How many workers of that shape the standing machines could take if all were empty."""
-        known = self._wholes.get(shape)
+    def total_capacity(self, shape: ResourceShape) -> int:
+        """Returns how many workers the machines could take if all were empty."""
+        known = self._totals.get(shape)
         if known is None or known[0] != self.stood:
-            if len(self._wholes) > 256:
-                self._wholes.clear()
-            known = self._wholes[shape] = (
-                self.stood,
-                sum(
-                    host.whole(shape)
-                    for rack in self.racks.values()
-                    for host in rack.hosts.values()
-                ),
+            if len(self._totals) > MAX_CACHED_TOTALS:
+                self._totals.clear()
+            workers = sum(
+                host.empty_capacity(shape)
+                for rack in self.racks.values()
+                for host in rack.hosts.values()
             )
+            known = self._totals[shape] = (self.stood, workers)
         return known[1]
 
-    def changed(self, machine, stood=False):
+    def mark_changed(self, machine: str, total_changed: bool = False) -> None:
+        """Raises the version of a machine's rack, so that placements scored before are rejected.
+
+        Args:
+            machine: The machine that changed.
+            total_changed: Whether the machine's capacity when empty changed too.
+        """
         self.racks[self.where[machine]].version += 1
-        self.stood += stood
-
-    def take(self, placed, shape):
-        """Takes {machine: workers}; negative numbers give back. The caller has seen that it fits."""
-        for machine, many in placed.items():
-            if many:
-                self.host(machine).take(many, shape)
-        for name in {self.where[machine] for machine, many in placed.items() if many}:
+        self.stood += total_changed
+
+    def reserve(self, placed: Mapping[str, int], shape: ResourceShape) -> None:
+        """Takes {machine: workers}; negative numbers give back. The caller checked that it fits."""
+        for machine, workers in placed.items():
+            if workers:
+                self.host(machine).reserve(workers, shape)
+        for name in {self.where[machine] for machine, workers in placed.items() if workers}:
             self.racks[name].version += 1
 
-    def counts(self, placed):
-        """{rack: workers} of {machine: workers}."""
-        found = {}
-        for machine, many in placed.items():
-            found[self.where[machine]] = found.get(self.where[machine], 0) + many
+    def workers_by_rack(self, placed: Mapping[str, int]) -> dict[str, int]:
+        """Returns {rack: workers} of {machine: workers}."""
+        found: dict[str, int] = {}
+        for machine, workers in placed.items():
+            found[self.where[machine]] = found.get(self.where[machine], 0) + workers
         return found
 
-    def pick(self, name, shape, many, until):
-        """Machines of a rack for so many workers: those with no plan before `until` first, then the machine that
-        they fill most closely, so that whole machines stay whole. Takes for granted that they fit."""
-        hosts, picked = self.racks[name].hosts, {}
-        left = dict(self.fits(name, shape))
+    def pick_machines(
+        self, name: str, shape: ResourceShape, workers: int, until: Ticks
+    ) -> dict[str, int]:
+        """Returns {machine: workers} of a rack for so many workers, which must fit.
+
+        Machines that no plan takes before `until` come first, then the machine that the workers
+        fill most closely, so that empty machines stay empty.
+        """
+        hosts = self.racks[name].hosts
+        picked: dict[str, int] = {}
+        capacities = self.machine_capacities(name, shape)
         for planned in (False, True):
-            some = {
-                machine: fit
-                for machine, fit in left.items()
+            usable = {
+                machine: capacity
+                for machine, capacity in capacities.items()
                 if (0 < hosts[machine].planned < until) == planned
             }
-            while many and some:
-                close = [(fit, machine) for machine, fit in some.items() if fit >= many]
-                fit, machine = (
-                    min(close) if close else max((fit, machine) for machine, fit in some.items())
-                )
-                picked[machine] = min(fit, many)
-                many -= picked[machine]
-                del some[machine]
+            while workers and usable:
+                capacity, machine = _closest(usable, workers)
+                picked[machine] = min(capacity, workers)
+                workers -= picked[machine]
+                del usable[machine]
         return picked
+
+
+def _closest(usable: Mapping[str, int], workers: int) -> tuple[int, str]:
+    """Returns (capacity, machine) of the smallest that takes all workers, else of the largest."""
+    sizes = [(capacity, machine) for machine, capacity in usable.items()]
+    sufficient = [size for size in sizes if size[0] >= workers]
+    return min(sufficient) if sufficient else max(sizes)
