--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -408,7 +408,12 @@
             raise CommandRejectedError(f"Rack {asked.rack} stands already.")
         try:
             self.all.places.add_rack(
-                asked.rack, asked.zone, asked.cluster, asked.bandwidth, asked.machines, asked.link
+                asked.rack,
+                asked.zone,
+                asked.cluster,
+                asked.bandwidth,
+                asked.machines,
+                link=asked.link,
             )
         except ValueError as bad:
             raise CommandRejectedError(str(bad)) from None
--- a/thymeknot/gang_scheduling/topology.py
+++ b/thymeknot/gang_scheduling/topology.py
@@ -147,6 +147,7 @@
         cluster: str,
         bandwidth: int,
         machines: Mapping[str, Stated],
+        *,
         link: int = DEFAULT_HOST_LINK,
     ) -> None:
         """Adds a rack of machines by name.
