--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -83,15 +83,15 @@
     that shares no search with ours. A ring crosses each rack's and site's uplink that it enters and is not all within,
     once each way."""
     weights, workers, much = scorer.weights, scorer.workers, scorer.gang.bytes
-    racks = [at for at, room in enumerate(scorer.room) if room > 0]
-    groups = [([at], scorer.base[at] + much * scorer.rate[at]) for at in racks]
+    racks = [at for at, room in enumerate(scorer.capacity) if room > 0]
+    groups = [([at], scorer.rack_load[at] + much * scorer.rack_rate[at]) for at in racks]
     for site, (_, base, rate) in enumerate(scorer.sites):
-        inside = [at for at in racks if site in (scorer.zone[at], scorer.cluster[at])]
+        inside = [at for at in racks if site in (scorer.zone_site[at], scorer.cluster_site[at])]
         groups += [(inside, base + much * rate)] if inside else []
-    bases = [scorer.base[at] for at in racks] + [
+    bases = [scorer.rack_load[at] for at in racks] + [
         base
         for site, (_, base, _) in enumerate(scorer.sites)
-        if any(site in (scorer.zone[at], scorer.cluster[at]) for at in racks)
+        if any(site in (scorer.zone_site[at], scorer.cluster_site[at]) for at in racks)
     ]
     many, last = len(racks), 2 * len(racks) + 2 * len(groups)
     place = {at: one for one, at in enumerate(racks)}
@@ -109,8 +109,8 @@
     for at, one in place.items():
         price[one] -= weights.fragments / scorer.slots[at]
         price[many + one] = weights.planned
-        price[2 * many + one] += weights.fragments * scorer.room[at] / scorer.slots[at]
-        line = row(-scorer.clean[at] / workers, np.inf)
+        price[2 * many + one] += weights.fragments * scorer.capacity[at] / scorer.slots[at]
+        line = row(-scorer.unplanned_capacity[at] / workers, np.inf)
         line[many + one], line[one] = 1, -1 / workers
         line = row(0, np.inf)
         line[last + 1], line[one] = 1, -1 / workers
@@ -121,7 +121,7 @@
         price[within] -= over
         line = row(-np.inf, 0)
         line[[place[rack] for rack in inside]] = 1
-        line[entered] = -min(workers, sum(scorer.room[rack] for rack in inside))
+        line[entered] = -min(workers, sum(scorer.capacity[rack] for rack in inside))
         line = row(0, np.inf)
         line[[place[rack] for rack in inside]] = 1
         line[within] = -workers
@@ -129,13 +129,13 @@
         line[last], line[entered], line[within] = 1, -load, load
     top = np.concatenate(
         [
-            [min(workers, scorer.room[at]) for at in racks],
+            [min(workers, scorer.capacity[at]) for at in racks],
             np.ones(many + 2 * len(groups)),
             [np.inf, 1],
         ]
     )
     least = np.zeros(size)
-    least[last] = scorer.floor
+    least[last] = scorer.min_step
     whole = np.concatenate([np.ones(many), np.zeros(many), np.ones(2 * len(groups)), [0, 0]])
     answer = milp(
         price,
@@ -328,7 +328,7 @@
         if plan:
             places.reserve(plan.places, gang.resource_shape())
             counts = places.workers_by_rack(plan.places)
-            placement_score.put(places, gang, counts)
+            placement_score.add_traffic(places, gang, counts)
             placed.append((gang, counts))
     return places, placed, took
 
--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -549,7 +549,7 @@
         every = [
             {at: many for at, many in enumerate(counts) if many}
             for counts in itertools.product(
-                *(range(min(room, gang.workers) + 1) for room in scorer.room)
+                *(range(min(room, gang.workers) + 1) for room in scorer.capacity)
             )
             if sum(counts) == gang.workers
         ]
@@ -563,9 +563,7 @@
     def test_the_score_explains_itself(self):
         plan = placement_search.find(places_of(4, hosts=1), gang_of(12, "all"), 0)
         parts = plan.score.parts.values()
-        self.assertAlmostEqual(
-            plan.score.total, sum(part["value"] * part["weight"] for part in parts)
-        )
+        self.assertAlmostEqual(plan.score.total, sum(part.value * part.weight for part in parts))
         self.assertRegex(
             plan.score.sentence(),
             r"A step takes 0.\d+ s of 10.000 s by the uplink .* takes \d+% of it.",
@@ -579,7 +577,7 @@
             places.host(machine).planned = 5
         self.assertNotIn(home, placement_search.find(places, gang_of(8), 0).versions)
         busy = places_of(4, hosts=1)
-        placement_score.put(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
+        placement_score.add_traffic(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
         self.assertEqual(sorted(placement_search.find(busy, gang_of(8), 0).versions), ["r1", "r3"])
 
     def test_baselines_place_all_or_nothing(self):
--- a/thymeknot/gang_scheduling/placement_score.py
+++ b/thymeknot/gang_scheduling/placement_score.py
@@ -1,20 +1,44 @@
-"""What a placement is worth: parts that are weighed by the operator, less is better, each with its sentence.
+"""What a placement is worth: terms that the operator weighs, less is better, each with a sentence.
 
-A placement is a number of workers for each rack. Everything here is outside the agreed state, so it may use floats.
+A placement is a number of workers for each rack. Everything here is outside the replicated state,
+so it may use floats.
 """
 
+from collections.abc import Mapping
 from dataclasses import dataclass
 from math import inf
+from typing import Final, NamedTuple, TypeAlias
 
-TENTHS = 10_000  # of a millisecond, in a second
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from .jobs import Gang
+from .topology import Places
+
+MIN_TRAFFIC = 1e-6  # bytes a second; less is a rounding error of adding and taking away
+RANK_KEY_BASE = 1024  # above MAX_WORKERS, so that two ranks make one integer key
+MACHINE_LINK: Final = "machine"  # the bottleneck where a worker's own link is slowest
+
+RackIndex: TypeAlias = int
+"""A rack's position in `Places.rack_order()`."""
+
+RackCounts: TypeAlias = dict[RackIndex, int]
+"""A placement: {rack index: workers}, without zeros."""
+
+Bottleneck: TypeAlias = int | str
+"""The slowest link: a rack index, the name of a site's uplink, or `MACHINE_LINK`."""
 
 
 @dataclass(frozen=True)
 class Weights:
-    """step: predicted step over its target. fragments: room left over in racks that were broken into, in racks.
-    planned: share of the workers who would be in the way of a drain, wave or move. loss: share that one rack takes.
-    harm: by how much links that others use would be over full, summed: the fullest link alone would hide what a gang
-    that is too much for any place does to a small one at its side."""
+    """How much each term of a score counts.
+
+    Attributes:
+        step: Predicted duration of a step over its target.
+        harm: By how much links that others use would be overloaded, summed: the fullest link alone
+            would hide what a gang that is too much for any place does to a small one at its side.
+        fragments: Capacity left over in racks that were broken into, in racks.
+        planned: Share of the workers that are in the way of a planned drain, wave or move.
+        loss: Share of the workers that the loss of one rack takes.
+    """
 
     step: float = 1.0
     harm: float = 0.5
@@ -23,45 +47,123 @@
     loss: float = 0.2
 
 
+class ScoreValues(NamedTuple):
+    """The unweighted terms of a score.
+
+    Attributes:
+        step: Predicted duration of a step over its target.
+        bottleneck: The link that decides `step`.
+        harm: Overload of links that others use, summed.
+        fragments: Capacity left over in racks that were broken into, in racks.
+        planned: Share of the workers in the way of a planned drain, wave or move.
+        loss: Share of the workers in the fullest rack.
+        fullest: Index of that rack, -1 if there is none.
+    """
+
+    step: float
+    bottleneck: Bottleneck
+    harm: float
+    fragments: float
+    planned: float
+    loss: float
+    fullest: RackIndex
+
+
+class ScorePart(NamedTuple):
+    """One term of a score.
+
+    Attributes:
+        value: The term.
+        weight: What it is multiplied by.
+        sentence: What it means, for people.
+    """
+
+    value: float
+    weight: float
+    sentence: str
+
+
 @dataclass(frozen=True)
 class Score:
-    """total, and parts: {name: {"value", "weight", "says"}}; total is the sum of value by weight."""
+    """A score with its explanation.
+
+    Attributes:
+        total: Sum of value by weight.
+        parts: The terms by name, as in `Weights`.
+    """
 
     total: float
-    parts: dict
+    parts: dict[str, ScorePart]
+
+    def sentence(self) -> str:
+        """Returns the sentences of all terms."""
+        return " ".join(part.sentence for part in self.parts.values())
+
+
+class Site(NamedTuple):
+    """A zone or cluster: a contiguous range of racks below one uplink.
+
+    Attributes:
+        link: Name of its uplink.
+        load: Share of the uplink that others use already.
+        rate: Steps over target that one byte a step adds to the uplink.
+    """
+
+    link: str
+    load: float
+    rate: float
 
-    def sentence(self):
-        return " ".join(part["says"] for part in self.parts.values())
 
+LinkLoad: TypeAlias = tuple[float, float, Bottleneck]
+"""(predicted step over target by an uplink, share of it that others use already, the uplink).
+
+A plain tuple, since a search makes thousands: a named one takes several times as long to make.
+"""
 
-def put(places, gang, counts, times=1):
-    """Adds what a gang sends to the uplinks, by {rack: workers}; times -1 takes it away again."""
-    for link, crossing in crossings(places, gang, counts):
-        more = places.carried.get(link, 0.0) + times * crossing * TENTHS / gang.target
-        if more > 1e-6:
-            places.carried[link] = more
+
+def add_traffic(places: Places, gang: Gang, counts: Mapping[str, int], times: int = 1) -> None:
+    """Adds a gang's traffic to the uplinks.
+
+    Args:
+        places: Where the traffic is kept, in `carried`.
+        gang: Who sends.
+        counts: {rack name: workers}.
+        times: 1 to add, -1 to take away.
+    """
+    for link, crossing in uplink_traffic(places, gang, counts):
+        carried = places.carried.get(link, 0.0) + times * crossing * TICKS_PER_SECOND / gang.target
+        if carried > MIN_TRAFFIC:
+            places.carried[link] = carried
         else:
             places.carried.pop(link, None)
 
 
-def crossings(places, gang, counts):
-    """(link, bytes a step) of each uplink that the gang's traffic crosses."""
-    low, runs = 0, {}
+def _rack_link(name: str) -> str:
+    return "rack/" + name
+
+
+def _site_links(places: Places, name: str) -> tuple[str, str]:
+    """Returns the names of the uplinks of a rack's zone and cluster."""
+    rack = places.racks[name]
+    return f"zone/{rack.cluster}/{rack.zone}", "cluster/" + rack.cluster
+
+
+def uplink_traffic(
+    places: Places, gang: Gang, counts: Mapping[str, int]
+) -> list[tuple[str, float]]:
+    """Returns (link, bytes a step) of each uplink that the gang's traffic crosses."""
+    low = 0
+    ranges: dict[str, tuple[int, int]] = {}
     for name in places.rack_order():
-        many = counts.get(name, 0)
-        if many:
-            rack = places.racks[name]
-            for link in (
-                "rack/" + name,
-                f"zone/{rack.cluster}/{rack.zone}",
-                "cluster/" + rack.cluster,
-            ):
-                first, _ = runs.get(link, (low, low))
-                runs[link] = first, low + many
-            low += many
+        workers = counts.get(name, 0)
+        if workers:
+            for link in (_rack_link(name), *_site_links(places, name)):
+                first, _ = ranges.get(link, (low, low))
+                ranges[link] = (first, low + workers)
+            low += workers
     return [
         (link, crossing)
-        for link, (first, end) in runs.items()
+        for link, (first, end) in ranges.items()
         if (crossing := gang.crossing_bytes(first, end))
     ]
 
@@ -69,165 +171,219 @@
 class Scorer:
     """Scores of one gang over the places as they are now; made anew when they change.
 
-    Index i is the rack's place in `places.rack_order()`. Sites are the zones and clusters above, runs of these.
+    Lists are by rack index.
+
+    Attributes:
+        names: Names of the racks.
+        capacity: Workers that fit.
+        unplanned_capacity: Workers that fit on machines that no plan takes before the gang's end.
+        slots: Slots, at least 1.
+        rack_load: Share of the uplink that others use already.
+        rack_rate: Steps over target that one byte a step adds to the uplink.
+        zone_site: Index into `sites` of the rack's zone.
+        cluster_site: Index into `sites` of the rack's cluster.
+        sites: The zones and clusters.
+        expected_end: Agreed time in ticks at which the gang should end.
+        min_step: Least duration of a step over its target, by the machines' own links.
+        evaluations: How many placements were scored.
     """
 
-    def __init__(self, places, gang, at, weights=None):
-        self.places, self.gang, self.weights = places, gang, weights or Weights()
-        self.names, self.shape, self.until = (
-            places.rack_order(),
-            gang.resource_shape(),
-            at + gang.lasts,
-        )
-        self.target, self.workers = gang.target / TENTHS, gang.workers
-        self.room, self.clean, self.slots, self.base, self.rate = [], [], [], [], []
-        self.zone, self.cluster, self.sites, known = [], [], [], {}
-        self.link = inf
+    def __init__(
+        self, places: Places, gang: Gang, now: Ticks, weights: Weights | None = None
+    ) -> None:
+        self.places = places
+        self.gang = gang
+        self.weights = weights or Weights()
+        self.names = places.rack_order()
+        self.shape = gang.resource_shape()
+        self.expected_end = now + gang.lasts
+        self.target_seconds = gang.target / TICKS_PER_SECOND
+        self.workers = gang.workers
+        self.evaluations = 0
+        self.capacity: list[int] = []
+        self.unplanned_capacity: list[int] = []
+        self.slots: list[int] = []
+        self.rack_load: list[float] = []
+        self.rack_rate: list[float] = []
+        self.zone_site: list[int] = []
+        self.cluster_site: list[int] = []
+        self.sites: list[Site] = []
+        self._crossing_bytes: dict[int, float] = {}
+        self._site_index: dict[str, int] = {}
         for name in self.names:
-            rack = places.racks[name]
-            room = places.rack_capacity(name, self.shape)
-            soon = [
-                machine for machine, host in rack.hosts.items() if 0 < host.planned < self.until
-            ]
-            fits = places.machine_capacities(name, self.shape)
-            self.room.append(room)
-            self.clean.append(room - sum(fits.get(machine, 0) for machine in soon))
-            self.slots.append(max(1, rack.slots))
-            self.base.append(self._carried("rack/" + name, rack.bandwidth))
-            self.rate.append(1 / (max(1, rack.bandwidth) * self.target))
-            self.link = min(self.link, rack.link)
-            for kind, link in (
-                (self.zone, f"zone/{rack.cluster}/{rack.zone}"),
-                (self.cluster, "cluster/" + rack.cluster),
-            ):
-                if link not in known:
-                    known[link] = len(self.sites)
-                    wide = places.uplinks.get(link, inf)
-                    self.sites.append(
-                        (link, self._carried(link, wide), 1 / (max(1, wide) * self.target))
-                    )
-                kind.append(known[link])
-        self.floor = (
-            gang.busiest_worker_bytes() / max(1, self.link) / self.target if self.names else 0.0
+            self._add_rack(name)
+        slowest = min((places.racks[name].link for name in self.names), default=inf)
+        self.min_step = (
+            gang.busiest_worker_bytes() / max(1, slowest) / self.target_seconds
+            if self.names
+            else 0.0
+        )
+
+    def _add_rack(self, name: str) -> None:
+        """Appends one rack to the lists."""
+        rack = self.places.racks[name]
+        capacity = self.places.rack_capacity(name, self.shape)
+        by_machine = self.places.machine_capacities(name, self.shape)
+        planned = sum(
+            by_machine.get(machine, 0)
+            for machine, host in rack.hosts.items()
+            if 0 < host.planned < self.expected_end
         )
-        self._crossed, self.asked = {}, 0
+        self.capacity.append(capacity)
+        self.unplanned_capacity.append(capacity - planned)
+        self.slots.append(max(1, rack.slots))
+        self.rack_load.append(self._others_load(_rack_link(name), rack.bandwidth))
+        self.rack_rate.append(1 / (max(1, rack.bandwidth) * self.target_seconds))
+        zone_link, cluster_link = _site_links(self.places, name)
+        self.zone_site.append(self._site(zone_link))
+        self.cluster_site.append(self._site(cluster_link))
 
-    def _carried(self, link, bandwidth):
-        """The share of the link that others fill already."""
+    def _site(self, link: str) -> int:
+        """Returns the index of a site, which is added if it is new."""
+        if link not in self._site_index:
+            self._site_index[link] = len(self.sites)
+            bandwidth = self.places.uplinks.get(link, inf)
+            rate = 1 / (max(1, bandwidth) * self.target_seconds)
+            self.sites.append(Site(link, self._others_load(link, bandwidth), rate))
+        return self._site_index[link]
+
+    def _others_load(self, link: str, bandwidth: float) -> float:
+        """Returns the share of the link that others use already."""
         return self.places.carried.get(link, 0.0) / max(1, bandwidth)
 
-    def crossing(self, low, high):
-        key = low * 1024 + high
-        found = self._crossed.get(key)
+    def crossing_bytes(self, low: int, high: int) -> float:
+        """Returns `Gang.crossing_bytes`, from a cache."""
+        key = low * RANK_KEY_BASE + high
+        found = self._crossing_bytes.get(key)
         if found is None:
-            found = self._crossed[key] = self.gang.crossing_bytes(low, high)
+            found = self._crossing_bytes[key] = self.gang.crossing_bytes(low, high)
         return found
 
-    def rack_step(self, at, low, high):
-        """Predicted step over target by the rack's uplink, for ranks low to high in it."""
-        crossing = self.crossing(low, high)
-        return self.base[at] + crossing * self.rate[at] if crossing else 0.0
-
-    def site_step(self, site, low, high):
-        crossing = self.crossing(low, high)
-        return self.sites[site][1] + crossing * self.sites[site][2] if crossing else 0.0
-
-    def rack_parts(self, at, many):
-        """(fragments, planned) of so many workers in the rack."""
-        return (self.room[at] - many) / self.slots[at], max(0, many - self.clean[at]) / self.workers
-
-    def values(self, counts):
-        """((step, link), harm, fragments, planned, (loss, rack)) of {index: workers}."""
-        self.asked += 1
-        worst, link = self.floor, "machine"
-        harm = fragments = planned = 0.0
-        most, fullest, low = 0, -1, 0
+    def rack_step(self, index: RackIndex, low: int, high: int) -> float:
+        """Returns the predicted step over target by the rack's uplink, for ranks low to high."""
+        crossing = self.crossing_bytes(low, high)
+        return self.rack_load[index] + crossing * self.rack_rate[index] if crossing else 0.0
+
+    def _site_load(self, index: int, low: int, high: int) -> LinkLoad:
+        site = self.sites[index]
+        crossing = self.crossing_bytes(low, high)
+        step = site.load + crossing * site.rate if crossing else 0.0
+        return step, site.load, site.link
+
+    def rack_terms(self, index: RackIndex, workers: int) -> tuple[float, float]:
+        """Returns the terms (fragments, planned) of so many workers in the rack."""
+        fragments = (self.capacity[index] - workers) / self.slots[index]
+        return fragments, max(0, workers - self.unplanned_capacity[index]) / self.workers
+
+    def _link_loads(self, counts: RackCounts, order: list[RackIndex]) -> list[LinkLoad]:
+        """Returns the loads of the uplinks that the placement uses.
+
+        A site comes after the last of its racks. The order decides how floats are summed and which
+        of two equal links is named.
+        """
+        loads: list[LinkLoad] = []
         zone = cluster = -1
-        zone_low = cluster_low = 0
-        for at in sorted(counts):
-            many = counts[at]
-            if self.zone[at] != zone:
+        low = zone_low = cluster_low = 0
+        for index in order:
+            if self.zone_site[index] != zone:
                 if zone >= 0:
-                    step = self.site_step(zone, zone_low, low)
-                    if step > 1 and self.sites[zone][1]:
-                        harm += step - 1
-                    if step > worst:
-                        worst, link = step, self.sites[zone][0]
-                zone, zone_low = self.zone[at], low
-            if self.cluster[at] != cluster:
+                    loads.append(self._site_load(zone, zone_low, low))
+                zone = self.zone_site[index]
+                zone_low = low
+            if self.cluster_site[index] != cluster:
                 if cluster >= 0:
-                    step = self.site_step(cluster, cluster_low, low)
-                    if step > 1 and self.sites[cluster][1]:
-                        harm += step - 1
-                    if step > worst:
-                        worst, link = step, self.sites[cluster][0]
-                cluster, cluster_low = self.cluster[at], low
-            step = self.rack_step(at, low, low + many)
-            if step > 1 and self.base[at]:
-                harm += step - 1
-            if step > worst:
-                worst, link = step, at
-            low += many
-            if many > most:
-                most, fullest = many, at
-            fragments += (self.room[at] - many) / self.slots[at]
-            if many > self.clean[at]:
-                planned += (many - self.clean[at]) / self.workers
-        for site, first in ((zone, zone_low), (cluster, cluster_low)):
-            step = self.site_step(site, first, low) if site >= 0 else 0.0
-            if step > 1 and self.sites[site][1]:
+                    loads.append(self._site_load(cluster, cluster_low, low))
+                cluster = self.cluster_site[index]
+                cluster_low = low
+            high = low + counts[index]
+            loads.append((self.rack_step(index, low, high), self.rack_load[index], index))
+            low = high
+        if zone >= 0:
+            loads.append(self._site_load(zone, zone_low, low))
+            loads.append(self._site_load(cluster, cluster_low, low))
+        return loads
+
+    def values(self, counts: RackCounts) -> ScoreValues:
+        """Returns the unweighted terms of a placement."""
+        self.evaluations += 1
+        order = sorted(counts)
+        worst = self.min_step
+        bottleneck: Bottleneck = MACHINE_LINK
+        harm = 0.0
+        for step, others, link in self._link_loads(counts, order):
+            if step > 1 and others:
                 harm += step - 1
             if step > worst:
-                worst, link = step, self.sites[site][0]
-        return (worst, link), harm, fragments, planned, (most / self.workers, fullest)
+                worst = step
+                bottleneck = link
+        fragments = planned = 0.0
+        most = 0
+        fullest = -1
+        for index in order:
+            workers = counts[index]
+            if workers > most:
+                most = workers
+                fullest = index
+            fragments += (self.capacity[index] - workers) / self.slots[index]
+            if workers > self.unplanned_capacity[index]:
+                planned += (workers - self.unplanned_capacity[index]) / self.workers
+        return ScoreValues(
+            worst, bottleneck, harm, fragments, planned, most / self.workers, fullest
+        )
 
-    def total(self, counts):
-        (step, _), harm, fragments, planned, (loss, _) = self.values(counts)
+    def total(self, counts: RackCounts) -> float:
+        """Returns the weighted sum of a placement's terms."""
+        values = self.values(counts)
         weights = self.weights
         return (
-            weights.step * step
-            + weights.harm * harm
-            + weights.fragments * fragments
-            + weights.planned * planned
-            + weights.loss * loss
+            weights.step * values.step
+            + weights.harm * values.harm
+            + weights.fragments * values.fragments
+            + weights.planned * values.planned
+            + weights.loss * values.loss
         )
 
-    def explain(self, counts):
-        """The Score of {index: workers}, with its parts."""
-        (step, link), harm, fragments, planned, (loss, fullest) = self.values(counts)
-        where = (
-            f"the uplink of rack {self.names[link]}"
-            if isinstance(link, int)
-            else ("a worker's own machine" if link == "machine" else f"the uplink of {link}")
-        )
-        others = (
-            self.base[link]
-            if isinstance(link, int)
-            else next((base for name, base, _ in self.sites if name == link), 0.0)
-        )
-        values = {
-            "step": (
-                step,
-                f"A step takes {step * self.target:.3f} s of {self.target:.3f} s by {where}, which others "
-                f"fill to {others:.0%}.",
-            ),
-            "harm": (harm, f"Links that others use would be over full by {harm:.0%} together."),
-            "fragments": (
-                fragments,
-                f"It leaves {fragments:.2f} racks' room over in {len(counts)} racks.",
+    def explain(self, counts: RackCounts) -> Score:
+        """Returns the score of a placement with its sentences."""
+        values = self.values(counts)
+        weights = self.weights
+        loss = ""
+        if counts:
+            loss = f"The loss of rack {self.names[values.fullest]} takes {values.loss:.0%} of it."
+        parts = {
+            "step": ScorePart(values.step, weights.step, self._step_sentence(values)),
+            "harm": ScorePart(
+                values.harm,
+                weights.harm,
+                f"Links that others use would be over full by {values.harm:.0%} together.",
             ),
-            "planned": (
-                planned,
-                f"{planned:.0%} of it stands where a drain, wave or move is planned before its end.",
+            "fragments": ScorePart(
+                values.fragments,
+                weights.fragments,
+                f"It leaves {values.fragments:.2f} racks' room over in {len(counts)} racks.",
             ),
-            "loss": (
-                loss,
-                f"The loss of rack {self.names[fullest]} takes {loss:.0%} of it." if counts else "",
+            "planned": ScorePart(
+                values.planned,
+                weights.planned,
+                f"{values.planned:.0%} of it stands where a drain, wave or move is planned "
+                "before its end.",
             ),
+            "loss": ScorePart(values.loss, weights.loss, loss),
         }
-        weights = self.weights
-        parts = {
-            name: {"value": value, "weight": getattr(weights, name), "says": says}
-            for name, (value, says) in values.items()
-        }
-        return Score(sum(part["value"] * part["weight"] for part in parts.values()), parts)
+        return Score(sum(part.value * part.weight for part in parts.values()), parts)
+
+    def _step_sentence(self, values: ScoreValues) -> str:
+        link = values.bottleneck
+        if isinstance(link, int):
+            where = f"the uplink of rack {self.names[link]}"
+            others = self.rack_load[link]
+        elif link == MACHINE_LINK:
+            where = "a worker's own machine"
+            others = 0.0
+        else:
+            where = f"the uplink of {link}"
+            others = self.sites[self._site_index[link]].load
+        return (
+            f"A step takes {values.step * self.target_seconds:.3f} s of "
+            f"{self.target_seconds:.3f} s by {where}, which others fill to {others:.0%}."
+        )
--- a/thymeknot/gang_scheduling/placement_search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from math import comb
 
-from .placement_score import Score, Scorer, put
+from .placement_score import Score, Scorer
 
 EXACT_MOST = 3_000  # ways to share the workers out, up to which all are gone through
 ASKED_MOST = 700  # scores that an improvement may ask for: 30 to 60 us each
@@ -32,14 +32,16 @@
 def made(scorer, counts):
     places, picked = scorer.places, {}
     for index, many in counts.items():
-        picked.update(places.pick_machines(scorer.names[index], scorer.shape, many, scorer.until))
+        picked.update(
+            places.pick_machines(scorer.names[index], scorer.shape, many, scorer.expected_end)
+        )
     versions = {scorer.names[index]: places.racks[scorer.names[index]].version for index in counts}
     return Plan(picked, versions, scorer.explain(counts))
 
 
 def choose(scorer):
     """{index of rack: workers} by whichever search fits the size, or None."""
-    racks = sum(room > 0 for room in scorer.room)
+    racks = sum(room > 0 for room in scorer.capacity)
     if racks and comb(scorer.workers + racks - 1, racks - 1) <= EXACT_MOST:
         return exact(scorer)
     return fast(scorer)
@@ -49,10 +51,10 @@
     """The best there is over numbers per rack. Bound: what the racks decided so far cost for certain, and the least
     that any way to share out the rest adds to one rack's loss; every part only grows with what is still to come."""
     weights, workers = scorer.weights, scorer.workers
-    racks = [at for at, room in enumerate(scorer.room) if room > 0]
+    racks = [at for at, room in enumerate(scorer.capacity) if room > 0]
     after = [0] * (len(racks) + 1)
     for at in range(len(racks) - 1, -1, -1):
-        after[at] = after[at + 1] + min(workers, scorer.room[racks[at]])
+        after[at] = after[at + 1] + min(workers, scorer.capacity[racks[at]])
     if after[0] < workers:
         return None
     best = fast(scorer)
@@ -70,11 +72,11 @@
         if low + after[at] < workers:
             return
         index = racks[at]
-        for many in range(min(scorer.room[index], workers - low), -1, -1):
+        for many in range(min(scorer.capacity[index], workers - low), -1, -1):
             if not many:
                 down(at + 1, low, step, kept, most)
                 continue
-            fragments, planned = scorer.rack_parts(index, many)
+            fragments, planned = scorer.rack_terms(index, many)
             more = kept + weights.fragments * fragments + weights.planned * planned
             slow = max(step, scorer.rack_step(index, low, low + many))
             if weights.step * slow + more + weights.loss * max(most, many) / workers >= least:
@@ -83,7 +85,7 @@
             down(at + 1, low + many, slow, more, max(most, many))
             del counts[index]
 
-    down(0, 0, scorer.floor, 0.0, 0)
+    down(0, 0, scorer.min_step, 0.0, 0)
     return best
 
 
@@ -91,7 +93,7 @@
     """Fills racks in their order, each with at most so many, until all workers stand; None if they do not."""
     counts, left = {}, scorer.workers
     for at in racks:
-        many = min(scorer.room[at], left, most or left)
+        many = min(scorer.capacity[at], left, most or left)
         if many > 0:
             counts[at] = many
             left -= many
@@ -103,8 +105,8 @@
 def _even(scorer, racks):
     """The same number in each as far as there is room; None if they do not fit."""
     counts, left = {}, scorer.workers
-    for done, at in enumerate(sorted(racks, key=lambda at: scorer.room[at])):
-        many = min(scorer.room[at], -(-left // (len(racks) - done)))
+    for done, at in enumerate(sorted(racks, key=lambda at: scorer.capacity[at])):
+        many = min(scorer.capacity[at], -(-left // (len(racks) - done)))
         if many > 0:
             counts[at] = many
             left -= many
@@ -114,22 +116,22 @@
 def _starts(scorer):
     """Ways to begin: each site that is large enough, filled by the fullest, the closest, the quietest and the safest
     racks first, or evenly over some of them. A site is one zone, one cluster or all."""
-    workers, room = scorer.workers, scorer.room
+    workers, room = scorer.workers, scorer.capacity
     usable = [at for at, some in enumerate(room) if some > 0]
     sites = {}
     for at in usable:
-        for site in (scorer.zone[at], scorer.cluster[at], -1):
+        for site in (scorer.zone_site[at], scorer.cluster_site[at], -1):
             sites.setdefault(site, []).append(at)
     for at in usable:
         if room[at] >= workers:
             yield {at: workers}
-    quiet = {at: scorer.base[at] + scorer.rate[at] * scorer.gang.bytes for at in usable}
+    quiet = {at: scorer.rack_load[at] + scorer.rack_rate[at] * scorer.gang.bytes for at in usable}
     for racks in sites.values():
         if sum(room[at] for at in racks) < workers:
             continue
         orders = (
             sorted(racks, key=lambda at: (-room[at], quiet[at])),
-            sorted(racks, key=lambda at: (-scorer.clean[at], quiet[at])),
+            sorted(racks, key=lambda at: (-scorer.unplanned_capacity[at], quiet[at])),
             sorted(racks, key=lambda at: (quiet[at], -room[at])),
             sorted(racks, key=lambda at: (scorer.slots[at] - room[at] == 0, -room[at])),
         )
@@ -147,7 +149,7 @@
 
 def _steps(scorer, counts, near):
     """Changes worth a try: some workers from one rack to another, a rack for another, the fullest ones first."""
-    room = scorer.room
+    room = scorer.capacity
     for giver in sorted(counts, key=lambda at: -counts[at]):
         have = counts[giver]
         for taker in near:
@@ -172,32 +174,32 @@
 def _improved(scorer, counts, value, budget):
     """Goes on as long as a step makes it better and the budget of scores lasts. Takes the first better step and goes
     on from there: the best of all steps costs as many scores as there are steps."""
-    counts, until, better = dict(counts), scorer.asked + budget, True
+    counts, until, better = dict(counts), scorer.evaluations + budget, True
     usable = sorted(
-        (at for at, room in enumerate(scorer.room) if room > 0),
+        (at for at, room in enumerate(scorer.capacity) if room > 0),
         key=lambda at: (
-            scorer.base[at]
-            + scorer.rate[at] * scorer.gang.bytes
-            + 0.1 * (scorer.room[at] / scorer.slots[at])
+            scorer.rack_load[at]
+            + scorer.rack_rate[at] * scorer.gang.bytes
+            + 0.1 * (scorer.capacity[at] / scorer.slots[at])
         ),
     )
-    while better and scorer.asked < until:
+    while better and scorer.evaluations < until:
         better = False
-        zones = {scorer.zone[at] for at in counts}
+        zones = {scorer.zone_site[at] for at in counts}
         near = (
             list(counts)
-            + [at for at in usable if at not in counts and scorer.zone[at] in zones][:12]
+            + [at for at in usable if at not in counts and scorer.zone_site[at] in zones][:12]
         )
         near += [at for at in usable if at not in near][:4]
         for giver, taker, many in list(_steps(scorer, counts, near)):
-            if scorer.asked >= until:
+            if scorer.evaluations >= until:
                 break
             have, had = counts.get(giver, 0), counts.get(taker, 0)
             if (
                 have < many
-                or had + many > scorer.room[taker]
+                or had + many > scorer.capacity[taker]
                 or had + many < 0
-                or have - many > scorer.room[giver]
+                or have - many > scorer.capacity[giver]
             ):
                 continue
             trial = dict(counts)
@@ -229,26 +231,28 @@
 
 def first_fit(scorer):
     """Racks in their order, each filled."""
-    return _filled(scorer, range(len(scorer.room)))
+    return _filled(scorer, range(len(scorer.capacity)))
 
 
 def random_fit(chance):
     """Racks in any order; chance: of `thymeknot.records`."""
 
     def fit(scorer):
-        return _filled(scorer, sorted(range(len(scorer.room)), key=lambda at: chance.draw()))
+        return _filled(scorer, sorted(range(len(scorer.capacity)), key=lambda at: chance.draw()))
 
     return fit
 
 
 def packing(scorer):
     """The racks that are fullest already, so long as they have room."""
-    return _filled(scorer, sorted(range(len(scorer.room)), key=lambda at: (scorer.room[at], at)))
+    return _filled(
+        scorer, sorted(range(len(scorer.capacity)), key=lambda at: (scorer.capacity[at], at))
+    )
 
 
 def spreading(scorer):
     """Evenly over all racks."""
-    return _even(scorer, [at for at, room in enumerate(scorer.room) if room > 0])
+    return _even(scorer, [at for at, room in enumerate(scorer.capacity) if room > 0])
 
 
 def mended(places, gang, at, left, since, weights=None, restart=300_000, rest=None):
@@ -262,13 +266,13 @@
     shape, own, rest = gang.resource_shape(), places.workers_by_rack(left), rest or gang.lasts
     missing = gang.workers - sum(left.values())
     scorer = Scorer(places, gang, at, weights)
-    room = scorer.room
+    room = scorer.capacity
     index = {name: place for place, name in enumerate(scorer.names)}
     stay = {index[name]: many for name, many in own.items()}
     patch = Scorer(places, gang, at, weights)  # where it stays, its own slots are room that it has
     for place, many in stay.items():
-        patch.room[place] += many
-        patch.clean[place] += many
+        patch.capacity[place] += many
+        patch.unplanned_capacity[place] += many
     ways = []
     patched, need = dict(stay), missing
     for _ in range(missing):  # one worker after the other to where it costs least
@@ -280,8 +284,8 @@
             ),
             key=lambda place: (
                 place not in patched,
-                scorer.zone[place] not in {scorer.zone[other] for other in patched},
-                scorer.base[place],
+                scorer.zone_site[place] not in {scorer.zone_site[other] for other in patched},
+                scorer.rack_load[place],
                 -room[place],
             ),
         )
@@ -313,7 +317,7 @@
         more = many - stay.get(place, 0)
         if more:
             for machine, some in places.pick_machines(
-                scorer.names[place], shape, more, scorer.until
+                scorer.names[place], shape, more, scorer.expected_end
             ).items():
                 plan_places[machine] = plan_places.get(machine, 0) + some
     versions = {scorer.names[place]: places.racks[scorer.names[place]].version for place in counts}
@@ -330,7 +334,6 @@
     "made",
     "mended",
     "packing",
-    "put",
     "random_fit",
     "spreading",
 ]
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -301,7 +301,7 @@
         places.carried.clear()
         for life in self.all.gangs.values():
             if life.state in WITH_SLOTS and life.state != HURT:
-                placement_score.put(places, life.gang, places.workers_by_rack(life.places))
+                placement_score.add_traffic(places, life.gang, places.workers_by_rack(life.places))
         return places
 
     def queue(self):
