--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -71,9 +71,9 @@
     while len(found) < cases:
         places, gang = small(chance)
         scorer = placement_score.Scorer(places, gang, 0)
-        quick = placement_search.fast(scorer)
+        quick = placement_search.heuristic_search(scorer)
         if quick:
-            best = scorer.total(placement_search.exact(scorer))
+            best = scorer.total(placement_search.exact_search(scorer))
             found.append(scorer.total(quick) / best - 1)
     return found
 
@@ -156,7 +156,7 @@
         scorer = placement_score.Scorer(
             places, msgspec.structs.replace(gang, pattern="ring", matrix=[]), 0
         )
-        best = placement_search.exact(scorer)
+        best = placement_search.exact_search(scorer)
         if best:
             apart.append(abs(solved(scorer, 10)[0] / scorer.total(best) - 1))
     places = large(chance)
@@ -165,8 +165,12 @@
             int(64 + 448 * chance.draw()), "ring", GIGA, 4 * SECOND, "p", SECOND, needs={"gpu": 1}
         )
         scorer = placement_score.Scorer(places, gang, 0)
-        found.append(scorer.total(placement_search.fast(scorer)) / solved(scorer, 3)[0] - 1)
-        places.reserve(placement_search.find(places, gang, 0).places, gang.resource_shape())
+        found.append(
+            scorer.total(placement_search.heuristic_search(scorer)) / solved(scorer, 3)[0] - 1
+        )
+        places.reserve(
+            placement_search.find_placement(places, gang, 0).places, gang.resource_shape()
+        )
     return max(apart), found
 
 
@@ -323,7 +327,7 @@
     for _ in range(gangs):
         gang = some_gang(chance, int(2 * 256 ** chance.draw()), 2 * GIGA)
         began = time.process_time()
-        plan = placement_search.find(places, gang, 0, how=how)
+        plan = placement_search.find_placement(places, gang, 0, how=how)
         took.append(1000 * (time.process_time() - began))
         if plan:
             places.reserve(plan.places, gang.resource_shape())
@@ -467,7 +471,7 @@
             do("offer", gang=f"g{turn}", job=job)
         elif lot < 0.35:  # score
             name = pick(machine.queue()[:2])
-            plan = name and placement_search.find(machine.view(), gangs[name].gang, at)
+            plan = name and placement_search.find_placement(machine.view(), gangs[name].gang, at)
             wanted[who] = plan and (name, plan)
         elif lot < 0.60 and wanted[who]:
             name, plan = wanted[who]
@@ -488,10 +492,11 @@
         elif lot < 0.76 and (name := pick(in_state.get("running", ()))):
             sums["done"] += "ok" in do("done", gang=name, fence=gangs[name].fence)
         elif lot < 0.84 and (name := pick(in_state.get("hurt", ()))):
-            plan, _ = placement_search.mended(
+            replacement = placement_search.replace_failed_workers(
                 machine.view(), gangs[name].gang, at, gangs[name].places, 0
             )
-            if plan:
+            if replacement:
+                plan = replacement.plan
                 reply = do(
                     "mend",
                     gang=name,
--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -54,7 +54,7 @@
         )
 
     def plan(self, name):
-        return placement_search.find(self.machine.view(), self.life(name).gang, self.at)
+        return placement_search.find_placement(self.machine.view(), self.life(name).gang, self.at)
 
     def hold(self, name, plan=None):
         plan = plan or self.plan(name)
@@ -309,7 +309,7 @@
         old = fleet.run("g")
         fleet.ok("lost", kind="worker", name=fleet.on("g")[0], gang="g")
         life = fleet.life("g")
-        plan, way = placement_search.mended(
+        plan, way = placement_search.replace_failed_workers(
             fleet.machine.view(), life.gang, fleet.at, life.places, 0
         )
         reply = fleet.ok("mend", gang="g", fence=old, places=plan.places, versions=plan.versions)
@@ -327,7 +327,9 @@
         places = fleet.machine.view()
         places.host(home).closed = "another"  # nobody new there
         places.mark_changed(home)
-        plan, way = placement_search.mended(places, life.gang, fleet.at, life.places, 0)
+        plan, way = placement_search.replace_failed_workers(
+            places, life.gang, fleet.at, life.places, 0
+        )
         self.assertEqual((way, len(plan.places)), ("whole", 1))
         fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)
         self.assertEqual((fleet.state("g"), fleet.broken()), ("moving", []))
@@ -362,7 +364,7 @@
         said = fleet.ok("checkpoint", gang="g", fence=fence)
         self.assertEqual((said["next"], fleet.state("g")), ("mend", "hurt"))
         fleet.ok("drain_asked", machine=machine, drain="d")
-        plan, _ = placement_search.mended(
+        plan, _ = placement_search.replace_failed_workers(
             fleet.machine.view(), fleet.life("g").gang, fleet.at, fleet.life("g").places, 0
         )
         self.assertNotIn(machine, plan.places)
@@ -377,7 +379,9 @@
             fleet.ok("drain_asked", machine=first, drain="d", unit=True)["gangs"], ["g"]
         )
         life = fleet.life("g")
-        plan, _ = placement_search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
+        plan, _ = placement_search.replace_failed_workers(
+            fleet.machine.view(), life.gang, fleet.at, life.places, 0
+        )
         fence = fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)[
             "fence"
         ]
@@ -402,7 +406,7 @@
         self.assertEqual((fleet.state("g"), fleet.broken()), ("hurt", []))
         fleet.ok("drain_asked", machine="r0m0", drain="d")
         life = fleet.life("g")
-        plan, way = placement_search.mended(
+        plan, way = placement_search.replace_failed_workers(
             fleet.machine.view(), life.gang, fleet.at, life.places, 0
         )
         self.assertEqual(
@@ -554,14 +558,16 @@
             if sum(counts) == gang.workers
         ]
         best = min(map(scorer.total, every), default=None)
-        found = placement_search.exact(scorer)
+        found = placement_search.exact_search(scorer)
         self.assertEqual(found is None, best is None)
         if found:
             self.assertAlmostEqual(scorer.total(found), best)
-            self.assertLessEqual(scorer.total(placement_search.fast(scorer)), 1.3 * best + 0.05)
+            self.assertLessEqual(
+                scorer.total(placement_search.heuristic_search(scorer)), 1.3 * best + 0.05
+            )
 
     def test_the_score_explains_itself(self):
-        plan = placement_search.find(places_of(4, hosts=1), gang_of(12, "all"), 0)
+        plan = placement_search.find_placement(places_of(4, hosts=1), gang_of(12, "all"), 0)
         parts = plan.score.parts.values()
         self.assertAlmostEqual(plan.score.total, sum(part.value * part.weight for part in parts))
         self.assertRegex(
@@ -572,13 +578,15 @@
 
     def test_plans_and_others_traffic_turn_a_gang_away(self):
         places = places_of(2)
-        home = next(iter(placement_search.find(places, gang_of(8), 0).versions))
+        home = next(iter(placement_search.find_placement(places, gang_of(8), 0).versions))
         for machine in places.racks[home].hosts:
             places.host(machine).planned = 5
-        self.assertNotIn(home, placement_search.find(places, gang_of(8), 0).versions)
+        self.assertNotIn(home, placement_search.find_placement(places, gang_of(8), 0).versions)
         busy = places_of(4, hosts=1)
         placement_score.add_traffic(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
-        self.assertEqual(sorted(placement_search.find(busy, gang_of(8), 0).versions), ["r1", "r3"])
+        self.assertEqual(
+            sorted(placement_search.find_placement(busy, gang_of(8), 0).versions), ["r1", "r3"]
+        )
 
     def test_baselines_place_all_or_nothing(self):
         scorer = placement_score.Scorer(places_of(4), gang_of(20), 0)
--- a/thymeknot/gang_scheduling/jobs.py
+++ b/thymeknot/gang_scheduling/jobs.py
@@ -36,6 +36,13 @@
     MATRIX = "matrix"
 
 
+class ReplacementMethod(StrEnum):
+    """How the failed workers of a gang are replaced."""
+
+    IN_PLACE = "in place"  # the workers that are left stay where they are
+    WHOLE = "whole"  # all workers move
+
+
 class Gang(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """What a publisher asks for. Its field names are stored keys.
 
--- a/thymeknot/gang_scheduling/placement_search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -1,339 +1,528 @@
-"""Finds where a gang goes: exact by branch and bound where few racks matter, else greedy by site and improved.
+"""Finds where a gang goes: by branch and bound where few racks matter, else by a heuristic.
 
-What comes out is a proposal: the state takes it only against the versions that were scored here.
+What comes out is a proposal: the replicated state accepts it only against the versions that were
+scored here.
 """
 
+from collections.abc import Callable, Iterable, Iterator, Mapping
 from dataclasses import dataclass
 from math import comb
+from typing import NamedTuple, Protocol, TypeAlias
 
-from .placement_score import Score, Scorer
+from ..interface.clock import Ticks
+from .jobs import Gang, ReplacementMethod
+from .placement_score import RackCounts, RackIndex, Score, Scorer, Weights
+from .topology import Places
 
-EXACT_MOST = 3_000  # ways to share the workers out, up to which all are gone through
-ASKED_MOST = 700  # scores that an improvement may ask for: 30 to 60 us each
-STARTS_IMPROVED = 4
+MAX_EXACT_DISTRIBUTIONS = 3_000  # ways to distribute the workers, up to which all are searched
+MAX_EVALUATIONS = 700  # scores that the heuristic's improvement may ask for: 30 to 60 us each
+IMPROVED_STARTS = 4  # best starts that are improved; they share MAX_EVALUATIONS
+MIN_IMPROVEMENT = 1e-12  # of a score; less is a rounding error
+MAX_RACKS_IN_ZONES = 12  # free racks of the placement's own zones that a round of moves looks at
+MAX_RACKS_ELSEWHERE = 4  # racks of anywhere that a round of moves looks at beside them
+SPARE_CAPACITY_WEIGHT = 0.1  # of a rack's free share against its load when racks are ranked
+MAX_REPLACEMENT_RACKS = 8  # racks that are scored for each replaced worker
+RESTART_TICKS = 300_000  # 30 s, that a worker takes to load its state
+WHOLE_RESTARTS = 2  # restarts that moving the whole gang costs
 
 
 @dataclass(frozen=True)
 class Plan:
-    """places: {machine: workers}. versions: {rack: version scored}. score: why here and not elsewhere."""
+    """A proposed placement.
 
-    places: dict
-    versions: dict
+    Attributes:
+        places: {machine: workers}.
+        versions: {rack: version that was scored}.
+        score: Why here and not elsewhere.
+    """
+
+    places: dict[str, int]
+    versions: dict[str, int]
     score: Score
 
 
-def find(places, gang, at, weights=None, how=None):
-    """A Plan for a gang, or None if it fits nowhere now. at: agreed time in tenths of a millisecond."""
-    scorer = Scorer(places, gang, at, weights)
-    counts = (how or choose)(scorer)
-    return made(scorer, counts) if counts else None
+class Replacement(NamedTuple):
+    """A proposal for a gang with failed workers.
+
+    Attributes:
+        plan: The whole new placement.
+        method: Whether the workers that are left stay.
+    """
+
+    plan: Plan
+    method: ReplacementMethod
+
+
+class RandomSource(Protocol):
+    """What `random_fit` draws from; `thymeknot.state.random_source` has one."""
+
+    def draw(self) -> float:
+        """Returns a number from 0 to below 1."""
+
+
+SearchMethod: TypeAlias = Callable[[Scorer], RackCounts | None]
+"""Finds a placement, or None if the gang fits nowhere now."""
+
+_Move: TypeAlias = tuple[RackIndex, RackIndex, int]
+"""(giver, taker, workers): workers below 0 go the other way."""
 
 
-def made(scorer, counts):
-    places, picked = scorer.places, {}
-    for index, many in counts.items():
+def find_placement(
+    places: Places,
+    gang: Gang,
+    now: Ticks,
+    weights: Weights | None = None,
+    how: SearchMethod | None = None,
+) -> Plan | None:
+    """Finds a placement for a gang.
+
+    Args:
+        places: Racks, with what other gangs put on the uplinks.
+        gang: The gang.
+        now: Agreed time.
+        weights: Weights of the score's terms.
+        how: The search; `choose_search` if it is None.
+
+    Returns:
+        A plan, or None if the gang fits nowhere now.
+    """
+    scorer = Scorer(places, gang, now, weights)
+    counts = (how or choose_search)(scorer)
+    return _plan(scorer, counts) if counts else None
+
+
+def _scored_versions(scorer: Scorer, counts: RackCounts) -> dict[str, int]:
+    racks = scorer.places.racks
+    return {scorer.names[index]: racks[scorer.names[index]].version for index in counts}
+
+
+def _plan(scorer: Scorer, counts: RackCounts) -> Plan:
+    picked: dict[str, int] = {}
+    for index, workers in counts.items():
         picked.update(
-            places.pick_machines(scorer.names[index], scorer.shape, many, scorer.expected_end)
+            scorer.places.pick_machines(
+                scorer.names[index], scorer.shape, workers, scorer.expected_end
+            )
         )
-    versions = {scorer.names[index]: places.racks[scorer.names[index]].version for index in counts}
-    return Plan(picked, versions, scorer.explain(counts))
-
-
-def choose(scorer):
-    """{index of rack: workers} by whichever search fits the size, or None."""
-    racks = sum(room > 0 for room in scorer.capacity)
-    if racks and comb(scorer.workers + racks - 1, racks - 1) <= EXACT_MOST:
-        return exact(scorer)
-    return fast(scorer)
-
-
-def exact(scorer):
-    """The best there is over numbers per rack. Bound: what the racks decided so far cost for certain, and the least
-    that any way to share out the rest adds to one rack's loss; every part only grows with what is still to come."""
-    weights, workers = scorer.weights, scorer.workers
-    racks = [at for at, room in enumerate(scorer.capacity) if room > 0]
-    after = [0] * (len(racks) + 1)
-    for at in range(len(racks) - 1, -1, -1):
-        after[at] = after[at + 1] + min(workers, scorer.capacity[racks[at]])
-    if after[0] < workers:
-        return None
-    best = fast(scorer)
-    least = scorer.total(best)
-    counts = {}
-
-    def down(at, low, step, kept, most):
-        """at: the next rack; low: workers placed; kept: weighed fragments and plans; most: the fullest rack's."""
-        nonlocal best, least
-        if low == workers:
-            value = scorer.total(counts)
-            if value < least - 1e-12:
-                best, least = dict(counts), value
+    return Plan(picked, _scored_versions(scorer, counts), scorer.explain(counts))
+
+
+def _usable_racks(scorer: Scorer) -> list[RackIndex]:
+    return [index for index, capacity in enumerate(scorer.capacity) if capacity > 0]
+
+
+def choose_search(scorer: Scorer) -> RackCounts | None:
+    """Finds a placement by whichever search fits the size, or None."""
+    racks = len(_usable_racks(scorer))
+    if racks and comb(scorer.workers + racks - 1, racks - 1) <= MAX_EXACT_DISTRIBUTIONS:
+        return exact_search(scorer)
+    return heuristic_search(scorer)
+
+
+class _BranchAndBound:
+    """Goes through all distributions of the workers over the racks that may beat the best one.
+
+    The bound is what the racks decided so far cost for certain, and the least that any distribution
+    of the rest adds to one rack's loss; every term only grows with what is still to come.
+    """
+
+    def __init__(self, scorer: Scorer, racks: list[RackIndex], best: RackCounts) -> None:
+        self.best = best
+        self._least = scorer.total(best)
+        self._scorer = scorer
+        self._racks = racks
+        self._counts: RackCounts = {}
+        self._capacity_from = [0] * (len(racks) + 1)  # workers that the racks from here on take
+        for position in range(len(racks) - 1, -1, -1):
+            capacity = min(scorer.workers, scorer.capacity[racks[position]])
+            self._capacity_from[position] = self._capacity_from[position + 1] + capacity
+
+    def descend(self, position: int, placed: int, step: float, cost: float, most: int) -> None:
+        """Tries all numbers of workers for the next rack.
+
+        Args:
+            position: Position of the rack in the list of racks.
+            placed: Workers that are placed.
+            step: The slowest step so far.
+            cost: Weighted fragments and plans so far.
+            most: Workers in the fullest rack so far.
+        """
+        scorer = self._scorer
+        if placed == scorer.workers:
+            self._compare()
             return
-        if low + after[at] < workers:
+        if placed + self._capacity_from[position] < scorer.workers:
             return
-        index = racks[at]
-        for many in range(min(scorer.capacity[index], workers - low), -1, -1):
-            if not many:
-                down(at + 1, low, step, kept, most)
+        weights = scorer.weights
+        index = self._racks[position]
+        for workers in range(min(scorer.capacity[index], scorer.workers - placed), -1, -1):
+            if not workers:
+                self.descend(position + 1, placed, step, cost, most)
                 continue
-            fragments, planned = scorer.rack_terms(index, many)
-            more = kept + weights.fragments * fragments + weights.planned * planned
-            slow = max(step, scorer.rack_step(index, low, low + many))
-            if weights.step * slow + more + weights.loss * max(most, many) / workers >= least:
+            fragments, planned = scorer.rack_terms(index, workers)
+            new_cost = cost + weights.fragments * fragments + weights.planned * planned
+            new_step = max(step, scorer.rack_step(index, placed, placed + workers))
+            new_most = max(most, workers)
+            loss = weights.loss * new_most / scorer.workers
+            if weights.step * new_step + new_cost + loss >= self._least:
                 continue
-            counts[index] = many
-            down(at + 1, low + many, slow, more, max(most, many))
-            del counts[index]
-
-    down(0, 0, scorer.min_step, 0.0, 0)
-    return best
-
-
-def _filled(scorer, racks, most=None):
-    """Fills racks in their order, each with at most so many, until all workers stand; None if they do not."""
-    counts, left = {}, scorer.workers
-    for at in racks:
-        many = min(scorer.capacity[at], left, most or left)
-        if many > 0:
-            counts[at] = many
-            left -= many
+            self._counts[index] = workers
+            self.descend(position + 1, placed + workers, new_step, new_cost, new_most)
+            del self._counts[index]
+
+    def _compare(self) -> None:
+        value = self._scorer.total(self._counts)
+        if value < self._least - MIN_IMPROVEMENT:
+            self.best = dict(self._counts)
+            self._least = value
+
+
+def exact_search(scorer: Scorer) -> RackCounts | None:
+    """Finds the best placement there is, or None. Its time grows with the distributions."""
+    racks = _usable_racks(scorer)
+    if sum(min(scorer.workers, scorer.capacity[index]) for index in racks) < scorer.workers:
+        return None
+    start = heuristic_search(scorer)
+    if start is None:
+        return None
+    search = _BranchAndBound(scorer, racks, start)
+    search.descend(0, 0, scorer.min_step, 0.0, 0)
+    return search.best
+
+
+def _fill(scorer: Scorer, racks: Iterable[RackIndex]) -> RackCounts | None:
+    """Fills racks in their order until all workers are placed; None if they are not."""
+    counts: RackCounts = {}
+    left = scorer.workers
+    for index in racks:
+        workers = min(scorer.capacity[index], left)
+        if workers > 0:
+            counts[index] = workers
+            left -= workers
             if not left:
                 return counts
     return None
 
 
-def _even(scorer, racks):
-    """The same number in each as far as there is room; None if they do not fit."""
-    counts, left = {}, scorer.workers
-    for done, at in enumerate(sorted(racks, key=lambda at: scorer.capacity[at])):
-        many = min(scorer.capacity[at], -(-left // (len(racks) - done)))
-        if many > 0:
-            counts[at] = many
-            left -= many
+def _spread(scorer: Scorer, racks: list[RackIndex]) -> RackCounts | None:
+    """Places the same number in each rack as far as they fit; None if not all are placed."""
+    counts: RackCounts = {}
+    left = scorer.workers
+    for done, index in enumerate(sorted(racks, key=lambda index: scorer.capacity[index])):
+        fair_share = -(-left // (len(racks) - done))
+        workers = min(scorer.capacity[index], fair_share)
+        if workers > 0:
+            counts[index] = workers
+            left -= workers
     return None if left else counts
 
 
-def _starts(scorer):
-    """Ways to begin: each site that is large enough, filled by the fullest, the closest, the quietest and the safest
-    racks first, or evenly over some of them. A site is one zone, one cluster or all."""
-    workers, room = scorer.workers, scorer.capacity
-    usable = [at for at, some in enumerate(room) if some > 0]
-    sites = {}
-    for at in usable:
-        for site in (scorer.zone_site[at], scorer.cluster_site[at], -1):
-            sites.setdefault(site, []).append(at)
-    for at in usable:
-        if room[at] >= workers:
-            yield {at: workers}
-    quiet = {at: scorer.rack_load[at] + scorer.rack_rate[at] * scorer.gang.bytes for at in usable}
-    for racks in sites.values():
-        if sum(room[at] for at in racks) < workers:
+def _racks_by_site(scorer: Scorer, usable: list[RackIndex]) -> list[list[RackIndex]]:
+    """Returns the racks of each zone, of each cluster and of all together."""
+    everywhere = -1
+    sites: dict[int, list[RackIndex]] = {}
+    for index in usable:
+        for site in (scorer.zone_site[index], scorer.cluster_site[index], everywhere):
+            sites.setdefault(site, []).append(index)
+    return list(sites.values())
+
+
+def _load_with_gang(scorer: Scorer, index: RackIndex) -> float:
+    """Returns about what the rack's uplink would carry with a part of the gang in it."""
+    return scorer.rack_load[index] + scorer.rack_rate[index] * scorer.gang.bytes
+
+
+def _rack_orders(scorer: Scorer, racks: list[RackIndex]) -> Iterator[list[RackIndex]]:
+    """Yields orders in which racks may be filled.
+
+    By capacity, by capacity without plans, by load, and racks that are in use already first.
+    """
+    capacity = scorer.capacity
+    load = {index: _load_with_gang(scorer, index) for index in racks}
+    yield sorted(racks, key=lambda index: (-capacity[index], load[index]))
+    yield sorted(racks, key=lambda index: (-scorer.unplanned_capacity[index], load[index]))
+    yield sorted(racks, key=lambda index: (load[index], -capacity[index]))
+    yield sorted(
+        racks, key=lambda index: (scorer.slots[index] - capacity[index] == 0, -capacity[index])
+    )
+
+
+def _starts(scorer: Scorer) -> Iterator[RackCounts]:
+    """Yields placements to improve.
+
+    Each rack that takes all, and each site that is large enough, filled in several orders or evenly
+    over some of its racks.
+    """
+    usable = _usable_racks(scorer)
+    for index in usable:
+        if scorer.capacity[index] >= scorer.workers:
+            yield {index: scorer.workers}
+    for racks in _racks_by_site(scorer, usable):
+        if sum(scorer.capacity[index] for index in racks) < scorer.workers:
             continue
-        orders = (
-            sorted(racks, key=lambda at: (-room[at], quiet[at])),
-            sorted(racks, key=lambda at: (-scorer.unplanned_capacity[at], quiet[at])),
-            sorted(racks, key=lambda at: (quiet[at], -room[at])),
-            sorted(racks, key=lambda at: (scorer.slots[at] - room[at] == 0, -room[at])),
-        )
-        for order in orders:
-            counts = _filled(scorer, order)
-            yield counts
-            needed, tried = len(counts), set()
-            for many in (needed, needed + 1, 2 * needed, 4 * needed, len(order)):
-                if many <= len(order) and many not in tried:
-                    tried.add(many)
-                    counts = _even(scorer, order[:many])
-                    if counts:
-                        yield counts
-
-
-def _steps(scorer, counts, near):
-    """Changes worth a try: some workers from one rack to another, a rack for another, the fullest ones first."""
-    room = scorer.capacity
-    for giver in sorted(counts, key=lambda at: -counts[at]):
-        have = counts[giver]
+        for order in _rack_orders(scorer, racks):
+            filled = _fill(scorer, order)
+            if filled is None:
+                continue
+            yield filled
+            needed = len(filled)
+            sizes = dict.fromkeys((needed, needed + 1, 2 * needed, 4 * needed, len(order)))
+            for size in sizes:
+                spread = _spread(scorer, order[:size]) if size <= len(order) else None
+                if spread:
+                    yield spread
+
+
+def _moves(scorer: Scorer, counts: RackCounts, near: list[RackIndex]) -> Iterator[_Move]:
+    """Yields moves of some workers from one rack to another, the fullest racks first."""
+    capacity = scorer.capacity
+    for giver in sorted(counts, key=lambda index: -counts[index]):
+        workers = counts[giver]
         for taker in near:
-            free = room[taker] - counts.get(taker, 0)
+            free = capacity[taker] - counts.get(taker, 0)
             if taker == giver or free <= 0:
                 continue
-            for many in sorted({min(have, free), min(free, (have + 1) // 2), 1}, reverse=True):
-                yield giver, taker, many
-    for one in counts:  # two that have room for each other's workers change places
+            sizes = {min(workers, free), min(free, (workers + 1) // 2), 1}
+            for size in sorted(sizes, reverse=True):
+                yield giver, taker, size
+    yield from _swaps(scorer, counts, near)
+
+
+def _swaps(scorer: Scorer, counts: RackCounts, near: list[RackIndex]) -> Iterator[_Move]:
+    """Yields moves by which two racks with capacity for each other's workers swap them."""
+    capacity = scorer.capacity
+    for rack in counts:
         for other in near:
-            mine, theirs = counts.get(one, 0), counts.get(other, 0)
-            if (
-                theirs
-                and one < other
-                and mine != theirs
-                and room[one] >= theirs
-                and room[other] >= mine
-            ):
-                yield one, other, mine - theirs
-
-
-def _improved(scorer, counts, value, budget):
-    """Goes on as long as a step makes it better and the budget of scores lasts. Takes the first better step and goes
-    on from there: the best of all steps costs as many scores as there are steps."""
-    counts, until, better = dict(counts), scorer.evaluations + budget, True
-    usable = sorted(
-        (at for at, room in enumerate(scorer.capacity) if room > 0),
-        key=lambda at: (
-            scorer.rack_load[at]
-            + scorer.rack_rate[at] * scorer.gang.bytes
-            + 0.1 * (scorer.capacity[at] / scorer.slots[at])
+            mine = counts.get(rack, 0)
+            theirs = counts.get(other, 0)
+            if not theirs or rack >= other or mine == theirs:
+                continue
+            if capacity[rack] >= theirs and capacity[other] >= mine:
+                yield rack, other, mine - theirs
+
+
+def _moved(scorer: Scorer, counts: RackCounts, move: _Move) -> RackCounts | None:
+    """Returns the placement after a move, or None if an earlier move made it impossible."""
+    giver, taker, workers = move
+    given = counts.get(giver, 0) - workers
+    taken = counts.get(taker, 0) + workers
+    if not (0 <= given <= scorer.capacity[giver] and 0 <= taken <= scorer.capacity[taker]):
+        return None
+    trial = dict(counts)
+    trial[giver] = given
+    trial[taker] = taken
+    return {index: some for index, some in trial.items() if some}
+
+
+def _near_racks(scorer: Scorer, counts: RackCounts, ranked: list[RackIndex]) -> list[RackIndex]:
+    """Returns the placement's racks, some of its zones, and the best of anywhere."""
+    zones = {scorer.zone_site[index] for index in counts}
+    in_zones = [
+        index for index in ranked if index not in counts and scorer.zone_site[index] in zones
+    ]
+    near = list(counts) + in_zones[:MAX_RACKS_IN_ZONES]
+    return near + [index for index in ranked if index not in near][:MAX_RACKS_ELSEWHERE]
+
+
+def _improve(
+    scorer: Scorer, counts: RackCounts, value: float, budget: int
+) -> tuple[RackCounts, float]:
+    """Improves a placement by moves while they help and the budget of scores lasts.
+
+    It takes the first move that helps and goes on from there: the best of all moves would cost as
+    many scores as there are moves.
+
+    Returns:
+        The placement and its score.
+    """
+    until = scorer.evaluations + budget
+    ranked = sorted(
+        _usable_racks(scorer),
+        key=lambda index: (
+            _load_with_gang(scorer, index)
+            + SPARE_CAPACITY_WEIGHT * (scorer.capacity[index] / scorer.slots[index])
         ),
     )
-    while better and scorer.evaluations < until:
-        better = False
-        zones = {scorer.zone_site[at] for at in counts}
-        near = (
-            list(counts)
-            + [at for at in usable if at not in counts and scorer.zone_site[at] in zones][:12]
-        )
-        near += [at for at in usable if at not in near][:4]
-        for giver, taker, many in list(_steps(scorer, counts, near)):
+    improved = True
+    while improved and scorer.evaluations < until:
+        improved = False
+        near = _near_racks(scorer, counts, ranked)
+        for move in list(_moves(scorer, counts, near)):
             if scorer.evaluations >= until:
                 break
-            have, had = counts.get(giver, 0), counts.get(taker, 0)
-            if (
-                have < many
-                or had + many > scorer.capacity[taker]
-                or had + many < 0
-                or have - many > scorer.capacity[giver]
-            ):
+            trial = _moved(scorer, counts, move)
+            if trial is None:
                 continue
-            trial = dict(counts)
-            trial[giver], trial[taker] = have - many, had + many
-            trial = {at: some for at, some in trial.items() if some}
             found = scorer.total(trial)
-            if found < value - 1e-12:
-                counts, value, better = trial, found, True
+            if found < value - MIN_IMPROVEMENT:
+                counts = trial
+                value = found
+                improved = True
     return counts, value
 
 
-def fast(scorer):
-    """Good and quick: the best of many starts, improved. None if there is no room."""
-    seen, begun = set(), []
+def heuristic_search(scorer: Scorer) -> RackCounts | None:
+    """Finds a good placement quickly: the best of many starts, improved. None if none fits."""
+    seen: set[tuple[tuple[int, int], ...]] = set()
+    starts: list[tuple[float, tuple[tuple[int, int], ...]]] = []
     for counts in _starts(scorer):
         key = tuple(sorted(counts.items()))
         if key not in seen:
             seen.add(key)
-            begun.append((scorer.total(counts), key))
-    if not begun:
+            starts.append((scorer.total(counts), key))
+    if not starts:
         return None
-    begun.sort()
-    ends = [
-        _improved(scorer, dict(key), value, ASKED_MOST // STARTS_IMPROVED)
-        for value, key in begun[:STARTS_IMPROVED]
+    starts.sort()
+    improved = [
+        _improve(scorer, dict(key), value, MAX_EVALUATIONS // IMPROVED_STARTS)
+        for value, key in starts[:IMPROVED_STARTS]
     ]
-    return min(ends, key=lambda end: end[1])[0]
+    return min(improved, key=lambda end: end[1])[0]
 
 
-def first_fit(scorer):
-    """Racks in their order, each filled."""
-    return _filled(scorer, range(len(scorer.capacity)))
+def first_fit(scorer: Scorer) -> RackCounts | None:
+    """Fills racks in their order: a baseline."""
+    return _fill(scorer, range(len(scorer.capacity)))
 
 
-def random_fit(chance):
-    """Racks in any order; chance: of `thymeknot.records`."""
+def random_fit(random_source: RandomSource) -> SearchMethod:
+    """Returns a search that fills racks in any order: a baseline."""
 
-    def fit(scorer):
-        return _filled(scorer, sorted(range(len(scorer.capacity)), key=lambda at: chance.draw()))
+    def fit(scorer: Scorer) -> RackCounts | None:
+        racks = range(len(scorer.capacity))
+        return _fill(scorer, sorted(racks, key=lambda index: random_source.draw()))
 
     return fit
 
 
-def packing(scorer):
-    """The racks that are fullest already, so long as they have room."""
-    return _filled(
-        scorer, sorted(range(len(scorer.capacity)), key=lambda at: (scorer.capacity[at], at))
-    )
-
-
-def spreading(scorer):
-    """Evenly over all racks."""
-    return _even(scorer, [at for at, room in enumerate(scorer.capacity) if room > 0])
-
-
-def mended(places, gang, at, left, since, weights=None, restart=300_000, rest=None):
-    """(Plan, "in place" or "whole") for a hurt gang, or (None, None); the Plan's places are the whole new placement.
-
-    left: {machine: workers} that stand. since: what is lost since the checkpoint, restart: what a worker takes to load
-    its state, rest: how long it still runs (all it was to, if None), all in tenths of a millisecond. Both ways go back
-    to the checkpoint, so what decides is loading by all against by a few, and each step of the rest of the run by what
-    the two places are worth.
+def packing(scorer: Scorer) -> RackCounts | None:
+    """Fills the racks that are fullest already first: a baseline."""
+    racks = range(len(scorer.capacity))
+    return _fill(scorer, sorted(racks, key=lambda index: (scorer.capacity[index], index)))
+
+
+def spreading(scorer: Scorer) -> RackCounts | None:
+    """Spreads the workers evenly over all racks: a baseline."""
+    return _spread(scorer, _usable_racks(scorer))
+
+
+def replace_failed_workers(
+    places: Places,
+    gang: Gang,
+    now: Ticks,
+    left: Mapping[str, int],
+    since_checkpoint: Ticks,
+    *,
+    weights: Weights | None = None,
+    restart: Ticks = RESTART_TICKS,
+    remaining: Ticks | None = None,
+) -> Replacement | None:
+    """Finds a new placement for a gang that lost workers.
+
+    Both methods go back to the checkpoint. What decides is that all workers load their state or
+    only a few, and what the two placements are worth in each step of the rest of the run.
+
+    Args:
+        places: Racks, with what other gangs put on the uplinks.
+        gang: The gang.
+        now: Agreed time.
+        left: {machine: workers} that are left.
+        since_checkpoint: Time that is lost since the checkpoint.
+        weights: Weights of the score's terms.
+        restart: Time that a worker takes to load its state.
+        remaining: How long the gang still runs; all that it was to run if it is None.
+
+    Returns:
+        The cheaper way, or None if the gang fits nowhere now.
     """
-    shape, own, rest = gang.resource_shape(), places.workers_by_rack(left), rest or gang.lasts
+    remaining = remaining or gang.lasts
     missing = gang.workers - sum(left.values())
-    scorer = Scorer(places, gang, at, weights)
-    room = scorer.capacity
-    index = {name: place for place, name in enumerate(scorer.names)}
-    stay = {index[name]: many for name, many in own.items()}
-    patch = Scorer(places, gang, at, weights)  # where it stays, its own slots are room that it has
-    for place, many in stay.items():
-        patch.capacity[place] += many
-        patch.unplanned_capacity[place] += many
-    ways = []
-    patched, need = dict(stay), missing
-    for _ in range(missing):  # one worker after the other to where it costs least
-        near = sorted(
-            (
-                place
-                for place in range(len(room))
-                if room[place] > patched.get(place, 0) - stay.get(place, 0)
-            ),
-            key=lambda place: (
-                place not in patched,
-                scorer.zone_site[place] not in {scorer.zone_site[other] for other in patched},
-                scorer.rack_load[place],
-                -room[place],
-            ),
-        )
-        if not near:
-            break
-        chosen = min(
-            near[:8], key=lambda place: patch.total({**patched, place: patched.get(place, 0) + 1})
-        )
-        patched[chosen] = patched.get(chosen, 0) + 1
-        need -= 1
-    if not need:
-        ways.append(
-            (
-                patch.total(patched) * rest + since + restart * max(1, missing) / gang.workers,
-                "in place",
-                patched,
-            )
+    scorer = Scorer(places, gang, now, weights)
+    index = {name: position for position, name in enumerate(scorer.names)}
+    own = {index[name]: workers for name, workers in places.workers_by_rack(left).items()}
+    own_scorer = _scorer_with_own_slots(places, gang, now, weights, own)
+    ways: list[tuple[float, ReplacementMethod, RackCounts]] = []
+    patched = _add_workers(scorer, own_scorer, own, missing)
+    if patched is not None:
+        cost = (
+            own_scorer.total(patched) * remaining
+            + since_checkpoint
+            + restart * max(1, missing) / gang.workers
         )
-    moved = choose(scorer)
+        ways.append((cost, ReplacementMethod.IN_PLACE, patched))
+    moved = choose_search(scorer)
     if moved:
-        ways.append((patch.total(moved) * rest + since + restart * 2, "whole", moved))
+        cost = own_scorer.total(moved) * remaining + since_checkpoint + restart * WHOLE_RESTARTS
+        ways.append((cost, ReplacementMethod.WHOLE, moved))
     if not ways:
-        return None, None
-    _, way, counts = min(ways, key=lambda one: one[0])
-    if way == "whole":
-        return made(scorer, counts), way
-    plan_places = dict(left)
-    for place, many in counts.items():
-        more = many - stay.get(place, 0)
+        return None
+    _, method, counts = min(ways, key=lambda way: way[0])
+    if method == ReplacementMethod.WHOLE:
+        return Replacement(_plan(scorer, counts), method)
+    machines = _add_machines(scorer, left, own, counts)
+    versions = _scored_versions(scorer, counts)
+    return Replacement(Plan(machines, versions, own_scorer.explain(counts)), method)
+
+
+def _scorer_with_own_slots(
+    places: Places, gang: Gang, now: Ticks, weights: Weights | None, own: RackCounts
+) -> Scorer:
+    """Returns a scorer that counts the slots of the gang's own workers as capacity."""
+    scorer = Scorer(places, gang, now, weights)
+    for index, workers in own.items():
+        scorer.capacity[index] += workers
+        scorer.unplanned_capacity[index] += workers
+    return scorer
+
+
+def _add_workers(
+    scorer: Scorer, own_scorer: Scorer, own: RackCounts, missing: int
+) -> RackCounts | None:
+    """Adds the missing workers, one after the other, to where each costs least.
+
+    Returns:
+        The whole placement, or None if they do not all fit.
+    """
+    counts = dict(own)
+    for _ in range(missing):
+        near = _replacement_racks(scorer, own, counts)
+        if not near:
+            return None
+        trials = ({**counts, index: counts.get(index, 0) + 1} for index in near)
+        counts = min(trials, key=own_scorer.total)
+    return counts
+
+
+def _replacement_racks(scorer: Scorer, own: RackCounts, counts: RackCounts) -> list[RackIndex]:
+    """Returns the racks that are worth a score for one more worker, nearest first."""
+    zones = {scorer.zone_site[index] for index in counts}
+    free = [
+        index
+        for index, capacity in enumerate(scorer.capacity)
+        if capacity > counts.get(index, 0) - own.get(index, 0)
+    ]
+    free.sort(
+        key=lambda index: (
+            index not in counts,
+            scorer.zone_site[index] not in zones,
+            scorer.rack_load[index],
+            -scorer.capacity[index],
+        )
+    )
+    return free[:MAX_REPLACEMENT_RACKS]
+
+
+def _add_machines(
+    scorer: Scorer, left: Mapping[str, int], own: RackCounts, counts: RackCounts
+) -> dict[str, int]:
+    """Returns {machine: workers}: those that are left, and machines for the others."""
+    machines = dict(left)
+    for index, workers in counts.items():
+        more = workers - own.get(index, 0)
         if more:
-            for machine, some in places.pick_machines(
-                scorer.names[place], shape, more, scorer.expected_end
-            ).items():
-                plan_places[machine] = plan_places.get(machine, 0) + some
-    versions = {scorer.names[place]: places.racks[scorer.names[place]].version for place in counts}
-    return Plan(plan_places, versions, patch.explain(counts)), way
-
-
-__all__ = [
-    "Plan",
-    "choose",
-    "exact",
-    "fast",
-    "find",
-    "first_fit",
-    "made",
-    "mended",
-    "packing",
-    "random_fit",
-    "spreading",
-]
+            picked = scorer.places.pick_machines(
+                scorer.names[index], scorer.shape, more, scorer.expected_end
+            )
+            for machine, some in picked.items():
+                machines[machine] = machines.get(machine, 0) + some
+    return machines
