--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -15,11 +15,13 @@
 from scipy.optimize import Bounds, LinearConstraint, milp
 
 from thymeknot.gang_scheduling import placement_score, placement_search, state_machine
+from thymeknot.gang_scheduling.gang_state import STATES_WITH_LEASE
 from thymeknot.gang_scheduling.jobs import Gang, tree_parents
 from thymeknot.gang_scheduling.topology import Places, Stated
+from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
-SECOND = state_machine.TICKS_PER_SECOND
+SECOND = TICKS_PER_SECOND
 PATTERNS = ("ring", "all", "tree", "pipeline", "matrix")
 GIGA = 10**9
 
@@ -395,7 +397,7 @@
             if life["state"] == "hurt"
             else (life["gang"]["workers"],)
         )
-        half += life["state"] in state_machine.LEASED and life["lease"] <= image["at"]
+        half += life["state"] in STATES_WITH_LEASE and life["lease"] <= image["at"]
         for machine, some in life["places"].items():
             used[machine] = used.get(machine, 0) + some
     return half, sum(
@@ -453,7 +455,7 @@
     everywhere = [f"r{rack}m{one}" for rack in range(8) for one in range(4)]
     for turn in range(turns):
         at += int(chance.draw() * 4 * SECOND)
-        gangs = machine.all.gangs
+        gangs = machine.state.gangs
         in_state = {
             name: [gang for gang, _ in group]
             for name, group in groupby(
@@ -518,7 +520,7 @@
             sums["lost"] += "ok" in do(
                 "lost",
                 kind=kind_,
-                name=pick(machine.all.places.racks if kind_ == "rack" else everywhere),
+                name=pick(machine.state.places.racks if kind_ == "rack" else everywhere),
             )
         elif 0.92 <= lot < 0.99:
             do(
@@ -526,7 +528,7 @@
                 machine=pick(
                     name
                     for name in everywhere
-                    if machine.all.places.host(name).capacity(()) < 1 or chance.draw() < 0.1
+                    if machine.state.places.host(name).capacity(()) < 1 or chance.draw() < 0.1
                 )
                 or everywhere[0],
             )
--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -8,10 +8,13 @@
 
 from measure.gangs import play
 from thymeknot.gang_scheduling import jobs, placement_score, placement_search, state_machine
+from thymeknot.gang_scheduling.commands import CommandRejectedError
+from thymeknot.gang_scheduling.gang_state import STATES_WITH_SLOTS, TRANSITIONS, GangState
 from thymeknot.gang_scheduling.topology import Places, Stated
+from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
-SECOND = state_machine.TICKS_PER_SECOND
+SECOND = TICKS_PER_SECOND
 quick = settings(derandomize=True, deadline=None, max_examples=60)
 
 
@@ -61,7 +64,7 @@
         return self.do("hold", gang=name, places=plan.places, versions=plan.versions)
 
     def run(self, name, **more):
-        if name not in self.machine.all.gangs:
+        if name not in self.machine.state.gangs:
             self.offer(name, **more)
         fence = self.hold(name)["fence"]
         self.ok("bind", gang=name, fence=fence)
@@ -69,13 +72,13 @@
         return fence
 
     def life(self, name):
-        return self.machine.all.gangs[name]
+        return self.machine.state.gangs[name]
 
     def state(self, name):
         return (
             self.life(name).state
-            if name in self.machine.all.gangs
-            else self.machine.all.ended.get(name)
+            if name in self.machine.state.gangs
+            else self.machine.state.ended.get(name)
         )
 
     def on(self, name):
@@ -111,8 +114,8 @@
 
 class Life(unittest.TestCase):
     def test_every_pair_of_the_table_and_no_other(self):
-        states = [state_machine.OFFERED, *state_machine.WITH_SLOTS]
-        inputs = sorted({what for _, what in state_machine.TABLE})
+        states = [GangState.OFFERED, *STATES_WITH_SLOTS]
+        inputs = sorted({what for _, what in TRANSITIONS})
         for now, what in itertools.product(states, inputs):
             fleet = Fleet()
             fleet.run("g")
@@ -122,12 +125,12 @@
             if what.startswith("mend") or what == "hold":
                 more = {"places": dict(life.places)}
             if what == "hold":
-                fleet.machine._swap(life, {})
+                fleet.machine.lifecycle.set_places(life, {})
             try:
-                fleet.machine._go("g", what, **more)
-                self.assertEqual(life.state, state_machine.TABLE[now, what][0], (now, what))
-            except state_machine.CommandRejectedError as refusal:
-                self.assertNotIn((now, what), state_machine.TABLE)
+                fleet.machine.lifecycle.transition("g", what, **more)
+                self.assertEqual(life.state, TRANSITIONS[now, what][0], (now, what))
+            except CommandRejectedError as refusal:
+                self.assertNotIn((now, what), TRANSITIONS)
                 self.assertIn("does not go with that", refusal.reply["refused"])
                 self.assertEqual(life.state, now)
 
@@ -218,14 +221,14 @@
 class Unread(state_machine.GangStateMachine):
     """Broken: versions are not read, and room is taken for granted with them, as a scheduler that trusts its score."""
 
-    def _room(self, life, places, versions):
+    def _check_capacity(self, life, places, versions):
         pass
 
 
 class Lasting(state_machine.GangStateMachine):
     """Broken: leases are not read."""
 
-    def _lapse(self):
+    def _expire_leases(self):
         pass
 
 
@@ -358,7 +361,7 @@
         fleet.later(1)
         reply = fleet.do("drain_asked", machine=machine, drain="d")
         self.assertEqual((reply["by"], reply["again"]), (["g"], 59 * SECOND))
-        self.assertEqual(fleet.machine.all.places.host(machine).capacity(()), 0)
+        self.assertEqual(fleet.machine.state.places.host(machine).capacity(()), 0)
         self.assertIn("drain d's", fleet.do("drain_asked", machine=machine, drain="e")["refused"])
         fleet.later(30)
         said = fleet.ok("checkpoint", gang="g", fence=fence)
--- a/thymeknot/gang_scheduling/__init__.py
+++ b/thymeknot/gang_scheduling/__init__.py
@@ -1,6 +1,10 @@
-"""Gangs of workers placed by rack, all or none. Pure: no I/O, no clock, no chance of its own.
+"""Gangs of workers placed by rack, all or none.
 
-`jobs` is what is wanted, `places` where it can stand, `score` what a placement is worth and why, `search` finds one,
-and `state` is the machine that the agreed log is applied to. Search runs beside the log: it proposes, the
-machine disposes.
+Pure: no I/O, no clock, no random numbers of its own.
+
+`jobs` says what a gang asks for, `topology` where workers can run, `placement_score` what a
+placement is worth and why, and `placement_search` finds one. `commands` and `gang_state` are the
+log's commands and the replicated state, `gang_lifecycle` and `fairness` its rules, and
+`state_machine` is what the log is applied to. The search runs beside the log: it proposes a
+placement, and the state machine accepts or rejects it.
 """
