--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -8,10 +8,13 @@
 
 from measure.gangs import play
 from thymeknot.gang_scheduling import jobs, placement_score, placement_search, state_machine
+from thymeknot.gang_scheduling.commands import CommandRejectedError
+from thymeknot.gang_scheduling.gang_state import STATES_WITH_SLOTS, TRANSITIONS, GangState
 from thymeknot.gang_scheduling.topology import Places, Stated
+from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
-SECOND = state_machine.TICKS_PER_SECOND
+SECOND = TICKS_PER_SECOND
 quick = settings(derandomize=True, deadline=None, max_examples=60)
 
 
@@ -54,14 +57,14 @@
         )
 
     def plan(self, name):
-        return placement_search.find(self.machine.view(), self.life(name).gang, self.at)
+        return placement_search.find_placement(self.machine.view(), self.life(name).gang, self.at)
 
     def hold(self, name, plan=None):
         plan = plan or self.plan(name)
         return self.do("hold", gang=name, places=plan.places, versions=plan.versions)
 
     def run(self, name, **more):
-        if name not in self.machine.all.gangs:
+        if name not in self.machine.state.gangs:
             self.offer(name, **more)
         fence = self.hold(name)["fence"]
         self.ok("bind", gang=name, fence=fence)
@@ -69,13 +72,13 @@
         return fence
 
     def life(self, name):
-        return self.machine.all.gangs[name]
+        return self.machine.state.gangs[name]
 
     def state(self, name):
         return (
             self.life(name).state
-            if name in self.machine.all.gangs
-            else self.machine.all.ended.get(name)
+            if name in self.machine.state.gangs
+            else self.machine.state.ended.get(name)
         )
 
     def on(self, name):
@@ -111,8 +114,8 @@
 
 class Life(unittest.TestCase):
     def test_every_pair_of_the_table_and_no_other(self):
-        states = [state_machine.OFFERED, *state_machine.WITH_SLOTS]
-        inputs = sorted({what for _, what in state_machine.TABLE})
+        states = [GangState.OFFERED, *STATES_WITH_SLOTS]
+        inputs = sorted({what for _, what in TRANSITIONS})
         for now, what in itertools.product(states, inputs):
             fleet = Fleet()
             fleet.run("g")
@@ -122,12 +125,12 @@
             if what.startswith("mend") or what == "hold":
                 more = {"places": dict(life.places)}
             if what == "hold":
-                fleet.machine._swap(life, {})
+                fleet.machine.lifecycle.set_places(life, {})
             try:
-                fleet.machine._go("g", what, **more)
-                self.assertEqual(life.state, state_machine.TABLE[now, what][0], (now, what))
-            except state_machine.CommandRejectedError as refusal:
-                self.assertNotIn((now, what), state_machine.TABLE)
+                fleet.machine.lifecycle.transition("g", what, **more)
+                self.assertEqual(life.state, TRANSITIONS[now, what][0], (now, what))
+            except CommandRejectedError as refusal:
+                self.assertNotIn((now, what), TRANSITIONS)
                 self.assertIn("does not go with that", refusal.reply["refused"])
                 self.assertEqual(life.state, now)
 
@@ -218,14 +221,14 @@
 class Unread(state_machine.GangStateMachine):
     """Broken: versions are not read, and room is taken for granted with them, as a scheduler that trusts its score."""
 
-    def _room(self, life, places, versions):
+    def _check_capacity(self, life, places, versions):
         pass
 
 
 class Lasting(state_machine.GangStateMachine):
     """Broken: leases are not read."""
 
-    def _lapse(self):
+    def _expire_leases(self):
         pass
 
 
@@ -309,7 +312,7 @@
         old = fleet.run("g")
         fleet.ok("lost", kind="worker", name=fleet.on("g")[0], gang="g")
         life = fleet.life("g")
-        plan, way = placement_search.mended(
+        plan, way = placement_search.replace_failed_workers(
             fleet.machine.view(), life.gang, fleet.at, life.places, 0
         )
         reply = fleet.ok("mend", gang="g", fence=old, places=plan.places, versions=plan.versions)
@@ -326,8 +329,10 @@
         life = fleet.life("g")
         places = fleet.machine.view()
         places.host(home).closed = "another"  # nobody new there
-        places.changed(home)
-        plan, way = placement_search.mended(places, life.gang, fleet.at, life.places, 0)
+        places.mark_changed(home)
+        plan, way = placement_search.replace_failed_workers(
+            places, life.gang, fleet.at, life.places, 0
+        )
         self.assertEqual((way, len(plan.places)), ("whole", 1))
         fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)
         self.assertEqual((fleet.state("g"), fleet.broken()), ("moving", []))
@@ -356,13 +361,13 @@
         fleet.later(1)
         reply = fleet.do("drain_asked", machine=machine, drain="d")
         self.assertEqual((reply["by"], reply["again"]), (["g"], 59 * SECOND))
-        self.assertEqual(fleet.machine.all.places.host(machine).fits(()), 0)
+        self.assertEqual(fleet.machine.state.places.host(machine).capacity(()), 0)
         self.assertIn("drain d's", fleet.do("drain_asked", machine=machine, drain="e")["refused"])
         fleet.later(30)
         said = fleet.ok("checkpoint", gang="g", fence=fence)
         self.assertEqual((said["next"], fleet.state("g")), ("mend", "hurt"))
         fleet.ok("drain_asked", machine=machine, drain="d")
-        plan, _ = placement_search.mended(
+        plan, _ = placement_search.replace_failed_workers(
             fleet.machine.view(), fleet.life("g").gang, fleet.at, fleet.life("g").places, 0
         )
         self.assertNotIn(machine, plan.places)
@@ -377,7 +382,9 @@
             fleet.ok("drain_asked", machine=first, drain="d", unit=True)["gangs"], ["g"]
         )
         life = fleet.life("g")
-        plan, _ = placement_search.mended(fleet.machine.view(), life.gang, fleet.at, life.places, 0)
+        plan, _ = placement_search.replace_failed_workers(
+            fleet.machine.view(), life.gang, fleet.at, life.places, 0
+        )
         fence = fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)[
             "fence"
         ]
@@ -402,7 +409,7 @@
         self.assertEqual((fleet.state("g"), fleet.broken()), ("hurt", []))
         fleet.ok("drain_asked", machine="r0m0", drain="d")
         life = fleet.life("g")
-        plan, way = placement_search.mended(
+        plan, way = placement_search.replace_failed_workers(
             fleet.machine.view(), life.gang, fleet.at, life.places, 0
         )
         self.assertEqual(
@@ -498,7 +505,7 @@
 def places_of(racks, hosts=2, slots=4, chance=None):
     places = Places(uplinks={"zone/c/z0": 3 * 10**9, "zone/c/z1": 10**9})
     for at in range(racks):
-        places.stand(
+        places.add_rack(
             f"r{at}",
             f"z{at % 2}",
             "c",
@@ -506,7 +513,7 @@
             {f"r{at}m{one}": Stated(slots) for one in range(hosts)},
         )
         for machine in places.racks[f"r{at}"].hosts if chance else ():
-            places.take({machine: int(chance.draw() * (slots + 1))}, ())
+            places.reserve({machine: int(chance.draw() * (slots + 1))}, ())
         if chance:
             places.carried[f"rack/r{at}"] = chance.draw() * 10**9
             places.host(f"r{at}m0").planned = int(chance.draw() * 2)
@@ -520,7 +527,7 @@
 
 class Search(unittest.TestCase):
     @quick
-    @given(some.sampled_from(list(jobs.PATTERNS)), some.integers(1, 8), some.data())
+    @given(some.sampled_from(list(jobs.CROSSING_BYTES)), some.integers(1, 8), some.data())
     def test_crossing_bytes_are_those_of_the_pairs(self, pattern, half, data):
         gang = gang_of(2 * half, pattern)
         low = data.draw(some.integers(0, gang.workers))
@@ -530,12 +537,12 @@
             out += much * (low <= one < high) * (not low <= other < high)
             back += much * (low <= other < high) * (not low <= one < high)
         self.assertAlmostEqual(
-            gang.crossing(low, high) / max(1, out, back), max(out, back) / max(1, out, back)
+            gang.crossing_bytes(low, high) / max(1, out, back), max(out, back) / max(1, out, back)
         )
 
     @quick
     @given(
-        some.sampled_from(list(jobs.PATTERNS)),
+        some.sampled_from(list(jobs.CROSSING_BYTES)),
         some.integers(1, 4),
         some.integers(2, 4),
         some.integers(0, 2**30),
@@ -549,23 +556,23 @@
         every = [
             {at: many for at, many in enumerate(counts) if many}
             for counts in itertools.product(
-                *(range(min(room, gang.workers) + 1) for room in scorer.room)
+                *(range(min(room, gang.workers) + 1) for room in scorer.capacity)
             )
             if sum(counts) == gang.workers
         ]
         best = min(map(scorer.total, every), default=None)
-        found = placement_search.exact(scorer)
+        found = placement_search.exact_search(scorer)
         self.assertEqual(found is None, best is None)
         if found:
             self.assertAlmostEqual(scorer.total(found), best)
-            self.assertLessEqual(scorer.total(placement_search.fast(scorer)), 1.3 * best + 0.05)
+            self.assertLessEqual(
+                scorer.total(placement_search.heuristic_search(scorer)), 1.3 * best + 0.05
+            )
 
     def test_the_score_explains_itself(self):
-        plan = placement_search.find(places_of(4, hosts=1), gang_of(12, "all"), 0)
+        plan = placement_search.find_placement(places_of(4, hosts=1), gang_of(12, "all"), 0)
         parts = plan.score.parts.values()
-        self.assertAlmostEqual(
-            plan.score.total, sum(part["value"] * part["weight"] for part in parts)
-        )
+        self.assertAlmostEqual(plan.score.total, sum(part.value * part.weight for part in parts))
         self.assertRegex(
             plan.score.sentence(),
             r"A step takes 0.\d+ s of 10.000 s by the uplink .* takes \d+% of it.",
@@ -574,13 +581,15 @@
 
     def test_plans_and_others_traffic_turn_a_gang_away(self):
         places = places_of(2)
-        home = next(iter(placement_search.find(places, gang_of(8), 0).versions))
+        home = next(iter(placement_search.find_placement(places, gang_of(8), 0).versions))
         for machine in places.racks[home].hosts:
             places.host(machine).planned = 5
-        self.assertNotIn(home, placement_search.find(places, gang_of(8), 0).versions)
+        self.assertNotIn(home, placement_search.find_placement(places, gang_of(8), 0).versions)
         busy = places_of(4, hosts=1)
-        placement_score.put(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
-        self.assertEqual(sorted(placement_search.find(busy, gang_of(8), 0).versions), ["r1", "r3"])
+        placement_score.add_traffic(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
+        self.assertEqual(
+            sorted(placement_search.find_placement(busy, gang_of(8), 0).versions), ["r1", "r3"]
+        )
 
     def test_baselines_place_all_or_nothing(self):
         scorer = placement_score.Scorer(places_of(4), gang_of(20), 0)
@@ -605,7 +614,8 @@
             "matrix": 0,
             "tree": gang.bytes
             * (
-                jobs.parents(gang.workers)[one] == other or jobs.parents(gang.workers)[other] == one
+                jobs.tree_parents(gang.workers)[one] == other
+                or jobs.tree_parents(gang.workers)[other] == one
             ),
         }[gang.pattern]
         if gang.matrix:
