--- a/thymeknot/coordination/__init__.py
+++ b/thymeknot/coordination/__init__.py
@@ -1,4 +1,10 @@
-"""The feature `fleet` of an operator's file: a sidecar that goes out by agreed permits alone, and a keeper beside it.
+"""The feature `fleet` of an operator's file: drains that the fleet agrees on by Raft.
 
-`terms` (what an operator sets), `feature` (all of it together, begun with the sidecar), `seat` (the holder of turns on
-the real sidecar), `asking` (a blocking client, for the command line and tests)."""
+- `settings`: what an operator sets.
+- `feature`: everything together, started with the sidecar.
+- `raft_member`: this instance's own Raft node.
+- `cluster_clock`: advances the replicated time while that node leads.
+- `incarnation`: numbers the starts.
+- `drain_agent`: carries out drains on the sidecar.
+- `blocking_client`: serves the command line and the tests.
+"""
--- /dev/null
+++ b/thymeknot/coordination/cluster_clock.py
@@ -0,0 +1,87 @@
+"""Advances the replicated time while this instance's node leads, and renews the declaration."""
+
+from typing import Any, Optional
+
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from ..raft.client import RaftClient
+from ..raft.node import LEADER
+from ..service import structured_log
+from ..state.timer_queue import TimerQueue
+from .raft_member import RaftMember
+from .settings import DISRUPTION_PART
+
+DECLARATION_INTERVAL: Ticks = TICKS_PER_SECOND
+"""Between two proposals of a declaration, so that one has time to be applied."""
+
+TICK_PATIENCE = 4
+"""Intervals that a proposed tick is waited for: a late one is worth less than the next."""
+
+
+class ClusterClock:
+    """Proposes a tick at each interval while the node leads; one tick is pending at a time."""
+
+    def __init__(
+        self,
+        *,
+        timers: TimerQueue,
+        client: RaftClient,
+        member: RaftMember,
+        interval: Ticks,
+        epoch: int,
+        declaration: list[dict[str, Any]],
+    ) -> None:
+        """Starts at once.
+
+        Args:
+            timers: The timers of the sidecar.
+            client: A client of the cluster, for this clock alone.
+            member: This instance's Raft node.
+            interval: Between two ticks.
+            epoch: The number of the declaration.
+            declaration: The commands of the declaration, in order.
+        """
+        self.timers = timers
+        self.client = client
+        self.member = member
+        self.interval = interval
+        self.epoch = epoch
+        self.declaration = declaration
+        self.timer: Optional[int] = None
+        self.pending = False
+        self.declared_at: Ticks = 0
+        self._tick()
+
+    def _tick(self) -> None:
+        self.timer = self.timers.add(self.timers.clock() + self.interval, self._tick)
+        if self.member.server.keeper.role != LEADER:
+            self.declared_at = 0
+            return
+        if self.pending:
+            return
+        self._declare()
+        self.pending = True
+        tick = {"part": DISRUPTION_PART, "do": "tick"}
+        self.client.propose(tick, self.interval * TICK_PATIENCE).addCallback(self._ticked)
+
+    def _declare(self) -> None:
+        """Proposes the declaration if the state machine has an older one."""
+        now = self.timers.clock()
+        if self.member.machine.epoch >= self.epoch:
+            return
+        if now - self.declared_at < DECLARATION_INTERVAL:
+            return
+        self.declared_at = now
+        for command in self.declaration:
+            self.client.propose(command).addCallback(self._declared)
+
+    def _declared(self, reply: dict[str, Any]) -> None:
+        if "refused" in reply:
+            structured_log.log("not declared", why=reply["refused"])
+
+    def _ticked(self, _: dict[str, Any]) -> None:
+        self.pending = False
+
+    def close(self) -> None:
+        """Ends the ticks and the client."""
+        self.client.close()
+        self.timers.cancel(self.timer)
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -1,74 +1,119 @@
-"""The holder of turns on the real sidecar: says what it wants said, drains and brings back what it wants drained."""
+"""Carries out the fleet's drains on the sidecar, as the unit's agent decides them."""
+
+from collections.abc import Callable, Iterable
+from typing import TYPE_CHECKING, Any, ClassVar, Optional
 
 from ..disruption.agent import DisruptionAgent
+from ..disruption.targets import DisruptionSettings
+from ..interface.clock import Ticks
+from ..raft.client import RaftClient
 from ..service import structured_log
 
-BEATS = 16  # looks at the time within a bound; the holder asks for four at least
+if TYPE_CHECKING:
+    from ..proxy.proxy import Proxy  # the command line needs no sidecar
 
+WAKES_PER_BOUND = 16
+"""Calls of the unit's agent within its bound: it needs four at least, and a call costs little."""
 
-class DrainAgent:
-    def __init__(self, proxy, client, unit, start, build, terms):
-        """client: the seam to the keepers, for this alone. start: a number that grows with each start."""
-        self.proxy, self.client, self.timers, self.clock = (
-            proxy,
-            client,
-            proxy.timers,
-            proxy.clock,
-        )
-        self.unit, self.beat = unit, max(1, terms.bound // BEATS)
-        # How long an answer is worth waiting for: the holder takes none that is older than its bound.
-        self.within, self.beating, self.closed = terms.bound, None, False
-        self.holder = DisruptionAgent(unit, start, build, terms, self.clock(), True)
-        self._beat()
 
-    def _beat(self):
+class DrainAgent:
+    """The unit's agent on the real sidecar."""
+
+    def __init__(
+        self,
+        proxy: "Proxy",
+        *,
+        client: RaftClient,
+        unit: str,
+        incarnation: int,
+        build: str,
+        settings: DisruptionSettings,
+    ) -> None:
+        """Starts at once.
+
+        Args:
+            proxy: The running sidecar.
+            client: A client of the cluster, for this agent alone.
+            unit: The unit's name.
+            incarnation: A number that grows with each start.
+            build: The build that the unit runs.
+            settings: The durations that the fleet agreed on.
+        """
+        self.proxy = proxy
+        self.client = client
+        self.timers = proxy.timers
+        self.clock = proxy.clock
+        self.unit = unit
+        self.interval = max(1, settings.bound // WAKES_PER_BOUND)
+        # The agent takes no answer that is older than its bound, so none is waited for longer.
+        self.patience: Ticks = settings.bound
+        self.timer: Optional[int] = None
+        self.closed = False
+        self.holder = DisruptionAgent(unit, incarnation, build, settings, self.clock(), True)
+        self._wake()
+
+    def _wake(self) -> None:
         if not self.closed:
-            self.beating = self.timers.add(self.clock() + self.beat, self._beat)
-            self._act(self.holder.due(self.clock()))
+            self.timer = self.timers.add(self.clock() + self.interval, self._wake)
+            self._carry_out(self.holder.due(self.clock()))
 
-    def _act(self, effects):
-        for what, *facts in effects:
-            self.DO[what](self, *facts)
+    def _carry_out(self, effects: Iterable[tuple[Any, ...]]) -> None:
+        for kind, *arguments in effects:
+            self.EFFECTS[kind](self, *arguments)
 
-    def _say(self, token, command):
-        self.client.propose(command, self.within).addCallback(self._told, token)
+    def _propose(self, token: int, command: dict[str, Any]) -> None:
+        self.client.propose(command, self.patience).addCallback(self._replied, token)
 
-    def _told(self, reply, token):
-        # What no keeper said is no word of theirs: the holder must not take it for one.
+    def _replied(self, reply: dict[str, Any], token: int) -> None:
+        # An unknown outcome is told by the client, not by the cluster: it is no reply.
         if not self.closed and not reply.get("unknown"):
-            self._act(self.holder.told(self.clock(), token, reply))
+            self._carry_out(self.holder.told(self.clock(), token, reply))
 
-    def _drain(self, fence, build):
+    def _drain(self, fence: int, build: str) -> None:
         structured_log.log(
             "drain", unit=self.unit, fence=fence, transactions=len(self.proxy.transactions)
         )
-        self.proxy.drain(lambda: self._emptied(fence))
+        self.proxy.drain(lambda: self._drained(fence))
 
-    def _emptied(self, fence):
+    def _drained(self, fence: int) -> None:
         structured_log.log("drained", unit=self.unit, fence=fence)
-        self._act(self.holder.emptied(self.clock()))
+        self._carry_out(self.holder.emptied(self.clock()))
+
+    def _return(self, build: str) -> None:
+        """Serves again, with this build or, if it is empty, with the present one."""
+        self._serve(
+            lambda: self._carry_out(self.holder.ready(self.clock(), build or self.holder.build))
+        )
 
-    def _come(self, build):
-        self._serve(lambda: self._act(self.holder.ready(self.clock(), build or self.holder.build)))
+    def _serve(self, then: Optional[Callable[[], None]] = None) -> None:
+        """Accepts requests again; does nothing if the sidecar already does.
 
-    def _serve(self, then=None):
-        """Takes new work again; that it does already is as well."""
+        Args:
+            then: Called once the sidecar listens.
+        """
         if not self.proxy.drained:
             return
 
-        def failed(why):
-            structured_log.log("can't come back", unit=self.unit, why=why)
-            self._act(self.holder.failed(self.clock(), why))
+        def failed(reason: str) -> None:
+            structured_log.log("can't come back", unit=self.unit, why=reason)
+            self._carry_out(self.holder.failed(self.clock(), reason))
 
-        def listens():
+        def listens() -> None:
             structured_log.log("back", unit=self.unit)
             if then:
                 then()
 
         self.proxy.undrain(listens, failed)
 
-    DO = {"say": _say, "drain": _drain, "come": _come, "serve": _serve}
+    EFFECTS: ClassVar[dict[str, Callable[..., None]]] = {
+        "say": _propose,
+        "drain": _drain,
+        "come": _return,
+        "serve": _serve,
+    }
+    """How each effect of `disruption.agent` is carried out."""
 
-    def close(self):
+    def close(self) -> None:
+        """Ends the agent; replies that still come are ignored."""
         self.closed = True
-        self.timers.cancel(self.beating)
+        self.timers.cancel(self.timer)
--- /dev/null
+++ b/thymeknot/coordination/incarnation.py
@@ -0,0 +1,41 @@
+"""The incarnation: a number of this start, greater than those of all earlier starts."""
+
+import os
+import time
+
+FILE_NAME = "start"
+"""The file in the data folder that keeps the number of the last start."""
+
+READ_CHARACTERS = 20
+"""Characters that are read of the file: the digits of any 64-bit number."""
+
+NANOSECONDS_PER_MILLISECOND = 1_000_000
+
+
+def started(folder: str) -> int:
+    """Numbers this start, and writes the number to the disk before it is used.
+
+    It is greater than the last number, and at least the calendar's milliseconds, so that it also
+    grows where the file was lost.
+
+    Args:
+        folder: The data folder; it is made if it is missing.
+
+    Raises:
+        OSError: The folder or the file can't be used.
+    """
+    path = os.path.join(folder, FILE_NAME)
+    last = 0
+    os.makedirs(folder, exist_ok=True)
+    try:
+        with open(path, encoding="ascii") as source:
+            last = int(source.read(READ_CHARACTERS))
+    except (FileNotFoundError, ValueError):
+        pass  # a first start, or a damaged file: the calendar stands in for the last number
+    number = max(last + 1, time.time_ns() // NANOSECONDS_PER_MILLISECOND)
+    with open(path + ".part", "w", encoding="ascii") as target:
+        target.write(str(number))
+        target.flush()
+        os.fsync(target.fileno())
+    os.replace(path + ".part", path)
+    return number
--- /dev/null
+++ b/thymeknot/coordination/raft_member.py
@@ -0,0 +1,147 @@
+"""This instance's own Raft node: its storage, its replicated state machine and its server."""
+
+import os
+import secrets
+import time
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from twisted.internet.interfaces import IReactorTCP
+
+from ..disruption.state_machine import DisruptionStateMachine
+from ..disruption.targets import CommandRejectedError
+from ..gossip.keyring import AllowedNetworks, Identity, Keyring
+from ..gossip.settings import address
+from ..interface.clock import Ticks
+from ..raft.client import PeerChannel
+from ..raft.node import RaftNode
+from ..raft.peer_server import PeerServer
+from ..raft.state_machine import Parts
+from ..raft.storage import RaftStorage
+from ..service import structured_log
+from ..state.random_source import LinearCongruentialGenerator
+from ..state.timer_queue import TimerQueue
+from .settings import DISRUPTION_PART, RAFT_SETTINGS, CoordinationSettings
+
+
+class RaftContext(NamedTuple):
+    """What a node and the clients of an instance share.
+
+    Attributes:
+        reactor: Twisted's event loop.
+        timers: The timers of the sidecar.
+        identity: This instance's name and private key.
+        ring: Returns the key ring of now; a reload replaces it.
+    """
+
+    reactor: IReactorTCP
+    timers: TimerQueue
+    identity: Identity
+    ring: Callable[[], Keyring]
+
+
+class RaftMember(NamedTuple):
+    """A running node.
+
+    Attributes:
+        server: Takes the messages of the other nodes and of clients, and owns the node.
+        machine: The replicated state machine, as far as this node applied the log.
+    """
+
+    server: PeerServer
+    machine: DisruptionStateMachine
+
+
+def peer_channels(context: RaftContext, settings: CoordinationSettings) -> dict[str, PeerChannel]:
+    """A channel to each Raft node, by its name; channels connect when they are used."""
+    return {
+        node.name: PeerChannel(
+            context.reactor,
+            node.name,
+            address(node.address),
+            context.identity,
+            context.ring,
+            time.time,
+        )
+        for node in settings.keepers
+    }
+
+
+def open_member(
+    context: RaftContext,
+    settings: CoordinationSettings,
+    data: str,
+    networks: AllowedNetworks,
+    channels: dict[str, PeerChannel],
+) -> RaftMember:
+    """Opens the storage of this instance's node, and makes its server, which does not listen yet.
+
+    Args:
+        context: What the node shares with the rest of the instance.
+        settings: The operator's settings.
+        data: The folder of this instance's data.
+        networks: The networks that peers may connect from.
+        channels: The channels to all nodes, by name.
+
+    Raises:
+        DamagedStorageError: What is on the disk can't be trusted.
+        OSError: The folder can't be used.
+    """
+    storage = RaftStorage(
+        os.path.join(data, "log"),
+        os.path.join(data, settings.lineage or "lineage"),
+        lambda: secrets.randbits(62) + 1,
+    )
+    opened = storage.open(settings.founds and not _was_used(storage))
+    for sentence in opened.said:
+        structured_log.log("keeper's disk", error=sentence)
+    disruption = DisruptionStateMachine()
+    machine = Parts({DISRUPTION_PART: disruption})
+    names = [node.name for node in settings.keepers]
+
+    def make_node(now: Ticks) -> RaftNode:
+        return RaftNode(
+            settings.name,
+            names,
+            RAFT_SETTINGS,
+            LinearCongruentialGenerator(secrets.randbits(64)),
+            opened.recovered,
+            machine,
+            now,
+        )
+
+    server = PeerServer(
+        context.reactor,
+        context.timers,
+        context.identity,
+        context.ring,
+        networks,
+        {name: channel for name, channel in channels.items() if name != settings.name},
+        make_node,
+        storage,
+        lambda query: read_status(disruption, query),
+    )
+    return RaftMember(server, disruption)
+
+
+def _was_used(storage: RaftStorage) -> bool:
+    """Whether a node ran on this storage before."""
+    if os.path.isdir(storage.folder) and os.listdir(storage.folder):
+        return True
+    return os.path.exists(storage.lineage)
+
+
+def read_status(machine: DisruptionStateMachine, query: dict[str, Any]) -> dict[str, Any]:
+    """The state machine's reply to a status query, which changes nothing.
+
+    Args:
+        machine: The state machine of drains.
+        query: A command with `do` and its fields; only `status` is a read.
+    """
+    try:
+        do, fields = machine.read(query)
+        if do != "status":
+            raise CommandRejectedError("a read is of status")
+        return {"ok": True, "at": machine.fleet.at, **machine._status(**fields)}
+    except CommandRejectedError as rejection:
+        return {"refused": rejection.sentence, "by": rejection.by, "again": rejection.again}
