--- a/tests/unit/operator_config/test_operator_config.py
+++ b/tests/unit/operator_config/test_operator_config.py
@@ -8,8 +8,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from thymeknot.operator_config import grammar, loader, unification
-from thymeknot.operator_config.unification import OperatorConfigError
+from thymeknot.operator_config import evaluation, grammar, loader, unification
+from thymeknot.operator_config.errors import OperatorConfigError
 
 KEY = "A" * 43 + "="
 LEAST = f'''gossip: {{
@@ -31,8 +31,8 @@
     told, bad = grammar.parse(f"a: {text}", "x.cue"), []
     asked = grammar.parse(f"a: {schema}", "schema")
     definitions = {name: value for name, (value, _) in asked.fields.items() if name.startswith("#")}
-    met = unification.meet(unification.resolved(asked, definitions), told, (), bad)
-    result = unification.concrete(met, (), bad)
+    met = unification.unify(evaluation.resolve(asked, definitions), told, (), bad)
+    result = evaluation.to_plain(met, (), bad)
     return [fault.text for fault in bad] or result["a"]
 
 
--- a/thymeknot/operator_config/grammar.py
+++ b/thymeknot/operator_config/grammar.py
@@ -1,40 +1,46 @@
-"""The text of a settings or schema file to values. Grammar on lark, a subset of CUE's: docs/design/gossip.md.
+"""Parses the text of an operator or schema file into values.
 
-Newlines and commas part fields alike. `a: b: 1` is short for `a: {b: 1}`, `//` begins a comment.
+The grammar is a subset of CUE's, described in docs/design/gossip.md: newlines and commas both end a
+field, `a: b: 1` is short for `a: {b: 1}`, and `//` begins a comment.
 """
 
 import ast
-from typing import NamedTuple
+from typing import NamedTuple, NoReturn, Optional, Union
 
-from lark import Lark, Transformer, UnexpectedInput, v_args
+from lark import Lark, Token, Transformer, UnexpectedInput, v_args
 from lark.exceptions import VisitError
+from lark.tree import Meta
 
-from .unification import (
+from .errors import Fault, Location, OperatorConfigError
+from .unification import unify
+from .values import (
     TOP,
-    Atom,
-    Basic,
-    Either,
-    Fault,
-    ListOf,
-    OperatorConfigError,
+    Bound,
+    Constraint,
+    Disjunction,
+    Field,
+    Kind,
+    ListValue,
+    Option,
     Reference,
+    Scalar,
     Struct,
-    meet,
+    Value,
 )
 
 GRAMMAR = r"""
 start: _members
 _members: (member ","?)*
-member: label ":" (expr | member)  -> member
+member: label ":" (expr | member)
 label: (NAME | DEFINITION | STRING) OPTIONAL?
-?expr: choice | conj
-choice: option ("|" option)+ | marked
-?option: marked | conj
-marked: "*" conj
-conj: unary ("&" unary)*
+?expr: choice | conjunction
+choice: option ("|" option)+ | default
+?option: default | conjunction
+default: "*" conjunction
+conjunction: unary ("&" unary)*
 ?unary: NUMBER -> number
       | STRING -> string
-      | NAME -> named
+      | NAME -> word
       | DEFINITION -> reference
       | OPERATOR (NUMBER | STRING) -> bound
       | "{" _members DOTS? ","? "}" -> struct
@@ -51,140 +57,193 @@
 %ignore /[ \t\r\n]+/
 %ignore /\/\/[^\n]*/
 """
-KINDS = ("int", "number", "string", "bool", "duration")
-MOST_BYTES = (
-    1 << 20
-)  # of a file: it is read whole, and an operator's mistake must not fill the memory
+KIND_NAMES = (Kind.INT, Kind.NUMBER, Kind.STRING, Kind.BOOL, Kind.DURATION)
+"""The kinds that a file can name; null is a value."""
 
+MAX_FILE_SIZE = 1 << 20
+"""Characters of a file: it is read whole, and a wrong path must not fill the memory."""
 
-class Member(NamedTuple):
-    """A field as the text tells it."""
+
+class Label(NamedTuple):
+    """What stands before a field's colon.
+
+    Attributes:
+        name: The field's name.
+        is_optional: Whether the field may be left out.
+    """
 
     name: str
-    optional: bool
-    value: object
+    is_optional: bool
+
+
+class Member(NamedTuple):
+    """A field as the text has it; the same name may come again.
 
+    Attributes:
+        label: Its name, and whether it may be left out.
+        value: Its value.
+    """
 
-def _text(token):
+    label: Label
+    value: Value
+
+
+def _string_value(token: Token) -> str:
+    """The text within a token's quotes, with its escapes resolved."""
     try:
-        return ast.literal_eval(str(token))
+        return str(ast.literal_eval(str(token)))
     except (SyntaxError, ValueError):
-        raise OperatorConfigError(
-            [Fault(None, token.line, (), f"no string that can be read: {token}")]
-        ) from None
+        text = f"no string that can be read: {token}"
+        raise OperatorConfigError([Fault(None, token.line or 0, (), text)]) from None
 
 
-def _number(token):
+def _number_value(token: Token) -> Union[int, float]:
     text = str(token)
     return float(text) if any(mark in text for mark in ".eE") else int(text)
 
 
 @v_args(inline=True, meta=True)
-class _Reader(Transformer):
-    """lark's tree to values; each keeps the place it came from."""
+class _ValueBuilder(Transformer[Token, Struct]):
+    """Builds values of lark's tree; each keeps its location. A method is named after its rule."""
 
-    def __init__(self, file):
+    def __init__(self, file: str) -> None:
         super().__init__()
         self.file = file
 
-    def _at(self, meta):
-        return self.file, getattr(meta, "line", 0)
-
-    def start(self, meta, *members):
-        return self._struct(meta, members, False)
-
-    def struct(self, meta, *members):
-        is_open = any(isinstance(member, str) for member in members)
-        return self._struct(meta, [one for one in members if isinstance(one, Member)], is_open)
-
-    def _struct(self, meta, members, is_open):
-        fields, faults = {}, []
-        for name, optional, value in members:
-            had = fields.get(name)
-            if had:  # told twice: both hold
-                value, optional = meet(had[0], value, (name,), faults), had[1] and optional
-            fields[name] = value, optional
+    def _location(self, meta: Meta) -> Location:
+        return Location(self.file, getattr(meta, "line", 0))
+
+    def _struct(self, meta: Meta, members: list[Member], is_open: bool) -> Struct:
+        """A struct of its members; what is given to one name twice is unified."""
+        fields: dict[str, Field] = {}
+        faults: list[Fault] = []
+        for (name, is_optional), value in members:
+            field = Field(value, is_optional)
+            earlier = fields.get(name)
+            if earlier:
+                unified = unify(earlier.value, value, (name,), faults)
+                field = Field(unified, earlier.is_optional and is_optional)
+            fields[name] = field
         if faults:
             raise OperatorConfigError(faults)
-        return Struct(fields, is_open, False, self._at(meta))
+        return Struct(fields, is_open, False, self._location(meta))
 
-    def member(self, meta, label, value):
+    def start(self, meta: Meta, *members: Member) -> Struct:
+        """A whole file."""
+        return self._struct(meta, list(members), False)
+
+    def struct(self, meta: Meta, *parts: Union[Member, Token]) -> Struct:
+        """Members in braces; the only token that stays among them is `...`."""
+        is_open = any(isinstance(part, str) for part in parts)
+        return self._struct(meta, [part for part in parts if isinstance(part, Member)], is_open)
+
+    def member(self, meta: Meta, label: Label, value: Union[Value, Member]) -> Member:
+        """A label with a value, or with another member as a struct of its own."""
         if isinstance(value, Member):
             value = self._struct(meta, [value], False)
-        return Member(*label, value)
+        return Member(label, value)
 
-    def label(self, meta, name, optional=None):
-        return _text(name) if name.type == "STRING" else str(name), optional is not None
+    def label(self, meta: Meta, name: Token, optional: Optional[Token] = None) -> Label:
+        """A field's name, in quotes or not."""
+        text = _string_value(name) if name.type == "STRING" else str(name)
+        return Label(text, optional is not None)
 
-    def number(self, meta, token):
-        value = _number(token)
-        return Atom("int" if isinstance(value, int) else "number", value, self._at(meta))
+    def number(self, meta: Meta, token: Token) -> Scalar:
+        """An integer or a floating-point number."""
+        value = _number_value(token)
+        kind = Kind.INT if isinstance(value, int) else Kind.NUMBER
+        return Scalar(kind, value, self._location(meta))
 
-    def string(self, meta, token):
-        return Atom("string", _text(token), self._at(meta))
+    def string(self, meta: Meta, token: Token) -> Scalar:
+        """A string in quotes."""
+        return Scalar(Kind.STRING, _string_value(token), self._location(meta))
 
-    def named(self, meta, token):
+    def word(self, meta: Meta, token: Token) -> Value:
+        """A word without quotes: a constant, a kind, or `_`."""
         if token in ("true", "false"):
-            return Atom("bool", token == "true", self._at(meta))
+            return Scalar(Kind.BOOL, token == "true", self._location(meta))
         if token == "null":
-            return Atom("null", None, self._at(meta))
+            return Scalar(Kind.NULL, None, self._location(meta))
         if token == "_":
             return TOP
-        if token in KINDS:
-            return Basic(str(token), (), self._at(meta))
-        raise OperatorConfigError(
-            [Fault(self.file, meta.line, (), f"no such name: {token} (strings stand in quotes)")]
-        )
-
-    def reference(self, meta, token):
-        return Reference(str(token), self._at(meta))
-
-    def bound(self, meta, operator, token):
-        value = _text(token) if token.type == "STRING" else _number(token)
-        return Basic(None, ((str(operator), value),), self._at(meta))
-
-    def list_of(self, meta, element=TOP):
-        return ListOf(element, None, self._at(meta))
-
-    def elements(self, meta, *elements):
-        return ListOf(TOP, tuple(elements), self._at(meta))
-
-    def conj(self, meta, first, *others):
-        faults = []
+        if token in KIND_NAMES:
+            return Constraint(Kind(str(token)), (), self._location(meta))
+        text = f"no such name: {token} (strings stand in quotes)"
+        raise OperatorConfigError([Fault(self.file, meta.line, (), text)])
+
+    def reference(self, meta: Meta, token: Token) -> Reference:
+        """A definition's name."""
+        return Reference(str(token), self._location(meta))
+
+    def bound(self, meta: Meta, operator: Token, token: Token) -> Constraint:
+        """A comparison with a string or a number."""
+        limit = _string_value(token) if token.type == "STRING" else _number_value(token)
+        return Constraint(None, (Bound(str(operator), limit),), self._location(meta))
+
+    def list_of(self, meta: Meta, element: Value = TOP) -> ListValue:
+        """Any number of elements that satisfy one constraint."""
+        return ListValue(element, None, self._location(meta))
+
+    def elements(self, meta: Meta, *elements: Value) -> ListValue:
+        """A list of just these elements."""
+        return ListValue(TOP, elements, self._location(meta))
+
+    def conjunction(self, meta: Meta, first: Value, *others: Value) -> Value:
+        """Values that all hold."""
+        unified = first
+        faults: list[Fault] = []
         for other in others:
-            first = meet(first, other, (), faults)
+            unified = unify(unified, other, (), faults)
         if faults:
             raise OperatorConfigError(faults)
-        return first
+        return unified
 
-    def marked(self, meta, value):
-        return Either(((value, True),), self._at(meta))
+    def default(self, meta: Meta, value: Value) -> Disjunction:
+        """A default."""
+        return Disjunction((Option(value, True),), self._location(meta))
 
-    def choice(self, meta, *options):
-        parted = []
-        for option in options:
-            parted += option.options if isinstance(option, Either) else [(option, False)]
-        return Either(tuple(parted), self._at(meta))
+    def choice(self, meta: Meta, *alternatives: Value) -> Disjunction:
+        """Alternatives, flat: those of an inner choice are taken into the outer one."""
+        options: list[Option] = []
+        for alternative in alternatives:
+            if isinstance(alternative, Disjunction):
+                options += alternative.options
+            else:
+                options.append(Option(alternative, False))
+        return Disjunction(tuple(options), self._location(meta))
 
 
 _parser = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
 
 
-def parse(text, file):
-    """The Struct that a text tells. file: the name that faults give. Raises Faulty."""
-    if len(text) > MOST_BYTES:
-        raise OperatorConfigError(
-            [Fault(file, 1, (), f"{len(text)} characters, {MOST_BYTES} at most")]
-        )
+def parse(text: str, file: str) -> Struct:
+    """The struct that a text describes.
+
+    Args:
+        text: The text of a file.
+        file: The name that faults give.
+
+    Raises:
+        OperatorConfigError: The text is too long, or can't be parsed.
+    """
+    if len(text) > MAX_FILE_SIZE:
+        message = f"{len(text)} characters, {MAX_FILE_SIZE} at most"
+        raise OperatorConfigError([Fault(file, 1, (), message)])
     try:
-        return _Reader(file).transform(_parser.parse(text))
+        return _ValueBuilder(file).transform(_parser.parse(text))
     except UnexpectedInput as error:
         found = getattr(error, "token", None) or getattr(error, "char", "")
-        said = "the file ends too early" if str(found) == "" else f"unexpected {str(found)!r}"
-        raise OperatorConfigError([Fault(file, max(error.line, 1), (), said)]) from None
+        message = "the file ends too early" if str(found) == "" else f"unexpected {str(found)!r}"
+        raise OperatorConfigError([Fault(file, max(error.line, 1), (), message)]) from None
     except VisitError as error:
-        if not isinstance(error.orig_exc, OperatorConfigError):
-            raise
-        raise OperatorConfigError(
-            [fault if fault.file else fault._replace(file=file) for fault in error.orig_exc.faults]
-        ) from None
+        _raise_original(error, file)
+
+
+def _raise_original(error: VisitError, file: str) -> NoReturn:
+    """Raises what a method of the builder raised, with the file's name in each fault."""
+    original = error.orig_exc
+    if not isinstance(original, OperatorConfigError):
+        raise error
+    raise OperatorConfigError(
+        fault if fault.file else fault._replace(file=file) for fault in original.faults
+    ) from None
--- a/thymeknot/operator_config/loader.py
+++ b/thymeknot/operator_config/loader.py
@@ -1,91 +1,124 @@
-"""Reads an operator's file, unifies it with the schemas of the package, and gives typed records."""
+"""Reads an operator file, unifies it with the package's schemas, and gives typed records."""
 
 import os
 from importlib import resources
-from typing import get_type_hints
+from typing import Any, TypeVar, get_type_hints
 
-from .grammar import MOST_BYTES, parse
-from .unification import Fault, OperatorConfigError, Struct, concrete, meet, resolved
+from .errors import Fault, OperatorConfigError
+from .evaluation import resolve, to_plain
+from .grammar import MAX_FILE_SIZE, parse
+from .unification import unify
+from .values import Field, Struct, Value
 
-VARIABLE = "THYMEKNOT_OPERATOR"
+ROOT_SCHEMA = "operator.cue"
+"""The schema file whose struct an operator file is unified with; the others hold definitions."""
 
+Record = TypeVar("Record")
 
-def schema():
-    """What an operator's file may hold: the struct of operator.cue, with the definitions of all schema files."""
-    definitions, top = {}, None
+
+def load_schema() -> Value:
+    """What an operator file may hold, with the definitions of all schema files resolved."""
     folder = resources.files(__package__) / "schema"
-    for file in sorted(folder.iterdir(), key=lambda one: one.name):
-        if file.name.endswith(".cue"):
-            told = parse(file.read_text(encoding="utf-8"), f"schema/{file.name}")
-            definitions.update(
-                {name: value for name, (value, _) in told.fields.items() if name.startswith("#")}
-            )
-            if file.name == "operator.cue":
-                top = told
-    own = {name: field for name, field in top.fields.items() if not name.startswith("#")}
-    return resolved(Struct(own, False, True, top.at), definitions)
-
-
-def read(text, file):
-    """The plain settings of a text, defaults filled in. Raises Faulty with every fault at once."""
-    told = parse(text, file)
-    mine = {name: value for name, (value, _) in told.fields.items() if name.startswith("#")}
-    own = {name: field for name, field in told.fields.items() if not name.startswith("#")}
-    told, faults = resolved(told._replace(fields=own), mine), []
-    whole = meet(schema(), told, (), faults)
-    settings = concrete(whole, (), faults, told.at)
+    structs = {
+        file.name: parse(file.read_text(encoding="utf-8"), f"schema/{file.name}")
+        for file in sorted(folder.iterdir(), key=lambda entry: entry.name)
+        if file.name.endswith(".cue")
+    }
+    definitions: dict[str, Value] = {}
+    for struct in structs.values():
+        definitions.update(_definitions(struct))
+    root = structs[ROOT_SCHEMA]
+    return resolve(Struct(_own_fields(root), False, True, root.location), definitions)
+
+
+def _is_definition(name: str) -> bool:
+    return name.startswith("#")
+
+
+def _definitions(struct: Struct) -> dict[str, Value]:
+    return {name: field.value for name, field in struct.fields.items() if _is_definition(name)}
+
+
+def _own_fields(struct: Struct) -> dict[str, Field]:
+    return {name: field for name, field in struct.fields.items() if not _is_definition(name)}
+
+
+def read(text: str, file: str) -> dict[str, Any]:
+    """The plain settings of an operator file's text, with defaults filled in.
+
+    Args:
+        text: The text.
+        file: The name that faults give.
+
+    Raises:
+        OperatorConfigError: With every fault at once, by line.
+    """
+    struct = parse(text, file)
+    own = resolve(struct._replace(fields=_own_fields(struct)), _definitions(struct))
+    faults: list[Fault] = []
+    unified = unify(load_schema(), own, (), faults)
+    settings: dict[str, Any] = to_plain(unified, (), faults, own.location)
     if faults:
-        # A fault of a schema's own place is one of what was left out: the file and its first line say where.
-        raise OperatorConfigError(
-            sorted(
-                (
-                    fault
-                    if fault.file == file
-                    else fault._replace(file=file, line=max(told.at[1], 1))
-                    for fault in set(faults)
-                ),
-                key=lambda fault: (fault.line, str(fault)),
-            )
+        first_line = max(own.location.line, 1)
+        # A fault located in a schema is about what was left out: it gets the file's first line.
+        located = (
+            fault if fault.file == file else fault._replace(file=file, line=first_line)
+            for fault in set(faults)
         )
+        raise OperatorConfigError(sorted(located, key=lambda fault: (fault.line, str(fault))))
     return settings
 
 
-def record(kind, settings):
-    """A NamedTuple of this kind from plain settings: nested records, tuples for lists, None where left out. A field
-    whose key is a word of Python's ends in an underscore."""
-    values = {}
+def record(kind: type[Record], settings: dict[str, Any]) -> Record:
+    """A NamedTuple of plain settings: records for mappings, tuples for lists, None for absent keys.
+
+    Args:
+        kind: The NamedTuple; its fields are named after the keys. A field whose key is a word of
+            Python's ends in an underscore.
+        settings: The plain settings.
+    """
+    values: dict[str, Any] = {}
     for name, hint in get_type_hints(kind).items():
         value = settings.get(name.rstrip("_"))
-        inner = getattr(hint, "__args__", (hint,))[0] if value is not None else None
+        inner: Any = getattr(hint, "__args__", (hint,))[0] if value is not None else None
         if isinstance(value, dict):
             value = record(hint if hasattr(hint, "_fields") else inner, value)
         elif isinstance(value, list):
-            value = tuple(record(inner, one) if isinstance(one, dict) else one for one in value)
+            value = tuple(
+                record(inner, element) if isinstance(element, dict) else element
+                for element in value
+            )
         values[name] = value
     return kind(**values)
 
 
-def load(path):
-    """The plain settings of the file at a path; relative paths in it count from its folder (`folder`)."""
+def load(path: str) -> dict[str, Any]:
+    """The plain settings of the operator file at a path.
+
+    Raises:
+        OperatorConfigError: With every fault at once, by line.
+    """
     try:
         with open(path, encoding="utf-8") as source:
-            text = source.read(MOST_BYTES + 1)
+            text = source.read(MAX_FILE_SIZE + 1)
     except OSError as error:
-        raise OperatorConfigError(
-            [Fault(path, 0, (), f"can't be read: {os.strerror(error.errno)}")]
-        ) from None
+        reason = os.strerror(error.errno or 0)
+        raise OperatorConfigError([Fault(path, 0, (), f"can't be read: {reason}")]) from None
     except UnicodeDecodeError:
         raise OperatorConfigError([Fault(path, 0, (), "is no UTF-8")]) from None
     return read(text, path)
 
 
-def line(path, keys):
-    """Where a file tells the value behind these keys, as "7:", or the nearest one that it tells."""
+def line(path: str, keys: tuple[str, ...]) -> str:
+    """Where a file tells the value behind these keys, or the nearest one around it, as "7:"."""
     with open(path, encoding="utf-8") as source:
-        told = parse(source.read(MOST_BYTES), path)
+        value: Value = parse(source.read(MAX_FILE_SIZE), path)
     for key in keys:
-        field = told.fields.get(key) if isinstance(told, Struct) else None
+        field = value.fields.get(key) if isinstance(value, Struct) else None
         if field is None:
             break
-        told = field[0]
-    return f"{told.at[1]}:"
+        value = field.value
+    return f"{value.location.line}:"
+
+
+__all__ = ["OperatorConfigError", "line", "load", "load_schema", "read", "record"]
