--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -221,7 +221,7 @@
     story["ends"] = None
 
     def vote():
-        known = world.keepers.machine.releases.all["spring"]
+        known = world.keepers.machine.releases.by_name["spring"]
         done = len([name for name in known.members if world.seats[name].build == "new"])
         assert done <= known.waves[known.wave], "more than the wave has the new build"
         if known.state == "going" and done >= known.waves[known.wave]:
@@ -234,7 +234,7 @@
 @when("the operator resumes what crashes halted")
 def resumes(world):
     def resume():
-        for number, halt in list(world.keepers.machine.halts.all.items()):
+        for number, halt in list(world.keepers.machine.halts.by_number.items()):
             if halt.cause == "crashes":
                 world.order(do="resume", halt=number)
         world.after(5 * TICKS_PER_SECOND, resume)
@@ -338,7 +338,7 @@
     waiting = [one for one in world.order(do="status")["away"].values() if one["state"] == "asked"]
     asked = [
         world.order(do="status", unit=name)
-        for name, unit in world.keepers.machine.fleet.asked.items()
+        for name, unit in world.keepers.machine.fleet.requesting.items()
     ]
     assert asked and len(waiting) == len(asked)
     for one in asked:
@@ -367,7 +367,7 @@
 
 @then("nobody has a permit")
 def no_permits(world):
-    assert world.until(lambda: not world.keepers.machine.fleet.held, 30)
+    assert world.until(lambda: not world.keepers.machine.fleet.permitted, 30)
 
 
 @then("the keepers know who is out")
--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -10,9 +10,17 @@
 
 from thymeknot.disruption import scheduler
 from thymeknot.disruption.agent import DisruptionAgent
-from thymeknot.disruption.permits import LIFE, Fleet, Unit
+from thymeknot.disruption.commands import COMMAND_FIELDS
+from thymeknot.disruption.fleet import Fleet
+from thymeknot.disruption.permits import (
+    PERMIT_TRANSITIONS,
+    PermitInput,
+    PermitRequest,
+    PermitState,
+    Unit,
+)
 from thymeknot.disruption.simulated_fleet import World, fleet
-from thymeknot.disruption.state_machine import FIELDS, DisruptionStateMachine
+from thymeknot.disruption.state_machine import DisruptionStateMachine
 from thymeknot.disruption.targets import DisruptionSettings
 from thymeknot.interface.clock import TICKS_PER_SECOND
 
@@ -238,10 +246,14 @@
         ]
         one = made()
         for at in range(6_000):
-            do = chance.choice([*FIELDS])
+            do = chance.choice([*COMMAND_FIELDS]).value
             command = {
                 "do": do,
-                **{field: chance.choice(values) for field in FIELDS[do] if chance.random() < 0.9},
+                **{
+                    field: chance.choice(values)
+                    for field in COMMAND_FIELDS[do]
+                    if chance.random() < 0.9
+                },
             }
             reply = one.apply(at, command)
             self.assertTrue(("ok" in reply) != ("refused" in reply))
@@ -484,16 +496,12 @@
 class NoFence(DisruptionStateMachine):
     """Takes any permit of a unit that was ever granted."""
 
-    def _begin(self, unit, fence, epoch, start):
-        one = self.unit(unit)
-        one.state = "granted" if one.state == "in" and fence <= one.fence else one.state
-        one.ask = (
-            one.ask
-            or type(
-                "", (), {"plan": "x", "epoch": epoch, "back": False, "build": "", "plain": list}
-            )()
-        )
-        return super()._begin(unit, one.fence, epoch, start)
+    def _begin(self, command):
+        one = self.get_unit(command.unit)
+        if one.state == PermitState.IN and command.fence <= one.fencing_token:
+            one.state = PermitState.GRANTED
+        one.request = one.request or PermitRequest(0, 0, "x", command.epoch)
+        return super()._begin(command._replace(fence=one.fencing_token))
 
 
 class Broken(unittest.TestCase):
@@ -507,23 +515,25 @@
             search(NoFence, 300)
 
     def test_lapsed_permits_freed(self):
-        with Changed(Fleet, "_doubt", lambda self, unit: setattr(unit, "ask", None)):
+        with Changed(Fleet, "_end_permit", lambda self, unit: setattr(unit, "request", None)):
             self.assertIn("A1", self.lapse(None))
 
     def test_halt_told_to_reachable_ones_only(self):
         """Stops those who hear it, and goes on saying yes to the others."""
 
         class Told(DisruptionStateMachine):
-            def _halt(self, **fields):
+            def _halt(self, command):
                 self.reachable = {
                     name
                     for name, unit in self.fleet.units.items()
-                    if unit.seen + TICKS_PER_SECOND > self.fleet.at
+                    if unit.ready_at + TICKS_PER_SECOND > self.fleet.at
                 }
-                return super()._halt(**fields)
+                return super()._halt(command)
 
-            def held(self, unit):
-                return super().held(unit) if unit.name in getattr(self, "reachable", ()) else None
+            def find_hold(self, unit):
+                if unit.name not in getattr(self, "reachable", ()):
+                    return None
+                return super().find_hold(unit)
 
         self.assertIn("A3", self.halted(Told))
         self.assertEqual(self.halted(DisruptionStateMachine), "")
@@ -534,17 +544,20 @@
         self.assertEqual(self.halted(DisruptionStateMachine, slow=True), "")
 
     def test_a_way_back_outside_the_budgets(self):
-        def loose(fleet, held, plan=scheduler.plan):
-            for unit in [one for one in fleet.asked.values() if one.ask.back]:
-                fleet.step(unit, "granted")
-            plan(fleet, held)
+        def loose(fleet, find_hold, grant_permits=scheduler.grant_permits):
+            for unit in [one for one in fleet.requesting.values() if one.request.rollback]:
+                fleet.transition(unit, PermitInput.GRANTED)
+            grant_permits(fleet, find_hold)
 
-        def unasked(self, unit, over=Fleet.over):
-            return None if unit.ask.back else over(self, unit)
+        def unasked(self, unit, find_exceeded=Fleet.find_exceeded_budget):
+            return None if unit.request.rollback else find_exceeded(self, unit)
 
-        with Changed(scheduler, "plan", loose):
+        with Changed(scheduler, "grant_permits", loose):
             self.assertEqual(self.back(), "", "the begin is checked by itself")
-        with Changed(scheduler, "plan", loose), Changed(Fleet, "over", unasked):
+        with (
+            Changed(scheduler, "grant_permits", loose),
+            Changed(Fleet, "find_exceeded_budget", unasked),
+        ):
             self.assertIn("A1", self.back())
         self.assertEqual(self.back(), "")
 
@@ -561,16 +574,16 @@
             world.keepers.restart()
             return " ".join(world.run(10).outside.breaches)
 
-        with Changed(Unit, "idle", lambda self, at, silent: not self.evident(at, silent)):
+        with Changed(Unit, "is_idle", lambda self, at, silent: not self.is_seen_ready(at, silent)):
             self.assertIn("A1", dark())
         self.assertEqual(dark(), "")
 
     def test_evidence_without_a_date(self):
-        def undated(self, unit, as_of, *told, look=Fleet.look):
-            look(self, unit, self.at, *told)
+        def undated(self, unit, as_of, *told, record_report=Fleet.record_report):
+            record_report(self, unit, self.at, *told)
 
         one = made()
-        with Changed(Fleet, "look", undated):
+        with Changed(Fleet, "record_report", undated):
             self.assertEqual(self.old_look(one), "granted")
         self.assertEqual(self.old_look(made()), "asked")
 
@@ -647,7 +660,8 @@
 class Table(unittest.TestCase):
     def test_nothing_leads_out_but_a_begin(self):
         self.assertEqual(
-            [key for key, (state, _) in LIFE.items() if state == "draining"], [("granted", "began")]
+            [key for key, (state, _) in PERMIT_TRANSITIONS.items() if state == "draining"],
+            [("granted", "began")],
         )
 
 
--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -1,267 +1,447 @@
-"""The unit's own side, pure: it tells that it is ready, hears what it is to do, and begins only what it may.
-
-It says and hears everything by the one seam `propose`; each answer is dated by when it was asked for, on its own
-monotonic clock. A begin counts only if its yes came within `bound` of asking, less what the clock may drift: so a halt
-that the keepers took stops it after the bound, whether it is told, slow, stopped or cut off, and an answer that was
-long on its way is worth nothing. Without keepers it freezes: what serves goes on serving, what is out may come back by
-itself, and nothing begins.
-
-What it gives back are effects: ("say", token, command), ("drain", fence, build) no new work from here on, ("come",
-build) come back with that build, or with what there is if it is empty, ("serve",) take new work again at once.
+"""The unit's own side of a permit: it reports, takes orders, and begins only what it may. Pure.
+
+It says and hears everything as commands and replies; each reply is dated by when it was asked for,
+on the agent's own monotonic clock. A begin counts only if its confirmation came within `bound` of
+asking, less what the clock may drift: so a halt that the state machine took stops it after the
+bound, whether it is notified, slow, stopped or partitioned, and a reply that was delayed is worth
+nothing. Without the state machine it freezes: a unit that serves goes on serving, one that is
+unavailable may return by itself, and nothing begins.
 """
 
+from collections.abc import Callable
+from enum import StrEnum
+from typing import Any, NamedTuple, TypeAlias
+
+from ..interface.clock import Ticks
+from .commands import PART_NAME, CommandName
+from .permits import UnitStatus
+from .replies import OrderName
 from .targets import DisruptionSettings
 
-IN, BEGINNING, DRAINING, OUT, RETURNING, LEAVING = (
-    "in",
-    "beginning",
-    "draining",
-    "out",
-    "returning",
-    "leaving",
-)
-# (state, input) -> next state, effect. What is missing changes nothing.
-TURN = {
-    (IN, "begin"): (BEGINNING, "begin"),
-    (BEGINNING, "yes"): (DRAINING, "drain"),
-    (BEGINNING, "no"): (IN, "drop"),
-    (BEGINNING, "late"): (IN, "give"),
-    (BEGINNING, "return"): (IN, "give"),
-    (BEGINNING, "done"): (IN, "give"),
-    (DRAINING, "emptied"): (OUT, "tell"),
-    (DRAINING, "return"): (IN, "serve"),
-    (DRAINING, "done"): (IN, "serve"),
-    (OUT, "return"): (RETURNING, "come"),
-    (OUT, "done"): (RETURNING, "come"),
-    (OUT, "drain"): (OUT, "tell"),  # the keepers did not hear that it is empty
-    (IN, "drain"): (IN, "give"),
-    (IN, "stay"): (IN, "give"),  # nor that it gave up, or is home
-    (RETURNING, "drain"): (RETURNING, "give"),
-    (RETURNING, "stay"): (RETURNING, "give"),
-    (RETURNING, "ready"): (IN, "home"),
-    (RETURNING, "failed"): (RETURNING, "fail"),
-    # A build that never gets warm goes without having served.
-    (RETURNING, "begin"): (LEAVING, "begin"),
-    (LEAVING, "yes"): (OUT, "leave"),
-    (LEAVING, "no"): (RETURNING, "drop"),
-    (LEAVING, "late"): (RETURNING, "give"),
-    (LEAVING, "return"): (RETURNING, "give"),
-    (LEAVING, "ready"): (IN, "home"),
-    (LEAVING, "failed"): (RETURNING, "fail"),
+
+class AgentState(StrEnum):
+    """Where the unit stands by its own account."""
+
+    IN = "in"
+    BEGINNING = "beginning"
+    DRAINING = "draining"
+    OUT = "out"
+    RETURNING = "returning"
+    LEAVING = "leaving"
+
+
+class AgentInput(StrEnum):
+    """What happens to the agent; orders have the names of OrderName."""
+
+    BEGIN = "begin"
+    DRAIN = "drain"
+    STAY = "stay"
+    RETURN = "return"
+    YES = "yes"
+    NO = "no"
+    LATE = "late"
+    EMPTIED = "emptied"
+    DONE = "done"
+    READY = "ready"
+    FAILED = "failed"
+
+
+class AgentEffect(StrEnum):
+    """What a transition has the agent say or do."""
+
+    BEGIN = "begin"
+    DRAIN = "drain"
+    LEAVE = "leave"
+    DROP = "drop"
+    GIVE = "give"
+    TELL = "tell"
+    SERVE = "serve"
+    COME = "come"
+    HOME = "home"
+    FAIL = "fail"
+
+
+class AgentTransition(NamedTuple):
+    """What an input leads to.
+
+    Attributes:
+        state: the next state.
+        effect: what the agent says or does.
+    """
+
+    state: AgentState
+    effect: AgentEffect
+
+
+class ActionKind(StrEnum):
+    """What the process of the unit is to do; the first field of an action."""
+
+    SAY = "say"
+    DRAIN = "drain"
+    COME = "come"
+    SERVE = "serve"
+
+
+class SayAction(NamedTuple):
+    """Propose a command; its reply comes back with the token."""
+
+    kind: ActionKind
+    token: int
+    command: dict[str, Any]
+
+
+class DrainAction(NamedTuple):
+    """Take no new work from here on; `build` is the one to return with, or empty."""
+
+    kind: ActionKind
+    fence: int
+    build: str
+
+
+class ComeAction(NamedTuple):
+    """Return with that build, or with the one there is if it is empty."""
+
+    kind: ActionKind
+    build: str
+
+
+class ServeAction(NamedTuple):
+    """Take new work again at once."""
+
+    kind: ActionKind
+
+
+Action: TypeAlias = SayAction | DrainAction | ComeAction | ServeAction
+
+
+class SaidCommand(NamedTuple):
+    """A command without a reply.
+
+    Attributes:
+        at: when it was said, on the agent's clock.
+        name: which command it was.
+        fencing_token: the token of a begin, else 0.
+    """
+
+    at: Ticks
+    name: CommandName
+    fencing_token: int
+
+
+# An input that has no transition changes nothing.
+AGENT_TRANSITIONS: dict[tuple[AgentState, str], AgentTransition] = {
+    (state, event): AgentTransition(next_state, effect)
+    for state, event, next_state, effect in (
+        (AgentState.IN, AgentInput.BEGIN, AgentState.BEGINNING, AgentEffect.BEGIN),
+        (AgentState.BEGINNING, AgentInput.YES, AgentState.DRAINING, AgentEffect.DRAIN),
+        (AgentState.BEGINNING, AgentInput.NO, AgentState.IN, AgentEffect.DROP),
+        (AgentState.BEGINNING, AgentInput.LATE, AgentState.IN, AgentEffect.GIVE),
+        (AgentState.BEGINNING, AgentInput.RETURN, AgentState.IN, AgentEffect.GIVE),
+        (AgentState.BEGINNING, AgentInput.DONE, AgentState.IN, AgentEffect.GIVE),
+        (AgentState.DRAINING, AgentInput.EMPTIED, AgentState.OUT, AgentEffect.TELL),
+        (AgentState.DRAINING, AgentInput.RETURN, AgentState.IN, AgentEffect.SERVE),
+        (AgentState.DRAINING, AgentInput.DONE, AgentState.IN, AgentEffect.SERVE),
+        (AgentState.OUT, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.COME),
+        (AgentState.OUT, AgentInput.DONE, AgentState.RETURNING, AgentEffect.COME),
+        # The state machine did not hear that it is empty.
+        (AgentState.OUT, AgentInput.DRAIN, AgentState.OUT, AgentEffect.TELL),
+        # Nor that it gave up its permit, or has returned.
+        (AgentState.IN, AgentInput.DRAIN, AgentState.IN, AgentEffect.GIVE),
+        (AgentState.IN, AgentInput.STAY, AgentState.IN, AgentEffect.GIVE),
+        (AgentState.RETURNING, AgentInput.DRAIN, AgentState.RETURNING, AgentEffect.GIVE),
+        (AgentState.RETURNING, AgentInput.STAY, AgentState.RETURNING, AgentEffect.GIVE),
+        (AgentState.RETURNING, AgentInput.READY, AgentState.IN, AgentEffect.HOME),
+        (AgentState.RETURNING, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.FAIL),
+        # A build that never gets warm is replaced without having served.
+        (AgentState.RETURNING, AgentInput.BEGIN, AgentState.LEAVING, AgentEffect.BEGIN),
+        (AgentState.LEAVING, AgentInput.YES, AgentState.OUT, AgentEffect.LEAVE),
+        (AgentState.LEAVING, AgentInput.NO, AgentState.RETURNING, AgentEffect.DROP),
+        (AgentState.LEAVING, AgentInput.LATE, AgentState.RETURNING, AgentEffect.GIVE),
+        (AgentState.LEAVING, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.GIVE),
+        (AgentState.LEAVING, AgentInput.READY, AgentState.IN, AgentEffect.HOME),
+        (AgentState.LEAVING, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.FAIL),
+    )
 }
-STATUS = {
-    IN: "ready",
-    BEGINNING: "ready",
-    DRAINING: "out",
-    OUT: "out",
-    RETURNING: "cold",
-    LEAVING: "cold",
+# What the unit is reported as.
+REPORTED_STATUS = {
+    AgentState.IN: UnitStatus.READY,
+    AgentState.BEGINNING: UnitStatus.READY,
+    AgentState.DRAINING: UnitStatus.OUT,
+    AgentState.OUT: UnitStatus.OUT,
+    AgentState.RETURNING: UnitStatus.COLD,
+    AgentState.LEAVING: UnitStatus.COLD,
 }
-WAITING_MOST = 64  # questions without an answer that are remembered
-EPOCHS_MOST = 64
+# Commands without a reply that are remembered.
+MAX_WAITING = 64
+# Plans whose epochs are remembered.
+MAX_EPOCHS = 64
+# Reports within a bound.
+REPORTS_PER_BOUND = 4
 
 
 class DisruptionAgent:
-    def __init__(self, unit, start, build, terms=None, now=0, ready=True):
-        """start: a number that grows with each start of the process; `now` its monotonic clock."""
-        self.unit, self.start, self.build, self.terms = (
-            unit,
-            start,
-            build,
-            terms or DisruptionSettings(),
-        )
-        self.state, self.fault = IN if ready else RETURNING, None
-        self.heard_at, self.fresh = (
-            0,
-            None,
-        )  # agreed time heard last; when the newest answer was asked for
-        self.token, self.waiting = 0, {}  # token: (when it was said, what)
-        self.beat_at, self.fence, self.until, self.epoch, self.target = now, 0, 0, 0, ""
-        self.spent, self.epochs = 0, {}  # fencing numbers up to this one are worth nothing here
-        self.effects = []
-
-    def bound(self):
+    """The unit's own side of its permit.
+
+    Times are ticks of its own monotonic clock, save `heard_at`.
+
+    Attributes:
+        unit: the unit's name.
+        start: a number that grows with each start of the process.
+        build: the build it runs.
+        settings: what the operator set.
+        state: where it stands.
+        fault: why it can't return, or None.
+        heard_at: the last agreed time it heard.
+        fresh_at: when the newest command was said that has a reply, or None.
+        last_token: the token of the newest command.
+        waiting: commands without a reply by token.
+        next_report_at: when it reports next.
+        fencing_token: the token of the permit it has or had.
+        permit_until: when the permit lapses.
+        epoch: the epoch of the plan that requested the permit.
+        target_build: the build to return with, or empty.
+        spent_token: fencing tokens up to this one are worth nothing here.
+        epochs: the highest epochs of plans by which it was to begin.
+        actions: what the process is to do, not yet given back.
+    """
+
+    def __init__(  # noqa: PLR0917 - thymeknot/coordination passes them by position
+        self,
+        unit: str,
+        start: int,
+        build: str,
+        settings: DisruptionSettings | None = None,
+        now: Ticks = 0,
+        ready: bool = True,
+    ) -> None:
+        self.unit = unit
+        self.start = start
+        self.build = build
+        self.settings = settings or DisruptionSettings()
+        self.state = AgentState.IN if ready else AgentState.RETURNING
+        self.fault: str | None = None
+        self.heard_at: Ticks = 0
+        self.fresh_at: Ticks | None = None
+        self.last_token = 0
+        self.waiting: dict[int, SaidCommand] = {}
+        self.next_report_at = now
+        self.fencing_token = 0
+        self.permit_until: Ticks = 0
+        self.epoch = 0
+        self.target_build = ""
+        self.spent_token = 0
+        self.epochs: dict[str, int] = {}
+        self.actions: list[Action] = []
+        self._effects: dict[AgentEffect, Callable[[Ticks], None]] = {
+            AgentEffect.BEGIN: self._ask_to_begin,
+            AgentEffect.DRAIN: self._drain,
+            AgentEffect.LEAVE: self._leave,
+            AgentEffect.DROP: self._drop_permit,
+            AgentEffect.GIVE: self._give_up_permit,
+            AgentEffect.TELL: self._report_drained,
+            AgentEffect.SERVE: self._serve,
+            AgentEffect.COME: self._come,
+            AgentEffect.HOME: self._finish_return,
+            AgentEffect.FAIL: self._give_up_permit,
+        }
+
+    def bound(self) -> Ticks:
         """The bound on its own clock, less what that may be wrong by."""
-        return self.terms.bound - self.terms.bound * self.terms.drift // 1000
-
-    def frozen(self, now):
-        """Whether it was told nothing for its bound: it begins nothing."""
-        return self.fresh is None or now - self.fresh > self.bound()
-
-    # What happens to it; each gives the effects.
-
-    def due(self, now):
-        """Time goes on. To be called at least every quarter of the bound."""
-        if self.state in (BEGINNING, LEAVING) and now > self.until:
-            self._step("late", now)
-        if now >= self.beat_at:
-            self.beat_at = now + self.terms.bound // 4
-            if self.state in (BEGINNING, LEAVING):
-                self._ask_begin(now)  # the answer may be lost; the machine takes it twice
-            if self.state == RETURNING and self.fault:
-                self._give(now)  # until somebody comes: nobody else can tell why
+        return self.settings.bound - self.settings.bound * self.settings.drift // 1000
+
+    def frozen(self, now: Ticks) -> bool:
+        """Whether it heard no reply for its bound: it begins nothing."""
+        return self.fresh_at is None or now - self.fresh_at > self.bound()
+
+    # What happens to it; each gives what the process is to do.
+
+    def due(self, now: Ticks) -> list[Action]:
+        """Time goes on; to be called at least every quarter of the bound."""
+        if self._awaits_confirmation() and now > self.permit_until:
+            self._transition(AgentInput.LATE, now)
+        if now >= self.next_report_at:
+            self.next_report_at = now + self.settings.bound // REPORTS_PER_BOUND
+            if self._awaits_confirmation():
+                # The reply may be lost; the state machine takes a repeat.
+                self._ask_to_begin(now)
+            if self.state == AgentState.RETURNING and self.fault:
+                # Until somebody comes: nobody else can tell why.
+                self._give_up_permit(now)
             else:
-                self._see(now)
-        return self._taken()
+                self._report(now)
+        return self._take_actions()
 
-    def told(self, now, token, reply):
-        """An answer came. Unknown, repeated and foreign ones say nothing."""
+    def told(self, now: Ticks, token: int, reply: Any) -> list[Action]:
+        """A reply came; unknown and repeated ones, and those of another form, say nothing."""
         said = self.waiting.pop(token, None)
         if said is None or not isinstance(reply, dict):
-            return self._taken()
-        at, do, fence = said
+            return self._take_actions()
         self.heard_at = max(self.heard_at, reply.get("at", 0))
-        if self.fresh is None or at > self.fresh:
-            self.fresh = at
-        late = now - at > self.bound()
-        if do == "begin":
-            if self.state in (BEGINNING, LEAVING) and fence == self.fence:
-                # An order may have been told, held by a stop of this process, and be over: the clock decides.
-                late = late or now > self.until
-                self._step("late" if late else "yes" if reply.get("ok") else "no", now)
+        if self.fresh_at is None or said.at > self.fresh_at:
+            self.fresh_at = said.at
+        is_late = now - said.at > self.bound()
+        if said.name == CommandName.BEGIN:
+            self._take_confirmation(said, bool(reply.get("ok")), is_late, now)
         elif reply.get("ok"):
             order = reply.get("orders", {}).get(self.unit) or reply.get("order")
             if order:
-                self._ordered(order, at, late, now)
-        return self._taken()
+                self._take_order(order, said.at, is_late, now)
+        return self._take_actions()
 
-    def emptied(self, now):
-        """The last transaction that it had taken has its answer."""
-        self._step("emptied", now)
-        return self._taken()
+    def emptied(self, now: Ticks) -> list[Action]:
+        """The last request that it had taken has its response."""
+        self._transition(AgentInput.EMPTIED, now)
+        return self._take_actions()
 
-    def done(self, now, build=""):
-        """What it went out for is done, or given up: it comes back, with or without keepers."""
-        self.target = build
-        self._step("done", now)
-        return self._taken()
+    def done(self, now: Ticks, build: str = "") -> list[Action]:
+        """What it was disrupted for is done, or given up: it returns in any case."""
+        self.target_build = build
+        self._transition(AgentInput.DONE, now)
+        return self._take_actions()
 
-    def ready(self, now, build):
+    def ready(self, now: Ticks, build: str) -> list[Action]:
         """It serves again, warm."""
         self.build = build
-        self._step("ready", now)
-        return self._taken()
+        self._transition(AgentInput.READY, now)
+        return self._take_actions()
 
-    def failed(self, now, why):
-        """It can't come back, in a sentence."""
+    def failed(self, now: Ticks, why: str) -> list[Action]:
+        """It can't return, for a reason in a sentence."""
         self.fault = why
-        self._step("failed", now)
-        return self._taken()
+        self._transition(AgentInput.FAILED, now)
+        return self._take_actions()
 
     # Its parts.
 
-    def _taken(self):
-        effects, self.effects = self.effects, []
-        return effects
+    def _awaits_confirmation(self) -> bool:
+        return self.state in (AgentState.BEGINNING, AgentState.LEAVING)
 
-    def _say(self, now, command, fence=0):
-        self.token += 1
-        if len(self.waiting) >= WAITING_MOST:
-            del self.waiting[next(iter(self.waiting))]
-        self.waiting[self.token] = now, command["do"], fence
-        self.effects.append(("say", self.token, {"part": "turns", **command}))
-
-    def _see(self, now):
-        self._say(
-            now,
-            {
-                "do": "seen",
-                "as_of": self.heard_at,
-                "units": {self.unit: [STATUS[self.state], self.start, self.build]},
-            },
-        )
+    def _take_actions(self) -> list[Action]:
+        actions = self.actions
+        self.actions = []
+        return actions
 
-    def _ordered(self, order, at, late, now):
-        """An order of the keepers, asked for `at`. Where a drain begins its epoch and fencing number are checked."""
-        do, fence, plan, epoch = order["do"], order["fence"], order["plan"], order["epoch"]
-        if do == "begin":
-            if (
-                self.state not in (IN, RETURNING)
-                or late
-                or fence <= self.spent
-                or epoch < self.epochs.get(plan, 0)
-            ):
-                return
-            self.epochs.pop(plan, None)
-            if len(self.epochs) >= EPOCHS_MOST:
-                del self.epochs[next(iter(self.epochs))]
-            self.epochs[plan] = epoch
-            self.fence, self.epoch, self.target = fence, epoch, order["build"]
-            # The permit's rest counts from when it was asked for: the answer is not older than that.
-            self.until = at + min(
-                order["left"] - order["left"] * self.terms.drift // 1000, 2 * self.bound()
-            )
-            self._step("begin", now)
-        elif fence == self.fence or fence > self.fence and self.state in (IN, RETURNING):
-            self.fence = fence
-            if do == "return":
-                self.target = order["build"]
-            self._step(do, now)
-
-    def _step(self, what, now):
-        state, effect = TURN.get((self.state, what), (self.state, None))
-        if effect is None:
+    def _take_confirmation(
+        self, said: SaidCommand, confirmed: bool, is_late: bool, now: Ticks
+    ) -> None:
+        """The reply to a begin came."""
+        if not self._awaits_confirmation() or said.fencing_token != self.fencing_token:
             return
-        self.state = state
-        getattr(self, "_" + effect)(now)
+        # A reply may have been held by a stop of this process, and be over: the clock decides.
+        if is_late or now > self.permit_until:
+            self._transition(AgentInput.LATE, now)
+        else:
+            self._transition(AgentInput.YES if confirmed else AgentInput.NO, now)
+
+    def _take_order(self, order: dict[str, Any], at: Ticks, is_late: bool, now: Ticks) -> None:
+        """Takes an order that was asked for `at`."""
+        name = order["do"]
+        fencing_token = order["fence"]
+        if name == OrderName.BEGIN:
+            self._take_permit(order, at, is_late, now)
+        elif fencing_token == self.fencing_token or (
+            fencing_token > self.fencing_token
+            and self.state in (AgentState.IN, AgentState.RETURNING)
+        ):
+            self.fencing_token = fencing_token
+            if name == OrderName.RETURN:
+                self.target_build = order["build"]
+            self._transition(name, now)
+
+    def _take_permit(self, order: dict[str, Any], at: Ticks, is_late: bool, now: Ticks) -> None:
+        """Asks whether it may begin, unless the order's fencing token or epoch is over."""
+        fencing_token = order["fence"]
+        plan = order["plan"]
+        epoch = order["epoch"]
+        if (
+            self.state not in (AgentState.IN, AgentState.RETURNING)
+            or is_late
+            or fencing_token <= self.spent_token
+            or epoch < self.epochs.get(plan, 0)
+        ):
+            return
+        self.epochs.pop(plan, None)
+        if len(self.epochs) >= MAX_EPOCHS:
+            del self.epochs[next(iter(self.epochs))]
+        self.epochs[plan] = epoch
+        self.fencing_token = fencing_token
+        self.epoch = epoch
+        self.target_build = order["build"]
+        # What is left of the permit counts from when it was asked for: the reply is not older.
+        left = order["left"] - order["left"] * self.settings.drift // 1000
+        self.permit_until = at + min(left, 2 * self.bound())
+        self._transition(AgentInput.BEGIN, now)
+
+    def _transition(self, event: str, now: Ticks) -> None:
+        """Takes an AgentInput, or the name of an order; an unknown name changes nothing."""
+        step = AGENT_TRANSITIONS.get((self.state, event))
+        if step is not None:
+            self.state = step.state
+            self._effects[step.effect](now)
+
+    def _say(
+        self, now: Ticks, name: CommandName, fields: dict[str, Any], fencing_token: int = 0
+    ) -> None:
+        self.last_token += 1
+        if len(self.waiting) >= MAX_WAITING:
+            del self.waiting[next(iter(self.waiting))]
+        self.waiting[self.last_token] = SaidCommand(now, name, fencing_token)
+        command = {"part": PART_NAME, "do": name.value, **fields}
+        self.actions.append(SayAction(ActionKind.SAY, self.last_token, command))
+
+    def _report(self, now: Ticks) -> None:
+        report = [REPORTED_STATUS[self.state].value, self.start, self.build]
+        self._say(now, CommandName.SEEN, {"as_of": self.heard_at, "units": {self.unit: report}})
 
-    def _ask_begin(self, now):
+    def _ask_to_begin(self, now: Ticks) -> None:
         self._say(
             now,
+            CommandName.BEGIN,
             {
-                "do": "begin",
                 "unit": self.unit,
-                "fence": self.fence,
+                "fence": self.fencing_token,
                 "epoch": self.epoch,
                 "start": self.start,
             },
-            self.fence,
+            self.fencing_token,
         )
 
-    _begin = _ask_begin
+    def _add_drain(self) -> None:
+        self.spent_token = self.fencing_token
+        self.actions.append(DrainAction(ActionKind.DRAIN, self.fencing_token, self.target_build))
 
-    def _drain(self, now):
-        self.spent = self.fence
-        self.effects.append(("drain", self.fence, self.target))
-        self._see(now)
+    def _drain(self, now: Ticks) -> None:
+        self._add_drain()
+        self._report(now)
 
-    def _leave(self, now):
-        self.spent = self.fence
-        self.effects.append(("drain", self.fence, self.target))
-        self._tell(now)
+    def _leave(self, now: Ticks) -> None:
+        self._add_drain()
+        self._report_drained(now)
 
-    def _drop(self, now):
-        self.spent = self.fence
+    def _drop_permit(self, _now: Ticks) -> None:
+        self.spent_token = self.fencing_token
 
-    def _give(self, now):
-        """It did not begin, or is on its way home: the keepers have to know, since they may think that it is out."""
-        self.spent = max(self.spent, self.fence)
-        self._say(
-            now,
-            {
-                "do": "return",
-                "unit": self.unit,
-                "fence": self.fence,
-                **({"fault": self.fault} if self.fault else {}),
-            },
-        )
-        self._see(now)
+    def _give_up_permit(self, now: Ticks) -> None:
+        """It did not begin, or returns: the state machine may think that it is unavailable."""
+        self.spent_token = max(self.spent_token, self.fencing_token)
+        fields: dict[str, Any] = {"unit": self.unit, "fence": self.fencing_token}
+        if self.fault:
+            fields["fault"] = self.fault
+        self._say(now, CommandName.RETURN, fields)
+        self._report(now)
 
-    def _tell(self, now):
-        self._say(now, {"do": "out", "unit": self.unit, "fence": self.fence})
+    def _report_drained(self, now: Ticks) -> None:
+        self._say(now, CommandName.OUT, {"unit": self.unit, "fence": self.fencing_token})
 
-    def _serve(self, now):
-        self.effects.append(("serve",))
-        self._give(now)
+    def _serve(self, now: Ticks) -> None:
+        self.actions.append(ServeAction(ActionKind.SERVE))
+        self._give_up_permit(now)
 
-    def _come(self, now):
-        self.effects.append(("come", self.target))
+    def _come(self, now: Ticks) -> None:
+        self.actions.append(ComeAction(ActionKind.COME, self.target_build))
         self.fault = None
-        self._give(now)
-
-    def _home(self, now):
-        self.effects.append(("serve",))
-        self._see(now)
+        self._give_up_permit(now)
 
-    def _fail(self, now):
-        self._give(now)
+    def _finish_return(self, now: Ticks) -> None:
+        self.actions.append(ServeAction(ActionKind.SERVE))
+        self._report(now)
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -1,123 +1,251 @@
-"""Budgets: how many may be out at once, where. They nest and hold together: a unit goes out only if all that choose it
-have room.
+"""Disruption budgets: how many units may be unavailable at once, and where.
 
-A budget states one of `most` (a number), `share` (of those it chooses, rounded down) or `least` (so many stay ready).
-With `each` it holds for every value of that label by itself: `{"name": "racks", "each": "rack", "most": 1}`.
+Budgets nest and hold together: a unit may be disrupted only if every budget that chooses it has
+capacity. A budget states one of `most` (a number), `share` (of the units it chooses, rounded down)
+or `least` (so many stay ready). With `each` it holds for every value of that label by itself:
+`{"name": "racks", "each": "rack", "most": 1}`.
 """
 
-from .targets import LABELS, CommandRejectedError, chosen, named, selector, spoken
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any, NamedTuple
 
-BUDGETS_MOST = 64
-ROOMS_MOST = 16_384
-NAMED_MOST = 8  # units that a sentence names; a status has them all
-# kind: (what may be out of `size`, how it is said)
-KINDS = {
-    "most": (lambda amount, size: amount, "lets {amount} be out"),
-    "share": (lambda amount, size: int(amount * size + 1e-9), "lets {amount:g} of {size} be out"),
-    "least": (lambda amount, size: size - amount, "keeps {amount} of {size} ready"),
-}
+from ..interface.clock import Ticks
+from .targets import (
+    LABEL_NAMES,
+    CommandRejectedError,
+    Labels,
+    Selector,
+    describe_selector,
+    is_name,
+    matches,
+    parse_selector,
+)
 
+MAX_BUDGETS = 64
+# Places of all budgets together, one for each value of the label in `each`.
+MAX_BUDGET_USAGES = 16_384
+# Units that a sentence names; a status has them all.
+MAX_UNITS_NAMED = 8
+# The largest number that `most` and `least` take.
+MAX_AMOUNT = 1_000_000
+# Added before a share is rounded down, so that 0.1 of 30 is 3 in floating point too.
+ROUNDING_TOLERANCE = 1e-9
 
-class Room:
-    """A budget at one place: who belongs to it, who is out, and how many may be."""
+
+class BudgetKind(StrEnum):
+    """How a budget states its limit; the value is the key that states it."""
+
+    MOST = "most"
+    SHARE = "share"
+    LEAST = "least"
+
+
+@dataclass(frozen=True, slots=True)
+class Budget:
+    """A declared budget.
+
+    Attributes:
+        name: its name.
+        where: the units it chooses.
+        each: the label for each value of which it holds by itself, or None.
+        kind: how the limit is stated.
+        amount: the limit: a number of units, or a fraction for a share.
+    """
+
+    name: str
+    where: Selector
+    each: str | None
+    kind: BudgetKind
+    amount: float
+
+    @classmethod
+    def from_plain(cls, plain: dict[str, Any]) -> "Budget":
+        """Reads a budget out of a snapshot."""
+        return cls(
+            plain["name"],
+            plain["where"],
+            plain["each"],
+            BudgetKind(plain["kind"]),
+            plain["amount"],
+        )
+
+    def to_plain(self) -> dict[str, Any]:
+        """The budget as a snapshot has it."""
+        return {
+            "name": self.name,
+            "where": self.where,
+            "each": self.each,
+            "kind": self.kind.value,
+            "amount": self.amount,
+        }
+
+
+class BudgetUsage:
+    """A budget at one place: how many units belong to it, which are unavailable, how many may be.
+
+    Attributes:
+        name: the budget's name, with the label's value behind a slash if the budget has `each`.
+        where: the units that belong to it.
+        kind: how the limit is stated.
+        amount: the limit as stated.
+        size: how many units belong to it.
+        allowed: how many of them may be unavailable.
+        unavailable: names of those that are, in the order in which they became so.
+        reserved: capacity kept for the request that waited longest: 0 or 1.
+        within_limit: whether no more are unavailable than may be. False at first: no unit was seen
+            yet, which is no crash and exceeds nothing.
+        restored_at: agreed time from which it was within its limit.
+    """
 
     __slots__ = (
-        "name",
-        "where",
-        "kind",
+        "allowed",
         "amount",
+        "kind",
+        "name",
+        "reserved",
+        "restored_at",
         "size",
-        "allowed",
-        "outs",
-        "kept",
-        "whole",
-        "mended",
+        "unavailable",
+        "where",
+        "within_limit",
     )
 
-    def __init__(self, name, where, kind, amount):
-        self.name, self.where, self.kind, self.amount = name, where, kind, amount
-        self.size, self.allowed, self.outs, self.kept = 0, 0, {}, 0
-        self.whole, self.mended = (
-            False,
-            0,
-        )  # nobody was seen yet: that is no crash and breaks nothing
+    def __init__(self, name: str, where: Selector, kind: BudgetKind, amount: float) -> None:
+        self.name = name
+        self.where = where
+        self.kind = kind
+        self.amount = amount
+        self.size = 0
+        self.allowed: float = 0
+        self.unavailable: dict[str, bool] = {}
+        self.reserved = 0
+        self.within_limit = False
+        self.restored_at: Ticks = 0
 
-    def over(self):
-        return len(self.outs) > self.allowed
+    def is_exceeded(self) -> bool:
+        """Whether more units are unavailable than may be."""
+        return len(self.unavailable) > self.allowed
 
-    def full(self, name):
-        """Whether it would be over with this one out, and with what is kept for one that waited longest."""
-        return len(self.outs) + self.kept + (name not in self.outs) > self.allowed
+    def would_exceed(self, name: str) -> bool:
+        """Whether the limit is exceeded with this unit and the reserved capacity counted too."""
+        more = name not in self.unavailable
+        return len(self.unavailable) + self.reserved + more > self.allowed
 
-    def said(self):
-        return KINDS[self.kind][1].format(amount=self.amount, size=self.size)
+    def compute_allowed(self) -> float:
+        """How many of its units may be unavailable."""
+        if self.kind == BudgetKind.MOST:
+            return self.amount
+        if self.kind == BudgetKind.SHARE:
+            return int(self.amount * self.size + ROUNDING_TOLERANCE)
+        return self.size - self.amount
 
+    def describe_limit(self) -> str:
+        """The limit in words."""
+        if self.kind == BudgetKind.MOST:
+            return f"lets {self.amount} be out"
+        if self.kind == BudgetKind.SHARE:
+            return f"lets {self.amount:g} of {self.size} be out"
+        return f"keeps {self.amount} of {self.size} ready"
 
-def budget(given):
-    """A budget in its kept form. Raises Refusal with a sentence that names it."""
+
+class BudgetUsages(NamedTuple):
+    """The usage of all budgets.
+
+    Attributes:
+        by_name: every usage by its name.
+        by_unit: by unit's name the usages it belongs to, in the order of the budgets.
+    """
+
+    by_name: dict[str, BudgetUsage]
+    by_unit: dict[str, list[BudgetUsage]]
+
+
+def parse_budget(given: Any) -> Budget:
+    """Reads a declared budget.
+
+    Raises:
+        CommandRejectedError: the budget is malformed; the sentence names it.
+    """
     name = given.get("name") if isinstance(given, dict) else None
-    if not named(name):
+    if not isinstance(name, str) or not is_name(name):
         raise CommandRejectedError("a budget is a mapping with a name")
-    kinds = [kind for kind in KINDS if kind in given]
+    kinds = [kind for kind in BudgetKind if kind in given]
     if len(kinds) != 1 or set(given) - {"name", "where", "each", *kinds}:
         raise CommandRejectedError(
-            f"budget {name} needs exactly one of {', '.join(KINDS)}, and may have where and each",
+            f"budget {name} needs exactly one of {', '.join(BudgetKind)}, "
+            "and may have where and each",
             [name],
         )
-    kind, amount, each = kinds[0], given[kinds[0]], given.get("each")
-    if kind == "share":
-        # A whole number of a share is most often a percentage that was meant: 10 would be a thousand in a hundred.
+    kind = kinds[0]
+    amount = given[kind]
+    each = given.get("each")
+    _check_amount(name, kind, amount)
+    if each is not None and each not in LABEL_NAMES:
+        raise CommandRejectedError(
+            f"budget {name}: each is one of {', '.join(LABEL_NAMES)}", [name]
+        )
+    return Budget(name, parse_selector(given.get("where", {})), each, kind, amount)
+
+
+def _check_amount(name: str, kind: BudgetKind, amount: object) -> None:
+    if kind == BudgetKind.SHARE:
+        # A whole number is most often a percentage that was meant: 10 would be ten times all.
         if not isinstance(amount, float) or not 0 < amount < 1:
             raise CommandRejectedError(
                 f"budget {name}: a share is a fraction over 0 and under 1", [name]
             )
-    elif isinstance(amount, bool) or not isinstance(amount, int) or not 0 <= amount <= 1_000_000:
+    elif isinstance(amount, bool) or not isinstance(amount, int) or not 0 <= amount <= MAX_AMOUNT:
         raise CommandRejectedError(f"budget {name}: {kind} is a whole number", [name])
-    if each is not None and each not in LABELS:
-        raise CommandRejectedError(f"budget {name}: each is one of {', '.join(LABELS)}", [name])
-    return {
-        "name": name,
-        "where": selector(given.get("where", {})),
-        "each": each,
-        "kind": kind,
-        "amount": amount,
-    }
-
-
-def rooms(budgets, units):
-    """All rooms by name, and by unit's name those that choose it; `units` maps names to labels. Raises Refusal with a
-    sentence that names the budget which can't be kept or would let nobody out ever: a release would wait for it."""
-    made, of = {}, {name: [] for name in units}
-    for one in budgets:
-        found = False
-        for name in sorted(units):
-            if (
-                not chosen(one["where"], units[name])
-                or one["each"]
-                and one["each"] not in units[name]
-            ):
-                continue
-            found, where, label = True, one["where"], one["name"]
-            if one["each"]:
-                value = units[name][one["each"]]
-                where, label = [*where, [one["each"], [value]]], f"{label}/{value}"
-            room = made.setdefault(label, Room(label, where, one["kind"], one["amount"]))
-            room.size += 1
-            of[name].append(room)
-        if not found:
-            raise CommandRejectedError(
-                f"budget {one['name']} chooses no unit: {spoken(one['where'])}", [one["name"]]
-            )
-    if len(made) > ROOMS_MOST:
+
+
+def build_usages(budgets: list[Budget], units: dict[str, Labels]) -> BudgetUsages:
+    """Makes the usages of all budgets over units, given as labels by name; nobody is unavailable.
+
+    Raises:
+        CommandRejectedError: a budget chooses no unit, there are too many places, or a budget
+            would never let a unit be disrupted, so that a release would wait for it for ever.
+    """
+    usages = BudgetUsages({}, {name: [] for name in units})
+    for budget in budgets:
+        _add_usages(budget, units, usages)
+    if len(usages.by_name) > MAX_BUDGET_USAGES:
         raise CommandRejectedError(
-            f"the budgets make {len(made)} places of their own; at most {ROOMS_MOST}"
+            f"the budgets make {len(usages.by_name)} places of their own; "
+            f"at most {MAX_BUDGET_USAGES}"
         )
-    for room in made.values():
-        room.allowed = KINDS[room.kind][0](room.amount, room.size)
-        if room.allowed < 1:
+    for usage in usages.by_name.values():
+        usage.allowed = usage.compute_allowed()
+        if usage.allowed < 1:
             raise CommandRejectedError(
-                f"budget {room.name} is impossible: it {room.said()}, and it has {room.size}, "
-                "so nobody could ever go out; to stop all, halt",
-                [room.name],
+                f"budget {usage.name} is impossible: it {usage.describe_limit()}, and it has "
+                f"{usage.size}, so nobody could ever go out; to stop all, halt",
+                [usage.name],
             )
-    return made, of
+    return usages
+
+
+def _add_usages(budget: Budget, units: dict[str, Labels], usages: BudgetUsages) -> None:
+    """Adds the places of one budget and enters the units that belong to them."""
+    found = False
+    for name in sorted(units):
+        labels = units[name]
+        if not matches(budget.where, labels) or (budget.each and budget.each not in labels):
+            continue
+        found = True
+        where = budget.where
+        usage_name = budget.name
+        if budget.each:
+            value = labels[budget.each]
+            where = [*where, [budget.each, [value]]]
+            usage_name = f"{usage_name}/{value}"
+        usage = usages.by_name.setdefault(
+            usage_name, BudgetUsage(usage_name, where, budget.kind, budget.amount)
+        )
+        usage.size += 1
+        usages.by_unit[name].append(usage)
+    if not found:
+        raise CommandRejectedError(
+            f"budget {budget.name} chooses no unit: {describe_selector(budget.where)}",
+            [budget.name],
+        )
--- a/thymeknot/disruption/halts.py
+++ b/thymeknot/disruption/halts.py
@@ -1,103 +1,205 @@
-"""Halts: what stops, why, and what ends it. A halt holds asks, ends permits that were not begun, and stops releases.
-It never holds one that is out from coming back."""
-
-from .targets import CommandRejectedError, chosen, spoken
-
-HALTS_MOST = 256
-# cause: (holds the asks of ways back, stops ways back of releases, ends when its budget is whole again). A budget that
-# is broken in the middle of a way back must not stop it: those who broke it may be the very ones that have to go back.
-CAUSES = {
-    "operator": (True, True, False),
-    "vote": (True, True, False),
-    "budget": (False, False, True),
-    "crashes": (False, False, False),
-    "gang": (True, True, False),
-    "class": (True, True, False),
+"""Halts: what stops, why, and what ends it.
+
+A halt holds requests, ends permits that were not begun, and stops releases. It never holds a unit
+that is unavailable from returning.
+"""
+
+from enum import StrEnum
+from typing import TYPE_CHECKING, Any, NamedTuple
+
+from ..interface.clock import Ticks
+from .targets import CommandRejectedError, Labels, Selector, describe_selector, matches
+
+if TYPE_CHECKING:
+    from .fleet import Fleet
+    from .permits import Unit
+    from .release import Release
+
+MAX_HALTS = 256
+
+
+class HaltCause(StrEnum):
+    """Why a halt was ordered."""
+
+    OPERATOR = "operator"
+    VOTE = "vote"
+    BUDGET = "budget"
+    CRASHES = "crashes"
+    GANG = "gang"
+    CLASS = "class"
+
+
+class CauseRules(NamedTuple):
+    """What a halt of a cause does.
+
+    Attributes:
+        holds_rollback_requests: whether it holds the requests of rollbacks too.
+        stops_rollbacks: whether it stops the rollbacks of releases too.
+        ends_with_budget: whether it ends when its budget is within its limit again.
+    """
+
+    holds_rollback_requests: bool
+    stops_rollbacks: bool
+    ends_with_budget: bool
+
+
+# A budget that is exceeded in the middle of a rollback must not stop it: the units that exceed it
+# may be the very ones that have to be rolled back.
+CAUSE_RULES = {
+    HaltCause.OPERATOR: CauseRules(True, True, False),
+    HaltCause.VOTE: CauseRules(True, True, False),
+    HaltCause.BUDGET: CauseRules(False, False, True),
+    HaltCause.CRASHES: CauseRules(False, False, False),
+    HaltCause.GANG: CauseRules(True, True, False),
+    HaltCause.CLASS: CauseRules(True, True, False),
 }
 
 
-class Halt:
-    __slots__ = ("number", "where", "release", "room", "cause", "why", "by", "at")
+class Halt(NamedTuple):
+    """A halt that stands; the fields are in the order in which a snapshot has them.
+
+    Attributes:
+        number: its number; a later halt has a higher one.
+        where: the units it holds, or None if it is of a release.
+        release: the release it holds, or None.
+        budget: the name of the budget usage whose excess caused it, or None.
+        cause: why it was ordered.
+        why: the reason in words.
+        by: who ordered it.
+        at: agreed time at which it was ordered.
+    """
+
+    number: int
+    where: Selector | None
+    release: str | None
+    budget: str | None
+    cause: HaltCause
+    why: str
+    by: str
+    at: Ticks
 
-    def __init__(self, number, where, release, room, cause, why, by, at):
-        self.number, self.where, self.release, self.room = number, where, release, room
-        self.cause, self.why, self.by, self.at = cause, why, by, at
+    @classmethod
+    def from_plain(cls, plain: list[Any]) -> "Halt":
+        """Reads a halt out of a snapshot."""
+        number, where, release, budget, cause, why, by, at = plain
+        return cls(number, where, release, budget, HaltCause(cause), why, by, at)
 
-    def plain(self):
-        return [getattr(self, name) for name in self.__slots__]
+    def to_plain(self) -> list[Any]:
+        """The halt as a snapshot has it."""
+        return list(self._replace(cause=self.cause.value))  # type: ignore[arg-type]  # plain text
 
-    def sentence(self):
-        where = f"release {self.release}" if self.release else spoken(self.where)
+    def describe(self) -> str:
+        """The halt in a sentence."""
+        where = f"release {self.release}" if self.release else describe_selector(self.where or [])
         return f"halt {self.number} by {self.by} of {where}: {self.why}"
 
 
 class Halts:
-    def __init__(self):
-        self.number, self.all = 0, {}
+    """All halts that stand, by number, in the order in which they were ordered."""
 
-    def add(self, at, cause, why, by, where=None, release=None, room=None):
-        """One more, or the one that already says the same. Raises Refusal if there are too many to keep."""
-        for halt in self.all.values():
-            if (halt.cause, halt.where, halt.release, halt.room, halt.by) == (
+    def __init__(self) -> None:
+        self.last_number = 0
+        self.by_number: dict[int, Halt] = {}
+
+    def add(
+        self,
+        at: Ticks,
+        cause: HaltCause,
+        why: str,
+        by: str,
+        *,
+        where: Selector | None = None,
+        release: str | None = None,
+        budget: str | None = None,
+    ) -> Halt:
+        """Adds a halt. One that says the same takes the place of the earlier one.
+
+        Raises:
+            CommandRejectedError: too many halts stand.
+        """
+        for halt in self.by_number.values():
+            if (halt.cause, halt.where, halt.release, halt.budget, halt.by) == (
                 cause,
                 where,
                 release,
-                room,
+                budget,
                 by,
             ):
-                # Said again it is newer: a way back that was ordered before it stops too.
-                del self.all[halt.number]
+                # Repeated it is newer: a rollback that was ordered before it stops too.
+                del self.by_number[halt.number]
                 break
         else:
-            if len(self.all) >= HALTS_MOST:
+            if len(self.by_number) >= MAX_HALTS:
                 raise CommandRejectedError(
-                    f"{HALTS_MOST} halts stand already; one of all units needs no more beside it"
+                    f"{MAX_HALTS} halts stand already; one of all units needs no more beside it"
                 )
-        self.number += 1
-        halt = self.all[self.number] = Halt(self.number, where, release, room, cause, why, by, at)
+        self.last_number += 1
+        halt = Halt(self.last_number, where, release, budget, cause, why, by, at)
+        self.by_number[self.last_number] = halt
         return halt
 
-    def holding(self, unit, release):
-        """The halt that holds a unit's ask, or None. `release`: the one that asks, whose way back was ordered in
-        knowledge of all halts up to its `knows`."""
-        ask = unit.ask
-        for halt in self.all.values():
-            if ask.back and (not CAUSES[halt.cause][0] or release and halt.number <= release.knows):
+    def find_holding(self, unit: "Unit", release: "Release | None") -> Halt | None:
+        """The first halt that holds a unit's request, or None.
+
+        Args:
+            unit: a unit with a request.
+            release: the release that requests, or None. Its rollback was ordered in knowledge of
+                all halts up to its `last_known_halt`.
+        """
+        request = unit.request
+        for halt in self.by_number.values():
+            if (
+                request is not None
+                and request.rollback
+                and (
+                    not CAUSE_RULES[halt.cause].holds_rollback_requests
+                    or (release and halt.number <= release.last_known_halt)
+                )
+            ):
                 continue
             if halt.release is not None:
                 if release and halt.release == release.name:
                     return halt
-            elif chosen(halt.where, unit.labels):
+            elif matches(halt.where or [], unit.labels):
                 return halt
         return None
 
-    def stopping(self, release, labels, back):
-        """The halt that stops a release with units of these labels, or None."""
-        for halt in self.all.values():
-            if (
-                CAUSES[halt.cause][2]
-                or back
-                and (not CAUSES[halt.cause][1] or halt.number <= release.knows)
+    def find_stopping(
+        self, release: "Release", unit_labels: list[Labels], rollback: bool
+    ) -> Halt | None:
+        """The first halt that stops a release with units of these labels, or None."""
+        for halt in self.by_number.values():
+            rules = CAUSE_RULES[halt.cause]
+            if rules.ends_with_budget or (
+                rollback and (not rules.stops_rollbacks or halt.number <= release.last_known_halt)
             ):
                 continue
-            if (
-                halt.release == release.name
-                or halt.release is None
-                and any(chosen(halt.where, one) for one in labels)
+            if halt.release == release.name or (
+                halt.release is None
+                and any(matches(halt.where or [], labels) for labels in unit_labels)
             ):
                 return halt
         return None
 
-    def mend(self, fleet):
-        """Ends the halts of budgets that are whole again for long enough, or are no more."""
-        for halt in [one for one in self.all.values() if CAUSES[one.cause][2]]:
-            room = fleet.rooms.get(halt.room)
-            if room is None or room.whole and fleet.at - room.mended >= fleet.terms.rest:
-                del self.all[halt.number]
-                fleet.freed = True
+    def end_restored(self, fleet: "Fleet") -> None:
+        """Ends the halts of budgets that are restored for long enough, or are no more."""
+        ending = [
+            halt for halt in self.by_number.values() if CAUSE_RULES[halt.cause].ends_with_budget
+        ]
+        for halt in ending:
+            usage = fleet.usages.get(halt.budget or "")
+            if usage is None or (
+                usage.within_limit and fleet.at - usage.restored_at >= fleet.settings.rest
+            ):
+                del self.by_number[halt.number]
+                fleet.capacity_freed = True
 
-    def image(self):
-        return [self.number, [halt.plain() for _, halt in sorted(self.all.items())]]
+    def to_plain(self) -> list[Any]:
+        """The halts as a snapshot has them."""
+        halts = [halt.to_plain() for _, halt in sorted(self.by_number.items())]
+        return [self.last_number, halts]
 
-    def load(self, image):
-        self.number, self.all = image[0], {plain[0]: Halt(*plain) for plain in image[1]}
+    def load(self, plain: list[Any]) -> None:
+        """Takes the halts of a snapshot in place of its own."""
+        self.last_number = plain[0]
+        self.by_number = {halt[0]: Halt.from_plain(halt) for halt in plain[1]}
--- a/thymeknot/disruption/permits.py
+++ b/thymeknot/disruption/permits.py
@@ -1,319 +1,285 @@
-"""A unit's life, and what counts as out.
+"""A unit's permit: its states and transitions, the request for it, and the evidence of readiness.
 
-The life is a table; a short loop reads it. Where a unit stands in it says what was permitted; whether it serves is
-another matter, and only evidence tells: a unit counts as ready if it is in (or asked), was seen ready, not longer ago
-than `silent`, and after the last doubt. Everybody else is out: crashed, silent, unknown, cold, permitted, lapsed.
+A permit is a lease with a fencing token. The state says what was permitted; whether a unit serves
+is another matter, and only evidence tells: a unit counts as ready if it is in service (or requested
+a permit) and was seen ready, not longer ago than `silent`, and after the last doubt. Every other
+unit is unavailable: crashed, silent, unknown, warming up, permitted, or with a lapsed permit.
 
-Evidence is dated by `as_of`, the last agreed time that the observer had heard when it looked. So it can't be younger
-than it says: a report that was long on its way, or waits in a retry, proves nothing about a unit that went out since.
+Evidence is dated by `as_of`, the last agreed time that the observer had heard when it looked. So it
+can't be younger than it says: a report that was delayed, or is retried, proves nothing about a unit
+that was disrupted since.
 """
 
-from heapq import heapify, heappop, heappush
+from dataclasses import dataclass
+from enum import StrEnum
+from typing import Any, NamedTuple
 
-from .budgets import rooms
-from .targets import DisruptionSettings
+from ..interface.clock import Ticks
+from .budgets import BudgetUsage
+from .targets import Labels
 
-IN, ASKED, GRANTED, DRAINING, OUT, RETURNING = (
-    "in",
-    "asked",
-    "granted",
-    "draining",
-    "out",
-    "returning",
+
+class PermitState(StrEnum):
+    """Where a unit stands with its permit."""
+
+    IN = "in"
+    ASKED = "asked"
+    GRANTED = "granted"
+    DRAINING = "draining"
+    OUT = "out"
+    RETURNING = "returning"
+
+
+class PermitInput(StrEnum):
+    """What happens to a unit's permit."""
+
+    ASKED = "asked"
+    GRANTED = "granted"
+    TURNED = "turned"
+    BEGAN = "began"
+    LAPSED = "lapsed"
+    RESTARTED = "restarted"
+    HALTED = "halted"
+    EMPTIED = "emptied"
+    RETURNED = "returned"
+    FAILED = "failed"
+    READY = "ready"
+
+
+class PermitEffect(StrEnum):
+    """What a transition does to the unit beside its state."""
+
+    QUEUE = "queue"
+    PERMIT = "permit"
+    FORGET = "forget"
+    DOUBT = "doubt"
+    WAIT = "wait"
+    DRAIN = "drain"
+    REST = "rest"
+    CALL = "call"
+    NAME = "name"
+    HOME = "home"
+
+
+class UnitStatus(StrEnum):
+    """What an observer reports of a unit."""
+
+    READY = "ready"
+    COLD = "cold"
+    OUT = "out"
+    GONE = "gone"
+
+
+class PermitTransition(NamedTuple):
+    """What an input leads to.
+
+    Attributes:
+        state: the next state.
+        effect: what is done to the unit.
+    """
+
+    state: PermitState
+    effect: PermitEffect
+
+
+# States in which a unit has a permit.
+PERMITTED_STATES = (
+    PermitState.GRANTED,
+    PermitState.DRAINING,
+    PermitState.OUT,
+    PermitState.RETURNING,
 )
-HELD = (GRANTED, DRAINING, OUT, RETURNING)  # states with a permit
-STATUSES = ("ready", "cold", "out", "gone")
-# (state, input) -> next state, effect. What is missing changes nothing. Nothing leads to draining but a checked begin.
-LIFE = {
-    (IN, "asked"): (ASKED, "queue"),
-    (ASKED, "granted"): (GRANTED, "permit"),
-    (ASKED, "turned"): (IN, "forget"),
-    (GRANTED, "began"): (DRAINING, "drain"),
-    (GRANTED, "lapsed"): (IN, "doubt"),
-    (GRANTED, "turned"): (IN, "doubt"),
-    (GRANTED, "restarted"): (IN, "doubt"),
-    (GRANTED, "halted"): (ASKED, "wait"),
-    (DRAINING, "emptied"): (OUT, "rest"),
-    (DRAINING, "turned"): (RETURNING, "call"),
-    (DRAINING, "returned"): (RETURNING, "call"),
-    (DRAINING, "restarted"): (RETURNING, "call"),
-    (OUT, "turned"): (RETURNING, "call"),
-    (OUT, "returned"): (RETURNING, "call"),
-    (OUT, "restarted"): (RETURNING, "call"),
-    (RETURNING, "failed"): (RETURNING, "name"),
-    (RETURNING, "ready"): (IN, "home"),
+# An input that has no transition changes nothing. Only a checked begin leads to draining.
+PERMIT_TRANSITIONS = {
+    (state, event): PermitTransition(next_state, effect)
+    for state, event, next_state, effect in (
+        (PermitState.IN, PermitInput.ASKED, PermitState.ASKED, PermitEffect.QUEUE),
+        (PermitState.ASKED, PermitInput.GRANTED, PermitState.GRANTED, PermitEffect.PERMIT),
+        (PermitState.ASKED, PermitInput.TURNED, PermitState.IN, PermitEffect.FORGET),
+        (PermitState.GRANTED, PermitInput.BEGAN, PermitState.DRAINING, PermitEffect.DRAIN),
+        (PermitState.GRANTED, PermitInput.LAPSED, PermitState.IN, PermitEffect.DOUBT),
+        (PermitState.GRANTED, PermitInput.TURNED, PermitState.IN, PermitEffect.DOUBT),
+        (PermitState.GRANTED, PermitInput.RESTARTED, PermitState.IN, PermitEffect.DOUBT),
+        (PermitState.GRANTED, PermitInput.HALTED, PermitState.ASKED, PermitEffect.WAIT),
+        (PermitState.DRAINING, PermitInput.EMPTIED, PermitState.OUT, PermitEffect.REST),
+        (PermitState.DRAINING, PermitInput.TURNED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.DRAINING, PermitInput.RETURNED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.DRAINING, PermitInput.RESTARTED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.OUT, PermitInput.TURNED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.OUT, PermitInput.RETURNED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.OUT, PermitInput.RESTARTED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.RETURNING, PermitInput.FAILED, PermitState.RETURNING, PermitEffect.NAME),
+        (PermitState.RETURNING, PermitInput.READY, PermitState.IN, PermitEffect.HOME),
+    )
 }
 
 
-class Ask:
-    """Somebody wants it out: since when, how urgently (0 to 9), for which plan and epoch, whether on a way back."""
+@dataclass(slots=True)
+class PermitRequest:
+    """A request for a permit.
 
-    __slots__ = ("at", "urgency", "plan", "epoch", "back", "build")
+    Attributes:
+        at: agreed time of the request.
+        urgency: 0 to 9; each degree counts as some age.
+        plan: the plan that requests.
+        epoch: the plan's epoch.
+        rollback: whether the unit is to be disrupted for a rollback.
+        build: the build it is to return with, or empty.
+    """
 
-    def __init__(self, at, urgency, plan, epoch, back=False, build=""):
-        self.at, self.urgency, self.plan, self.epoch, self.back, self.build = (
-            at,
-            urgency,
-            plan,
-            epoch,
-            back,
-            build,
-        )
+    at: Ticks
+    urgency: int
+    plan: str
+    epoch: int
+    rollback: bool = False
+    build: str = ""
 
-    def plain(self):
-        return [self.at, self.urgency, self.plan, self.epoch, self.back, self.build]
+    def to_plain(self) -> list[Any]:
+        """The request as a snapshot has it; its parts are the constructor's arguments."""
+        return [self.at, self.urgency, self.plan, self.epoch, self.rollback, self.build]
 
 
 class Unit:
+    """A unit, its permit, and what was reported of it.
+
+    Attributes:
+        name: its name.
+        labels: its labels.
+        state: where it stands with its permit.
+        since: agreed time at which it came to that state.
+        request: the request it has or was granted; None only in service.
+        fencing_token: the token of its newest permit, 0 if it never had one.
+        permit_until: agreed time at which the permit lapses if it was not begun.
+        lapsed_permits: how many permits lapsed since one was begun.
+        reported_at: date of the last report, -1 if there was none.
+        ready_at: date of the last report of it as ready, -1 if there was none.
+        start: number of its process' start, -1 if it was never reported.
+        build: the build it runs, empty if it never said so.
+        status: what was reported last.
+        doubted_at: agreed time up to which reports prove nothing, -1 if there is none.
+        fault: why it can't return, or empty.
+        usages: the budget usages it belongs to.
+        silence_queued: whether its silence is awaited in the fleet's queue.
+    """
+
     __slots__ = (
-        "name",
-        "labels",
-        "state",
-        "since",
-        "ask",
-        "fence",
-        "until",
-        "tries",
-        "told",
-        "seen",
-        "start",
         "build",
-        "status",
-        "doubt",
+        "doubted_at",
         "fault",
-        "rooms",
-        "queued",
-    )
-    KEPT = (
-        "state",
+        "fencing_token",
+        "labels",
+        "lapsed_permits",
+        "name",
+        "permit_until",
+        "ready_at",
+        "reported_at",
+        "request",
+        "silence_queued",
         "since",
-        "fence",
-        "until",
-        "tries",
-        "told",
-        "seen",
         "start",
-        "build",
+        "state",
         "status",
-        "doubt",
-        "fault",
+        "usages",
     )
 
-    def __init__(self, name, labels):
-        self.name, self.labels, self.state, self.since = name, labels, IN, 0
-        self.ask, self.fence, self.until, self.tries = None, 0, 0, 0
-        self.told = self.seen = (
-            self.doubt
-        ) = -1  # dates of the last report, of the last as ready, of the last doubt
-        self.start, self.build, self.status, self.fault = -1, "", "gone", ""
-        self.rooms, self.queued = [], False
-
-    def evident(self, at, silent):
-        """Seen ready, lately and since the last doubt, whatever was permitted."""
-        return self.status == "ready" and self.seen > self.doubt and self.seen + silent > at
-
-    def ready(self, at, silent):
-        return self.state in (IN, ASKED) and self.evident(at, silent)
-
-    def idle(self, at, silent):
-        """Told lately not to serve. Silence is not that: behind a cut it may serve, and would go when it ends."""
-        return self.status != "ready" and self.told >= 0 and self.told + silent > at
-
-    def why(self, at, silent):
-        """In a word why it counts as out."""
-        if self.state in HELD:
-            return self.state
-        if self.told < 0:
+    def __init__(self, name: str, labels: Labels) -> None:
+        self.name = name
+        self.labels = labels
+        self.state = PermitState.IN
+        self.since: Ticks = 0
+        self.request: PermitRequest | None = None
+        self.fencing_token = 0
+        self.permit_until: Ticks = 0
+        self.lapsed_permits = 0
+        self.reported_at: Ticks = -1
+        self.ready_at: Ticks = -1
+        self.doubted_at: Ticks = -1
+        self.start = -1
+        self.build = ""
+        self.status = UnitStatus.GONE
+        self.fault = ""
+        self.usages: list[BudgetUsage] = []
+        self.silence_queued = False
+
+    @property
+    def granted_request(self) -> PermitRequest:
+        """The request of a unit that is not in service without one."""
+        if self.request is None:
+            raise ValueError(f"unit {self.name} is {self.state} and has no request")
+        return self.request
+
+    def is_seen_ready(self, at: Ticks, silent: Ticks) -> bool:
+        """Whether it was seen ready lately and since the last doubt, whatever was permitted."""
+        return (
+            self.status == UnitStatus.READY
+            and self.ready_at > self.doubted_at
+            and self.ready_at + silent > at
+        )
+
+    def is_ready(self, at: Ticks, silent: Ticks) -> bool:
+        """Whether it counts as ready; every other unit is unavailable."""
+        return self.state in (PermitState.IN, PermitState.ASKED) and self.is_seen_ready(at, silent)
+
+    def is_idle(self, at: Ticks, silent: Ticks) -> bool:
+        """Whether it was reported lately not to serve.
+
+        Silence proves no such thing: behind a partition it may serve, and would be disrupted when
+        the partition heals.
+        """
+        return (
+            self.status != UnitStatus.READY
+            and self.reported_at >= 0
+            and self.reported_at + silent > at
+        )
+
+    def describe_unavailability(self, at: Ticks, silent: Ticks) -> str:
+        """Why it counts as unavailable, in a word or a few."""
+        if self.state in PERMITTED_STATES:
+            return self.state.value
+        if self.reported_at < 0:
             return "unknown"
-        if self.status != "ready":
-            return self.status
-        return "silent" if self.seen + silent <= at else "not seen since its permit ended"
-
-
-class Fleet:
-    """All units, who of them is out by room, and the fencing number that never comes twice."""
-
-    def __init__(self):
-        self.at, self.fence, self.terms = 0, 0, DisruptionSettings()
-        self.units, self.budgets, self.rooms = {}, [], {}
-        self.asked, self.held, self.silences = {}, {}, []
-        self.freed, self.broken, self.heard = True, [], -1
-
-    # What the operator declares.
-
-    def declare(self, units, budgets):
-        """Takes units (labels by name, all of them) and budgets in kept form. Raises Refusal and changes nothing."""
-        made, of = rooms(budgets, units)
-        for name in [name for name in self.units if name not in units]:
-            unit = self.units.pop(name)
-            self.asked.pop(unit.name, None)
-        for name, given in units.items():
-            unit = self.units.get(name) or self.units.setdefault(name, Unit(name, given))
-            unit.labels, unit.rooms = given, of[name]
-        self.budgets, self.rooms, self.freed = budgets, made, True
-        for unit in self.units.values():
-            self.count(unit)
-        for room in made.values():
-            room.whole, room.mended = not room.over(), self.at
-        self.broken = []
-
-    # What counts as out.
-
-    def count(self, unit):
-        """Brings its rooms up to what it now counts as."""
-        out = not unit.ready(self.at, self.terms.silent)
-        for room in unit.rooms:
-            if out and unit.name not in room.outs:
-                room.outs[unit.name] = True
-                if room.whole and room.over():
-                    room.whole = False
-                    self.broken.append(room)
-            elif not out and unit.name in room.outs:
-                del room.outs[unit.name]
-                self.freed = True
-                if not room.whole and not room.over():
-                    room.whole, room.mended = True, self.at
-        if not out and not unit.queued:
-            unit.queued = True
-            heappush(self.silences, (unit.seen + self.terms.silent, unit.name))
-
-    def over(self, unit):
-        """The first budget of a unit that is broken, or None."""
-        return next((room for room in unit.rooms if room.over()), None)
-
-    def pass_time(self, at):
-        """Agreed time goes on: who was silent too long counts as out, permits that nobody began lapse. Their room
-        stays taken: the holder may be draining behind a cut."""
-        self.at = max(self.at, at)
-        while self.silences and self.silences[0][0] <= self.at:
-            unit = self.units.get(heappop(self.silences)[1])
-            if unit is None:
-                continue
-            unit.queued = False
-            self.count(unit)
-        if self.at - self.heard >= self.terms.silent:
-            # Nobody at all was heard: it is the observers that are lost. All count as out; no crash broke a budget.
-            self.broken = []
-        for unit in [
-            one for one in self.held.values() if one.state == GRANTED and one.until <= self.at
-        ]:
-            unit.tries += 1
-            self.step(unit, "lapsed")
-
-    def look(self, unit, as_of, status, start, build):
-        """Takes what an observer saw. Older reports than the last, or of an earlier start, say nothing."""
-        if start < unit.start or as_of < unit.told:
-            return
-        if start > unit.start:
-            restarted, unit.start = unit.start >= 0, start
-            if restarted:
-                # What was seen of the former start says nothing of this one.
-                unit.seen, unit.status = -1, "cold"
-                self.step(unit, "restarted")
-        unit.told, unit.status = as_of, status
-        if build:
-            unit.build = build
-        elif status == "ready" and unit.state == RETURNING and unit.ask.build:
-            unit.build = (
-                unit.ask.build
-            )  # one that does not tell its build has the one it went out for
-        if status == "ready":
-            unit.seen = as_of
-            if unit.evident(self.at, self.terms.silent):
-                self.step(unit, "ready")
-        self.count(unit)
-
-    # The life.
-
-    def step(self, unit, what, *facts):
-        """Takes an input into the table; effects are those named below. Gives whether it changed anything."""
-        state, effect = LIFE.get((unit.state, what), (unit.state, None))
-        if effect is None:
-            return False
-        if state != unit.state:
-            unit.state, unit.since = state, self.at
-        getattr(self, "_" + effect)(unit, *facts)
-        for group, states in ((self.asked, (ASKED,)), (self.held, HELD)):
-            if unit.state in states:
-                group[unit.name] = unit
-            else:
-                group.pop(unit.name, None)
-        self.count(unit)
-        return True
-
-    def _queue(self, unit, ask):
-        unit.ask, unit.fault = ask, ""
-        self.freed = True
-
-    def _permit(self, unit):
-        self.fence += 1
-        unit.fence, unit.until = self.fence, self.at + self.terms.permit
-
-    def _forget(self, unit):
-        unit.ask = None
-
-    def _doubt(self, unit):
-        unit.ask, unit.doubt = None, self.at
-
-    def _wait(self, unit):
-        unit.doubt = self.at  # it keeps its age, and its permit is worth nothing
-
-    def _drain(self, unit):
-        unit.tries = 0
-
-    def _rest(self, unit):
-        pass
-
-    def _call(self, unit):
-        unit.doubt = self.at  # what was seen before it was called proves nothing
-
-    def _name(self, unit, fault):
-        unit.fault = fault
-
-    def _home(self, unit):
-        unit.fault, unit.ask = "", None
-
-    # As it is set down and taken up again.
-
-    def image(self):
-        return {
-            "at": self.at,
-            "fence": self.fence,
-            "heard": self.heard,
-            "terms": self.terms.plain(),
-            "budgets": self.budgets,
-            "rooms": {room.name: [room.whole, room.mended] for room in self.rooms.values()},
-            "units": [
-                [
-                    unit.name,
-                    unit.labels,
-                    unit.ask.plain() if unit.ask else None,
-                    [getattr(unit, name) for name in Unit.KEPT],
-                ]
-                for _, unit in sorted(self.units.items())
+        if self.status != UnitStatus.READY:
+            return self.status.value
+        return "silent" if self.ready_at + silent <= at else "not seen since its permit ended"
+
+    def to_plain(self) -> list[Any]:
+        """The unit as a snapshot has it."""
+        return [
+            self.name,
+            self.labels,
+            self.request.to_plain() if self.request else None,
+            [
+                self.state.value,
+                self.since,
+                self.fencing_token,
+                self.permit_until,
+                self.lapsed_permits,
+                self.reported_at,
+                self.ready_at,
+                self.start,
+                self.build,
+                self.status.value,
+                self.doubted_at,
+                self.fault,
             ],
-        }
-
-    def load(self, image):
-        self.__init__()
-        self.at, self.fence, self.heard = image["at"], image["fence"], image["heard"]
-        self.terms, self.budgets = DisruptionSettings(**image["terms"]), image["budgets"]
-        for name, labels, ask, kept in image["units"]:
-            unit = self.units[name] = Unit(name, labels)
-            unit.ask = Ask(*ask) if ask else None
-            for field, value in zip(Unit.KEPT, kept):
-                setattr(unit, field, value)
-            if unit.state == ASKED:
-                self.asked[name] = unit
-            elif unit.state in HELD:
-                self.held[name] = unit
-        self.rooms, of = rooms(
-            self.budgets, {name: unit.labels for name, unit in self.units.items()}
-        )
-        for unit in self.units.values():
-            unit.rooms = of[unit.name]
-            self.count(unit)
-        for room in self.rooms.values():
-            room.whole, room.mended = image["rooms"][room.name]
-        self.broken, self.freed = [], True
-        heapify(self.silences)
+        ]
+
+    @classmethod
+    def from_plain(cls, plain: list[Any]) -> "Unit":
+        """Reads a unit out of a snapshot; it belongs to no budget yet."""
+        name, labels, request, stored = plain
+        unit = cls(name, labels)
+        unit.request = PermitRequest(*request) if request else None
+        unit.state = PermitState(stored[0])
+        unit.since = stored[1]
+        unit.fencing_token = stored[2]
+        unit.permit_until = stored[3]
+        unit.lapsed_permits = stored[4]
+        unit.reported_at = stored[5]
+        unit.ready_at = stored[6]
+        unit.start = stored[7]
+        unit.build = stored[8]
+        unit.status = UnitStatus(stored[9])
+        unit.doubted_at = stored[10]
+        unit.fault = stored[11]
+        return unit
--- /dev/null
+++ b/thymeknot/disruption/release_commands.py
@@ -0,0 +1,207 @@
+"""The commands that are about releases: start one, roll one back, vote on a wave."""
+
+from collections.abc import Callable
+from typing import Any
+
+from ..interface.clock import TICKS_PER_SECOND
+from .commands import ReleaseCommand, Verdict, VoteCommand
+from .fleet import Fleet
+from .halts import Halt, HaltCause
+from .release import ENDED_STATES, ROLLBACK_STATES, Release, ReleaseInput, ReleaseState
+from .replies import ReleaseReply, VotedBackReply, VoteReply
+from .rollouts import Rollouts
+from .targets import CommandRejectedError, matches, parse_selector
+
+MAX_WAVES = 64
+# Added before a share of units is rounded down, so that 0.1 of 30 is 3 in floating point too.
+ROUNDING_TOLERANCE = 1e-9
+# Ticks after which to ask again for a release that waits for another one.
+RELEASE_RETRY_TICKS = 10 * TICKS_PER_SECOND
+# Ticks after which to ask again for a release when too many are under way.
+PLACE_RETRY_TICKS = 60 * TICKS_PER_SECOND
+
+
+def start_release(rollouts: Rollouts, command: ReleaseCommand) -> ReleaseReply:
+    """Adds a release, or tells the state of the one that the same command added before.
+
+    Raises:
+        CommandRejectedError: it can't be started, or not now.
+    """
+    name = command.release
+    known = rollouts.by_name.get(name)
+    if known:
+        _check_successor(known, command)
+        if command.epoch == known.epoch:
+            return ReleaseReply(name, known.state.value)
+    if command.build == command.earlier:
+        raise CommandRejectedError(
+            f"build {command.build} is the earlier one too: there is nothing to release", [name]
+        )
+    members = _choose_members(rollouts.fleet, command)
+    waves = _parse_waves(command.waves, len(members))
+    other = rollouts.find_earlier(None, set(members))
+    if other and not command.wait:
+        doing = "on its way back" if other.state in ROLLBACK_STATES else other.state
+        raise CommandRejectedError(
+            f"release {other.name} is {doing} with the same units; "
+            "ask again after it, or with wait",
+            [other.name],
+            RELEASE_RETRY_TICKS,
+        )
+    if not rollouts.make_place():
+        raise CommandRejectedError("too many releases are under way", again=PLACE_RETRY_TICKS)
+    release = rollouts.add(
+        name=name,
+        epoch=command.epoch,
+        members=members,
+        build=command.build,
+        earlier_build=command.earlier,
+        waves=waves,
+        gated=command.gate,
+        auto_rollback=command.auto,
+        urgency=command.urgency,
+    )
+    return ReleaseReply(
+        release=name,
+        state=release.state.value,
+        units=len(members),
+        waves=waves,
+        waits=f"release {other.name} goes first" if other else None,
+    )
+
+
+def _check_successor(known: Release, command: ReleaseCommand) -> None:
+    """Raises CommandRejectedError if a command neither repeats a release nor may replace it."""
+    name = command.release
+    if command.epoch < known.epoch:
+        raise CommandRejectedError(
+            f"epoch {command.epoch} of release {name} is over; it is {known.epoch} now", [name]
+        )
+    if command.epoch == known.epoch:
+        if (known.build, known.earlier_build) != (command.build, command.earlier):
+            raise CommandRejectedError(
+                f"release {name} of epoch {command.epoch} is of build {known.build}; "
+                "a new one needs a higher epoch",
+                [name],
+            )
+    elif known.state not in ENDED_STATES:
+        raise CommandRejectedError(
+            f"release {name} is {known.state}; its way back goes first",
+            [name],
+            RELEASE_RETRY_TICKS,
+        )
+
+
+def _choose_members(fleet: Fleet, command: ReleaseCommand) -> list[str]:
+    """Names of the units of a release, in the order in which they are disrupted.
+
+    Racks take turns: else those that request at once would stand in few racks, whose budgets let
+    few of them go.
+    """
+    selector = parse_selector(command.where)
+    members = [name for name, unit in sorted(fleet.units.items()) if matches(selector, unit.labels)]
+    if not members:
+        raise CommandRejectedError(f"release {command.release} chooses no unit", [command.release])
+    units_by_rack: dict[str | None, int] = {}
+    place_in_rack: dict[str, int] = {}
+    for name in members:
+        rack = fleet.units[name].labels.get("rack")
+        units_by_rack[rack] = units_by_rack.get(rack, 0) + 1
+        place_in_rack[name] = units_by_rack[rack]
+    members.sort(key=lambda name: (place_in_rack[name], name))
+    return members
+
+
+def _parse_waves(shares: list[Any], count: int) -> list[int]:
+    """How many of `count` units are done after each wave, given as rising shares up to 1."""
+    if not 0 < len(shares) <= MAX_WAVES or any(
+        isinstance(share, bool) or not isinstance(share, int | float) or not 0 < share <= 1
+        for share in shares
+    ):
+        raise CommandRejectedError("waves are 1 to 64 shares over 0, up to 1")
+    if sorted(set(shares)) != shares or shares[-1] != 1:
+        raise CommandRejectedError("waves are rising shares of all units, and the last is 1")
+    return sorted({max(1, int(share * count + ROUNDING_TOLERANCE)) for share in shares})
+
+
+def roll_back_release(rollouts: Rollouts, name: str, epoch: int | None) -> ReleaseReply:
+    """Rolls a release back.
+
+    Raises:
+        CommandRejectedError: there is no such release, or nothing to roll back, or not now.
+    """
+    release = rollouts.by_name.get(name)
+    if release is None:
+        raise CommandRejectedError(f"no release {name}", [name])
+    if epoch is not None and epoch < release.epoch:
+        raise CommandRejectedError(
+            f"epoch {epoch} of release {name} is over; it is {release.epoch} now", [name]
+        )
+    if release.state in ENDED_STATES:
+        other = rollouts.find_earlier(None, set(release.members))
+        if other:
+            raise CommandRejectedError(
+                f"release {other.name} is {other.state} with units of {name}: it goes first",
+                [other.name],
+                RELEASE_RETRY_TICKS,
+            )
+    if not rollouts.transition(release, ReleaseInput.TURNED):
+        raise CommandRejectedError(
+            f"release {name} is {release.state}: there is nothing to bring back", [name]
+        )
+    return ReleaseReply(name, release.state.value)
+
+
+def take_vote(
+    rollouts: Rollouts, command: VoteCommand, enforce: Callable[[Halt], None]
+) -> VoteReply | VotedBackReply:
+    """Takes the decision module's verdict on the wave that it has seen.
+
+    `on` lets the next wave begin, `hold` takes that back while it did not begin, `back` halts the
+    release and, with automatic rollback, rolls it back.
+
+    Args:
+        rollouts: all releases.
+        command: the verdict.
+        enforce: ends what a halt ends at once.
+
+    Raises:
+        CommandRejectedError: the release or its wave is another one, or can't be voted back.
+    """
+    release = rollouts.by_name.get(command.release)
+    if release is None or command.epoch != release.epoch:
+        raise CommandRejectedError(
+            f"no release {command.release} of epoch {command.epoch}", [command.release]
+        )
+    if command.verdict == Verdict.BACK:
+        return _vote_back(rollouts, release, command.why, enforce)
+    if command.wave != release.wave:
+        raise CommandRejectedError(
+            f"release {release.name} is in wave {release.wave}, the vote is on wave {command.wave}",
+            [release.name],
+        )
+    approved = command.verdict == Verdict.ON
+    release.approved_waves = command.wave + 1 if approved else command.wave
+    return VoteReply(release.state.value, release.wave)
+
+
+def _vote_back(
+    rollouts: Rollouts, release: Release, why: str | None, enforce: Callable[[Halt], None]
+) -> VotedBackReply:
+    if release.state not in (ReleaseState.GOING, ReleaseState.HALTED):
+        raise CommandRejectedError(
+            f"release {release.name} is {release.state}: there is nothing to turn", [release.name]
+        )
+    halt = rollouts.halts.add(
+        rollouts.fleet.at,
+        HaltCause.VOTE,
+        why or "the decision module voted back",
+        "vote",
+        release=release.name,
+    )
+    enforce(halt)
+    rollouts.transition(release, ReleaseInput.HALTED)
+    if release.auto_rollback:
+        rollouts.transition(release, ReleaseInput.TURNED)
+    bound = rollouts.fleet.settings.halt_bound()
+    return VotedBackReply(release.state.value, halt.number, bound)
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -1,319 +1,337 @@
-"""Releases as waves of permits, and the way back.
-
-A release gives its units a build, wave by wave. It asks for permits as anybody does and has no room of its own, so no
-wave can raise a cap. A wave is over when each of its units is home with the build or set aside with a reason; with
-`gate` the next begins only after the decision module's verdict `on` for it. Its verdict `back` halts the release, and
-with `auto` turns it too.
-
-The way back is from every state: who asked or was granted stays in, who drains or is out is called back with the
-earlier build, who is home with the new build goes out once more by a permit within the same budgets. Who can't come
-back is named with the reason and not waited for; ordered again, the way back tries them again.
+"""Releases as waves of permits, and their rollbacks.
+
+A release gives its units a build, wave by wave. It requests permits as any plan does and has no
+capacity of its own, so no wave can raise a budget. A wave is over when each of its units is ready
+with the build or set aside with a reason; with a gate the next begins only after the decision
+module's verdict `on` for it. Its verdict `back` halts the release, and with automatic rollback
+rolls it back too.
+
+A rollback is possible from every state: units that requested or were granted a permit stay in
+service, those that drain or are unavailable are called back with the earlier build, those that are
+ready with the new build are disrupted once more by a permit within the same budgets. Units that
+can't return are named with the reason and not waited for; a rollback that is ordered again tries
+them again.
 """
 
-from . import scheduler
-from .permits import ASKED, DRAINING, GRANTED, IN, OUT, RETURNING, Ask
-
-RELEASES_MOST = 64
-PLAN = "release:"  # the plans of releases; nobody else may ask by such a name
-FEED = 256  # units of a release that ask at once: the queue is for others too
-TRIES = 5  # permits that one lets lapse before it is set aside
-# (state, input) -> next state, effect. What is missing changes nothing.
-COURSE = {
-    ("waiting", "free"): ("going", "ask"),
-    ("waiting", "turned"): ("backed", "end"),
-    ("going", "halted"): ("halted", "stop"),
-    ("going", "turned"): ("backing", "turn"),
-    ("going", "finished"): ("done", "end"),
-    ("halted", "resumed"): ("going", "ask"),
-    ("halted", "turned"): ("backing", "turn"),
-    ("backing", "halted"): ("held", "stop"),
-    ("backing", "turned"): ("backing", "turn"),
-    ("backing", "home"): ("backed", "end"),
-    ("backing", "stuck"): ("left", "end"),
-    ("held", "resumed"): ("backing", "turn"),
-    ("held", "turned"): ("backing", "turn"),
-    ("left", "turned"): ("backing", "turn"),
-    ("done", "turned"): ("backing", "turn"),
-}
-ENDED = ("done", "backed", "left")
-BACK = ("backing", "held", "left")
-
-
-class Release:
-    KEPT = (
-        "name",
-        "epoch",
-        "members",
-        "build",
-        "earlier",
-        "waves",
-        "gate",
-        "auto",
-        "urgency",
-        "state",
-        "wave",
-        "voted",
-        "knows",
-        "aside",
-        "at",
-        "number",
-    )
-
-    def __init__(
-        self, name, epoch, members, build, earlier, waves, gate, auto, urgency, at, number
-    ):
-        self.name, self.epoch, self.members, self.build, self.earlier = (
-            name,
-            epoch,
-            members,
-            build,
-            earlier,
-        )
-        self.waves, self.gate, self.auto, self.urgency, self.at, self.number = (
-            waves,
-            gate,
-            auto,
-            urgency,
-            at,
-            number,
-        )
-        self.state, self.wave, self.voted, self.knows, self.aside = "waiting", 0, 0, 0, {}
-        self.plan = PLAN + name
-
-    def plain(self):
-        return {name: getattr(self, name) for name in self.KEPT}
-
-    @classmethod
-    def of(cls, plain):
-        made = cls(
-            *(
-                plain[name]
-                for name in (
-                    "name",
-                    "epoch",
-                    "members",
-                    "build",
-                    "earlier",
-                    "waves",
-                    "gate",
-                    "auto",
-                    "urgency",
-                    "at",
-                    "number",
-                )
-            )
-        )
-        for name in cls.KEPT:
-            setattr(made, name, plain[name])
-        return made
-
-
-class Releases:
-    def __init__(self, fleet, halts):
-        self.fleet, self.halts, self.all, self.number = fleet, halts, {}, 0
+from collections.abc import Callable
+from typing import Any, NamedTuple
+
+from ..interface.clock import TICKS_PER_SECOND
+from .fleet import Fleet
+from .halts import Halts
+from .permits import PermitInput, PermitRequest, PermitState, Unit
+from .release import (
+    ENDED_STATES,
+    PLAN_PREFIX,
+    RELEASE_TRANSITIONS,
+    ROLLBACK_STATES,
+    Release,
+    ReleaseEffect,
+    ReleaseInput,
+    ReleaseState,
+)
+from .scheduler import explain_stuck
+
+MAX_RELEASES = 64
+# Units of a release that request at once: the queue is for other plans too.
+MAX_OPEN_REQUESTS = 256
+# Permits that a unit lets lapse before it is set aside.
+MAX_LAPSED_PERMITS = 5
+
+
+class UnitProgress(NamedTuple):
+    """How far a unit is with a release or its rollback.
+
+    Attributes:
+        is_awaited: whether the release waits for it.
+        reason: why it is set aside, or None.
+        needs_permit: whether a permit is to be requested for it.
+        is_well: whether a reason for which it was set aside before is over.
+    """
+
+    is_awaited: bool
+    reason: str | None = None
+    needs_permit: bool = False
+    is_well: bool = False
+
+
+class Rollouts:
+    """All releases by name, in the order in which they were added."""
+
+    def __init__(self, fleet: Fleet, halts: Halts) -> None:
+        self.fleet = fleet
+        self.halts = halts
+        self.by_name: dict[str, Release] = {}
+        self.last_number = 0
+        self._effects: dict[ReleaseEffect, Callable[[Release], None]] = {
+            ReleaseEffect.ASK: self._await_round,
+            ReleaseEffect.STOP: self._withdraw_all,
+            ReleaseEffect.TURN: self._begin_rollback,
+            ReleaseEffect.END: self._withdraw_all,
+        }
 
-    def mine(self, release):
-        """Its units that are still declared, in its order."""
+    def get_units(self, release: Release) -> list[Unit]:
+        """The units of a release that are still declared, in its order."""
         units = self.fleet.units
         return [units[name] for name in release.members if name in units]
 
-    def add(self, *facts):
-        self.number += 1
-        release = Release(*facts, self.fleet.at, self.number)
-        self.all.pop(release.name, None)
-        self.all[release.name] = release
+    def in_order(self) -> list[Release]:
+        """All releases by number."""
+        return sorted(self.by_name.values(), key=lambda release: release.number)
+
+    def add(
+        self,
+        *,
+        name: str,
+        epoch: int,
+        members: list[str],
+        build: str,
+        earlier_build: str,
+        waves: list[int],
+        gated: bool,
+        auto_rollback: bool,
+        urgency: int,
+    ) -> Release:
+        """Adds a release in place of an ended one of the same name; it waits for the next round."""
+        self.last_number += 1
+        release = Release(
+            name=name,
+            epoch=epoch,
+            members=members,
+            build=build,
+            earlier_build=earlier_build,
+            waves=waves,
+            gated=gated,
+            auto_rollback=auto_rollback,
+            urgency=urgency,
+            started_at=self.fleet.at,
+            number=self.last_number,
+        )
+        self.by_name.pop(release.name, None)
+        self.by_name[release.name] = release
         return release
 
-    def forget(self):
-        """Makes place for one more by dropping the release that ended first; gives whether there is place."""
-        if len(self.all) >= RELEASES_MOST:
+    def make_place(self) -> bool:
+        """Drops the release that ended first if there are too many.
+
+        Gives whether there is place for one more.
+        """
+        if len(self.by_name) >= MAX_RELEASES:
             ended = min(
-                (one for one in self.all.values() if one.state in ("done", "backed")),
-                key=lambda one: one.number,
+                (
+                    release
+                    for release in self.by_name.values()
+                    if release.state in (ReleaseState.DONE, ReleaseState.BACKED)
+                ),
+                key=lambda release: release.number,
                 default=None,
             )
             if ended is None:
                 return False
-            del self.all[ended.name]
+            del self.by_name[ended.name]
         return True
 
-    def before(self, release, members):
-        """The first release that has one of these units and is not over, or None."""
-        return next(
-            (
-                one
-                for one in sorted(self.all.values(), key=lambda one: one.number)
-                if one is not release
-                and one.name != (release and release.name)
-                and one.state not in ENDED
-                and (release is None or one.number < release.number)
-                and not members.isdisjoint(one.members)
-            ),
-            None,
-        )
+    def find_earlier(self, release: Release | None, members: set[str]) -> Release | None:
+        """The first release that has one of these units and is not over, or None.
+
+        Args:
+            release: only releases before this one count; None: all do.
+            members: names of units.
+        """
+        for other in self.in_order():
+            if (
+                other is not release
+                and other.name != (release and release.name)
+                and other.state not in ENDED_STATES
+                and (release is None or other.number < release.number)
+                and not members.isdisjoint(other.members)
+            ):
+                return other
+        return None
 
-    def step(self, release, what):
-        state, effect = COURSE.get((release.state, what), (release.state, None))
-        if effect is None:
+    def find_requesting(self, request: PermitRequest) -> Release | None:
+        """The release that made a request, or None."""
+        if not request.plan.startswith(PLAN_PREFIX):
+            return None
+        return self.by_name.get(request.plan[len(PLAN_PREFIX) :])
+
+    def transition(self, release: Release, event: ReleaseInput) -> bool:
+        """Takes an input by RELEASE_TRANSITIONS; gives whether it did anything."""
+        step = RELEASE_TRANSITIONS.get((release.state, event))
+        if step is None:
             return False
-        release.state = state
-        getattr(self, "_" + effect)(release)
+        release.state = step.state
+        self._effects[step.effect](release)
         return True
 
-    def _ask(self, release):
-        pass  # the next round asks
-
-    def _stop(self, release):
-        """Nothing more of it goes out: what it asked for is taken back, permits that nobody began are worth nothing."""
-        for unit in self.mine(release):
-            if unit.ask and unit.ask.plan == release.plan:
-                self.withdraw(unit)
-
-    def _turn(self, release):
-        release.knows, release.aside = self.halts.number, {}
-        for unit in self.mine(release):
-            unit.tries = 0
-            if unit.ask and unit.ask.plan == release.plan:
-                self.withdraw(unit)
-                if unit.state in (DRAINING, OUT, RETURNING):
-                    # One that drains on its way back goes on with that; its build is the earlier one already.
-                    self.call(unit, release)
-
-    def _end(self, release):
-        self._stop(release)
-
-    def withdraw(self, unit):
-        if unit.state in (ASKED, GRANTED):
-            self.fleet.step(unit, "turned")
-
-    def call(self, unit, release):
-        """Has a unit that is out come back with the earlier build."""
-        if not unit.ask.back:
-            unit.ask.build = release.earlier
+    def _await_round(self, release: Release) -> None:
+        """Does nothing: the next round requests permits."""
+
+    def _withdraw_all(self, release: Release) -> None:
+        """Takes back its requests, and its permits that nobody began."""
+        for unit in self.get_units(release):
+            if unit.request and unit.request.plan == release.plan:
+                self._withdraw(unit)
+
+    def _begin_rollback(self, release: Release) -> None:
+        release.last_known_halt = self.halts.last_number
+        release.set_aside = {}
+        for unit in self.get_units(release):
+            unit.lapsed_permits = 0
+            if unit.request and unit.request.plan == release.plan:
+                self._withdraw(unit)
+                if unit.state in (PermitState.DRAINING, PermitState.OUT, PermitState.RETURNING):
+                    self._call_back(unit, release)
+
+    def _withdraw(self, unit: Unit) -> None:
+        if unit.state in (PermitState.ASKED, PermitState.GRANTED):
+            self.fleet.transition(unit, PermitInput.TURNED)
+
+    def _call_back(self, unit: Unit, release: Release) -> None:
+        """Has an unavailable unit return with the earlier build.
+
+        One that was disrupted for a rollback goes on with that; its build is the earlier one.
+        """
+        request = unit.granted_request
+        if not request.rollback:
+            request.build = release.earlier_build
             unit.fault = ""
-            self.fleet.step(unit, "turned")
-
-    # A round: what each release does next. At ticks and after commands that touch releases.
-
-    def round(self):
-        for release in sorted(self.all.values(), key=lambda one: one.number):
-            if release.state == "waiting" and not self.before(release, set(release.members)):
-                self.step(release, "free")
-            self.judge(release)
-            if release.state == "going":
-                self.forth(release)
-            elif release.state == "backing":
-                self.back(release)
-
-    def judge(self, release):
-        """Halts it, or takes it up again, by the halts that stand."""
-        labels = [unit.labels for unit in self.mine(release)]
-        halt = self.halts.stopping(release, labels, release.state in BACK)
-        self.step(release, "halted" if halt else "resumed")
-
-    def want(self, release, unit, back):
-        build = release.earlier if back else release.build
-        self.fleet.step(
-            unit,
-            "asked",
-            Ask(self.fleet.at, release.urgency, release.plan, release.epoch, back, build),
+            self.fleet.transition(unit, PermitInput.TURNED)
+
+    def run_round(self) -> None:
+        """Does what is next for each release; at ticks and after commands that touch releases."""
+        for release in self.in_order():
+            if release.state == ReleaseState.WAITING and not self.find_earlier(
+                release, set(release.members)
+            ):
+                self.transition(release, ReleaseInput.FREE)
+            self._apply_halts(release)
+            if release.state == ReleaseState.GOING:
+                self._advance(release)
+            elif release.state == ReleaseState.BACKING:
+                self._advance_rollback(release)
+
+    def _apply_halts(self, release: Release) -> None:
+        """Halts a release, or resumes it, by the halts that stand."""
+        labels = [unit.labels for unit in self.get_units(release)]
+        halt = self.halts.find_stopping(release, labels, release.state in ROLLBACK_STATES)
+        self.transition(release, ReleaseInput.HALTED if halt else ReleaseInput.RESUMED)
+
+    def _request_permit(self, release: Release, unit: Unit, rollback: bool) -> None:
+        build = release.earlier_build if rollback else release.build
+        request = PermitRequest(
+            self.fleet.at, release.urgency, release.plan, release.epoch, rollback, build
+        )
+        self.fleet.transition(unit, PermitInput.ASKED, request)
+
+    def _count_free_requests(self, release: Release) -> int:
+        """How many more units of a release may request."""
+        plan = release.plan
+        return MAX_OPEN_REQUESTS - sum(
+            unit.granted_request.plan == plan for unit in self.fleet.requesting.values()
         )
 
-    def room(self, release):
-        """How many more of it may ask."""
-        return FEED - sum(unit.ask.plan == release.plan for unit in self.fleet.asked.values())
-
-    def forth(self, release):
-        fleet, terms, free, waits = self.fleet, self.fleet.terms, self.room(release), False
-        members = self.mine(release)
-        for unit in members[: release.waves[release.wave]]:
-            ready = unit.ready(fleet.at, terms.silent)
-            if unit.state != IN or ready and unit.build != release.build:
-                if unit.state == IN and unit.tries >= TRIES:
-                    release.aside[unit.name] = f"was granted {unit.tries} times and did not begin"
-                    continue
-                overdue = self.overdue(unit)
-                if overdue:
-                    release.aside[unit.name] = overdue
-                    continue
-                release.aside.pop(unit.name, None)
-                waits = True
-                if unit.state == IN and free > 0:
-                    self.want(release, unit, False)
-                    free -= 1
-            elif ready:
-                release.aside.pop(unit.name, None)
-            elif fleet.at - max(unit.since, unit.seen, release.at) > terms.home:
-                release.aside[unit.name] = "is " + unit.why(fleet.at, terms.silent)
-            else:
-                waits = True  # not seen ready since it came back, or silent for a moment
-        if waits:
+    def _advance(self, release: Release) -> None:
+        free = self._count_free_requests(release)
+        is_waiting = False
+        for unit in self.get_units(release)[: release.waves[release.wave]]:
+            progress = self._judge_unit(release, unit)
+            if progress.reason:
+                release.set_aside[unit.name] = progress.reason
+            elif progress.is_well:
+                release.set_aside.pop(unit.name, None)
+            is_waiting = is_waiting or progress.is_awaited
+            if progress.needs_permit and free > 0:
+                self._request_permit(release, unit, False)
+                free -= 1
+        if is_waiting:
             return
         if release.waves[release.wave] >= len(release.members):
-            self.step(release, "finished")
-        elif not release.gate or release.voted > release.wave:
+            self.transition(release, ReleaseInput.FINISHED)
+        elif not release.gated or release.approved_waves > release.wave:
             release.wave += 1
 
-    def overdue(self, unit):
-        """The reason why one that is on its way is not waited for, or None."""
-        terms, age = self.fleet.terms, self.fleet.at - unit.since
-        if unit.state == RETURNING and (unit.fault or age > terms.home):
-            return unit.fault or f"was called back {age // 10_000} s ago and was not seen ready"
-        if unit.state in (DRAINING, OUT) and age > terms.hold:
-            return f"is {unit.state} for {age // 10_000} s"
+    def _judge_unit(self, release: Release, unit: Unit) -> UnitProgress:
+        """How far a unit is with a release that goes on."""
+        at = self.fleet.at
+        settings = self.fleet.settings
+        is_in = unit.state == PermitState.IN
+        is_ready = unit.is_ready(at, settings.silent)
+        if not is_in or (is_ready and unit.build != release.build):
+            if is_in and unit.lapsed_permits >= MAX_LAPSED_PERMITS:
+                return UnitProgress(False, _describe_lapses(unit))
+            overdue = self._explain_overdue(unit)
+            if overdue:
+                return UnitProgress(False, overdue)
+            return UnitProgress(True, needs_permit=is_in, is_well=True)
+        if is_ready:
+            return UnitProgress(False, is_well=True)
+        if at - max(unit.since, unit.ready_at, release.started_at) > settings.home:
+            return UnitProgress(False, "is " + unit.describe_unavailability(at, settings.silent))
+        # It was not seen ready since it returned, or was silent for a moment.
+        return UnitProgress(True)
+
+    def _explain_overdue(self, unit: Unit) -> str | None:
+        """Why a unit that is on its way is not waited for, or None."""
+        settings = self.fleet.settings
+        age = self.fleet.at - unit.since
+        seconds = age // TICKS_PER_SECOND
+        if unit.state == PermitState.RETURNING and (unit.fault or age > settings.home):
+            return unit.fault or f"was called back {seconds} s ago and was not seen ready"
+        if unit.state in (PermitState.DRAINING, PermitState.OUT) and age > settings.hold:
+            return f"is {unit.state} for {seconds} s"
         return None
 
-    def back(self, release):
-        fleet, free, waits, aside = self.fleet, self.room(release), False, {}
-        for unit in self.mine(release):
-            mine = unit.ask and unit.ask.plan == release.plan
-            if unit.state == IN and unit.build == release.build:
-                if unit.tries >= TRIES:
-                    aside[unit.name] = (
-                        f"was granted {unit.tries} times and did not begin; it is "
-                        + (
-                            "ready"
-                            if unit.ready(fleet.at, fleet.terms.silent)
-                            else unit.why(fleet.at, fleet.terms.silent)
-                        )
-                    )
-                    continue
-                waits = True
-                if free > 0:
-                    self.want(release, unit, True)
-                    free -= 1
-                continue
-            if not mine:
-                if unit.state != IN and unit.build == release.build:
-                    aside[unit.name] = f"is {unit.state} by {unit.ask.plan}"
-                    waits |= fleet.at - unit.since <= fleet.terms.home
-                continue
-            reason = self.overdue(unit)
-            if unit.state == ASKED:
-                # Named at once, and waited for no longer than one that is on its way: who crashed may start again.
-                reason = scheduler.stuck(fleet, unit)
-                waits |= bool(reason) and fleet.at - unit.ask.at <= fleet.terms.home
-            if reason:
-                aside[unit.name] = reason
-            elif unit.state != IN:
-                waits = True
-        release.aside = aside
-        if not waits:
-            self.step(release, "stuck" if aside else "home")
-
-    def of(self, ask):
-        """The release that asks, or None."""
-        return self.all.get(ask.plan[len(PLAN) :]) if ask.plan.startswith(PLAN) else None
-
-    def image(self):
-        return [
-            self.number,
-            [one.plain() for one in sorted(self.all.values(), key=lambda one: one.number)],
-        ]
-
-    def load(self, image):
-        self.number = image[0]
-        self.all = {
-            plain["name"]: Release.of({**plain, "aside": dict(plain["aside"])})
-            for plain in image[1]
-        }
+    def _advance_rollback(self, release: Release) -> None:
+        free = self._count_free_requests(release)
+        is_waiting = False
+        set_aside: dict[str, str] = {}
+        for unit in self.get_units(release):
+            progress = self._judge_rolled_back_unit(release, unit)
+            if progress.reason:
+                set_aside[unit.name] = progress.reason
+            is_waiting = is_waiting or progress.is_awaited
+            if progress.needs_permit and free > 0:
+                self._request_permit(release, unit, True)
+                free -= 1
+        release.set_aside = set_aside
+        if not is_waiting:
+            self.transition(release, ReleaseInput.STUCK if set_aside else ReleaseInput.HOME)
+
+    def _judge_rolled_back_unit(self, release: Release, unit: Unit) -> UnitProgress:
+        """How far a unit is with the rollback of a release."""
+        at = self.fleet.at
+        settings = self.fleet.settings
+        has_build = unit.build == release.build
+        if unit.state == PermitState.IN and has_build:
+            if unit.lapsed_permits >= MAX_LAPSED_PERMITS:
+                is_ready = unit.is_ready(at, settings.silent)
+                word = "ready" if is_ready else unit.describe_unavailability(at, settings.silent)
+                return UnitProgress(False, f"{_describe_lapses(unit)}; it is {word}")
+            return UnitProgress(True, needs_permit=True)
+        request = unit.request
+        if request is None or request.plan != release.plan:
+            if unit.state == PermitState.IN or not has_build:
+                return UnitProgress(False)
+            reason = f"is {unit.state} by {unit.granted_request.plan}"
+            return UnitProgress(at - unit.since <= settings.home, reason)
+        if unit.state == PermitState.ASKED:
+            # Named at once, and waited for no longer than one that is on its way: those that
+            # crashed may start again.
+            stuck = explain_stuck(self.fleet, unit)
+            return UnitProgress(not stuck or at - request.at <= settings.home, stuck)
+        overdue = self._explain_overdue(unit)
+        return UnitProgress(not overdue and unit.state != PermitState.IN, overdue)
+
+    def to_plain(self) -> list[Any]:
+        """The releases as a snapshot has them."""
+        return [self.last_number, [release.to_plain() for release in self.in_order()]]
+
+    def load(self, plain: list[Any]) -> None:
+        """Takes the releases of a snapshot in place of its own."""
+        self.last_number = plain[0]
+        self.by_name = {release["name"]: Release.from_plain(release) for release in plain[1]}
+
+
+def _describe_lapses(unit: Unit) -> str:
+    return f"was granted {unit.lapsed_permits} times and did not begin"
--- a/thymeknot/disruption/scheduler.py
+++ b/thymeknot/disruption/scheduler.py
@@ -1,85 +1,120 @@
-"""Who of those that asked is granted.
-
-The order is ways back first, then age, to which each degree of urgency adds `step`: urgency is bounded, so age wins in
-the end. One that has waited longer than `patience` and does not fit, while those in its way are coming back, has room
-kept for it in its other budgets: else a unit whose rack is busy when its cluster is not, and the other way round,
-would wait for ever while younger ones slip past. One place of each budget is kept at most, and none for a grant
-that can't come: a crashed rack must not stop a cluster.
+"""Which requests for permits are granted.
+
+The order is rollbacks first, then age, to which each degree of urgency adds `step`: urgency is
+bounded, so age wins in the end. For a request that has waited longer than `patience` and does not
+fit, while the units in its way are returning, capacity is reserved in all its budgets: else a unit
+whose rack is busy when its cluster is not, and the other way round, would starve while younger
+requests slip past. At most one place of each budget is reserved, and none for a grant that can't
+come: a crashed rack must not stop a cluster.
 """
 
-from .budgets import NAMED_MOST
-from .permits import HELD, RETURNING
+from collections.abc import Callable, Iterable
+from typing import NamedTuple
 
+from ..interface.clock import Ticks
+from .budgets import MAX_UNITS_NAMED, BudgetUsage
+from .fleet import Fleet
+from .permits import PERMITTED_STATES, PermitInput, PermitState, Unit
 
-def order(asked, step):
-    """Those that asked, in the order of their turn."""
-    return sorted(
-        asked,
-        key=lambda unit: (not unit.ask.back, unit.ask.at - unit.ask.urgency * step, unit.name),
-    )
 
+class WaitReason(NamedTuple):
+    """Why a request was not granted.
 
-def full(fleet, unit):
-    """The budgets that have no room for it, in the order of their names. One that is known not to serve takes none:
-    the way back of a build that crashes must not wait for itself."""
-    if unit.idle(fleet.at, fleet.terms.silent):
-        return []
-    return sorted((room for room in unit.rooms if room.full(unit.name)), key=lambda room: room.name)
+    Attributes:
+        sentence: the reason in words.
+        by: names of the budgets, then of the units in the way.
+    """
 
+    sentence: str
+    by: list[str]
+
+
+def order_requests(requesting: Iterable[Unit], urgency_step: Ticks) -> list[Unit]:
+    """Units that requested a permit, in the order in which they are considered."""
+
+    def rank(unit: Unit) -> tuple[bool, Ticks, str]:
+        request = unit.granted_request
+        return (not request.rollback, request.at - request.urgency * urgency_step, unit.name)
+
+    return sorted(requesting, key=rank)
 
-def coming(fleet, room):
-    """Whether enough of those in its way hold permits, and so can be expected back."""
-    terms, at = fleet.terms, fleet.at
-    back = 0
-    for name in room.outs:
-        unit = fleet.units[name]
-        limit = terms.home if unit.state == RETURNING else terms.hold
-        back += unit.state in HELD and not unit.fault and at - unit.since <= limit
-    return back >= len(room.outs) + 1 - room.allowed
 
+def find_blocking_budgets(fleet: Fleet, unit: Unit) -> list[BudgetUsage]:
+    """The budgets that have no capacity for a unit, by name.
 
-def plan(fleet, held):
-    """Grants what fits. `held(unit)` gives the sentence of a halt that holds its ask, or None."""
-    for room in fleet.rooms.values():
-        room.kept = 0
-    for unit in order(list(fleet.asked.values()), fleet.terms.step):
-        if held(unit):
+    A unit that is known not to serve takes no capacity: the rollback of a build that crashes must
+    not wait for itself.
+    """
+    if unit.is_idle(fleet.at, fleet.settings.silent):
+        return []
+    blocking = (usage for usage in unit.usages if usage.would_exceed(unit.name))
+    return sorted(blocking, key=lambda usage: usage.name)
+
+
+def will_free_capacity(fleet: Fleet, usage: BudgetUsage) -> bool:
+    """Whether enough of the unavailable units have permits, and so can be expected to return."""
+    settings = fleet.settings
+    at = fleet.at
+    expected = 0
+    for name in usage.unavailable:
+        unit = fleet.units[name]
+        limit = settings.home if unit.state == PermitState.RETURNING else settings.hold
+        expected += unit.state in PERMITTED_STATES and not unit.fault and at - unit.since <= limit
+    return expected >= len(usage.unavailable) + 1 - usage.allowed
+
+
+def grant_permits(fleet: Fleet, find_hold: Callable[[Unit], str | None]) -> None:
+    """Grants every request that fits.
+
+    Args:
+        fleet: the units and budgets.
+        find_hold: gives the sentence of a halt that holds a unit's request, or None.
+    """
+    for usage in fleet.usages.values():
+        usage.reserved = 0
+    for unit in order_requests(list(fleet.requesting.values()), fleet.settings.step):
+        if find_hold(unit):
             continue
-        blocked = full(fleet, unit)
-        if not blocked:
-            fleet.step(unit, "granted")
-        elif fleet.at - unit.ask.at >= fleet.terms.patience and all(
-            coming(fleet, room) for room in blocked if len(room.outs) >= room.allowed
+        blocking = find_blocking_budgets(fleet, unit)
+        if not blocking:
+            fleet.transition(unit, PermitInput.GRANTED)
+        elif fleet.at - unit.granted_request.at >= fleet.settings.patience and all(
+            will_free_capacity(fleet, usage)
+            for usage in blocking
+            if len(usage.unavailable) >= usage.allowed
         ):
-            for room in unit.rooms:
-                room.kept = 1
-    fleet.freed = False
+            for usage in unit.usages:
+                usage.reserved = 1
+    fleet.capacity_freed = False
 
 
-def stuck(fleet, unit):
-    """The sentence why its grant can't come whatever is waited for, or None."""
-    for room in full(fleet, unit):
-        if len(room.outs) >= room.allowed and not coming(fleet, room):
-            return way(fleet, room)
+def explain_stuck(fleet: Fleet, unit: Unit) -> str | None:
+    """Why a unit's grant can't come whatever is waited for, in a sentence; None if it can."""
+    for usage in find_blocking_budgets(fleet, unit):
+        if len(usage.unavailable) >= usage.allowed and not will_free_capacity(fleet, usage):
+            return describe_usage(fleet, usage)
     return None
 
 
-def way(fleet, room):
-    """The sentence that names a budget and who is in the way."""
-    names = sorted(room.outs)
-    told = ", ".join(
-        "%s (%s)" % (name, fleet.units[name].why(fleet.at, fleet.terms.silent))
-        for name in names[:NAMED_MOST]
+def describe_usage(fleet: Fleet, usage: BudgetUsage) -> str:
+    """A sentence that names a budget and the units that are unavailable in it."""
+    names = sorted(usage.unavailable)
+    units = ", ".join(
+        f"{name} ({fleet.units[name].describe_unavailability(fleet.at, fleet.settings.silent)})"
+        for name in names[:MAX_UNITS_NAMED]
     )
-    more = f" and {len(names) - NAMED_MOST} more" if len(names) > NAMED_MOST else ""
-    kept = " and one place is kept for who waits longest" if room.kept else ""
-    return f"budget {room.name} {room.said()}, {len(names)} are: {told}{more}{kept}"
-
-
-def waits(fleet, unit):
-    """(sentence, names of the budgets and of the units in the way) for one that asked and was not granted."""
-    blocked = full(fleet, unit)
-    if not blocked:
-        return "others that waited longer go first", []
-    units = sorted({name for room in blocked for name in room.outs})
-    return "; ".join(way(fleet, room) for room in blocked), [room.name for room in blocked] + units
+    more = f" and {len(names) - MAX_UNITS_NAMED} more" if len(names) > MAX_UNITS_NAMED else ""
+    reserved = " and one place is kept for who waits longest" if usage.reserved else ""
+    return (
+        f"budget {usage.name} {usage.describe_limit()}, {len(names)} are: {units}{more}{reserved}"
+    )
+
+
+def explain_wait(fleet: Fleet, unit: Unit) -> WaitReason:
+    """Why a unit's request was not granted."""
+    blocking = find_blocking_budgets(fleet, unit)
+    if not blocking:
+        return WaitReason("others that waited longer go first", [])
+    units = sorted({name for usage in blocking for name in usage.unavailable})
+    sentence = "; ".join(describe_usage(fleet, usage) for usage in blocking)
+    return WaitReason(sentence, [usage.name for usage in blocking] + units)
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -120,7 +120,7 @@
             self.seats[name] = Seat(name, labels, rate, int(self.chance.draw() * 1e7))
             self.begin(self.seats[name], True)
         self.declared = self.order(
-            do="declare", epoch=1, units=units, budgets=budgets, terms=self.terms.plain()
+            do="declare", epoch=1, units=units, budgets=budgets, terms=self.terms.to_plain()
         )
         self.after(TICK, self.tick)
 
--- /dev/null
+++ b/thymeknot/disruption/status.py
@@ -0,0 +1,117 @@
+"""How units, budgets, halts and releases stand, for replies. Changes nothing."""
+
+from collections.abc import Callable
+from typing import Any
+
+from ..interface.clock import TICKS_PER_SECOND
+from .fleet import Fleet
+from .halts import Halts
+from .permits import PERMITTED_STATES, PermitState, Unit
+from .release import Release
+from .replies import ORDER_BY_STATE, Order, StatusReply, UnitStanding, write_fields
+from .rollouts import Rollouts
+from .scheduler import explain_wait
+from .targets import Selector, matches
+
+# Units, budgets and units set aside that one status names.
+MAX_SHOWN = 512
+# Ticks after which a unit that waits for a permit is to ask again.
+RETRY_WAIT_TICKS = TICKS_PER_SECOND
+
+
+def make_order(fleet: Fleet, unit: Unit) -> Order:
+    """What the agent of a unit with a permit is to do."""
+    request = unit.granted_request
+    return Order(
+        do=ORDER_BY_STATE[unit.state],
+        fence=unit.fencing_token,
+        plan=request.plan,
+        epoch=request.epoch,
+        left=max(0, unit.permit_until - fleet.at),
+        build=request.build,
+    )
+
+
+def describe_unit(
+    fleet: Fleet, unit: Unit, find_hold: Callable[[Unit], str | None]
+) -> UnitStanding:
+    """Where a unit stands.
+
+    Args:
+        fleet: the fleet it is of.
+        unit: the unit.
+        find_hold: gives the sentence of a halt that holds a unit's request, or None.
+    """
+    silent = fleet.settings.silent
+    is_ready = unit.is_ready(fleet.at, silent)
+    waits: str | None = None
+    blockers: list[str] | None = None
+    if unit.state == PermitState.ASKED:
+        blockers = []
+        waits = find_hold(unit)
+        if not waits:
+            waits, blockers = explain_wait(fleet, unit)
+    is_permitted = unit.state in PERMITTED_STATES
+    return UnitStanding(
+        state=unit.state.value,
+        ready=is_ready,
+        build=unit.build,
+        order=make_order(fleet, unit).to_plain() if is_permitted else None,
+        out=None if is_ready else unit.describe_unavailability(fleet.at, silent),
+        fault=unit.fault or None,
+        waits=waits,
+        by=blockers,
+        again=None if blockers is None else RETRY_WAIT_TICKS,
+    )
+
+
+def report_status(
+    fleet: Fleet,
+    halts: Halts,
+    rollouts: Rollouts,
+    where: Selector,
+    find_hold: Callable[[Unit], str | None],
+) -> StatusReply:
+    """How all stand; of the units those that a selector chooses."""
+    silent = fleet.settings.silent
+    units = [unit for _, unit in sorted(fleet.units.items()) if matches(where, unit.labels)]
+    away = [unit for unit in units if unit.request or not unit.is_ready(fleet.at, silent)]
+    return StatusReply(
+        terms=fleet.settings.to_plain(),
+        units=len(units),
+        out=sum(not unit.is_ready(fleet.at, silent) for unit in units),
+        more=max(0, len(away) - MAX_SHOWN),
+        away={
+            unit.name: write_fields(describe_unit(fleet, unit, find_hold))
+            for unit in away[:MAX_SHOWN]
+        },
+        budgets={
+            name: {
+                "allowed": usage.allowed,
+                "out": len(usage.unavailable),
+                "said": usage.describe_limit(),
+            }
+            for name, usage in sorted(fleet.usages.items())[:MAX_SHOWN]
+        },
+        halts={str(number): halt.describe() for number, halt in sorted(halts.by_number.items())},
+        releases={
+            name: _describe_release(fleet, rollouts, release)
+            for name, release in sorted(rollouts.by_name.items())
+        },
+    )
+
+
+def _describe_release(fleet: Fleet, rollouts: Rollouts, release: Release) -> dict[str, Any]:
+    return {
+        "state": release.state.value,
+        "epoch": release.epoch,
+        "wave": release.wave,
+        "waves": len(release.waves),
+        "voted": release.approved_waves,
+        "aside": dict(sorted(release.set_aside.items())[:MAX_SHOWN]),
+        "home": sum(
+            unit.build == release.build and unit.is_ready(fleet.at, fleet.settings.silent)
+            for unit in rollouts.get_units(release)
+        ),
+        "units": len(release.members),
+    }
