--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -3,7 +3,8 @@
 from pytest import fixture
 from pytest_bdd import given, parsers, scenarios, then, when
 
-from thymeknot.disruption.simulated_fleet import World, fleet
+from thymeknot.disruption.simulated_fleet import SimulatedFleet
+from thymeknot.disruption.simulated_layout import make_layout
 from thymeknot.interface.clock import TICKS_PER_SECOND
 
 scenarios("drains.feature", "releases.feature", "halts.feature")
@@ -19,23 +20,23 @@
     target_fixture="world",
 )
 def a_fleet(many, zones):
-    world = World(many + zones, *fleet(zones, 4, many // zones // 4))
-    assert world.declared["ok"]
+    world = SimulatedFleet(many + zones, *make_layout(zones, 4, many // zones // 4))
+    assert world.declare_reply["ok"]
     return world.run(8)
 
 
 def some(world, label, value):
-    return sorted(name for name, seat in world.seats.items() if seat.labels.get(label) == value)
+    return sorted(name for name, unit in world.units.items() if unit.labels.get(label) == value)
 
 
 def ask(world, who, name):
-    reply = world.order(do="ask", unit=name, plan=who, epoch=1)
+    reply = world.submit(do="ask", unit=name, plan=who, epoch=1)
     assert "at" in reply
     return reply
 
 
 def release(world, waves, name="spring", build="new", **more):
-    return world.order(
+    return world.submit(
         do="release",
         release=name,
         epoch=1,
@@ -48,7 +49,7 @@
 
 
 def state(world, name="spring"):
-    return world.order(do="status")["releases"][name]
+    return world.submit(do="status")["releases"][name]
 
 
 # Asking.
@@ -68,29 +69,29 @@
 @when(parsers.parse("{name} is cut off while it asks"))
 def cut_asking(world, name):
     ask(world, "ann", name)
-    world.cut([name])
+    world.partition([name])
 
 
 @when(parsers.parse("{name} is stopped for {seconds:d} seconds as soon as it is granted"))
 def stop_granted(world, name, seconds):
-    assert world.order(do="status", unit=name)["state"] == "granted"
-    world.stop(name, seconds)
+    assert world.submit(do="status", unit=name)["state"] == "granted"
+    world.suspend(name, seconds)
 
 
 @when(parsers.parse("the way from the keepers to {name} is cut as soon as it is granted"))
 def cut_from(world, name):
-    while world.seats[name].holder.state != "beginning":
+    while world.units[name].agent.state != "beginning":
         world.run(0.001)
-    world.cut([name], "from")
+    world.partition([name], "from")
 
 
 @when(parsers.re(r"(?P<name>unit-\d+) begins, and (?P<rest>.*)"))
 def begins_and(world, name, rest):
-    assert world.until(lambda: world.seats[name].holder.state == "draining", 30)
+    assert world.run_until(lambda: world.units[name].agent.state == "draining", 30)
     if "crashes" in rest:
         world.crash(name, 5)
     else:
-        assert world.order(do="cancel", unit=name)["ok"]
+        assert world.submit(do="cancel", unit=name)["ok"]
 
 
 @when(
@@ -104,13 +105,14 @@
 
     def turn():
         for name in names:
-            if world.seats[name].holder.state == "out":
-                world.act(
-                    world.seats[name], world.seats[name].holder.done(world.clock(world.seats[name]))
+            if world.units[name].agent.state == "out":
+                world.perform(
+                    world.units[name],
+                    world.units[name].agent.done(world.read_clock(world.units[name])),
                 )
-            elif world.seats[name].holder.state == "in":
-                world.order(do="ask", unit=name, plan="crowd", epoch=1, urgency=0)
-        world.after(TICKS_PER_SECOND, turn)
+            elif world.units[name].agent.state == "in":
+                world.submit(do="ask", unit=name, plan="crowd", epoch=1, urgency=0)
+        world.schedule(TICKS_PER_SECOND, turn)
 
     turn()
     story["busy"] = int(seconds)
@@ -144,8 +146,8 @@
 
 @when(parsers.parse("{many:d} units crash for {seconds:d} seconds in the course of it"))
 def crash_course(world, many, seconds):
-    for number, name in enumerate(sorted(world.seats)[:: len(world.seats) // many][:many]):
-        world.after(
+    for number, name in enumerate(sorted(world.units)[:: len(world.units) // many][:many]):
+        world.schedule(
             (10 + 15 * number) * TICKS_PER_SECOND, lambda name=name: world.crash(name, seconds)
         )
 
@@ -156,8 +158,8 @@
     )
 )
 def crash_new(world, seconds):
-    world.sick = "new"
-    for name in world.builds("new"):
+    world.failing_build = "new"
+    for name in world.list_with_build("new"):
         world.crash(name, seconds)
 
 
@@ -168,14 +170,14 @@
 
 @when("a third of the units is cut off")
 def third(world):
-    world.cut(sorted(world.seats)[::3])
+    world.partition(sorted(world.units)[::3])
 
 
 @when(parsers.parse("every answer takes {seconds:d} seconds"))
 def slow(world, seconds):
-    carry = world.carry
-    world.carry = lambda sender, to, call: (
-        world.after(seconds * TICKS_PER_SECOND, lambda: carry(sender, to, call))
+    carry = world.deliver
+    world.deliver = lambda sender, to, call: (
+        world.schedule(seconds * TICKS_PER_SECOND, lambda: carry(sender, to, call))
         if sender == "keepers"
         else carry(sender, to, call)
     )
@@ -183,25 +185,25 @@
 
 @when("all keepers are lost")
 def lost(world):
-    world.keepers.lose()
+    world.service.lose()
 
 
 @when("the keepers are back")
 def again(world):
-    world.keepers.restart()
+    world.service.restart()
 
 
 @when("what is out comes back by itself")
 def by_itself(world):
     def home():
-        for seat in world.seats.values():
-            if seat.alive and seat.holder.state == "out":
-                world.act(seat, seat.holder.done(world.clock(seat)))
+        for unit in world.units.values():
+            if unit.is_alive and unit.agent.state == "out":
+                world.perform(unit, unit.agent.done(world.read_clock(unit)))
             if (
-                unit := world.keepers.machine.fleet.units[seat.name]
-            ).state == "asked" and world.keepers.up:
-                world.order(do="cancel", unit=unit.name)
-        world.after(TICKS_PER_SECOND, home)
+                known := world.service.machine.fleet.units[unit.name]
+            ).state == "asked" and world.service.is_up:
+                world.submit(do="cancel", unit=known.name)
+        world.schedule(TICKS_PER_SECOND, home)
 
     home()
 
@@ -221,12 +223,12 @@
     story["ends"] = None
 
     def vote():
-        known = world.keepers.machine.releases.by_name["spring"]
-        done = len([name for name in known.members if world.seats[name].build == "new"])
+        known = world.service.machine.releases.by_name["spring"]
+        done = len([name for name in known.members if world.units[name].build == "new"])
         assert done <= known.waves[known.wave], "more than the wave has the new build"
         if known.state == "going" and done >= known.waves[known.wave]:
-            world.order(do="vote", release="spring", epoch=1, wave=known.wave, verdict="on")
-        world.after(TICKS_PER_SECOND, vote)
+            world.submit(do="vote", release="spring", epoch=1, wave=known.wave, verdict="on")
+        world.schedule(TICKS_PER_SECOND, vote)
 
     vote()
 
@@ -234,10 +236,10 @@
 @when("the operator resumes what crashes halted")
 def resumes(world):
     def resume():
-        for number, halt in list(world.keepers.machine.halts.by_number.items()):
+        for number, halt in list(world.service.machine.halts.by_number.items()):
             if halt.cause == "crashes":
-                world.order(do="resume", halt=number)
-        world.after(5 * TICKS_PER_SECOND, resume)
+                world.submit(do="resume", halt=number)
+        world.schedule(5 * TICKS_PER_SECOND, resume)
 
     resume()
 
@@ -246,29 +248,29 @@
 def votes_back(world, story):
     known = state(world)
     assert known["home"] > 0
-    reply = world.order(do="vote", release="spring", epoch=1, wave=known["wave"], verdict="back")
+    reply = world.submit(do="vote", release="spring", epoch=1, wave=known["wave"], verdict="back")
     assert reply["state"] == "backing", reply
-    world.backs = set(world.seats)
+    world.rolled_back = set(world.units)
 
 
 @when("the operator orders the way back")
 def orders_back(world):
-    reply = world.order(do="back", release="spring")
+    reply = world.submit(do="back", release="spring")
     assert reply.get("ok"), reply
-    world.backs = set(world.seats)
+    world.rolled_back = set(world.units)
 
 
 @when("the vote for a wave that is not over yet comes")
 def early_vote(world, story):
-    story["reply"] = world.order(do="vote", release="spring", epoch=1, wave=1, verdict="on")
+    story["reply"] = world.submit(do="vote", release="spring", epoch=1, wave=1, verdict="on")
 
 
 @when("one unit of it will say that its disk is gone")
 def lame(world, story):
     name = next(
-        name for name, seat in world.seats.items() if seat.holder.state in ("draining", "out")
+        name for name, unit in world.units.items() if unit.agent.state in ("draining", "out")
     )
-    world.seats[name].lame, story["lame"] = "its disk is gone", name
+    world.units[name].return_fault, story["lame"] = "its disk is gone", name
 
 
 @when("another release of the same units is asked for")
@@ -283,24 +285,24 @@
 
 @when("the operator halts all")
 def halts(world, story):
-    for number in list(world.outside.halts):
-        world.outside.lifted(number)
-    reply = world.order(do="halt", by="operator", why="it smells", where={})
-    assert reply["ok"] and reply["bound"] == world.outside.bound
-    world.outside.halted(reply["halt"], world.now, set(world.seats))
-    world.backs, story["halted"] = set(), world.now
+    for number in list(world.checker.halts):
+        world.checker.record_resume(number)
+    reply = world.submit(do="halt", by="operator", why="it smells", where={})
+    assert reply["ok"] and reply["bound"] == world.checker.bound
+    world.checker.record_halt(reply["halt"], world.now, set(world.units))
+    world.rolled_back, story["halted"] = set(), world.now
 
 
 @when("the class pay is served too little in zone z0")
 def served(world):
-    reply = world.order(
+    reply = world.submit(
         do="halt",
         by="class pay",
         why="9 of 10 in time, 95 of 100 are due",
         cause="class",
         where={"zone": "z0", "lane": "pay"},
     )
-    world.outside.halted(reply["halt"], world.now, set(some(world, "zone", "z0")))
+    world.checker.record_halt(reply["halt"], world.now, set(some(world, "zone", "z0")))
 
 
 # What is seen.
@@ -308,25 +310,26 @@
 
 @then("no rule was broken")
 def unbroken(world):
-    assert world.outside.breaches == []
+    assert world.checker.violations == []
 
 
 @then(parsers.parse("{many:d} units of {label} {value} are out"))
 def are_out(world, many, label, value):
     assert (
-        len([name for name in some(world, label, value) if not world.seats[name].serving]) == many
+        len([name for name in some(world, label, value) if not world.units[name].is_serving])
+        == many
     )
 
 
 @then(parsers.parse("at most {many:d} unit of {label} {value} is out or cut off"))
 def at_most(world, many, label, value):
-    cut = {name for pair in world.cuts for name in pair}
+    cut = {name for pair in world.partitions for name in pair}
     assert (
         len(
             [
                 name
                 for name in some(world, label, value)
-                if not world.seats[name].serving or name in cut
+                if not world.units[name].is_serving or name in cut
             ]
         )
         <= many
@@ -335,10 +338,10 @@
 
 @then("whoever waits is told a budget and the units in its way")
 def told_why(world):
-    waiting = [one for one in world.order(do="status")["away"].values() if one["state"] == "asked"]
+    waiting = [one for one in world.submit(do="status")["away"].values() if one["state"] == "asked"]
     asked = [
-        world.order(do="status", unit=name)
-        for name, unit in world.keepers.machine.fleet.requesting.items()
+        world.submit(do="status", unit=name)
+        for name, unit in world.service.machine.fleet.requesting.items()
     ]
     assert asked and len(waiting) == len(asked)
     for one in asked:
@@ -347,33 +350,33 @@
 
 @then("whoever waits is told the halt")
 def told_halt(world):
-    assert "class pay" in world.order(do="status", unit="unit-000")["waits"]
+    assert "class pay" in world.submit(do="status", unit="unit-000")["waits"]
 
 
 @then(parsers.re(r"(?P<name>unit-\d+) serves"))
 def one_serves(world, name):
-    assert world.seats[name].serving
+    assert world.units[name].is_serving
 
 
 @then(parsers.re(r"(?P<name>unit-\d+) is out"))
 def one_out(world, name):
-    assert not world.seats[name].serving
+    assert not world.units[name].is_serving
 
 
 @then("every unit serves")
 def all_serve(world):
-    assert world.until(lambda: len(world.serving()) == len(world.seats), 60)
+    assert world.run_until(lambda: len(world.list_serving()) == len(world.units), 60)
 
 
 @then("nobody has a permit")
 def no_permits(world):
-    assert world.until(lambda: not world.keepers.machine.fleet.permitted, 30)
+    assert world.run_until(lambda: not world.service.machine.fleet.permitted, 30)
 
 
 @then("the keepers know who is out")
 def know(world):
-    assert world.until(
-        lambda: world.order(do="status")["out"] == len(world.seats) - len(world.serving()), 30
+    assert world.run_until(
+        lambda: world.submit(do="status")["out"] == len(world.units) - len(world.list_serving()), 30
     )
 
 
@@ -382,44 +385,46 @@
     assert [
         name
         for name in some(world, "zone", zone)
-        if world.seats[name].alive and not world.seats[name].serving
+        if world.units[name].is_alive and not world.units[name].is_serving
     ] == []
 
 
 @then(parsers.parse("unit-000 was out within {seconds:d} seconds"))
 def was_out(world, seconds):
-    assert world.until(lambda: any(name == "unit-000" for _, name in world.outside.goings), seconds)
+    assert world.run_until(
+        lambda: any(name == "unit-000" for _, name in world.checker.disruptions), seconds
+    )
 
 
 @then(parsers.parse("the release is done within {seconds:d} seconds"))
 def done(world, seconds):
-    assert world.until(lambda: state(world)["state"] == "done", seconds), state(world)
+    assert world.run_until(lambda: state(world)["state"] == "done", seconds), state(world)
 
 
 @then(parsers.parse("the way back is over within {seconds:d} seconds"))
 def backed(world, seconds):
-    assert world.until(lambda: state(world)["state"] == "backed", seconds), state(world)
+    assert world.run_until(lambda: state(world)["state"] == "backed", seconds), state(world)
 
 
 @then("the way back is left with that unit named and its disk")
 def left(world, story):
-    assert world.until(lambda: state(world)["state"] == "left", 200), state(world)
+    assert world.run_until(lambda: state(world)["state"] == "left", 200), state(world)
     assert state(world)["aside"] == {story["lame"]: "its disk is gone"}
 
 
 @then("all others have the old build")
 def others_old(world, story):
-    assert {seat.build for name, seat in world.seats.items() if name != story["lame"]} == {"old"}
+    assert {unit.build for name, unit in world.units.items() if name != story["lame"]} == {"old"}
 
 
 @then(parsers.parse("every unit has the {build} build"))
 def all_build(world, build):
-    assert len(world.builds(build)) == len(world.seats)
+    assert len(world.list_with_build(build)) == len(world.units)
 
 
 @then(parsers.parse("{many:d} units have the new build"))
 def some_build(world, many):
-    assert len(world.builds("new")) == many
+    assert len(world.list_with_build("new")) == many
 
 
 @then("it is refused with a sentence")
@@ -429,7 +434,7 @@
 
 @then(parsers.parse("the other release is going within {seconds:d} seconds"))
 def other_going(world, seconds):
-    assert world.until(lambda: state(world, "summer")["state"] == "going", seconds)
+    assert world.run_until(lambda: state(world, "summer")["state"] == "going", seconds)
 
 
 @then("the release is held")
@@ -440,16 +445,16 @@
 @then("nothing went out after the bound")
 def nothing_after(world, story):
     assert [
-        one for one in world.outside.goings if one[0] > story["halted"] + world.outside.bound
+        one for one in world.checker.disruptions if one[0] > story["halted"] + world.checker.bound
     ] == []
 
 
 @then("a halt names a budget and who broke it")
 def halt_names(world):
-    halts = world.order(do="status")["halts"].values()
+    halts = world.submit(do="status")["halts"].values()
     assert any("budget" in halt and "unit-" in halt for halt in halts), halts
 
 
 @then("no halt stands")
 def no_halt(world):
-    assert world.order(do="status")["halts"] == {}
+    assert world.submit(do="status")["halts"] == {}
--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -19,7 +19,8 @@
     PermitState,
     Unit,
 )
-from thymeknot.disruption.simulated_fleet import World, fleet
+from thymeknot.disruption.simulated_fleet import SimulatedFleet
+from thymeknot.disruption.simulated_layout import make_layout
 from thymeknot.disruption.state_machine import DisruptionStateMachine
 from thymeknot.disruption.targets import DisruptionSettings
 from thymeknot.interface.clock import TICKS_PER_SECOND
@@ -259,9 +260,9 @@
             self.assertTrue(("ok" in reply) != ("refused" in reply))
 
     def test_an_image_taken_up_goes_on_the_same(self):
-        world = World(3, *fleet(3, 2, 4))
+        world = SimulatedFleet(3, *make_layout(3, 2, 4))
         world.run(8)
-        world.order(
+        world.submit(
             do="release",
             release="r",
             epoch=1,
@@ -274,7 +275,7 @@
         world.run(12)
         world.crash("unit-003")
         world.run(5)
-        one, other = world.keepers.machine, DisruptionStateMachine()
+        one, other = world.service.machine, DisruptionStateMachine()
         other.load(json.loads(json.dumps(one.image())))
         apply, same = one.apply, []
 
@@ -565,14 +566,14 @@
         """Of a dead one it is known that its going takes nothing away; of all that are silent after a blackout not."""
 
         def dark():
-            world = World(9, *fleet(3, 2, 5))
+            world = SimulatedFleet(9, *make_layout(3, 2, 5))
             world.run(8)
-            for name in sorted(world.seats):
-                world.order(do="ask", unit=name, plan="ann", epoch=1)
-            world.keepers.lose()
+            for name in sorted(world.units):
+                world.submit(do="ask", unit=name, plan="ann", epoch=1)
+            world.service.lose()
             world.run(20)
-            world.keepers.restart()
-            return " ".join(world.run(10).outside.breaches)
+            world.service.restart()
+            return " ".join(world.run(10).checker.violations)
 
         with Changed(Unit, "is_idle", lambda self, at, silent: not self.is_seen_ready(at, silent)):
             self.assertIn("A1", dark())
@@ -612,36 +613,36 @@
         return "A1" if ask(one, 100_004, "u1")["state"] == "granted" else ""
 
     def halted(self, machine, slow=False):
-        world = World(
+        world = SimulatedFleet(
             5,
-            *fleet(3, 2, 5),
-            machine=machine,
-            terms=DisruptionSettings(permit=200_000, silent=200_000),
+            *make_layout(3, 2, 5),
+            make_machine=machine,
+            settings=DisruptionSettings(permit=200_000, silent=200_000),
         )
         world.run(8)
-        names = sorted(world.seats)
+        names = sorted(world.units)
         for name in names:
-            world.seats[name].stopped_until = (
+            world.units[name].suspended_until = (
                 world.now + 9 * TICKS_PER_SECOND if name in names[::2] else 0
             )
         for name in names:
-            world.order(do="ask", unit=name, plan="ann", epoch=1)
-        carry = world.carry
+            world.submit(do="ask", unit=name, plan="ann", epoch=1)
+        carry = world.deliver
         if slow:  # a yes that is long on its way
-            world.carry = lambda sender, to, call: world.after(
+            world.deliver = lambda sender, to, call: world.schedule(
                 4 * TICKS_PER_SECOND if sender == "keepers" else 0, lambda: carry(sender, to, call)
             )
         world.run(2)
         if not slow:
-            halt = world.order(do="halt", by="ann", why="smoke", where={})
-            world.outside.halted(halt["halt"], world.now, set(names))
+            halt = world.submit(do="halt", by="ann", why="smoke", where={})
+            world.checker.record_halt(halt["halt"], world.now, set(names))
         world.run(30)
-        return " ".join(world.outside.breaches)
+        return " ".join(world.checker.violations)
 
     def back(self):
-        world = World(6, *fleet(3, 2, 5))
+        world = SimulatedFleet(6, *make_layout(3, 2, 5))
         world.run(8)
-        world.order(
+        world.submit(
             do="release",
             release="r",
             epoch=1,
@@ -651,10 +652,10 @@
             waves=[1],
             gate=False,
         )
-        world.until(lambda: len(world.builds("new")) > 20)
-        world.order(do="back", release="r")
+        world.run_until(lambda: len(world.list_with_build("new")) > 20)
+        world.submit(do="back", release="r")
         world.run(40)
-        return " ".join(world.outside.breaches)
+        return " ".join(world.checker.violations)
 
 
 class Table(unittest.TestCase):
--- a/thymeknot/disruption/invariant_checker.py
+++ b/thymeknot/disruption/invariant_checker.py
@@ -1,75 +1,170 @@
-"""Watches a fleet from outside: who serves, who stopped serving by itself and who by a crash, and what the keepers'
-answers on the wire were. It shares nothing with the machine: budgets are plain sets of names and a number.
+"""Watches a fleet from outside and notes where an invariant is violated.
+
+It knows which units serve, which stopped serving on their own and which by a crash, and which
+begins were confirmed. It shares nothing with the state machine: budgets are plain sets of names and
+a number.
 """
 
+from typing import NamedTuple
+
+from ..interface.clock import Ticks
+
+
+class BudgetGroup(NamedTuple):
+    """A budget as the checker knows it.
+
+    Attributes:
+        name: its name in a violation.
+        units: names of the units that belong to it.
+        most: how many of them may be unavailable.
+    """
+
+    name: str
+    units: set[str]
+    most: int
+
+
+class WatchedHalt(NamedTuple):
+    """A halt that stands.
+
+    Attributes:
+        at: when it was confirmed.
+        units: names of the units it holds.
+    """
+
+    at: Ticks
+    units: set[str]
+
+
+class Disruption(NamedTuple):
+    """A unit that stopped taking new work, and not by a crash.
 
-class Outside:
-    """groups: (name, names, how many of them may be out). notice: within that time of a crash nobody needs to know of
-    it. bound: the stated one after which a halt, or the loss of all keepers, binds."""
+    Attributes:
+        at: when it did.
+        unit: its name.
+    """
 
-    def __init__(self, groups, notice, bound):
-        self.groups, self.notice, self.bound = groups, notice, bound
-        self.away, self.down = {}, {}  # by name since when: by itself, by a crash
-        self.answers, self.used = (
-            {},
-            {},
-        )  # by name: (when, fence) said yes to; the highest that it went by
-        self.halts, self.dark, self.breaches, self.goings = {}, None, [], []
+    at: Ticks
+    unit: str
 
-    def breach(self, now, rule, said):
-        self.breaches.append(f"{rule} at {now}: {said}")
 
-    def answered(self, now, name, fence):
-        """The keepers said yes to a begin."""
-        self.answers.setdefault(name, {})[fence] = now
+class InvariantChecker:
+    """Checks every disruption of a unit when it begins.
 
-    def halted(self, number, now, names):
-        self.halts[number] = now, names
+    The invariants: A1, no more units of a group are unavailable than may be. A2, a permit was
+    confirmed within the bound and is used once, in the order of fencing tokens. A3, nothing begins
+    under a halt after the bound. A6, nothing begins after the bound without the state machine.
 
-    def lifted(self, number):
+    Attributes:
+        groups: the budgets.
+        notice: ticks after a crash within which nobody needs to know of it.
+        bound: ticks after which a halt, or the loss of the state machine, binds.
+        disrupted_at: by name since when a unit is disrupted.
+        crashed_at: by name since when a unit is crashed, and did not serve since.
+        confirmations: by name and fencing token when a begin was confirmed last.
+        used_tokens: by name the highest fencing token it was disrupted by.
+        halts: halts that stand, by number.
+        service_lost_at: since when the state machine can't be reached, or None.
+        violations: what was found, in sentences that begin with the invariant's name.
+        disruptions: all disruptions.
+    """
+
+    def __init__(self, groups: list[BudgetGroup], notice: Ticks, bound: Ticks) -> None:
+        self.groups = groups
+        self.notice = notice
+        self.bound = bound
+        self.disrupted_at: dict[str, Ticks] = {}
+        self.crashed_at: dict[str, Ticks] = {}
+        self.confirmations: dict[str, dict[int, Ticks]] = {}
+        self.used_tokens: dict[str, int] = {}
+        self.halts: dict[int, WatchedHalt] = {}
+        self.service_lost_at: Ticks | None = None
+        self.violations: list[str] = []
+        self.disruptions: list[Disruption] = []
+
+    def record_confirmation(self, now: Ticks, name: str, fencing_token: int) -> None:
+        """The state machine confirmed a begin."""
+        self.confirmations.setdefault(name, {})[fencing_token] = now
+
+    def record_halt(self, number: int, now: Ticks, units: set[str]) -> None:
+        """A halt of these units was confirmed."""
+        self.halts[number] = WatchedHalt(now, units)
+
+    def record_resume(self, number: int) -> None:
+        """A halt ended."""
         self.halts.pop(number, None)
 
-    def darkened(self, now):
-        """All keepers are lost from now on; None: they are back."""
-        self.dark = now
-
-    def went(self, now, name, fence, back=False):
-        """It takes no new work from now on, and did not crash. back: it goes for a way back that was ordered."""
-        self.goings.append((now, name))
-        self.away[name] = now
-        for group, names, most in self.groups:
-            out = {
-                one
-                for one in names
-                if one in self.away or now - self.down.get(one, now) > self.notice
+    def record_service_lost(self, now: Ticks) -> None:
+        """The state machine can't be reached from now on."""
+        self.service_lost_at = now
+
+    def record_service_back(self) -> None:
+        """The state machine can be reached again."""
+        self.service_lost_at = None
+
+    def record_disruption(
+        self, now: Ticks, name: str, fencing_token: int, is_rollback: bool = False
+    ) -> None:
+        """A unit takes no new work from now on, and did not crash.
+
+        Args:
+            now: when it stopped.
+            name: its name.
+            fencing_token: the token of the permit it used.
+            is_rollback: whether it is disrupted for a rollback that was ordered.
+        """
+        self.disruptions.append(Disruption(now, name))
+        self.disrupted_at[name] = now
+        self._check_budgets(now, name)
+        self._check_permit(now, name, fencing_token)
+        for number, halt in self.halts.items():
+            if name in halt.units and not is_rollback and now - halt.at > self.bound:
+                self._note(now, "A3", f"{name} went {now - halt.at} after halt {number}")
+        lost_at = self.service_lost_at
+        if lost_at is not None and now - lost_at > self.bound:
+            self._note(now, "A6", f"{name} went {now - lost_at} after the keepers were lost")
+
+    def record_crash(self, now: Ticks, name: str) -> None:
+        """A unit crashed."""
+        self.crashed_at.setdefault(name, now)
+        self.disrupted_at.pop(name, None)
+
+    def record_serving(self, name: str) -> None:
+        """A unit takes new work, warm."""
+        self.disrupted_at.pop(name, None)
+        self.crashed_at.pop(name, None)
+
+    def _check_budgets(self, now: Ticks, name: str) -> None:
+        for group in self.groups:
+            unavailable = {
+                unit
+                for unit in group.units
+                if unit in self.disrupted_at or now - self.crashed_at.get(unit, now) > self.notice
             }
-            # One that crashed and did not serve since takes nothing away by going.
-            if name in names and name not in self.down and len(out) > most:
-                self.breach(
+            # A unit that crashed and did not serve since takes nothing away by being disrupted.
+            if (
+                name in group.units
+                and name not in self.crashed_at
+                and len(unavailable) > group.most
+            ):
+                self._note(
                     now,
                     "A1",
-                    f"{name} went, {len(out)} of {group} are out and {most} may be: {sorted(out)}",
+                    f"{name} went, {len(unavailable)} of {group.name} are out "
+                    f"and {group.most} may be: {sorted(unavailable)}",
                 )
-        said = self.answers.get(name, {}).get(fence)
-        if said is None or now - said > self.bound or fence <= self.used.get(name, 0):
-            self.breach(
+
+    def _check_permit(self, now: Ticks, name: str, fencing_token: int) -> None:
+        confirmed_at = self.confirmations.get(name, {}).get(fencing_token)
+        used = self.used_tokens.get(name)
+        if confirmed_at is None or now - confirmed_at > self.bound or fencing_token <= (used or 0):
+            self._note(
                 now,
                 "A2",
-                f"{name} went by permit {fence}, which was confirmed {said} and used "
-                f"{self.used.get(name)}",
+                f"{name} went by permit {fencing_token}, which was confirmed {confirmed_at} "
+                f"and used {used}",
             )
-        self.used[name] = max(fence, self.used.get(name, 0))
-        for number, (at, names) in self.halts.items():
-            if name in names and not back and now - at > self.bound:
-                self.breach(now, "A3", f"{name} went {now - at} after halt {number}")
-        if self.dark is not None and now - self.dark > self.bound:
-            self.breach(now, "A6", f"{name} went {now - self.dark} after the keepers were lost")
-
-    def crashed(self, now, name):
-        self.down.setdefault(name, now)
-        self.away.pop(name, None)
-
-    def serves(self, now, name):
-        """It takes new work, warm."""
-        self.away.pop(name, None)
-        self.down.pop(name, None)
+        self.used_tokens[name] = max(fencing_token, used or 0)
+
+    def _note(self, now: Ticks, invariant: str, sentence: str) -> None:
+        self.violations.append(f"{invariant} at {now}: {sentence}")
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -1,340 +1,371 @@
-"""A fleet in memory, in virtual time: holders by the hundreds, a network that loses, doubles, delays and cuts, clocks
-that drift, processes that crash, stop and start again, and keepers behind a seam. The same pure code as everywhere.
+"""A fleet in memory, in virtual time.
 
-`Keepers` is a stub of the agreement: one machine that takes commands in the order they arrive. What holders use of it
-is `propose(command, then)` alone, so the real core can stand in its place.
+Agents by the hundreds, a network that loses, duplicates, delays and partitions, clocks that drift,
+processes that crash, are suspended and start again, and the replicated log behind a stub. The same
+pure code as everywhere.
 """
 
+from collections.abc import Callable, Iterable
+from enum import StrEnum
 from heapq import heappop, heappush
+from typing import Any, Protocol
 
-from ..interface.clock import TICKS_PER_SECOND
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.random_source import LinearCongruentialGenerator
-from .agent import DisruptionAgent
-from .invariant_checker import Outside
+from .agent import Action, AgentState, ComeAction, DisruptionAgent, DrainAction, SayAction
+from .commands import PART_NAME, CommandName
+from .invariant_checker import BudgetGroup, InvariantChecker
+from .simulated_service import SERVICE_ADDRESS, SimulatedClient, SimulatedService
 from .state_machine import DisruptionStateMachine
-from .targets import DisruptionSettings
+from .targets import DisruptionSettings, Labels
+
+# Ticks between two tick commands.
+TICK_INTERVAL = TICKS_PER_SECOND // 5
+# Ticks in which a unit gets warm, on average.
+WARM_UP_TICKS = 2 * TICKS_PER_SECOND
+# Ticks that draining, and replacing a unit, take at most and on average.
+WORK_TICKS = 3 * TICKS_PER_SECOND
+# How often an agent is called within a bound; it asks for four times at least.
+POLLS_PER_BOUND = 8
+# Of the allowed drift, how much a clock has at most.
+DRIFT_SHARE = 0.9
+# Ticks by which clocks differ at most.
+CLOCK_OFFSET_TICKS = 1e7
+# Ticks that a message takes at least.
+DELAY_TICKS = 20
+# Ticks that it takes at most beyond that.
+JITTER_TICKS = 80
+# The share of messages that arrive twice.
+DUPLICATE_SHARE = 0.01
+# The share of messages that are late.
+LATE_SHARE = 0.02
+# Seconds by which these are late at most.
+LATE_SECONDS = 3
+# Seconds of virtual time between two looks whether a condition holds.
+LOOK_SECONDS = 0.5
+# Looks within a second.
+LOOKS_PER_SECOND = 2
+
+
+class RandomSource(Protocol):
+    """What is asked of a source of random numbers."""
+
+    def draw(self) -> float:
+        """A number from 0 up to, but not including, 1."""
+
+
+new_random_source: Callable[[int], RandomSource] = LinearCongruentialGenerator
+
+
+class Direction(StrEnum):
+    """Which messages of a unit a partition takes: to the service, from it, or both."""
+
+    BOTH = "both"
+    TO = "to"
+    FROM = "from"
+
+
+class SimulatedUnit:
+    """A unit in truth: whether its process lives and serves, and its clock.
+
+    Attributes:
+        name: its name.
+        labels: its labels.
+        clock_rate: how fast its monotonic clock is.
+        clock_offset: what that clock shows at time 0.
+        is_alive: whether its process lives.
+        is_serving: whether that takes new work.
+        build: the build it runs.
+        start: the number of the process' start.
+        warm_up: ticks in which it gets warm, on average.
+        suspended_until: until when its process is suspended.
+        return_fault: why it can't return, or None.
+        agent: the agent of the living process.
+        client: the client of the living process.
+    """
+
+    def __init__(self, name: str, labels: Labels, clock_rate: float, clock_offset: Ticks) -> None:
+        self.name = name
+        self.labels = labels
+        self.clock_rate = clock_rate
+        self.clock_offset = clock_offset
+        self.is_alive = True
+        self.is_serving = True
+        self.build = "old"
+        self.start = 0
+        self.warm_up: Ticks = WARM_UP_TICKS
+        self.suspended_until: Ticks = 0
+        self.return_fault: str | None = None
+        self.agent: DisruptionAgent
+        self.client: SimulatedClient
+
+
+class SimulatedFleet:
+    """Units, their agents and clients, the network and the service, in virtual time.
+
+    Attributes:
+        now: virtual time in ticks.
+        settings: what the operator set.
+        units: the units by name.
+        service: the stub of the replicated log.
+        checker: checks from outside.
+        partitions: (sender, receiver) between which no message arrives.
+        rolled_back: names of units whose rollback was ordered.
+        failing_build: a build that never gets warm once it crashed, or None.
+        declare_reply: the reply to the declaration.
+    """
 
-TICK = TICKS_PER_SECOND // 5
-COLD, WORK = 2 * TICKS_PER_SECOND, 3 * TICKS_PER_SECOND
-
-
-class Client:
-    """What a process has of the keepers: `propose(command, then)`, and `then(reply)` at most once, or never."""
-
-    def __init__(self, world, origin, incarnation):
-        self.world, self.origin, self.incarnation, self.number = world, origin, incarnation, 0
-
-    def propose(self, command, then):
-        self.number += 1
-        key = self.origin, self.incarnation, self.number
-        self.world.carry(
-            self.origin, "keepers", lambda: self.world.keepers.take(key, command, then)
-        )
-
-
-class Keepers:
-    """The stub: up or not, one machine, each number of an origin applied once, and its last reply remembered."""
-
-    def __init__(self, world, machine):
-        self.world, self.machine, self.up, self.last, self.stamped = world, machine, True, {}, 0
-
-    def take(self, key, command, then):
-        if not self.up:
-            return
-        origin, *number = key
-        known, reply = self.last.get(origin, ([-1, 0], None))
-        if number > known:
-            reply = self.apply(command)
-            self.last[origin] = number, reply
-        elif number < known:
-            return
-        self.world.carry("keepers", origin, lambda: then(reply))
-
-    def apply(self, command):
-        self.stamped = max(self.stamped, self.world.now)
-        reply = self.machine.apply(self.stamped, command)
-        if command.get("do") == "begin" and "ok" in reply:
-            self.world.outside.answered(self.world.now, command["unit"], command["fence"])
-        return reply
-
-    def restart(self):
-        """All killed and started again from what was set down."""
-        image, self.machine = self.machine.image(), type(self.machine)()
-        self.machine.load(image)
-        self.up = True
-        self.world.outside.darkened(None)
-
-    def lose(self):
-        self.up = False
-        self.world.outside.darkened(self.world.now)
-
-
-class Seat:
-    """A unit in truth: whether its process lives and serves, and its clock."""
-
-    def __init__(self, name, labels, rate, offset):
-        self.name, self.labels, self.rate, self.offset = name, labels, rate, offset
-        self.alive, self.serving, self.build, self.start, self.life, self.cold = (
-            True,
-            True,
-            "old",
-            0,
-            0,
-            COLD,
-        )
-        self.stopped_until, self.lame, self.holder, self.client = 0, None, None, None
-
-
-class World:
     def __init__(
         self,
-        seed,
-        units,
-        budgets,
-        groups,
-        terms=None,
-        loss=0.02,
-        holder=DisruptionAgent,
-        machine=DisruptionStateMachine,
-    ):
-        """units: labels by name. groups: the budgets again for the checker outside. loss: of each message."""
-        self.chance, self.now, self.events, self.count = (
-            LinearCongruentialGenerator(seed * 2 + 1),
-            0,
-            [],
-            0,
-        )
-        self.terms, self.loss, self.cuts, self.made = (
-            terms or DisruptionSettings(),
-            loss,
-            set(),
-            holder,
-        )
-        drift = self.terms.drift / 1000
-        bound = self.terms.halt_bound()
-        self.outside = Outside(groups, self.terms.silent + bound + TICK, bound)
-        self.keepers, self.seats, self.backs = Keepers(self, machine()), {}, set()
-        self.sick = None  # a build that never gets warm once it crashed
+        seed: int,
+        units: dict[str, Labels],
+        budgets: list[dict[str, Any]],
+        groups: list[BudgetGroup],
+        *,
+        settings: DisruptionSettings | None = None,
+        loss: float = 0.02,
+        make_agent: Callable[..., DisruptionAgent] = DisruptionAgent,
+        make_machine: Callable[[], DisruptionStateMachine] = DisruptionStateMachine,
+    ) -> None:
+        """Starts all units and declares them.
+
+        Args:
+            seed: of the random source.
+            units: labels by name.
+            budgets: the budgets as a declaration has them.
+            groups: the budgets again for the checker outside.
+            settings: what the operator sets; None: defaults.
+            loss: the share of messages that are lost.
+            make_agent: makes the agent of a process.
+            make_machine: makes the state machine.
+        """
+        self._random = new_random_source(seed * 2 + 1)
+        self._events: list[tuple[Ticks, int, Callable[[], object]]] = []
+        self._event_count = 0
+        self._loss = loss
+        self._make_agent = make_agent
+        self.now: Ticks = 0
+        self.settings = settings or DisruptionSettings()
+        self.partitions: set[tuple[str, str]] = set()
+        drift = self.settings.drift / 1000
+        bound = self.settings.halt_bound()
+        notice = self.settings.silent + bound + TICK_INTERVAL
+        self.checker = InvariantChecker(groups, notice, bound)
+        self.service = SimulatedService(self, make_machine())
+        self.units: dict[str, SimulatedUnit] = {}
+        self.rolled_back: set[str] = set()
+        self.failing_build: str | None = None
         for name, labels in units.items():
-            rate = 1 + drift * (2 * self.chance.draw() - 1) * 0.9
-            self.seats[name] = Seat(name, labels, rate, int(self.chance.draw() * 1e7))
-            self.begin(self.seats[name], True)
-        self.declared = self.order(
-            do="declare", epoch=1, units=units, budgets=budgets, terms=self.terms.to_plain()
+            rate = 1 + drift * (2 * self._random.draw() - 1) * DRIFT_SHARE
+            offset = int(self._random.draw() * CLOCK_OFFSET_TICKS)
+            self.units[name] = SimulatedUnit(name, labels, rate, offset)
+            self._start_process(self.units[name], True)
+        self.declare_reply = self.submit(
+            do=CommandName.DECLARE.value,
+            epoch=1,
+            units=units,
+            budgets=budgets,
+            terms=self.settings.to_plain(),
         )
-        self.after(TICK, self.tick)
+        self.schedule(TICK_INTERVAL, self._tick)
 
     # Time and the network.
 
-    def after(self, wait, call):
-        self.count += 1
-        heappush(self.events, (self.now + max(1, int(wait)), self.count, call))
+    def schedule(self, wait: float, call: Callable[[], object]) -> None:
+        """Calls back after so many ticks, at least one."""
+        self._event_count += 1
+        heappush(self._events, (self.now + max(1, int(wait)), self._event_count, call))
 
-    def run(self, seconds):
+    def run(self, seconds: float) -> "SimulatedFleet":
+        """Lets so much virtual time pass; gives itself."""
         end = self.now + int(seconds * TICKS_PER_SECOND)
-        while self.events and self.events[0][0] <= end:
-            self.now, _, call = heappop(self.events)
+        while self._events and self._events[0][0] <= end:
+            at, _, call = heappop(self._events)
+            self.now = at
             call()
         self.now = end
         return self
 
-    def until(self, what, most=600):
-        """Runs until `what()` holds, at most so many seconds; gives whether it does."""
-        for _ in range(most * 2):
-            if what():
+    def run_until(self, condition: Callable[[], object], most_seconds: int = 600) -> object:
+        """Runs until a condition holds, at most so many seconds; gives whether it does."""
+        for _ in range(most_seconds * LOOKS_PER_SECOND):
+            if condition():
                 return True
-            self.run(0.5)
-        return what()
+            self.run(LOOK_SECONDS)
+        return condition()
 
-    def tick(self):
-        if self.keepers.up:
-            self.keepers.apply({"do": "tick"})
-        self.after(TICK, self.tick)
-
-    def carry(self, sender, to, call):
-        """Brings a message there, or loses it, or brings it twice."""
-        if (sender, to) in self.cuts or self.chance.draw() < self.loss:
+    def deliver(self, sender: str, receiver: str, call: Callable[[], object]) -> None:
+        """Calls `call` when a message arrives: once, twice or never."""
+        random = self._random
+        if (sender, receiver) in self.partitions or random.draw() < self._loss:
             return
-        for _ in range(2 if self.chance.draw() < 0.01 else 1):
+        for _ in range(2 if random.draw() < DUPLICATE_SHARE else 1):
             wait = (
-                20
-                + self.chance.draw() * 80
-                + (self.chance.draw() < 0.02) * self.chance.draw() * 3 * TICKS_PER_SECOND
+                DELAY_TICKS
+                + random.draw() * JITTER_TICKS
+                + (random.draw() < LATE_SHARE) * random.draw() * LATE_SECONDS * TICKS_PER_SECOND
             )
-            self.after(wait, lambda: self.reach(to, call))
+            self.schedule(wait, lambda: self._arrive(receiver, call))
+
+    def submit(self, **command: Any) -> dict[str, Any]:
+        """Applies an operator's command at the service itself: nothing is lost on its way."""
+        return self.service.apply({"part": PART_NAME, **command})
 
-    def reach(self, to, call):
-        """A stopped process takes what came when it wakes."""
-        seat = self.seats.get(to)
-        if seat and seat.stopped_until > self.now:
-            self.after(seat.stopped_until - self.now, lambda: self.reach(to, call))
+    def partition(self, names: Iterable[str], direction: str = Direction.BOTH) -> None:
+        """Cuts units off from the service; `direction` is the value of a Direction."""
+        for name in names:
+            if direction != Direction.FROM:
+                self.partitions.add((name, SERVICE_ADDRESS))
+            if direction != Direction.TO:
+                self.partitions.add((SERVICE_ADDRESS, name))
+
+    def heal(self) -> None:
+        """Ends all partitions."""
+        self.partitions.clear()
+
+    def _arrive(self, receiver: str, call: Callable[[], object]) -> None:
+        """A message arrived; a suspended process takes it when it resumes."""
+        unit = self.units.get(receiver)
+        if unit and unit.suspended_until > self.now:
+            self.schedule(unit.suspended_until - self.now, lambda: self._arrive(receiver, call))
         else:
             call()
 
-    def order(self, **command):
-        """An operator's command, at the keepers' own place: nothing is lost on its way."""
-        return self.keepers.apply({"part": "turns", **command})
-
-    # What happens to units.
-
-    def clock(self, seat):
-        return int(self.now * seat.rate) + seat.offset
-
-    def begin(self, seat, ready):
-        """Another start of its process."""
-        seat.start += 1
-        seat.life += 1
-        seat.alive, seat.client = True, Client(self, seat.name, seat.start)
-        seat.holder = self.made(
-            seat.name, seat.start, seat.build, self.terms, self.clock(seat), ready
+    def _tick(self) -> None:
+        if self.service.is_up:
+            self.service.apply({"do": CommandName.TICK.value})
+        self.schedule(TICK_INTERVAL, self._tick)
+
+    # Units and their processes.
+
+    def read_clock(self, unit: SimulatedUnit) -> Ticks:
+        """What the monotonic clock of a unit shows."""
+        return int(self.now * unit.clock_rate) + unit.clock_offset
+
+    def list_serving(self) -> list[str]:
+        """Names of the units that serve."""
+        return [name for name, unit in self.units.items() if unit.is_serving and unit.is_alive]
+
+    def list_with_build(self, build: str) -> list[str]:
+        """Names of the units that run a build."""
+        return [name for name, unit in self.units.items() if unit.build == build]
+
+    def crash(self, name: str, restart_after: float | None = None) -> None:
+        """Kills a unit's process; it starts again, cold, after so many seconds, or never."""
+        unit = self.units[name]
+        unit.is_alive = False
+        unit.is_serving = False
+        self.checker.record_crash(self.now, name)
+        if restart_after is not None:
+            self.schedule(restart_after * TICKS_PER_SECOND, lambda: self.restart(name))
+
+    def restart(self, name: str) -> None:
+        """Starts the process of a unit that crashed; it gets warm unless its build fails."""
+        unit = self.units[name]
+        if not unit.is_alive:
+            self._start_process(unit, False)
+            if unit.build != self.failing_build:
+                self._schedule_for_process(unit, unit.warm_up, lambda: self._finish_warm_up(unit))
+
+    def suspend(self, name: str, seconds: float) -> None:
+        """Sends SIGSTOP to a unit's process, and SIGCONT after so many seconds."""
+        self.units[name].suspended_until = self.now + int(seconds * TICKS_PER_SECOND)
+
+    def _start_process(self, unit: SimulatedUnit, ready: bool) -> None:
+        unit.start += 1
+        unit.is_alive = True
+        unit.client = SimulatedClient(self, unit.name, unit.start)
+        unit.agent = self._make_agent(
+            unit.name, unit.start, unit.build, self.settings, self.read_clock(unit), ready
         )
-        self.after(
-            self.chance.draw() * self.terms.bound / 4, lambda life=seat.life: self.beat(seat, life)
+        start = unit.start
+        self.schedule(
+            self._random.draw() * self.settings.bound / 4, lambda: self._poll(unit, start)
         )
 
-    def mine(self, seat, life, wait, call):
-        """Calls back after so long if this start of it still lives then, and when it is not stopped."""
+    def _is_running(self, unit: SimulatedUnit, start: int) -> bool:
+        return unit.is_alive and unit.start == start
+
+    def _schedule_for_process(
+        self, unit: SimulatedUnit, wait: float, call: Callable[[], object]
+    ) -> None:
+        """Calls back after so long, if the process still lives then; later if it is suspended."""
+        start = unit.start
 
-        def due():
-            if seat.alive and seat.life == life:
-                if seat.stopped_until > self.now:
-                    self.after(seat.stopped_until - self.now, due)
+        def call_if_running() -> None:
+            if self._is_running(unit, start):
+                if unit.suspended_until > self.now:
+                    self.schedule(unit.suspended_until - self.now, call_if_running)
                 else:
                     call()
 
-        self.after(wait, due)
+        self.schedule(wait, call_if_running)
 
-    def beat(self, seat, life):
-        if seat.alive and seat.life == life:
-            if seat.stopped_until <= self.now:
-                self.act(seat, seat.holder.due(self.clock(seat)))
-            self.after(
-                max(self.terms.bound / 8, seat.stopped_until - self.now),
-                lambda: self.beat(seat, life),
+    def _poll(self, unit: SimulatedUnit, start: int) -> None:
+        """Lets time go on for an agent."""
+        if self._is_running(unit, start):
+            if unit.suspended_until <= self.now:
+                self.perform(unit, unit.agent.due(self.read_clock(unit)))
+            self.schedule(
+                max(self.settings.bound / POLLS_PER_BOUND, unit.suspended_until - self.now),
+                lambda: self._poll(unit, start),
             )
 
-    def act(self, seat, effects):
-        """Does what a holder wants."""
-        life = seat.life
-        for what, *facts in effects:
-            if what == "say":
-                token, command = facts
-                seat.client.propose(
-                    command,
-                    lambda reply, token=token: (
-                        seat.alive
-                        and seat.life == life
-                        and self.act(seat, seat.holder.told(self.clock(seat), token, reply))
-                    ),
-                )
-            elif what == "drain":
-                fence, build = facts
-                seat.serving = False
-                self.outside.went(self.now, seat.name, fence, seat.name in self.backs)
-                self.mine(
-                    seat,
-                    life,
-                    WORK * (0.2 + self.chance.draw()),
-                    lambda build=build: self.empty(seat, build),
-                )
-            elif what == "come":
-                (build,) = facts
-                seat.build = build or seat.build
-                if seat.lame:
-                    self.act(seat, seat.holder.failed(self.clock(seat), seat.lame))
-                else:
-                    self.mine(
-                        seat,
-                        life,
-                        seat.cold * (0.5 + self.chance.draw()),
-                        lambda: self.act(seat, seat.holder.ready(self.clock(seat), seat.build)),
-                    )
+    # What agents want done.
+
+    def perform(self, unit: SimulatedUnit, actions: list[Action]) -> None:
+        """Does what a unit's agent wants."""
+        for action in actions:
+            if isinstance(action, SayAction):
+                self._say(unit, action)
+            elif isinstance(action, DrainAction):
+                self._drain(unit, action)
+            elif isinstance(action, ComeAction):
+                self._come(unit, action)
             else:
-                seat.serving = True
-                self.outside.serves(self.now, seat.name)
+                unit.is_serving = True
+                self.checker.record_serving(unit.name)
+
+    def _say(self, unit: SimulatedUnit, action: SayAction) -> None:
+        start = unit.start
+
+        def take_reply(reply: dict[str, Any]) -> None:
+            if self._is_running(unit, start):
+                self.perform(unit, unit.agent.told(self.read_clock(unit), action.token, reply))
+
+        unit.client.propose(action.command, take_reply)
+
+    def _drain(self, unit: SimulatedUnit, action: DrainAction) -> None:
+        unit.is_serving = False
+        is_rollback = unit.name in self.rolled_back
+        self.checker.record_disruption(self.now, unit.name, action.fence, is_rollback)
+        self._schedule_for_process(
+            unit,
+            WORK_TICKS * (0.2 + self._random.draw()),
+            lambda: self._finish_drain(unit, action.build),
+        )
 
-    def empty(self, seat, build):
-        if seat.holder.state not in ("draining", "out"):
+    def _finish_drain(self, unit: SimulatedUnit, build: str) -> None:
+        if unit.agent.state not in (AgentState.DRAINING, AgentState.OUT):
             return
-        life = seat.life
-        self.act(seat, seat.holder.emptied(self.clock(seat)))
-        if build:  # it went out to be replaced: that is done after a while
-            self.mine(
-                seat,
-                life,
-                WORK * (0.5 + self.chance.draw()),
-                lambda: self.act(seat, seat.holder.done(self.clock(seat), build)),
+        self.perform(unit, unit.agent.emptied(self.read_clock(unit)))
+        if build:  # it was disrupted to be replaced: that is done after a while
+            self._schedule_for_process(
+                unit,
+                WORK_TICKS * (0.5 + self._random.draw()),
+                lambda: self.perform(unit, unit.agent.done(self.read_clock(unit), build)),
             )
 
-    def crash(self, name, back_after=None):
-        """Kills it; back_after: seconds until it starts again, cold."""
-        seat = self.seats[name]
-        seat.alive, seat.serving = False, False
-        self.outside.crashed(self.now, name)
-        if back_after is not None:
-            self.after(back_after * TICKS_PER_SECOND, lambda: self.restart(name))
-
-    def restart(self, name):
-        seat = self.seats[name]
-        if not seat.alive:
-            self.begin(seat, False)
-            life = seat.life
-            if seat.build == self.sick:
-                return
-            self.mine(
-                seat,
-                life,
-                seat.cold,
-                lambda: self.act(seat, seat.holder.ready(self.clock(seat), seat.build)),
+    def _come(self, unit: SimulatedUnit, action: ComeAction) -> None:
+        unit.build = action.build or unit.build
+        if unit.return_fault:
+            self.perform(unit, unit.agent.failed(self.read_clock(unit), unit.return_fault))
+        else:
+            self._schedule_for_process(
+                unit,
+                unit.warm_up * (0.5 + self._random.draw()),
+                lambda: self._finish_warm_up(unit),
             )
 
-    def stop(self, name, seconds):
-        """SIGSTOP, and SIGCONT after so long."""
-        seat = self.seats[name]
-        seat.stopped_until = self.now + int(seconds * TICKS_PER_SECOND)
-
-    def cut(self, names, way="both"):
-        for name in names:
-            self.cuts |= {(name, "keepers")} if way != "from" else set()
-            self.cuts |= {("keepers", name)} if way != "to" else set()
-
-    def heal(self):
-        self.cuts.clear()
-
-    def serving(self):
-        return [name for name, seat in self.seats.items() if seat.serving and seat.alive]
-
-    def builds(self, build):
-        return [name for name, seat in self.seats.items() if seat.build == build]
-
-
-def fleet(zones=3, racks=4, each=5):
-    """(units, budgets, groups for the checker): so many zones of so many racks of so many units; one of each rack may
-    be out, three of each zone, and four fifths of each kind stay ready."""
-    units, groups = {}, []
-    for number in range(zones * racks * each):
-        zone, rack = number % zones, number // zones % racks
-        units[f"unit-{number:03}"] = {
-            "kind": "pod" if number % 2 else "sidecar",
-            "zone": f"z{zone}",
-            "rack": f"z{zone}r{rack}",
-            "cluster": "east",
-            "lane": "pay",
-        }
-    for label, most in (("rack", 1), ("zone", 3)):
-        groups += [
-            (f"{label} {value}", {name for name, one in units.items() if one[label] == value}, most)
-            for value in sorted({one[label] for one in units.values()})
-        ]
-    for kind in ("pod", "sidecar"):
-        names = {name for name, one in units.items() if one["kind"] == kind}
-        groups.append((kind, names, int(len(names) * 0.2 + 1e-9)))
-    return (
-        units,
-        [
-            {"name": "racks", "each": "rack", "most": 1},
-            {"name": "zones", "each": "zone", "most": 3},
-            {"name": "kinds", "each": "kind", "share": 0.2},
-        ],
-        groups,
-    )
+    def _finish_warm_up(self, unit: SimulatedUnit) -> None:
+        self.perform(unit, unit.agent.ready(self.read_clock(unit), unit.build))
--- /dev/null
+++ b/thymeknot/disruption/simulated_layout.py
@@ -0,0 +1,61 @@
+"""The units, budgets and groups of a simulated fleet."""
+
+from typing import Any, NamedTuple
+
+from .invariant_checker import BudgetGroup
+from .targets import Labels, UnitKind
+
+# How many units of a rack and of a zone may be unavailable.
+MOST_OF_RACK = 1
+MOST_OF_ZONE = 3
+# Which share of each kind may be unavailable.
+SHARE_OF_KIND = 0.2
+# Added before a share is rounded down, so that 0.2 of 15 is 3 in floating point too.
+ROUNDING_TOLERANCE = 1e-9
+
+
+class FleetLayout(NamedTuple):
+    """What a simulated fleet consists of.
+
+    Attributes:
+        units: labels by name.
+        budgets: the budgets as a declaration has them.
+        groups: the same budgets for the checker outside.
+    """
+
+    units: dict[str, Labels]
+    budgets: list[dict[str, Any]]
+    groups: list[BudgetGroup]
+
+
+def make_layout(zones: int = 3, racks: int = 4, units_per_rack: int = 5) -> FleetLayout:
+    """Lays out a fleet of so many zones of so many racks of so many units.
+
+    One unit of each rack may be unavailable, three of each zone, and a fifth of each kind.
+    """
+    units = {}
+    for number in range(zones * racks * units_per_rack):
+        zone = number % zones
+        rack = number // zones % racks
+        units[f"unit-{number:03}"] = {
+            "kind": (UnitKind.POD if number % 2 else UnitKind.SIDECAR).value,
+            "zone": f"z{zone}",
+            "rack": f"z{zone}r{rack}",
+            "cluster": "east",
+            "lane": "pay",
+        }
+    groups = []
+    for label, most in (("rack", MOST_OF_RACK), ("zone", MOST_OF_ZONE)):
+        for value in sorted({labels[label] for labels in units.values()}):
+            names = {name for name, labels in units.items() if labels[label] == value}
+            groups.append(BudgetGroup(f"{label} {value}", names, most))
+    for kind in (UnitKind.POD, UnitKind.SIDECAR):
+        names = {name for name, labels in units.items() if labels["kind"] == kind}
+        most = int(len(names) * SHARE_OF_KIND + ROUNDING_TOLERANCE)
+        groups.append(BudgetGroup(kind.value, names, most))
+    budgets: list[dict[str, Any]] = [
+        {"name": "racks", "each": "rack", "most": MOST_OF_RACK},
+        {"name": "zones", "each": "zone", "most": MOST_OF_ZONE},
+        {"name": "kinds", "each": "kind", "share": SHARE_OF_KIND},
+    ]
+    return FleetLayout(units, budgets, groups)
