--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,39 @@
 # Whatever is checked: the program, its tests, the measurements and the scripts of CI.
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
-TYPED = thymeknot/interface thymeknot/__main__.py thymeknot/service/required_libraries.py
+TYPED = thymeknot/__main__.py \
+	thymeknot/coordination/incarnation.py \
+	thymeknot/coordination/settings.py \
+	thymeknot/decision_log/settings.py \
+	thymeknot/disruption \
+	thymeknot/gang_scheduling \
+	thymeknot/interface \
+	thymeknot/operator_config \
+	thymeknot/polling \
+	thymeknot/protocol/client.py \
+	thymeknot/protocol/command.py \
+	thymeknot/protocol/deployer.py \
+	thymeknot/protocol/http.py \
+	thymeknot/protocol/resp.py \
+	thymeknot/protocol/write_progress.py \
+	thymeknot/proxy/descriptor_budget.py \
+	thymeknot/service/features.py \
+	thymeknot/service/lifecycle.py \
+	thymeknot/service/log_events.py \
+	thymeknot/service/rejection_summary.py \
+	thymeknot/service/required_libraries.py \
+	thymeknot/service/structured_log.py \
+	thymeknot/simulation/earlier_versions.py \
+	thymeknot/simulator_wire \
+	thymeknot/state/endpoint_state.py \
+	thymeknot/state/fleet_baseline.py \
+	thymeknot/state/key_hash.py \
+	thymeknot/state/random_source.py \
+	thymeknot/state/request_state.py \
+	thymeknot/state/sliding_window.py \
+	thymeknot/state/slot_table.py \
+	thymeknot/state/timer_queue.py \
+	thymeknot/state/trial_exposure.py
 
 format: build-dev
 	.venv/bin/ruff check -q --select I --fix $(CHECKED)
