--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
 TYPED = thymeknot/interface thymeknot/polling thymeknot/simulator_wire \
+	thymeknot/state/connection_pool.py \
 	thymeknot/state/key_hash.py \
 	thymeknot/state/random_source.py \
 	thymeknot/state/sliding_window.py \
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -306,7 +306,7 @@
             0,
         )
         client = network.client()
-        with mock.patch.object(connection_pool, "REST", rest):
+        with mock.patch.object(connection_pool, "REST_AFTER_RESPONSE", rest):
             for step in range(6000):
                 if chance.random() < a_second / 200:
                     network.ask(f"{step}", connection=client)
@@ -335,7 +335,9 @@
         return connected
 
     def test_the_rest_costs_few_connections_where_requests_are_spread_over_pods(self):
-        before, after = (self.dials(rest, 20, 60, 20) for rest in (0, connection_pool.REST))
+        before, after = (
+            self.dials(rest, 20, 60, 20) for rest in (0, connection_pool.REST_AFTER_RESPONSE)
+        )
         self.assertLessEqual(after, 1.05 * before + 2, (before, after))
 
 
--- a/thymeknot/state/connection_pool.py
+++ b/thymeknot/state/connection_pool.py
@@ -1,61 +1,189 @@
-"""Connections to pods, by pod: idle ones, the latest used first, and deliveries that wait for one."""
+"""Connections to pods (endpoints), pooled by pod, and the attempts that wait for one."""
 
 from collections import deque
+from collections.abc import Callable, Iterable
+from typing import Any, NamedTuple, Protocol, cast
 
+from ..interface.clock import Ticks
+from ..interface.settings import ConnectionLimits
 from ..protocol.pod import PodConnector
 from ..protocol.write_progress import NOT_CONNECTED, BrokenConnection
 from .slot_table import SlotTable
+from .timer_queue import TimerQueue
 
-IDLE_PART = 0.8  # of the told idle time: then a connection is retired, before the pod does it
-LATE = 5_000  # what was given up is read from for so long: an answer may be on its way
-AGAIN = 10_000  # a connection is looked at no more often than that
-REST = 100  # after an answer: a second one may come some milliseconds late, and answers carry no id
+# Part of the pod's idle timeout after which a connection is retired, before the pod closes it.
+RETIRED_IDLE_FRACTION = 0.8
+# How long a connection is read from after its attempt was given up: a response may be on its way.
+LINGER_AFTER_GIVE_UP: Ticks = 5_000
+# Between two looks at whether a connection is to be retired.
+CHECK_INTERVAL: Ticks = 10_000
+# After a response: a second one may come some milliseconds late, and responses carry no id.
+REST_AFTER_RESPONSE: Ticks = 100
+
+# It makes a Connector, whose fields are filled in after it was made.
+_make_connector: Callable[..., Any] = PodConnector
+
+
+class Attempt(Protocol):
+    """What is carried to a pod, one at a time on a connection."""
+
+    def may_be_written(self, address: str, /) -> bool:
+        """Returns whether it still may be written to this address."""
+
+    def write_to(self, connection: Any, /) -> object:
+        """Writes it to a connection."""
+
+    def withdraw(self) -> object:
+        """Ends it before anything of it was written."""
+
+    def not_connected(self, broken: BrokenConnection, /) -> object:
+        """Ends it: no connection came up for it."""
+
+
+class PooledConnection(Protocol):
+    """A connection as the pools use it.
+
+    Attributes:
+        connector: What it came up by.
+        delivery: The attempt that it carries or carried last; None while it is idle.
+        waiting: What is told of the response; None where none is awaited.
+        written: Whether the attempt is written completely.
+        slot: Its number among the open connections.
+        used_at: When it was last made idle.
+        rests_until: No attempt is written to it before.
+        timers: The numbers of its timers; the first one checks whether it is to be retired.
+        transport: Twisted's transport.
+    """
+
+    connector: "Connector"
+    delivery: Attempt | None
+    waiting: object
+    written: bool
+    slot: int
+    used_at: Ticks
+    rests_until: Ticks
+    timers: list[int]
+    transport: Any
+
+    def clean(self) -> bool:
+        """Returns whether nothing has come since the last response."""
+
+    def is_to_itself(self) -> bool:
+        """Returns whether both of its ends are this process."""
+
+    def drop(self, reason: str, /) -> object:
+        """Ends it, and the attempt on it."""
+
+    def give_up(self) -> object:
+        """Ends its attempt; what is on its way back is still read."""
+
+
+class Connector(Protocol):
+    """One attempt to connect.
+
+    Attributes:
+        pool: Where the connection belongs.
+        deadline: The number of the timer that stops it.
+        failed: A Deferred that fires with a BrokenConnection where it fails.
+    """
+
+    pool: "ConnectionPool"
+    deadline: int | None
+    failed: Any
+
+
+class UnwrittenAttempt(NamedTuple):
+    """An attempt that is not written completely: it has not run."""
+
+    attempt: Attempt
+    address: str
+    """Where it is meant to go."""
 
 
 class ConnectionPool:
-    """What this sidecar holds to one pod at one address."""
+    """The connections of this sidecar to one pod at one address.
+
+    Attributes:
+        pod: The pod's identifier.
+        address: Where it listens: host:port.
+        idle: Its idle connections, the one used last at the end.
+        waiting: The attempts that wait for a connection, the eldest first.
+        dialling: How many connections are being dialled.
+        due: The number of the timer at which a connection has rested.
+    """
 
-    def __init__(self, pod, address):
-        self.pod, self.address = pod, address
-        self.idle, self.waiting, self.dialling, self.due = [], deque(), 0, None
+    def __init__(self, pod: str, address: str) -> None:
+        self.pod = pod
+        self.address = address
+        self.idle: list[PooledConnection] = []
+        self.waiting: deque[Attempt] = deque()
+        self.dialling = 0
+        self.due: int | None = None
 
 
 class ConnectionPools:
-    """Carries deliveries to pods, one at a time on a connection. A delivery is asked to write_to(connection)
-    when it has one, if it still may_be_written(address), else to withdraw(), and told not_connected(broken) when none
-    comes up for it."""
+    """Carries attempts to pods, one at a time on a connection.
 
-    def __init__(self, reactor, timers, connection_limits, most, fault):
-        self.reactor, self.timers, self.connection_limits = reactor, timers, connection_limits
-        self.most, self.fault = most, fault
-        self.by_pod, self.connections, self.dialling = {}, SlotTable(), 0
+    An attempt is asked to write_to(connection) when it has one and may_be_written(address) still
+    holds, else to withdraw(). It is told not_connected(broken) where no connection comes up.
 
-    def __len__(self):
+    Attributes:
+        timers: The timers of the program.
+        connection_limits: The settings that bound connections.
+        most: How many connections may be open or dialled at once.
+        fault: fault(where, error) is told of errors of the program.
+        by_pod: The pool of each pod.
+        connections: All open connections.
+        dialling: How many connections are being dialled.
+    """
+
+    def __init__(
+        self,
+        reactor: Any,
+        timers: TimerQueue,
+        connection_limits: ConnectionLimits,
+        most: int,
+        fault: Callable[[str, Exception], object],
+    ) -> None:
+        self.timers = timers
+        self.connection_limits = connection_limits
+        self.most = most
+        self.fault = fault
+        self.by_pod: dict[str, ConnectionPool] = {}
+        self.connections: SlotTable[PooledConnection] = SlotTable()
+        self.dialling = 0
+        self._reactor = reactor
+
+    def __len__(self) -> int:
         return len(self.connections) + self.dialling
 
-    def send(self, pod, address, delivery):
-        """Takes the latest used idle connection that has rested, or dials. False where that would be one too many."""
+    def send(self, pod: str, address: str, attempt: Attempt) -> bool:
+        """Writes an attempt to the idle connection used last that has rested, or dials for it.
+
+        Returns:
+            False where one more connection would be too many; nothing was done then.
+        """
         pool = self.by_pod.get(pod)
         if pool is None:
             pool = self.by_pod[pod] = ConnectionPool(pod, address)
-        connection = None if pool.waiting else self._rested(pool)
+        connection = None if pool.waiting else self._take_rested(pool)
         if connection:
-            self._write(delivery, connection)
+            self._write(attempt, connection)
             return True
-        if len(self) >= self.most and not self._retire_eldest():
+        if len(self) >= self.most and not self._close_least_recently_used():
             return False
-        pool.waiting.append(delivery)
+        pool.waiting.append(attempt)
         self._dial(pool)
-        self._serve(pool)
+        self._serve_waiting(pool)
         return True
 
-    def _rested(self, pool):
-        """Takes the latest used idle connection on which nothing came while it rested; None where there is none."""
+    def _take_rested(self, pool: ConnectionPool) -> PooledConnection | None:
+        """Takes the idle connection used last on which nothing came while it rested, if any."""
         now = self.timers.clock()
         for connection in pool.idle[::-1]:
             if now < connection.rests_until:
                 continue
-            if now >= self._retired_at(connection):  # where that is soon, before it was looked at
+            if now >= self._retires_at(connection):  # its timer may be a little late
                 self._close([connection])
             elif connection.clean():
                 pool.idle.remove(connection)
@@ -64,151 +192,162 @@
                 connection.drop("more came than was asked for, or the end")
         return None
 
-    def _retired_at(self, connection):
-        """One that has just come up is there for what it was dialled for, however short the idle time."""
-        return connection.used_at + max(REST, int(IDLE_PART * self.connection_limits.idle_timeout))
+    def _retires_at(self, connection: PooledConnection) -> Ticks:
+        # A new connection is kept for the attempt that it was dialled for, however short the
+        # idle timeout is.
+        idle_time = int(RETIRED_IDLE_FRACTION * self.connection_limits.idle_timeout)
+        return connection.used_at + max(REST_AFTER_RESPONSE, idle_time)
 
-    def _serve(self, pool):
-        """The delivery that has waited longest is next, as soon as a connection has rested or come up."""
+    def _serve_waiting(self, pool: ConnectionPool) -> None:
+        """Writes the attempts that wait, the eldest first, while connections have rested."""
         while pool.waiting:
             if not pool.waiting[0].may_be_written(pool.address):
                 pool.waiting.popleft().withdraw()
-            elif connection := self._rested(pool):
+            elif connection := self._take_rested(pool):
                 self._write(pool.waiting.popleft(), connection)
             else:
                 break
         self.timers.cancel(pool.due)
         if pool.waiting and pool.idle:
-            pool.due = self.timers.add(
-                min(connection.rests_until for connection in pool.idle), self._serve, pool
-            )
+            rested_at = min(connection.rests_until for connection in pool.idle)
+            pool.due = self.timers.add(rested_at, self._serve_waiting, pool)
 
-    def _write(self, delivery, connection):
-        connection.delivery = delivery
-        delivery.write_to(connection)
+    def _write(self, attempt: Attempt, connection: PooledConnection) -> None:
+        connection.delivery = attempt
+        attempt.write_to(connection)
 
-    def _dial(self, pool):
+    def _dial(self, pool: ConnectionPool) -> None:
         pool.dialling += 1
         self.dialling += 1
-        connector = PodConnector(self, pool)
-        connector.failed.addCallback(self._not_connected, connector)
+        connector: Connector = _make_connector(self, pool)
+        connector.failed.addCallback(self._dial_failed, connector)
         host, _, port = pool.address.rpartition(":")
-        dialled = self.reactor.connectTCP(host, int(port), connector, timeout=None)
+        dialled = self._reactor.connectTCP(host, int(port), connector, timeout=None)
         connector.deadline = self.timers.add(
             self.timers.clock() + self.connection_limits.connect_timeout, dialled.stopConnecting
         )
 
-    def _dialled(self, connector):
+    def _dial_ended(self, connector: Connector) -> None:
         self.timers.cancel(connector.deadline)
         connector.pool.dialling -= 1
         self.dialling -= 1
 
-    def _not_connected(self, broken, connector):
-        self._dialled(connector)
-        self._fall_short(connector.pool, broken)
+    def _dial_failed(self, broken: BrokenConnection, connector: Connector) -> None:
+        self._dial_ended(connector)
+        self._fail_unserved(connector.pool, broken)
 
-    def _fall_short(self, pool, broken):
-        if (
-            len(pool.waiting) > pool.dialling
-        ):  # else the one that it was dialled for has gone on another
+    def _fail_unserved(self, pool: ConnectionPool, broken: BrokenConnection) -> None:
+        """Fails the eldest waiting attempt, unless another dial serves it."""
+        if len(pool.waiting) > pool.dialling:
             pool.waiting.popleft().not_connected(broken)
 
-    def made(self, connection):
+    def made(self, connection: PooledConnection) -> None:
         """A connection has come up."""
-        self._dialled(connection.connector)
-        connection.slot, connection.used_at = (
-            self.connections.add(connection),
-            self.timers.clock(),
-        )
+        self._dial_ended(connection.connector)
+        connection.slot = self.connections.add(connection)
+        connection.used_at = self.timers.clock()
         if connection.is_to_itself():
             connection.drop("a dial that has reached itself")
         else:
-            self._stand(connection, 0)
-            self._look(connection)
-        # A pod that is full, or ending, may say so before anything is asked: such a connection carries nothing.
-        self._fall_short(
+            self._set_idle(connection, 0)
+            self._check_idle(connection)
+        # A pod that is full, or ending, may say so before anything is asked: such a connection
+        # carries nothing.
+        self._fail_unserved(
             connection.connector.pool,
             BrokenConnection(NOT_CONNECTED, "nothing to carry an attempt came up"),
         )
 
-    def ready(self, connection):
-        """What it carried has been answered: it rests before it is used again, and what comes meanwhile ends it."""
-        self._stand(connection, REST)
+    def ready(self, connection: PooledConnection) -> None:
+        """Its attempt has its response: it rests, and whatever comes meanwhile ends it."""
+        self._set_idle(connection, REST_AFTER_RESPONSE)
 
-    def _stand(self, connection, rest):
-        """A connection stands idle, for what waits or is to come."""
-        connection.used_at, pool, connection.delivery = (
-            self.timers.clock(),
-            connection.connector.pool,
-            None,
-        )
+    def _set_idle(self, connection: PooledConnection, rest: Ticks) -> None:
+        """Has a connection serve the attempts that wait or will come, after this rest."""
+        connection.used_at = self.timers.clock()
+        connection.delivery = None
         connection.rests_until = connection.used_at + rest
+        pool = connection.connector.pool
         if self.by_pod.get(pool.pod) is not pool:
-            return connection.drop("its pod has gone or moved")
+            connection.drop("its pod has gone or moved")
+            return
         pool.idle.append(connection)
-        return self._serve(pool)
+        self._serve_waiting(pool)
 
-    def ending(self, connection):
-        """It ends: no delivery goes on it any more."""
+    def ending(self, connection: PooledConnection) -> None:
+        """A connection ends: no attempt is written to it any more."""
         if connection in connection.connector.pool.idle:
             connection.connector.pool.idle.remove(connection)
 
-    def lost(self, connection):
+    def lost(self, connection: PooledConnection) -> None:
+        """A connection has ended."""
         self.ending(connection)
         self.connections.remove(connection.slot)
-        for deadline in connection.timers:
-            self.timers.cancel(deadline)
+        for timer in connection.timers:
+            self.timers.cancel(timer)
 
-    def _look(self, connection):
+    def _check_idle(self, connection: PooledConnection) -> None:
+        """Retires a connection that has been idle for too long, or checks again later."""
         if self.connections.get(connection.slot) is not connection:
             return
-        now, due = self.timers.clock(), self._retired_at(connection)
-        if connection.waiting is None and now >= due:
+        now = self.timers.clock()
+        retires_at = self._retires_at(connection)
+        if connection.waiting is None and now >= retires_at:
             self._close([connection])
         else:
-            connection.timers[:1] = [self.timers.add(max(due, now + AGAIN), self._look, connection)]
+            next_check = max(retires_at, now + CHECK_INTERVAL)
+            connection.timers[:1] = [self.timers.add(next_check, self._check_idle, connection)]
 
-    def give_up(self, delivery, connection):
-        """Ends a delivery at once, whether it waits or is out on a connection."""
+    def give_up(self, attempt: Attempt, connection: PooledConnection | None) -> None:
+        """Ends an attempt at once, whether it waits or is out on this connection."""
         if connection is not None:
             connection.give_up()
             connection.timers.append(
-                self.timers.add(self.timers.clock() + LATE, connection.drop, "given up")
+                self.timers.add(
+                    self.timers.clock() + LINGER_AFTER_GIVE_UP, connection.drop, "given up"
+                )
             )
             return
         for pool in self.by_pod.values():
-            if delivery in pool.waiting:
-                pool.waiting.remove(delivery)
-
-    def unwritten(self):
-        """The deliveries that are decided, but wait for a connection or are not written whole, and the address that
-        each is meant for: none has run."""
-        return [
-            (delivery, pool.address) for pool in self.by_pod.values() for delivery in pool.waiting
-        ] + [
-            (connection.delivery, connection.connector.pool.address)
+            if attempt in pool.waiting:
+                pool.waiting.remove(attempt)
+
+    def unwritten(self) -> list[UnwrittenAttempt]:
+        """Returns the attempts that wait for a connection or are not written completely."""
+        waiting = [
+            UnwrittenAttempt(attempt, pool.address)
+            for pool in self.by_pod.values()
+            for attempt in pool.waiting
+        ]
+        partly_written = [
+            UnwrittenAttempt(cast(Attempt, connection.delivery), connection.connector.pool.address)
             for connection in self.connections
             if connection.waiting is not None and not connection.written
         ]
+        return waiting + partly_written
 
-    def retire(self, pod):
+    def retire(self, pod: str) -> None:
         """Closes the idle connections to a pod."""
         if pod in self.by_pod:
             self._close(list(self.by_pod[pod].idle))
 
-    def keep_only(self, addresses):
-        """Lets go of what is held to other pods than these, or elsewhere; what is out on a connection there may end.
-        Nothing waits for one that is let go: it was withdrawn."""
+    def keep_only(self, addresses: dict[str, str]) -> None:
+        """Closes what is held to other pods than these, or to other addresses of them.
+
+        An attempt that is out on a connection there may end. None waits for such a connection: it
+        was withdrawn before.
+        """
         for pod in [pod for pod, pool in self.by_pod.items() if addresses.get(pod) != pool.address]:
             self.retire(pod)
             del self.by_pod[pod]
 
-    def _close(self, connections):
+    def _close(self, connections: Iterable[PooledConnection]) -> None:
         for connection in connections:
             self.ending(connection)
             connection.transport.loseConnection()
 
-    def _retire_eldest(self):
+    def _close_least_recently_used(self) -> bool:
+        """Closes the idle connection that was used longest ago; returns whether there is one."""
         idle = [pool.idle[0] for pool in self.by_pod.values() if pool.idle]
         self._close(sorted(idle, key=lambda connection: connection.used_at)[:1])
         return bool(idle)
