--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -1223,7 +1223,8 @@
             call
             for call, arguments in self.proxy.timers.live.values()
             for one in (getattr(call, "__self__", None), *arguments)
-            if type(one).__name__ in ("Attempt", "Held", "Pool", "PodConnection")
+            if type(one).__name__
+            in ("Attempt", "InFlightRequest", "ConnectionPool", "PodConnection")
         ]
         self.test.assertEqual(kept, [])
 
