--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -308,7 +308,7 @@
             0,
         )
         client = network.client()
-        with mock.patch.object(connection_pool, "REST", rest):
+        with mock.patch.object(connection_pool, "REST_AFTER_RESPONSE", rest):
             for step in range(6000):
                 if chance.random() < a_second / 200:
                     network.ask(f"{step}", connection=client)
@@ -337,7 +337,9 @@
         return connected
 
     def test_the_rest_costs_few_connections_where_requests_are_spread_over_pods(self):
-        before, after = (self.dials(rest, 20, 60, 20) for rest in (0, connection_pool.REST))
+        before, after = (
+            self.dials(rest, 20, 60, 20) for rest in (0, connection_pool.REST_AFTER_RESPONSE)
+        )
         self.assertLessEqual(after, 1.05 * before + 2, (before, after))
 
 
@@ -1223,7 +1225,8 @@
             call
             for call, arguments in self.proxy.timers.live.values()
             for one in (getattr(call, "__self__", None), *arguments)
-            if type(one).__name__ in ("Attempt", "Held", "Pool", "PodConnection")
+            if type(one).__name__
+            in ("Attempt", "InFlightRequest", "ConnectionPool", "PodConnection")
         ]
         self.test.assertEqual(kept, [])
 
