--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -10,7 +10,7 @@
 from thymeknot.interface.events import Endpoint, EndpointUpdate, FleetCounts, ReleaseUpdate
 from thymeknot.protocol import command as commands
 from thymeknot.protocol import deployer, discovery, http, pod, resp
-from thymeknot.protocol.calls import Reply
+from thymeknot.protocol.http_calls import Reply
 from thymeknot.protocol.write_progress import (
     NOT_ALL_WRITTEN,
     NOT_CONNECTED,
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -39,14 +39,7 @@
 from .declaration import read_declaration
 from .fleet import Fleet
 from .halts import Halt, HaltCause, Halts
-from .permits import (
-    PERMITTED_STATES,
-    PermitInput,
-    PermitRequest,
-    PermitState,
-    Unit,
-    UnitStatus,
-)
+from .permits import PERMITTED_STATES, PermitInput, PermitRequest, PermitState, Unit, UnitStatus
 from .plan_epochs import PlanEpochs
 from .release import PLAN_PREFIX, ReleaseState
 from .release_commands import roll_back_release, start_release, take_vote
--- a/thymeknot/gang_scheduling/gang_lifecycle.py
+++ b/thymeknot/gang_scheduling/gang_lifecycle.py
@@ -5,14 +5,7 @@
 from typing import NamedTuple
 
 from .commands import CommandRejectedError
-from .gang_state import (
-    STATES_WITH_LEASE,
-    TRANSITIONS,
-    GangEffect,
-    GangInput,
-    GangLife,
-    Snapshot,
-)
+from .gang_state import STATES_WITH_LEASE, TRANSITIONS, GangEffect, GangInput, GangLife, Snapshot
 from .settings import GangSettings
 
 MAX_BACKOFF_DOUBLINGS = 20  # so that the backoff stays a small integer before its limit applies
--- a/thymeknot/protocol/__init__.py
+++ b/thymeknot/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken: pure incremental parsers and writers, and the Twisted protocols that stand on them."""
+"""What is spoken on the wire: parsers and writers, and the connections that use them."""
--- a/thymeknot/protocol/deployer.py
+++ b/thymeknot/protocol/deployer.py
@@ -11,7 +11,7 @@
 from ..interface.enums import Outcome, ReleasePhase, Verdict
 from ..interface.events import FleetCounts, ReleaseUpdate
 from . import http
-from .calls import Reply
+from .http_calls import Reply
 from .write_progress import WRITTEN, BrokenConnection
 
 BASE: Final = "/v2/projects/main/"
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -1,7 +1,8 @@
-"""A connection to a pod: one delivery at a time. How it ended is a value, by a Deferred, and never raised."""
+"""A connection to an endpoint: one attempt at a time, whose end is a value and never raised."""
 
 import socket
-from typing import NamedTuple, Optional
+from collections.abc import Callable
+from typing import Any, Final, NamedTuple
 
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import ClientFactory, Protocol
@@ -9,169 +10,223 @@
 from . import resp
 from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter, nothing_waits
 
-MOST_VALUE = (
-    512 * 1024
-)  # a value is 64 KiB at most, by the protocol; pods were seen to send up to 400,000 bytes
-MOST_ANSWER = MOST_VALUE + 64 * 1024  # all its parts: what goes on beyond that has no end
-MOST_REPORT = 4 * 1024  # a longer load report is none: to read it would hold up all others
-PARTS = 3  # of a good answer: the value, null, the load report or null
+MOST_VALUE: Final = 512 * 1024
+"""Bytes of a value: 64 KiB by the protocol; endpoints were seen to send up to 400,000."""
+MOST_ANSWER: Final = MOST_VALUE + 64 * 1024
+"""Bytes of all parts of a response: what goes on beyond that has no end."""
+MOST_REPORT: Final = 4 * 1024
+"""Bytes of a load report: to read a longer one would hold up all others."""
+PARTS: Final = 3
+"""Of a good response: the value, null, the load report or null."""
 
 
 class PodResponse(NamedTuple):
-    """What a pod answered: its value and its load report, or the text of its failure."""
+    """What an endpoint answered: its value and its load report, or the text of its failure."""
 
-    value: Optional[memoryview]
-    report: Optional[bytes]
-    failure: Optional[str]
+    value: memoryview | None
+    report: bytes | None
+    failure: str | None
 
 
-def read_answer(message):
-    """An Answer, or None where the message is none that a pod gives."""
+def read_answer(message: Any) -> PodResponse | None:
+    """The response, or None where the message is none that an endpoint gives."""
     if isinstance(message, resp.Failure):
         return PodResponse(None, None, message.text)
     if isinstance(message, list) and message and isinstance(message[0], memoryview):
         report = message[2] if len(message) == PARTS else None
-        told = isinstance(report, memoryview) and len(report) <= MOST_REPORT
-        return PodResponse(message[0], bytes(report) if told else None, None)
+        if isinstance(report, memoryview) and len(report) <= MOST_REPORT:
+            return PodResponse(message[0], bytes(report), None)
+        return PodResponse(message[0], None, None)
     return None
 
 
-def nothing(*_):
-    """For a delivery of which nobody asks to hear when its answer begins."""
+def nothing(*_: Any) -> None:
+    """For an attempt of which nobody asks to hear when its response begins."""
 
 
 class AnswerParser(resp.Parser):
-    """For answers: an array has no arrays in it, or few bytes would make a parser go through many parts again and
-    again."""
+    """For responses: an array has no arrays in it.
 
-    def _array(self, buffer, at, length, depth):
+    Otherwise few bytes would have the parser go through many parts again and again.
+    """
+
+    def _array(self, buffer: bytes, at: int, length: int, depth: int) -> tuple[Any, int]:
         if depth:
             raise resp.MalformedRespError("an array in an answer")
         return super()._array(buffer, at, length, depth)
 
 
 class PodConnection(WholeWriter, Protocol):
-    """Its owner is told of made(connection), ready(connection), ending(connection) and lost(connection)."""
-
-    def __init__(self, owner, connector):
-        self.owner, self.connector, self.parser = owner, connector, AnswerParser(MOST_VALUE)
-        self.waiting, self.given_up, self.slot, self.used_at, self.rests_until = (
-            None,
-            False,
-            None,
-            None,
-            None,
-        )
-        self.begun, self.timers, self.delivery = nothing, [], None
-
-    def connectionMade(self):
+    """One connection to an endpoint.
+
+    Its owner is told of made(connection), ready(connection), ending(connection) and
+    lost(connection), and of fault(where, error).
+    """
+
+    def __init__(self, owner: Any, connector: "PodConnector") -> None:
+        self.owner = owner
+        self.connector = connector
+        self.parser: resp.Parser = AnswerParser(MOST_VALUE)
+        self.waiting: Deferred[PodResponse | BrokenConnection] | None = None
+        """Fires with the end of the attempt that is out."""
+        self.begun: Callable[[], None] = nothing
+        self.given_up = False
+        self.slot: Any = None
+        self.used_at: Any = None
+        self.rests_until: Any = None
+        self.timers: list[int] = []
+        self.delivery: Any = None
+
+    def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
         self.owner.made(self)
 
-    def clean(self):
-        """Whether nothing has come since the last answer: not its second copy, and not the end."""
+    def clean(self) -> bool:
+        """Whether nothing has come since the last response: no second copy of it, and no end."""
         return nothing_waits(self.transport)
 
-    def is_to_itself(self):
-        """Whether both ends are this one: a machine may dial from the very port that it dials where nobody listens
-        there, and what is written comes back, which reads as an answer."""
+    def is_to_itself(self) -> bool:
+        """Whether both ends are this one.
+
+        Where nobody listens, the operating system may dial from the very port that it dials; what
+        is written comes back then, and reads as a response.
+        """
         try:
-            return self.transport.getHost() == self.transport.getPeer()
+            return bool(self.transport.getHost() == self.transport.getPeer())
         except (OSError, TypeError):  # it has gone already, or has no address of its own
             return False
 
-    def deliver(self, words, begun=nothing):
-        """Sends a command. The Deferred fires with an Answer or a Broken; begun() is called before, where an answer
-        comes in part or can't be read: the pod has written it."""
-        self.waiting, self.begun = Deferred(), begun
+    def deliver(
+        self, words: list[bytes], begun: Callable[[], None] = nothing
+    ) -> "Deferred[PodResponse | BrokenConnection]":
+        """Sends a command. The Deferred fires with a PodResponse or a BrokenConnection.
+
+        begun() is called before that, where a response comes in part or can't be read: the endpoint
+        has written it.
+        """
+        waiting: Deferred[PodResponse | BrokenConnection] = Deferred()
+        self.waiting = waiting
+        self.begun = begun
         self.write_whole(resp.command(words))
-        return self.waiting
+        return waiting
 
-    def dataReceived(self, data):
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
         try:
             self._read(data)
         except Exception as error:  # a fault here must cost this connection alone
             self.owner.fault("pod connection", error)
             self.drop("fault")
 
-    def _read(self, data):
-        messages, wrong = [], None
+    def _read(self, data: bytes) -> None:
+        messages, fault = self._parse(data)
+        if self.waiting is None or not self.written:
+            self.drop("an answer that nothing asked for")
+            return
+        answer = read_answer(messages[0]) if messages else None
+        if answer is not None:
+            more = fault is not None or len(messages) > 1
+            self._answered(self.waiting, answer, more)
+            return
+        if not self.parser.begins_with(b"-"):
+            begun = self.begun
+            self.begun = nothing
+            begun()
+        if fault or messages:
+            self.drop(fault or "unreadable answer")
+
+    def _parse(self, data: bytes) -> tuple[list[Any], str | None]:
+        """The messages that are complete now, and what is wrong behind them."""
+        messages: list[Any] = []
+        fault = None
         try:
             messages += self.parser.feed(data)
         except resp.MalformedRespError as error:
-            wrong = f"unreadable answer: {error}"
+            fault = f"unreadable answer: {error}"
         if self.parser.held > MOST_ANSWER:
-            wrong = wrong or f"an answer of over {MOST_ANSWER} bytes"
-        if wrong:  # what is wrong behind a whole value does not make it another one
+            fault = fault or f"an answer of over {MOST_ANSWER} bytes"
+        if fault:  # what is wrong behind a complete value does not make it another one
             messages = messages or [[value] for value in self.parser.first_part()]
-        if self.waiting is None or not self.written:
-            return self.drop("an answer that nothing asked for")
-        answer = read_answer(messages[0]) if messages else None
-        if answer is None:
-            if not self.parser.begins_with(b"-"):
-                begun, self.begun = self.begun, nothing
-                begun()
-            return self.drop(wrong or "unreadable answer") if wrong or messages else None
-        waiting, self.waiting = self.waiting, None
-        # Too late for the client, but it tells that the transaction ran; or with more than belongs to it.
+        return messages, fault
+
+    def _answered(
+        self,
+        waiting: "Deferred[PodResponse | BrokenConnection]",
+        answer: PodResponse,
+        more: bool,
+    ) -> None:
+        """Tells the response; the connection is used again if nothing else came."""
+        self.waiting = None
+        # A late response tells nevertheless that the request ran.
         try:
-            if self.given_up or wrong or len(messages) > 1 or self.parser.held or not self.clean():
+            if self.given_up or more or self.parser.held or not self.clean():
                 self.drop("more came than was asked for, or the end")
             else:
-                self.begun = (
-                    nothing  # nor is what was answered kept by a connection that stands idle
-                )
+                self.begun = nothing  # an idle connection keeps nothing of what was answered
                 self.owner.ready(self)
         finally:  # whatever befalls the connection, this was answered
             waiting.callback(answer)
 
-    def drop(self, reason):
-        """Ends the connection; a delivery still waiting on it has failed."""
-        self.owner.ending(
-            self
-        )  # it is lost a turn of the loop later: nothing is written to it until then
+    def drop(self, reason: str) -> None:
+        """Ends the connection; an attempt still waiting on it has failed."""
+        # It is lost a turn of the event loop later: nothing is written to it until then.
+        self.owner.ending(self)
         self.transport.abortConnection()
         self._broken(reason)
         # What was read and carried is not kept for as long as a closed connection is known.
-        self.parser, self.begun, self.delivery = resp.Parser(0), nothing, None
+        self.parser = resp.Parser(0)
+        self.begun = nothing
+        self.delivery = None
 
-    def give_up(self):
-        """Ends the delivery at once, for another may be written next: one is out while its connection is open
-        for sending. What is on its way back is still read, for as long as the owner lets it."""
+    def give_up(self) -> None:
+        """Ends the attempt at once, since another may be written next.
+
+        An attempt is out while its connection is open for sending. What is on its way back is still
+        read, for as long as the owner lets it.
+        """
         self.given_up = True
         if not self.written:
-            return self.drop("given up")
+            self.drop("given up")
+            return
         try:
             self.transport.getHandle().shutdown(socket.SHUT_WR)
         except OSError:
             self.drop("given up")
 
-    def _broken(self, reason):
-        waiting, self.waiting = self.waiting, None
+    def _broken(self, reason: str) -> None:
+        waiting = self.waiting
+        self.waiting = None
         if waiting is not None:
             waiting.callback(self.how_far(reason))
 
-    def connectionLost(self, reason):
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
         self.owner.lost(self)
-        if self.waiting is not None and self.written:
-            for value in (
-                self.parser.first_part()
-            ):  # whole, and cut behind it: as where something wrong follows
-                waiting, self.waiting = self.waiting, None
+        waiting = self.waiting
+        if waiting is not None and self.written:
+            # Complete, and cut behind it: as where something wrong follows.
+            for value in self.parser.first_part():
+                self.waiting = None
                 waiting.callback(PodResponse(value, None, None))
         self._broken(reason.getErrorMessage())
 
 
 class PodConnector(ClientFactory):
-    """One attempt to connect; where it fails, the Deferred fires with a Broken."""
+    """One attempt to connect; where it fails, the Deferred fires with a BrokenConnection."""
 
     noisy = False
 
-    def __init__(self, owner, pool):
-        self.owner, self.pool, self.failed, self.deadline = owner, pool, Deferred(), None
+    def __init__(self, owner: Any, pool: Any) -> None:
+        self.owner = owner
+        self.pool = pool
+        self.failed: Deferred[BrokenConnection] = Deferred()
+        self.deadline: int | None = None
 
-    def buildProtocol(self, address):
+    def buildProtocol(self, address: Any) -> PodConnection:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
         return PodConnection(self.owner, self)
 
-    def clientConnectionFailed(self, connector, reason):
+    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802 (Twisted's name)
+        """Called by Twisted."""
         self.failed.callback(BrokenConnection(NOT_CONNECTED, reason.getErrorMessage()))
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -8,7 +8,8 @@
 from ..interface.events import Endpoint, EndpointUpdate
 from ..polling.snapshot_validation import SnapshotValidator
 from ..protocol import discovery
-from ..protocol.calls import MOST_REASON, Reply, WatchStream
+from ..protocol.http_calls import MOST_REASON, Reply
+from ..protocol.watch_stream import WatchStream
 from ..protocol.write_progress import BrokenConnection
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -36,8 +36,8 @@
 )
 from ..policy.engine import PROOF, DecisionEngine
 from ..protocol import resp
-from ..protocol.calls import HttpCaller
 from ..protocol.client import ClientConnection, Command
+from ..protocol.http_calls import HttpCaller
 from ..protocol.pod import PodResponse
 from ..protocol.write_progress import has_left
 from ..service import structured_log
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -7,7 +7,8 @@
 from ..interface.enums import Outcome, ReleasePhase
 from ..interface.events import ReleaseUpdate
 from ..protocol import deployer, http
-from ..protocol.calls import Reply, WatchStream
+from ..protocol.http_calls import Reply
+from ..protocol.watch_stream import WatchStream
 from ..protocol.write_progress import BrokenConnection
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
