--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,10 @@
 # Whatever is checked: the program, its tests, the measurements and the scripts of CI.
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
-TYPED = thymeknot/interface thymeknot/coordination/incarnation.py thymeknot/operator_config
+TYPED = thymeknot/interface thymeknot/operator_config thymeknot/coordination/incarnation.py \
+	thymeknot/load_generator/schedule.py thymeknot/load_generator/verdict.py \
+	thymeknot/load_generator/ramp.py thymeknot/load_generator/latency_histogram.py \
+	thymeknot/load_generator/driver.py thymeknot/load_generator/run.py
 
 format: build-dev
 	.venv/bin/ruff check -q --select I --fix $(CHECKED)
--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -14,12 +14,15 @@
 
 from tests.support.stand_ins import PodPeer, Program, words_of
 from thymeknot.load_generator import schedule
-from thymeknot.load_generator.codecs import Resp2
-from thymeknot.load_generator.driver import Driver
+from thymeknot.load_generator.codecs import Resp2Codec
+from thymeknot.load_generator.driver import Driver, DriverSettings
+from thymeknot.load_generator.ramp import Ramp, RampState
+from thymeknot.load_generator.schedule import RequestClass, RequestKind
+from thymeknot.load_generator.verdict import Goal, Stretch, Verdict, judge
 from thymeknot.protocol.resp import MalformedRespError
 
-READ = schedule.Lane("read", 1.0, "read")
-GOAL = schedule.Goal(0.99, 500, 0.01)
+READ = RequestClass("read", 1.0, RequestKind.READ)
+GOAL = Goal(0.99, 500, 0.01)
 GOOD = b"$2\r\nok\r\n"
 
 
@@ -47,14 +50,16 @@
     def test_the_same_seed_is_the_same_plan_and_arrivals_and_lanes_keep_their_rate(self):
         lanes = [schedule.lane("read=3"), schedule.lane("pay=1,write")]
         one, two, other = (
-            list(schedule.schedule(seed, 500, 10 * schedule.TICKS_PER_SECOND, lanes))
+            list(schedule.schedule_requests(seed, 500, 10 * schedule.TICKS_PER_SECOND, lanes))
             for seed in (3, 3, 4)
         )
         self.assertEqual(one, two)
         self.assertNotEqual(one, other)
         self.assertTrue(4_700 < len(one) < 5_300)
-        self.assertEqual([each.at for each in one], sorted(each.at for each in one))
-        self.assertTrue(0.2 < sum(each.lane.name == "pay" for each in one) / len(one) < 0.3)
+        self.assertEqual([each.due for each in one], sorted(each.due for each in one))
+        self.assertTrue(
+            0.2 < sum(each.request_class.name == "pay" for each in one) / len(one) < 0.3
+        )
 
     def test_wrong_lanes_are_refused(self):
         for text in (
@@ -72,14 +77,14 @@
 
     def test_what_the_tool_did_itself_is_looked_at_first(self):
         for more, verdict in (
-            ({"latency": 9_000, "done": 1, "late": 900}, schedule.SATURATED),
-            ({"latency": 9_000}, schedule.FAILED),
-            ({"done": 980}, schedule.FAILED),
-            ({}, schedule.HELD),
+            ({"latency": 9_000, "done": 1, "late": 900}, Verdict.SATURATED),
+            ({"latency": 9_000}, Verdict.FAILED),
+            ({"done": 980}, Verdict.FAILED),
+            ({}, Verdict.HELD),
         ):
             self.assertEqual(
-                schedule.judged(
-                    schedule.Stretch(
+                judge(
+                    Stretch(
                         **{
                             "rate": 100.0,
                             "latency": 100,
@@ -98,32 +103,34 @@
     @settings(max_examples=100, deadline=None)
     @given(some.floats(20, 20_000))
     def test_a_ramp_ends_and_finds_the_rate(self, truth):
-        ramp, steps = schedule.Ramp(10), 0
-        while ramp.state != schedule.OVER:
-            ramp.told(schedule.HELD if ramp.rate <= truth else schedule.FAILED, "")
+        ramp, steps = Ramp(10), 0
+        while ramp.state != RampState.OVER:
+            ramp.record(Verdict.HELD if ramp.rate <= truth else Verdict.FAILED, "")
             steps += 1
             self.assertLess(steps, 60)
         self.assertTrue(0.9 * truth <= ramp.held <= truth, (truth, ramp.held))
 
     def test_a_saturated_tool_blames_nobody_and_nothing_held_ends_too(self):
         for shown, held, failed in (
-            ([schedule.HELD, schedule.SATURATED], 100, float("inf")),
-            ([schedule.FAILED] * 60, 0.0, 0.0),
+            ([Verdict.HELD, Verdict.SATURATED], 100, float("inf")),
+            ([Verdict.FAILED] * 60, 0.0, 0.0),
         ):
-            ramp = schedule.Ramp(100)
+            ramp = Ramp(100)
             for one in shown:
-                if ramp.state != schedule.OVER:
-                    ramp.told(one, "")
-            self.assertEqual((ramp.state, ramp.held), (schedule.OVER, held))
+                if ramp.state != RampState.OVER:
+                    ramp.record(one, "")
+            self.assertEqual((ramp.state, ramp.held), (RampState.OVER, held))
             self.assertGreaterEqual(ramp.failed, failed)
 
 
 class Speaks(unittest.TestCase):
     def test_each_kind_as_the_protocol_has_it(self):
         told = schedule.Request(0, "a" * 16, "k1", READ, "t1")
-        self.assertEqual(Resp2().request(told, 20_000).count(b"\r\n$"), 4)
-        self.assertIn(b"c=read,t=t1,d=2000\r\n", Resp2().request(told, 20_000))
-        marked = Resp2().request(told._replace(lane=schedule.Lane("mark", 1, "marked")), 20_000)
+        self.assertEqual(Resp2Codec().encode(told, 20_000).count(b"\r\n$"), 4)
+        self.assertIn(b"c=read,t=t1,d=2000\r\n", Resp2Codec().encode(told, 20_000))
+        marked = Resp2Codec().encode(
+            told._replace(request_class=RequestClass("mark", 1, RequestKind.MARKED)), 20_000
+        )
         self.assertTrue(
             marked.startswith(b"*5\r\n$10\r\nSVC.SUBMIT") and f"k={'a' * 16}".encode() in marked
         )
@@ -131,18 +138,21 @@
     def test_answers_over_any_cut(self):
         told = GOOD + b"-BUSY 50\r\n-ERR abandoned\r\n$-1\r\n*2\r\n$1\r\nx\r\n$-1\r\n"
         for cut in range(len(told)):
-            speaker = Resp2()
-            found = [*speaker.heard(told[:cut]), *speaker.heard(told[cut:])]
+            speaker = Resp2Codec()
+            found = [*speaker.decode(told[:cut]), *speaker.decode(told[cut:])]
             self.assertEqual(found, ["done", "deferred", "abandoned", "abandoned", "done"], cut)
         with self.assertRaises(MalformedRespError):
-            list(Resp2().heard(b"HTTP/1.1 200\r\n"))
+            list(Resp2Codec().decode(b"HTTP/1.1 200\r\n"))
 
 
 class OnSockets(unittest.TestCase):
     def test_a_connection_that_comes_up_when_all_is_over_is_closed(self):
-        driver, line = Driver(None, lambda: 0, "127.0.0.1", 1, Resp2, 4, 100), Mock()
-        driver.done, driver.coming = succeed(None), 1
-        driver.up(line, None)
+        driver, line = (
+            Driver(None, lambda: 0, DriverSettings("127.0.0.1", 1, Resp2Codec, 4, 100)),
+            Mock(),
+        )
+        driver.finished, driver.connecting = succeed(None), 1
+        driver.connected(line, None)
         line.transport.abortConnection.assert_called_once()
 
     def test_a_stall_counts_for_all_that_it_held_up(self):
@@ -171,7 +181,7 @@
             "500",
         )  # of 50 ms, 13 of the tool's own would be too much
         server.close()
-        self.assertEqual((code, told["verdict"]), (1, schedule.FAILED), told)
+        self.assertEqual((code, told["verdict"]), (1, Verdict.FAILED), told)
         # On one line one answer was slow as it was served; some 80 were due while it was.
         self.assertGreater(told["corrected_ms"]["read"]["p90"], 100, told)
         self.assertLess(told["served_ms"]["read"]["p90"], 50, told)
--- a/thymeknot/load_generator/__init__.py
+++ b/thymeknot/load_generator/__init__.py
@@ -1,4 +1,12 @@
-"""The load tool: sends at its own times whatever the answers do, and says so when it can't.
+"""The load tool: sends requests at planned times whatever the answers do.
 
-plan: what is sent when, what a stretch showed, which rate comes next (pure). tally: latencies in HDR histograms.
-driver: one stretch over sockets. speakers: the protocols, one class each. run: a stretch or a ramp as a program."""
+It reports its own delay, so that it is never taken for the server's.
+
+- `schedule`: which request is sent when.
+- `codecs`: the protocols, one class each.
+- `driver`: sends one stretch over sockets.
+- `latency_histogram`: latencies and outcomes of a stretch.
+- `verdict`: whether a stretch met the goal.
+- `ramp`: which rate comes next.
+- `run`: a stretch or a ramp of them as a program.
+"""
--- a/thymeknot/load_generator/latency_histogram.py
+++ b/thymeknot/load_generator/latency_histogram.py
@@ -1,55 +1,106 @@
-"""Latencies in HDR histograms, by lane: corrected (from the time a request was due, so that a stall counts for all that
-it held up) and served (from its sending). Times are tenths of a millisecond."""
+"""Latencies and outcomes of a stretch, in HDR histograms."""
+
+import enum
+from typing import Any
 
 from hdrh.histogram import HdrHistogram
 
-MOST, DIGITS = 10 * 60 * 10_000, 3
-ENDS = ("done", "deferred", "abandoned", "lost")
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from .schedule import Request
+
+MAX_LATENCY: Ticks = 10 * 60 * TICKS_PER_SECOND
+"""Ten minutes, far beyond a client's patience; a longer latency counts as this one."""
+
+SIGNIFICANT_DIGITS = 3
+"""Of a latency: the histograms are exact to 0.1 %."""
+
+PERCENTILES = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
+"""The percentiles that are reported, by their keys."""
+
+
+class Outcome(enum.StrEnum):
+    """How a request ended: answered, rejected, failed, or without an answer in time."""
+
+    DONE = "done"
+    DEFERRED = "deferred"
+    ABANDONED = "abandoned"
+    LOST = "lost"
+
+
+def _histogram() -> HdrHistogram:
+    return HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
 
 
-class Tally:
-    def __init__(self):
-        self.corrected, self.served, self.late = {}, {}, HdrHistogram(1, MOST, DIGITS)
-        self.all = HdrHistogram(1, MOST, DIGITS)
-        self.ends, self.due, self.sent = dict.fromkeys(ENDS, 0), 0, 0
+def _record(histogram: HdrHistogram, ticks: Ticks) -> None:
+    histogram.record_value(max(1, min(MAX_LATENCY, ticks)))
 
-    def looked_at(self, now, request):
-        """It was due: how late the tool itself is."""
+
+def _percentiles(histogram: HdrHistogram) -> dict[str, float]:
+    """The reported percentiles in milliseconds."""
+    return {
+        name: round(histogram.get_value_at_percentile(percentile) / 10, 2)
+        for name, percentile in PERCENTILES.items()
+    }
+
+
+class LoadStatistics:
+    """What one stretch came to.
+
+    Attributes:
+        corrected: Latencies by class, from when a request was due, so that a stall counts for all
+            requests that it held up.
+        served: Latencies by class, from when a request was sent.
+        all: Corrected latencies of all classes.
+        late: The load tool's own delay in looking at requests that were due.
+        outcomes: Requests by how they ended.
+        due: Requests that were due.
+        sent: Requests that were sent.
+    """
+
+    def __init__(self) -> None:
+        self.corrected: dict[str, HdrHistogram] = {}
+        self.served: dict[str, HdrHistogram] = {}
+        self.all = _histogram()
+        self.late = _histogram()
+        self.outcomes = dict.fromkeys(Outcome, 0)
+        self.due = 0
+        self.sent = 0
+
+    def record_due(self, now: Ticks, request: Request) -> None:
+        """Counts a request that was due, and how late it is looked at."""
         self.due += 1
-        self.late.record_value(max(1, min(MOST, now - request.at)))
+        _record(self.late, now - request.due)
 
-    def ended(self, now, request, sent_at, how):
-        self.ends[how] += 1
-        if how != "done":
+    def record_end(self, now: Ticks, request: Request, sent_at: Ticks, outcome: Outcome) -> None:
+        """Counts how a request ended; latencies are those of requests that were done."""
+        self.outcomes[outcome] += 1
+        if outcome is not Outcome.DONE:
             return
-        for found, since in ((self.corrected, request.at), (self.served, sent_at)):
-            if request.lane.name not in found:
-                found[request.lane.name] = HdrHistogram(1, MOST, DIGITS)
-            found[request.lane.name].record_value(max(1, min(MOST, now - since)))
-        self.all.record_value(max(1, min(MOST, now - request.at)))
-
-    def figures(self, seconds):
-        """For people and programs; milliseconds."""
-
-        def told(histogram):
-            return {
-                name: round(histogram.get_value_at_percentile(at) / 10, 2)
-                for name, at in (
-                    ("p50", 50),
-                    ("p90", 90),
-                    ("p99", 99),
-                    ("p999", 99.9),
-                    ("max", 100),
-                )
-            }
+        name = request.request_class.name
+        if name not in self.corrected:
+            self.corrected[name] = _histogram()
+            self.served[name] = _histogram()
+        _record(self.corrected[name], now - request.due)
+        _record(self.served[name], now - sent_at)
+        _record(self.all, now - request.due)
+
+    def figures(self, seconds: float) -> dict[str, Any]:
+        """The figures for people and programs; latencies are milliseconds.
 
+        Args:
+            seconds: The length of the stretch.
+        """
         return {
             "seconds": seconds,
             "due": self.due,
             "sent": self.sent,
-            "ends": self.ends,
-            "done_per_s": round(self.ends["done"] / seconds, 1),
-            "corrected_ms": {name: told(one) for name, one in sorted(self.corrected.items())},
-            "served_ms": {name: told(one) for name, one in sorted(self.served.items())},
-            "own_lateness_ms": told(self.late),
+            "ends": {outcome.value: count for outcome, count in self.outcomes.items()},
+            "done_per_s": round(self.outcomes[Outcome.DONE] / seconds, 1),
+            "corrected_ms": _by_class(self.corrected),
+            "served_ms": _by_class(self.served),
+            "own_lateness_ms": _percentiles(self.late),
         }
+
+
+def _by_class(histograms: dict[str, HdrHistogram]) -> dict[str, dict[str, float]]:
+    return {name: _percentiles(histogram) for name, histogram in sorted(histograms.items())}
--- a/thymeknot/load_generator/schedule.py
+++ b/thymeknot/load_generator/schedule.py
@@ -1,135 +1,132 @@
-"""What is sent when, what a stretch showed, and which rate comes next. Pure; times are tenths of a millisecond."""
+"""Which request is sent when: Poisson arrivals, keys by Zipf's law. Pure."""
 
+import enum
 import math
+from collections.abc import Iterator, Sequence
 from itertools import accumulate
 from random import Random
 from typing import NamedTuple
 
-from ..interface.clock import TICKS_PER_SECOND
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from .ramp import Ramp
+from .verdict import HELD, Goal
 
-HELD, FAILED, SATURATED = "held", "failed", "saturated"
-CLIMB, NARROW, OVER = "climb", "narrow", "over"
-# (state, what a stretch showed) -> next state, effect. A generator that is saturated says nothing of the server.
-RAMP = {
-    (CLIMB, HELD): (CLIMB, "climb"),
-    (CLIMB, FAILED): (NARROW, "narrow"),
-    (CLIMB, SATURATED): (OVER, None),
-    (NARROW, HELD): (NARROW, "narrow"),
-    (NARROW, FAILED): (NARROW, "narrow"),
-    (NARROW, SATURATED): (OVER, None),
-}
-LATE_PART, LATE_LEAST = (
-    0.25,
-    20,
-)  # of the goal: lateness of one's own that is too much; and two milliseconds
+KEYS = 10_000
+"""Different keys, unless the caller says otherwise."""
 
+ZIPF_EXPONENT = 0.8
+"""How uneven the keys are: the k-th is asked for in proportion to k to the power of minus this."""
 
-class Lane(NamedTuple):
-    """kind: read (may run again), write, or marked (a write with a mark by which a repeat is known)."""
+TENANTS = 4
+"""Different tenants, unless the caller says otherwise."""
 
-    name: str
-    share: float
-    kind: str
 
+class RequestKind(enum.StrEnum):
+    """What a server may do with a request twice.
 
-class Request(NamedTuple):
-    at: int
-    id: str
-    key: str
-    lane: Lane
-    tenant: str
+    Members: READ may run again, WRITE may not, MARKED is a write with an idempotency key.
+    """
 
+    READ = "read"
+    WRITE = "write"
+    MARKED = "marked"
 
-class Goal(NamedTuple):
-    """quantile of the corrected latencies, how long it may be, and the share that may end otherwise than done."""
 
-    quantile: float = 0.99
-    latency: int = 500
-    not_done: float = 0.01
+class RequestClass(NamedTuple):
+    """Requests of one class; the command line and the wire call it a lane.
 
+    Attributes:
+        name: Its name on the wire.
+        share: Its part of all requests, relative to the shares of the other classes.
+        kind: Whether its requests may run again.
+    """
 
-class Stretch(NamedTuple):
-    """What one stretch at one rate came to. latency: the goal's quantile; late: the generator's own, 99th percentile,
-    from when a request was due to when it was looked at; what then waits for a connection waits for the server."""
+    name: str
+    share: float
+    kind: RequestKind
 
-    rate: float
-    latency: int
-    done: int
-    ended: int
-    late: int
-    due: int
+
+class Request(NamedTuple):
+    """A planned request.
+
+    Attributes:
+        due: When it is to be sent, counted from the beginning of the stretch.
+        id: Its own identifier, 16 hexadecimal digits.
+        key: The key that it is about.
+        request_class: Its class.
+        tenant: On whose behalf it is sent.
+    """
+
+    due: Ticks
+    id: str
+    key: str
+    request_class: RequestClass
+    tenant: str
 
 
 class ScheduleError(ValueError):
-    """Words that can't be used, with what would do."""
+    """An option that can't be used; the text says what would do."""
 
 
-def lane(text):
-    """NAME=SHARE, NAME=SHARE,write or NAME=SHARE,marked."""
+def lane(text: str) -> RequestClass:
+    """Parses the command line's NAME=SHARE, NAME=SHARE,write or NAME=SHARE,marked.
+
+    Raises:
+        ScheduleError: The text has another form.
+    """
     name, _, rest = text.partition("=")
-    share, _, kind = (rest or "1").partition(",")
+    share_text, _, kind = (rest or "1").partition(",")
+    kind = kind or RequestKind.READ
     try:
-        made = Lane(name, float(share), kind or "read")
+        share = float(share_text)
     except ValueError:
         raise ScheduleError(f"{text}: the share is no number") from None
-    if (
-        not name
-        or "," in name
-        or not 0 < made.share < math.inf
-        or made.kind not in ("read", "write", "marked")
-    ):
+    if not name or "," in name or not 0 < share < math.inf or kind not in tuple(RequestKind):
         raise ScheduleError(f"{text}: NAME=SHARE, and behind it read, write or marked")
-    return made
-
-
-def schedule(seed, rate, span, lanes, keys=10_000, exponent=0.8, tenants=4):
-    """Requests in order of time: Poisson arrivals, keys by Zipf's law. The same seed gives the same ones."""
-    chance, at = Random(seed), 0.0
-    steps = list(accumulate(1 / place**exponent for place in range(1, keys + 1)))
+    return RequestClass(name, share, RequestKind(kind))
+
+
+def schedule_requests(
+    seed: int, rate: float, span: Ticks, classes: Sequence[RequestClass], *, keys: int = KEYS
+) -> Iterator[Request]:
+    """The requests of a stretch in order of time; the same arguments give the same ones.
+
+    Args:
+        seed: Of the random numbers.
+        rate: Requests a second, on average.
+        span: The length of the stretch.
+        classes: The classes that requests are drawn from by their shares.
+        keys: The number of different keys.
+    """
+    random = Random(seed)
+    cumulated_weights = list(accumulate(1 / rank**ZIPF_EXPONENT for rank in range(1, keys + 1)))
+    shares = [request_class.share for request_class in classes]
+    now = 0.0
     while True:
-        at += chance.expovariate(rate / TICKS_PER_SECOND)
-        if at >= span:
+        now += random.expovariate(rate / TICKS_PER_SECOND)
+        if now >= span:
             return
-        (key,), (one,) = (
-            chance.choices(range(keys), cum_weights=steps),
-            chance.choices(lanes, [one.share for one in lanes]),
-        )
+        (key,) = random.choices(range(keys), cum_weights=cumulated_weights)
+        (request_class,) = random.choices(classes, shares)
         yield Request(
-            int(at), f"{chance.getrandbits(64):016x}", f"{key:08x}", one, f"t{key % tenants}"
+            due=int(now),
+            id=f"{random.getrandbits(64):016x}",
+            key=f"{key:08x}",
+            request_class=request_class,
+            tenant=f"t{key % TENANTS}",
         )
 
 
-def judged(stretch, goal):
-    """(HELD, FAILED or SATURATED, why). What the generator did itself is looked at first."""
-    if stretch.late > max(LATE_LEAST, LATE_PART * goal.latency):
-        return SATURATED, f"the load tool itself was {stretch.late / 10:.1f} ms late"
-    if stretch.ended - stretch.done > goal.not_done * max(1, stretch.ended):
-        return FAILED, f"{stretch.ended - stretch.done} of {stretch.ended} not done"
-    if stretch.latency > goal.latency:
-        return FAILED, f"{goal.quantile:.1%} within {stretch.latency / 10:.1f} ms"
-    return HELD, f"{goal.quantile:.1%} within {stretch.latency / 10:.1f} ms"
-
-
-class Ramp:
-    """Climbs by a factor until a goal fails, then halves the gap until it is narrow enough."""
-
-    def __init__(self, start, factor=1.5, within=0.05, most=1e6):
-        self.rate, self.factor, self.within, self.most = float(start), factor, within, most
-        self.state, self.held, self.failed, self.why = CLIMB, 0.0, math.inf, "not begun"
-
-    def told(self, verdict, why):
-        """What the stretch at `rate` showed; sets the next rate, or the state OVER."""
-        self.why = why
-        if verdict == HELD:
-            self.held = max(self.held, self.rate)
-        elif verdict == FAILED:
-            self.failed = min(self.failed, self.rate)
-        self.state, effect = RAMP[self.state, verdict]
-        if effect == "climb":
-            self.rate = min(self.most, self.rate * self.factor)
-            if self.held >= self.most:
-                self.state = OVER
-        elif effect == "narrow":
-            if self.failed - self.held <= self.within * self.failed or self.failed < 1:
-                self.state = OVER
-            self.rate = (self.held + self.failed) / 2
+# The command line finds all of the load tool's options here.
+__all__ = [
+    "HELD",
+    "TICKS_PER_SECOND",
+    "Goal",
+    "Ramp",
+    "Request",
+    "RequestClass",
+    "RequestKind",
+    "ScheduleError",
+    "lane",
+    "schedule_requests",
+]
