--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -65,7 +65,7 @@
         self.client.propose(command, self.patience).addCallback(self._replied, token)
 
     def _replied(self, reply: dict[str, Any], token: int) -> None:
-        # An unknown outcome is told by the client, not by the cluster: it is no reply.
+        # An unknown outcome comes from the client, not from the cluster: it is no reply.
         if not self.closed and not reply.get("unknown"):
             self._carry_out(self.holder.told(self.clock(), token, reply))
 
