--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -14,7 +14,6 @@
 from ..gossip.settings import address
 from ..interface.clock import Ticks
 from ..raft.client import PeerChannel
-from ..raft.messages import Recovered
 from ..raft.node import RaftNode
 from ..raft.peer_server import PeerServer
 from ..raft.state_machine import Parts
@@ -88,7 +87,10 @@
         DamagedStorageError: What is on the disk can't be trusted.
         OSError: The folder can't be used.
     """
-    storage, recovered = _open_storage(settings, data)
+    storage = _make_storage(settings, data)
+    opened = storage.open(settings.founds and not _was_used(storage))
+    for sentence in opened.said:
+        structured_log.log("keeper's disk", error=sentence)
     disruption = DisruptionStateMachine()
     machine = Parts({DISRUPTION_PART: disruption})
     names = [node.name for node in settings.keepers]
@@ -99,7 +101,7 @@
             names,
             RAFT_SETTINGS,
             LinearCongruentialGenerator(secrets.randbits(64)),
-            recovered,
+            opened.recovered,
             machine,
             now,
         )
@@ -118,17 +120,12 @@
     return RaftMember(server, disruption)
 
 
-def _open_storage(settings: CoordinationSettings, data: str) -> tuple[RaftStorage, Recovered]:
-    """The storage, and what it holds; a node may start a new cluster on an unused one alone."""
-    storage = RaftStorage(
+def _make_storage(settings: CoordinationSettings, data: str) -> RaftStorage:
+    return RaftStorage(
         os.path.join(data, "log"),
         os.path.join(data, settings.lineage or "lineage"),
         lambda: secrets.randbits(62) + 1,
     )
-    opened = storage.open(settings.founds and not _was_used(storage))
-    for sentence in opened.said:
-        structured_log.log("keeper's disk", error=sentence)
-    return storage, opened.recovered
 
 
 def _was_used(storage: RaftStorage) -> bool:
