--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -4,7 +4,7 @@
 import secrets
 import time
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Optional
 
 from twisted.internet.interfaces import IReactorTCP
 
@@ -135,12 +135,12 @@
     return os.path.exists(storage.lineage)
 
 
-def read_status(machine: DisruptionStateMachine, query: dict[str, Any]) -> dict[str, Any]:
+def read_status(machine: DisruptionStateMachine, query: Optional[dict[str, Any]]) -> dict[str, Any]:
     """The state machine's reply to a status query, which changes nothing.
 
     Args:
         machine: The state machine of drains.
-        query: A command with `do` and its fields; only `status` is a read.
+        query: A command with `do` and its fields; only `status` is a read, all else is rejected.
     """
     try:
         do, fields = machine.read(query)
