--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -1,4 +1,4 @@
-"""The turns' machine: budgets, permits, halts, ways back, nonsense; and what deliberately broken ones are found by."""
+"""The disruption state machine: budgets, permits, halts, rollbacks, malformed commands; broken variants that are found."""
 
 import json
 import random
@@ -10,7 +10,7 @@
 
 from thymeknot.disruption import scheduler
 from thymeknot.disruption.agent import DisruptionAgent
-from thymeknot.disruption.commands import COMMAND_FIELDS
+from thymeknot.disruption.command_reader import COMMAND_FIELDS
 from thymeknot.disruption.fleet import Fleet
 from thymeknot.disruption.permits import (
     PERMIT_TRANSITIONS,
@@ -498,7 +498,7 @@
     """Takes any permit of a unit that was ever granted."""
 
     def _begin(self, command):
-        one = self.get_unit(command.unit)
+        one = self.fleet.get_unit(command.unit)
         if one.state == PermitState.IN and command.fence <= one.fencing_token:
             one.state = PermitState.GRANTED
         one.request = one.request or PermitRequest(0, 0, "x", command.epoch)
--- a/thymeknot/disruption/__init__.py
+++ b/thymeknot/disruption/__init__.py
@@ -12,10 +12,11 @@
     halts: what stops requests and releases.
     release, rollouts: releases in waves, and their rollbacks.
     plan_epochs: the epochs of plans.
-    commands, replies: the typed forms of commands and replies, and how they are read and written.
-    declaration, release_commands, status: the longer commands.
+    commands, command_reader: the typed form of commands, and how they are read.
+    replies: the typed form of replies, and how they are written.
+    declaration, permit_commands, release_commands, status: what groups of commands do.
     state_machine: all of these, changed by the commands of a replicated log.
-    agent: the unit's own side.
-    simulated_fleet: a fleet in virtual time.
+    agent, agent_transitions: the unit's own side.
+    simulated_fleet, simulated_service, simulated_layout: a fleet in virtual time.
     invariant_checker: checks from outside that no budget is exceeded.
 """
--- a/thymeknot/disruption/declaration.py
+++ b/thymeknot/disruption/declaration.py
@@ -3,7 +3,8 @@
 from typing import Any, NamedTuple
 
 from .budgets import MAX_BUDGETS, Budget, parse_budget
-from .commands import MAX_WORD_SHOWN, DeclareCommand, is_natural
+from .command_reader import MAX_WORD_SHOWN, is_natural
+from .commands import DeclareCommand
 from .fleet import Fleet
 from .permits import PERMITTED_STATES
 from .targets import (
--- a/thymeknot/disruption/fleet.py
+++ b/thymeknot/disruption/fleet.py
@@ -16,7 +16,7 @@
     Unit,
     UnitStatus,
 )
-from .targets import DisruptionSettings, Labels
+from .targets import CommandRejectedError, DisruptionSettings, Labels
 
 
 class Fleet:
@@ -66,6 +66,17 @@
             PermitEffect.HOME: self._finish_return,
         }
 
+    def get_unit(self, name: str) -> Unit:
+        """The unit of a name.
+
+        Raises:
+            CommandRejectedError: none was declared.
+        """
+        unit = self.units.get(name)
+        if unit is None:
+            raise CommandRejectedError(f"no unit {name} was declared", [name])
+        return unit
+
     def declare(self, units: dict[str, Labels], budgets: list[Budget]) -> None:
         """Takes all units (labels by name) and budgets in place of those before.
 
--- /dev/null
+++ b/thymeknot/disruption/permit_commands.py
@@ -0,0 +1,174 @@
+"""The commands that are about the permit of one unit."""
+
+from collections.abc import Callable
+
+from ..interface.clock import TICKS_PER_SECOND
+from . import scheduler
+from .commands import AskCommand, BeginCommand, CancelCommand, OutCommand, ReturnCommand
+from .fleet import Fleet
+from .permits import PERMITTED_STATES, PermitInput, PermitRequest, PermitState, Unit
+from .plan_epochs import PlanEpochs
+from .release import PLAN_PREFIX
+from .replies import UnitReply
+from .status import RETRY_WAIT_TICKS, describe_unit
+from .targets import CommandRejectedError
+
+# Units whose requests wait at once; releases feed theirs in.
+MAX_REQUESTS = 1_024
+# Ticks after which to ask again for a permit when too many requests wait.
+QUEUE_RETRY_TICKS = 10 * TICKS_PER_SECOND
+
+
+class PermitCommands:
+    """Takes commands; each method raises CommandRejectedError if it rejects one.
+
+    Attributes:
+        fleet: the units.
+        plans: the epochs of plans.
+        find_hold: gives the sentence of a halt that holds a unit's request, or None.
+    """
+
+    def __init__(
+        self, fleet: Fleet, plans: PlanEpochs, find_hold: Callable[[Unit], str | None]
+    ) -> None:
+        self.fleet = fleet
+        self.plans = plans
+        self.find_hold = find_hold
+
+    def request(self, command: AskCommand) -> UnitReply:
+        """Takes a request for a permit, or raises the urgency of the one there is."""
+        unit = self.fleet.get_unit(command.unit)
+        plan = command.plan
+        if plan.startswith(PLAN_PREFIX):
+            raise CommandRejectedError(
+                f"plans that begin with {PLAN_PREFIX} are asked for by releases", [plan]
+            )
+        self.plans.take(plan, command.epoch)
+        if unit.request and unit.request.plan != plan:
+            raise CommandRejectedError(
+                f"unit {unit.name} is {unit.state} by {unit.request.plan} already",
+                [unit.request.plan],
+                RETRY_WAIT_TICKS,
+            )
+        if not unit.request:
+            if len(self.fleet.requesting) >= MAX_REQUESTS:
+                raise CommandRejectedError(
+                    f"{MAX_REQUESTS} units wait already", again=QUEUE_RETRY_TICKS
+                )
+            request = PermitRequest(
+                self.fleet.at, command.urgency, plan, command.epoch, False, command.build
+            )
+            if not command.queue:
+                self._check_fits(unit, request)
+            self.fleet.transition(unit, PermitInput.ASKED, request)
+        elif command.urgency > unit.request.urgency:
+            unit.request.urgency = command.urgency
+            self.fleet.capacity_freed = True
+        return UnitReply(command.unit)
+
+    def _check_fits(self, unit: Unit, request: PermitRequest) -> None:
+        """Raises CommandRejectedError if a request would have to wait."""
+        unit.request = request
+        hold = self.find_hold(unit)
+        blocking = scheduler.find_blocking_budgets(self.fleet, unit)
+        wait = scheduler.explain_wait(self.fleet, unit) if blocking else None
+        unit.request = None
+        if hold or wait:
+            sentence = hold or (wait.sentence if wait else "")
+            raise CommandRejectedError(sentence, wait.by if wait else [], RETRY_WAIT_TICKS)
+
+    def _get_permitted(self, name: str, fencing_token: int) -> Unit:
+        """The unit, if the fencing token is that of its permit.
+
+        Raises:
+            CommandRejectedError: it has no permit, or another one.
+        """
+        unit = self.fleet.get_unit(name)
+        if unit.state not in PERMITTED_STATES:
+            waits = describe_unit(self.fleet, unit, self.find_hold).waits
+            raise CommandRejectedError(
+                f"unit {name} has no permit; it is {unit.state}" + (f": {waits}" if waits else ""),
+                [name],
+            )
+        if fencing_token != unit.fencing_token:
+            raise CommandRejectedError(
+                f"permit {fencing_token} of unit {name} is over; "
+                f"the newest is {unit.fencing_token}",
+                [name],
+            )
+        return unit
+
+    def begin(self, command: BeginCommand) -> UnitReply:
+        """Confirms that a unit may begin, or rejects it."""
+        unit = self._get_permitted(command.unit, command.fence)
+        plan = unit.granted_request.plan
+        if command.start != unit.start:
+            raise CommandRejectedError(
+                f"permit {command.fence} was given to another start of unit {unit.name}",
+                [unit.name],
+            )
+        if command.epoch != unit.granted_request.epoch or self.plans.is_over(plan, command.epoch):
+            raise CommandRejectedError(f"epoch {command.epoch} of {plan} is over", [plan])
+        if unit.state == PermitState.DRAINING:
+            return UnitReply(unit.name)  # repeated: a reply was lost
+        if unit.state != PermitState.GRANTED:
+            raise CommandRejectedError(
+                f"unit {unit.name} is {unit.state}: it has begun already", [unit.name]
+            )
+        self._check_begin(unit)
+        self.fleet.transition(unit, PermitInput.BEGAN)
+        return UnitReply(unit.name)
+
+    def _check_begin(self, unit: Unit) -> None:
+        """Ends a permit and raises CommandRejectedError if its unit must not begin any more."""
+        hold = self.find_hold(unit)
+        exceeded = self.fleet.find_exceeded_budget(unit)
+        if exceeded and not unit.is_idle(self.fleet.at, self.fleet.settings.silent):
+            # Others crashed since it was granted. A unit that does not serve may go: that may be
+            # what restores the budget.
+            self.fleet.transition(unit, PermitInput.HALTED)
+            raise CommandRejectedError(
+                scheduler.describe_usage(self.fleet, exceeded),
+                [exceeded.name, *sorted(exceeded.unavailable)],
+                RETRY_WAIT_TICKS,
+            )
+        if hold:
+            self.fleet.transition(unit, PermitInput.HALTED)
+            raise CommandRejectedError(hold, again=RETRY_WAIT_TICKS)
+
+    def record_drained(self, command: OutCommand) -> UnitReply:
+        """A unit has drained."""
+        unit = self._get_permitted(command.unit, command.fence)
+        self.fleet.transition(unit, PermitInput.EMPTIED)
+        return UnitReply(command.unit)
+
+    def take_return(self, command: ReturnCommand) -> UnitReply:
+        """A unit returns, gives up a permit it did not begin, or tells why it can't return."""
+        unit = self._get_permitted(command.unit, command.fence)
+        was_granted = unit.state == PermitState.GRANTED
+        self.fleet.transition(unit, PermitInput.TURNED if was_granted else PermitInput.RETURNED)
+        if command.fault:
+            self.fleet.transition(unit, PermitInput.FAILED, command.fault)
+        return UnitReply(command.unit)
+
+    def cancel(self, command: CancelCommand) -> UnitReply:
+        """Takes back the request or permit of a unit that no release disrupts."""
+        unit = self.fleet.get_unit(command.unit)
+        request = unit.request
+        if not request or (command.plan is not None and request.plan != command.plan):
+            raise CommandRejectedError(
+                f"unit {unit.name} is {unit.state}" + (f" by {request.plan}" if request else ""),
+                [unit.name],
+            )
+        if request.plan.startswith(PLAN_PREFIX):
+            raise CommandRejectedError(
+                f"unit {unit.name} is {unit.state} by {request.plan}: "
+                "halt the release or bring it back",
+                [request.plan],
+            )
+        if command.epoch is not None and command.epoch < request.epoch:
+            raise CommandRejectedError(
+                f"epoch {command.epoch} of {request.plan} is over", [request.plan]
+            )
+        self.fleet.transition(unit, PermitInput.TURNED)
+        return UnitReply(command.unit)
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -4,6 +4,7 @@
 from typing import Any
 
 from ..interface.clock import TICKS_PER_SECOND
+from .budgets import ROUNDING_TOLERANCE
 from .commands import ReleaseCommand, Verdict, VoteCommand
 from .fleet import Fleet
 from .halts import Halt, HaltCause
@@ -13,8 +14,6 @@
 from .targets import CommandRejectedError, matches, parse_selector
 
 MAX_WAVES = 64
-# Added before a share of units is rounded down, so that 0.1 of 30 is 3 in floating point too.
-ROUNDING_TOLERANCE = 1e-9
 # Ticks after which to ask again for a release that waits for another one.
 RELEASE_RETRY_TICKS = 10 * TICKS_PER_SECOND
 # Ticks after which to ask again for a release when too many are under way.
@@ -41,13 +40,7 @@
     waves = _parse_waves(command.waves, len(members))
     other = rollouts.find_earlier(None, set(members))
     if other and not command.wait:
-        doing = "on its way back" if other.state in ROLLBACK_STATES else other.state
-        raise CommandRejectedError(
-            f"release {other.name} is {doing} with the same units; "
-            "ask again after it, or with wait",
-            [other.name],
-            RELEASE_RETRY_TICKS,
-        )
+        raise _make_busy_error(other)
     if not rollouts.make_place():
         raise CommandRejectedError("too many releases are under way", again=PLACE_RETRY_TICKS)
     release = rollouts.add(
@@ -70,6 +63,16 @@
     )
 
 
+def _make_busy_error(other: Release) -> CommandRejectedError:
+    """The rejection of a release while another one has the same units."""
+    doing = "on its way back" if other.state in ROLLBACK_STATES else other.state
+    return CommandRejectedError(
+        f"release {other.name} is {doing} with the same units; ask again after it, or with wait",
+        [other.name],
+        RELEASE_RETRY_TICKS,
+    )
+
+
 def _check_successor(known: Release, command: ReleaseCommand) -> None:
     """Raises CommandRejectedError if a command neither repeats a release nor may replace it."""
     name = command.release
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -12,7 +12,8 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.random_source import LinearCongruentialGenerator
-from .agent import Action, AgentState, ComeAction, DisruptionAgent, DrainAction, SayAction
+from .agent import Action, ComeAction, DisruptionAgent, DrainAction, SayAction
+from .agent_transitions import AgentState
 from .commands import PART_NAME, CommandName
 from .invariant_checker import BudgetGroup, InvariantChecker
 from .simulated_service import SERVICE_ADDRESS, SimulatedClient, SimulatedService
--- a/thymeknot/disruption/simulated_layout.py
+++ b/thymeknot/disruption/simulated_layout.py
@@ -2,6 +2,7 @@
 
 from typing import Any, NamedTuple
 
+from .budgets import ROUNDING_TOLERANCE
 from .invariant_checker import BudgetGroup
 from .targets import Labels, UnitKind
 
@@ -10,8 +11,6 @@
 MOST_OF_ZONE = 3
 # Which share of each kind may be unavailable.
 SHARE_OF_KIND = 0.2
-# Added before a share is rounded down, so that 0.2 of 15 is 3 in floating point too.
-ROUNDING_TOLERANCE = 1e-9
 
 
 class FleetLayout(NamedTuple):
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -9,11 +9,16 @@
 from collections.abc import Callable
 from typing import Any
 
-from ..interface.clock import TICKS_PER_SECOND
 from . import scheduler
 from .budgets import BudgetUsage
-from .commands import (
+from .command_reader import (
     MAX_WORD_SHOWN,
+    is_name_or_empty,
+    is_natural,
+    parse_command,
+    read_fields,
+)
+from .commands import (
     AskCommand,
     BackCommand,
     BeginCommand,
@@ -31,18 +36,14 @@
     StatusCommand,
     TickCommand,
     VoteCommand,
-    is_name_or_empty,
-    is_natural,
-    parse_command,
-    read_fields,
 )
 from .declaration import read_declaration
 from .fleet import Fleet
 from .halts import Halt, HaltCause, Halts
+from .permit_commands import PermitCommands
 from .permits import (
     PERMITTED_STATES,
     PermitInput,
-    PermitRequest,
     PermitState,
     Unit,
     UnitStatus,
@@ -71,14 +72,8 @@
 from .status import describe_unit, make_order, report_status
 from .targets import CommandRejectedError, matches, parse_selector
 
-# Units whose requests wait at once; releases feed theirs in.
-MAX_REQUESTS = 1_024
 # Names of reports that were not understood that a reply has.
 MAX_STRANGE_SHOWN = 8
-# Ticks after which to ask again for a permit.
-RETRY_WAIT_TICKS = TICKS_PER_SECOND
-# Ticks after which to ask again for a permit when too many requests wait.
-QUEUE_RETRY_TICKS = 10 * TICKS_PER_SECOND
 # Commands after which releases go on.
 RELEASE_ROUND_COMMANDS = (
     CommandName.TICK,
@@ -99,6 +94,7 @@
         halts: the halts that stand.
         releases: all releases.
         plans: the epochs of plans.
+        permits: takes the commands that are about the permit of one unit.
         epoch: the epoch of the newest declaration.
     """
 
@@ -107,6 +103,7 @@
         self.halts = Halts()
         self.releases = Rollouts(self.fleet, self.halts)
         self.plans = PlanEpochs(self.fleet)
+        self.permits = PermitCommands(self.fleet, self.plans, self.find_hold)
         self.epoch = 0
         self._handlers: dict[type[Command], Callable[[Any], Reply]] = {
             DeclareCommand: self._declare,
@@ -161,17 +158,6 @@
         halt = self.halts.find_holding(unit, self.releases.find_requesting(unit.granted_request))
         return halt.describe() if halt else None
 
-    def get_unit(self, name: str) -> Unit:
-        """The unit of a name.
-
-        Raises:
-            CommandRejectedError: none was declared.
-        """
-        unit = self.fleet.units.get(name)
-        if unit is None:
-            raise CommandRejectedError(f"no unit {name} was declared", [name])
-        return unit
-
     # What follows from any command.
 
     def _settle(self, name: CommandName | None) -> None:
@@ -265,124 +251,27 @@
         return SeenReply(orders, strange[:MAX_STRANGE_SHOWN] or None)
 
     def _ready(self, command: ReadyCommand) -> SeenReply:
-        self.get_unit(command.unit)
+        self.fleet.get_unit(command.unit)
         report = [UnitStatus.READY.value, command.start, command.build]
         return self._seen(SeenCommand(command.as_of, {command.unit: report}))
 
     def _ask(self, command: AskCommand) -> UnitReply:
-        unit = self.get_unit(command.unit)
-        plan = command.plan
-        if plan.startswith(PLAN_PREFIX):
-            raise CommandRejectedError(
-                f"plans that begin with {PLAN_PREFIX} are asked for by releases", [plan]
-            )
-        self.plans.take(plan, command.epoch)
-        if unit.request and unit.request.plan != plan:
-            raise CommandRejectedError(
-                f"unit {unit.name} is {unit.state} by {unit.request.plan} already",
-                [unit.request.plan],
-                RETRY_WAIT_TICKS,
-            )
-        if not unit.request:
-            if len(self.fleet.requesting) >= MAX_REQUESTS:
-                raise CommandRejectedError(
-                    f"{MAX_REQUESTS} units wait already", again=QUEUE_RETRY_TICKS
-                )
-            request = PermitRequest(
-                self.fleet.at, command.urgency, plan, command.epoch, False, command.build
-            )
-            if not command.queue:
-                self._check_fits(unit, request)
-            self.fleet.transition(unit, PermitInput.ASKED, request)
-        elif command.urgency > unit.request.urgency:
-            unit.request.urgency = command.urgency
-            self.fleet.capacity_freed = True
-        return UnitReply(command.unit)
-
-    def _check_fits(self, unit: Unit, request: PermitRequest) -> None:
-        """Raises CommandRejectedError if a request would have to wait."""
-        unit.request = request
-        hold = self.find_hold(unit)
-        blocking = scheduler.find_blocking_budgets(self.fleet, unit)
-        wait = scheduler.explain_wait(self.fleet, unit) if blocking else None
-        unit.request = None
-        if hold or wait:
-            sentence = hold or (wait.sentence if wait else "")
-            raise CommandRejectedError(sentence, wait.by if wait else [], RETRY_WAIT_TICKS)
-
-    def _tick(self, _command: TickCommand) -> AcceptedReply:
-        return AcceptedReply()
-
-    def _get_permitted(self, name: str, fencing_token: int) -> Unit:
-        """The unit, if the fencing token is that of its permit.
-
-        Raises:
-            CommandRejectedError: it has no permit, or another one.
-        """
-        unit = self.get_unit(name)
-        if unit.state not in PERMITTED_STATES:
-            waits = describe_unit(self.fleet, unit, self.find_hold).waits
-            raise CommandRejectedError(
-                f"unit {name} has no permit; it is {unit.state}" + (f": {waits}" if waits else ""),
-                [name],
-            )
-        if fencing_token != unit.fencing_token:
-            raise CommandRejectedError(
-                f"permit {fencing_token} of unit {name} is over; "
-                f"the newest is {unit.fencing_token}",
-                [name],
-            )
-        return unit
+        return self.permits.request(command)
 
     def _begin(self, command: BeginCommand) -> UnitReply:
-        unit = self._get_permitted(command.unit, command.fence)
-        plan = unit.granted_request.plan
-        if command.start != unit.start:
-            raise CommandRejectedError(
-                f"permit {command.fence} was given to another start of unit {unit.name}",
-                [unit.name],
-            )
-        if command.epoch != unit.granted_request.epoch or self.plans.is_over(plan, command.epoch):
-            raise CommandRejectedError(f"epoch {command.epoch} of {plan} is over", [plan])
-        if unit.state == PermitState.DRAINING:
-            return UnitReply(unit.name)  # repeated: a reply was lost
-        if unit.state != PermitState.GRANTED:
-            raise CommandRejectedError(
-                f"unit {unit.name} is {unit.state}: it has begun already", [unit.name]
-            )
-        self._check_begin(unit)
-        self.fleet.transition(unit, PermitInput.BEGAN)
-        return UnitReply(unit.name)
-
-    def _check_begin(self, unit: Unit) -> None:
-        """Ends a permit and raises CommandRejectedError if its unit must not begin any more."""
-        hold = self.find_hold(unit)
-        exceeded = self.fleet.find_exceeded_budget(unit)
-        if exceeded and not unit.is_idle(self.fleet.at, self.fleet.settings.silent):
-            # Others crashed since it was granted. A unit that does not serve may go: that may be
-            # what restores the budget.
-            self.fleet.transition(unit, PermitInput.HALTED)
-            raise CommandRejectedError(
-                scheduler.describe_usage(self.fleet, exceeded),
-                [exceeded.name, *sorted(exceeded.unavailable)],
-                RETRY_WAIT_TICKS,
-            )
-        if hold:
-            self.fleet.transition(unit, PermitInput.HALTED)
-            raise CommandRejectedError(hold, again=RETRY_WAIT_TICKS)
+        return self.permits.begin(command)
 
     def _out(self, command: OutCommand) -> UnitReply:
-        unit = self._get_permitted(command.unit, command.fence)
-        self.fleet.transition(unit, PermitInput.EMPTIED)
-        return UnitReply(command.unit)
+        return self.permits.record_drained(command)
 
     def _return(self, command: ReturnCommand) -> UnitReply:
-        unit = self._get_permitted(command.unit, command.fence)
-        was_granted = unit.state == PermitState.GRANTED
-        self.fleet.transition(unit, PermitInput.TURNED if was_granted else PermitInput.RETURNED)
-        if command.fault:
-            self.fleet.transition(unit, PermitInput.FAILED, command.fault)
-        return UnitReply(command.unit)
+        return self.permits.take_return(command)
+
+    def _cancel(self, command: CancelCommand) -> UnitReply:
+        return self.permits.cancel(command)
+
+    def _tick(self, _command: TickCommand) -> AcceptedReply:
+        return AcceptedReply()
 
     def _halt(self, command: HaltCommand) -> HaltReply:
         if (command.where is None) == (command.release is None):
@@ -420,7 +309,7 @@
         if command.release is not None:
             return roll_back_release(self.releases, command.release, command.epoch)
         if command.unit is not None:
-            units = [self.get_unit(command.unit)]
+            units = [self.fleet.get_unit(command.unit)]
         else:
             units = [
                 unit
@@ -446,30 +335,9 @@
     def _vote(self, command: VoteCommand) -> VoteReply | VotedBackReply:
         return take_vote(self.releases, command, self._enforce)
 
-    def _cancel(self, command: CancelCommand) -> UnitReply:
-        unit = self.get_unit(command.unit)
-        request = unit.request
-        if not request or (command.plan is not None and request.plan != command.plan):
-            raise CommandRejectedError(
-                f"unit {unit.name} is {unit.state}" + (f" by {request.plan}" if request else ""),
-                [unit.name],
-            )
-        if request.plan.startswith(PLAN_PREFIX):
-            raise CommandRejectedError(
-                f"unit {unit.name} is {unit.state} by {request.plan}: "
-                "halt the release or bring it back",
-                [request.plan],
-            )
-        if command.epoch is not None and command.epoch < request.epoch:
-            raise CommandRejectedError(
-                f"epoch {command.epoch} of {request.plan} is over", [request.plan]
-            )
-        self.fleet.transition(unit, PermitInput.TURNED)
-        return UnitReply(command.unit)
-
     def _report(self, command: StatusCommand) -> StatusReply | UnitStatusReply:
         if command.unit is not None:
-            unit = self.get_unit(command.unit)
+            unit = self.fleet.get_unit(command.unit)
             return UnitStatusReply(unit.name, describe_unit(self.fleet, unit, self.find_hold))
         where = parse_selector(command.where or {})
         return report_status(self.fleet, self.halts, self.releases, where, self.find_hold)
