--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -129,8 +129,8 @@
 
     def would_exceed(self, name: str) -> bool:
         """Whether the limit is exceeded with this unit and the reserved capacity counted too."""
-        more = name not in self.unavailable
-        return len(self.unavailable) + self.reserved + more > self.allowed
+        unavailable = self.unavailable
+        return len(unavailable) + self.reserved + (name not in unavailable) > self.allowed
 
     def compute_allowed(self) -> float:
         """How many of its units may be unavailable."""
--- a/thymeknot/disruption/command_reader.py
+++ b/thymeknot/disruption/command_reader.py
@@ -32,8 +32,9 @@
 MAX_COMMAND_SIZE = 65_536
 # Lists and mappings within each other that a command may have.
 MAX_COMMAND_DEPTH = 8
-# About the bytes of a list's, mapping's or string's head, and of a number.
+# About the bytes of a list's, mapping's or string's head as msgpack.
 SIZE_OF_HEAD = 5
+# About the bytes of a number as msgpack.
 SIZE_OF_NUMBER = 9
 # Characters of a sentence in a command.
 MAX_SENTENCE_LENGTH = 512
--- a/thymeknot/disruption/permits.py
+++ b/thymeknot/disruption/permits.py
@@ -89,6 +89,10 @@
     PermitState.OUT,
     PermitState.RETURNING,
 )
+# States of a unit that is not disrupted, nor permitted to be.
+IN_SERVICE_STATES = (PermitState.IN, PermitState.ASKED)
+# By value, for reports: looking them up here is faster than making the member.
+STATUS_BY_VALUE = {status.value: status for status in UnitStatus}
 # An input that has no transition changes nothing. Only a checked begin leads to draining.
 PERMIT_TRANSITIONS = {
     (state, event): PermitTransition(next_state, effect)
@@ -218,7 +222,7 @@
 
     def is_ready(self, at: Ticks, silent: Ticks) -> bool:
         """Whether it counts as ready; every other unit is unavailable."""
-        return self.state in (PermitState.IN, PermitState.ASKED) and self.is_seen_ready(at, silent)
+        return self.state in IN_SERVICE_STATES and self.is_seen_ready(at, silent)
 
     def is_idle(self, at: Ticks, silent: Ticks) -> bool:
         """Whether it was reported lately not to serve.
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -149,9 +149,9 @@
                 return other
         return None
 
-    def find_requesting(self, request: PermitRequest) -> Release | None:
+    def find_requesting(self, request: PermitRequest | None) -> Release | None:
         """The release that made a request, or None."""
-        if not request.plan.startswith(PLAN_PREFIX):
+        if request is None or not request.plan.startswith(PLAN_PREFIX):
             return None
         return self.by_name.get(request.plan[len(PLAN_PREFIX) :])
 
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -43,6 +43,7 @@
 from .permit_commands import PermitCommands
 from .permits import (
     PERMITTED_STATES,
+    STATUS_BY_VALUE,
     PermitInput,
     PermitState,
     Unit,
@@ -155,7 +156,7 @@
 
     def find_hold(self, unit: Unit) -> str | None:
         """The sentence of a halt that holds a unit's request, or None."""
-        halt = self.halts.find_holding(unit, self.releases.find_requesting(unit.granted_request))
+        halt = self.halts.find_holding(unit, self.releases.find_requesting(unit.request))
         return halt.describe() if halt else None
 
     # What follows from any command.
@@ -245,7 +246,7 @@
                 strange.append(str(name)[:MAX_WORD_SHOWN])
                 continue
             status, start, build = report
-            self.fleet.record_report(unit, command.as_of, UnitStatus(status), start, build)
+            self.fleet.record_report(unit, command.as_of, STATUS_BY_VALUE[status], start, build)
             if unit.state in PERMITTED_STATES and unit.start == start:
                 orders[name] = make_order(self.fleet, unit).to_plain()
         return SeenReply(orders, strange[:MAX_STRANGE_SHOWN] or None)
@@ -372,7 +373,8 @@
     return (
         isinstance(report, list)
         and len(report) == 3
-        and report[0] in tuple(UnitStatus)
+        and isinstance(report[0], str)
+        and report[0] in STATUS_BY_VALUE
         and is_natural(report[1])
         and is_name_or_empty(report[2])
     )
