--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -97,17 +97,17 @@
             and now < self.write_by
             and endpoints.is_ready(pod)
             and endpoints.addresses[pod.address] == address
-            and (newest == self.newest or pod.build < newest)
-            and not self._key_stays(update)
+            and (newest == self.newest or (newest is not None and pod.build < newest))
+            and not self._key_stays(update, pod)
             and proxy.exposure.allows(now, update, pod.build, self.held.command.request_class)
         )
 
-    def _key_stays(self, update: ReleaseUpdate | None) -> bool:
+    def _key_stays(self, update: ReleaseUpdate | None, pod: Endpoint) -> bool:
         """Returns whether its key stays with the newest build, which has answered it since."""
         command = self.held.command
         return (
             update is not None
-            and self.pod.build < update.build
+            and pod.build < update.build
             and update.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
             and (command.key or command.id).decode() in self.proxy.engine.pins
         )
@@ -131,6 +131,7 @@
 
     def write_to(self, connection: PodConnection) -> None:
         """Writes it to a connection that is free."""
+        assert self.pod is not None  # else it has ended as not sent
         self.connection = connection
         now = self.proxy.clock()
         self.proxy.exposure.wrote(
@@ -149,23 +150,21 @@
 
     def _came_back(self, end: PodResponse | BrokenConnection) -> None:
         """Ends it by the response, or by how its connection broke."""
-        good = isinstance(end, PodResponse) and end.failure is None
-        if (good and not self.out) or (
-            self.out and isinstance(end, BrokenConnection) and end.reached == WRITTEN
-        ):
-            self.proxy.response_discarded(self, "late" if good else end.reason)
-        if not self.out:
-            return
+        proxy = self.proxy
         if isinstance(end, BrokenConnection):
-            self.proxy.ended(
-                self, Outcome.RESET if end.reached == WRITTEN else Outcome.CONNECT_FAILED
-            )
-        elif good:
-            self.proxy.ended(self, Outcome.DONE, end)
-        else:
-            self.proxy.ended(
-                self, Outcome.REJECTED if end.failure.split(" ")[0] == BUSY else Outcome.ERROR
-            )
+            written = end.reached == WRITTEN
+            if self.out and written:
+                proxy.response_discarded(self, end.reason)
+            if self.out:  # still: the decisions may have cancelled it
+                proxy.ended(self, Outcome.RESET if written else Outcome.CONNECT_FAILED)
+        elif end.failure is None:
+            if self.out:
+                proxy.ended(self, Outcome.DONE, end)
+            else:
+                proxy.response_discarded(self, "late")
+        elif self.out:
+            busy = end.failure.split(" ")[0] == BUSY
+            proxy.ended(self, Outcome.REJECTED if busy else Outcome.ERROR)
 
     def give_up(self, outcome: Outcome | None = None) -> None:
         """Ends it without a response; one to what was written may yet come, and is not read.
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -71,6 +71,7 @@
         reactor: Any,
         timers: TimerQueue,
         address: tuple[str, int],
+        *,
         sockets: int,
         most_clients: int,
         take: Callable[[ClientConnection, int, Command], None],
@@ -163,7 +164,7 @@
     def _chosen_for_eviction(
         self, idle: list[ClientConnection], full: bool, now: Ticks
     ) -> list[ClientConnection]:
-        """Returns those beyond the crowded share that were idle for long; else one, if it is full."""
+        """Returns those idle for long, beyond the crowded share; else one, if it is full."""
         rested = [
             one
             for one in idle
@@ -173,7 +174,7 @@
         return chosen or (idle[:1] if full else [])
 
     def became_idle(self) -> None:
-        """Accepts again if that is paused: the next connection finds one whose place it can take."""
+        """Accepts again if that is paused: the next connection finds one to take the place of."""
         if self.accepting_paused and not self.shutdown.began():
             self.accepting_paused = False
             self.port.startReading()
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The endpoints as discovery lists them: watched, fetched, validated and handed to the decisions."""
+"""The endpoints as discovery lists them: watched, fetched, validated, told to the decisions."""
 
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Drains the clients' connections, at the end of the process or for a while, and takes up work again."""
+"""Drains the clients' connections, for good or for a while, and takes up work again."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,7 +14,7 @@
 """Ticks from the last connection accepted to the first one closed: what has come is read."""
 
 ACCEPT_REST_WITHIN = 10_000
-"""Ticks from the end of service, for connections that the machine has accepted and that find no place."""
+"""Ticks from the end of service, for accepted connections that have found no place yet."""
 
 
 def _nothing() -> None:
@@ -82,12 +82,17 @@
             self._close_listener()
 
     def _close_listener(self) -> None:
-        """Closes the port, also where some wait still: a crowd that goes on coming would hold up the end."""
+        """Closes the port, also where some connections still wait for a place.
+
+        A crowd that goes on coming would hold up the end for ever.
+        """
         self.timers.cancel(self._close_timer)
         self.listener.listening = False
+        closed = self.listener_closed
+        assert closed is not None  # it was made when the shutdown began
         # What comes until the port closes is accepted just before that.
         self.reactor.callLater(0, self._accept_last)
-        maybeDeferred(self.listener.port.stopListening).chainDeferred(self.listener_closed)
+        maybeDeferred(self.listener.port.stopListening).chainDeferred(closed)
 
     def _accept_last(self) -> None:
         if self.listener_closed and not self.listener_closed.called:
@@ -127,6 +132,7 @@
                 return
             listens()
 
+        assert self.listener_closed is not None  # it is drained, or it would be listening
         self.listener_closed.addCallback(closed_before)
 
     def _finish_clients(self) -> None:
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -75,7 +75,7 @@
         self.by_id: dict[str, int] = {}
         self.may_have_run: set[str] = set()
 
-    def find(self, name: str | None) -> InFlightRequest | None:
+    def find(self, name: str) -> InFlightRequest | None:
         """Returns the request of this id, if there is one."""
         slot = self.by_id.get(name)
         return None if slot is None else self.by_slot.get(slot)
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -1,4 +1,4 @@
-"""Between the network and the decisions: what comes in becomes events, actions become what goes out.
+"""Between the network and the decisions: what comes in becomes events, actions are carried out.
 
 It decides nothing: where, when and whether a request is sent are the decision engine's.
 """
@@ -70,7 +70,7 @@
     "settings": "settings",
     "connection_limits": "settings",
 }
-"""Which key of the configuration each field of StartConfiguration that binds at the start comes from."""
+"""The fields of StartConfiguration that bind at the start, and the configuration's key of each."""
 
 
 class Proxy:
@@ -116,7 +116,13 @@
             reactor, timers, self.connection_limits, budget.endpoints, structured_log.fault
         )
         self.listener = ClientListener(
-            reactor, timers, start.listen, start.sockets, budget.clients, self.take, self.gone
+            reactor,
+            timers,
+            start.listen,
+            sockets=start.sockets,
+            most_clients=budget.clients,
+            take=self.take,
+            gone=self.gone,
         )
         self.shutdown = GracefulShutdown(self.listener)
         self.requests = RequestTable(timers)
@@ -261,7 +267,8 @@
         except Exception as error:  # costs the request of this event, not the program
             structured_log.fault("decisions", error)
             self._carry_out(self.engine.actions)
-            request = self.requests.find(getattr(event, "id", None))
+            name = getattr(event, "id", None)
+            request = None if name is None else self.requests.find(name)
             if request and not request.over and not request.out:
                 self._answer(request, FAILED_ANSWER)
                 self.inbox.append(ClientDisconnected(request.id))
@@ -334,16 +341,21 @@
         name = command.id.decode()
         request_class = self.settings.request_classes.get(command.request_class)
         if request_class is None:
-            return connection.answer(place, resp.failure("ERR no such lane"))
+            connection.answer(place, resp.failure("ERR no such lane"))
+            return
         requests = self.requests
         if name in requests.by_id:
-            self._notice_if_gone(requests.find(name))
+            earlier = requests.find(name)
+            if earlier is not None:
+                self._notice_if_gone(earlier)
             if connection.gone:  # it was the same
-                return None
+                return
         if name in requests.by_id or name in requests.may_have_run:
-            return self._take_repeat(name, connection, place, command)
+            self._take_repeat(name, connection, place, command)
+            return
         if len(self.transactions) + len(requests.may_have_run) >= self.connection_limits.max_open:
-            return connection.answer(place, resp.failure(BUSY))
+            connection.answer(place, resp.failure(BUSY))
+            return
         now = connection.used_at = self.clock()
         # Nothing is earned after the outer limit: no client has a request held for longer.
         left = min(command.left * 10, request_class.outer_limit)
@@ -351,7 +363,8 @@
         if answer_by is not None:
             left = min(left, answer_by - now)
             if left <= 0:
-                return connection.answer(place, resp.failure(BUSY))
+                connection.answer(place, resp.failure(BUSY))
+                return
         request = InFlightRequest(name, command, connection, place, now + left)
         request.slot = requests.by_id[name] = self.transactions.add(request)
         request.deadline = self.timers.add(request.ends + OVERDUE_AFTER, self._overdue, request)
@@ -359,7 +372,7 @@
         self.exposure.took(now, command.request_class)
         if self.why is not None:
             self.why.taken(name, command)
-        return self.tell(
+        self.tell(
             RequestReceived(
                 name, command.request_class, command.tenant, key, left, None, command.repeat, False
             )
@@ -376,9 +389,11 @@
         """
         request = self.requests.find(name)
         if request is None:
-            return connection.answer(place, resp.failure("ERR this id may have run already"))
+            connection.answer(place, resp.failure("ERR this id may have run already"))
+            return
         if not request.over or not request.connection.gone or request.command[:3] != command[:3]:
-            return connection.answer(place, resp.failure("ERR this id is in hand already"))
+            connection.answer(place, resp.failure("ERR this id is in hand already"))
+            return
         now = self.clock()
         request.connection = connection
         request.place = place
@@ -388,7 +403,6 @@
         request.ends = now + min(command.left * 10, request_class.outer_limit)
         self.timers.cancel(request.deadline)
         request.deadline = self.timers.add(request.ends + OVERDUE_AFTER, self._overdue, request)
-        return None
 
     def _overdue(self, request: InFlightRequest) -> None:
         """Answers a request that the decisions have missed: an answer is still owed."""
@@ -462,7 +476,7 @@
         request.out -= 1
         if attempt.deadline is not None:
             self.timers.cancel(attempt.deadline)
-        if outcome == Outcome.DONE and not request.over:
+        if outcome == Outcome.DONE and answer is not None and not request.over:
             request.over = True
             if self.why is not None:
                 self.why.ended(request.id, self.why.done)
@@ -485,6 +499,7 @@
     def response_discarded(self, attempt: Attempt, reason: str) -> None:
         """Counts a key as answered: a response came too late, in part, spoilt, or may yet come."""
         command = attempt.held.command
+        assert attempt.pod is not None  # it was written
         structured_log.seldom(
             "unheard answer",
             id=attempt.held.id,
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -17,10 +17,20 @@
     from .proxy import Proxy
 
 
+def _cap(update: ReleaseUpdate) -> float:
+    assert update.cap is not None  # an update whose outcome is DONE has all fields
+    return update.cap
+
+
+def _age(update: ReleaseUpdate) -> Ticks:
+    assert update.age is not None  # an update whose outcome is DONE has all fields
+    return update.age
+
+
 def traffic_share(update: ReleaseUpdate) -> float:
     """Returns the largest share of requests that may go to the newest build."""
     if update.phase == ReleasePhase.ON_TRIAL:
-        return update.cap
+        return _cap(update)
     return 1.0 if update.phase == ReleasePhase.RELEASED else 0.0
 
 
@@ -72,7 +82,7 @@
         if (
             old
             and old.build == update.build
-            and (update.cap < old.cap or update.phase != old.phase)
+            and (_cap(update) < _cap(old) or update.phase != old.phase)
         ):
             self.proxy.withdraw_unwritten(lambda pod, _: pod.build >= update.build)
 
@@ -102,7 +112,7 @@
         if update.outcome != Outcome.DONE or held is None:
             return update
         older = update.build < held.build
-        if update.build == held.build and asked - update.age <= self._latest_at - held.age:
+        if update.build == held.build and asked - _age(update) <= self._latest_at - _age(held):
             older = traffic_share(update) > traffic_share(held)
         return held._replace(answers_vote=True) if older else update
 
