--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -655,8 +655,8 @@
 
     def test_or_an_answer_at_its_own_end(self):
         network, _, second = self.left("pay", True, False)
-        network.proxy.requests.find("01").attempts[0].ends += 10**6
-        network.proxy.timers.cancel(network.proxy.requests.find("01").attempts[0].deadline)
+        network.proxy.requests.find("01").attempts[0].expires_at += 10**6
+        network.proxy.timers.cancel(network.proxy.requests.find("01").attempts[0].timer)
         network.reactor.advance(5.1)
         network.reactor.advance(0)
         self.assertEqual(second.transport.value(), b"-ERR abandoned\r\n")
@@ -699,7 +699,7 @@
             ):  # another of its own ends at the same moment, and a new one comes
                 last = network.proxy.requests.find("5")
                 for attempt in (
-                    [attempt for attempt in last.attempts if attempt.out] if last else ()
+                    [attempt for attempt in last.attempts if attempt.in_flight] if last else ()
                 ):
                     attempt.give_up()
                 network.ask(f"new{events[0].id}")
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -47,7 +47,7 @@
     ends, ended = [], network.proxy.ended
 
     def count(attempt, outcome, answer=None):
-        ends.append((attempt.held.id, attempt.number, outcome))
+        ends.append((attempt.request.id, attempt.number, outcome))
         return ended(attempt, outcome, answer)
 
     network.proxy.ended = count
@@ -170,7 +170,7 @@
         connection.resumeProducing()
         attempt = connection.begun.__self__
         connection.dataReceived(ANSWER)
-        self.assertIs(attempt.out, False)
+        self.assertIs(attempt.in_flight, False)
         self.assertNotIn(
             attempt, [getattr(held, "__self__", held) for held in vars(connection).values()]
         )
@@ -1079,7 +1079,7 @@
         if connection := self.pick([one for one in self.open() if one.transport.producer], place):
             name = connection.transport.value().split(b"\r\n")[6].decode()
             connection.transport.clear()
-            pod, news = connection.delivery.pod, self.proxy.releases.latest
+            pod, news = connection.delivery.endpoint, self.proxy.releases.latest
             self.test.assertTrue(
                 self.proxy.endpoints.is_ready(pod) and (news.cap or pod.build < news.build), name
             )
@@ -1092,7 +1092,7 @@
         if connection := self.pick(self.connections, place):
             if connection.transport.disconnected:
                 return
-            name = connection.delivery and connection.delivery.held.id
+            name = connection.delivery and connection.delivery.request.id
             if kind == "busy" and name and connection.written:
                 self.may_have_run[name] = False
             connection.dataReceived(ANSWERS[kind])
@@ -1189,19 +1189,20 @@
                 )
             for attempt in pool.waiting:
                 same(
-                    (attempt.out, attempt.connection, attempt.deadline in live), (True, None, True)
+                    (attempt.in_flight, attempt.connection, attempt.timer in live),
+                    (True, None, True),
                 )
         for connection in self.connections:
             if connection.transport.disconnecting or connection.transport.disconnected:
                 self.test.assertIsNone(connection.waiting)
         for held in self.proxy.transactions:
-            same(held.out, sum(attempt.out for attempt in held.attempts))
-            self.test.assertTrue(held.out or not held.over, held.id)
+            same(held.attempts_out, sum(attempt.in_flight for attempt in held.attempts))
+            self.test.assertTrue(held.attempts_out or not held.closed, held.id)
             for attempt in held.attempts:
                 where = sum(attempt in pool.waiting for pool in by_pod.values()) + any(
                     one.delivery is attempt and one.waiting is not None for one in self.connections
                 )
-                same(where, 1) if attempt.out else None
+                same(where, 1) if attempt.in_flight else None
 
     def end(self):
         """Nothing more comes from outside: each request has its one answer, and nothing is kept."""
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -147,7 +147,7 @@
         )
         self.ended, self.over = self.record.ended, self.record.over
         self.done, self.left, self.abandoned = Reason.DONE, Reason.LEFT, Reason.ABANDONED
-        proxy.refusals.then = self.record.say
+        proxy.rejections.then = self.record.say
         factory = Factory()
         factory.noisy, factory.buildProtocol = False, self._asker
         try:
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -183,11 +183,11 @@
         """An end of an attempt, where it says something of the pod: not what was recalled or turned away, nor a
         time-out that only the client's short patience made."""
         if outcome == Outcome.DONE or outcome in FAILED:
-            self.node.belief.ended(self.clock(), attempt.pod.address, outcome != Outcome.DONE)
+            self.node.belief.ended(self.clock(), attempt.endpoint.address, outcome != Outcome.DONE)
         elif outcome == Outcome.TIMED_OUT:
-            lane = self.proxy.settings.request_classes[attempt.held.command.request_class]
-            if attempt.ends - attempt.at >= 0.99 * lane.latency_objective:
-                self.node.belief.ended(self.clock(), attempt.pod.address, True)
+            lane = self.proxy.settings.request_classes[attempt.request.command.request_class]
+            if attempt.expires_at - attempt.started_at >= 0.99 * lane.latency_objective:
+                self.node.belief.ended(self.clock(), attempt.endpoint.address, True)
 
     def listed(self):
         ready = [
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -21,48 +21,53 @@
 
     Attributes:
         proxy: Who is told of its end.
-        held: The request that it is for.
+        request: The request that it is for.
         number: Its number among the request's attempts.
-        pod: The endpoint as it was listed when the attempt began; None where it was not.
-        at: When it began.
-        ends: When it times out.
-        out: Whether it has not ended.
+        endpoint: The endpoint as it was listed when the attempt began; None where it was not.
+        started_at: When it began.
+        expires_at: When it times out.
+        in_flight: Whether it has not ended.
         connection: The connection that it was written to; None while it waits for one.
-        deadline: The timer of `due`.
+        timer: The timer of `timer_due`.
         write_by: Until when its last byte may be written.
-        newest: The newest build when it began.
+        newest_build: The newest build when it began.
         may_have_run: Whether the endpoint may have executed it.
     """
 
     __slots__ = (
-        "at",
         "connection",
-        "deadline",
-        "ends",
-        "held",
+        "endpoint",
+        "expires_at",
+        "in_flight",
         "may_have_run",
-        "newest",
+        "newest_build",
         "number",
-        "out",
-        "pod",
         "proxy",
+        "request",
+        "started_at",
+        "timer",
         "write_by",
     )
 
     def __init__(
-        self, proxy: "Proxy", held: InFlightRequest, pod: Endpoint | None, at: Ticks, ends: Ticks
+        self,
+        proxy: "Proxy",
+        request: InFlightRequest,
+        endpoint: Endpoint | None,
+        started_at: Ticks,
+        expires_at: Ticks,
     ) -> None:
         update = proxy.releases.latest
         self.proxy = proxy
-        self.held = held
-        self.number = len(held.attempts)
-        self.pod = pod
-        self.at = at
-        self.ends = ends
-        self.out = True
+        self.request = request
+        self.number = len(request.attempts)
+        self.endpoint = endpoint
+        self.started_at = started_at
+        self.expires_at = expires_at
+        self.in_flight = True
         self.connection: PodConnection | None = None
-        self.deadline: int | None = None
-        self.newest = update and update.build
+        self.timer: int | None = None
+        self.newest_build = update and update.build
         self.may_have_run = True
         self.write_by = self._write_by()
 
@@ -72,12 +77,12 @@
         Endpoints drop a repeat with an idempotency key for the deduplication window, counted as
         the decisions count it; a request that is not idempotent may not be repeated at all.
         """
-        suspect = next((earlier for earlier in self.held.attempts if earlier.may_have_run), None)
-        request_class = self.proxy.settings.request_classes[self.held.command.request_class]
+        suspect = next((earlier for earlier in self.request.attempts if earlier.may_have_run), None)
+        request_class = self.proxy.settings.request_classes[self.request.command.request_class]
         if suspect is None or request_class.idempotency == Idempotency.IDEMPOTENT:
-            return self.ends
+            return self.expires_at
         if request_class.idempotency == Idempotency.KEYED:
-            return min(self.ends, suspect.at + request_class.deduplication_window)
+            return min(self.expires_at, suspect.started_at + request_class.deduplication_window)
         return 0
 
     def may_be_written(self, address: str | None) -> bool:
@@ -86,28 +91,30 @@
         The attempt may have waited for a connection since it was decided.
         """
         proxy = self.proxy
-        pod = self.pod
+        endpoint = self.endpoint
         now = proxy.clock()
         endpoints = proxy.endpoints
         update = proxy.releases.latest
         newest = update.build if update else None
         return (
-            pod is not None
-            and not self.held.over
+            endpoint is not None
+            and not self.request.closed
             and now < self.write_by
-            and endpoints.is_ready(pod)
-            and endpoints.addresses[pod.address] == address
-            and (newest == self.newest or (newest is not None and pod.build < newest))
-            and not self._key_stays(update, pod)
-            and proxy.exposure.allows(now, update, pod.build, self.held.command.request_class)
+            and endpoints.is_ready(endpoint)
+            and endpoints.addresses[endpoint.address] == address
+            and (newest == self.newest_build or (newest is not None and endpoint.build < newest))
+            and not self._key_stays(update, endpoint)
+            and proxy.exposure.allows(
+                now, update, endpoint.build, self.request.command.request_class
+            )
         )
 
-    def _key_stays(self, update: ReleaseUpdate | None, pod: Endpoint) -> bool:
+    def _key_stays(self, update: ReleaseUpdate | None, endpoint: Endpoint) -> bool:
         """Returns whether its key stays with the newest build, which has answered it since."""
-        command = self.held.command
+        command = self.request.command
         return (
             update is not None
-            and pod.build < update.build
+            and endpoint.build < update.build
             and update.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
             and (command.key or command.id).decode() in self.proxy.engine.pins
         )
@@ -120,26 +127,26 @@
         """Ends it as not sent."""
         self.give_up(Outcome.NOT_SENT)
 
-    def due(self) -> None:
+    def timer_due(self) -> None:
         """Ends it when it may not be written any more, and when its time is over."""
-        if self.proxy.clock() >= self.ends:
+        if self.proxy.clock() >= self.expires_at:
             self.give_up()
         elif not self.written():
             self.withdraw()
         else:
-            self.deadline = self.proxy.timers.add(self.ends, self.due)
+            self.timer = self.proxy.timers.add(self.expires_at, self.timer_due)
 
     def write_to(self, connection: PodConnection) -> None:
         """Writes it to a connection that is free."""
-        assert self.pod is not None  # else it has ended as not sent
+        assert self.endpoint is not None  # else it has ended as not sent
         self.connection = connection
         now = self.proxy.clock()
         self.proxy.exposure.wrote(
-            now, self.proxy.releases.latest, self.pod.build, self.held.command.request_class
+            now, self.proxy.releases.latest, self.endpoint.build, self.request.command.request_class
         )
-        left = max(1, (self.ends - now) // 10)
-        delivered = connection.deliver(self.held.command.words(left), self._begun)
-        delivered.addCallback(self._came_back)
+        left = max(1, (self.expires_at - now) // 10)
+        delivered = connection.deliver(self.request.command.words(left), self._begun)
+        delivered.addCallback(self._responded)
 
     def not_connected(self, broken: BrokenConnection) -> None:
         """Ends it because no connection has come up for it."""
@@ -148,21 +155,21 @@
     def _begun(self) -> None:
         self.proxy.response_discarded(self, "in part or unreadable")
 
-    def _came_back(self, end: PodResponse | BrokenConnection) -> None:
+    def _responded(self, end: PodResponse | BrokenConnection) -> None:
         """Ends it by the response, or by how its connection broke."""
         proxy = self.proxy
         if isinstance(end, BrokenConnection):
             written = end.reached == WRITTEN
-            if self.out and written:
+            if self.in_flight and written:
                 proxy.response_discarded(self, end.reason)
-            if self.out:  # still: the decisions may have cancelled it
+            if self.in_flight:  # still: the decisions may have cancelled it
                 proxy.ended(self, Outcome.RESET if written else Outcome.CONNECT_FAILED)
         elif end.failure is None:
-            if self.out:
+            if self.in_flight:
                 proxy.ended(self, Outcome.DONE, end)
             else:
                 proxy.response_discarded(self, "late")
-        elif self.out:
+        elif self.in_flight:
             busy = end.failure.split(" ")[0] == BUSY
             proxy.ended(self, Outcome.REJECTED if busy else Outcome.ERROR)
 
@@ -173,7 +180,7 @@
             outcome: How it ends; None means that its time is over.
         """
         written = self.written()
-        self.out = False  # its one end is this: what its connection says of its own is none
+        self.in_flight = False  # its one end is this: what its connection says of its own is none
         self.proxy.pools.give_up(self, self.connection)
         if written:
             self.proxy.response_discarded(self, "given up")
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -118,7 +118,9 @@
         if proxy.gossip is not None:
             proxy.gossip.listed()
         proxy.withdraw_unwritten(
-            lambda pod, address: not self.is_ready(pod) or self.addresses[pod.address] != address
+            lambda endpoint, address: (
+                not self.is_ready(endpoint) or self.addresses[endpoint.address] != address
+            )
         )
         proxy.pools.keep_only(
             {name: address for name, address in self.addresses.items() if name not in replaced}
@@ -133,23 +135,23 @@
         before = self.listed
         self.listed = listed
         replaced = set()
-        for pod in endpoints:
-            known = before.get(pod.address)
-            if known and (known.started, known.build) != (pod.started, pod.build):
-                replaced.add(pod.address)
-            if pod.condition == EndpointCondition.GONE:
-                listed.pop(pod.address, None)
+        for endpoint in endpoints:
+            known = before.get(endpoint.address)
+            if known and (known.started, known.build) != (endpoint.started, endpoint.build):
+                replaced.add(endpoint.address)
+            if endpoint.condition == EndpointCondition.GONE:
+                listed.pop(endpoint.address, None)
             else:
-                listed[pod.address] = pod
+                listed[endpoint.address] = endpoint
         return replaced
 
-    def is_ready(self, pod: Endpoint) -> bool:
+    def is_ready(self, endpoint: Endpoint) -> bool:
         """Returns whether this process of the endpoint is still listed as ready."""
-        now = self.listed.get(pod.address)
+        now = self.listed.get(endpoint.address)
         return (
             now is not None
             and now.condition == EndpointCondition.READY
-            and ((now.started, now.build) == (pod.started, pod.build))
+            and ((now.started, now.build) == (endpoint.started, endpoint.build))
         )
 
     def _version_to_ask_from(self) -> int:
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -21,42 +21,47 @@
         command: The request as its client worded it.
         connection: The client's connection that its answer belongs to.
         place: The place of its answer among those of the connection.
-        ends: When its client stops waiting.
+        expires_at: When its client stops waiting.
         attempts: All attempts so far, by number.
-        out: How many attempts have not ended.
-        over: Whether it has had its final answer, or its client has left.
-        deadline: The timer for a request that the decisions have missed.
-        heir: Whether a repeat of it waits for the outcome of the original's attempts.
+        attempts_out: How many attempts have not ended.
+        closed: Whether it has had its final answer, or its client has left.
+        overdue_timer: The timer for a request that the decisions have missed.
+        repeated: Whether a repeat of it waits for the outcome of the original's attempts.
     """
 
     __slots__ = (
         "attempts",
+        "attempts_out",
+        "closed",
         "command",
         "connection",
-        "deadline",
-        "ends",
-        "heir",
+        "expires_at",
         "id",
-        "out",
-        "over",
+        "overdue_timer",
         "place",
+        "repeated",
         "slot",
     )
 
     def __init__(
-        self, name: str, command: Command, connection: ClientConnection, place: int, ends: Ticks
+        self,
+        name: str,
+        command: Command,
+        connection: ClientConnection,
+        place: int,
+        expires_at: Ticks,
     ) -> None:
         self.id = name
         self.command = command
         self.connection = connection
         self.place = place
-        self.ends = ends
+        self.expires_at = expires_at
         self.slot: int | None = None
         self.attempts: list[Attempt] = []
-        self.out = 0
-        self.over = False
-        self.deadline: int | None = None
-        self.heir = False
+        self.attempts_out = 0
+        self.closed = False
+        self.overdue_timer: int | None = None
+        self.repeated = False
 
 
 class RequestTable:
@@ -82,10 +87,14 @@
 
     def release(self, request: InFlightRequest) -> None:
         """Lets go of a request that is over and of which no attempt is out."""
-        if request.over and not request.out and self.by_id.get(request.id) == request.slot:
+        if (
+            request.closed
+            and not request.attempts_out
+            and self.by_id.get(request.id) == request.slot
+        ):
             del self.by_id[request.id]
             self.by_slot.remove(request.slot)
-            self.timers.cancel(request.deadline)
+            self.timers.cancel(request.overdue_timer)
 
     def remember(self, request: InFlightRequest, idempotency: Idempotency) -> None:
         """Bars the id of a request that may have run, for as long as its client would have waited.
@@ -98,4 +107,4 @@
             and any(attempt.may_have_run for attempt in request.attempts)
         ):
             self.may_have_run.add(request.id)
-            self.timers.add(request.ends, self.may_have_run.discard, request.id)
+            self.timers.add(request.expires_at, self.may_have_run.discard, request.id)
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -95,7 +95,7 @@
         gossip: Hears of ended attempts and lists; None without the feature.
         why: Hears of requests' starts and ends; None without the feature.
         fleet: Drains this instance as it is told; None without the feature.
-        refusals: Sums up why requests are rejected.
+        rejections: Sums up why requests are rejected.
         engine: The decisions.
         endpoints: The list of endpoints.
         releases: Votes and release updates.
@@ -133,8 +133,8 @@
         self.gossip: Any = None
         self.why: Any = None
         self.fleet: Any = None
-        self.refusals = RejectionSummary(structured_log.log)
-        self.engine = DecisionEngine(self.settings, start.seed, self.clock(), self.refusals.hear)
+        self.rejections = RejectionSummary(structured_log.log)
+        self.engine = DecisionEngine(self.settings, start.seed, self.clock(), self.rejections.hear)
         chance = LinearCongruentialGenerator(~start.seed)
         self.endpoints = EndpointUpdates(self, chance)
         self.releases = ReleaseChannel(self, chance)
@@ -195,7 +195,7 @@
 
     def _log_rejections(self) -> None:
         pressure = round(self.engine.admission.pressure(self.clock(), ()), 2)
-        self.timers.add(self.refusals.due(self.clock(), pressure=pressure), self._log_rejections)
+        self.timers.add(self.rejections.due(self.clock(), pressure=pressure), self._log_rejections)
 
     # What other packages use of the parts.
 
@@ -269,7 +269,7 @@
             self._carry_out(self.engine.actions)
             name = getattr(event, "id", None)
             request = None if name is None else self.requests.find(name)
-            if request and not request.over and not request.out:
+            if request and not request.closed and not request.attempts_out:
                 self._answer(request, FAILED_ANSWER)
                 self.inbox.append(ClientDisconnected(request.id))
         else:
@@ -304,7 +304,7 @@
         self.deciding = True
         try:
             for attempt, address in self.pools.unwritten():
-                if fails(attempt.pod, address):
+                if fails(attempt.endpoint, address):
                     attempt.withdraw()
         finally:
             self.deciding = deciding
@@ -314,14 +314,14 @@
     def gone(self, connection: ClientConnection) -> None:
         """Ends the requests of a connection whose client waits for nothing more."""
         for request in self.transactions if connection.places else ():
-            if request.connection is connection and not request.over:
-                request.over = True
+            if request.connection is connection and not request.closed:
+                request.closed = True
                 if self.why is not None:
                     self.why.ended(request.id, self.why.left)
                 self.tell(ClientDisconnected(request.id))
                 # Also where none may be cancelled: these are not out yet.
                 for attempt in request.attempts:
-                    if attempt.out and not attempt.written():
+                    if attempt.in_flight and not attempt.written():
                         attempt.withdraw()
                 request_class = self.settings.request_classes[request.command.request_class]
                 self.requests.remember(request, request_class.idempotency)
@@ -333,7 +333,7 @@
 
         The reactor may have read something else before the end, or does not read that connection.
         """
-        if not request.over and has_left(request.connection.transport):
+        if not request.closed and has_left(request.connection.transport):
             request.connection.readConnectionLost()
 
     def take(self, connection: ClientConnection, place: int, command: Command) -> None:
@@ -367,7 +367,9 @@
                 return
         request = InFlightRequest(name, command, connection, place, now + left)
         request.slot = requests.by_id[name] = self.transactions.add(request)
-        request.deadline = self.timers.add(request.ends + OVERDUE_AFTER, self._overdue, request)
+        request.overdue_timer = self.timers.add(
+            request.expires_at + OVERDUE_AFTER, self._overdue, request
+        )
         key = command.key.decode() or None
         self.exposure.took(now, command.request_class)
         if self.why is not None:
@@ -391,23 +393,25 @@
         if request is None:
             connection.answer(place, resp.failure("ERR this id may have run already"))
             return
-        if not request.over or not request.connection.gone or request.command[:3] != command[:3]:
+        if not request.closed or not request.connection.gone or request.command[:3] != command[:3]:
             connection.answer(place, resp.failure("ERR this id is in hand already"))
             return
         now = self.clock()
         request.connection = connection
         request.place = place
-        request.over = False
-        request.heir = True
+        request.closed = False
+        request.repeated = True
         request_class = self.settings.request_classes[request.command.request_class]
-        request.ends = now + min(command.left * 10, request_class.outer_limit)
-        self.timers.cancel(request.deadline)
-        request.deadline = self.timers.add(request.ends + OVERDUE_AFTER, self._overdue, request)
+        request.expires_at = now + min(command.left * 10, request_class.outer_limit)
+        self.timers.cancel(request.overdue_timer)
+        request.overdue_timer = self.timers.add(
+            request.expires_at + OVERDUE_AFTER, self._overdue, request
+        )
 
     def _overdue(self, request: InFlightRequest) -> None:
         """Answers a request that the decisions have missed: an answer is still owed."""
-        if not request.over:
-            structured_log.log("overdue", id=request.id, out=request.out)
+        if not request.closed:
+            structured_log.log("overdue", id=request.id, out=request.attempts_out)
             if self.why is not None:
                 self.why.ended(request.id, self.why.abandoned)
             self._answer(request, FAILED_ANSWER)
@@ -415,11 +419,11 @@
 
     def _answer(self, request: InFlightRequest | None, content: bytes) -> None:
         """Gives a request its final answer, if it is owed one."""
-        if request and not request.over:
-            request.over = True
+        if request and not request.closed:
+            request.closed = True
             request.connection.answer(request.place, content)
             self.requests.release(request)
-            if self.why is not None and not request.out:
+            if self.why is not None and not request.attempts_out:
                 self.why.over(request.id)
 
     def _reject(self, action: Reject) -> None:
@@ -446,16 +450,16 @@
             request,
             endpoints.listed.get(endpoint),
             now,
-            min(now + action.timeout, request.ends),
+            min(now + action.timeout, request.expires_at),
         )
         request.attempts.append(attempt)
-        request.out += 1
+        request.attempts_out += 1
         if attempt.number >= self.settings.max_attempts or not attempt.may_be_written(
             endpoints.addresses.get(endpoint)
         ):
             self.ended(attempt, Outcome.NOT_SENT)
             return
-        attempt.deadline = self.timers.add(attempt.write_by, attempt.due)
+        attempt.timer = self.timers.add(attempt.write_by, attempt.timer_due)
         if not self.pools.send(endpoint, endpoints.addresses[endpoint], attempt):
             structured_log.seldom("no descriptor for a pod", connections=len(self.pools))
             self.ended(attempt, Outcome.NOT_SENT)
@@ -465,49 +469,49 @@
         if request is None or action.number >= len(request.attempts):
             return
         attempt = request.attempts[action.number]
-        if attempt.out:
+        if attempt.in_flight:
             attempt.give_up(Outcome.CANCELLED)
 
     def ended(self, attempt: Attempt, outcome: Outcome, answer: PodResponse | None = None) -> None:
         """Takes up the one end of an attempt. The first good answer goes to the client at once."""
-        request = attempt.held
-        attempt.out = False
+        request = attempt.request
+        attempt.in_flight = False
         attempt.may_have_run = PROOF[outcome] != "unrun"
-        request.out -= 1
-        if attempt.deadline is not None:
-            self.timers.cancel(attempt.deadline)
-        if outcome == Outcome.DONE and answer is not None and not request.over:
-            request.over = True
+        request.attempts_out -= 1
+        if attempt.timer is not None:
+            self.timers.cancel(attempt.timer)
+        if outcome == Outcome.DONE and answer is not None and not request.closed:
+            request.closed = True
             if self.why is not None:
                 self.why.ended(request.id, self.why.done)
             request.connection.answer(request.place, resp.value(answer.value))
         load = self._load(answer.report) if answer and answer.report else None
-        endpoint = attempt.pod.address if attempt.pod else ""
-        latency = self.clock() - attempt.at
+        endpoint = attempt.endpoint.address if attempt.endpoint else ""
+        latency = self.clock() - attempt.started_at
         event = AttemptEnded(
-            request.id, outcome, request.over, latency, endpoint, attempt.number, load
+            request.id, outcome, request.closed, latency, endpoint, attempt.number, load
         )
-        if self.gossip is not None and attempt.pod:
+        if self.gossip is not None and attempt.endpoint:
             self.gossip.ended(attempt, outcome)
-        if request.heir and not request.out:  # the decisions are done with it
+        if request.repeated and not request.attempts_out:  # the decisions are done with it
             self._answer(request, FAILED_ANSWER)
         self.requests.release(request)
         self.tell(event)
-        if self.why is not None and request.over and not request.out:
+        if self.why is not None and request.closed and not request.attempts_out:
             self.why.over(request.id)
 
     def response_discarded(self, attempt: Attempt, reason: str) -> None:
         """Counts a key as answered: a response came too late, in part, spoilt, or may yet come."""
-        command = attempt.held.command
-        assert attempt.pod is not None  # it was written
+        command = attempt.request.command
+        assert attempt.endpoint is not None  # it was written
         structured_log.seldom(
             "unheard answer",
-            id=attempt.held.id,
-            pod=attempt.pod.address,
-            after=self.clock() - attempt.at,
+            id=attempt.request.id,
+            pod=attempt.endpoint.address,
+            after=self.clock() - attempt.started_at,
             reason=reason,
         )
-        self.tell(LateResponseSeen((command.key or command.id).decode(), attempt.pod.build))
+        self.tell(LateResponseSeen((command.key or command.id).decode(), attempt.endpoint.build))
 
     def _load(self, report: bytes) -> tuple[float, ...] | None:
         """Returns the values of a load report in the order of the settings; None for a bad one."""
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -84,7 +84,7 @@
             and old.build == update.build
             and (_cap(update) < _cap(old) or update.phase != old.phase)
         ):
-            self.proxy.withdraw_unwritten(lambda pod, _: pod.build >= update.build)
+            self.proxy.withdraw_unwritten(lambda endpoint, _: endpoint.build >= update.build)
 
     def _stream_reader(self) -> StreamReader:
         events = http.EventStream()
