--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,7 @@
 # Whatever is checked: the program, its tests, the measurements and the scripts of CI.
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
-TYPED = thymeknot/interface
+TYPED = thymeknot/interface thymeknot/raft
 
 format: build-dev
 	.venv/bin/ruff check -q --select I --fix $(CHECKED)
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -34,8 +34,9 @@
 from thymeknot.interface.settings import RequestClass
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.raft import message_codec as letters
-from thymeknot.raft import messages as agreement
-from thymeknot.raft.state_machine import Parts, Sessions
+from thymeknot.raft import messages, records
+from thymeknot.raft.client_sessions import Sessions
+from thymeknot.raft.state_machine import Parts
 from thymeknot.raft.storage import RaftStorage
 from thymeknot.service import structured_log
 from thymeknot.service.log_events import LEVELS
@@ -138,27 +139,27 @@
 
 
 def log_entry(index, term=2, **command):
-    return agreement.Entry(index, term, 1000 * index, "op/ann", 3, index, command)
+    return records.Entry(index, term, 1000 * index, "op/ann", 3, index, command)
 
 
 def disk_records():
     """What a node persists in turn: votes, entries, a truncation, a snapshot and entries after it."""
-    members = agreement.Members({"a": 0, "b": 0, "c": 7}, {"d": 9})
+    members = records.Members({"a": 0, "b": 0, "c": 7}, {"d": 9})
     return [
         [
-            agreement.Voted(1, "a"),
+            records.VoteRecord(1, "a"),
             log_entry(1, 1, part="turns", do="tick"),
             log_entry(2, 1, part="gangs", do="tick"),
         ],
-        [agreement.Voted(2, None), agreement.Cut(2)],
+        [records.VoteRecord(2, None), records.TruncationRecord(2)],
         [
             log_entry(2, part="keepers", voters={"a": 0}, learners={"d": 9}),
             log_entry(3, part="turns", do="tick"),
         ],
-        [agreement.Snapshot(2, 2, 2000, members, b"\x00state\xff")],
+        [records.Snapshot(2, 2, 2000, members, b"\x00state\xff")],
         [
             log_entry(4, part="turns", do="seen", as_of=1, units={"u": ["ready", 0, "b"]}),
-            agreement.Voted(3, "b"),
+            records.VoteRecord(3, "b"),
         ],
     ]
 
@@ -169,8 +170,8 @@
         os.path.join(folder, "disk"), os.path.join(folder, "lineage"), lambda: DISK_INCARNATION
     )
     store.open()
-    for records in groups:
-        fault = store.persist(records)
+    for group in groups:
+        fault = store.persist(group)
         if fault is not None:
             raise RuntimeError(fault.reason)
     store.close()
@@ -184,17 +185,17 @@
 
 def raft_messages():
     """One message of each kind among nodes, in the order of their numbers on the wire."""
-    members = agreement.Members({"a": 0, "b": 0, "c": 7}, {"d": 9})
+    members = records.Members({"a": 0, "b": 0, "c": 7}, {"d": 9})
     return [
-        agreement.Ask(4, 1, 2, True, 10, 3, False),
-        agreement.Vote(4, 1, True, False),
-        agreement.Append(
+        messages.VoteRequest(4, 1, 2, True, 10, 3, False),
+        messages.VoteResponse(4, 1, True, False),
+        messages.AppendRequest(
             4, 1, 9, 3, (log_entry(10), log_entry(11, part="turns", do="tick")), 8, 77
         ),
-        agreement.Appended(4, 1, True, 11, 77),
-        agreement.Image(4, 1, 9, 3, 9000, members, 64, 128, b"part", 78),
-        agreement.Imaged(4, 1, 9, 128, True, 78),
-        agreement.Hurry(4, 1),
+        messages.AppendResponse(4, 1, True, 11, 77),
+        messages.SnapshotChunk(4, 1, 9, 3, 9000, members, 64, 128, b"part", 78),
+        messages.SnapshotChunkResponse(4, 1, 9, 128, True, 78),
+        messages.TimeoutNow(4, 1),
     ]
 
 
@@ -202,7 +203,7 @@
     """Encoded messages, a signed letter of each kind, and the AMP boxes that carry them, in hex."""
     session = bytes(range(32))
     found = {
-        f"message {number}": agreement.to_bytes(one).hex()
+        f"message {number}": messages.encode_message(one).hex()
         for number, one in enumerate(raft_messages())
     }
     for kind in (letters.KEEPER, letters.PROPOSE, letters.READ, letters.REPLY):
@@ -213,11 +214,11 @@
         (
             (letters.Hello, {"nonce": bytes(16)}),
             (
-                letters.Deliver,
+                letters.DeliverMessage,
                 letters.sign_message(identity("a"), "b", session, 1, letters.KEEPER, b"\x80"),
             ),
             (
-                letters.Ask,
+                letters.ClientRequest,
                 letters.sign_message(identity("a"), "b", session, 2, letters.PROPOSE, b"\x80"),
             ),
         )
@@ -225,7 +226,7 @@
         box = AmpBox({b"_command": command.commandName, **command.makeArguments(arguments, None)})
         answer = AmpBox(command.makeResponse(arguments, None) if command.response else {})
         found[f"box {number}"] = [box.serialize().hex(), answer.serialize().hex()]
-    found["error"] = [code.hex() for code in letters.Ask.reverseErrors]
+    found["error"] = [code.hex() for code in letters.ClientRequest.reverseErrors]
     return found
 
 
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -19,9 +19,10 @@
 from thymeknot.gossip.settings import Peer, PeerKey
 from thymeknot.interface.reasons import Reason
 from thymeknot.raft import message_codec as letters
-from thymeknot.raft import messages as agreement
-from thymeknot.raft.messages import Recovered, Snapshot
-from thymeknot.raft.state_machine import Parts, Sessions
+from thymeknot.raft.client_sessions import Sessions
+from thymeknot.raft.messages import decode_message
+from thymeknot.raft.records import Recovered, Snapshot
+from thymeknot.raft.state_machine import Parts
 from thymeknot.raft.storage import RaftStorage
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
@@ -141,7 +142,7 @@
 
     def test_a_snapshot_with_entries_after_it_is_read(self):
         groups = generate.disk_records()
-        snapshot = groups[3][0]._replace(whole=True)
+        snapshot = groups[3][0]._replace(replaces_log=True)
         self.assertIs(type(snapshot), Snapshot)
         entries = (groups[2][1], groups[4][0])
         self.assertEqual(
@@ -152,7 +153,7 @@
         wire = stored_json("raft_wire.json")
         for number, message in enumerate(generate.raft_messages()):
             with self.subTest(number):
-                read = agreement.from_bytes(bytes.fromhex(wire[f"message {number}"]))
+                read = decode_message(bytes.fromhex(wire[f"message {number}"]))
                 self.assertEqual(read, message)
                 self.assertIs(type(read), type(message))
 
--- a/thymeknot/raft/client.py
+++ b/thymeknot/raft/client.py
@@ -1,329 +1,273 @@
-"""The seam to the keepers: `propose(command)` and `read(query)`, each a Deferred of the reply.
+"""A client of the nodes: commands and reads, with retries.
 
-A command whose outcome is unknown is asked again under its own number, so that it counts once. Tries are spread by a
-seeded Chance and drawn from a budget that all commands share: a fleet that lost its keepers must not meet them with a
-storm when they come back."""
+A command whose outcome is unknown is retried under its own number, so that it counts once.
+Retries are spread at random and drawn from a budget that all commands share: clients that lost
+the nodes must not overload them when they come back.
+"""
 
 from collections import deque
+from collections.abc import Callable, Mapping
+from typing import Any, NamedTuple, Protocol
 
 from twisted.internet.defer import Deferred
-from twisted.internet.endpoints import HostnameEndpoint, connectProtocol
-from twisted.protocols import amp
+from twisted.python.failure import Failure
 
-from . import message_codec
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from .message_codec import PROPOSE, READ
+from .node_state import RandomSource
+from .peer_channel import PeerChannel
+from .state_machine import Command, Reply
 
-CONNECTS_WITHIN = 1.0  # seconds
-FULL_FOR = 2.0  # seconds that a connection may take nothing; then it is thought half open
-TRY = 6_000  # tenths of a millisecond for an answer to one try
-BASE, LONGEST = 500, 8_000  # of the wait before the next one, that doubles
-BUDGET, REFILL = 20, 5  # tries at once, and a second
-QUEUE_MOST = 256  # commands that wait for their turn
+ATTEMPT_TIMEOUT: Ticks = 6_000
+"""For an answer to one attempt."""
+REQUEST_TIMEOUT: Ticks = 30_000
+"""For a command or read with all of its attempts, unless the caller says otherwise."""
+MIN_BACKOFF: Ticks = 500
+"""Of the wait before the next attempt, which doubles."""
+MAX_BACKOFF: Ticks = 8_000
+"""Where the wait stops growing."""
+MAX_DOUBLINGS = 6
+"""More would only be cut to MAX_BACKOFF."""
+RETRY_BUDGET = 20
+"""Retries at once."""
+RETRIES_PER_SECOND = 5
+"""By which the budget fills."""
+MAX_QUEUED = 256
+"""Commands that wait for their turn."""
+REDIRECT_DELAY: Ticks = 100
+"""Before the leader that a node names is asked."""
+FAST_REDIRECTS = 4
+"""Attempts until redirects are slowed down like failures: nodes may name one another."""
 
 
-class Line(amp.AMP):
-    """An outgoing connection; what is sent while its buffer is full is lost, as on a network."""
+class Channel(Protocol):
+    """The way to one node."""
 
-    def __init__(self, lost):
-        super().__init__()
-        self.full, self.lost = False, lost
+    def ask(self, kind: int, body: bytes) -> Deferred[dict[str, Any]] | None:
+        """Sends a command or query; None where nothing can be sent now."""
 
-    def connectionMade(self):
-        super().connectionMade()
-        self.transport.setTcpNoDelay(True)
-        self.transport.registerProducer(self, True)
 
-    def pauseProducing(self):
-        self.full = True
+class Timers(Protocol):
+    """Calls made at their time."""
 
-    def resumeProducing(self):
-        self.full = False
+    clock: Callable[[], Ticks]
 
-    def stopProducing(self):
-        pass
+    def add(self, at: Ticks, call: Callable[..., Any], *arguments: Any) -> int:
+        """Plans a call; gives its number."""
 
-    def connectionLost(self, reason):
-        super().connectionLost(reason)
-        self.lost(self)
+    def cancel(self, number: int) -> None:
+        """Drops a call if it is still planned."""
 
 
-class PeerChannel:
-    """The way to one keeper: connected when it is needed, with a session of its own each time."""
+class _Request:
+    """A command or query and its attempts."""
 
-    def __init__(self, reactor, name, place, identity, ring, unix):
-        self.reactor, self.name, self.place, self.identity, self.ring, self.unix = (
-            reactor,
-            name,
-            place,
-            identity,
-            ring,
-            unix,
-        )
-        self.line, self.session, self.number, self.connecting, self.full_since = (
-            None,
-            b"",
-            0,
-            False,
-            None,
-        )
+    __slots__ = ("answer", "attempts", "body", "deadline", "done", "kind", "serial")
 
-    def _connect(self):
-        self.connecting = True
-        host, port = self.place
-        made = connectProtocol(
-            HostnameEndpoint(self.reactor, host, port, CONNECTS_WITHIN), Line(self._lost)
-        )
-        made.addCallbacks(self._greet, self._failed)
-
-    def _greet(self, line):
-        mine = message_codec.new_nonce()
-        late = self.reactor.callLater(CONNECTS_WITHIN, line.transport.abortConnection)
-
-        def begun(told):
-            late.active() and late.cancel()
-            self.line, self.session, self.number, self.connecting = (
-                line,
-                mine + told["nonce"],
-                0,
-                False,
-            )
+    def __init__(self, kind: int, body: dict[str, Any], deadline: Ticks) -> None:
+        self.kind = kind
+        self.body = body
+        self.deadline = deadline
+        self.answer: Deferred[Reply] = Deferred()
+        self.attempts = 0
+        self.serial = 0  # rises with each attempt and each failure: an older one is over
+        self.done = False
 
-        def failed(failure):
-            late.active() and late.cancel()
-            line.transport.abortConnection()
-            self._failed(failure)
-
-        line.callRemote(message_codec.Hello, nonce=mine).addCallbacks(begun, failed)
-
-    def _failed(self, _):
-        self.connecting = False
-
-    def _lost(self, line):
-        if line is self.line:
-            self.line = self.full_since = None
-
-    def _sealed(self, kind, body):
-        """The arguments, or None where nothing can be sent now."""
-        if self.line is None:
-            if not self.connecting:
-                self._connect()
-            return None
-        if self.line.full:
-            now = self.reactor.seconds()
-            self.full_since = self.full_since or now
-            if now - self.full_since > FULL_FOR:
-                self.line.transport.abortConnection()
-            return None
-        self.full_since = None
-        self.number += 1
-        return message_codec.sign_message(
-            self.identity, self.name, self.session, self.number, kind, body
-        )
 
-    def send(self, body):
-        """A keeper's message, or its loss."""
-        told = self._sealed(message_codec.KEEPER, body)
-        if told:
-            self.line.callRemote(message_codec.Deliver, **told)
-
-    def ask(self, kind, body):
-        """A Deferred of the reply, or None where nothing can be sent now. It fails with wire.Refusal, wire.Bad or
-        what the network says."""
-        told = self._sealed(kind, body)
-        if not told:
-            return None
-        session, number = self.session, self.number
-
-        def came(back):
-            letter = message_codec.open_message(
-                self.ring(), self.unix(), self.identity.name, session, number - 1, **back
-            )
-            if (
-                letter.sender != self.name
-                or letter.kind != message_codec.REPLY
-                or letter.number != number
-            ):
-                raise message_codec.MessageError(
-                    "misled", f"an answer of {letter.sender} to another question"
-                )
-            return message_codec.decode_mapping(letter.body)
-
-        return self.line.callRemote(message_codec.Ask, **told).addCallback(came)
-
-    def close(self):
-        if self.line:
-            self.line.transport.abortConnection()
-
-
-class Waiting:
-    __slots__ = ("kind", "told", "ends", "answer", "tries", "over", "serial")
-
-    def __init__(self, kind, told, ends):
-        self.kind, self.told, self.ends, self.answer, self.tries, self.over = (
-            kind,
-            told,
-            ends,
-            Deferred(),
-            0,
-            False,
-        )
-        self.serial = 0
+class _Attempt(NamedTuple):
+    """A request sent to one node."""
+
+    request: _Request
+    serial: int
+    node: str
 
 
 class RaftClient:
-    """channels: by keeper's name. origin: this identity's name, or that and "/" and a word. incarnation: a number that
-    grows with each start of the process. One command is out at a time, since a later number ends the earlier ones."""
-
-    def __init__(self, deadlines, channels, chance, origin, incarnation, encode):
-        self.deadlines, self.clock, self.channels, self.chance = (
-            deadlines,
-            deadlines.clock,
-            channels,
-            chance,
-        )
-        self.origin, self.incarnation, self.number, self.encode = origin, incarnation, 0, encode
-        self.leader, self.names, self.queue, self.out = None, sorted(channels), deque(), None
-        self.place = int(chance.draw() * len(self.names))
-        self.tokens, self.filled = float(BUDGET), self.clock()
-        self.closed = False
-
-    def propose(self, command, within=30_000):
-        """A Deferred of the reply; one with "unknown" where none came within so many tenths of a millisecond: then it
-        may have been carried out, or may be yet unless a later command of this client is."""
-        waiting = Waiting(message_codec.PROPOSE, {"command": command}, self.clock() + within)
-        if len(self.queue) >= QUEUE_MOST:
-            self._end(
-                waiting,
-                {
-                    "refused": f"{QUEUE_MOST} commands wait here already",
-                    "by": [],
-                    "again": BASE,
-                    "unknown": True,
-                },
-            )
+    """Sends commands, one at a time since a later number ends the earlier ones, and reads.
+
+    Args:
+        timers: of the process.
+        channels: by node name.
+        random_source: spreads the retries.
+        origin: this identity's name, or that and "/" and a word.
+        incarnation: a number that grows with each start of the process.
+        encode: gives the bytes of a request's mapping.
+    """
+
+    def __init__(  # noqa: PLR0917  # other packages pass them by position
+        self,
+        timers: Timers,
+        channels: Mapping[str, Channel],
+        random_source: RandomSource,
+        origin: str,
+        incarnation: int,
+        encode: Callable[[dict[str, Any]], bytes],
+    ) -> None:
+        self._timers = timers
+        self._clock = timers.clock
+        self._channels = channels
+        self._random_source = random_source
+        self._origin = origin
+        self._incarnation = incarnation
+        self._encode = encode
+        self._number = 0  # of the last command
+        self._names = sorted(channels)
+        self._leader: str | None = None
+        self.place = int(random_source.draw() * len(self._names))  # whom to ask without a leader
+        self._queue: deque[_Request] = deque()
+        self._current: _Request | None = None  # the command that is out
+        self._budget = float(RETRY_BUDGET)
+        self._budget_filled_at = self._clock()
+        self._closed = False
+
+    def propose(self, command: Command, within: Ticks = REQUEST_TIMEOUT) -> Deferred[Reply]:
+        """Sends a command.
+
+        Returns:
+            A Deferred of the reply; one with "unknown" where none came in time. Then it may have
+            been carried out, or may be yet unless a later command of this client is.
+        """
+        request = _Request(PROPOSE, {"command": command}, self._clock() + within)
+        if len(self._queue) >= MAX_QUEUED:
+            self._end_unknown(request, f"{MAX_QUEUED} commands wait here already", MIN_BACKOFF)
         else:
-            self.queue.append(waiting)
-            self._next()
-        return waiting.answer
-
-    def read(self, query, within=30_000):
-        """As `propose`, but it changes nothing and waits for no other."""
-        waiting = Waiting(message_codec.READ, {"query": query}, self.clock() + within)
-        self._try(waiting)
-        return waiting.answer
-
-    def _next(self):
-        while self.queue and self.out is None:
-            waiting = self.queue.popleft()
-            if self.clock() >= waiting.ends:
-                self._unknown(waiting)
+            self._queue.append(request)
+            self._send_next()
+        return request.answer
+
+    def read(self, query: dict[str, Any], within: Ticks = REQUEST_TIMEOUT) -> Deferred[Reply]:
+        """Sends a query: as `propose`, but it changes nothing and waits for no other."""
+        request = _Request(READ, {"query": query}, self._clock() + within)
+        self._attempt(request)
+        return request.answer
+
+    def close(self) -> None:
+        """Attempts nothing more."""
+        self._closed = True
+
+    def _send_next(self) -> None:
+        """Sends the next command of the queue, unless one is out."""
+        while self._queue and self._current is None:
+            request = self._queue.popleft()
+            if self._clock() >= request.deadline:
+                self._time_out(request)
                 continue
-            self.number += 1
-            waiting.told.update(
-                origin=self.origin, incarnation=self.incarnation, number=self.number
+            self._number += 1
+            request.body.update(
+                origin=self._origin, incarnation=self._incarnation, number=self._number
             )
-            self.out = waiting
-            self._try(waiting)
-
-    def _unknown(self, waiting):
-        self._end(
-            waiting,
-            {
-                "refused": "no keeper answered in time: the outcome is unknown",
-                "by": [],
-                "again": LONGEST,
-                "unknown": True,
-            },
-        )
+            self._current = request
+            self._attempt(request)
+
+    def _time_out(self, request: _Request) -> None:
+        reason = "no keeper answered in time: the outcome is unknown"
+        self._end_unknown(request, reason, MAX_BACKOFF)
+
+    def _end_unknown(self, request: _Request, reason: str, retry_after: Ticks) -> None:
+        reply = {"refused": reason, "by": [], "again": retry_after, "unknown": True}
+        self._end(request, reply)
 
-    def _end(self, waiting, reply):
-        if waiting.over:
+    def _end(self, request: _Request, reply: Reply) -> None:
+        if request.done:
             return
-        waiting.over = True
-        if self.out is waiting:
-            self.out = None
-        waiting.answer.callback(reply)
-        self._next()
-
-    def _drawn(self):
-        """Whether the budget has one more try."""
-        now = self.clock()
-        self.tokens = min(BUDGET, self.tokens + (now - self.filled) * REFILL / 10_000)
-        self.filled = now
-        if self.tokens < 1:
+        request.done = True
+        if self._current is request:
+            self._current = None
+        request.answer.callback(reply)
+        self._send_next()
+
+    # Attempts.
+
+    def _take_retry(self) -> bool:
+        """Takes a retry from the budget, if it has one."""
+        now = self._clock()
+        elapsed = now - self._budget_filled_at
+        filled = self._budget + elapsed * RETRIES_PER_SECOND / TICKS_PER_SECOND
+        self._budget = min(RETRY_BUDGET, filled)
+        self._budget_filled_at = now
+        if self._budget < 1:
             return False
-        self.tokens -= 1
+        self._budget -= 1
         return True
 
-    def _try(self, waiting):
-        if waiting.over or self.closed:
+    def _attempt(self, request: _Request) -> None:
+        if request.done or self._closed:
             return
-        now = self.clock()
-        if now >= waiting.ends:
-            return self._unknown(waiting)
-        if waiting.tries and not self._drawn():
-            return self._later(waiting, 10_000 // REFILL)
-        waiting.tries += 1
-        waiting.serial += 1
-        name = (
-            self.leader
-            if self.leader in self.channels
-            else self.names[self.place % len(self.names)]
-        )
-        asked = self.channels[name].ask(waiting.kind, self.encode(waiting.told))
-        if asked is None:
-            return self._elsewhere(waiting, name)
-        serial = waiting.serial
-        late = self.deadlines.add(min(now + TRY, waiting.ends), self._late, waiting, serial, name)
-        asked.addCallbacks(
-            self._came,
-            self._broke,
-            (waiting, serial, name, late),
-            None,
-            (waiting, serial, name, late),
+        now = self._clock()
+        if now >= request.deadline:
+            self._time_out(request)
+            return
+        if request.attempts and not self._take_retry():
+            self._retry_after(request, TICKS_PER_SECOND // RETRIES_PER_SECOND)
+            return
+        request.attempts += 1
+        request.serial += 1
+        name = self._names[self.place % len(self._names)]
+        if self._leader is not None and self._leader in self._channels:
+            name = self._leader
+        answer = self._channels[name].ask(request.kind, self._encode(request.body))
+        if answer is None:
+            self._try_another(request, name)
+            return
+        attempt = _Attempt(request, request.serial, name)
+        timer = self._timers.add(
+            min(now + ATTEMPT_TIMEOUT, request.deadline), self._attempt_timed_out, attempt
         )
-        asked.addErrback(lambda failure: self._broke(failure, waiting, serial, name, late))
-        return None
-
-    def _late(self, waiting, serial, name):
-        if serial == waiting.serial:
-            self._elsewhere(waiting, name)
-
-    def _broke(self, _, waiting, serial, name, late):
-        self.deadlines.cancel(late)
-        if serial == waiting.serial:
-            self._elsewhere(waiting, name)
-
-    def _came(self, told, waiting, serial, name, late):
-        """Even an answer to a former try counts: all tries have one number."""
-        self.deadlines.cancel(late)
-        if waiting.over:
+
+        def failed(_: Failure) -> None:
+            self._timers.cancel(timer)
+            self._attempt_timed_out(attempt)
+
+        def answered(told: dict[str, Any]) -> None:
+            self._timers.cancel(timer)
+            self._answered(told, attempt)
+
+        answer.addCallbacks(answered, failed)
+        answer.addErrback(failed)
+
+    def _attempt_timed_out(self, attempt: _Attempt) -> None:
+        if attempt.serial == attempt.request.serial:
+            self._try_another(attempt.request, attempt.node)
+
+    def _answered(self, told: dict[str, Any], attempt: _Attempt) -> None:
+        """Takes an answer, be it to a former attempt: all have one number."""
+        request, serial, name = attempt
+        if request.done:
             return
         if "reply" in told:
-            self.leader = name
-            self._end(waiting, told["reply"])
-        elif serial == waiting.serial:
-            again = told.get("again")
-            if again is None and not told.get("unknown") and told.get("leader") == name:
-                self._end(waiting, {"refused": told.get("why", ""), "by": [], "again": 0})
-            elif told.get("leader") and told["leader"] != name:
-                self.leader = told["leader"]
-                self._later(waiting, 100 if waiting.tries < 4 else self._wait(waiting))
-            else:
-                self._elsewhere(waiting, name, min(again or 0, LONGEST))
-
-    def _elsewhere(self, waiting, name, least=0):
-        """That keeper is no help now: the next one, after a while."""
-        waiting.serial += 1
-        if self.leader == name:
-            self.leader = None
+            self._leader = name
+            self._end(request, told["reply"])
+        elif serial == request.serial:
+            self._rejected(told, request, name)
+
+    def _rejected(self, told: dict[str, Any], request: _Request, name: str) -> None:
+        """A node didn't accept the request: it is final, or another is asked, or the same later."""
+        retry_after = told.get("again")
+        leader = told.get("leader")
+        if retry_after is None and not told.get("unknown") and leader == name:
+            self._end(request, {"refused": told.get("why", ""), "by": [], "again": 0})
+        elif leader and leader != name:
+            self._leader = leader
+            slow = request.attempts >= FAST_REDIRECTS
+            self._retry_after(request, self._backoff(request) if slow else REDIRECT_DELAY)
+        else:
+            self._try_another(request, name, min(retry_after or 0, MAX_BACKOFF))
+
+    def _try_another(self, request: _Request, name: str, at_least: Ticks = 0) -> None:
+        """That node is no help now: the next one is asked, after a while."""
+        request.serial += 1
+        if self._leader == name:
+            self._leader = None
         self.place += 1
-        self._later(waiting, max(min(least, BASE), self._wait(waiting)))
+        self._retry_after(request, max(min(at_least, MIN_BACKOFF), self._backoff(request)))
+
+    def _backoff(self, request: _Request) -> Ticks:
+        longest = min(MAX_BACKOFF, MIN_BACKOFF << min(request.attempts, MAX_DOUBLINGS))
+        return int(longest * (0.5 + self._random_source.draw()) / 2)
 
-    def _wait(self, waiting):
-        return int(min(LONGEST, BASE << min(waiting.tries, 6)) * (0.5 + self.chance.draw()) / 2)
+    def _retry_after(self, request: _Request, wait: Ticks) -> None:
+        at = min(request.deadline, self._clock() + max(1, wait))
+        self._timers.add(at, self._attempt, request)
 
-    def _later(self, waiting, wait):
-        self.deadlines.add(min(waiting.ends, self.clock() + max(1, wait)), self._try, waiting)
 
-    def close(self):
-        self.closed = True
+__all__ = ["PeerChannel", "RaftClient"]
--- a/thymeknot/raft/log.py
+++ b/thymeknot/raft/log.py
@@ -1,131 +1,145 @@
-"""The log in memory: entries after a base, the snapshot behind it, who were members at which index."""
+"""The log in memory: entries after a base, the snapshot behind it, the members at each index."""
+
+from collections.abc import Iterable
+from typing import NamedTuple
 
 import msgspec
 
-from .messages import Cut, Entry, Members, Recovered, Snapshot, Voted
+from ..interface.clock import Ticks
+from .records import Entry, Members, Snapshot
+
+RAFT_PART = "keepers"
+"""The `part` of commands that concern the nodes themselves."""
+
+
+class MembershipChange(NamedTuple):
+    """The members from this index on."""
 
-KEEPERS = "keepers"  # the part of commands that concern the keepers themselves
+    log_index: int
+    members: Members
 
 
-def named_members(entry):
-    """The members that an entry sets, or None."""
+def members_set_by(entry: Entry) -> Members | None:
+    """The members that an entry sets, or None if it sets none."""
     command = entry.command
-    if entry.command.get("part") != KEEPERS or "voters" not in command:
+    if command.get("part") != RAFT_PART or "voters" not in command:
         return None
     return Members(dict(command["voters"]), dict(command["learners"]))
 
 
+def initial_snapshot(names: Iterable[str]) -> Snapshot:
+    """The snapshot before the first entry, with these voters."""
+    return Snapshot(0, 0, 0, Members(dict.fromkeys(names, 0), {}), b"")
+
+
 class Log:
-    def __init__(self, snapshot, entries=()):
+    """Entries after `base_index`; the entry at the base itself is known by term and time alone."""
+
+    def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
         self.reset(snapshot)
         for entry in entries:
             self.append(entry)
 
-    def reset(self, snapshot):
-        """All that is known is this snapshot."""
-        self.snapshot, self.entries, self.sizes = snapshot, [], []
-        self.base, self.base_term, self.base_at = snapshot.index, snapshot.term, snapshot.at
-        self.changes = [(snapshot.index, snapshot.members)]
+    def reset(self, snapshot: Snapshot) -> None:
+        """Replaces the whole log by a snapshot."""
+        self.snapshot = snapshot
+        self.entries: list[Entry] = []
+        self._sizes: list[int] = []  # bytes of each entry's command
+        self.base_index = snapshot.log_index
+        self.base_term = snapshot.term
+        self.base_at = snapshot.at
+        self.changes = [MembershipChange(snapshot.log_index, snapshot.members)]
 
     @property
-    def last(self):
-        return self.base + len(self.entries)
+    def last_index(self) -> int:
+        """Index of the last entry, or the base if there is none."""
+        return self.base_index + len(self.entries)
 
     @property
-    def last_term(self):
+    def last_term(self) -> int:
+        """Term of the last entry."""
         return self.entries[-1].term if self.entries else self.base_term
 
     @property
-    def last_at(self):
+    def last_at(self) -> Ticks:
+        """Agreed time of the last entry."""
         return self.entries[-1].at if self.entries else self.base_at
 
     @property
-    def members(self):
-        """The latest ones, agreed or not: a change counts from where it stands in the log (thesis, 4.1)."""
-        return self.changes[-1][1]
+    def members(self) -> Members:
+        """The latest members, committed or not: a change counts once appended (thesis, 4.1)."""
+        return self.changes[-1].members
 
-    def members_at(self, index):
+    def members_at(self, index: int) -> Members:
+        """The members as of this index."""
         return next(members for at, members in reversed(self.changes) if at <= index)
 
-    def term(self, index):
-        """None for what is behind the base or was never here."""
-        if index == self.base:
+    def term(self, index: int) -> int | None:
+        """Term of an entry; None if it is behind the base or was never here."""
+        base = self.base_index
+        if index == base:
             return self.base_term
-        return self.entries[index - self.base - 1].term if self.base < index <= self.last else None
+        return self.entries[index - base - 1].term if base < index <= self.last_index else None
 
-    def entry(self, index):
-        return self.entries[index - self.base - 1]
+    def entry(self, index: int) -> Entry:
+        """The entry at an index after the base."""
+        return self.entries[index - self.base_index - 1]
 
-    def some(self, start, most, most_bytes):
+    def entries_from(self, start: int, max_count: int, max_bytes: int) -> tuple[Entry, ...]:
         """Entries from `start` on, within the limits, but at least one if there is one."""
-        first = start - self.base - 1
-        size, end = 0, first
-        while end < len(self.entries) and end - first < most:
-            size += self.sizes[end]
-            if size > most_bytes and end > first:
+        first = start - self.base_index - 1
+        size = 0
+        end = first
+        while end < len(self.entries) and end - first < max_count:
+            size += self._sizes[end]
+            if size > max_bytes and end > first:
                 break
             end += 1
         return tuple(self.entries[first:end])
 
-    def append(self, entry):
+    def append(self, entry: Entry) -> None:
+        """Adds an entry after the last one."""
         self.entries.append(entry)
-        self.sizes.append(len(msgspec.msgpack.encode(entry.command)))
-        members = named_members(entry)
+        self._sizes.append(len(msgspec.msgpack.encode(entry.command)))
+        members = members_set_by(entry)
         if members:
-            self.changes.append((entry.index, members))
-
-    def cut(self, index):
-        """Takes away the entries from `index` on, and what they said of the members."""
-        del self.entries[index - self.base - 1 :], self.sizes[index - self.base - 1 :]
-        while self.changes[-1][0] >= index and len(self.changes) > 1:
+            self.changes.append(MembershipChange(entry.log_index, members))
+
+    def truncate(self, index: int) -> None:
+        """Removes the entries from `index` on, and their changes of members."""
+        first = index - self.base_index - 1
+        del self.entries[first:]
+        del self._sizes[first:]
+        while self.changes[-1].log_index >= index and len(self.changes) > 1:
             self.changes.pop()
 
-    def compact(self, snapshot, keep):
-        """Forgets what the snapshot holds, but for the last `keep` entries of it."""
-        base = max(self.base, snapshot.index - keep)
+    def compact(self, snapshot: Snapshot, retained_entries: int) -> None:
+        """Drops the entries that a snapshot holds, but for the last `retained_entries` of them."""
+        base = max(self.base_index, snapshot.log_index - retained_entries)
         self.snapshot = snapshot
-        if base > self.base:
-            last = self.entry(base)
-            members = self.members_at(base)
-            del self.entries[: base - self.base], self.sizes[: base - self.base]
-            self.base, self.base_term, self.base_at = base, last.term, last.at
-            self.changes = [(base, members)] + [
-                change for change in self.changes if change[0] > base
-            ]
-
-    def conflict(self, index, term):
-        """None if the log holds that entry; else the index a leader should try as the next one: behind a log that is
-        too short, or the first of the term that differs (Raft, 5.3)."""
-        mine = self.term(index)
-        if mine == term or index < self.base:
+        if base <= self.base_index:
+            return
+        last = self.entry(base)
+        members = self.members_at(base)
+        del self.entries[: base - self.base_index]
+        del self._sizes[: base - self.base_index]
+        self.base_index = base
+        self.base_term = last.term
+        self.base_at = last.at
+        later = [change for change in self.changes if change.log_index > base]
+        self.changes = [MembershipChange(base, members), *later]
+
+    def conflict(self, index: int, term: int) -> int | None:
+        """None if the log holds that entry; else the index that a leader should try next.
+
+        It is the one behind a log that is too short, or the first of the differing term
+        (Raft, 5.3).
+        """
+        own_term = self.term(index)
+        if own_term == term or index < self.base_index:
             return None
-        if mine is None:
-            return self.last + 1
-        while index > self.base + 1 and self.term(index - 1) == mine:
+        if own_term is None:
+            return self.last_index + 1
+        while index > self.base_index + 1 and self.term(index - 1) == own_term:
             index -= 1
-        return max(index, self.base + 1)
-
-
-def founded(names):
-    """The snapshot before the first entry."""
-    return Snapshot(0, 0, 0, Members(dict.fromkeys(names, 0), {}), b"")
-
-
-def replayed(records, life):
-    """What a disk's records, in their order, come to. Raises ValueError where they don't follow each other."""
-    term, vote, snapshot, entries = 0, None, None, []
-    for record in records:
-        if type(record) is Entry:
-            last = entries[-1].index if entries else snapshot.index if snapshot else 0
-            if record.index != last + 1:
-                raise ValueError(f"entry {record.index} after {last}")
-            entries.append(record)
-        elif type(record) is Voted:
-            term, vote = record
-        elif type(record) is Cut:
-            while entries and entries[-1].index >= record.index:
-                entries.pop()
-        elif type(record) is Snapshot:
-            snapshot = record
-            entries = [] if record.whole else [one for one in entries if one.index > record.index]
-    return Recovered(life, term, vote, snapshot, tuple(entries))
+        return max(index, self.base_index + 1)
--- a/thymeknot/raft/messages.py
+++ b/thymeknot/raft/messages.py
@@ -1,247 +1,182 @@
-"""What a keeper is told and what it asks for, the messages among keepers, the records on a disk. Values only.
+"""The messages between nodes, and their bytes.
 
-`life` is the number a disk got when it was first used: 0 for those that founded the fleet, else drawn anew. A keeper
-that lost its disk comes back under another life, and no vote or acknowledgement of it counts until the members' list
-names that one: it can't vote as if it knew what it lost.
+Everywhere `term` and `disk_incarnation` are the sender's, but for a granted pre-vote, whose term
+is the one that it was asked for. Fields are sent by position: their order must not change.
 """
 
-from typing import Any, NamedTuple, Optional
+from typing import NamedTuple
 
 import msgspec
 
+from ..interface.clock import Ticks
+from .errors import MessageDecodeError
+from .records import Entry, Members
 
-class Members(NamedTuple):
-    voters: dict[str, int]  # name -> life
-    learners: dict[str, int]
 
+class VoteRequest(NamedTuple):
+    """Asks for a vote.
 
-class Entry(NamedTuple):
-    """origin "": the leader's own. at: agreed time, tenths of a millisecond."""
+    Attributes:
+        term: the term that the vote is for.
+        disk_incarnation: the candidate's.
+        voter_disk_incarnation: the receiver's, as the candidate's members' list names it.
+        pre_vote: ask only whether the vote would be granted (thesis, 9.6).
+        last_index: of the candidate's log.
+        last_term: of the candidate's log.
+        leadership_transfer: the leader wished it, so that its lease is no reason to reject.
+    """
 
-    index: int
     term: int
-    at: int
-    origin: str
-    incarnation: int
-    number: int
-    command: dict[str, Any]
-
-
-# Records on a disk, in the order of their Persist; an Entry is one as well.
-
-
-class Voted(NamedTuple):
-    term: int
-    vote: Optional[str]
-
-
-class Cut(NamedTuple):
-    """Entries from this index on are gone."""
-
-    index: int
-
-
-class Snapshot(NamedTuple):
-    """whole: it came from a leader and replaces the log; else the entries after it stay."""
-
-    index: int
-    term: int
-    at: int
-    members: Members
-    content: bytes
-    whole: bool = False
-
-
-class Recovered(NamedTuple):
-    """What a disk gave back. See `log.replayed`."""
-
-    life: int
-    term: int = 0
-    vote: Optional[str] = None
-    snapshot: Optional[Snapshot] = None
-    entries: tuple = ()
-
-
-# Messages. term, life: the sender's, but for a granted pre-vote, which names the term it was asked for.
-
-
-class Ask(NamedTuple):
-    """A vote is asked for. you: the life that the asker's members' list names. pre: only whether it would be granted.
-    forced: the leader itself wished it, so that its lease is no reason to refuse."""
-
-    term: int
-    life: int
-    you: int
-    pre: bool
+    disk_incarnation: int
+    voter_disk_incarnation: int
+    pre_vote: bool
     last_index: int
     last_term: int
-    forced: bool
+    leadership_transfer: bool
+
 
+class VoteResponse(NamedTuple):
+    """The answer to a VoteRequest."""
 
-class Vote(NamedTuple):
     term: int
-    life: int
-    pre: bool
+    disk_incarnation: int
+    pre_vote: bool
     granted: bool
 
 
-class Append(NamedTuple):
+class AppendRequest(NamedTuple):
+    """Entries that follow the one at `previous_index`, or a heartbeat where there are none.
+
+    Attributes:
+        term: the leader's.
+        disk_incarnation: the leader's.
+        previous_index: index of the entry before the first of `entries`.
+        previous_term: term of that entry.
+        entries: what to append.
+        committed: the leader's commit index.
+        round: number of the leader's latest round of heartbeats.
+    """
+
     term: int
-    life: int
-    previous: int
+    disk_incarnation: int
+    previous_index: int
     previous_term: int
     entries: tuple[Entry, ...]
     committed: int
     round: int
 
 
-class Appended(NamedTuple):
-    """match: the sender's log is the leader's up to there, if ok; else where the leader should try next."""
+class AppendResponse(NamedTuple):
+    """The answer to an AppendRequest.
+
+    Attributes:
+        term: the follower's.
+        disk_incarnation: the follower's.
+        success: whether the follower's log holds the previous entry.
+        match_index: on success, the logs are the same up to there; else the index that the leader
+            should try next.
+        round: the request's.
+    """
 
     term: int
-    life: int
-    ok: bool
-    match: int
+    disk_incarnation: int
+    success: bool
+    match_index: int
     round: int
 
 
-class Image(NamedTuple):
-    """A part of a snapshot; total in bytes."""
+class SnapshotChunk(NamedTuple):
+    """A part of a snapshot.
+
+    Attributes:
+        term: the leader's.
+        disk_incarnation: the leader's.
+        log_index: the snapshot's last entry.
+        entry_term: that entry's term.
+        at: that entry's agreed time.
+        members: as of that entry.
+        offset: where this part begins, in bytes.
+        total: bytes of the whole snapshot.
+        content: this part's bytes.
+        round: number of the leader's latest round of heartbeats.
+    """
 
     term: int
-    life: int
-    index: int
+    disk_incarnation: int
+    log_index: int
     entry_term: int
-    at: int
+    at: Ticks
     members: Members
     offset: int
     total: int
-    part: bytes
+    content: bytes
     round: int
 
 
-class Imaged(NamedTuple):
-    """upto: bytes held so far. done: the snapshot is taken in."""
+class SnapshotChunkResponse(NamedTuple):
+    """The answer to a SnapshotChunk.
+
+    Attributes:
+        term: the follower's.
+        disk_incarnation: the follower's.
+        log_index: the snapshot's last entry.
+        received: bytes of the snapshot that the follower holds so far.
+        done: the snapshot is installed.
+        round: the chunk's.
+    """
 
     term: int
-    life: int
-    index: int
-    upto: int
+    disk_incarnation: int
+    log_index: int
+    received: int
     done: bool
     round: int
 
 
-class Hurry(NamedTuple):
-    """The leader wants its place taken."""
+class TimeoutNow(NamedTuple):
+    """The leader wants the receiver to stand for election at once (thesis, 3.10)."""
 
     term: int
-    life: int
-
-
-MESSAGES = (Ask, Vote, Append, Appended, Image, Imaged, Hurry)
-
-
-def to_bytes(message):
+    disk_incarnation: int
+
+
+Message = (
+    VoteRequest
+    | VoteResponse
+    | AppendRequest
+    | AppendResponse
+    | SnapshotChunk
+    | SnapshotChunkResponse
+    | TimeoutNow
+)
+
+# A message is sent with its place in this table: the order must not change.
+MESSAGES: tuple[type[Message], ...] = (
+    VoteRequest,
+    VoteResponse,
+    AppendRequest,
+    AppendResponse,
+    SnapshotChunk,
+    SnapshotChunkResponse,
+    TimeoutNow,
+)
+
+
+def encode_message(message: Message) -> bytes:
+    """The bytes of a message: msgpack of (kind, fields)."""
     return msgspec.msgpack.encode((MESSAGES.index(type(message)), message))
 
 
-def from_bytes(content):
-    """The message, or one sentence on what is wrong with the bytes. Their length is the caller's to bound."""
+def decode_message(content: bytes) -> Message:
+    """The message of these bytes, whose length is the caller's to bound.
+
+    Raises:
+        MessageDecodeError: they are no message.
+    """
     try:
         kind, body = msgspec.msgpack.decode(content, type=tuple[int, msgspec.Raw])
         if not 0 <= kind < len(MESSAGES):
-            return "no such message"
+            raise MessageDecodeError("no such message")
         return msgspec.msgpack.decode(body, type=MESSAGES[kind])
-    except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as wrong:
-        return f"not a message: {wrong}"
-
-
-# Events.
-
-
-class Received(NamedTuple):
-    sender: str
-    message: Any
-
-
-class TimerDue(NamedTuple):
-    pass
-
-
-class Proposed(NamedTuple):
-    """token: the caller's, hashable, given back with the outcome. command: see core for part "keepers"."""
-
-    token: Any
-    origin: str
-    incarnation: int
-    number: int
-    command: dict
-
-
-class ReadAsked(NamedTuple):
-    token: Any
-
-
-class Stored(NamedTuple):
-    """All of Persist up to this `upto` is on the disk."""
-
-    upto: int
-
-
-class DiskFailed(NamedTuple):
-    reason: str
-
-
-# Effects, to be carried out in their order.
-
-
-class Persist(NamedTuple):
-    """sync: tell Stored(upto) only once it would outlast a loss of power."""
-
-    records: tuple
-    sync: bool
-    upto: int
-
-
-class Send(NamedTuple):
-    peer: str
-    message: Any
-
-
-class Answered(NamedTuple):
-    token: Any
-    reply: dict
-
-
-class ReadReady(NamedTuple):
-    """The machine, as it stands now (index: how far it is applied), may be read for this token."""
-
-    token: Any
-    index: int
-
-
-class Refused(NamedTuple):
-    """again: tenths of a millisecond until it is worth while, None if never. leader: whom to ask, if known. A reason
-    that begins with "unknown" leaves the outcome open: ask again under the same number."""
-
-    token: Any
-    reason: str
-    again: Optional[int]
-    leader: Optional[str]
-
-
-class Applied(NamedTuple):
-    index: int
-    at: int
-    command: dict
-    reply: Optional[dict]
-
-
-class SetTimer(NamedTuple):
-    """Wants TimerDue then, by the clock of `handle`; the one before it is void."""
-
-    at: int
-
-
-class StoodDown(NamedTuple):
-    reason: str
+    except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
+        raise MessageDecodeError(f"not a message: {error}") from error
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -1,298 +1,445 @@
-"""A keeper on sockets, a clock and a disk: carries out what the core asks for, and hands it what comes in.
+"""A node on sockets, a clock and a disk: carries out its effects, and gives it what comes in.
 
-Whatever can't be taken (forged, replayed, oversized, nonsense) ends by itself: it is counted in `refused`, by kind,
-and never reaches the core."""
+What can't be accepted (forged, replayed, oversized, nonsense) is counted in `rejected`, by kind,
+and never reaches the node.
+"""
 
 import time
+from collections import Counter
+from collections.abc import Callable, Container, Hashable, Mapping
+from typing import Any, NamedTuple
 
 import msgspec
 from twisted.internet.defer import Deferred
 from twisted.internet.protocol import Factory
 from twisted.internet.threads import deferToThread
 from twisted.protocols import amp
+from twisted.python.failure import Failure
 
+from ..interface.clock import Ticks
 from ..service import structured_log
-from . import message_codec
-from . import messages as i
-
-UNREAD_MOST = 4 * 65_536  # bytes of one box: four values of AMP's longest
-CONNECTIONS_MOST = 1_024
-
-
-class Served(amp.AMP):
-    """A connection that somebody made to this keeper."""
-
-    def __init__(self, endpoint):
+from .amp_connection import AmpConnection
+from .client import Timers
+from .errors import MessageDecodeError, MessageError, RequestRejectedError
+from .message_codec import (
+    KEEPER,
+    NONCE_BYTES,
+    PROPOSE,
+    READ,
+    REPLY,
+    ClientRequest,
+    DeliverMessage,
+    Hello,
+    SignedArguments,
+    SignedMessage,
+    Signer,
+    Verifier,
+    decode_mapping,
+    new_nonce,
+    open_message,
+    sign_message,
+)
+from .messages import decode_message, encode_message
+from .node import RaftNode
+from .node_interface import (
+    CommandCompleted,
+    CommandProposed,
+    DiskFailed,
+    Effect,
+    EntryApplied,
+    Event,
+    MessageReceived,
+    Persist,
+    ReadReady,
+    ReadRequested,
+    RecordsStored,
+    RequestRejected,
+    Send,
+    SetTimer,
+    SteppedDown,
+    TimerDue,
+)
+from .peer_channel import PeerChannel
+from .roles import Role
+from .state_machine import rejection
+from .storage import RaftStorage, WriteFault
+
+_structured_log: Any = structured_log  # its functions have no annotations yet
+
+MAX_UNREAD_BYTES = 4 * 65_536
+"""Of one AMP box: four values of the longest that AMP has."""
+MAX_CONNECTIONS = 1_024
+"""Incoming ones; each costs a descriptor and buffers."""
+MAX_NUMBER = 1 << 62
+"""Below it are the incarnations and numbers of clients: they are stored in 63 bits."""
+MAX_LOGGED_ORIGIN = 40
+"""Characters of a forged origin that are logged."""
+
+
+class _IncomingConnection(AmpConnection):
+    """A connection that somebody made to this node."""
+
+    def __init__(self, server: "PeerServer") -> None:
         super().__init__()
-        self.endpoint, self.session, self.last, self.unread = endpoint, None, 0, 0
-
-    def connectionMade(self):
-        super().connectionMade()
-        self.endpoint.lines.add(self)
-        self.transport.setTcpNoDelay(True)
-
-    def dataReceived(self, data):
-        self.unread += len(data)
-        if self.unread > UNREAD_MOST:
-            self.endpoint.refuse("oversized", "a box without an end")
-            return self.transport.abortConnection()
-        return super().dataReceived(data)
-
-    def ampBoxReceived(self, box):
-        self.unread = 0
-        return super().ampBoxReceived(box)
-
-    def lengthLimitExceeded(self, length):
-        self.endpoint.refuse("nonsense", f"a key of {length} bytes")
-        self.transport.abortConnection()
-
-    def connectionLost(self, reason):
-        super().connectionLost(reason)
-        self.endpoint.lines.discard(self)
-
-    def _opened(self, key, content, signature):
-        if self.session is None:
-            raise message_codec.MessageError("nonsense", "no greeting came first")
-        letter = self.endpoint.opened(self.session, self.last, key, content, signature)
-        self.last = letter.number
-        return letter
-
-    @message_codec.Hello.responder
-    def hello(self, nonce):
-        if self.session is not None or len(nonce) != message_codec.NONCE:
-            self.endpoint.refuse("nonsense", "a greeting that came twice, or of another length")
-            raise message_codec.Refusal("greeted before")
-        mine = message_codec.new_nonce()
-        self.session = nonce + mine
-        return {"nonce": mine}
-
-    @message_codec.Deliver.responder
-    def deliver(self, key, content, signature):
+        self._server = server
+        self._session: bytes | None = None
+        self._last_number = 0  # the highest that this connection brought
+        self._unread_bytes = 0  # of the box that is being received
+
+    def opened(self) -> None:
+        """Is counted."""
+        self._server.connections.add(self)
+
+    def closed(self) -> None:
+        """Is counted no longer."""
+        self._server.connections.discard(self)
+
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802  # Twisted's name
+        """Takes bytes, unless a box has too many of them."""
+        self._unread_bytes += len(data)
+        if self._unread_bytes > MAX_UNREAD_BYTES:
+            self._server.reject("oversized", "a box without an end")
+            self.abort()
+            return
+        super().dataReceived(data)
+
+    def ampBoxReceived(self, box: amp.AmpBox) -> None:  # noqa: N802  # Twisted's name
+        """Takes a box that is complete."""
+        self._unread_bytes = 0
+        super().ampBoxReceived(box)
+
+    def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802  # Twisted's name
+        """Ends the connection."""
+        self._server.reject("nonsense", f"a key of {length} bytes")
+        self.abort()
+
+    def _open(self, signed: SignedArguments) -> SignedMessage:
+        if self._session is None:
+            raise MessageError("nonsense", "no greeting came first")
+        message = self._server.open(self._session, self._last_number, signed)
+        self._last_number = message.number
+        return message
+
+    @Hello.responder
+    def hello(self, nonce: bytes) -> dict[str, bytes]:
+        """Agrees on the session."""
+        if self._session is not None or len(nonce) != NONCE_BYTES:
+            self._server.reject("nonsense", "a greeting that came twice, or of another length")
+            raise RequestRejectedError("greeted before")
+        own_nonce = new_nonce()
+        self._session = nonce + own_nonce
+        return {"nonce": own_nonce}
+
+    @DeliverMessage.responder
+    def deliver(self, key: bytes, content: bytes, signature: bytes) -> dict[str, bytes]:
+        """Takes a message between nodes."""
         try:
-            letter = self._opened(key, content, signature)
-            self.endpoint.delivered(letter)
-        except message_codec.MessageError as bad:
-            self.endpoint.refuse(bad.kind, str(bad))
+            message = self._open({"key": key, "content": content, "signature": signature})
+            self._server.deliver(message)
+        except MessageError as error:
+            self._server.reject(error.kind, str(error))
         return {}
 
-    @message_codec.Ask.responder
-    def ask(self, key, content, signature):
+    @ClientRequest.responder
+    def ask(self, key: bytes, content: bytes, signature: bytes) -> Deferred[SignedArguments]:
+        """Takes a client's command or query."""
         try:
-            letter = self._opened(key, content, signature)
-            answer = self.endpoint.asked(letter)
-        except message_codec.MessageError as bad:
-            self.endpoint.refuse(bad.kind, str(bad))
-            raise message_codec.Refusal(str(bad)) from None
-        session = self.session
-        return answer.addCallback(lambda told: self.endpoint.answered(letter, session, told))
+            message = self._open({"key": key, "content": content, "signature": signature})
+            answer = self._server.ask(message)
+        except MessageError as error:
+            self._server.reject(error.kind, str(error))
+            raise RequestRejectedError(str(error)) from None
+        session = self._session or b""
+        return answer.addCallback(lambda told: self._server.sign_answer(message, session, told))
 
 
-class PeerServer:
-    """keeper(now): makes the core, with what the store gave back. look(query): a reply of the machine as it stands,
-    that changes nothing. ring(): gossip's Ring of now. sources: a set of networks."""
-
-    def __init__(self, reactor, deadlines, identity, ring, sources, channels, keeper, store, look):
-        self.reactor, self.deadlines, self.clock = reactor, deadlines, deadlines.clock
-        self.identity, self.ring, self.sources, self.channels = identity, ring, sources, channels
-        self.store, self.look, self.refused, self.lines = store, look, {}, set()
-        self.writing, self.waiting, self.timer, self.tokens, self.token = False, [], None, {}, 0
-        self.heard = lambda: None  # called after each event, for those who watch
-        self.closed, self.port, self.led = False, None, None
-        self.keeper = keeper(self.clock())
-        # A core that was just made has told nobody when it wants to be woken.
-        self.timer = self.deadlines.add(self.clock() + 1, self._due)
-
-    def listen(self, host, port):
-        """Raises twisted's CannotListenError."""
-        factory = Factory()
-        factory.noisy, factory.buildProtocol = False, self._build
-        self.port = self.reactor.listenTCP(port, factory, interface=host)
-
-    def _build(self, address):
-        if address.host not in self.sources:
-            return self.refuse("elsewhere", f"{address.host} is in none of the networks")
-        if len(self.lines) >= CONNECTIONS_MOST:
-            return self.refuse("crowded", f"{CONNECTIONS_MOST} connections stand")
-        return Served(self)
+class _IncomingFactory(Factory):
+    """Makes the connections that the server accepts."""
 
-    # What comes in.
+    noisy = False
 
-    def refuse(self, kind, why):
-        self.refused[kind] = self.refused.get(kind, 0) + 1
-        structured_log.seldom("letter refused", kind=kind, why=why, count=self.refused[kind])
+    def __init__(self, server: "PeerServer") -> None:
+        self._server = server
 
-    def opened(self, session, last, key, content, signature):
-        return message_codec.open_message(
-            self.ring(), time.time(), self.identity.name, session, last, key, content, signature
-        )
+    def buildProtocol(self, addr: Any) -> _IncomingConnection | None:  # noqa: N802  # Twisted's
+        """The protocol of a connection, or None to close it."""
+        return self._server.accept(addr)
 
-    def delivered(self, letter):
-        """Raises wire.Bad."""
-        if letter.kind != message_codec.KEEPER or letter.sender not in self.channels:
-            raise message_codec.MessageError(
-                "nonsense", f"{letter.sender} is no keeper, or that is no keeper's message"
-            )
-        message = i.from_bytes(letter.body)
-        if isinstance(message, str):
-            raise message_codec.MessageError("nonsense", message)
-        self.tell(i.Received(letter.sender, message))
-
-    def asked(self, letter):
-        """A Deferred of what is told. Raises wire.Bad."""
-        told = message_codec.decode_mapping(letter.body)
-        self.token += 1
-        if letter.kind == message_codec.READ and isinstance(told.get("query"), dict):
-            event = i.ReadAsked(self.token)
-        elif letter.kind == message_codec.PROPOSE and isinstance(told.get("command"), dict):
-            origin, incarnation, number = (
-                told.get(name) for name in ("origin", "incarnation", "number")
+
+class _PendingRequest(NamedTuple):
+    """A client's request that the node has.
+
+    Attributes:
+        answer: what the client is told.
+        query: of a read.
+    """
+
+    answer: Deferred[dict[str, Any]]
+    query: dict[str, Any] | None
+
+
+class PeerServer:
+    """One node's sockets, timer and disk.
+
+    Args:
+        reactor: Twisted's.
+        timers: of the process.
+        identity: what this node signs with.
+        ring: gives the keyring of now.
+        sources: the hosts that may connect.
+        channels: the ways to the other nodes, by name.
+        make_node: makes the node, given the moment, with what the storage gave back.
+        storage: this node's.
+        look: answers a query of the state machine as it stands, and changes nothing.
+    """
+
+    def __init__(  # noqa: PLR0917  # other packages pass them by position
+        self,
+        reactor: Any,
+        timers: Timers,
+        identity: Signer,
+        ring: Callable[[], Verifier],
+        sources: Container[str],
+        channels: Mapping[str, PeerChannel],
+        make_node: Callable[[Ticks], RaftNode],
+        storage: RaftStorage,
+        look: Callable[[dict[str, Any] | None], Any],
+    ) -> None:
+        self.sources = sources
+        self.rejected: Counter[str] = Counter()
+        self.connections: set[_IncomingConnection] = set()
+        self._reactor = reactor
+        self._timers = timers
+        self._clock = timers.clock
+        self._identity = identity
+        self._ring = ring
+        self._channels = channels
+        self._storage = storage
+        self._look = look
+        self._writing = False
+        self._unwritten: list[Persist] = []
+        self._pending: dict[Hashable, _PendingRequest] = {}  # by token
+        self._token = 0  # of the last request
+        self._closed = False
+        self._port: Any = None  # Twisted's, that listens
+        self._logged_role: Role | None = None
+        self._carry_out: dict[type[Effect], Callable[[Any], None]] = {
+            Persist: self._persist,
+            Send: self._send,
+            CommandCompleted: self._command_completed,
+            ReadReady: self._read_ready,
+            RequestRejected: self._request_rejected,
+            EntryApplied: lambda _: None,
+            SetTimer: self._set_timer,
+            SteppedDown: self._stepped_down,
+        }
+        self.keeper = make_node(self._clock())
+        # A node that was just made has not said yet when it wants to be woken.
+        self._timer: int | None = timers.add(self._clock() + 1, self._timer_due)
+
+    def listen(self, host: str, port: int) -> None:
+        """Begins to listen.
+
+        Raises:
+            CannotListenError: Twisted's.
+        """
+        factory = _IncomingFactory(self)
+        self._port = self._reactor.listenTCP(port, factory, interface=host)
+
+    def close(self) -> None:
+        """Finishes what is being written; nothing more is sent."""
+        self._closed = True
+        if self._port is not None:
+            self._port.stopListening()
+        for connection in list(self.connections):
+            connection.abort()
+        if self._timer is not None:
+            self._timers.cancel(self._timer)
+        if not self._writing:
+            self._storage.close()
+
+    # What comes in.
+
+    def accept(self, address: Any) -> _IncomingConnection | None:
+        """A connection from this address, or None if it is rejected."""
+        if address.host not in self.sources:
+            self.reject("elsewhere", f"{address.host} is in none of the networks")
+            return None
+        if len(self.connections) >= MAX_CONNECTIONS:
+            self.reject("crowded", f"{MAX_CONNECTIONS} connections stand")
+            return None
+        return _IncomingConnection(self)
+
+    def reject(self, kind: str, reason: str) -> None:
+        """Counts and logs what can't be accepted."""
+        self.rejected[kind] += 1
+        _structured_log.seldom("letter refused", kind=kind, why=reason, count=self.rejected[kind])
+
+    def open(self, session: bytes, last: int, signed: SignedArguments) -> SignedMessage:
+        """Opens a message of a connection.
+
+        Raises:
+            MessageError: it can't be accepted.
+        """
+        return open_message(self._ring(), time.time(), self._identity.name, session, last, **signed)
+
+    def deliver(self, message: SignedMessage) -> None:
+        """Gives the node another node's message.
+
+        Raises:
+            MessageError: it is none.
+        """
+        if message.kind != KEEPER or message.sender not in self._channels:
+            raise MessageError(
+                "nonsense", f"{message.sender} is no keeper, or that is no keeper's message"
             )
-            if not (
-                isinstance(origin, str) and isinstance(incarnation, int) and isinstance(number, int)
-            ) or not (0 <= incarnation < 1 << 62 and 0 <= number < 1 << 62):
-                raise message_codec.MessageError("nonsense", "no origin, incarnation and number")
-            if origin != letter.sender and not origin.startswith(letter.sender + "/"):
-                raise message_codec.MessageError(
-                    "forged", f"{letter.sender} speaks in the name of {origin[:40]}"
-                )
-            event = i.Proposed(self.token, origin, incarnation, number, told["command"])
+        try:
+            decoded = decode_message(message.body)
+        except MessageDecodeError as error:
+            raise MessageError("nonsense", str(error)) from error
+        self.tell(MessageReceived(message.sender, decoded))
+
+    def ask(self, message: SignedMessage) -> Deferred[dict[str, Any]]:
+        """Gives the node a client's command or query.
+
+        Returns:
+            A Deferred of what the client is told.
+
+        Raises:
+            MessageError: it is neither.
+        """
+        body = decode_mapping(message.body)
+        self._token += 1
+        event: CommandProposed | ReadRequested
+        if message.kind == READ and isinstance(body.get("query"), dict):
+            event = ReadRequested(self._token)
+        elif message.kind == PROPOSE and isinstance(body.get("command"), dict):
+            event = self._proposal(message.sender, body)
         else:
-            raise message_codec.MessageError("nonsense", "neither a command nor a query")
-        answer = Deferred()
-        self.tokens[self.token] = answer, told.get("query")
+            raise MessageError("nonsense", "neither a command nor a query")
+        answer: Deferred[dict[str, Any]] = Deferred()
+        self._pending[self._token] = _PendingRequest(answer, body.get("query"))
         self.tell(event)
         return answer
 
-    def answered(self, letter, session, told):
-        """The arguments of a signed answer."""
-        try:
-            return message_codec.sign_message(
-                self.identity,
-                letter.sender,
-                session,
-                letter.number,
-                message_codec.REPLY,
-                msgspec.msgpack.encode(told),
-            )
-        except message_codec.MessageError as bad:
-            return message_codec.sign_message(
-                self.identity,
-                letter.sender,
-                session,
-                letter.number,
-                message_codec.REPLY,
-                msgspec.msgpack.encode(
-                    {"reply": {"refused": f"the answer: {bad}; ask for less", "by": [], "again": 0}}
-                ),
+    def _proposal(self, sender: str, body: dict[str, Any]) -> CommandProposed:
+        origin = body.get("origin")
+        incarnation = body.get("incarnation")
+        number = body.get("number")
+        if (
+            not isinstance(origin, str)
+            or not isinstance(incarnation, int)
+            or not isinstance(number, int)
+            or not 0 <= incarnation < MAX_NUMBER
+            or not 0 <= number < MAX_NUMBER
+        ):
+            raise MessageError("nonsense", "no origin, incarnation and number")
+        if origin != sender and not origin.startswith(sender + "/"):
+            raise MessageError(
+                "forged", f"{sender} speaks in the name of {origin[:MAX_LOGGED_ORIGIN]}"
             )
+        return CommandProposed(self._token, origin, incarnation, number, body["command"])
 
-    # Into the core and out of it.
-
-    def tell(self, event):
-        if self.closed:
+    def sign_answer(
+        self, request: SignedMessage, session: bytes, told: dict[str, Any]
+    ) -> SignedArguments:
+        """The arguments of a signed answer."""
+        try:
+            return self._sign_reply(request, session, told)
+        except MessageError as error:
+            reason = f"the answer: {error}; ask for less"
+            return self._sign_reply(request, session, {"reply": rejection(reason)})
+
+    def _sign_reply(
+        self, request: SignedMessage, session: bytes, told: dict[str, Any]
+    ) -> SignedArguments:
+        body = msgspec.msgpack.encode(told)
+        return sign_message(self._identity, request.sender, session, request.number, REPLY, body)
+
+    # Into the node and out of it.
+
+    def tell(self, event: Event) -> None:
+        """Gives the node an event and carries out the effects."""
+        if self._closed:
             return
-        for effect in self.keeper.handle(self.clock(), event):
-            self.DO[type(effect)](self, effect)
-        if self.keeper.role != self.led:
-            self.led = self.keeper.role
-            structured_log.log("keeper", role=self.led, term=self.keeper.term)
-        self.heard()
-
-    def _due(self):
-        self.timer = None
-        self.tell(i.TimerDue())
-
-    def _set_timer(self, effect):
-        if self.timer is not None:
-            self.deadlines.cancel(self.timer)
-        self.timer = self.deadlines.add(effect.at, self._due)
-
-    def _send(self, effect):
-        channel = self.channels.get(effect.peer)
+        node = self.keeper
+        for effect in node.handle(self._clock(), event):
+            self._carry_out[type(effect)](effect)
+        if node.role != self._logged_role:
+            self._logged_role = node.role
+            _structured_log.log("keeper", role=node.role, term=node.term)
+
+    def _timer_due(self) -> None:
+        self._timer = None
+        self.tell(TimerDue())
+
+    def _set_timer(self, effect: SetTimer) -> None:
+        if self._timer is not None:
+            self._timers.cancel(self._timer)
+        self._timer = self._timers.add(effect.at, self._timer_due)
+
+    def _send(self, effect: Send) -> None:
+        channel = self._channels.get(effect.peer)
         if channel is not None:
-            channel.send(i.to_bytes(effect.message))
+            channel.send(encode_message(effect.message))
 
-    def _persist(self, effect):
-        self.waiting.append(effect)
-        if not self.writing:
+    def _persist(self, effect: Persist) -> None:
+        self._unwritten.append(effect)
+        if not self._writing:
             self._write()
 
-    def _write(self):
-        """All that waits is written at once: one sync for many."""
-        batch, self.waiting, self.writing = self.waiting, [], True
-        records = [record for one in batch for record in one.records]
-        written = deferToThread(self.store.persist, records)
-        written.addCallbacks(self._written, self._unwritten, (batch[-1].upto,))
-
-    def _written(self, fault, upto):
-        self.writing = False
-        if self.closed:
-            return self.store.close()
+    def _write(self) -> None:
+        """Writes all that waits at once: one sync for many."""
+        batch = self._unwritten
+        self._unwritten = []
+        self._writing = True
+        records = [record for effect in batch for record in effect.records]
+        written = deferToThread(self._storage.persist, records)
+        written.addCallbacks(self._written, self._write_failed, (batch[-1].serial,))
+
+    def _written(self, fault: WriteFault | None, serial: int) -> None:
+        self._writing = False
+        if self._closed:
+            self._storage.close()
+            return
         if fault is not None:
-            structured_log.log("keeper's disk", error=fault.reason)
-            return self.tell(i.DiskFailed(fault.reason))
-        if self.waiting:
+            _structured_log.log("keeper's disk", error=fault.reason)
+            self.tell(DiskFailed(fault.reason))
+            return
+        if self._unwritten:
             self._write()
-        return self.tell(i.Stored(upto))
+        self.tell(RecordsStored(serial))
 
-    def _unwritten(self, failure):
-        self.writing = False
-        structured_log.log("keeper's disk", error=str(failure.value))
-        self.tell(i.DiskFailed(str(failure.value)))
+    def _write_failed(self, failure: Failure) -> None:
+        self._writing = False
+        _structured_log.log("keeper's disk", error=str(failure.value))
+        self.tell(DiskFailed(str(failure.value)))
 
-    def _end(self, token, told):
-        answer, _ = self.tokens.pop(token, (None, None))
-        if answer is not None:
-            answer.callback(told)
+    def _answer(self, token: Hashable, told: dict[str, Any]) -> None:
+        pending = self._pending.pop(token, None)
+        if pending is not None:
+            pending.answer.callback(told)
 
-    def _answered(self, effect):
-        self._end(effect.token, {"reply": effect.reply})
+    def _command_completed(self, effect: CommandCompleted) -> None:
+        self._answer(effect.token, {"reply": effect.reply})
 
-    def _read_ready(self, effect):
-        _, query = self.tokens.get(effect.token, (None, None))
+    def _read_ready(self, effect: ReadReady) -> None:
+        pending = self._pending.get(effect.token)
         try:
-            told = self.look(query)
-        except Exception as error:  # a query must not end the keeper
-            structured_log.fault("query", error)
-            told = {"refused": "the query can't be answered", "by": [], "again": 0}
-        self._end(effect.token, {"reply": told})
-
-    def _refused(self, effect):
-        self._end(
-            effect.token,
-            {
-                "why": effect.reason,
-                "again": effect.again,
-                "leader": effect.leader,
-                "unknown": effect.reason.startswith("unknown"),
-            },
-        )
-
-    def _stood_down(self, effect):
-        structured_log.log("keeper stood down", why=effect.reason)
-
-    def _applied(self, effect):
-        pass
-
-    DO = {
-        i.Persist: _persist,
-        i.Send: _send,
-        i.Answered: _answered,
-        i.ReadReady: _read_ready,
-        i.Refused: _refused,
-        i.Applied: _applied,
-        i.SetTimer: _set_timer,
-        i.StoodDown: _stood_down,
-    }
-
-    def close(self):
-        """What is being written is finished; nothing more is said."""
-        self.closed = True
-        if self.port is not None:
-            self.port.stopListening()
-        for line in list(self.lines):
-            line.transport.abortConnection()
-        if self.timer is not None:
-            self.deadlines.cancel(self.timer)
-        if not self.writing:
-            self.store.close()
+            reply = self._look(pending.query if pending else None)
+        except Exception as error:  # a query must not end the node
+            _structured_log.fault("query", error)
+            reply = rejection("the query can't be answered")
+        self._answer(effect.token, {"reply": reply})
+
+    def _request_rejected(self, effect: RequestRejected) -> None:
+        told = {
+            "why": effect.reason,
+            "again": effect.retry_after,
+            "leader": effect.leader,
+            "unknown": effect.reason.startswith("unknown"),
+        }
+        self._answer(effect.token, told)
+
+    def _stepped_down(self, effect: SteppedDown) -> None:
+        _structured_log.log("keeper stood down", why=effect.reason)
--- /dev/null
+++ b/thymeknot/raft/proposals.py
@@ -0,0 +1,139 @@
+"""Commands of clients: accepted by a leader, applied on all nodes, answered by the leader."""
+
+from collections.abc import Hashable
+from typing import Any, NamedTuple
+
+import msgspec
+
+from ..interface.clock import Ticks
+from .client_sessions import Sessions
+from .log import RAFT_PART, members_set_by
+from .membership import Membership
+from .node_interface import (
+    CommandCompleted,
+    CommandProposed,
+    EntryApplied,
+    Reply,
+    RequestRejected,
+)
+from .node_state import NodeState
+from .records import Entry
+from .replication import Replication
+from .state_machine import rejection
+
+
+class _PendingCommand(NamedTuple):
+    """A command in the log that has no outcome yet.
+
+    Attributes:
+        token: the caller's.
+        size: bytes of the command.
+    """
+
+    token: Hashable
+    size: int
+
+
+class Proposals:
+    """The commands that wait for their outcome, and the sessions that they are applied under."""
+
+    def __init__(
+        self,
+        state: NodeState,
+        sessions: Sessions,
+        replication: Replication,
+        membership: Membership,
+    ) -> None:
+        self._state = state
+        self._sessions = sessions
+        self._replication = replication
+        self._membership = membership
+        self.reset()
+
+    def reset(self) -> None:
+        """This node doesn't lead."""
+        self._pending: dict[int, _PendingCommand] = {}  # by the entry's index
+        self._pending_bytes = 0
+
+    def propose(self, now: Ticks, event: CommandProposed) -> None:
+        """Appends a command, or rejects it with a reason."""
+        token, origin, incarnation, number, command = event
+        state = self._state
+        known = self._sessions.known_reply(origin, incarnation, number)
+        if known is not None:  # it was applied before: its reply can't change any more
+            state.outbox.emit(CommandCompleted(token, known))
+            return
+        try:
+            size = len(msgspec.msgpack.encode(command))
+        except (TypeError, ValueError, OverflowError, RecursionError) as error:
+            state.reject(token, f"can't be written: {error}", None)
+            return
+        if not self._admits(token, origin, size):
+            return
+        appended: dict[str, Any] | None = command
+        if command.get("part") == RAFT_PART:
+            appended = self._membership.prepare_change(now, token, command)
+        if appended is None:
+            return
+        index = self._replication.append(now, appended, origin, incarnation, number)
+        self._pending[index] = _PendingCommand(token, size)
+        self._pending_bytes += size
+        self._replication.advance_commit()
+
+    def _admits(self, token: Hashable, origin: str, size: int) -> bool:
+        """Whether a command is within the limits; else it is rejected."""
+        state = self._state
+        settings = state.settings
+        pending = len(self._pending)
+        if size > settings.command_bytes or not origin:
+            reason = "larger than a command may be" if origin else "has no origin"
+            state.reject(token, reason, None)
+        elif (
+            pending >= settings.max_pending
+            or self._pending_bytes + size > settings.max_pending_bytes
+        ):
+            # What waits takes a round of heartbeats, or as many as its messages need.
+            rounds = 1 + pending // settings.batch_entries
+            state.reject(token, "too many commands wait", rounds * settings.heartbeat_interval)
+        elif self._membership.transferring:
+            state.reject(token, "leadership is being handed over", settings.heartbeat_interval)
+        else:
+            return True
+        return False
+
+    def apply_committed(self) -> None:
+        """Applies the entries that are committed and not yet applied."""
+        state = self._state
+        while state.applied < state.committed:
+            entry = state.log.entry(state.applied + 1)
+            state.applied += 1
+            reply = self._apply(entry)
+            state.outbox.emit(EntryApplied(entry.log_index, entry.at, entry.command, reply))
+            pending = self._pending.pop(entry.log_index, None)
+            if pending:
+                self._pending_bytes -= pending.size
+                state.outbox.emit(CommandCompleted(pending.token, reply))
+
+    def _apply(self, entry: Entry) -> Reply | None:
+        if not entry.origin:
+            return None
+        members = members_set_by(entry)
+        if members is None and entry.command.get("part") == RAFT_PART:
+            return rejection("keepers know no such command")
+
+        def apply_command(at: Ticks) -> Reply:
+            if members is not None:
+                return {"ok": True, "voters": members.voters, "learners": members.learners}
+            return self._sessions.machine.apply(at, entry.command)
+
+        return self._sessions.apply(
+            entry.at, entry.origin, entry.incarnation, entry.number, apply_command
+        )
+
+    def reject_all(self, reason: str) -> None:
+        """Tells those that wait that the outcome is unknown: another leader may commit it."""
+        retry_after = self._state.settings.election_timeout.maximum
+        for pending in self._pending.values():
+            self._state.outbox.emit(
+                RequestRejected(pending.token, "unknown: " + reason, retry_after, None)
+            )
--- /dev/null
+++ b/thymeknot/raft/roles.py
@@ -0,0 +1,143 @@
+"""The roles of a node, and the table of what it does in each."""
+
+from collections.abc import Iterable
+from enum import Enum, StrEnum, auto
+from typing import Any, NamedTuple
+
+
+class Role(StrEnum):
+    """What a node is at the moment. The values are logged."""
+
+    FOLLOWER = "follower"
+    PRE_CANDIDATE = "prevote"
+    """Asks whether it would be elected, without a new term yet (thesis, 9.6)."""
+    CANDIDATE = "candidate"
+    LEADER = "leader"
+    LEARNER = "learner"
+    """Takes the log without a vote."""
+    STOPPED = "stopped"
+    """Its disk failed."""
+
+
+class Trigger(Enum):
+    """What makes a node act."""
+
+    TIMER_EXPIRED = auto()
+    TIMEOUT_NOW = auto()
+    VOTE_RESPONSE = auto()
+    ELECTION_WON = auto()
+    """A majority voted for it, or said that it would."""
+    NEWER_TERM = auto()
+    VOTE_REQUEST = auto()
+    APPEND_REQUEST = auto()
+    SNAPSHOT_CHUNK = auto()
+    STALE_REQUEST = auto()
+    """A request of an earlier term."""
+    APPEND_RESPONSE = auto()
+    SNAPSHOT_CHUNK_RESPONSE = auto()
+    COMMAND = auto()
+    READ = auto()
+    STOOD_STILL = auto()
+    """A leader was not called for longer than its lease."""
+    QUORUM_LOST = auto()
+    """A leader heard no majority for an election timeout (thesis, 6.2)."""
+    LEADER_REMOVED = auto()
+    """A leader is a voter no longer."""
+    NOT_A_VOTER = auto()
+    """The members' list names it as a voter no longer."""
+    MADE_VOTER = auto()
+    """The members' list names it as a voter."""
+    DISK_FAILED = auto()
+
+
+class Action(Enum):
+    """What a node does upon a trigger."""
+
+    START_PRE_VOTE = auto()
+    START_ELECTION = auto()
+    START_TRANSFER_ELECTION = auto()
+    COUNT_VOTE = auto()
+    ANSWER_VOTE_REQUEST = auto()
+    BECOME_LEADER = auto()
+    SEND_HEARTBEATS = auto()
+    ADOPT_TERM = auto()
+    YIELD_TO_TERM = auto()
+    APPEND_ENTRIES = auto()
+    RECEIVE_SNAPSHOT = auto()
+    REJECT_STALE = auto()
+    FOLLOW_UP_APPEND = auto()
+    FOLLOW_UP_SNAPSHOT = auto()
+    PROPOSE = auto()
+    READ = auto()
+    REDIRECT = auto()
+    STEP_DOWN = auto()
+    RESTART_TIMER = auto()
+    STOP = auto()
+
+
+class Transition(NamedTuple):
+    """The next role, taken before the action is."""
+
+    role: Role
+    action: Action | None
+
+
+class Step(NamedTuple):
+    """A trigger that follows from an action and is taken before anything else.
+
+    Attributes:
+        trigger: what the table is asked for.
+        about: what the action is given: the event, the newer term, or the reason.
+    """
+
+    trigger: Trigger
+    about: Any = None
+
+
+Table = dict[tuple[Role, Trigger], Transition]
+
+_ELECTORS = (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
+_RUNNING = (*_ELECTORS, Role.LEADER, Role.LEARNER)
+_NOT_LEADING = (*_ELECTORS, Role.LEARNER, Role.STOPPED)
+
+
+def _into(roles: Iterable[Role], trigger: Trigger, role: Role, action: Action | None) -> Table:
+    """Rows whose next role is one and the same."""
+    return {(before, trigger): Transition(role, action) for before in roles}
+
+
+def _stay(roles: Iterable[Role], trigger: Trigger, action: Action) -> Table:
+    """Rows that change no role."""
+    return {(role, trigger): Transition(role, action) for role in roles}
+
+
+# What is missing changes nothing and has no answer.
+TRANSITIONS: Table = {
+    **_into(_ELECTORS, Trigger.TIMER_EXPIRED, Role.PRE_CANDIDATE, Action.START_PRE_VOTE),
+    **_stay([Role.LEADER], Trigger.TIMER_EXPIRED, Action.SEND_HEARTBEATS),
+    **_into([Role.FOLLOWER], Trigger.TIMEOUT_NOW, Role.CANDIDATE, Action.START_TRANSFER_ELECTION),
+    **_stay([Role.PRE_CANDIDATE, Role.CANDIDATE], Trigger.VOTE_RESPONSE, Action.COUNT_VOTE),
+    **_into([Role.PRE_CANDIDATE], Trigger.ELECTION_WON, Role.CANDIDATE, Action.START_ELECTION),
+    **_into([Role.CANDIDATE], Trigger.ELECTION_WON, Role.LEADER, Action.BECOME_LEADER),
+    **_into(_ELECTORS, Trigger.NEWER_TERM, Role.FOLLOWER, Action.ADOPT_TERM),
+    **_stay([Role.LEARNER], Trigger.NEWER_TERM, Action.ADOPT_TERM),
+    **_into([Role.LEADER], Trigger.NEWER_TERM, Role.FOLLOWER, Action.YIELD_TO_TERM),
+    **_stay(_RUNNING, Trigger.VOTE_REQUEST, Action.ANSWER_VOTE_REQUEST),
+    **_into(_ELECTORS, Trigger.APPEND_REQUEST, Role.FOLLOWER, Action.APPEND_ENTRIES),
+    **_stay([Role.LEARNER], Trigger.APPEND_REQUEST, Action.APPEND_ENTRIES),
+    **_into(_ELECTORS, Trigger.SNAPSHOT_CHUNK, Role.FOLLOWER, Action.RECEIVE_SNAPSHOT),
+    **_stay([Role.LEARNER], Trigger.SNAPSHOT_CHUNK, Action.RECEIVE_SNAPSHOT),
+    **_stay(_RUNNING, Trigger.STALE_REQUEST, Action.REJECT_STALE),
+    **_stay([Role.LEADER], Trigger.APPEND_RESPONSE, Action.FOLLOW_UP_APPEND),
+    **_stay([Role.LEADER], Trigger.SNAPSHOT_CHUNK_RESPONSE, Action.FOLLOW_UP_SNAPSHOT),
+    **_stay([Role.LEADER], Trigger.COMMAND, Action.PROPOSE),
+    **_stay([Role.LEADER], Trigger.READ, Action.READ),
+    **_stay(_NOT_LEADING, Trigger.COMMAND, Action.REDIRECT),
+    **_stay(_NOT_LEADING, Trigger.READ, Action.REDIRECT),
+    **_into([Role.LEADER], Trigger.STOOD_STILL, Role.FOLLOWER, Action.STEP_DOWN),
+    **_into([Role.LEADER], Trigger.QUORUM_LOST, Role.FOLLOWER, Action.STEP_DOWN),
+    **_into([Role.LEADER], Trigger.LEADER_REMOVED, Role.LEARNER, Action.STEP_DOWN),
+    **_into(_ELECTORS, Trigger.NOT_A_VOTER, Role.LEARNER, None),
+    **_into([Role.LEARNER], Trigger.MADE_VOTER, Role.FOLLOWER, Action.RESTART_TIMER),
+    **_into(_RUNNING, Trigger.DISK_FAILED, Role.STOPPED, Action.STOP),
+}
--- a/thymeknot/raft/settings.py
+++ b/thymeknot/raft/settings.py
@@ -1,64 +1,88 @@
-"""What an operator sets for the agreement. Durations are whole tenths of a millisecond of a monotonic clock."""
+"""What an operator sets for the replicated log."""
 
-from typing import NamedTuple, Optional
+from typing import NamedTuple
 
+from ..interface.clock import Ticks
 
-class Election(NamedTuple):
-    """Without word of a leader for so long, by lot between the two, a keeper sounds out the others. Within `least` of
-    such word it grants no vote: that is what a leader's lease stands on."""
 
-    least: int
-    most: int
+class ElectionTimeout(NamedTuple):
+    """Range of the randomized election timeout.
+
+    Within `minimum` of a leader's word a node grants no vote, which is what a lease relies on.
+    """
+
+    minimum: Ticks
+    maximum: Ticks
 
 
 class RaftSettings(NamedTuple):
-    heartbeat: int = 500
-    election: Election = Election(3_000, 6_000)
-    lease: int = (
-        1_500  # how long a leader may stand still, or serve reads after a majority answered
-    )
-    leased_reads: bool = (
-        False  # False: each read waits for a round of heartbeats, whatever the clocks do
-    )
-    drift: float = 0.01  # the rates of two keepers' clocks may each be off by this share
-    most_waiting: int = 1024  # commands without an outcome, and as many reads
-    most_bytes: int = 4 << 20  # of commands without an outcome
+    """Timing and limits of one node. Durations are measured on a monotonic clock."""
+
+    heartbeat_interval: Ticks = 500
+    election_timeout: ElectionTimeout = ElectionTimeout(3_000, 6_000)
+    lease_duration: Ticks = 1_500
+    """How long a leader may stand still, or serve reads after a majority answered."""
+    lease_reads: bool = False
+    """If false, each read waits for a round of heartbeats, whatever the clocks do."""
+    clock_drift: float = 0.01
+    """The rates of two nodes' clocks may each be off by this share."""
+    max_pending: int = 1024
+    """Commands without an outcome; the same limit holds for reads."""
+    max_pending_bytes: int = 4 << 20
+    """Bytes of the commands without an outcome."""
     command_bytes: int = 64 << 10
-    batch: int = 64  # entries in a message, within
-    batch_bytes: int = 256 << 10  # but never less than one entry
-    snapshot_after: int = 4096  # entries applied since the last snapshot
-    keep: int = 512  # entries kept in memory behind a snapshot, for followers that lag a little
-    chunk: int = 64 << 10  # bytes of a snapshot in a message
-    image_bytes: int = 64 << 20  # the largest snapshot taken from a leader
-    sessions_most: int = 4096  # origins remembered
-    caught_up: int = 64  # entries a learner may lag and be made a voter
-    held_most: int = 4096  # messages that wait for the disk; what is beyond them is as good as lost
+    """Bytes of the longest command."""
+    batch_entries: int = 64
+    """Entries in one message at most."""
+    batch_bytes: int = 256 << 10
+    """Bytes of the entries in one message, though never less than one entry."""
+    snapshot_after: int = 4096
+    """Entries applied since the last snapshot when the next one is taken."""
+    retained_entries: int = 512
+    """Entries kept in memory behind a snapshot, for followers that lag a little."""
+    chunk: int = 64 << 10
+    """Bytes of a snapshot in one message."""
+    max_snapshot_bytes: int = 64 << 20
+    """The largest snapshot that is accepted from a leader."""
+    max_sessions: int = 4096
+    """Client sessions that are remembered."""
+    promotion_lag: int = 64
+    """Entries by which a learner may lag and still become a voter."""
+    max_delayed: int = 4096
+    """Messages that wait for the disk; the oldest beyond them are dropped."""
+
+    def usable_lease(self) -> Ticks:
+        """How long after a round was sent its sender may act as the only leader.
 
-    def lease_span(self):
-        """How long after a round was sent its sender may act as the only leader: by the slowest of our clocks it must
-        be over before the fastest voter's `election.least` is. Source: Ongaro's thesis, 6.4.1."""
-        return int(min(self.lease, self.election.least * (1 - self.drift) / (1 + self.drift)))
+        By the slowest clock it must be over before the fastest voter's minimum election timeout
+        is. Source: Ongaro's thesis, 6.4.1.
+        """
+        shortest_timeout = (
+            self.election_timeout.minimum * (1 - self.clock_drift) / (1 + self.clock_drift)
+        )
+        return int(min(self.lease_duration, shortest_timeout))
 
 
-def faulty(terms: RaftSettings) -> Optional[str]:
-    """One sentence on what can't work together, or None."""
-    least, most = terms.election
-    if not 0 < terms.heartbeat * 2 <= terms.lease:
+def faulty(settings: RaftSettings) -> str | None:
+    """One sentence on which settings can't work together, or None if all of them can."""
+    minimum, maximum = settings.election_timeout
+    drift = settings.clock_drift
+    if not 0 < settings.heartbeat_interval * 2 <= settings.lease_duration:
         return "lease must be at least twice the heartbeat, or each late beat unseats the leader"
-    if not terms.lease * (1 + terms.drift) < least * (1 - terms.drift) or not least < most:
-        return "lease must be below election.least by more than the clocks' drift, and that below election.most"
-    if (
-        min(
-            terms.most_waiting,
-            terms.most_bytes,
-            terms.batch,
-            terms.snapshot_after,
-            terms.chunk,
-            terms.sessions_most,
+    lease_fits = settings.lease_duration * (1 + drift) < minimum * (1 - drift)
+    if not lease_fits or not minimum < maximum:
+        return (
+            "lease must be below election.least by more than the clocks' drift,"
+            " and that below election.most"
         )
-        < 1
-        or terms.keep < 0
-        or not 0 <= terms.drift < 1
-    ):
+    limits = (
+        settings.max_pending,
+        settings.max_pending_bytes,
+        settings.batch_entries,
+        settings.snapshot_after,
+        settings.chunk,
+        settings.max_sessions,
+    )
+    if min(limits) < 1 or settings.retained_entries < 0 or not 0 <= drift < 1:
         return "a limit is below one"
     return None
--- /dev/null
+++ b/thymeknot/raft/simulated_cluster.py
@@ -0,0 +1,446 @@
+"""Several real nodes in one process, with simulated clocks, disks and a network.
+
+Nothing here stands in for a node: faults come as its own events or are done to what lies between
+nodes. What must hold after each step is checked here and in `simulated_clients`.
+"""
+
+from collections import Counter
+from collections.abc import Callable, Iterable
+from heapq import heappop, heappush
+from typing import Any, NamedTuple, Protocol, TypeVar
+
+import msgspec
+
+from ..interface.clock import Ticks
+from .errors import RaftError
+from .messages import Message, TimeoutNow
+from .node import RaftNode
+from .node_interface import (
+    CommandCompleted,
+    Effect,
+    EntryApplied,
+    Event,
+    MessageReceived,
+    Persist,
+    ReadReady,
+    RecordsStored,
+    RequestRejected,
+    Send,
+    SetTimer,
+    SteppedDown,
+    TimerDue,
+)
+from .records import Record, Recovered, replay_records
+from .roles import Role
+from .settings import RaftSettings
+from .state_machine import Command, Reply
+
+NAMES = "abcde"
+MIN_HOSTS = 4
+"""One more than the fewest founders, so that there is one to be taken in."""
+FIRST_NEW_INCARNATION = 101
+"""Of disks that were not there from the beginning."""
+SOCKET_MESSAGES = 64
+"""Messages that wait for a node that stands still; a socket's buffer holds no more."""
+
+Item = TypeVar("Item")
+
+
+class InvariantError(RaftError):
+    """Something doesn't hold; the text says what."""
+
+
+class Random(Protocol):
+    """A seeded source of random numbers."""
+
+    def draw(self) -> float:
+        """A number in [0, 1)."""
+
+    def pick(self, weights: list[float]) -> int:
+        """A place in the weights, each as likely as it weighs."""
+
+
+class Conditions(NamedTuple):
+    """What a run's seed draws once.
+
+    Attributes:
+        loss: share of messages that get lost.
+        duplication: share of messages that come twice.
+        late_share: share of messages that may come late.
+        late_delay: by how much at most.
+        sync_delay: how long a disk takes to sync at most.
+        promotion_share: how eagerly an operator makes learners voters.
+        single_entries: each message carries one entry at most.
+        fault_weights: of each kind of fault.
+        fault_pause: between two faults, on average.
+        founder_count: nodes that found the cluster.
+    """
+
+    loss: float
+    duplication: float
+    late_share: float
+    late_delay: Ticks
+    sync_delay: float
+    promotion_share: float
+    single_entries: bool
+    fault_weights: list[float]
+    fault_pause: float
+    founder_count: int
+
+
+class Register:
+    """A state machine of writes in their order. Each names itself: one applied twice is seen."""
+
+    def __init__(self) -> None:
+        self.order: list[str] = []
+        self.times: Counter[str] = Counter()
+
+    def apply(self, at: Ticks, command: Command) -> Reply:
+        """Adds a write; its place is the reply."""
+        self.order.append(command["id"])
+        self.times[command["id"]] += 1
+        return {"ok": True, "place": len(self.order)}
+
+    def image(self) -> list[str]:
+        """The writes."""
+        return self.order
+
+    def load(self, image: list[str]) -> None:
+        """Replaces the writes."""
+        self.order = list(image)
+        self.times = Counter(image)
+
+
+class Disk:
+    """Records given to Persist.
+
+    The first `synced` of them outlast a crash, of the others as many as the random source keeps.
+    """
+
+    def __init__(self, incarnation: int) -> None:
+        self.incarnation = incarnation
+        self.records: list[Record] = []
+        self.synced = 0
+
+
+class Host:
+    """A node with its disk and its clock.
+
+    Attributes:
+        name: the node's.
+        clock_rate: of its clock to the simulated time.
+        clock_offset: of its clock at the beginning.
+        disk: what outlasts a crash.
+        register: the node's state machine.
+        node: None while it is down.
+        boots: starts and crashes; what was planned before one is void.
+        stalled_until: it stands still until then.
+        delayed: events that came while it stood still.
+        timer: the moment of its last SetTimer, by its own clock.
+    """
+
+    def __init__(self, name: str, incarnation: int, clock_rate: float, clock_offset: Ticks) -> None:
+        self.name = name
+        self.clock_rate = clock_rate
+        self.clock_offset = clock_offset
+        self.disk = Disk(incarnation)
+        self.register = Register()
+        self.node: RaftNode | None = None
+        self.boots = 0
+        self.stalled_until: Ticks = 0
+        self.delayed: list[Event] = []
+        self.timer: Ticks | None = None
+
+    def leads(self) -> bool:
+        """Whether its node is up and thinks that it leads."""
+        return self.node is not None and self.node.role == Role.LEADER
+
+
+class Observer(Protocol):
+    """What the nodes' clients are told."""
+
+    def completed(self, host: Host, effect: CommandCompleted) -> None:
+        """A command has its reply."""
+
+    def read_ready(self, host: Host, effect: ReadReady) -> None:
+        """The register may be read."""
+
+    def rejected(self, host: Host, effect: RequestRejected) -> None:
+        """A command or read was rejected."""
+
+
+class SimulatedCluster:
+    """The hosts, the time and the network between them.
+
+    Args:
+        random: of the run.
+        conditions: of the run.
+        settings: of all nodes.
+        node_class: of all nodes.
+        records_after_crash: what a disk holds after a crash.
+    """
+
+    def __init__(
+        self,
+        random: Random,
+        conditions: Conditions,
+        *,
+        settings: RaftSettings,
+        node_class: type[RaftNode],
+        records_after_crash: Callable[[list[Record]], list[Record]],
+    ) -> None:
+        self.random = random
+        self.settings = settings
+        self.now: Ticks = 0
+        self.event_count = 0  # events that nodes handled
+        self.leaders: dict[int, str] = {}  # by term
+        self.severed: set[tuple[str, str]] = set()  # (sender, receiver) that are cut off
+        self.observer: Observer | None = None
+        self.on_new_leader: Callable[[Host], object] = lambda _: None
+        self.on_timeout_now: Callable[[str, str, Message], object] = lambda *_: None
+        self._conditions = conditions
+        self._node_class = node_class
+        self._records_after_crash = records_after_crash
+        self._queue: list[tuple[Ticks, int, Callable[..., object], tuple[Any, ...]]] = []
+        self._sequence = 0  # orders what is due at the same moment
+        self._next_incarnation = FIRST_NEW_INCARNATION
+        self._committed: dict[int, tuple[Ticks, bytes]] = {}  # by index: agreed time, command
+        self._carry_out: dict[type[Effect], Callable[[Host, Any], None]] = {
+            Send: self._send,
+            Persist: self._persist,
+            SetTimer: self._set_timer,
+            CommandCompleted: self._command_completed,
+            ReadReady: self._read_ready,
+            RequestRejected: self._request_rejected,
+            EntryApplied: self._entry_applied,
+            SteppedDown: lambda _host, _effect: None,
+        }
+        self.founders = NAMES[: conditions.founder_count]
+        names = NAMES[: max(MIN_HOSTS, conditions.founder_count)]
+        self.hosts = {name: self._new_host(name) for name in names}
+        for host in self.hosts.values():
+            self.boot(host)
+
+    def _new_host(self, name: str) -> Host:
+        incarnation = 0 if name in self.founders else self.new_incarnation()
+        rate = 1 + (self.random.draw() * 2 - 1) * self.settings.clock_drift
+        return Host(name, incarnation, rate, int(self.random.draw() * 10**6))
+
+    def new_incarnation(self) -> int:
+        """One that no disk had."""
+        incarnation = self._next_incarnation
+        self._next_incarnation += 1
+        return incarnation
+
+    def draw_below(self, limit: int) -> int:
+        """A number in [0, limit)."""
+        return int(self.random.draw() * limit)
+
+    def choose(self, items: Iterable[Item]) -> Item | None:
+        """One of the items, or None if there is none."""
+        choices = list(items)
+        return choices[self.draw_below(len(choices))] if choices else None
+
+    def any_host(self) -> Host:
+        """One of the hosts."""
+        return list(self.hosts.values())[self.draw_below(len(self.hosts))]
+
+    # Time.
+
+    def schedule(self, delay: float, call: Callable[..., object], *arguments: Any) -> None:
+        """Plans a call."""
+        self._sequence += 1
+        at = self.now + max(0, int(delay))
+        heappush(self._queue, (at, self._sequence, call, arguments))
+
+    def clock(self, host: Host) -> Ticks:
+        """The time by a host's clock."""
+        return int(host.clock_offset + self.now * host.clock_rate)
+
+    def run(self, events: int) -> None:
+        """Runs until nodes handled so many more events."""
+        until = self.event_count + events
+        while self.event_count < until and self._queue:
+            self._run_next()
+
+    def run_for(self, span: Ticks, done: Callable[[], bool]) -> None:
+        """Runs for so long, or until it is done."""
+        ends = self.now + span
+        while self._queue and self._queue[0][0] <= ends and not done():
+            self._run_next()
+
+    def _run_next(self) -> None:
+        self.now, _, call, arguments = heappop(self._queue)
+        call(*arguments)
+
+    # Nodes.
+
+    def boot(self, host: Host) -> None:
+        """Starts a host's node with what its disk holds."""
+        host.boots += 1
+        disk = host.disk
+        recovered = Recovered(disk.incarnation)
+        if disk.records:
+            recovered = replay_records(disk.records, disk.incarnation)
+        host.register = Register()
+        host.timer = None
+        host.delayed = []
+        host.node = self._node_class(
+            host.name,
+            self.founders if disk.incarnation == 0 else None,
+            self.settings,
+            self.random,
+            recovered,
+            host.register,
+            self.clock(host),
+        )
+        self.tell(host, TimerDue())
+
+    def tell(self, host: Host, event: Event) -> None:
+        """Gives a node an event; it is kept for later while the node stands still."""
+        if host.node is None:
+            return
+        if host.stalled_until > self.now:
+            self._delay(host, event)
+            return
+        self.event_count += 1
+        for effect in host.node.handle(self.clock(host), event):
+            self._carry_out[type(effect)](host, effect)
+        self._check_leader(host)
+
+    def _delay(self, host: Host, event: Event) -> None:
+        host.delayed.append(event)
+        messages = [one for one in host.delayed if isinstance(one, MessageReceived)]
+        if len(messages) > SOCKET_MESSAGES:  # what the disk has to say isn't lost
+            host.delayed.remove(messages[0])
+
+    def wake(self, host: Host) -> None:
+        """A host stands still no longer: its node takes what has come, in some order."""
+        waiting = host.delayed
+        host.delayed = []
+        if self.random.draw() < 0.5:  # its clients' sockets may be the first that it looks at
+            for event in [one for one in waiting if not isinstance(one, MessageReceived)]:
+                waiting.remove(event)
+                self.tell(host, event)
+        while waiting:
+            self.tell(host, waiting.pop(self.draw_below(len(waiting))))
+
+    def crash(self, host: Host, loses_tail: bool) -> None:
+        """A host goes down for a while.
+
+        Args:
+            host: that goes down.
+            loses_tail: what wasn't synced is gone, from some place on.
+        """
+        if host.node is None:
+            return
+        disk = host.disk
+        if loses_tail:
+            kept = disk.synced
+            if self.random.draw() < 0.5:
+                kept += self.draw_below(len(disk.records) - disk.synced + 1)
+            del disk.records[kept:]
+        disk.records = self._records_after_crash(disk.records)
+        disk.synced = len(disk.records)
+        host.node = None
+        host.stalled_until = 0
+        host.boots += 1
+        self.schedule(20 + self.random.draw() ** 2 * 2_000, self._restart, host)
+
+    def _restart(self, host: Host) -> None:
+        if host.node is None:
+            self.boot(host)
+
+    # Effects.
+
+    def _send(self, host: Host, effect: Send) -> None:
+        peer, message = effect
+        if isinstance(message, TimeoutNow):
+            self.on_timeout_now(host.name, peer, message)
+        conditions = self._conditions
+        if (
+            (host.name, peer) in self.severed
+            or self.random.draw() < conditions.loss
+            or peer not in self.hosts
+        ):
+            return
+        for _ in range(2 if self.random.draw() < conditions.duplication else 1):
+            late = conditions.late_delay if self.random.draw() < conditions.late_share else 0
+            delay = 1 + self.random.draw() * 20 + self.random.draw() * late
+            self.schedule(delay, self.arrive, host.name, peer, message)
+
+    def arrive(self, sender: str, peer: str, message: Message) -> None:
+        """A message comes, unless its way is cut off."""
+        if (sender, peer) not in self.severed:
+            self.tell(self.hosts[peer], MessageReceived(sender, message))
+
+    def _persist(self, host: Host, effect: Persist) -> None:
+        host.disk.records.extend(effect.records)
+        delay = 1 + self.random.draw() * self._conditions.sync_delay
+        count = len(host.disk.records)
+        self.schedule(delay, self._synced, host, host.boots, count, effect.serial)
+
+    def _synced(self, host: Host, boots: int, count: int, serial: int) -> None:
+        if host.boots == boots and host.node is not None:
+            host.disk.synced = max(host.disk.synced, count)
+            self.tell(host, RecordsStored(serial))
+
+    def _set_timer(self, host: Host, effect: SetTimer) -> None:
+        host.timer = effect.at
+        wait = (effect.at - self.clock(host)) / host.clock_rate + 1
+        self.schedule(wait, self._timer_due, host, host.boots, effect.at)
+
+    def _timer_due(self, host: Host, boots: int, at: Ticks) -> None:
+        if host.boots != boots or host.timer != at:
+            return
+        if host.stalled_until > self.now:
+            wait = host.stalled_until - self.now + 1
+            self.schedule(wait, self._timer_due, host, boots, at)
+        else:
+            self.tell(host, TimerDue())
+
+    def _command_completed(self, host: Host, effect: CommandCompleted) -> None:
+        if self.observer:
+            self.observer.completed(host, effect)
+
+    def _read_ready(self, host: Host, effect: ReadReady) -> None:
+        if self.observer:
+            self.observer.read_ready(host, effect)
+
+    def _request_rejected(self, host: Host, effect: RequestRejected) -> None:
+        if self.observer:
+            self.observer.rejected(host, effect)
+
+    # What must hold.
+
+    def _entry_applied(self, host: Host, effect: EntryApplied) -> None:
+        """Committed logs match; agreed time doesn't go back; a command is applied once."""
+        index = effect.log_index
+        content = (effect.at, msgspec.msgpack.encode(effect.command))
+        if self._committed.setdefault(index, content) != content:
+            raise InvariantError(
+                f"{host.name} applied another entry at {index} than was applied there before"
+            )
+        before = self._committed.get(index - 1)
+        if before and before[0] > effect.at:
+            raise InvariantError(f"agreed time goes back at {index}")
+        command = effect.command
+        if command.get("part") == "register" and host.register.times[command["id"]] > 1:
+            raise InvariantError(f"{command['id']} was applied twice")
+
+    def _check_leader(self, host: Host) -> None:
+        """A term has one leader."""
+        node = host.node
+        if node is None or not host.leads():
+            return
+        is_new = node.term not in self.leaders
+        known = self.leaders.setdefault(node.term, host.name)
+        if known != host.name:
+            raise InvariantError(f"{host.name} and {known} lead in term {node.term}")
+        if is_new:
+            self.on_new_leader(host)
+
+    def end_network_faults(self) -> None:
+        """From now on the network is as good as one can be."""
+        self.severed = set()
+        self._conditions = self._conditions._replace(loss=0.0, duplication=0.0, late_share=0.0)
--- /dev/null
+++ b/thymeknot/raft/snapshots.py
@@ -0,0 +1,102 @@
+"""Snapshots: taken of the applied state, and received from a leader in chunks (Raft, 7)."""
+
+from typing import NamedTuple
+
+from ..interface.clock import Ticks
+from .client_sessions import Sessions
+from .messages import SnapshotChunk, SnapshotChunkResponse
+from .node_interface import MessageReceived, Send
+from .node_state import NodeState
+from .records import Snapshot
+from .roles import Step
+
+
+class _TransferKey(NamedTuple):
+    """Chunks of one snapshot from one leader have one key."""
+
+    sender: str
+    term: int
+    log_index: int
+    total: int
+
+
+class _Transfer(NamedTuple):
+    """A snapshot that is being received."""
+
+    key: _TransferKey
+    content: bytearray
+
+
+class Snapshots:
+    """One node's snapshots."""
+
+    def __init__(self, state: NodeState, sessions: Sessions) -> None:
+        self._state = state
+        self._sessions = sessions
+        self._transfer: _Transfer | None = None
+
+    def take_if_due(self) -> None:
+        """Takes a snapshot once enough entries were applied since the last one."""
+        state = self._state
+        log = state.log
+        if state.applied - log.snapshot.log_index < state.settings.snapshot_after:
+            return
+        last = log.entry(state.applied)
+        members = log.members_at(last.log_index)
+        snapshot = Snapshot(last.log_index, last.term, last.at, members, self._sessions.image())
+        log.compact(snapshot, state.settings.retained_entries)
+        state.outbox.persist(snapshot)
+
+    def receive_chunk(self, now: Ticks, event: MessageReceived[SnapshotChunk]) -> Step | None:
+        """Takes a chunk from the leader, and installs the snapshot once it is complete."""
+        sender, chunk = event
+        state = self._state
+        state.heard_leader(now, sender)
+        already_held = state.log.term(chunk.log_index) == chunk.entry_term
+        if state.committed >= chunk.log_index or already_held:
+            state.commit_to(chunk.log_index)
+            self._respond(now, sender, chunk, received=chunk.total, done=True)
+            return None
+        content = self._add(sender, chunk)
+        done = len(content) == chunk.total
+        if done:
+            self._transfer = None
+            self._install(chunk, bytes(content))
+        self._respond(now, sender, chunk, received=len(content), done=done)
+        return state.membership_step() if done else None
+
+    def abort_transfer(self) -> None:
+        """Drops what was received of a snapshot."""
+        self._transfer = None
+
+    def _add(self, sender: str, chunk: SnapshotChunk) -> bytearray:
+        """Adds a chunk if it is the next one; gives all that was received."""
+        key = _TransferKey(sender, chunk.term, chunk.log_index, chunk.total)
+        if self._transfer is None or self._transfer.key != key:
+            self._transfer = _Transfer(key, bytearray())
+        content = self._transfer.content
+        limit = min(chunk.total, self._state.settings.max_snapshot_bytes)
+        if chunk.offset == len(content) and len(content) + len(chunk.content) <= limit:
+            content += chunk.content
+        return content
+
+    def _install(self, chunk: SnapshotChunk, content: bytes) -> None:
+        state = self._state
+        snapshot = Snapshot(
+            chunk.log_index, chunk.entry_term, chunk.at, chunk.members, content, replaces_log=True
+        )
+        state.log.reset(snapshot)
+        self._sessions.load(snapshot.content)
+        state.committed = chunk.log_index
+        state.applied = chunk.log_index
+        state.outbox.log_replaced(chunk.log_index)
+        state.outbox.persist(snapshot)
+
+    def _respond(
+        self, now: Ticks, leader: str, chunk: SnapshotChunk, *, received: int, done: bool
+    ) -> None:
+        state = self._state
+        response = SnapshotChunkResponse(
+            state.term, state.disk_incarnation, chunk.log_index, received, done, chunk.round
+        )
+        state.outbox.after_sync(now, Send(leader, response))
