--- a/tests/unit/raft/test_client_sessions.py
+++ b/tests/unit/raft/test_client_sessions.py
@@ -3,7 +3,7 @@
 import unittest
 
 from thymeknot.raft.client_sessions import Sessions
-from thymeknot.raft.simulated_cluster import Register
+from thymeknot.raft.simulated_host import Register
 from thymeknot.raft.state_machine import Parts
 
 
--- a/tests/unit/raft/test_node.py
+++ b/tests/unit/raft/test_node.py
@@ -29,7 +29,7 @@
 from thymeknot.raft.records import Entry, Members, Recovered
 from thymeknot.raft.roles import TRANSITIONS, Role
 from thymeknot.raft.settings import RaftSettings, faulty
-from thymeknot.raft.simulated_cluster import Register
+from thymeknot.raft.simulated_host import Register
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 SETTINGS = RaftSettings(
--- a/thymeknot/raft/cluster_faults.py
+++ b/thymeknot/raft/cluster_faults.py
@@ -14,7 +14,8 @@
 from .records import Members
 from .roles import Role
 from .simulated_clients import SimulatedClients
-from .simulated_cluster import Conditions, Disk, Host, SimulatedCluster
+from .simulated_cluster import Conditions, SimulatedCluster
+from .simulated_host import Disk, Host
 
 PAUSE_AFTER_NOTHING = 50
 """Until the next fault where one could not be done."""
--- a/thymeknot/raft/node.py
+++ b/thymeknot/raft/node.py
@@ -4,7 +4,7 @@
 Ongaro's thesis (2014); each part of the node names its chapters.
 """
 
-from collections.abc import Callable
+from collections.abc import Callable, Collection
 from typing import Any
 
 from ..interface.clock import Ticks
@@ -89,7 +89,7 @@
     def __init__(  # noqa: PLR0917  # other packages pass them by position
         self,
         name: str,
-        founders: str | list[str] | tuple[str, ...] | None,
+        founders: Collection[str] | None,
         settings: RaftSettings,
         random_source: RandomSource,
         recovered: Recovered,
--- a/thymeknot/raft/node_state.py
+++ b/thymeknot/raft/node_state.py
@@ -1,6 +1,6 @@
 """What all parts of a node share: its place in the cluster, its log, its timer."""
 
-from collections.abc import Callable, Hashable
+from collections.abc import Callable, Collection, Hashable
 from typing import Protocol
 
 from ..interface.clock import Ticks
@@ -29,12 +29,14 @@
         random_source: for election timeouts.
         recovered: what the disk gave back.
         now: of the node's clock.
+        outbox_class: of the outbox.
+        count_self_vote: called with a vote for oneself that is on the disk.
     """
 
     def __init__(
         self,
         name: str,
-        founders: str | list[str] | tuple[str, ...] | None,
+        founders: Collection[str] | None,
         *,
         settings: RaftSettings,
         random_source: RandomSource,
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -11,31 +11,24 @@
 
 import msgspec
 from twisted.internet.defer import Deferred
-from twisted.internet.protocol import Factory
 from twisted.internet.threads import deferToThread
-from twisted.protocols import amp
 from twisted.python.failure import Failure
 
 from ..interface.clock import Ticks
 from ..service import structured_log
-from .amp_connection import AmpConnection
 from .client import Timers
-from .errors import MessageDecodeError, MessageError, RequestRejectedError
+from .errors import MessageDecodeError, MessageError
+from .incoming_connection import IncomingConnection, IncomingFactory
 from .message_codec import (
     KEEPER,
-    NONCE_BYTES,
     PROPOSE,
     READ,
     REPLY,
-    ClientRequest,
-    DeliverMessage,
-    Hello,
     SignedArguments,
     SignedMessage,
     Signer,
     Verifier,
     decode_mapping,
-    new_nonce,
     open_message,
     sign_message,
 )
@@ -66,106 +59,14 @@
 
 _structured_log: Any = structured_log  # its functions have no annotations yet
 
-MAX_UNREAD_BYTES = 4 * 65_536
-"""Of one AMP box: four values of the longest that AMP has."""
 MAX_CONNECTIONS = 1_024
 """Incoming ones; each costs a descriptor and buffers."""
 MAX_NUMBER = 1 << 62
-"""Below it are the incarnations and numbers of clients: they are stored in 63 bits."""
+"""Bound of clients' incarnations and numbers, well within msgpack's integers of 64 bits."""
 MAX_LOGGED_ORIGIN = 40
 """Characters of a forged origin that are logged."""
 
 
-class _IncomingConnection(AmpConnection):
-    """A connection that somebody made to this node."""
-
-    def __init__(self, server: "PeerServer") -> None:
-        super().__init__()
-        self._server = server
-        self._session: bytes | None = None
-        self._last_number = 0  # the highest that this connection brought
-        self._unread_bytes = 0  # of the box that is being received
-
-    def opened(self) -> None:
-        """Is counted."""
-        self._server.connections.add(self)
-
-    def closed(self) -> None:
-        """Is counted no longer."""
-        self._server.connections.discard(self)
-
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802  # Twisted's name
-        """Takes bytes, unless a box has too many of them."""
-        self._unread_bytes += len(data)
-        if self._unread_bytes > MAX_UNREAD_BYTES:
-            self._server.reject("oversized", "a box without an end")
-            self.abort()
-            return
-        super().dataReceived(data)
-
-    def ampBoxReceived(self, box: amp.AmpBox) -> None:  # noqa: N802  # Twisted's name
-        """Takes a box that is complete."""
-        self._unread_bytes = 0
-        super().ampBoxReceived(box)
-
-    def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802  # Twisted's name
-        """Ends the connection."""
-        self._server.reject("nonsense", f"a key of {length} bytes")
-        self.abort()
-
-    def _open(self, signed: SignedArguments) -> SignedMessage:
-        if self._session is None:
-            raise MessageError("nonsense", "no greeting came first")
-        message = self._server.open(self._session, self._last_number, signed)
-        self._last_number = message.number
-        return message
-
-    @Hello.responder
-    def hello(self, nonce: bytes) -> dict[str, bytes]:
-        """Agrees on the session."""
-        if self._session is not None or len(nonce) != NONCE_BYTES:
-            self._server.reject("nonsense", "a greeting that came twice, or of another length")
-            raise RequestRejectedError("greeted before")
-        own_nonce = new_nonce()
-        self._session = nonce + own_nonce
-        return {"nonce": own_nonce}
-
-    @DeliverMessage.responder
-    def deliver(self, key: bytes, content: bytes, signature: bytes) -> dict[str, bytes]:
-        """Takes a message between nodes."""
-        try:
-            message = self._open({"key": key, "content": content, "signature": signature})
-            self._server.deliver(message)
-        except MessageError as error:
-            self._server.reject(error.kind, str(error))
-        return {}
-
-    @ClientRequest.responder
-    def ask(self, key: bytes, content: bytes, signature: bytes) -> Deferred[SignedArguments]:
-        """Takes a client's command or query."""
-        try:
-            message = self._open({"key": key, "content": content, "signature": signature})
-            answer = self._server.ask(message)
-        except MessageError as error:
-            self._server.reject(error.kind, str(error))
-            raise RequestRejectedError(str(error)) from None
-        session = self._session or b""
-        return answer.addCallback(lambda told: self._server.sign_answer(message, session, told))
-
-
-class _IncomingFactory(Factory):
-    """Makes the connections that the server accepts."""
-
-    noisy = False
-
-    def __init__(self, server: "PeerServer") -> None:
-        self._server = server
-
-    def buildProtocol(self, addr: Any) -> _IncomingConnection | None:  # noqa: N802  # Twisted's
-        """The protocol of a connection, or None to close it."""
-        return self._server.accept(addr)
-
-
 class _PendingRequest(NamedTuple):
     """A client's request that the node has.
 
@@ -207,7 +108,7 @@
     ) -> None:
         self.sources = sources
         self.rejected: Counter[str] = Counter()
-        self.connections: set[_IncomingConnection] = set()
+        self.connections: set[IncomingConnection] = set()
         self._reactor = reactor
         self._timers = timers
         self._clock = timers.clock
@@ -243,7 +144,7 @@
         Raises:
             CannotListenError: Twisted's.
         """
-        factory = _IncomingFactory(self)
+        factory = IncomingFactory(self)
         self._port = self._reactor.listenTCP(port, factory, interface=host)
 
     def close(self) -> None:
@@ -260,7 +161,7 @@
 
     # What comes in.
 
-    def accept(self, address: Any) -> _IncomingConnection | None:
+    def accept(self, address: Any) -> IncomingConnection | None:
         """A connection from this address, or None if it is rejected."""
         if address.host not in self.sources:
             self.reject("elsewhere", f"{address.host} is in none of the networks")
@@ -268,7 +169,7 @@
         if len(self.connections) >= MAX_CONNECTIONS:
             self.reject("crowded", f"{MAX_CONNECTIONS} connections stand")
             return None
-        return _IncomingConnection(self)
+        return IncomingConnection(self)
 
     def reject(self, kind: str, reason: str) -> None:
         """Counts and logs what can't be accepted."""
--- a/thymeknot/raft/simulated_clients.py
+++ b/thymeknot/raft/simulated_clients.py
@@ -12,7 +12,8 @@
     ReadRequested,
     RequestRejected,
 )
-from .simulated_cluster import Host, InvariantError, SimulatedCluster
+from .simulated_cluster import InvariantError, SimulatedCluster
+from .simulated_host import Host
 from .state_machine import Command
 
 CLIENT_COUNT = 3
