--- a/thymeknot/raft/message_codec.py
+++ b/thymeknot/raft/message_codec.py
@@ -209,3 +209,29 @@
         return msgspec.msgpack.decode(content, type=dict[str, Any])
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
         raise MessageError("nonsense", f"no mapping: {error}") from None
+
+
+__all__ = [
+    "KEEPER",
+    "LETTER_MOST",
+    "MARK",
+    "MAX_MESSAGE_BYTES",
+    "NONCE_BYTES",
+    "PROPOSE",
+    "READ",
+    "REPLY",
+    "ClientRequest",
+    "DeliverMessage",
+    "Hello",
+    "MessageError",
+    "MessageKind",
+    "RequestRejectedError",
+    "SignedArguments",
+    "SignedMessage",
+    "Signer",
+    "Verifier",
+    "decode_mapping",
+    "new_nonce",
+    "open_message",
+    "sign_message",
+]
--- a/thymeknot/raft/storage.py
+++ b/thymeknot/raft/storage.py
@@ -360,3 +360,6 @@
 
 def _decode_kind(body: bytes) -> tuple[int, msgspec.Raw]:
     return msgspec.msgpack.decode(body, type=tuple[int, msgspec.Raw])
+
+
+__all__ = ["DamagedStorageError", "Opened", "RaftStorage", "WriteFault"]
