--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -411,7 +411,7 @@
     def _overdue(self, request: InFlightRequest) -> None:
         """Answers a request that the decisions have missed: an answer is still owed."""
         if not request.closed:
-            structured_log.log("overdue", id=request.id, out=request.attempts_out)
+            structured_log.log("request overdue", id=request.id, out=request.attempts_out)
             if self.why is not None:
                 self.why.ended(request.id, self.why.abandoned)
             self._answer(request, FAILED_ANSWER)
@@ -505,7 +505,7 @@
         command = attempt.request.command
         assert attempt.endpoint is not None  # it was written
         structured_log.seldom(
-            "unheard answer",
+            "late response discarded",
             id=attempt.request.id,
             pod=attempt.endpoint.address,
             after=self.clock() - attempt.started_at,
