--- a/Makefile
+++ b/Makefile
@@ -14,7 +14,13 @@
 # Whatever is checked: the program, its tests, the measurements and the scripts of CI.
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
-TYPED = thymeknot/interface thymeknot/gang_scheduling
+TYPED = thymeknot/interface thymeknot/gang_scheduling \
+	thymeknot/gossip/dissemination_queue.py \
+	thymeknot/gossip/keyring.py \
+	thymeknot/gossip/keys.py \
+	thymeknot/gossip/rate_limits.py \
+	thymeknot/gossip/replay_window.py \
+	thymeknot/gossip/settings.py
 
 format: build-dev
 	.venv/bin/ruff check -q --select I --fix $(CHECKED)
--- a/measure/world.py
+++ b/measure/world.py
@@ -206,7 +206,7 @@
                     node.by_address[other.address] = other.name
         for one in self.instances.values():
             one.node.members._count()
-            one.node.checking.proved(one.node.by_address)
+            one.node.checking.set_proved(one.node.by_address)
 
     def live(self):
         return [one for one in self.instances.values() if one.node]
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -4,7 +4,7 @@
 
 from measure.hostile import Liar, pods_of
 from measure.world import HEARSAY, SECOND, TERMS, World
-from thymeknot.gossip.rate_limits import Bucket, Checking, Sending
+from thymeknot.gossip.rate_limits import SendLimits, SendPurpose, TokenBucket, VerificationLimits
 from thymeknot.gossip.settings import Verifications
 
 PODS = pods_of(8)
@@ -343,20 +343,22 @@
 
     def test_a_flood_from_elsewhere_leaves_answers_and_peers_their_part(self):
         now = 0
-        checking = Checking(Verifications(100, 50, 16), 7, now)
-        checking.proved([("10.0.0.1", 1)])
-        flooded = sum(checking.lane(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10))
+        checking = VerificationLimits(Verifications(100, 50, 16), 7, now)
+        checking.set_proved([("10.0.0.1", 1)])
+        flooded = sum(
+            checking.bucket_of(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10)
+        )
         self.assertLessEqual(flooded, 13)  # its lane's burst and ten seconds of a sixteenth
-        self.assertTrue(checking.lane(("10.0.0.1", 1)).take(10 * SECOND))
-        free = sum(checking.lane(("10.0.0.9", port)).take(10 * SECOND) for port in range(64))
+        self.assertTrue(checking.bucket_of(("10.0.0.1", 1)).take(10 * SECOND))
+        free = sum(checking.bucket_of(("10.0.0.9", port)).take(10 * SECOND) for port in range(64))
         self.assertGreaterEqual(free, 14)  # other lanes were left alone
 
     def test_rumours_wait_before_answers_do(self):
-        sending = Sending(TERMS.ceiling, 0)
-        while sending.may(0, 400, "rumour"):
+        sending = SendLimits(TERMS.ceiling, 0)
+        while sending.may(0, 400, SendPurpose.UPDATES):
             pass
-        self.assertTrue(sending.may(0, 400, "answer"))
-        bucket = Bucket(10, 5, 0)
+        self.assertTrue(sending.may(0, 400, SendPurpose.ANSWER))
+        bucket = TokenBucket(10, 5, 0)
         self.assertEqual(sum(bucket.take(at) for at in range(0, 10 * SECOND, 100)), 5 + 99)
 
     def test_a_loud_origin_crowds_out_itself_and_tables_stay_bounded(self):
@@ -368,7 +370,7 @@
         made.run(20 * SECOND, lie)
         for name in ("n0", "n1", "n2", "n3"):
             node = made.instances[name].node
-            self.assertLessEqual(node.rumours.of_origin.get("n4", 0), 32)
+            self.assertLessEqual(node.rumours.count_by_origin.get("n4", 0), 32)
             self.assertLessEqual(sum("n4" in words for words in node.belief.claims.values()), 16)
             self.assertLessEqual(len(node.aside), 256)
             self.assertLessEqual(len(node.probes), 32)
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -9,9 +9,9 @@
 
 from msgspec import DecodeError, Meta, Struct, msgpack
 
-from .keyring import KEY_ID, SIGNATURE
+from .keyring import KEY_ID_SIZE, SIGNATURE_SIZE
 
-VERSION, MOST, LEAST = 1, 1400, 1 + KEY_ID + 8 + SIGNATURE
+VERSION, MOST, LEAST = 1, 1400, 1 + KEY_ID_SIZE + 8 + SIGNATURE_SIZE
 ITEM_MOST = 400
 HINTS_MOST = 24
 PADDING = 128  # of a ping that asks one who proved nothing: longer than the answer by far
@@ -144,10 +144,15 @@
     if datagram[0] != VERSION:
         return "version"
     try:
-        frame = _frame.decode(datagram[1 + KEY_ID : -SIGNATURE])
+        frame = _frame.decode(datagram[1 + KEY_ID_SIZE : -SIGNATURE_SIZE])
     except (DecodeError, UnicodeDecodeError):
         return "form"
-    return datagram[1 : 1 + KEY_ID], frame, datagram[:-SIGNATURE], datagram[-SIGNATURE:]
+    return (
+        datagram[1 : 1 + KEY_ID_SIZE],
+        frame,
+        datagram[:-SIGNATURE_SIZE],
+        datagram[-SIGNATURE_SIZE:],
+    )
 
 
 def read_item(content):
@@ -155,7 +160,7 @@
     if not LEAST - 1 <= len(content) <= ITEM_MOST:
         return "size"
     try:
-        item = _item.decode(content[KEY_ID:-SIGNATURE])
+        item = _item.decode(content[KEY_ID_SIZE:-SIGNATURE_SIZE])
     except (DecodeError, UnicodeDecodeError):
         return "form"
-    return content[:KEY_ID], item, content[:-SIGNATURE], content[-SIGNATURE:]
+    return content[:KEY_ID_SIZE], item, content[:-SIGNATURE_SIZE], content[-SIGNATURE_SIZE:]
--- a/thymeknot/gossip/keys.py
+++ b/thymeknot/gossip/keys.py
@@ -1,21 +1,33 @@
-"""Makes an instance's key: python -m thymeknot.gossip.keys new NAME FILE prints the record for the peers' rings."""
+"""The command that makes an instance's key: python -m thymeknot.gossip.keys new NAME FILE."""
 
 import argparse
 import os
 import sys
+from collections.abc import Sequence
 
 from cryptography.hazmat.primitives import serialization
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 
 from .keyring import Identity, KeyringError, read_identity
 
+DESCRIPTION = (
+    "Makes an instance's key: python -m thymeknot.gossip.keys new NAME FILE prints the record for "
+    "the peers' rings."
+)
+EXIT_UNUSABLE = 2  # the file can't be written or read, or holds no key
 
-def record(identity):
+
+def record(identity: Identity) -> str:
+    """Returns the record of an identity for the peers' rings, as text of an operator's file."""
     return f'{{name: "{identity.name}", keys: [{{key: "{identity.text()}"}}]}}'
 
 
-def new(name, path):
-    """A new key in a new file that only its owner reads."""
+def new(name: str, path: str) -> Identity:
+    """Makes a key in a new file that only its owner reads.
+
+    Raises:
+        OSError: The file exists or can't be written.
+    """
     private = Ed25519PrivateKey.generate()
     content = private.private_bytes(
         serialization.Encoding.PEM, serialization.PrivateFormat.PKCS8, serialization.NoEncryption()
@@ -25,17 +37,24 @@
     return Identity(name, private)
 
 
-def main(arguments):
-    parser = argparse.ArgumentParser(prog="python -m thymeknot.gossip.keys", description=__doc__)
+def _parse(arguments: Sequence[str]) -> argparse.Namespace:
+    parser = argparse.ArgumentParser(
+        prog="python -m thymeknot.gossip.keys", description=DESCRIPTION
+    )
     commands = parser.add_subparsers(dest="command", required=True)
-    for name, told in (
+    for name, help_text in (
         ("new", "makes a key; the file must not exist"),
         ("show", "the record of a key there is"),
     ):
-        command = commands.add_parser(name, help=told)
+        command = commands.add_parser(name, help=help_text)
         command.add_argument("name", help="the instance's name in the ring")
         command.add_argument("file", help="the private key, PEM")
-    chosen = parser.parse_args(arguments)
+    return parser.parse_args(arguments)
+
+
+def main(arguments: Sequence[str]) -> int:
+    """Runs the command and returns its exit code."""
+    chosen = _parse(arguments)
     try:
         if chosen.command == "new":
             identity = new(chosen.name, chosen.file)
@@ -44,7 +63,7 @@
                 identity = read_identity(chosen.name, source.read())
     except (OSError, KeyringError) as error:
         print(f"keys: {error}", file=sys.stderr)
-        return 2
+        return EXIT_UNUSABLE
     print(record(identity))
     return 0
 
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -11,9 +11,9 @@
 from ..interface.clock import TICKS_PER_SECOND
 from . import codec
 from .codec import Accuse, Ack, Alive, Ask, Claim, Frame, Hints, Item, Left, Passed, Ping, Push
-from .dissemination_queue import Rumours
+from .dissemination_queue import DisseminationQueue
 from .membership import ALIVE, DEAD, SUSPECT, UNPROVED, Members
-from .rate_limits import Checking, Sending
+from .rate_limits import SendLimits, SendPurpose, VerificationLimits
 from .suspicion import Belief
 
 TICK = TICKS_PER_SECOND // 10
@@ -86,9 +86,9 @@
             0,
         )
         self.members = Members([name for name in ring.groups if name != self.name], terms, chance)
-        self.sending = Sending(terms.ceiling, now)
-        self.checking = Checking(terms.verifications, start, now)
-        self.rumours = Rumours(chance, terms.hearsay.lapse)
+        self.sending = SendLimits(terms.ceiling, now)
+        self.checking = VerificationLimits(terms.verifications, start, now)
+        self.rumours = DisseminationQueue(chance, terms.hearsay.lapse)
         self.belief = Belief(terms.hearsay, lambda name: self.ring.groups.get(name, name))
         self.probes, self.aside, self.aside_of = {}, [], {}
         self.by_address, self.out, self.doubts, self.said = {}, [], [], []
@@ -112,7 +112,7 @@
         self.number += 1
         frame = Frame(self.name, to, self.start, self.number, now - self.began, body, list(items))
         unsigned = codec.frame_bytes(frame, self.identity.key_id)
-        size = len(unsigned) + codec.SIGNATURE
+        size = len(unsigned) + codec.SIGNATURE_SIZE
         if size > most or not self.sending.may(now, size, kind):
             return False
         self.sent_bytes += size
@@ -167,7 +167,7 @@
         sender = self.ring.owner(number, self.unix())
         if sender is None or sender == self.name:
             return "key"
-        lane = self.checking.lane(source)
+        lane = self.checking.bucket_of(source)
         if not lane.holds(now) and not any(nonce in datagram for nonce in self.probes):
             return "budget"
         read = codec.read_frame(datagram)
@@ -187,7 +187,7 @@
         if not proved and not asks and answers is None:
             if now - member.told_at >= self.terms.probe_every:  # a ping finds out who that is
                 member.told_at = now
-                self._probe(now, source, sender, "prove", most=len(datagram))
+                self._probe(now, source, sender, SendPurpose.PROVE, most=len(datagram))
             return "unproved"
         # What an awaited nonce brings in is checked whatever others have used up.
         if answers is None and not (lane.take(now) and self.checking.total.take(now)):
@@ -222,7 +222,7 @@
                     source,
                     member.name,
                     Ack(frame.body.nonce, back),
-                    "answer",
+                    SendPurpose.ANSWER,
                     items,
                     codec.MOST if known else len(datagram),
                 )
@@ -255,7 +255,12 @@
         del self.probes[probe.nonce]
         if frame.body.back:
             self._send(
-                now, source, member.name, Ack(frame.body.back, None), "answer", most=len(datagram)
+                now,
+                source,
+                member.name,
+                Ack(frame.body.back, None),
+                SendPurpose.ANSWER,
+                most=len(datagram),
             )
         asker = self.members.all.get(probe.asker)
         if asker and asker.address:
@@ -264,7 +269,7 @@
                 asker.address,
                 asker.name,
                 Passed(probe.nonce, datagram[: codec.PASSED_MOST]),
-                "answer",
+                SendPurpose.ANSWER,
             )
         self._proved(now, member, frame, probe.address, probe.at)
         if probe.period:
@@ -288,7 +293,7 @@
             self.by_address.pop(member.address, None)
             member.address = address
             self.by_address[address] = member.name
-            self.checking.proved(
+            self.checking.set_proved(
                 [one.address for one in self.members.all.values() if one.address and one.start]
             )
         self.members.step(member, "answered", now)
@@ -305,7 +310,12 @@
         target = self.members.all.get(ask.target)
         if target is not None and ask.host in self.sources:
             self._probe(
-                now, (ask.host, ask.port), ask.target, "prove", member.name, nonce=ask.nonce
+                now,
+                (ask.host, ask.port),
+                ask.target,
+                SendPurpose.PROVE,
+                member.name,
+                nonce=ask.nonce,
             )
 
     def _passed(self, now, member, passed):
@@ -341,7 +351,11 @@
     def _hinted(self, now, source, member, hints):
         if hints.asking:
             self._send(
-                now, source, member.name, Hints(False, self._hints(len(hints.peers) + 8)), "prove"
+                now,
+                source,
+                member.name,
+                Hints(False, self._hints(len(hints.peers) + 8)),
+                SendPurpose.PROVE,
             )
         for name, host, port in hints.peers:
             self._learn(now, name, (host, port))
@@ -419,7 +433,7 @@
         self.aside.append((now, origin.name, content))
         if now - origin.looked >= self.terms.probe_every:
             origin.looked = now
-            self._probe(now, origin.address, origin.name, "prove")
+            self._probe(now, origin.address, origin.name, SendPurpose.PROVE)
         return None
 
     def _heard(self, now, origin, item, number, content, made):
@@ -473,11 +487,13 @@
             self._period(now)
         if now >= self.push_at:
             self.push_at = now + self.terms.probe_every // PUSHES
-            if self.rumours.fresh(len(self.members.live)):
+            if self.rumours.has_fresh(len(self.members.live)):
                 for member in self.members.some(FANOUT):
                     items = self.rumours.pick(len(self.members.live), ROOM, member.name)
                     if items:
-                        self._send(now, member.address, member.name, Push(), "rumour", items)
+                        self._send(
+                            now, member.address, member.name, Push(), SendPurpose.UPDATES, items
+                        )
         if now >= self.hints_at:
             # One that still hears of new names asks on.
             self.hints_at, self.learnt = (
@@ -485,7 +501,9 @@
                 False,
             )
             for member in self.members.some(1):
-                self._send(now, member.address, member.name, Hints(True, self._hints(8)), "prove")
+                self._send(
+                    now, member.address, member.name, Hints(True, self._hints(8)), SendPurpose.PROVE
+                )
         if now >= self.decide_at:
             self.decide_at = now + self.terms.probe_every // 2
             self._consider(now)
@@ -496,18 +514,26 @@
             if probe.asker:
                 asker = self.members.all.get(probe.asker)
                 if asker and asker.address:
-                    self._send(now, asker.address, asker.name, Passed(probe.nonce, None), "answer")
+                    self._send(
+                        now,
+                        asker.address,
+                        asker.name,
+                        Passed(probe.nonce, None),
+                        SendPurpose.ANSWER,
+                    )
             elif probe.period and member and probe.asked == 0:
                 # Asked once more by itself, too: of lost datagrams most are lost on their own.
                 relays = self.members.some(self.terms.relays, (member.name,))
-                self._send(now, probe.address, member.name, Ping(probe.nonce, b""), "probe")
+                self._send(
+                    now, probe.address, member.name, Ping(probe.nonce, b""), SendPurpose.PROBE
+                )
                 for relay in relays:
                     self._send(
                         now,
                         relay.address,
                         relay.name,
                         Ask(probe.nonce, member.name, *probe.address),
-                        "probe",
+                        SendPurpose.PROBE,
                     )
                 probe.asked, probe.ends = len(relays) + 1, self._second_end(now, probe)
                 continue
@@ -541,20 +567,20 @@
         out = {probe.name for probe in self.probes.values() if probe.period}
         for member in self.members.next_probes(now):
             if member.name not in out:
-                self._probe(now, member.address, member.name, "probe", period=True)
+                self._probe(now, member.address, member.name, SendPurpose.PROBE, period=True)
         for member in self.members.to_prove(now, PROVE_AT_ONCE):
-            self._probe(now, member.address, member.name, "prove")
+            self._probe(now, member.address, member.name, SendPurpose.PROVE)
         if not self.members.live:
             for seed in self.seeds:
                 if seed != self.announced:
-                    self._probe(now, seed, None, "prove")
+                    self._probe(now, seed, None, SendPurpose.PROVE)
         if self.aside and now - self.aside[0][0] > ASIDE_FOR:
             kept = [one for one in self.aside if now - one[0] <= ASIDE_FOR]
             self.aside, self.aside_of = kept, {}
             for _, name, _ in kept:
                 self.aside_of[name] = self.aside_of.get(name, 0) + 1
         unix = self.unix()
-        self.rumours.keep(
+        self.rumours.prune(
             now,
             lambda one: (
                 self.ring.owner(one.key_id, unix) == one.origin
@@ -591,17 +617,17 @@
             self.belief.forget_origin(name)
         gone = {
             one.origin
-            for one in self.rumours.by_about.values()
+            for one in self.rumours.items.values()
             if ring.owner(one.key_id, unix) != one.origin
         }
         for name in gone:
             self.belief.forget_origin(name)
-        self.rumours.keep(now, lambda one: ring.owner(one.key_id, unix) == one.origin)
+        self.rumours.prune(now, lambda one: ring.owner(one.key_id, unix) == one.origin)
         self.members.rekey([name for name in held if name != self.name])
         self.by_address = {
             one.address: one.name for one in self.members.all.values() if one.address and one.start
         }
-        self.checking.proved(self.by_address)
+        self.checking.set_proved(self.by_address)
 
     def leave(self, now):
         """Says goodbye to a few: the others hear of it."""
@@ -609,4 +635,4 @@
         self._say(now, Left(), "alive")
         for member in self.members.some(4):
             items = self.rumours.pick(len(self.members.live), ROOM, member.name)
-            self._send(now, member.address, member.name, Push(), "answer", items)
+            self._send(now, member.address, member.name, Push(), SendPurpose.ANSWER, items)
