--- a/Makefile
+++ b/Makefile
@@ -15,6 +15,7 @@
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
 TYPED = thymeknot/interface thymeknot/gang_scheduling \
+	thymeknot/gossip/codec.py \
 	thymeknot/gossip/dissemination_queue.py \
 	thymeknot/gossip/keyring.py \
 	thymeknot/gossip/keys.py \
--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -3,7 +3,7 @@
 """
 
 from thymeknot.gossip import codec
-from thymeknot.gossip.codec import Accuse, Alive, Claim, Frame, Hints, Item, Left, Push
+from thymeknot.gossip.codec import Alive, Evidence, Frame, Hints, Item, Left, Push, Suspect
 from thymeknot.gossip.suspicion import Pod
 
 KEPT = 200  # datagrams it heard, to be sent again
@@ -56,7 +56,7 @@
         for victim in peers:
             items.append(
                 self._item(
-                    now, Accuse(victim.name, victim.start, victim.incarnation + self.round % 3)
+                    now, Suspect(victim.name, victim.start, victim.incarnation + self.round % 3)
                 )
             )
             items.append(
@@ -66,7 +66,7 @@
                 self._item(now, Alive(*victim.address, 1 << 40), victim.name, victim.start)
             )
         stale = [
-            self._item(now, Claim(*pod, 50, 50)) for pod in self.pods
+            self._item(now, Evidence(*pod, 50, 50)) for pod in self.pods
         ]  # old news, ever signed anew
         numbers = []
         for _ in self.pods:
@@ -77,7 +77,7 @@
             # Two tongues: the same number says one thing here and another there.
             tongues = (
                 [
-                    self._item(now, Claim(*pod, 40, 40 if ill else 0), number=number)
+                    self._item(now, Evidence(*pod, 40, 40 if ill else 0), number=number)
                     for pod, number in zip(self.pods, numbers)
                 ]
                 if self.round % 4 == 0
@@ -87,7 +87,7 @@
                 items
                 + stale
                 + tongues
-                + [self._item(now, Claim(f"pod-{self.round}", "", 1, 0, 9, 9))]
+                + [self._item(now, Evidence(f"pod-{self.round}", "", 1, 0, 9, 9))]
             )
             for begin in range(0, len(everything), 6):
                 self.node.out.append(
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -269,8 +269,8 @@
             (
                 codec.Alive("127.0.0.1", 7001, 2),
                 codec.Left(),
-                codec.Accuse("b", 900, 3),
-                codec.Claim("s-1", "10.0.0.1:80", 41, 0, 20, 5),
+                codec.Suspect("b", 900, 3),
+                codec.Evidence("s-1", "10.0.0.1:80", 41, 0, 20, 5),
             )
         )
     ]
@@ -279,8 +279,8 @@
         codec.Ping(b"12345678", b"\0" * 128),
         codec.Ack(b"12345678", b"87654321"),
         codec.Ack(b"12345678", None),
-        codec.Ask(b"12345678", "c", "127.0.0.1", 7003),
-        codec.Passed(b"12345678", b"answer"),
+        codec.IndirectPing(b"12345678", "c", "127.0.0.1", 7003),
+        codec.IndirectAck(b"12345678", b"answer"),
         codec.Push(),
         codec.Hints(True, [("b", "127.0.0.1", 7002)]),
     )
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -11,7 +11,7 @@
 from measure.world import SECOND, TERMS, World
 from tests.support.stand_ins import NOW, balancer, kinds, pod, sent, taken
 from thymeknot.gossip import codec, keys
-from thymeknot.gossip.codec import Ack, Alive, Claim, Frame, Item, Left, Ping, Push
+from thymeknot.gossip.codec import Ack, Alive, Evidence, Frame, Item, Left, Ping, Push
 from thymeknot.gossip.keyring import (
     AllowedNetworks,
     Keyring,
@@ -131,7 +131,7 @@
         self.assertEqual(NODE.members.all["n1"].state, "alive")
 
     def test_items_count_for_their_origin_alone(self):
-        claim, pod = Claim("s-1", "", 1, 0, 9, 9), Pod("s-1", "", 1, 0)
+        claim, pod = Evidence("s-1", "", 1, 0, 9, 9), Pod("s-1", "", 1, 0)
         NODE.belief.listed([pod])
         signed = item_of(claim)  # its last byte is zero in one of sixteen: it is turned, not set
         for kind, item in (
@@ -141,7 +141,7 @@
             ("unproved", item_of(Alive("10.0.0.9", 9, 0), start=9)),
             ("lapsed", item_of(claim, age=TERMS.hearsay.lapse + SECOND)),
             ("lapsed", item_of(claim, age=-3 * SECOND)),
-            ("lapsed", item_of(Claim("s-9", "", 1, 0, 9, 9))),
+            ("lapsed", item_of(Evidence("s-9", "", 1, 0, 9, 9))),
             ("size", b"x"),
             ("form", bytes(120)),
         ):
@@ -155,11 +155,11 @@
     def test_an_instance_called_dead_says_that_it_lives(self):
         before = NODE.incarnation
         self.assertIsNone(
-            dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start, before))]))
+            dropped(frame_of(items=[item_of(codec.Suspect("n0", NODE.start, before))]))
         )
         self.assertEqual(NODE.incarnation, before + 1)
         self.assertIsNone(
-            dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start + 1, before + 9))]))
+            dropped(frame_of(items=[item_of(codec.Suspect("n0", NODE.start + 1, before + 9))]))
         )
         self.assertEqual(NODE.incarnation, before + 1)  # of another start: old news
 
@@ -178,15 +178,17 @@
 
     def test_the_longest_frames_fit(self):
         claims = [
-            item_of(Claim("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000))
+            item_of(Evidence("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000))
             for _ in range(30)
         ]
-        self.assertLessEqual(len(claims[0]), codec.ITEM_MOST)
+        self.assertLessEqual(len(claims[0]), codec.MAX_ITEM)
         NODE.rumours.add(
             codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x"
         )
         picked = NODE.rumours.pick(3, 1100)
-        self.assertLessEqual(len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MOST)
+        self.assertLessEqual(
+            len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MAX_DATAGRAM
+        )
 
 
 class KeysOfTheRing(unittest.TestCase):
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -213,7 +213,7 @@
                 self.assertEqual((frame.sender, frame.to, frame.number), ("a", "b", at))
 
     def test_every_item_is_read_and_its_signature_holds(self):
-        kinds = (codec.Alive, codec.Left, codec.Accuse, codec.Claim)
+        kinds = (codec.Alive, codec.Left, codec.Suspect, codec.Evidence)
         for kind, text in zip(kinds, stored_json("gossip.json")["items"], strict=True):
             with self.subTest(kind):
                 key, item, signed, signature = codec.read_item(bytes.fromhex(text))
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -10,8 +10,22 @@
 
 from ..interface.clock import TICKS_PER_SECOND
 from . import codec
-from .codec import Accuse, Ack, Alive, Ask, Claim, Frame, Hints, Item, Left, Passed, Ping, Push
+from .codec import (
+    Ack,
+    Alive,
+    Evidence,
+    Frame,
+    Hints,
+    IndirectAck,
+    IndirectPing,
+    Item,
+    Left,
+    Ping,
+    Push,
+    Suspect,
+)
 from .dissemination_queue import DisseminationQueue
+from .keyring import SIGNATURE_SIZE
 from .membership import ALIVE, DEAD, SUSPECT, UNPROVED, Members
 from .rate_limits import SendLimits, SendPurpose, VerificationLimits
 from .suspicion import Belief
@@ -107,12 +121,12 @@
 
     # What goes out.
 
-    def _send(self, now, address, to, body, kind, items=(), most=codec.MOST):
+    def _send(self, now, address, to, body, kind, items=(), most=codec.MAX_DATAGRAM):
         """Whether it went out: within the ceilings, and no longer than `most` bytes."""
         self.number += 1
         frame = Frame(self.name, to, self.start, self.number, now - self.began, body, list(items))
         unsigned = codec.frame_bytes(frame, self.identity.key_id)
-        size = len(unsigned) + codec.SIGNATURE_SIZE
+        size = len(unsigned) + SIGNATURE_SIZE
         if size > most or not self.sending.may(now, size, kind):
             return False
         self.sent_bytes += size
@@ -129,7 +143,15 @@
         )
 
     def _probe(
-        self, now, address, name, kind, asker=None, period=False, nonce=None, most=codec.MOST
+        self,
+        now,
+        address,
+        name,
+        kind,
+        asker=None,
+        period=False,
+        nonce=None,
+        most=codec.MAX_DATAGRAM,
     ):
         """A ping with a nonce. With padding it asks for a bare answer: from one that proved nothing, which may not
         answer with more than it was sent, or for another, to whom the answer is passed on whole."""
@@ -142,7 +164,7 @@
             self.rumours.pick(len(self.members.live), ROOM, name) if proved and not asker else ()
         )
         wait = self.terms.probe_timeout * (1 + self.members.health)
-        ping = Ping(nonce, bytes(codec.PADDING) if not proved else b"\0" if asker else b"")
+        ping = Ping(nonce, bytes(codec.PING_PADDING) if not proved else b"\0" if asker else b"")
         if self._send(now, address, name or "", ping, kind, items, most):
             self.probes[nonce] = Probe(nonce, name, address, now, now + wait, asker, period)
 
@@ -157,7 +179,7 @@
             self.dropped[wrong] += 1
 
     def _take(self, now, source, datagram):
-        if not codec.LEAST <= len(datagram) <= codec.MOST:
+        if not codec.MIN_DATAGRAM <= len(datagram) <= codec.MAX_DATAGRAM:
             return "size"
         if datagram[0] != codec.VERSION:
             return "version"
@@ -171,7 +193,7 @@
         if not lane.holds(now) and not any(nonce in datagram for nonce in self.probes):
             return "budget"
         read = codec.read_frame(datagram)
-        if isinstance(read, str):
+        if isinstance(read, codec.DropReason):
             return read
         _, frame, signed, signature = read
         if frame.sender != sender or sender not in self.members.all:
@@ -224,7 +246,7 @@
                     Ack(frame.body.nonce, back),
                     SendPurpose.ANSWER,
                     items,
-                    codec.MOST if known else len(datagram),
+                    codec.MAX_DATAGRAM if known else len(datagram),
                 )
                 and back
                 and len(self.probes) < OUT_MOST
@@ -236,9 +258,9 @@
         if not proved:
             return None
         body = type(frame.body)
-        if body is Ask:
+        if body is IndirectPing:
             self._asked(now, member, frame.body)
-        elif body is Passed:
+        elif body is IndirectAck:
             self._passed(now, member, frame.body)
         elif body is Hints:
             self._hinted(now, source, member, frame.body)
@@ -268,7 +290,7 @@
                 now,
                 asker.address,
                 asker.name,
-                Passed(probe.nonce, datagram[: codec.PASSED_MOST]),
+                IndirectAck(probe.nonce, datagram[: codec.MAX_INDIRECT_ANSWER]),
                 SendPurpose.ANSWER,
             )
         self._proved(now, member, frame, probe.address, probe.at)
@@ -328,7 +350,7 @@
         if passed.answer is None:
             return
         read = codec.read_frame(passed.answer)
-        if isinstance(read, str):
+        if isinstance(read, codec.DropReason):
             return
         number, frame, signed, signature = read
         target = self.members.all.get(probe.name)
@@ -375,7 +397,7 @@
     def _hints(self, most):
         return [
             (one.name, *one.address)
-            for one in self.members.some(min(most, codec.HINTS_MOST))
+            for one in self.members.some(min(most, codec.MAX_HINTS))
             if one.address
         ]
 
@@ -383,7 +405,7 @@
 
     def _item(self, now, bringer, content):
         read = codec.read_item(content)
-        if isinstance(read, str):
+        if isinstance(read, codec.DropReason):
             return read
         number, item, signed, signature = read
         if item.origin == self.name:
@@ -447,7 +469,7 @@
         elif kind is Left:
             self.members.step(origin, "left", now)
             self.belief.forget_origin(origin.name)
-        elif kind is Accuse:
+        elif kind is Suspect:
             about = "Accuse", body.subject
             if body.subject == self.name:
                 if body.start == self.start and body.incarnation >= self.incarnation:
@@ -518,7 +540,7 @@
                         now,
                         asker.address,
                         asker.name,
-                        Passed(probe.nonce, None),
+                        IndirectAck(probe.nonce, None),
                         SendPurpose.ANSWER,
                     )
             elif probe.period and member and probe.asked == 0:
@@ -532,7 +554,7 @@
                         now,
                         relay.address,
                         relay.name,
-                        Ask(probe.nonce, member.name, *probe.address),
+                        IndirectPing(probe.nonce, member.name, *probe.address),
                         SendPurpose.PROBE,
                     )
                 probe.asked, probe.ends = len(relays) + 1, self._second_end(now, probe)
@@ -547,7 +569,7 @@
                 if member.state == SUSPECT and member.misses == ACCUSED_AFTER:
                     self._say(
                         now,
-                        Accuse(member.name, member.start, member.incarnation),
+                        Suspect(member.name, member.start, member.incarnation),
                         ("Accuse", member.name),
                     )
             elif member.state not in (ALIVE, SUSPECT):
@@ -603,7 +625,7 @@
 
     def _consider(self, now):
         for pod, tried, failed in self.belief.to_tell(now):
-            self._say(now, Claim(*pod, tried, failed), ("Claim", pod.pod))
+            self._say(now, Evidence(*pod, tried, failed), ("Claim", pod.pod))
         self.doubts += self.belief.decide(now, self._alive)
 
     # From the sidecar.
