--- a/Makefile
+++ b/Makefile
@@ -19,6 +19,7 @@
 	thymeknot/gossip/dissemination_queue.py \
 	thymeknot/gossip/keyring.py \
 	thymeknot/gossip/keys.py \
+	thymeknot/gossip/membership.py \
 	thymeknot/gossip/rate_limits.py \
 	thymeknot/gossip/replay_window.py \
 	thymeknot/gossip/settings.py
--- a/measure/world.py
+++ b/measure/world.py
@@ -6,6 +6,7 @@
 from hashlib import blake2b
 
 from thymeknot.gossip.keyring import AllowedNetworks
+from thymeknot.gossip.membership import ClockOffset, MemberState
 from thymeknot.gossip.node import TICK, GossipNode
 from thymeknot.gossip.settings import Ceiling, GossipSettings, SuspicionSettings, Verifications
 from thymeknot.state.random_source import LinearCongruentialGenerator
@@ -201,11 +202,13 @@
                 if one is not other and one.node and other.node:
                     member, node = one.node.members.all[other.name], one.node
                     member.begin(other.node.start)
-                    member.offset = (one.clock() - (other.clock() - other.node.began), 30)
-                    member.address, member.state = other.address, "alive"
+                    member.offset = ClockOffset(
+                        one.clock() - (other.clock() - other.node.began), 30
+                    )
+                    member.address, member.state = other.address, MemberState.ALIVE
                     node.by_address[other.address] = other.name
         for one in self.instances.values():
-            one.node.members._count()
+            one.node.members.update_live()
             one.node.checking.set_proved(one.node.by_address)
 
     def live(self):
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -376,7 +376,7 @@
             self.assertLessEqual(len(node.probes), 32)
             self.assertTrue(
                 all(
-                    len(one.digests) <= 64 and len(one.accusers) <= 16
+                    len(one.digests) <= 64 and len(one.suspecters) <= 16
                     for one in node.members.all.values()
                 )
             )
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -26,7 +26,7 @@
 )
 from .dissemination_queue import DisseminationQueue
 from .keyring import SIGNATURE_SIZE
-from .membership import ALIVE, DEAD, SUSPECT, UNPROVED, Members
+from .membership import LIVE_STATES, ClockOffset, MemberInput, Members, MemberState
 from .rate_limits import SendLimits, SendPurpose, VerificationLimits
 from .suspicion import Belief
 
@@ -159,7 +159,7 @@
         if len(self.probes) >= OUT_MOST or nonce in self.probes:
             return
         member = self.members.all.get(name)
-        proved = member is not None and member.state in (ALIVE, SUSPECT)
+        proved = member is not None and member.state in LIVE_STATES
         items = (
             self.rumours.pick(len(self.members.live), ROOM, name) if proved and not asker else ()
         )
@@ -229,7 +229,7 @@
             member.frames.mark(frame.number)
         if type(frame.body) is Ping:
             # An answer to one that proved nothing carries no items: it is no longer than what it answers.
-            known = proved and source == member.address and member.state in (ALIVE, SUSPECT)
+            known = proved and source == member.address and member.state in LIVE_STATES
             bare = not known or frame.body.pad
             items = () if bare else self.rumours.pick(len(self.members.live), ROOM, member.name)
             # One that proved nothing gets one answer, no longer than what it sent, that asks it to do so.
@@ -295,7 +295,7 @@
             )
         self._proved(now, member, frame, probe.address, probe.at)
         if probe.period:
-            self.members.heal(-1)
+            self.members.change_health(-1)
         return True
 
     def _proved(self, now, member, frame, address, sent):
@@ -305,12 +305,12 @@
             member.begin(frame.start)
         # The origin's clock against ours, by the middle of the way there and back; the quickest answer counts.
         offset, rtt = (sent + now) // 2 - frame.at, now - sent
-        if member.offset is None or rtt <= member.offset[1]:
-            member.offset = offset, rtt
+        if member.offset is None or rtt <= member.offset.error:
+            member.offset = ClockOffset(offset, rtt)
         if member.address != address or self.by_address.get(address) != member.name:
             other = self.by_address.get(address)
             if other != member.name and other in self.members.all:  # another name lives there now
-                self.members.step(self.members.all[other], "replaced", now)
+                self.members.step(self.members.all[other], MemberInput.REPLACED, now)
                 self.members.all[other].address = None
             self.by_address.pop(member.address, None)
             member.address = address
@@ -318,7 +318,7 @@
             self.checking.set_proved(
                 [one.address for one in self.members.all.values() if one.address and one.start]
             )
-        self.members.step(member, "answered", now)
+        self.members.step(member, MemberInput.ANSWERED, now)
         mine = self.aside_of.pop(member.name, None)
         if mine:  # what waited for this proof
             waiting, self.aside = self.aside, [one for one in self.aside if one[1] != member.name]
@@ -368,7 +368,7 @@
         self.verified += 1
         if self.ring.holds(number, signed, signature):
             del self.probes[passed.nonce]
-            self.members.step(target, "answered", now)
+            self.members.step(target, MemberInput.ANSWERED, now)
 
     def _hinted(self, now, source, member, hints):
         if hints.asking:
@@ -387,7 +387,7 @@
         member = self.members.all.get(name)
         if (
             member
-            and member.state == UNPROVED
+            and member.state == MemberState.UNPROVED
             and address[0] in self.sources
             and member.address is None
         ):
@@ -397,7 +397,7 @@
     def _hints(self, most):
         return [
             (one.name, *one.address)
-            for one in self.members.some(min(most, codec.MAX_HINTS))
+            for one in self.members.sample(min(most, codec.MAX_HINTS))
             if one.address
         ]
 
@@ -413,7 +413,7 @@
         origin = self.members.all.get(item.origin)
         if origin is None or self.ring.owner(number, self.unix()) != item.origin:
             return "key"
-        if origin.start != item.start or origin.state not in (ALIVE, SUSPECT):
+        if origin.start != item.start or origin.state not in LIVE_STATES:
             return self._set_aside(now, origin, item, content)
         digest = blake2b(content, digest_size=8).digest()
         if origin.items.seen(item.number):
@@ -434,14 +434,14 @@
             return "lie"
         origin.items.mark(item.number)
         origin.remember(item.number, digest)
-        made = item.at + origin.offset[0]
-        if now - made > self.terms.hearsay.lapse or made - now > FUTURE + origin.offset[1]:
+        made = item.at + origin.offset.ticks
+        if now - made > self.terms.hearsay.lapse or made - now > FUTURE + origin.offset.error:
             return "lapsed"
         return self._heard(now, origin, item, number, content, made)
 
     def _set_aside(self, now, origin, item, content):
         """An origin that has not proved this start: its word waits, a short while, for that proof."""
-        if type(item.body) is Alive and origin.state == UNPROVED:
+        if type(item.body) is Alive and origin.state == MemberState.UNPROVED:
             self._learn(now, origin.name, (item.body.host, item.body.port))
         if (
             type(item.body) is Alive
@@ -462,19 +462,19 @@
         body, kind = item.body, type(item.body)
         about = kind.__name__
         if kind is Alive:
-            if body.incarnation > origin.incarnation or origin.state == ALIVE:
+            if body.incarnation > origin.incarnation or origin.state == MemberState.ALIVE:
                 origin.incarnation = max(origin.incarnation, body.incarnation)
                 if now - made < self.terms.probe_every:
-                    self.members.step(origin, "spoke", now)
+                    self.members.step(origin, MemberInput.SPOKE, now)
         elif kind is Left:
-            self.members.step(origin, "left", now)
+            self.members.step(origin, MemberInput.LEFT, now)
             self.belief.forget_origin(origin.name)
         elif kind is Suspect:
             about = "Accuse", body.subject
             if body.subject == self.name:
                 if body.start == self.start and body.incarnation >= self.incarnation:
                     self.incarnation = body.incarnation + 1
-                    self.members.heal(1)
+                    self.members.change_health(1)
                     self._say(now, Alive(*self.announced, self.incarnation), "alive")
             else:
                 subject = self.members.all.get(body.subject)
@@ -484,7 +484,7 @@
                     or body.incarnation < subject.incarnation
                 ):
                     return "lapsed"
-                self.members.accused(subject, self.ring.groups.get(origin.name, origin.name), now)
+                self.members.suspected(subject, self.ring.groups.get(origin.name, origin.name), now)
         else:
             about = "Claim", body.pod
             if not self.belief.heard(now, origin.name, body, made):
@@ -497,7 +497,7 @@
     def tick(self, now):
         """To be called every TICK. What stands still for a while doubts itself first."""
         if now - self.due > STALLED:
-            self.members.heal(2)
+            self.members.change_health(2)
             for (
                 probe
             ) in self.probes.values():  # their answers wait unread, or came while nobody looked
@@ -510,7 +510,7 @@
         if now >= self.push_at:
             self.push_at = now + self.terms.probe_every // PUSHES
             if self.rumours.has_fresh(len(self.members.live)):
-                for member in self.members.some(FANOUT):
+                for member in self.members.sample(FANOUT):
                     items = self.rumours.pick(len(self.members.live), ROOM, member.name)
                     if items:
                         self._send(
@@ -522,7 +522,7 @@
                 now + (self.terms.probe_every if self.learnt else HINTS_EVERY),
                 False,
             )
-            for member in self.members.some(1):
+            for member in self.members.sample(1):
                 self._send(
                     now, member.address, member.name, Hints(True, self._hints(8)), SendPurpose.PROVE
                 )
@@ -545,7 +545,7 @@
                     )
             elif probe.period and member and probe.asked == 0:
                 # Asked once more by itself, too: of lost datagrams most are lost on their own.
-                relays = self.members.some(self.terms.relays, (member.name,))
+                relays = self.members.sample(self.terms.relays, (member.name,))
                 self._send(
                     now, probe.address, member.name, Ping(probe.nonce, b""), SendPurpose.PROBE
                 )
@@ -564,17 +564,17 @@
                 continue
             if probe.period:
                 # Relays that say neither yes nor no: it is rather this instance that is cut off or slow.
-                self.members.heal(1 if probe.asked > 1 else 0)
-                self.members.step(member, "missed", now)
-                if member.state == SUSPECT and member.misses == ACCUSED_AFTER:
+                self.members.change_health(1 if probe.asked > 1 else 0)
+                self.members.step(member, MemberInput.MISSED, now)
+                if member.state == MemberState.SUSPECT and member.misses == ACCUSED_AFTER:
                     self._say(
                         now,
                         Suspect(member.name, member.start, member.incarnation),
                         ("Accuse", member.name),
                     )
-            elif member.state not in (ALIVE, SUSPECT):
-                self.members.step(member, "missed", now)
-        self.members.lapse(now)
+            elif member.state not in LIVE_STATES:
+                self.members.step(member, MemberInput.MISSED, now)
+        self.members.bury_overdue(now)
 
     def _second_end(self, now, probe):
         """The rest of the period is for the relays, or as long again where there is little left."""
@@ -610,8 +610,8 @@
             ),
         )
         for name, before, after in self.members.events:
-            self.said.append(("peer", {"peer": name, "before": before, "now": after}))
-            if after == DEAD:
+            self.said.append(("peer", {"peer": name, "before": before.value, "now": after.value}))
+            if after == MemberState.DEAD:
                 self.belief.forget_origin(name)
         self.members.events = []
 
@@ -621,7 +621,7 @@
 
     def _alive(self, name):
         member = self.members.all.get(name)
-        return member is not None and member.state in (ALIVE, SUSPECT)
+        return member is not None and member.state in LIVE_STATES
 
     def _consider(self, now):
         for pod, tried, failed in self.belief.to_tell(now):
@@ -655,6 +655,6 @@
         """Says goodbye to a few: the others hear of it."""
         self.gone = True
         self._say(now, Left(), "alive")
-        for member in self.members.some(4):
+        for member in self.members.sample(4):
             items = self.rumours.pick(len(self.members.live), ROOM, member.name)
             self._send(now, member.address, member.name, Push(), SendPurpose.ANSWER, items)
