--- a/Makefile
+++ b/Makefile
@@ -16,13 +16,15 @@
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
 TYPED = thymeknot/interface thymeknot/gang_scheduling \
 	thymeknot/gossip/codec.py \
+	thymeknot/gossip/credibility.py \
 	thymeknot/gossip/dissemination_queue.py \
 	thymeknot/gossip/keyring.py \
 	thymeknot/gossip/keys.py \
 	thymeknot/gossip/membership.py \
 	thymeknot/gossip/rate_limits.py \
 	thymeknot/gossip/replay_window.py \
-	thymeknot/gossip/settings.py
+	thymeknot/gossip/settings.py \
+	thymeknot/gossip/suspicion.py
 
 format: build-dev
 	.venv/bin/ruff check -q --select I --fix $(CHECKED)
--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -28,7 +28,7 @@
     world.begin()
     world.acquaint()
     for one in world.live():
-        one.node.belief.listed(PODS)
+        one.node.suspicions.set_endpoints(PODS)
     buried, reached, sent, lasts = [0], [], [], []
 
     def watch():
@@ -41,20 +41,21 @@
         teller, pod = f"n{(at * 7 + 3) % count}", PODS[at]
         node = world.instances[teller].node
         for _ in range(8):
-            node.belief.ended(world.instances[teller].clock(), pod.pod, True)
+            node.suspicions.record_attempt(world.instances[teller].clock(), pod.id, True)
         begin, before = world.now, world.sent
         last = [None]
 
         def heard(pod=pod, teller=teller, last=last):
             if last[0] is None and all(
-                teller in one.node.belief.claims.get(pod, {}) or one.name == teller
+                teller in one.node.suspicions.words.get(pod, {}) or one.name == teller
                 for one in world.live()
             ):
                 last[0] = world.now
 
         world.run(span // 3, lambda heard=heard: (heard(), watch()), SECOND // 5)
         reached.append(
-            sum(teller in one.node.belief.claims.get(pod, {}) for one in world.live()) / (count - 1)
+            sum(teller in one.node.suspicions.words.get(pod, {}) for one in world.live())
+            / (count - 1)
         )
         lasts.append((last[0] - begin) / SECOND if last[0] else None)
         sent.append((world.sent - before) / count / (span / 3 / SECOND))
@@ -83,19 +84,19 @@
     world.begin()
     memory, minute = [], 60 * SECOND
     for one in world.live():
-        one.node.belief.listed(PODS)
+        one.node.suspicions.set_endpoints(PODS)
     for at in range(span // minute):
         victim = world.instances[f"n{at % 8}"]
         victim.kill()
         world.run(SECOND)
         victim.begin([one.address for one in world.live()][:2])
-        victim.node.belief.listed(PODS)
+        victim.node.suspicions.set_endpoints(PODS)
 
         def traffic(at=at, since=world.now):
             nonlocal buried
             for one in world.live():
                 for pod in range(3):
-                    one.node.belief.ended(one.clock(), PODS[pod].pod, pod == at % 3)
+                    one.node.suspicions.record_attempt(one.clock(), PODS[pod].id, pod == at % 3)
                 one.node.doubts.clear()
                 one.node.said.clear()
                 buried += sum(
--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -19,8 +19,8 @@
 from thymeknot.gossip.codec import Frame, Ping
 from thymeknot.gossip.keyring import AllowedNetworks, Keyring, new_identity
 from thymeknot.gossip.node import TICK, GossipNode
+from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.gossip.settings import Peer, PeerKey
-from thymeknot.gossip.suspicion import Pod
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 HONEST, HOSTILE = ("n0", "n1", "n2", "n3"), "n4"
@@ -201,7 +201,9 @@
     hostile = None
     try:
         healthy = [
-            Pod(f"s-{at}", pod.address, 41, 0) for at, pod in enumerate(fleet.pods) if at != 5
+            EndpointKey(f"s-{at}", pod.address, 41, 0)
+            for at, pod in enumerate(fleet.pods)
+            if at != 5
         ]
         hostile = HostilePeer(fleet, healthy)
         hostile.start()
--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -4,7 +4,7 @@
 
 from thymeknot.gossip import codec
 from thymeknot.gossip.codec import Alive, Evidence, Frame, Hints, Item, Left, Push, Suspect
-from thymeknot.gossip.suspicion import Pod
+from thymeknot.gossip.own_experience import EndpointKey
 
 KEPT = 200  # datagrams it heard, to be sent again
 
@@ -117,4 +117,4 @@
 
 
 def pods_of(count, build=1):
-    return [Pod(f"s-{at}", "", build, 0) for at in range(count)]
+    return [EndpointKey(f"s-{at}", "", build, 0) for at in range(count)]
--- a/measure/shop.py
+++ b/measure/shop.py
@@ -6,7 +6,7 @@
 
 from measure.hostile import Liar
 from measure.world import TERMS, World
-from thymeknot.gossip.suspicion import Pod
+from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.interface.actions import SendAttempt, SetTimer
 from thymeknot.interface.enums import (
     DeduplicationScope,
@@ -83,7 +83,7 @@
             Endpoint(f"s-{at}", "a", 1.0, 0, EndpointCondition.READY, 0, "m", 1)
             for at in range(pods)
         ]
-        self.said = [Pod(pod.address, "", 1, 0) for pod in self.pods]
+        self.said = [EndpointKey(pod.address, "", 1, 0) for pod in self.pods]
         self.balancers, self.counts, self.numbers = {}, {}, 0
         for instance in self.world.instances.values():
             instance.terms = terms
@@ -93,7 +93,7 @@
         self.liars = {
             name: Liar(
                 self.world.instances[name].node,
-                [one for one in self.said if one.pod not in ill],
+                [one for one in self.said if one.id not in ill],
                 spoil=False,
             )
             for name in liars
@@ -113,7 +113,7 @@
                 ),
             )
             if gossip:
-                self.world.instances[name].node.belief.listed(self.said)
+                self.world.instances[name].node.suspicions.set_endpoints(self.said)
             self._next(name)
         self.world.at(self.world.now + SECOND, self._lie)
 
@@ -155,7 +155,9 @@
         if node is not None and node.doubts:
             doubts, node.doubts = node.doubts, []
             events = [
-                SuspicionReported(one.pod.pod, one.pod.build, one.pod.started, one.until)
+                SuspicionReported(
+                    one.endpoint.id, one.endpoint.build, one.endpoint.started, one.until
+                )
                 for one in doubts
             ]
         self._act(name, self.balancers[name].handle(now, [*events, event]))
@@ -187,7 +189,9 @@
         counts["done"] += not failed
         node = self.world.instances[name].node
         if node is not None:
-            node.belief.ended(self.world.instances[name].clock(), action.endpoint, failed)
+            node.suspicions.record_attempt(
+                self.world.instances[name].clock(), action.endpoint, failed
+            )
         self._tell(
             name,
             AttemptEnded(
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -14,7 +14,7 @@
     made = World([f"n{at}" for at in range(count)], seed, **more)
     made.begin()
     for one in made.live():
-        one.node.belief.listed(PODS)
+        one.node.suspicions.set_endpoints(PODS)
     return made
 
 
@@ -28,13 +28,13 @@
     found = [(one.name, doubt) for one in made.live() for doubt in one.node.doubts]
     for one in made.live():
         one.node.doubts = []
-    return [(name, doubt.pod.pod) for name, doubt in found if doubt.until > made.now]
+    return [(name, doubt.endpoint.id) for name, doubt in found if doubt.until > made.now]
 
 
 def deliver(made, name, pod, tried, failed):
     node = made.instances[name].node
     for number in range(tried):
-        node.belief.ended(made.instances[name].clock(), pod, number < failed)
+        node.suspicions.record_attempt(made.instances[name].clock(), pod, number < failed)
 
 
 def with_liar(made, name="n4", pods=PODS):
@@ -104,7 +104,7 @@
             one.ahead = at * 5 * SECOND
         made.begin()
         for one in made.live():
-            one.node.belief.listed(PODS)
+            one.node.suspicions.set_endpoints(PODS)
         made.run(20 * SECOND)
         self.all_alive(made)
         for name in ("n1", "n2", "n3", "n4"):
@@ -163,7 +163,7 @@
         made.run(90 * SECOND, round_of_lies)
         self.assertEqual(wrong, [])
         self.assertLess(
-            made.instances["n0"].node.belief.trust("n4"), 0.05
+            made.instances["n0"].node.suspicions.credibility.of("n4"), 0.05
         )  # two tongues were heard
         for kind in ("sender", "signature", "form", "recipient", "version"):
             self.assertTrue(any(one.node.dropped[kind] for one in made.live()), kind)
@@ -208,7 +208,7 @@
 
         made.run(6 * SECOND, traffic)
         self.assertNotIn(("n0", "s-6"), found)
-        self.assertLess(made.instances["n0"].node.belief.trust("n1"), 0.2)
+        self.assertLess(made.instances["n0"].node.suspicions.credibility.of("n1"), 0.2)
 
     def test_names_of_one_group_are_one_witness(self):
         made = settled(6, groups={"n2": "rack", "n3": "rack", "n4": "rack", "n5": "rack"})
@@ -232,14 +232,14 @@
         made = settled(6)
         for name in ("n1", "n2", "n3", "n4", "n5"):
             for pod in PODS:
-                deliver(made, name, pod.pod, 6, 4)
+                deliver(made, name, pod.id, 6, 4)
         made.run(5 * SECOND)
         self.assertEqual(doubts(made), [])
 
     def test_one_that_came_back_is_another_pod(self):
         made = settled(6)
-        back = [pod._replace(started=777) if pod.pod == "s-6" else pod for pod in PODS]
-        made.instances["n0"].node.belief.listed(back)
+        back = [pod._replace(started=777) if pod.id == "s-6" else pod for pod in PODS]
+        made.instances["n0"].node.suspicions.set_endpoints(back)
         for name in ("n1", "n2", "n3", "n4"):
             deliver(made, name, "s-6", 8, 8)
         made.run(5 * SECOND)
@@ -251,12 +251,12 @@
             deliver(made, name, "s-1", 10, 10)
         made.run(3 * SECOND)
         node = made.instances["n0"].node
-        claimed = {origin for words in node.belief.claims.values() for origin in words}
+        claimed = {origin for words in node.suspicions.words.values() for origin in words}
         self.assertEqual(claimed, {"n2", "n3", "n4"})
         made.ring.revoked = {"n4"}
         node.rekey(made.ring, made.instances["n0"].clock())
         self.assertEqual(
-            {origin for words in node.belief.claims.values() for origin in words}, {"n2", "n3"}
+            {origin for words in node.suspicions.words.values() for origin in words}, {"n2", "n3"}
         )
         self.assertNotIn("n4", node.members.all)
         doubts(made)
@@ -280,13 +280,13 @@
             other.kill()
         victim.kill()
         victim.begin([])
-        victim.node.belief.listed(PODS)
+        victim.node.suspicions.set_endpoints(PODS)
         captured = list(heard)
         made.run(
             30 * SECOND, lambda: [victim.received(source, content) for source, content in captured]
         )
         self.assertEqual({one.state for one in victim.node.members.all.values()}, {"unproved"})
-        self.assertEqual(victim.node.belief.claims, {})
+        self.assertEqual(victim.node.suspicions.words, {})
         self.assertEqual(victim.node.doubts, [])
 
 
@@ -365,13 +365,13 @@
         made = settled()
         many = pods_of(400)
         for one in made.live():
-            one.node.belief.listed(many)
+            one.node.suspicions.set_endpoints(many)
         lie = with_liar(made, pods=many)
         made.run(20 * SECOND, lie)
         for name in ("n0", "n1", "n2", "n3"):
             node = made.instances[name].node
             self.assertLessEqual(node.rumours.count_by_origin.get("n4", 0), 32)
-            self.assertLessEqual(sum("n4" in words for words in node.belief.claims.values()), 16)
+            self.assertLessEqual(sum("n4" in words for words in node.suspicions.words.values()), 16)
             self.assertLessEqual(len(node.aside), 256)
             self.assertLessEqual(len(node.probes), 32)
             self.assertTrue(
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -19,9 +19,9 @@
     new_identity,
     read_identity,
 )
+from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.gossip.replay_window import ReplayWindow
 from thymeknot.gossip.settings import Peer, PeerKey
-from thymeknot.gossip.suspicion import Pod
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.events import SuspicionReported
 
@@ -131,8 +131,8 @@
         self.assertEqual(NODE.members.all["n1"].state, "alive")
 
     def test_items_count_for_their_origin_alone(self):
-        claim, pod = Evidence("s-1", "", 1, 0, 9, 9), Pod("s-1", "", 1, 0)
-        NODE.belief.listed([pod])
+        claim, pod = Evidence("s-1", "", 1, 0, 9, 9), EndpointKey("s-1", "", 1, 0)
+        NODE.suspicions.set_endpoints([pod])
         signed = item_of(claim)  # its last byte is zero in one of sixteen: it is turned, not set
         for kind, item in (
             ("key", item_of(claim, origin="n2")),
@@ -147,10 +147,10 @@
         ):
             WORLD.now += SECOND // 10
             self.assertEqual(dropped(frame_of(items=[item])), kind)
-        self.assertEqual(NODE.belief.claims, {})
+        self.assertEqual(NODE.suspicions.words, {})
         self.assertIsNone(dropped(frame_of(items=[item_of(claim)])))
-        self.assertEqual(set(NODE.belief.claims[pod]), {"n1"})
-        NODE.belief.listed([])
+        self.assertEqual(set(NODE.suspicions.words[pod]), {"n1"})
+        NODE.suspicions.set_endpoints([])
 
     def test_an_instance_called_dead_says_that_it_lives(self):
         before = NODE.incarnation
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -28,7 +28,7 @@
 from .keyring import SIGNATURE_SIZE
 from .membership import LIVE_STATES, ClockOffset, MemberInput, Members, MemberState
 from .rate_limits import SendLimits, SendPurpose, VerificationLimits
-from .suspicion import Belief
+from .suspicion import SuspicionDetector
 
 TICK = TICKS_PER_SECOND // 10
 PUSHES = 5  # rounds of rumours in a period
@@ -103,7 +103,9 @@
         self.sending = SendLimits(terms.ceiling, now)
         self.checking = VerificationLimits(terms.verifications, start, now)
         self.rumours = DisseminationQueue(chance, terms.hearsay.lapse)
-        self.belief = Belief(terms.hearsay, lambda name: self.ring.groups.get(name, name))
+        self.suspicions = SuspicionDetector(
+            terms.hearsay, lambda name: self.ring.groups.get(name, name)
+        )
         self.probes, self.aside, self.aside_of = {}, [], {}
         self.by_address, self.out, self.doubts, self.said = {}, [], [], []
         self.dropped = dict.fromkeys(COUNTED, 0)
@@ -301,7 +303,7 @@
     def _proved(self, now, member, frame, address, sent):
         if member.start != frame.start:
             if member.start is not None:
-                self.belief.forget_origin(member.name)
+                self.suspicions.forget_origin(member.name)
             member.begin(frame.start)
         # The origin's clock against ours, by the middle of the way there and back; the quickest answer counts.
         offset, rtt = (sent + now) // 2 - frame.at, now - sent
@@ -429,7 +431,7 @@
         if origin.items.seen(
             item.number
         ):  # another content under the same number, and the origin's own signature
-            self.belief.caught(origin.name)
+            self.suspicions.discredit(origin.name)
             self.said.append(("two tongues", {"peer": origin.name}))
             return "lie"
         origin.items.mark(item.number)
@@ -468,7 +470,7 @@
                     self.members.step(origin, MemberInput.SPOKE, now)
         elif kind is Left:
             self.members.step(origin, MemberInput.LEFT, now)
-            self.belief.forget_origin(origin.name)
+            self.suspicions.forget_origin(origin.name)
         elif kind is Suspect:
             about = "Accuse", body.subject
             if body.subject == self.name:
@@ -487,7 +489,7 @@
                 self.members.suspected(subject, self.ring.groups.get(origin.name, origin.name), now)
         else:
             about = "Claim", body.pod
-            if not self.belief.heard(now, origin.name, body, made):
+            if not self.suspicions.add_evidence(now, origin.name, body, made):
                 return "lapsed"
         self.rumours.add(item, number, content, made, about)
         return None
@@ -612,7 +614,7 @@
         for name, before, after in self.members.events:
             self.said.append(("peer", {"peer": name, "before": before.value, "now": after.value}))
             if after == MemberState.DEAD:
-                self.belief.forget_origin(name)
+                self.suspicions.forget_origin(name)
         self.members.events = []
 
     def _stands(self, rumour):
@@ -624,9 +626,9 @@
         return member is not None and member.state in LIVE_STATES
 
     def _consider(self, now):
-        for pod, tried, failed in self.belief.to_tell(now):
-            self._say(now, Evidence(*pod, tried, failed), ("Claim", pod.pod))
-        self.doubts += self.belief.decide(now, self._alive)
+        for key, counts in self.suspicions.evidence_to_send(now):
+            self._say(now, Evidence(*key, *counts), ("Claim", key.id))
+        self.doubts += self.suspicions.update(now, self._alive)
 
     # From the sidecar.
 
@@ -636,14 +638,14 @@
         self.ring = ring
         held = ring.held(unix)
         for name in [one.name for one in self.members.all.values() if one.name not in held]:
-            self.belief.forget_origin(name)
+            self.suspicions.forget_origin(name)
         gone = {
             one.origin
             for one in self.rumours.items.values()
             if ring.owner(one.key_id, unix) != one.origin
         }
         for name in gone:
-            self.belief.forget_origin(name)
+            self.suspicions.forget_origin(name)
         self.rumours.prune(now, lambda one: ring.owner(one.key_id, unix) == one.origin)
         self.members.rekey([name for name in held if name != self.name])
         self.by_address = {
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -16,7 +16,7 @@
 from . import keyring as identities
 from . import settings as t
 from .node import TICK, GossipNode
-from .suspicion import Pod
+from .own_experience import EndpointKey
 
 READ_AT_ONCE = 24  # datagrams a round; what stays comes in the next one
 READ_BUFFER = 1 << 20  # asked of the system, so that a flood leaves room between two rounds
@@ -119,17 +119,17 @@
             for doubt in doubts:
                 structured_log.log(
                     "doubt",
-                    pod=doubt.pod.pod,
-                    build=doubt.pod.build,
+                    pod=doubt.endpoint.id,
+                    build=doubt.endpoint.build,
                     span=(doubt.until - self.clock()) / 10_000,
                 )
             epoch = self.proxy.epoch
             self.proxy.tell(
                 *(
                     SuspicionReported(
-                        one.pod.pod,
-                        one.pod.build,
-                        one.pod.started - epoch if one.pod.started else 0,
+                        one.endpoint.id,
+                        one.endpoint.build,
+                        one.endpoint.started - epoch if one.endpoint.started else 0,
                         one.until,
                     )
                     for one in doubts
@@ -183,11 +183,13 @@
         """An end of an attempt, where it says something of the pod: not what was recalled or turned away, nor a
         time-out that only the client's short patience made."""
         if outcome == Outcome.DONE or outcome in FAILED:
-            self.node.belief.ended(self.clock(), attempt.pod.address, outcome != Outcome.DONE)
+            self.node.suspicions.record_attempt(
+                self.clock(), attempt.pod.address, outcome != Outcome.DONE
+            )
         elif outcome == Outcome.TIMED_OUT:
             lane = self.proxy.settings.request_classes[attempt.held.command.request_class]
             if attempt.ends - attempt.at >= 0.99 * lane.latency_objective:
-                self.node.belief.ended(self.clock(), attempt.pod.address, True)
+                self.node.suspicions.record_attempt(self.clock(), attempt.pod.address, True)
 
     def listed(self):
         ready = [
@@ -195,9 +197,9 @@
         ]
         places = self.proxy.addresses if self.terms.hearsay.match_address else {}
         # A pod's start is told in Unix time: each instance counts from a start of its own.
-        self.node.belief.listed(
+        self.node.suspicions.set_endpoints(
             [
-                Pod(
+                EndpointKey(
                     pod.address,
                     str(places.get(pod.address, "")),
                     max(0, pod.build),
