--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -10,11 +10,25 @@
 
 from ..interface.clock import TICKS_PER_SECOND
 from . import codec
-from .codec import Accuse, Ack, Alive, Ask, Claim, Frame, Hints, Item, Left, Passed, Ping, Push
-from .dissemination_queue import Rumours
-from .membership import ALIVE, DEAD, SUSPECT, UNPROVED, Members
-from .rate_limits import Checking, Sending
-from .suspicion import Belief
+from .codec import (
+    Ack,
+    Alive,
+    Evidence,
+    Frame,
+    Hints,
+    IndirectAck,
+    IndirectPing,
+    Item,
+    Left,
+    Ping,
+    Push,
+    Suspect,
+)
+from .dissemination_queue import DisseminationQueue
+from .keyring import SIGNATURE_SIZE
+from .membership import LIVE_STATES, ClockOffset, MemberInput, Members, MemberState
+from .rate_limits import SendLimits, SendPurpose, VerificationLimits
+from .suspicion import SuspicionDetector
 
 TICK = TICKS_PER_SECOND // 10
 PUSHES = 5  # rounds of rumours in a period
@@ -86,10 +100,12 @@
             0,
         )
         self.members = Members([name for name in ring.groups if name != self.name], terms, chance)
-        self.sending = Sending(terms.ceiling, now)
-        self.checking = Checking(terms.verifications, start, now)
-        self.rumours = Rumours(chance, terms.hearsay.lapse)
-        self.belief = Belief(terms.hearsay, lambda name: self.ring.groups.get(name, name))
+        self.sending = SendLimits(terms.ceiling, now)
+        self.checking = VerificationLimits(terms.verifications, start, now)
+        self.rumours = DisseminationQueue(chance, terms.hearsay.lapse)
+        self.suspicions = SuspicionDetector(
+            terms.hearsay, lambda name: self.ring.groups.get(name, name)
+        )
         self.probes, self.aside, self.aside_of = {}, [], {}
         self.by_address, self.out, self.doubts, self.said = {}, [], [], []
         self.dropped = dict.fromkeys(COUNTED, 0)
@@ -107,12 +123,12 @@
 
     # What goes out.
 
-    def _send(self, now, address, to, body, kind, items=(), most=codec.MOST):
+    def _send(self, now, address, to, body, kind, items=(), most=codec.MAX_DATAGRAM):
         """Whether it went out: within the ceilings, and no longer than `most` bytes."""
         self.number += 1
         frame = Frame(self.name, to, self.start, self.number, now - self.began, body, list(items))
         unsigned = codec.frame_bytes(frame, self.identity.key_id)
-        size = len(unsigned) + codec.SIGNATURE
+        size = len(unsigned) + SIGNATURE_SIZE
         if size > most or not self.sending.may(now, size, kind):
             return False
         self.sent_bytes += size
@@ -129,7 +145,15 @@
         )
 
     def _probe(
-        self, now, address, name, kind, asker=None, period=False, nonce=None, most=codec.MOST
+        self,
+        now,
+        address,
+        name,
+        kind,
+        asker=None,
+        period=False,
+        nonce=None,
+        most=codec.MAX_DATAGRAM,
     ):
         """A ping with a nonce. With padding it asks for a bare answer: from one that proved nothing, which may not
         answer with more than it was sent, or for another, to whom the answer is passed on whole."""
@@ -137,12 +161,12 @@
         if len(self.probes) >= OUT_MOST or nonce in self.probes:
             return
         member = self.members.all.get(name)
-        proved = member is not None and member.state in (ALIVE, SUSPECT)
+        proved = member is not None and member.state in LIVE_STATES
         items = (
             self.rumours.pick(len(self.members.live), ROOM, name) if proved and not asker else ()
         )
         wait = self.terms.probe_timeout * (1 + self.members.health)
-        ping = Ping(nonce, bytes(codec.PADDING) if not proved else b"\0" if asker else b"")
+        ping = Ping(nonce, bytes(codec.PING_PADDING) if not proved else b"\0" if asker else b"")
         if self._send(now, address, name or "", ping, kind, items, most):
             self.probes[nonce] = Probe(nonce, name, address, now, now + wait, asker, period)
 
@@ -157,7 +181,7 @@
             self.dropped[wrong] += 1
 
     def _take(self, now, source, datagram):
-        if not codec.LEAST <= len(datagram) <= codec.MOST:
+        if not codec.MIN_DATAGRAM <= len(datagram) <= codec.MAX_DATAGRAM:
             return "size"
         if datagram[0] != codec.VERSION:
             return "version"
@@ -167,11 +191,11 @@
         sender = self.ring.owner(number, self.unix())
         if sender is None or sender == self.name:
             return "key"
-        lane = self.checking.lane(source)
+        lane = self.checking.bucket_of(source)
         if not lane.holds(now) and not any(nonce in datagram for nonce in self.probes):
             return "budget"
         read = codec.read_frame(datagram)
-        if isinstance(read, str):
+        if isinstance(read, codec.DropReason):
             return read
         _, frame, signed, signature = read
         if frame.sender != sender or sender not in self.members.all:
@@ -187,7 +211,7 @@
         if not proved and not asks and answers is None:
             if now - member.told_at >= self.terms.probe_every:  # a ping finds out who that is
                 member.told_at = now
-                self._probe(now, source, sender, "prove", most=len(datagram))
+                self._probe(now, source, sender, SendPurpose.PROVE, most=len(datagram))
             return "unproved"
         # What an awaited nonce brings in is checked whatever others have used up.
         if answers is None and not (lane.take(now) and self.checking.total.take(now)):
@@ -207,7 +231,7 @@
             member.frames.mark(frame.number)
         if type(frame.body) is Ping:
             # An answer to one that proved nothing carries no items: it is no longer than what it answers.
-            known = proved and source == member.address and member.state in (ALIVE, SUSPECT)
+            known = proved and source == member.address and member.state in LIVE_STATES
             bare = not known or frame.body.pad
             items = () if bare else self.rumours.pick(len(self.members.live), ROOM, member.name)
             # One that proved nothing gets one answer, no longer than what it sent, that asks it to do so.
@@ -222,9 +246,9 @@
                     source,
                     member.name,
                     Ack(frame.body.nonce, back),
-                    "answer",
+                    SendPurpose.ANSWER,
                     items,
-                    codec.MOST if known else len(datagram),
+                    codec.MAX_DATAGRAM if known else len(datagram),
                 )
                 and back
                 and len(self.probes) < OUT_MOST
@@ -236,9 +260,9 @@
         if not proved:
             return None
         body = type(frame.body)
-        if body is Ask:
+        if body is IndirectPing:
             self._asked(now, member, frame.body)
-        elif body is Passed:
+        elif body is IndirectAck:
             self._passed(now, member, frame.body)
         elif body is Hints:
             self._hinted(now, source, member, frame.body)
@@ -255,7 +279,12 @@
         del self.probes[probe.nonce]
         if frame.body.back:
             self._send(
-                now, source, member.name, Ack(frame.body.back, None), "answer", most=len(datagram)
+                now,
+                source,
+                member.name,
+                Ack(frame.body.back, None),
+                SendPurpose.ANSWER,
+                most=len(datagram),
             )
         asker = self.members.all.get(probe.asker)
         if asker and asker.address:
@@ -263,35 +292,35 @@
                 now,
                 asker.address,
                 asker.name,
-                Passed(probe.nonce, datagram[: codec.PASSED_MOST]),
-                "answer",
+                IndirectAck(probe.nonce, datagram[: codec.MAX_INDIRECT_ANSWER]),
+                SendPurpose.ANSWER,
             )
         self._proved(now, member, frame, probe.address, probe.at)
         if probe.period:
-            self.members.heal(-1)
+            self.members.change_health(-1)
         return True
 
     def _proved(self, now, member, frame, address, sent):
         if member.start != frame.start:
             if member.start is not None:
-                self.belief.forget_origin(member.name)
+                self.suspicions.forget_origin(member.name)
             member.begin(frame.start)
         # The origin's clock against ours, by the middle of the way there and back; the quickest answer counts.
         offset, rtt = (sent + now) // 2 - frame.at, now - sent
-        if member.offset is None or rtt <= member.offset[1]:
-            member.offset = offset, rtt
+        if member.offset is None or rtt <= member.offset.error:
+            member.offset = ClockOffset(offset, rtt)
         if member.address != address or self.by_address.get(address) != member.name:
             other = self.by_address.get(address)
             if other != member.name and other in self.members.all:  # another name lives there now
-                self.members.step(self.members.all[other], "replaced", now)
+                self.members.step(self.members.all[other], MemberInput.REPLACED, now)
                 self.members.all[other].address = None
             self.by_address.pop(member.address, None)
             member.address = address
             self.by_address[address] = member.name
-            self.checking.proved(
+            self.checking.set_proved(
                 [one.address for one in self.members.all.values() if one.address and one.start]
             )
-        self.members.step(member, "answered", now)
+        self.members.step(member, MemberInput.ANSWERED, now)
         mine = self.aside_of.pop(member.name, None)
         if mine:  # what waited for this proof
             waiting, self.aside = self.aside, [one for one in self.aside if one[1] != member.name]
@@ -305,7 +334,12 @@
         target = self.members.all.get(ask.target)
         if target is not None and ask.host in self.sources:
             self._probe(
-                now, (ask.host, ask.port), ask.target, "prove", member.name, nonce=ask.nonce
+                now,
+                (ask.host, ask.port),
+                ask.target,
+                SendPurpose.PROVE,
+                member.name,
+                nonce=ask.nonce,
             )
 
     def _passed(self, now, member, passed):
@@ -318,7 +352,7 @@
         if passed.answer is None:
             return
         read = codec.read_frame(passed.answer)
-        if isinstance(read, str):
+        if isinstance(read, codec.DropReason):
             return
         number, frame, signed, signature = read
         target = self.members.all.get(probe.name)
@@ -336,12 +370,16 @@
         self.verified += 1
         if self.ring.holds(number, signed, signature):
             del self.probes[passed.nonce]
-            self.members.step(target, "answered", now)
+            self.members.step(target, MemberInput.ANSWERED, now)
 
     def _hinted(self, now, source, member, hints):
         if hints.asking:
             self._send(
-                now, source, member.name, Hints(False, self._hints(len(hints.peers) + 8)), "prove"
+                now,
+                source,
+                member.name,
+                Hints(False, self._hints(len(hints.peers) + 8)),
+                SendPurpose.PROVE,
             )
         for name, host, port in hints.peers:
             self._learn(now, name, (host, port))
@@ -351,7 +389,7 @@
         member = self.members.all.get(name)
         if (
             member
-            and member.state == UNPROVED
+            and member.state == MemberState.UNPROVED
             and address[0] in self.sources
             and member.address is None
         ):
@@ -361,7 +399,7 @@
     def _hints(self, most):
         return [
             (one.name, *one.address)
-            for one in self.members.some(min(most, codec.HINTS_MOST))
+            for one in self.members.sample(min(most, codec.MAX_HINTS))
             if one.address
         ]
 
@@ -369,7 +407,7 @@
 
     def _item(self, now, bringer, content):
         read = codec.read_item(content)
-        if isinstance(read, str):
+        if isinstance(read, codec.DropReason):
             return read
         number, item, signed, signature = read
         if item.origin == self.name:
@@ -377,7 +415,7 @@
         origin = self.members.all.get(item.origin)
         if origin is None or self.ring.owner(number, self.unix()) != item.origin:
             return "key"
-        if origin.start != item.start or origin.state not in (ALIVE, SUSPECT):
+        if origin.start != item.start or origin.state not in LIVE_STATES:
             return self._set_aside(now, origin, item, content)
         digest = blake2b(content, digest_size=8).digest()
         if origin.items.seen(item.number):
@@ -393,19 +431,19 @@
         if origin.items.seen(
             item.number
         ):  # another content under the same number, and the origin's own signature
-            self.belief.caught(origin.name)
+            self.suspicions.discredit(origin.name)
             self.said.append(("equivocation detected", {"peer": origin.name}))
             return "lie"
         origin.items.mark(item.number)
         origin.remember(item.number, digest)
-        made = item.at + origin.offset[0]
-        if now - made > self.terms.hearsay.lapse or made - now > FUTURE + origin.offset[1]:
+        made = item.at + origin.offset.ticks
+        if now - made > self.terms.hearsay.lapse or made - now > FUTURE + origin.offset.error:
             return "lapsed"
         return self._heard(now, origin, item, number, content, made)
 
     def _set_aside(self, now, origin, item, content):
         """An origin that has not proved this start: its word waits, a short while, for that proof."""
-        if type(item.body) is Alive and origin.state == UNPROVED:
+        if type(item.body) is Alive and origin.state == MemberState.UNPROVED:
             self._learn(now, origin.name, (item.body.host, item.body.port))
         if (
             type(item.body) is Alive
@@ -419,26 +457,26 @@
         self.aside.append((now, origin.name, content))
         if now - origin.looked >= self.terms.probe_every:
             origin.looked = now
-            self._probe(now, origin.address, origin.name, "prove")
+            self._probe(now, origin.address, origin.name, SendPurpose.PROVE)
         return None
 
     def _heard(self, now, origin, item, number, content, made):
         body, kind = item.body, type(item.body)
         about = kind.__name__
         if kind is Alive:
-            if body.incarnation > origin.incarnation or origin.state == ALIVE:
+            if body.incarnation > origin.incarnation or origin.state == MemberState.ALIVE:
                 origin.incarnation = max(origin.incarnation, body.incarnation)
                 if now - made < self.terms.probe_every:
-                    self.members.step(origin, "spoke", now)
+                    self.members.step(origin, MemberInput.SPOKE, now)
         elif kind is Left:
-            self.members.step(origin, "left", now)
-            self.belief.forget_origin(origin.name)
-        elif kind is Accuse:
+            self.members.step(origin, MemberInput.LEFT, now)
+            self.suspicions.forget_origin(origin.name)
+        elif kind is Suspect:
             about = "Accuse", body.subject
             if body.subject == self.name:
                 if body.start == self.start and body.incarnation >= self.incarnation:
                     self.incarnation = body.incarnation + 1
-                    self.members.heal(1)
+                    self.members.change_health(1)
                     self._say(now, Alive(*self.announced, self.incarnation), "alive")
             else:
                 subject = self.members.all.get(body.subject)
@@ -448,10 +486,10 @@
                     or body.incarnation < subject.incarnation
                 ):
                     return "lapsed"
-                self.members.accused(subject, self.ring.groups.get(origin.name, origin.name), now)
+                self.members.suspected(subject, self.ring.groups.get(origin.name, origin.name), now)
         else:
             about = "Claim", body.pod
-            if not self.belief.heard(now, origin.name, body, made):
+            if not self.suspicions.add_evidence(now, origin.name, body, made):
                 return "lapsed"
         self.rumours.add(item, number, content, made, about)
         return None
@@ -461,7 +499,7 @@
     def tick(self, now):
         """To be called every TICK. What stands still for a while doubts itself first."""
         if now - self.due > STALLED:
-            self.members.heal(2)
+            self.members.change_health(2)
             for (
                 probe
             ) in self.probes.values():  # their answers wait unread, or came while nobody looked
@@ -473,19 +511,23 @@
             self._period(now)
         if now >= self.push_at:
             self.push_at = now + self.terms.probe_every // PUSHES
-            if self.rumours.fresh(len(self.members.live)):
-                for member in self.members.some(FANOUT):
+            if self.rumours.has_fresh(len(self.members.live)):
+                for member in self.members.sample(FANOUT):
                     items = self.rumours.pick(len(self.members.live), ROOM, member.name)
                     if items:
-                        self._send(now, member.address, member.name, Push(), "rumour", items)
+                        self._send(
+                            now, member.address, member.name, Push(), SendPurpose.UPDATES, items
+                        )
         if now >= self.hints_at:
             # One that still hears of new names asks on.
             self.hints_at, self.learnt = (
                 now + (self.terms.probe_every if self.learnt else HINTS_EVERY),
                 False,
             )
-            for member in self.members.some(1):
-                self._send(now, member.address, member.name, Hints(True, self._hints(8)), "prove")
+            for member in self.members.sample(1):
+                self._send(
+                    now, member.address, member.name, Hints(True, self._hints(8)), SendPurpose.PROVE
+                )
         if now >= self.decide_at:
             self.decide_at = now + self.terms.probe_every // 2
             self._consider(now)
@@ -496,18 +538,26 @@
             if probe.asker:
                 asker = self.members.all.get(probe.asker)
                 if asker and asker.address:
-                    self._send(now, asker.address, asker.name, Passed(probe.nonce, None), "answer")
+                    self._send(
+                        now,
+                        asker.address,
+                        asker.name,
+                        IndirectAck(probe.nonce, None),
+                        SendPurpose.ANSWER,
+                    )
             elif probe.period and member and probe.asked == 0:
                 # Asked once more by itself, too: of lost datagrams most are lost on their own.
-                relays = self.members.some(self.terms.relays, (member.name,))
-                self._send(now, probe.address, member.name, Ping(probe.nonce, b""), "probe")
+                relays = self.members.sample(self.terms.relays, (member.name,))
+                self._send(
+                    now, probe.address, member.name, Ping(probe.nonce, b""), SendPurpose.PROBE
+                )
                 for relay in relays:
                     self._send(
                         now,
                         relay.address,
                         relay.name,
-                        Ask(probe.nonce, member.name, *probe.address),
-                        "probe",
+                        IndirectPing(probe.nonce, member.name, *probe.address),
+                        SendPurpose.PROBE,
                     )
                 probe.asked, probe.ends = len(relays) + 1, self._second_end(now, probe)
                 continue
@@ -516,17 +566,17 @@
                 continue
             if probe.period:
                 # Relays that say neither yes nor no: it is rather this instance that is cut off or slow.
-                self.members.heal(1 if probe.asked > 1 else 0)
-                self.members.step(member, "missed", now)
-                if member.state == SUSPECT and member.misses == ACCUSED_AFTER:
+                self.members.change_health(1 if probe.asked > 1 else 0)
+                self.members.step(member, MemberInput.MISSED, now)
+                if member.state == MemberState.SUSPECT and member.misses == ACCUSED_AFTER:
                     self._say(
                         now,
-                        Accuse(member.name, member.start, member.incarnation),
+                        Suspect(member.name, member.start, member.incarnation),
                         ("Accuse", member.name),
                     )
-            elif member.state not in (ALIVE, SUSPECT):
-                self.members.step(member, "missed", now)
-        self.members.lapse(now)
+            elif member.state not in LIVE_STATES:
+                self.members.step(member, MemberInput.MISSED, now)
+        self.members.bury_overdue(now)
 
     def _second_end(self, now, probe):
         """The rest of the period is for the relays, or as long again where there is little left."""
@@ -541,20 +591,20 @@
         out = {probe.name for probe in self.probes.values() if probe.period}
         for member in self.members.next_probes(now):
             if member.name not in out:
-                self._probe(now, member.address, member.name, "probe", period=True)
+                self._probe(now, member.address, member.name, SendPurpose.PROBE, period=True)
         for member in self.members.to_prove(now, PROVE_AT_ONCE):
-            self._probe(now, member.address, member.name, "prove")
+            self._probe(now, member.address, member.name, SendPurpose.PROVE)
         if not self.members.live:
             for seed in self.seeds:
                 if seed != self.announced:
-                    self._probe(now, seed, None, "prove")
+                    self._probe(now, seed, None, SendPurpose.PROVE)
         if self.aside and now - self.aside[0][0] > ASIDE_FOR:
             kept = [one for one in self.aside if now - one[0] <= ASIDE_FOR]
             self.aside, self.aside_of = kept, {}
             for _, name, _ in kept:
                 self.aside_of[name] = self.aside_of.get(name, 0) + 1
         unix = self.unix()
-        self.rumours.keep(
+        self.rumours.prune(
             now,
             lambda one: (
                 self.ring.owner(one.key_id, unix) == one.origin
@@ -562,9 +612,9 @@
             ),
         )
         for name, before, after in self.members.events:
-            self.said.append(("peer state changed", {"peer": name, "before": before, "now": after}))
-            if after == DEAD:
-                self.belief.forget_origin(name)
+            self.said.append(("peer state changed", {"peer": name, "before": before.value, "now": after.value}))
+            if after == MemberState.DEAD:
+                self.suspicions.forget_origin(name)
         self.members.events = []
 
     def _stands(self, rumour):
@@ -573,12 +623,12 @@
 
     def _alive(self, name):
         member = self.members.all.get(name)
-        return member is not None and member.state in (ALIVE, SUSPECT)
+        return member is not None and member.state in LIVE_STATES
 
     def _consider(self, now):
-        for pod, tried, failed in self.belief.to_tell(now):
-            self._say(now, Claim(*pod, tried, failed), ("Claim", pod.pod))
-        self.doubts += self.belief.decide(now, self._alive)
+        for key, counts in self.suspicions.evidence_to_send(now):
+            self._say(now, Evidence(*key, *counts), ("Claim", key.id))
+        self.doubts += self.suspicions.update(now, self._alive)
 
     # From the sidecar.
 
@@ -588,25 +638,25 @@
         self.ring = ring
         held = ring.held(unix)
         for name in [one.name for one in self.members.all.values() if one.name not in held]:
-            self.belief.forget_origin(name)
+            self.suspicions.forget_origin(name)
         gone = {
             one.origin
-            for one in self.rumours.by_about.values()
+            for one in self.rumours.items.values()
             if ring.owner(one.key_id, unix) != one.origin
         }
         for name in gone:
-            self.belief.forget_origin(name)
-        self.rumours.keep(now, lambda one: ring.owner(one.key_id, unix) == one.origin)
+            self.suspicions.forget_origin(name)
+        self.rumours.prune(now, lambda one: ring.owner(one.key_id, unix) == one.origin)
         self.members.rekey([name for name in held if name != self.name])
         self.by_address = {
             one.address: one.name for one in self.members.all.values() if one.address and one.start
         }
-        self.checking.proved(self.by_address)
+        self.checking.set_proved(self.by_address)
 
     def leave(self, now):
         """Says goodbye to a few: the others hear of it."""
         self.gone = True
         self._say(now, Left(), "alive")
-        for member in self.members.some(4):
+        for member in self.members.sample(4):
             items = self.rumours.pick(len(self.members.live), ROOM, member.name)
-            self._send(now, member.address, member.name, Push(), "answer", items)
+            self._send(now, member.address, member.name, Push(), SendPurpose.ANSWER, items)
