--- a/measure/why.py
+++ b/measure/why.py
@@ -20,7 +20,7 @@
 from measure.why_cases import NOW, WHY, mix
 from tests.support.stand_ins import LANES, PodPeer, Program, reserved, until
 from thymeknot.cli.decision_log_client import lines_of
-from thymeknot.decision_log.entry_codec import SLOT
+from thymeknot.decision_log.entry_codec import SLOT_BYTES
 from thymeknot.decision_log.fair_eviction import FairEviction
 from thymeknot.decision_log.recorder import Recorder
 from thymeknot.decision_log.slot_file import SlotFile
@@ -36,7 +36,7 @@
     def __init__(self, seed, megabytes=2, path=None, span=900):
         self.now, self.chance = NOW, random.Random(seed)
         terms = WHY._replace(megabytes=megabytes, span=span * SECOND)
-        arena = SlotFile(megabytes * 1_000_000 // SLOT, path)
+        arena = SlotFile(megabytes * 1_000_000 // SLOT_BYTES, path)
         self.record = Recorder(
             terms, LANES, arena, 0, lambda: self.now, LinearCongruentialGenerator(seed)
         )
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -16,7 +16,7 @@
 from measure.why_cases import NOW, WHY, mix
 from tests.support.stand_ins import LANES, PATIENCE, SETTINGS, PodPeer, Program, reserved, until
 from thymeknot.cli.decision_log_client import lines_of
-from thymeknot.decision_log.entry_codec import SLOT, Entry, packed, unpacked
+from thymeknot.decision_log.entry_codec import SLOT_BYTES, Entry, packed, unpacked
 from thymeknot.decision_log.explanations import SAID, explained
 from thymeknot.decision_log.fair_eviction import FairEviction
 from thymeknot.decision_log.heavy_hitters import HeavyHitters
@@ -79,7 +79,7 @@
         for at in range(20_000):
             rig.now += 1
             rig.one(f"loud-{at}", tenant="loud", key=f"k-{at}", end=R.DEFERRED)
-        rig.record.flush(rig.now + SLOT)
+        rig.record.flush(rig.now + SLOT_BYTES)
         self.assertEqual(sum(any(rig.record.by_name(f"quiet-{at}")) for at in range(20)), 20)
         self.assertLessEqual(len(rig.record.by_key), rig.record.arena.slots)
 
@@ -111,7 +111,7 @@
     def test_an_entry_longer_than_its_slot_keeps_its_beginning_and_end(self):
         notes = [[int(R.SENT), at, "s" * 60, 1, False, 9, 1.0] for at in range(40)]
         content = packed(Entry(1, "i", "k", "t", "pay", False, 23, 5, list(notes)), 9)
-        number, entry = unpacked(content.ljust(SLOT, b"\0"))
+        number, entry = unpacked(content.ljust(SLOT_BYTES, b"\0"))
         self.assertEqual((number, entry.notes[0], entry.notes[-1]), (9, notes[0], notes[-1]))
         self.assertEqual(entry.cut + len(entry.notes), 40)
 
@@ -170,7 +170,7 @@
         # In the order of the writes: the checksum goes first, then the rest, the new checksum last.
         for cut in range(len(content) + 1):
             arena.write(1, packed(Entry(3, "former", None, None, "pay", False, 24, 5, []), 2))
-            at = HEAD + SLOT
+            at = HEAD + SLOT_BYTES
             arena.memory[at : at + 4] = b"\0\0\0\0"
             part = content[4 : 4 + cut]
             arena.memory[at + 4 : at + 4 + len(part)] = part
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -9,7 +9,7 @@
 import msgspec
 
 from tests.golden import generate
-from thymeknot.decision_log.entry_codec import SLOT
+from thymeknot.decision_log.entry_codec import SLOT_BYTES
 from thymeknot.decision_log.recorder import Recorder
 from thymeknot.decision_log.slot_file import HEAD, SlotFile, left_over
 from thymeknot.disruption.state_machine import DisruptionStateMachine as DisruptionMachine
@@ -87,7 +87,7 @@
         self.assertEqual((len(whole), torn), (23, 0))
         for slot, number, entry in whole:
             with self.subTest(slot):
-                begin = HEAD + slot * SLOT
+                begin = HEAD + slot * SLOT_BYTES
                 content = generate.packed(entry, number)
                 self.assertEqual(content, bytes(arena.memory[begin : begin + len(content)]))
         self.assertEqual(
@@ -108,7 +108,7 @@
         self.assertEqual((record.recovered, record.torn), (22, 0))
         found = list(record.by_name("0000000000000019"))
         self.assertEqual(
-            [(one.lane, one.key, one.tenant) for one in found], [("pay", "key25", "acme")]
+            [(one.request_class, one.key, one.tenant) for one in found], [("pay", "key25", "acme")]
         )
 
 
--- a/thymeknot/decision_log/__init__.py
+++ b/thymeknot/decision_log/__init__.py
@@ -1,6 +1,7 @@
-"""Why it went there: a record of decisions of bounded size, and what explains them.
+"""The log of decisions: a record of bounded size, and what explains its entries.
 
-`entries` (what one is, packed), `shares` (who gives way), `arena` (fixed slots, in memory or a mapped file), `record`
-(notes of open transactions, what is kept, indexes, tallies), `sentences` (reasons to words), `asking` (the query's
-protocol, pure) and `listener` (its socket), `terms`.
+`entry_codec` packs an entry, `slot_file` holds fixed slots in memory or a mapped file,
+`fair_eviction` picks the slot to reuse, `heavy_hitters` counts frequent names, `recorder` keeps
+notes, indexes and tallies, `explanations` turns reasons into sentences, `query_protocol` answers
+queries (pure), `query_server` is its socket, and `settings` is what an operator sets.
 """
--- a/thymeknot/decision_log/entry_codec.py
+++ b/thymeknot/decision_log/entry_codec.py
@@ -1,85 +1,117 @@
-"""An entry of the record: one transaction or vote with its reasons, packed into a slot of fixed size. Pure.
+"""The stored form of an entry: one transaction or vote with its reasons, in a slot of fixed size.
 
-A slot: 4 bytes of checksum over the rest, 2 of length, 8 of number, then a MessagePack array. What was torn by a kill
-has a checksum that does not fit, or a number that is not its slot's; it is found, and never taken for whole.
+A slot holds a checksum of the rest (4 bytes), the content's length (2), the entry's number (8),
+then a MessagePack array; integers are little-endian. A write torn by a kill has a checksum that
+does not fit, so that it is detected and never read as an entry.
 """
 
 import struct
-from typing import Optional, Union
+from typing import NamedTuple, Optional, Union
 from zlib import crc32
 
 from msgspec import DecodeError, Struct, msgpack
 
+from ..interface.clock import Ticks
 from ..interface.reasons import Reason
 
-SLOT = 768  # bytes; a transaction of four deliveries with all its reasons takes some 400
-HEAD = struct.Struct("<IHQ")
-NOTES_MOST = 40
-TEXT_MOST = 64  # of an id, key, tenant: longer ones are cut, and so found by their first part alone
+# In bytes; a transaction of four attempts with all its reasons takes some 400.
+SLOT_BYTES = 768
+# Checksum, length, number.
+SLOT_HEADER = struct.Struct("<IHQ")
+# What the checksum covers of the header: length, number.
+CHECKED_HEADER = struct.Struct("<HQ")
+CHECKSUM_BYTES = 4
+# Notes of one entry; with more of them the middle is left out.
+MAX_NOTES = 40
+# Characters of an id, key or tenant: longer ones are cut, and found by this prefix alone.
+MAX_TEXT_LENGTH = 64
+# Characters of an id or request class where even an entry without notes does not fit its slot.
+SHORTENED_LENGTH = 16
+
+Note = list[Union[int, float, str, bool, None]]
+"""A reason's number, the time since the transaction was taken, the reason's operands."""
 
 
 class Entry(Struct, array_like=True, gc=False):
-    """at: Unix time in tenths of a millisecond when it was taken. notes: (reason, time since, operands ...)."""
+    """One entry of the record. The order of the fields is stored."""
 
-    at: int
+    at: Ticks
+    """Unix time at which it was taken."""
     id: str
     key: Optional[str]
     tenant: Optional[str]
-    lane: str
+    request_class: str
     repeat: bool
+    """Whether its client said that it repeats an earlier one."""
     end: int
-    took: int
-    notes: list[list[Union[int, float, str, bool, None]]]
-    cut: int = 0  # notes left out for want of room
+    """The reason that names its final answer, or 0 while it is open."""
+    took: Ticks
+    notes: list[Note]
+    cut: int = 0
+    """Notes that were left out for want of room."""
+
+
+class NumberedEntry(NamedTuple):
+    """An entry as its slot holds it."""
+
+    number: int
+    """Numbers rise with every entry written."""
+    entry: Entry
+
 
+_encode = msgpack.Encoder().encode
+_decode = msgpack.Decoder(Entry).decode
 
-_encode, _decode = msgpack.Encoder().encode, msgpack.Decoder(Entry).decode
 
+def packed(entry: Entry, number: int) -> bytes:
+    """Returns the bytes of a slot.
 
-def packed(entry, number):
-    """The bytes of a slot. Notes that do not fit are left out from the middle: how it began and ended is kept."""
+    Notes that do not fit are left out from the middle, so that beginning and end are kept.
+    """
     content = _encode(entry)
-    while len(content) > SLOT - HEAD.size:
+    while len(content) > SLOT_BYTES - SLOT_HEADER.size:
         if not entry.notes:
-            entry = Entry(
-                entry.at,
-                entry.id[:16],
-                None,
-                None,
-                entry.lane[:16],
-                entry.repeat,
-                entry.end,
-                entry.took,
-                [],
-                entry.cut,
-            )
+            entry = _shortened(entry)
         else:
             del entry.notes[len(entry.notes) // 2]
             entry.cut += 1
         content = _encode(entry)
-    rest = struct.pack("<HQ", len(content), number) + content
-    return crc32(rest).to_bytes(4, "little") + rest
-
-
-def unpacked(slot):
-    """(number, Entry), or None for what is empty, torn or damaged."""
-    check, length, number = HEAD.unpack_from(slot)
-    if not 0 < length <= len(slot) - HEAD.size:
+    rest = CHECKED_HEADER.pack(len(content), number) + content
+    return crc32(rest).to_bytes(CHECKSUM_BYTES, "little") + rest
+
+
+def _shortened(entry: Entry) -> Entry:
+    return Entry(
+        at=entry.at,
+        id=entry.id[:SHORTENED_LENGTH],
+        key=None,
+        tenant=None,
+        request_class=entry.request_class[:SHORTENED_LENGTH],
+        repeat=entry.repeat,
+        end=entry.end,
+        took=entry.took,
+        notes=[],
+        cut=entry.cut,
+    )
+
+
+def unpacked(slot: bytes) -> Optional[NumberedEntry]:
+    """Reads a slot; None for what is empty, torn or damaged."""
+    checksum, length, number = SLOT_HEADER.unpack_from(slot)
+    if not 0 < length <= len(slot) - SLOT_HEADER.size:
         return None
-    if crc32(slot[4 : HEAD.size + length]) != check:
+    if crc32(slot[CHECKSUM_BYTES : SLOT_HEADER.size + length]) != checksum:
         return None
     try:
-        return number, _decode(slot[HEAD.size : HEAD.size + length])
+        return NumberedEntry(number, _decode(slot[SLOT_HEADER.size : SLOT_HEADER.size + length]))
     except (DecodeError, UnicodeDecodeError):
         return None
 
 
-def reasons(entry):
-    return {note[0] for note in entry.notes}
-
-
-def pods(entry):
-    """Pods that it was sent to."""
+def pods(entry: Entry) -> set[str]:
+    """Returns the endpoints that it was sent to."""
     return {
-        note[2] for note in entry.notes if note[0] in (Reason.SENT, Reason.ENDED) and len(note) > 2
+        str(note[2])
+        for note in entry.notes
+        if note[0] in (Reason.SENT, Reason.ENDED) and len(note) > 2
     }
--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -148,7 +148,7 @@
     """Lines for one entry: what it was, then each reason in its order, with what would have changed it."""
     end = R(entry.end).name.lower() if entry.end else "open"
     lines = [
-        f"{entry.id}  lane {entry.lane}"
+        f"{entry.id}  lane {entry.request_class}"
         + (f", tenant {entry.tenant}" if entry.tenant else "")
         + (f", key {entry.key}" if entry.key else "")
         + (", a client's repeat" if entry.repeat else "")
@@ -169,7 +169,7 @@
         "at": entry.at / 10_000,
         "key": entry.key,
         "tenant": entry.tenant,
-        "lane": entry.lane,
+        "lane": entry.request_class,
         "repeat": entry.repeat,
         "end": R(entry.end).name if entry.end else "OPEN",
         "took_ms": entry.took / 10,
--- a/thymeknot/decision_log/fair_eviction.py
+++ b/thymeknot/decision_log/fair_eviction.py
@@ -1,26 +1,42 @@
-"""Who gives way in a full region: the eldest of whoever holds the most. Every step takes the same time, however many
-holders there are; measured against looking through all of them in measure/why.py."""
+"""Which slot of a full region is used again: the oldest of the holder that holds the most.
+
+Every step takes constant time, however many holders there are; measure/why.py compares it with a
+search through all holders.
+"""
 
 from collections import OrderedDict, deque
+from typing import Optional
+
+Holder = Optional[str]
+"""A tenant, or None for entries without one."""
 
 
 class FairEviction:
-    """Slots by holder. Counts of slots are themselves counted: holders by how many slots they hold."""
+    """Slots by holder, and holders by how many slots they hold.
 
-    def __init__(self):
-        self.held, self.by_count, self.most = {}, {0: OrderedDict()}, 0
+    Attributes:
+        held: The slots of each holder, the oldest first.
+        by_count: The holders of each number of slots, in the order in which they came to hold it.
+        most: The highest number of slots that any holder holds.
+    """
 
-    def __len__(self):
+    def __init__(self) -> None:
+        self.held: dict[Holder, deque[int]] = {}
+        self.by_count: dict[int, OrderedDict[Holder, None]] = {0: OrderedDict()}
+        self.most = 0
+
+    def __len__(self) -> int:
         return sum(map(len, self.held.values()))
 
-    def add(self, holder, slot):
+    def add(self, holder: Holder, slot: int) -> None:
+        """Records that a holder holds one more slot."""
         slots = self.held.get(holder)
         if slots is None:
             slots = self.held[holder] = deque()
         self._move(holder, len(slots), len(slots) + 1)
         slots.append(slot)
 
-    def _move(self, holder, before, after):
+    def _move(self, holder: Holder, before: int, after: int) -> None:
         if before:
             holders = self.by_count[before]
             del holders[holder]
@@ -28,11 +44,15 @@
                 del self.by_count[before]
         if after:
             self.by_count.setdefault(after, OrderedDict())[holder] = None
-        if after > self.most or before == self.most and before not in self.by_count:
+        if after > self.most or (before == self.most and before not in self.by_count):
             self.most = after
 
-    def give(self):
-        """The slot to be used again: the eldest of the one that holds the most, of these the one that grew first."""
+    def give(self) -> int:
+        """Releases the slot to use again.
+
+        Returns:
+            The oldest slot of the holder with the most; of equals, the first to grow so large.
+        """
         holder = next(iter(self.by_count[self.most]))
         slots = self.held[holder]
         slot = slots.popleft()
--- a/thymeknot/decision_log/heavy_hitters.py
+++ b/thymeknot/decision_log/heavy_hitters.py
@@ -1,25 +1,46 @@
 """Heavy hitters in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi 2005)."""
 
+from typing import NamedTuple
+
+
+class Hitter(NamedTuple):
+    """A frequent name."""
+
+    name: str
+    estimate: int
+    """How often it was seen, too high by `overcount` at most."""
+    overcount: int
+
 
 class HeavyHitters:
-    """The names seen most often, of any number of names, in so many counters. A count is too high by `over` at most."""
+    """The most frequent of any number of names, in a fixed number of counters.
+
+    Attributes:
+        counts: The estimated count of each name that has a counter.
+        overcounts: By how much each estimate may be too high.
+    """
 
-    def __init__(self, size):
-        self.size, self.counts, self.over = size, {}, {}
+    def __init__(self, size: int) -> None:
+        self.size = size
+        self.counts: dict[str, int] = {}
+        self.overcounts: dict[str, int] = {}
 
-    def add(self, name):
+    def add(self, name: str) -> None:
+        """Counts one occurrence of a name."""
         counts = self.counts
         if name in counts:
             counts[name] += 1
         elif len(counts) < self.size:
-            counts[name], self.over[name] = 1, 0
+            counts[name] = 1
+            self.overcounts[name] = 0
         else:
-            least = min(counts, key=counts.get)
-            low = counts.pop(least)
-            del self.over[least]
-            counts[name], self.over[name] = low + 1, low
-
-    def top(self, count):
-        """(name, count, by how much it may be too high), the highest first."""
-        names = sorted(self.counts, key=self.counts.get, reverse=True)[:count]
-        return [(name, self.counts[name], self.over[name]) for name in names]
+            least = min(counts, key=counts.__getitem__)
+            least_count = counts.pop(least)
+            del self.overcounts[least]
+            counts[name] = least_count + 1
+            self.overcounts[name] = least_count
+
+    def top(self, count: int) -> list[Hitter]:
+        """Returns the most frequent names, the highest estimate first."""
+        names = sorted(self.counts, key=self.counts.__getitem__, reverse=True)[:count]
+        return [Hitter(name, self.counts[name], self.overcounts[name]) for name in names]
--- a/thymeknot/decision_log/query_protocol.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -86,7 +86,7 @@
     def __call__(self, entry):
         lane, tenant, reason = self.fields["lane"], self.fields["tenant"], self.fields["reason"]
         fit = (
-            (lane is None or entry.lane == lane)
+            (lane is None or entry.request_class == lane)
             and (tenant is None or entry.tenant == tenant)
             and (reason is None or any(note[0] == reason for note in entry.notes))
         )
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -13,7 +13,7 @@
 from ..interface.reasons import Reason
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
-from .entry_codec import SLOT
+from .entry_codec import SLOT_BYTES
 from .query_protocol import LINE_MOST, answer, watched
 from .recorder import Recorder
 from .slot_file import SlotFile
@@ -136,7 +136,7 @@
         path = None
         if terms.directory:
             path = os.path.join(folder, terms.directory, f"{proxy.start.name}.why")
-        self.arena = SlotFile(terms.megabytes * 1_000_000 // SLOT, path, structured_log.log)
+        self.arena = SlotFile(terms.megabytes * 1_000_000 // SLOT_BYTES, path, structured_log.log)
         self.record = Recorder(
             terms,
             proxy.settings.request_classes,
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -15,7 +15,7 @@
 from ..interface.enums import Idempotency
 from ..interface.reasons import Reason as R
 from ..state.sliding_window import SlidingWindow
-from .entry_codec import NOTES_MOST, SLOT, TEXT_MOST, Entry, packed, pods
+from .entry_codec import MAX_NOTES, MAX_TEXT_LENGTH, SLOT_BYTES, Entry, packed, pods
 from .fair_eviction import FairEviction
 from .heavy_hitters import HeavyHitters
 
@@ -116,7 +116,7 @@
                 slot: one
                 for slot, one in whole.items()
                 if region.first <= slot < region.first + region.slots
-                and self._region_of(one[1].lane, one[1]) is region
+                and self._region_of(one[1].request_class, one[1]) is region
             }
             if not mine:
                 continue
@@ -161,9 +161,9 @@
             held.sent += 1
         elif reason in ENDS_AWAY:
             held.end = reason
-        if len(held.notes) >= NOTES_MOST:
+        if len(held.notes) >= MAX_NOTES:
             held.cut += 1
-            del held.notes[NOTES_MOST // 2]
+            del held.notes[MAX_NOTES // 2]
         held.notes.append(
             (reason, self.clock() - held.at, *operands)
         )  # tuples of numbers cost the collector nothing
@@ -232,9 +232,9 @@
                 return
         entry = Entry(
             held.at + self.epoch,
-            name[:TEXT_MOST],
-            held.key and held.key[:TEXT_MOST],
-            held.tenant and held.tenant[:TEXT_MOST],
+            name[:MAX_TEXT_LENGTH],
+            held.key and held.key[:MAX_TEXT_LENGTH],
+            held.tenant and held.tenant[:MAX_TEXT_LENGTH],
             held.lane,
             held.repeat,
             held.end,
@@ -294,9 +294,9 @@
             if sketch is not None:
                 sketch.add(took / 10)
         if held.end in ENDS_AWAY:
-            self.tenants.add((held.tenant or "")[:TEXT_MOST])
+            self.tenants.add((held.tenant or "")[:MAX_TEXT_LENGTH])
             if held.key:
-                self.keys.add(held.key[:TEXT_MOST])
+                self.keys.add(held.key[:MAX_TEXT_LENGTH])
 
     # Asking. Each gives a generator, so that a long search is done in parts.
 
@@ -307,7 +307,7 @@
 
     def by_name(self, name):
         """All that is kept under an id, or else under a key; the latest last. Open ones come as they stand."""
-        name = name[:TEXT_MOST]
+        name = name[:MAX_TEXT_LENGTH]
         for slot, number in sorted(
             (self.by_id.get(name) or self.by_key.get(name) or {}).items(), key=lambda one: one[1]
         ):
@@ -362,8 +362,8 @@
                 }
                 for lane, sketch in self.times.items()
             },
-            "turned away, tenants": self.tenants.top(10),
-            "turned away, keys": self.keys.top(10),
+            "turned away, tenants": [list(hitter) for hitter in self.tenants.top(10)],
+            "turned away, keys": [list(hitter) for hitter in self.keys.top(10)],
         }
 
     def kept(self):
@@ -388,7 +388,7 @@
             )
         return {
             "regions": found,
-            "megabytes": round(self.arena.slots * SLOT / 1e6, 1),
+            "megabytes": round(self.arena.slots * SLOT_BYTES / 1e6, 1),
             "file": self.arena.path,
             "recovered": self.recovered,
             "torn": self.torn,
@@ -398,7 +398,7 @@
 
 def fits(entry, lane, tenant, reason, begin):
     return (
-        (lane is None or entry.lane == lane)
+        (lane is None or entry.request_class == lane)
         and (tenant is None or entry.tenant == tenant)
         and (begin is None or entry.at >= begin)
         and (reason is None or any(note[0] == reason for note in entry.notes))
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -9,7 +9,7 @@
 import struct
 from zlib import crc32
 
-from .entry_codec import SLOT, unpacked
+from .entry_codec import SLOT_BYTES, unpacked
 
 MAGIC, VERSION, HEAD = b"tkwhy\0\0\0", 1, 4096
 _head = struct.Struct("<8sIIQ")
@@ -20,7 +20,7 @@
         """slots: how many. path: of the file, or None. say(event, **fields) hears of what was set aside."""
         self.slots, self.path, self.file = slots, path, None
         if path is None:
-            self.memory = bytearray(HEAD + slots * SLOT)
+            self.memory = bytearray(HEAD + slots * SLOT_BYTES)
         else:
             try:
                 self.memory = self._mapped(path, say)
@@ -28,16 +28,16 @@
                 OSError
             ) as error:  # a full disk or a path that can't be written: kept in memory instead
                 say("decision log in memory", error=os.strerror(error.errno or 0), path=path)
-                self.path, self.memory = None, bytearray(HEAD + slots * SLOT)
+                self.path, self.memory = None, bytearray(HEAD + slots * SLOT_BYTES)
         if self.path is None:
             self.memory[: _head.size + 4] = self._header()
 
     def _header(self):
-        told = _head.pack(MAGIC, VERSION, SLOT, self.slots)
+        told = _head.pack(MAGIC, VERSION, SLOT_BYTES, self.slots)
         return told + crc32(told).to_bytes(4, "little")
 
     def _mapped(self, path, say):
-        size = HEAD + self.slots * SLOT
+        size = HEAD + self.slots * SLOT_BYTES
         os.makedirs(os.path.dirname(os.path.abspath(path)), exist_ok=True)
         if os.path.exists(path):
             with open(path, "rb") as source:
@@ -62,19 +62,19 @@
 
     def write(self, slot, content):
         """The content first, its checksum last: what is torn in between does not fit."""
-        at = HEAD + slot * SLOT
+        at = HEAD + slot * SLOT_BYTES
         self.memory[at : at + 4] = b"\0\0\0\0"
         self.memory[at + 4 : at + len(content)] = content[4:]
         self.memory[at : at + 4] = content[:4]
 
     def clear(self, slot):
-        at = HEAD + slot * SLOT
-        self.memory[at : at + SLOT] = bytes(SLOT)
+        at = HEAD + slot * SLOT_BYTES
+        self.memory[at : at + SLOT_BYTES] = bytes(SLOT_BYTES)
 
     def read(self, slot):
         """(number, Entry) or None."""
-        at = HEAD + slot * SLOT
-        return unpacked(bytes(self.memory[at : at + SLOT]))
+        at = HEAD + slot * SLOT_BYTES
+        return unpacked(bytes(self.memory[at : at + SLOT_BYTES]))
 
     def whole(self):
         """(slot, number, Entry) of all that is whole; how many slots hold something that is not."""
@@ -84,7 +84,7 @@
             if read:
                 found.append((slot, *read))
             else:
-                at = HEAD + slot * SLOT
+                at = HEAD + slot * SLOT_BYTES
                 torn += any(self.memory[at : at + 14])
         return found, torn
 
@@ -100,7 +100,7 @@
     if crc32(head[: _head.size]) != int.from_bytes(head[_head.size :], "little"):
         return "damaged head"
     _, version, size, count = _head.unpack(head[: _head.size])
-    if version != VERSION or size != SLOT:
+    if version != VERSION or size != SLOT_BYTES:
         return f"version {version}, slots of {size}"
     return f"{count} slots, {slots} are set" if count != slots else "another size"
 
@@ -115,7 +115,7 @@
     arena = SlotFile.__new__(SlotFile)
     arena.slots, arena.path = _head.unpack(head[: _head.size])[3], path
     with open(path, "rb") as source:
-        arena.memory = source.read(HEAD + arena.slots * SLOT).ljust(
-            HEAD + arena.slots * SLOT, b"\0"
+        arena.memory = source.read(HEAD + arena.slots * SLOT_BYTES).ljust(
+            HEAD + arena.slots * SLOT_BYTES, b"\0"
         )
     return arena
