--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -22,7 +22,7 @@
 from thymeknot.decision_log.heavy_hitters import HeavyHitters
 from thymeknot.decision_log.query_protocol import Watch, answer
 from thymeknot.decision_log.recorder import laid_out
-from thymeknot.decision_log.slot_file import HEAD, SlotFile, left_over
+from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, left_over
 from thymeknot.interface.reasons import Reason as R
 
 OK = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
@@ -170,7 +170,7 @@
         # In the order of the writes: the checksum goes first, then the rest, the new checksum last.
         for cut in range(len(content) + 1):
             arena.write(1, packed(Entry(3, "former", None, None, "pay", False, 24, 5, []), 2))
-            at = HEAD + SLOT_BYTES
+            at = HEADER_BYTES + SLOT_BYTES
             arena.memory[at : at + 4] = b"\0\0\0\0"
             part = content[4 : 4 + cut]
             arena.memory[at + 4 : at + 4 + len(part)] = part
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -11,7 +11,7 @@
 from tests.golden import generate
 from thymeknot.decision_log.entry_codec import SLOT_BYTES
 from thymeknot.decision_log.recorder import Recorder
-from thymeknot.decision_log.slot_file import HEAD, SlotFile, left_over
+from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, left_over
 from thymeknot.disruption.state_machine import DisruptionStateMachine as DisruptionMachine
 from thymeknot.gang_scheduling.state_machine import GangStateMachine as GangMachine
 from thymeknot.gossip import codec
@@ -87,7 +87,7 @@
         self.assertEqual((len(whole), torn), (23, 0))
         for slot, number, entry in whole:
             with self.subTest(slot):
-                begin = HEAD + slot * SLOT_BYTES
+                begin = HEADER_BYTES + slot * SLOT_BYTES
                 content = generate.packed(entry, number)
                 self.assertEqual(content, bytes(arena.memory[begin : begin + len(content)]))
         self.assertEqual(
