--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,8 @@
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
 TYPED = thymeknot/interface thymeknot/__main__.py thymeknot/service/required_libraries.py thymeknot/decision_log/settings.py \
 	thymeknot/decision_log/heavy_hitters.py thymeknot/decision_log/fair_eviction.py \
-	thymeknot/decision_log/entry_codec.py thymeknot/decision_log/slot_file.py
+	thymeknot/decision_log/entry_codec.py thymeknot/decision_log/slot_file.py \
+	thymeknot/decision_log/explanations.py
 
 format: build-dev
 	.venv/bin/ruff check -q --select I --fix $(CHECKED)
--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -1,186 +1,205 @@
-"""Reasons to sentences that a person reads, with the figures that decided and what would have changed it. Pure."""
+"""Turns reasons into sentences with the figures that decided and what would have changed it."""
 
-from ..interface.reasons import Reason as R
+from collections.abc import Callable
+from typing import NamedTuple, Optional
 
+from ..interface.enums import Outcome
+from ..interface.reasons import Reason
+from .entry_codec import Entry
+
+# In the order of the verdicts' numbers, which votes carry.
 VERDICTS = ("nothing", "on", "hold", "back")
+# Whether a failed attempt is proved not to have run.
 PROVED = {True: "it has not run", False: "it may have run"}
 
 
-def ms(units):
-    return f"{units / 10:g} ms"
+class Sentence(NamedTuple):
+    """What a person reads about one reason."""
+
+    text: str
+    remedy: Optional[str] = None
+    """What would have led to another decision, where something would."""
+
 
+def milliseconds(ticks: float) -> str:
+    """Returns a duration in words."""
+    return f"{ticks / 10:g} ms"
 
-def share(value):
-    return f"{100 * value:.1f}%"
 
+def percent(part: float) -> str:
+    """Returns a part of 1 in words."""
+    return f"{100 * part:.1f}%"
 
-def _position(position, ramp, cap):
+
+def _position(position: float, ramp: float, cap: float) -> Sentence:
     if position < ramp:
-        return (
-            f"its key lies at {position:.4f}, below the ramp at {ramp:.4f} (cap {share(cap)}): the newest build's",
+        return Sentence(
+            f"its key lies at {position:.4f}, below the ramp at {ramp:.4f}"
+            f" (cap {percent(cap)}): the newest build's",
             f"a ramp at {position:.4f} or lower would have sent it to the earlier build",
         )
-    return (
-        f"its key lies at {position:.4f}, not below the ramp at {ramp:.4f} (cap {share(cap)}): the earlier build's",
+    return Sentence(
+        f"its key lies at {position:.4f}, not below the ramp at {ramp:.4f}"
+        f" (cap {percent(cap)}): the earlier build's",
         f"a ramp above {position:.4f} would have sent it to the newest build",
     )
 
 
-def _astray(deliveries, failed, hot):
-    why = [
-        text
-        for holds, text in (
-            (deliveries, f"{deliveries} deliveries came before"),
-            (failed, "its key failed there"),
-            (hot, "its key is a hot one that would flood the trial"),
-        )
-        if holds
-    ]
-    return "it goes to the earlier build first: " + ", ".join(why), None
+def _astray(attempts: int, failed: bool, hot: bool) -> Sentence:
+    causes = []
+    if attempts:
+        causes.append(f"{attempts} deliveries came before")
+    if failed:
+        causes.append("its key failed there")
+    if hot:
+        causes.append("its key is a hot one that would flood the trial")
+    return Sentence("it goes to the earlier build first: " + ", ".join(causes))
+
+
+def _exposure(attempts: float, taken: float, cap: float, allowance: float) -> Sentence:
+    sufficient = max(0.0, attempts + 1 - allowance) / taken if taken else 1.0
+    return Sentence(
+        f"the trial's exposure is used up: {attempts:g} deliveries there,"
+        f" {allowance:g} and {percent(cap)} of {taken:g} taken are allowed",
+        f"a cap of {percent(sufficient)} would have let it in" if sufficient <= 1 else None,
+    )
+
+
+def _sent(pod: str, build: int, newest: bool, time_out: int, cost: float) -> Sentence:
+    age = "the newest" if newest else "an earlier one"
+    return Sentence(
+        f"sent to {pod}, build {build} ({age}), for {milliseconds(time_out)} at most;"
+        f" the pod's cost was {cost:.2f}"
+    )
+
+
+def _ended(pod: str, number: int, outcome: str, latency: int, proved: bool) -> Sentence:
+    run = "" if outcome == Outcome.DONE else f"; {PROVED[bool(proved)]}"
+    return Sentence(
+        f"delivery {number + 1} at {pod} ended after {milliseconds(latency)}: {outcome}{run}"
+    )
+
+
+def _no_pod(ready: int, newest: bool) -> Sentence:
+    build = "the newest" if newest else "an earlier"
+    return Sentence(
+        f"no pod of {build} build would do, of {ready} ready", "another ready pod would"
+    )
+
+
+def _over_limit(opened: float, limit: float) -> Sentence:
+    return Sentence(
+        f"{opened:g} transactions were open; answers come for {limit:.1f}",
+        f"{opened - limit:.0f} fewer open, or quicker answers, would have let it in",
+    )
 
 
-def _ended(pod, number, outcome, latency, unrun):
-    run = "" if outcome == "done" else f"; {PROVED[bool(unrun)]}"
-    return f"delivery {number + 1} at {pod} ended after {ms(latency)}: {outcome}{run}", None
+def _by_lot(pressure: float, chance: float) -> Sentence:
+    return Sentence(
+        f"answers take {pressure:.2f} of their goal here:"
+        f" of those that come, {percent(chance)} are let in by lot",
+        "answers within half the goal would have let it in",
+    )
 
 
-def _exposure(tried, taken, cap, allowance):
-    enough = max(0.0, tried + 1 - allowance) / taken if taken else 1.0
-    return (
-        f"the trial's exposure is used up: {tried:g} deliveries there, {allowance:g} and {share(cap)} of {taken:g} "
-        "taken are allowed",
-        f"a cap of {share(enough)} would have let it in" if enough <= 1 else None,
+def _time_over(left: int, mean: int) -> Sentence:
+    if not mean:
+        return Sentence("its client's time was over")
+    return Sentence(
+        f"{milliseconds(max(0, left))} were left, and an answer takes {milliseconds(mean)}:"
+        " it could earn nothing any more"
     )
 
 
-SAID = {
-    R.POSITION: _position,
-    R.ASTRAY: _astray,
-    R.ENDED: _ended,
-    R.EXPOSURE: _exposure,
-    R.STAYS: lambda keys: (
-        f"the newest build has answered its key ({keys} such keys): it stays there",
-        None,
+def _deferred(wait: int) -> Sentence:
+    hint = f", to come back after {milliseconds(wait)}" if wait else ""
+    return Sentence("answered: deferred" + hint)
+
+
+def _abandoned(pod: Optional[str] = None) -> Sentence:
+    cause = f", as it may have run at {pod}: a deferral would call another try harmless"
+    return Sentence("answered: abandoned" + (cause if pod else ""))
+
+
+def _voted(build: int, stage: int, verdict: int, doubt: float, seen: int) -> Sentence:
+    return Sentence(
+        f"voted {VERDICTS[verdict]} on build {build}, stage {stage}:"
+        f" doubt at {doubt:.2f} of the bound, {seen} outcomes seen"
+    )
+
+
+SAID: dict[Reason, Callable[..., Sentence]] = {
+    Reason.POSITION: _position,
+    Reason.ASTRAY: _astray,
+    Reason.ENDED: _ended,
+    Reason.EXPOSURE: _exposure,
+    Reason.STAYS: lambda keys: Sentence(
+        f"the newest build has answered its key ({keys} such keys): it stays there"
     ),
-    R.GUARDED: lambda stage, guarded: (
+    Reason.GUARDED: lambda stage, guarded: Sentence(
         f"stage {stage} of the trial is guarded: only retriable lanes go there",
         f"from stage {guarded} on it may",
     ),
-    R.CLOSED: lambda phase, cap: (
-        f"the newest build takes nothing now (phase {phase}, cap {share(cap)})",
-        None,
-    ),
-    R.SENT: lambda pod, build, new, time_out, cost: (
-        f"sent to {pod}, build {build} ({'the newest' if new else 'an earlier one'}), for {ms(time_out)} at most; "
-        f"the pod's cost was {cost:.2f}",
-        None,
+    Reason.CLOSED: lambda phase, cap: Sentence(
+        f"the newest build takes nothing now (phase {phase}, cap {percent(cap)})"
     ),
-    R.UNREACHABLE: lambda pods: (
-        f"{pods} pods passed over that could not be reached of late",
-        None,
+    Reason.SENT: _sent,
+    Reason.UNREACHABLE: lambda pods: Sentence(
+        f"{pods} pods passed over that could not be reached of late"
     ),
-    R.DOUBTED: lambda pods: (f"{pods} pods passed over that other instances saw fail", None),
-    R.USED: lambda pods: (f"{pods} pods passed over where it was already", None),
-    R.COLD: lambda pods: (
-        f"{pods} cold pods have had their part of the deliveries",
-        "it ends when they are warm",
+    Reason.DOUBTED: lambda pods: Sentence(f"{pods} pods passed over that other instances saw fail"),
+    Reason.USED: lambda pods: Sentence(f"{pods} pods passed over where it was already"),
+    Reason.COLD: lambda pods: Sentence(
+        f"{pods} cold pods have had their part of the deliveries", "it ends when they are warm"
     ),
-    R.OUTSIDE: lambda pods: (f"{pods} pods would not drop a repeat of it", None),
-    R.NO_POD: lambda ready, new: (
-        f"no pod of {'the newest' if new else 'an earlier'} build would do, of {ready} ready",
-        "another ready pod would",
+    Reason.OUTSIDE: lambda pods: Sentence(f"{pods} pods would not drop a repeat of it"),
+    Reason.NO_POD: _no_pod,
+    Reason.OVER_LIMIT: _over_limit,
+    Reason.BY_LOT: _by_lot,
+    Reason.NO_NEWS: lambda: Sentence("nothing was told of builds yet", "the platform's first news"),
+    Reason.MOST_DELIVERIES: lambda made, most: Sentence(
+        f"{made} deliveries were made, {most} are allowed"
     ),
-    R.OVER_LIMIT: lambda opened, limit: (
-        f"{opened:g} transactions were open; answers come for {limit:.1f}",
-        f"{opened - limit:.0f} fewer open, or quicker answers, would have let it in",
-    ),
-    R.BY_LOT: lambda pressure, chance: (
-        f"answers take {pressure:.2f} of their goal here: of those that come, {share(chance)} are let in by lot",
-        "answers within half the goal would have let it in",
-    ),
-    R.NO_NEWS: lambda: ("nothing was told of builds yet", "the platform's first news"),
-    R.MOST_DELIVERIES: lambda made, most: (
-        f"{made} deliveries were made, {most} are allowed",
-        None,
-    ),
-    R.TIME_OVER: lambda left, mean: (
-        f"{ms(max(0, left))} were left, and an answer takes {ms(mean)}: it could earn nothing any more"
-        if mean
-        else "its client's time was over",
-        None,
-    ),
-    R.NO_BUDGET: lambda left: (
+    Reason.TIME_OVER: _time_over,
+    Reason.NO_BUDGET: lambda left: Sentence(
         f"too many deliveries were repeated of late (budget {left:.2f} of 1)",
         "seven more transactions fill it by one",
     ),
-    R.MAY_HAVE_RUN: lambda pod, since: (
-        f"it may have run at {pod} {ms(since)} ago and must not run twice",
+    Reason.MAY_HAVE_RUN: lambda pod, since: Sentence(
+        f"it may have run at {pod} {milliseconds(since)} ago and must not run twice",
         "a lane that may run again, or proof that it has not run",
     ),
-    R.DEFERRED: lambda wait: (
-        "answered: deferred" + (f", to come back after {ms(wait)}" if wait else ""),
-        None,
-    ),
-    R.ABANDONED: lambda pod=None: (
-        "answered: abandoned"
-        + (
-            f", as it may have run at {pod}: a deferral would call another try harmless"
-            if pod
-            else ""
-        ),
-        None,
-    ),
-    R.DONE: lambda: ("answered: done", None),
-    R.LEFT: lambda: ("its client went away", None),
-    R.VOTED: lambda build, stage, verdict, doubt, seen: (
-        f"voted {VERDICTS[verdict]} on build {build}, stage {stage}: doubt at {doubt:.2f} of the bound, "
-        f"{seen} outcomes seen",
-        None,
-    ),
-    R.SECOND_COPY: lambda waited: (
-        f"much later than its lane after {ms(waited)}: a second copy",
-        None,
+    Reason.DEFERRED: _deferred,
+    Reason.ABANDONED: _abandoned,
+    Reason.DONE: lambda: Sentence("answered: done"),
+    Reason.LEFT: lambda: Sentence("its client went away"),
+    Reason.VOTED: _voted,
+    Reason.SECOND_COPY: lambda waited: Sentence(
+        f"much later than its lane after {milliseconds(waited)}: a second copy"
     ),
 }
+"""The sentence of each reason, made of its operands in the order that `Reason` gives."""
 
 
-def explained(entry):
-    """Lines for one entry: what it was, then each reason in its order, with what would have changed it."""
-    end = R(entry.end).name.lower() if entry.end else "open"
-    lines = [
-        f"{entry.id}  lane {entry.request_class}"
-        + (f", tenant {entry.tenant}" if entry.tenant else "")
-        + (f", key {entry.key}" if entry.key else "")
-        + (", a client's repeat" if entry.repeat else "")
-        + f": {end} after {ms(entry.took)}"
-    ]
-    for reason, after, *operands in entry.notes:
-        text, other = SAID[R(reason)](*operands)
-        lines.append(f"  {after / 10:8.1f} ms  {text}" + (f"  [{other}]" if other else ""))
+def explained(entry: Entry) -> list[str]:
+    """Returns lines for a person: what the entry is, then each reason in order with its remedy."""
+    lines = [_title(entry)]
+    for number, after, *operands in entry.notes:
+        sentence = SAID[Reason(number)](*operands)
+        remedy = f"  [{sentence.remedy}]" if sentence.remedy else ""
+        lines.append(f"  {after / 10:8.1f} ms  {sentence.text}{remedy}")
     if entry.cut:
         lines.append(f"  {entry.cut} notes in the middle were left out")
     return lines
 
 
-def plain(entry):
-    """An entry for programs."""
-    return {
-        "id": entry.id,
-        "at": entry.at / 10_000,
-        "key": entry.key,
-        "tenant": entry.tenant,
-        "lane": entry.request_class,
-        "repeat": entry.repeat,
-        "end": R(entry.end).name if entry.end else "OPEN",
-        "took_ms": entry.took / 10,
-        "cut": entry.cut,
-        "reasons": [
-            {
-                "reason": R(note[0]).name,
-                "after_ms": note[1] / 10,
-                "operands": note[2:],
-                "text": SAID[R(note[0])](*note[2:])[0],
-            }
-            for note in entry.notes
-        ],
-    }
+def _title(entry: Entry) -> str:
+    parts = [f"{entry.id}  lane {entry.request_class}"]
+    if entry.tenant:
+        parts.append(f"tenant {entry.tenant}")
+    if entry.key:
+        parts.append(f"key {entry.key}")
+    if entry.repeat:
+        parts.append("a client's repeat")
+    end = Reason(entry.end).name.lower() if entry.end else "open"
+    return f"{', '.join(parts)}: {end} after {milliseconds(entry.took)}"
--- a/thymeknot/decision_log/query_protocol.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -7,7 +7,7 @@
 from ..interface.clock import TICKS_PER_SECOND
 from ..interface.reasons import Reason as R
 from .entry_codec import pods as pods
-from .explanations import explained, plain
+from .explanations import SAID, explained
 
 LINE_MOST = 4096
 
@@ -37,6 +37,30 @@
     }, limit
 
 
+def plain(entry):
+    """An entry for programs."""
+    return {
+        "id": entry.id,
+        "at": entry.at / 10_000,
+        "key": entry.key,
+        "tenant": entry.tenant,
+        "lane": entry.request_class,
+        "repeat": entry.repeat,
+        "end": R(entry.end).name if entry.end else "OPEN",
+        "took_ms": entry.took / 10,
+        "cut": entry.cut,
+        "reasons": [
+            {
+                "reason": R(note[0]).name,
+                "after_ms": note[1] / 10,
+                "operands": note[2:],
+                "text": SAID[R(note[0])](*note[2:])[0],
+            }
+            for note in entry.notes
+        ],
+    }
+
+
 def shown(entry):
     return {**plain(entry), "lines": explained(entry)}
 
