--- a/thymeknot/decision_log/entry_codec.py
+++ b/thymeknot/decision_log/entry_codec.py
@@ -6,7 +6,7 @@
 """
 
 import struct
-from typing import NamedTuple, Optional, Union
+from typing import NamedTuple, Optional, Union, cast
 from zlib import crc32
 
 from msgspec import DecodeError, Struct, msgpack
@@ -115,3 +115,13 @@
         for note in entry.notes
         if note[0] in (Reason.SENT, Reason.ENDED) and len(note) > 2
     }
+
+
+def note_reason(note: Note) -> Reason:
+    """Returns the reason that a note names."""
+    return Reason(cast(int, note[0]))
+
+
+def note_delay(note: Note) -> Ticks:
+    """Returns how long after the transaction was taken the note was made."""
+    return cast(Ticks, note[1])
--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -5,7 +5,7 @@
 
 from ..interface.enums import Outcome
 from ..interface.reasons import Reason
-from .entry_codec import Entry
+from .entry_codec import Entry, note_delay, note_reason
 
 # In the order of the verdicts' numbers, which votes carry.
 VERDICTS = ("nothing", "on", "hold", "back")
@@ -184,10 +184,10 @@
 def explained(entry: Entry) -> list[str]:
     """Returns lines for a person: what the entry is, then each reason in order with its remedy."""
     lines = [_title(entry)]
-    for number, after, *operands in entry.notes:
-        sentence = SAID[Reason(number)](*operands)
+    for note in entry.notes:
+        sentence = SAID[note_reason(note)](*note[2:])
         remedy = f"  [{sentence.remedy}]" if sentence.remedy else ""
-        lines.append(f"  {after / 10:8.1f} ms  {sentence.text}{remedy}")
+        lines.append(f"  {note_delay(note) / 10:8.1f} ms  {sentence.text}{remedy}")
     if entry.cut:
         lines.append(f"  {entry.cut} notes in the middle were left out")
     return lines
