--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -15,11 +15,13 @@
 from scipy.optimize import Bounds, LinearConstraint, milp
 
 from thymeknot.gang_scheduling import placement_score, placement_search, state_machine
-from thymeknot.gang_scheduling.jobs import Gang, parents
+from thymeknot.gang_scheduling.gang_state import STATES_WITH_LEASE
+from thymeknot.gang_scheduling.jobs import Gang, tree_parents
 from thymeknot.gang_scheduling.topology import Places, Stated
+from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
-SECOND = state_machine.TICKS_PER_SECOND
+SECOND = TICKS_PER_SECOND
 PATTERNS = ("ring", "all", "tree", "pipeline", "matrix")
 GIGA = 10**9
 
@@ -54,11 +56,11 @@
     for at in range(racks):
         zone = int(chance.draw() * 3)
         hosts = {f"r{at}m{one}": Stated(4, {"gpu": 4}) for one in range(1 + int(chance.draw() * 4))}
-        places.stand(
+        places.add_rack(
             f"r{at}", f"z{zone}", f"c{zone % 2}", int((0.5 + 2 * chance.draw()) * GIGA), hosts
         )
         for machine in hosts:
-            places.take({machine: int(chance.draw() ** 2 * 5)}, (("gpu", 1),))
+            places.reserve({machine: int(chance.draw() ** 2 * 5)}, (("gpu", 1),))
             if chance.draw() < 0.15:
                 places.host(machine).planned = 1
         places.carried[f"rack/r{at}"] = chance.draw() ** 2 * GIGA
@@ -71,9 +73,9 @@
     while len(found) < cases:
         places, gang = small(chance)
         scorer = placement_score.Scorer(places, gang, 0)
-        quick = placement_search.fast(scorer)
+        quick = placement_search.heuristic_search(scorer)
         if quick:
-            best = scorer.total(placement_search.exact(scorer))
+            best = scorer.total(placement_search.exact_search(scorer))
             found.append(scorer.total(quick) / best - 1)
     return found
 
@@ -83,15 +85,15 @@
     that shares no search with ours. A ring crosses each rack's and site's uplink that it enters and is not all within,
     once each way."""
     weights, workers, much = scorer.weights, scorer.workers, scorer.gang.bytes
-    racks = [at for at, room in enumerate(scorer.room) if room > 0]
-    groups = [([at], scorer.base[at] + much * scorer.rate[at]) for at in racks]
+    racks = [at for at, room in enumerate(scorer.capacity) if room > 0]
+    groups = [([at], scorer.rack_load[at] + much * scorer.rack_rate[at]) for at in racks]
     for site, (_, base, rate) in enumerate(scorer.sites):
-        inside = [at for at in racks if site in (scorer.zone[at], scorer.cluster[at])]
+        inside = [at for at in racks if site in (scorer.zone_site[at], scorer.cluster_site[at])]
         groups += [(inside, base + much * rate)] if inside else []
-    bases = [scorer.base[at] for at in racks] + [
+    bases = [scorer.rack_load[at] for at in racks] + [
         base
         for site, (_, base, _) in enumerate(scorer.sites)
-        if any(site in (scorer.zone[at], scorer.cluster[at]) for at in racks)
+        if any(site in (scorer.zone_site[at], scorer.cluster_site[at]) for at in racks)
     ]
     many, last = len(racks), 2 * len(racks) + 2 * len(groups)
     place = {at: one for one, at in enumerate(racks)}
@@ -109,8 +111,8 @@
     for at, one in place.items():
         price[one] -= weights.fragments / scorer.slots[at]
         price[many + one] = weights.planned
-        price[2 * many + one] += weights.fragments * scorer.room[at] / scorer.slots[at]
-        line = row(-scorer.clean[at] / workers, np.inf)
+        price[2 * many + one] += weights.fragments * scorer.capacity[at] / scorer.slots[at]
+        line = row(-scorer.unplanned_capacity[at] / workers, np.inf)
         line[many + one], line[one] = 1, -1 / workers
         line = row(0, np.inf)
         line[last + 1], line[one] = 1, -1 / workers
@@ -121,7 +123,7 @@
         price[within] -= over
         line = row(-np.inf, 0)
         line[[place[rack] for rack in inside]] = 1
-        line[entered] = -min(workers, sum(scorer.room[rack] for rack in inside))
+        line[entered] = -min(workers, sum(scorer.capacity[rack] for rack in inside))
         line = row(0, np.inf)
         line[[place[rack] for rack in inside]] = 1
         line[within] = -workers
@@ -129,13 +131,13 @@
         line[last], line[entered], line[within] = 1, -load, load
     top = np.concatenate(
         [
-            [min(workers, scorer.room[at]) for at in racks],
+            [min(workers, scorer.capacity[at]) for at in racks],
             np.ones(many + 2 * len(groups)),
             [np.inf, 1],
         ]
     )
     least = np.zeros(size)
-    least[last] = scorer.floor
+    least[last] = scorer.min_step
     whole = np.concatenate([np.ones(many), np.zeros(many), np.ones(2 * len(groups)), [0, 0]])
     answer = milp(
         price,
@@ -156,7 +158,7 @@
         scorer = placement_score.Scorer(
             places, msgspec.structs.replace(gang, pattern="ring", matrix=[]), 0
         )
-        best = placement_search.exact(scorer)
+        best = placement_search.exact_search(scorer)
         if best:
             apart.append(abs(solved(scorer, 10)[0] / scorer.total(best) - 1))
     places = large(chance)
@@ -165,8 +167,12 @@
             int(64 + 448 * chance.draw()), "ring", GIGA, 4 * SECOND, "p", SECOND, needs={"gpu": 1}
         )
         scorer = placement_score.Scorer(places, gang, 0)
-        found.append(scorer.total(placement_search.fast(scorer)) / solved(scorer, 3)[0] - 1)
-        places.take(placement_search.find(places, gang, 0).places, gang.shape())
+        found.append(
+            scorer.total(placement_search.heuristic_search(scorer)) / solved(scorer, 3)[0] - 1
+        )
+        places.reserve(
+            placement_search.find_placement(places, gang, 0).places, gang.resource_shape()
+        )
     return max(apart), found
 
 
@@ -184,7 +190,9 @@
     elif gang.pattern == "pipeline":
         much = gang.bytes * (abs(one - other) == 1)
     elif gang.pattern == "tree":
-        up = np.array(parents(count))  # which tree it is, is agreed; what it loads is counted here
+        up = np.array(
+            tree_parents(count)
+        )  # which tree it is, is agreed; what it loads is counted here
         much = gang.bytes * ((up[one] == other) | (up[other] == one))
     else:
         size = count // len(gang.matrix)
@@ -276,7 +284,7 @@
     def step(self, gang, flows, others):
         """Seconds of a step: until the last byte is there, while others send as much as their targets ask for."""
         routes, much, many = flows
-        sent = gang.loudest() / self.host
+        sent = gang.busiest_worker_bytes() / self.host
         if not len(routes):
             return sent
         mine = len(routes)
@@ -299,7 +307,7 @@
     )
     for at in range(200):
         zone = at % 20
-        places.stand(
+        places.add_rack(
             f"r{at:03}",
             f"z{zone}",
             f"c{zone % 4}",
@@ -308,7 +316,7 @@
         )
         for machine in places.racks[f"r{at:03}"].hosts:
             if chance.draw() < 0.4:
-                places.take({machine: 1 + int(chance.draw() * 8)}, (("gpu", 1),))
+                places.reserve({machine: 1 + int(chance.draw() * 8)}, (("gpu", 1),))
             if chance.draw() < 0.03:
                 places.host(machine).planned = 1
     return places
@@ -321,19 +329,19 @@
     for _ in range(gangs):
         gang = some_gang(chance, int(2 * 256 ** chance.draw()), 2 * GIGA)
         began = time.process_time()
-        plan = placement_search.find(places, gang, 0, how=how)
+        plan = placement_search.find_placement(places, gang, 0, how=how)
         took.append(1000 * (time.process_time() - began))
         if plan:
-            places.take(plan.places, gang.shape())
-            counts = places.counts(plan.places)
-            placement_score.put(places, gang, counts)
+            places.reserve(plan.places, gang.resource_shape())
+            counts = places.workers_by_rack(plan.places)
+            placement_score.add_traffic(places, gang, counts)
             placed.append((gang, counts))
     return places, placed, took
 
 
 def steps(places, placed, every):
     """Seconds of a step by the network, over its target, of each `every`th gang."""
-    network, order = Network(places), places.order()
+    network, order = Network(places), places.rack_order()
     flows = [
         network.flows(gang, [(name, counts[name]) for name in order if name in counts])
         for gang, counts in placed
@@ -389,7 +397,7 @@
             if life["state"] == "hurt"
             else (life["gang"]["workers"],)
         )
-        half += life["state"] in state_machine.LEASED and life["lease"] <= image["at"]
+        half += life["state"] in STATES_WITH_LEASE and life["lease"] <= image["at"]
         for machine, some in life["places"].items():
             used[machine] = used.get(machine, 0) + some
     return half, sum(
@@ -447,7 +455,7 @@
     everywhere = [f"r{rack}m{one}" for rack in range(8) for one in range(4)]
     for turn in range(turns):
         at += int(chance.draw() * 4 * SECOND)
-        gangs = machine.all.gangs
+        gangs = machine.state.gangs
         in_state = {
             name: [gang for gang, _ in group]
             for name, group in groupby(
@@ -465,7 +473,7 @@
             do("offer", gang=f"g{turn}", job=job)
         elif lot < 0.35:  # score
             name = pick(machine.queue()[:2])
-            plan = name and placement_search.find(machine.view(), gangs[name].gang, at)
+            plan = name and placement_search.find_placement(machine.view(), gangs[name].gang, at)
             wanted[who] = plan and (name, plan)
         elif lot < 0.60 and wanted[who]:
             name, plan = wanted[who]
@@ -486,10 +494,11 @@
         elif lot < 0.76 and (name := pick(in_state.get("running", ()))):
             sums["done"] += "ok" in do("done", gang=name, fence=gangs[name].fence)
         elif lot < 0.84 and (name := pick(in_state.get("hurt", ()))):
-            plan, _ = placement_search.mended(
+            replacement = placement_search.replace_failed_workers(
                 machine.view(), gangs[name].gang, at, gangs[name].places, 0
             )
-            if plan:
+            if replacement:
+                plan = replacement.plan
                 reply = do(
                     "mend",
                     gang=name,
@@ -511,7 +520,7 @@
             sums["lost"] += "ok" in do(
                 "lost",
                 kind=kind_,
-                name=pick(machine.all.places.racks if kind_ == "rack" else everywhere),
+                name=pick(machine.state.places.racks if kind_ == "rack" else everywhere),
             )
         elif 0.92 <= lot < 0.99:
             do(
@@ -519,7 +528,7 @@
                 machine=pick(
                     name
                     for name in everywhere
-                    if machine.all.places.host(name).fits(()) < 1 or chance.draw() < 0.1
+                    if machine.state.places.host(name).capacity(()) < 1 or chance.draw() < 0.1
                 )
                 or everywhere[0],
             )
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -275,10 +275,20 @@
     def test_the_settings_it_started_with_stay_whole(self):
         network = Network()
         proxy = network.proxy
-        before = proxy.settings, proxy.connection_limits, proxy.engine.settings, proxy.most_clients
+        before = (
+            proxy.settings,
+            proxy.connection_limits,
+            proxy.engine.settings,
+            proxy.listener.most_clients,
+        )
         proxy.reconfigure(configuration.read({**example(), "settings": other_settings()}, 0))
         self.assertEqual(
-            (proxy.settings, proxy.connection_limits, proxy.engine.settings, proxy.most_clients),
+            (
+                proxy.settings,
+                proxy.connection_limits,
+                proxy.engine.settings,
+                proxy.listener.most_clients,
+            ),
             before,
         )
         for was, stays in zip(
@@ -459,7 +469,7 @@
                 warmup_duration=cold, warmup_initial_fraction=cold_from
             )
             for now in (20, 70, 71):  # the clock may be behind the pod's
-                self.assertGreater(known.share(now, terms), 0, (cold, cold_from, now))
+                self.assertGreater(known.warmup_fraction(now, terms), 0, (cold, cold_from, now))
 
     def test_a_short_span_counts_nothing_older(self):
         for span in (1, 7, 150):
