--- a/Makefile
+++ b/Makefile
@@ -37,6 +37,8 @@
 	thymeknot/service/required_libraries.py \
 	thymeknot/service/structured_log.py \
 	thymeknot/simulation/earlier_versions.py \
+	thymeknot/simulation/servers.py \
+	thymeknot/simulation/statistics.py \
 	thymeknot/simulator_wire \
 	thymeknot/state/endpoint_state.py \
 	thymeknot/state/fleet_baseline.py \
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -68,7 +68,17 @@
         )  # it can fail
 
     def test_a_cold_pod_does_its_part_and_a_full_one_turns_away(self):
-        pod = Pod("p", "a", 1, 1.0, 1, Build(1), 1000, 1000, 0.25)
+        pod = Pod(
+            "p",
+            "a",
+            cores=1,
+            speed=1.0,
+            queue_most=1,
+            build=Build(1),
+            started=1000,
+            cold=1000,
+            cold_from=0.25,
+        )
         self.assertEqual(
             [pod.warmth(at) for at in (1000, 1500, 2000, 9000)], [0.25, 0.625, 1.0, 1.0]
         )
@@ -83,7 +93,7 @@
 
     def test_builds_fail_as_they_are_told(self):
         late, loaded = Build(2, 0.5, after=500), Build(2, 0.5, load=0.5)
-        pod = Pod("p", "a", 2, 1.0, 9, late, 1000)
+        pod = Pod("p", "a", cores=2, speed=1.0, queue_most=9, build=late, started=1000)
         self.assertEqual([late.strikes(pod, at, "x") for at in (1400, 1500)], [False, True])
         self.assertFalse(loaded.strikes(pod, 2000, "x"))
         pod.busy = 1
--- a/thymeknot/simulation/__init__.py
+++ b/thymeknot/simulation/__init__.py
@@ -1,6 +1,9 @@
-"""The project's own rig: fleets and their failures in simulated time, checkers of the rules, comparisons.
+"""Simulation of fleets and their failures, checkers of the rules, and comparisons of policies.
 
-`days` (what happens, drawn by seed), `pods` (servers), `fleet` (the emulator that plays a day with any policy), `rules`
-(checkers that share no code with what they check), `policies` (to compare with), `numbers` (scores, intervals, Erlang's
-formulas). Installed as its own set of libraries (requirements-laboratory.txt); the sidecar never loads it.
+`scenarios` and `large_fleet_scenarios` say what happens on a day (drawn by seed), `servers` and
+`shared_services` are what instances meet, `simulator` plays a day with any policy, `invariants`
+checks the rules and shares no code with what it checks, `baseline_policies` and `earlier_versions`
+are what the present policy is compared with, `experiments`, `statistics`, `recording` and `report`
+measure and show the results. Installed as its own set of libraries (requirements-laboratory.txt);
+the sidecar never loads it.
 """
--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -17,7 +17,8 @@
     streams = [
         np.random.Generator(np.random.PCG64(one)) for one in np.random.SeedSequence(seed).spawn(2)
     ]
-    mean, pod = 2000.0, Pod("p", "a", servers, 1.0, 10**9, Build(1), 0)
+    mean = 2000.0
+    pod = Pod("p", "a", cores=servers, speed=1.0, queue_most=10**9, build=Build(1), started=0)
     rate = load * servers / mean
     gaps, works = gamma(streams[0], 1 / rate, 1.0), gamma(streams[1], mean, 1.0)
 
--- a/thymeknot/simulation/earlier_versions.py
+++ b/thymeknot/simulation/earlier_versions.py
@@ -1,7 +1,8 @@
 """The decisions as they were at an earlier revision of this repository, played beside today's.
 
-The whole package of that revision is taken from git under a name of its own. Events are handed over, and actions taken
-back, field by field: their order has not changed since the first revision, only names have.
+The whole package of that revision is taken from git under a name of its own. Events are handed
+over, and actions taken back, field by field: their order has not changed since the first revision,
+only names have.
 """
 
 import atexit
@@ -96,14 +97,14 @@
         self._engine = engine
 
     def handle(self, now: Ticks, told: list[Any]) -> list[Any]:
-        """The actions that follow from events; events that the version does not know are left out."""
+        """The actions that follow from events; events unknown to the version are left out."""
         translated = [translate(event, self._interface) for event in told]
         answers = self._engine.handle(now, [event for event in translated if event is not None])
         return [TODAYS_ACTIONS[type(action).__name__](*action) for action in answers]
 
 
 class EarlierVersion(NamedTuple):
-    """Makes instances as an earlier version's decisions; `pace` is how often that version polled."""
+    """Makes instances of an earlier version; `pace` is how often that version polled."""
 
     interface: ModuleType
     make: Any
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -3,7 +3,7 @@
 import numpy as np
 
 from ..interface.clock import TICKS_PER_SECOND
-from .servers import UP
+from .servers import PodState
 from .simulator import Simulator
 
 LOOK = TICKS_PER_SECOND // 2
@@ -31,7 +31,7 @@
 
     def _look(self):
         build, stage, phase, cap = self.news
-        running = [pod.build.number for pod in self.pods.values() if pod.state == UP]
+        running = [pod.build.number for pod in self.pods.values() if pod.state == PodState.UP]
         self.looks.append(
             (
                 self.now / TICKS_PER_SECOND,
@@ -44,7 +44,7 @@
         )
         by_place = np.zeros(self.day.pods)
         for pod in self.pods.values():
-            if pod.state == UP:
+            if pod.state == PodState.UP:
                 place = int(pod.name[1:].split("-")[0])
                 by_place[place] = max(
                     by_place[place], pod.wait / (pod.cores * pod.speed * TICKS_PER_SECOND)
--- a/thymeknot/simulation/servers.py
+++ b/thymeknot/simulation/servers.py
@@ -1,32 +1,71 @@
-"""An emulated pod: cores, a queue, a cold start, its build's faults. Pure; times are tenths of a millisecond.
+"""A simulated server: cores, a queue, a warm-up after its start, the faults of its build.
 
-Work is first in, first out over the cores. A pod that has just started does a part of its work, rising evenly; one that
-is sent more than `falls` times what it can do, for so long, falls over and stays down (rule 4's harm).
+Work is first in, first out over the cores. A server that has just started has a part of its
+capacity, rising evenly. Pure; times are ticks (tenths of a millisecond), work is ticks on one core
+of speed 1.
 """
 
 from collections import deque
+from enum import StrEnum
+from typing import Literal, Protocol
 
-UP, DRAINING, DOWN, SILENT = "up", "draining", "down", "silent"
+from ..interface.clock import Ticks
+
+
+class PodState(StrEnum):
+    """What discovery says of a server."""
+
+    UP = "up"
+    DRAINING = "draining"
+    DOWN = "down"
+
+
+class Job(Protocol):
+    """What a server works on."""
+
+    work: float
+    """Mean ticks on one core of speed 1."""
+    lane: str
+    """The name of its request class."""
 
 
 class Build:
-    """What a build's pods do to a delivery. fails: share; slow: times the work; after: seconds from the start on."""
-
-    __slots__ = ("number", "fails", "slow", "after", "lane", "load", "shared")
-
-    def __init__(self, number, fails=0.0, slow=1.0, after=0, lane=None, load=0.0, shared=0.0):
-        self.number, self.fails, self.slow, self.after, self.lane, self.load = (
-            number,
-            fails,
-            slow,
-            after,
-            lane,
-            load,
-        )
+    """What the servers of a build do to an attempt."""
+
+    __slots__ = ("after", "fails", "lane", "load", "number", "shared", "slow")
+
+    def __init__(
+        self,
+        number: int,
+        fails: float = 0.0,
+        *,
+        slow: float = 1.0,
+        after: Ticks = 0,
+        lane: str | None = None,
+        load: float = 0.0,
+        shared: float = 0.0,
+    ) -> None:
+        """Describes a build.
+
+        Args:
+            number: of the build.
+            fails: share of the attempts that fail while the fault acts.
+            slow: factor of the work while the fault acts.
+            after: from the start of a server until the fault acts.
+            lane: the only request class that the fault strikes; None: all.
+            load: share of a server's cores that must be busy for the fault to act.
+            shared: factor that slows all servers, by this build's share of the attempts.
+        """
+        self.number = number
+        self.fails = fails
+        self.slow = slow
+        self.after = after
+        self.lane = lane
+        self.load = load
         self.shared = shared
 
-    def strikes(self, pod, now, lane):
-        """Whether its fault acts on this delivery now."""
+    def strikes(self, pod: "Pod", now: Ticks, lane: str) -> bool:
+        """Whether its fault acts on an attempt of this request class now."""
         return (
             (self.lane is None or self.lane == lane)
             and now - pod.started >= self.after
@@ -35,55 +74,97 @@
 
 
 class Pod:
+    """A server and what is in it."""
+
     __slots__ = (
-        "name",
-        "zone",
-        "cores",
-        "speed",
-        "queue_most",
         "build",
-        "started",
+        "busy",
         "cold",
         "cold_from",
-        "state",
-        "busy",
-        "queue",
+        "cores",
         "done",
-        "turned_away",
-        "worked",
+        "name",
         "paused",
+        "queue",
+        "queue_most",
         "silent",
+        "speed",
+        "started",
+        "state",
+        "turned_away",
         "wait",
+        "worked",
+        "zone",
     )
 
-    def __init__(self, name, zone, cores, speed, queue_most, build, started, cold=0, cold_from=1.0):
-        self.name, self.zone, self.cores, self.speed, self.queue_most = (
-            name,
-            zone,
-            cores,
-            speed,
-            queue_most,
-        )
-        self.build, self.started, self.cold, self.cold_from = build, started, cold, cold_from
-        self.state, self.busy, self.queue = UP, 0, deque()
-        self.done = self.turned_away = 0
-        self.worked, self.paused, self.silent, self.wait = (
-            0.0,
-            0,
-            False,
-            0.0,
-        )  # wait: work in its queue
-
-    def warmth(self, now):
-        """The part of its capacity that it has."""
+    def __init__(
+        self,
+        name: str,
+        zone: str,
+        *,
+        cores: int,
+        speed: float,
+        queue_most: int,
+        build: Build,
+        started: Ticks,
+        cold: Ticks = 0,
+        cold_from: float = 1.0,
+    ) -> None:
+        """Starts a server with an empty queue.
+
+        Args:
+            name: its address.
+            zone: where it stands.
+            cores: jobs that it does at once.
+            speed: work that a core does in a tick.
+            queue_most: jobs that wait at most.
+            build: what it runs.
+            started: when it started.
+            cold: how long it warms up.
+            cold_from: share of its capacity at its start.
+        """
+        self.name = name
+        self.zone = zone
+        self.cores = cores
+        self.speed = speed
+        self.queue_most = queue_most
+        self.build = build
+        self.started = started
+        self.cold = cold
+        self.cold_from = cold_from
+        self.state = PodState.UP
+        self.busy = 0
+        """Cores at work."""
+        self.queue: deque[Job] = deque()
+        self.done = 0
+        """Jobs finished."""
+        self.turned_away = 0
+        """Jobs rejected."""
+        self.worked = 0.0
+        """Ticks of core time spent."""
+        self.paused: Ticks = 0
+        """Until when everything in it stands still."""
+        self.silent = False
+        """Whether it takes jobs and never answers."""
+        self.wait = 0.0
+        """Work in its queue."""
+
+    def warmth(self, now: Ticks) -> float:
+        """The share of its capacity that it has."""
         age = now - self.started
         if not self.cold or age >= self.cold:
             return 1.0
         return self.cold_from + (1 - self.cold_from) * max(0, age) / self.cold
 
-    def take(self, now, job):
-        """How long until this job is done if it begins at once; None where it waits; False where it is turned away."""
-        if self.state != UP or (self.busy >= self.cores and len(self.queue) >= self.queue_most):
+    def take(self, now: Ticks, job: Job) -> Ticks | Literal[False] | None:
+        """Takes a job.
+
+        Returns:
+            How long it takes if it begins at once, None if it waits, False if it is rejected.
+        """
+        if self.state != PodState.UP or (
+            self.busy >= self.cores and len(self.queue) >= self.queue_most
+        ):
             self.turned_away += 1
             return False
         if self.busy < self.cores:
@@ -92,24 +173,24 @@
         self.wait += job.work
         return None
 
-    def fits(self, now, goal):
-        """Whether what came now would be begun within so long: what a client could have had here."""
+    def fits(self, now: Ticks, goal: float) -> bool:
+        """Whether a job that came now would begin within this time."""
         return (
-            self.state == UP
+            self.state == PodState.UP
             and now >= self.paused
             and not self.silent
             and self.wait <= goal * self.cores * self.speed * self.warmth(now)
         )
 
-    def _begin(self, now, job):
+    def _begin(self, now: Ticks, job: Job) -> Ticks:
         self.busy += 1
         slow = self.build.slow if self.build.strikes(self, now, job.lane) else 1.0
         took = job.work * slow / (self.speed * self.warmth(now))
         self.worked += took
         return max(1, round(took))
 
-    def finish(self, now):
-        """A core is free: the next job and how long it takes, or None."""
+    def finish(self, now: Ticks) -> tuple[Job, Ticks] | None:
+        """Ends a job: the next one from the queue and how long it takes, or None."""
         self.busy -= 1
         self.done += 1
         if self.queue:
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -31,7 +31,7 @@
 )
 from ..state.random_source import LinearCongruentialGenerator
 from .invariants import InvariantChecker
-from .servers import DOWN, DRAINING, UP, Build, Pod
+from .servers import Build, Pod, PodState
 from .shared_services import Connections, Discovery, pace_of
 
 GRACE = 2500  # of drains
@@ -164,7 +164,13 @@
         self.builds = {1: Build(1)}
         self.pods = {
             f"p{at}-1": Pod(
-                f"p{at}-1", day.zones[at % 3], day.cores, speed, day.queue, self.builds[1], 0
+                f"p{at}-1",
+                day.zones[at % 3],
+                cores=day.cores,
+                speed=speed,
+                queue_most=day.queue,
+                build=self.builds[1],
+                started=0,
             )
             for at, speed in enumerate(day.speeds)
         }
@@ -248,11 +254,13 @@
         )
         self.balancers[instance] = policy
         listed = tuple(
-            self._entry(pod) for pod in self.pods.values() if pod.state in (UP, DRAINING)
+            self._entry(pod)
+            for pod in self.pods.values()
+            if pod.state in (PodState.UP, PodState.DRAINING)
         )
         for pod in self.pods.values():
             self.checker.started(instance, pod.name, pod.started)
-            if pod.state == DRAINING:
+            if pod.state == PodState.DRAINING:
                 self.checker.listed(self.now, instance, pod.name, "draining")
         build, stage, phase, cap = self.news
         self.checker.cap(self.now, instance, build, cap, stage, PHASES[phase])
@@ -270,7 +278,9 @@
         there = self.turns[instance] == turn and self.balancers.get(instance) is not None
         if there and whole:
             entries = [
-                self._entry(pod) for pod in self.pods.values() if pod.state in (UP, DRAINING)
+                self._entry(pod)
+                for pod in self.pods.values()
+                if pod.state in (PodState.UP, PodState.DRAINING)
             ]
             self._note_list(instance, entries)
             self._tell(instance, EndpointUpdate(UpdateKind.FULL, tuple(entries)))
@@ -288,7 +298,7 @@
 
     def _entry(self, pod, condition=None):
         condition = condition or (
-            EndpointCondition.READY if pod.state == UP else EndpointCondition.DRAINING
+            EndpointCondition.READY if pod.state == PodState.UP else EndpointCondition.DRAINING
         )
         return Endpoint(pod.name, pod.zone, 1.0, 0, condition, pod.started, "m", pod.build.number)
 
@@ -417,7 +427,7 @@
         usual = [
             pod
             for pod in self.pods.values()
-            if pod.state == UP
+            if pod.state == PodState.UP
             and self._reached(instance, pod)
             and (pod.build.number < self.news[0] or self.news[2] == ReleasePhase.RELEASED)
         ]
@@ -485,7 +495,7 @@
         if not job.linked:
             self.at(min(ends, self.now + 10), self._end, job, Outcome.CONNECT_FAILED, False)
             return
-        if self.losses.next() < self.loss or pod.state == DOWN:
+        if self.losses.next() < self.loss or pod.state == PodState.DOWN:
             self.at(min(ends, self.now + 2500), self._end, job, Outcome.CONNECT_FAILED, False)
             return
         self.at(ends, self._end, job, Outcome.TIMED_OUT, None)
@@ -520,7 +530,7 @@
         following = pod.finish(self.now)
         if following:
             self.at(self.now + following[1], self._served, pod, following[0])
-        if pod.state == DOWN:
+        if pod.state == PodState.DOWN:
             return
         self.checker.ran(self.now, job.name, job.lane)
         build = pod.build
@@ -672,7 +682,12 @@
             self._back()
             self.sent_back.pop()  # not by votes
         self.builds[offer.build] = Build(
-            offer.build, offer.fails, offer.slow, offer.after, None, offer.load, offer.shared
+            offer.build,
+            offer.fails,
+            slow=offer.slow,
+            after=offer.after,
+            load=offer.load,
+            shared=offer.shared,
         )
         self.trial_share = 0.0
         self.news = [offer.build, 0, ReleasePhase.ON_TRIAL, self.day.caps[0]]
@@ -711,13 +726,13 @@
         pod = Pod(
             name,
             self.day.zones[at % 3],
-            self.day.cores,
-            self.day.speeds[at],
-            self.day.queue,
-            self.builds[build],
-            self.now,
-            self.day.cold,
-            self.day.cold_from,
+            cores=self.day.cores,
+            speed=self.day.speeds[at],
+            queue_most=self.day.queue,
+            build=self.builds[build],
+            started=self.now,
+            cold=self.day.cold,
+            cold_from=self.day.cold_from,
         )
         self.pods[name] = pod
         self._list(self._entry(pod))
@@ -809,7 +824,9 @@
         self.news[2:] = [ReleasePhase.ROLLING_BACK, 0.0]
         self._announce()
         earlier = [
-            pod for pod in self.pods.values() if pod.build.number < build and pod.state == UP
+            pod
+            for pod in self.pods.values()
+            if pod.build.number < build and pod.state == PodState.UP
         ]
         if (
             len(earlier) < self.day.pods
@@ -819,13 +836,13 @@
                 pod = Pod(
                     f"p{at}-{build}r",
                     self.day.zones[at % 3],
-                    self.day.cores,
-                    self.day.speeds[at],
-                    self.day.queue,
-                    self.builds[last],
-                    self.now,
-                    self.day.cold,
-                    self.day.cold_from,
+                    cores=self.day.cores,
+                    speed=self.day.speeds[at],
+                    queue_most=self.day.queue,
+                    build=self.builds[last],
+                    started=self.now,
+                    cold=self.day.cold,
+                    cold_from=self.day.cold_from,
                 )
                 self.pods[pod.name] = pod
                 self._list(self._entry(pod))
@@ -838,15 +855,15 @@
             self._announce()
 
     def _drain(self, which):
-        leaving = [pod for pod in self.pods.values() if pod.state == UP and which(pod)]
+        leaving = [pod for pod in self.pods.values() if pod.state == PodState.UP and which(pod)]
         for pod in leaving:
-            pod.state = DRAINING
+            pod.state = PodState.DRAINING
             self.at(self.now + self.day.gone_after, self._gone, pod)
         if leaving:
             self._list(*(self._entry(pod) for pod in leaving))
 
     def _gone(self, pod):
-        pod.state = DOWN
+        pod.state = PodState.DOWN
         self.connections.drop(lambda line: line[2] == pod.name)
         self.former[pod.name] = self.pods.pop(pod.name, pod)
         self._list(self._entry(pod, EndpointCondition.GONE))
@@ -916,21 +933,23 @@
             self.lost.add(zone)
         else:
             self.lost.discard(zone)
-        for pod in [one for one in self.pods.values() if one.zone == zone and one.state == UP]:
+        for pod in [
+            one for one in self.pods.values() if one.zone == zone and one.state == PodState.UP
+        ]:
             pod.silent = begins
             if not begins:
                 fresh = Pod(
                     pod.name,
                     pod.zone,
-                    pod.cores,
-                    pod.speed,
-                    pod.queue_most,
-                    pod.build,
-                    self.now,
-                    self.day.cold,
-                    self.day.cold_from,
+                    cores=pod.cores,
+                    speed=pod.speed,
+                    queue_most=pod.queue_most,
+                    build=pod.build,
+                    started=self.now,
+                    cold=self.day.cold,
+                    cold_from=self.day.cold_from,
                 )
-                pod.state = DOWN
+                pod.state = PodState.DOWN
                 self.connections.drop(lambda line, one=pod.name: line[2] == one)
                 self.pods[pod.name] = fresh
                 self._list(self._entry(fresh))
