--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -12,7 +12,12 @@
 import time
 
 from thymeknot.simulation import large_fleet_scenarios
-from thymeknot.simulation.experiments import crowd_figures, crowds_compared, mass_compared, vast_compared
+from thymeknot.simulation.experiments import (
+    crowd_figures,
+    crowds_compared,
+    mass_compared,
+    vast_compared,
+)
 
 BEFORE = "at:91b8f20"  # the decisions as the fleet trial first met them
 BEFORE_VAST = "at:9db9198"  # and as the vast days did
--- a/measure/shop.py
+++ b/measure/shop.py
@@ -8,8 +8,24 @@
 from measure.world import TERMS, World
 from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.interface.actions import SendAttempt, SetTimer
-from thymeknot.interface.enums import DeduplicationScope, EndpointCondition, Idempotency, Outcome, PromotionMode, ReleasePhase, UpdateKind
-from thymeknot.interface.events import AttemptEnded, Endpoint, EndpointUpdate, ReleaseUpdate, RequestReceived, SuspicionReported, TimerFired
+from thymeknot.interface.enums import (
+    DeduplicationScope,
+    EndpointCondition,
+    Idempotency,
+    Outcome,
+    PromotionMode,
+    ReleasePhase,
+    UpdateKind,
+)
+from thymeknot.interface.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
+    ReleaseUpdate,
+    RequestReceived,
+    SuspicionReported,
+    TimerFired,
+)
 from thymeknot.interface.settings import RequestClass, Settings
 from thymeknot.policy.engine import DecisionEngine
 
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -15,7 +15,14 @@
 from thymeknot.decision_log.slot_file import SlotFile
 from thymeknot.interface.actions import CastVote, Fail, Reject, SendAttempt, SetTimer
 from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind
-from thymeknot.interface.events import AttemptEnded, Endpoint, EndpointUpdate, ReleaseUpdate, RequestReceived, TimerFired
+from thymeknot.interface.events import (
+    AttemptEnded,
+    Endpoint,
+    EndpointUpdate,
+    ReleaseUpdate,
+    RequestReceived,
+    TimerFired,
+)
 from thymeknot.interface.reasons import Reason as R
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.state.random_source import LinearCongruentialGenerator
--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -114,7 +114,7 @@
         actions: what the process is to do, not yet given back.
     """
 
-    def __init__(  # noqa: PLR0917 - thymeknot/coordination passes them by position
+    def __init__(
         self,
         unit: str,
         start: int,
--- a/thymeknot/gang_scheduling/topology.py
+++ b/thymeknot/gang_scheduling/topology.py
@@ -51,7 +51,7 @@
         left = self.left
         for name, amount in shape:
             workers = left.get(name, 0) // amount
-            if workers < most:  # noqa: PLR1730 - a call of min() here is felt in each search
+            if workers < most:
                 most = workers
         return most
 
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -612,7 +612,9 @@
             ),
         )
         for name, before, after in self.members.events:
-            self.said.append(("peer state changed", {"peer": name, "before": before.value, "now": after.value}))
+            self.said.append(
+                ("peer state changed", {"peer": name, "before": before.value, "now": after.value})
+            )
             if after == MemberState.DEAD:
                 self.suspicions.forget_origin(name)
         self.members.events = []
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -42,7 +42,7 @@
 
 def loop() -> Any:
     """The event loop. Its own clock is Unix time: a step back of that would hold up all timers."""
-    from twisted.internet import reactor  # noqa: PLC0415 (importing it installs it)
+    from twisted.internet import reactor
 
     installed: Any = reactor
     installed.seconds = time.monotonic
@@ -98,8 +98,8 @@
             print(f"thymeknot: {error}", file=sys.stderr)
             return EXIT_UNUSABLE
         # Not before the files are checked: a faulty one is told at once.
-        from ..proxy.proxy import Proxy  # noqa: PLC0415
-        from ..state.timer_queue import TimerQueue  # noqa: PLC0415
+        from ..proxy.proxy import Proxy
+        from ..state.timer_queue import TimerQueue
 
         self.reactor = loop()
         for number in STOPS:
@@ -134,7 +134,7 @@
         """Begins to serve; the first call counts."""
         if self.serving or self.stopping or self.waits:
             return
-        from twisted.internet.error import CannotListenError  # noqa: PLC0415 (as above)
+        from twisted.internet.error import CannotListenError
 
         try:
             self.proxy.serve()
