--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -113,7 +113,7 @@
             taken.append(seal(*told))
             return taken[-1]
 
-        with patch.object(message_codec, "sealed", kept):
+        with patch.object(message_codec, "sign_message", kept):
             good.once("n0", message_codec.READ, {"query": {"do": "status"}})
         for kind, why in (
             ("replayed", "came before"),
@@ -127,7 +127,7 @@
                 if kind == "replayed"
                 else {**taken[0], "content": taken[0]["content"] + b"x"}
             )
-            with patch.object(message_codec, "sealed", lambda *_, told=told: told):
+            with patch.object(message_codec, "sign_message", lambda *_, told=told: told):
                 self.assertRaisesRegex(
                     message_codec.MessageError, why, good.once, "n0", message_codec.READ, {}
                 )
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -184,12 +184,12 @@
         time-out that only the client's short patience made."""
         if outcome == Outcome.DONE or outcome in FAILED:
             self.node.suspicions.record_attempt(
-                self.clock(), attempt.pod.address, outcome != Outcome.DONE
+                self.clock(), attempt.endpoint.address, outcome != Outcome.DONE
             )
         elif outcome == Outcome.TIMED_OUT:
-            lane = self.proxy.settings.request_classes[attempt.held.command.request_class]
-            if attempt.ends - attempt.at >= 0.99 * lane.latency_objective:
-                self.node.suspicions.record_attempt(self.clock(), attempt.pod.address, True)
+            lane = self.proxy.settings.request_classes[attempt.request.command.request_class]
+            if attempt.expires_at - attempt.started_at >= 0.99 * lane.latency_objective:
+                self.node.suspicions.record_attempt(self.clock(), attempt.endpoint.address, True)
 
     def listed(self):
         ready = [
