--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -129,10 +129,10 @@
     shop = Shop(rates, 12, {"s-5": 0.6}, seed, gossip, names[loud + quiet :], terms)
     shop.world.run(span)
     doubted = sum(
-        pod != "s-5" and balancer.pods[pod].suspected_until > 0
+        pod != "s-5" and balancer.context.endpoints[pod].suspected_until > 0
         for name, balancer in shop.balancers.items()
         if name not in names[loud + quiet :]
-        for pod in balancer.pods
+        for pod in balancer.context.endpoints
     )
     return kind, gossip, shop.share_failed(names[loud : loud + quiet]), doubted
 
--- a/measure/shop.py
+++ b/measure/shop.py
@@ -176,7 +176,7 @@
                 )
 
     def _number(self, name, action):
-        return len(self.balancers[name].open[action.id].attempts) - 1
+        return len(self.balancers[name].requests.open[action.id].attempts) - 1
 
     def _ended(self, name, action, latency, number):
         failed = self.chance.random() < self.ill.get(action.endpoint, 0.002)
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -30,7 +30,7 @@
             WHY, LANES, SlotFile(10_000), 0, lambda: self.now, LinearCongruentialGenerator(3)
         )
         self.record.clock = lambda: self.now
-        self.balancer.say = self.record.say
+        self.balancer.context.say = self.record.say
         self.expected = {}
 
     def take(self, name, lane="read", key=None, left=3 * TICKS_PER_SECOND, tenant="t"):
@@ -81,46 +81,46 @@
 
 
 def by_position(case, name):
-    case.balancer.ramp, case.balancer.ramped = 1.0, NOW + 10**9
+    case.balancer.split.fraction, case.balancer.split.raised_at = 1.0, NOW + 10**9
     usual(case, name, key=LOW)
 
 
 def staying(case, name):
-    case.balancer.pins = {name}
+    case.balancer.split.pinned_keys = {name}
     where = sent_to(case.take(name, key=name))
     case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.STAYS)
 
 
 def astray(case, name):
-    case.balancer.ramp, case.balancer.bad_keys = 1.0, {name}
+    case.balancer.split.fraction, case.balancer.split.failing_keys = 1.0, {name}
     where = sent_to(case.take(name, key=name))
     case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.ASTRAY)
 
 
 def guarded(case, name):
-    case.balancer.ramp = 1.0
+    case.balancer.split.fraction = 1.0
     where = sent_to(case.take(name, "pay", key=HIGH))
     case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.GUARDED)
 
 
 def exposed(case, name):
-    case.balancer.ramp = 1.0
+    case.balancer.split.fraction = 1.0
     where = sent_to(case.take(name, key=HIGH))
     case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.EXPOSURE)
 
 
 def closed(case, name):
-    case.balancer.pins = {name}
+    case.balancer.split.pinned_keys = {name}
     case.take(name, key=name)
     case.expect(name, R.DEFERRED, R.STAYS, R.CLOSED)
 
 
 def unreachable(case, name):
-    case.balancer.pods["old-1"].ejected_until = NOW + TICKS_PER_SECOND
+    case.balancer.context.endpoints["old-1"].ejected_until = NOW + TICKS_PER_SECOND
     where = sent_to(case.take(name))
     case.end(name, Outcome.DONE, where)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.UNREACHABLE, R.POSITION)
@@ -135,7 +135,7 @@
 
 def again(case, name):
     where = sent_to(case.take(name))
-    case.balancer.retries = 2.0
+    case.balancer.requests.retry_budget.tokens = 2.0
     other = sent_to(case.end(name, Outcome.ERROR, where))
     case.end(name, Outcome.DONE, other, 1)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.USED, R.POSITION)
@@ -148,10 +148,12 @@
 
 def outside(case, name):
     where = sent_to(case.take(name, "zoned"))
-    case.balancer.pods[where].listed = case.balancer.pods[where].listed._replace(zone="a")
-    case.balancer.retries = 2.0
-    del case.balancer.pods[where]
-    case.balancer._sort()
+    case.balancer.context.endpoints[where].listed = case.balancer.context.endpoints[
+        where
+    ].listed._replace(zone="a")
+    case.balancer.requests.retry_budget.tokens = 2.0
+    del case.balancer.context.endpoints[where]
+    case.balancer.selection.sort_by_build()
     case.end(name, Outcome.ERROR, where)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.OUTSIDE, R.NO_POD, R.POSITION)
 
@@ -168,8 +170,8 @@
 
 def pressed_by(balancer):
     """Answers of now that took a hundred times their goal."""
-    balancer.admission.heard.add(balancer.now)
-    balancer.admission.times.add(balancer.now, 100.0)
+    balancer.admission.responses.add(balancer.context.now)
+    balancer.admission.times.add(balancer.context.now, 100.0)
 
 
 def by_lot(case, name):
@@ -191,7 +193,7 @@
 
 def most(case, name):
     where = sent_to(case.take(name))
-    case.balancer.retries = 2.0
+    case.balancer.requests.retry_budget.tokens = 2.0
     case.end(name, Outcome.ERROR, where)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.MOST_DELIVERIES, R.POSITION)
 
@@ -206,14 +208,14 @@
 
 def no_budget(case, name):
     where = sent_to(case.take(name))
-    case.balancer.retries = 0.0
+    case.balancer.requests.retry_budget.tokens = 0.0
     case.end(name, Outcome.ERROR, where)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.NO_BUDGET, R.POSITION)
 
 
 def may_have_run(case, name):
     where = sent_to(case.take(name, "pay"))
-    case.balancer.retries = 2.0
+    case.balancer.requests.retry_budget.tokens = 2.0
     case.end(name, Outcome.RESET, where)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.MAY_HAVE_RUN, R.POSITION)
 
@@ -227,9 +229,9 @@
 
 def second_copy(case, name):
     balancer_ = case.balancer
-    balancer_.copies = 2.0
+    balancer_.requests.hedging.budget.tokens = 2.0
     where = sent_to(case.take(name))
-    token = next(token for token, one in balancer_.due.items() if one == name)
+    token = next(token for token, one in balancer_.requests.hedging.timers.items() if one == name)
     case.now += TICKS_PER_SECOND // 2
     other = sent_to(balancer_.handle(case.now, [TimerFired(token)]))
     case.end(name, Outcome.DONE, other, 1)
@@ -317,7 +319,7 @@
     """A bad build on trial, and the votes that the record holds of it."""
     case = Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0)
     for _ in range(40):
-        case.balancer._add("failed", True)
+        case.balancer.sequential_test.add("failed", True)
     case.balancer.handle(NOW + TICKS_PER_SECOND, [TimerFired(0)])
     return [entry for entry in case.record.find(reason=int(R.VOTED)) if entry]
 
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -58,7 +58,7 @@
             if type(action) is SetTimer:
                 self.world.at(action.at, self.tell, TimerFired(action.token))
             elif type(action) is SendAttempt:
-                number = len(self.balancer.open[action.id].attempts) - 1
+                number = len(self.balancer.requests.open[action.id].attempts) - 1
                 took = int(self.chance.gammavariate(4, self.pace))
                 self.world.at(self.world.now + took, self.ended, action, number, took)
             elif type(action) is CastVote:
--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -282,7 +282,7 @@
             network.step(1)
             self.assertEqual((pod.transport.value(), len(network.proxy.transactions)), (sent, 0))
             network.step(9)
-            self.assertEqual((len(network.dialled()), network.proxy.engine.open), (1, {}))
+            self.assertEqual((len(network.dialled()), network.proxy.engine.requests.open), (1, {}))
             self.assertTrue(connection.gone)
 
     def test_an_attempt_after_another_is_not_sent_on_either(self):
@@ -295,7 +295,7 @@
         near.close()  # the loop has not turned since
         pod.dataReceived(b"-ERR failed\r\n")
         self.assertEqual((len(network.dialled()), len(network.proxy.transactions)), (1, 0))
-        self.assertEqual(network.proxy.engine.open, {})
+        self.assertEqual(network.proxy.engine.requests.open, {})
 
     def test_an_evicted_connection_frees_its_descriptor_at_once(self):
         network = self.network()
@@ -606,8 +606,8 @@
 
     def left(self, lane, written, recalls):
         network = Network(entry("s-1"), entry("s-2"))
-        network.proxy.settings = network.proxy.engine.settings = network.proxy.settings._replace(
-            cancellation_allowed=recalls
+        network.proxy.settings = network.proxy.engine.context.settings = (
+            network.proxy.settings._replace(cancellation_allowed=recalls)
         )
         first = network.ask("01", lane=lane)
         connection = network.connect(network.streams)
@@ -633,7 +633,7 @@
                 self.assertEqual((second.transport.value(), len(network.dialled())), (b"", 2))
                 second.connectionLost(None)
                 self.assertEqual(
-                    (len(network.proxy.transactions), network.proxy.engine.open), (0, {})
+                    (len(network.proxy.transactions), network.proxy.engine.requests.open), (0, {})
                 )
 
     def test_or_its_failure(self):
--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -8,7 +8,7 @@
 
 from tests.support import order_rig
 from tests.support.order_rig import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
-from thymeknot.policy.engine import DecisionEngine
+from thymeknot.policy import idempotency
 from thymeknot.protocol.client import ClientConnection
 from thymeknot.proxy.proxy import Attempt, Proxy
 
@@ -231,7 +231,7 @@
 
     def test_a_binding_request_that_is_sent_again_though_it_may_have_run(self):
         with (
-            mock.patch.object(DecisionEngine, "_may", lambda self, tx, defer: True),
+            mock.patch.object(idempotency, "may_repeat", lambda request, now, by_client: True),
             self.assertRaises(Wrong) as found,
         ):
             play(
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -903,9 +903,11 @@
             "waiting": len(proxy.pools.unwritten()),
             "dialling": proxy.pools.dialling,
             "connections": len(proxy.pools.connections),
-            "open to decide": len(proxy.engine.open),
+            "open to decide": len(proxy.engine.requests.open),
             "calls": proxy.platform.out + proxy.discovery.out,
-            "counted out": sum(known.in_flight for known in proxy.engine.pods.values()),
+            "counted out": sum(
+                known.in_flight for known in proxy.engine.context.endpoints.values()
+            ),
             "idle": sum(len(pool.idle) for pool in proxy.pools.by_pod.values()),
         }
         left = {what: count for what, count in left.items() if count}
--- a/tests/support/stand_ins.py
+++ b/tests/support/stand_ins.py
@@ -128,14 +128,18 @@
     )
     if told:
         made.handle(NOW - 10 * TICKS_PER_SECOND, [told])
-    made.actions, made.now, made.born = [], NOW, NOW - 10 * TICKS_PER_SECOND
+    made.context.actions, made.context.now, made.context.first_traffic_at = (
+        [],
+        NOW,
+        NOW - 10 * TICKS_PER_SECOND,
+    )
     return made
 
 
 def pressed(made, times, count=40):
     """Its answers of now took so many times their goal."""
-    made.admission.heard.add(made.now, count)
-    made.admission.times.add(made.now, count * times)
+    made.admission.responses.add(made.context.now, count)
+    made.admission.times.add(made.context.now, count * times)
 
 
 def taken(name="t1", lane="read", key=None, left=3 * TICKS_PER_SECOND):
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -264,15 +264,17 @@
 
     def test_of_another_build_or_start_it_changes_nothing_and_never_a_vote(self):
         made_ = balancer()
-        sums = dict(made_.sums)
+        sums = dict(made_.sequential_test.sums)
         for event in (
             SuspicionReported("old-1", 2, 0, NOW + SECOND),
             SuspicionReported("old-1", 1, 5, NOW + SECOND),
             SuspicionReported("gone", 1, 0, NOW + SECOND),
         ):
             self.assertNotIn(CastVote, kinds(made_.handle(NOW, [event])))
-        self.assertEqual([known.suspected_until for known in made_.pods.values()], [0, 0, 0])
-        self.assertEqual(made_.sums, sums)
+        self.assertEqual(
+            [known.suspected_until for known in made_.context.endpoints.values()], [0, 0, 0]
+        )
+        self.assertEqual(made_.sequential_test.sums, sums)
 
 
 if __name__ == "__main__":
--- a/tests/unit/policy/test_five_rules.py
+++ b/tests/unit/policy/test_five_rules.py
@@ -7,7 +7,7 @@
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind
 from thymeknot.interface.events import ClientDisconnected, EndpointUpdate, LateResponseSeen
-from thymeknot.policy.engine import KEYS_MOST
+from thymeknot.policy.traffic_split import KEYS_MOST
 
 
 class EveryTransactionIsAnswered(unittest.TestCase):
@@ -57,7 +57,7 @@
     def test_a_fingerprinted_one_goes_again_within_its_window_only(self):
         lanes = {
             "mark": balancer()
-            .settings.request_classes["mark"]
+            .context.settings.request_classes["mark"]
             ._replace(latency_objective=3 * TICKS_PER_SECOND)
         }
         self.assertEqual(
@@ -109,18 +109,18 @@
 
     def test_a_failed_list_changes_nothing_and_is_asked_for_again(self):
         made = balancer(pod("a"), lists_polled=True)
-        made.watch_at = NOW + 9 * TICKS_PER_SECOND
+        made.selection.poll_at = NOW + 9 * TICKS_PER_SECOND
         made.handle(NOW, [EndpointUpdate(UpdateKind.FETCH_FAILED, ())])
         self.assertEqual(sent(made.handle(NOW, [taken()])), ["a"])
-        self.assertLessEqual(made.watch_at, NOW + 2 * TICKS_PER_SECOND)
+        self.assertLessEqual(made.selection.poll_at, NOW + 2 * TICKS_PER_SECOND)
 
 
 class AColdPodIsNotPushedOver(unittest.TestCase):
     def room(self, age, already, rate=8.0):
         made = balancer(pod("cold", started=NOW - age), overload_factor=2.0)
-        made.warm_rate, known = rate, made.pods["cold"]
+        made.slow_start.warm_rate, known = rate, made.context.endpoints["cold"]
         known.recent_attempts.add(NOW, already)
-        return made._cold_room(known, known.warmup_fraction(NOW, made.settings))
+        return made.slow_start.has_room(known, known.warmup_fraction(NOW, made.context.settings))
 
     def test_it_gets_this_instances_part_and_no_more(self):
         self.assertTrue(self.room(0, 1))
@@ -134,18 +134,20 @@
         going = 0
         for seed in range(400):
             made = balancer(pod("cold", started=NOW), instances=400)
-            made.chance.state, made.warm_rate = seed << 40, 8.0 / 400
-            going += made._cold_room(made.pods["cold"], 0.25)
+            made.context.chance.state, made.slow_start.warm_rate = seed << 40, 8.0 / 400
+            going += made.slow_start.has_room(made.context.endpoints["cold"], 0.25)
         self.assertTrue(0 < going < 2.0 * 0.25 * 8.0 * 3)
 
 
 class ExposureStaysWithinTheCap(unittest.TestCase):
     def left(self, taken_before, tried, cap=0.5, **changes):
         made = balancer(told=news(cap=cap), **changes)
-        lane = made.settings.request_classes["read"]
-        made._ring(made.taken, lane).add(NOW - TICKS_PER_SECOND // 10, taken_before)
-        made._ring(made.tried, lane).add(NOW, tried)
-        return made, made._may_try(lane)
+        lane = made.context.settings.request_classes["read"]
+        made.exposure.window(made.exposure.received, lane).add(
+            NOW - TICKS_PER_SECOND // 10, taken_before
+        )
+        made.exposure.window(made.exposure.sent, lane).add(NOW, tried)
+        return made, made.exposure.allows(lane)
 
     def test_allowance_and_share_and_not_one_more(self):
         self.assertTrue(self.left(4, 3)[1])
@@ -154,17 +156,19 @@
     def test_where_all_may_go_there_what_is_now_taken_does_and_a_later_attempt_counts(self):
         for cap, first, may in ((1.0, True, True), (1.0, False, False), (0.99, True, False)):
             made, _ = self.left(0, 9, cap=cap)
-            self.assertEqual(made._may_try(made.settings.request_classes["read"], first), may)
+            self.assertEqual(
+                made.exposure.allows(made.context.settings.request_classes["read"], first), may
+            )
 
     def test_lanes_count_by_themselves_where_told(self):
         made, own = self.left(0, 2, exposure_by_class=True)
         self.assertFalse(own)
-        self.assertTrue(made._may_try(made.settings.request_classes["pay"]))
+        self.assertTrue(made.exposure.allows(made.context.settings.request_classes["pay"]))
 
     def test_guarded_stages_are_for_retriable_ones(self):
         for stage, lane, may in ((0, "read", True), (0, "pay", False), (1, "pay", True)):
             made = balancer(told=news(stage=stage))
-            self.assertEqual(made._may_try(made.settings.request_classes[lane]), may)
+            self.assertEqual(made.exposure.allows(made.context.settings.request_classes[lane]), may)
 
     def test_at_cap_nothing_goes_and_a_later_build_waits_for_its_news(self):
         made = balancer(pod("new", 2), told=news(phase=ReleasePhase.ROLLING_BACK, cap=0.0))
@@ -173,7 +177,7 @@
 
     def test_a_key_that_the_new_build_answered_goes_to_no_earlier_one(self):
         made = balancer(told=news(cap=0.0))
-        made.pins.add("k")
+        made.split.pinned_keys.add("k")
         self.assertEqual(kinds(made.handle(NOW, [taken(key="k")])), [Reject])
         made.handle(NOW, [news(phase=ReleasePhase.ROLLING_BACK, cap=0.0)])
         self.assertIn(sent(made.handle(NOW, [taken("t2", key="k")]))[0], ("old-1", "old-2"))
@@ -182,7 +186,7 @@
         made = balancer(told=news(cap=0.0))
         for key in range(KEYS_MOST + 9):
             made.handle(NOW, [LateResponseSeen(str(key), 1), LateResponseSeen(str(key), 2)])
-        self.assertEqual(len(made.pins), KEYS_MOST)
+        self.assertEqual(len(made.split.pinned_keys), KEYS_MOST)
         self.assertEqual(kinds(made.handle(NOW, [taken(key="another")])), [Reject])
         made.handle(NOW, [news(build=3)])
-        self.assertEqual(made.pins, set())
+        self.assertEqual(made.split.pinned_keys, set())
--- a/tests/unit/policy/test_large_fleets.py
+++ b/tests/unit/policy/test_large_fleets.py
@@ -25,15 +25,16 @@
     Verdict,
 )
 from thymeknot.interface.events import EndpointUpdate, FleetCounts, TimerFired
-from thymeknot.policy.engine import DRAWN, UPKEEP_MOST
+from thymeknot.policy.context import UPKEEP_LONGEST
+from thymeknot.policy.endpoint_selection import SUBSET_LEAST
 
 OLD = [pod(f"old-{n}") for n in range(40)]
 
 
 def drawing(seed, made):
     """One of many: it has yet to draw its pods, by a seed of its own."""
-    made.chance.state = (seed + 1) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
-    for known in made.pods.values():
+    made.context.chance.state = (seed + 1) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
+    for known in made.context.endpoints.values():
         known.subset_rank = None
     return made
 
@@ -41,19 +42,19 @@
 class DrawnPods(unittest.TestCase):
     def test_a_quiet_instance_uses_few_and_exchanges_one(self):
         made = balancer(*OLD)
-        before = {known.listed.address for known in made.drawn[True]}
-        made.exchange_at = made.now = NOW
-        made._tick(TimerFired(0))
-        after = {known.listed.address for known in made.drawn[True]}
-        self.assertEqual((len(before), len(after)), (DRAWN, DRAWN))
-        self.assertGreaterEqual(len(before & after), DRAWN - 1)
+        before = {known.listed.address for known in made.context.subsets[True]}
+        made.selection.exchange_at = made.context.now = NOW
+        made.upkeep()
+        after = {known.listed.address for known in made.context.subsets[True]}
+        self.assertEqual((len(before), len(after)), (SUBSET_LEAST, SUBSET_LEAST))
+        self.assertGreaterEqual(len(before & after), SUBSET_LEAST - 1)
 
     def test_an_instance_that_finds_pods_unreachable_uses_fewer(self):
         made = balancer(*OLD)
-        made.arrivals.add(NOW, 30)
-        for made.lost, used in ((0.0, 30), (0.5, DRAWN)):
-            made._draw(True)
-            self.assertEqual(len(made.drawn[True]), used)
+        made.context.arrivals.add(NOW, 30)
+        for made.selection.connection_loss, used in ((0.0, 30), (0.5, SUBSET_LEAST)):
+            made.selection.draw_subset(True)
+            self.assertEqual(len(made.context.subsets[True]), used)
 
     def test_pods_that_come_later_are_used_as_likely_as_those_in_use(self):
         """A stage of nine in ten, a way back, a zone that starts again: all at once the old ones would take it all."""
@@ -70,11 +71,11 @@
                         *OLD, *early, told=news(phase=ReleasePhase.RELEASED, cap=1.0), instances=216
                     ),
                 )
-                made.arrivals.add(NOW, 20)
-                made._draw(True)
+                made.context.arrivals.add(NOW, 20)
+                made.selection.draw_subset(True)
                 made.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, tuple(late))])
-                part += sum(known.listed in late for known in made.drawn[True])
-                whole += len(made.drawn[True])
+                part += sum(known.listed in late for known in made.context.subsets[True])
+                whole += len(made.context.subsets[True])
             right = len(late) / len({one.address for one in (*early, *late)})
             self.assertAlmostEqual(part / whole, right, delta=0.06)
 
@@ -83,14 +84,15 @@
         met = set()
         for seed in range(60):
             made = drawing(seed, balancer(*pods, instances=400))
-            made._draw(True)
+            made.selection.draw_subset(True)
             met.update(sent(made.handle(NOW, [taken()])))
         self.assertGreater(len(met), 8)
 
     def test_when_all_drawn_ones_are_gone_others_are_drawn(self):
         made = balancer(*OLD)
         gone = tuple(
-            known.listed._replace(condition=EndpointCondition.GONE) for known in made.drawn[True]
+            known.listed._replace(condition=EndpointCondition.GONE)
+            for known in made.context.subsets[True]
         )
         made.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, gone)])
         self.assertNotIn(sent(made.handle(NOW, [taken()]))[0], {one.address for one in gone})
@@ -107,14 +109,14 @@
 
     def test_when_all_drawn_ones_are_unreachable_others_are_drawn(self):
         made = balancer(*OLD)
-        ill = {known.listed.address for known in made.drawn[True]}
-        for known in made.drawn[True]:
+        ill = {known.listed.address for known in made.context.subsets[True]}
+        for known in made.context.subsets[True]:
             known.ejected_until = NOW + TICKS_PER_SECOND
         self.assertNotIn(sent(made.handle(NOW, [taken()]))[0], ill)
 
     def test_a_build_with_one_pod_is_used_also_when_it_drains_nothing_is(self):
         made = balancer(*OLD, pod("new-1", 2), told=news(cap=1.0))
-        made.ramp = 1.0
+        made.split.fraction = 1.0
         self.assertEqual(sent(made.handle(NOW, [taken(key="k")])), ["new-1"])
         made.handle(
             NOW,
@@ -129,7 +131,7 @@
 
     def test_pods_that_answer_at_once_are_drawn_by_lot_too(self):
         made = balancer(*OLD, instances=400)
-        for known in made.pods.values():
+        for known in made.context.endpoints.values():
             known.relative_latency = 0.0
         self.assertEqual(kinds(made.handle(NOW, [taken()])), [SendAttempt, SetTimer])
 
@@ -145,21 +147,21 @@
         made.handle(
             NOW, [ended(outcome=Outcome.DONE, address=address)._replace(load=(float("nan"),))]
         )
-        self.assertEqual(made.pods[address].load, 0.0)
+        self.assertEqual(made.context.endpoints[address].load, 0.0)
 
 
 class SlownessOfAll(unittest.TestCase):
     """Of a crowd each sees three transactions a second: the platform's counts are the same for all."""
 
     def told(self, made, mean, failed=0, many=80, trial=20):
-        made.now += 2 * TICKS_PER_SECOND
+        made.context.now += 2 * TICKS_PER_SECOND
         rows = [
             FleetCounts(1, "read", many - trial, failed, mean, 5_000),
             FleetCounts(2, "read", trial, 0, mean, 5_000),
         ]
-        made.handle(made.now, [row for row in rows if row.attempts])
-        made.handle(made.now + UPKEEP_MOST, [TimerFired(0)])
-        return made._verdict()
+        made.handle(made.context.now, [row for row in rows if row.attempts])
+        made.handle(made.context.now + UPKEEP_LONGEST, [TimerFired(0)])
+        return made.voting.verdict()
 
     def fleet(self, phase=ReleasePhase.ON_TRIAL):
         made = balancer(
@@ -167,10 +169,10 @@
         )
         for _ in range(4):
             self.told(made, 2_200, 2, trial=0)
-        made.handle(made.now, [news(phase=ReleasePhase.ON_TRIAL)])
+        made.handle(made.context.now, [news(phase=ReleasePhase.ON_TRIAL)])
         if phase == ReleasePhase.RELEASED:
-            made.handle(made.now, [news(4, phase, 1.0)])
-        made.places, made.ramp, made.offset = 40, 0.4, 0
+            made.handle(made.context.now, [news(4, phase, 1.0)])
+        made.baseline.earlier_endpoints, made.split.fraction, made.voting.offset = 40, 0.4, 0
         return made
 
     def test_a_build_that_slows_all_is_held_at_once_and_goes_back_after_a_while(self):
@@ -180,7 +182,7 @@
         ):
             made = self.fleet(phase)
             self.assertEqual(self.told(made, 3_600, 6), waits, phase)
-            self.assertIsNotNone(made.ill_since)
+            self.assertIsNotNone(made.slowdown.since)
             votes = [self.told(made, 4_400, 8) for _ in range(3)]
             self.assertEqual(votes[-1], Verdict.ABORT, phase)
 
@@ -201,15 +203,15 @@
     def test_slowness_that_passes_leaves_no_trace(self):
         made = self.fleet()
         self.told(made, 4_400, 8)
-        made.room, made.ramp, before = {True: 40.0, False: 40.0}, 0.3, 0.3
-        made._climb()
+        made.slow_start.capacity, made.split.fraction, before = {True: 40.0, False: 40.0}, 0.3, 0.3
+        made.raise_split()
         self.assertEqual(
-            made.ramp, before
+            made.split.fraction, before
         )  # what slows all in step with the trial's traffic gets no more of it
         self.assertNotIn(Verdict.ABORT, [self.told(made, 2_300) for _ in range(4)])
-        self.assertIsNone(made.ill_since)
-        made._climb()
-        self.assertGreater(made.ramp, before)
+        self.assertIsNone(made.slowdown.since)
+        made.raise_split()
+        self.assertGreater(made.split.fraction, before)
 
 
 class LastStage(unittest.TestCase):
@@ -226,11 +228,15 @@
         made = balancer(
             *OLD, *[pod(f"new-{n}", 2, NOW) for n in range(40)], told=news(stage), **terms
         )
-        made.offset, made.clear_since, made.places = 0, NOW - 60 * TICKS_PER_SECOND, 40
+        made.voting.offset, made.sequential_test.clear_since, made.baseline.earlier_endpoints = (
+            0,
+            NOW - 60 * TICKS_PER_SECOND,
+            40,
+        )
         for until in range(NOW - 8 * TICKS_PER_SECOND, counted + 1, 2 * TICKS_PER_SECOND):
-            made.crowd.told(until)
-        made.now = NOW + TERMS.warmup_duration + TICKS_PER_SECOND
-        return made._verdict()
+            made.fleet.usual.told(until)
+        made.context.now = NOW + TERMS.warmup_duration + TICKS_PER_SECOND
+        return made.voting.verdict()
 
     def test_a_crowd_waits_for_the_counts_of_warm_pods_before_it_lets_the_earlier_ones_go(self):
         warm = NOW + TERMS.warmup_duration
@@ -265,8 +271,8 @@
     def test_a_period_that_was_missed_makes_the_others_no_longer(self):
         made = balancer()
         for until, period in ((2, 0), (4, 2), (8, 2), (8, 2), (10, 2)):
-            made.crowd.told(until * TICKS_PER_SECOND)
-            self.assertEqual(made.crowd.period, period * TICKS_PER_SECOND)
+            made.fleet.usual.told(until * TICKS_PER_SECOND)
+            self.assertEqual(made.fleet.usual.period, period * TICKS_PER_SECOND)
 
     def test_a_stage_beyond_the_waves_counts_as_the_last(self):
         self.assertEqual(self.vote(9, NOW + TERMS.warmup_duration), Verdict.PROMOTE)
@@ -285,10 +291,10 @@
             (2, 0.24, 0.28),
         ):  # of 40 and nine, that is 0.18
             made = balancer(*OLD, *warm, *cold, told=news(cap=1.0), instances=balancers)
-            made._measure()
-            made.ramped = NOW - 9 * TICKS_PER_SECOND
-            made._climb()
-            self.assertTrue(least <= made.ramp <= most, (balancers, made.ramp))
+            made.slow_start.measure()
+            made.split.raised_at = NOW - 9 * TICKS_PER_SECOND
+            made.raise_split()
+            self.assertTrue(least <= made.split.fraction <= most, (balancers, made.split.fraction))
 
     def test_counts_of_the_pods_that_were_there_stand_when_many_more_have_come(self):
         for late in (0, 81):
@@ -300,13 +306,13 @@
                 instances=216,
                 votes_to_revert=54,
             )
-            made.rows = [
+            made.fleet.rows = [
                 FleetCounts(1, "read", 95, 1, 2_000, 7_000),
                 FleetCounts(2, "read", 23, 9, 3_800, 7_000),
             ]
-            made._weigh_tallies()
+            made.fleet.weigh()
             self.assertGreater(
-                made.doubt, 0.5, late
+                made.sequential_test.doubt, 0.5, late
             )  # nothing moves on, and the next such period sends it back
 
 
@@ -314,59 +320,62 @@
     def tally(self, made, bad, late=1000, times=1):
         for _ in range(times):
             made.handle(
-                made.now,
+                made.context.now,
                 [FleetCounts(1, "read", 99, 0, 999, 0), FleetCounts(2, "read", 40, bad, late, 0)],
             )
-            made.now += 2 * TICKS_PER_SECOND
-            made._tick(TimerFired(0))
+            made.context.now += 2 * TICKS_PER_SECOND
+            made.upkeep()
 
     def test_tallies_send_a_failing_build_back_but_one_period_does_not(self):
         made = balancer(told=news(), instances=400, votes_to_revert=100)
         self.tally(made, 15)
-        self.assertNotEqual(made._verdict(), Verdict.ABORT)
+        self.assertNotEqual(made.voting.verdict(), Verdict.ABORT)
         self.tally(made, 15)
-        self.assertEqual(made._verdict(), Verdict.ABORT)
+        self.assertEqual(made.voting.verdict(), Verdict.ABORT)
 
     def test_tallies_send_a_slow_build_back_and_not_a_good_one(self):
         for latency, back in ((3000, True), (1100, False)):
             made = balancer(told=news(), instances=400, votes_to_revert=100)
             self.tally(made, 0, latency, times=3)
-            self.assertEqual(made._verdict() == Verdict.ABORT, back)
+            self.assertEqual(made.voting.verdict() == Verdict.ABORT, back)
 
     def test_a_way_on_which_all_is_lost_does_not_turn_the_evidence_round(self):
         made = balancer(told=news(), instances=400, votes_to_revert=100)
         made.handle(
             NOW, [news(phase=ReleasePhase.RELEASED, cap=1.0)]
         )  # the earlier build is counted no more
-        made.lost = 0.99
+        made.selection.connection_loss = 0.99
         made.handle(NOW, [FleetCounts(2, "read", 40, 40, 1_000, 0)])
-        made._weigh_tallies()
-        self.assertGreater(made.sums["failed"], 0)
+        made.fleet.weigh()
+        self.assertGreater(made.sequential_test.sums["failed"], 0)
 
     def test_tallies_of_cold_pods_prove_nothing(self):
         made = balancer(pod("old-1"), pod("new-1", 2, started=NOW), told=news())
         made.handle(
             NOW, [FleetCounts(1, "read", 100, 0, 1000, 0), FleetCounts(2, "read", 40, 20, 5000, 0)]
         )
-        made._weigh_tallies()
-        self.assertLessEqual(max(made.sums.values()), 0)
+        made.fleet.weigh()
+        self.assertLessEqual(max(made.sequential_test.sums.values()), 0)
 
     def test_what_speaks_against_a_build_outlasts_the_stage(self):
         made = balancer(told=news(stage=1))
-        made.sums = {"failed": 1.5, "slow": 1.5}
+        made.sequential_test.sums = {"failed": 1.5, "slow": 1.5}
         made.handle(NOW, [news(stage=2)])
-        self.assertEqual(made.sums, {"failed": 1.5, "slow": 0.0})
+        self.assertEqual(made.sequential_test.sums, {"failed": 1.5, "slow": 0.0})
 
     def test_more_that_must_err_together_may_err_more(self):
         one, many = balancer(instances=540), balancer(instances=540, votes_to_revert=43)
-        self.assertGreater(one.back_at["failed"], 2 * many.back_at["failed"])
+        self.assertGreater(
+            one.sequential_test.abort_bounds["failed"],
+            2 * many.sequential_test.abort_bounds["failed"],
+        )
 
     def test_one_recent_failure_of_the_earlier_build_tells_a_storm(self):
         made = balancer(told=news())
-        made.earlier["all"].add(NOW, 1)
-        made.earlier["failed"].add(NOW, 1)
-        made._compare()
-        self.assertEqual(made.p0["failed"], 0.5)
+        made.baseline.seen.add(NOW, 1)
+        made.baseline.failed.add(NOW, 1)
+        made.baseline.compare()
+        self.assertEqual(made.sequential_test.null_rates["failed"], 0.5)
 
 
 class SmallParts(unittest.TestCase):
@@ -379,15 +388,15 @@
             due = []
             for seed in range(50):
                 made = balancer(instances=400, votes_per_second=calls)
-                made.chance.state = seed << 40
+                made.context.chance.state = seed << 40
                 made.handle(NOW, [news()])
-                due.append(made.offset / TICKS_PER_SECOND)
+                due.append(made.voting.offset / TICKS_PER_SECOND)
             self.assertAlmostEqual(min(due), begin)
             self.assertTrue(0.8 * span < max(due) - min(due) <= span, due)
             self.assertTrue(abs(sum(one == min(due) for one in due) - at_once) <= 5, due)
 
     def test_savings_of_hundreds_are_small(self):
-        self.assertLess(balancer(instances=400).copies, 1)
+        self.assertLess(balancer(instances=400).requests.hedging.budget.tokens, 1)
 
     def test_slow_answers_defer_by_chance_where_there_is_too_little_open_to_count(self):
         made = balancer(*OLD, instances=400)
@@ -397,6 +406,6 @@
 
     def test_upkeep_follows_the_traffic(self):
         made = balancer()
-        made.arrivals.add(NOW, 500)
-        made._tick(TimerFired(0))
-        self.assertLess(made.upkeep, UPKEEP_MOST)
+        made.context.arrivals.add(NOW, 500)
+        made.upkeep()
+        self.assertLess(made.upkeep_interval, UPKEEP_LONGEST)
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -122,7 +122,7 @@
             held, since = [Open(ago) for ago in waiting], int(since * TICKS_PER_SECOND)
             share = (
                 sum(
-                    made.refused(NOW, READ, held, since, 10, chance.draw) is None
+                    made.rejection(NOW, READ, held, since, recent=10, draw=chance.draw) is None
                     for _ in range(400)
                 )
                 / 400
@@ -132,18 +132,20 @@
 
     def test_the_loud_draw_no_lots_and_few_sidecars_leave_nothing_to_chance(self):
         loud = fed(LoadShedder(MANY), [(0, Outcome.DONE, 9_000, 100)])
-        self.assertIsNone(loud.refused(NOW, READ, (), 20 * TICKS_PER_SECOND, 500, lambda: 1.0))
+        self.assertIsNone(
+            loud.rejection(NOW, READ, (), 20 * TICKS_PER_SECOND, recent=500, draw=lambda: 1.0)
+        )
         few, many = (
             fed(LoadShedder(TERMS._replace(instances=count)), [QUICK]) for count in (3, 200)
         )
         held = [Open(0)] * 20
         self.assertEqual(
             few.limit(NOW, READ, 20 * TICKS_PER_SECOND),
-            few.refused(NOW, READ, held, 20 * TICKS_PER_SECOND, 10, None)[2],
+            few.rejection(NOW, READ, held, 20 * TICKS_PER_SECOND, recent=10, draw=None)[2],
         )
         self.assertLess(
             many.limit(NOW, READ, 20 * TICKS_PER_SECOND),
-            many.refused(NOW, READ, held, 20 * TICKS_PER_SECOND, 10, None)[2],
+            many.rejection(NOW, READ, held, 20 * TICKS_PER_SECOND, recent=10, draw=None)[2],
         )
 
     @settings(max_examples=60, deadline=None)
@@ -178,16 +180,16 @@
             made = made_of(pod("old-1"), pod("new-1", 2), told=news(cap=1.0), instances=200)
             made.handle(NOW, [news(phase=phase, cap=1.0)])
             for at in range(30):
-                made._learn(
+                made.requests.learn(
                     type("Tx", (), {"request_class": READ, "key": f"k{at}"}),
-                    made.pods["new-1"],
+                    made.context.endpoints["new-1"],
                     ended(f"t{at}", Outcome.DONE, "new-1", closed=True, latency=20_000),
                 )
             self.assertEqual(made.admission.pressure(NOW, ()) > 1.0, queues)
 
     def test_turned_away_with_its_reason_and_the_time_to_come_back(self):
         told, made = [], made_of(instances=200)
-        made.say = lambda name, reason, *operands: told.append(reason)
+        made.context.say = lambda name, reason, *operands: told.append(reason)
         fed(made.admission, [(0, Outcome.DONE, 400_000, 500)])
         deferred = [
             one
@@ -201,27 +203,29 @@
     def test_on_is_withdrawn_while_on_trial_and_not_once_released(self):
         for phase, votes in ((ReleasePhase.ON_TRIAL, 1), (ReleasePhase.RELEASED, 0)):
             made = made_of(told=news(4, cap=1.0))
-            made.vote, made.vote_at, made.ask_at, made.news = (
-                (2, 4, Verdict.PROMOTE),
+            made.voting.vote, made.voting.vote_at, made.voting.ask_at, made.context.release = (
+                CastVote(2, 4, Verdict.PROMOTE),
                 NOW,
                 NOW,
                 news(4, phase, 1.0),
             )
-            made.doubt, made.actions = 0.7, []
-            made._cast()
-            self.assertEqual(kinds(made.actions).count(CastVote), votes, phase)
+            made.sequential_test.doubt, made.context.actions = 0.7, []
+            made.voting.cast()
+            self.assertEqual(kinds(made.context.actions).count(CastVote), votes, phase)
 
     def test_failures_of_one_moment_hold_a_good_build_and_those_of_two_send_a_bad_one_back(self):
         new = [pod(f"new-{at}", 2) for at in range(8)]
         for moments, verdict in ((1, Verdict.ABSTAIN), (3, Verdict.ABORT)):
             made = made_of(*(pod(f"old-{at}") for at in range(12)), *new, told=news(cap=1.0))
-            made.earlier["all"].add(NOW, 40)  # the earlier build goes on without a fault
+            made.baseline.seen.add(NOW, 40)  # the earlier build goes on without a fault
             for second in range(moments):
-                made.now = NOW + second * TICKS_PER_SECOND
+                made.context.now = NOW + second * TICKS_PER_SECOND
                 for at in range(5):  # each at another pod and with another key
                     tx = type("Tx", (), {"request_class": READ, "key": f"k{second}-{at}"})
-                    made._judge(tx, made.pods[f"new-{at}"], Outcome.ERROR, 100)
-            self.assertEqual(made._verdict(), verdict, moments)
+                    made.evidence.add_outcome(
+                        tx, made.context.endpoints[f"new-{at}"], Outcome.ERROR, 100
+                    )
+            self.assertEqual(made.voting.verdict(), verdict, moments)
 
 
 class Days(unittest.TestCase):
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -845,7 +845,7 @@
         for content in chunks:
             stream.dataReceived(chunk(content))
         proxy = network.proxy
-        known = {name: known.listed for name, known in proxy.engine.pods.items()}
+        known = {name: known.listed for name, known in proxy.engine.context.endpoints.items()}
         self.assertEqual((known, proxy.addresses.keys()), (proxy.listed, proxy.listed.keys()))
         return (known, proxy.addresses, proxy.version, stream.transport.disconnected), len(lists)
 
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -605,7 +605,9 @@
                 status="trial",
                 maxWeight=0.5,
             )
-            network.proxy.engine.settings = network.proxy.settings._replace(sticky_keys=keys_stay)
+            network.proxy.engine.context.settings = network.proxy.settings._replace(
+                sticky_keys=keys_stay
+            )
             network.ask("01", lane="pay")
             self.assertEqual(pods_dialled(network), [7001])
             network.proxy.tell(
@@ -624,7 +626,9 @@
         self,
     ):
         network = Network(entry("s-1"))
-        network.proxy.engine.settings = network.proxy.settings._replace(cancellation_allowed=False)
+        network.proxy.engine.context.settings = network.proxy.settings._replace(
+            cancellation_allowed=False
+        )
         network.ask("01").connectionLost(Failure(ConnectionLost()))
         self.assertEqual(network.connect().transport.value(), b"")
         self.assertEqual((len(network.proxy.transactions), network.proxy.by_id), (0, {}))
--- a/tests/unit/proxy/test_release_channel.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -53,12 +53,12 @@
             stream.dataReceived(event(**told))
         network.reactor.advance(0.1)
         votes = []
-        network.proxy.engine._vote_answered = lambda news: votes.append(news.outcome)
+        network.proxy.engine.voting.answered = lambda news: votes.append(news.outcome)
         call.dataReceived(reply(**answered))
         self.assertEqual(votes, [Outcome.DONE])  # the vote counted, whichever state is the newer
         here, there = (
             (held.build, STATES[held.phase], held.cap)
-            for held in (network.proxy.news, network.proxy.engine.news)
+            for held in (network.proxy.news, network.proxy.engine.context.release)
         )
         self.assertEqual(here, there)
         return here
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -275,14 +275,24 @@
     def test_the_settings_it_started_with_stay_whole(self):
         network = Network()
         proxy = network.proxy
-        before = proxy.settings, proxy.connection_limits, proxy.engine.settings, proxy.most_clients
+        before = (
+            proxy.settings,
+            proxy.connection_limits,
+            proxy.engine.context.settings,
+            proxy.most_clients,
+        )
         proxy.reconfigure(configuration.read({**example(), "settings": other_settings()}, 0))
         self.assertEqual(
-            (proxy.settings, proxy.connection_limits, proxy.engine.settings, proxy.most_clients),
+            (
+                proxy.settings,
+                proxy.connection_limits,
+                proxy.engine.context.settings,
+                proxy.most_clients,
+            ),
             before,
         )
         for was, stays in zip(
-            before, (proxy.settings, proxy.connection_limits, proxy.engine.settings)
+            before, (proxy.settings, proxy.connection_limits, proxy.engine.context.settings)
         ):
             self.assertIs(was, stays)
 
@@ -871,9 +881,9 @@
             act(*values)
             yield
         self.checker.ended(last + 100)
-        if self.made.open or self.checker.open:
+        if self.made.requests.open or self.checker.open:
             self.checker._broke(
-                1, last, f"open yet: {list(self.made.open)} {list(self.checker.open)}"
+                1, last, f"open yet: {list(self.made.requests.open)} {list(self.checker.open)}"
             )
         if not any(values and values[0] == TimerFired(0) for _, _, _, values in self.queue):
             self.checker._broke(0, last, "it has stopped looking")
--- /dev/null
+++ b/thymeknot/policy/exposure_budget.py
@@ -0,0 +1,82 @@
+"""Rule 5: how much of the traffic may be sent to a build on trial."""
+
+from collections.abc import Hashable
+
+from ..interface.enums import Idempotency, ReleasePhase
+from ..interface.reasons import Reason
+from ..interface.settings import RequestClass
+from ..state.sliding_window import SlidingWindow, window_of
+from .context import DecisionContext
+
+WINDOW_BUCKETS = 120  # of the exposure window: so fine that its edge counts for little
+CHECKED_BUCKETS = (120, 90, 60, 30)  # the last so many buckets must each carry themselves
+
+
+class ExposureBudget:
+    """Requests received and attempts sent to the newest build, over the exposure window.
+
+    Attributes:
+        received: windows of requests by class name, or one for all.
+        sent: windows of attempts to the newest build.
+    """
+
+    def __init__(self, context: DecisionContext) -> None:
+        self.context = context
+        self.received: dict[Hashable, SlidingWindow] = {}
+        self.sent: dict[Hashable, SlidingWindow] = {}
+
+    def restart(self) -> None:
+        """Forgets the attempts: another build is on trial."""
+        self.sent = {}
+
+    def count_received(self, request_class: RequestClass) -> None:
+        """Counts a request."""
+        self.window(self.received, request_class).add(self.context.now)
+
+    def count_sent(self, request_class: RequestClass, newest: bool) -> None:
+        """Counts an attempt, if it goes to the newest build."""
+        self.window(self.sent, request_class).add(self.context.now, int(newest))
+
+    def window(
+        self, windows: dict[Hashable, SlidingWindow], request_class: RequestClass
+    ) -> SlidingWindow:
+        """The window of a request class, or the one of all."""
+        settings = self.context.settings
+        key = settings.exposure_by_class and request_class.name
+        return window_of(windows, key, settings.exposure_window, WINDOW_BUCKETS)
+
+    def allows(self, request_class: RequestClass, first: bool = False) -> bool:
+        """Whether one more attempt may go to the newest build.
+
+        It looks at windows still to come as well: the later parts of this one must carry
+        themselves.
+
+        Args:
+            request_class: the request's.
+            first: whether it is the request's first attempt, so the request was received now.
+        """
+        context, settings = self.context, self.context.settings
+        release = context.release
+        assert release is not None
+        if release.phase == ReleasePhase.RELEASED:
+            return True
+        guarded = release.phase == ReleasePhase.ON_TRIAL and release.stage < settings.guarded_stages
+        if guarded and request_class.idempotency != Idempotency.IDEMPOTENT:
+            context.explain(Reason.GUARDED, release.stage, settings.guarded_stages)
+            return False
+        received = self.window(self.received, request_class)
+        sent = self.window(self.sent, request_class)
+        now, cap, allowance = context.now, release.cap, settings.exposure_allowance
+        if cap <= 0:
+            context.explain(Reason.CLOSED, release.phase, cap)
+            return False
+        # Where all may go there, each window with the attempt has its request, too.
+        allowed = (first and cap >= 1) or all(
+            sent.total(now, False, back) + 1 <= allowance + cap * received.total(now, True, back)
+            for back in CHECKED_BUCKETS
+        )
+        if not allowed:
+            context.explain(
+                Reason.EXPOSURE, sent.total(now), received.total(now, True), cap, allowance
+            )
+        return allowed
--- a/thymeknot/policy/load_shedding.py
+++ b/thymeknot/policy/load_shedding.py
@@ -1,124 +1,180 @@
-"""Whether a transaction is taken in hand or turned away at once: a part of the decisions, see balance.py.
-Each bound binds only as far as it is sure. Source: docs/design/admission.md."""
+"""Whether a request is admitted or rejected at once.
 
-from ..interface.clock import TICKS_PER_SECOND
+Each bound binds only as far as it is sure. Source: docs/design/admission.md.
+"""
+
+from collections.abc import Callable, Collection
+from typing import NamedTuple
+
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import Outcome
+from ..interface.events import AttemptEnded
+from ..interface.settings import RequestClass, Settings
+from ..state.request_state import RequestState
 from ..state.sliding_window import SlidingWindow
 
-GOAL_PART, LIMIT_LEAST = (
-    0.5,
-    16,
-)  # of the latency goal: the mean time that the limit on open work aims at
-LANE_PART, CALM, PRESSED = (
-    (0.8, 1.25),
-    "calm",
-    "pressed",
-)  # of the limit and the odds, by what the lane earns
-FEW, QUIET = 5, 120  # sidecars that share the pods; transactions in 8 s that are too few to count
-USUAL, FIRM, ROOM = (
-    0.2,
-    4,
-    0.15,
-)  # of the goal, if unknown; outcomes it weighs; of the rest: still in time
-LOST, UP, DOWN = (
-    0.75,
-    0.005,
-    0.02,
-)  # to an answer; a step up is small, or an overload becomes the usual
-# (state, many sidecars) -> standard deviations of open work left to chance, whether a quiet one draws lots.
-# A quiet instance often has two open where one is the mean: the bare mean turned away a fifth of a calm day.
-ADMITS = {
-    (CALM, True): (3.0, False),
-    (CALM, False): (0.0, False),
-    (PRESSED, True): (0.0, True),
-    (PRESSED, False): (0.0, True),
-}
+OBJECTIVE_PART = 0.5  # of the latency objective: the mean time that the concurrency limit aims at
+LIMIT_LEAST = 16  # open requests of an instance, where few instances share the endpoints
+LIMIT_LEAST_IN_FLEET = 3.0  # and where many do
+CLASS_PART_LOWEST = 0.8  # of the limit and the odds, for the class that earns least for its time
+CLASS_PART_HIGHEST = 1.25  # and for the one that earns most
+FEW_INSTANCES = 5  # sidecars that share the endpoints
+FEW_REQUESTS = 120  # in the traffic window: too few to count, so they are admitted by chance
+USUAL_TIME = 0.2  # of the latency objective, if unknown
+USUAL_WEIGHT = 4  # outcomes that the usual time counts for
+IN_TIME_PART = 0.15  # of the rest up to the objective: a response is still in time
+SILENT_PART = 0.75  # of the responses: so many silent or rejected attempts are a few endpoints'
+USUAL_RISE = 0.005  # gain of the usual time; small, or an overload becomes the usual
+USUAL_FALL = 0.02  # gain of the usual time where it falls
+MEAN_GAIN = 0.03  # of a class's mean response time
+TIMES_HIGHEST = 2.0  # of the latency objective that one response counts for
+TIMED_OUT_PART = 0.99  # of the latency objective, after which a time-out is the class's own
+WINDOW = 2 * TICKS_PER_SECOND  # ticks of responses that the limit and the pressure go by
+WINDOW_BUCKETS = 8  # a quarter of a second each
+LIMIT_UNKNOWN = 1000.0  # until there was a second of traffic: no responses yet are no overload
+DEVIATIONS = 3.0  # standard deviations of open requests left to chance, in a fleet that is calm
+# A quiet instance often has two open where one is the mean: the bare mean rejected a fifth of a
+# calm day.
+
+
+class Rejection(NamedTuple):
+    """Why a request is not admitted."""
+
+    by_chance: bool
+    """Whether a random number decided, else the limit."""
+    measured: float
+    bound: float
 
 
 class LoadShedder:
-    """One for each instance. Asked with every transaction, told of every outcome that says how pods are."""
+    """The load of the endpoints, as one instance sees it, and what it admits.
 
-    def __init__(self, settings):
-        self.many, self.least = (
-            settings.instances > FEW,
-            max(3.0, LIMIT_LEAST * min(1.0, FEW / settings.instances)),
-        )
-        self.answers, self.heard, self.times, self.unheard = (
-            SlidingWindow(2 * TICKS_PER_SECOND, 8) for _ in range(4)
-        )
-        self.usual, self.means, self.request_classes = USUAL, {}, {}
-
-    def ended(self, now, request_class, end, share):
-        """An outcome at a pod with this share of its capacity."""
-        times = min(2.0, end.latency * share / request_class.latency_objective)
-        late = (
-            end.outcome == Outcome.TIMED_OUT
-            and end.latency >= 0.99 * request_class.latency_objective
+    Attributes:
+        means: the moving mean of the response time, in ticks, by the name of the request class.
+        usual: the usual response time, of the latency objective.
+    """
+
+    def __init__(self, settings: Settings) -> None:
+        self.fleet = settings.instances > FEW_INSTANCES
+        self.least = max(
+            LIMIT_LEAST_IN_FLEET, LIMIT_LEAST * min(1.0, FEW_INSTANCES / settings.instances)
         )
+        self.answers = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.responses = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.times = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.silent = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.usual = USUAL_TIME
+        self.means: dict[str, float] = {}
+        self.request_classes: dict[str, RequestClass] = {}
+
+    def ended(
+        self, now: Ticks, request_class: RequestClass, end: AttemptEnded, fraction: float
+    ) -> None:
+        """Takes in an outcome at an endpoint with this part of its capacity."""
+        objective = request_class.latency_objective
+        late = end.outcome == Outcome.TIMED_OUT and end.latency >= TIMED_OUT_PART * objective
         if late or end.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
-            self.unheard.add(now)
+            self.silent.add(now)
         elif end.outcome == Outcome.DONE:
-            self.heard.add(now)
+            times = min(TIMES_HIGHEST, end.latency * fraction / objective)
+            self.responses.add(now)
             self.times.add(now, times)
             apart = times - self.usual
-            self.usual = min(GOAL_PART, self.usual + (UP if apart > 0 else DOWN) * apart)
-
-    def answered(self, now, request_class, latency):
-        self.answers.add(now, GOAL_PART * request_class.latency_objective)
-        mean = self.means.get(request_class.name, latency)
-        self.means[request_class.name], self.request_classes[request_class.name] = (
-            max(1.0, mean + 0.03 * (latency - mean)),
-            request_class,
-        )
+            gain = USUAL_RISE if apart > 0 else USUAL_FALL
+            self.usual = min(OBJECTIVE_PART, self.usual + gain * apart)
+
+    def answered(self, now: Ticks, request_class: RequestClass, latency: Ticks) -> None:
+        """Takes in the response time of a good response."""
+        self.answers.add(now, OBJECTIVE_PART * request_class.latency_objective)
+        name = request_class.name
+        mean = self.means.get(name, latency)
+        self.means[name] = max(1.0, mean + MEAN_GAIN * (latency - mean))
+        self.request_classes[name] = request_class
+
+    def limit(self, now: Ticks, request_class: RequestClass, since: Ticks) -> float:
+        """How many requests may be open.
 
-    def limit(self, now, request_class, since):
-        """Open work may be what answers come for within part of the goal (Little's law), so no queue lasts.
-        Lanes that earn least go first. No answers yet are no sign of overload. since: its first traffic."""
+        As many as responses come for within part of the objective (Little's law), so no queue
+        lasts. Classes that earn least are rejected first.
+
+        Args:
+            now: the moment.
+            request_class: the request's.
+            since: ticks since the first traffic.
+        """
         come = (
-            self.answers.total(now) / min(2 * TICKS_PER_SECOND, since)
+            self.answers.total(now) / min(WINDOW, since)
             if since > TICKS_PER_SECOND
-            else 1000.0
+            else LIMIT_UNKNOWN
         )
-        return max(self.least, come) * self.part(request_class)
+        return max(self.least, come) * self.class_part(request_class)
 
-    def part(self, request_class):
+    def class_part(self, request_class: RequestClass) -> float:
+        """The class's part of the limit and the odds, by what it earns for its response time."""
         worth = {
             name: self.request_classes[name].priority_weight / mean
             for name, mean in self.means.items()
         }
-        low, high = min(worth.values(), default=0), max(worth.values(), default=0)
+        low = min(worth.values(), default=0)
+        high = max(worth.values(), default=0)
         rank = (
             (worth[request_class.name] - low) / (high - low)
             if request_class.name in worth and high > low
             else 0.5
         )
-        return LANE_PART[0] + (LANE_PART[1] - LANE_PART[0]) * rank
-
-    def pressure(self, now, open_):
-        """The time that pods take over what is still in time: above 1 they queue. What is unknown is usual:
-        few outcomes do not bind. Silence and refusals are a few pods' matter until they near the answers."""
-        heard, late = self.heard.total(now), self.unheard.total(now)
-        seen, times, bound = (
-            heard + FIRM,
-            self.times.total(now) + FIRM * self.usual,
-            LOST * heard + 0.5,
-        )
-        if late + len(open_) > bound:  # else what is open could not tip it
+        return CLASS_PART_LOWEST + (CLASS_PART_HIGHEST - CLASS_PART_LOWEST) * rank
+
+    def pressure(self, now: Ticks, open_requests: Collection[RequestState]) -> float:
+        """The time that endpoints take over what is still in time: above 1 they queue.
+
+        What is unknown is usual: few outcomes do not bind. Silence and rejections are a few
+        endpoints' matter until they near the responses.
+        """
+        responses = self.responses.total(now)
+        late = self.silent.total(now)
+        seen = responses + USUAL_WEIGHT
+        times = self.times.total(now) + USUAL_WEIGHT * self.usual
+        bound = SILENT_PART * responses + 0.5
+        if late + len(open_requests) > bound:  # else what is open could not tip it
             late += sum(
                 now - request.attempts[-1].sent_at
-                > GOAL_PART * request.request_class.latency_objective
-                for request in open_
+                > OBJECTIVE_PART * request.request_class.latency_objective
+                for request in open_requests
                 if request.attempts and request.attempts[-1].in_flight
             )
         if late > bound:
-            seen, times = seen + late, times + late
-        return times / seen / (self.usual + ROOM * (1 - self.usual))
-
-    def refused(self, now, request_class, open_, since, recent, draw):
-        """None if it is taken, else (whether by the lot, what was looked at, what it was held to)."""
-        pressure, limit = self.pressure(now, open_), self.limit(now, request_class, since)
-        chance, by_lot = ADMITS[PRESSED if pressure > 1 else CALM, self.many]
-        if len(open_) > limit + chance * limit**0.5:
-            return False, len(open_), limit + chance * limit**0.5
-        odds = self.part(request_class) / pressure if by_lot and recent < QUIET else 1.0
-        return (True, pressure, odds) if odds < 1 and draw() > odds else None
+            seen += late
+            times += late
+        return times / seen / (self.usual + IN_TIME_PART * (1 - self.usual))
+
+    def rejection(
+        self,
+        now: Ticks,
+        request_class: RequestClass,
+        open_requests: Collection[RequestState],
+        since: Ticks,
+        *,
+        recent: float,
+        draw: Callable[[], float],
+    ) -> Rejection | None:
+        """Why the request is rejected; None if it is admitted.
+
+        Args:
+            now: the moment.
+            request_class: the request's.
+            open_requests: those that are open, with this one.
+            since: ticks since the first traffic.
+            recent: requests in the traffic window.
+            draw: gives a random number; asked only where chance decides.
+        """
+        pressure = self.pressure(now, open_requests)
+        limit = self.limit(now, request_class, since)
+        pressed = pressure > 1
+        deviations = DEVIATIONS if self.fleet and not pressed else 0.0
+        bound = limit + deviations * limit**0.5
+        if len(open_requests) > bound:
+            return Rejection(False, len(open_requests), bound)
+        if not pressed or recent >= FEW_REQUESTS:
+            return None
+        odds = self.class_part(request_class) / pressure
+        return Rejection(True, pressure, odds) if odds < 1 and draw() > odds else None
--- a/thymeknot/state/fleet_baseline.py
+++ b/thymeknot/state/fleet_baseline.py
@@ -72,7 +72,7 @@
         self.period = min(self.period or until - began, until - began) or self.period
         return began
 
-    def lacks(self, since: Ticks, now: Ticks, awaited: int) -> bool:
+    def lacks(self, since: float, now: Ticks, awaited: int) -> bool:
         """Whether the counts of a period that ended after `since` are still to come.
 
         Args:
