--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -27,6 +27,7 @@
 MARK_GAIN_FALL = 0.2  # how fast the gain falls with the outcomes seen
 MEAN_GAIN_PART = 0.4  # of the mark's gain
 SETTLED_AFTER = 3 * TICKS_PER_SECOND  # ticks of traffic that tell what is usual
+CHANCE_TRIES = 3  # requests in two seconds that may come by chance
 BUSIER = 1.5  # times the usual traffic, from which slowness may be the load's
 
 
@@ -155,7 +156,8 @@
             return 1.0
         tries, now = self.first_tries, self.context.now
         span = (RECENT_BUCKETS * tries.width + now % tries.width) / TICKS_PER_SECOND
-        return (tries.total(now, False, RECENT_BUCKETS) - 3) / (self.before_offer.rate * span + 1)
+        seen = tries.total(now, False, RECENT_BUCKETS) - CHANCE_TRIES
+        return seen / (self.before_offer.rate * span + 1)
 
     def settle(self) -> None:
         """Keeps what is usual before the newest build has an effect, as soon as it is known."""
--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -95,7 +95,10 @@
             evidence=self.evidence,
         )
         self.upkeep_interval: Ticks = 0
-        self._handlers: dict[type, Callable[[Any], None]] = {
+        self._handlers = self._handlers_by_event()
+
+    def _handlers_by_event(self) -> dict[type, Callable[[Any], None]]:
+        return {
             EndpointUpdate: self.selection.update,
             ReleaseUpdate: self.release.update,
             RequestReceived: self.requests.receive,
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -71,17 +71,7 @@
         on_trial = context.build_state == BuildState.ON_TRIAL
         if warmth < WARM_ENOUGH or (seen < 2 * OUTCOMES_LEAST and on_trial):
             return
-        # Cold endpoints fail more. After a release half of the machines leave, and the rest is
-        # loaded more for a while.
-        rate = min(
-            RATE_HIGHEST,
-            failed / seen if seen >= 2 * OUTCOMES_LEAST else self.selection.connection_loss,
-        )
-        null_rate = (
-            max(RATE_LEAST[Symptom.FAILED], rate)
-            + FAILED_COLD * (1 - warmth)
-            + FAILED_RELEASED * (context.build_state == BuildState.RELEASED)
-        )
+        null_rate = self._null_rate(seen, failed, warmth)
         newest = [row for row in rows if row.build == release.build]
         steps = {
             Symptom.FAILED: _failure_step(newest, null_rate),
@@ -93,6 +83,27 @@
             most = PERIOD_PART * self.test.abort_bounds[symptom] * (not context.few_endpoints())
             self.test.add_step(symptom, min(step, most))
 
+    def _null_rate(self, seen: int, failed: int, warmth: float) -> float:
+        """The part of the newest build's attempts that may fail if it is as good as the earlier.
+
+        Cold endpoints fail more. After a release half of the machines leave, and the rest is loaded
+        more for a while.
+
+        Args:
+            seen: the earlier build's attempts.
+            failed: those of them that failed.
+            warmth: the mean warm-up fraction at the newest build.
+        """
+        rate = min(
+            RATE_HIGHEST,
+            failed / seen if seen >= 2 * OUTCOMES_LEAST else self.selection.connection_loss,
+        )
+        return (
+            max(RATE_LEAST[Symptom.FAILED], rate)
+            + FAILED_COLD * (1 - warmth)
+            + FAILED_RELEASED * (self.context.build_state == BuildState.RELEASED)
+        )
+
     def _warmth(self, at: Ticks) -> float:
         """The mean warm-up fraction at the newest build; in a crowd, new endpoints got nothing."""
         context = self.context
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -50,9 +50,8 @@
 CHANGE_OF_PHASE = {
     ReleasePhase.ON_TRIAL: ReleaseChange.OFFERED,
     ReleasePhase.RELEASED: ReleaseChange.RELEASED,
-    ReleasePhase.ROLLING_BACK: ReleaseChange.WITHDRAWN,
-    ReleasePhase.WITHDRAWN: ReleaseChange.WITHDRAWN,
 }
+"""What another phase of the same build means; the phases that are not here withdraw it."""
 
 
 class ReleaseLifecycle:
@@ -129,5 +128,5 @@
         on_trial = new.phase == ReleasePhase.ON_TRIAL
         return ReleaseChange.OFFERED if on_trial else ReleaseChange.MET
     if old.phase != new.phase:
-        return CHANGE_OF_PHASE[new.phase]
+        return CHANGE_OF_PHASE.get(new.phase, ReleaseChange.WITHDRAWN)
     return ReleaseChange.STAGE_CHANGED if old.stage != new.stage else None
--- a/thymeknot/policy/traffic_split.py
+++ b/thymeknot/policy/traffic_split.py
@@ -54,13 +54,11 @@
 
     def pin(self, event: LateResponseSeen) -> None:
         """Pins a key to the newest build, if that answered it, also too late or in part."""
+        if not self.context.settings.sticky_keys:
+            return
         release = self.context.release
-        assert release is not None
-        if (
-            self.context.settings.sticky_keys
-            and event.build == release.build
-            and len(self.pinned_keys) < KEYS_MOST
-        ):
+        assert release is not None  # nothing is sent before it is told
+        if event.build == release.build and len(self.pinned_keys) < KEYS_MOST:
             self.pinned_keys.add(event.key)
 
     def raise_fraction(self, all_slow: bool) -> None:
