--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -278,21 +278,21 @@
         before = (
             proxy.settings,
             proxy.connection_limits,
-            proxy.engine.settings,
-            proxy.listener.most_clients,
+            proxy.engine.context.settings,
+            proxy.most_clients,
         )
         proxy.reconfigure(configuration.read({**example(), "settings": other_settings()}, 0))
         self.assertEqual(
             (
                 proxy.settings,
                 proxy.connection_limits,
-                proxy.engine.settings,
-                proxy.listener.most_clients,
+                proxy.engine.context.settings,
+                proxy.most_clients,
             ),
             before,
         )
         for was, stays in zip(
-            before, (proxy.settings, proxy.connection_limits, proxy.engine.settings)
+            before, (proxy.settings, proxy.connection_limits, proxy.engine.context.settings)
         ):
             self.assertIs(was, stays)
 
@@ -881,9 +881,9 @@
             act(*values)
             yield
         self.checker.ended(last + 100)
-        if self.made.open or self.checker.open:
+        if self.made.requests.open or self.checker.open:
             self.checker._broke(
-                1, last, f"open yet: {list(self.made.open)} {list(self.checker.open)}"
+                1, last, f"open yet: {list(self.made.requests.open)} {list(self.checker.open)}"
             )
         if not any(values and values[0] == TimerFired(0) for _, _, _, values in self.queue):
             self.checker._broke(0, last, "it has stopped looking")
