--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -113,6 +113,15 @@
             for name, address in {**self.addresses, **listing.addresses}.items()
             if name in self.listed
         }
+        self._tell(update, replaced)
+
+    def _tell(self, update: EndpointUpdate, replaced: set[str]) -> None:
+        """Tells what the list has become, and lets go of connections that it leaves without use.
+
+        Args:
+            update: What was told.
+            replaced: Names under which another process runs now.
+        """
         proxy = self.proxy
         proxy.inbox.append(update)
         if proxy.gossip is not None:
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -119,21 +119,27 @@
             self.listener.port.startReading()
             listens()
             return
-
-        def closed_before(_: object) -> None:
-            if self._return is not returning:
-                return
-            self.listener_closed = None
-            try:
-                self.listener.serve()
-            except CannotListenError as error:
-                self.listener_closed = succeed(None)
-                failed(str(error))
-                return
-            listens()
-
         assert self.listener_closed is not None  # it is drained, or it would be listening
-        self.listener_closed.addCallback(closed_before)
+        self.listener_closed.addCallback(self._serve_again, returning, listens, failed)
+
+    def _serve_again(
+        self,
+        _: object,
+        returning: object,
+        listens: Callable[[], None],
+        failed: Callable[[str], None],
+    ) -> None:
+        """Opens the port, closed by now, unless another shutdown has begun since."""
+        if self._return is not returning:
+            return
+        self.listener_closed = None
+        try:
+            self.listener.serve()
+        except CannotListenError as error:
+            self.listener_closed = succeed(None)
+            failed(str(error))
+            return
+        listens()
 
     def _finish_clients(self) -> None:
         self._finish_timer = None
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -138,7 +138,10 @@
         chance = LinearCongruentialGenerator(~start.seed)
         self.endpoints = EndpointUpdates(self, chance)
         self.releases = ReleaseChannel(self, chance)
-        self._carriers: dict[type, Callable[[Any], None]] = {
+        self._carriers = self._carriers_by_action()
+
+    def _carriers_by_action(self) -> dict[type[Action], Callable[[Any], None]]:
+        return {
             SendAttempt: self._send,
             CancelAttempt: self._cancel,
             Reject: self._reject,
