--- a/Makefile
+++ b/Makefile
@@ -15,13 +15,21 @@
 CHECKED = thymeknot tests measure .ci
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
 TYPED = thymeknot/interface thymeknot/gang_scheduling \
+	thymeknot/gossip/__init__.py \
 	thymeknot/gossip/codec.py \
+	thymeknot/gossip/context.py \
 	thymeknot/gossip/credibility.py \
 	thymeknot/gossip/dissemination_queue.py \
+	thymeknot/gossip/item_exchange.py \
 	thymeknot/gossip/keyring.py \
 	thymeknot/gossip/keys.py \
 	thymeknot/gossip/membership.py \
+	thymeknot/gossip/node.py \
+	thymeknot/gossip/outbox.py \
+	thymeknot/gossip/peer_hints.py \
+	thymeknot/gossip/prober.py \
 	thymeknot/gossip/rate_limits.py \
+	thymeknot/gossip/receiver.py \
 	thymeknot/gossip/replay_window.py \
 	thymeknot/gossip/settings.py \
 	thymeknot/gossip/suspicion.py
--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -33,8 +33,10 @@
 
     def watch():
         for one in world.live():
-            buried[0] += sum(fields.get("now") == "dead" for _, fields in one.node.said)
-            one.node.said.clear()
+            buried[0] += sum(
+                fields.get("now") == "dead" for _, fields in one.node.context.log_events
+            )
+            one.node.context.log_events.clear()
 
     world.run(3 * SECOND, watch)
     for at in range(3):
@@ -97,8 +99,8 @@
             for one in world.live():
                 for pod in range(3):
                     one.node.suspicions.record_attempt(one.clock(), PODS[pod].id, pod == at % 3)
-                one.node.doubts.clear()
-                one.node.said.clear()
+                one.node.changed_suspicions.clear()
+                one.node.context.log_events.clear()
                 buried += sum(
                     member.state == "dead"
                     and world.instances[name].node is not None
--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -17,8 +17,9 @@
 from tests.support.stand_ins import PodPeer, Program, until
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Frame, Ping
+from thymeknot.gossip.context import TICK_INTERVAL
 from thymeknot.gossip.keyring import AllowedNetworks, Keyring, new_identity
-from thymeknot.gossip.node import TICK, GossipNode
+from thymeknot.gossip.node import GossipNode
 from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.gossip.settings import Peer, PeerKey
 from thymeknot.state.random_source import LinearCongruentialGenerator
@@ -120,13 +121,13 @@
             fleet.identities[HOSTILE],
             fleet.ring(),
             AllowedNetworks(["127.0.0.1/32"]),
-            address,
-            [("127.0.0.1", fleet.ports["n0"])],
-            now,
-            LinearCongruentialGenerator(9),
-            77,
-            lambda: os.urandom(8),
-            time.time,
+            announced=address,
+            seeds=[("127.0.0.1", fleet.ports["n0"])],
+            now=now,
+            random_source=LinearCongruentialGenerator(9),
+            start=77,
+            new_nonce=lambda: os.urandom(8),
+            unix=time.time,
         )
         self.liar, self.over = Liar(node, pods), threading.Event()
 
@@ -141,12 +142,12 @@
                 pass
             now = clock()
             if now >= tick_at:
-                tick_at = now + TICK
+                tick_at = now + TICK_INTERVAL
                 node.tick(now)
             if now >= lie_at:
                 lie_at = now + 5_000
                 self.liar.lies(now)
-            out, node.out = node.out, []
+            out = node.take_datagrams()
             for address, content in out:
                 try:
                     self.socket.sendto(content, address)
--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -10,7 +10,7 @@
 
 
 class Liar:
-    """Wraps a node. pods: those it speaks ill of. Each call of `lies` sends a round of them by node.out."""
+    """Wraps a node. pods: those it speaks ill of. Each call of `lies` puts a round of them into its outbox."""
 
     def __init__(self, node, pods, spoil=True):
         self.node, self.pods, self.heard, self.round, self.spoil = node, pods, [], 0, spoil
@@ -23,30 +23,30 @@
     def _item(self, now, body, name=None, start=None, number=None):
         node = self.node
         if number is None:
-            node.number += 1
-            number = node.number
+            node.local.number += 1
+            number = node.local.number
         item = Item(
-            name or node.name,
-            node.start if start is None else start,
+            name or node.local.name,
+            node.local.start if start is None else start,
             number,
-            now - node.began,
+            now - node.local.began,
             body,
         )
-        return codec.sealed_item(item, node.identity)
+        return codec.sealed_item(item, node.local.identity)
 
     def _frame(self, now, to, body, items, name=None, start=None):
         node = self.node
-        node.number += 1
+        node.local.number += 1
         frame = Frame(
-            name or node.name,
+            name or node.local.name,
             to,
-            node.start if start is None else start,
-            node.number,
-            now - node.began,
+            node.local.start if start is None else start,
+            node.local.number,
+            now - node.local.began,
             body,
             items,
         )
-        return codec.sealed_frame(frame, node.identity)
+        return codec.sealed_frame(frame, node.local.identity)
 
     def lies(self, now):
         """One round, to every live peer."""
@@ -70,8 +70,8 @@
         ]  # old news, ever signed anew
         numbers = []
         for _ in self.pods:
-            self.node.number += 1
-            numbers.append(self.node.number)
+            self.node.local.number += 1
+            numbers.append(self.node.local.number)
         for at, peer in enumerate(peers):
             ill = at % 2 == self.round % 2
             # Two tongues: the same number says one thing here and another there.
@@ -90,7 +90,7 @@
                 + [self._item(now, Evidence(f"pod-{self.round}", "", 1, 0, 9, 9))]
             )
             for begin in range(0, len(everything), 6):
-                self.node.out.append(
+                self.node.outbox.datagrams.append(
                     (
                         peer.address,
                         self._frame(now, peer.name, Push(), everything[begin : begin + 6]),
@@ -100,20 +100,20 @@
                 (one.name, "10.255.255.1" if one.address[0].startswith("10.") else "127.0.0.1", 9)
                 for one in peers
             ][:20]
-            self.node.out.append(
+            self.node.outbox.datagrams.append(
                 (peer.address, self._frame(now, peer.name, Hints(False, false), []))
             )
             if not self.spoil:
                 continue
             other = peers[(at + 1) % len(peers)]
             forged = self._frame(now, peer.name, Push(), items[:3], other.name, other.start)
-            self.node.out.append((peer.address, forged))
+            self.node.outbox.datagrams.append((peer.address, forged))
             mine = self._frame(now, peer.name, Push(), items[:3])
-            self.node.out.append((peer.address, mine[:-1] + bytes((mine[-1] ^ 1,))))
-            self.node.out.append((peer.address, bytes(range(200)) * 3))
-            self.node.out.append((peer.address, mine[:30] + bytes(range(100))))
+            self.node.outbox.datagrams.append((peer.address, mine[:-1] + bytes((mine[-1] ^ 1,))))
+            self.node.outbox.datagrams.append((peer.address, bytes(range(200)) * 3))
+            self.node.outbox.datagrams.append((peer.address, mine[:30] + bytes(range(100))))
             for content in self.heard[self.round % 7 :: 7][:4]:
-                self.node.out.append((peer.address, content))
+                self.node.outbox.datagrams.append((peer.address, content))
 
 
 def pods_of(count, build=1):
--- a/measure/shop.py
+++ b/measure/shop.py
@@ -152,8 +152,8 @@
         now = self.world.now
         node = self.world.instances[name].node
         events = []
-        if node is not None and node.doubts:
-            doubts, node.doubts = node.doubts, []
+        if node is not None and node.changed_suspicions:
+            doubts = node.take_suspicions()
             events = [
                 SuspicionReported(
                     one.endpoint.id, one.endpoint.build, one.endpoint.started, one.until
--- a/measure/world.py
+++ b/measure/world.py
@@ -5,9 +5,10 @@
 import heapq
 from hashlib import blake2b
 
+from thymeknot.gossip.context import TICK_INTERVAL
 from thymeknot.gossip.keyring import AllowedNetworks
 from thymeknot.gossip.membership import ClockOffset, MemberState
-from thymeknot.gossip.node import TICK, GossipNode
+from thymeknot.gossip.node import GossipNode
 from thymeknot.gossip.settings import Ceiling, GossipSettings, SuspicionSettings, Verifications
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
@@ -81,15 +82,15 @@
             world.identity(self.name),
             world.ring,
             world.sources,
-            self.address,
-            seeds,
-            self.clock(),
-            LinearCongruentialGenerator(start),
-            start,
-            world.nonce,
-            lambda: world.unix,
+            announced=self.address,
+            seeds=seeds,
+            now=self.clock(),
+            random_source=LinearCongruentialGenerator(start),
+            start=start,
+            new_nonce=world.nonce,
+            unix=lambda: world.unix,
         )
-        world.at(world.now + int(world.chance.draw() * TICK), self._tick, self.turn)
+        world.at(world.now + int(world.chance.draw() * TICK_INTERVAL), self._tick, self.turn)
 
     def clock(self):
         return self.world.now + self.ahead
@@ -103,7 +104,7 @@
                 self.node.received(self.clock(), source, content)
             self.node.tick(self.clock())
             self.flush()
-        self.world.at(max(self.world.now, self.stalled_till) + TICK, self._tick, turn)
+        self.world.at(max(self.world.now, self.stalled_till) + TICK_INTERVAL, self._tick, turn)
 
     def received(self, source, content):
         if self.node is None:
@@ -116,7 +117,7 @@
         self.flush()
 
     def flush(self):
-        out, self.node.out = self.node.out, []
+        out = self.node.take_datagrams()
         for address, content in out:
             self.world.send(self.address, address, content)
 
@@ -201,15 +202,15 @@
             for other in self.instances.values():
                 if one is not other and one.node and other.node:
                     member, node = one.node.members.all[other.name], one.node
-                    member.begin(other.node.start)
+                    member.begin(other.node.local.start)
                     member.offset = ClockOffset(
-                        one.clock() - (other.clock() - other.node.began), 30
+                        one.clock() - (other.clock() - other.node.local.began), 30
                     )
                     member.address, member.state = other.address, MemberState.ALIVE
-                    node.by_address[other.address] = other.name
+                    node.context.by_address[other.address] = other.name
         for one in self.instances.values():
             one.node.members.update_live()
-            one.node.checking.set_proved(one.node.by_address)
+            one.node.limits.set_proved(one.node.context.by_address)
 
     def live(self):
         return [one for one in self.instances.values() if one.node]
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -25,9 +25,9 @@
 
 
 def doubts(made):
-    found = [(one.name, doubt) for one in made.live() for doubt in one.node.doubts]
+    found = [(one.name, doubt) for one in made.live() for doubt in one.node.changed_suspicions]
     for one in made.live():
-        one.node.doubts = []
+        one.node.changed_suspicions = []
     return [(name, doubt.endpoint.id) for name, doubt in found if doubt.until > made.now]
 
 
@@ -110,7 +110,9 @@
         for name in ("n1", "n2", "n3", "n4"):
             deliver(made, name, "s-3", 8, 7)
         made.run(5 * SECOND)
-        self.assertIn("n0", [one.name for one in made.live() for doubt in one.node.doubts])
+        self.assertIn(
+            "n0", [one.name for one in made.live() for doubt in one.node.changed_suspicions]
+        )
 
     def test_one_that_stalls_doubts_itself_first_and_refutes(self):
         made = settled()
@@ -261,7 +263,7 @@
         self.assertNotIn("n4", node.members.all)
         doubts(made)
         made.run(2 * SECOND)
-        ended = [doubt for doubt in node.doubts if doubt.until <= made.now]
+        ended = [doubt for doubt in node.changed_suspicions if doubt.until <= made.now]
         self.assertTrue(ended)  # the doubt's ground is gone, so it is taken back
 
     def test_datagrams_sent_again_after_the_victims_restart_count_for_nothing(self):
@@ -287,7 +289,7 @@
         )
         self.assertEqual({one.state for one in victim.node.members.all.values()}, {"unproved"})
         self.assertEqual(victim.node.suspicions.words, {})
-        self.assertEqual(victim.node.doubts, [])
+        self.assertEqual(victim.node.changed_suspicions, [])
 
 
 class Ceilings(unittest.TestCase):
@@ -306,14 +308,16 @@
                 within = [size for moment, size in mine[at : at + 200] if moment < begin + SECOND]
                 self.assertLessEqual(len(within), TERMS.ceiling.datagrams + 1)
                 self.assertLessEqual(sum(within), TERMS.ceiling.bytes)
-            self.assertLess(made.instances[name].node.verified, 50 * TERMS.verifications.total)
+            self.assertLess(
+                made.instances[name].node.limits.verified, 50 * TERMS.verifications.total
+            )
 
     def test_an_answer_to_the_unproved_is_no_longer_than_what_it_answers(self):
         made, sizes = world(3), {}
         shorter = []
 
         def tap(source, address, content):
-            known = made.by_address[source].node.by_address
+            known = made.by_address[source].node.context.by_address
             if address in known and made.by_address[address].node:
                 return
             if (address, source) in sizes and len(content) > sizes[address, source]:
@@ -370,10 +374,10 @@
         made.run(20 * SECOND, lie)
         for name in ("n0", "n1", "n2", "n3"):
             node = made.instances[name].node
-            self.assertLessEqual(node.rumours.count_by_origin.get("n4", 0), 32)
+            self.assertLessEqual(node.queue.count_by_origin.get("n4", 0), 32)
             self.assertLessEqual(sum("n4" in words for words in node.suspicions.words.values()), 16)
-            self.assertLessEqual(len(node.aside), 256)
-            self.assertLessEqual(len(node.probes), 32)
+            self.assertLessEqual(len(node.items.waiting), 256)
+            self.assertLessEqual(len(node.prober.probes), 32)
             self.assertTrue(
                 all(
                     len(one.digests) <= 64 and len(one.suspecters) <= 16
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -59,13 +59,13 @@
 def frame_of(sender="n1", identity=None, body=None, items=(), to="n0", number=None, start=None):
     """A frame as n1 would send it next to n0, changed as told."""
     node = WORLD.instances["n1"].node
-    node.number += 1
+    node.local.number += 1
     frame = Frame(
         sender,
         to,
-        node.start if start is None else start,
-        number or node.number,
-        WORLD.now - node.began,
+        node.local.start if start is None else start,
+        number or node.local.number,
+        WORLD.now - node.local.began,
         body or Push(),
         list(items),
     )
@@ -74,12 +74,12 @@
 
 def item_of(body, origin="n1", identity=None, start=None, age=0):
     node = WORLD.instances["n1"].node
-    node.number += 1
+    node.local.number += 1
     item = Item(
         origin,
-        node.start if start is None else start,
-        node.number,
-        WORLD.now - node.began - age,
+        node.local.start if start is None else start,
+        node.local.number,
+        WORLD.now - node.local.began - age,
         body,
     )
     return codec.sealed_item(item, identity or KEYS["n1"])
@@ -87,7 +87,7 @@
 
 def dropped(datagram, source=None):
     """What a datagram from n1's address was dropped for, or None; how many went out for it."""
-    before, NODE.out = dict(NODE.dropped), []
+    before, NODE.outbox.datagrams = dict(NODE.dropped), []
     NODE.received(WORLD.now, source or WORLD.instances["n1"].address, datagram)
     found = [kind for kind, count in NODE.dropped.items() if count != before[kind]]
     return found[0] if found else None
@@ -153,15 +153,17 @@
         NODE.suspicions.set_endpoints([])
 
     def test_an_instance_called_dead_says_that_it_lives(self):
-        before = NODE.incarnation
+        before = NODE.local.incarnation
         self.assertIsNone(
-            dropped(frame_of(items=[item_of(codec.Suspect("n0", NODE.start, before))]))
+            dropped(frame_of(items=[item_of(codec.Suspect("n0", NODE.local.start, before))]))
         )
-        self.assertEqual(NODE.incarnation, before + 1)
+        self.assertEqual(NODE.local.incarnation, before + 1)
         self.assertIsNone(
-            dropped(frame_of(items=[item_of(codec.Suspect("n0", NODE.start + 1, before + 9))]))
+            dropped(
+                frame_of(items=[item_of(codec.Suspect("n0", NODE.local.start + 1, before + 9))])
+            )
         )
-        self.assertEqual(NODE.incarnation, before + 1)  # of another start: old news
+        self.assertEqual(NODE.local.incarnation, before + 1)  # of another start: old news
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=1500), st.integers(0, 400), st.binary(max_size=30))
@@ -174,7 +176,9 @@
         ):
             if datagram != good:
                 self.assertIsNotNone(dropped(datagram))
-                self.assertLessEqual(sum(len(out.content) for out in NODE.out), len(datagram))
+                self.assertLessEqual(
+                    sum(len(out.content) for out in NODE.outbox.datagrams), len(datagram)
+                )
 
     def test_the_longest_frames_fit(self):
         claims = [
@@ -182,10 +186,8 @@
             for _ in range(30)
         ]
         self.assertLessEqual(len(claims[0]), codec.MAX_ITEM)
-        NODE.rumours.add(
-            codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x"
-        )
-        picked = NODE.rumours.pick(3, 1100)
+        NODE.queue.add(codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x")
+        picked = NODE.queue.pick(3, 1100)
         self.assertLessEqual(
             len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MAX_DATAGRAM
         )
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -109,6 +109,9 @@
     failed: SmallCount
 
 
+ItemBody = Union[Alive, Left, Suspect, Evidence]
+
+
 class Item(_Record, frozen=True):
     """What an origin says to all, passed on by others.
 
@@ -124,7 +127,7 @@
     start: Count
     number: Count
     at: Count
-    body: Union[Alive, Left, Suspect, Evidence]
+    body: ItemBody
 
 
 class Ping(_Record, frozen=True, tag="p"):
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -10,7 +10,7 @@
 from collections.abc import Collection, Iterable
 from enum import StrEnum
 from math import log
-from typing import NamedTuple
+from typing import NamedTuple, cast
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from .dissemination_queue import RandomSource
@@ -212,6 +212,14 @@
         """Returns whether it counts as living."""
         return self.state in LIVE_STATES
 
+    def live_address(self) -> Address:
+        """Returns the address of a living peer, which it proved."""
+        return cast(Address, self.address)
+
+    def clock_offset(self) -> ClockOffset:
+        """Returns the clock's offset of a living peer, which was measured as it proved itself."""
+        return cast(ClockOffset, self.offset)
+
     def remember(self, number: int, digest: bytes) -> None:
         """Keeps an item's digest for a while: another content under its number is a lie."""
         if len(self.digests) >= MAX_DIGESTS:
--- a/thymeknot/gossip/rate_limits.py
+++ b/thymeknot/gossip/rate_limits.py
@@ -102,6 +102,7 @@
     Attributes:
         total: The bucket of all verifications.
         peers: Buckets of the proved addresses.
+        verified: How many signatures were verified.
     """
 
     def __init__(self, settings: Verifications, salt: int, now: Ticks) -> None:
@@ -112,6 +113,7 @@
         rate = settings.unknown / UNKNOWN_LANES
         self._lanes = [TokenBucket(rate, max(MIN_BURST, rate), now) for _ in range(UNKNOWN_LANES)]
         self.peers: dict[Address, TokenBucket] = {}
+        self.verified = 0
 
     def set_proved(self, addresses: Iterable[Address]) -> None:
         """Gives these addresses buckets of their own, and no others."""
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -1,225 +1,337 @@
-"""The gossip's socket, and its way to and from the sidecar. Reads a bounded number of datagrams in a round of the
-loop, so that a flood delays no transaction; what the socket can't send at once is lost, as the network may lose it."""
+"""The gossip's socket, and its way to and from the proxy.
+
+It reads a bounded number of datagrams in a round of the event loop, so that a flood delays no
+request. What the socket can't send at once is lost, as the network may lose it.
+"""
 
 import os
 import secrets
 import socket
 import time
+from typing import Any, NamedTuple
 
 from twisted.internet.interfaces import IReadDescriptor
 from zope.interface import implementer
 
+from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import EndpointCondition, Outcome
 from ..interface.events import SuspicionReported
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
-from . import keyring as identities
-from . import settings as t
-from .node import TICK, GossipNode
+from .context import TICK_INTERVAL
+from .keyring import AllowedNetworks, Identity, Keyring, KeyringError, read_identity
+from .node import GossipNode
+from .outbox import Datagram
 from .own_experience import EndpointKey
+from .settings import GossipSettings, address
+from .suspicion import Suspicion
+
+DATAGRAMS_AT_ONCE = 24  # in a round of the event loop; what stays comes in the next one
+RECEIVE_BUFFER = 1 << 20  # bytes asked of the system, so that a flood leaves room between rounds
+READ_SIZE = 2048  # bytes, more than a valid datagram has
+REPORT_INTERVAL = 10 * TICKS_PER_SECOND  # between two log lines of counts
+NONCE_SIZE = 8  # bytes
+RANDOM_SEED_BITS = 64
+FAILED_OUTCOMES = {Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED}
+# Share of a request class's latency objective that a timed-out attempt must have had to count.
+FULL_ATTEMPT = 0.99
+
+
+class Credentials(NamedTuple):
+    """What a node is made of beside its settings.
+
+    Attributes:
+        identity: What it signs with.
+        ring: The peers' keys.
+        sources: Networks that peers may send from.
+    """
+
+    identity: Identity
+    ring: Keyring
+    sources: AllowedNetworks
+
+
+def built(settings: GossipSettings, folder: str) -> Credentials:
+    """Returns the credentials that the settings name.
+
+    Args:
+        settings: The operator's settings.
+        folder: Where the file of the key is looked for.
+
+    Raises:
+        KeyringError: They can't be used; the text begins with the faulty key of the settings.
+    """
+    try:
+        with open(os.path.join(folder, settings.key), "rb") as source:
+            identity = read_identity(settings.name, source.read())
+        ring = Keyring(settings.peers, settings.revoked)
+        sources = AllowedNetworks(settings.from_)
+    except OSError as error:
+        raise KeyringError(f"gossip.key: can't be read: {_reason(error)}") from None
+    if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
+        raise KeyringError("gossip.key: belongs to another name in the ring")
+    return Credentials(identity, ring, sources)
+
+
+def _reason(error: OSError) -> str:
+    return os.strerror(error.errno or 0)
 
-READ_AT_ONCE = 24  # datagrams a round; what stays comes in the next one
-READ_BUFFER = 1 << 20  # asked of the system, so that a flood leaves room between two rounds
-TELL_EVERY = 100_000  # of counts of what was dropped
-FAILED = {Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED}
 
+def _bound_socket(listen: str) -> socket.socket:
+    """Returns a non-blocking socket for datagrams.
 
-def built(terms, folder):
-    """(identity, ring, sources) of the settings. Raises identity.Unusable, whose text begins with the faulty key."""
+    Raises:
+        KeyringError: The address can't be bound.
+    """
+    host, port = address(listen)
+    family = socket.AF_INET6 if ":" in host else socket.AF_INET
+    bound = socket.socket(family, socket.SOCK_DGRAM)
+    bound.setblocking(False)
+    bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
     try:
-        with open(os.path.join(folder, terms.key), "rb") as source:
-            mine = identities.read_identity(terms.name, source.read())
-        ring = identities.Keyring(terms.peers, terms.revoked)
-        sources = identities.AllowedNetworks(terms.from_)
+        bound.bind((host, port))
     except OSError as error:
-        raise identities.KeyringError(
-            f"gossip.key: can't be read: {os.strerror(error.errno)}"
-        ) from None
-    if ring.owner(mine.key_id, time.time()) not in (None, terms.name):
-        raise identities.KeyringError("gossip.key: belongs to another name in the ring")
-    return mine, ring, sources
+        bound.close()
+        raise KeyringError(f"gossip.listen: {_reason(error)}: {listen}") from None
+    return bound
+
+
+class BusiestSecond:
+    """What went out in the busiest second, for the log.
+
+    Attributes:
+        bytes_most: Bytes.
+        datagrams_most: Datagrams.
+    """
+
+    def __init__(self) -> None:
+        self._second = 0
+        self._bytes = 0
+        self._datagrams = 0
+        self.bytes_most = 0
+        self.datagrams_most = 0
+
+    def count(self, now: int, datagrams: list[Datagram]) -> None:
+        """Counts datagrams that go out."""
+        second = now // TICKS_PER_SECOND
+        if second != self._second:
+            self._second = second
+            self._bytes = 0
+            self._datagrams = 0
+        self._bytes += sum(len(datagram.content) for datagram in datagrams)
+        self._datagrams += len(datagrams)
+        self.bytes_most = max(self.bytes_most, self._bytes)
+        self.datagrams_most = max(self.datagrams_most, self._datagrams)
+
+    def reset(self) -> None:
+        """Forgets the busiest second; the present one goes on."""
+        self.bytes_most = 0
+        self.datagrams_most = 0
 
 
 @implementer(IReadDescriptor)
 class GossipFeature:
-    """Joins a Node to a socket and a Sidecar. The sidecar calls `ended` and `listed`; doubts come to it as events."""
-
-    def __init__(self, proxy, terms, folder):
-        self.proxy, self.reactor, self.terms = proxy, proxy.reactor, terms
-        self.clock, self.timers = proxy.clock, proxy.timers
-        mine, ring, sources = built(terms, folder)
-        announced = t.address(terms.announce or terms.listen)
-        start = time.time_ns() // 1_000_000
+    """Joins a node to a socket and the proxy.
+
+    The proxy calls `ended` and `listed`; suspicions come to it as events.
+
+    Attributes:
+        node: The node.
+    """
+
+    def __init__(self, proxy: Any, settings: GossipSettings, folder: str) -> None:
+        """Opens the socket and begins.
+
+        Args:
+            proxy: The proxy.
+            settings: The operator's settings.
+            folder: Where the file of the key is looked for.
+
+        Raises:
+            KeyringError: The settings can't be used.
+        """
+        self._proxy = proxy
+        self._settings = settings
+        self._clock = proxy.clock
+        credentials = built(settings, folder)
         self.node = GossipNode(
-            terms,
-            mine,
-            ring,
-            sources,
-            announced,
-            [t.address(one) for one in terms.seeds],
-            self.clock(),
-            LinearCongruentialGenerator(secrets.randbits(64)),
-            start,
-            lambda: secrets.token_bytes(8),
-            time.time,
+            settings,
+            credentials.identity,
+            credentials.ring,
+            credentials.sources,
+            announced=address(settings.announce or settings.listen),
+            seeds=[address(seed) for seed in settings.seeds],
+            now=self._clock(),
+            random_source=LinearCongruentialGenerator(secrets.randbits(RANDOM_SEED_BITS)),
+            start=time.time_ns() // 1_000_000,
+            new_nonce=lambda: secrets.token_bytes(NONCE_SIZE),
+            unix=time.time,
         )
-        host, port = t.address(terms.listen)
-        self.socket = socket.socket(
-            socket.AF_INET6 if ":" in host else socket.AF_INET, socket.SOCK_DGRAM
-        )
-        self.socket.setblocking(False)
-        self.socket.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, READ_BUFFER)
-        try:
-            self.socket.bind((host, port))
-        except OSError as error:
-            self.socket.close()
-            raise identities.KeyringError(
-                f"gossip.listen: {os.strerror(error.errno)}: {terms.listen}"
-            ) from None
-        self.buffer = bytearray(2048)
-        self.view = memoryview(self.buffer)
-        self.told_at, self.told, self.ticking = self.clock(), {}, None
-        self.second, self.sent, self.most, self.verified = 0, [0, 0], [0, 0], 0
+        self._socket = _bound_socket(settings.listen)
+        self._buffer = bytearray(READ_SIZE)
+        self._view = memoryview(self._buffer)
+        self._busiest = BusiestSecond()
+        self._reported_at = self._clock()
+        self._reported_drops: dict[str, int] = {}
+        self._reported_verified = 0
+        self._timer: Any = None
         self.listed()
-        self.reactor.addReader(self)
+        proxy.reactor.addReader(self)
         self._tick()
 
     # The reactor's reader.
 
-    def fileno(self):
-        return self.socket.fileno()
+    def fileno(self) -> int:
+        """Returns the socket's descriptor."""
+        return self._socket.fileno()
 
-    def logPrefix(self):
+    def logPrefix(self) -> str:  # noqa: N802 - Twisted's name
+        """Returns what Twisted's log calls it."""
         return "gossip"
 
-    def connectionLost(self, reason):
+    def connectionLost(self, reason: Any) -> None:  # noqa: N802 - Twisted's name
+        """Closes the socket as the reactor stops."""
         self.close()
 
-    def doRead(self):
-        now, received = self.clock(), self.node.received
-        for _ in range(READ_AT_ONCE):
+    def doRead(self) -> None:  # noqa: N802 - Twisted's name
+        """Reads some datagrams."""
+        now = self._clock()
+        received = self.node.received
+        for _ in range(DATAGRAMS_AT_ONCE):
             try:
-                length, source = self.socket.recvfrom_into(self.buffer)
+                length, source = self._socket.recvfrom_into(self._buffer)
             except OSError:  # nothing more, or an earlier datagram of ours met nobody
                 break
-            received(now, source[:2], bytes(self.view[:length]))
+            received(now, source[:2], bytes(self._view[:length]))
         self._flush()
 
-    def _flush(self):
-        out, self.node.out = self.node.out, []
-        if out:
-            self._count(out)
-        for address, content in out:
+    def _flush(self) -> None:
+        """Sends, tells the proxy and logs what the node has for them."""
+        datagrams = self.node.take_datagrams()
+        if datagrams:
+            self._busiest.count(self._clock(), datagrams)
+        for datagram in datagrams:
             try:
-                self.socket.sendto(content, address)
+                self._socket.sendto(datagram.content, datagram.address)
             except OSError:
                 pass  # as lost on the way
-        doubts, self.node.doubts = self.node.doubts, []
-        if doubts:
-            for doubt in doubts:
-                structured_log.log(
-                    "doubt",
-                    pod=doubt.endpoint.id,
-                    build=doubt.endpoint.build,
-                    span=(doubt.until - self.clock()) / 10_000,
-                )
-            epoch = self.proxy.epoch
-            self.proxy.tell(
-                *(
-                    SuspicionReported(
-                        one.endpoint.id,
-                        one.endpoint.build,
-                        one.endpoint.started - epoch if one.endpoint.started else 0,
-                        one.until,
-                    )
-                    for one in doubts
-                )
-            )
-        said, self.node.said = self.node.said, []
-        for event, fields in said:
+        suspicions = self.node.take_suspicions()
+        if suspicions:
+            self._report_suspicions(suspicions)
+        for event, fields in self.node.take_log_events():
             structured_log.log(event, **fields)
 
-    def _count(self, out):
-        """What went out in the busiest second, for the log."""
-        second = self.clock() // 10_000
-        if second != self.second:
-            self.second, self.sent = second, [0, 0]
-        self.sent[0] += sum(len(content) for _, content in out)
-        self.sent[1] += len(out)
-        self.most = [max(pair) for pair in zip(self.most, self.sent)]
-
-    def _tick(self):
-        self.ticking = self.timers.add(self.clock() + TICK, self._tick)
-        now = self.clock()
-        self.node.tick(now)
-        self._flush()
-        if now - self.told_at >= TELL_EVERY:
-            span, self.told_at = (now - self.told_at) / 10_000, now
-            node = self.node
+    def _report_suspicions(self, suspicions: list[Suspicion]) -> None:
+        for endpoint, until in suspicions:
             structured_log.log(
-                "gossip",
-                span=span,
-                live=len(node.members.live),
-                health=node.members.health,
-                bytes_most=self.most[0],
-                datagrams_most=self.most[1],
-                refused=node.sending.refused,
-                verified=node.verified - self.verified,
-                rumours=len(node.rumours),
+                "doubt",
+                pod=endpoint.id,
+                build=endpoint.build,
+                span=(until - self._clock()) / TICKS_PER_SECOND,
             )
-            self.most, self.verified = [0, 0], node.verified
-            dropped = {
-                kind: count
-                for kind, count in self.node.dropped.items()
-                if count != self.told.get(kind, 0)
-            }
-            if dropped:
-                self.told = dict(self.node.dropped)
-                structured_log.log("gossip dropped", **dropped)
-
-    # From the sidecar.
-
-    def ended(self, attempt, outcome):
-        """An end of an attempt, where it says something of the pod: not what was recalled or turned away, nor a
-        time-out that only the client's short patience made."""
-        if outcome == Outcome.DONE or outcome in FAILED:
-            self.node.suspicions.record_attempt(
-                self.clock(), attempt.pod.address, outcome != Outcome.DONE
+        epoch = self._proxy.epoch
+        self._proxy.tell(
+            *(
+                SuspicionReported(
+                    endpoint.id,
+                    endpoint.build,
+                    endpoint.started - epoch if endpoint.started else 0,
+                    until,
+                )
+                for endpoint, until in suspicions
             )
-        elif outcome == Outcome.TIMED_OUT:
-            lane = self.proxy.settings.request_classes[attempt.held.command.request_class]
-            if attempt.ends - attempt.at >= 0.99 * lane.latency_objective:
-                self.node.suspicions.record_attempt(self.clock(), attempt.pod.address, True)
-
-    def listed(self):
-        ready = [
-            pod for pod in self.proxy.listed.values() if pod.condition == EndpointCondition.READY
-        ]
-        places = self.proxy.addresses if self.terms.hearsay.match_address else {}
-        # A pod's start is told in Unix time: each instance counts from a start of its own.
+        )
+
+    def _tick(self) -> None:
+        self._timer = self._proxy.timers.add(self._clock() + TICK_INTERVAL, self._tick)
+        now = self._clock()
+        self.node.tick(now)
+        self._flush()
+        if now - self._reported_at >= REPORT_INTERVAL:
+            self._report_counts(now)
+
+    def _report_counts(self, now: int) -> None:
+        node = self.node
+        structured_log.log(
+            "gossip",
+            span=(now - self._reported_at) / TICKS_PER_SECOND,
+            live=len(node.members.live),
+            health=node.members.health,
+            bytes_most=self._busiest.bytes_most,
+            datagrams_most=self._busiest.datagrams_most,
+            refused=node.outbox.limits.refused,
+            verified=node.limits.verified - self._reported_verified,
+            rumours=len(node.queue),
+        )
+        self._reported_at = now
+        self._busiest.reset()
+        self._reported_verified = node.limits.verified
+        dropped = {
+            reason: count
+            for reason, count in node.dropped.items()
+            if count != self._reported_drops.get(reason, 0)
+        }
+        if dropped:
+            self._reported_drops = dict(node.dropped)
+            structured_log.log("gossip dropped", **dropped)
+
+    # From the proxy.
+
+    def ended(self, attempt: Any, outcome: Outcome) -> None:
+        """Counts an attempt that ended, where it says something of the endpoint.
+
+        One that was cancelled or rejected does not, nor a timeout that only the client's short
+        patience made.
+        """
+        if outcome == Outcome.DONE or outcome in FAILED_OUTCOMES:
+            failed = outcome != Outcome.DONE
+        elif outcome == Outcome.TIMED_OUT and self._had_full_time(attempt):
+            failed = True
+        else:
+            return
+        self.node.suspicions.record_attempt(self._clock(), attempt.pod.address, failed)
+
+    def _had_full_time(self, attempt: Any) -> bool:
+        """Returns whether an attempt had the time that its request class should take."""
+        classes = self._proxy.settings.request_classes
+        request_class = classes[attempt.held.command.request_class]
+        return bool(attempt.ends - attempt.at >= FULL_ATTEMPT * request_class.latency_objective)
+
+    def listed(self) -> None:
+        """Takes up the ready endpoints that the proxy has now."""
+        proxy = self._proxy
+        addresses = proxy.addresses if self._settings.hearsay.match_address else {}
+        # An endpoint's start is told in Unix time: each instance counts from a start of its own.
         self.node.suspicions.set_endpoints(
             [
                 EndpointKey(
-                    pod.address,
-                    str(places.get(pod.address, "")),
-                    max(0, pod.build),
-                    pod.started + self.proxy.epoch if pod.started else 0,
+                    endpoint.address,
+                    str(addresses.get(endpoint.address, "")),
+                    max(0, endpoint.build),
+                    endpoint.started + proxy.epoch if endpoint.started else 0,
                 )
-                for pod in ready
+                for endpoint in proxy.listed.values()
+                if endpoint.condition == EndpointCondition.READY
             ]
         )
 
-    def reconfigure(self, terms, folder):
-        """Takes up another ring; other settings take a new start. Raises identity.Unusable, and keeps what it has."""
-        _, ring, sources = built(terms, folder)
-        self.node.sources = sources
-        self.node.rekey(ring, self.clock())
+    def reconfigure(self, settings: GossipSettings, folder: str) -> None:
+        """Takes up another ring; other settings take a new start.
+
+        Raises:
+            KeyringError: The settings can't be used; what was there stays.
+        """
+        credentials = built(settings, folder)
+        self.node.set_sources(credentials.sources)
+        self.node.rekey(credentials.ring, self._clock())
 
-    def leave(self):
-        self.node.leave(self.clock())
+    def leave(self) -> None:
+        """Says goodbye to the peers."""
+        self.node.leave(self._clock())
         self._flush()
 
-    def close(self):
-        self.reactor.removeReader(self)
-        self.timers.cancel(self.ticking)
-        self.socket.close()
+    def close(self) -> None:
+        """Closes the socket."""
+        self._proxy.reactor.removeReader(self)
+        self._proxy.timers.cancel(self._timer)
+        self._socket.close()
