--- a/Makefile
+++ b/Makefile
@@ -17,13 +17,7 @@
 TYPED = thymeknot/__main__.py \
 	thymeknot/coordination/incarnation.py \
 	thymeknot/coordination/settings.py \
-	thymeknot/decision_log/__init__.py \
-	thymeknot/decision_log/entry_codec.py \
-	thymeknot/decision_log/explanations.py \
-	thymeknot/decision_log/fair_eviction.py \
-	thymeknot/decision_log/heavy_hitters.py \
-	thymeknot/decision_log/settings.py \
-	thymeknot/decision_log/slot_file.py \
+	thymeknot/decision_log \
 	thymeknot/disruption \
 	thymeknot/gang_scheduling \
 	thymeknot/interface \
--- a/measure/why.py
+++ b/measure/why.py
@@ -38,7 +38,12 @@
         terms = WHY._replace(megabytes=megabytes, span=span * SECOND)
         arena = SlotFile(megabytes * 1_000_000 // SLOT_BYTES, path)
         self.record = Recorder(
-            terms, LANES, arena, 0, lambda: self.now, LinearCongruentialGenerator(seed)
+            terms,
+            LANES,
+            arena,
+            epoch=0,
+            clock=lambda: self.now,
+            random_source=LinearCongruentialGenerator(seed),
         )
 
     def one(self, name, lane="read", tenant="t0", key=None, end=R.DONE, sent=1):
@@ -115,7 +120,10 @@
         if (second + 1) % (seconds // 4) == 0:
             memory.append(resident_mb())
     record = rig.record
-    assert len(record.meta) <= record.arena.slots and len(record.by_id) <= record.arena.slots
+    assert (
+        len(record.index.slots) <= record.slot_file.slots
+        and len(record.index.by_id) <= record.slot_file.slots
+    )
     return memory[:4]
 
 
@@ -156,7 +164,7 @@
             whole = bool(entries) and entries[-1].end == R.ABANDONED and len(entries[-1].notes) == 4
             recovered += whole and rig.record.torn <= 1
             torn += rig.record.torn
-            rig.record.arena.close()
+            rig.record.slot_file.close()
     return {"recovered_after_kill": recovered, "kills": count, "torn_found": torn}
 
 
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -2,6 +2,7 @@
 Every reason of the table occurs. Figures from it are simulated."""
 
 from tests.support.stand_ins import LANES, TERMS, balancer, ended, news, pod, taken
+from thymeknot.decision_log.entry_filter import EntryFilter
 from thymeknot.decision_log.recorder import Recorder
 from thymeknot.decision_log.settings import DecisionLogSettings
 from thymeknot.decision_log.slot_file import SlotFile
@@ -27,7 +28,12 @@
             DecisionEngine(TERMS, 7, NOW) if bare else balancer(*pods, told=told, **changes)
         )
         self.record = record or Recorder(
-            WHY, LANES, SlotFile(10_000), 0, lambda: self.now, LinearCongruentialGenerator(3)
+            WHY,
+            LANES,
+            SlotFile(10_000),
+            epoch=0,
+            clock=lambda: self.now,
+            random_source=LinearCongruentialGenerator(3),
         )
         self.record.clock = lambda: self.now
         self.balancer.say = self.record.say
@@ -319,7 +325,7 @@
     for _ in range(40):
         case.balancer._add("failed", True)
     case.balancer.handle(NOW + TICKS_PER_SECOND, [TimerFired(0)])
-    return [entry for entry in case.record.find(reason=int(R.VOTED)) if entry]
+    return [entry for entry in case.record.find(EntryFilter(reason=int(R.VOTED))) if entry]
 
 
 def mix(count):
@@ -328,9 +334,14 @@
     met, wrong = set(), []
     for name, (make, act, _) in CASES.items():
         record = Recorder(
-            WHY, LANES, SlotFile(10_000), 0, lambda: NOW, LinearCongruentialGenerator(3)
+            WHY,
+            LANES,
+            SlotFile(10_000),
+            epoch=0,
+            clock=lambda: NOW,
+            random_source=LinearCongruentialGenerator(3),
         )
-        record.terms = WHY._replace(span=1)  # of what goes as usual all is kept here
+        record.settings = WHY._replace(span=1)  # of what goes as usual all is kept here
         for at in range(count):
             case = make(record=record)
             act(case, f"{name}-{at}")
@@ -339,7 +350,7 @@
             met |= {reason for _, reasons in case.expected.values() for reason in reasons}
     for make, act in ((filled, over_limit), (pressed, by_lot)):
         case = make()
-        case.record.terms = WHY._replace(span=1)
+        case.record.settings = WHY._replace(span=1)
         for at in range(count):
             act(case, f"{act.__name__}-{at}")
         good, all_, bad = case.right()
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -9,6 +9,7 @@
 from measure.shop import SHOP
 from measure.world import World
 from tests.support.stand_ins import LANES
+from thymeknot.decision_log.entry_filter import EntryFilter
 from thymeknot.decision_log.explanations import explained
 from thymeknot.decision_log.recorder import Recorder
 from thymeknot.decision_log.settings import DecisionLogSettings
@@ -44,9 +45,9 @@
             WHY,
             TERMS.request_classes,
             SlotFile(10_000),
-            0,
-            lambda: self.world.now,
-            LinearCongruentialGenerator(seed),
+            epoch=0,
+            clock=lambda: self.world.now,
+            random_source=LinearCongruentialGenerator(seed),
         )
         self.balancer = DecisionEngine(TERMS, seed, self.world.now, self.record.say)
         self.tell(EndpointUpdate(UpdateKind.CACHED, tuple(pods)))
@@ -125,10 +126,10 @@
     sidecar.world.run(12 * SECOND)
     record = sidecar.record
     record.flush(sidecar.world.now, 0)
-    votes = [one for one in record.find(reason=int(R.VOTED)) if one]
+    votes = [one for one in record.find(EntryFilter(reason=int(R.VOTED))) if one]
     failures = collections.Counter(
         note[2]
-        for entry in record.find(reason=int(R.ENDED))
+        for entry in record.find(EntryFilter(reason=int(R.ENDED)))
         if entry
         for note in entry.notes
         if note[0] == R.ENDED and note[4] == "error"
@@ -151,7 +152,7 @@
     sidecar.world.run(6 * SECOND)
     record = sidecar.record
     record.flush(sidecar.world.now, 0)
-    deferred = [one for one in record.find(reason=int(R.DEFERRED)) if one]
+    deferred = [one for one in record.find(EntryFilter(reason=int(R.DEFERRED))) if one]
     why = collections.Counter(
         R(note[0]).name
         for entry in deferred
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -22,7 +22,8 @@
 from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
 from thymeknot.cli.log_summary import Summary
 from thymeknot.decision_log.entry_codec import Entry, packed
-from thymeknot.decision_log.recorder import Recorder, laid_out
+from thymeknot.decision_log.recorder import Recorder
+from thymeknot.decision_log.regions import laid_out
 from thymeknot.decision_log.settings import DecisionLogSettings
 from thymeknot.decision_log.slot_file import SlotFile
 from thymeknot.disruption.state_machine import DisruptionStateMachine as DisruptionMachine
@@ -98,7 +99,12 @@
     arena = SlotFile(RECORD_SLOTS, path)
     clock = iter(range(0, 10_000_000, 70)).__next__
     record = Recorder(
-        record_settings(), lanes(), arena, 1_000_000, clock, LinearCongruentialGenerator(5)
+        record_settings(),
+        lanes(),
+        arena,
+        epoch=1_000_000,
+        clock=clock,
+        random_source=LinearCongruentialGenerator(5),
     )
     for number in range(30):
         name, lane = f"{number:016x}", "pay" if number % 3 else "read"
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -17,11 +17,12 @@
 from tests.support.stand_ins import LANES, PATIENCE, SETTINGS, PodPeer, Program, reserved, until
 from thymeknot.cli.decision_log_client import lines_of
 from thymeknot.decision_log.entry_codec import SLOT_BYTES, Entry, packed, unpacked
+from thymeknot.decision_log.entry_filter import EntryFilter
 from thymeknot.decision_log.explanations import SAID, explained
 from thymeknot.decision_log.fair_eviction import FairEviction
 from thymeknot.decision_log.heavy_hitters import HeavyHitters
 from thymeknot.decision_log.query_protocol import Watch, answer
-from thymeknot.decision_log.recorder import laid_out
+from thymeknot.decision_log.regions import laid_out
 from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, left_over
 from thymeknot.interface.reasons import Reason as R
 
@@ -81,14 +82,18 @@
             rig.one(f"loud-{at}", tenant="loud", key=f"k-{at}", end=R.DEFERRED)
         rig.record.flush(rig.now + SLOT_BYTES)
         self.assertEqual(sum(any(rig.record.by_name(f"quiet-{at}")) for at in range(20)), 20)
-        self.assertLessEqual(len(rig.record.by_key), rig.record.arena.slots)
+        self.assertLessEqual(len(rig.record.index.by_key), rig.record.slot_file.slots)
 
     def test_what_goes_as_usual_is_sampled_evenly(self):
         rig = Clocked(2, 1, span=60)
         for at in range(60 * 100):
             rig.now += 100
             rig.one(f"u-{at}")
-        ages = [int(entry.id[2:]) // 1500 for entry in rig.record.find(lane="read") if entry]
+        ages = [
+            int(entry.id[2:]) // 1500
+            for entry in rig.record.find(EntryFilter(request_class="read"))
+            if entry
+        ]
         slots = rig.record.regions["ordinary"].slots
         self.assertGreater(len(ages), slots * 0.7)
         for quarter in range(1, 4):
@@ -105,7 +110,9 @@
             [entry.end for entry in rig.record.by_name("x")], [R.DEFERRED, R.ABANDONED]
         )
         self.assertEqual([entry.id for entry in rig.record.by_name("k")], ["x", "x", "y"])
-        self.assertEqual([one.id for one in rig.record.find(reason=int(R.DEFERRED)) if one], ["x"])
+        self.assertEqual(
+            [one.id for one in rig.record.find(EntryFilter(reason=int(R.DEFERRED))) if one], ["x"]
+        )
         self.assertEqual(rig.record.tally()["reasons"]["ABANDONED"], 1)
 
     def test_an_entry_longer_than_its_slot_keeps_its_beginning_and_end(self):
@@ -222,13 +229,13 @@
             rig.now += 100
             rig.one(f"p-{at}", "pay", f"t{at % 3}", end=R.ABANDONED)
         rig.record.flush(rig.now + 10_000)
-        kept = len(rig.record.meta)
+        kept = len(rig.record.index.slots)
         again = Clocked(1, 1, self.path)
         self.assertEqual((again.record.recovered, again.record.torn), (kept, 0))
         self.assertEqual([entry.end for entry in again.record.by_name("p-1999")], [R.ABANDONED])
         again.one("later", "pay", end=R.ABANDONED)
         again.record.flush(again.now + 10_000)
-        self.assertEqual(len(again.record.meta), kept)
+        self.assertEqual(len(again.record.index.slots), kept)
         self.assertEqual(left_over(self.path).whole()[1], 0)
         lines = list(lines_of("", self.path, {"ask": "why", "id": "later"}))
         self.assertEqual((lines[0]["end"], lines[-1]["end"]), ("ABANDONED", 1))
@@ -257,7 +264,7 @@
         self.assertEqual(self.answers(rig.record, ask="find", pod="nowhere"), [{"end": 0}])
 
     def test_a_watcher_that_is_slow_is_told_what_it_missed(self):
-        watch = Watch({"lane": None, "tenant": None, "reason": None})
+        watch = Watch(EntryFilter())
         for at in range(300):
             watch(Entry(at, "i", None, None, "pay", False, 24, 5, []))
         lines = watch.take()
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -101,9 +101,9 @@
             generate.record_settings(),
             generate.lanes(),
             arena,
-            1_000_000,
-            lambda: 0,
-            LinearCongruentialGenerator(5),
+            epoch=1_000_000,
+            clock=lambda: 0,
+            random_source=LinearCongruentialGenerator(5),
         )
         self.assertEqual((record.recovered, record.torn), (22, 0))
         found = list(record.by_name("0000000000000019"))
--- a/thymeknot/cli/decision_log_client.py
+++ b/thymeknot/cli/decision_log_client.py
@@ -41,7 +41,8 @@
 
 def _of_file(path, told):
     from ..decision_log import query_protocol, slot_file
-    from ..decision_log.recorder import fits
+    from ..decision_log.entry_codec import pods
+    from ..decision_log.entry_filter import EntryFilter
     from ..interface.reasons import Reason as R
 
     try:
@@ -59,14 +60,13 @@
             begin = (
                 latest - told["since"] * 10_000 if "since" in told else None
             )  # back from its last entry
-            fit = fits(
-                entry,
-                told.get("lane"),
-                told.get("tenant"),
-                int(R[reason.upper()]) if reason else None,
-                begin,
+            wanted = EntryFilter(
+                request_class=told.get("lane"),
+                tenant=told.get("tenant"),
+                reason=int(R[reason.upper()]) if reason else None,
             )
-            fit = fit and ("pod" not in told or told["pod"] in query_protocol.pods(entry))
+            fit = wanted.matches(entry, begin)
+            fit = fit and ("pod" not in told or told["pod"] in pods(entry))
         else:
             raise Unreachable(f"{told['ask']}: asked of a live instance only")
         if fit:
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -1,192 +1,158 @@
-"""The query's listener, and the record's way to and from the sidecar. What is asked is worked on a few entries at a
-time, between rounds of the loop; a client that does not read holds up itself alone, and is ended after a while."""
+"""The decision log as a feature of the proxy: its record, and the server that answers queries."""
 
 import os
 import stat
-import time
+from collections.abc import Callable
+from typing import Any, Final, Optional, Protocol
 
 from twisted.internet.error import CannotListenError
-from twisted.internet.interfaces import IPullProducer
-from twisted.internet.protocol import Factory, Protocol
-from zope.interface import implementer
+from twisted.internet.protocol import Factory
 
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.reasons import Reason
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
 from .entry_codec import SLOT_BYTES
-from .query_protocol import LINE_MOST, answer, watched
+from .query_connection import QueryConnection
 from .recorder import Recorder
+from .settings import DecisionLogSettings
 from .slot_file import SlotFile
 
-STEPS = 4  # entries looked at in a round of the loop
-REST = 30  # times as long as they took, before the next ones: askers get a small part of the core
-CONNECTIONS = 8
-IDLE = 100_000  # an asker that neither asks nor reads is ended
-UPKEEP = 5_000
+MAX_CONNECTIONS: Final = 8
+"""Open at one time: queries are for a few operators, and each connection takes descriptors."""
+BACKLOG: Final = 8
+"""Connections that wait to be accepted."""
+SOCKET_MODE: Final = 0o600
+"""Of a Unix socket: the record holds keys and tenants."""
+UNIX_PREFIX: Final = "unix:"
+UPKEEP_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 2
+"""Between two rounds in which transactions that are over are recorded."""
+SEED_SALT: Final = 0x77
+"""So that the sample's random numbers are not those of the decisions, which have the same seed."""
 
 
-class Unusable(ValueError):
+class QueryServerError(ValueError):
     """Settings that can't be put to use here. The text begins with the faulty key."""
 
 
-@implementer(IPullProducer)
-class Asker(Protocol):
-    def __init__(self, owner):
-        self.owner, self.received, self.steps, self.watch, self.deadline = (
-            owner,
-            b"",
-            None,
-            None,
-            None,
-        )
+class HostProxy(Protocol):
+    """What the feature needs of the proxy."""
 
-    def connectionMade(self):
-        self._live()
+    start: Any
+    """Its name, seed and configuration."""
+    settings: Any
+    """Of the decisions, with the request classes."""
+    reactor: Any
+    """Twisted's."""
+    timers: Any
+    """The timer queue."""
+    clock: Callable[[], Ticks]
+    epoch: Ticks
+    """Unix time less the clock's."""
+    refusals: Any
+    """Hears every reason, and passes it on to `then`."""
 
-    def _live(self):
-        """Something was read or written: the time to the end starts anew."""
-        if self.deadline is not None:
-            self.owner.timers.cancel(self.deadline)
-        self.deadline = self.owner.timers.add(
-            self.owner.clock() + IDLE, self.transport.abortConnection
-        )
 
-    def dataReceived(self, data):
-        self._live()
-        self.received += data
-        if len(self.received) > LINE_MOST:
-            self.transport.write(b'{"error":"a line of 4096 bytes at most"}\n')
-            self.transport.loseConnection()
-        elif self.steps is None and self.watch is None:
-            self._next()
-
-    def _next(self):
-        line, found, rest = self.received.partition(b"\n")
-        if not found:
-            return
-        self.received = rest
-        try:
-            self.watch = watched(line)
-        except ValueError as error:
-            self.transport.write(b'{"error":"%s"}\n' % str(error).replace('"', "'").encode())
-            return
-        if self.watch is not None:
-            self.owner.record.watchers.append(self.watch)
-            self._look()
-            return
-        self.steps = answer(line, self.owner.record, self.owner.terms.answers)
-        self.transport.registerProducer(self, False)
-
-    def resumeProducing(self):
-        """The socket has taken what was written: a few more steps, after a rest."""
-        self.owner.reactor.callLater(REST * self.owner.took, self._work)
-
-    def _work(self):
-        """A few more steps, or the next question."""
-        if self.steps is None:
-            return
-        began, out, line = time.perf_counter(), [], None
-        for _ in range(STEPS):
-            line = next(self.steps, False)
-            if line is False:
-                break
-            if line is not None:
-                out.append(line)
-        self.owner.took = time.perf_counter() - began
-        if out:
-            self._live()
-            self.transport.write(b"".join(out))
-        elif line is False:  # all of it has been taken, too: what is asked next waits for that
-            self.steps = None
-            self.transport.unregisterProducer()
-            self._next()
-        else:
-            self.resumeProducing()
-
-    def stopProducing(self):
-        self.steps = None
-
-    def _look(self):
-        if self.watch is None or not self.connected:
-            return
-        # What its socket has not taken yet keeps new lines waiting, in a bounded number.
-        if not self.transport.dataBuffer and not getattr(self.transport, "_tempDataBuffer", None):
-            lines = self.watch.take()
-            if lines:
-                self._live()
-                self.transport.write(b"".join(lines))
-        self.owner.timers.add(self.owner.clock() + UPKEEP // 5, self._look)
-
-    def connectionLost(self, reason):
-        self.owner.timers.cancel(self.deadline)
-        self.owner.askers -= 1
-        self.steps = None
-        if self.watch is not None:
-            self.owner.record.watchers.remove(self.watch)
-            self.watch = None
+class ConnectionFactory(Factory):
+    """Makes the connections as Twisted asks for them."""
 
+    noisy = False
+
+    def __init__(self, connection: Callable[[], Optional[QueryConnection]]) -> None:
+        self._connection = connection
+
+    def buildProtocol(  # noqa: N802 (Twisted's name)
+        self, addr: Any
+    ) -> Optional[QueryConnection]:
+        """Returns a connection, or None to refuse it."""
+        return self._connection()
 
-class DecisionLogFeature:
-    """The feature as the sidecar knows it: `taken`, `ended`, `over` and the decisions' `say`."""
 
-    def __init__(self, proxy, terms, folder):
-        self.proxy, self.terms, self.reactor = proxy, terms, proxy.reactor
-        self.clock, self.timers, self.askers = proxy.clock, proxy.timers, 0
-        self.took = 0.0  # seconds that an asker's last steps took
+class DecisionLogFeature:
+    """What the proxy calls: `taken`, `ended` and `over`; the decisions' reasons go to the record.
+
+    Attributes:
+        done: The reason of a final answer by an endpoint.
+        left: The reason of a client that went away.
+        abandoned: The reason of a transaction that was given up.
+    """
+
+    def __init__(self, proxy: HostProxy, settings: DecisionLogSettings, folder: str) -> None:
+        """Opens the record and listens.
+
+        Raises:
+            QueryServerError: It can't listen at the address that is set.
+        """
+        self.settings = settings
+        self.reactor = proxy.reactor
+        self.clock = proxy.clock
+        self.timers = proxy.timers
+        self.connections = 0
+        self.last_steps_seconds = 0.0
         path = None
-        if terms.directory:
-            path = os.path.join(folder, terms.directory, f"{proxy.start.name}.why")
-        self.arena = SlotFile(terms.megabytes * 1_000_000 // SLOT_BYTES, path, structured_log.log)
+        if settings.directory:
+            path = os.path.join(folder, settings.directory, f"{proxy.start.name}.why")
+        slots = settings.megabytes * 1_000_000 // SLOT_BYTES
+        self.slot_file = SlotFile(slots, path, structured_log.log)
         self.record = Recorder(
-            terms,
+            settings,
             proxy.settings.request_classes,
-            self.arena,
-            proxy.epoch,
-            proxy.clock,
-            LinearCongruentialGenerator(proxy.start.seed ^ 0x77),
+            self.slot_file,
+            epoch=proxy.epoch,
+            clock=proxy.clock,
+            random_source=LinearCongruentialGenerator(proxy.start.seed ^ SEED_SALT),
         )
-        self.ended, self.over = self.record.ended, self.record.over
-        self.done, self.left, self.abandoned = Reason.DONE, Reason.LEFT, Reason.ABANDONED
+        self.ended = self.record.ended
+        self.over = self.record.over
+        self.done = Reason.DONE
+        self.left = Reason.LEFT
+        self.abandoned = Reason.ABANDONED
         proxy.refusals.then = self.record.say
-        factory = Factory()
-        factory.noisy, factory.buildProtocol = False, self._asker
         try:
-            if terms.listen.startswith("unix:"):
-                place = os.path.join(folder, terms.listen[5:])
-                if os.path.exists(place) and stat.S_ISSOCK(os.stat(place).st_mode):
-                    os.unlink(
-                        place
-                    )  # a former run's, which nobody listens on: names belong to one instance
-                self.port = self.reactor.listenUNIX(place, factory, backlog=8, mode=0o600)
-            else:
-                host, _, port = terms.listen.rpartition(":")
-                self.port = self.reactor.listenTCP(
-                    int(port), factory, backlog=8, interface=host.strip("[]")
-                )
+            self.port = self._listen(folder)
         except (CannotListenError, OSError) as error:
-            raise Unusable(f"why.listen: {error}") from None
-        at = self.port.getHost()  # port 0 was any free one
+            raise QueryServerError(f"why.listen: {error}") from None
+        self._log_opened()
+        self._upkeep()
+
+    def _listen(self, folder: str) -> Any:
+        factory = ConnectionFactory(self._connection)
+        address = self.settings.listen
+        if address.startswith(UNIX_PREFIX):
+            path = os.path.join(folder, address[len(UNIX_PREFIX) :])
+            if os.path.exists(path) and stat.S_ISSOCK(os.stat(path).st_mode):
+                # A former run's, on which nobody listens: a name belongs to one instance.
+                os.unlink(path)
+            return self.reactor.listenUNIX(path, factory, backlog=BACKLOG, mode=SOCKET_MODE)
+        host, _, port = address.rpartition(":")
+        return self.reactor.listenTCP(
+            int(port), factory, backlog=BACKLOG, interface=host.strip("[]")
+        )
+
+    def _log_opened(self) -> None:
+        bound = self.port.getHost()  # port 0 stands for any free one
+        listen = f"{bound.host}:{bound.port}" if hasattr(bound, "port") else self.settings.listen
         structured_log.log(
             "decision log opened",
-            listen=f"{at.host}:{at.port}" if hasattr(at, "port") else terms.listen,
-            slots=self.arena.slots,
-            file=self.arena.path,
+            listen=listen,
+            slots=self.slot_file.slots,
+            file=self.slot_file.path,
             recovered=self.record.recovered,
             torn=self.record.torn,
         )
-        self._upkeep()
 
-    def _asker(self, address):
-        if self.askers >= CONNECTIONS:
+    def _connection(self) -> Optional[QueryConnection]:
+        if self.connections >= MAX_CONNECTIONS:
             return None
-        self.askers += 1
-        return Asker(self)
+        self.connections += 1
+        return QueryConnection(self)
 
-    def _upkeep(self):
+    def _upkeep(self) -> None:
         self.record.flush(self.clock())
-        self.timers.add(self.clock() + UPKEEP, self._upkeep)
+        self.timers.add(self.clock() + UPKEEP_INTERVAL, self._upkeep)
 
-    def taken(self, name, command):
+    def taken(self, name: str, command: Any) -> None:
+        """The proxy has taken a client's command under this id."""
         self.record.taken(
             name,
             command.key.decode() or None,
@@ -195,9 +161,9 @@
             command.repeat,
         )
 
-    def reconfigure(self, terms, folder):
-        """All of it takes a new start."""
+    def reconfigure(self, settings: DecisionLogSettings, folder: str) -> None:
+        """Every setting waits for the next start."""
 
-    def leave(self):
-        """What is over is written; the rest is written when it is."""
+    def leave(self) -> None:
+        """Records what is over at once; other transactions are recorded as they end."""
         self.record.flush(self.clock(), 0)
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -1,385 +1,368 @@
-"""The record of decisions: notes of open transactions, what is kept when they are over, and how it is found. Pure.
+"""The record of decisions: notes of open transactions, what is kept of them, and how it is found.
 
-What is kept: the arena's slots are parted into regions by lane and by whether a transaction was unusual (its end,
-further deliveries, lateness), in parts that follow what the lanes earn. A lane's flood can take no other's slots; in a
-region who holds most gives way first, so that a tenant's flood takes its own. Of what goes as usual in lanes without an
-effect an even sample remains, thinned to the traffic. So in a region of N slots an entry stays for N / r seconds at
-least while entries come at r a second in its region, and one of a tenant with no more than its share for longer.
+The slots are parted into regions (see regions.py), and in a full region the tenant that holds the
+most gives way first. Ordinary transactions of idempotent request classes are sampled evenly, at a
+rate that follows the traffic. So in a region of N slots an entry stays for at least N / r seconds
+while r entries a second come to its region, and longer if its tenant holds no more than its share.
 """
 
 from collections import deque
+from collections.abc import Callable, Iterator, Mapping
+from typing import Any, Final, NamedTuple, Optional, Protocol
+
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from ..interface.reasons import Reason
+from ..interface.settings import RequestClass
+from .entry_codec import MAX_NOTES, MAX_TEXT_LENGTH, SLOT_BYTES, Entry, packed
+from .entry_filter import EntryFilter
+from .entry_index import EntryIndex
+from .regions import ORDINARY, RATE_SPAN, VOTES, Region, laid_out
+from .settings import DecisionLogSettings
+from .slot_file import SlotFile, StoredEntry
+from .tallies import REJECTIONS, Tallies
+
+CLOSING_DELAY: Final[Ticks] = TICKS_PER_SECOND // 20
+"""From the end of a transaction to its entry: what an attempt's end proves is noted just after."""
+MAX_OPEN: Final = 50_000
+"""Transactions whose notes are kept at one time; a bound of memory."""
+# Looked up for every note: globals are quicker than attributes of the enum.
+SENT: Final = Reason.SENT
+DONE: Final = Reason.DONE
+
+
+class RandomSource(Protocol):
+    """What decides which ordinary transactions are kept."""
+
+    def draw(self) -> float:
+        """Returns a number from 0 to below 1."""
+
+
+class OpenTransaction:
+    """A transaction that is not recorded yet.
+
+    Attributes:
+        end: The reason that names its final answer, or 0.
+        sent: Attempts that were made.
+        over_at: When nothing of it was left in flight; None before.
+        cut: Notes that were left out.
+    """
+
+    __slots__ = (
+        "at",
+        "cut",
+        "end",
+        "key",
+        "notes",
+        "over_at",
+        "repeat",
+        "request_class",
+        "sent",
+        "tenant",
+    )
 
-from ddsketch import DDSketch
-
-from ..interface.clock import TICKS_PER_SECOND
-from ..interface.enums import Idempotency
-from ..interface.reasons import Reason as R
-from ..state.sliding_window import SlidingWindow
-from .entry_codec import MAX_NOTES, MAX_TEXT_LENGTH, SLOT_BYTES, Entry, packed, pods
-from .fair_eviction import FairEviction
-from .heavy_hitters import HeavyHitters
+    def __init__(
+        self, at: Ticks, key: Optional[str], tenant: Optional[str], request_class: str, repeat: bool
+    ) -> None:
+        self.at = at
+        self.key = key
+        self.tenant = tenant
+        self.request_class = request_class
+        self.repeat = repeat
+        # Tuples in place of lists: tuples of numbers are not tracked by the garbage collector.
+        self.notes: list[Any] = []
+        self.end = 0
+        self.sent = 0
+        self.over_at: Optional[Ticks] = None
+        self.cut = 0
 
-CLOSES_AFTER = TICKS_PER_SECOND // 20  # what a delivery's end proves is noted just after the answer
-VOTES, LEAST = 0.05, 8  # part of the slots; slots of a region at least
-UNUSUAL = 0.6  # of a costly lane's part
-HITTERS, LANES_MOST = 64, 64
-OPEN_MOST = 50_000
-TIMED = 8  # one end in so many goes into the times' sketch
-SENT, DONE, ENDS_AWAY = R.SENT, R.DONE, (R.DEFERRED, R.ABANDONED)  # looked up at every note
 
+class ClosingTransaction(NamedTuple):
+    """A transaction that is over and waits for what is noted just after."""
 
-class Region:
-    def __init__(self, name, first, slots):
-        self.name, self.first, self.slots, self.used, self.shares = (
-            name,
-            first,
-            slots,
-            0,
-            FairEviction(),
-        )
-        self.rate = SlidingWindow(60 * TICKS_PER_SECOND, 12)
-
-    def place(self, holder):
-        """A slot for one more of this holder, and whether it was in use."""
-        used = self.used == self.slots
-        slot = self.shares.give() if used else self.first + self.used
-        self.used += not used
-        self.shares.add(holder, slot)
-        return slot, used
-
-
-class Open:
-    __slots__ = ("at", "key", "tenant", "lane", "repeat", "notes", "end", "sent", "over_at", "cut")
-
-    def __init__(self, at, key, tenant, lane, repeat):
-        self.at, self.key, self.tenant, self.lane, self.repeat = at, key, tenant, lane, repeat
-        self.notes, self.end, self.sent, self.over_at, self.cut = [], 0, 0, None, 0
-
-
-def laid_out(terms, lanes, slots):
-    """{(lane, whether unusual): (first slot, slots)} with "votes" and "ordinary" beside them. lanes: interface.Lane by
-    name; those beyond LANES_MOST share the last one's regions."""
-    known = list(lanes.values())[:LANES_MOST]
-    costly = [lane for lane in known if lane.idempotency != Idempotency.IDEMPOTENT]
-    cheap = [lane for lane in known if lane.idempotency == Idempotency.IDEMPOTENT]
-    parts = {"votes": VOTES, "ordinary": terms.ordinary if cheap else 0.0}
-    rest = 1.0 - sum(parts.values())
-    worth = sum(lane.priority_weight for lane in costly)
-    own = 0.0 if not costly else rest if not cheap else min(rest, terms.costly)
-    for lane in costly:
-        part = own * (lane.priority_weight / worth if worth else 1 / len(costly))
-        parts[lane.name, True], parts[lane.name, False] = part * UNUSUAL, part * (1 - UNUSUAL)
-    worth = sum(lane.priority_weight for lane in cheap)
-    for lane in cheap:
-        parts[lane.name, True] = (rest - own) * (
-            lane.priority_weight / worth if worth else 1 / len(cheap)
-        )
-    free, first, found = slots - LEAST * len(parts), 0, {}
-    for name, part in parts.items():
-        count = LEAST + int(free * part)
-        found[name] = first, count
-        first += count
-    return found
+    name: str
+    over_at: Ticks
+    transaction: OpenTransaction
 
 
 class Recorder:
-    """arena: see arena.py. lanes: interface.Lane by name. epoch: Unix time less the clock."""
-
-    def __init__(self, terms, lanes, arena, epoch, clock, chance):
-        self.terms, self.lanes, self.arena, self.epoch, self.clock, self.chance = (
-            terms,
-            lanes,
-            arena,
-            epoch,
-            clock,
-            chance,
-        )
+    """Notes the reasons of open transactions and keeps entries in a slot file.
+
+    Attributes:
+        settings: The operator's.
+        request_classes: By name.
+        slot_file: Where entries are kept.
+        epoch: Unix time less the clock's.
+        clock: Gives the time.
+        regions: By their keys.
+        index: The slots in use.
+        tallies: Sums over all transactions.
+        watchers: Called with every entry as it is kept.
+        recovered: How many entries an earlier run has left.
+        torn: How many slots an earlier run has left incomplete.
+    """
+
+    def __init__(
+        self,
+        settings: DecisionLogSettings,
+        request_classes: Mapping[str, RequestClass],
+        slot_file: SlotFile,
+        *,
+        epoch: Ticks,
+        clock: Callable[[], Ticks],
+        random_source: RandomSource,
+    ) -> None:
+        self.settings = settings
+        self.request_classes = request_classes
+        self.slot_file = slot_file
+        self.epoch = epoch
+        self.clock = clock
+        self.random_source = random_source
         self.regions = {
-            name: Region(name, *where)
-            for name, where in laid_out(terms, lanes, arena.slots).items()
+            key: Region(key, extent.first, extent.slots)
+            for key, extent in laid_out(settings, request_classes, slot_file.slots).items()
         }
-        self.open, self.closing, self.number, self.lost = {}, deque(), 0, 0
-        self.meta, self.by_id, self.by_key, self.by_pod = {}, {}, {}, {}
-        self.reasons, self.ends = [0] * (max(R) + 1), {}
-        self.share_at, self.share = clock(), 1.0  # of what goes as usual, kept
-        self.times, self.keys, self.tenants = {}, HeavyHitters(HITTERS), HeavyHitters(HITTERS)
-        self.usual, self.watchers = 0, []  # usual: since the share was worked out
-        self.recovered, self.torn = self._recover() if arena.path else (0, 0)
-
-    def _recover(self):
-        """Takes up what an earlier run has left in the arena: each entry keeps its slot, if its region is still that
-        of its lane; what is torn counts as empty."""
-        found, torn = self.arena.whole()
-        whole = {slot: (number, entry) for slot, number, entry in found}
+        self.index = EntryIndex()
+        self.tallies = Tallies()
+        self.watchers: list[Callable[[Entry], object]] = []
+        self.recovered = 0
+        self.torn = 0
+        self._open: dict[str, OpenTransaction] = {}
+        self._closing: deque[ClosingTransaction] = deque()
+        self._number = 0
+        self._reason_counts = self.tallies.reasons  # bound once: asked for with every note
+        self._sampled_at = clock()
+        self._sample_share = 1.0
+        self._ordinary_count = 0  # since the share was worked out
+        if slot_file.path:
+            self._recover()
+
+    def _recover(self) -> None:
+        """Takes up what an earlier run has left; what is torn counts as empty.
+
+        An entry keeps its slot if its region is still that of its request class.
+        """
+        contents = self.slot_file.whole()
+        stored = {one.slot: one for one in contents.entries}
         for region in self.regions.values():
-            mine = {
-                slot: one
-                for slot, one in whole.items()
-                if region.first <= slot < region.first + region.slots
-                and self._region_of(one[1].request_class, one[1]) is region
-            }
-            if not mine:
-                continue
-            region.used = max(mine) - region.first + 1  # slots are first used in their order
-            for slot in sorted(
-                range(region.first, region.first + region.used),
-                key=lambda slot, mine=mine: mine[slot][0] if slot in mine else 0,
-            ):
-                number, entry = mine.get(slot, (0, None))
-                region.shares.add(entry.tenant if entry else None, slot)
-                if entry:
-                    self._index(slot, number, entry)
-                    self.number = max(self.number, number)
-        for slot in range(self.arena.slots if torn else 0):  # what was torn is told once
-            if slot not in whole:
-                self.arena.clear(slot)
-        return len(self.meta), torn
-
-    # From the decisions and the sidecar.
-
-    def taken(self, name, key, tenant, lane, repeat):
-        """A transaction begins."""
+            self._recover_region(region, stored)
+        if contents.torn:  # cleared, so that a torn slot is reported once
+            for slot in range(self.slot_file.slots):
+                if slot not in stored:
+                    self.slot_file.clear(slot)
+        self.recovered = len(self.index.slots)
+        self.torn = contents.torn
+
+    def _recover_region(self, region: Region, stored: Mapping[int, StoredEntry]) -> None:
+        own = {
+            slot: one
+            for slot, one in stored.items()
+            if region.first <= slot < region.first + region.slots
+            and self._region_of(one.entry) is region
+        }
+        if not own:
+            return
+        region.used = max(own) - region.first + 1  # slots are first used in their order
+        used = range(region.first, region.first + region.used)
+        for slot in sorted(used, key=lambda slot: own[slot].number if slot in own else 0):
+            one = own.get(slot)
+            region.eviction.add(one.entry.tenant if one else None, slot)
+            if one:
+                self.index.add(slot, one.number, one.entry)
+                self._number = max(self._number, one.number)
+
+    # What the decisions and the proxy tell.
+
+    def taken(
+        self,
+        name: str,
+        key: Optional[str],
+        tenant: Optional[str],
+        request_class: str,
+        repeat: bool,
+    ) -> None:
+        """Opens a transaction. An id that comes again closes the former one."""
         now = self.clock()
-        if name in self.open:  # an id that comes again
+        if name in self._open:
             self._close(name)
-        if self.closing and now - self.closing[0][1] >= CLOSES_AFTER:
+        if self._closing and now - self._closing[0][1] >= CLOSING_DELAY:
             self.flush(now)
-        if len(self.open) < OPEN_MOST:
-            self.open[name] = Open(now, key, tenant, lane, repeat)
+        if len(self._open) < MAX_OPEN:
+            self._open[name] = OpenTransaction(now, key, tenant, request_class, repeat)
 
-    def say(self, name, reason, *operands):
-        """Listens to the decisions."""
+    def say(self, name: Optional[str], reason: Reason, *operands: Any) -> None:
+        """Notes a reason as it is decided; without a name it may be that of a vote."""
         if name is None:
-            if reason == R.VOTED:
-                self._vote(operands)
+            if reason == Reason.VOTED:
+                self._keep_vote(*operands)
             return
-        held = self.open.get(name)
-        if held is None:
+        transaction = self._open.get(name)
+        if transaction is None:
             return
-        self.reasons[reason] += 1
+        self._reason_counts[reason] += 1
         if reason == SENT:
-            held.sent += 1
-        elif reason in ENDS_AWAY:
-            held.end = reason
-        if len(held.notes) >= MAX_NOTES:
-            held.cut += 1
-            del held.notes[MAX_NOTES // 2]
-        held.notes.append(
-            (reason, self.clock() - held.at, *operands)
-        )  # tuples of numbers cost the collector nothing
-
-    def ended(self, name, reason):
-        """The final answer as the sidecar gave it."""
-        held = self.open.get(name)
-        if held is not None and not held.end:
-            held.end = reason
-            self.reasons[reason] += 1
-            held.notes.append((reason, self.clock() - held.at))
-
-    def over(self, name):
-        """Nothing of it is out any more."""
-        held, now = self.open.get(name), self.clock()
-        if held is not None and held.over_at is None:
-            held.over_at = now
-            self.closing.append((name, now, held))
-
-    def flush(self, now, wait=CLOSES_AFTER):
-        if now - self.share_at >= TICKS_PER_SECOND and "ordinary" in self.regions:
-            rate = self.usual * TICKS_PER_SECOND / (now - self.share_at)
-            self.share_at, self.usual = now, 0
-            self.share = min(
-                1.0,
-                self.regions["ordinary"].slots
-                / max(1e-9, rate * self.terms.span / TICKS_PER_SECOND),
-            )
-        while self.closing and now - self.closing[0][1] >= wait:
-            name, _, held = self.closing.popleft()
-            if self.open.get(name) is held:
-                self._close(name)
-
-    def _vote(self, operands):
-        build, stage, verdict, doubt, seen = operands
+            transaction.sent += 1
+        elif reason in REJECTIONS:
+            transaction.end = reason
+        notes = transaction.notes
+        if len(notes) >= MAX_NOTES:
+            transaction.cut += 1
+            del notes[MAX_NOTES // 2]
+        notes.append((reason, self.clock() - transaction.at, *operands))
+
+    def ended(self, name: str, reason: Reason) -> None:
+        """Notes the final answer as the proxy gave it, unless the decisions have named one."""
+        transaction = self._open.get(name)
+        if transaction is not None and not transaction.end:
+            transaction.end = reason
+            self._reason_counts[reason] += 1
+            transaction.notes.append((reason, self.clock() - transaction.at))
+
+    def over(self, name: str) -> None:
+        """Nothing of the transaction is in flight any more."""
         now = self.clock()
+        transaction = self._open.get(name)
+        if transaction is not None and transaction.over_at is None:
+            transaction.over_at = now
+            self._closing.append(ClosingTransaction(name, now, transaction))
+
+    def flush(self, now: Ticks, wait: Ticks = CLOSING_DELAY) -> None:
+        """Records the transactions that have been over for a while."""
+        if now - self._sampled_at >= TICKS_PER_SECOND:
+            self._adjust_sample(now)
+        while self._closing and now - self._closing[0].over_at >= wait:
+            closing = self._closing.popleft()
+            if self._open.get(closing.name) is closing.transaction:
+                self._close(closing.name)
+
+    def _adjust_sample(self, now: Ticks) -> None:
+        """Keeps one in so many that the region's slots last for the span that is set."""
+        rate = self._ordinary_count * TICKS_PER_SECOND / (now - self._sampled_at)
+        self._sampled_at = now
+        self._ordinary_count = 0
+        expected = rate * self.settings.span / TICKS_PER_SECOND
+        self._sample_share = min(1.0, self.regions[ORDINARY].slots / max(1e-9, expected))
+
+    def _keep_vote(self, build: int, stage: int, verdict: int, doubt: float, seen: int) -> None:
+        now = self.clock()
+        voted = int(Reason.VOTED)
         entry = Entry(
-            now + self.epoch,
-            f"vote-{build}-{stage}",
-            None,
-            None,
-            "votes",
-            False,
-            int(R.VOTED),
-            0,
-            [[int(R.VOTED), 0, build, stage, int(verdict), float(doubt), seen]],
+            at=now + self.epoch,
+            id=f"vote-{build}-{stage}",
+            key=None,
+            tenant=None,
+            request_class=VOTES,
+            repeat=False,
+            end=voted,
+            took=0,
+            notes=[[voted, 0, build, stage, int(verdict), float(doubt), seen]],
         )
-        self._keep(self.regions["votes"], entry, now)
+        self._keep(self.regions[VOTES], entry, now)
 
-    def _close(self, name):
-        held, now = self.open.pop(name), self.clock()
-        took = (held.over_at if held.over_at is not None else now) - held.at
-        self._tally(held, took)
-        lane = self.lanes.get(held.lane)
+    def _close(self, name: str) -> None:
+        transaction = self._open.pop(name)
+        now = self.clock()
+        over_at = transaction.over_at
+        took = (over_at if over_at is not None else now) - transaction.at
+        request_class = transaction.request_class
+        settings = self.request_classes.get(request_class)
+        self.tallies.add_end(request_class, transaction.end, took, settings is not None)
+        if transaction.end in REJECTIONS:
+            self.tallies.add_rejection(transaction.tenant, transaction.key)
         if (
-            held.end == DONE
-            and held.sent <= 1
-            and lane is not None
-            and took <= lane.latency_objective
-            and (held.lane, False) not in self.regions
+            transaction.end == DONE
+            and transaction.sent <= 1
+            and settings is not None
+            and took <= settings.latency_objective
+            and (request_class, False) not in self.regions
         ):
-            # As most of it is: one in so many that the region's slots last for the span that is set.
-            self.usual += 1
-            if self.chance.draw() >= self.share:
-                self.lost += 1
+            self._ordinary_count += 1
+            if self.random_source.draw() >= self._sample_share:
                 return
-        entry = Entry(
-            held.at + self.epoch,
-            name[:MAX_TEXT_LENGTH],
-            held.key and held.key[:MAX_TEXT_LENGTH],
-            held.tenant and held.tenant[:MAX_TEXT_LENGTH],
-            held.lane,
-            held.repeat,
-            held.end,
+        entry = self._entry(name[:MAX_TEXT_LENGTH], transaction, took)
+        entry.key = entry.key and entry.key[:MAX_TEXT_LENGTH]
+        entry.tenant = entry.tenant and entry.tenant[:MAX_TEXT_LENGTH]
+        self._keep(self._region_of(entry), entry, now)
+
+    def _entry(self, name: str, transaction: OpenTransaction, took: Ticks) -> Entry:
+        return Entry(
+            transaction.at + self.epoch,
+            name,
+            transaction.key,
+            transaction.tenant,
+            transaction.request_class,
+            transaction.repeat,
+            transaction.end,
             took,
-            held.notes,
-            held.cut,
+            transaction.notes,
+            transaction.cut,
         )
-        self._keep(self._region_of(held.lane, entry), entry, now)
-
-    def _region_of(self, name, entry):
-        if entry.end == R.VOTED:
-            return self.regions["votes"]
-        lane, region = self.lanes.get(name), self.regions.get((name, True))
-        if lane is None or region is None:
-            return self.regions["ordinary"] if "ordinary" in self.regions else self.regions["votes"]
-        sent = sum(note[0] == R.SENT for note in entry.notes)
-        if entry.end != R.DONE or sent > 1 or entry.took > lane.latency_objective:
-            return region
-        return self.regions.get((name, False)) or self.regions["ordinary"]
-
-    def _keep(self, region, entry, now):
-        self.number += 1
-        slot, used = region.place(entry.tenant)
-        if used:
-            self._forget(slot)
+
+    def _region_of(self, entry: Entry) -> Region:
+        if entry.end == Reason.VOTED:
+            return self.regions[VOTES]
+        name = entry.request_class
+        settings = self.request_classes.get(name)
+        unusual = self.regions.get((name, True))
+        if settings is None or unusual is None:
+            return self.regions[ORDINARY]
+        sent = sum(note[0] == Reason.SENT for note in entry.notes)
+        if entry.end != Reason.DONE or sent > 1 or entry.took > settings.latency_objective:
+            return unusual
+        return self.regions.get((name, False)) or self.regions[ORDINARY]
+
+    def _keep(self, region: Region, entry: Entry, now: Ticks) -> None:
+        self._number += 1
+        slot, in_use = region.place(entry.tenant)
+        if in_use:
+            self.index.remove(slot)
         region.rate.add(now)
-        self.arena.write(slot, packed(entry, self.number))
-        self._index(slot, self.number, entry)
+        self.slot_file.write(slot, packed(entry, self._number))
+        self.index.add(slot, self._number, entry)
         for watcher in self.watchers:
             watcher(entry)
 
-    # Indexes. Each is bounded by the slots.
-
-    def _index(self, slot, number, entry):
-        places = [(self.by_id, entry.id)] + ([(self.by_key, entry.key)] if entry.key else [])
-        places += [(self.by_pod, pod) for pod in pods(entry)]
-        for index, name in places:
-            index.setdefault(name, {})[slot] = number
-        self.meta[slot] = places, number
-
-    def _forget(self, slot):
-        places, _ = self.meta.pop(slot, ((), 0))
-        for index, name in places:
-            slots = index.get(name)
-            if slots:
-                slots.pop(slot, None)
-                if not slots:
-                    del index[name]
-
-    def _tally(self, held, took):
-        key = held.lane, held.end
-        count = self.ends[key] = self.ends.get(key, 0) + 1
-        if count % TIMED == 1 and held.lane in self.lanes:
-            sketch = self.times.get(held.lane)
-            if sketch is None and len(self.times) < LANES_MOST:
-                sketch = self.times[held.lane] = DDSketch(0.02)
-            if sketch is not None:
-                sketch.add(took / 10)
-        if held.end in ENDS_AWAY:
-            self.tenants.add((held.tenant or "")[:MAX_TEXT_LENGTH])
-            if held.key:
-                self.keys.add(held.key[:MAX_TEXT_LENGTH])
-
-    # Asking. Each gives a generator, so that a long search is done in parts.
-
-    def _read(self, slot, number):
-        """The entry, if the slot still holds it."""
-        read = self.arena.read(slot)
-        return read[1] if read and read[0] == number else None
-
-    def by_name(self, name):
-        """All that is kept under an id, or else under a key; the latest last. Open ones come as they stand."""
+    # Queries. Entries come from generators, so that a long search is done in parts.
+
+    def _read(self, slot: int, number: int) -> Optional[Entry]:
+        """Returns the entry, if the slot still holds it."""
+        stored = self.slot_file.read(slot)
+        return stored.entry if stored and stored.number == number else None
+
+    def by_name(self, name: str) -> Iterator[Entry]:
+        """Yields all that is kept under an id, or else a key; open transactions as they stand."""
         name = name[:MAX_TEXT_LENGTH]
-        for slot, number in sorted(
-            (self.by_id.get(name) or self.by_key.get(name) or {}).items(), key=lambda one: one[1]
-        ):
+        for slot, number in self.index.named(name):
             entry = self._read(slot, number)
             if entry:
                 yield entry
-        for one, held in [
-            (one, held) for one, held in self.open.items() if name in (one, held.key)
-        ]:
-            yield Entry(
-                held.at + self.epoch,
-                one,
-                held.key,
-                held.tenant,
-                held.lane,
-                held.repeat,
-                held.end,
-                self.clock() - held.at,
-                list(held.notes),
-                held.cut,
-            )
-
-    def find(self, lane=None, tenant=None, pod=None, reason=None, since=None):
-        """Entries that fit all that is told, the latest first; None between them while it looks on."""
-        slots = (
-            self.by_pod.get(pod, {})
-            if pod
-            else {slot: number for slot, (_, number) in self.meta.items()}
-        )
+        open_ones = [item for item in self._open.items() if name in (item[0], item[1].key)]
+        for identity, transaction in open_ones:
+            entry = self._entry(identity, transaction, self.clock() - transaction.at)
+            entry.notes = list(entry.notes)
+            yield entry
+
+    def find(self, wanted: EntryFilter) -> Iterator[Optional[Entry]]:
+        """Yields the matching entries, the latest first, and None for every other one."""
+        latest_first = self.index.latest_first(wanted.pod)
+        since = wanted.since
         begin = None if since is None else self.clock() + self.epoch - since
-        for slot, number in sorted(slots.items(), key=lambda one: -one[1]):
+        for slot, number in latest_first:
             entry = self._read(slot, number)
-            if entry and fits(entry, lane, tenant, reason, begin):
-                yield entry
-            else:
-                yield None
+            yield entry if entry and wanted.matches(entry, begin) else None
 
-    def tally(self):
-        """Sums over all that ever was, kept or not."""
-        return {
-            "ends": [
-                [lane, R(end).name if end else "OPEN", count]
-                for (lane, end), count in sorted(self.ends.items())
-            ],
-            "reasons": {
-                R(reason).name: count for reason, count in enumerate(self.reasons) if count
-            },
-            "ms": {
-                lane: {
-                    str(share): round(sketch.get_quantile_value(share), 1)
-                    for share in (0.5, 0.9, 0.99)
-                }
-                for lane, sketch in self.times.items()
-            },
-            "turned away, tenants": [list(hitter) for hitter in self.tenants.top(10)],
-            "turned away, keys": [list(hitter) for hitter in self.keys.top(10)],
-        }
+    def tally(self) -> dict[str, Any]:
+        """Returns sums over all transactions, recorded or not."""
+        return self.tallies.shown()
 
-    def kept(self):
-        """What is kept: for each region its slots, how many are used, entries a second of late, and for how many
-        seconds an entry stays at that rate."""
-        now, found = self.clock(), []
+    def kept(self) -> dict[str, Any]:
+        """Returns what is kept, with rate of entries and retention in seconds of each region."""
+        now = self.clock()
+        regions = []
         for region in self.regions.values():
-            rate = region.rate.total(now) / 60
-            name = (
-                region.name
-                if isinstance(region.name, str)
-                else (f"{region.name[0]}, {'unusual' if region.name[1] else 'as usual'}")
-            )
-            found.append(
+            rate = region.rate.total(now) / (RATE_SPAN // TICKS_PER_SECOND)
+            regions.append(
                 {
-                    "region": name,
+                    "region": region.title(),
                     "slots": region.slots,
                     "used": region.used,
                     "a_second": round(rate, 2),
@@ -387,19 +370,10 @@
                 }
             )
         return {
-            "regions": found,
-            "megabytes": round(self.arena.slots * SLOT_BYTES / 1e6, 1),
-            "file": self.arena.path,
+            "regions": regions,
+            "megabytes": round(self.slot_file.slots * SLOT_BYTES / 1e6, 1),
+            "file": self.slot_file.path,
             "recovered": self.recovered,
             "torn": self.torn,
-            "open": len(self.open),
+            "open": len(self._open),
         }
-
-
-def fits(entry, lane, tenant, reason, begin):
-    return (
-        (lane is None or entry.request_class == lane)
-        and (tenant is None or entry.tenant == tenant)
-        and (begin is None or entry.at >= begin)
-        and (reason is None or any(note[0] == reason for note in entry.notes))
-    )
