--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -8,7 +8,7 @@
 
 from collections import deque
 from collections.abc import Callable, Iterator, Mapping
-from typing import Any, Final, NamedTuple, Optional, Protocol
+from typing import Any, Final, Optional, Protocol
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.reasons import Reason
@@ -76,14 +76,6 @@
         self.cut = 0
 
 
-class ClosingTransaction(NamedTuple):
-    """A transaction that is over and waits for what is noted just after."""
-
-    name: str
-    over_at: Ticks
-    transaction: OpenTransaction
-
-
 class Recorder:
     """Notes the reasons of open transactions and keeps entries in a slot file.
 
@@ -127,7 +119,8 @@
         self.recovered = 0
         self.torn = 0
         self._open: dict[str, OpenTransaction] = {}
-        self._closing: deque[ClosingTransaction] = deque()
+        self._closing: deque[tuple[str, Ticks, OpenTransaction]] = deque()
+        """Those that are over, with their ids and since when: plain tuples, one for each request."""
         self._number = 0
         self._reason_counts = self.tallies.reasons  # bound once: asked for with every note
         self._sampled_at = clock()
@@ -223,16 +216,16 @@
         transaction = self._open.get(name)
         if transaction is not None and transaction.over_at is None:
             transaction.over_at = now
-            self._closing.append(ClosingTransaction(name, now, transaction))
+            self._closing.append((name, now, transaction))
 
     def flush(self, now: Ticks, wait: Ticks = CLOSING_DELAY) -> None:
         """Records the transactions that have been over for a while."""
         if now - self._sampled_at >= TICKS_PER_SECOND:
             self._adjust_sample(now)
-        while self._closing and now - self._closing[0].over_at >= wait:
-            closing = self._closing.popleft()
-            if self._open.get(closing.name) is closing.transaction:
-                self._close(closing.name)
+        while self._closing and now - self._closing[0][1] >= wait:
+            name, _, transaction = self._closing.popleft()
+            if self._open.get(name) is transaction:
+                self._close(name)
 
     def _adjust_sample(self, now: Ticks) -> None:
         """Keeps one in so many that the region's slots last for the span that is set."""
