--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -120,7 +120,7 @@
         self.torn = 0
         self._open: dict[str, OpenTransaction] = {}
         self._closing: deque[tuple[str, Ticks, OpenTransaction]] = deque()
-        """Those that are over, with their ids and since when: plain tuples, one for each request."""
+        """Those that are over, with id and end; plain tuples, as there is one for each request."""
         self._number = 0
         self._reason_counts = self.tallies.reasons  # bound once: asked for with every note
         self._sampled_at = clock()
