--- a/Makefile
+++ b/Makefile
@@ -38,6 +38,7 @@
 	thymeknot/service/structured_log.py \
 	thymeknot/simulation/earlier_versions.py \
 	thymeknot/simulation/servers.py \
+	thymeknot/simulation/shared_services.py \
 	thymeknot/simulation/statistics.py \
 	thymeknot/simulator_wire \
 	thymeknot/state/endpoint_state.py \
--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -20,7 +20,7 @@
 from thymeknot.polling.snapshot_validation import SnapshotValidator
 from thymeknot.protocol.calls import WatchStream
 from thymeknot.protocol.discovery import FIRST_WORD
-from thymeknot.simulation.shared_services import IDLE, Connections, Service
+from thymeknot.simulation.shared_services import IDLE_TIMEOUT, Connections, Service
 from thymeknot.state.random_source import LinearCongruentialGenerator
 from thymeknot.state.timer_queue import TimerQueue
 
@@ -257,15 +257,15 @@
             (0, line, True, True),
             (20, line, True, True),
             (40, other, False, None),
-            (40 + IDLE, other, True, False),
-            (60 + IDLE, line, True, None),
+            (40 + IDLE_TIMEOUT, other, True, False),
+            (60 + IDLE_TIMEOUT, line, True, None),
         ):
             self.assertEqual(some.take(now, of, "p"), taken)
             if good is not None:
                 some.give(now + 10, of, "p", good)
         self.assertEqual((some.made, some.refused, some.held["p"]), (3, 1, 1))
         some.drop(lambda line: line[0] == 0)
-        some.give(70 + IDLE, line, "p", True)  # what its process held is gone with it
+        some.give(70 + IDLE_TIMEOUT, line, "p", True)  # what its process held is gone with it
         self.assertEqual(some.held["p"], 0)
 
 
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -1,129 +1,238 @@
-"""What a fleet shares beside its pods, emulated: a discovery that answers so many calls a second, and the connections
-that pods hold. Pure; times are tenths of a millisecond."""
+"""What a fleet shares beside its servers: a discovery of limited rate, and connections.
+
+Pure; times are ticks (tenths of a millisecond).
+"""
 
 from collections import deque
+from collections.abc import Callable
+from typing import Any, NamedTuple, Protocol
 
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..polling.adaptive_interval import AdaptiveInterval, CallResult
 
-PATIENCE, ROOM = 20_000, 2.2  # a call waits in turn so long; waiting calls, in seconds of answers
-NO_ROOM = 500  # until one is told that there is none
-IDLE = 150_000  # a connection that stands idle is closed
+# A call that has waited longer is rejected.
+MAX_CALL_WAIT: Ticks = 2 * TICKS_PER_SECOND
+# Calls that wait at most, in seconds of answers.
+MAX_QUEUE_SECONDS = 2.2
+# Until a caller learns that the queue is full.
+QUEUE_FULL_DELAY: Ticks = 500
+# A connection that stands idle is closed after this time.
+IDLE_TIMEOUT: Ticks = 15 * TICKS_PER_SECOND
+# A list that was refused to a caller without a watch is asked for again after this time at least,
+# and twice this time at most.
+LIST_RETRY_DELAY: Ticks = TICKS_PER_SECOND
+
+Draw = Callable[[], float]
+"""Gives a random number from 0 to 1."""
+Schedule = Callable[..., None]
+"""schedule(moment, call, *arguments) calls back at a moment."""
+
+
+class PollInterval(Protocol):
+    """How often an instance asks; an earlier version's may ask twice at the start (`beside`)."""
+
+    draw: Draw
+
+    def first(self, asking: int) -> Ticks:
+        """The wait before the first call, where so many callers start at once."""
+
+    def ended(self, how: CallResult, age: Ticks = 0) -> Ticks:
+        """The wait before the next call, after one that ended like this."""
 
 
 class EarlierPace:
-    """As lists were asked for up to 9db9198: each again in a moment, and a second call beside it."""
+    """How lists were asked for up to revision 9db9198: soon again, with a second call beside."""
 
     beside = True
 
-    def __init__(self, draw):
+    def __init__(self, draw: Draw) -> None:
         self.draw = draw
 
-    def first(self, asking):
+    def first(self, asking: int) -> Ticks:
+        """The wait before the first call."""
         return 0
 
-    def ended(self, how, age=0):
+    def ended(self, how: CallResult, age: Ticks = 0) -> Ticks:
+        """The wait before the next call, whatever came of the last one."""
         return 2_000 + int(self.draw() * 6_000)
 
 
 class Service:
-    """Answers so many calls a second, in turn. One that finds no room, or has waited too long (which costs as much as
-    an answer), is turned away. at(moment, call, *arguments) books what comes, now() is the time."""
-
-    def __init__(self, rate, at, now):
-        self.step, self.room, self.at, self.now = int(10_000 / rate), int(rate * ROOM), at, now
-        self.waiting, self.calls, self.refused = deque(), 0, 0
+    """Answers a limited number of calls a second, in turn.
+
+    A call that finds the queue full, or has waited too long (which costs as much as an answer), is
+    rejected.
+
+    Attributes:
+        calls: How many were made.
+        refused: How many were rejected.
+    """
+
+    def __init__(self, rate: float, at: Schedule, now: Callable[[], Ticks]) -> None:
+        """Starts the service.
+
+        Args:
+            rate: answers a second.
+            at: schedules a call.
+            now: the time.
+        """
+        self.step = int(TICKS_PER_SECOND / rate)
+        self.room = int(rate * MAX_QUEUE_SECONDS)
+        self.at = at
+        self.now = now
+        self.waiting: deque[tuple[Ticks, Callable[[bool], None]]] = deque()
+        self.calls = 0
+        self.refused = 0
         self.at(self.now() + self.step, self._next)
 
-    def call(self, end):
-        """end(good) is called once: whether it was answered."""
+    def call(self, end: Callable[[bool], None]) -> None:
+        """Makes a call; `end` is called once with whether it was answered."""
         self.calls += 1
         if len(self.waiting) >= self.room:
             self.refused += 1
-            self.at(self.now() + NO_ROOM, end, False)
+            self.at(self.now() + QUEUE_FULL_DELAY, end, False)
         else:
             self.waiting.append((self.now(), end))
 
-    def _next(self):
+    def _next(self) -> None:
         self.at(self.now() + self.step, self._next)
         if self.waiting:
             since, end = self.waiting.popleft()
-            good = self.now() <= since + PATIENCE
+            good = self.now() <= since + MAX_CALL_WAIT
             self.refused += not good
             end(good)
 
 
-class Discovery(Service):
-    """Lists that are asked for. told(instance, turn, whole): whether this life of an instance is there still; gives it
-    the list where whole."""
+class Poller(NamedTuple):
+    """One life of an instance that asks for lists."""
+
+    instance: int
+    life: int
+    """Counts the starts of the instance."""
+    pace: PollInterval
 
-    def __init__(self, rate, at, now, told):
-        super().__init__(rate, at, now)
-        self.told, self.standing = told, {}
 
-    def begin(self, instance, turn, pace, asking):
-        """An instance starts: it asks for the list and the changes to it."""
+class Discovery(Service):
+    """Lists that are asked for.
+
+    Attributes:
+        standing: The life of each instance whose watch is established, by instance.
+    """
+
+    def __init__(
+        self,
+        rate: float,
+        at: Schedule,
+        now: Callable[[], Ticks],
+        told: Callable[[int, int, bool], bool],
+    ) -> None:
+        """Starts the service.
+
+        Args:
+            rate: answers a second.
+            at: schedules a call.
+            now: the time.
+            told: told(instance, life, complete) says whether this life of the instance is still
+                there; it gets the list if `complete`.
+        """
+        super().__init__(rate, at, now)
+        self.told = told
+        self.standing: dict[int, int] = {}
+
+    def begin(self, instance: int, turn: int, pace: PollInterval, asking: int) -> None:
+        """An instance starts: it asks for the list and the changes to it.
+
+        Args:
+            instance: its number.
+            turn: its life.
+            pace: how often it asks.
+            asking: how many instances may start at once.
+        """
         self.standing.pop(instance, None)
-        self.at(self.now() + pace.first(asking), self._ask, instance, turn, pace, True)
+        poller = Poller(instance, turn, pace)
+        self.at(self.now() + pace.first(asking), self._ask, poller, True)
         if getattr(pace, "beside", False):
-            self.at(self.now(), self._ask, instance, turn, pace, False)
+            self.at(self.now(), self._ask, poller, False)
 
-    def _ask(self, instance, turn, pace, watch):
-        def ended(good):
+    def _ask(self, poller: Poller, watch: bool) -> None:
+        def ended(good: bool) -> None:
             if good and watch:
-                self.standing[instance] = turn
+                self.standing[poller.instance] = poller.life
             if good:
-                self.told(instance, turn, True)
-            elif watch or self.standing.get(instance) != turn:
-                wait = (
-                    pace.ended(CallResult.REFUSED) if watch else 10_000 + int(pace.draw() * 10_000)
-                )
-                self.at(self.now() + wait, self._ask, instance, turn, pace, watch)
-
-        if self.told(instance, turn, False):  # else it has died since
+                self.told(poller.instance, poller.life, True)
+            elif watch or self.standing.get(poller.instance) != poller.life:
+                wait = self._wait_after_refusal(poller.pace, watch)
+                self.at(self.now() + wait, self._ask, poller, watch)
+
+        if self.told(poller.instance, poller.life, False):  # else it has died since
             self.call(ended)
 
+    @staticmethod
+    def _wait_after_refusal(pace: PollInterval, watch: bool) -> Ticks:
+        if watch:
+            return pace.ended(CallResult.REFUSED)
+        return LIST_RETRY_DELAY + int(pace.draw() * LIST_RETRY_DELAY)
 
-class Connections:
-    """Those of all instances to all pods. A pod holds so many at most, if any number is told."""
 
-    def __init__(self, most):
-        self.most, self.idle, self.held, self.made, self.refused = most, {}, {}, 0, 0
+Line = tuple[int, int, str]
+"""What a connection belongs to: the instance, its life and the name of the server."""
 
-    def take(self, now, line, pod):
-        """Whether a delivery on this line gets one: an idle one, or a new one where the pod has room."""
+
+class Connections:
+    """The connections of all instances to all servers.
+
+    Attributes:
+        most: How many a server holds at most; 0: as many as come.
+        idle: Since when each idle connection of a line stands idle.
+        held: How many each server holds.
+        made: How many were made.
+        refused: How many were refused for the limit.
+    """
+
+    def __init__(self, most: int) -> None:
+        self.most = most
+        self.idle: dict[Line, list[Ticks]] = {}
+        self.held: dict[str, int] = {}
+        self.made = 0
+        self.refused = 0
+
+    def take(self, now: Ticks, line: Line, pod: str) -> bool:
+        """Whether an attempt on this line gets one: an idle one, or a new one if allowed."""
         idle = self.idle.setdefault(line, [])
         while idle:
-            if now <= idle.pop() + IDLE:
+            if now <= idle.pop() + IDLE_TIMEOUT:
                 return True
             self.held[pod] -= 1
-        if self.most and self.held.get(pod, 0) >= self.most and not self._expired(now, pod):
+        if self.most and self.held.get(pod, 0) >= self.most and not self._expire(now, pod):
             self.refused += 1
             return False
-        self.held[pod], self.made = self.held.get(pod, 0) + 1, self.made + 1
+        self.held[pod] = self.held.get(pod, 0) + 1
+        self.made += 1
         return True
 
-    def _expired(self, now, pod):
-        """Drops what has stood idle for too long at this pod; whether that made room."""
+    def _expire(self, now: Ticks, pod: str) -> bool:
+        """Closes what has stood idle for too long at this server; whether there was any."""
         before = self.held[pod]
-        for (_, _, of), idle in self.idle.items():
-            if of == pod:
-                self.held[pod] -= sum(now > at + IDLE for at in idle)
-                idle[:] = [at for at in idle if now <= at + IDLE]
+        for (_, _, server), idle in self.idle.items():
+            if server == pod:
+                self.held[pod] -= sum(now > at + IDLE_TIMEOUT for at in idle)
+                idle[:] = [at for at in idle if now <= at + IDLE_TIMEOUT]
         return self.held[pod] < before
 
-    def give(self, now, line, pod, good):
-        """A delivery has ended: its connection stands idle, or is closed."""
+    def give(self, now: Ticks, line: Line, pod: str, good: bool) -> None:
+        """An attempt has ended: its connection stands idle if it is good, or is closed."""
         if good and line in self.idle:
             self.idle[line].append(now)
         else:
             self.held[pod] -= 1
 
-    def drop(self, gone):
-        """The instances or pods that this names have gone, with all that they held."""
+    def drop(self, gone: Callable[[Line], bool]) -> None:
+        """Closes the idle connections of all lines that `gone` says are no more."""
         for line in [line for line in self.idle if gone(line)]:
             self.held[line[2]] -= len(self.idle.pop(line))
 
 
-def pace_of(policy, draw):
-    """The pace at which instances of this policy ask: the policy's own, or today's."""
-    return getattr(policy, "pace", AdaptiveInterval)(draw)
+def pace_of(policy: Any, draw: Draw) -> PollInterval:
+    """The interval at which instances of this policy ask: the policy's own, or the present one."""
+    interval: PollInterval = getattr(policy, "pace", AdaptiveInterval)(draw)
+    return interval
