--- a/Makefile
+++ b/Makefile
@@ -37,6 +37,8 @@
 	thymeknot/service/required_libraries.py \
 	thymeknot/service/structured_log.py \
 	thymeknot/simulation/earlier_versions.py \
+	thymeknot/simulation/random_streams.py \
+	thymeknot/simulation/recording.py \
 	thymeknot/simulation/servers.py \
 	thymeknot/simulation/shared_services.py \
 	thymeknot/simulation/statistics.py \
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -15,7 +15,8 @@
 from thymeknot.simulation.baseline_policies import BREAKERS
 from thymeknot.simulation.calibration import broken_by, queue
 from thymeknot.simulation.experiments import run
-from thymeknot.simulation.simulator import Simulator, current_engine, gamma, zipf_keys
+from thymeknot.simulation.random_streams import gamma, zipf_keys
+from thymeknot.simulation.simulator import Simulator, current_engine
 
 
 def held_per_core(seed, start=200):
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -10,7 +10,7 @@
 from thymeknot.cli.log_summary import SPAN_MOST, Summary
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.experiments import crowd_figures
-from thymeknot.simulation.recording import Watched
+from thymeknot.simulation.recording import RecordingSimulator
 from thymeknot.simulation.report import written
 from thymeknot.simulation.simulator import Simulator, current_engine
 
@@ -97,7 +97,10 @@
 class Pages(unittest.TestCase):
     def test_watching_changes_nothing_and_counts_all(self):
         day, _ = large_fleet_scenarios.drawn(3, "herd", **SMALL)
-        plain, watched = Simulator(day, current_engine).play(), Watched(day, current_engine).play()
+        plain, watched = (
+            Simulator(day, current_engine).play(),
+            RecordingSimulator(day, current_engine).play(),
+        )
         self.assertEqual(plain.figures(), watched.figures())
         self.assertEqual(sum(watched.how["done"]), plain.ends["done"])
         self.assertEqual(sum(sum(one) for one in watched.sent.values()), sum(plain.by_pod.values()))
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -11,8 +11,9 @@
 from thymeknot.simulation.baseline_policies import BREAKERS, TEXTBOOK
 from thymeknot.simulation.calibration import broken_by, queue
 from thymeknot.simulation.invariants import InvariantChecker
+from thymeknot.simulation.random_streams import gamma, zipf_keys
 from thymeknot.simulation.servers import Build, Pod
-from thymeknot.simulation.simulator import Simulator, current_engine, gamma, zipf_keys
+from thymeknot.simulation.simulator import Simulator, current_engine
 
 SECOND = scenarios.TICKS_PER_SECOND
 LANES = {one.lane.name: one.lane for one in scenarios.LANES}
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -1,47 +1,80 @@
-"""A fleet's day with what a person wants to see of it noted down: a few numbers every half second."""
+"""A simulator that records what a person wants to see of a day: a few numbers every half second."""
+
+from typing import Any, NamedTuple, Self
 
 import numpy as np
+from numpy.typing import NDArray
 
-from ..interface.clock import TICKS_PER_SECOND
+from ..interface.actions import CastVote, SendAttempt
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from ..interface.enums import ReleasePhase, Verdict
+from .scenarios import Day
 from .servers import PodState
 from .simulator import Simulator
 
-LOOK = TICKS_PER_SECOND // 2
+# How often it looks: what happens in between is counted in one period.
+PERIOD: Ticks = TICKS_PER_SECOND // 2
+# Periods beyond the day's end, while open requests end.
+SPARE_PERIODS = 8
+
+
+class Look(NamedTuple):
+    """What was seen at the begin of a period."""
+
+    at: float
+    """In seconds."""
+    build: int
+    """The newest one."""
+    stage: int
+    phase: ReleasePhase
+    cap: float
+    """Share of the requests that may go to the newest build."""
+    running: dict[int, int]
+    """How many servers of each build are up."""
+
 
+class RecordingSimulator(Simulator):
+    """Plays a day as a Simulator does and records it.
 
-class Watched(Simulator):
-    """Plays as a Fleet does; looks: what was seen every half second, counts: what happened in each of those."""
+    Attributes:
+        names: The builds of the day.
+        sent: Attempts in each period, by build.
+        how: Answers in each period: done, deferred or abandoned.
+        cast: Votes in each period, by verdict.
+        took: The times of the answers of each period, over their latency objective.
+        looks: What was seen at the begin of each period.
+        load: Seconds of work that waited then at each place.
+    """
 
-    def __init__(self, day, policy):
+    def __init__(self, day: Day, policy: Any) -> None:
         super().__init__(day, policy)
-        size = day.span // LOOK + 8
+        size = day.span // PERIOD + SPARE_PERIODS
         self.names = sorted({1, *(offer.build for offer in day.offers)})
         self.sent = {build: np.zeros(size) for build in self.names}
         self.how = {how: np.zeros(size) for how in ("done", "deferred", "abandoned")}
-        self.cast = {verdict: np.zeros(size) for verdict in range(4)}
-        self.took = [[] for _ in range(size)]
-        self.looks, self.load = [], []
+        self.cast = {verdict: np.zeros(size) for verdict in Verdict}
+        self.took: list[list[float]] = [[] for _ in range(size)]
+        self.looks: list[Look] = []
+        self.load: list[NDArray[np.float64]] = []
 
-    def play(self):
+    def play(self) -> Self:
+        """Plays the whole day."""
         self.at(0, self._look)
         return super().play()
 
-    def _place(self):
-        return min(self.now // LOOK, len(self.took) - 1)
+    def _period(self) -> int:
+        return min(self.now // PERIOD, len(self.took) - 1)
 
-    def _look(self):
+    def _look(self) -> None:
         build, stage, phase, cap = self.news
         running = [pod.build.number for pod in self.pods.values() if pod.state == PodState.UP]
-        self.looks.append(
-            (
-                self.now / TICKS_PER_SECOND,
-                build,
-                stage,
-                phase,
-                cap,
-                {name: running.count(name) for name in self.names},
-            )
-        )
+        counts = {name: running.count(name) for name in self.names}
+        self.looks.append(Look(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts))
+        self.load.append(self._waiting_work())
+        if self.now < self.day.span:
+            self.at(self.now + PERIOD, self._look)
+
+    def _waiting_work(self) -> NDArray[np.float64]:
         by_place = np.zeros(self.day.pods)
         for pod in self.pods.values():
             if pod.state == PodState.UP:
@@ -49,30 +82,31 @@
                 by_place[place] = max(
                     by_place[place], pod.wait / (pod.cores * pod.speed * TICKS_PER_SECOND)
                 )
-        self.load.append(by_place)
-        if self.now < self.day.span:
-            self.at(self.now + LOOK, self._look)
+        return by_place
 
-    def _deliver(self, instance, turn, action):
+    def _deliver(self, instance: int, turn: int, action: SendAttempt) -> None:
         pod = self.pods.get(action.endpoint)
         if pod:
-            self.sent[pod.build.number][self._place()] += 1
+            self.sent[pod.build.number][self._period()] += 1
         super()._deliver(instance, turn, action)
 
-    def _answered(self, instance, name, how, wait):
+    def _answered(self, instance: int, name: str, how: str, wait: Ticks) -> None:
         held = self.transactions.get((instance, name))
         if held is not None:
-            self.how[how][self._place()] += 1
+            self.how[how][self._period()] += 1
             if how == "done":
-                self.took[self._place()].append(
+                self.took[self._period()].append(
                     (self.now - held.first) / self.lanes[held.lane].lane.latency_objective
                 )
         super()._answered(instance, name, how, wait)
 
-    def _vote(self, instance, turn, vote):
-        self.cast[vote.verdict][self._place()] += 1
+    def _vote(self, instance: int, turn: int, vote: CastVote) -> None:
+        self.cast[vote.verdict][self._period()] += 1
         super()._vote(instance, turn, vote)
 
-    def late(self, share=0.95):
-        """The time, in goals, that this share of the answers of each half second stayed under; 0 where none came."""
+    def late(self, share: float = 0.95) -> NDArray[np.float64]:
+        """The time that this share of the answers of each period stayed under.
+
+        It is in latency objectives, and 0 where no answer came.
+        """
         return np.array([np.quantile(one, share) if one else 0.0 for one in self.took])
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -10,7 +10,7 @@
 
 from ..interface.clock import TICKS_PER_SECOND  # noqa: E402
 from ..interface.enums import ReleasePhase, Verdict  # noqa: E402
-from .recording import LOOK, Watched  # noqa: E402
+from .recording import PERIOD, RecordingSimulator  # noqa: E402
 
 VERDICTS = {
     Verdict.ABSTAIN: "withdrawn",
@@ -25,7 +25,7 @@
     for number, fault in enumerate(day.faults):
         axis.axvspan(
             fault.begin / TICKS_PER_SECOND,
-            max(fault.end, fault.begin + LOOK) / TICKS_PER_SECOND,
+            max(fault.end, fault.begin + PERIOD) / TICKS_PER_SECOND,
             alpha=0.08,
             color=f"C{number}",
         )
@@ -33,12 +33,12 @@
 
 
 def drawn(fleet, path, title):
-    """Draws a Watched that has been played."""
+    """Draws a RecordingSimulator that has been played."""
     day, steps = fleet.day, len(fleet.looks)
     times = [at for at, *_ in fleet.looks]
     figure, axes = pyplot.subplots(6, 1, figsize=(11, 15), sharex=True, constrained_layout=True)
     figure.suptitle(title)
-    per_s = TICKS_PER_SECOND / LOOK
+    per_s = TICKS_PER_SECOND / PERIOD
     axes[0].stackplot(
         times,
         [fleet.sent[name][:steps] * per_s for name in fleet.names],
@@ -109,7 +109,7 @@
     os.makedirs(folder, exist_ok=True)
     rows, found = [], {}
     for number, (name, policy) in enumerate(policies.items()):
-        fleet = Watched(day, policy).play()
+        fleet = RecordingSimulator(day, policy).play()
         picture = f"day-{number}.png"
         drawn(fleet, os.path.join(folder, picture), f"{title}: {name}")
         turned_away, needless = fleet.needless()
--- a/thymeknot/simulation/servers.py
+++ b/thymeknot/simulation/servers.py
@@ -7,7 +7,7 @@
 
 from collections import deque
 from enum import StrEnum
-from typing import Literal, Protocol
+from typing import Any, Generic, Literal, Protocol, TypeVar
 
 from ..interface.clock import Ticks
 
@@ -29,6 +29,9 @@
     """The name of its request class."""
 
 
+JobT = TypeVar("JobT", bound=Job)
+
+
 class Build:
     """What the servers of a build do to an attempt."""
 
@@ -64,7 +67,7 @@
         self.load = load
         self.shared = shared
 
-    def strikes(self, pod: "Pod", now: Ticks, lane: str) -> bool:
+    def strikes(self, pod: "Pod[Any]", now: float, lane: str) -> bool:
         """Whether its fault acts on an attempt of this request class now."""
         return (
             (self.lane is None or self.lane == lane)
@@ -73,7 +76,7 @@
         )
 
 
-class Pod:
+class Pod(Generic[JobT]):
     """A server and what is in it."""
 
     __slots__ = (
@@ -135,7 +138,7 @@
         self.state = PodState.UP
         self.busy = 0
         """Cores at work."""
-        self.queue: deque[Job] = deque()
+        self.queue: deque[JobT] = deque()
         self.done = 0
         """Jobs finished."""
         self.turned_away = 0
@@ -149,14 +152,14 @@
         self.wait = 0.0
         """Work in its queue."""
 
-    def warmth(self, now: Ticks) -> float:
+    def warmth(self, now: float) -> float:
         """The share of its capacity that it has."""
         age = now - self.started
         if not self.cold or age >= self.cold:
             return 1.0
         return self.cold_from + (1 - self.cold_from) * max(0, age) / self.cold
 
-    def take(self, now: Ticks, job: Job) -> Ticks | Literal[False] | None:
+    def take(self, now: float, job: JobT) -> Ticks | Literal[False] | None:
         """Takes a job.
 
         Returns:
@@ -173,7 +176,7 @@
         self.wait += job.work
         return None
 
-    def fits(self, now: Ticks, goal: float) -> bool:
+    def fits(self, now: float, goal: float) -> bool:
         """Whether a job that came now would begin within this time."""
         return (
             self.state == PodState.UP
@@ -182,14 +185,14 @@
             and self.wait <= goal * self.cores * self.speed * self.warmth(now)
         )
 
-    def _begin(self, now: Ticks, job: Job) -> Ticks:
+    def _begin(self, now: float, job: JobT) -> Ticks:
         self.busy += 1
         slow = self.build.slow if self.build.strikes(self, now, job.lane) else 1.0
         took = job.work * slow / (self.speed * self.warmth(now))
         self.worked += took
         return max(1, round(took))
 
-    def finish(self, now: Ticks) -> tuple[Job, Ticks] | None:
+    def finish(self, now: float) -> tuple[JobT, Ticks] | None:
         """Ends a job: the next one from the queue and how long it takes, or None."""
         self.busy -= 1
         self.done += 1
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -6,12 +6,14 @@
 
 import heapq
 from bisect import bisect_right
+from collections.abc import Callable
 from itertools import accumulate
+from typing import Any, Self
 
 import numpy as np
 
 from ..interface.actions import CancelAttempt, CastVote, Fail, Reject, SendAttempt, SetTimer
-from ..interface.clock import TICKS_PER_SECOND
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import (
     EndpointCondition,
     Idempotency,
@@ -31,6 +33,8 @@
 )
 from ..state.random_source import LinearCongruentialGenerator
 from .invariants import InvariantChecker
+from .random_streams import Stream, gamma, zipf_keys
+from .scenarios import Day
 from .servers import Build, Pod, PodState
 from .shared_services import Connections, Discovery, pace_of
 
@@ -47,35 +51,6 @@
     ReleasePhase.RELEASED: "released",
     ReleasePhase.WITHDRAWN: "withdrawn",
 }
-CHUNK = 4096
-
-
-class Stream:
-    """Numbers of one distribution, drawn many at a time: a call for each would take most of the time."""
-
-    def __init__(self, draw):
-        self.draw, self.values, self.at = draw, draw(CHUNK).tolist(), 0
-
-    def next(self):
-        if self.at >= CHUNK:
-            self.values, self.at = self.draw(CHUNK).tolist(), 0
-        self.at += 1
-        return self.values[self.at - 1]
-
-
-def gamma(chance, mean, spread):
-    """Work of this mean and relative spread; a spread of 1 is exponential, 0 is always the mean."""
-    if spread <= 0:
-        return Stream(lambda count: np.full(count, mean))
-    shape = 1 / spread**2
-    return Stream(lambda count: chance.gamma(shape, mean / shape, count))
-
-
-def zipf_keys(chance, count, exponent):
-    """Ranks of keys by Zipf's law over a bounded number of them."""
-    weights = 1 / np.arange(1, count + 1) ** exponent
-    steps = np.cumsum(weights) / weights.sum()
-    return Stream(lambda size: np.searchsorted(steps, chance.random(size)))
 
 
 class Job:
@@ -145,7 +120,7 @@
 class Simulator:
     """day: see days.py. policy(terms, seed, now): has handle(now, events) -> actions, as the Balancer has."""
 
-    def __init__(self, day, policy):
+    def __init__(self, day: Day, policy: Any) -> None:
         self.day, self.policy, self.now, self.count, self.heap = day, policy, 0, 0, []
         streams = [
             np.random.Generator(np.random.PCG64(one))
@@ -185,7 +160,7 @@
             cold_from=day.cold_from,
             overload=day.terms.overload_window,
         )
-        self.news = [1, len(day.terms.stage_fractions) - 1, ReleasePhase.RELEASED, 1.0]
+        self.news: list[Any] = [1, len(day.terms.stage_fractions) - 1, ReleasePhase.RELEASED, 1.0]
         self.votes, self.moved_at, self.trial = {}, 0, None
         self.transactions, self.balancers, self.turns = {}, {}, [0] * day.instances
         self.scores = {"asked": 0.0, "earned": 0.0, "harm": 0.0, "behind": 0.0}
@@ -220,11 +195,11 @@
             {},
         )  # (build, lane): deliveries, failed, time of those done
 
-    def at(self, moment, call, *arguments):
+    def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
         self.count += 1
         heapq.heappush(self.heap, (moment, self.count, call, arguments))
 
-    def play(self):
+    def play(self) -> Self:
         """The whole day; gives itself."""
         day = self.day
         for instance in range(day.instances):
@@ -380,7 +355,7 @@
             instance, RequestReceived(name, lane, f"t{tenant}", key, left, None, tries > 0, False)
         )
 
-    def _answered(self, instance, name, how, wait):
+    def _answered(self, instance: int, name: str, how: str, wait: Ticks) -> None:
         self.checker.answered(self.now, instance, name, how)
         held = self.transactions.get((instance, name))
         if held is None:
@@ -442,7 +417,7 @@
 
     # Deliveries.
 
-    def _deliver(self, instance, turn, action):
+    def _deliver(self, instance: int, turn: int, action: SendAttempt) -> None:
         # Where lists do not come, what has gone is sent to: nobody answers there.
         pod = self.pods.get(action.endpoint) or self.former.get(action.endpoint)
         held = self.transactions.get((instance, action.id))
@@ -737,7 +712,7 @@
         self.pods[name] = pod
         self._list(self._entry(pod))
 
-    def _vote(self, instance, turn, vote):
+    def _vote(self, instance: int, turn: int, vote: CastVote) -> None:
         if self.turns[instance] != turn or self._off(instance) or self.calls_down == SILENT_CALLS:
             self.at(self.now + self.votes_wait, self._told_vote, instance, turn, Outcome.TIMED_OUT)
             return
