--- a/Makefile
+++ b/Makefile
@@ -39,6 +39,7 @@
 	thymeknot/simulation/earlier_versions.py \
 	thymeknot/simulation/random_streams.py \
 	thymeknot/simulation/recording.py \
+	thymeknot/simulation/scenarios.py \
 	thymeknot/simulation/servers.py \
 	thymeknot/simulation/shared_services.py \
 	thymeknot/simulation/statistics.py \
--- a/thymeknot/simulation/large_fleet_scenarios.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -5,10 +5,10 @@
 
 import numpy as np
 
-from ..interface.clock import TICKS_PER_SECOND
-from ..interface.enums import DeduplicationScope, Idempotency, PromotionMode
+from ..interface.clock import TICKS_PER_SECOND, Ticks
+from ..interface.enums import DeduplicationScope, Idempotency
 from ..interface.settings import RequestClass, Settings
-from .scenarios import WAVES, Day, Fault, LaneMix, Offer
+from .scenarios import Day, Fault, LaneMix, Offer, settings_for
 
 KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
 # Some forty instances by sixty pods, three stages, two builds, a trouble of its own beside each day's. Lists are asked
@@ -88,34 +88,21 @@
 ADVANCE, REVERT = 0.6, 0.25  # of the instances: votes that move a build on, and back
 
 
-def terms(instances, cold, cold_from, calls, lanes=LANES):
-    return Settings(
-        request_classes={one.lane.name: one.lane for one in lanes},
-        instances=instances,
-        lists_polled=False,
-        max_attempts=4,
-        max_retry_after=TICKS_PER_SECOND // 2,
-        hedging_allowed=False,
-        cancellation_allowed=True,
-        retry_after_allowed=True,
-        load_metrics=(),
-        poll_within=10 * TICKS_PER_SECOND,
-        warmup_initial_fraction=cold_from,
+def _settings(
+    instances: int,
+    cold: Ticks,
+    cold_from: float,
+    votes_per_second: float,
+    lanes: tuple[LaneMix, ...] = LANES,
+) -> Settings:
+    """What the instances of a large fleet read at start."""
+    return settings_for(
+        lanes,
+        instances,
         warmup_duration=cold,
-        overload_factor=2.0,
-        overload_window=3 * TICKS_PER_SECOND // 2,
-        exposure_window=3 * TICKS_PER_SECOND,
-        exposure_allowance=3.0,
-        guarded_stages=2,
-        stage_fractions=WAVES,
-        exposure_by_class=False,
-        sticky_keys=True,
-        replaces_machines=False,
-        promotion_mode=PromotionMode.QUORUM,
-        votes_to_revert=max(1, math.ceil(REVERT * instances)),
-        vote_lifetime=4 * TICKS_PER_SECOND,
-        vote_timeout=12_000,
-        votes_per_second=calls,
+        warmup_initial_fraction=cold_from,
+        votes_to_revert=math.ceil(REVERT * instances),
+        votes_per_second=votes_per_second,
     )
 
 
@@ -326,7 +313,7 @@
             )
         )
     faults, begin, end = _vast_faults(kind, chance, instances, pods, span)
-    held = terms(instances, cold, cold_from, calls, lanes)._replace(
+    held = _settings(instances, cold, cold_from, calls, lanes)._replace(
         stage_fractions=(0.08, 0.25, 1.0), guarded_stages=1, lists_polled=kind == "herd-vast"
     )
     return Day(
@@ -470,7 +457,7 @@
         )
     faults, begin, end = _mass_faults(kind, chance, instances, pods, span)
     # What clients are told of cold pods is the least of what those have.
-    held = terms(instances, cold, 0.31, instances * 0.25, lanes)._replace(
+    held = _settings(instances, cold, 0.31, instances * 0.25, lanes)._replace(
         stage_fractions=(0.08, 0.25, 1.0), guarded_stages=1
     )
     return Day(
@@ -576,6 +563,6 @@
         cold_from,
         (offer,),
         faults,
-        terms(instances, cold, cold_from, calls),
+        _settings(instances, cold, cold_from, calls),
         advance=math.ceil(ADVANCE * instances),
     ), (begin, end)
--- a/thymeknot/simulation/scenarios.py
+++ b/thymeknot/simulation/scenarios.py
@@ -1,146 +1,281 @@
-"""What a day holds: the fleet, its traffic, its builds and the faults on a timeline. Drawn from ranges by a seed; the
-same seed gives the same day, byte by byte, wherever it is drawn. Times are tenths of a millisecond."""
+"""What a day holds: the fleet, its traffic, its builds and the faults on a timeline.
 
+A day is drawn from ranges by a seed; the same seed gives the same day, byte by byte, wherever it is
+drawn. Times are ticks (tenths of a millisecond).
+"""
+
+from enum import StrEnum
 from typing import NamedTuple
 
 import numpy as np
+from numpy.random import Generator
 
-from ..interface.clock import TICKS_PER_SECOND
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import DeduplicationScope, Idempotency, PromotionMode
 from ..interface.settings import RequestClass, Settings
 
 
 class LaneMix(NamedTuple):
+    """A request class and its part of the traffic."""
+
     lane: RequestClass
-    share: float  # of the transactions
-    work: float  # mean, in tenths of a millisecond on one core of speed 1
-    spread: float  # standard deviation over mean; 1 is exponential
+    share: float
+    """Of the requests."""
+    work: float
+    """Mean, in ticks on one core of speed 1."""
+    spread: float
+    """Standard deviation of the work over its mean; 1 is exponential."""
+
+
+class FaultKind(StrEnum):
+    """What a fault does. `what` and `size` are the fields of Fault."""
+
+    SLOW_PODS = "pods"
+    """The servers at the places `what` are slower by the factor `size`."""
+    ERRORS = "ill"
+    """The first servers at the places `what` fail a share `size` of their jobs."""
+    CONNECTION_LOSS = "network"
+    """A share `size` of the attempts is lost."""
+    LATE_LISTS = "discovery"
+    """Endpoint lists come `size` ticks later."""
+    LATE_RELEASE_UPDATES = "platform"
+    """Release updates come `size` ticks later."""
+    RESTARTS = "kill"
+    """The instances `what` die and start again after about `size` ticks."""
+    BURST = "burst"
+    """The request rate is multiplied by `size`."""
+    PAUSES = "pause"
+    """The servers at the places `what` stand still again and again, for about `size` ticks."""
+    SILENT_PODS = "silent"
+    """The servers at the places `what` take requests and do not answer."""
+    ZONE_LOSS = "zone"
+    """All servers of the zone `what` are silent and start anew at the end."""
+    ZONE_CUT = "cut"
+    """The zones `what` do not reach the others."""
+    LOST_ANSWERS = "lost answers"
+    """A share `size` of the answers is lost."""
+    SLOW_ALL = "slow all"
+    """All work takes `size` times as long."""
+    CALLS_DOWN = "calls"
+    """Calls of the platform fail: 0 silent, 1 refused."""
 
 
 class Fault(NamedTuple):
-    """kind: pods, ill, network, discovery, platform, kill, burst; pause, silent, zone, cut, lost answers, slow all,
-    calls.
-    what: whom it strikes; size: how hard."""
-
-    kind: str
-    begin: int
-    end: int
-    what: tuple
+    """A fault on the timeline."""
+
+    kind: FaultKind
+    begin: Ticks
+    end: Ticks
+    what: tuple[int, ...]
+    """Whom it strikes: places, instances or zones by number; empty: all."""
     size: float
+    """How hard; see FaultKind."""
 
 
 class Offer(NamedTuple):
     """A build that the platform offers."""
 
-    at: int
+    at: Ticks
+    """When."""
     build: int
     good: bool
+    """Whether it should be released."""
     fails: float
+    """Share of the attempts that fail while its fault acts."""
     slow: float
-    after: int
+    """Factor of the work while its fault acts."""
+    after: Ticks
+    """From the start of a server until the fault acts."""
     load: float
-    shared: float = 0.0  # slows all pods, in step with its part of the deliveries
+    """Share of a server's cores that must be busy for the fault to act."""
+    shared: float = 0.0
+    """Factor that slows all servers, by this build's share of the attempts."""
 
 
 class Day(NamedTuple):
+    """All that happens on a day. Servers of different builds stand at a place in turn."""
+
     seed: int
-    span: int
+    span: Ticks
+    """How long new requests come."""
     instances: int
+    """Sidecars."""
     pods: int
-    zones: tuple
+    """Places of servers."""
+    zones: tuple[str, ...]
     cores: int
-    speeds: tuple  # of each place
+    """Of each server."""
+    speeds: tuple[float, ...]
+    """Of each place: the work that a core does in a tick."""
     queue: int
-    rate: float  # transactions a second, of all instances
-    busy: tuple  # share of the traffic of each instance
-    lanes: tuple
+    """Jobs that wait at a server at most."""
+    rate: float
+    """Requests a second, of all instances."""
+    busy: tuple[float, ...]
+    """Share of the traffic of each instance."""
+    lanes: tuple[LaneMix, ...]
     keys: int
+    """How many keys requests have."""
     zipf: float
+    """Exponent of the popularity of keys."""
     tenants: int
-    retries: int  # tries of a client after a deferral
-    heeds: float  # share of clients that heed the time to come back
-    delay: tuple  # one way: mean, spread
-    loss: float  # of connections
-    list_lag: int
-    news_lag: int
-    stage_least: int
-    boot: int
-    cold: int
+    retries: int
+    """Attempts of a client after a rejection."""
+    heeds: float
+    """Share of the clients that heed retry-after."""
+    delay: tuple[float, float]
+    """Of the network, one way: mean in ticks, standard deviation over mean."""
+    loss: float
+    """Share of the attempts that is lost."""
+    list_lag: Ticks
+    """Mean time until an instance learns of a changed endpoint."""
+    news_lag: Ticks
+    """Mean time until an instance learns of a release update."""
+    stage_least: Ticks
+    """How long a stage lasts at least."""
+    boot: Ticks
+    """Mean time until a new server is up."""
+    cold: Ticks
+    """How long a server warms up."""
     cold_from: float
-    offers: tuple
-    faults: tuple
+    """Share of its capacity at its start."""
+    offers: tuple[Offer, ...]
+    faults: tuple[Fault, ...]
     terms: Settings
-    advance: int = 0  # votes that move a build on; half of the instances if 0
-    caps: tuple = (0.08, 0.2, 0.5, 1.0, 1.0)  # of the stages
-    lists: float = 0.0  # calls a second that discovery answers; 0: it tells all unasked
-    connections: int = 0  # that a pod holds at most; 0: as many as come
-    tally_every: int = 0  # the platform tells what it counted, once so often; 0: never
-    tally_share: float = 0.1  # of the attempts that ended, which it counts
-    tally_lag: int = 5_700  # from a period's end until it is told
-    machines_first: bool = True  # a stage's clock starts when its machines run, else with the stage
+    """What the instances read at start."""
+    advance: int = 0
+    """Votes that promote a build; 0: half of the instances."""
+    caps: tuple[float, ...] = (0.08, 0.2, 0.5, 1.0, 1.0)
+    """Share of the requests that may go to the build on trial, by stage."""
+    lists: float = 0.0
+    """Calls a second that discovery answers; 0: it pushes lists."""
+    connections: int = 0
+    """That a server holds at most; 0: as many as come."""
+    tally_every: Ticks = 0
+    """How often the platform tells what it counted; 0: never."""
+    tally_share: float = 0.1
+    """Of the attempts that ended, which it counts."""
+    tally_lag: Ticks = 5_700
+    """From the end of a period until its counts are told."""
+    machines_first: bool = True
+    """Whether a stage's clock starts when its machines run, else with the stage."""
     boot_spread: float = 0.3
-    drain_after: int = 0  # a release, by the earlier machines
-    gone_after: int = 4 * TICKS_PER_SECOND  # a drain's begin
-    list_every: int = (
-        0  # changes to the list are told together, so often at most; 0: each by itself
-    )
-    handshake: int = (
-        0  # mean work of a new connection, which costs two round trips besides; 0: it costs none
-    )
+    """How far boot times differ from their mean, as a share of it."""
+    drain_after: Ticks = 0
+    """From a release until the earlier machines drain."""
+    gone_after: Ticks = 4 * TICKS_PER_SECOND
+    """From the begin of a drain until the machine is gone."""
+    list_every: Ticks = 0
+    """Changes of the list are told together, at most so often; 0: each by itself."""
+    handshake: int = 0
+    """Mean work of a new connection, which costs two round trips besides; 0: it costs none."""
 
 
+# The classes of small fleets.
 LANES = (
     LaneMix(
         RequestClass(
-            "fetch",
-            Idempotency.IDEMPOTENT,
-            DeduplicationScope.ALL,
-            5 * TICKS_PER_SECOND,
-            2000,
-            6000,
-            1.0,
-            0.0,
+            name="fetch",
+            idempotency=Idempotency.IDEMPOTENT,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window=5 * TICKS_PER_SECOND,
+            latency_objective=2000,
+            outer_limit=6000,
+            priority_weight=1.0,
+            late_priority_weight=0.0,
         ),
-        0.7,
-        80,
-        0.8,
+        share=0.7,
+        work=80,
+        spread=0.8,
     ),
     LaneMix(
         RequestClass(
-            "sync",
-            Idempotency.KEYED,
-            DeduplicationScope.ALL,
-            5 * TICKS_PER_SECOND,
-            3000,
-            9000,
-            2.0,
-            0.2,
+            name="sync",
+            idempotency=Idempotency.KEYED,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window=5 * TICKS_PER_SECOND,
+            latency_objective=3000,
+            outer_limit=9000,
+            priority_weight=2.0,
+            late_priority_weight=0.2,
         ),
-        0.2,
-        120,
-        0.8,
+        share=0.2,
+        work=120,
+        spread=0.8,
     ),
     LaneMix(
         RequestClass(
-            "pay",
-            Idempotency.NON_IDEMPOTENT,
-            DeduplicationScope.ALL,
-            5 * TICKS_PER_SECOND,
-            4000,
-            12000,
-            6.0,
-            0.2,
+            name="pay",
+            idempotency=Idempotency.NON_IDEMPOTENT,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window=5 * TICKS_PER_SECOND,
+            latency_objective=4000,
+            outer_limit=12000,
+            priority_weight=6.0,
+            late_priority_weight=0.2,
         ),
-        0.1,
-        150,
-        0.6,
+        share=0.1,
+        work=150,
+        spread=0.6,
     ),
 )
-WAVES, CAPS = (0.04, 0.1, 0.25, 0.55, 1.0), (0.08, 0.2, 0.5, 1.0, 1.0)
-TROUBLES = ("slow pods", "ill pod", "loss", "late list", "late news", "kills", "burst")
+# Fraction of the machines that runs the build on trial, by stage.
+WAVES = (0.04, 0.1, 0.25, 0.55, 1.0)
+# Jobs that wait at a server at most.
+QUEUE_LIMIT = 64
+# Share of its capacity that a server has at its start.
+WARMUP_INITIAL_FRACTION = 0.31
+CORES = 2
+# What a small fleet's platform takes of votes, per second.
+VOTES_PER_SECOND = 150.0
+# One instance in so many is enough to roll a build back.
+INSTANCES_PER_REVERT_VOTE = 20
+# What a day's faults are drawn from. The order decides what a seed gives.
+DRAWN_FAULTS = (
+    FaultKind.SLOW_PODS,
+    FaultKind.ERRORS,
+    FaultKind.CONNECTION_LOSS,
+    FaultKind.LATE_LISTS,
+    FaultKind.LATE_RELEASE_UPDATES,
+    FaultKind.RESTARTS,
+    FaultKind.BURST,
+)
+# Places, or instances, that a fault strikes: one in so many.
+STRUCK_PART = 5
 
 
-def terms(lanes, instances, cold, cold_from):
+class Defect(StrEnum):
+    """How a bad build of a small fleet is bad."""
+
+    ERRORS = "errors"
+    SLOW = "slow"
+    LATER = "errors after a while"
+    UNDER_LOAD = "errors where busy"
+
+
+# The order decides what a seed gives.
+DEFECTS = (Defect.ERRORS, Defect.SLOW, Defect.LATER, Defect.UNDER_LOAD)
+
+
+def settings_for(
+    lanes: tuple[LaneMix, ...],
+    instances: int,
+    *,
+    warmup_duration: Ticks,
+    warmup_initial_fraction: float,
+    votes_to_revert: int,
+    votes_per_second: float,
+) -> Settings:
+    """What the instances of a simulated fleet read at start.
+
+    Args:
+        lanes: the request classes.
+        instances: how many sidecars there are.
+        warmup_duration: how long a server warms up.
+        warmup_initial_fraction: share of its capacity at its start.
+        votes_to_revert: votes that roll a build back; one at least.
+        votes_per_second: what the platform takes from all instances together.
+    """
     return Settings(
         request_classes={one.lane.name: one.lane for one in lanes},
         instances=instances,
@@ -152,8 +287,8 @@
         retry_after_allowed=True,
         load_metrics=(),
         poll_within=10 * TICKS_PER_SECOND,
-        warmup_initial_fraction=cold_from,
-        warmup_duration=cold,
+        warmup_initial_fraction=warmup_initial_fraction,
+        warmup_duration=warmup_duration,
         overload_factor=2.0,
         overload_window=3 * TICKS_PER_SECOND // 2,
         exposure_window=3 * TICKS_PER_SECOND,
@@ -164,29 +299,96 @@
         sticky_keys=True,
         replaces_machines=False,
         promotion_mode=PromotionMode.QUORUM,
-        votes_to_revert=max(1, instances // 20),
+        votes_to_revert=max(1, votes_to_revert),
         vote_lifetime=4 * TICKS_PER_SECOND,
         vote_timeout=12_000,
-        votes_per_second=150.0,
+        votes_per_second=votes_per_second,
     )
 
 
 def drawn(
-    seed, instances=40, pods=24, rate=400.0, seconds=40, load=0.5, troubles=2, offers=1, lanes=LANES
-):
-    """A day of this size. load: share of what all pods can do, by which their speed is set."""
+    seed: int,
+    *,
+    instances: int = 40,
+    pods: int = 24,
+    rate: float = 400.0,
+    seconds: int = 40,
+    load: float = 0.5,
+    troubles: int = 2,
+    offers: int = 1,
+    lanes: tuple[LaneMix, ...] = LANES,
+) -> Day:
+    """Draws a day of a small fleet.
+
+    Args:
+        seed: what the day is drawn from.
+        instances: how many sidecars there are.
+        pods: how many servers.
+        rate: requests a second, of all instances.
+        seconds: how long the day lasts.
+        load: share of what all servers can do, by which their speed is set.
+        troubles: how many faults there are.
+        offers: how many builds are offered.
+        lanes: the request classes.
+    """
     chance = np.random.Generator(np.random.PCG64(seed))
-    span, cold, cold_from, cores = (
-        seconds * TICKS_PER_SECOND,
-        int(chance.uniform(3, 6) * TICKS_PER_SECOND),
-        0.31,
-        2,
-    )
+    span = seconds * TICKS_PER_SECOND
+    cold = int(chance.uniform(3, 6) * TICKS_PER_SECOND)
     work = sum(one.share * one.work for one in lanes) / TICKS_PER_SECOND
-    speed = rate * work / (load * pods * cores)
-    # Few transactions a pod at a given load mean long ones: what clients bear grows with them.
-    stretch = max(1.0, 1 / speed)
-    lanes = tuple(
+    speed = rate * work / (load * pods * CORES)
+    # Few requests a server at a given load mean long ones: what clients bear grows with them.
+    lanes = _stretched(lanes, max(1.0, 1 / speed))
+    speeds = tuple(float(speed * one) for one in chance.uniform(0.8, 1.2, pods))
+    shares = chance.lognormal(0, 0.8, instances)
+    told = tuple(
+        _drawn_offer(chance, 2 + number, 4 + number * seconds / max(1, offers))
+        for number in range(offers)
+    )
+    faults = tuple(
+        _drawn_fault(FaultKind(str(name)), chance, span, pods, instances)
+        for name in chance.choice(DRAWN_FAULTS, troubles, replace=False)
+    )
+    return Day(
+        seed=seed,
+        span=span,
+        instances=instances,
+        pods=pods,
+        zones=("a", "b", "c"),
+        cores=CORES,
+        speeds=speeds,
+        queue=QUEUE_LIMIT,
+        rate=rate,
+        busy=tuple(float(one) for one in shares / shares.sum()),
+        lanes=lanes,
+        keys=20_000,
+        zipf=0.9,
+        tenants=4,
+        retries=2,
+        heeds=0.7,
+        delay=(8, 0.3),
+        loss=0.0005,
+        list_lag=3000,
+        news_lag=3000,
+        stage_least=TICKS_PER_SECOND,
+        boot=2 * TICKS_PER_SECOND,
+        cold=cold,
+        cold_from=WARMUP_INITIAL_FRACTION,
+        offers=told,
+        faults=faults,
+        terms=settings_for(
+            lanes,
+            instances,
+            warmup_duration=cold,
+            warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
+            votes_to_revert=instances // INSTANCES_PER_REVERT_VOTE,
+            votes_per_second=VOTES_PER_SECOND,
+        ),
+    )
+
+
+def _stretched(lanes: tuple[LaneMix, ...], stretch: float) -> tuple[LaneMix, ...]:
+    """The same classes with their latency objectives and limits longer by this factor."""
+    return tuple(
         one._replace(
             lane=one.lane._replace(
                 latency_objective=int(one.lane.latency_objective * stretch),
@@ -195,80 +397,56 @@
         )
         for one in lanes
     )
-    speeds = tuple(float(speed * one) for one in chance.uniform(0.8, 1.2, pods))
-    shares = chance.lognormal(0, 0.8, instances)
-    told = []
-    for number in range(offers):
-        good = bool(chance.random() < 0.5)
-        how = int(chance.integers(0, 4))
-        told.append(
-            Offer(
-                int((4 + number * seconds / max(1, offers)) * TICKS_PER_SECOND),
-                2 + number,
-                good,
-                0.0 if good or how == 1 else float(chance.uniform(0.1, 0.5)),
-                float(chance.uniform(0.9, 1.1))
-                if good or how != 1
-                else float(chance.uniform(2, 4)),
-                int(chance.uniform(2, 6) * TICKS_PER_SECOND) if how == 2 and not good else 0,
-                float(chance.uniform(0.3, 0.6)) if how == 3 and not good else 0.0,
-            )
-        )
-    faults = []
-    for name in chance.choice(TROUBLES, troubles, replace=False):
-        begin = int(chance.uniform(0.15, 0.7) * span)
-        end = begin + int(chance.uniform(0.1, 0.25) * span)
-        some = tuple(int(one) for one in chance.choice(pods, max(1, pods // 5), replace=False))
-        faults.append(
-            {
-                "slow pods": Fault("pods", begin, end, some, float(chance.uniform(1.5, 3))),
-                "ill pod": Fault("ill", begin, end, some[:1], float(chance.uniform(0.3, 0.8))),
-                "loss": Fault("network", begin, end, (), float(chance.uniform(0.02, 0.15))),
-                "late list": Fault(
-                    "discovery", begin, end, (), float(chance.uniform(1, 4)) * TICKS_PER_SECOND
-                ),
-                "late news": Fault(
-                    "platform", begin, end, (), float(chance.uniform(1, 5)) * TICKS_PER_SECOND
-                ),
-                "kills": Fault(
-                    "kill",
-                    begin,
-                    end,
-                    tuple(
-                        int(one)
-                        for one in chance.choice(instances, max(1, instances // 5), replace=False)
-                    ),
-                    float(chance.uniform(0.3, 2)) * TICKS_PER_SECOND,
-                ),
-                "burst": Fault("burst", begin, end, (), float(chance.uniform(1.3, 2.0))),
-            }[str(name)]
-        )
-    return Day(
-        seed,
-        span,
-        instances,
-        pods,
-        ("a", "b", "c"),
-        cores,
-        speeds,
-        64,
-        rate,
-        tuple(float(one) for one in shares / shares.sum()),
-        lanes,
-        20_000,
-        0.9,
-        4,
-        2,
-        0.7,
-        (8, 0.3),
-        0.0005,
-        3000,
-        3000,
-        TICKS_PER_SECOND,
-        2 * TICKS_PER_SECOND,
-        cold,
-        cold_from,
-        tuple(told),
-        tuple(faults),
-        terms(lanes, instances, cold, cold_from),
+
+
+def _drawn_offer(chance: Generator, build: int, seconds: float) -> Offer:
+    """A build that is offered at this second, good or bad with equal chance."""
+    good = bool(chance.random() < 0.5)
+    # It is drawn for a good build too.
+    defect = DEFECTS[int(chance.integers(0, len(DEFECTS)))]
+    fails = not good and defect != Defect.SLOW
+    slow = not good and defect == Defect.SLOW
+    later = not good and defect == Defect.LATER
+    under_load = not good and defect == Defect.UNDER_LOAD
+    return Offer(
+        at=int(seconds * TICKS_PER_SECOND),
+        build=build,
+        good=good,
+        fails=float(chance.uniform(0.1, 0.5)) if fails else 0.0,
+        slow=float(chance.uniform(2, 4)) if slow else float(chance.uniform(0.9, 1.1)),
+        after=int(chance.uniform(2, 6) * TICKS_PER_SECOND) if later else 0,
+        load=float(chance.uniform(0.3, 0.6)) if under_load else 0.0,
     )
+
+
+def _drawn_fault(
+    kind: FaultKind, chance: Generator, span: Ticks, pods: int, instances: int
+) -> Fault:
+    """A fault of this kind. What any kind needs is drawn for each, in this order."""
+    begin = int(chance.uniform(0.15, 0.7) * span)
+    end = begin + int(chance.uniform(0.1, 0.25) * span)
+    places = _drawn_part(chance, pods)
+    slow = float(chance.uniform(1.5, 3))
+    failing = float(chance.uniform(0.3, 0.8))
+    lost = float(chance.uniform(0.02, 0.15))
+    list_delay = float(chance.uniform(1, 4)) * TICKS_PER_SECOND
+    update_delay = float(chance.uniform(1, 5)) * TICKS_PER_SECOND
+    restarted = _drawn_part(chance, instances)
+    restart_time = float(chance.uniform(0.3, 2)) * TICKS_PER_SECOND
+    burst = float(chance.uniform(1.3, 2.0))
+    struck: dict[FaultKind, tuple[tuple[int, ...], float]] = {
+        FaultKind.SLOW_PODS: (places, slow),
+        FaultKind.ERRORS: (places[:1], failing),
+        FaultKind.CONNECTION_LOSS: ((), lost),
+        FaultKind.LATE_LISTS: ((), list_delay),
+        FaultKind.LATE_RELEASE_UPDATES: ((), update_delay),
+        FaultKind.RESTARTS: (restarted, restart_time),
+        FaultKind.BURST: ((), burst),
+    }
+    return Fault(kind, begin, end, *struck[kind])
+
+
+def _drawn_part(chance: Generator, count: int) -> tuple[int, ...]:
+    """One in STRUCK_PART of so many, one at least, by number."""
+    part = max(1, count // STRUCK_PART)
+    return tuple(int(one) for one in chance.choice(count, part, replace=False))
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -34,7 +34,7 @@
 from ..state.random_source import LinearCongruentialGenerator
 from .invariants import InvariantChecker
 from .random_streams import Stream, gamma, zipf_keys
-from .scenarios import Day
+from .scenarios import Day, FaultKind
 from .servers import Build, Pod, PodState
 from .shared_services import Connections, Discovery, pace_of
 
@@ -846,43 +846,43 @@
     # Faults.
 
     def _fault(self, fault, begins):
-        if fault.kind == "pods":
+        if fault.kind == FaultKind.SLOW_PODS:
             for pod in self.pods.values():
                 if int(pod.name[1:].split("-")[0]) in fault.what:
                     pod.speed *= 1 / fault.size if begins else fault.size
-        elif fault.kind == "ill":
+        elif fault.kind == FaultKind.ERRORS:
             for at in fault.what:
                 if begins:
                     self.listed[f"p{at}-1"] = fault.size
                 else:
                     self.listed.pop(f"p{at}-1", None)
-        elif fault.kind == "network":
+        elif fault.kind == FaultKind.CONNECTION_LOSS:
             self.loss = fault.size if begins else self.day.loss
-        elif fault.kind == "discovery":
+        elif fault.kind == FaultKind.LATE_LISTS:
             self.slow_list = int(fault.size) if begins else 0
-        elif fault.kind == "platform":
+        elif fault.kind == FaultKind.LATE_RELEASE_UPDATES:
             self.slow_news = int(fault.size) if begins else 0
-        elif fault.kind == "burst":
+        elif fault.kind == FaultKind.BURST:
             self.burst = fault.size if begins else 1.0
-        elif fault.kind == "slow all":
+        elif fault.kind == FaultKind.SLOW_ALL:
             self.slow_all = fault.size if begins else 1.0
-        elif fault.kind == "calls":
+        elif fault.kind == FaultKind.CALLS_DOWN:
             self.calls_down = fault.size if begins else None
-        elif fault.kind == "lost answers":
+        elif fault.kind == FaultKind.LOST_ANSWERS:
             self.lost_answers = fault.size if begins else 0.0
-        elif fault.kind == "cut":
+        elif fault.kind == FaultKind.ZONE_CUT:
             zones = {self.day.zones[at] for at in fault.what}
             self.cuts = self.cuts | zones if begins else self.cuts - zones
             if not begins:
                 self._announce()  # news comes again and again: what was missed is told then
-        elif fault.kind == "silent":
+        elif fault.kind == FaultKind.SILENT_PODS:
             for pod in self.pods.values():
                 pod.silent = begins and int(pod.name[1:].split("-")[0]) in fault.what
-        elif fault.kind == "pause" and begins:
+        elif fault.kind == FaultKind.PAUSES and begins:
             self._pause(fault)
-        elif fault.kind == "zone":
+        elif fault.kind == FaultKind.ZONE_LOSS:
             self._zone(self.day.zones[fault.what[0]], begins)
-        elif fault.kind == "kill" and begins:
+        elif fault.kind == FaultKind.RESTARTS and begins:
             for instance in fault.what:
                 self.balancers[instance] = None
                 self.turns[instance] += 1
