--- a/Makefile
+++ b/Makefile
@@ -20,28 +20,14 @@
 	thymeknot/coordination/drain_agent.py \
 	thymeknot/coordination/incarnation.py \
 	thymeknot/coordination/settings.py \
-	thymeknot/decision_log/entry_codec.py \
-	thymeknot/decision_log/explanations.py \
-	thymeknot/decision_log/fair_eviction.py \
-	thymeknot/decision_log/heavy_hitters.py \
-	thymeknot/decision_log/settings.py \
-	thymeknot/decision_log/slot_file.py \
+	thymeknot/decision_log \
 	thymeknot/disruption \
 	thymeknot/gang_scheduling \
-	thymeknot/gossip/codec.py \
-	thymeknot/gossip/credibility.py \
-	thymeknot/gossip/dissemination_queue.py \
-	thymeknot/gossip/keyring.py \
-	thymeknot/gossip/keys.py \
-	thymeknot/gossip/membership.py \
-	thymeknot/gossip/own_experience.py \
-	thymeknot/gossip/rate_limits.py \
-	thymeknot/gossip/replay_window.py \
-	thymeknot/gossip/settings.py \
-	thymeknot/gossip/suspicion.py \
+	thymeknot/gossip \
 	thymeknot/interface \
 	thymeknot/load_generator \
 	thymeknot/operator_config \
+	thymeknot/policy \
 	thymeknot/polling \
 	thymeknot/protocol \
 	thymeknot/proxy/descriptor_budget.py \
--- a/tests/unit/proxy/test_release_channel.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -58,7 +58,7 @@
         self.assertEqual(votes, [Outcome.DONE])  # the vote counted, whichever state is the newer
         here, there = (
             (held.build, STATES[held.phase], held.cap)
-            for held in (network.proxy.news, network.proxy.engine.context.release)
+            for held in (network.proxy.releases.latest, network.proxy.engine.context.release)
         )
         self.assertEqual(here, there)
         return here
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -279,7 +279,7 @@
             proxy.settings,
             proxy.connection_limits,
             proxy.engine.context.settings,
-            proxy.most_clients,
+            proxy.listener.most_clients,
         )
         proxy.reconfigure(configuration.read({**example(), "settings": other_settings()}, 0))
         self.assertEqual(
@@ -287,7 +287,7 @@
                 proxy.settings,
                 proxy.connection_limits,
                 proxy.engine.context.settings,
-                proxy.most_clients,
+                proxy.listener.most_clients,
             ),
             before,
         )
--- a/tests/unit/service/test_structured_log.py
+++ b/tests/unit/service/test_structured_log.py
@@ -12,7 +12,7 @@
 from thymeknot.service.structured_log import VARIABLE
 
 CALL = re.compile(
-    r'(?:structured_log\.(?:log|seldom)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|said\.append\(\s*\(\s*"([^"]+)"',
+    r'(?:structured_log\.(?:log|seldom)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|LogEvent\(\s*"([^"]+)"',
     re.M,
 )
 
--- a/thymeknot/__main__.py
+++ b/thymeknot/__main__.py
@@ -14,14 +14,14 @@
     if not words:
         # Before anything is loaded: the file that a SIGHUP announces is read after this anyway.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
-    from .service import required_libraries
+    from .service import required_libraries  # noqa: PLC0415 (imported where it is needed)
 
     try:
         if words:
             with required_libraries.libraries_from(required_libraries.COMMANDS):
-                from .cli.main import thymeknot
+                from .cli.main import thymeknot  # noqa: PLC0415 (imported where it is needed)
             thymeknot(prog_name="thymeknot")  # ends the process with its own exit code
-        from .service import lifecycle
+        from .service import lifecycle  # noqa: PLC0415 (imported where it is needed)
 
         return lifecycle.main(os.environ)
     except required_libraries.MissingLibraryError as error:
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -49,7 +49,7 @@
     clock: Callable[[], Ticks]
     epoch: Ticks
     """Unix time less the clock's."""
-    refusals: Any
+    rejections: Any
     """Hears every reason, and passes it on to `then`."""
 
 
@@ -107,7 +107,7 @@
         self.done = Reason.DONE
         self.left = Reason.LEFT
         self.abandoned = Reason.ABANDONED
-        proxy.refusals.then = self.record.say
+        proxy.rejections.then = self.record.say
         try:
             self.port = self._listen(folder)
         except (CannotListenError, OSError) as error:
--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -114,7 +114,7 @@
         actions: what the process is to do, not yet given back.
     """
 
-    def __init__(
+    def __init__(  # noqa: PLR0917 (callers pass them by position)
         self,
         unit: str,
         start: int,
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -185,7 +185,7 @@
         self.queue.prune(now, lambda item: self._is_current(item, unix))
         for name, before, after in self.members.events:
             fields = {"peer": name, "before": before.value, "now": after.value}
-            self.context.log_events.append(LogEvent("peer", fields))
+            self.context.log_events.append(LogEvent("peer state changed", fields))
             if after == MemberState.DEAD:
                 self.suspicions.forget_origin(name)
         self.members.events = []
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -289,13 +289,16 @@
             failed = True
         else:
             return
-        self.node.suspicions.record_attempt(self._clock(), attempt.pod.address, failed)
+        self.node.suspicions.record_attempt(self._clock(), attempt.endpoint.address, failed)
 
     def _had_full_time(self, attempt: Any) -> bool:
         """Returns whether an attempt had the time that its request class should take."""
         classes = self._proxy.settings.request_classes
-        request_class = classes[attempt.held.command.request_class]
-        return bool(attempt.ends - attempt.at >= FULL_ATTEMPT * request_class.latency_objective)
+        request_class = classes[attempt.request.command.request_class]
+        return bool(
+            attempt.expires_at - attempt.started_at
+            >= FULL_ATTEMPT * request_class.latency_objective
+        )
 
     def listed(self) -> None:
         """Takes up the ready endpoints that the proxy has now."""
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -103,7 +103,7 @@
         self.waits: int | None = None
         """The timer until which a first command is waited for."""
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.opened_at = self.timers.clock()
         self.transport.setTcpNoDelay(True)
@@ -111,7 +111,7 @@
         self._expect(SPEAKS_WITHIN)
         self.owner.opened(self)
 
-    def connectionLost(self, reason: Any = None) -> None:
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.sound = False
         self.gone = True
@@ -119,7 +119,7 @@
             self.timers.cancel(deadline)
         self.owner.left(self)
 
-    def readConnectionLost(self) -> None:
+    def readConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
         """The client has shut its sending side, so it counts as gone.
 
         What waits is not forwarded; what is answered already still goes out, since it may be
@@ -134,7 +134,7 @@
         self.places.clear()
         self.finish()
 
-    def writeConnectionLost(self) -> None:
+    def writeConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
         """Sending ends by shutdown alone, not by the transport."""
 
     def _expect(self, within: Ticks) -> None:
@@ -161,13 +161,13 @@
         else:
             self.finish()
 
-    def pauseProducing(self) -> None:
+    def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The client does not read what is written."""
         self.blocked = True
         self._read_on()
         self._end_within(READS_WITHIN)
 
-    def resumeProducing(self) -> None:
+    def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The client reads again, or nothing is left to write."""
         if self.ended:
             if self.flushing:
@@ -179,7 +179,7 @@
             self.timers.cancel(self.last)
             self.last = None
 
-    def stopProducing(self) -> None:
+    def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The transport says so when it is lost; connectionLost follows."""
 
     def _end_within(self, within: Ticks) -> None:
@@ -219,7 +219,7 @@
         """Whether it is new, and the command that it was opened for is on its way."""
         return not self.spoke and now < self.opened_at + SPEAKS_FIRST
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         if not self.sound:
             return
--- a/thymeknot/protocol/http_calls.py
+++ b/thymeknot/protocol/http_calls.py
@@ -36,12 +36,12 @@
         self.status = 0
         self.body = bytearray()
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
         self.write_whole(self.request)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         try:
             for part in self.parser.feed(data):
@@ -84,7 +84,7 @@
         if done is not None:
             done.callback(end)
 
-    def connectionLost(self, reason: Any = None) -> None:
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         if reason.check(ConnectionDone):
             for part in self.parser.closed():
@@ -101,11 +101,11 @@
         self.made = made
         self.failed = failed
 
-    def buildProtocol(self, address: Any) -> Protocol:
+    def buildProtocol(self, address: Any) -> Protocol:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         return self.made
 
-    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:
+    def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.failed(BrokenConnection(NOT_CONNECTED, reason.getErrorMessage()))
 
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -42,7 +42,7 @@
         self.over = False
         self.connector: Any = None
 
-    def connectionMade(self) -> None:
+    def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         if not self.owner.has(self):  # given up while it was on its way
             self.transport.abortConnection()
@@ -51,7 +51,7 @@
         self.transport.setTcpNoDelay(True)
         self.transport.write(self.request)
 
-    def dataReceived(self, data: bytes) -> None:
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         try:
             for part in self.parser.feed(data):
@@ -82,7 +82,7 @@
             self.owner.heard(self)
         return True
 
-    def connectionLost(self, reason: Any = None) -> None:
+    def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.over = True
         self.owner.ended(self, reason.getErrorMessage())
@@ -125,7 +125,7 @@
     MAX_DOUBLINGS = 10
     """Of the time for a first word."""
 
-    def __init__(
+    def __init__(  # noqa: PLR0917 (callers pass them by position)
         self,
         caller: HttpCaller,
         random_source: Any,
--- a/thymeknot/protocol/write_progress.py
+++ b/thymeknot/protocol/write_progress.py
@@ -87,7 +87,7 @@
         self._content = content
         self.transport.registerProducer(self, False)
 
-    def resumeProducing(self) -> None:
+    def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by the transport when nothing is left to write."""
         if self._content:
             content = self._content
@@ -97,7 +97,7 @@
             self.written = True
             self.transport.unregisterProducer()
 
-    def stopProducing(self) -> None:
+    def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The transport says so when it is lost; connectionLost follows."""
 
     def how_far(self, reason: str) -> BrokenConnection:
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -42,7 +42,7 @@
 
 def loop() -> Any:
     """The event loop. Its own clock is Unix time: a step back of that would hold up all timers."""
-    from twisted.internet import reactor
+    from twisted.internet import reactor  # noqa: PLC0415 (imported where it is needed)
 
     installed: Any = reactor
     installed.seconds = time.monotonic
@@ -98,8 +98,8 @@
             print(f"thymeknot: {error}", file=sys.stderr)
             return EXIT_UNUSABLE
         # Not before the files are checked: a faulty one is told at once.
-        from ..proxy.proxy import Proxy
-        from ..state.timer_queue import TimerQueue
+        from ..proxy.proxy import Proxy  # noqa: PLC0415 (imported where it is needed)
+        from ..state.timer_queue import TimerQueue  # noqa: PLC0415 (imported where it is needed)
 
         self.reactor = loop()
         for number in STOPS:
@@ -134,7 +134,7 @@
         """Begins to serve; the first call counts."""
         if self.serving or self.stopping or self.waits:
             return
-        from twisted.internet.error import CannotListenError
+        from twisted.internet.error import CannotListenError  # noqa: PLC0415 (imported where it is needed)
 
         try:
             self.proxy.serve()
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -113,7 +113,7 @@
 
 def take_over() -> None:
     """Makes errors that the network library logs come out as events of the same kind."""
-    from twisted.logger import ILogObserver, LogLevel, globalLogBeginner
+    from twisted.logger import ILogObserver, LogLevel, globalLogBeginner  # noqa: PLC0415 (imported where it is needed)
 
     def observe(event: Any) -> None:
         if event["log_level"] < LogLevel.error:
