--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -11,6 +11,7 @@
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.protocol.client import ClientConnection
 from thymeknot.proxy.attempt import Attempt
+from thymeknot.proxy.client_requests import ClientRequests
 from thymeknot.proxy.proxy import Proxy
 
 ONE, POD = st.integers(0, 3), st.integers(0, 2)
@@ -244,7 +245,7 @@
 
     def test_a_client_that_has_gone_and_is_not_noticed(self):
         with (
-            mock.patch.object(Proxy, "gone", lambda self, connection: None),
+            mock.patch.object(ClientRequests, "gone", lambda self, connection: None),
             self.assertRaises(Wrong) as found,
         ):
             play(
--- /dev/null
+++ b/thymeknot/proxy/client_requests.py
@@ -0,0 +1,168 @@
+"""Takes clients' requests and gives them their answers."""
+
+from typing import TYPE_CHECKING
+
+from ..interface.actions import Fail, Reject
+from ..interface.events import ClientDisconnected, RequestReceived
+from ..protocol import resp
+from ..protocol.client import ClientConnection, Command
+from ..protocol.write_progress import has_left
+from ..service import structured_log
+from .attempt import BUSY
+from .in_flight import InFlightRequest, RequestTable
+
+if TYPE_CHECKING:
+    from .proxy import Proxy
+
+OVERDUE_AFTER = 50
+"""Ticks after its client's end: a request still without an answer gets one."""
+
+FAILED_ANSWER = resp.failure("ERR abandoned")
+"""The answer to a request that has failed and may have run."""
+
+
+def notice_if_gone(request: InFlightRequest) -> None:
+    """Ends the request's connection if its client has left.
+
+    The reactor may have read something else before the end, or does not read that connection.
+    """
+    if not request.closed and has_left(request.connection.transport):
+        request.connection.readConnectionLost()
+
+
+class ClientRequests:
+    """What stands between the clients' connections and the decisions.
+
+    Attributes:
+        proxy: Who tells the decisions of requests.
+        table: The requests in flight.
+        timers: All timers of the program.
+        clock: The time, in ticks.
+    """
+
+    def __init__(self, proxy: "Proxy", table: RequestTable) -> None:
+        self.proxy = proxy
+        self.table = table
+        self.timers = proxy.timers
+        self.clock = proxy.clock
+
+    def gone(self, connection: ClientConnection) -> None:
+        """Ends the requests of a connection whose client waits for nothing more."""
+        proxy = self.proxy
+        for request in self.table.by_slot if connection.places else ():
+            if request.connection is connection and not request.closed:
+                request.closed = True
+                if proxy.why is not None:
+                    proxy.why.ended(request.id, proxy.why.left)
+                proxy.tell(ClientDisconnected(request.id))
+                # Also where none may be cancelled: these are not out yet.
+                for attempt in request.attempts:
+                    if attempt.in_flight and not attempt.written():
+                        attempt.withdraw()
+                request_class = proxy.settings.request_classes[request.command.request_class]
+                self.table.remember(request, request_class.idempotency)
+                self.table.release(request)
+
+    def take(self, connection: ClientConnection, place: int, command: Command) -> None:
+        """Takes a request, or answers at once why it is not taken."""
+        proxy = self.proxy
+        name = command.id.decode()
+        request_class = proxy.settings.request_classes.get(command.request_class)
+        if request_class is None:
+            connection.answer(place, resp.failure("ERR no such lane"))
+            return
+        requests = self.table
+        if name in requests.by_id:
+            earlier = requests.find(name)
+            if earlier is not None:
+                notice_if_gone(earlier)
+            if connection.gone:  # it was the same
+                return
+        if name in requests.by_id or name in requests.may_have_run:
+            self._take_repeat(name, connection, place, command)
+            return
+        if len(requests.by_slot) + len(requests.may_have_run) >= proxy.connection_limits.max_open:
+            connection.answer(place, resp.failure(BUSY))
+            return
+        now = connection.used_at = self.clock()
+        # Nothing is earned after the outer limit: no client has a request held for longer.
+        left = min(command.left * 10, request_class.outer_limit)
+        answer_by = proxy.shutdown.answer_by
+        if answer_by is not None:
+            left = min(left, answer_by - now)
+            if left <= 0:
+                connection.answer(place, resp.failure(BUSY))
+                return
+        request = InFlightRequest(name, command, connection, place, now + left)
+        request.slot = requests.by_id[name] = requests.by_slot.add(request)
+        request.overdue_timer = self.timers.add(
+            request.expires_at + OVERDUE_AFTER, self._overdue, request
+        )
+        key = command.key.decode() or None
+        proxy.exposure.took(now, command.request_class)
+        if proxy.why is not None:
+            proxy.why.taken(name, command)
+        proxy.tell(
+            RequestReceived(
+                name, command.request_class, command.tenant, key, left, None, command.repeat, False
+            )
+        )
+
+    def _take_repeat(
+        self, name: str, connection: ClientConnection, place: int, command: Command
+    ) -> None:
+        """Takes a request whose id was taken before.
+
+        A client whose connection was closed under a request that it thinks unread sends it once
+        more. Where attempts of the first copy are out still, what they bring is the answer; where
+        it may have run, it does not run again.
+        """
+        proxy = self.proxy
+        request = self.table.find(name)
+        if request is None:
+            connection.answer(place, resp.failure("ERR this id may have run already"))
+            return
+        if not request.closed or not request.connection.gone or request.command[:3] != command[:3]:
+            connection.answer(place, resp.failure("ERR this id is in hand already"))
+            return
+        now = self.clock()
+        request.connection = connection
+        request.place = place
+        request.closed = False
+        request.repeated = True
+        request_class = proxy.settings.request_classes[request.command.request_class]
+        request.expires_at = now + min(command.left * 10, request_class.outer_limit)
+        self.timers.cancel(request.overdue_timer)
+        request.overdue_timer = self.timers.add(
+            request.expires_at + OVERDUE_AFTER, self._overdue, request
+        )
+
+    def _overdue(self, request: InFlightRequest) -> None:
+        """Answers a request that the decisions have missed: an answer is still owed."""
+        proxy = self.proxy
+        if not request.closed:
+            structured_log.log("overdue", id=request.id, out=request.attempts_out)
+            if proxy.why is not None:
+                proxy.why.ended(request.id, proxy.why.abandoned)
+            self.answer(request, FAILED_ANSWER)
+            proxy.tell(ClientDisconnected(request.id))
+
+    def answer(self, request: InFlightRequest | None, content: bytes) -> None:
+        """Gives a request its final answer, if it is owed one."""
+        proxy = self.proxy
+        if request and not request.closed:
+            request.closed = True
+            request.connection.answer(request.place, content)
+            self.table.release(request)
+            if proxy.why is not None and not request.attempts_out:
+                proxy.why.over(request.id)
+
+    def reject(self, action: Reject) -> None:
+        """Gives the final answer that promises no effect."""
+        milliseconds = -(-action.retry_after // 10)
+        content = resp.failure(f"{BUSY} {milliseconds}" if milliseconds else BUSY)
+        self.answer(self.table.find(action.id), content)
+
+    def fail(self, action: Fail) -> None:
+        """Gives the final answer of a request that may have run."""
+        self.answer(self.table.find(action.id), FAILED_ANSWER)
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -31,15 +31,12 @@
     Event,
     LateResponseSeen,
     ReleaseUpdate,
-    RequestReceived,
     TimerFired,
 )
 from ..policy.engine import PROOF, DecisionEngine
 from ..protocol import resp
 from ..protocol.calls import HttpCaller
-from ..protocol.client import ClientConnection, Command
 from ..protocol.pod import PodResponse
-from ..protocol.write_progress import has_left
 from ..service import structured_log
 from ..service.configuration import StartConfiguration
 from ..service.rejection_summary import RejectionSummary
@@ -48,20 +45,15 @@
 from ..state.slot_table import SlotTable
 from ..state.timer_queue import TimerQueue
 from ..state.trial_exposure import TrialExposure
-from .attempt import BUSY, Attempt
+from .attempt import Attempt
 from .client_listener import ClientListener
+from .client_requests import FAILED_ANSWER, ClientRequests, notice_if_gone
 from .descriptor_budget import descriptor_budget
 from .endpoint_updates import Address, EndpointUpdates
 from .graceful_shutdown import GracefulShutdown
-from .in_flight import InFlightRequest, RequestTable
+from .in_flight import RequestTable
 from .release_channel import ReleaseChannel
 
-OVERDUE_AFTER = 50
-"""Ticks after its client's end: a request still without an answer gets one."""
-
-FAILED_ANSWER = resp.failure("ERR abandoned")
-"""The answer to a request that has failed and may have run."""
-
 KEYS_READ_AT_START = {
     "name": "name",
     "listen": "listen",
@@ -89,6 +81,7 @@
         shutdown: Drains the listener.
         requests: The requests in flight.
         transactions: The table of these by slot.
+        client_requests: Takes and answers requests.
         exposure: What was received and what was sent to the newest build on trial.
         inbox: Events that the decisions are yet to be told of.
         deciding: Whether the decisions are being told of events: further ones wait in `inbox`.
@@ -115,18 +108,19 @@
         self.pools = ConnectionPools(
             reactor, timers, self.connection_limits, budget.endpoints, structured_log.fault
         )
+        self.requests = RequestTable(timers)
+        self.transactions = self.requests.by_slot
+        self.client_requests = ClientRequests(self, self.requests)
         self.listener = ClientListener(
             reactor,
             timers,
             start.listen,
             sockets=start.sockets,
             most_clients=budget.clients,
-            take=self.take,
-            gone=self.gone,
+            take=self.client_requests.take,
+            gone=self.client_requests.gone,
         )
         self.shutdown = GracefulShutdown(self.listener)
-        self.requests = RequestTable(timers)
-        self.transactions = self.requests.by_slot
         self.exposure = TrialExposure(start.settings)
         self.inbox: list[Event] = []
         self.deciding = False
@@ -144,8 +138,8 @@
         return {
             SendAttempt: self._send,
             CancelAttempt: self._cancel,
-            Reject: self._reject,
-            Fail: self._fail,
+            Reject: self.client_requests.reject,
+            Fail: self.client_requests.fail,
             SetTimer: self._set_timer,
             CloseIdleConnections: self._close_idle,
             SubscribeToEndpoints: self.endpoints.subscribe,
@@ -273,7 +267,7 @@
             name = getattr(event, "id", None)
             request = None if name is None else self.requests.find(name)
             if request and not request.closed and not request.attempts_out:
-                self._answer(request, FAILED_ANSWER)
+                self.client_requests.answer(request, FAILED_ANSWER)
                 self.inbox.append(ClientDisconnected(request.id))
         else:
             self._carry_out(actions)
@@ -312,131 +306,6 @@
         finally:
             self.deciding = deciding
 
-    # Clients' requests.
-
-    def gone(self, connection: ClientConnection) -> None:
-        """Ends the requests of a connection whose client waits for nothing more."""
-        for request in self.transactions if connection.places else ():
-            if request.connection is connection and not request.closed:
-                request.closed = True
-                if self.why is not None:
-                    self.why.ended(request.id, self.why.left)
-                self.tell(ClientDisconnected(request.id))
-                # Also where none may be cancelled: these are not out yet.
-                for attempt in request.attempts:
-                    if attempt.in_flight and not attempt.written():
-                        attempt.withdraw()
-                request_class = self.settings.request_classes[request.command.request_class]
-                self.requests.remember(request, request_class.idempotency)
-                self.requests.release(request)
-
-    @staticmethod
-    def _notice_if_gone(request: InFlightRequest) -> None:
-        """Ends the request's connection if its client has left.
-
-        The reactor may have read something else before the end, or does not read that connection.
-        """
-        if not request.closed and has_left(request.connection.transport):
-            request.connection.readConnectionLost()
-
-    def take(self, connection: ClientConnection, place: int, command: Command) -> None:
-        """Takes a request, or answers at once why it is not taken."""
-        name = command.id.decode()
-        request_class = self.settings.request_classes.get(command.request_class)
-        if request_class is None:
-            connection.answer(place, resp.failure("ERR no such lane"))
-            return
-        requests = self.requests
-        if name in requests.by_id:
-            earlier = requests.find(name)
-            if earlier is not None:
-                self._notice_if_gone(earlier)
-            if connection.gone:  # it was the same
-                return
-        if name in requests.by_id or name in requests.may_have_run:
-            self._take_repeat(name, connection, place, command)
-            return
-        if len(self.transactions) + len(requests.may_have_run) >= self.connection_limits.max_open:
-            connection.answer(place, resp.failure(BUSY))
-            return
-        now = connection.used_at = self.clock()
-        # Nothing is earned after the outer limit: no client has a request held for longer.
-        left = min(command.left * 10, request_class.outer_limit)
-        answer_by = self.shutdown.answer_by
-        if answer_by is not None:
-            left = min(left, answer_by - now)
-            if left <= 0:
-                connection.answer(place, resp.failure(BUSY))
-                return
-        request = InFlightRequest(name, command, connection, place, now + left)
-        request.slot = requests.by_id[name] = self.transactions.add(request)
-        request.overdue_timer = self.timers.add(
-            request.expires_at + OVERDUE_AFTER, self._overdue, request
-        )
-        key = command.key.decode() or None
-        self.exposure.took(now, command.request_class)
-        if self.why is not None:
-            self.why.taken(name, command)
-        self.tell(
-            RequestReceived(
-                name, command.request_class, command.tenant, key, left, None, command.repeat, False
-            )
-        )
-
-    def _take_repeat(
-        self, name: str, connection: ClientConnection, place: int, command: Command
-    ) -> None:
-        """Takes a request whose id was taken before.
-
-        A client whose connection was closed under a request that it thinks unread sends it once
-        more. Where attempts of the first copy are out still, what they bring is the answer; where
-        it may have run, it does not run again.
-        """
-        request = self.requests.find(name)
-        if request is None:
-            connection.answer(place, resp.failure("ERR this id may have run already"))
-            return
-        if not request.closed or not request.connection.gone or request.command[:3] != command[:3]:
-            connection.answer(place, resp.failure("ERR this id is in hand already"))
-            return
-        now = self.clock()
-        request.connection = connection
-        request.place = place
-        request.closed = False
-        request.repeated = True
-        request_class = self.settings.request_classes[request.command.request_class]
-        request.expires_at = now + min(command.left * 10, request_class.outer_limit)
-        self.timers.cancel(request.overdue_timer)
-        request.overdue_timer = self.timers.add(
-            request.expires_at + OVERDUE_AFTER, self._overdue, request
-        )
-
-    def _overdue(self, request: InFlightRequest) -> None:
-        """Answers a request that the decisions have missed: an answer is still owed."""
-        if not request.closed:
-            structured_log.log("overdue", id=request.id, out=request.attempts_out)
-            if self.why is not None:
-                self.why.ended(request.id, self.why.abandoned)
-            self._answer(request, FAILED_ANSWER)
-            self.tell(ClientDisconnected(request.id))
-
-    def _answer(self, request: InFlightRequest | None, content: bytes) -> None:
-        """Gives a request its final answer, if it is owed one."""
-        if request and not request.closed:
-            request.closed = True
-            request.connection.answer(request.place, content)
-            self.requests.release(request)
-            if self.why is not None and not request.attempts_out:
-                self.why.over(request.id)
-
-    def _reject(self, action: Reject) -> None:
-        milliseconds = -(-action.retry_after // 10)
-        content = resp.failure(f"{BUSY} {milliseconds}" if milliseconds else BUSY)
-        self._answer(self.requests.find(action.id), content)
-
-    def _fail(self, action: Fail) -> None:
-        self._answer(self.requests.find(action.id), FAILED_ANSWER)
-
     # Attempts.
 
     def _send(self, action: SendAttempt) -> None:
@@ -446,7 +315,7 @@
         if request is None:
             self.inbox.append(AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, endpoint, 0, None))
             return
-        self._notice_if_gone(request)
+        notice_if_gone(request)
         endpoints = self.endpoints
         attempt = Attempt(
             self,
@@ -497,7 +366,7 @@
         if self.gossip is not None and attempt.endpoint:
             self.gossip.ended(attempt, outcome)
         if request.repeated and not request.attempts_out:  # the decisions are done with it
-            self._answer(request, FAILED_ANSWER)
+            self.client_requests.answer(request, FAILED_ANSWER)
         self.requests.release(request)
         self.tell(event)
         if self.why is not None and request.closed and not request.attempts_out:
