--- a/thymeknot/gossip/own_experience.py
+++ b/thymeknot/gossip/own_experience.py
@@ -1,5 +1,6 @@
 """What this instance saw of endpoints itself."""
 
+from collections.abc import Callable
 from typing import NamedTuple
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
@@ -45,6 +46,8 @@
 
     Attributes:
         key: The endpoint.
+        count_tried: Counts an attempt that ended. Bound once, since each attempt comes here.
+        count_failed: Counts one that failed.
         failed_at: When an attempt failed last.
         sent_at: When evidence about it was sent last.
         sent: The counts that were sent last.
@@ -52,25 +55,31 @@
         times: How often it was suspected of late.
     """
 
-    __slots__ = ("_failed", "_tried", "failed_at", "key", "sent", "sent_at", "times", "until")
+    __slots__ = (
+        "_failed",
+        "_tried",
+        "count_failed",
+        "count_tried",
+        "failed_at",
+        "key",
+        "sent",
+        "sent_at",
+        "times",
+        "until",
+    )
 
     def __init__(self, key: EndpointKey, span: Ticks) -> None:
         self.key = key
         self._tried = SlidingWindow(span, BUCKETS)
         self._failed = SlidingWindow(span, BUCKETS)
+        self.count_tried: Callable[[Ticks], None] = self._tried.add
+        self.count_failed: Callable[[Ticks], None] = self._failed.add
         self.failed_at: Ticks = 0
         self.sent_at: Ticks = -SEND_INTERVAL
         self.sent: Counts | None = None
         self.until: Ticks = 0
         self.times = 0
 
-    def add(self, now: Ticks, failed: bool) -> None:
-        """Counts an attempt that ended."""
-        self._tried.add(now)
-        if failed:
-            self._failed.add(now)
-            self.failed_at = now
-
     def counts(self, now: Ticks) -> Counts:
         """Returns the counts of all the time that evidence counts."""
         return Counts(int(self._tried.total(now)), int(self._failed.total(now)))
@@ -82,17 +91,18 @@
 
 
 class AllEndpoints:
-    """The attempts at all endpoints together."""
+    """The attempts at all endpoints together.
+
+    Attributes:
+        count_tried: Counts an attempt that ended. Bound once, since each attempt comes here.
+        count_failed: Counts one that failed.
+    """
 
     def __init__(self, span: Ticks) -> None:
         self._tried = SlidingWindow(span, BUCKETS)
         self._failed = SlidingWindow(span, BUCKETS)
-
-    def add(self, now: Ticks, failed: bool) -> None:
-        """Counts an attempt that ended."""
-        self._tried.add(now)
-        if failed:
-            self._failed.add(now)
+        self.count_tried: Callable[[Ticks], None] = self._tried.add
+        self.count_failed: Callable[[Ticks], None] = self._failed.add
 
     def failure_rate_without(self, now: Ticks, observed: Observed) -> float | None:
         """Returns the rate of failures at the other endpoints, None after too few attempts."""
--- a/thymeknot/gossip/suspicion.py
+++ b/thymeknot/gossip/suspicion.py
@@ -177,9 +177,12 @@
         """Counts an own attempt at an endpoint that ended."""
         observed = self._observed.get(name)
         if observed:
-            observed.add(now, failed)
-            self._all.add(now, failed)
+            observed.count_tried(now)
+            self._all.count_tried(now)
             if failed:
+                observed.count_failed(now)
+                self._all.count_failed(now)
+                observed.failed_at = now
                 self._failing[name] = observed
 
     def add_evidence(self, now: Ticks, origin: str, evidence: Evidence, seen: Ticks) -> bool:
