--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -14,7 +14,12 @@
 import numpy as np
 from scipy.optimize import Bounds, LinearConstraint, milp
 
-from thymeknot.gang_scheduling import placement_score, placement_search, state_machine
+from thymeknot.gang_scheduling import (
+    placement_score,
+    placement_search,
+    state_machine,
+    worker_replacement,
+)
 from thymeknot.gang_scheduling.gang_state import STATES_WITH_LEASE
 from thymeknot.gang_scheduling.jobs import Gang, tree_parents
 from thymeknot.gang_scheduling.topology import Places, Stated
@@ -494,7 +499,7 @@
         elif lot < 0.76 and (name := pick(in_state.get("running", ()))):
             sums["done"] += "ok" in do("done", gang=name, fence=gangs[name].fence)
         elif lot < 0.84 and (name := pick(in_state.get("hurt", ()))):
-            replacement = placement_search.replace_failed_workers(
+            replacement = worker_replacement.replace_failed_workers(
                 machine.view(), gangs[name].gang, at, gangs[name].places, 0
             )
             if replacement:
--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -7,7 +7,13 @@
 from hypothesis import strategies as some
 
 from measure.gangs import play
-from thymeknot.gang_scheduling import jobs, placement_score, placement_search, state_machine
+from thymeknot.gang_scheduling import (
+    jobs,
+    placement_score,
+    placement_search,
+    state_machine,
+    worker_replacement,
+)
 from thymeknot.gang_scheduling.commands import CommandRejectedError
 from thymeknot.gang_scheduling.gang_state import STATES_WITH_SLOTS, TRANSITIONS, GangState
 from thymeknot.gang_scheduling.topology import Places, Stated
@@ -312,7 +318,7 @@
         old = fleet.run("g")
         fleet.ok("lost", kind="worker", name=fleet.on("g")[0], gang="g")
         life = fleet.life("g")
-        plan, way = placement_search.replace_failed_workers(
+        plan, way = worker_replacement.replace_failed_workers(
             fleet.machine.view(), life.gang, fleet.at, life.places, 0
         )
         reply = fleet.ok("mend", gang="g", fence=old, places=plan.places, versions=plan.versions)
@@ -330,7 +336,7 @@
         places = fleet.machine.view()
         places.host(home).closed = "another"  # nobody new there
         places.mark_changed(home)
-        plan, way = placement_search.replace_failed_workers(
+        plan, way = worker_replacement.replace_failed_workers(
             places, life.gang, fleet.at, life.places, 0
         )
         self.assertEqual((way, len(plan.places)), ("whole", 1))
@@ -367,7 +373,7 @@
         said = fleet.ok("checkpoint", gang="g", fence=fence)
         self.assertEqual((said["next"], fleet.state("g")), ("mend", "hurt"))
         fleet.ok("drain_asked", machine=machine, drain="d")
-        plan, _ = placement_search.replace_failed_workers(
+        plan, _ = worker_replacement.replace_failed_workers(
             fleet.machine.view(), fleet.life("g").gang, fleet.at, fleet.life("g").places, 0
         )
         self.assertNotIn(machine, plan.places)
@@ -382,7 +388,7 @@
             fleet.ok("drain_asked", machine=first, drain="d", unit=True)["gangs"], ["g"]
         )
         life = fleet.life("g")
-        plan, _ = placement_search.replace_failed_workers(
+        plan, _ = worker_replacement.replace_failed_workers(
             fleet.machine.view(), life.gang, fleet.at, life.places, 0
         )
         fence = fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)[
@@ -409,7 +415,7 @@
         self.assertEqual((fleet.state("g"), fleet.broken()), ("hurt", []))
         fleet.ok("drain_asked", machine="r0m0", drain="d")
         life = fleet.life("g")
-        plan, way = placement_search.replace_failed_workers(
+        plan, way = worker_replacement.replace_failed_workers(
             fleet.machine.view(), life.gang, fleet.at, life.places, 0
         )
         self.assertEqual(
