--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -7,7 +7,7 @@
 import tempfile
 import unittest
 
-from thymeknot.cli.log_summary import SPAN_MOST, Summary
+from thymeknot.cli.log_summary import MAX_STRETCHES, Summary
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.experiments import crowd_figures
 from thymeknot.simulation.recording import Watched
@@ -78,9 +78,9 @@
             summary.feed("a", line("requests rejected", deferred=odd))
         self.assertEqual(summary.figures()["turned_away"], {})
         summary.feed("a", line("vote", verdict=9, outcome=None))
-        for at in range(SPAN_MOST + 50):
+        for at in range(MAX_STRETCHES + 50):
             summary.feed("a", line("vote", at, verdict=0, outcome="done"))
-        self.assertLessEqual(len(summary.spans), SPAN_MOST)
+        self.assertLessEqual(len(summary.stretch_counts), MAX_STRETCHES)
 
     def test_the_command(self):
         with tempfile.NamedTemporaryFile(suffix=".log") as log:
--- a/thymeknot/cli/__init__.py
+++ b/thymeknot/cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command line: `serve` (what no words do too), `check`, `why`, `keys`. Only imported when there are words."""
+"""The command line: a module for each group of commands. Imported only when there are words."""
--- a/thymeknot/cli/decision_log_client.py
+++ b/thymeknot/cli/decision_log_client.py
@@ -1,77 +1,67 @@
-"""Asks a live instance, or a record that was left over, and gives the lines of the answer."""
+"""Asks a running instance's decision log, or a record that was left over."""
 
 import socket
+from collections.abc import Iterator, Mapping
+from typing import Any, Final, Optional
 
 import orjson
 
-WITHIN = 10  # seconds that an answer may pause
+ANSWER_TIMEOUT_SECONDS: Final = 10
+"""How long an answer may pause: an instance works on queries beside its traffic."""
+UNIX_PREFIX: Final = "unix:"
 
 
-class Unreachable(Exception):
-    """Nobody answers there, or not in time."""
+class UnreachableError(Exception):
+    """Nobody answers there, or not in time; the text names the address or file."""
 
 
-def lines_of(place, path, told):
-    """Objects, one a line. path: of a left-over record, asked in place of an instance."""
-    return _of_file(path, told) if path else _of_instance(place, told)
+def lines_of(
+    address: str, path: Optional[str], query: Mapping[str, Any]
+) -> Iterator[dict[str, Any]]:
+    """Yields the objects of the answer.
 
+    Args:
+        address: `host:port` or `unix:path` of an instance.
+        path: A left-over record, which is asked in place of an instance; None without one.
+        query: The query's fields.
 
-def _of_instance(place, told):
+    Raises:
+        UnreachableError: With the first object that is missing.
+    """
+    if path:
+        # Only here: it needs the decision log's libraries.
+        from .decision_log_file import matching_lines  # noqa: PLC0415
+
+        return matching_lines(path, query)
+    return _lines_of_instance(address, query)
+
+
+def _connected(address: str) -> socket.socket:
+    if address.startswith(UNIX_PREFIX):
+        connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
+        connection.settimeout(ANSWER_TIMEOUT_SECONDS)
+        connection.connect(address[len(UNIX_PREFIX) :])
+        return connection
+    host, _, port = address.rpartition(":")
+    return socket.create_connection((host.strip("[]"), int(port)), ANSWER_TIMEOUT_SECONDS)
+
+
+def _lines_of_instance(address: str, query: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
+    watching = query["ask"] == "watch"
     try:
-        if place.startswith("unix:"):
-            connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-            connection.settimeout(WITHIN)
-            connection.connect(place[5:])
-        else:
-            host, _, port = place.rpartition(":")
-            connection = socket.create_connection((host.strip("[]"), int(port)), WITHIN)
-        if told["ask"] == "watch":
+        connection = _connected(address)
+        if watching:
             connection.settimeout(None)
         with connection, connection.makefile("rb") as source:
-            connection.sendall(orjson.dumps(told) + b"\n")
+            connection.sendall(orjson.dumps(query) + b"\n")
             for line in source:
-                yield (found := orjson.loads(line))
-                if told["ask"] != "watch" and (
-                    "end" in found and "id" not in found or "error" in found
-                ):
+                answer = orjson.loads(line)
+                yield answer
+                if not watching and _is_last(answer):
                     return
     except (OSError, ValueError) as error:
-        raise Unreachable(f"{place}: {error}") from None
-
+        raise UnreachableError(f"{address}: {error}") from None
 
-def _of_file(path, told):
-    from ..decision_log import query_protocol, slot_file
-    from ..decision_log.entry_codec import pods
-    from ..decision_log.entry_filter import EntryFilter
-    from ..interface.reasons import Reason as R
 
-    try:
-        left = slot_file.left_over(path)
-    except (OSError, ValueError) as error:
-        raise Unreachable(str(error)) from None
-    found = sorted(left.whole()[0], key=lambda one: -one[1])
-    count = 0
-    for _, _, entry in found:
-        if told["ask"] == "why":
-            fit = told["id"] in (entry.id, entry.key)
-        elif told["ask"] == "find":
-            reason = told.get("reason")
-            latest = found[0][2].at
-            begin = (
-                latest - told["since"] * 10_000 if "since" in told else None
-            )  # back from its last entry
-            wanted = EntryFilter(
-                request_class=told.get("lane"),
-                tenant=told.get("tenant"),
-                reason=int(R[reason.upper()]) if reason else None,
-            )
-            fit = wanted.matches(entry, begin)
-            fit = fit and ("pod" not in told or told["pod"] in pods(entry))
-        else:
-            raise Unreachable(f"{told['ask']}: asked of a live instance only")
-        if fit:
-            count += 1
-            yield query_protocol.shown(entry)
-            if count >= told.get("limit", 10_000):
-                break
-    yield {"end": count}
+def _is_last(answer: Mapping[str, Any]) -> bool:
+    return ("end" in answer and "id" not in answer) or "error" in answer
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -14,7 +14,7 @@
     LOAD,
     libraries_from,
 )
-from .decision_log_client import Unreachable, lines_of
+from .decision_log_client import UnreachableError, lines_of
 
 DURATIONS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
@@ -112,7 +112,7 @@
                 break
             found += 1
             _show(line, plain)
-    except Unreachable as error:
+    except UnreachableError as error:
         click.echo(f"why: {error}", err=True)
         context.exit(3)
     context.exit(0 if found else 1)
