--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -28,33 +28,36 @@
     world.begin()
     world.acquaint()
     for one in world.live():
-        one.node.belief.listed(PODS)
+        one.node.suspicions.set_endpoints(PODS)
     buried, reached, sent, lasts = [0], [], [], []
 
     def watch():
         for one in world.live():
-            buried[0] += sum(fields.get("now") == "dead" for _, fields in one.node.said)
-            one.node.said.clear()
+            buried[0] += sum(
+                fields.get("now") == "dead" for _, fields in one.node.context.log_events
+            )
+            one.node.context.log_events.clear()
 
     world.run(3 * SECOND, watch)
     for at in range(3):
         teller, pod = f"n{(at * 7 + 3) % count}", PODS[at]
         node = world.instances[teller].node
         for _ in range(8):
-            node.belief.ended(world.instances[teller].clock(), pod.pod, True)
+            node.suspicions.record_attempt(world.instances[teller].clock(), pod.id, True)
         begin, before = world.now, world.sent
         last = [None]
 
         def heard(pod=pod, teller=teller, last=last):
             if last[0] is None and all(
-                teller in one.node.belief.claims.get(pod, {}) or one.name == teller
+                teller in one.node.suspicions.words.get(pod, {}) or one.name == teller
                 for one in world.live()
             ):
                 last[0] = world.now
 
         world.run(span // 3, lambda heard=heard: (heard(), watch()), SECOND // 5)
         reached.append(
-            sum(teller in one.node.belief.claims.get(pod, {}) for one in world.live()) / (count - 1)
+            sum(teller in one.node.suspicions.words.get(pod, {}) for one in world.live())
+            / (count - 1)
         )
         lasts.append((last[0] - begin) / SECOND if last[0] else None)
         sent.append((world.sent - before) / count / (span / 3 / SECOND))
@@ -83,21 +86,21 @@
     world.begin()
     memory, minute = [], 60 * SECOND
     for one in world.live():
-        one.node.belief.listed(PODS)
+        one.node.suspicions.set_endpoints(PODS)
     for at in range(span // minute):
         victim = world.instances[f"n{at % 8}"]
         victim.kill()
         world.run(SECOND)
         victim.begin([one.address for one in world.live()][:2])
-        victim.node.belief.listed(PODS)
+        victim.node.suspicions.set_endpoints(PODS)
 
         def traffic(at=at, since=world.now):
             nonlocal buried
             for one in world.live():
                 for pod in range(3):
-                    one.node.belief.ended(one.clock(), PODS[pod].pod, pod == at % 3)
-                one.node.doubts.clear()
-                one.node.said.clear()
+                    one.node.suspicions.record_attempt(one.clock(), PODS[pod].id, pod == at % 3)
+                one.node.changed_suspicions.clear()
+                one.node.context.log_events.clear()
                 buried += sum(
                     member.state == "dead"
                     and world.instances[name].node is not None
@@ -129,10 +132,10 @@
     shop = Shop(rates, 12, {"s-5": 0.6}, seed, gossip, names[loud + quiet :], terms)
     shop.world.run(span)
     doubted = sum(
-        pod != "s-5" and balancer.pods[pod].suspected_until > 0
+        pod != "s-5" and balancer.context.endpoints[pod].suspected_until > 0
         for name, balancer in shop.balancers.items()
         if name not in names[loud + quiet :]
-        for pod in balancer.pods
+        for pod in balancer.context.endpoints
     )
     return kind, gossip, shop.share_failed(names[loud : loud + quiet]), doubted
 
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -4,7 +4,7 @@
 
 from measure.hostile import Liar, pods_of
 from measure.world import HEARSAY, SECOND, TERMS, World
-from thymeknot.gossip.rate_limits import Bucket, Checking, Sending
+from thymeknot.gossip.rate_limits import SendLimits, SendPurpose, TokenBucket, VerificationLimits
 from thymeknot.gossip.settings import Verifications
 
 PODS = pods_of(8)
@@ -14,7 +14,7 @@
     made = World([f"n{at}" for at in range(count)], seed, **more)
     made.begin()
     for one in made.live():
-        one.node.belief.listed(PODS)
+        one.node.suspicions.set_endpoints(PODS)
     return made
 
 
@@ -25,16 +25,16 @@
 
 
 def doubts(made):
-    found = [(one.name, doubt) for one in made.live() for doubt in one.node.doubts]
+    found = [(one.name, doubt) for one in made.live() for doubt in one.node.changed_suspicions]
     for one in made.live():
-        one.node.doubts = []
-    return [(name, doubt.pod.pod) for name, doubt in found if doubt.until > made.now]
+        one.node.changed_suspicions = []
+    return [(name, doubt.endpoint.id) for name, doubt in found if doubt.until > made.now]
 
 
 def deliver(made, name, pod, tried, failed):
     node = made.instances[name].node
     for number in range(tried):
-        node.belief.ended(made.instances[name].clock(), pod, number < failed)
+        node.suspicions.record_attempt(made.instances[name].clock(), pod, number < failed)
 
 
 def with_liar(made, name="n4", pods=PODS):
@@ -104,13 +104,15 @@
             one.ahead = at * 5 * SECOND
         made.begin()
         for one in made.live():
-            one.node.belief.listed(PODS)
+            one.node.suspicions.set_endpoints(PODS)
         made.run(20 * SECOND)
         self.all_alive(made)
         for name in ("n1", "n2", "n3", "n4"):
             deliver(made, name, "s-3", 8, 7)
         made.run(5 * SECOND)
-        self.assertIn("n0", [one.name for one in made.live() for doubt in one.node.doubts])
+        self.assertIn(
+            "n0", [one.name for one in made.live() for doubt in one.node.changed_suspicions]
+        )
 
     def test_one_that_stalls_doubts_itself_first_and_refutes(self):
         made = settled()
@@ -163,7 +165,7 @@
         made.run(90 * SECOND, round_of_lies)
         self.assertEqual(wrong, [])
         self.assertLess(
-            made.instances["n0"].node.belief.trust("n4"), 0.05
+            made.instances["n0"].node.suspicions.credibility.of("n4"), 0.05
         )  # two tongues were heard
         for kind in ("sender", "signature", "form", "recipient", "version"):
             self.assertTrue(any(one.node.dropped[kind] for one in made.live()), kind)
@@ -208,7 +210,7 @@
 
         made.run(6 * SECOND, traffic)
         self.assertNotIn(("n0", "s-6"), found)
-        self.assertLess(made.instances["n0"].node.belief.trust("n1"), 0.2)
+        self.assertLess(made.instances["n0"].node.suspicions.credibility.of("n1"), 0.2)
 
     def test_names_of_one_group_are_one_witness(self):
         made = settled(6, groups={"n2": "rack", "n3": "rack", "n4": "rack", "n5": "rack"})
@@ -232,14 +234,14 @@
         made = settled(6)
         for name in ("n1", "n2", "n3", "n4", "n5"):
             for pod in PODS:
-                deliver(made, name, pod.pod, 6, 4)
+                deliver(made, name, pod.id, 6, 4)
         made.run(5 * SECOND)
         self.assertEqual(doubts(made), [])
 
     def test_one_that_came_back_is_another_pod(self):
         made = settled(6)
-        back = [pod._replace(started=777) if pod.pod == "s-6" else pod for pod in PODS]
-        made.instances["n0"].node.belief.listed(back)
+        back = [pod._replace(started=777) if pod.id == "s-6" else pod for pod in PODS]
+        made.instances["n0"].node.suspicions.set_endpoints(back)
         for name in ("n1", "n2", "n3", "n4"):
             deliver(made, name, "s-6", 8, 8)
         made.run(5 * SECOND)
@@ -251,17 +253,17 @@
             deliver(made, name, "s-1", 10, 10)
         made.run(3 * SECOND)
         node = made.instances["n0"].node
-        claimed = {origin for words in node.belief.claims.values() for origin in words}
+        claimed = {origin for words in node.suspicions.words.values() for origin in words}
         self.assertEqual(claimed, {"n2", "n3", "n4"})
         made.ring.revoked = {"n4"}
         node.rekey(made.ring, made.instances["n0"].clock())
         self.assertEqual(
-            {origin for words in node.belief.claims.values() for origin in words}, {"n2", "n3"}
+            {origin for words in node.suspicions.words.values() for origin in words}, {"n2", "n3"}
         )
         self.assertNotIn("n4", node.members.all)
         doubts(made)
         made.run(2 * SECOND)
-        ended = [doubt for doubt in node.doubts if doubt.until <= made.now]
+        ended = [doubt for doubt in node.changed_suspicions if doubt.until <= made.now]
         self.assertTrue(ended)  # the doubt's ground is gone, so it is taken back
 
     def test_datagrams_sent_again_after_the_victims_restart_count_for_nothing(self):
@@ -280,14 +282,14 @@
             other.kill()
         victim.kill()
         victim.begin([])
-        victim.node.belief.listed(PODS)
+        victim.node.suspicions.set_endpoints(PODS)
         captured = list(heard)
         made.run(
             30 * SECOND, lambda: [victim.received(source, content) for source, content in captured]
         )
         self.assertEqual({one.state for one in victim.node.members.all.values()}, {"unproved"})
-        self.assertEqual(victim.node.belief.claims, {})
-        self.assertEqual(victim.node.doubts, [])
+        self.assertEqual(victim.node.suspicions.words, {})
+        self.assertEqual(victim.node.changed_suspicions, [])
 
 
 class Ceilings(unittest.TestCase):
@@ -306,14 +308,16 @@
                 within = [size for moment, size in mine[at : at + 200] if moment < begin + SECOND]
                 self.assertLessEqual(len(within), TERMS.ceiling.datagrams + 1)
                 self.assertLessEqual(sum(within), TERMS.ceiling.bytes)
-            self.assertLess(made.instances[name].node.verified, 50 * TERMS.verifications.total)
+            self.assertLess(
+                made.instances[name].node.limits.verified, 50 * TERMS.verifications.total
+            )
 
     def test_an_answer_to_the_unproved_is_no_longer_than_what_it_answers(self):
         made, sizes = world(3), {}
         shorter = []
 
         def tap(source, address, content):
-            known = made.by_address[source].node.by_address
+            known = made.by_address[source].node.context.by_address
             if address in known and made.by_address[address].node:
                 return
             if (address, source) in sizes and len(content) > sizes[address, source]:
@@ -343,38 +347,40 @@
 
     def test_a_flood_from_elsewhere_leaves_answers_and_peers_their_part(self):
         now = 0
-        checking = Checking(Verifications(100, 50, 16), 7, now)
-        checking.proved([("10.0.0.1", 1)])
-        flooded = sum(checking.lane(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10))
+        checking = VerificationLimits(Verifications(100, 50, 16), 7, now)
+        checking.set_proved([("10.0.0.1", 1)])
+        flooded = sum(
+            checking.bucket_of(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10)
+        )
         self.assertLessEqual(flooded, 13)  # its lane's burst and ten seconds of a sixteenth
-        self.assertTrue(checking.lane(("10.0.0.1", 1)).take(10 * SECOND))
-        free = sum(checking.lane(("10.0.0.9", port)).take(10 * SECOND) for port in range(64))
+        self.assertTrue(checking.bucket_of(("10.0.0.1", 1)).take(10 * SECOND))
+        free = sum(checking.bucket_of(("10.0.0.9", port)).take(10 * SECOND) for port in range(64))
         self.assertGreaterEqual(free, 14)  # other lanes were left alone
 
     def test_rumours_wait_before_answers_do(self):
-        sending = Sending(TERMS.ceiling, 0)
-        while sending.may(0, 400, "rumour"):
+        sending = SendLimits(TERMS.ceiling, 0)
+        while sending.may(0, 400, SendPurpose.UPDATES):
             pass
-        self.assertTrue(sending.may(0, 400, "answer"))
-        bucket = Bucket(10, 5, 0)
+        self.assertTrue(sending.may(0, 400, SendPurpose.ANSWER))
+        bucket = TokenBucket(10, 5, 0)
         self.assertEqual(sum(bucket.take(at) for at in range(0, 10 * SECOND, 100)), 5 + 99)
 
     def test_a_loud_origin_crowds_out_itself_and_tables_stay_bounded(self):
         made = settled()
         many = pods_of(400)
         for one in made.live():
-            one.node.belief.listed(many)
+            one.node.suspicions.set_endpoints(many)
         lie = with_liar(made, pods=many)
         made.run(20 * SECOND, lie)
         for name in ("n0", "n1", "n2", "n3"):
             node = made.instances[name].node
-            self.assertLessEqual(node.rumours.of_origin.get("n4", 0), 32)
-            self.assertLessEqual(sum("n4" in words for words in node.belief.claims.values()), 16)
-            self.assertLessEqual(len(node.aside), 256)
-            self.assertLessEqual(len(node.probes), 32)
+            self.assertLessEqual(node.queue.count_by_origin.get("n4", 0), 32)
+            self.assertLessEqual(sum("n4" in words for words in node.suspicions.words.values()), 16)
+            self.assertLessEqual(len(node.items.waiting), 256)
+            self.assertLessEqual(len(node.prober.probes), 32)
             self.assertTrue(
                 all(
-                    len(one.digests) <= 64 and len(one.accusers) <= 16
+                    len(one.digests) <= 64 and len(one.suspecters) <= 16
                     for one in node.members.all.values()
                 )
             )
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -11,7 +11,7 @@
 from measure.world import SECOND, TERMS, World
 from tests.support.stand_ins import NOW, balancer, kinds, pod, sent, taken
 from thymeknot.gossip import codec, keys
-from thymeknot.gossip.codec import Ack, Alive, Claim, Frame, Item, Left, Ping, Push
+from thymeknot.gossip.codec import Ack, Alive, Evidence, Frame, Item, Left, Ping, Push
 from thymeknot.gossip.keyring import (
     AllowedNetworks,
     Keyring,
@@ -19,9 +19,9 @@
     new_identity,
     read_identity,
 )
+from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.gossip.replay_window import ReplayWindow
 from thymeknot.gossip.settings import Peer, PeerKey
-from thymeknot.gossip.suspicion import Pod
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.events import SuspicionReported
 
@@ -59,13 +59,13 @@
 def frame_of(sender="n1", identity=None, body=None, items=(), to="n0", number=None, start=None):
     """A frame as n1 would send it next to n0, changed as told."""
     node = WORLD.instances["n1"].node
-    node.number += 1
+    node.local.number += 1
     frame = Frame(
         sender,
         to,
-        node.start if start is None else start,
-        number or node.number,
-        WORLD.now - node.began,
+        node.local.start if start is None else start,
+        number or node.local.number,
+        WORLD.now - node.local.began,
         body or Push(),
         list(items),
     )
@@ -74,12 +74,12 @@
 
 def item_of(body, origin="n1", identity=None, start=None, age=0):
     node = WORLD.instances["n1"].node
-    node.number += 1
+    node.local.number += 1
     item = Item(
         origin,
-        node.start if start is None else start,
-        node.number,
-        WORLD.now - node.began - age,
+        node.local.start if start is None else start,
+        node.local.number,
+        WORLD.now - node.local.began - age,
         body,
     )
     return codec.sealed_item(item, identity or KEYS["n1"])
@@ -87,7 +87,7 @@
 
 def dropped(datagram, source=None):
     """What a datagram from n1's address was dropped for, or None; how many went out for it."""
-    before, NODE.out = dict(NODE.dropped), []
+    before, NODE.outbox.datagrams = dict(NODE.dropped), []
     NODE.received(WORLD.now, source or WORLD.instances["n1"].address, datagram)
     found = [kind for kind, count in NODE.dropped.items() if count != before[kind]]
     return found[0] if found else None
@@ -131,8 +131,8 @@
         self.assertEqual(NODE.members.all["n1"].state, "alive")
 
     def test_items_count_for_their_origin_alone(self):
-        claim, pod = Claim("s-1", "", 1, 0, 9, 9), Pod("s-1", "", 1, 0)
-        NODE.belief.listed([pod])
+        claim, pod = Evidence("s-1", "", 1, 0, 9, 9), EndpointKey("s-1", "", 1, 0)
+        NODE.suspicions.set_endpoints([pod])
         signed = item_of(claim)  # its last byte is zero in one of sixteen: it is turned, not set
         for kind, item in (
             ("key", item_of(claim, origin="n2")),
@@ -141,27 +141,29 @@
             ("unproved", item_of(Alive("10.0.0.9", 9, 0), start=9)),
             ("lapsed", item_of(claim, age=TERMS.hearsay.lapse + SECOND)),
             ("lapsed", item_of(claim, age=-3 * SECOND)),
-            ("lapsed", item_of(Claim("s-9", "", 1, 0, 9, 9))),
+            ("lapsed", item_of(Evidence("s-9", "", 1, 0, 9, 9))),
             ("size", b"x"),
             ("form", bytes(120)),
         ):
             WORLD.now += SECOND // 10
             self.assertEqual(dropped(frame_of(items=[item])), kind)
-        self.assertEqual(NODE.belief.claims, {})
+        self.assertEqual(NODE.suspicions.words, {})
         self.assertIsNone(dropped(frame_of(items=[item_of(claim)])))
-        self.assertEqual(set(NODE.belief.claims[pod]), {"n1"})
-        NODE.belief.listed([])
+        self.assertEqual(set(NODE.suspicions.words[pod]), {"n1"})
+        NODE.suspicions.set_endpoints([])
 
     def test_an_instance_called_dead_says_that_it_lives(self):
-        before = NODE.incarnation
+        before = NODE.local.incarnation
         self.assertIsNone(
-            dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start, before))]))
+            dropped(frame_of(items=[item_of(codec.Suspect("n0", NODE.local.start, before))]))
         )
-        self.assertEqual(NODE.incarnation, before + 1)
+        self.assertEqual(NODE.local.incarnation, before + 1)
         self.assertIsNone(
-            dropped(frame_of(items=[item_of(codec.Accuse("n0", NODE.start + 1, before + 9))]))
+            dropped(
+                frame_of(items=[item_of(codec.Suspect("n0", NODE.local.start + 1, before + 9))])
+            )
         )
-        self.assertEqual(NODE.incarnation, before + 1)  # of another start: old news
+        self.assertEqual(NODE.local.incarnation, before + 1)  # of another start: old news
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=1500), st.integers(0, 400), st.binary(max_size=30))
@@ -174,19 +176,21 @@
         ):
             if datagram != good:
                 self.assertIsNotNone(dropped(datagram))
-                self.assertLessEqual(sum(len(out.content) for out in NODE.out), len(datagram))
+                self.assertLessEqual(
+                    sum(len(out.content) for out in NODE.outbox.datagrams), len(datagram)
+                )
 
     def test_the_longest_frames_fit(self):
         claims = [
-            item_of(Claim("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000))
+            item_of(Evidence("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000))
             for _ in range(30)
         ]
-        self.assertLessEqual(len(claims[0]), codec.ITEM_MOST)
-        NODE.rumours.add(
-            codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x"
+        self.assertLessEqual(len(claims[0]), codec.MAX_ITEM)
+        NODE.queue.add(codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x")
+        picked = NODE.queue.pick(3, 1100)
+        self.assertLessEqual(
+            len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MAX_DATAGRAM
         )
-        picked = NODE.rumours.pick(3, 1100)
-        self.assertLessEqual(len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MOST)
 
 
 class KeysOfTheRing(unittest.TestCase):
@@ -264,15 +268,17 @@
 
     def test_of_another_build_or_start_it_changes_nothing_and_never_a_vote(self):
         made_ = balancer()
-        sums = dict(made_.sums)
+        sums = dict(made_.sequential_test.sums)
         for event in (
             SuspicionReported("old-1", 2, 0, NOW + SECOND),
             SuspicionReported("old-1", 1, 5, NOW + SECOND),
             SuspicionReported("gone", 1, 0, NOW + SECOND),
         ):
             self.assertNotIn(CastVote, kinds(made_.handle(NOW, [event])))
-        self.assertEqual([known.suspected_until for known in made_.pods.values()], [0, 0, 0])
-        self.assertEqual(made_.sums, sums)
+        self.assertEqual(
+            [known.suspected_until for known in made_.context.endpoints.values()], [0, 0, 0]
+        )
+        self.assertEqual(made_.sequential_test.sums, sums)
 
 
 if __name__ == "__main__":
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -4,7 +4,7 @@
 import secrets
 import time
 from collections.abc import Callable
-from typing import Any, NamedTuple
+from typing import Any, NamedTuple, Optional
 
 from twisted.internet.interfaces import IReactorTCP
 
@@ -87,11 +87,7 @@
         DamagedStorageError: What is on the disk can't be trusted.
         OSError: The folder can't be used.
     """
-    storage = RaftStorage(
-        os.path.join(data, "log"),
-        os.path.join(data, settings.lineage or "lineage"),
-        lambda: secrets.randbits(62) + 1,
-    )
+    storage = _make_storage(settings, data)
     opened = storage.open(settings.founds and not _was_used(storage))
     for sentence in opened.said:
         structured_log.log("raft storage failed", error=sentence)
@@ -124,6 +120,14 @@
     return RaftMember(server, disruption)
 
 
+def _make_storage(settings: CoordinationSettings, data: str) -> RaftStorage:
+    return RaftStorage(
+        os.path.join(data, "log"),
+        os.path.join(data, settings.lineage or "lineage"),
+        lambda: secrets.randbits(62) + 1,
+    )
+
+
 def _was_used(storage: RaftStorage) -> bool:
     """Whether a node ran on this storage before."""
     if os.path.isdir(storage.folder) and os.listdir(storage.folder):
@@ -131,12 +135,12 @@
     return os.path.exists(storage.lineage)
 
 
-def read_status(machine: DisruptionStateMachine, query: dict[str, Any]) -> dict[str, Any]:
+def read_status(machine: DisruptionStateMachine, query: Optional[dict[str, Any]]) -> dict[str, Any]:
     """The state machine's reply to a status query, which changes nothing.
 
     Args:
         machine: The state machine of drains.
-        query: A command with `do` and its fields; only `status` is a read.
+        query: A command with `do` and its fields; only `status` is a read, all else is rejected.
     """
     try:
         do, fields = machine.read(query)
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The endpoints as discovery lists them: watched, fetched, validated and handed to the decisions."""
+"""The endpoints as discovery lists them: watched, fetched, validated, told to the decisions."""
 
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
@@ -8,7 +8,8 @@
 from ..interface.events import Endpoint, EndpointUpdate
 from ..polling.snapshot_validation import SnapshotValidator
 from ..protocol import discovery
-from ..protocol.calls import MOST_REASON, Reply, WatchStream
+from ..protocol.http_calls import MOST_REASON, Reply
+from ..protocol.watch_stream import WatchStream
 from ..protocol.write_progress import BrokenConnection
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
@@ -113,12 +114,23 @@
             for name, address in {**self.addresses, **listing.addresses}.items()
             if name in self.listed
         }
+        self._tell(update, replaced)
+
+    def _tell(self, update: EndpointUpdate, replaced: set[str]) -> None:
+        """Tells what the list has become, and lets go of connections that it leaves without use.
+
+        Args:
+            update: What was told.
+            replaced: Names under which another process runs now.
+        """
         proxy = self.proxy
         proxy.inbox.append(update)
         if proxy.gossip is not None:
             proxy.gossip.listed()
         proxy.withdraw_unwritten(
-            lambda pod, address: not self.is_ready(pod) or self.addresses[pod.address] != address
+            lambda endpoint, address: (
+                not self.is_ready(endpoint) or self.addresses[endpoint.address] != address
+            )
         )
         proxy.pools.keep_only(
             {name: address for name, address in self.addresses.items() if name not in replaced}
@@ -133,23 +145,23 @@
         before = self.listed
         self.listed = listed
         replaced = set()
-        for pod in endpoints:
-            known = before.get(pod.address)
-            if known and (known.started, known.build) != (pod.started, pod.build):
-                replaced.add(pod.address)
-            if pod.condition == EndpointCondition.GONE:
-                listed.pop(pod.address, None)
+        for endpoint in endpoints:
+            known = before.get(endpoint.address)
+            if known and (known.started, known.build) != (endpoint.started, endpoint.build):
+                replaced.add(endpoint.address)
+            if endpoint.condition == EndpointCondition.GONE:
+                listed.pop(endpoint.address, None)
             else:
-                listed[pod.address] = pod
+                listed[endpoint.address] = endpoint
         return replaced
 
-    def is_ready(self, pod: Endpoint) -> bool:
+    def is_ready(self, endpoint: Endpoint) -> bool:
         """Returns whether this process of the endpoint is still listed as ready."""
-        now = self.listed.get(pod.address)
+        now = self.listed.get(endpoint.address)
         return (
             now is not None
             and now.condition == EndpointCondition.READY
-            and ((now.started, now.build) == (pod.started, pod.build))
+            and ((now.started, now.build) == (endpoint.started, endpoint.build))
         )
 
     def _version_to_ask_from(self) -> int:
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -6,12 +6,14 @@
 
 import heapq
 from bisect import bisect_right
+from collections.abc import Callable
 from itertools import accumulate
+from typing import Any, Self
 
 import numpy as np
 
 from ..interface.actions import CancelAttempt, CastVote, Fail, Reject, SendAttempt, SetTimer
-from ..interface.clock import TICKS_PER_SECOND
+from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import (
     EndpointCondition,
     Idempotency,
@@ -31,7 +33,9 @@
 )
 from ..state.random_source import LinearCongruentialGenerator
 from .invariants import InvariantChecker
-from .servers import DOWN, DRAINING, UP, Build, Pod
+from .random_streams import Stream, gamma, zipf_keys
+from .scenarios import Day, FaultKind
+from .servers import Build, Pod, PodState
 from .shared_services import Connections, Discovery, pace_of
 
 GRACE = 2500  # of drains
@@ -47,35 +51,6 @@
     ReleasePhase.RELEASED: "released",
     ReleasePhase.WITHDRAWN: "withdrawn",
 }
-CHUNK = 4096
-
-
-class Stream:
-    """Numbers of one distribution, drawn many at a time: a call for each would take most of the time."""
-
-    def __init__(self, draw):
-        self.draw, self.values, self.at = draw, draw(CHUNK).tolist(), 0
-
-    def next(self):
-        if self.at >= CHUNK:
-            self.values, self.at = self.draw(CHUNK).tolist(), 0
-        self.at += 1
-        return self.values[self.at - 1]
-
-
-def gamma(chance, mean, spread):
-    """Work of this mean and relative spread; a spread of 1 is exponential, 0 is always the mean."""
-    if spread <= 0:
-        return Stream(lambda count: np.full(count, mean))
-    shape = 1 / spread**2
-    return Stream(lambda count: chance.gamma(shape, mean / shape, count))
-
-
-def zipf_keys(chance, count, exponent):
-    """Ranks of keys by Zipf's law over a bounded number of them."""
-    weights = 1 / np.arange(1, count + 1) ** exponent
-    steps = np.cumsum(weights) / weights.sum()
-    return Stream(lambda size: np.searchsorted(steps, chance.random(size)))
 
 
 class Job:
@@ -145,7 +120,7 @@
 class Simulator:
     """day: see days.py. policy(terms, seed, now): has handle(now, events) -> actions, as the Balancer has."""
 
-    def __init__(self, day, policy):
+    def __init__(self, day: Day, policy: Any) -> None:
         self.day, self.policy, self.now, self.count, self.heap = day, policy, 0, 0, []
         streams = [
             np.random.Generator(np.random.PCG64(one))
@@ -164,7 +139,13 @@
         self.builds = {1: Build(1)}
         self.pods = {
             f"p{at}-1": Pod(
-                f"p{at}-1", day.zones[at % 3], day.cores, speed, day.queue, self.builds[1], 0
+                f"p{at}-1",
+                day.zones[at % 3],
+                cores=day.cores,
+                speed=speed,
+                queue_most=day.queue,
+                build=self.builds[1],
+                started=0,
             )
             for at, speed in enumerate(day.speeds)
         }
@@ -179,7 +160,7 @@
             cold_from=day.cold_from,
             overload=day.terms.overload_window,
         )
-        self.news = [1, len(day.terms.stage_fractions) - 1, ReleasePhase.RELEASED, 1.0]
+        self.news: list[Any] = [1, len(day.terms.stage_fractions) - 1, ReleasePhase.RELEASED, 1.0]
         self.votes, self.moved_at, self.trial = {}, 0, None
         self.transactions, self.balancers, self.turns = {}, {}, [0] * day.instances
         self.scores = {"asked": 0.0, "earned": 0.0, "harm": 0.0, "behind": 0.0}
@@ -214,11 +195,11 @@
             {},
         )  # (build, lane): deliveries, failed, time of those done
 
-    def at(self, moment, call, *arguments):
+    def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
         self.count += 1
         heapq.heappush(self.heap, (moment, self.count, call, arguments))
 
-    def play(self):
+    def play(self) -> Self:
         """The whole day; gives itself."""
         day = self.day
         for instance in range(day.instances):
@@ -248,11 +229,13 @@
         )
         self.balancers[instance] = policy
         listed = tuple(
-            self._entry(pod) for pod in self.pods.values() if pod.state in (UP, DRAINING)
+            self._entry(pod)
+            for pod in self.pods.values()
+            if pod.state in (PodState.UP, PodState.DRAINING)
         )
         for pod in self.pods.values():
             self.checker.started(instance, pod.name, pod.started)
-            if pod.state == DRAINING:
+            if pod.state == PodState.DRAINING:
                 self.checker.listed(self.now, instance, pod.name, "draining")
         build, stage, phase, cap = self.news
         self.checker.cap(self.now, instance, build, cap, stage, PHASES[phase])
@@ -270,7 +253,9 @@
         there = self.turns[instance] == turn and self.balancers.get(instance) is not None
         if there and whole:
             entries = [
-                self._entry(pod) for pod in self.pods.values() if pod.state in (UP, DRAINING)
+                self._entry(pod)
+                for pod in self.pods.values()
+                if pod.state in (PodState.UP, PodState.DRAINING)
             ]
             self._note_list(instance, entries)
             self._tell(instance, EndpointUpdate(UpdateKind.FULL, tuple(entries)))
@@ -288,7 +273,7 @@
 
     def _entry(self, pod, condition=None):
         condition = condition or (
-            EndpointCondition.READY if pod.state == UP else EndpointCondition.DRAINING
+            EndpointCondition.READY if pod.state == PodState.UP else EndpointCondition.DRAINING
         )
         return Endpoint(pod.name, pod.zone, 1.0, 0, condition, pod.started, "m", pod.build.number)
 
@@ -370,7 +355,7 @@
             instance, RequestReceived(name, lane, f"t{tenant}", key, left, None, tries > 0, False)
         )
 
-    def _answered(self, instance, name, how, wait):
+    def _answered(self, instance: int, name: str, how: str, wait: Ticks) -> None:
         self.checker.answered(self.now, instance, name, how)
         held = self.transactions.get((instance, name))
         if held is None:
@@ -417,7 +402,7 @@
         usual = [
             pod
             for pod in self.pods.values()
-            if pod.state == UP
+            if pod.state == PodState.UP
             and self._reached(instance, pod)
             and (pod.build.number < self.news[0] or self.news[2] == ReleasePhase.RELEASED)
         ]
@@ -432,7 +417,7 @@
 
     # Deliveries.
 
-    def _deliver(self, instance, turn, action):
+    def _deliver(self, instance: int, turn: int, action: SendAttempt) -> None:
         # Where lists do not come, what has gone is sent to: nobody answers there.
         pod = self.pods.get(action.endpoint) or self.former.get(action.endpoint)
         held = self.transactions.get((instance, action.id))
@@ -485,7 +470,7 @@
         if not job.linked:
             self.at(min(ends, self.now + 10), self._end, job, Outcome.CONNECT_FAILED, False)
             return
-        if self.losses.next() < self.loss or pod.state == DOWN:
+        if self.losses.next() < self.loss or pod.state == PodState.DOWN:
             self.at(min(ends, self.now + 2500), self._end, job, Outcome.CONNECT_FAILED, False)
             return
         self.at(ends, self._end, job, Outcome.TIMED_OUT, None)
@@ -520,7 +505,7 @@
         following = pod.finish(self.now)
         if following:
             self.at(self.now + following[1], self._served, pod, following[0])
-        if pod.state == DOWN:
+        if pod.state == PodState.DOWN:
             return
         self.checker.ran(self.now, job.name, job.lane)
         build = pod.build
@@ -672,7 +657,12 @@
             self._back()
             self.sent_back.pop()  # not by votes
         self.builds[offer.build] = Build(
-            offer.build, offer.fails, offer.slow, offer.after, None, offer.load, offer.shared
+            offer.build,
+            offer.fails,
+            slow=offer.slow,
+            after=offer.after,
+            load=offer.load,
+            shared=offer.shared,
         )
         self.trial_share = 0.0
         self.news = [offer.build, 0, ReleasePhase.ON_TRIAL, self.day.caps[0]]
@@ -711,18 +701,18 @@
         pod = Pod(
             name,
             self.day.zones[at % 3],
-            self.day.cores,
-            self.day.speeds[at],
-            self.day.queue,
-            self.builds[build],
-            self.now,
-            self.day.cold,
-            self.day.cold_from,
+            cores=self.day.cores,
+            speed=self.day.speeds[at],
+            queue_most=self.day.queue,
+            build=self.builds[build],
+            started=self.now,
+            cold=self.day.cold,
+            cold_from=self.day.cold_from,
         )
         self.pods[name] = pod
         self._list(self._entry(pod))
 
-    def _vote(self, instance, turn, vote):
+    def _vote(self, instance: int, turn: int, vote: CastVote) -> None:
         if self.turns[instance] != turn or self._off(instance) or self.calls_down == SILENT_CALLS:
             self.at(self.now + self.votes_wait, self._told_vote, instance, turn, Outcome.TIMED_OUT)
             return
@@ -809,7 +799,9 @@
         self.news[2:] = [ReleasePhase.ROLLING_BACK, 0.0]
         self._announce()
         earlier = [
-            pod for pod in self.pods.values() if pod.build.number < build and pod.state == UP
+            pod
+            for pod in self.pods.values()
+            if pod.build.number < build and pod.state == PodState.UP
         ]
         if (
             len(earlier) < self.day.pods
@@ -819,13 +811,13 @@
                 pod = Pod(
                     f"p{at}-{build}r",
                     self.day.zones[at % 3],
-                    self.day.cores,
-                    self.day.speeds[at],
-                    self.day.queue,
-                    self.builds[last],
-                    self.now,
-                    self.day.cold,
-                    self.day.cold_from,
+                    cores=self.day.cores,
+                    speed=self.day.speeds[at],
+                    queue_most=self.day.queue,
+                    build=self.builds[last],
+                    started=self.now,
+                    cold=self.day.cold,
+                    cold_from=self.day.cold_from,
                 )
                 self.pods[pod.name] = pod
                 self._list(self._entry(pod))
@@ -838,15 +830,15 @@
             self._announce()
 
     def _drain(self, which):
-        leaving = [pod for pod in self.pods.values() if pod.state == UP and which(pod)]
+        leaving = [pod for pod in self.pods.values() if pod.state == PodState.UP and which(pod)]
         for pod in leaving:
-            pod.state = DRAINING
+            pod.state = PodState.DRAINING
             self.at(self.now + self.day.gone_after, self._gone, pod)
         if leaving:
             self._list(*(self._entry(pod) for pod in leaving))
 
     def _gone(self, pod):
-        pod.state = DOWN
+        pod.state = PodState.DOWN
         self.connections.drop(lambda line: line[2] == pod.name)
         self.former[pod.name] = self.pods.pop(pod.name, pod)
         self._list(self._entry(pod, EndpointCondition.GONE))
@@ -854,43 +846,43 @@
     # Faults.
 
     def _fault(self, fault, begins):
-        if fault.kind == "pods":
+        if fault.kind == FaultKind.SLOW_PODS:
             for pod in self.pods.values():
                 if int(pod.name[1:].split("-")[0]) in fault.what:
                     pod.speed *= 1 / fault.size if begins else fault.size
-        elif fault.kind == "ill":
+        elif fault.kind == FaultKind.ERRORS:
             for at in fault.what:
                 if begins:
                     self.listed[f"p{at}-1"] = fault.size
                 else:
                     self.listed.pop(f"p{at}-1", None)
-        elif fault.kind == "network":
+        elif fault.kind == FaultKind.CONNECTION_LOSS:
             self.loss = fault.size if begins else self.day.loss
-        elif fault.kind == "discovery":
+        elif fault.kind == FaultKind.LATE_LISTS:
             self.slow_list = int(fault.size) if begins else 0
-        elif fault.kind == "platform":
+        elif fault.kind == FaultKind.LATE_RELEASE_UPDATES:
             self.slow_news = int(fault.size) if begins else 0
-        elif fault.kind == "burst":
+        elif fault.kind == FaultKind.BURST:
             self.burst = fault.size if begins else 1.0
-        elif fault.kind == "slow all":
+        elif fault.kind == FaultKind.SLOW_ALL:
             self.slow_all = fault.size if begins else 1.0
-        elif fault.kind == "calls":
+        elif fault.kind == FaultKind.CALLS_DOWN:
             self.calls_down = fault.size if begins else None
-        elif fault.kind == "lost answers":
+        elif fault.kind == FaultKind.LOST_ANSWERS:
             self.lost_answers = fault.size if begins else 0.0
-        elif fault.kind == "cut":
+        elif fault.kind == FaultKind.ZONE_CUT:
             zones = {self.day.zones[at] for at in fault.what}
             self.cuts = self.cuts | zones if begins else self.cuts - zones
             if not begins:
                 self._announce()  # news comes again and again: what was missed is told then
-        elif fault.kind == "silent":
+        elif fault.kind == FaultKind.SILENT_PODS:
             for pod in self.pods.values():
                 pod.silent = begins and int(pod.name[1:].split("-")[0]) in fault.what
-        elif fault.kind == "pause" and begins:
+        elif fault.kind == FaultKind.PAUSES and begins:
             self._pause(fault)
-        elif fault.kind == "zone":
+        elif fault.kind == FaultKind.ZONE_LOSS:
             self._zone(self.day.zones[fault.what[0]], begins)
-        elif fault.kind == "kill" and begins:
+        elif fault.kind == FaultKind.RESTARTS and begins:
             for instance in fault.what:
                 self.balancers[instance] = None
                 self.turns[instance] += 1
@@ -916,21 +908,23 @@
             self.lost.add(zone)
         else:
             self.lost.discard(zone)
-        for pod in [one for one in self.pods.values() if one.zone == zone and one.state == UP]:
+        for pod in [
+            one for one in self.pods.values() if one.zone == zone and one.state == PodState.UP
+        ]:
             pod.silent = begins
             if not begins:
                 fresh = Pod(
                     pod.name,
                     pod.zone,
-                    pod.cores,
-                    pod.speed,
-                    pod.queue_most,
-                    pod.build,
-                    self.now,
-                    self.day.cold,
-                    self.day.cold_from,
+                    cores=pod.cores,
+                    speed=pod.speed,
+                    queue_most=pod.queue_most,
+                    build=pod.build,
+                    started=self.now,
+                    cold=self.day.cold,
+                    cold_from=self.day.cold_from,
                 )
-                pod.state = DOWN
+                pod.state = PodState.DOWN
                 self.connections.drop(lambda line, one=pod.name: line[2] == one)
                 self.pods[pod.name] = fresh
                 self._list(self._entry(fresh))
