--- a/Makefile
+++ b/Makefile
@@ -16,6 +16,7 @@
 # The finished packages, which pass mypy --strict; pyproject.toml lists the others as exempt from the linter's rules.
 TYPED = thymeknot/__main__.py \
 	thymeknot/cli/__init__.py \
+	thymeknot/cli/coordination_commands.py \
 	thymeknot/cli/decision_log_client.py \
 	thymeknot/cli/decision_log_file.py \
 	thymeknot/cli/log_summary.py \
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -248,15 +248,15 @@
 
     path, plain, within = context.obj
     try:
-        code, reply = words.asked(
+        code, reply = words.send(
             path,
             {name: value for name, value in command.items() if value is not None},
             read,
             within,
         )
-    except words.Unusable as error:
+    except words.CoordinationCommandError as error:
         raise click.UsageError(str(error)) from None
-    for line in [_json(reply)] if plain else words.lines(reply):
+    for line in [_json(reply)] if plain else words.reply_lines(reply):
         click.echo(line, err=code != 0 and not plain)
     context.exit(code)
 
