--- a/Makefile
+++ b/Makefile
@@ -18,8 +18,13 @@
 	thymeknot/cli/__init__.py \
 	thymeknot/cli/coordination_commands.py \
 	thymeknot/cli/decision_log_client.py \
+	thymeknot/cli/decision_log_commands.py \
 	thymeknot/cli/decision_log_file.py \
+	thymeknot/cli/fleet_commands.py \
+	thymeknot/cli/key_commands.py \
+	thymeknot/cli/log_commands.py \
 	thymeknot/cli/log_summary.py \
+	thymeknot/cli/output.py \
 	thymeknot/coordination/blocking_client.py \
 	thymeknot/coordination/cluster_clock.py \
 	thymeknot/coordination/drain_agent.py \
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -1,22 +1,16 @@
 """thymeknot's commands, on click. Exit codes: 0 done, 1 nothing found, 2 faulty words or files, 3 nobody answers."""
 
 import os
-import time
 
 import click
 
 from ..service.features import VARIABLE
-from ..service.required_libraries import (
-    COMMANDS,
-    COORDINATION,
-    GOSSIP,
-    LABORATORY,
-    LOAD,
-    libraries_from,
-)
-from .decision_log_client import UnreachableError, lines_of
-
-DURATIONS = {"s": 1, "m": 60, "h": 3600, "d": 86400}
+from ..service.required_libraries import LABORATORY, LOAD, libraries_from
+from .decision_log_commands import why
+from .fleet_commands import fleet
+from .key_commands import keys
+from .log_commands import logs
+from .output import json_line
 
 
 @click.group(invoke_without_command=True, context_settings={"help_option_names": ["-h", "--help"]})
@@ -65,277 +59,6 @@
     context.exit(2 if faults else 0)
 
 
-class IdOrCommand(click.Group):
-    """`why ID` beside `why find ...`: what is no command is an id."""
-
-    def resolve_command(self, context, words):
-        if words and words[0] not in self.commands and not words[0].startswith("-"):
-            return "id", self.commands["id"], words
-        return super().resolve_command(context, words)
-
-
-@thymeknot.group(cls=IdOrCommand)
-@click.option(
-    "--at",
-    "place",
-    default="127.0.0.1:6390",
-    metavar="ADDRESS",
-    envvar="THYMEKNOT_WHY",
-    show_default=True,
-    help="where an instance answers: host:port or unix:PATH",
-)
-@click.option(
-    "--file",
-    "path",
-    type=click.Path(exists=True, dir_okay=False),
-    help="a record that was left over, instead",
-)
-@click.option("--json", "plain", is_flag=True, help="lines of JSON")
-@click.pass_context
-def why(context, place, path, plain):
-    """Why a transaction (by ID or key) went where it went; what else is known of the latest ones."""
-    context.obj = place, path, plain
-
-
-@libraries_from(COMMANDS)
-def _asked(context, told):
-    """Prints what answers, and ends with the code that tells whether anything did."""
-    place, path, plain = context.obj
-    found = 0
-    try:
-        for line in lines_of(place, path, told):
-            if "error" in line:
-                raise click.UsageError(line["error"])
-            if "end" in line and "id" not in line:
-                if line.get("more"):
-                    click.echo("there are more", err=True)
-                break
-            found += 1
-            _show(line, plain)
-    except UnreachableError as error:
-        click.echo(f"why: {error}", err=True)
-        context.exit(3)
-    context.exit(0 if found else 1)
-
-
-def _show(line, plain):
-    if plain or "lines" not in line:
-        import orjson
-
-        line.pop("lines", None)
-        click.echo(orjson.dumps(line, option=0 if plain else orjson.OPT_INDENT_2).decode())
-        return
-    click.echo(
-        time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(line["at"])) + "\n".join(line["lines"])
-    )
-
-
-@why.command("id", hidden=True)
-@click.argument("name")
-@click.pass_context
-def by_id(context, name):
-    """One transaction, or all with this key."""
-    _asked(context, {"ask": "why", "id": name})
-
-
-def _seconds(context, option, value):
-    if value is None:
-        return None
-    unit = DURATIONS.get(value[-1:])
-    try:
-        return float(value[:-1] if unit else value) * (unit or 1)
-    except ValueError:
-        raise click.BadParameter("a time such as 90s, 15m or 2h") from None
-
-
-def _filters(command):
-    for name, told in (
-        ("reason", "a reason's name"),
-        ("pod", "sent to this pod"),
-        ("tenant", "of this tenant"),
-        ("lane", "of this lane"),
-    ):
-        command = click.option(f"--{name}", help=told)(command)
-    return command
-
-
-@why.command()
-@_filters
-@click.option("--since", callback=_seconds, help="not longer ago than 90s, 15m, 2h")
-@click.option("--limit", type=click.IntRange(1, 10_000), default=50, show_default=True)
-@click.pass_context
-def find(context, **told):
-    """The latest that fit all that is told."""
-    _asked(
-        context,
-        {"ask": "find", **{name: value for name, value in told.items() if value is not None}},
-    )
-
-
-@why.command()
-@click.pass_context
-def tally(context):
-    """Sums over all that ever was: ends, reasons, times, who is turned away most."""
-    _asked(context, {"ask": "tally"})
-
-
-@why.command()
-@click.pass_context
-def kept(context):
-    """What is kept, and for how long at the present rates."""
-    _asked(context, {"ask": "kept"})
-
-
-@why.command()
-@_filters
-@click.pass_context
-def watch(context, **told):
-    """Entries as they are made, until interrupted."""
-    _asked(
-        context,
-        {"ask": "watch", **{name: value for name, value in told.items() if value is not None}},
-    )
-
-
-@thymeknot.group()
-def keys():
-    """Keys of gossip's ring."""
-
-
-@keys.command("new")
-@click.argument("name")
-@click.argument("file", type=click.Path())
-@click.pass_context
-@libraries_from(GOSSIP)
-def keys_new(context, name, file):
-    """Makes a key and prints its record for the ring."""
-    from ..gossip import keys as ring
-
-    context.exit(ring.main(["new", name, file]))
-
-
-@keys.command("show")
-@click.argument("name")
-@click.argument("file", type=click.Path(exists=True))
-@click.pass_context
-@libraries_from(GOSSIP)
-def keys_show(context, name, file):
-    """Prints the record of a key there is."""
-    from ..gossip import keys as ring
-
-    context.exit(ring.main(["show", name, file]))
-
-
-@thymeknot.group()
-@click.option("--json", "plain", is_flag=True, help="the reply as one line of JSON")
-@click.option(
-    "--within",
-    default=10.0,
-    show_default=True,
-    type=click.FloatRange(0.1, 600),
-    help="seconds to wait",
-)
-@click.pass_context
-def fleet(context, plain, within):
-    """Who may go out, agreed by all. The operator's file says where the keepers are and who asks."""
-    context.obj = context.find_root().obj, plain, within
-
-
-@libraries_from(COORDINATION)
-def _agreed(context, read=False, **command):
-    """Exit codes: 0 done, 1 refused, 2 faulty words or files, 3 no keeper answers."""
-    from . import coordination_commands as words
-
-    path, plain, within = context.obj
-    try:
-        code, reply = words.send(
-            path,
-            {name: value for name, value in command.items() if value is not None},
-            read,
-            within,
-        )
-    except words.CoordinationCommandError as error:
-        raise click.UsageError(str(error)) from None
-    for line in [_json(reply)] if plain else words.reply_lines(reply):
-        click.echo(line, err=code != 0 and not plain)
-    context.exit(code)
-
-
-@fleet.command("status")
-@click.option("--unit", help="of one alone")
-@click.pass_context
-def fleet_status(context, unit):
-    """Who is out, by which budget, and what is halted."""
-    _agreed(context, True, do="status", unit=unit)
-
-
-@fleet.command("drain")
-@click.argument("unit")
-@click.option("--urgency", default=0, show_default=True, type=click.IntRange(0, 9))
-@click.option(
-    "--wait/--now", default=True, show_default=True, help="whether to queue where nothing fits"
-)
-@click.option(
-    "--epoch", default=1, show_default=True, type=click.IntRange(0), help="an older one is refused"
-)
-@click.pass_context
-def fleet_drain(context, unit, urgency, wait, epoch):
-    """Asks that a unit goes out; it does when its budgets have room."""
-    _agreed(
-        context, do="ask", unit=unit, plan=f"drain:{unit}", epoch=epoch, urgency=urgency, queue=wait
-    )
-
-
-@fleet.command("back")
-@click.argument("unit")
-@click.pass_context
-def fleet_back(context, unit):
-    """Brings a unit back, or takes back that it was asked to go."""
-    _agreed(context, do="back", unit=unit)
-
-
-@fleet.command("halt")
-@click.argument("why")
-@click.option("--zone", help="there alone; else everywhere")
-@click.pass_context
-def fleet_halt(context, why, zone):
-    """Lets nothing more go out, for a reason given in words."""
-    import getpass
-
-    _agreed(context, do="halt", by=getpass.getuser(), why=why, where={"zone": zone} if zone else {})
-
-
-@fleet.command("resume")
-@click.argument("halt", type=int)
-@click.pass_context
-def fleet_resume(context, halt):
-    """Ends the halt of this number."""
-    _agreed(context, do="resume", halt=halt)
-
-
-@thymeknot.command()
-@click.argument("files", nargs=-1, required=True, type=click.File("rb"))
-@click.option(
-    "--every",
-    default=5.0,
-    show_default=True,
-    type=click.FloatRange(0.1),
-    help="seconds of a stretch",
-)
-@click.option("--json", "plain", is_flag=True, help="lines of JSON")
-def logs(files, every, plain):
-    """What the logs of a fleet say together: a FILE for each sidecar."""
-    from .log_summary import Summary
-
-    summary = Summary(every)
-    for source in files:
-        for line in source:
-            summary.feed(source.name, line)
-    for at, counts in summary.stretches():
-        _show({"at": at, **counts}, plain)
-    _show(summary.figures(), plain)
-
-
 @thymeknot.command()
 @click.option(
     "--at",
@@ -422,7 +145,7 @@
     )
     last = found[-1][3].figures(seconds)
     click.echo(
-        _json(
+        json_line(
             {
                 "verdict": found[-1][1],
                 "why": found[-1][2],
@@ -466,7 +189,7 @@
     from ..simulation import experiments
 
     try:
-        click.echo(_json(experiments.played((policy, seed, size))))
+        click.echo(json_line(experiments.played((policy, seed, size))))
     except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
 
@@ -543,7 +266,7 @@
             )
         except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
-    click.echo(_json(experiments.crowd_figures(pairs)))
+    click.echo(json_line(experiments.crowd_figures(pairs)))
 
 
 def _kinds(text):
@@ -579,7 +302,7 @@
     except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
     day, _ = large_fleet_scenarios.drawn(seed, kind, instances=instances, pods=pods)
-    click.echo(_json(report.written(day, policies, folder, f"{kind}, seed {seed}")))
+    click.echo(json_line(report.written(day, policies, folder, f"{kind}, seed {seed}")))
 
 
 @lab.command("search")
@@ -594,10 +317,8 @@
     for one in experiments.searched(
         "now", range(seed, seed + days), size, os.cpu_count() or 1, against
     ):
-        click.echo(_json(one))
-
+        click.echo(json_line(one))
 
-def _json(value):
-    import orjson
 
-    return orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS).decode()
+for command in (why, keys, fleet, logs):
+    thymeknot.add_command(command)
--- /dev/null
+++ b/thymeknot/cli/output.py
@@ -0,0 +1,23 @@
+"""How commands print what they found."""
+
+import time
+from collections.abc import Mapping
+from typing import Any
+
+import click
+import orjson
+
+
+def json_line(value: Any) -> str:
+    """Returns a value as one line of JSON."""
+    return orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS).decode()
+
+
+def show(content: Mapping[str, Any], plain: bool) -> None:
+    """Prints an object: as a line of JSON if plain, else its `lines` or as indented JSON."""
+    if plain or "lines" not in content:
+        rest = {name: value for name, value in content.items() if name != "lines"}
+        click.echo(orjson.dumps(rest, option=0 if plain else orjson.OPT_INDENT_2).decode())
+        return
+    moment = time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(content["at"]))
+    click.echo(moment + "\n".join(content["lines"]))
