--- a/Makefile
+++ b/Makefile
@@ -36,7 +36,9 @@
 	thymeknot/service/rejection_summary.py \
 	thymeknot/service/required_libraries.py \
 	thymeknot/service/structured_log.py \
+	thymeknot/simulation/calibration.py \
 	thymeknot/simulation/earlier_versions.py \
+	thymeknot/simulation/invariants.py \
 	thymeknot/simulation/random_streams.py \
 	thymeknot/simulation/recording.py \
 	thymeknot/simulation/scenarios.py \
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -706,7 +706,7 @@
             checker = InvariantChecker(
                 terms.request_classes, 0, terms.exposure_window, terms.exposure_allowance + 2
             )  # as the protocol has it
-            checker.cap(0, "", 42, cap * 1.04, 0, "trial")
+            checker.cap(0, "", 42, cap * 1.04, 0, phase="trial")
             for step in range(2000):
                 now, hangs = step * 100, step >= 800 and step % 400 < self.HANG * 100
                 network.reactor.advance(0.01)
@@ -729,7 +729,7 @@
                             connection.transport.value().split(b"\r\n")[6].decode(),
                             proxy.listed[pod].build,
                         )
-                        checker.sent(now, "", name, pod, build, "read")
+                        checker.sent(now, "", name, pod, build, lane="read")
                         connection.transport.clear()
                         connection.resumeProducing()
                         trial += build == 42
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -596,7 +596,7 @@
             terms.exposure_window,
             terms.exposure_allowance,
             terms.exposure_by_class,
-            terms.guarded_stages,
+            guarded=terms.guarded_stages,
         )
         self.made, self.pods, self.held, self.said = (
             DecisionEngine(terms, seed, self.now),
@@ -650,7 +650,7 @@
         build, stage, phase, cap = self.order
         if outcome != Outcome.DONE:
             return ReleaseUpdate(build, None, None, answers, outcome, None, None)
-        self.checker.cap(self.now, 0, build, cap, stage, self.PHASES[phase])
+        self.checker.cap(self.now, 0, build, cap, stage, phase=self.PHASES[phase])
         return ReleaseUpdate(build, stage, phase, answers, Outcome.DONE, cap, 0)
 
     def moved(self):
@@ -781,8 +781,8 @@
             action.id,
             action.endpoint,
             pod.build,
-            held["lane"],
-            held["key"] or action.id,
+            lane=held["lane"],
+            key=held["key"] or action.id,
         )
         if (
             held["over"]
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -137,41 +137,41 @@
         for ran, broken in ((False, []), (None, [2]), (True, [2])):
             one = checker()
             one.taken(0, 0, "t", "pay", 9000)
-            one.sent(0, 0, "t", "p", 1, "pay")
+            one.sent(0, 0, "t", "p", 1, lane="pay")
             one.proved(0, "t", 0, ran)
-            one.sent(10, 0, "t", "q", 1, "pay")
+            one.sent(10, 0, "t", "q", 1, lane="pay")
             self.assertEqual(one.rules_broken(), broken)
 
     def test_a_drain_is_kept_to_the_moment(self):
         one = checker()
         one.listed(1000, 0, "p", "gone")
         one.listed(2000, 0, "p", "gone")  # told again: the first time counts
-        one.sent(3500, 0, "t", "p", 1, "fetch")
+        one.sent(3500, 0, "t", "p", 1, lane="fetch")
         self.assertEqual(one.broken, [])
-        one.sent(3501, 0, "t", "p", 1, "fetch")
+        one.sent(3501, 0, "t", "p", 1, lane="fetch")
         self.assertEqual(one.rules_broken(), [3])
 
     def test_one_delivery_too_many_to_the_trial(self):
         one = checker()
-        one.cap(0, 0, 2, 0.5, 3, "trial")
+        one.cap(0, 0, 2, 0.5, 3, phase="trial")
         for at in range(10):
             one.taken(at, 0, f"t{at}", "fetch", 9000)
         for at in range(8):  # 3 and half of 10
-            one.sent(20 + at, 0, f"t{at}", "p", 2, "fetch")
+            one.sent(20 + at, 0, f"t{at}", "p", 2, lane="fetch")
         self.assertEqual(one.broken, [])
-        one.sent(30, 0, "t9", "p", 2, "fetch")
+        one.sent(30, 0, "t9", "p", 2, lane="fetch")
         self.assertEqual(one.rules_broken(), [5])
 
     def test_guarded_stages_and_keys_that_stay(self):
         one = checker(guarded=2)
-        one.cap(0, 0, 2, 1.0, 1, "trial")
+        one.cap(0, 0, 2, 1.0, 1, phase="trial")
         for at in range(9):
             one.taken(at, 0, f"t{at}", "pay", 9000)
         one.key_answered(0, "k", 2)
-        one.sent(20, 0, "t1", "p", 1, "fetch", "other")
+        one.sent(20, 0, "t1", "p", 1, lane="fetch", key="other")
         self.assertEqual(one.broken, [])
-        one.sent(20, 0, "t2", "p", 1, "fetch", "k")
-        one.sent(20, 0, "t3", "p", 2, "pay")
+        one.sent(20, 0, "t2", "p", 1, lane="fetch", key="k")
+        one.sent(20, 0, "t3", "p", 2, lane="pay")
         self.assertEqual(
             [text.split(":")[1][:20] for _, _, text in one.broken],
             [" its key was answere", " pay in guarded stag"],
@@ -180,13 +180,13 @@
     def test_an_instance_that_starts_anew_has_no_allowance_of_its_earlier_life(self):
         for killed, rules in ((False, []), (True, [5])):
             one = checker()
-            one.cap(0, 1, 2, 0.5, 2, "trial")
+            one.cap(0, 1, 2, 0.5, 2, phase="trial")
             for at in range(40):
                 one.taken(100 + at, 1, f"t{at}", "fetch", 10_000)
             if killed:
                 one.killed(200, 1)
             for at in range(10):
-                one.sent(300 + at, 1, f"t{at}", "p", 2, "fetch")
+                one.sent(300 + at, 1, f"t{at}", "p", 2, lane="fetch")
             self.assertEqual(one.rules_broken(), rules)
 
     def test_a_cold_pod_pushed_by_all_together(self):
@@ -200,7 +200,7 @@
                 f"t{at}",
                 "p",
                 1,
-                "fetch",
+                lane="fetch",
                 work=100.0,
                 started=9_000,
                 capacity=1.0,
@@ -214,7 +214,7 @@
                     f"u{at}",
                     "p",
                     1,
-                    "fetch",
+                    lane="fetch",
                     work=200.0,
                     started=9_000,
                     capacity=1.0,
--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -1,194 +1,399 @@
-"""Checkers of the five rules. They see what an instance was told, took, sent and answered, and share no code with what
-they check: plain lists of moments, no rings. Each keeps its breaches as sentences.
+"""Checkers of the five rules.
+
+They see what an instance learned, received, sent and answered, and share no code with what they
+check: plain lists of moments, no sliding windows. Times are ticks (tenths of a millisecond).
 """
 
 from bisect import bisect_left
 from collections import defaultdict
+from collections.abc import Mapping
+from dataclasses import dataclass
+from enum import IntEnum, StrEnum
+from typing import NamedTuple
+
+from ..interface.clock import Ticks
+from ..interface.enums import Idempotency
+from ..interface.settings import RequestClass
+
+# Rounding of the exposure's bound.
+EXPOSURE_ROUNDING = 1e-9
+# Work beyond what overloads a server by this factor, and this many requests, is not blamed: what
+# is in flight is not known to who sends.
+OVERLOAD_MARGIN = 1.1
+OVERLOAD_SPARE_REQUESTS = 4
+
+
+class Rule(IntEnum):
+    """The rules, by their numbers in the reports."""
+
+    ONE_ANSWER = 1
+    """Each request gets one answer, in time."""
+    NO_UNSAFE_REPEAT = 2
+    """What may have run is not sent again, nor called rejected, unless that is safe."""
+    DRAINED = 3
+    """Nothing goes to a server that is known to be gone."""
+    WARMUP = 4
+    """A server that warms up is not overloaded."""
+    EXPOSURE = 5
+    """The build on trial gets no more than its cap allows, and keys stay with it."""
+
+
+class Listed(StrEnum):
+    """What a list says of a server."""
+
+    READY = "ready"
+    DRAINING = "draining"
+    GONE = "gone"
+
+
+class Phase(StrEnum):
+    """Where the rollout of a build stands."""
+
+    TRIAL = "trial"
+    BACK = "back"
+    RELEASED = "released"
+    WITHDRAWN = "withdrawn"
+
+
+class Answer(StrEnum):
+    """How a request was answered."""
+
+    DONE = "done"
+    DEFERRED = "deferred"
+    ABANDONED = "abandoned"
+
+
+class Breach(NamedTuple):
+    """A rule that was broken."""
+
+    rule: Rule
+    now: Ticks
+    text: str
+
+
+class CapUpdate(NamedTuple):
+    """What an instance learned of the newest build."""
+
+    at: Ticks
+    build: int
+    cap: float
+    """Share of the requests that may go to it."""
+    stage: int
+    phase: Phase
+
+
+class WarmupWork(NamedTuple):
+    """Work sent to a server that warms up."""
+
+    at: Ticks
+    work: float
+    informed: bool
+    """Whether the sender knew when the server started."""
+
+
+@dataclass(slots=True)
+class Sent:
+    """An attempt."""
+
+    at: Ticks
+    ran: bool | None = None
+    """Whether it ran; None: it may have."""
 
 
 class InvariantChecker:
-    """grace: for drains. window, allowance: of exposure. cap_grace: a lower cap binds after it."""
+    """Checks what the instances of a fleet do.
+
+    Attributes:
+        broken: What was found.
+        open: Class and latest end of the requests without an answer, by instance and name.
+        over: The answers, by instance and name.
+        overrun: The highest work sent to a server that warms up, over what is allowed.
+    """
 
     def __init__(
         self,
-        lanes,
-        grace,
-        window,
-        allowance,
-        by_lane=False,
-        guarded=0,
-        cold=0,
-        cold_from=1.0,
-        multiple=2.0,
-        overload=0,
-        slack=50,
-    ):
-        self.lanes, self.grace, self.window, self.allowance = lanes, grace, window, allowance
-        self.by_lane, self.guarded, self.cold, self.cold_from = by_lane, guarded, cold, cold_from
-        self.multiple, self.overload, self.slack, self.broken = multiple, overload, slack, []
-        self.open, self.over = {}, {}
-        self.runs, self.sent_of = defaultdict(list), defaultdict(list)
-        self.gone = defaultdict(dict)
-        self.taken_at, self.tried_at, self.caps = (
-            defaultdict(list),
-            defaultdict(list),
-            defaultdict(list),
-        )
-        self.kept = defaultdict(dict)
-        self.cold_work, self.starts, self.overrun = defaultdict(list), defaultdict(dict), 0.0
+        lanes: Mapping[str, RequestClass],
+        grace: Ticks,
+        window: Ticks,
+        allowance: float,
+        by_lane: bool = False,
+        *,
+        guarded: int = 0,
+        cold: Ticks = 0,
+        cold_from: float = 1.0,
+        multiple: float = 2.0,
+        overload: Ticks = 0,
+        slack: Ticks = 50,
+    ) -> None:
+        """Starts with nothing seen.
 
-    def _broke(self, rule, now, text):
-        self.broken.append((rule, now, text))
+        Args:
+            lanes: the request classes by name.
+            grace: how long a server may get attempts after an instance learned that it is gone.
+            window: over which exposure is counted.
+            allowance: attempts allowed beyond the cap's share.
+            by_lane: whether exposure is counted for each class alone.
+            guarded: in the stages before this one only idempotent requests go to the trial.
+            cold: how long a server warms up; 0: it is not checked.
+            cold_from: share of its capacity at its start.
+            multiple: a server that warms up fails under this many times its capacity.
+            overload: how long it takes that.
+            slack: how late an answer may be.
+        """
+        self.lanes = lanes
+        self.grace = grace
+        self.window = window
+        self.allowance = allowance
+        self.by_lane = by_lane
+        self.guarded = guarded
+        self.cold = cold
+        self.cold_from = cold_from
+        self.multiple = multiple
+        self.overload = overload
+        self.slack = slack
+        self.broken: list[Breach] = []
+        self.open: dict[tuple[int, str], tuple[str, Ticks]] = {}
+        self.over: dict[tuple[int, str], Answer] = {}
+        # Executions, by request.
+        self.runs: defaultdict[str, list[Ticks]] = defaultdict(list)
+        # Attempts, by instance and request.
+        self.sent_of: defaultdict[tuple[int, str], list[Sent]] = defaultdict(list)
+        # When an instance learned that a server is gone.
+        self.gone: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
+        # Requests that came, by instance and class ("" for all).
+        self.taken_at: defaultdict[tuple[int, str], list[Ticks]] = defaultdict(list)
+        # Attempts at a build on trial, by instance, build and class ("" for all).
+        self.tried_at: defaultdict[tuple[int, int, str], list[Ticks]] = defaultdict(list)
+        self.caps: defaultdict[int, list[CapUpdate]] = defaultdict(list)
+        # The build that last answered a key, by instance and key.
+        self.kept: defaultdict[int, dict[str, int]] = defaultdict(dict)
+        # By server and its start.
+        self.cold_work: defaultdict[tuple[str, Ticks], list[WarmupWork]] = defaultdict(list)
+        # When the servers that an instance knows started.
+        self.starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
+        self.overrun = 0.0
 
-    # What an instance is told.
+    def _broke(self, rule: Rule, now: Ticks, text: str) -> None:
+        self.broken.append(Breach(rule, now, text))
 
-    def listed(self, now, instance, pod, state):
-        """state: as told; ready takes back an earlier one."""
-        if state == "ready":
+    # What an instance learns.
+
+    def listed(self, now: Ticks, instance: int, pod: str, state: Listed) -> None:
+        """An instance learned the state of a server; READY takes back an earlier one."""
+        if state == Listed.READY:
             self.gone[instance].pop(pod, None)
         else:
             self.gone[instance].setdefault(pod, now)
 
-    def started(self, instance, pod, at):
-        """It was told that the pod runs since then."""
+    def started(self, instance: int, pod: str, at: Ticks) -> None:
+        """An instance learned when a server started."""
         self.starts[instance][pod] = at
 
-    def cap(self, now, instance, build, cap, stage, phase):
-        self.caps[instance].append((now, build, cap, stage, phase))
+    def cap(
+        self, now: Ticks, instance: int, build: int, cap: float, stage: int, *, phase: Phase
+    ) -> None:
+        """An instance learned where the newest build stands."""
+        self.caps[instance].append(CapUpdate(now, build, cap, stage, phase))
 
     # What it does.
 
-    def taken(self, now, instance, name, lane, ends):
+    def taken(self, now: Ticks, instance: int, name: str, lane: str, ends: Ticks) -> None:
+        """A request came, whose answer must come by `ends`."""
         self.open[instance, name] = lane, ends
         self.taken_at[instance, lane if self.by_lane else ""].append(now)
 
-    def answered(self, now, instance, name, how):
-        """how: done, deferred or abandoned."""
+    def answered(self, now: Ticks, instance: int, name: str, how: Answer) -> None:
+        """A request was answered."""
         held = self.open.pop((instance, name), None)
         if held is None:
             again = (instance, name) in self.over
-            return self._broke(1, now, f"{name}: {'a second answer' if again else 'never taken'}")
+            self._broke(
+                Rule.ONE_ANSWER, now, f"{name}: {'a second answer' if again else 'never taken'}"
+            )
+            return
         lane, ends = held
         self.over[instance, name] = how
         if now > ends + self.slack:
-            self._broke(1, now, f"{name}: answered {now - ends} late")
-        effect = self.lanes[lane].idempotency
-        if how == "deferred" and effect != "retriable":
-            unproved = [one for one in self.sent_of[instance, name] if one["run"] is not False]
-            if unproved and (
-                effect == "binding"
-                or now > unproved[0]["at"] + self.lanes[lane].deduplication_window
-            ):
-                self._broke(2, now, f"{name}: deferred though it may have run")
-        return None
-
-    def killed(self, now, instance):
-        """What it held is no longer its duty, and the next one starts with nothing."""
-        for key in [key for key in self.open if key[0] == instance]:
-            del self.open[key]
-        for held in (self.gone, self.kept, self.starts):
-            held.pop(instance, None)
-        for held in (
-            self.taken_at,
-            self.tried_at,
-        ):  # what an earlier life took is no allowance of this one
-            for key in [key for key in held if key[0] == instance]:
-                del held[key]
-
-    def ended(self, now):
-        """At the end of a day: whatever is open past its time was lost."""
+            self._broke(Rule.ONE_ANSWER, now, f"{name}: answered {now - ends} late")
+        if how == Answer.DEFERRED and self._may_have_run(now, instance, name, lane):
+            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: deferred though it may have run")
+
+    def _unproved(self, instance: int, name: str) -> list[Sent]:
+        """The attempts that may have run."""
+        return [one for one in self.sent_of[instance, name] if one.ran is not False]
+
+    def _may_have_run(self, now: Ticks, instance: int, name: str, lane: str) -> bool:
+        """Whether a client that tries again could make the request run twice."""
+        idempotency = self.lanes[lane].idempotency
+        if idempotency == Idempotency.IDEMPOTENT:
+            return False
+        unproved = self._unproved(instance, name)
+        return bool(unproved) and (
+            idempotency == Idempotency.NON_IDEMPOTENT
+            or now > unproved[0].at + self.lanes[lane].deduplication_window
+        )
+
+    def killed(self, now: Ticks, instance: int) -> None:
+        """An instance died.
+
+        What it held is no longer its duty, and the next one starts with nothing: what an earlier
+        life received is no allowance of it.
+        """
+        for request in [key for key in self.open if key[0] == instance]:
+            del self.open[request]
+        self.gone.pop(instance, None)
+        self.kept.pop(instance, None)
+        self.starts.pop(instance, None)
+        for received in [key for key in self.taken_at if key[0] == instance]:
+            del self.taken_at[received]
+        for tried in [key for key in self.tried_at if key[0] == instance]:
+            del self.tried_at[tried]
+
+    def ended(self, now: Ticks) -> None:
+        """The day has ended: whatever is open past its time was lost."""
         for (_, name), (_, ends) in self.open.items():
             if now > ends + self.slack:
-                self._broke(1, now, f"{name}: no answer")
+                self._broke(Rule.ONE_ANSWER, now, f"{name}: no answer")
 
     def sent(
-        self, now, instance, name, pod, build, lane, key=None, work=1.0, started=0, capacity=1.0
-    ):
-        """A delivery goes out. capacity: what the pod does in a tenth of a millisecond when warm, in units of work."""
-        told = self.gone[instance].get(pod)
-        if told is not None and now > told + self.grace:
-            self._broke(3, now, f"{name}: to {pod} {now - told} after it was told gone")
-        earlier = [one for one in self.sent_of[instance, name] if one["run"] is not False]
-        effect = self.lanes[lane].idempotency
-        if earlier and effect == "binding":
-            self._broke(2, now, f"{name}: sent again though it may have run")
-        if (
-            earlier
-            and effect == "fingerprinted"
-            and now > earlier[0]["at"] + self.lanes[lane].deduplication_window
-        ):
-            self._broke(2, now, f"{name}: sent again after its window")
-        self.sent_of[instance, name].append({"at": now, "run": None})
+        self,
+        now: Ticks,
+        instance: int,
+        name: str,
+        pod: str,
+        build: int,
+        *,
+        lane: str,
+        key: str | None = None,
+        work: float = 1.0,
+        started: Ticks = 0,
+        capacity: float = 1.0,
+    ) -> None:
+        """An attempt goes out.
+
+        Args:
+            now: the time.
+            instance: who sends it.
+            name: the request.
+            pod: the server.
+            build: of the server.
+            lane: the request class.
+            key: by which later requests stay with a build.
+            work: of the request.
+            started: when the server started; 0: long ago.
+            capacity: work that the server does in a tick when it is warm.
+        """
+        learned = self.gone[instance].get(pod)
+        if learned is not None and now > learned + self.grace:
+            self._broke(
+                Rule.DRAINED, now, f"{name}: to {pod} {now - learned} after it was told gone"
+            )
+        self._check_repeat(now, instance, name, lane)
+        self.sent_of[instance, name].append(Sent(now))
         if (instance, name) in self.over:
-            self._broke(1, now, f"{name}: sent after its answer")
-        self._exposed(now, instance, name, build, lane, key)
+            self._broke(Rule.ONE_ANSWER, now, f"{name}: sent after its answer")
+        self._check_trial(now, instance, name, build, lane=lane, key=key)
         if started and now < started + self.cold:
-            self._pushed(
-                now, pod, started, work, capacity, self.starts[instance].get(pod) == started
-            )
+            informed = self.starts[instance].get(pod) == started
+            sent = self.cold_work[pod, started]
+            sent.append(WarmupWork(now, work, informed))
+            self._check_warmup(pod, started, sent, capacity)
 
-    def _exposed(self, now, instance, name, build, lane, key):
+    def _check_repeat(self, now: Ticks, instance: int, name: str, lane: str) -> None:
+        earlier = self._unproved(instance, name)
+        if not earlier:
+            return
+        idempotency = self.lanes[lane].idempotency
+        if idempotency == Idempotency.NON_IDEMPOTENT:
+            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again though it may have run")
+        if (
+            idempotency == Idempotency.KEYED
+            and now > earlier[0].at + self.lanes[lane].deduplication_window
+        ):
+            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again after its window")
+
+    def _check_trial(
+        self, now: Ticks, instance: int, name: str, build: int, *, lane: str, key: str | None
+    ) -> None:
         told = self.caps[instance][-1] if self.caps[instance] else None
         if told is None:
             return
-        at, newest, cap, stage, phase = told
+        newest = told.build
         if (
             key is not None
             and key in self.kept[instance]
             and self.kept[instance][key] == newest > build
-            and phase in ("trial", "released")
+            and told.phase in (Phase.TRIAL, Phase.RELEASED)
         ):
             self._broke(
-                5, now, f"{name}: its key was answered by build {newest} and goes to {build}"
+                Rule.EXPOSURE,
+                now,
+                f"{name}: its key was answered by build {newest} and goes to {build}",
             )
-        if build != newest or phase != "trial":
+        if build != newest or told.phase != Phase.TRIAL:
             return
-        if stage < self.guarded and self.lanes[lane].idempotency != "retriable":
-            self._broke(5, now, f"{name}: {lane} in guarded stage {stage}")
-        counted = lane if self.by_lane else ""
-        tried, taken = self.tried_at[instance, newest, counted], self.taken_at[instance, counted]
+        if told.stage < self.guarded and self.lanes[lane].idempotency != Idempotency.IDEMPOTENT:
+            self._broke(Rule.EXPOSURE, now, f"{name}: {lane} in guarded stage {told.stage}")
+        self._check_exposure(now, instance, name, told, lane if self.by_lane else "")
+
+    def _check_exposure(
+        self, now: Ticks, instance: int, name: str, told: CapUpdate, counted: str
+    ) -> None:
+        """Counts an attempt at the build on trial against the highest cap of the window."""
+        tried = self.tried_at[instance, told.build, counted]
+        taken = self.taken_at[instance, counted]
         tried.append(now)
         within = len(tried) - bisect_left(tried, now - self.window)
         known = len(taken) - bisect_left(taken, now - self.window)
-        caps = [
-            one[2] for one in self.caps[instance] if one[1] == newest and one[0] > now - self.window
+        # A lower cap binds once the window has passed.
+        recent = [
+            one.cap
+            for one in self.caps[instance]
+            if one.build == told.build and one.at > now - self.window
         ]
-        highest = max(caps + [cap])  # a lower cap binds once the window has passed
-        if within > self.allowance + highest * known + 1e-9:
+        highest = max([*recent, told.cap])
+        if within > self.allowance + highest * known + EXPOSURE_ROUNDING:
             self._broke(
-                5,
+                Rule.EXPOSURE,
                 now,
-                f"{name}: {within} deliveries to build {newest}, {self.allowance} and {highest} of "
-                f"{known} allowed",
+                f"{name}: {within} deliveries to build {told.build}, {self.allowance} and "
+                f"{highest} of {known} allowed",
             )
 
-    def _pushed(self, now, pod, started, work, capacity, told):
-        """All instances together; it is theirs if two thirds came from such as were told of its start."""
-        sent = self.cold_work[pod, started]
-        sent.append((now, work, told))
+    def _check_warmup(
+        self, pod: str, started: Ticks, sent: list[WarmupWork], capacity: float
+    ) -> None:
+        """Compares what all instances together sent with what overloads a server."""
+        now = sent[-1].at
         begin = now - self.overload
         share = self.cold_from + (1 - self.cold_from) * max(0, begin - started) / self.cold
-        total = sum(one for at, one, _ in sent if at > begin)
-        known = sum(one for at, one, told in sent if at > begin and told)
+        total = sum(one.work for one in sent if one.at > begin)
+        known = sum(one.work for one in sent if one.at > begin and one.informed)
         least = self.multiple * share * capacity * self.overload
-        self.overrun = max(self.overrun, total / (least * 1.1 + 4 * work))
-        if total > least * 1.1 + 4 * work and known >= total * 2 / 3:
+        allowed = least * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * sent[-1].work
+        self.overrun = max(self.overrun, total / allowed)
+        # It is the instances' fault if two thirds came from such as knew of the start.
+        if total > allowed and known >= total * 2 / 3:
             self._broke(
-                4, now, f"{pod}: {total:.0f} of work in {self.overload}, {least:.0f} push it over"
+                Rule.WARMUP,
+                now,
+                f"{pod}: {total:.0f} of work in {self.overload}, {least:.0f} push it over",
             )
 
-    def proved(self, instance, name, number, ran):
-        """How a delivery ended: ran is True, False (never) or None (it may have)."""
-        self.sent_of[instance, name][number]["run"] = ran
+    def proved(self, instance: int, name: str, number: int, ran: bool | None) -> None:
+        """An attempt ended: it ran, never ran, or may have run (None)."""
+        self.sent_of[instance, name][number].ran = ran
 
-    def key_answered(self, instance, key, build):
+    def key_answered(self, instance: int, key: str, build: int) -> None:
+        """A request with this key was answered by this build."""
         self.kept[instance][key] = build
 
-    def ran(self, now, name, lane):
-        """A pod carried it out."""
+    def ran(self, now: Ticks, name: str, lane: str) -> None:
+        """A server carried out a request."""
         self.runs[name].append(now)
-        if self.lanes[lane].idempotency == "binding" and len(self.runs[name]) > 1:
-            self._broke(2, now, f"{name}: ran {len(self.runs[name])} times")
+        if self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT and len(self.runs[name]) > 1:
+            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: ran {len(self.runs[name])} times")
 
-    def rules_broken(self):
-        return sorted({rule for rule, _, _ in self.broken})
+    def rules_broken(self) -> list[int]:
+        """The rules that were broken, each once, in their order."""
+        return sorted({int(rule) for rule, _, _ in self.broken})
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -32,7 +32,7 @@
     TimerFired,
 )
 from ..state.random_source import LinearCongruentialGenerator
-from .invariants import InvariantChecker
+from .invariants import InvariantChecker, Listed, Phase
 from .random_streams import Stream, gamma, zipf_keys
 from .scenarios import Day, FaultKind
 from .servers import Build, Pod, PodState
@@ -46,10 +46,10 @@
     0.25,
 )  # of the goal: a wait that is no cause to turn away; of the pods that have no more
 PHASES = {
-    ReleasePhase.ON_TRIAL: "trial",
-    ReleasePhase.ROLLING_BACK: "back",
-    ReleasePhase.RELEASED: "released",
-    ReleasePhase.WITHDRAWN: "withdrawn",
+    ReleasePhase.ON_TRIAL: Phase.TRIAL,
+    ReleasePhase.ROLLING_BACK: Phase.BACK,
+    ReleasePhase.RELEASED: Phase.RELEASED,
+    ReleasePhase.WITHDRAWN: Phase.WITHDRAWN,
 }
 
 
@@ -236,9 +236,9 @@
         for pod in self.pods.values():
             self.checker.started(instance, pod.name, pod.started)
             if pod.state == PodState.DRAINING:
-                self.checker.listed(self.now, instance, pod.name, "draining")
+                self.checker.listed(self.now, instance, pod.name, Listed.DRAINING)
         build, stage, phase, cap = self.news
-        self.checker.cap(self.now, instance, build, cap, stage, PHASES[phase])
+        self.checker.cap(self.now, instance, build, cap, stage, phase=PHASES[phase])
         if self.discovery:  # what it knows is of before, until it gets the list
             chance = LinearCongruentialGenerator(
                 self.day.seed * 77 + instance * 13 + self.turns[instance] << 33
@@ -267,7 +267,7 @@
                 self.now,
                 instance,
                 entry.address,
-                "ready" if entry.condition == EndpointCondition.READY else "gone",
+                Listed.READY if entry.condition == EndpointCondition.READY else Listed.GONE,
             )
             self.checker.started(instance, entry.address, entry.started)
 
@@ -446,11 +446,11 @@
             action.id,
             action.endpoint,
             build,
-            held.lane,
-            held.key,
-            held.work,
-            pod.started,
-            pod.cores * pod.speed,
+            lane=held.lane,
+            key=held.key,
+            work=held.work,
+            started=pod.started,
+            capacity=pod.cores * pod.speed,
         )
         ends, line = min(self.now + action.timeout, held.ends), (instance, turn, action.endpoint)
         if pod.silent or not self._reached(instance, pod):
@@ -622,7 +622,7 @@
             return
         build, stage, phase, cap = news
         if outcome == Outcome.DONE:
-            self.checker.cap(self.now, instance, build, cap, stage, PHASES[phase])
+            self.checker.cap(self.now, instance, build, cap, stage, phase=PHASES[phase])
         self._tell(instance, ReleaseUpdate(build, stage, phase, answers, outcome, cap, 0))
 
     def _sample(self, job, outcome):
