--- a/Makefile
+++ b/Makefile
@@ -36,6 +36,7 @@
 	thymeknot/service/rejection_summary.py \
 	thymeknot/service/required_libraries.py \
 	thymeknot/service/structured_log.py \
+	thymeknot/simulation/baseline_policies.py \
 	thymeknot/simulation/calibration.py \
 	thymeknot/simulation/earlier_versions.py \
 	thymeknot/simulation/invariants.py \
