--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -35,7 +35,7 @@
 )
 from ..policy.engine import PROOF, DecisionEngine
 from ..protocol import resp
-from ..protocol.calls import HttpCaller
+from ..protocol.http_calls import HttpCaller
 from ..protocol.pod import PodResponse
 from ..service import structured_log
 from ..service.configuration import StartConfiguration
