--- a/Makefile
+++ b/Makefile
@@ -22,8 +22,10 @@
 	thymeknot/cli/decision_log_file.py \
 	thymeknot/cli/fleet_commands.py \
 	thymeknot/cli/key_commands.py \
+	thymeknot/cli/load_commands.py \
 	thymeknot/cli/log_commands.py \
 	thymeknot/cli/log_summary.py \
+	thymeknot/cli/main.py \
 	thymeknot/cli/output.py \
 	thymeknot/coordination/blocking_client.py \
 	thymeknot/coordination/cluster_clock.py \
--- a/thymeknot/cli/coordination_commands.py
+++ b/thymeknot/cli/coordination_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the fleet's coordination: sends one to the Raft nodes and puts the reply into words."""
+"""Commands to the fleet's coordination, sent to the Raft nodes, and their replies in words."""
 
 import os
 import secrets
@@ -61,7 +61,7 @@
         made.identity,
         made.ring,
         {one.name: one.address for one in settings.keepers},
-        # Of its own for each call: two operators at one instance must not end each other's commands.
+        # Its own for each call: two operators at one instance must not end each other's.
         f"op-{secrets.token_hex(6)}",
         time.time_ns() // 1_000_000,
     )
--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -57,7 +57,7 @@
 @click.option("--json", "plain", is_flag=True, help="lines of JSON")
 @click.pass_context
 def why(context: click.Context, place: str, path: Optional[str], plain: bool) -> None:
-    """Why a transaction (by ID or key) went where it went; what else is known of the latest ones."""
+    """Why a transaction (by ID or key) went where it went; what else is known of the latest ones."""  # noqa: E501  the help's own words
     context.obj = Source(place, path, plain)
 
 
--- a/thymeknot/cli/fleet_commands.py
+++ b/thymeknot/cli/fleet_commands.py
@@ -20,7 +20,7 @@
 )
 @click.pass_context
 def fleet(context: click.Context, plain: bool, within: float) -> None:
-    """Who may go out, agreed by all. The operator's file says where the keepers are and who asks."""
+    """Who may go out, agreed by all. The operator's file says where the keepers are and who asks."""  # noqa: E501  the help's own words
     context.obj = context.find_root().obj, plain, within
 
 
--- /dev/null
+++ b/thymeknot/cli/laboratory_commands.py
@@ -0,0 +1,178 @@
+"""The `lab` commands: fleets and their failures in simulated time."""
+
+import os
+from collections.abc import Callable
+from typing import Any, Optional
+
+import click
+
+from ..service.required_libraries import LABORATORY, libraries_from
+from .output import json_line
+
+Command = Callable[..., Any]
+"""What click makes a command of."""
+
+
+@click.group("lab")
+def lab() -> None:
+    """The laboratory: fleets and their failures in simulated time."""
+
+
+def _size(command: Command) -> Command:
+    for name, default, told in (
+        ("seconds", 40, "of the day"),
+        ("rate", 400.0, "transactions a second"),
+        ("pods", 24, "pods"),
+        ("instances", 40, "sidecars"),
+    ):
+        command = click.option(f"--{name}", default=default, show_default=True, help=told)(command)
+    command = click.option("--seed", default=1, show_default=True, help="the first day's")(command)
+    return command
+
+
+@lab.command("run")
+@_size
+@click.option(
+    "--policy", default="now", show_default=True, help="now, at:REVISION, random, turns, ..."
+)
+@libraries_from(LABORATORY)
+def lab_run(seed: int, policy: str, **size: int) -> None:
+    """Plays one day and prints its figures."""
+    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+
+    try:
+        click.echo(json_line(experiments.played((policy, seed, size))))
+    except experiments.UnknownPolicyError as error:
+        raise click.UsageError(str(error)) from None
+
+
+@lab.command("compare")
+@click.argument("one")
+@click.argument("two")
+@_size
+@click.option("--days", default=8, show_default=True)
+@click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
+@click.option(
+    "--keep", type=click.Path(), help="a file of results; one that stands there is gone on with"
+)
+@libraries_from(LABORATORY)
+def lab_compare(
+    *, one: str, two: str, seed: int, days: int, workers: int, keep: Optional[str], **size: int
+) -> None:
+    """Two policies on the same days: the difference with its interval, and the least that could be seen."""  # noqa: E501  the help's own words
+    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+
+    with click.progressbar(
+        length=2 * days, label="days", file=click.get_text_stream("stderr")
+    ) as bar:
+        try:
+            found, broken, _ = experiments.compared(
+                one,
+                two,
+                range(seed, seed + days),
+                size,
+                workers,
+                keep,
+                lambda done, count: bar.update(done - bar.pos),
+            )
+        except experiments.UnknownPolicyError as error:
+            raise click.UsageError(str(error)) from None
+    for name, gap in found.items():
+        click.echo(
+            f"{name:10} {one} - {two}: {gap.mean:+.4f}  [{gap.low:+.4f}, {gap.high:+.4f}]  "
+            f"least seen {gap.least:.4f}, {gap.pairs} days"
+        )
+    click.echo(f"rules broken: {broken or 'none'}")
+
+
+@lab.command("fleet")
+@click.argument("one")
+@click.argument("two")
+@click.option(
+    "--kinds",
+    default="herd,zone",
+    show_default=True,
+    help="of calm, roll, herd, zone, split, join, overload",
+)
+@click.option("--days", default=4, show_default=True, help="of each kind")
+@click.option("--instances", default=60, show_default=True)
+@click.option("--pods", default=36, show_default=True)
+@click.option("--seed", default=1, show_default=True)
+@click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
+@libraries_from(LABORATORY)
+def lab_fleet(
+    *, one: str, two: str, kinds: str, days: int, instances: int, pods: int, seed: int, workers: int
+) -> None:
+    """Two policies on the same days of a whole fleet: two less one with its interval."""
+    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+
+    chosen = _kinds(kinds)
+    with click.progressbar(
+        length=2 * days * len(chosen), label="days", file=click.get_text_stream("stderr")
+    ) as bar:
+        try:
+            pairs = experiments.crowds_compared(
+                one,
+                two,
+                chosen,
+                range(seed, seed + days),
+                {"instances": instances, "pods": pods},
+                workers,
+                lambda done, count: bar.update(done - bar.pos),
+            )
+        except experiments.UnknownPolicyError as error:
+            raise click.UsageError(str(error)) from None
+    click.echo(json_line(experiments.crowd_figures(pairs)))
+
+
+def _kinds(text: str) -> list[str]:
+    from ..simulation import large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
+
+    wrong = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
+    if wrong:
+        raise click.UsageError(
+            f"{', '.join(wrong)}: none of {', '.join(large_fleet_scenarios.KINDS)}"
+        )
+    return text.split(",")
+
+
+@lab.command("report")
+@click.argument("folder", type=click.Path(file_okay=False))
+@click.option("--kind", default="herd", show_default=True)
+@click.option(
+    "--policy", "names", multiple=True, default=("now",), show_default=True, help="again for each"
+)
+@click.option("--instances", default=60, show_default=True)
+@click.option("--pods", default=36, show_default=True)
+@click.option("--seed", default=1, show_default=True)
+@libraries_from(LABORATORY)
+def lab_report(
+    *, folder: str, kind: str, names: tuple[str, ...], instances: int, pods: int, seed: int
+) -> None:
+    """A page with pictures of one day of a fleet, played with each policy, in FOLDER."""
+    from ..simulation import experiments, large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
+
+    _kinds(kind)
+    from ..simulation import report  # noqa: PLC0415  needs libraries of its own
+
+    try:
+        policies = {name: experiments.policy(name) for name in names}
+    except experiments.UnknownPolicyError as error:
+        raise click.UsageError(str(error)) from None
+    day, _ = large_fleet_scenarios.drawn(seed, kind, instances=instances, pods=pods)
+    click.echo(json_line(report.written(day, policies, folder, f"{kind}, seed {seed}")))
+
+
+@lab.command("search")
+@_size
+@click.option("--days", default=24, show_default=True)
+@click.option("--against", default="random", show_default=True)
+@libraries_from(LABORATORY)
+def lab_search(seed: int, days: int, against: str, **size: int) -> None:
+    """The days on which the module does worst beside another policy, shrunk to what matters."""
+    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+
+    for one in experiments.searched(
+        "now", range(seed, seed + days), size, os.cpu_count() or 1, against
+    ):
+        click.echo(json_line(one))
