--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -19,6 +19,7 @@
 )
 from thymeknot.polling.snapshot_validation import SnapshotValidator
 from thymeknot.protocol.discovery import FIRST_WORD
+from thymeknot.protocol.watch_stream import WatchStream
 from thymeknot.simulation.shared_services import IDLE_TIMEOUT, Connections, Service
 from thymeknot.state.random_source import LinearCongruentialGenerator
 from thymeknot.state.timer_queue import TimerQueue
