--- a/Makefile
+++ b/Makefile
@@ -42,6 +42,7 @@
 	thymeknot/simulation/invariants.py \
 	thymeknot/simulation/random_streams.py \
 	thymeknot/simulation/recording.py \
+	thymeknot/simulation/report.py \
 	thymeknot/simulation/scenarios.py \
 	thymeknot/simulation/servers.py \
 	thymeknot/simulation/shared_services.py \
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -1,16 +1,23 @@
-"""One page on one day: what was sent to which build, what came of it, votes, times, pods; faults as bands."""
+"""A page on one day: what was sent to which build, what came of it, votes, times, servers.
+
+Faults are shown as bands.
+"""
 
 import html
 import os
+from collections.abc import Mapping
+from typing import Any, NamedTuple
 
 import matplotlib
+import numpy as np
 
 matplotlib.use("Agg")
-from matplotlib import pyplot  # noqa: E402  the backend comes first
+from matplotlib import pyplot
 
-from ..interface.clock import TICKS_PER_SECOND  # noqa: E402
-from ..interface.enums import ReleasePhase, Verdict  # noqa: E402
-from .recording import PERIOD, RecordingSimulator  # noqa: E402
+from ..interface.clock import TICKS_PER_SECOND
+from ..interface.enums import ReleasePhase, Verdict
+from .recording import PERIOD, RecordingSimulator
+from .scenarios import Day
 
 VERDICTS = {
     Verdict.ABSTAIN: "withdrawn",
@@ -19,9 +26,24 @@
     Verdict.ABORT: "back",
 }
 COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
+PERIODS_PER_SECOND = TICKS_PER_SECOND / PERIOD
+# Seconds of waiting work that get the brightest colour.
+BRIGHTEST_LOAD = 3
+# Not shown in the table: they are maps.
+HIDDEN_FIGURES = ("ends", "votes")
+
+
+class PlayedDay(NamedTuple):
+    """What one policy made of the day."""
 
+    name: str
+    """Of the policy."""
+    picture: str
+    """The file's name in the folder."""
+    figures: dict[str, Any]
 
-def _bands(axis, day):
+
+def _bands(axis: Any, day: Day) -> None:
     for number, fault in enumerate(day.faults):
         axis.axvspan(
             fault.begin / TICKS_PER_SECOND,
@@ -32,117 +54,154 @@
     axis.set_xlim(0, day.span / TICKS_PER_SECOND)
 
 
-def drawn(fleet, path, title):
-    """Draws a RecordingSimulator that has been played."""
-    day, steps = fleet.day, len(fleet.looks)
-    times = [at for at, *_ in fleet.looks]
+def draw_day(fleet: RecordingSimulator, path: str, title: str) -> None:
+    """Draws a day that has been played into a PNG file."""
+    times = [look.at for look in fleet.looks]
     figure, axes = pyplot.subplots(6, 1, figsize=(11, 15), sharex=True, constrained_layout=True)
     figure.suptitle(title)
-    per_s = TICKS_PER_SECOND / PERIOD
-    axes[0].stackplot(
+    _draw_attempts(axes[0], fleet, times)
+    _draw_exposure(axes[1], fleet, times)
+    _draw_answers(axes[2], fleet, times)
+    _draw_votes(axes[3], fleet, times)
+    _draw_latencies(axes[4], fleet, times)
+    _draw_load(axes[5], fleet, times)
+    for axis in axes[:5]:
+        _bands(axis, fleet.day)
+        if axis.get_legend_handles_labels()[0]:
+            axis.legend(loc="upper right", fontsize=8)
+    figure.savefig(path, dpi=90)
+    pyplot.close(figure)
+
+
+def _draw_attempts(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
+    axis.stackplot(
         times,
-        [fleet.sent[name][:steps] * per_s for name in fleet.names],
+        [fleet.sent[name][: len(times)] * PERIODS_PER_SECOND for name in fleet.names],
         labels=[f"build {name}" for name in fleet.names],
     )
-    axes[0].set_ylabel("deliveries a second")
-    total = sum(fleet.sent.values())[:steps]
+    axis.set_ylabel("deliveries a second")
+
+
+def _draw_exposure(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
+    total = np.sum(list(fleet.sent.values()), axis=0)[: len(times)]
     for name in fleet.names[1:]:
-        axes[1].plot(
+        axis.plot(
             times,
-            [counts[name] / day.pods for *_, counts in fleet.looks],
+            [look.running[name] / fleet.day.pods for look in fleet.looks],
             label=f"pods of build {name}",
         )
-        axes[1].plot(
+        axis.plot(
             times,
-            fleet.sent[name][:steps] / total.clip(1),
+            fleet.sent[name][: len(times)] / total.clip(1),
             label=f"deliveries to it, share of {name}",
         )
-    axes[1].step(
+    axis.step(
         times,
-        [
-            cap if phase == ReleasePhase.ON_TRIAL else float("nan")
-            for _, _, _, phase, cap, _ in fleet.looks
-        ],
+        [look.cap if look.phase == ReleasePhase.ON_TRIAL else float("nan") for look in fleet.looks],
         label="cap",
         color="black",
         linewidth=0.8,
     )
-    axes[1].set_ylabel("exposure")
+    axis.set_ylabel("exposure")
+
+
+def _draw_answers(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
     for how, colour in COLOURS.items():
-        axes[2].plot(times, fleet.how[how][:steps] * per_s, label=how, color=colour)
-    axes[2].set_ylabel("answers a second")
+        axis.plot(times, fleet.how[how][: len(times)] * PERIODS_PER_SECOND, label=how, color=colour)
+    axis.set_ylabel("answers a second")
+
+
+def _draw_votes(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
     for verdict, name in VERDICTS.items():
         if fleet.cast[verdict].any():
-            axes[3].plot(times, fleet.cast[verdict][:steps] * per_s, label=name)
-    axes[3].axhline(
-        day.terms.votes_per_second,
+            axis.plot(times, fleet.cast[verdict][: len(times)] * PERIODS_PER_SECOND, label=name)
+    axis.axhline(
+        fleet.day.terms.votes_per_second,
         color="black",
         linewidth=0.8,
         linestyle=":",
         label="calls that are taken",
     )
-    axes[3].set_ylabel("votes a second")
-    axes[4].plot(times, fleet.late()[:steps], label="95% of the answers within")
-    axes[4].axhline(1.0, color="black", linewidth=0.8)
-    axes[4].set_ylabel("time, in goals")
-    axes[5].imshow(
+    axis.set_ylabel("votes a second")
+
+
+def _draw_latencies(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
+    axis.plot(times, fleet.late()[: len(times)], label="95% of the answers within")
+    axis.axhline(1.0, color="black", linewidth=0.8)
+    axis.set_ylabel("time, in goals")
+
+
+def _draw_load(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
+    axis.imshow(
         [list(one) for one in zip(*fleet.load)],
         aspect="auto",
         origin="lower",
         cmap="inferno",
-        vmax=3,
-        extent=(0, times[-1], 0, day.pods),
+        vmax=BRIGHTEST_LOAD,
+        extent=(0, times[-1], 0, fleet.day.pods),
     )
-    axes[5].set_ylabel("pods: work waiting, s")
-    axes[5].set_xlabel("seconds; bands are faults")
-    for axis in axes[:5]:
-        _bands(axis, day)
-        if axis.get_legend_handles_labels()[0]:
-            axis.legend(loc="upper right", fontsize=8)
-    figure.savefig(path, dpi=90)
-    pyplot.close(figure)
+    axis.set_ylabel("pods: work waiting, s")
+    axis.set_xlabel("seconds; bands are faults")
+
 
+def written(
+    day: Day, policies: Mapping[str, Any], folder: str, title: str
+) -> dict[str, dict[str, Any]]:
+    """Plays the day with each policy and writes index.html and a PNG for each into the folder.
 
-def written(day, policies, folder, title):
-    """Plays the day with each of the policies (by name) and writes index.html and a PNG for each into the folder. Gives
-    the figures by name."""
+    Args:
+        day: what is played.
+        policies: by the names that the page shows.
+        folder: made if it is not there.
+        title: of the page.
+
+    Returns:
+        The figures by the policy's name.
+    """
     os.makedirs(folder, exist_ok=True)
-    rows, found = [], {}
+    played = []
     for number, (name, policy) in enumerate(policies.items()):
         fleet = RecordingSimulator(day, policy).play()
         picture = f"day-{number}.png"
-        drawn(fleet, os.path.join(folder, picture), f"{title}: {name}")
-        turned_away, needless = fleet.needless()
-        found[name] = {
-            **fleet.figures(),
-            "turned_away": round(turned_away, 4),
-            "needless": round(needless, 4),
-            "worth": round(fleet.worth(), 4),
-            "votes": fleet.votes_asked,
-        }
-        rows.append((name, picture, found[name]))
-    keys = [key for key in rows[0][2] if key not in ("ends", "votes")]
+        draw_day(fleet, os.path.join(folder, picture), f"{title}: {name}")
+        played.append(PlayedDay(name, picture, _figures(fleet)))
+    with open(os.path.join(folder, "index.html"), "w", encoding="utf-8") as target:
+        target.write(_page(day, played, html.escape(title)))
+    return {one.name: one.figures for one in played}
+
+
+def _figures(fleet: RecordingSimulator) -> dict[str, Any]:
+    turned_away, needless = fleet.needless()
+    return {
+        **fleet.figures(),
+        "turned_away": round(turned_away, 4),
+        "needless": round(needless, 4),
+        "worth": round(fleet.worth(), 4),
+        "votes": fleet.votes_asked,
+    }
+
+
+def _page(day: Day, played: list[PlayedDay], title: str) -> str:
+    """The page as HTML; the title is escaped."""
+    keys = [key for key in played[0].figures if key not in HIDDEN_FIGURES]
     table = "".join(
         f"<tr><th>{html.escape(key)}</th>"
-        + "".join(f"<td>{html.escape(str(figures[key]))}</td>" for _, _, figures in rows)
+        + "".join(f"<td>{html.escape(str(one.figures[key]))}</td>" for one in played)
         + "</tr>"
         for key in keys
     )
     faults = "".join(
-        f"<li>{fault.begin / TICKS_PER_SECOND:.1f} to {fault.end / TICKS_PER_SECOND:.1f} s: {html.escape(fault.kind)}, "
-        f"{len(fault.what)} struck</li>"
+        f"<li>{fault.begin / TICKS_PER_SECOND:.1f} to {fault.end / TICKS_PER_SECOND:.1f} s: "
+        f"{html.escape(fault.kind)}, {len(fault.what)} struck</li>"
         for fault in day.faults
     )
-    names = "".join(f"<th>{html.escape(name)}</th>" for name, _, _ in rows)
+    names = "".join(f"<th>{html.escape(one.name)}</th>" for one in played)
     pictures = "".join(
-        f'<h2>{html.escape(name)}</h2><img src="{picture}" alt="{html.escape(name)}">'
-        for name, picture, _ in rows
+        f'<h2>{html.escape(one.name)}</h2><img src="{one.picture}" alt="{html.escape(one.name)}">'
+        for one in played
+    )
+    return (
+        f"<!doctype html><meta charset=utf-8><title>{title}</title><h1>{title}</h1><p>Simulated: "
+        f"{day.instances} instances, {day.pods} pods, {day.rate:.0f} transactions a second.</p>"
+        f"<ul>{faults}</ul><table border=1><tr><th></th>{names}</tr>{table}</table>{pictures}\n"
     )
-    with open(os.path.join(folder, "index.html"), "w", encoding="utf-8") as target:
-        name = html.escape(title)
-        target.write(
-            f"<!doctype html><meta charset=utf-8><title>{name}</title><h1>{name}</h1><p>Simulated: "
-            f"{day.instances} instances, {day.pods} pods, {day.rate:.0f} transactions a second.</p>"
-            f"<ul>{faults}</ul><table border=1><tr><th></th>{names}</tr>{table}</table>{pictures}\n"
-        )
-    return found
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -945,7 +945,7 @@
             best = min(best, earned / asked if asked else 1.0)
         return best
 
-    def needless(self, begin=0, end=None):
+    def needless(self, begin: int = 0, end: int | None = None) -> tuple[float, float]:
         """(turned away unsent, of these needlessly) as shares of all tries within these seconds."""
         some = self.tries[begin:end]
         asked = max(1, sum(one[0] for one in some))
@@ -970,14 +970,14 @@
             (max(begin, told.get("back", end)) - begin) / TICKS_PER_SECOND,
         )
 
-    def worth(self, behind=0.5, harm=5.0):
+    def worth(self, behind: float = 0.5, harm: float = 5.0) -> float:
         """Service less what old builds and harm cost, each by its price."""
         asked = max(1e-9, self.scores["asked"])
         return (
             self.service() - (behind * self.scores["behind"] + harm * self.scores["harm"]) / asked
         )
 
-    def figures(self):
+    def figures(self) -> dict[str, Any]:
         return {
             "service": round(self.service(), 4),
             "worst_10s": round(self.worst(), 4),
