--- a/Makefile
+++ b/Makefile
@@ -40,6 +40,7 @@
 	thymeknot/simulation/calibration.py \
 	thymeknot/simulation/earlier_versions.py \
 	thymeknot/simulation/invariants.py \
+	thymeknot/simulation/large_fleet_scenarios.py \
 	thymeknot/simulation/random_streams.py \
 	thymeknot/simulation/recording.py \
 	thymeknot/simulation/report.py \
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -88,7 +88,7 @@
     """What a fault does to what reaches pods and instances, seen from outside the decisions."""
 
     def made(self, kind, seed=3):
-        day, (begin, _) = large_fleet_scenarios.drawn(seed, kind, 9, 6, 20, 0.3, good=True)
+        day, (begin, _) = large_fleet_scenarios.drawn(seed, kind, 9, 6, 20, load=0.3, good=True)
         return Simulator(day._replace(offers=()), current_engine), begin
 
     def test_a_lost_zone_says_nothing_and_comes_back_cold(self):
@@ -183,5 +183,5 @@
 
     def test_days_of_each_kind_keep_the_rules(self):
         for kind in large_fleet_scenarios.KINDS:
-            day, _ = large_fleet_scenarios.drawn(2, kind, 12, 9, 15, 0.4)
+            day, _ = large_fleet_scenarios.drawn(2, kind, 12, 9, 15, load=0.4)
             self.assertEqual(Simulator(day, current_engine).play().checker.broken, [], kind)
--- a/thymeknot/simulation/large_fleet_scenarios.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -1,91 +1,185 @@
-"""Days of a whole fleet: hundreds of instances that see a few transactions a second each, and what then goes wrong for
-many at once. Drawn from ranges by a seed, as days.py draws the smaller ones. Times are tenths of a millisecond."""
+"""Days of a large fleet, and what then goes wrong for many instances at once.
+
+Hundreds of instances see a few requests a second each. Days are drawn from ranges by a seed, as
+`scenarios` draws those of small fleets; the order of the draws decides what a seed gives. Times are
+ticks (tenths of a millisecond).
+"""
 
 import math
+from typing import NamedTuple
 
 import numpy as np
+from numpy.random import Generator
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import DeduplicationScope, Idempotency
 from ..interface.settings import RequestClass, Settings
-from .scenarios import Day, Fault, LaneMix, Offer, settings_for
+from .scenarios import Day, Fault, FaultKind, LaneMix, Offer, settings_for
 
 KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
-# Some forty instances by sixty pods, three stages, two builds, a trouble of its own beside each day's. Lists are asked
-# for on the first, of a discovery that takes few calls.
+# Some forty instances by sixty servers, three stages, two builds, another fault beside each day's.
+# Lists are polled on the first, of a discovery that takes few calls.
 VAST = ("herd-vast", "zone-vast", "join-vast")
-# Some two hundred instances by a hundred pods: stages pass by the platform's clock, and it tells what it counted.
+# Some two hundred instances by a hundred servers: stages pass by the platform's clock, and it tells
+# what it counted.
 MASS = ("calm-mass", "roll-mass", "zone-mass", "join-mass")
-BESIDE = ("slow all", "burst", "calls", "discovery", "network", "pods")
+# Added to the number of a kind, so that no two kinds draw the same day of a seed.
+VAST_SEED_OFFSET = 100
+MASS_SEED_OFFSET = 200
+# The other fault of a vast day. The order decides what a seed gives.
+BESIDE = (
+    FaultKind.SLOW_ALL,
+    FaultKind.BURST,
+    FaultKind.CALLS_DOWN,
+    FaultKind.LATE_LISTS,
+    FaultKind.CONNECTION_LOSS,
+    FaultKind.SLOW_PODS,
+)
 LANES = (
     LaneMix(
         RequestClass(
-            "fetch",
-            Idempotency.IDEMPOTENT,
-            DeduplicationScope.ALL,
-            5 * TICKS_PER_SECOND,
-            8_000,
-            20_000,
-            1.0,
-            0.0,
+            name="fetch",
+            idempotency=Idempotency.IDEMPOTENT,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window=5 * TICKS_PER_SECOND,
+            latency_objective=8_000,
+            outer_limit=20_000,
+            priority_weight=1.0,
+            late_priority_weight=0.0,
         ),
-        0.55,
-        1_200,
-        0.8,
+        share=0.55,
+        work=1_200,
+        spread=0.8,
     ),
     LaneMix(
         RequestClass(
-            "sync",
-            Idempotency.IDEMPOTENT,
-            DeduplicationScope.ALL,
-            5 * TICKS_PER_SECOND,
-            25_000,
-            75_000,
-            1.0,
-            0.2,
+            name="sync",
+            idempotency=Idempotency.IDEMPOTENT,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window=5 * TICKS_PER_SECOND,
+            latency_objective=25_000,
+            outer_limit=75_000,
+            priority_weight=1.0,
+            late_priority_weight=0.2,
         ),
-        0.22,
-        2_900,
-        0.8,
+        share=0.22,
+        work=2_900,
+        spread=0.8,
     ),
     LaneMix(
         RequestClass(
-            "buy",
-            Idempotency.KEYED,
-            DeduplicationScope.ALL,
-            5 * TICKS_PER_SECOND,
-            8_000,
-            25_000,
-            5.0,
-            0.0,
+            name="buy",
+            idempotency=Idempotency.KEYED,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window=5 * TICKS_PER_SECOND,
+            latency_objective=8_000,
+            outer_limit=25_000,
+            priority_weight=5.0,
+            late_priority_weight=0.0,
         ),
-        0.12,
-        1_200,
-        0.7,
+        share=0.12,
+        work=1_200,
+        spread=0.7,
     ),
     LaneMix(
         RequestClass(
-            "pay",
-            Idempotency.NON_IDEMPOTENT,
-            DeduplicationScope.ALL,
-            5 * TICKS_PER_SECOND,
-            15_000,
-            40_000,
-            5.0,
-            0.0,
+            name="pay",
+            idempotency=Idempotency.NON_IDEMPOTENT,
+            deduplication_scope=DeduplicationScope.ALL,
+            deduplication_window=5 * TICKS_PER_SECOND,
+            latency_objective=15_000,
+            outer_limit=40_000,
+            priority_weight=5.0,
+            late_priority_weight=0.0,
         ),
-        0.11,
-        2_900,
-        0.8,
+        share=0.11,
+        work=2_900,
+        spread=0.8,
     ),
 )
+# Latency objective and outer limit of the classes on mass days.
 MASS_GOALS = {
     "fetch": (8_300, 21_000),
     "sync": (26_000, 78_000),
     "buy": (8_300, 26_000),
     "pay": (15_500, 41_000),
 }
-ADVANCE, REVERT = 0.6, 0.25  # of the instances: votes that move a build on, and back
+# Of the instances: votes that promote a build.
+ADVANCE = 0.6
+# Of the instances: votes that roll a build back.
+REVERT = 0.25
+ZONES = ("a", "b", "c")
+CORES = 2
+# Jobs that wait at a server at most.
+QUEUE_LIMIT = 32
+KEYS = 12_000
+# Exponent of the popularity of keys.
+ZIPF = 0.75
+TENANTS = 4
+# Of the network, one way: mean in ticks, standard deviation over mean.
+DELAY = (12, 0.5)
+# Share of the attempts that is lost.
+LOSS = 0.0005
+# Share of its capacity that a server has at its start; on mass days the least that it may have.
+WARMUP_INITIAL_FRACTION = 0.35
+MASS_WARMUP_INITIAL_FRACTION = 0.31
+# Of vast and mass days: the machines by stage, and the share of the requests.
+THREE_STAGES = (0.08, 0.25, 1.0)
+THREE_CAPS = (0.16, 0.5, 1.0)
+# Groups of instances that restart one after the other.
+ROLLING_GROUPS = 10
+# Seconds at which builds are offered on a mass day of MASS_SECONDS.
+MASS_OFFERS = (4.75, 23.75)
+MASS_SECONDS = 46
+
+
+class Window(NamedTuple):
+    """The worst time of a day."""
+
+    begin: Ticks
+    end: Ticks
+
+
+class DrawnDay(NamedTuple):
+    """A day and when the worst of it is."""
+
+    day: Day
+    worst: Window
+
+
+class Trouble(NamedTuple):
+    """The faults of a day, and when the worst of them is."""
+
+    faults: tuple[Fault, ...]
+    begin: Ticks
+    end: Ticks
+
+
+class Draws(NamedTuple):
+    """What the faults of a day are drawn from and for."""
+
+    chance: Generator
+    instances: int
+    pods: int
+    span: Ticks
+    """Of the day."""
+
+    def part(self, count: int, share: float) -> tuple[int, ...]:
+        """This share of so many, one at least, by number."""
+        size = max(1, round(count * share))
+        return tuple(int(one) for one in self.chance.choice(count, size, replace=False))
+
+    def between(self, low: float, high: float) -> float:
+        """A number between these."""
+        return float(self.chance.uniform(low, high))
+
+    def ticks(self, low: float, high: float) -> float:
+        """A duration between these, given in seconds."""
+        return self.between(low, high) * TICKS_PER_SECOND
+
+    def whole_ticks(self, low: float, high: float) -> Ticks:
+        """The same in whole ticks."""
+        return int(self.chance.uniform(low, high) * TICKS_PER_SECOND)
 
 
 def _settings(
@@ -106,178 +200,161 @@
     )
 
 
-def _some(chance, count, share):
+def _rolling_restarts(draws: Draws, begin: Ticks, step: Ticks) -> tuple[Fault, ...]:
+    """All instances die, a tenth of them at each step."""
+    order = [int(one) for one in draws.chance.permutation(draws.instances)]
+    part = math.ceil(draws.instances / ROLLING_GROUPS)
     return tuple(
-        int(one) for one in chance.choice(count, max(1, round(count * share)), replace=False)
+        Fault(
+            FaultKind.RESTARTS,
+            begin + at * step,
+            begin + at * step + 1,
+            tuple(order[at * part : (at + 1) * part]),
+            draws.ticks(0.3, 1.0),
+        )
+        for at in range(ROLLING_GROUPS)
     )
 
 
-def _faults(kind, chance, instances, pods, span):
-    """What happens on a day of this kind: (faults, begin of the worst of it, its end)."""
-    begin = int(chance.uniform(0.25, 0.35) * span)
+def _slow_or_failing(draws: Draws) -> Fault:
+    """An eighth of the servers is slow, or fails, all day."""
+    slow = draws.chance.random() < 0.5
+    kind = FaultKind.SLOW_PODS if slow else FaultKind.ERRORS
+    places = draws.part(draws.pods, 1 / 8)
+    size = draws.between(1.5, 3) if slow else draws.between(0.3, 0.7)
+    return Fault(kind, 0, draws.span, places, size)
+
+
+def _trouble(kind: str, draws: Draws) -> Trouble:
+    """What happens on a day of one of the KINDS."""
+    span = draws.span
+    begin = int(draws.chance.uniform(0.25, 0.35) * span)
     end = begin + 6 * TICKS_PER_SECOND
-    pauses = Fault(
-        "pause",
-        begin // 2,
-        span,
-        _some(chance, pods, 0.3),
-        float(chance.uniform(0.5, 1.2)) * TICKS_PER_SECOND,
-    )
-    ill = Fault("ill", 0, span, _some(chance, pods, 1 / 8), float(chance.uniform(0.3, 0.7)))
-    zone = int(chance.integers(0, 3))
-    if kind == "calm":
-        return (Fault("burst", begin, end, (), 1.5),), begin, end
+    # These are drawn on each day, also where they are not used.
+    paused = draws.part(draws.pods, 0.3)
+    pauses = Fault(FaultKind.PAUSES, begin // 2, span, paused, draws.ticks(0.5, 1.2))
+    failing = draws.part(draws.pods, 1 / 8)
+    errors = Fault(FaultKind.ERRORS, 0, span, failing, draws.between(0.3, 0.7))
+    zone = int(draws.chance.integers(0, 3))
+    if kind in ("calm", "overload"):
+        size = 1.5
+        if kind == "overload":
+            size = 2.6
+            end += 4 * TICKS_PER_SECOND
+        return Trouble((Fault(FaultKind.BURST, begin, end, (), size),), begin, end)
     if kind == "roll":
-        order = [int(one) for one in chance.permutation(instances)]
-        part, step = math.ceil(instances / 10), (span - begin) // 14
-        turns = tuple(
-            Fault(
-                "kill",
-                begin + at * step,
-                begin + at * step + 1,
-                tuple(order[at * part : (at + 1) * part]),
-                float(chance.uniform(0.3, 1.0)) * TICKS_PER_SECOND,
-            )
-            for at in range(10)
-        )
-        return (pauses, *turns), begin, begin + 10 * step
+        step = (span - begin) // 14
+        restarts = _rolling_restarts(draws, begin, step)
+        return Trouble((pauses, *restarts), begin, begin + ROLLING_GROUPS * step)
     if kind == "herd":
-        return (
-            (
-                pauses,
-                ill,
-                Fault(
-                    "kill",
-                    begin,
-                    begin + 1,
-                    _some(chance, instances, 0.7),
-                    float(chance.uniform(0.5, 1.5)) * TICKS_PER_SECOND,
-                ),
-            ),
-            begin,
-            begin + 2 * TICKS_PER_SECOND,
-        )
+        killed = draws.part(draws.instances, 0.7)
+        kill = Fault(FaultKind.RESTARTS, begin, begin + 1, killed, draws.ticks(0.5, 1.5))
+        return Trouble((pauses, errors, kill), begin, begin + 2 * TICKS_PER_SECOND)
     if kind == "zone":
-        later = min(span - 6 * TICKS_PER_SECOND, end + 4 * TICKS_PER_SECOND)
-        slow = Fault("pods", 0, span, _some(chance, pods, 1 / 8), float(chance.uniform(1.5, 3)))
-        return (
-            (
-                Fault("zone", begin, begin + 5 * TICKS_PER_SECOND, (zone,), 0.0),
-                slow if chance.random() < 0.5 else ill,
-                Fault("cut", later, later + 4 * TICKS_PER_SECOND, ((zone + 1) % 3,), 0.0),
-            ),
-            begin,
-            later + 4 * TICKS_PER_SECOND,
-        )
+        return _lost_zone(draws, zone, begin, end, errors)
     if kind == "split":
-        how = (
-            Fault("cut", begin, end, (zone,), 0.0)
-            if chance.random() < 0.5
-            else Fault("silent", begin, end, _some(chance, pods, 1 / 5), 0.0)
-        )
-        return (
-            (
-                how,
-                Fault("discovery", begin, end, (), float(chance.uniform(1, 3)) * TICKS_PER_SECOND),
-                Fault("lost answers", begin // 2, span, (), float(chance.uniform(0.005, 0.03))),
-            ),
-            begin,
-            end,
-        )
-    if kind == "join":
-        return (
-            (
-                pauses._replace(what=_some(chance, pods, 1 / 3)),
-                Fault("lost answers", 0, span, (), float(chance.uniform(0.005, 0.02))),
-            ),
-            begin,
-            span,
-        )
-    return (
-        (Fault("burst", begin, end + 4 * TICKS_PER_SECOND, (), 2.6),),
-        begin,
-        end + 4 * TICKS_PER_SECOND,
-    )
+        return _split(draws, zone, begin, end)
+    more = pauses._replace(what=draws.part(draws.pods, 1 / 3))
+    lost = Fault(FaultKind.LOST_ANSWERS, 0, span, (), draws.between(0.005, 0.02))
+    return Trouble((more, lost), begin, span)
 
 
-def _vast_faults(kind, chance, instances, pods, span):
-    """As _faults, for the vast kinds."""
-    begin = int(chance.uniform(0.3, 0.5) * span)
-    slow = chance.random() < 0.5
-    bad = Fault(
-        "pods" if slow else "ill",
-        0,
-        span,
-        _some(chance, pods, 1 / 8),
-        float(chance.uniform(1.5, 3)) if slow else float(chance.uniform(0.3, 0.7)),
-    )
-    pauses = Fault(
-        "pause",
-        begin // 2,
-        span,
-        _some(chance, pods, 0.4 if kind == "join-vast" else 0.3),
-        float(chance.uniform(0.3, 0.9)) * TICKS_PER_SECOND,
-    )
-    name, at = str(chance.choice(BESIDE)), int(chance.uniform(0.15, 0.6) * span)
+def _lost_zone(draws: Draws, zone: int, begin: Ticks, end: Ticks, errors: Fault) -> Trouble:
+    """A zone is lost, and later another one is cut off."""
+    later = min(draws.span - 6 * TICKS_PER_SECOND, end + 4 * TICKS_PER_SECOND)
+    places = draws.part(draws.pods, 1 / 8)
+    slow = Fault(FaultKind.SLOW_PODS, 0, draws.span, places, draws.between(1.5, 3))
+    beside = slow if draws.chance.random() < 0.5 else errors
+    lost = Fault(FaultKind.ZONE_LOSS, begin, begin + 5 * TICKS_PER_SECOND, (zone,), 0.0)
+    cut_end = later + 4 * TICKS_PER_SECOND
+    cut = Fault(FaultKind.ZONE_CUT, later, cut_end, ((zone + 1) % 3,), 0.0)
+    return Trouble((lost, beside, cut), begin, cut_end)
+
+
+def _split(draws: Draws, zone: int, begin: Ticks, end: Ticks) -> Trouble:
+    """A zone is cut off, or some servers are silent, while lists come late."""
+    if draws.chance.random() < 0.5:
+        silence = Fault(FaultKind.ZONE_CUT, begin, end, (zone,), 0.0)
+    else:
+        silence = Fault(FaultKind.SILENT_PODS, begin, end, draws.part(draws.pods, 1 / 5), 0.0)
+    late = Fault(FaultKind.LATE_LISTS, begin, end, (), draws.ticks(1, 3))
+    lost = Fault(FaultKind.LOST_ANSWERS, begin // 2, draws.span, (), draws.between(0.005, 0.03))
+    return Trouble((silence, late, lost), begin, end)
+
+
+def _fault_beside(draws: Draws) -> Fault:
+    """The other fault of a vast day. The size of each kind is drawn, whichever it is."""
+    kind = FaultKind(str(draws.chance.choice(BESIDE)))
+    at = int(draws.chance.uniform(0.15, 0.6) * draws.span)
     sizes = {
-        "slow all": chance.uniform(1.3, 2.5),
-        "burst": chance.uniform(1.2, 1.6),
-        "calls": 0.0,
-        "pods": chance.uniform(1.3, 2),
-        "discovery": chance.uniform(1, 3) * TICKS_PER_SECOND,
-        "network": chance.uniform(0.02, 0.08),
+        FaultKind.SLOW_ALL: draws.between(1.3, 2.5),
+        FaultKind.BURST: draws.between(1.2, 1.6),
+        FaultKind.CALLS_DOWN: 0.0,
+        FaultKind.SLOW_PODS: draws.between(1.3, 2),
+        FaultKind.LATE_LISTS: draws.ticks(1, 3),
+        FaultKind.CONNECTION_LOSS: draws.between(0.02, 0.08),
     }
-    beside = Fault(
-        name,
-        at,
-        at + int(chance.uniform(4, 10) * TICKS_PER_SECOND),
-        _some(chance, pods, 0.3),
-        float(sizes[name]),
-    )
+    end = at + draws.whole_ticks(4, 10)
+    return Fault(kind, at, end, draws.part(draws.pods, 0.3), sizes[kind])
+
+
+def _vast_trouble(kind: str, draws: Draws) -> Trouble:
+    """What happens on a day of one of the VAST kinds."""
+    begin = int(draws.chance.uniform(0.3, 0.5) * draws.span)
+    bad = _slow_or_failing(draws)
+    paused = draws.part(draws.pods, 0.4 if kind == "join-vast" else 0.3)
+    pauses = Fault(FaultKind.PAUSES, begin // 2, draws.span, paused, draws.ticks(0.3, 0.9))
+    beside = _fault_beside(draws)
     if kind == "herd-vast":
-        kill = Fault(
-            "kill",
-            begin,
-            begin + 1,
-            _some(chance, instances, 0.7),
-            float(chance.uniform(0.3, 1)) * TICKS_PER_SECOND,
-        )
-        return (pauses, kill, beside), begin, begin + 5 * TICKS_PER_SECOND
+        killed = draws.part(draws.instances, 0.7)
+        kill = Fault(FaultKind.RESTARTS, begin, begin + 1, killed, draws.ticks(0.3, 1))
+        return Trouble((pauses, kill, beside), begin, begin + 5 * TICKS_PER_SECOND)
     if kind == "zone-vast":
-        zone, end = int(chance.integers(0, 3)), begin + int(chance.uniform(4, 7) * TICKS_PER_SECOND)
-        there = tuple(one for one in range(instances) if one % 3 == zone)
-        return (
-            (
-                bad,
-                beside,
-                Fault("zone", begin, end, (zone,), 0.0),
-                Fault("kill", begin, begin + 1, there, float(end - begin)),
-            ),
-            begin,
-            end,
-        )
-    return (pauses, bad, beside), begin, span
+        zone = int(draws.chance.integers(0, 3))
+        end = begin + draws.whole_ticks(4, 7)
+        there = tuple(one for one in range(draws.instances) if one % 3 == zone)
+        lost = Fault(FaultKind.ZONE_LOSS, begin, end, (zone,), 0.0)
+        kill = Fault(FaultKind.RESTARTS, begin, begin + 1, there, float(end - begin))
+        return Trouble((bad, beside, lost, kill), begin, end)
+    return Trouble((pauses, bad, beside), begin, draws.span)
 
 
-def vast(seed, kind="herd-vast", instances=40, pods=60, seconds=44, load=0.55, good=None):
-    """A day of one of the VAST kinds, as drawn(): (day, (begin, end) of the worst of it). good: of both builds."""
-    chance = np.random.Generator(np.random.PCG64([seed, 100 + VAST.index(kind)]))
-    span, cold, cold_from, cores = (
-        seconds * TICKS_PER_SECOND,
-        int(chance.uniform(1.9, 4) * TICKS_PER_SECOND),
-        0.35,
-        2,
-    )
-    speeds = tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
-    work = sum(one.share * one.work / 2 for one in LANES) / TICKS_PER_SECOND
-    rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * cores / work
-    shares = chance.lognormal(0, 0.6, instances)
-    calls, boot = (
-        instances * float(chance.uniform(0.3, 0.6)),
-        int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND),
-    )
-    # Work and goals are of one size: what comes late by half is late.
-    lanes = tuple(
+def _mass_trouble(kind: str, draws: Draws) -> Trouble:
+    """What happens on a day of one of the MASS kinds."""
+    span = draws.span
+    begin = int(draws.chance.uniform(0.2, 0.6) * span)
+    length = draws.ticks(0.3, 0.9)
+    paused = draws.part(draws.pods, 1 / 3 if kind == "join-mass" else 0.3)
+    pauses = Fault(FaultKind.PAUSES, span // 8, span, paused, length)
+    if kind == "calm-mass":
+        end = begin + draws.whole_ticks(5, 6)
+        return Trouble((Fault(FaultKind.BURST, begin, end, (), 1.5),), begin, end)
+    if kind == "roll-mass":
+        begin = int(draws.chance.uniform(0.15, 0.4) * span)
+        step = span // 22
+        restarts = _rolling_restarts(draws, begin, step)
+        return Trouble((pauses, *restarts), begin, begin + ROLLING_GROUPS * step)
+    if kind == "zone-mass":
+        bad = _slow_or_failing(draws)
+        zone = int(draws.chance.integers(0, 3))
+        end = begin + 5 * TICKS_PER_SECOND
+        return Trouble((bad, Fault(FaultKind.ZONE_LOSS, begin, end, (zone,), 0.0)), begin, end)
+    lost = Fault(FaultKind.LOST_ANSWERS, 0, span, (), draws.between(0.005, 0.02))
+    return Trouble((pauses, lost), span // 8, span)
+
+
+def _speeds(chance: Generator, pods: int) -> tuple[float, ...]:
+    return tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
+
+
+def _mean_work(lanes: tuple[LaneMix, ...]) -> float:
+    """Of a request, in seconds."""
+    return sum(one.share * one.work for one in lanes) / TICKS_PER_SECOND
+
+
+def _vast_lanes(chance: Generator) -> tuple[LaneMix, ...]:
+    """Work and objectives are of one size: what comes late by half is late."""
+    return tuple(
         one._replace(
             work=one.work / 2,
             lane=one.lane._replace(
@@ -287,209 +364,177 @@
         )
         for one in LANES
     )
-    offers = []
-    for number in range(2):
-        fine, how = (
-            bool(chance.random() < 0.5) if good is None else good,
-            int(chance.integers(0, 5)),
-        )
-        fails, slow, shared = (
-            chance.uniform(0.1, 0.5),
-            chance.uniform(2, 3.5),
-            chance.uniform(1.5, 3.5),
-        )
-        late = int(chance.uniform(2.5, 6) * TICKS_PER_SECOND) if how == 4 and not fine else 0
-        at = int((chance.uniform(3, 5) + number * seconds * 0.45) * TICKS_PER_SECOND)
-        offers.append(
-            Offer(
-                at,
-                2 + number,
-                fine,
-                float(fails) if not fine and how in (0, 3, 4) else 0.0,
-                float(slow) if not fine and how in (1, 4) else float(chance.uniform(0.92, 1.1)),
-                late,
-                0.3 if not fine and how == 3 else 0.0,
-                float(shared) if not fine and how == 2 else 0.0,
-            )
-        )
-    faults, begin, end = _vast_faults(kind, chance, instances, pods, span)
-    held = _settings(instances, cold, cold_from, calls, lanes)._replace(
-        stage_fractions=(0.08, 0.25, 1.0), guarded_stages=1, lists_polled=kind == "herd-vast"
+
+
+def _vast_offer(chance: Generator, number: int, seconds: int, good: bool | None) -> Offer:
+    """A bad one has errors (0), is slow (1), slows all (2), or errs under load (3) or later (4)."""
+    fine = bool(chance.random() < 0.5) if good is None else good
+    how = int(chance.integers(0, 5))
+    fails = float(chance.uniform(0.1, 0.5))
+    slow = float(chance.uniform(2, 3.5))
+    shared = float(chance.uniform(1.5, 3.5))
+    late = int(chance.uniform(2.5, 6) * TICKS_PER_SECOND) if how == 4 and not fine else 0
+    return Offer(
+        at=int((chance.uniform(3, 5) + number * seconds * 0.45) * TICKS_PER_SECOND),
+        build=2 + number,
+        good=fine,
+        fails=fails if not fine and how in (0, 3, 4) else 0.0,
+        slow=slow if not fine and how in (1, 4) else float(chance.uniform(0.92, 1.1)),
+        after=late,
+        load=0.3 if not fine and how == 3 else 0.0,
+        shared=shared if not fine and how == 2 else 0.0,
     )
-    return Day(
-        seed,
-        span,
-        instances,
-        pods,
-        ("a", "b", "c"),
-        cores,
-        speeds,
-        32,
-        rate,
-        tuple(float(one) for one in shares / shares.sum()),
-        lanes,
-        12_000,
-        0.75,
-        4,
-        1,
-        0.6,
-        (12, 0.5),
-        0.0005,
-        2_500,
-        4_000,
-        int(0.8 * TICKS_PER_SECOND),
-        boot,
-        cold,
-        cold_from,
-        tuple(offers),
-        faults,
-        held,
+
+
+def vast(
+    seed: int,
+    kind: str = "herd-vast",
+    instances: int = 40,
+    pods: int = 60,
+    seconds: int = 44,
+    *,
+    load: float = 0.55,
+    good: bool | None = None,
+) -> DrawnDay:
+    """Draws a day of one of the VAST kinds; the arguments are those of drawn()."""
+    chance = np.random.Generator(np.random.PCG64([seed, VAST_SEED_OFFSET + VAST.index(kind)]))
+    span = seconds * TICKS_PER_SECOND
+    cold = int(chance.uniform(1.9, 4) * TICKS_PER_SECOND)
+    speeds = _speeds(chance, pods)
+    work = sum(one.share * one.work / 2 for one in LANES) / TICKS_PER_SECOND
+    rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * CORES / work
+    shares = chance.lognormal(0, 0.6, instances)
+    calls = instances * float(chance.uniform(0.3, 0.6))
+    boot = int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND)
+    lanes = _vast_lanes(chance)
+    offers = tuple(_vast_offer(chance, number, seconds, good) for number in range(2))
+    trouble = _vast_trouble(kind, Draws(chance, instances, pods, span))
+    polled = kind == "herd-vast"
+    day = Day(
+        seed=seed,
+        span=span,
+        instances=instances,
+        pods=pods,
+        zones=ZONES,
+        cores=CORES,
+        speeds=speeds,
+        queue=QUEUE_LIMIT,
+        rate=rate,
+        busy=tuple(float(one) for one in shares / shares.sum()),
+        lanes=lanes,
+        keys=KEYS,
+        zipf=ZIPF,
+        tenants=TENANTS,
+        retries=1,
+        heeds=0.6,
+        delay=DELAY,
+        loss=LOSS,
+        list_lag=2_500,
+        news_lag=4_000,
+        stage_least=int(0.8 * TICKS_PER_SECOND),
+        boot=boot,
+        cold=cold,
+        cold_from=WARMUP_INITIAL_FRACTION,
+        offers=offers,
+        faults=trouble.faults,
+        terms=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls, lanes)._replace(
+            stage_fractions=THREE_STAGES, guarded_stages=1, lists_polled=polled
+        ),
         advance=math.ceil(ADVANCE * instances),
-        caps=(0.16, 0.5, 1.0),
-        lists=float(chance.uniform(0.15, 0.3)) * instances if kind == "herd-vast" else 0.0,
+        caps=THREE_CAPS,
+        lists=float(chance.uniform(0.15, 0.3)) * instances if polled else 0.0,
         connections=int(instances * chance.uniform(1.3, 2.5)),
-    ), (begin, end)
+    )
+    return DrawnDay(day, Window(trouble.begin, trouble.end))
 
 
-def _mass_faults(kind, chance, instances, pods, span):
-    """As _faults, for the mass kinds."""
-    begin = int(chance.uniform(0.2, 0.6) * span)
-    paused, each = (
-        1 / 3 if kind == "join-mass" else 0.3,
-        float(chance.uniform(0.3, 0.9)) * TICKS_PER_SECOND,
-    )
-    pauses = Fault("pause", span // 8, span, _some(chance, pods, paused), each)
-    if kind == "calm-mass":
-        end = begin + int(chance.uniform(5, 6) * TICKS_PER_SECOND)
-        return (Fault("burst", begin, end, (), 1.5),), begin, end
-    if kind == "roll-mass":
-        begin = int(chance.uniform(0.15, 0.4) * span)
-        part, step, order = (
-            math.ceil(instances / 10),
-            span // 22,
-            [int(one) for one in chance.permutation(instances)],
-        )
-        turns = tuple(
-            Fault(
-                "kill",
-                begin + at * step,
-                begin + at * step + 1,
-                tuple(order[at * part : (at + 1) * part]),
-                float(chance.uniform(0.3, 1.0)) * TICKS_PER_SECOND,
-            )
-            for at in range(10)
-        )
-        return (pauses, *turns), begin, begin + 10 * step
-    if kind == "zone-mass":
-        slow = chance.random() < 0.5
-        bad = Fault(
-            "pods" if slow else "ill",
-            0,
-            span,
-            _some(chance, pods, 1 / 8),
-            float(chance.uniform(1.5, 3)) if slow else float(chance.uniform(0.3, 0.7)),
-        )
-        return (
-            (
-                bad,
-                Fault(
-                    "zone", begin, begin + 5 * TICKS_PER_SECOND, (int(chance.integers(0, 3)),), 0.0
-                ),
-            ),
-            begin,
-            (begin + 5 * TICKS_PER_SECOND),
-        )
+def _mass_lanes() -> tuple[LaneMix, ...]:
+    lanes = []
+    for one in LANES:
+        objective, limit = MASS_GOALS[one.lane.name]
+        lane = one.lane._replace(latency_objective=objective, outer_limit=limit)
+        lanes.append(one._replace(lane=lane))
+    return tuple(lanes)
+
+
+def _mass_offer(chance: Generator, build: int, at: Ticks, good: bool | None) -> Offer:
+    """A bad one has errors, is slow, slows all, errs where busy only, or after a while."""
+    fine = bool(chance.random() < 0.5) if good is None else good
+    how = int(chance.integers(0, 5))
+    fails = float(chance.uniform(0.1, 0.5))
+    slow = float(chance.uniform(2, 3.5))
+    shared = float(chance.uniform(1.5, 3.5))
+    late = int(chance.uniform(2.5, 6) * TICKS_PER_SECOND)
+    usual = float(chance.uniform(0.92, 1.1))
+    offer = Offer(at=at, build=build, good=fine, fails=0.0, slow=usual, after=0, load=0.0)
+    if fine:
+        return offer
     return (
-        (pauses, Fault("lost answers", 0, span, (), float(chance.uniform(0.005, 0.02)))),
-        span // 8,
-        span,
-    )
+        offer._replace(fails=fails),
+        offer._replace(slow=slow),
+        offer._replace(shared=shared),
+        offer._replace(fails=fails, load=0.6),
+        offer._replace(fails=fails, slow=slow, after=late),
+    )[how]
 
 
-def mass(seed, kind="calm-mass", instances=216, pods=108, seconds=46, load=0.58, good=None):
-    """A day of one of the MASS kinds, as drawn(): (day, (begin, end) of the worst of it). good: of both builds."""
-    chance = np.random.Generator(np.random.PCG64([seed, 200 + MASS.index(kind)]))
-    span, cores = seconds * TICKS_PER_SECOND, 2
-    cold, cold_from = (
-        int(chance.uniform(1.9, 4.8) * TICKS_PER_SECOND),
-        float(chance.uniform(0.31, 0.57)),
-    )
-    speeds = tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
-    lanes = tuple(
-        one._replace(
-            lane=one.lane._replace(
-                latency_objective=MASS_GOALS[one.lane.name][0],
-                outer_limit=MASS_GOALS[one.lane.name][1],
-            )
-        )
-        for one in LANES
-    )
-    work = sum(one.share * one.work for one in lanes) / TICKS_PER_SECOND
-    rate = load * float(chance.uniform(0.95, 1.05)) * sum(speeds) * cores / work
+def mass(
+    seed: int,
+    kind: str = "calm-mass",
+    instances: int = 216,
+    pods: int = 108,
+    seconds: int = MASS_SECONDS,
+    *,
+    load: float = 0.58,
+    good: bool | None = None,
+) -> DrawnDay:
+    """Draws a day of one of the MASS kinds; the arguments are those of drawn()."""
+    chance = np.random.Generator(np.random.PCG64([seed, MASS_SEED_OFFSET + MASS.index(kind)]))
+    span = seconds * TICKS_PER_SECOND
+    cold = int(chance.uniform(1.9, 4.8) * TICKS_PER_SECOND)
+    cold_from = float(chance.uniform(0.31, 0.57))
+    speeds = _speeds(chance, pods)
+    lanes = _mass_lanes()
+    work = _mean_work(lanes)
+    rate = load * float(chance.uniform(0.95, 1.05)) * sum(speeds) * CORES / work
     shares = chance.lognormal(0, 0.9, instances)
-    offers = []
-    for number, at in enumerate((4.75, 23.75)):
-        fine, how = (
-            bool(chance.random() < 0.5) if good is None else good,
-            int(chance.integers(0, 5)),
-        )
-        fails, slow, shared = (
-            chance.uniform(0.1, 0.5),
-            chance.uniform(2, 3.5),
-            chance.uniform(1.5, 3.5),
-        )
-        late, usual = (
-            int(chance.uniform(2.5, 6) * TICKS_PER_SECOND),
-            float(chance.uniform(0.92, 1.1)),
-        )
-        # Each its own way to be bad: errors, slow, slowing all, only where busy, after a while.
-        one = Offer(int(at * seconds / 46 * TICKS_PER_SECOND), 2 + number, fine, 0.0, usual, 0, 0.0)
-        offers.append(
-            one
-            if fine
-            else (
-                one._replace(fails=float(fails)),
-                one._replace(slow=float(slow)),
-                one._replace(shared=float(shared)),
-                one._replace(fails=float(fails), load=0.6),
-                one._replace(fails=float(fails), slow=float(slow), after=late),
-            )[how]
-        )
-    faults, begin, end = _mass_faults(kind, chance, instances, pods, span)
-    # What clients are told of cold pods is the least of what those have.
-    held = _settings(instances, cold, 0.31, instances * 0.25, lanes)._replace(
-        stage_fractions=(0.08, 0.25, 1.0), guarded_stages=1
+    offers = tuple(
+        _mass_offer(chance, 2 + number, int(at * seconds / MASS_SECONDS * TICKS_PER_SECOND), good)
+        for number, at in enumerate(MASS_OFFERS)
     )
-    return Day(
-        seed,
-        span,
-        instances,
-        pods,
-        ("a", "b", "c"),
-        cores,
-        speeds,
-        32,
-        rate,
-        tuple(float(one) for one in shares / shares.sum()),
-        lanes,
-        12_000,
-        0.75,
-        4,
-        int(chance.integers(0, 2)),
-        0.6,
-        (12, 0.5),
-        0.0005,
-        4_000,
-        3_000,
-        int(3.25 * TICKS_PER_SECOND),
-        int(1.45 * TICKS_PER_SECOND),
-        cold,
-        cold_from,
-        tuple(offers),
-        faults,
-        held,
+    trouble = _mass_trouble(kind, Draws(chance, instances, pods, span))
+    # What instances read of the warm-up is the least that servers have.
+    settings = _settings(instances, cold, MASS_WARMUP_INITIAL_FRACTION, instances * 0.25, lanes)
+    day = Day(
+        seed=seed,
+        span=span,
+        instances=instances,
+        pods=pods,
+        zones=ZONES,
+        cores=CORES,
+        speeds=speeds,
+        queue=QUEUE_LIMIT,
+        rate=rate,
+        busy=tuple(float(one) for one in shares / shares.sum()),
+        lanes=lanes,
+        keys=KEYS,
+        zipf=ZIPF,
+        tenants=TENANTS,
+        retries=int(chance.integers(0, 2)),
+        heeds=0.6,
+        delay=DELAY,
+        loss=LOSS,
+        list_lag=4_000,
+        news_lag=3_000,
+        stage_least=int(3.25 * TICKS_PER_SECOND),
+        boot=int(1.45 * TICKS_PER_SECOND),
+        cold=cold,
+        cold_from=cold_from,
+        offers=offers,
+        faults=trouble.faults,
+        terms=settings._replace(stage_fractions=THREE_STAGES, guarded_stages=1),
         advance=math.ceil(ADVANCE * instances),
-        caps=(0.16, 0.5, 1.0),
+        caps=THREE_CAPS,
         tally_every=2 * TICKS_PER_SECOND,
         machines_first=False,
         boot_spread=0.17,
@@ -497,72 +542,94 @@
         gone_after=7 * TICKS_PER_SECOND,
         list_every=TICKS_PER_SECOND // 10,
         handshake=int(chance.uniform(5, 16)),
-    ), (begin, end)
+    )
+    return DrawnDay(day, Window(trouble.begin, trouble.end))
 
 
-def of_kind(seed, kind, **size):
-    """A day of any kind."""
-    return (vast if kind in VAST else mass if kind in MASS else drawn)(seed, kind, **size)
+def of_kind(seed: int, kind: str, **size: int | float | bool | None) -> DrawnDay:
+    """Draws a day of any kind; `size` are the arguments of drawn()."""
+    draw = vast if kind in VAST else mass if kind in MASS else drawn
+    return draw(seed, kind, **size)  # type: ignore[arg-type]  # options of the command, by name
 
 
-def drawn(seed, kind="herd", instances=200, pods=100, seconds=40, load=0.5, good=None):
-    """A day of one of the KINDS; rate follows from load, the share of what all pods can do. good: of the build
-    offered; drawn with a half if None. Gives (day, (begin, end) of the worst of it)."""
-    chance = np.random.Generator(np.random.PCG64([seed, KINDS.index(kind)]))
-    span, cold, cold_from, cores = (
-        seconds * TICKS_PER_SECOND,
-        int(chance.uniform(2, 4.8) * TICKS_PER_SECOND),
-        0.35,
-        2,
+def _offer(chance: Generator, good: bool | None) -> Offer:
+    """A bad one has errors (0), is slow (1), or errs after a while (2) or where busy only (3)."""
+    fine = bool(chance.random() < 0.5) if good is None else good
+    how = int(chance.integers(0, 4))
+    fails = float(chance.uniform(0.1, 0.6))
+    slow = float(chance.uniform(2, 4))
+    return Offer(
+        at=int(chance.uniform(3, 6) * TICKS_PER_SECOND),
+        build=2,
+        good=fine,
+        fails=0.0 if fine or how == 1 else fails,
+        slow=float(chance.uniform(0.92, 1.1)) if fine or how != 1 else slow,
+        after=2 * TICKS_PER_SECOND if how == 2 and not fine else 0,
+        load=0.4 if how == 3 and not fine else 0.0,
     )
-    speeds = tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
-    work = sum(one.share * one.work for one in LANES) / TICKS_PER_SECOND
-    rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * cores / work
+
+
+def drawn(
+    seed: int,
+    kind: str = "herd",
+    instances: int = 200,
+    pods: int = 100,
+    seconds: int = 40,
+    *,
+    load: float = 0.5,
+    good: bool | None = None,
+) -> DrawnDay:
+    """Draws a day of one of the KINDS.
+
+    Args:
+        seed: what the day is drawn from.
+        kind: of the day.
+        instances: how many sidecars there are.
+        pods: how many servers.
+        seconds: how long the day lasts.
+        load: share of what all servers can do; the rate follows from it.
+        good: whether the builds offered are good; None: drawn.
+    """
+    chance = np.random.Generator(np.random.PCG64([seed, KINDS.index(kind)]))
+    span = seconds * TICKS_PER_SECOND
+    cold = int(chance.uniform(2, 4.8) * TICKS_PER_SECOND)
+    speeds = _speeds(chance, pods)
+    rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * CORES / _mean_work(LANES)
     shares = chance.lognormal(0, 0.9, instances)
-    fine, how = bool(chance.random() < 0.5) if good is None else good, int(chance.integers(0, 4))
-    fails, slow = float(chance.uniform(0.1, 0.6)), float(chance.uniform(2, 4))
-    offer = Offer(
-        int(chance.uniform(3, 6) * TICKS_PER_SECOND),
-        2,
-        fine,
-        0.0 if fine or how == 1 else fails,
-        float(chance.uniform(0.92, 1.1)) if fine or how != 1 else slow,
-        2 * TICKS_PER_SECOND if how == 2 and not fine else 0,
-        0.4 if how == 3 and not fine else 0.0,
-    )
-    faults, begin, end = _faults(kind, chance, instances, pods, span)
+    offer = _offer(chance, good)
+    trouble = _trouble(kind, Draws(chance, instances, pods, span))
+    # On a day of joining instances clients are impatient.
     patient = kind != "join"
-    calls, boot = (
-        instances * float(chance.uniform(0.2, 0.75)),
-        int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND),
-    )
-    return Day(
-        seed,
-        span,
-        instances,
-        pods,
-        ("a", "b", "c"),
-        cores,
-        speeds,
-        32,
-        rate,
-        tuple(float(one) for one in shares / shares.sum()),
-        LANES,
-        12_000,
-        0.75,
-        4,
-        1 if patient else 3,
-        0.7 if patient else 0.3,
-        (12, 0.5),
-        0.0005,
-        5_000,
-        4_000,
-        TICKS_PER_SECOND,
-        boot,
-        cold,
-        cold_from,
-        (offer,),
-        faults,
-        _settings(instances, cold, cold_from, calls),
+    calls = instances * float(chance.uniform(0.2, 0.75))
+    boot = int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND)
+    day = Day(
+        seed=seed,
+        span=span,
+        instances=instances,
+        pods=pods,
+        zones=ZONES,
+        cores=CORES,
+        speeds=speeds,
+        queue=QUEUE_LIMIT,
+        rate=rate,
+        busy=tuple(float(one) for one in shares / shares.sum()),
+        lanes=LANES,
+        keys=KEYS,
+        zipf=ZIPF,
+        tenants=TENANTS,
+        retries=1 if patient else 3,
+        heeds=0.7 if patient else 0.3,
+        delay=DELAY,
+        loss=LOSS,
+        list_lag=5_000,
+        news_lag=4_000,
+        stage_least=TICKS_PER_SECOND,
+        boot=boot,
+        cold=cold,
+        cold_from=WARMUP_INITIAL_FRACTION,
+        offers=(offer,),
+        faults=trouble.faults,
+        terms=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls),
         advance=math.ceil(ADVANCE * instances),
-    ), (begin, end)
+    )
+    return DrawnDay(day, Window(trouble.begin, trouble.end))
