--- a/Makefile
+++ b/Makefile
@@ -41,9 +41,11 @@
 	thymeknot/policy \
 	thymeknot/polling \
 	thymeknot/protocol \
+	thymeknot/proxy/client_requests.py \
 	thymeknot/proxy/descriptor_budget.py \
 	thymeknot/proxy/endpoint_updates.py \
 	thymeknot/proxy/graceful_shutdown.py \
+	thymeknot/proxy/release_channel.py \
 	thymeknot/raft \
 	thymeknot/service \
 	thymeknot/simulation/baseline_policies.py \
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -51,7 +51,7 @@
     def became_idle(self) -> None:
         """All its requests are answered while accepting is paused."""
 
-    def fault(self, where: str, error: BaseException) -> None:
+    def fault(self, where: str, error: Exception) -> None:
         """An exception was stopped."""
 
 
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -7,7 +7,8 @@
 from twisted.internet.protocol import Factory
 
 from ..interface.clock import Ticks
-from ..protocol.client import ClientConnection, Command
+from ..protocol.client import ClientConnection
+from ..protocol.command import Command
 from ..protocol.write_progress import nothing_waits
 from ..service import structured_log
 from ..state.slot_table import SlotTable
@@ -85,7 +86,7 @@
         self.most_clients = most_clients
         self.take = take
         self.gone = gone
-        self.clients = SlotTable()
+        self.clients: SlotTable[ClientConnection] = SlotTable()
         self.accepting_paused = False
         self.listening = False
         self.port: Any = None
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -5,7 +5,8 @@
 from ..interface.actions import Fail, Reject
 from ..interface.events import ClientDisconnected, RequestReceived
 from ..protocol import resp
-from ..protocol.client import ClientConnection, Command
+from ..protocol.client import ClientConnection
+from ..protocol.command import Command
 from ..protocol.write_progress import has_left
 from ..service import structured_log
 from .attempt import BUSY
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -4,7 +4,8 @@
 
 from ..interface.clock import Ticks
 from ..interface.enums import Idempotency
-from ..protocol.client import ClientConnection, Command
+from ..protocol.client import ClientConnection
+from ..protocol.command import Command
 from ..state.slot_table import SlotTable
 from ..state.timer_queue import TimerQueue
 
@@ -76,7 +77,7 @@
 
     def __init__(self, timers: TimerQueue) -> None:
         self.timers = timers
-        self.by_slot = SlotTable()
+        self.by_slot: SlotTable[InFlightRequest] = SlotTable()
         self.by_id: dict[str, int] = {}
         self.may_have_run: set[str] = set()
 
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -197,7 +197,7 @@
     # What other packages use of the parts.
 
     @property
-    def clients(self) -> SlotTable:
+    def clients(self) -> SlotTable[Any]:
         """The clients' open connections."""
         return self.listener.clients
 
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -95,7 +95,7 @@
                 # What can't be read ends the stream: it is asked for anew.
                 told = deployer.read_event(event, data)
                 if told is not None and (
-                    type(told) is ReleaseUpdate
+                    isinstance(told, ReleaseUpdate)
                     or told.request_class in self.proxy.settings.request_classes
                 ):
                     self.proxy.tell(told)
