--- a/Makefile
+++ b/Makefile
@@ -39,6 +39,7 @@
 	thymeknot/simulation/baseline_policies.py \
 	thymeknot/simulation/calibration.py \
 	thymeknot/simulation/earlier_versions.py \
+	thymeknot/simulation/experiments.py \
 	thymeknot/simulation/invariants.py \
 	thymeknot/simulation/large_fleet_scenarios.py \
 	thymeknot/simulation/random_streams.py \
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -1,10 +1,16 @@
-"""Experiments: days by seed, played with each policy on all cores, kept as they come; one that was ended half-way goes
-on where it was. Every result holds what it takes to play it again: seed, size, policy, version."""
+"""Experiments: days by seed, played with each policy on all cores, and compared.
+
+Results are kept as they come, and an experiment that was interrupted goes on where it was. Every
+result holds what it takes to play it again: seed, size, policy, version. Results and comparisons
+are maps, as they are written and printed as JSON.
+"""
 
 import math
 import multiprocessing
 import os
+from collections.abc import Callable, Iterable, Sequence
 from concurrent.futures import ProcessPoolExecutor, as_completed
+from typing import Any
 
 import orjson
 
@@ -17,12 +23,33 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 
+Result = dict[str, Any]
+"""The figures of one day with one policy."""
+Pair = tuple[Result, Result]
+"""The results of two policies on one day."""
+Size = dict[str, Any]
+"""Arguments of what draws the day."""
+Progress = Callable[[int, int], object]
+"""Called with how many results are done, and of how many."""
+
+# Asked is 0 on a day without requests: the shares of it are then 0.
+LEAST_ASKED = 1e-9
+# Breaches that a result holds at most.
+MAX_BREACHES = 5
+# Days that a search gives at most.
+MAX_SEARCHED = 3
+
+
+def no_progress(done: int, count: int) -> None:
+    """Ignores the progress."""
+
+
 class UnknownPolicyError(ValueError):
     """No such policy, version or result."""
 
 
-def policy(name):
-    """`now` is today's module, `at:REVISION` an earlier one, else one of the textbook's."""
+def policy(name: str) -> Any:
+    """`now` is the present engine, `at:REVISION` an earlier one, else a baseline policy."""
     if name == "now":
         return current_engine
     if name.startswith("at:"):
@@ -35,7 +62,7 @@
     return TEXTBOOK[name]
 
 
-def played(task):
+def played(task: tuple[str, int, Size]) -> Result:
     """One day with one policy: its figures, with what it takes to play it again."""
     name, seed, size = task
     fleet = Simulator(scenarios.drawn(seed, **size), policy(name)).play()
@@ -49,11 +76,12 @@
     }
 
 
-def crowd_played(task):
-    """One day of a whole fleet (policy, kind, seed, size of crowds.drawn): what its decisions are judged by."""
+def crowd_played(task: tuple[str, str, int, Size]) -> Result:
+    """One day of a large fleet (policy, kind, seed, size): what its decisions are judged by."""
     name, kind, seed, size = task
     day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
-    fleet, offer = Simulator(day, policy(name)).play(), day.offers[0]
+    fleet = Simulator(day, policy(name)).play()
+    offer = day.offers[0]
     turned_away, needless = fleet.needless()
     if kind in large_fleet_scenarios.VAST:
         return {
@@ -84,7 +112,7 @@
         "worst_10s": fleet.worst(),
         "turned_away": turned_away,
         "needless": needless,
-        "behind": fleet.scores["behind"] / max(1e-9, fleet.scores["asked"]),
+        "behind": fleet.scores["behind"] / max(LEAST_ASKED, fleet.scores["asked"]),
         "recover_s": fleet.recovered(end),
         "good_back": offer.good and back,
         "bad_released": not offer.good and bool(fleet.released),
@@ -93,7 +121,7 @@
         and fleet.news[0] == offer.build,
         "votes": fleet.votes_asked,
         "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:5]],
+        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
     }
 
 
@@ -111,14 +139,16 @@
 )
 
 
-def vast_figures(fleet):
-    """What a day of a vast kind is judged by. Shares, but for lists_per_instance (calls in all) and cold_overrun (the
-    most that a cold pod was sent, over what pushes it over)."""
-    asked, good = (
-        max(1e-9, fleet.scores["asked"]),
-        [one.build for one in fleet.day.offers if one.good],
-    )
-    bad, votes = [one.build for one in fleet.day.offers if not one.good], fleet.votes_asked
+def vast_figures(fleet: Simulator) -> Result:
+    """What a day of a vast kind is judged by.
+
+    All are shares, but for lists_per_instance (calls in all) and cold_overrun (the most that a
+    server that warms up was sent, over what overloads it).
+    """
+    asked = max(LEAST_ASKED, fleet.scores["asked"])
+    good = [one.build for one in fleet.day.offers if one.good]
+    bad = [one.build for one in fleet.day.offers if not one.good]
+    votes = fleet.votes_asked
     return {
         "worth": fleet.worth(),
         "service": fleet.service(),
@@ -138,13 +168,13 @@
         "bad_released": sum(build in fleet.released for build in bad),
         "good_released": sum(build in fleet.released for build in good),
         "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:5]],
+        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
     }
 
 
-def vast_compared(pairs):
+def vast_compared(pairs: Sequence[Pair]) -> dict[str, Any]:
     """As crowd_figures, by kind, of the vast kinds alone."""
-    told = {}
+    told: dict[str, Any] = {}
     for kind in sorted({pair[0]["kind"] for pair in pairs}):
         some = [pair for pair in pairs if pair[0]["kind"] == kind]
         told[kind] = {name: gap_of(some, name) for name in VAST_FIGURES}
@@ -157,8 +187,8 @@
     return told
 
 
-# Each of the second row is of days that offered such builds alone: mean by day, and the sum over what it is of.
 MASS_FIGURES = ("service", "worth", "worst_10s", "needless_share")
+# Figures of the days alone that offered such builds: the mean by day, and the sum.
 MASS_OF = {
     "bad_released": "bad",
     "harm_to_back_s": "bad",
@@ -167,11 +197,15 @@
 }
 
 
-def mass_figures(fleet):
-    """What a day of a mass kind is judged by: as vast_figures, and the seconds that builds took, in sum: from offer to
-    release of the good ones, from the first harm (the begin of the release or else of the last stage) until it goes
-    back for the bad ones. What does not come to that is counted until the next offer takes it off, or the day ends."""
-    day, figures = fleet.day, vast_figures(fleet)
+def mass_figures(fleet: Simulator) -> Result:
+    """What a day of a mass kind is judged by: vast_figures, and the seconds that builds took.
+
+    Those are sums: from offer to release of the good ones, and for the bad ones from the first harm
+    (the begin of the release, or else of the last stage) until it is rolled back. What does not
+    come to that is counted until the next offer replaces it, or the day ends.
+    """
+    day = fleet.day
+    figures = vast_figures(fleet)
     ends = [*(one.at for one in day.offers[1:]), day.span]
     spent = {
         one.build: fleet.spent(
@@ -186,53 +220,65 @@
     }
 
 
-def mass_compared(pairs):
+def mass_compared(pairs: Sequence[Pair]) -> dict[str, Any]:
     """As vast_compared, of the mass kinds: by kind, and of all."""
-    told, kinds = {}, sorted({pair[0]["kind"] for pair in pairs})
+    told: dict[str, Any] = {}
+    kinds = sorted({pair[0]["kind"] for pair in pairs})
     for kind in (*kinds, "all"):
         some = [pair for pair in pairs if kind in (pair[0]["kind"], "all")]
         told[kind] = {name: gap_of(some, name) for name in MASS_FIGURES}
         for name, of in MASS_OF.items():
             which = [pair for pair in some if pair[0][of]]
-            by_build = [tuple({name: one[name] / one[of]} for one in pair) for pair in which]
-            told[kind][name] = (
-                which
-                and {
-                    **gap_of(by_build, name),
+            by_build = [
+                ({name: one[name] / one[of]}, {name: two[name] / two[of]}) for one, two in which
+            ]
+            told[kind][name] = None
+            if which:
+                told[kind][name] = {
+                    **(gap_of(by_build, name) or {}),
                     "of": sum(pair[0][of] for pair in which),
                     "sums": [round(sum(pair[at][name] for pair in which), 1) for at in (0, 1)],
                 }
-                or None
-            )
         told[kind]["rules_broken"] = broken_by(some)
     return told
 
 
-def broken_by(pairs):
+def broken_by(pairs: Sequence[Pair]) -> list[list[int]]:
     """The rules broken before, and now."""
     return [sorted({rule for pair in pairs for rule in pair[at]["rules_broken"]}) for at in (0, 1)]
 
 
-def gap_of(some, name):
-    """Means before and now, and the difference with its 95% interval over the same days (None: one day)."""
-    before, now = ([float(one[at][name]) for one in some] for at in (0, 1))
+def gap_of(some: Sequence[Pair], name: str) -> dict[str, float | None] | None:
+    """Means before and now, and the difference with its 95% interval over the same days.
+
+    The interval is None for a single day, and all is None without a day.
+    """
+    before = [float(one[name]) for one, _ in some]
+    now = [float(two[name]) for _, two in some]
     if not some:
         return None
     gap = statistics.paired(now, before)
-    low, high = (round(one, 4) if math.isfinite(one) else None for one in (gap.low, gap.high))
     return {
         "before": round(sum(before) / len(before), 4),
         "now": round(sum(now) / len(now), 4),
         "gap": round(gap.mean, 4),
-        "low": low,
-        "high": high,
+        "low": round(gap.low, 4) if math.isfinite(gap.low) else None,
+        "high": round(gap.high, 4) if math.isfinite(gap.high) else None,
     }
 
 
-def crowds_compared(one, two, kinds, seeds, size, workers, told=lambda done, count: None):
-    """Two policies on the same days of these kinds: a list of pairs of results, in the order of the days."""
+def crowds_compared(  # noqa: PLR0917  the commands pass them by position
+    one: str,
+    two: str,
+    kinds: Iterable[str],
+    seeds: Sequence[int],
+    size: Size,
+    workers: int,
+    told: Progress = no_progress,
+) -> list[Pair]:
+    """Plays two policies on the same days of these kinds: their results, in the days' order."""
     tasks = [(name, kind, seed, size) for kind in kinds for seed in seeds for name in (one, two)]
-    found = []
+    found: list[Result] = []
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
         for result in pool.map(crowd_played, tasks):
             found.append(result)
@@ -240,17 +286,15 @@
     return list(zip(found[::2], found[1::2]))
 
 
-def crowd_figures(pairs):
-    """What pairs of results say: means of both, and the second less the first with its 95% interval, by figure."""
+def crowd_figures(pairs: Sequence[Pair]) -> dict[str, Any]:
+    """What pairs of results say by figure: both means, and the difference with its interval."""
     told = gap_of
 
-    def which(name, value):
+    def which(name: str, value: object) -> list[Pair]:
         return [pair for pair in pairs if pair[0].get(name) == value]
 
-    kinds, usual = (
-        sorted({pair[0]["kind"] for pair in pairs}),
-        [pair for pair in pairs if pair[0]["kind"] != "overload"],
-    )
+    kinds = sorted({pair[0]["kind"] for pair in pairs})
+    usual = [pair for pair in pairs if pair[0]["kind"] != "overload"]
     return {
         "needless_share": told(usual, "needless"),
         "overload_served": told(which("kind", "overload"), "service"),
@@ -258,7 +302,7 @@
         "good_back": told(which("good", True), "good_back"),
         **{name: told(which("good", False), name) for name in ("bad_released", "bad_kept")},
         "rules_broken": broken_by(pairs),
-        "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5],
+        "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:MAX_BREACHES],
         "by_kind": {
             kind: {
                 name: told(which("kind", kind), name) for name in ("service", "needless", "behind")
@@ -268,27 +312,48 @@
     }
 
 
-def key_of(task):
+def key_of(task: tuple[str, int, Size]) -> str:
+    """By which the result of a task is found again."""
     return orjson.dumps([task[0], task[1], sorted(task[2].items())]).decode()
 
 
-def run(tasks, workers, path=None, told=lambda done, count: None):
-    """The results of all tasks (policy, seed, size), in their order. path: where each is kept as it comes; those that
-    stand there already are not played again, and a line cut off by a kill is passed over."""
+def _kept(path: str) -> dict[str, Result]:
+    """The results in a file; a line that a kill cut off is passed over."""
     found = {}
-    if path and os.path.exists(path):
-        with open(path, "rb") as source:
-            for line in source:
-                try:
-                    one = orjson.loads(line)
-                    found[key_of((one["policy"], one["seed"], one["size"]))] = one
-                except (orjson.JSONDecodeError, KeyError):
-                    continue
+    with open(path, "rb") as source:
+        for line in source:
+            try:
+                one = orjson.loads(line)
+                found[key_of((one["policy"], one["seed"], one["size"]))] = one
+            except (orjson.JSONDecodeError, KeyError):
+                continue
+    return found
+
+
+def run(
+    tasks: Sequence[tuple[str, int, Size]],
+    workers: int,
+    path: str | None = None,
+    told: Progress = no_progress,
+) -> list[Result]:
+    """Plays all tasks.
+
+    Args:
+        tasks: policy, seed and size of each.
+        workers: processes that play at once.
+        path: where each result is kept as it comes; what is there already is not played again.
+        told: is told the progress.
+
+    Returns:
+        The results in the order of the tasks.
+    """
+    found = _kept(path) if path and os.path.exists(path) else {}
     missing = [task for task in tasks if key_of(task) not in found]
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
         waiting = {pool.submit(played, task): task for task in missing}
         for future in as_completed(waiting):
-            one = found[key_of(waiting[future])] = future.result()
+            one = future.result()
+            found[key_of(waiting[future])] = one
             if path:
                 with open(path, "ab") as target:
                     target.write(orjson.dumps(one) + b"\n")
@@ -296,12 +361,24 @@
     return [found[key_of(task)] for task in tasks]
 
 
-def compared(one, two, seeds, size, workers, path=None, told=lambda done, count: None):
-    """Two policies on the same days: {"service": Difference, "worst_10s": ..., "harm": ...} of one - two, the rules
-    that either broke, and the results."""
+def compared(  # noqa: PLR0917  the commands pass them by position
+    one: str,
+    two: str,
+    seeds: Iterable[int],
+    size: Size,
+    workers: int,
+    path: str | None = None,
+    told: Progress = no_progress,
+) -> tuple[dict[str, statistics.Difference], list[int], list[Result]]:
+    """Plays two policies on the same days.
+
+    Returns:
+        The differences one - two by figure, the rules that either broke, and the results.
+    """
     tasks = [(name, seed, size) for seed in seeds for name in (one, two)]
     results = run(tasks, workers, path, told)
-    first, second = results[::2], results[1::2]
+    first = results[::2]
+    second = results[1::2]
     return (
         {
             figure: statistics.paired(
@@ -314,17 +391,28 @@
     )
 
 
-def searched(name, seeds, size, workers, against="random", told=lambda done, count: None):
-    """The days on which a policy does worst beside another, one for each set of troubles, the worst first; each then
-    shrunk to what matters: troubles that can be left out without it getting better by a tenth of the gap are."""
+def searched(  # noqa: PLR0917  the commands pass them by position
+    name: str,
+    seeds: Iterable[int],
+    size: Size,
+    workers: int,
+    against: str = "random",
+    told: Progress = no_progress,
+) -> list[dict[str, Any]]:
+    """The days on which a policy does worst beside another, the worst first.
+
+    There is one for each set of faults, reduced to what matters: a fault is left out if the gap
+    does not close by over a tenth without it.
+    """
     results = compared(name, against, seeds, size, workers, None, told)[2]
-    worst = {}
+    worst: dict[tuple[str, ...], tuple[float, int]] = {}
     for mine, theirs in zip(results[::2], results[1::2]):
-        gap, kind = mine["service"] - theirs["service"], tuple(sorted(mine["troubles"]))
+        gap = mine["service"] - theirs["service"]
+        kind = tuple(sorted(mine["troubles"]))
         if kind not in worst or gap < worst[kind][0]:
             worst[kind] = gap, mine["seed"]
     found = []
-    for kind, (gap, seed) in sorted(worst.items(), key=lambda one: one[1][0])[:3]:
+    for kind, (gap, seed) in sorted(worst.items(), key=lambda one: one[1][0])[:MAX_SEARCHED]:
         found.append(
             {
                 "seed": seed,
@@ -336,9 +424,10 @@
     return found
 
 
-def shrunk(name, against, seed, size, gap):
-    """The kinds of a day's troubles without which the gap would close by over a tenth."""
-    day, kept = scenarios.drawn(seed, **size), list(scenarios.drawn(seed, **size).faults)
+def shrunk(name: str, against: str, seed: int, size: Size, gap: float) -> list[scenarios.FaultKind]:
+    """The kinds of a day's faults without which the gap would close by over a tenth."""
+    day = scenarios.drawn(seed, **size)
+    kept = list(day.faults)
     for fault in list(kept):
         fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
         rest = (
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -31,6 +31,7 @@
     RequestReceived,
     TimerFired,
 )
+from ..interface.settings import Settings
 from ..state.random_source import LinearCongruentialGenerator
 from .invariants import InvariantChecker, Listed, Phase
 from .random_streams import Stream, gamma, zipf_keys
@@ -931,11 +932,11 @@
 
     # What came of it.
 
-    def service(self):
+    def service(self) -> float:
         """Earnings answered within the goal over earnings asked for."""
         return self.scores["earned"] / max(1e-9, self.scores["asked"])
 
-    def worst(self, seconds=10):
+    def worst(self, seconds: int = 10) -> float:
         """The same in the worst stretch."""
         best = 1.0
         whole = self.day.span // TICKS_PER_SECOND
@@ -951,7 +952,7 @@
         asked = max(1, sum(one[0] for one in some))
         return sum(one[1] for one in some) / asked, sum(one[2] for one in some) / asked
 
-    def recovered(self, end, least=0.05):
+    def recovered(self, end: Ticks, least: float = 0.05) -> int:
         """Seconds from this moment until no more than this share is turned away for two seconds on end."""
         begin = -(-end // TICKS_PER_SECOND)
         for at in range(begin, self.day.span // TICKS_PER_SECOND - 1):
@@ -959,7 +960,7 @@
                 return at - begin
         return self.day.span // TICKS_PER_SECOND - begin
 
-    def spent(self, build, end):
+    def spent(self, build: int, end: Ticks) -> tuple[float, float]:
         """(seconds from its offer to its release or, if it was not released, until end; seconds that it could hurt:
         from its release or, if it was not, from the begin of its last stage, until it went back, or end). end: when
         what is still going on ceases to count."""
@@ -990,7 +991,7 @@
         }
 
 
-def current_engine(terms, seed, now):
+def current_engine(terms: Settings, seed: int, now: Ticks) -> Any:
     """The project's own decisions."""
     from ..policy.engine import DecisionEngine
 
