--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -17,11 +17,11 @@
 from tests.unit.proxy.test_proxy import ANSWER, Network, entry
 from thymeknot.interface.events import ClientDisconnected
 from thymeknot.protocol.client import (
-    LINGERS,
-    LOOKS,
-    MAKES_ROOM,
-    MOST_WAITING,
-    SPEAKS_WITHIN,
+    COMMAND_TIMEOUT,
+    DISCONNECT_CHECK_INTERVAL,
+    EVICTION_FLUSH_TIMEOUT,
+    LINGER_TIME,
+    MAX_PIPELINED_COMMANDS,
     ClientConnection,
 )
 from thymeknot.proxy.client_listener import CLOSING_ALLOWANCE
@@ -106,7 +106,7 @@
         near.sendall(PING)  # in the machine: the loop does not turn before the end is asked for
         connection.finish()
         network.step()
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         self.assertEqual(all_of(near), PONG * 2)
 
     def test_one_that_is_read_in_the_turn_in_which_all_was_answered_is_answered_too(self):
@@ -115,7 +115,7 @@
         connection.finish()
         connection.dataReceived(PING)  # before the loop has come to writing
         network.step()
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         self.assertEqual(all_of(near), PONG)
 
     def test_what_crosses_the_end_is_not_read_and_the_answers_before_it_are_not_reset(self):
@@ -128,7 +128,7 @@
         near.sendall(PING)  # sending has ended: its client reads that, and asks elsewhere
         network.step()
         self.assertEqual(all_of(near), PONG)
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         self.assertEqual(len(network.proxy.clients), 0)
 
     def test_a_new_connection_is_waited_for_until_its_first_command_has_come(self):
@@ -138,7 +138,7 @@
         network.pass_on(4_000)
         near.sendall(PING)
         network.step()
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         self.assertEqual(all_of(near), PONG)
 
     def test_an_error_behind_good_commands_is_told_whatever_comes_behind_it(self):
@@ -152,7 +152,7 @@
             network.step(1)
             near.sendall(b"more" * 20_000)  # unread as the connection ends
             network.step(9)
-            network.pass_on(2 * LINGERS)
+            network.pass_on(2 * LINGER_TIME)
             self.assertEqual(all_of(near), PONG + b"-ERR syntax: " + why + b"\r\n")
             self.assertEqual(len(network.proxy.clients), 0)
 
@@ -181,14 +181,14 @@
         for leaves in (lambda near: near.close(), lambda near: near.shutdown(socket.SHUT_WR)):
             network = self.network(*(entry(f"s-{at}") for at in range(9)))
             near, connection = self.opens(network)
-            near.sendall(b"".join(query(f"{at}") for at in range(MOST_WAITING + 9)))
+            near.sendall(b"".join(query(f"{at}") for at in range(MAX_PIPELINED_COMMANDS + 9)))
             network.step()
             near.sendall(PING)  # unread, before the end
             leaves(near)
             network.step()
             self.assertFalse(connection.reading)
-            self.assertGreater(len(network.proxy.transactions), MOST_WAITING // 2)
-            network.pass_on(2 * LOOKS)
+            self.assertGreater(len(network.proxy.transactions), MAX_PIPELINED_COMMANDS // 2)
+            network.pass_on(2 * DISCONNECT_CHECK_INTERVAL)
             self.assertEqual(len(network.proxy.transactions), 0)
             dialled = len(network.dialled())
             self.assertEqual(
@@ -199,19 +199,23 @@
     def test_half_a_command_whose_rest_is_not_read_yet_is_not_ended_for_being_late(self):
         network = self.network(*(entry(f"s-{at}") for at in range(9)))
         near, connection = self.opens(network)
-        near.sendall(b"".join(query(f"{at}") for at in range(MOST_WAITING + 9)) + PING[:5])
+        near.sendall(
+            b"".join(query(f"{at}") for at in range(MAX_PIPELINED_COMMANDS + 9)) + PING[:5]
+        )
         network.step()
         near.sendall(PING[5:])
-        network.pass_on(SPEAKS_WITHIN + 10)
+        network.pass_on(COMMAND_TIMEOUT + 10)
         self.assertEqual(
-            (connection.reading, connection.sound, connection.parser.held), (False, True, 5)
+            (connection.reading, connection.input_valid, connection.parser.held), (False, True, 5)
         )
         for _ in range(9):
             network.pass_on(5_000)  # the time of what is in hand is over
         near.shutdown(socket.SHUT_WR)
         network.pass_on(10)
         answers = all_of(near).split(b"\r\n")
-        self.assertEqual((len(answers), answers[-2:]), (MOST_WAITING + 9 + 2, [b"+PONG", b""]))
+        self.assertEqual(
+            (len(answers), answers[-2:]), (MAX_PIPELINED_COMMANDS + 9 + 2, [b"+PONG", b""])
+        )
 
     def test_nor_is_one_whose_rest_has_come_as_its_time_ends(self):
         network = self.network()
@@ -219,9 +223,9 @@
         near.sendall(PING[:5])
         network.step()
         near.sendall(PING[5:])  # in the machine: the loop does not turn before the deadline
-        connection._says_nothing()
+        connection._command_overdue()
         network.step()
-        network.pass_on(2 * LOOKS)
+        network.pass_on(2 * DISCONNECT_CHECK_INTERVAL)
         self.assertEqual(near.recv(99), PONG)
 
     def test_one_that_never_spoke_is_closed_without_a_word_or_its_client_takes_that_for_an_answer(
@@ -230,12 +234,12 @@
         for speaks in (False, True):
             network = self.network()
             near, connection = self.opens(network)
-            network.pass_on(SPEAKS_WITHIN - 100)
+            network.pass_on(COMMAND_TIMEOUT - 100)
             if speaks:
                 near.sendall(PING)  # in the machine: the loop does not turn before the deadline
-                connection._says_nothing()
+                connection._command_overdue()
             network.pass_on(200)
-            network.pass_on(2 * LINGERS)
+            network.pass_on(2 * LINGER_TIME)
             self.assertEqual(
                 (near.recv(99), len(network.proxy.clients)), (PONG, 1) if speaks else (b"", 0)
             )
@@ -285,7 +289,7 @@
             self.assertEqual((pod.transport.value(), len(network.proxy.transactions)), (sent, 0))
             network.step(9)
             self.assertEqual((len(network.dialled()), network.proxy.engine.requests.open), (1, {}))
-            self.assertTrue(connection.gone)
+            self.assertTrue(connection.client_gone)
 
     def test_an_attempt_after_another_is_not_sent_on_either(self):
         network = self.network(entry("s-1"), entry("s-2"))
@@ -319,7 +323,7 @@
             connection.transport.write(b"x" * (16 << 20))  # an answer, more than the machine holds
             network.step()
             connection.evict()
-            network.pass_on(MAKES_ROOM - 100)
+            network.pass_on(EVICTION_FLUSH_TIMEOUT - 100)
             self.assertEqual(len(network.proxy.clients), 1)
             network.pass_on(200)
             self.assertEqual(len(network.proxy.clients), 0)
@@ -385,7 +389,7 @@
         network.proxy.undrain(lambda: said.append("back"), said.append)
         self.assertTrue(takes())
         network.pass_on(60_000)  # its answer is due by now
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         self.assertRegex(all_of(near), rb"^-[^\r]*\r\n\+PONG\r\n$")
         self.assertEqual(said, ["back"])
 
@@ -411,12 +415,12 @@
         self.assertEqual(len(network.proxy.clients), 31)
         network.step(9)
         network.pass_on(400)
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         network.step(9)
         self.assertEqual([all_of(near) for near in crowd], [PONG] * 30)
         self.assertEqual(emptied, [])  # the first may be about to say its first word
         network.pass_on(5_000)
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         network.step(9)
         self.assertEqual(all_of(first), b"")
         self.assertEqual(emptied, [True])
@@ -447,7 +451,7 @@
         network.step(9)  # the listener closes
         self.assertTrue(port.disconnected)
         network.pass_on(400)
-        network.pass_on(2 * LINGERS)
+        network.pass_on(2 * LINGER_TIME)
         self.assertEqual(all_of(early), PONG)
         late.setblocking(True)
         late.settimeout(5)
@@ -504,7 +508,7 @@
             idle.dataReceived(PING)
             network.reactor.advance(waited)
             while not (new.closing or idle.closing):
-                network.client().places.append(None)  # in hand
+                network.client().pending_responses.append(None)  # in hand
             self.assertEqual([one.closing for one in (new, idle)], [at == goes for at in range(2)])
 
     def test_nor_does_a_crowd_close_it(self):
@@ -596,7 +600,7 @@
         self.assertEqual(
             (len(network.proxy.transactions) > 2, network.proxy.listener.port.on), (True, True)
         )
-        busy = [client for client in clients if client.places]
+        busy = [client for client in clients if client.pending_responses]
         for client in clients:
             if client not in busy:
                 client.dataReceived(
@@ -712,7 +716,7 @@
             {held.id for held in network.proxy.transactions} & {f"{at}" for at in range(6)}, set()
         )
         self.assertIn("other", {held.id for held in network.proxy.transactions})
-        self.assertEqual((network.faults, len(other.places)), ([], 1))
+        self.assertEqual((network.faults, len(other.pending_responses)), ([], 1))
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -245,15 +245,15 @@
 
     def test_answers_that_do_not_keep_the_order_of_the_commands(self):
         def answer(self, place, content):
-            at = place - self.first
-            if not self.connected or at < 0 or self.places[at] is not None:
+            at = place - self.first_sequence
+            if not self.connected or at < 0 or self.pending_responses[at] is not None:
                 return
-            self.places[at] = content
+            self.pending_responses[at] = content
             self.transport.write(content)  # at once, not behind those before it
-            while self.places and self.places[0] is not None:
-                self.places.popleft()
-                self.first += 1
-            self._read_on()
+            while self.pending_responses and self.pending_responses[0] is not None:
+                self.pending_responses.popleft()
+                self.first_sequence += 1
+            self._update_reading()
             if self.closing:
                 self.finish()
 
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -67,7 +67,7 @@
 answer = ClientConnection.answer
 def twice(self, place, content):
     answer(self, place, content)
-    if not self.places:
+    if not self.pending_responses:
         self.transport.write(content)
 ClientConnection.answer = twice
 """,
@@ -148,7 +148,7 @@
         (1, 2, 4, 5, 7, 8),
         """
 from thymeknot.protocol.client import ClientConnection
-ClientConnection._expect = lambda self, within: None
+ClientConnection._expect_command = lambda self, within: None
 """,
     ),
     "an attempt that is told too much time": Planted(
@@ -156,8 +156,8 @@
         (1, 2, 4),
         """
 from thymeknot.protocol.command import Command
-words = Command.words
-Command.words = lambda self, left: words(self, left + 1_000)
+words = Command.forwarded_words
+Command.forwarded_words = lambda self, left: words(self, left + 1_000)
 """,
     ),
     "an exception in the program": Planted(
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -657,7 +657,7 @@
             "dialling": proxy.pools.dialling,
             "connections": len(proxy.pools.connections),
             "open to decide": len(proxy.engine.requests.open),
-            "calls": proxy.platform.out + proxy.discovery.out,
+            "calls": proxy.platform.calls_in_flight + proxy.discovery.calls_in_flight,
             "counted out": sum(
                 known.in_flight for known in proxy.engine.context.endpoints.values()
             ),
@@ -669,11 +669,11 @@
         standing = {
             "Proxy.tell",
             "Proxy._log_rejections",
-            "WatchStream._look",
-            "WatchStream._still_asked",
-            "WatchStream._ask",
-            "Stream.dial_late",
-            "Call.dial_late",
+            "WatchStream._check_silence",
+            "WatchStream._first_data_overdue",
+            "WatchStream._start_if_needed",
+            "Stream.connect_overdue",
+            "Call.connect_overdue",
         }
         live = [
             call.__qualname__
--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -18,7 +18,7 @@
     IntervalState,
 )
 from thymeknot.polling.snapshot_validation import SnapshotValidator
-from thymeknot.protocol.discovery import FIRST_WORD
+from thymeknot.protocol.discovery import FIRST_DATA_TIMEOUTS
 from thymeknot.protocol.watch_stream import WatchStream
 from thymeknot.simulation.shared_services import IDLE_TIMEOUT, Connections, Service
 from thymeknot.state.random_source import LinearCongruentialGenerator
@@ -108,9 +108,9 @@
             lambda: b"",
             lambda: lambda content: True,
             lambda *line, **fields: None,
-            FIRST_WORD[True],
+            FIRST_DATA_TIMEOUTS[True],
         )
-        stream.start_among(asking)
+        stream.start_spread(asking)
         return stream
 
     def test_forty_have_a_list_before_long_from_a_service_of_eight_calls_a_second(self):
@@ -127,7 +127,7 @@
                 for at in range(28 if step / 20 == kill_at else 0):
                     streams[at].start = lambda: None  # its process is gone
                     streams[at] = self.started(service, asking, step + at + 1)
-            self.assertEqual(sum(stream.stream is not None for stream in streams), 40)
+            self.assertEqual(sum(stream.current is not None for stream in streams), 40)
             self.assertLess(service.refused, refused)
 
     def test_all_that_start_at_once_have_a_list_of_a_service_that_takes_one_call_of_each_in_eight_seconds(
@@ -139,7 +139,7 @@
             streams = [self.started(service, asking, seed) for seed in range(1, asking + 1)]
             for _ in range(seconds * 20):
                 clock.advance(0.05)
-            self.assertEqual(sum(stream.stream is not None for stream in streams), asking)
+            self.assertEqual(sum(stream.current is not None for stream in streams), asking)
             self.assertLess(service.refused, refused)
 
     def test_a_cut_link_is_tried_as_usual_and_no_call_is_made_beside_the_watch(self):
--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -117,10 +117,12 @@
             [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=480,k=5c,r=1", b"BODY"]
         )
         self.assertEqual(
-            (read.request_class, read.tenant, read.left, read.repeat), ("pay", "acme", 480, True)
+            (read.request_class, read.tenant, read.timeout_ms, read.is_retry),
+            ("pay", "acme", 480, True),
         )
         self.assertEqual(
-            read.words(77), [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=77,k=5c,r=1", b"BODY"]
+            read.forwarded_words(77),
+            [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=77,k=5c,r=1", b"BODY"],
         )
 
     def test_what_is_wrong_with_a_command_is_said(self):
@@ -221,7 +223,7 @@
             b"</item></entries></Response>"
         )
         self.assertEqual(
-            deployer.vote_news(42, Reply(200, good)),
+            deployer.read_vote_reply(42, Reply(200, good)),
             ReleaseUpdate(42, 1, ReleasePhase.ON_TRIAL, True, Outcome.DONE, 0.28, 3100),
         )
         error = b"<Error><Code>%s</Code></Error>"
@@ -237,12 +239,12 @@
             (BrokenConnection(WRITTEN, ""), Outcome.TIMED_OUT),
         ):
             self.assertEqual(
-                deployer.vote_news(42, end),
+                deployer.read_vote_reply(42, end),
                 ReleaseUpdate(42, None, None, True, outcome, None, None),
             )
 
     def test_a_vote_is_a_form(self):
-        call = deployer.vote("h:1", CastVote(42, 1, Verdict.ABORT))
+        call = deployer.vote_request("h:1", CastVote(42, 1, Verdict.ABORT))
         head, body = call.split(b"\r\n\r\n")
         self.assertEqual(body, b"Action=PutApproval&version=42&step=1&vote=abort")
         self.assertIn(b"Content-Length: %d" % len(body), head)
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -115,7 +115,7 @@
             self.assertEqual(
                 (new.transport.disconnected, old.transport.disconnected), (True, False)
             )
-            self.assertIs(self.kept[port].stream, old)
+            self.assertIs(self.kept[port].current, old)
 
     def test_what_one_that_was_given_up_still_says_is_not_heard(self):
         old = self.connected(2, SIGN[2])
@@ -125,7 +125,7 @@
         self.pass_on(2)
         heard = self.kept[2].last
         old.dataReceived(chunk(listed(10, "s-3")))
-        self.assertEqual((self.kept[2].stream, self.kept[2].last), (new, heard))
+        self.assertEqual((self.kept[2].current, self.kept[2].last), (new, heard))
         self.assertEqual(list(self.network.proxy.listed), ["s-2"])
 
     def test_a_dial_that_comes_up_after_it_was_given_up_ends_at_once_and_asks_nothing(self):
@@ -157,7 +157,10 @@
 
 class Silence(WithNetwork):
     def test_it_is_seen_early_enough_whatever_the_moment_of_the_last_word(self):
-        for port, silence, most in ((2, discovery.SILENCE, 4.51), (3, platform.SILENCE, 4.01)):
+        for port, silence, most in (
+            (2, discovery.SILENCE_TIMEOUT, 4.51),
+            (3, platform.SILENCE_TIMEOUT, 4.01),
+        ):
             for words in range(
                 40
             ):  # the last word comes at another moment of what was looked at before
@@ -193,7 +196,7 @@
                 self.until_asked(port, 9)
         live = self.network.proxy.timers.live.values()
         self.assertLessEqual(
-            len([call for call, _ in live if call.__name__ in ("_look", "_watch")]), 2
+            len([call for call, _ in live if call.__name__ in ("_check_silence", "_watch")]), 2
         )
 
 
@@ -635,7 +638,12 @@
             Moves.move(self, self.network, platform=9)
             self.vote()
             self.assertEqual(
-                (former.out, self.network.proxy.platform.out, self.asked(9)), (1, 1, 2)
+                (
+                    former.calls_in_flight,
+                    self.network.proxy.platform.calls_in_flight,
+                    self.asked(9),
+                ),
+                (1, 1, 2),
             )
             if end == "answer":
                 call.dataReceived(self.sized(self.NEWS))
@@ -648,7 +656,7 @@
                 self.pass_on(1.3)
                 self.assertTrue(call.transport.disconnected)
                 call.dataReceived(self.sized(self.NEWS))
-            self.assertEqual((self.outcomes()[0], former.out), (outcome, 0), end)
+            self.assertEqual((self.outcomes()[0], former.calls_in_flight), (outcome, 0), end)
             self.assertEqual(len(self.outcomes()), 1)
 
     def test_what_comes_after_the_end_of_a_call_is_nothing(self):
@@ -665,7 +673,8 @@
             call.dataReceived(after)
             call.connectionLost(Failure(ConnectionDone()))
             self.assertEqual(
-                (self.outcomes(), self.network.proxy.platform.out), ([Outcome.TIMED_OUT], 0)
+                (self.outcomes(), self.network.proxy.platform.calls_in_flight),
+                ([Outcome.TIMED_OUT], 0),
             )
 
     def test_two_answers_in_one_read_are_one(self):
@@ -722,7 +731,9 @@
             self.assertLess(len(call.parser.rest), 20_000)
             self.pass_on(1.3)
             self.assertEqual(
-                (self.outcomes(), self.network.proxy.platform.out), ([outcome], 0), said[:90]
+                (self.outcomes(), self.network.proxy.platform.calls_in_flight),
+                ([outcome], 0),
+                said[:90],
             )
 
     def test_an_answer_without_a_length_is_whole_only_where_the_peer_ends_it(self):
@@ -749,7 +760,7 @@
             call.resumeProducing() if whole else None
             call.connectionLost(Failure(end()))
             self.assertEqual(
-                (self.outcomes(), self.network.proxy.platform.out),
+                (self.outcomes(), self.network.proxy.platform.calls_in_flight),
                 ([Outcome.TIMED_OUT if whole else Outcome.ERROR], 0),
             )
 
@@ -784,7 +795,8 @@
             if connector.stoppedConnecting and self.network.reactor.tcpClients[at][1] == 3:
                 self.network.refuse(at)
         self.assertEqual(
-            (self.outcomes(), self.network.proxy.platform.out), ([Outcome.ERROR] * 20, 0)
+            (self.outcomes(), self.network.proxy.platform.calls_in_flight),
+            ([Outcome.ERROR] * 20, 0),
         )
 
     def test_a_body_in_slices_of_a_byte_costs_its_length(self):
@@ -898,7 +910,7 @@
                 json.dumps({"version": 9, "servers": [entry("s-1", started_ms=started)]}).encode()
                 + b"\n"
             )
-            self.connected(2, gone + back) if started == 0 else self.kept[2].stream.dataReceived(
+            self.connected(2, gone + back) if started == 0 else self.kept[2].current.dataReceived(
                 chunk(gone + back)
             )
             self.assertEqual(network.dialled().count(7001), dialled)
@@ -933,7 +945,7 @@
             '"state":"Ready","weight":1.5e0,"cell":-1}]}',
             '{\n\n"version":9,"full":true,"servers":[]}',
         ):
-            lists = discovery.Lists()
+            lists = discovery.ListParser()
             found = list(lists.feed(text.encode() + b"\r\n\n"))
             self.assertEqual(found, [json.loads(text), None])
 
@@ -952,7 +964,7 @@
             b'{\n"a":1\n}{\n',
         ):
             with self.assertRaises(discovery.UnreadableListError, msg=text):
-                list(discovery.Lists().feed(text))
+                list(discovery.ListParser().feed(text))
 
     def test_a_list_that_was_cut_ends_it_as_soon_as_another_begins(self):
         for whole in (
@@ -964,14 +976,14 @@
                 whole.index(b"version") + 9, len(whole) - 2
             )  # before that only silence tells
             for at, indent, sign in itertools.product(ends, (None, 2), (b"", b"\n", b"\n\n\n")):
-                lists, another = discovery.Lists(), listed(10, "s-4", "s-5", indent=indent)
+                lists, another = discovery.ListParser(), listed(10, "s-4", "s-5", indent=indent)
                 with self.assertRaises(discovery.UnreadableListError, msg=whole[:at] + sign):
                     list(lists.feed(whole[:at] + sign + another))
         keys = listed(9, "s-2", indent=2).replace(b'"s-2"', b'"\\"servers\\": ["')
-        self.assertEqual(len(list(discovery.Lists().feed(keys * 3))), 3)
+        self.assertEqual(len(list(discovery.ListParser().feed(keys * 3))), 3)
 
     def test_a_list_without_an_end_is_bounded(self):
-        lists, line, fed = discovery.Lists(), b'"' + b"x" * 60_000 + b'":1,\n', 0
+        lists, line, fed = discovery.ListParser(), b'"' + b"x" * 60_000 + b'":1,\n', 0
         list(lists.feed(b"{\n"))
         with self.assertRaisesRegex(discovery.UnreadableListError, "too long"):
             while fed < 2 * http.MOST_LINE:
@@ -982,7 +994,7 @@
     def test_a_list_of_five_thousand_pods_is_taken_on_one_line_or_indented(self):
         names = [f"s-{at}" for at in range(5000)]
         for indent in (None, 4):
-            body, lists, found = listed(9, *names, indent=indent), discovery.Lists(), []
+            body, lists, found = listed(9, *names, indent=indent), discovery.ListParser(), []
             for at in range(0, len(body), 65536):
                 found += lists.feed(body[at : at + 65536])
             self.assertEqual([len(one["servers"]) for one in found], [5000])
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -181,7 +181,7 @@
         client = network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
-        network.proxy.pools.ready = lambda _: 1 / 0
+        network.proxy.pools.connection_ready = lambda _: 1 / 0
         faults, network.proxy.pools.fault = [], lambda *fault: faults.append(fault)
         connection.dataReceived(ANSWER)
         self.assertEqual(
@@ -326,7 +326,7 @@
                     if connection.transport.disconnecting and not connection.transport.disconnected:
                         connection.transport.disconnected = True
                         connection.connectionLost(Failure(ConnectionLost()))
-                    elif connection.waiting is not None:
+                    elif connection.pending_response is not None:
                         if connection.transport.value():
                             connection.transport.clear()
                             connection.resumeProducing() if not connection.written else None
@@ -753,7 +753,7 @@
                         connection.transport.clear()
                         connection.resumeProducing()
                         trial += build == 42
-                    elif connection.waiting is not None:
+                    elif connection.pending_response is not None:
                         connection.dataReceived(ANSWER)
                     elif connection.transport.disconnecting or (
                         hangs and int(pod[2:]) > 4
@@ -1101,7 +1101,7 @@
         if connection := self.pick([one for one in self.open() if one.transport.producer], place):
             name = connection.transport.value().split(b"\r\n")[6].decode()
             connection.transport.clear()
-            pod, news = connection.delivery.endpoint, self.proxy.releases.latest
+            pod, news = connection.attempt.endpoint, self.proxy.releases.latest
             self.test.assertTrue(
                 self.proxy.endpoints.is_ready(pod) and (news.cap or pod.build < news.build), name
             )
@@ -1114,7 +1114,7 @@
         if connection := self.pick(self.connections, place):
             if connection.transport.disconnected:
                 return
-            name = connection.delivery and connection.delivery.request.id
+            name = connection.attempt and connection.attempt.request.id
             if kind == "busy" and name and connection.written:
                 self.may_have_run[name] = False
             connection.dataReceived(ANSWERS[kind])
@@ -1161,7 +1161,7 @@
     def served(self, place):
         """One that waits for its answer gets a good one."""
         if connection := self.pick(
-            [one for one in self.open() if one.written and one.waiting], place
+            [one for one in self.open() if one.written and one.pending_response], place
         ):
             self.answer(self.connections.index(connection), "good")
 
@@ -1202,7 +1202,7 @@
             self.test.assertLessEqual(len(pool.waiting), pool.dialling)
             for connection in pool.idle:
                 same(
-                    (connection.waiting, connection.delivery, connection.connector.pool),
+                    (connection.pending_response, connection.attempt, connection.connector.pool),
                     (None, None, pool),
                 )
                 same(
@@ -1216,13 +1216,14 @@
                 )
         for connection in self.connections:
             if connection.transport.disconnecting or connection.transport.disconnected:
-                self.test.assertIsNone(connection.waiting)
+                self.test.assertIsNone(connection.pending_response)
         for held in self.proxy.transactions:
             same(held.attempts_out, sum(attempt.in_flight for attempt in held.attempts))
             self.test.assertTrue(held.attempts_out or not held.closed, held.id)
             for attempt in held.attempts:
                 where = sum(attempt in pool.waiting for pool in by_pod.values()) + any(
-                    one.delivery is attempt and one.waiting is not None for one in self.connections
+                    one.attempt is attempt and one.pending_response is not None
+                    for one in self.connections
                 )
                 same(where, 1) if attempt.in_flight else None
 
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -553,7 +553,7 @@
         self.assertFalse(old.transport.disconnected)
         new.dataReceived(life)
         self.assertEqual(
-            (old.transport.disconnected, network.proxy.releases.stream.stream), (True, new)
+            (old.transport.disconnected, network.proxy.releases.stream.current), (True, new)
         )
         network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
         self.assertEqual(network.reactor.tcpClients[-1][1], 9)
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -158,7 +158,7 @@
             command.key.decode() or None,
             command.tenant,
             command.request_class,
-            command.repeat,
+            command.is_retry,
         )
 
     def reconfigure(self, settings: DecisionLogSettings, folder: str) -> None:
--- a/thymeknot/protocol/command.py
+++ b/thymeknot/protocol/command.py
@@ -27,11 +27,11 @@
     """The words after the names and values."""
     request_class: str
     tenant: str | None
-    left: int
+    timeout_ms: int
     """Milliseconds that the client waits."""
-    repeat: bool
+    is_retry: bool
 
-    def words(self, left: int) -> list[bytes]:
+    def forwarded_words(self, left: int) -> list[bytes]:
         """The command as an endpoint gets it, with the milliseconds that the sidecar will wait."""
         told = [(name, b"%d" % left if name == b"d" else value) for name, value in self.pairs]
         return [
--- a/thymeknot/protocol/deployer.py
+++ b/thymeknot/protocol/deployer.py
@@ -17,9 +17,9 @@
 BASE: Final = "/v2/projects/main/"
 HEARTBEAT: Final[Ticks] = TICKS_PER_SECOND
 """Between two signs of life on the stream, by the protocol."""
-SILENCE: Final[Ticks] = 4 * HEARTBEAT
+SILENCE_TIMEOUT: Final[Ticks] = 4 * HEARTBEAT
 """A stream that says nothing for so long is broken."""
-FIRST_WORD: Final[Ticks] = 2 * HEARTBEAT
+FIRST_DATA_TIMEOUT: Final[Ticks] = 2 * HEARTBEAT
 """The newest build is told at once; if not, the first heartbeat has come by then."""
 MOST_TIME: Final = 10**13
 """Milliseconds that a time may have."""
@@ -58,7 +58,7 @@
     """The platform's message can't be read. The text names the faulty field."""
 
 
-def vote(host: str, action: CastVote) -> bytes:
+def vote_request(host: str, action: CastVote) -> bytes:
     """The call that casts a vote."""
     return http.request(
         "POST",
@@ -73,7 +73,7 @@
     )
 
 
-def stream(host: str) -> bytes:
+def stream_request(host: str) -> bytes:
     """The call that opens the event stream."""
     return http.request("GET", BASE + "stream", host)
 
@@ -110,7 +110,7 @@
     return value
 
 
-def read_news(told: Mapping[str, Any], *, answers_vote: bool = False) -> ReleaseUpdate:
+def read_release_update(told: Mapping[str, Any], *, answers_vote: bool = False) -> ReleaseUpdate:
     """The release update of the names and values that tell how the newest build stands."""
     return ReleaseUpdate(
         build=_read(told, "version", _whole),
@@ -127,7 +127,7 @@
     """What an event of the stream tells; None for a kind that is not known."""
     told = dict(parse_qsl(data, keep_blank_values=True, max_num_fields=MOST_FIELDS))
     if event == "progress":
-        return read_news(told)
+        return read_release_update(told)
     if event == "metrics":
         return _read_counts(told)
     return None
@@ -152,16 +152,16 @@
     return {name: unescape(content.strip()) for name, content in LEAF.findall(text)}
 
 
-def vote_news(build: int, end: Reply | BrokenConnection) -> ReleaseUpdate:
+def read_vote_reply(build: int, end: Reply | BrokenConnection) -> ReleaseUpdate:
     """The release update that answers a vote, whichever way the call ended."""
     if isinstance(end, Reply):
         told = leaves(end.body.decode("utf-8", "replace"))
         if end.status == HTTP_OK:
             try:
-                return read_news(told, answers_vote=True)
+                return read_release_update(told, answers_vote=True)
             except UnreadableReleaseError:
                 return ReleaseUpdate(build, None, None, True, Outcome.TIMED_OUT, None, None)
         outcome = REFUSALS.get((end.status, told.get("Code")), Outcome.TIMED_OUT)
     else:
-        outcome = Outcome.TIMED_OUT if end.reached == WRITTEN else Outcome.ERROR
+        outcome = Outcome.TIMED_OUT if end.progress == WRITTEN else Outcome.ERROR
     return ReleaseUpdate(build, None, None, True, outcome, None, None)
--- a/thymeknot/protocol/discovery.py
+++ b/thymeknot/protocol/discovery.py
@@ -15,12 +15,12 @@
 PATH: Final = "/v1/servers"
 HEARTBEAT: Final[Ticks] = 2 * TICKS_PER_SECOND
 """An empty line comes as often while nothing changes."""
-SILENCE: Final[Ticks] = 2 * HEARTBEAT + HEARTBEAT // 4
+SILENCE_TIMEOUT: Final[Ticks] = 2 * HEARTBEAT + HEARTBEAT // 4
 """What a silent watch misses counts as told 6 s after it fell silent, which may be just after its
 last word. Two missed heartbeats, and a quarter of one for a late one, leave 1.5 s for a connection
 that does not come up (some 0.25 s), the wait after it (0.8 s at most) and the next one with its
 response."""
-FIRST_WORD: Final[dict[bool, Ticks]] = {
+FIRST_DATA_TIMEOUTS: Final[dict[bool, Ticks]] = {
     False: TICKS_PER_SECOND // 2,
     True: 3 * TICKS_PER_SECOND,
 }
@@ -78,12 +78,12 @@
     addresses: dict[str, str]
 
 
-def watch(host: str, version: int) -> bytes:
+def watch_request(host: str, version: int) -> bytes:
     """The call that opens a watch for what changes after a version."""
     return http.request("GET", f"{PATH}?stream=1&index={version}", host)
 
 
-def fetch(host: str) -> bytes:
+def fetch_request(host: str) -> bytes:
     """The call for the whole list."""
     return http.request("GET", PATH, host)
 
@@ -175,7 +175,7 @@
     )
 
 
-def folded(listings: Iterable[EndpointListing]) -> Iterator[EndpointListing]:
+def merge_deltas(listings: Iterable[EndpointListing]) -> Iterator[EndpointListing]:
     """Changes that came together as one.
 
     What follows from a list is worked out once, not for each of hundreds. What is wrong behind them
@@ -209,7 +209,7 @@
     return EndpointListing(last.version, EndpointUpdate(first.update.kind, endpoints), addresses)
 
 
-class Lists:
+class ListParser:
     """The lists of a watch's body: a JSON object on a line, or indented, on several.
 
     A line that is JSON is read once. Of one that is not, the brackets outside of strings tell
--- a/thymeknot/protocol/http_calls.py
+++ b/thymeknot/protocol/http_calls.py
@@ -11,7 +11,7 @@
 from . import http
 from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter
 
-MOST_REASON: Final = 200
+MAX_REASON_LENGTH: Final = 200
 """Characters of a reason: what could not be read may be long."""
 
 
@@ -49,7 +49,7 @@
                     return
                 self._part(part)
         except Exception as error:  # what can't be read ends this connection alone
-            self._finish(self.how_far(f"unreadable: {error}"[:MOST_REASON]))
+            self._finish(self.how_far(f"unreadable: {error}"[:MAX_REASON_LENGTH]))
 
     def _part(self, part: http.Part) -> None:
         if isinstance(part, http.Head):
@@ -61,7 +61,7 @@
         else:
             self._finish(Reply(self.status, bytes(self.body)))
 
-    def dial_late(self) -> None:
+    def connect_overdue(self) -> None:
         """Gives up a connection that did not come up in time."""
         if self.transport is None and self.done is not None:
             self.connector.stopConnecting()
@@ -124,7 +124,7 @@
         self.address = address
         self.connect_within = connect_within
         self.host = f"{address[0]}:{address[1]}"
-        self.out = 0
+        self.calls_in_flight = 0
         """Calls in flight."""
 
     def dial(
@@ -142,17 +142,17 @@
 
     def call(self, request: bytes, within: Ticks) -> Deferred[Reply | BrokenConnection]:
         """The Deferred fires with a Reply or a BrokenConnection within the time."""
-        if self.out >= self.MOST:
+        if self.calls_in_flight >= self.MOST:
             return succeed(BrokenConnection(NOT_CONNECTED, "too many calls at once"))
         call = Call(request)
         done = call.done
         assert done is not None  # a new call has not ended
-        self.out += 1
-        call.connector = self.dial(call, call.broken, call.dial_late)
+        self.calls_in_flight += 1
+        call.connector = self.dial(call, call.broken, call.connect_overdue)
         late = self.timers.add(self.timers.clock() + within, call.give_up, "no answer in time")
 
         def finished(end: Reply | BrokenConnection) -> Reply | BrokenConnection:
-            self.out -= 1
+            self.calls_in_flight -= 1
             self.timers.cancel(late)
             return end
 
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -8,7 +8,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from . import resp
-from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter, nothing_waits
+from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter, is_receive_buffer_empty
 
 MOST_VALUE: Final = 512 * 1024
 """Bytes of a value: 64 KiB by the protocol; endpoints were seen to send up to 400,000."""
@@ -67,26 +67,26 @@
         self.owner = owner
         self.connector = connector
         self.parser: resp.Parser = AnswerParser(MOST_VALUE)
-        self.waiting: Deferred[PodResponse | BrokenConnection] | None = None
+        self.pending_response: Deferred[PodResponse | BrokenConnection] | None = None
         """Fires with the end of the attempt that is out."""
         self.begun: Callable[[], None] = nothing
         self.given_up = False
         self.slot: Any = None
-        self.used_at: Any = None
-        self.rests_until: Any = None
+        self.last_used_at: Any = None
+        self.reusable_at: Any = None
         self.timers: list[int] = []
-        self.delivery: Any = None
+        self.attempt: Any = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
-        self.owner.made(self)
+        self.owner.connection_made(self)
 
-    def clean(self) -> bool:
+    def is_clean(self) -> bool:
         """Whether nothing has come since the last response: no second copy of it, and no end."""
-        return nothing_waits(self.transport)
+        return is_receive_buffer_empty(self.transport)
 
-    def is_to_itself(self) -> bool:
+    def is_self_connected(self) -> bool:
         """Whether both ends are this one.
 
         Where nobody listens, the operating system may dial from the very port that it dials; what
@@ -97,7 +97,7 @@
         except (OSError, TypeError):  # it has gone already, or has no address of its own
             return False
 
-    def deliver(
+    def send_command(
         self, words: list[bytes], begun: Callable[[], None] = nothing
     ) -> "Deferred[PodResponse | BrokenConnection]":
         """Sends a command. The Deferred fires with a PodResponse or a BrokenConnection.
@@ -106,7 +106,7 @@
         has written it.
         """
         waiting: Deferred[PodResponse | BrokenConnection] = Deferred()
-        self.waiting = waiting
+        self.pending_response = waiting
         self.begun = begun
         self.write_whole(resp.command(words))
         return waiting
@@ -121,13 +121,13 @@
 
     def _read(self, data: bytes) -> None:
         messages, fault = self._parse(data)
-        if self.waiting is None or not self.written:
+        if self.pending_response is None or not self.written:
             self.drop("an answer that nothing asked for")
             return
         answer = read_answer(messages[0]) if messages else None
         if answer is not None:
             more = fault is not None or len(messages) > 1
-            self._answered(self.waiting, answer, more)
+            self._answered(self.pending_response, answer, more)
             return
         if not self.parser.begins_with(b"-"):
             begun = self.begun
@@ -157,27 +157,27 @@
         more: bool,
     ) -> None:
         """Tells the response; the connection is used again if nothing else came."""
-        self.waiting = None
+        self.pending_response = None
         # A late response tells nevertheless that the request ran.
         try:
-            if self.given_up or more or self.parser.held or not self.clean():
+            if self.given_up or more or self.parser.held or not self.is_clean():
                 self.drop("more came than was asked for, or the end")
             else:
                 self.begun = nothing  # an idle connection keeps nothing of what was answered
-                self.owner.ready(self)
+                self.owner.connection_ready(self)
         finally:  # whatever befalls the connection, this was answered
             waiting.callback(answer)
 
     def drop(self, reason: str) -> None:
         """Ends the connection; an attempt still waiting on it has failed."""
         # It is lost a turn of the event loop later: nothing is written to it until then.
-        self.owner.ending(self)
+        self.owner.connection_closing(self)
         self.transport.abortConnection()
         self._broken(reason)
         # What was read and carried is not kept for as long as a closed connection is known.
         self.parser = resp.Parser(0)
         self.begun = nothing
-        self.delivery = None
+        self.attempt = None
 
     def give_up(self) -> None:
         """Ends the attempt at once, since another may be written next.
@@ -195,19 +195,19 @@
             self.drop("given up")
 
     def _broken(self, reason: str) -> None:
-        waiting = self.waiting
-        self.waiting = None
+        waiting = self.pending_response
+        self.pending_response = None
         if waiting is not None:
             waiting.callback(self.how_far(reason))
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
-        self.owner.lost(self)
-        waiting = self.waiting
+        self.owner.connection_lost(self)
+        waiting = self.pending_response
         if waiting is not None and self.written:
             # Complete, and cut behind it: as where something wrong follows.
             for value in self.parser.first_part():
-                self.waiting = None
+                self.pending_response = None
                 waiting.callback(PodResponse(value, None, None))
         self._broken(reason.getErrorMessage())
 
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -13,7 +13,7 @@
     CallResult,
 )
 from . import http
-from .http_calls import MOST_REASON, HttpCaller
+from .http_calls import MAX_REASON_LENGTH, HttpCaller
 from .write_progress import BrokenConnection
 
 HTTP_OK: Final = 200
@@ -61,7 +61,7 @@
         except Exception as error:  # what can't be read ends this connection alone
             self.owner.ended(
                 self,
-                f"unreadable: {error}"[:MOST_REASON],
+                f"unreadable: {error}"[:MAX_REASON_LENGTH],
                 how=getattr(error, "how", CallResult.MALFORMED),
             )
             self.drop()
@@ -92,7 +92,7 @@
         self.over = True
         self.owner.ended(self, broken.reason, how=CallResult.LOST)
 
-    def dial_late(self) -> None:
+    def connect_overdue(self) -> None:
         """Gives up a connection that did not come up in time."""
         if self.transport is None:
             self.drop()
@@ -131,10 +131,10 @@
         random_source: Any,
         silence: Ticks,
         ask: Callable[[], bytes],
-        reader: Callable[[], Callable[[memoryview], bool]],
+        make_reader: Callable[[], Callable[[memoryview], bool]],
         log: Callable[..., None],
         first: Ticks | None = None,
-        free: bool = False,
+        dedicated: bool = False,
     ) -> None:
         """Nothing is asked until `start`.
 
@@ -143,24 +143,24 @@
             random_source: spreads the requests.
             silence: after so long without a heartbeat the stream is broken.
             ask: gives the bytes to ask with.
-            reader: gives what reads a stream: content to whether a heartbeat was in it.
+            make_reader: gives what reads a stream: content to whether a heartbeat was in it.
             log: takes an event and its fields.
             first: within so long a first word has come; `silence` if None.
-            free: whether the peer serves this sidecar alone, at no cost.
+            dedicated: whether the peer serves this sidecar alone, at no cost.
         """
         self.caller = caller
         self.timers = caller.timers
         self.silence = silence
         self.first: Ticks = first or silence
-        self.free = free
+        self.dedicated = dedicated
         self.ask = ask
-        self.reader = reader
+        self.make_reader = make_reader
         self.log = log
-        longest = MAX_DEDICATED_INTERVAL if free else MAX_INTERVAL
+        longest = MAX_DEDICATED_INTERVAL if dedicated else MAX_INTERVAL
         self.pace = AdaptiveInterval(random_source.draw, longest)
         self.quiet = 0
         """How many streams in a row said nothing."""
-        self.stream: Stream | None = None
+        self.current: Stream | None = None
         """The one that stands."""
         self.asked: Stream | None = None
         """The one that was asked for and has not spoken."""
@@ -173,23 +173,25 @@
         self.look: int | None = None
         """The timer of the next look for silence."""
 
-    def start_among(self, asking: int) -> None:
+    def start_spread(self, asking: int) -> None:
         """Asks for the first time while so many others may do the same."""
-        self.again = self.timers.add(self.timers.clock() + self.pace.first(asking), self._ask)
+        self.again = self.timers.add(
+            self.timers.clock() + self.pace.first(asking), self._start_if_needed
+        )
 
     def start(self) -> None:
         """Asks for a stream; until it speaks it is not the one that stands."""
         self.again = None
-        asked = Stream(self.ask(), self.reader(), self)
+        asked = Stream(self.ask(), self.make_reader(), self)
         self.asked = asked
-        asked.connector = self.caller.dial(asked, asked.not_connected, asked.dial_late)
+        asked.connector = self.caller.dial(asked, asked.not_connected, asked.connect_overdue)
 
     def connected(self, asked: Stream) -> None:
         """A stream's connection is up: its first word is awaited from now on."""
         patient = self.first << min(self.quiet, self.MAX_DOUBLINGS)
         within = min(patient, max(self.first, self.silence))
         self.timers.cancel(self.due)
-        self.due = self.timers.add(self.timers.clock() + within, self._still_asked, asked)
+        self.due = self.timers.add(self.timers.clock() + within, self._first_data_overdue, asked)
 
     def move(self, caller: HttpCaller) -> None:
         """Asks at another address from now on; refusals at the former one count no more."""
@@ -206,27 +208,27 @@
 
     def has(self, stream: Stream) -> bool:
         """Whether this stream counts still."""
-        return stream is self.stream or stream is self.asked
+        return stream is self.current or stream is self.asked
 
     def _stands(self) -> bool:
         """Whether the stream is at the present address and speaks: nothing has to be asked for."""
         return (
-            self.stream is not None
-            and self.stream.caller is self.caller
+            self.current is not None
+            and self.current.caller is self.caller
             and self.timers.clock() < self.last + self.silence
         )
 
     def heard(self, stream: Stream) -> None:
         """A heartbeat came on this stream."""
-        former = self.stream
+        former = self.current
         self.last = self.timers.clock()
         if self.look is None:  # one look ahead, whatever streams come and go
-            self.look = self.timers.add(self.last + self.silence, self._look)
+            self.look = self.timers.add(self.last + self.silence, self._check_silence)
         if stream.caller is self.caller:
             self.quiet = 0
         asked = self.asked
         if stream is asked:
-            self.stream = stream
+            self.current = stream
             self.asked = None
             if former:
                 former.drop()
@@ -246,40 +248,40 @@
         if not self.has(stream):
             return
         now = self.timers.clock()
-        age = now - stream.asked_at if stream is self.stream else 0
+        age = now - stream.asked_at if stream is self.current else 0
         wait = self.pace.ended(how, age) if stream.caller is self.caller else self.pace.wait()
         self.log(
             "stream ended", address=stream.caller.host, reason=reason, refusals=self.pace.refusals
         )
-        if stream is self.stream:
-            self.stream = None
+        if stream is self.current:
+            self.current = None
         else:
             self.asked = None
         if not self.asked and self.again is None:
-            self.again = self.timers.add(now + wait, self._ask)
+            self.again = self.timers.add(now + wait, self._start_if_needed)
 
-    def _ask(self) -> None:
+    def _start_if_needed(self) -> None:
         self.again = None
         if not self.asked and not self._stands():
             self.start()
 
-    def _look(self) -> None:
+    def _check_silence(self) -> None:
         """Looks for silence when the last word is too long ago; each later word moves that."""
         self.look = None
         ends = self.last + self.silence
-        if self.stream is None:
+        if self.current is None:
             return
         if self.timers.clock() < ends:
-            self.look = self.timers.add(ends, self._look)
+            self.look = self.timers.add(ends, self._check_silence)
         elif not self.asked and self.again is None:
-            self.log("stream silent", address=self.stream.caller.host)
+            self.log("stream silent", address=self.current.caller.host)
             self.start()
 
-    def _still_asked(self, asked: Stream) -> None:
+    def _first_data_overdue(self, asked: Stream) -> None:
         if asked is self.asked:
             self.quiet += 1
             self.ended(asked, "says nothing", how=CallResult.LOST)
             asked.drop()
-            if self.free:
+            if self.dedicated:
                 self.timers.cancel(self.again)
-                self._ask()
+                self._start_if_needed()
--- a/thymeknot/protocol/write_progress.py
+++ b/thymeknot/protocol/write_progress.py
@@ -29,11 +29,11 @@
 class BrokenConnection(NamedTuple):
     """The connection failed. How far the request was written tells whether it may have run."""
 
-    reached: WriteProgress
+    progress: WriteProgress
     reason: str
 
 
-def nothing_waits(transport: Any) -> bool:
+def is_receive_buffer_empty(transport: Any) -> bool:
     """Whether nothing is left to read: no byte, and not the end.
 
     The operating system is asked, since the event loop may not have read it yet.
@@ -47,7 +47,7 @@
     return False
 
 
-def has_left(transport: Any) -> bool:
+def peer_has_closed(transport: Any) -> bool:
     """Whether the peer has shut its sending side or is gone, whatever waits unread before that."""
     if transport.disconnected:
         return True
@@ -56,7 +56,7 @@
     return bool(poll.poll(0))
 
 
-def take_no_more(listener: socket.socket) -> None:
+def drop_new_connections(listener: socket.socket) -> None:
     """Makes the operating system drop new connections to this listener.
 
     Connections accepted between the last one taken and the close would be reset by the close; one
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -145,7 +145,7 @@
             now, self.proxy.releases.latest, self.endpoint.build, self.request.command.request_class
         )
         left = max(1, (self.expires_at - now) // 10)
-        delivered = connection.deliver(self.request.command.words(left), self._begun)
+        delivered = connection.send_command(self.request.command.forwarded_words(left), self._begun)
         delivered.addCallback(self._responded)
 
     def not_connected(self, broken: BrokenConnection) -> None:
@@ -159,7 +159,7 @@
         """Ends it by the response, or by how its connection broke."""
         proxy = self.proxy
         if isinstance(end, BrokenConnection):
-            written = end.reached == WRITTEN
+            written = end.progress == WRITTEN
             if self.in_flight and written:
                 proxy.response_discarded(self, end.reason)
             if self.in_flight:  # still: the decisions may have cancelled it
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -9,7 +9,7 @@
 from ..interface.clock import Ticks
 from ..protocol.client import ClientConnection
 from ..protocol.command import Command
-from ..protocol.write_progress import nothing_waits
+from ..protocol.write_progress import is_receive_buffer_empty
 from ..service import structured_log
 from ..state.slot_table import SlotTable
 from ..state.timer_queue import TimerQueue
@@ -56,8 +56,8 @@
         address: The host and port to listen on.
         sockets: The configured limit of descriptors, which also bounds what is accepted in one go.
         most_clients: The places for clients.
-        take: Called with each request: its connection, the place of its answer, its command.
-        gone: Called with a connection whose client waits for nothing more.
+        request_received: Called with each request: connection, place of its answer, command.
+        client_gone: Called with a connection whose client waits for nothing more.
         clients: The open connections.
         accepting_paused: Whether new connections wait until one of the others is idle or closed.
         listening: Whether the port is open, or is to be closed once the rest has been accepted.
@@ -75,8 +75,8 @@
         *,
         sockets: int,
         most_clients: int,
-        take: Callable[[ClientConnection, int, Command], None],
-        gone: Callable[[ClientConnection], None],
+        request_received: Callable[[ClientConnection, int, Command], None],
+        client_gone: Callable[[ClientConnection], None],
     ) -> None:
         self.reactor = reactor
         self.timers = timers
@@ -84,8 +84,8 @@
         self.address = address
         self.sockets = sockets
         self.most_clients = most_clients
-        self.take = take
-        self.gone = gone
+        self.request_received = request_received
+        self.client_gone = client_gone
         self.clients: SlotTable[ClientConnection] = SlotTable()
         self.accepting_paused = False
         self.listening = False
@@ -126,7 +126,7 @@
         """Logs a fault that has cost a connection."""
         structured_log.fault(where, error)
 
-    def opened(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         """Takes up a new connection, and makes room for those to come.
 
         Between requests a connection may be closed, but none for which something waits unread, and
@@ -134,7 +134,7 @@
         and stay would hold the places that those to come need.
         """
         connection.slot = self.clients.add(connection)
-        connection.used_at = self.clock()
+        connection.last_used_at = self.clock()
         full = len(self.clients) >= self.most_clients
         now = self.clock()
         if self.shutdown.clients_finishing():  # it had to wait for a place
@@ -157,10 +157,14 @@
     def _eviction_candidates(self, new: ClientConnection, now: Ticks) -> list[ClientConnection]:
         """Returns idle connections for which nothing waits unread, the first to go first."""
         idle = sorted(
-            (one for one in self.clients if one is not new and not one.closing and not one.places),
-            key=lambda one: (one.awaited(now), one.spoke, one.used_at),
+            (
+                one
+                for one in self.clients
+                if one is not new and not one.closing and not one.pending_responses
+            ),
+            key=lambda one: (one.awaits_first_command(now), one.command_received, one.last_used_at),
         )[:EVICTION_CANDIDATES]
-        return [one for one in idle if nothing_waits(one.transport)]
+        return [one for one in idle if is_receive_buffer_empty(one.transport)]
 
     def _chosen_for_eviction(
         self, idle: list[ClientConnection], full: bool, now: Ticks
@@ -169,12 +173,14 @@
         rested = [
             one
             for one in idle
-            if one.idle() and now >= one.used_at + LEAST_IDLE_TIME and not one.awaited(now)
+            if one.is_idle()
+            and now >= one.last_used_at + LEAST_IDLE_TIME
+            and not one.awaits_first_command(now)
         ]
         chosen = rested[: int(len(self.clients) - self.most_clients * CROWDED_SHARE)]
         return chosen or (idle[:1] if full else [])
 
-    def became_idle(self) -> None:
+    def connection_became_idle(self) -> None:
         """Accepts again if that is paused: the next connection finds one to take the place of."""
         if self.accepting_paused and not self.shutdown.began():
             self.accepting_paused = False
@@ -182,10 +188,10 @@
         elif self.accepting_paused and self.listening:
             self.shutdown.accept_rest()
 
-    def left(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         """Lets go of a connection that is closed."""
         if connection.slot is not None:  # it was taken up
             self.clients.remove(connection.slot)
-        self.gone(connection)
-        self.became_idle()
+        self.client_gone(connection)
+        self.connection_became_idle()
         self.shutdown.end_if_empty()
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -9,7 +9,7 @@
 from ..protocol import resp
 from ..protocol.client import ClientConnection
 from ..protocol.command import Command
-from ..protocol.write_progress import has_left
+from ..protocol.write_progress import peer_has_closed
 from ..service import structured_log
 from .attempt import BUSY
 from .in_flight import InFlightRequest, RequestTable
@@ -32,7 +32,7 @@
 
     The reactor may have read something else before the end, or does not read that connection.
     """
-    if not request.closed and has_left(request.connection.transport):
+    if not request.closed and peer_has_closed(request.connection.transport):
         request.connection.readConnectionLost()
 
 
@@ -55,7 +55,7 @@
     def gone(self, connection: ClientConnection) -> None:
         """Ends the requests of a connection whose client waits for nothing more."""
         proxy = self.proxy
-        for request in self.table.by_slot if connection.places else ():
+        for request in self.table.by_slot if connection.pending_responses else ():
             if request.connection is connection and not request.closed:
                 request.closed = True
                 if proxy.why is not None:
@@ -77,7 +77,7 @@
             connection.answer(place, NO_SUCH_CLASS)
             return
         self._notice_if_first_client_is_gone(name)
-        if connection.gone:  # it was the same
+        if connection.client_gone:  # it was the same
             return
         if name in self.table.by_id or name in self.table.may_have_run:
             self._take_repeat(name, connection, place, command)
@@ -101,7 +101,7 @@
 
     def _time_left(self, command: Command, request_class: RequestClass) -> Ticks:
         """Returns for how long a request is held: no client has one held beyond the outer limit."""
-        left = min(command.left * 10, request_class.outer_limit)
+        left = min(command.timeout_ms * 10, request_class.outer_limit)
         answer_by = self.proxy.shutdown.answer_by
         return left if answer_by is None else min(left, answer_by - self.clock())
 
@@ -110,7 +110,7 @@
     ) -> None:
         """Takes a request up and tells the decisions of it."""
         proxy = self.proxy
-        now = connection.used_at = self.clock()
+        now = connection.last_used_at = self.clock()
         request = InFlightRequest(name, command, connection, place, now + left)
         request.slot = self.table.by_id[name] = self.table.by_slot.add(request)
         request.overdue_timer = self.timers.add(
@@ -122,7 +122,14 @@
             proxy.why.taken(name, command)
         proxy.tell(
             RequestReceived(
-                name, command.request_class, command.tenant, key, left, None, command.repeat, False
+                name,
+                command.request_class,
+                command.tenant,
+                key,
+                left,
+                None,
+                command.is_retry,
+                False,
             )
         )
 
@@ -140,7 +147,11 @@
         if request is None:
             connection.answer(place, resp.failure("ERR this id may have run already"))
             return
-        if not request.closed or not request.connection.gone or request.command[:3] != command[:3]:
+        if (
+            not request.closed
+            or not request.connection.client_gone
+            or request.command[:3] != command[:3]
+        ):
             connection.answer(place, resp.failure("ERR this id is in hand already"))
             return
         now = self.clock()
@@ -149,7 +160,7 @@
         request.closed = False
         request.repeated = True
         request_class = proxy.settings.request_classes[request.command.request_class]
-        request.expires_at = now + min(command.left * 10, request_class.outer_limit)
+        request.expires_at = now + min(command.timeout_ms * 10, request_class.outer_limit)
         self.timers.cancel(request.overdue_timer)
         request.overdue_timer = self.timers.add(
             request.expires_at + OVERDUE_AFTER, self._overdue, request
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -8,7 +8,7 @@
 from ..interface.events import Endpoint, EndpointUpdate
 from ..polling.snapshot_validation import SnapshotValidator
 from ..protocol import discovery
-from ..protocol.http_calls import MOST_REASON, Reply
+from ..protocol.http_calls import MAX_REASON_LENGTH, Reply
 from ..protocol.watch_stream import WatchStream
 from ..protocol.write_progress import BrokenConnection
 from ..service import structured_log
@@ -60,12 +60,12 @@
         self.watch = WatchStream(
             self.discovery,
             chance,
-            discovery.SILENCE,
-            lambda: discovery.watch(self.discovery.host, self._version_to_ask_from()),
+            discovery.SILENCE_TIMEOUT,
+            lambda: discovery.watch_request(self.discovery.host, self._version_to_ask_from()),
             self._watch_reader,
             structured_log.seldom,
-            discovery.FIRST_WORD[polled],
-            free=not polled,
+            discovery.FIRST_DATA_TIMEOUTS[polled],
+            dedicated=not polled,
         )
 
     def call_when_heard(self, heard: Callable[[], None]) -> None:
@@ -73,7 +73,7 @@
 
         Each list in what came is taken up by then; an empty line says that there is none.
         """
-        self.watch.reader = lambda: followed_by(self._watch_reader(), heard)
+        self.watch.make_reader = lambda: followed_by(self._watch_reader(), heard)
 
     def start(self) -> None:
         """Begins to watch.
@@ -83,7 +83,7 @@
         """
         settings = self.proxy.settings
         if settings.lists_polled:
-            self.watch.start_among(settings.instances)
+            self.watch.start_spread(settings.instances)
         else:
             self.watch.start()
 
@@ -169,7 +169,7 @@
         return self.version if self._source == self.discovery.address else 0
 
     def _watch_reader(self) -> StreamReader:
-        lists = discovery.Lists()
+        lists = discovery.ListParser()
         source = self.discovery.address
 
         def read(content: memoryview) -> bool:
@@ -182,7 +182,7 @@
                     if told is not None:
                         yield discovery.read_list(told, self.proxy.epoch)
 
-            for listing in discovery.folded(listings()):
+            for listing in discovery.merge_deltas(listings()):
                 self.take_up(listing, source)
             return alive
 
@@ -194,7 +194,7 @@
     def fetch(self, action: FetchEndpoints) -> None:
         """Asks for the whole list once; the decisions are told of it, or that it did not come."""
         fetched = self.discovery.call(
-            discovery.fetch(self.discovery.host), self.proxy.settings.vote_timeout
+            discovery.fetch_request(self.discovery.host), self.proxy.settings.vote_timeout
         )
         fetched.addCallback(self._fetched, self.discovery.address)
 
@@ -209,5 +209,5 @@
                 )
             self.take_up(discovery.read_json(end.body, self.proxy.epoch), source)
         except Exception as error:  # the decisions are owed one answer, whatever came
-            structured_log.log("endpoint list not fetched", error=str(error)[:MOST_REASON])
+            structured_log.log("endpoint list not fetched", error=str(error)[:MAX_REASON_LENGTH])
             self.proxy.tell(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -7,7 +7,7 @@
 from twisted.internet.error import CannotListenError
 
 from ..interface.clock import Ticks
-from ..protocol.write_progress import take_no_more
+from ..protocol.write_progress import drop_new_connections
 from .client_listener import ClientListener
 
 READ_BEFORE_CLOSING = 300
@@ -101,7 +101,7 @@
 
     def _accept_last(self) -> None:
         if self.listener_closed and not self.listener_closed.called:
-            take_no_more(self.listener.port.socket)
+            drop_new_connections(self.listener.port.socket)
             self.listener.accept_all()
 
     def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -117,8 +117,8 @@
             start.listen,
             sockets=start.sockets,
             most_clients=budget.clients,
-            take=self.client_requests.take,
-            gone=self.client_requests.gone,
+            request_received=self.client_requests.take,
+            client_gone=self.client_requests.gone,
         )
         self.shutdown = GracefulShutdown(self.listener)
         self.exposure = TrialExposure(start.settings)
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -62,11 +62,11 @@
         self.stream = WatchStream(
             self.platform,
             chance,
-            deployer.SILENCE,
-            lambda: deployer.stream(self.platform.host),
+            deployer.SILENCE_TIMEOUT,
+            lambda: deployer.stream_request(self.platform.host),
             self._stream_reader,
             structured_log.seldom,
-            deployer.FIRST_WORD,
+            deployer.FIRST_DATA_TIMEOUT,
         )
 
     def start(self) -> None:
@@ -132,7 +132,7 @@
         evidence = self.proxy.engine.vote_evidence()
 
         def answered(end: Reply | BrokenConnection) -> None:
-            update = self._reconciled(deployer.vote_news(action.build, end), asked)
+            update = self._reconciled(deployer.read_vote_reply(action.build, end), asked)
             structured_log.log(
                 "vote",
                 build=action.build,
@@ -151,6 +151,6 @@
             self.proxy.tell(update)
 
         vote = self.platform.call(
-            deployer.vote(self.platform.host, action), self.proxy.settings.vote_timeout
+            deployer.vote_request(self.platform.host, action), self.proxy.settings.vote_timeout
         )
         vote.addCallback(answered)
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -166,7 +166,7 @@
 
 def _read_release(told: Any) -> ReleaseUpdate:
     try:
-        return deployer.read_news(_at(told, "deployer.news", dict))
+        return deployer.read_release_update(_at(told, "deployer.news", dict))
     except deployer.UnreadableReleaseError as error:
         raise ConfigurationError(f"deployer.news.{error}") from None
 
--- a/thymeknot/state/connection_pool.py
+++ b/thymeknot/state/connection_pool.py
@@ -48,20 +48,20 @@
     """A connection as the pools use it.
 
     Attributes:
-        delivery: The attempt that it carries or carried last; None while it is idle.
+        attempt: The attempt that it carries or carried last; None while it is idle.
         written: Whether the attempt is written completely.
         slot: Its number among the open connections.
-        used_at: When it was last made idle.
-        rests_until: No attempt is written to it before.
+        last_used_at: When it was last made idle.
+        reusable_at: No attempt is written to it before.
         timers: The numbers of its timers; the first one checks whether it is to be retired.
         transport: Twisted's transport.
     """
 
-    delivery: Attempt | None
+    attempt: Attempt | None
     written: bool
     slot: int
-    used_at: Ticks
-    rests_until: Ticks
+    last_used_at: Ticks
+    reusable_at: Ticks
     timers: list[int]
     transport: Any
 
@@ -70,13 +70,13 @@
         """What it came up by."""
 
     @property
-    def waiting(self) -> object:
+    def pending_response(self) -> object:
         """What is told of the response; None where none is awaited."""
 
-    def clean(self) -> bool:
+    def is_clean(self) -> bool:
         """Returns whether nothing has come since the last response."""
 
-    def is_to_itself(self) -> bool:
+    def is_self_connected(self) -> bool:
         """Returns whether both of its ends are this process."""
 
     def drop(self, reason: str, /) -> object:
@@ -189,11 +189,11 @@
         """Takes the idle connection used last on which nothing came while it rested, if any."""
         now = self.timers.clock()
         for connection in pool.idle[::-1]:
-            if now < connection.rests_until:
+            if now < connection.reusable_at:
                 continue
             if now >= self._retires_at(connection):  # its timer may be a little late
                 self._close([connection])
-            elif connection.clean():
+            elif connection.is_clean():
                 pool.idle.remove(connection)
                 return connection
             else:
@@ -204,7 +204,7 @@
         # A new connection is kept for the attempt that it was dialled for, however short the
         # idle timeout is.
         idle_time = int(RETIRED_IDLE_FRACTION * self.connection_limits.idle_timeout)
-        return connection.used_at + max(REST_AFTER_RESPONSE, idle_time)
+        return connection.last_used_at + max(REST_AFTER_RESPONSE, idle_time)
 
     def _serve_waiting(self, pool: ConnectionPool) -> None:
         """Writes the attempts that wait, the eldest first, while connections have rested."""
@@ -217,11 +217,11 @@
                 break
         self.timers.cancel(pool.due)
         if pool.waiting and pool.idle:
-            rested_at = min(connection.rests_until for connection in pool.idle)
+            rested_at = min(connection.reusable_at for connection in pool.idle)
             pool.due = self.timers.add(rested_at, self._serve_waiting, pool)
 
     def _write(self, attempt: Attempt, connection: PooledConnection) -> None:
-        connection.delivery = attempt
+        connection.attempt = attempt
         attempt.write_to(connection)
 
     def _dial(self, pool: ConnectionPool) -> None:
@@ -253,12 +253,12 @@
         if len(pool.waiting) > pool.dialling:
             pool.waiting.popleft().not_connected(broken)
 
-    def made(self, connection: PooledConnection) -> None:
+    def connection_made(self, connection: PooledConnection) -> None:
         """A connection has come up."""
         self._dial_ended(connection.connector)
         connection.slot = self.connections.add(connection)
-        connection.used_at = self.timers.clock()
-        if connection.is_to_itself():
+        connection.last_used_at = self.timers.clock()
+        if connection.is_self_connected():
             connection.drop("a dial that has reached itself")
         else:
             self._set_idle(connection, 0)
@@ -270,15 +270,15 @@
             BrokenConnection(NOT_CONNECTED, "nothing to carry an attempt came up"),
         )
 
-    def ready(self, connection: PooledConnection) -> None:
+    def connection_ready(self, connection: PooledConnection) -> None:
         """Its attempt has its response: it rests, and whatever comes meanwhile ends it."""
         self._set_idle(connection, REST_AFTER_RESPONSE)
 
     def _set_idle(self, connection: PooledConnection, rest: Ticks) -> None:
         """Has a connection serve the attempts that wait or will come, after this rest."""
-        connection.used_at = self.timers.clock()
-        connection.delivery = None
-        connection.rests_until = connection.used_at + rest
+        connection.last_used_at = self.timers.clock()
+        connection.attempt = None
+        connection.reusable_at = connection.last_used_at + rest
         pool = connection.connector.pool
         if self.by_pod.get(pool.pod) is not pool:
             connection.drop("its pod has gone or moved")
@@ -286,14 +286,14 @@
         pool.idle.append(connection)
         self._serve_waiting(pool)
 
-    def ending(self, connection: PooledConnection) -> None:
+    def connection_closing(self, connection: PooledConnection) -> None:
         """A connection ends: no attempt is written to it any more."""
         if connection in connection.connector.pool.idle:
             connection.connector.pool.idle.remove(connection)
 
-    def lost(self, connection: PooledConnection) -> None:
+    def connection_lost(self, connection: PooledConnection) -> None:
         """A connection has ended."""
-        self.ending(connection)
+        self.connection_closing(connection)
         self.connections.remove(connection.slot)
         for timer in connection.timers:
             self.timers.cancel(timer)
@@ -304,7 +304,7 @@
             return
         now = self.timers.clock()
         retires_at = self._retires_at(connection)
-        if connection.waiting is None and now >= retires_at:
+        if connection.pending_response is None and now >= retires_at:
             self._close([connection])
         else:
             next_check = max(retires_at, now + CHECK_INTERVAL)
@@ -332,9 +332,9 @@
             for attempt in pool.waiting
         ]
         partly_written = [
-            UnwrittenAttempt(cast(Attempt, connection.delivery), connection.connector.pool.address)
+            UnwrittenAttempt(cast(Attempt, connection.attempt), connection.connector.pool.address)
             for connection in self.connections
-            if connection.waiting is not None and not connection.written
+            if connection.pending_response is not None and not connection.written
         ]
         return waiting + partly_written
 
@@ -355,11 +355,11 @@
 
     def _close(self, connections: Iterable[PooledConnection]) -> None:
         for connection in connections:
-            self.ending(connection)
+            self.connection_closing(connection)
             connection.transport.loseConnection()
 
     def _close_least_recently_used(self) -> bool:
         """Closes the idle connection that was used longest ago; returns whether there is one."""
         idle = [pool.idle[0] for pool in self.by_pod.values() if pool.idle]
-        self._close(sorted(idle, key=lambda connection: connection.used_at)[:1])
+        self._close(sorted(idle, key=lambda connection: connection.last_used_at)[:1])
         return bool(idle)
