--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -67,13 +67,13 @@
             )
 
     def test_a_long_value_comes_in_pieces_and_is_a_slice_of_what_was_read(self):
-        whole, parser = command(b"x" * resp.MOST_BULK), resp.Parser()
+        whole, parser = command(b"x" * resp.MAX_BULK_BYTES), resp.Parser()
         found = [
             plain(message)
             for at in range(0, len(whole), 999)
             for message in parser.feed(whole[at : at + 999])
         ]
-        self.assertEqual(found, [[b"x" * resp.MOST_BULK]])
+        self.assertEqual(found, [[b"x" * resp.MAX_BULK_BYTES]])
         self.assertIs(next(resp.Parser().feed(whole))[0].obj, whole)
 
     def test_what_can_be_no_message_is_malformed(self):
@@ -140,7 +140,10 @@
         self,
     ):
         """By the pieces that a connection reads; the arrays are a megabyte, in each other and all but empty."""
-        part, nested = b"$%d\r\n%s\r\n" % (resp.MOST_BULK, b"x" * resp.MOST_BULK), b"*64\r\n"
+        part, nested = (
+            b"$%d\r\n%s\r\n" % (resp.MAX_BULK_BYTES, b"x" * resp.MAX_BULK_BYTES),
+            b"*64\r\n",
+        )
         for data in (
             b"*64\r\n" + 63 * part,
             nested + 63 * (nested + 64 * (nested + 64 * b"*0\r\n")),
@@ -150,7 +153,7 @@
             with self.assertRaises(resp.MalformedRespError):
                 for at in range(0, len(data), 65536):
                     list(parser.feed(data[at : at + 65536]))
-                    self.assertLessEqual(parser.held, commands.MOST_COMMAND)
+                    self.assertLessEqual(parser.held, commands.MAX_COMMAND_BYTES)
             self.assertLess(time.process_time() - began, 0.1)
 
     def test_what_a_pod_may_answer(self):
@@ -162,7 +165,7 @@
             (b"*0\r\n", None),
             (b"*1\r\n$-1\r\n", None),
         ):
-            self.assertEqual(pod.read_answer(next(resp.Parser().feed(data))), wanted)
+            self.assertEqual(pod.read_response(next(resp.Parser().feed(data))), wanted)
 
 
 class Http(unittest.TestCase):
@@ -188,10 +191,10 @@
         parts = [
             *parser.feed(b"HTTP/1.1 200 OK\r\n\r\n<a>"),
             *parser.feed(b"1</a>"),
-            *parser.closed(),
+            *parser.end_of_stream(),
         ]
         self.assertEqual([bytes(part.content) for part in parts[1:-1]], [b"<a>", b"1</a>"])
-        self.assertEqual((type(parts[-1]), http.Parser().closed()), (http.End, []))
+        self.assertEqual((type(parts[-1]), http.Parser().end_of_stream()), (http.End, []))
 
     def test_events_come_whole_however_the_stream_is_split(self):
         data = b"event: progress\r\ndata: a=1\n\n:\n\n: sign\ndata:b=2\ndata: c\n\nevent: x\n\n"
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -123,9 +123,9 @@
         new = self.connected(2, listed(9, "s-2"))
         self.assertTrue(old.transport.disconnected)
         self.pass_on(2)
-        heard = self.kept[2].last
+        heard = self.kept[2].last_heartbeat
         old.dataReceived(chunk(listed(10, "s-3")))
-        self.assertEqual((self.kept[2].current, self.kept[2].last), (new, heard))
+        self.assertEqual((self.kept[2].current, self.kept[2].last_heartbeat), (new, heard))
         self.assertEqual(list(self.network.proxy.listed), ["s-2"])
 
     def test_a_dial_that_comes_up_after_it_was_given_up_ends_at_once_and_asks_nothing(self):
@@ -140,8 +140,8 @@
     def test_why_a_stream_ended_is_said(self):
         for said, reason in (
             (HEAD.replace(b"200", b"503"), "status 503"),
-            (HEAD + b"0\r\n\r\n", "the answer ended"),
-            (HEAD + chunk(b"noise\n"), "unreadable: no JSON"),
+            (HEAD + b"0\r\n\r\n", "the response ended"),
+            (HEAD + chunk(b"noise\n"), "unreadable: invalid JSON"),
             (b"noise\r\n\r\n", "no status line"),
         ):
             network, lines = Network(entry("s-1")), []
@@ -176,7 +176,7 @@
     def test_one_failed_dial_and_the_answer_fit_in_before_what_is_missed_counts_as_told(self):
         for draw in (0.0, 0.5, 0.999):
             network = self.network = Network(entry("s-1"))
-            network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
+            network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             self.connected(2, listed(8, "s-1"))
             began = network.reactor.seconds()
             self.until_asked(2, 6)
@@ -204,7 +204,7 @@
     def test_one_that_connects_and_says_nothing_is_replaced_in_time_for_the_list(self):
         for draw in (0.0, 0.999):
             self.network = Network(entry("s-1"))
-            self.network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
+            self.network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             self.connected(2, listed(8, "s-1"))
             began = self.network.reactor.seconds()
             self.until_asked(2, 6)
@@ -224,7 +224,7 @@
                 self.until_asked(port, 1)
                 self.assertTrue(stream.transport.disconnected)
             self.connected(port, SIGN[port])
-            self.assertEqual(self.kept[port].quiet, 0)
+            self.assertEqual(self.kept[port].silent_attempts, 0)
 
     def test_a_service_that_all_ask_has_the_time_that_a_call_may_wait_there(self):
         self.network = Network(entry("s-1"), asked_for=True)
@@ -284,12 +284,12 @@
 
     def last_ended(self, port):
         kept = {2: self.network.proxy.endpoints.watch, 3: self.network.proxy.releases.stream}[port]
-        return kept.asked is None
+        return kept.pending is None
 
     def test_a_new_address_that_is_silent_first_and_refuses_next_is_heard_within_four_seconds(self):
         for draw in (0.0, 0.999):
             self.network = Network(entry("s-1"))
-            self.network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
+            self.network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             old = self.connected(2, listed(8, "s-1"))
             self.move(self.network, 8)
             began = self.network.reactor.seconds()
@@ -355,12 +355,12 @@
         for _ in range(
             200
         ):  # 20 s of a discovery that is down: each connection comes up and is silent
-            if self.kept[2].asked.transport is None:
+            if self.kept[2].pending.transport is None:
                 stream = self.connected(2)
             self.pass_on(0.1)
-            self.assertIsNotNone(self.kept[2].asked)
+            self.assertIsNotNone(self.kept[2].pending)
         self.assertLess(self.asked(2), 9)
-        stream = self.connected(2) if self.kept[2].asked.transport is None else stream
+        stream = self.connected(2) if self.kept[2].pending.transport is None else stream
         stream.dataReceived(HEAD + chunk(listed(9, "s-2")))
         self.assertEqual(list(self.network.proxy.listed), ["s-2"])
 
@@ -403,8 +403,8 @@
             self.pass_on(0.1)
             for _ in range(200):
                 if (
-                    self.network.proxy.endpoints.watch.asked
-                    and self.network.proxy.endpoints.watch.asked.transport is None
+                    self.network.proxy.endpoints.watch.pending
+                    and self.network.proxy.endpoints.watch.pending.transport is None
                 ):
                     self.connected(2, next(said))
                 self.pass_on(0.1)
@@ -444,7 +444,7 @@
                 }[port]
                 self.pass_on(0.1)
                 for _ in range(600):
-                    if kept.asked and kept.asked.transport is None:
+                    if kept.pending and kept.pending.transport is None:
                         self.connected(port).dataReceived(said)
                     self.pass_on(0.1)
                 self.assertLess(self.asked(port), most, (port, asked_for, said))
@@ -544,7 +544,7 @@
                 )
                 reason = self.ends(2, chunk(text.encode()))
                 self.assertTrue(
-                    f"servers.0.{key}" in reason or "no JSON" in reason, (key, value, reason)
+                    f"servers.0.{key}" in reason or "invalid JSON" in reason, (key, value, reason)
                 )
         for version in ("true", "-1", "1.5", "null", "99999999999999999999"):
             self.ends(2, chunk(b'{"version":%s,"full":true,"servers":[]}\n' % version.encode()))
@@ -588,10 +588,10 @@
     def test_an_event_without_an_end_is_bounded(self):
         events, fed = http.EventStream(), 0
         with self.assertRaisesRegex(http.MalformedHttpError, "event without an end"):
-            while fed < 10 * http.MOST_EVENT:
+            while fed < 10 * http.MAX_EVENT_BYTES:
                 list(events.feed(b"data: x\n"))
                 fed += 8
-        self.assertLessEqual(fed, http.MOST_EVENT + 16)
+        self.assertLessEqual(fed, http.MAX_EVENT_BYTES + 16)
 
 
 class Calls(WithNetwork):
@@ -986,10 +986,10 @@
         lists, line, fed = discovery.ListParser(), b'"' + b"x" * 60_000 + b'":1,\n', 0
         list(lists.feed(b"{\n"))
         with self.assertRaisesRegex(discovery.UnreadableListError, "too long"):
-            while fed < 2 * http.MOST_LINE:
+            while fed < 2 * http.MAX_LINE_BYTES:
                 list(lists.feed(line))
                 fed += len(line)
-        self.assertLessEqual(fed, http.MOST_LINE)
+        self.assertLessEqual(fed, http.MAX_LINE_BYTES)
 
     def test_a_list_of_five_thousand_pods_is_taken_on_one_line_or_indented(self):
         names = [f"s-{at}" for at in range(5000)]
--- a/thymeknot/protocol/__init__.py
+++ b/thymeknot/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""What is spoken on the wire: parsers and writers, and the connections that use them."""
+"""Wire protocols: parsers, serializers and the connections that use them."""
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -1,4 +1,4 @@
-"""A client's connection: commands in, responses out in the order of the commands."""
+"""A client's connection: reads pipelined commands and writes responses in the same order."""
 
 import socket
 from collections import deque
@@ -10,73 +10,105 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import resp
-from .command import QUERY, SUBMIT, Command, CommandFault, CommandParser, read_command
+from .command import QUERY, SUBMIT, Command, CommandParser, InvalidCommand, read_command
 from .write_progress import is_receive_buffer_empty, peer_has_closed
 
 MAX_PIPELINED_COMMANDS: Final = 64
-"""Commands in flight on one connection; beyond them it is not read on."""
+"""Maximum commands in flight on one connection; above it, reading is paused."""
 COMMAND_TIMEOUT: Final[Ticks] = 5 * TICKS_PER_SECOND // 2
-"""For a first command, and for one that has begun, to be complete."""
+"""Timeout for a first command, or one that has begun to arrive, to be complete."""
 WRITE_STALL_TIMEOUT: Final[Ticks] = 10 * TICKS_PER_SECOND
-"""For a client that has stopped reading its responses, or does not read the last ones."""
+"""Timeout of a client that does not read its responses."""
 EVICTION_FLUSH_TIMEOUT: Final[Ticks] = TICKS_PER_SECOND // 2
-"""The same for one whose place is wanted."""
+"""The same for a connection that is evicted because its descriptor is needed."""
 FIRST_COMMAND_GRACE: Final[Ticks] = TICKS_PER_SECOND // 2
-"""A new connection that is to end still has its first command coming."""
+"""How long a new connection that should close is kept for its first command to arrive."""
 LINGER_TIME: Final[Ticks] = TICKS_PER_SECOND // 5
-"""From the end of sending to the close: a close over unread bytes resets the connection, which may
-destroy the last response on its way."""
+"""Time from the shutdown of the sending side to the close.
+
+Closing a socket with unread data resets the connection, and a reset may destroy a response that is
+still in transit.
+"""
 LATE_READ_GRACE: Final[Ticks] = TICKS_PER_SECOND // 10
-"""For bytes that have come by the end of the time for a command, to be read."""
+"""Extra time to read data that had arrived in the kernel when the command timeout expired."""
 DISCONNECT_CHECK_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 20
-"""How often one that is not read from is asked whether its client is still there.
+"""How often a connection with paused reading is checked for a disconnected client.
 
-No attempt may begin a tenth of a second after its client has left. Half of that is left for the
-look itself, which comes after the input and output of its turn of the event loop.
+No attempt may begin more than 0.1 s after its client has disconnected. The other half of that time
+is left for the check itself, which runs after the input and output of its event loop turn.
 """
 
 
 class ConnectionOwner(Protocol):
-    """What a connection tells and asks."""
+    """The owner of client connections: receives their events.
+
+    Attributes:
+        timers: The timer queue.
+        accepting_paused: Whether new connections have to wait for one that is idle or closed.
+    """
 
     timers: Any
     accepting_paused: bool
 
     def connection_opened(self, connection: "ClientConnection") -> None:
-        """It is open."""
+        """A connection was accepted."""
 
     def request_received(
-        self, connection: "ClientConnection", place: int, command: Command
+        self, connection: "ClientConnection", sequence: int, command: Command
     ) -> None:
-        """A request is complete; its response belongs at this place."""
+        """A request has been read; its response belongs to this sequence number."""
 
     def client_gone(self, connection: "ClientConnection") -> None:
-        """Its client waits for nothing more."""
+        """The client has disconnected, or no longer waits for responses."""
 
     def connection_closed(self, connection: "ClientConnection") -> None:
-        """It is closed."""
+        """The connection is closed."""
 
     def connection_became_idle(self) -> None:
-        """All its requests are answered while accepting is paused."""
+        """All requests of a connection are answered while accepting is paused."""
 
     def fault(self, where: str, error: Exception) -> None:
-        """An exception was stopped."""
+        """An unexpected exception was caught."""
 
 
 @implementer(IHalfCloseableProtocol)
 class ClientConnection(TwistedProtocol):
     """One client's connection.
 
-    It is a producer of its transport: a client that does not read its responses is not read from
-    either.
-
-    Between requests it may be closed, but a request that was read is owed its response. So the end
-    goes in steps: everything is written, then the operating system is asked whether a request waits
-    unread, and in the same moment sending ends. Nothing is read from there on; a request that
-    crosses the end is sent once more by its client.
+    It is a push producer of its transport: while a client does not read its responses, no commands
+    are read from it (backpressure).
+
+    It may be closed between requests, but each request that was read must get its response.
+    Closing therefore has three steps: all responses are flushed; the kernel is asked whether an
+    unread request has arrived; if not, the sending side is shut down in the same turn. Nothing is
+    read after that, and a client whose request was in transit retries it on another connection.
+
+    Attributes:
+        owner: Receives the events of the connection.
+        timers: The timer queue.
+        parser: Parses the commands.
+        slot: Set by the owner: the connection's key in its table.
+        first_sequence: The sequence number of the first command without a written response.
+        pending_responses: Responses that are not written, in command order; None where the response
+            is not known yet.
+        input_valid: Whether further input can be parsed as commands.
+        command_received: Whether a complete command has arrived.
+        reading: Whether the transport reads from the client.
+        write_blocked: Whether the client does not read what is written.
+        closing: Whether the connection is to close once all requests are answered.
+        ended: Whether all requests are answered and only the flush and the close are left.
+        flushing: Whether the last responses are being flushed.
+        client_gone: Whether the client no longer waits for responses.
+        opened_at: When the connection was accepted.
+        last_used_at: When the last response was written.
+        linger: The time between the shutdown of the sending side and the close.
+        command_timer: The timer of a command that must be complete.
+        close_timer: The timer that aborts or closes the connection.
+        disconnect_check_timer: The timer of the next check for a disconnected client.
+        first_command_timer: The timer until which a first command is awaited.
     """
 
-    transport: Any  # Twisted's interfaces lack the calls of a TCP transport
+    transport: Any  # Twisted's interfaces lack the methods of a TCP transport
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.owner = owner
@@ -84,32 +116,22 @@
         self.parser = CommandParser()
         self.slot: int | None = None
         self.first_sequence = 0
-        """The number of the first place that is not answered."""
         self.pending_responses: deque[bytes | None] = deque()
-        """Responses that are not written, in the order of their commands; None is awaited."""
         self.input_valid = True
-        """Whether what comes can be read as commands."""
         self.command_received = False
         self.reading = True
-        self.blocked = False
-        """Whether the client does not read what is written."""
+        self.write_blocked = False
         self.closing = False
         self.ended = False
-        """Whether everything is answered and only flushing is left."""
         self.flushing = False
         self.client_gone = False
-        """Whether the client waits for nothing more."""
         self.opened_at: Ticks = 0
         self.last_used_at: Ticks = 0
         self.linger = LINGER_TIME
-        self.due: int | None = None
-        """The timer of a command that has to be complete."""
-        self.last: int | None = None
-        """The timer by which the connection is aborted or closed."""
-        self.looking: int | None = None
-        """The timer of the next look for a client that is not read from."""
-        self.waits: int | None = None
-        """The timer until which a first command is waited for."""
+        self.command_timer: int | None = None
+        self.close_timer: int | None = None
+        self.disconnect_check_timer: int | None = None
+        self.first_command_timer: int | None = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
@@ -123,15 +145,20 @@
         """Called by Twisted."""
         self.input_valid = False
         self.client_gone = True
-        for deadline in (self.due, self.last, self.looking, self.waits):
-            self.timers.cancel(deadline)
+        for timer in (
+            self.command_timer,
+            self.close_timer,
+            self.disconnect_check_timer,
+            self.first_command_timer,
+        ):
+            self.timers.cancel(timer)
         self.owner.connection_closed(self)
 
     def readConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
-        """The client has shut its sending side, so it counts as gone.
+        """The client has shut down its sending side, so it counts as disconnected.
 
-        What waits is not forwarded; what is answered already still goes out, since it may be
-        reading.
+        Pending requests are not forwarded. Responses that are already written are still flushed,
+        since the client may be reading them.
         """
         if self.client_gone:
             return
@@ -143,147 +170,155 @@
         self.finish()
 
     def writeConnectionLost(self) -> None:  # noqa: N802 (Twisted's name)
-        """Sending ends by shutdown alone, not by the transport."""
+        """Does nothing: the sending side is only shut down by `_shut_down_sending`."""
+
+    def _expect_command(self, timeout: Ticks) -> None:
+        """Starts the timeout for a complete command; a connection that is idle later may stay."""
+        self.command_timer = self.timers.add(self.timers.clock() + timeout, self._command_overdue)
 
-    def _expect_command(self, within: Ticks) -> None:
-        """A complete command has to come within this time; one that is idle later may stay."""
-        self.due = self.timers.add(self.timers.clock() + within, self._command_overdue)
+    def _command_overdue(self, allow_grace: bool = True) -> None:
+        """Handles a command timeout: an incomplete command is answered with an error.
 
-    def _command_overdue(self, again: bool = True) -> None:
-        """Half a command is answered with an error.
+        A connection without any data is closed without an error reply, since its client may be
+        about to send a request and would take the error for its response.
 
-        A connection that said nothing is closed without a word: its client may be about to send,
-        and would take that for the response.
+        Args:
+            allow_grace: Whether unread data extends the timeout once.
         """
-        self.due = None
+        self.command_timer = None
         if not self.input_valid or (self.command_received and not self.parser.held):
             return
-        if not self.reading:  # the rest may be there: it is this side that does not read it
+        if not self.reading:  # the rest may have arrived: it is this side that has paused reading
             self._expect_command(COMMAND_TIMEOUT)
-        elif again and not is_receive_buffer_empty(self.transport):
-            self.due = self.timers.add(
+        elif allow_grace and not is_receive_buffer_empty(self.transport):
+            self.command_timer = self.timers.add(
                 self.timers.clock() + LATE_READ_GRACE, self._command_overdue, False
             )
         elif self.parser.held:
             self.input_valid = False
-            self.answer(self._place(), resp.failure("ERR no whole command in time"))
+            self.answer(self._reserve_response(), resp.failure("ERR no whole command in time"))
             self.finish()
         else:
             self.finish()
 
     def pauseProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """The client does not read what is written."""
-        self.blocked = True
+        """Called by the transport when its write buffer is full: the client does not read."""
+        self.write_blocked = True
         self._update_reading()
-        self._end_within(WRITE_STALL_TIMEOUT)
+        self._abort_after(WRITE_STALL_TIMEOUT)
 
     def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """The client reads again, or nothing is left to write."""
+        """Called by the transport when the client reads again, or its write buffer is empty."""
         if self.ended:
             if self.flushing:
-                self._shut()
+                self._shut_down_sending()
             return
-        self.blocked = False
+        self.write_blocked = False
         self._update_reading()
         if not self.closing:
-            self.timers.cancel(self.last)
-            self.last = None
+            self.timers.cancel(self.close_timer)
+            self.close_timer = None
 
     def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """The transport says so when it is lost; connectionLost follows."""
+        """Called by the transport when the connection is lost; connectionLost follows."""
 
-    def _end_within(self, within: Ticks) -> None:
-        if self.last is None:
-            self.last = self.timers.add(
-                self.timers.clock() + within, self.transport.abortConnection
+    def _abort_after(self, delay: Ticks) -> None:
+        if self.close_timer is None:
+            self.close_timer = self.timers.add(
+                self.timers.clock() + delay, self.transport.abortConnection
             )
 
     def _update_reading(self) -> None:
-        """Reads as long as requests in flight and unread responses are within bounds."""
+        """Pauses or resumes reading by the requests in flight and the unread responses."""
         if self.ended or self.client_gone:
             return
-        reading = not self.blocked and len(self.pending_responses) <= (
+        reading = not self.write_blocked and len(self.pending_responses) <= (
             MAX_PIPELINED_COMMANDS if self.reading else MAX_PIPELINED_COMMANDS // 2
         )
         if reading != self.reading:
             self.reading = reading
             (self.transport.resumeProducing if reading else self.transport.pauseProducing)()
-            if not reading and self.looking is None:
-                self._look()
+            if not reading and self.disconnect_check_timer is None:
+                self._check_disconnect()
 
-    def _look(self) -> None:
-        """Looks for the client's end, which a connection that is not read from would not notice."""
-        self.looking = None
+    def _check_disconnect(self) -> None:
+        """Checks for a disconnect, which goes unnoticed while reading is paused."""
+        self.disconnect_check_timer = None
         if self.reading or self.client_gone:
             return
         if peer_has_closed(self.transport):
             self.readConnectionLost()
             return
-        self.looking = self.timers.add(self.timers.clock() + DISCONNECT_CHECK_INTERVAL, self._look)
+        self.disconnect_check_timer = self.timers.add(
+            self.timers.clock() + DISCONNECT_CHECK_INTERVAL, self._check_disconnect
+        )
 
     def is_idle(self) -> bool:
-        """Whether no request is in flight and none has begun to come."""
+        """Returns whether no request is in flight and none has begun to arrive."""
         return not self.pending_responses and not self.parser.held
 
     def awaits_first_command(self, now: Ticks) -> bool:
-        """Whether it is new, and the command that it was opened for is on its way."""
+        """Returns whether the connection is new, and its first command probably in transit."""
         return not self.command_received and now < self.opened_at + FIRST_COMMAND_GRACE
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         if not self.input_valid:
             return
-        if self.flushing:  # it was read in the same turn in which all had been answered
-            self._go_on()
+        if self.flushing:  # read in the same event loop turn as the last response
+            self._cancel_close()
         try:
             for message in self.parser.feed(data):
                 if self.client_gone:
                     return
-                self._command(message)
+                self._handle_command(message)
         except resp.MalformedRespError as error:
-            # What follows can't be told apart any more: answer what is owed, then close.
+            # The start of the next command is unknown: answer the pending requests, then close.
             self.input_valid = False
-            self.answer(self._place(), resp.failure(f"ERR syntax: {error}"))
+            self.answer(self._reserve_response(), resp.failure(f"ERR syntax: {error}"))
             self.finish()
-        except Exception as error:  # a fault here must cost this connection alone
+        except Exception as error:  # a bug here must only cost this connection
             self.owner.fault("client connection", error)
             self.transport.abortConnection()
-        if self.parser.held and self.input_valid and self.due is None:
+        if self.parser.held and self.input_valid and self.command_timer is None:
             self._expect_command(COMMAND_TIMEOUT)
         if self.closing:
             self.finish()
         self._update_reading()
 
-    def _place(self) -> int:
+    def _reserve_response(self) -> int:
         self.pending_responses.append(None)
         return self.first_sequence + len(self.pending_responses) - 1
 
-    def _command(self, parts: Any) -> None:
-        place = self._place()
+    def _handle_command(self, parts: Any) -> None:
+        sequence = self._reserve_response()
         self.command_received = True
-        self.timers.cancel(self.due)
-        self.due = None
+        self.timers.cancel(self.command_timer)
+        self.command_timer = None
         if not _is_array_of_strings(parts):
-            self.answer(place, resp.failure("ERR a command is an array of strings"))
+            self.answer(sequence, resp.failure("ERR a command is an array of strings"))
             return
         name = bytes(parts[0]).upper()
         if name == b"PING":
-            self.answer(place, resp.status("PONG"))
+            self.answer(sequence, resp.status("PONG"))
         elif name not in (QUERY, SUBMIT):
-            self.answer(place, resp.failure("ERR unknown command"))
+            self.answer(sequence, resp.failure("ERR unknown command"))
         else:
             command = read_command(parts)
-            if isinstance(command, CommandFault):
-                self.answer(place, resp.failure(f"ERR {command.reason}"))
+            if isinstance(command, InvalidCommand):
+                self.answer(sequence, resp.failure(f"ERR {command.reason}"))
             else:
-                self.owner.request_received(self, place, command)
+                self.owner.request_received(self, sequence, command)
 
-    def answer(self, place: int, content: bytes) -> None:
-        """Puts a response in its place and writes all that is due; a place is answered once."""
-        at = place - self.first_sequence
-        if not self.connected or at < 0 or self.pending_responses[at] is not None:
+    def answer(self, sequence: int, content: bytes) -> None:
+        """Sets a command's response, and writes all responses that are next in order.
+
+        Does nothing if the command has a response already, or the connection is closed.
+        """
+        index = sequence - self.first_sequence
+        if not self.connected or index < 0 or self.pending_responses[index] is not None:
             return
-        self.pending_responses[at] = content
+        self.pending_responses[index] = content
         while self.pending_responses and self.pending_responses[0] is not None:
             self.transport.write(self.pending_responses.popleft())
             self.first_sequence += 1
@@ -295,33 +330,35 @@
             self.owner.connection_became_idle()
 
     def evict(self) -> None:
-        """Closes at once for want of places: half a first command is not waited for."""
+        """Closes at once to free its descriptor; an incomplete first command is not awaited."""
         self.linger = 0
-        self.timers.cancel(self.last)
-        self.last = None
+        self.timers.cancel(self.close_timer)
+        self.close_timer = None
         self.finish()
         if not self.ended:
             self.transport.abortConnection()
 
     def stop_lingering(self) -> None:
-        """Waits for the client's close no more, also once what is still owed has been sent.
+        """Ends the wait for the client's close, now and after any responses still to be sent.
 
-        Requests that are read at the last moment are answered after it; another wait would last
-        until the process is killed.
+        During shutdown, requests that were read at the last moment are answered after this call. To
+        linger again after them would take until the process is killed.
         """
         self.linger = 0
         if self.ended and not self.flushing:
             self.transport.loseConnection()
 
     def finish(self) -> None:
-        """Closes once everything owed is answered.
+        """Closes the connection once all requests are answered.
 
-        A command that has begun to come is waited for, and on a new connection the first one.
+        A command that has begun to arrive is awaited, and on a new connection the first command.
         """
         self.closing = True
         if self.input_valid and self.linger and self.awaits_first_command(self.timers.clock()):
-            if self.waits is None:
-                self.waits = self.timers.add(self.opened_at + FIRST_COMMAND_GRACE, self.finish)
+            if self.first_command_timer is None:
+                self.first_command_timer = self.timers.add(
+                    self.opened_at + FIRST_COMMAND_GRACE, self.finish
+                )
             return
         if (
             not self.ended
@@ -330,25 +367,25 @@
         ):
             self.ended = True
             self.transport.unregisterProducer()
-            # A pull producer is asked for more exactly when nothing is left to write.
+            # The transport asks a pull producer for more exactly when its write buffer is empty.
             self.transport.registerProducer(self, False)
             self.flushing = True
-            self._end_within(WRITE_STALL_TIMEOUT if self.linger else EVICTION_FLUSH_TIMEOUT)
+            self._abort_after(WRITE_STALL_TIMEOUT if self.linger else EVICTION_FLUSH_TIMEOUT)
             self.transport.startWriting()
 
-    def _go_on(self) -> None:
-        """A request has come before the end: it is read and answered first."""
-        self.ended = self.flushing = self.blocked = False
-        self.timers.cancel(self.last)
-        self.last = None
+    def _cancel_close(self) -> None:
+        """Cancels the close, since a request has arrived that must be answered first."""
+        self.ended = self.flushing = self.write_blocked = False
+        self.timers.cancel(self.close_timer)
+        self.close_timer = None
         self.transport.unregisterProducer()
         self.transport.registerProducer(self, True)
 
-    def _shut(self) -> None:
-        """Ends sending if nothing waits unread, in one moment."""
+    def _shut_down_sending(self) -> None:
+        """Shuts down the sending side, unless an unread request has arrived."""
         if self.input_valid and not is_receive_buffer_empty(self.transport):
-            self._go_on()
-            self.reading = False  # also where the client's slow reading had stopped it
+            self._cancel_close()
+            self.reading = False  # also if reading was paused because the client read slowly
             self._update_reading()
             return
         self.flushing = False
@@ -363,8 +400,8 @@
             return
         if self.input_valid:
             self.transport.pauseProducing()
-        self.timers.cancel(self.last)
-        self.last = self.timers.add(
+        self.timers.cancel(self.close_timer)
+        self.close_timer = self.timers.add(
             self.timers.clock() + self.linger, self.transport.loseConnection
         )
 
--- a/thymeknot/protocol/command.py
+++ b/thymeknot/protocol/command.py
@@ -1,4 +1,4 @@
-"""A client's command: its words, read and checked. Pure."""
+"""Parses and validates client commands. Pure functions without input or output."""
 
 from collections.abc import Iterator, Sequence
 from typing import Any, Final, NamedTuple
@@ -7,70 +7,73 @@
 
 QUERY: Final = b"SVC.QUERY"
 SUBMIT: Final = b"SVC.SUBMIT"
-MOST_COMMAND: Final = 2 * resp.MOST_BULK
-"""Bytes of all its words: a body, and room for what stands before it."""
-FEWEST_WORDS: Final = 4
-"""Name, key, id, and the list of names and values."""
-MOST_TIME_DIGITS: Final = 9
-"""Digits of the time that a client waits, in milliseconds."""
+MAX_COMMAND_BYTES: Final = 2 * resp.MAX_BULK_BYTES
+"""Maximum size of a whole command: a body of the maximum size, and as much for the other words."""
+MIN_WORDS: Final = 4
+"""Command name, key, id, and the list of name=value pairs."""
+MAX_TIMEOUT_DIGITS: Final = 9
+"""Maximum number of digits of a client's timeout in milliseconds."""
 
 
 class Command(NamedTuple):
-    """A request as a client words it. Its bytes outlive the buffer that they were read into."""
+    """A client's request. Its fields are copies, independent of the receive buffer."""
 
     name: bytes
     key: bytes
     id: bytes
     pairs: tuple[tuple[bytes, bytes], ...]
-    """Names and values, in the client's order."""
+    """The name=value pairs, in the client's order."""
     body: tuple[bytes, ...]
-    """The words after the names and values."""
+    """The words after the name=value pairs."""
     request_class: str
     tenant: str | None
     timeout_ms: int
-    """Milliseconds that the client waits."""
+    """How long the client will wait, in milliseconds."""
     is_retry: bool
+    """Whether the client says that it has sent this request before."""
 
-    def forwarded_words(self, left: int) -> list[bytes]:
-        """The command as an endpoint gets it, with the milliseconds that the sidecar will wait."""
-        told = [(name, b"%d" % left if name == b"d" else value) for name, value in self.pairs]
+    def forwarded_words(self, timeout_ms: int) -> list[bytes]:
+        """Returns the command's words for an endpoint, with the timeout that the sidecar grants."""
+        forwarded = [
+            (name, b"%d" % timeout_ms if name == b"d" else value) for name, value in self.pairs
+        ]
         return [
             self.name,
             self.key,
             self.id,
-            b",".join(b"%s=%s" % pair for pair in told),
+            b",".join(b"%s=%s" % pair for pair in forwarded),
             *self.body,
         ]
 
 
-class CommandFault(NamedTuple):
-    """What is wrong with a command, as a value: its client gets it as an error line."""
+class InvalidCommand(NamedTuple):
+    """Why a command is invalid; the client receives the reason in an error reply."""
 
     reason: str
 
 
-def read_command(parts: Sequence[Any]) -> Command | CommandFault:
-    """The command of these words, or what is wrong with it."""
+def read_command(parts: Sequence[Any]) -> Command | InvalidCommand:
+    """Parses the words of a command; returns the reason where they are invalid."""
     words = [bytes(part) for part in parts]
-    if len(words) < FEWEST_WORDS:
-        return CommandFault("a command takes a key, an id and a list of names and values")
-    name, key, identifier, listed, *body = words
-    pairs = tuple(_pair(word) for word in listed.split(b","))
-    told = dict(pairs)
+    if len(words) < MIN_WORDS:
+        return InvalidCommand("a command takes a key, an id and a list of names and values")
+    name, key, identifier, pairs_word, *body = words
+    pairs = tuple(_pair(word) for word in pairs_word.split(b","))
+    values = dict(pairs)
     if not identifier:
-        return CommandFault("the id is missing")
-    if not told.get(b"c"):
-        return CommandFault("c, the lane, is missing")
-    left = told.get(b"d", b"")
-    if not left.isdigit() or len(left) > MOST_TIME_DIGITS or int(left) <= 0:
-        return CommandFault("d, the time in milliseconds, is missing or no number")
+        return InvalidCommand("the id is missing")
+    if not values.get(b"c"):
+        return InvalidCommand("c, the lane, is missing")
+    timeout = values.get(b"d", b"")
+    if not timeout.isdigit() or len(timeout) > MAX_TIMEOUT_DIGITS or int(timeout) <= 0:
+        return InvalidCommand("d, the time in milliseconds, is missing or no number")
     try:
-        request_class = told[b"c"].decode()
-        tenant = told.get(b"t", b"").decode() or None
+        request_class = values[b"c"].decode()
+        tenant = values.get(b"t", b"").decode() or None
         key.decode()
         identifier.decode()
     except UnicodeDecodeError:
-        return CommandFault("a name is not UTF-8")
+        return InvalidCommand("a name is not UTF-8")
     return Command(
         name,
         key,
@@ -79,8 +82,8 @@
         tuple(body),
         request_class,
         tenant,
-        int(left),
-        told.get(b"r") == b"1",
+        int(timeout),
+        values.get(b"r") == b"1",
     )
 
 
@@ -90,17 +93,21 @@
 
 
 class CommandParser(resp.Parser):
-    """For commands: no arrays within the array, and a bound on all of it.
+    """Parser of client commands: rejects nested arrays and commands above the maximum size.
 
-    Otherwise a few kilobytes would have the parser go through a million parts again with each
-    piece, and many strings that are never complete would fill the memory.
+    Without these limits a few kilobytes of nested arrays would make the parser visit a million
+    elements again for each chunk received, and incomplete strings would fill the memory.
     """
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """The complete messages up to and with this chunk."""
+        """Yields the messages that this chunk completes.
+
+        Raises:
+            MalformedRespError: Not RESP2, a nested array, or larger than the maximum.
+        """
         yield from super().feed(data)
-        if self.held > MOST_COMMAND:
-            raise resp.MalformedRespError(f"a command of over {MOST_COMMAND} bytes")
+        if self.held > MAX_COMMAND_BYTES:
+            raise resp.MalformedRespError(f"a command of over {MAX_COMMAND_BYTES} bytes")
 
     def _array(self, buffer: bytes, at: int, length: int, depth: int) -> tuple[Any, int]:
         if depth:
--- a/thymeknot/protocol/deployer.py
+++ b/thymeknot/protocol/deployer.py
@@ -1,4 +1,4 @@
-"""The release platform: its calls, responses and stream events, translated to events."""
+"""The release platform's protocol: its requests, responses and stream events."""
 
 import re
 from collections.abc import Callable, Mapping
@@ -14,19 +14,22 @@
 from .http_calls import Reply
 from .write_progress import WRITTEN, BrokenConnection
 
-BASE: Final = "/v2/projects/main/"
-HEARTBEAT: Final[Ticks] = TICKS_PER_SECOND
-"""Between two signs of life on the stream, by the protocol."""
-SILENCE_TIMEOUT: Final[Ticks] = 4 * HEARTBEAT
-"""A stream that says nothing for so long is broken."""
-FIRST_DATA_TIMEOUT: Final[Ticks] = 2 * HEARTBEAT
-"""The newest build is told at once; if not, the first heartbeat has come by then."""
-MOST_TIME: Final = 10**13
-"""Milliseconds that a time may have."""
-MOST_WHOLE: Final = 2**53
-"""Of a whole number: what a float holds exactly."""
-MOST_FIELDS: Final = 100
-"""Fields of a form."""
+BASE_PATH: Final = "/v2/projects/main/"
+HEARTBEAT_INTERVAL: Final[Ticks] = TICKS_PER_SECOND
+"""Time between two heartbeats of the stream, by the platform's protocol."""
+SILENCE_TIMEOUT: Final[Ticks] = 4 * HEARTBEAT_INTERVAL
+"""A stream without any complete line for this long counts as broken."""
+FIRST_DATA_TIMEOUT: Final[Ticks] = 2 * HEARTBEAT_INTERVAL
+"""Timeout of a stream's first data.
+
+The platform sends the newest build's state at once; otherwise the first heartbeat arrives in time.
+"""
+MAX_MILLISECONDS: Final = 10**13
+"""Maximum duration in a message."""
+MAX_INTEGER: Final = 2**53
+"""Maximum integer in a message; a float represents all integers up to it exactly."""
+MAX_FORM_FIELDS: Final = 100
+"""Maximum number of fields of a URL-encoded form."""
 TICKS_PER_MILLISECOND: Final = 10
 HTTP_OK: Final = 200
 VERDICTS: Final = {
@@ -41,28 +44,31 @@
     "released": ReleasePhase.RELEASED,
     "withdrawn": ReleasePhase.WITHDRAWN,
 }
-REFUSALS: Final[dict[tuple[int, str | None], Outcome]] = {
+ERROR_OUTCOMES: Final[dict[tuple[int, str | None], Outcome]] = {
     (400, "throttled"): Outcome.REJECTED,
     (400, "conflict"): Outcome.NOT_SENT,
     (400, "invalid"): Outcome.ERROR,
     (500, "internal"): Outcome.ERROR,
 }
-"""What a response (status, code) means for a vote; for any other one, the vote may count."""
-LEAF: Final = re.compile(r"<([A-Za-z][\w.-]*)(?:\s[^<>]*)?>([^<>]*)</\1\s*>")
+"""Outcome of a vote by the response's status and error code.
+
+After any other response the vote may have been counted (TIMED_OUT).
+"""
+XML_LEAF: Final = re.compile(r"<([A-Za-z][\w.-]*)(?:\s[^<>]*)?>([^<>]*)</\1\s*>")
 
 
 Value = TypeVar("Value")
 
 
 class UnreadableReleaseError(ValueError):
-    """The platform's message can't be read. The text names the faulty field."""
+    """A message of the platform is invalid. The text names the field."""
 
 
 def vote_request(host: str, action: CastVote) -> bytes:
-    """The call that casts a vote."""
+    """Returns the bytes of the request that casts a vote."""
     return http.request(
         "POST",
-        BASE,
+        BASE_PATH,
         host,
         {
             "Action": "PutApproval",
@@ -74,94 +80,107 @@
 
 
 def stream_request(host: str) -> bytes:
-    """The call that opens the event stream."""
-    return http.request("GET", BASE + "stream", host)
+    """Returns the bytes of the request that opens the event stream."""
+    return http.request("GET", BASE_PATH + "stream", host)
 
 
-def _read(told: Mapping[str, Any], name: str, decode: Callable[[Any], Value]) -> Value:
+def _read(fields: Mapping[str, Any], name: str, decode: Callable[[Any], Value]) -> Value:
     try:
-        return decode(told[name])
+        return decode(fields[name])
     except KeyError:
         raise UnreadableReleaseError(
-            f"{name} is missing or not known: {told.get(name)!r}"
+            f"{name} is missing or has an unknown value: {fields.get(name)!r}"
         ) from None
     except (TypeError, ValueError, OverflowError):
-        raise UnreadableReleaseError(f"{name} makes no sense: {told[name]!r}") from None
+        raise UnreadableReleaseError(f"{name} has an invalid value: {fields[name]!r}") from None
 
 
 def _ticks(milliseconds: Any) -> Ticks:
     value = float(milliseconds)
-    if not 0 <= value <= MOST_TIME:
+    if not 0 <= value <= MAX_MILLISECONDS:
         raise ValueError(milliseconds)
     return int(value * TICKS_PER_MILLISECOND)
 
 
-def _whole(text: Any) -> int:
+def _integer(text: Any) -> int:
     value = int(text)
-    if not 0 <= value <= MOST_WHOLE:
+    if not 0 <= value <= MAX_INTEGER:
         raise ValueError(text)
     return value
 
 
-def _share(text: Any) -> float:
+def _fraction(text: Any) -> float:
     value = float(text)
     if not 0 <= value <= 1:
         raise ValueError(text)
     return value
 
 
-def read_release_update(told: Mapping[str, Any], *, answers_vote: bool = False) -> ReleaseUpdate:
-    """The release update of the names and values that tell how the newest build stands."""
+def read_release_update(fields: Mapping[str, Any], *, answers_vote: bool = False) -> ReleaseUpdate:
+    """Returns the release update in the fields of a rollout state.
+
+    Raises:
+        UnreadableReleaseError: A field is missing or invalid.
+    """
     return ReleaseUpdate(
-        build=_read(told, "version", _whole),
-        stage=_read(told, "step", _whole),
-        phase=_read(told, "status", PHASES.__getitem__),
+        build=_read(fields, "version", _integer),
+        stage=_read(fields, "step", _integer),
+        phase=_read(fields, "status", PHASES.__getitem__),
         answers_vote=answers_vote,
         outcome=Outcome.DONE,
-        cap=_read(told, "maxWeight", _share),
-        age=_read(told, "observedAgoMs", _ticks),
+        cap=_read(fields, "maxWeight", _fraction),
+        age=_read(fields, "observedAgoMs", _ticks),
     )
 
 
 def read_event(event: str, data: str) -> ReleaseUpdate | FleetCounts | None:
-    """What an event of the stream tells; None for a kind that is not known."""
-    told = dict(parse_qsl(data, keep_blank_values=True, max_num_fields=MOST_FIELDS))
+    """Returns the content of a stream event; None for an event of an unknown type.
+
+    Raises:
+        UnreadableReleaseError: A field is missing or invalid.
+    """
+    fields = dict(parse_qsl(data, keep_blank_values=True, max_num_fields=MAX_FORM_FIELDS))
     if event == "progress":
-        return read_release_update(told)
+        return read_release_update(fields)
     if event == "metrics":
-        return _read_counts(told)
+        return _read_counts(fields)
     return None
 
 
-def _read_counts(told: Mapping[str, Any]) -> FleetCounts:
-    attempts = _read(told, "requests", _whole)
-    failed = _read(told, "failures", _whole)
-    latency = _read(told, "avgMs", _ticks) if failed < attempts else 0  # of none there is no mean
+def _read_counts(fields: Mapping[str, Any]) -> FleetCounts:
+    attempts = _read(fields, "requests", _integer)
+    failed = _read(fields, "failures", _integer)
+    latency = (
+        _read(fields, "avgMs", _ticks) if failed < attempts else 0
+    )  # without successful responses there is no mean
     return FleetCounts(
-        build=_read(told, "version", _whole),
-        request_class=_read(told, "kind", str),
+        build=_read(fields, "version", _integer),
+        request_class=_read(fields, "kind", str),
         attempts=attempts,
         failed=failed,
         latency=latency,
-        age=_read(told, "observedAgoMs", _ticks),
+        age=_read(fields, "observedAgoMs", _ticks),
     )
 
 
-def leaves(text: str) -> dict[str, str]:
-    """The elements of a piece of XML that hold text alone, by name."""
-    return {name: unescape(content.strip()) for name, content in LEAF.findall(text)}
+def xml_leaves(xml: str) -> dict[str, str]:
+    """Returns the text of the XML elements that contain only text, by element name."""
+    return {name: unescape(content.strip()) for name, content in XML_LEAF.findall(xml)}
+
 
+def read_vote_reply(build: int, result: Reply | BrokenConnection) -> ReleaseUpdate:
+    """Returns the release update that reports the result of a vote, however the call ended.
 
-def read_vote_reply(build: int, end: Reply | BrokenConnection) -> ReleaseUpdate:
-    """The release update that answers a vote, whichever way the call ended."""
-    if isinstance(end, Reply):
-        told = leaves(end.body.decode("utf-8", "replace"))
-        if end.status == HTTP_OK:
+    Only a valid response with status 200 has the rollout's state; else only the outcome is set.
+    """
+    if isinstance(result, Reply):
+        fields = xml_leaves(result.body.decode("utf-8", "replace"))
+        if result.status == HTTP_OK:
             try:
-                return read_release_update(told, answers_vote=True)
+                return read_release_update(fields, answers_vote=True)
             except UnreadableReleaseError:
                 return ReleaseUpdate(build, None, None, True, Outcome.TIMED_OUT, None, None)
-        outcome = REFUSALS.get((end.status, told.get("Code")), Outcome.TIMED_OUT)
+        outcome = ERROR_OUTCOMES.get((result.status, fields.get("Code")), Outcome.TIMED_OUT)
     else:
-        outcome = Outcome.TIMED_OUT if end.progress == WRITTEN else Outcome.ERROR
+        outcome = Outcome.TIMED_OUT if result.progress == WRITTEN else Outcome.ERROR
     return ReleaseUpdate(build, None, None, True, outcome, None, None)
--- a/thymeknot/protocol/discovery.py
+++ b/thymeknot/protocol/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery's endpoint lists and changes, translated to events."""
+"""The discovery service's protocol: requests, and parsers of endpoint lists and deltas."""
 
 import re
 from collections.abc import Iterable, Iterator
@@ -13,27 +13,35 @@
 from . import http
 
 PATH: Final = "/v1/servers"
-HEARTBEAT: Final[Ticks] = 2 * TICKS_PER_SECOND
-"""An empty line comes as often while nothing changes."""
-SILENCE_TIMEOUT: Final[Ticks] = 2 * HEARTBEAT + HEARTBEAT // 4
-"""What a silent watch misses counts as told 6 s after it fell silent, which may be just after its
-last word. Two missed heartbeats, and a quarter of one for a late one, leave 1.5 s for a connection
-that does not come up (some 0.25 s), the wait after it (0.8 s at most) and the next one with its
-response."""
+HEARTBEAT_INTERVAL: Final[Ticks] = 2 * TICKS_PER_SECOND
+"""Time between two empty lines that discovery sends while nothing changes."""
+SILENCE_TIMEOUT: Final[Ticks] = 2 * HEARTBEAT_INTERVAL + HEARTBEAT_INTERVAL // 4
+"""A watch stream without a heartbeat for this long counts as broken.
+
+A change must be known within 6 s of the moment at which the stream fell silent, which may be just
+after its last heartbeat. Two missed heartbeats, and a quarter of one for a late one, leave 1.5 s
+for a connection attempt that fails (about 0.25 s), the wait after it (at most 0.8 s), and the next
+attempt with its response.
+"""
 FIRST_DATA_TIMEOUTS: Final[dict[bool, Ticks]] = {
     False: TICKS_PER_SECOND // 2,
     True: 3 * TICKS_PER_SECOND,
 }
-"""Until the first word, by whether lists are polled. An agent on the same machine answers at once;
-a service that all ask may have a call wait for some 2 s before it answers or refuses, and one given
-up sooner was paid for in vain."""
-WEIGHTS: Final = (1e-6, 1e6)
-"""Weights are divided by and added up: one endpoint must not hide all others."""
-LATEST: Final = 10**14
-"""Unix time in milliseconds."""
-MOST_VERSION: Final = 2**63 - 1
+"""Timeout of a stream's first data, by whether lists are polled.
+
+An agent on the same machine responds at once. A shared service may queue a call for about 2 s
+before it responds or refuses; a call given up earlier would have wasted a part of the rate limit.
+"""
+WEIGHT_RANGE: Final = (1e-6, 1e6)
+"""Minimum and maximum weight.
+
+Weights are summed and divided by, so an extreme one would hide all other endpoints.
+"""
+MAX_UNIX_MILLISECONDS: Final = 10**14
+"""Maximum start time, as Unix time in milliseconds."""
+MAX_VERSION: Final = 2**63 - 1
 ADDRESS: Final = re.compile(r"\S+:([0-9]{1,5})")
-MOST_PORT: Final = 65_535
+MAX_PORT: Final = 65_535
 TICKS_PER_MILLISECOND: Final = 10
 CONDITIONS: Final = {
     "Ready": EndpointCondition.READY,
@@ -41,37 +49,40 @@
     "Gone": EndpointCondition.GONE,
 }
 
-STRINGS: Final = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
-"""The strings of a line of JSON."""
-BRACKETS: Final = re.compile(rb"[][{}]")
-NO_JSON: Final = re.compile(rb"[^][{}\s\d:,.+eEtrufalsn-]")
-"""What stands outside of strings in no JSON."""
-CLOSERS: Final = {b"{": b"}", b"[": b"]"}
-KEYS: Final = re.compile(rb'"(version|servers)"\s*:')
-"""Keys that a list has once each, and no entry has."""
-SHOWN: Final = 50
-"""Bytes of a line that an error repeats."""
+JSON_STRING: Final = re.compile(rb'"[^"\\]*(?:\\.[^"\\]*)*"')
+"""A string literal in a line of JSON."""
+JSON_BRACKET: Final = re.compile(rb"[][{}]")
+NON_JSON_CHARACTER: Final = re.compile(rb"[^][{}\s\d:,.+eEtrufalsn-]")
+"""A character that JSON does not allow outside of strings."""
+CLOSING_BRACKETS: Final = {b"{": b"}", b"[": b"]"}
+LIST_KEY: Final = re.compile(rb'"(version|servers)"\s*:')
+"""Keys that each list has once, and that no entry has."""
+MAX_QUOTED_BYTES: Final = 50
+"""Maximum bytes of a line that an error message quotes."""
 
 
 class UnreadableListError(ValueError):
-    """Discovery's message is no list. The text names the faulty key."""
+    """A message of discovery is not a valid list. The text names the faulty key."""
 
 
 class StaleSnapshotError(UnreadableListError):
-    """A list that reads well and would take away all that is known.
+    """A valid list that is rejected because it would discard all that is known.
 
-    Where such a list is never believed, the peer is polled with backoff. Where it is believed when
-    it comes again, all that it tells counts as told meanwhile, so the peer is polled as if its
-    stream had stood.
+    If such a list is never accepted, the peer is polled with backoff. If it is accepted once it is
+    repeated, its content has to be known soon, so the next call follows as after an established
+    stream.
+
+    Attributes:
+        call_result: How the call counts for the interval of the next one.
     """
 
-    def __init__(self, reason: str, again: bool) -> None:
+    def __init__(self, reason: str, accepted_if_repeated: bool) -> None:
         super().__init__(reason)
-        self.how = CallResult.ESTABLISHED if again else CallResult.REFUSED
+        self.call_result = CallResult.ESTABLISHED if accepted_if_repeated else CallResult.REFUSED
 
 
 class EndpointListing(NamedTuple):
-    """A list or its changes, with the addresses of the endpoints that are listed with one."""
+    """A full list or a delta, and the addresses of its endpoints that have one, by endpoint id."""
 
     version: int
     update: EndpointUpdate
@@ -79,94 +90,99 @@
 
 
 def watch_request(host: str, version: int) -> bytes:
-    """The call that opens a watch for what changes after a version."""
+    """Returns the bytes of the request that watches for changes after a version."""
     return http.request("GET", f"{PATH}?stream=1&index={version}", host)
 
 
 def fetch_request(host: str) -> bytes:
-    """The call for the whole list."""
+    """Returns the bytes of the request for the full list."""
     return http.request("GET", PATH, host)
 
 
 class _EntryReader:
-    """Reads the fields of an entry. Raises UnreadableListError, which names the faulty key."""
+    """Reads and validates the fields of a list entry.
+
+    Its methods raise UnreadableListError, which names the faulty key.
+    """
 
     def __init__(self, value: Any, key: str) -> None:
         if not isinstance(value, dict):
-            raise UnreadableListError(f"{key} is no object")
+            raise UnreadableListError(f"{key} is not an object")
         self._value = value
         self._key = key
 
-    def read(self, name: str, kinds: Any, default: Any = None) -> Any:
-        """A field of these types."""
-        found = self._value.get(name, default)
-        if not isinstance(found, kinds) or isinstance(found, bool):
-            raise UnreadableListError(f"{self._key}.{name} is missing or of a wrong type")
-        return found
-
-    def number(self, name: str, kinds: Any, least: float, most: float, default: float = 0) -> Any:
-        """A number within bounds."""
-        found = self.read(name, kinds, default)
-        if not least <= found <= most:
-            raise UnreadableListError(f"{self._key}.{name} is not from {least} to {most}")
-        return found
+    def read(self, name: str, types: Any, default: Any = None) -> Any:
+        """Returns a field, which must have one of these types."""
+        value = self._value.get(name, default)
+        if not isinstance(value, types) or isinstance(value, bool):
+            raise UnreadableListError(f"{self._key}.{name} is missing or has the wrong type")
+        return value
+
+    def number(
+        self, name: str, types: Any, minimum: float, maximum: float, default: float = 0
+    ) -> Any:
+        """Returns a number, which must be within these limits."""
+        number = self.read(name, types, default)
+        if not minimum <= number <= maximum:
+            raise UnreadableListError(f"{self._key}.{name} is not between {minimum} and {maximum}")
+        return number
 
     def condition(self) -> EndpointCondition:
-        """The endpoint's condition."""
+        """Returns the endpoint's condition."""
         state = self.read("state", str)
         if state not in CONDITIONS:
-            raise UnreadableListError(f"{self._key}.state is not known: {state!r}")
+            raise UnreadableListError(f"{self._key}.state is unknown: {state!r}")
         return CONDITIONS[state]
 
     def address(self, condition: EndpointCondition) -> str:
-        """Where the endpoint listens; one that is gone need not say so."""
+        """Returns where the endpoint listens; empty for one that is gone and has no address."""
         gone = condition == EndpointCondition.GONE
         address: str = self.read("addr", str, "" if gone else None)
-        found = ADDRESS.fullmatch(address)
-        if not gone and not (found and 0 < int(found[1]) <= MOST_PORT):
-            raise UnreadableListError(f"{self._key}.addr is no address with a port")
+        match = ADDRESS.fullmatch(address)
+        if not gone and not (match and 0 < int(match[1]) <= MAX_PORT):
+            raise UnreadableListError(f"{self._key}.addr is not an address with a port")
         return address
 
 
-def _entry(value: Any, at: int, epoch: Ticks) -> tuple[Endpoint, str]:
-    """An endpoint and where it listens."""
-    entry = _EntryReader(value, f"servers.{at}")
+def _entry(value: Any, index: int, epoch: Ticks) -> tuple[Endpoint, str]:
+    """Returns an endpoint and the address where it listens."""
+    entry = _EntryReader(value, f"servers.{index}")
     condition = entry.condition()
     address = entry.address(condition)
-    started = entry.number("started_ms", (int, float), 0, LATEST)
+    started = entry.number("started_ms", (int, float), 0, MAX_UNIX_MILLISECONDS)
     endpoint = Endpoint(
         address=entry.read("id", str),
         zone=entry.read("zone", str, ""),
-        size=float(entry.number("weight", (int, float), *WEIGHTS, 1.0)),
+        size=float(entry.number("weight", (int, float), *WEIGHT_RANGE, 1.0)),
         cell=entry.read("cell", int, 0),
         condition=condition,
         started=int(started * TICKS_PER_MILLISECOND) - epoch if started else 0,
         machine=entry.read("kind", str, ""),
-        build=entry.number("image_id", int, 0, MOST_VERSION),
+        build=entry.number("image_id", int, 0, MAX_VERSION),
     )
     return endpoint, address
 
 
 def read_list(value: Any, epoch: Ticks, kind: UpdateKind | None = None) -> EndpointListing:
-    """The listing of a list's object.
+    """Returns the listing in a decoded JSON object.
 
     Args:
-        value: the object.
-        epoch: Unix time less the monotonic clock.
-        kind: what the list is, if it does not say so itself.
+        value: The object.
+        epoch: The Unix time at the zero of the monotonic clock.
+        kind: The kind of the update; None to read it from the object.
 
     Raises:
-        UnreadableListError: it is no list.
+        UnreadableListError: The object is not a valid list.
     """
     if not isinstance(value, dict) or not isinstance(value.get("servers"), list):
-        raise UnreadableListError("servers is missing or no list")
+        raise UnreadableListError("servers is missing or not a list")
     version = value.get("version")
     full = value.get("full", False)
-    if type(version) is not int or not 0 <= version <= MOST_VERSION:
-        raise UnreadableListError("version is missing or no whole number from 0 on")
+    if type(version) is not int or not 0 <= version <= MAX_VERSION:
+        raise UnreadableListError("version is missing or not an integer from 0 to 2^63 - 1")
     if type(full) is not bool:
-        raise UnreadableListError("full is neither true nor false")
-    entries = [_entry(entry, at, epoch) for at, entry in enumerate(value["servers"])]
+        raise UnreadableListError("full is not a boolean")
+    entries = [_entry(entry, index, epoch) for index, entry in enumerate(value["servers"])]
     kind = kind or (UpdateKind.FULL if full else UpdateKind.DELTA)
     return EndpointListing(
         version,
@@ -176,33 +192,33 @@
 
 
 def merge_deltas(listings: Iterable[EndpointListing]) -> Iterator[EndpointListing]:
-    """Changes that came together as one.
+    """Merges consecutive deltas into one listing each.
 
-    What follows from a list is worked out once, not for each of hundreds. What is wrong behind them
-    takes none of them back.
+    The work that follows an update is then done once, not for each of hundreds of deltas. An error
+    in the input is raised after the listings before it have been yielded.
     """
-    held: list[EndpointListing] = []
-    wrong: Exception | None = None
+    batch: list[EndpointListing] = []
+    failure: Exception | None = None
     try:
         for listing in listings:
-            if held and not listing.update.kind == held[-1].update.kind == UpdateKind.DELTA:
-                yield _one(held)
-                held = []
-            held.append(listing)
+            if batch and not listing.update.kind == batch[-1].update.kind == UpdateKind.DELTA:
+                yield _merged(batch)
+                batch = []
+            batch.append(listing)
     except Exception as error:
-        wrong = error
-    if held:
-        yield _one(held)
-    if wrong:
-        raise wrong
+        failure = error
+    if batch:
+        yield _merged(batch)
+    if failure:
+        raise failure
 
 
-def _one(listings: list[EndpointListing]) -> EndpointListing:
+def _merged(listings: list[EndpointListing]) -> EndpointListing:
     first = listings[0]
     last = listings[-1]
     if first is last:
         return first
-    endpoints = tuple(one for listing in listings for one in listing.update.endpoints)
+    endpoints = tuple(endpoint for listing in listings for endpoint in listing.update.endpoints)
     addresses: dict[str, str] = {}
     for listing in listings:
         addresses.update(listing.addresses)
@@ -210,27 +226,36 @@
 
 
 class ListParser:
-    """The lists of a watch's body: a JSON object on a line, or indented, on several.
-
-    A line that is JSON is read once. Of one that is not, the brackets outside of strings tell
-    whether the object goes on, since no string of JSON spans lines. Each line is looked at once,
-    and the whole object once it is there. One that was cut and goes on with another list is none:
-    what follows would count as its part for ever.
+    """Incremental parser of a watch's body: JSON objects on one line, or indented over several.
+
+    A line that is complete JSON is parsed directly. Otherwise the brackets outside of strings tell
+    whether the object continues, since a JSON string can't span lines. Each line is scanned once,
+    and the object is parsed when it is complete. An object that was cut off and is followed by
+    another list is an error, as all later data would count as part of it.
+
+    Attributes:
+        lines: Splits the body into lines.
+        partial: The lines of an incomplete object; None if there is none.
+        open_brackets: The closing brackets still to come, the next one last.
+        keys: The list keys of the incomplete object so far, to detect a second list.
     """
 
     def __init__(self) -> None:
-        self.lines = http.Lines()
-        self.begun: bytearray | None = None
-        """An object that goes on."""
-        self.closers = bytearray()
-        """The brackets that have to come, the next one last."""
+        self.lines = http.LineSplitter()
+        self.partial: bytearray | None = None
+        self.open_brackets = bytearray()
         self.keys: list[bytes] = []
 
     def feed(self, content: Any) -> Iterator[Any]:
-        """The objects that are complete now, and None for each heartbeat, an empty line."""
+        """Yields the objects that this slice completes, and None for each empty line (heartbeat).
+
+        Raises:
+            UnreadableListError: The body is not JSON, or an object is too large or cut off.
+            MalformedHttpError: A line is too long.
+        """
         for line in self.lines.feed(content):
-            if self.begun is not None:
-                yield from self._go_on(line)
+            if self.partial is not None:
+                yield from self._continue_object(line)
             elif not line.strip():
                 yield None
             else:
@@ -238,44 +263,52 @@
                     yield orjson.loads(line)
                 except orjson.JSONDecodeError as error:
                     if not line.lstrip().startswith(b"{"):
-                        raise UnreadableListError(f"no JSON: {error}") from None
-                    yield from self._go_on(line)
-
-    def _go_on(self, line: bytes) -> Iterator[Any]:
-        self.begun = bytearray() if self.begun is None else self.begun
-        self.begun += line + b"\n"
-        if len(self.begun) > http.MOST_LINE:
-            raise UnreadableListError("a list that is too long")
-        self.keys += KEYS.findall(line)
+                        raise UnreadableListError(f"invalid JSON: {error}") from None
+                    yield from self._continue_object(line)
+
+    def _continue_object(self, line: bytes) -> Iterator[Any]:
+        self.partial = bytearray() if self.partial is None else self.partial
+        self.partial += line + b"\n"
+        if len(self.partial) > http.MAX_LINE_BYTES:
+            raise UnreadableListError("list too long")
+        self.keys += LIST_KEY.findall(line)
         if len(self.keys) > len(set(self.keys)):
-            raise UnreadableListError("a list within another, which was cut")
-        plain = STRINGS.sub(b"", line)
-        if NO_JSON.search(plain):
-            raise UnreadableListError(f"no JSON: {bytes(line[:SHOWN])!r}")
-        for at, bracket in enumerate(BRACKETS.findall(plain)):
-            if bracket in CLOSERS and (self.closers or not at):
-                self.closers += CLOSERS[bracket]
-            elif self.closers[-1:] == bracket:
-                self.closers.pop()
+            raise UnreadableListError("a list was cut off and followed by another one")
+        outside_strings = JSON_STRING.sub(b"", line)
+        if NON_JSON_CHARACTER.search(outside_strings):
+            raise UnreadableListError(f"invalid JSON: {bytes(line[:MAX_QUOTED_BYTES])!r}")
+        for index, bracket in enumerate(JSON_BRACKET.findall(outside_strings)):
+            if bracket in CLOSING_BRACKETS and (self.open_brackets or not index):
+                self.open_brackets += CLOSING_BRACKETS[bracket]
+            elif self.open_brackets[-1:] == bracket:
+                self.open_brackets.pop()
             else:
                 raise UnreadableListError(
-                    f"no JSON: {bytes(line[:SHOWN])!r} closes what is not open"
+                    f"invalid JSON: {bytes(line[:MAX_QUOTED_BYTES])!r} has an unmatched bracket"
                 )
-        if not self.closers:
-            text = bytes(self.begun)
-            self.begun = None
+        if not self.open_brackets:
+            text = bytes(self.partial)
+            self.partial = None
             self.keys = []
             yield parse(text)
 
 
 def parse(text: bytes) -> Any:
-    """The value of a JSON text. Raises UnreadableListError."""
+    """Parses a JSON text.
+
+    Raises:
+        UnreadableListError: The text is not JSON.
+    """
     try:
         return orjson.loads(text)
     except orjson.JSONDecodeError as error:
-        raise UnreadableListError(f"no JSON: {error}") from None
+        raise UnreadableListError(f"invalid JSON: {error}") from None
 
 
 def read_json(text: bytes, epoch: Ticks) -> EndpointListing:
-    """The listing of a JSON text. Raises UnreadableListError."""
+    """Returns the listing in a JSON text.
+
+    Raises:
+        UnreadableListError: The text is not a valid list.
+    """
     return read_list(parse(text), epoch)
--- a/thymeknot/protocol/http.py
+++ b/thymeknot/protocol/http.py
@@ -1,6 +1,6 @@
-"""HTTP/1.1 as a client reads it: an incremental parser of responses and event streams. Pure.
+"""Client side of HTTP/1.1: incremental parsers of responses and of event streams, without I/O.
 
-Sources: RFC 9112 (messages and chunks), the HTML standard (server-sent events).
+Sources: RFC 9112 (messages and chunked coding), the HTML standard (server-sent events).
 """
 
 import re
@@ -8,54 +8,54 @@
 from typing import Any, Final, NamedTuple
 from urllib.parse import urlencode
 
-INTERIM: Final = range(100, 200)
-"""Status codes of interim responses: the final one is yet to come."""
-NO_BODY: Final = (204, 304)
-"""Status codes without a body, whatever their heads say of one."""
-FIELDS: Final = ("", "event", "data", "id", "retry")
-"""Fields of an event; the nameless one is a comment."""
-STATUS: Final = re.compile(r"[0-9]{3}")
-LENGTH: Final = re.compile(r"[0-9]{1,10}")
+INTERIM_STATUSES: Final = range(100, 200)
+"""Status codes of interim responses, which precede the final one."""
+BODILESS_STATUSES: Final = (204, 304)
+"""Status codes of responses without a body, whatever their headers say."""
+EVENT_FIELDS: Final = ("", "event", "data", "id", "retry")
+"""Field names of an event; the empty name marks a comment."""
+STATUS_CODE: Final = re.compile(r"[0-9]{3}")
+CONTENT_LENGTH: Final = re.compile(r"[0-9]{1,10}")
 CHUNK_SIZE: Final = re.compile(rb"[0-9A-Fa-f]{1,8}[ \t]*")
-"""int() would take more than HTTP allows."""
-MOST_EVENT: Final = 64 * 1024
-"""Bytes of an event."""
-MOST_HEAD: Final = 16 * 1024
-"""Bytes of a head, of a chunk's size line and of a trailer line."""
-MOST_LINE: Final = 4 * 1024 * 1024
-"""Bytes of a line of a body: 5,000 endpoints, indented by 4, take 1.45 MB."""
-MOST_BODY: Final = 4 * 1024 * 1024
-"""Bytes of a body or a chunk."""
+"""Checked before int(), which accepts more than HTTP allows (signs, underscores, 0x)."""
+MAX_EVENT_BYTES: Final = 64 * 1024
+"""Maximum size of a server-sent event."""
+MAX_HEAD_BYTES: Final = 16 * 1024
+"""Maximum size of a response head, of a chunk size line and of a trailer line."""
+MAX_LINE_BYTES: Final = 4 * 1024 * 1024
+"""Maximum size of a line of a body: a list of 5,000 endpoints, indented by 4, takes 1.45 MB."""
+MAX_BODY_BYTES: Final = 4 * 1024 * 1024
+"""Maximum size of a body with a length, or of a chunk."""
 
 
 class MalformedHttpError(ValueError):
-    """What came is not HTTP/1.1, or larger than is taken."""
+    """The input is not valid HTTP/1.1, or exceeds a size limit."""
 
 
 class Head(NamedTuple):
-    """The status line and the headers, by lower-case name."""
+    """The status code, and the headers by lower-case name."""
 
     status: int
     headers: dict[str, str]
 
 
 class Body(NamedTuple):
-    """A slice of a body."""
+    """A slice of a response body."""
 
     content: memoryview
 
 
 class End(NamedTuple):
-    """A response is complete; the next one may follow on the connection."""
+    """The end of a response; another one may follow on the connection."""
 
 
 Part = Head | Body | End
 Parsed = tuple[list[Part] | None, int]
-"""Parts found (None if more has to come), and where the rest begins."""
+"""The parts found (None if more input is needed), and the offset of the unparsed rest."""
 
 
 def request(method: str, path: str, host: str, form: Mapping[str, Any] | None = None) -> bytes:
-    """The bytes of a call; a form goes into its body."""
+    """Returns the bytes of a request; a form is URL-encoded into its body."""
     body = urlencode(form).encode() if form is not None else b""
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     if form is not None:
@@ -64,15 +64,25 @@
 
 
 class Parser:
-    """Responses, one after another: a Head, then Body slices, then an End."""
+    """Incremental parser of consecutive responses: for each a Head, Body slices and an End.
+
+    Attributes:
+        rest: Received bytes that are not parsed yet.
+        remaining: Bytes of the current body or chunk that are still to come.
+        state: The method that parses the next part.
+    """
 
     def __init__(self) -> None:
         self.rest = b""
-        self.left = 0
+        self.remaining = 0
         self.state: Callable[[bytes, int], Parsed] = self._head
 
     def feed(self, data: bytes) -> Iterator[Part]:
-        """The parts up to and with this chunk. Raises MalformedHttpError after what was sound."""
+        """Yields the parts that this data completes.
+
+        Raises:
+            MalformedHttpError: Invalid input; the valid parts before it have been yielded.
+        """
         buffer = self.rest + data if self.rest else data
         at = 0
         while True:
@@ -82,28 +92,28 @@
             yield from found
         self.rest = buffer[at:]
 
-    def _line(self, buffer: bytes, at: int, most: int) -> tuple[bytes | None, int]:
-        end = buffer.find(b"\r\n", at, at + most)
-        if end < 0 and len(buffer) - at >= most:
-            raise MalformedHttpError("a line without an end")
+    def _line(self, buffer: bytes, at: int, max_bytes: int) -> tuple[bytes | None, int]:
+        end = buffer.find(b"\r\n", at, at + max_bytes)
+        if end < 0 and len(buffer) - at >= max_bytes:
+            raise MalformedHttpError("line without an end within the size limit")
         return (None, at) if end < 0 else (buffer[at:end], end + 2)
 
     def _head(self, buffer: bytes, at: int) -> Parsed:
-        end = buffer.find(b"\r\n\r\n", at, at + MOST_HEAD)
+        end = buffer.find(b"\r\n\r\n", at, at + MAX_HEAD_BYTES)
         if end < 0:
-            if len(buffer) - at >= MOST_HEAD:
-                raise MalformedHttpError("a head without an end")
+            if len(buffer) - at >= MAX_HEAD_BYTES:
+                raise MalformedHttpError("response head without an end within the size limit")
             return None, at
         head = _read_head(buffer[at:end].decode("latin-1"))
         after = end + len(b"\r\n\r\n")
-        if head.status in INTERIM:
+        if head.status in INTERIM_STATUSES:
             return [], after
         self._expect_body(head)
         return [head], after
 
     def _expect_body(self, head: Head) -> None:
-        """Sets what is read next, by what the head says of the body."""
-        has_body = head.status not in NO_BODY
+        """Selects the next state by how the head delimits the body."""
+        has_body = head.status not in BODILESS_STATUSES
         if has_body and head.headers.get("transfer-encoding", "").lower() == "chunked":
             self.state = self._chunk
             return
@@ -111,57 +121,57 @@
         if length is None:
             self.state = self._until_closed
             return
-        if not LENGTH.fullmatch(length) or int(length) > MOST_BODY:
-            raise MalformedHttpError("a length that is no number, or too large")
-        self.left = int(length)
+        if not CONTENT_LENGTH.fullmatch(length) or int(length) > MAX_BODY_BYTES:
+            raise MalformedHttpError("Content-Length is not a number, or too large")
+        self.remaining = int(length)
         self.state = self._sized
 
-    def closed(self) -> list[Part]:
-        """What the connection's end tells: an End for a response that has no other one."""
+    def end_of_stream(self) -> list[Part]:
+        """Returns the End of a response that only the close of the connection delimits, if any."""
         return [End()] if self.state == self._until_closed else []
 
     def _until_closed(self, buffer: bytes, at: int) -> Parsed:
         return ([Body(memoryview(buffer)[at:])], len(buffer)) if at < len(buffer) else (None, at)
 
     def _sized(self, buffer: bytes, at: int) -> Parsed:
-        if self.left == 0:
+        if self.remaining == 0:
             self.state = self._head
             return [End()], at
-        part = memoryview(buffer)[at : at + self.left]
+        part = memoryview(buffer)[at : at + self.remaining]
         if not part:
             return None, at
-        self.left -= len(part)
+        self.remaining -= len(part)
         return [Body(part)], at + len(part)
 
     def _chunk(self, buffer: bytes, at: int) -> Parsed:
-        line, after = self._line(buffer, at, MOST_HEAD)
+        line, after = self._line(buffer, at, MAX_HEAD_BYTES)
         if line is None:
             return None, at
         size = line.partition(b";")[0]
         if not CHUNK_SIZE.fullmatch(size):
-            raise MalformedHttpError("a chunk without a size")
-        self.left = int(size, 16)
-        if self.left > MOST_BODY:
-            raise MalformedHttpError("a chunk that is too large")
-        self.state = self._in_chunk if self.left else self._trailer
+            raise MalformedHttpError("invalid chunk size")
+        self.remaining = int(size, 16)
+        if self.remaining > MAX_BODY_BYTES:
+            raise MalformedHttpError("chunk too large")
+        self.state = self._in_chunk if self.remaining else self._trailer
         return [], after
 
     def _in_chunk(self, buffer: bytes, at: int) -> Parsed:
-        if self.left == 0:
+        if self.remaining == 0:
             if len(buffer) - at < 2:
                 return None, at
             if buffer[at : at + 2] != b"\r\n":
-                raise MalformedHttpError("a chunk longer than it says")
+                raise MalformedHttpError("chunk data not terminated by CRLF")
             self.state = self._chunk
             return [], at + 2
-        part = memoryview(buffer)[at : at + self.left]
+        part = memoryview(buffer)[at : at + self.remaining]
         if not part:
             return None, at
-        self.left -= len(part)
+        self.remaining -= len(part)
         return [Body(part)], at + len(part)
 
     def _trailer(self, buffer: bytes, at: int) -> Parsed:
-        line, after = self._line(buffer, at, MOST_HEAD)
+        line, after = self._line(buffer, at, MAX_HEAD_BYTES)
         if line is None:
             return None, at
         if line:
@@ -173,63 +183,84 @@
 def _read_head(text: str) -> Head:
     first, *lines = text.split("\r\n")
     words = first.split(" ", 2)
-    if len(words) < 2 or not words[0].startswith("HTTP/1.") or not STATUS.fullmatch(words[1]):
-        raise MalformedHttpError("no status line")
+    if len(words) < 2 or not words[0].startswith("HTTP/1.") or not STATUS_CODE.fullmatch(words[1]):
+        raise MalformedHttpError("no status line of HTTP/1.x")
     fields = (line.partition(":") for line in lines)
     headers = {name.strip().lower(): value.strip() for name, _, value in fields}
     return Head(int(words[1]), headers)
 
 
-class Lines:
-    """The lines of a body that comes in slices."""
+class LineSplitter:
+    """Splits a body that arrives in slices into lines.
 
-    def __init__(self, most: int = MOST_LINE) -> None:
+    Attributes:
+        rest: The incomplete last line.
+        max_bytes: The maximum size of a line.
+    """
+
+    def __init__(self, max_bytes: int = MAX_LINE_BYTES) -> None:
         self.rest = bytearray()
-        self.most = most
+        self.max_bytes = max_bytes
 
     def feed(self, content: Any) -> list[bytes]:
-        """The complete lines up to and with this slice. Raises MalformedHttpError."""
+        """Returns the lines that this slice completes.
+
+        Raises:
+            MalformedHttpError: A line exceeds the maximum size.
+        """
         first, *others = bytes(content).split(b"\n")
-        self.rest += first  # in place: a long line comes in many slices
-        if len(self.rest) > self.most:
-            raise MalformedHttpError("a line that is too long")
+        self.rest += first  # in place, since a long line arrives in many slices
+        if len(self.rest) > self.max_bytes:
+            raise MalformedHttpError("line too long")
         if not others:
             return []
         complete = [bytes(self.rest), *others[:-1]]
         self.rest = bytearray(others[-1])
-        if max(len(self.rest), *map(len, complete)) > self.most:
-            raise MalformedHttpError("a line that is too long")
+        if max(len(self.rest), *map(len, complete)) > self.max_bytes:
+            raise MalformedHttpError("line too long")
         return [line.rstrip(b"\r") for line in complete]
 
 
 class EventStream:
-    """The events of a text/event-stream. A line with only a colon is a heartbeat."""
+    """Incremental parser of a text/event-stream.
 
-    DEFAULT_EVENT = "message"
+    A line that holds only a colon is a comment, which the platform sends as a heartbeat.
+
+    Attributes:
+        event: The type of the event that is being read.
+        data: The data lines of that event.
+        size: The bytes of that event so far.
+    """
+
+    DEFAULT_EVENT_TYPE = "message"
 
     def __init__(self) -> None:
-        self.lines = Lines(MOST_EVENT)
-        self._begin()
+        self.lines = LineSplitter(MAX_EVENT_BYTES)
+        self._reset_event()
 
-    def _begin(self) -> None:
-        self.event = self.DEFAULT_EVENT
+    def _reset_event(self) -> None:
+        self.event = self.DEFAULT_EVENT_TYPE
         self.data: list[str] = []
         self.size = 0
 
     def feed(self, content: Any) -> Iterator[tuple[str, str]]:
-        """The complete events, as (event, data). Raises MalformedHttpError."""
+        """Yields the events that this slice completes, as (type, data).
+
+        Raises:
+            MalformedHttpError: An event is too large, or a line is no field of an event.
+        """
         for line in self.lines.feed(content):
             if not line:
                 if self.data:
                     yield self.event, "\n".join(self.data)
-                self._begin()
+                self._reset_event()
                 continue
             self.size += len(line) + 1
-            if self.size > MOST_EVENT:
-                raise MalformedHttpError("an event without an end")
+            if self.size > MAX_EVENT_BYTES:
+                raise MalformedHttpError("event without an end within the size limit")
             name, _, text = line.decode("utf-8", "replace").partition(":")
-            if name not in FIELDS:
-                raise MalformedHttpError("a line that is no field of an event")
+            if name not in EVENT_FIELDS:
+                raise MalformedHttpError("unknown field in an event")
             text = text[1:] if text.startswith(" ") else text
             if name == "event":
                 self.event = text
--- a/thymeknot/protocol/http_calls.py
+++ b/thymeknot/protocol/http_calls.py
@@ -1,4 +1,4 @@
-"""HTTP calls with one response each, on connections of their own."""
+"""HTTP calls that each use a connection of their own for one request and one response."""
 
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple
@@ -12,20 +12,23 @@
 from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter
 
 MAX_REASON_LENGTH: Final = 200
-"""Characters of a reason: what could not be read may be long."""
+"""Maximum characters of a logged reason, which may quote unreadable input of any length."""
 
 
 class Reply(NamedTuple):
-    """A complete response."""
+    """A complete HTTP response."""
 
     status: int
     body: bytes
 
 
 class Call(WholeWriter, Protocol):
-    """One call on a connection.
+    """The protocol of one call.
 
-    `done` fires with a Reply or a BrokenConnection; then the connection ends.
+    Attributes:
+        done: Fires once with a Reply or a BrokenConnection; None from then on, when the connection
+            is closed.
+        connector: Twisted's connector, set by the caller once it exists.
     """
 
     def __init__(self, request: bytes) -> None:
@@ -47,113 +50,123 @@
             for part in self.parser.feed(data):
                 if self.done is None:
                     return
-                self._part(part)
-        except Exception as error:  # what can't be read ends this connection alone
-            self._finish(self.how_far(f"unreadable: {error}"[:MAX_REASON_LENGTH]))
+                self._handle_part(part)
+        except Exception as error:  # unreadable input must only end this connection
+            self._finish(self.broken_connection(f"unreadable: {error}"[:MAX_REASON_LENGTH]))
 
-    def _part(self, part: http.Part) -> None:
+    def _handle_part(self, part: http.Part) -> None:
         if isinstance(part, http.Head):
             self.status = part.status
         elif isinstance(part, http.Body):
             self.body += part.content
-            if len(self.body) > http.MOST_BODY:
-                raise http.MalformedHttpError("an answer that is too large")
+            if len(self.body) > http.MAX_BODY_BYTES:
+                raise http.MalformedHttpError("response body too large")
         else:
             self._finish(Reply(self.status, bytes(self.body)))
 
     def connect_overdue(self) -> None:
-        """Gives up a connection that did not come up in time."""
+        """Stops connecting if the connection was not established in time."""
         if self.transport is None and self.done is not None:
             self.connector.stopConnecting()
 
     def give_up(self, reason: str) -> None:
-        """Ends the call without a reply."""
+        """Ends the call without a reply, for this reason."""
         if self.transport is None:
             self.connector.stopConnecting()
         else:
-            self._finish(self.how_far(reason))
+            self._finish(self.broken_connection(reason))
 
-    def _finish(self, end: Reply | BrokenConnection) -> None:
+    def _finish(self, result: Reply | BrokenConnection) -> None:
         self.transport.abortConnection()
-        self.broken(end)
+        self.complete(result)
 
-    def broken(self, end: Reply | BrokenConnection) -> None:
-        """Tells the end of the call, once."""
+    def complete(self, result: Reply | BrokenConnection) -> None:
+        """Fires `done` with the result of the call, unless it has fired."""
         done = self.done
         self.done = None
         if done is not None:
-            done.callback(end)
+            done.callback(result)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         if reason.check(ConnectionDone):
-            for part in self.parser.closed():
-                self._part(part)
-        self.broken(self.how_far(reason.getErrorMessage()))
+            for part in self.parser.end_of_stream():
+                self._handle_part(part)
+        self.complete(self.broken_connection(reason.getErrorMessage()))
 
 
 class Connector(ClientFactory):
-    """One attempt to connect; failed(BrokenConnection) where it does not come up."""
+    """Factory for one connection attempt.
+
+    Calls on_failure with a BrokenConnection if the connection can't be established.
+    """
 
     noisy = False
 
-    def __init__(self, made: Protocol, failed: Callable[[BrokenConnection], None]) -> None:
-        self.made = made
-        self.failed = failed
+    def __init__(self, protocol: Protocol, on_failure: Callable[[BrokenConnection], None]) -> None:
+        self.protocol_instance = protocol
+        self.on_failure = on_failure
 
     def buildProtocol(self, address: Any) -> Protocol:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
-        return self.made
+        return self.protocol_instance
 
     def clientConnectionFailed(self, connector: Any, reason: Any) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
-        self.failed(BrokenConnection(NOT_CONNECTED, reason.getErrorMessage()))
+        self.on_failure(BrokenConnection(NOT_CONNECTED, reason.getErrorMessage()))
 
 
 class HttpCaller:
-    """Calls to one address, each on a connection of its own: an idle one may be closed under it."""
+    """Makes calls to one address, each on a new connection: a reused idle one might be closed.
 
-    MOST = 16
-    """Calls at once; the platform holds 32 connections of a sidecar."""
+    Attributes:
+        address: The host and port.
+        host: The value of the Host header.
+        calls_in_flight: The number of calls without a result.
+    """
+
+    MAX_CALLS_IN_FLIGHT = 16
+    """The platform accepts 32 connections from a sidecar."""
 
     def __init__(
-        self, reactor: Any, timers: Any, address: tuple[str, int], connect_within: Ticks
+        self, reactor: Any, timers: Any, address: tuple[str, int], connect_timeout: Ticks
     ) -> None:
         self.reactor = reactor
         self.timers = timers
         self.address = address
-        self.connect_within = connect_within
+        self.connect_timeout = connect_timeout
         self.host = f"{address[0]}:{address[1]}"
         self.calls_in_flight = 0
-        """Calls in flight."""
 
     def dial(
         self,
         protocol: Protocol,
-        failed: Callable[[BrokenConnection], None],
-        late: Callable[[], None],
+        on_failure: Callable[[BrokenConnection], None],
+        on_timeout: Callable[[], None],
     ) -> Any:
-        """Connects; late() is to end what has not come up within the connect timeout."""
+        """Connects; calls on_timeout once the connect timeout is over, connected or not."""
         connector = self.reactor.connectTCP(
-            *self.address, Connector(protocol, failed), timeout=None
+            *self.address, Connector(protocol, on_failure), timeout=None
         )
-        self.timers.add(self.timers.clock() + self.connect_within, late)
+        self.timers.add(self.timers.clock() + self.connect_timeout, on_timeout)
         return connector
 
-    def call(self, request: bytes, within: Ticks) -> Deferred[Reply | BrokenConnection]:
-        """The Deferred fires with a Reply or a BrokenConnection within the time."""
-        if self.calls_in_flight >= self.MOST:
+    def call(self, request: bytes, timeout: Ticks) -> Deferred[Reply | BrokenConnection]:
+        """Returns a Deferred that fires with a Reply or a BrokenConnection within the timeout."""
+        if self.calls_in_flight >= self.MAX_CALLS_IN_FLIGHT:
             return succeed(BrokenConnection(NOT_CONNECTED, "too many calls at once"))
         call = Call(request)
         done = call.done
         assert done is not None  # a new call has not ended
         self.calls_in_flight += 1
-        call.connector = self.dial(call, call.broken, call.connect_overdue)
-        late = self.timers.add(self.timers.clock() + within, call.give_up, "no answer in time")
+        call.connector = self.dial(call, call.complete, call.connect_overdue)
+        timeout_timer = self.timers.add(
+            self.timers.clock() + timeout, call.give_up, "no answer in time"
+        )
 
-        def finished(end: Reply | BrokenConnection) -> Reply | BrokenConnection:
+        def finished(result: Reply | BrokenConnection) -> Reply | BrokenConnection:
             self.calls_in_flight -= 1
-            self.timers.cancel(late)
-            return end
+            self.timers.cancel(timeout_timer)
+            return result
 
         return done.addCallback(finished)
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -1,4 +1,7 @@
-"""A connection to an endpoint: one attempt at a time, whose end is a value and never raised."""
+"""A connection to an endpoint, which carries one attempt at a time.
+
+An attempt's result is always a value; failures are not raised.
+"""
 
 import socket
 from collections.abc import Callable
@@ -10,66 +13,79 @@
 from . import resp
 from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter, is_receive_buffer_empty
 
-MOST_VALUE: Final = 512 * 1024
-"""Bytes of a value: 64 KiB by the protocol; endpoints were seen to send up to 400,000."""
-MOST_ANSWER: Final = MOST_VALUE + 64 * 1024
-"""Bytes of all parts of a response: what goes on beyond that has no end."""
-MOST_REPORT: Final = 4 * 1024
-"""Bytes of a load report: to read a longer one would hold up all others."""
-PARTS: Final = 3
-"""Of a good response: the value, null, the load report or null."""
+MAX_VALUE_BYTES: Final = 512 * 1024
+"""Maximum size of a value: the protocol allows 64 KiB, but endpoints sent up to 400,000 bytes."""
+MAX_RESPONSE_BYTES: Final = MAX_VALUE_BYTES + 64 * 1024
+"""Maximum size of a whole response; a larger one is treated as endless."""
+MAX_LOAD_REPORT_BYTES: Final = 4 * 1024
+"""Maximum size of a load report: parsing a longer one would block the event loop for too long."""
+RESPONSE_LENGTH: Final = 3
+"""Elements of a successful response: the value, null, and the load report or null."""
 
 
 class PodResponse(NamedTuple):
-    """What an endpoint answered: its value and its load report, or the text of its failure."""
+    """An endpoint's response: a value with an optional load report, or the text of an error."""
 
     value: memoryview | None
     report: bytes | None
     failure: str | None
 
 
-def read_answer(message: Any) -> PodResponse | None:
-    """The response, or None where the message is none that an endpoint gives."""
+def read_response(message: Any) -> PodResponse | None:
+    """Returns the response in a RESP message, or None where the message is no valid response."""
     if isinstance(message, resp.Failure):
         return PodResponse(None, None, message.text)
     if isinstance(message, list) and message and isinstance(message[0], memoryview):
-        report = message[2] if len(message) == PARTS else None
-        if isinstance(report, memoryview) and len(report) <= MOST_REPORT:
+        report = message[2] if len(message) == RESPONSE_LENGTH else None
+        if isinstance(report, memoryview) and len(report) <= MAX_LOAD_REPORT_BYTES:
             return PodResponse(message[0], bytes(report), None)
         return PodResponse(message[0], None, None)
     return None
 
 
-def nothing(*_: Any) -> None:
-    """For an attempt of which nobody asks to hear when its response begins."""
+def ignore(*_: Any) -> None:
+    """Does nothing: the default callback for the start of a response."""
 
 
-class AnswerParser(resp.Parser):
-    """For responses: an array has no arrays in it.
+class ResponseParser(resp.Parser):
+    """Parser of endpoints' responses: rejects nested arrays.
 
-    Otherwise few bytes would have the parser go through many parts again and again.
+    Without this limit few bytes would make the parser visit many elements again for each chunk.
     """
 
     def _array(self, buffer: bytes, at: int, length: int, depth: int) -> tuple[Any, int]:
         if depth:
-            raise resp.MalformedRespError("an array in an answer")
+            raise resp.MalformedRespError("nested array in an answer")
         return super()._array(buffer, at, length, depth)
 
 
 class PodConnection(WholeWriter, Protocol):
     """One connection to an endpoint.
 
-    Its owner is told of made(connection), ready(connection), ending(connection) and
-    lost(connection), and of fault(where, error).
+    Its owner is called with connection_made(connection), connection_ready(connection) after a
+    response that leaves it reusable, connection_closing(connection) and
+    connection_lost(connection), and with fault(where, error) for an unexpected exception.
+
+    Attributes:
+        owner: The connection pools, which are notified as described above.
+        connector: The factory that made this connection.
+        parser: Parses the responses.
+        pending_response: Fires with the result of the current attempt; None if there is none.
+        begun: Called when a response has begun to arrive.
+        given_up: Whether the attempt has been given up, and the sending side is shut down.
+        slot: Set by the owner: the connection's key in its table.
+        last_used_at: Set by the owner: when the connection became idle.
+        reusable_at: Set by the owner: the earliest time of the next attempt.
+        timers: Set by the owner: timers to cancel when the connection is lost.
+        attempt: Set by the owner: the current attempt.
     """
 
     def __init__(self, owner: Any, connector: "PodConnector") -> None:
         self.owner = owner
         self.connector = connector
-        self.parser: resp.Parser = AnswerParser(MOST_VALUE)
+        self.parser: resp.Parser = ResponseParser(MAX_VALUE_BYTES)
         self.pending_response: Deferred[PodResponse | BrokenConnection] | None = None
-        """Fires with the end of the attempt that is out."""
-        self.begun: Callable[[], None] = nothing
+        self.begun: Callable[[], None] = ignore
         self.given_up = False
         self.slot: Any = None
         self.last_used_at: Any = None
@@ -83,107 +99,112 @@
         self.owner.connection_made(self)
 
     def is_clean(self) -> bool:
-        """Whether nothing has come since the last response: no second copy of it, and no end."""
+        """Returns whether neither data nor a close has arrived since the last response."""
         return is_receive_buffer_empty(self.transport)
 
     def is_self_connected(self) -> bool:
-        """Whether both ends are this one.
+        """Returns whether the connection is connected to itself.
 
-        Where nobody listens, the operating system may dial from the very port that it dials; what
-        is written comes back then, and reads as a response.
+        If nothing listens on a port of this machine, the kernel may choose that port as the source
+        of the connection (TCP simultaneous open). Whatever is written then comes back, and would be
+        read as a response.
         """
         try:
             return bool(self.transport.getHost() == self.transport.getPeer())
-        except (OSError, TypeError):  # it has gone already, or has no address of its own
+        except (OSError, TypeError):  # already closed, or the transport has no addresses
             return False
 
     def send_command(
-        self, words: list[bytes], begun: Callable[[], None] = nothing
+        self, words: list[bytes], on_response_started: Callable[[], None] = ignore
     ) -> "Deferred[PodResponse | BrokenConnection]":
-        """Sends a command. The Deferred fires with a PodResponse or a BrokenConnection.
+        """Sends a command and returns a Deferred of a PodResponse or a BrokenConnection.
 
-        begun() is called before that, where a response comes in part or can't be read: the endpoint
-        has written it.
+        Args:
+            words: The words of the command.
+            on_response_started: Called before the Deferred fires, once a response has arrived in
+                part or is unreadable: the endpoint has begun to write it, so it has executed the
+                request.
         """
-        waiting: Deferred[PodResponse | BrokenConnection] = Deferred()
-        self.pending_response = waiting
-        self.begun = begun
+        pending: Deferred[PodResponse | BrokenConnection] = Deferred()
+        self.pending_response = pending
+        self.begun = on_response_started
         self.write_whole(resp.command(words))
-        return waiting
+        return pending
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         try:
             self._read(data)
-        except Exception as error:  # a fault here must cost this connection alone
+        except Exception as error:  # a bug here must only cost this connection
             self.owner.fault("pod connection", error)
             self.drop("fault")
 
     def _read(self, data: bytes) -> None:
-        messages, fault = self._parse(data)
+        messages, error = self._parse(data)
         if self.pending_response is None or not self.written:
-            self.drop("an answer that nothing asked for")
+            self.drop("unsolicited answer")
             return
-        answer = read_answer(messages[0]) if messages else None
-        if answer is not None:
-            more = fault is not None or len(messages) > 1
-            self._answered(self.pending_response, answer, more)
+        response = read_response(messages[0]) if messages else None
+        if response is not None:
+            excess_data = error is not None or len(messages) > 1
+            self._complete(self.pending_response, response, excess_data)
             return
         if not self.parser.begins_with(b"-"):
-            begun = self.begun
-            self.begun = nothing
-            begun()
-        if fault or messages:
-            self.drop(fault or "unreadable answer")
+            on_response_started = self.begun
+            self.begun = ignore
+            on_response_started()
+        if error or messages:
+            self.drop(error or "unreadable answer")
 
     def _parse(self, data: bytes) -> tuple[list[Any], str | None]:
-        """The messages that are complete now, and what is wrong behind them."""
+        """Returns the messages that this data completes, and the error after them, if any."""
         messages: list[Any] = []
-        fault = None
+        error = None
         try:
             messages += self.parser.feed(data)
-        except resp.MalformedRespError as error:
-            fault = f"unreadable answer: {error}"
-        if self.parser.held > MOST_ANSWER:
-            fault = fault or f"an answer of over {MOST_ANSWER} bytes"
-        if fault:  # what is wrong behind a complete value does not make it another one
-            messages = messages or [[value] for value in self.parser.first_part()]
-        return messages, fault
-
-    def _answered(
+        except resp.MalformedRespError as malformed:
+            error = f"unreadable answer: {malformed}"
+        if self.parser.held > MAX_RESPONSE_BYTES:
+            error = error or f"answer larger than {MAX_RESPONSE_BYTES} bytes"
+        if error:  # an error after a complete value does not invalidate the value
+            messages = messages or [[value] for value in self.parser.first_element()]
+        return messages, error
+
+    def _complete(
         self,
-        waiting: "Deferred[PodResponse | BrokenConnection]",
-        answer: PodResponse,
-        more: bool,
+        pending: "Deferred[PodResponse | BrokenConnection]",
+        response: PodResponse,
+        excess_data: bool,
     ) -> None:
-        """Tells the response; the connection is used again if nothing else came."""
+        """Reports the response; the connection can be reused if nothing else has arrived."""
         self.pending_response = None
-        # A late response tells nevertheless that the request ran.
+        # Even a late response is reported, since it proves that the request was executed.
         try:
-            if self.given_up or more or self.parser.held or not self.is_clean():
-                self.drop("more came than was asked for, or the end")
+            if self.given_up or excess_data or self.parser.held or not self.is_clean():
+                self.drop("data after the answer, or closed by the endpoint")
             else:
-                self.begun = nothing  # an idle connection keeps nothing of what was answered
+                self.begun = ignore  # an idle connection must not keep the attempt alive
                 self.owner.connection_ready(self)
-        finally:  # whatever befalls the connection, this was answered
-            waiting.callback(answer)
+        finally:  # the response counts, whatever happens to the connection
+            pending.callback(response)
 
     def drop(self, reason: str) -> None:
-        """Ends the connection; an attempt still waiting on it has failed."""
-        # It is lost a turn of the event loop later: nothing is written to it until then.
+        """Aborts the connection; an attempt without a response fails."""
+        # connectionLost follows a turn of the event loop later; nothing may be written until then.
         self.owner.connection_closing(self)
         self.transport.abortConnection()
-        self._broken(reason)
-        # What was read and carried is not kept for as long as a closed connection is known.
+        self._fail(reason)
+        # Frees buffers and the attempt, since the closed connection may be referenced for longer.
         self.parser = resp.Parser(0)
-        self.begun = nothing
+        self.begun = ignore
         self.attempt = None
 
     def give_up(self) -> None:
-        """Ends the attempt at once, since another may be written next.
+        """Gives up the attempt at once, since another one may be written next.
 
-        An attempt is out while its connection is open for sending. What is on its way back is still
-        read, for as long as the owner lets it.
+        An attempt counts as in flight while its connection is open for sending, so the sending side
+        is shut down. A response that is on its way is still read, until the owner closes the
+        connection.
         """
         self.given_up = True
         if not self.written:
@@ -194,26 +215,33 @@
         except OSError:
             self.drop("given up")
 
-    def _broken(self, reason: str) -> None:
-        waiting = self.pending_response
+    def _fail(self, reason: str) -> None:
+        pending = self.pending_response
         self.pending_response = None
-        if waiting is not None:
-            waiting.callback(self.how_far(reason))
+        if pending is not None:
+            pending.callback(self.broken_connection(reason))
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.owner.connection_lost(self)
-        waiting = self.pending_response
-        if waiting is not None and self.written:
-            # Complete, and cut behind it: as where something wrong follows.
-            for value in self.parser.first_part():
+        pending = self.pending_response
+        if pending is not None and self.written:
+            # The value was complete and the rest was cut off: handled like an error after it.
+            for value in self.parser.first_element():
                 self.pending_response = None
-                waiting.callback(PodResponse(value, None, None))
-        self._broken(reason.getErrorMessage())
+                pending.callback(PodResponse(value, None, None))
+        self._fail(reason.getErrorMessage())
 
 
 class PodConnector(ClientFactory):
-    """One attempt to connect; where it fails, the Deferred fires with a BrokenConnection."""
+    """Factory for one connection attempt.
+
+    Attributes:
+        owner: The owner of the connection.
+        pool: Set by the owner: the pool that the connection is for.
+        failed: Fires with a BrokenConnection if the connection can't be established.
+        deadline: Set by the owner: the timer of the connect timeout.
+    """
 
     noisy = False
 
--- a/thymeknot/protocol/resp.py
+++ b/thymeknot/protocol/resp.py
@@ -1,67 +1,77 @@
-"""RESP2: an incremental parser that hands out slices of what was read, and writers. Pure.
+"""RESP2: an incremental zero-copy parser, and serializers. No I/O.
 
-Source: the RESP2 specification; the limits are those of the users' protocol.
+Source: the RESP2 specification; the limits are those of the client protocol.
 """
 
 from collections.abc import Iterator
 from typing import Any, Final, NamedTuple
 
-MOST_BULK: Final = 64 * 1024
-"""Bytes of a value, by the protocol."""
-MOST_PARTS: Final = 64
-"""Elements of an array."""
-MOST_DEPTH: Final = 4
-"""Arrays within arrays."""
-MOST_LINE: Final = 4 * 1024
-"""Bytes of a line."""
-MOST_DIGITS: Final = 18
-"""Digits of a length or an integer: more would not fit into 63 bits."""
+MAX_BULK_BYTES: Final = 64 * 1024
+"""Maximum size of a bulk string in the client protocol."""
+MAX_ARRAY_LENGTH: Final = 64
+"""Maximum number of elements of an array."""
+MAX_ARRAY_DEPTH: Final = 4
+"""Maximum nesting of arrays."""
+MAX_LINE_BYTES: Final = 4 * 1024
+"""Maximum size of a line."""
+MAX_DIGITS: Final = 18
+"""Maximum digits of a length or an integer; any such number fits into 63 bits."""
 STATUS: Final = ord("+")
 FAILURE: Final = ord("-")
 INTEGER: Final = ord(":")
 BULK_STRING: Final = ord("$")
 NULL_LENGTH: Final = -1
 INCOMPLETE: Final = object()
-"""Stands for a message of which more has to come."""
+"""Marks a message that needs more input."""
 
 
 class MalformedRespError(ValueError):
-    """Not RESP2, or larger than the protocol allows: where the next message begins is unknown."""
+    """The input is not RESP2, or exceeds a limit.
+
+    The start of the next message is unknown, so parsing can't continue.
+    """
 
 
 class Status(NamedTuple):
-    """A simple string."""
+    """A simple string, such as +OK."""
 
     text: str
 
 
 class Failure(NamedTuple):
-    """An error line."""
+    """An error reply."""
 
     text: str
 
 
 class Parser:
-    """Takes what was read and gives complete messages.
+    """Incremental parser of messages.
 
     A message is a memoryview for a bulk string, None for a null, an int, a Status, a Failure, or a
-    list of these. Each slice keeps the chunk that it lies in.
+    list of these. A memoryview keeps the received chunk that it refers to alive.
+
+    Attributes:
+        chunks: Received data that is not parsed yet.
+        held: The total size of `chunks`.
+        needed: The minimum size that `chunks` must reach before the next message can be complete.
+        max_bulk_bytes: The maximum size of a bulk string.
     """
 
-    def __init__(self, most: int = MOST_BULK) -> None:
+    def __init__(self, max_bulk_bytes: int = MAX_BULK_BYTES) -> None:
         self.chunks: list[bytes] = []
         self.held = 0
         self.needed = 0
-        self.most = most
+        self.max_bulk_bytes = max_bulk_bytes
 
     def feed(self, data: bytes) -> Iterator[Any]:
-        """The complete messages up to and with this chunk.
+        """Yields the messages that this chunk completes.
 
-        A generator: MalformedRespError comes after the messages before the fault.
+        Raises:
+            MalformedRespError: Invalid input; the valid messages before it have been yielded.
         """
         self.chunks.append(data)
         self.held += len(data)
-        if self.held < self.needed:  # a long value is not joined again with each piece of it
+        if self.held < self.needed:  # avoids joining a long value again for each chunk
             return
         buffer = data if len(self.chunks) == 1 else b"".join(self.chunks)
         at = 0
@@ -78,30 +88,30 @@
         self.held = len(buffer) - at
 
     def begins_with(self, kind: bytes) -> bool:
-        """Whether a message of this kind has come in part."""
+        """Returns whether an incomplete message of this type, given by its first byte, is held."""
         return bool(self.chunks) and self.chunks[0][:1] == kind
 
-    def first_part(self) -> Iterator[memoryview]:
-        """The first string of an array that is wrong behind it; none where it is not complete."""
+    def first_element(self) -> Iterator[memoryview]:
+        """Yields the first string of an incomplete or malformed array, if it is complete."""
         buffer = b"".join(self.chunks)
         if buffer[:1] == b"*":
             try:
-                part, _ = self._message(buffer, self._line(buffer, 0)[1], 1)
+                element, _ = self._message(buffer, self._line(buffer, 0)[1], 1)
             except MalformedRespError:
                 return
-            if isinstance(part, memoryview):
-                yield part
+            if isinstance(element, memoryview):
+                yield element
 
     def _line(self, buffer: bytes, at: int) -> tuple[bytes | None, int]:
-        found = buffer.find(b"\r\n", at, at + MOST_LINE)
+        found = buffer.find(b"\r\n", at, at + MAX_LINE_BYTES)
         if found < 0:
-            if len(buffer) - at >= MOST_LINE:
+            if len(buffer) - at >= MAX_LINE_BYTES:
                 raise MalformedRespError("a line without an end")
             return None, len(buffer) + 1
         return buffer[at + 1 : found], found + 2
 
     def _message(self, buffer: bytes, at: int, depth: int) -> tuple[Any, int]:
-        """The message here and where it ends, or INCOMPLETE and how far it goes at least."""
+        """Returns the message at an offset and its end, or INCOMPLETE and its minimum end."""
         if at >= len(buffer):
             return INCOMPLETE, at + 1
         kind = buffer[at]
@@ -113,12 +123,12 @@
         if kind in (STATUS, FAILURE):
             text = line.decode("utf-8", "replace")
             return (Status(text) if kind == STATUS else Failure(text)), end
-        return self._counted(buffer, end, kind, self._number(line), depth)
+        return self._numbered(buffer, end, kind, self._number(line), depth)
 
-    def _counted(
+    def _numbered(
         self, buffer: bytes, end: int, kind: int, number: int, depth: int
     ) -> tuple[Any, int]:
-        """What begins with a number: an integer, a null, a bulk string or an array."""
+        """Returns a message that starts with a number: integer, null, bulk string or array."""
         if kind == INTEGER:
             return number, end
         if number == NULL_LENGTH:
@@ -131,13 +141,13 @@
 
     def _number(self, line: bytes) -> int:
         digits = line[1:] if line[:1] == b"-" else line
-        if not digits.isdigit() or len(digits) > MOST_DIGITS:
+        if not digits.isdigit() or len(digits) > MAX_DIGITS:
             raise MalformedRespError("a length that is no number")
         return int(line)
 
     def _bulk(self, buffer: bytes, at: int, length: int) -> tuple[Any, int]:
-        if length > self.most:
-            raise MalformedRespError(f"a value of {length} bytes, over {self.most}")
+        if length > self.max_bulk_bytes:
+            raise MalformedRespError(f"a value of {length} bytes, over {self.max_bulk_bytes}")
         end = at + length + 2
         if len(buffer) < end:
             return INCOMPLETE, end
@@ -146,19 +156,19 @@
         return memoryview(buffer)[at : end - 2], end
 
     def _array(self, buffer: bytes, at: int, length: int, depth: int) -> tuple[Any, int]:
-        if length > MOST_PARTS or depth >= MOST_DEPTH:
+        if length > MAX_ARRAY_LENGTH or depth >= MAX_ARRAY_DEPTH:
             raise MalformedRespError("an array of too many parts")
-        parts = []
+        elements = []
         for _ in range(length):
-            part, at = self._message(buffer, at, depth + 1)
-            if part is INCOMPLETE:
+            element, at = self._message(buffer, at, depth + 1)
+            if element is INCOMPLETE:
                 return INCOMPLETE, at
-            parts.append(part)
-        return parts, at
+            elements.append(element)
+        return elements, at
 
 
 def command(words: Any) -> bytes:
-    """An array of bulk strings."""
+    """Serializes a command: an array of bulk strings."""
     pieces = [b"*%d\r\n" % len(words)]
     for word in words:
         pieces += (b"$%d\r\n" % len(word), word, b"\r\n")
@@ -166,15 +176,15 @@
 
 
 def value(content: Any) -> bytes:
-    """A bulk string: the one copy of a slice, since the transport takes bytes alone."""
+    """Serializes a bulk string; copies the content once, since the transport only takes bytes."""
     return b"".join((b"$%d\r\n" % len(content), content, b"\r\n"))
 
 
 def status(text: str) -> bytes:
-    """A simple string."""
+    """Serializes a simple string."""
     return b"+%s\r\n" % text.encode()
 
 
 def failure(text: str) -> bytes:
-    """An error line."""
+    """Serializes an error; line breaks in its text become spaces."""
     return b"-%s\r\n" % " ".join(text.split()).encode()
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -1,4 +1,4 @@
-"""Responses that stay open: a stream, and what keeps one standing."""
+"""Long-lived response streams, and their supervision: reconnecting and detecting silence."""
 
 from collections.abc import Callable
 from typing import Any, Final
@@ -20,10 +20,19 @@
 
 
 class Stream(Protocol):
-    """Asks once and hands on what comes until the connection ends; writes nothing more.
-
-    read(content) tells whether there was a heartbeat in it: a byte alone is none, since half a line
-    may never end.
+    """One stream: sends a request and passes on the response body until the connection ends.
+
+    Attributes:
+        request: The bytes of the request.
+        read: Handles a slice of the body; returns whether a heartbeat was complete in it. Any byte
+            is not enough, since a line may never be completed.
+        owner: The supervisor of the stream.
+        caller: The address.
+        requested_at: When the connection attempt began.
+        parser: Parses the response.
+        status_ok: Whether the status is 200.
+        over: Whether the connection is lost, or was never established.
+        connector: Twisted's connector, set by the owner once it exists.
     """
 
     transport: Any
@@ -35,16 +44,15 @@
         self.read = read
         self.owner = owner
         self.caller = owner.caller
-        self.asked_at: Ticks = owner.timers.clock()
+        self.requested_at: Ticks = owner.timers.clock()
         self.parser = http.Parser()
-        self.good = False
-        """Whether the status is 200."""
+        self.status_ok = False
         self.over = False
         self.connector: Any = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
-        if not self.owner.has(self):  # given up while it was on its way
+        if not self.owner.tracks(self):  # given up while connecting
             self.transport.abortConnection()
             return
         self.owner.connected(self)
@@ -55,31 +63,31 @@
         """Called by Twisted."""
         try:
             for part in self.parser.feed(data):
-                if not self._take(part):
+                if not self._handle_part(part):
                     self.drop()
                     return
-        except Exception as error:  # what can't be read ends this connection alone
+        except Exception as error:  # unreadable input must only end this connection
             self.owner.ended(
                 self,
                 f"unreadable: {error}"[:MAX_REASON_LENGTH],
-                how=getattr(error, "how", CallResult.MALFORMED),
+                result=getattr(error, "call_result", CallResult.MALFORMED),
             )
             self.drop()
 
-    def _take(self, part: http.Part) -> bool:
-        """Whether the stream goes on after this part."""
-        if not self.owner.has(self):
+    def _handle_part(self, part: http.Part) -> bool:
+        """Handles a part of the response; returns whether the stream continues."""
+        if not self.owner.tracks(self):
             return False
         if isinstance(part, http.Head):
-            self.good = part.status == HTTP_OK
-            if not self.good:
+            self.status_ok = part.status == HTTP_OK
+            if not self.status_ok:
                 self.owner.ended(self, f"status {part.status}")
-            return self.good
+            return self.status_ok
         if isinstance(part, http.End):
-            self.owner.ended(self, "the answer ended")
+            self.owner.ended(self, "the response ended")
             return False
         if self.read(part.content):
-            self.owner.heard(self)
+            self.owner.heartbeat_received(self)
         return True
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
@@ -88,17 +96,17 @@
         self.owner.ended(self, reason.getErrorMessage())
 
     def not_connected(self, broken: BrokenConnection) -> None:
-        """The connection did not come up."""
+        """The connection could not be established."""
         self.over = True
-        self.owner.ended(self, broken.reason, how=CallResult.LOST)
+        self.owner.ended(self, broken.reason, result=CallResult.LOST)
 
     def connect_overdue(self) -> None:
-        """Gives up a connection that did not come up in time."""
+        """Stops connecting if the connection was not established in time."""
         if self.transport is None:
             self.drop()
 
     def drop(self) -> None:
-        """Ends the connection, whatever it is doing."""
+        """Aborts the connection or the connection attempt."""
         if self.over:
             return
         if self.transport is None:
@@ -108,180 +116,204 @@
 
 
 class WatchStream:
-    """Keeps one stream standing: asks again, spread by chance, when it ends or falls silent.
-
-    One that connects and says nothing for as long as a first word takes is given up, and the next
-    one gets twice as long, up to the time of silence: a slow peer is heard in the end. Where asking
-    is free the next one is asked for at once, since none stands beside it that could bring what
-    comes when the peer speaks again.
-
-    A silent stream, or one at a former address, is kept until the one that was asked for beside it
-    speaks: a link that was cut may come back, and what is told meanwhile may not be told again.
-
-    How long it waits between two requests is the AdaptiveInterval's decision: a service that takes
-    few calls from all answers nobody while each asks again within a second.
+    """Keeps one stream open: requests it again, with jitter, when it ends or falls silent.
+
+    A stream that connects but sends no data within the first-data timeout is given up. The timeout
+    doubles with each such stream in a row, up to the silence timeout, so that a slow peer gets
+    through in the end. If the peer is dedicated to this sidecar, the next stream is requested at
+    once: otherwise no connection would be open on which the peer could report what it learns next.
+
+    A silent stream, or one to a former address, is kept until its replacement has sent data: a
+    broken link may recover, and what the old stream delivers meanwhile may not be repeated.
+
+    The AdaptiveInterval chooses the time between two requests: a shared service with a low rate
+    limit would serve nobody if each sidecar retried within a second.
+
+    Attributes:
+        caller: The present address.
+        timers: The timer queue.
+        silence_timeout: A stream without a heartbeat for this long counts as broken.
+        first_data_timeout: The initial timeout of a stream's first data.
+        dedicated: Whether the peer serves this sidecar alone, so that requests cost nothing.
+        make_request: Returns the bytes of the request.
+        make_reader: Returns the function that reads a stream's body.
+        log: Takes a log event and its fields.
+        interval: Chooses the time between two requests.
+        silent_attempts: How many streams in a row sent no data.
+        current: The stream in use.
+        pending: The requested stream that has not sent data yet.
+        last_heartbeat: When the current stream sent its last heartbeat.
+        first_data_timer: The timer of the pending stream's first data.
+        retry_timer: The timer of the next request.
+        silence_timer: The timer of the next check for silence.
     """
 
     MAX_DOUBLINGS = 10
-    """Of the time for a first word."""
+    """Maximum number of times that the first-data timeout is doubled."""
 
     def __init__(  # noqa: PLR0917 (callers pass them by position)
         self,
         caller: HttpCaller,
         random_source: Any,
-        silence: Ticks,
-        ask: Callable[[], bytes],
+        silence_timeout: Ticks,
+        make_request: Callable[[], bytes],
         make_reader: Callable[[], Callable[[memoryview], bool]],
         log: Callable[..., None],
-        first: Ticks | None = None,
+        first_data_timeout: Ticks | None = None,
         dedicated: bool = False,
     ) -> None:
-        """Nothing is asked until `start`.
+        """Sends no request before `start` or `start_spread`.
 
         Args:
-            caller: the address.
-            random_source: spreads the requests.
-            silence: after so long without a heartbeat the stream is broken.
-            ask: gives the bytes to ask with.
-            make_reader: gives what reads a stream: content to whether a heartbeat was in it.
-            log: takes an event and its fields.
-            first: within so long a first word has come; `silence` if None.
-            dedicated: whether the peer serves this sidecar alone, at no cost.
+            caller: The address.
+            random_source: The source of the jitter.
+            silence_timeout: A stream without a heartbeat for this long counts as broken.
+            make_request: Returns the bytes of the request.
+            make_reader: Returns a function that reads a slice of a stream's body, and returns
+                whether a heartbeat was complete in it.
+            log: Takes a log event and its fields.
+            first_data_timeout: The initial timeout of a stream's first data; `silence_timeout` if
+                None.
+            dedicated: Whether the peer serves this sidecar alone, so that requests cost nothing.
         """
         self.caller = caller
         self.timers = caller.timers
-        self.silence = silence
-        self.first: Ticks = first or silence
+        self.silence_timeout = silence_timeout
+        self.first_data_timeout: Ticks = first_data_timeout or silence_timeout
         self.dedicated = dedicated
-        self.ask = ask
+        self.make_request = make_request
         self.make_reader = make_reader
         self.log = log
-        longest = MAX_DEDICATED_INTERVAL if dedicated else MAX_INTERVAL
-        self.pace = AdaptiveInterval(random_source.draw, longest)
-        self.quiet = 0
-        """How many streams in a row said nothing."""
+        max_interval = MAX_DEDICATED_INTERVAL if dedicated else MAX_INTERVAL
+        self.interval = AdaptiveInterval(random_source.draw, max_interval)
+        self.silent_attempts = 0
         self.current: Stream | None = None
-        """The one that stands."""
-        self.asked: Stream | None = None
-        """The one that was asked for and has not spoken."""
-        self.last: Ticks = 0
-        """When the stream spoke last."""
-        self.due: int | None = None
-        """The timer of a first word."""
-        self.again: int | None = None
-        """The timer of the next request."""
-        self.look: int | None = None
-        """The timer of the next look for silence."""
-
-    def start_spread(self, asking: int) -> None:
-        """Asks for the first time while so many others may do the same."""
-        self.again = self.timers.add(
-            self.timers.clock() + self.pace.first(asking), self._start_if_needed
+        self.pending: Stream | None = None
+        self.last_heartbeat: Ticks = 0
+        self.first_data_timer: int | None = None
+        self.retry_timer: int | None = None
+        self.silence_timer: int | None = None
+
+    def start_spread(self, instances: int) -> None:
+        """Schedules the first request, with jitter for so many instances that start at once."""
+        self.retry_timer = self.timers.add(
+            self.timers.clock() + self.interval.first(instances), self._start_if_needed
         )
 
     def start(self) -> None:
-        """Asks for a stream; until it speaks it is not the one that stands."""
-        self.again = None
-        asked = Stream(self.ask(), self.make_reader(), self)
-        self.asked = asked
-        asked.connector = self.caller.dial(asked, asked.not_connected, asked.connect_overdue)
-
-    def connected(self, asked: Stream) -> None:
-        """A stream's connection is up: its first word is awaited from now on."""
-        patient = self.first << min(self.quiet, self.MAX_DOUBLINGS)
-        within = min(patient, max(self.first, self.silence))
-        self.timers.cancel(self.due)
-        self.due = self.timers.add(self.timers.clock() + within, self._first_data_overdue, asked)
+        """Requests a stream, which becomes the current one once it has sent data."""
+        self.retry_timer = None
+        stream = Stream(self.make_request(), self.make_reader(), self)
+        self.pending = stream
+        stream.connector = self.caller.dial(stream, stream.not_connected, stream.connect_overdue)
+
+    def connected(self, stream: Stream) -> None:
+        """Starts the first-data timeout of a stream whose connection is established."""
+        doubled = self.first_data_timeout << min(self.silent_attempts, self.MAX_DOUBLINGS)
+        timeout = min(doubled, max(self.first_data_timeout, self.silence_timeout))
+        self.timers.cancel(self.first_data_timer)
+        self.first_data_timer = self.timers.add(
+            self.timers.clock() + timeout, self._first_data_overdue, stream
+        )
 
     def move(self, caller: HttpCaller) -> None:
-        """Asks at another address from now on; refusals at the former one count no more."""
-        self.pace = AdaptiveInterval(self.pace.draw, self.pace.longest)
+        """Switches to another address, and forgets refusals of the former one."""
+        self.interval = AdaptiveInterval(self.interval.draw, self.interval.longest)
         self.caller = caller
-        self.quiet = 0
-        asked = self.asked
-        self.asked = None
-        if asked:
-            asked.drop()
-        if self.again is not None:
-            self.timers.cancel(self.again)
+        self.silent_attempts = 0
+        pending = self.pending
+        self.pending = None
+        if pending:
+            pending.drop()
+        if self.retry_timer is not None:
+            self.timers.cancel(self.retry_timer)
         self.start()
 
-    def has(self, stream: Stream) -> bool:
-        """Whether this stream counts still."""
-        return stream is self.current or stream is self.asked
+    def tracks(self, stream: Stream) -> bool:
+        """Returns whether this stream is the current or the pending one."""
+        return stream is self.current or stream is self.pending
 
-    def _stands(self) -> bool:
-        """Whether the stream is at the present address and speaks: nothing has to be asked for."""
+    def _is_healthy(self) -> bool:
+        """Returns whether the current stream is at the present address and not silent."""
         return (
             self.current is not None
             and self.current.caller is self.caller
-            and self.timers.clock() < self.last + self.silence
+            and self.timers.clock() < self.last_heartbeat + self.silence_timeout
         )
 
-    def heard(self, stream: Stream) -> None:
-        """A heartbeat came on this stream."""
+    def heartbeat_received(self, stream: Stream) -> None:
+        """Handles a heartbeat, which makes a pending stream the current one."""
         former = self.current
-        self.last = self.timers.clock()
-        if self.look is None:  # one look ahead, whatever streams come and go
-            self.look = self.timers.add(self.last + self.silence, self._check_silence)
+        self.last_heartbeat = self.timers.clock()
+        if self.silence_timer is None:  # one timer, however many streams follow each other
+            self.silence_timer = self.timers.add(
+                self.last_heartbeat + self.silence_timeout, self._check_silence
+            )
         if stream.caller is self.caller:
-            self.quiet = 0
-        asked = self.asked
-        if stream is asked:
+            self.silent_attempts = 0
+        pending = self.pending
+        if stream is pending:
             self.current = stream
-            self.asked = None
+            self.pending = None
             if former:
                 former.drop()
-        elif stream is former and asked and self._stands():
-            self.asked = None
-            asked.drop()
+        elif stream is former and pending and self._is_healthy():
+            self.pending = None
+            pending.drop()
 
-    def ended(self, stream: Stream, reason: str, how: CallResult = CallResult.REFUSED) -> None:
-        """A stream has ended: it is asked for again after a while.
+    def ended(self, stream: Stream, reason: str, result: CallResult = CallResult.REFUSED) -> None:
+        """Schedules the next request after a stream has ended.
 
         Args:
-            stream: the one that ended.
-            reason: for the log.
-            how: REFUSED where the peer ended it, MALFORMED where it made no sense, LOST where there
+            stream: The stream that ended.
+            reason: The reason for the log.
+            result: REFUSED if the peer ended it, MALFORMED if its data was invalid, LOST if there
                 was no connection or it fell silent.
         """
-        if not self.has(stream):
+        if not self.tracks(stream):
             return
         now = self.timers.clock()
-        age = now - stream.asked_at if stream is self.current else 0
-        wait = self.pace.ended(how, age) if stream.caller is self.caller else self.pace.wait()
+        age = now - stream.requested_at if stream is self.current else 0
+        wait = (
+            self.interval.ended(result, age)
+            if stream.caller is self.caller
+            else self.interval.wait()
+        )
         self.log(
-            "stream ended", address=stream.caller.host, reason=reason, refusals=self.pace.refusals
+            "stream ended",
+            address=stream.caller.host,
+            reason=reason,
+            refusals=self.interval.refusals,
         )
         if stream is self.current:
             self.current = None
         else:
-            self.asked = None
-        if not self.asked and self.again is None:
-            self.again = self.timers.add(now + wait, self._start_if_needed)
+            self.pending = None
+        if not self.pending and self.retry_timer is None:
+            self.retry_timer = self.timers.add(now + wait, self._start_if_needed)
 
     def _start_if_needed(self) -> None:
-        self.again = None
-        if not self.asked and not self._stands():
+        self.retry_timer = None
+        if not self.pending and not self._is_healthy():
             self.start()
 
     def _check_silence(self) -> None:
-        """Looks for silence when the last word is too long ago; each later word moves that."""
-        self.look = None
-        ends = self.last + self.silence
+        """Requests another stream if the current one is silent; else checks again later."""
+        self.silence_timer = None
+        silent_at = self.last_heartbeat + self.silence_timeout
         if self.current is None:
             return
-        if self.timers.clock() < ends:
-            self.look = self.timers.add(ends, self._check_silence)
-        elif not self.asked and self.again is None:
+        if self.timers.clock() < silent_at:
+            self.silence_timer = self.timers.add(silent_at, self._check_silence)
+        elif not self.pending and self.retry_timer is None:
             self.log("stream silent", address=self.current.caller.host)
             self.start()
 
-    def _first_data_overdue(self, asked: Stream) -> None:
-        if asked is self.asked:
-            self.quiet += 1
-            self.ended(asked, "says nothing", how=CallResult.LOST)
-            asked.drop()
+    def _first_data_overdue(self, stream: Stream) -> None:
+        if stream is self.pending:
+            self.silent_attempts += 1
+            self.ended(stream, "no data in time", result=CallResult.LOST)
+            stream.drop()
             if self.dedicated:
-                self.timers.cancel(self.again)
+                self.timers.cancel(self.retry_timer)
                 self._start_if_needed()
--- a/thymeknot/protocol/write_progress.py
+++ b/thymeknot/protocol/write_progress.py
@@ -1,4 +1,4 @@
-"""How far a request to a peer was written, as a value, and the writer that knows it."""
+"""Tracks how much of a request has been written to the network, and inspects sockets."""
 
 import select
 import socket
@@ -8,13 +8,13 @@
 from typing import Any, Final, NamedTuple
 
 SO_ATTACH_FILTER: Final = 26
-"""The socket option that attaches a packet filter; the socket module does not name it."""
+"""Linux socket option that attaches a BPF packet filter; the socket module does not define it."""
 BPF_RET: Final = 0x06
-"""The filter instruction that returns how many bytes pass."""
+"""BPF opcode of the instruction that returns how many bytes of a packet to accept."""
 
 
 class WriteProgress(StrEnum):
-    """How far a request was written when its connection ended."""
+    """How much of a request had been written when its connection ended."""
 
     NOT_CONNECTED = "not connected"
     NOT_ALL_WRITTEN = "not all written"
@@ -27,16 +27,19 @@
 
 
 class BrokenConnection(NamedTuple):
-    """The connection failed. How far the request was written tells whether it may have run."""
+    """A failed connection.
+
+    The write progress tells whether the peer may have executed the request.
+    """
 
     progress: WriteProgress
     reason: str
 
 
 def is_receive_buffer_empty(transport: Any) -> bool:
-    """Whether nothing is left to read: no byte, and not the end.
+    """Returns whether neither data nor an end of stream is waiting to be read.
 
-    The operating system is asked, since the event loop may not have read it yet.
+    Peeks at the socket, since the event loop may not have read what the kernel has received.
     """
     try:
         transport.getHandle().recv(1, socket.MSG_PEEK)
@@ -48,7 +51,7 @@
 
 
 def peer_has_closed(transport: Any) -> bool:
-    """Whether the peer has shut its sending side or is gone, whatever waits unread before that."""
+    """Returns whether the peer has shut down its sending side, with or without unread data."""
     if transport.disconnected:
         return True
     poll = select.poll()
@@ -57,24 +60,29 @@
 
 
 def drop_new_connections(listener: socket.socket) -> None:
-    """Makes the operating system drop new connections to this listener.
+    """Makes the kernel drop new connections to this listener, by a packet filter.
 
-    Connections accepted between the last one taken and the close would be reset by the close; one
-    that is not accepted is refused, and its client asks elsewhere.
+    Connections that the kernel completes between the last accept() and the close of the listener
+    would be reset by the close. One that is never completed is refused, and its client can try
+    another instance.
     """
-    drop_everything = array("B", struct.pack("=HBBI", BPF_RET, 0, 0, 0))
-    program = struct.pack("@HP", 1, drop_everything.buffer_info()[0])
+    drop_all_packets = array("B", struct.pack("=HBBI", BPF_RET, 0, 0, 0))
+    program = struct.pack("@HP", 1, drop_all_packets.buffer_info()[0])
     try:
         listener.setsockopt(socket.SOL_SOCKET, SO_ATTACH_FILTER, program)
     except OSError:
-        pass  # without a filter, the close follows as soon as it can
+        pass  # without the filter the caller can only close the listener as soon as possible
 
 
 class WholeWriter:
-    """For protocols that must know when the last byte of a request has gone to the network.
+    """Mixin for protocols that must know when the last byte of a request was written.
+
+    It registers as a pull producer of its transport, which asks for more data exactly when its
+    write buffer is empty.
 
-    It is a pull producer of its transport, which asks for more exactly when nothing is left to
-    write.
+    Attributes:
+        transport: Twisted's transport of the connection.
+        written: Whether all bytes of the latest request were passed to the kernel.
     """
 
     transport: Any
@@ -82,13 +90,13 @@
     _content: bytes | None = None
 
     def write_whole(self, content: bytes) -> None:
-        """Writes the content; `written` becomes true once its last byte has gone."""
+        """Writes the content; `written` becomes true once the kernel has taken its last byte."""
         self.written = False
         self._content = content
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """Called by the transport when nothing is left to write."""
+        """Called by the transport when its write buffer is empty."""
         if self._content:
             content = self._content
             self._content = None
@@ -98,8 +106,8 @@
             self.transport.unregisterProducer()
 
     def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """The transport says so when it is lost; connectionLost follows."""
+        """Called by the transport when the connection is lost; connectionLost follows."""
 
-    def how_far(self, reason: str) -> BrokenConnection:
-        """The end of the connection as a value."""
+    def broken_connection(self, reason: str) -> BrokenConnection:
+        """Returns the failure of this connection, with the write progress of its request."""
         return BrokenConnection(WRITTEN if self.written else NOT_ALL_WRITTEN, reason)
