--- a/thymeknot/simulator_wire/codec.py
+++ b/thymeknot/simulator_wire/codec.py
@@ -119,7 +119,7 @@
     return int(text) // NANOSECONDS_PER_TICK
 
 
-def _count(text: str) -> int:
+def _non_negative_int(text: str) -> int:
     value = int(text)
     if not 0 <= value <= MAX_INTEGER:
         raise ValueError(f"not from 0 to 2^63: {text}")
@@ -127,10 +127,10 @@
 
 
 def _duration(text: str) -> Ticks:
-    return _count(text) // NANOSECONDS_PER_TICK
+    return _non_negative_int(text) // NANOSECONDS_PER_TICK
 
 
-def _text(text: str) -> str:
+def _non_empty(text: str) -> str:
     if text == "-" or not text:
         raise ValueError("empty")
     return text
@@ -144,11 +144,11 @@
     return None if text in ("-", "0") else text
 
 
-def _load(text: str) -> tuple[float, ...] | None:
+def _load_report(text: str) -> tuple[float, ...] | None:
     return None if text == "-" else tuple(float(value) for value in text.split(","))
 
 
-def _content(text: str) -> bytes:
+def _message_content(text: str) -> bytes:
     return b"" if text == "-" else base64.b64decode(text, validate=True)
 
 
@@ -167,35 +167,40 @@
     event: Callable[..., Event]
     decoders: tuple[Decoder, ...]
     """How each field of the event is read, in the event's order."""
-    places: tuple[int, ...] | None = None
-    """The place of each field on the line; None where the line has the event's order."""
+    positions: tuple[int, ...] | None = None
+    """The position of each field on the line; None where the line has the event's order."""
 
 
 EVENTS = {
     "INGRESS": EventLine(
         RequestReceived,
         (
-            _text,
-            _text,
+            _non_empty,
+            _non_empty,
             _tenant,
-            _optional(_text),
+            _optional(_non_empty),
             read_time,
             _optional(_duration),
             _flag,
             _flag,
         ),
     ),
-    "FIRST": EventLine(ResponseStarted, (_text, _text, _count, _duration), (0, 2, 3, 1)),
-    "RESULT": EventLine(AttemptEnded, (_text, _outcome, _flag, _duration, _text, _count, _load)),
-    "GONE": EventLine(ClientDisconnected, (_text,)),
-    "TICK_DUE": EventLine(TimerFired, (_count,)),
-    "HEALTH": EventLine(ProbeEnded, (_text, _outcome, _duration, _load)),
-    "MAIL": EventLine(PeerMessage, (_count, _content)),
+    "FIRST": EventLine(
+        ResponseStarted, (_non_empty, _non_empty, _non_negative_int, _duration), (0, 2, 3, 1)
+    ),
+    "RESULT": EventLine(
+        AttemptEnded,
+        (_non_empty, _outcome, _flag, _duration, _non_empty, _non_negative_int, _load_report),
+    ),
+    "GONE": EventLine(ClientDisconnected, (_non_empty,)),
+    "TICK_DUE": EventLine(TimerFired, (_non_negative_int,)),
+    "HEALTH": EventLine(ProbeEnded, (_non_empty, _outcome, _duration, _load_report)),
+    "MAIL": EventLine(PeerMessage, (_non_negative_int, _message_content)),
     "ROLLOUT_STATE": EventLine(
         ReleaseUpdate,
         (
-            _count,
-            _optional(_count),
+            _non_negative_int,
+            _optional(_non_negative_int),
             _optional(_phase),
             _flag,
             _outcome,
@@ -203,8 +208,11 @@
             _optional(_duration),
         ),
     ),
-    "PLATFORM_SAW": EventLine(FleetCounts, (_count, _text, _count, _count, _duration, _duration)),
-    "FLAGGED": EventLine(ComplaintReceived, (_duration, _text, _text)),
+    "PLATFORM_SAW": EventLine(
+        FleetCounts,
+        (_non_negative_int, _non_empty, _non_negative_int, _non_negative_int, _duration, _duration),
+    ),
+    "FLAGGED": EventLine(ComplaintReceived, (_duration, _non_empty, _non_empty)),
 }
 
 
@@ -214,13 +222,13 @@
     Raises:
         MalformedLineError: The number of values or one of them is wrong.
     """
-    event, decoders, places = EVENTS[name]
+    event, decoders, positions = EVENTS[name]
     if len(values) != len(decoders):
         raise MalformedLineError(
             f"{name} takes {len(decoders)} values after the instance, not {len(values)}"
         )
-    if places:
-        values = [values[place] for place in places]
+    if positions:
+        values = [values[position] for position in positions]
     try:
         return event(*[decode(value) for decode, value in zip(decoders, values)])
     except (ValueError, KeyError) as error:
@@ -236,7 +244,7 @@
     try:
         zone, size, cell, condition, started, address, machine, build = values
         return Endpoint(
-            _text(address),
+            _non_empty(address),
             zone,
             float(size),
             int(cell),
@@ -266,7 +274,7 @@
                 f"setting {name} makes no sense: {self._values[name]!r}"
             ) from None
 
-    def read_if(
+    def read_if_required(
         self, required: bool, name: str, decode: Callable[[str], Value], default: Value
     ) -> Value:
         """Returns the value of a setting, or the default where it is neither required nor there."""
@@ -311,18 +319,20 @@
     return tuple(LOAD_METRICS.get(name, name) for name in text.split(",") if name)
 
 
-def _positive_count(text: str) -> int:
-    value = _count(text)
+def _positive_int(text: str) -> int:
+    value = _non_negative_int(text)
     if not value:
         raise ValueError(text)
     return value
 
 
-def _voters(text: str) -> int:
-    return max(1, _count(text))  # where none is needed each instance votes as if it decided alone
+def _vote_threshold(text: str) -> int:
+    return max(
+        1, _non_negative_int(text)
+    )  # where none is needed each instance votes as if it decided alone
 
 
-def _amount(text: str) -> float:
+def _non_negative_float(text: str) -> float:
     value = float(text)
     if not 0 <= value < float("inf"):
         raise ValueError(text)
@@ -334,28 +344,28 @@
 
 def _request_class(settings: _SettingPairs, index: int) -> RequestClass:
     prefix = f"categories.{index}."
-    name = settings.read(prefix + "name", _text)
+    name = settings.read(prefix + "name", _non_empty)
     idempotency = settings.read(prefix + "semantics", IDEMPOTENCY.__getitem__)
     keyed = idempotency == Idempotency.KEYED
     return RequestClass(
         name=name,
         idempotency=idempotency,
-        deduplication_scope=settings.read_if(
+        deduplication_scope=settings.read_if_required(
             keyed,
             prefix + "key_scope",
             DEDUPLICATION_SCOPES.__getitem__,
             DeduplicationScope.ALL,
         ),
-        deduplication_window=settings.read_if(keyed, prefix + "window", _duration, 0),
+        deduplication_window=settings.read_if_required(keyed, prefix + "window", _duration, 0),
         latency_objective=settings.read(prefix + "promise", _positive_duration),
         outer_limit=settings.read(prefix + "give_up", _positive_duration),
-        priority_weight=settings.read(prefix + "worth", _amount),
-        late_priority_weight=settings.read(prefix + "late_worth", _amount),
+        priority_weight=settings.read(prefix + "worth", _non_negative_float),
+        late_priority_weight=settings.read(prefix + "late_worth", _non_negative_float),
     )
 
 
 def _request_classes(settings: _SettingPairs) -> dict[str, RequestClass]:
-    count = settings.read("categories.count", _positive_count)
+    count = settings.read("categories.count", _positive_int)
     request_classes = [_request_class(settings, index) for index in range(count)]
     by_name: dict[str, RequestClass] = {}
     for index, request_class in enumerate(request_classes):
@@ -375,34 +385,36 @@
     """
     settings = _SettingPairs(pairs)
     read = settings.read
-    read_if = settings.read_if
+    read_if_required = settings.read_if_required
     request_classes = _request_classes(settings)
     lists_polled = read("discovery", LISTS_POLLED.__getitem__)
     retry_after_allowed = read("permissions.retry_after", _boolean)
     return Settings(
         request_classes=request_classes,
-        instances=read("balancers", _positive_count),
+        instances=read("balancers", _positive_int),
         lists_polled=lists_polled,
-        max_attempts=read("permissions.max_attempts", _positive_count),
-        max_retry_after=read_if(retry_after_allowed, "permissions.max_retry_after", _duration, 0),
+        max_attempts=read("permissions.max_attempts", _positive_int),
+        max_retry_after=read_if_required(
+            retry_after_allowed, "permissions.max_retry_after", _duration, 0
+        ),
         hedging_allowed=read("permissions.second_copies", _boolean),
         cancellation_allowed=read("permissions.may_cancel", _boolean),
         retry_after_allowed=retry_after_allowed,
-        load_metrics=read_if(False, "stats.names", _load_metrics, ()),
-        poll_within=read_if(lists_polled, "rules.ask_within", _duration, 0),
+        load_metrics=read_if_required(False, "stats.names", _load_metrics, ()),
+        poll_within=read_if_required(lists_polled, "rules.ask_within", _duration, 0),
         warmup_initial_fraction=read("rules.cold_from", _fraction),
         warmup_duration=read("rules.cold", _duration),
         overload_factor=read("rules.fall_multiple", _positive),
         overload_window=read("rules.overload_for", _positive_duration),
         exposure_window=read("extra.window", _positive_duration),
-        exposure_allowance=read("extra.allowance", _amount),
-        guarded_stages=read("extra.guarded_stages", _count),
+        exposure_allowance=read("extra.allowance", _non_negative_float),
+        guarded_stages=read("extra.guarded_stages", _non_negative_int),
         stage_fractions=read("extra.waves", _fractions),
         exposure_by_class=read("extra.counts", EXPOSURE_BY_CLASS.__getitem__),
         sticky_keys=read("extra.keys_stay", _boolean),
         replaces_machines=read("extra.swap", REPLACES_MACHINES.__getitem__),
         promotion_mode=read("extra.decided_by", PROMOTION_MODES.__getitem__),
-        votes_to_revert=read("extra.votes_to_revert", _voters),
+        votes_to_revert=read("extra.votes_to_revert", _vote_threshold),
         vote_lifetime=read("extra.vote_life", _positive_duration),
         vote_timeout=read("extra.vote_wait", _positive_duration),
         votes_per_second=read("extra.calls_per_s", _rate),
@@ -419,7 +431,7 @@
     return ConnectionLimits(
         connect_timeout=read("permissions.connect_timeout", _positive_duration),
         idle_timeout=read("permissions.conn_idle", _positive_duration),
-        max_open=read("permissions.max_open", _positive_count),
+        max_open=read("permissions.max_open", _positive_int),
     )
 
 
@@ -440,7 +452,7 @@
     SubscribeToEndpoints: lambda action: f"TAIL {{}} {int(action.on)}",
     FetchEndpoints: lambda action: "FETCH {}",
     CastVote: lambda action: f"VERDICT {{}} {action.build} {action.stage} {action.verdict}",
-    LogNote: lambda action: f"TRACE {{}} {_plain(action.text)}",
+    LogNote: lambda action: f"TRACE {{}} {_single_line(action.text)}",
 }
 
 
@@ -448,7 +460,7 @@
     return base64.b64encode(content).decode() or "-"
 
 
-def _plain(text: str) -> str:
+def _single_line(text: str) -> str:
     return " ".join(text.replace("{", "(").replace("}", ")").split())
 
 
@@ -459,4 +471,4 @@
 
 def write_fault(instance: str, reason: str) -> str:
     """Returns the line that reports that the decision engine itself failed."""
-    return f"FAULT {instance} {_plain(reason)}"
+    return f"FAULT {instance} {_single_line(reason)}"
--- a/thymeknot/simulator_wire/host.py
+++ b/thymeknot/simulator_wire/host.py
@@ -12,7 +12,7 @@
 from ..policy.engine import DecisionEngine
 from . import codec
 
-MESSAGES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *codec.EVENTS}
+MESSAGE_NAMES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *codec.EVENTS}
 BATCH_START = "BATCH "
 BATCH_END = "YOUR_TURN"
 
@@ -24,16 +24,16 @@
         """Returns the actions that the events of this moment lead to."""
 
 
-MAKE_ENGINE: Callable[[Settings, int, Ticks], Engine] = DecisionEngine
+ENGINE_FACTORY: Callable[[Settings, int, Ticks], Engine] = DecisionEngine
 """Makes the engine of a new instance from its settings, its seed and the time."""
 
 
-class OpenCensus(NamedTuple):
+class IncompleteCensus(NamedTuple):
     """A CENSUS whose ENTRY lines are being read."""
 
-    table: int
+    list_number: int
     """The number of the endpoint list."""
-    missing: int
+    remaining: int
     """How many ENTRY lines follow."""
 
 
@@ -60,100 +60,104 @@
         Raises:
             MalformedLineError: A line is not allowed; the text quotes it.
         """
-        inboxes: dict[str, list[Event]] = {}
+        events_by_instance: dict[str, list[Event]] = {}
         replies: list[str] = []
-        census: OpenCensus | None = None
+        census: IncompleteCensus | None = None
         for text in lines:
             try:
-                census = self._read_line(now, text, inboxes, replies, census)
+                census = self._read_line(now, text, events_by_instance, replies, census)
             except codec.MalformedLineError as error:
                 raise codec.MalformedLineError(f"{error}: {text!r}") from None
         if census:
             raise codec.MalformedLineError("the batch ends inside a CENSUS")
-        for name, events in inboxes.items():
-            self._decide(now, name, events, replies)
+        for name, events in events_by_instance.items():
+            self._handle_events(now, name, events, replies)
         return replies
 
     def _read_line(
         self,
         now: Ticks,
         text: str,
-        inboxes: dict[str, list[Event]],
+        events_by_instance: dict[str, list[Event]],
         replies: list[str],
-        census: OpenCensus | None,
-    ) -> OpenCensus | None:
+        census: IncompleteCensus | None,
+    ) -> IncompleteCensus | None:
         """Takes in one line; returns the CENSUS that it leaves open."""
         name, *values = text.split(" ")
         if census or name == "ENTRY":
             return self._read_entry(name, values, census)
         if name == "CENSUS":
             return self._open_census(values)
-        if name not in MESSAGES:
+        if name not in MESSAGE_NAMES:
             raise codec.MalformedLineError("no such message")
         if not values:
             raise codec.MalformedLineError("no instance named")
         instance, *values = values
         if name == "NEW_INSTANCE":
-            self._start(now, instance, values, inboxes, replies)
+            self._start_instance(now, instance, values, events_by_instance, replies)
         elif instance not in self.instances:
             raise codec.MalformedLineError("an event for an unknown instance")
         elif name == "KILLED":
-            inboxes.pop(instance, None)
+            events_by_instance.pop(instance, None)
             del self.instances[instance]
         elif name == "ANNOUNCE":
-            inboxes.setdefault(instance, []).append(self._endpoint_update(values))
+            events_by_instance.setdefault(instance, []).append(self._endpoint_update(values))
         else:
-            inboxes.setdefault(instance, []).append(codec.read_event(name, values))
+            events_by_instance.setdefault(instance, []).append(codec.read_event(name, values))
         return None
 
     def _read_entry(
-        self, name: str, values: Sequence[str], census: OpenCensus | None
-    ) -> OpenCensus | None:
+        self, name: str, values: Sequence[str], census: IncompleteCensus | None
+    ) -> IncompleteCensus | None:
         if name != "ENTRY" or not census:
             raise codec.MalformedLineError(
                 "an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short"
             )
-        table, missing = census
-        self.lists[table].append(codec.read_endpoint(values))
-        return OpenCensus(table, missing - 1) if missing > 1 else None
+        list_number, remaining = census
+        self.lists[list_number].append(codec.read_endpoint(values))
+        return IncompleteCensus(list_number, remaining - 1) if remaining > 1 else None
 
-    def _open_census(self, values: Sequence[str]) -> OpenCensus | None:
+    def _open_census(self, values: Sequence[str]) -> IncompleteCensus | None:
         try:
-            table, count = (int(value) for value in values)
+            list_number, count = (int(value) for value in values)
         except ValueError:
             raise codec.MalformedLineError("CENSUS takes a number and a count") from None
-        self.lists[table] = []
-        return OpenCensus(table, count) if count else None
+        self.lists[list_number] = []
+        return IncompleteCensus(list_number, count) if count else None
 
-    def _start(
+    def _start_instance(
         self,
         now: Ticks,
         instance: str,
         values: Sequence[str],
-        inboxes: dict[str, list[Event]],
+        events_by_instance: dict[str, list[Event]],
         replies: list[str],
     ) -> None:
         try:
             seed = int(values[0])
         except (IndexError, ValueError):
             raise codec.MalformedLineError("NEW_INSTANCE without a seed") from None
-        inboxes.pop(instance, None)
+        events_by_instance.pop(instance, None)
         settings = codec.read_settings(values[1:])
         try:
-            self.instances[instance] = MAKE_ENGINE(settings, seed, now)
+            self.instances[instance] = ENGINE_FACTORY(settings, seed, now)
         except Exception as error:  # whatever the engine raises has to reach the operators
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
     def _endpoint_update(self, values: Sequence[str]) -> EndpointUpdate:
         try:
-            kind_word, _, table = values
-            kind = codec.UPDATE_KINDS[kind_word]
-            endpoints = () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(table)])
+            kind_name, _, list_number = values
+            kind = codec.UPDATE_KINDS[kind_name]
+            endpoints = (
+                () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(list_number)])
+            )
         except (ValueError, KeyError):
             raise codec.MalformedLineError("ANNOUNCE: bad value") from None
         return EndpointUpdate(kind, endpoints)
 
-    def _decide(self, now: Ticks, instance: str, events: list[Event], replies: list[str]) -> None:
+    def _handle_events(
+        self, now: Ticks, instance: str, events: list[Event], replies: list[str]
+    ) -> None:
         try:
             actions = self.instances[instance].handle(now, events)
             replies.extend(codec.write_action(instance, action) for action in actions)
@@ -188,8 +192,8 @@
         raise codec.MalformedLineError("the input ends inside a batch")
 
 
-def _batch_time(text: str, open_batch: Ticks | None) -> Ticks:
-    if open_batch is not None:
+def _batch_time(text: str, open_batch_time: Ticks | None) -> Ticks:
+    if open_batch_time is not None:
         raise codec.MalformedLineError(f"a BATCH inside a batch: {text!r}")
     try:
         return codec.read_time(text.removeprefix(BATCH_START))
