--- a/thymeknot/interface/__init__.py
+++ b/thymeknot/interface/__init__.py
@@ -1,5 +1,5 @@
-"""What goes into and comes out of the decision engine: settings, events, actions and their codes.
+"""The decision engine's interface: settings and events (input), actions (output), and their enums.
 
-Times are whole tenths of a millisecond (see `clock`). Identifiers are strings that are passed back
-exactly as they came.
+Times are integers in tenths of a millisecond (see `clock`). Identifiers are opaque strings, which
+the engine returns unchanged.
 """
--- a/thymeknot/interface/actions.py
+++ b/thymeknot/interface/actions.py
@@ -1,4 +1,4 @@
-"""Actions that a decision engine asks its host to carry out."""
+"""Actions that a decision engine requests from its host."""
 
 from typing import NamedTuple
 
@@ -7,38 +7,38 @@
 
 
 class SendAttempt(NamedTuple):
-    """Send the request to this endpoint, with this timeout."""
+    """Send an attempt of a request to an endpoint, with a timeout."""
 
     id: str
     endpoint: str
     timeout: Ticks
     number: int = 0
-    """Its number among the attempts of the request: its end is told by it."""
+    """Its index among the attempts of the request; AttemptEnded refers to it."""
 
 
 class CancelAttempt(NamedTuple):
-    """Cancel the attempt of this number of a request."""
+    """Cancel the attempt with this number."""
 
     id: str
     number: int
 
 
 class Reject(NamedTuple):
-    """The final response: rejected, with the promise that the request has had no effect."""
+    """Answer the request with a rejection, which guarantees that it had no effect."""
 
     id: str
     retry_after: Ticks
-    """When the client may try again; 0 says nothing about it."""
+    """How long the client should wait before a retry; 0 leaves it open."""
 
 
 class Fail(NamedTuple):
-    """The final response: failed, and the request may have run."""
+    """Answer the request with a failure: it may have been executed."""
 
     id: str
 
 
 class SetTimer(NamedTuple):
-    """Report TimerFired with this token at this moment."""
+    """Report TimerFired with this token at this time."""
 
     at: Ticks
     token: int
@@ -57,25 +57,25 @@
 
 
 class SendPeerMessage(NamedTuple):
-    """Send a message to another instance."""
+    """Send a message to another instance, or to all."""
 
     peer: int | None
-    """The number of the instance; None for all others."""
+    """The number of the instance; None for all other instances."""
     content: bytes
 
 
 class SubscribeToEndpoints(NamedTuple):
-    """Start or end the subscription to the endpoint list."""
+    """Start or end the subscription to endpoint list updates."""
 
     on: bool
 
 
 class FetchEndpoints(NamedTuple):
-    """Fetch a full snapshot of the endpoint list once."""
+    """Fetch one full snapshot of the endpoint list."""
 
 
 class CastVote(NamedTuple):
-    """Vote on a stage of the rollout of a build."""
+    """Cast a vote on a stage of a build's rollout."""
 
     build: int
     stage: int
@@ -83,7 +83,7 @@
 
 
 class LogNote(NamedTuple):
-    """Log a line for the operators."""
+    """Write a line to the operators' log."""
 
     text: str
 
--- a/thymeknot/interface/clock.py
+++ b/thymeknot/interface/clock.py
@@ -1,8 +1,8 @@
-"""The unit of time of the whole program: whole tenths of a millisecond."""
+"""The program's unit of time: one tick is a tenth of a millisecond."""
 
 from typing import TypeAlias
 
 Ticks: TypeAlias = int
-"""A moment or a duration in tenths of a millisecond."""
+"""A point in time or a duration, as an integer number of tenths of a millisecond."""
 
 TICKS_PER_SECOND: Ticks = 10_000
--- a/thymeknot/interface/enums.py
+++ b/thymeknot/interface/enums.py
@@ -1,6 +1,6 @@
-"""Codes that events, actions and settings carry.
+"""Enumerations used by events, actions and settings.
 
-Their values are logged and stored, so they never change.
+Their values are logged and stored, so they must not change.
 """
 
 from enum import IntEnum, StrEnum
@@ -11,29 +11,29 @@
 
     DONE = "done"
     ERROR = "error"
-    """The endpoint answered with an error of the application."""
+    """The endpoint responded with an application error."""
     REJECTED = "full"
-    """The endpoint rejected it because of overload, and did not run it."""
+    """The endpoint rejected it because of overload, without executing it."""
     TIMED_OUT = "expired"
     CONNECT_FAILED = "unconnected"
     RESET = "reset"
     """The connection was lost before the response was complete."""
     CANCELLED = "recalled"
     NOT_SENT = "unsent"
-    """Nothing of it was written."""
+    """None of its bytes were written."""
 
 
 class Idempotency(StrEnum):
-    """Whether a request may run more than once."""
+    """Whether a request may be executed more than once."""
 
     IDEMPOTENT = "retriable"
     KEYED = "fingerprinted"
-    """Retries carry an idempotency key, by which endpoints drop them for a while."""
+    """Retries carry an idempotency key, by which endpoints deduplicate them for a limited time."""
     NON_IDEMPOTENT = "binding"
 
 
 class DeduplicationScope(StrEnum):
-    """Which endpoints recognise the retries of a request with an idempotency key."""
+    """The set of endpoints that deduplicate the retries of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -41,18 +41,18 @@
 
 
 class UpdateKind(StrEnum):
-    """What an update of the endpoint list is."""
+    """The kind of an endpoint list update."""
 
     DELTA = "changes"
     FULL = "whole"
     CACHED = "remembered"
     """A full list that was stored earlier."""
     FETCH_FAILED = "missed"
-    """No list: the fetch failed."""
+    """The fetch failed, so there is no list."""
 
 
 class EndpointCondition(StrEnum):
-    """What an endpoint is listed as."""
+    """The state of an endpoint in service discovery."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -60,7 +60,7 @@
 
 
 class ReleasePhase(IntEnum):
-    """Where the rollout of a build stands."""
+    """The phase of a build's rollout."""
 
     ON_TRIAL = 0
     ROLLING_BACK = 1
@@ -69,7 +69,7 @@
 
 
 class Verdict(IntEnum):
-    """What a vote says about the build on trial."""
+    """The verdict of a vote on the build on trial."""
 
     ABSTAIN = 0
     PROMOTE = 1
@@ -78,7 +78,7 @@
 
 
 class PromotionMode(StrEnum):
-    """What promotes a build to its next stage."""
+    """The condition that promotes a build to its next stage."""
 
     FIRST_VOTE = "first voice"
     QUORUM = "by count"
@@ -86,4 +86,4 @@
 
 
 UTILISATION = "utilisation"
-"""The name of the value of a load report that says how busy the cores are."""
+"""The name of the load report value for CPU utilisation."""
--- a/thymeknot/interface/events.py
+++ b/thymeknot/interface/events.py
@@ -10,7 +10,7 @@
     """An endpoint as service discovery lists it."""
 
     address: str
-    """Its identifier; the host knows where it listens."""
+    """Its identifier; the host maps it to a network address."""
     zone: str
     size: float
     """Its relative capacity."""
@@ -23,32 +23,32 @@
 
 
 class EndpointUpdate(NamedTuple):
-    """Service discovery has sent a list, or what has changed in it."""
+    """Service discovery has sent a full list or a delta, or a fetch has failed."""
 
     kind: UpdateKind
     endpoints: tuple[Endpoint, ...]
 
 
 class RequestReceived(NamedTuple):
-    """A client's request has been read completely."""
+    """A complete request has been read from a client."""
 
     id: str
     request_class: str
     tenant: str | None
     key: str | None
     time_left: Ticks
-    """How long its client will still wait."""
+    """How much longer the client will wait."""
     hint: int | None
-    """The expected work in ticks of a standard core; rough."""
+    """A rough estimate of the CPU time, in ticks of a standard core."""
     is_retry: bool
-    """Whether the client says that it has sent the request before."""
+    """Whether the client marked the request as a retry."""
     write: bool
 
 
 class ResponseStarted(NamedTuple):
-    """The first byte of a streamed response went to the client.
+    """The first byte of a streamed response was sent to the client.
 
-    No other attempt can serve the request from now on.
+    From now on no other attempt can serve the request.
     """
 
     id: str
@@ -58,23 +58,23 @@
 
 
 class AttemptEnded(NamedTuple):
-    """An attempt has ended; each ends once."""
+    """An attempt has ended; reported exactly once for each attempt."""
 
     id: str
     outcome: Outcome
     closed: bool
-    """Whether the request has had its final response."""
+    """Whether the request has received its final response."""
     latency: Ticks
     endpoint: str
     number: int
     load: tuple[float, ...] | None
-    """The load report in the response, with the values that `Settings.load_metrics` names."""
+    """The load report in the response: the values named by `Settings.load_metrics`, in order."""
 
 
 class LateResponseSeen(NamedTuple):
-    """A good response came too late or in part.
+    """A successful response arrived late, or in part.
 
-    It counts for the stickiness of the key alone, not for the attempt.
+    It makes the key sticky, but does not change the outcome of the attempt.
     """
 
     key: str
@@ -82,23 +82,23 @@
 
 
 class SuspicionReported(NamedTuple):
-    """Peers saw this instance of an endpoint fail."""
+    """Peers have observed failures of this process of an endpoint."""
 
     endpoint: str
     build: int
     started: Ticks
     until: Ticks
-    """Until then it is used last; a moment in the past withdraws the suspicion."""
+    """Until then the endpoint is only used as a last resort; a past time ends the suspicion."""
 
 
 class ClientDisconnected(NamedTuple):
-    """The client of a request has closed its connection."""
+    """The client of a request has disconnected."""
 
     id: str
 
 
 class TimerFired(NamedTuple):
-    """A timer that SetTimer asked for is due."""
+    """A timer set by SetTimer is due."""
 
     token: int
 
@@ -113,30 +113,30 @@
 
 
 class PeerMessage(NamedTuple):
-    """Another instance has sent a message."""
+    """A message from another instance."""
 
     sender: int
     content: bytes
 
 
 class ReleaseUpdate(NamedTuple):
-    """Where the rollout of the newest build stands, pushed or in response to a vote."""
+    """The state of the newest build's rollout, pushed by the platform or in response to a vote."""
 
     build: int
     stage: int | None
-    """Counted from 0: the index into `Settings.stage_fractions`."""
+    """The index into `Settings.stage_fractions`, from 0."""
     phase: ReleasePhase | None
     answers_vote: bool
     outcome: Outcome
-    """Other than DONE: the vote did not count, or may not have."""
+    """If other than DONE, the vote was not counted, or possibly not."""
     cap: float | None
-    """The fraction of the requests that the build may be sent, 0 to 1."""
+    """The maximum fraction of requests for the build, 0 to 1."""
     age: Ticks | None
     """The time since this state began."""
 
 
 class FleetCounts(NamedTuple):
-    """What the platform counted over all instances for one build and class in one period."""
+    """Fleet-wide counts of one period by the platform, for one build and request class."""
 
     build: int
     request_class: str
@@ -147,7 +147,7 @@
 
 
 class ComplaintReceived(NamedTuple):
-    """A client has found a response wrong that had counted as good."""
+    """A client reports that a response counted as successful was wrong."""
 
     age: Ticks
     endpoint: str
--- a/thymeknot/interface/reasons.py
+++ b/thymeknot/interface/reasons.py
@@ -1,67 +1,67 @@
-"""Why something was decided: the closed table of reasons that the decision log records.
+"""The reasons for decisions, as recorded in the decision log.
 
-Each reason has operands, in the order given beside it. They are numbers, except endpoints (their
-addresses) and outcomes; times are ticks. The sentences that explain them to operators are in
-decision_log/explanations.py.
+Each reason has operands, which its docstring lists in order after the colon. They are numbers,
+except endpoints (by address) and outcomes; times are in ticks. The explanations shown to operators
+are in decision_log/explanations.py.
 """
 
 from enum import IntEnum
 
 
 class Reason(IntEnum):
-    """Why something was decided. The numbers never change: records on disk hold them."""
+    """The reason for a decision. The values must not change, since stored records contain them."""
 
     POSITION = 1
     """The key's position chose the side of the traffic split: position, ramp, cap."""
     STAYS = 2
-    """Sticky: the newest build has answered this key. Operand: how many keys are sticky."""
+    """The key is sticky, as the newest build has served it: number of sticky keys."""
     ASTRAY = 3
-    """Kept off the build on trial: attempts before, whether the key failed there, whether hot."""
+    """Kept off the build on trial: earlier attempts, whether the key failed there, whether hot."""
     GUARDED = 4
-    """The stage is open to idempotent request classes alone: stage, guarded stages."""
+    """The stage only accepts idempotent request classes: stage, number of guarded stages."""
     EXPOSURE = 5
-    """The exposure budget is used up: attempts there, requests taken, cap, allowance."""
+    """The exposure budget is exhausted: attempts at that build, requests, cap, allowance."""
     CLOSED = 6
-    """The build on trial takes no requests now: phase, cap."""
+    """The build on trial accepts no requests: phase, cap."""
     SENT = 7
-    """An attempt: endpoint, its build, whether it is the newest, timeout, the endpoint's cost."""
+    """An attempt was sent: endpoint, its build, whether that is the newest, timeout, cost."""
     UNREACHABLE = 8
-    """Endpoints passed over because they are ejected: how many."""
+    """Endpoints were skipped because they are ejected: count."""
     DOUBTED = 9
-    """Endpoints passed over because peers suspect them: how many."""
+    """Endpoints were skipped because peers suspect them: count."""
     USED = 10
-    """Endpoints passed over because this request was sent there before: how many."""
+    """Endpoints were skipped because an earlier attempt was sent there: count."""
     COLD = 11
-    """Endpoints passed over because they are warming up and have no room: how many."""
+    """Endpoints were skipped because they are warming up and at capacity: count."""
     OUTSIDE = 12
-    """Endpoints passed over because they would not deduplicate a retry: how many."""
+    """Endpoints were skipped because they would not deduplicate a retry: count."""
     NO_POD = 13
-    """No endpoint is suitable: ready endpoints, whether of the newest build."""
+    """No endpoint is eligible: number of ready endpoints, whether of the newest build."""
     OVER_LIMIT = 14
-    """More requests are in flight than are answered in time: in flight, limit."""
+    """More requests are in flight than can be served in time: requests in flight, limit."""
     BY_LOT = 15
-    """Load shedding at random, where an instance has slow responses: pressure, random share."""
+    """Random load shedding while responses are slow: pressure, random share."""
     NO_NEWS = 16
-    """No release update has come yet."""
+    """No release update has been received yet."""
     MOST_DELIVERIES = 17
-    """The limit of attempts is reached: attempts made, limit."""
+    """The maximum number of attempts is reached: attempts made, limit."""
     TIME_OVER = 18
-    """No time is left: time left, the request class's mean latency."""
+    """Too little time is left: time left, mean latency of the request class."""
     NO_BUDGET = 19
-    """The retry budget is used up: retries left."""
+    """The retry budget is exhausted: retries left."""
     MAY_HAVE_RUN = 20
-    """A retry might run the request twice: the endpoint where it may have run, for how long."""
+    """A retry might execute the request twice: endpoint that may have executed it, duration."""
     ENDED = 21
-    """An attempt's end: endpoint, number, outcome, latency, whether it provably did not run."""
+    """An attempt ended: endpoint, number, outcome, latency, whether it provably did not run."""
     DEFERRED = 22
-    """The final response, rejected: retry-after."""
+    """The request was rejected: retry-after."""
     ABANDONED = 23
-    """The final response, failed: the endpoint where it may have run."""
+    """The request failed: endpoint that may have executed it."""
     DONE = 24
-    """The final response, good: latency."""
+    """The request succeeded: latency."""
     LEFT = 25
-    """The client has disconnected."""
+    """The client disconnected."""
     VOTED = 26
-    """A vote: build, stage, verdict, doubt, seen."""
+    """A vote was cast: build, stage, verdict, doubt, seen."""
     SECOND_COPY = 27
-    """A hedged request beside a slow attempt: wait."""
+    """A hedged request was sent in parallel to a slow attempt: wait."""
--- a/thymeknot/interface/settings.py
+++ b/thymeknot/interface/settings.py
@@ -1,4 +1,4 @@
-"""Settings that an instance reads once, when it starts."""
+"""Settings that an instance reads once, at start."""
 
 from typing import NamedTuple
 
@@ -7,77 +7,77 @@
 
 
 class RequestClass(NamedTuple):
-    """A class of requests with its objectives."""
+    """A request class and its service objectives."""
 
     name: str
     idempotency: Idempotency
     deduplication_scope: DeduplicationScope
     deduplication_window: Ticks
-    """How long retries are recognised, from the first attempt that may have run."""
+    """How long retries are deduplicated, from the first attempt that may have been executed."""
     latency_objective: Ticks
     outer_limit: Ticks
-    """A later response is worth nothing: no client waits longer."""
+    """The longest that any client waits; a later response has no value."""
     priority_weight: float
-    """What a response within the latency objective is worth."""
+    """The weight of a response within the latency objective."""
     late_priority_weight: float
-    """What a response after the latency objective is worth."""
+    """The weight of a response after the latency objective."""
 
 
 class Settings(NamedTuple):
-    """What the decision engine reads at start. Durations are in ticks, rates per second."""
+    """The decision engine's settings. Durations are in ticks, rates per second."""
 
     request_classes: dict[str, RequestClass]
     instances: int
-    """How many sidecars share the endpoints."""
+    """The number of sidecars that share the endpoints."""
     lists_polled: bool
-    """Whether the endpoint lists are polled, rather than pushed."""
+    """Whether endpoint lists are polled from a shared service, rather than pushed."""
     max_attempts: int
-    """Attempts of one request at most, hedged ones included."""
+    """The maximum number of attempts per request, hedged ones included."""
     max_retry_after: Ticks
     hedging_allowed: bool
     cancellation_allowed: bool
     retry_after_allowed: bool
     load_metrics: tuple[str, ...]
-    """Names of the values of a load report, in their order."""
+    """The names of the values in a load report, in order."""
     poll_within: Ticks
-    """Polled lists: a change counts as known after this."""
+    """With polled lists, the time within which a change must be known."""
     warmup_initial_fraction: float
-    """Fraction of its capacity that an endpoint has at its start."""
+    """The fraction of its capacity that an endpoint has when it starts."""
     warmup_duration: Ticks
     overload_factor: float
-    """An endpoint that warms up fails under this many times its present capacity."""
+    """A warming endpoint fails under a load of this many times its present capacity."""
     overload_window: Ticks
-    """How long it takes that load before it fails."""
+    """How long it withstands that load."""
     exposure_window: Ticks
-    """Over which the attempts at the build on trial are bounded."""
+    """The sliding window of the exposure budget."""
     exposure_allowance: float
-    """Attempts there that are allowed beyond the cap's fraction of the requests."""
+    """Attempts at the build on trial allowed in the window beyond the cap's fraction."""
     guarded_stages: int
-    """In the stages before this one only idempotent requests go to the build on trial."""
+    """In stages before this one only idempotent requests go to the build on trial."""
     stage_fractions: tuple[float, ...]
-    """Fraction of the machines that runs the build on trial, by stage."""
+    """The fraction of machines that run the build on trial, by stage."""
     exposure_by_class: bool
-    """Whether the exposure is bounded for each request class alone."""
+    """Whether each request class has an exposure budget of its own."""
     sticky_keys: bool
-    """Whether a key that the newest build has answered stays with it."""
+    """Whether a key that the newest build has served stays with it."""
     replaces_machines: bool
-    """Whether the new build takes the place of the earlier one's machines, not one beside them."""
+    """Whether the new build replaces the earlier one on its machines, rather than adding some."""
     promotion_mode: PromotionMode
     votes_to_revert: int
-    """Instances whose votes roll the build back."""
+    """The number of instances whose votes roll a build back."""
     vote_lifetime: Ticks
-    """How long a vote stands."""
+    """How long a vote is valid."""
     vote_timeout: Ticks
-    """The longest wait for the response to a vote."""
+    """The timeout of a vote's response."""
     votes_per_second: float
-    """What the platform takes from all instances together."""
+    """The platform's rate limit for votes of all instances together."""
 
 
 class ConnectionLimits(NamedTuple):
-    """Limits of a sidecar's connections; the decision engine does not read them."""
+    """Limits of a sidecar's connections, which the decision engine does not use."""
 
     connect_timeout: Ticks
     idle_timeout: Ticks
-    """After this an endpoint closes an idle connection."""
+    """After this time an endpoint closes an idle connection."""
     max_open: int
-    """Connections to endpoints at once, those being dialled included."""
+    """The maximum number of connections to endpoints, including those being established."""
--- a/thymeknot/protocol/client.py
+++ b/thymeknot/protocol/client.py
@@ -100,7 +100,7 @@
         flushing: Whether the last responses are being flushed.
         client_gone: Whether the client no longer waits for responses.
         opened_at: When the connection was accepted.
-        last_used_at: When the last response was written.
+        last_used_at: When a request was last accepted, or a response set.
         linger: The time between the shutdown of the sending side and the close.
         command_timer: The timer of a command that must be complete.
         close_timer: The timer that aborts or closes the connection.
--- a/thymeknot/simulator_wire/__init__.py
+++ b/thymeknot/simulator_wire/__init__.py
@@ -1,4 +1,4 @@
-"""The line protocol of the users' simulator.
+"""The line protocol of the external simulator.
 
-The modules translate its lines, and host instances on standard input and output.
+`codec` translates its lines, and `host` runs decision engines on standard input and output.
 """
--- a/thymeknot/simulator_wire/codec.py
+++ b/thymeknot/simulator_wire/codec.py
@@ -1,7 +1,7 @@
-"""Translates the lines of the simulator's protocol to events and settings, and actions to lines.
+"""Decodes the simulator's lines to events and settings, and encodes actions as lines.
 
-Only names and units change here. The words of the lines and of the settings are the simulator's;
-its times are nanoseconds.
+Only names and units are translated. The names on the lines and of the settings are defined by the
+simulator; its times are in nanoseconds.
 """
 
 import base64
@@ -52,13 +52,13 @@
 
 Value = TypeVar("Value")
 Decoder = Callable[[str], Any]
-"""Reads one value of a line. Raises ValueError or KeyError."""
+"""Decodes one value of a line. Raises ValueError or KeyError."""
 
 NANOSECONDS_PER_TICK = 100_000
-# Per second: the time between two events of a lower rate would leave the range of the numbers.
 MIN_RATE = 1e-6
-# Of a whole number: a larger one may not fit a float, which would fail within a decision.
+"""Minimum rate per second: at a lower one the time between two events overflows the tick range."""
 MAX_INTEGER = 2**63
+"""Maximum integer; converting a larger one to a float may fail in the middle of a decision."""
 
 OUTCOMES = {
     "delivered": Outcome.DONE,
@@ -111,18 +111,22 @@
 
 
 class MalformedLineError(ValueError):
-    """A line that the protocol does not allow."""
+    """A line violates the protocol."""
 
 
 def read_time(text: str) -> Ticks:
-    """Returns the ticks of a number of nanoseconds. Raises ValueError."""
+    """Converts nanoseconds to ticks.
+
+    Raises:
+        ValueError: The text is not an integer.
+    """
     return int(text) // NANOSECONDS_PER_TICK
 
 
 def _non_negative_int(text: str) -> int:
     value = int(text)
     if not 0 <= value <= MAX_INTEGER:
-        raise ValueError(f"not from 0 to 2^63: {text}")
+        raise ValueError(f"not between 0 and 2^63: {text}")
     return value
 
 
@@ -162,13 +166,13 @@
 
 
 class EventLine(NamedTuple):
-    """How a line is read as an event."""
+    """How a line is decoded to an event."""
 
     event: Callable[..., Event]
     decoders: tuple[Decoder, ...]
-    """How each field of the event is read, in the event's order."""
+    """The decoder of each field, in the order of the event's fields."""
     positions: tuple[int, ...] | None = None
-    """The position of each field on the line; None where the line has the event's order."""
+    """The position of each field on the line; None if the line has the event's order."""
 
 
 EVENTS = {
@@ -217,10 +221,10 @@
 
 
 def read_event(name: str, values: Sequence[str]) -> Event:
-    """Returns the event of a line: its name and the values after the instance.
+    """Decodes an event line, given its name and the values after the instance.
 
     Raises:
-        MalformedLineError: The number of values or one of them is wrong.
+        MalformedLineError: The number of values is wrong, or a value is invalid.
     """
     event, decoders, positions = EVENTS[name]
     if len(values) != len(decoders):
@@ -232,14 +236,14 @@
     try:
         return event(*[decode(value) for decode, value in zip(decoders, values)])
     except (ValueError, KeyError) as error:
-        raise MalformedLineError(f"{name}: bad value ({error})") from None
+        raise MalformedLineError(f"{name}: invalid value ({error})") from None
 
 
 def read_endpoint(values: Sequence[str]) -> Endpoint:
-    """Returns the endpoint of an ENTRY line.
+    """Decodes the endpoint on an ENTRY line.
 
     Raises:
-        MalformedLineError: The number of values or one of them is wrong.
+        MalformedLineError: The number of values is wrong, or a value is invalid.
     """
     try:
         zone, size, cell, condition, started, address, machine, build = values
@@ -254,30 +258,38 @@
             int(float(build)),
         )
     except (ValueError, KeyError) as error:
-        raise MalformedLineError(f"ENTRY: bad value ({error})") from None
+        raise MalformedLineError(f"ENTRY: invalid value ({error})") from None
 
 
 class _SettingPairs:
-    """The name=value pairs of a NEW_INSTANCE line, each read by name."""
+    """The settings on a NEW_INSTANCE line: name=value pairs, read by name."""
 
     def __init__(self, pairs: Iterable[str]) -> None:
         self._values: dict[str, str] = dict(pair.partition("=")[::2] for pair in pairs)
 
     def read(self, name: str, decode: Callable[[str], Value]) -> Value:
-        """Returns the value of a setting. Raises MalformedLineError."""
+        """Returns the decoded value of a setting.
+
+        Raises:
+            MalformedLineError: The setting is missing or invalid.
+        """
         if name not in self._values:
             raise MalformedLineError(f"required setting {name} is missing")
         try:
             return decode(self._values[name])
         except (ValueError, KeyError):
             raise MalformedLineError(
-                f"setting {name} makes no sense: {self._values[name]!r}"
+                f"setting {name} has an invalid value: {self._values[name]!r}"
             ) from None
 
     def read_if_required(
         self, required: bool, name: str, decode: Callable[[str], Value], default: Value
     ) -> Value:
-        """Returns the value of a setting, or the default where it is neither required nor there."""
+        """Returns the decoded value of a setting, or the default if it is optional and not set.
+
+        Raises:
+            MalformedLineError: The setting is missing though required, or invalid.
+        """
         if not required and self._values.get(name, "-") == "-":
             return default
         return self.read(name, decode)
@@ -329,7 +341,7 @@
 def _vote_threshold(text: str) -> int:
     return max(
         1, _non_negative_int(text)
-    )  # where none is needed each instance votes as if it decided alone
+    )  # with 0, each instance votes as if its vote alone decided
 
 
 def _non_negative_float(text: str) -> float:
@@ -369,19 +381,22 @@
     request_classes = [_request_class(settings, index) for index in range(count)]
     by_name: dict[str, RequestClass] = {}
     for index, request_class in enumerate(request_classes):
-        if request_class.name in by_name:  # one would be served by the limits of the other
+        if (
+            request_class.name in by_name
+        ):  # requests of one class would be served with the limits of the other
             raise MalformedLineError(
-                f"setting categories.{index}.name comes twice: {request_class.name!r}"
+                f"setting categories.{index}.name is not unique: {request_class.name!r}"
             )
         by_name[request_class.name] = request_class
     return by_name
 
 
 def read_settings(pairs: Iterable[str]) -> Settings:
-    """Returns the settings of a NEW_INSTANCE line's name=value pairs.
+    """Decodes the engine's settings from a NEW_INSTANCE line's name=value pairs.
 
     Raises:
-        MalformedLineError: A setting is missing, comes twice or makes no sense; it is named.
+        MalformedLineError: A setting is missing, invalid, or a class name is repeated; the text
+            names the setting.
     """
     settings = _SettingPairs(pairs)
     read = settings.read
@@ -422,10 +437,10 @@
 
 
 def read_connection_limits(pairs: Iterable[str]) -> ConnectionLimits:
-    """Returns the limits of connections among the same pairs.
+    """Decodes the connection limits from the same pairs.
 
     Raises:
-        MalformedLineError: A setting is missing or makes no sense; it is named.
+        MalformedLineError: A setting is missing or invalid; the text names it.
     """
     read = _SettingPairs(pairs).read
     return ConnectionLimits(
@@ -435,7 +450,7 @@
     )
 
 
-# Action -> its line, with {} for the instance.
+# The encoder of each action; its line has {} in place of the instance.
 ACTIONS: dict[type, Callable[[Any], str]] = {
     SendAttempt: lambda action: (
         f"TRY {{}} {action.id} {action.endpoint} {action.timeout * NANOSECONDS_PER_TICK}"
@@ -465,10 +480,10 @@
 
 
 def write_action(instance: str, action: Action) -> str:
-    """Returns the line of an action."""
+    """Encodes an action of an instance as a line."""
     return ACTIONS[type(action)](action).format(instance)
 
 
 def write_fault(instance: str, reason: str) -> str:
-    """Returns the line that reports that the decision engine itself failed."""
+    """Encodes a FAULT line, which reports that the decision engine raised an exception."""
     return f"FAULT {instance} {_single_line(reason)}"
--- a/thymeknot/simulator_wire/host.py
+++ b/thymeknot/simulator_wire/host.py
@@ -1,4 +1,4 @@
-"""Hosts decision engines on standard input and output, for the users' simulator."""
+"""Runs decision engines for the external simulator, on standard input and output."""
 
 import sys
 from collections.abc import Callable, Iterable, Sequence
@@ -18,33 +18,33 @@
 
 
 class Engine(Protocol):
-    """What is hosted: it answers the events of a moment with actions."""
+    """A hosted decision engine."""
 
     def handle(self, now: Ticks, events: list[Event], /) -> Iterable[Action]:
-        """Returns the actions that the events of this moment lead to."""
+        """Handles the events of one point in time, and returns the resulting actions."""
 
 
 ENGINE_FACTORY: Callable[[Settings, int, Ticks], Engine] = DecisionEngine
-"""Makes the engine of a new instance from its settings, its seed and the time."""
+"""Creates the engine of a new instance from its settings, its seed and the present time."""
 
 
 class IncompleteCensus(NamedTuple):
-    """A CENSUS whose ENTRY lines are being read."""
+    """A CENSUS (endpoint list) with ENTRY lines still to come."""
 
     list_number: int
-    """The number of the endpoint list."""
+    """The number by which ANNOUNCE lines refer to the list."""
     remaining: int
-    """How many ENTRY lines follow."""
+    """The number of ENTRY lines still to come."""
 
 
 class Host:
-    """The instances of one process.
+    """The instances in this process.
 
-    They share nothing but the numbered endpoint lists that the protocol itself shares.
+    They share only the numbered endpoint lists, which the protocol defines as shared.
 
     Attributes:
-        instances: The engine of each running instance, by its name.
-        lists: The endpoint lists, by their number.
+        instances: The engines of the running instances, by instance name.
+        lists: The endpoint lists, by number.
     """
 
     def __init__(self) -> None:
@@ -52,13 +52,13 @@
         self.lists: dict[int, list[Endpoint]] = {}
 
     def batch(self, now: Ticks, lines: Iterable[str]) -> list[str]:
-        """Handles the lines of one batch; each instance gets its events in one call.
+        """Handles the lines of one batch, with one engine call for each instance that has events.
 
         Returns:
             The lines of the reply.
 
         Raises:
-            MalformedLineError: A line is not allowed; the text quotes it.
+            MalformedLineError: A line violates the protocol; the text quotes it.
         """
         events_by_instance: dict[str, list[Event]] = {}
         replies: list[str] = []
@@ -69,7 +69,7 @@
             except codec.MalformedLineError as error:
                 raise codec.MalformedLineError(f"{error}: {text!r}") from None
         if census:
-            raise codec.MalformedLineError("the batch ends inside a CENSUS")
+            raise codec.MalformedLineError("batch ends within a CENSUS")
         for name, events in events_by_instance.items():
             self._handle_events(now, name, events, replies)
         return replies
@@ -82,21 +82,21 @@
         replies: list[str],
         census: IncompleteCensus | None,
     ) -> IncompleteCensus | None:
-        """Takes in one line; returns the CENSUS that it leaves open."""
+        """Handles one line; returns the CENSUS that is incomplete after it, if any."""
         name, *values = text.split(" ")
         if census or name == "ENTRY":
             return self._read_entry(name, values, census)
         if name == "CENSUS":
             return self._open_census(values)
         if name not in MESSAGE_NAMES:
-            raise codec.MalformedLineError("no such message")
+            raise codec.MalformedLineError("unknown message")
         if not values:
-            raise codec.MalformedLineError("no instance named")
+            raise codec.MalformedLineError("instance missing")
         instance, *values = values
         if name == "NEW_INSTANCE":
             self._start_instance(now, instance, values, events_by_instance, replies)
         elif instance not in self.instances:
-            raise codec.MalformedLineError("an event for an unknown instance")
+            raise codec.MalformedLineError("event for an unknown instance")
         elif name == "KILLED":
             events_by_instance.pop(instance, None)
             del self.instances[instance]
@@ -111,7 +111,9 @@
     ) -> IncompleteCensus | None:
         if name != "ENTRY" or not census:
             raise codec.MalformedLineError(
-                "an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short"
+                "ENTRY outside of a CENSUS"
+                if name == "ENTRY"
+                else "CENSUS with too few ENTRY lines"
             )
         list_number, remaining = census
         self.lists[list_number].append(codec.read_endpoint(values))
@@ -121,7 +123,9 @@
         try:
             list_number, count = (int(value) for value in values)
         except ValueError:
-            raise codec.MalformedLineError("CENSUS takes a number and a count") from None
+            raise codec.MalformedLineError(
+                "CENSUS takes two integers, the number and the length of the list"
+            ) from None
         self.lists[list_number] = []
         return IncompleteCensus(list_number, count) if count else None
 
@@ -136,12 +140,12 @@
         try:
             seed = int(values[0])
         except (IndexError, ValueError):
-            raise codec.MalformedLineError("NEW_INSTANCE without a seed") from None
+            raise codec.MalformedLineError("NEW_INSTANCE without an integer seed") from None
         events_by_instance.pop(instance, None)
         settings = codec.read_settings(values[1:])
         try:
             self.instances[instance] = ENGINE_FACTORY(settings, seed, now)
-        except Exception as error:  # whatever the engine raises has to reach the operators
+        except Exception as error:  # any exception of the engine is reported to the simulator
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
     def _endpoint_update(self, values: Sequence[str]) -> EndpointUpdate:
@@ -152,7 +156,9 @@
                 () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(list_number)])
             )
         except (ValueError, KeyError):
-            raise codec.MalformedLineError("ANNOUNCE: bad value") from None
+            raise codec.MalformedLineError(
+                "ANNOUNCE with an invalid value or an unknown endpoint list"
+            ) from None
         return EndpointUpdate(kind, endpoints)
 
     def _handle_events(
@@ -161,15 +167,15 @@
         try:
             actions = self.instances[instance].handle(now, events)
             replies.extend(codec.write_action(instance, action) for action in actions)
-        except Exception as error:  # whatever the engine raises has to reach the operators
+        except Exception as error:  # any exception of the engine is reported to the simulator
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answers batches of lines until the input ends.
+    """Handles batches of lines until the input ends.
 
     Raises:
-        MalformedLineError: A line is not allowed.
+        MalformedLineError: A line violates the protocol.
     """
     host = Host()
     now: Ticks | None = None
@@ -180,7 +186,7 @@
             now = _batch_time(text, now)
         elif now is None:
             if text:
-                raise codec.MalformedLineError(f"a line outside a batch: {text!r}")
+                raise codec.MalformedLineError(f"line outside of a batch: {text!r}")
         elif text == BATCH_END:
             sink.write("\n".join([*host.batch(now, lines), "OK\n"]))
             sink.flush()
@@ -189,20 +195,20 @@
         elif text:
             lines.append(text)
     if now is not None:
-        raise codec.MalformedLineError("the input ends inside a batch")
+        raise codec.MalformedLineError("input ends within a batch")
 
 
 def _batch_time(text: str, open_batch_time: Ticks | None) -> Ticks:
     if open_batch_time is not None:
-        raise codec.MalformedLineError(f"a BATCH inside a batch: {text!r}")
+        raise codec.MalformedLineError(f"BATCH within a batch: {text!r}")
     try:
         return codec.read_time(text.removeprefix(BATCH_START))
     except ValueError:
-        raise codec.MalformedLineError(f"BATCH without a clock: {text!r}") from None
+        raise codec.MalformedLineError(f"BATCH without a time in nanoseconds: {text!r}") from None
 
 
 def main() -> int:
-    """Serves standard input; returns the exit code."""
+    """Serves the simulator on standard input; returns the exit code."""
     try:
         serve(sys.stdin, sys.stdout)
     except codec.MalformedLineError as error:
