--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -19,24 +19,26 @@
 )
 
 EVENTS = b"event: progress\ndata: a=1\n\n:\n\ndata:b=2\n\n"
-STREAM = (
+CHUNKED_RESPONSE = (
     b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
     + b"".join(
         b"%X;x=1\r\n%s\r\n" % (len(part), part) for part in (EVENTS[:5], EVENTS[5:30], EVENTS[30:])
     )
     + b"0\r\nTrailer: x\r\n\r\n"
 )
-CALL = b"HTTP/1.1 400 Bad\r\nContent-Length: 37\r\n\r\n<Error><Code>throttled</Code></Error>"
+ERROR_RESPONSE = (
+    b"HTTP/1.1 400 Bad\r\nContent-Length: 37\r\n\r\n<Error><Code>throttled</Code></Error>"
+)
 
 
-def plain(message):
+def copied(message):
     """A message with its slices copied, so that it can be compared."""
     if isinstance(message, list):
-        return [plain(part) for part in message]
+        return [copied(part) for part in message]
     return bytes(message) if isinstance(message, memoryview) else message
 
 
-def splits(data):
+def chunkings(data):
     """The data whole, byte by byte, and in two at each point."""
     yield [data]
     yield [data[at : at + 1] for at in range(len(data))]
@@ -44,15 +46,15 @@
         yield [data[:at], data[at:]]
 
 
-class Resp(unittest.TestCase):
-    def test_messages_come_whole_however_they_are_split(self):
+class RespTest(unittest.TestCase):
+    def test_messages_are_parsed_at_any_chunk_boundary(self):
         data = (
             command("SVC.QUERY", "k", "\r\n$3")
             + b"*3\r\n$0\r\n\r\n$-1\r\n*1\r\n:-12\r\n"
             + b"-ERR failed\r\n"
             + b"+OK\r\n*-1\r\n*0\r\n"
         )
-        wanted = [
+        expected = [
             [b"SVC.QUERY", b"k", b"\r\n$3"],
             [b"", None, [-12]],
             resp.Failure("ERR failed"),
@@ -60,23 +62,23 @@
             None,
             [],
         ]
-        for chunks in splits(data):
+        for chunks in chunkings(data):
             parser = resp.Parser()
             self.assertEqual(
-                [plain(found) for chunk in chunks for found in parser.feed(chunk)], wanted
+                [copied(found) for chunk in chunks for found in parser.feed(chunk)], expected
             )
 
-    def test_a_long_value_comes_in_pieces_and_is_a_slice_of_what_was_read(self):
+    def test_long_value_in_chunks_and_zero_copy_slice(self):
         whole, parser = command(b"x" * resp.MAX_BULK_BYTES), resp.Parser()
         found = [
-            plain(message)
+            copied(message)
             for at in range(0, len(whole), 999)
             for message in parser.feed(whole[at : at + 999])
         ]
         self.assertEqual(found, [[b"x" * resp.MAX_BULK_BYTES]])
         self.assertIs(next(resp.Parser().feed(whole))[0].obj, whole)
 
-    def test_what_can_be_no_message_is_malformed(self):
+    def test_invalid_messages_are_malformed(self):
         for data in (
             b"PING\r\n",
             b"*x\r\n",
@@ -92,27 +94,27 @@
             with self.assertRaises(resp.MalformedRespError, msg=data):
                 list(resp.Parser().feed(data))
 
-    def test_garbage_raises_nothing_else(self):
-        chance = random.Random(5)
+    def test_random_input_raises_only_malformed_error(self):
+        rng = random.Random(5)
         for _ in range(3000):
-            data = bytes(chance.choice(b"*$+-:\r\n0123x") for _ in range(chance.randrange(1, 40)))
+            data = bytes(rng.choice(b"*$+-:\r\n0123x") for _ in range(rng.randrange(1, 40)))
             try:
                 list(resp.Parser().feed(data))
             except resp.MalformedRespError:
                 pass
 
-    def test_writers_write_what_the_parser_reads(self):
-        for written, wanted in (
+    def test_serializers_match_the_parser(self):
+        for written, expected in (
             (resp.command([b"A", b""]), [b"A", b""]),
             (resp.value(memoryview(b"v")), b"v"),
             (resp.status("PONG"), resp.Status("PONG")),
             (resp.failure("ERR a\r\nb"), resp.Failure("ERR a b")),
         ):
-            self.assertEqual([plain(found) for found in resp.Parser().feed(written)], [wanted])
+            self.assertEqual([copied(found) for found in resp.Parser().feed(written)], [expected])
 
 
-class Commands(unittest.TestCase):
-    def test_a_command_passes_on_as_it_came_with_the_time_left(self):
+class CommandTest(unittest.TestCase):
+    def test_forwarded_command_only_changes_the_timeout(self):
         read = commands.read_command(
             [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=480,k=5c,r=1", b"BODY"]
         )
@@ -125,7 +127,7 @@
             [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=77,k=5c,r=1", b"BODY"],
         )
 
-    def test_what_is_wrong_with_a_command_is_said(self):
+    def test_invalid_command_has_a_reason(self):
         for words, reason in (
             ([b"Q", b"k", b"i"], "takes a key"),
             ([b"Q", b"k", b"i", b"d=5"], "lane"),
@@ -136,7 +138,7 @@
         ):
             self.assertIn(reason, commands.read_command(words).reason)
 
-    def test_what_is_held_of_a_command_that_is_never_whole_is_bounded_and_so_is_the_work_on_it(
+    def test_incomplete_command_is_bounded_in_memory_and_cpu_time(
         self,
     ):
         """By the pieces that a connection reads; the arrays are a megabyte, in each other and all but empty."""
@@ -149,15 +151,15 @@
             nested + 63 * (nested + 64 * (nested + 64 * b"*0\r\n")),
             nested + 63 * (nested + 64 * part),
         ):
-            parser, began = commands.CommandParser(), time.process_time()
+            parser, started_at = commands.CommandParser(), time.process_time()
             with self.assertRaises(resp.MalformedRespError):
                 for at in range(0, len(data), 65536):
                     list(parser.feed(data[at : at + 65536]))
                     self.assertLessEqual(parser.held, commands.MAX_COMMAND_BYTES)
-            self.assertLess(time.process_time() - began, 0.1)
+            self.assertLess(time.process_time() - started_at, 0.1)
 
-    def test_what_a_pod_may_answer(self):
-        for data, wanted in (
+    def test_endpoint_responses(self):
+        for data, expected in (
             (b"*3\r\n$1\r\nv\r\n$-1\r\n$3\r\nq=1\r\n", pod.PodResponse(b"v", b"q=1", None)),
             (b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n", pod.PodResponse(b"v", None, None)),
             (b"-BUSY\r\n", pod.PodResponse(None, None, "BUSY")),
@@ -165,10 +167,10 @@
             (b"*0\r\n", None),
             (b"*1\r\n$-1\r\n", None),
         ):
-            self.assertEqual(pod.read_response(next(resp.Parser().feed(data))), wanted)
+            self.assertEqual(pod.read_response(next(resp.Parser().feed(data))), expected)
 
 
-class Http(unittest.TestCase):
+class HttpTest(unittest.TestCase):
     def read(self, chunks):
         parser, status, body, ends = http.Parser(), [], b"", 0
         for chunk in chunks:
@@ -181,12 +183,12 @@
                     ends += 1
         return status, body, ends
 
-    def test_answers_come_whole_however_they_are_split(self):
-        wanted = ([200, 400], EVENTS + CALL[-37:], 2)
-        for chunks in splits(STREAM + CALL):
-            self.assertEqual(self.read(chunks), wanted)
+    def test_responses_are_parsed_at_any_chunk_boundary(self):
+        expected = ([200, 400], EVENTS + ERROR_RESPONSE[-37:], 2)
+        for chunks in chunkings(CHUNKED_RESPONSE + ERROR_RESPONSE):
+            self.assertEqual(self.read(chunks), expected)
 
-    def test_an_answer_without_a_length_ends_with_its_connection(self):
+    def test_response_without_length_ends_with_its_connection(self):
         parser = http.Parser()
         parts = [
             *parser.feed(b"HTTP/1.1 200 OK\r\n\r\n<a>"),
@@ -196,16 +198,16 @@
         self.assertEqual([bytes(part.content) for part in parts[1:-1]], [b"<a>", b"1</a>"])
         self.assertEqual((type(parts[-1]), http.Parser().end_of_stream()), (http.End, []))
 
-    def test_events_come_whole_however_the_stream_is_split(self):
+    def test_events_are_parsed_at_any_chunk_boundary(self):
         data = b"event: progress\r\ndata: a=1\n\n:\n\n: sign\ndata:b=2\ndata: c\n\nevent: x\n\n"
-        for chunks in splits(data):
+        for chunks in chunkings(data):
             events = http.EventStream()
             self.assertEqual(
                 [event for chunk in chunks for event in events.feed(chunk)],
                 [("progress", "a=1"), ("message", "b=2\nc")],
             )
 
-    def test_what_is_not_http_is_malformed(self):
+    def test_invalid_http_is_malformed(self):
         for data in (
             b"SMTP ready\r\n\r\n",
             b"HTTP/1.1 abc\r\n\r\n",
@@ -218,8 +220,8 @@
                 list(http.Parser().feed(data))
 
 
-class Platform(unittest.TestCase):
-    def test_each_status_of_a_vote_has_its_meaning(self):
+class DeployerTest(unittest.TestCase):
+    def test_outcome_of_each_vote_response(self):
         good = (
             b'<?xml version="1.0"?>\n<Response><entries><item><version>42</version><step>1</step>'
             b"<status>trial</status><maxWeight>0.28</maxWeight><observedAgoMs>310</observedAgoMs>"
@@ -246,13 +248,13 @@
                 ReleaseUpdate(42, None, None, True, outcome, None, None),
             )
 
-    def test_a_vote_is_a_form(self):
+    def test_vote_is_sent_as_a_form(self):
         call = deployer.vote_request("h:1", CastVote(42, 1, Verdict.ABORT))
         head, body = call.split(b"\r\n\r\n")
         self.assertEqual(body, b"Action=PutApproval&version=42&step=1&vote=abort")
         self.assertIn(b"Content-Length: %d" % len(body), head)
 
-    def test_what_the_stream_tells(self):
+    def test_stream_events(self):
         progress = "version=42&step=1&status=released&maxWeight=1&observedAgoMs=310"
         self.assertEqual(
             deployer.read_event("progress", progress),
@@ -272,7 +274,7 @@
                 deployer.read_event("progress", data)
 
 
-class Discovery(unittest.TestCase):
+class DiscoveryTest(unittest.TestCase):
     def entry(self, **more):
         return {
             "id": "s-1",
@@ -287,7 +289,7 @@
             **more,
         }
 
-    def test_lists_and_changes(self):
+    def test_full_lists_and_deltas(self):
         listing = discovery.read_list(
             {
                 "version": 4,
@@ -318,7 +320,7 @@
             (UpdateKind.DELTA, EndpointCondition.GONE, {}),
         )
 
-    def test_the_faulty_key_is_named(self):
+    def test_error_names_the_invalid_key(self):
         for changed, key in (
             ({"state": "Odd"}, "state"),
             ({"addr": "nowhere"}, "addr"),
--- a/tests/unit/simulator_wire/test_codec.py
+++ b/tests/unit/simulator_wire/test_codec.py
@@ -27,7 +27,7 @@
 from thymeknot.simulator_wire import codec
 from thymeknot.simulator_wire.host import Host, serve
 
-PAIRS = """balancers=3 categories.count=1 categories.0.give_up=2000000000 categories.0.key_scope=all
+SETTING_PAIRS = """balancers=3 categories.count=1 categories.0.give_up=2000000000 categories.0.key_scope=all
 categories.0.late_worth=0.0 categories.0.name=fetch categories.0.promise=800000000
 categories.0.semantics=idempotent categories.0.window=5000000000 categories.0.worth=1.0 discovery=automatic
 extra.allowance=3.0 extra.calls_per_s=150.0 extra.counts=all extra.decided_by=by_count
@@ -37,10 +37,10 @@
 permissions.retry_after=true permissions.second_copies=false rules.ask_within=10000000000
 rules.cold=4800000000 rules.cold_from=0.31 rules.fall_multiple=2.0 rules.overload_for=1500000000
 stats.names= never.heard.of=1""".split()
-START = "NEW_INSTANCE sidecar-3 77 " + " ".join(PAIRS)
+NEW_INSTANCE_LINE = "NEW_INSTANCE sidecar-3 77 " + " ".join(SETTING_PAIRS)
 
 
-class Reading(unittest.TestCase):
+class DecodingTest(unittest.TestCase):
     def test_events(self):
         cases = {
             "INGRESS 25 fetch sao 91f0 240000000 - 0 1": RequestReceived(
@@ -65,33 +65,38 @@
             name, *values = line.split()
             self.assertEqual(codec.read_event(name, values), event)
 
-    def test_a_pod(self):
-        row = "bien 1.5 0 fading 6100000000 10.2.2.2:44 std 42".split()
+    def test_endpoint(self):
+        values = "bien 1.5 0 fading 6100000000 10.2.2.2:44 std 42".split()
         self.assertEqual(
-            codec.read_endpoint(row),
+            codec.read_endpoint(values),
             Endpoint("10.2.2.2:44", "bien", 1.5, 0, EndpointCondition.DRAINING, 61000, "std", 42),
         )
 
-    def test_terms(self):
+    def test_latency_objective(self):
         self.assertEqual(
-            codec.read_settings(PAIRS).request_classes["fetch"].latency_objective, 8000
+            codec.read_settings(SETTING_PAIRS).request_classes["fetch"].latency_objective, 8000
         )
 
-    def test_a_missing_or_senseless_setting_is_named(self):
+    def test_error_names_the_missing_or_invalid_setting(self):
         with self.assertRaisesRegex(codec.MalformedLineError, "extra.window"):
-            codec.read_settings([pair for pair in PAIRS if not pair.startswith("extra.window")])
+            codec.read_settings(
+                [pair for pair in SETTING_PAIRS if not pair.startswith("extra.window")]
+            )
         with self.assertRaisesRegex(codec.MalformedLineError, "balancers"):
             codec.read_settings(
-                ["balancers=none" if pair.startswith("balancers") else pair for pair in PAIRS]
+                [
+                    "balancers=none" if pair.startswith("balancers") else pair
+                    for pair in SETTING_PAIRS
+                ]
             )
 
-    def test_bad_values_are_refused(self):
+    def test_invalid_values_are_rejected(self):
         for line in ("RESULT 25 fine 1 1 a 0 -", "GONE", "TICK_DUE x"):
             with self.assertRaises(codec.MalformedLineError):
                 codec.read_event(*[line.split()[0], line.split()[1:]])
 
 
-class Writing(unittest.TestCase):
+class EncodingTest(unittest.TestCase):
     def test_actions(self):
         cases = {
             "TRY s-1 25 10.1.1.1:50 80000000": SendAttempt("25", "10.1.1.1:50", 800),
@@ -108,11 +113,11 @@
             self.assertEqual(codec.write_action("s-1", action), line)
 
 
-class Hosting(unittest.TestCase):
-    def test_a_batch_is_answered_in_order(self):
+class HostTest(unittest.TestCase):
+    def test_batch_reply_ends_with_ok(self):
         batch = [
             "BATCH 5000000000",
-            START,
+            NEW_INSTANCE_LINE,
             "CENSUS 0 1",
             "ENTRY a 1 0 on - 10.1.1.1:50 std 41",
             "ANNOUNCE sidecar-3 cached 1 0",
@@ -127,20 +132,20 @@
         self.assertEqual(lines[0], "TRY sidecar-3 25 10.1.1.1:50 240000000")
         self.assertEqual(lines[-1], "OK")
 
-    def test_what_the_wire_does_not_allow_is_named(self):
+    def test_error_quotes_the_invalid_line(self):
         for line in ("GONE sidecar-9 25", "HELLO sidecar-3", "ENTRY a 1 0 on - p std 41"):
             with self.assertRaisesRegex(codec.MalformedLineError, line.split()[0]):
                 Host().batch(5, [line])
 
-    def test_a_killed_instance_is_forgotten(self):
+    def test_killed_instance_is_removed(self):
         host = Host()
-        host.batch(5, [START])
+        host.batch(5, [NEW_INSTANCE_LINE])
         host.batch(6, ["KILLED sidecar-3"])
         self.assertEqual(host.instances, {})
 
-    def test_a_failing_decision_is_reported_as_a_fault(self):
+    def test_engine_exception_is_reported_as_fault(self):
         host = Host()
-        host.batch(5, [START])
+        host.batch(5, [NEW_INSTANCE_LINE])
         host.instances["sidecar-3"] = None
         reply = host.batch(6, ["GONE sidecar-3 25"])
         self.assertRegex(reply[0], "^FAULT sidecar-3 AttributeError")
