--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -73,24 +73,26 @@
             stream.dataReceived(HEAD + b"".join(map(encode_chunk, chunks)))
         return stream
 
-    def advance_until_requested(self, port, most):
+    def advance_until_requested(self, port, limit):
         """The seconds until this port is dialled again; a failure after so many."""
         before, now = self.connect_count(port), self.network.reactor.seconds
-        began = now()
+        started_at = now()
         while self.connect_count(port) == before:
-            self.assertLess(now() - began, most, "it was not asked for again")
+            self.assertLess(now() - started_at, limit, "it was not asked for again")
             self.advance(0.01)
-        return now() - began
+        return now() - started_at
 
 
 class HeartbeatTest(NetworkTestCase):
     def test_endless_incomplete_line_is_no_heartbeat(self):
         for port in (2, 3):
-            stream, began = self.connect(port, HEARTBEAT[port]), self.network.reactor.seconds()
-            while self.connect_count(port) == 1 and self.network.reactor.seconds() < began + 12:
+            stream, started_at = self.connect(port, HEARTBEAT[port]), self.network.reactor.seconds()
+            while (
+                self.connect_count(port) == 1 and self.network.reactor.seconds() < started_at + 12
+            ):
                 stream.dataReceived(encode_chunk(b" " if port == 2 else b":"))
                 self.advance(0.5)
-            self.assertLess(self.network.reactor.seconds() - began, 5.1, port)
+            self.assertLess(self.network.reactor.seconds() - started_at, 5.1, port)
 
     def test_lines_of_an_endless_object_are_no_heartbeat(self):
         for line in (
@@ -98,15 +100,15 @@
             HEARTBEAT[2],
         ):  # a sign of life behind what was cut is JSON, and none
             self.network = Network(entry("s-1"))
-            stream, began = (
+            stream, elapsed = (
                 self.connect(2, HEARTBEAT[2], b'{"version":9,"full":true,"servers":[\n'),
                 0,
             )
-            while self.connect_count(2) == 1 and began < 12:
+            while self.connect_count(2) == 1 and elapsed < 12:
                 stream.dataReceived(encode_chunk(line))
                 self.advance(0.5)
-                began += 0.5
-            self.assertLess(began, 5.1)
+                elapsed += 0.5
+            self.assertLess(elapsed, 5.1)
 
     def test_complete_lines_are_heartbeats(self):
         streams = {port: self.connect(port, HEARTBEAT[port]) for port in (2, 3)}
@@ -132,10 +134,11 @@
         new = self.connect(2, list_message(9, "s-2"))
         self.assertTrue(old.transport.disconnected)
         self.advance(2)
-        heard = self.watch_streams[2].last_heartbeat
+        last_heartbeat = self.watch_streams[2].last_heartbeat
         old.dataReceived(encode_chunk(list_message(10, "s-3")))
         self.assertEqual(
-            (self.watch_streams[2].current, self.watch_streams[2].last_heartbeat), (new, heard)
+            (self.watch_streams[2].current, self.watch_streams[2].last_heartbeat),
+            (new, last_heartbeat),
         )
         self.assertEqual(list(self.network.proxy.listed), ["s-2"])
 
@@ -149,7 +152,7 @@
             self.assertEqual((late.transport.disconnected, late.transport.value()), (True, b""))
 
     def test_reason_of_a_stream_end_is_logged(self):
-        for said, reason in (
+        for received, reason in (
             (HEAD.replace(b"200", b"503"), "status 503"),
             (HEAD + b"0\r\n\r\n", "the response ended"),
             (HEAD + encode_chunk(b"noise\n"), "unreadable: invalid JSON"),
@@ -160,7 +163,7 @@
                 (event, fields["reason"])
             )
             stream = network.connect(0)
-            stream.dataReceived(said)
+            stream.dataReceived(received)
             self.assertTrue(stream.transport.disconnected)
             self.assertEqual(len(lines), 1)
             self.assertIn(reason, lines[0][1])
@@ -168,7 +171,7 @@
 
 class SilenceTest(NetworkTestCase):
     def test_silence_is_detected_in_time_for_any_phase_of_the_check_timer(self):
-        for port, silence, most in (
+        for port, silence, limit in (
             (2, discovery.SILENCE_TIMEOUT, 4.51),
             (3, platform.SILENCE_TIMEOUT, 4.01),
         ):
@@ -181,7 +184,7 @@
                     self.advance(0.13)
                     stream.dataReceived(encode_chunk(HEARTBEAT[port]))
                 self.assertAlmostEqual(
-                    self.advance_until_requested(port, most + 0.02), silence / 10_000, delta=0.03
+                    self.advance_until_requested(port, limit + 0.02), silence / 10_000, delta=0.03
                 )
 
     def test_silence_one_failed_connect_and_the_response_fit_in_the_limit(self):
@@ -189,7 +192,7 @@
             network = self.network = Network(entry("s-1"))
             network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             self.connect(2, list_message(8, "s-1"))
-            began = network.reactor.seconds()
+            started_at = network.reactor.seconds()
             self.advance_until_requested(2, 6)
             failed = self.last_connect(2)
             self.advance(0.26)
@@ -198,7 +201,7 @@
             self.advance_until_requested(2, 1)
             self.connect(2, list_message(9, "s-2"))
             self.assertEqual(list(network.proxy.listed), ["s-2"])
-            self.assertLess(network.reactor.seconds() - began, 5.75)
+            self.assertLess(network.reactor.seconds() - started_at, 5.75)
 
     def test_one_silence_timer_remains_after_many_streams(self):
         for _ in range(50):
@@ -217,13 +220,13 @@
             self.network = Network(entry("s-1"))
             self.network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             self.connect(2, list_message(8, "s-1"))
-            began = self.network.reactor.seconds()
+            started_at = self.network.reactor.seconds()
             self.advance_until_requested(2, 6)
             silent = self.connect(2)
             self.advance_until_requested(2, 6)
             self.assertTrue(silent.transport.disconnected)
             self.connect(2, list_message(9, "s-2"))
-            self.assertLess(self.network.reactor.seconds() - began, 5.9)
+            self.assertLess(self.network.reactor.seconds() - started_at, 5.9)
             self.assertEqual(list(self.network.proxy.listed), ["s-2"])
 
     def test_first_data_timeout_doubles_and_resets_on_data(self):
@@ -308,7 +311,7 @@
             self.network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             old = self.connect(2, list_message(8, "s-1"))
             self.move(self.network, 8)
-            began = self.network.reactor.seconds()
+            started_at = self.network.reactor.seconds()
             silent = self.connect(8)
             self.advance_until_requested(8, 2)
             self.assertTrue(silent.transport.disconnected)
@@ -320,10 +323,10 @@
             self.assertEqual(
                 (list(self.network.proxy.listed), old.transport.disconnected), (["s-2"], True)
             )
-            self.assertLess(self.network.reactor.seconds() - began, 3)
+            self.assertLess(self.network.reactor.seconds() - started_at, 3)
 
     def test_list_of_a_new_address_is_accepted_with_any_version(self):
-        for said, names in (
+        for received, names in (
             (list_message(3, "s-2"), ["s-2"]),
             (list_message(12, "s-2"), ["s-2"]),
             (list_message(3, "s-2", full=False), ["s-1", "s-2"]),
@@ -337,7 +340,7 @@
             )  # what the former one counts is not what the new one does
             self.network.refuse(self.last_connect(8))
             self.advance_until_requested(8, 1)
-            new = self.connect(8, said)
+            new = self.connect(8, received)
             self.assertIn(b"index=0 ", new.transport.value())
             self.assertEqual(
                 (list(self.network.proxy.listed), old.transport.disconnected), (names, True)
@@ -360,11 +363,11 @@
 
     def test_pending_request_at_the_former_address_is_closed(self):
         self.advance(0.05)
-        asked = self.connect(2)
+        pending = self.connect(2)
         self.move(self.network, 8)
-        self.assertTrue(asked.transport.disconnected)
-        asked.dataReceived(HEAD + encode_chunk(list_message(9, "s-9")))
-        asked.connectionLost(Failure(ConnectionDone()))
+        self.assertTrue(pending.transport.disconnected)
+        pending.dataReceived(HEAD + encode_chunk(list_message(9, "s-9")))
+        pending.connectionLost(Failure(ConnectionDone()))
         self.assertEqual((list(self.network.proxy.listed), self.connect_count(8)), (["s-1"], 1))
 
     def test_request_is_always_pending_while_the_agent_is_silent(self):
@@ -383,7 +386,7 @@
 
 class StaleListTest(NetworkTestCase):
     def test_repeated_older_list_is_accepted_soon_after_refusals(self):
-        for asked_for, most in ((False, 1.1), (True, 0.85)):
+        for asked_for, limit in ((False, 1.1), (True, 0.85)):
             self.network = Network(entry("s-1"), asked_for=asked_for)
             self.advance(0.1)
             for _ in range(5):
@@ -393,39 +396,42 @@
             self.assertEqual(
                 (list(self.network.proxy.listed), stream.transport.disconnected), (["s-1"], True)
             )
-            self.assertLess(self.advance_until_requested(2, 9), most)
+            self.assertLess(self.advance_until_requested(2, 9), limit)
             self.connect(2, list_message(3, "s-2"))
             self.assertEqual(list(self.network.proxy.listed), ["s-2"])
 
     def test_repeated_older_list_is_accepted_after_a_failed_connect(self):
-        stream, began = self.connect(2, list_message(3, "s-2")), self.network.reactor.seconds()
+        stream, started_at = self.connect(2, list_message(3, "s-2")), self.network.reactor.seconds()
         self.assertTrue(stream.transport.disconnected)
         self.advance_until_requested(2, 2)
         self.network.refuse(self.last_connect(2))
         self.advance_until_requested(2, 2)
         self.connect(2, list_message(3, "s-2"))
         self.assertEqual(list(self.network.proxy.listed), ["s-2"])
-        self.assertLess(self.network.reactor.seconds() - began, 2.1)
+        self.assertLess(self.network.reactor.seconds() - started_at, 2.1)
 
     def test_empty_list_is_requested_less_often_from_a_shared_service(self):
-        wavers = list_message(9), list_message(3, "s-2")  # now this, now that
-        for asked_for, most, said in (
+        alternating = list_message(9), list_message(3, "s-2")  # now this, now that
+        for asked_for, limit, received in (
             (False, 45, [list_message(7)]),
             (True, 8, [list_message(7)]),
-            (False, 45, wavers),
-            (True, 8, wavers),
+            (False, 45, alternating),
+            (True, 8, alternating),
         ):
-            self.network, said = Network(entry("s-1"), asked_for=asked_for), itertools.cycle(said)
+            self.network, received = (
+                Network(entry("s-1"), asked_for=asked_for),
+                itertools.cycle(received),
+            )
             self.advance(0.1)
             for _ in range(200):
                 if (
                     self.network.proxy.endpoints.watch.pending
                     and self.network.proxy.endpoints.watch.pending.transport is None
                 ):
-                    self.connect(2, next(said))
+                    self.connect(2, next(received))
                 self.advance(0.1)
             self.assertEqual(list(self.network.proxy.listed), ["s-1"])
-            self.assertLess(self.connect_count(2), most)
+            self.assertLess(self.connect_count(2), limit)
 
     def test_repeated_empty_list_of_a_new_version_is_accepted_in_time(self):
         for asked_for in (False, True):
@@ -444,9 +450,9 @@
 class BackoffTest(NetworkTestCase):
     def test_requests_back_off_after_repeated_refusals_or_invalid_data(self):
         news = b"event: progress\ndata: version=41&step=1&status=released&maxWeight=1&observedAgoMs=5\n\n"
-        for port, asked_for, most in ((2, False, 90), (2, True, 20), (3, False, 20)):
+        for port, asked_for, limit in ((2, False, 90), (2, True, 20), (3, False, 20)):
             good = encode_chunk(list_message(8, "s-1") if port == 2 else news)
-            for said in (
+            for received in (
                 *(HEAD.replace(b"200", status) for status in (b"301", b"500", b"503")),
                 b"noise\r\n\r\n",
                 HEAD + encode_chunk(b"noise\n"),
@@ -461,13 +467,13 @@
                 self.advance(0.1)
                 for _ in range(600):
                     if watch_stream.pending and watch_stream.pending.transport is None:
-                        self.connect(port).dataReceived(said)
+                        self.connect(port).dataReceived(received)
                     self.advance(0.1)
-                self.assertLess(self.connect_count(port), most, (port, asked_for, said))
+                self.assertLess(self.connect_count(port), limit, (port, asked_for, received))
 
 
 class InvalidInputTest(NetworkTestCase):
-    def assert_input_ends_stream(self, port, *said):
+    def assert_input_ends_stream(self, port, *received):
         """These bytes end the stream that stands, alone, with a reason of bounded length; which is given."""
         network = self.network = Network(entry("s-1"))
         watch_stream, lines = (
@@ -475,20 +481,21 @@
             [],
         )
         watch_stream.log = lambda event, **fields: lines.append((event, fields["reason"]))
-        stream, held = (
+        stream, state_before = (
             self.connect(port, HEARTBEAT[port]),
             (network.proxy.listed, network.proxy.releases.latest),
         )
         other = self.connect(5 - port, HEARTBEAT[5 - port])
-        for one in said:
+        for data in received:
             if not stream.transport.disconnected:
-                stream.dataReceived(one)
-        self.assertTrue(stream.transport.disconnected, said[0][:200])
+                stream.dataReceived(data)
+        self.assertTrue(stream.transport.disconnected, received[0][:200])
         self.assertEqual([event for event, _ in lines], ["stream ended"])
         self.assertRegex(lines[0][1], "^unreadable: .{5,}")
         self.assertLessEqual(len(lines[0][1]), 200)
         self.assertEqual(
-            ((network.proxy.listed, network.proxy.releases.latest), network.faults), (held, [])
+            ((network.proxy.listed, network.proxy.releases.latest), network.faults),
+            (state_before, []),
         )
         self.assertFalse(other.transport.disconnected)
         return lines[0][1]
@@ -505,14 +512,14 @@
 
     def test_endless_trailers_are_treated_as_silence(self):
         for port in (2, 3):
-            self.network, began = Network(entry("s-1")), 0
+            self.network, elapsed = Network(entry("s-1")), 0
             stream = self.connect(port, HEARTBEAT[port])
             stream.dataReceived(b"0\r\n")
-            while self.connect_count(port) == 1 and began < 9:
+            while self.connect_count(port) == 1 and elapsed < 9:
                 stream.dataReceived(b"X: y\r\n" * 99)
                 self.advance(0.5)
-                began += 0.5
-            self.assertLess(began, 5.1)
+                elapsed += 0.5
+            self.assertLess(elapsed, 5.1)
 
     def test_invalid_chunk_sizes_end_the_stream(self):
         for size in (
@@ -611,8 +618,8 @@
             )
 
     def test_counts_without_successes_have_no_mean_latency(self):
-        told = "version=42&kind=read&requests=3&failures=3&avgMs=nan&observedAgoMs=5"
-        self.assertEqual(platform.read_event("metrics", told), FleetCounts(42, "read", 3, 3, 0, 50))
+        form = "version=42&kind=read&requests=3&failures=3&avgMs=nan&observedAgoMs=5"
+        self.assertEqual(platform.read_event("metrics", form), FleetCounts(42, "read", 3, 3, 0, 50))
 
     def test_endless_event_is_bounded(self):
         events, fed = http.EventStream(), 0
@@ -631,8 +638,8 @@
 
     def setUp(self):
         super().setUp()
-        self.heard, proxy = [], self.network.proxy
-        proxy.engine.handle = lambda now, events: self.heard.extend(events) or []
+        self.events, proxy = [], self.network.proxy
+        proxy.engine.handle = lambda now, events: self.events.extend(events) or []
 
     def vote(self):
         self.network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
@@ -640,7 +647,7 @@
     def outcomes(self):
         return [
             event.outcome
-            for event in self.heard
+            for event in self.events
             if type(event) is ReleaseUpdate and event.answers_vote
         ]
 
@@ -720,19 +727,19 @@
 
     def test_interim_responses_are_skipped_and_bodiless_ones_end(self):
         interim = b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 X\r\nLink: x\r\n\r\n"
-        for said, outcomes in (
+        for received, outcomes in (
             (interim + self.response_with_length(self.ROLLOUT_STATE_XML), [Outcome.DONE]),
             (interim, []),
             (b"HTTP/1.1 204 X\r\nContent-Length: 9\r\n\r\n", [Outcome.TIMED_OUT]),
             (b"HTTP/1.1 304 X\r\nTransfer-Encoding: chunked\r\n\r\n", [Outcome.TIMED_OUT]),
         ):
-            for step in (1, len(said)):
+            for step in (1, len(received)):
                 self.setUp()
                 self.vote()
                 call = self.connect_and_write()
-                for at in range(0, len(said), step):
-                    call.dataReceived(said[at : at + step])
-                self.assertEqual(self.outcomes(), outcomes, said)
+                for at in range(0, len(received), step):
+                    call.dataReceived(received[at : at + step])
+                self.assertEqual(self.outcomes(), outcomes, received)
         stream = self.connect(2)
         stream.dataReceived(interim + HEAD + encode_chunk(list_message(9, "s-2")))
         self.assertEqual(list(self.network.proxy.listed), ["s-2"])
@@ -740,7 +747,7 @@
     def test_unusual_framing_has_one_outcome_in_time(self):
         size = b"%x" % len(self.ROLLOUT_STATE_XML)
         whole = HEAD + size + b' ;a="b;c"\r\n' + self.ROLLOUT_STATE_XML + b"\r\n00;x\r\nX: y\r\n"
-        for said, outcome, at_once in (
+        for received, outcome, at_once in (
             (whole + b"\r\n", Outcome.DONE, True),
             (whole + b"X: y\r\n" * 9000, Outcome.TIMED_OUT, False),
             (HEAD + size + b"\n" + self.ROLLOUT_STATE_XML + b"\n0\n\n", Outcome.TIMED_OUT, False),
@@ -755,18 +762,18 @@
             self.setUp()
             self.vote()
             call = self.connect_and_write()
-            call.dataReceived(said)
+            call.dataReceived(received)
             self.assertEqual(
                 (self.outcomes(), call.transport.disconnected),
                 ([outcome] * at_once, at_once),
-                said[:90],
+                received[:90],
             )
             self.assertLess(len(call.parser.rest), 20_000)
             self.advance(1.3)
             self.assertEqual(
                 (self.outcomes(), self.network.proxy.platform.calls_in_flight),
                 ([outcome], 0),
-                said[:90],
+                received[:90],
             )
 
     def test_response_without_length_is_complete_only_after_a_clean_close(self):
@@ -810,7 +817,7 @@
     def test_timers_of_completed_calls_and_connects_have_no_effect(self):
         self.vote()
         call, stream = self.connect_and_write(), self.connect(2, HEARTBEAT[2])
-        places = self.last_connect(3), self.last_connect(2)
+        connect_indices = self.last_connect(3), self.last_connect(2)
         call.dataReceived(self.response_with_length(self.ROLLOUT_STATE_XML))
         self.advance(0.3)
         live = self.network.proxy.timers.live.values()
@@ -818,7 +825,8 @@
             [due for due, _ in live if getattr(due, "__self__", None) in (call, stream)], []
         )
         self.assertEqual(
-            [self.network.reactor.connectors[at].stoppedConnecting for at in places], [False, False]
+            [self.network.reactor.connectors[at].stoppedConnecting for at in connect_indices],
+            [False, False],
         )
         self.assertFalse(stream.transport.disconnected)
 
@@ -842,12 +850,12 @@
         tracemalloc.start()
         for _ in range(10_000):
             call.dataReceived(b"x")
-        held, _ = tracemalloc.get_traced_memory()
+        traced_bytes, _ = tracemalloc.get_traced_memory()
         tracemalloc.stop()
-        self.assertLess(held, 100_000)
+        self.assertLess(traced_bytes, 100_000)
 
     def test_each_fetch_has_one_result(self):
-        for said, kind in (
+        for received, kind in (
             (self.response_with_length(list_message(9, "s-2")), UpdateKind.FULL),
             (self.response_with_length(list_message(3, "s-2")), UpdateKind.FETCH_FAILED),
             (self.response_with_length(b"noise"), UpdateKind.FETCH_FAILED),
@@ -862,11 +870,11 @@
         ):
             self.setUp()
             self.network.proxy.endpoints.fetch(FetchEndpoints())
-            self.connect_and_write(2).dataReceived(said)
+            self.connect_and_write(2).dataReceived(received)
             self.assertEqual(
-                [event.kind for event in self.heard if type(event) is EndpointUpdate],
+                [event.kind for event in self.events if type(event) is EndpointUpdate],
                 [kind],
-                said[:60],
+                received[:60],
             )
 
     def test_list_fetched_from_the_former_address_is_ignored(self):
@@ -881,7 +889,7 @@
             (list(self.network.proxy.listed), stream.transport.disconnected), (["s-4"], False)
         )
         self.assertEqual(
-            [event.kind for event in self.heard if type(event) is EndpointUpdate],
+            [event.kind for event in self.events if type(event) is EndpointUpdate],
             [UpdateKind.FULL, UpdateKind.FETCH_FAILED, UpdateKind.FULL],
         )
 
@@ -915,7 +923,7 @@
         for _ in range(200):
             texts = []
             for version in range(8, 8 + rng.randint(1, 12)):
-                some = [
+                servers = [
                     entry(
                         f"s-{rng.randint(1, 4)}",
                         rng.choice((41, 42)),
@@ -925,9 +933,9 @@
                     )
                     for _ in range(rng.randint(0, 3))
                 ]
-                whole = bool(some) and rng.random() < 0.1
+                whole = bool(servers) and rng.random() < 0.1
                 texts.append(
-                    json.dumps({"version": version, "full": whole, "servers": some}).encode()
+                    json.dumps({"version": version, "full": whole, "servers": servers}).encode()
                     + b"\n"
                 )
             texts.insert(rng.randint(0, len(texts)), rng.choice((b"\n", b"noise\n", b"\n")))
@@ -1072,13 +1080,13 @@
         )
 
     def test_indented_list_in_pieces_between_heartbeats(self):
-        stood, text = list(self.running.discovery.streams), self.full_list(9, indent=4)
+        streams_before, text = list(self.running.discovery.streams), self.full_list(9, indent=4)
         self.running.discovery.say(
             "\n", *(text[at : at + 50] for at in range(0, len(text), 50)), "\n"
         )
         self.wait_until_new_endpoint_is_used()
         self.assertTrue(
-            [one for one in stood if one in self.running.discovery.streams]
+            [one for one in streams_before if one in self.running.discovery.streams]
         )  # none was asked for instead
 
     def test_invalid_line_in_an_indented_list_ends_only_the_watch_and_is_logged(self):
