--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -36,8 +36,8 @@
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.raft import message_codec as letters
 from thymeknot.raft import messages, records
-from thymeknot.raft.client_sessions import Sessions
-from thymeknot.raft.state_machine import Parts
+from thymeknot.raft.client_sessions import ClientSessions
+from thymeknot.raft.state_machine import CompositeStateMachine
 from thymeknot.raft.storage import RaftStorage
 from thymeknot.service import structured_log
 from thymeknot.service.log_events import CURRENT_NAMES, LEVELS
@@ -212,7 +212,7 @@
         f"message {number}": messages.encode_message(one).hex()
         for number, one in enumerate(raft_messages())
     }
-    for kind in (letters.KEEPER, letters.PROPOSE, letters.READ, letters.REPLY):
+    for kind in (letters.PEER, letters.PROPOSE, letters.READ, letters.REPLY):
         body = msgspec.msgpack.encode({"kind": kind})
         sealed = letters.sign_message(identity("a"), "b", session, kind + 1, kind, body)
         found[f"letter {kind}"] = {name: value.hex() for name, value in sealed.items()}
@@ -221,7 +221,7 @@
             (letters.Hello, {"nonce": bytes(16)}),
             (
                 letters.DeliverMessage,
-                letters.sign_message(identity("a"), "b", session, 1, letters.KEEPER, b"\x80"),
+                letters.sign_message(identity("a"), "b", session, 1, letters.PEER, b"\x80"),
             ),
             (
                 letters.ClientRequest,
@@ -241,7 +241,7 @@
 
 def applied(machine, commands):
     """(replies, snapshot bytes) of a sequence of commands under the session table that nodes use."""
-    sessions = Sessions(Parts({"turns": machine, "gangs": machine}), 4)
+    sessions = ClientSessions(CompositeStateMachine({"turns": machine, "gangs": machine}), 4)
     replies = []
     for number, (at, command) in enumerate(commands):
 
--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -41,7 +41,7 @@
 
     def sealed(self, by=None, to="n2", number=1, body=b"body"):
         return message_codec.sign_message(
-            by or self.one, to, SESSION, number, message_codec.KEEPER, body
+            by or self.one, to, SESSION, number, message_codec.PEER, body
         )
 
     def test_what_is_taken_and_what_is_refused_by_kind(self):
@@ -53,7 +53,8 @@
         self.assertEqual(self.opened(self.sealed(self.other)), "unknown")
         self.assertEqual(self.opened({**good, "content": good["content"] + b"\0"}), "forged")
         self.assertEqual(
-            self.opened({**good, "content": bytes(message_codec.LETTER_MOST + 1)}), "oversized"
+            self.opened({**good, "content": bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES + 1)}),
+            "oversized",
         )
         revoked = Keyring([Peer("n1", None, (PeerKey(self.one.text(), None),))], [self.one.text()])
         self.assertEqual(self.opened(good, ring=revoked), "unknown")
@@ -63,13 +64,15 @@
                 {
                     "key": self.one.key_id,
                     "content": content,
-                    "signature": self.one.sign(message_codec.MARK + content),
+                    "signature": self.one.sign(message_codec.SIGNATURE_CONTEXT + content),
                 }
             ),
             "nonsense",
         )
         self.assertRaises(
-            message_codec.MessageError, self.sealed, body=bytes(message_codec.LETTER_MOST)
+            message_codec.MessageError,
+            self.sealed,
+            body=bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES),
         )
 
 
--- a/tests/unit/raft/test_client_sessions.py
+++ b/tests/unit/raft/test_client_sessions.py
@@ -2,14 +2,14 @@
 
 import unittest
 
-from thymeknot.raft.client_sessions import Sessions
+from thymeknot.raft.client_sessions import ClientSessions
 from thymeknot.raft.simulated_host import Register
-from thymeknot.raft.state_machine import Parts
+from thymeknot.raft.state_machine import CompositeStateMachine
 
 
 class SessionsTests(unittest.TestCase):
     def setUp(self):
-        self.sessions = Sessions(Parts({"register": Register()}), 2)
+        self.sessions = ClientSessions(CompositeStateMachine({"register": Register()}), 2)
 
     def do(self, origin, incarnation, number):
         command = {"part": "register", "id": f"{origin}{incarnation}{number}"}
@@ -26,11 +26,11 @@
     def test_bounded_and_kept(self):
         for origin in "abc":
             self.do(origin, 1, 1)
-        self.assertEqual(list(self.sessions.origins), ["b", "c"])
-        other = Sessions(Parts({"register": Register()}), 2)
+        self.assertEqual(list(self.sessions.by_origin), ["b", "c"])
+        other = ClientSessions(CompositeStateMachine({"register": Register()}), 2)
         other.load(self.sessions.image())
         self.assertEqual(other.image(), self.sessions.image())
-        self.assertIn("no part", Parts({}).apply(0, {"part": [1]})["refused"])
+        self.assertIn("no part", CompositeStateMachine({}).apply(0, {"part": [1]})["refused"])
 
 
 if __name__ == "__main__":
--- a/tests/unit/raft/test_node.py
+++ b/tests/unit/raft/test_node.py
@@ -28,12 +28,16 @@
 )
 from thymeknot.raft.records import Entry, Members, Recovered
 from thymeknot.raft.roles import TRANSITIONS, Role
-from thymeknot.raft.settings import RaftSettings, faulty
+from thymeknot.raft.settings import RaftSettings, settings_error
 from thymeknot.raft.simulated_host import Register
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 SETTINGS = RaftSettings(
-    snapshot_after=10, retained_entries=2, chunk=64, max_pending=4, lease_reads=True
+    snapshot_threshold=10,
+    retained_entries=2,
+    snapshot_chunk_bytes=64,
+    max_pending_requests=4,
+    lease_reads=True,
 )
 LEAST = SETTINGS.election_timeout.minimum
 
@@ -123,9 +127,9 @@
             self.assertTrue(role != Role.STOPPED or following == Role.STOPPED)
 
     def test_settings(self):
-        self.assertIsNone(faulty(RaftSettings()))
-        self.assertIn("lease", faulty(RaftSettings(lease_duration=2_950)))
-        self.assertIn("heartbeat", faulty(RaftSettings(heartbeat_interval=1_000)))
+        self.assertIsNone(settings_error(RaftSettings()))
+        self.assertIn("lease", settings_error(RaftSettings(lease_duration=2_950)))
+        self.assertIn("heartbeat", settings_error(RaftSettings(heartbeat_interval=1_000)))
 
     def test_agrees_and_reads(self):
         cluster = Cluster()
@@ -230,7 +234,7 @@
             for number in range(1, 9)
             for one in of(cluster.propose("a", number), RequestRejected)
         ]
-        self.assertEqual(len(refused), 8 - SETTINGS.max_pending)
+        self.assertEqual(len(refused), 8 - SETTINGS.max_pending_requests)
         self.assertGreater(refused[0].retry_after, 0)
         self.assertIsNone(
             of(cluster.propose("a", 9, part="x", much="x" * 70_000), RequestRejected)[0].retry_after
--- a/tests/unit/raft/test_peer_server.py
+++ b/tests/unit/raft/test_peer_server.py
@@ -15,7 +15,7 @@
 from thymeknot.raft import peer_server
 from thymeknot.raft.errors import RequestRejectedError
 from thymeknot.raft.message_codec import (
-    KEEPER,
+    PEER,
     PROPOSE,
     READ,
     REPLY,
@@ -31,7 +31,7 @@
 from thymeknot.raft.roles import Role
 from thymeknot.raft.settings import RaftSettings
 from thymeknot.raft.simulated_host import Register
-from thymeknot.raft.state_machine import Parts
+from thymeknot.raft.state_machine import CompositeStateMachine
 from thymeknot.raft.storage import RaftStorage
 from thymeknot.state.random_source import LinearCongruentialGenerator
 from thymeknot.state.timer_queue import TimerQueue
@@ -83,7 +83,7 @@
                 RaftSettings(),
                 LinearCongruentialGenerator(1),
                 recovered,
-                Parts({"register": self.register}),
+                CompositeStateMachine({"register": self.register}),
                 now,
             ),
             storage,
@@ -175,7 +175,7 @@
 
     def test_message_of_no_node_is_counted(self):
         line, _, pump, session = self.connect()
-        line.callRemote(DeliverMessage, **self.signed(session, KEEPER, [6, [1, 0]]))
+        line.callRemote(DeliverMessage, **self.signed(session, PEER, [6, [1, 0]]))
         pump.flush()
         self.assertEqual(self.server.rejected, {"nonsense": 1})
 
--- a/tests/unit/raft/test_storage.py
+++ b/tests/unit/raft/test_storage.py
@@ -101,7 +101,7 @@
                 file.write(tail)
             store, opened = self.open()
             store.close()
-            self.assertIn("broke off", opened.said[0])
+            self.assertIn("broke off", opened.warnings[0])
             self.assertEqual(len(opened.recovered.entries), 4)
 
     def test_damage_in_the_middle_is_refused(self):
@@ -180,7 +180,7 @@
             file.write(old)
         store, opened = self.open()
         self.assertEqual((opened.recovered.disk_incarnation, opened.recovered.entries), (11, ()))
-        self.assertIn("newcomer", opened.said[0])
+        self.assertIn("newcomer", opened.warnings[0])
         store.close()
         os.rename(self.folder, self.folder + ".away")
         store, opened = self.open()
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -19,10 +19,10 @@
 from thymeknot.gossip.settings import Peer, PeerKey
 from thymeknot.interface.reasons import Reason
 from thymeknot.raft import message_codec as letters
-from thymeknot.raft.client_sessions import Sessions
+from thymeknot.raft.client_sessions import ClientSessions
 from thymeknot.raft.messages import decode_message
 from thymeknot.raft.records import Recovered, Snapshot
-from thymeknot.raft.state_machine import Parts
+from thymeknot.raft.state_machine import CompositeStateMachine
 from thymeknot.raft.storage import RaftStorage
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
@@ -131,7 +131,7 @@
         )
         self.addCleanup(store.close)
         found = store.open()
-        self.assertEqual(found.said, ())
+        self.assertEqual(found.warnings, ())
         return found.recovered
 
     def test_a_log_with_a_vote_and_a_truncation_is_read(self):
@@ -159,7 +159,7 @@
 
     def test_every_signed_letter_is_accepted(self):
         wire = stored_json("raft_wire.json")
-        for kind in (letters.KEEPER, letters.PROPOSE, letters.READ, letters.REPLY):
+        for kind in (letters.PEER, letters.PROPOSE, letters.READ, letters.REPLY):
             with self.subTest(kind):
                 sealed = {
                     name: bytes.fromhex(value) for name, value in wire[f"letter {kind}"].items()
@@ -198,7 +198,7 @@
         for name, machine in self.machines():
             with self.subTest(name):
                 content, one = stored(f"{name}_sessions.msgpack"), machine()
-                sessions = Sessions(Parts({"turns": one, "gangs": one}), 4)
+                sessions = ClientSessions(CompositeStateMachine({"turns": one, "gangs": one}), 4)
                 sessions.load(content)
                 self.assertEqual(sessions.image(), content)
 
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -16,7 +16,7 @@
 from ..raft.client import PeerChannel
 from ..raft.node import RaftNode
 from ..raft.peer_server import PeerServer
-from ..raft.state_machine import Parts
+from ..raft.state_machine import CompositeStateMachine
 from ..raft.storage import RaftStorage
 from ..service import structured_log
 from ..state.random_source import LinearCongruentialGenerator
@@ -89,10 +89,10 @@
     """
     storage = _make_storage(settings, data)
     opened = storage.open(settings.founds and not _was_used(storage))
-    for sentence in opened.said:
+    for sentence in opened.warnings:
         structured_log.log("raft storage failed", error=sentence)
     disruption = DisruptionStateMachine()
-    machine = Parts({DISRUPTION_PART: disruption})
+    machine = CompositeStateMachine({DISRUPTION_PART: disruption})
     names = [node.name for node in settings.keepers]
 
     def make_node(now: Ticks) -> RaftNode:
@@ -132,7 +132,7 @@
     """Whether a node ran on this storage before."""
     if os.path.isdir(storage.folder) and os.listdir(storage.folder):
         return True
-    return os.path.exists(storage.lineage)
+    return os.path.exists(storage.lineage_path)
 
 
 def read_status(machine: DisruptionStateMachine, query: Optional[dict[str, Any]]) -> dict[str, Any]:
--- a/thymeknot/coordination/settings.py
+++ b/thymeknot/coordination/settings.py
@@ -17,7 +17,9 @@
 CLUSTER_SIZES = (1, 3, 5, 7)
 """Numbers of Raft nodes: an even number survives no more failures than the odd one below it."""
 
-RAFT_SETTINGS = RaftSettings(command_bytes=32 << 10, batch_bytes=24 << 10, chunk=32 << 10)
+RAFT_SETTINGS = RaftSettings(
+    max_command_bytes=32 << 10, max_batch_bytes=24 << 10, snapshot_chunk_bytes=32 << 10
+)
 """Smaller than Raft's defaults: a message with a batch of entries must fit AMP's 64 KiB."""
 
 DECLARATION_BYTES = 16 << 10
--- a/thymeknot/raft/broken_variants.py
+++ b/thymeknot/raft/broken_variants.py
@@ -4,7 +4,7 @@
 from dataclasses import dataclass
 
 from ..interface.clock import Ticks
-from .client_sessions import Sessions
+from .client_sessions import ClientSessions
 from .cluster_faults import Fault
 from .elections import Elections
 from .follower import Follower
@@ -25,8 +25,8 @@
         super().persist(*records)
         self.durable_index = self._log.last_index
 
-    def after_sync(self, now: Ticks, item: Send | SelfVote) -> None:
-        self.release(now, item)
+    def emit_after_sync(self, now: Ticks, item: Send | SelfVote) -> None:
+        self.emit_now(now, item)
 
 
 class Unsynced(RaftNode):
@@ -46,7 +46,7 @@
     replication_class = _EarlierTermReplication
 
 
-class _ForgetfulSessions(Sessions):
+class _ForgetfulSessions(ClientSessions):
     def known_reply(self, origin: str, incarnation: int, number: int) -> Reply | None:
         return None
 
@@ -85,7 +85,7 @@
         """Takes an event."""
         if isinstance(event, TimerDue):
             self.reads.checked_at = now
-        self.handled_at = now
+        self.last_handled_at = now
         return super().handle(now, event)
 
 
--- a/thymeknot/raft/client_sessions.py
+++ b/thymeknot/raft/client_sessions.py
@@ -17,7 +17,7 @@
     reply: Reply
 
 
-class Sessions:
+class ClientSessions:
     """Applies each number of an origin's incarnation once and remembers the last reply.
 
     An origin sends one command at a time: after number 5 was applied, 4 never is. `max_sessions`
@@ -29,14 +29,14 @@
     def __init__(self, machine: StateMachine, max_sessions: int) -> None:
         self.machine = machine
         self.max_sessions = max_sessions
-        self.origins: dict[str, Session] = {}  # least recently used first
+        self.by_origin: dict[str, Session] = {}  # least recently used first
 
     def known_reply(self, origin: str, incarnation: int, number: int) -> Reply | None:
         """The reply to a command that needs no applying, or None.
 
         It is the former reply to a repeated command, or a rejection of one that is too old.
         """
-        session = self.origins.get(origin)
+        session = self.by_origin.get(origin)
         if session is None or (incarnation, number) > (session.incarnation, session.number):
             return None
         if incarnation < session.incarnation:
@@ -58,19 +58,19 @@
         if reply is not None:
             return reply
         reply = apply_command(at)
-        self.origins.pop(origin, None)
-        self.origins[origin] = Session(incarnation, number, reply)
-        if len(self.origins) > self.max_sessions:
-            del self.origins[next(iter(self.origins))]
+        self.by_origin.pop(origin, None)
+        self.by_origin[origin] = Session(incarnation, number, reply)
+        if len(self.by_origin) > self.max_sessions:
+            del self.by_origin[next(iter(self.by_origin))]
         return reply
 
     def image(self) -> bytes:
         """The sessions and the machine's state."""
-        sessions = [[origin, *session] for origin, session in self.origins.items()]
+        sessions = [[origin, *session] for origin, session in self.by_origin.items()]
         return msgspec.msgpack.encode([sessions, self.machine.image()])
 
     def load(self, content: bytes) -> None:
         """Replaces the sessions and the machine's state."""
         sessions, image = msgspec.msgpack.decode(content)
-        self.origins = {origin: Session(*session) for origin, *session in sessions}
+        self.by_origin = {origin: Session(*session) for origin, *session in sessions}
         self.machine.load(image)
--- a/thymeknot/raft/elections.py
+++ b/thymeknot/raft/elections.py
@@ -39,7 +39,7 @@
         state.restart_election_timer(now)
         state.outbox.persist(VoteRecord(state.term, state.vote))
         self._request_votes(now, pre_vote=False, leadership_transfer=leadership_transfer)
-        state.outbox.after_sync(now, SelfVote(state.term))
+        state.outbox.emit_after_sync(now, SelfVote(state.term))
 
     def start_transfer_election(self, now: Ticks, sender: str) -> Step | None:
         """Begins a new term at the leader's wish."""
@@ -62,7 +62,7 @@
                     last_term=state.log.last_term,
                     leadership_transfer=leadership_transfer,
                 )
-                state.outbox.after_sync(now, Send(name, request))
+                state.outbox.emit_after_sync(now, Send(name, request))
 
     def add_vote(self, name: str) -> Step | None:
         """Counts a vote; the step that follows if it makes a majority."""
@@ -114,7 +114,7 @@
                 state.restart_election_timer(now)
         term = request.term if granted else state.term
         response = VoteResponse(term, state.disk_incarnation, request.pre_vote, granted)
-        state.outbox.after_sync(now, Send(sender, response))
+        state.outbox.emit_after_sync(now, Send(sender, response))
 
     def adopt_term(self, term: int) -> Step | None:
         """Takes over a term that others have begun."""
--- a/thymeknot/raft/follower.py
+++ b/thymeknot/raft/follower.py
@@ -54,7 +54,7 @@
         state = self.state
         if isinstance(request, VoteRequest):
             response = VoteResponse(state.term, state.disk_incarnation, request.pre_vote, False)
-            state.outbox.after_sync(now, Send(sender, response))
+            state.outbox.emit_after_sync(now, Send(sender, response))
         else:
             self._respond(now, sender, False, state.log.last_index + 1, 0)
 
@@ -65,4 +65,4 @@
         response = AppendResponse(
             state.term, state.disk_incarnation, success, match_index, heartbeat_round
         )
-        state.outbox.after_sync(now, Send(leader, response))
+        state.outbox.emit_after_sync(now, Send(leader, response))
--- a/thymeknot/raft/membership.py
+++ b/thymeknot/raft/membership.py
@@ -135,7 +135,7 @@
         return (
             peer.disk_incarnation == disk_incarnation
             and now - peer.heard_at < settings.election_timeout.minimum
-            and peer.match_index + settings.promotion_lag >= self.state.committed
+            and peer.match_index + settings.max_promotion_lag >= self.state.committed
             and peer.match_index > 0
         )
 
--- a/thymeknot/raft/message_codec.py
+++ b/thymeknot/raft/message_codec.py
@@ -20,16 +20,16 @@
 """What each end of a connection draws of its session id."""
 MAX_MESSAGE_BYTES = 60_000
 """Bytes of a signed message; AMP's own limit of a value is 65,535."""
-LETTER_MOST = MAX_MESSAGE_BYTES
+MAX_SIGNED_MESSAGE_BYTES = MAX_MESSAGE_BYTES
 """The earlier name, which the tests of `coordination` use."""
-MARK = b"thymeknot fleet 1\0"
+SIGNATURE_CONTEXT = b"thymeknot fleet 1\0"
 """Signed with each message, so that it can't be taken for one of gossip's datagrams."""
 
 
 class MessageKind(IntEnum):
     """What a signed message carries. The values are sent."""
 
-    KEEPER = 0
+    PEER = 0
     """A message between nodes."""
     PROPOSE = 1
     """A client's command."""
@@ -39,7 +39,7 @@
     """The answer to a command or a query."""
 
 
-KEEPER = MessageKind.KEEPER
+PEER = MessageKind.PEER
 PROPOSE = MessageKind.PROPOSE
 READ = MessageKind.READ
 REPLY = MessageKind.REPLY
@@ -147,7 +147,11 @@
     message = SignedMessage(identity.name, to, session, number, kind, body)
     content = msgspec.msgpack.encode(message)
     _check_length(content)
-    return {"key": identity.key_id, "content": content, "signature": identity.sign(MARK + content)}
+    return {
+        "key": identity.key_id,
+        "content": content,
+        "signature": identity.sign(SIGNATURE_CONTEXT + content),
+    }
 
 
 def open_message(  # noqa: PLR0917  # other packages pass them by position
@@ -179,7 +183,7 @@
     owner = ring.owner(key, unix)
     if owner is None:
         raise MessageError("unknown", "the key is none of the ring's, or was revoked")
-    if not ring.holds(key, MARK + content, signature):
+    if not ring.holds(key, SIGNATURE_CONTEXT + content, signature):
         raise MessageError("forged", f"not signed by {owner}")
     try:
         message = msgspec.msgpack.decode(content, type=SignedMessage)
@@ -214,14 +218,14 @@
 
 
 __all__ = [
-    "KEEPER",
-    "LETTER_MOST",
-    "MARK",
     "MAX_MESSAGE_BYTES",
+    "MAX_SIGNED_MESSAGE_BYTES",
     "NONCE_BYTES",
+    "PEER",
     "PROPOSE",
     "READ",
     "REPLY",
+    "SIGNATURE_CONTEXT",
     "ClientRequest",
     "DeliverMessage",
     "Hello",
--- a/thymeknot/raft/model_checker.py
+++ b/thymeknot/raft/model_checker.py
@@ -18,17 +18,17 @@
     lease_duration=300,
     lease_reads=True,
     clock_drift=0.01,
-    max_pending=16,
+    max_pending_requests=16,
     max_pending_bytes=4096,
-    command_bytes=512,
-    batch_entries=2,
-    batch_bytes=512,
-    snapshot_after=24,
+    max_command_bytes=512,
+    max_batch_entries=2,
+    max_batch_bytes=512,
+    snapshot_threshold=24,
     retained_entries=4,
-    chunk=256,
+    snapshot_chunk_bytes=256,
     max_sessions=8,
-    promotion_lag=4,
-    max_delayed=64,
+    max_promotion_lag=4,
+    max_delayed_messages=64,
 )
 """Small limits, so that runs reach them."""
 SETTLING_TIME: Ticks = 40_000
@@ -124,7 +124,7 @@
         conditions = draw_conditions(random, focus)
         variant = BROKEN[variant_name] if variant_name else CORRECT
         if conditions.single_entries:
-            settings = settings._replace(batch_entries=1)
+            settings = settings._replace(max_batch_entries=1)
         self.cluster = SimulatedCluster(
             random,
             conditions,
--- a/thymeknot/raft/node.py
+++ b/thymeknot/raft/node.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 from ..interface.clock import Ticks
-from .client_sessions import Sessions
+from .client_sessions import ClientSessions
 from .elections import Elections
 from .follower import Follower
 from .log import RAFT_PART, Log
@@ -79,7 +79,7 @@
 
     # The parts, which the model checker's broken variants replace.
     outbox_class: type[Outbox] = Outbox
-    sessions_class: type[Sessions] = Sessions
+    sessions_class: type[ClientSessions] = ClientSessions
     elections_class: type[Elections] = Elections
     follower_class: type[Follower] = Follower
     replication_class: type[Replication] = Replication
@@ -117,7 +117,7 @@
         self.reads = self.reads_class(self.state, self.replication)
         self.membership = self.membership_class(self.state, self.replication, self.reads)
         self.proposals = Proposals(self.state, self.sessions, self.replication, self.membership)
-        self.handled_at = now
+        self.last_handled_at = now
         self._timer: Ticks | None = None  # the last that was asked for
         self._usable_lease = settings.usable_lease()
         self._events: dict[type[Event], Callable[[Ticks, Any], None]] = {
@@ -186,9 +186,9 @@
             now: the moment; one before an earlier call's counts as that.
             event: what has happened.
         """
-        now = max(now, self.handled_at)
-        elapsed = now - self.handled_at
-        self.handled_at = now
+        now = max(now, self.last_handled_at)
+        elapsed = now - self.last_handled_at
+        self.last_handled_at = now
         self.state.outbox.begin()
         if elapsed > self._usable_lease and self.role == Role.LEADER:
             # Others may lead by now: nothing is served on what it believed before.
--- a/thymeknot/raft/node_state.py
+++ b/thymeknot/raft/node_state.py
@@ -56,7 +56,7 @@
         self.log = Log(recovered.snapshot or first, recovered.entries)
         self.committed = self.log.snapshot.log_index
         self.applied = self.committed
-        self.outbox = outbox_class(self.log, settings.max_delayed, count_self_vote)
+        self.outbox = outbox_class(self.log, settings.max_delayed_messages, count_self_vote)
         self.leader: str | None = None
         # As if it had heard a leader just now: what it promised to one before a restart holds.
         self.leader_heard_at = now
--- a/thymeknot/raft/outbox.py
+++ b/thymeknot/raft/outbox.py
@@ -67,16 +67,16 @@
         if any(isinstance(record, (Entry, TruncationRecord, Snapshot)) for record in records):
             self._marks.append(_DurableMark(self._serial, self._log.last_index))
 
-    def after_sync(self, now: Ticks, item: Send | SelfVote) -> None:
+    def emit_after_sync(self, now: Ticks, item: Send | SelfVote) -> None:
         """Lets an item out once all that was persisted so far is on the disk."""
         if self._stored_serial >= self._serial:
-            self.release(now, item)
+            self.emit_now(now, item)
             return
         self._delayed.append(_Delayed(self._serial, item))
         if len(self._delayed) > self._max_delayed:
             self._delayed.popleft()  # the oldest says the least by now
 
-    def release(self, now: Ticks, item: Send | SelfVote) -> None:
+    def emit_now(self, now: Ticks, item: Send | SelfVote) -> None:
         """Lets an item out."""
         if isinstance(item, SelfVote):
             self._count_self_vote(now, item)
@@ -89,7 +89,7 @@
         while self._marks and self._marks[0].serial <= self._stored_serial:
             self.durable_index = max(self.durable_index, self._marks.popleft().last_index)
         while self._delayed and self._delayed[0].serial <= self._stored_serial:
-            self.release(now, self._delayed.popleft().item)
+            self.emit_now(now, self._delayed.popleft().item)
 
     def log_truncated(self, index: int) -> None:
         """The log's entries from `index` on are no longer durable."""
--- a/thymeknot/raft/peer_channel.py
+++ b/thymeknot/raft/peer_channel.py
@@ -10,7 +10,7 @@
 from .amp_connection import AmpConnection
 from .errors import MessageError
 from .message_codec import (
-    KEEPER,
+    PEER,
     REPLY,
     ClientRequest,
     DeliverMessage,
@@ -100,7 +100,7 @@
 
     def send(self, body: bytes) -> None:
         """Sends a message between nodes, or loses it."""
-        signed = self._sign(KEEPER, body)
+        signed = self._sign(PEER, body)
         if signed and self._connection:
             self._connection.call(DeliverMessage, **signed)
 
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -20,7 +20,7 @@
 from .errors import MessageDecodeError, MessageError
 from .incoming_connection import IncomingConnection, IncomingFactory
 from .message_codec import (
-    KEEPER,
+    PEER,
     PROPOSE,
     READ,
     REPLY,
@@ -190,7 +190,7 @@
         Raises:
             MessageError: it is none.
         """
-        if message.kind != KEEPER or message.sender not in self._channels:
+        if message.kind != PEER or message.sender not in self._channels:
             raise MessageError(
                 "nonsense", f"{message.sender} is no keeper, or that is no keeper's message"
             )
--- a/thymeknot/raft/proposals.py
+++ b/thymeknot/raft/proposals.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from ..interface.clock import Ticks
-from .client_sessions import Sessions
+from .client_sessions import ClientSessions
 from .log import RAFT_PART, members_set_by
 from .membership import Membership
 from .node_interface import (
@@ -40,7 +40,7 @@
     def __init__(
         self,
         state: NodeState,
-        sessions: Sessions,
+        sessions: ClientSessions,
         replication: Replication,
         membership: Membership,
     ) -> None:
@@ -85,15 +85,15 @@
         state = self._state
         settings = state.settings
         pending = len(self._pending)
-        if size > settings.command_bytes or not origin:
+        if size > settings.max_command_bytes or not origin:
             reason = "larger than a command may be" if origin else "has no origin"
             state.reject(token, reason, None)
         elif (
-            pending >= settings.max_pending
+            pending >= settings.max_pending_requests
             or self._pending_bytes + size > settings.max_pending_bytes
         ):
             # What waits takes a round of heartbeats, or as many as its messages need.
-            rounds = 1 + pending // settings.batch_entries
+            rounds = 1 + pending // settings.max_batch_entries
             state.reject(token, "too many commands wait", rounds * settings.heartbeat_interval)
         elif self._membership.transferring:
             state.reject(token, "leadership is being handed over", settings.heartbeat_interval)
--- a/thymeknot/raft/reads.py
+++ b/thymeknot/raft/reads.py
@@ -87,7 +87,7 @@
     def request(self, now: Ticks, event: ReadRequested) -> None:
         """Serves a read by the lease, or lets it wait for a round of heartbeats."""
         state = self.state
-        if len(self._pending) >= state.settings.max_pending:
+        if len(self._pending) >= state.settings.max_pending_requests:
             state.reject(event.token, "too many reads wait", state.settings.heartbeat_interval)
             return
         index = max(state.committed, self.replication.first_own_index)
--- a/thymeknot/raft/replication.py
+++ b/thymeknot/raft/replication.py
@@ -146,7 +146,7 @@
         if idle and peer.next_index <= state.log.last_index:
             settings = state.settings
             entries = state.log.entries_from(
-                peer.next_index, settings.batch_entries, settings.batch_bytes
+                peer.next_index, settings.max_batch_entries, settings.max_batch_bytes
             )
             peer.busy_until = now + settings.heartbeat_interval
         if entries or heartbeat:
@@ -181,7 +181,7 @@
             members=snapshot.members,
             offset=offset,
             total=len(snapshot.content),
-            content=snapshot.content[offset : offset + state.settings.chunk],
+            content=snapshot.content[offset : offset + state.settings.snapshot_chunk_bytes],
             round=self.round,
         )
         state.outbox.emit(Send(name, chunk))
--- a/thymeknot/raft/settings.py
+++ b/thymeknot/raft/settings.py
@@ -26,29 +26,29 @@
     """If false, each read waits for a round of heartbeats, whatever the clocks do."""
     clock_drift: float = 0.01
     """The rates of two nodes' clocks may each be off by this share."""
-    max_pending: int = 1024
+    max_pending_requests: int = 1024
     """Commands without an outcome; the same limit holds for reads."""
     max_pending_bytes: int = 4 << 20
     """Bytes of the commands without an outcome."""
-    command_bytes: int = 64 << 10
+    max_command_bytes: int = 64 << 10
     """Bytes of the longest command."""
-    batch_entries: int = 64
+    max_batch_entries: int = 64
     """Entries in one message at most."""
-    batch_bytes: int = 256 << 10
+    max_batch_bytes: int = 256 << 10
     """Bytes of the entries in one message, though never less than one entry."""
-    snapshot_after: int = 4096
+    snapshot_threshold: int = 4096
     """Entries applied since the last snapshot when the next one is taken."""
     retained_entries: int = 512
     """Entries kept in memory behind a snapshot, for followers that lag a little."""
-    chunk: int = 64 << 10
+    snapshot_chunk_bytes: int = 64 << 10
     """Bytes of a snapshot in one message."""
     max_snapshot_bytes: int = 64 << 20
     """The largest snapshot that is accepted from a leader."""
     max_sessions: int = 4096
     """Client sessions that are remembered."""
-    promotion_lag: int = 64
+    max_promotion_lag: int = 64
     """Entries by which a learner may lag and still become a voter."""
-    max_delayed: int = 4096
+    max_delayed_messages: int = 4096
     """Messages that wait for the disk; the oldest beyond them are dropped."""
 
     def usable_lease(self) -> Ticks:
@@ -63,7 +63,7 @@
         return int(min(self.lease_duration, shortest_timeout))
 
 
-def faulty(settings: RaftSettings) -> str | None:
+def settings_error(settings: RaftSettings) -> str | None:
     """One sentence on which settings can't work together, or None if all of them can."""
     minimum, maximum = settings.election_timeout
     drift = settings.clock_drift
@@ -76,11 +76,11 @@
             " and that below election.most"
         )
     limits = (
-        settings.max_pending,
+        settings.max_pending_requests,
         settings.max_pending_bytes,
-        settings.batch_entries,
-        settings.snapshot_after,
-        settings.chunk,
+        settings.max_batch_entries,
+        settings.snapshot_threshold,
+        settings.snapshot_chunk_bytes,
         settings.max_sessions,
     )
     if min(limits) < 1 or settings.retained_entries < 0 or not 0 <= drift < 1:
--- a/thymeknot/raft/snapshots.py
+++ b/thymeknot/raft/snapshots.py
@@ -3,7 +3,7 @@
 from typing import NamedTuple
 
 from ..interface.clock import Ticks
-from .client_sessions import Sessions
+from .client_sessions import ClientSessions
 from .messages import SnapshotChunk, SnapshotChunkResponse
 from .node_interface import MessageReceived, Send
 from .node_state import NodeState
@@ -30,7 +30,7 @@
 class Snapshots:
     """One node's snapshots."""
 
-    def __init__(self, state: NodeState, sessions: Sessions) -> None:
+    def __init__(self, state: NodeState, sessions: ClientSessions) -> None:
         self._state = state
         self._sessions = sessions
         self._transfer: _Transfer | None = None
@@ -39,7 +39,7 @@
         """Takes a snapshot once enough entries were applied since the last one."""
         state = self._state
         log = state.log
-        if state.applied - log.snapshot.log_index < state.settings.snapshot_after:
+        if state.applied - log.snapshot.log_index < state.settings.snapshot_threshold:
             return
         last = log.entry(state.applied)
         members = log.members_at(last.log_index)
@@ -99,4 +99,4 @@
         response = SnapshotChunkResponse(
             state.term, state.disk_incarnation, chunk.log_index, received, done, chunk.round
         )
-        state.outbox.after_sync(now, Send(leader, response))
+        state.outbox.emit_after_sync(now, Send(leader, response))
--- a/thymeknot/raft/state_machine.py
+++ b/thymeknot/raft/state_machine.py
@@ -30,7 +30,7 @@
     return {"refused": reason, "by": list(by), "again": retry_after}
 
 
-class Parts:
+class CompositeStateMachine:
     """Several machines, told apart by a command's `part`."""
 
     def __init__(self, machines: Mapping[str, StateMachine]) -> None:
--- a/thymeknot/raft/storage.py
+++ b/thymeknot/raft/storage.py
@@ -65,7 +65,7 @@
     """
 
     recovered: Recovered
-    said: tuple[str, ...]
+    warnings: tuple[str, ...]
 
 
 class _Segment(NamedTuple):
@@ -89,17 +89,17 @@
     def __init__(
         self,
         folder: str,
-        lineage: str,
+        lineage_path: str,
         new_incarnation: Callable[[], int],
         max_bytes: int = 1 << 30,
         files: FileSystem | None = None,
     ) -> None:
         self.folder = folder
-        self.lineage = lineage
+        self.lineage_path = lineage_path
         self._new_incarnation = new_incarnation
         self._max_bytes = max_bytes
         self._files = files or FileSystem()
-        self._lineage_file = Lineage(lineage, self._files)
+        self._lineage_file = Lineage(lineage_path, self._files)
         self._segment: int | None = None  # descriptor of the segment that is written
         self._segment_number = 0
         self._disk_incarnation = 0
