--- a/thymeknot/raft/elections.py
+++ b/thymeknot/raft/elections.py
@@ -99,15 +99,15 @@
         state = self.state
         log = state.log
         up_to_date = (request.last_term, request.last_index) >= (log.last_term, log.last_index)
-        able = (
+        eligible = (
             request.voter_disk_incarnation == state.disk_incarnation
             and up_to_date
             and self.allows_disruption(now, request)
         )
         if request.pre_vote:
-            granted = able and request.term > state.term
+            granted = eligible and request.term > state.term
         else:
-            granted = able and state.vote in (None, sender) and state.role != Role.LEADER
+            granted = eligible and state.vote in (None, sender) and state.role != Role.LEADER
             if granted and state.vote is None:
                 state.vote = sender
                 state.outbox.persist(VoteRecord(state.term, sender))
--- a/thymeknot/raft/follower.py
+++ b/thymeknot/raft/follower.py
@@ -19,7 +19,7 @@
         sender, request = event
         state = self.state
         state.heard_leader(now, sender)
-        next_index = state.log.conflict(request.previous_index, request.previous_term)
+        next_index = state.log.conflict_index(request.previous_index, request.previous_term)
         if next_index is not None:
             self._respond(now, sender, False, next_index, request.round)
             return None
--- a/thymeknot/raft/lineage.py
+++ b/thymeknot/raft/lineage.py
@@ -39,25 +39,25 @@
         self._slot = 0  # the one that was written last
         self._file: int | None = None
 
-    def make_folder(self) -> None:
+    def create_folder(self) -> None:
         """Creates the file's folder."""
         self._files.makedirs(self._folder, exist_ok=True)
 
     def read(self) -> Acknowledged | None:
         """The slot that was written last, or None if there is none."""
         content = self._files.read(self._path) or b""
-        slots = []
+        valid_slots = []
         for slot in range(2):
-            part = content[slot * _SLOT_BYTES : (slot + 1) * _SLOT_BYTES]
-            if len(part) == _SLOT_BYTES:
-                fields = part[: _FIELDS.size]
-                (checksum,) = _CHECKSUM.unpack(part[_FIELDS.size :])
+            slot_content = content[slot * _SLOT_BYTES : (slot + 1) * _SLOT_BYTES]
+            if len(slot_content) == _SLOT_BYTES:
+                fields = slot_content[: _FIELDS.size]
+                (checksum,) = _CHECKSUM.unpack(slot_content[_FIELDS.size :])
                 if zlib.crc32(fields) == checksum:
                     disk_incarnation, record_count = _FIELDS.unpack(fields)
-                    slots.append((record_count, slot, disk_incarnation))
-        if not slots:
+                    valid_slots.append((record_count, slot, disk_incarnation))
+        if not valid_slots:
             return None
-        record_count, self._slot, disk_incarnation = max(slots)
+        record_count, self._slot, disk_incarnation = max(valid_slots)
         return Acknowledged(disk_incarnation, record_count)
 
     def open(self) -> None:
--- a/thymeknot/raft/log.py
+++ b/thymeknot/raft/log.py
@@ -44,11 +44,11 @@
         """Replaces the whole log by a snapshot."""
         self.snapshot = snapshot
         self.entries: list[Entry] = []
-        self._sizes: list[int] = []  # bytes of each entry's command
+        self._command_sizes: list[int] = []  # bytes of each entry's command
         self.base_index = snapshot.log_index
         self.base_term = snapshot.term
         self.base_at = snapshot.at
-        self.changes = [MembershipChange(snapshot.log_index, snapshot.members)]
+        self.membership_changes = [MembershipChange(snapshot.log_index, snapshot.members)]
 
     @property
     def last_index(self) -> int:
@@ -68,11 +68,11 @@
     @property
     def members(self) -> Members:
         """The latest members, committed or not: a change counts once appended (thesis, 4.1)."""
-        return self.changes[-1].members
+        return self.membership_changes[-1].members
 
     def members_at(self, index: int) -> Members:
         """The members as of this index."""
-        return next(members for at, members in reversed(self.changes) if at <= index)
+        return next(members for at, members in reversed(self.membership_changes) if at <= index)
 
     def term(self, index: int) -> int | None:
         """Term of an entry; None if it is behind the base or was never here."""
@@ -91,7 +91,7 @@
         size = 0
         end = first
         while end < len(self.entries) and end - first < max_count:
-            size += self._sizes[end]
+            size += self._command_sizes[end]
             if size > max_bytes and end > first:
                 break
             end += 1
@@ -100,18 +100,18 @@
     def append(self, entry: Entry) -> None:
         """Adds an entry after the last one."""
         self.entries.append(entry)
-        self._sizes.append(len(msgspec.msgpack.encode(entry.command)))
+        self._command_sizes.append(len(msgspec.msgpack.encode(entry.command)))
         members = members_set_by(entry)
         if members:
-            self.changes.append(MembershipChange(entry.log_index, members))
+            self.membership_changes.append(MembershipChange(entry.log_index, members))
 
     def truncate(self, index: int) -> None:
         """Removes the entries from `index` on, and their changes of members."""
         first = index - self.base_index - 1
         del self.entries[first:]
-        del self._sizes[first:]
-        while self.changes[-1].log_index >= index and len(self.changes) > 1:
-            self.changes.pop()
+        del self._command_sizes[first:]
+        while self.membership_changes[-1].log_index >= index and len(self.membership_changes) > 1:
+            self.membership_changes.pop()
 
     def compact(self, snapshot: Snapshot, retained_entries: int) -> None:
         """Drops the entries that a snapshot holds, but for the last `retained_entries` of them."""
@@ -122,14 +122,14 @@
         last = self.entry(base)
         members = self.members_at(base)
         del self.entries[: base - self.base_index]
-        del self._sizes[: base - self.base_index]
+        del self._command_sizes[: base - self.base_index]
         self.base_index = base
         self.base_term = last.term
         self.base_at = last.at
-        later = [change for change in self.changes if change.log_index > base]
-        self.changes = [MembershipChange(base, members), *later]
+        later = [change for change in self.membership_changes if change.log_index > base]
+        self.membership_changes = [MembershipChange(base, members), *later]
 
-    def conflict(self, index: int, term: int) -> int | None:
+    def conflict_index(self, index: int, term: int) -> int | None:
         """None if the log holds that entry; else the index that a leader should try next.
 
         It is the one behind a log that is too short, or the first of the differing term
--- a/thymeknot/raft/membership.py
+++ b/thymeknot/raft/membership.py
@@ -41,7 +41,9 @@
         self.state = state
         self._replication = replication
         self._reads = reads
-        self._changes: dict[str, Callable[[Ticks, str, int, Members], _Rejection | None]] = {
+        self._change_handlers: dict[
+            str, Callable[[Ticks, str, int, Members], _Rejection | None]
+        ] = {
             "add": self._add,
             "promote": self._promote,
             "remove": self._remove,
@@ -60,8 +62,8 @@
         The latter is from Ongaro's note of 2015 on changes of one member.
         """
         state = self.state
-        all_applied = state.applied == state.committed >= self._replication.first_own_index
-        return state.log.changes[-1].log_index <= state.applied and all_applied
+        all_applied = state.applied == state.committed >= self._replication.first_index_of_term
+        return state.log.membership_changes[-1].log_index <= state.applied and all_applied
 
     def prepare_change(
         self, now: Ticks, token: Hashable, command: dict[str, Any]
@@ -70,7 +72,7 @@
 
         An operator's mistake is rejected before it gets into the log.
         """
-        checked = self._checked_change(now, token, command)
+        checked = self._check_change(now, token, command)
         if isinstance(checked, _Rejection):
             self.state.reject(token, checked.reason, checked.retry_after)
             return None
@@ -78,7 +80,7 @@
             return None
         return {"part": RAFT_PART, "voters": checked.voters, "learners": checked.learners}
 
-    def _checked_change(
+    def _check_change(
         self, now: Ticks, token: Hashable, command: dict[str, Any]
     ) -> Members | _Rejection | None:
         """The members after a change; None if it is a transfer of leadership, which is begun."""
@@ -88,20 +90,20 @@
         if not isinstance(name, str) or not isinstance(disk_incarnation, int):
             return _Rejection("no name, or a life that is no number")
         if not self.may_change():
-            return self._retry("another change of members is under way")
-        listed = self.state.log.members
-        members = Members(dict(listed.voters), dict(listed.learners))
+            return self._retriable_rejection("another change of members is under way")
+        current = self.state.log.members
+        members = Members(dict(current.voters), dict(current.learners))
         if kind == "transfer":
-            return self._begin_transfer(now, token, name, members)
-        change = self._changes.get(kind) if isinstance(kind, str) else None
+            return self._start_transfer(now, token, name, members)
+        change = self._change_handlers.get(kind) if isinstance(kind, str) else None
         if change is None:
             return _Rejection("keepers know no such command")
-        rejected = change(now, name, disk_incarnation, members)
-        if rejected is None and not members.voters:
-            rejected = _Rejection("nobody would be left to vote")
-        return rejected or members
+        rejection = change(now, name, disk_incarnation, members)
+        if rejection is None and not members.voters:
+            rejection = _Rejection("nobody would be left to vote")
+        return rejection or members
 
-    def _retry(self, reason: str) -> _Rejection:
+    def _retriable_rejection(self, reason: str) -> _Rejection:
         return _Rejection(reason, self.state.settings.heartbeat_interval)
 
     def _add(
@@ -117,8 +119,8 @@
         peer = self._replication.peers.get(name)
         if name not in members.learners or peer is None:
             return _Rejection("it is no learner")
-        if not self._caught_up(now, peer, members.learners[name]):
-            return self._retry("it lags, or is not there under this life")
+        if not self._has_caught_up(now, peer, members.learners[name]):
+            return self._retriable_rejection("it lags, or is not there under this life")
         members.voters[name] = members.learners.pop(name)
         return None
 
@@ -129,12 +131,12 @@
         members.learners.pop(name, None)
         return None
 
-    def _caught_up(self, now: Ticks, peer: Peer, disk_incarnation: int) -> bool:
+    def _has_caught_up(self, now: Ticks, peer: Peer, disk_incarnation: int) -> bool:
         """Whether a learner may become a voter."""
         settings = self.state.settings
         return (
             peer.disk_incarnation == disk_incarnation
-            and now - peer.heard_at < settings.election_timeout.minimum
+            and now - peer.last_response_at < settings.election_timeout.minimum
             and peer.match_index + settings.max_promotion_lag >= self.state.committed
             and peer.match_index > 0
         )
@@ -142,21 +144,21 @@
     # Transfer of leadership.
 
     @property
-    def transferring(self) -> bool:
+    def is_transferring(self) -> bool:
         """Whether leadership is being handed over."""
         return self._transfer is not None
 
-    def _begin_transfer(
+    def _start_transfer(
         self, now: Ticks, token: Hashable, name: str, members: Members
     ) -> _Rejection | None:
         if name not in members.voters or name == self.state.name:
             return _Rejection("it is no other voter")
         deadline = now + self.state.settings.election_timeout.minimum
         self._transfer = _Transfer(token, name, deadline)
-        self.continue_transfer()
+        self.try_complete_transfer()
         return None
 
-    def continue_transfer(self) -> None:
+    def try_complete_transfer(self) -> None:
         """Hands over once the other voter has all of the log."""
         if self._transfer is None:
             return
--- a/thymeknot/raft/message_codec.py
+++ b/thymeknot/raft/message_codec.py
@@ -86,10 +86,10 @@
 class Verifier(Protocol):
     """Gossip's keyring."""
 
-    def owner(self, number: bytes, unix: float) -> str | None:
+    def owner(self, key_id: bytes, unix_time: float) -> str | None:
         """The name that a key belongs to at this Unix time, or None."""
 
-    def holds(self, number: bytes, message: bytes, signature: bytes) -> bool:
+    def holds(self, key_id: bytes, message: bytes, signature: bytes) -> bool:
         """Whether the key made this signature over these bytes."""
 
 
@@ -137,14 +137,14 @@
 
 
 def sign_message(  # noqa: PLR0917  # other packages pass them by position
-    identity: Signer, to: str, session: bytes, number: int, kind: int, body: bytes
+    identity: Signer, receiver: str, session: bytes, number: int, kind: int, body: bytes
 ) -> SignedArguments:
     """The arguments of a DeliverMessage or ClientRequest.
 
     Raises:
         MessageError: the message is too long.
     """
-    message = SignedMessage(identity.name, to, session, number, kind, body)
+    message = SignedMessage(identity.name, receiver, session, number, kind, body)
     content = msgspec.msgpack.encode(message)
     _check_length(content)
     return {
@@ -155,11 +155,11 @@
 
 
 def open_message(  # noqa: PLR0917  # other packages pass them by position
-    ring: Verifier,
-    unix: float,
-    me: str,
+    keyring: Verifier,
+    unix_time: float,
+    receiver: str,
     session: bytes,
-    last: int,
+    last_number: int,
     key: bytes,
     content: bytes,
     signature: bytes,
@@ -167,11 +167,11 @@
     """The message, once its signature and its place in the session are checked.
 
     Args:
-        ring: the keys of now.
-        unix: Unix time in seconds.
-        me: the receiver's name.
+        keyring: the keys of now.
+        unix_time: Unix time in seconds.
+        receiver: the receiver's name.
         session: id of the connection's session.
-        last: the highest number that this connection brought.
+        last_number: the highest number that this connection brought.
         key: id of the key that signed.
         content: what was signed.
         signature: of the content.
@@ -180,10 +180,10 @@
         MessageError: it can't be accepted.
     """
     _check_length(content)
-    owner = ring.owner(key, unix)
+    owner = keyring.owner(key, unix_time)
     if owner is None:
         raise MessageError("unknown", "the key is none of the ring's, or was revoked")
-    if not ring.holds(key, SIGNATURE_CONTEXT + content, signature):
+    if not keyring.holds(key, SIGNATURE_CONTEXT + content, signature):
         raise MessageError("forged", f"not signed by {owner}")
     try:
         message = msgspec.msgpack.decode(content, type=SignedMessage)
@@ -191,9 +191,9 @@
         raise MessageError("nonsense", f"no letter: {error}") from None
     if message.sender != owner:
         raise MessageError("forged", f"signed by {owner}, and says that it is of {message.sender}")
-    if message.to != me:
+    if message.to != receiver:
         raise MessageError("misled", f"it is for {message.to}")
-    if message.session != session or message.number <= last:
+    if message.session != session or message.number <= last_number:
         raise MessageError("replayed", "it is of another connection, or came before")
     return message
 
--- a/thymeknot/raft/node.py
+++ b/thymeknot/raft/node.py
@@ -60,7 +60,7 @@
 }
 """What a message of the current term triggers."""
 
-_WITHOUT_TIMER = (Role.LEARNER, Role.STOPPED)
+_ROLES_WITHOUT_TIMER = (Role.LEARNER, Role.STOPPED)
 
 
 class RaftNode:
@@ -118,15 +118,15 @@
         self.membership = self.membership_class(self.state, self.replication, self.reads)
         self.proposals = Proposals(self.state, self.sessions, self.replication, self.membership)
         self.last_handled_at = now
-        self._timer: Ticks | None = None  # the last that was asked for
+        self._requested_timer: Ticks | None = None  # the last that was asked for
         self._usable_lease = settings.usable_lease()
-        self._events: dict[type[Event], Callable[[Ticks, Any], None]] = {
-            MessageReceived: self._message_received,
-            TimerDue: self._timer_due,
-            CommandProposed: self._command_proposed,
-            ReadRequested: self._read_requested,
-            RecordsStored: self._records_stored,
-            DiskFailed: self._disk_failed,
+        self._event_handlers: dict[type[Event], Callable[[Ticks, Any], None]] = {
+            MessageReceived: self._handle_message,
+            TimerDue: self._handle_timer,
+            CommandProposed: self._handle_command,
+            ReadRequested: self._handle_read,
+            RecordsStored: self._handle_records_stored,
+            DiskFailed: self._handle_disk_failure,
         }
         self.actions = self._action_methods()
 
@@ -143,18 +143,18 @@
             Action.BECOME_LEADER: self._become_leader,
             Action.SEND_HEARTBEATS: self._send_heartbeats,
             Action.ADOPT_TERM: lambda _, term: self.elections.adopt_term(term),
-            Action.YIELD_TO_TERM: self._yield_to_term,
+            Action.STEP_DOWN_FOR_TERM: self._step_down_for_term,
             Action.APPEND_ENTRIES: self.follower.append_entries,
             Action.RECEIVE_SNAPSHOT: self.snapshots.receive_chunk,
             Action.REJECT_STALE: self.follower.reject_stale,
-            Action.FOLLOW_UP_APPEND: self._follow_up_append,
-            Action.FOLLOW_UP_SNAPSHOT: self._follow_up_snapshot,
+            Action.HANDLE_APPEND_RESPONSE: self._handle_append_response,
+            Action.HANDLE_SNAPSHOT_RESPONSE: self._handle_snapshot_response,
             Action.PROPOSE: self.proposals.propose,
-            Action.READ: self.reads.request,
-            Action.REDIRECT: self._redirect,
+            Action.READ: self.reads.handle_read,
+            Action.REJECT_NOT_LEADER: self._reject_not_leader,
             Action.STEP_DOWN: self._step_down,
             Action.RESTART_TIMER: lambda now, _: self.state.restart_election_timer(now),
-            Action.STOP: self._stop,
+            Action.STOP: self._stop_node,
         }
 
     @property
@@ -189,16 +189,16 @@
         now = max(now, self.last_handled_at)
         elapsed = now - self.last_handled_at
         self.last_handled_at = now
-        self.state.outbox.begin()
+        self.state.outbox.clear_effects()
         if elapsed > self._usable_lease and self.role == Role.LEADER:
             # Others may lead by now: nothing is served on what it believed before.
-            self._step(now, Step(Trigger.STOOD_STILL, "stood still for longer than the lease"))
-        self._events[type(event)](now, event)
-        self._apply(now)
+            self._take_step(now, Step(Trigger.STALLED, "stood still for longer than the lease"))
+        self._event_handlers[type(event)](now, event)
+        self._apply_committed(now)
         self._set_timer()
         return self.state.outbox.effects
 
-    def _step(self, now: Ticks, step: Step | None) -> None:
+    def _take_step(self, now: Ticks, step: Step | None) -> None:
         """Takes a step by the table, and those that follow from it."""
         state = self.state
         while step is not None:
@@ -206,25 +206,25 @@
             state.role = transition.role
             if transition.action is None:
                 return
-            step = self.actions[transition.action](now, step.about)
+            step = self.actions[transition.action](now, step.argument)
 
-    def _message_received(self, now: Ticks, event: MessageReceived[Message]) -> None:
+    def _handle_message(self, now: Ticks, event: MessageReceived[Message]) -> None:
         sender, message = event
         state = self.state
         if state.role == Role.STOPPED or sender == state.name:
             return
         if message.term > state.term:
-            if not self._is_hypothetical(now, message):
-                self._step(now, Step(Trigger.NEWER_TERM, message.term))
+            if not self._must_not_adopt_term(now, message):
+                self._take_step(now, Step(Trigger.NEWER_TERM, message.term))
             elif isinstance(message, VoteRequest) and not message.pre_vote:
                 return
         elif message.term < state.term:
             if isinstance(message, (AppendRequest, SnapshotChunk, VoteRequest)):
-                self._step(now, Step(Trigger.STALE_REQUEST, event))
+                self._take_step(now, Step(Trigger.STALE_REQUEST, event))
             return
-        self._step(now, Step(TRIGGERS[type(message)], event))
+        self._take_step(now, Step(TRIGGERS[type(message)], event))
 
-    def _is_hypothetical(self, now: Ticks, message: Message) -> bool:
+    def _must_not_adopt_term(self, now: Ticks, message: Message) -> bool:
         """Whether a message's newer term is not to be adopted.
 
         A pre-vote names a term that nobody has; and a node that hears a leader lets no other
@@ -234,61 +234,61 @@
             return message.pre_vote or not self.elections.allows_disruption(now, message)
         return isinstance(message, VoteResponse) and message.pre_vote and message.granted
 
-    def _timer_due(self, now: Ticks, _: TimerDue) -> None:
-        self._timer = None
-        if self.role not in _WITHOUT_TIMER and now >= self.state.timer_due:
-            self._step(now, Step(Trigger.TIMER_EXPIRED))
+    def _handle_timer(self, now: Ticks, _: TimerDue) -> None:
+        self._requested_timer = None
+        if self.role not in _ROLES_WITHOUT_TIMER and now >= self.state.timer_due:
+            self._take_step(now, Step(Trigger.TIMER_EXPIRED))
 
-    def _command_proposed(self, now: Ticks, event: CommandProposed) -> None:
-        self._step(now, Step(Trigger.COMMAND, event))
+    def _handle_command(self, now: Ticks, event: CommandProposed) -> None:
+        self._take_step(now, Step(Trigger.COMMAND, event))
 
-    def _read_requested(self, now: Ticks, event: ReadRequested) -> None:
-        self._step(now, Step(Trigger.READ, event))
+    def _handle_read(self, now: Ticks, event: ReadRequested) -> None:
+        self._take_step(now, Step(Trigger.READ, event))
 
-    def _records_stored(self, now: Ticks, event: RecordsStored) -> None:
+    def _handle_records_stored(self, now: Ticks, event: RecordsStored) -> None:
         """Lets out what waited for the disk, and counts what this node holds itself."""
         if self.role == Role.STOPPED:
             return
-        self.state.outbox.stored(now, event.serial)
+        self.state.outbox.mark_stored(now, event.serial)
         self.replication.advance_commit()
 
-    def _disk_failed(self, now: Ticks, event: DiskFailed) -> None:
-        self._step(now, Step(Trigger.DISK_FAILED, event.reason))
+    def _handle_disk_failure(self, now: Ticks, event: DiskFailed) -> None:
+        self._take_step(now, Step(Trigger.DISK_FAILED, event.reason))
 
     def _count_self_vote(self, now: Ticks, vote: SelfVote) -> None:
         if vote.term == self.term and self.role == Role.CANDIDATE:
-            self._step(now, self.elections.add_vote(self.state.name))
+            self._take_step(now, self.elections.add_vote(self.state.name))
 
     def _set_timer(self) -> None:
         due = self.state.timer_due
-        if self.role not in _WITHOUT_TIMER and due != self._timer:
-            self._timer = due
+        if self.role not in _ROLES_WITHOUT_TIMER and due != self._requested_timer:
+            self._requested_timer = due
             self.state.outbox.emit(SetTimer(due))
 
-    def _apply(self, now: Ticks) -> None:
+    def _apply_committed(self, now: Ticks) -> None:
         """Applies what is committed, and what follows from it."""
         state = self.state
         if state.role == Role.STOPPED:
             return
         self.proposals.apply_committed()
         if state.role == Role.LEADER:
-            self.reads.serve()
-            if not state.is_voter() and state.log.changes[-1].log_index <= state.applied:
-                self._step(now, Step(Trigger.LEADER_REMOVED, "is a voter no longer"))
+            self.reads.serve_ready()
+            if not state.is_voter() and state.log.membership_changes[-1].log_index <= state.applied:
+                self._take_step(now, Step(Trigger.LEADER_REMOVED, "is a voter no longer"))
         self.snapshots.take_if_due()
 
     # Actions.
 
     def _become_leader(self, now: Ticks, _: None) -> None:
-        self._reset_leadership()
+        self._reset_leader_state()
         self.state.leader = self.state.name
-        self.replication.begin(now)
-        self.reads.begin()
+        self.replication.begin_leadership(now)
+        self.reads.begin_leadership()
         # Only an entry of its own term lets a leader commit those before it.
         self.replication.append(now, {"part": RAFT_PART, "do": "nothing"}, "", 0, 0)
         self.reads.start_round(now)
 
-    def _reset_leadership(self) -> None:
+    def _reset_leader_state(self) -> None:
         self.replication.reset()
         self.reads.reset()
         self.membership.reset()
@@ -299,30 +299,32 @@
         settings = self.state.settings
         self.state.timer_due = now + settings.heartbeat_interval
         silence = settings.election_timeout.minimum
-        if not self.replication.majority_answers(lambda peer: now - peer.heard_at < silence):
+        if not self.replication.has_peer_majority(
+            lambda peer: now - peer.last_response_at < silence
+        ):
             return Step(Trigger.QUORUM_LOST, "no word of a majority for an election's time")
         self.membership.expire_transfer(now)
         self.reads.start_round(now)
         return None
 
-    def _follow_up_append(self, now: Ticks, event: MessageReceived[AppendResponse]) -> None:
-        if self.replication.append_answered(now, event):
-            self._follow_up(now, event.sender)
+    def _handle_append_response(self, now: Ticks, event: MessageReceived[AppendResponse]) -> None:
+        if self.replication.handle_append_response(now, event):
+            self._after_response(now, event.sender)
 
-    def _follow_up_snapshot(
+    def _handle_snapshot_response(
         self, now: Ticks, event: MessageReceived[SnapshotChunkResponse]
     ) -> None:
-        if self.replication.snapshot_chunk_answered(now, event):
-            self._follow_up(now, event.sender)
+        if self.replication.handle_snapshot_response(now, event):
+            self._after_response(now, event.sender)
 
-    def _follow_up(self, now: Ticks, peer: str) -> None:
+    def _after_response(self, now: Ticks, peer: str) -> None:
         """Commits, confirms and sends on, after a peer's answer."""
         self.replication.advance_commit()
         self.reads.confirm_round(now)
-        self.membership.continue_transfer()
+        self.membership.try_complete_transfer()
         self.replication.send_missing(now, peer)
 
-    def _redirect(self, _: Ticks, event: CommandProposed | ReadRequested) -> None:
+    def _reject_not_leader(self, _: Ticks, event: CommandProposed | ReadRequested) -> None:
         """Rejects a command or read: this node doesn't lead."""
         state = self.state
         if state.role == Role.STOPPED:
@@ -337,15 +339,15 @@
         self.proposals.reject_all(reason)
         self.reads.reject_all(reason)
         self.membership.reject_transfer(reason)
-        self._reset_leadership()
+        self._reset_leader_state()
         self.state.leader = None
         self.state.restart_election_timer(now)
 
-    def _yield_to_term(self, now: Ticks, term: int) -> Step | None:
+    def _step_down_for_term(self, now: Ticks, term: int) -> Step | None:
         self._step_down(now, f"term {term} has begun")
         return self.elections.adopt_term(term)
 
-    def _stop(self, now: Ticks, reason: str) -> None:
+    def _stop_node(self, now: Ticks, reason: str) -> None:
         self._step_down(now, "disk: " + reason)
         self.state.outbox.drop_delayed()
         self.snapshots.abort_transfer()
--- a/thymeknot/raft/outbox.py
+++ b/thymeknot/raft/outbox.py
@@ -49,10 +49,10 @@
         self._serial = 0  # of the last Persist
         self._stored_serial = 0  # of the last Persist that is on the disk
         self.durable_index = log.last_index  # the log is on the disk up to there
-        self._marks: deque[_DurableMark] = deque()
+        self._durable_marks: deque[_DurableMark] = deque()
         self._delayed: deque[_Delayed] = deque()
 
-    def begin(self) -> None:
+    def clear_effects(self) -> None:
         """Begins a new list of effects."""
         self.effects = []
 
@@ -65,7 +65,7 @@
         self._serial += 1
         self.effects.append(Persist(records, True, self._serial))
         if any(isinstance(record, (Entry, TruncationRecord, Snapshot)) for record in records):
-            self._marks.append(_DurableMark(self._serial, self._log.last_index))
+            self._durable_marks.append(_DurableMark(self._serial, self._log.last_index))
 
     def emit_after_sync(self, now: Ticks, item: Send | SelfVote) -> None:
         """Lets an item out once all that was persisted so far is on the disk."""
@@ -83,27 +83,28 @@
         else:
             self.effects.append(item)
 
-    def stored(self, now: Ticks, serial: int) -> None:
+    def mark_stored(self, now: Ticks, serial: int) -> None:
         """All of Persist up to this serial is on the disk: what waited for it goes out."""
         self._stored_serial = max(self._stored_serial, serial)
-        while self._marks and self._marks[0].serial <= self._stored_serial:
-            self.durable_index = max(self.durable_index, self._marks.popleft().last_index)
+        while self._durable_marks and self._durable_marks[0].serial <= self._stored_serial:
+            self.durable_index = max(self.durable_index, self._durable_marks.popleft().last_index)
         while self._delayed and self._delayed[0].serial <= self._stored_serial:
             self.emit_now(now, self._delayed.popleft().item)
 
     def log_truncated(self, index: int) -> None:
         """The log's entries from `index` on are no longer durable."""
         self.durable_index = min(self.durable_index, index - 1)
-        self._marks = deque(
-            _DurableMark(serial, min(last_index, index - 1)) for serial, last_index in self._marks
+        self._durable_marks = deque(
+            _DurableMark(serial, min(last_index, index - 1))
+            for serial, last_index in self._durable_marks
         )
 
     def log_replaced(self, index: int) -> None:
         """The log was replaced by a snapshot that ends at `index`."""
         self.durable_index = index
-        self._marks.clear()
+        self._durable_marks.clear()
 
     def drop_delayed(self) -> None:
         """Nothing that waits for the disk goes out any more."""
         self._delayed.clear()
-        self._marks.clear()
+        self._durable_marks.clear()
--- a/thymeknot/raft/proposals.py
+++ b/thymeknot/raft/proposals.py
@@ -95,7 +95,7 @@
             # What waits takes a round of heartbeats, or as many as its messages need.
             rounds = 1 + pending // settings.max_batch_entries
             state.reject(token, "too many commands wait", rounds * settings.heartbeat_interval)
-        elif self._membership.transferring:
+        elif self._membership.is_transferring:
             state.reject(token, "leadership is being handed over", settings.heartbeat_interval)
         else:
             return True
--- a/thymeknot/raft/reads.py
+++ b/thymeknot/raft/reads.py
@@ -41,11 +41,11 @@
         """This node doesn't lead."""
         self._pending: list[_PendingRead] = []
         self._confirmed_round = 0
-        self._round_began_at: Ticks = 0
+        self._round_started_at: Ticks = 0
         self.lease_until: Ticks = 0
         self.lease_reads = False
 
-    def begin(self) -> None:
+    def begin_leadership(self) -> None:
         """This node begins to lead."""
         self.lease_reads = self.state.settings.lease_reads
 
@@ -61,7 +61,7 @@
         replication = self.replication
         if self._confirmed_round == replication.round:
             replication.round += 1
-            self._round_began_at = now
+            self._round_started_at = now
             self._pending = [
                 read._replace(round=replication.round) if read.round is None else read
                 for read in self._pending
@@ -76,24 +76,24 @@
         while (
             self.state.role == Role.LEADER
             and self._confirmed_round < replication.round
-            and replication.majority_answers(lambda peer: peer.round >= replication.round)
+            and replication.has_peer_majority(lambda peer: peer.round >= replication.round)
         ):
             self._confirmed_round = replication.round
-            self.lease_until = self._round_began_at + self._usable_lease
+            self.lease_until = self._round_started_at + self._usable_lease
             if any(read.round is None for read in self._pending):
                 self.start_round(now)
-        self.serve()
+        self.serve_ready()
 
-    def request(self, now: Ticks, event: ReadRequested) -> None:
+    def handle_read(self, now: Ticks, event: ReadRequested) -> None:
         """Serves a read by the lease, or lets it wait for a round of heartbeats."""
         state = self.state
         if len(self._pending) >= state.settings.max_pending_requests:
             state.reject(event.token, "too many reads wait", state.settings.heartbeat_interval)
             return
-        index = max(state.committed, self.replication.first_own_index)
+        index = max(state.committed, self.replication.first_index_of_term)
         if self.holds_lease(now):
             self._pending.append(_PendingRead(event.token, index, 0))
-            self.serve()
+            self.serve_ready()
             return
         self._pending.append(_PendingRead(event.token, index, None))
         if self._confirmed_round == self.replication.round:  # else it joins the next round
@@ -103,18 +103,18 @@
         """Whether no other node can lead."""
         return self.lease_reads and now < self.lease_until
 
-    def serve(self) -> None:
+    def serve_ready(self) -> None:
         """Serves the reads whose round is confirmed and whose entry is applied."""
         if not self._pending:
             return
-        waiting = []
+        still_pending = []
         for read in self._pending:
             confirmed = read.round is not None and read.round <= self._confirmed_round
             if confirmed and read.log_index <= self.state.applied:
                 self.state.outbox.emit(ReadReady(read.token, self.state.applied))
             else:
-                waiting.append(read)
-        self._pending = waiting
+                still_pending.append(read)
+        self._pending = still_pending
 
     def reject_all(self, reason: str) -> None:
         """Rejects all reads that wait: this node leads no longer."""
--- a/thymeknot/raft/record_frames.py
+++ b/thymeknot/raft/record_frames.py
@@ -32,31 +32,31 @@
 def read_frames(content: bytes, max_bytes: int = MAX_RECORD_BYTES) -> Frames:
     """The records of a file, up to the first one that is broken."""
     bodies: list[bytes] = []
-    at = 0
-    while at < len(content):
-        if at + _HEADER.size > len(content):
-            return Frames(bodies, at, False)
-        length, checksum = _HEADER.unpack_from(content, at)
-        end = at + _HEADER.size + length
-        body = content[at + _HEADER.size : end]
+    offset = 0
+    while offset < len(content):
+        if offset + _HEADER.size > len(content):
+            return Frames(bodies, offset, False)
+        length, checksum = _HEADER.unpack_from(content, offset)
+        end = offset + _HEADER.size + length
+        body = content[offset + _HEADER.size : end]
         # A file that grew before its bytes came is full of zero lengths.
         length_fits = 0 < length <= max_bytes and len(body) == length
         if not length_fits or zlib.crc32(body) != checksum:
-            return Frames(bodies, at, _whole_record_after(content, at + 1))
+            return Frames(bodies, offset, _whole_record_after(content, offset + 1))
         bodies.append(body)
-        at = end
-    return Frames(bodies, at, False)
+        offset = end
+    return Frames(bodies, offset, False)
 
 
 def _whole_record_after(content: bytes, start: int) -> bool:
     """Whether a whole record follows a broken one, which then wasn't the last to be written."""
-    for at in range(start, len(content) - _HEADER.size):
-        length, checksum = _HEADER.unpack_from(content, at)
-        end = at + _HEADER.size + length
+    for offset in range(start, len(content) - _HEADER.size):
+        length, checksum = _HEADER.unpack_from(content, offset)
+        end = offset + _HEADER.size + length
         if (
             0 < length <= MAX_RECORD_BYTES
             and end <= len(content)
-            and zlib.crc32(content[at + _HEADER.size : end]) == checksum
+            and zlib.crc32(content[offset + _HEADER.size : end]) == checksum
         ):
             return True
     return False
--- a/thymeknot/raft/replication.py
+++ b/thymeknot/raft/replication.py
@@ -38,9 +38,9 @@
     """
 
     __slots__ = (
-        "busy_until",
         "disk_incarnation",
-        "heard_at",
+        "in_flight_until",
+        "last_response_at",
         "match_index",
         "next_index",
         "round",
@@ -51,12 +51,12 @@
         self.disk_incarnation = disk_incarnation
         self.next_index = next_index
         self.match_index = 0
-        self.heard_at = now
+        self.last_response_at = now
         self.round = 0
-        self.busy_until: Ticks = 0
+        self.in_flight_until: Ticks = 0
         self.snapshot: SnapshotProgress | None = None
 
-    def forget(self, disk_incarnation: int, next_index: int) -> None:
+    def reset_progress(self, disk_incarnation: int, next_index: int) -> None:
         """It has another disk: what the former one held is gone."""
         self.disk_incarnation = disk_incarnation
         self.match_index = 0
@@ -70,23 +70,23 @@
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
-        self._began_at: Ticks = 0  # when this node began to lead, by its own clock
-        self._began_agreed: Ticks = 0  # the agreed time then
+        self._leadership_began_at: Ticks = 0  # when this node began to lead, by its own clock
+        self._agreed_time_at_start: Ticks = 0  # the agreed time then
         self.reset()
 
     def reset(self) -> None:
         """This node doesn't lead."""
         self.peers: dict[str, Peer] = {}
         self.round = 0  # of heartbeats: the number of the latest one
-        self.first_own_index = 0  # of the first entry that this leader appended
+        self.first_index_of_term = 0  # of the first entry that this leader appended
 
-    def begin(self, now: Ticks) -> None:
+    def begin_leadership(self, now: Ticks) -> None:
         """This node begins to lead."""
         log = self.state.log
-        self._began_at = now
-        self._began_agreed = log.last_at
+        self._leadership_began_at = now
+        self._agreed_time_at_start = log.last_at
         self._update_peers(now)
-        self.first_own_index = log.last_index + 1
+        self.first_index_of_term = log.last_index + 1
 
     def _update_peers(self, now: Ticks) -> None:
         """The peers are those that the members' list names."""
@@ -100,7 +100,9 @@
 
     def agreed_time(self, now: Ticks) -> Ticks:
         """The next entry's: never back, and no faster than this leader's clock."""
-        return max(self.state.log.last_at, self._began_agreed + now - self._began_at)
+        return max(
+            self.state.log.last_at, self._agreed_time_at_start + now - self._leadership_began_at
+        )
 
     def append(
         self, now: Ticks, command: dict[str, Any], origin: str, incarnation: int, number: int
@@ -135,20 +137,20 @@
         """Sends what the peer lacks if nothing is on its way to it; a heartbeat in any case."""
         state = self.state
         peer = self.peers[name]
-        idle = now >= peer.busy_until
+        nothing_in_flight = now >= peer.in_flight_until
         previous_index = peer.next_index - 1
         previous_term = state.log.term(previous_index)
         if peer.snapshot or previous_term is None:
-            if idle or heartbeat:
+            if nothing_in_flight or heartbeat:
                 self._send_snapshot_chunk(now, name, peer)
             return
         entries: tuple[Entry, ...] = ()
-        if idle and peer.next_index <= state.log.last_index:
+        if nothing_in_flight and peer.next_index <= state.log.last_index:
             settings = state.settings
             entries = state.log.entries_from(
                 peer.next_index, settings.max_batch_entries, settings.max_batch_bytes
             )
-            peer.busy_until = now + settings.heartbeat_interval
+            peer.in_flight_until = now + settings.heartbeat_interval
         if entries or heartbeat:
             request = AppendRequest(
                 term=state.term,
@@ -171,7 +173,7 @@
         if peer.snapshot is None:
             peer.snapshot = SnapshotProgress(state.log.snapshot, 0)
         snapshot, offset = peer.snapshot
-        peer.busy_until = now + state.settings.heartbeat_interval
+        peer.in_flight_until = now + state.settings.heartbeat_interval
         chunk = SnapshotChunk(
             term=state.term,
             disk_incarnation=state.disk_incarnation,
@@ -188,7 +190,7 @@
 
     # Answers.
 
-    def _heard(
+    def _record_response(
         self, now: Ticks, event: MessageReceived[AppendResponse | SnapshotChunkResponse]
     ) -> Peer | None:
         """The peer, if it is one, with what any answer of this term tells."""
@@ -197,42 +199,42 @@
         if peer is None:
             return None
         if peer.disk_incarnation != response.disk_incarnation:
-            peer.forget(response.disk_incarnation, self.state.log.last_index + 1)
-        peer.heard_at = now
+            peer.reset_progress(response.disk_incarnation, self.state.log.last_index + 1)
+        peer.last_response_at = now
         peer.round = max(peer.round, response.round)
         return peer
 
-    def append_answered(self, now: Ticks, event: MessageReceived[AppendResponse]) -> bool:
+    def handle_append_response(self, now: Ticks, event: MessageReceived[AppendResponse]) -> bool:
         """Takes an answer; whether it is one of a peer."""
         response = event.message
-        peer = self._heard(now, event)
+        peer = self._record_response(now, event)
         if peer is None:
             return False
         last_index = self.state.log.last_index
         if not response.success or response.match_index >= peer.next_index:
             # Not at a mere heartbeat's answer: what is on its way would be sent twice.
-            peer.busy_until = 0
+            peer.in_flight_until = 0
         if response.success:
             peer.match_index = max(peer.match_index, min(response.match_index, last_index))
-            following = peer.match_index + 1
-            peer.next_index = max(peer.next_index, following) if peer.snapshot else following
+            after_match = peer.match_index + 1
+            peer.next_index = max(peer.next_index, after_match) if peer.snapshot else after_match
         else:
-            hint = min(response.match_index, peer.next_index - 1, last_index + 1)
-            peer.next_index = max(peer.match_index + 1, hint, 1)
+            next_hint = min(response.match_index, peer.next_index - 1, last_index + 1)
+            peer.next_index = max(peer.match_index + 1, next_hint, 1)
         return True
 
-    def snapshot_chunk_answered(
+    def handle_snapshot_response(
         self, now: Ticks, event: MessageReceived[SnapshotChunkResponse]
     ) -> bool:
         """Takes an answer; whether it is one of a peer about the snapshot that it is sent."""
         response = event.message
-        peer = self._heard(now, event)
+        peer = self._record_response(now, event)
         if peer is None or not peer.snapshot:
             return False
         snapshot = peer.snapshot.snapshot
         if snapshot.log_index != response.log_index:
             return False
-        peer.busy_until = 0
+        peer.in_flight_until = 0
         if response.done:
             peer.match_index = max(peer.match_index, response.log_index)
             peer.snapshot = None
@@ -249,12 +251,12 @@
 
     # Majorities.
 
-    def majority_answers(self, answers: Callable[[Peer], bool]) -> bool:
+    def has_peer_majority(self, matches: Callable[[Peer], bool]) -> bool:
         """Whether this node and peers that answer so, with the disks listed, are a majority."""
         return self.state.has_majority(
             lambda name, disk_incarnation: (
                 self._has_listed_disk(name, disk_incarnation)
-                and (name == self.state.name or answers(self.peers[name]))
+                and (name == self.state.name or matches(self.peers[name]))
             )
         )
 
--- a/thymeknot/raft/roles.py
+++ b/thymeknot/raft/roles.py
@@ -37,7 +37,7 @@
     SNAPSHOT_CHUNK_RESPONSE = auto()
     COMMAND = auto()
     READ = auto()
-    STOOD_STILL = auto()
+    STALLED = auto()
     """A leader was not called for longer than its lease."""
     QUORUM_LOST = auto()
     """A leader heard no majority for an election timeout (thesis, 6.2)."""
@@ -61,15 +61,15 @@
     BECOME_LEADER = auto()
     SEND_HEARTBEATS = auto()
     ADOPT_TERM = auto()
-    YIELD_TO_TERM = auto()
+    STEP_DOWN_FOR_TERM = auto()
     APPEND_ENTRIES = auto()
     RECEIVE_SNAPSHOT = auto()
     REJECT_STALE = auto()
-    FOLLOW_UP_APPEND = auto()
-    FOLLOW_UP_SNAPSHOT = auto()
+    HANDLE_APPEND_RESPONSE = auto()
+    HANDLE_SNAPSHOT_RESPONSE = auto()
     PROPOSE = auto()
     READ = auto()
-    REDIRECT = auto()
+    REJECT_NOT_LEADER = auto()
     STEP_DOWN = auto()
     RESTART_TIMER = auto()
     STOP = auto()
@@ -91,53 +91,69 @@
     """
 
     trigger: Trigger
-    about: Any = None
+    argument: Any = None
 
 
 Table = dict[tuple[Role, Trigger], Transition]
 
-_ELECTORS = (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
-_RUNNING = (*_ELECTORS, Role.LEADER, Role.LEARNER)
-_NOT_LEADING = (*_ELECTORS, Role.LEARNER, Role.STOPPED)
+_NON_LEADER_VOTERS = (Role.FOLLOWER, Role.PRE_CANDIDATE, Role.CANDIDATE)
+_RUNNING_ROLES = (*_NON_LEADER_VOTERS, Role.LEADER, Role.LEARNER)
+_NON_LEADER_ROLES = (*_NON_LEADER_VOTERS, Role.LEARNER, Role.STOPPED)
 
 
-def _into(roles: Iterable[Role], trigger: Trigger, role: Role, action: Action | None) -> Table:
+def _transitions_to(
+    roles: Iterable[Role], trigger: Trigger, role: Role, action: Action | None
+) -> Table:
     """Rows whose next role is one and the same."""
-    return {(before, trigger): Transition(role, action) for before in roles}
+    return {(from_role, trigger): Transition(role, action) for from_role in roles}
 
 
-def _stay(roles: Iterable[Role], trigger: Trigger, action: Action) -> Table:
+def _transitions_within(roles: Iterable[Role], trigger: Trigger, action: Action) -> Table:
     """Rows that change no role."""
     return {(role, trigger): Transition(role, action) for role in roles}
 
 
 # What is missing changes nothing and has no answer.
 TRANSITIONS: Table = {
-    **_into(_ELECTORS, Trigger.TIMER_EXPIRED, Role.PRE_CANDIDATE, Action.START_PRE_VOTE),
-    **_stay([Role.LEADER], Trigger.TIMER_EXPIRED, Action.SEND_HEARTBEATS),
-    **_into([Role.FOLLOWER], Trigger.TIMEOUT_NOW, Role.CANDIDATE, Action.START_TRANSFER_ELECTION),
-    **_stay([Role.PRE_CANDIDATE, Role.CANDIDATE], Trigger.VOTE_RESPONSE, Action.COUNT_VOTE),
-    **_into([Role.PRE_CANDIDATE], Trigger.ELECTION_WON, Role.CANDIDATE, Action.START_ELECTION),
-    **_into([Role.CANDIDATE], Trigger.ELECTION_WON, Role.LEADER, Action.BECOME_LEADER),
-    **_into(_ELECTORS, Trigger.NEWER_TERM, Role.FOLLOWER, Action.ADOPT_TERM),
-    **_stay([Role.LEARNER], Trigger.NEWER_TERM, Action.ADOPT_TERM),
-    **_into([Role.LEADER], Trigger.NEWER_TERM, Role.FOLLOWER, Action.YIELD_TO_TERM),
-    **_stay(_RUNNING, Trigger.VOTE_REQUEST, Action.ANSWER_VOTE_REQUEST),
-    **_into(_ELECTORS, Trigger.APPEND_REQUEST, Role.FOLLOWER, Action.APPEND_ENTRIES),
-    **_stay([Role.LEARNER], Trigger.APPEND_REQUEST, Action.APPEND_ENTRIES),
-    **_into(_ELECTORS, Trigger.SNAPSHOT_CHUNK, Role.FOLLOWER, Action.RECEIVE_SNAPSHOT),
-    **_stay([Role.LEARNER], Trigger.SNAPSHOT_CHUNK, Action.RECEIVE_SNAPSHOT),
-    **_stay(_RUNNING, Trigger.STALE_REQUEST, Action.REJECT_STALE),
-    **_stay([Role.LEADER], Trigger.APPEND_RESPONSE, Action.FOLLOW_UP_APPEND),
-    **_stay([Role.LEADER], Trigger.SNAPSHOT_CHUNK_RESPONSE, Action.FOLLOW_UP_SNAPSHOT),
-    **_stay([Role.LEADER], Trigger.COMMAND, Action.PROPOSE),
-    **_stay([Role.LEADER], Trigger.READ, Action.READ),
-    **_stay(_NOT_LEADING, Trigger.COMMAND, Action.REDIRECT),
-    **_stay(_NOT_LEADING, Trigger.READ, Action.REDIRECT),
-    **_into([Role.LEADER], Trigger.STOOD_STILL, Role.FOLLOWER, Action.STEP_DOWN),
-    **_into([Role.LEADER], Trigger.QUORUM_LOST, Role.FOLLOWER, Action.STEP_DOWN),
-    **_into([Role.LEADER], Trigger.LEADER_REMOVED, Role.LEARNER, Action.STEP_DOWN),
-    **_into(_ELECTORS, Trigger.NOT_A_VOTER, Role.LEARNER, None),
-    **_into([Role.LEARNER], Trigger.MADE_VOTER, Role.FOLLOWER, Action.RESTART_TIMER),
-    **_into(_RUNNING, Trigger.DISK_FAILED, Role.STOPPED, Action.STOP),
+    **_transitions_to(
+        _NON_LEADER_VOTERS, Trigger.TIMER_EXPIRED, Role.PRE_CANDIDATE, Action.START_PRE_VOTE
+    ),
+    **_transitions_within([Role.LEADER], Trigger.TIMER_EXPIRED, Action.SEND_HEARTBEATS),
+    **_transitions_to(
+        [Role.FOLLOWER], Trigger.TIMEOUT_NOW, Role.CANDIDATE, Action.START_TRANSFER_ELECTION
+    ),
+    **_transitions_within(
+        [Role.PRE_CANDIDATE, Role.CANDIDATE], Trigger.VOTE_RESPONSE, Action.COUNT_VOTE
+    ),
+    **_transitions_to(
+        [Role.PRE_CANDIDATE], Trigger.ELECTION_WON, Role.CANDIDATE, Action.START_ELECTION
+    ),
+    **_transitions_to([Role.CANDIDATE], Trigger.ELECTION_WON, Role.LEADER, Action.BECOME_LEADER),
+    **_transitions_to(_NON_LEADER_VOTERS, Trigger.NEWER_TERM, Role.FOLLOWER, Action.ADOPT_TERM),
+    **_transitions_within([Role.LEARNER], Trigger.NEWER_TERM, Action.ADOPT_TERM),
+    **_transitions_to([Role.LEADER], Trigger.NEWER_TERM, Role.FOLLOWER, Action.STEP_DOWN_FOR_TERM),
+    **_transitions_within(_RUNNING_ROLES, Trigger.VOTE_REQUEST, Action.ANSWER_VOTE_REQUEST),
+    **_transitions_to(
+        _NON_LEADER_VOTERS, Trigger.APPEND_REQUEST, Role.FOLLOWER, Action.APPEND_ENTRIES
+    ),
+    **_transitions_within([Role.LEARNER], Trigger.APPEND_REQUEST, Action.APPEND_ENTRIES),
+    **_transitions_to(
+        _NON_LEADER_VOTERS, Trigger.SNAPSHOT_CHUNK, Role.FOLLOWER, Action.RECEIVE_SNAPSHOT
+    ),
+    **_transitions_within([Role.LEARNER], Trigger.SNAPSHOT_CHUNK, Action.RECEIVE_SNAPSHOT),
+    **_transitions_within(_RUNNING_ROLES, Trigger.STALE_REQUEST, Action.REJECT_STALE),
+    **_transitions_within([Role.LEADER], Trigger.APPEND_RESPONSE, Action.HANDLE_APPEND_RESPONSE),
+    **_transitions_within(
+        [Role.LEADER], Trigger.SNAPSHOT_CHUNK_RESPONSE, Action.HANDLE_SNAPSHOT_RESPONSE
+    ),
+    **_transitions_within([Role.LEADER], Trigger.COMMAND, Action.PROPOSE),
+    **_transitions_within([Role.LEADER], Trigger.READ, Action.READ),
+    **_transitions_within(_NON_LEADER_ROLES, Trigger.COMMAND, Action.REJECT_NOT_LEADER),
+    **_transitions_within(_NON_LEADER_ROLES, Trigger.READ, Action.REJECT_NOT_LEADER),
+    **_transitions_to([Role.LEADER], Trigger.STALLED, Role.FOLLOWER, Action.STEP_DOWN),
+    **_transitions_to([Role.LEADER], Trigger.QUORUM_LOST, Role.FOLLOWER, Action.STEP_DOWN),
+    **_transitions_to([Role.LEADER], Trigger.LEADER_REMOVED, Role.LEARNER, Action.STEP_DOWN),
+    **_transitions_to(_NON_LEADER_VOTERS, Trigger.NOT_A_VOTER, Role.LEARNER, None),
+    **_transitions_to([Role.LEARNER], Trigger.MADE_VOTER, Role.FOLLOWER, Action.RESTART_TIMER),
+    **_transitions_to(_RUNNING_ROLES, Trigger.DISK_FAILED, Role.STOPPED, Action.STOP),
 }
--- a/thymeknot/raft/snapshots.py
+++ b/thymeknot/raft/snapshots.py
@@ -57,7 +57,7 @@
             state.commit_to(chunk.log_index)
             self._respond(now, sender, chunk, received=chunk.total, done=True)
             return None
-        content = self._add(sender, chunk)
+        content = self._add_chunk(sender, chunk)
         done = len(content) == chunk.total
         if done:
             self._transfer = None
@@ -69,7 +69,7 @@
         """Drops what was received of a snapshot."""
         self._transfer = None
 
-    def _add(self, sender: str, chunk: SnapshotChunk) -> bytearray:
+    def _add_chunk(self, sender: str, chunk: SnapshotChunk) -> bytearray:
         """Adds a chunk if it is the next one; gives all that was received."""
         key = _TransferKey(sender, chunk.term, chunk.log_index, chunk.total)
         if self._transfer is None or self._transfer.key != key:
--- a/thymeknot/raft/storage.py
+++ b/thymeknot/raft/storage.py
@@ -34,17 +34,17 @@
 )
 
 # A record is stored with its place in this table: the order must not change.
-KINDS: tuple[type[Record], ...] = (Entry, VoteRecord, TruncationRecord, Snapshot)
-ENTRY_KIND = KINDS.index(Entry)
-TRUNCATION_KIND = KINDS.index(TruncationRecord)
-SNAPSHOT_KIND = KINDS.index(Snapshot)
-SEGMENT_HEAD_KIND = len(KINDS)
+RECORD_KINDS: tuple[type[Record], ...] = (Entry, VoteRecord, TruncationRecord, Snapshot)
+ENTRY_KIND = RECORD_KINDS.index(Entry)
+TRUNCATION_KIND = RECORD_KINDS.index(TruncationRecord)
+SNAPSHOT_KIND = RECORD_KINDS.index(Snapshot)
+SEGMENT_HEADER_KIND = len(RECORD_KINDS)
 """The kind of a segment's first record."""
 MAX_SNAPSHOT_FILE_BYTES = 1 << 32
 """The longest record of a snapshot's file."""
 SEGMENT_SUFFIX = ".seg"
 SNAPSHOT_SUFFIX = ".snap"
-PART_SUFFIX = ".part"
+TEMPORARY_SUFFIX = ".part"
 """Of a file that is being written."""
 NUMBER_DIGITS = 12
 """Digits of a file's number, so that the order of names is that of numbers."""
@@ -108,34 +108,34 @@
         self._vote = VoteRecord(0, None)
         self._fault: WriteFault | None = None
 
-    def open(self, found: bool = False) -> Opened:
+    def open(self, bootstrap: bool = False) -> Opened:
         """Reads the directory and begins a new segment.
 
         Args:
-            found: this node founds the cluster, which is rejected where anything was written.
+            bootstrap: this node founds the cluster, which is rejected where anything was written.
 
         Raises:
             DamagedStorageError: the directory can't be trusted or repaired.
             OSError: the directory can't be used.
         """
         self._files.makedirs(self.folder, exist_ok=True)
-        self._lineage_file.make_folder()
+        self._lineage_file.create_folder()
         acknowledged = self._lineage_file.read()
         names = self._files.listdir(self.folder)
         segments = sorted(name for name in names if name.endswith(SEGMENT_SUFFIX))
-        if found and (acknowledged or segments):
+        if bootstrap and (acknowledged or segments):
             raise DamagedStorageError("this keeper was used before: it can't found a fleet again")
         records: list[Record] = []
-        said: list[str] = []
+        warnings: list[str] = []
         if segments:
-            records, said = self._read_segment(segments[-1])
-        distrust = self._distrust(acknowledged, bool(segments))
-        if distrust:
-            said.append(distrust)
-            self._put_away()
+            records, warnings = self._read_segment(segments[-1])
+        distrust_reason = self._distrust_reason(acknowledged, bool(segments))
+        if distrust_reason:
+            warnings.append(distrust_reason)
+            self._move_aside()
             records = []
-        if distrust or not segments:
-            self._disk_incarnation = 0 if found else self._new_incarnation()
+        if distrust_reason or not segments:
+            self._disk_incarnation = 0 if bootstrap else self._new_incarnation()
             self._record_count = 0
         try:
             recovered = replay_records(records, self._disk_incarnation)
@@ -143,9 +143,9 @@
             raise DamagedStorageError(f"{self.folder}: {error}") from error
         self._vote = VoteRecord(recovered.term, recovered.vote)
         self._lineage_file.open()
-        self._begin_segment(recovered.snapshot, recovered.entries)
+        self._start_segment(recovered.snapshot, recovered.entries)
         self._acknowledge()
-        return Opened(recovered, tuple(said))
+        return Opened(recovered, tuple(warnings))
 
     def persist(self, records: Iterable[Record]) -> WriteFault | None:
         """Returns None once all of it would outlast a loss of power.
@@ -176,26 +176,26 @@
     def _read_segment(self, name: str) -> _Segment:
         path = self._path(name)
         content = self._files.read(path) or b""
-        found = read_frames(content)
+        frames = read_frames(content)
         warnings = []
-        if found.damaged or not found.bodies:
+        if frames.damaged or not frames.bodies:
             raise DamagedStorageError(
-                f"{path}: damage at byte {found.end}, with later records behind it"
+                f"{path}: damage at byte {frames.end}, with later records behind it"
             )
-        if found.end < len(content):
-            torn = len(content) - found.end
+        if frames.end < len(content):
+            torn = len(content) - frames.end
             warnings.append(f"{path}: {torn} bytes of a record that broke off were cut")
         try:
             self._segment_number = int(name.removesuffix(SEGMENT_SUFFIX))
-            self._read_head(found.bodies[0])
-            records = [self._read_record(body) for body in found.bodies[1:]]
+            self._read_header(frames.bodies[0])
+            records = [self._read_record(body) for body in frames.bodies[1:]]
         except (msgspec.DecodeError, msgspec.ValidationError, ValueError, IndexError) as error:
             raise DamagedStorageError(f"{path}: {error}") from error
         return _Segment(records, warnings)
 
-    def _read_head(self, body: bytes) -> None:
+    def _read_header(self, body: bytes) -> None:
         kind, fields = _decode_kind(body)
-        if kind != SEGMENT_HEAD_KIND:
+        if kind != SEGMENT_HEADER_KIND:
             raise ValueError("a segment without its head, or a head within it")
         count, incarnation = msgspec.msgpack.decode(fields, type=tuple[int, int])
         self._record_count = count
@@ -203,26 +203,26 @@
 
     def _read_record(self, body: bytes) -> Record:
         kind, fields = _decode_kind(body)
-        if kind == SEGMENT_HEAD_KIND:
+        if kind == SEGMENT_HEADER_KIND:
             raise ValueError("a segment without its head, or a head within it")
         self._record_count += 1
         if kind == SNAPSHOT_KIND:
             name, replaces_log = msgspec.msgpack.decode(fields, type=tuple[str, bool])
             return self._read_snapshot(name)._replace(replaces_log=replaces_log)
-        if not 0 <= kind < len(KINDS):  # a negative one would count from the table's end
+        if not 0 <= kind < len(RECORD_KINDS):  # a negative one would count from the table's end
             raise ValueError(f"a record of no kind: {kind}")
-        return msgspec.msgpack.decode(fields, type=KINDS[kind])
+        return msgspec.msgpack.decode(fields, type=RECORD_KINDS[kind])
 
     def _read_snapshot(self, name: str) -> Snapshot:
         if os.path.basename(name) != name or not name.endswith(SNAPSHOT_SUFFIX):
             raise ValueError(f"no name of a snapshot: {name}")
         content = self._files.read(self._path(name)) or b""
-        found = read_frames(content, MAX_SNAPSHOT_FILE_BYTES)
-        if len(found.bodies) != 1 or found.end != len(content):
+        frames = read_frames(content, MAX_SNAPSHOT_FILE_BYTES)
+        if len(frames.bodies) != 1 or frames.end != len(content):
             raise ValueError(f"the snapshot {name} is missing or damaged")
-        return msgspec.msgpack.decode(found.bodies[0], type=Snapshot)
+        return msgspec.msgpack.decode(frames.bodies[0], type=Snapshot)
 
-    def _distrust(self, acknowledged: Acknowledged | None, has_segment: bool) -> str | None:
+    def _distrust_reason(self, acknowledged: Acknowledged | None, has_segment: bool) -> str | None:
         """Why the directory is not to be trusted, or None if it is."""
         if acknowledged:
             same_disk = self._disk_incarnation == acknowledged.disk_incarnation
@@ -237,7 +237,7 @@
             return "no lineage was found: the disk may be an old copy, so it begins as a newcomer"
         return None
 
-    def _put_away(self) -> None:
+    def _move_aside(self) -> None:
         """Keeps the directory under another name: an operator may want to look at it."""
         number = 0
         while os.path.exists(f"{self.folder}.lost-{number}"):
@@ -252,23 +252,23 @@
         content = bytearray()
         for record in records:
             if isinstance(record, Snapshot):
-                self._append(bytes(content))
+                self._append_to_segment(bytes(content))
                 content.clear()
-                self._sync()
+                self._sync_segment()
                 self._write_snapshot(record)
             else:
-                content += self._frame(record)
+                content += self._frame_record(record)
                 if isinstance(record, VoteRecord):
                     self._vote = record
-        self._append(bytes(content))
-        self._sync()
+        self._append_to_segment(bytes(content))
+        self._sync_segment()
         self._acknowledge()
 
-    def _frame(self, record: Record) -> bytes:
+    def _frame_record(self, record: Record) -> bytes:
         self._record_count += 1
-        return frame(msgspec.msgpack.encode((KINDS.index(type(record)), record)))
+        return frame(msgspec.msgpack.encode((RECORD_KINDS.index(type(record)), record)))
 
-    def _append(self, content: bytes) -> None:
+    def _append_to_segment(self, content: bytes) -> None:
         self._check_space(content)
         file = self._open_segment()
         view = memoryview(content)
@@ -277,7 +277,7 @@
             self._total_bytes += written
             view = view[written:]
 
-    def _sync(self) -> None:
+    def _sync_segment(self) -> None:
         self._files.fsync(self._open_segment())
 
     def _open_segment(self) -> int:
@@ -301,7 +301,7 @@
             entries = [
                 entry for entry in self._stored_entries() if entry.log_index > snapshot.log_index
             ]
-        self._begin_segment(snapshot, entries)
+        self._start_segment(snapshot, entries)
 
     def _stored_entries(self) -> list[Entry]:
         """The segment's entries, read back rather than kept: the log in memory is the node's."""
@@ -319,18 +319,18 @@
     def _segment_name(self) -> str:
         return f"{self._segment_number:0{NUMBER_DIGITS}}{SEGMENT_SUFFIX}"
 
-    def _begin_segment(self, snapshot: Snapshot | None, entries: Sequence[Entry]) -> None:
+    def _start_segment(self, snapshot: Snapshot | None, entries: Sequence[Entry]) -> None:
         """Begins a segment that is complete by itself, so that none has to be joined to others."""
         old_names = list(self._files.listdir(self.folder))
-        head = (self._record_count, self._disk_incarnation)
-        content = [frame(msgspec.msgpack.encode((SEGMENT_HEAD_KIND, head)))]
-        content.append(self._frame(self._vote))
+        header = (self._record_count, self._disk_incarnation)
+        content = [frame(msgspec.msgpack.encode((SEGMENT_HEADER_KIND, header)))]
+        content.append(self._frame_record(self._vote))
         if snapshot:
             name = f"{self._segment_number + 1:0{NUMBER_DIGITS}}{SNAPSHOT_SUFFIX}"
             self._write_file(name, frame(msgspec.msgpack.encode(snapshot)))
             self._record_count += 1
             content.append(frame(msgspec.msgpack.encode((SNAPSHOT_KIND, (name, True)))))
-        content += [self._frame(entry) for entry in entries]
+        content += [self._frame_record(entry) for entry in entries]
         self._segment_number += 1
         name = self._segment_name()
         self._write_file(name, b"".join(content))
@@ -338,24 +338,24 @@
             self._files.close(self._segment)
         self._segment = self._files.open(self._path(name), os.O_WRONLY | os.O_APPEND)
         for old_name in old_names:
-            if old_name.endswith((SEGMENT_SUFFIX, SNAPSHOT_SUFFIX, PART_SUFFIX)):
+            if old_name.endswith((SEGMENT_SUFFIX, SNAPSHOT_SUFFIX, TEMPORARY_SUFFIX)):
                 self._files.unlink(self._path(old_name))
         self._files.sync_folder(self.folder)
         names = self._files.listdir(self.folder)
-        self._total_bytes = sum(os.path.getsize(self._path(one)) for one in names)
+        self._total_bytes = sum(os.path.getsize(self._path(file_name)) for file_name in names)
 
     def _write_file(self, name: str, content: bytes) -> None:
         """Writes a file that is there with all of its bytes or not at all."""
         path = self._path(name)
         self._check_space(content)
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
-        file = self._files.open(path + PART_SUFFIX, flags, 0o600)
+        file = self._files.open(path + TEMPORARY_SUFFIX, flags, 0o600)
         try:
             self._files.write_all(file, content)
             self._files.fsync(file)
         finally:
             self._files.close(file)
-        self._files.replace(path + PART_SUFFIX, path)
+        self._files.replace(path + TEMPORARY_SUFFIX, path)
         self._files.sync_folder(self.folder)
 
     def _acknowledge(self) -> None:
