--- a/tests/unit/raft/test_storage.py
+++ b/tests/unit/raft/test_storage.py
@@ -101,7 +101,7 @@
                 file.write(tail)
             store, opened = self.open()
             store.close()
-            self.assertIn("broke off", opened.warnings[0])
+            self.assertIn("incomplete last record", opened.warnings[0])
             self.assertEqual(len(opened.recovered.entries), 4)
 
     def test_damage_in_the_middle_is_refused(self):
@@ -167,7 +167,7 @@
         store.close()
         small, opened = self.open(max_bytes=1_000)
         self.assertEqual([one.log_index for one in opened.recovered.entries], [1])
-        self.assertIn("may take", small.persist(self.entries(*range(2, 90))).reason)
+        self.assertIn("exceed its limit", small.persist(self.entries(*range(2, 90))).reason)
 
     def test_old_copy_or_lost_disk_comes_back_under_another_incarnation(self):
         store = self.filled()
@@ -180,7 +180,7 @@
             file.write(old)
         store, opened = self.open()
         self.assertEqual((opened.recovered.disk_incarnation, opened.recovered.entries), (11, ()))
-        self.assertIn("newcomer", opened.warnings[0])
+        self.assertIn("new incarnation", opened.warnings[0])
         store.close()
         os.rename(self.folder, self.folder + ".away")
         store, opened = self.open()
--- a/thymeknot/raft/__init__.py
+++ b/thymeknot/raft/__init__.py
@@ -1,5 +1,6 @@
-"""A replicated log (Raft): a node without input or output, its storage, and a model checker.
+"""Raft consensus: a node that performs no I/O, its storage, its networking and a model checker.
 
-`node` decides, split by concern; `node_interface` says what goes in and out of it. `peer_server`
-and `storage` carry out what it asks for; `client` and `peer_channel` are the way to other nodes.
+`node` holds the protocol logic, split by concern; `node_interface` defines its input events and
+output effects. `peer_server` and `storage` carry out the effects; `client` and `peer_channel`
+connect to other nodes.
 """
--- a/thymeknot/raft/client_sessions.py
+++ b/thymeknot/raft/client_sessions.py
@@ -1,4 +1,4 @@
-"""Client sessions: each command of a client is applied once, however often it is sent."""
+"""Client sessions, which apply each client command once even if it is sent repeatedly."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -10,7 +10,13 @@
 
 
 class Session(NamedTuple):
-    """The last command of an origin. Stored by position: the order must not change."""
+    """The last applied command of a session. Fields are stored by position: keep their order.
+
+    Attributes:
+        incarnation: Incarnation of the session.
+        number: Sequence number of the last applied command.
+        reply: Reply to that command.
+    """
 
     incarnation: int
     number: int
@@ -18,23 +24,24 @@
 
 
 class ClientSessions:
-    """Applies each number of an origin's incarnation once and remembers the last reply.
+    """Applies each sequence number of a session at most once and keeps the last reply.
 
-    An origin sends one command at a time: after number 5 was applied, 4 never is. `max_sessions`
-    origins are remembered; beyond them the least recently used one, by its place in the log, is
-    dropped. Its retry after that would be applied a second time, so that `max_sessions` must
-    exceed the origins that may be active within a retry's time. Source: Ongaro's thesis, 6.3.
+    A session, named by its origin, has one command outstanding at a time: once number 5 is
+    applied, number 4 never will be. Beyond `max_sessions` the session whose last command is the
+    oldest in the log is evicted. A retry after its eviction would be applied a second time, so
+    `max_sessions` must exceed the number of sessions that may be active during the time in which
+    clients retry. Source: Ongaro's thesis, 6.3.
     """
 
     def __init__(self, machine: StateMachine, max_sessions: int) -> None:
         self.machine = machine
         self.max_sessions = max_sessions
-        self.by_origin: dict[str, Session] = {}  # least recently used first
+        self.by_origin: dict[str, Session] = {}  # by origin, least recently used first
 
     def known_reply(self, origin: str, incarnation: int, number: int) -> Reply | None:
-        """The reply to a command that needs no applying, or None.
+        """Returns the reply to a command that must not be applied, or None for a new command.
 
-        It is the former reply to a repeated command, or a rejection of one that is too old.
+        The reply is the stored one for a repeated command and a rejection for an outdated one.
         """
         session = self.by_origin.get(origin)
         if session is None or (incarnation, number) > (session.incarnation, session.number):
@@ -53,7 +60,7 @@
         number: int,
         apply_command: Callable[[Ticks], Reply],
     ) -> Reply:
-        """Calls apply_command(at) unless this number was applied before; gives the reply."""
+        """Calls `apply_command(at)` unless the command was applied before; returns the reply."""
         reply = self.known_reply(origin, incarnation, number)
         if reply is not None:
             return reply
@@ -65,12 +72,12 @@
         return reply
 
     def image(self) -> bytes:
-        """The sessions and the machine's state."""
+        """Encodes the sessions and the state of the state machine."""
         sessions = [[origin, *session] for origin, session in self.by_origin.items()]
         return msgspec.msgpack.encode([sessions, self.machine.image()])
 
     def load(self, content: bytes) -> None:
-        """Replaces the sessions and the machine's state."""
+        """Restores the sessions and the state of the state machine."""
         sessions, image = msgspec.msgpack.decode(content)
         self.by_origin = {origin: Session(*session) for origin, *session in sessions}
         self.machine.load(image)
--- a/thymeknot/raft/elections.py
+++ b/thymeknot/raft/elections.py
@@ -1,4 +1,4 @@
-"""Elections: pre-votes, votes, and the votes given to others.
+"""Leader election: pre-votes, elections and votes for other candidates.
 
 Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), 5.2
 and 5.4.1; Ongaro's thesis (2014), 4.2.3 (disruptive servers) and 9.6 (pre-vote).
@@ -14,14 +14,14 @@
 
 
 class Elections:
-    """One node's elections, and its votes in others'."""
+    """Starts and counts the elections of one node, and votes in those of other nodes."""
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
-        self._votes: set[str] = set()  # who voted, or would, for what is being asked now
+        self._votes: set[str] = set()  # voters that granted the current pre-vote or vote
 
     def start_pre_vote(self, now: Ticks) -> Step | None:
-        """Asks the others whether they would vote for this node."""
+        """Asks the other voters whether they would vote for this node."""
         state = self.state
         state.leader = None
         state.restart_election_timer(now)
@@ -31,7 +31,7 @@
         return self.add_vote(state.name)
 
     def start_election(self, now: Ticks, leadership_transfer: bool = False) -> None:
-        """Begins a new term and asks for votes in it."""
+        """Increments the term, votes for itself and requests the other votes."""
         state = self.state
         state.term += 1
         state.vote = state.name
@@ -42,7 +42,7 @@
         state.outbox.emit_after_sync(now, SelfVote(state.term))
 
     def start_transfer_election(self, now: Ticks, sender: str) -> Step | None:
-        """Begins a new term at the leader's wish."""
+        """Starts an election at once because the leader transfers leadership to this node."""
         if sender != self.state.leader or not self.state.is_voter():
             return Step(Trigger.NEWER_TERM, self.state.term)
         self.start_election(now, leadership_transfer=True)
@@ -65,13 +65,13 @@
                 state.outbox.emit_after_sync(now, Send(name, request))
 
     def add_vote(self, name: str) -> Step | None:
-        """Counts a vote; the step that follows if it makes a majority."""
+        """Adds a granted vote; returns the ELECTION_WON step if the votes are a majority."""
         self._votes.add(name)
         won = self.state.has_majority(lambda voter, _: voter in self._votes)
         return Step(Trigger.ELECTION_WON) if won else None
 
     def count_vote(self, event: MessageReceived[VoteResponse]) -> Step | None:
-        """Counts a vote for what is being asked now, if the members' list names its disk."""
+        """Counts a response to the current pre-vote or vote from a disk that is listed."""
         sender, response = event
         state = self.state
         asked_term = state.term + 1 if response.pre_vote else state.term
@@ -84,16 +84,21 @@
         return self.add_vote(sender) if counts else None
 
     def allows_disruption(self, now: Ticks, request: VoteRequest) -> bool:
-        """Whether an election may begin: nobody leads here, or the leader wishes it."""
+        """Returns whether an election may disrupt this node.
+
+        That is so if the leader asked for it, or if this node doesn't lead and has not heard from
+        a leader for the minimum election timeout (thesis, 4.2.3).
+        """
         state = self.state
         leader_silent = now - state.leader_heard_at >= state.settings.election_timeout.minimum
         return request.leadership_transfer or (state.role != Role.LEADER and leader_silent)
 
     def answer_vote_request(self, now: Ticks, event: MessageReceived[VoteRequest]) -> None:
-        """Gives or denies a vote, whether the candidate is a voter here or not.
+        """Grants or denies a vote or pre-vote.
 
-        This node's members' list may be older than the candidate's. It denies the vote if the
-        request names another of its disks, the candidate's log is older, or a leader is alive.
+        The candidate need not be a voter in this node's configuration, which may be older than the
+        candidate's. The vote is denied if the request names another disk incarnation of this node,
+        the candidate's log is less up to date, or this node heard from a leader recently.
         """
         sender, request = event
         state = self.state
@@ -117,7 +122,7 @@
         state.outbox.emit_after_sync(now, Send(sender, response))
 
     def adopt_term(self, term: int) -> Step | None:
-        """Takes over a term that others have begun."""
+        """Adopts a newer term and clears the vote."""
         state = self.state
         if term > state.term:
             state.term = term
--- a/thymeknot/raft/errors.py
+++ b/thymeknot/raft/errors.py
@@ -1,19 +1,19 @@
-"""The errors of the package, under one base."""
+"""Exceptions of the package, which share one base class."""
 
 
 class RaftError(Exception):
-    """Base of every error that this package raises."""
+    """Base class of all exceptions that this package defines."""
 
 
 class MessageDecodeError(RaftError):
-    """Bytes that are no message between nodes; the text says why."""
+    """Bytes that can't be decoded as a message between nodes; the text gives the reason."""
 
 
 class MessageError(RaftError, ValueError):
-    """A signed message that can't be accepted.
+    """A signed message that is too long, forged, replayed, misaddressed or malformed.
 
     Attributes:
-        kind: the word that rejected messages are counted under.
+        kind: The category that rejected messages are counted under, such as "forged".
     """
 
     def __init__(self, kind: str, text: str) -> None:
@@ -22,12 +22,15 @@
 
 
 class RequestRejectedError(RaftError):
-    """A client's request that was not accepted; the text says why."""
+    """A request or handshake that the other end rejected; the text gives the reason."""
 
 
 class DamagedStorageError(RaftError):
-    """The directory can't be trusted or repaired: an operator must look. Names file and place."""
+    """The storage directory is damaged and an operator has to intervene.
+
+    The text names the file or directory and, where known, the position of the damage.
+    """
 
 
 class RecordOrderError(RaftError, ValueError):
-    """Records on a disk that don't follow one another."""
+    """Stored log entries whose indices are not consecutive."""
--- a/thymeknot/raft/file_system.py
+++ b/thymeknot/raft/file_system.py
@@ -1,33 +1,33 @@
-"""What the storage needs of an operating system."""
+"""The file system operations that the storage uses."""
 
 import os
 
 
 class FileSystem:
-    """System calls on files and folders; tests put faults in its place."""
+    """System calls on files and directories. Tests replace it to inject faults."""
 
     def open(self, path: str, flags: int, mode: int = 0o777) -> int:
-        """Opens a file or folder; gives its descriptor."""
+        """Opens a file or directory and returns its descriptor."""
         return os.open(path, flags, mode)
 
     def close(self, file: int) -> None:
-        """Closes a descriptor."""
+        """Closes a file descriptor."""
         os.close(file)
 
     def fsync(self, file: int) -> None:
-        """Returns once what was written would outlast a loss of power."""
+        """Flushes a file to the disk, so that its content survives a power failure."""
         os.fsync(file)
 
     def write(self, file: int, content: bytes | memoryview) -> int:
-        """Writes some of the content; gives how many bytes."""
+        """Writes content, possibly in part, and returns the number of bytes written."""
         return os.write(file, content)
 
     def pwrite(self, file: int, content: bytes, offset: int) -> int:
-        """Writes some of the content at an offset; gives how many bytes."""
+        """Writes content at an offset, possibly in part; returns the number of bytes written."""
         return os.pwrite(file, content, offset)
 
     def replace(self, source: str, target: str) -> None:
-        """Renames a file or folder in one step."""
+        """Atomically renames a file or directory and replaces the target if it exists."""
         os.replace(source, target)
 
     def unlink(self, path: str) -> None:
@@ -35,15 +35,15 @@
         os.unlink(path)
 
     def listdir(self, folder: str) -> list[str]:
-        """The names in a folder."""
+        """Returns the names of the entries of a directory."""
         return os.listdir(folder)
 
     def makedirs(self, folder: str, exist_ok: bool = False) -> None:
-        """Creates a folder and those above it."""
+        """Creates a directory and its missing parents."""
         os.makedirs(folder, exist_ok=exist_ok)
 
     def read(self, path: str) -> bytes | None:
-        """The bytes of a file, or None if there is no such file."""
+        """Returns the content of a file, or None if the file does not exist."""
         try:
             with open(path, "rb") as file:
                 return file.read()
@@ -51,13 +51,13 @@
             return None
 
     def write_all(self, file: int, content: bytes) -> None:
-        """Writes all of the content."""
+        """Writes the whole content, retrying after partial writes."""
         view = memoryview(content)
         while view:
             view = view[self.write(file, view) :]
 
     def sync_folder(self, folder: str) -> None:
-        """Syncs a folder: a file's name is on the disk only once its folder is."""
+        """Flushes a directory: a new or renamed file is durable only once its directory is."""
         file = self.open(folder, os.O_RDONLY)
         try:
             self.fsync(file)
--- a/thymeknot/raft/follower.py
+++ b/thymeknot/raft/follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: entries are taken from the leader (Raft, 5.3)."""
+"""The follower's side of replication: appends the leader's entries (Raft, 5.3)."""
 
 from ..interface.clock import Ticks
 from .messages import AppendRequest, AppendResponse, Message, VoteRequest, VoteResponse
@@ -9,13 +9,13 @@
 
 
 class Follower:
-    """Takes what a leader sends."""
+    """Handles the AppendEntries requests of the leader, and requests of stale terms."""
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
 
     def append_entries(self, now: Ticks, event: MessageReceived[AppendRequest]) -> Step | None:
-        """Appends entries after the previous one, if the log holds that."""
+        """Appends the entries of a request if the log matches at `previous_index`."""
         sender, request = event
         state = self.state
         state.heard_leader(now, sender)
@@ -34,7 +34,7 @@
         return state.membership_step() if records else None
 
     def _append(self, entry: Entry) -> list[Record]:
-        """Appends one entry, in place of another term's; gives the records of it."""
+        """Appends one entry, truncating conflicting ones; returns the records to persist."""
         log = self.state.log
         own_term = log.term(entry.log_index)
         if entry.log_index <= log.base_index or own_term == entry.term:
@@ -49,7 +49,7 @@
         return records
 
     def reject_stale(self, now: Ticks, event: MessageReceived[Message]) -> None:
-        """Tells a sender of an earlier term of this one, so that it doesn't wait in vain."""
+        """Rejects a request with an earlier term, so that the sender learns the current one."""
         sender, request = event
         state = self.state
         if isinstance(request, VoteRequest):
--- a/thymeknot/raft/lineage.py
+++ b/thymeknot/raft/lineage.py
@@ -1,13 +1,14 @@
-"""The lineage file: which disk this is, and how many of its records were acknowledged.
+"""The lineage file, which detects a storage directory that was lost or restored from a backup.
 
-It holds the disk incarnation and the count of records that were ever acknowledged (as being on
-the disk, so votes count too), in two slots written in turn. It lies on another disk if the
-operator has one. A directory of another incarnation, or with fewer records, was lost or set back.
+It holds the disk incarnation and the number of records that were ever acknowledged as durable
+(including votes) in two slots that are written alternately. It should be on another disk than the
+storage directory. A directory with another incarnation or fewer records was lost or rolled back.
 
-What this doesn't cover: both places set back together to the same moment; a directory set back by
-records written after the last acknowledged one (nothing depended on those); and an operator who
-founds the cluster again, which is why that is rejected where either place is found. Writing the
-lineage costs a second fsync before each acknowledgement; without it an old copy can't be told.
+Not detected are a rollback of both the directory and the lineage file to the same point in time,
+a rollback of the directory that loses only records after the last acknowledged one (nothing
+depended on those), and an operator who bootstraps the cluster a second time; therefore a bootstrap
+is rejected if either the directory or the lineage file exists. Writing the lineage file costs a
+second fsync before each acknowledgement; without it, an old copy can't be recognized.
 """
 
 import os
@@ -17,34 +18,39 @@
 
 from .file_system import FileSystem
 
-_FIELDS = struct.Struct(">QQ")  # disk incarnation, count of records
+_FIELDS = struct.Struct(">QQ")  # disk incarnation, number of acknowledged records
 _CHECKSUM = struct.Struct(">Q")  # CRC-32 of the fields
 _SLOT_BYTES = _FIELDS.size + _CHECKSUM.size
 
 
 class Acknowledged(NamedTuple):
-    """What the lineage says of the storage directory."""
+    """The last state of the storage directory that was acknowledged.
+
+    Attributes:
+        disk_incarnation: Incarnation of the directory.
+        record_count: Number of records that were ever acknowledged.
+    """
 
     disk_incarnation: int
     record_count: int
 
 
 class Lineage:
-    """The lineage file at a path."""
+    """Reads and writes the lineage file at a path."""
 
     def __init__(self, path: str, files: FileSystem) -> None:
         self._path = path
         self._folder = os.path.dirname(path) or "."
         self._files = files
-        self._slot = 0  # the one that was written last
+        self._slot = 0  # slot that was written last
         self._file: int | None = None
 
     def create_folder(self) -> None:
-        """Creates the file's folder."""
+        """Creates the directory of the file."""
         self._files.makedirs(self._folder, exist_ok=True)
 
     def read(self) -> Acknowledged | None:
-        """The slot that was written last, or None if there is none."""
+        """Returns the content of the slot that was written last, or None if no slot is valid."""
         content = self._files.read(self._path) or b""
         valid_slots = []
         for slot in range(2):
@@ -61,14 +67,14 @@
         return Acknowledged(disk_incarnation, record_count)
 
     def open(self) -> None:
-        """Opens the file for writing, and creates it if needed."""
+        """Opens the file for writing and creates it if it does not exist."""
         self._file = self._files.open(self._path, os.O_RDWR | os.O_CREAT, 0o600)
         self._files.sync_folder(self._folder)
 
     def write(self, acknowledged: Acknowledged) -> None:
-        """Writes the other slot and syncs it."""
+        """Writes the slot that is not the last one and flushes it to the disk."""
         if self._file is None:
-            raise ValueError(f"{self._path} is not open")
+            raise ValueError(f"lineage file {self._path} is not open")
         self._slot ^= 1
         fields = _FIELDS.pack(*acknowledged)
         checksum = _CHECKSUM.pack(zlib.crc32(fields))
@@ -76,7 +82,7 @@
         self._files.fsync(self._file)
 
     def close(self) -> None:
-        """Closes the file if it is open."""
+        """Closes the file; does nothing if it is not open."""
         if self._file is not None:
             self._files.close(self._file)
         self._file = None
--- a/thymeknot/raft/log.py
+++ b/thymeknot/raft/log.py
@@ -1,4 +1,4 @@
-"""The log in memory: entries after a base, the snapshot behind it, the members at each index."""
+"""The in-memory log: entries after a base index, the last snapshot and the configurations."""
 
 from collections.abc import Iterable
 from typing import NamedTuple
@@ -9,18 +9,18 @@
 from .records import Entry, Members, Snapshot
 
 RAFT_PART = "keepers"
-"""The `part` of commands that concern the nodes themselves."""
+"""The `part` of commands that Raft handles itself: membership changes and no-op entries."""
 
 
 class MembershipChange(NamedTuple):
-    """The members from this index on."""
+    """The configuration that applies from `log_index` on."""
 
     log_index: int
     members: Members
 
 
 def members_set_by(entry: Entry) -> Members | None:
-    """The members that an entry sets, or None if it sets none."""
+    """Returns the configuration that an entry sets, or None for any other entry."""
     command = entry.command
     if command.get("part") != RAFT_PART or "voters" not in command:
         return None
@@ -28,12 +28,21 @@
 
 
 def initial_snapshot(names: Iterable[str]) -> Snapshot:
-    """The snapshot before the first entry, with these voters."""
+    """Returns the empty snapshot of a new cluster with these voters, all with incarnation 0."""
     return Snapshot(0, 0, 0, Members(dict.fromkeys(names, 0), {}), b"")
 
 
 class Log:
-    """Entries after `base_index`; the entry at the base itself is known by term and time alone."""
+    """The entries after `base_index`, with the term and agreed time of the entry at the base.
+
+    Attributes:
+        snapshot: The last snapshot. The base lies at most `retained_entries` before it.
+        entries: The entries after the base.
+        base_index: Index of the last entry that was dropped from memory.
+        base_term: Term of that entry.
+        base_at: Agreed time of that entry.
+        membership_changes: The configuration at the base and all later ones.
+    """
 
     def __init__(self, snapshot: Snapshot, entries: Iterable[Entry] = ()) -> None:
         self.reset(snapshot)
@@ -41,10 +50,10 @@
             self.append(entry)
 
     def reset(self, snapshot: Snapshot) -> None:
-        """Replaces the whole log by a snapshot."""
+        """Replaces the whole log with a snapshot."""
         self.snapshot = snapshot
         self.entries: list[Entry] = []
-        self._command_sizes: list[int] = []  # bytes of each entry's command
+        self._command_sizes: list[int] = []  # encoded size of each entry's command
         self.base_index = snapshot.log_index
         self.base_term = snapshot.term
         self.base_at = snapshot.at
@@ -52,41 +61,41 @@
 
     @property
     def last_index(self) -> int:
-        """Index of the last entry, or the base if there is none."""
+        """Index of the last entry, or the base index if there are no entries."""
         return self.base_index + len(self.entries)
 
     @property
     def last_term(self) -> int:
-        """Term of the last entry."""
+        """Term of the entry at `last_index`."""
         return self.entries[-1].term if self.entries else self.base_term
 
     @property
     def last_at(self) -> Ticks:
-        """Agreed time of the last entry."""
+        """Agreed time of the entry at `last_index`."""
         return self.entries[-1].at if self.entries else self.base_at
 
     @property
     def members(self) -> Members:
-        """The latest members, committed or not: a change counts once appended (thesis, 4.1)."""
+        """The latest configuration in the log; it applies even if uncommitted (thesis, 4.1)."""
         return self.membership_changes[-1].members
 
     def members_at(self, index: int) -> Members:
-        """The members as of this index."""
+        """Returns the configuration as of an index."""
         return next(members for at, members in reversed(self.membership_changes) if at <= index)
 
     def term(self, index: int) -> int | None:
-        """Term of an entry; None if it is behind the base or was never here."""
+        """Returns the term of an entry; None if it lies before the base or after the last entry."""
         base = self.base_index
         if index == base:
             return self.base_term
         return self.entries[index - base - 1].term if base < index <= self.last_index else None
 
     def entry(self, index: int) -> Entry:
-        """The entry at an index after the base."""
+        """Returns the entry at an index, which must be after the base."""
         return self.entries[index - self.base_index - 1]
 
     def entries_from(self, start: int, max_count: int, max_bytes: int) -> tuple[Entry, ...]:
-        """Entries from `start` on, within the limits, but at least one if there is one."""
+        """Returns the entries from `start` on within the limits, but at least one if any exists."""
         first = start - self.base_index - 1
         size = 0
         end = first
@@ -98,7 +107,7 @@
         return tuple(self.entries[first:end])
 
     def append(self, entry: Entry) -> None:
-        """Adds an entry after the last one."""
+        """Appends an entry, and its configuration if it sets one."""
         self.entries.append(entry)
         self._command_sizes.append(len(msgspec.msgpack.encode(entry.command)))
         members = members_set_by(entry)
@@ -106,7 +115,7 @@
             self.membership_changes.append(MembershipChange(entry.log_index, members))
 
     def truncate(self, index: int) -> None:
-        """Removes the entries from `index` on, and their changes of members."""
+        """Removes the entries from `index` on and the configurations that they set."""
         first = index - self.base_index - 1
         del self.entries[first:]
         del self._command_sizes[first:]
@@ -114,7 +123,7 @@
             self.membership_changes.pop()
 
     def compact(self, snapshot: Snapshot, retained_entries: int) -> None:
-        """Drops the entries that a snapshot holds, but for the last `retained_entries` of them."""
+        """Drops the entries that a snapshot includes except the last `retained_entries` of them."""
         base = max(self.base_index, snapshot.log_index - retained_entries)
         self.snapshot = snapshot
         if base <= self.base_index:
@@ -130,10 +139,12 @@
         self.membership_changes = [MembershipChange(base, members), *later]
 
     def conflict_index(self, index: int, term: int) -> int | None:
-        """None if the log holds that entry; else the index that a leader should try next.
+        """Checks for the entry that precedes the entries of an AppendRequest (Raft, 5.3).
 
-        It is the one behind a log that is too short, or the first of the differing term
-        (Raft, 5.3).
+        Returns:
+            None if the log has an entry with this index and term, or if the index lies before the
+            base. Otherwise the index that the leader should try next: the one after the last
+            entry if the log is too short, else the first one of the conflicting term.
         """
         own_term = self.term(index)
         if own_term == term or index < self.base_index:
--- a/thymeknot/raft/membership.py
+++ b/thymeknot/raft/membership.py
@@ -1,9 +1,13 @@
-"""Changes of members, one at a time, and transfers of leadership (Ongaro's thesis, 4 and 3.10).
+"""Single-server membership changes and leadership transfer (Ongaro's thesis, 4 and 3.10).
 
-Commands of the nodes' own part: {"do": "add", "name": n, "life": l} takes in a learner (a voter
-of that name with another disk is one no longer), {"do": "promote", "name": n} makes it a voter,
-{"do": "remove", "name": n} removes it, {"do": "transfer", "name": n} hands leadership over, which
-the log doesn't hold: its reply says that it was tried.
+Commands with the part `RAFT_PART`, where "life" is a disk incarnation:
+
+- {"do": "add", "name": n, "life": l} adds a learner; it replaces a voter of that name that had
+  another disk incarnation.
+- {"do": "promote", "name": n} makes a learner a voter.
+- {"do": "remove", "name": n} removes a voter or learner.
+- {"do": "transfer", "name": n} transfers leadership to a voter. It is not logged, and its reply
+  confirms only that the voter was asked to start an election.
 """
 
 from collections.abc import Callable, Hashable
@@ -20,7 +24,7 @@
 
 
 class _Transfer(NamedTuple):
-    """Leadership is being handed to a voter that must catch up in time."""
+    """A leadership transfer, which fails if the voter doesn't catch up before the deadline."""
 
     token: Hashable
     name: str
@@ -28,14 +32,14 @@
 
 
 class _Rejection(NamedTuple):
-    """An error as a value: why a change is rejected."""
+    """Why a membership change or transfer is rejected; None as `retry_after` means never retry."""
 
     reason: str
     retry_after: Ticks | None = None
 
 
 class Membership:
-    """Checks changes of members before they are appended, and hands leadership over."""
+    """Checks membership changes before they are appended, and transfers leadership."""
 
     def __init__(self, state: NodeState, replication: Replication, reads: Reads) -> None:
         self.state = state
@@ -51,15 +55,16 @@
         self.reset()
 
     def reset(self) -> None:
-        """This node doesn't lead."""
+        """Clears the leader's state: this node is not, or no longer, the leader."""
         self._transfer: _Transfer | None = None
 
-    # Changes.
+    # Membership changes.
 
     def may_change(self) -> bool:
-        """Whether the last change and an entry of this term are committed and applied.
+        """Returns whether the last change and an entry of this term are committed and applied.
 
-        The latter is from Ongaro's note of 2015 on changes of one member.
+        The condition on the term fixes the bug in single-server changes that Ongaro reported in
+        2015.
         """
         state = self.state
         all_applied = state.applied == state.committed >= self._replication.first_index_of_term
@@ -68,9 +73,11 @@
     def prepare_change(
         self, now: Ticks, token: Hashable, command: dict[str, Any]
     ) -> dict[str, Any] | None:
-        """The command to append for an operator's change; None if there is nothing to append.
+        """Checks a membership change and returns the command to append.
 
-        An operator's mistake is rejected before it gets into the log.
+        Returns:
+            The command that sets the new configuration; None if the change is invalid, in which
+            case it is rejected here and never logged, or if it is a leadership transfer.
         """
         checked = self._check_change(now, token, command)
         if isinstance(checked, _Rejection):
@@ -83,7 +90,7 @@
     def _check_change(
         self, now: Ticks, token: Hashable, command: dict[str, Any]
     ) -> Members | _Rejection | None:
-        """The members after a change; None if it is a transfer of leadership, which is begun."""
+        """Returns the configuration after a change; starts a transfer and returns None for it."""
         kind = command.get("do")
         name = command.get("name")
         disk_incarnation = command.get("life", 0)
@@ -132,7 +139,7 @@
         return None
 
     def _has_caught_up(self, now: Ticks, peer: Peer, disk_incarnation: int) -> bool:
-        """Whether a learner may become a voter."""
+        """Returns whether a learner is up to date and responsive enough to become a voter."""
         settings = self.state.settings
         return (
             peer.disk_incarnation == disk_incarnation
@@ -141,11 +148,11 @@
             and peer.match_index > 0
         )
 
-    # Transfer of leadership.
+    # Leadership transfer.
 
     @property
     def is_transferring(self) -> bool:
-        """Whether leadership is being handed over."""
+        """Whether a leadership transfer is in progress."""
         return self._transfer is not None
 
     def _start_transfer(
@@ -159,28 +166,28 @@
         return None
 
     def try_complete_transfer(self) -> None:
-        """Hands over once the other voter has all of the log."""
+        """Tells the target to start an election once its log is as long as the leader's."""
         if self._transfer is None:
             return
         state = self.state
         token, name, _ = self._transfer
         if self._replication.peers[name].match_index != state.log.last_index:
             return
-        # The message may arrive late, and the election that it brings about heeds no lease.
+        # TimeoutNow may arrive late, and voters grant votes in its election despite the lease.
         self._reads.end_lease()
         self._transfer = None
         state.outbox.emit(Send(name, TimeoutNow(state.term, state.disk_incarnation)))
         state.outbox.emit(CommandCompleted(token, {"ok": True, "told": name}))
 
     def expire_transfer(self, now: Ticks) -> None:
-        """Gives up on a voter that didn't catch up in time."""
+        """Aborts a transfer whose deadline has passed."""
         if self._transfer is not None and now >= self._transfer.deadline:
             retry_after = self.state.settings.heartbeat_interval
             self.state.reject(self._transfer.token, "it did not catch up in time", retry_after)
             self._transfer = None
 
     def reject_transfer(self, reason: str) -> None:
-        """Rejects a transfer under way: this node leads no longer."""
+        """Rejects the transfer in progress because this node is no longer leader."""
         if self._transfer is not None:
             retry_after = self.state.settings.election_timeout.maximum
             self.state.outbox.emit(RequestRejected(self._transfer.token, reason, retry_after, None))
--- a/thymeknot/raft/message_codec.py
+++ b/thymeknot/raft/message_codec.py
@@ -1,10 +1,10 @@
 """Signed messages between nodes and their clients, and the AMP commands that carry them.
 
-A signed message says who sent it, to whom, on which connection and as the how many-th. A session
-id is drawn by both ends when a connection opens (16 bytes each), so that a message of another
-connection, or of before a restart, proves nothing on this one; on one connection numbers only
-rise. Answers are signed too: a yes to "may I begin" is worth as much as a command. Keys, names
-and revocation come from gossip's keyring.
+A signed message names its sender, its receiver, the session and a sequence number. Each end of a
+new connection draws 16 bytes of the session id, so that a message recorded on another connection or
+before a restart is not valid on this one; within a session sequence numbers must increase. Replies
+are signed too, because a forged confirmation of a drain would do as much harm as a forged command.
+Keys, names and revocation come from gossip's keyring.
 """
 
 import secrets
@@ -17,26 +17,26 @@
 from .errors import MessageError, RequestRejectedError
 
 NONCE_BYTES = 16
-"""What each end of a connection draws of its session id."""
+"""Size of each end's part of the session id."""
 MAX_MESSAGE_BYTES = 60_000
-"""Bytes of a signed message; AMP's own limit of a value is 65,535."""
+"""Maximum size of the signed content; AMP limits a value to 65,535 bytes."""
 MAX_SIGNED_MESSAGE_BYTES = MAX_MESSAGE_BYTES
-"""The earlier name, which the tests of `coordination` use."""
+"""Alias of `MAX_MESSAGE_BYTES` for the tests of `coordination`."""
 SIGNATURE_CONTEXT = b"thymeknot fleet 1\0"
-"""Signed with each message, so that it can't be taken for one of gossip's datagrams."""
+"""Signed before the content, so that a message can't pass for one of gossip's datagrams."""
 
 
 class MessageKind(IntEnum):
-    """What a signed message carries. The values are sent."""
+    """Kind of the body of a signed message. The values are sent."""
 
     PEER = 0
-    """A message between nodes."""
+    """A Raft message between nodes."""
     PROPOSE = 1
     """A client's command."""
     READ = 2
     """A client's query."""
     REPLY = 3
-    """The answer to a command or a query."""
+    """The reply to a command or a query."""
 
 
 PEER = MessageKind.PEER
@@ -46,15 +46,15 @@
 
 
 class SignedMessage(NamedTuple):
-    """What is signed. Fields are sent by position: their order must not change.
+    """The content that is signed. Fields are sent by position, so their order must not change.
 
     Attributes:
-        sender: name of the node or client that signed it.
-        to: name of the receiver.
-        session: id of the connection's session.
-        number: rises with each message of a session.
-        kind: a MessageKind.
-        body: what the kind says.
+        sender: Name of the node or client that signed the message.
+        to: Name of the receiver.
+        session: Session id of the connection.
+        number: Sequence number, which increases with each message of a session.
+        kind: A MessageKind.
+        body: The encoded body; its format depends on `kind`.
     """
 
     sender: str
@@ -66,7 +66,13 @@
 
 
 class SignedArguments(TypedDict):
-    """Arguments of the AMP commands that carry a signed message."""
+    """Arguments of the AMP commands that carry a signed message.
+
+    Attributes:
+        key: Id of the signing key.
+        content: The encoded SignedMessage.
+        signature: Signature of `SIGNATURE_CONTEXT` followed by `content`.
+    """
 
     key: bytes
     content: bytes
@@ -74,40 +80,40 @@
 
 
 class Signer(Protocol):
-    """An identity of gossip's keyring."""
+    """The signing identity of this process, such as gossip's."""
 
     name: str
     key_id: bytes
 
     def sign(self, message: bytes) -> bytes:
-        """The signature of these bytes."""
+        """Returns the signature of a message."""
 
 
 class Verifier(Protocol):
-    """Gossip's keyring."""
+    """The keyring that signatures are verified with, such as gossip's."""
 
     def owner(self, key_id: bytes, unix_time: float) -> str | None:
-        """The name that a key belongs to at this Unix time, or None."""
+        """Returns the name that a key belongs to at this Unix time, or None."""
 
     def holds(self, key_id: bytes, message: bytes, signature: bytes) -> bool:
-        """Whether the key made this signature over these bytes."""
+        """Returns whether the signature of the message was made with the key."""
 
 
-_STRING = amp.String()  # type: ignore[no-untyped-call]  # Twisted annotates it by half
+_STRING = amp.String()  # type: ignore[no-untyped-call]  # Twisted annotates it only in part
 
 
 class Hello(amp.Command):
-    """Each end's share of the session id."""
+    """Handshake in which both ends exchange their parts of the session id."""
 
     commandName = b"Hello"  # noqa: N815  # Twisted's name; the value is sent
     arguments: ClassVar = [(b"nonce", _STRING)]
     response: ClassVar = [(b"nonce", _STRING)]
-    # What is raised and not declared, AMP logs as a traceback. A fatal one closes the connection.
+    # AMP logs undeclared exceptions with a traceback. A fatal error closes the connection.
     fatalErrors: ClassVar = {RequestRejectedError: b"REFUSED"}  # noqa: N815  # Twisted's name
 
 
 class DeliverMessage(amp.Command):
-    """A message between nodes. It has no answer: answers are messages themselves."""
+    """Delivers a message between nodes. AMP sends no answer: responses are messages too."""
 
     commandName = b"Deliver"  # noqa: N815  # Twisted's name; the value is sent
     arguments: ClassVar = [
@@ -119,7 +125,7 @@
 
 
 class ClientRequest(amp.Command):
-    """A client's command or query, and its signed reply."""
+    """Sends a client's command or query and returns the signed reply."""
 
     commandName = b"Ask"  # noqa: N815  # Twisted's name; the value is sent
     arguments: ClassVar = [
@@ -132,17 +138,17 @@
 
 
 def new_nonce() -> bytes:
-    """One end's share of a session id."""
+    """Draws one end's part of a session id."""
     return secrets.token_bytes(NONCE_BYTES)
 
 
 def sign_message(  # noqa: PLR0917  # other packages pass them by position
     identity: Signer, receiver: str, session: bytes, number: int, kind: int, body: bytes
 ) -> SignedArguments:
-    """The arguments of a DeliverMessage or ClientRequest.
+    """Signs a message and returns the arguments of a DeliverMessage or ClientRequest.
 
     Raises:
-        MessageError: the message is too long.
+        MessageError: The message is too long.
     """
     message = SignedMessage(identity.name, receiver, session, number, kind, body)
     content = msgspec.msgpack.encode(message)
@@ -164,57 +170,60 @@
     content: bytes,
     signature: bytes,
 ) -> SignedMessage:
-    """The message, once its signature and its place in the session are checked.
+    """Verifies the signature, receiver, session and sequence number of a message.
 
     Args:
-        keyring: the keys of now.
+        keyring: The current keyring.
         unix_time: Unix time in seconds.
-        receiver: the receiver's name.
-        session: id of the connection's session.
-        last_number: the highest number that this connection brought.
-        key: id of the key that signed.
-        content: what was signed.
-        signature: of the content.
+        receiver: Name of this node or client.
+        session: Session id of the connection.
+        last_number: Highest sequence number that was received on this connection.
+        key: Id of the signing key.
+        content: The signed content.
+        signature: Signature of the content.
+
+    Returns:
+        The decoded message.
 
     Raises:
-        MessageError: it can't be accepted.
+        MessageError: The message is oversized, forged, malformed, misaddressed or replayed.
     """
     _check_length(content)
     owner = keyring.owner(key, unix_time)
     if owner is None:
-        raise MessageError("unknown", "the key is none of the ring's, or was revoked")
+        raise MessageError("unknown", "the signing key is not in the keyring, or it was revoked")
     if not keyring.holds(key, SIGNATURE_CONTEXT + content, signature):
-        raise MessageError("forged", f"not signed by {owner}")
+        raise MessageError("forged", f"the signature is not valid for the key of {owner}")
     try:
         message = msgspec.msgpack.decode(content, type=SignedMessage)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise MessageError("nonsense", f"no letter: {error}") from None
+        raise MessageError("nonsense", f"malformed signed message: {error}") from None
     if message.sender != owner:
-        raise MessageError("forged", f"signed by {owner}, and says that it is of {message.sender}")
+        raise MessageError("forged", f"signed by {owner}, but the sender field is {message.sender}")
     if message.to != receiver:
-        raise MessageError("misled", f"it is for {message.to}")
+        raise MessageError("misled", f"addressed to {message.to}")
     if message.session != session or message.number <= last_number:
-        raise MessageError("replayed", "it is of another connection, or came before")
+        raise MessageError("replayed", "sent on another connection, or received before")
     return message
 
 
 def _check_length(content: bytes) -> None:
     if len(content) > MAX_MESSAGE_BYTES:
         raise MessageError(
-            "oversized", f"{len(content)} bytes are more than the {MAX_MESSAGE_BYTES} of a letter"
+            "oversized", f"the message has {len(content)} bytes, the maximum is {MAX_MESSAGE_BYTES}"
         )
 
 
 def decode_mapping(content: bytes) -> dict[str, Any]:
-    """The mapping that a body holds.
+    """Decodes a body that is a mapping.
 
     Raises:
-        MessageError: it holds none.
+        MessageError: The body is malformed or not a mapping with string keys.
     """
     try:
         return msgspec.msgpack.decode(content, type=dict[str, Any])
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise MessageError("nonsense", f"no mapping: {error}") from None
+        raise MessageError("nonsense", f"the body is not a mapping: {error}") from None
 
 
 __all__ = [
--- a/thymeknot/raft/messages.py
+++ b/thymeknot/raft/messages.py
@@ -1,7 +1,7 @@
-"""The messages between nodes, and their bytes.
+"""Messages between nodes and their encoding.
 
-Everywhere `term` and `disk_incarnation` are the sender's, but for a granted pre-vote, whose term
-is the one that it was asked for. Fields are sent by position: their order must not change.
+`term` and `disk_incarnation` are the sender's, except that a granted pre-vote carries the term
+that was asked for. Fields are sent by position, so their order must not change.
 """
 
 from typing import NamedTuple
@@ -14,16 +14,17 @@
 
 
 class VoteRequest(NamedTuple):
-    """Asks for a vote.
+    """A candidate's RequestVote.
 
     Attributes:
-        term: the term that the vote is for.
-        disk_incarnation: the candidate's.
-        voter_disk_incarnation: the receiver's, as the candidate's members' list names it.
-        pre_vote: ask only whether the vote would be granted (thesis, 9.6).
-        last_index: of the candidate's log.
-        last_term: of the candidate's log.
-        leadership_transfer: the leader wished it, so that its lease is no reason to reject.
+        term: Term that the vote is for.
+        disk_incarnation: The candidate's.
+        voter_disk_incarnation: The receiver's, as listed in the candidate's configuration.
+        pre_vote: Only asks whether the vote would be granted (thesis, 9.6).
+        last_index: Index of the last entry of the candidate's log.
+        last_term: Term of that entry.
+        leadership_transfer: The leader asked for this election, so voters don't reject it
+            because they heard from a leader recently.
     """
 
     term: int
@@ -36,7 +37,7 @@
 
 
 class VoteResponse(NamedTuple):
-    """The answer to a VoteRequest."""
+    """Response to a VoteRequest."""
 
     term: int
     disk_incarnation: int
@@ -45,16 +46,16 @@
 
 
 class AppendRequest(NamedTuple):
-    """Entries that follow the one at `previous_index`, or a heartbeat where there are none.
+    """A leader's AppendEntries; a heartbeat if it has no entries.
 
     Attributes:
-        term: the leader's.
-        disk_incarnation: the leader's.
-        previous_index: index of the entry before the first of `entries`.
-        previous_term: term of that entry.
-        entries: what to append.
-        committed: the leader's commit index.
-        round: number of the leader's latest round of heartbeats.
+        term: The leader's.
+        disk_incarnation: The leader's.
+        previous_index: Index of the entry that precedes `entries`.
+        previous_term: Term of that entry.
+        entries: Entries to append.
+        committed: The leader's commit index.
+        round: Number of the leader's latest round of heartbeats.
     """
 
     term: int
@@ -67,15 +68,15 @@
 
 
 class AppendResponse(NamedTuple):
-    """The answer to an AppendRequest.
+    """Response to an AppendRequest.
 
     Attributes:
-        term: the follower's.
-        disk_incarnation: the follower's.
-        success: whether the follower's log holds the previous entry.
-        match_index: on success, the logs are the same up to there; else the index that the leader
-            should try next.
-        round: the request's.
+        term: The follower's.
+        disk_incarnation: The follower's.
+        success: Whether the follower's log holds the previous entry.
+        match_index: On success, the index up to which the logs match; otherwise the next index
+            that the leader should try.
+        round: Heartbeat round of the request.
     """
 
     term: int
@@ -86,19 +87,19 @@
 
 
 class SnapshotChunk(NamedTuple):
-    """A part of a snapshot.
+    """One chunk of a snapshot (InstallSnapshot).
 
     Attributes:
-        term: the leader's.
-        disk_incarnation: the leader's.
-        log_index: the snapshot's last entry.
-        entry_term: that entry's term.
-        at: that entry's agreed time.
-        members: as of that entry.
-        offset: where this part begins, in bytes.
-        total: bytes of the whole snapshot.
-        content: this part's bytes.
-        round: number of the leader's latest round of heartbeats.
+        term: The leader's.
+        disk_incarnation: The leader's.
+        log_index: Index of the last entry that the snapshot includes.
+        entry_term: Term of that entry.
+        at: Agreed time of that entry.
+        members: Configuration as of that entry.
+        offset: Byte offset of this chunk in the snapshot.
+        total: Size of the whole snapshot in bytes.
+        content: Bytes of this chunk.
+        round: Number of the leader's latest round of heartbeats.
     """
 
     term: int
@@ -114,15 +115,15 @@
 
 
 class SnapshotChunkResponse(NamedTuple):
-    """The answer to a SnapshotChunk.
+    """Response to a SnapshotChunk.
 
     Attributes:
-        term: the follower's.
-        disk_incarnation: the follower's.
-        log_index: the snapshot's last entry.
-        received: bytes of the snapshot that the follower holds so far.
-        done: the snapshot is installed.
-        round: the chunk's.
+        term: The follower's.
+        disk_incarnation: The follower's.
+        log_index: Index of the last entry that the snapshot includes.
+        received: Number of bytes of the snapshot that the follower has received so far.
+        done: The snapshot is installed, or the follower already has its entries.
+        round: Heartbeat round of the chunk.
     """
 
     term: int
@@ -134,7 +135,7 @@
 
 
 class TimeoutNow(NamedTuple):
-    """The leader wants the receiver to stand for election at once (thesis, 3.10)."""
+    """Tells the receiver to start an election at once, to transfer leadership (thesis, 3.10)."""
 
     term: int
     disk_incarnation: int
@@ -150,7 +151,7 @@
     | TimeoutNow
 )
 
-# A message is sent with its place in this table: the order must not change.
+# Messages are sent with their position in this table, so its order must not change.
 MESSAGES: tuple[type[Message], ...] = (
     VoteRequest,
     VoteResponse,
@@ -163,20 +164,20 @@
 
 
 def encode_message(message: Message) -> bytes:
-    """The bytes of a message: msgpack of (kind, fields)."""
+    """Encodes a message as msgpack of (kind, fields)."""
     return msgspec.msgpack.encode((MESSAGES.index(type(message)), message))
 
 
 def decode_message(content: bytes) -> Message:
-    """The message of these bytes, whose length is the caller's to bound.
+    """Decodes a message. The caller has to limit the length of `content`.
 
     Raises:
-        MessageDecodeError: they are no message.
+        MessageDecodeError: The bytes are not a valid message.
     """
     try:
         kind, body = msgspec.msgpack.decode(content, type=tuple[int, msgspec.Raw])
         if not 0 <= kind < len(MESSAGES):
-            raise MessageDecodeError("no such message")
+            raise MessageDecodeError(f"unknown message kind {kind}")
         return msgspec.msgpack.decode(body, type=MESSAGES[kind])
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise MessageDecodeError(f"not a message: {error}") from error
+        raise MessageDecodeError(f"malformed message: {error}") from error
--- a/thymeknot/raft/node.py
+++ b/thymeknot/raft/node.py
@@ -1,7 +1,7 @@
-"""One node of the replicated log, without input or output: events and moments in, effects out.
+"""One Raft node as a deterministic state machine: events and the time in, effects out, no I/O.
 
 Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), and
-Ongaro's thesis (2014); each part of the node names its chapters.
+Ongaro's thesis (2014); each component of the node cites its chapters.
 """
 
 from collections.abc import Callable, Collection
@@ -58,26 +58,26 @@
     SnapshotChunkResponse: Trigger.SNAPSHOT_CHUNK_RESPONSE,
     TimeoutNow: Trigger.TIMEOUT_NOW,
 }
-"""What a message of the current term triggers."""
+"""The trigger of each message of the current term."""
 
 _ROLES_WITHOUT_TIMER = (Role.LEARNER, Role.STOPPED)
 
 
 class RaftNode:
-    """One node.
+    """One Raft node.
 
     Args:
-        name: of this node.
-        founders: names of the nodes that found the cluster, or None for one to be taken in.
-        settings: what the operator set.
-        random_source: draw() in [0, 1), for election timeouts.
-        recovered: what the disk gave back.
-        machine: what the log is applied to.
-        now: of a monotonic clock, which has no relation to other nodes' clocks but its rate
-            (`settings.clock_drift`).
+        name: Name of this node.
+        founders: Names of the nodes that bootstrap the cluster; None if this node joins it.
+        settings: Timing and limits.
+        random_source: Source of randomness for election timeouts.
+        recovered: State that was recovered from the disk.
+        machine: The state machine that committed commands are applied to.
+        now: Current time of a monotonic clock. Clocks of different nodes need only run at the
+            same rate up to `settings.clock_drift`.
     """
 
-    # The parts, which the model checker's broken variants replace.
+    # The classes of the components; the model checker's broken variants override them.
     outbox_class: type[Outbox] = Outbox
     sessions_class: type[ClientSessions] = ClientSessions
     elections_class: type[Elections] = Elections
@@ -118,7 +118,7 @@
         self.membership = self.membership_class(self.state, self.replication, self.reads)
         self.proposals = Proposals(self.state, self.sessions, self.replication, self.membership)
         self.last_handled_at = now
-        self._requested_timer: Ticks | None = None  # the last that was asked for
+        self._requested_timer: Ticks | None = None  # time of the last SetTimer
         self._usable_lease = settings.usable_lease()
         self._event_handlers: dict[type[Event], Callable[[Ticks, Any], None]] = {
             MessageReceived: self._handle_message,
@@ -131,7 +131,7 @@
         self.actions = self._action_methods()
 
     def _action_methods(self) -> dict[Action, Callable[[Ticks, Any], Step | None]]:
-        """What carries out each action of the table, given the moment and what it is about."""
+        """Returns the method of each action; it is called with the time and the step's argument."""
         return {
             Action.START_PRE_VOTE: lambda now, _: self.elections.start_pre_vote(now),
             Action.START_ELECTION: lambda now, _: self.elections.start_election(now),
@@ -159,39 +159,42 @@
 
     @property
     def role(self) -> Role:
-        """What this node is at the moment."""
+        """The current role."""
         return self.state.role
 
     @property
     def term(self) -> int:
-        """The latest term that it has seen."""
+        """The latest term that this node has seen."""
         return self.state.term
 
     @property
     def leader(self) -> str | None:
-        """The leader of this term, if known."""
+        """Name of the leader of the current term, if known."""
         return self.state.leader
 
     @property
     def log(self) -> Log:
-        """The log in memory."""
+        """The in-memory log."""
         return self.state.log
 
     # Events.
 
     def handle(self, now: Ticks, event: Event) -> list[Effect]:
-        """Takes an event; gives effects in the order in which they are to be carried out.
+        """Handles an event.
 
         Args:
-            now: the moment; one before an earlier call's counts as that.
-            event: what has happened.
+            now: Current time. A time before that of an earlier call is replaced with the latter.
+            event: The event.
+
+        Returns:
+            The effects in the order in which they have to be carried out.
         """
         now = max(now, self.last_handled_at)
         elapsed = now - self.last_handled_at
         self.last_handled_at = now
         self.state.outbox.clear_effects()
         if elapsed > self._usable_lease and self.role == Role.LEADER:
-            # Others may lead by now: nothing is served on what it believed before.
+            # Another node may be leader by now, so reads must not rely on the old lease.
             self._take_step(now, Step(Trigger.STALLED, "stood still for longer than the lease"))
         self._event_handlers[type(event)](now, event)
         self._apply_committed(now)
@@ -199,7 +202,7 @@
         return self.state.outbox.effects
 
     def _take_step(self, now: Ticks, step: Step | None) -> None:
-        """Takes a step by the table, and those that follow from it."""
+        """Takes a step of the transition table and the steps that its actions return."""
         state = self.state
         while step is not None:
             transition = TRANSITIONS.get((state.role, step.trigger)) or Transition(state.role, None)
@@ -225,10 +228,10 @@
         self._take_step(now, Step(TRIGGERS[type(message)], event))
 
     def _must_not_adopt_term(self, now: Ticks, message: Message) -> bool:
-        """Whether a message's newer term is not to be adopted.
+        """Returns whether the newer term of a message must not be adopted.
 
-        A pre-vote names a term that nobody has; and a node that hears a leader lets no other
-        disturb it (thesis, 4.2.3).
+        The term of a pre-vote is only proposed, and a node that heard from a leader recently
+        ignores elections that would disrupt it (thesis, 4.2.3).
         """
         if isinstance(message, VoteRequest):
             return message.pre_vote or not self.elections.allows_disruption(now, message)
@@ -246,7 +249,7 @@
         self._take_step(now, Step(Trigger.READ, event))
 
     def _handle_records_stored(self, now: Ticks, event: RecordsStored) -> None:
-        """Lets out what waited for the disk, and counts what this node holds itself."""
+        """Emits what waited for the disk and counts this node's own durable entries."""
         if self.role == Role.STOPPED:
             return
         self.state.outbox.mark_stored(now, event.serial)
@@ -266,7 +269,7 @@
             self.state.outbox.emit(SetTimer(due))
 
     def _apply_committed(self, now: Ticks) -> None:
-        """Applies what is committed, and what follows from it."""
+        """Applies committed entries, serves reads that waited for them, and takes snapshots."""
         state = self.state
         if state.role == Role.STOPPED:
             return
@@ -284,7 +287,7 @@
         self.state.leader = self.state.name
         self.replication.begin_leadership(now)
         self.reads.begin_leadership()
-        # Only an entry of its own term lets a leader commit those before it.
+        # A leader commits entries of earlier terms only with an entry of its own (Raft, 5.4.2).
         self.replication.append(now, {"part": RAFT_PART, "do": "nothing"}, "", 0, 0)
         self.reads.start_round(now)
 
@@ -295,12 +298,12 @@
         self.proposals.reset()
 
     def _send_heartbeats(self, now: Ticks, _: None) -> Step | None:
-        """Checks the quorum, starts a round of heartbeats, and ends what is overdue."""
+        """Checks the quorum, expires an overdue transfer and starts a round of heartbeats."""
         settings = self.state.settings
         self.state.timer_due = now + settings.heartbeat_interval
-        silence = settings.election_timeout.minimum
+        quorum_timeout = settings.election_timeout.minimum
         if not self.replication.has_peer_majority(
-            lambda peer: now - peer.last_response_at < silence
+            lambda peer: now - peer.last_response_at < quorum_timeout
         ):
             return Step(Trigger.QUORUM_LOST, "no word of a majority for an election's time")
         self.membership.expire_transfer(now)
@@ -318,14 +321,14 @@
             self._after_response(now, event.sender)
 
     def _after_response(self, now: Ticks, peer: str) -> None:
-        """Commits, confirms and sends on, after a peer's answer."""
+        """Advances commits, reads, transfers and replication after a response of a peer."""
         self.replication.advance_commit()
         self.reads.confirm_round(now)
         self.membership.try_complete_transfer()
         self.replication.send_missing(now, peer)
 
     def _reject_not_leader(self, _: Ticks, event: CommandProposed | ReadRequested) -> None:
-        """Rejects a command or read: this node doesn't lead."""
+        """Rejects a command or read because this node is not the leader, naming it if known."""
         state = self.state
         if state.role == Role.STOPPED:
             rejected = RequestRejected(event.token, "this keeper's disk failed", None, None)
--- a/thymeknot/raft/node_interface.py
+++ b/thymeknot/raft/node_interface.py
@@ -1,4 +1,4 @@
-"""What a node is told (events) and what it wants done (effects). Values only."""
+"""Input events and output effects of a node, as plain values."""
 
 from collections.abc import Hashable
 from typing import Any, Generic, NamedTuple, TypeVar
@@ -8,32 +8,32 @@
 from .records import Record
 
 Reply = dict[str, Any]
-"""A reply of the state machine, or of the nodes themselves."""
+"""A reply of the state machine, or of Raft itself for membership changes."""
 
 
 MessageT_co = TypeVar("MessageT_co", bound=Message, covariant=True)
 
 
 class MessageReceived(NamedTuple, Generic[MessageT_co]):
-    """Another node's message has come."""
+    """A message from another node was received."""
 
     sender: str
     message: MessageT_co
 
 
 class TimerDue(NamedTuple):
-    """The moment of the last SetTimer has come."""
+    """The time of the last SetTimer has been reached."""
 
 
 class CommandProposed(NamedTuple):
-    """A client wants a command in the log.
+    """A client proposes a command for the log.
 
     Attributes:
-        token: the caller's, given back with the outcome.
-        origin: the client session's name.
-        incarnation: of the client session.
-        number: of the command within the session's incarnation.
-        command: for the state machine, or a change of members (see `membership`).
+        token: Chosen by the caller; the effect with the outcome carries it.
+        origin: Name of the client session.
+        incarnation: Incarnation of the client session.
+        number: Sequence number of the command within the session's incarnation.
+        command: For the state machine, or a membership change (see `membership`).
     """
 
     token: Hashable
@@ -44,19 +44,19 @@
 
 
 class ReadRequested(NamedTuple):
-    """A client wants to read the state machine."""
+    """A client requests a linearizable read of the state machine."""
 
     token: Hashable
 
 
 class RecordsStored(NamedTuple):
-    """All of Persist up to this serial is on the disk."""
+    """The records of all Persist effects up to this serial are durable."""
 
     serial: int
 
 
 class DiskFailed(NamedTuple):
-    """The disk takes nothing more."""
+    """The storage failed and accepts no more writes."""
 
     reason: str
 
@@ -72,7 +72,7 @@
 
 
 class Persist(NamedTuple):
-    """Write these records, and tell RecordsStored once they would outlast a loss of power."""
+    """Write these records and report RecordsStored once they are durable."""
 
     records: tuple[Record, ...]
     sync: bool
@@ -80,7 +80,7 @@
 
 
 class Send(NamedTuple):
-    """Send a message to another node. It may get lost."""
+    """Send a message to another node. Delivery is not guaranteed."""
 
     peer: str
     message: Message
@@ -94,11 +94,11 @@
 
 
 class ReadReady(NamedTuple):
-    """The state machine, as it stands now, may be read for this token.
+    """A requested read may be served from the current state of the state machine.
 
     Attributes:
-        token: the caller's.
-        log_index: the last entry that was applied.
+        token: Of the ReadRequested event.
+        log_index: Index of the last applied entry.
     """
 
     token: Hashable
@@ -106,13 +106,14 @@
 
 
 class RequestRejected(NamedTuple):
-    """A command or read that was not accepted, or whose outcome is unknown.
+    """A command or read was rejected, or its outcome is unknown.
 
     Attributes:
-        token: the caller's.
-        reason: where it begins with "unknown" the outcome is open: retry under the same number.
-        retry_after: until a retry is worth while; None if it never is.
-        leader: whom to ask, if known.
+        token: Of the event that is answered.
+        reason: If it begins with "unknown", the command may still be committed: it has to be
+            retried with the same sequence number.
+        retry_after: Time to wait before a retry; None if a retry can't succeed on this node.
+        leader: Name of the leader, if known.
     """
 
     token: Hashable
@@ -122,7 +123,14 @@
 
 
 class EntryApplied(NamedTuple):
-    """An entry was committed and applied."""
+    """A committed entry was applied.
+
+    Attributes:
+        log_index: Index of the entry.
+        at: Agreed time of the entry.
+        command: Command of the entry.
+        reply: The state machine's reply; None for an entry that Raft itself appended.
+    """
 
     log_index: int
     at: Ticks
@@ -131,13 +139,13 @@
 
 
 class SetTimer(NamedTuple):
-    """Tell TimerDue at this moment of `handle`'s clock; the timer before it is void."""
+    """Report TimerDue at this time of the clock passed to `handle`; replaces the last timer."""
 
     at: Ticks
 
 
 class SteppedDown(NamedTuple):
-    """The node leads no longer, or its disk failed."""
+    """The node is no longer leader, or it stopped because its disk failed."""
 
     reason: str
 
@@ -152,4 +160,4 @@
     | SetTimer
     | SteppedDown
 )
-"""Effects are carried out in the order in which a node gives them."""
+"""Effects have to be carried out in the order in which a node returns them."""
--- a/thymeknot/raft/proposals.py
+++ b/thymeknot/raft/proposals.py
@@ -1,4 +1,4 @@
-"""Commands of clients: accepted by a leader, applied on all nodes, answered by the leader."""
+"""Client commands: proposed to the leader, applied on all nodes, answered by the leader."""
 
 from collections.abc import Hashable
 from typing import Any, NamedTuple
@@ -23,11 +23,11 @@
 
 
 class _PendingCommand(NamedTuple):
-    """A command in the log that has no outcome yet.
+    """A command in the leader's log that is not applied yet.
 
     Attributes:
-        token: the caller's.
-        size: bytes of the command.
+        token: Of the CommandProposed event.
+        size: Size of the encoded command in bytes.
     """
 
     token: Hashable
@@ -35,7 +35,7 @@
 
 
 class Proposals:
-    """The commands that wait for their outcome, and the sessions that they are applied under."""
+    """Appends proposed commands, applies committed entries and emits the replies."""
 
     def __init__(
         self,
@@ -51,16 +51,16 @@
         self.reset()
 
     def reset(self) -> None:
-        """This node doesn't lead."""
-        self._pending: dict[int, _PendingCommand] = {}  # by the entry's index
+        """Forgets the pending commands: this node is not, or no longer, the leader."""
+        self._pending: dict[int, _PendingCommand] = {}  # by index of the entry
         self._pending_bytes = 0
 
     def propose(self, now: Ticks, event: CommandProposed) -> None:
-        """Appends a command, or rejects it with a reason."""
+        """Appends a command, rejects it, or repeats the reply if it was applied before."""
         token, origin, incarnation, number, command = event
         state = self._state
         known = self._sessions.known_reply(origin, incarnation, number)
-        if known is not None:  # it was applied before: its reply can't change any more
+        if known is not None:  # already applied, so the reply is final
             state.outbox.emit(CommandCompleted(token, known))
             return
         try:
@@ -81,7 +81,7 @@
         self._replication.advance_commit()
 
     def _admits(self, token: Hashable, origin: str, size: int) -> bool:
-        """Whether a command is within the limits; else it is rejected."""
+        """Returns whether a command is within the limits; rejects it otherwise."""
         state = self._state
         settings = state.settings
         pending = len(self._pending)
@@ -92,7 +92,7 @@
             pending >= settings.max_pending_requests
             or self._pending_bytes + size > settings.max_pending_bytes
         ):
-            # What waits takes a round of heartbeats, or as many as its messages need.
+            # Estimate: one heartbeat interval per batch that the pending commands fill.
             rounds = 1 + pending // settings.max_batch_entries
             state.reject(token, "too many commands wait", rounds * settings.heartbeat_interval)
         elif self._membership.is_transferring:
@@ -102,7 +102,7 @@
         return False
 
     def apply_committed(self) -> None:
-        """Applies the entries that are committed and not yet applied."""
+        """Applies the committed entries that are not applied yet, and answers their clients."""
         state = self._state
         while state.applied < state.committed:
             entry = state.log.entry(state.applied + 1)
@@ -131,7 +131,7 @@
         )
 
     def reject_all(self, reason: str) -> None:
-        """Tells those that wait that the outcome is unknown: another leader may commit it."""
+        """Answers the pending commands as of unknown outcome: a new leader may commit them."""
         retry_after = self._state.settings.election_timeout.maximum
         for pending in self._pending.values():
             self._state.outbox.emit(
--- a/thymeknot/raft/reads.py
+++ b/thymeknot/raft/reads.py
@@ -1,7 +1,7 @@
-"""Reads of the state machine: read index and lease (Ongaro's thesis, 6.4).
+"""Linearizable reads by read index and leader lease (Ongaro's thesis, 6.4).
 
-A round of heartbeats that a majority answers proves that the node led when the round began. It
-confirms the reads that wait for it, and gives a lease for those to come.
+A round of heartbeats that a majority answers proves that the node was leader when the round
+started. It confirms the reads that wait for the round and extends the lease for later reads.
 """
 
 from collections.abc import Hashable
@@ -15,12 +15,12 @@
 
 
 class _PendingRead(NamedTuple):
-    """A read that waits.
+    """A read that is not served yet.
 
     Attributes:
-        token: the caller's.
-        log_index: to be applied before the read is served.
-        round: of heartbeats, to be confirmed before; None if it waits for the next one.
+        token: Of the ReadRequested event.
+        log_index: The read index, which must be applied before the read is served.
+        round: The round of heartbeats that must be confirmed before; None if it has not started.
     """
 
     token: Hashable
@@ -29,7 +29,7 @@
 
 
 class Reads:
-    """The rounds of heartbeats of a leader, and the reads that wait for them."""
+    """A leader's rounds of heartbeats, its lease and its pending reads."""
 
     def __init__(self, state: NodeState, replication: Replication) -> None:
         self.state = state
@@ -38,7 +38,7 @@
         self.reset()
 
     def reset(self) -> None:
-        """This node doesn't lead."""
+        """Clears the leader's state: this node is not, or no longer, the leader."""
         self._pending: list[_PendingRead] = []
         self._confirmed_round = 0
         self._round_started_at: Ticks = 0
@@ -46,17 +46,17 @@
         self.lease_reads = False
 
     def begin_leadership(self) -> None:
-        """This node begins to lead."""
+        """Initializes the state of a new leader."""
         self.lease_reads = self.state.settings.lease_reads
 
     def end_lease(self) -> None:
-        """The lease is not relied on any more in this term."""
+        """Stops serving reads under the lease for the rest of this term."""
         self.lease_reads = False
 
     def start_round(self, now: Ticks) -> None:
-        """Starts a round of heartbeats once the one before is confirmed, else repeats that.
+        """Starts a round of heartbeats, or repeats the current one if it is not confirmed.
 
-        A repeated round keeps its beginning.
+        A repeated round keeps its start time, so that the lease counts from the first heartbeat.
         """
         replication = self.replication
         if self._confirmed_round == replication.round:
@@ -71,7 +71,7 @@
         self.confirm_round(now)
 
     def confirm_round(self, now: Ticks) -> None:
-        """Confirms the round if a majority answered it, and serves what waited for it."""
+        """Confirms the round if a majority answered it, extends the lease and serves reads."""
         replication = self.replication
         while (
             self.state.role == Role.LEADER
@@ -85,7 +85,7 @@
         self.serve_ready()
 
     def handle_read(self, now: Ticks, event: ReadRequested) -> None:
-        """Serves a read by the lease, or lets it wait for a round of heartbeats."""
+        """Serves a read under the lease, or queues it for a round of heartbeats."""
         state = self.state
         if len(self._pending) >= state.settings.max_pending_requests:
             state.reject(event.token, "too many reads wait", state.settings.heartbeat_interval)
@@ -96,15 +96,15 @@
             self.serve_ready()
             return
         self._pending.append(_PendingRead(event.token, index, None))
-        if self._confirmed_round == self.replication.round:  # else it joins the next round
+        if self._confirmed_round == self.replication.round:  # otherwise it waits for the next round
             self.start_round(now)
 
     def holds_lease(self, now: Ticks) -> bool:
-        """Whether no other node can lead."""
+        """Returns whether the lease is valid, so that no other node can be leader."""
         return self.lease_reads and now < self.lease_until
 
     def serve_ready(self) -> None:
-        """Serves the reads whose round is confirmed and whose entry is applied."""
+        """Serves the reads whose round is confirmed and whose read index is applied."""
         if not self._pending:
             return
         still_pending = []
@@ -117,7 +117,7 @@
         self._pending = still_pending
 
     def reject_all(self, reason: str) -> None:
-        """Rejects all reads that wait: this node leads no longer."""
+        """Rejects all pending reads because this node is no longer leader."""
         retry_after = self.state.settings.election_timeout.maximum
         for read in self._pending:
             self.state.outbox.emit(RequestRejected(read.token, reason, retry_after, None))
--- a/thymeknot/raft/record_frames.py
+++ b/thymeknot/raft/record_frames.py
@@ -1,4 +1,4 @@
-"""Frames around stored records: the length and CRC-32 of a body (4 bytes each, big-endian)."""
+"""Framing of stored records: length and CRC-32 of the body (4 bytes each, big-endian), body."""
 
 import struct
 import zlib
@@ -6,17 +6,17 @@
 
 _HEADER = struct.Struct(">II")
 MAX_RECORD_BYTES = 1 << 20
-"""No record is longer: a length beyond it is damage."""
+"""Maximum size of a record body; a greater length means that the frame is damaged."""
 
 
 class Frames(NamedTuple):
-    """What was read of a file.
+    """The intact records at the beginning of a file.
 
     Attributes:
-        bodies: of the whole records.
-        end: where they end, in bytes.
-        damaged: what follows them was damaged. A tail that breaks off is what a loss of power
-            leaves; a record that is wrong with whole ones after it is not.
+        bodies: Bodies of the intact records.
+        end: Byte offset at which the last of them ends.
+        damaged: An invalid record is followed by a valid one. A power failure can leave an
+            incomplete last record, but it can't explain an invalid record before a valid one.
     """
 
     bodies: list[bytes]
@@ -25,12 +25,12 @@
 
 
 def frame(body: bytes) -> bytes:
-    """A record as it is stored."""
+    """Returns the frame of a record body, as it is stored."""
     return _HEADER.pack(len(body), zlib.crc32(body)) + body
 
 
 def read_frames(content: bytes, max_bytes: int = MAX_RECORD_BYTES) -> Frames:
-    """The records of a file, up to the first one that is broken."""
+    """Reads the records of a file up to the first invalid one."""
     bodies: list[bytes] = []
     offset = 0
     while offset < len(content):
@@ -39,7 +39,7 @@
         length, checksum = _HEADER.unpack_from(content, offset)
         end = offset + _HEADER.size + length
         body = content[offset + _HEADER.size : end]
-        # A file that grew before its bytes came is full of zero lengths.
+        # After a power failure a file may have grown but hold zeros, so a length of 0 is invalid.
         length_fits = 0 < length <= max_bytes and len(body) == length
         if not length_fits or zlib.crc32(body) != checksum:
             return Frames(bodies, offset, _whole_record_after(content, offset + 1))
@@ -49,7 +49,7 @@
 
 
 def _whole_record_after(content: bytes, start: int) -> bool:
-    """Whether a whole record follows a broken one, which then wasn't the last to be written."""
+    """Returns whether a valid record begins at `start` or later, after an invalid one."""
     for offset in range(start, len(content) - _HEADER.size):
         length, checksum = _HEADER.unpack_from(content, offset)
         end = offset + _HEADER.size + length
--- a/thymeknot/raft/records.py
+++ b/thymeknot/raft/records.py
@@ -1,9 +1,9 @@
-"""What the log consists of and what a node keeps on its disk. Values only.
+"""Log entries and the records that a node persists, as plain values.
 
-A disk incarnation is the number that a disk got when it was first used: 0 for the nodes that
-founded the cluster, else drawn anew. A node that lost its disk comes back under another one, and
-none of its votes or acknowledgements count until the members' list names the new one: it can't
-vote as if it knew what it lost.
+A disk incarnation is a number that identifies a node's storage. It is 0 for the founders of the
+cluster and drawn at random otherwise. A node that lost its disk restarts with a new incarnation,
+and its votes and acknowledgements don't count until the configuration lists that incarnation:
+it no longer knows the votes and entries that it had acknowledged before.
 """
 
 from collections.abc import Iterable
@@ -14,7 +14,7 @@
 
 
 class Members(NamedTuple):
-    """Disk incarnations of the voters and the learners, by node name."""
+    """The cluster configuration: disk incarnations of voters and learners by node name."""
 
     voters: dict[str, int]
     learners: dict[str, int]
@@ -24,13 +24,13 @@
     """One entry of the log.
 
     Attributes:
-        log_index: its place in the log, from 1.
-        term: the term of the leader that appended it.
-        at: agreed time, which never goes back along the log.
-        origin: the client session's name; "" for the leader's own entries.
-        incarnation: of the client session.
-        number: of the command within the session's incarnation.
-        command: what the state machine applies.
+        log_index: Position in the log; the first entry has 1.
+        term: Term of the leader that appended the entry.
+        at: Agreed time, which never decreases along the log.
+        origin: Name of the client session; "" for entries that the leader adds itself.
+        incarnation: Incarnation of the client session.
+        number: Sequence number of the command within the session's incarnation.
+        command: The command that is applied to the state machine.
     """
 
     log_index: int
@@ -43,14 +43,14 @@
 
 
 class VoteRecord(NamedTuple):
-    """The term a node has seen last, and whom it voted for in it."""
+    """The latest term that a node has seen and the candidate that it voted for in that term."""
 
     term: int
     vote: str | None
 
 
 class TruncationRecord(NamedTuple):
-    """Entries from this index on are removed."""
+    """Removes the entries from `log_index` on."""
 
     log_index: int
 
@@ -59,12 +59,13 @@
     """The state after the entry at `log_index`.
 
     Attributes:
-        log_index: the last entry that the snapshot holds.
-        term: that entry's term.
-        at: that entry's agreed time.
-        members: the members as of that entry.
-        content: the state machine and the client sessions, as bytes.
-        replaces_log: it came from a leader and replaces the log; else the entries after it stay.
+        log_index: Index of the last entry that the snapshot includes.
+        term: Term of that entry.
+        at: Agreed time of that entry.
+        members: Configuration as of that entry.
+        content: The encoded state machine and client sessions.
+        replaces_log: The snapshot was sent by a leader and replaces the whole log; otherwise the
+            entries after `log_index` are kept.
     """
 
     log_index: int
@@ -76,11 +77,19 @@
 
 
 Record = Entry | VoteRecord | TruncationRecord | Snapshot
-"""What is stored on a disk, in the order in which a node persists it."""
+"""A record on the disk. Records are stored in the order in which a node persists them."""
 
 
 class Recovered(NamedTuple):
-    """What a disk gave back at a start."""
+    """State that a node recovered from its disk at startup.
+
+    Attributes:
+        disk_incarnation: Incarnation of the disk.
+        term: Latest term that the node had seen.
+        vote: Candidate that the node voted for in that term, or None.
+        snapshot: The last snapshot, or None.
+        entries: Log entries after the snapshot.
+    """
 
     disk_incarnation: int
     term: int = 0
@@ -90,16 +99,16 @@
 
 
 def drop_entries_from(entries: list[Entry], index: int) -> None:
-    """Removes the entries at `index` and after it from the end of a list."""
+    """Removes the entries from `index` on from a list that is sorted by index."""
     while entries and entries[-1].log_index >= index:
         entries.pop()
 
 
 def replay_records(records: Iterable[Record], disk_incarnation: int) -> Recovered:
-    """What a disk's records come to.
+    """Replays the records of a disk in order and returns the resulting state.
 
     Raises:
-        RecordOrderError: an entry doesn't follow the one before it.
+        RecordOrderError: The index of an entry doesn't follow that of the entry before it.
     """
     vote = VoteRecord(0, None)
     snapshot: Snapshot | None = None
@@ -109,7 +118,7 @@
             base = snapshot.log_index if snapshot else 0
             last = entries[-1].log_index if entries else base
             if record.log_index != last + 1:
-                raise RecordOrderError(f"entry {record.log_index} after {last}")
+                raise RecordOrderError(f"log entry {record.log_index} follows entry {last}")
             entries.append(record)
         elif isinstance(record, VoteRecord):
             vote = record
--- a/thymeknot/raft/replication.py
+++ b/thymeknot/raft/replication.py
@@ -1,8 +1,8 @@
-"""A leader's side of replication: entries and snapshots are sent, and committed by a majority.
+"""The leader's side of replication: sends entries and snapshots and advances the commit index.
 
 Sources: Ongaro and Ousterhout, "In Search of an Understandable Consensus Algorithm" (2014), 5.3
-and 5.4.2; Ongaro's thesis (2014), 6.2 (check of the quorum), 10.2.1 (a leader sends while its disk
-still writes).
+and 5.4.2; Ongaro's thesis (2014), 6.2 (quorum check) and 10.2.1 (the leader sends entries in
+parallel to writing them to its disk).
 """
 
 from collections.abc import Callable
@@ -18,23 +18,23 @@
 
 
 class SnapshotProgress(NamedTuple):
-    """A snapshot on its way to a peer, which holds `offset` bytes of it."""
+    """A snapshot that is being sent to a peer, which has the first `offset` bytes of it."""
 
     snapshot: Snapshot
     offset: int
 
 
 class Peer:
-    """Another node as a leader sees it.
+    """Replication progress of another node.
 
     Attributes:
-        disk_incarnation: the one under which it spoke last.
-        next_index: the entry to send next.
-        match_index: the logs are the same up to there.
-        heard_at: when it answered last.
-        round: the last round of heartbeats that it answered.
-        busy_until: what was sent is thought to be on its way until then.
-        snapshot: what is sent in place of entries, if anything.
+        disk_incarnation: Disk incarnation of its last response.
+        next_index: Index of the next entry to send.
+        match_index: Index up to which its log is known to match the leader's.
+        last_response_at: Time of its last response.
+        round: Last round of heartbeats that it answered.
+        in_flight_until: Until then, entries or a chunk sent are assumed to be in flight.
+        snapshot: The snapshot that is sent instead of entries, or None.
     """
 
     __slots__ = (
@@ -57,7 +57,7 @@
         self.snapshot: SnapshotProgress | None = None
 
     def reset_progress(self, disk_incarnation: int, next_index: int) -> None:
-        """It has another disk: what the former one held is gone."""
+        """Resets the progress of a peer that has another disk: its former log is lost."""
         self.disk_incarnation = disk_incarnation
         self.match_index = 0
         self.next_index = next_index
@@ -66,22 +66,22 @@
 
 
 class Replication:
-    """The peers of a leader, and what they hold. Empty while this node doesn't lead."""
+    """The peers of a leader and their progress. Without peers while this node doesn't lead."""
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
-        self._leadership_began_at: Ticks = 0  # when this node began to lead, by its own clock
-        self._agreed_time_at_start: Ticks = 0  # the agreed time then
+        self._leadership_began_at: Ticks = 0  # when this node became leader, by its own clock
+        self._agreed_time_at_start: Ticks = 0  # agreed time of the last entry at that moment
         self.reset()
 
     def reset(self) -> None:
-        """This node doesn't lead."""
+        """Clears the leader's state: this node is not, or no longer, the leader."""
         self.peers: dict[str, Peer] = {}
-        self.round = 0  # of heartbeats: the number of the latest one
-        self.first_index_of_term = 0  # of the first entry that this leader appended
+        self.round = 0  # number of the latest round of heartbeats
+        self.first_index_of_term = 0  # index of the first entry that this leader appended
 
     def begin_leadership(self, now: Ticks) -> None:
-        """This node begins to lead."""
+        """Initializes the state of a new leader."""
         log = self.state.log
         self._leadership_began_at = now
         self._agreed_time_at_start = log.last_at
@@ -89,7 +89,7 @@
         self.first_index_of_term = log.last_index + 1
 
     def _update_peers(self, now: Ticks) -> None:
-        """The peers are those that the members' list names."""
+        """Sets the peers to the other nodes of the configuration, keeping known progress."""
         log = self.state.log
         names = {**log.members.learners, **log.members.voters}
         names.pop(self.state.name, None)
@@ -99,7 +99,10 @@
         }
 
     def agreed_time(self, now: Ticks) -> Ticks:
-        """The next entry's: never back, and no faster than this leader's clock."""
+        """Returns the agreed time of the next entry.
+
+        It never decreases, and within a term it advances at the rate of the leader's clock.
+        """
         return max(
             self.state.log.last_at, self._agreed_time_at_start + now - self._leadership_began_at
         )
@@ -107,7 +110,7 @@
     def append(
         self, now: Ticks, command: dict[str, Any], origin: str, incarnation: int, number: int
     ) -> int:
-        """Appends an entry and sends it; gives its index."""
+        """Appends an entry, starts sending it to the peers and returns its index."""
         state = self.state
         entry = Entry(
             log_index=state.log.last_index + 1,
@@ -129,12 +132,16 @@
     # Sending.
 
     def send_heartbeats(self, now: Ticks) -> None:
-        """Sends to each peer, be it an empty request."""
+        """Sends each peer an AppendRequest, which may be empty, or a snapshot chunk."""
         for name in self.peers:
             self.send_entries(now, name, heartbeat=True)
 
     def send_entries(self, now: Ticks, name: str, heartbeat: bool = False) -> None:
-        """Sends what the peer lacks if nothing is on its way to it; a heartbeat in any case."""
+        """Sends the entries or the snapshot chunk that a peer is missing.
+
+        Entries are sent only if none are in flight. With `heartbeat` a request is always sent,
+        if necessary without entries.
+        """
         state = self.state
         peer = self.peers[name]
         nothing_in_flight = now >= peer.in_flight_until
@@ -164,10 +171,10 @@
             state.outbox.emit(Send(name, request))
 
     def _send_snapshot_chunk(self, now: Ticks, name: str, peer: Peer) -> None:
-        """Sends the next chunk.
+        """Sends the next chunk of a snapshot.
 
-        A snapshot that was begun is gone on with, though there may be a later one: else a slow
-        peer would never get to its end.
+        A transfer continues with its snapshot even if there is a newer one by now; otherwise a
+        slow peer might never receive a complete snapshot.
         """
         state = self.state
         if peer.snapshot is None:
@@ -188,12 +195,12 @@
         )
         state.outbox.emit(Send(name, chunk))
 
-    # Answers.
+    # Responses.
 
     def _record_response(
         self, now: Ticks, event: MessageReceived[AppendResponse | SnapshotChunkResponse]
     ) -> Peer | None:
-        """The peer, if it is one, with what any answer of this term tells."""
+        """Records what every response tells; returns the peer, or None for an unknown sender."""
         sender, response = event
         peer = self.peers.get(sender)
         if peer is None:
@@ -205,14 +212,14 @@
         return peer
 
     def handle_append_response(self, now: Ticks, event: MessageReceived[AppendResponse]) -> bool:
-        """Takes an answer; whether it is one of a peer."""
+        """Updates the progress of a peer; returns False if the sender is not a peer."""
         response = event.message
         peer = self._record_response(now, event)
         if peer is None:
             return False
         last_index = self.state.log.last_index
         if not response.success or response.match_index >= peer.next_index:
-            # Not at a mere heartbeat's answer: what is on its way would be sent twice.
+            # Not for the response to an empty heartbeat: entries in flight would be sent again.
             peer.in_flight_until = 0
         if response.success:
             peer.match_index = max(peer.match_index, min(response.match_index, last_index))
@@ -226,7 +233,7 @@
     def handle_snapshot_response(
         self, now: Ticks, event: MessageReceived[SnapshotChunkResponse]
     ) -> bool:
-        """Takes an answer; whether it is one of a peer about the snapshot that it is sent."""
+        """Updates a snapshot transfer; returns False if the response is not about a current one."""
         response = event.message
         peer = self._record_response(now, event)
         if peer is None or not peer.snapshot:
@@ -244,7 +251,7 @@
         return True
 
     def send_missing(self, now: Ticks, name: str) -> None:
-        """Goes on sending after an answer, if the peer lacks anything."""
+        """Sends more after a response if the peer is missing entries or a snapshot."""
         peer = self.peers[name]
         if peer.next_index <= self.state.log.last_index or peer.snapshot:
             self.send_entries(now, name)
@@ -252,7 +259,7 @@
     # Majorities.
 
     def has_peer_majority(self, matches: Callable[[Peer], bool]) -> bool:
-        """Whether this node and peers that answer so, with the disks listed, are a majority."""
+        """Returns whether this node and the matching peers with listed disks are a majority."""
         return self.state.has_majority(
             lambda name, disk_incarnation: (
                 self._has_listed_disk(name, disk_incarnation)
@@ -261,13 +268,13 @@
         )
 
     def _has_listed_disk(self, name: str, disk_incarnation: int) -> bool:
-        """Whether a voter has the disk that the members' list names."""
+        """Returns whether a voter has the disk incarnation that the configuration lists."""
         if name == self.state.name:
             return disk_incarnation == self.state.disk_incarnation
         return self.peers[name].disk_incarnation == disk_incarnation
 
     def advance_commit(self) -> None:
-        """Commits up to the last entry that a majority holds on its disks."""
+        """Advances the commit index to the last entry that is durable on a majority of voters."""
         state = self.state
         if state.role != Role.LEADER:
             return
@@ -280,7 +287,7 @@
             state.commit_to(index)
 
     def _durable_index(self, name: str, disk_incarnation: int) -> int:
-        """Up to where a voter's disk holds the log."""
+        """Returns the index up to which the log is durable on a voter's listed disk."""
         if not self._has_listed_disk(name, disk_incarnation):
             return 0
         if name == self.state.name:
@@ -288,8 +295,9 @@
         return self.peers[name].match_index
 
     def may_commit(self, index: int) -> bool:
-        """Whether an entry is of the own term: another may be replaced though a majority holds it.
+        """Returns whether an entry has the current term and may be committed by counting.
 
-        Source: Raft, 5.4.2.
+        An entry of an earlier term may still be overwritten although a majority has it. Source:
+        Raft, 5.4.2.
         """
         return self.state.log.term(index) == self.state.term
--- a/thymeknot/raft/roles.py
+++ b/thymeknot/raft/roles.py
@@ -1,4 +1,4 @@
-"""The roles of a node, and the table of what it does in each."""
+"""The roles of a node and its state machine as a transition table."""
 
 from collections.abc import Iterable
 from enum import Enum, StrEnum, auto
@@ -6,52 +6,52 @@
 
 
 class Role(StrEnum):
-    """What a node is at the moment. The values are logged."""
+    """Role of a node. The values are logged."""
 
     FOLLOWER = "follower"
     PRE_CANDIDATE = "prevote"
-    """Asks whether it would be elected, without a new term yet (thesis, 9.6)."""
+    """Asks whether it would win an election, before it increments its term (thesis, 9.6)."""
     CANDIDATE = "candidate"
     LEADER = "leader"
     LEARNER = "learner"
-    """Takes the log without a vote."""
+    """Receives the log but has no vote."""
     STOPPED = "stopped"
-    """Its disk failed."""
+    """Handles no more events because its disk failed."""
 
 
 class Trigger(Enum):
-    """What makes a node act."""
+    """Input of the state machine."""
 
     TIMER_EXPIRED = auto()
     TIMEOUT_NOW = auto()
     VOTE_RESPONSE = auto()
     ELECTION_WON = auto()
-    """A majority voted for it, or said that it would."""
+    """A majority granted its vote or pre-vote."""
     NEWER_TERM = auto()
     VOTE_REQUEST = auto()
     APPEND_REQUEST = auto()
     SNAPSHOT_CHUNK = auto()
     STALE_REQUEST = auto()
-    """A request of an earlier term."""
+    """A request with an earlier term."""
     APPEND_RESPONSE = auto()
     SNAPSHOT_CHUNK_RESPONSE = auto()
     COMMAND = auto()
     READ = auto()
     STALLED = auto()
-    """A leader was not called for longer than its lease."""
+    """A leader handled no event for longer than its lease, for example because it was paused."""
     QUORUM_LOST = auto()
-    """A leader heard no majority for an election timeout (thesis, 6.2)."""
+    """A leader got no responses from a majority for an election timeout (thesis, 6.2)."""
     LEADER_REMOVED = auto()
-    """A leader is a voter no longer."""
+    """A committed configuration no longer lists the leader as a voter."""
     NOT_A_VOTER = auto()
-    """The members' list names it as a voter no longer."""
+    """The configuration doesn't list this node as a voter."""
     MADE_VOTER = auto()
-    """The members' list names it as a voter."""
+    """The configuration lists this node as a voter."""
     DISK_FAILED = auto()
 
 
 class Action(Enum):
-    """What a node does upon a trigger."""
+    """Action of a transition."""
 
     START_PRE_VOTE = auto()
     START_ELECTION = auto()
@@ -76,18 +76,18 @@
 
 
 class Transition(NamedTuple):
-    """The next role, taken before the action is."""
+    """The next role, which is entered before the action runs, and the action."""
 
     role: Role
     action: Action | None
 
 
 class Step(NamedTuple):
-    """A trigger that follows from an action and is taken before anything else.
+    """A trigger with its argument. An action may return one, which is handled immediately.
 
     Attributes:
-        trigger: what the table is asked for.
-        about: what the action is given: the event, the newer term, or the reason.
+        trigger: Selects the transition.
+        argument: Passed to the action: the event, the newer term or the reason.
     """
 
     trigger: Trigger
@@ -104,16 +104,16 @@
 def _transitions_to(
     roles: Iterable[Role], trigger: Trigger, role: Role, action: Action | None
 ) -> Table:
-    """Rows whose next role is one and the same."""
+    """Returns transitions from any of the roles to one role."""
     return {(from_role, trigger): Transition(role, action) for from_role in roles}
 
 
 def _transitions_within(roles: Iterable[Role], trigger: Trigger, action: Action) -> Table:
-    """Rows that change no role."""
+    """Returns transitions that keep the role."""
     return {(role, trigger): Transition(role, action) for role in roles}
 
 
-# What is missing changes nothing and has no answer.
+# A trigger without a transition is ignored.
 TRANSITIONS: Table = {
     **_transitions_to(
         _NON_LEADER_VOTERS, Trigger.TIMER_EXPIRED, Role.PRE_CANDIDATE, Action.START_PRE_VOTE
--- a/thymeknot/raft/settings.py
+++ b/thymeknot/raft/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets for the replicated log."""
+"""Timing and limits of a Raft node."""
 
 from typing import NamedTuple
 
@@ -8,7 +8,7 @@
 class ElectionTimeout(NamedTuple):
     """Range of the randomized election timeout.
 
-    Within `minimum` of a leader's word a node grants no vote, which is what a lease relies on.
+    A node grants no vote within `minimum` of the last message of a leader; leases rely on that.
     """
 
     minimum: Ticks
@@ -16,46 +16,57 @@
 
 
 class RaftSettings(NamedTuple):
-    """Timing and limits of one node. Durations are measured on a monotonic clock."""
+    """Timing and limits of one node. Durations are measured by a monotonic clock."""
 
     heartbeat_interval: Ticks = 500
     election_timeout: ElectionTimeout = ElectionTimeout(3_000, 6_000)
     lease_duration: Ticks = 1_500
-    """How long a leader may stand still, or serve reads after a majority answered."""
+    """Longest lease of a leader.
+
+    It limits how long a leader may serve reads after it started a round of heartbeats that a
+    majority answered, and how long its process may stall before it steps down.
+    """
     lease_reads: bool = False
-    """If false, each read waits for a round of heartbeats, whatever the clocks do."""
+    """Whether a leader serves reads under its lease.
+
+    If false, each read waits for a round of heartbeats, so that reads stay linearizable even if
+    clocks drift by more than `clock_drift`.
+    """
     clock_drift: float = 0.01
-    """The rates of two nodes' clocks may each be off by this share."""
+    """Largest relative error of the rate of a node's clock."""
     max_pending_requests: int = 1024
-    """Commands without an outcome; the same limit holds for reads."""
+    """Maximum number of commands without an outcome, and separately of waiting reads."""
     max_pending_bytes: int = 4 << 20
-    """Bytes of the commands without an outcome."""
+    """Maximum total size of the commands without an outcome."""
     max_command_bytes: int = 64 << 10
-    """Bytes of the longest command."""
+    """Maximum size of one encoded command."""
     max_batch_entries: int = 64
-    """Entries in one message at most."""
+    """Maximum number of entries in one AppendRequest."""
     max_batch_bytes: int = 256 << 10
-    """Bytes of the entries in one message, though never less than one entry."""
+    """Maximum size of the entries in one AppendRequest; one entry is always sent."""
     snapshot_threshold: int = 4096
-    """Entries applied since the last snapshot when the next one is taken."""
+    """Number of entries applied since the last snapshot after which the next one is taken."""
     retained_entries: int = 512
-    """Entries kept in memory behind a snapshot, for followers that lag a little."""
+    """Number of entries before a snapshot that stay in memory.
+
+    A follower that lags by no more than these is sent entries instead of the snapshot.
+    """
     snapshot_chunk_bytes: int = 64 << 10
-    """Bytes of a snapshot in one message."""
+    """Maximum size of the snapshot content in one SnapshotChunk."""
     max_snapshot_bytes: int = 64 << 20
-    """The largest snapshot that is accepted from a leader."""
+    """Maximum size of a snapshot that a node accepts from a leader."""
     max_sessions: int = 4096
-    """Client sessions that are remembered."""
+    """Maximum number of client sessions that are remembered."""
     max_promotion_lag: int = 64
-    """Entries by which a learner may lag and still become a voter."""
+    """Maximum number of entries by which a learner may lag when it is promoted to voter."""
     max_delayed_messages: int = 4096
-    """Messages that wait for the disk; the oldest beyond them are dropped."""
+    """Maximum number of messages that wait for the disk; beyond it the oldest are dropped."""
 
     def usable_lease(self) -> Ticks:
-        """How long after a round was sent its sender may act as the only leader.
+        """Returns how long after it started a round of heartbeats a leader holds its lease.
 
-        By the slowest clock it must be over before the fastest voter's minimum election timeout
-        is. Source: Ongaro's thesis, 6.4.1.
+        Measured by the slowest clock, the lease must expire before the minimum election timeout
+        of the voter with the fastest clock. Source: Ongaro's thesis, 6.4.1.
         """
         shortest_timeout = (
             self.election_timeout.minimum * (1 - self.clock_drift) / (1 + self.clock_drift)
@@ -64,16 +75,19 @@
 
 
 def settings_error(settings: RaftSettings) -> str | None:
-    """One sentence on which settings can't work together, or None if all of them can."""
+    """Returns why the settings are invalid or inconsistent, or None if they are valid."""
     minimum, maximum = settings.election_timeout
     drift = settings.clock_drift
     if not 0 < settings.heartbeat_interval * 2 <= settings.lease_duration:
-        return "lease must be at least twice the heartbeat, or each late beat unseats the leader"
+        return (
+            "lease_duration must be at least twice heartbeat_interval, and both above 0:"
+            " otherwise one late heartbeat ends the leader's lease"
+        )
     lease_fits = settings.lease_duration * (1 + drift) < minimum * (1 - drift)
     if not lease_fits or not minimum < maximum:
         return (
-            "lease must be below election.least by more than the clocks' drift,"
-            " and that below election.most"
+            "lease_duration must be below election_timeout.minimum by more than clock_drift allows,"
+            " and election_timeout.minimum below election_timeout.maximum"
         )
     limits = (
         settings.max_pending_requests,
@@ -84,5 +98,8 @@
         settings.max_sessions,
     )
     if min(limits) < 1 or settings.retained_entries < 0 or not 0 <= drift < 1:
-        return "a limit is below one"
+        return (
+            "limits must be at least 1, retained_entries at least 0,"
+            " and clock_drift at least 0 and below 1"
+        )
     return None
--- a/thymeknot/raft/snapshots.py
+++ b/thymeknot/raft/snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots: taken of the applied state, and received from a leader in chunks (Raft, 7)."""
+"""Snapshots: taken of the applied state, or received from a leader in chunks (Raft, 7)."""
 
 from typing import NamedTuple
 
@@ -12,7 +12,7 @@
 
 
 class _TransferKey(NamedTuple):
-    """Chunks of one snapshot from one leader have one key."""
+    """Identifies a transfer: the chunks of one snapshot from one leader have the same key."""
 
     sender: str
     term: int
@@ -21,14 +21,14 @@
 
 
 class _Transfer(NamedTuple):
-    """A snapshot that is being received."""
+    """A snapshot that is being received and its content so far."""
 
     key: _TransferKey
     content: bytearray
 
 
 class Snapshots:
-    """One node's snapshots."""
+    """Takes and installs the snapshots of one node."""
 
     def __init__(self, state: NodeState, sessions: ClientSessions) -> None:
         self._state = state
@@ -36,7 +36,7 @@
         self._transfer: _Transfer | None = None
 
     def take_if_due(self) -> None:
-        """Takes a snapshot once enough entries were applied since the last one."""
+        """Takes a snapshot if `snapshot_threshold` entries were applied since the last one."""
         state = self._state
         log = state.log
         if state.applied - log.snapshot.log_index < state.settings.snapshot_threshold:
@@ -48,7 +48,7 @@
         state.outbox.persist(snapshot)
 
     def receive_chunk(self, now: Ticks, event: MessageReceived[SnapshotChunk]) -> Step | None:
-        """Takes a chunk from the leader, and installs the snapshot once it is complete."""
+        """Handles a chunk from the leader; installs the snapshot once it is complete."""
         sender, chunk = event
         state = self._state
         state.heard_leader(now, sender)
@@ -66,11 +66,11 @@
         return state.membership_step() if done else None
 
     def abort_transfer(self) -> None:
-        """Drops what was received of a snapshot."""
+        """Discards an incomplete transfer."""
         self._transfer = None
 
     def _add_chunk(self, sender: str, chunk: SnapshotChunk) -> bytearray:
-        """Adds a chunk if it is the next one; gives all that was received."""
+        """Appends a chunk if it is the next one; returns the content received so far."""
         key = _TransferKey(sender, chunk.term, chunk.log_index, chunk.total)
         if self._transfer is None or self._transfer.key != key:
             self._transfer = _Transfer(key, bytearray())
--- a/thymeknot/raft/state_machine.py
+++ b/thymeknot/raft/state_machine.py
@@ -1,4 +1,4 @@
-"""What the log is applied to."""
+"""The interface of replicated state machines."""
 
 from collections.abc import Iterable, Mapping
 from typing import Any, Protocol
@@ -10,44 +10,53 @@
 
 
 class StateMachine(Protocol):
-    """A pure machine: the same commands at the same agreed times give the same replies."""
+    """A deterministic state machine.
+
+    The same commands at the same agreed times give the same state and replies on all nodes.
+    """
 
     def apply(self, at: Ticks, command: Command) -> Reply:
-        """Applies a command.
+        """Applies a command and returns the reply.
 
-        It raises for no command, however ill formed, since it would on all nodes.
+        It must not raise, even for a malformed command: the exception would stop all nodes.
         """
 
     def image(self) -> Any:
-        """All of its state, as a plain value that msgpack can write."""
+        """Returns the complete state for a snapshot, as a value that msgpack can encode."""
 
     def load(self, image: Any) -> None:
-        """Replaces its state by an image's."""
+        """Replaces the state with one that `image` returned."""
 
 
 def rejection(reason: str, by: Iterable[str] = (), retry_after: Ticks = 0) -> Reply:
-    """A reply that rejects a command."""
+    """Returns the reply that rejects a command.
+
+    Args:
+        reason: Why the command is rejected.
+        by: Names of what the rejection is due to.
+        retry_after: Time to wait before a retry.
+    """
     return {"refused": reason, "by": list(by), "again": retry_after}
 
 
 class CompositeStateMachine:
-    """Several machines, told apart by a command's `part`."""
+    """Several state machines in one; a command's `part` selects the one that applies it."""
 
     def __init__(self, machines: Mapping[str, StateMachine]) -> None:
         self.machines = machines
 
     def apply(self, at: Ticks, command: Command) -> Reply:
-        """Applies a command to the machine of its part."""
+        """Applies a command to the state machine that its `part` names."""
         part = command.get("part")
         machine = self.machines.get(part) if isinstance(part, str) else None
         return rejection(f"no part {part!r}") if machine is None else machine.apply(at, command)
 
     def image(self) -> dict[str, Any]:
-        """The machines' images, by part."""
+        """Returns the states of all state machines by part."""
         return {name: machine.image() for name, machine in self.machines.items()}
 
     def load(self, image: Mapping[str, Any]) -> None:
-        """Loads each machine; one that the image lacks (an older program wrote it) stays."""
+        """Replaces the states; a part that an older version's image lacks keeps its state."""
         for name, machine in self.machines.items():
             if name in image:
                 machine.load(image[name])
--- a/thymeknot/raft/storage.py
+++ b/thymeknot/raft/storage.py
@@ -1,14 +1,15 @@
-"""A node's records in a directory: a segment that is only appended to, and a snapshot.
-
-Each record is framed (see `record_frames`); its body is msgpack of (kind, fields). A segment
-begins with (count of records ever written before it, disk incarnation) and is complete by itself:
-a snapshot and each start begin a new one, put in place in one step, so that of two the later
-counts. A snapshot's record in it names the file that holds the snapshot. At that moment the old
-files are still there: `max_bytes` must hold twice the snapshot and the log.
-
-A directory that is not what the lineage (see `lineage`) acknowledged is put away, and the node
-begins as a newcomer under a new disk incarnation, whose votes count for nothing until the members'
-list names it.
+"""Persistent storage of a node: a directory with an append-only segment and a snapshot file.
+
+Each record is framed (see `record_frames`); its body is msgpack of (kind, fields). The first record
+of a segment is its header: the number of records ever written before it and the disk incarnation.
+A segment is self-contained. Each snapshot and each start write a new segment and rename it into
+place atomically; if there are two, the one with the higher number is valid. The snapshot record of
+a segment names the file with the snapshot. The old files are deleted only after the new segment
+exists, so `max_bytes` must have room for two snapshots and two copies of the log.
+
+A directory that doesn't match the acknowledged state in the lineage file (see `lineage`) is moved
+aside, and the node starts empty with a new disk incarnation; its votes don't count until the
+configuration lists that incarnation.
 """
 
 import errno
@@ -33,35 +34,35 @@
     replay_records,
 )
 
-# A record is stored with its place in this table: the order must not change.
+# Records are stored with their position in this table, so its order must not change.
 RECORD_KINDS: tuple[type[Record], ...] = (Entry, VoteRecord, TruncationRecord, Snapshot)
 ENTRY_KIND = RECORD_KINDS.index(Entry)
 TRUNCATION_KIND = RECORD_KINDS.index(TruncationRecord)
 SNAPSHOT_KIND = RECORD_KINDS.index(Snapshot)
 SEGMENT_HEADER_KIND = len(RECORD_KINDS)
-"""The kind of a segment's first record."""
+"""Kind of the header, the first record of a segment."""
 MAX_SNAPSHOT_FILE_BYTES = 1 << 32
-"""The longest record of a snapshot's file."""
+"""Maximum size of the record in a snapshot file."""
 SEGMENT_SUFFIX = ".seg"
 SNAPSHOT_SUFFIX = ".snap"
 TEMPORARY_SUFFIX = ".part"
-"""Of a file that is being written."""
+"""Suffix of a file that is not completely written yet."""
 NUMBER_DIGITS = 12
-"""Digits of a file's number, so that the order of names is that of numbers."""
+"""Digits of the number in a file name, so that names sort in the order of the numbers."""
 
 
 class WriteFault(NamedTuple):
-    """An error as a value: why a write failed."""
+    """Why a write failed. It is returned, not raised, from the thread that writes."""
 
     reason: str
 
 
 class Opened(NamedTuple):
-    """What opening came to.
+    """Result of opening the storage.
 
     Attributes:
-        recovered: what the directory held.
-        said: sentences for a log: a torn tail, a directory put away.
+        recovered: The state that was read from the directory.
+        warnings: Messages for the log, about a truncated last record or a directory moved aside.
     """
 
     recovered: Recovered
@@ -69,21 +70,21 @@
 
 
 class _Segment(NamedTuple):
-    """What a segment held."""
+    """Content of a segment: its records after the header, and warnings for the log."""
 
     records: list[Record]
     warnings: list[str]
 
 
 class RaftStorage:
-    """The records of one node.
+    """Stores the records of one node.
 
     Args:
-        folder: of this node alone.
-        lineage: path of the lineage file, best on another disk.
-        new_incarnation: gives a number of 63 bits, not 0, that nobody had.
-        max_bytes: what all files in the folder may take.
-        files: the operating system.
+        folder: Directory that only this node uses.
+        lineage_path: Path of the lineage file, preferably on another disk.
+        new_incarnation: Returns a disk incarnation that no other disk has, from 1 to 2**63 - 1.
+        max_bytes: Maximum total size of the files in the directory.
+        files: The file system; by default that of the operating system.
     """
 
     def __init__(
@@ -100,23 +101,26 @@
         self._max_bytes = max_bytes
         self._files = files or FileSystem()
         self._lineage_file = Lineage(lineage_path, self._files)
-        self._segment: int | None = None  # descriptor of the segment that is written
+        self._segment: int | None = None  # file descriptor of the current segment
         self._segment_number = 0
         self._disk_incarnation = 0
-        self._record_count = 0  # ever written to this disk
-        self._total_bytes = 0  # of all files in the folder
+        self._record_count = 0  # records ever written under this disk incarnation
+        self._total_bytes = 0  # size of all files in the directory
         self._vote = VoteRecord(0, None)
         self._fault: WriteFault | None = None
 
     def open(self, bootstrap: bool = False) -> Opened:
-        """Reads the directory and begins a new segment.
+        """Reads the directory and starts a new segment.
 
         Args:
-            bootstrap: this node founds the cluster, which is rejected where anything was written.
+            bootstrap: This node bootstraps a new cluster, which requires unused storage.
+
+        Returns:
+            The recovered state, and warnings for the log.
 
         Raises:
-            DamagedStorageError: the directory can't be trusted or repaired.
-            OSError: the directory can't be used.
+            DamagedStorageError: The directory is damaged, or `bootstrap` is set for used storage.
+            OSError: The directory can't be read or written.
         """
         self._files.makedirs(self.folder, exist_ok=True)
         self._lineage_file.create_folder()
@@ -124,7 +128,10 @@
         names = self._files.listdir(self.folder)
         segments = sorted(name for name in names if name.endswith(SEGMENT_SUFFIX))
         if bootstrap and (acknowledged or segments):
-            raise DamagedStorageError("this keeper was used before: it can't found a fleet again")
+            raise DamagedStorageError(
+                f"{self.folder} or {self.lineage_path} was used before:"
+                " can't bootstrap a new cluster"
+            )
         records: list[Record] = []
         warnings: list[str] = []
         if segments:
@@ -148,10 +155,10 @@
         return Opened(recovered, tuple(warnings))
 
     def persist(self, records: Iterable[Record]) -> WriteFault | None:
-        """Returns None once all of it would outlast a loss of power.
+        """Writes records; returns None once they are durable, or why they could not be written.
 
-        After a fault the storage takes nothing more, for what a failed fsync left on the disk
-        can't be known.
+        After a failure every call returns the same failure, because it is unknown what a failed
+        fsync left on the disk.
         """
         if self._fault:
             return self._fault
@@ -162,7 +169,7 @@
         return self._fault
 
     def close(self) -> None:
-        """Closes all files."""
+        """Closes the segment and the lineage file."""
         if self._segment is not None:
             self._files.close(self._segment)
         self._segment = None
@@ -180,11 +187,13 @@
         warnings = []
         if frames.damaged or not frames.bodies:
             raise DamagedStorageError(
-                f"{path}: damage at byte {frames.end}, with later records behind it"
+                f"{path}: damage at byte {frames.end}; only the last record may be incomplete"
             )
         if frames.end < len(content):
-            torn = len(content) - frames.end
-            warnings.append(f"{path}: {torn} bytes of a record that broke off were cut")
+            incomplete_bytes = len(content) - frames.end
+            warnings.append(
+                f"{path}: discarded an incomplete last record of {incomplete_bytes} bytes"
+            )
         try:
             self._segment_number = int(name.removesuffix(SEGMENT_SUFFIX))
             self._read_header(frames.bodies[0])
@@ -196,7 +205,7 @@
     def _read_header(self, body: bytes) -> None:
         kind, fields = _decode_kind(body)
         if kind != SEGMENT_HEADER_KIND:
-            raise ValueError("a segment without its head, or a head within it")
+            raise ValueError("the first record is not a segment header")
         count, incarnation = msgspec.msgpack.decode(fields, type=tuple[int, int])
         self._record_count = count
         self._disk_incarnation = incarnation
@@ -204,41 +213,45 @@
     def _read_record(self, body: bytes) -> Record:
         kind, fields = _decode_kind(body)
         if kind == SEGMENT_HEADER_KIND:
-            raise ValueError("a segment without its head, or a head within it")
+            raise ValueError("unexpected segment header after the first record")
         self._record_count += 1
         if kind == SNAPSHOT_KIND:
             name, replaces_log = msgspec.msgpack.decode(fields, type=tuple[str, bool])
             return self._read_snapshot(name)._replace(replaces_log=replaces_log)
-        if not 0 <= kind < len(RECORD_KINDS):  # a negative one would count from the table's end
-            raise ValueError(f"a record of no kind: {kind}")
+        if not 0 <= kind < len(RECORD_KINDS):  # a negative index would wrap
+            raise ValueError(f"unknown record kind {kind}")
         return msgspec.msgpack.decode(fields, type=RECORD_KINDS[kind])
 
     def _read_snapshot(self, name: str) -> Snapshot:
         if os.path.basename(name) != name or not name.endswith(SNAPSHOT_SUFFIX):
-            raise ValueError(f"no name of a snapshot: {name}")
+            raise ValueError(f"invalid name of a snapshot file: {name!r}")
         content = self._files.read(self._path(name)) or b""
         frames = read_frames(content, MAX_SNAPSHOT_FILE_BYTES)
         if len(frames.bodies) != 1 or frames.end != len(content):
-            raise ValueError(f"the snapshot {name} is missing or damaged")
+            raise ValueError(f"snapshot file {name} is missing or damaged")
         return msgspec.msgpack.decode(frames.bodies[0], type=Snapshot)
 
     def _distrust_reason(self, acknowledged: Acknowledged | None, has_segment: bool) -> str | None:
-        """Why the directory is not to be trusted, or None if it is."""
+        """Returns why the directory may be an old copy or was lost, or None if it is up to date."""
         if acknowledged:
             same_disk = self._disk_incarnation == acknowledged.disk_incarnation
             if same_disk and self._record_count >= acknowledged.record_count:
                 return None
             return (
-                f"the disk is not what it was: life {self._disk_incarnation}, {self._record_count}"
-                f" records, where life {acknowledged.disk_incarnation}"
-                f" with {acknowledged.record_count} was acknowledged; it begins as a newcomer"
+                f"{self.folder} was lost or rolled back: found disk incarnation"
+                f" {self._disk_incarnation} with {self._record_count} records, acknowledged were"
+                f" incarnation {acknowledged.disk_incarnation} with {acknowledged.record_count}"
+                " records; starting with a new incarnation"
             )
         if has_segment:
-            return "no lineage was found: the disk may be an old copy, so it begins as a newcomer"
+            return (
+                "there is no lineage file, so the directory may be an old copy;"
+                " starting with a new incarnation"
+            )
         return None
 
     def _move_aside(self) -> None:
-        """Keeps the directory under another name: an operator may want to look at it."""
+        """Renames the directory, so that an operator can inspect it, and creates an empty one."""
         number = 0
         while os.path.exists(f"{self.folder}.lost-{number}"):
             number += 1
@@ -282,19 +295,19 @@
 
     def _open_segment(self) -> int:
         if self._segment is None:
-            raise ValueError(f"{self.folder} is not open")
+            raise ValueError(f"storage directory {self.folder} is not open")
         return self._segment
 
     def _check_space(self, content: bytes) -> None:
         if self._total_bytes + len(content) > self._max_bytes:
             raise OSError(
-                errno.ENOSPC, f"more than the {self._max_bytes} bytes that this keeper may take"
+                errno.ENOSPC, f"{self.folder} would exceed its limit of {self._max_bytes} bytes"
             )
 
     def _write_snapshot(self, snapshot: Snapshot) -> None:
-        """Writes the snapshot as a file, then a segment with its name and the log after it.
+        """Writes a snapshot file, then a segment that names it and holds the later entries.
 
-        Only then are older files removed.
+        Older files are deleted only after that.
         """
         entries: list[Entry] = []
         if not snapshot.replaces_log:
@@ -304,7 +317,7 @@
         self._start_segment(snapshot, entries)
 
     def _stored_entries(self) -> list[Entry]:
-        """The segment's entries, read back rather than kept: the log in memory is the node's."""
+        """Reads the entries of the current segment; only the node keeps the log in memory."""
         path = self._path(self._segment_name())
         entries: list[Entry] = []
         for body in read_frames(self._files.read(path) or b"").bodies:
@@ -320,7 +333,7 @@
         return f"{self._segment_number:0{NUMBER_DIGITS}}{SEGMENT_SUFFIX}"
 
     def _start_segment(self, snapshot: Snapshot | None, entries: Sequence[Entry]) -> None:
-        """Begins a segment that is complete by itself, so that none has to be joined to others."""
+        """Starts a self-contained segment, so that recovery reads only one; deletes old files."""
         old_names = list(self._files.listdir(self.folder))
         header = (self._record_count, self._disk_incarnation)
         content = [frame(msgspec.msgpack.encode((SEGMENT_HEADER_KIND, header)))]
@@ -345,7 +358,7 @@
         self._total_bytes = sum(os.path.getsize(self._path(file_name)) for file_name in names)
 
     def _write_file(self, name: str, content: bytes) -> None:
-        """Writes a file that is there with all of its bytes or not at all."""
+        """Writes a file atomically: it exists with its whole content or not at all."""
         path = self._path(name)
         self._check_space(content)
         flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
