--- a/thymeknot/raft/broken_variants.py
+++ b/thymeknot/raft/broken_variants.py
@@ -132,7 +132,7 @@
         held = [state.outbox.durable_index, *(peer.match_index for peer in self.peers.values())]
         held.sort(reverse=True)
         index = held[len(state.log.members.voters) // 2]
-        if index > state.committed and self.may_commit(index):
+        if index > state.commit_index and self.may_commit(index):
             state.commit_to(index)
 
 
--- a/thymeknot/raft/cluster_faults.py
+++ b/thymeknot/raft/cluster_faults.py
@@ -127,7 +127,7 @@
         if host is None or host.stalled_until > self._cluster.now:
             return None
         node = _node(host)
-        settled = node.state.committed >= node.replication.first_index_of_term
+        settled = node.state.commit_index >= node.replication.first_index_of_term
         return host if settled else None
 
     def _members(self, leader: Host) -> Members:
@@ -249,7 +249,7 @@
         if leader is None:
             return False
         node = _node(leader)
-        if node.log.membership_changes[-1].log_index > node.state.committed:
+        if node.log.membership_changes[-1].log_index > node.state.commit_index:
             return False
         voters = node.log.members.voters
         hosts = self._cluster.hosts
--- a/thymeknot/raft/elections.py
+++ b/thymeknot/raft/elections.py
@@ -67,21 +67,21 @@
     def add_vote(self, name: str) -> Step | None:
         """Adds a granted vote; returns the ELECTION_WON step if the votes are a majority."""
         self._votes.add(name)
-        won = self.state.has_majority(lambda voter, _: voter in self._votes)
-        return Step(Trigger.ELECTION_WON) if won else None
+        has_majority = self.state.has_majority(lambda voter, _: voter in self._votes)
+        return Step(Trigger.ELECTION_WON) if has_majority else None
 
     def count_vote(self, event: MessageReceived[VoteResponse]) -> Step | None:
         """Counts a response to the current pre-vote or vote from a disk that is listed."""
         sender, response = event
         state = self.state
         asked_term = state.term + 1 if response.pre_vote else state.term
-        counts = (
+        is_valid_vote = (
             response.granted
             and response.pre_vote == (state.role == Role.PRE_CANDIDATE)
             and response.term == asked_term
             and state.log.members.voters.get(sender) == response.disk_incarnation
         )
-        return self.add_vote(sender) if counts else None
+        return self.add_vote(sender) if is_valid_vote else None
 
     def allows_disruption(self, now: Ticks, request: VoteRequest) -> bool:
         """Returns whether an election may disrupt this node.
--- a/thymeknot/raft/follower.py
+++ b/thymeknot/raft/follower.py
@@ -29,7 +29,7 @@
         if records:
             state.outbox.persist(*records)
         match_index = request.previous_index + len(request.entries)
-        state.commit_to(min(request.committed, match_index))
+        state.commit_to(min(request.commit_index, match_index))
         self._respond(now, sender, True, match_index, request.round)
         return state.membership_step() if records else None
 
--- a/thymeknot/raft/log.py
+++ b/thymeknot/raft/log.py
@@ -128,15 +128,15 @@
         self.snapshot = snapshot
         if base <= self.base_index:
             return
-        last = self.entry(base)
+        base_entry = self.entry(base)
         members = self.members_at(base)
         del self.entries[: base - self.base_index]
         del self._command_sizes[: base - self.base_index]
         self.base_index = base
-        self.base_term = last.term
-        self.base_at = last.at
-        later = [change for change in self.membership_changes if change.log_index > base]
-        self.membership_changes = [MembershipChange(base, members), *later]
+        self.base_term = base_entry.term
+        self.base_at = base_entry.at
+        later_changes = [change for change in self.membership_changes if change.log_index > base]
+        self.membership_changes = [MembershipChange(base, members), *later_changes]
 
     def conflict_index(self, index: int, term: int) -> int | None:
         """Checks for the entry that precedes the entries of an AppendRequest (Raft, 5.3).
--- a/thymeknot/raft/membership.py
+++ b/thymeknot/raft/membership.py
@@ -67,8 +67,10 @@
         2015.
         """
         state = self.state
-        all_applied = state.applied == state.committed >= self._replication.first_index_of_term
-        return state.log.membership_changes[-1].log_index <= state.applied and all_applied
+        all_applied = (
+            state.last_applied == state.commit_index >= self._replication.first_index_of_term
+        )
+        return state.log.membership_changes[-1].log_index <= state.last_applied and all_applied
 
     def prepare_change(
         self, now: Ticks, token: Hashable, command: dict[str, Any]
@@ -91,7 +93,7 @@
         self, now: Ticks, token: Hashable, command: dict[str, Any]
     ) -> Members | _Rejection | None:
         """Returns the configuration after a change; starts a transfer and returns None for it."""
-        kind = command.get("do")
+        operation = command.get("do")
         name = command.get("name")
         disk_incarnation = command.get("life", 0)
         if not isinstance(name, str) or not isinstance(disk_incarnation, int):
@@ -100,12 +102,12 @@
             return self._retriable_rejection("another change of members is under way")
         current = self.state.log.members
         members = Members(dict(current.voters), dict(current.learners))
-        if kind == "transfer":
+        if operation == "transfer":
             return self._start_transfer(now, token, name, members)
-        change = self._change_handlers.get(kind) if isinstance(kind, str) else None
-        if change is None:
+        apply_change = self._change_handlers.get(operation) if isinstance(operation, str) else None
+        if apply_change is None:
             return _Rejection("keepers know no such command")
-        rejection = change(now, name, disk_incarnation, members)
+        rejection = apply_change(now, name, disk_incarnation, members)
         if rejection is None and not members.voters:
             rejection = _Rejection("nobody would be left to vote")
         return rejection or members
@@ -144,7 +146,7 @@
         return (
             peer.disk_incarnation == disk_incarnation
             and now - peer.last_response_at < settings.election_timeout.minimum
-            and peer.match_index + settings.max_promotion_lag >= self.state.committed
+            and peer.match_index + settings.max_promotion_lag >= self.state.commit_index
             and peer.match_index > 0
         )
 
--- a/thymeknot/raft/messages.py
+++ b/thymeknot/raft/messages.py
@@ -54,7 +54,7 @@
         previous_index: Index of the entry that precedes `entries`.
         previous_term: Term of that entry.
         entries: Entries to append.
-        committed: The leader's commit index.
+        commit_index: The leader's commit index.
         round: Number of the leader's latest round of heartbeats.
     """
 
@@ -63,7 +63,7 @@
     previous_index: int
     previous_term: int
     entries: tuple[Entry, ...]
-    committed: int
+    commit_index: int
     round: int
 
 
--- a/thymeknot/raft/node.py
+++ b/thymeknot/raft/node.py
@@ -263,10 +263,10 @@
             self._take_step(now, self.elections.add_vote(self.state.name))
 
     def _set_timer(self) -> None:
-        due = self.state.timer_due
-        if self.role not in _ROLES_WITHOUT_TIMER and due != self._requested_timer:
-            self._requested_timer = due
-            self.state.outbox.emit(SetTimer(due))
+        timer_due = self.state.timer_due
+        if self.role not in _ROLES_WITHOUT_TIMER and timer_due != self._requested_timer:
+            self._requested_timer = timer_due
+            self.state.outbox.emit(SetTimer(timer_due))
 
     def _apply_committed(self, now: Ticks) -> None:
         """Applies committed entries, serves reads that waited for them, and takes snapshots."""
@@ -276,7 +276,10 @@
         self.proposals.apply_committed()
         if state.role == Role.LEADER:
             self.reads.serve_ready()
-            if not state.is_voter() and state.log.membership_changes[-1].log_index <= state.applied:
+            if (
+                not state.is_voter()
+                and state.log.membership_changes[-1].log_index <= state.last_applied
+            ):
                 self._take_step(now, Step(Trigger.LEADER_REMOVED, "is a voter no longer"))
         self.snapshots.take_if_due()
 
@@ -331,11 +334,11 @@
         """Rejects a command or read because this node is not the leader, naming it if known."""
         state = self.state
         if state.role == Role.STOPPED:
-            rejected = RequestRejected(event.token, "this keeper's disk failed", None, None)
+            rejection = RequestRejected(event.token, "this keeper's disk failed", None, None)
         else:
             retry_after = 0 if state.leader else state.settings.election_timeout.maximum
-            rejected = RequestRejected(event.token, "does not lead", retry_after, state.leader)
-        state.outbox.emit(rejected)
+            rejection = RequestRejected(event.token, "does not lead", retry_after, state.leader)
+        state.outbox.emit(rejection)
 
     def _step_down(self, now: Ticks, reason: str) -> None:
         self.state.outbox.emit(SteppedDown(reason))
--- a/thymeknot/raft/node_state.py
+++ b/thymeknot/raft/node_state.py
@@ -51,11 +51,11 @@
         self.term = recovered.term
         self.vote = recovered.vote
         # A founder that lost its disk must not bootstrap again: it waits for a leader to add it.
-        founds = bool(founders) and recovered.disk_incarnation == 0
-        first = initial_snapshot((founders or ()) if founds else ())
-        self.log = Log(recovered.snapshot or first, recovered.entries)
-        self.committed = self.log.snapshot.log_index
-        self.applied = self.committed
+        is_founder = bool(founders) and recovered.disk_incarnation == 0
+        first_snapshot = initial_snapshot((founders or ()) if is_founder else ())
+        self.log = Log(recovered.snapshot or first_snapshot, recovered.entries)
+        self.commit_index = self.log.snapshot.log_index
+        self.last_applied = self.commit_index
         self.outbox = outbox_class(self.log, settings.max_delayed_messages, count_self_vote)
         self.leader: str | None = None
         # Assume recent contact with a leader, so that a lease granted before a restart is kept.
@@ -69,10 +69,10 @@
         """Returns whether the configuration lists this node with this disk as a voter."""
         return self.log.members.voters.get(self.name) == self.disk_incarnation
 
-    def has_majority(self, counts: Callable[[str, int], bool]) -> bool:
-        """Returns whether `counts(name, disk_incarnation)` is true for a majority of the voters."""
+    def has_majority(self, predicate: Callable[[str, int], bool]) -> bool:
+        """Returns whether `predicate(name, disk_incarnation)` holds for a majority of voters."""
         voters = self.log.members.voters
-        return sum(1 for name, disk in voters.items() if counts(name, disk)) * 2 > len(voters)
+        return sum(1 for name, disk in voters.items() if predicate(name, disk)) * 2 > len(voters)
 
     def restart_election_timer(self, now: Ticks) -> None:
         """Restarts the election timer with a new random timeout."""
@@ -91,7 +91,7 @@
 
     def commit_to(self, index: int) -> None:
         """Advances the commit index to `index`, but not beyond the last entry of the log."""
-        self.committed = max(self.committed, min(index, self.log.last_index))
+        self.commit_index = max(self.commit_index, min(index, self.log.last_index))
 
     def reject(self, token: Hashable, reason: str, retry_after: Ticks | None) -> None:
         """Rejects a command or read as the leader."""
--- a/thymeknot/raft/proposals.py
+++ b/thymeknot/raft/proposals.py
@@ -59,9 +59,9 @@
         """Appends a command, rejects it, or repeats the reply if it was applied before."""
         token, origin, incarnation, number, command = event
         state = self._state
-        known = self._sessions.known_reply(origin, incarnation, number)
-        if known is not None:  # already applied, so the reply is final
-            state.outbox.emit(CommandCompleted(token, known))
+        earlier_reply = self._sessions.known_reply(origin, incarnation, number)
+        if earlier_reply is not None:  # already applied, so the reply is final
+            state.outbox.emit(CommandCompleted(token, earlier_reply))
             return
         try:
             size = len(msgspec.msgpack.encode(command))
@@ -70,12 +70,12 @@
             return
         if not self._admits(token, origin, size):
             return
-        appended: dict[str, Any] | None = command
+        logged_command: dict[str, Any] | None = command
         if command.get("part") == RAFT_PART:
-            appended = self._membership.prepare_change(now, token, command)
-        if appended is None:
+            logged_command = self._membership.prepare_change(now, token, command)
+        if logged_command is None:
             return
-        index = self._replication.append(now, appended, origin, incarnation, number)
+        index = self._replication.append(now, logged_command, origin, incarnation, number)
         self._pending[index] = _PendingCommand(token, size)
         self._pending_bytes += size
         self._replication.advance_commit()
@@ -104,9 +104,9 @@
     def apply_committed(self) -> None:
         """Applies the committed entries that are not applied yet, and answers their clients."""
         state = self._state
-        while state.applied < state.committed:
-            entry = state.log.entry(state.applied + 1)
-            state.applied += 1
+        while state.last_applied < state.commit_index:
+            entry = state.log.entry(state.last_applied + 1)
+            state.last_applied += 1
             reply = self._apply(entry)
             state.outbox.emit(EntryApplied(entry.log_index, entry.at, entry.command, reply))
             pending = self._pending.pop(entry.log_index, None)
--- a/thymeknot/raft/reads.py
+++ b/thymeknot/raft/reads.py
@@ -90,7 +90,7 @@
         if len(self._pending) >= state.settings.max_pending_requests:
             state.reject(event.token, "too many reads wait", state.settings.heartbeat_interval)
             return
-        index = max(state.committed, self.replication.first_index_of_term)
+        index = max(state.commit_index, self.replication.first_index_of_term)
         if self.holds_lease(now):
             self._pending.append(_PendingRead(event.token, index, 0))
             self.serve_ready()
@@ -110,8 +110,8 @@
         still_pending = []
         for read in self._pending:
             confirmed = read.round is not None and read.round <= self._confirmed_round
-            if confirmed and read.log_index <= self.state.applied:
-                self.state.outbox.emit(ReadReady(read.token, self.state.applied))
+            if confirmed and read.log_index <= self.state.last_applied:
+                self.state.outbox.emit(ReadReady(read.token, self.state.last_applied))
             else:
                 still_pending.append(read)
         self._pending = still_pending
--- a/thymeknot/raft/records.py
+++ b/thymeknot/raft/records.py
@@ -126,6 +126,6 @@
             drop_entries_from(entries, record.log_index)
         else:
             snapshot = record
-            kept = [] if record.replaces_log else entries
-            entries = [entry for entry in kept if entry.log_index > record.log_index]
+            kept_entries = [] if record.replaces_log else entries
+            entries = [entry for entry in kept_entries if entry.log_index > record.log_index]
     return Recovered(disk_incarnation, vote.term, vote.vote, snapshot, tuple(entries))
--- a/thymeknot/raft/replication.py
+++ b/thymeknot/raft/replication.py
@@ -91,11 +91,11 @@
     def _update_peers(self, now: Ticks) -> None:
         """Sets the peers to the other nodes of the configuration, keeping known progress."""
         log = self.state.log
-        names = {**log.members.learners, **log.members.voters}
-        names.pop(self.state.name, None)
+        incarnations = {**log.members.learners, **log.members.voters}
+        incarnations.pop(self.state.name, None)
         self.peers = {
             name: self.peers.get(name) or Peer(disk_incarnation, log.last_index + 1, now)
-            for name, disk_incarnation in names.items()
+            for name, disk_incarnation in incarnations.items()
         }
 
     def agreed_time(self, now: Ticks) -> Ticks:
@@ -165,7 +165,7 @@
                 previous_index=previous_index,
                 previous_term=previous_term,
                 entries=entries,
-                committed=state.committed,
+                commit_index=state.commit_index,
                 round=self.round,
             )
             state.outbox.emit(Send(name, request))
@@ -279,11 +279,11 @@
         if state.role != Role.LEADER:
             return
         voters = state.log.members.voters
-        durable = sorted(
+        durable_indices = sorted(
             (self._durable_index(name, disk) for name, disk in voters.items()), reverse=True
         )
-        index = durable[len(voters) // 2]
-        if index > state.committed and self.may_commit(index):
+        index = durable_indices[len(voters) // 2]
+        if index > state.commit_index and self.may_commit(index):
             state.commit_to(index)
 
     def _durable_index(self, name: str, disk_incarnation: int) -> int:
--- a/thymeknot/raft/snapshots.py
+++ b/thymeknot/raft/snapshots.py
@@ -39,11 +39,13 @@
         """Takes a snapshot if `snapshot_threshold` entries were applied since the last one."""
         state = self._state
         log = state.log
-        if state.applied - log.snapshot.log_index < state.settings.snapshot_threshold:
+        if state.last_applied - log.snapshot.log_index < state.settings.snapshot_threshold:
             return
-        last = log.entry(state.applied)
-        members = log.members_at(last.log_index)
-        snapshot = Snapshot(last.log_index, last.term, last.at, members, self._sessions.image())
+        last_entry = log.entry(state.last_applied)
+        members = log.members_at(last_entry.log_index)
+        snapshot = Snapshot(
+            last_entry.log_index, last_entry.term, last_entry.at, members, self._sessions.image()
+        )
         log.compact(snapshot, state.settings.retained_entries)
         state.outbox.persist(snapshot)
 
@@ -53,7 +55,7 @@
         state = self._state
         state.heard_leader(now, sender)
         already_held = state.log.term(chunk.log_index) == chunk.entry_term
-        if state.committed >= chunk.log_index or already_held:
+        if state.commit_index >= chunk.log_index or already_held:
             state.commit_to(chunk.log_index)
             self._respond(now, sender, chunk, received=chunk.total, done=True)
             return None
@@ -87,8 +89,8 @@
         )
         state.log.reset(snapshot)
         self._sessions.load(snapshot.content)
-        state.committed = chunk.log_index
-        state.applied = chunk.log_index
+        state.commit_index = chunk.log_index
+        state.last_applied = chunk.log_index
         state.outbox.log_replaced(chunk.log_index)
         state.outbox.persist(snapshot)
 
