--- a/tests/unit/raft/test_log.py
+++ b/tests/unit/raft/test_log.py
@@ -1,4 +1,4 @@
-"""The log in memory, against a plain list."""
+"""The in-memory log, compared with a plain list of entries."""
 
 import unittest
 
@@ -13,27 +13,37 @@
     @settings(max_examples=60, deadline=None, derandomize=True)
     @given(
         st.lists(
-            st.tuples(st.sampled_from(("append", "cut", "compact")), st.integers(1, 6)), max_size=30
+            st.tuples(st.sampled_from(("append", "truncate", "compact")), st.integers(1, 6)),
+            max_size=30,
         )
     )
-    def test_log_against_a_list(self, steps):
-        log, plain, done = Log(initial_snapshot("a")), [], 0
-        for term, (what, some) in enumerate(steps, 1):
-            if what == "append":
-                for _ in range(some):
-                    plain.append(Entry(len(plain) + 1, term, term, "o", 1, 1, {"part": "x"}))
-                    log.append(plain[-1])
-            elif what == "cut" and log.last_index - some >= done:
-                log.truncate(log.last_index - some + 1)
-                del plain[len(plain) - some :]
-            elif what == "compact" and log.last_index > done:
-                done = min(log.last_index, done + some)
-                last = plain[done - 1]
-                log.compact(Snapshot(done, last.term, last.at, log.members_at(done), b"x"), 2)
-            self.assertEqual(log.entries, plain[log.base_index :])
+    def test_log_matches_a_list_after_random_operations(self, steps):
+        log, expected, compacted_index = Log(initial_snapshot("a")), [], 0
+        for term, (operation, count) in enumerate(steps, 1):
+            if operation == "append":
+                for _ in range(count):
+                    expected.append(Entry(len(expected) + 1, term, term, "o", 1, 1, {"part": "x"}))
+                    log.append(expected[-1])
+            elif operation == "truncate" and log.last_index - count >= compacted_index:
+                log.truncate(log.last_index - count + 1)
+                del expected[len(expected) - count :]
+            elif operation == "compact" and log.last_index > compacted_index:
+                compacted_index = min(log.last_index, compacted_index + count)
+                last_entry = expected[compacted_index - 1]
+                log.compact(
+                    Snapshot(
+                        compacted_index,
+                        last_entry.term,
+                        last_entry.at,
+                        log.members_at(compacted_index),
+                        b"x",
+                    ),
+                    2,
+                )
+            self.assertEqual(log.entries, expected[log.base_index :])
             self.assertEqual(
                 (log.last_index, log.term(log.last_index)),
-                (len(plain), plain[-1].term if plain else 0),
+                (len(expected), expected[-1].term if expected else 0),
             )
 
 
--- a/tests/unit/raft/test_node.py
+++ b/tests/unit/raft/test_node.py
@@ -1,4 +1,4 @@
-"""One node, and several of them: elections, replication, membership, reads, bounds; messages as bytes."""
+"""Raft nodes: elections, replication, membership changes, reads, limits and message encoding."""
 
 import os
 import unittest
@@ -39,75 +39,80 @@
     max_pending_requests=4,
     lease_reads=True,
 )
-LEAST = SETTINGS.election_timeout.minimum
+MIN_ELECTION_TIMEOUT = SETTINGS.election_timeout.minimum
 
 
-def sent(effects, kind=None):
+def sent_messages(effects, kind=None):
     return [
-        (one.peer, one.message)
-        for one in effects
-        if type(one) is Send and (not kind or type(one.message) is kind)
+        (effect.peer, effect.message)
+        for effect in effects
+        if type(effect) is Send and (not kind or type(effect.message) is kind)
     ]
 
 
-def of(effects, kind):
-    return [one for one in effects if type(one) is kind]
+def effects_of(effects, kind):
+    return [effect for effect in effects if type(effect) is kind]
 
 
 class Cluster:
-    """Nodes whose messages and disks do at once what they are asked, but for those in `gone`."""
+    """A cluster that delivers messages and completes writes at once.
 
-    def __init__(self, names="abc", settings=SETTINGS, more=""):
-        self.now, self.gone, self.told = 0, set(), []
-        self.all = {
+    Nodes in `unreachable` neither send nor receive messages, and their timers don't fire.
+    """
+
+    def __init__(self, names="abc", settings=SETTINGS, joining=""):
+        self.now, self.unreachable, self.all_effects = 0, set(), []
+        self.nodes = {
             name: RaftNode(
                 name,
                 names,
                 settings,
-                LinearCongruentialGenerator(at),
+                LinearCongruentialGenerator(seed),
                 Recovered(0 if name in names else 7),
                 Register(),
                 0,
             )
-            for at, name in enumerate(names + more)
+            for seed, name in enumerate(names + joining)
         }
 
-    def tell(self, name, event):
-        waiting = [(name, event)]
+    def handle(self, name, event):
+        pending_events = [(name, event)]
         effects = []
-        while waiting:
-            name, event = waiting.pop(0)
-            for one in self.all[name].handle(self.now, event):
-                effects.append(one)
-                if type(one) is Persist:
-                    waiting.append((name, RecordsStored(one.serial)))
+        while pending_events:
+            name, event = pending_events.pop(0)
+            for effect in self.nodes[name].handle(self.now, event):
+                effects.append(effect)
+                if type(effect) is Persist:
+                    pending_events.append((name, RecordsStored(effect.serial)))
                 elif (
-                    type(one) is Send and not {name, one.peer} & self.gone and one.peer in self.all
+                    type(effect) is Send
+                    and not {name, effect.peer} & self.unreachable
+                    and effect.peer in self.nodes
                 ):
-                    waiting.append((one.peer, MessageReceived(name, one.message)))
-        self.told += effects
+                    pending_events.append((effect.peer, MessageReceived(name, effect.message)))
+        self.all_effects += effects
         return effects
 
-    def pass_time(self, span, step=100):
-        for _ in range(span // step):
+    def advance_time(self, duration, step=100):
+        for _ in range(duration // step):
             self.now += step
-            for name in sorted(self.all.keys() - self.gone):
-                self.tell(name, TimerDue())
+            for name in sorted(self.nodes.keys() - self.unreachable):
+                self.handle(name, TimerDue())
 
-    def lead(self, name="a"):
-        self.pass_time(LEAST)
-        self.all[name].state.timer_due = self.now
-        self.tell(name, TimerDue())
-        assert self.all[name].role == Role.LEADER
-        return self.all[name]
+    def elect(self, name="a"):
+        self.advance_time(MIN_ELECTION_TIMEOUT)
+        self.nodes[name].state.timer_due = self.now
+        self.handle(name, TimerDue())
+        assert self.nodes[name].role == Role.LEADER
+        return self.nodes[name]
 
     def propose(self, name, number, token="t", /, **command):
         command = command or {"part": "register", "id": number}
-        return self.tell(name, CommandProposed(token, "client", 1, number, command))
+        return self.handle(name, CommandProposed(token, "client", 1, number, command))
 
 
 def new_node(name, disk_incarnation):
-    """A node of the cluster "abc" with a disk that holds nothing."""
+    """Returns a node of the cluster "abc" with an empty disk."""
     return RaftNode(
         name,
         "abc",
@@ -120,167 +125,184 @@
 
 
 class NodeTests(unittest.TestCase):
-    def test_table(self):
+    def test_every_transition_has_a_method_and_stopped_is_final(self):
         actions = new_node("a", 0).actions
-        for (role, trigger), (following, action) in TRANSITIONS.items():
+        for (role, trigger), (next_role, action) in TRANSITIONS.items():
             self.assertTrue(action is None or callable(actions[action]), (role, trigger))
-            self.assertTrue(role != Role.STOPPED or following == Role.STOPPED)
+            self.assertTrue(role != Role.STOPPED or next_role == Role.STOPPED)
 
-    def test_settings(self):
+    def test_inconsistent_settings_are_reported(self):
         self.assertIsNone(settings_error(RaftSettings()))
         self.assertIn("lease", settings_error(RaftSettings(lease_duration=2_950)))
         self.assertIn("heartbeat", settings_error(RaftSettings(heartbeat_interval=1_000)))
 
-    def test_agrees_and_reads(self):
+    def test_command_is_replicated_and_read(self):
         cluster = Cluster()
-        cluster.lead()
+        cluster.elect()
         effects = cluster.propose("a", 1)
         self.assertEqual(
-            of(effects, CommandCompleted), [CommandCompleted("t", {"ok": True, "place": 1})]
+            effects_of(effects, CommandCompleted), [CommandCompleted("t", {"ok": True, "place": 1})]
+        )
+        cluster.advance_time(600)
+        self.assertEqual([node.machine.order for node in cluster.nodes.values()], [[1]] * 3)
+        self.assertEqual(
+            effects_of(cluster.handle("a", ReadRequested("r")), ReadReady), [ReadReady("r", 2)]
         )
-        cluster.pass_time(600)
-        self.assertEqual([one.machine.order for one in cluster.all.values()], [[1]] * 3)
-        self.assertEqual(of(cluster.tell("a", ReadRequested("r")), ReadReady), [ReadReady("r", 2)])
         self.assertEqual(
-            of(cluster.propose("b", 2), RequestRejected),
+            effects_of(cluster.propose("b", 2), RequestRejected),
             [RequestRejected("t", "does not lead", 0, "a")],
         )
 
-    def test_one_node_alone_starts_again(self):
+    def test_single_node_cluster_recovers_after_restart(self):
         cluster = Cluster("a")
-        cluster.lead()
+        cluster.elect()
         cluster.propose("a", 1)
-        self.assertEqual(of(cluster.tell("a", ReadRequested("r")), ReadReady), [ReadReady("r", 2)])
-        node = cluster.all["a"]
-        stored = Recovered(0, node.term, node.state.vote, None, tuple(node.log.entries))
-        cluster.all["a"] = RaftNode(
-            "a", "a", SETTINGS, LinearCongruentialGenerator(2), stored, Register(), cluster.now
+        self.assertEqual(
+            effects_of(cluster.handle("a", ReadRequested("r")), ReadReady), [ReadReady("r", 2)]
         )
-        cluster.lead()
-        self.assertEqual((cluster.all["a"].machine.order, cluster.all["a"].term), ([1], 2))
+        node = cluster.nodes["a"]
+        recovered = Recovered(0, node.term, node.state.vote, None, tuple(node.log.entries))
+        cluster.nodes["a"] = RaftNode(
+            "a", "a", SETTINGS, LinearCongruentialGenerator(2), recovered, Register(), cluster.now
+        )
+        cluster.elect()
+        self.assertEqual((cluster.nodes["a"].machine.order, cluster.nodes["a"].term), ([1], 2))
 
-    def test_repeated_number_gets_the_same_reply(self):
+    def test_repeated_sequence_number_gets_the_same_reply(self):
         cluster = Cluster()
-        cluster.lead()
-        first, again = (of(cluster.propose("a", 1), CommandCompleted) for _ in range(2))
-        self.assertEqual(first, again)
-        self.assertEqual(cluster.all["a"].machine.order, [1])
+        cluster.elect()
+        first_reply, repeated_reply = (
+            effects_of(cluster.propose("a", 1), CommandCompleted) for _ in range(2)
+        )
+        self.assertEqual(first_reply, repeated_reply)
+        self.assertEqual(cluster.nodes["a"].machine.order, [1])
 
-    def test_votes_only_once_stored(self):
+    def test_vote_is_sent_only_once_durable_and_once_per_term(self):
         node = new_node("b", 0)
-        effects = node.handle(LEAST, MessageReceived("a", VoteRequest(1, 0, 0, False, 0, 0, False)))
-        self.assertEqual(sent(effects), [])
-        serial = of(effects, Persist)[-1].serial
+        effects = node.handle(
+            MIN_ELECTION_TIMEOUT, MessageReceived("a", VoteRequest(1, 0, 0, False, 0, 0, False))
+        )
+        self.assertEqual(sent_messages(effects), [])
+        serial = effects_of(effects, Persist)[-1].serial
         self.assertEqual(
-            sent(node.handle(LEAST + 1, RecordsStored(serial))),
+            sent_messages(node.handle(MIN_ELECTION_TIMEOUT + 1, RecordsStored(serial))),
             [("a", VoteResponse(1, 0, False, True))],
         )
         effects = node.handle(
-            LEAST + 2, MessageReceived("c", VoteRequest(1, 0, 0, False, 0, 0, False))
+            MIN_ELECTION_TIMEOUT + 2, MessageReceived("c", VoteRequest(1, 0, 0, False, 0, 0, False))
         )
-        self.assertEqual(sent(effects), [("c", VoteResponse(1, 0, False, False))])
+        self.assertEqual(sent_messages(effects), [("c", VoteResponse(1, 0, False, False))])
 
-    def test_votes_under_its_own_disk_incarnation_only(self):
+    def test_node_with_another_disk_incarnation_grants_no_vote(self):
         node = new_node("b", 5)
         self.assertEqual(node.role, Role.LEARNER)
-        effects = node.handle(LEAST, MessageReceived("a", VoteRequest(1, 0, 0, True, 0, 0, False)))
-        self.assertEqual(sent(effects, VoteResponse)[0][1].granted, False)
+        effects = node.handle(
+            MIN_ELECTION_TIMEOUT, MessageReceived("a", VoteRequest(1, 0, 0, True, 0, 0, False))
+        )
+        self.assertEqual(sent_messages(effects, VoteResponse)[0][1].granted, False)
 
-    def test_who_hears_a_leader_is_not_disturbed(self):
+    def test_follower_with_a_leader_ignores_disruptive_candidate(self):
         cluster = Cluster()
-        cluster.lead()
-        term = cluster.all["b"].term
-        cluster.tell("b", MessageReceived("c", VoteRequest(term + 5, 0, 0, False, 99, 99, False)))
-        self.assertEqual((cluster.all["b"].term, cluster.all["a"].role), (term, Role.LEADER))
+        cluster.elect()
+        term = cluster.nodes["b"].term
+        cluster.handle("b", MessageReceived("c", VoteRequest(term + 5, 0, 0, False, 99, 99, False)))
+        self.assertEqual((cluster.nodes["b"].term, cluster.nodes["a"].role), (term, Role.LEADER))
 
-    def test_disk_failed(self):
+    def test_node_stops_after_disk_failure(self):
         cluster = Cluster()
-        cluster.lead()
-        effects = cluster.tell("b", DiskFailed("full"))
-        self.assertEqual(of(effects, SteppedDown), [SteppedDown("disk: full")])
+        cluster.elect()
+        effects = cluster.handle("b", DiskFailed("full"))
+        self.assertEqual(effects_of(effects, SteppedDown), [SteppedDown("disk: full")])
         for message in (
             VoteRequest(99, 0, 0, False, 99, 99, True),
             AppendRequest(99, 0, 0, 0, (), 0, 1),
         ):
             self.assertEqual(
-                cluster.all["b"].handle(cluster.now + 9_000, MessageReceived("a", message)), []
+                cluster.nodes["b"].handle(cluster.now + 9_000, MessageReceived("a", message)), []
             )
 
-    def test_stood_still(self):
+    def test_leader_that_stalled_beyond_its_lease_steps_down(self):
         cluster = Cluster()
-        cluster.lead()
+        cluster.elect()
         cluster.now += SETTINGS.lease_duration + 1
-        effects = cluster.tell("a", ReadRequested("r"))
+        effects = cluster.handle("a", ReadRequested("r"))
         self.assertEqual(type(effects[0]), SteppedDown)
-        self.assertEqual((of(effects, ReadReady), len(of(effects, RequestRejected))), ([], 1))
+        self.assertEqual(
+            (effects_of(effects, ReadReady), len(effects_of(effects, RequestRejected))), ([], 1)
+        )
 
     def test_leader_without_majority_steps_down(self):
         cluster = Cluster()
-        cluster.lead()
-        cluster.gone = {"b", "c"}
+        cluster.elect()
+        cluster.unreachable = {"b", "c"}
         cluster.propose("a", 1)
-        cluster.pass_time(LEAST + 1_000)
-        self.assertNotEqual(cluster.all["a"].role, Role.LEADER)
+        cluster.advance_time(MIN_ELECTION_TIMEOUT + 1_000)
+        self.assertNotEqual(cluster.nodes["a"].role, Role.LEADER)
         self.assertTrue(
-            any(one.reason.startswith("unknown") for one in of(cluster.told, RequestRejected))
+            any(
+                rejection.reason.startswith("unknown")
+                for rejection in effects_of(cluster.all_effects, RequestRejected)
+            )
         )
 
-    def test_bounded(self):
+    def test_pending_commands_and_command_size_are_limited(self):
         cluster = Cluster()
-        cluster.lead()
-        cluster.gone = {"b", "c"}
-        refused = [
-            one
+        cluster.elect()
+        cluster.unreachable = {"b", "c"}
+        rejections = [
+            rejection
             for number in range(1, 9)
-            for one in of(cluster.propose("a", number), RequestRejected)
+            for rejection in effects_of(cluster.propose("a", number), RequestRejected)
         ]
-        self.assertEqual(len(refused), 8 - SETTINGS.max_pending_requests)
-        self.assertGreater(refused[0].retry_after, 0)
+        self.assertEqual(len(rejections), 8 - SETTINGS.max_pending_requests)
+        self.assertGreater(rejections[0].retry_after, 0)
         self.assertIsNone(
-            of(cluster.propose("a", 9, part="x", much="x" * 70_000), RequestRejected)[0].retry_after
+            effects_of(cluster.propose("a", 9, part="x", much="x" * 70_000), RequestRejected)[
+                0
+            ].retry_after
         )
 
-    def test_learner_by_snapshot_then_voter_and_transfer(self):
-        cluster = Cluster(more="d")
-        leader = cluster.lead()
+    def test_learner_catches_up_by_snapshot_is_promoted_and_becomes_leader(self):
+        cluster = Cluster(joining="d")
+        leader = cluster.elect()
         for number in range(1, 30):
             cluster.propose("a", number)
         self.assertGreater(leader.log.base_index, 0)
         self.assertIn(
             "no learner",
-            of(cluster.propose("a", 30, part="keepers", do="promote", name="d"), RequestRejected)[
-                0
-            ].reason,
+            effects_of(
+                cluster.propose("a", 30, part="keepers", do="promote", name="d"), RequestRejected
+            )[0].reason,
         )
         cluster.propose("a", 31, part="keepers", do="add", name="d", life=7)
-        self.assertEqual(cluster.all["d"].role, Role.LEARNER)
-        cluster.pass_time(600)
-        self.assertEqual(cluster.all["d"].machine.order, leader.machine.order)
+        self.assertEqual(cluster.nodes["d"].role, Role.LEARNER)
+        cluster.advance_time(600)
+        self.assertEqual(cluster.nodes["d"].machine.order, leader.machine.order)
         cluster.propose("a", 32, part="keepers", do="promote", name="d")
         self.assertEqual(leader.log.members, Members({"a": 0, "b": 0, "c": 0, "d": 7}, {}))
         cluster.propose("a", 33, part="keepers", do="transfer", name="d")
-        self.assertEqual((cluster.all["d"].role, leader.leader), (Role.LEADER, "d"))
+        self.assertEqual((cluster.nodes["d"].role, leader.leader), (Role.LEADER, "d"))
         cluster.propose("d", 34, part="keepers", do="remove", name="d")
-        self.assertNotEqual(cluster.all["d"].role, Role.LEADER)
+        self.assertNotEqual(cluster.nodes["d"].role, Role.LEADER)
 
-    def test_agreed_time_goes_on_across_leaders(self):
+    def test_agreed_time_does_not_decrease_across_leaders(self):
         cluster = Cluster()
-        cluster.lead()
-        cluster.pass_time(5_000)
+        cluster.elect()
+        cluster.advance_time(5_000)
         cluster.propose("a", 1)
-        before = cluster.all["a"].log.last_at
-        self.assertGreaterEqual(before, 5_000)
-        cluster.gone = {"a"}
-        cluster.lead("b")
+        agreed_time = cluster.nodes["a"].log.last_at
+        self.assertGreaterEqual(agreed_time, 5_000)
+        cluster.unreachable = {"a"}
+        cluster.elect("b")
         cluster.propose("b", 2)
-        self.assertGreaterEqual(cluster.all["b"].log.last_at, before)
+        self.assertGreaterEqual(cluster.nodes["b"].log.last_at, agreed_time)
 
-    def test_messages_as_bytes(self):
+    def test_message_encoding_round_trip_and_malformed_bytes(self):
         message = AppendRequest(3, 0, 1, 1, (Entry(2, 3, 4, "o", 1, 1, {"part": "x"}),), 1, 9)
         self.assertEqual(decode_message(encode_message(message)), message)
-        for bad in (b"", b"\x92\x63\x90", b"\x92\x00\x91\xa1x", os.urandom(40)):
+        for malformed in (b"", b"\x92\x63\x90", b"\x92\x00\x91\xa1x", os.urandom(40)):
             with self.assertRaises(MessageDecodeError):
-                decode_message(bad)
+                decode_message(malformed)
 
 
 if __name__ == "__main__":
--- a/tests/unit/raft/test_storage.py
+++ b/tests/unit/raft/test_storage.py
@@ -1,4 +1,4 @@
-"""The storage: what comes back after a start, torn tails, damage, full disks, old copies."""
+"""Storage: recovery, incomplete last records, damage, full disks and restored backups."""
 
 import errno
 import itertools
@@ -15,67 +15,91 @@
 from thymeknot.raft.records import Entry, Members, Recovered, Snapshot, TruncationRecord, VoteRecord
 from thymeknot.raft.storage import RaftStorage
 
-EDGES = (-1, 0, 1, 1 << 62, (1 << 64) - 1, 1.5, True, None, "x", "", "../x", b"x", [], {}, [1])
+EDGE_VALUES = (
+    -1,
+    0,
+    1,
+    1 << 62,
+    (1 << 64) - 1,
+    1.5,
+    True,
+    None,
+    "x",
+    "",
+    "../x",
+    b"x",
+    [],
+    {},
+    [1],
+)
 
 
 class FaultyFileSystem(FileSystem):
-    """full: writes fail once so many bytes were written. short: a write takes so many at most."""
+    """Injects write errors.
 
-    def __init__(self, full=None, short=None):
-        self.full, self.short, self.written = full, short, 0
+    Args:
+        capacity: Number of bytes after which writes fail; None for no limit.
+        max_write_bytes: Largest number of bytes that one call writes; None for no limit.
+    """
+
+    def __init__(self, capacity=None, max_write_bytes=None):
+        self.capacity, self.max_write_bytes, self.written_bytes = capacity, max_write_bytes, 0
 
     def write(self, file, content):
-        if self.full is not None and self.written + len(content) > self.full:
+        if self.capacity is not None and self.written_bytes + len(content) > self.capacity:
             raise OSError(errno.ENOSPC, "no space left on device")
-        self.written += len(content)
-        return os.write(file, content[: self.short])
+        self.written_bytes += len(content)
+        return os.write(file, content[: self.max_write_bytes])
 
 
 class StorageTests(unittest.TestCase):
     def setUp(self):
-        self.place = tempfile.TemporaryDirectory()
-        self.addCleanup(self.place.cleanup)
-        self.folder, self.second = self.place.name + "/log", self.place.name + "/second/lineage"
-        self.incarnations = 10
+        self.directory = tempfile.TemporaryDirectory()
+        self.addCleanup(self.directory.cleanup)
+        self.folder, self.lineage_path = (
+            self.directory.name + "/log",
+            self.directory.name + "/second/lineage",
+        )
+        self.last_incarnation = 10
 
-    def fresh(self):
-        self.incarnations += 1
-        return self.incarnations
+    def new_incarnation(self):
+        self.last_incarnation += 1
+        return self.last_incarnation
 
-    def open(self, found=False, **more):
-        store = RaftStorage(self.folder, self.second, self.fresh, **more)
-        opened = store.open(found)
-        self.addCleanup(store.close)
-        return store, opened
+    def open_storage(self, bootstrap=False, **options):
+        storage = RaftStorage(self.folder, self.lineage_path, self.new_incarnation, **options)
+        opened = storage.open(bootstrap)
+        self.addCleanup(storage.close)
+        return storage, opened
 
     def entries(self, *indices, term=1):
         return [
             Entry(index, term, index, "o", 1, index, {"part": "x", "n": index}) for index in indices
         ]
 
-    def segment(self):
+    def segment_path(self):
         return next(
             f"{self.folder}/{name}" for name in os.listdir(self.folder) if name.endswith(".seg")
         )
 
-    def lay(self, name, content):
-        """Has the directory hold this file alone."""
+    def replace_content(self, name, content):
+        """Replaces the content of the directory with this one file."""
         shutil.rmtree(self.folder)
         os.mkdir(self.folder)
         with open(f"{self.folder}/{name}", "wb") as file:
             file.write(content)
 
-    def filled(self):
-        store, _ = self.open(True)
-        self.assertIsNone(store.persist([VoteRecord(1, "a"), *self.entries(1, 2, 3)]))
-        self.assertIsNone(store.persist([TruncationRecord(3), *self.entries(3, 4, term=2)]))
-        return store
+    def filled_storage(self):
+        storage, _ = self.open_storage(True)
+        self.assertIsNone(storage.persist([VoteRecord(1, "a"), *self.entries(1, 2, 3)]))
+        self.assertIsNone(storage.persist([TruncationRecord(3), *self.entries(3, 4, term=2)]))
+        return storage
 
-    def test_comes_back(self):
-        store = self.filled()
+    def test_recovers_records_at_each_start(self):
+        storage = self.filled_storage()
         for _ in range(2):
-            store.close()
-            store, opened = self.open()
+            storage.close()
+            storage, opened = self.open_storage()
             self.assertEqual(
                 opened,
                 (
@@ -84,57 +108,60 @@
                 ),
             )
 
-    def test_snapshot(self):
-        store = self.filled()
+    def test_snapshot_keeps_only_later_entries(self):
+        storage = self.filled_storage()
         snapshot = Snapshot(3, 2, 3, Members({"a": 0}, {}), b"x" * 3_000_000)
-        self.assertIsNone(store.persist([snapshot, *self.entries(5, term=2)]))
-        store.close()
-        _, opened = self.open()
+        self.assertIsNone(storage.persist([snapshot, *self.entries(5, term=2)]))
+        storage.close()
+        _, opened = self.open_storage()
         self.assertEqual(opened.recovered.snapshot.content, snapshot.content)
-        self.assertEqual([one.log_index for one in opened.recovered.entries], [4, 5])
+        self.assertEqual([entry.log_index for entry in opened.recovered.entries], [4, 5])
         self.assertEqual(len(os.listdir(self.folder)), 2)
 
-    def test_torn_tail_is_cut_and_said(self):
-        self.filled().close()
+    def test_incomplete_last_record_is_discarded_with_a_warning(self):
+        self.filled_storage().close()
         for tail in (b"\0\0\0\x30abcd", bytes(500)):
-            with open(self.segment(), "ab") as file:
+            with open(self.segment_path(), "ab") as file:
                 file.write(tail)
-            store, opened = self.open()
-            store.close()
+            storage, opened = self.open_storage()
+            storage.close()
             self.assertIn("incomplete last record", opened.warnings[0])
             self.assertEqual(len(opened.recovered.entries), 4)
 
-    def test_damage_in_the_middle_is_refused(self):
-        self.filled().close()
-        path = self.segment()
+    def test_damage_before_valid_records_is_rejected(self):
+        self.filled_storage().close()
+        path = self.segment_path()
         with open(path, "r+b") as file:
             file.seek(40)
             byte = file.read(1)
             file.seek(40)
             file.write(bytes([byte[0] ^ 1]))
         with self.assertRaisesRegex(DamagedStorageError, "damage at byte"):
-            self.open()
-
-    def test_a_record_of_no_kind_is_damage(self):
-        """A record names its kind by its place in a table. A kind below 0 counted from the table's end, so that -1 was
-        read as a snapshot and -4 as an entry; any other number is damage, and so is a segment's name without one."""
-        self.filled().close()
-        with open(self.segment(), "rb") as file:
-            whole = file.read()
+            self.open_storage()
+
+    def test_unknown_record_kind_is_damage(self):
+        """Kinds outside the table are damage, and so is a segment whose file name has no number.
+
+        A kind is the index of the record type in a table. Negative kinds used to index from the end
+        of the table, so that -1 was read as a snapshot and -4 as an entry.
+        """
+        self.filled_storage().close()
+        with open(self.segment_path(), "rb") as file:
+            valid_content = file.read()
         for kind in (-1, -4, -5, 5, 1 << 62):
             body = msgspec.msgpack.encode((kind, self.entries(5, term=2)[0]))
-            self.lay("000000000001.seg", whole + frame(body))
+            self.replace_content("000000000001.seg", valid_content + frame(body))
             with self.subTest(kind), self.assertRaises(DamagedStorageError):
-                self.open()
-        self.lay("x.seg", whole)
+                self.open_storage()
+        self.replace_content("x.seg", valid_content)
         with self.assertRaises(DamagedStorageError):
-            self.open()
+            self.open_storage()
 
-    def test_each_field_of_a_record_at_its_edges_and_of_a_wrong_type(self):
-        """Whatever a whole record holds, a start reads it or says that the directory is damaged."""
-        self.filled().close()
-        with open(self.segment(), "rb") as file:
-            whole = file.read()
+    def test_edge_values_and_wrong_types_in_each_record_field(self):
+        """Opening either accepts a record with a valid checksum or raises DamagedStorageError."""
+        self.filled_storage().close()
+        with open(self.segment_path(), "rb") as file:
+            valid_content = file.read()
         records = [
             (4, [5, 11]),
             (0, [*self.entries(5, term=2)[0]]),
@@ -143,53 +170,58 @@
             (3, ["000000000009.snap", True]),
         ]
         for kind, fields in records:
-            for at, value in itertools.product(range(len(fields)), EDGES):
-                changed = [*fields[:at], value, *fields[at + 1 :]]
-                added = frame(msgspec.msgpack.encode((kind, changed)))
-                self.lay("000000000001.seg", added if kind == 4 else whole + added)
-                store = RaftStorage(self.folder, self.second, self.fresh)
-                with self.subTest(kind=kind, at=at, value=value):
+            for position, value in itertools.product(range(len(fields)), EDGE_VALUES):
+                changed = [*fields[:position], value, *fields[position + 1 :]]
+                changed_frame = frame(msgspec.msgpack.encode((kind, changed)))
+                self.replace_content(
+                    "000000000001.seg",
+                    changed_frame if kind == 4 else valid_content + changed_frame,
+                )
+                storage = RaftStorage(self.folder, self.lineage_path, self.new_incarnation)
+                with self.subTest(kind=kind, position=position, value=value):
                     try:
-                        store.open()
+                        storage.open()
                     except DamagedStorageError:
                         pass
                     finally:
-                        store.close()
-
-    def test_full_disk_is_a_value_and_stays(self):
-        files = FaultyFileSystem(short=7)
-        store, _ = self.open(True, files=files)
-        self.assertIsNone(store.persist(self.entries(1)))
-        files.full = files.written + 10
-        self.assertIn("no space", store.persist(self.entries(2)).reason)
-        files.full = None
-        self.assertIn("no space", store.persist(self.entries(3)).reason)
-        store.close()
-        small, opened = self.open(max_bytes=1_000)
-        self.assertEqual([one.log_index for one in opened.recovered.entries], [1])
-        self.assertIn("exceed its limit", small.persist(self.entries(*range(2, 90))).reason)
-
-    def test_old_copy_or_lost_disk_comes_back_under_another_incarnation(self):
-        store = self.filled()
-        with open(self.segment(), "rb") as file:
-            old = file.read()
-        store.persist([VoteRecord(7, "b")])
-        store.close()
-        path = self.segment()
+                        storage.close()
+
+    def test_write_failure_is_returned_and_permanent(self):
+        files = FaultyFileSystem(max_write_bytes=7)
+        storage, _ = self.open_storage(True, files=files)
+        self.assertIsNone(storage.persist(self.entries(1)))
+        files.capacity = files.written_bytes + 10
+        self.assertIn("no space", storage.persist(self.entries(2)).reason)
+        files.capacity = None
+        self.assertIn("no space", storage.persist(self.entries(3)).reason)
+        storage.close()
+        limited_storage, opened = self.open_storage(max_bytes=1_000)
+        self.assertEqual([entry.log_index for entry in opened.recovered.entries], [1])
+        self.assertIn(
+            "exceed its limit", limited_storage.persist(self.entries(*range(2, 90))).reason
+        )
+
+    def test_old_copy_or_lost_disk_gets_a_new_incarnation(self):
+        storage = self.filled_storage()
+        with open(self.segment_path(), "rb") as file:
+            old_content = file.read()
+        storage.persist([VoteRecord(7, "b")])
+        storage.close()
+        path = self.segment_path()
         with open(path, "wb") as file:
-            file.write(old)
-        store, opened = self.open()
+            file.write(old_content)
+        storage, opened = self.open_storage()
         self.assertEqual((opened.recovered.disk_incarnation, opened.recovered.entries), (11, ()))
         self.assertIn("new incarnation", opened.warnings[0])
-        store.close()
+        storage.close()
         os.rename(self.folder, self.folder + ".away")
-        store, opened = self.open()
+        storage, opened = self.open_storage()
         self.assertEqual(opened.recovered.disk_incarnation, 12)
-        store.close()
-        os.unlink(self.second)
+        storage.close()
+        os.unlink(self.lineage_path)
         with self.assertRaisesRegex(DamagedStorageError, "used before"):
-            self.open(True)
-        self.assertEqual(self.open()[1].recovered.disk_incarnation, 13)
+            self.open_storage(True)
+        self.assertEqual(self.open_storage()[1].recovered.disk_incarnation, 13)
 
 
 if __name__ == "__main__":
