--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -159,7 +159,7 @@
     ].listed._replace(zone="a")
     case.balancer.requests.retry_budget.tokens = 2.0
     del case.balancer.context.endpoints[where]
-    case.balancer.selection.sort_by_build()
+    case.balancer.selection.group_by_build()
     case.end(name, Outcome.ERROR, where)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.OUTSIDE, R.NO_POD, R.POSITION)
 
@@ -176,8 +176,8 @@
 
 def pressed_by(balancer):
     """Answers of now that took a hundred times their goal."""
-    balancer.admission.responses.add(balancer.context.now)
-    balancer.admission.times.add(balancer.context.now, 100.0)
+    balancer.admission.response_counts.add(balancer.context.now)
+    balancer.admission.relative_latencies.add(balancer.context.now, 100.0)
 
 
 def by_lot(case, name):
--- a/tests/support/decisions.py
+++ b/tests/support/decisions.py
@@ -126,8 +126,8 @@
 
 def pressed(made, times, count=40):
     """Its answers of now took so many times their goal."""
-    made.admission.responses.add(made.context.now, count)
-    made.admission.times.add(made.context.now, count * times)
+    made.admission.response_counts.add(made.context.now, count)
+    made.admission.relative_latencies.add(made.context.now, count * times)
 
 
 def taken(name="t1", lane="read", key=None, left=3 * TICKS_PER_SECOND):
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -653,7 +653,7 @@
             "clients": len(proxy.clients),
             "transactions": len(proxy.transactions),
             "ids": len(proxy.requests.by_id),
-            "waiting": len(proxy.pools.unwritten()),
+            "waiting": len(proxy.pools.unwritten_attempts()),
             "dialling": proxy.pools.dialling,
             "connections": len(proxy.pools.connections),
             "open to decide": len(proxy.engine.requests.open),
@@ -677,10 +677,10 @@
         }
         live = [
             call.__qualname__
-            for call, _ in proxy.timers.live.values()
+            for call, _ in proxy.timers.pending.values()
             if call.__qualname__ not in standing
         ]
-        periodic = [call.__name__ for call, _ in proxy.timers.live.values()]
+        periodic = [call.__name__ for call, _ in proxy.timers.pending.values()]
         if (
             live
             or periodic.count("tell") != 1
--- a/tests/unit/policy/test_concurrency_limit.py
+++ b/tests/unit/policy/test_concurrency_limit.py
@@ -11,7 +11,7 @@
         made = balancer()
         made.context.first_traffic_at = NOW - TICKS_PER_SECOND // 2
         self.assertGreater(
-            made.admission.limit(
+            made.admission.concurrency_limit(
                 NOW,
                 made.context.settings.request_classes["read"],
                 NOW - made.context.first_traffic_at,
@@ -22,10 +22,10 @@
     def test_beyond_the_limit_the_cheapest_lane_is_deferred_first(self):
         made = balancer()
         for lane in ("read", "pay"):
-            made.admission.answered(NOW, LANES[lane], 100)
+            made.admission.record_latency(NOW, LANES[lane], 100)
         self.assertLess(
             *(
-                made.admission.limit(NOW, LANES[lane], 5 * TICKS_PER_SECOND)
+                made.admission.concurrency_limit(NOW, LANES[lane], 5 * TICKS_PER_SECOND)
                 for lane in ("read", "pay")
             )
         )
--- a/tests/unit/policy/test_five_rules.py
+++ b/tests/unit/policy/test_five_rules.py
@@ -109,16 +109,16 @@
 
     def test_a_failed_list_changes_nothing_and_is_asked_for_again(self):
         made = balancer(pod("a"), lists_polled=True)
-        made.selection.poll_at = NOW + 9 * TICKS_PER_SECOND
+        made.selection.next_poll_at = NOW + 9 * TICKS_PER_SECOND
         made.handle(NOW, [EndpointUpdate(UpdateKind.FETCH_FAILED, ())])
         self.assertEqual(sent(made.handle(NOW, [taken()])), ["a"])
-        self.assertLessEqual(made.selection.poll_at, NOW + 2 * TICKS_PER_SECOND)
+        self.assertLessEqual(made.selection.next_poll_at, NOW + 2 * TICKS_PER_SECOND)
 
 
 class AColdPodIsNotPushedOver(unittest.TestCase):
     def room(self, age, already, rate=8.0):
         made = balancer(pod("cold", started=NOW - age), overload_factor=2.0)
-        made.slow_start.warm_rate, known = rate, made.context.endpoints["cold"]
+        made.slow_start.warm_request_rate, known = rate, made.context.endpoints["cold"]
         known.recent_attempts.add(NOW, already)
         return made.slow_start.has_room(known, known.warmup_fraction(NOW, made.context.settings))
 
@@ -134,7 +134,7 @@
         going = 0
         for seed in range(400):
             made = balancer(pod("cold", started=NOW), instances=400)
-            made.context.chance.state, made.slow_start.warm_rate = seed << 40, 8.0 / 400
+            made.context.chance.state, made.slow_start.warm_request_rate = seed << 40, 8.0 / 400
             going += made.slow_start.has_room(made.context.endpoints["cold"], 0.25)
         self.assertTrue(0 < going < 2.0 * 0.25 * 8.0 * 3)
 
--- a/tests/unit/policy/test_global_slowdown.py
+++ b/tests/unit/policy/test_global_slowdown.py
@@ -115,7 +115,7 @@
                 BeforeOffer(USUAL, 50.0, usually_deferred),
                 0.3,
             )
-            made.admission.answers.add(NOW - TICKS_PER_SECOND, 2)
+            made.admission.target_latencies.add(NOW - TICKS_PER_SECOND, 2)
             made.handle(NOW, [taken(str(n)) for n in range(60)])
             self.assertEqual(made.slowdown.since is not None, told)
 
--- a/tests/unit/policy/test_large_fleets.py
+++ b/tests/unit/policy/test_large_fleets.py
@@ -26,7 +26,7 @@
 )
 from thymeknot.interface.events import EndpointUpdate, FleetCounts, TimerFired
 from thymeknot.policy.context import UPKEEP_LONGEST
-from thymeknot.policy.endpoint_selection import SUBSET_LEAST
+from thymeknot.policy.endpoint_selection import MIN_SUBSET_SIZE
 
 OLD = [pod(f"old-{n}") for n in range(40)]
 
@@ -43,16 +43,16 @@
     def test_a_quiet_instance_uses_few_and_exchanges_one(self):
         made = balancer(*OLD)
         before = {known.listed.address for known in made.context.subsets[True]}
-        made.selection.exchange_at = made.context.now = NOW
+        made.selection.next_exchange_at = made.context.now = NOW
         made.upkeep()
         after = {known.listed.address for known in made.context.subsets[True]}
-        self.assertEqual((len(before), len(after)), (SUBSET_LEAST, SUBSET_LEAST))
-        self.assertGreaterEqual(len(before & after), SUBSET_LEAST - 1)
+        self.assertEqual((len(before), len(after)), (MIN_SUBSET_SIZE, MIN_SUBSET_SIZE))
+        self.assertGreaterEqual(len(before & after), MIN_SUBSET_SIZE - 1)
 
     def test_an_instance_that_finds_pods_unreachable_uses_fewer(self):
         made = balancer(*OLD)
         made.context.arrivals.add(NOW, 30)
-        for made.selection.connection_loss, used in ((0.0, 30), (0.5, SUBSET_LEAST)):
+        for made.selection.connection_loss_rate, used in ((0.0, 30), (0.5, MIN_SUBSET_SIZE)):
             made.selection.draw_subset(True)
             self.assertEqual(len(made.context.subsets[True]), used)
 
@@ -153,7 +153,7 @@
 class SlownessOfAll(unittest.TestCase):
     """Of a crowd each sees three transactions a second: the platform's counts are the same for all."""
 
-    def told(self, made, mean, failed=0, many=80, trial=20):
+    def record_period(self, made, mean, failed=0, many=80, trial=20):
         made.context.now += 2 * TICKS_PER_SECOND
         rows = [
             FleetCounts(1, "read", many - trial, failed, mean, 5_000),
@@ -168,7 +168,7 @@
             *OLD, *[pod(f"new-{n}", 2) for n in range(40)], instances=216, votes_to_revert=54
         )
         for _ in range(4):
-            self.told(made, 2_200, 2, trial=0)
+            self.record_period(made, 2_200, 2, trial=0)
         made.handle(made.context.now, [news(phase=ReleasePhase.ON_TRIAL)])
         if phase == ReleasePhase.RELEASED:
             made.handle(made.context.now, [news(4, phase, 1.0)])
@@ -181,9 +181,9 @@
             (ReleasePhase.RELEASED, Verdict.ABSTAIN),
         ):
             made = self.fleet(phase)
-            self.assertEqual(self.told(made, 3_600, 6), waits, phase)
+            self.assertEqual(self.record_period(made, 3_600, 6), waits, phase)
             self.assertIsNotNone(made.slowdown.since)
-            votes = [self.told(made, 4_400, 8) for _ in range(3)]
+            votes = [self.record_period(made, 4_400, 8) for _ in range(3)]
             self.assertEqual(votes[-1], Verdict.ABORT, phase)
 
     def test_what_else_makes_all_slower_does_not_send_a_build_back(self):
@@ -193,22 +193,24 @@
             ("failures of a tenth", 2_200, 8, 80),
         ):
             made = self.fleet()
-            votes = {self.told(made, mean, failed, many) for _ in range(5)}
+            votes = {self.record_period(made, mean, failed, many) for _ in range(5)}
             self.assertNotIn(Verdict.ABORT, votes, name)
 
     def test_a_released_build_is_not_sent_back_for_the_machines_that_have_left(self):
         made = self.fleet(ReleasePhase.RELEASED)
-        self.assertNotIn(Verdict.ABORT, [self.told(made, 3_050, 4, 80, 80) for _ in range(6)])
+        self.assertNotIn(
+            Verdict.ABORT, [self.record_period(made, 3_050, 4, 80, 80) for _ in range(6)]
+        )
 
     def test_slowness_that_passes_leaves_no_trace(self):
         made = self.fleet()
-        self.told(made, 4_400, 8)
+        self.record_period(made, 4_400, 8)
         made.slow_start.capacity, made.split.fraction, before = {True: 40.0, False: 40.0}, 0.3, 0.3
         made.raise_split()
         self.assertEqual(
             made.split.fraction, before
         )  # what slows all in step with the trial's traffic gets no more of it
-        self.assertNotIn(Verdict.ABORT, [self.told(made, 2_300) for _ in range(4)])
+        self.assertNotIn(Verdict.ABORT, [self.record_period(made, 2_300) for _ in range(4)])
         self.assertIsNone(made.slowdown.since)
         made.raise_split()
         self.assertGreater(made.split.fraction, before)
@@ -234,7 +236,7 @@
             40,
         )
         for until in range(NOW - 8 * TICKS_PER_SECOND, counted + 1, 2 * TICKS_PER_SECOND):
-            made.fleet.usual.told(until)
+            made.fleet.usual.record_period(until)
         made.context.now = NOW + TERMS.warmup_duration + TICKS_PER_SECOND
         return made.voting.verdict()
 
@@ -271,7 +273,7 @@
     def test_a_period_that_was_missed_makes_the_others_no_longer(self):
         made = balancer()
         for until, period in ((2, 0), (4, 2), (8, 2), (8, 2), (10, 2)):
-            made.fleet.usual.told(until * TICKS_PER_SECOND)
+            made.fleet.usual.record_period(until * TICKS_PER_SECOND)
             self.assertEqual(made.fleet.usual.period, period * TICKS_PER_SECOND)
 
     def test_a_stage_beyond_the_waves_counts_as_the_last(self):
@@ -291,7 +293,7 @@
             (2, 0.24, 0.28),
         ):  # of 40 and nine, that is 0.18
             made = balancer(*OLD, *warm, *cold, told=news(cap=1.0), instances=balancers)
-            made.slow_start.measure()
+            made.slow_start.update_capacity()
             made.split.raised_at = NOW - 9 * TICKS_PER_SECOND
             made.raise_split()
             self.assertTrue(least <= made.split.fraction <= most, (balancers, made.split.fraction))
@@ -344,7 +346,7 @@
         made.handle(
             NOW, [news(phase=ReleasePhase.RELEASED, cap=1.0)]
         )  # the earlier build is counted no more
-        made.selection.connection_loss = 0.99
+        made.selection.connection_loss_rate = 0.99
         made.handle(NOW, [FleetCounts(2, "read", 40, 40, 1_000, 0)])
         made.fleet.weigh()
         self.assertGreater(made.sequential_test.sums["failed"], 0)
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -35,9 +35,9 @@
     """outcomes: (how long ago, outcome, latency, how many)."""
     for ago, outcome, latency, count in outcomes:
         for _ in range(count):
-            made.ended(NOW - ago, READ, ended(outcome=outcome, latency=latency), 1.0)
+            made.record_outcome(NOW - ago, READ, ended(outcome=outcome, latency=latency), 1.0)
             if outcome == Outcome.DONE:
-                made.answered(NOW - ago, READ, latency)
+                made.record_latency(NOW - ago, READ, latency)
     return made
 
 
@@ -140,11 +140,11 @@
         )
         held = [Open(0)] * 20
         self.assertEqual(
-            few.limit(NOW, READ, 20 * TICKS_PER_SECOND),
+            few.concurrency_limit(NOW, READ, 20 * TICKS_PER_SECOND),
             few.rejection(NOW, READ, held, 20 * TICKS_PER_SECOND, recent=10, draw=None)[2],
         )
         self.assertLess(
-            many.limit(NOW, READ, 20 * TICKS_PER_SECOND),
+            many.concurrency_limit(NOW, READ, 20 * TICKS_PER_SECOND),
             many.rejection(NOW, READ, held, 20 * TICKS_PER_SECOND, recent=10, draw=None)[2],
         )
 
--- a/tests/unit/policy/test_request_windows.py
+++ b/tests/unit/policy/test_request_windows.py
@@ -6,7 +6,7 @@
 from tests.support.decisions import NOW, balancer, news, taken
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state import sliding_window
-from thymeknot.state.sliding_window import SlidingWindow, window_of
+from thymeknot.state.sliding_window import SlidingWindow, get_or_create_window
 from thymeknot.state.trial_exposure import TrialExposure
 
 
@@ -15,14 +15,14 @@
         ring = SlidingWindow(TICKS_PER_SECOND, 10)
         ring.add(NOW, 3)
         self.assertEqual(ring.total(NOW + TICKS_PER_SECOND), 3)
-        self.assertEqual(ring.total(NOW + TICKS_PER_SECOND, full_only=True), 0)
+        self.assertEqual(ring.total(NOW + TICKS_PER_SECOND, exclude_oldest=True), 0)
         self.assertEqual(ring.total(NOW + 2 * TICKS_PER_SECOND), 0)
 
     def test_rings_are_made_once_for_each_key_and_not_with_every_transaction(self):
         with mock.patch.object(sliding_window, "SlidingWindow", wraps=SlidingWindow) as made:
             rings = {}
             kept = [
-                window_of(rings, key, TICKS_PER_SECOND, 10)
+                get_or_create_window(rings, key, TICKS_PER_SECOND, 10)
                 for key in ("read", "buy", "read", False, False)
             ]
         self.assertEqual((made.call_count, len(rings)), (3, 3))
@@ -34,8 +34,8 @@
 
         def one(name):
             made.handle(NOW, [taken(name)])
-            exposure.took(NOW, "read")
-            exposure.wrote(NOW, told, told.build, "read")
+            exposure.count_received(NOW, "read")
+            exposure.count_written(NOW, told, told.build, "read")
             exposure.allows(NOW, told, told.build, "read")
 
         one("first")
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -191,7 +191,7 @@
             for port in (2, 3):
                 self.connected(port, SIGN[port], b"noise\n")
                 self.until_asked(port, 9)
-        live = self.network.proxy.timers.live.values()
+        live = self.network.proxy.timers.pending.values()
         self.assertLessEqual(
             len([call for call, _ in live if call.__name__ in ("_look", "_watch")]), 2
         )
@@ -766,7 +766,7 @@
         places = self.last(3), self.last(2)
         call.dataReceived(self.sized(self.NEWS))
         self.pass_on(0.3)
-        live = self.network.proxy.timers.live.values()
+        live = self.network.proxy.timers.pending.values()
         self.assertEqual(
             [due for due, _ in live if getattr(due, "__self__", None) in (call, stream)], []
         )
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -117,9 +117,9 @@
         connection = network.connect()
         connection.resumeProducing()
         pass_on(network, 0.2)
-        network.proxy.engine.pins.clear()
+        network.proxy.engine.pinned_keys.clear()
         connection.dataReceived(ANSWER + ANSWER)
-        self.assertEqual(network.proxy.engine.pins, {"key"})
+        self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
         self.assertTrue(connection.transport.disconnected)
         self.assertEqual(client.transport.value().count(b"\r\n"), 1)
         connection.connectionLost(Failure(ConnectionLost()))
@@ -146,7 +146,7 @@
             if end == "more":
                 connection.dataReceived(ANSWER)
             elif end == "pod gone":
-                network.proxy.pools.retire("s-1")
+                network.proxy.pools.close_idle("s-1")
             else:
                 for _ in range(13):
                     pass_on(network, 1)
@@ -181,7 +181,7 @@
         client = network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
-        network.proxy.pools.ready = lambda _: 1 / 0
+        network.proxy.pools.response_received = lambda _: 1 / 0
         faults, network.proxy.pools.fault = [], lambda *fault: faults.append(fault)
         connection.dataReceived(ANSWER)
         self.assertEqual(
@@ -255,7 +255,7 @@
 
     def test_one_that_rests_is_retired_where_no_more_may_be_opened(self):
         network, connection, _ = self.answered()
-        network.proxy.pools.most = 1
+        network.proxy.pools.max_connections = 1
         network.ask("02")
         self.assertTrue(connection.transport.disconnecting)
         self.assertEqual(pods_dialled(network), [7001, 7001])
@@ -283,7 +283,7 @@
                 connection.resumeProducing()
             idle.dataReceived(ANSWER)
             clients.append(network.ask("03"))  # the idle one rests: it is dialled for
-            network.proxy.engine.pins.clear()  # else the key stays with the former build
+            network.proxy.engine.pinned_keys.clear()  # else the key stays with the former build
             network.list(entry("s-1", **change))
             self.assertTrue(idle.transport.disconnecting)
             self.assertEqual(network.connect(network.streams + 2).transport.value(), b"")
@@ -457,7 +457,7 @@
             self.assertEqual(ends, [("01", 0, Outcome.DONE if whole else Outcome.RESET)], at)
             self.assertRegex(client.transport.value(), rb"^\$1\r\nv\r\n$" if whole else b"^-ERR")
             self.assertEqual(
-                (network.proxy.engine.pins, len(network.proxy.transactions)), ({"key"}, 0)
+                (network.proxy.engine.pinned_keys, len(network.proxy.transactions)), ({"key"}, 0)
             )
             self.assertEqual((len(network.proxy.pools), network.faults), (0, []))
 
@@ -474,7 +474,7 @@
         known = proxy.engine.context.endpoints.values()
         self.assertEqual([one.in_flight for one in known], [0])
         self.assertEqual((len(proxy.engine.requests.open), len(proxy.transactions)), (0, 0))
-        self.assertEqual((len(proxy.pools), proxy.pools.unwritten()), (0, []))
+        self.assertEqual((len(proxy.pools), proxy.pools.unwritten_attempts()), (0, []))
 
 
 class Held(unittest.TestCase):
@@ -693,9 +693,9 @@
                 terms.exposure_window,
             ):  # ten at once, and a window later: its edge lies within their bucket
                 allowed = [
-                    exposure.took(at, "read")
+                    exposure.count_received(at, "read")
                     or exposure.allows(at, news, 42, "read")
-                    and not exposure.wrote(at, news, 42, "read")
+                    and not exposure.count_written(at, news, 42, "read")
                     for _ in range(10)
                 ]
             self.assertEqual(all(allowed), may, cap)
@@ -1050,7 +1050,7 @@
         self.network = Network(entry("s-1"), entry("s-2"))
         self.proxy, self.pools = self.network.proxy, self.network.proxy.pools
         self.clients, self.dials, self.connections, self.may_have_run, self.seen = {}, [], [], {}, 0
-        self.pools.most = 9
+        self.pools.max_connections = 9
 
     def dialled(self):
         """Takes up dials that are new, ends those that were stopped; gives those that are under way."""
@@ -1191,7 +1191,7 @@
         same((self.faults, self.network.faults), ([], []))
         same(self.pools.dialling, len(dials))
         same({id(one) for one in self.pools.connections}, {id(one) for one in self.connections})
-        live = self.proxy.timers.live
+        live = self.proxy.timers.pending
         for call, arguments in live.values():
             for one in (getattr(call, "__self__", None), *arguments):
                 self.test.assertFalse(
@@ -1236,7 +1236,11 @@
             self.turn()
             self.check()
         self.test.assertEqual(
-            (len(self.proxy.transactions), self.proxy.requests.by_id, self.pools.unwritten()),
+            (
+                len(self.proxy.transactions),
+                self.proxy.requests.by_id,
+                self.pools.unwritten_attempts(),
+            ),
             (0, {}, []),
         )
         for name, client in self.clients.items():
@@ -1244,7 +1248,7 @@
         self.test.assertEqual((len(self.pools), self.connections), (0, []))
         kept = [
             call
-            for call, arguments in self.proxy.timers.live.values()
+            for call, arguments in self.proxy.timers.pending.values()
             for one in (getattr(call, "__self__", None), *arguments)
             if type(one).__name__
             in ("Attempt", "InFlightRequest", "ConnectionPool", "PodConnection")
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -228,7 +228,7 @@
                 (client if end == "client" else connection).connectionLost(
                     Failure(ConnectionRefusedError())
                 )
-            self.assertEqual(network.proxy.engine.pins, {"key"})
+            self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
 
     def test_nothing_is_kept_of_a_connection_that_has_ended(self):
         network = Network(entry("s-1"))
@@ -238,7 +238,7 @@
         connection.dataReceived(b"*3\r\n$600000\r\n" + b"x" * 9000)
         self.assertTrue(connection.transport.disconnected)
         connection.connectionLost(Failure(ConnectionRefusedError()))
-        live = network.proxy.timers.live.values()
+        live = network.proxy.timers.pending.values()
         self.assertEqual([call for call, arguments in live if connection in arguments], [])
         self.assertEqual(connection.parser.chunks, [])
 
@@ -250,9 +250,9 @@
         network.reactor.advance(0.2)
         network.reactor.advance(0)
         self.assertTrue(connection.transport.ended)
-        network.proxy.engine.pins.clear()
+        network.proxy.engine.pinned_keys.clear()
         connection.dataReceived(ANSWER)
-        self.assertEqual(network.proxy.engine.pins, {"key"})
+        self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
 
     def test_so_does_one_in_part_or_spoilt_as_soon_as_it_comes(self):
         for answer in (ANSWER[:9], b"noise", b"*3\r\n$9\r\nv\r\n$-1\r\n$-1\r\n", b"*1\r\n$-1\r\n"):
@@ -263,7 +263,7 @@
             connection = network.connect()
             connection.resumeProducing()
             connection.dataReceived(answer)
-            self.assertEqual(network.proxy.engine.pins, {"key"})
+            self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
             self.assertEqual(connection.transport.disconnected, answer != ANSWER[:9])
 
 
@@ -311,7 +311,7 @@
     def test_without_descriptors_for_pods_it_defers(self):
         network = Network(entry("s-1"), sockets=64)
         clients = [network.ask(f"{at}") for at in range(20)]
-        self.assertEqual(len(network.dialled()), network.proxy.pools.most)
+        self.assertEqual(len(network.dialled()), network.proxy.pools.max_connections)
         self.assertRegex(clients[-1].transport.value(), b"^-BUSY")
 
     def test_who_says_nothing_or_half_a_command_is_answered_and_closed_in_time(self):
--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -155,7 +155,7 @@
         if self.before_offer is None:
             return 1.0
         tries, now = self.first_tries, self.context.now
-        span = (RECENT_BUCKETS * tries.width + now % tries.width) / TICKS_PER_SECOND
+        span = (RECENT_BUCKETS * tries.bucket_width + now % tries.bucket_width) / TICKS_PER_SECOND
         seen = tries.total(now, False, RECENT_BUCKETS) - CHANCE_TRIES
         return seen / (self.before_offer.rate * span + 1)
 
--- a/thymeknot/policy/endpoint_selection.py
+++ b/thymeknot/policy/endpoint_selection.py
@@ -13,7 +13,7 @@
 from .idempotency import drops_repeats
 from .slow_start import SlowStart
 
-SUBSET_LEAST = 6  # endpoints in use, however little traffic there is
+MIN_SUBSET_SIZE = 6  # endpoints in use, however little traffic there is
 LOOKED_AT_MOST = 24  # endpoints of a subset looked at for one attempt
 EXCHANGE_TIME = 4 * TICKS_PER_SECOND  # after which the dearest endpoint of a subset is exchanged
 EJECTION_SHORTEST = TICKS_PER_SECOND // 2  # after a connection failed; doubled with each more
@@ -47,9 +47,9 @@
     def __init__(self, context: DecisionContext, slow_start: SlowStart) -> None:
         self.context = context
         self.slow_start = slow_start
-        self.connection_loss = 0.0
-        self.exchange_at = context.now
-        self.poll_at = context.now
+        self.connection_loss_rate = 0.0
+        self.next_exchange_at = context.now
+        self.next_poll_at = context.now
         self._turn = 0
 
     def update(self, event: EndpointUpdate) -> None:
@@ -58,12 +58,12 @@
         if event.kind == UpdateKind.FETCH_FAILED:
             # The watch may have been dropped; a call that fails at once must not be stormed.
             wait = int((1 + context.chance.draw()) * TICKS_PER_SECOND)
-            self.poll_at = min(self.poll_at, context.now + wait)
+            self.next_poll_at = min(self.next_poll_at, context.now + wait)
             return
         context.endpoints = apply_update(context.endpoints, event, context.settings.overload_window)
-        self.sort_by_build()
+        self.group_by_build()
 
-    def sort_by_build(self) -> None:
+    def group_by_build(self) -> None:
         """Parts the ready endpoints by build, once a change: no attempt looks through them all."""
         context = self.context
         for known in context.by_build[True] + context.by_build[False]:
@@ -78,7 +78,7 @@
         context.zones = len({known.listed.zone for known in context.by_build[True]})
         self.draw_subset(True)
         self.draw_subset(False)
-        self.slow_start.measure()
+        self.slow_start.update_capacity()
 
     def suspect(self, event: SuspicionReported) -> None:
         """Takes in what peers saw: it delays a turn and proves nothing to any other rule."""
@@ -97,21 +97,23 @@
         """
         context = self.context
         # Where many refuse connections, fewer are used.
-        size = context.arrivals.total(context.now) * (1 - self.connection_loss) ** LOSS_EXPONENT
+        size = (
+            context.arrivals.total(context.now) * (1 - self.connection_loss_rate) ** LOSS_EXPONENT
+        )
         ranked = order_by_rank(context.by_build[newest], drop, context.chance)
-        context.subsets[newest] = ranked[: max(SUBSET_LEAST, int(size))]
+        context.subsets[newest] = ranked[: max(MIN_SUBSET_SIZE, int(size))]
 
     def upkeep(self) -> None:
         """Exchanges endpoints of the subsets and polls the endpoint list, when it is time."""
         context = self.context
-        if context.now >= self.exchange_at:
-            self.exchange_at = context.now + EXCHANGE_TIME
+        if context.now >= self.next_exchange_at:
+            self.next_exchange_at = context.now + EXCHANGE_TIME
             for newest in context.subsets:
                 dearest = sorted(context.subsets[newest], key=self.cost)[-1:]
                 self.draw_subset(newest, dearest)
             self._decay_stale()
-        if context.settings.lists_polled and context.now >= self.poll_at:
-            self.poll_at = context.now + context.settings.poll_within // 2
+        if context.settings.lists_polled and context.now >= self.next_poll_at:
+            self.next_poll_at = context.now + context.settings.poll_within // 2
             context.actions.append(SubscribeToEndpoints(True))
 
     def _decay_stale(self) -> None:
@@ -204,7 +206,7 @@
         known.failure_rate += FAILURE_GAIN * ((outcome != Outcome.DONE) - known.failure_rate)
         known.outcome_at = self.context.now
         lost = outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)
-        self.connection_loss += LOSS_GAIN * (lost - self.connection_loss)
+        self.connection_loss_rate += LOSS_GAIN * (lost - self.connection_loss_rate)
         if outcome == Outcome.CONNECT_FAILED:
             known.ejection_time = min(
                 EJECTION_LONGEST, max(EJECTION_SHORTEST, 2 * known.ejection_time)
--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -32,14 +32,14 @@
 from .global_slowdown import GlobalSlowdown
 from .load_shedding import LoadShedder
 from .release_lifecycle import ReleaseLifecycle
-from .request_lifecycle import PROOF, RequestLifecycle
+from .request_lifecycle import INPUT_BY_OUTCOME, RequestLifecycle
 from .sequential_test import SequentialTest
 from .slow_start import SlowStart
 from .traffic_split import TrafficSplit
 from .trial_evidence import TrialEvidence
 from .voting import VoteEvidence, Voting
 
-__all__ = ["PROOF", "DecisionEngine"]
+__all__ = ["INPUT_BY_OUTCOME", "DecisionEngine"]
 
 UPKEEP_TOKEN = 0  # of the timer for the upkeep; others are the hedging's
 
@@ -118,7 +118,7 @@
         return self.context.actions
 
     @property
-    def pins(self) -> set[str]:
+    def pinned_keys(self) -> set[str]:
         """The keys that stay with the newest build."""
         return self.split.pinned_keys
 
--- a/thymeknot/policy/exposure_budget.py
+++ b/thymeknot/policy/exposure_budget.py
@@ -5,7 +5,7 @@
 from ..interface.enums import Idempotency, ReleasePhase
 from ..interface.reasons import Reason
 from ..interface.settings import RequestClass
-from ..state.sliding_window import SlidingWindow, window_of
+from ..state.sliding_window import SlidingWindow, get_or_create_window
 from .context import DecisionContext
 
 WINDOW_BUCKETS = 120  # of the exposure window: so fine that its edge counts for little
@@ -43,7 +43,7 @@
         """The window of a request class, or the one of all."""
         settings = self.context.settings
         key = settings.exposure_by_class and request_class.name
-        return window_of(windows, key, settings.exposure_window, WINDOW_BUCKETS)
+        return get_or_create_window(windows, key, settings.exposure_window, WINDOW_BUCKETS)
 
     def allows(self, request_class: RequestClass, first: bool = False) -> bool:
         """Whether one more attempt may go to the newest build.
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -60,7 +60,7 @@
         context, rows = self.context, self.rows
         self.rows = []
         ended = context.now - rows[0].age
-        self.slowdown.add_counts(rows, self.usual, self.usual.told(ended))
+        self.slowdown.add_counts(rows, self.usual, self.usual.record_period(ended))
         release = context.release
         if release is None or not context.judged():
             return
@@ -96,7 +96,7 @@
         """
         rate = min(
             RATE_HIGHEST,
-            failed / seen if seen >= 2 * OUTCOMES_LEAST else self.selection.connection_loss,
+            failed / seen if seen >= 2 * OUTCOMES_LEAST else self.selection.connection_loss_rate,
         )
         return (
             max(RATE_LEAST[Symptom.FAILED], rate)
--- a/thymeknot/policy/global_slowdown.py
+++ b/thymeknot/policy/global_slowdown.py
@@ -84,10 +84,10 @@
         margin = TIMES_SLOWER if released else MARGIN
         step = sum(
             count * (min(TIMES_HIGHEST, times / max(1.0, traffic) ** 2) - margin)
-            for count, times, traffic in usual.compared(rows)
+            for count, times, traffic in usual.compare(rows)
         )
         if (
-            usual.seen >= OUTCOMES_MATURE
+            usual.outcomes >= OUTCOMES_MATURE
             and context.judged()
             and self.split.fraction >= BLAMED_FROM
         ):
@@ -95,7 +95,7 @@
                 self._add(step, began)
             if step > 0:
                 return
-        usual.learn(rows, LEARNING_GAIN)
+        usual.update(rows, LEARNING_GAIN)
 
     def _add(self, step: float, since: Ticks) -> None:
         bound = self.baseline.test.abort_bounds[Symptom.SLOW]
--- a/thymeknot/policy/hedging.py
+++ b/thymeknot/policy/hedging.py
@@ -40,7 +40,7 @@
         objective = request_class.latency_objective
         self._last_token += 1
         wait = max(
-            HEDGE_AFTER_MEANS * self.admission.means.get(request_class.name, objective),
+            HEDGE_AFTER_MEANS * self.admission.mean_latencies.get(request_class.name, objective),
             HEDGE_AFTER_OBJECTIVE * objective,
         )
         self.timers[self._last_token] = request.id
@@ -50,7 +50,7 @@
         """Whether few requests need it and there is room for one more attempt."""
         context = self.context
         first_traffic_at = context.first_traffic_at or 0
-        limit = self.admission.limit(
+        limit = self.admission.concurrency_limit(
             context.now, request.request_class, context.now - first_traffic_at
         )
         return (
--- a/thymeknot/policy/load_shedding.py
+++ b/thymeknot/policy/load_shedding.py
@@ -59,39 +59,39 @@
         self.least = max(
             LIMIT_LEAST_IN_FLEET, LIMIT_LEAST * min(1.0, FEW_INSTANCES / settings.instances)
         )
-        self.answers = SlidingWindow(WINDOW, WINDOW_BUCKETS)
-        self.responses = SlidingWindow(WINDOW, WINDOW_BUCKETS)
-        self.times = SlidingWindow(WINDOW, WINDOW_BUCKETS)
-        self.silent = SlidingWindow(WINDOW, WINDOW_BUCKETS)
-        self.usual = USUAL_TIME
-        self.means: dict[str, float] = {}
+        self.target_latencies = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.response_counts = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.relative_latencies = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.overload_failures = SlidingWindow(WINDOW, WINDOW_BUCKETS)
+        self.baseline_latency = USUAL_TIME
+        self.mean_latencies: dict[str, float] = {}
         self.request_classes: dict[str, RequestClass] = {}
 
-    def ended(
+    def record_outcome(
         self, now: Ticks, request_class: RequestClass, end: AttemptEnded, fraction: float
     ) -> None:
         """Takes in an outcome at an endpoint with this part of its capacity."""
         objective = request_class.latency_objective
         late = end.outcome == Outcome.TIMED_OUT and end.latency >= TIMED_OUT_PART * objective
         if late or end.outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED):
-            self.silent.add(now)
+            self.overload_failures.add(now)
         elif end.outcome == Outcome.DONE:
             times = min(TIMES_HIGHEST, end.latency * fraction / objective)
-            self.responses.add(now)
-            self.times.add(now, times)
-            apart = times - self.usual
+            self.response_counts.add(now)
+            self.relative_latencies.add(now, times)
+            apart = times - self.baseline_latency
             gain = USUAL_RISE if apart > 0 else USUAL_FALL
-            self.usual = min(OBJECTIVE_PART, self.usual + gain * apart)
+            self.baseline_latency = min(OBJECTIVE_PART, self.baseline_latency + gain * apart)
 
-    def answered(self, now: Ticks, request_class: RequestClass, latency: Ticks) -> None:
+    def record_latency(self, now: Ticks, request_class: RequestClass, latency: Ticks) -> None:
         """Takes in the response time of a good response."""
-        self.answers.add(now, OBJECTIVE_PART * request_class.latency_objective)
+        self.target_latencies.add(now, OBJECTIVE_PART * request_class.latency_objective)
         name = request_class.name
-        mean = self.means.get(name, latency)
-        self.means[name] = max(1.0, mean + MEAN_GAIN * (latency - mean))
+        mean = self.mean_latencies.get(name, latency)
+        self.mean_latencies[name] = max(1.0, mean + MEAN_GAIN * (latency - mean))
         self.request_classes[name] = request_class
 
-    def limit(self, now: Ticks, request_class: RequestClass, since: Ticks) -> float:
+    def concurrency_limit(self, now: Ticks, request_class: RequestClass, since: Ticks) -> float:
         """How many requests may be open.
 
         As many as responses come for within part of the objective (Little's law), so no queue
@@ -103,7 +103,7 @@
             since: ticks since the first traffic.
         """
         come = (
-            self.answers.total(now) / min(WINDOW, since)
+            self.target_latencies.total(now) / min(WINDOW, since)
             if since > TICKS_PER_SECOND
             else LIMIT_UNKNOWN
         )
@@ -113,7 +113,7 @@
         """The class's part of the limit and the odds, by what it earns for its response time."""
         worth = {
             name: self.request_classes[name].priority_weight / mean
-            for name, mean in self.means.items()
+            for name, mean in self.mean_latencies.items()
         }
         low = min(worth.values(), default=0)
         high = max(worth.values(), default=0)
@@ -130,10 +130,10 @@
         What is unknown is usual: few outcomes do not bind. Silence and rejections are a few
         endpoints' matter until they near the responses.
         """
-        responses = self.responses.total(now)
-        late = self.silent.total(now)
+        responses = self.response_counts.total(now)
+        late = self.overload_failures.total(now)
         seen = responses + USUAL_WEIGHT
-        times = self.times.total(now) + USUAL_WEIGHT * self.usual
+        times = self.relative_latencies.total(now) + USUAL_WEIGHT * self.baseline_latency
         bound = SILENT_PART * responses + 0.5
         if late + len(open_requests) > bound:  # else what is open could not tip it
             late += sum(
@@ -145,7 +145,7 @@
         if late > bound:
             seen += late
             times += late
-        return times / seen / (self.usual + IN_TIME_PART * (1 - self.usual))
+        return times / seen / (self.baseline_latency + IN_TIME_PART * (1 - self.baseline_latency))
 
     def rejection(
         self,
@@ -168,7 +168,7 @@
             draw: gives a random number; asked only where chance decides.
         """
         pressure = self.pressure(now, open_requests)
-        limit = self.limit(now, request_class, since)
+        limit = self.concurrency_limit(now, request_class, since)
         pressed = pressure > 1
         deviations = DEVIATIONS if self.fleet and not pressed else 0.0
         bound = limit + deviations * limit**0.5
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -93,7 +93,7 @@
         if old is None or old.build != new.build:
             self.split.pinned_keys = set()
             self.voting.met = {}
-            self.selection.sort_by_build()
+            self.selection.group_by_build()
         change = _change_between(old, new)
         if change is None:
             return
--- a/thymeknot/policy/request_lifecycle.py
+++ b/thymeknot/policy/request_lifecycle.py
@@ -53,7 +53,7 @@
     ANSWERED = "answered"
 
 
-PROOF = {
+INPUT_BY_OUTCOME = {
     Outcome.DONE: RequestInput.ANSWERED,
     Outcome.ERROR: RequestInput.MAY_HAVE_RUN,
     Outcome.TIMED_OUT: RequestInput.MAY_HAVE_RUN,
@@ -127,7 +127,7 @@
         attempt = request.attempts[event.number]
         if not attempt.in_flight:
             return
-        proof = PROOF[event.outcome]
+        proof = INPUT_BY_OUTCOME[event.outcome]
         not_run = proof == RequestInput.NOT_RUN
         attempt.in_flight = False
         attempt.may_have_run = not not_run
@@ -246,7 +246,7 @@
 
     def _in_time(self, request: RequestState) -> bool:
         """Whether a response after the class's mean time would still earn."""
-        mean = self.admission.means.get(request.request_class.name, 0)
+        mean = self.admission.mean_latencies.get(request.request_class.name, 0)
         return self.context.now + mean < self._earns_until(request)
 
     def _retry(self, request: RequestState) -> None:
@@ -257,7 +257,7 @@
         first = request.first_possible_run()
         cost = 0 if first is None else MAY_HAVE_RUN_COST
         if not self._in_time(request):
-            mean = self.admission.means.get(request.request_class.name, 0)
+            mean = self.admission.mean_latencies.get(request.request_class.name, 0)
             context.explain(Reason.TIME_OVER, self._earns_until(request) - now, mean)
         elif self.retry_budget.tokens < cost:
             context.explain(Reason.NO_BUDGET, self.retry_budget.tokens)
@@ -321,11 +321,11 @@
         fraction = known.warmup_fraction(now, context.settings)
         if not (known.on_newest_build and context.build_state == BuildState.ON_TRIAL):
             # A build's own slowness is no overload.
-            self.admission.ended(now, request_class, event, fraction)
+            self.admission.record_outcome(now, request_class, event, fraction)
         self.selection.count_end(known, outcome)
         if outcome == Outcome.DONE:
-            self.admission.answered(now, request_class, latency)
-            mean = self.admission.means[request_class.name]
+            self.admission.record_latency(now, request_class, latency)
+            mean = self.admission.mean_latencies[request_class.name]
             self.selection.count_response(known, latency, fraction, mean)
             self.slow_start.count_response(fraction)
 
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -29,11 +29,11 @@
         self.context = context
         self.capacity = {True: 0.0, False: 0.0}
         self.warm_size = 0.0
-        self.warm_rate = 0.0
+        self.warm_request_rate = 0.0
         self._measured_until: Ticks = 0
         self._served = SlidingWindow(SERVED_SECONDS * TICKS_PER_SECOND, SERVED_BUCKETS)
 
-    def measure(self) -> None:
+    def update_capacity(self) -> None:
         """Adds up what the ready endpoints can carry now."""
         context = self.context
         self.warm_size = 0.0
@@ -62,10 +62,14 @@
         """
         context = self.context
         if context.now <= self._measured_until:
-            self.measure()
+            self.update_capacity()
         rate = self._served.total(context.now) / SERVED_SECONDS / (self.warm_size or NO_CAPACITY)
-        span = min(RATE_RISE_TIME if rate > self.warm_rate else RATE_FALL_TIME, context.age())
-        self.warm_rate += (rate - self.warm_rate) * passed / max(TICKS_PER_SECOND, span)
+        span = min(
+            RATE_RISE_TIME if rate > self.warm_request_rate else RATE_FALL_TIME, context.age()
+        )
+        self.warm_request_rate += (
+            (rate - self.warm_request_rate) * passed / max(TICKS_PER_SECOND, span)
+        )
 
     def has_room(self, known: EndpointState, fraction: float) -> bool:
         """Whether this instance may send one more to an endpoint that warms up.
@@ -74,7 +78,7 @@
         than an attempt a window, chance decides once for each endpoint and window.
         """
         context, settings = self.context, self.context.settings
-        rate, window = self.warm_rate * known.listed.size, settings.overload_window
+        rate, window = self.warm_request_rate * known.listed.size, settings.overload_window
         share = max(
             CAPACITY_PART * settings.overload_factor * fraction * rate * window / TICKS_PER_SECOND,
             ATTEMPTS_LEAST / settings.instances,
--- a/thymeknot/policy/voting.py
+++ b/thymeknot/policy/voting.py
@@ -156,7 +156,7 @@
         uncounted = (
             last
             and context.crowded()
-            and self.fleet.usual.lacks(warm_at, context.now, PERIODS_AWAITED)
+            and self.fleet.usual.awaits_counts(warm_at, context.now, PERIODS_AWAITED)
         )
         return listed_enough and not uncounted and context.now >= warm_at + self.offset
 
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -59,8 +59,8 @@
 class PodConnection(WholeWriter, Protocol):
     """One connection to an endpoint.
 
-    Its owner is told of made(connection), ready(connection), ending(connection) and
-    lost(connection), and of fault(where, error).
+    Its owner is told of connection_opened, response_received, connection_closing and
+    connection_lost, each with the connection, and of fault(where, error).
     """
 
     def __init__(self, owner: Any, connector: "PodConnector") -> None:
@@ -80,7 +80,7 @@
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
-        self.owner.made(self)
+        self.owner.connection_opened(self)
 
     def clean(self) -> bool:
         """Whether nothing has come since the last response: no second copy of it, and no end."""
@@ -164,14 +164,14 @@
                 self.drop("more came than was asked for, or the end")
             else:
                 self.begun = nothing  # an idle connection keeps nothing of what was answered
-                self.owner.ready(self)
+                self.owner.response_received(self)
         finally:  # whatever befalls the connection, this was answered
             waiting.callback(answer)
 
     def drop(self, reason: str) -> None:
         """Ends the connection; an attempt still waiting on it has failed."""
         # It is lost a turn of the event loop later: nothing is written to it until then.
-        self.owner.ending(self)
+        self.owner.connection_closing(self)
         self.transport.abortConnection()
         self._broken(reason)
         # What was read and carried is not kept for as long as a closed connection is known.
@@ -202,7 +202,7 @@
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
-        self.owner.lost(self)
+        self.owner.connection_lost(self)
         waiting = self.waiting
         if waiting is not None and self.written:
             # Complete, and cut behind it: as where something wrong follows.
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -116,7 +116,7 @@
             update is not None
             and endpoint.build < update.build
             and update.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
-            and (command.key or command.id).decode() in self.proxy.engine.pins
+            and (command.key or command.id).decode() in self.proxy.engine.pinned_keys
         )
 
     def written(self) -> bool:
@@ -141,7 +141,7 @@
         assert self.endpoint is not None  # else it has ended as not sent
         self.connection = connection
         now = self.proxy.clock()
-        self.proxy.exposure.wrote(
+        self.proxy.exposure.count_written(
             now, self.proxy.releases.latest, self.endpoint.build, self.request.command.request_class
         )
         left = max(1, (self.expires_at - now) // 10)
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -117,7 +117,7 @@
             request.expires_at + OVERDUE_AFTER, self._overdue, request
         )
         key = command.key.decode() or None
-        proxy.exposure.took(now, command.request_class)
+        proxy.exposure.count_received(now, command.request_class)
         if proxy.why is not None:
             proxy.why.taken(name, command)
         proxy.tell(
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -132,7 +132,7 @@
                 not self.is_ready(endpoint) or self.addresses[endpoint.address] != address
             )
         )
-        proxy.pools.keep_only(
+        proxy.pools.close_all_except(
             {name: address for name, address in self.addresses.items() if name not in replaced}
         )
         proxy.tell()
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -33,7 +33,7 @@
     ReleaseUpdate,
     TimerFired,
 )
-from ..policy.engine import PROOF, DecisionEngine
+from ..policy.engine import INPUT_BY_OUTCOME, DecisionEngine
 from ..protocol import resp
 from ..protocol.http_calls import HttpCaller
 from ..protocol.pod import PodResponse
@@ -289,7 +289,7 @@
         structured_log.log("action not supported", action=type(action).__name__)
 
     def _close_idle(self, action: CloseIdleConnections) -> None:
-        self.pools.retire(action.endpoint)
+        self.pools.close_idle(action.endpoint)
 
     def withdraw_unwritten(self, fails: Callable[[Endpoint, str], bool]) -> None:
         """Withdraws the attempts whose endpoint and address fail, as long as none can have run.
@@ -300,7 +300,7 @@
         deciding = self.deciding
         self.deciding = True
         try:
-            for attempt, address in self.pools.unwritten():
+            for attempt, address in self.pools.unwritten_attempts():
                 if fails(attempt.endpoint, address):
                     attempt.withdraw()
         finally:
@@ -364,7 +364,7 @@
         """Takes up the one end of an attempt. The first good answer goes to the client at once."""
         request = attempt.request
         attempt.in_flight = False
-        attempt.may_have_run = PROOF[outcome] != "unrun"
+        attempt.may_have_run = INPUT_BY_OUTCOME[outcome] != "unrun"
         request.attempts_out -= 1
         if attempt.timer is not None:
             self.timers.cancel(attempt.timer)
--- a/thymeknot/state/connection_pool.py
+++ b/thymeknot/state/connection_pool.py
@@ -138,7 +138,7 @@
     Attributes:
         timers: The timers of the program.
         connection_limits: The settings that bound connections.
-        most: How many connections may be open or dialled at once.
+        max_connections: How many connections may be open or dialled at once.
         fault: fault(where, error) is told of errors of the program.
         by_pod: The pool of each pod.
         connections: All open connections.
@@ -155,7 +155,7 @@
     ) -> None:
         self.timers = timers
         self.connection_limits = connection_limits
-        self.most = most
+        self.max_connections = most
         self.fault = fault
         self.by_pod: dict[str, ConnectionPool] = {}
         self.connections: SlotTable[PooledConnection] = SlotTable()
@@ -178,7 +178,7 @@
         if connection:
             self._write(attempt, connection)
             return True
-        if len(self) >= self.most and not self._close_least_recently_used():
+        if len(self) >= self.max_connections and not self._close_least_recently_used():
             return False
         pool.waiting.append(attempt)
         self._dial(pool)
@@ -253,7 +253,7 @@
         if len(pool.waiting) > pool.dialling:
             pool.waiting.popleft().not_connected(broken)
 
-    def made(self, connection: PooledConnection) -> None:
+    def connection_opened(self, connection: PooledConnection) -> None:
         """A connection has come up."""
         self._dial_ended(connection.connector)
         connection.slot = self.connections.add(connection)
@@ -270,7 +270,7 @@
             BrokenConnection(NOT_CONNECTED, "nothing to carry an attempt came up"),
         )
 
-    def ready(self, connection: PooledConnection) -> None:
+    def response_received(self, connection: PooledConnection) -> None:
         """Its attempt has its response: it rests, and whatever comes meanwhile ends it."""
         self._set_idle(connection, REST_AFTER_RESPONSE)
 
@@ -286,14 +286,14 @@
         pool.idle.append(connection)
         self._serve_waiting(pool)
 
-    def ending(self, connection: PooledConnection) -> None:
+    def connection_closing(self, connection: PooledConnection) -> None:
         """A connection ends: no attempt is written to it any more."""
         if connection in connection.connector.pool.idle:
             connection.connector.pool.idle.remove(connection)
 
-    def lost(self, connection: PooledConnection) -> None:
+    def connection_lost(self, connection: PooledConnection) -> None:
         """A connection has ended."""
-        self.ending(connection)
+        self.connection_closing(connection)
         self.connections.remove(connection.slot)
         for timer in connection.timers:
             self.timers.cancel(timer)
@@ -324,7 +324,7 @@
             if attempt in pool.waiting:
                 pool.waiting.remove(attempt)
 
-    def unwritten(self) -> list[UnwrittenAttempt]:
+    def unwritten_attempts(self) -> list[UnwrittenAttempt]:
         """Returns the attempts that wait for a connection or are not written completely."""
         waiting = [
             UnwrittenAttempt(attempt, pool.address)
@@ -338,24 +338,24 @@
         ]
         return waiting + partly_written
 
-    def retire(self, pod: str) -> None:
+    def close_idle(self, pod: str) -> None:
         """Closes the idle connections to a pod."""
         if pod in self.by_pod:
             self._close(list(self.by_pod[pod].idle))
 
-    def keep_only(self, addresses: dict[str, str]) -> None:
+    def close_all_except(self, addresses: dict[str, str]) -> None:
         """Closes what is held to other pods than these, or to other addresses of them.
 
         An attempt that is out on a connection there may end. None waits for such a connection: it
         was withdrawn before.
         """
         for pod in [pod for pod, pool in self.by_pod.items() if addresses.get(pod) != pool.address]:
-            self.retire(pod)
+            self.close_idle(pod)
             del self.by_pod[pod]
 
     def _close(self, connections: Iterable[PooledConnection]) -> None:
         for connection in connections:
-            self.ending(connection)
+            self.connection_closing(connection)
             connection.transport.loseConnection()
 
     def _close_least_recently_used(self) -> bool:
--- a/thymeknot/state/fleet_baseline.py
+++ b/thymeknot/state/fleet_baseline.py
@@ -16,17 +16,17 @@
     failed: int
 
 
-class UsualOfClass(NamedTuple):
+class ClassBaseline(NamedTuple):
     """What is usual of a request class."""
 
-    seen: int
+    outcomes: int
     """Outcomes behind it."""
     latency: float
     traffic: float
     """Attempts of all classes in a period."""
 
 
-class ComparedLatency(NamedTuple):
+class RelativeLoad(NamedTuple):
     """Outcomes of a request class, against what is usual."""
 
     outcomes: int
@@ -59,12 +59,12 @@
     """
 
     def __init__(self) -> None:
-        self.request_classes: dict[str, UsualOfClass] = {}
-        self.seen = 0
+        self.request_classes: dict[str, ClassBaseline] = {}
+        self.outcomes = 0
         self.until: Ticks | None = None
         self.period: Ticks = 0
 
-    def told(self, until: Ticks) -> Ticks:
+    def record_period(self, until: Ticks) -> Ticks:
         """A period has ended then: gives its beginning, the end of the one before."""
         began = self.until if self.until is not None else until
         self.until = until
@@ -72,7 +72,7 @@
         self.period = min(self.period or until - began, until - began) or self.period
         return began
 
-    def lacks(self, since: float, now: Ticks, awaited: int) -> bool:
+    def awaits_counts(self, since: float, now: Ticks, awaited: int) -> bool:
         """Whether the counts of a period that ended after `since` are still to come.
 
         Args:
@@ -86,7 +86,7 @@
             and now < self.until + awaited * self.period
         )
 
-    def compared(self, rows: Sequence[FleetCounts]) -> Iterator[ComparedLatency]:
+    def compare(self, rows: Sequence[FleetCounts]) -> Iterator[RelativeLoad]:
         """Compares counts with what is usual: 1 where nothing is known.
 
         Gives two results a request class: for those done, and for those that failed, whose
@@ -94,12 +94,12 @@
         """
         totals, all_attempts = totals_by_class(rows)
         for request_class, (done, mean, failed) in totals.items():
-            usual = self.request_classes.get(request_class, UsualOfClass(0, mean, all_attempts))
+            usual = self.request_classes.get(request_class, ClassBaseline(0, mean, all_attempts))
             times_traffic = all_attempts / usual.traffic
-            yield ComparedLatency(done, mean / max(1.0, usual.latency), times_traffic)
-            yield ComparedLatency(failed, inf, times_traffic)
+            yield RelativeLoad(done, mean / max(1.0, usual.latency), times_traffic)
+            yield RelativeLoad(failed, inf, times_traffic)
 
-    def learn(self, rows: Sequence[FleetCounts], gain: float) -> None:
+    def update(self, rows: Sequence[FleetCounts], gain: float) -> None:
         """Takes a period's counts into what is usual.
 
         Args:
@@ -109,12 +109,12 @@
         totals, all_attempts = totals_by_class(rows)
         for request_class, (done, mean, _) in totals.items():
             seen, usual, traffic = self.request_classes.get(
-                request_class, UsualOfClass(0, mean, all_attempts)
+                request_class, ClassBaseline(0, mean, all_attempts)
             )
             part = max(gain, done / max(1, seen + done))
-            self.request_classes[request_class] = UsualOfClass(
+            self.request_classes[request_class] = ClassBaseline(
                 seen + done,
                 usual + part * (mean - usual),
                 traffic + part * (all_attempts - traffic),
             )
-            self.seen += done
+            self.outcomes += done
--- a/thymeknot/state/sliding_window.py
+++ b/thymeknot/state/sliding_window.py
@@ -21,14 +21,14 @@
 
     def __init__(self, span: Ticks, buckets: int) -> None:
         self.span = span
-        self.width = max(1, -(-span // buckets))
+        self.bucket_width = max(1, -(-span // buckets))
         # One more than covers the span: the oldest bucket is partly outside.
-        self._size = -(-span // self.width) + 1
+        self._size = -(-span // self.bucket_width) + 1
         self._sums: list[float] = [0] * self._size
         self._last = 0  # the number of the newest bucket, counted since time 0
 
     def _advance(self, now: Ticks) -> None:
-        bucket = now // self.width
+        bucket = now // self.bucket_width
         if bucket <= self._last:
             return
         for step in range(max(self._last + 1, bucket - self._size + 1), bucket + 1):
@@ -40,17 +40,17 @@
         self._advance(now)
         self._sums[self._last % self._size] += amount
 
-    def total(self, now: Ticks, full_only: bool = False, back: int | None = None) -> float:
+    def total(self, now: Ticks, exclude_oldest: bool = False, back: int | None = None) -> float:
         """Returns the sum over the window; whole amounts give a whole sum.
 
         Args:
             now: The end of the window.
-            full_only: Whether the oldest bucket, which is partly outside, is left out.
+            exclude_oldest: Whether the oldest bucket, which is partly outside, is left out.
             back: How many buckets count before the newest; None for all.
         """
         self._advance(now)
         size = self._size
-        wanted = (size if back is None else min(size, back + 1)) - full_only
+        wanted = (size if back is None else min(size, back + 1)) - exclude_oldest
         begin = (self._last + 1 - wanted) % size
         end = begin + wanted  # slices: every request asks for a dozen of these sums
         if end <= size:
@@ -58,7 +58,7 @@
         return sum(self._sums[begin:]) + sum(self._sums[: end - size])
 
 
-def window_of(
+def get_or_create_window(
     windows: dict[Key, SlidingWindow], key: Key, span: Ticks, buckets: int
 ) -> SlidingWindow:
     """Returns the window of this key, which is made and kept where there is none yet.
--- a/thymeknot/state/timer_queue.py
+++ b/thymeknot/state/timer_queue.py
@@ -17,7 +17,7 @@
         clock: Gives the time in ticks; it is monotonic.
         wake: wake(seconds, call, *arguments) has the event loop make a call later.
         fault: fault(where, error) is told of an error that a call raises.
-        live: The call and its arguments of each timer that waits, by the timer's number.
+        pending: The call and its arguments of each timer that waits, by the timer's number.
     """
 
     def __init__(
@@ -29,7 +29,7 @@
         self.clock = clock
         self.wake = wake
         self.fault = fault
-        self.live: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
+        self.pending: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
         self._heap: list[tuple[Ticks, int]] = []  # the time and number of each, cancelled ones too
         self._number = 0  # of the newest timer
         self._woken_for: Ticks | None = None  # the time for which the event loop was asked to wake
@@ -37,17 +37,17 @@
     def add(self, at: Ticks, call: Callable[..., object], *arguments: Any) -> int:
         """Has a call made at this time; returns the timer's number."""
         self._number += 1
-        self.live[self._number] = (call, arguments)
+        self.pending[self._number] = (call, arguments)
         heappush(self._heap, (at, self._number))
         self._schedule_wake()
         return self._number
 
     def cancel(self, number: int | None) -> None:
         """Cancels a timer; does nothing where there is none, or none any more."""
-        if number is None or not self.live.pop(number, None):
+        if number is None or not self.pending.pop(number, None):
             return
-        if len(self._heap) > SWEEP_THRESHOLD + 2 * len(self.live):
-            self._heap = [entry for entry in self._heap if entry[1] in self.live]
+        if len(self._heap) > SWEEP_THRESHOLD + 2 * len(self.pending):
+            self._heap = [entry for entry in self._heap if entry[1] in self.pending]
             heapify(self._heap)
 
     def _schedule_wake(self) -> None:
@@ -70,7 +70,7 @@
             return
         now = self.clock()
         while self._heap and self._heap[0][0] <= now:
-            timer = self.live.pop(heappop(self._heap)[1], None)
+            timer = self.pending.pop(heappop(self._heap)[1], None)
             if timer:
                 call, arguments = timer
                 try:
--- a/thymeknot/state/trial_exposure.py
+++ b/thymeknot/state/trial_exposure.py
@@ -10,7 +10,7 @@
 from ..interface.enums import ReleasePhase
 from ..interface.events import ReleaseUpdate
 from ..interface.settings import Settings
-from .sliding_window import SlidingWindow, window_of
+from .sliding_window import SlidingWindow, get_or_create_window
 
 BUCKETS = 120  # of the exposure window, as in the decision engine
 
@@ -33,13 +33,17 @@
     def _window_of(
         self, windows: dict[str | bool, SlidingWindow], request_class: str
     ) -> SlidingWindow:
-        return window_of(windows, self._by_class and request_class, self._window, BUCKETS)
+        return get_or_create_window(
+            windows, self._by_class and request_class, self._window, BUCKETS
+        )
 
-    def took(self, now: Ticks, request_class: str) -> None:
+    def count_received(self, now: Ticks, request_class: str) -> None:
         """Counts a request that was taken."""
         self._window_of(self._taken, request_class).add(now)
 
-    def wrote(self, now: Ticks, news: ReleaseUpdate | None, build: int, request_class: str) -> None:
+    def count_written(
+        self, now: Ticks, news: ReleaseUpdate | None, build: int, request_class: str
+    ) -> None:
         """Counts an attempt that was written to an endpoint of this build."""
         if _is_on_trial(news, build):
             if build != self._build:
