--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -59,8 +59,8 @@
 class PodConnection(WholeWriter, Protocol):
     """One connection to an endpoint.
 
-    Its owner is told of made(connection), ready(connection), ending(connection) and
-    lost(connection), and of fault(where, error).
+    Its owner is told of connection_opened, response_received, connection_closing and
+    connection_lost, each with the connection, and of fault(where, error).
     """
 
     def __init__(self, owner: Any, connector: "PodConnector") -> None:
@@ -80,7 +80,7 @@
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
-        self.owner.connection_made(self)
+        self.owner.connection_opened(self)
 
     def is_clean(self) -> bool:
         """Whether nothing has come since the last response: no second copy of it, and no end."""
@@ -164,7 +164,7 @@
                 self.drop("more came than was asked for, or the end")
             else:
                 self.begun = nothing  # an idle connection keeps nothing of what was answered
-                self.owner.connection_ready(self)
+                self.owner.response_received(self)
         finally:  # whatever befalls the connection, this was answered
             waiting.callback(answer)
 
