--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -36,7 +36,7 @@
             random_source=LinearCongruentialGenerator(3),
         )
         self.record.clock = lambda: self.now
-        self.balancer.context.say = self.record.say
+        self.balancer.context.reason_callback = self.record.say
         self.expected = {}
 
     def take(self, name, lane="read", key=None, left=3 * TICKS_PER_SECOND, tenant="t"):
@@ -87,7 +87,7 @@
 
 
 def by_position(case, name):
-    case.balancer.split.fraction, case.balancer.split.raised_at = 1.0, NOW + 10**9
+    case.balancer.split.fraction, case.balancer.split.fraction_updated_at = 1.0, NOW + 10**9
     usual(case, name, key=LOW)
 
 
--- a/tests/unit/policy/test_five_rules.py
+++ b/tests/unit/policy/test_five_rules.py
@@ -7,7 +7,7 @@
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind
 from thymeknot.interface.events import ClientDisconnected, EndpointUpdate, LateResponseSeen
-from thymeknot.policy.traffic_split import KEYS_MOST
+from thymeknot.policy.traffic_split import MAX_REMEMBERED_KEYS
 
 
 class EveryTransactionIsAnswered(unittest.TestCase):
@@ -134,7 +134,7 @@
         going = 0
         for seed in range(400):
             made = balancer(pod("cold", started=NOW), instances=400)
-            made.context.chance.state, made.slow_start.warm_rate = seed << 40, 8.0 / 400
+            made.context.rng.state, made.slow_start.warm_rate = seed << 40, 8.0 / 400
             going += made.slow_start.has_room(made.context.endpoints["cold"], 0.25)
         self.assertTrue(0 < going < 2.0 * 0.25 * 8.0 * 3)
 
@@ -184,9 +184,9 @@
 
     def test_keys_that_stay_are_those_of_the_newest_build_and_bounded(self):
         made = balancer(told=news(cap=0.0))
-        for key in range(KEYS_MOST + 9):
+        for key in range(MAX_REMEMBERED_KEYS + 9):
             made.handle(NOW, [LateResponseSeen(str(key), 1), LateResponseSeen(str(key), 2)])
-        self.assertEqual(len(made.split.pinned_keys), KEYS_MOST)
+        self.assertEqual(len(made.split.pinned_keys), MAX_REMEMBERED_KEYS)
         self.assertEqual(kinds(made.handle(NOW, [taken(key="another")])), [Reject])
         made.handle(NOW, [news(build=3)])
         self.assertEqual(made.split.pinned_keys, set())
--- a/tests/unit/policy/test_global_slowdown.py
+++ b/tests/unit/policy/test_global_slowdown.py
@@ -58,7 +58,7 @@
 
     def test_more_traffic_excuses_slowness_of_all(self):
         made = judging(rate=10.0)
-        made.baseline.first_tries.add(NOW, 100)
+        made.baseline.non_retries.add(NOW, 100)
         judged(made, Outcome.DONE, "old-1", 60, latency=5000)
         self.assertIsNone(made.slowdown.since)
         judged(made, Outcome.TIMED_OUT, "old-1", 60)
@@ -104,8 +104,8 @@
             made = balancer(told=news())
             made.baseline.earlier_endpoints = places
             made.context.arrivals.add(NOW, 8 * rate)
-            made.baseline.first_tries.add(NOW, 8 * rate)
-            made.baseline.settle()
+            made.baseline.non_retries.add(NOW, 8 * rate)
+            made.baseline.capture_pre_trial()
             self.assertEqual(made.baseline.before_offer is not None, judges)
 
     def test_deferrals_that_hide_slowness_count_as_slow(self):
@@ -129,8 +129,8 @@
             made.context.now += TICKS_PER_SECOND
             made.context.arrivals.add(made.context.now, 50)
             made.baseline.rejected.add(made.context.now, 20 * (second < 1))
-            made.baseline.first_tries.add(made.context.now, 50)
-            made.baseline.settle()
+            made.baseline.non_retries.add(made.context.now, 50)
+            made.baseline.capture_pre_trial()
         self.assertEqual(made.baseline.before_offer, BeforeOffer(USUAL, 50.0, 0.0))
         for _ in range(20):
             made.slowdown.add_rejection()
--- a/tests/unit/policy/test_large_fleets.py
+++ b/tests/unit/policy/test_large_fleets.py
@@ -25,7 +25,7 @@
     Verdict,
 )
 from thymeknot.interface.events import EndpointUpdate, FleetCounts, TimerFired
-from thymeknot.policy.context import UPKEEP_LONGEST
+from thymeknot.policy.context import MAX_UPKEEP_INTERVAL
 from thymeknot.policy.endpoint_selection import SUBSET_LEAST
 
 OLD = [pod(f"old-{n}") for n in range(40)]
@@ -33,7 +33,7 @@
 
 def drawing(seed, made):
     """One of many: it has yet to draw its pods, by a seed of its own."""
-    made.context.chance.state = (seed + 1) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
+    made.context.rng.state = (seed + 1) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     for known in made.context.endpoints.values():
         known.subset_rank = None
     return made
@@ -160,7 +160,7 @@
             FleetCounts(2, "read", trial, 0, mean, 5_000),
         ]
         made.handle(made.context.now, [row for row in rows if row.attempts])
-        made.handle(made.context.now + UPKEEP_LONGEST, [TimerFired(0)])
+        made.handle(made.context.now + MAX_UPKEEP_INTERVAL, [TimerFired(0)])
         return made.voting.verdict()
 
     def fleet(self, phase=ReleasePhase.ON_TRIAL):
@@ -292,7 +292,7 @@
         ):  # of 40 and nine, that is 0.18
             made = balancer(*OLD, *warm, *cold, told=news(cap=1.0), instances=balancers)
             made.slow_start.measure()
-            made.split.raised_at = NOW - 9 * TICKS_PER_SECOND
+            made.split.fraction_updated_at = NOW - 9 * TICKS_PER_SECOND
             made.raise_split()
             self.assertTrue(least <= made.split.fraction <= most, (balancers, made.split.fraction))
 
@@ -312,7 +312,7 @@
             ]
             made.fleet.weigh()
             self.assertGreater(
-                made.sequential_test.doubt, 0.5, late
+                made.sequential_test.evidence_ratio, 0.5, late
             )  # nothing moves on, and the next such period sends it back
 
 
@@ -372,7 +372,7 @@
 
     def test_one_recent_failure_of_the_earlier_build_tells_a_storm(self):
         made = balancer(told=news())
-        made.baseline.seen.add(NOW, 1)
+        made.baseline.outcomes.add(NOW, 1)
         made.baseline.failed.add(NOW, 1)
         made.baseline.compare()
         self.assertEqual(made.sequential_test.null_rates["failed"], 0.5)
@@ -388,7 +388,7 @@
             due = []
             for seed in range(50):
                 made = balancer(instances=400, votes_per_second=calls)
-                made.context.chance.state = seed << 40
+                made.context.rng.state = seed << 40
                 made.handle(NOW, [news()])
                 due.append(made.voting.offset / TICKS_PER_SECOND)
             self.assertAlmostEqual(min(due), begin)
@@ -408,4 +408,4 @@
         made = balancer()
         made.context.arrivals.add(NOW, 500)
         made.upkeep()
-        self.assertLess(made.upkeep_interval, UPKEEP_LONGEST)
+        self.assertLess(made.upkeep_interval, MAX_UPKEEP_INTERVAL)
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -189,7 +189,7 @@
 
     def test_turned_away_with_its_reason_and_the_time_to_come_back(self):
         told, made = [], made_of(instances=200)
-        made.context.say = lambda name, reason, *operands: told.append(reason)
+        made.context.reason_callback = lambda name, reason, *operands: told.append(reason)
         fed(made.admission, [(0, Outcome.DONE, 400_000, 500)])
         deferred = [
             one
@@ -203,13 +203,18 @@
     def test_on_is_withdrawn_while_on_trial_and_not_once_released(self):
         for phase, votes in ((ReleasePhase.ON_TRIAL, 1), (ReleasePhase.RELEASED, 0)):
             made = made_of(told=news(4, cap=1.0))
-            made.voting.vote, made.voting.vote_at, made.voting.ask_at, made.context.release = (
+            (
+                made.voting.vote,
+                made.voting.vote_cast_at,
+                made.voting.next_check_at,
+                made.context.release,
+            ) = (
                 CastVote(2, 4, Verdict.PROMOTE),
                 NOW,
                 NOW,
                 news(4, phase, 1.0),
             )
-            made.sequential_test.doubt, made.context.actions = 0.7, []
+            made.sequential_test.evidence_ratio, made.context.actions = 0.7, []
             made.voting.cast()
             self.assertEqual(kinds(made.context.actions).count(CastVote), votes, phase)
 
@@ -217,7 +222,7 @@
         new = [pod(f"new-{at}", 2) for at in range(8)]
         for moments, verdict in ((1, Verdict.ABSTAIN), (3, Verdict.ABORT)):
             made = made_of(*(pod(f"old-{at}") for at in range(12)), *new, told=news(cap=1.0))
-            made.baseline.seen.add(NOW, 40)  # the earlier build goes on without a fault
+            made.baseline.outcomes.add(NOW, 40)  # the earlier build goes on without a fault
             for second in range(moments):
                 made.context.now = NOW + second * TICKS_PER_SECOND
                 for at in range(5):  # each at another pod and with another key
--- a/tests/unit/policy/test_sequential_test.py
+++ b/tests/unit/policy/test_sequential_test.py
@@ -86,8 +86,8 @@
             self.assertEqual(
                 (
                     made.voting.verdict(),
-                    made.sequential_test.doubt >= doubt,
-                    made.sequential_test.doubt > 1,
+                    made.sequential_test.evidence_ratio >= doubt,
+                    made.sequential_test.evidence_ratio > 1,
                 ),
                 (vote, True, zones > 1),
             )
--- a/tests/unit/policy/test_traffic_split.py
+++ b/tests/unit/policy/test_traffic_split.py
@@ -14,7 +14,7 @@
 
     def test_the_ramp_climbs_to_its_target_and_never_falls(self):
         made = balancer(told=news(cap=0.25))
-        made.split.raised_at = NOW - TICKS_PER_SECOND
+        made.split.fraction_updated_at = NOW - TICKS_PER_SECOND
         made.raise_split()
         self.assertAlmostEqual(made.split.fraction, 0.1)
         made.context.now += 9 * TICKS_PER_SECOND
--- a/tests/unit/policy/test_voting.py
+++ b/tests/unit/policy/test_voting.py
@@ -27,21 +27,25 @@
 
     def test_under_the_clock_half_the_bound_holds(self):
         made = balancer(told=news(), promotion_mode=PromotionMode.TIMER)
-        made.sequential_test.doubt = 0.6
+        made.sequential_test.evidence_ratio = 0.6
         self.assertEqual(made.voting.verdict(), Verdict.PAUSE)
-        made.sequential_test.doubt = 0.4
+        made.sequential_test.evidence_ratio = 0.4
         self.assertEqual(made.voting.verdict(), Verdict.ABSTAIN)
 
     def test_a_vote_is_renewed_before_it_lapses_and_withdrawn_when_its_ground_is_gone(self):
         made = balancer(told=news())
-        made.voting.vote, made.voting.vote_at, made.voting.ask_at = (
+        made.voting.vote, made.voting.vote_cast_at, made.voting.next_check_at = (
             CastVote(2, 1, Verdict.PROMOTE),
             NOW - made.context.settings.vote_lifetime // 2,
             NOW,
         )
         made.voting.cast()
         self.assertIn(CastVote(2, 1, Verdict.PROMOTE), made.context.actions)
-        made.context.actions, made.voting.ask_at, made.sequential_test.clear_since = [], NOW, NOW
+        made.context.actions, made.voting.next_check_at, made.sequential_test.clear_since = (
+            [],
+            NOW,
+            NOW,
+        )
         made.voting.cast()
         self.assertIn(CastVote(2, 1, Verdict.ABSTAIN), made.context.actions)
 
--- a/tests/unit/proxy/test_release_channel.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -53,7 +53,7 @@
             stream.dataReceived(event(**told))
         network.reactor.advance(0.1)
         votes = []
-        network.proxy.engine.voting.answered = lambda news: votes.append(news.outcome)
+        network.proxy.engine.voting.handle_response = lambda news: votes.append(news.outcome)
         call.dataReceived(reply(**answered))
         self.assertEqual(votes, [Outcome.DONE])  # the vote counted, whichever state is the newer
         here, there = (
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -78,7 +78,7 @@
 
     def test_the_decisions_name_what_turned_it_away(self):
         made = made_of(pod("a"), max_attempts=1)
-        made.context.say = self.refusals.hear
+        made.context.reason_callback = self.refusals.hear
         made.handle(NOW, [taken()])
         made.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
         self.refusals.due(NOW + EVERY)
--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -5,8 +5,8 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import Outcome
 from .context import (
-    CROWD_FACTOR,
     HIGH_RATE,
+    LARGE_FLEET_RATIO,
     TRAFFIC_WINDOW_BUCKETS,
     TRAFFIC_WINDOW_SECONDS,
     BuildState,
@@ -55,12 +55,12 @@
 
     Attributes:
         marks: response times by request class and kind of machine.
-        seen: the earlier build's outcomes.
+        outcomes: the earlier build's outcomes.
         failed: those that failed, but for losses on the way.
         slow: those that were slow.
         errors: those that ended with an error.
         losses: those that were lost on the way.
-        first_tries: requests that are not marked as retries.
+        non_retries: requests that are not marked as retries.
         rejected: requests that were rejected.
         before_offer: None until it is known.
         earlier_endpoints: how many endpoints the earlier build had at the offer.
@@ -70,12 +70,12 @@
         self.context = context
         self.test = test
         self.marks: dict[tuple[str, str], LatencyMark] = {}
-        self.seen = traffic_window()
+        self.outcomes = traffic_window()
         self.failed = traffic_window()
         self.slow = traffic_window()
         self.errors = traffic_window()
         self.losses = traffic_window()
-        self.first_tries = traffic_window()
+        self.non_retries = traffic_window()
         self.rejected = traffic_window()
         self.before_offer: BeforeOffer | None = None
         self.earlier_endpoints = 0
@@ -115,7 +115,7 @@
                 mark.mean + MEAN_GAIN_PART * gain * (latency - mark.mean),
             )
         lost = lost_on_the_way(outcome)
-        self.seen.add(now)
+        self.outcomes.add(now)
         self.failed.add(now, outcome != Outcome.DONE and not lost)
         self.slow.add(now, slow)
         self.errors.add(now, outcome == Outcome.ERROR)
@@ -130,7 +130,7 @@
         now, null_rates = self.context.now, self.test.null_rates
         counts = (Symptom.FAILED, self.failed), (Symptom.SLOW, self.slow)
         for back, least in ((TRAFFIC_WINDOW_BUCKETS, OUTCOMES_LEAST), (RECENT_BUCKETS, 1)):
-            seen = self.seen.total(now, False, back)
+            seen = self.outcomes.total(now, False, back)
             if seen < least:
                 continue
             for symptom, window in counts:
@@ -143,32 +143,34 @@
                     null_rates[symptom] = rate
                 else:
                     null_rates[symptom] = max(rate, null_rates[symptom])
-        return self.seen.total(now, False, RECENT_BUCKETS) >= OUTCOMES_LEAST
+        return self.outcomes.total(now, False, RECENT_BUCKETS) >= OUTCOMES_LEAST
 
     def way_is_sound(self) -> bool:
         """Whether the earlier build loses hardly any attempts on the way."""
         now = self.context.now
-        return self.losses.total(now) < max(LOSSES_SOUND, LOSS_RATE_SOUND * self.seen.total(now))
+        return self.losses.total(now) < max(
+            LOSSES_SOUND, LOSS_RATE_SOUND * self.outcomes.total(now)
+        )
 
     def busier(self) -> float:
         """The traffic of two seconds without marked retries, in times of the usual, or 1."""
         if self.before_offer is None:
             return 1.0
-        tries, now = self.first_tries, self.context.now
+        tries, now = self.non_retries, self.context.now
         span = (RECENT_BUCKETS * tries.width + now % tries.width) / TICKS_PER_SECOND
         seen = tries.total(now, False, RECENT_BUCKETS) - CHANCE_TRIES
         return seen / (self.before_offer.rate * span + 1)
 
-    def settle(self) -> None:
+    def capture_pre_trial(self) -> None:
         """Keeps what is usual before the newest build has an effect, as soon as it is known."""
         context = self.context
-        age = context.age()
-        tries = self.first_tries.total(context.now)
+        age = context.traffic_age()
+        tries = self.non_retries.total(context.now)
         rate = tries * TICKS_PER_SECOND / min(TRAFFIC_WINDOW_SECONDS * TICKS_PER_SECOND, age + 1)
         fit = (
             age >= SETTLED_AFTER
             and rate >= HIGH_RATE
-            and context.settings.instances < CROWD_FACTOR * self.earlier_endpoints
+            and context.settings.instances < LARGE_FLEET_RATIO * self.earlier_endpoints
         )
         if context.build_state == BuildState.ON_TRIAL and self.before_offer is None and fit:
             rejected_part = self.rejected.total(context.now) / context.arrivals.total(context.now)
--- a/thymeknot/policy/context.py
+++ b/thymeknot/policy/context.py
@@ -13,16 +13,16 @@
 from ..state.random_source import LinearCongruentialGenerator
 from ..state.sliding_window import SlidingWindow
 
-UPKEEP_SHORTEST = TICKS_PER_SECOND // 20  # ticks between two upkeeps in heavy traffic
-UPKEEP_LONGEST = TICKS_PER_SECOND // 4  # ticks between two upkeeps with hardly any traffic
+MIN_UPKEEP_INTERVAL = TICKS_PER_SECOND // 20  # ticks between two upkeeps in heavy traffic
+MAX_UPKEEP_INTERVAL = TICKS_PER_SECOND // 4  # ticks between two upkeeps with hardly any traffic
 TRAFFIC_WINDOW_SECONDS = 8  # long enough for a mean rate, short enough to follow a change
 TRAFFIC_WINDOW_BUCKETS = 16  # half a second each
 HIGH_RATE = 15  # requests a second from which one instance sees enough by itself
-CROWD_FACTOR = 0.75  # instances an endpoint from which each sees too little of every endpoint
+LARGE_FLEET_RATIO = 0.75  # instances an endpoint from which each sees too little of every endpoint
 FEW_ENDPOINTS_LOW_RATE = 3  # so few of the newest build may all carry one faulty build
 FEW_ENDPOINTS_HIGH_RATE = 5  # of so few one faulty endpoint would be taken for its build
 
-Explain = Callable[..., Any]
+ReasonCallback = Callable[..., Any]
 """Called with (request id or None, reason, *operands), when and where something is decided."""
 
 
@@ -53,10 +53,10 @@
     Attributes:
         settings: read once, at start.
         now: the moment of the events that are handled.
-        chance: draws all random numbers, in the order of the decisions.
+        rng: draws all random numbers, in the order of the decisions.
         actions: the actions decided on so far at this moment.
-        say: is told the reasons; None if nobody asks.
-        subject: the id of the request that is decided on; None for votes.
+        reason_callback: is told the reasons; None if nobody asks.
+        request_id: the id of the request that is decided on; None for votes.
         first_traffic_at: when the first request came; None before.
         release: how the newest build stands; None before it is told.
         build_state: how the newest build is treated; written by the release's life cycle.
@@ -69,13 +69,15 @@
         by_votes: whether votes, not a timer, move a build on.
     """
 
-    def __init__(self, settings: Settings, seed: int, now: Ticks, say: Explain | None) -> None:
+    def __init__(
+        self, settings: Settings, seed: int, now: Ticks, say: ReasonCallback | None
+    ) -> None:
         self.settings = settings
         self.now = now
-        self.chance = LinearCongruentialGenerator(seed)
+        self.rng = LinearCongruentialGenerator(seed)
         self.actions: list[Action] = []
-        self.say = say
-        self.subject: str | None = None
+        self.reason_callback = say
+        self.request_id: str | None = None
         self.first_traffic_at: Ticks | None = None
         self.release: Release | None = None
         self.build_state = BuildState.USUAL
@@ -89,8 +91,8 @@
 
     def explain(self, reason: Reason, *operands: object) -> None:
         """Tells why something is decided about the subject."""
-        if self.say:
-            self.say(self.subject, reason, *operands)
+        if self.reason_callback:
+            self.reason_callback(self.request_id, reason, *operands)
 
     def open_to_newest(self) -> bool:
         """Whether the newest build may take requests."""
@@ -104,20 +106,20 @@
         """Whether the newest build is judged."""
         return self.build_state in (BuildState.ON_TRIAL, BuildState.RELEASED)
 
-    def crowded(self) -> bool:
+    def is_large_fleet(self) -> bool:
         """Whether there are so many instances that each sees little of an endpoint.
 
         It goes by the most endpoints that were ever seen: a lost zone makes no crowd.
         """
         self._largest_side = max(self._largest_side, *map(len, self.by_build.values()))
-        return self.settings.instances >= CROWD_FACTOR * self._largest_side
+        return self.settings.instances >= LARGE_FLEET_RATIO * self._largest_side
 
     def few_endpoints(self) -> bool:
         """Whether one faulty endpoint could be taken for a faulty build, and traffic is high."""
         few = self.by_votes and 1 < len(self.by_build[True]) <= FEW_ENDPOINTS_HIGH_RATE
         return few and self.arrivals.total(self.now) >= TRAFFIC_WINDOW_SECONDS * HIGH_RATE
 
-    def age(self) -> Ticks:
+    def traffic_age(self) -> Ticks:
         """Ticks since the first traffic; 0 before."""
         return self.now - (self.first_traffic_at or self.now)
 
--- a/thymeknot/policy/endpoint_selection.py
+++ b/thymeknot/policy/endpoint_selection.py
@@ -9,7 +9,7 @@
 from ..interface.reasons import Reason
 from ..state.endpoint_state import EndpointState, apply_update, order_by_rank
 from ..state.request_state import RequestState
-from .context import CROWD_FACTOR, DecisionContext
+from .context import LARGE_FLEET_RATIO, DecisionContext
 from .idempotency import drops_repeats
 from .slow_start import SlowStart
 
@@ -57,7 +57,7 @@
         context = self.context
         if event.kind == UpdateKind.FETCH_FAILED:
             # The watch may have been dropped; a call that fails at once must not be stormed.
-            wait = int((1 + context.chance.draw()) * TICKS_PER_SECOND)
+            wait = int((1 + context.rng.draw()) * TICKS_PER_SECOND)
             self.poll_at = min(self.poll_at, context.now + wait)
             return
         context.endpoints = apply_update(context.endpoints, event, context.settings.overload_window)
@@ -98,7 +98,7 @@
         context = self.context
         # Where many refuse connections, fewer are used.
         size = context.arrivals.total(context.now) * (1 - self.connection_loss) ** LOSS_EXPONENT
-        ranked = order_by_rank(context.by_build[newest], drop, context.chance)
+        ranked = order_by_rank(context.by_build[newest], drop, context.rng)
         context.subsets[newest] = ranked[: max(SUBSET_LEAST, int(size))]
 
     def upkeep(self) -> None:
@@ -149,11 +149,11 @@
         if not found:
             context.explain(Reason.NO_POD, len(context.by_build[newest]), newest)
             return None
-        if context.settings.instances < CROWD_FACTOR * len(context.by_build[newest]):
+        if context.settings.instances < LARGE_FLEET_RATIO * len(context.by_build[newest]):
             near = [known for cost, known in found if cost <= best * NEAR_BEST]
             return near[self._turn % len(near)]
         # At random, or hundreds of instances meet at the cheapest.
-        return found[context.chance.pick([1 / cost for cost, _ in found])][1]
+        return found[context.rng.pick([1 / cost for cost, _ in found])][1]
 
     def _look(
         self,
--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -25,7 +25,7 @@
 )
 from ..interface.settings import Settings
 from .baseline import Baseline
-from .context import UPKEEP_LONGEST, UPKEEP_SHORTEST, DecisionContext, Explain
+from .context import MAX_UPKEEP_INTERVAL, MIN_UPKEEP_INTERVAL, DecisionContext, ReasonCallback
 from .endpoint_selection import EndpointSelection
 from .exposure_budget import ExposureBudget
 from .fleet_evidence import FleetEvidence
@@ -55,7 +55,7 @@
     """
 
     def __init__(
-        self, settings: Settings, seed: int, now: Ticks, say: Explain | None = None
+        self, settings: Settings, seed: int, now: Ticks, say: ReasonCallback | None = None
     ) -> None:
         self.context = context = DecisionContext(settings, seed, now, say)
         self.admission = LoadShedder(settings)
@@ -107,7 +107,7 @@
             ResponseStarted: self.requests.start_response,
             TimerFired: self._fire_timer,
             ComplaintReceived: self.evidence.add_complaint,
-            FleetCounts: self.fleet.tell,
+            FleetCounts: self.fleet.add_counts,
             LateResponseSeen: self.split.pin,
             SuspicionReported: self.selection.suspect,
         }
@@ -127,12 +127,12 @@
         test, evidence = self.sequential_test, self.evidence
         release = self.context.release
         if release is not None:
-            evidence.restart_if_new(release.build)
+            evidence.reset_for_build(release.build)
         return VoteEvidence(
             attempts=evidence.attempts,
             failed=evidence.failed,
             excluded={str(why): count for why, count in evidence.excluded.items() if count},
-            judged=test.seen,
+            judged=test.outcomes,
             sums=dict(test.sums),
             bounds=dict(test.bounds),
             null_rates=dict(test.null_rates),
@@ -145,7 +145,7 @@
         context.now = now
         context.actions = []
         for event in events:
-            context.subject = getattr(event, "id", None)
+            context.request_id = getattr(event, "id", None)
             handler = handlers.get(type(event))
             if handler:
                 handler(event)
@@ -164,9 +164,9 @@
         context = self.context
         passed, arrivals = self.upkeep_interval, context.arrivals
         often = arrivals.span // (arrivals.total(context.now) + 1)
-        self.upkeep_interval = int(max(UPKEEP_SHORTEST, min(UPKEEP_LONGEST, often)))
+        self.upkeep_interval = int(max(MIN_UPKEEP_INTERVAL, min(MAX_UPKEEP_INTERVAL, often)))
         context.actions.append(SetTimer(context.now + self.upkeep_interval, UPKEEP_TOKEN))
-        self.baseline.settle()
+        self.baseline.capture_pre_trial()
         self.raise_split()
         self.fleet.upkeep()
         self.voting.upkeep()
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -6,7 +6,7 @@
 from ..interface.events import FleetCounts
 from ..state.fleet_baseline import FleetBaseline
 from .baseline import OUTCOMES_LEAST, RATE_HIGHEST
-from .context import UPKEEP_LONGEST, BuildState, DecisionContext
+from .context import MAX_UPKEEP_INTERVAL, BuildState, DecisionContext
 from .endpoint_selection import EndpointSelection
 from .global_slowdown import TIMES_HIGHEST, TIMES_SLOWER, GlobalSlowdown
 from .sequential_test import RATE_LEAST, SequentialTest, Symptom, weight
@@ -40,7 +40,7 @@
         self.usual = FleetBaseline()
         self._first_row_at: Ticks = 0
 
-    def tell(self, event: FleetCounts) -> None:
+    def add_counts(self, event: FleetCounts) -> None:
         """Keeps counts of a known request class that can be true."""
         if not self.rows:
             self._first_row_at = self.context.now
@@ -52,7 +52,7 @@
 
     def upkeep(self) -> None:
         """Weighs what was told, after a while: a period's rows do not come all at once."""
-        if self.rows and self.context.now >= self._first_row_at + UPKEEP_LONGEST:
+        if self.rows and self.context.now >= self._first_row_at + MAX_UPKEEP_INTERVAL:
             self.weigh()
 
     def weigh(self) -> None:
@@ -77,7 +77,7 @@
             Symptom.FAILED: _failure_step(newest, null_rate),
             Symptom.SLOW: _slowness_step(newest, earlier, warmth),
         }
-        self.test.seen += sum(row.attempts for row in newest)
+        self.test.outcomes += sum(row.attempts for row in newest)
         for symptom, step in steps.items():
             # Of few endpoints it may all be one that is faulty.
             most = PERIOD_PART * self.test.abort_bounds[symptom] * (not context.few_endpoints())
@@ -107,7 +107,7 @@
     def _warmth(self, at: Ticks) -> float:
         """The mean warm-up fraction at the newest build; in a crowd, new endpoints got nothing."""
         context = self.context
-        crowded = context.crowded()
+        crowded = context.is_large_fleet()
         fractions = [
             known.warmup_fraction(at, context.settings)
             for known in context.by_build[True]
--- a/thymeknot/policy/global_slowdown.py
+++ b/thymeknot/policy/global_slowdown.py
@@ -91,7 +91,7 @@
             and context.judged()
             and self.split.fraction >= BLAMED_FROM
         ):
-            if context.by_votes and context.crowded():
+            if context.by_votes and context.is_large_fleet():
                 self._add(step, began)
             if step > 0:
                 return
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -83,7 +83,7 @@
         """Takes in an update, or the answer to a vote."""
         context = self.context
         if event.answers_vote:
-            self.voting.answered(event)
+            self.voting.handle_response(event)
         if event.outcome != Outcome.DONE:
             return
         # An update of this outcome has all fields.
--- a/thymeknot/policy/request_lifecycle.py
+++ b/thymeknot/policy/request_lifecycle.py
@@ -112,7 +112,7 @@
             context.first_traffic_at = now
         self.exposure.count_received(request_class)
         context.arrivals.add(now)
-        self.baseline.first_tries.add(now, not event.is_retry)
+        self.baseline.non_retries.add(now, not event.is_retry)
         if event.key:
             self.split.count_key(event.key)
         self.retry_budget.count_request()
@@ -162,7 +162,7 @@
         context = self.context
         name = self.hedging.timers.pop(token, None)
         request = self.open.get(name) if name is not None else None
-        context.subject = request.id if request else None
+        context.request_id = request.id if request else None
         if request:
             self._step(request, RequestInput.SLOW)
 
@@ -180,7 +180,7 @@
             self.open.values(),
             context.now - (context.first_traffic_at or 0),
             recent=context.arrivals.total(context.now),
-            draw=context.chance.draw,
+            draw=context.rng.draw,
         )
         if rejection:
             reason = Reason.BY_LOT if rejection.by_chance else Reason.OVER_LIMIT
@@ -227,7 +227,7 @@
         if request.request_class.late_priority_weight <= 0 and now < request.latency_deadline:
             until = min(until, request.latency_deadline)  # nothing is earned after it
         listed = known.listed
-        if context.say:
+        if context.reason_callback:
             context.explain(
                 Reason.SENT,
                 listed.address,
--- a/thymeknot/policy/sequential_test.py
+++ b/thymeknot/policy/sequential_test.py
@@ -65,9 +65,9 @@
         bounds: the same, raised where a sum at rest has many chances.
         sums: by symptom, the log likelihood ratios.
         sums_without_worst: the same without the endpoint that adds most, where few serve.
-        doubt: the greatest of these sums, of its bound; above 1 the build is worse.
+        evidence_ratio: the greatest of these sums, of its bound; above 1 the build is worse.
         clear_since: since when the doubt does not hold the build.
-        seen: outcomes in this stage.
+        outcomes: outcomes in this stage.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -77,9 +77,9 @@
         self.bounds = dict(self.abort_bounds)
         self.sums: dict[Symptom, float] = {}
         self.sums_without_worst = self.sums
-        self.doubt = 0.0
+        self.evidence_ratio = 0.0
         self.clear_since: Ticks = context.now
-        self.seen = 0
+        self.outcomes = 0
         self._by_endpoint: dict[tuple[Symptom, str], float] = {}
         self._by_zone: dict[tuple[Symptom, str], float] = {}
         self._left_of_second: dict[Symptom, tuple[Ticks, float]] = {}
@@ -100,8 +100,8 @@
         self.sums = self.sums_without_worst = {Symptom.FAILED: failed, Symptom.SLOW: 0.0}
         self._by_endpoint = _of_failures(self._by_endpoint)
         self._by_zone = _of_failures(self._by_zone)
-        self.seen = 0
-        self.doubt = 0.0
+        self.outcomes = 0
+        self.evidence_ratio = 0.0
         self._left_of_second = {}
 
     def add(self, symptom: Symptom, bad: bool, endpoint: Endpoint | None = None) -> None:
@@ -165,10 +165,10 @@
         self.bounds[Symptom.FAILED] = self.abort_bounds[Symptom.FAILED] + log(
             max(1, many * self.null_rates[Symptom.FAILED] * seen)
         )
-        self.doubt = max(
+        self.evidence_ratio = max(
             self.sums_without_worst[symptom] / bound for symptom, bound in self.bounds.items()
         )
-        if self.doubt > PAUSE_PART:
+        if self.evidence_ratio > PAUSE_PART:
             self.clear_since = context.now
 
 
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -3,7 +3,7 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.endpoint_state import EndpointState
 from ..state.sliding_window import SlidingWindow
-from .context import UPKEEP_LONGEST, DecisionContext
+from .context import MAX_UPKEEP_INTERVAL, DecisionContext
 
 CAPACITY_PART = 0.5  # of the overload limit, as others send there unseen
 ATTEMPTS_LEAST = 4  # attempts of all instances together that an endpoint may get in a window
@@ -38,7 +38,7 @@
         context = self.context
         self.warm_size = 0.0
         self.capacity = {True: 0.0, False: 0.0}
-        exponent = CROWD_EXPONENT if context.crowded() else 1
+        exponent = CROWD_EXPONENT if context.is_large_fleet() else 1
         settings, now = context.settings, context.now
         for newest, side in context.by_build.items():
             for known in side:
@@ -47,7 +47,7 @@
                 self.warm_size += known.listed.size * (fraction == 1.0)
                 self._measured_until = max(
                     self._measured_until,
-                    known.listed.started + settings.warmup_duration + UPKEEP_LONGEST,
+                    known.listed.started + settings.warmup_duration + MAX_UPKEEP_INTERVAL,
                 )
 
     def count_response(self, fraction: float) -> None:
@@ -64,7 +64,9 @@
         if context.now <= self._measured_until:
             self.measure()
         rate = self._served.total(context.now) / SERVED_SECONDS / (self.warm_size or NO_CAPACITY)
-        span = min(RATE_RISE_TIME if rate > self.warm_rate else RATE_FALL_TIME, context.age())
+        span = min(
+            RATE_RISE_TIME if rate > self.warm_rate else RATE_FALL_TIME, context.traffic_age()
+        )
         self.warm_rate += (rate - self.warm_rate) * passed / max(TICKS_PER_SECOND, span)
 
     def has_room(self, known: EndpointState, fraction: float) -> bool:
@@ -85,5 +87,5 @@
         else:
             share *= len(context.by_build[newest]) / (len(context.subsets[newest]) or 1)
         if known.random_share[0] != context.now // window:
-            known.random_share = context.now // window, context.chance.draw()
+            known.random_share = context.now // window, context.rng.draw()
         return known.recent_attempts.total(context.now) + 1 <= share + known.random_share[1]
--- a/thymeknot/policy/traffic_split.py
+++ b/thymeknot/policy/traffic_split.py
@@ -13,7 +13,7 @@
 CAP_PART = 0.8  # of the cap that the fraction aims at: the rest is left to pinned keys and retries
 HOT_KEY_PART = 0.03  # of all recent requests with keys, from which a key is hot
 HOT_KEY_LEAST = 8  # recent requests of a key, below which it is not hot
-KEYS_MOST = 10_000  # pinned or failing keys that are remembered
+MAX_REMEMBERED_KEYS = 10_000  # pinned or failing keys that are remembered
 RECENT_KEYS_HALVED_AFTER = 2 * TICKS_PER_SECOND  # ticks after which the counts of keys are halved
 RECENT_KEY_LEAST = 0.5  # a count that is not more is forgotten
 
@@ -23,7 +23,7 @@
 
     Attributes:
         fraction: of the keys; it is raised and does not fall during a stage.
-        raised_at: when it was raised last.
+        fraction_updated_at: when it was raised last.
         pinned_keys: keys that the newest build answered: they stay with it.
         failing_keys: keys whose requests failed there in this stage.
         recent_keys: requests by key; halved again and again.
@@ -33,7 +33,7 @@
         self.context = context
         self.slow_start = slow_start
         self.fraction = 0.0
-        self.raised_at: Ticks = context.now
+        self.fraction_updated_at: Ticks = context.now
         self.pinned_keys: set[str] = set()
         self.failing_keys: set[str] = set()
         self.recent_keys: dict[str, float] = {}
@@ -45,7 +45,7 @@
 
     def next_stage(self) -> None:
         """Lets the fraction rise from now on."""
-        self.raised_at = self.context.now
+        self.fraction_updated_at = self.context.now
         self.failing_keys = set()
 
     def count_key(self, key: str) -> None:
@@ -58,7 +58,7 @@
             return
         release = self.context.release
         assert release is not None  # nothing is sent before it is told
-        if event.build == release.build and len(self.pinned_keys) < KEYS_MOST:
+        if event.build == release.build and len(self.pinned_keys) < MAX_REMEMBERED_KEYS:
             self.pinned_keys.add(event.key)
 
     def raise_fraction(self, all_slow: bool) -> None:
@@ -74,13 +74,13 @@
         assert release is not None
         capacity = self.slow_start.capacity
         part = capacity[True] / (sum(capacity.values()) or 1.0)
-        part *= not all_slow or not context.crowded()
+        part *= not all_slow or not context.is_large_fleet()
         target = (
             min(CAP_PART * release.cap, part) if release.phase == ReleasePhase.ON_TRIAL else 1.0
         )
-        step = target * (context.now - self.raised_at) / RAISE_TIME
+        step = target * (context.now - self.fraction_updated_at) / RAISE_TIME
         self.fraction = max(self.fraction, min(target, self.fraction + step))
-        self.raised_at = context.now
+        self.fraction_updated_at = context.now
 
     def upkeep(self) -> None:
         """Halves the counts of keys, when it is time."""
@@ -100,7 +100,9 @@
         assert release is not None
         if not context.open_to_newest():
             return (False, True)
-        if key in self.pinned_keys or len(self.pinned_keys) >= KEYS_MOST:  # more than it can tell
+        if (
+            key in self.pinned_keys or len(self.pinned_keys) >= MAX_REMEMBERED_KEYS
+        ):  # more than it can tell
             context.explain(Reason.STAYS, len(self.pinned_keys))
             return (True,)
         position = key_position(key)
--- a/thymeknot/policy/trial_evidence.py
+++ b/thymeknot/policy/trial_evidence.py
@@ -12,7 +12,7 @@
 from .context import FEW_ENDPOINTS_LOW_RATE, DecisionContext
 from .global_slowdown import GlobalSlowdown
 from .sequential_test import SequentialTest, Symptom
-from .traffic_split import KEYS_MOST, TrafficSplit
+from .traffic_split import MAX_REMEMBERED_KEYS, TrafficSplit
 
 WARM_ENOUGH = 0.75  # of its capacity, from which an endpoint's response time says something
 
@@ -59,7 +59,7 @@
         self.excluded: Counter[Exclusion] = Counter()
         self._build: int | None = None  # whose outcomes are counted
 
-    def restart_if_new(self, build: int) -> None:
+    def reset_for_build(self, build: int) -> None:
         """Counts anew where another build is the newest."""
         if build != self._build:
             self._build = build
@@ -76,7 +76,7 @@
             return
         on_newest = known.listed.build == release.build
         if on_newest:
-            self.restart_if_new(release.build)
+            self.reset_for_build(release.build)
             self.attempts += 1
         if outcome in NOT_JUDGED:
             self.excluded[Exclusion.NOT_JUDGED] += on_newest
@@ -130,9 +130,9 @@
     def _add(self, key: str, known: EndpointState, outcome: Outcome) -> None:
         """Books whether the attempt failed."""
         context, failed = self.context, outcome != Outcome.DONE
-        if failed and len(self.split.failing_keys) < KEYS_MOST:
+        if failed and len(self.split.failing_keys) < MAX_REMEMBERED_KEYS:
             self.split.failing_keys.add(key)
-        self.test.seen += 1
+        self.test.outcomes += 1
         self.failed += failed
         unbounded = (
             outcome in (Outcome.DONE, Outcome.ERROR)
--- a/thymeknot/policy/voting.py
+++ b/thymeknot/policy/voting.py
@@ -10,7 +10,7 @@
 from ..interface.reasons import Reason
 from ..state.endpoint_state import age_at_fraction
 from .baseline import OUTCOMES_LEAST, Baseline
-from .context import UPKEEP_SHORTEST, DecisionContext, Release
+from .context import MIN_UPKEEP_INTERVAL, DecisionContext, Release
 from .fleet_evidence import FleetEvidence
 from .global_slowdown import GlobalSlowdown
 from .sequential_test import (
@@ -60,9 +60,9 @@
 
     Attributes:
         vote: the vote that stands; None if none does.
-        vote_at: when it was cast.
+        vote_cast_at: when it was cast.
         asked: the vote that was cast last, answered or not.
-        ask_at: when to look again whether to vote.
+        next_check_at: when to look again whether to vote.
         offset: ticks after the others' first votes at which this instance's turn is.
         met: when the endpoints of the newest build were first seen to have started, by address.
     """
@@ -89,16 +89,16 @@
             max(settings.vote_lifetime // 2, self.turn_of_all),
         )
         self.vote: CastVote | None = None
-        self.vote_at: Ticks = 0
+        self.vote_cast_at: Ticks = 0
         self.asked: CastVote | None = None
-        self.ask_at: Ticks = context.now
+        self.next_check_at: Ticks = context.now
         self.offset = 0.0
         self.met: dict[str, Ticks] = {}
         self._aborting = False
 
     def next_stage(self) -> None:
         """Draws the instance's turn: the first fit into what the platform takes at once."""
-        turn = max(0.0, self.context.chance.draw() * self.turn_of_all - AT_ONCE)
+        turn = max(0.0, self.context.rng.draw() * self.turn_of_all - AT_ONCE)
         self.offset = turn - min(self.in_turns, self.warm_by) / 2
         self._aborting = False
 
@@ -122,9 +122,9 @@
     def _doubt(self) -> float:
         """The test's doubt, or that from slowness of all, which may pass or be the load's."""
         now, test, baseline = self.context.now, self.test, self.baseline
-        doubt, since = test.doubt, self.slowdown.since
+        doubt, since = test.evidence_ratio, self.slowdown.since
         errors = baseline.errors.total(now)
-        seen = baseline.seen.total(now)
+        seen = baseline.outcomes.total(now)
         earlier_fails = errors >= max(OUTCOMES_LEAST, WORSE_FAILED * FAILED_RATE_LEAST * seen)
         if since is None or (earlier_fails and test.sums[Symptom.FAILED] <= 0):
             return doubt
@@ -155,7 +155,7 @@
         warm_at = max(started, default=0) + (settings.warmup_duration if last else self.warm_by)
         uncounted = (
             last
-            and context.crowded()
+            and context.is_large_fleet()
             and self.fleet.usual.lacks(warm_at, context.now, PERIODS_AWAITED)
         )
         return listed_enough and not uncounted and context.now >= warm_at + self.offset
@@ -166,14 +166,14 @@
         An instance with little traffic never sees enough.
         """
         left, test = self.test.sums_without_worst, self.test
-        if max(left.values()) < PROMOTE_BOUND and test.seen >= ENOUGH_OUTCOMES:
+        if max(left.values()) < PROMOTE_BOUND and test.outcomes >= ENOUGH_OUTCOMES:
             return True
         times = 1 if left[Symptom.FAILED] <= 0 else QUIET_TIMES_IN_DOUBT
         return self.context.now >= test.clear_since + (self.offset + QUIET_FOR * times)
 
     def upkeep(self) -> None:
         """Votes, when it is time to look."""
-        if self.context.release and self.context.now >= self.ask_at:
+        if self.context.release and self.context.now >= self.next_check_at:
             self.cast()
 
     def cast(self) -> None:
@@ -186,17 +186,17 @@
             return
         if self.asked != wanted and wanted.verdict in (Verdict.PAUSE, Verdict.ABORT):
             text = describe_vote(
-                wanted, test.sums, test.null_rates, self.slowdown.evidence, test.seen
+                wanted, test.sums, test.null_rates, self.slowdown.evidence, test.outcomes
             )
             context.actions.append(LogNote(text))
-        context.explain(Reason.VOTED, *wanted, test.doubt, test.seen)
+        context.explain(Reason.VOTED, *wanted, test.evidence_ratio, test.outcomes)
         self.asked = wanted
-        self.ask_at = context.now + context.settings.vote_timeout + ANSWER_GRACE
+        self.next_check_at = context.now + context.settings.vote_timeout + ANSWER_GRACE
         context.actions.append(wanted)
 
     def _is_due(self, wanted: CastVote, release: Release) -> bool:
         """Whether the platform is to be told: the vote changed, lapses, or is to be withdrawn."""
-        age, vote = self.context.now - self.vote_at, self.vote
+        age, vote = self.context.now - self.vote_cast_at, self.vote
         stands = vote is not None and age < self.context.settings.vote_lifetime
         if wanted.verdict != Verdict.ABSTAIN:
             return not (stands and vote == wanted and age < self.renew_after)
@@ -205,17 +205,17 @@
         moved = vote.stage != wanted.stage or release.phase != ReleasePhase.ON_TRIAL
         return not (vote.verdict == Verdict.PROMOTE and moved)  # then it binds nothing
 
-    def answered(self, update: ReleaseUpdate) -> None:
+    def handle_response(self, update: ReleaseUpdate) -> None:
         """What was turned away, or unanswered, is cast again, not in step with other instances."""
         context = self.context
-        pause = RETRY_LEAST + int(context.chance.draw() * max(TICKS_PER_SECOND, self.in_turns))
+        pause = RETRY_LEAST + int(context.rng.draw() * max(TICKS_PER_SECOND, self.in_turns))
         if update.outcome != Outcome.DONE:
-            self.ask_at = context.now + max(pause, TICKS_PER_SECOND)
+            self.next_check_at = context.now + max(pause, TICKS_PER_SECOND)
             return
-        self.ask_at = context.now + UPKEEP_SHORTEST
+        self.next_check_at = context.now + MIN_UPKEEP_INTERVAL
         if self.asked:
             self.vote = None if self.asked.verdict == Verdict.ABSTAIN else self.asked
-            self.vote_at = context.now
+            self.vote_cast_at = context.now
 
 
 def describe_vote(
