--- a/thymeknot/policy/request_lifecycle.py
+++ b/thymeknot/policy/request_lifecycle.py
@@ -53,7 +53,7 @@
     ANSWERED = "answered"
 
 
-PROOF = {
+INPUT_BY_OUTCOME = {
     Outcome.DONE: RequestInput.ANSWERED,
     Outcome.ERROR: RequestInput.MAY_HAVE_RUN,
     Outcome.TIMED_OUT: RequestInput.MAY_HAVE_RUN,
@@ -112,7 +112,7 @@
             context.first_traffic_at = now
         self.exposure.count_received(request_class)
         context.arrivals.add(now)
-        self.baseline.first_tries.add(now, not event.is_retry)
+        self.baseline.non_retries.add(now, not event.is_retry)
         if event.key:
             self.split.count_key(event.key)
         self.retry_budget.count_request()
@@ -127,7 +127,7 @@
         attempt = request.attempts[event.number]
         if not attempt.in_flight:
             return
-        proof = PROOF[event.outcome]
+        proof = INPUT_BY_OUTCOME[event.outcome]
         not_run = proof == RequestInput.NOT_RUN
         attempt.in_flight = False
         attempt.may_have_run = not not_run
@@ -162,7 +162,7 @@
         context = self.context
         name = self.hedging.timers.pop(token, None)
         request = self.open.get(name) if name is not None else None
-        context.subject = request.id if request else None
+        context.request_id = request.id if request else None
         if request:
             self._step(request, RequestInput.SLOW)
 
@@ -180,7 +180,7 @@
             self.open.values(),
             context.now - (context.first_traffic_at or 0),
             recent=context.arrivals.total(context.now),
-            draw=context.chance.draw,
+            draw=context.rng.draw,
         )
         if rejection:
             reason = Reason.BY_LOT if rejection.by_chance else Reason.OVER_LIMIT
@@ -227,7 +227,7 @@
         if request.request_class.late_priority_weight <= 0 and now < request.latency_deadline:
             until = min(until, request.latency_deadline)  # nothing is earned after it
         listed = known.listed
-        if context.say:
+        if context.reason_callback:
             context.explain(
                 Reason.SENT,
                 listed.address,
@@ -246,7 +246,7 @@
 
     def _in_time(self, request: RequestState) -> bool:
         """Whether a response after the class's mean time would still earn."""
-        mean = self.admission.means.get(request.request_class.name, 0)
+        mean = self.admission.mean_latencies.get(request.request_class.name, 0)
         return self.context.now + mean < self._earns_until(request)
 
     def _retry(self, request: RequestState) -> None:
@@ -257,7 +257,7 @@
         first = request.first_possible_run()
         cost = 0 if first is None else MAY_HAVE_RUN_COST
         if not self._in_time(request):
-            mean = self.admission.means.get(request.request_class.name, 0)
+            mean = self.admission.mean_latencies.get(request.request_class.name, 0)
             context.explain(Reason.TIME_OVER, self._earns_until(request) - now, mean)
         elif self.retry_budget.tokens < cost:
             context.explain(Reason.NO_BUDGET, self.retry_budget.tokens)
@@ -321,11 +321,11 @@
         fraction = known.warmup_fraction(now, context.settings)
         if not (known.on_newest_build and context.build_state == BuildState.ON_TRIAL):
             # A build's own slowness is no overload.
-            self.admission.ended(now, request_class, event, fraction)
+            self.admission.record_outcome(now, request_class, event, fraction)
         self.selection.count_end(known, outcome)
         if outcome == Outcome.DONE:
-            self.admission.answered(now, request_class, latency)
-            mean = self.admission.means[request_class.name]
+            self.admission.record_latency(now, request_class, latency)
+            mean = self.admission.mean_latencies[request_class.name]
             self.selection.count_response(known, latency, fraction, mean)
             self.slow_start.count_response(fraction)
 
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -116,7 +116,7 @@
             update is not None
             and endpoint.build < update.build
             and update.phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
-            and (command.key or command.id).decode() in self.proxy.engine.pins
+            and (command.key or command.id).decode() in self.proxy.engine.pinned_keys
         )
 
     def written(self) -> bool:
@@ -141,11 +141,11 @@
         assert self.endpoint is not None  # else it has ended as not sent
         self.connection = connection
         now = self.proxy.clock()
-        self.proxy.exposure.wrote(
+        self.proxy.exposure.count_written(
             now, self.proxy.releases.latest, self.endpoint.build, self.request.command.request_class
         )
         left = max(1, (self.expires_at - now) // 10)
-        delivered = connection.deliver(self.request.command.words(left), self._begun)
+        delivered = connection.send_command(self.request.command.forwarded_words(left), self._begun)
         delivered.addCallback(self._responded)
 
     def not_connected(self, broken: BrokenConnection) -> None:
@@ -159,7 +159,7 @@
         """Ends it by the response, or by how its connection broke."""
         proxy = self.proxy
         if isinstance(end, BrokenConnection):
-            written = end.reached == WRITTEN
+            written = end.progress == WRITTEN
             if self.in_flight and written:
                 proxy.response_discarded(self, end.reason)
             if self.in_flight:  # still: the decisions may have cancelled it
