--- a/thymeknot/raft/node_interface.py
+++ b/thymeknot/raft/node_interface.py
@@ -72,7 +72,13 @@
 
 
 class Persist(NamedTuple):
-    """Write these records and report RecordsStored once they are durable."""
+    """Write these records and report RecordsStored once they are durable.
+
+    Attributes:
+        records: Records in the order in which they have to be stored.
+        sync: Whether the records have to be durable before RecordsStored is reported.
+        serial: Increases with each Persist of a node; RecordsStored repeats it.
+    """
 
     records: tuple[Record, ...]
     sync: bool
@@ -87,7 +93,12 @@
 
 
 class CommandCompleted(NamedTuple):
-    """The reply to a proposed command."""
+    """A proposed command was applied, now or earlier under the same sequence number.
+
+    Attributes:
+        token: Of the CommandProposed event.
+        reply: The reply to the command.
+    """
 
     token: Hashable
     reply: Reply | None
--- a/thymeknot/raft/record_frames.py
+++ b/thymeknot/raft/record_frames.py
@@ -42,13 +42,13 @@
         # After a power failure a file may have grown but hold zeros, so a length of 0 is invalid.
         length_fits = 0 < length <= max_bytes and len(body) == length
         if not length_fits or zlib.crc32(body) != checksum:
-            return Frames(bodies, offset, _whole_record_after(content, offset + 1))
+            return Frames(bodies, offset, _has_valid_record_after(content, offset + 1))
         bodies.append(body)
         offset = end
     return Frames(bodies, offset, False)
 
 
-def _whole_record_after(content: bytes, start: int) -> bool:
+def _has_valid_record_after(content: bytes, start: int) -> bool:
     """Returns whether a valid record begins at `start` or later, after an invalid one."""
     for offset in range(start, len(content) - _HEADER.size):
         length, checksum = _HEADER.unpack_from(content, offset)
--- a/thymeknot/raft/storage.py
+++ b/thymeknot/raft/storage.py
@@ -283,7 +283,7 @@
 
     def _append_to_segment(self, content: bytes) -> None:
         self._check_space(content)
-        file = self._open_segment()
+        file = self._segment_descriptor()
         view = memoryview(content)
         while view:
             written = self._files.write(file, view)
@@ -291,9 +291,9 @@
             view = view[written:]
 
     def _sync_segment(self) -> None:
-        self._files.fsync(self._open_segment())
+        self._files.fsync(self._segment_descriptor())
 
-    def _open_segment(self) -> int:
+    def _segment_descriptor(self) -> int:
         if self._segment is None:
             raise ValueError(f"storage directory {self.folder} is not open")
         return self._segment
