--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -208,9 +208,16 @@
             for port in (2, 3):
                 self.connect(port, HEARTBEAT[port], b"noise\n")
                 self.advance_until_requested(port, 9)
-        live = self.network.proxy.timers.live.values()
+        pending_timers = self.network.proxy.timers.pending.values()
         self.assertLessEqual(
-            len([call for call, _ in live if call.__name__ in ("_check_silence", "_watch")]), 2
+            len(
+                [
+                    call
+                    for call, _ in pending_timers
+                    if call.__name__ in ("_check_silence", "_watch")
+                ]
+            ),
+            2,
         )
 
 
@@ -820,9 +827,10 @@
         connect_indices = self.last_connect(3), self.last_connect(2)
         call.dataReceived(self.response_with_length(self.ROLLOUT_STATE_XML))
         self.advance(0.3)
-        live = self.network.proxy.timers.live.values()
+        pending_timers = self.network.proxy.timers.pending.values()
         self.assertEqual(
-            [due for due, _ in live if getattr(due, "__self__", None) in (call, stream)], []
+            [due for due, _ in pending_timers if getattr(due, "__self__", None) in (call, stream)],
+            [],
         )
         self.assertEqual(
             [self.network.reactor.connectors[at].stoppedConnecting for at in connect_indices],
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -83,7 +83,7 @@
         """Takes in an update, or the answer to a vote."""
         context = self.context
         if event.answers_vote:
-            self.voting.answered(event)
+            self.voting.handle_response(event)
         if event.outcome != Outcome.DONE:
             return
         # An update of this outcome has all fields.
@@ -93,7 +93,7 @@
         if old is None or old.build != new.build:
             self.split.pinned_keys = set()
             self.voting.met = {}
-            self.selection.sort_by_build()
+            self.selection.group_by_build()
         change = _change_between(old, new)
         if change is None:
             return
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -62,9 +62,9 @@
 class PodConnection(WholeWriter, Protocol):
     """One connection to an endpoint.
 
-    Its owner is called with connection_made(connection), connection_ready(connection) after a
-    response that leaves it reusable, connection_closing(connection) and
-    connection_lost(connection), and with fault(where, error) for an unexpected exception.
+    It calls its owner with connection_opened(connection), response_received(connection) after a
+    response that leaves it reusable, connection_closing(connection), connection_lost(connection),
+    and fault(where, error) for an unexpected exception.
 
     Attributes:
         owner: The connection pools, which are notified as described above.
@@ -96,7 +96,7 @@
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
-        self.owner.connection_made(self)
+        self.owner.connection_opened(self)
 
     def is_clean(self) -> bool:
         """Returns whether neither data nor a close has arrived since the last response."""
@@ -184,7 +184,7 @@
                 self.drop("data after the answer, or closed by the endpoint")
             else:
                 self.begun = ignore  # an idle connection must not keep the attempt alive
-                self.owner.connection_ready(self)
+                self.owner.response_received(self)
         finally:  # the response counts, whatever happens to the connection
             pending.callback(response)
 
--- a/thymeknot/raft/follower.py
+++ b/thymeknot/raft/follower.py
@@ -1,4 +1,4 @@
-"""A follower's side of replication: entries are taken from the leader (Raft, 5.3)."""
+"""The follower's side of replication: appends the leader's entries (Raft, 5.3)."""
 
 from ..interface.clock import Ticks
 from .messages import AppendRequest, AppendResponse, Message, VoteRequest, VoteResponse
@@ -9,17 +9,17 @@
 
 
 class Follower:
-    """Takes what a leader sends."""
+    """Handles the AppendEntries requests of the leader, and requests of stale terms."""
 
     def __init__(self, state: NodeState) -> None:
         self.state = state
 
     def append_entries(self, now: Ticks, event: MessageReceived[AppendRequest]) -> Step | None:
-        """Appends entries after the previous one, if the log holds that."""
+        """Appends the entries of a request if the log matches at `previous_index`."""
         sender, request = event
         state = self.state
         state.heard_leader(now, sender)
-        next_index = state.log.conflict(request.previous_index, request.previous_term)
+        next_index = state.log.conflict_index(request.previous_index, request.previous_term)
         if next_index is not None:
             self._respond(now, sender, False, next_index, request.round)
             return None
@@ -29,12 +29,12 @@
         if records:
             state.outbox.persist(*records)
         match_index = request.previous_index + len(request.entries)
-        state.commit_to(min(request.committed, match_index))
+        state.commit_to(min(request.commit_index, match_index))
         self._respond(now, sender, True, match_index, request.round)
         return state.membership_step() if records else None
 
     def _append(self, entry: Entry) -> list[Record]:
-        """Appends one entry, in place of another term's; gives the records of it."""
+        """Appends one entry, truncating conflicting ones; returns the records to persist."""
         log = self.state.log
         own_term = log.term(entry.log_index)
         if entry.log_index <= log.base_index or own_term == entry.term:
@@ -49,12 +49,12 @@
         return records
 
     def reject_stale(self, now: Ticks, event: MessageReceived[Message]) -> None:
-        """Tells a sender of an earlier term of this one, so that it doesn't wait in vain."""
+        """Rejects a request with an earlier term, so that the sender learns the current one."""
         sender, request = event
         state = self.state
         if isinstance(request, VoteRequest):
             response = VoteResponse(state.term, state.disk_incarnation, request.pre_vote, False)
-            state.outbox.after_sync(now, Send(sender, response))
+            state.outbox.emit_after_sync(now, Send(sender, response))
         else:
             self._respond(now, sender, False, state.log.last_index + 1, 0)
 
@@ -65,4 +65,4 @@
         response = AppendResponse(
             state.term, state.disk_incarnation, success, match_index, heartbeat_round
         )
-        state.outbox.after_sync(now, Send(leader, response))
+        state.outbox.emit_after_sync(now, Send(leader, response))
