--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -1,4 +1,4 @@
-"""Parsers and writers on whole messages, on every split of them, and on garbage; words and statuses."""
+"""Parsers and serializers: complete messages, any chunk boundary, invalid input, and vote outcomes."""
 
 import random
 import time
@@ -32,14 +32,14 @@
 
 
 def copied(message):
-    """A message with its slices copied, so that it can be compared."""
+    """Returns a message with its memoryviews copied to bytes, for comparison."""
     if isinstance(message, list):
         return [copied(part) for part in message]
     return bytes(message) if isinstance(message, memoryview) else message
 
 
 def chunkings(data):
-    """The data whole, byte by byte, and in two at each point."""
+    """Yields the data in one chunk, byte by byte, and in two chunks split at each offset."""
     yield [data]
     yield [data[at : at + 1] for at in range(len(data))]
     for at in range(1, len(data)):
@@ -141,7 +141,7 @@
     def test_incomplete_command_is_bounded_in_memory_and_cpu_time(
         self,
     ):
-        """By the pieces that a connection reads; the arrays are a megabyte, in each other and all but empty."""
+        """Feeds chunks of the size that a connection reads; the nested, nearly empty arrays take 1 MB."""
         part, nested = (
             b"$%d\r\n%s\r\n" % (resp.MAX_BULK_BYTES, b"x" * resp.MAX_BULK_BYTES),
             b"*64\r\n",
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -1,4 +1,4 @@
-"""What ends while something is still owed, on the streams and calls: silence, late dials, moves, bad input."""
+"""Streams and calls under silence, late connects, address changes and invalid input."""
 
 import contextlib
 import itertools
@@ -27,7 +27,7 @@
 HEARTBEAT = {
     2: b"\n",
     3: b":\n",
-}  # of life, by the port that stands for discovery and for the platform
+}  # by port: 2 is discovery, 3 is the release platform
 
 
 def encode_chunk(content):
@@ -53,7 +53,10 @@
         }
 
     def advance(self, seconds):
-        """So much time, in steps of 10 ms; each due deadline looks at what has come first, so the loop turns twice."""
+        """Advances the clock in steps of 10 ms, with two event loop turns each.
+
+        An expired timer first checks for data that has arrived, and acts on the next turn.
+        """
         for _ in range(round(seconds * 100)):
             self.network.reactor.advance(0.01)
             self.network.reactor.advance(0)
@@ -62,7 +65,7 @@
         return [to for _, to, *_ in self.network.reactor.tcpClients].count(port)
 
     def last_connect(self, port):
-        """The place of the last dial to this port."""
+        """Returns the index of the last connection attempt to this port."""
         return max(
             at for at, (_, to, *_) in enumerate(self.network.reactor.tcpClients) if to == port
         )
@@ -74,11 +77,14 @@
         return stream
 
     def advance_until_requested(self, port, limit):
-        """The seconds until this port is dialled again; a failure after so many."""
+        """Advances until the next connection attempt to this port; returns the seconds taken.
+
+        Fails after `limit` seconds.
+        """
         before, now = self.connect_count(port), self.network.reactor.seconds
         started_at = now()
         while self.connect_count(port) == before:
-            self.assertLess(now() - started_at, limit, "it was not asked for again")
+            self.assertLess(now() - started_at, limit, "no new connection attempt")
             self.advance(0.01)
         return now() - started_at
 
@@ -98,7 +104,7 @@
         for line in (
             b'{"id":"s-2"},\n',
             HEARTBEAT[2],
-        ):  # a sign of life behind what was cut is JSON, and none
+        ):  # an empty line within an incomplete object is whitespace, not a heartbeat
             self.network = Network(entry("s-1"))
             stream, elapsed = (
                 self.connect(2, HEARTBEAT[2], b'{"version":9,"full":true,"servers":[\n'),
@@ -175,9 +181,7 @@
             (2, discovery.SILENCE_TIMEOUT, 4.51),
             (3, platform.SILENCE_TIMEOUT, 4.01),
         ):
-            for words in range(
-                40
-            ):  # the last word comes at another moment of what was looked at before
+            for words in range(40):  # varies the time of the last heartbeat against the check timer
                 self.network = Network(entry("s-1"))
                 stream = self.connect(port, HEARTBEAT[port])
                 for _ in range(words):
@@ -266,7 +270,7 @@
 
 class AddressChangeTest(NetworkTestCase):
     def move(self, network, discovery=2, platform=3):
-        """A new configuration with these ports."""
+        """Applies a configuration with these ports."""
         changed = told(entry("s-1"))
         changed["discovery"], changed["deployer"]["address"] = (
             f"127.0.0.1:{discovery}",
@@ -285,7 +289,7 @@
                     self.connect(port).dataReceived(HEAD.replace(b"200", b"503"))
             self.move(self.network, 8, 9)
             for port in (8, 9):
-                for _ in range(3):  # not there yet
+                for _ in range(3):  # nothing listens there yet
                     self.network.refuse(self.last_connect(port))
                     self.assertLess(self.advance_until_requested(port, 4), 0.85)
 
@@ -294,7 +298,7 @@
         self.advance(0.1)
         for _ in range(
             2
-        ):  # it has only begun when it is closed, which at the present address is a refusal
+        ):  # a close right after the start counts as a refusal only at the present address
             discovery, platform = self.connect(2, HEARTBEAT[2]), self.connect(3, HEARTBEAT[3])
             self.move(self.network, 8, 9)
             for former in (discovery, platform):
@@ -344,7 +348,7 @@
             self.move(self.network, 8)
             old.dataReceived(
                 encode_chunk(list_message(9, "s-1"))
-            )  # what the former one counts is not what the new one does
+            )  # versions of the two addresses are not comparable
             self.network.refuse(self.last_connect(8))
             self.advance_until_requested(8, 1)
             new = self.connect(8, received)
@@ -378,9 +382,7 @@
         self.assertEqual((list(self.network.proxy.listed), self.connect_count(8)), (["s-1"], 1))
 
     def test_request_is_always_pending_while_the_agent_is_silent(self):
-        for _ in range(
-            200
-        ):  # 20 s of a discovery that is down: each connection comes up and is silent
+        for _ in range(200):  # for 20 s discovery accepts connections but sends nothing
             if self.watch_streams[2].pending.transport is None:
                 stream = self.connect(2)
             self.advance(0.1)
@@ -418,7 +420,7 @@
         self.assertLess(self.network.reactor.seconds() - started_at, 2.1)
 
     def test_empty_list_is_requested_less_often_from_a_shared_service(self):
-        alternating = list_message(9), list_message(3, "s-2")  # now this, now that
+        alternating = list_message(9), list_message(3, "s-2")  # alternately empty and outdated
         for asked_for, limit, received in (
             (False, 45, [list_message(7)]),
             (True, 8, [list_message(7)]),
@@ -481,7 +483,10 @@
 
 class InvalidInputTest(NetworkTestCase):
     def assert_input_ends_stream(self, port, *received):
-        """These bytes end the stream that stands, alone, with a reason of bounded length; which is given."""
+        """Checks that this input ends its stream and nothing else; returns the logged reason.
+
+        The length of the reason is bounded.
+        """
         network = self.network = Network(entry("s-1"))
         watch_stream, lines = (
             {2: network.proxy.endpoints.watch, 3: network.proxy.releases.stream}[port],
@@ -903,7 +908,7 @@
 
 
 class MergedDeltasTest(NetworkTestCase):
-    """Changes that come in one chunk are taken as one, and bring about what each alone would."""
+    """Deltas that arrive in one chunk are merged, with the same result as one by one."""
 
     def feed(self, chunks):
         network, lists = Network(entry("s-1"), entry("s-2", 42)), []
@@ -959,7 +964,7 @@
         network = self.network
         network.ask("01")
         gone = json.dumps({"version": 8, "servers": [entry("s-1", state="Gone")]}).encode() + b"\n"
-        for started, dialled in ((0, 1), (9, 2)):  # the same process, and another one
+        for started, dialled in ((0, 1), (9, 2)):  # the same process, and a restarted one
             back = (
                 json.dumps({"version": 9, "servers": [entry("s-1", started_ms=started)]}).encode()
                 + b"\n"
@@ -1033,7 +1038,7 @@
         ):
             ends = range(
                 whole.index(b"version") + 9, len(whole) - 2
-            )  # before that only silence tells
+            )  # a list cut before its version is only noticed by its silence
             for at, indent, sign in itertools.product(ends, (None, 2), (b"", b"\n", b"\n\n\n")):
                 lists, another = (
                     discovery.ListParser(),
@@ -1065,7 +1070,7 @@
 class SocketTest(unittest.TestCase):
     def setUp(self):
         self.old, self.new = PodPeer(), PodPeer()
-        with patient():  # once it serves, a watch has been heard and stands
+        with patient():  # the sidecar only serves once a watch stream is established
             self.running = Program(self.old.entry("s-1"))
         self.running.__enter__()
         for last in (self.running.__exit__, self.old.close, self.new.close):
@@ -1095,7 +1100,7 @@
         self.wait_until_new_endpoint_is_used()
         self.assertTrue(
             [one for one in streams_before if one in self.running.discovery.streams]
-        )  # none was asked for instead
+        )  # the stream was not replaced
 
     def test_invalid_line_in_an_indented_list_ends_only_the_watch_and_is_logged(self):
         self.running.discovery.say('{"version": 9,\n"full": true,\nnoise\n')
@@ -1105,7 +1110,7 @@
         self.wait_until_new_endpoint_is_used()
 
     def test_connects_that_never_complete_at_a_new_address_are_given_up(self):
-        """Its queue is full: the machine drops what knocks, until those in the queue are taken."""
+        """The listener's backlog is full, so the kernel drops new connections until it accepts some."""
         with socket.socket() as listener, contextlib.ExitStack() as fillers:
             listener.bind(("127.0.0.1", 0))
             listener.listen(0)
@@ -1116,13 +1121,17 @@
                 filler.connect_ex(at)
             self.running.write({**self.running.told, "discovery": "%s:%d" % at})
             self.running.process.send_signal(signal.SIGHUP)
-            for _ in range(2):  # one at the former address may have ended before
+            for _ in range(2):  # a stream at the former address may have ended before
                 while self.running.logged("stream ended")["address"] != "%s:%d" % at:
                     pass
             body = HEAD + encode_chunk(self.full_list(3).encode())
 
             def answers():
-                """The fillers say nothing, and those given up neither; one that asked may be given up unheard."""
+                """Answers the watch requests.
+
+                The filler connections send nothing. A connection that was given up may have sent a
+                request before.
+                """
                 with contextlib.suppress(OSError):
                     while True:
                         connection = fillers.enter_context(listener.accept()[0])
--- a/tests/unit/simulator_wire/test_codec.py
+++ b/tests/unit/simulator_wire/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire, both ways."""
+"""Decoding and encoding of the simulator's lines, and the host that serves them."""
 
 import io
 import unittest
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -122,8 +122,7 @@
         Args:
             words: The words of the command.
             on_response_started: Called before the Deferred fires, once a response has arrived in
-                part or is unreadable: the endpoint has begun to write it, so it has executed the
-                request.
+                part or is unreadable: the endpoint has begun to write it.
         """
         pending: Deferred[PodResponse | BrokenConnection] = Deferred()
         self.pending_response = pending
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -121,7 +121,7 @@
     A stream that connects but sends no data within the first-data timeout is given up. The timeout
     doubles with each such stream in a row, up to the silence timeout, so that a slow peer gets
     through in the end. If the peer is dedicated to this sidecar, the next stream is requested at
-    once: otherwise no connection would be open on which the peer could report what it learns next.
+    once, since no other connection is open that would deliver data when the peer responds again.
 
     A silent stream, or one to a former address, is kept until its replacement has sent data: a
     broken link may recover, and what the old stream delivers meanwhile may not be repeated.
