--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -477,7 +477,7 @@
             for back in (120, 30, None):
                 ring = SlidingWindow(span, 120)
                 ring.add(1000)
-                later = 1000 + span + ring.width
+                later = 1000 + span + ring.bucket_width
                 self.assertEqual(
                     (ring.total(1000, False, back), ring.total(later, False, back)), (1, 0), span
                 )
