--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -14,7 +14,7 @@
 
 from tests.support.peers import reserved
 from tests.support.programs import command
-from tests.unit.proxy.test_proxy import ANSWER, Network, entry
+from tests.unit.proxy.test_proxy import VALUE_RESPONSE, Network, endpoint_entry
 from thymeknot.interface.events import ClientDisconnected
 from thymeknot.protocol.client import (
     LINGERS,
@@ -166,20 +166,20 @@
         self.assertEqual(len(network.proxy.clients), 0)
 
     def test_and_what_it_waits_for_is_sent_on_no_more(self):
-        network = self.network(entry("s-1"))
+        network = self.network(endpoint_entry("s-1"))
         near, _ = self.opens(network)
         near.sendall(query("01"))
         network.step()
-        self.assertEqual(network.dialled(), [7001])
+        self.assertEqual(network.dialled_ports(), [7001])
         near.shutdown(socket.SHUT_WR)
         network.step(9)
         late = network.connect()
-        self.assertEqual((late.transport.value(), len(network.proxy.transactions)), (b"", 0))
+        self.assertEqual((late.transport.value(), len(network.proxy.requests_in_flight)), (b"", 0))
 
     def test_who_leaves_while_it_is_not_read_from_is_noticed(self):
         """A connection with too much in hand is not read, so its end is not either."""
         for leaves in (lambda near: near.close(), lambda near: near.shutdown(socket.SHUT_WR)):
-            network = self.network(*(entry(f"s-{at}") for at in range(9)))
+            network = self.network(*(endpoint_entry(f"s-{at}") for at in range(9)))
             near, connection = self.opens(network)
             near.sendall(b"".join(query(f"{at}") for at in range(MOST_WAITING + 9)))
             network.step()
@@ -187,17 +187,17 @@
             leaves(near)
             network.step()
             self.assertFalse(connection.reading)
-            self.assertGreater(len(network.proxy.transactions), MOST_WAITING // 2)
+            self.assertGreater(len(network.proxy.requests_in_flight), MOST_WAITING // 2)
             network.pass_on(2 * LOOKS)
-            self.assertEqual(len(network.proxy.transactions), 0)
-            dialled = len(network.dialled())
+            self.assertEqual(len(network.proxy.requests_in_flight), 0)
+            dialled = len(network.dialled_ports())
             self.assertEqual(
                 [network.connect(at - dialled).transport.value() for at in range(dialled)],
                 [b""] * dialled,
             )
 
     def test_half_a_command_whose_rest_is_not_read_yet_is_not_ended_for_being_late(self):
-        network = self.network(*(entry(f"s-{at}") for at in range(9)))
+        network = self.network(*(endpoint_entry(f"s-{at}") for at in range(9)))
         near, connection = self.opens(network)
         near.sendall(b"".join(query(f"{at}") for at in range(MOST_WAITING + 9)) + PING[:5])
         network.step()
@@ -243,7 +243,7 @@
     def test_a_copy_that_is_read_before_the_end_of_the_firsts_connection_takes_its_place(self):
         """Its client has closed that connection, and asks on another: the loop may come to this one first, or does not
         read that one at all."""
-        network = self.network(entry("s-1"))
+        network = self.network(endpoint_entry("s-1"))
         first, _ = self.opens(network)
         first.sendall(query("01"))
         network.step()
@@ -253,42 +253,48 @@
         second = network.ask("01")
         self.assertEqual(second.transport.value(), b"")
         network.connect().resumeProducing()
-        self.assertEqual([held.connection for held in network.proxy.transactions], [second])
+        self.assertEqual([held.connection for held in network.proxy.requests_in_flight], [second])
         network.step()
-        self.assertEqual([held.connection for held in network.proxy.transactions], [second])
+        self.assertEqual([held.connection for held in network.proxy.requests_in_flight], [second])
 
     def test_nor_does_a_copy_on_the_same_connection_once_its_client_has_left(self):
-        network = self.network(entry("s-1"))
+        network = self.network(endpoint_entry("s-1"))
         near, _ = self.opens(network)
         near.sendall(query("01"))
         network.step()
         near.sendall(query("01"))
         near.close()
         network.step(1)
-        self.assertEqual((len(network.dialled()), len(network.proxy.transactions)), (1, 0))
+        self.assertEqual(
+            (len(network.dialled_ports()), len(network.proxy.requests_in_flight)), (1, 0)
+        )
 
     def test_what_is_read_after_its_client_has_left_is_not_sent_on(self):
         """It waited in the machine: for a place, or because the loop was held up. What pods get is in memory here,
         and written at once."""
         for leaves in (lambda near: near.close(), lambda near: near.shutdown(socket.SHUT_WR)):
-            network = self.network(entry("s-1"))
+            network = self.network(endpoint_entry("s-1"))
             network.ask("warm")
             pod = network.connect()
             pod.resumeProducing()
-            pod.dataReceived(ANSWER)
+            pod.dataReceived(VALUE_RESPONSE)
             network.pass_on(200)  # it has rested: what is decided is written
             sent = pod.transport.value()
             near, connection = self.opens(network)
             near.sendall(query("01") + query("02") + query("02"))
             leaves(near)
             network.step(1)
-            self.assertEqual((pod.transport.value(), len(network.proxy.transactions)), (sent, 0))
+            self.assertEqual(
+                (pod.transport.value(), len(network.proxy.requests_in_flight)), (sent, 0)
+            )
             network.step(9)
-            self.assertEqual((len(network.dialled()), network.proxy.engine.requests.open), (1, {}))
+            self.assertEqual(
+                (len(network.dialled_ports()), network.proxy.engine.requests.open), (1, {})
+            )
             self.assertTrue(connection.gone)
 
     def test_an_attempt_after_another_is_not_sent_on_either(self):
-        network = self.network(entry("s-1"), entry("s-2"))
+        network = self.network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         near, _ = self.opens(network)
         near.sendall(query("01"))
         network.step()
@@ -296,7 +302,9 @@
         pod.resumeProducing()
         near.close()  # the loop has not turned since
         pod.dataReceived(b"-ERR failed\r\n")
-        self.assertEqual((len(network.dialled()), len(network.proxy.transactions)), (1, 0))
+        self.assertEqual(
+            (len(network.dialled_ports()), len(network.proxy.requests_in_flight)), (1, 0)
+        )
         self.assertEqual(network.proxy.engine.requests.open, {})
 
     def test_an_evicted_connection_frees_its_descriptor_at_once(self):
@@ -335,7 +343,7 @@
         self.assertEqual(all_of(near), PONG * 2)
 
     def listening(self):
-        network = self.network(entry("s-1"))
+        network = self.network(endpoint_entry("s-1"))
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         kept, port = reserved()
         self.addCleanup(kept.close)
@@ -407,7 +415,7 @@
             self.addCleanup(near.close)
             near.sendall(PING)
         emptied = []
-        network.proxy.finish(lambda: emptied.append(True))
+        network.proxy.shut_down(lambda: emptied.append(True))
         self.assertEqual(len(network.proxy.clients), 31)
         network.step(9)
         network.pass_on(400)
@@ -433,7 +441,7 @@
             0, factory, interface="127.0.0.1"
         )
         address = "127.0.0.1", port.getHost().port
-        network.proxy.finish(lambda: None)
+        network.proxy.shut_down(lambda: None)
         early, late = (socket.socket() for _ in range(2))
         for near in (early, late):
             self.addCleanup(near.close)
@@ -462,7 +470,7 @@
     once there is one, and none is closed for want of a descriptor."""
 
     def taken(self, finishes):
-        network = Real(entry("s-1"), sockets=64)
+        network = Real(endpoint_entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address = ("127.0.0.1", 0)
@@ -473,7 +481,7 @@
             self.addCleanup(near.close)
             near.sendall(query(f"{at}", 300))
         if finishes:
-            proxy.finish(lambda: said.append("empty"))
+            proxy.shut_down(lambda: said.append("empty"))
         for _ in range(200):
             network.pass_on(100)
             most.append(len(proxy.clients))
@@ -481,7 +489,7 @@
 
     def test_by_one_that_serves(self):
         network, crowd, most, _ = self.taken(False)
-        self.assertLessEqual(most, network.proxy.listener.most_clients + CLOSING_ALLOWANCE)
+        self.assertLessEqual(most, network.proxy.listener.max_clients + CLOSING_ALLOWANCE)
         self.assertEqual(
             {near.recv(99)[:1] for near in crowd}, {b"-"}
         )  # its time is over: nothing else is there
@@ -489,17 +497,17 @@
 
     def test_by_one_that_ends(self):
         network, crowd, most, said = self.taken(True)
-        self.assertLessEqual(most, network.proxy.listener.most_clients + CLOSING_ALLOWANCE)
+        self.assertLessEqual(most, network.proxy.listener.max_clients + CLOSING_ALLOWANCE)
         self.assertEqual({all_of(near)[:1] for near in crowd}, {b"-"})
         self.assertEqual(
-            (said, len(network.proxy.clients), network.proxy.drained.called),
+            (said, len(network.proxy.clients), network.proxy.listener_closed.called),
             (["empty"], 0, True),
         )
 
     def test_one_that_is_new_keeps_its_place_before_one_that_is_idle(self):
         """Its first command is on its way, and a new connection that is closed without an answer counts as refused."""
         for waited, goes in ((0.0, 1), (0.6, 0)):
-            network = Network(entry("s-1"), sockets=64)
+            network = Network(endpoint_entry("s-1"), sockets=64)
             new, idle = network.client(), network.client()
             idle.dataReceived(PING)
             network.reactor.advance(waited)
@@ -508,8 +516,8 @@
             self.assertEqual([one.closing for one in (new, idle)], [at == goes for at in range(2)])
 
     def test_nor_does_a_crowd_close_it(self):
-        network = Network(entry("s-1"))
-        clients = [network.client() for _ in range(network.proxy.listener.most_clients // 2)]
+        network = Network(endpoint_entry("s-1"))
+        clients = [network.client() for _ in range(network.proxy.listener.max_clients // 2)]
         network.reactor.advance(0.3)
         network.client()
         self.assertFalse(any(one.closing for one in clients))
@@ -518,7 +526,7 @@
         self.assertTrue(any(one.closing for one in clients))
 
     def test_by_one_that_comes_back_before_its_drain_is_over(self):
-        network = Real(entry("s-1"), sockets=64)
+        network = Real(endpoint_entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address, said = ("127.0.0.1", 0), []
@@ -536,10 +544,12 @@
         for _ in range(ACCEPT_REST_WITHIN // 100 + 9):
             network.pass_on(100)
         self.assertEqual({near.recv(99)[:1] for near in crowd}, {b"-"})
-        self.assertEqual((said, proxy.listener.listening, proxy.drained), (["back"], True, None))
+        self.assertEqual(
+            (said, proxy.listener.listening, proxy.listener_closed), (["back"], True, None)
+        )
 
     def test_a_crowd_that_goes_on_coming_does_not_hold_up_the_end(self):
-        network = Real(entry("s-1"), sockets=64)
+        network = Real(endpoint_entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address = ("127.0.0.1", 0)
@@ -553,30 +563,30 @@
 
         for at in range(60):
             comes(at)
-        proxy.finish(lambda: None)
+        proxy.shut_down(lambda: None)
         for at in range(rounds):
             if proxy.listener.listening:
                 for _ in range(3):
                     comes(f"{at}.{_}")
             network.pass_on(100)
-        self.assertEqual((proxy.listener.listening, proxy.drained.called), (False, True))
+        self.assertEqual((proxy.listener.listening, proxy.listener_closed.called), (False, True))
 
 
 class Stopping(unittest.TestCase):
     def test_what_is_taken_after_the_stop_has_its_answer_before_the_kill(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         client = network.ask("01")
         network.proxy.shutdown.listener_closed = True
-        network.proxy.finish(lambda: None, network.proxy.clock() + 5_000)
+        network.proxy.shut_down(lambda: None, network.proxy.clock() + 5_000)
         network.ask("02", connection=client)
         network.reactor.advance(0.6)
         network.reactor.advance(0)
-        self.assertEqual([held.id for held in network.proxy.transactions], ["01"])
+        self.assertEqual([held.id for held in network.proxy.requests_in_flight], ["01"])
         network.ask("03", connection=client)  # the kill may come at any moment
-        self.assertEqual([held.id for held in network.proxy.transactions], ["01"])
+        self.assertEqual([held.id for held in network.proxy.requests_in_flight], ["01"])
         connection = network.connect(network.streams)
         connection.resumeProducing()
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n-BUSY 500\r\n-BUSY\r\n")
         self.assertEqual(network.closes(client), [(True, True)])
 
@@ -590,11 +600,12 @@
             def startReading(self):
                 self.on = True
 
-        network = Network(entry("s-1"), sockets=64)
+        network = Network(endpoint_entry("s-1"), sockets=64)
         network.proxy.listener.port = Port()
-        clients = [network.ask(f"{at}") for at in range(network.proxy.listener.most_clients)]
+        clients = [network.ask(f"{at}") for at in range(network.proxy.listener.max_clients)]
         self.assertEqual(
-            (len(network.proxy.transactions) > 2, network.proxy.listener.port.on), (True, True)
+            (len(network.proxy.requests_in_flight) > 2, network.proxy.listener.port.on),
+            (True, True),
         )
         busy = [client for client in clients if client.places]
         for client in clients:
@@ -607,7 +618,7 @@
         self.assertFalse(network.proxy.listener.port.on)
         connection = network.connect(network.streams)
         connection.resumeProducing()
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertTrue(network.proxy.listener.port.on)
 
 
@@ -615,7 +626,7 @@
     """A client whose connection was closed under a request sends the same one once more, under the same id."""
 
     def left(self, lane, written, recalls):
-        network = Network(entry("s-1"), entry("s-2"))
+        network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         network.proxy.settings = network.proxy.engine.context.settings = (
             network.proxy.settings._replace(cancellation_allowed=recalls)
         )
@@ -629,11 +640,11 @@
     def test_the_copy_gets_what_the_first_one_brings_and_nothing_runs_twice(self):
         for lane in ("read", "mark", "pay"):
             network, connection, second = self.left(lane, True, False)
-            self.assertEqual((second.transport.value(), len(network.dialled())), (b"", 1))
-            connection.dataReceived(ANSWER)
+            self.assertEqual((second.transport.value(), len(network.dialled_ports())), (b"", 1))
+            connection.dataReceived(VALUE_RESPONSE)
             self.assertEqual(second.transport.value(), b"$1\r\nv\r\n")
             self.assertEqual(
-                (len(network.proxy.transactions), network.proxy.requests.by_id), (0, {})
+                (len(network.proxy.requests_in_flight), network.proxy.requests.by_id), (0, {})
             )
 
     def test_what_has_not_gone_out_whole_goes_no_further_and_the_copy_is_sent_anew(self):
@@ -642,17 +653,20 @@
             for lane in ("read", "mark", "pay"):
                 network, connection, second = self.left(lane, False, recalls)
                 self.assertTrue(connection.transport.disconnected)
-                self.assertEqual((second.transport.value(), len(network.dialled())), (b"", 2))
+                self.assertEqual((second.transport.value(), len(network.dialled_ports())), (b"", 2))
                 second.connectionLost(None)
                 self.assertEqual(
-                    (len(network.proxy.transactions), network.proxy.engine.requests.open), (0, {})
+                    (len(network.proxy.requests_in_flight), network.proxy.engine.requests.open),
+                    (0, {}),
                 )
 
     def test_or_its_failure(self):
         network, connection, second = self.left("pay", True, False)
         connection.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(second.transport.value(), b"-ERR abandoned\r\n")
-        self.assertEqual((len(network.dialled()), len(network.proxy.transactions)), (1, 0))
+        self.assertEqual(
+            (len(network.dialled_ports()), len(network.proxy.requests_in_flight)), (1, 0)
+        )
 
     def test_or_an_answer_at_its_own_end(self):
         network, _, second = self.left("pay", True, False)
@@ -672,7 +686,7 @@
             ("mark", True, 1),
         ):
             network, _, second = self.left(lane, written, True)
-            self.assertEqual(len(network.dialled()), dials, (lane, written))
+            self.assertEqual(len(network.dialled_ports()), dials, (lane, written))
             self.assertEqual(second.transport.value()[:4], b"-ERR" if dials == 1 else b"")
             if dials == 1:  # and nothing of it is kept
                 network.reactor.advance(5.1)
@@ -680,7 +694,7 @@
                 self.assertEqual(network.proxy.requests.may_have_run, set())
 
     def test_a_copy_while_the_first_ones_client_is_there_is_refused(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         first, second = network.ask("01"), network.ask("01")
         self.assertEqual((first.transport.value(), second.transport.value()[:4]), (b"", b"-ERR"))
 
@@ -688,7 +702,7 @@
 class Leaving(unittest.TestCase):
     def test_those_of_one_client_may_be_removed_and_others_sent_while_it_is_told(self):
         """The walk over what it had goes on over what the decisions change at each."""
-        network = Network(entry("s-1"), entry("s-2"))
+        network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         client = network.client()
         for at in range(6):
             network.ask(f"{at}", connection=client)
@@ -709,9 +723,10 @@
         network.proxy.engine.handle = handle
         client.connectionLost(None)
         self.assertEqual(
-            {held.id for held in network.proxy.transactions} & {f"{at}" for at in range(6)}, set()
+            {held.id for held in network.proxy.requests_in_flight} & {f"{at}" for at in range(6)},
+            set(),
         )
-        self.assertIn("other", {held.id for held in network.proxy.transactions})
+        self.assertIn("other", {held.id for held in network.proxy.requests_in_flight})
         self.assertEqual((network.faults, len(other.places)), ([], 1))
 
 
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -14,7 +14,7 @@
 from tests.integration.test_sockets import READ, WithPods, value
 from tests.support.peers import PATIENCE, DiscoveryPeer, until
 from tests.support.programs import Program, begun_by, coded, patient, stands_still
-from thymeknot.proxy.endpoint_updates import followed_by
+from thymeknot.proxy.endpoint_updates import notifying_reader
 from thymeknot.service import lifecycle
 
 
@@ -190,7 +190,7 @@
 
     def test_a_signal_as_the_interpreter_ends_does_not_change_how_it_ended(self):
         """The interpreter gives back its handlers before it clears its modules: what comes then would end it."""
-        for number in (signal.SIGHUP, *lifecycle.STOPS):
+        for number in (signal.SIGHUP, *lifecycle.STOP_SIGNALS):
             for told, code in ((lambda told: None, 0), (lambda told: told.pop("seed"), 2)):
                 last = f"""class Last:
     kill, own = os.kill, os.getpid()
@@ -237,7 +237,7 @@
             heard.append(content)
             return bytes(content).endswith(b"\n")
 
-        read = followed_by(whole, lambda: heard.append("told"))
+        read = notifying_reader(whole, lambda: heard.append("told"))
         for content in (b'{"version"', b":9}\n", b"\n"):
             read(memoryview(content))
         self.assertEqual(heard, [b'{"version"', b":9}\n", "told", b"\n", "told"])
@@ -307,7 +307,7 @@
                 self.addCleanup(client.__exit__)
                 client.send("SVC.QUERY", "a", f"{number:02x}", READ)
             time.sleep(
-                max(0, begun + 2 * lifecycle.SERVES_ON - time.monotonic())
+                max(0, begun + 2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS - time.monotonic())
             )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
@@ -319,7 +319,7 @@
         """Also where the machine allows fewer than the configuration names."""
         limited = (
             "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\n"
-            f"lifecycle.FIRST_LIST = {PATIENCE}"
+            f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}"
         )
         for sockets, stops in ((64, False), (64, True), (256, False)):
             with begun_by(limited):
@@ -337,7 +337,9 @@
                 client.send("PING")
             if stops:
                 running.process.send_signal(signal.SIGTERM)
-                time.sleep(2 * lifecycle.SERVES_ON)  # the end comes while it stands still
+                time.sleep(
+                    2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS
+                )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
                 [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, stops)
@@ -346,11 +348,11 @@
     def test_the_features_of_one_that_stops_take_up_no_file(self):
         for stopping in (False, True):
             made = lifecycle.Lifecycle({"NODE_CONFIG": "deploy/example.json"}, None)
-            made.extra, made.proxy, made.stopping = mock.Mock(), mock.Mock(), stopping
+            made.features, made.proxy, made.stopping = mock.Mock(), mock.Mock(), stopping
             with mock.patch.object(lifecycle.structured_log, "log"):
                 made._reconfigure()
             self.assertEqual(
-                (made.extra.reconfigure.call_count, made.proxy.reconfigure.call_count),
+                (made.features.reconfigure.call_count, made.proxy.reconfigure.call_count),
                 (0 if stopping else 1, 1),
             )
 
@@ -401,7 +403,7 @@
             pod.heard.get(timeout=PATIENCE)
             running.process.send_signal(signal.SIGTERM)
             stopping = running.logged("stopping")
-            time.sleep(2 * lifecycle.SERVES_ON)
+            time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             client.send("SVC.QUERY", "a", "02", "c=read,t=acme,d=3000")
             answers = [client.answer() for _ in range(3)]
             stopped = running.logged("stopped")
@@ -421,7 +423,7 @@
         with running.client() as client:
             running.process.send_signal(signal.SIGTERM)
             stopping = running.logged("stopping")
-            time.sleep(0.9 * lifecycle.SERVES_ON)
+            time.sleep(0.9 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             for number in range(90):
                 client.send("SVC.QUERY", "a", f"{number:02x}", "c=read,t=acme,d=3000")
             answers = [client.answer() for _ in range(91)]
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -105,7 +105,7 @@
 from thymeknot.proxy.client_requests import ClientRequests
 ClientRequests.gone = lambda self, connection: None
 from thymeknot.proxy import proxy
-proxy.notice_if_gone = lambda request: None
+proxy.close_if_client_gone = lambda request: None
 """,
     ),
     "exposure without a bound": Planted(
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -199,7 +199,7 @@
         self.reactor = Reactor(self)
         fault = self._fault
         self.patches = [
-            mock.patch.object(structured_log, "fault", fault),
+            mock.patch.object(structured_log, "log_exception", fault),
             mock.patch.object(structured_log, "log", self._logged),
         ]
         for patch in self.patches:
@@ -207,7 +207,7 @@
         twisted_log.addObserver(self._observe)
         self.overdue = []
         self.proxy = Proxy(
-            configuration.read(self.told, 0),
+            configuration.parse(self.told, 0),
             self.reactor,
             TimerQueue(lambda: self.now, self.reactor.callLater, fault),
             0,
@@ -651,7 +651,7 @@
         proxy = self.proxy
         left = {
             "clients": len(proxy.clients),
-            "transactions": len(proxy.transactions),
+            "transactions": len(proxy.requests_in_flight),
             "ids": len(proxy.requests.by_id),
             "waiting": len(proxy.pools.unwritten()),
             "dialling": proxy.pools.dialling,
@@ -667,7 +667,7 @@
         if left:
             raise Wrong(f"left at the end: {left}")
         standing = {
-            "Proxy.tell",
+            "Proxy.handle_events",
             "Proxy._log_rejections",
             "WatchStream._look",
             "WatchStream._still_asked",
@@ -683,7 +683,7 @@
         periodic = [call.__name__ for call, _ in proxy.timers.live.values()]
         if (
             live
-            or periodic.count("tell") != 1
+            or periodic.count("handle_events") != 1
             or periodic.count("_log_rejections") != 1
             or len(periodic) > 12
         ):
@@ -960,7 +960,7 @@
         told = copy.deepcopy(self.told)
         told["discovery"] = f"127.0.0.1:{DISCOVERIES[discovery % 2]}"
         told["deployer"]["address"] = f"127.0.0.1:{PLATFORMS[platform % 2]}"
-        self.proxy.reconfigure(configuration.read(told, 0))
+        self.proxy.reconfigure(configuration.parse(told, 0))
 
     def passes(self, milliseconds):
         self.wait(milliseconds * MS)
@@ -983,7 +983,7 @@
     def finish(self):
         if self.state != "finishing":
             self.state, self.finished_at = "finishing", self.now
-            self.proxy.finish(self._emptied)
+            self.proxy.shut_down(self._emptied)
 
 
 def play(*orders):
--- a/tests/support/programs.py
+++ b/tests/support/programs.py
@@ -33,7 +33,7 @@
 
 def patient():
     """Has the program wait for its first list for as long as the test does: what comes before it, comes every time."""
-    return begun_by(f"lifecycle.FIRST_LIST = {PATIENCE}")
+    return begun_by(f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}")
 
 
 def stands_still():
--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -6,7 +6,7 @@
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
-from tests.unit.proxy.test_proxy import Network, Transport, entry
+from tests.unit.proxy.test_proxy import Network, Transport, endpoint_entry
 from thymeknot.interface.actions import SubscribeToEndpoints
 from thymeknot.polling.adaptive_interval import (
     ESTABLISHED_AFTER,
@@ -53,7 +53,7 @@
             (CallResult.MALFORMED, 0, 5_000, IntervalState.SUSPECT),
             (CallResult.REFUSED, 0, 20_000, IntervalState.BACKING_OFF),
         ):
-            self.assertEqual((pace.ended(how, age), pace.state), (wait, state))
+            self.assertEqual((pace.record(how, age), pace.state), (wait, state))
 
     @given(
         st.lists(
@@ -75,9 +75,9 @@
     )
     def test_it_is_asked_again_within_bounds_whatever_comes(self, ends, seed, asking):
         pace = AdaptiveInterval(LinearCongruentialGenerator(seed).draw)
-        self.assertTrue(0 <= pace.first(asking) <= MAX_INITIAL_SPREAD)
+        self.assertTrue(0 <= pace.initial_wait(asking) <= MAX_INITIAL_SPREAD)
         for how, age in ends:
-            self.assertTrue(MIN_REGULAR_INTERVAL <= pace.ended(how, age) <= MAX_INTERVAL)
+            self.assertTrue(MIN_REGULAR_INTERVAL <= pace.record(how, age) <= MAX_INTERVAL)
 
 
 class Overbooked(Service):
@@ -236,14 +236,16 @@
             b"\xff\x00",
             b'{"version":6,"full":true,"servers":[{"id":"s-9","addr":"127.0.0.1:9","state":"Ready"}]}',
         ):
-            network = Network(entry("s-1"))
+            network = Network(endpoint_entry("s-1"))
             stream, held = (
                 network.connect(0),
-                (dict(network.proxy.listed), network.proxy.endpoints.version),
+                (dict(network.proxy.listed_endpoints), network.proxy.endpoints.version),
             )
             stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             stream.dataReceived(b"%x\r\n%s\n\r\n" % (len(spoilt) + 1, spoilt))
-            self.assertEqual((network.proxy.listed, network.proxy.endpoints.version), held, spoilt)
+            self.assertEqual(
+                (network.proxy.listed_endpoints, network.proxy.endpoints.version), held, spoilt
+            )
             self.assertTrue(stream.transport.disconnected and not network.faults)
             for _ in range(40):
                 network.reactor.advance(0.1)
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -15,7 +15,7 @@
 
 from tests.support.peers import PATIENCE, PodPeer, until
 from tests.support.programs import Program, patient
-from tests.unit.proxy.test_proxy import Network, entry, told
+from tests.unit.proxy.test_proxy import Network, configuration_object, endpoint_entry
 from thymeknot.interface.actions import CastVote, FetchEndpoints
 from thymeknot.interface.enums import Outcome, UpdateKind, Verdict
 from thymeknot.interface.events import EndpointUpdate, FleetCounts, ReleaseUpdate
@@ -34,7 +34,7 @@
 def listed(version, *names, indent=None, full=True):
     return (
         json.dumps(
-            {"version": version, "full": full, "servers": [entry(name) for name in names]},
+            {"version": version, "full": full, "servers": [endpoint_entry(name) for name in names]},
             indent=indent,
         ).encode()
         + b"\n"
@@ -43,7 +43,7 @@
 
 class WithNetwork(unittest.TestCase):
     def setUp(self):
-        self.network = Network(entry("s-1"))
+        self.network = Network(endpoint_entry("s-1"))
         self.kept = {2: self.network.proxy.endpoints.watch, 3: self.network.proxy.releases.stream}
 
     def pass_on(self, seconds):
@@ -91,7 +91,7 @@
             b'{"id":"s-2"},\n',
             SIGN[2],
         ):  # a sign of life behind what was cut is JSON, and none
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             stream, began = self.connected(2, SIGN[2], b'{"version":9,"full":true,"servers":[\n'), 0
             while self.asked(2) == 1 and began < 12:
                 stream.dataReceived(chunk(line))
@@ -126,7 +126,7 @@
         heard = self.kept[2].last
         old.dataReceived(chunk(listed(10, "s-3")))
         self.assertEqual((self.kept[2].stream, self.kept[2].last), (new, heard))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_a_dial_that_comes_up_after_it_was_given_up_ends_at_once_and_asks_nothing(self):
         for port in (2, 3):
@@ -144,7 +144,7 @@
             (HEAD + chunk(b"noise\n"), "unreadable: no JSON"),
             (b"noise\r\n\r\n", "no status line"),
         ):
-            network, lines = Network(entry("s-1")), []
+            network, lines = Network(endpoint_entry("s-1")), []
             network.proxy.endpoints.watch.log = lambda event, lines=lines, **fields: lines.append(
                 (event, fields["reason"])
             )
@@ -161,7 +161,7 @@
             for words in range(
                 40
             ):  # the last word comes at another moment of what was looked at before
-                self.network = Network(entry("s-1"))
+                self.network = Network(endpoint_entry("s-1"))
                 stream = self.connected(port, SIGN[port])
                 for _ in range(words):
                     self.pass_on(0.13)
@@ -172,7 +172,7 @@
 
     def test_one_failed_dial_and_the_answer_fit_in_before_what_is_missed_counts_as_told(self):
         for draw in (0.0, 0.5, 0.999):
-            network = self.network = Network(entry("s-1"))
+            network = self.network = Network(endpoint_entry("s-1"))
             network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
             self.connected(2, listed(8, "s-1"))
             began = network.reactor.seconds()
@@ -183,7 +183,7 @@
             network.refuse(failed)
             self.until_asked(2, 1)
             self.connected(2, listed(9, "s-2"))
-            self.assertEqual(list(network.proxy.listed), ["s-2"])
+            self.assertEqual(list(network.proxy.listed_endpoints), ["s-2"])
             self.assertLess(network.reactor.seconds() - began, 5.75)
 
     def test_of_streams_that_come_and_go_one_look_ahead_is_left(self):
@@ -200,7 +200,7 @@
 class FirstWord(WithNetwork):
     def test_one_that_connects_and_says_nothing_is_replaced_in_time_for_the_list(self):
         for draw in (0.0, 0.999):
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             self.network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
             self.connected(2, listed(8, "s-1"))
             began = self.network.reactor.seconds()
@@ -210,7 +210,7 @@
             self.assertTrue(silent.transport.disconnected)
             self.connected(2, listed(9, "s-2"))
             self.assertLess(self.network.reactor.seconds() - began, 5.9)
-            self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_who_is_slow_gets_twice_as_long_each_time_and_the_word_makes_it_usual(self):
         for port, waits in ((2, (0.5, 1, 2, 4, 4.5, 4.5)), (3, (2, 4, 4, 4))):
@@ -224,7 +224,7 @@
             self.assertEqual(self.kept[port].quiet, 0)
 
     def test_a_service_that_all_ask_has_the_time_that_a_call_may_wait_there(self):
-        self.network = Network(entry("s-1"), asked_for=True)
+        self.network = Network(endpoint_entry("s-1"), polled=True)
         self.pass_on(1)
         stream = self.connected(2)
         self.pass_on(2.9)
@@ -243,16 +243,16 @@
 class Moves(WithNetwork):
     def move(self, network, discovery=2, platform=3):
         """A new configuration with these ports."""
-        changed = told(entry("s-1"))
+        changed = configuration_object(endpoint_entry("s-1"))
         changed["discovery"], changed["deployer"]["address"] = (
             f"127.0.0.1:{discovery}",
             f"127.0.0.1:{platform}",
         )
-        network.proxy.reconfigure(configuration.read(changed, 0))
+        network.proxy.reconfigure(configuration.parse(changed, 0))
 
     def test_refusals_of_a_former_address_do_not_slow_the_asking_at_a_new_one(self):
         for asked_for in (False, True):
-            self.network = Network(entry("s-1"), asked_for=asked_for)
+            self.network = Network(endpoint_entry("s-1"), polled=asked_for)
             for port in (2, 3):
                 for _ in range(4):
                     self.until_asked(port, 9) if self.last_ended(port) else self.pass_on(0.1)
@@ -264,7 +264,7 @@
                     self.assertLess(self.until_asked(port, 4), 0.85)
 
     def test_nor_does_its_stream_that_ends_after_the_move(self):
-        self.network = Network(entry("s-1"), asked_for=True)
+        self.network = Network(endpoint_entry("s-1"), polled=True)
         self.pass_on(0.1)
         for _ in range(
             2
@@ -285,7 +285,7 @@
 
     def test_a_new_address_that_is_silent_first_and_refuses_next_is_heard_within_four_seconds(self):
         for draw in (0.0, 0.999):
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             self.network.proxy.endpoints.watch.pace.draw = lambda draw=draw: draw
             old = self.connected(2, listed(8, "s-1"))
             self.move(self.network, 8)
@@ -299,7 +299,8 @@
             old.dataReceived(chunk(SIGN[2]))
             self.connected(8, listed(3, "s-2"))
             self.assertEqual(
-                (list(self.network.proxy.listed), old.transport.disconnected), (["s-2"], True)
+                (list(self.network.proxy.listed_endpoints), old.transport.disconnected),
+                (["s-2"], True),
             )
             self.assertLess(self.network.reactor.seconds() - began, 3)
 
@@ -310,7 +311,7 @@
             (listed(3, "s-2", full=False), ["s-1", "s-2"]),
             (listed(3, full=False), ["s-1"]),
         ):
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             old = self.connected(2, listed(8, "s-1"))
             self.move(self.network, 8)
             old.dataReceived(
@@ -321,10 +322,11 @@
             new = self.connected(8, said)
             self.assertIn(b"index=0 ", new.transport.value())
             self.assertEqual(
-                (list(self.network.proxy.listed), old.transport.disconnected), (names, True)
+                (list(self.network.proxy.listed_endpoints), old.transport.disconnected),
+                (names, True),
             )
             new.dataReceived(chunk(listed(4, "s-3", full=False)))
-            self.assertEqual(list(self.network.proxy.listed), [*names, "s-3"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), [*names, "s-3"])
             new.connectionLost(Failure(ConnectionDone()))
             self.until_asked(8, 4)
             self.assertIn(b"index=4 ", self.connected(8).transport.value())
@@ -337,7 +339,7 @@
             self.assertIn(b"index=0 ", empty.transport.value())
             self.until_asked(8, 2)
         self.connected(8, listed(12, "s-2"))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_what_is_asked_for_at_the_former_address_ends_with_the_move(self):
         self.pass_on(0.05)
@@ -346,7 +348,7 @@
         self.assertTrue(asked.transport.disconnected)
         asked.dataReceived(HEAD + chunk(listed(9, "s-9")))
         asked.connectionLost(Failure(ConnectionDone()))
-        self.assertEqual((list(self.network.proxy.listed), self.asked(8)), (["s-1"], 1))
+        self.assertEqual((list(self.network.proxy.listed_endpoints), self.asked(8)), (["s-1"], 1))
 
     def test_while_the_agent_is_silent_there_is_always_one_that_it_can_answer(self):
         for _ in range(
@@ -359,24 +361,25 @@
         self.assertLess(self.asked(2), 9)
         stream = self.connected(2) if self.kept[2].asked.transport is None else stream
         stream.dataReceived(HEAD + chunk(listed(9, "s-2")))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
 
 class Doubts(WithNetwork):
     def test_an_older_list_is_believed_soon_whatever_the_peer_refused_before(self):
         for asked_for, most in ((False, 1.1), (True, 0.85)):
-            self.network = Network(entry("s-1"), asked_for=asked_for)
+            self.network = Network(endpoint_entry("s-1"), polled=asked_for)
             self.pass_on(0.1)
             for _ in range(5):
                 self.connected(2).dataReceived(HEAD.replace(b"200", b"503"))
                 self.until_asked(2, 9)
             stream = self.connected(2, listed(3, "s-2"))
             self.assertEqual(
-                (list(self.network.proxy.listed), stream.transport.disconnected), (["s-1"], True)
+                (list(self.network.proxy.listed_endpoints), stream.transport.disconnected),
+                (["s-1"], True),
             )
             self.assertLess(self.until_asked(2, 9), most)
             self.connected(2, listed(3, "s-2"))
-            self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_also_where_the_dial_between_the_two_fails(self):
         stream, began = self.connected(2, listed(3, "s-2")), self.network.reactor.seconds()
@@ -385,7 +388,7 @@
         self.network.refuse(self.last(2))
         self.until_asked(2, 2)
         self.connected(2, listed(3, "s-2"))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
         self.assertLess(self.network.reactor.seconds() - began, 2.1)
 
     def test_an_empty_list_is_asked_for_less_often_where_a_service_is_shared(self):
@@ -396,7 +399,10 @@
             (False, 45, wavers),
             (True, 8, wavers),
         ):
-            self.network, said = Network(entry("s-1"), asked_for=asked_for), itertools.cycle(said)
+            self.network, said = (
+                Network(endpoint_entry("s-1"), polled=asked_for),
+                itertools.cycle(said),
+            )
             self.pass_on(0.1)
             for _ in range(200):
                 if (
@@ -405,19 +411,19 @@
                 ):
                     self.connected(2, next(said))
                 self.pass_on(0.1)
-            self.assertEqual(list(self.network.proxy.listed), ["s-1"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-1"])
             self.assertLess(self.asked(2), most)
 
     def test_an_empty_list_of_a_new_version_that_a_new_watch_tells_again_is_believed_in_time(self):
         for asked_for in (False, True):
-            self.network = Network(entry("s-1"), asked_for=asked_for)
+            self.network = Network(endpoint_entry("s-1"), polled=asked_for)
             self.pass_on(0.1)
             self.connected(2, listed(8, "s-1"), listed(9))
-            self.assertEqual(list(self.network.proxy.listed), ["s-1"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-1"])
             self.assertLess(self.until_asked(2, 9), 0.85)
             self.connected(2, listed(9))
             self.assertEqual(
-                (list(self.network.proxy.listed), self.network.proxy.addresses), ([], {})
+                (list(self.network.proxy.listed_endpoints), self.network.proxy.addresses), ([], {})
             )
             self.assertRegex(self.network.ask().transport.value(), b"^-BUSY")
 
@@ -434,7 +440,7 @@
                 HEAD + good + chunk(b"noise\n"),
                 HEAD + good + b"0\r\n\r\n",
             ):
-                self.network = Network(entry("s-1"), asked_for=asked_for)
+                self.network = Network(endpoint_entry("s-1"), polled=asked_for)
                 kept = {
                     2: self.network.proxy.endpoints.watch,
                     3: self.network.proxy.releases.stream,
@@ -450,12 +456,12 @@
 class BadInput(WithNetwork):
     def ends(self, port, *said):
         """These bytes end the stream that stands, alone, with a reason of bounded length; which is given."""
-        network = self.network = Network(entry("s-1"))
+        network = self.network = Network(endpoint_entry("s-1"))
         kept, lines = {2: network.proxy.endpoints.watch, 3: network.proxy.releases.stream}[port], []
         kept.log = lambda event, **fields: lines.append((event, fields["reason"]))
         stream, held = (
             self.connected(port, SIGN[port]),
-            (network.proxy.listed, network.proxy.releases.latest),
+            (network.proxy.listed_endpoints, network.proxy.releases.latest),
         )
         other = self.connected(5 - port, SIGN[5 - port])
         for one in said:
@@ -466,7 +472,8 @@
         self.assertRegex(lines[0][1], "^unreadable: .{5,}")
         self.assertLessEqual(len(lines[0][1]), 200)
         self.assertEqual(
-            ((network.proxy.listed, network.proxy.releases.latest), network.faults), (held, [])
+            ((network.proxy.listed_endpoints, network.proxy.releases.latest), network.faults),
+            (held, []),
         )
         self.assertFalse(other.transport.disconnected)
         return lines[0][1]
@@ -483,7 +490,7 @@
 
     def test_a_stream_that_ends_and_has_trailers_without_end_is_asked_for_anew(self):
         for port in (2, 3):
-            self.network, began = Network(entry("s-1")), 0
+            self.network, began = Network(endpoint_entry("s-1")), 0
             stream = self.connected(port, SIGN[port])
             stream.dataReceived(b"0\r\n")
             while self.asked(port) == 1 and began < 9:
@@ -693,7 +700,7 @@
                 self.assertEqual(self.outcomes(), outcomes, said)
         stream = self.connected(2)
         stream.dataReceived(interim + HEAD + chunk(listed(9, "s-2")))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_odd_chunks_trailers_and_answers_without_a_body_have_one_outcome_in_time(self):
         size = b"%x" % len(self.NEWS)
@@ -825,10 +832,11 @@
         Moves.move(self, self.network, discovery=8)
         stream = self.connected(8, listed(3, "s-2"))
         call.dataReceived(self.sized(listed(9, "s-3")))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
         stream.dataReceived(chunk(listed(4, "s-4")))
         self.assertEqual(
-            (list(self.network.proxy.listed), stream.transport.disconnected), (["s-4"], False)
+            (list(self.network.proxy.listed_endpoints), stream.transport.disconnected),
+            (["s-4"], False),
         )
         self.assertEqual(
             [event.kind for event in self.heard if type(event) is EndpointUpdate],
@@ -840,7 +848,7 @@
     """Changes that come in one chunk are taken as one, and bring about what each alone would."""
 
     def told(self, chunks):
-        network, lists = Network(entry("s-1"), entry("s-2", 42)), []
+        network, lists = Network(endpoint_entry("s-1"), endpoint_entry("s-2", 42)), []
         handle = network.proxy.engine.handle
         network.proxy.engine.handle = lambda now, events: (
             lists.extend(event for event in events if type(event) is EndpointUpdate)
@@ -852,7 +860,9 @@
             stream.dataReceived(chunk(content))
         proxy = network.proxy
         known = {name: known.listed for name, known in proxy.engine.context.endpoints.items()}
-        self.assertEqual((known, proxy.addresses.keys()), (proxy.listed, proxy.listed.keys()))
+        self.assertEqual(
+            (known, proxy.addresses.keys()), (proxy.listed_endpoints, proxy.listed_endpoints.keys())
+        )
         return (
             known,
             proxy.addresses,
@@ -866,7 +876,7 @@
             texts = []
             for version in range(8, 8 + chance.randint(1, 12)):
                 some = [
-                    entry(
+                    endpoint_entry(
                         f"s-{chance.randint(1, 4)}",
                         chance.choice((41, 42)),
                         chance.choice(("Ready", "Terminating", "Gone")),
@@ -892,16 +902,21 @@
     def test_a_pod_that_goes_and_comes_back_in_one_chunk_gets_what_waits_for_it(self):
         network = self.network
         network.ask("01")
-        gone = json.dumps({"version": 8, "servers": [entry("s-1", state="Gone")]}).encode() + b"\n"
+        gone = (
+            json.dumps({"version": 8, "servers": [endpoint_entry("s-1", state="Gone")]}).encode()
+            + b"\n"
+        )
         for started, dialled in ((0, 1), (9, 2)):  # the same process, and another one
             back = (
-                json.dumps({"version": 9, "servers": [entry("s-1", started_ms=started)]}).encode()
+                json.dumps(
+                    {"version": 9, "servers": [endpoint_entry("s-1", started_ms=started)]}
+                ).encode()
                 + b"\n"
             )
             self.connected(2, gone + back) if started == 0 else self.kept[2].stream.dataReceived(
                 chunk(gone + back)
             )
-            self.assertEqual(network.dialled().count(7001), dialled)
+            self.assertEqual(network.dialled_ports().count(7001), dialled)
         self.assertEqual(network.connect(network.streams).transport.value(), b"")
         self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
 
@@ -910,23 +925,28 @@
     def test_a_list_on_several_lines_is_taken_as_soon_as_it_is_whole_however_it_is_split(self):
         for indent in (None, 0, 1, 4):
             for step in (1, 7, 100_000):
-                network = Network(entry("s-1", zone='a"}[\\'))
+                network = Network(endpoint_entry("s-1", zone='a"}[\\'))
                 stream, body = network.connect(0), listed(9, "s-2", "s-3", indent=indent)
                 stream.dataReceived(HEAD)
                 for at in range(0, len(body), step):
-                    self.assertEqual(list(network.proxy.listed), ["s-1"])
+                    self.assertEqual(list(network.proxy.listed_endpoints), ["s-1"])
                     stream.dataReceived(chunk(body[at : at + step]))
-                self.assertEqual(list(network.proxy.listed), ["s-2", "s-3"])
+                self.assertEqual(list(network.proxy.listed_endpoints), ["s-2", "s-3"])
                 stream.dataReceived(
                     chunk(b"\n" + listed(10, "s-4", indent=2) + b"\n\n" + listed(11, "s-5"))
                 )
                 self.assertEqual(
-                    (list(network.proxy.listed), network.proxy.endpoints.version), (["s-5"], 11)
+                    (list(network.proxy.listed_endpoints), network.proxy.endpoints.version),
+                    (["s-5"], 11),
                 )
                 self.assertFalse(stream.transport.disconnected)
 
     def test_brackets_and_quotes_in_strings_and_shapes_of_the_page(self):
-        odd = {"version": 9, "full": True, "servers": [entry("s-2", zone='}]"{[\\', kind='\\"')]}
+        odd = {
+            "version": 9,
+            "full": True,
+            "servers": [endpoint_entry("s-2", zone='}]"{[\\', kind='\\"')],
+        }
         for text in (
             json.dumps(odd, indent=2),
             '{"version":9,"full":true,"servers":[\n  {"id":"s-2","addr":"h:7",'
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -24,7 +24,7 @@
 from tests.integration.test_sockets import MARK, PAY, READ, WithPods, value
 from tests.support.peers import PATIENCE, PodPeer, until, words_of
 from tests.support.programs import command
-from tests.unit.proxy.test_proxy import ANSWER, Network, Transport, entry
+from tests.unit.proxy.test_proxy import VALUE_RESPONSE, Network, Transport, endpoint_entry
 from thymeknot.interface.actions import SendAttempt
 from thymeknot.interface.enums import Outcome, ReleasePhase
 from thymeknot.interface.events import LateResponseSeen, ReleaseUpdate
@@ -45,13 +45,13 @@
 
 def counted(network):
     """Has each attempt's end counted, beside what is done with it."""
-    ends, ended = [], network.proxy.ended
+    ends, ended = [], network.proxy.attempt_ended
 
     def count(attempt, outcome, answer=None):
         ends.append((attempt.request.id, attempt.number, outcome))
         return ended(attempt, outcome, answer)
 
-    network.proxy.ended = count
+    network.proxy.attempt_ended = count
     return ends
 
 
@@ -61,13 +61,13 @@
 
 
 def pods_dialled(network):
-    return [port for port in network.dialled() if port > 7000]
+    return [port for port in network.dialled_ports() if port > 7000]
 
 
 class OneEnd(unittest.TestCase):
     def test_what_is_written_in_part_ends_once_whoever_ends_it(self):
         for end, outcome in (("time", Outcome.CONNECT_FAILED), ("client", Outcome.CANCELLED)):
-            network = Network(entry("s-1"))
+            network = Network(endpoint_entry("s-1"))
             ends, client = counted(network), network.ask(left=200)
             connection = network.connect()
             if end == "time":
@@ -77,12 +77,12 @@
             self.assertTrue(connection.transport.disconnected)
             self.assertEqual(ends, [("01", 0, outcome)])
             self.assertEqual(
-                (len(network.proxy.transactions), network.proxy.requests.by_id), (0, {})
+                (len(network.proxy.requests_in_flight), network.proxy.requests.by_id), (0, {})
             )
 
     def test_what_is_given_up_as_the_other_side_closes_ends_once(self):
         for end, outcome in (("time", Outcome.TIMED_OUT), ("client", Outcome.CANCELLED)):
-            network = Network(entry("s-1"))
+            network = Network(endpoint_entry("s-1"))
             ends, client = counted(network), network.ask(left=200)
             connection = network.connect()
             connection.resumeProducing()
@@ -93,10 +93,12 @@
                 client.connectionLost(Failure(ConnectionLost()))
             connection.connectionLost(Failure(ConnectionLost()))
             self.assertEqual(ends, [("01", 0, outcome)])
-            self.assertEqual((len(network.proxy.transactions), len(network.proxy.pools)), (0, 0))
+            self.assertEqual(
+                (len(network.proxy.requests_in_flight), len(network.proxy.pools)), (0, 0)
+            )
 
     def test_an_answer_that_has_come_goes_before_a_deadline_of_the_same_turn(self):
-        network, turns = Network(entry("s-1")), []
+        network, turns = Network(endpoint_entry("s-1")), []
         deadlines, wake = network.proxy.timers, network.proxy.timers.wake
         # A loop reads its sockets between two calls that are due: what is due at once comes a turn later.
         deadlines.wake = lambda seconds, *call: (
@@ -107,18 +109,20 @@
         connection.resumeProducing()
         network.reactor.advance(0.2)
         self.assertEqual((len(turns), client.transport.value()), (1, b""))
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         turns[0][0](*turns[0][1:])
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
 
     def test_what_was_given_up_binds_its_key_once_and_what_follows_answers_nobody(self):
-        network = Network(entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0)
+        network = Network(
+            endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+        )
         client = network.ask(left=200)
         connection = network.connect()
         connection.resumeProducing()
         pass_on(network, 0.2)
         network.proxy.engine.pins.clear()
-        connection.dataReceived(ANSWER + ANSWER)
+        connection.dataReceived(VALUE_RESPONSE + VALUE_RESPONSE)
         self.assertEqual(network.proxy.engine.pins, {"key"})
         self.assertTrue(connection.transport.disconnected)
         self.assertEqual(client.transport.value().count(b"\r\n"), 1)
@@ -131,11 +135,11 @@
     """A connection is lost a turn of the loop after its end was settled."""
 
     def idle(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         pass_on(network, 0.1)
         connection.transport.clear()
         return network, connection
@@ -144,7 +148,7 @@
         for end in ("more", "told idle time", "pod gone"):
             network, connection = self.idle()
             if end == "more":
-                connection.dataReceived(ANSWER)
+                connection.dataReceived(VALUE_RESPONSE)
             elif end == "pod gone":
                 network.proxy.pools.retire("s-1")
             else:
@@ -165,30 +169,30 @@
         self.assertEqual((connection.transport.value(), pods_dialled(network)), (b"", [7001, 7001]))
 
     def test_a_connection_that_stands_idle_keeps_nothing_of_what_was_answered(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
         attempt = connection.begun.__self__
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertIs(attempt.in_flight, False)
         self.assertNotIn(
             attempt, [getattr(held, "__self__", held) for held in vars(connection).values()]
         )
 
     def test_a_fault_in_what_comes_after_an_answer_costs_no_answer(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         client = network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
         network.proxy.pools.ready = lambda _: 1 / 0
         faults, network.proxy.pools.fault = [], lambda *fault: faults.append(fault)
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(
             (client.transport.value(), connection.transport.disconnected, len(faults)),
             (b"$1\r\nv\r\n", True, 1),
         )
-        self.assertEqual(len(network.proxy.transactions), 0)
+        self.assertEqual(len(network.proxy.requests_in_flight), 0)
 
 
 class Late(unittest.TestCase):
@@ -196,18 +200,20 @@
 
     def answered(self, *more):
         """A network whose first request was answered, while these others were asked or wait for a dial."""
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         clients = [network.ask("01")]
         connection = network.connect()
         connection.resumeProducing()
         clients += [network.ask(name) for name in more]
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         connection.transport.clear()
         return network, connection, clients
 
     def test_a_second_answer_within_the_rest_answers_nobody(self):
         spoilt = b"*", b"\r\n", b"\xff" * 70_000, b"-BUSY\r\n", b"*3\r\n$1\r\nw\r\n$x"
-        for waits, late in itertools.product((True, False), (ANSWER.replace(b"v", b"w"), *spoilt)):
+        for waits, late in itertools.product(
+            (True, False), (VALUE_RESPONSE.replace(b"v", b"w"), *spoilt)
+        ):
             network, connection, clients = self.answered(*["02"] * waits)
             network.reactor.advance(0.009)
             clients += [network.ask("02")] * (not waits)
@@ -219,7 +225,7 @@
             )
             other = network.connect()
             other.resumeProducing()
-            other.dataReceived(ANSWER.replace(b"v", b"2"))
+            other.dataReceived(VALUE_RESPONSE.replace(b"v", b"2"))
             self.assertEqual(clients[1].transport.value(), b"$1\r\n2\r\n")
             self.assertEqual(pods_dialled(network), [7001, 7001])
 
@@ -261,10 +267,10 @@
         self.assertEqual(pods_dialled(network), [7001, 7001])
 
     def test_an_answer_before_the_last_byte_was_written_is_none(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         client = network.ask("01", lane="pay")
         connection = network.connect()
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual((client.transport.value(), connection.transport.disconnected), (b"", True))
         self.assertEqual(
             pods_dialled(network), [7001, 7001]
@@ -276,15 +282,15 @@
         self,
     ):
         for change in ({"build": 40}, {"started_ms": 9}):
-            network = Network(entry("s-1"))
+            network = Network(endpoint_entry("s-1"))
             clients = [network.ask(name) for name in ("01", "02")]
             idle, out = network.connect(network.streams), network.connect(network.streams + 1)
             for connection in (idle, out):
                 connection.resumeProducing()
-            idle.dataReceived(ANSWER)
+            idle.dataReceived(VALUE_RESPONSE)
             clients.append(network.ask("03"))  # the idle one rests: it is dialled for
             network.proxy.engine.pins.clear()  # else the key stays with the former build
-            network.list(entry("s-1", **change))
+            network.update_endpoints(endpoint_entry("s-1", **change))
             self.assertTrue(idle.transport.disconnecting)
             self.assertEqual(network.connect(network.streams + 2).transport.value(), b"")
             self.assertEqual(pods_dialled(network), [7001] * 4)
@@ -292,7 +298,7 @@
             self.assertIn(b"$2\r\n03\r\n", new.transport.value())
             new.resumeProducing()
             for connection in (out, new):  # what was out may end, and its connection ends with it
-                connection.dataReceived(ANSWER)
+                connection.dataReceived(VALUE_RESPONSE)
             self.assertEqual(
                 (out.transport.disconnected, new.transport.disconnected), (True, False)
             )
@@ -303,7 +309,7 @@
     def dials(self, rest, a_second, pods, took):
         """Connections dialled in half a minute, of pods that take so many steps of 5 ms for an answer."""
         network, chance, due, connected = (
-            Network(*(entry(f"s-{at}") for at in range(1, pods + 1))),
+            Network(*(endpoint_entry(f"s-{at}") for at in range(1, pods + 1))),
             random.Random(11),
             [],
             0,
@@ -332,7 +338,7 @@
                             connection.resumeProducing() if not connection.written else None
                             connection.ends = step + took
                         elif step >= connection.ends:
-                            connection.dataReceived(ANSWER)
+                            connection.dataReceived(VALUE_RESPONSE)
                 network.reactor.advance(0.005)
         self.assertEqual(network.faults, [])
         return connected
@@ -443,21 +449,23 @@
 
 class Cut(unittest.TestCase):
     def test_a_value_that_is_whole_is_served_wherever_the_connection_ends_behind_it(self):
-        value_ends = ANSWER.index(b"v\r\n") + 3
-        for at, why in itertools.product(range(len(ANSWER)), (ConnectionLost, ConnectionDone)):
+        value_ends = VALUE_RESPONSE.index(b"v\r\n") + 3
+        for at, why in itertools.product(
+            range(len(VALUE_RESPONSE)), (ConnectionLost, ConnectionDone)
+        ):
             network = Network(
-                entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+                endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
             )
             ends, client = counted(network), network.ask("01", lane="pay")
             connection = network.connect()
             connection.resumeProducing()
-            connection.dataReceived(ANSWER[:at])
+            connection.dataReceived(VALUE_RESPONSE[:at])
             connection.connectionLost(Failure(why()))
             whole = at >= value_ends
             self.assertEqual(ends, [("01", 0, Outcome.DONE if whole else Outcome.RESET)], at)
             self.assertRegex(client.transport.value(), rb"^\$1\r\nv\r\n$" if whole else b"^-ERR")
             self.assertEqual(
-                (network.proxy.engine.pins, len(network.proxy.transactions)), ({"key"}, 0)
+                (network.proxy.engine.pins, len(network.proxy.requests_in_flight)), ({"key"}, 0)
             )
             self.assertEqual((len(network.proxy.pools), network.faults), (0, []))
 
@@ -466,14 +474,14 @@
     def test_an_attempt_whose_dial_raises_is_ended_and_counted_out_nowhere(self):
         """Where the network library raises as a connection is dialled, the attempt stood in the pool's queue, out for the
         proxy and in flight for the decisions, for good: its client was answered as overdue, and nothing let go of it."""
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.reactor.connectTCP = mock.Mock(side_effect=OverflowError("no such port"))
         client = network.ask("01")
         self.assertRegex(client.transport.value(), b"^-BUSY")
         proxy = network.proxy
         known = proxy.engine.context.endpoints.values()
         self.assertEqual([one.in_flight for one in known], [0])
-        self.assertEqual((len(proxy.engine.requests.open), len(proxy.transactions)), (0, 0))
+        self.assertEqual((len(proxy.engine.requests.open), len(proxy.requests_in_flight)), (0, 0))
         self.assertEqual((len(proxy.pools), proxy.pools.unwritten()), (0, []))
 
 
@@ -482,7 +490,7 @@
 
     def again(self, lane="mark", window=10_000):
         """A network whose request may have run once, 0.9 s ago, and is asked for again: it waits for its dial."""
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         lanes = network.proxy.settings.request_classes
         lanes[lane] = lanes[lane]._replace(deduplication_window=window)
         client = network.ask("01", lane=lane)
@@ -500,7 +508,7 @@
         pass_on(network, 0.02)
         self.assertRegex(client.transport.value(), b"^-ERR")  # and not -BUSY: it may have run
         self.assertEqual(network.connect().transport.value(), b"")
-        self.assertEqual((len(network.proxy.transactions), network.faults), (0, []))
+        self.assertEqual((len(network.proxy.requests_in_flight), network.faults), (0, []))
 
     def test_nor_where_its_connection_comes_up_before_that_deadline_is_due(self):
         network, client = self.again()
@@ -521,14 +529,14 @@
         connection = network.connect()
         connection.resumeProducing()
         pass_on(network, 0.5)
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
 
     def test_a_binding_request_that_may_have_run_is_written_no_second_time_whatever_asks_for_it(
         self,
     ):
         for reached in ("written", "in part", "not connected"):
-            network = Network(entry("s-1"))
+            network = Network(endpoint_entry("s-1"))
             network.proxy.engine.handle = lambda *_: []
             network.ask("01", lane="pay")
             network.proxy._carry_out([SendAttempt("01", "s-1", 20_000)])
@@ -550,7 +558,9 @@
 
     def changed(self, change, written):
         """(what waited or was written in part, as a pod saw it; whether its request is in hand still)."""
-        network = Network(entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0)
+        network = Network(
+            endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+        )
         network.ask("01")
         connection = network.connect() if written else None
         change(network)
@@ -561,24 +571,34 @@
 
     def test_what_was_told_since_takes_back_what_waits_and_what_is_written_in_part(self):
         changes = {
-            "drain": lambda network: network.list(entry("s-1", build=42, state="Terminating")),
+            "drain": lambda network: network.update_endpoints(
+                endpoint_entry("s-1", build=42, state="Terminating")
+            ),
             "gone from a whole list": lambda network: network.proxy.endpoints.take_up(
                 discovery.read_list(
-                    {"version": 9, "full": True, "servers": [entry("s-2", build=42)]}, 0
+                    {"version": 9, "full": True, "servers": [endpoint_entry("s-2", build=42)]}, 0
                 ),
                 "again",
             ),
-            "gone": lambda network: network.list(entry("s-1", build=42, state="Gone")),
-            "restart": lambda network: network.list(entry("s-1", build=42, started_ms=5000)),
-            "other build": lambda network: network.list(entry("s-1", build=41)),
-            "moved": lambda network: network.list(entry("s-1", build=42, addr="127.0.0.1:8001")),
-            "lower cap": lambda network: network.proxy.tell(
+            "gone": lambda network: network.update_endpoints(
+                endpoint_entry("s-1", build=42, state="Gone")
+            ),
+            "restart": lambda network: network.update_endpoints(
+                endpoint_entry("s-1", build=42, started_ms=5000)
+            ),
+            "other build": lambda network: network.update_endpoints(
+                endpoint_entry("s-1", build=41)
+            ),
+            "moved": lambda network: network.update_endpoints(
+                endpoint_entry("s-1", build=42, addr="127.0.0.1:8001")
+            ),
+            "lower cap": lambda network: network.proxy.handle_events(
                 ReleaseUpdate(42, 0, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 0.0, 0)
             ),
-            "going back": lambda network: network.proxy.tell(
+            "going back": lambda network: network.proxy.handle_events(
                 ReleaseUpdate(42, 0, ReleasePhase.ROLLING_BACK, False, Outcome.DONE, 0.0, 0)
             ),
-            "withdrawn": lambda network: network.proxy.tell(
+            "withdrawn": lambda network: network.proxy.handle_events(
                 ReleaseUpdate(42, 0, ReleasePhase.WITHDRAWN, False, Outcome.DONE, 0.0, 0)
             ),
         }
@@ -588,13 +608,13 @@
 
     def test_what_changes_nothing_for_it_takes_nothing_back(self):
         changes = {
-            "the same list": lambda network: network.list(
-                entry("s-1", build=42), entry("s-2", build=42)
+            "the same list": lambda network: network.update_endpoints(
+                endpoint_entry("s-1", build=42), endpoint_entry("s-2", build=42)
             ),
-            "higher stage": lambda network: network.proxy.tell(
+            "higher stage": lambda network: network.proxy.handle_events(
                 ReleaseUpdate(42, 1, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 1.0, 0)
             ),
-            "newer build": lambda network: network.proxy.tell(
+            "newer build": lambda network: network.proxy.handle_events(
                 ReleaseUpdate(43, 0, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 0.5, 0)
             ),
         }
@@ -603,9 +623,9 @@
                 self.assertNotEqual(self.changed(change, written), b"", (name, written))
 
     def test_a_dial_to_where_its_pod_was_carries_nothing_and_it_goes_to_where_it_is(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask("01")
-        network.list(entry("s-1", addr="127.0.0.1:8001"))
+        network.update_endpoints(endpoint_entry("s-1", addr="127.0.0.1:8001"))
         self.assertEqual(
             pods_dialled(network), [7001, 8001]
         )  # at once, not when the former dial ends
@@ -618,8 +638,8 @@
     def test_a_key_that_the_newest_build_answered_meanwhile_goes_to_no_earlier_one(self):
         for keys_stay, goes_to in ((True, 7002), (False, 7001)):
             network = Network(
-                entry("s-1"),
-                entry("s-2", build=42),
+                endpoint_entry("s-1"),
+                endpoint_entry("s-2", build=42),
                 version=42,
                 step=0,
                 status="trial",
@@ -630,7 +650,7 @@
             )
             network.ask("01", lane="pay")
             self.assertEqual(pods_dialled(network), [7001])
-            network.proxy.tell(
+            network.proxy.handle_events(
                 LateResponseSeen("key", 42)
             )  # by an attempt of another request with this key
             self.assertEqual(bool(network.connect().transport.value()), not keys_stay)
@@ -640,18 +660,22 @@
 
     def test_news_of_an_earlier_build_takes_back_what_waits_for_one_that_is_none_then(self):
         back = ReleaseUpdate(41, 0, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0)
-        self.assertEqual(self.changed(lambda network: network.proxy.tell(back), False), b"")
+        self.assertEqual(
+            self.changed(lambda network: network.proxy.handle_events(back), False), b""
+        )
 
     def test_what_waits_for_a_client_that_has_gone_is_not_written_where_nothing_may_be_recalled(
         self,
     ):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.proxy.engine.context.settings = network.proxy.settings._replace(
             cancellation_allowed=False
         )
         network.ask("01").connectionLost(Failure(ConnectionLost()))
         self.assertEqual(network.connect().transport.value(), b"")
-        self.assertEqual((len(network.proxy.transactions), network.proxy.requests.by_id), (0, {}))
+        self.assertEqual(
+            (len(network.proxy.requests_in_flight), network.proxy.requests.by_id), (0, {})
+        )
 
 
 class Retired(unittest.TestCase):
@@ -662,14 +686,14 @@
             (4_000, 0.35, 2),
             (1, 0.02, 2),
         ):  # less than between two looks
-            network = Network(entry("s-1"))
+            network = Network(endpoint_entry("s-1"))
             network.proxy.pools.connection_limits = network.proxy.connection_limits._replace(
                 idle_timeout=idle
             )
             network.ask("01", lane="pay")
             connection = network.connect()
             connection.resumeProducing()
-            connection.dataReceived(ANSWER)
+            connection.dataReceived(VALUE_RESPONSE)
             network.reactor.advance(waits)
             network.ask("02", lane="pay")
             self.assertEqual(len(pods_dialled(network)), dialled, (idle, waits))
@@ -682,7 +706,7 @@
     HANG, RATE = 1.0, 20
 
     def test_where_all_may_go_there_the_edge_of_the_window_turns_nothing_away(self):
-        terms = Network(entry("s-1")).proxy.settings
+        terms = Network(endpoint_entry("s-1")).proxy.settings
         for cap, may in ((1.0, True), (0.9, False)):
             exposure, news = (
                 TrialExposure(terms),
@@ -704,7 +728,7 @@
         for seed, cap in ((0, 0.5), (1, 0.5), (2, 0.5), (3, 1.0)):
             network, chance = (
                 Network(
-                    *(entry(f"s-{at}", 41 + at // 5) for at in range(1, 9)),
+                    *(endpoint_entry(f"s-{at}", 41 + at // 5) for at in range(1, 9)),
                     version=42,
                     step=0,
                     status="trial",
@@ -747,14 +771,14 @@
                     if connection.transport.value():
                         name, build = (
                             connection.transport.value().split(b"\r\n")[6].decode(),
-                            proxy.listed[pod].build,
+                            proxy.listed_endpoints[pod].build,
                         )
                         checker.sent(now, "", name, pod, build, lane="read")
                         connection.transport.clear()
                         connection.resumeProducing()
                         trial += build == 42
                     elif connection.waiting is not None:
-                        connection.dataReceived(ANSWER)
+                        connection.dataReceived(VALUE_RESPONSE)
                     elif connection.transport.disconnecting or (
                         hangs and int(pod[2:]) > 4
                     ):  # the pod pauses
@@ -864,7 +888,7 @@
 
 class Full(unittest.TestCase):
     def test_a_connection_that_comes_up_with_something_on_it_fails_what_it_was_dialled_for(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         ends = counted(network)
         network.ask("01", lane="pay")
         connection = network.reactor.tcpClients[-1][2].buildProtocol(None)
@@ -878,7 +902,7 @@
 
     def test_a_dial_that_has_reached_itself_carries_nothing(self):
         """At a port of this machine that nobody listens at: what is written comes back, and reads as an answer."""
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         ends, client = counted(network), network.ask("01", lane="pay")
         connection, transport = network.reactor.tcpClients[-1][2].buildProtocol(None), Transport()
         transport.peerAddr = transport.getHost()
@@ -903,12 +927,12 @@
 
     def ended(self, content):
         """(how the attempt ended, how much was read) of one that gets this in pieces, beside another request."""
-        network, read = Network(entry("s-1")), 0
+        network, read = Network(endpoint_entry("s-1")), 0
         ends, client, other = counted(network), network.ask("01", lane="pay"), network.ask("02")
         connection, beside = network.connect(network.streams), network.connect(network.streams + 1)
         for one in (connection, beside):
             one.resumeProducing()
-        with mock.patch.object(structured_log, "seldom") as told:
+        with mock.patch.object(structured_log, "log_rate_limited") as told:
             for at in range(0, len(content), 65536):
                 if not connection.transport.disconnected:
                     connection.dataReceived(content[at : at + 65536])
@@ -922,10 +946,10 @@
                 if call.args[0] == "late response discarded"
             ]
             self.assertRegex(lines[-1], "answer")  # what was wrong with it
-        beside.dataReceived(ANSWER)
+        beside.dataReceived(VALUE_RESPONSE)
         self.assertEqual(other.transport.value(), b"$1\r\nv\r\n")
         connection.connectionLost(Failure(ConnectionLost()))
-        self.assertEqual((len(network.proxy.transactions), network.faults), (0, []))
+        self.assertEqual((len(network.proxy.requests_in_flight), network.faults), (0, []))
         self.assertEqual([name for name, *_ in ends], ["01", "02"])
         return ends[0][2], read
 
@@ -955,7 +979,7 @@
         self.assertEqual(self.ended(b"*3\r\n$1\r\nv\r\n" + b"*64\r\n" * 3)[0], Outcome.DONE)
 
     def test_a_load_report_that_is_none_is_let_go_and_the_value_stands(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.proxy.settings = network.proxy.settings._replace(load_metrics=("load", "queue"))
         for report, load in (
             (b"load=0.5,queue=3", (0.5, 3.0)),
@@ -990,12 +1014,12 @@
 
 
 ANSWERS = {
-    "good": ANSWER,
+    "good": VALUE_RESPONSE,
     "busy": b"-BUSY\r\n",
     "error": b"-ERR failed\r\n",
-    "part": ANSWER[:9],
-    "twice": ANSWER * 2,
-    "spoilt": ANSWER[:-5] + b"$x1\r\n",
+    "part": VALUE_RESPONSE[:9],
+    "twice": VALUE_RESPONSE * 2,
+    "spoilt": VALUE_RESPONSE[:-5] + b"$x1\r\n",
     "noise": b"noise\r\n",
     "null": b"*1\r\n$-1\r\n",
 }
@@ -1046,13 +1070,13 @@
 
     def __init__(self, test):
         self.test, self.faults = test, []
-        structured_log.fault = lambda *fault: self.faults.append(fault)
-        self.network = Network(entry("s-1"), entry("s-2"))
+        structured_log.log_exception = lambda *fault: self.faults.append(fault)
+        self.network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         self.proxy, self.pools = self.network.proxy, self.network.proxy.pools
         self.clients, self.dials, self.connections, self.may_have_run, self.seen = {}, [], [], {}, 0
         self.pools.most = 9
 
-    def dialled(self):
+    def pending_dials(self):
         """Takes up dials that are new, ends those that were stopped; gives those that are under way."""
         while self.seen < len(self.network.reactor.tcpClients):
             _, port, factory, *_ = self.network.reactor.tcpClients[self.seen]
@@ -1063,7 +1087,7 @@
         self.dials = [dial for dial in self.dials if dial not in stopped]
         for factory, _ in stopped:
             factory.clientConnectionFailed(None, Failure(ConnectionLost()))
-        return self.dialled() if stopped else self.dials
+        return self.pending_dials() if stopped else self.dials
 
     def pick(self, some, place):
         return some[place % len(some)] if some else None
@@ -1076,7 +1100,7 @@
         self.clients[name] = self.network.ask(name, lane=lane, left=left)
 
     def up(self, place, transport=Transport):
-        if dial := self.pick(self.dialled(), place):
+        if dial := self.pick(self.pending_dials(), place):
             self.dials.remove(dial)
             connection = dial[0].buildProtocol(None)
             self.connections.append(connection)
@@ -1093,7 +1117,7 @@
         self.flush(-1)
 
     def fail(self, place):
-        if dial := self.pick(self.dialled(), place):
+        if dial := self.pick(self.pending_dials(), place):
             self.dials.remove(dial)
             dial[0].clientConnectionFailed(None, Failure(ConnectionLost()))
 
@@ -1132,10 +1156,10 @@
         told = dict(LISTED[how])
         if how == "moved":
             told["addr"] = "127.0.0.1:%d" % (8000 + len(self.clients))
-        self.network.list(entry(name, told.pop("build", 41), **told))
+        self.network.update_endpoints(endpoint_entry(name, told.pop("build", 41), **told))
 
     def news(self, cap):
-        self.proxy.tell(
+        self.proxy.handle_events(
             ReleaseUpdate(
                 41,
                 1,
@@ -1177,7 +1201,7 @@
 
     def moment(self, seconds):
         pass_on(self.network, seconds)
-        self.dialled()
+        self.pending_dials()
 
     later = moment
 
@@ -1187,7 +1211,7 @@
         self.check()
 
     def check(self):
-        same, dials, by_pod = self.test.assertEqual, self.dialled(), self.pools.by_pod
+        same, dials, by_pod = self.test.assertEqual, self.pending_dials(), self.pools.by_pod
         same((self.faults, self.network.faults), ([], []))
         same(self.pools.dialling, len(dials))
         same({id(one) for one in self.pools.connections}, {id(one) for one in self.connections})
@@ -1217,7 +1241,7 @@
         for connection in self.connections:
             if connection.transport.disconnecting or connection.transport.disconnected:
                 self.test.assertIsNone(connection.waiting)
-        for held in self.proxy.transactions:
+        for held in self.proxy.requests_in_flight:
             same(held.attempts_out, sum(attempt.in_flight for attempt in held.attempts))
             self.test.assertTrue(held.attempts_out or not held.closed, held.id)
             for attempt in held.attempts:
@@ -1229,14 +1253,14 @@
     def end(self):
         """Nothing more comes from outside: each request has its one answer, and nothing is kept."""
         for _ in range(40):
-            while self.dialled():
+            while self.pending_dials():
                 self.fail(0)
             self.turn()
             self.moment(1.0)
             self.turn()
             self.check()
         self.test.assertEqual(
-            (len(self.proxy.transactions), self.proxy.requests.by_id, self.pools.unwritten()),
+            (len(self.proxy.requests_in_flight), self.proxy.requests.by_id, self.pools.unwritten()),
             (0, {}, []),
         )
         for name, client in self.clients.items():
@@ -1256,7 +1280,10 @@
     @settings(derandomize=True, max_examples=120, deadline=None, database=None)
     @given(STEPS)
     def test_whatever_the_order_counts_agree_and_nothing_is_left(self, steps):
-        with mock.patch.object(structured_log, "fault"), mock.patch.object(structured_log, "log"):
+        with (
+            mock.patch.object(structured_log, "log_exception"),
+            mock.patch.object(structured_log, "log"),
+        ):
             world = World(self)
             for step in steps:
                 world.step(*step)
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -23,10 +23,10 @@
 from thymeknot.state.slot_table import SlotTable
 from thymeknot.state.timer_queue import TimerQueue
 
-ANSWER = b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
+VALUE_RESPONSE = b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
 
-def entry(name, build=41, state="Ready", **more):
+def endpoint_entry(name, build=41, state="Ready", **more):
     return {
         "id": name,
         "addr": f"127.0.0.1:{int(name[2:]) + 7000}",
@@ -36,7 +36,7 @@
     }
 
 
-def told(*entries, **news):
+def configuration_object(*entries, **news):
     """A configuration's object: build 41 released, unless the news says otherwise."""
     return {
         "name": "n1",
@@ -100,15 +100,17 @@
 class Network:
     """A sidecar on a network that exists in memory alone."""
 
-    def __init__(self, *entries, sockets=1024, asked_for=False, **news):
+    def __init__(self, *entries, sockets=1024, polled=False, **news):
         self.reactor, self.faults = MemoryReactorClock(), []
         deadlines = TimerQueue(
             lambda: 1_000_000 + int(self.reactor.seconds() * 10_000),
             self.reactor.callLater,
             lambda *fault: self.faults.append(fault),
         )
-        start = configuration.read(told(*entries, **news), 0)._replace(sockets=sockets)
-        start = start._replace(settings=start.settings._replace(lists_polled=asked_for))
+        start = configuration.parse(configuration_object(*entries, **news), 0)._replace(
+            sockets=sockets
+        )
+        start = start._replace(settings=start.settings._replace(lists_polled=polled))
         self.proxy = Proxy(start, self.reactor, deadlines, 0)
         self.proxy.begin()
         self.streams = len(self.reactor.tcpClients)
@@ -130,7 +132,7 @@
         self.reactor.advance(0)
         return [(end, client.transport.disconnecting) for end, client in zip(ended, clients)]
 
-    def dialled(self):
+    def dialled_ports(self):
         """The ports of pods that were dialled."""
         return [port for _, port, *_ in self.reactor.tcpClients[self.streams :]]
 
@@ -144,7 +146,7 @@
             None, Failure(ConnectionRefusedError())
         )
 
-    def list(self, *entries):
+    def update_endpoints(self, *entries):
         self.proxy.endpoints.take_up(
             configuration.discovery.read_list({"version": 9, "servers": list(entries)}, 0), "again"
         )
@@ -152,71 +154,73 @@
 
 class Waiting(unittest.TestCase):
     def test_a_delivery_that_waits_is_not_carried_past_a_drain(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask()
-        network.list(entry("s-2"), entry("s-1", state="Terminating"))
-        self.assertEqual(network.dialled(), [7001, 7002])
+        network.update_endpoints(endpoint_entry("s-2"), endpoint_entry("s-1", state="Terminating"))
+        self.assertEqual(network.dialled_ports(), [7001, 7002])
         late = network.connect(-2)
         self.assertEqual(late.transport.value(), b"")
 
     def test_nor_to_another_process_under_the_same_id(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask()
-        network.list(entry("s-1", build=40))
+        network.update_endpoints(endpoint_entry("s-1", build=40))
         self.assertTrue(network.connect(-2).transport.disconnected)
         self.assertEqual(network.connect(-1).transport.value()[:3], b"*4\r")
         self.assertEqual(len(network.proxy.requests.by_id), 1)
 
     def test_nor_past_a_lower_cap(self):
-        network = Network(entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0)
+        network = Network(
+            endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+        )
         client = network.ask()
-        network.proxy.tell(
+        network.proxy.handle_events(
             ReleaseUpdate(42, 0, ReleasePhase.ROLLING_BACK, False, Outcome.DONE, 0.0, 0)
         )
         self.assertRegex(client.transport.value(), b"^-BUSY")
         self.assertEqual(network.connect().transport.value(), b"")
 
     def test_a_connection_that_does_not_come_up_in_time_never_ran(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask(lane="pay")
         network.reactor.advance(0.3)
         network.reactor.advance(0)
         self.assertTrue(network.reactor.connectors[-1].stoppedConnecting)
         network.refuse()
-        self.assertEqual(network.dialled(), [7001, 7001])
+        self.assertEqual(network.dialled_ports(), [7001, 7001])
 
     def test_a_connection_that_gets_free_serves_the_one_that_waits_once_it_has_rested(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask("01")
         first = network.connect()
         network.ask("02")
         first.resumeProducing()
-        first.dataReceived(ANSWER)
+        first.dataReceived(VALUE_RESPONSE)
         network.reactor.advance(0.009)
         self.assertNotIn(b"$2\r\n02\r\n", first.transport.value())
         network.reactor.advance(0.002)
         self.assertIn(b"$2\r\n02\r\n", first.transport.value())
 
     def test_what_is_written_in_part_never_ran(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask(lane="pay")
         network.connect().connectionLost(Failure(ConnectionRefusedError()))
-        self.assertEqual(network.dialled(), [7001, 7001])
+        self.assertEqual(network.dialled_ports(), [7001, 7001])
 
     def test_a_pod_that_has_moved_is_dialled_at_its_new_address(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask("01")
         idle = network.connect()
         idle.resumeProducing()
-        idle.dataReceived(ANSWER)
-        network.list(entry("s-1", addr="127.0.0.1:9"))
+        idle.dataReceived(VALUE_RESPONSE)
+        network.update_endpoints(endpoint_entry("s-1", addr="127.0.0.1:9"))
         network.ask("02")
-        self.assertEqual((idle.transport.disconnecting, network.dialled()), (True, [7001, 9]))
+        self.assertEqual((idle.transport.disconnecting, network.dialled_ports()), (True, [7001, 9]))
 
     def test_what_was_written_and_given_up_may_be_answered_so_its_key_stays(self):
         for end in ("time-out", "client", "reset"):
             network = Network(
-                entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+                endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
             )
             client = network.ask(left=200)
             connection = network.connect()
@@ -231,7 +235,7 @@
             self.assertEqual(network.proxy.engine.pins, {"key"})
 
     def test_nothing_is_kept_of_a_connection_that_has_ended(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask()
         connection = network.connect()
         connection.resumeProducing()
@@ -243,7 +247,9 @@
         self.assertEqual(connection.parser.chunks, [])
 
     def test_a_good_answer_after_the_time_out_still_binds_the_key_to_the_build(self):
-        network = Network(entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0)
+        network = Network(
+            endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+        )
         network.ask(left=200)
         connection = network.connect()
         connection.resumeProducing()
@@ -251,26 +257,31 @@
         network.reactor.advance(0)
         self.assertTrue(connection.transport.ended)
         network.proxy.engine.pins.clear()
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(network.proxy.engine.pins, {"key"})
 
     def test_so_does_one_in_part_or_spoilt_as_soon_as_it_comes(self):
-        for answer in (ANSWER[:9], b"noise", b"*3\r\n$9\r\nv\r\n$-1\r\n$-1\r\n", b"*1\r\n$-1\r\n"):
+        for answer in (
+            VALUE_RESPONSE[:9],
+            b"noise",
+            b"*3\r\n$9\r\nv\r\n$-1\r\n$-1\r\n",
+            b"*1\r\n$-1\r\n",
+        ):
             network = Network(
-                entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
+                endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
             )
             network.ask()
             connection = network.connect()
             connection.resumeProducing()
             connection.dataReceived(answer)
             self.assertEqual(network.proxy.engine.pins, {"key"})
-            self.assertEqual(connection.transport.disconnected, answer != ANSWER[:9])
+            self.assertEqual(connection.transport.disconnected, answer != VALUE_RESPONSE[:9])
 
 
 class BesideAnAnswer(unittest.TestCase):
     def answered(self, answer, stale=False):
         """A network on which a first transaction was answered so, and a second one is asked then."""
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         client = network.ask("01", left=900)
         connection = network.connect()
         connection.resumeProducing()
@@ -280,42 +291,42 @@
         return network, connection
 
     def test_more_than_belongs_to_it_ends_the_connection_and_answers_nothing_else(self):
-        for more in (ANSWER, b"noise", b"$5\r\n"):
-            network, connection = self.answered(ANSWER + more)
+        for more in (VALUE_RESPONSE, b"noise", b"$5\r\n"):
+            network, connection = self.answered(VALUE_RESPONSE + more)
             network.ask("02")
             self.assertTrue(connection.transport.disconnected)
-            self.assertEqual(network.dialled(), [7001, 7001])
+            self.assertEqual(network.dialled_ports(), [7001, 7001])
 
     def test_what_is_wrong_behind_a_whole_value_spoils_the_connection_alone(self):
-        network, connection = self.answered(ANSWER[:-5] + b"$x1\r\n")
+        network, connection = self.answered(VALUE_RESPONSE[:-5] + b"$x1\r\n")
         self.assertTrue(connection.transport.disconnected)
 
     def test_what_has_come_unread_is_no_answer_to_the_next(self):
-        network, connection = self.answered(ANSWER, stale=True)
+        network, connection = self.answered(VALUE_RESPONSE, stale=True)
         self.assertTrue(connection.transport.disconnected)
-        network, connection = self.answered(ANSWER)
+        network, connection = self.answered(VALUE_RESPONSE)
         network.reactor.advance(0.02)  # else it rests, and the next one goes on another anyway
         connection.transport.stale = True
         network.ask("02")
         self.assertEqual(
-            (connection.transport.disconnected, network.dialled()), (True, [7001, 7001])
+            (connection.transport.disconnected, network.dialled_ports()), (True, [7001, 7001])
         )
 
     def test_bytes_on_an_idle_connection_end_it_also_where_they_are_no_whole_message(self):
-        network, connection = self.answered(ANSWER)
+        network, connection = self.answered(VALUE_RESPONSE)
         connection.dataReceived(b"$5\r\nab")
         self.assertTrue(connection.transport.disconnected)
 
 
 class Bounds(unittest.TestCase):
     def test_without_descriptors_for_pods_it_defers(self):
-        network = Network(entry("s-1"), sockets=64)
+        network = Network(endpoint_entry("s-1"), sockets=64)
         clients = [network.ask(f"{at}") for at in range(20)]
-        self.assertEqual(len(network.dialled()), network.proxy.pools.most)
+        self.assertEqual(len(network.dialled_ports()), network.proxy.pools.most)
         self.assertRegex(clients[-1].transport.value(), b"^-BUSY")
 
     def test_who_says_nothing_or_half_a_command_is_answered_and_closed_in_time(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         silent, half, idle = network.client(), network.client(), network.client()
         half.dataReceived(command("PING")[:5])
         idle.dataReceived(command("PING"))
@@ -332,7 +343,7 @@
         self.assertEqual(network.closes(idle), [(True, True)])
 
     def test_who_does_not_read_is_not_read_from_and_is_ended_in_time(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         slow, stuck = network.client(), network.client()
         for one in (slow, stuck):
             one.dataReceived(command("PING"))
@@ -348,9 +359,9 @@
         )
 
     def test_who_never_spoke_makes_room_before_a_client_that_did(self):
-        network = Network(entry("s-1"), sockets=64)
+        network = Network(endpoint_entry("s-1"), sockets=64)
         usual = network.ask("01")
-        clients = [network.client() for _ in range(network.proxy.listener.most_clients - 2)]
+        clients = [network.client() for _ in range(network.proxy.listener.max_clients - 2)]
         clients[0].dataReceived(b"*2")
         clients[1].transport.stale = True  # its command has come, but is not read yet
         newest = [network.client() for _ in range(2)]
@@ -363,14 +374,14 @@
     def test_a_crowd_that_asks_once_and_stays_leaves_places_for_those_to_come(self):
         network = Network()
         clients = []
-        for _ in range(3 * network.proxy.listener.most_clients):
+        for _ in range(3 * network.proxy.listener.max_clients):
             clients.append(network.client())
             clients[-1].dataReceived(command("PING"))
             network.reactor.advance(0.05)
             if clients[0].transport.disconnecting:
                 clients.pop(0).connectionLost(Failure(ConnectionRefusedError()))
-        self.assertLess(len(network.proxy.clients), network.proxy.listener.most_clients / 2)
-        self.assertGreater(len(network.proxy.clients), network.proxy.listener.most_clients / 4)
+        self.assertLess(len(network.proxy.clients), network.proxy.listener.max_clients / 2)
+        self.assertGreater(len(network.proxy.clients), network.proxy.listener.max_clients / 4)
 
     def test_no_transaction_is_held_for_longer_than_its_lane_can_earn(self):
         network = Network()
@@ -381,19 +392,19 @@
         self.assertRegex(client.transport.value(), b"^-ERR")
 
     def test_a_pod_that_comes_back_as_another_build_has_nothing_of_the_earlier_one(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask("01")
         busy = network.connect()
         busy.resumeProducing()
-        network.list(entry("s-1", build=40, addr="127.0.0.1:9"))
-        busy.dataReceived(ANSWER)
+        network.update_endpoints(endpoint_entry("s-1", build=40, addr="127.0.0.1:9"))
+        busy.dataReceived(VALUE_RESPONSE)
         self.assertTrue(busy.transport.disconnected)
-        network.list(entry("s-1", state="Gone"))
+        network.update_endpoints(endpoint_entry("s-1", state="Gone"))
         self.assertEqual((network.proxy.addresses, network.proxy.pools.by_pod), ({}, {}))
 
     def test_an_idle_client_makes_room_for_another(self):
-        network = Network(entry("s-1"), sockets=64)
-        clients = [network.client() for _ in range(network.proxy.listener.most_clients)]
+        network = Network(endpoint_entry("s-1"), sockets=64)
+        clients = [network.client() for _ in range(network.proxy.listener.max_clients)]
         self.assertEqual(
             [client.transport.disconnecting for client in clients],
             [True] + [False] * (len(clients) - 1),
@@ -411,43 +422,45 @@
         )
 
     def test_an_idle_connection_is_retired_before_the_pod_does_it(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.ask()
         connection = network.connect()
         connection.resumeProducing()
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         for _ in range(14):
             network.reactor.advance(1)
             network.reactor.advance(0)
         self.assertTrue(connection.transport.disconnecting)
 
     def test_a_fault_in_the_decisions_is_answered_and_the_next_one_served(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         decide, network.proxy.engine.handle = network.proxy.engine.handle, lambda *_: 1 / 0
         client = network.ask("01")
         self.assertRegex(client.transport.value(), b"^-ERR")
         network.proxy.engine.handle = decide
         network.ask("02")
-        self.assertEqual(network.dialled(), [7001])
+        self.assertEqual(network.dialled_ports(), [7001])
 
     def test_what_the_decisions_miss_is_answered_at_the_clients_end(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         network.proxy.engine.handle = lambda *_: []
         client = network.ask(left=200)
         network.reactor.advance(0.21)
         network.reactor.advance(0)
         self.assertRegex(client.transport.value(), b"^-ERR")
-        self.assertEqual(len(network.proxy.transactions), 0)
+        self.assertEqual(len(network.proxy.requests_in_flight), 0)
 
     def test_nothing_is_kept_of_transactions_that_are_over(self):
-        network = Network(entry("s-1"))
+        network = Network(endpoint_entry("s-1"))
         client, other = network.ask("01"), network.ask("02")
         other.connectionLost(Failure(ConnectionRefusedError()))
         connection = network.connect(network.streams)
         connection.resumeProducing()
-        connection.dataReceived(ANSWER)
+        connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
-        self.assertEqual((len(network.proxy.transactions), network.proxy.requests.by_id), (0, {}))
+        self.assertEqual(
+            (len(network.proxy.requests_in_flight), network.proxy.requests.by_id), (0, {})
+        )
 
 
 class Calls(unittest.TestCase):
@@ -500,7 +513,7 @@
             [Outcome.ERROR, Outcome.ERROR],
         )
 
-    def test_a_stream_that_shows_no_sign_of_life_is_asked_for_again(self):
+    def test_a_stream_that_shows_no_sign_of_life_is_polled_again(self):
         network = Network()
         stream = network.connect(1)
         stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -540,9 +553,9 @@
         old = network.connect(1)
         old.dataReceived(head + life)
         for port in (8, 9):  # twice in a row
-            changed = told()
+            changed = configuration_object()
             changed["deployer"]["address"] = f"127.0.0.1:{port}"
-            self.assertEqual(network.proxy.reconfigure(configuration.read(changed, 0)), [])
+            self.assertEqual(network.proxy.reconfigure(configuration.parse(changed, 0)), [])
         network.refuse()
         old.dataReceived(life)  # does not end the asking, as it would at its own address
         for _ in range(9):
@@ -560,12 +573,12 @@
 
     def test_what_takes_a_new_start_is_named_by_its_key(self):
         network = Network()
-        later = configuration.read(
-            {**told(), "listen": "127.0.0.1:7", "limits": {"sockets": 99}}, 0
+        later = configuration.parse(
+            {**configuration_object(), "listen": "127.0.0.1:7", "limits": {"sockets": 99}}, 0
         )
         self.assertEqual(network.proxy.reconfigure(later), ["limits.sockets", "listen"])
 
-    def test_a_spoilt_stream_ends_and_is_asked_for_again_and_what_was_held_stays(self):
+    def test_a_spoilt_stream_ends_and_is_polled_again_and_what_was_held_stays(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for spoilt in (
             b"event: progress\ndata: version=x&step=1\n\n",
@@ -595,7 +608,7 @@
             [event.outcome for event in heard if type(event) is ReleaseUpdate], [Outcome.TIMED_OUT]
         )
 
-    def test_a_refused_stream_is_asked_for_again_without_a_fault(self):
+    def test_a_refused_stream_is_polled_again_without_a_fault(self):
         network = Network()
         network.refuse(1)
         for _ in range(9):
@@ -606,7 +619,7 @@
 
 class Memory(unittest.TestCase):
     def test_the_loops_clock_only_goes_forward(self):
-        self.assertLess(abs(life.loop().seconds() - time.monotonic()), 60)
+        self.assertLess(abs(life.monotonic_reactor().seconds() - time.monotonic()), 60)
 
     def test_slots_are_numbered_and_used_again(self):
         slots = SlotTable()
@@ -648,16 +661,18 @@
         }
         for key, faulty in cases.items():
             with self.assertRaisesRegex(configuration.ConfigurationError, f"^{key}"):
-                configuration.read({**told(), key: faulty}, 0)
+                configuration.parse({**configuration_object(), key: faulty}, 0)
         settings = copy.deepcopy(SETTINGS)
         settings["categories"][1]["worth"] = "much"
         with self.assertRaisesRegex(
             configuration.ConfigurationError, "settings: .*categories.1.worth"
         ):
-            configuration.read({**told(), "settings": settings}, 0)
+            configuration.parse({**configuration_object(), "settings": settings}, 0)
 
     def test_defaults_and_unknown_keys(self):
-        start = configuration.read({**told(), "limits": None, "name": None, "weather": 1}, 0)
+        start = configuration.parse(
+            {**configuration_object(), "limits": None, "name": None, "weather": 1}, 0
+        )
         self.assertEqual(
             (start.name, start.sockets, start.seed), ("sidecar", configuration.SOCKETS, 31)
         )
--- a/tests/unit/proxy/test_release_channel.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.unit.proxy.test_proxy import Network, entry
+from tests.unit.proxy.test_proxy import Network, endpoint_entry
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 
@@ -35,8 +35,8 @@
         """The state held once a vote's call was out for 0.2 s, the stream told this halfway, and then its answer
         came."""
         network = Network(
-            entry("s-1"),
-            entry("s-2", build=42),
+            endpoint_entry("s-1"),
+            endpoint_entry("s-2", build=42),
             version=42,
             step=0,
             status="trial",
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -72,7 +72,7 @@
 
     def test_the_record_hears_it_too(self):
         heard = []
-        self.refusals.then = lambda *told: heard.append(told)
+        self.refusals.next_listener = lambda *told: heard.append(told)
         self.refusals.hear("t", R.DEFERRED, 50)
         self.assertEqual(heard, [("t", R.DEFERRED, 50)])
 
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -230,8 +230,8 @@
 class Reloaded(unittest.TestCase):
     def later(self, told):
         network = Network()
-        network.proxy.start = configuration.read(example(), 0)
-        return network, network.proxy.reconfigure(configuration.read(told, 0))
+        network.proxy.start = configuration.parse(example(), 0)
+        return network, network.proxy.reconfigure(configuration.parse(told, 0))
 
     def test_each_key_that_waits_for_a_start_is_named(self):
         cases = {
@@ -280,15 +280,15 @@
             proxy.settings,
             proxy.connection_limits,
             proxy.engine.context.settings,
-            proxy.listener.most_clients,
+            proxy.listener.max_clients,
         )
-        proxy.reconfigure(configuration.read({**example(), "settings": other_settings()}, 0))
+        proxy.reconfigure(configuration.parse({**example(), "settings": other_settings()}, 0))
         self.assertEqual(
             (
                 proxy.settings,
                 proxy.connection_limits,
                 proxy.engine.context.settings,
-                proxy.listener.most_clients,
+                proxy.listener.max_clients,
             ),
             before,
         )
@@ -301,7 +301,7 @@
 class Refused(unittest.TestCase):
     def refuse(self, told, key):
         with self.assertRaises(ConfigurationError) as caught:
-            configuration.read(told, 0)
+            configuration.parse(told, 0)
         self.assertIn(key, str(caught.exception))
 
     def test_numbers_that_are_none_or_out_of_bounds_are_named(self):
@@ -401,7 +401,7 @@
 class Taken(unittest.TestCase):
     def test_names_that_differ_in_case_are_classes_of_their_own(self):
         told = changed("settings.categories.1.name", "Read")
-        lanes = configuration.read(told, 0).settings.request_classes
+        lanes = configuration.parse(told, 0).settings.request_classes
         self.assertEqual(
             (lanes["read"].idempotency, lanes["Read"].idempotency),
             (Idempotency.IDEMPOTENT, Idempotency.KEYED),
@@ -413,7 +413,7 @@
             {**told["settings"]["categories"][1], "name": f"c{number}", "window": 0}
             for number in range(5000)
         ]
-        read = configuration.read(told, 0).settings
+        read = configuration.parse(told, 0).settings
         self.assertEqual(
             (len(read.request_classes), read.request_classes["c4999"].deduplication_window),
             (5000, 0),
@@ -421,7 +421,7 @@
 
     def test_what_means_the_same_is_read_as_the_same(self):
         """Whole numbers as others write them, no voter needed, and keys added that could pass for others."""
-        same, expected = example()["settings"], configuration.read(example(), 0)
+        same, expected = example()["settings"], configuration.parse(example(), 0)
         for *path, key, new in (
             ("extra", "window", float(same["extra"]["window"])),
             ("balancers", 1.0),
@@ -434,7 +434,7 @@
         ):
             told = example()
             (told["settings"][path[0]] if path else told["settings"])[key] = new
-            self.assertEqual(configuration.read(told, 0)[-2:], expected[-2:], (path, key, new))
+            self.assertEqual(configuration.parse(told, 0)[-2:], expected[-2:], (path, key, new))
 
     def test_what_no_decision_looks_at_may_be_left_out(self):
         told = example()
@@ -449,7 +449,7 @@
             if lane["semantics"] != "deduplicated":
                 del lane["key_scope"], lane["window"]
         self.assertEqual(
-            list(configuration.read(told, 0).settings.request_classes), ["read", "mark", "pay"]
+            list(configuration.parse(told, 0).settings.request_classes), ["read", "mark", "pay"]
         )
         for path, new, named in (
             ("discovery", "subscribe", "ask_within"),
@@ -459,14 +459,14 @@
             asked = copy.deepcopy(told)
             put(asked["settings"], path, new)
             with self.assertRaisesRegex(ConfigurationError, named):
-                configuration.read(asked, 0)
+                configuration.parse(asked, 0)
 
     def test_a_pod_that_starts_at_nothing_or_at_once_has_some_capacity(self):
         for cold, cold_from in ((0, 0.3), (0, 0.0), (50_000, 0.0)):
             known = EndpointState(
                 Endpoint("p", "a", 1.0, 0, EndpointCondition.READY, 70, "m", 1), 10
             )
-            terms = configuration.read(example(), 0).settings._replace(
+            terms = configuration.parse(example(), 0).settings._replace(
                 warmup_duration=cold, warmup_initial_fraction=cold_from
             )
             for now in (20, 70, 71):  # the clock may be behind the pod's
@@ -590,7 +590,7 @@
             0,
             [],
         )
-        self.terms = terms = configuration.read(drawn(self.chance), 0).settings
+        self.terms = terms = configuration.parse(drawn(self.chance), 0).settings
         self.checker = InvariantChecker(
             terms.request_classes,
             self.GRACE,
--- a/tests/unit/service/test_structured_log.py
+++ b/tests/unit/service/test_structured_log.py
@@ -12,7 +12,7 @@
 from thymeknot.service.structured_log import VARIABLE
 
 CALL = re.compile(
-    r'(?:structured_log\.(?:log|seldom)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|LogEvent\(\s*"([^"]+)"',
+    r'(?:structured_log\.(?:log|log_rate_limited)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|LogEvent\(\s*"([^"]+)"',
     re.M,
 )
 
@@ -41,7 +41,7 @@
 
     def test_a_line_is_an_object_with_its_time_first_and_its_level_where_that_is_above_info(self):
         (vote, fault, other), errors = self.lines(
-            "logs.log('vote', build=4); logs.fault('here', ValueError('x')); logs.log('undeclared')"
+            "logs.log('vote', build=4); logs.log_exception('here', ValueError('x')); logs.log('undeclared')"
         )
         self.assertEqual(
             (list(vote), vote["event"], vote["build"]), (["at", "event", "build"], "vote", 4)
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -8,7 +8,7 @@
 
 import click
 
-from ..service.features import VARIABLE
+from ..service.features import OPERATOR_FILE_VARIABLE
 from .decision_log_commands import why
 from .fleet_commands import fleet
 from .key_commands import keys
@@ -21,7 +21,7 @@
 @click.option(
     "--operator",
     metavar="FILE",
-    envvar=VARIABLE,
+    envvar=OPERATOR_FILE_VARIABLE,
     help="what is switched on beside the configuration",
 )
 @click.pass_context
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -71,7 +71,10 @@
 
     def _drain(self, fence: int, build: str) -> None:
         structured_log.log(
-            "drain started", unit=self.unit, fence=fence, transactions=len(self.proxy.transactions)
+            "drain started",
+            unit=self.unit,
+            fence=fence,
+            transactions=len(self.proxy.requests_in_flight),
         )
         self.proxy.drain(lambda: self._drained(fence))
 
@@ -91,7 +94,7 @@
         Args:
             then: Called once the sidecar listens.
         """
-        if not self.proxy.drained:
+        if not self.proxy.listener_closed:
             return
 
         def failed(reason: str) -> None:
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -168,7 +168,7 @@
         if self.member:
             self.member.server.sources = parts.networks
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Ends the feature; the unit counts as unavailable once it was not seen for long enough."""
         if self.agent:
             self.agent.close()
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -107,7 +107,7 @@
         self.done = Reason.DONE
         self.left = Reason.LEFT
         self.abandoned = Reason.ABANDONED
-        proxy.rejections.then = self.record.say
+        proxy.rejections.next_listener = self.record.say
         try:
             self.port = self._listen(folder)
         except (CannotListenError, OSError) as error:
@@ -164,6 +164,6 @@
     def reconfigure(self, settings: DecisionLogSettings, folder: str) -> None:
         """Every setting waits for the next start."""
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Records what is over at once; other transactions are recorded as they end."""
         self.record.flush(self.clock(), 0)
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -230,7 +230,7 @@
                 span=(until - self._clock()) / TICKS_PER_SECOND,
             )
         epoch = self._proxy.epoch
-        self._proxy.tell(
+        self._proxy.handle_events(
             *(
                 SuspicionReported(
                     endpoint.id,
@@ -313,7 +313,7 @@
                     max(0, endpoint.build),
                     endpoint.started + proxy.epoch if endpoint.started else 0,
                 )
-                for endpoint in proxy.listed.values()
+                for endpoint in proxy.listed_endpoints.values()
                 if endpoint.condition == EndpointCondition.READY
             ]
         )
@@ -328,7 +328,7 @@
         self.node.set_sources(credentials.sources)
         self.node.rekey(credentials.ring, self._clock())
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Says goodbye to the peers."""
         self.node.leave(self._clock())
         self._flush()
--- a/thymeknot/polling/adaptive_interval.py
+++ b/thymeknot/polling/adaptive_interval.py
@@ -73,22 +73,22 @@
 
     Attributes:
         draw: Gives a random number from 0 to 1; seeded by the caller.
-        longest: The longest interval while backing off, in ticks.
+        max_interval: The longest interval while backing off, in ticks.
         state: What the last calls say of the service.
         refusals: How many calls in a row were refused.
     """
 
-    def __init__(self, draw: Callable[[], float], longest: Ticks = MAX_INTERVAL) -> None:
+    def __init__(self, draw: Callable[[], float], max_interval: Ticks = MAX_INTERVAL) -> None:
         self.draw = draw
-        self.longest = longest
+        self.max_interval = max_interval
         self.state = IntervalState.REGULAR
         self.refusals = 0
 
-    def first(self, asking: int) -> Ticks:
+    def initial_wait(self, asking: int) -> Ticks:
         """Returns the wait before the first call, where `asking` callers start at once."""
         return int(self.draw() * min(MAX_INITIAL_SPREAD, INITIAL_SPREAD_PER_CALLER * asking))
 
-    def ended(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
         """Notes how a call, or the stream that it opened, ended.
 
         Args:
@@ -103,9 +103,9 @@
             how = CallResult.ESTABLISHED
         self.state, step = TRANSITIONS[self.state, how]
         self.refusals = 0 if step is None else self.refusals + step
-        return self.wait()
+        return self.next_wait()
 
-    def wait(self) -> Ticks:
+    def next_wait(self) -> Ticks:
         """Returns the wait before the next call: exponential backoff with jitter.
 
         It is four times the regular interval after the first refusal and doubles with each further
@@ -118,5 +118,5 @@
             return wait
         return min(
             wait << min(self.refusals + 1, MAX_DOUBLINGS),
-            int(self.longest * (0.5 + self.draw() / 2)),
+            int(self.max_interval * (0.5 + self.draw() / 2)),
         )
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -175,7 +175,9 @@
 
     def start_among(self, asking: int) -> None:
         """Asks for the first time while so many others may do the same."""
-        self.again = self.timers.add(self.timers.clock() + self.pace.first(asking), self._ask)
+        self.again = self.timers.add(
+            self.timers.clock() + self.pace.initial_wait(asking), self._ask
+        )
 
     def start(self) -> None:
         """Asks for a stream; until it speaks it is not the one that stands."""
@@ -193,7 +195,7 @@
 
     def move(self, caller: HttpCaller) -> None:
         """Asks at another address from now on; refusals at the former one count no more."""
-        self.pace = AdaptiveInterval(self.pace.draw, self.pace.longest)
+        self.pace = AdaptiveInterval(self.pace.draw, self.pace.max_interval)
         self.caller = caller
         self.quiet = 0
         asked = self.asked
@@ -247,7 +249,7 @@
             return
         now = self.timers.clock()
         age = now - stream.asked_at if stream is self.stream else 0
-        wait = self.pace.ended(how, age) if stream.caller is self.caller else self.pace.wait()
+        wait = self.pace.record(how, age) if stream.caller is self.caller else self.pace.next_wait()
         self.log(
             "stream ended", address=stream.caller.host, reason=reason, refusals=self.pace.refusals
         )
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -150,7 +150,7 @@
 
     def not_connected(self, broken: BrokenConnection) -> None:
         """Ends it because no connection has come up for it."""
-        self.proxy.ended(self, Outcome.CONNECT_FAILED)
+        self.proxy.attempt_ended(self, Outcome.CONNECT_FAILED)
 
     def _begun(self) -> None:
         self.proxy.response_discarded(self, "in part or unreadable")
@@ -163,15 +163,15 @@
             if self.in_flight and written:
                 proxy.response_discarded(self, end.reason)
             if self.in_flight:  # still: the decisions may have cancelled it
-                proxy.ended(self, Outcome.RESET if written else Outcome.CONNECT_FAILED)
+                proxy.attempt_ended(self, Outcome.RESET if written else Outcome.CONNECT_FAILED)
         elif end.failure is None:
             if self.in_flight:
-                proxy.ended(self, Outcome.DONE, end)
+                proxy.attempt_ended(self, Outcome.DONE, end)
             else:
                 proxy.response_discarded(self, "late")
         elif self.in_flight:
             busy = end.failure.split(" ")[0] == BUSY
-            proxy.ended(self, Outcome.REJECTED if busy else Outcome.ERROR)
+            proxy.attempt_ended(self, Outcome.REJECTED if busy else Outcome.ERROR)
 
     def give_up(self, outcome: Outcome | None = None) -> None:
         """Ends it without a response; one to what was written may yet come, and is not read.
@@ -184,7 +184,7 @@
         self.proxy.pools.give_up(self, self.connection)
         if written:
             self.proxy.response_discarded(self, "given up")
-        self.proxy.ended(
+        self.proxy.attempt_ended(
             self, outcome or (Outcome.TIMED_OUT if written else Outcome.CONNECT_FAILED)
         )
         self.may_have_run = written
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -55,7 +55,7 @@
         clock: The time, in ticks.
         address: The host and port to listen on.
         sockets: The configured limit of descriptors, which also bounds what is accepted in one go.
-        most_clients: The places for clients.
+        max_clients: The places for clients.
         take: Called with each request: its connection, the place of its answer, its command.
         gone: Called with a connection whose client waits for nothing more.
         clients: The open connections.
@@ -74,7 +74,7 @@
         address: tuple[str, int],
         *,
         sockets: int,
-        most_clients: int,
+        max_clients: int,
         take: Callable[[ClientConnection, int, Command], None],
         gone: Callable[[ClientConnection], None],
     ) -> None:
@@ -83,7 +83,7 @@
         self.clock: Callable[[], Ticks] = timers.clock
         self.address = address
         self.sockets = sockets
-        self.most_clients = most_clients
+        self.max_clients = max_clients
         self.take = take
         self.gone = gone
         self.clients: SlotTable[ClientConnection] = SlotTable()
@@ -109,7 +109,7 @@
 
         The network library closes a connection that finds no descriptor.
         """
-        port.numberAccepts = max(1, min(port.numberAccepts, self.most_clients - len(self.clients)))
+        port.numberAccepts = max(1, min(port.numberAccepts, self.max_clients - len(self.clients)))
         accept()
 
     def accept_all(self) -> None:
@@ -124,7 +124,7 @@
 
     def fault(self, where: str, error: Exception) -> None:
         """Logs a fault that has cost a connection."""
-        structured_log.fault(where, error)
+        structured_log.log_exception(where, error)
 
     def opened(self, connection: ClientConnection) -> None:
         """Takes up a new connection, and makes room for those to come.
@@ -135,24 +135,24 @@
         """
         connection.slot = self.clients.add(connection)
         connection.used_at = self.clock()
-        full = len(self.clients) >= self.most_clients
+        full = len(self.clients) >= self.max_clients
         now = self.clock()
         if self.shutdown.clients_finishing():  # it had to wait for a place
             connection.finish()
-        if not full and len(self.clients) < self.most_clients * CROWDED_SHARE:
+        if not full and len(self.clients) < self.max_clients * CROWDED_SHARE:
             return
         idle = self._eviction_candidates(connection, now)
         for one in self._chosen_for_eviction(idle, full, now):
             one.evict()
         if (
             full
-            and (not idle or len(self.clients) >= self.most_clients + CLOSING_ALLOWANCE)
+            and (not idle or len(self.clients) >= self.max_clients + CLOSING_ALLOWANCE)
             and not self.accepting_paused
         ):
             self.accepting_paused = True  # also until those that make room have closed
             self.port.stopReading()
             if not idle:
-                structured_log.seldom("accepting paused", connections=len(self.clients))
+                structured_log.log_rate_limited("accepting paused", connections=len(self.clients))
 
     def _eviction_candidates(self, new: ClientConnection, now: Ticks) -> list[ClientConnection]:
         """Returns idle connections for which nothing waits unread, the first to go first."""
@@ -171,7 +171,7 @@
             for one in idle
             if one.idle() and now >= one.used_at + LEAST_IDLE_TIME and not one.awaited(now)
         ]
-        chosen = rested[: int(len(self.clients) - self.most_clients * CROWDED_SHARE)]
+        chosen = rested[: int(len(self.clients) - self.max_clients * CROWDED_SHARE)]
         return chosen or (idle[:1] if full else [])
 
     def became_idle(self) -> None:
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -27,7 +27,7 @@
 """The answer to a request that has failed and may have run."""
 
 
-def notice_if_gone(request: InFlightRequest) -> None:
+def close_if_client_gone(request: InFlightRequest) -> None:
     """Ends the request's connection if its client has left.
 
     The reactor may have read something else before the end, or does not read that connection.
@@ -60,7 +60,7 @@
                 request.closed = True
                 if proxy.why is not None:
                     proxy.why.ended(request.id, proxy.why.left)
-                proxy.tell(ClientDisconnected(request.id))
+                proxy.handle_events(ClientDisconnected(request.id))
                 # Also where none may be cancelled: these are not out yet.
                 for attempt in request.attempts:
                     if attempt.in_flight and not attempt.written():
@@ -92,7 +92,7 @@
         """Lets go of what an id stands for already, if the client that sent it has left."""
         earlier = self.table.find(name) if name in self.table.by_id else None
         if earlier is not None:
-            notice_if_gone(earlier)
+            close_if_client_gone(earlier)
 
     def _is_full(self) -> bool:
         """Whether as many requests are in hand, or remembered, as the settings allow."""
@@ -120,7 +120,7 @@
         proxy.exposure.took(now, command.request_class)
         if proxy.why is not None:
             proxy.why.taken(name, command)
-        proxy.tell(
+        proxy.handle_events(
             RequestReceived(
                 name, command.request_class, command.tenant, key, left, None, command.repeat, False
             )
@@ -163,7 +163,7 @@
             if proxy.why is not None:
                 proxy.why.ended(request.id, proxy.why.abandoned)
             self.answer(request, FAILED_ANSWER)
-            proxy.tell(ClientDisconnected(request.id))
+            proxy.handle_events(ClientDisconnected(request.id))
 
     def answer(self, request: InFlightRequest | None, content: bytes) -> None:
         """Gives a request its final answer, if it is owed one."""
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -24,7 +24,7 @@
 """Reads a piece of a stream; returns whether a sign of life was in it."""
 
 
-def followed_by(read: StreamReader, heard: Callable[[], None]) -> StreamReader:
+def notifying_reader(read: StreamReader, heard: Callable[[], None]) -> StreamReader:
     """Returns a reader that calls heard() after each piece with a sign of life in it."""
 
     def both(content: memoryview) -> bool:
@@ -41,7 +41,7 @@
 
     Attributes:
         proxy: Who is told of updates, and whose connections follow them.
-        listed: Each listed endpoint by its name.
+        listed_endpoints: Each listed endpoint by its name.
         addresses: Where each listed endpoint listens, by its name.
         version: The version of the list.
         discovery: Calls to the discovery service.
@@ -51,7 +51,7 @@
     def __init__(self, proxy: "Proxy", chance: LinearCongruentialGenerator) -> None:
         polled = proxy.settings.lists_polled
         self.proxy = proxy
-        self.listed: dict[str, Endpoint] = {}
+        self.listed_endpoints: dict[str, Endpoint] = {}
         self.addresses: dict[str, str] = {}
         self.version: int = proxy.start.known.version
         self._source: Address | None = None  # the address that told the list
@@ -63,17 +63,17 @@
             discovery.SILENCE,
             lambda: discovery.watch(self.discovery.host, self._version_to_ask_from()),
             self._watch_reader,
-            structured_log.seldom,
+            structured_log.log_rate_limited,
             discovery.FIRST_WORD[polled],
             free=not polled,
         )
 
-    def call_when_heard(self, heard: Callable[[], None]) -> None:
+    def notify_on_data(self, heard: Callable[[], None]) -> None:
         """Has heard() called whenever the watch has spoken.
 
         Each list in what came is taken up by then; an empty line says that there is none.
         """
-        self.watch.reader = lambda: followed_by(self._watch_reader(), heard)
+        self.watch.reader = lambda: notifying_reader(self._watch_reader(), heard)
 
     def start(self) -> None:
         """Begins to watch.
@@ -102,17 +102,17 @@
         update = listing.update
         whole = update.kind != UpdateKind.DELTA
         doubt = self._validator.doubt(
-            source, listing.version, whole, len(update.endpoints), len(self.listed)
+            source, listing.version, whole, len(update.endpoints), len(self.listed_endpoints)
         )
         if doubt:
             raise discovery.StaleSnapshotError(*doubt)
         self.version = listing.version
         self._source = source
-        replaced = self._merge(update.endpoints, {} if whole else dict(self.listed))
+        replaced = self._merge(update.endpoints, {} if whole else dict(self.listed_endpoints))
         self.addresses = {
             name: address
             for name, address in {**self.addresses, **listing.addresses}.items()
-            if name in self.listed
+            if name in self.listed_endpoints
         }
         self._tell(update, replaced)
 
@@ -135,15 +135,15 @@
         proxy.pools.keep_only(
             {name: address for name, address in self.addresses.items() if name not in replaced}
         )
-        proxy.tell()
+        proxy.handle_events()
 
     def _merge(self, endpoints: tuple[Endpoint, ...], listed: dict[str, Endpoint]) -> set[str]:
         """Adds the told endpoints to these; returns the names under which another process runs now.
 
         What stands open to an earlier process may be silent: it is another endpoint of that name.
         """
-        before = self.listed
-        self.listed = listed
+        before = self.listed_endpoints
+        self.listed_endpoints = listed
         replaced = set()
         for endpoint in endpoints:
             known = before.get(endpoint.address)
@@ -157,7 +157,7 @@
 
     def is_ready(self, endpoint: Endpoint) -> bool:
         """Returns whether this process of the endpoint is still listed as ready."""
-        now = self.listed.get(endpoint.address)
+        now = self.listed_endpoints.get(endpoint.address)
         return (
             now is not None
             and now.condition == EndpointCondition.READY
@@ -210,4 +210,4 @@
             self.take_up(discovery.read_json(end.body, self.proxy.epoch), source)
         except Exception as error:  # the decisions are owed one answer, whatever came
             structured_log.log("endpoint list not fetched", error=str(error)[:MOST_REASON])
-            self.proxy.tell(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
+            self.proxy.handle_events(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -55,7 +55,7 @@
         """Returns whether the connections have been told to close once nothing is owed to them."""
         return self.on_drained is not None and self._finish_timer is None
 
-    def finish(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
+    def drain(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
         """Takes no new work, and closes each client's connection once nothing is owed to it.
 
         Args:
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -47,7 +47,7 @@
 from ..state.trial_exposure import TrialExposure
 from .attempt import Attempt
 from .client_listener import ClientListener
-from .client_requests import FAILED_ANSWER, ClientRequests, notice_if_gone
+from .client_requests import FAILED_ANSWER, ClientRequests, close_if_client_gone
 from .descriptor_budget import descriptor_budget
 from .endpoint_updates import Address, EndpointUpdates
 from .graceful_shutdown import GracefulShutdown
@@ -80,7 +80,7 @@
         listener: The listening port and the clients' connections.
         shutdown: Drains the listener.
         requests: The requests in flight.
-        transactions: The table of these by slot.
+        requests_in_flight: The table of these by slot.
         client_requests: Takes and answers requests.
         exposure: What was received and what was sent to the newest build on trial.
         inbox: Events that the decisions are yet to be told of.
@@ -106,17 +106,17 @@
         self.connection_limits = start.connection_limits
         budget = descriptor_budget(start.sockets)
         self.pools = ConnectionPools(
-            reactor, timers, self.connection_limits, budget.endpoints, structured_log.fault
+            reactor, timers, self.connection_limits, budget.endpoints, structured_log.log_exception
         )
         self.requests = RequestTable(timers)
-        self.transactions = self.requests.by_slot
+        self.requests_in_flight = self.requests.by_slot
         self.client_requests = ClientRequests(self, self.requests)
         self.listener = ClientListener(
             reactor,
             timers,
             start.listen,
             sockets=start.sockets,
-            most_clients=budget.clients,
+            max_clients=budget.clients,
             take=self.client_requests.take,
             gone=self.client_requests.gone,
         )
@@ -183,9 +183,9 @@
             heard: Called whenever the watch of endpoints has spoken.
         """
         if heard is not None:
-            self.endpoints.call_when_heard(heard)
+            self.endpoints.notify_on_data(heard)
         self.endpoints.take_up(self.start.known, self.endpoints.discovery.address)
-        self.tell(self.start.news)
+        self.handle_events(self.start.news)
         self.endpoints.start()
         self.releases.start()
         self._log_rejections()
@@ -202,14 +202,14 @@
         return self.listener.clients
 
     @property
-    def drained(self) -> Any:
+    def listener_closed(self) -> Any:
         """The closing of the listening port, a Deferred; None while it serves."""
         return self.shutdown.listener_closed
 
     @property
-    def listed(self) -> dict[str, Endpoint]:
+    def listed_endpoints(self) -> dict[str, Endpoint]:
         """Each listed endpoint by its name."""
-        return self.endpoints.listed
+        return self.endpoints.listed_endpoints
 
     @property
     def addresses(self) -> dict[str, str]:
@@ -230,13 +230,13 @@
         """Opens the listening port; raises CannotListenError where the address can't be had."""
         self.listener.serve()
 
-    def finish(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
+    def shut_down(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
         """Drains for good; see GracefulShutdown.finish."""
-        self.shutdown.finish(on_drained, answer_by)
+        self.shutdown.drain(on_drained, answer_by)
 
     def drain(self, on_drained: Callable[[], None]) -> None:
         """Drains for a while: a permit lets this instance go out, and `undrain` brings it back."""
-        self.shutdown.finish(on_drained)
+        self.shutdown.drain(on_drained)
 
     def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
         """Takes new work again; see GracefulShutdown.undrain."""
@@ -244,7 +244,7 @@
 
     # Events into the decisions, their actions out.
 
-    def tell(self, *events: Event) -> None:
+    def handle_events(self, *events: Event) -> None:
         """Hands events to the decisions in order, with those that their actions bring about."""
         self.inbox += events
         if self.deciding:
@@ -262,7 +262,7 @@
         try:
             actions = self.engine.handle(self.clock(), [event])
         except Exception as error:  # costs the request of this event, not the program
-            structured_log.fault("decisions", error)
+            structured_log.log_exception("decisions", error)
             self._carry_out(self.engine.actions)
             name = getattr(event, "id", None)
             request = None if name is None else self.requests.find(name)
@@ -277,10 +277,10 @@
             try:
                 self._carriers[type(action)](action)
             except Exception as error:  # the other actions stand
-                structured_log.fault(type(action).__name__, error)
+                structured_log.log_exception(type(action).__name__, error)
 
     def _set_timer(self, action: SetTimer) -> None:
-        self.timers.add(action.at, self.tell, TimerFired(action.token))
+        self.timers.add(action.at, self.handle_events, TimerFired(action.token))
 
     def _log_note(self, action: LogNote) -> None:
         structured_log.log("note", text=action.text)
@@ -315,12 +315,12 @@
         if request is None:
             self._end_without_request(action)
             return
-        notice_if_gone(request)
+        close_if_client_gone(request)
         endpoints = self.endpoints
         attempt = Attempt(
             self,
             request,
-            endpoints.listed.get(endpoint),
+            endpoints.listed_endpoints.get(endpoint),
             now,
             min(now + action.timeout, request.expires_at),
         )
@@ -329,18 +329,20 @@
         if attempt.number >= self.settings.max_attempts or not attempt.may_be_written(
             endpoints.addresses.get(endpoint)
         ):
-            self.ended(attempt, Outcome.NOT_SENT)
+            self.attempt_ended(attempt, Outcome.NOT_SENT)
             return
         attempt.timer = self.timers.add(attempt.write_by, attempt.timer_due)
         try:
             sent = self.pools.send(endpoint, endpoints.addresses[endpoint], attempt)
         except Exception as error:  # the decisions are owed its end all the same
-            structured_log.fault("connection pools", error)
+            structured_log.log_exception("connection pools", error)
             attempt.give_up()
             return
         if not sent:
-            structured_log.seldom("no descriptor for an endpoint", connections=len(self.pools))
-            self.ended(attempt, Outcome.NOT_SENT)
+            structured_log.log_rate_limited(
+                "no descriptor for an endpoint", connections=len(self.pools)
+            )
+            self.attempt_ended(attempt, Outcome.NOT_SENT)
 
     def _end_without_request(self, action: SendAttempt) -> None:
         """Ends an attempt whose request was let go while the decision was made.
@@ -360,7 +362,9 @@
         if attempt.in_flight:
             attempt.give_up(Outcome.CANCELLED)
 
-    def ended(self, attempt: Attempt, outcome: Outcome, answer: PodResponse | None = None) -> None:
+    def attempt_ended(
+        self, attempt: Attempt, outcome: Outcome, answer: PodResponse | None = None
+    ) -> None:
         """Takes up the one end of an attempt. The first good answer goes to the client at once."""
         request = attempt.request
         attempt.in_flight = False
@@ -384,7 +388,7 @@
         if request.repeated and not request.attempts_out:  # the decisions are done with it
             self.client_requests.answer(request, FAILED_ANSWER)
         self.requests.release(request)
-        self.tell(event)
+        self.handle_events(event)
         if self.why is not None and request.closed and not request.attempts_out:
             self.why.over(request.id)
 
@@ -392,14 +396,16 @@
         """Counts a key as answered: a response came too late, in part, spoilt, or may yet come."""
         command = attempt.request.command
         assert attempt.endpoint is not None  # it was written
-        structured_log.seldom(
+        structured_log.log_rate_limited(
             "late response discarded",
             id=attempt.request.id,
             pod=attempt.endpoint.address,
             after=self.clock() - attempt.started_at,
             reason=reason,
         )
-        self.tell(LateResponseSeen((command.key or command.id).decode(), attempt.endpoint.build))
+        self.handle_events(
+            LateResponseSeen((command.key or command.id).decode(), attempt.endpoint.build)
+        )
 
     def _load(self, report: bytes) -> tuple[float, ...] | None:
         """Returns the values of a load report in the order of the settings; None for a bad one."""
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -65,7 +65,7 @@
             deployer.SILENCE,
             lambda: deployer.stream(self.platform.host),
             self._stream_reader,
-            structured_log.seldom,
+            structured_log.log_rate_limited,
             deployer.FIRST_WORD,
         )
 
@@ -107,7 +107,7 @@
                     isinstance(told, ReleaseUpdate)
                     or told.request_class in self.proxy.settings.request_classes
                 ):
-                    self.proxy.tell(told)
+                    self.proxy.handle_events(told)
             return b"\n" in bytes(content)  # any whole line
 
         return read
@@ -148,7 +148,7 @@
                 null_rates=_rounded(evidence.null_rates),
                 all_slow=round(evidence.all_slow, LOGGED_DIGITS),
             )
-            self.proxy.tell(update)
+            self.proxy.handle_events(update)
 
         vote = self.platform.call(
             deployer.vote(self.platform.host, action), self.proxy.settings.vote_timeout
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -174,7 +174,9 @@
     def reject(self, kind: str, reason: str) -> None:
         """Counts and logs what can't be accepted."""
         self.rejected[kind] += 1
-        _structured_log.seldom("message rejected", kind=kind, why=reason, count=self.rejected[kind])
+        _structured_log.log_rate_limited(
+            "message rejected", kind=kind, why=reason, count=self.rejected[kind]
+        )
 
     def open(self, session: bytes, last: int, signed: SignedArguments) -> SignedMessage:
         """Opens a message of a connection.
@@ -329,7 +331,7 @@
         try:
             reply = self._look(pending.query if pending else None)
         except Exception as error:  # a query must not end the node
-            _structured_log.fault("query", error)
+            _structured_log.log_exception("query", error)
             reply = rejection("the query can't be answered")
         self._answer(effect.token, {"reply": reply})
 
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -125,7 +125,7 @@
         raise ConfigurationError(f"seed: is no hexadecimal number: {text!r}") from None
 
 
-def read(told: Any, epoch: Ticks) -> StartConfiguration:
+def parse(told: Any, epoch: Ticks) -> StartConfiguration:
     """The configuration that a JSON object tells.
 
     Args:
@@ -200,4 +200,4 @@
         raise ConfigurationError(f"NODE_CONFIG: can't be read: {reason}: {path}") from None
     except orjson.JSONDecodeError as error:
         raise ConfigurationError(f"NODE_CONFIG: is no JSON: {error}") from None
-    return read(told, epoch)
+    return parse(told, epoch)
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -9,7 +9,7 @@
 from . import structured_log
 from .required_libraries import COMMANDS, libraries_from
 
-VARIABLE: Final = "THYMEKNOT_OPERATOR"
+OPERATOR_FILE_VARIABLE: Final = "THYMEKNOT_OPERATOR"
 """The environment variable that names the operator's file."""
 
 
@@ -23,7 +23,7 @@
     def reconfigure(self, settings: Any, folder: str) -> None:
         """Takes up new settings; raises ValueError and keeps the former ones."""
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """The sidecar stops."""
 
 
@@ -127,7 +127,7 @@
         changed = sorted(made.keys() ^ self.running.keys())
         structured_log.log("operator file reloaded", only_at_a_start=changed)
 
-    def leave(self) -> None:
+    def stop(self) -> None:
         """Tells each feature that the sidecar stops."""
         for feature in self.running.values():
-            feature.leave()
+            feature.stop()
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -11,8 +11,8 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import configuration, features, structured_log
 
-STOPS: Final = (signal.SIGTERM, signal.SIGINT)
-SERVES_ON: Final = 0.5
+STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
+ACCEPT_AFTER_SIGTERM_SECONDS: Final = 0.5
 """Seconds after SIGTERM in which new connections still come."""
 LAST: Final = 0.05
 """Seconds that the last responses need to go out."""
@@ -22,7 +22,7 @@
 0.15 s in which it may be held up."""
 COUNTED: Final[Ticks] = 3 * TICKS_PER_SECOND
 """What the longest deadline counts as at most."""
-FIRST_LIST = 0.5
+FIRST_LIST_TIMEOUT_SECONDS = 0.5
 """Seconds. Where lists are pushed, what the agent on the machine has counts as told from the first
 moment, and the list that the configuration holds is older: the sidecar listens once the agent has
 spoken, or after this long. An agent that is up answers at once; one that is silent longer is down,
@@ -41,7 +41,7 @@
     return time.monotonic_ns() // TICK_NANOSECONDS
 
 
-def loop() -> Any:
+def monotonic_reactor() -> Any:
     """The event loop. Its own clock is Unix time: a step back of that would hold up all timers."""
     from twisted.internet import reactor  # noqa: PLC0415 (imported where it is needed)
 
@@ -52,14 +52,14 @@
 
 def main(environment: Mapping[str, str]) -> int:
     """Serves without a command: an operator's file is named by the environment, if at all."""
-    return serve(environment, environment.get(features.VARIABLE) or None)
+    return serve(environment, environment.get(features.OPERATOR_FILE_VARIABLE) or None)
 
 
 def serve(environment: Mapping[str, str], operator: str | None) -> int:
     """Serves by the environment's configuration and the operator's file. Gives an exit code."""
     code = Lifecycle(environment, operator).run()
     # The interpreter restores default handlers as it ends: another signal would end it by itself.
-    for number in (signal.SIGHUP, *STOPS):
+    for number in (signal.SIGHUP, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
     return code
 
@@ -81,7 +81,7 @@
         self.serving = False
         self.stopping = False
         self.epoch: Ticks = time.time_ns() // TICK_NANOSECONDS - clock()
-        self.extra: Any = None
+        self.features: Any = None
         self.reactor: Any = None
         self.proxy: Any = None
         self.tries = 0
@@ -94,7 +94,7 @@
         signal.signal(signal.SIGINT, signal.SIG_DFL)  # ends it without a traceback
         try:
             start = self._read()
-            self.extra = features.Features(self.operator)
+            self.features = features.Features(self.operator)
         except (configuration.ConfigurationError, features.FeatureError) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
             return EXIT_UNUSABLE
@@ -102,14 +102,14 @@
         from ..proxy.proxy import Proxy  # noqa: PLC0415 (imported where it is needed)
         from ..state.timer_queue import TimerQueue  # noqa: PLC0415 (imported where it is needed)
 
-        self.reactor = loop()
-        for number in STOPS:
+        self.reactor = monotonic_reactor()
+        for number in STOP_SIGNALS:
             signal.signal(number, self._told_to_stop)
-        structured_log.take_over()
+        structured_log.capture_twisted_errors()
         self.proxy = Proxy(
             start,
             self.reactor,
-            TimerQueue(clock, self.reactor.callLater, structured_log.fault),
+            TimerQueue(clock, self.reactor.callLater, structured_log.log_exception),
             self.epoch,
         )
         if start.settings.lists_polled:
@@ -117,7 +117,7 @@
             self.reactor.callWhenRunning(self._listen)
         else:
             self.proxy.begin(self._listen)
-            self.reactor.callLater(FIRST_LIST, self._listen)
+            self.reactor.callLater(FIRST_LIST_TIMEOUT_SECONDS, self._listen)
         self.reactor.run(installSignalHandlers=False)
         return self.code
 
@@ -140,7 +140,7 @@
         try:
             self.proxy.serve()
             self.serving = True
-            self.extra.begin(self.proxy)
+            self.features.begin(self.proxy)
         except CannotListenError as error:
             if not self._in_use(error):
                 self._fail(f"listen: {error}")
@@ -149,7 +149,7 @@
             self._fail(str(error))
             return
         except Exception as error:  # must not stay up without a listener
-            structured_log.fault("start", error)
+            structured_log.log_exception("start", error)
             self._fail(f"start: {type(error).__name__}: {error}")
             return
         self._ready()
@@ -157,7 +157,7 @@
     def _ready(self) -> None:
         start = self.proxy.start
         structured_log.log(
-            "ready", name=start.name, listen=start.listen, pods=len(self.proxy.listed)
+            "ready", name=start.name, listen=start.listen, pods=len(self.proxy.listed_endpoints)
         )
         gc.collect()
         gc.freeze()  # what stands from the start is not looked through again
@@ -201,11 +201,11 @@
         if self.stopping:  # a second signal must not stop it twice
             return
         self.stopping = True
-        self.extra.leave()
+        self.features.stop()
         structured_log.log(
             "stopping",
             clients=len(self.proxy.clients),
-            transactions=len(self.proxy.transactions),
+            transactions=len(self.proxy.requests_in_flight),
         )
         if self.serving:
             longest = max(
@@ -213,8 +213,8 @@
                 for request_class in self.proxy.settings.request_classes.values()
             )
             self.reactor.callLater(
-                SERVES_ON,
-                self.proxy.finish,
+                ACCEPT_AFTER_SIGTERM_SECONDS,
+                self.proxy.shut_down,
                 self._emptied,
                 clock() + min(longest, COUNTED) + SPARED,
             )
@@ -233,17 +233,17 @@
         """
         try:
             if not self.stopping:
-                self.extra.reconfigure()
+                self.features.reconfigure()
         except features.FeatureError as error:
             structured_log.log("operator file rejected", error=str(error))
         except Exception as error:
-            structured_log.fault("operator file", error)
+            structured_log.log_exception("operator file", error)
         try:
             later = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
         except configuration.ConfigurationError as error:
             structured_log.log("configuration rejected", error=str(error))
         except Exception as error:  # a file must not end the program, whatever it holds
-            structured_log.fault("configuration", error)
+            structured_log.log_exception("configuration", error)
         else:
             structured_log.log(
                 "configuration reloaded",
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -58,11 +58,14 @@
 
 
 class RejectionSummary:
-    """Listens to the decisions: `hear` is called as they decide; `then`, if set, hears all too."""
+    """Counts the causes of rejections and failures between two log lines.
+
+    `hear` is called for each reason; `next_listener`, if set, is called with the same arguments.
+    """
 
     def __init__(self, log: Callable[..., None]) -> None:
         self.log = log
-        self.then: Callable[..., None] | None = None
+        self.next_listener: Callable[..., None] | None = None
         self.counts: dict[tuple[str, str], int] = {}
         self.since: Ticks = 0
         self._request: str | None = None
@@ -74,8 +77,8 @@
         role = ROLE_BY_NUMBER[reason]
         if role:
             self._count(name, reason, role)
-        if self.then is not None:
-            self.then(name, reason, *operands)
+        if self.next_listener is not None:
+            self.next_listener(name, reason, *operands)
 
     def _count(self, name: str | None, reason: Reason, role: Role) -> None:
         if name != self._request:  # what decided another request says nothing of this one
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -94,13 +94,13 @@
     _log(LEVELS.get(event, logging.ERROR), {"event": event, **fields})
 
 
-def seldom(event: str, **fields: Any) -> None:
+def log_rate_limited(event: str, **fields: Any) -> None:
     """Logs what may come with every request: once a second at most, by event and address."""
     if _rate_limit.permits((event, fields.get("address")), time.monotonic()):
         log(event, **fields)
 
 
-def fault(where: str, error: BaseException) -> None:
+def log_exception(where: str, error: BaseException) -> None:
     """Logs an exception that was stopped: what it was and where it arose."""
     trace = error.__traceback__
     place = "unknown"
@@ -111,7 +111,7 @@
     log("fault", where=where, error=f"{type(error).__name__}: {error}", at_line=place)
 
 
-def take_over() -> None:
+def capture_twisted_errors() -> None:
     """Makes errors that the network library logs come out as events of the same kind."""
     from twisted.logger import ILogObserver, LogLevel, globalLogBeginner  # noqa: PLC0415 (imported where it is needed)
 
@@ -120,7 +120,7 @@
             return
         failure = event.get("log_failure")
         error = failure.value if failure else RuntimeError(str(event.get("log_format")))
-        fault("network library", error)
+        log_exception("network library", error)
 
     globalLogBeginner.beginLoggingTo(
         [cast(ILogObserver, observe)], redirectStandardIO=False, discardBuffer=True
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -33,10 +33,10 @@
 
     draw: Draw
 
-    def first(self, asking: int) -> Ticks:
+    def initial_wait(self, asking: int) -> Ticks:
         """The wait before the first call, where so many callers start at once."""
 
-    def ended(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
         """The wait before the next call, after one that ended like this."""
 
 
@@ -48,11 +48,11 @@
     def __init__(self, draw: Draw) -> None:
         self.draw = draw
 
-    def first(self, asking: int) -> Ticks:
+    def initial_wait(self, asking: int) -> Ticks:
         """The wait before the first call."""
         return 0
 
-    def ended(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
         """The wait before the next call, whatever came of the last one."""
         return 2_000 + int(self.draw() * 6_000)
 
@@ -150,7 +150,7 @@
         """
         self.standing.pop(instance, None)
         poller = Poller(instance, turn, pace)
-        self.at(self.now() + pace.first(asking), self._ask, poller, True)
+        self.at(self.now() + pace.initial_wait(asking), self._ask, poller, True)
         if getattr(pace, "beside", False):
             self.at(self.now(), self._ask, poller, False)
 
@@ -170,7 +170,7 @@
     @staticmethod
     def _wait_after_refusal(pace: PollInterval, watch: bool) -> Ticks:
         if watch:
-            return pace.ended(CallResult.REFUSED)
+            return pace.record(CallResult.REFUSED)
         return LIST_RETRY_DELAY + int(pace.draw() * LIST_RETRY_DELAY)
 
 
