--- a/tests/unit/policy/outcomes.py
+++ b/tests/unit/policy/outcomes.py
@@ -1,16 +1,16 @@
 """An instance that judges a build on trial, and outcomes that it books."""
 
 from tests.support.decisions import NOW, balancer, news, taken
-from thymeknot.policy.baseline import BeforeOffer, LatencyMark
+from thymeknot.policy.baseline import LatencyStats, PreTrialBaseline
 from thymeknot.policy.request_lifecycle import RequestPhase
 from thymeknot.state.request_state import RequestState
 
-USUAL = {("read", "std"): LatencyMark(900, 100, 500)}
+USUAL = {("read", "std"): LatencyStats(900, 100, 500)}
 
 
 def judging(rate=50.0):
     made = balancer(told=news())
-    made.baseline.before_offer = BeforeOffer(USUAL, rate, 0.0)
+    made.baseline.pre_trial = PreTrialBaseline(USUAL, rate, 0.0)
     return made
 
 
--- a/tests/unit/policy/test_global_slowdown.py
+++ b/tests/unit/policy/test_global_slowdown.py
@@ -9,7 +9,7 @@
     Outcome,
     Verdict,
 )
-from thymeknot.policy.baseline import BeforeOffer, LatencyMark
+from thymeknot.policy.baseline import LatencyStats, PreTrialBaseline
 
 
 class GlobalSlowdownTest(unittest.TestCase):
@@ -65,11 +65,11 @@
         self.assertIsNotNone(made.slowdown.since)
 
     def test_repeats_of_clients_excuse_nothing(self):
-        for repeat, excused in ((False, True), (True, False)):
+        for repeat, expected_ratio in ((False, True), (True, False)):
             made = judging(rate=10.0)
             for number in range(100):
                 made.handle(NOW, [taken(str(number))._replace(is_retry=repeat)])
-            self.assertEqual(made.baseline.busier() > 1.5, excused)
+            self.assertEqual(made.baseline.traffic_ratio() > 1.5, expected_ratio)
 
     def test_mean_times_speak_before_nine_in_ten_are_over_the_mark(self):
         for times, slow in (
@@ -93,8 +93,8 @@
 
     def test_a_quiet_instance_does_not_take_chance_for_usual(self):
         made = balancer(told=news())
-        made.baseline.before_offer = BeforeOffer(
-            {("read", "std"): LatencyMark(900, 19, 500)}, 50.0, 0.0
+        made.baseline.pre_trial = PreTrialBaseline(
+            {("read", "std"): LatencyStats(900, 19, 500)}, 50.0, 0.0
         )
         judged(made, Outcome.DONE, "old-1", 60, latency=5000)
         self.assertIsNone(made.slowdown.since)
@@ -102,17 +102,17 @@
     def test_an_instance_with_little_traffic_or_of_a_crowd_does_not_judge_all(self):
         for rate, places, judges in ((13, 9, False), (17, 9, True), (17, 2, False)):
             made = balancer(told=news())
-            made.baseline.earlier_endpoints = places
+            made.baseline.earlier_endpoint_count = places
             made.context.arrivals.add(NOW, 8 * rate)
             made.baseline.non_retries.add(NOW, 8 * rate)
             made.baseline.capture_pre_trial()
-            self.assertEqual(made.baseline.before_offer is not None, judges)
+            self.assertEqual(made.baseline.pre_trial is not None, judges)
 
     def test_deferrals_that_hide_slowness_count_as_slow(self):
         for usually_deferred, told in ((0.0, True), (0.5, False)):
             made = balancer(told=news())
-            made.baseline.before_offer, made.split.fraction = (
-                BeforeOffer(USUAL, 50.0, usually_deferred),
+            made.baseline.pre_trial, made.split.fraction = (
+                PreTrialBaseline(USUAL, 50.0, usually_deferred),
                 0.3,
             )
             made.admission.answers.add(NOW - TICKS_PER_SECOND, 2)
@@ -124,14 +124,14 @@
         build was offered 3 s later. None was rejected for eight seconds after that; then the build, released, was
         slow under load, and 2,500 rejections in five seconds were no evidence against it, as 0.39 was usual."""
         made = balancer(told=news())
-        made.baseline.before_offer = BeforeOffer(USUAL, 50.0, 0.39)
+        made.baseline.pre_trial = PreTrialBaseline(USUAL, 50.0, 0.39)
         for second in range(10):
             made.context.now += TICKS_PER_SECOND
             made.context.arrivals.add(made.context.now, 50)
             made.baseline.rejected.add(made.context.now, 20 * (second < 1))
             made.baseline.non_retries.add(made.context.now, 50)
             made.baseline.capture_pre_trial()
-        self.assertEqual(made.baseline.before_offer, BeforeOffer(USUAL, 50.0, 0.0))
+        self.assertEqual(made.baseline.pre_trial, PreTrialBaseline(USUAL, 50.0, 0.0))
         for _ in range(20):
             made.slowdown.add_rejection()
         self.assertIsNotNone(made.slowdown.since)
@@ -139,7 +139,7 @@
     def test_an_answer_within_the_clocks_step_is_no_mean_of_nothing(self):
         made = balancer(told=news())
         judged(made, Outcome.DONE, "old-1", 60, latency=0)
-        made.baseline.before_offer = BeforeOffer(dict(made.baseline.marks), 50.0, 0.0)
+        made.baseline.pre_trial = PreTrialBaseline(dict(made.baseline.latency_stats), 50.0, 0.0)
         judged(made, Outcome.DONE, "old-1", 1, latency=0)
         judged(made, Outcome.DONE, "old-1", 1, latency=500)
-        self.assertEqual(made.baseline.before_offer[0]["read", "std"][1], 60)
+        self.assertEqual(made.baseline.pre_trial[0]["read", "std"][1], 60)
--- a/tests/unit/policy/test_large_fleets.py
+++ b/tests/unit/policy/test_large_fleets.py
@@ -172,7 +172,11 @@
         made.handle(made.context.now, [news(phase=ReleasePhase.ON_TRIAL)])
         if phase == ReleasePhase.RELEASED:
             made.handle(made.context.now, [news(4, phase, 1.0)])
-        made.baseline.earlier_endpoints, made.split.fraction, made.voting.offset = 40, 0.4, 0
+        made.baseline.earlier_endpoint_count, made.split.fraction, made.voting.turn_offset = (
+            40,
+            0.4,
+            0,
+        )
         return made
 
     def test_a_build_that_slows_all_is_held_at_once_and_goes_back_after_a_while(self):
@@ -228,13 +232,17 @@
         made = balancer(
             *OLD, *[pod(f"new-{n}", 2, NOW) for n in range(40)], told=news(stage), **terms
         )
-        made.voting.offset, made.sequential_test.clear_since, made.baseline.earlier_endpoints = (
+        (
+            made.voting.turn_offset,
+            made.sequential_test.below_pause_since,
+            made.baseline.earlier_endpoint_count,
+        ) = (
             0,
             NOW - 60 * TICKS_PER_SECOND,
             40,
         )
         for until in range(NOW - 8 * TICKS_PER_SECOND, counted + 1, 2 * TICKS_PER_SECOND):
-            made.fleet.usual.told(until)
+            made.fleet.fleet_baseline.told(until)
         made.context.now = NOW + TERMS.warmup_duration + TICKS_PER_SECOND
         return made.voting.verdict()
 
@@ -271,8 +279,8 @@
     def test_a_period_that_was_missed_makes_the_others_no_longer(self):
         made = balancer()
         for until, period in ((2, 0), (4, 2), (8, 2), (8, 2), (10, 2)):
-            made.fleet.usual.told(until * TICKS_PER_SECOND)
-            self.assertEqual(made.fleet.usual.period, period * TICKS_PER_SECOND)
+            made.fleet.fleet_baseline.told(until * TICKS_PER_SECOND)
+            self.assertEqual(made.fleet.fleet_baseline.period, period * TICKS_PER_SECOND)
 
     def test_a_stage_beyond_the_waves_counts_as_the_last(self):
         self.assertEqual(self.vote(9, NOW + TERMS.warmup_duration), Verdict.PROMOTE)
@@ -306,11 +314,11 @@
                 instances=216,
                 votes_to_revert=54,
             )
-            made.fleet.rows = [
+            made.fleet.pending = [
                 FleetCounts(1, "read", 95, 1, 2_000, 7_000),
                 FleetCounts(2, "read", 23, 9, 3_800, 7_000),
             ]
-            made.fleet.weigh()
+            made.fleet.process_pending()
             self.assertGreater(
                 made.sequential_test.evidence_ratio, 0.5, late
             )  # nothing moves on, and the next such period sends it back
@@ -346,7 +354,7 @@
         )  # the earlier build is counted no more
         made.selection.connection_loss = 0.99
         made.handle(NOW, [FleetCounts(2, "read", 40, 40, 1_000, 0)])
-        made.fleet.weigh()
+        made.fleet.process_pending()
         self.assertGreater(made.sequential_test.sums["failed"], 0)
 
     def test_tallies_of_cold_pods_prove_nothing(self):
@@ -354,7 +362,7 @@
         made.handle(
             NOW, [FleetCounts(1, "read", 100, 0, 1000, 0), FleetCounts(2, "read", 40, 20, 5000, 0)]
         )
-        made.fleet.weigh()
+        made.fleet.process_pending()
         self.assertLessEqual(max(made.sequential_test.sums.values()), 0)
 
     def test_what_speaks_against_a_build_outlasts_the_stage(self):
@@ -374,7 +382,7 @@
         made = balancer(told=news())
         made.baseline.outcomes.add(NOW, 1)
         made.baseline.failed.add(NOW, 1)
-        made.baseline.compare()
+        made.baseline.update_null_rates()
         self.assertEqual(made.sequential_test.null_rates["failed"], 0.5)
 
 
@@ -390,7 +398,7 @@
                 made = balancer(instances=400, votes_per_second=calls)
                 made.context.rng.state = seed << 40
                 made.handle(NOW, [news()])
-                due.append(made.voting.offset / TICKS_PER_SECOND)
+                due.append(made.voting.turn_offset / TICKS_PER_SECOND)
             self.assertAlmostEqual(min(due), begin)
             self.assertTrue(0.8 * span < max(due) - min(due) <= span, due)
             self.assertTrue(abs(sum(one == min(due) for one in due) - at_once) <= 5, due)
--- a/tests/unit/policy/test_sequential_test.py
+++ b/tests/unit/policy/test_sequential_test.py
@@ -10,7 +10,7 @@
     Verdict,
 )
 from thymeknot.interface.events import FleetCounts
-from thymeknot.policy.baseline import LatencyMark
+from thymeknot.policy.baseline import LatencyStats
 
 
 class SequentialTestTest(unittest.TestCase):
@@ -31,11 +31,11 @@
             judged(made, Outcome.ERROR, "new-0", 30)
             made.context.now += TICKS_PER_SECOND
             judged(made, Outcome.ERROR, "new-1", 1)
-            made.fleet.rows = [
+            made.fleet.pending = [
                 FleetCounts(2, "read", 20, 9, 100, 0),
                 FleetCounts(1, "read", 90, 0, 100, 0),
             ]
-            made.fleet.weigh()
+            made.fleet.process_pending()
             self.assertEqual(made.voting.verdict() == Verdict.ABORT, back)
             made.context.now += TICKS_PER_SECOND
             judged(made, Outcome.ERROR, "new-1", 9)
@@ -47,7 +47,7 @@
         made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(20)), told=news())
         made.sequential_test.null_rates["failed"] = 0.05
         made.context.arrivals.add(NOW, 600)
-        made.baseline.compare = lambda: True
+        made.baseline.update_null_rates = lambda: True
         for n in range(3):
             judged(made, Outcome.TIMED_OUT, f"new-{n}")
         self.assertNotEqual(made.voting.verdict(), Verdict.ABORT)
@@ -58,7 +58,7 @@
 
     def test_slow_pods_together_do_but_not_within_one_second(self):
         made = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
-        made.baseline.marks["read", "std"] = LatencyMark(500, 100, 300)
+        made.baseline.latency_stats["read", "std"] = LatencyStats(500, 100, 300)
         verdicts = []
         for _ in range(3):
             judged(made, Outcome.DONE, "old-1", 20, latency=100)
--- a/tests/unit/policy/test_trial_evidence.py
+++ b/tests/unit/policy/test_trial_evidence.py
@@ -11,13 +11,13 @@
     Verdict,
 )
 from thymeknot.interface.events import ComplaintReceived, FleetCounts
-from thymeknot.policy.baseline import LatencyMark
+from thymeknot.policy.baseline import LatencyStats
 
 
 class TrialEvidenceTest(unittest.TestCase):
     def test_one_slow_machine_does_not_send_a_build_back(self):
         made = balancer(told=news())
-        made.baseline.marks["read", "std"] = LatencyMark(500, 100, 300)
+        made.baseline.latency_stats["read", "std"] = LatencyStats(500, 100, 300)
         judged(made, Outcome.DONE, "old-1", 20, latency=100)
         judged(made, Outcome.DONE, "new-1", 60, latency=5000)
         self.assertNotEqual(made.voting.verdict(), Verdict.ABORT)
@@ -47,7 +47,7 @@
 
     def test_cold_slowness_and_time_outs_prove_nothing(self):
         made = balancer(pod("old-1"), pod("new-1", 2, started=NOW - 1), told=news())
-        made.baseline.marks["read", "std"] = LatencyMark(500, 100, 300)
+        made.baseline.latency_stats["read", "std"] = LatencyStats(500, 100, 300)
         judged(made, Outcome.DONE, "old-1", 20, latency=100)
         judged(made, Outcome.DONE, "new-1", 20, latency=5000)
         judged(made, Outcome.TIMED_OUT, "new-1", 20)
@@ -125,8 +125,8 @@
             made.handle(NOW, [news(4, ReleasePhase.RELEASED, 1.0)])
             for at in range(4):
                 made.context.now = NOW + at * 2 * TICKS_PER_SECOND
-                made.fleet.rows = [FleetCounts(2, "read", 100, failed, 100, 0)]
-                made.fleet.weigh()
+                made.fleet.pending = [FleetCounts(2, "read", 100, failed, 100, 0)]
+                made.fleet.process_pending()
             self.assertEqual(made.voting.verdict() == Verdict.ABORT, back, failed)
 
     def test_a_complaint_counts_as_a_failure(self):
--- a/tests/unit/policy/test_voting.py
+++ b/tests/unit/policy/test_voting.py
@@ -41,7 +41,7 @@
         )
         made.voting.cast()
         self.assertIn(CastVote(2, 1, Verdict.PROMOTE), made.context.actions)
-        made.context.actions, made.voting.next_check_at, made.sequential_test.clear_since = (
+        made.context.actions, made.voting.next_check_at, made.sequential_test.below_pause_since = (
             [],
             NOW,
             NOW,
@@ -85,7 +85,7 @@
                 told=news(),
                 warmup_duration=cold * TICKS_PER_SECOND,
             )
-            made.voting.offset, made.sequential_test.clear_since, made.context.now = (
+            made.voting.turn_offset, made.sequential_test.below_pause_since, made.context.now = (
                 0,
                 NOW - 9 * TICKS_PER_SECOND,
                 NOW + int(age * TICKS_PER_SECOND),
@@ -99,7 +99,7 @@
             (4, 4.1, Verdict.PROMOTE),
         ):  # cold: 4 s, 0.75 after 2.7
             made = balancer(pod("old-1"), pod("new-1", 2, NOW), told=news(stage=stage))
-            made.voting.offset, made.sequential_test.clear_since, made.context.now = (
+            made.voting.turn_offset, made.sequential_test.below_pause_since, made.context.now = (
                 0,
                 NOW - 9 * TICKS_PER_SECOND,
                 NOW + int(age * TICKS_PER_SECOND),
--- a/thymeknot/policy/context.py
+++ b/thymeknot/policy/context.py
@@ -17,7 +17,7 @@
 MAX_UPKEEP_INTERVAL = TICKS_PER_SECOND // 4  # ticks between two upkeeps with hardly any traffic
 TRAFFIC_WINDOW_SECONDS = 8  # long enough for a mean rate, short enough to follow a change
 TRAFFIC_WINDOW_BUCKETS = 16  # half a second each
-HIGH_RATE = 15  # requests a second from which one instance sees enough by itself
+HIGH_REQUEST_RATE = 15  # requests a second from which one instance sees enough by itself
 LARGE_FLEET_RATIO = 0.75  # instances an endpoint from which each sees too little of every endpoint
 FEW_ENDPOINTS_LOW_RATE = 3  # so few of the newest build may all carry one faulty build
 FEW_ENDPOINTS_HIGH_RATE = 5  # of so few one faulty endpoint would be taken for its build
@@ -29,7 +29,7 @@
 class BuildState(Enum):
     """How this instance treats the newest build."""
 
-    USUAL = "usual"
+    NOT_EVALUATED = "usual"
     """Not met on trial: it is not judged."""
     ON_TRIAL = "on trial"
     RELEASED = "released"
@@ -80,21 +80,21 @@
         self.request_id: str | None = None
         self.first_traffic_at: Ticks | None = None
         self.release: Release | None = None
-        self.build_state = BuildState.USUAL
+        self.build_state = BuildState.NOT_EVALUATED
         self.endpoints: dict[str, EndpointState] = {}
         self.by_build: dict[bool, list[EndpointState]] = {True: [], False: []}
         self.subsets: dict[bool, list[EndpointState]] = {True: [], False: []}
         self.zones = 0
-        self.arrivals = traffic_window()
-        self.by_votes = settings.promotion_mode != PromotionMode.TIMER
-        self._largest_side = 1
+        self.arrivals = new_traffic_window()
+        self.promoted_by_votes = settings.promotion_mode != PromotionMode.TIMER
+        self._max_endpoints_per_build = 1
 
     def explain(self, reason: Reason, *operands: object) -> None:
         """Tells why something is decided about the subject."""
         if self.reason_callback:
             self.reason_callback(self.request_id, reason, *operands)
 
-    def open_to_newest(self) -> bool:
+    def newest_accepts_requests(self) -> bool:
         """Whether the newest build may take requests."""
         release = self.release
         return release is not None and release.phase in (
@@ -102,7 +102,7 @@
             ReleasePhase.RELEASED,
         )
 
-    def judged(self) -> bool:
+    def is_evaluating(self) -> bool:
         """Whether the newest build is judged."""
         return self.build_state in (BuildState.ON_TRIAL, BuildState.RELEASED)
 
@@ -111,19 +111,21 @@
 
         It goes by the most endpoints that were ever seen: a lost zone makes no crowd.
         """
-        self._largest_side = max(self._largest_side, *map(len, self.by_build.values()))
-        return self.settings.instances >= LARGE_FLEET_RATIO * self._largest_side
+        self._max_endpoints_per_build = max(
+            self._max_endpoints_per_build, *map(len, self.by_build.values())
+        )
+        return self.settings.instances >= LARGE_FLEET_RATIO * self._max_endpoints_per_build
 
-    def few_endpoints(self) -> bool:
+    def has_few_endpoints(self) -> bool:
         """Whether one faulty endpoint could be taken for a faulty build, and traffic is high."""
-        few = self.by_votes and 1 < len(self.by_build[True]) <= FEW_ENDPOINTS_HIGH_RATE
-        return few and self.arrivals.total(self.now) >= TRAFFIC_WINDOW_SECONDS * HIGH_RATE
+        few = self.promoted_by_votes and 1 < len(self.by_build[True]) <= FEW_ENDPOINTS_HIGH_RATE
+        return few and self.arrivals.total(self.now) >= TRAFFIC_WINDOW_SECONDS * HIGH_REQUEST_RATE
 
     def traffic_age(self) -> Ticks:
         """Ticks since the first traffic; 0 before."""
         return self.now - (self.first_traffic_at or self.now)
 
 
-def traffic_window() -> SlidingWindow:
+def new_traffic_window() -> SlidingWindow:
     """A window that counts requests lately."""
     return SlidingWindow(TRAFFIC_WINDOW_SECONDS * TICKS_PER_SECOND, TRAFFIC_WINDOW_BUCKETS)
--- a/thymeknot/policy/exposure_budget.py
+++ b/thymeknot/policy/exposure_budget.py
@@ -25,7 +25,7 @@
         self.received: dict[Hashable, SlidingWindow] = {}
         self.sent: dict[Hashable, SlidingWindow] = {}
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forgets the attempts: another build is on trial."""
         self.sent = {}
 
@@ -72,8 +72,9 @@
             return False
         # Where all may go there, each window with the attempt has its request, too.
         allowed = (first and cap >= 1) or all(
-            sent.total(now, False, back) + 1 <= allowance + cap * received.total(now, True, back)
-            for back in CHECKED_BUCKETS
+            sent.total(now, False, buckets) + 1
+            <= allowance + cap * received.total(now, True, buckets)
+            for buckets in CHECKED_BUCKETS
         )
         if not allowed:
             context.explain(
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -5,16 +5,18 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.events import FleetCounts
 from ..state.fleet_baseline import FleetBaseline
-from .baseline import OUTCOMES_LEAST, RATE_HIGHEST
+from .baseline import MAX_NULL_RATE, MIN_OUTCOMES
 from .context import MAX_UPKEEP_INTERVAL, BuildState, DecisionContext
 from .endpoint_selection import EndpointSelection
-from .global_slowdown import TIMES_HIGHEST, TIMES_SLOWER, GlobalSlowdown
-from .sequential_test import RATE_LEAST, SequentialTest, Symptom, weight
-from .trial_evidence import WARM_ENOUGH
+from .global_slowdown import MAX_LATENCY_RATIO, SLOW_LATENCY_RATIO, GlobalSlowdown
+from .sequential_test import MIN_NULL_RATE, SequentialTest, Symptom, log_likelihood_ratio
+from .trial_evidence import MIN_WARMUP_FRACTION
 
-FAILED_COLD = 0.3  # of the attempts, that may fail in addition where all endpoints are cold
-FAILED_RELEASED = 0.15  # of the attempts, after a release: half of the machines leave
-PERIOD_PART = 0.6  # of the abort bound, that one period may add
+COLD_FAILURE_ALLOWANCE = (
+    0.3  # of the attempts, that may fail in addition where all endpoints are cold
+)
+RELEASE_FAILURE_ALLOWANCE = 0.15  # of the attempts, after a release: half of the machines leave
+MAX_RATIO_PER_PERIOD = 0.6  # of the abort bound, that one period may add
 
 
 class FleetEvidence:
@@ -36,105 +38,116 @@
         self.test = test
         self.selection = selection
         self.slowdown = slowdown
-        self.rows: list[FleetCounts] = []
-        self.usual = FleetBaseline()
-        self._first_row_at: Ticks = 0
+        self.pending: list[FleetCounts] = []
+        self.fleet_baseline = FleetBaseline()
+        self._pending_since: Ticks = 0
 
     def add_counts(self, event: FleetCounts) -> None:
         """Keeps counts of a known request class that can be true."""
-        if not self.rows:
-            self._first_row_at = self.context.now
+        if not self.pending:
+            self._pending_since = self.context.now
         if (
             event.request_class in self.context.settings.request_classes
             and event.failed <= event.attempts > 0
         ):
-            self.rows.append(event)
+            self.pending.append(event)
 
     def upkeep(self) -> None:
         """Weighs what was told, after a while: a period's rows do not come all at once."""
-        if self.rows and self.context.now >= self._first_row_at + MAX_UPKEEP_INTERVAL:
-            self.weigh()
+        if self.pending and self.context.now >= self._pending_since + MAX_UPKEEP_INTERVAL:
+            self.process_pending()
 
-    def weigh(self) -> None:
+    def process_pending(self) -> None:
         """Adds the counts to the tests."""
-        context, rows = self.context, self.rows
-        self.rows = []
+        context, rows = self.context, self.pending
+        self.pending = []
         ended = context.now - rows[0].age
-        self.slowdown.add_counts(rows, self.usual, self.usual.told(ended))
+        self.slowdown.add_counts(rows, self.fleet_baseline, self.fleet_baseline.told(ended))
         release = context.release
-        if release is None or not context.judged():
+        if release is None or not context.is_evaluating():
             return
         earlier = {row.request_class: row for row in rows if row.build < release.build}
-        seen = sum(row.attempts for row in earlier.values())
-        failed = sum(row.failed for row in earlier.values())
-        warmth = self._warmth(ended - TICKS_PER_SECOND)
+        earlier_attempts = sum(row.attempts for row in earlier.values())
+        earlier_failed = sum(row.failed for row in earlier.values())
+        mean_warmup = self._mean_warmup_fraction(ended - TICKS_PER_SECOND)
         on_trial = context.build_state == BuildState.ON_TRIAL
-        if warmth < WARM_ENOUGH or (seen < 2 * OUTCOMES_LEAST and on_trial):
+        if mean_warmup < MIN_WARMUP_FRACTION or (earlier_attempts < 2 * MIN_OUTCOMES and on_trial):
             return
-        null_rate = self._null_rate(seen, failed, warmth)
+        null_rate = self._null_rate(earlier_attempts, earlier_failed, mean_warmup)
         newest = [row for row in rows if row.build == release.build]
         steps = {
             Symptom.FAILED: _failure_step(newest, null_rate),
-            Symptom.SLOW: _slowness_step(newest, earlier, warmth),
+            Symptom.SLOW: _slowness_step(newest, earlier, mean_warmup),
         }
         self.test.outcomes += sum(row.attempts for row in newest)
         for symptom, step in steps.items():
             # Of few endpoints it may all be one that is faulty.
-            most = PERIOD_PART * self.test.abort_bounds[symptom] * (not context.few_endpoints())
-            self.test.add_step(symptom, min(step, most))
-
-    def _null_rate(self, seen: int, failed: int, warmth: float) -> float:
+            max_step = (
+                MAX_RATIO_PER_PERIOD
+                * self.test.abort_bounds[symptom]
+                * (not context.has_few_endpoints())
+            )
+            self.test.add_step(symptom, min(step, max_step))
+
+    def _null_rate(self, earlier_attempts: int, earlier_failed: int, mean_warmup: float) -> float:
         """The part of the newest build's attempts that may fail if it is as good as the earlier.
 
         Cold endpoints fail more. After a release half of the machines leave, and the rest is loaded
         more for a while.
 
         Args:
-            seen: the earlier build's attempts.
-            failed: those of them that failed.
-            warmth: the mean warm-up fraction at the newest build.
+            earlier_attempts: the earlier build's attempts.
+            earlier_failed: those of them that failed.
+            mean_warmup: the mean warm-up fraction at the newest build.
         """
         rate = min(
-            RATE_HIGHEST,
-            failed / seen if seen >= 2 * OUTCOMES_LEAST else self.selection.connection_loss,
+            MAX_NULL_RATE,
+            earlier_failed / earlier_attempts
+            if earlier_attempts >= 2 * MIN_OUTCOMES
+            else self.selection.connection_loss,
         )
         return (
-            max(RATE_LEAST[Symptom.FAILED], rate)
-            + FAILED_COLD * (1 - warmth)
-            + FAILED_RELEASED * (self.context.build_state == BuildState.RELEASED)
+            max(MIN_NULL_RATE[Symptom.FAILED], rate)
+            + COLD_FAILURE_ALLOWANCE * (1 - mean_warmup)
+            + RELEASE_FAILURE_ALLOWANCE * (self.context.build_state == BuildState.RELEASED)
         )
 
-    def _warmth(self, at: Ticks) -> float:
+    def _mean_warmup_fraction(self, at: Ticks) -> float:
         """The mean warm-up fraction at the newest build; in a crowd, new endpoints got nothing."""
         context = self.context
-        crowded = context.is_large_fleet()
+        large_fleet = context.is_large_fleet()
         fractions = [
-            known.warmup_fraction(at, context.settings)
-            for known in context.by_build[True]
-            if known.listed.started < at or not crowded
+            endpoint.warmup_fraction(at, context.settings)
+            for endpoint in context.by_build[True]
+            if endpoint.listed.started < at or not large_fleet
         ]
-        return sum(fraction ** (1 + crowded) for fraction in fractions) / (
-            sum(fraction**crowded for fraction in fractions) or 1
+        return sum(fraction ** (1 + large_fleet) for fraction in fractions) / (
+            sum(fraction**large_fleet for fraction in fractions) or 1
         )
 
 
 def _failure_step(newest: Sequence[FleetCounts], null_rate: float) -> float:
-    bad = weight(Symptom.FAILED, True, null_rate)
-    good = weight(Symptom.FAILED, False, null_rate)
+    failure_weight = log_likelihood_ratio(Symptom.FAILED, True, null_rate)
+    success_weight = log_likelihood_ratio(Symptom.FAILED, False, null_rate)
     step = 0.0
     for row in newest:
-        step += row.failed * bad + (row.attempts - row.failed) * good
+        step += row.failed * failure_weight + (row.attempts - row.failed) * success_weight
     return step
 
 
 def _slowness_step(
-    newest: Sequence[FleetCounts], earlier: dict[str, FleetCounts], warmth: float
+    newest: Sequence[FleetCounts], earlier: dict[str, FleetCounts], mean_warmup: float
 ) -> float:
     step = 0.0
     for row in newest:
-        done, base = row.attempts - row.failed, earlier.get(row.request_class)
-        if base and done and base.latency and base.attempts - base.failed >= OUTCOMES_LEAST:
-            count = 1 / (1 / done + 1 / (base.attempts - base.failed))
-            times = min(TIMES_HIGHEST, row.latency * warmth / base.latency)
-            step += count * (times - TIMES_SLOWER) / 2
+        successes, earlier_row = row.attempts - row.failed, earlier.get(row.request_class)
+        if (
+            earlier_row
+            and successes
+            and earlier_row.latency
+            and earlier_row.attempts - earlier_row.failed >= MIN_OUTCOMES
+        ):
+            weight = 1 / (1 / successes + 1 / (earlier_row.attempts - earlier_row.failed))
+            latency_ratio = min(MAX_LATENCY_RATIO, row.latency * mean_warmup / earlier_row.latency)
+            step += weight * (latency_ratio - SLOW_LATENCY_RATIO) / 2
     return step
--- a/thymeknot/policy/global_slowdown.py
+++ b/thymeknot/policy/global_slowdown.py
@@ -6,19 +6,19 @@
 from ..interface.enums import Outcome
 from ..interface.events import FleetCounts
 from ..state.fleet_baseline import FleetBaseline
-from .baseline import BUSIER, OUTCOMES_MATURE, Baseline
+from .baseline import HIGH_TRAFFIC_RATIO, RELIABLE_OUTCOMES, Baseline
 from .context import BuildState, DecisionContext
 from .sequential_test import Symptom
 from .traffic_split import TrafficSplit
 
-TIMES_SLOWER = 1.5  # times the usual response time, from which a mean of many counts as slow
-TIMES_HIGHEST = 3.0  # times the usual that one outcome or period counts for
-MARGIN = 1.3  # times the usual response time that may pass as chance
-BLAMED_FROM = 0.15  # of the keys at the newest build, below which it can't have slowed all
-LEARNING_GAIN = 0.25  # what a period counts for in what is usual, at the least
-USUALLY_REJECTED = 0.05  # of the requests: where so many were, a rejection says nothing
-LOWEST_PART = 0.5  # of the bound at which the sum rests, and below which all is well again
-HIGHEST_PART = 1.5  # of the bound, so that the end of it is soon noticed
+SLOW_LATENCY_RATIO = 1.5  # times the usual response time, from which a mean of many counts as slow
+MAX_LATENCY_RATIO = 3.0  # times the usual that one outcome or period counts for
+CHANCE_LATENCY_RATIO = 1.3  # times the usual response time that may pass as chance
+MIN_BLAMED_FRACTION = 0.15  # of the keys at the newest build, below which it can't have slowed all
+MIN_LEARNING_GAIN = 0.25  # what a period counts for in what is usual, at the least
+MAX_USUAL_REJECTED_FRACTION = 0.05  # of the requests: where so many were, a rejection says nothing
+EVIDENCE_FLOOR_RATIO = 0.5  # of the bound at which the sum rests, and below which all is well again
+EVIDENCE_CEILING_RATIO = 1.5  # of the bound, so that the end of it is soon noticed
 
 
 class GlobalSlowdown:
@@ -36,71 +36,83 @@
         self.evidence = 0.0
         self.since: Ticks | None = None
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forgets everything: another release."""
         self.evidence = 0.0
         self.since = None
 
-    def add_outcome(self, cell: tuple[str, str], outcome: Outcome, latency: Ticks) -> None:
+    def add_outcome(self, latency_key: tuple[str, str], outcome: Outcome, latency: Ticks) -> None:
         """Takes in an outcome at a warm endpoint, of any build.
 
         Args:
-            cell: its request class and kind of machine.
+            latency_key: its request class and kind of machine.
             outcome: how the attempt ended.
             latency: its response time.
         """
-        before = self.baseline.before_offer
-        mark = before.marks.get(cell) if before else None
-        if mark is None:
+        pre_trial = self.baseline.pre_trial
+        stats = pre_trial.latency_stats.get(latency_key) if pre_trial else None
+        if stats is None:
             return
-        _, seen, mean = mark
-        if seen >= OUTCOMES_MATURE:
-            self._add_time(outcome, latency, mean, self.baseline.busier())
+        _, outcomes, mean = stats
+        if outcomes >= RELIABLE_OUTCOMES:
+            self._add_latency(outcome, latency, mean, self.baseline.traffic_ratio())
 
     def add_rejection(self) -> None:
         """Takes in a rejected request: rejections would hide slowness of all."""
-        before, busier = self.baseline.before_offer, self.baseline.busier()
-        if before is not None and before.rejected_part <= USUALLY_REJECTED and busier <= BUSIER:
-            self._add_time(Outcome.TIMED_OUT, 0, 1, busier)
+        pre_trial, traffic_ratio = self.baseline.pre_trial, self.baseline.traffic_ratio()
+        if (
+            pre_trial is not None
+            and pre_trial.rejected_fraction <= MAX_USUAL_REJECTED_FRACTION
+            and traffic_ratio <= HIGH_TRAFFIC_RATIO
+        ):
+            self._add_latency(Outcome.TIMED_OUT, 0, 1, traffic_ratio)
 
-    def _add_time(self, outcome: Outcome, latency: Ticks, mean: float, busier: float) -> None:
-        excused = busier**2 if busier > BUSIER else 1
-        times = TIMES_HIGHEST
+    def _add_latency(
+        self, outcome: Outcome, latency: Ticks, mean: float, traffic_ratio: float
+    ) -> None:
+        expected_ratio = traffic_ratio**2 if traffic_ratio > HIGH_TRAFFIC_RATIO else 1
+        ratio = MAX_LATENCY_RATIO
         if outcome != Outcome.TIMED_OUT:
-            times = min(TIMES_HIGHEST, latency / mean / excused)
-        self._add(times - MARGIN, self.context.now)
+            ratio = min(MAX_LATENCY_RATIO, latency / mean / expected_ratio)
+        self._add(ratio - CHANCE_LATENCY_RATIO, self.context.now)
 
-    def add_counts(self, rows: Sequence[FleetCounts], usual: FleetBaseline, began: Ticks) -> None:
+    def add_counts(
+        self, rows: Sequence[FleetCounts], fleet_baseline: FleetBaseline, period_start: Ticks
+    ) -> None:
         """Takes in the platform's counts: in a crowd each instance sees too little of all.
 
         Args:
             rows: the counts of a period.
-            usual: what is usual of the fleet; it learns from the counts.
-            began: when the period began.
+            fleet_baseline: what is usual of the fleet; it learns from the counts.
+            period_start: when the period began.
         """
         context = self.context
         # After a release half of the machines have left.
-        released = context.build_state == BuildState.RELEASED
-        margin = TIMES_SLOWER if released else MARGIN
+        is_released = context.build_state == BuildState.RELEASED
+        margin = SLOW_LATENCY_RATIO if is_released else CHANCE_LATENCY_RATIO
         step = sum(
-            count * (min(TIMES_HIGHEST, times / max(1.0, traffic) ** 2) - margin)
-            for count, times, traffic in usual.compared(rows)
+            outcomes * (min(MAX_LATENCY_RATIO, ratio / max(1.0, traffic) ** 2) - margin)
+            for outcomes, ratio, traffic in fleet_baseline.compared(rows)
         )
         if (
-            usual.seen >= OUTCOMES_MATURE
-            and context.judged()
-            and self.split.fraction >= BLAMED_FROM
+            fleet_baseline.seen >= RELIABLE_OUTCOMES
+            and context.is_evaluating()
+            and self.split.fraction >= MIN_BLAMED_FRACTION
         ):
-            if context.by_votes and context.is_large_fleet():
-                self._add(step, began)
+            if context.promoted_by_votes and context.is_large_fleet():
+                self._add(step, period_start)
             if step > 0:
                 return
-        usual.learn(rows, LEARNING_GAIN)
+        fleet_baseline.learn(rows, MIN_LEARNING_GAIN)
 
     def _add(self, step: float, since: Ticks) -> None:
         bound = self.baseline.test.abort_bounds[Symptom.SLOW]
-        self.evidence = max(-bound * LOWEST_PART, min(HIGHEST_PART * bound, self.evidence + step))
-        if self.evidence < bound * LOWEST_PART:
+        self.evidence = max(
+            -bound * EVIDENCE_FLOOR_RATIO, min(EVIDENCE_CEILING_RATIO * bound, self.evidence + step)
+        )
+        if self.evidence < bound * EVIDENCE_FLOOR_RATIO:
             self.since = None
-        elif self.evidence > bound and (self.since is None or self.split.fraction < BLAMED_FROM):
+        elif self.evidence > bound and (
+            self.since is None or self.split.fraction < MIN_BLAMED_FRACTION
+        ):
             self.since = since
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -18,7 +18,7 @@
     """What an update changes."""
 
     OFFERED = "offered"
-    MET = "met"
+    FOUND_AFTER_TRIAL = "met"
     """Another build that is not on trial."""
     STAGE_CHANGED = "stage changed"
     WITHDRAWN = "withdrawn"
@@ -28,15 +28,15 @@
 class Effect(Enum):
     """What a change has the parts do."""
 
-    RESTART = "restart"
+    RESET = "restart"
     NEXT_STAGE = "next stage"
     NONE = "none"
 
 
-FROM_ANY_STATE = {
-    ReleaseChange.OFFERED: (BuildState.ON_TRIAL, Effect.RESTART),
-    ReleaseChange.MET: (BuildState.USUAL, Effect.RESTART),
-    ReleaseChange.WITHDRAWN: (BuildState.WITHDRAWN, Effect.RESTART),
+DEFAULT_TRANSITIONS = {
+    ReleaseChange.OFFERED: (BuildState.ON_TRIAL, Effect.RESET),
+    ReleaseChange.FOUND_AFTER_TRIAL: (BuildState.NOT_EVALUATED, Effect.RESET),
+    ReleaseChange.WITHDRAWN: (BuildState.WITHDRAWN, Effect.RESET),
 }
 """Change -> next state and effect, where TRANSITIONS says nothing else."""
 
@@ -47,7 +47,7 @@
 }
 """(State, change) -> next state and effect. What is in neither table changes nothing."""
 
-CHANGE_OF_PHASE = {
+CHANGE_BY_PHASE = {
     ReleasePhase.ON_TRIAL: ReleaseChange.OFFERED,
     ReleasePhase.RELEASED: ReleaseChange.RELEASED,
 }
@@ -77,7 +77,7 @@
         self.baseline = baseline
         self.slowdown = slowdown
         self.voting = voting
-        self.restart()
+        self.reset()
 
     def update(self, event: ReleaseUpdate) -> None:
         """Takes in an update, or the answer to a vote."""
@@ -87,46 +87,46 @@
         if event.outcome != Outcome.DONE:
             return
         # An update of this outcome has all fields.
-        new = Release(event.build, event.stage, event.phase, event.cap)  # type: ignore[arg-type]
-        old = context.release
-        context.release = new
-        if old is None or old.build != new.build:
+        current = Release(event.build, event.stage, event.phase, event.cap)  # type: ignore[arg-type]
+        previous = context.release
+        context.release = current
+        if previous is None or previous.build != current.build:
             self.split.pinned_keys = set()
-            self.voting.met = {}
+            self.voting.first_started = {}
             self.selection.sort_by_build()
-        change = _change_between(old, new)
+        change = _change_between(previous, current)
         if change is None:
             return
         transition = TRANSITIONS.get(
             (context.build_state, change),
-            FROM_ANY_STATE.get(change, (context.build_state, Effect.NONE)),
+            DEFAULT_TRANSITIONS.get(change, (context.build_state, Effect.NONE)),
         )
         context.build_state, effect = transition
-        if effect == Effect.RESTART:
-            self.restart()
+        if effect == Effect.RESET:
+            self.reset()
         elif effect == Effect.NEXT_STAGE:
-            self.next_stage()
+            self.start_stage()
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Begins with another build, or with one that is withdrawn."""
-        self.baseline.restart()
-        self.split.restart()
-        self.exposure.restart()
-        self.slowdown.restart()
-        self.test.restart()
-        self.next_stage()
-
-    def next_stage(self) -> None:
+        self.baseline.reset()
+        self.split.reset()
+        self.exposure.reset()
+        self.slowdown.reset()
+        self.test.reset()
+        self.start_stage()
+
+    def start_stage(self) -> None:
         """Begins with another stage."""
-        self.split.next_stage()
-        self.voting.next_stage()
-        self.test.next_stage()
-
-
-def _change_between(old: Release | None, new: Release) -> ReleaseChange | None:
-    if old is None or old.build != new.build:
-        on_trial = new.phase == ReleasePhase.ON_TRIAL
-        return ReleaseChange.OFFERED if on_trial else ReleaseChange.MET
-    if old.phase != new.phase:
-        return CHANGE_OF_PHASE.get(new.phase, ReleaseChange.WITHDRAWN)
-    return ReleaseChange.STAGE_CHANGED if old.stage != new.stage else None
+        self.split.start_stage()
+        self.voting.start_stage()
+        self.test.start_stage()
+
+
+def _change_between(previous: Release | None, current: Release) -> ReleaseChange | None:
+    if previous is None or previous.build != current.build:
+        on_trial = current.phase == ReleasePhase.ON_TRIAL
+        return ReleaseChange.OFFERED if on_trial else ReleaseChange.FOUND_AFTER_TRIAL
+    if previous.phase != current.phase:
+        return CHANGE_BY_PHASE.get(current.phase, ReleaseChange.WITHDRAWN)
+    return ReleaseChange.STAGE_CHANGED if previous.stage != current.stage else None
--- a/thymeknot/policy/sequential_test.py
+++ b/thymeknot/policy/sequential_test.py
@@ -13,7 +13,7 @@
 from ..interface.settings import Settings
 from .context import (
     FEW_ENDPOINTS_HIGH_RATE,
-    HIGH_RATE,
+    HIGH_REQUEST_RATE,
     TRAFFIC_WINDOW_SECONDS,
     DecisionContext,
 )
@@ -26,32 +26,43 @@
     SLOW = "slow"
 
 
-WORSE_FAILED = 5.0  # times the earlier build's rate of failures that the test is to find
-WORSE_SLOW = 5.0  # times the earlier build's rate of slow responses that the test is to find
-FAILED_RATE_LEAST = 0.01  # of outcomes; an earlier build without a failure is no better than that
-SLOW_RATE_LEAST = 0.1  # of outcomes; by the quantile that marks a slow one
-FALSE_ABORT = 0.05  # the allowed probability that a good build is aborted
-FALSE_PROMOTION = 0.2  # the allowed probability that a bad build passes the test
-SLOW_STRICTER = 10  # times the odds that slowness must reach: it says less than a failure
-TOGETHER_PART = 0.7  # of the error that several votes together may make (bound of Poisson's tail)
-PROMOTE_BOUND = log(FALSE_PROMOTION / (1 - FALSE_ABORT))
-SLOW_REST = 3  # times the bound for promotion at which the sum of slowness rests
-PAUSE_PART = 0.5  # of the abort bound, above which a build is held where it is
-SECOND_FAILED_ONE_VOTE = 0.75  # of the bound, that a second may add where one vote acts
-SECOND_FAILED = 9.0  # and where several votes must agree
-SECOND_SLOW = 0.5  # of the bound, that a second's slowness may add
-ENDPOINT_FAILED = 0.55  # of the bound, that one endpoint may add: never the whole
-ENDPOINT_SLOW = 0.45
-ZONE_PART = 0.9  # of the bound, that one zone of several may add
-
-WORSE = {Symptom.FAILED: WORSE_FAILED, Symptom.SLOW: WORSE_SLOW}
-RATE_LEAST = {Symptom.FAILED: FAILED_RATE_LEAST, Symptom.SLOW: SLOW_RATE_LEAST}
-ENDPOINT_PART = {Symptom.FAILED: ENDPOINT_FAILED, Symptom.SLOW: ENDPOINT_SLOW}
-SECOND_PART = {
-    (Symptom.FAILED, True): SECOND_FAILED_ONE_VOTE,
-    (Symptom.FAILED, False): SECOND_FAILED,
-    (Symptom.SLOW, True): SECOND_SLOW,
-    (Symptom.SLOW, False): SECOND_SLOW,
+ALTERNATIVE_FAILED_RATIO = (
+    5.0  # times the earlier build's rate of failures that the test is to find
+)
+ALTERNATIVE_SLOW_RATIO = (
+    5.0  # times the earlier build's rate of slow responses that the test is to find
+)
+MIN_FAILED_RATE = 0.01  # of outcomes; an earlier build without a failure is no better than that
+MIN_SLOW_RATE = 0.1  # of outcomes; by the quantile that marks a slow one
+FALSE_ABORT_PROBABILITY = 0.05  # the allowed probability that a good build is aborted
+FALSE_PROMOTION_PROBABILITY = 0.2  # the allowed probability that a bad build passes the test
+SLOW_ODDS_FACTOR = 10  # times the odds that slowness must reach: it says less than a failure
+JOINT_ERROR_FACTOR = (
+    0.7  # of the error that several votes together may make (bound of Poisson's tail)
+)
+PROMOTE_BOUND = log(FALSE_PROMOTION_PROBABILITY / (1 - FALSE_ABORT_PROBABILITY))
+SLOW_FLOOR_FACTOR = 3  # times the bound for promotion at which the sum of slowness rests
+PAUSE_RATIO = 0.5  # of the abort bound, above which a build is held where it is
+MAX_FAILED_RATIO_PER_SECOND_ONE_VOTE = (
+    0.75  # of the bound, that a second may add where one vote acts
+)
+MAX_FAILED_RATIO_PER_SECOND = 9.0  # and where several votes must agree
+MAX_SLOW_RATIO_PER_SECOND = 0.5  # of the bound, that a second's slowness may add
+MAX_FAILED_RATIO_PER_ENDPOINT = 0.55  # of the bound, that one endpoint may add: never the whole
+MAX_SLOW_RATIO_PER_ENDPOINT = 0.45
+MAX_RATIO_PER_ZONE = 0.9  # of the bound, that one zone of several may add
+
+ALTERNATIVE_RATIO = {Symptom.FAILED: ALTERNATIVE_FAILED_RATIO, Symptom.SLOW: ALTERNATIVE_SLOW_RATIO}
+MIN_NULL_RATE = {Symptom.FAILED: MIN_FAILED_RATE, Symptom.SLOW: MIN_SLOW_RATE}
+MAX_RATIO_PER_ENDPOINT = {
+    Symptom.FAILED: MAX_FAILED_RATIO_PER_ENDPOINT,
+    Symptom.SLOW: MAX_SLOW_RATIO_PER_ENDPOINT,
+}
+MAX_RATIO_PER_SECOND = {
+    (Symptom.FAILED, True): MAX_FAILED_RATIO_PER_SECOND_ONE_VOTE,
+    (Symptom.FAILED, False): MAX_FAILED_RATIO_PER_SECOND,
+    (Symptom.SLOW, True): MAX_SLOW_RATIO_PER_SECOND,
+    (Symptom.SLOW, False): MAX_SLOW_RATIO_PER_SECOND,
 }
 """By symptom, and whether one vote aborts a release."""
 
@@ -72,70 +83,73 @@
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
-        self.null_rates = dict(RATE_LEAST)
+        self.null_rates = dict(MIN_NULL_RATE)
         self.abort_bounds = abort_bounds(context.settings)
         self.bounds = dict(self.abort_bounds)
         self.sums: dict[Symptom, float] = {}
-        self.sums_without_worst = self.sums
+        self.sums_without_worst_endpoint = self.sums
         self.evidence_ratio = 0.0
-        self.clear_since: Ticks = context.now
+        self.below_pause_since: Ticks = context.now
         self.outcomes = 0
-        self._by_endpoint: dict[tuple[Symptom, str], float] = {}
-        self._by_zone: dict[tuple[Symptom, str], float] = {}
-        self._left_of_second: dict[Symptom, tuple[Ticks, float]] = {}
+        self._sums_by_endpoint: dict[tuple[Symptom, str], float] = {}
+        self._sums_by_zone: dict[tuple[Symptom, str], float] = {}
+        self._left_in_second: dict[Symptom, tuple[Ticks, float]] = {}
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Forgets everything: another release."""
         self.sums = {}
-        self._by_endpoint = {}
-        self._by_zone = {}
+        self._sums_by_endpoint = {}
+        self._sums_by_zone = {}
 
-    def next_stage(self) -> None:
+    def start_stage(self) -> None:
         """Keeps failures, or an instance with little traffic never sees enough.
 
         Slowness starts anew: each stage's endpoints are cold.
         """
-        self.clear_since = self.context.now
+        self.below_pause_since = self.context.now
         failed = max(0.0, self.sums.get(Symptom.FAILED, 0.0))
-        self.sums = self.sums_without_worst = {Symptom.FAILED: failed, Symptom.SLOW: 0.0}
-        self._by_endpoint = _of_failures(self._by_endpoint)
-        self._by_zone = _of_failures(self._by_zone)
+        self.sums = self.sums_without_worst_endpoint = {Symptom.FAILED: failed, Symptom.SLOW: 0.0}
+        self._sums_by_endpoint = _only_failures(self._sums_by_endpoint)
+        self._sums_by_zone = _only_failures(self._sums_by_zone)
         self.outcomes = 0
         self.evidence_ratio = 0.0
-        self._left_of_second = {}
+        self._left_in_second = {}
 
-    def add(self, symptom: Symptom, bad: bool, endpoint: Endpoint | None = None) -> None:
+    def add(self, symptom: Symptom, has_symptom: bool, endpoint: Endpoint | None = None) -> None:
         """Adds an outcome.
 
         Args:
             symptom: what is tested.
-            bad: whether the outcome shows it.
+            has_symptom: whether the outcome shows it.
             endpoint: bounds what it, its zone and a second add; None does not.
         """
-        step = weight(symptom, bad, self.null_rates[symptom])
+        step = log_likelihood_ratio(symptom, has_symptom, self.null_rates[symptom])
         if endpoint is not None:
-            step = self._bounded(symptom, step, endpoint)
+            step = self._bounded_step(symptom, step, endpoint)
         self.add_step(symptom, step)
 
-    def _bounded(self, symptom: Symptom, step: float, endpoint: Endpoint) -> float:
+    def _bounded_step(self, symptom: Symptom, step: float, endpoint: Endpoint) -> float:
         """The part of the step that this endpoint, its zone and this second may add."""
         abort_bound = self.abort_bounds[symptom]
-        of_endpoint = symptom, endpoint.address
-        of_zone = symptom, endpoint.zone
-        had = self._by_endpoint.get(of_endpoint, 0.0)
-        bound = ENDPOINT_PART[symptom] * abort_bound
-        second = self.context.now // TICKS_PER_SECOND
-        last, left = self._left_of_second.get(symptom, (-1, 0.0))
-        if last != second:
-            one_vote = self.context.settings.votes_to_revert == 1
-            left = SECOND_PART[symptom, one_vote] * abort_bound
-        zone_had = self._by_zone.get(of_zone, 0.0)
-        several = self.context.zones > 1 and not self.context.few_endpoints()
-        zone_bound = self.bounds[symptom] * (ZONE_PART if several else inf)
-        step = max(min(step, bound - had, left, max(0.0, zone_bound - zone_had)), -bound - had)
-        self._by_endpoint[of_endpoint] = had + step
-        self._by_zone[of_zone] = max(-zone_bound, zone_had + step)
-        self._left_of_second[symptom] = second, left - max(0.0, step)
+        endpoint_key = symptom, endpoint.address
+        zone_key = symptom, endpoint.zone
+        endpoint_sum = self._sums_by_endpoint.get(endpoint_key, 0.0)
+        endpoint_bound = MAX_RATIO_PER_ENDPOINT[symptom] * abort_bound
+        current_second = self.context.now // TICKS_PER_SECOND
+        last_second, remaining = self._left_in_second.get(symptom, (-1, 0.0))
+        if last_second != current_second:
+            single_vote = self.context.settings.votes_to_revert == 1
+            remaining = MAX_RATIO_PER_SECOND[symptom, single_vote] * abort_bound
+        zone_sum = self._sums_by_zone.get(zone_key, 0.0)
+        multiple_zones = self.context.zones > 1 and not self.context.has_few_endpoints()
+        zone_bound = self.bounds[symptom] * (MAX_RATIO_PER_ZONE if multiple_zones else inf)
+        step = max(
+            min(step, endpoint_bound - endpoint_sum, remaining, max(0.0, zone_bound - zone_sum)),
+            -endpoint_bound - endpoint_sum,
+        )
+        self._sums_by_endpoint[endpoint_key] = endpoint_sum + step
+        self._sums_by_zone[zone_key] = max(-zone_bound, zone_sum + step)
+        self._left_in_second[symptom] = current_second, remaining - max(0.0, step)
         return step
 
     def add_step(self, symptom: Symptom, step: float) -> None:
@@ -143,49 +157,52 @@
         context = self.context
         # The sum rests near the bound for promotion: a build that turns bad late must not have to
         # make up for its past.
-        rest = PROMOTE_BOUND * (SLOW_REST if symptom == Symptom.SLOW else 1)
-        self.sums[symptom] = max(rest, self.sums[symptom] + step)
+        floor = PROMOTE_BOUND * (SLOW_FLOOR_FACTOR if symptom == Symptom.SLOW else 1)
+        self.sums[symptom] = max(floor, self.sums[symptom] + step)
         # Of few endpoints a faulty one would be taken for its build: who sees enough waits for a
         # second faulty one, where all instances wait.
         worst = 0.0
-        if context.few_endpoints():
-            for (of, _), had in self._by_endpoint.items():
-                worst = max(worst, had) if of == Symptom.FAILED else worst
-        self.sums_without_worst = {
+        if context.has_few_endpoints():
+            for (endpoint_symptom, _), endpoint_sum in self._sums_by_endpoint.items():
+                worst = max(worst, endpoint_sum) if endpoint_symptom == Symptom.FAILED else worst
+        self.sums_without_worst_endpoint = {
             **self.sums,
             Symptom.FAILED: self.sums[Symptom.FAILED] - worst,
         }
         # A sum at rest tries anew with each chance failure: the more of them, the higher the bound.
-        seen = context.arrivals.total(context.now)
-        many = (
-            context.by_votes
+        recent_requests = context.arrivals.total(context.now)
+        many_endpoints = (
+            context.promoted_by_votes
             and len(context.by_build[True]) > FEW_ENDPOINTS_HIGH_RATE
-            and seen >= TRAFFIC_WINDOW_SECONDS * HIGH_RATE
+            and recent_requests >= TRAFFIC_WINDOW_SECONDS * HIGH_REQUEST_RATE
         )
         self.bounds[Symptom.FAILED] = self.abort_bounds[Symptom.FAILED] + log(
-            max(1, many * self.null_rates[Symptom.FAILED] * seen)
+            max(1, many_endpoints * self.null_rates[Symptom.FAILED] * recent_requests)
         )
         self.evidence_ratio = max(
-            self.sums_without_worst[symptom] / bound for symptom, bound in self.bounds.items()
+            self.sums_without_worst_endpoint[symptom] / bound
+            for symptom, bound in self.bounds.items()
         )
-        if self.evidence_ratio > PAUSE_PART:
-            self.clear_since = context.now
+        if self.evidence_ratio > PAUSE_RATIO:
+            self.below_pause_since = context.now
 
 
-def _of_failures(parts: dict[tuple[Symptom, str], float]) -> dict[tuple[Symptom, str], float]:
-    return {key: part for key, part in parts.items() if key[0] == Symptom.FAILED}
+def _only_failures(
+    sums_by_source: dict[tuple[Symptom, str], float],
+) -> dict[tuple[Symptom, str], float]:
+    return {key: value for key, value in sums_by_source.items() if key[0] == Symptom.FAILED}
 
 
-def weight(symptom: Symptom, bad: bool, null_rate: float) -> float:
+def log_likelihood_ratio(symptom: Symptom, has_symptom: bool, null_rate: float) -> float:
     """The log likelihood ratio of an outcome.
 
     Args:
         symptom: what is tested.
-        bad: whether the outcome shows it.
+        has_symptom: whether the outcome shows it.
         null_rate: the rate of such outcomes if the build is as good as the earlier one.
     """
-    worse_rate = min(WORSE[symptom] * null_rate, (1 + null_rate) / 2)
-    return log(worse_rate / null_rate) if bad else log((1 - worse_rate) / (1 - null_rate))
+    worse_rate = min(ALTERNATIVE_RATIO[symptom] * null_rate, (1 + null_rate) / 2)
+    return log(worse_rate / null_rate) if has_symptom else log((1 - worse_rate) / (1 - null_rate))
 
 
 def abort_bounds(settings: Settings) -> dict[Symptom, float]:
@@ -193,9 +210,13 @@
 
     All instances share the allowed error; where many must err together, each may err more.
     """
-    needed = settings.votes_to_revert
-    together = needed * (
-        FALSE_ABORT if needed == 1 else TOGETHER_PART * FALSE_ABORT ** (1 / needed)
+    votes_needed = settings.votes_to_revert
+    joint_error = votes_needed * (
+        FALSE_ABORT_PROBABILITY
+        if votes_needed == 1
+        else JOINT_ERROR_FACTOR * FALSE_ABORT_PROBABILITY ** (1 / votes_needed)
+    )
+    odds = (1 - FALSE_PROMOTION_PROBABILITY) / min(
+        FALSE_ABORT_PROBABILITY, joint_error / settings.instances
     )
-    odds = (1 - FALSE_PROMOTION) / min(FALSE_ABORT, together / settings.instances)
-    return {Symptom.FAILED: log(odds), Symptom.SLOW: log(odds * SLOW_STRICTER)}
+    return {Symptom.FAILED: log(odds), Symptom.SLOW: log(odds * SLOW_ODDS_FACTOR)}
--- a/thymeknot/policy/traffic_split.py
+++ b/thymeknot/policy/traffic_split.py
@@ -9,13 +9,15 @@
 from .context import BuildState, DecisionContext
 from .slow_start import SlowStart
 
-RAISE_TIME = 2 * TICKS_PER_SECOND  # ticks from nothing to the target of a stage
-CAP_PART = 0.8  # of the cap that the fraction aims at: the rest is left to pinned keys and retries
-HOT_KEY_PART = 0.03  # of all recent requests with keys, from which a key is hot
-HOT_KEY_LEAST = 8  # recent requests of a key, below which it is not hot
+RAMP_DURATION = 2 * TICKS_PER_SECOND  # ticks from nothing to the target of a stage
+CAP_TARGET_RATIO = (
+    0.8  # of the cap that the fraction aims at: the rest is left to pinned keys and retries
+)
+HOT_KEY_FRACTION = 0.03  # of all recent requests with keys, from which a key is hot
+HOT_KEY_MIN_REQUESTS = 8  # recent requests of a key, below which it is not hot
 MAX_REMEMBERED_KEYS = 10_000  # pinned or failing keys that are remembered
-RECENT_KEYS_HALVED_AFTER = 2 * TICKS_PER_SECOND  # ticks after which the counts of keys are halved
-RECENT_KEY_LEAST = 0.5  # a count that is not more is forgotten
+RECENT_KEYS_HALF_LIFE = 2 * TICKS_PER_SECOND  # ticks after which the counts of keys are halved
+MIN_RECENT_KEY_COUNT = 0.5  # a count that is not more is forgotten
 
 
 class TrafficSplit:
@@ -39,11 +41,11 @@
         self.recent_keys: dict[str, float] = {}
         self._keys_halved_at: Ticks = context.now
 
-    def restart(self) -> None:
+    def reset(self) -> None:
         """Begins at nothing, or with all where the newest build is not judged."""
-        self.fraction = float(self.context.build_state == BuildState.USUAL)
+        self.fraction = float(self.context.build_state == BuildState.NOT_EVALUATED)
 
-    def next_stage(self) -> None:
+    def start_stage(self) -> None:
         """Lets the fraction rise from now on."""
         self.fraction_updated_at = self.context.now
         self.failing_keys = set()
@@ -68,29 +70,31 @@
             all_slow: whether all endpoints are slow; in a crowd, the fraction then rises no more.
         """
         context = self.context
-        if not context.open_to_newest():
+        if not context.newest_accepts_requests():
             return
         release = context.release
         assert release is not None
         capacity = self.slow_start.capacity
-        part = capacity[True] / (sum(capacity.values()) or 1.0)
-        part *= not all_slow or not context.is_large_fleet()
+        capacity_fraction = capacity[True] / (sum(capacity.values()) or 1.0)
+        capacity_fraction *= not all_slow or not context.is_large_fleet()
         target = (
-            min(CAP_PART * release.cap, part) if release.phase == ReleasePhase.ON_TRIAL else 1.0
+            min(CAP_TARGET_RATIO * release.cap, capacity_fraction)
+            if release.phase == ReleasePhase.ON_TRIAL
+            else 1.0
         )
-        step = target * (context.now - self.fraction_updated_at) / RAISE_TIME
+        step = target * (context.now - self.fraction_updated_at) / RAMP_DURATION
         self.fraction = max(self.fraction, min(target, self.fraction + step))
         self.fraction_updated_at = context.now
 
     def upkeep(self) -> None:
         """Halves the counts of keys, when it is time."""
         now = self.context.now
-        if now >= self._keys_halved_at + RECENT_KEYS_HALVED_AFTER:
+        if now >= self._keys_halved_at + RECENT_KEYS_HALF_LIFE:
             self._keys_halved_at = now
             self.recent_keys = {
                 key: count / 2
                 for key, count in self.recent_keys.items()
-                if count > RECENT_KEY_LEAST
+                if count > MIN_RECENT_KEY_COUNT
             }
 
     def builds_for(self, request: RequestState) -> tuple[bool, ...]:
@@ -98,7 +102,7 @@
         context, key = self.context, request.key
         release = context.release
         assert release is not None
-        if not context.open_to_newest():
+        if not context.newest_accepts_requests():
             return (False, True)
         if (
             key in self.pinned_keys or len(self.pinned_keys) >= MAX_REMEMBERED_KEYS
@@ -106,17 +110,19 @@
             context.explain(Reason.STAYS, len(self.pinned_keys))
             return (True,)
         position = key_position(key)
-        below = position < self.fraction
+        below_fraction = position < self.fraction
         context.explain(Reason.POSITION, position, self.fraction, release.cap)
-        if not below or release.phase != ReleasePhase.ON_TRIAL:
-            return (True, False) if below else (False, True)
+        if not below_fraction or release.phase != ReleasePhase.ON_TRIAL:
+            return (True, False) if below_fraction else (False, True)
         # A flood of one key, or a loop of retries, must not go to a build on trial.
-        hot = self._is_hot(key)
-        if not (request.attempts or key in self.failing_keys or hot):
+        is_hot = self._is_hot(key)
+        if not (request.attempts or key in self.failing_keys or is_hot):
             return (True, False)
-        context.explain(Reason.ASTRAY, len(request.attempts), key in self.failing_keys, hot)
+        context.explain(Reason.ASTRAY, len(request.attempts), key in self.failing_keys, is_hot)
         return (False, True)
 
     def _is_hot(self, key: str) -> bool:
-        seen = self.recent_keys.get(key, 0)
-        return seen >= HOT_KEY_LEAST and seen >= HOT_KEY_PART * sum(self.recent_keys.values())
+        requests = self.recent_keys.get(key, 0)
+        return requests >= HOT_KEY_MIN_REQUESTS and requests >= HOT_KEY_FRACTION * sum(
+            self.recent_keys.values()
+        )
--- a/thymeknot/policy/trial_evidence.py
+++ b/thymeknot/policy/trial_evidence.py
@@ -8,25 +8,31 @@
 from ..interface.events import ComplaintReceived
 from ..state.endpoint_state import EndpointState
 from ..state.request_state import RequestState
-from .baseline import BUSIER, MARK_UNKNOWN, Baseline, LatencyMark, lost_on_the_way
+from .baseline import (
+    HIGH_TRAFFIC_RATIO,
+    INITIAL_THRESHOLD_RATIO,
+    Baseline,
+    LatencyStats,
+    is_network_loss,
+)
 from .context import FEW_ENDPOINTS_LOW_RATE, DecisionContext
 from .global_slowdown import GlobalSlowdown
 from .sequential_test import SequentialTest, Symptom
 from .traffic_split import MAX_REMEMBERED_KEYS, TrafficSplit
 
-WARM_ENOUGH = 0.75  # of its capacity, from which an endpoint's response time says something
+MIN_WARMUP_FRACTION = 0.75  # of its capacity, from which an endpoint's response time says something
 
-NOT_JUDGED = frozenset((Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT))
+NEUTRAL_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT))
 """Outcomes that say nothing of a build."""
 
 
 class Exclusion(StrEnum):
     """Why an outcome of the newest build is no evidence."""
 
-    NOT_JUDGED = "not_judged"
+    NEUTRAL_OUTCOME = "not_judged"
     COLD_TIMEOUT = "cold_timeout"
     """A time-out of a cold endpoint, or one that nothing of the earlier build compares with."""
-    LOST = "lost"
+    NETWORK_LOSS = "lost"
     """Lost on the way, which is not known to be sound."""
     FAILING_KEY = "failing_key"
     """Its key has failed there before."""
@@ -57,92 +63,99 @@
         self.attempts = 0
         self.failed = 0
         self.excluded: Counter[Exclusion] = Counter()
-        self._build: int | None = None  # whose outcomes are counted
+        self._counted_build: int | None = None  # whose outcomes are counted
 
     def reset_for_build(self, build: int) -> None:
         """Counts anew where another build is the newest."""
-        if build != self._build:
-            self._build = build
+        if build != self._counted_build:
+            self._counted_build = build
             self.attempts = self.failed = 0
             self.excluded.clear()
 
     def add_outcome(
-        self, request: RequestState, known: EndpointState, outcome: Outcome, latency: Ticks
+        self, request: RequestState, endpoint: EndpointState, outcome: Outcome, latency: Ticks
     ) -> None:
         """Takes in the end of an attempt at an endpoint of any build."""
         context = self.context
         release = context.release
         if release is None:
             return
-        on_newest = known.listed.build == release.build
+        on_newest = endpoint.listed.build == release.build
         if on_newest:
             self.reset_for_build(release.build)
             self.attempts += 1
-        if outcome in NOT_JUDGED:
-            self.excluded[Exclusion.NOT_JUDGED] += on_newest
+        if outcome in NEUTRAL_OUTCOMES:
+            self.excluded[Exclusion.NEUTRAL_OUTCOME] += on_newest
             return
-        fraction, build = known.warmup_fraction(context.now, context.settings), known.listed.build
-        cell = request.request_class.name, known.listed.machine
-        mark = self.baseline.marks.get(cell)
-        if mark is None:
-            mark = LatencyMark(MARK_UNKNOWN * latency, 0, max(1, latency))
+        fraction, build = (
+            endpoint.warmup_fraction(context.now, context.settings),
+            endpoint.listed.build,
+        )
+        latency_key = request.request_class.name, endpoint.listed.machine
+        stats = self.baseline.latency_stats.get(latency_key)
+        if stats is None:
+            stats = LatencyStats(INITIAL_THRESHOLD_RATIO * latency, 0, max(1, latency))
         slow = outcome == Outcome.TIMED_OUT or (
-            outcome == Outcome.DONE and latency * fraction > mark.slow_above
+            outcome == Outcome.DONE and latency * fraction > stats.slow_threshold
         )
-        judged = context.judged()
-        if judged and fraction == 1.0:
-            self.slowdown.add_outcome(cell, outcome, latency)
-        if build < release.build or not judged:
-            self.baseline.learn(cell, mark, outcome, latency, slow=slow, warm=fraction == 1.0)
+        evaluating = context.is_evaluating()
+        if evaluating and fraction == 1.0:
+            self.slowdown.add_outcome(latency_key, outcome, latency)
+        if build < release.build or not evaluating:
+            self.baseline.add_outcome(
+                latency_key, stats, outcome, latency, slow=slow, warm=fraction == 1.0
+            )
         elif build == release.build:
-            compared = self.baseline.compare() and release.phase == ReleasePhase.ON_TRIAL
-            excluded = self._exclusion(request.key, outcome, fraction, compared)
+            comparable = (
+                self.baseline.update_null_rates() and release.phase == ReleasePhase.ON_TRIAL
+            )
+            excluded = self._exclusion(request.key, outcome, fraction, comparable)
             if excluded is not None:
                 self.excluded[excluded] += 1
             else:
-                self._add(request.key, known, outcome)
+                self._add_result(request.key, endpoint, outcome)
                 # A build may be slow and never fail. In a burst an endpoint's response time hangs
                 # on the load more than on the build.
                 if (
-                    compared
-                    and mark.seen
-                    and fraction >= WARM_ENOUGH
-                    and self.baseline.busier() <= BUSIER
+                    comparable
+                    and stats.outcomes
+                    and fraction >= MIN_WARMUP_FRACTION
+                    and self.baseline.traffic_ratio() <= HIGH_TRAFFIC_RATIO
                 ):
-                    self.test.add(Symptom.SLOW, slow, known.listed)
+                    self.test.add(Symptom.SLOW, slow, endpoint.listed)
 
     def _exclusion(
-        self, key: str, outcome: Outcome, fraction: float, compared: bool
+        self, key: str, outcome: Outcome, fraction: float, comparable: bool
     ) -> Exclusion | None:
         """Why the outcome proves nothing of the newest build; None if it does.
 
         A cold endpoint's time-outs do not, nor does what is lost on the way where the earlier
         build does not show that sound. One key that fails again and again is one failure.
         """
-        if outcome == Outcome.TIMED_OUT and (fraction < 1.0 or not compared):
+        if outcome == Outcome.TIMED_OUT and (fraction < 1.0 or not comparable):
             return Exclusion.COLD_TIMEOUT
-        if lost_on_the_way(outcome) and not (compared and self.baseline.way_is_sound()):
-            return Exclusion.LOST
+        if is_network_loss(outcome) and not (comparable and self.baseline.network_is_reliable()):
+            return Exclusion.NETWORK_LOSS
         if outcome != Outcome.DONE and key in self.split.failing_keys:
             return Exclusion.FAILING_KEY
         return None
 
-    def _add(self, key: str, known: EndpointState, outcome: Outcome) -> None:
+    def _add_result(self, key: str, endpoint: EndpointState, outcome: Outcome) -> None:
         """Books whether the attempt failed."""
         context, failed = self.context, outcome != Outcome.DONE
         if failed and len(self.split.failing_keys) < MAX_REMEMBERED_KEYS:
             self.split.failing_keys.add(key)
         self.test.outcomes += 1
         self.failed += failed
-        unbounded = (
+        uncapped = (
             outcome in (Outcome.DONE, Outcome.ERROR)
             and len(context.by_build[True]) <= FEW_ENDPOINTS_LOW_RATE
-            and not context.few_endpoints()
+            and not context.has_few_endpoints()
         )
-        self.test.add(Symptom.FAILED, failed, None if unbounded else known.listed)
+        self.test.add(Symptom.FAILED, failed, None if uncapped else endpoint.listed)
 
     def add_complaint(self, event: ComplaintReceived) -> None:
         """A client found an answer wrong: what was booked as a success is a failure."""
-        known = self.context.endpoints.get(event.endpoint)
-        if known and known.on_newest_build and self.context.judged():
+        endpoint = self.context.endpoints.get(event.endpoint)
+        if endpoint and endpoint.on_newest_build and self.context.is_evaluating():
             self.test.add(Symptom.FAILED, True)
--- a/thymeknot/policy/voting.py
+++ b/thymeknot/policy/voting.py
@@ -9,33 +9,37 @@
 from ..interface.events import ReleaseUpdate
 from ..interface.reasons import Reason
 from ..state.endpoint_state import age_at_fraction
-from .baseline import OUTCOMES_LEAST, Baseline
+from .baseline import MIN_OUTCOMES, Baseline
 from .context import MIN_UPKEEP_INTERVAL, DecisionContext, Release
 from .fleet_evidence import FleetEvidence
 from .global_slowdown import GlobalSlowdown
 from .sequential_test import (
-    FAILED_RATE_LEAST,
-    PAUSE_PART,
+    ALTERNATIVE_FAILED_RATIO,
+    MIN_FAILED_RATE,
+    PAUSE_RATIO,
     PROMOTE_BOUND,
-    WORSE_FAILED,
     SequentialTest,
     Symptom,
 )
-from .trial_evidence import WARM_ENOUGH
-
-LISTED_PART = 0.75  # of a stage's endpoints that must be listed before a vote for promotion
-ENOUGH_OUTCOMES = 20  # of the newest build in a stage, without which only time promotes
-AFTER_START = 3 * TICKS_PER_SECOND  # ticks after an endpoint's start that are waited for at most
-QUIET_FOR = 5 * TICKS_PER_SECOND // 2  # ticks without doubt, after which little evidence promotes
-QUIET_TIMES_IN_DOUBT = 2  # times that, where failures were seen
-AT_ONCE = 2 * TICKS_PER_SECOND  # ticks of votes that the platform takes at once
-TOLERATED_SHARED = 5 * TICKS_PER_SECOND  # ticks: slowness of all may pass
-TOLERATED_REPLACED = 12 * TICKS_PER_SECOND  # ticks, where machines are replaced meanwhile
-PERIODS_AWAITED = 3  # periods of the platform's counts, after which no more are waited for
-SLOW_DOUBT = 1.1  # of the bound: all are slow, and the newest build is blamed for it
-RENEWAL_PART = 0.8  # of a vote's lifetime, after which it is renewed at the latest
-RETRY_LEAST = TICKS_PER_SECOND // 5  # ticks before a vote that was turned away is cast again
-ANSWER_GRACE = TICKS_PER_SECOND // 10  # ticks beyond the time-out that an answer is waited for
+from .trial_evidence import MIN_WARMUP_FRACTION
+
+MIN_LISTED_FRACTION = 0.75  # of a stage's endpoints that must be listed before a vote for promotion
+MIN_PROMOTE_OUTCOMES = 20  # of the newest build in a stage, without which only time promotes
+MAX_WARMUP_WAIT = (
+    3 * TICKS_PER_SECOND
+)  # ticks after an endpoint's start that are waited for at most
+QUIET_PERIOD = (
+    5 * TICKS_PER_SECOND // 2
+)  # ticks without doubt, after which little evidence promotes
+QUIET_PERIODS_AFTER_FAILURES = 2  # times that, where failures were seen
+VOTE_BURST_SPAN = 2 * TICKS_PER_SECOND  # ticks of votes that the platform takes at once
+SLOWDOWN_TOLERANCE = 5 * TICKS_PER_SECOND  # ticks: slowness of all may pass
+SLOWDOWN_TOLERANCE_IN_PLACE = 12 * TICKS_PER_SECOND  # ticks, where machines are replaced meanwhile
+MAX_AWAITED_PERIODS = 3  # periods of the platform's counts, after which no more are waited for
+SLOWDOWN_ABORT_RATIO = 1.1  # of the bound: all are slow, and the newest build is blamed for it
+MAX_RENEWAL_AGE_RATIO = 0.8  # of a vote's lifetime, after which it is renewed at the latest
+MIN_RETRY_DELAY = TICKS_PER_SECOND // 5  # ticks before a vote that was turned away is cast again
+RESPONSE_GRACE = TICKS_PER_SECOND // 10  # ticks beyond the time-out that an answer is waited for
 
 
 class VoteEvidence(NamedTuple):
@@ -81,25 +85,27 @@
         self.slowdown = slowdown
         self.fleet = fleet
         settings = context.settings
-        self.warm_by = age_at_fraction(WARM_ENOUGH, settings, AFTER_START)
-        self.turn_of_all = int(settings.instances / settings.votes_per_second * TICKS_PER_SECOND)
-        self.in_turns = max(0, self.turn_of_all - AT_ONCE)
-        self.renew_after = min(
-            RENEWAL_PART * settings.vote_lifetime,
-            max(settings.vote_lifetime // 2, self.turn_of_all),
+        self.warmup_wait = age_at_fraction(MIN_WARMUP_FRACTION, settings, MAX_WARMUP_WAIT)
+        self.fleet_vote_span = int(
+            settings.instances / settings.votes_per_second * TICKS_PER_SECOND
+        )
+        self.staggered_span = max(0, self.fleet_vote_span - VOTE_BURST_SPAN)
+        self.renewal_age = min(
+            MAX_RENEWAL_AGE_RATIO * settings.vote_lifetime,
+            max(settings.vote_lifetime // 2, self.fleet_vote_span),
         )
         self.vote: CastVote | None = None
         self.vote_cast_at: Ticks = 0
-        self.asked: CastVote | None = None
+        self.last_cast: CastVote | None = None
         self.next_check_at: Ticks = context.now
-        self.offset = 0.0
-        self.met: dict[str, Ticks] = {}
+        self.turn_offset = 0.0
+        self.first_started: dict[str, Ticks] = {}
         self._aborting = False
 
-    def next_stage(self) -> None:
+    def start_stage(self) -> None:
         """Draws the instance's turn: the first fit into what the platform takes at once."""
-        turn = max(0.0, self.context.rng.draw() * self.turn_of_all - AT_ONCE)
-        self.offset = turn - min(self.in_turns, self.warm_by) / 2
+        turn = max(0.0, self.context.rng.draw() * self.fleet_vote_span - VOTE_BURST_SPAN)
+        self.turn_offset = turn - min(self.staggered_span, self.warmup_wait) / 2
         self._aborting = False
 
     def verdict(self) -> Verdict:
@@ -107,69 +113,82 @@
         context = self.context
         release = context.release
         assert release is not None
-        doubt = self._doubt()
-        self._aborting = doubt > 1 or (self._aborting and doubt > PAUSE_PART)
+        ratio = self._evidence_ratio()
+        self._aborting = ratio > 1 or (self._aborting and ratio > PAUSE_RATIO)
         if self._aborting:
-            return Verdict.ABORT if context.open_to_newest() else Verdict.ABSTAIN
+            return Verdict.ABORT if context.newest_accepts_requests() else Verdict.ABSTAIN
         if release.phase != ReleasePhase.ON_TRIAL:
             return Verdict.ABSTAIN
         if context.settings.promotion_mode == PromotionMode.TIMER:
-            return Verdict.PAUSE if doubt > PAUSE_PART else Verdict.ABSTAIN
-        if doubt > PAUSE_PART or not self._stage_is_seen(release):
+            return Verdict.PAUSE if ratio > PAUSE_RATIO else Verdict.ABSTAIN
+        if ratio > PAUSE_RATIO or not self._stage_is_ready(release):
             return Verdict.ABSTAIN
-        return Verdict.PROMOTE if self._is_clear() else Verdict.ABSTAIN
+        return Verdict.PROMOTE if self._passes_test() else Verdict.ABSTAIN
 
-    def _doubt(self) -> float:
+    def _evidence_ratio(self) -> float:
         """The test's doubt, or that from slowness of all, which may pass or be the load's."""
         now, test, baseline = self.context.now, self.test, self.baseline
-        doubt, since = test.evidence_ratio, self.slowdown.since
+        ratio, since = test.evidence_ratio, self.slowdown.since
         errors = baseline.errors.total(now)
-        seen = baseline.outcomes.total(now)
-        earlier_fails = errors >= max(OUTCOMES_LEAST, WORSE_FAILED * FAILED_RATE_LEAST * seen)
-        if since is None or (earlier_fails and test.sums[Symptom.FAILED] <= 0):
-            return doubt
-        replaced = self.context.settings.replaces_machines
-        blamed = now >= since + (TOLERATED_REPLACED if replaced else TOLERATED_SHARED)
-        slow = self.slowdown.evidence > test.abort_bounds[Symptom.SLOW]
-        return max(doubt, SLOW_DOUBT if blamed and slow else 1.0)
-
-    def _stage_is_seen(self, release: Release) -> bool:
+        outcomes = baseline.outcomes.total(now)
+        earlier_build_fails = errors >= max(
+            MIN_OUTCOMES, ALTERNATIVE_FAILED_RATIO * MIN_FAILED_RATE * outcomes
+        )
+        if since is None or (earlier_build_fails and test.sums[Symptom.FAILED] <= 0):
+            return ratio
+        in_place = self.context.settings.replaces_machines
+        tolerance_passed = now >= since + (
+            SLOWDOWN_TOLERANCE_IN_PLACE if in_place else SLOWDOWN_TOLERANCE
+        )
+        is_slow = self.slowdown.evidence > test.abort_bounds[Symptom.SLOW]
+        return max(ratio, SLOWDOWN_ABORT_RATIO if tolerance_passed and is_slow else 1.0)
+
+    def _stage_is_ready(self, release: Release) -> bool:
         """Whether the stage's endpoints are listed and warm, and it is this instance's turn.
 
         A list that lags hides the endpoints to judge. One that starts again, as after a lost zone,
         was met before.
         """
         context, settings = self.context, self.context.settings
-        newest = [known.listed for known in context.by_build[True]]
-        started = [self.met.setdefault(listed.address, listed.started) for listed in newest]
+        newest_endpoints = [known.listed for known in context.by_build[True]]
+        start_times = [
+            self.first_started.setdefault(listed.address, listed.started)
+            for listed in newest_endpoints
+        ]
         # Where machines are replaced the earlier build's leave late.
-        places = (
-            self.baseline.earlier_endpoints
+        expected_endpoints = (
+            self.baseline.earlier_endpoint_count
             if settings.replaces_machines
             else len(context.by_build[False])
         )
         # In the last stage the earlier build's leave: endpoints must be warm, and counted.
-        last = release.stage + 1 >= len(settings.stage_fractions)
-        fraction = settings.stage_fractions[-1 if last else release.stage]
-        listed_enough = len(started) >= max(1, int(LISTED_PART * fraction * places))
-        warm_at = max(started, default=0) + (settings.warmup_duration if last else self.warm_by)
-        uncounted = (
-            last
+        is_last_stage = release.stage + 1 >= len(settings.stage_fractions)
+        fraction = settings.stage_fractions[-1 if is_last_stage else release.stage]
+        enough_listed = len(start_times) >= max(
+            1, int(MIN_LISTED_FRACTION * fraction * expected_endpoints)
+        )
+        warm_at = max(start_times, default=0) + (
+            settings.warmup_duration if is_last_stage else self.warmup_wait
+        )
+        counts_missing = (
+            is_last_stage
             and context.is_large_fleet()
-            and self.fleet.usual.lacks(warm_at, context.now, PERIODS_AWAITED)
+            and self.fleet.fleet_baseline.lacks(warm_at, context.now, MAX_AWAITED_PERIODS)
         )
-        return listed_enough and not uncounted and context.now >= warm_at + self.offset
+        return enough_listed and not counts_missing and context.now >= warm_at + self.turn_offset
 
-    def _is_clear(self) -> bool:
+    def _passes_test(self) -> bool:
         """Whether the test is passed, or nothing was found for a while.
 
         An instance with little traffic never sees enough.
         """
-        left, test = self.test.sums_without_worst, self.test
-        if max(left.values()) < PROMOTE_BOUND and test.outcomes >= ENOUGH_OUTCOMES:
+        remaining_sums, test = self.test.sums_without_worst_endpoint, self.test
+        if max(remaining_sums.values()) < PROMOTE_BOUND and test.outcomes >= MIN_PROMOTE_OUTCOMES:
             return True
-        times = 1 if left[Symptom.FAILED] <= 0 else QUIET_TIMES_IN_DOUBT
-        return self.context.now >= test.clear_since + (self.offset + QUIET_FOR * times)
+        quiet_periods = 1 if remaining_sums[Symptom.FAILED] <= 0 else QUIET_PERIODS_AFTER_FAILURES
+        return self.context.now >= test.below_pause_since + (
+            self.turn_offset + QUIET_PERIOD * quiet_periods
+        )
 
     def upkeep(self) -> None:
         """Votes, when it is time to look."""
@@ -181,53 +200,57 @@
         context, test = self.context, self.test
         release = context.release
         assert release is not None
-        wanted = CastVote(release.build, release.stage, self.verdict())
-        if not self._is_due(wanted, release):
+        new_vote = CastVote(release.build, release.stage, self.verdict())
+        if not self._is_due(new_vote, release):
             return
-        if self.asked != wanted and wanted.verdict in (Verdict.PAUSE, Verdict.ABORT):
+        if self.last_cast != new_vote and new_vote.verdict in (Verdict.PAUSE, Verdict.ABORT):
             text = describe_vote(
-                wanted, test.sums, test.null_rates, self.slowdown.evidence, test.outcomes
+                new_vote, test.sums, test.null_rates, self.slowdown.evidence, test.outcomes
             )
             context.actions.append(LogNote(text))
-        context.explain(Reason.VOTED, *wanted, test.evidence_ratio, test.outcomes)
-        self.asked = wanted
-        self.next_check_at = context.now + context.settings.vote_timeout + ANSWER_GRACE
-        context.actions.append(wanted)
+        context.explain(Reason.VOTED, *new_vote, test.evidence_ratio, test.outcomes)
+        self.last_cast = new_vote
+        self.next_check_at = context.now + context.settings.vote_timeout + RESPONSE_GRACE
+        context.actions.append(new_vote)
 
-    def _is_due(self, wanted: CastVote, release: Release) -> bool:
+    def _is_due(self, new_vote: CastVote, release: Release) -> bool:
         """Whether the platform is to be told: the vote changed, lapses, or is to be withdrawn."""
         age, vote = self.context.now - self.vote_cast_at, self.vote
-        stands = vote is not None and age < self.context.settings.vote_lifetime
-        if wanted.verdict != Verdict.ABSTAIN:
-            return not (stands and vote == wanted and age < self.renew_after)
-        if vote is None or not stands or vote.build != wanted.build:
+        is_standing = vote is not None and age < self.context.settings.vote_lifetime
+        if new_vote.verdict != Verdict.ABSTAIN:
+            return not (is_standing and vote == new_vote and age < self.renewal_age)
+        if vote is None or not is_standing or vote.build != new_vote.build:
             return False
-        moved = vote.stage != wanted.stage or release.phase != ReleasePhase.ON_TRIAL
-        return not (vote.verdict == Verdict.PROMOTE and moved)  # then it binds nothing
+        stage_changed = vote.stage != new_vote.stage or release.phase != ReleasePhase.ON_TRIAL
+        return not (vote.verdict == Verdict.PROMOTE and stage_changed)  # then it binds nothing
 
     def handle_response(self, update: ReleaseUpdate) -> None:
         """What was turned away, or unanswered, is cast again, not in step with other instances."""
         context = self.context
-        pause = RETRY_LEAST + int(context.rng.draw() * max(TICKS_PER_SECOND, self.in_turns))
+        delay = MIN_RETRY_DELAY + int(
+            context.rng.draw() * max(TICKS_PER_SECOND, self.staggered_span)
+        )
         if update.outcome != Outcome.DONE:
-            self.next_check_at = context.now + max(pause, TICKS_PER_SECOND)
+            self.next_check_at = context.now + max(delay, TICKS_PER_SECOND)
             return
         self.next_check_at = context.now + MIN_UPKEEP_INTERVAL
-        if self.asked:
-            self.vote = None if self.asked.verdict == Verdict.ABSTAIN else self.asked
+        if self.last_cast:
+            self.vote = None if self.last_cast.verdict == Verdict.ABSTAIN else self.last_cast
             self.vote_cast_at = context.now
 
 
 def describe_vote(
     vote: CastVote,
     sums: Mapping[Symptom, float],
-    rates: Mapping[Symptom, float],
+    null_rates: Mapping[Symptom, float],
     all_slow: float,
-    seen: int,
+    outcomes: int,
 ) -> str:
     """A vote's line for those on call."""
-    tests = "".join(f"{what} {sums[what]:+.1f} over {rates[what]:.2f}, " for what in sums)
+    tests = "".join(
+        f"{symptom} {sums[symptom]:+.1f} over {null_rates[symptom]:.2f}, " for symptom in sums
+    )
     return (
         f"vote {vote.verdict} on build {vote.build} stage {vote.stage}: "
-        f"{tests}all slow {all_slow:+.1f}, {seen} seen"
+        f"{tests}all slow {all_slow:+.1f}, {outcomes} seen"
     )
