--- a/thymeknot/policy/__init__.py
+++ b/thymeknot/policy/__init__.py
@@ -1,1 +1,1 @@
-"""All decisions: pure modules without input or output, with their constants."""
+"""The decision engine: pure modules without I/O, and the constants that they use."""
--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -1,4 +1,4 @@
-"""How the earlier build does: the rates and response times that the newest one is held to."""
+"""The earlier build's rates and latencies, against which the newest build is compared."""
 
 from typing import NamedTuple
 
@@ -15,55 +15,63 @@
 )
 from .sequential_test import MIN_NULL_RATE, SequentialTest, Symptom
 
-MIN_OUTCOMES = 5  # of the earlier build, that say something of its rates
-RELIABLE_OUTCOMES = 20  # that say enough by themselves
-MAX_NULL_RATE = 0.6  # of the earlier build's outcomes; above it nothing could be found worse
-RECENT_BUCKETS = 4  # two seconds: a storm at both builds
-TOLERATED_LOSS_RATE = 0.02  # of its outcomes, lost on the way: below it the way is sound
-TOLERATED_LOSSES = 2  # and so few are sound in any case
-SLOW_QUANTILE = 0.9  # of the earlier build's response times: what is above it is slow
-INITIAL_THRESHOLD_RATIO = 2.0  # times the first response time, as the first mark
-MIN_THRESHOLD_GAIN = 0.05
-THRESHOLD_GAIN_DECAY = 0.2  # how fast the gain falls with the outcomes seen
-MEAN_GAIN_RATIO = 0.4  # of the mark's gain
-MIN_TRAFFIC_AGE = 3 * TICKS_PER_SECOND  # ticks of traffic that tell what is usual
-CHANCE_REQUESTS = 3  # requests in two seconds that may come by chance
-HIGH_TRAFFIC_RATIO = 1.5  # times the usual traffic, from which slowness may be the load's
+MIN_OUTCOMES = 5  # of the earlier build, for an estimate of its rates
+RELIABLE_OUTCOMES = 20  # outcomes whose estimate needs no other support
+MAX_NULL_RATE = 0.6  # above this rate no build could be found worse
+RECENT_BUCKETS = 4  # two seconds: short enough to notice a storm of failures at both builds
+# The network is reliable if less than this fraction of the earlier build's attempts was lost,
+# or fewer than this number.
+TOLERATED_LOSS_RATE = 0.02
+TOLERATED_LOSSES = 2
+SLOW_QUANTILE = 0.9  # of the earlier build's latencies: responses above it are slow
+INITIAL_THRESHOLD_RATIO = 2.0  # initial slow threshold, as a multiple of the first latency
+MIN_THRESHOLD_GAIN = 0.05  # minimum step of the slow threshold, relative to its value
+THRESHOLD_GAIN_DECAY = 0.2  # how fast that step falls with the number of outcomes
+MEAN_GAIN_RATIO = 0.4  # gain of the mean latency, as a ratio of the threshold's gain
+MIN_TRAFFIC_AGE = 3 * TICKS_PER_SECOND  # ticks of traffic before a baseline is captured
+CHANCE_REQUESTS = 3  # requests in two seconds that chance may add
+HIGH_TRAFFIC_RATIO = 1.5  # multiple of the usual traffic above which load may explain slowness
 
 
 class LatencyStats(NamedTuple):
-    """The response times of a request class on a kind of machine."""
+    """Latencies of a request class on a machine type."""
 
     slow_threshold: float
-    """The quantile above which a response is slow, in ticks."""
+    """Estimate of SLOW_QUANTILE, in ticks: a response above it is slow."""
     outcomes: int
+    """How many outcomes the estimates are based on."""
     mean: float
+    """Moving mean of the latency, in ticks."""
 
 
 class PreTrialBaseline(NamedTuple):
-    """What was usual before the newest build was offered or, for a later start, at first."""
+    """Traffic and latencies before the newest build could affect them.
+
+    An instance that starts during a trial captures its first seconds of traffic instead.
+    """
 
     latency_stats: dict[tuple[str, str], LatencyStats]
-    """By request class and kind of machine."""
+    """By request class and machine type."""
     rate: float
-    """Requests a second without marked retries."""
+    """Requests per second, without those that clients marked as retries."""
     rejected_fraction: float
+    """Fraction of the requests that this instance rejected."""
 
 
 class Baseline:
-    """The earlier build's outcomes lately, and what was usual before the offer.
+    """The earlier build's recent outcomes, and the baseline captured before the trial.
 
     Attributes:
-        marks: response times by request class and kind of machine.
-        outcomes: the earlier build's outcomes.
-        failed: those that failed, but for losses on the way.
-        slow: those that were slow.
-        errors: those that ended with an error.
-        losses: those that were lost on the way.
-        non_retries: requests that are not marked as retries.
-        rejected: requests that were rejected.
-        before_offer: None until it is known.
-        earlier_endpoints: how many endpoints the earlier build had at the offer.
+        latency_stats: latencies by request class and machine type.
+        outcomes: window of the earlier build's outcomes.
+        failed: window of those that failed, without network losses.
+        slow: window of those that were slow.
+        errors: window of those that ended with an application error.
+        losses: window of those that were lost in the network.
+        non_retries: window of requests that clients did not mark as retries.
+        rejected: window of requests that were rejected.
+        pre_trial: the captured baseline; None until there is enough traffic for one.
+        earlier_endpoint_count: how many endpoints the earlier build had when the trial began.
     """
 
     def __init__(self, context: DecisionContext, test: SequentialTest) -> None:
@@ -81,7 +89,7 @@
         self.earlier_endpoint_count = 0
 
     def reset(self) -> None:
-        """Another release: what was usual before it is to be found anew."""
+        """Discards the captured baseline, for another release."""
         self.earlier_endpoint_count = len(self.context.by_build[False])
         self.pre_trial = None
 
@@ -95,15 +103,15 @@
         slow: bool,
         warm: bool,
     ) -> None:
-        """Takes in an outcome of the earlier build, or of one that is not judged.
+        """Adds an outcome of the earlier build, or of a build that is not evaluated.
 
         Args:
-            latency_key: its request class and kind of machine.
+            latency_key: request class and machine type of the attempt.
             stats: the latencies of that key so far.
             outcome: how the attempt ended.
-            latency: its response time.
-            slow: whether that was slow.
-            warm: whether its endpoint has its full capacity.
+            latency: latency of the attempt, in ticks.
+            slow: whether the attempt was slow.
+            warm: whether its endpoint has warmed up completely.
         """
         now = self.context.now
         if warm and outcome in (Outcome.DONE, Outcome.TIMED_OUT):
@@ -122,10 +130,11 @@
         self.losses.add(now, lost)
 
     def update_null_rates(self) -> bool:
-        """Sets the test's null rates; tells whether enough of the outcomes are recent.
+        """Sets the test's null rates; returns whether enough outcomes are recent.
 
-        The recent rates count if they are of many outcomes or higher: a storm at both builds is
-        not the newest one's, and one that is over hides nothing.
+        Rates of the last two seconds are used if they are reliable or higher than those of the
+        whole window: a storm of failures at both builds must not be blamed on the newest one, and
+        a storm that is over must not hide a bad build.
         """
         now, null_rates = self.context.now, self.test.null_rates
         counts = (Symptom.FAILED, self.failed), (Symptom.SLOW, self.slow)
@@ -134,7 +143,8 @@
             if total < min_outcomes:
                 continue
             for symptom, window in counts:
-                # In a storm one failure will do. The floor for slowness is the higher one.
+                # A single failure is enough to recognise a storm of failures; the rate of slow
+                # responses needs more outcomes.
                 total = max(total, 2 * MIN_OUTCOMES if symptom == Symptom.SLOW else 2)
                 rate = max(
                     MIN_NULL_RATE[symptom],
@@ -147,14 +157,17 @@
         return self.outcomes.total(now, False, RECENT_BUCKETS) >= MIN_OUTCOMES
 
     def network_is_reliable(self) -> bool:
-        """Whether the earlier build loses hardly any attempts on the way."""
+        """Returns whether the earlier build loses hardly any attempts in the network."""
         now = self.context.now
         return self.losses.total(now) < max(
             TOLERATED_LOSSES, TOLERATED_LOSS_RATE * self.outcomes.total(now)
         )
 
     def traffic_ratio(self) -> float:
-        """The traffic of two seconds without marked retries, in times of the usual, or 1."""
+        """Returns the traffic of the last two seconds as a multiple of that before the trial.
+
+        Requests marked as retries do not count. Without a captured baseline the ratio is 1.
+        """
         if self.pre_trial is None:
             return 1.0
         requests, now = self.non_retries, self.context.now
@@ -163,7 +176,10 @@
         return total / (self.pre_trial.rate * span + 1)
 
     def capture_pre_trial(self) -> None:
-        """Keeps what is usual before the newest build has an effect, as soon as it is known."""
+        """Captures the baseline once per trial, as soon as there is enough traffic for it.
+
+        Instances with little traffic and those of a large fleet capture none.
+        """
         context = self.context
         age = context.traffic_age()
         requests = self.non_retries.total(context.now)
@@ -181,5 +197,5 @@
 
 
 def is_network_loss(outcome: Outcome) -> bool:
-    """Whether the network, not the endpoint, may have failed."""
+    """Returns whether the network, rather than the endpoint, may have caused the outcome."""
     return outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
--- a/thymeknot/policy/context.py
+++ b/thymeknot/policy/context.py
@@ -1,4 +1,7 @@
-"""What several parts of the decisions read; the engine and the part that is named here write it."""
+"""State that the parts of the decision engine share.
+
+The engine writes it, except where an attribute names the part that does.
+"""
 
 from collections.abc import Callable
 from enum import Enum
@@ -13,60 +16,67 @@
 from ..state.random_source import LinearCongruentialGenerator
 from ..state.sliding_window import SlidingWindow
 
-MIN_UPKEEP_INTERVAL = TICKS_PER_SECOND // 20  # ticks between two upkeeps in heavy traffic
-MAX_UPKEEP_INTERVAL = TICKS_PER_SECOND // 4  # ticks between two upkeeps with hardly any traffic
-TRAFFIC_WINDOW_SECONDS = 8  # long enough for a mean rate, short enough to follow a change
+MIN_UPKEEP_INTERVAL = TICKS_PER_SECOND // 20  # ticks between upkeeps under heavy traffic
+MAX_UPKEEP_INTERVAL = TICKS_PER_SECOND // 4  # ticks between upkeeps with hardly any traffic
+TRAFFIC_WINDOW_SECONDS = 8  # long enough for a mean rate, short enough to follow changes
 TRAFFIC_WINDOW_BUCKETS = 16  # half a second each
-HIGH_REQUEST_RATE = 15  # requests a second from which one instance sees enough by itself
-LARGE_FLEET_RATIO = 0.75  # instances an endpoint from which each sees too little of every endpoint
-FEW_ENDPOINTS_LOW_RATE = 3  # so few of the newest build may all carry one faulty build
-FEW_ENDPOINTS_HIGH_RATE = 5  # of so few one faulty endpoint would be taken for its build
+# Requests per second from which an instance sees enough outcomes by itself.
+HIGH_REQUEST_RATE = 15
+# Instances per endpoint from which each instance sees too little of every endpoint.
+LARGE_FLEET_RATIO = 0.75
+# At a low request rate the evidence of so few endpoints of the newest build is not capped: if the
+# build is faulty, they all are.
+FEW_ENDPOINTS_LOW_RATE = 3
+# At a high request rate one faulty endpoint among so few could be mistaken for a faulty build.
+FEW_ENDPOINTS_HIGH_RATE = 5
 
 ReasonCallback = Callable[..., Any]
-"""Called with (request id or None, reason, *operands), when and where something is decided."""
+"""Called for each decision with the request's id (None for votes), the reason and its operands."""
 
 
 class BuildState(Enum):
     """How this instance treats the newest build."""
 
     NOT_EVALUATED = "usual"
-    """Not met on trial: it is not judged."""
+    """Not seen on trial by this instance, which therefore does not evaluate it."""
     ON_TRIAL = "on trial"
     RELEASED = "released"
-    """Released after a trial: it is still judged."""
+    """Released after a trial, and still evaluated."""
     WITHDRAWN = "withdrawn"
 
 
 class Release(NamedTuple):
-    """How the newest build stands."""
+    """The rollout state of the newest build."""
 
     build: int
     stage: int
     phase: ReleasePhase
     cap: float
-    """The most of the requests that may go to the build on trial."""
+    """Maximum fraction of the requests that may go to the build on trial."""
 
 
 class DecisionContext:
-    """What several parts of the decisions read.
+    """State that the parts of the decision engine share.
 
     Attributes:
-        settings: read once, at start.
-        now: the moment of the events that are handled.
+        settings: the settings, read once at start.
+        now: the time of the events that are being handled.
         rng: draws all random numbers, in the order of the decisions.
-        actions: the actions decided on so far at this moment.
-        reason_callback: is told the reasons; None if nobody asks.
-        request_id: the id of the request that is decided on; None for votes.
-        first_traffic_at: when the first request came; None before.
-        release: how the newest build stands; None before it is told.
-        build_state: how the newest build is treated; written by the release's life cycle.
-        endpoints: by address; written by the endpoint selection.
-        by_build: the ready endpoints of the newest build (True) and of earlier ones (False);
-            written by the endpoint selection.
-        subsets: those of them in use; written by the endpoint selection.
-        zones: how many zones the endpoints of the newest build are in.
-        arrivals: the requests received lately.
-        by_votes: whether votes, not a timer, move a build on.
+        actions: the actions decided on so far at this time.
+        reason_callback: receives the reason of each decision; None if they are not recorded.
+        request_id: the request that is being decided on; None for votes.
+        first_traffic_at: when the first request was received; None before.
+        release: the rollout state of the newest build, written by `ReleaseLifecycle`; None before
+            the first update.
+        build_state: how the newest build is treated, written by `ReleaseLifecycle`.
+        endpoints: all endpoints by address, written by `EndpointSelection`.
+        by_build: the ready endpoints of the newest build (True) and of earlier ones (False),
+            written by `EndpointSelection`.
+        subsets: the endpoints in use, by the same keys, written by `EndpointSelection`.
+        zones: how many zones the endpoints of the newest build are in, written by
+            `EndpointSelection`.
+        arrivals: window of the requests received.
+        promoted_by_votes: whether votes, rather than a timer, promote a build.
     """
 
     def __init__(
@@ -90,12 +100,12 @@
         self._max_endpoints_per_build = 1
 
     def explain(self, reason: Reason, *operands: object) -> None:
-        """Tells why something is decided about the subject."""
+        """Reports the reason of a decision on the current request, if reasons are recorded."""
         if self.reason_callback:
             self.reason_callback(self.request_id, reason, *operands)
 
     def newest_accepts_requests(self) -> bool:
-        """Whether the newest build may take requests."""
+        """Returns whether the newest build may take requests."""
         release = self.release
         return release is not None and release.phase in (
             ReleasePhase.ON_TRIAL,
@@ -103,13 +113,14 @@
         )
 
     def is_evaluating(self) -> bool:
-        """Whether the newest build is judged."""
+        """Returns whether the newest build is evaluated: on trial, or released after one."""
         return self.build_state in (BuildState.ON_TRIAL, BuildState.RELEASED)
 
     def is_large_fleet(self) -> bool:
-        """Whether there are so many instances that each sees little of an endpoint.
+        """Returns whether there are so many instances that each sees little of every endpoint.
 
-        It goes by the most endpoints that were ever seen: a lost zone makes no crowd.
+        The ratio uses the maximum number of endpoints seen so far, so that losing a zone does not
+        make the fleet a large one.
         """
         self._max_endpoints_per_build = max(
             self._max_endpoints_per_build, *map(len, self.by_build.values())
@@ -117,15 +128,18 @@
         return self.settings.instances >= LARGE_FLEET_RATIO * self._max_endpoints_per_build
 
     def has_few_endpoints(self) -> bool:
-        """Whether one faulty endpoint could be taken for a faulty build, and traffic is high."""
+        """Returns whether one faulty endpoint could be mistaken for a faulty build.
+
+        This is so if few endpoints run the newest build, votes promote it and traffic is high.
+        """
         few = self.promoted_by_votes and 1 < len(self.by_build[True]) <= FEW_ENDPOINTS_HIGH_RATE
         return few and self.arrivals.total(self.now) >= TRAFFIC_WINDOW_SECONDS * HIGH_REQUEST_RATE
 
     def traffic_age(self) -> Ticks:
-        """Ticks since the first traffic; 0 before."""
+        """Returns the ticks since the first request was received; 0 before."""
         return self.now - (self.first_traffic_at or self.now)
 
 
 def new_traffic_window() -> SlidingWindow:
-    """A window that counts requests lately."""
+    """Returns an empty window for counts of recent requests or outcomes."""
     return SlidingWindow(TRAFFIC_WINDOW_SECONDS * TICKS_PER_SECOND, TRAFFIC_WINDOW_BUCKETS)
--- a/thymeknot/policy/exposure_budget.py
+++ b/thymeknot/policy/exposure_budget.py
@@ -1,4 +1,4 @@
-"""Rule 5: how much of the traffic may be sent to a build on trial."""
+"""Rule 5: the exposure budget, which limits the attempts sent to a build on trial."""
 
 from collections.abc import Hashable
 
@@ -8,16 +8,17 @@
 from ..state.sliding_window import SlidingWindow, window_of
 from .context import DecisionContext
 
-WINDOW_BUCKETS = 120  # of the exposure window: so fine that its edge counts for little
-CHECKED_BUCKETS = (120, 90, 60, 30)  # the last so many buckets must each carry themselves
+WINDOW_BUCKETS = 120  # of the exposure window: fine enough that the oldest one matters little
+# Numbers of latest buckets over which the budget must hold.
+CHECKED_BUCKETS = (120, 90, 60, 30)
 
 
 class ExposureBudget:
-    """Requests received and attempts sent to the newest build, over the exposure window.
+    """Counts requests received and attempts sent to the newest build in the exposure window.
 
     Attributes:
-        received: windows of requests by class name, or one for all.
-        sent: windows of attempts to the newest build.
+        received: windows of requests by class name, or a single one for all classes.
+        sent: windows of attempts to the newest build, by the same keys.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -26,34 +27,35 @@
         self.sent: dict[Hashable, SlidingWindow] = {}
 
     def reset(self) -> None:
-        """Forgets the attempts: another build is on trial."""
+        """Discards the attempts counted so far, for another build on trial."""
         self.sent = {}
 
     def count_received(self, request_class: RequestClass) -> None:
-        """Counts a request."""
+        """Counts a request that was received."""
         self.window(self.received, request_class).add(self.context.now)
 
     def count_sent(self, request_class: RequestClass, newest: bool) -> None:
-        """Counts an attempt, if it goes to the newest build."""
+        """Counts an attempt if it goes to the newest build."""
         self.window(self.sent, request_class).add(self.context.now, int(newest))
 
     def window(
         self, windows: dict[Hashable, SlidingWindow], request_class: RequestClass
     ) -> SlidingWindow:
-        """The window of a request class, or the one of all."""
+        """Returns the window of a request class, or the one for all classes."""
         settings = self.context.settings
         key = settings.exposure_by_class and request_class.name
         return window_of(windows, key, settings.exposure_window, WINDOW_BUCKETS)
 
     def allows(self, request_class: RequestClass, first: bool = False) -> bool:
-        """Whether one more attempt may go to the newest build.
+        """Returns whether the budget allows one more attempt to the newest build.
 
-        It looks at windows still to come as well: the later parts of this one must carry
-        themselves.
+        The budget must also hold over the later parts of the window, as later windows will start
+        there.
 
         Args:
-            request_class: the request's.
-            first: whether it is the request's first attempt, so the request was received now.
+            request_class: the class of the request.
+            first: whether it is the request's first attempt, so that the request counts as
+                received at the same time.
         """
         context, settings = self.context, self.context.settings
         release = context.release
@@ -70,7 +72,8 @@
         if cap <= 0:
             context.explain(Reason.CLOSED, release.phase, cap)
             return False
-        # Where all may go there, each window with the attempt has its request, too.
+        # If all requests may go to the newest build, a first attempt never exceeds the budget:
+        # each window that contains the attempt contains its request as well.
         allowed = (first and cap >= 1) or all(
             sent.total(now, False, buckets) + 1
             <= allowance + cap * received.total(now, True, buckets)
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -1,4 +1,4 @@
-"""The platform's counts as evidence, where an instance with little traffic sees too little."""
+"""Evidence from the platform's counts, for instances whose own traffic is too low to decide."""
 
 from collections.abc import Sequence
 
@@ -12,19 +12,19 @@
 from .sequential_test import MIN_NULL_RATE, SequentialTest, Symptom, log_likelihood_ratio
 from .trial_evidence import MIN_WARMUP_FRACTION
 
-COLD_FAILURE_ALLOWANCE = (
-    0.3  # of the attempts, that may fail in addition where all endpoints are cold
-)
-RELEASE_FAILURE_ALLOWANCE = 0.15  # of the attempts, after a release: half of the machines leave
-MAX_RATIO_PER_PERIOD = 0.6  # of the abort bound, that one period may add
+# Additional failure rate that is tolerated if all endpoints are cold.
+COLD_FAILURE_ALLOWANCE = 0.3
+# Additional failure rate that is tolerated after a release, when half of the machines leave.
+RELEASE_FAILURE_ALLOWANCE = 0.15
+MAX_RATIO_PER_PERIOD = 0.6  # maximum contribution of a period, as a ratio of the abort bound
 
 
 class FleetEvidence:
-    """The counts of a period, weighed together: a period is one piece of evidence.
+    """Collects the platform's counts and adds those of a period to the tests at once.
 
     Attributes:
-        rows: counts that were told and not weighed yet.
-        usual: what is usual of the fleet.
+        pending: counts that were received and not yet processed.
+        fleet_baseline: the usual latency and traffic of the whole fleet.
     """
 
     def __init__(
@@ -43,7 +43,7 @@
         self._pending_since: Ticks = 0
 
     def add_counts(self, event: FleetCounts) -> None:
-        """Keeps counts of a known request class that can be true."""
+        """Keeps plausible counts of a known request class until the period is processed."""
         if not self.pending:
             self._pending_since = self.context.now
         if (
@@ -53,12 +53,12 @@
             self.pending.append(event)
 
     def upkeep(self) -> None:
-        """Weighs what was told, after a while: a period's rows do not come all at once."""
+        """Processes the pending counts after a delay, as a period's rows arrive one by one."""
         if self.pending and self.context.now >= self._pending_since + MAX_UPKEEP_INTERVAL:
             self.process_pending()
 
     def process_pending(self) -> None:
-        """Adds the counts to the tests."""
+        """Adds the pending counts to the sequential test and to the global slowdown."""
         context, rows = self.context, self.pending
         self.pending = []
         ended = context.now - rows[0].age
@@ -81,7 +81,7 @@
         }
         self.test.outcomes += sum(row.attempts for row in newest)
         for symptom, step in steps.items():
-            # Of few endpoints it may all be one that is faulty.
+            # Among few endpoints a single faulty one may have caused all failures.
             max_step = (
                 MAX_RATIO_PER_PERIOD
                 * self.test.abort_bounds[symptom]
@@ -90,15 +90,15 @@
             self.test.add_step(symptom, min(step, max_step))
 
     def _null_rate(self, earlier_attempts: int, earlier_failed: int, mean_warmup: float) -> float:
-        """The part of the newest build's attempts that may fail if it is as good as the earlier.
+        """Returns the newest build's expected failure rate if it is as good as the earlier one.
 
-        Cold endpoints fail more. After a release half of the machines leave, and the rest is loaded
-        more for a while.
+        Cold endpoints fail more often. After a release half of the machines leave, so the others
+        carry more load for a while.
 
         Args:
             earlier_attempts: the earlier build's attempts.
-            earlier_failed: those of them that failed.
-            mean_warmup: the mean warm-up fraction at the newest build.
+            earlier_failed: how many of them failed.
+            mean_warmup: mean warm-up fraction of the newest build's endpoints.
         """
         rate = min(
             MAX_NULL_RATE,
@@ -113,7 +113,11 @@
         )
 
     def _mean_warmup_fraction(self, at: Ticks) -> float:
-        """The mean warm-up fraction at the newest build; in a crowd, new endpoints got nothing."""
+        """Returns the mean warm-up fraction of the newest build's endpoints at a moment.
+
+        In a large fleet each endpoint weighs as much as its warm-up fraction, and endpoints that
+        started later do not count: they had no traffic.
+        """
         context = self.context
         large_fleet = context.is_large_fleet()
         fractions = [
@@ -127,6 +131,7 @@
 
 
 def _failure_step(newest: Sequence[FleetCounts], null_rate: float) -> float:
+    """Returns the log likelihood ratio of the newest build's failures and successes."""
     failure_weight = log_likelihood_ratio(Symptom.FAILED, True, null_rate)
     success_weight = log_likelihood_ratio(Symptom.FAILED, False, null_rate)
     step = 0.0
@@ -138,6 +143,7 @@
 def _slowness_step(
     newest: Sequence[FleetCounts], earlier: dict[str, FleetCounts], mean_warmup: float
 ) -> float:
+    """Returns the evidence from mean latencies, by request classes that both builds serve."""
     step = 0.0
     for row in newest:
         successes, earlier_row = row.attempts - row.failed, earlier.get(row.request_class)
--- a/thymeknot/policy/global_slowdown.py
+++ b/thymeknot/policy/global_slowdown.py
@@ -1,4 +1,7 @@
-"""Slowness of all endpoints since the offer: a build can slow the earlier one as well."""
+"""Detects a slowdown of all endpoints since the trial began.
+
+A build on trial can slow down the earlier build as well.
+"""
 
 from collections.abc import Sequence
 
@@ -11,22 +14,26 @@
 from .sequential_test import Symptom
 from .traffic_split import TrafficSplit
 
-SLOW_LATENCY_RATIO = 1.5  # times the usual response time, from which a mean of many counts as slow
-MAX_LATENCY_RATIO = 3.0  # times the usual that one outcome or period counts for
-CHANCE_LATENCY_RATIO = 1.3  # times the usual response time that may pass as chance
-MIN_BLAMED_FRACTION = 0.15  # of the keys at the newest build, below which it can't have slowed all
-MIN_LEARNING_GAIN = 0.25  # what a period counts for in what is usual, at the least
-MAX_USUAL_REJECTED_FRACTION = 0.05  # of the requests: where so many were, a rejection says nothing
-EVIDENCE_FLOOR_RATIO = 0.5  # of the bound at which the sum rests, and below which all is well again
-EVIDENCE_CEILING_RATIO = 1.5  # of the bound, so that the end of it is soon noticed
+SLOW_LATENCY_RATIO = 1.5  # multiple of the usual latency above which a mean of many is slow
+MAX_LATENCY_RATIO = 3.0  # an outcome or a period counts as at most this multiple
+CHANCE_LATENCY_RATIO = 1.3  # multiple of the usual latency that may be due to chance
+# Below this fraction of the keys the newest build cannot have slowed down all endpoints.
+MIN_BLAMED_FRACTION = 0.15
+MIN_LEARNING_GAIN = 0.25  # minimum weight of a period in the fleet's baseline
+# If a larger fraction was rejected before the trial, rejections are no evidence.
+MAX_USUAL_REJECTED_FRACTION = 0.05
+# Ratio of the abort bound below which the slowdown is over; its negative is the sum's floor.
+EVIDENCE_FLOOR_RATIO = 0.5
+# Ceiling of the sum as a ratio of the abort bound, so that the end is noticed soon.
+EVIDENCE_CEILING_RATIO = 1.5
 
 
 class GlobalSlowdown:
-    """The evidence that all endpoints are slower than before the offer.
+    """Sums the evidence that all endpoints are slower than before the trial.
 
     Attributes:
-        evidence: its sum; above the test's bound for slowness all are slow.
-        since: since when all are slow; None if they are not.
+        evidence: the sum; above the test's abort bound for slowness, all endpoints are slow.
+        since: when the slowdown began; None if there is none.
     """
 
     def __init__(self, context: DecisionContext, baseline: Baseline, split: TrafficSplit) -> None:
@@ -37,17 +44,17 @@
         self.since: Ticks | None = None
 
     def reset(self) -> None:
-        """Forgets everything: another release."""
+        """Discards the evidence, for another release."""
         self.evidence = 0.0
         self.since = None
 
     def add_outcome(self, latency_key: tuple[str, str], outcome: Outcome, latency: Ticks) -> None:
-        """Takes in an outcome at a warm endpoint, of any build.
+        """Adds an outcome at a warm endpoint of any build.
 
         Args:
-            latency_key: its request class and kind of machine.
+            latency_key: request class and machine type of the attempt.
             outcome: how the attempt ended.
-            latency: its response time.
+            latency: latency of the attempt, in ticks.
         """
         pre_trial = self.baseline.pre_trial
         stats = pre_trial.latency_stats.get(latency_key) if pre_trial else None
@@ -58,7 +65,7 @@
             self._add_latency(outcome, latency, mean, self.baseline.traffic_ratio())
 
     def add_rejection(self) -> None:
-        """Takes in a rejected request: rejections would hide slowness of all."""
+        """Adds a rejected request as a timeout: load shedding would otherwise hide a slowdown."""
         pre_trial, traffic_ratio = self.baseline.pre_trial, self.baseline.traffic_ratio()
         if (
             pre_trial is not None
@@ -79,15 +86,16 @@
     def add_counts(
         self, rows: Sequence[FleetCounts], fleet_baseline: FleetBaseline, period_start: Ticks
     ) -> None:
-        """Takes in the platform's counts: in a crowd each instance sees too little of all.
+        """Adds the platform's counts: in a large fleet each instance has too little traffic.
 
         Args:
             rows: the counts of a period.
-            fleet_baseline: what is usual of the fleet; it learns from the counts.
+            fleet_baseline: the usual latency and traffic of the fleet; it learns from the counts
+                unless they are evidence of a slowdown.
             period_start: when the period began.
         """
         context = self.context
-        # After a release half of the machines have left.
+        # After a release half of the machines have left, so more slowness is tolerated.
         is_released = context.build_state == BuildState.RELEASED
         margin = SLOW_LATENCY_RATIO if is_released else CHANCE_LATENCY_RATIO
         step = sum(
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -1,4 +1,4 @@
-"""The newest build's life: offered, moved from stage to stage, released or withdrawn."""
+"""The life cycle of the newest build: on trial, from stage to stage, released or withdrawn."""
 
 from enum import Enum
 
@@ -15,18 +15,18 @@
 
 
 class ReleaseChange(Enum):
-    """What an update changes."""
+    """What an update changes about the newest build."""
 
     OFFERED = "offered"
     FOUND_AFTER_TRIAL = "met"
-    """Another build that is not on trial."""
+    """A new build whose first update finds it past its trial: released or withdrawn."""
     STAGE_CHANGED = "stage changed"
     WITHDRAWN = "withdrawn"
     RELEASED = "released"
 
 
 class Effect(Enum):
-    """What a change has the parts do."""
+    """What a change makes the other parts of the engine do."""
 
     RESET = "restart"
     NEXT_STAGE = "next stage"
@@ -38,24 +38,24 @@
     ReleaseChange.FOUND_AFTER_TRIAL: (BuildState.NOT_EVALUATED, Effect.RESET),
     ReleaseChange.WITHDRAWN: (BuildState.WITHDRAWN, Effect.RESET),
 }
-"""Change -> next state and effect, where TRANSITIONS says nothing else."""
+"""Next state and effect by change, for pairs that TRANSITIONS does not contain."""
 
 TRANSITIONS = {
     (BuildState.ON_TRIAL, ReleaseChange.STAGE_CHANGED): (BuildState.ON_TRIAL, Effect.NEXT_STAGE),
     (BuildState.ON_TRIAL, ReleaseChange.RELEASED): (BuildState.RELEASED, Effect.NEXT_STAGE),
     (BuildState.WITHDRAWN, ReleaseChange.WITHDRAWN): (BuildState.WITHDRAWN, Effect.NONE),
 }
-"""(State, change) -> next state and effect. What is in neither table changes nothing."""
+"""Next state and effect by state and change. Pairs in neither table change nothing."""
 
 CHANGE_BY_PHASE = {
     ReleasePhase.ON_TRIAL: ReleaseChange.OFFERED,
     ReleasePhase.RELEASED: ReleaseChange.RELEASED,
 }
-"""What another phase of the same build means; the phases that are not here withdraw it."""
+"""The change that a new phase of the same build makes; phases not listed here withdraw it."""
 
 
 class ReleaseLifecycle:
-    """Takes in how the newest build stands and has the other parts follow."""
+    """Tracks the rollout state of the newest build and resets the other parts as it changes."""
 
     def __init__(
         self,
@@ -80,13 +80,13 @@
         self.reset()
 
     def update(self, event: ReleaseUpdate) -> None:
-        """Takes in an update, or the answer to a vote."""
+        """Handles a release update, which may be the response to a vote."""
         context = self.context
         if event.answers_vote:
             self.voting.handle_response(event)
         if event.outcome != Outcome.DONE:
             return
-        # An update of this outcome has all fields.
+        # Updates with the outcome DONE have all fields set.
         current = Release(event.build, event.stage, event.phase, event.cap)  # type: ignore[arg-type]
         previous = context.release
         context.release = current
@@ -108,7 +108,7 @@
             self.start_stage()
 
     def reset(self) -> None:
-        """Begins with another build, or with one that is withdrawn."""
+        """Resets all parts, for another build or one that was withdrawn."""
         self.baseline.reset()
         self.split.reset()
         self.exposure.reset()
@@ -117,7 +117,7 @@
         self.start_stage()
 
     def start_stage(self) -> None:
-        """Begins with another stage."""
+        """Starts another stage in all parts that depend on it."""
         self.split.start_stage()
         self.voting.start_stage()
         self.test.start_stage()
--- a/thymeknot/policy/sequential_test.py
+++ b/thymeknot/policy/sequential_test.py
@@ -1,8 +1,9 @@
 """Wald's sequential probability ratio test of the newest build against the earlier one.
 
-Each outcome adds a log likelihood ratio to the sum of a symptom: above its bound the build is taken
-for worse, below the other bound for as good. Source: A. Wald, Sequential Tests of Statistical
-Hypotheses, 1945.
+Each outcome adds its log likelihood ratio to the sum of a symptom. A sum above the abort bound
+means that the build is worse than the earlier one, a sum below the promotion bound that it is as
+good.
+Source: A. Wald, Sequential Tests of Statistical Hypotheses, 1945.
 """
 
 from enum import StrEnum
@@ -20,37 +21,36 @@
 
 
 class Symptom(StrEnum):
-    """What is tested."""
+    """A way in which a build can be worse: each has a sum of its own."""
 
     FAILED = "failed"
     SLOW = "slow"
 
 
-ALTERNATIVE_FAILED_RATIO = (
-    5.0  # times the earlier build's rate of failures that the test is to find
-)
-ALTERNATIVE_SLOW_RATIO = (
-    5.0  # times the earlier build's rate of slow responses that the test is to find
-)
-MIN_FAILED_RATE = 0.01  # of outcomes; an earlier build without a failure is no better than that
-MIN_SLOW_RATE = 0.1  # of outcomes; by the quantile that marks a slow one
-FALSE_ABORT_PROBABILITY = 0.05  # the allowed probability that a good build is aborted
-FALSE_PROMOTION_PROBABILITY = 0.2  # the allowed probability that a bad build passes the test
-SLOW_ODDS_FACTOR = 10  # times the odds that slowness must reach: it says less than a failure
-JOINT_ERROR_FACTOR = (
-    0.7  # of the error that several votes together may make (bound of Poisson's tail)
-)
+# Alternative hypothesis: multiples of the earlier build's rates that the test must detect.
+ALTERNATIVE_FAILED_RATIO = 5.0
+ALTERNATIVE_SLOW_RATIO = 5.0
+# Minimum rate of failures under the null hypothesis, even if the earlier build has none.
+MIN_FAILED_RATE = 0.01
+MIN_SLOW_RATE = 0.1  # follows from the latency quantile above which a response is slow
+FALSE_ABORT_PROBABILITY = 0.05  # that a good build is aborted
+FALSE_PROMOTION_PROBABILITY = 0.2  # that a bad build passes the test
+# Slowness must reach odds this many times higher: it says less about a build than a failure.
+SLOW_ODDS_FACTOR = 10
+# Scales the error probability of several votes that must agree (a bound on the Poisson tail).
+JOINT_ERROR_FACTOR = 0.7
 PROMOTE_BOUND = log(FALSE_PROMOTION_PROBABILITY / (1 - FALSE_ABORT_PROBABILITY))
-SLOW_FLOOR_FACTOR = 3  # times the bound for promotion at which the sum of slowness rests
-PAUSE_RATIO = 0.5  # of the abort bound, above which a build is held where it is
-MAX_FAILED_RATIO_PER_SECOND_ONE_VOTE = (
-    0.75  # of the bound, that a second may add where one vote acts
-)
-MAX_FAILED_RATIO_PER_SECOND = 9.0  # and where several votes must agree
-MAX_SLOW_RATIO_PER_SECOND = 0.5  # of the bound, that a second's slowness may add
-MAX_FAILED_RATIO_PER_ENDPOINT = 0.55  # of the bound, that one endpoint may add: never the whole
+SLOW_FLOOR_FACTOR = 3  # the sum for slowness has its floor at this multiple of PROMOTE_BOUND
+PAUSE_RATIO = 0.5  # evidence ratio above which a build stays at its stage
+# Maximum contributions of one second, as ratios of the abort bound. If a single vote aborts a
+# release, no second of failures may do so alone; if several votes must agree, it may.
+MAX_FAILED_RATIO_PER_SECOND_ONE_VOTE = 0.75
+MAX_FAILED_RATIO_PER_SECOND = 9.0
+MAX_SLOW_RATIO_PER_SECOND = 0.5
+# Maximum contributions of one endpoint: a single faulty endpoint never aborts a build.
+MAX_FAILED_RATIO_PER_ENDPOINT = 0.55
 MAX_SLOW_RATIO_PER_ENDPOINT = 0.45
-MAX_RATIO_PER_ZONE = 0.9  # of the bound, that one zone of several may add
+MAX_RATIO_PER_ZONE = 0.9  # maximum contribution of one zone, if there are several
 
 ALTERNATIVE_RATIO = {Symptom.FAILED: ALTERNATIVE_FAILED_RATIO, Symptom.SLOW: ALTERNATIVE_SLOW_RATIO}
 MIN_NULL_RATE = {Symptom.FAILED: MIN_FAILED_RATE, Symptom.SLOW: MIN_SLOW_RATE}
@@ -64,21 +64,23 @@
     (Symptom.SLOW, True): MAX_SLOW_RATIO_PER_SECOND,
     (Symptom.SLOW, False): MAX_SLOW_RATIO_PER_SECOND,
 }
-"""By symptom, and whether one vote aborts a release."""
+"""Maximum contribution of a second by symptom and by whether one vote aborts a release."""
 
 
 class SequentialTest:
-    """The test's sums since the offer (failures) or since the stage began (slowness).
+    """The sums of the test: failures since the trial began, slowness since the stage began.
 
     Attributes:
-        null_rates: the earlier build's rates.
-        abort_bounds: by symptom, where a build is taken for worse.
-        bounds: the same, raised where a sum at rest has many chances.
-        sums: by symptom, the log likelihood ratios.
-        sums_without_worst: the same without the endpoint that adds most, where few serve.
-        evidence_ratio: the greatest of these sums, of its bound; above 1 the build is worse.
-        clear_since: since when the doubt does not hold the build.
-        outcomes: outcomes in this stage.
+        null_rates: the earlier build's rates, by symptom.
+        abort_bounds: the sums above which a build is worse, by symptom.
+        bounds: the same bounds, raised where a sum at its floor has many chances to rise.
+        sums: the sums of log likelihood ratios, by symptom.
+        sums_without_worst_endpoint: the same sums without the failures of the endpoint with the
+            most evidence, if few endpoints serve the newest build.
+        evidence_ratio: the maximum of these sums divided by their bounds; above 1 the build is
+            worse than the earlier one.
+        below_pause_since: since when the evidence ratio has not exceeded PAUSE_RATIO.
+        outcomes: how many outcomes were counted in this stage.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -96,15 +98,16 @@
         self._left_in_second: dict[Symptom, tuple[Ticks, float]] = {}
 
     def reset(self) -> None:
-        """Forgets everything: another release."""
+        """Discards all sums, for another release."""
         self.sums = {}
         self._sums_by_endpoint = {}
         self._sums_by_zone = {}
 
     def start_stage(self) -> None:
-        """Keeps failures, or an instance with little traffic never sees enough.
+        """Starts a stage: keeps the evidence from failures and discards that from slowness.
 
-        Slowness starts anew: each stage's endpoints are cold.
+        Without the failures of earlier stages an instance with little traffic would never see
+        enough. Slowness starts at zero because the endpoints of each stage start cold.
         """
         self.below_pause_since = self.context.now
         failed = max(0.0, self.sums.get(Symptom.FAILED, 0.0))
@@ -119,9 +122,10 @@
         """Adds an outcome.
 
         Args:
-            symptom: what is tested.
-            has_symptom: whether the outcome shows it.
-            endpoint: bounds what it, its zone and a second add; None does not.
+            symptom: the symptom that is tested.
+            has_symptom: whether the outcome shows the symptom.
+            endpoint: the endpoint that the outcome came from; its contribution, its zone's and
+                that of each second are capped. None applies no cap.
         """
         step = log_likelihood_ratio(symptom, has_symptom, self.null_rates[symptom])
         if endpoint is not None:
@@ -129,7 +133,7 @@
         self.add_step(symptom, step)
 
     def _bounded_step(self, symptom: Symptom, step: float, endpoint: Endpoint) -> float:
-        """The part of the step that this endpoint, its zone and this second may add."""
+        """Returns the step, capped to what the endpoint, its zone and this second may still add."""
         abort_bound = self.abort_bounds[symptom]
         endpoint_key = symptom, endpoint.address
         zone_key = symptom, endpoint.zone
@@ -155,12 +159,12 @@
     def add_step(self, symptom: Symptom, step: float) -> None:
         """Adds a log likelihood ratio to the sum of a symptom."""
         context = self.context
-        # The sum rests near the bound for promotion: a build that turns bad late must not have to
-        # make up for its past.
+        # The floor keeps the sum near the promotion bound: a build that turns bad late must be
+        # found as soon as one that was bad from the start.
         floor = PROMOTE_BOUND * (SLOW_FLOOR_FACTOR if symptom == Symptom.SLOW else 1)
         self.sums[symptom] = max(floor, self.sums[symptom] + step)
-        # Of few endpoints a faulty one would be taken for its build: who sees enough waits for a
-        # second faulty one, where all instances wait.
+        # Among few endpoints one faulty endpoint could be mistaken for a faulty build. At a
+        # high request rate every instance therefore waits for a second faulty endpoint.
         worst = 0.0
         if context.has_few_endpoints():
             for (endpoint_symptom, _), endpoint_sum in self._sums_by_endpoint.items():
@@ -169,7 +173,8 @@
             **self.sums,
             Symptom.FAILED: self.sums[Symptom.FAILED] - worst,
         }
-        # A sum at rest tries anew with each chance failure: the more of them, the higher the bound.
+        # Each chance failure is a new attempt of a sum at its floor to reach the bound, so the
+        # bound rises with the expected number of chance failures.
         recent_requests = context.arrivals.total(context.now)
         many_endpoints = (
             context.promoted_by_votes
@@ -194,21 +199,22 @@
 
 
 def log_likelihood_ratio(symptom: Symptom, has_symptom: bool, null_rate: float) -> float:
-    """The log likelihood ratio of an outcome.
+    """Returns the log likelihood ratio of an outcome.
 
     Args:
-        symptom: what is tested.
-        has_symptom: whether the outcome shows it.
-        null_rate: the rate of such outcomes if the build is as good as the earlier one.
+        symptom: the symptom that is tested.
+        has_symptom: whether the outcome shows the symptom.
+        null_rate: the rate of the symptom if the build is as good as the earlier one.
     """
     worse_rate = min(ALTERNATIVE_RATIO[symptom] * null_rate, (1 + null_rate) / 2)
     return log(worse_rate / null_rate) if has_symptom else log((1 - worse_rate) / (1 - null_rate))
 
 
 def abort_bounds(settings: Settings) -> dict[Symptom, float]:
-    """The bounds above which a build is taken for worse.
+    """Returns the sums above which a build is worse than the earlier one, by symptom.
 
-    All instances share the allowed error; where many must err together, each may err more.
+    The instances share the allowed error probability. If several votes are needed to abort, several
+    instances must err at once, so each may err more often.
     """
     votes_needed = settings.votes_to_revert
     joint_error = votes_needed * (
--- a/thymeknot/policy/traffic_split.py
+++ b/thymeknot/policy/traffic_split.py
@@ -1,4 +1,4 @@
-"""Which requests may go to the newest build: its fraction of the keys, raised step by step."""
+"""The traffic split: the fraction of the keys that the newest build serves, raised gradually."""
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import ReleasePhase
@@ -9,26 +9,26 @@
 from .context import BuildState, DecisionContext
 from .slow_start import SlowStart
 
-RAMP_DURATION = 2 * TICKS_PER_SECOND  # ticks from nothing to the target of a stage
-CAP_TARGET_RATIO = (
-    0.8  # of the cap that the fraction aims at: the rest is left to pinned keys and retries
-)
-HOT_KEY_FRACTION = 0.03  # of all recent requests with keys, from which a key is hot
-HOT_KEY_MIN_REQUESTS = 8  # recent requests of a key, below which it is not hot
-MAX_REMEMBERED_KEYS = 10_000  # pinned or failing keys that are remembered
+RAMP_DURATION = 2 * TICKS_PER_SECOND  # ticks for the ramp from 0 to a stage's target
+# Target fraction as a ratio of the cap: the rest is left to pinned keys and retries.
+CAP_TARGET_RATIO = 0.8
+HOT_KEY_FRACTION = 0.03  # minimum fraction of the recent requests with keys for a hot key
+HOT_KEY_MIN_REQUESTS = 8  # minimum number of recent requests for a hot key
+MAX_REMEMBERED_KEYS = 10_000  # maximum number of pinned keys, and of failing keys
 RECENT_KEYS_HALF_LIFE = 2 * TICKS_PER_SECOND  # ticks after which the counts of keys are halved
-MIN_RECENT_KEY_COUNT = 0.5  # a count that is not more is forgotten
+MIN_RECENT_KEY_COUNT = 0.5  # counts up to this value are discarded when the counts are halved
 
 
 class TrafficSplit:
-    """The fraction of the keys that the newest build gets, and the keys that are treated apart.
+    """Decides by key which requests may go to the newest build.
 
     Attributes:
-        fraction: of the keys; it is raised and does not fall during a stage.
-        fraction_updated_at: when it was raised last.
-        pinned_keys: keys that the newest build answered: they stay with it.
-        failing_keys: keys whose requests failed there in this stage.
-        recent_keys: requests by key; halved again and again.
+        fraction: the fraction of the keys that the newest build serves; it never falls during a
+            stage.
+        fraction_updated_at: when the fraction was last updated.
+        pinned_keys: keys that the newest build has answered and therefore keeps.
+        failing_keys: keys whose requests failed on the newest build in this stage.
+        recent_keys: number of requests by key, halved at regular intervals.
     """
 
     def __init__(self, context: DecisionContext, slow_start: SlowStart) -> None:
@@ -42,11 +42,11 @@
         self._keys_halved_at: Ticks = context.now
 
     def reset(self) -> None:
-        """Begins at nothing, or with all where the newest build is not judged."""
+        """Sets the fraction to 0, or to 1 if the newest build is not evaluated."""
         self.fraction = float(self.context.build_state == BuildState.NOT_EVALUATED)
 
     def start_stage(self) -> None:
-        """Lets the fraction rise from now on."""
+        """Starts a stage: the fraction rises from now on and no key counts as failing."""
         self.fraction_updated_at = self.context.now
         self.failing_keys = set()
 
@@ -55,19 +55,19 @@
         self.recent_keys[key] = self.recent_keys.get(key, 0) + 1
 
     def pin(self, event: LateResponseSeen) -> None:
-        """Pins a key to the newest build, if that answered it, also too late or in part."""
+        """Pins a key to the newest build if that build answered it, even late or partially."""
         if not self.context.settings.sticky_keys:
             return
         release = self.context.release
-        assert release is not None  # nothing is sent before it is told
+        assert release is not None  # nothing is sent before the first update
         if event.build == release.build and len(self.pinned_keys) < MAX_REMEMBERED_KEYS:
             self.pinned_keys.add(event.key)
 
     def raise_fraction(self, all_slow: bool) -> None:
-        """Raises the fraction to what the newest build's ready endpoints can carry.
+        """Raises the fraction towards what the newest build's ready endpoints can carry.
 
         Args:
-            all_slow: whether all endpoints are slow; in a crowd, the fraction then rises no more.
+            all_slow: whether there is a global slowdown; in a large fleet the fraction then stays.
         """
         context = self.context
         if not context.newest_accepts_requests():
@@ -87,7 +87,7 @@
         self.fraction_updated_at = context.now
 
     def upkeep(self) -> None:
-        """Halves the counts of keys, when it is time."""
+        """Halves the counts of recent keys once per half-life and discards the small ones."""
         now = self.context.now
         if now >= self._keys_halved_at + RECENT_KEYS_HALF_LIFE:
             self._keys_halved_at = now
@@ -98,15 +98,14 @@
             }
 
     def builds_for(self, request: RequestState) -> tuple[bool, ...]:
-        """Where the request may go, in order: to the newest build (True) or an earlier one."""
+        """Returns where the request may go, in order: the newest build (True), an earlier one."""
         context, key = self.context, request.key
         release = context.release
         assert release is not None
         if not context.newest_accepts_requests():
             return (False, True)
-        if (
-            key in self.pinned_keys or len(self.pinned_keys) >= MAX_REMEMBERED_KEYS
-        ):  # more than it can tell
+        # Once the set of pinned keys is full, any key may be one that the newest build answered.
+        if key in self.pinned_keys or len(self.pinned_keys) >= MAX_REMEMBERED_KEYS:
             context.explain(Reason.STAYS, len(self.pinned_keys))
             return (True,)
         position = key_position(key)
@@ -114,7 +113,7 @@
         context.explain(Reason.POSITION, position, self.fraction, release.cap)
         if not below_fraction or release.phase != ReleasePhase.ON_TRIAL:
             return (True, False) if below_fraction else (False, True)
-        # A flood of one key, or a loop of retries, must not go to a build on trial.
+        # A flood of requests with one key, or a loop of retries, must not reach a build on trial.
         is_hot = self._is_hot(key)
         if not (request.attempts or key in self.failing_keys or is_hot):
             return (True, False)
@@ -122,6 +121,7 @@
         return (False, True)
 
     def _is_hot(self, key: str) -> bool:
+        """Returns whether the key has a large fraction of the recent requests."""
         requests = self.recent_keys.get(key, 0)
         return requests >= HOT_KEY_MIN_REQUESTS and requests >= HOT_KEY_FRACTION * sum(
             self.recent_keys.values()
--- a/thymeknot/policy/trial_evidence.py
+++ b/thymeknot/policy/trial_evidence.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt says of the newest build."""
+"""Turns the ends of attempts into evidence for or against the newest build."""
 
 from collections import Counter
 from enum import StrEnum
@@ -20,31 +20,32 @@
 from .sequential_test import SequentialTest, Symptom
 from .traffic_split import MAX_REMEMBERED_KEYS, TrafficSplit
 
-MIN_WARMUP_FRACTION = 0.75  # of its capacity, from which an endpoint's response time says something
+# Minimum fraction of its capacity at which an endpoint's latency counts as evidence.
+MIN_WARMUP_FRACTION = 0.75
 
 NEUTRAL_OUTCOMES = frozenset((Outcome.REJECTED, Outcome.CANCELLED, Outcome.NOT_SENT))
-"""Outcomes that say nothing of a build."""
+"""Outcomes that are no evidence about a build."""
 
 
 class Exclusion(StrEnum):
-    """Why an outcome of the newest build is no evidence."""
+    """Why an outcome of the newest build does not count as evidence."""
 
     NEUTRAL_OUTCOME = "not_judged"
     COLD_TIMEOUT = "cold_timeout"
-    """A time-out of a cold endpoint, or one that nothing of the earlier build compares with."""
+    """A timeout of a cold endpoint, or without recent outcomes of the earlier build to compare."""
     NETWORK_LOSS = "lost"
-    """Lost on the way, which is not known to be sound."""
+    """Lost in the network, which is not known to be reliable."""
     FAILING_KEY = "failing_key"
-    """Its key has failed there before."""
+    """Requests with the same key have failed on the newest build before."""
 
 
 class TrialEvidence:
-    """Books outcomes with the baseline, the sequential test and the slowness of all.
+    """Passes outcomes on to the baseline, the sequential test and the global slowdown.
 
     Attributes:
-        attempts: ended attempts to the newest build, for the log.
-        failed: those of them that failed and are evidence.
-        excluded: those of them that are no evidence, by reason.
+        attempts: attempts to the newest build that ended, for the log.
+        failed: how many of them failed and count as evidence.
+        excluded: how many of them do not count as evidence, by reason.
     """
 
     def __init__(
@@ -63,10 +64,12 @@
         self.attempts = 0
         self.failed = 0
         self.excluded: Counter[Exclusion] = Counter()
-        self._counted_build: int | None = None  # whose outcomes are counted
+        self._counted_build: int | None = (
+            None  # the build that attempts, failed and excluded refer to
+        )
 
     def reset_for_build(self, build: int) -> None:
-        """Counts anew where another build is the newest."""
+        """Resets the counts if another build has become the newest."""
         if build != self._counted_build:
             self._counted_build = build
             self.attempts = self.failed = 0
@@ -75,7 +78,7 @@
     def add_outcome(
         self, request: RequestState, endpoint: EndpointState, outcome: Outcome, latency: Ticks
     ) -> None:
-        """Takes in the end of an attempt at an endpoint of any build."""
+        """Adds the end of an attempt at an endpoint of any build."""
         context = self.context
         release = context.release
         if release is None:
@@ -114,8 +117,8 @@
                 self.excluded[excluded] += 1
             else:
                 self._add_result(request.key, endpoint, outcome)
-                # A build may be slow and never fail. In a burst an endpoint's response time hangs
-                # on the load more than on the build.
+                # A build may be slow without failing. During a burst, latency depends on the load
+                # more than on the build.
                 if (
                     comparable
                     and stats.outcomes
@@ -127,10 +130,10 @@
     def _exclusion(
         self, key: str, outcome: Outcome, fraction: float, comparable: bool
     ) -> Exclusion | None:
-        """Why the outcome proves nothing of the newest build; None if it does.
+        """Returns why the outcome is no evidence about the newest build; None if it is.
 
-        A cold endpoint's time-outs do not, nor does what is lost on the way where the earlier
-        build does not show that sound. One key that fails again and again is one failure.
+        Timeouts of cold endpoints are excluded, and network losses unless the earlier build shows
+        that the network is reliable. A key that fails repeatedly counts as one failure.
         """
         if outcome == Outcome.TIMED_OUT and (fraction < 1.0 or not comparable):
             return Exclusion.COLD_TIMEOUT
@@ -141,7 +144,7 @@
         return None
 
     def _add_result(self, key: str, endpoint: EndpointState, outcome: Outcome) -> None:
-        """Books whether the attempt failed."""
+        """Adds the success or failure of an attempt to the sequential test."""
         context, failed = self.context, outcome != Outcome.DONE
         if failed and len(self.split.failing_keys) < MAX_REMEMBERED_KEYS:
             self.split.failing_keys.add(key)
@@ -155,7 +158,7 @@
         self.test.add(Symptom.FAILED, failed, None if uncapped else endpoint.listed)
 
     def add_complaint(self, event: ComplaintReceived) -> None:
-        """A client found an answer wrong: what was booked as a success is a failure."""
+        """Adds a failure for a response that a client found wrong after it counted as good."""
         endpoint = self.context.endpoints.get(event.endpoint)
         if endpoint and endpoint.on_newest_build and self.context.is_evaluating():
             self.test.add(Symptom.FAILED, True)
--- a/thymeknot/policy/voting.py
+++ b/thymeknot/policy/voting.py
@@ -1,4 +1,4 @@
-"""What the instance votes on the stage of a build, when, and how often."""
+"""Decides which vote the instance casts on the build on trial, and when to cast or renew it."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -23,52 +23,70 @@
 )
 from .trial_evidence import MIN_WARMUP_FRACTION
 
-MIN_LISTED_FRACTION = 0.75  # of a stage's endpoints that must be listed before a vote for promotion
-MIN_PROMOTE_OUTCOMES = 20  # of the newest build in a stage, without which only time promotes
-MAX_WARMUP_WAIT = (
-    3 * TICKS_PER_SECOND
-)  # ticks after an endpoint's start that are waited for at most
-QUIET_PERIOD = (
-    5 * TICKS_PER_SECOND // 2
-)  # ticks without doubt, after which little evidence promotes
-QUIET_PERIODS_AFTER_FAILURES = 2  # times that, where failures were seen
-VOTE_BURST_SPAN = 2 * TICKS_PER_SECOND  # ticks of votes that the platform takes at once
-SLOWDOWN_TOLERANCE = 5 * TICKS_PER_SECOND  # ticks: slowness of all may pass
-SLOWDOWN_TOLERANCE_IN_PLACE = 12 * TICKS_PER_SECOND  # ticks, where machines are replaced meanwhile
-MAX_AWAITED_PERIODS = 3  # periods of the platform's counts, after which no more are waited for
-SLOWDOWN_ABORT_RATIO = 1.1  # of the bound: all are slow, and the newest build is blamed for it
-MAX_RENEWAL_AGE_RATIO = 0.8  # of a vote's lifetime, after which it is renewed at the latest
-MIN_RETRY_DELAY = TICKS_PER_SECOND // 5  # ticks before a vote that was turned away is cast again
-RESPONSE_GRACE = TICKS_PER_SECOND // 10  # ticks beyond the time-out that an answer is waited for
+# Minimum fraction of a stage's endpoints that must be listed before a vote for promotion.
+MIN_LISTED_FRACTION = 0.75
+# With fewer outcomes of the newest build in a stage, it is promoted after a quiet period only.
+MIN_PROMOTE_OUTCOMES = 20
+# Maximum wait for an endpoint to warm up, in ticks after its start.
+MAX_WARMUP_WAIT = 3 * TICKS_PER_SECOND
+# Ticks without evidence against a build after which little evidence is enough to promote it.
+QUIET_PERIOD = 5 * TICKS_PER_SECOND // 2
+QUIET_PERIODS_AFTER_FAILURES = 2  # quiet periods required if failures were seen
+# Votes that the platform accepts in one burst, as ticks of its voting rate.
+VOTE_BURST_SPAN = 2 * TICKS_PER_SECOND
+# Ticks that a global slowdown may last before the newest build is blamed: it may be transient.
+SLOWDOWN_TOLERANCE = 5 * TICKS_PER_SECOND
+# The same where machines are replaced in place, which takes capacity away meanwhile.
+SLOWDOWN_TOLERANCE_IN_PLACE = 12 * TICKS_PER_SECOND
+# Counting periods without counts from the platform after which none are awaited.
+MAX_AWAITED_PERIODS = 3
+# Evidence ratio (1 aborts) assigned when the newest build is blamed for a global slowdown.
+SLOWDOWN_ABORT_RATIO = 1.1
+MAX_RENEWAL_AGE_RATIO = 0.8  # of a vote's lifetime: the latest age at which it is renewed
+MIN_RETRY_DELAY = TICKS_PER_SECOND // 5  # ticks before a rejected vote is cast again
+RESPONSE_GRACE = TICKS_PER_SECOND // 10  # ticks to wait for a response beyond the vote timeout
 
 
 class VoteEvidence(NamedTuple):
-    """What a vote goes by, for the log."""
+    """The evidence behind a vote, for the log.
+
+    The fields have the names of the log event's keys.
+    """
 
     attempts: int
-    """Ended attempts to the newest build, as this instance saw them."""
+    """Attempts to the newest build that ended on this instance."""
     failed: int
-    """Those of them that failed and count."""
+    """Attempts that failed and count as evidence."""
     excluded: Mapping[str, int]
-    """Those of them that are no evidence, by reason."""
+    """Attempts that do not count as evidence, by reason."""
     judged: int
-    """Outcomes of this stage in the test, with the platform's counts."""
+    """Outcomes of this stage in the sequential test, including those the platform counted."""
     sums: Mapping[Symptom, float]
+    """Log likelihood ratios."""
     bounds: Mapping[Symptom, float]
+    """Sums above which the build is aborted."""
     null_rates: Mapping[Symptom, float]
+    """Expected rates if the build is as good as the earlier one."""
     all_slow: float
+    """Evidence of a global slowdown."""
 
 
 class Voting:
-    """The vote of this instance.
+    """Casts, renews and withdraws this instance's vote on the newest build.
 
     Attributes:
-        vote: the vote that stands; None if none does.
-        vote_cast_at: when it was cast.
-        asked: the vote that was cast last, answered or not.
-        next_check_at: when to look again whether to vote.
-        offset: ticks after the others' first votes at which this instance's turn is.
-        met: when the endpoints of the newest build were first seen to have started, by address.
+        vote: the vote that the platform has accepted; None if there is none.
+        vote_cast_at: when the platform accepted it.
+        last_cast: the vote cast last, whether or not the platform responded.
+        next_check_at: when to check again whether a vote is due.
+        turn_offset: ticks by which this instance's vote for promotion is staggered; negative for
+            the first votes, which may come before the endpoints have warmed up.
+        first_started: the start time under which each endpoint of the newest build was first
+            listed, by address.
+        warmup_wait: ticks after its start until an endpoint is warm enough to be evaluated.
+        fleet_vote_span: ticks that the platform needs to take one vote of every instance.
+        staggered_span: the part of it over which votes beyond the burst are spread.
+        renewal_age: age at which an accepted vote is renewed, in ticks.
     """
 
     def __init__(
@@ -103,13 +121,17 @@
         self._aborting = False
 
     def start_stage(self) -> None:
-        """Draws the instance's turn: the first fit into what the platform takes at once."""
+        """Draws this instance's turn at random; the first turns fit into the platform's burst."""
         turn = max(0.0, self.context.rng.draw() * self.fleet_vote_span - VOTE_BURST_SPAN)
         self.turn_offset = turn - min(self.staggered_span, self.warmup_wait) / 2
         self._aborting = False
 
     def verdict(self) -> Verdict:
-        """What the instance says of the newest build now."""
+        """Returns the instance's current verdict on the newest build.
+
+        Once above the abort bound, the verdict stays ABORT until the evidence falls below
+        PAUSE_RATIO of the bound.
+        """
         context = self.context
         release = context.release
         assert release is not None
@@ -126,7 +148,12 @@
         return Verdict.PROMOTE if self._passes_test() else Verdict.ABSTAIN
 
     def _evidence_ratio(self) -> float:
-        """The test's doubt, or that from slowness of all, which may pass or be the load's."""
+        """Returns the test's evidence ratio, raised while a global slowdown lasts.
+
+        A slowdown holds the build (ratio 1) until it has lasted for the tolerated time, as it may
+        be transient or caused by the load. It does not count if the earlier build fails by itself
+        and nothing speaks against the newest one.
+        """
         now, test, baseline = self.context.now, self.test, self.baseline
         ratio, since = test.evidence_ratio, self.slowdown.since
         errors = baseline.errors.total(now)
@@ -144,10 +171,10 @@
         return max(ratio, SLOWDOWN_ABORT_RATIO if tolerance_passed and is_slow else 1.0)
 
     def _stage_is_ready(self, release: Release) -> bool:
-        """Whether the stage's endpoints are listed and warm, and it is this instance's turn.
+        """Returns whether the stage's endpoints are listed and warm, and it is this one's turn.
 
-        A list that lags hides the endpoints to judge. One that starts again, as after a lost zone,
-        was met before.
+        A lagging endpoint list hides endpoints that must be evaluated. An endpoint that restarts,
+        for example after a zone was lost, keeps the start time under which it was first listed.
         """
         context, settings = self.context, self.context.settings
         newest_endpoints = [known.listed for known in context.by_build[True]]
@@ -155,13 +182,15 @@
             self.first_started.setdefault(listed.address, listed.started)
             for listed in newest_endpoints
         ]
-        # Where machines are replaced the earlier build's leave late.
+        # In-place replacement removes the earlier build's endpoints late, so their present number
+        # does not tell how many there were.
         expected_endpoints = (
             self.baseline.earlier_endpoint_count
             if settings.replaces_machines
             else len(context.by_build[False])
         )
-        # In the last stage the earlier build's leave: endpoints must be warm, and counted.
+        # After the last stage the earlier build's endpoints leave, so the newest build's must be
+        # fully warm and the platform must have counted them.
         is_last_stage = release.stage + 1 >= len(settings.stage_fractions)
         fraction = settings.stage_fractions[-1 if is_last_stage else release.stage]
         enough_listed = len(start_times) >= max(
@@ -178,9 +207,9 @@
         return enough_listed and not counts_missing and context.now >= warm_at + self.turn_offset
 
     def _passes_test(self) -> bool:
-        """Whether the test is passed, or nothing was found for a while.
+        """Returns whether the test accepts the build, or found nothing during the quiet period.
 
-        An instance with little traffic never sees enough.
+        The quiet period serves instances with little traffic, which never see enough outcomes.
         """
         remaining_sums, test = self.test.sums_without_worst_endpoint, self.test
         if max(remaining_sums.values()) < PROMOTE_BOUND and test.outcomes >= MIN_PROMOTE_OUTCOMES:
@@ -191,12 +220,12 @@
         )
 
     def upkeep(self) -> None:
-        """Votes, when it is time to look."""
+        """Casts a vote if one is due."""
         if self.context.release and self.context.now >= self.next_check_at:
             self.cast()
 
     def cast(self) -> None:
-        """Casts, renews and withdraws the vote; an unanswered one is cast again."""
+        """Casts, renews or withdraws the vote; a vote without a response is cast again."""
         context, test = self.context, self.test
         release = context.release
         assert release is not None
@@ -214,7 +243,7 @@
         context.actions.append(new_vote)
 
     def _is_due(self, new_vote: CastVote, release: Release) -> bool:
-        """Whether the platform is to be told: the vote changed, lapses, or is to be withdrawn."""
+        """Returns whether to cast: the vote changed, is about to expire, or must be withdrawn."""
         age, vote = self.context.now - self.vote_cast_at, self.vote
         is_standing = vote is not None and age < self.context.settings.vote_lifetime
         if new_vote.verdict != Verdict.ABSTAIN:
@@ -222,10 +251,13 @@
         if vote is None or not is_standing or vote.build != new_vote.build:
             return False
         stage_changed = vote.stage != new_vote.stage or release.phase != ReleasePhase.ON_TRIAL
-        return not (vote.verdict == Verdict.PROMOTE and stage_changed)  # then it binds nothing
+        return not (vote.verdict == Verdict.PROMOTE and stage_changed)  # it no longer has effect
 
     def handle_response(self, update: ReleaseUpdate) -> None:
-        """What was turned away, or unanswered, is cast again, not in step with other instances."""
+        """Records an accepted vote, or schedules the retry of one that was rejected or lost.
+
+        The retry delay is random, so that the instances do not retry in step.
+        """
         context = self.context
         delay = MIN_RETRY_DELAY + int(
             context.rng.draw() * max(TICKS_PER_SECOND, self.staggered_span)
@@ -246,7 +278,7 @@
     all_slow: float,
     outcomes: int,
 ) -> str:
-    """A vote's line for those on call."""
+    """Returns the log line that describes a vote to the operators on call."""
     tests = "".join(
         f"{symptom} {sums[symptom]:+.1f} over {null_rates[symptom]:.2f}, " for symptom in sums
     )
