--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -653,11 +653,11 @@
             "clients": len(proxy.clients),
             "transactions": len(proxy.transactions),
             "ids": len(proxy.requests.by_id),
-            "waiting": len(proxy.pools.unwritten()),
+            "waiting": len(proxy.pools.unwritten_attempts()),
             "dialling": proxy.pools.dialling,
             "connections": len(proxy.pools.connections),
             "open to decide": len(proxy.engine.requests.open),
-            "calls": proxy.platform.out + proxy.discovery.out,
+            "calls": proxy.platform.calls_in_flight + proxy.discovery.calls_in_flight,
             "counted out": sum(
                 known.in_flight for known in proxy.engine.context.endpoints.values()
             ),
@@ -669,18 +669,18 @@
         standing = {
             "Proxy.tell",
             "Proxy._log_rejections",
-            "WatchStream._look",
-            "WatchStream._still_asked",
-            "WatchStream._ask",
-            "Stream.dial_late",
-            "Call.dial_late",
+            "WatchStream._check_silence",
+            "WatchStream._first_data_overdue",
+            "WatchStream._start_if_needed",
+            "Stream.connect_overdue",
+            "Call.connect_overdue",
         }
         live = [
             call.__qualname__
-            for call, _ in proxy.timers.live.values()
+            for call, _ in proxy.timers.pending.values()
             if call.__qualname__ not in standing
         ]
-        periodic = [call.__name__ for call, _ in proxy.timers.live.values()]
+        periodic = [call.__name__ for call, _ in proxy.timers.pending.values()]
         if (
             live
             or periodic.count("tell") != 1
--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -171,7 +171,9 @@
         if self.pre_trial is None:
             return 1.0
         requests, now = self.non_retries, self.context.now
-        span = (RECENT_BUCKETS * requests.width + now % requests.width) / TICKS_PER_SECOND
+        span = (
+            RECENT_BUCKETS * requests.bucket_width + now % requests.bucket_width
+        ) / TICKS_PER_SECOND
         total = requests.total(now, False, RECENT_BUCKETS) - CHANCE_REQUESTS
         return total / (self.pre_trial.rate * span + 1)
 
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -62,7 +62,9 @@
         context, rows = self.context, self.pending
         self.pending = []
         ended = context.now - rows[0].age
-        self.slowdown.add_counts(rows, self.fleet_baseline, self.fleet_baseline.told(ended))
+        self.slowdown.add_counts(
+            rows, self.fleet_baseline, self.fleet_baseline.record_period(ended)
+        )
         release = context.release
         if release is None or not context.is_evaluating():
             return
@@ -104,7 +106,7 @@
             MAX_NULL_RATE,
             earlier_failed / earlier_attempts
             if earlier_attempts >= 2 * MIN_OUTCOMES
-            else self.selection.connection_loss,
+            else self.selection.connection_loss_rate,
         )
         return (
             max(MIN_NULL_RATE[Symptom.FAILED], rate)
--- a/thymeknot/policy/global_slowdown.py
+++ b/thymeknot/policy/global_slowdown.py
@@ -100,10 +100,10 @@
         margin = SLOW_LATENCY_RATIO if is_released else CHANCE_LATENCY_RATIO
         step = sum(
             outcomes * (min(MAX_LATENCY_RATIO, ratio / max(1.0, traffic) ** 2) - margin)
-            for outcomes, ratio, traffic in fleet_baseline.compared(rows)
+            for outcomes, ratio, traffic in fleet_baseline.compare(rows)
         )
         if (
-            fleet_baseline.seen >= RELIABLE_OUTCOMES
+            fleet_baseline.outcomes >= RELIABLE_OUTCOMES
             and context.is_evaluating()
             and self.split.fraction >= MIN_BLAMED_FRACTION
         ):
@@ -111,7 +111,7 @@
                 self._add(step, period_start)
             if step > 0:
                 return
-        fleet_baseline.learn(rows, MIN_LEARNING_GAIN)
+        fleet_baseline.update(rows, MIN_LEARNING_GAIN)
 
     def _add(self, step: float, since: Ticks) -> None:
         bound = self.baseline.test.abort_bounds[Symptom.SLOW]
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -93,7 +93,7 @@
         if previous is None or previous.build != current.build:
             self.split.pinned_keys = set()
             self.voting.first_started = {}
-            self.selection.sort_by_build()
+            self.selection.group_by_build()
         change = _change_between(previous, current)
         if change is None:
             return
--- a/thymeknot/policy/voting.py
+++ b/thymeknot/policy/voting.py
@@ -202,7 +202,7 @@
         counts_missing = (
             is_last_stage
             and context.is_large_fleet()
-            and self.fleet.fleet_baseline.lacks(warm_at, context.now, MAX_AWAITED_PERIODS)
+            and self.fleet.fleet_baseline.awaits_counts(warm_at, context.now, MAX_AWAITED_PERIODS)
         )
         return enough_listed and not counts_missing and context.now >= warm_at + self.turn_offset
 
