--- a/tests/unit/policy/outcomes.py
+++ b/tests/unit/policy/outcomes.py
@@ -5,22 +5,22 @@
 from thymeknot.policy.request_lifecycle import RequestPhase
 from thymeknot.state.request_state import RequestState
 
-USUAL = {("read", "std"): LatencyStats(900, 100, 500)}
+USUAL_STATS = {("read", "std"): LatencyStats(900, 100, 500)}
 
 
-def judging(rate=50.0):
-    made = balancer(told=news())
-    made.baseline.pre_trial = PreTrialBaseline(USUAL, rate, 0.0)
-    return made
+def evaluating_engine(rate=50.0):
+    engine = balancer(told=news())
+    engine.baseline.pre_trial = PreTrialBaseline(USUAL_STATS, rate, 0.0)
+    return engine
 
 
-def judged(made, outcome, address, times=1, latency=1000, key=None):
+def record_outcomes(engine, outcome, address, times=1, latency=1000, key=None):
     """Books outcomes of one pod, as deliveries that ended just so."""
     for number in range(times):
-        tx = RequestState(
+        request = RequestState(
             taken(f"{address}-{number}", key=key),
-            made.context.settings.request_classes["read"],
+            engine.context.settings.request_classes["read"],
             NOW,
             RequestPhase.NEW,
         )
-        made.evidence.add_outcome(tx, made.context.endpoints[address], outcome, latency)
+        engine.evidence.add_outcome(request, engine.context.endpoints[address], outcome, latency)
--- a/tests/unit/policy/test_global_slowdown.py
+++ b/tests/unit/policy/test_global_slowdown.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.support.decisions import NOW, balancer, news, taken
-from tests.unit.policy.outcomes import USUAL, judged, judging
+from tests.unit.policy.outcomes import USUAL_STATS, evaluating_engine, record_outcomes
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import (
     Outcome,
@@ -13,133 +13,135 @@
 
 
 class GlobalSlowdownTest(unittest.TestCase):
-    def test_slowness_of_all_builds_holds_then_sends_back(self):
-        made = judging()
-        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
-        self.assertEqual(made.voting.verdict(), Verdict.ABSTAIN)
-        made.split.fraction = 0.3
-        made.context.now += 5 * TICKS_PER_SECOND
-        self.assertEqual(made.voting.verdict(), Verdict.ABORT)
-
-    def test_it_is_blamed_while_it_lasts_and_later_where_machines_are_replaced(self):
-        for swap, slow, age, back in (
+    def test_a_global_slowdown_holds_the_build_and_then_aborts_it(self):
+        engine = evaluating_engine()
+        record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=5000)
+        self.assertEqual(engine.voting.verdict(), Verdict.ABSTAIN)
+        engine.split.fraction = 0.3
+        engine.context.now += 5 * TICKS_PER_SECOND
+        self.assertEqual(engine.voting.verdict(), Verdict.ABORT)
+
+    def test_abort_only_while_slow_and_later_with_in_place_replacement(self):
+        for in_place, evidence, seconds, aborts in (
             (True, 9.0, 11, False),
             (True, 9.0, 12, True),
             (False, 4.0, 9, False),
         ):
-            made = balancer(told=news(), replaces_machines=swap)
-            made.slowdown.evidence, made.slowdown.since, made.context.now = (
-                slow,
+            engine = balancer(told=news(), replaces_machines=in_place)
+            engine.slowdown.evidence, engine.slowdown.since, engine.context.now = (
+                evidence,
                 NOW,
-                NOW + age * TICKS_PER_SECOND,
+                NOW + seconds * TICKS_PER_SECOND,
             )
-            self.assertEqual(made.voting.verdict() == Verdict.ABORT, back)
+            self.assertEqual(engine.voting.verdict() == Verdict.ABORT, aborts)
 
-    def test_a_build_with_little_traffic_is_held_for_it_only(self):
-        made = judging()
-        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
-        made.context.now += 5 * TICKS_PER_SECOND
-        judged(made, Outcome.DONE, "old-1", 1, latency=5000)
-        self.assertEqual(made.voting.verdict(), Verdict.ABSTAIN)
+    def test_a_build_with_little_traffic_is_held_but_not_aborted(self):
+        engine = evaluating_engine()
+        record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=5000)
+        engine.context.now += 5 * TICKS_PER_SECOND
+        record_outcomes(engine, Outcome.DONE, "old-1", 1, latency=5000)
+        self.assertEqual(engine.voting.verdict(), Verdict.ABSTAIN)
 
-    def test_an_earlier_build_that_errs_by_itself_is_nothing_to_stay_with(self):
-        for errors, trial, vote in (
+    def test_a_slowdown_does_not_count_if_the_earlier_build_fails_by_itself(self):
+        for errors, failed_sum, verdict in (
             (9, -1.0, Verdict.PROMOTE),
             (2, -1.0, Verdict.ABSTAIN),
             (9, 1.0, Verdict.ABSTAIN),
         ):
-            made = judging()
-            judged(made, Outcome.DONE, "old-1", 60, latency=5000)
-            judged(made, Outcome.ERROR, "old-2", errors)
-            judged(made, Outcome.DONE, "new-1", 20)
-            made.sequential_test.sums["failed"] = trial
-            made.context.now += 4 * TICKS_PER_SECOND
-            self.assertEqual(made.voting.verdict(), vote)
-
-    def test_more_traffic_excuses_slowness_of_all(self):
-        made = judging(rate=10.0)
-        made.baseline.non_retries.add(NOW, 100)
-        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
-        self.assertIsNone(made.slowdown.since)
-        judged(made, Outcome.TIMED_OUT, "old-1", 60)
-        self.assertIsNotNone(made.slowdown.since)
-
-    def test_repeats_of_clients_excuse_nothing(self):
-        for repeat, expected_ratio in ((False, True), (True, False)):
-            made = judging(rate=10.0)
+            engine = evaluating_engine()
+            record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=5000)
+            record_outcomes(engine, Outcome.ERROR, "old-2", errors)
+            record_outcomes(engine, Outcome.DONE, "new-1", 20)
+            engine.sequential_test.sums["failed"] = failed_sum
+            engine.context.now += 4 * TICKS_PER_SECOND
+            self.assertEqual(engine.voting.verdict(), verdict)
+
+    def test_higher_traffic_explains_slowness_but_not_timeouts(self):
+        engine = evaluating_engine(rate=10.0)
+        engine.baseline.non_retries.add(NOW, 100)
+        record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=5000)
+        self.assertIsNone(engine.slowdown.since)
+        record_outcomes(engine, Outcome.TIMED_OUT, "old-1", 60)
+        self.assertIsNotNone(engine.slowdown.since)
+
+    def test_client_retries_do_not_count_as_higher_traffic(self):
+        for retries, is_high in ((False, True), (True, False)):
+            engine = evaluating_engine(rate=10.0)
             for number in range(100):
-                made.handle(NOW, [taken(str(number))._replace(is_retry=repeat)])
-            self.assertEqual(made.baseline.traffic_ratio() > 1.5, expected_ratio)
+                engine.handle(NOW, [taken(str(number))._replace(is_retry=retries)])
+            self.assertEqual(engine.baseline.traffic_ratio() > 1.5, is_high)
 
-    def test_mean_times_speak_before_nine_in_ten_are_over_the_mark(self):
-        for times, slow in (
+    def test_the_mean_latency_reveals_a_slowdown_below_the_slow_threshold(self):
+        for latency_ratio, slow in (
             (1.2, False),
             (1.9, True),
         ):  # spread as work is: few are far above the mean
-            made = judging()
-            for share in (0.4, 0.6, 0.8, 1.0, 1.3, 1.9) * 12:
-                judged(made, Outcome.DONE, "old-1", latency=int(500 * times * share))
-            self.assertEqual(made.slowdown.since is not None, slow)
-
-    def test_a_stage_of_a_fifth_of_the_ramp_is_blamed_too(self):
+            engine = evaluating_engine()
+            for spread in (0.4, 0.6, 0.8, 1.0, 1.3, 1.9) * 12:
+                record_outcomes(
+                    engine, Outcome.DONE, "old-1", latency=int(500 * latency_ratio * spread)
+                )
+            self.assertEqual(engine.slowdown.since is not None, slow)
+
+    def test_a_build_with_a_fifth_of_the_keys_can_be_blamed(self):
         # With three stages the second one ends there: nothing moved on and nothing was sent back, for good.
-        for ramp, back in ((0.08, False), (0.2, True)):
-            made = judging()
-            made.split.fraction = ramp
-            judged(made, Outcome.DONE, "old-1", 60, latency=5000)
-            made.context.now += 5 * TICKS_PER_SECOND
-            judged(made, Outcome.DONE, "old-1", 1, latency=5000)
-            self.assertEqual(made.voting.verdict() == Verdict.ABORT, back)
-
-    def test_a_quiet_instance_does_not_take_chance_for_usual(self):
-        made = balancer(told=news())
-        made.baseline.pre_trial = PreTrialBaseline(
+        for fraction, aborts in ((0.08, False), (0.2, True)):
+            engine = evaluating_engine()
+            engine.split.fraction = fraction
+            record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=5000)
+            engine.context.now += 5 * TICKS_PER_SECOND
+            record_outcomes(engine, Outcome.DONE, "old-1", 1, latency=5000)
+            self.assertEqual(engine.voting.verdict() == Verdict.ABORT, aborts)
+
+    def test_latencies_of_too_few_outcomes_are_no_baseline(self):
+        engine = balancer(told=news())
+        engine.baseline.pre_trial = PreTrialBaseline(
             {("read", "std"): LatencyStats(900, 19, 500)}, 50.0, 0.0
         )
-        judged(made, Outcome.DONE, "old-1", 60, latency=5000)
-        self.assertIsNone(made.slowdown.since)
-
-    def test_an_instance_with_little_traffic_or_of_a_crowd_does_not_judge_all(self):
-        for rate, places, judges in ((13, 9, False), (17, 9, True), (17, 2, False)):
-            made = balancer(told=news())
-            made.baseline.earlier_endpoint_count = places
-            made.context.arrivals.add(NOW, 8 * rate)
-            made.baseline.non_retries.add(NOW, 8 * rate)
-            made.baseline.capture_pre_trial()
-            self.assertEqual(made.baseline.pre_trial is not None, judges)
-
-    def test_deferrals_that_hide_slowness_count_as_slow(self):
-        for usually_deferred, told in ((0.0, True), (0.5, False)):
-            made = balancer(told=news())
-            made.baseline.pre_trial, made.split.fraction = (
-                PreTrialBaseline(USUAL, 50.0, usually_deferred),
+        record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=5000)
+        self.assertIsNone(engine.slowdown.since)
+
+    def test_a_baseline_needs_enough_traffic_and_a_small_fleet(self):
+        for rate, endpoint_count, captured in ((13, 9, False), (17, 9, True), (17, 2, False)):
+            engine = balancer(told=news())
+            engine.baseline.earlier_endpoint_count = endpoint_count
+            engine.context.arrivals.add(NOW, 8 * rate)
+            engine.baseline.non_retries.add(NOW, 8 * rate)
+            engine.baseline.capture_pre_trial()
+            self.assertEqual(engine.baseline.pre_trial is not None, captured)
+
+    def test_rejections_count_as_slow_unless_they_were_usual(self):
+        for usual_rejected_fraction, detected in ((0.0, True), (0.5, False)):
+            engine = balancer(told=news())
+            engine.baseline.pre_trial, engine.split.fraction = (
+                PreTrialBaseline(USUAL_STATS, 50.0, usual_rejected_fraction),
                 0.3,
             )
-            made.admission.target_latencies.add(NOW - TICKS_PER_SECOND, 2)
-            made.handle(NOW, [taken(str(n)) for n in range(60)])
-            self.assertEqual(made.slowdown.since is not None, told)
+            engine.admission.target_latencies.add(NOW - TICKS_PER_SECOND, 2)
+            engine.handle(NOW, [taken(str(number)) for number in range(60)])
+            self.assertEqual(engine.slowdown.since is not None, detected)
 
-    def test_rejections_of_its_first_seconds_hide_no_later_ones(self):
+    def test_rejections_at_startup_do_not_mask_later_ones(self):
         """A sidecar that started under load rejected 294 of its first 715 requests, and 0.39 was taken for usual when a
         build was offered 3 s later. None was rejected for eight seconds after that; then the build, released, was
         slow under load, and 2,500 rejections in five seconds were no evidence against it, as 0.39 was usual."""
-        made = balancer(told=news())
-        made.baseline.pre_trial = PreTrialBaseline(USUAL, 50.0, 0.39)
+        engine = balancer(told=news())
+        engine.baseline.pre_trial = PreTrialBaseline(USUAL_STATS, 50.0, 0.39)
         for second in range(10):
-            made.context.now += TICKS_PER_SECOND
-            made.context.arrivals.add(made.context.now, 50)
-            made.baseline.rejected.add(made.context.now, 20 * (second < 1))
-            made.baseline.non_retries.add(made.context.now, 50)
-            made.baseline.capture_pre_trial()
-        self.assertEqual(made.baseline.pre_trial, PreTrialBaseline(USUAL, 50.0, 0.0))
+            engine.context.now += TICKS_PER_SECOND
+            engine.context.arrivals.add(engine.context.now, 50)
+            engine.baseline.rejected.add(engine.context.now, 20 * (second < 1))
+            engine.baseline.non_retries.add(engine.context.now, 50)
+            engine.baseline.capture_pre_trial()
+        self.assertEqual(engine.baseline.pre_trial, PreTrialBaseline(USUAL_STATS, 50.0, 0.0))
         for _ in range(20):
-            made.slowdown.add_rejection()
-        self.assertIsNotNone(made.slowdown.since)
-
-    def test_an_answer_within_the_clocks_step_is_no_mean_of_nothing(self):
-        made = balancer(told=news())
-        judged(made, Outcome.DONE, "old-1", 60, latency=0)
-        made.baseline.pre_trial = PreTrialBaseline(dict(made.baseline.latency_stats), 50.0, 0.0)
-        judged(made, Outcome.DONE, "old-1", 1, latency=0)
-        judged(made, Outcome.DONE, "old-1", 1, latency=500)
-        self.assertEqual(made.baseline.pre_trial[0]["read", "std"][1], 60)
+            engine.slowdown.add_rejection()
+        self.assertIsNotNone(engine.slowdown.since)
+
+    def test_latencies_of_zero_ticks_do_not_divide_by_zero(self):
+        engine = balancer(told=news())
+        record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=0)
+        engine.baseline.pre_trial = PreTrialBaseline(dict(engine.baseline.latency_stats), 50.0, 0.0)
+        record_outcomes(engine, Outcome.DONE, "old-1", 1, latency=0)
+        record_outcomes(engine, Outcome.DONE, "old-1", 1, latency=500)
+        self.assertEqual(engine.baseline.pre_trial[0]["read", "std"][1], 60)
