--- a/tests/unit/policy/outcomes.py
+++ b/tests/unit/policy/outcomes.py
@@ -1,4 +1,4 @@
-"""An instance that judges a build on trial, and outcomes that it books."""
+"""Helpers for tests of the evidence: an engine that evaluates a build, and attempts that ended."""
 
 from tests.support.decisions import NOW, balancer, news, taken
 from thymeknot.policy.baseline import LatencyStats, PreTrialBaseline
@@ -15,7 +15,7 @@
 
 
 def record_outcomes(engine, outcome, address, times=1, latency=1000, key=None):
-    """Books outcomes of one pod, as deliveries that ended just so."""
+    """Records attempts at one endpoint that ended with this outcome and latency."""
     for number in range(times):
         request = RequestState(
             taken(f"{address}-{number}", key=key),
--- a/tests/unit/policy/test_global_slowdown.py
+++ b/tests/unit/policy/test_global_slowdown.py
@@ -1,4 +1,4 @@
-"""Slowness of all endpoints since the offer."""
+"""Detection of a slowdown of all endpoints since the trial began."""
 
 import unittest
 
@@ -72,10 +72,11 @@
             self.assertEqual(engine.baseline.traffic_ratio() > 1.5, is_high)
 
     def test_the_mean_latency_reveals_a_slowdown_below_the_slow_threshold(self):
+        # Latencies spread as in real traffic: few are far above the mean.
         for latency_ratio, slow in (
             (1.2, False),
             (1.9, True),
-        ):  # spread as work is: few are far above the mean
+        ):
             engine = evaluating_engine()
             for spread in (0.4, 0.6, 0.8, 1.0, 1.3, 1.9) * 12:
                 record_outcomes(
@@ -84,7 +85,8 @@
             self.assertEqual(engine.slowdown.since is not None, slow)
 
     def test_a_build_with_a_fifth_of_the_keys_can_be_blamed(self):
-        # With three stages the second one ends there: nothing moved on and nothing was sent back, for good.
+        # With three stages the second one ends at this fraction. When a build with so few keys could
+        # not be blamed, it was neither promoted nor aborted, for good.
         for fraction, aborts in ((0.08, False), (0.2, True)):
             engine = evaluating_engine()
             engine.split.fraction = fraction
@@ -122,9 +124,13 @@
             self.assertEqual(engine.slowdown.since is not None, detected)
 
     def test_rejections_at_startup_do_not_mask_later_ones(self):
-        """A sidecar that started under load rejected 294 of its first 715 requests, and 0.39 was taken for usual when a
-        build was offered 3 s later. None was rejected for eight seconds after that; then the build, released, was
-        slow under load, and 2,500 rejections in five seconds were no evidence against it, as 0.39 was usual."""
+        """Guards against a baseline that keeps the rejections of a sidecar's first seconds.
+
+        A sidecar that started under load rejected 294 of its first 715 requests. The trial began 3 s
+        later with a usual rejected fraction of 0.39. None was rejected for the next eight seconds,
+        but when the released build was slow under load, 2,500 rejections in five seconds were no
+        evidence against it.
+        """
         engine = balancer(told=news())
         engine.baseline.pre_trial = PreTrialBaseline(USUAL_STATS, 50.0, 0.39)
         for second in range(10):
--- a/tests/unit/policy/test_large_fleets.py
+++ b/tests/unit/policy/test_large_fleets.py
@@ -1,4 +1,4 @@
-"""Hundreds of quiet sidecars: sums of small parts, drawn pods, thin evidence."""
+"""Fleets of hundreds of sidecars, each with little traffic: subsets, sparse evidence, staggering."""
 
 import unittest
 
@@ -32,7 +32,7 @@
 
 
 def redraw_subset(seed, engine):
-    """One of many: it has yet to draw its pods, by a seed of its own."""
+    """Gives an engine a seed of its own and makes it draw its endpoint subset again."""
     engine.context.rng.state = (seed + 1) * 0x9E3779B97F4A7C15 & 0xFFFFFFFFFFFFFFFF
     for known in engine.context.endpoints.values():
         known.subset_rank = None
@@ -60,12 +60,15 @@
             self.assertEqual(len(engine.context.subsets[True]), expected_size)
 
     def test_new_endpoints_are_as_likely_to_be_used_as_those_in_use(self):
-        """A stage of nine in ten, a way back, a zone that starts again: all at once the old ones would take it all."""
+        """Guards against endpoints in use that keep all traffic when many new ones appear at once.
+
+        This happens in a stage of nine in ten machines, in a rollback and when a zone restarts.
+        """
         early = [pod(f"new-{n}", 2) for n in range(27)]
         for late in (
-            [pod(f"new-{n}", 2, NOW) for n in range(27, 108)],  # the next stage's
-            [endpoint._replace(started=NOW) for endpoint in early[:20]],
-        ):  # the same, started again
+            [pod(f"new-{n}", 2, NOW) for n in range(27, 108)],  # endpoints of the next stage
+            [endpoint._replace(started=NOW) for endpoint in early[:20]],  # restarted endpoints
+        ):
             late_used, used = 0, 0
             for seed in range(60):
                 engine = redraw_subset(
@@ -165,7 +168,7 @@
 
 
 class GlobalSlowdownOfALargeFleet(unittest.TestCase):
-    """Of a crowd each sees three transactions a second: the platform's counts are the same for all."""
+    """Each instance sees three requests per second; the platform's counts are the same for all."""
 
     def record_period(self, engine, mean, failed=0, attempts=80, newest_attempts=20):
         engine.context.now += 2 * TICKS_PER_SECOND
@@ -209,9 +212,9 @@
 
     def test_other_causes_of_slowness_do_not_abort(self):
         for cause, mean, failed, attempts in (
-            ("a little slower", 2_700, 3, 80),
+            ("slightly slower", 2_700, 3, 80),
             ("a burst", 3_900, 5, 130),
-            ("failures of a tenth", 2_200, 8, 80),
+            ("a tenth fails", 2_200, 8, 80),
         ):
             engine = self.evaluating_engine()
             verdicts = {self.record_period(engine, mean, failed, attempts) for _ in range(5)}
@@ -232,9 +235,8 @@
             0.3,
         )
         engine.raise_split()
-        self.assertEqual(
-            engine.split.fraction, before
-        )  # what slows all in step with the trial's traffic gets no more of it
+        # A build that slows down all endpoints gets no more traffic.
+        self.assertEqual(engine.split.fraction, before)
         self.assertNotIn(Verdict.ABORT, [self.record_period(engine, 2_300) for _ in range(4)])
         self.assertIsNone(engine.slowdown.since)
         engine.raise_split()
@@ -242,10 +244,13 @@
 
 
 class LastStage(unittest.TestCase):
-    """What slows all in step with its traffic shows in the platform's counts of the last stage, or too late."""
+    """A build that slows all endpoints by its own traffic shows in the last stage's counts, or too late."""
 
     def last_stage_verdict(self, stage, counted, **settings):
-        """That of an instance whose trial has its last stage's pods since NOW. counted: when the last period ended."""
+        """Returns the verdict of an instance whose newest endpoints all started at NOW.
+
+        The last period that the platform counted ended at `counted`.
+        """
         settings = {
             "instances": 216,
             "votes_to_revert": 54,
@@ -279,21 +284,21 @@
             ("counted when they were warm", 4, warm, Verdict.PROMOTE, {}),
             ("an earlier stage", 3, warm - TICKS_PER_SECOND, Verdict.PROMOTE, {}),
             (
-                "few sidecars, who see enough each",
+                "few sidecars, each with enough traffic",
                 4,
                 warm - TICKS_PER_SECOND,
                 Verdict.PROMOTE,
                 {"instances": 20},
             ),
             (
-                "a platform that has told of one period alone",
+                "a platform that has counted a single period",
                 4,
                 NOW - 8 * TICKS_PER_SECOND,
                 Verdict.PROMOTE,
                 {},
             ),
             (
-                "a platform that tells nothing any more",
+                "a platform that has stopped counting",
                 4,
                 NOW - 2 * TICKS_PER_SECOND,
                 Verdict.PROMOTE,
@@ -313,17 +318,18 @@
 
 
 class ManyColdEndpoints(unittest.TestCase):
-    """A stage brings most of the trial's pods at once; what they get at first is next to nothing."""
+    """A stage starts most of the newest build's endpoints at once; cold ones get little traffic."""
 
     def test_in_a_large_fleet_the_ramp_waits_for_cold_endpoints(self):
         warm, cold = (
             [pod(f"new-{n}", 2) for n in range(9)],
             [pod(f"new-{n}", 2, NOW) for n in range(9, 27)],
         )
+        # 9 warm endpoints among 49 give a fraction of 0.18.
         for instances, lowest, highest in (
             (216, 0.18, 0.2),
             (2, 0.24, 0.28),
-        ):  # of 40 and nine, that is 0.18
+        ):
             engine = balancer(*OLD_ENDPOINTS, *warm, *cold, told=news(cap=1.0), instances=instances)
             engine.slow_start.update_capacity()
             engine.split.fraction_updated_at = NOW - 9 * TICKS_PER_SECOND
@@ -347,9 +353,8 @@
                 FleetCounts(2, "read", 23, 9, 3_800, 7_000),
             ]
             engine.fleet.process_pending()
-            self.assertGreater(
-                engine.sequential_test.evidence_ratio, 0.5, late_count
-            )  # nothing moves on, and the next such period sends it back
+            # The build is paused, and the next such period aborts it.
+            self.assertGreater(engine.sequential_test.evidence_ratio, 0.5, late_count)
 
 
 class SparseEvidence(unittest.TestCase):
@@ -380,9 +385,8 @@
 
     def test_a_network_that_loses_everything_does_not_invert_the_evidence(self):
         engine = balancer(told=news(), instances=400, votes_to_revert=100)
-        engine.handle(
-            NOW, [news(phase=ReleasePhase.RELEASED, cap=1.0)]
-        )  # the earlier build is counted no more
+        # After a release the platform no longer counts the earlier build.
+        engine.handle(NOW, [news(phase=ReleasePhase.RELEASED, cap=1.0)])
         engine.selection.connection_loss_rate = 0.99
         engine.handle(NOW, [FleetCounts(2, "read", 40, 40, 1_000, 0)])
         engine.fleet.process_pending()
@@ -419,11 +423,12 @@
 
 class ScalingWithFleetSize(unittest.TestCase):
     def test_votes_for_promotion_are_spread_over_time(self):
-        # 400 at 100 a second: 200 at once, 200 in two seconds; never before half of the time after a start.
+        # 400 votes at 100 per second: 200 in one burst, 200 within two seconds. The first ones come
+        # early by at most half of the warm-up wait, which is 8/3 s.
         for rate, first, span, burst in (
             (100.0, -1.0, 2, 25),
             (20.0, -4 / 3, 18, 5),
-        ):  # of 8/3 s
+        ):
             offsets = []
             for seed in range(50):
                 engine = balancer(instances=400, votes_per_second=rate)
--- a/tests/unit/policy/test_sequential_test.py
+++ b/tests/unit/policy/test_sequential_test.py
@@ -1,4 +1,4 @@
-"""What one endpoint, zone or second may add to the evidence against a build."""
+"""Limits on what one endpoint, zone or second may add to the evidence against a build."""
 
 import unittest
 
@@ -52,7 +52,7 @@
             record_outcomes(engine, Outcome.TIMED_OUT, f"new-{n}")
         self.assertNotEqual(engine.voting.verdict(), Verdict.ABORT)
         for n in range(3, 9):
-            engine.context.now += TICKS_PER_SECOND  # a second is one piece of evidence
+            engine.context.now += TICKS_PER_SECOND  # the contribution of each second is capped
             record_outcomes(engine, Outcome.TIMED_OUT, f"new-{n}")
         self.assertEqual(engine.voting.verdict(), Verdict.ABORT)
 
@@ -70,7 +70,8 @@
         self.assertEqual(verdicts[2], Verdict.ABORT)
 
     def test_failures_in_one_zone_do_not_abort_but_in_two_zones_they_do(self):
-        # A trial's pods are new: there connections fail in 0.25 s, where the earlier build's time out much later.
+        # When a zone is lost, connections to the new endpoints of a trial fail within 0.25 s, while
+        # attempts at the earlier build's endpoints time out much later.
         endpoints = [pod(f"old-{n}", zone="abc"[n % 3]) for n in range(9)]
         endpoints += [pod(f"new-{n}", 2, zone="abc"[n % 3]) for n in range(9)]
         for zones, min_evidence_ratio, verdict in (
--- a/tests/unit/policy/test_traffic_split.py
+++ b/tests/unit/policy/test_traffic_split.py
@@ -1,4 +1,4 @@
-"""Which keys go to the newest build."""
+"""The fraction of the keys that the newest build serves."""
 
 import unittest
 
--- a/tests/unit/policy/test_trial_evidence.py
+++ b/tests/unit/policy/test_trial_evidence.py
@@ -1,4 +1,4 @@
-"""Which outcomes speak against the newest build, and how the earlier one excuses them."""
+"""Outcomes that count as evidence against the newest build, and the earlier build's part in it."""
 
 import unittest
 
@@ -54,8 +54,10 @@
         self.assertLessEqual(max(engine.sequential_test.sums.values()), 0)
 
     def test_vote_evidence_includes_the_excluded_outcomes(self):
-        """A vote's log line names the evidence; without what was left out of it, no evidence, excused evidence and
-        evidence that weighs too little read alike."""
+        """Guards against vote log lines that do not show what was excluded.
+
+        Without it, missing evidence, excluded evidence and too little evidence look the same.
+        """
         engine = balancer(pod("old-1"), pod("new-1", 2), told=news())
         record_outcomes(engine, Outcome.DONE, "old-1", 50)
         record_outcomes(engine, Outcome.DONE, "new-1", 7)
@@ -95,7 +97,7 @@
         record_outcomes(engine, Outcome.DONE, "old-1", 40)
         record_outcomes(engine, Outcome.DONE, "new-1")
         self.assertLess(engine.sequential_test.null_rates["failed"], 0.02)
-        record_outcomes(engine, Outcome.TIMED_OUT, "old-1", 40)  # and while it lasts it is the rate
+        record_outcomes(engine, Outcome.TIMED_OUT, "old-1", 40)  # a storm that lasts sets the rate
         record_outcomes(engine, Outcome.DONE, "new-1")
         self.assertGreater(engine.sequential_test.null_rates["failed"], 0.4)
 
@@ -117,10 +119,11 @@
         self.assertNotEqual(engine.voting.verdict(), Verdict.ABORT)
 
     def test_after_a_release_counts_abort_only_above_the_tolerated_rate(self):
+        # Failures of a hundred attempts: half of the machines leave at once after a release.
         for failed, aborts in (
             (27, False),
             (45, True),
-        ):  # of a hundred: half of the machines leave at once
+        ):
             engine = balancer(told=news())
             engine.handle(NOW, [news(4, ReleasePhase.RELEASED, 1.0)])
             for period in range(4):
--- a/tests/unit/policy/test_voting.py
+++ b/tests/unit/policy/test_voting.py
@@ -1,4 +1,4 @@
-"""When the instance votes, and for what."""
+"""When an instance votes, and with which verdict."""
 
 import unittest
 
@@ -64,7 +64,8 @@
         self.assertIn(CastVote(2, 1, Verdict.PROMOTE), engine.context.actions)
 
     def test_endpoints_of_a_withdrawn_build_do_not_delay_the_next_one(self):
-        # News comes before the list: what drains by then was counted, and half of the sidecars never voted.
+        # The release update arrives before the endpoint list. When endpoints that were still to drain
+        # counted towards the next build's stage, half of the sidecars never voted for it.
         earlier, withdrawn = (
             [pod(f"o-{n}") for n in range(40)],
             [pod(f"g-{n}", 2) for n in range(40)],
@@ -110,11 +111,12 @@
             self.assertEqual(engine.voting.verdict(), verdict, (warmup_seconds, age))
 
     def test_the_last_promotion_waits_until_the_newest_endpoints_are_fully_warm(self):
+        # The warm-up takes 4 s; an endpoint has 0.75 of its capacity after 2.7 s.
         for stage, age, verdict in (
             (1, 3.1, Verdict.PROMOTE),
             (4, 3.1, Verdict.ABSTAIN),
             (4, 4.1, Verdict.PROMOTE),
-        ):  # cold: 4 s, 0.75 after 2.7
+        ):
             engine = balancer(pod("old-1"), pod("new-1", 2, NOW), told=news(stage=stage))
             (
                 engine.voting.turn_offset,
