--- a/thymeknot/policy/context.py
+++ b/thymeknot/policy/context.py
@@ -37,7 +37,7 @@
 class BuildState(Enum):
     """How this instance treats the newest build."""
 
-    NOT_EVALUATED = "usual"
+    NOT_EVALUATED = "not evaluated"
     """Not seen on trial by this instance, which therefore does not evaluate it."""
     ON_TRIAL = "on trial"
     RELEASED = "released"
@@ -80,13 +80,13 @@
     """
 
     def __init__(
-        self, settings: Settings, seed: int, now: Ticks, say: ReasonCallback | None
+        self, settings: Settings, seed: int, now: Ticks, reason_callback: ReasonCallback | None
     ) -> None:
         self.settings = settings
         self.now = now
         self.rng = LinearCongruentialGenerator(seed)
         self.actions: list[Action] = []
-        self.reason_callback = say
+        self.reason_callback = reason_callback
         self.request_id: str | None = None
         self.first_traffic_at: Ticks | None = None
         self.release: Release | None = None
--- a/thymeknot/policy/fleet_evidence.py
+++ b/thymeknot/policy/fleet_evidence.py
@@ -145,7 +145,7 @@
 def _slowness_step(
     newest: Sequence[FleetCounts], earlier: dict[str, FleetCounts], mean_warmup: float
 ) -> float:
-    """Returns the evidence from mean latencies, by request classes that both builds serve."""
+    """Returns the evidence from the mean latencies of request classes that both builds serve."""
     step = 0.0
     for row in newest:
         successes, earlier_row = row.attempts - row.failed, earlier.get(row.request_class)
--- a/thymeknot/policy/global_slowdown.py
+++ b/thymeknot/policy/global_slowdown.py
@@ -77,11 +77,12 @@
     def _add_latency(
         self, outcome: Outcome, latency: Ticks, mean: float, traffic_ratio: float
     ) -> None:
+        """Adds a latency relative to the usual one; high traffic explains its square."""
         expected_ratio = traffic_ratio**2 if traffic_ratio > HIGH_TRAFFIC_RATIO else 1
         ratio = MAX_LATENCY_RATIO
         if outcome != Outcome.TIMED_OUT:
             ratio = min(MAX_LATENCY_RATIO, latency / mean / expected_ratio)
-        self._add(ratio - CHANCE_LATENCY_RATIO, self.context.now)
+        self._add_evidence(ratio - CHANCE_LATENCY_RATIO, self.context.now)
 
     def add_counts(
         self, rows: Sequence[FleetCounts], fleet_baseline: FleetBaseline, period_start: Ticks
@@ -108,12 +109,17 @@
             and self.split.fraction >= MIN_BLAMED_FRACTION
         ):
             if context.promoted_by_votes and context.is_large_fleet():
-                self._add(step, period_start)
+                self._add_evidence(step, period_start)
             if step > 0:
                 return
         fleet_baseline.update(rows, MIN_LEARNING_GAIN)
 
-    def _add(self, step: float, since: Ticks) -> None:
+    def _add_evidence(self, step: float, since: Ticks) -> None:
+        """Adds to the sum and updates when the slowdown began.
+
+        While the newest build has too few keys to be blamed, the start moves along, so that the
+        tolerated time begins only when it has enough.
+        """
         bound = self.baseline.test.abort_bounds[Symptom.SLOW]
         self.evidence = max(
             -bound * EVIDENCE_FLOOR_RATIO, min(EVIDENCE_CEILING_RATIO * bound, self.evidence + step)
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -18,8 +18,8 @@
     """What an update changes about the newest build."""
 
     OFFERED = "offered"
-    FOUND_AFTER_TRIAL = "met"
-    """A new build whose first update finds it past its trial: released or withdrawn."""
+    FOUND_AFTER_TRIAL = "found after trial"
+    """A new build that is no longer on trial in the first update about it."""
     STAGE_CHANGED = "stage changed"
     WITHDRAWN = "withdrawn"
     RELEASED = "released"
@@ -28,7 +28,7 @@
 class Effect(Enum):
     """What a change makes the other parts of the engine do."""
 
-    RESET = "restart"
+    RESET = "reset"
     NEXT_STAGE = "next stage"
     NONE = "none"
 
@@ -124,6 +124,7 @@
 
 
 def _change_between(previous: Release | None, current: Release) -> ReleaseChange | None:
+    """Returns what changed from one rollout state to the next; None if nothing did."""
     if previous is None or previous.build != current.build:
         on_trial = current.phase == ReleasePhase.ON_TRIAL
         return ReleaseChange.OFFERED if on_trial else ReleaseChange.FOUND_AFTER_TRIAL
--- a/thymeknot/policy/sequential_test.py
+++ b/thymeknot/policy/sequential_test.py
@@ -2,8 +2,7 @@
 
 Each outcome adds its log likelihood ratio to the sum of a symptom. A sum above the abort bound
 means that the build is worse than the earlier one, a sum below the promotion bound that it is as
-good.
-Source: A. Wald, Sequential Tests of Statistical Hypotheses, 1945.
+good. Source: A. Wald, Sequential Tests of Statistical Hypotheses, 1945.
 """
 
 from enum import StrEnum
--- a/thymeknot/policy/trial_evidence.py
+++ b/thymeknot/policy/trial_evidence.py
@@ -64,9 +64,8 @@
         self.attempts = 0
         self.failed = 0
         self.excluded: Counter[Exclusion] = Counter()
-        self._counted_build: int | None = (
-            None  # the build that attempts, failed and excluded refer to
-        )
+        # The build that the three counts above refer to.
+        self._counted_build: int | None = None
 
     def reset_for_build(self, build: int) -> None:
         """Resets the counts if another build has become the newest."""
--- a/thymeknot/policy/voting.py
+++ b/thymeknot/policy/voting.py
@@ -129,8 +129,8 @@
     def verdict(self) -> Verdict:
         """Returns the instance's current verdict on the newest build.
 
-        Once above the abort bound, the verdict stays ABORT until the evidence falls below
-        PAUSE_RATIO of the bound.
+        Once above the abort bound, the verdict stays ABORT until the evidence ratio falls to
+        PAUSE_RATIO or below.
         """
         context = self.context
         release = context.release
@@ -171,7 +171,7 @@
         return max(ratio, SLOWDOWN_ABORT_RATIO if tolerance_passed and is_slow else 1.0)
 
     def _stage_is_ready(self, release: Release) -> bool:
-        """Returns whether the stage's endpoints are listed and warm, and it is this one's turn.
+        """Returns whether the stage's endpoints are listed and warm and this instance may vote.
 
         A lagging endpoint list hides endpoints that must be evaluated. An endpoint that restarts,
         for example after a zone was lost, keeps the start time under which it was first listed.
@@ -251,7 +251,8 @@
         if vote is None or not is_standing or vote.build != new_vote.build:
             return False
         stage_changed = vote.stage != new_vote.stage or release.phase != ReleasePhase.ON_TRIAL
-        return not (vote.verdict == Verdict.PROMOTE and stage_changed)  # it no longer has effect
+        # An accepted vote for promotion has no effect once the stage or phase has changed.
+        return not (vote.verdict == Verdict.PROMOTE and stage_changed)
 
     def handle_response(self, update: ReleaseUpdate) -> None:
         """Records an accepted vote, or schedules the retry of one that was rejected or lost.
