--- a/thymeknot/raft/message_codec.py
+++ b/thymeknot/raft/message_codec.py
@@ -189,28 +189,29 @@
         MessageError: The message is oversized, forged, malformed, misaddressed or replayed.
     """
     _check_length(content)
+    # The texts of these errors are sent to the peer in an AMP error, so they stay as they are.
     owner = keyring.owner(key, unix_time)
     if owner is None:
-        raise MessageError("unknown", "the signing key is not in the keyring, or it was revoked")
+        raise MessageError("unknown", "the key is none of the ring's, or was revoked")
     if not keyring.holds(key, SIGNATURE_CONTEXT + content, signature):
-        raise MessageError("forged", f"the signature is not valid for the key of {owner}")
+        raise MessageError("forged", f"not signed by {owner}")
     try:
         message = msgspec.msgpack.decode(content, type=SignedMessage)
     except (msgspec.DecodeError, msgspec.ValidationError) as error:
-        raise MessageError("nonsense", f"malformed signed message: {error}") from None
+        raise MessageError("nonsense", f"no letter: {error}") from None
     if message.sender != owner:
-        raise MessageError("forged", f"signed by {owner}, but the sender field is {message.sender}")
+        raise MessageError("forged", f"signed by {owner}, and says that it is of {message.sender}")
     if message.to != receiver:
-        raise MessageError("misled", f"addressed to {message.to}")
+        raise MessageError("misled", f"it is for {message.to}")
     if message.session != session or message.number <= last_number:
-        raise MessageError("replayed", "sent on another connection, or received before")
+        raise MessageError("replayed", "it is of another connection, or came before")
     return message
 
 
 def _check_length(content: bytes) -> None:
     if len(content) > MAX_MESSAGE_BYTES:
         raise MessageError(
-            "oversized", f"the message has {len(content)} bytes, the maximum is {MAX_MESSAGE_BYTES}"
+            "oversized", f"{len(content)} bytes are more than the {MAX_MESSAGE_BYTES} of a letter"
         )
 
 
@@ -223,7 +224,7 @@
     try:
         return msgspec.msgpack.decode(content, type=dict[str, Any])
     except (msgspec.DecodeError, msgspec.ValidationError, RecursionError) as error:
-        raise MessageError("nonsense", f"the body is not a mapping: {error}") from None
+        raise MessageError("nonsense", f"no mapping: {error}") from None
 
 
 __all__ = [
