--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -84,7 +84,7 @@
             def __init__(self, name, told):
                 self.name, self.told = name, told
 
-            def ask(self, kind, body):
+            def send_request(self, kind, body):
                 asked.append((self.name, kind, msgspec.msgpack.decode(body).get("number")))
                 return Deferred() if self.told is None else succeed(self.told)
 
@@ -98,7 +98,7 @@
         one = client.RaftClient(
             deadlines, ways, LinearCongruentialGenerator(1), "n1", 5, msgspec.msgpack.encode
         )
-        one.place, found = 0, []
+        one.next_node, found = 0, []
         one.propose({"do": "x"}).addCallback(found.append)
         clock.pump([0.01] * 20)
         self.assertEqual(found, [{"ok": True}])
--- a/tests/unit/raft/test_node.py
+++ b/tests/unit/raft/test_node.py
@@ -144,7 +144,7 @@
             effects_of(effects, CommandCompleted), [CommandCompleted("t", {"ok": True, "place": 1})]
         )
         cluster.advance_time(600)
-        self.assertEqual([node.machine.order for node in cluster.nodes.values()], [[1]] * 3)
+        self.assertEqual([node.machine.write_ids for node in cluster.nodes.values()], [[1]] * 3)
         self.assertEqual(
             effects_of(cluster.handle("a", ReadRequested("r")), ReadReady), [ReadReady("r", 2)]
         )
@@ -166,7 +166,7 @@
             "a", "a", SETTINGS, LinearCongruentialGenerator(2), recovered, Register(), cluster.now
         )
         cluster.elect()
-        self.assertEqual((cluster.nodes["a"].machine.order, cluster.nodes["a"].term), ([1], 2))
+        self.assertEqual((cluster.nodes["a"].machine.write_ids, cluster.nodes["a"].term), ([1], 2))
 
     def test_repeated_sequence_number_gets_the_same_reply(self):
         cluster = Cluster()
@@ -175,7 +175,7 @@
             effects_of(cluster.propose("a", 1), CommandCompleted) for _ in range(2)
         )
         self.assertEqual(first_reply, repeated_reply)
-        self.assertEqual(cluster.nodes["a"].machine.order, [1])
+        self.assertEqual(cluster.nodes["a"].machine.write_ids, [1])
 
     def test_vote_is_sent_only_once_durable_and_once_per_term(self):
         node = new_node("b", 0)
@@ -277,7 +277,7 @@
         cluster.propose("a", 31, part="keepers", do="add", name="d", life=7)
         self.assertEqual(cluster.nodes["d"].role, Role.LEARNER)
         cluster.advance_time(600)
-        self.assertEqual(cluster.nodes["d"].machine.order, leader.machine.order)
+        self.assertEqual(cluster.nodes["d"].machine.write_ids, leader.machine.write_ids)
         cluster.propose("a", 32, part="keepers", do="promote", name="d")
         self.assertEqual(leader.log.members, Members({"a": 0, "b": 0, "c": 0, "d": 7}, {}))
         cluster.propose("a", 33, part="keepers", do="transfer", name="d")
--- a/tests/unit/raft/test_peer_server.py
+++ b/tests/unit/raft/test_peer_server.py
@@ -87,7 +87,7 @@
                 now,
             ),
             storage,
-            lambda query: {"writes": len(self.register.order), "query": query},
+            lambda query: {"writes": len(self.register.write_ids), "query": query},
         )
         self.addCleanup(self.server.close)
 
@@ -128,7 +128,7 @@
 
     def lead(self):
         self.clock.pump([0.01] * 80)
-        self.assertEqual(self.server.keeper.role, Role.LEADER)
+        self.assertEqual(self.server.raft_node.role, Role.LEADER)
 
     def test_command_and_read_are_answered(self):
         self.lead()
@@ -171,7 +171,7 @@
         answer = self.asked(connection, PROPOSE, self.command(), 9, by=stranger)
         self.assertIsInstance(answer, RequestRejectedError)
         self.assertEqual(self.server.rejected["unknown"], 1)
-        self.assertEqual(self.register.order, [])
+        self.assertEqual(self.register.write_ids, [])
 
     def test_message_of_no_node_is_counted(self):
         line, _, pump, session = self.connect()
--- a/thymeknot/coordination/cluster_clock.py
+++ b/thymeknot/coordination/cluster_clock.py
@@ -53,7 +53,7 @@
 
     def _tick(self) -> None:
         self.timer = self.timers.add(self.timers.clock() + self.interval, self._tick)
-        if self.member.server.keeper.role != LEADER:
+        if self.member.server.raft_node.role != LEADER:
             self.declared_at = 0
             return
         if self.pending:
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -166,7 +166,7 @@
         parts = built(settings, section, folder)
         self.ring = parts.ring
         if self.member:
-            self.member.server.sources = parts.networks
+            self.member.server.allowed_hosts = parts.networks
 
     def leave(self) -> None:
         """Ends the feature; the unit counts as unavailable once it was not seen for long enough."""
--- a/thymeknot/raft/client.py
+++ b/thymeknot/raft/client.py
@@ -43,7 +43,7 @@
 class Channel(Protocol):
     """The way to one node."""
 
-    def ask(self, kind: int, body: bytes) -> Deferred[dict[str, Any]] | None:
+    def send_request(self, kind: int, body: bytes) -> Deferred[dict[str, Any]] | None:
         """Sends a command or query; None where nothing can be sent now."""
 
 
@@ -113,7 +113,8 @@
         self._number = 0  # of the last command
         self._names = sorted(channels)
         self._leader: str | None = None
-        self.place = int(random_source.draw() * len(self._names))  # whom to ask without a leader
+        # Index of the node to ask while no leader is known.
+        self.next_node = int(random_source.draw() * len(self._names))
         self._queue: deque[_Request] = deque()
         self._current: _Request | None = None  # the command that is out
         self._budget = float(RETRY_BUDGET)
@@ -202,10 +203,10 @@
             return
         request.attempts += 1
         request.serial += 1
-        name = self._names[self.place % len(self._names)]
+        name = self._names[self.next_node % len(self._names)]
         if self._leader is not None and self._leader in self._channels:
             name = self._leader
-        answer = self._channels[name].ask(request.kind, self._encode(request.body))
+        answer = self._channels[name].send_request(request.kind, self._encode(request.body))
         if answer is None:
             self._try_another(request, name)
             return
@@ -258,7 +259,7 @@
         request.serial += 1
         if self._leader == name:
             self._leader = None
-        self.place += 1
+        self.next_node += 1
         self._retry_after(request, max(min(at_least, MIN_BACKOFF), self._backoff(request)))
 
     def _backoff(self, request: _Request) -> Ticks:
--- a/thymeknot/raft/model_checker.py
+++ b/thymeknot/raft/model_checker.py
@@ -156,7 +156,7 @@
         )
         if clients.writes < wanted and not self.bereft:
             raise StandstillError("nothing is agreed though all faults are over")
-        longest = max(len(host.register.order) for host in hosts)
+        longest = max(len(host.register.write_ids) for host in hosts)
         if clients.writes > before and clients.acknowledged > longest:
             raise InvariantError("what was acknowledged is gone")
 
--- a/thymeknot/raft/peer_channel.py
+++ b/thymeknot/raft/peer_channel.py
@@ -104,7 +104,7 @@
         if signed and self._connection:
             self._connection.call(DeliverMessage, **signed)
 
-    def ask(self, kind: int, body: bytes) -> Deferred[dict[str, Any]] | None:
+    def send_request(self, kind: int, body: bytes) -> Deferred[dict[str, Any]] | None:
         """Sends a command or query.
 
         Returns:
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -87,7 +87,7 @@
         timers: of the process.
         identity: what this node signs with.
         ring: gives the keyring of now.
-        sources: the hosts that may connect.
+        allowed_hosts: the hosts that may connect.
         channels: the ways to the other nodes, by name.
         make_node: makes the node, given the moment, with what the storage gave back.
         storage: this node's.
@@ -100,13 +100,13 @@
         timers: Timers,
         identity: Signer,
         ring: Callable[[], Verifier],
-        sources: Container[str],
+        allowed_hosts: Container[str],
         channels: Mapping[str, PeerChannel],
         make_node: Callable[[Ticks], RaftNode],
         storage: RaftStorage,
         look: Callable[[dict[str, Any] | None], Any],
     ) -> None:
-        self.sources = sources
+        self.allowed_hosts = allowed_hosts
         self.rejected: Counter[str] = Counter()
         self.connections: set[IncomingConnection] = set()
         self._reactor = reactor
@@ -134,7 +134,7 @@
             SetTimer: self._set_timer,
             SteppedDown: self._stepped_down,
         }
-        self.keeper = make_node(self._clock())
+        self.raft_node = make_node(self._clock())
         # A node that was just made has not said yet when it wants to be woken.
         self._timer: int | None = timers.add(self._clock() + 1, self._timer_due)
 
@@ -163,7 +163,7 @@
 
     def accept(self, address: Any) -> IncomingConnection | None:
         """A connection from this address, or None if it is rejected."""
-        if address.host not in self.sources:
+        if address.host not in self.allowed_hosts:
             self.reject("elsewhere", f"{address.host} is in none of the networks")
             return None
         if len(self.connections) >= MAX_CONNECTIONS:
@@ -263,7 +263,7 @@
         """Gives the node an event and carries out the effects."""
         if self._closed:
             return
-        node = self.keeper
+        node = self.raft_node
         for effect in node.handle(self._clock(), event):
             self._carry_out[type(effect)](effect)
         if node.role != self._logged_role:
--- a/thymeknot/raft/simulated_clients.py
+++ b/thymeknot/raft/simulated_clients.py
@@ -144,7 +144,7 @@
         if not isinstance(call, _ReadCall):
             return
         self.reads += 1
-        seen = len(host.register.order)
+        seen = len(host.register.write_ids)
         if seen < call.acknowledged:
             raise InvariantError(
                 f"{host.name} read {seen} writes of {call.acknowledged} that were "
--- a/thymeknot/raft/simulated_host.py
+++ b/thymeknot/raft/simulated_host.py
@@ -14,22 +14,22 @@
     """A state machine of writes in their order. Each names itself: one applied twice is seen."""
 
     def __init__(self) -> None:
-        self.order: list[str] = []
+        self.write_ids: list[str] = []
         self.times: Counter[str] = Counter()
 
     def apply(self, at: Ticks, command: Command) -> Reply:
         """Adds a write; its place is the reply."""
-        self.order.append(command["id"])
+        self.write_ids.append(command["id"])
         self.times[command["id"]] += 1
-        return {"ok": True, "place": len(self.order)}
+        return {"ok": True, "place": len(self.write_ids)}
 
     def image(self) -> list[str]:
         """The writes."""
-        return self.order
+        return self.write_ids
 
     def load(self, image: list[str]) -> None:
         """Replaces the writes."""
-        self.order = list(image)
+        self.write_ids = list(image)
         self.times = Counter(image)
 
 
