--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -15,7 +15,7 @@
 
 from tests.support.peers import PATIENCE, PodPeer, until
 from tests.support.programs import Program, patient
-from tests.unit.proxy.test_proxy import Network, entry, told
+from tests.unit.proxy.test_proxy import Network, configuration_object, endpoint_entry
 from thymeknot.interface.actions import CastVote, FetchEndpoints
 from thymeknot.interface.enums import Outcome, UpdateKind, Verdict
 from thymeknot.interface.events import EndpointUpdate, FleetCounts, ReleaseUpdate
@@ -37,7 +37,7 @@
 def list_message(version, *names, indent=None, full=True):
     return (
         json.dumps(
-            {"version": version, "full": full, "servers": [entry(name) for name in names]},
+            {"version": version, "full": full, "servers": [endpoint_entry(name) for name in names]},
             indent=indent,
         ).encode()
         + b"\n"
@@ -46,7 +46,7 @@
 
 class NetworkTestCase(unittest.TestCase):
     def setUp(self):
-        self.network = Network(entry("s-1"))
+        self.network = Network(endpoint_entry("s-1"))
         self.watch_streams = {
             2: self.network.proxy.endpoints.watch,
             3: self.network.proxy.releases.stream,
@@ -105,7 +105,7 @@
             b'{"id":"s-2"},\n',
             HEARTBEAT[2],
         ):  # an empty line within an incomplete object is whitespace, not a heartbeat
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             stream, elapsed = (
                 self.connect(2, HEARTBEAT[2], b'{"version":9,"full":true,"servers":[\n'),
                 0,
@@ -146,7 +146,7 @@
             (self.watch_streams[2].current, self.watch_streams[2].last_heartbeat),
             (new, last_heartbeat),
         )
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_connection_established_after_give_up_is_closed_without_a_request(self):
         for port in (2, 3):
@@ -164,7 +164,7 @@
             (HEAD + encode_chunk(b"noise\n"), "unreadable: invalid JSON"),
             (b"noise\r\n\r\n", "no status line"),
         ):
-            network, lines = Network(entry("s-1")), []
+            network, lines = Network(endpoint_entry("s-1")), []
             network.proxy.endpoints.watch.log = lambda event, lines=lines, **fields: lines.append(
                 (event, fields["reason"])
             )
@@ -182,7 +182,7 @@
             (3, platform.SILENCE_TIMEOUT, 4.01),
         ):
             for words in range(40):  # varies the time of the last heartbeat against the check timer
-                self.network = Network(entry("s-1"))
+                self.network = Network(endpoint_entry("s-1"))
                 stream = self.connect(port, HEARTBEAT[port])
                 for _ in range(words):
                     self.advance(0.13)
@@ -193,7 +193,7 @@
 
     def test_silence_one_failed_connect_and_the_response_fit_in_the_limit(self):
         for draw in (0.0, 0.5, 0.999):
-            network = self.network = Network(entry("s-1"))
+            network = self.network = Network(endpoint_entry("s-1"))
             network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             self.connect(2, list_message(8, "s-1"))
             started_at = network.reactor.seconds()
@@ -204,7 +204,7 @@
             network.refuse(failed)
             self.advance_until_requested(2, 1)
             self.connect(2, list_message(9, "s-2"))
-            self.assertEqual(list(network.proxy.listed), ["s-2"])
+            self.assertEqual(list(network.proxy.listed_endpoints), ["s-2"])
             self.assertLess(network.reactor.seconds() - started_at, 5.75)
 
     def test_one_silence_timer_remains_after_many_streams(self):
@@ -228,7 +228,7 @@
 class FirstDataTest(NetworkTestCase):
     def test_stream_without_data_is_replaced_in_time(self):
         for draw in (0.0, 0.999):
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             self.network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             self.connect(2, list_message(8, "s-1"))
             started_at = self.network.reactor.seconds()
@@ -238,7 +238,7 @@
             self.assertTrue(silent.transport.disconnected)
             self.connect(2, list_message(9, "s-2"))
             self.assertLess(self.network.reactor.seconds() - started_at, 5.9)
-            self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_first_data_timeout_doubles_and_resets_on_data(self):
         for port, waits in ((2, (0.5, 1, 2, 4, 4.5, 4.5)), (3, (2, 4, 4, 4))):
@@ -252,7 +252,7 @@
             self.assertEqual(self.watch_streams[port].silent_attempts, 0)
 
     def test_shared_service_has_a_longer_first_data_timeout(self):
-        self.network = Network(entry("s-1"), asked_for=True)
+        self.network = Network(endpoint_entry("s-1"), polled=True)
         self.advance(1)
         stream = self.connect(2)
         self.advance(2.9)
@@ -271,16 +271,16 @@
 class AddressChangeTest(NetworkTestCase):
     def move(self, network, discovery=2, platform=3):
         """Applies a configuration with these ports."""
-        changed = told(entry("s-1"))
+        changed = configuration_object(endpoint_entry("s-1"))
         changed["discovery"], changed["deployer"]["address"] = (
             f"127.0.0.1:{discovery}",
             f"127.0.0.1:{platform}",
         )
-        network.proxy.reconfigure(configuration.read(changed, 0))
+        network.proxy.reconfigure(configuration.parse(changed, 0))
 
     def test_refusals_at_the_former_address_do_not_delay_requests_at_the_new_one(self):
-        for asked_for in (False, True):
-            self.network = Network(entry("s-1"), asked_for=asked_for)
+        for polled in (False, True):
+            self.network = Network(endpoint_entry("s-1"), polled=polled)
             for port in (2, 3):
                 for _ in range(4):
                     self.advance_until_requested(port, 9) if self.is_without_pending_stream(
@@ -294,7 +294,7 @@
                     self.assertLess(self.advance_until_requested(port, 4), 0.85)
 
     def test_former_stream_that_ends_after_the_change_does_not_delay_requests(self):
-        self.network = Network(entry("s-1"), asked_for=True)
+        self.network = Network(endpoint_entry("s-1"), polled=True)
         self.advance(0.1)
         for _ in range(
             2
@@ -318,7 +318,7 @@
 
     def test_new_address_that_is_silent_and_then_refuses_is_connected_within_three_seconds(self):
         for draw in (0.0, 0.999):
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             self.network.proxy.endpoints.watch.interval.draw = lambda draw=draw: draw
             old = self.connect(2, list_message(8, "s-1"))
             self.move(self.network, 8)
@@ -332,7 +332,8 @@
             old.dataReceived(encode_chunk(HEARTBEAT[2]))
             self.connect(8, list_message(3, "s-2"))
             self.assertEqual(
-                (list(self.network.proxy.listed), old.transport.disconnected), (["s-2"], True)
+                (list(self.network.proxy.listed_endpoints), old.transport.disconnected),
+                (["s-2"], True),
             )
             self.assertLess(self.network.reactor.seconds() - started_at, 3)
 
@@ -343,7 +344,7 @@
             (list_message(3, "s-2", full=False), ["s-1", "s-2"]),
             (list_message(3, full=False), ["s-1"]),
         ):
-            self.network = Network(entry("s-1"))
+            self.network = Network(endpoint_entry("s-1"))
             old = self.connect(2, list_message(8, "s-1"))
             self.move(self.network, 8)
             old.dataReceived(
@@ -354,10 +355,11 @@
             new = self.connect(8, received)
             self.assertIn(b"index=0 ", new.transport.value())
             self.assertEqual(
-                (list(self.network.proxy.listed), old.transport.disconnected), (names, True)
+                (list(self.network.proxy.listed_endpoints), old.transport.disconnected),
+                (names, True),
             )
             new.dataReceived(encode_chunk(list_message(4, "s-3", full=False)))
-            self.assertEqual(list(self.network.proxy.listed), [*names, "s-3"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), [*names, "s-3"])
             new.connectionLost(Failure(ConnectionDone()))
             self.advance_until_requested(8, 4)
             self.assertIn(b"index=4 ", self.connect(8).transport.value())
@@ -370,7 +372,7 @@
             self.assertIn(b"index=0 ", empty.transport.value())
             self.advance_until_requested(8, 2)
         self.connect(8, list_message(12, "s-2"))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_pending_request_at_the_former_address_is_closed(self):
         self.advance(0.05)
@@ -379,7 +381,9 @@
         self.assertTrue(pending.transport.disconnected)
         pending.dataReceived(HEAD + encode_chunk(list_message(9, "s-9")))
         pending.connectionLost(Failure(ConnectionDone()))
-        self.assertEqual((list(self.network.proxy.listed), self.connect_count(8)), (["s-1"], 1))
+        self.assertEqual(
+            (list(self.network.proxy.listed_endpoints), self.connect_count(8)), (["s-1"], 1)
+        )
 
     def test_request_is_always_pending_while_the_agent_is_silent(self):
         for _ in range(200):  # for 20 s discovery accepts connections but sends nothing
@@ -390,24 +394,25 @@
         self.assertLess(self.connect_count(2), 9)
         stream = self.connect(2) if self.watch_streams[2].pending.transport is None else stream
         stream.dataReceived(HEAD + encode_chunk(list_message(9, "s-2")))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
 
 class StaleListTest(NetworkTestCase):
     def test_repeated_older_list_is_accepted_soon_after_refusals(self):
-        for asked_for, limit in ((False, 1.1), (True, 0.85)):
-            self.network = Network(entry("s-1"), asked_for=asked_for)
+        for polled, limit in ((False, 1.1), (True, 0.85)):
+            self.network = Network(endpoint_entry("s-1"), polled=polled)
             self.advance(0.1)
             for _ in range(5):
                 self.connect(2).dataReceived(HEAD.replace(b"200", b"503"))
                 self.advance_until_requested(2, 9)
             stream = self.connect(2, list_message(3, "s-2"))
             self.assertEqual(
-                (list(self.network.proxy.listed), stream.transport.disconnected), (["s-1"], True)
+                (list(self.network.proxy.listed_endpoints), stream.transport.disconnected),
+                (["s-1"], True),
             )
             self.assertLess(self.advance_until_requested(2, 9), limit)
             self.connect(2, list_message(3, "s-2"))
-            self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_repeated_older_list_is_accepted_after_a_failed_connect(self):
         stream, started_at = self.connect(2, list_message(3, "s-2")), self.network.reactor.seconds()
@@ -416,19 +421,19 @@
         self.network.refuse(self.last_connect(2))
         self.advance_until_requested(2, 2)
         self.connect(2, list_message(3, "s-2"))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
         self.assertLess(self.network.reactor.seconds() - started_at, 2.1)
 
     def test_empty_list_is_requested_less_often_from_a_shared_service(self):
         alternating = list_message(9), list_message(3, "s-2")  # alternately empty and outdated
-        for asked_for, limit, received in (
+        for polled, limit, received in (
             (False, 45, [list_message(7)]),
             (True, 8, [list_message(7)]),
             (False, 45, alternating),
             (True, 8, alternating),
         ):
             self.network, received = (
-                Network(entry("s-1"), asked_for=asked_for),
+                Network(endpoint_entry("s-1"), polled=polled),
                 itertools.cycle(received),
             )
             self.advance(0.1)
@@ -439,19 +444,19 @@
                 ):
                     self.connect(2, next(received))
                 self.advance(0.1)
-            self.assertEqual(list(self.network.proxy.listed), ["s-1"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-1"])
             self.assertLess(self.connect_count(2), limit)
 
     def test_repeated_empty_list_of_a_new_version_is_accepted_in_time(self):
-        for asked_for in (False, True):
-            self.network = Network(entry("s-1"), asked_for=asked_for)
+        for polled in (False, True):
+            self.network = Network(endpoint_entry("s-1"), polled=polled)
             self.advance(0.1)
             self.connect(2, list_message(8, "s-1"), list_message(9))
-            self.assertEqual(list(self.network.proxy.listed), ["s-1"])
+            self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-1"])
             self.assertLess(self.advance_until_requested(2, 9), 0.85)
             self.connect(2, list_message(9))
             self.assertEqual(
-                (list(self.network.proxy.listed), self.network.proxy.addresses), ([], {})
+                (list(self.network.proxy.listed_endpoints), self.network.proxy.addresses), ([], {})
             )
             self.assertRegex(self.network.ask().transport.value(), b"^-BUSY")
 
@@ -459,7 +464,7 @@
 class BackoffTest(NetworkTestCase):
     def test_requests_back_off_after_repeated_refusals_or_invalid_data(self):
         news = b"event: progress\ndata: version=41&step=1&status=released&maxWeight=1&observedAgoMs=5\n\n"
-        for port, asked_for, limit in ((2, False, 90), (2, True, 20), (3, False, 20)):
+        for port, polled, limit in ((2, False, 90), (2, True, 20), (3, False, 20)):
             good = encode_chunk(list_message(8, "s-1") if port == 2 else news)
             for received in (
                 *(HEAD.replace(b"200", status) for status in (b"301", b"500", b"503")),
@@ -468,7 +473,7 @@
                 HEAD + good + encode_chunk(b"noise\n"),
                 HEAD + good + b"0\r\n\r\n",
             ):
-                self.network = Network(entry("s-1"), asked_for=asked_for)
+                self.network = Network(endpoint_entry("s-1"), polled=polled)
                 watch_stream = {
                     2: self.network.proxy.endpoints.watch,
                     3: self.network.proxy.releases.stream,
@@ -478,7 +483,7 @@
                     if watch_stream.pending and watch_stream.pending.transport is None:
                         self.connect(port).dataReceived(received)
                     self.advance(0.1)
-                self.assertLess(self.connect_count(port), limit, (port, asked_for, received))
+                self.assertLess(self.connect_count(port), limit, (port, polled, received))
 
 
 class InvalidInputTest(NetworkTestCase):
@@ -487,7 +492,7 @@
 
         The length of the reason is bounded.
         """
-        network = self.network = Network(entry("s-1"))
+        network = self.network = Network(endpoint_entry("s-1"))
         watch_stream, lines = (
             {2: network.proxy.endpoints.watch, 3: network.proxy.releases.stream}[port],
             [],
@@ -495,7 +500,7 @@
         watch_stream.log = lambda event, **fields: lines.append((event, fields["reason"]))
         stream, state_before = (
             self.connect(port, HEARTBEAT[port]),
-            (network.proxy.listed, network.proxy.releases.latest),
+            (network.proxy.listed_endpoints, network.proxy.releases.latest),
         )
         other = self.connect(5 - port, HEARTBEAT[5 - port])
         for data in received:
@@ -506,7 +511,7 @@
         self.assertRegex(lines[0][1], "^unreadable: .{5,}")
         self.assertLessEqual(len(lines[0][1]), 200)
         self.assertEqual(
-            ((network.proxy.listed, network.proxy.releases.latest), network.faults),
+            ((network.proxy.listed_endpoints, network.proxy.releases.latest), network.faults),
             (state_before, []),
         )
         self.assertFalse(other.transport.disconnected)
@@ -524,7 +529,7 @@
 
     def test_endless_trailers_are_treated_as_silence(self):
         for port in (2, 3):
-            self.network, elapsed = Network(entry("s-1")), 0
+            self.network, elapsed = Network(endpoint_entry("s-1")), 0
             stream = self.connect(port, HEARTBEAT[port])
             stream.dataReceived(b"0\r\n")
             while self.connect_count(port) == 1 and elapsed < 9:
@@ -754,7 +759,7 @@
                 self.assertEqual(self.outcomes(), outcomes, received)
         stream = self.connect(2)
         stream.dataReceived(interim + HEAD + encode_chunk(list_message(9, "s-2")))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
 
     def test_unusual_framing_has_one_outcome_in_time(self):
         size = b"%x" % len(self.ROLLOUT_STATE_XML)
@@ -896,10 +901,11 @@
         AddressChangeTest.move(self, self.network, discovery=8)
         stream = self.connect(8, list_message(3, "s-2"))
         call.dataReceived(self.response_with_length(list_message(9, "s-3")))
-        self.assertEqual(list(self.network.proxy.listed), ["s-2"])
+        self.assertEqual(list(self.network.proxy.listed_endpoints), ["s-2"])
         stream.dataReceived(encode_chunk(list_message(4, "s-4")))
         self.assertEqual(
-            (list(self.network.proxy.listed), stream.transport.disconnected), (["s-4"], False)
+            (list(self.network.proxy.listed_endpoints), stream.transport.disconnected),
+            (["s-4"], False),
         )
         self.assertEqual(
             [event.kind for event in self.events if type(event) is EndpointUpdate],
@@ -911,7 +917,7 @@
     """Deltas that arrive in one chunk are merged, with the same result as one by one."""
 
     def feed(self, chunks):
-        network, lists = Network(entry("s-1"), entry("s-2", 42)), []
+        network, lists = Network(endpoint_entry("s-1"), endpoint_entry("s-2", 42)), []
         handle = network.proxy.engine.handle
         network.proxy.engine.handle = lambda now, events: (
             lists.extend(event for event in events if type(event) is EndpointUpdate)
@@ -923,7 +929,9 @@
             stream.dataReceived(encode_chunk(content))
         proxy = network.proxy
         known = {name: known.listed for name, known in proxy.engine.context.endpoints.items()}
-        self.assertEqual((known, proxy.addresses.keys()), (proxy.listed, proxy.listed.keys()))
+        self.assertEqual(
+            (known, proxy.addresses.keys()), (proxy.listed_endpoints, proxy.listed_endpoints.keys())
+        )
         return (
             known,
             proxy.addresses,
@@ -937,7 +945,7 @@
             texts = []
             for version in range(8, 8 + rng.randint(1, 12)):
                 servers = [
-                    entry(
+                    endpoint_entry(
                         f"s-{rng.randint(1, 4)}",
                         rng.choice((41, 42)),
                         rng.choice(("Ready", "Terminating", "Gone")),
@@ -963,16 +971,21 @@
     def test_endpoint_removed_and_added_in_one_chunk_keeps_its_waiting_requests(self):
         network = self.network
         network.ask("01")
-        gone = json.dumps({"version": 8, "servers": [entry("s-1", state="Gone")]}).encode() + b"\n"
+        gone = (
+            json.dumps({"version": 8, "servers": [endpoint_entry("s-1", state="Gone")]}).encode()
+            + b"\n"
+        )
         for started, dialled in ((0, 1), (9, 2)):  # the same process, and a restarted one
             back = (
-                json.dumps({"version": 9, "servers": [entry("s-1", started_ms=started)]}).encode()
+                json.dumps(
+                    {"version": 9, "servers": [endpoint_entry("s-1", started_ms=started)]}
+                ).encode()
                 + b"\n"
             )
             self.connect(2, gone + back) if started == 0 else self.watch_streams[
                 2
             ].current.dataReceived(encode_chunk(gone + back))
-            self.assertEqual(network.dialled().count(7001), dialled)
+            self.assertEqual(network.dialled_ports().count(7001), dialled)
         self.assertEqual(network.connect(network.streams).transport.value(), b"")
         self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
 
@@ -981,13 +994,13 @@
     def test_multi_line_list_is_used_once_complete_at_any_chunk_boundary(self):
         for indent in (None, 0, 1, 4):
             for step in (1, 7, 100_000):
-                network = Network(entry("s-1", zone='a"}[\\'))
+                network = Network(endpoint_entry("s-1", zone='a"}[\\'))
                 stream, body = network.connect(0), list_message(9, "s-2", "s-3", indent=indent)
                 stream.dataReceived(HEAD)
                 for at in range(0, len(body), step):
-                    self.assertEqual(list(network.proxy.listed), ["s-1"])
+                    self.assertEqual(list(network.proxy.listed_endpoints), ["s-1"])
                     stream.dataReceived(encode_chunk(body[at : at + step]))
-                self.assertEqual(list(network.proxy.listed), ["s-2", "s-3"])
+                self.assertEqual(list(network.proxy.listed_endpoints), ["s-2", "s-3"])
                 stream.dataReceived(
                     encode_chunk(
                         b"\n"
@@ -997,12 +1010,17 @@
                     )
                 )
                 self.assertEqual(
-                    (list(network.proxy.listed), network.proxy.endpoints.version), (["s-5"], 11)
+                    (list(network.proxy.listed_endpoints), network.proxy.endpoints.version),
+                    (["s-5"], 11),
                 )
                 self.assertFalse(stream.transport.disconnected)
 
     def test_brackets_and_quotes_in_strings_and_other_layouts(self):
-        odd = {"version": 9, "full": True, "servers": [entry("s-2", zone='}]"{[\\', kind='\\"')]}
+        odd = {
+            "version": 9,
+            "full": True,
+            "servers": [endpoint_entry("s-2", zone='}]"{[\\', kind='\\"')],
+        }
         for text in (
             json.dumps(odd, indent=2),
             '{"version":9,"full":true,"servers":[\n  {"id":"s-2","addr":"h:7",'
--- a/thymeknot/protocol/watch_stream.py
+++ b/thymeknot/protocol/watch_stream.py
@@ -197,7 +197,7 @@
     def start_spread(self, instances: int) -> None:
         """Schedules the first request, with jitter for so many instances that start at once."""
         self.retry_timer = self.timers.add(
-            self.timers.clock() + self.interval.first(instances), self._start_if_needed
+            self.timers.clock() + self.interval.initial_wait(instances), self._start_if_needed
         )
 
     def start(self) -> None:
@@ -218,7 +218,7 @@
 
     def move(self, caller: HttpCaller) -> None:
         """Switches to another address, and forgets refusals of the former one."""
-        self.interval = AdaptiveInterval(self.interval.draw, self.interval.longest)
+        self.interval = AdaptiveInterval(self.interval.draw, self.interval.max_interval)
         self.caller = caller
         self.silent_attempts = 0
         pending = self.pending
@@ -275,9 +275,9 @@
         now = self.timers.clock()
         age = now - stream.requested_at if stream is self.current else 0
         wait = (
-            self.interval.ended(result, age)
+            self.interval.record(result, age)
             if stream.caller is self.caller
-            else self.interval.wait()
+            else self.interval.next_wait()
         )
         self.log(
             "stream ended",
