--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -115,15 +115,15 @@
 
 class CommandTest(unittest.TestCase):
     def test_forwarded_command_only_changes_the_timeout(self):
-        read = commands.read_command(
+        parsed = commands.read_command(
             [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=480,k=5c,r=1", b"BODY"]
         )
         self.assertEqual(
-            (read.request_class, read.tenant, read.timeout_ms, read.is_retry),
+            (parsed.request_class, parsed.tenant, parsed.timeout_ms, parsed.is_retry),
             ("pay", "acme", 480, True),
         )
         self.assertEqual(
-            read.forwarded_words(77),
+            parsed.forwarded_words(77),
             [b"SVC.SUBMIT", b"k1", b"id1", b"c=pay,t=acme,d=77,k=5c,r=1", b"BODY"],
         )
 
--- a/thymeknot/protocol/http_calls.py
+++ b/thymeknot/protocol/http_calls.py
@@ -9,7 +9,7 @@
 
 from ..interface.clock import Ticks
 from . import http
-from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter
+from .write_progress import NOT_CONNECTED, BrokenConnection, RequestWriter
 
 MAX_REASON_LENGTH: Final = 200
 """Maximum characters of a logged reason, which may quote unreadable input of any length."""
@@ -22,7 +22,7 @@
     body: bytes
 
 
-class Call(WholeWriter, Protocol):
+class Call(RequestWriter, Protocol):
     """The protocol of one call.
 
     Attributes:
@@ -42,7 +42,7 @@
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
         self.transport.setTcpNoDelay(True)
-        self.write_whole(self.request)
+        self.write_request(self.request)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
         """Called by Twisted."""
--- a/thymeknot/protocol/pod.py
+++ b/thymeknot/protocol/pod.py
@@ -11,7 +11,7 @@
 from twisted.internet.protocol import ClientFactory, Protocol
 
 from . import resp
-from .write_progress import NOT_CONNECTED, BrokenConnection, WholeWriter, is_receive_buffer_empty
+from .write_progress import NOT_CONNECTED, BrokenConnection, RequestWriter, is_receive_buffer_empty
 
 MAX_VALUE_BYTES: Final = 512 * 1024
 """Maximum size of a value: the protocol allows 64 KiB, but endpoints sent up to 400,000 bytes."""
@@ -59,7 +59,7 @@
         return super()._array(buffer, at, length, depth)
 
 
-class PodConnection(WholeWriter, Protocol):
+class PodConnection(RequestWriter, Protocol):
     """One connection to an endpoint.
 
     It calls its owner with connection_opened(connection), response_received(connection) after a
@@ -127,7 +127,7 @@
         pending: Deferred[PodResponse | BrokenConnection] = Deferred()
         self.pending_response = pending
         self.begun = on_response_started
-        self.write_whole(resp.command(words))
+        self.write_request(resp.command(words))
         return pending
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
--- a/thymeknot/protocol/write_progress.py
+++ b/thymeknot/protocol/write_progress.py
@@ -74,7 +74,7 @@
         pass  # without the filter the caller can only close the listener as soon as possible
 
 
-class WholeWriter:
+class RequestWriter:
     """Mixin for protocols that must know when the last byte of a request was written.
 
     It registers as a pull producer of its transport, which asks for more data exactly when its
@@ -89,7 +89,7 @@
     written = False
     _content: bytes | None = None
 
-    def write_whole(self, content: bytes) -> None:
+    def write_request(self, content: bytes) -> None:
         """Writes the content; `written` becomes true once the kernel has taken its last byte."""
         self.written = False
         self._content = content
