--- a/thymeknot/policy/endpoint_selection.py
+++ b/thymeknot/policy/endpoint_selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint of a build gets an attempt: subsets, cost, ejection."""
+"""Endpoint selection: subsetting, cost-based load balancing and outlier ejection."""
 
 from collections.abc import Collection
 
@@ -13,37 +13,38 @@
 from .idempotency import deduplicates_retry
 from .slow_start import SlowStart
 
-MIN_SUBSET_SIZE = 6  # endpoints in use, however little traffic there is
-MAX_CANDIDATES = 24  # endpoints of a subset looked at for one attempt
-SUBSET_EXCHANGE_INTERVAL = (
-    4 * TICKS_PER_SECOND
-)  # after which the dearest endpoint of a subset is exchanged
-MIN_EJECTION_DURATION = TICKS_PER_SECOND // 2  # after a connection failed; doubled with each more
+MIN_SUBSET_SIZE = 6  # endpoints kept in use even without traffic
+MAX_CANDIDATES = 24  # endpoints of a subset that are evaluated per attempt
+# Between replacements of the most expensive endpoint of each subset.
+SUBSET_EXCHANGE_INTERVAL = 4 * TICKS_PER_SECOND
+# After a failed connection attempt; doubled with each further failure.
+MIN_EJECTION_DURATION = TICKS_PER_SECOND // 2
 MAX_EJECTION_DURATION = 4 * TICKS_PER_SECOND
-FAILURE_RATE_DECAY = 0.5  # of a failure rate, at each decay
-LATENCY_DECAY = 0.5  # of what a latency is off the usual, at each decay
-STALE_AFTER = 30 * TICKS_PER_SECOND  # without an outcome
-FAILURE_GAIN = 0.1  # of the moving mean of an endpoint's failures
-CONNECTION_LOSS_GAIN = 0.05  # of the moving mean of attempts lost on the way
-CONNECTION_LOSS_EXPONENT = 4  # the subset shrinks by this power of what is not lost
-FAILURE_COST_FACTOR = 8  # an endpoint that always fails costs so many times more
-MAX_PLAUSIBLE_LOAD = 2  # an absurd report is none
-AVOIDED_COST = 1e6  # above any other cost: such an endpoint is used last
-NEAR_BEST_COST_RATIO = 1.15  # times the best cost, within which endpoints take turns
-MAX_RELATIVE_LATENCY = 4.0  # a single response may count for so much
+FAILURE_RATE_DECAY = 0.5  # fraction of a failure rate that each decay step retains
+LATENCY_DECAY = 0.5  # fraction of the deviation from the mean that each decay step retains
+STALE_AFTER = 30 * TICKS_PER_SECOND  # without an outcome, statistics are stale
+FAILURE_GAIN = 0.1  # of the moving average of an endpoint's failure rate
+CONNECTION_LOSS_GAIN = 0.05  # of the moving average of the connection loss rate
+CONNECTION_LOSS_EXPONENT = 4  # the subset size scales with (1 - loss rate) to this power
+FAILURE_COST_FACTOR = 8  # an endpoint that always fails costs 1 + 8 times as much
+MAX_PLAUSIBLE_LOAD = 2  # reported utilisation beyond this is ignored
+AVOIDED_COST = 1e6  # above any regular cost: the endpoint is used as a last resort
+NEAR_BEST_COST_RATIO = 1.15  # endpoints within this ratio of the lowest cost take turns
+MAX_RELATIVE_LATENCY = 4.0  # caps the influence of a single response
 MAX_LATENCY_GAIN = 0.5
 MIN_LATENCY_GAIN = 0.08
-LATENCY_GAIN_PER_SECOND = 0.1  # the older the last response, the more the next one counts
-MIN_RELATIVE_LATENCY = 1e-9  # it is divided by
+LATENCY_GAIN_PER_SECOND = 0.1  # the older the last response, the more weight the next one gets
+MIN_RELATIVE_LATENCY = 1e-9  # keeps the cost above 0: weights are its reciprocal
 
 
 class EndpointSelection:
-    """The endpoints, and which one gets an attempt.
+    """Tracks the endpoints and selects one for each attempt.
 
     Attributes:
-        connection_loss: the moving mean of attempts lost on the way.
-        exchange_at: when the dearest endpoints in use are exchanged next.
-        poll_at: when the endpoint list is asked for next, if it is polled.
+        connection_loss_rate: moving average of the fraction of attempts that fail to connect or
+            are reset.
+        next_exchange_at: when the most expensive endpoint of each subset is replaced next.
+        next_poll_at: when the endpoint list is polled next, if polling is enabled.
     """
 
     def __init__(self, context: DecisionContext, slow_start: SlowStart) -> None:
@@ -55,10 +56,11 @@
         self._round_robin_index = 0
 
     def update(self, event: EndpointUpdate) -> None:
-        """Takes in what discovery has told."""
+        """Applies an update of the endpoint list from service discovery."""
         context = self.context
         if event.kind == UpdateKind.FETCH_FAILED:
-            # The watch may have been dropped; a call that fails at once must not be stormed.
+            # The watch may have been lost. Jittered, so that a fetch that fails at once is not
+            # retried in a tight loop.
             wait = int((1 + context.chance.draw()) * TICKS_PER_SECOND)
             self.next_poll_at = min(self.next_poll_at, context.now + wait)
             return
@@ -66,7 +68,10 @@
         self.group_by_build()
 
     def group_by_build(self) -> None:
-        """Parts the ready endpoints by build, once a change: no attempt looks through them all."""
+        """Groups the ready endpoints by build and redraws the subsets.
+
+        Done once per change, so that no attempt has to scan all endpoints.
+        """
         context = self.context
         for endpoint in context.by_build[True] + context.by_build[False]:
             endpoint.on_newest_build = None
@@ -83,7 +88,10 @@
         self.slow_start.update_capacity()
 
     def apply_suspicion(self, event: SuspicionReported) -> None:
-        """Takes in what peers saw: it delays a turn and proves nothing to any other rule."""
+        """Applies a suspicion reported by peers.
+
+        A suspected endpoint is used last; no other rule takes it as evidence.
+        """
         endpoint = self.context.endpoints.get(event.endpoint)
         if endpoint and (endpoint.listed.build, endpoint.listed.started) == (
             event.build,
@@ -92,16 +100,16 @@
             endpoint.suspected_until = event.until
 
     def draw_subset(self, newest: bool, demoted: Collection[EndpointState] = ()) -> None:
-        """Draws the endpoints in use, at random.
+        """Selects a random subset of the ready endpoints to use.
 
-        If an instance used all of them, each would be called seldom.
+        If an instance used all of them, it would see too few outcomes of each.
 
         Args:
-            newest: of the newest build, or of earlier ones.
-            demoted: these go last.
+            newest: whether to draw from the newest build, or from earlier ones.
+            demoted: endpoints that are ranked last.
         """
         context = self.context
-        # Where many refuse connections, fewer are used.
+        # The more connections are lost, the fewer endpoints are used.
         subset_size = (
             context.arrivals.total(context.now)
             * (1 - self.connection_loss_rate) ** CONNECTION_LOSS_EXPONENT
@@ -110,7 +118,7 @@
         context.subsets[newest] = ranked[: max(MIN_SUBSET_SIZE, int(subset_size))]
 
     def upkeep(self) -> None:
-        """Exchanges endpoints of the subsets and polls the endpoint list, when it is time."""
+        """Rotates the subsets and polls the endpoint list when due."""
         context = self.context
         if context.now >= self.next_exchange_at:
             self.next_exchange_at = context.now + SUBSET_EXCHANGE_INTERVAL
@@ -123,10 +131,10 @@
             context.actions.append(SubscribeToEndpoints(True))
 
     def _decay_stale_statistics(self) -> None:
-        """Halves what no outcome corrects: failure rates, and how much slower than usual it was.
+        """Decays the failure rates and latency deviations that no recent outcome updates.
 
-        An endpoint that costs several times what the others cost gets no attempt while others
-        stand idle, and would never be found to be well again.
+        An endpoint that costs several times as much as the others gets no attempts while others
+        are idle, so without decay its recovery would never be noticed.
         """
         now = self.context.now
         for endpoint in self.context.endpoints.values():
@@ -138,9 +146,10 @@
                 endpoint.last_outcome_at = now
 
     def choose(self, request: RequestState, newest: bool) -> EndpointState | None:
-        """The endpoint of a build for the next attempt; None if none will do.
+        """Selects the endpoint of a build for the next attempt; None if none is suitable.
 
-        Endpoints in use take turns; one that is busier, slower, colder or failing is passed over.
+        Endpoints in use take turns; those that are busier, slower, warming up or failing are
+        skipped.
         """
         context = self.context
         candidates: list[tuple[float, EndpointState]] = []
@@ -150,7 +159,7 @@
         if lowest_cost >= AVOIDED_COST and len(context.subsets[newest]) != len(
             context.by_build[newest]
         ):
-            # None of those in use will do: others are drawn, once.
+            # No endpoint in use is suitable: draw others, once.
             self.draw_subset(newest, context.subsets[newest])
             self._add_candidates(request, context.subsets[newest], candidates, avoided)
             lowest_cost = min((cost for cost, _ in candidates), default=AVOIDED_COST)
@@ -166,7 +175,7 @@
                 if cost <= lowest_cost * NEAR_BEST_COST_RATIO
             ]
             return near_best[self._round_robin_index % len(near_best)]
-        # At random, or hundreds of instances meet at the cheapest.
+        # Weighted random choice: otherwise hundreds of instances converge on the cheapest.
         return candidates[context.chance.pick([1 / cost for cost, _ in candidates])][1]
 
     def _add_candidates(
@@ -176,7 +185,10 @@
         candidates: list[tuple[float, EndpointState]],
         avoided: dict[Reason, int],
     ) -> None:
-        """Adds to `found` the endpoints that will do with their costs; counts the others."""
+        """Adds the eligible endpoints of a subset with their costs to `candidates`.
+
+        Endpoints to avoid are counted by reason in `avoided`.
+        """
         context, settings = self.context, self.context.settings
         now, has_room, cost_of = context.now, self.slow_start.has_room, self.cost
         used = {attempt.endpoint.address for attempt in request.attempts}
@@ -198,7 +210,7 @@
                 avoided[avoid] = avoided.get(avoid, 0) + 1
 
     def cost(self, endpoint: EndpointState) -> float:
-        """What an attempt there costs, of the size of the endpoint."""
+        """Returns the cost of an attempt at the endpoint, relative to the endpoint's size."""
         return (
             max(MIN_RELATIVE_LATENCY, endpoint.relative_latency)
             * (1 + FAILURE_COST_FACTOR * endpoint.failure_rate)
@@ -207,14 +219,14 @@
         )
 
     def record_load(self, endpoint: EndpointState, event: AttemptEnded) -> None:
-        """Takes in the load that an endpoint reports with a response."""
+        """Records the utilisation that an endpoint reported with a response."""
         metrics = self.context.settings.load_metrics
         if event.load and UTILISATION in metrics:
             load = event.load[metrics.index(UTILISATION)]
             endpoint.load = load if 0 <= load <= MAX_PLAUSIBLE_LOAD else endpoint.load
 
     def record_outcome(self, endpoint: EndpointState, outcome: Outcome) -> None:
-        """Takes in whether an attempt failed, and ejects what can't be connected to."""
+        """Updates the failure statistics and ejects an endpoint that refused a connection."""
         endpoint.failure_rate += FAILURE_GAIN * ((outcome != Outcome.DONE) - endpoint.failure_rate)
         endpoint.last_outcome_at = self.context.now
         connection_lost = outcome in (Outcome.CONNECT_FAILED, Outcome.RESET)
@@ -230,12 +242,12 @@
     def record_response(
         self, endpoint: EndpointState, latency: Ticks, fraction: float, mean: float
     ) -> None:
-        """Takes in the response time of a good response.
+        """Updates the relative latency from a successful response and ends any ejection backoff.
 
         Args:
-            endpoint: the endpoint.
+            endpoint: the endpoint that responded.
             latency: the response time.
-            fraction: the part of its capacity that the endpoint has.
+            fraction: the warm-up fraction of the endpoint's capacity.
             mean: the mean response time of the request class.
         """
         now = self.context.now
--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -1,7 +1,8 @@
-"""All decisions: where a request goes, when it is answered, how the newest build is voted on.
+"""The decision engine: routing, retries, load shedding and votes on the newest build.
 
-Make one DecisionEngine(settings, seed, now) for each instance and call handle(now, events) with the
-events of one moment, in order; it returns the actions. Sources of the methods: docs/design.md.
+Create one DecisionEngine(settings, seed, now) per instance and call handle(now, events) with the
+events of one moment, in order; it returns the actions to carry out. The engine is deterministic
+and does no I/O. Sources of the methods: docs/design.md.
 """
 
 from collections.abc import Callable, Iterable
@@ -41,17 +42,17 @@
 
 __all__ = ["INPUT_BY_OUTCOME", "DecisionEngine"]
 
-UPKEEP_TOKEN = 0  # of the timer for the upkeep; others are the hedging's
+UPKEEP_TOKEN = 0  # token of the upkeep timer; all other tokens belong to hedging timers
 
 
 class DecisionEngine:
-    """Dispatches events to the parts of the decisions and has them kept up.
+    """Dispatches events to the policies and runs their periodic upkeep.
 
-    It holds no rule itself.
+    It contains no policy of its own.
 
     Attributes:
-        context: what several parts read.
-        upkeep_interval: ticks between the last upkeep and the next; 0 before the first.
+        context: the state that several policies share.
+        upkeep_interval: ticks between the previous upkeep and the next; 0 before the first.
     """
 
     def __init__(
@@ -114,16 +115,16 @@
 
     @property
     def actions(self) -> list[Action]:
-        """The actions decided on so far at this moment, also where an event raised an error."""
+        """The actions decided so far at this moment, also if handling an event raised an error."""
         return self.context.actions
 
     @property
     def pinned_keys(self) -> set[str]:
-        """The keys that stay with the newest build."""
+        """The sticky keys: those that stay with the newest build."""
         return self.split.pinned_keys
 
     def vote_evidence(self) -> VoteEvidence:
-        """What the newest build is judged by now, for the log."""
+        """Returns the current evidence on the newest build, for the log."""
         test, evidence = self.sequential_test, self.evidence
         release = self.context.release
         if release is not None:
@@ -140,7 +141,7 @@
         )
 
     def handle(self, now: Ticks, events: Iterable[Event]) -> list[Action]:
-        """Decides on the events of one moment, in their order; returns the actions."""
+        """Handles the events of one moment in order; returns the actions."""
         context, handlers = self.context, self._handlers
         context.now = now
         context.actions = []
@@ -160,7 +161,10 @@
             self.requests.fire_timer(event.token)
 
     def upkeep(self) -> None:
-        """Has the parts follow the time, about once a request; sets the timer for the next."""
+        """Runs the periodic work of all policies and schedules the next run.
+
+        The interval is the mean time between requests, within bounds.
+        """
         context = self.context
         elapsed, arrivals = self.upkeep_interval, context.arrivals
         interval = arrivals.span // (arrivals.total(context.now) + 1)
@@ -175,5 +179,5 @@
         self.split.upkeep()
 
     def raise_split(self) -> None:
-        """Raises the newest build's fraction of the traffic, where it may rise."""
+        """Raises the newest build's traffic fraction, if it may rise."""
         self.split.raise_fraction(self.slowdown.since is not None)
--- a/thymeknot/policy/hedging.py
+++ b/thymeknot/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second copy of a request whose answer is much later than its class's."""
+"""Hedged requests: a second attempt for a request that takes much longer than its class's mean."""
 
 from ..interface.actions import SetTimer
 from ..interface.enums import Idempotency
@@ -7,19 +7,19 @@
 from .load_shedding import LoadShedder
 from .retry_budget import TokenBudget
 
-MAX_HEDGE_TOKENS = 5.0  # hedged requests of one instance at once, where few share the endpoints
-HEDGE_TOKENS_PER_REQUEST = 0.05  # hedged requests may add so much to the traffic
-HEDGE_DELAY_LATENCY_RATIO = 3.0  # times the class's mean response time; the later of the two counts
-HEDGE_DELAY_OBJECTIVE_RATIO = 0.4  # of the class's latency objective; the later of the two counts
-OPEN_REQUESTS_HEADROOM = 2  # room: so many times the open requests must be within the limit
+MAX_HEDGE_TOKENS = 5.0  # burst of hedged requests of one instance in a small fleet
+HEDGE_TOKENS_PER_REQUEST = 0.05  # hedged requests add at most this fraction to the traffic
+HEDGE_DELAY_LATENCY_RATIO = 3.0  # of the class's mean response time
+HEDGE_DELAY_OBJECTIVE_RATIO = 0.4  # of its latency objective; the longer delay applies
+OPEN_REQUESTS_HEADROOM = 2  # hedge only if twice the open requests are within the limit
 
 
 class Hedging:
-    """When a request is sent a second time while its first attempt is in flight.
+    """Decides when a request gets a second attempt while its first one is in flight.
 
     Attributes:
-        budget: its tokens.
-        timers: the id of the request, by the token of the timer that is set for it.
+        budget: the token budget for hedged requests.
+        timers: request ids by the token of their hedging timer.
     """
 
     def __init__(self, context: DecisionContext, admission: LoadShedder) -> None:
@@ -30,7 +30,7 @@
         self._last_token = 0
 
     def set_timer(self, request: RequestState) -> None:
-        """Sets the timer for a request whose first attempt is sent, if it may be hedged."""
+        """Schedules the hedging timer after the first attempt, if the request may be hedged."""
         context, request_class = self.context, request.request_class
         if (
             not context.settings.hedging_allowed
@@ -48,7 +48,7 @@
         context.actions.append(SetTimer(context.now + int(delay), self._last_token))
 
     def has_room(self, request: RequestState, open_requests: int) -> bool:
-        """Whether few requests need it and there is room for one more attempt."""
+        """Returns whether the token budget and the concurrency limit allow a hedged request."""
         context = self.context
         first_traffic_at = context.first_traffic_at or 0
         limit = self.admission.concurrency_limit(
--- a/thymeknot/policy/idempotency.py
+++ b/thymeknot/policy/idempotency.py
@@ -1,4 +1,4 @@
-"""Rule 2: a request that may have run is repeated only where the repeat has no second effect."""
+"""Rule 2: a request that may have run is retried only if the retry cannot take effect twice."""
 
 from ..interface.clock import Ticks
 from ..interface.enums import DeduplicationScope, Idempotency
@@ -7,13 +7,13 @@
 
 
 def may_repeat(request: RequestState, now: Ticks, by_client: bool) -> bool:
-    """Whether the request may be sent again now.
+    """Returns whether the request may be sent again.
 
     Args:
         request: the request.
-        now: the moment.
-        by_client: whether the client may repeat it anywhere, after a rejection; else the instance
-            sends it again itself and picks the endpoint.
+        now: the current time.
+        by_client: True if the client would retry it after a rejection, at any endpoint; False if
+            this instance retries it and selects the endpoint.
     """
     first = request.first_possible_run()
     request_class = request.request_class
@@ -29,7 +29,7 @@
 
 
 def deduplicates_retry(request: RequestState, endpoint: Endpoint) -> bool:
-    """Whether this endpoint would drop the repeat of what may have run; True if nothing did."""
+    """Returns whether a retry at this endpoint is safe: deduplicated there, or nothing has run."""
     first = request.first_possible_run()
     scope = request.request_class.deduplication_scope
     if (
--- a/thymeknot/policy/load_shedding.py
+++ b/thymeknot/policy/load_shedding.py
@@ -1,6 +1,7 @@
-"""Whether a request is admitted or rejected at once.
+"""Load shedding: whether a request is admitted or rejected immediately.
 
-Each bound binds only as far as it is sure. Source: docs/design/admission.md.
+Each bound applies only as far as the observations behind it are certain.
+Source: docs/design/admission.md.
 """
 
 from collections.abc import Callable, Collection
@@ -13,53 +14,63 @@
 from ..state.request_state import RequestState
 from ..state.sliding_window import SlidingWindow
 
-TARGET_LATENCY_RATIO = (
-    0.5  # of the latency objective: the mean time that the concurrency limit aims at
-)
-MIN_LIMIT = 16  # open requests of an instance, where few instances share the endpoints
-MIN_LIMIT_LARGE_FLEET = 3.0  # and where many do
-MIN_CLASS_FACTOR = 0.8  # of the limit and the odds, for the class that earns least for its time
-MAX_CLASS_FACTOR = 1.25  # and for the one that earns most
-SMALL_FLEET_INSTANCES = 5  # sidecars that share the endpoints
-RANDOM_SHEDDING_MAX_REQUESTS = (
-    120  # in the traffic window: too few to count, so they are admitted by chance
-)
-INITIAL_BASELINE_LATENCY = 0.2  # of the latency objective, if unknown
-BASELINE_WEIGHT = 4  # outcomes that the usual time counts for
-IN_TIME_MARGIN = 0.15  # of the rest up to the objective: a response is still in time
-TOLERATED_FAILURE_RATIO = (
-    0.75  # of the responses: so many silent or rejected attempts are a few endpoints'
-)
-BASELINE_RISE_GAIN = 0.005  # gain of the usual time; small, or an overload becomes the usual
-BASELINE_FALL_GAIN = 0.02  # gain of the usual time where it falls
-MEAN_LATENCY_GAIN = 0.03  # of a class's mean response time
-MAX_RELATIVE_LATENCY = 2.0  # of the latency objective that one response counts for
-CLASS_TIMEOUT_RATIO = 0.99  # of the latency objective, after which a time-out is the class's own
-LOAD_WINDOW = 2 * TICKS_PER_SECOND  # ticks of responses that the limit and the pressure go by
+# Mean latency that the concurrency limit aims at, as a fraction of the latency objective.
+TARGET_LATENCY_RATIO = 0.5
+MIN_LIMIT = 16  # open requests per instance in a small fleet
+MIN_LIMIT_LARGE_FLEET = 3.0  # open requests per instance in a large fleet
+# Scale the limit and the admission probability of the classes with the lowest and the highest
+# priority weight per unit of latency.
+MIN_CLASS_FACTOR = 0.8
+MAX_CLASS_FACTOR = 1.25
+SMALL_FLEET_INSTANCES = 5  # sidecars that share the endpoints, at most
+# Requests in the traffic window below which load is shed at random: too few for counting.
+RANDOM_SHEDDING_MAX_REQUESTS = 120
+INITIAL_BASELINE_LATENCY = 0.2  # of the latency objective, before any response
+BASELINE_WEIGHT = 4  # responses that the baseline latency is weighted as
+IN_TIME_MARGIN = 0.15  # of the distance from the baseline to the objective; slower is overload
+# Ratio of failed attempts to responses up to which the failures are put down to a few endpoints.
+TOLERATED_FAILURE_RATIO = 0.75
+BASELINE_RISE_GAIN = 0.005  # small, so that an overload does not become the baseline
+BASELINE_FALL_GAIN = 0.02
+MEAN_LATENCY_GAIN = 0.03  # of a class's moving average of the response time
+MAX_RELATIVE_LATENCY = 2.0  # caps the influence of one response, relative to the objective
+# A timeout counts as overload from this fraction of the latency objective on; a shorter one was
+# set by the client.
+CLASS_TIMEOUT_RATIO = 0.99
+LOAD_WINDOW = 2 * TICKS_PER_SECOND  # ticks over which the limit and the pressure are measured
 LOAD_WINDOW_BUCKETS = 8  # a quarter of a second each
-INITIAL_LIMIT = 1000.0  # until there was a second of traffic: no responses yet are no overload
-LIMIT_MARGIN_DEVIATIONS = (
-    3.0  # standard deviations of open requests left to chance, in a fleet that is calm
-)
-# A quiet instance often has two open where one is the mean: the bare mean rejected a fifth of a
-# calm day.
+INITIAL_LIMIT = 1000.0  # for the first second of traffic: no responses yet is not an overload
+# Standard deviations of the open requests that a large fleet without overload tolerates above the
+# limit. A quiet instance often has two requests open where the mean is one: without this margin a
+# fifth of the requests in the simulator's calm scenario were rejected.
+LIMIT_MARGIN_DEVIATIONS = 3.0
 
 
 class Rejection(NamedTuple):
-    """Why a request is not admitted."""
+    """Why a request was rejected."""
 
     by_chance: bool
-    """Whether a random number decided, else the limit."""
+    """Whether it was shed at random; otherwise the concurrency limit was exceeded."""
     measured: float
+    """The pressure if shed at random, else the number of open requests."""
     bound: float
+    """The admission probability if shed at random, else the limit with its margin."""
 
 
 class LoadShedder:
-    """The load of the endpoints, as one instance sees it, and what it admits.
+    """Estimates the load of the endpoints from one instance's view, and admits or rejects.
 
     Attributes:
-        means: the moving mean of the response time, in ticks, by the name of the request class.
-        usual: the usual response time, of the latency objective.
+        is_large_fleet: whether more than SMALL_FLEET_INSTANCES share the endpoints.
+        min_limit: lower bound of the concurrency limit before the class factor.
+        target_latencies: window of the target latency of each response, in ticks.
+        response_counts: window of the number of successful responses.
+        relative_latencies: window of their latencies, relative to the latency objective.
+        overload_failures: window of the attempts that timed out, were rejected or could not
+            connect.
+        baseline_latency: usual response time, relative to the latency objective.
+        mean_latencies: moving average of the response time in ticks, by request class name.
+        request_classes: the request classes with responses, by name.
     """
 
     def __init__(self, settings: Settings) -> None:
@@ -78,7 +89,14 @@
     def record_outcome(
         self, now: Ticks, request_class: RequestClass, event: AttemptEnded, fraction: float
     ) -> None:
-        """Takes in an outcome at an endpoint with this part of its capacity."""
+        """Records the outcome of an attempt.
+
+        Args:
+            now: the current time.
+            request_class: the request's class.
+            event: the end of the attempt.
+            fraction: the warm-up fraction of the endpoint's capacity.
+        """
         objective = request_class.latency_objective
         timed_out = (
             event.outcome == Outcome.TIMED_OUT and event.latency >= CLASS_TIMEOUT_RATIO * objective
@@ -96,7 +114,7 @@
             )
 
     def record_latency(self, now: Ticks, request_class: RequestClass, latency: Ticks) -> None:
-        """Takes in the response time of a good response."""
+        """Records the response time of a successful response."""
         self.target_latencies.add(now, TARGET_LATENCY_RATIO * request_class.latency_objective)
         name = request_class.name
         mean = self.mean_latencies.get(name, latency)
@@ -106,14 +124,14 @@
     def concurrency_limit(
         self, now: Ticks, request_class: RequestClass, traffic_age: Ticks
     ) -> float:
-        """How many requests may be open.
+        """Returns how many requests may be open.
 
-        As many as responses come for within part of the objective (Little's law), so no queue
-        lasts. Classes that earn least are rejected first.
+        By Little's law: the response rate times the target latency, so that no queue persists.
+        Classes with the lowest priority weight per unit of latency are rejected first.
 
         Args:
-            now: the moment.
-            request_class: the request's.
+            now: the current time.
+            request_class: the request's class.
             traffic_age: ticks since the first traffic.
         """
         throughput_limit = (
@@ -124,7 +142,7 @@
         return max(self.min_limit, throughput_limit) * self.class_factor(request_class)
 
     def class_factor(self, request_class: RequestClass) -> float:
-        """The class's part of the limit and the odds, by what it earns for its response time."""
+        """Returns the class's factor by its priority weight per unit of response time."""
         value_per_tick = {
             name: self.request_classes[name].priority_weight / mean
             for name, mean in self.mean_latencies.items()
@@ -139,17 +157,18 @@
         return MIN_CLASS_FACTOR + (MAX_CLASS_FACTOR - MIN_CLASS_FACTOR) * rank
 
     def pressure(self, now: Ticks, open_requests: Collection[RequestState]) -> float:
-        """The time that endpoints take over what is still in time: above 1 they queue.
+        """Returns the observed latency relative to what is still in time; above 1, endpoints queue.
 
-        What is unknown is usual: few outcomes do not bind. Silence and rejections are a few
-        endpoints' matter until they near the responses.
+        The baseline latency enters as BASELINE_WEIGHT responses, so that few outcomes do not
+        shed load. Timeouts and rejections count only once they approach the number of responses;
+        below that, a few endpoints may cause them.
         """
         responses = self.response_counts.total(now)
         failures = self.overload_failures.total(now)
         total_weight = responses + BASELINE_WEIGHT
         latency_sum = self.relative_latencies.total(now) + BASELINE_WEIGHT * self.baseline_latency
         tolerated_failures = TOLERATED_FAILURE_RATIO * responses + 0.5
-        if failures + len(open_requests) > tolerated_failures:  # else what is open could not tip it
+        if failures + len(open_requests) > tolerated_failures:  # else they cannot matter
             failures += sum(
                 now - request.attempts[-1].sent_at
                 > TARGET_LATENCY_RATIO * request.request_class.latency_objective
@@ -175,15 +194,15 @@
         recent_requests: float,
         draw: Callable[[], float],
     ) -> Rejection | None:
-        """Why the request is rejected; None if it is admitted.
+        """Returns why the request is rejected; None if it is admitted.
 
         Args:
-            now: the moment.
-            request_class: the request's.
-            open_requests: those that are open, with this one.
+            now: the current time.
+            request_class: the request's class.
+            open_requests: the open requests, including this one.
             traffic_age: ticks since the first traffic.
             recent_requests: requests in the traffic window.
-            draw: gives a random number; asked only where chance decides.
+            draw: returns a random number; called only if load is shed at random.
         """
         pressure = self.pressure(now, open_requests)
         limit = self.concurrency_limit(now, request_class, traffic_age)
--- a/thymeknot/policy/request_lifecycle.py
+++ b/thymeknot/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's life: received, sent, perhaps sent again or hedged, and its final answer."""
+"""The life cycle of a request: admission, attempts, retries, hedging and the final response."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -32,22 +32,22 @@
 
 
 class RequestPhase(StrEnum):
-    """Where a request is in its life."""
+    """The phases of a request's life cycle."""
 
     NEW = "new"
     OPEN = "open"
     ANSWERED = "answered"
-    """It has had its final answer; attempts may be in flight."""
+    """The final response was sent; attempts may still be in flight."""
 
 
 class RequestInput(StrEnum):
-    """What happens to a request."""
+    """The inputs of a request's state machine."""
 
     RECEIVED = "received"
     GIVEN_UP = "given up"
     CLIENT_LEFT = "client left"
     NOT_RUN = "unrun"
-    """An attempt ended, and it is proved that it did not run."""
+    """An attempt ended that provably did not run."""
     MAY_HAVE_RUN = "perhaps run"
     SLOW = "slow"
     ANSWERED = "answered"
@@ -63,16 +63,16 @@
     Outcome.CONNECT_FAILED: RequestInput.NOT_RUN,
     Outcome.NOT_SENT: RequestInput.NOT_RUN,
 }
-"""What the end of an attempt proves."""
+"""The input that an attempt's outcome amounts to: whether the request may have run."""
 
-UNSAFE_RETRY_COST = 1  # tokens for a retry of what may have run; others are free
+UNSAFE_RETRY_COST = 1  # retry tokens if the request may have run; other retries are free
 
 
 class RequestLifecycle:
-    """The requests in hand.
+    """Runs the state machine of each open request.
 
     Attributes:
-        open: requests without a final answer or with attempts in flight, by id.
+        open: requests without a final response or with attempts in flight, by id.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self.open: dict[str, RequestState] = {}
 
     def receive(self, event: RequestReceived) -> None:
-        """Takes in a request and sends or rejects it."""
+        """Registers a new request and sends or rejects it."""
         context = self.context
         now = context.now
         request_class = context.settings.request_classes[event.request_class]
@@ -120,7 +120,7 @@
         self._apply_input(request, RequestInput.RECEIVED)
 
     def end_attempt(self, event: AttemptEnded) -> None:
-        """Takes in the end of an attempt."""
+        """Handles the end of an attempt."""
         request = self.open.get(event.id)
         if request is None or event.number >= len(request.attempts):
             return
@@ -146,19 +146,19 @@
         self._apply_input(request, RequestInput.ANSWERED if event.closed else proof)
 
     def disconnect_client(self, event: ClientDisconnected) -> None:
-        """The client of a request went away."""
+        """Handles the disconnection of a request's client."""
         request = self.open.get(event.id)
         if request is not None:
             self._apply_input(request, RequestInput.CLIENT_LEFT)
 
     def start_response(self, event: ResponseStarted) -> None:
-        """The response is streamed to the client: no other attempt can serve it now."""
+        """Marks the response as streaming: no other attempt can serve the request now."""
         request = self.open.get(event.id)
         if request is not None:
             request.streaming = True
 
     def fire_timer(self, token: int) -> None:
-        """A request's hedging timer is due."""
+        """Handles a hedging timer that is due."""
         context = self.context
         name = self.hedging.timers.pop(token, None)
         request = self.open.get(name) if name is not None else None
@@ -191,7 +191,7 @@
             self._apply_input(request, RequestInput.GIVEN_UP)
 
     def _send(self, request: RequestState) -> bool:
-        """Sends an attempt where one may go; tells whether it did."""
+        """Sends an attempt if possible; returns whether it did."""
         if not self._can_send(request):
             return False
         for newest in self.split.builds_for(request):
@@ -204,7 +204,7 @@
         return False
 
     def _can_send(self, request: RequestState) -> bool:
-        """Whether there is a release to send to, and time and attempts are left."""
+        """Returns whether a release is known, and time and attempts are left."""
         context = self.context
         sent, max_attempts = len(request.attempts), context.settings.max_attempts
         if context.release is None:
@@ -227,7 +227,7 @@
         if request.request_class.late_priority_weight <= 0 and now < request.latency_deadline:
             attempt_deadline = min(
                 attempt_deadline, request.latency_deadline
-            )  # nothing is earned after it
+            )  # a later response has no value
         listed = endpoint.listed
         if context.say:
             context.explain(
@@ -249,12 +249,12 @@
         return min(request.latency_deadline, request.deadline)
 
     def _can_meet_objective(self, request: RequestState) -> bool:
-        """Whether a response after the class's mean time would still earn."""
+        """Returns whether a response after the class's mean latency would still have value."""
         mean = self.admission.mean_latencies.get(request.request_class.name, 0)
         return self.context.now + mean < self._value_deadline(request)
 
     def _retry(self, request: RequestState) -> None:
-        """An attempt ended without an answer: sends another while it can earn, or answers."""
+        """Retries after an attempt without a response, or gives up with a final response."""
         if request.in_flight():
             return
         context, now = self.context, self.context.now
@@ -273,7 +273,7 @@
         self._apply_input(request, RequestInput.GIVEN_UP)
 
     def _hedge(self, request: RequestState) -> None:
-        """Sends a hedged request, as long as few need it and there is room."""
+        """Sends a hedged request if the budget, the limit and the time left allow it."""
         context = self.context
         if (
             self.hedging.has_room(request, len(self.open))
@@ -284,7 +284,7 @@
             self.hedging.budget.tokens -= self._send(request)
 
     def _reject(self, request: RequestState) -> None:
-        """The final answer, at once: to wait would only keep the client from trying again."""
+        """Sends the final response at once: waiting would only delay the client's own retry."""
         context, settings = self.context, self.context.settings
         first = request.first_possible_run()
         if first is None or idempotency.may_repeat(request, context.now, by_client=True):
@@ -300,7 +300,7 @@
         self._finish(request)
 
     def _finish(self, request: RequestState) -> None:
-        """Cancels what is in flight after the final answer."""
+        """Cancels the attempts that are in flight after the final response."""
         context = self.context
         if context.settings.cancellation_allowed and not request.streaming:
             context.actions += [
@@ -317,7 +317,7 @@
     def record_outcome(
         self, request: RequestState, endpoint: EndpointState, event: AttemptEnded
     ) -> None:
-        """Takes in what an attempt's end tells of its endpoint, its build and the load."""
+        """Updates the statistics of the endpoint, the build and the load from an attempt's end."""
         context, outcome, latency = self.context, event.outcome, event.latency
         now, request_class = context.now, request.request_class
         self.evidence.add_outcome(request, endpoint, outcome, latency)
@@ -326,7 +326,7 @@
             return
         warmup_fraction = endpoint.warmup_fraction(now, context.settings)
         if not (endpoint.on_newest_build and context.build_state == BuildState.ON_TRIAL):
-            # A build's own slowness is no overload.
+            # Slowness of the build on trial itself must not count as overload.
             self.admission.record_outcome(now, request_class, event, warmup_fraction)
         self.selection.record_outcome(endpoint, outcome)
         if outcome == Outcome.DONE:
@@ -337,7 +337,7 @@
 
 
 class Transition(NamedTuple):
-    """The next phase of a request, and what is done as it goes there."""
+    """The next phase of a request, and the action on entering it."""
 
     phase: RequestPhase
     action: Callable[[RequestLifecycle, RequestState], None]
@@ -373,4 +373,4 @@
         RequestPhase.ANSWERED, RequestLifecycle._remove_if_idle
     ),
 }
-"""What an input does in a phase. What is missing changes nothing."""
+"""Transitions by phase and input. Inputs that are not listed for a phase are ignored."""
--- a/thymeknot/policy/retry_budget.py
+++ b/thymeknot/policy/retry_budget.py
@@ -1,20 +1,21 @@
-"""Tokens for what is sent beside first attempts, gained with each request."""
+"""Token budgets for retries and hedged requests, replenished by each request."""
 
 from ..interface.settings import Settings
 from .load_shedding import SMALL_FLEET_INSTANCES
 
-MAX_RETRY_TOKENS = 20.0  # retries of one instance at once, where few share the endpoints
-RETRY_TOKENS_PER_REQUEST = 0.15  # more would turn a failure into an overload
-INITIAL_TOKENS_RATIO = 0.25  # of the most tokens, at start
+MAX_RETRY_TOKENS = 20.0  # burst of retries of one instance in a small fleet
+RETRY_TOKENS_PER_REQUEST = 0.15  # a higher ratio would turn a failure into an overload
+INITIAL_TOKENS_RATIO = 0.25  # of the maximum, at start
 
 
 class TokenBudget:
-    """Tokens that are gained with each request and spent by what is sent in addition.
+    """A token bucket that each request replenishes and each additional attempt draws from.
 
     Attributes:
-        tokens: what is left.
-        most: more are not kept. Many instances keep fewer each, as their bursts add up.
-        per_request: what a request gains.
+        tokens: the tokens left.
+        max_tokens: the bucket's capacity; smaller per instance in a large fleet, because the
+            bursts of its instances add up.
+        tokens_per_request: tokens that a request adds.
     """
 
     def __init__(self, settings: Settings, max_tokens: float, tokens_per_request: float) -> None:
@@ -25,12 +26,12 @@
         self.tokens_per_request = tokens_per_request
 
     def record_request(self) -> None:
-        """Gains what a request gains."""
+        """Replenishes the budget for one received request."""
         self.tokens = min(self.max_tokens, self.tokens + self.tokens_per_request)
 
 
 class RetryBudget(TokenBudget):
-    """The tokens for retries of what may have run."""
+    """The token budget for retries of requests that may have run."""
 
     def __init__(self, settings: Settings) -> None:
         super().__init__(settings, MAX_RETRY_TOKENS, RETRY_TOKENS_PER_REQUEST)
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -1,34 +1,29 @@
-"""Rule 4: an endpoint that warms up gets its part of what warm ones are seen to take."""
+"""Rule 4: slow start limits an endpoint that warms up to its share of the load of warm ones."""
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.endpoint_state import EndpointState
 from ..state.sliding_window import SlidingWindow
 from .context import UPKEEP_LONGEST, DecisionContext
 
-OVERLOAD_LIMIT_RATIO = 0.5  # of the overload limit, as others send there unseen
-MIN_FLEET_ATTEMPTS = 4  # attempts of all instances together that an endpoint may get in a window
-CROWDED_FLEET_EXPONENT = (
-    3  # in a crowd a warming endpoint's capacity counts by this power of its fraction
-)
-RATE_RISE_TIME_CONSTANT = (
-    4 * TICKS_PER_SECOND
-)  # over which the rate of warm endpoints follows a rise
-RATE_FALL_TIME_CONSTANT = (
-    20 * TICKS_PER_SECOND
-)  # and a fall: overload must not pull it down quickly
-RESPONSE_WINDOW_SECONDS = 4  # of responses: a mean, as peaks of hundreds of instances do not add up
+OVERLOAD_LIMIT_RATIO = 0.5  # of the overload limit; other instances send there unseen
+MIN_FLEET_ATTEMPTS = 4  # attempts per window that all instances together may always send
+# With many instances per endpoint, a warming endpoint counts by this power of its warm-up fraction.
+CROWDED_FLEET_EXPONENT = 3
+RATE_RISE_TIME_CONSTANT = 4 * TICKS_PER_SECOND  # of the smoothed rate of warm endpoints
+RATE_FALL_TIME_CONSTANT = 20 * TICKS_PER_SECOND  # long: an overload must not lower the rate quickly
+RESPONSE_WINDOW_SECONDS = 4  # a mean suffices: peaks of hundreds of instances do not add up
 RESPONSE_WINDOW_BUCKETS = 8  # half a second each
-NO_WARM_CAPACITY = 1e9  # divides the rate to nothing where no endpoint is warm
+NO_WARM_CAPACITY = 1e9  # divisor that makes the rate negligible if no endpoint is warm
 
 
 class SlowStart:
-    """The capacity of the ready endpoints, and what warming ones may take.
+    """Tracks the capacity of the ready endpoints and limits attempts at those that warm up.
 
     Attributes:
-        capacity: what the ready endpoints can carry at least, in sizes, of the newest build (True)
-            and of earlier ones (False).
-        warm_size: the sum of the sizes of warm endpoints.
-        warm_rate: attempts a second that one of size 1 is seen to take.
+        capacity: minimum capacity of the ready endpoints, as a sum of their sizes, for the newest
+            build (True) and earlier ones (False).
+        warm_capacity: sum of the sizes of the warm endpoints.
+        warm_request_rate: observed responses per second of a warm endpoint of size 1.
     """
 
     def __init__(self, context: DecisionContext) -> None:
@@ -42,7 +37,7 @@
         )
 
     def update_capacity(self) -> None:
-        """Adds up what the ready endpoints can carry now."""
+        """Recomputes the capacity of the ready endpoints."""
         context = self.context
         self.warm_capacity = 0.0
         self.capacity = {True: 0.0, False: 0.0}
@@ -59,14 +54,14 @@
                 )
 
     def record_response(self, fraction: float) -> None:
-        """Counts a good response of an endpoint that has this part of its capacity."""
+        """Counts a successful response if its endpoint is warm (warm-up fraction 1)."""
         self._warm_responses.add(self.context.now, fraction == 1.0)
 
     def upkeep(self, elapsed: Ticks) -> None:
-        """Measures again while endpoints warm up, and lets the rate of warm ones follow.
+        """Updates the capacity while endpoints warm up, and the rate of warm endpoints.
 
         Args:
-            elapsed: ticks since the last upkeep.
+            elapsed: ticks since the previous upkeep.
         """
         context = self.context
         if context.now <= self._warming_until:
@@ -85,10 +80,10 @@
         )
 
     def has_room(self, endpoint: EndpointState, fraction: float) -> bool:
-        """Whether this instance may send one more to an endpoint that warms up.
+        """Returns whether this instance may send one more attempt to an endpoint that warms up.
 
-        The fewer endpoints an instance uses, the fewer others use this one. With a share of less
-        than an attempt a window, chance decides once for each endpoint and window.
+        The smaller the subsets, the fewer instances share this endpoint. The fractional part of a
+        share is decided at random, once per endpoint and window.
         """
         context, settings = self.context, self.context.settings
         rate, window = self.warm_request_rate * endpoint.listed.size, settings.overload_window
--- a/thymeknot/state/__init__.py
+++ b/thymeknot/state/__init__.py
@@ -1,4 +1,4 @@
-"""State that the decision engine and the proxy keep; nothing here decides.
+"""State of the decision engine and the proxy; no policy is implemented here.
 
-The modules are pure but for connection_pool, which opens and closes connections.
+All modules are free of I/O except connection_pool, which opens and closes connections.
 """
--- a/thymeknot/state/connection_pool.py
+++ b/thymeknot/state/connection_pool.py
@@ -1,4 +1,4 @@
-"""Connections to pods (endpoints), pooled by pod, and the attempts that wait for one."""
+"""Connection pools, one per pod (endpoint), with the attempts that wait for a connection."""
 
 from collections import deque
 from collections.abc import Callable, Iterable
@@ -11,50 +11,51 @@
 from .slot_table import SlotTable
 from .timer_queue import TimerQueue
 
-# Part of the pod's idle timeout after which a connection is retired, before the pod closes it.
+# Fraction of the pod's idle timeout after which a connection is closed, before the pod closes it.
 IDLE_RETIREMENT_FRACTION = 0.8
-# How long a connection is read from after its attempt was given up: a response may be on its way.
+# How long to keep reading after an attempt was given up: its response may be in flight.
 LINGER_AFTER_GIVE_UP: Ticks = 5_000
-# Between two looks at whether a connection is to be retired.
+# Interval between checks whether an idle connection is to be closed.
 CHECK_INTERVAL: Ticks = 10_000
-# After a response: a second one may come some milliseconds late, and responses carry no id.
+# Pause after a response before the connection is reused: a duplicate response may arrive some
+# milliseconds late, and responses carry no id.
 REST_AFTER_RESPONSE: Ticks = 100
 
-# It makes a Connector, whose fields are filled in after it was made.
+# Creates a Connector; its fields are set after construction.
 _make_connector: Callable[..., Any] = PodConnector
 
 
 class Attempt(Protocol):
-    """What is carried to a pod, one at a time on a connection."""
+    """An attempt to send to a pod; a connection carries one at a time."""
 
     @property
     def endpoint(self) -> Any:
-        """The pod as it was listed when the attempt was decided on."""
+        """The pod as it was listed when the attempt was decided."""
 
     def may_be_written(self, address: str, /) -> bool:
-        """Returns whether it still may be written to this address."""
+        """Returns whether the attempt may still be written to this address."""
 
     def write_to(self, connection: Any, /) -> object:
-        """Writes it to a connection."""
+        """Writes the attempt to a connection."""
 
     def withdraw(self) -> object:
-        """Ends it before anything of it was written."""
+        """Ends the attempt before any of it was written."""
 
     def not_connected(self, broken: BrokenConnection, /) -> object:
-        """Ends it: no connection came up for it."""
+        """Ends the attempt because no connection could be established for it."""
 
 
 class PooledConnection(Protocol):
-    """A connection as the pools use it.
+    """The interface of a connection that the pools use.
 
     Attributes:
-        delivery: The attempt that it carries or carried last; None while it is idle.
-        written: Whether the attempt is written completely.
-        slot: Its number among the open connections.
-        used_at: When it was last made idle.
-        rests_until: No attempt is written to it before.
-        timers: The numbers of its timers; the first one checks whether it is to be retired.
-        transport: Twisted's transport.
+        delivery: The current or last attempt; None while idle.
+        written: Whether the attempt was written completely.
+        slot: Slot number in the table of open connections.
+        used_at: Time at which it last became idle.
+        rests_until: Time before which no attempt is written to it.
+        timers: Numbers of its timers; the first one is the idle check.
+        transport: The Twisted transport.
     """
 
     delivery: Attempt | None
@@ -67,32 +68,32 @@
 
     @property
     def connector(self) -> "Connector":
-        """What it came up by."""
+        """The connector that established it."""
 
     @property
     def waiting(self) -> object:
-        """What is told of the response; None where none is awaited."""
+        """What receives the response; None if no response is awaited."""
 
     def clean(self) -> bool:
-        """Returns whether nothing has come since the last response."""
+        """Returns whether nothing was received since the last response."""
 
     def is_to_itself(self) -> bool:
-        """Returns whether both of its ends are this process."""
+        """Returns whether the connection is a TCP self-connect."""
 
     def drop(self, reason: str, /) -> object:
-        """Ends it, and the attempt on it."""
+        """Aborts the connection and fails the attempt on it."""
 
     def give_up(self) -> object:
-        """Ends its attempt; what is on its way back is still read."""
+        """Gives up its attempt; a response in flight is still read."""
 
 
 class Connector(Protocol):
-    """One attempt to connect.
+    """A connection attempt in progress.
 
     Attributes:
-        pool: Where the connection belongs.
-        deadline: The number of the timer that stops it.
-        failed: A Deferred that fires with a BrokenConnection where it fails.
+        pool: The pool that the connection is for.
+        deadline: Number of the connect timeout's timer.
+        failed: A Deferred that fires with a BrokenConnection if connecting fails.
     """
 
     pool: "ConnectionPool"
@@ -101,11 +102,11 @@
 
 
 class UnwrittenAttempt(NamedTuple):
-    """An attempt that is not written completely: it has not run."""
+    """An attempt that was not written completely and so has not run."""
 
     attempt: Attempt
     address: str
-    """Where it is meant to go."""
+    """The address that it is to be sent to."""
 
 
 class ConnectionPool:
@@ -113,11 +114,11 @@
 
     Attributes:
         pod: The pod's identifier.
-        address: Where it listens: host:port.
-        idle: Its idle connections, the one used last at the end.
-        waiting: The attempts that wait for a connection, the eldest first.
-        dialling: How many connections are being dialled.
-        due: The number of the timer at which a connection has rested.
+        address: The pod's address as host:port.
+        idle: Idle connections, the most recently used one last.
+        waiting: Attempts that wait for a connection, the oldest first.
+        dialling: Number of connections being dialled.
+        rest_timer: Number of the timer for the next connection to become reusable.
     """
 
     def __init__(self, pod: str, address: str) -> None:
@@ -130,19 +131,19 @@
 
 
 class ConnectionPools:
-    """Carries attempts to pods, one at a time on a connection.
+    """Sends attempts to pods over pooled connections, one attempt at a time per connection.
 
-    An attempt is asked to write_to(connection) when it has one and may_be_written(address) still
-    holds, else to withdraw(). It is told not_connected(broken) where no connection comes up.
+    When an attempt gets a connection, write_to(connection) is called if may_be_written(address)
+    still holds, else withdraw(). If no connection comes up, not_connected(broken) is called.
 
     Attributes:
-        timers: The timers of the program.
-        connection_limits: The settings that bound connections.
-        max_connections: How many connections may be open or dialled at once.
-        fault: fault(where, error) is told of errors of the program.
-        by_pod: The pool of each pod.
+        timers: The timers of the process.
+        connection_limits: Timeouts and limits for connections.
+        max_connections: Maximum number of connections open or being dialled.
+        fault: Called as fault(where, error) on an internal error.
+        by_pod: Connection pools by pod identifier.
         connections: All open connections.
-        dialling: How many connections are being dialled.
+        dialling: Number of connections being dialled.
     """
 
     def __init__(
@@ -166,10 +167,10 @@
         return len(self.connections) + self.dialling
 
     def send(self, pod: str, address: str, attempt: Attempt) -> bool:
-        """Writes an attempt to the idle connection used last that has rested, or dials for it.
+        """Writes an attempt to the most recently used reusable connection, or dials a new one.
 
         Returns:
-            False where one more connection would be too many; nothing was done then.
+            False, with nothing done, if this would exceed the maximum number of connections.
         """
         pool = self.by_pod.get(pod)
         if pool is None:
@@ -186,28 +187,28 @@
         return True
 
     def _take_rested(self, pool: ConnectionPool) -> PooledConnection | None:
-        """Takes the idle connection used last on which nothing came while it rested, if any."""
+        """Takes the most recently used connection that has rested, if it received nothing since."""
         now = self.timers.clock()
         for connection in pool.idle[::-1]:
             if now < connection.rests_until:
                 continue
-            if now >= self._retires_at(connection):  # its timer may be a little late
+            if now >= self._retires_at(connection):  # its idle check may run late
                 self._close([connection])
             elif connection.clean():
                 pool.idle.remove(connection)
                 return connection
             else:
-                connection.drop("more came than was asked for, or the end")
+                connection.drop("unexpected data or end of stream while idle")
         return None
 
     def _retires_at(self, connection: PooledConnection) -> Ticks:
-        # A new connection is kept for the attempt that it was dialled for, however short the
-        # idle timeout is.
+        # Even with a very short idle timeout, a new connection is kept for the attempt that it was
+        # dialled for.
         idle_time = int(IDLE_RETIREMENT_FRACTION * self.connection_limits.idle_timeout)
         return connection.used_at + max(REST_AFTER_RESPONSE, idle_time)
 
     def _serve_waiting(self, pool: ConnectionPool) -> None:
-        """Writes the attempts that wait, the eldest first, while connections have rested."""
+        """Writes waiting attempts, the oldest first, while connections are available."""
         while pool.waiting:
             if not pool.waiting[0].may_be_written(pool.address):
                 pool.waiting.popleft().withdraw()
@@ -249,57 +250,57 @@
         self._fail_unserved(connector.pool, broken)
 
     def _fail_unserved(self, pool: ConnectionPool, broken: BrokenConnection) -> None:
-        """Fails the eldest waiting attempt, unless another dial serves it."""
+        """Fails the oldest waiting attempt, unless enough dials are in progress for all."""
         if len(pool.waiting) > pool.dialling:
             pool.waiting.popleft().not_connected(broken)
 
     def connection_opened(self, connection: PooledConnection) -> None:
-        """A connection has come up."""
+        """Handles a new connection."""
         self._dial_ended(connection.connector)
         connection.slot = self.connections.add(connection)
         connection.used_at = self.timers.clock()
         if connection.is_to_itself():
-            connection.drop("a dial that has reached itself")
+            connection.drop("TCP self-connect")
         else:
             self._set_idle(connection, 0)
             self._check_idle(connection)
-        # A pod that is full, or ending, may say so before anything is asked: such a connection
-        # carries nothing.
+        # A pod that is full or shutting down may send an error before it is sent anything; such a
+        # connection cannot serve an attempt.
         self._fail_unserved(
             connection.connector.pool,
-            BrokenConnection(NOT_CONNECTED, "nothing to carry an attempt came up"),
+            BrokenConnection(NOT_CONNECTED, "no usable connection was established"),
         )
 
     def response_received(self, connection: PooledConnection) -> None:
-        """Its attempt has its response: it rests, and whatever comes meanwhile ends it."""
+        """Handles a complete response: the connection rests, and any data meanwhile closes it."""
         self._set_idle(connection, REST_AFTER_RESPONSE)
 
     def _set_idle(self, connection: PooledConnection, rest_duration: Ticks) -> None:
-        """Has a connection serve the attempts that wait or will come, after this rest."""
+        """Makes a connection available to attempts after the given rest."""
         connection.used_at = self.timers.clock()
         connection.delivery = None
         connection.rests_until = connection.used_at + rest_duration
         pool = connection.connector.pool
         if self.by_pod.get(pool.pod) is not pool:
-            connection.drop("its pod has gone or moved")
+            connection.drop("the pod was removed or its address changed")
             return
         pool.idle.append(connection)
         self._serve_waiting(pool)
 
     def connection_closing(self, connection: PooledConnection) -> None:
-        """A connection ends: no attempt is written to it any more."""
+        """Handles a connection that is being closed: no further attempt is written to it."""
         if connection in connection.connector.pool.idle:
             connection.connector.pool.idle.remove(connection)
 
     def connection_lost(self, connection: PooledConnection) -> None:
-        """A connection has ended."""
+        """Handles the end of a connection."""
         self.connection_closing(connection)
         self.connections.remove(connection.slot)
         for timer in connection.timers:
             self.timers.cancel(timer)
 
     def _check_idle(self, connection: PooledConnection) -> None:
-        """Retires a connection that has been idle for too long, or checks again later."""
+        """Closes a connection that has been idle for too long, or schedules the next check."""
         if self.connections.get(connection.slot) is not connection:
             return
         now = self.timers.clock()
@@ -311,12 +312,12 @@
             connection.timers[:1] = [self.timers.add(next_check, self._check_idle, connection)]
 
     def give_up(self, attempt: Attempt, connection: PooledConnection | None) -> None:
-        """Ends an attempt at once, whether it waits or is out on this connection."""
+        """Gives up an attempt at once, whether it is waiting or in flight on `connection`."""
         if connection is not None:
             connection.give_up()
             connection.timers.append(
                 self.timers.add(
-                    self.timers.clock() + LINGER_AFTER_GIVE_UP, connection.drop, "given up"
+                    self.timers.clock() + LINGER_AFTER_GIVE_UP, connection.drop, "attempt given up"
                 )
             )
             return
@@ -325,7 +326,7 @@
                 pool.waiting.remove(attempt)
 
     def unwritten_attempts(self) -> list[UnwrittenAttempt]:
-        """Returns the attempts that wait for a connection or are not written completely."""
+        """Returns the attempts that wait for a connection or were not written completely."""
         waiting = [
             UnwrittenAttempt(attempt, pool.address)
             for pool in self.by_pod.values()
@@ -344,10 +345,10 @@
             self._close(list(self.by_pod[pod].idle))
 
     def close_all_except(self, addresses: dict[str, str]) -> None:
-        """Closes what is held to other pods than these, or to other addresses of them.
+        """Removes the pools of pods that are not in `addresses`, or that have another address.
 
-        An attempt that is out on a connection there may end. None waits for such a connection: it
-        was withdrawn before.
+        Attempts in flight may finish. No attempt waits for such a connection: those were withdrawn
+        before.
         """
         for pod in [pod for pod, pool in self.by_pod.items() if addresses.get(pod) != pool.address]:
             self.close_idle(pod)
@@ -359,7 +360,7 @@
             connection.transport.loseConnection()
 
     def _close_least_recently_used(self) -> bool:
-        """Closes the idle connection that was used longest ago; returns whether there is one."""
+        """Closes the least recently used idle connection; returns whether there was one."""
         idle = [pool.idle[0] for pool in self.by_pod.values() if pool.idle]
         self._close(sorted(idle, key=lambda connection: connection.used_at)[:1])
         return bool(idle)
--- a/thymeknot/state/endpoint_state.py
+++ b/thymeknot/state/endpoint_state.py
@@ -1,4 +1,4 @@
-"""What an instance remembers of the endpoints that are listed."""
+"""Per-endpoint state of an instance."""
 
 from collections.abc import Collection, Iterable
 
@@ -9,28 +9,28 @@
 from .random_source import LinearCongruentialGenerator
 from .sliding_window import SlidingWindow
 
-ATTEMPT_WINDOW_BUCKETS = 15  # of the overload window, in which recent attempts are counted
+ATTEMPT_WINDOW_BUCKETS = 15  # of the window of recent attempts
 
 
 class EndpointState:
-    """An endpoint as this instance knows it.
+    """The state of an endpoint as this instance sees it.
 
     Attributes:
-        listed: as discovery lists it.
-        in_flight: attempts of this instance that have not ended.
-        relative_latency: a moving mean of the response time, in times of its request class's mean.
-        failure_rate: a moving mean of the attempts that failed.
-        outcome_at: when an outcome came, or the lack of any was counted, last.
-        load: the utilisation that it reported last.
-        recent_attempts: attempts of this instance in the overload window.
-        last_response_at: when it last responded well.
-        ejected_until: until then it is used last, as it could not be connected to.
-        ejection_time: how long it was ejected last; 0 after a good response.
-        suspected_until: until then it is used last, as peers saw it fail.
-        random_share: number of an overload window, and the random part of this instance's share
-            of the endpoint's warm-up capacity in it, from 0 to 1.
-        subset_rank: its rank in the subset of endpoints in use; None before it is drawn.
-        on_newest_build: True, or False for an earlier build; None if it is not ready to serve.
+        listed: the endpoint as service discovery lists it.
+        in_flight: number of attempts of this instance that have not ended.
+        relative_latency: moving average of the response time, relative to the request class's mean.
+        failure_rate: moving average of the fraction of attempts that failed.
+        last_outcome_at: time of the last outcome, or of the last decay for lack of outcomes.
+        load: the last reported utilisation.
+        recent_attempts: attempts of this instance within the overload window.
+        last_response_at: time of the last successful response.
+        ejected_until: until then it is used last, because connecting to it failed.
+        ejection_duration: duration of the last ejection; 0 after a successful response.
+        suspected_until: until then it is used last, because peers saw it fail.
+        random_share: index of an overload window, and the random addition, from 0 to 1, to this
+            instance's share of the endpoint's warm-up capacity in that window.
+        subset_rank: rank by which the subset in use is chosen; None before the first draw.
+        on_newest_build: whether it runs the newest build; None if it is not ready.
     """
 
     def __init__(self, listed: Endpoint, overload_window: Ticks) -> None:
@@ -50,13 +50,13 @@
         self.on_newest_build: bool | None = None
 
     def warmup_fraction(self, now: Ticks, settings: Settings) -> float:
-        """The part of its capacity that it has at least: it gains no slower than evenly.
+        """Returns the minimum fraction of its capacity: warm-up is at least linear.
 
-        Never 0: costs are divided by it, and an endpoint that starts at no capacity may be asked
-        for at the moment of its start, or before by a clock that is behind.
+        Never 0, because costs are divided by it: the age is at least one tick, even at the moment
+        of the start or with a local clock that is behind.
         """
         started = self.listed.started
-        if not started:  # most are: every request asks for a dozen of these
+        if not started:  # the common case, on a hot path: a dozen calls per request
             return 1.0
         age = max(1, now - started)
         if age >= settings.warmup_duration:
@@ -70,9 +70,9 @@
 def apply_update(
     endpoints: dict[str, EndpointState], update: EndpointUpdate, overload_window: Ticks
 ) -> dict[str, EndpointState]:
-    """The endpoints by address after an update.
+    """Returns the endpoints by address after an update.
 
-    A full list names all of them. An endpoint that was restarted or replaced is a new one.
+    A full list replaces all endpoints. A restarted or replaced endpoint gets a new state.
     """
     if update.kind != UpdateKind.DELTA:
         listed_addresses = {listed.address for listed in update.endpoints}
@@ -98,11 +98,11 @@
     demoted: Collection[EndpointState],
     random_source: LinearCongruentialGenerator,
 ) -> list[EndpointState]:
-    """The endpoints in the order of their ranks; a new one's is as likely as any.
+    """Orders endpoints by rank; new endpoints get a random rank among the existing ones.
 
     Args:
         endpoints: the endpoints to order.
-        demoted: those of them that go last.
+        demoted: the endpoints to move to the end.
         random_source: draws the ranks of new endpoints.
     """
     lowest_rank = int(
@@ -119,12 +119,12 @@
 
 
 def age_at_fraction(fraction: float, settings: Settings, max_age: Ticks) -> float:
-    """How old an endpoint is when it has this part of its capacity, at the latest.
+    """Returns the age at which an endpoint has reached a fraction of its capacity.
 
     Args:
-        fraction: the part of the capacity, from 0 to 1.
-        settings: tell the warm-up's duration and where it begins.
-        max_age: the result, in ticks, if the age is more.
+        fraction: the fraction of the capacity, from 0 to 1.
+        settings: the warm-up's duration and initial fraction.
+        max_age: upper bound of the result, in ticks.
     """
     return min(
         max_age,
--- a/thymeknot/state/fleet_baseline.py
+++ b/thymeknot/state/fleet_baseline.py
@@ -1,4 +1,4 @@
-"""What is usual of the whole fleet, by the platform's counts."""
+"""The usual latency and traffic of the whole fleet, learned from the platform's counts."""
 
 from collections.abc import Iterator, Sequence
 from math import inf
@@ -9,7 +9,7 @@
 
 
 class ClassTotals(NamedTuple):
-    """The counts of a request class over all builds."""
+    """Totals of a request class over all builds."""
 
     succeeded: int
     mean_latency: float
@@ -17,17 +17,17 @@
 
 
 class ClassBaseline(NamedTuple):
-    """What is usual of a request class."""
+    """The usual latency and traffic of a request class."""
 
     outcomes: int
-    """Outcomes behind it."""
+    """Successful attempts that it was learned from."""
     latency: float
     traffic: float
-    """Attempts of all classes in a period."""
+    """Attempts per period, over all request classes."""
 
 
 class RelativeLoad(NamedTuple):
-    """Outcomes of a request class, against what is usual."""
+    """Attempts of a request class, with latency and traffic relative to the usual."""
 
     outcomes: int
     relative_latency: float
@@ -35,7 +35,7 @@
 
 
 def totals_by_class(rows: Sequence[FleetCounts]) -> tuple[dict[str, ClassTotals], int]:
-    """The totals of all builds together by request class, and the attempts of all classes."""
+    """Returns the totals over all builds by request class, and the number of all attempts."""
     sums: dict[str, tuple[int, float, int]] = {}
     for row in rows:
         succeeded, latency_sum, failed = sums.get(row.request_class, (0, 0.0, 0))
@@ -53,13 +53,13 @@
 
 
 class FleetBaseline:
-    """What is usual of the fleet, learnt from the platform's counts of each period.
+    """Learns the usual latency and traffic of the fleet from the platform's periodic counts.
 
     Attributes:
-        request_classes: what is usual, by the name of the request class.
-        seen: outcomes behind all of it.
-        until: when the last period that was told ended; None before the first.
-        period: how long a period lasts, in ticks; 0 if not known yet.
+        request_classes: baselines by request class name.
+        outcomes: successful attempts that all baselines were learned from.
+        last_period_end: end of the last reported period; None before the first.
+        period: duration of a period in ticks; 0 if not known yet.
     """
 
     def __init__(self) -> None:
@@ -69,20 +69,20 @@
         self.period: Ticks = 0
 
     def record_period(self, until: Ticks) -> Ticks:
-        """A period has ended then: gives its beginning, the end of the one before."""
+        """Records that a period ended at `until`; returns its start, the end of the one before."""
         period_start = self.last_period_end if self.last_period_end is not None else until
         self.last_period_end = until
-        # One period may be missed, so the shortest is taken.
+        # A period may be missed, so the shortest one seen is the duration.
         self.period = min(self.period or until - period_start, until - period_start) or self.period
         return period_start
 
     def awaits_counts(self, earliest_end: float, now: Ticks, max_periods: int) -> bool:
-        """Whether the counts of a period that ended after `since` are still to come.
+        """Returns whether the counts of a period that ends at `earliest_end` or later are expected.
 
         Args:
-            earliest_end: the period must have ended then or later.
-            now: the moment.
-            max_periods: after so many periods without counts no more are awaited.
+            earliest_end: the earliest end of the period to wait for.
+            now: the current time.
+            max_periods: number of periods without counts after which none are awaited.
         """
         return (
             self.last_period_end is not None
@@ -91,10 +91,10 @@
         )
 
     def compare(self, rows: Sequence[FleetCounts]) -> Iterator[RelativeLoad]:
-        """Compares counts with what is usual: 1 where nothing is known.
+        """Compares counts with the baselines; the ratio is 1 for a class without a baseline.
 
-        Gives two results a request class: for those done, and for those that failed, whose
-        latency counts as infinite.
+        Yields two results per request class: one for successful attempts and one for failed
+        attempts, whose latency counts as infinite.
         """
         totals, all_attempts = totals_by_class(rows)
         for request_class, (succeeded, mean, failed) in totals.items():
@@ -104,11 +104,11 @@
             yield RelativeLoad(failed, inf, relative_traffic)
 
     def update(self, rows: Sequence[FleetCounts], gain: float) -> None:
-        """Takes a period's counts into what is usual.
+        """Updates the baselines with the counts of a period.
 
         Args:
             rows: the counts.
-            gain: the weight of a period at the least; the first ones count by what is behind them.
+            gain: minimum weight of a period; the first periods are weighted by their outcomes.
         """
         totals, all_attempts = totals_by_class(rows)
         for request_class, (succeeded, mean, _) in totals.items():
--- a/thymeknot/state/request_state.py
+++ b/thymeknot/state/request_state.py
@@ -1,4 +1,4 @@
-"""What an instance remembers of a request and of its attempts."""
+"""State of a request and of its attempts."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 
 class RequestState:
-    """A request that was received and has not had its final answer, or has attempts in flight.
+    """A request without a final response, or with attempts still in flight.
 
     Attributes:
-        id: names the request to the caller of the engine.
-        key: the request's key or, where it has none, its id.
-        state: where it is in its life, as `policy.request_lifecycle` counts.
-        deadline: after this its client waits no longer.
-        latency_deadline: until this an answer meets the latency objective.
-        streaming: whether the first byte of its response went to the client.
-        attempts: in the order in which they were sent; an attempt's number is its index.
+        id: identifier of the request, as the engine's host knows it.
+        key: the request's key, or its id if it has none.
+        state: its phase, one of `policy.request_lifecycle.RequestPhase`.
+        deadline: time until which the client waits.
+        latency_deadline: time until which a response meets the latency objective.
+        streaming: whether the first byte of its response was sent to the client.
+        attempts: in order of sending; an attempt's number is its index.
     """
 
     def __init__(
@@ -38,16 +38,24 @@
         self.attempts: list[AttemptState] = []
 
     def in_flight(self) -> int:
-        """How many of its attempts have not ended."""
+        """Returns the number of attempts that have not ended."""
         return sum(attempt.in_flight for attempt in self.attempts)
 
     def first_possible_run(self) -> AttemptState | None:
-        """The first attempt that is not proved not to have run: idempotency counts from it."""
+        """Returns the first attempt that may have run; deduplication windows start with it."""
         return next((attempt for attempt in self.attempts if attempt.may_have_run), None)
 
 
 class AttemptState:
-    """An attempt, with the endpoint as it was listed when the attempt was sent."""
+    """An attempt, with the endpoint as listed at the time of sending.
+
+    Attributes:
+        endpoint_state: the current state of the endpoint.
+        endpoint: the endpoint as it was listed when the attempt was sent.
+        sent_at: time of sending.
+        in_flight: whether the attempt has not ended.
+        may_have_run: whether the attempt has not been proved not to have run.
+    """
 
     def __init__(self, endpoint_state: EndpointState, now: Ticks) -> None:
         self.endpoint_state = endpoint_state
--- a/thymeknot/state/sliding_window.py
+++ b/thymeknot/state/sliding_window.py
@@ -1,4 +1,4 @@
-"""Sums over the latest span of time."""
+"""Sums over a sliding time window."""
 
 from collections.abc import Hashable
 from typing import TypeVar
@@ -9,23 +9,23 @@
 
 
 class SlidingWindow:
-    """A sum over the latest span of time, in a ring of buckets that are used again.
+    """A sum over a sliding time window, kept in a ring buffer of time buckets.
 
-    The buckets are as many as cover the span, and as many as asked for at most: in a short span
-    more of them, each a tick long at least, would count what is older.
+    A bucket covers at least one tick, so a short span has fewer buckets than requested: further
+    buckets would include amounts older than the span.
 
     Attributes:
-        span: What the window covers, in ticks.
-        width: What one bucket covers, in ticks.
+        span: Duration of the window, in ticks.
+        bucket_width: Duration of a bucket, in ticks.
     """
 
     def __init__(self, span: Ticks, buckets: int) -> None:
         self.span = span
         self.bucket_width = max(1, -(-span // buckets))
-        # One more than covers the span: the oldest bucket is partly outside.
+        # One bucket more than the span, because the oldest bucket is partly outside of it.
         self._size = -(-span // self.bucket_width) + 1
         self._sums: list[float] = [0] * self._size
-        self._newest = 0  # the number of the newest bucket, counted since time 0
+        self._newest = 0  # index of the newest bucket, counted from time 0
 
     def _advance(self, now: Ticks) -> None:
         bucket = now // self.bucket_width
@@ -36,19 +36,19 @@
         self._newest = bucket
 
     def add(self, now: Ticks, amount: float = 1) -> None:
-        """Adds an amount at this moment."""
+        """Adds an amount at time `now`."""
         self._advance(now)
         self._sums[self._newest % self._size] += amount
 
     def total(
         self, now: Ticks, exclude_oldest: bool = False, buckets_back: int | None = None
     ) -> float:
-        """Returns the sum over the window; whole amounts give a whole sum.
+        """Returns the sum over the window; it is an integer if all amounts are.
 
         Args:
             now: The end of the window.
-            exclude_oldest: Whether the oldest bucket, which is partly outside, is left out.
-            buckets_back: How many buckets count before the newest; None for all.
+            exclude_oldest: Whether to skip the oldest bucket, which is partly outside the window.
+            buckets_back: How many buckets before the newest to include; None for all.
         """
         self._advance(now)
         size = self._size
@@ -56,7 +56,7 @@
             size if buckets_back is None else min(size, buckets_back + 1)
         ) - exclude_oldest
         begin = (self._newest + 1 - bucket_count) % size
-        end = begin + bucket_count  # slices: every request asks for a dozen of these sums
+        end = begin + bucket_count  # slices, because each request computes a dozen sums
         if end <= size:
             return sum(self._sums[begin:end])
         return sum(self._sums[begin:]) + sum(self._sums[: end - size])
@@ -65,8 +65,8 @@
 def get_or_create_window(
     windows: dict[Key, SlidingWindow], key: Key, span: Ticks, buckets: int
 ) -> SlidingWindow:
-    """Returns the window of this key, which is made and kept where there is none yet.
+    """Returns the window of a key, and creates it if it does not exist.
 
-    Every request asks for several: none is made that is not kept.
+    On the hot path: a window is only constructed when it is stored.
     """
     return windows.get(key) or windows.setdefault(key, SlidingWindow(span, buckets))
--- a/thymeknot/state/slot_table.py
+++ b/thymeknot/state/slot_table.py
@@ -1,4 +1,4 @@
-"""Records in numbered slots."""
+"""A table of records in numbered, reusable slots."""
 
 from collections.abc import Iterator
 from typing import Generic, TypeVar
@@ -7,11 +7,11 @@
 
 
 class SlotTable(Generic[Record]):
-    """Records by number; the number of a removed record is given out again.
+    """Stores records by slot number; the numbers of removed records are reused.
 
     Attributes:
-        used: How many slots hold a record.
-        peak: How many held one at once at most.
+        used: Number of slots in use.
+        peak: Highest number of slots in use at the same time.
     """
 
     def __init__(self) -> None:
@@ -21,7 +21,7 @@
         self._free: list[int] = []
 
     def add(self, record: Record) -> int:
-        """Keeps a record and returns its number."""
+        """Stores a record and returns its slot number."""
         if self._free:
             number = self._free.pop()
             self._records[number] = record
@@ -33,11 +33,11 @@
         return number
 
     def get(self, number: int) -> Record | None:
-        """Returns the record of this number, or None."""
+        """Returns the record in a slot, or None."""
         return self._records[number] if 0 <= number < len(self._records) else None
 
     def remove(self, number: int) -> None:
-        """Removes the record of this number; does nothing where there is none."""
+        """Removes the record in a slot; does nothing if the slot is empty."""
         if self.get(number) is not None:
             self._records[number] = None
             self._free.append(number)
--- a/thymeknot/state/timer_queue.py
+++ b/thymeknot/state/timer_queue.py
@@ -1,4 +1,4 @@
-"""All timers of the program, in one priority queue. Times are ticks."""
+"""A priority queue for all timers of the process. Times are in ticks."""
 
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
@@ -6,18 +6,18 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 
-# Cancelled timers that stay in the queue at least before it is swept, which costs its whole length.
+# Cancelled timers that are tolerated before the heap is rebuilt, which takes linear time.
 SWEEP_THRESHOLD = 256
 
 
 class TimerQueue:
-    """Makes calls at their time, in the order of time and then of being asked for.
+    """Runs callbacks when they are due, ordered by time and then by insertion.
 
     Attributes:
-        clock: Gives the time in ticks; it is monotonic.
-        wake: wake(seconds, call, *arguments) has the event loop make a call later.
-        fault: fault(where, error) is told of an error that a call raises.
-        pending: The call and its arguments of each timer that waits, by the timer's number.
+        clock: Returns the monotonic time in ticks.
+        wake: wake(seconds, call, *arguments) schedules a call on the event loop.
+        fault: Called as fault(where, error) if a callback raises.
+        pending: Callback and arguments of each pending timer, by timer number.
     """
 
     def __init__(
@@ -30,12 +30,12 @@
         self.wake = wake
         self.fault = fault
         self.pending: dict[int, tuple[Callable[..., object], tuple[Any, ...]]] = {}
-        self._heap: list[tuple[Ticks, int]] = []  # the time and number of each, cancelled ones too
-        self._number = 0  # of the newest timer
-        self._woken_for: Ticks | None = None  # the time for which the event loop was asked to wake
+        self._heap: list[tuple[Ticks, int]] = []  # (time, number), cancelled timers included
+        self._number = 0  # number of the newest timer
+        self._woken_for: Ticks | None = None  # time of the scheduled wake-up
 
     def add(self, at: Ticks, call: Callable[..., object], *arguments: Any) -> int:
-        """Has a call made at this time; returns the timer's number."""
+        """Schedules a callback at time `at`; returns the timer's number."""
         self._number += 1
         self.pending[self._number] = (call, arguments)
         heappush(self._heap, (at, self._number))
@@ -43,7 +43,7 @@
         return self._number
 
     def cancel(self, number: int | None) -> None:
-        """Cancels a timer; does nothing where there is none, or none any more."""
+        """Cancels a timer; does nothing for None, or if the timer has fired or was cancelled."""
         if number is None or not self.pending.pop(number, None):
             return
         if len(self._heap) > SWEEP_THRESHOLD + 2 * len(self.pending):
@@ -60,8 +60,8 @@
             )
 
     def _on_wake(self, woken_for: Ticks) -> None:
-        # Once more round the event loop: data that has come is read before a timer says that it
-        # has not.
+        # Wait for one more event loop iteration, so that data that has arrived is read before a
+        # timeout for it fires.
         if woken_for == self._woken_for:
             self.wake(0, self._run_due, woken_for)
 
@@ -75,7 +75,7 @@
                 call, arguments = timer
                 try:
                     call(*arguments)
-                except Exception as error:  # one timer must not hold up the others
+                except Exception as error:  # one failing timer must not block the others
                     self.fault("deadline", error)
         self._woken_for = None
         self._schedule_wake()
--- a/thymeknot/state/trial_exposure.py
+++ b/thymeknot/state/trial_exposure.py
@@ -1,7 +1,7 @@
-"""The exposure budget of the build on trial, as it stands when an attempt is written.
+"""The exposure budget of the build on trial, enforced when an attempt is written.
 
-The attempt may have waited for its connection since the decision engine allowed it, and connections
-that come up together would make a burst.
+The decision engine has already allowed the attempt, but it may have waited for its connection since
+then: connections that come up at the same time would cause a burst.
 """
 
 from typing import TypeGuard
@@ -12,7 +12,7 @@
 from ..interface.settings import Settings
 from .sliding_window import SlidingWindow, get_or_create_window
 
-WINDOW_BUCKETS = 120  # of the exposure window, as in the decision engine
+WINDOW_BUCKETS = 120  # of the exposure window; the same number as in the decision engine
 
 
 def _is_on_trial(release: ReleaseUpdate | None, build: int) -> TypeGuard[ReleaseUpdate]:
@@ -20,7 +20,7 @@
 
 
 class TrialExposure:
-    """The requests taken and the attempts written to the build on trial, over a sliding window."""
+    """Counts requests received and attempts written to the build on trial in a sliding window."""
 
     def __init__(self, settings: Settings) -> None:
         self._by_class = settings.exposure_by_class
@@ -28,7 +28,7 @@
         self._allowance = settings.exposure_allowance
         self._received: dict[str | bool, SlidingWindow] = {}
         self._written: dict[str | bool, SlidingWindow] = {}
-        self._build: int | None = None  # which the written attempts went to
+        self._build: int | None = None  # the build that the written attempts went to
 
     def _window_for(
         self, windows: dict[str | bool, SlidingWindow], request_class: str
@@ -38,13 +38,13 @@
         )
 
     def count_received(self, now: Ticks, request_class: str) -> None:
-        """Counts a request that was taken."""
+        """Counts a received request."""
         self._window_for(self._received, request_class).add(now)
 
     def count_written(
         self, now: Ticks, release: ReleaseUpdate | None, build: int, request_class: str
     ) -> None:
-        """Counts an attempt that was written to an endpoint of this build."""
+        """Counts an attempt that was written to an endpoint of `build`."""
         if _is_on_trial(release, build):
             if build != self._build:
                 self._build = build
@@ -54,10 +54,11 @@
     def allows(
         self, now: Ticks, release: ReleaseUpdate | None, build: int, request_class: str
     ) -> bool:
-        """Returns whether one more attempt may be written to an endpoint of this build now.
+        """Returns whether one more attempt may be written to an endpoint of `build` now.
 
-        At a cap of 1 the partly covered oldest bucket counts on both sides: without it, what is
-        taken and written at once would be rejected. A bucket is within the protocol's slack.
+        At a cap of 1 the oldest bucket, which is partly outside the window, is included on both
+        sides: otherwise requests received and written at the same time would be rejected. One
+        bucket is within the tolerance of the protocol.
         """
         if not _is_on_trial(release, build) or build != self._build:
             return True
