--- a/thymeknot/policy/endpoint_selection.py
+++ b/thymeknot/policy/endpoint_selection.py
@@ -9,7 +9,7 @@
 from ..interface.reasons import Reason
 from ..state.endpoint_state import EndpointState, apply_update, order_by_subset_rank
 from ..state.request_state import RequestState
-from .context import CROWD_FACTOR, DecisionContext
+from .context import LARGE_FLEET_RATIO, DecisionContext
 from .idempotency import deduplicates_retry
 from .slow_start import SlowStart
 
@@ -61,7 +61,7 @@
         if event.kind == UpdateKind.FETCH_FAILED:
             # The watch may have been lost. Jittered, so that a fetch that fails at once is not
             # retried in a tight loop.
-            wait = int((1 + context.chance.draw()) * TICKS_PER_SECOND)
+            wait = int((1 + context.rng.draw()) * TICKS_PER_SECOND)
             self.next_poll_at = min(self.next_poll_at, context.now + wait)
             return
         context.endpoints = apply_update(context.endpoints, event, context.settings.overload_window)
@@ -114,7 +114,7 @@
             context.arrivals.total(context.now)
             * (1 - self.connection_loss_rate) ** CONNECTION_LOSS_EXPONENT
         )
-        ranked = order_by_subset_rank(context.by_build[newest], demoted, context.chance)
+        ranked = order_by_subset_rank(context.by_build[newest], demoted, context.rng)
         context.subsets[newest] = ranked[: max(MIN_SUBSET_SIZE, int(subset_size))]
 
     def upkeep(self) -> None:
@@ -168,7 +168,7 @@
         if not candidates:
             context.explain(Reason.NO_POD, len(context.by_build[newest]), newest)
             return None
-        if context.settings.instances < CROWD_FACTOR * len(context.by_build[newest]):
+        if context.settings.instances < LARGE_FLEET_RATIO * len(context.by_build[newest]):
             near_best = [
                 endpoint
                 for cost, endpoint in candidates
@@ -176,7 +176,7 @@
             ]
             return near_best[self._round_robin_index % len(near_best)]
         # Weighted random choice: otherwise hundreds of instances converge on the cheapest.
-        return candidates[context.chance.pick([1 / cost for cost, _ in candidates])][1]
+        return candidates[context.rng.pick([1 / cost for cost, _ in candidates])][1]
 
     def _add_candidates(
         self,
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -3,7 +3,7 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.endpoint_state import EndpointState
 from ..state.sliding_window import SlidingWindow
-from .context import UPKEEP_LONGEST, DecisionContext
+from .context import MAX_UPKEEP_INTERVAL, DecisionContext
 
 OVERLOAD_LIMIT_RATIO = 0.5  # of the overload limit; other instances send there unseen
 MIN_FLEET_ATTEMPTS = 4  # attempts per window that all instances together may always send
@@ -41,7 +41,7 @@
         context = self.context
         self.warm_capacity = 0.0
         self.capacity = {True: 0.0, False: 0.0}
-        exponent = CROWDED_FLEET_EXPONENT if context.crowded() else 1
+        exponent = CROWDED_FLEET_EXPONENT if context.is_large_fleet() else 1
         settings, now = context.settings, context.now
         for newest, endpoints in context.by_build.items():
             for endpoint in endpoints:
@@ -50,7 +50,7 @@
                 self.warm_capacity += endpoint.listed.size * (fraction == 1.0)
                 self._warming_until = max(
                     self._warming_until,
-                    endpoint.listed.started + settings.warmup_duration + UPKEEP_LONGEST,
+                    endpoint.listed.started + settings.warmup_duration + MAX_UPKEEP_INTERVAL,
                 )
 
     def record_response(self, fraction: float) -> None:
@@ -73,7 +73,7 @@
         )
         time_constant = min(
             RATE_RISE_TIME_CONSTANT if rate > self.warm_request_rate else RATE_FALL_TIME_CONSTANT,
-            context.age(),
+            context.traffic_age(),
         )
         self.warm_request_rate += (
             (rate - self.warm_request_rate) * elapsed / max(TICKS_PER_SECOND, time_constant)
@@ -102,5 +102,5 @@
         else:
             share *= len(context.by_build[newest]) / (len(context.subsets[newest]) or 1)
         if endpoint.random_share[0] != context.now // window:
-            endpoint.random_share = context.now // window, context.chance.draw()
+            endpoint.random_share = context.now // window, context.rng.draw()
         return endpoint.recent_attempts.total(context.now) + 1 <= share + endpoint.random_share[1]
--- a/thymeknot/state/connection_pool.py
+++ b/thymeknot/state/connection_pool.py
@@ -49,20 +49,20 @@
     """The interface of a connection that the pools use.
 
     Attributes:
-        delivery: The current or last attempt; None while idle.
+        attempt: The current or last attempt; None while idle.
         written: Whether the attempt was written completely.
         slot: Slot number in the table of open connections.
-        used_at: Time at which it last became idle.
-        rests_until: Time before which no attempt is written to it.
+        last_used_at: Time at which it last became idle.
+        reusable_at: Time before which no attempt is written to it.
         timers: Numbers of its timers; the first one is the idle check.
         transport: The Twisted transport.
     """
 
-    delivery: Attempt | None
+    attempt: Attempt | None
     written: bool
     slot: int
-    used_at: Ticks
-    rests_until: Ticks
+    last_used_at: Ticks
+    reusable_at: Ticks
     timers: list[int]
     transport: Any
 
@@ -71,13 +71,13 @@
         """The connector that established it."""
 
     @property
-    def waiting(self) -> object:
+    def pending_response(self) -> object:
         """What receives the response; None if no response is awaited."""
 
-    def clean(self) -> bool:
+    def is_clean(self) -> bool:
         """Returns whether nothing was received since the last response."""
 
-    def is_to_itself(self) -> bool:
+    def is_self_connected(self) -> bool:
         """Returns whether the connection is a TCP self-connect."""
 
     def drop(self, reason: str, /) -> object:
@@ -190,11 +190,11 @@
         """Takes the most recently used connection that has rested, if it received nothing since."""
         now = self.timers.clock()
         for connection in pool.idle[::-1]:
-            if now < connection.rests_until:
+            if now < connection.reusable_at:
                 continue
             if now >= self._retires_at(connection):  # its idle check may run late
                 self._close([connection])
-            elif connection.clean():
+            elif connection.is_clean():
                 pool.idle.remove(connection)
                 return connection
             else:
@@ -205,7 +205,7 @@
         # Even with a very short idle timeout, a new connection is kept for the attempt that it was
         # dialled for.
         idle_time = int(IDLE_RETIREMENT_FRACTION * self.connection_limits.idle_timeout)
-        return connection.used_at + max(REST_AFTER_RESPONSE, idle_time)
+        return connection.last_used_at + max(REST_AFTER_RESPONSE, idle_time)
 
     def _serve_waiting(self, pool: ConnectionPool) -> None:
         """Writes waiting attempts, the oldest first, while connections are available."""
@@ -218,11 +218,11 @@
                 break
         self.timers.cancel(pool.rest_timer)
         if pool.waiting and pool.idle:
-            rested_at = min(connection.rests_until for connection in pool.idle)
+            rested_at = min(connection.reusable_at for connection in pool.idle)
             pool.rest_timer = self.timers.add(rested_at, self._serve_waiting, pool)
 
     def _write(self, attempt: Attempt, connection: PooledConnection) -> None:
-        connection.delivery = attempt
+        connection.attempt = attempt
         attempt.write_to(connection)
 
     def _dial(self, pool: ConnectionPool) -> None:
@@ -258,8 +258,8 @@
         """Handles a new connection."""
         self._dial_ended(connection.connector)
         connection.slot = self.connections.add(connection)
-        connection.used_at = self.timers.clock()
-        if connection.is_to_itself():
+        connection.last_used_at = self.timers.clock()
+        if connection.is_self_connected():
             connection.drop("TCP self-connect")
         else:
             self._set_idle(connection, 0)
@@ -277,9 +277,9 @@
 
     def _set_idle(self, connection: PooledConnection, rest_duration: Ticks) -> None:
         """Makes a connection available to attempts after the given rest."""
-        connection.used_at = self.timers.clock()
-        connection.delivery = None
-        connection.rests_until = connection.used_at + rest_duration
+        connection.last_used_at = self.timers.clock()
+        connection.attempt = None
+        connection.reusable_at = connection.last_used_at + rest_duration
         pool = connection.connector.pool
         if self.by_pod.get(pool.pod) is not pool:
             connection.drop("the pod was removed or its address changed")
@@ -305,7 +305,7 @@
             return
         now = self.timers.clock()
         retires_at = self._retires_at(connection)
-        if connection.waiting is None and now >= retires_at:
+        if connection.pending_response is None and now >= retires_at:
             self._close([connection])
         else:
             next_check = max(retires_at, now + CHECK_INTERVAL)
@@ -317,7 +317,7 @@
             connection.give_up()
             connection.timers.append(
                 self.timers.add(
-                    self.timers.clock() + LINGER_AFTER_GIVE_UP, connection.drop, "attempt given up"
+                    self.timers.clock() + LINGER_AFTER_GIVE_UP, connection.drop, "given up"
                 )
             )
             return
@@ -333,9 +333,9 @@
             for attempt in pool.waiting
         ]
         partly_written = [
-            UnwrittenAttempt(cast(Attempt, connection.delivery), connection.connector.pool.address)
+            UnwrittenAttempt(cast(Attempt, connection.attempt), connection.connector.pool.address)
             for connection in self.connections
-            if connection.waiting is not None and not connection.written
+            if connection.pending_response is not None and not connection.written
         ]
         return waiting + partly_written
 
@@ -362,5 +362,5 @@
     def _close_least_recently_used(self) -> bool:
         """Closes the least recently used idle connection; returns whether there was one."""
         idle = [pool.idle[0] for pool in self.by_pod.values() if pool.idle]
-        self._close(sorted(idle, key=lambda connection: connection.used_at)[:1])
+        self._close(sorted(idle, key=lambda connection: connection.last_used_at)[:1])
         return bool(idle)
