--- a/tests/unit/policy/test_concurrency_limit.py
+++ b/tests/unit/policy/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""How many requests may be open."""
+"""The concurrency limit of open requests."""
 
 import unittest
 
@@ -7,25 +7,25 @@
 
 
 class ConcurrencyLimitTest(unittest.TestCase):
-    def test_a_new_instance_does_not_take_silence_for_overload(self):
-        made = balancer()
-        made.context.first_traffic_at = NOW - TICKS_PER_SECOND // 2
+    def test_lack_of_responses_at_start_does_not_limit_a_new_instance(self):
+        engine = balancer()
+        engine.context.first_traffic_at = NOW - TICKS_PER_SECOND // 2
         self.assertGreater(
-            made.admission.concurrency_limit(
+            engine.admission.concurrency_limit(
                 NOW,
-                made.context.settings.request_classes["read"],
-                NOW - made.context.first_traffic_at,
+                engine.context.settings.request_classes["read"],
+                NOW - engine.context.first_traffic_at,
             ),
             100,
         )
 
-    def test_beyond_the_limit_the_cheapest_lane_is_deferred_first(self):
-        made = balancer()
-        for lane in ("read", "pay"):
-            made.admission.record_latency(NOW, LANES[lane], 100)
+    def test_class_with_lowest_priority_weight_has_the_lowest_limit(self):
+        engine = balancer()
+        for request_class in ("read", "pay"):
+            engine.admission.record_latency(NOW, LANES[request_class], 100)
         self.assertLess(
             *(
-                made.admission.concurrency_limit(NOW, LANES[lane], 5 * TICKS_PER_SECOND)
-                for lane in ("read", "pay")
+                engine.admission.concurrency_limit(NOW, LANES[request_class], 5 * TICKS_PER_SECOND)
+                for request_class in ("read", "pay")
             )
         )
--- a/tests/unit/policy/test_five_rules.py
+++ b/tests/unit/policy/test_five_rules.py
@@ -1,4 +1,9 @@
-"""The five rules, with cases on both sides of each limit."""
+"""The five rules, with cases on both sides of each limit.
+
+1: every request gets exactly one final response. 2: no request takes effect twice. 3: drains are
+respected. 4: an endpoint that warms up is not overloaded. 5: exposure of the build on trial stays
+within the cap.
+"""
 
 import unittest
 
@@ -10,183 +15,200 @@
 from thymeknot.policy.traffic_split import MAX_REMEMBERED_KEYS
 
 
-class EveryTransactionIsAnswered(unittest.TestCase):
-    def test_without_a_pod_it_is_deferred_at_once(self):
-        made = balancer(pod("gone", condition=EndpointCondition.DRAINING))
-        self.assertEqual(kinds(made.handle(NOW, [taken()])), [Reject])
+class FinalResponseTest(unittest.TestCase):
+    def test_request_without_a_ready_endpoint_is_rejected_at_once(self):
+        engine = balancer(pod("gone", condition=EndpointCondition.DRAINING))
+        self.assertEqual(kinds(engine.handle(NOW, [taken()])), [Reject])
 
-    def test_an_expired_grace_is_answered_without_a_delivery(self):
+    def test_request_past_its_deadline_is_rejected_without_an_attempt(self):
         self.assertEqual(kinds(balancer().handle(NOW, [taken(left=0)])), [Reject])
 
-    def test_nothing_is_sent_after_the_answer(self):
-        made = balancer()
-        made.handle(NOW, [taken(lane="pay"), ended(outcome=Outcome.DONE, closed=True)])
+    def test_no_action_follows_the_final_response(self):
+        engine = balancer()
+        engine.handle(NOW, [taken(lane="pay"), ended(outcome=Outcome.DONE, closed=True)])
         self.assertEqual(
-            made.handle(
+            engine.handle(
                 NOW + 1, [ended(outcome=Outcome.DONE, closed=True), ClientDisconnected("t1")]
             ),
             [],
         )
 
-    def test_an_error_after_the_goal_is_answered_at_once(self):
-        made = balancer()
-        address = sent(made.handle(NOW, [taken()]))[0]
-        actions = made.handle(
+    def test_error_after_the_latency_objective_is_rejected_without_a_retry(self):
+        engine = balancer()
+        address = sent(engine.handle(NOW, [taken()]))[0]
+        actions = engine.handle(
             NOW + TICKS_PER_SECOND, [ended(outcome=Outcome.ERROR, address=address)]
         )
         self.assertEqual(kinds(actions), [Reject])
 
-    def test_the_delivery_ends_with_the_client(self):
+    def test_attempt_timeout_is_the_time_that_the_client_waits(self):
         self.assertEqual(balancer().handle(NOW, [taken(left=123)])[0].timeout, 123)
 
 
-class NoEffectTwice(unittest.TestCase):
-    def after(self, lane, outcome, later=1, **changes):
-        made = balancer(pod("a"), pod("b"), pod("c", zone="z"), **changes)
-        first = sent(made.handle(NOW, [taken(lane=lane)]))[0]
-        return first, made.handle(NOW + later, [ended(outcome=outcome, address=first)])
+class AtMostOnceTest(unittest.TestCase):
+    def actions_after(self, request_class, outcome, later=1, **changes):
+        """Returns the endpoint of the first attempt and the actions after it ended with this outcome."""
+        engine = balancer(pod("a"), pod("b"), pod("c", zone="z"), **changes)
+        first = sent(engine.handle(NOW, [taken(lane=request_class)]))[0]
+        return first, engine.handle(NOW + later, [ended(outcome=outcome, address=first)])
 
-    def test_a_binding_one_that_may_have_run_is_abandoned(self):
+    def test_non_idempotent_request_that_may_have_run_fails(self):
         for outcome in (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
-            self.assertEqual(kinds(self.after("pay", outcome)[1]), [Fail], outcome)
+            self.assertEqual(kinds(self.actions_after("pay", outcome)[1]), [Fail], outcome)
 
-    def test_a_binding_one_proved_unrun_goes_again(self):
+    def test_non_idempotent_request_that_did_not_run_is_retried(self):
         for outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
-            self.assertEqual(kinds(self.after("pay", outcome)[1]), [SendAttempt], outcome)
+            self.assertEqual(kinds(self.actions_after("pay", outcome)[1]), [SendAttempt], outcome)
 
-    def test_a_fingerprinted_one_goes_again_within_its_window_only(self):
-        lanes = {
+    def test_keyed_request_is_retried_only_within_its_deduplication_window(self):
+        request_classes = {
             "mark": balancer()
             .context.settings.request_classes["mark"]
             ._replace(latency_objective=3 * TICKS_PER_SECOND)
         }
         self.assertEqual(
             kinds(
-                self.after("mark", Outcome.ERROR, 2 * TICKS_PER_SECOND - 1, request_classes=lanes)[
-                    1
-                ]
+                self.actions_after(
+                    "mark", Outcome.ERROR, 2 * TICKS_PER_SECOND - 1, request_classes=request_classes
+                )[1]
             ),
             [SendAttempt],
         )
         self.assertEqual(
             kinds(
-                self.after("mark", Outcome.ERROR, 2 * TICKS_PER_SECOND, request_classes=lanes)[1]
+                self.actions_after(
+                    "mark", Outcome.ERROR, 2 * TICKS_PER_SECOND, request_classes=request_classes
+                )[1]
             ),
             [Fail],
         )
 
-    def test_a_zoned_fingerprint_stays_in_its_zone_and_is_not_deferred(self):
-        made = balancer(pod("a"), pod("c", zone="z"))
-        first = sent(made.handle(NOW, [taken(lane="zoned")]))[0]
-        again = made.handle(NOW + 1, [ended(outcome=Outcome.ERROR, address=first)])
-        self.assertTrue(sent(again) == [first] or kinds(again) == [Fail])
+    def test_zone_scoped_keyed_request_is_retried_in_its_zone_or_fails(self):
+        engine = balancer(pod("a"), pod("c", zone="z"))
+        first = sent(engine.handle(NOW, [taken(lane="zoned")]))[0]
+        retry = engine.handle(NOW + 1, [ended(outcome=Outcome.ERROR, address=first)])
+        self.assertTrue(sent(retry) == [first] or kinds(retry) == [Fail])
 
-    def test_an_unrun_delivery_does_not_hide_a_later_one_that_may_have_run(self):
-        made = balancer(pod("a"), pod("b"))
-        first = sent(made.handle(NOW, [taken(lane="pay")]))[0]
-        second = sent(made.handle(NOW + 1, [ended(outcome=Outcome.REJECTED, address=first)]))[0]
+    def test_request_fails_if_a_later_attempt_than_the_first_may_have_run(self):
+        engine = balancer(pod("a"), pod("b"))
+        first = sent(engine.handle(NOW, [taken(lane="pay")]))[0]
+        second = sent(engine.handle(NOW + 1, [ended(outcome=Outcome.REJECTED, address=first)]))[0]
         self.assertEqual(
-            kinds(made.handle(NOW + 2, [ended(outcome=Outcome.ERROR, address=second, number=1)])),
+            kinds(engine.handle(NOW + 2, [ended(outcome=Outcome.ERROR, address=second, number=1)])),
             [Fail],
         )
 
-    def test_no_second_copy_where_they_are_off(self):
-        made = balancer(hedging_allowed=False)
-        self.assertNotIn(SetTimer, kinds(made.handle(NOW, [taken()])))
+    def test_no_hedging_timer_if_hedging_is_disabled(self):
+        engine = balancer(hedging_allowed=False)
+        self.assertNotIn(SetTimer, kinds(engine.handle(NOW, [taken()])))
 
 
-class DrainsAreKept(unittest.TestCase):
-    def test_nothing_goes_to_a_draining_pod_or_one_that_is_gone(self):
+class DrainTest(unittest.TestCase):
+    def test_draining_or_gone_endpoint_gets_no_request(self):
         for condition in (EndpointCondition.DRAINING, EndpointCondition.GONE):
-            made = balancer(pod("a"), pod("b"))
-            made.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, (pod("a", condition=condition),))])
-            self.assertEqual({sent(made.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"})
-
-    def test_a_pod_left_out_of_a_whole_list_is_gone(self):
-        made = balancer(pod("a"), pod("b"))
-        made.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (pod("b"),))])
-        self.assertEqual({sent(made.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"})
-
-    def test_a_failed_list_changes_nothing_and_is_asked_for_again(self):
-        made = balancer(pod("a"), lists_polled=True)
-        made.selection.next_poll_at = NOW + 9 * TICKS_PER_SECOND
-        made.handle(NOW, [EndpointUpdate(UpdateKind.FETCH_FAILED, ())])
-        self.assertEqual(sent(made.handle(NOW, [taken()])), ["a"])
-        self.assertLessEqual(made.selection.next_poll_at, NOW + 2 * TICKS_PER_SECOND)
-
-
-class AColdPodIsNotPushedOver(unittest.TestCase):
-    def room(self, age, already, rate=8.0):
-        made = balancer(pod("cold", started=NOW - age), overload_factor=2.0)
-        made.slow_start.warm_request_rate, known = rate, made.context.endpoints["cold"]
-        known.recent_attempts.add(NOW, already)
-        return made.slow_start.has_room(known, known.warmup_fraction(NOW, made.context.settings))
-
-    def test_it_gets_this_instances_part_and_no_more(self):
-        self.assertTrue(self.room(0, 1))
-        self.assertFalse(self.room(0, 2))
-
-    def test_the_part_grows_with_its_age(self):
-        self.assertTrue(self.room(2 * TICKS_PER_SECOND, 4))
-        self.assertFalse(self.room(2 * TICKS_PER_SECOND, 5))
-
-    def test_parts_of_hundreds_add_up_to_less_than_pushes_it_over(self):
-        going = 0
+            engine = balancer(pod("a"), pod("b"))
+            engine.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, (pod("a", condition=condition),))])
+            self.assertEqual(
+                {sent(engine.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"}
+            )
+
+    def test_endpoint_missing_from_a_full_list_is_gone(self):
+        engine = balancer(pod("a"), pod("b"))
+        engine.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (pod("b"),))])
+        self.assertEqual({sent(engine.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"})
+
+    def test_failed_fetch_keeps_the_list_and_is_repeated(self):
+        engine = balancer(pod("a"), lists_polled=True)
+        engine.selection.next_poll_at = NOW + 9 * TICKS_PER_SECOND
+        engine.handle(NOW, [EndpointUpdate(UpdateKind.FETCH_FAILED, ())])
+        self.assertEqual(sent(engine.handle(NOW, [taken()])), ["a"])
+        self.assertLessEqual(engine.selection.next_poll_at, NOW + 2 * TICKS_PER_SECOND)
+
+
+class SlowStartTest(unittest.TestCase):
+    def has_room(self, age, recent_attempts, rate=8.0):
+        """Returns whether an endpoint of this age takes one attempt more than these."""
+        engine = balancer(pod("cold", started=NOW - age), overload_factor=2.0)
+        engine.slow_start.warm_request_rate, endpoint = rate, engine.context.endpoints["cold"]
+        endpoint.recent_attempts.add(NOW, recent_attempts)
+        return engine.slow_start.has_room(
+            endpoint, endpoint.warmup_fraction(NOW, engine.context.settings)
+        )
+
+    def test_new_endpoint_gets_no_more_than_this_instances_share(self):
+        self.assertTrue(self.has_room(0, 1))
+        self.assertFalse(self.has_room(0, 2))
+
+    def test_share_grows_with_the_endpoints_age(self):
+        self.assertTrue(self.has_room(2 * TICKS_PER_SECOND, 4))
+        self.assertFalse(self.has_room(2 * TICKS_PER_SECOND, 5))
+
+    def test_shares_of_a_large_fleet_add_up_to_less_than_an_overload(self):
+        admitted = 0
         for seed in range(400):
-            made = balancer(pod("cold", started=NOW), instances=400)
-            made.context.rng.state, made.slow_start.warm_request_rate = seed << 40, 8.0 / 400
-            going += made.slow_start.has_room(made.context.endpoints["cold"], 0.25)
-        self.assertTrue(0 < going < 2.0 * 0.25 * 8.0 * 3)
-
-
-class ExposureStaysWithinTheCap(unittest.TestCase):
-    def left(self, taken_before, tried, cap=0.5, **changes):
-        made = balancer(told=news(cap=cap), **changes)
-        lane = made.context.settings.request_classes["read"]
-        made.exposure.window(made.exposure.received, lane).add(
-            NOW - TICKS_PER_SECOND // 10, taken_before
+            engine = balancer(pod("cold", started=NOW), instances=400)
+            engine.context.rng.state, engine.slow_start.warm_request_rate = seed << 40, 8.0 / 400
+            admitted += engine.slow_start.has_room(engine.context.endpoints["cold"], 0.25)
+        self.assertTrue(0 < admitted < 2.0 * 0.25 * 8.0 * 3)
+
+
+class ExposureTest(unittest.TestCase):
+    def exposure_after(self, received, attempted, cap=0.5, **changes):
+        """Returns an engine after these requests and trial attempts, and whether it allows one more attempt."""
+        engine = balancer(told=news(cap=cap), **changes)
+        request_class = engine.context.settings.request_classes["read"]
+        engine.exposure.window(engine.exposure.received, request_class).add(
+            NOW - TICKS_PER_SECOND // 10, received
         )
-        made.exposure.window(made.exposure.sent, lane).add(NOW, tried)
-        return made, made.exposure.allows(lane)
+        engine.exposure.window(engine.exposure.sent, request_class).add(NOW, attempted)
+        return engine, engine.exposure.allows(request_class)
 
-    def test_allowance_and_share_and_not_one_more(self):
-        self.assertTrue(self.left(4, 3)[1])
-        self.assertFalse(self.left(4, 4)[1])
+    def test_attempts_are_bounded_by_allowance_and_cap(self):
+        self.assertTrue(self.exposure_after(4, 3)[1])
+        self.assertFalse(self.exposure_after(4, 4)[1])
 
-    def test_where_all_may_go_there_what_is_now_taken_does_and_a_later_attempt_counts(self):
-        for cap, first, may in ((1.0, True, True), (1.0, False, False), (0.99, True, False)):
-            made, _ = self.left(0, 9, cap=cap)
+    def test_cap_of_one_admits_first_attempts_and_counts_retries(self):
+        for cap, first, allowed in ((1.0, True, True), (1.0, False, False), (0.99, True, False)):
+            engine, _ = self.exposure_after(0, 9, cap=cap)
             self.assertEqual(
-                made.exposure.allows(made.context.settings.request_classes["read"], first), may
+                engine.exposure.allows(engine.context.settings.request_classes["read"], first),
+                allowed,
             )
 
-    def test_lanes_count_by_themselves_where_told(self):
-        made, own = self.left(0, 2, exposure_by_class=True)
+    def test_exposure_by_class_counts_each_class_alone(self):
+        engine, own = self.exposure_after(0, 2, exposure_by_class=True)
         self.assertFalse(own)
-        self.assertTrue(made.exposure.allows(made.context.settings.request_classes["pay"]))
-
-    def test_guarded_stages_are_for_retriable_ones(self):
-        for stage, lane, may in ((0, "read", True), (0, "pay", False), (1, "pay", True)):
-            made = balancer(told=news(stage=stage))
-            self.assertEqual(made.exposure.allows(made.context.settings.request_classes[lane]), may)
+        self.assertTrue(engine.exposure.allows(engine.context.settings.request_classes["pay"]))
+
+    def test_guarded_stages_admit_idempotent_requests_only(self):
+        for stage, request_class, allowed in (
+            (0, "read", True),
+            (0, "pay", False),
+            (1, "pay", True),
+        ):
+            engine = balancer(told=news(stage=stage))
+            self.assertEqual(
+                engine.exposure.allows(engine.context.settings.request_classes[request_class]),
+                allowed,
+            )
 
-    def test_at_cap_nothing_goes_and_a_later_build_waits_for_its_news(self):
-        made = balancer(pod("new", 2), told=news(phase=ReleasePhase.ROLLING_BACK, cap=0.0))
-        self.assertEqual(kinds(made.handle(NOW, [taken()])), [Reject])
+    def test_rolled_back_or_unannounced_build_gets_no_request(self):
+        engine = balancer(pod("new", 2), told=news(phase=ReleasePhase.ROLLING_BACK, cap=0.0))
+        self.assertEqual(kinds(engine.handle(NOW, [taken()])), [Reject])
         self.assertEqual(kinds(balancer(pod("new", 2)).handle(NOW, [taken()])), [Reject])
 
-    def test_a_key_that_the_new_build_answered_goes_to_no_earlier_one(self):
-        made = balancer(told=news(cap=0.0))
-        made.split.pinned_keys.add("k")
-        self.assertEqual(kinds(made.handle(NOW, [taken(key="k")])), [Reject])
-        made.handle(NOW, [news(phase=ReleasePhase.ROLLING_BACK, cap=0.0)])
-        self.assertIn(sent(made.handle(NOW, [taken("t2", key="k")]))[0], ("old-1", "old-2"))
+    def test_sticky_key_is_not_sent_to_an_earlier_build_during_the_trial(self):
+        engine = balancer(told=news(cap=0.0))
+        engine.split.pinned_keys.add("k")
+        self.assertEqual(kinds(engine.handle(NOW, [taken(key="k")])), [Reject])
+        engine.handle(NOW, [news(phase=ReleasePhase.ROLLING_BACK, cap=0.0)])
+        self.assertIn(sent(engine.handle(NOW, [taken("t2", key="k")]))[0], ("old-1", "old-2"))
 
-    def test_keys_that_stay_are_those_of_the_newest_build_and_bounded(self):
-        made = balancer(told=news(cap=0.0))
+    def test_sticky_keys_belong_to_the_newest_build_and_are_bounded(self):
+        engine = balancer(told=news(cap=0.0))
         for key in range(MAX_REMEMBERED_KEYS + 9):
-            made.handle(NOW, [LateResponseSeen(str(key), 1), LateResponseSeen(str(key), 2)])
-        self.assertEqual(len(made.split.pinned_keys), MAX_REMEMBERED_KEYS)
-        self.assertEqual(kinds(made.handle(NOW, [taken(key="another")])), [Reject])
-        made.handle(NOW, [news(build=3)])
-        self.assertEqual(made.split.pinned_keys, set())
+            engine.handle(NOW, [LateResponseSeen(str(key), 1), LateResponseSeen(str(key), 2)])
+        self.assertEqual(len(engine.split.pinned_keys), MAX_REMEMBERED_KEYS)
+        self.assertEqual(kinds(engine.handle(NOW, [taken(key="another")])), [Reject])
+        engine.handle(NOW, [news(build=3)])
+        self.assertEqual(engine.split.pinned_keys, set())
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -1,13 +1,16 @@
-"""Admission: few outcomes do not bind, a true overload does, and what binds lapses by itself. The hard cases of a fleet
-where each instance sees little, each caused here; the longer ones are days of the laboratory."""
+"""Load shedding: few outcomes shed no load, an actual overload does, and shedding ends by itself.
+
+The cases are those that are hard in a large fleet, where each instance sees little traffic; the longer ones run in the
+simulator.
+"""
 
 import unittest
 
 from hypothesis import given, settings
-from hypothesis import strategies as some
+from hypothesis import strategies as st
 
 from tests.support.decisions import LANES, NOW, TERMS, ended, kinds, news, pod, taken
-from tests.support.decisions import balancer as made_of
+from tests.support.decisions import balancer as make_engine
 from thymeknot.interface.actions import CastVote, Reject
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
@@ -19,32 +22,38 @@
 from thymeknot.simulation.simulator import Simulator, current_engine
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
-READ, MANY = LANES["read"], TERMS._replace(instances=200)
+READ, LARGE_FLEET = LANES["read"], TERMS._replace(instances=200)
+# Bounds of the fraction of requests that is admitted.
 ALL, SOME, HALF, NONE = (1.0, 1.0), (0.6, 0.999), (0.05, 0.6), (0.0, 0.0)
 
 
-class Open:
-    """One in hand whose delivery went out so long ago."""
+class OpenRequest:
+    """An open request whose attempt was sent this many ticks ago."""
 
     def __init__(self, ago):
         self.request_class = READ
         self.attempts = [type("Attempt", (), {"sent_at": NOW - ago, "in_flight": True})]
 
 
-def fed(made, outcomes):
-    """outcomes: (how long ago, outcome, latency, how many)."""
+def record_outcomes(shedder, outcomes):
+    """Records outcomes in a load shedder and returns it.
+
+    Args:
+        shedder: the load shedder.
+        outcomes: tuples of age in ticks, outcome, latency and count.
+    """
     for ago, outcome, latency, count in outcomes:
         for _ in range(count):
-            made.record_outcome(NOW - ago, READ, ended(outcome=outcome, latency=latency), 1.0)
+            shedder.record_outcome(NOW - ago, READ, ended(outcome=outcome, latency=latency), 1.0)
             if outcome == Outcome.DONE:
-                made.record_latency(NOW - ago, READ, latency)
-    return made
+                shedder.record_latency(NOW - ago, READ, latency)
+    return shedder
 
 
-QUICK = (0, Outcome.DONE, 1_500, 8)
-# What an instance of a crowd met: outcomes, what waits in hand, for how long it has had traffic -> what share it takes.
+FAST_RESPONSES = (0, Outcome.DONE, 1_500, 8)
+# Outcomes, ages of open attempts, seconds since the first traffic, and bounds of the fraction of requests admitted.
 CASES = {
-    "one request a second, one of them slow": (
+    "one request per second, one of them slow": (
         [
             *((at * TICKS_PER_SECOND, Outcome.DONE, 1_800, 1) for at in range(10, 0, -1)),
             (0, Outcome.DONE, 4_500, 1),
@@ -53,50 +62,60 @@
         20,
         ALL,
     ),
-    "one request a second and slow answers": (
+    "one request per second and slow responses": (
         [(TICKS_PER_SECOND, Outcome.DONE, 9_000, 1), (0, Outcome.DONE, 9_000, 1)],
         (),
         20,
         SOME,
     ),
-    "five open where one is the mean": ([QUICK, (TICKS_PER_SECOND, *QUICK[1:])], [0] * 5, 20, ALL),
-    "forty open where one is the mean": (
-        [QUICK, (TICKS_PER_SECOND, *QUICK[1:])],
+    "five open requests where the mean is one": (
+        [FAST_RESPONSES, (TICKS_PER_SECOND, *FAST_RESPONSES[1:])],
+        [0] * 5,
+        20,
+        ALL,
+    ),
+    "forty open requests where the mean is one": (
+        [FAST_RESPONSES, (TICKS_PER_SECOND, *FAST_RESPONSES[1:])],
         [0] * 40,
         20,
         NONE,
     ),
-    "restarted into a burst with nothing known": ([], [0] * 50, 0.5, ALL),
-    "a third of the pods silent": (
-        [QUICK, (0, Outcome.TIMED_OUT, TICKS_PER_SECOND, 4)],
+    "a burst right after a restart": ([], [0] * 50, 0.5, ALL),
+    "a third of the endpoints time out": (
+        [FAST_RESPONSES, (0, Outcome.TIMED_OUT, TICKS_PER_SECOND, 4)],
         [5_000] * 2,
         20,
         ALL,
     ),
-    "pods that drain say they are full": ([QUICK, (0, Outcome.REJECTED, 50, 4)], (), 20, ALL),
-    "connections refused at a few pods": (
-        [QUICK, (0, Outcome.CONNECT_FAILED, 2_500, 4)],
+    "draining endpoints reject": ([FAST_RESPONSES, (0, Outcome.REJECTED, 50, 4)], (), 20, ALL),
+    "a few endpoints refuse connections": (
+        [FAST_RESPONSES, (0, Outcome.CONNECT_FAILED, 2_500, 4)],
         (),
         20,
         ALL,
     ),
-    "connections refused everywhere": (
-        [QUICK, (0, Outcome.CONNECT_FAILED, 2_500, 30)],
+    "most endpoints refuse connections": (
+        [FAST_RESPONSES, (0, Outcome.CONNECT_FAILED, 2_500, 30)],
         (),
         20,
         HALF,
     ),
-    "queues full everywhere": ([QUICK, (0, Outcome.REJECTED, 50, 30)], (), 20, HALF),
-    "a patience shorter than the goal": (
+    "most endpoints reject": ([FAST_RESPONSES, (0, Outcome.REJECTED, 50, 30)], (), 20, HALF),
+    "client timeouts shorter than the latency objective": (
         [(0, Outcome.TIMED_OUT, TICKS_PER_SECOND // 3, 30)],
         (),
         20,
         ALL,
     ),
-    "a true overload at the same traffic": ([(0, Outcome.DONE, 9_000, 10)], (), 20, HALF),
-    "silence, before its time-outs come": ([(0, Outcome.DONE, 3_000, 2)], [6_000] * 6, 20, NONE),
-    "a storm, now": ([(0, Outcome.DONE, 15_000, 30), (0, Outcome.REJECTED, 50, 30)], (), 20, HALF),
-    "a storm three seconds ago and no answer since": (
+    "an overload at the same traffic": ([(0, Outcome.DONE, 9_000, 10)], (), 20, HALF),
+    "no responses, before any timeout": ([(0, Outcome.DONE, 3_000, 2)], [6_000] * 6, 20, NONE),
+    "slow responses and rejections now": (
+        [(0, Outcome.DONE, 15_000, 30), (0, Outcome.REJECTED, 50, 30)],
+        (),
+        20,
+        HALF,
+    ),
+    "slow responses and rejections three seconds ago, nothing since": (
         [
             (3 * TICKS_PER_SECOND, Outcome.DONE, 15_000, 30),
             (3 * TICKS_PER_SECOND, Outcome.REJECTED, 50, 30),
@@ -105,186 +124,209 @@
         20,
         ALL,
     ),
-    "an overload of a minute": (
+    "an overload that lasts a minute": (
         [(at * TICKS_PER_SECOND // 10, Outcome.DONE, 9_000, 1) for at in range(600, -1, -1)],
         (),
         60,
         (0.05, 0.95),
     ),
-    "the worst there is": ([(0, Outcome.DONE, 400_000, 500)], (), 20, (0.08, 0.5)),
+    "an extreme overload": ([(0, Outcome.DONE, 400_000, 500)], (), 20, (0.08, 0.5)),
 }
 
 
-class Cases(unittest.TestCase):
-    def test_each_takes_its_share(self):
-        for name, (outcomes, waiting, since, (least, most)) in CASES.items():
-            made, chance = fed(LoadShedder(MANY), outcomes), LinearCongruentialGenerator(5)
-            held, since = [Open(ago) for ago in waiting], int(since * TICKS_PER_SECOND)
-            share = (
+class AdmissionTest(unittest.TestCase):
+    def test_admitted_fraction_of_each_case(self):
+        for name, (outcomes, open_ages, traffic_age, (least, most)) in CASES.items():
+            shedder, random_source = (
+                record_outcomes(LoadShedder(LARGE_FLEET), outcomes),
+                LinearCongruentialGenerator(5),
+            )
+            open_requests, traffic_age = (
+                [OpenRequest(ago) for ago in open_ages],
+                int(traffic_age * TICKS_PER_SECOND),
+            )
+            admitted = (
                 sum(
-                    made.rejection(NOW, READ, held, since, recent_requests=10, draw=chance.draw)
+                    shedder.rejection(
+                        NOW,
+                        READ,
+                        open_requests,
+                        traffic_age,
+                        recent_requests=10,
+                        draw=random_source.draw,
+                    )
                     is None
                     for _ in range(400)
                 )
                 / 400
             )
             with self.subTest(name):
-                self.assertTrue(least <= share <= most, share)
+                self.assertTrue(least <= admitted <= most, admitted)
 
-    def test_the_loud_draw_no_lots_and_few_sidecars_leave_nothing_to_chance(self):
-        loud = fed(LoadShedder(MANY), [(0, Outcome.DONE, 9_000, 100)])
+    def test_high_traffic_sheds_nothing_at_random_and_small_fleets_have_no_margin(self):
+        high_traffic = record_outcomes(LoadShedder(LARGE_FLEET), [(0, Outcome.DONE, 9_000, 100)])
         self.assertIsNone(
-            loud.rejection(
+            high_traffic.rejection(
                 NOW, READ, (), 20 * TICKS_PER_SECOND, recent_requests=500, draw=lambda: 1.0
             )
         )
-        few, many = (
-            fed(LoadShedder(TERMS._replace(instances=count)), [QUICK]) for count in (3, 200)
+        small_fleet, large_fleet = (
+            record_outcomes(LoadShedder(TERMS._replace(instances=count)), [FAST_RESPONSES])
+            for count in (3, 200)
         )
-        held = [Open(0)] * 20
+        open_requests = [OpenRequest(0)] * 20
         self.assertEqual(
-            few.concurrency_limit(NOW, READ, 20 * TICKS_PER_SECOND),
-            few.rejection(NOW, READ, held, 20 * TICKS_PER_SECOND, recent_requests=10, draw=None)[2],
+            small_fleet.concurrency_limit(NOW, READ, 20 * TICKS_PER_SECOND),
+            small_fleet.rejection(
+                NOW, READ, open_requests, 20 * TICKS_PER_SECOND, recent_requests=10, draw=None
+            )[2],
         )
         self.assertLess(
-            many.concurrency_limit(NOW, READ, 20 * TICKS_PER_SECOND),
-            many.rejection(NOW, READ, held, 20 * TICKS_PER_SECOND, recent_requests=10, draw=None)[
-                2
-            ],
+            large_fleet.concurrency_limit(NOW, READ, 20 * TICKS_PER_SECOND),
+            large_fleet.rejection(
+                NOW, READ, open_requests, 20 * TICKS_PER_SECOND, recent_requests=10, draw=None
+            )[2],
         )
 
     @settings(max_examples=60, deadline=None)
     @given(
-        some.lists(
-            some.tuples(
-                some.just(0),
-                some.sampled_from(
+        st.lists(
+            st.tuples(
+                st.just(0),
+                st.sampled_from(
                     [Outcome.DONE, Outcome.REJECTED, Outcome.TIMED_OUT, Outcome.CONNECT_FAILED]
                 ),
-                some.integers(1, 60_000),
-                some.just(1),
+                st.integers(1, 60_000),
+                st.just(1),
             ),
             max_size=40,
         )
     )
-    def test_all_lapses_and_what_can_not_tip_the_bound_is_not_looked_at(self, outcomes):
-        made, held = fed(LoadShedder(MANY), outcomes), [Open(9_000)] * 7
-        plain = fed(
-            LoadShedder(MANY), [*outcomes, (0, Outcome.REJECTED, 50, 7)]
-        )  # the seven counted in any case
-        self.assertAlmostEqual(made.pressure(NOW, held), plain.pressure(NOW, ()))
-        self.assertLessEqual(made.pressure(NOW + 3 * TICKS_PER_SECOND, ()), 1.0)
+    def test_pressure_expires_and_skipped_open_requests_do_not_change_it(self, outcomes):
+        shedder, open_requests = (
+            record_outcomes(LoadShedder(LARGE_FLEET), outcomes),
+            [OpenRequest(9_000)] * 7,
+        )
+        expected = record_outcomes(
+            LoadShedder(LARGE_FLEET), [*outcomes, (0, Outcome.REJECTED, 50, 7)]
+        )  # counts the seven open requests in any case
+        self.assertAlmostEqual(shedder.pressure(NOW, open_requests), expected.pressure(NOW, ()))
+        self.assertLessEqual(shedder.pressure(NOW + 3 * TICKS_PER_SECOND, ()), 1.0)
 
 
-class InTheDecisions(unittest.TestCase):
-    def test_a_build_that_is_slow_on_trial_sheds_nothing(self):
-        for phase, queues in (
+class DecisionEngineTest(unittest.TestCase):
+    def test_slow_build_on_trial_sheds_no_load(self):
+        for phase, overloaded in (
             (ReleasePhase.ON_TRIAL, False),
             (ReleasePhase.RELEASED, True),
-        ):  # released, it is what there is
-            made = made_of(pod("old-1"), pod("new-1", 2), told=news(cap=1.0), instances=200)
-            made.handle(NOW, [news(phase=phase, cap=1.0)])
+        ):  # a released build is the only one
+            engine = make_engine(pod("old-1"), pod("new-1", 2), told=news(cap=1.0), instances=200)
+            engine.handle(NOW, [news(phase=phase, cap=1.0)])
             for at in range(30):
-                made.requests.record_outcome(
-                    type("Tx", (), {"request_class": READ, "key": f"k{at}"}),
-                    made.context.endpoints["new-1"],
+                engine.requests.record_outcome(
+                    type("Request", (), {"request_class": READ, "key": f"k{at}"}),
+                    engine.context.endpoints["new-1"],
                     ended(f"t{at}", Outcome.DONE, "new-1", closed=True, latency=20_000),
                 )
-            self.assertEqual(made.admission.pressure(NOW, ()) > 1.0, queues)
+            self.assertEqual(engine.admission.pressure(NOW, ()) > 1.0, overloaded)
 
-    def test_turned_away_with_its_reason_and_the_time_to_come_back(self):
-        told, made = [], made_of(instances=200)
-        made.context.reason_callback = lambda name, reason, *operands: told.append(reason)
-        fed(made.admission, [(0, Outcome.DONE, 400_000, 500)])
-        deferred = [
-            one
+    def test_shed_request_has_a_reason_and_a_retry_after(self):
+        reasons, engine = [], make_engine(instances=200)
+        engine.context.reason_callback = lambda name, reason, *operands: reasons.append(reason)
+        record_outcomes(engine.admission, [(0, Outcome.DONE, 400_000, 500)])
+        rejections = [
+            action
             for at in range(20)
-            for one in made.handle(NOW, [taken(f"t{at}")])
-            if type(one) is Reject
+            for action in engine.handle(NOW, [taken(f"t{at}")])
+            if type(action) is Reject
         ]
-        self.assertTrue(deferred and all(one.retry_after > 0 for one in deferred))
-        self.assertIn(Reason.BY_LOT, told)
+        self.assertTrue(rejections and all(action.retry_after > 0 for action in rejections))
+        self.assertIn(Reason.BY_LOT, reasons)
 
-    def test_on_is_withdrawn_while_on_trial_and_not_once_released(self):
+    def test_promote_vote_is_withdrawn_on_trial_only(self):
         for phase, votes in ((ReleasePhase.ON_TRIAL, 1), (ReleasePhase.RELEASED, 0)):
-            made = made_of(told=news(4, cap=1.0))
+            engine = make_engine(told=news(4, cap=1.0))
             (
-                made.voting.vote,
-                made.voting.vote_cast_at,
-                made.voting.next_check_at,
-                made.context.release,
+                engine.voting.vote,
+                engine.voting.vote_cast_at,
+                engine.voting.next_check_at,
+                engine.context.release,
             ) = (
                 CastVote(2, 4, Verdict.PROMOTE),
                 NOW,
                 NOW,
                 news(4, phase, 1.0),
             )
-            made.sequential_test.evidence_ratio, made.context.actions = 0.7, []
-            made.voting.cast()
-            self.assertEqual(kinds(made.context.actions).count(CastVote), votes, phase)
+            engine.sequential_test.evidence_ratio, engine.context.actions = 0.7, []
+            engine.voting.cast()
+            self.assertEqual(kinds(engine.context.actions).count(CastVote), votes, phase)
 
-    def test_failures_of_one_moment_hold_a_good_build_and_those_of_two_send_a_bad_one_back(self):
-        new = [pod(f"new-{at}", 2) for at in range(8)]
+    def test_failures_of_one_moment_abstain_and_those_of_several_abort(self):
+        new_endpoints = [pod(f"new-{at}", 2) for at in range(8)]
         for moments, verdict in ((1, Verdict.ABSTAIN), (3, Verdict.ABORT)):
-            made = made_of(*(pod(f"old-{at}") for at in range(12)), *new, told=news(cap=1.0))
-            made.baseline.outcomes.add(NOW, 40)  # the earlier build goes on without a fault
+            engine = make_engine(
+                *(pod(f"old-{at}") for at in range(12)), *new_endpoints, told=news(cap=1.0)
+            )
+            engine.baseline.outcomes.add(NOW, 40)  # the earlier build has no failures
             for second in range(moments):
-                made.context.now = NOW + second * TICKS_PER_SECOND
-                for at in range(5):  # each at another pod and with another key
-                    tx = type("Tx", (), {"request_class": READ, "key": f"k{second}-{at}"})
-                    made.evidence.add_outcome(
-                        tx, made.context.endpoints[f"new-{at}"], Outcome.ERROR, 100
+                engine.context.now = NOW + second * TICKS_PER_SECOND
+                for at in range(5):  # each at another endpoint and with another key
+                    request = type("Request", (), {"request_class": READ, "key": f"k{second}-{at}"})
+                    engine.evidence.add_outcome(
+                        request, engine.context.endpoints[f"new-{at}"], Outcome.ERROR, 100
                     )
-            self.assertEqual(made.voting.verdict(), verdict, moments)
+            self.assertEqual(engine.voting.verdict(), verdict, moments)
 
 
-class Days(unittest.TestCase):
-    """Small days of the laboratory; figures with intervals: make measure-fleet."""
+class SimulatedFleetTest(unittest.TestCase):
+    """Small simulated scenarios; `make measure-fleet` gives figures with confidence intervals."""
 
     SIZE = {"instances": 30, "pods": 18, "seconds": 20, "load": 0.45}
 
-    def played(self, kind, policy=current_engine, seed=2, **more):
-        day, (_, end) = large_fleet_scenarios.drawn(seed, kind, **{**self.SIZE, **more})
-        return Simulator(day, policy).play(), end
+    def simulate(self, kind, policy=current_engine, seed=2, **more):
+        scenario, (_, end) = large_fleet_scenarios.drawn(seed, kind, **{**self.SIZE, **more})
+        return Simulator(scenario, policy).play(), end
 
-    def test_before_and_now(self):
-        was = load_version("91b8f20")
-        (now, _), (before, _) = (
-            self.played("calm", one, good=False) for one in (current_engine, was)
+    def test_sheds_less_needlessly_than_the_earlier_version(self):
+        earlier_version = load_version("91b8f20")
+        (current, _), (earlier, _) = (
+            self.simulate("calm", policy, good=False)
+            for policy in (current_engine, earlier_version)
         )
-        self.assertLess(now.results.needless()[1], 0.05)
-        self.assertGreater(before.results.needless()[1], 2 * now.results.needless()[1])
-        (now, end), (before, _) = (
-            self.played("overload", one, good=False) for one in (current_engine, was)
+        self.assertLess(current.results.needless()[1], 0.05)
+        self.assertGreater(earlier.results.needless()[1], 2 * current.results.needless()[1])
+        (current, end), (earlier, _) = (
+            self.simulate("overload", policy, good=False)
+            for policy in (current_engine, earlier_version)
         )
-        self.assertGreater(now.results.needless(8, 14)[0], 0.1)
-        self.assertGreater(now.results.service(), before.results.service() - 0.05)
-        self.assertLessEqual(now.results.recovered(end), 5)
+        self.assertGreater(current.results.needless(8, 14)[0], 0.1)
+        self.assertGreater(current.results.service(), earlier.results.service() - 0.05)
+        self.assertLessEqual(current.results.recovered(end), 5)
 
-    def test_seven_in_ten_restart_at_once_and_a_good_build_moves_on(self):
-        now, _ = self.played("herd", good=True, seconds=25)
-        killed = [one for one in now.day.faults if one.kind == "kill"]
-        self.assertEqual([len(one.what) for one in killed], [21])
+    def test_good_build_advances_while_seven_in_ten_instances_restart(self):
+        current, _ = self.simulate("herd", good=True, seconds=25)
+        kills = [fault for fault in current.day.faults if fault.kind == "kill"]
+        self.assertEqual([len(fault.what) for fault in kills], [21])
         self.assertNotIn(
-            now.platform.state.phase, (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
+            current.platform.state.phase, (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
         )
-        self.assertGreaterEqual(now.platform.state.stage, 2)
-        self.assertTrue(0 < now.results.behind < now.results.asked)
-        self.assertLess(now.results.needless()[1], 0.1)
-        accepted = now.results.votes_asked["asked"] - now.results.votes_asked["full"]
+        self.assertGreaterEqual(current.platform.state.stage, 2)
+        self.assertTrue(0 < current.results.behind < current.results.asked)
+        self.assertLess(current.results.needless()[1], 0.1)
+        accepted = current.results.votes_asked["asked"] - current.results.votes_asked["full"]
         self.assertLessEqual(
-            accepted, now.day.terms.votes_per_second * (2 + now.now / TICKS_PER_SECOND) + 1
+            accepted, current.day.terms.votes_per_second * (2 + current.now / TICKS_PER_SECOND) + 1
         )
-        self.assertEqual(now.checker.rules_broken(), [])
+        self.assertEqual(current.checker.rules_broken(), [])
 
-    def test_a_bad_build_seen_by_quiet_instances_alone_is_not_kept(self):
-        found = [
+    def test_bad_build_is_not_kept_if_all_instances_have_little_traffic(self):
+        results = [
             crowd_played(("now", "calm", seed, {**self.SIZE, "good": False, "seconds": 30}))
             for seed in (2, 4)
         ]
-        self.assertEqual([one["bad_kept"] for one in found], [False, False])
+        self.assertEqual([result["bad_kept"] for result in results], [False, False])
 
-    def test_a_zone_that_is_lost_does_not_shut_the_rest(self):
-        now, _ = self.played("zone", good=False)
-        self.assertLess(now.results.needless()[1], 0.2)
-        self.assertGreater(now.results.service(), 0.7)
+    def test_loss_of_a_zone_does_not_shed_load_elsewhere(self):
+        current, _ = self.simulate("zone", good=False)
+        self.assertLess(current.results.needless()[1], 0.2)
+        self.assertGreater(current.results.service(), 0.7)
--- a/tests/unit/policy/test_request_lifecycle.py
+++ b/tests/unit/policy/test_request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's life."""
+"""The life cycle of a request."""
 
 import unittest
 
@@ -6,5 +6,5 @@
 
 
 class RequestLifecycleTest(unittest.TestCase):
-    def test_an_end_without_its_transaction_is_passed_over(self):
-        self.assertEqual(balancer().handle(NOW, [ended("unheard-of")]), [])
+    def test_attempt_end_of_an_unknown_request_is_ignored(self):
+        self.assertEqual(balancer().handle(NOW, [ended("unknown")]), [])
--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -56,9 +56,13 @@
     """
 
     def __init__(
-        self, settings: Settings, seed: int, now: Ticks, say: ReasonCallback | None = None
+        self,
+        settings: Settings,
+        seed: int,
+        now: Ticks,
+        reason_callback: ReasonCallback | None = None,
     ) -> None:
-        self.context = context = DecisionContext(settings, seed, now, say)
+        self.context = context = DecisionContext(settings, seed, now, reason_callback)
         self.admission = LoadShedder(settings)
         self.slow_start = SlowStart(context)
         self.selection = EndpointSelection(context, self.slow_start)
