--- a/thymeknot/policy/engine.py
+++ b/thymeknot/policy/engine.py
@@ -136,7 +136,7 @@
         return VoteEvidence(
             attempts=evidence.attempts,
             failed=evidence.failed,
-            excluded={str(why): count for why, count in evidence.excluded.items() if count},
+            excluded={str(reason): count for reason, count in evidence.excluded.items() if count},
             judged=test.outcomes,
             sums=dict(test.sums),
             bounds=dict(test.bounds),
--- a/thymeknot/policy/idempotency.py
+++ b/thymeknot/policy/idempotency.py
@@ -15,14 +15,14 @@
         by_client: True if the client would retry it after a rejection, at any endpoint; False if
             this instance retries it and selects the endpoint.
     """
-    first = request.first_possible_run()
+    first_run = request.first_possible_run()
     request_class = request.request_class
     return (
-        first is None
+        first_run is None
         or request_class.idempotency == Idempotency.IDEMPOTENT
         or (
             request_class.idempotency == Idempotency.KEYED
-            and now < first.sent_at + request_class.deduplication_window
+            and now < first_run.sent_at + request_class.deduplication_window
             and (request_class.deduplication_scope == DeduplicationScope.ALL or not by_client)
         )
     )
@@ -30,14 +30,14 @@
 
 def deduplicates_retry(request: RequestState, endpoint: Endpoint) -> bool:
     """Returns whether a retry at this endpoint is safe: deduplicated there, or nothing has run."""
-    first = request.first_possible_run()
+    first_run = request.first_possible_run()
     scope = request.request_class.deduplication_scope
     if (
-        first is None
+        first_run is None
         or request.request_class.idempotency == Idempotency.IDEMPOTENT
         or scope == DeduplicationScope.ALL
     ):
         return True
-    return endpoint.zone == first.endpoint.zone and (
-        scope != DeduplicationScope.CELL or endpoint.cell == first.endpoint.cell
+    return endpoint.zone == first_run.endpoint.zone and (
+        scope != DeduplicationScope.CELL or endpoint.cell == first_run.endpoint.cell
     )
--- a/thymeknot/policy/request_lifecycle.py
+++ b/thymeknot/policy/request_lifecycle.py
@@ -127,8 +127,8 @@
         attempt = request.attempts[event.number]
         if not attempt.in_flight:
             return
-        proof = INPUT_BY_OUTCOME[event.outcome]
-        not_run = proof == RequestInput.NOT_RUN
+        request_input = INPUT_BY_OUTCOME[event.outcome]
+        not_run = request_input == RequestInput.NOT_RUN
         attempt.in_flight = False
         attempt.may_have_run = not not_run
         attempt.endpoint_state.in_flight -= 1
@@ -143,7 +143,7 @@
         self.record_outcome(request, attempt.endpoint_state, event)
         if event.outcome == Outcome.DONE:
             self.split.pin(LateResponseSeen(request.key, attempt.endpoint.build))
-        self._apply_input(request, RequestInput.ANSWERED if event.closed else proof)
+        self._apply_input(request, RequestInput.ANSWERED if event.closed else request_input)
 
     def disconnect_client(self, event: ClientDisconnected) -> None:
         """Handles the disconnection of a request's client."""
@@ -160,8 +160,8 @@
     def fire_timer(self, token: int) -> None:
         """Handles a hedging timer that is due."""
         context = self.context
-        name = self.hedging.timers.pop(token, None)
-        request = self.open.get(name) if name is not None else None
+        request_id = self.hedging.timers.pop(token, None)
+        request = self.open.get(request_id) if request_id is not None else None
         context.request_id = request.id if request else None
         if request:
             self._apply_input(request, RequestInput.SLOW)
@@ -225,9 +225,8 @@
         request.attempts.append(AttemptState(endpoint, now))
         attempt_deadline = request.deadline
         if request.request_class.late_priority_weight <= 0 and now < request.latency_deadline:
-            attempt_deadline = min(
-                attempt_deadline, request.latency_deadline
-            )  # a later response has no value
+            # A response after the latency objective has no value.
+            attempt_deadline = min(attempt_deadline, request.latency_deadline)
         listed = endpoint.listed
         if context.reason_callback:
             context.explain(
@@ -258,15 +257,17 @@
         if request.in_flight():
             return
         context, now = self.context, self.context.now
-        first = request.first_possible_run()
-        token_cost = 0 if first is None else UNSAFE_RETRY_COST
+        first_run = request.first_possible_run()
+        token_cost = 0 if first_run is None else UNSAFE_RETRY_COST
         if not self._can_meet_objective(request):
             mean = self.admission.mean_latencies.get(request.request_class.name, 0)
             context.explain(Reason.TIME_OVER, self._value_deadline(request) - now, mean)
         elif self.retry_budget.tokens < token_cost:
             context.explain(Reason.NO_BUDGET, self.retry_budget.tokens)
-        elif first is not None and not idempotency.may_repeat(request, now, by_client=False):
-            context.explain(Reason.MAY_HAVE_RUN, first.endpoint.address, now - first.sent_at)
+        elif first_run is not None and not idempotency.may_repeat(request, now, by_client=False):
+            context.explain(
+                Reason.MAY_HAVE_RUN, first_run.endpoint.address, now - first_run.sent_at
+            )
         elif self._send(request):
             self.retry_budget.tokens -= token_cost
             return
@@ -286,16 +287,16 @@
     def _reject(self, request: RequestState) -> None:
         """Sends the final response at once: waiting would only delay the client's own retry."""
         context, settings = self.context, self.context.settings
-        first = request.first_possible_run()
-        if first is None or idempotency.may_repeat(request, context.now, by_client=True):
-            wait = 0
+        first_run = request.first_possible_run()
+        if first_run is None or idempotency.may_repeat(request, context.now, by_client=True):
+            retry_after = 0
             if settings.retry_after_allowed:
                 objective = request.request_class.latency_objective
-                wait = min(settings.max_retry_after, objective // 2)
-            context.explain(Reason.DEFERRED, wait)
-            context.actions.append(Reject(request.id, wait))
+                retry_after = min(settings.max_retry_after, objective // 2)
+            context.explain(Reason.DEFERRED, retry_after)
+            context.actions.append(Reject(request.id, retry_after))
         else:
-            context.explain(Reason.ABANDONED, first.endpoint.address)
+            context.explain(Reason.ABANDONED, first_run.endpoint.address)
             context.actions.append(Fail(request.id))
         self._finish(request)
 
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -8,7 +8,7 @@
 OVERLOAD_LIMIT_RATIO = 0.5  # of the overload limit; other instances send there unseen
 MIN_FLEET_ATTEMPTS = 4  # attempts per window that all instances together may always send
 # With many instances per endpoint, a warming endpoint counts by this power of its warm-up fraction.
-CROWDED_FLEET_EXPONENT = 3
+LARGE_FLEET_EXPONENT = 3
 RATE_RISE_TIME_CONSTANT = 4 * TICKS_PER_SECOND  # of the smoothed rate of warm endpoints
 RATE_FALL_TIME_CONSTANT = 20 * TICKS_PER_SECOND  # long: an overload must not lower the rate quickly
 RESPONSE_WINDOW_SECONDS = 4  # a mean suffices: peaks of hundreds of instances do not add up
@@ -41,7 +41,7 @@
         context = self.context
         self.warm_capacity = 0.0
         self.capacity = {True: 0.0, False: 0.0}
-        exponent = CROWDED_FLEET_EXPONENT if context.is_large_fleet() else 1
+        exponent = LARGE_FLEET_EXPONENT if context.is_large_fleet() else 1
         settings, now = context.settings, context.now
         for newest, endpoints in context.by_build.items():
             for endpoint in endpoints:
--- a/thymeknot/state/connection_pool.py
+++ b/thymeknot/state/connection_pool.py
@@ -175,7 +175,7 @@
         pool = self.by_pod.get(pod)
         if pool is None:
             pool = self.by_pod[pod] = ConnectionPool(pod, address)
-        connection = None if pool.waiting else self._take_rested(pool)
+        connection = None if pool.waiting else self._take_reusable(pool)
         if connection:
             self._write(attempt, connection)
             return True
@@ -186,13 +186,13 @@
         self._serve_waiting(pool)
         return True
 
-    def _take_rested(self, pool: ConnectionPool) -> PooledConnection | None:
+    def _take_reusable(self, pool: ConnectionPool) -> PooledConnection | None:
         """Takes the most recently used connection that has rested, if it received nothing since."""
         now = self.timers.clock()
         for connection in pool.idle[::-1]:
             if now < connection.reusable_at:
                 continue
-            if now >= self._retires_at(connection):  # its idle check may run late
+            if now >= self._idle_close_at(connection):  # its idle check may run late
                 self._close([connection])
             elif connection.is_clean():
                 pool.idle.remove(connection)
@@ -201,7 +201,7 @@
                 connection.drop("unexpected data or end of stream while idle")
         return None
 
-    def _retires_at(self, connection: PooledConnection) -> Ticks:
+    def _idle_close_at(self, connection: PooledConnection) -> Ticks:
         # Even with a very short idle timeout, a new connection is kept for the attempt that it was
         # dialled for.
         idle_time = int(IDLE_RETIREMENT_FRACTION * self.connection_limits.idle_timeout)
@@ -212,14 +212,14 @@
         while pool.waiting:
             if not pool.waiting[0].may_be_written(pool.address):
                 pool.waiting.popleft().withdraw()
-            elif connection := self._take_rested(pool):
+            elif connection := self._take_reusable(pool):
                 self._write(pool.waiting.popleft(), connection)
             else:
                 break
         self.timers.cancel(pool.rest_timer)
         if pool.waiting and pool.idle:
-            rested_at = min(connection.reusable_at for connection in pool.idle)
-            pool.rest_timer = self.timers.add(rested_at, self._serve_waiting, pool)
+            next_reusable_at = min(connection.reusable_at for connection in pool.idle)
+            pool.rest_timer = self.timers.add(next_reusable_at, self._serve_waiting, pool)
 
     def _write(self, attempt: Attempt, connection: PooledConnection) -> None:
         connection.attempt = attempt
@@ -304,11 +304,11 @@
         if self.connections.get(connection.slot) is not connection:
             return
         now = self.timers.clock()
-        retires_at = self._retires_at(connection)
-        if connection.pending_response is None and now >= retires_at:
+        close_at = self._idle_close_at(connection)
+        if connection.pending_response is None and now >= close_at:
             self._close([connection])
         else:
-            next_check = max(retires_at, now + CHECK_INTERVAL)
+            next_check = max(close_at, now + CHECK_INTERVAL)
             connection.timers[:1] = [self.timers.add(next_check, self._check_idle, connection)]
 
     def give_up(self, attempt: Attempt, connection: PooledConnection | None) -> None:
--- a/thymeknot/state/fleet_baseline.py
+++ b/thymeknot/state/fleet_baseline.py
@@ -35,7 +35,7 @@
 
 
 def totals_by_class(rows: Sequence[FleetCounts]) -> tuple[dict[str, ClassTotals], int]:
-    """Returns the totals over all builds by request class, and the number of all attempts."""
+    """Returns the totals over all builds by request class, and the total number of attempts."""
     sums: dict[str, tuple[int, float, int]] = {}
     for row in rows:
         succeeded, latency_sum, failed = sums.get(row.request_class, (0, 0.0, 0))
@@ -68,12 +68,14 @@
         self.last_period_end: Ticks | None = None
         self.period: Ticks = 0
 
-    def record_period(self, until: Ticks) -> Ticks:
-        """Records that a period ended at `until`; returns its start, the end of the one before."""
-        period_start = self.last_period_end if self.last_period_end is not None else until
-        self.last_period_end = until
+    def record_period(self, period_end: Ticks) -> Ticks:
+        """Records the end of a period; returns its start, which is the end of the one before."""
+        period_start = self.last_period_end if self.last_period_end is not None else period_end
+        self.last_period_end = period_end
         # A period may be missed, so the shortest one seen is the duration.
-        self.period = min(self.period or until - period_start, until - period_start) or self.period
+        self.period = (
+            min(self.period or period_end - period_start, period_end - period_start) or self.period
+        )
         return period_start
 
     def awaits_counts(self, earliest_end: float, now: Ticks, max_periods: int) -> bool:
