--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -49,14 +49,14 @@
 
         def heard(pod=pod, teller=teller, last=last):
             if last[0] is None and all(
-                teller in one.node.suspicions.words.get(pod, {}) or one.name == teller
+                teller in one.node.suspicions.evidence.get(pod, {}) or one.name == teller
                 for one in world.live()
             ):
                 last[0] = world.now
 
         world.run(span // 3, lambda heard=heard: (heard(), watch()), SECOND // 5)
         reached.append(
-            sum(teller in one.node.suspicions.words.get(pod, {}) for one in world.live())
+            sum(teller in one.node.suspicions.evidence.get(pod, {}) for one in world.live())
             / (count - 1)
         )
         lasts.append((last[0] - begin) / SECOND if last[0] else None)
--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -58,8 +58,8 @@
         self.identities, self.ports = {}, {name: port for name, (_, port) in self.kept.items()}
         for name in self.ports:
             path = os.path.join(self.folder.name, f"{name}.key")
-            self.identities[name] = keys.new(name, path)
-        self.peers = ", ".join(keys.record(identity) for identity in self.identities.values())
+            self.identities[name] = keys.create_key_file(name, path)
+        self.peers = ", ".join(keys.peer_record(identity) for identity in self.identities.values())
         entries = [pod.entry(f"s-{at}") for at, pod in enumerate(self.pods)]
         self.programs, self.more = {}, more
         for name in names:
@@ -86,7 +86,7 @@
     def ring(self):
         return Keyring(
             [
-                Peer(name, None, (PeerKey(one.text(), None),))
+                Peer(name, None, (PeerKey(one.public_key_text(), None),))
                 for name, one in self.identities.items()
             ]
         )
@@ -138,7 +138,7 @@
             try:
                 content, source = self.socket.recvfrom(2048)
                 self.liar.overheard(content)
-                node.received(clock(), source, content)
+                node.receive_datagram(clock(), source, content)
             except TimeoutError:
                 pass
             now = clock()
@@ -164,9 +164,7 @@
     stranger = new_identity("n1")
     stranger.key_id = key_id
     forged = [
-        codec.sealed_frame(
-            Frame("n1", "n0", 5, at, 5, Ping(os.urandom(8), bytes(128)), []), stranger
-        )
+        codec.seal_frame(Frame("n1", "n0", 5, at, 5, Ping(os.urandom(8), bytes(128)), []), stranger)
         for at in range(200)
     ]
     datagrams, sent, begin = forged + [os.urandom(300) for _ in range(200)], 0, time.monotonic()
--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -29,10 +29,10 @@
             name or node.local.name,
             node.local.start if start is None else start,
             number,
-            now - node.local.began,
+            now - node.local.started_at,
             body,
         )
-        return codec.sealed_item(item, node.local.identity)
+        return codec.seal_item(item, node.local.identity)
 
     def _frame(self, now, to, body, items, name=None, start=None):
         node = self.node
@@ -42,11 +42,11 @@
             to,
             node.local.start if start is None else start,
             node.local.number,
-            now - node.local.began,
+            now - node.local.started_at,
             body,
             items,
         )
-        return codec.sealed_frame(frame, node.local.identity)
+        return codec.seal_frame(frame, node.local.identity)
 
     def lies(self, now):
         """One round, to every live peer."""
--- a/measure/world.py
+++ b/measure/world.py
@@ -9,7 +9,12 @@
 from thymeknot.gossip.keyring import AllowedNetworks
 from thymeknot.gossip.membership import ClockOffset, MemberState
 from thymeknot.gossip.node import GossipNode
-from thymeknot.gossip.settings import Ceiling, GossipSettings, SuspicionSettings, Verifications
+from thymeknot.gossip.settings import (
+    GossipSettings,
+    SendLimitSettings,
+    SuspicionSettings,
+    VerificationLimitSettings,
+)
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 SECOND = 10_000
@@ -27,8 +32,8 @@
     3 * SECOND // 10,
     3,
     5,
-    Ceiling(32_000, 60),
-    Verifications(600, 120, 20),
+    SendLimitSettings(32_000, 60),
+    VerificationLimitSettings(600, 120, 20),
     HEARSAY,
 )
 
@@ -54,10 +59,10 @@
         name = self.names.get(number)
         return None if name in self.revoked else name
 
-    def held(self, unix):
+    def active_names(self, unix):
         return self.groups.keys() - self.revoked
 
-    def holds(self, number, message, signature):
+    def verifies(self, number, message, signature):
         return blake2b(message, key=number, digest_size=64).digest() == signature
 
 
@@ -101,7 +106,7 @@
         if self.world.now >= self.stalled_till:
             waiting, self.waiting = self.waiting, []
             for source, content in waiting:
-                self.node.received(self.clock(), source, content)
+                self.node.receive_datagram(self.clock(), source, content)
             self.node.tick(self.clock())
             self.flush()
         self.world.at(max(self.world.now, self.stalled_till) + TICK_INTERVAL, self._tick, turn)
@@ -113,7 +118,7 @@
             if len(self.waiting) < 500:
                 self.waiting.append((source, content))
             return
-        self.node.received(self.clock(), source, content)
+        self.node.receive_datagram(self.clock(), source, content)
         self.flush()
 
     def flush(self):
@@ -202,15 +207,15 @@
             for other in self.instances.values():
                 if one is not other and one.node and other.node:
                     member, node = one.node.members.all[other.name], one.node
-                    member.begin(other.node.local.start)
+                    member.adopt_start(other.node.local.start)
                     member.offset = ClockOffset(
-                        one.clock() - (other.clock() - other.node.local.began), 30
+                        one.clock() - (other.clock() - other.node.local.started_at), 30
                     )
                     member.address, member.state = other.address, MemberState.ALIVE
                     node.context.by_address[other.address] = other.name
         for one in self.instances.values():
             one.node.members.update_live()
-            one.node.limits.set_proved(one.node.context.by_address)
+            one.node.limits.set_validated_addresses(one.node.context.by_address)
 
     def live(self):
         return [one for one in self.instances.values() if one.node]
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -281,7 +281,7 @@
             )
         )
     ]
-    sealed = [codec.sealed_item(item, signer) for item in items]
+    sealed = [codec.seal_item(item, signer) for item in items]
     bodies = (
         codec.Ping(b"12345678", b"\0" * 128),
         codec.Ack(b"12345678", b"87654321"),
@@ -297,7 +297,7 @@
     ]
     return {
         "items": [one.hex() for one in sealed],
-        "datagrams": [codec.sealed_frame(frame, signer).hex() for frame in frames],
+        "datagrams": [codec.seal_frame(frame, signer).hex() for frame in frames],
     }
 
 
--- a/tests/integration/test_gossip.py
+++ b/tests/integration/test_gossip.py
@@ -47,7 +47,7 @@
         # n2 is revoked at n0: it is no peer there any more, and n0 is none that it can reach.
         n0 = fleet.programs["n0"]
         with open(n0.operator, "w", encoding="utf-8") as target:
-            revoked = f']\nrevoked: ["{fleet.identities["n2"].text()}"]\nhearsay'
+            revoked = f']\nrevoked: ["{fleet.identities["n2"].public_key_text()}"]\nhearsay'
             target.write(fleet.text("n0").replace("]\nhearsay", revoked))
         n0.process.send_signal(signal.SIGHUP)
         until(lambda: any(line["event"] == "operator file reloaded" for line in said["n0"]), gather)
@@ -64,7 +64,7 @@
         )
         fleet.programs["n1"].process.send_signal(signal.SIGTERM)
         until(lambda: met("n0", "n1", "left") and met("n2", "n1", "left"), gather)
-        self.assertEqual(keys.record(fleet.identities["n0"])[:13], '{name: "n0", ')
+        self.assertEqual(keys.peer_record(fleet.identities["n0"])[:13], '{name: "n0", ')
 
 
 class InShort(unittest.TestCase):
--- a/tests/soak/player.py
+++ b/tests/soak/player.py
@@ -80,8 +80,10 @@
         self.kept, self.feature = [], plan.feature
         if plan.feature == Feature.NONE:
             return
-        self.identities = {name: keys.new(name, self._at(f"{name}.key")) for name in self.names}
-        self.records = ", ".join(keys.record(one) for one in self.identities.values())
+        self.identities = {
+            name: keys.create_key_file(name, self._at(f"{name}.key")) for name in self.names
+        }
+        self.records = ", ".join(keys.peer_record(one) for one in self.identities.values())
         self.ports = {}
         for name in self.names:
             if plan.feature == Feature.FLEET:
@@ -114,7 +116,7 @@
     def _fleet(self, name):
         keepers = ", ".join(
             f'{{name: "{one}", address: "127.0.0.1:{self.ports[one]}", '
-            f'keys: [{{key: "{self.identities[one].text()}"}}]}}'
+            f'keys: [{{key: "{self.identities[one].public_key_text()}"}}]}}'
             for one in self.names
         )
         units = ", ".join(f'{{name: "{one}", kind: "sidecar", zone: "z"}}' for one in self.names)
--- a/tests/support/process_rig.py
+++ b/tests/support/process_rig.py
@@ -220,7 +220,7 @@
         ]  # also while a process is killed and has not come back
         self.ports = {name: port for name, (_, port) in zip(self.names, self.kept)}
         self.identities = {
-            name: keys.new(name, os.path.join(self.folder.name, f"{name}.key"))
+            name: keys.create_key_file(name, os.path.join(self.folder.name, f"{name}.key"))
             for name in [*self.names, "op"]
         }
         self.paths = {
@@ -260,7 +260,7 @@
 
         keepers = ", ".join(
             f'{{name: "{one}", address: "127.0.0.1:{place(one)}", '
-            f'keys: [{{key: "{self.identities[one].text()}"}}]}}'
+            f'keys: [{{key: "{self.identities[one].public_key_text()}"}}]}}'
             for one in self.names
         )
         units = ", ".join(f'{{name: "{one}", kind: "sidecar", zone: "z"}}' for one in self.names)
@@ -268,7 +268,7 @@
         return (
             f'fleet: {{name: "{name}", key: "{self.folder.name}/{name}.key", data: "{self.folder.name}/{name}"\n'
             f'founds: true, from: ["127.0.0.0/8"], keepers: [{keepers}]\n'
-            f"peers: [{keys.record(self.identities['op'])}]\n"
+            f"peers: [{keys.peer_record(self.identities['op'])}]\n"
             f'unit: "{name}", units: [{units}]\n'
             f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: {self.most}}}]\n'
             'bound: "1s", silent: "2s", permit: "4s", tick: "100ms"\n}\n'
@@ -278,7 +278,7 @@
         """An operator's client, at these keepers alone or at all."""
         ring = Keyring(
             [
-                Peer(name, None, (PeerKey(one.text(), None),))
+                Peer(name, None, (PeerKey(one.public_key_text(), None),))
                 for name, one in self.identities.items()
             ]
         )
--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -28,7 +28,10 @@
     def setUp(self):
         self.one, self.two, self.other = new_identity("n1"), new_identity("n2"), new_identity("n1")
         self.ring = Keyring(
-            [Peer(one.name, None, (PeerKey(one.text(), None),)) for one in (self.one, self.two)]
+            [
+                Peer(one.name, None, (PeerKey(one.public_key_text(), None),))
+                for one in (self.one, self.two)
+            ]
         )
 
     def opened(self, told, session=SESSION, last=0, ring=None):
@@ -56,7 +59,10 @@
             self.opened({**good, "content": bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES + 1)}),
             "oversized",
         )
-        revoked = Keyring([Peer("n1", None, (PeerKey(self.one.text(), None),))], [self.one.text()])
+        revoked = Keyring(
+            [Peer("n1", None, (PeerKey(self.one.public_key_text(), None),))],
+            [self.one.public_key_text()],
+        )
         self.assertEqual(self.opened(good, ring=revoked), "unknown")
         content = msgspec.msgpack.encode(["n1", 7])
         self.assertEqual(
@@ -117,8 +123,8 @@
         """The example with a key of this test's own."""
         with open(os.path.join(FOLDER, "fleet.cue"), encoding="utf-8") as source:
             text = source.read()
-        mine = keys.new("n1", os.path.join(folder, "n1.key"))
-        return text.replace("1AAw0DZ1WlCsgTTdX1mtbDDSR+AlbN1aIBj8BVe+gXE=", mine.text())
+        mine = keys.create_key_file("n1", os.path.join(folder, "n1.key"))
+        return text.replace("1AAw0DZ1WlCsgTTdX1mtbDDSR+AlbN1aIBj8BVe+gXE=", mine.public_key_text())
 
     def said(self, change):
         """What a file like the example, changed so, is refused with."""
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -5,7 +5,7 @@
 from measure.hostile import Liar, pods_of
 from measure.world import HEARSAY, SECOND, TERMS, World
 from thymeknot.gossip.rate_limits import SendLimits, SendPurpose, TokenBucket, VerificationLimits
-from thymeknot.gossip.settings import Verifications
+from thymeknot.gossip.settings import VerificationLimitSettings
 
 PODS = pods_of(8)
 
@@ -274,12 +274,13 @@
             deliver(made, name, "s-1", 10, 10)
         made.run(3 * SECOND)
         node = made.instances["n0"].node
-        claimed = {origin for words in node.suspicions.words.values() for origin in words}
+        claimed = {origin for words in node.suspicions.evidence.values() for origin in words}
         self.assertEqual(claimed, {"n2", "n3", "n4"})
         made.ring.revoked = {"n4"}
         node.rekey(made.ring, made.instances["n0"].clock())
         self.assertEqual(
-            {origin for words in node.suspicions.words.values() for origin in words}, {"n2", "n3"}
+            {origin for words in node.suspicions.evidence.values() for origin in words},
+            {"n2", "n3"},
         )
         self.assertNotIn("n4", node.members.all)
         doubts(made)
@@ -309,7 +310,7 @@
             30 * SECOND, lambda: [victim.received(source, content) for source, content in captured]
         )
         self.assertEqual({one.state for one in victim.node.members.all.values()}, {"unproved"})
-        self.assertEqual(victim.node.suspicions.words, {})
+        self.assertEqual(victim.node.suspicions.evidence, {})
         self.assertEqual(victim.node.changed_suspicions, [])
 
 
@@ -368,8 +369,8 @@
 
     def test_a_flood_from_elsewhere_leaves_answers_and_peers_their_part(self):
         now = 0
-        checking = VerificationLimits(Verifications(100, 50, 16), 7, now)
-        checking.set_proved([("10.0.0.1", 1)])
+        checking = VerificationLimits(VerificationLimitSettings(100, 50, 16), 7, now)
+        checking.set_validated_addresses([("10.0.0.1", 1)])
         flooded = sum(
             checking.bucket_of(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10)
         )
@@ -396,7 +397,9 @@
         for name in ("n0", "n1", "n2", "n3"):
             node = made.instances[name].node
             self.assertLessEqual(node.queue.count_by_origin.get("n4", 0), 32)
-            self.assertLessEqual(sum("n4" in words for words in node.suspicions.words.values()), 16)
+            self.assertLessEqual(
+                sum("n4" in words for words in node.suspicions.evidence.values()), 16
+            )
             self.assertLessEqual(len(node.items.waiting), 256)
             self.assertLessEqual(len(node.prober.probes), 32)
             self.assertTrue(
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -33,7 +33,7 @@
 
 
 def peer(name, *told, group=None):
-    return Peer(name, group, tuple(PeerKey(one.text(), until) for one, until in told))
+    return Peer(name, group, tuple(PeerKey(one.public_key_text(), until) for one, until in told))
 
 
 class RealWorld(World):
@@ -67,11 +67,11 @@
         to,
         node.local.start if start is None else start,
         number or node.local.number,
-        WORLD.now - node.local.began,
+        WORLD.now - node.local.started_at,
         body or Push(),
         list(items),
     )
-    return codec.sealed_frame(frame, identity or KEYS["n1"])
+    return codec.seal_frame(frame, identity or KEYS["n1"])
 
 
 def item_of(body, origin="n1", identity=None, start=None, age=0):
@@ -81,16 +81,16 @@
         origin,
         node.local.start if start is None else start,
         node.local.number,
-        WORLD.now - node.local.began - age,
+        WORLD.now - node.local.started_at - age,
         body,
     )
-    return codec.sealed_item(item, identity or KEYS["n1"])
+    return codec.seal_item(item, identity or KEYS["n1"])
 
 
 def dropped(datagram, source=None):
     """What a datagram from n1's address was dropped for, or None; how many went out for it."""
     before, NODE.outbox.datagrams = dict(NODE.dropped), []
-    NODE.received(WORLD.now, source or WORLD.instances["n1"].address, datagram)
+    NODE.receive_datagram(WORLD.now, source or WORLD.instances["n1"].address, datagram)
     found = [kind for kind, count in NODE.dropped.items() if count != before[kind]]
     return found[0] if found else None
 
@@ -149,9 +149,9 @@
         ):
             WORLD.now += SECOND // 10
             self.assertEqual(dropped(frame_of(items=[item])), kind)
-        self.assertEqual(NODE.suspicions.words, {})
+        self.assertEqual(NODE.suspicions.evidence, {})
         self.assertIsNone(dropped(frame_of(items=[item_of(claim)])))
-        self.assertEqual(set(NODE.suspicions.words[pod]), {"n1"})
+        self.assertEqual(set(NODE.suspicions.evidence[pod]), {"n1"})
         NODE.suspicions.set_endpoints([])
 
     def test_an_instance_called_dead_says_that_it_lives(self):
@@ -173,7 +173,8 @@
         WORLD.now += SECOND // 10
         for datagram in (
             noise,
-            codec.frame_bytes(Frame("n1", "n0", 1, 1, 1, Push(), []), KEYS["n1"].key_id) + noise,
+            codec.encode_unsigned_frame(Frame("n1", "n0", 1, 1, 1, Push(), []), KEYS["n1"].key_id)
+            + noise,
             (good := frame_of())[:at] + patch + good[at + len(patch) :],
         ):
             if datagram != good:
@@ -209,8 +210,10 @@
     def test_an_instance_that_has_left_is_not_called_alive_any_more(self):
         world = two()
         node, origin = world.instances["n0"].node, world.instances["n1"].node
-        say = lambda body: codec.sealed_item(  # noqa: E731
-            Item("n1", origin.local.start, next(numbers), world.now - origin.local.began, body),
+        say = lambda body: codec.seal_item(  # noqa: E731
+            Item(
+                "n1", origin.local.start, next(numbers), world.now - origin.local.started_at, body
+            ),
             KEYS["n1"],
         )
         numbers = iter(range(1_000, 1_010))
@@ -243,11 +246,13 @@
         ring = Keyring([peer("n1", (old, UNTIL), (new, None))])
         self.assertEqual([ring.owner(one.key_id, ENDS - 1) for one in (old, new)], ["n1", "n1"])
         self.assertEqual([ring.owner(one.key_id, ENDS) for one in (old, new)], [None, "n1"])
-        self.assertEqual(ring.held(ENDS), {"n1"})
+        self.assertEqual(ring.active_names(ENDS), {"n1"})
 
     def test_a_revoked_key_is_nobodys_and_faulty_rings_are_refused(self):
         mine = KEYS["n1"]
-        self.assertIsNone(Keyring([peer("n1", (mine, None))], [mine.text()]).owner(mine.key_id, 0))
+        self.assertIsNone(
+            Keyring([peer("n1", (mine, None))], [mine.public_key_text()]).owner(mine.key_id, 0)
+        )
         for peers, said in (
             ([peer("n1", (mine, None)), peer("n2", (mine, None))], "the same key"),
             ([peer("n1", (mine, None)), peer("n1", (KEYS["n2"], None))], "twice"),
@@ -273,7 +278,7 @@
             self.assertEqual(keys.main(["new", "n7", path]), 2)
             with open(path, "rb") as source:
                 identity = read_identity("n7", source.read())
-            self.assertEqual(len(base64.b64decode(identity.text())), 32)
+            self.assertEqual(len(base64.b64decode(identity.public_key_text())), 32)
             self.assertEqual(keys.main(["show", "n7", path]), 0)
         with self.assertRaisesRegex(KeyringError, "can be read"):
             read_identity("n7", b"no key")
--- a/tests/unit/raft/test_peer_server.py
+++ b/tests/unit/raft/test_peer_server.py
@@ -59,7 +59,7 @@
             SimpleNamespace(
                 name=one.name,
                 group=None,
-                keys=[SimpleNamespace(key=one.text(), until="2999-01-01T00:00:00Z")],
+                keys=[SimpleNamespace(key=one.public_key_text(), until="2999-01-01T00:00:00Z")],
             )
             for one in (self.node, self.client)
         ]
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -40,7 +40,7 @@
 
 def ring():
     """The public key of the identity that signed the golden messages."""
-    return Keyring([Peer("a", None, (PeerKey(generate.identity("a").text(), None),))])
+    return Keyring([Peer("a", None, (PeerKey(generate.identity("a").public_key_text(), None),))])
 
 
 class WrittenAgain(unittest.TestCase):
@@ -210,15 +210,15 @@
         for at, text in enumerate(stored_json("gossip.json")["datagrams"]):
             with self.subTest(at):
                 key, frame, signed, signature = codec.read_frame(bytes.fromhex(text))
-                self.assertTrue(ring().holds(key, signed, signature))
-                self.assertEqual((frame.sender, frame.to, frame.number), ("a", "b", at))
+                self.assertTrue(ring().verifies(key, signed, signature))
+                self.assertEqual((frame.sender, frame.recipient, frame.number), ("a", "b", at))
 
     def test_every_item_is_read_and_its_signature_holds(self):
         kinds = (codec.Alive, codec.Left, codec.Suspect, codec.Evidence)
         for kind, text in zip(kinds, stored_json("gossip.json")["items"], strict=True):
             with self.subTest(kind):
                 key, item, signed, signature = codec.read_item(bytes.fromhex(text))
-                self.assertTrue(ring().holds(key, signed, signature))
+                self.assertTrue(ring().verifies(key, signed, signature))
                 self.assertIs(type(item.body), kind)
 
 
--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -10,7 +10,7 @@
 from twisted.protocols.amp import Box
 
 from ..gossip.keyring import Identity, Keyring
-from ..gossip.settings import address
+from ..gossip.settings import parse_address
 from ..raft import message_codec
 
 ATTEMPT_SECONDS = 1.0
@@ -187,7 +187,9 @@
 
     def _connect(self, name: str) -> _Connection:
         """Connects, and agrees on a session."""
-        sock = socket.create_connection(address(self.addresses[name]), timeout=ATTEMPT_SECONDS)
+        sock = socket.create_connection(
+            parse_address(self.addresses[name]), timeout=ATTEMPT_SECONDS
+        )
         reader = sock.makefile("rb")
         nonce = message_codec.new_nonce()
         try:
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -9,7 +9,7 @@
 
 from ..disruption.targets import DisruptionSettings
 from ..gossip.keyring import AllowedNetworks, Identity, Keyring, KeyringError, read_identity
-from ..gossip.settings import address
+from ..gossip.settings import parse_address
 from ..raft.client import RaftClient
 from ..raft.storage import DamagedStorageError
 from ..state.random_source import LinearCongruentialGenerator
@@ -122,7 +122,7 @@
             self.agent = self._drain_agent(proxy, settings.unit)
 
     def _listen(self, member: RaftMember, own_node: NodeSettings) -> None:
-        host, port = address(self.settings.listen or own_node.address)
+        host, port = parse_address(self.settings.listen or own_node.address)
         try:
             member.server.listen(host, port)
         except Exception as error:
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -11,7 +11,7 @@
 from ..disruption.state_machine import DisruptionStateMachine
 from ..disruption.targets import CommandRejectedError
 from ..gossip.keyring import AllowedNetworks, Identity, Keyring
-from ..gossip.settings import address
+from ..gossip.settings import parse_address
 from ..interface.clock import Ticks
 from ..raft.client import PeerChannel
 from ..raft.node import RaftNode
@@ -58,7 +58,7 @@
         node.name: PeerChannel(
             context.reactor,
             node.name,
-            address(node.address),
+            parse_address(node.address),
             context.identity,
             context.ring,
             time.time,
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -207,7 +207,7 @@
 
     Attributes:
         sender: Name of the sender.
-        to: Whom it is for, so that nobody else can be given it; empty where a seed's name is not
+        recipient: Whom it is for, so that nobody else can be given it; empty where a seed's name is not
             known yet.
         start: Start of the sender.
         number: Number of the datagram, within the start.
@@ -217,7 +217,7 @@
     """
 
     sender: Name
-    to: Name
+    recipient: Name
     start: Count
     number: Count
     at: Count
@@ -262,18 +262,18 @@
 _item_decoder = msgpack.Decoder(Item)
 
 
-def frame_bytes(frame: Frame, key_id: bytes) -> bytes:
+def encode_unsigned_frame(frame: Frame, key_id: bytes) -> bytes:
     """Returns a datagram without its signature."""
     return bytes((VERSION,)) + key_id + _encode(frame)
 
 
-def sealed_frame(frame: Frame, identity: Identity) -> bytes:
+def seal_frame(frame: Frame, identity: Identity) -> bytes:
     """Returns a signed datagram."""
-    body = frame_bytes(frame, identity.key_id)
+    body = encode_unsigned_frame(frame, identity.key_id)
     return body + identity.sign(body)
 
 
-def sealed_item(item: Item, identity: Identity) -> bytes:
+def seal_item(item: Item, identity: Identity) -> bytes:
     """Returns a signed item."""
     body = identity.key_id + _encode(item)
     return body + identity.sign(body)
--- a/thymeknot/gossip/item_exchange.py
+++ b/thymeknot/gossip/item_exchange.py
@@ -77,7 +77,7 @@
         if not (bucket is None or bucket.take(now)) or not limits.total.take(now):
             return DropReason.BUDGET
         limits.verified += 1
-        if not self._context.ring.holds(read.key_id, read.signed, read.signature):
+        if not self._context.ring.verifies(read.key_id, read.signed, read.signature):
             return DropReason.SIGNATURE
         return None
 
--- a/thymeknot/gossip/keyring.py
+++ b/thymeknot/gossip/keyring.py
@@ -51,7 +51,7 @@
         """Returns the signature of a message."""
         return self._private.sign(message)
 
-    def text(self) -> str:
+    def public_key_text(self) -> str:
         """Returns the public key as a ring holds it."""
         return base64.b64encode(self.public).decode()
 
@@ -132,11 +132,11 @@
         entry = self.entries.get(number)
         return entry.name if entry and unix < entry.until else None
 
-    def held(self, unix: float) -> set[str]:
+    def active_names(self, unix: float) -> set[str]:
         """Returns the names that hold a key at a time."""
         return {entry.name for entry in self.entries.values() if unix < entry.until}
 
-    def holds(self, number: bytes, message: bytes, signature: bytes) -> bool:
+    def verifies(self, number: bytes, message: bytes, signature: bytes) -> bool:
         """Returns whether the key made this signature over these very bytes."""
         try:
             self.entries[number].verifier.verify(signature, message)
--- a/thymeknot/gossip/keys.py
+++ b/thymeknot/gossip/keys.py
@@ -18,12 +18,12 @@
 EXIT_UNUSABLE = 2  # the file can't be written or read or holds no key, or a library is missing
 
 
-def record(identity: "Identity") -> str:
+def peer_record(identity: "Identity") -> str:
     """Returns the record of an identity for the peers' rings, as text of an operator's file."""
-    return f'{{name: "{identity.name}", keys: [{{key: "{identity.text()}"}}]}}'
+    return f'{{name: "{identity.name}", keys: [{{key: "{identity.public_key_text()}"}}]}}'
 
 
-def new(name: str, path: str) -> "Identity":
+def create_key_file(name: str, path: str) -> "Identity":
     """Makes a key in a new file that only its owner reads.
 
     Raises:
@@ -67,14 +67,14 @@
 
     try:
         if chosen.command == "new":
-            identity = new(chosen.name, chosen.file)
+            identity = create_key_file(chosen.name, chosen.file)
         else:
             with open(chosen.file, "rb") as source:
                 identity = read_identity(chosen.name, source.read())
     except (OSError, KeyringError) as error:
         print(f"keys: {error}", file=sys.stderr)
         return EXIT_UNUSABLE
-    print(record(identity))
+    print(peer_record(identity))
     return 0
 
 
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -195,9 +195,9 @@
         self.rested = 0
         self.looked: Ticks = -TICKS_PER_SECOND
         self.told_at: Ticks = 0
-        self.begin(None)
+        self.adopt_start(None)
 
-    def begin(self, start: int | None) -> None:
+    def adopt_start(self, start: int | None) -> None:
         """Takes up another start of the name: nothing said under the former one counts."""
         self.start = start
         self.incarnation = 0
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -137,7 +137,7 @@
         self.context.log_events = []
         return taken
 
-    def received(self, now: Ticks, source: Address, datagram: bytes) -> None:
+    def receive_datagram(self, now: Ticks, source: Address, datagram: bytes) -> None:
         """Takes a datagram. What is wrong with it is counted by its reason and no more."""
         if not self._has_left:
             self.context.drop(self._receiver.receive(now, source, datagram))
@@ -255,7 +255,7 @@
         context = self.context
         unix = context.unix()
         context.ring = ring
-        held = ring.held(unix)
+        held = ring.active_names(unix)
         for name in [name for name in self.members.all if name not in held]:
             self.suspicions.forget_origin(name)
         orphaned = {
@@ -272,7 +272,7 @@
             for member in self.members.all.values()
             if member.address and member.start
         }
-        self.limits.set_proved(context.by_address)
+        self.limits.set_validated_addresses(context.by_address)
 
     def leave(self, now: Ticks) -> None:
         """Says goodbye to a few: the others hear of it."""
--- a/thymeknot/gossip/outbox.py
+++ b/thymeknot/gossip/outbox.py
@@ -20,7 +20,7 @@
         identity: What it signs with.
         announced: Where others reach it.
         start: Names this start; no other start of the name has it.
-        began: When it started, by its clock.
+        started_at: When it started, by its clock.
         number: The latest number of a datagram or item.
         incarnation: Goes up each time that it refutes a suspicion.
     """
@@ -28,7 +28,7 @@
     identity: Identity
     announced: Address
     start: int
-    began: Ticks
+    started_at: Ticks
     number: int = 0
     incarnation: int = 0
 
@@ -92,9 +92,9 @@
         local = self._local
         local.number += 1
         frame = Frame(
-            local.name, to, local.start, local.number, now - local.began, body, list(items)
+            local.name, to, local.start, local.number, now - local.started_at, body, list(items)
         )
-        unsigned = codec.frame_bytes(frame, local.identity.key_id)
+        unsigned = codec.encode_unsigned_frame(frame, local.identity.key_id)
         size = len(unsigned) + SIGNATURE_SIZE
         if size > max_size or not self.limits.may(now, size, purpose):
             return False
@@ -105,6 +105,6 @@
         """Signs an item of this instance's own, and has it passed on."""
         local = self._local
         local.number += 1
-        item = Item(local.name, local.start, local.number, now - local.began, body)
-        content = codec.sealed_item(item, local.identity)
+        item = Item(local.name, local.start, local.number, now - local.started_at, body)
+        content = codec.seal_item(item, local.identity)
         self._queue.add(item, local.identity.key_id, content, now, about)
--- a/thymeknot/gossip/prober.py
+++ b/thymeknot/gossip/prober.py
@@ -168,7 +168,7 @@
         if not context.limits.total.take(now):
             return
         context.limits.verified += 1
-        if context.ring.holds(read.key_id, read.signed, read.signature):
+        if context.ring.verifies(read.key_id, read.signed, read.signature):
             del self.probes[reply.nonce]
             context.members.step(target, MemberInput.ANSWERED, now)
 
@@ -180,7 +180,7 @@
         return (
             frame.sender == target.name
             and self._context.key_owner(read.key_id) == target.name
-            and frame.to == relay.name
+            and frame.recipient == relay.name
             and frame.start == target.start
             and not target.frames.seen(frame.number)
             and frame.body == Ack(nonce, None)
--- a/thymeknot/gossip/rate_limits.py
+++ b/thymeknot/gossip/rate_limits.py
@@ -5,7 +5,7 @@
 from typing import TypeAlias
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
-from .settings import Ceiling, Verifications
+from .settings import SendLimitSettings, VerificationLimitSettings
 
 UNKNOWN_LANES = 16  # that addresses which proved nothing share: one flood blocks one lane
 RATE_SHARE = 0.8  # of a ceiling; rate and burst together are what was set
@@ -75,7 +75,7 @@
         SendPurpose.UPDATES: 0.5,
     }
 
-    def __init__(self, ceiling: Ceiling, now: Ticks) -> None:
+    def __init__(self, ceiling: SendLimitSettings, now: Ticks) -> None:
         datagram_burst = max(MIN_BURST, ceiling.datagrams * BURST_SHARE)
         self._bytes = TokenBucket(ceiling.bytes * RATE_SHARE, ceiling.bytes * BURST_SHARE, now)
         self._datagrams = TokenBucket(ceiling.datagrams * RATE_SHARE, datagram_burst, now)
@@ -105,7 +105,7 @@
         verified: How many signatures were verified.
     """
 
-    def __init__(self, settings: Verifications, salt: int, now: Ticks) -> None:
+    def __init__(self, settings: VerificationLimitSettings, salt: int, now: Ticks) -> None:
         self._settings = settings
         self._salt = salt
         self._start = now
@@ -115,7 +115,7 @@
         self.peers: dict[Address, TokenBucket] = {}
         self.verified = 0
 
-    def set_proved(self, addresses: Iterable[Address]) -> None:
+    def set_validated_addresses(self, addresses: Iterable[Address]) -> None:
         """Gives these addresses buckets of their own, and no others."""
         rate = self._settings.peer
         self.peers = {
--- a/thymeknot/gossip/receiver.py
+++ b/thymeknot/gossip/receiver.py
@@ -108,15 +108,15 @@
             return DropReason.BUDGET
         limits.verified += 1
         read = incoming.read
-        if not self._context.ring.holds(read.key_id, read.signed, read.signature):
+        if not self._context.ring.verifies(read.key_id, read.signed, read.signature):
             return DropReason.SIGNATURE
         return None
 
     def _is_for_us(self, frame: Frame) -> bool:
         """Returns whether a datagram is for this instance, by name or as a seed's first ping."""
-        if frame.to == self._context.local.name:
+        if frame.recipient == self._context.local.name:
             return True
-        return frame.to == "" and isinstance(frame.body, Ping) and not frame.items
+        return frame.recipient == "" and isinstance(frame.body, Ping) and not frame.items
 
     def _ask_for_proof(self, incoming: Incoming) -> None:
         """Pings a sender of another start than it proved, to find out who that is."""
@@ -203,7 +203,7 @@
         if member.start != frame.start:
             if member.start is not None:
                 context.suspicions.forget_origin(member.name)
-            member.begin(frame.start)
+            member.adopt_start(frame.start)
         # The peer's clock against ours, by the middle of the way there and back; the quickest
         # answer counts (Cristian, 1989).
         round_trip = now - probe.at
@@ -227,6 +227,6 @@
             context.by_address.pop(member.address, None)
         member.address = address
         context.by_address[address] = member.name
-        context.limits.set_proved(
+        context.limits.set_validated_addresses(
             [one.address for one in context.members.all.values() if one.address and one.start]
         )
--- a/thymeknot/gossip/settings.py
+++ b/thymeknot/gossip/settings.py
@@ -6,7 +6,7 @@
 from typing import NamedTuple, Optional
 
 
-class Ceiling(NamedTuple):
+class SendLimitSettings(NamedTuple):
     """What may go out.
 
     Attributes:
@@ -18,7 +18,7 @@
     datagrams: int
 
 
-class Verifications(NamedTuple):
+class VerificationLimitSettings(NamedTuple):
     """How many signatures may be verified.
 
     Attributes:
@@ -115,12 +115,12 @@
     probe_timeout: int
     relays: int
     suspect_times: int
-    ceiling: Ceiling
-    verifications: Verifications
+    ceiling: SendLimitSettings
+    verifications: VerificationLimitSettings
     hearsay: SuspicionSettings
 
 
-def address(text: str) -> tuple[str, int]:
+def parse_address(text: str) -> tuple[str, int]:
     """Returns (host, port) of "127.0.0.1:7946" or "[::1]:7946"."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
--- a/thymeknot/gossip/suspicion.py
+++ b/thymeknot/gossip/suspicion.py
@@ -111,7 +111,7 @@
     """Evidence about endpoints, own and others', and the suspicions that follow.
 
     Attributes:
-        words: Others' latest evidence, by endpoint and origin.
+        evidence: Others' latest evidence, by endpoint and origin.
         credibility: What origins' words are worth.
     """
 
@@ -124,7 +124,7 @@
         """
         self._settings = settings
         self._group_of = group_of
-        self.words: dict[EndpointKey, dict[str, Word]] = {}
+        self.evidence: dict[EndpointKey, dict[str, Word]] = {}
         self.credibility = Credibility()
         self._word_count = 0
         self._observed: dict[str, Observed] = {}  # the ready endpoints, by id
@@ -156,13 +156,13 @@
         return observed is not None and observed.key == key
 
     def _keep_words(self, keeps: Callable[[EndpointKey, str], bool]) -> None:
-        for key in list(self.words):
-            words = self.words[key]
+        for key in list(self.evidence):
+            words = self.evidence[key]
             for origin in [origin for origin in words if not keeps(key, origin)]:
                 del words[origin]
                 self._word_count -= 1
             if not words:
-                del self.words[key]
+                del self.evidence[key]
 
     def forget_origin(self, name: str) -> None:
         """Forgets what an origin said: its key was revoked, it started anew, or it lied."""
@@ -200,12 +200,12 @@
         key = EndpointKey(evidence.pod, evidence.address, evidence.build, evidence.started)
         if not self._is_listed(key) or evidence.failed > evidence.tried or evidence.tried == 0:
             return False
-        word = self.words.get(key, {}).get(origin)
+        word = self.evidence.get(key, {}).get(origin)
         if word is None:
-            of_origin = sum(origin in words for words in self.words.values())
+            of_origin = sum(origin in words for words in self.evidence.values())
             if self._word_count >= MAX_WORDS or of_origin >= MAX_WORDS_OF_ORIGIN:
                 return False
-            word = self.words.setdefault(key, {})[origin] = Word()
+            word = self.evidence.setdefault(key, {})[origin] = Word()
             self._word_count += 1
         return word.update(evidence, seen)
 
@@ -217,7 +217,7 @@
         lapse = self._settings.lapse
         for name in [name for name, own in self._failing.items() if now - own.failed_at > lapse]:
             del self._failing[name]
-        spoken_of = {key.id: self._observed[key.id] for key in self.words}
+        spoken_of = {key.id: self._observed[key.id] for key in self.evidence}
         worth: list[tuple[Counts, Observed]] = []
         for observed in {**self._failing, **spoken_of}.values():
             if now - observed.sent_at < SEND_INTERVAL:
@@ -239,7 +239,7 @@
         voices are enough on either side, however many instances there are.
         """
         settings = self._settings
-        words = self.words.get(observed.key, {})
+        words = self.evidence.get(observed.key, {})
         against = sum(word.failed >= settings.bar * word.tried for word in words.values())
         enough = VOICES_BY_NEEDED * (settings.witnesses + settings.liars)
         rate = counts.failed / counts.tried if counts.tried else 0.0
@@ -260,10 +260,10 @@
             is_alive: Whether an origin is a live peer.
         """
         lapse = self._settings.lapse
-        self._keep_words(lambda key, origin: now - self.words[key][origin].seen <= lapse)
+        self._keep_words(lambda key, origin: now - self.evidence[key][origin].seen <= lapse)
         self.credibility.recover()
         against: dict[Observed, float] = {}
-        for key, words in self.words.items():
+        for key, words in self.evidence.items():
             observed = self._observed[key.id]
             own = observed.fresh_counts(now)
             if own.tried >= MIN_ATTEMPTS_TO_JUDGE:
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -23,7 +23,7 @@
 from .node import GossipNode
 from .outbox import Datagram
 from .own_experience import EndpointKey
-from .settings import GossipSettings, address
+from .settings import GossipSettings, parse_address
 from .suspicion import Suspicion
 
 DATAGRAMS_AT_ONCE = 24  # in a round of the event loop; what stays comes in the next one
@@ -51,7 +51,7 @@
     sources: AllowedNetworks
 
 
-def built(settings: GossipSettings, folder: str) -> Credentials:
+def load_credentials(settings: GossipSettings, folder: str) -> Credentials:
     """Returns the credentials that the settings name.
 
     Args:
@@ -83,7 +83,7 @@
     Raises:
         KeyringError: The address can't be bound.
     """
-    host, port = address(listen)
+    host, port = parse_address(listen)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
     bound = socket.socket(family, socket.SOCK_DGRAM)
     bound.setblocking(False)
@@ -133,7 +133,7 @@
 class GossipFeature:
     """Joins a node to a socket and the proxy.
 
-    The proxy calls `ended` and `listed`; suspicions come to it as events.
+    The proxy calls `on_attempt_ended` and `on_endpoints_changed`; suspicions come to it as events.
 
     Attributes:
         node: The node.
@@ -153,14 +153,14 @@
         self._proxy = proxy
         self._settings = settings
         self._clock = proxy.clock
-        credentials = built(settings, folder)
+        credentials = load_credentials(settings, folder)
         self.node = GossipNode(
             settings,
             credentials.identity,
             credentials.ring,
             credentials.sources,
-            announced=address(settings.announce or settings.listen),
-            seeds=[address(seed) for seed in settings.seeds],
+            announced=parse_address(settings.announce or settings.listen),
+            seeds=[parse_address(seed) for seed in settings.seeds],
             now=self._clock(),
             random_source=LinearCongruentialGenerator(secrets.randbits(RANDOM_SEED_BITS)),
             start=time.time_ns() // 1_000_000,
@@ -175,7 +175,7 @@
         self._reported_drops: dict[str, int] = {}
         self._reported_verified = 0
         self._timer: Any = None
-        self.listed()
+        self.on_endpoints_changed()
         proxy.reactor.addReader(self)
         self._tick()
 
@@ -196,7 +196,7 @@
     def doRead(self) -> None:  # noqa: N802 - Twisted's name
         """Reads some datagrams."""
         now = self._clock()
-        received = self.node.received
+        received = self.node.receive_datagram
         for _ in range(DATAGRAMS_AT_ONCE):
             try:
                 length, source = self._socket.recvfrom_into(self._buffer)
@@ -277,7 +277,7 @@
 
     # From the proxy.
 
-    def ended(self, attempt: Any, outcome: Outcome) -> None:
+    def on_attempt_ended(self, attempt: Any, outcome: Outcome) -> None:
         """Counts an attempt that ended, where it says something of the endpoint.
 
         One that was cancelled or rejected does not, nor a timeout that only the client's short
@@ -300,7 +300,7 @@
             >= FULL_ATTEMPT * request_class.latency_objective
         )
 
-    def listed(self) -> None:
+    def on_endpoints_changed(self) -> None:
         """Takes up the ready endpoints that the proxy has now."""
         proxy = self._proxy
         addresses = proxy.addresses if self._settings.hearsay.match_address else {}
@@ -324,7 +324,7 @@
         Raises:
             KeyringError: The settings can't be used; what was there stays.
         """
-        credentials = built(settings, folder)
+        credentials = load_credentials(settings, folder)
         self.node.set_sources(credentials.sources)
         self.node.rekey(credentials.ring, self._clock())
 
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -126,7 +126,7 @@
         proxy = self.proxy
         proxy.inbox.append(update)
         if proxy.gossip is not None:
-            proxy.gossip.listed()
+            proxy.gossip.on_endpoints_changed()
         proxy.withdraw_unwritten(
             lambda endpoint, address: (
                 not self.is_ready(endpoint) or self.addresses[endpoint.address] != address
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -384,7 +384,7 @@
             request.id, outcome, request.closed, latency, endpoint, attempt.number, load
         )
         if self.gossip is not None and attempt.endpoint:
-            self.gossip.ended(attempt, outcome)
+            self.gossip.on_attempt_ended(attempt, outcome)
         if request.repeated and not request.attempts_out:  # the decisions are done with it
             self.client_requests.answer(request, FAILED_ANSWER)
         self.requests.release(request)
--- a/thymeknot/raft/message_codec.py
+++ b/thymeknot/raft/message_codec.py
@@ -95,7 +95,7 @@
     def owner(self, key_id: bytes, unix_time: float) -> str | None:
         """Returns the name that a key belongs to at this Unix time, or None."""
 
-    def holds(self, key_id: bytes, message: bytes, signature: bytes) -> bool:
+    def verifies(self, key_id: bytes, message: bytes, signature: bytes) -> bool:
         """Returns whether the signature of the message was made with the key."""
 
 
@@ -193,7 +193,7 @@
     owner = keyring.owner(key, unix_time)
     if owner is None:
         raise MessageError("unknown", "the key is none of the ring's, or was revoked")
-    if not keyring.holds(key, SIGNATURE_CONTEXT + content, signature):
+    if not keyring.verifies(key, SIGNATURE_CONTEXT + content, signature):
         raise MessageError("forged", f"not signed by {owner}")
     try:
         message = msgspec.msgpack.decode(content, type=SignedMessage)
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -48,7 +48,7 @@
 def _check_gossip(settings: Any, folder: str) -> CheckedFeature:
     told = _record(_module("gossip.settings").GossipSettings, settings)
     transport = _module("gossip.udp_transport")
-    transport.built(told, folder)
+    transport.load_credentials(told, folder)
     return CheckedFeature(lambda proxy: transport.GossipFeature(proxy, told, folder), told)
 
 
