--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -186,7 +186,7 @@
         made.run(90 * SECOND, round_of_lies)
         self.assertEqual(wrong, [])
         self.assertLess(
-            made.instances["n0"].node.suspicions.credibility.of("n4"), 0.05
+            made.instances["n0"].node.suspicions.credibility.credit_of("n4"), 0.05
         )  # two tongues were heard
         for kind in ("sender", "signature", "form", "recipient", "version"):
             self.assertTrue(any(one.node.dropped[kind] for one in made.live()), kind)
@@ -231,7 +231,7 @@
 
         made.run(6 * SECOND, traffic)
         self.assertNotIn(("n0", "s-6"), found)
-        self.assertLess(made.instances["n0"].node.suspicions.credibility.of("n1"), 0.2)
+        self.assertLess(made.instances["n0"].node.suspicions.credibility.credit_of("n1"), 0.2)
 
     def test_names_of_one_group_are_one_witness(self):
         made = settled(6, groups={"n2": "rack", "n3": "rack", "n4": "rack", "n5": "rack"})
@@ -277,7 +277,7 @@
         claimed = {origin for words in node.suspicions.evidence.values() for origin in words}
         self.assertEqual(claimed, {"n2", "n3", "n4"})
         made.ring.revoked = {"n4"}
-        node.rekey(made.ring, made.instances["n0"].clock())
+        node.set_keyring(made.ring, made.instances["n0"].clock())
         self.assertEqual(
             {origin for words in node.suspicions.evidence.values() for origin in words},
             {"n2", "n3"},
@@ -372,18 +372,18 @@
         checking = VerificationLimits(VerificationLimitSettings(100, 50, 16), 7, now)
         checking.set_validated_addresses([("10.0.0.1", 1)])
         flooded = sum(
-            checking.bucket_of(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10)
+            checking.bucket_for(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10)
         )
         self.assertLessEqual(flooded, 13)  # its lane's burst and ten seconds of a sixteenth
-        self.assertTrue(checking.bucket_of(("10.0.0.1", 1)).take(10 * SECOND))
-        free = sum(checking.bucket_of(("10.0.0.9", port)).take(10 * SECOND) for port in range(64))
+        self.assertTrue(checking.bucket_for(("10.0.0.1", 1)).take(10 * SECOND))
+        free = sum(checking.bucket_for(("10.0.0.9", port)).take(10 * SECOND) for port in range(64))
         self.assertGreaterEqual(free, 14)  # other lanes were left alone
 
     def test_rumours_wait_before_answers_do(self):
         sending = SendLimits(TERMS.ceiling, 0)
-        while sending.may(0, 400, SendPurpose.UPDATES):
+        while sending.try_send(0, 400, SendPurpose.UPDATES):
             pass
-        self.assertTrue(sending.may(0, 400, SendPurpose.ANSWER))
+        self.assertTrue(sending.try_send(0, 400, SendPurpose.ANSWER))
         bucket = TokenBucket(10, 5, 0)
         self.assertEqual(sum(bucket.take(at) for at in range(0, 10 * SECOND, 100)), 5 + 99)
 
@@ -400,11 +400,11 @@
             self.assertLessEqual(
                 sum("n4" in words for words in node.suspicions.evidence.values()), 16
             )
-            self.assertLessEqual(len(node.items.waiting), 256)
+            self.assertLessEqual(len(node.items.pending), 256)
             self.assertLessEqual(len(node.prober.probes), 32)
             self.assertTrue(
                 all(
-                    len(one.digests) <= 64 and len(one.suspecters) <= 16
+                    len(one.digests) <= 64 and len(one.suspecting_groups) <= 16
                     for one in node.members.all.values()
                 )
             )
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -12,7 +12,7 @@
 from tests.support.decisions import NOW, balancer, kinds, pod, sent, taken
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Ack, Alive, Evidence, Frame, Item, Left, Ping, Push
-from thymeknot.gossip.dissemination_queue import LIFE, DisseminationQueue
+from thymeknot.gossip.dissemination_queue import LIVENESS, DisseminationQueue
 from thymeknot.gossip.keyring import (
     AllowedNetworks,
     Keyring,
@@ -203,8 +203,8 @@
     def queued(self, world):
         return [
             codec.read_item(item.content).item.body
-            for (origin, about), item in world.queue.items.items()
-            if origin == "n1" and about == LIFE
+            for (origin, topic), item in world.queue.items.items()
+            if origin == "n1" and topic == LIVENESS
         ]
 
     def test_an_instance_that_has_left_is_not_called_alive_any_more(self):
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -101,12 +101,12 @@
         failed: Those of them that failed.
     """
 
-    pod: Text
+    endpoint_id: Text
     address: Text
     build: Count
-    started: Count
-    tried: SmallCount
-    failed: SmallCount
+    endpoint_started_at: Count
+    attempts: SmallCount
+    failures: SmallCount
 
 
 ItemBody = Union[Alive, Left, Suspect, Evidence]
@@ -126,7 +126,7 @@
     origin: Name
     start: Count
     number: Count
-    at: Count
+    made_at: Count
     body: ItemBody
 
 
@@ -139,7 +139,7 @@
     """
 
     nonce: Nonce
-    pad: Annotated[bytes, Meta(max_length=256)]
+    padding: Annotated[bytes, Meta(max_length=256)]
 
 
 class Ack(_Record, frozen=True, tag="k"):
@@ -152,7 +152,7 @@
     """
 
     nonce: Nonce
-    back: Optional[Nonce]
+    challenge: Optional[Nonce]
 
 
 class IndirectPing(_Record, frozen=True, tag="q"):
@@ -195,7 +195,7 @@
         peers: (name, host, port) of peers.
     """
 
-    asking: bool
+    wants_reply: bool
     peers: Annotated[list[tuple[Name, Host, Port]], Meta(max_length=MAX_HINTS)]
 
 
@@ -207,8 +207,8 @@
 
     Attributes:
         sender: Name of the sender.
-        recipient: Whom it is for, so that nobody else can be given it; empty where a seed's name is not
-            known yet.
+        recipient: Name of the intended receiver, so that the datagram can't be replayed to another
+            one; empty in the first ping to a seed, whose name is not known yet.
         start: Start of the sender.
         number: Number of the datagram, within the start.
         at: Ticks since the sender's start.
@@ -220,7 +220,7 @@
     recipient: Name
     start: Count
     number: Count
-    at: Count
+    sent_at: Count
     body: Body
     items: Annotated[list[Annotated[bytes, Meta(max_length=MAX_ITEM)]], Meta(max_length=64)]
 
@@ -237,7 +237,7 @@
 
     key_id: bytes
     frame: Frame
-    signed: bytes
+    signed_bytes: bytes
     signature: bytes
 
 
@@ -253,7 +253,7 @@
 
     key_id: bytes
     item: Item
-    signed: bytes
+    signed_bytes: bytes
     signature: bytes
 
 
--- a/thymeknot/gossip/credibility.py
+++ b/thymeknot/gossip/credibility.py
@@ -11,28 +11,28 @@
     """The credit of each origin, from 0 to 1."""
 
     def __init__(self) -> None:
-        self._credit: dict[str, float] = {}
+        self._credits: dict[str, float] = {}
 
-    def of(self, origin: str) -> float:
+    def credit_of(self, origin: str) -> float:
         """Returns an origin's credit."""
-        return self._credit.get(origin, INITIAL_CREDIT)
+        return self._credits.get(origin, INITIAL_CREDIT)
 
-    def proved_right(self, origin: str) -> None:
+    def record_confirmation(self, origin: str) -> None:
         """Raises an origin's credit."""
-        self._credit[origin] = min(1.0, self.of(origin) + CREDIT_GAIN)
+        self._credits[origin] = min(1.0, self.credit_of(origin) + CREDIT_GAIN)
 
-    def proved_wrong(self, origin: str) -> None:
+    def record_refutation(self, origin: str) -> None:
         """Lowers an origin's credit."""
-        self._credit[origin] = self.of(origin) * CREDIT_LOSS_FACTOR
+        self._credits[origin] = self.credit_of(origin) * CREDIT_LOSS_FACTOR
 
-    def proved_lying(self, origin: str) -> None:
+    def record_equivocation(self, origin: str) -> None:
         """Takes all of an origin's credit."""
-        self._credit[origin] = 0.0
+        self._credits[origin] = 0.0
 
     def recover(self) -> None:
         """Takes each origin a step back to the initial credit: what one was is not for ever."""
-        for origin in list(self._credit):
-            credit = self._credit[origin]
-            self._credit[origin] = credit + CREDIT_RECOVERY * (INITIAL_CREDIT - credit)
+        for origin in list(self._credits):
+            credit = self._credits[origin]
+            self._credits[origin] = credit + CREDIT_RECOVERY * (INITIAL_CREDIT - credit)
             if abs(credit - INITIAL_CREDIT) < CREDIT_RECOVERY:
-                del self._credit[origin]
+                del self._credits[origin]
--- a/thymeknot/gossip/dissemination_queue.py
+++ b/thymeknot/gossip/dissemination_queue.py
@@ -11,15 +11,15 @@
 from ..interface.clock import Ticks
 
 MAX_ITEMS = 512  # items, of all origins
-MAX_ITEMS_OF_ORIGIN = 32  # items
-SENDS_BY_LOG_MEMBERS = 2  # times the logarithm of the members: how often an item is sent
-RESTING_ITEMS = 2  # of those sent so often, beside what is new: heals what loss has left out
-ITEM_OVERHEAD = 3  # bytes that the encoding of a list adds to an item
+MAX_ITEMS_PER_ORIGIN = 32  # items
+RETRANSMIT_MULTIPLIER = 2  # times the logarithm of the members: how often an item is sent
+MAX_RESENT_ITEMS = 2  # of those sent so often, beside what is new: heals what loss has left out
+ITEM_OVERHEAD_BYTES = 3  # bytes that the encoding of a list adds to an item
 
-LIFE = "alive"
+LIVENESS = "alive"
 """What `Alive` and `Left` items are about: an origin that has left is not called alive any more."""
 
-_Key: TypeAlias = tuple[str, Hashable]
+_ItemKey: TypeAlias = tuple[str, Hashable]
 """(origin, what it is about)."""
 
 
@@ -60,19 +60,19 @@
         about: What it is about; a newer one of the origin about the same replaces it.
     """
 
-    __slots__ = ("about", "content", "key_id", "made", "number", "origin", "sent", "start")
+    __slots__ = ("content", "key_id", "made_at", "number", "origin", "send_count", "start", "topic")
 
     def __init__(
-        self, item: ItemSource, key_id: bytes, content: bytes, made: Ticks, about: Hashable
+        self, item: ItemSource, key_id: bytes, content: bytes, made_at: Ticks, topic: Hashable
     ) -> None:
         self.origin = item.origin
         self.start = item.start
         self.number = item.number
         self.key_id = key_id
         self.content = content
-        self.sent = 0
-        self.made = made
-        self.about = about
+        self.send_count = 0
+        self.made_at = made_at
+        self.topic = topic
 
 
 class DisseminationQueue:
@@ -86,45 +86,45 @@
     def __init__(self, random_source: RandomSource, lifetime: Ticks) -> None:
         self._random_source = random_source
         self._lifetime = lifetime
-        self.items: dict[_Key, QueuedItem] = {}
+        self.items: dict[_ItemKey, QueuedItem] = {}
         self.count_by_origin: dict[str, int] = {}
 
     def __len__(self) -> int:
         return len(self.items)
 
     def add(
-        self, item: ItemSource, key_id: bytes, content: bytes, made: Ticks, about: Hashable
+        self, item: ItemSource, key_id: bytes, content: bytes, made_at: Ticks, topic: Hashable
     ) -> None:
         """Adds an item, unless a newer one of the same origin about the same is there.
 
         It replaces an older one. Datagrams overtake each other, so an older one may come later.
         """
-        key = (item.origin, about)
-        known = self.items.get(key)
-        if known is not None:
-            if known.start == item.start and known.number > item.number:
+        key = (item.origin, topic)
+        existing = self.items.get(key)
+        if existing is not None:
+            if existing.start == item.start and existing.number > item.number:
                 return
             self._drop(key)
-        elif self.count_by_origin.get(item.origin, 0) >= MAX_ITEMS_OF_ORIGIN:
+        elif self.count_by_origin.get(item.origin, 0) >= MAX_ITEMS_PER_ORIGIN:
             self._drop_oldest(item.origin)
         elif len(self.items) >= MAX_ITEMS:
             # The origin with most gives up its oldest: a loud one crowds out itself.
             self._drop_oldest(
                 max(self.count_by_origin, key=lambda origin: self.count_by_origin[origin])
             )
-        self.items[key] = QueuedItem(item, key_id, content, made, about)
+        self.items[key] = QueuedItem(item, key_id, content, made_at, topic)
         self.count_by_origin[item.origin] = self.count_by_origin.get(item.origin, 0) + 1
 
     def _drop_oldest(self, origin: str) -> None:
         keys = (key for key in self.items if key[0] == origin)
-        self._drop(min(keys, key=lambda key: self.items[key].made))
+        self._drop(min(keys, key=lambda key: self.items[key].made_at))
 
-    def _drop(self, key: _Key) -> None:
+    def _drop(self, key: _ItemKey) -> None:
         del self.items[key]
         origin = key[0]
-        left = self.count_by_origin[origin] - 1
-        if left:
-            self.count_by_origin[origin] = left
+        remaining = self.count_by_origin[origin] - 1
+        if remaining:
+            self.count_by_origin[origin] = remaining
         else:
             del self.count_by_origin[origin]
 
@@ -133,43 +133,45 @@
         for key in [
             key
             for key, item in self.items.items()
-            if now - item.made > self._lifetime or not is_valid(item)
+            if now - item.made_at > self._lifetime or not is_valid(item)
         ]:
             self._drop(key)
 
-    def has_fresh(self, members: int) -> bool:
+    def has_fresh(self, member_count: int) -> bool:
         """Returns whether an item still has to be passed on."""
-        limit = self._send_limit(members)
-        return any(item.sent < limit for item in self.items.values())
+        limit = self._retransmit_limit(member_count)
+        return any(item.send_count < limit for item in self.items.values())
 
-    def _send_limit(self, members: int) -> int:
-        return SENDS_BY_LOG_MEMBERS * ceil(log2(members + 1))
+    def _retransmit_limit(self, member_count: int) -> int:
+        return RETRANSMIT_MULTIPLIER * ceil(log2(member_count + 1))
 
-    def pick(self, members: int, space: int, skip: str | None = None) -> list[bytes]:
+    def pick(
+        self, member_count: int, space: int, excluded_origin: str | None = None
+    ) -> list[bytes]:
         """Picks the contents for one datagram and counts them as sent.
 
         Args:
-            members: How many members live.
+            member_count: How many members live.
             space: Bytes that the datagram has for them.
-            skip: The receiver, whose own items are not sent back to it.
+            excluded_origin: The receiver, whose own items are not sent back to it.
 
         Returns:
             The least sent first, then a few at random of those that were sent often enough.
         """
-        limit = self._send_limit(members)
-        ready = [item for item in self.items.values() if item.origin != skip]
-        fresh = [item for item in ready if item.sent < limit]
-        resting = [item for item in ready if item.sent >= limit]
+        limit = self._retransmit_limit(member_count)
+        ready = [item for item in self.items.values() if item.origin != excluded_origin]
+        fresh = [item for item in ready if item.send_count < limit]
+        disseminated = [item for item in ready if item.send_count >= limit]
         chosen: list[QueuedItem] = []
-        for item in sorted(fresh, key=lambda item: item.sent):
-            if len(item.content) + ITEM_OVERHEAD <= space:
+        for item in sorted(fresh, key=lambda item: item.send_count):
+            if len(item.content) + ITEM_OVERHEAD_BYTES <= space:
                 chosen.append(item)
-                space -= len(item.content) + ITEM_OVERHEAD
-        for _ in range(min(RESTING_ITEMS, len(resting))):
-            item = resting[int(self._random_source.draw() * len(resting))]
-            if item not in chosen and len(item.content) + ITEM_OVERHEAD <= space:
+                space -= len(item.content) + ITEM_OVERHEAD_BYTES
+        for _ in range(min(MAX_RESENT_ITEMS, len(disseminated))):
+            item = disseminated[int(self._random_source.draw() * len(disseminated))]
+            if item not in chosen and len(item.content) + ITEM_OVERHEAD_BYTES <= space:
                 chosen.append(item)
-                space -= len(item.content) + ITEM_OVERHEAD
+                space -= len(item.content) + ITEM_OVERHEAD_BYTES
         for item in chosen:
-            item.sent += 1
+            item.send_count += 1
         return [item.content for item in chosen]
--- a/thymeknot/gossip/keyring.py
+++ b/thymeknot/gossip/keyring.py
@@ -76,7 +76,7 @@
     return Identity(name, private)
 
 
-class Entry(NamedTuple):
+class KeyringEntry(NamedTuple):
     """A key of the ring.
 
     Attributes:
@@ -106,7 +106,7 @@
         Raises:
             KeyringError: A key or name is there twice, or an end is no time.
         """
-        self.entries: dict[bytes, Entry] = {}
+        self.entries: dict[bytes, KeyringEntry] = {}
         self.groups: dict[str, str] = {}
         revoked_ids = {key_id(base64.b64decode(text)) for text in revoked}
         for peer in peers:
@@ -116,36 +116,38 @@
             raise KeyringError("a name stands twice among the peers")
 
     def _add_keys(self, peer: Peer, revoked_ids: set[bytes]) -> None:
-        for stated in peer.keys:
-            public = base64.b64decode(stated.key)
-            number = key_id(public)
-            if number in revoked_ids:
+        for peer_key in peer.keys:
+            public = base64.b64decode(peer_key.key)
+            identifier = key_id(public)
+            if identifier in revoked_ids:
                 continue
-            holder = self.entries.get(number)
-            if holder and holder.name != peer.name:
-                raise KeyringError(f"the same key stands for {holder.name} and for {peer.name}")
+            entry = self.entries.get(identifier)
+            if entry and entry.name != peer.name:
+                raise KeyringError(f"the same key stands for {entry.name} and for {peer.name}")
             verifier = Ed25519PublicKey.from_public_bytes(public)
-            self.entries[number] = Entry(peer.name, verifier, _unix(stated.until))
+            self.entries[identifier] = KeyringEntry(
+                peer.name, verifier, _parse_key_end(peer_key.until)
+            )
 
-    def owner(self, number: bytes, unix: float) -> str | None:
+    def owner(self, identifier: bytes, unix: float) -> str | None:
         """Returns the name that a key belongs to at a time, or None."""
-        entry = self.entries.get(number)
+        entry = self.entries.get(identifier)
         return entry.name if entry and unix < entry.until else None
 
     def active_names(self, unix: float) -> set[str]:
         """Returns the names that hold a key at a time."""
         return {entry.name for entry in self.entries.values() if unix < entry.until}
 
-    def verifies(self, number: bytes, message: bytes, signature: bytes) -> bool:
+    def verifies(self, identifier: bytes, message: bytes, signature: bytes) -> bool:
         """Returns whether the key made this signature over these very bytes."""
         try:
-            self.entries[number].verifier.verify(signature, message)
+            self.entries[identifier].verifier.verify(signature, message)
         except (InvalidSignature, KeyError):
             return False
         return True
 
 
-def _unix(text: str | None) -> float:
+def _parse_key_end(text: str | None) -> float:
     if text is None:
         return float("inf")
     try:
@@ -167,17 +169,17 @@
             self._networks = IPSet([IPNetwork(network) for network in networks])
         except (AddrFormatError, ValueError) as error:
             raise KeyringError(f"from: {error}") from None
-        self._known: dict[str, bool] = {}
+        self._cache: dict[str, bool] = {}
 
     def __contains__(self, address: object) -> bool:
         host = str(address)
-        inside = self._known.get(host)
-        if inside is None:
-            if len(self._known) >= MAX_CACHED_HOSTS:
-                self._known.clear()
+        allowed = self._cache.get(host)
+        if allowed is None:
+            if len(self._cache) >= MAX_CACHED_HOSTS:
+                self._cache.clear()
             try:
-                inside = IPAddress(host) in self._networks
+                allowed = IPAddress(host) in self._networks
             except (AddrFormatError, ValueError):
-                inside = False
-            self._known[host] = inside
-        return inside
+                allowed = False
+            self._cache[host] = allowed
+        return allowed
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -18,16 +18,16 @@
 from .replay_window import ReplayWindow
 from .settings import GossipSettings
 
-PROBERS_OF_SUSPECTED = 16  # of all instances, in a period, that probe one that was suspected
+EXPECTED_PROBERS_OF_SUSPECT = 16  # of all instances, in a period, that probe one that was suspected
 MIN_MISSED_PROBES = 4  # own probes that must fail before one is dead, however long that takes
 MAX_EXTRA_PROBES = 64  # suspected peers at once that are probed out of turn
-EXTRA_PROBES_AT_ONCE = 2  # of them in one period; as many of those this instance suspects
+EXTRA_PROBES_PER_PERIOD = 2  # of them in one period; as many of those this instance suspects
 MAX_HEALTH = 8  # Lifeguard's multiplier goes up to this plus one
-FRAME_WINDOW = 128  # numbers of datagrams
-ITEM_WINDOW = 1024  # numbers of items
-MAX_DIGESTS = 64  # items remembered by their bytes, of one origin
-MAX_SUSPECTERS = 16  # groups that suspect one peer
-MAX_AGREEING = 3  # suspecters that shorten a suspicion
+FRAME_WINDOW_SIZE = 128  # numbers of datagrams
+ITEM_WINDOW_SIZE = 1024  # numbers of items
+MAX_DIGESTS_PER_ORIGIN = 64  # items remembered by their bytes, of one origin
+MAX_SUSPECTING_GROUPS = 16  # groups that suspect one peer
+MAX_CONFIRMATIONS = 3  # suspecters that shorten a suspicion
 MAX_BACKOFF_DOUBLINGS = 6  # of the time between probes of one that does not answer
 
 
@@ -45,12 +45,12 @@
     """What can happen to a peer."""
 
     ANSWERED = "answered"  # a nonce of ours
-    MISSED = "missed"  # a probe was not answered
+    PROBE_FAILED = "missed"  # a probe was not answered
     SUSPECTED = "accused"  # by another
-    SPOKE = "spoke"  # a fresh item of its own
-    OVERDUE = "overdue"  # its suspicion is over
+    FRESH_ITEM = "spoke"  # a fresh item of its own
+    SUSPICION_EXPIRED = "overdue"  # its suspicion is over
     LEFT = "left"
-    REPLACED = "replaced"  # another name has its address
+    ADDRESS_TAKEN = "replaced"  # another name has its address
 
 
 class MemberEffect(StrEnum):
@@ -79,10 +79,10 @@
 # A pair that is not here changes nothing.
 TRANSITIONS: dict[tuple[MemberState, MemberInput], Transition] = {
     (MemberState.UNPROVED, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.UNPROVED, MemberInput.MISSED): Transition(
+    (MemberState.UNPROVED, MemberInput.PROBE_FAILED): Transition(
         MemberState.UNPROVED, MemberEffect.BACK_OFF
     ),
-    (MemberState.ALIVE, MemberInput.MISSED): Transition(
+    (MemberState.ALIVE, MemberInput.PROBE_FAILED): Transition(
         MemberState.SUSPECT, MemberEffect.FIRST_MISS
     ),
     (MemberState.ALIVE, MemberInput.SUSPECTED): Transition(
@@ -91,30 +91,36 @@
     (MemberState.ALIVE, MemberInput.LEFT): Transition(
         MemberState.LEFT, MemberEffect.FORGET_SUSPECTERS
     ),
-    (MemberState.ALIVE, MemberInput.REPLACED): Transition(
+    (MemberState.ALIVE, MemberInput.ADDRESS_TAKEN): Transition(
         MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
     ),
     (MemberState.SUSPECT, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.SUSPECT, MemberInput.SPOKE): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.SUSPECT, MemberInput.MISSED): Transition(
+    (MemberState.SUSPECT, MemberInput.FRESH_ITEM): Transition(
+        MemberState.ALIVE, MemberEffect.CLEAR
+    ),
+    (MemberState.SUSPECT, MemberInput.PROBE_FAILED): Transition(
         MemberState.SUSPECT, MemberEffect.NEXT_MISS
     ),
     (MemberState.SUSPECT, MemberInput.SUSPECTED): Transition(
         MemberState.SUSPECT, MemberEffect.PROBE_SOON
     ),
-    (MemberState.SUSPECT, MemberInput.OVERDUE): Transition(
+    (MemberState.SUSPECT, MemberInput.SUSPICION_EXPIRED): Transition(
         MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
     ),
     (MemberState.SUSPECT, MemberInput.LEFT): Transition(
         MemberState.LEFT, MemberEffect.FORGET_SUSPECTERS
     ),
-    (MemberState.SUSPECT, MemberInput.REPLACED): Transition(
+    (MemberState.SUSPECT, MemberInput.ADDRESS_TAKEN): Transition(
         MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
     ),
     (MemberState.DEAD, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.DEAD, MemberInput.MISSED): Transition(MemberState.DEAD, MemberEffect.BACK_OFF),
+    (MemberState.DEAD, MemberInput.PROBE_FAILED): Transition(
+        MemberState.DEAD, MemberEffect.BACK_OFF
+    ),
     (MemberState.LEFT, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.LEFT, MemberInput.MISSED): Transition(MemberState.LEFT, MemberEffect.BACK_OFF),
+    (MemberState.LEFT, MemberInput.PROBE_FAILED): Transition(
+        MemberState.LEFT, MemberEffect.BACK_OFF
+    ),
 }
 
 LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
@@ -171,30 +177,30 @@
 
     __slots__ = (
         "address",
+        "backoff_doublings",
+        "challenged_at",
         "digests",
-        "frames",
+        "frame_window",
         "incarnation",
-        "items",
-        "looked",
-        "misses",
+        "item_window",
+        "last_probe_at",
+        "missed_probes",
         "name",
         "offset",
-        "rested",
-        "since",
         "start",
         "state",
-        "suspecters",
-        "told_at",
+        "state_since",
+        "suspecting_groups",
     )
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.address: Address | None = None
         self.state = MemberState.UNPROVED
-        self.since: Ticks = 0
-        self.rested = 0
-        self.looked: Ticks = -TICKS_PER_SECOND
-        self.told_at: Ticks = 0
+        self.state_since: Ticks = 0
+        self.backoff_doublings = 0
+        self.last_probe_at: Ticks = -TICKS_PER_SECOND
+        self.challenged_at: Ticks = 0
         self.adopt_start(None)
 
     def adopt_start(self, start: int | None) -> None:
@@ -202,10 +208,10 @@
         self.start = start
         self.incarnation = 0
         self.offset: ClockOffset | None = None
-        self.misses = 0
-        self.suspecters: dict[str, Ticks] = {}
-        self.frames = ReplayWindow(FRAME_WINDOW)
-        self.items = ReplayWindow(ITEM_WINDOW)
+        self.missed_probes = 0
+        self.suspecting_groups: dict[str, Ticks] = {}
+        self.frame_window = ReplayWindow(FRAME_WINDOW_SIZE)
+        self.item_window = ReplayWindow(ITEM_WINDOW_SIZE)
         self.digests: dict[int, bytes] = {}
 
     def is_live(self) -> bool:
@@ -220,9 +226,9 @@
         """Returns the clock's offset of a living peer, which was measured as it proved itself."""
         return cast(ClockOffset, self.offset)
 
-    def remember(self, number: int, digest: bytes) -> None:
+    def remember_digest(self, number: int, digest: bytes) -> None:
         """Keeps an item's digest for a while: another content under its number is a lie."""
-        if len(self.digests) >= MAX_DIGESTS:
+        if len(self.digests) >= MAX_DIGESTS_PER_ORIGIN:
             del self.digests[next(iter(self.digests))]
         self.digests[number] = digest
 
@@ -245,18 +251,20 @@
         self.health = 0
         self.all = {name: Member(name) for name in names}
         self.live: list[Member] = []
-        self.events: list[StateChange] = []
-        self._round: list[str] = []  # names still to be probed in this round, the next one last
+        self.state_changes: list[StateChange] = []
+        self._probe_round: list[
+            str
+        ] = []  # names still to be probed in this round, the next one last
         self._extra_probes: dict[str, Ticks] = {}  # when names are probed out of turn
 
-    def rekey(self, names: Collection[str]) -> None:
+    def set_names(self, names: Collection[str]) -> None:
         """Takes up another ring: names that left it are gone, new ones wait to be met."""
         for name in [name for name in self.all if name not in names]:
             del self.all[name]
         for name in names:
             self.all.setdefault(name, Member(name))
         self.update_live()
-        self._round = []
+        self._probe_round = []
         self._extra_probes = {
             name: at for name, at in self._extra_probes.items() if name in self.all
         }
@@ -265,52 +273,52 @@
         """Lists anew who lives, after states were changed."""
         self.live = [member for member in self.all.values() if member.is_live()]
 
-    def step(self, member: Member, what: MemberInput, now: Ticks) -> None:
+    def apply(self, member: Member, event: MemberInput, now: Ticks) -> None:
         """Applies an input to a peer."""
         before = member.state
-        transition = TRANSITIONS.get((before, what))
+        transition = TRANSITIONS.get((before, event))
         if transition is None:
             return
         member.state = transition.state
-        self._apply(transition.effect, member, now)
+        self._run_effect(transition.effect, member, now)
         if before != member.state:
-            member.since = now
+            member.state_since = now
             self.update_live()
-            self.events.append(StateChange(member.name, before, member.state))
+            self.state_changes.append(StateChange(member.name, before, member.state))
 
-    def _apply(self, effect: MemberEffect, member: Member, now: Ticks) -> None:
+    def _run_effect(self, effect: MemberEffect, member: Member, now: Ticks) -> None:
         if effect is MemberEffect.CLEAR:
-            member.misses = 0
-            member.suspecters = {}
-            member.rested = 0
+            member.missed_probes = 0
+            member.suspecting_groups = {}
+            member.backoff_doublings = 0
         elif effect is MemberEffect.FIRST_MISS:
-            member.misses = 1
+            member.missed_probes = 1
         elif effect is MemberEffect.NEXT_MISS:
-            member.misses += 1
+            member.missed_probes += 1
         elif effect is MemberEffect.BACK_OFF:
-            member.rested = min(member.rested + 1, MAX_BACKOFF_DOUBLINGS)
+            member.backoff_doublings = min(member.backoff_doublings + 1, MAX_BACKOFF_DOUBLINGS)
         elif effect is MemberEffect.PROBE_SOON:
             self._probe_soon(member, now)
         else:
-            member.suspecters = {}
+            member.suspecting_groups = {}
 
     def _probe_soon(self, member: Member, now: Ticks) -> None:
         period = self._settings.probe_every
-        if member.name in self._extra_probes or now - member.looked < period:
+        if member.name in self._extra_probes or now - member.last_probe_at < period:
             return
         # Hundreds that probed at once would be more than it can answer, and it would be suspected.
-        periods = int(self._random_source.draw() * len(self.live) / PROBERS_OF_SUSPECTED)
+        periods = int(self._random_source.draw() * len(self.live) / EXPECTED_PROBERS_OF_SUSPECT)
         if len(self._extra_probes) < MAX_EXTRA_PROBES:
             self._extra_probes[member.name] = now + periods * period
 
-    def suspected(self, member: Member, group: str, now: Ticks) -> None:
+    def record_suspicion(self, member: Member, group: str, now: Ticks) -> None:
         """Notes that somebody got no answer from a peer.
 
         The next probe is for it, and agreement of others shortens this instance's own suspicion.
         """
-        if len(member.suspecters) < MAX_SUSPECTERS:
-            member.suspecters[group] = now
-        self.step(member, MemberInput.SUSPECTED, now)
+        if len(member.suspecting_groups) < MAX_SUSPECTING_GROUPS:
+            member.suspecting_groups[group] = now
+        self.apply(member, MemberInput.SUSPECTED, now)
 
     def suspicion_duration(self, member: Member) -> Ticks:
         """Returns how long a suspicion lasts.
@@ -321,19 +329,21 @@
         settings = self._settings
         scale = max(1.0, log(len(self.live) + 1))
         full = settings.suspect_times * settings.probe_every * scale
-        agreed = min(MAX_AGREEING, sum(1 for at in member.suspecters.values() if at))
+        confirmations = min(
+            MAX_CONFIRMATIONS, sum(1 for at in member.suspecting_groups.values() if at)
+        )
         # Each of three that agree takes 2/9 of it, so that a third is left.
-        return int(full * (1 - agreed * 2 / 9) * (1 + self.health / 2))
+        return int(full * (1 - confirmations * 2 / 9) * (1 + self.health / 2))
 
-    def bury_overdue(self, now: Ticks) -> None:
+    def declare_overdue_dead(self, now: Ticks) -> None:
         """Declares suspects dead whose time is over, after own probes that failed."""
         for member in self.live:
             if (
                 member.state == MemberState.SUSPECT
-                and member.misses >= MIN_MISSED_PROBES
-                and now - member.since > self.suspicion_duration(member)
+                and member.missed_probes >= MIN_MISSED_PROBES
+                and now - member.state_since > self.suspicion_duration(member)
             ):
-                self.step(member, MemberInput.OVERDUE, now)
+                self.apply(member, MemberInput.SUSPICION_EXPIRED, now)
 
     def change_health(self, change: int) -> None:
         """Changes the local health: up if this instance seems slow, down with answered probes."""
@@ -344,64 +354,64 @@
 
         One by a shuffled round, then those to be probed out of turn, then suspects.
         """
-        chosen = self._next_of_round()
+        chosen = self._next_in_round()
         suspects = [member for member in self.live if member.state == MemberState.SUSPECT]
-        suspects.sort(key=lambda member: member.looked)
+        suspects.sort(key=lambda member: member.last_probe_at)
         due = [
             name for name, at in self._extra_probes.items() if at <= now or name not in self.all
-        ][:EXTRA_PROBES_AT_ONCE]
+        ][:EXTRA_PROBES_PER_PERIOD]
         extra = [self.all[name] for name in due if name in self.all]
         for name in due:
             del self._extra_probes[name]
-        for member in extra + suspects[:EXTRA_PROBES_AT_ONCE]:
+        for member in extra + suspects[:EXTRA_PROBES_PER_PERIOD]:
             if member not in chosen and member.is_live():
                 chosen.append(member)
         for member in chosen:
-            member.looked = now
+            member.last_probe_at = now
         return chosen
 
-    def _next_of_round(self) -> list[Member]:
+    def _next_in_round(self) -> list[Member]:
         """Returns the next one that lives of the round, if any; begins a round if one is over.
 
         Each round has a random order (Fisher-Yates), so that none waits longer than two rounds.
         """
-        if not self._round:
+        if not self._probe_round:
             names = [member.name for member in self.live]
             for at in range(len(names) - 1, 0, -1):
                 other = int(self._random_source.draw() * (at + 1))
                 names[at], names[other] = names[other], names[at]
-            self._round = names
-        while self._round:
-            member = self.all.get(self._round.pop())
+            self._probe_round = names
+        while self._probe_round:
+            member = self.all.get(self._probe_round.pop())
             if member and member.is_live():
                 return [member]
         return []
 
-    def to_prove(self, now: Ticks, limit: int) -> list[Member]:
+    def peers_to_validate(self, now: Ticks, limit: int) -> list[Member]:
         """Returns peers with an address that proved nothing, are dead or left, by their backoff."""
         period = self._settings.probe_every
-        found = [
+        candidates = [
             member
             for member in self.all.values()
             if member.address
             and not member.is_live()
-            and now - member.looked >= period * (1 << member.rested)
+            and now - member.last_probe_at >= period * (1 << member.backoff_doublings)
         ]
-        found.sort(key=lambda member: member.looked)
-        for member in found[:limit]:
-            member.looked = now
-        return found[:limit]
+        candidates.sort(key=lambda member: member.last_probe_at)
+        for member in candidates[:limit]:
+            member.last_probe_at = now
+        return candidates[:limit]
 
     def sample(self, count: int, exclude: Collection[str] = ()) -> list[Member]:
         """Returns so many living ones at random."""
-        pool = [
+        candidates = [
             member
             for member in self.live
             if member.state == MemberState.ALIVE and member.name not in exclude
         ]
         chosen: list[Member] = []
-        while pool and len(chosen) < count:
-            at = int(self._random_source.draw() * len(pool))
-            pool[at], pool[-1] = pool[-1], pool[at]
-            chosen.append(pool.pop())
+        while candidates and len(chosen) < count:
+            at = int(self._random_source.draw() * len(candidates))
+            candidates[at], candidates[-1] = candidates[-1], candidates[at]
+            chosen.append(candidates.pop())
         return chosen
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -8,24 +8,24 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from .codec import Evidence, Left, Push
 from .context import ITEM_SPACE, TICK_INTERVAL, GossipContext, LogEvent
-from .dissemination_queue import LIFE, DisseminationQueue, QueuedItem, RandomSource
+from .dissemination_queue import LIVENESS, DisseminationQueue, QueuedItem, RandomSource
 from .item_exchange import ItemExchange
 from .keyring import AllowedNetworks, Identity, Keyring
 from .membership import Members, MemberState
 from .outbox import Datagram, LocalInstance, Outbox
 from .peer_hints import PeerHints
-from .prober import STALL, Prober
+from .prober import STALL_THRESHOLD, Prober
 from .rate_limits import Address, SendLimits, SendPurpose, VerificationLimits
 from .receiver import Receiver
 from .settings import GossipSettings
 from .suspicion import Suspicion, SuspicionDetector
 
-PUSHES_IN_PERIOD = 5  # rounds of items in a protocol period
+PUSHES_PER_PERIOD = 5  # rounds of items in a protocol period
 PUSH_FANOUT = 2  # peers that a round goes to
-PROOFS_AT_ONCE = 4  # peers that are asked to prove themselves in a period
-DECISIONS_IN_PERIOD = 2  # rounds of evidence and suspicions in a period
-GOODBYE_FANOUT = 4  # peers that are told that this instance leaves
-SEED_INTERVAL = 5 * TICKS_PER_SECOND  # between two questions to seeds, once a member lives
+VALIDATIONS_PER_PERIOD = 4  # peers that are asked to prove themselves in a period
+EVALUATIONS_PER_PERIOD = 2  # rounds of evidence and suspicions in a period
+LEAVE_FANOUT = 4  # peers that are told that this instance leaves
+SEED_PROBE_INTERVAL = 5 * TICKS_PER_SECOND  # between two questions to seeds, once a member lives
 
 
 class GossipNode:
@@ -103,12 +103,12 @@
         self.items = ItemExchange(self.context, self.prober, self._hints)
         self._receiver = Receiver(self.context, self.prober, self._hints, self.items)
         self._seeds = [seed for seed in seeds if seed != announced]
-        self._seed_turn = 0
-        self._ask_seed_at = now
-        self._tick_due = now
-        self._probe_at = now
-        self._push_at = now
-        self._decide_at = now
+        self._seed_index = 0
+        self._next_seed_probe_at = now
+        self._next_tick_at = now
+        self._next_probe_at = now
+        self._next_push_at = now
+        self._next_evaluation_at = now
         self._has_left = False
 
     def _group_of(self, name: str) -> str:
@@ -147,21 +147,21 @@
 
         A node that stood still for a while doubts itself first.
         """
-        if now - self._tick_due > STALL:
+        if now - self._next_tick_at > STALL_THRESHOLD:
             self.prober.after_stall(now)
-        self._tick_due = now + TICK_INTERVAL
+        self._next_tick_at = now + TICK_INTERVAL
         self.prober.tick(now)
         period = self.context.settings.probe_every
-        if now >= self._probe_at:
-            self._probe_at = now + period
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + period
             self._begin_period(now)
-        if now >= self._push_at:
-            self._push_at = now + period // PUSHES_IN_PERIOD
+        if now >= self._next_push_at:
+            self._next_push_at = now + period // PUSHES_PER_PERIOD
             self._push(now)
         self._hints.tick(now)
-        if now >= self._decide_at:
-            self._decide_at = now + period // DECISIONS_IN_PERIOD
-            self._decide(now)
+        if now >= self._next_evaluation_at:
+            self._next_evaluation_at = now + period // EVALUATIONS_PER_PERIOD
+            self._evaluate_endpoints(now)
 
     def _push(self, now: Ticks) -> None:
         """Passes items on, if there are fresh ones."""
@@ -186,28 +186,28 @@
         self.items.expire(now)
         unix = self.context.unix()
         self.queue.prune(now, lambda item: self._is_current(item, unix))
-        for name, before, after in self.members.events:
+        for name, before, after in self.members.state_changes:
             fields = {"peer": name, "before": before.value, "now": after.value}
             self.context.log_events.append(LogEvent("peer state changed", fields))
             if after == MemberState.DEAD:
                 self.suspicions.forget_origin(name)
-        self.members.events = []
+        self.members.state_changes = []
 
     def _probe(self, now: Ticks) -> None:
         """Sends the probes of a period."""
-        out = {probe.name for probe in self.prober.probes.values() if probe.period}
+        outstanding = {probe.name for probe in self.prober.probes.values() if probe.is_period_probe}
         for member in self.members.next_probes(now):
-            if member.name not in out:
+            if member.name not in outstanding:
                 self.prober.probe(
-                    now, member.live_address(), member.name, SendPurpose.PROBE, period=True
+                    now, member.live_address(), member.name, SendPurpose.PROBE, is_period_probe=True
                 )
-        for member in self.members.to_prove(now, PROOFS_AT_ONCE):
+        for member in self.members.peers_to_validate(now, VALIDATIONS_PER_PERIOD):
             if member.address is not None:
                 self.prober.probe(now, member.address, member.name, SendPurpose.PROVE)
-        for seed in self._seeds_to_ask(now):
+        for seed in self._seeds_to_probe(now):
             self.prober.probe(now, seed, None, SendPurpose.PROVE)
 
-    def _seeds_to_ask(self, now: Ticks) -> Sequence[Address]:
+    def _seeds_to_probe(self, now: Ticks) -> Sequence[Address]:
         """Returns the seeds to ask in this period: all while no member lives, else one at times.
 
         A living member does not mean that all are met: parts of a fleet that began without each
@@ -215,14 +215,14 @@
         """
         if not self.members.live:
             return self._seeds
-        unmet = [seed for seed in self._seeds if not self._is_met(seed)]
-        if now < self._ask_seed_at or not unmet:
+        unmet = [seed for seed in self._seeds if not self._is_seed_known(seed)]
+        if now < self._next_seed_probe_at or not unmet:
             return ()
-        self._ask_seed_at = now + SEED_INTERVAL
-        self._seed_turn += 1
-        return (unmet[self._seed_turn % len(unmet)],)
+        self._next_seed_probe_at = now + SEED_PROBE_INTERVAL
+        self._seed_index += 1
+        return (unmet[self._seed_index % len(unmet)],)
 
-    def _is_met(self, seed: Address) -> bool:
+    def _is_seed_known(self, seed: Address) -> bool:
         name = self.context.by_address.get(seed)
         return name is not None and self._is_alive(name)
 
@@ -238,16 +238,16 @@
         member = self.members.all.get(name)
         return member is not None and member.is_live()
 
-    def _decide(self, now: Ticks) -> None:
+    def _evaluate_endpoints(self, now: Ticks) -> None:
         for key, counts in self.suspicions.evidence_to_send(now):
-            self.outbox.say(now, Evidence(*key, *counts), ("Evidence", key.id))
+            self.outbox.publish(now, Evidence(*key, *counts), ("Evidence", key.id))
         self.changed_suspicions += self.suspicions.update(now, self._is_alive)
 
     def set_sources(self, sources: AllowedNetworks) -> None:
         """Takes up other networks that peers may send from."""
         self.context.sources = sources
 
-    def rekey(self, ring: Keyring, now: Ticks) -> None:
+    def set_keyring(self, ring: Keyring, now: Ticks) -> None:
         """Takes up another ring.
 
         Words signed with keys that no longer count are forgotten, and so are those who said them.
@@ -255,8 +255,8 @@
         context = self.context
         unix = context.unix()
         context.ring = ring
-        held = ring.active_names(unix)
-        for name in [name for name in self.members.all if name not in held]:
+        active_names = ring.active_names(unix)
+        for name in [name for name in self.members.all if name not in active_names]:
             self.suspicions.forget_origin(name)
         orphaned = {
             item.origin
@@ -266,7 +266,7 @@
         for name in orphaned:
             self.suspicions.forget_origin(name)
         self.queue.prune(now, lambda item: ring.owner(item.key_id, unix) == item.origin)
-        self.members.rekey([name for name in held if name != self.local.name])
+        self.members.set_names([name for name in active_names if name != self.local.name])
         context.by_address = {
             member.address: member.name
             for member in self.members.all.values()
@@ -277,8 +277,8 @@
     def leave(self, now: Ticks) -> None:
         """Says goodbye to a few: the others hear of it."""
         self._has_left = True
-        self.outbox.say(now, Left(), LIFE)
-        for member in self.members.sample(GOODBYE_FANOUT):
+        self.outbox.publish(now, Left(), LIVENESS)
+        for member in self.members.sample(LEAVE_FANOUT):
             items = self.queue.pick(len(self.members.live), ITEM_SPACE, member.name)
             self.outbox.send(
                 now, member.live_address(), member.name, Push(), SendPurpose.ANSWER, items=items
--- a/thymeknot/gossip/outbox.py
+++ b/thymeknot/gossip/outbox.py
@@ -96,15 +96,15 @@
         )
         unsigned = codec.encode_unsigned_frame(frame, local.identity.key_id)
         size = len(unsigned) + SIGNATURE_SIZE
-        if size > max_size or not self.limits.may(now, size, purpose):
+        if size > max_size or not self.limits.try_send(now, size, purpose):
             return False
         self.datagrams.append(Datagram(address, unsigned + local.identity.sign(unsigned)))
         return True
 
-    def say(self, now: Ticks, body: codec.ItemBody, about: Hashable) -> None:
+    def publish(self, now: Ticks, body: codec.ItemBody, topic: Hashable) -> None:
         """Signs an item of this instance's own, and has it passed on."""
         local = self._local
         local.number += 1
         item = Item(local.name, local.start, local.number, now - local.started_at, body)
         content = codec.seal_item(item, local.identity)
-        self._queue.add(item, local.identity.key_id, content, now, about)
+        self._queue.add(item, local.identity.key_id, content, now, topic)
--- a/thymeknot/gossip/own_experience.py
+++ b/thymeknot/gossip/own_experience.py
@@ -6,9 +6,9 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.sliding_window import SlidingWindow
 
-BUCKETS = 10  # of the time that evidence counts
+WINDOW_BUCKETS = 10  # of the time that evidence counts
 FRESH_BUCKETS = 3  # the latest of them are fresh
-SEND_INTERVAL = 2 * TICKS_PER_SECOND  # between two words about one endpoint
+EVIDENCE_INTERVAL = 2 * TICKS_PER_SECOND  # between two words about one endpoint
 MIN_ATTEMPTS_TO_COMPARE = 4  # at the other endpoints, for their rate of failures to say something
 MIN_FAILURE_RATE = 0.01  # of the other endpoints, so that a ratio to it makes sense
 
@@ -29,7 +29,7 @@
     started: int
 
 
-class Counts(NamedTuple):
+class AttemptCounts(NamedTuple):
     """Attempts of late.
 
     Attributes:
@@ -37,11 +37,11 @@
         failed: Those of them that failed.
     """
 
-    tried: int
-    failed: int
+    attempts: int
+    failures: int
 
 
-class Observed:
+class ObservedEndpoint:
     """An endpoint as this instance saw it.
 
     Attributes:
@@ -56,41 +56,41 @@
     """
 
     __slots__ = (
-        "_failed",
-        "_tried",
-        "count_failed",
-        "count_tried",
-        "failed_at",
+        "_attempts",
+        "_failures",
+        "count_attempt",
+        "count_failure",
+        "evidence_sent_at",
         "key",
-        "sent",
-        "sent_at",
-        "times",
-        "until",
+        "last_failure_at",
+        "sent_counts",
+        "suspected_until",
+        "suspicion_count",
     )
 
     def __init__(self, key: EndpointKey, span: Ticks) -> None:
         self.key = key
-        self._tried = SlidingWindow(span, BUCKETS)
-        self._failed = SlidingWindow(span, BUCKETS)
-        self.count_tried: Callable[[Ticks], None] = self._tried.add
-        self.count_failed: Callable[[Ticks], None] = self._failed.add
-        self.failed_at: Ticks = 0
-        self.sent_at: Ticks = -SEND_INTERVAL
-        self.sent: Counts | None = None
-        self.until: Ticks = 0
-        self.times = 0
-
-    def counts(self, now: Ticks) -> Counts:
+        self._attempts = SlidingWindow(span, WINDOW_BUCKETS)
+        self._failures = SlidingWindow(span, WINDOW_BUCKETS)
+        self.count_attempt: Callable[[Ticks], None] = self._attempts.add
+        self.count_failure: Callable[[Ticks], None] = self._failures.add
+        self.last_failure_at: Ticks = 0
+        self.evidence_sent_at: Ticks = -EVIDENCE_INTERVAL
+        self.sent_counts: AttemptCounts | None = None
+        self.suspected_until: Ticks = 0
+        self.suspicion_count = 0
+
+    def counts(self, now: Ticks) -> AttemptCounts:
         """Returns the counts of all the time that evidence counts."""
-        return Counts(int(self._tried.total(now)), int(self._failed.total(now)))
+        return AttemptCounts(int(self._attempts.total(now)), int(self._failures.total(now)))
 
-    def fresh_counts(self, now: Ticks) -> Counts:
+    def fresh_counts(self, now: Ticks) -> AttemptCounts:
         """Returns the fresh counts."""
-        tried = self._tried.total(now, False, FRESH_BUCKETS)
-        return Counts(int(tried), int(self._failed.total(now, False, FRESH_BUCKETS)))
+        attempts = self._attempts.total(now, False, FRESH_BUCKETS)
+        return AttemptCounts(int(attempts), int(self._failures.total(now, False, FRESH_BUCKETS)))
 
 
-class AllEndpoints:
+class EndpointTotals:
     """The attempts at all endpoints together.
 
     Attributes:
@@ -99,14 +99,18 @@
     """
 
     def __init__(self, span: Ticks) -> None:
-        self._tried = SlidingWindow(span, BUCKETS)
-        self._failed = SlidingWindow(span, BUCKETS)
-        self.count_tried: Callable[[Ticks], None] = self._tried.add
-        self.count_failed: Callable[[Ticks], None] = self._failed.add
+        self._attempts = SlidingWindow(span, WINDOW_BUCKETS)
+        self._failures = SlidingWindow(span, WINDOW_BUCKETS)
+        self.count_attempt: Callable[[Ticks], None] = self._attempts.add
+        self.count_failure: Callable[[Ticks], None] = self._failures.add
 
-    def failure_rate_without(self, now: Ticks, observed: Observed) -> float | None:
+    def failure_rate_without(self, now: Ticks, observed: ObservedEndpoint) -> float | None:
         """Returns the rate of failures at the other endpoints, None after too few attempts."""
         own = observed.counts(now)
-        tried = int(self._tried.total(now)) - own.tried
-        failed = int(self._failed.total(now)) - own.failed
-        return max(MIN_FAILURE_RATE, failed / tried) if tried >= MIN_ATTEMPTS_TO_COMPARE else None
+        attempts = int(self._attempts.total(now)) - own.attempts
+        failures = int(self._failures.total(now)) - own.failures
+        return (
+            max(MIN_FAILURE_RATE, failures / attempts)
+            if attempts >= MIN_ATTEMPTS_TO_COMPARE
+            else None
+        )
--- a/thymeknot/gossip/prober.py
+++ b/thymeknot/gossip/prober.py
@@ -10,8 +10,10 @@
 MAX_PROBES = 512  # nonces that are outstanding
 # Own probes that failed before others are told: with loss, each first one would be told to all.
 MISSES_BEFORE_SUSPECT = 3
-STALL = TICKS_PER_SECOND // 2  # a tick late by so much: it is this instance that stood still
-STALL_HEALTH = 2  # what a stall adds to the local health
+STALL_THRESHOLD = (
+    TICKS_PER_SECOND // 2
+)  # a tick late by so much: it is this instance that stood still
+STALL_HEALTH_PENALTY = 2  # what a stall adds to the local health
 
 
 class Probe:
@@ -28,27 +30,36 @@
         period: Whether it is the probe of a protocol period, that may make its target suspected.
     """
 
-    __slots__ = ("address", "asked", "asker", "at", "ends", "name", "nonce", "period")
+    __slots__ = (
+        "address",
+        "deadline",
+        "is_period_probe",
+        "name",
+        "nonce",
+        "pending_answers",
+        "requester",
+        "sent_at",
+    )
 
     def __init__(
         self,
         nonce: bytes,
         name: str | None,
         address: Address,
-        at: Ticks,
-        ends: Ticks,
+        sent_at: Ticks,
+        deadline: Ticks,
         *,
-        asker: str | None = None,
-        period: bool = False,
+        requester: str | None = None,
+        is_period_probe: bool = False,
     ) -> None:
         self.nonce = nonce
         self.name = name
         self.address = address
-        self.at = at
-        self.ends = ends
-        self.asked = 0
-        self.asker = asker
-        self.period = period
+        self.sent_at = sent_at
+        self.deadline = deadline
+        self.pending_answers = 0
+        self.requester = requester
+        self.is_period_probe = is_period_probe
 
 
 class Prober:
@@ -76,8 +87,8 @@
         name: str | None,
         purpose: SendPurpose,
         *,
-        asker: str | None = None,
-        period: bool = False,
+        requester: str | None = None,
+        is_period_probe: bool = False,
         nonce: bytes | None = None,
         max_size: int = codec.MAX_DATAGRAM,
     ) -> None:
@@ -91,8 +102,8 @@
             address: Where to.
             name: Whom to, None if that is not known.
             purpose: What it is for.
-            asker: Name of the peer on whose behalf it is sent.
-            period: Whether it is the probe of a protocol period.
+            requester: Name of the peer on whose behalf it is sent.
+            is_period_probe: Whether it is the probe of a protocol period.
             nonce: The asker's nonce; a new one if None.
             max_size: Most bytes that it may have.
         """
@@ -102,19 +113,27 @@
             return
         member = self._member(name)
         proved = member is not None and member.is_live()
-        items = context.pick_items(name) if proved and name is not None and not asker else []
-        ends = now + self._timeout()
-        bare_answer = b"\0" if asker else b""
+        items = context.pick_items(name) if proved and name is not None and not requester else []
+        deadline = now + self._timeout()
+        bare_answer = b"\0" if requester else b""
         ping = Ping(nonce, bare_answer if proved else bytes(codec.PING_PADDING))
         if context.outbox.send(
             now, address, name or "", ping, purpose, items=items, max_size=max_size
         ):
-            self.probes[nonce] = Probe(nonce, name, address, now, ends, asker=asker, period=period)
+            self.probes[nonce] = Probe(
+                nonce,
+                name,
+                address,
+                now,
+                deadline,
+                requester=requester,
+                is_period_probe=is_period_probe,
+            )
 
     def expect_answer(self, now: Ticks, nonce: bytes, member: Member, source: Address) -> None:
         """Takes note of a nonce that went out with an answer."""
-        ends = now + self._context.settings.probe_timeout
-        self.probes[nonce] = Probe(nonce, member.name, source, now, ends)
+        deadline = now + self._context.settings.probe_timeout
+        self.probes[nonce] = Probe(nonce, member.name, source, now, deadline)
 
     def is_full(self) -> bool:
         """Returns whether no more nonces may be outstanding."""
@@ -122,9 +141,9 @@
 
     def after_stall(self, now: Ticks) -> None:
         """Gives answers more time after this instance stood still: they wait unread, or came."""
-        self._context.members.change_health(STALL_HEALTH)
+        self._context.members.change_health(STALL_HEALTH_PENALTY)
         for probe in self.probes.values():
-            probe.ends = now + self._timeout()
+            probe.deadline = now + self._timeout()
 
     def relay(self, now: Ticks, member: Member, request: IndirectPing) -> None:
         """Probes a peer on behalf of another."""
@@ -135,18 +154,20 @@
                 (request.host, request.port),
                 request.target,
                 SendPurpose.PROVE,
-                asker=member.name,
+                requester=member.name,
                 nonce=request.nonce,
             )
 
-    def pass_on(self, now: Ticks, probe: Probe, answer: bytes | None) -> None:
+    def forward_answer(self, now: Ticks, probe: Probe, answer: bytes | None) -> None:
         """Passes an answer, or that there was none, on to the asker of a probe."""
-        asker = self._member(probe.asker)
-        if asker and asker.address:
+        requester = self._member(probe.requester)
+        if requester and requester.address:
             body = IndirectAck(probe.nonce, answer)
-            self._context.outbox.send(now, asker.address, asker.name, body, SendPurpose.ANSWER)
+            self._context.outbox.send(
+                now, requester.address, requester.name, body, SendPurpose.ANSWER
+            )
 
-    def relayed(self, now: Ticks, relay: Member, reply: IndirectAck) -> None:
+    def receive_indirect_ack(self, now: Ticks, relay: Member, reply: IndirectAck) -> None:
         """Takes a peer's answer by way of a relay.
 
         It is signed by the one who lives and holds our own nonce, so that no relay can make one up
@@ -155,52 +176,52 @@
         probe = self.probes.get(reply.nonce)
         if probe is None or probe.name is None:
             return
-        probe.asked = max(0, probe.asked - 1)
+        probe.pending_answers = max(0, probe.pending_answers - 1)
         if reply.answer is None:
             return
-        read = codec.read_frame(reply.answer)
-        if isinstance(read, DropReason):
+        sealed = codec.read_frame(reply.answer)
+        if isinstance(sealed, DropReason):
             return
         target = self._member(probe.name)
-        if target is None or not self._is_answer(read, target, relay, reply.nonce):
+        if target is None or not self._is_answer(sealed, target, relay, reply.nonce):
             return
         context = self._context
         if not context.limits.total.take(now):
             return
         context.limits.verified += 1
-        if context.ring.verifies(read.key_id, read.signed, read.signature):
+        if context.ring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
             del self.probes[reply.nonce]
-            context.members.step(target, MemberInput.ANSWERED, now)
+            context.members.apply(target, MemberInput.ANSWERED, now)
 
     def _is_answer(
-        self, read: codec.SealedFrame, target: Member, relay: Member, nonce: bytes
+        self, sealed: codec.SealedFrame, target: Member, relay: Member, nonce: bytes
     ) -> bool:
         """Returns whether a datagram is the target's answer to a relay, but for its signature."""
-        frame = read.frame
+        frame = sealed.frame
         return (
             frame.sender == target.name
-            and self._context.key_owner(read.key_id) == target.name
+            and self._context.key_owner(sealed.key_id) == target.name
             and frame.recipient == relay.name
             and frame.start == target.start
-            and not target.frames.seen(frame.number)
+            and not target.frame_window.seen(frame.number)
             and frame.body == Ack(nonce, None)
         )
 
     def tick(self, now: Ticks) -> None:
         """Ends the probes whose time is over, and the suspicions that follow."""
-        for probe in [probe for probe in self.probes.values() if now >= probe.ends]:
+        for probe in [probe for probe in self.probes.values() if now >= probe.deadline]:
             member = self._member(probe.name)
-            if probe.asker:
-                self.pass_on(now, probe, None)
-            elif probe.period and member and probe.asked == 0:
-                self._ask_relays(now, probe, member)
+            if probe.requester:
+                self.forward_answer(now, probe, None)
+            elif probe.is_period_probe and member and probe.pending_answers == 0:
+                self._probe_indirectly(now, probe, member)
                 continue
             del self.probes[probe.nonce]
-            if member is not None and not probe.asker:
-                self._missed(now, probe, member)
-        self._context.members.bury_overdue(now)
+            if member is not None and not probe.requester:
+                self._on_probe_failed(now, probe, member)
+        self._context.members.declare_overdue_dead(now)
 
-    def _ask_relays(self, now: Ticks, probe: Probe, member: Member) -> None:
+    def _probe_indirectly(self, now: Ticks, probe: Probe, member: Member) -> None:
         """Asks relays, and once more itself: of lost datagrams most are lost on their own."""
         context = self._context
         relays = context.members.sample(context.settings.relays, (member.name,))
@@ -209,25 +230,25 @@
         for relay in relays:
             request = IndirectPing(probe.nonce, member.name, *probe.address)
             context.outbox.send(now, relay.live_address(), relay.name, request, SendPurpose.PROBE)
-        probe.asked = len(relays) + 1
+        probe.pending_answers = len(relays) + 1
         # The rest of the period is for the relays, or as long again where there is little left.
         period = context.settings.probe_every * (1 + context.members.health)
-        probe.ends = max(
-            probe.at + period - TICK_INTERVAL, now + 2 * context.settings.probe_timeout
+        probe.deadline = max(
+            probe.sent_at + period - TICK_INTERVAL, now + 2 * context.settings.probe_timeout
         )
 
-    def _missed(self, now: Ticks, probe: Probe, member: Member) -> None:
+    def _on_probe_failed(self, now: Ticks, probe: Probe, member: Member) -> None:
         members = self._context.members
-        if probe.period:
+        if probe.is_period_probe:
             # Relays that say neither yes nor no: it is rather this instance that is cut off.
-            members.change_health(1 if probe.asked > 1 else 0)
-            members.step(member, MemberInput.MISSED, now)
+            members.change_health(1 if probe.pending_answers > 1 else 0)
+            members.apply(member, MemberInput.PROBE_FAILED, now)
             if (
                 member.state == MemberState.SUSPECT
-                and member.misses == MISSES_BEFORE_SUSPECT
+                and member.missed_probes == MISSES_BEFORE_SUSPECT
                 and member.start is not None
             ):
                 body = Suspect(member.name, member.start, member.incarnation)
-                self._context.outbox.say(now, body, ("Suspect", member.name))
+                self._context.outbox.publish(now, body, ("Suspect", member.name))
         elif not member.is_live():
-            members.step(member, MemberInput.MISSED, now)
+            members.apply(member, MemberInput.PROBE_FAILED, now)
--- a/thymeknot/gossip/rate_limits.py
+++ b/thymeknot/gossip/rate_limits.py
@@ -7,7 +7,7 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from .settings import SendLimitSettings, VerificationLimitSettings
 
-UNKNOWN_LANES = 16  # that addresses which proved nothing share: one flood blocks one lane
+SHARED_BUCKETS = 16  # that addresses which proved nothing share: one flood blocks one lane
 RATE_SHARE = 0.8  # of a ceiling; rate and burst together are what was set
 BURST_SHARE = 0.2  # of a ceiling
 MIN_BURST = 2.0  # tokens, so that a small ceiling lets a question and an answer out
@@ -26,25 +26,27 @@
         at: When `left` was computed.
     """
 
-    __slots__ = ("at", "burst", "left", "rate")
+    __slots__ = ("burst", "rate", "tokens", "updated_at")
 
     def __init__(self, rate: float, burst: float, now: Ticks) -> None:
         self.rate = rate
         self.burst = burst
-        self.left = float(burst)
-        self.at = now
+        self.tokens = float(burst)
+        self.updated_at = now
 
-    def holds(self, now: Ticks, amount: float = 1) -> bool:
+    def has_tokens(self, now: Ticks, amount: float = 1) -> bool:
         """Returns whether it holds so many tokens."""
-        self.left = min(self.burst, self.left + (now - self.at) * self.rate / TICKS_PER_SECOND)
-        self.at = now
-        return self.left >= amount
+        self.tokens = min(
+            self.burst, self.tokens + (now - self.updated_at) * self.rate / TICKS_PER_SECOND
+        )
+        self.updated_at = now
+        return self.tokens >= amount
 
     def take(self, now: Ticks, amount: float = 1) -> bool:
         """Takes so many tokens if it holds them, and returns whether it did."""
-        if not self.holds(now, amount):
+        if not self.has_tokens(now, amount):
             return False
-        self.left -= amount
+        self.tokens -= amount
         return True
 
 
@@ -68,28 +70,28 @@
     """
 
     # Share of the burst that a datagram leaves for those that are needed more.
-    RESERVED = {  # noqa: RUF012 - never changed
+    RESERVED_SHARES = {  # noqa: RUF012 - never changed
         SendPurpose.ANSWER: 0.0,
         SendPurpose.PROBE: 0.05,
         SendPurpose.PROVE: 0.4,
         SendPurpose.UPDATES: 0.5,
     }
 
-    def __init__(self, ceiling: SendLimitSettings, now: Ticks) -> None:
-        datagram_burst = max(MIN_BURST, ceiling.datagrams * BURST_SHARE)
-        self._bytes = TokenBucket(ceiling.bytes * RATE_SHARE, ceiling.bytes * BURST_SHARE, now)
-        self._datagrams = TokenBucket(ceiling.datagrams * RATE_SHARE, datagram_burst, now)
+    def __init__(self, settings: SendLimitSettings, now: Ticks) -> None:
+        datagram_burst = max(MIN_BURST, settings.datagrams * BURST_SHARE)
+        self._bytes = TokenBucket(settings.bytes * RATE_SHARE, settings.bytes * BURST_SHARE, now)
+        self._datagrams = TokenBucket(settings.datagrams * RATE_SHARE, datagram_burst, now)
         self.refused = 0
 
-    def may(self, now: Ticks, size: int, purpose: SendPurpose) -> bool:
+    def try_send(self, now: Ticks, size: int, purpose: SendPurpose) -> bool:
         """Takes a datagram of so many bytes off the limits, and returns whether it may go out."""
-        reserved = self.RESERVED[purpose]
+        reserved = self.RESERVED_SHARES[purpose]
         for bucket, amount in ((self._bytes, size), (self._datagrams, 1)):
-            if not bucket.holds(now, amount + reserved * (bucket.burst - amount)):
+            if not bucket.has_tokens(now, amount + reserved * (bucket.burst - amount)):
                 self.refused += 1
                 return False
-        self._bytes.left -= size
-        self._datagrams.left -= 1
+        self._bytes.tokens -= size
+        self._datagrams.tokens -= 1
         return True
 
 
@@ -108,10 +110,12 @@
     def __init__(self, settings: VerificationLimitSettings, salt: int, now: Ticks) -> None:
         self._settings = settings
         self._salt = salt
-        self._start = now
+        self._started_at = now
         self.total = TokenBucket(settings.total, settings.total / 2, now)
-        rate = settings.unknown / UNKNOWN_LANES
-        self._lanes = [TokenBucket(rate, max(MIN_BURST, rate), now) for _ in range(UNKNOWN_LANES)]
+        rate = settings.unknown / SHARED_BUCKETS
+        self._shared_buckets = [
+            TokenBucket(rate, max(MIN_BURST, rate), now) for _ in range(SHARED_BUCKETS)
+        ]
         self.peers: dict[Address, TokenBucket] = {}
         self.verified = 0
 
@@ -119,10 +123,13 @@
         """Gives these addresses buckets of their own, and no others."""
         rate = self._settings.peer
         self.peers = {
-            address: self.peers.get(address) or TokenBucket(rate, rate / 2, self._start)
+            address: self.peers.get(address) or TokenBucket(rate, rate / 2, self._started_at)
             for address in addresses
         }
 
-    def bucket_of(self, source: Address) -> TokenBucket:
+    def bucket_for(self, source: Address) -> TokenBucket:
         """Returns the bucket that a source draws on."""
-        return self.peers.get(source) or self._lanes[hash((self._salt, source)) % UNKNOWN_LANES]
+        return (
+            self.peers.get(source)
+            or self._shared_buckets[hash((self._salt, source)) % SHARED_BUCKETS]
+        )
--- a/thymeknot/gossip/receiver.py
+++ b/thymeknot/gossip/receiver.py
@@ -34,7 +34,7 @@
     source: Address
     datagram: bytes
     member: Member
-    read: SealedFrame
+    sealed: SealedFrame
 
 
 class Receiver:
@@ -50,25 +50,27 @@
 
     def receive(self, now: Ticks, source: Address, datagram: bytes) -> DropReason | None:
         """Takes a datagram, and returns why it was dropped, if it was."""
-        reason = self._check_unread(source, datagram)
+        reason = self._check_raw(source, datagram)
         if reason is not None:
             return reason
         context = self._context
         sender = context.key_owner(codec.datagram_key_id(datagram))
         if sender is None or sender == context.local.name:
             return DropReason.KEY
-        bucket = context.limits.bucket_of(source)
-        if not bucket.holds(now) and not any(nonce in datagram for nonce in self._prober.probes):
+        bucket = context.limits.bucket_for(source)
+        if not bucket.has_tokens(now) and not any(
+            nonce in datagram for nonce in self._prober.probes
+        ):
             return DropReason.BUDGET
-        read = codec.read_frame(datagram)
-        if isinstance(read, DropReason):
-            return read
+        sealed = codec.read_frame(datagram)
+        if isinstance(sealed, DropReason):
+            return sealed
         member = context.members.all.get(sender)
-        if member is None or read.frame.sender != sender:
+        if member is None or sealed.frame.sender != sender:
             return DropReason.SENDER
-        return self._take_read(Incoming(now, source, datagram, member, read), bucket)
+        return self._handle_sealed(Incoming(now, source, datagram, member, sealed), bucket)
 
-    def _check_unread(self, source: Address, datagram: bytes) -> DropReason | None:
+    def _check_raw(self, source: Address, datagram: bytes) -> DropReason | None:
         if not codec.MIN_DATAGRAM <= len(datagram) <= codec.MAX_DATAGRAM:
             return DropReason.SIZE
         if datagram[0] != codec.VERSION:
@@ -77,27 +79,27 @@
             return DropReason.NETWORK
         return None
 
-    def _take_read(self, incoming: Incoming, bucket: TokenBucket) -> DropReason | None:
+    def _handle_sealed(self, incoming: Incoming, bucket: TokenBucket) -> DropReason | None:
         """Takes a datagram that is not verified."""
         member = incoming.member
-        frame = incoming.read.frame
+        frame = incoming.sealed.frame
         body = frame.body
         if not self._is_for_us(frame):
             return DropReason.RECIPIENT
-        proved = member.start == frame.start
-        if proved and member.frames.seen(frame.number):
+        start_proved = member.start == frame.start
+        if start_proved and member.frame_window.seen(frame.number):
             return DropReason.REPLAY
         probe = self._prober.probes.get(body.nonce) if isinstance(body, Ack) else None
-        if not proved and not isinstance(body, Ping) and probe is None:
+        if not start_proved and not isinstance(body, Ping) and probe is None:
             self._ask_for_proof(incoming)
             return DropReason.UNPROVED
         # What an awaited nonce brings in is verified whatever others have used up.
         reason = self._verify(incoming, bucket if probe is None else None)
         if reason is not None:
             return reason
-        if probe is not None and not self._answered(incoming, probe):
+        if probe is not None and not self._accept_ack(incoming, probe):
             return DropReason.UNPROVED
-        self._take_verified(incoming)
+        self._dispatch(incoming)
         return None
 
     def _verify(self, incoming: Incoming, bucket: TokenBucket | None) -> DropReason | None:
@@ -107,8 +109,8 @@
         if bucket is not None and not (bucket.take(now) and limits.total.take(now)):
             return DropReason.BUDGET
         limits.verified += 1
-        read = incoming.read
-        if not self._context.ring.verifies(read.key_id, read.signed, read.signature):
+        sealed = incoming.sealed
+        if not self._context.ring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
             return DropReason.SIGNATURE
         return None
 
@@ -121,31 +123,31 @@
     def _ask_for_proof(self, incoming: Incoming) -> None:
         """Pings a sender of another start than it proved, to find out who that is."""
         now, source, datagram, member, _ = incoming
-        if now - member.told_at >= self._context.settings.probe_every:
-            member.told_at = now
+        if now - member.challenged_at >= self._context.settings.probe_every:
+            member.challenged_at = now
             self._prober.probe(now, source, member.name, SendPurpose.PROVE, max_size=len(datagram))
 
-    def _take_verified(self, incoming: Incoming) -> None:
-        now, source, _, member, read = incoming
-        frame = read.frame
+    def _dispatch(self, incoming: Incoming) -> None:
+        now, source, _, member, sealed = incoming
+        frame = sealed.frame
         body = frame.body
-        proved = member.start == frame.start
-        if proved:
-            member.frames.mark(frame.number)
+        start_proved = member.start == frame.start
+        if start_proved:
+            member.frame_window.mark(frame.number)
         if isinstance(body, Ping):
-            self._answer(incoming, body, proved)
-        if not proved:
+            self._answer_ping(incoming, body, start_proved)
+        if not start_proved:
             return
         if isinstance(body, IndirectPing):
             self._prober.relay(now, member, body)
         elif isinstance(body, IndirectAck):
-            self._prober.relayed(now, member, body)
+            self._prober.receive_indirect_ack(now, member, body)
         elif isinstance(body, Hints):
-            self._hints.received(now, source, member, body)
+            self._hints.receive(now, source, member, body)
         for content in frame.items:
             self._context.drop(self._items.receive(now, member, content))
 
-    def _answer(self, incoming: Incoming, ping: Ping, proved: bool) -> None:
+    def _answer_ping(self, incoming: Incoming, ping: Ping, start_proved: bool) -> None:
         """Answers a ping.
 
         One that proved nothing gets no items and one answer no longer than what it sent, that asks
@@ -153,51 +155,51 @@
         """
         context = self._context
         now, source, datagram, member, _ = incoming
-        known = proved and source == member.address and member.is_live()
-        items = context.pick_items(member.name) if known and not ping.pad else []
-        recently = now - member.told_at < context.settings.probe_every // 2
-        back = None if known or recently else context.new_nonce()
+        validated = start_proved and source == member.address and member.is_live()
+        items = context.pick_items(member.name) if validated and not ping.padding else []
+        challenged_recently = now - member.challenged_at < context.settings.probe_every // 2
+        challenge = None if validated or challenged_recently else context.new_nonce()
         sent = context.outbox.send(
             now,
             source,
             member.name,
-            Ack(ping.nonce, back),
+            Ack(ping.nonce, challenge),
             SendPurpose.ANSWER,
             items=items,
-            max_size=codec.MAX_DATAGRAM if known else len(datagram),
+            max_size=codec.MAX_DATAGRAM if validated else len(datagram),
         )
-        if sent and back and not self._prober.is_full():
-            member.told_at = now
-            self._prober.expect_answer(now, back, member, source)
+        if sent and challenge and not self._prober.is_full():
+            member.challenged_at = now
+            self._prober.expect_answer(now, challenge, member, source)
 
-    def _answered(self, incoming: Incoming, probe: Probe) -> bool:
+    def _accept_ack(self, incoming: Incoming, probe: Probe) -> bool:
         """Takes an answer with a nonce of ours: proof of the start it names.
 
         Returns:
             Whether it is from the one that was asked.
         """
-        now, source, datagram, member, read = incoming
+        now, source, datagram, member, sealed = incoming
         if probe.name not in (None, member.name) or source != probe.address:
             return False
         context = self._context
         del self._prober.probes[probe.nonce]
-        body = read.frame.body
-        if isinstance(body, Ack) and body.back:
+        body = sealed.frame.body
+        if isinstance(body, Ack) and body.challenge:
             context.outbox.send(
                 now,
                 source,
                 member.name,
-                Ack(body.back, None),
+                Ack(body.challenge, None),
                 SendPurpose.ANSWER,
                 max_size=len(datagram),
             )
-        self._prober.pass_on(now, probe, datagram[: codec.MAX_INDIRECT_ANSWER])
-        self._proved(now, member, read.frame, probe)
-        if probe.period:
+        self._prober.forward_answer(now, probe, datagram[: codec.MAX_INDIRECT_ANSWER])
+        self._record_proof(now, member, sealed.frame, probe)
+        if probe.is_period_probe:
             context.members.change_health(-1)
         return True
 
-    def _proved(self, now: Ticks, member: Member, frame: Frame, probe: Probe) -> None:
+    def _record_proof(self, now: Ticks, member: Member, frame: Frame, probe: Probe) -> None:
         """Takes up what an answer proved: a peer's start, clock and address."""
         context = self._context
         if member.start != frame.start:
@@ -206,12 +208,12 @@
             member.adopt_start(frame.start)
         # The peer's clock against ours, by the middle of the way there and back; the quickest
         # answer counts (Cristian, 1989).
-        round_trip = now - probe.at
+        round_trip = now - probe.sent_at
         if member.offset is None or round_trip <= member.offset.error:
-            member.offset = ClockOffset((probe.at + now) // 2 - frame.at, round_trip)
+            member.offset = ClockOffset((probe.sent_at + now) // 2 - frame.sent_at, round_trip)
         self._set_address(now, member, probe.address)
-        context.members.step(member, MemberInput.ANSWERED, now)
-        self._items.release(now, member)
+        context.members.apply(member, MemberInput.ANSWERED, now)
+        self._items.release_pending(now, member)
 
     def _set_address(self, now: Ticks, member: Member, address: Address) -> None:
         """Takes up an address that a peer proved; another name there is gone."""
@@ -221,7 +223,7 @@
             return
         former = context.members.all.get(former_name) if former_name is not None else None
         if former is not None and former is not member:
-            context.members.step(former, MemberInput.REPLACED, now)
+            context.members.apply(former, MemberInput.ADDRESS_TAKEN, now)
             former.address = None
         if member.address is not None:
             context.by_address.pop(member.address, None)
--- a/thymeknot/gossip/suspicion.py
+++ b/thymeknot/gossip/suspicion.py
@@ -14,30 +14,32 @@
 from .codec import Evidence
 from .credibility import INITIAL_CREDIT, MIN_CREDIT, Credibility
 from .own_experience import (
+    EVIDENCE_INTERVAL,
     MIN_FAILURE_RATE,
-    SEND_INTERVAL,
-    AllEndpoints,
-    Counts,
+    AttemptCounts,
     EndpointKey,
-    Observed,
+    EndpointTotals,
+    ObservedEndpoint,
 )
 from .settings import SuspicionSettings
 
-MAX_ATTEMPTS_OF_WITNESS = 20  # that one word counts for: the loudest is one among several
+MAX_ATTEMPTS_PER_WITNESS = 20  # that one word counts for: the loudest is one among several
 MIN_OWN_ATTEMPTS = 4  # own fresh attempts that outweigh any evidence of others
 MIN_ATTEMPTS_TO_REFUTE = 2  # own attempts that are worth a good word
-RATIO_TO_OTHERS = 3.0  # times the failure rate of the other endpoints, to be bad
-MAX_CHANCE = 1e-3  # how likely what is left may be at an endpoint as well as the others
+MIN_RATIO_TO_OTHERS = 3.0  # times the failure rate of the other endpoints, to be bad
+MAX_P_VALUE = 1e-3  # how likely what is left may be at an endpoint as well as the others
 MIN_ATTEMPTS_TO_JUDGE = 6  # own fresh attempts that prove another's word right or wrong
 MAX_SWINGS = 3  # a word that swung so often is worth nothing for a while
-SWING = 0.4  # change of the failure rate that is a swing
-MAX_WORDS = 2048  # of all origins
-MAX_WORDS_OF_ORIGIN = 16
-MAX_SENT_AT_ONCE = 6  # words in one round
-VOICES_BY_NEEDED = 2  # times the witnesses and liars: more voices on one side are not needed
-MAX_LONGER = 4  # times the first suspicion's duration, when it comes again
-MAX_TIMES = 8  # suspicions that are counted
-RETRY_INTERVAL = TICKS_PER_SECOND  # between two suspicions, when the endpoint is tried
+MIN_SWING = 0.4  # change of the failure rate that is a swing
+MAX_EVIDENCE = 2048  # of all origins
+MAX_EVIDENCE_PER_ORIGIN = 16
+MAX_EVIDENCE_PER_ROUND = 6  # words in one round
+SUFFICIENT_REPORTS_FACTOR = (
+    2  # times the witnesses and liars: more voices on one side are not needed
+)
+MAX_DURATION_FACTOR = 4  # times the first suspicion's duration, when it comes again
+MAX_SUSPICION_COUNT = 8  # suspicions that are counted
+SUSPICION_PAUSE = TICKS_PER_SECOND  # between two suspicions, when the endpoint is tried
 
 
 class Suspicion(NamedTuple):
@@ -52,7 +54,7 @@
     until: Ticks
 
 
-class Word:
+class ReceivedEvidence:
     """An origin's latest evidence about an endpoint.
 
     Attributes:
@@ -63,31 +65,31 @@
         judged: Whether own experience proved it right or wrong.
     """
 
-    __slots__ = ("failed", "judged", "seen", "swings", "tried")
+    __slots__ = ("attempts", "failures", "judged", "observed_at", "swings")
 
     def __init__(self) -> None:
-        self.tried = 0
-        self.failed = 0
-        self.seen: Ticks = 0
+        self.attempts = 0
+        self.failures = 0
+        self.observed_at: Ticks = 0
         self.swings = 0
         self.judged = False
 
-    def update(self, evidence: Evidence, seen: Ticks) -> bool:
+    def update(self, evidence: Evidence, observed_at: Ticks) -> bool:
         """Takes newer evidence, and returns whether it is newer."""
-        if seen <= self.seen and self.tried:
+        if observed_at <= self.observed_at and self.attempts:
             return False
-        if self.tried:
-            change = self.failed / self.tried - evidence.failed / evidence.tried
-            if abs(change) > SWING:
+        if self.attempts:
+            change = self.failures / self.attempts - evidence.failures / evidence.attempts
+            if abs(change) > MIN_SWING:
                 self.swings += 1
-        self.tried = evidence.tried
-        self.failed = evidence.failed
-        self.seen = seen
+        self.attempts = evidence.attempts
+        self.failures = evidence.failures
+        self.observed_at = observed_at
         self.judged = False
         return True
 
 
-class _Weighted(NamedTuple):
+class _WeightedCounts(NamedTuple):
     """Attempts that a group's word counts for.
 
     Attributes:
@@ -95,15 +97,15 @@
         failed: Failed ones.
     """
 
-    tried: float
-    failed: float
+    attempts: float
+    failures: float
 
 
-def binomial_tail(tried: int, failed: int, rate: float) -> float:
+def binomial_tail(attempts: int, failures: int, rate: float) -> float:
     """Returns how likely so many failures or more are at this rate."""
     return sum(
-        comb(tried, count) * rate**count * (1 - rate) ** (tried - count)
-        for count in range(failed, tried + 1)
+        comb(attempts, count) * rate**count * (1 - rate) ** (attempts - count)
+        for count in range(failures, attempts + 1)
     )
 
 
@@ -124,14 +126,14 @@
         """
         self._settings = settings
         self._group_of = group_of
-        self.evidence: dict[EndpointKey, dict[str, Word]] = {}
+        self.evidence: dict[EndpointKey, dict[str, ReceivedEvidence]] = {}
         self.credibility = Credibility()
-        self._word_count = 0
-        self._observed: dict[str, Observed] = {}  # the ready endpoints, by id
-        self._all = AllEndpoints(settings.lapse)
+        self._evidence_count = 0
+        self._observed: dict[str, ObservedEndpoint] = {}  # the ready endpoints, by id
+        self._totals = EndpointTotals(settings.lapse)
         # Work follows trouble and not the length of the list.
-        self._failing: dict[str, Observed] = {}  # that failed of late
-        self._suspected: dict[str, Observed] = {}
+        self._failing: dict[str, ObservedEndpoint] = {}  # that failed of late
+        self._suspected: dict[str, ObservedEndpoint] = {}
         self._ready_by_build: dict[int, int] = {}
 
     def set_endpoints(self, endpoints: Iterable[EndpointKey]) -> None:
@@ -143,95 +145,105 @@
             known = former.get(key.id)
             same = known is not None and known.key == key
             self._observed[key.id] = (
-                known if known is not None and same else Observed(key, self._settings.lapse)
+                known if known is not None and same else ObservedEndpoint(key, self._settings.lapse)
             )
             self._ready_by_build[key.build] = self._ready_by_build.get(key.build, 0) + 1
         for kept in (self._failing, self._suspected):
             for name in [name for name, own in kept.items() if self._observed.get(name) is not own]:
                 del kept[name]
-        self._keep_words(lambda key, origin: self._is_listed(key))
+        self._retain_evidence(lambda key, origin: self._is_listed(key))
 
     def _is_listed(self, key: EndpointKey) -> bool:
         observed = self._observed.get(key.id)
         return observed is not None and observed.key == key
 
-    def _keep_words(self, keeps: Callable[[EndpointKey, str], bool]) -> None:
+    def _retain_evidence(self, predicate: Callable[[EndpointKey, str], bool]) -> None:
         for key in list(self.evidence):
-            words = self.evidence[key]
-            for origin in [origin for origin in words if not keeps(key, origin)]:
-                del words[origin]
-                self._word_count -= 1
-            if not words:
+            records = self.evidence[key]
+            for origin in [origin for origin in records if not predicate(key, origin)]:
+                del records[origin]
+                self._evidence_count -= 1
+            if not records:
                 del self.evidence[key]
 
     def forget_origin(self, name: str) -> None:
         """Forgets what an origin said: its key was revoked, it started anew, or it lied."""
-        self._keep_words(lambda key, origin: origin != name)
+        self._retain_evidence(lambda key, origin: origin != name)
 
     def discredit(self, name: str) -> None:
         """Takes note that an origin said two things under one number: proof of a lie."""
-        self.credibility.proved_lying(name)
+        self.credibility.record_equivocation(name)
         self.forget_origin(name)
 
     def record_attempt(self, now: Ticks, name: str, failed: bool) -> None:
         """Counts an own attempt at an endpoint that ended."""
         observed = self._observed.get(name)
         if observed:
-            observed.count_tried(now)
-            self._all.count_tried(now)
+            observed.count_attempt(now)
+            self._totals.count_attempt(now)
             if failed:
-                observed.count_failed(now)
-                self._all.count_failed(now)
-                observed.failed_at = now
+                observed.count_failure(now)
+                self._totals.count_failure(now)
+                observed.last_failure_at = now
                 self._failing[name] = observed
 
-    def add_evidence(self, now: Ticks, origin: str, evidence: Evidence, seen: Ticks) -> bool:
+    def add_evidence(self, now: Ticks, origin: str, evidence: Evidence, observed_at: Ticks) -> bool:
         """Takes evidence of an origin that is proved and alive.
 
         Args:
             now: The time.
             origin: Its name.
             evidence: What it saw.
-            seen: When it saw that, by this instance's clock.
+            observed_at: When it saw that, by this instance's clock.
 
         Returns:
             Whether it was of use.
         """
-        key = EndpointKey(evidence.pod, evidence.address, evidence.build, evidence.started)
-        if not self._is_listed(key) or evidence.failed > evidence.tried or evidence.tried == 0:
+        key = EndpointKey(
+            evidence.endpoint_id, evidence.address, evidence.build, evidence.endpoint_started_at
+        )
+        if (
+            not self._is_listed(key)
+            or evidence.failures > evidence.attempts
+            or evidence.attempts == 0
+        ):
             return False
-        word = self.evidence.get(key, {}).get(origin)
-        if word is None:
-            of_origin = sum(origin in words for words in self.evidence.values())
-            if self._word_count >= MAX_WORDS or of_origin >= MAX_WORDS_OF_ORIGIN:
+        record = self.evidence.get(key, {}).get(origin)
+        if record is None:
+            of_origin = sum(origin in records for records in self.evidence.values())
+            if self._evidence_count >= MAX_EVIDENCE or of_origin >= MAX_EVIDENCE_PER_ORIGIN:
                 return False
-            word = self.evidence.setdefault(key, {})[origin] = Word()
-            self._word_count += 1
-        return word.update(evidence, seen)
+            record = self.evidence.setdefault(key, {})[origin] = ReceivedEvidence()
+            self._evidence_count += 1
+        return record.update(evidence, observed_at)
 
-    def evidence_to_send(self, now: Ticks) -> list[tuple[EndpointKey, Counts]]:
+    def evidence_to_send(self, now: Ticks) -> list[tuple[EndpointKey, AttemptCounts]]:
         """Returns what is worth sending now, the worst first.
 
         Endpoints that fail, and good words for those that others speak ill of.
         """
-        lapse = self._settings.lapse
-        for name in [name for name, own in self._failing.items() if now - own.failed_at > lapse]:
+        max_age = self._settings.lapse
+        for name in [
+            name for name, own in self._failing.items() if now - own.last_failure_at > max_age
+        ]:
             del self._failing[name]
-        spoken_of = {key.id: self._observed[key.id] for key in self.evidence}
-        worth: list[tuple[Counts, Observed]] = []
-        for observed in {**self._failing, **spoken_of}.values():
-            if now - observed.sent_at < SEND_INTERVAL:
+        reported = {key.id: self._observed[key.id] for key in self.evidence}
+        candidates: list[tuple[AttemptCounts, ObservedEndpoint]] = []
+        for observed in {**self._failing, **reported}.values():
+            if now - observed.evidence_sent_at < EVIDENCE_INTERVAL:
                 continue
             counts = observed.counts(now)
-            if self._is_worth_sending(now, observed, counts) and observed.sent != counts:
-                worth.append((counts, observed))
-        worth.sort(key=lambda one: -one[0].failed)
-        for counts, observed in worth[:MAX_SENT_AT_ONCE]:
-            observed.sent_at = now
-            observed.sent = counts
-        return [(observed.key, counts) for counts, observed in worth[:MAX_SENT_AT_ONCE]]
-
-    def _is_worth_sending(self, now: Ticks, observed: Observed, counts: Counts) -> bool:
+            if self._is_worth_sending(now, observed, counts) and observed.sent_counts != counts:
+                candidates.append((counts, observed))
+        candidates.sort(key=lambda one: -one[0].failures)
+        for counts, observed in candidates[:MAX_EVIDENCE_PER_ROUND]:
+            observed.evidence_sent_at = now
+            observed.sent_counts = counts
+        return [(observed.key, counts) for counts, observed in candidates[:MAX_EVIDENCE_PER_ROUND]]
+
+    def _is_worth_sending(
+        self, now: Ticks, observed: ObservedEndpoint, counts: AttemptCounts
+    ) -> bool:
         """Returns whether own counts are bad, or good against others' bad ones.
 
         One failure is worth a word: an instance that uses another endpoint after the first has no
@@ -239,18 +251,22 @@
         voices are enough on either side, however many instances there are.
         """
         settings = self._settings
-        words = self.evidence.get(observed.key, {})
-        against = sum(word.failed >= settings.bar * word.tried for word in words.values())
-        enough = VOICES_BY_NEEDED * (settings.witnesses + settings.liars)
-        rate = counts.failed / counts.tried if counts.tried else 0.0
-        others = self._all.failure_rate_without(now, observed)
+        records = self.evidence.get(observed.key, {})
+        against = sum(
+            record.failures >= settings.bar * record.attempts for record in records.values()
+        )
+        enough = SUFFICIENT_REPORTS_FACTOR * (settings.witnesses + settings.liars)
+        rate = counts.failures / counts.attempts if counts.attempts else 0.0
+        others = self._totals.failure_rate_without(now, observed)
         is_bad = (
-            counts.failed > 0
+            counts.failures > 0
             and rate >= settings.bar
-            and (others is None or rate >= RATIO_TO_OTHERS * others)
+            and (others is None or rate >= MIN_RATIO_TO_OTHERS * others)
+        )
+        refutes = (
+            bool(records) and counts.attempts >= MIN_ATTEMPTS_TO_REFUTE and rate < settings.bar / 2
         )
-        refutes = bool(words) and counts.tried >= MIN_ATTEMPTS_TO_REFUTE and rate < settings.bar / 2
-        return (is_bad and against < enough) or (refutes and len(words) - against < enough)
+        return (is_bad and against < enough) or (refutes and len(records) - against < enough)
 
     def update(self, now: Ticks, is_alive: Callable[[str], bool]) -> list[Suspicion]:
         """Returns the suspicions that begin, grow or end.
@@ -259,120 +275,131 @@
             now: The time.
             is_alive: Whether an origin is a live peer.
         """
-        lapse = self._settings.lapse
-        self._keep_words(lambda key, origin: now - self.evidence[key][origin].seen <= lapse)
+        max_age = self._settings.lapse
+        self._retain_evidence(
+            lambda key, origin: now - self.evidence[key][origin].observed_at <= max_age
+        )
         self.credibility.recover()
-        against: dict[Observed, float] = {}
-        for key, words in self.evidence.items():
+        against: dict[ObservedEndpoint, float] = {}
+        for key, records in self.evidence.items():
             observed = self._observed[key.id]
             own = observed.fresh_counts(now)
-            if own.tried >= MIN_ATTEMPTS_TO_JUDGE:
-                self._judge(words, own.failed / own.tried)
-            strength = self._strength(words, observed, own, now, is_alive)
+            if own.attempts >= MIN_ATTEMPTS_TO_JUDGE:
+                self._update_credibility(records, own.failures / own.attempts)
+            strength = self._failure_weight(records, observed, own, now, is_alive)
             if strength:
                 against[observed] = strength
-        return self._suspicions(now, against)
+        return self._update_suspicions(now, against)
 
-    def _judge(self, words: Mapping[str, Word], rate: float) -> None:
+    def _update_credibility(self, records: Mapping[str, ReceivedEvidence], rate: float) -> None:
         """Has own experience prove others' words right or wrong, each word once."""
-        bar = self._settings.bar
-        for origin, word in words.items():
-            if word.judged or word.failed / word.tried < bar:
+        threshold = self._settings.bar
+        for origin, record in records.items():
+            if record.judged or record.failures / record.attempts < threshold:
                 continue
-            if rate >= bar:
-                self.credibility.proved_right(origin)
-                word.judged = True
-            elif rate < bar / 3:
-                self.credibility.proved_wrong(origin)
-                word.judged = True
-
-    def _strength(
+            if rate >= threshold:
+                self.credibility.record_confirmation(origin)
+                record.judged = True
+            elif rate < threshold / 3:
+                self.credibility.record_refutation(origin)
+                record.judged = True
+
+    def _failure_weight(
         self,
-        words: Mapping[str, Word],
-        observed: Observed,
-        own: Counts,
+        records: Mapping[str, ReceivedEvidence],
+        observed: ObservedEndpoint,
+        own: AttemptCounts,
         now: Ticks,
         is_alive: Callable[[str], bool],
     ) -> float | None:
         """Returns how much speaks against an endpoint, or None where it is not enough."""
         settings = self._settings
-        if own.tried >= MIN_OWN_ATTEMPTS and own.failed / own.tried < settings.bar:
+        if own.attempts >= MIN_OWN_ATTEMPTS and own.failures / own.attempts < settings.bar:
             return None  # own fresh experience beats others' evidence
-        said = self._by_group(words, is_alive)
-        witnesses = sum(one.failed / one.tried >= settings.bar for one in said)
-        if own.failed and own.failed / own.tried >= settings.bar:
+        by_group = self._evidence_by_group(records, is_alive)
+        witnesses = sum(one.failures / one.attempts >= settings.bar for one in by_group)
+        if own.failures and own.failures / own.attempts >= settings.bar:
             witnesses += 1
         if witnesses < settings.witnesses:
             return None
-        left = [*self._without_extremes(said), _Weighted(own.tried, own.failed)]
-        tried = sum(one.tried for one in left)
-        failed = sum(one.failed for one in left)
-        others = self._all.failure_rate_without(now, observed) or MIN_FAILURE_RATE
-        if tried < settings.enough or failed / tried < max(settings.bar, RATIO_TO_OTHERS * others):
+        left = [*self._trim_extremes(by_group), _WeightedCounts(own.attempts, own.failures)]
+        attempts = sum(one.attempts for one in left)
+        failures = sum(one.failures for one in left)
+        others = self._totals.failure_rate_without(now, observed) or MIN_FAILURE_RATE
+        if attempts < settings.enough or failures / attempts < max(
+            settings.bar, MIN_RATIO_TO_OTHERS * others
+        ):
             return None
-        chance = binomial_tail(round(tried), round(failed), others)
-        return failed if chance <= MAX_CHANCE else None
+        p_value = binomial_tail(round(attempts), round(failures), others)
+        return failures if p_value <= MAX_P_VALUE else None
 
-    def _by_group(
-        self, words: Mapping[str, Word], is_alive: Callable[[str], bool]
-    ) -> list[_Weighted]:
+    def _evidence_by_group(
+        self, records: Mapping[str, ReceivedEvidence], is_alive: Callable[[str], bool]
+    ) -> list[_WeightedCounts]:
         """Returns each group's word by its credit, in credits of one that said nothing yet.
 
         Of a group the word that says the most is kept: more names of one hand are no more
         witnesses.
         """
-        said: dict[str, _Weighted] = {}
-        for origin, word in words.items():
-            credit = self.credibility.of(origin)
-            if not is_alive(origin) or credit < MIN_CREDIT or word.swings >= MAX_SWINGS:
+        by_group: dict[str, _WeightedCounts] = {}
+        for origin, record in records.items():
+            credit = self.credibility.credit_of(origin)
+            if not is_alive(origin) or credit < MIN_CREDIT or record.swings >= MAX_SWINGS:
                 continue
-            part = credit * min(1.0, MAX_ATTEMPTS_OF_WITNESS / word.tried)
+            weight = credit * min(1.0, MAX_ATTEMPTS_PER_WITNESS / record.attempts)
             group = self._group_of(origin)
-            weighted = _Weighted(word.tried * part, word.failed * part)
-            if group not in said or weighted.failed > said[group].failed:
-                said[group] = weighted
+            weighted = _WeightedCounts(record.attempts * weight, record.failures * weight)
+            if group not in by_group or weighted.failures > by_group[group].failures:
+                by_group[group] = weighted
         return [
-            _Weighted(one.tried / INITIAL_CREDIT, one.failed / INITIAL_CREDIT)
-            for one in said.values()
+            _WeightedCounts(one.attempts / INITIAL_CREDIT, one.failures / INITIAL_CREDIT)
+            for one in by_group.values()
         ]
 
-    def _without_extremes(self, said: Sequence[_Weighted]) -> list[_Weighted]:
+    def _trim_extremes(self, by_group: Sequence[_WeightedCounts]) -> list[_WeightedCounts]:
         """Leaves out as many words most against the endpoint as there may be liars.
 
         With enough words, as many that are most for it are left out too.
         """
         settings = self._settings
-        left = sorted(said, key=lambda one: one.failed - settings.bar * one.tried)
+        left = sorted(by_group, key=lambda one: one.failures - settings.bar * one.attempts)
         if settings.liars:
             left = left[: len(left) - settings.liars]
         if len(left) > settings.witnesses + settings.liars:
             left = left[settings.liars :]
         return left
 
-    def _suspicions(self, now: Ticks, against: Mapping[Observed, float]) -> list[Suspicion]:
+    def _update_suspicions(
+        self, now: Ticks, against: Mapping[ObservedEndpoint, float]
+    ) -> list[Suspicion]:
         settings = self._settings
         changed: list[Suspicion] = []
         allowed = {
             build: int(count * settings.most_share) for build, count in self._ready_by_build.items()
         }
         for name, observed in list(self._suspected.items()):
-            if observed.until > now:
+            if observed.suspected_until > now:
                 if observed in against:
                     allowed[observed.key.build] -= 1
                 else:  # its ground is gone
-                    observed.until = now
+                    observed.suspected_until = now
                     changed.append(Suspicion(observed.key, now))
-            elif now - observed.until > 2 * settings.lapse:
-                observed.times = 0
+            elif now - observed.suspected_until > 2 * settings.lapse:
+                observed.suspicion_count = 0
                 del self._suspected[name]
         for observed in sorted(against, key=lambda one: against[one], reverse=True):
             # Between two suspicions the endpoint is used as any other: it may be well again.
-            may_begin = observed.until <= now and now >= observed.until + RETRY_INTERVAL
+            may_begin = (
+                observed.suspected_until <= now
+                and now >= observed.suspected_until + SUSPICION_PAUSE
+            )
             if not may_begin or allowed[observed.key.build] < 1:
                 continue
             allowed[observed.key.build] -= 1
-            observed.until = now + settings.doubt * min(MAX_LONGER, 1 << observed.times)
-            observed.times = min(observed.times + 1, MAX_TIMES)
+            observed.suspected_until = now + settings.doubt * min(
+                MAX_DURATION_FACTOR, 1 << observed.suspicion_count
+            )
+            observed.suspicion_count = min(observed.suspicion_count + 1, MAX_SUSPICION_COUNT)
             self._suspected[observed.key.id] = observed
-            changed.append(Suspicion(observed.key, observed.until))
+            changed.append(Suspicion(observed.key, observed.suspected_until))
         return changed
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -26,15 +26,17 @@
 from .settings import GossipSettings, parse_address
 from .suspicion import Suspicion
 
-DATAGRAMS_AT_ONCE = 24  # in a round of the event loop; what stays comes in the next one
-RECEIVE_BUFFER = 1 << 20  # bytes asked of the system, so that a flood leaves room between rounds
+DATAGRAMS_PER_READ = 24  # in a round of the event loop; what stays comes in the next one
+RECEIVE_BUFFER_SIZE = (
+    1 << 20
+)  # bytes asked of the system, so that a flood leaves room between rounds
 READ_SIZE = 2048  # bytes, more than a valid datagram has
 REPORT_INTERVAL = 10 * TICKS_PER_SECOND  # between two log lines of counts
 NONCE_SIZE = 8  # bytes
 RANDOM_SEED_BITS = 64
 FAILED_OUTCOMES = {Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED}
 # Share of a request class's latency objective that a timed-out attempt must have had to count.
-FULL_ATTEMPT = 0.99
+MIN_SHARE_OF_OBJECTIVE = 0.99
 
 
 class Credentials(NamedTuple):
@@ -67,17 +69,17 @@
         ring = Keyring(settings.peers, settings.revoked)
         sources = AllowedNetworks(settings.from_)
     except OSError as error:
-        raise KeyringError(f"gossip.key: can't be read: {_reason(error)}") from None
+        raise KeyringError(f"gossip.key: can't be read: {_error_text(error)}") from None
     if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
         raise KeyringError("gossip.key: belongs to another name in the ring")
     return Credentials(identity, ring, sources)
 
 
-def _reason(error: OSError) -> str:
+def _error_text(error: OSError) -> str:
     return os.strerror(error.errno or 0)
 
 
-def _bound_socket(listen: str) -> socket.socket:
+def _bind_socket(listen: str) -> socket.socket:
     """Returns a non-blocking socket for datagrams.
 
     Raises:
@@ -85,15 +87,15 @@
     """
     host, port = parse_address(listen)
     family = socket.AF_INET6 if ":" in host else socket.AF_INET
-    bound = socket.socket(family, socket.SOCK_DGRAM)
-    bound.setblocking(False)
-    bound.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER)
+    sock = socket.socket(family, socket.SOCK_DGRAM)
+    sock.setblocking(False)
+    sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, RECEIVE_BUFFER_SIZE)
     try:
-        bound.bind((host, port))
+        sock.bind((host, port))
     except OSError as error:
-        bound.close()
-        raise KeyringError(f"gossip.listen: {_reason(error)}: {listen}") from None
-    return bound
+        sock.close()
+        raise KeyringError(f"gossip.listen: {_error_text(error)}: {listen}") from None
+    return sock
 
 
 class BusiestSecond:
@@ -108,8 +110,8 @@
         self._second = 0
         self._bytes = 0
         self._datagrams = 0
-        self.bytes_most = 0
-        self.datagrams_most = 0
+        self.max_bytes = 0
+        self.max_datagrams = 0
 
     def count(self, now: int, datagrams: list[Datagram]) -> None:
         """Counts datagrams that go out."""
@@ -120,13 +122,13 @@
             self._datagrams = 0
         self._bytes += sum(len(datagram.content) for datagram in datagrams)
         self._datagrams += len(datagrams)
-        self.bytes_most = max(self.bytes_most, self._bytes)
-        self.datagrams_most = max(self.datagrams_most, self._datagrams)
+        self.max_bytes = max(self.max_bytes, self._bytes)
+        self.max_datagrams = max(self.max_datagrams, self._datagrams)
 
     def reset(self) -> None:
         """Forgets the busiest second; the present one goes on."""
-        self.bytes_most = 0
-        self.datagrams_most = 0
+        self.max_bytes = 0
+        self.max_datagrams = 0
 
 
 @implementer(IReadDescriptor)
@@ -167,7 +169,7 @@
             new_nonce=lambda: secrets.token_bytes(NONCE_SIZE),
             unix=time.time,
         )
-        self._socket = _bound_socket(settings.listen)
+        self._socket = _bind_socket(settings.listen)
         self._buffer = bytearray(READ_SIZE)
         self._view = memoryview(self._buffer)
         self._busiest = BusiestSecond()
@@ -197,7 +199,7 @@
         """Reads some datagrams."""
         now = self._clock()
         received = self.node.receive_datagram
-        for _ in range(DATAGRAMS_AT_ONCE):
+        for _ in range(DATAGRAMS_PER_READ):
             try:
                 length, source = self._socket.recvfrom_into(self._buffer)
             except OSError:  # nothing more, or an earlier datagram of ours met nobody
@@ -257,8 +259,8 @@
             span=(now - self._reported_at) / TICKS_PER_SECOND,
             live=len(node.members.live),
             health=node.members.health,
-            bytes_most=self._busiest.bytes_most,
-            datagrams_most=self._busiest.datagrams_most,
+            bytes_most=self._busiest.max_bytes,
+            datagrams_most=self._busiest.max_datagrams,
             refused=node.outbox.limits.refused,
             verified=node.limits.verified - self._reported_verified,
             rumours=len(node.queue),
@@ -285,19 +287,19 @@
         """
         if outcome == Outcome.DONE or outcome in FAILED_OUTCOMES:
             failed = outcome != Outcome.DONE
-        elif outcome == Outcome.TIMED_OUT and self._had_full_time(attempt):
+        elif outcome == Outcome.TIMED_OUT and self._used_latency_objective(attempt):
             failed = True
         else:
             return
         self.node.suspicions.record_attempt(self._clock(), attempt.endpoint.address, failed)
 
-    def _had_full_time(self, attempt: Any) -> bool:
+    def _used_latency_objective(self, attempt: Any) -> bool:
         """Returns whether an attempt had the time that its request class should take."""
         classes = self._proxy.settings.request_classes
         request_class = classes[attempt.request.command.request_class]
         return bool(
             attempt.expires_at - attempt.started_at
-            >= FULL_ATTEMPT * request_class.latency_objective
+            >= MIN_SHARE_OF_OBJECTIVE * request_class.latency_objective
         )
 
     def on_endpoints_changed(self) -> None:
@@ -326,7 +328,7 @@
         """
         credentials = load_credentials(settings, folder)
         self.node.set_sources(credentials.sources)
-        self.node.rekey(credentials.ring, self._clock())
+        self.node.set_keyring(credentials.ring, self._clock())
 
     def stop(self) -> None:
         """Says goodbye to the peers."""
