--- a/tests/unit/raft/test_peer_server.py
+++ b/tests/unit/raft/test_peer_server.py
@@ -1,4 +1,4 @@
-"""A node's server on connections in memory: what it accepts, answers and rejects."""
+"""Tests of the peer server over in-memory connections."""
 
 import tempfile
 import unittest
@@ -40,41 +40,41 @@
 
 
 class PeerServerTests(unittest.TestCase):
-    """A cluster of one node, and a client `op` of its ring."""
+    """Runs a cluster of one node `a` and a client `op` that is in its keyring."""
 
     def setUp(self):
-        place = tempfile.TemporaryDirectory()
-        self.addCleanup(place.cleanup)
-        # No thread: what is to be written is on the disk at the clock's next step.
+        folder = tempfile.TemporaryDirectory()
+        self.addCleanup(folder.cleanup)
+        # Instead of in a thread, writes are done when the clock advances.
         self.clock = Clock()
-        later = mock.patch.object(
+        thread_patch = mock.patch.object(
             peer_server,
             "deferToThread",
             lambda call, *arguments: deferLater(self.clock, 0, call, *arguments),
         )
-        later.start()
-        self.addCleanup(later.stop)
-        self.node, self.client = new_identity("a"), new_identity("op")
+        thread_patch.start()
+        self.addCleanup(thread_patch.stop)
+        self.node_identity, self.client_identity = new_identity("a"), new_identity("op")
         peers = [
             SimpleNamespace(
-                name=one.name,
+                name=identity.name,
                 group=None,
-                keys=[SimpleNamespace(key=one.text(), until="2999-01-01T00:00:00Z")],
+                keys=[SimpleNamespace(key=identity.text(), until="2999-01-01T00:00:00Z")],
             )
-            for one in (self.node, self.client)
+            for identity in (self.node_identity, self.client_identity)
         ]
-        self.ring = Keyring(peers)
+        self.keyring = Keyring(peers)
         timers = TimerQueue(
             lambda: int(self.clock.seconds() * 10_000), self.clock.callLater, self.fail
         )
-        storage = RaftStorage(place.name + "/log", place.name + "/lineage", lambda: 1)
+        storage = RaftStorage(folder.name + "/log", folder.name + "/lineage", lambda: 1)
         recovered = storage.open(True).recovered
         self.register = Register()
         self.server = peer_server.PeerServer(
             None,
             timers,
-            self.node,
-            lambda: self.ring,
+            self.node_identity,
+            lambda: self.keyring,
             {"127.0.0.1"},
             {},
             lambda now: RaftNode(
@@ -91,106 +91,114 @@
         )
         self.addCleanup(self.server.close)
 
-    def connect(self, greeted=True):
-        """A line to the server, with a session if it is greeted."""
-        line, served, pump = connectedServerAndClient(lambda: self.server.accept(ADDRESS), amp.AMP)
-        nonce, found = new_nonce(), []
-        if greeted:
-            line.callRemote(Hello, nonce=nonce).addCallback(found.append)
+    def connect(self, handshake=True):
+        """Opens a connection to the server and, by default, completes the handshake."""
+        client, server, pump = connectedServerAndClient(
+            lambda: self.server.accept(ADDRESS), amp.AMP
+        )
+        nonce, answers = new_nonce(), []
+        if handshake:
+            client.callRemote(Hello, nonce=nonce).addCallback(answers.append)
             pump.flush()
-        session = nonce + (found[0]["nonce"] if found else bytes(16))
-        return line, served, pump, session
+        session = nonce + (answers[0]["nonce"] if answers else bytes(16))
+        return client, server, pump, session
 
-    def signed(self, session, kind, body, number=1, by=None):
+    def sign(self, session, kind, body, number=1, signer=None):
+        """Returns the arguments of a message to the node, signed by the client or `signer`."""
         return sign_message(
-            by or self.client, "a", session, number, kind, msgspec.msgpack.encode(body)
+            signer or self.client_identity, "a", session, number, kind, msgspec.msgpack.encode(body)
         )
 
-    def asked(self, connection, kind, body, number=1, **more):
-        """What the server's answer says, or the error that came in its place."""
-        line, _, pump, session = connection
-        found = []
-        line.callRemote(ClientRequest, **self.signed(session, kind, body, number, **more)).addBoth(
-            found.append
-        )
-        for _ in range(4):  # what is being written, what waits for that, and the answer
+    def request(self, connection, kind, body, number=1, **options):
+        """Sends a request and returns the body of the verified reply, or the error."""
+        client, _, pump, session = connection
+        outcomes = []
+        client.callRemote(
+            ClientRequest, **self.sign(session, kind, body, number, **options)
+        ).addBoth(outcomes.append)
+        for _ in range(4):  # a write, writes that wait for it, and the reply
             pump.flush()
             self.clock.advance(0)
-        if isinstance(found[0], dict):
-            reply = open_message(self.ring, 0, "op", session, number - 1, **found[0])
+        if isinstance(outcomes[0], dict):
+            reply = open_message(self.keyring, 0, "op", session, number - 1, **outcomes[0])
             self.assertEqual((reply.kind, reply.number), (REPLY, number))
             return decode_mapping(reply.body)
-        return found[0].value
+        return outcomes[0].value
 
-    def command(self, **more):
-        told = {"command": {"part": "register", "id": "x"}, "origin": "op", "incarnation": 1}
-        return {**told, "number": 1, **more}
+    def command_body(self, **changes):
+        """Returns the body of a valid command, with changed fields."""
+        body = {"command": {"part": "register", "id": "x"}, "origin": "op", "incarnation": 1}
+        return {**body, "number": 1, **changes}
 
-    def lead(self):
+    def become_leader(self):
+        """Waits until the only node has elected itself."""
         self.clock.pump([0.01] * 80)
         self.assertEqual(self.server.raft_node.role, Role.LEADER)
 
     def test_command_and_read_are_answered(self):
-        self.lead()
+        self.become_leader()
         connection = self.connect()
-        place = {"reply": {"ok": True, "place": 1}}
-        self.assertEqual(self.asked(connection, PROPOSE, self.command()), place)
-        self.assertEqual(self.asked(connection, PROPOSE, self.command(), 2), place)
+        expected = {"reply": {"ok": True, "place": 1}}
+        self.assertEqual(self.request(connection, PROPOSE, self.command_body()), expected)
+        self.assertEqual(self.request(connection, PROPOSE, self.command_body(), 2), expected)
         self.assertEqual(
-            self.asked(connection, READ, {"query": {"q": 1}}, 3),
+            self.request(connection, READ, {"query": {"q": 1}}, 3),
             {"reply": {"writes": 1, "query": {"q": 1}}},
         )
         self.assertEqual(self.server.rejected, {})
 
-    def test_who_does_not_lead_says_so(self):
-        told = self.asked(self.connect(), PROPOSE, self.command())
+    def test_node_that_does_not_lead_rejects_a_command(self):
+        response = self.request(self.connect(), PROPOSE, self.command_body())
         self.assertEqual(
-            told, {"why": "does not lead", "again": 6_000, "leader": None, "unknown": False}
+            response, {"why": "does not lead", "again": 6_000, "leader": None, "unknown": False}
         )
 
-    def test_what_can_not_be_accepted_is_counted_and_answered(self):
-        self.lead()
+    def test_invalid_requests_are_counted_and_rejected(self):
+        self.become_leader()
         connection = self.connect()
-        for number, (told, kind) in enumerate(
+        for number, (body, kind) in enumerate(
             (
-                (self.command(origin="other"), "forged"),
-                (self.command(number=1 << 62), "nonsense"),
-                (self.command(incarnation="1"), "nonsense"),
+                (self.command_body(origin="other"), "forged"),
+                (self.command_body(number=1 << 62), "nonsense"),
+                (self.command_body(incarnation="1"), "nonsense"),
                 ({"query": 1}, "nonsense"),
             ),
             1,
         ):
             before = self.server.rejected[kind]
-            answer = self.asked(connection, PROPOSE, told, number)
+            answer = self.request(connection, PROPOSE, body, number)
             self.assertIsInstance(answer, RequestRejectedError)
             self.assertEqual(self.server.rejected[kind], before + 1)
-        answer = self.asked(connection, PROPOSE, self.command(), 1)
+        answer = self.request(connection, PROPOSE, self.command_body(), 1)
         self.assertIsInstance(answer, RequestRejectedError)
         self.assertEqual(self.server.rejected["replayed"], 1)
-        stranger = new_identity("op")
-        answer = self.asked(connection, PROPOSE, self.command(), 9, by=stranger)
+        impostor = new_identity("op")
+        answer = self.request(connection, PROPOSE, self.command_body(), 9, signer=impostor)
         self.assertIsInstance(answer, RequestRejectedError)
         self.assertEqual(self.server.rejected["unknown"], 1)
         self.assertEqual(self.register.write_ids, [])
 
-    def test_message_of_no_node_is_counted(self):
-        line, _, pump, session = self.connect()
-        line.callRemote(DeliverMessage, **self.signed(session, PEER, [6, [1, 0]]))
+    def test_peer_message_from_a_client_is_counted(self):
+        client, _, pump, session = self.connect()
+        client.callRemote(DeliverMessage, **self.sign(session, PEER, [6, [1, 0]]))
         pump.flush()
         self.assertEqual(self.server.rejected, {"nonsense": 1})
 
-    def test_no_greeting_or_two(self):
-        answer = self.asked(self.connect(greeted=False), PROPOSE, self.command())
+    def test_missing_and_repeated_handshakes_are_rejected(self):
+        answer = self.request(self.connect(handshake=False), PROPOSE, self.command_body())
         self.assertIsInstance(answer, RequestRejectedError)
-        line, _, pump, _ = self.connect()
-        found = []
-        line.callRemote(Hello, nonce=new_nonce()).addErrback(found.append)
+        client, _, pump, _ = self.connect()
+        errors = []
+        client.callRemote(Hello, nonce=new_nonce()).addErrback(errors.append)
         pump.flush()
-        self.assertEqual((len(found), self.server.rejected), (1, {"nonsense": 2}))
+        self.assertEqual((len(errors), self.server.rejected), (1, {"nonsense": 2}))
+
+    def test_invalid_amp_box_closes_the_connection_without_a_traceback(self):
+        """Guards against boxes that make AMP log a traceback.
 
-    def test_what_amp_can_not_take_ends_its_connection_without_a_traceback(self):
-        """A second greeting, an answer to nothing, a call without its arguments and an empty one each had AMP log a
-        traceback: the error of the first was not declared, and the others were raised within AMP itself."""
+        A second handshake did so because its error was not declared in the command; an unexpected
+        answer, a call without its arguments and an empty call because AMP itself raised an error.
+        """
         logged = []
         twisted_log.addObserver(logged.append)
         self.addCleanup(twisted_log.removeObserver, logged.append)
@@ -206,20 +214,20 @@
         ):
             with self.subTest(box):
                 before = self.server.rejected["nonsense"]
-                line, _, pump, _ = self.connect()
-                line.dataReceived = lambda _: None
-                line.transport.write(amp.AmpBox(box).serialize())
+                client, _, pump, _ = self.connect()
+                client.dataReceived = lambda _: None
+                client.transport.write(amp.AmpBox(box).serialize())
                 pump.flush()
                 self.assertEqual(self.server.rejected["nonsense"], before + 1)
                 self.assertEqual(len(self.server.connections), 0)
                 self.assertEqual([event for event in logged if event["isError"]], [])
 
-    def test_box_without_an_end_and_foreign_host(self):
-        line, _, pump, _ = self.connect()
+    def test_oversized_box_and_host_outside_the_networks_are_rejected(self):
+        client, _, pump, _ = self.connect()
         self.assertEqual(len(self.server.connections), 1)
         value = b"\0\1k\xff\xff" + bytes(65_535)
         for _ in range(4):
-            line.transport.write(value)
+            client.transport.write(value)
             pump.flush()
         self.assertEqual(self.server.rejected, {"oversized": 1})
         self.assertEqual(len(self.server.connections), 0)
--- a/thymeknot/raft/incoming_connection.py
+++ b/thymeknot/raft/incoming_connection.py
@@ -1,4 +1,4 @@
-"""A connection that somebody made to this node: the greeting, and signed messages."""
+"""Incoming connections of a node: the handshake, and the signed messages received on them."""
 
 from typing import Any, Protocol
 
@@ -21,139 +21,152 @@
 COMMANDS: dict[bytes, type[amp.Command]] = {
     command.commandName: command for command in (Hello, DeliverMessage, ClientRequest)
 }
-"""What the other end may call."""
+"""The AMP commands that the other end may call, by name."""
 MAX_UNREAD_BYTES = 4 * 65_536
-"""Of one AMP box: four values of the longest that AMP has."""
+"""Maximum size of an incomplete AMP box: four values of the maximum length in AMP."""
 
 
 class MessageReceiver(Protocol):
-    """What takes the messages of all connections."""
+    """Handles the messages of all incoming connections."""
 
     connections: "set[IncomingConnection]"
 
     def accept(self, address: Any) -> "IncomingConnection | None":
-        """A connection from this address, or None if it is rejected."""
+        """Returns the protocol for a connection from this address, or None to reject it."""
 
-    def reject(self, kind: str, reason: str) -> None:
-        """Counts what can't be accepted."""
+    def count_rejected(self, kind: str, reason: str) -> None:
+        """Counts a rejected connection or message under `kind`."""
 
-    def open(self, session: bytes, last: int, signed: SignedArguments) -> SignedMessage:
-        """Opens a message of a connection."""
+    def verify(self, session: bytes, last_number: int, signed: SignedArguments) -> SignedMessage:
+        """Verifies and decodes a signed message.
 
-    def deliver(self, message: SignedMessage) -> None:
-        """Takes a message between nodes."""
+        Args:
+            session: Session id of the connection.
+            last_number: Sequence number of the last message in this session.
+            signed: Arguments of the AMP command.
 
-    def ask(self, message: SignedMessage) -> Deferred[dict[str, Any]]:
-        """Takes a client's command or query; gives what it is told."""
+        Raises:
+            MessageError: The message is not valid on this connection.
+        """
+
+    def handle_peer_message(self, message: SignedMessage) -> None:
+        """Handles a message between nodes."""
+
+    def handle_client_request(self, message: SignedMessage) -> Deferred[dict[str, Any]]:
+        """Handles a client's command or query; returns a Deferred of the body of the reply."""
 
-    def sign_answer(
-        self, request: SignedMessage, session: bytes, told: dict[str, Any]
+    def sign_reply(
+        self, request: SignedMessage, session: bytes, reply_body: dict[str, Any]
     ) -> SignedArguments:
-        """The arguments of a signed answer."""
+        """Returns the arguments of a signed reply."""
 
 
 class IncomingConnection(AmpConnection):
-    """A connection that somebody made to this node."""
+    """A connection that a peer or client opened to this node."""
 
     def __init__(self, server: MessageReceiver) -> None:
         super().__init__()
         self._server = server
         self._session: bytes | None = None
-        self._last_number = 0  # the highest that this connection brought
+        self._last_number = 0  # highest sequence number received in this session
         self._unread_bytes = 0  # of the box that is being received
 
-    def opened(self) -> None:
+    def on_open(self) -> None:
         """Registers this connection with the receiver."""
         self._server.connections.add(self)
 
-    def closed(self) -> None:
+    def on_close(self) -> None:
         """Removes this connection from the receiver."""
         self._server.connections.discard(self)
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802  # Twisted's name
-        """Takes bytes, unless a box has too many of them."""
+        """Parses received bytes; aborts the connection if a box is too long."""
         self._unread_bytes += len(data)
         if self._unread_bytes > MAX_UNREAD_BYTES:
-            self._server.reject("oversized", "a box without an end")
+            self._server.count_rejected("oversized", "an incomplete box exceeds the size limit")
             self.abort()
             return
         super().dataReceived(data)
 
     def ampBoxReceived(self, box: amp.AmpBox) -> None:  # noqa: N802  # Twisted's name
-        """Takes a box that is complete.
+        """Dispatches a complete box if it is a valid call.
 
-        One that AMP can't take would end in a traceback of its own.
+        Other boxes are rejected here, because AMP would log a traceback for them.
         """
         self._unread_bytes = 0
-        fault = _fault_of(box)
-        if fault is None:
+        error = _call_error(box)
+        if error is None:
             super().ampBoxReceived(box)
         else:
-            self._server.reject("nonsense", fault)
+            self._server.count_rejected("nonsense", error)
             self.abort()
 
     def lengthLimitExceeded(self, length: int) -> None:  # noqa: N802  # Twisted's name
-        """Ends the connection."""
-        self._server.reject("nonsense", f"a key of {length} bytes")
+        """Aborts the connection because a key of a box exceeds AMP's length limit."""
+        self._server.count_rejected("nonsense", f"a key of {length} bytes exceeds AMP's limit")
         self.abort()
 
-    def _open(self, signed: SignedArguments) -> SignedMessage:
+    def _verify(self, signed: SignedArguments) -> SignedMessage:
         if self._session is None:
-            raise MessageError("nonsense", "no greeting came first")
-        message = self._server.open(self._session, self._last_number, signed)
+            raise MessageError("nonsense", "no greeting came first")  # clients receive this text
+        message = self._server.verify(self._session, self._last_number, signed)
         self._last_number = message.number
         return message
 
     @Hello.responder
-    def hello(self, nonce: bytes) -> dict[str, bytes]:
-        """Agrees on the session."""
+    def handle_hello(self, nonce: bytes) -> dict[str, bytes]:
+        """Completes the handshake: the session id consists of the nonces of both ends."""
         if self._session is not None or len(nonce) != NONCE_BYTES:
-            self._server.reject("nonsense", "a greeting that came twice, or of another length")
-            raise RequestRejectedError("greeted before")
+            self._server.count_rejected(
+                "nonsense", "a second handshake, or a nonce of the wrong length"
+            )
+            raise RequestRejectedError("greeted before")  # the other end receives this text
         own_nonce = new_nonce()
         self._session = nonce + own_nonce
         return {"nonce": own_nonce}
 
     @DeliverMessage.responder
-    def deliver(self, key: bytes, content: bytes, signature: bytes) -> dict[str, bytes]:
-        """Takes a message between nodes."""
+    def handle_deliver(self, key: bytes, content: bytes, signature: bytes) -> dict[str, bytes]:
+        """Handles a message between nodes."""
         try:
-            message = self._open({"key": key, "content": content, "signature": signature})
-            self._server.deliver(message)
+            message = self._verify({"key": key, "content": content, "signature": signature})
+            self._server.handle_peer_message(message)
         except MessageError as error:
-            self._server.reject(error.kind, str(error))
+            self._server.count_rejected(error.kind, str(error))
         return {}
 
     @ClientRequest.responder
-    def ask(self, key: bytes, content: bytes, signature: bytes) -> Deferred[SignedArguments]:
-        """Takes a client's command or query."""
+    def handle_request(
+        self, key: bytes, content: bytes, signature: bytes
+    ) -> Deferred[SignedArguments]:
+        """Handles a client's command or query and returns a Deferred of the signed reply."""
         try:
-            message = self._open({"key": key, "content": content, "signature": signature})
-            answer = self._server.ask(message)
+            message = self._verify({"key": key, "content": content, "signature": signature})
+            reply = self._server.handle_client_request(message)
         except MessageError as error:
-            self._server.reject(error.kind, str(error))
+            self._server.count_rejected(error.kind, str(error))
             raise RequestRejectedError(str(error)) from None
         session = self._session or b""
-        return answer.addCallback(lambda told: self._server.sign_answer(message, session, told))
+        return reply.addCallback(lambda body: self._server.sign_reply(message, session, body))
 
 
-def _fault_of(box: amp.AmpBox) -> str | None:
-    """Why a box is no call of a command; None if it is one.
+def _call_error(box: amp.AmpBox) -> str | None:
+    """Returns why a box is not a valid call of a command, or None if it is one.
 
-    This end makes no calls, so it is owed no answers.
+    Answers are rejected as well, since this end makes no calls.
     """
     if amp.ANSWER in box or amp.ERROR in box or amp.COMMAND not in box:
-        return "a box that is no call"
+        return "the box is not a call"
     command = COMMANDS.get(box[amp.COMMAND])
     if command is None:
-        return "an unknown command"
+        return "the command is unknown"
     if any(name not in box for name, _ in command.arguments):
-        return "a call without all its arguments"
+        return "the call lacks an argument of the command"
     return None
 
 
 class IncomingFactory(Factory):
-    """Makes the connections that the server accepts."""
+    """Creates the protocols of the connections that the server accepts."""
 
     noisy = False
 
@@ -161,5 +174,5 @@
         self._server = server
 
     def buildProtocol(self, addr: Any) -> IncomingConnection | None:  # noqa: N802  # Twisted's
-        """The protocol of a connection, or None to close it."""
+        """Returns the protocol of a connection, or None to close it."""
         return self._server.accept(addr)
--- a/thymeknot/raft/peer_channel.py
+++ b/thymeknot/raft/peer_channel.py
@@ -1,4 +1,4 @@
-"""The way to one node: a connection that is opened when it is needed, and signed messages on it."""
+"""The channel to one node: an outgoing connection, opened on demand, for signed messages."""
 
 from collections.abc import Callable
 from typing import Any, NamedTuple
@@ -25,56 +25,56 @@
 )
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-"""For connecting, and again for the greeting."""
+"""Timeout for establishing the TCP connection, and again for the handshake."""
 STALL_TIMEOUT_SECONDS = 2.0
-"""How long a connection may take nothing; then it is thought half open."""
+"""How long the send buffer may stay full before the connection is considered half-open."""
 
 
 class Address(NamedTuple):
-    """Where a node listens."""
+    """The address that a node listens on."""
 
     host: str
     port: int
 
 
 class _Connection(AmpConnection):
-    """An outgoing connection; what is sent while its buffer is full is lost, as on a network."""
+    """An outgoing connection. Messages are dropped while its send buffer is full."""
 
-    def __init__(self, lost: Callable[["_Connection"], None]) -> None:
+    def __init__(self, on_lost: Callable[["_Connection"], None]) -> None:
         super().__init__()
-        self.full = False
-        self._lost = lost
+        self.buffer_full = False
+        self._on_lost = on_lost
 
-    def opened(self) -> None:
-        """Has the transport say when its buffer is full."""
+    def on_open(self) -> None:
+        """Registers as a producer, so that the transport reports when its buffer is full."""
         self.transport.registerProducer(self, True)
 
-    def closed(self) -> None:
-        """Tells the channel."""
-        self._lost(self)
+    def on_close(self) -> None:
+        """Notifies the channel."""
+        self._on_lost(self)
 
     def pauseProducing(self) -> None:  # noqa: N802  # Twisted's name
-        """The buffer is full."""
-        self.full = True
+        """Called when the send buffer is full."""
+        self.buffer_full = True
 
     def resumeProducing(self) -> None:  # noqa: N802  # Twisted's name
-        """The buffer has room again."""
-        self.full = False
+        """Called when the send buffer has room again."""
+        self.buffer_full = False
 
     def stopProducing(self) -> None:  # noqa: N802  # Twisted's name
-        """The connection is lost."""
+        """Called when the connection is lost."""
 
 
 class PeerChannel:
-    """The way to one node, with a session of its own for each connection.
+    """The channel to one node. Each connection has its own session.
 
     Args:
-        reactor: Twisted's.
-        name: of the node.
-        address: host and port.
-        identity: what this instance signs with.
-        ring: gives the keyring of now.
-        unix: gives the Unix time in seconds.
+        reactor: Twisted's event loop.
+        name: Name of the node.
+        address: Host and port of the node.
+        identity: The identity that this instance signs with.
+        keyring: Returns the current keyring.
+        unix_time: Returns the Unix time in seconds.
     """
 
     def __init__(  # noqa: PLR0917  # other packages pass them by position
@@ -83,23 +83,23 @@
         name: str,
         address: tuple[str, int],
         identity: Signer,
-        ring: Callable[[], Verifier],
-        unix: Callable[[], float],
+        keyring: Callable[[], Verifier],
+        unix_time: Callable[[], float],
     ) -> None:
         self.name = name
         self._reactor = reactor
         self._address = Address(*address)
         self._identity = identity
-        self._ring = ring
-        self._unix = unix
+        self._keyring = keyring
+        self._unix_time = unix_time
         self._connection: _Connection | None = None
         self._connecting = False
         self._session = b""
-        self._number = 0  # of the last message in this session
+        self._number = 0  # sequence number of the last message in this session
         self._full_since: float | None = None
 
     def send(self, body: bytes) -> None:
-        """Sends a message between nodes, or loses it."""
+        """Sends a message between nodes, or drops it if nothing can be sent now."""
         signed = self._sign(PEER, body)
         if signed and self._connection:
             self._connection.call(DeliverMessage, **signed)
@@ -108,8 +108,8 @@
         """Sends a command or query.
 
         Returns:
-            A Deferred of the reply's mapping, or None where nothing can be sent now. It fails
-            with RequestRejectedError, MessageError or what the network says.
+            A Deferred of the body of the reply, or None if nothing can be sent now. It fails with
+            RequestRejectedError, MessageError or an error of the connection.
         """
         signed = self._sign(kind, body)
         if not signed or not self._connection:
@@ -117,32 +117,37 @@
         session = self._session
         number = self._number
 
-        def opened(reply: SignedArguments) -> dict[str, Any]:
-            return self._open_reply(session, number, reply)
+        def verify(reply: SignedArguments) -> dict[str, Any]:
+            return self._verify_reply(session, number, reply)
 
-        sent: Deferred[SignedArguments] = self._connection.call(ClientRequest, **signed)
-        return sent.addCallback(opened)
+        answer: Deferred[SignedArguments] = self._connection.call(ClientRequest, **signed)
+        return answer.addCallback(verify)
 
     def close(self) -> None:
         """Aborts the connection, if there is one."""
         if self._connection:
             self._connection.abort()
 
-    def _open_reply(self, session: bytes, number: int, reply: SignedArguments) -> dict[str, Any]:
+    def _verify_reply(self, session: bytes, number: int, reply: SignedArguments) -> dict[str, Any]:
+        """Returns the body of a reply after checking that it belongs to the request `number`."""
         name = self._identity.name
-        message = open_message(self._ring(), self._unix(), name, session, number - 1, **reply)
+        message = open_message(
+            self._keyring(), self._unix_time(), name, session, number - 1, **reply
+        )
         if message.sender != self.name or message.kind != REPLY or message.number != number:
-            raise MessageError("misled", f"an answer of {message.sender} to another question")
+            raise MessageError(
+                "misled", f"the reply of {message.sender} does not belong to the request"
+            )
         return decode_mapping(message.body)
 
     def _sign(self, kind: int, body: bytes) -> SignedArguments | None:
-        """The arguments to send, or None where nothing can be sent now."""
+        """Returns the signed arguments to send, or None if nothing can be sent now."""
         connection = self._connection
         if connection is None:
             if not self._connecting:
                 self._connect()
             return None
-        if connection.full:
+        if connection.buffer_full:
             now: float = self._reactor.seconds()
             self._full_since = self._full_since or now
             if now - self._full_since > STALL_TIMEOUT_SECONDS:
@@ -158,16 +163,16 @@
             self._reactor, self._address.host, self._address.port, CONNECT_TIMEOUT_SECONDS
         )
         connected: Deferred[_Connection] = connectProtocol(  # type: ignore[no-untyped-call]  # Twisted's
-            endpoint, _Connection(self._lost)
+            endpoint, _Connection(self._connection_lost)
         )
-        connected.addCallbacks(self._greet, self._failed)
+        connected.addCallbacks(self._start_handshake, self._connect_failed)
 
-    def _greet(self, connection: _Connection) -> None:
-        """Agrees with the other end on the session."""
+    def _start_handshake(self, connection: _Connection) -> None:
+        """Exchanges nonces with the other end; both together are the session id."""
         nonce = new_nonce()
         timeout = self._reactor.callLater(CONNECT_TIMEOUT_SECONDS, connection.abort)
 
-        def greeted(answer: dict[str, bytes]) -> None:
+        def handshake_completed(answer: dict[str, bytes]) -> None:
             if timeout.active():
                 timeout.cancel()
             self._connection = connection
@@ -175,18 +180,18 @@
             self._number = 0
             self._connecting = False
 
-        def failed(failure: Failure) -> None:
+        def handshake_failed(failure: Failure) -> None:
             if timeout.active():
                 timeout.cancel()
             connection.abort()
-            self._failed(failure)
+            self._connect_failed(failure)
 
-        connection.call(Hello, nonce=nonce).addCallbacks(greeted, failed)
+        connection.call(Hello, nonce=nonce).addCallbacks(handshake_completed, handshake_failed)
 
-    def _failed(self, _: Failure) -> None:
+    def _connect_failed(self, _: Failure) -> None:
         self._connecting = False
 
-    def _lost(self, connection: _Connection) -> None:
+    def _connection_lost(self, connection: _Connection) -> None:
         if connection is self._connection:
             self._connection = None
             self._full_since = None
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -1,7 +1,8 @@
-"""A node on sockets, a clock and a disk: carries out its effects, and gives it what comes in.
+"""Connects a Raft node to sockets, timers and its disk.
 
-What can't be accepted (forged, replayed, oversized, nonsense) is counted in `rejected`, by kind,
-and never reaches the node.
+The server passes incoming events to the node and carries out the effects that it returns. Messages
+that are not valid (forged, replayed, oversized, nonsense) are counted in `rejected`, by kind, and
+never reach the node.
 """
 
 import time
@@ -60,19 +61,19 @@
 _structured_log: Any = structured_log  # its functions have no annotations yet
 
 MAX_CONNECTIONS = 1_024
-"""Incoming ones; each costs a descriptor and buffers."""
+"""Maximum number of incoming connections; each uses a file descriptor and buffers."""
 MAX_NUMBER = 1 << 62
-"""Bound of clients' incarnations and numbers, well within msgpack's integers of 64 bits."""
+"""Exclusive limit of incarnations and sequence numbers, well within msgpack's 64-bit integers."""
 MAX_LOGGED_ORIGIN = 40
-"""Characters of a forged origin that are logged."""
+"""Maximum number of characters of a forged origin that are logged."""
 
 
 class _PendingRequest(NamedTuple):
-    """A client's request that the node has.
+    """A client's request that the node has not answered yet.
 
     Attributes:
-        answer: what the client is told.
-        query: of a read.
+        answer: Fires with the body of the reply to the client.
+        query: The query of a read; None for a command.
     """
 
     answer: Deferred[dict[str, Any]]
@@ -80,18 +81,19 @@
 
 
 class PeerServer:
-    """One node's sockets, timer and disk.
+    """Runs one Raft node: its connections, its timer and its storage.
 
     Args:
-        reactor: Twisted's.
-        timers: of the process.
-        identity: what this node signs with.
-        ring: gives the keyring of now.
-        allowed_hosts: the hosts that may connect.
-        channels: the ways to the other nodes, by name.
-        make_node: makes the node, given the moment, with what the storage gave back.
-        storage: this node's.
-        look: answers a query of the state machine as it stands, and changes nothing.
+        reactor: Twisted's event loop.
+        timers: Timers of the process.
+        identity: The identity that this node signs with.
+        keyring: Returns the current keyring.
+        allowed_hosts: The hosts that may connect.
+        channels: Channels to the other nodes, by name.
+        make_node: Creates the node from the state that the storage recovered, given the time.
+        storage: Storage of this node.
+        answer_query: Answers a query from the current state of the state machine without changing
+            it.
     """
 
     def __init__(  # noqa: PLR0917  # other packages pass them by position
@@ -99,12 +101,12 @@
         reactor: Any,
         timers: Timers,
         identity: Signer,
-        ring: Callable[[], Verifier],
+        keyring: Callable[[], Verifier],
         allowed_hosts: Container[str],
         channels: Mapping[str, PeerChannel],
         make_node: Callable[[Ticks], RaftNode],
         storage: RaftStorage,
-        look: Callable[[dict[str, Any] | None], Any],
+        answer_query: Callable[[dict[str, Any] | None], Any],
     ) -> None:
         self.allowed_hosts = allowed_hosts
         self.rejected: Counter[str] = Counter()
@@ -113,18 +115,18 @@
         self._timers = timers
         self._clock = timers.clock
         self._identity = identity
-        self._ring = ring
+        self._keyring = keyring
         self._channels = channels
         self._storage = storage
-        self._look = look
-        self._writing = False
-        self._unwritten: list[Persist] = []
-        self._pending: dict[Hashable, _PendingRequest] = {}  # by token
-        self._token = 0  # of the last request
+        self._answer_query = answer_query
+        self._write_in_progress = False
+        self._waiting_writes: list[Persist] = []
+        self._pending_requests: dict[Hashable, _PendingRequest] = {}  # by token
+        self._token = 0  # token of the last request
         self._closed = False
-        self._port: Any = None  # Twisted's, that listens
+        self._port: Any = None  # Twisted's listening port
         self._logged_role: Role | None = None
-        self._carry_out: dict[type[Effect], Callable[[Any], None]] = {
+        self._effect_handlers: dict[type[Effect], Callable[[Any], None]] = {
             Persist: self._persist,
             Send: self._send,
             CommandCompleted: self._command_completed,
@@ -135,20 +137,20 @@
             SteppedDown: self._stepped_down,
         }
         self.raft_node = make_node(self._clock())
-        # A node that was just made has not said yet when it wants to be woken.
-        self._timer: int | None = timers.add(self._clock() + 1, self._timer_due)
+        # A new node has not set its timer yet, so it is started by an early TimerDue.
+        self._timer: int | None = timers.add(self._clock() + 1, self._timer_expired)
 
     def listen(self, host: str, port: int) -> None:
-        """Begins to listen.
+        """Starts to accept connections.
 
         Raises:
-            CannotListenError: Twisted's.
+            CannotListenError: The port can't be listened on.
         """
         factory = IncomingFactory(self)
         self._port = self._reactor.listenTCP(port, factory, interface=host)
 
     def close(self) -> None:
-        """Finishes what is being written; nothing more is sent."""
+        """Closes all connections; the storage is closed once a write in progress has finished."""
         self._closed = True
         if self._port is not None:
             self._port.stopListening()
@@ -156,58 +158,66 @@
             connection.abort()
         if self._timer is not None:
             self._timers.cancel(self._timer)
-        if not self._writing:
+        if not self._write_in_progress:
             self._storage.close()
 
-    # What comes in.
+    # Incoming messages.
 
     def accept(self, address: Any) -> IncomingConnection | None:
-        """A connection from this address, or None if it is rejected."""
+        """Returns the protocol for a connection from this address, or None to reject it."""
         if address.host not in self.allowed_hosts:
-            self.reject("elsewhere", f"{address.host} is in none of the networks")
+            self.count_rejected("elsewhere", f"{address.host} is not in the allowed networks")
             return None
         if len(self.connections) >= MAX_CONNECTIONS:
-            self.reject("crowded", f"{MAX_CONNECTIONS} connections stand")
+            self.count_rejected("crowded", f"the maximum of {MAX_CONNECTIONS} connections is open")
             return None
         return IncomingConnection(self)
 
-    def reject(self, kind: str, reason: str) -> None:
-        """Counts and logs what can't be accepted."""
+    def count_rejected(self, kind: str, reason: str) -> None:
+        """Counts and logs a rejected connection or message."""
         self.rejected[kind] += 1
         _structured_log.seldom("message rejected", kind=kind, why=reason, count=self.rejected[kind])
 
-    def open(self, session: bytes, last: int, signed: SignedArguments) -> SignedMessage:
-        """Opens a message of a connection.
+    def verify(self, session: bytes, last_number: int, signed: SignedArguments) -> SignedMessage:
+        """Verifies and decodes a signed message.
+
+        Args:
+            session: Session id of the connection.
+            last_number: Sequence number of the last message in this session.
+            signed: Arguments of the AMP command.
 
         Raises:
-            MessageError: it can't be accepted.
+            MessageError: The message is not valid on this connection.
         """
-        return open_message(self._ring(), time.time(), self._identity.name, session, last, **signed)
+        return open_message(
+            self._keyring(), time.time(), self._identity.name, session, last_number, **signed
+        )
 
-    def deliver(self, message: SignedMessage) -> None:
-        """Gives the node another node's message.
+    def handle_peer_message(self, message: SignedMessage) -> None:
+        """Passes another node's message to the node.
 
         Raises:
-            MessageError: it is none.
+            MessageError: The message is malformed or not from another node.
         """
         if message.kind != PEER or message.sender not in self._channels:
             raise MessageError(
-                "nonsense", f"{message.sender} is no keeper, or that is no keeper's message"
+                "nonsense", f"{message.sender} is not another node, or this is no Raft message"
             )
         try:
             decoded = decode_message(message.body)
         except MessageDecodeError as error:
             raise MessageError("nonsense", str(error)) from error
-        self.tell(MessageReceived(message.sender, decoded))
+        self.handle_event(MessageReceived(message.sender, decoded))
 
-    def ask(self, message: SignedMessage) -> Deferred[dict[str, Any]]:
-        """Gives the node a client's command or query.
+    def handle_client_request(self, message: SignedMessage) -> Deferred[dict[str, Any]]:
+        """Passes a client's command or query to the node.
 
         Returns:
-            A Deferred of what the client is told.
+            A Deferred of the body of the reply.
 
         Raises:
-            MessageError: it is neither.
+            MessageError: The message is neither a valid command nor a valid query. The client
+                receives the text, so it is part of the protocol.
         """
         body = decode_mapping(message.body)
         self._token += 1
@@ -215,15 +225,15 @@
         if message.kind == READ and isinstance(body.get("query"), dict):
             event = ReadRequested(self._token)
         elif message.kind == PROPOSE and isinstance(body.get("command"), dict):
-            event = self._proposal(message.sender, body)
+            event = self._decode_proposal(message.sender, body)
         else:
             raise MessageError("nonsense", "neither a command nor a query")
         answer: Deferred[dict[str, Any]] = Deferred()
-        self._pending[self._token] = _PendingRequest(answer, body.get("query"))
-        self.tell(event)
+        self._pending_requests[self._token] = _PendingRequest(answer, body.get("query"))
+        self.handle_event(event)
         return answer
 
-    def _proposal(self, sender: str, body: dict[str, Any]) -> CommandProposed:
+    def _decode_proposal(self, sender: str, body: dict[str, Any]) -> CommandProposed:
         origin = body.get("origin")
         incarnation = body.get("incarnation")
         number = body.get("number")
@@ -241,43 +251,43 @@
             )
         return CommandProposed(self._token, origin, incarnation, number, body["command"])
 
-    def sign_answer(
-        self, request: SignedMessage, session: bytes, told: dict[str, Any]
+    def sign_reply(
+        self, request: SignedMessage, session: bytes, reply_body: dict[str, Any]
     ) -> SignedArguments:
-        """The arguments of a signed answer."""
+        """Returns the arguments of a signed reply, or of a rejection if the reply is too long."""
         try:
-            return self._sign_reply(request, session, told)
+            return self._sign_reply_body(request, session, reply_body)
         except MessageError as error:
             reason = f"the answer: {error}; ask for less"
-            return self._sign_reply(request, session, {"reply": rejection(reason)})
+            return self._sign_reply_body(request, session, {"reply": rejection(reason)})
 
-    def _sign_reply(
-        self, request: SignedMessage, session: bytes, told: dict[str, Any]
+    def _sign_reply_body(
+        self, request: SignedMessage, session: bytes, reply_body: dict[str, Any]
     ) -> SignedArguments:
-        body = msgspec.msgpack.encode(told)
-        return sign_message(self._identity, request.sender, session, request.number, REPLY, body)
+        encoded = msgspec.msgpack.encode(reply_body)
+        return sign_message(self._identity, request.sender, session, request.number, REPLY, encoded)
 
-    # Into the node and out of it.
+    # Events and effects of the node.
 
-    def tell(self, event: Event) -> None:
-        """Gives the node an event and carries out the effects."""
+    def handle_event(self, event: Event) -> None:
+        """Passes an event to the node and carries out the effects."""
         if self._closed:
             return
         node = self.raft_node
         for effect in node.handle(self._clock(), event):
-            self._carry_out[type(effect)](effect)
+            self._effect_handlers[type(effect)](effect)
         if node.role != self._logged_role:
             self._logged_role = node.role
             _structured_log.log("raft role", role=node.role, term=node.term)
 
-    def _timer_due(self) -> None:
+    def _timer_expired(self) -> None:
         self._timer = None
-        self.tell(TimerDue())
+        self.handle_event(TimerDue())
 
     def _set_timer(self, effect: SetTimer) -> None:
         if self._timer is not None:
             self._timers.cancel(self._timer)
-        self._timer = self._timers.add(effect.at, self._timer_due)
+        self._timer = self._timers.add(effect.at, self._timer_expired)
 
     def _send(self, effect: Send) -> None:
         channel = self._channels.get(effect.peer)
@@ -285,62 +295,62 @@
             channel.send(encode_message(effect.message))
 
     def _persist(self, effect: Persist) -> None:
-        self._unwritten.append(effect)
-        if not self._writing:
-            self._write()
-
-    def _write(self) -> None:
-        """Writes all that waits at once: one sync for many."""
-        batch = self._unwritten
-        self._unwritten = []
-        self._writing = True
+        self._waiting_writes.append(effect)
+        if not self._write_in_progress:
+            self._write_waiting()
+
+    def _write_waiting(self) -> None:
+        """Writes all waiting records as one batch, so that they share one sync."""
+        batch = self._waiting_writes
+        self._waiting_writes = []
+        self._write_in_progress = True
         records = [record for effect in batch for record in effect.records]
         written = deferToThread(self._storage.persist, records)
-        written.addCallbacks(self._written, self._write_failed, (batch[-1].serial,))
+        written.addCallbacks(self._write_finished, self._write_failed, (batch[-1].serial,))
 
-    def _written(self, fault: WriteFault | None, serial: int) -> None:
-        self._writing = False
+    def _write_finished(self, error: WriteFault | None, serial: int) -> None:
+        self._write_in_progress = False
         if self._closed:
             self._storage.close()
             return
-        if fault is not None:
-            _structured_log.log("raft storage failed", error=fault.reason)
-            self.tell(DiskFailed(fault.reason))
+        if error is not None:
+            _structured_log.log("raft storage failed", error=error.reason)
+            self.handle_event(DiskFailed(error.reason))
             return
-        if self._unwritten:
-            self._write()
-        self.tell(RecordsStored(serial))
+        if self._waiting_writes:
+            self._write_waiting()
+        self.handle_event(RecordsStored(serial))
 
     def _write_failed(self, failure: Failure) -> None:
-        self._writing = False
+        self._write_in_progress = False
         _structured_log.log("raft storage failed", error=str(failure.value))
-        self.tell(DiskFailed(str(failure.value)))
+        self.handle_event(DiskFailed(str(failure.value)))
 
-    def _answer(self, token: Hashable, told: dict[str, Any]) -> None:
-        pending = self._pending.pop(token, None)
+    def _answer_request(self, token: Hashable, reply_body: dict[str, Any]) -> None:
+        pending = self._pending_requests.pop(token, None)
         if pending is not None:
-            pending.answer.callback(told)
+            pending.answer.callback(reply_body)
 
     def _command_completed(self, effect: CommandCompleted) -> None:
-        self._answer(effect.token, {"reply": effect.reply})
+        self._answer_request(effect.token, {"reply": effect.reply})
 
     def _read_ready(self, effect: ReadReady) -> None:
-        pending = self._pending.get(effect.token)
+        pending = self._pending_requests.get(effect.token)
         try:
-            reply = self._look(pending.query if pending else None)
-        except Exception as error:  # a query must not end the node
+            reply = self._answer_query(pending.query if pending else None)
+        except Exception as error:  # a failing query must not stop the node
             _structured_log.fault("query", error)
             reply = rejection("the query can't be answered")
-        self._answer(effect.token, {"reply": reply})
+        self._answer_request(effect.token, {"reply": reply})
 
     def _request_rejected(self, effect: RequestRejected) -> None:
-        told = {
+        reply_body = {
             "why": effect.reason,
             "again": effect.retry_after,
             "leader": effect.leader,
             "unknown": effect.reason.startswith("unknown"),
         }
-        self._answer(effect.token, told)
+        self._answer_request(effect.token, reply_body)
 
     def _stepped_down(self, effect: SteppedDown) -> None:
         _structured_log.log("raft node stepped down", why=effect.reason)
