--- a/thymeknot/raft/broken_variants.py
+++ b/thymeknot/raft/broken_variants.py
@@ -29,7 +29,7 @@
         self.emit_now(now, item)
 
 
-class Unsynced(RaftNode):
+class RespondsBeforeSync(RaftNode):
     """Answers before it wrote."""
 
     outbox_class = _UnsyncedOutbox
@@ -62,7 +62,7 @@
         return True
 
 
-class ReadsUnconfirmed(RaftNode):
+class ReadsWithoutQuorum(RaftNode):
     """Serves reads without having asked whether it leads still."""
 
     reads_class = _UnconfirmedReads
@@ -75,7 +75,7 @@
         return self.lease_reads and self.checked_at < self.lease_until
 
 
-class IgnoresStandstill(RaftNode):
+class IgnoresStalls(RaftNode):
     """Its lease lasts while it stands still, since it looks at its clock with its timer only."""
 
     reads_class = _TimerReads
@@ -94,7 +94,7 @@
         return True
 
 
-class OverlapsChanges(RaftNode):
+class AllowsConcurrentChanges(RaftNode):
     """Takes a change of members before the one before is committed."""
 
     membership_class = _UncheckedMembership
@@ -105,7 +105,7 @@
         return now
 
 
-class TurnsTimeBack(RaftNode):
+class StampsLocalTime(RaftNode):
     """Stamps entries by its own clock, whatever earlier leaders stamped."""
 
     replication_class = _OwnClockReplication
@@ -151,17 +151,17 @@
         return super().append_entries(now, MessageReceived(sender, request))
 
 
-class OverwritesUnchecked(RaftNode):
+class SkipsLogMatching(RaftNode):
     """Takes a leader's entries without a look at what is before them."""
 
     follower_class = _UncheckedFollower
 
 
-def _without_votes(records: list[Record]) -> list[Record]:
+def _records_without_votes(records: list[Record]) -> list[Record]:
     return [record for record in records if not isinstance(record, VoteRecord)]
 
 
-def _unchanged(records: list[Record]) -> list[Record]:
+def _all_records(records: list[Record]) -> list[Record]:
     return records
 
 
@@ -176,35 +176,35 @@
     """
 
     node_class: type[RaftNode] = RaftNode
-    records_after_crash: Callable[[list[Record]], list[Record]] = _unchanged
+    records_after_crash: Callable[[list[Record]], list[Record]] = _all_records
     keeps_disk_incarnation: bool = False
 
 
-CORRECT = Variant()
+CORRECT_VARIANT = Variant()
 
-BROKEN = {
-    "answers before it wrote": Variant(Unsynced),
-    "forgets its vote": Variant(records_after_crash=_without_votes),
+BROKEN_VARIANTS = {
+    "answers before it wrote": Variant(RespondsBeforeSync),
+    "forgets its vote": Variant(records_after_crash=_records_without_votes),
     "counts an earlier term's": Variant(CommitsEarlierTerms),
     "applies twice": Variant(AppliesTwice),
-    "reads alone": Variant(ReadsUnconfirmed),
-    "stood still": Variant(IgnoresStandstill),
-    "many changes": Variant(OverlapsChanges),
+    "reads alone": Variant(ReadsWithoutQuorum),
+    "stood still": Variant(IgnoresStalls),
+    "many changes": Variant(AllowsConcurrentChanges),
     "lost disk votes": Variant(keeps_disk_incarnation=True),
-    "time goes back": Variant(TurnsTimeBack),
+    "time goes back": Variant(StampsLocalTime),
     "votes for an older log": Variant(VotesForOlderLogs),
     "learners count": Variant(CountsLearners),
-    "takes without a look": Variant(OverwritesUnchecked),
+    "takes without a look": Variant(SkipsLogMatching),
 }
 
-FOCUS = {
-    "answers before it wrote": (Fault.POWER_LOST,),
-    "counts an earlier term's": (Fault.ELECTIONS_STRUCK,),
-    "reads alone": (Fault.TRANSFER_AND_PARTITION,),
+REVEALING_FAULTS = {
+    "answers before it wrote": (Fault.POWER_FAILURE,),
+    "counts an earlier term's": (Fault.ELECTION_DISRUPTION,),
+    "reads alone": (Fault.TRANSFER_AND_ISOLATE_LEADER,),
     "stood still": (Fault.STALL,),
-    "many changes": (Fault.CONCURRENT_CHANGES,),
-    "learners count": (Fault.CHANGE, Fault.LEADER_HALF_HEARD, Fault.CRASH_LOSING_TAIL),
-    "lost disk votes": (Fault.LOSE_DISK, Fault.CHANGE),
-    "forgets its vote": (Fault.ELECTIONS_STRUCK,),
+    "many changes": (Fault.CONCURRENT_MEMBERSHIP_CHANGES,),
+    "learners count": (Fault.MEMBERSHIP_CHANGE, Fault.LEADER_REACHES_ONE, Fault.CRASH_LOSING_TAIL),
+    "lost disk votes": (Fault.LOSE_DISK, Fault.MEMBERSHIP_CHANGE),
+    "forgets its vote": (Fault.ELECTION_DISRUPTION,),
 }
 """Under which faults a variant shows soon; the others do so under any mix."""
--- a/thymeknot/raft/cluster_faults.py
+++ b/thymeknot/raft/cluster_faults.py
@@ -1,4 +1,4 @@
-"""Faults that are done to a simulated cluster, and what its operators do.
+"""Faults that are injected to a simulated cluster, and what its operators do.
 
 Each seed draws its own mix of faults, since a little of everything at once reaches few corners
 (Groce et al., "Swarm Testing", 2012).
@@ -17,8 +17,8 @@
 from .simulated_cluster import Conditions, SimulatedCluster
 from .simulated_host import Disk, Host
 
-PAUSE_AFTER_NOTHING = 50
-"""Until the next fault where one could not be done."""
+SKIPPED_FAULT_INTERVAL = 50
+"""Until the next fault where one could not be injected."""
 MIN_VOTERS = 3
 """An operator seldom leaves fewer."""
 
@@ -34,14 +34,14 @@
     CRASH_LOSING_TAIL = "lose tail"
     LOSE_DISK = "lose disk"
     CRASH_LEADER = "crash of the leader"
-    LEADER_HALF_HEARD = "leader half heard"
-    CHANGE = "change"
-    CONCURRENT_CHANGES = "changes at once"
-    TRANSFER = "transfer"
-    TRANSFER_AND_PARTITION = "transfer and cut"
-    POWER_LOST = "power lost"
-    DISK_FAILED = "disk failed"
-    ELECTIONS_STRUCK = "elections struck"
+    LEADER_REACHES_ONE = "leader half heard"
+    MEMBERSHIP_CHANGE = "change"
+    CONCURRENT_MEMBERSHIP_CHANGES = "changes at once"
+    LEADERSHIP_TRANSFER = "transfer"
+    TRANSFER_AND_ISOLATE_LEADER = "transfer and cut"
+    POWER_FAILURE = "power lost"
+    DISK_FAILURE = "disk failed"
+    ELECTION_DISRUPTION = "elections struck"
 
 
 FAULTS = tuple(Fault)
@@ -61,64 +61,66 @@
         self._cluster = cluster
         self._clients = clients
         self._random = cluster.random
-        self._weights = conditions.fault_weights
-        self._pause = conditions.fault_pause
+        self._fault_weights = conditions.fault_weights
+        self._mean_interval = conditions.mean_fault_interval
         self._promotion_share = conditions.promotion_share
         self._keeps_disk_incarnation = keeps_disk_incarnation
-        self._strikes_left = 0  # leaders that are hit as they begin
-        self._power_fails = False  # at the next acknowledged write
-        self._deafens_leader = False  # at the next transfer of leadership
-        cluster.on_new_leader = self._new_leader
-        cluster.on_timeout_now = self._timeout_now
-        clients.on_acknowledged = self._write_acknowledged
+        self._disruptions_left = 0  # leaders that are hit as they begin
+        self._power_failure_pending = False  # at the next acknowledged write
+        self._leader_isolation_pending = False  # at the next transfer of leadership
+        cluster.on_new_leader = self._handle_new_leader
+        cluster.on_timeout_now = self._handle_timeout_now
+        clients.on_acknowledged = self._handle_acknowledged_write
         self._faults: dict[Fault, Callable[[], bool]] = {
             Fault.PARTITION: self._partition,
             Fault.PARTITION_ONE_WAY: self._partition_one_way,
             Fault.HEAL: self._heal,
             Fault.STALL: self._stall,
-            Fault.CRASH: lambda: self._crash_any(False),
-            Fault.CRASH_LOSING_TAIL: lambda: self._crash_any(True),
+            Fault.CRASH: lambda: self._crash_random_host(False),
+            Fault.CRASH_LOSING_TAIL: lambda: self._crash_random_host(True),
             Fault.LOSE_DISK: self._lose_disk,
             Fault.CRASH_LEADER: self._crash_leader,
-            Fault.LEADER_HALF_HEARD: self._half_hear_leader,
-            Fault.CHANGE: self._change_members,
-            Fault.CONCURRENT_CHANGES: self._change_members_concurrently,
-            Fault.TRANSFER: self._transfer_leadership,
-            Fault.TRANSFER_AND_PARTITION: self._transfer_and_partition,
-            Fault.POWER_LOST: self._plan_power_failure,
-            Fault.DISK_FAILED: self._fail_disk,
-            Fault.ELECTIONS_STRUCK: self._plan_strikes,
+            Fault.LEADER_REACHES_ONE: self._let_leader_reach_one,
+            Fault.MEMBERSHIP_CHANGE: self._change_members,
+            Fault.CONCURRENT_MEMBERSHIP_CHANGES: self._change_members_concurrently,
+            Fault.LEADERSHIP_TRANSFER: self._transfer_leadership,
+            Fault.TRANSFER_AND_ISOLATE_LEADER: self._transfer_and_partition,
+            Fault.POWER_FAILURE: self._schedule_power_failure,
+            Fault.DISK_FAILURE: self._fail_disk,
+            Fault.ELECTION_DISRUPTION: self._schedule_election_disruptions,
         }
-        cluster.schedule(self._pause, self._inject)
+        cluster.schedule(self._mean_interval, self._inject_next)
 
-    def end(self) -> None:
+    def stop(self) -> None:
         """No more faults; what stands still or is stopped goes on."""
         cluster = self._cluster
         cluster.end_network_faults()
-        self._weights = []
-        self._strikes_left = 0
-        self._power_fails = False
-        self._deafens_leader = False
+        self._fault_weights = []
+        self._disruptions_left = 0
+        self._power_failure_pending = False
+        self._leader_isolation_pending = False
         for host in cluster.hosts.values():
             host.stalled_until = 0
-            cluster.wake(host)
+            cluster.resume(host)
             if host.node and host.node.role == Role.STOPPED:
                 cluster.crash(host, True)
 
-    def _inject(self) -> None:
-        done = False
-        if sum(self._weights) > 0:
-            kind = FAULTS[self._random.pick(self._weights)]
-            done = self._faults[kind]()
-            self.counts[kind] += done
-        pause = self._pause * self._random.draw() * 2 if done else PAUSE_AFTER_NOTHING
-        self._cluster.schedule(pause, self._inject)
+    def _inject_next(self) -> None:
+        injected = False
+        if sum(self._fault_weights) > 0:
+            kind = FAULTS[self._random.pick(self._fault_weights)]
+            injected = self._faults[kind]()
+            self.counts[kind] += injected
+        interval = (
+            self._mean_interval * self._random.draw() * 2 if injected else SKIPPED_FAULT_INTERVAL
+        )
+        self._cluster.schedule(interval, self._inject_next)
 
     # Leaders.
 
     def _leader(self) -> Host | None:
         """The host that leads in the latest term, or None."""
-        leading = [host for host in self._cluster.hosts.values() if host.leads()]
+        leading = [host for host in self._cluster.hosts.values() if host.is_leader()]
         return max(leading, key=lambda host: _node(host).term) if leading else None
 
     def _settled_leader(self) -> Host | None:
@@ -135,28 +137,28 @@
 
     # The network.
 
-    def _sever(self, side: set[str]) -> None:
+    def _cut_off(self, side: set[str]) -> None:
         """Cuts off the hosts on one side from the others."""
         names = self._cluster.hosts
-        self._cluster.severed = {
+        self._cluster.blocked_links = {
             (one, other) for one in names for other in names if (one in side) != (other in side)
         }
 
     def _partition(self) -> bool:
         """Cuts the cluster in two; messages that are on their way are lost too."""
-        self._sever({name for name in self._cluster.hosts if self._random.draw() < 0.5})
+        self._cut_off({name for name in self._cluster.hosts if self._random.draw() < 0.5})
         self._cluster.schedule(self._random.draw() * 4_000, self._heal)
         return True
 
     def _partition_one_way(self) -> bool:
-        one = self._cluster.any_host().name
-        other = self._cluster.any_host().name
-        self._cluster.severed.add((one, other))
+        one = self._cluster.random_host().name
+        other = self._cluster.random_host().name
+        self._cluster.blocked_links.add((one, other))
         self._cluster.schedule(self._random.draw() * 4_000, self._heal)
         return one != other
 
     def _heal(self) -> bool:
-        self._cluster.severed = set()
+        self._cluster.blocked_links = set()
         return True
 
     # Hosts.
@@ -164,16 +166,16 @@
     def _stall(self) -> bool:
         """A host stands still for a while, most likely the leader."""
         cluster = self._cluster
-        host = self._leader() if self._random.draw() < 0.7 else cluster.any_host()
+        host = self._leader() if self._random.draw() < 0.7 else cluster.random_host()
         if host is None or host.node is None or host.stalled_until > cluster.now:
             return False
         span = cluster.settings.lease_duration * (0.5 + self._random.draw() * 10)
         host.stalled_until = cluster.now + int(span)
-        cluster.schedule(span + 1, cluster.wake, host)
+        cluster.schedule(span + 1, cluster.resume, host)
         return True
 
-    def _crash_any(self, loses_tail: bool) -> bool:
-        self._cluster.crash(self._cluster.any_host(), loses_tail)
+    def _crash_random_host(self, loses_tail: bool) -> bool:
+        self._cluster.crash(self._cluster.random_host(), loses_tail)
         return True
 
     def _crash_leader(self) -> bool:
@@ -182,7 +184,7 @@
             self._cluster.crash(host, True)
         return host is not None
 
-    def _half_hear_leader(self) -> bool:
+    def _let_leader_reach_one(self) -> bool:
         """A leader reaches one other only and then is gone; what it left there may be committed."""
         host = self._leader()
         if host is None:
@@ -194,7 +196,7 @@
         else:
             choices = [name for name in names if name != host.name]
         other = self._cluster.choose(choices)
-        self._cluster.severed = {
+        self._cluster.blocked_links = {
             (host.name, name) for name in names if name not in (host.name, other)
         }
         self._cluster.schedule(20 + self._random.draw() * 400, self._crash_and_heal, host)
@@ -202,39 +204,39 @@
 
     def _crash_and_heal(self, host: Host) -> None:
         self._cluster.crash(host, self._random.draw() < 0.5)
-        self._cluster.severed = set()
+        self._cluster.blocked_links = set()
 
-    def _plan_power_failure(self) -> bool:
+    def _schedule_power_failure(self) -> bool:
         """All hosts fail as soon as a write is acknowledged: none has the time to sync."""
-        self._power_fails = True
+        self._power_failure_pending = True
         return True
 
-    def _write_acknowledged(self) -> None:
-        if self._power_fails:
-            self._power_fails = False
+    def _handle_acknowledged_write(self) -> None:
+        if self._power_failure_pending:
+            self._power_failure_pending = False
             self._cluster.schedule(0, self._fail_power)
 
     def _fail_power(self) -> None:
         for host in self._cluster.hosts.values():
             self._cluster.crash(host, True)
 
-    def _plan_strikes(self) -> bool:
-        self._strikes_left = 2 + self._cluster.draw_below(4)
+    def _schedule_election_disruptions(self) -> bool:
+        self._disruptions_left = 2 + self._cluster.random_below(4)
         return True
 
-    def _new_leader(self, host: Host) -> None:
-        if self._strikes_left:
-            self._strikes_left -= 1
-            self._strike(host)
+    def _handle_new_leader(self, host: Host) -> None:
+        if self._disruptions_left:
+            self._disruptions_left -= 1
+            self._disrupt_new_leader(host)
 
-    def _strike(self, host: Host) -> None:
+    def _disrupt_new_leader(self, host: Host) -> None:
         """A new leader reaches nobody or one, and it or those that elected it restart."""
         cluster = self._cluster
         others = [name for name in cluster.hosts if name != host.name]
         near = cluster.choose(others) if self._random.draw() < 0.7 else None
-        cluster.severed = {(host.name, name) for name in others if name != near}
+        cluster.blocked_links = {(host.name, name) for name in others if name != near}
         if self._random.draw() < 0.3:
-            cluster.severed |= {(name, host.name) for name in others}
+            cluster.blocked_links |= {(name, host.name) for name in others}
             for name in others:
                 cluster.schedule(1, cluster.crash, cluster.hosts[name], False)
             cluster.schedule(3_000, self._heal)
@@ -243,7 +245,7 @@
 
     # Disks.
 
-    def _may_lose_disk(self) -> bool:
+    def _disk_loss_allowed(self) -> bool:
         """Whether all voters have their disks: Raft promises nothing if a majority loses them."""
         leader = self._leader()
         if leader is None:
@@ -258,10 +260,10 @@
 
     def _lose_disk(self) -> bool:
         """A node comes back under a new disk incarnation, as a learner once it is taken in."""
-        if not self._may_lose_disk():
+        if not self._disk_loss_allowed():
             return False
         cluster = self._cluster
-        host = cluster.any_host()
+        host = cluster.random_host()
         cluster.crash(host, True)
         host.disk = Disk(cluster.new_incarnation())
         if self._keeps_disk_incarnation and host.name in cluster.founders:
@@ -271,10 +273,10 @@
     def _fail_disk(self) -> bool:
         """A node is of no use until it is started again, with what its disk holds."""
         cluster = self._cluster
-        host = cluster.any_host()
+        host = cluster.random_host()
         if host.node is None or host.stalled_until > cluster.now:
             return False
-        cluster.tell(host, DiskFailed("by chance"))
+        cluster.handle_event(host, DiskFailed("by chance"))
         cluster.schedule(500 + self._random.draw() * 2_000, cluster.crash, host, True)
         return True
 
@@ -288,7 +290,7 @@
         command = self._change_command(self._members(leader))
         if command is None:
             return False
-        self._clients.operate(leader, command)
+        self._clients.send_operator_command(leader, command)
         if self._random.draw() < 0.3:
             self._cluster.schedule(1, self._change_members)
         return True
@@ -311,7 +313,7 @@
         return None
 
     def _add_command(self, names: list[str]) -> dict[str, object]:
-        name = names[self._cluster.draw_below(len(names))]
+        name = names[self._cluster.random_below(len(names))]
         return {"do": "add", "name": name, "life": self._cluster.hosts[name].disk.incarnation}
 
     def _change_members_concurrently(self) -> bool:
@@ -325,35 +327,35 @@
         if self._random.draw() < 0.5:
             near = {leader.name}
             if len(voters) > MIN_VOTERS:
-                near.add(others[cluster.draw_below(len(others))])
-            self._sever(near)
+                near.add(others[cluster.random_below(len(others))])
+            self._cut_off(near)
             others = [name for name in others if name not in near]
             cluster.schedule(200 + self._random.draw() * 2_000, self._heal)
         for step in range(min(2, len(voters) - 2)):
             command = {"do": "remove", "name": others[step]}
-            cluster.schedule(5 * step, self._clients.operate, leader, command)
+            cluster.schedule(5 * step, self._clients.send_operator_command, leader, command)
         return len(voters) > 2
 
     def _transfer_leadership(self) -> bool:
         leader = self._leader()
         if leader:
             name = self._cluster.choose(self._members(leader).voters)
-            self._clients.operate(leader, {"do": "transfer", "name": name})
+            self._clients.send_operator_command(leader, {"do": "transfer", "name": name})
         return leader is not None
 
     def _transfer_and_partition(self) -> bool:
         """The leader tells another to take over and then hears nothing more."""
-        self._deafens_leader = True
+        self._leader_isolation_pending = True
         return self._transfer_leadership()
 
-    def _timeout_now(self, sender: str, peer: str, message: Message) -> None:
-        if not self._deafens_leader:
+    def _handle_timeout_now(self, sender: str, peer: str, message: Message) -> None:
+        if not self._leader_isolation_pending:
             return
         cluster = self._cluster
-        self._deafens_leader = False
-        cluster.severed = {(other, sender) for other in cluster.hosts}
+        self._leader_isolation_pending = False
+        cluster.blocked_links = {(other, sender) for other in cluster.hosts}
         cluster.schedule(1_000, self._heal)
-        cluster.schedule(1, cluster.arrive, sender, peer, message)
+        cluster.schedule(1, cluster.deliver, sender, peer, message)
 
 
 def _node(host: Host) -> RaftNode:
--- a/thymeknot/raft/model_checker.py
+++ b/thymeknot/raft/model_checker.py
@@ -5,14 +5,14 @@
 
 from ..interface.clock import Ticks
 from ..state.random_source import LinearCongruentialGenerator
-from .broken_variants import BROKEN, CORRECT, FOCUS
+from .broken_variants import BROKEN_VARIANTS, CORRECT_VARIANT, REVEALING_FAULTS
 from .cluster_faults import FAULTS, Fault, FaultInjector
 from .errors import RaftError
 from .settings import ElectionTimeout, RaftSettings
 from .simulated_clients import SimulatedClients
 from .simulated_cluster import Conditions, InvariantError, Random, SimulatedCluster
 
-SMALL = RaftSettings(
+SMALL_LIMITS = RaftSettings(
     heartbeat_interval=100,
     election_timeout=ElectionTimeout(500, 1_000),
     lease_duration=300,
@@ -31,15 +31,15 @@
     max_delayed_messages=64,
 )
 """Small limits, so that runs reach them."""
-SETTLING_TIME: Ticks = 40_000
+RECOVERY_TIMEOUT: Ticks = 40_000
 """Simulated time within which a cluster without faults must acknowledge writes."""
-SETTLING_WRITES = 6
+RECOVERY_WRITES = 6
 """Writes that show that a cluster gets on."""
 WARM_UP_DRAWS = 4
 """The first numbers of similar seeds are similar."""
 
 
-class StandstillError(RaftError):
+class LivenessError(RaftError):
     """Nothing gets on, though it could."""
 
 
@@ -57,14 +57,14 @@
         bereft: faults and operators left too few complete voters for anything to be committed.
     """
 
-    states: int
+    event_count: int
     faults: Mapping[Fault, int]
     writes: int
     reads: int
     leaders: int
     counterexamples: tuple[str, ...]
-    standstill: str | None
-    bereft: bool
+    liveness_failure: str | None
+    quorum_lost: bool
 
 
 class SearchResult(NamedTuple):
@@ -76,33 +76,33 @@
 
 def draw_conditions(random: Random, focus: Collection[str] | None) -> Conditions:
     """The conditions of a run; with a focus, few faults of the network and many of some kinds."""
-    loss = random.draw() * 0.2
-    duplication = random.draw() * 0.15
-    late_share = random.draw() * 0.3
-    late_delay = 600 if random.draw() < 0.7 else 3_000
+    loss_share = random.draw() * 0.2
+    duplication_share = random.draw() * 0.15
+    delayed_share = random.draw() * 0.3
+    max_extra_delay = 600 if random.draw() < 0.7 else 3_000
     sync_share = random.draw()
-    sync_delay = sync_share * (60 if random.draw() < 0.6 else 400)
+    max_sync_delay = sync_share * (60 if random.draw() < 0.6 else 400)
     promotion_share = random.draw()
     single_entries = random.draw() < 0.5
     # Only some kinds of fault in a run, each as often as it draws.
     weights = [random.draw() if random.draw() < 0.6 else 0.0 for _ in FAULTS]
-    pause = 200 + random.draw() * 3_000
+    mean_fault_interval = 200 + random.draw() * 3_000
     if focus:
         weights = [float(kind in focus) for kind in FAULTS]
-        pause = 800
-        loss /= 8
-        duplication /= 8
-        late_share /= 8
+        mean_fault_interval = 800
+        loss_share /= 8
+        duplication_share /= 8
+        delayed_share /= 8
     return Conditions(
-        loss=loss,
-        duplication=duplication,
-        late_share=late_share,
-        late_delay=late_delay,
-        sync_delay=sync_delay,
+        loss_share=loss_share,
+        duplication_share=duplication_share,
+        delayed_share=delayed_share,
+        max_extra_delay=max_extra_delay,
+        max_sync_delay=max_sync_delay,
         promotion_share=promotion_share,
         single_entries=single_entries,
         fault_weights=weights,
-        fault_pause=pause,
+        mean_fault_interval=mean_fault_interval,
         founder_count=3 if random.draw() < 0.6 else 5,
     )
 
@@ -122,7 +122,7 @@
         for _ in range(WARM_UP_DRAWS):
             random.draw()
         conditions = draw_conditions(random, focus)
-        variant = BROKEN[variant_name] if variant_name else CORRECT
+        variant = BROKEN_VARIANTS[variant_name] if variant_name else CORRECT_VARIANT
         if conditions.single_entries:
             settings = settings._replace(max_batch_entries=1)
         self.cluster = SimulatedCluster(
@@ -136,9 +136,9 @@
         self.faults = FaultInjector(
             self.cluster, self.clients, conditions, variant.keeps_disk_incarnation
         )
-        self.bereft = False
+        self.quorum_lost = False
 
-    def settle(self) -> None:
+    def check_recovery(self) -> None:
         """Ends the faults: new writes are acknowledged, unless too few disks are left.
 
         Raises:
@@ -147,17 +147,17 @@
         """
         clients = self.clients
         hosts = self.cluster.hosts.values()
-        self.faults.end()
-        before = clients.writes
-        wanted = before + SETTLING_WRITES
-        self.cluster.run_for(SETTLING_TIME, lambda: clients.writes >= wanted)
-        self.bereft = not all(
+        self.faults.stop()
+        writes_before = clients.writes
+        target_writes = writes_before + RECOVERY_WRITES
+        self.cluster.run_for(RECOVERY_TIMEOUT, lambda: clients.writes >= target_writes)
+        self.quorum_lost = not all(
             self._has_quorum(host.node.log.members.voters) for host in hosts if host.node
         )
-        if clients.writes < wanted and not self.bereft:
-            raise StandstillError("nothing is agreed though all faults are over")
+        if clients.writes < target_writes and not self.quorum_lost:
+            raise LivenessError("nothing is agreed though all faults are over")
         longest = max(len(host.register.write_ids) for host in hosts)
-        if clients.writes > before and clients.acknowledged > longest:
+        if clients.writes > writes_before and clients.acknowledged > longest:
             raise InvariantError("what was acknowledged is gone")
 
     def _has_quorum(self, voters: dict[str, int]) -> bool:
@@ -171,7 +171,7 @@
     seed: int,
     steps: int,
     variant: str | None = None,
-    settings: RaftSettings = SMALL,
+    settings: RaftSettings = SMALL_LIMITS,
     focus: Collection[str] | None = None,
 ) -> Report:
     """Runs a cluster once.
@@ -186,23 +186,23 @@
     run = Run(seed, variant, settings, focus)
     cluster = run.cluster
     counterexamples: tuple[str, ...] = ()
-    standstill = None
+    liveness_failure = None
     try:
         cluster.run(steps)
-        run.settle()
+        run.check_recovery()
     except InvariantError as error:
         counterexamples = (f"seed {seed}, event {cluster.event_count}, at {cluster.now}: {error}",)
-    except StandstillError as error:
-        standstill = f"seed {seed}, event {cluster.event_count}, at {cluster.now}: {error}"
+    except LivenessError as error:
+        liveness_failure = f"seed {seed}, event {cluster.event_count}, at {cluster.now}: {error}"
     return Report(
-        states=cluster.event_count,
+        event_count=cluster.event_count,
         faults=dict(run.faults.counts),
         writes=run.clients.writes,
         reads=run.clients.reads,
         leaders=len(cluster.leaders),
         counterexamples=counterexamples,
-        standstill=standstill,
-        bereft=run.bereft,
+        liveness_failure=liveness_failure,
+        quorum_lost=run.quorum_lost,
     )
 
 
@@ -211,7 +211,7 @@
     tried = 0
     for seed in seeds:
         tried += 1
-        report = explore(seed, steps, variant, focus=FOCUS.get(variant))
+        report = explore(seed, steps, variant, focus=REVEALING_FAULTS.get(variant))
         if report.counterexamples:
             return SearchResult(tried, report.counterexamples[0])
     return SearchResult(tried, None)
--- a/thymeknot/raft/simulated_clients.py
+++ b/thymeknot/raft/simulated_clients.py
@@ -17,7 +17,7 @@
 from .state_machine import Command
 
 CLIENT_COUNT = 3
-MAX_CALLS = 4096
+MAX_PENDING_CALLS = 4096
 """Calls without an outcome that are remembered."""
 
 
@@ -68,18 +68,18 @@
         self.on_acknowledged: Callable[[], object] = lambda: None
         self._cluster = cluster
         self._random = cluster.random
-        self._calls: dict[int, _Call] = {}  # by token
-        self._tokens = 0
+        self._pending_calls: dict[int, _Call] = {}  # by token
+        self._last_token = 0
         self._clients = {f"client{number}": _ClientState() for number in range(CLIENT_COUNT)}
         cluster.observer = self
         for name in self._clients:
-            cluster.schedule(self._random.draw() * 500, self._write, name)
-        cluster.schedule(self._random.draw() * 500, self._read)
+            cluster.schedule(self._random.draw() * 500, self._send_write, name)
+        cluster.schedule(self._random.draw() * 500, self._send_read)
 
-    def _write(self, name: str) -> None:
+    def _send_write(self, name: str) -> None:
         """Sends one command at a time; after an unknown outcome the same number again."""
         client = self._clients[name]
-        self._cluster.schedule(20 + self._random.draw() * 200, self._write, name)
+        self._cluster.schedule(20 + self._random.draw() * 200, self._send_write, name)
         if client.command is None:
             client.number += 1
             command_id = f"{name}.{client.incarnation}.{client.number}"
@@ -87,44 +87,44 @@
         host = self._likely_leader()
         token = self._new_token(_CommandCall(name, client.incarnation, client.number))
         event = CommandProposed(token, name, client.incarnation, client.number, client.command)
-        self._cluster.tell(host, event)
+        self._cluster.handle_event(host, event)
 
-    def _read(self) -> None:
-        self._cluster.schedule(20 + self._random.draw() * 150, self._read)
+    def _send_read(self) -> None:
+        self._cluster.schedule(20 + self._random.draw() * 150, self._send_read)
         host = self._likely_leader()
         token = self._new_token(_ReadCall(self.acknowledged))
-        self._cluster.tell(host, ReadRequested(token))
+        self._cluster.handle_event(host, ReadRequested(token))
 
     def _likely_leader(self) -> Host:
         cluster = self._cluster
-        leading = [host for host in cluster.hosts.values() if host.leads()]
+        leading = [host for host in cluster.hosts.values() if host.is_leader()]
         if leading and self._random.draw() < 0.9:
-            return leading[cluster.draw_below(len(leading))]
-        return cluster.any_host()
+            return leading[cluster.random_below(len(leading))]
+        return cluster.random_host()
 
-    def operate(self, leader: Host, command: dict[str, Any]) -> None:
+    def send_operator_command(self, leader: Host, command: dict[str, Any]) -> None:
         """An operator sends the nodes a command."""
-        self._tokens += 1
+        self._last_token += 1
         token = self._new_token(_OperatorCall())
         origin = f"operator{token}"
         event = CommandProposed(token, origin, 0, 1, {"part": RAFT_PART, **command})
-        self._cluster.tell(leader, event)
+        self._cluster.handle_event(leader, event)
 
     def _new_token(self, call: _Call) -> int:
-        self._tokens += 1
-        if len(self._calls) > MAX_CALLS:
-            self._calls.pop(next(iter(self._calls)))
-        self._calls[self._tokens] = call
-        return self._tokens
+        self._last_token += 1
+        if len(self._pending_calls) > MAX_PENDING_CALLS:
+            self._pending_calls.pop(next(iter(self._pending_calls)))
+        self._pending_calls[self._last_token] = call
+        return self._last_token
 
     # Answers.
 
-    def _take_call(self, token: object) -> _Call | None:
-        return self._calls.pop(token, None) if isinstance(token, int) else None
+    def _take_pending_call(self, token: object) -> _Call | None:
+        return self._pending_calls.pop(token, None) if isinstance(token, int) else None
 
-    def completed(self, host: Host, effect: CommandCompleted) -> None:
+    def command_completed(self, host: Host, effect: CommandCompleted) -> None:
         """Takes the reply to a command."""
-        call = self._take_call(effect.token)
+        call = self._take_pending_call(effect.token)
         reply = effect.reply
         if not isinstance(call, _CommandCall) or reply is None or "place" not in reply:
             return
@@ -140,7 +140,7 @@
 
     def read_ready(self, host: Host, effect: ReadReady) -> None:
         """A read must see at least what was acknowledged before it was asked."""
-        call = self._take_call(effect.token)
+        call = self._take_pending_call(effect.token)
         if not isinstance(call, _ReadCall):
             return
         self.reads += 1
@@ -151,6 +151,6 @@
                 "acknowledged before it was asked"
             )
 
-    def rejected(self, host: Host, effect: RequestRejected) -> None:
+    def request_rejected(self, host: Host, effect: RequestRejected) -> None:
         """A call has no outcome."""
-        self._take_call(effect.token)
+        self._take_pending_call(effect.token)
--- a/thymeknot/raft/simulated_cluster.py
+++ b/thymeknot/raft/simulated_cluster.py
@@ -33,12 +33,12 @@
 from .settings import RaftSettings
 from .simulated_host import Host, Register
 
-NAMES = "abcde"
+HOST_NAMES = "abcde"
 MIN_HOSTS = 4
 """One more than the fewest founders, so that there is one to be taken in."""
 FIRST_NEW_INCARNATION = 101
 """Of disks that were not there from the beginning."""
-SOCKET_MESSAGES = 64
+MAX_BUFFERED_MESSAGES = 64
 """Messages that wait for a node that stands still; a socket's buffer holds no more."""
 
 Item = TypeVar("Item")
@@ -74,28 +74,28 @@
         founder_count: nodes that found the cluster.
     """
 
-    loss: float
-    duplication: float
-    late_share: float
-    late_delay: Ticks
-    sync_delay: float
+    loss_share: float
+    duplication_share: float
+    delayed_share: float
+    max_extra_delay: Ticks
+    max_sync_delay: float
     promotion_share: float
     single_entries: bool
     fault_weights: list[float]
-    fault_pause: float
+    mean_fault_interval: float
     founder_count: int
 
 
 class Observer(Protocol):
     """What the nodes' clients are told."""
 
-    def completed(self, host: Host, effect: CommandCompleted) -> None:
+    def command_completed(self, host: Host, effect: CommandCompleted) -> None:
         """A command has its reply."""
 
     def read_ready(self, host: Host, effect: ReadReady) -> None:
         """The register may be read."""
 
-    def rejected(self, host: Host, effect: RequestRejected) -> None:
+    def request_rejected(self, host: Host, effect: RequestRejected) -> None:
         """A command or read was rejected."""
 
 
@@ -124,7 +124,7 @@
         self.now: Ticks = 0
         self.event_count = 0  # events that nodes handled
         self.leaders: dict[int, str] = {}  # by term
-        self.severed: set[tuple[str, str]] = set()  # (sender, receiver) that are cut off
+        self.blocked_links: set[tuple[str, str]] = set()  # (sender, receiver) that are cut off
         self.observer: Observer | None = None
         self.on_new_leader: Callable[[Host], object] = lambda _: None
         self.on_timeout_now: Callable[[str, str, Message], object] = lambda *_: None
@@ -135,7 +135,7 @@
         self._sequence = 0  # orders what is due at the same moment
         self._next_incarnation = FIRST_NEW_INCARNATION
         self._committed: dict[int, tuple[Ticks, bytes]] = {}  # by index: agreed time, command
-        self._carry_out: dict[type[Effect], Callable[[Host, Any], None]] = {
+        self._effect_handlers: dict[type[Effect], Callable[[Host, Any], None]] = {
             Send: self._send,
             Persist: self._persist,
             SetTimer: self._set_timer,
@@ -145,11 +145,11 @@
             EntryApplied: self._entry_applied,
             SteppedDown: lambda _host, _effect: None,
         }
-        self.founders = NAMES[: conditions.founder_count]
-        names = NAMES[: max(MIN_HOSTS, conditions.founder_count)]
+        self.founders = HOST_NAMES[: conditions.founder_count]
+        names = HOST_NAMES[: max(MIN_HOSTS, conditions.founder_count)]
         self.hosts = {name: self._new_host(name) for name in names}
         for host in self.hosts.values():
-            self.boot(host)
+            self.start_node(host)
 
     def _new_host(self, name: str) -> Host:
         incarnation = 0 if name in self.founders else self.new_incarnation()
@@ -162,18 +162,18 @@
         self._next_incarnation += 1
         return incarnation
 
-    def draw_below(self, limit: int) -> int:
+    def random_below(self, limit: int) -> int:
         """A number in [0, limit)."""
         return int(self.random.draw() * limit)
 
     def choose(self, items: Iterable[Item]) -> Item | None:
         """One of the items, or None if there is none."""
         choices = list(items)
-        return choices[self.draw_below(len(choices))] if choices else None
+        return choices[self.random_below(len(choices))] if choices else None
 
-    def any_host(self) -> Host:
+    def random_host(self) -> Host:
         """One of the hosts."""
-        return list(self.hosts.values())[self.draw_below(len(self.hosts))]
+        return list(self.hosts.values())[self.random_below(len(self.hosts))]
 
     # Time.
 
@@ -189,14 +189,14 @@
 
     def run(self, events: int) -> None:
         """Runs until nodes handled so many more events."""
-        until = self.event_count + events
-        while self.event_count < until and self._queue:
+        target_count = self.event_count + events
+        while self.event_count < target_count and self._queue:
             self._run_next()
 
-    def run_for(self, span: Ticks, done: Callable[[], bool]) -> None:
+    def run_for(self, duration: Ticks, done: Callable[[], bool]) -> None:
         """Runs for so long, or until it is done."""
-        ends = self.now + span
-        while self._queue and self._queue[0][0] <= ends and not done():
+        end_time = self.now + duration
+        while self._queue and self._queue[0][0] <= end_time and not done():
             self._run_next()
 
     def _run_next(self) -> None:
@@ -205,16 +205,16 @@
 
     # Nodes.
 
-    def boot(self, host: Host) -> None:
+    def start_node(self, host: Host) -> None:
         """Starts a host's node with what its disk holds."""
-        host.boots += 1
+        host.generation += 1
         disk = host.disk
         recovered = Recovered(disk.incarnation)
         if disk.records:
             recovered = replay_records(disk.records, disk.incarnation)
         host.register = Register()
-        host.timer = None
-        host.delayed = []
+        host.timer_at = None
+        host.delayed_events = []
         host.node = self._node_class(
             host.name,
             self.founders if disk.incarnation == 0 else None,
@@ -224,36 +224,40 @@
             host.register,
             self.clock(host),
         )
-        self.tell(host, TimerDue())
+        self.handle_event(host, TimerDue())
 
-    def tell(self, host: Host, event: Event) -> None:
+    def handle_event(self, host: Host, event: Event) -> None:
         """Gives a node an event; it is kept for later while the node stands still."""
         if host.node is None:
             return
         if host.stalled_until > self.now:
-            self._delay(host, event)
+            self._delay_event(host, event)
             return
         self.event_count += 1
         for effect in host.node.handle(self.clock(host), event):
-            self._carry_out[type(effect)](host, effect)
+            self._effect_handlers[type(effect)](host, effect)
         self._check_leader(host)
 
-    def _delay(self, host: Host, event: Event) -> None:
-        host.delayed.append(event)
-        messages = [one for one in host.delayed if isinstance(one, MessageReceived)]
-        if len(messages) > SOCKET_MESSAGES:  # what the disk has to say isn't lost
-            host.delayed.remove(messages[0])
+    def _delay_event(self, host: Host, event: Event) -> None:
+        host.delayed_events.append(event)
+        messages = [
+            delayed for delayed in host.delayed_events if isinstance(delayed, MessageReceived)
+        ]
+        if len(messages) > MAX_BUFFERED_MESSAGES:  # what the disk has to say isn't lost
+            host.delayed_events.remove(messages[0])
 
-    def wake(self, host: Host) -> None:
+    def resume(self, host: Host) -> None:
         """A host stands still no longer: its node takes what has come, in some order."""
-        waiting = host.delayed
-        host.delayed = []
+        waiting_events = host.delayed_events
+        host.delayed_events = []
         if self.random.draw() < 0.5:  # its clients' sockets may be the first that it looks at
-            for event in [one for one in waiting if not isinstance(one, MessageReceived)]:
-                waiting.remove(event)
-                self.tell(host, event)
-        while waiting:
-            self.tell(host, waiting.pop(self.draw_below(len(waiting))))
+            for event in [
+                waiting for waiting in waiting_events if not isinstance(waiting, MessageReceived)
+            ]:
+                waiting_events.remove(event)
+                self.handle_event(host, event)
+        while waiting_events:
+            self.handle_event(host, waiting_events.pop(self.random_below(len(waiting_events))))
 
     def crash(self, host: Host, loses_tail: bool) -> None:
         """A host goes down for a while.
@@ -268,18 +272,18 @@
         if loses_tail:
             kept = disk.synced
             if self.random.draw() < 0.5:
-                kept += self.draw_below(len(disk.records) - disk.synced + 1)
+                kept += self.random_below(len(disk.records) - disk.synced + 1)
             del disk.records[kept:]
         disk.records = self._records_after_crash(disk.records)
         disk.synced = len(disk.records)
         host.node = None
         host.stalled_until = 0
-        host.boots += 1
+        host.generation += 1
         self.schedule(20 + self.random.draw() ** 2 * 2_000, self._restart, host)
 
     def _restart(self, host: Host) -> None:
         if host.node is None:
-            self.boot(host)
+            self.start_node(host)
 
     # Effects.
 
@@ -289,49 +293,51 @@
             self.on_timeout_now(host.name, peer, message)
         conditions = self._conditions
         if (
-            (host.name, peer) in self.severed
-            or self.random.draw() < conditions.loss
+            (host.name, peer) in self.blocked_links
+            or self.random.draw() < conditions.loss_share
             or peer not in self.hosts
         ):
             return
-        for _ in range(2 if self.random.draw() < conditions.duplication else 1):
-            late = conditions.late_delay if self.random.draw() < conditions.late_share else 0
-            delay = 1 + self.random.draw() * 20 + self.random.draw() * late
-            self.schedule(delay, self.arrive, host.name, peer, message)
+        for _ in range(2 if self.random.draw() < conditions.duplication_share else 1):
+            extra_delay = (
+                conditions.max_extra_delay if self.random.draw() < conditions.delayed_share else 0
+            )
+            delay = 1 + self.random.draw() * 20 + self.random.draw() * extra_delay
+            self.schedule(delay, self.deliver, host.name, peer, message)
 
-    def arrive(self, sender: str, peer: str, message: Message) -> None:
+    def deliver(self, sender: str, peer: str, message: Message) -> None:
         """A message comes, unless its way is cut off."""
-        if (sender, peer) not in self.severed:
-            self.tell(self.hosts[peer], MessageReceived(sender, message))
+        if (sender, peer) not in self.blocked_links:
+            self.handle_event(self.hosts[peer], MessageReceived(sender, message))
 
     def _persist(self, host: Host, effect: Persist) -> None:
         host.disk.records.extend(effect.records)
-        delay = 1 + self.random.draw() * self._conditions.sync_delay
+        delay = 1 + self.random.draw() * self._conditions.max_sync_delay
         count = len(host.disk.records)
-        self.schedule(delay, self._synced, host, host.boots, count, effect.serial)
+        self.schedule(delay, self._sync_completed, host, host.generation, count, effect.serial)
 
-    def _synced(self, host: Host, boots: int, count: int, serial: int) -> None:
-        if host.boots == boots and host.node is not None:
+    def _sync_completed(self, host: Host, generation: int, count: int, serial: int) -> None:
+        if host.generation == generation and host.node is not None:
             host.disk.synced = max(host.disk.synced, count)
-            self.tell(host, RecordsStored(serial))
+            self.handle_event(host, RecordsStored(serial))
 
     def _set_timer(self, host: Host, effect: SetTimer) -> None:
-        host.timer = effect.at
+        host.timer_at = effect.at
         wait = (effect.at - self.clock(host)) / host.clock_rate + 1
-        self.schedule(wait, self._timer_due, host, host.boots, effect.at)
+        self.schedule(wait, self._timer_expired, host, host.generation, effect.at)
 
-    def _timer_due(self, host: Host, boots: int, at: Ticks) -> None:
-        if host.boots != boots or host.timer != at:
+    def _timer_expired(self, host: Host, generation: int, at: Ticks) -> None:
+        if host.generation != generation or host.timer_at != at:
             return
         if host.stalled_until > self.now:
             wait = host.stalled_until - self.now + 1
-            self.schedule(wait, self._timer_due, host, boots, at)
+            self.schedule(wait, self._timer_expired, host, generation, at)
         else:
-            self.tell(host, TimerDue())
+            self.handle_event(host, TimerDue())
 
     def _command_completed(self, host: Host, effect: CommandCompleted) -> None:
         if self.observer:
-            self.observer.completed(host, effect)
+            self.observer.command_completed(host, effect)
 
     def _read_ready(self, host: Host, effect: ReadReady) -> None:
         if self.observer:
@@ -339,7 +345,7 @@
 
     def _request_rejected(self, host: Host, effect: RequestRejected) -> None:
         if self.observer:
-            self.observer.rejected(host, effect)
+            self.observer.request_rejected(host, effect)
 
     # What must hold.
 
@@ -351,26 +357,28 @@
             raise InvariantError(
                 f"{host.name} applied another entry at {index} than was applied there before"
             )
-        before = self._committed.get(index - 1)
-        if before and before[0] > effect.at:
+        previous = self._committed.get(index - 1)
+        if previous and previous[0] > effect.at:
             raise InvariantError(f"agreed time goes back at {index}")
         command = effect.command
-        if command.get("part") == "register" and host.register.times[command["id"]] > 1:
+        if command.get("part") == "register" and host.register.apply_counts[command["id"]] > 1:
             raise InvariantError(f"{command['id']} was applied twice")
 
     def _check_leader(self, host: Host) -> None:
         """A term has one leader."""
         node = host.node
-        if node is None or not host.leads():
+        if node is None or not host.is_leader():
             return
         is_new = node.term not in self.leaders
-        known = self.leaders.setdefault(node.term, host.name)
-        if known != host.name:
-            raise InvariantError(f"{host.name} and {known} lead in term {node.term}")
+        known_leader = self.leaders.setdefault(node.term, host.name)
+        if known_leader != host.name:
+            raise InvariantError(f"{host.name} and {known_leader} lead in term {node.term}")
         if is_new:
             self.on_new_leader(host)
 
     def end_network_faults(self) -> None:
         """From now on the network is as good as one can be."""
-        self.severed = set()
-        self._conditions = self._conditions._replace(loss=0.0, duplication=0.0, late_share=0.0)
+        self.blocked_links = set()
+        self._conditions = self._conditions._replace(
+            loss_share=0.0, duplication_share=0.0, delayed_share=0.0
+        )
--- a/thymeknot/raft/simulated_host.py
+++ b/thymeknot/raft/simulated_host.py
@@ -15,12 +15,12 @@
 
     def __init__(self) -> None:
         self.write_ids: list[str] = []
-        self.times: Counter[str] = Counter()
+        self.apply_counts: Counter[str] = Counter()
 
     def apply(self, at: Ticks, command: Command) -> Reply:
         """Adds a write; its place is the reply."""
         self.write_ids.append(command["id"])
-        self.times[command["id"]] += 1
+        self.apply_counts[command["id"]] += 1
         return {"ok": True, "place": len(self.write_ids)}
 
     def image(self) -> list[str]:
@@ -30,7 +30,7 @@
     def load(self, image: list[str]) -> None:
         """Replaces the writes."""
         self.write_ids = list(image)
-        self.times = Counter(image)
+        self.apply_counts = Counter(image)
 
 
 class Disk:
@@ -68,11 +68,11 @@
         self.disk = Disk(incarnation)
         self.register = Register()
         self.node: RaftNode | None = None
-        self.boots = 0
+        self.generation = 0
         self.stalled_until: Ticks = 0
-        self.delayed: list[Event] = []
-        self.timer: Ticks | None = None
+        self.delayed_events: list[Event] = []
+        self.timer_at: Ticks | None = None
 
-    def leads(self) -> bool:
+    def is_leader(self) -> bool:
         """Whether its node is up and thinks that it leads."""
         return self.node is not None and self.node.role == Role.LEADER
