--- a/thymeknot/raft/broken_variants.py
+++ b/thymeknot/raft/broken_variants.py
@@ -1,4 +1,8 @@
-"""Nodes that are wrong in one thing each: a model checker that doesn't find them finds nothing."""
+"""Variants of the node that each violate one rule of Raft.
+
+They test the model checker: it must find a counterexample for each of them, or its passing runs
+prove nothing.
+"""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -30,7 +34,7 @@
 
 
 class RespondsBeforeSync(RaftNode):
-    """Answers before it wrote."""
+    """Responds before its records are durable."""
 
     outbox_class = _UnsyncedOutbox
 
@@ -41,7 +45,7 @@
 
 
 class CommitsEarlierTerms(RaftNode):
-    """Commits an earlier term's entries once a majority holds them."""
+    """Commits entries of earlier terms by counting replicas, against 5.4.2 of the Raft paper."""
 
     replication_class = _EarlierTermReplication
 
@@ -52,7 +56,7 @@
 
 
 class AppliesTwice(RaftNode):
-    """Applies a repeated number again."""
+    """Applies a command again when its sequence number is repeated."""
 
     sessions_class = _ForgetfulSessions
 
@@ -63,7 +67,7 @@
 
 
 class ReadsWithoutQuorum(RaftNode):
-    """Serves reads without having asked whether it leads still."""
+    """Serves reads without confirming its leadership with a quorum."""
 
     reads_class = _UnconfirmedReads
 
@@ -76,13 +80,13 @@
 
 
 class IgnoresStalls(RaftNode):
-    """Its lease lasts while it stands still, since it looks at its clock with its timer only."""
+    """Checks its lease against the time of its last timer only, so that a stall extends it."""
 
     reads_class = _TimerReads
     reads: _TimerReads
 
     def handle(self, now: Ticks, event: Event) -> list[Effect]:
-        """Takes an event."""
+        """Handles an event and records the time if it is a timer."""
         if isinstance(event, TimerDue):
             self.reads.checked_at = now
         self.last_handled_at = now
@@ -95,7 +99,7 @@
 
 
 class AllowsConcurrentChanges(RaftNode):
-    """Takes a change of members before the one before is committed."""
+    """Accepts a membership change before the previous one is committed."""
 
     membership_class = _UncheckedMembership
 
@@ -106,7 +110,7 @@
 
 
 class StampsLocalTime(RaftNode):
-    """Stamps entries by its own clock, whatever earlier leaders stamped."""
+    """Stamps entries with its own clock, even if earlier entries have a later time."""
 
     replication_class = _OwnClockReplication
 
@@ -119,7 +123,7 @@
 
 
 class VotesForOlderLogs(RaftNode):
-    """Votes for a log that is older than its own."""
+    """Grants its vote to a candidate whose log is less up-to-date than its own."""
 
     elections_class = _UncheckedElections
 
@@ -129,15 +133,18 @@
         state = self.state
         if state.role != Role.LEADER:
             return
-        held = [state.outbox.durable_index, *(peer.match_index for peer in self.peers.values())]
-        held.sort(reverse=True)
-        index = held[len(state.log.members.voters) // 2]
+        match_indices = [
+            state.outbox.durable_index,
+            *(peer.match_index for peer in self.peers.values()),
+        ]
+        match_indices.sort(reverse=True)
+        index = match_indices[len(state.log.members.voters) // 2]
         if index > state.commit_index and self.may_commit(index):
             state.commit_to(index)
 
 
 class CountsLearners(RaftNode):
-    """A learner's acknowledgement counts as a voter's."""
+    """Counts acknowledgements of learners towards the quorum."""
 
     replication_class = _LearnerReplication
 
@@ -152,7 +159,7 @@
 
 
 class SkipsLogMatching(RaftNode):
-    """Takes a leader's entries without a look at what is before them."""
+    """Appends a leader's entries without checking that the preceding entry matches."""
 
     follower_class = _UncheckedFollower
 
@@ -167,12 +174,14 @@
 
 @dataclass(frozen=True)
 class Variant:
-    """A cluster of nodes that may be wrong in one thing.
+    """A variant of the nodes of a cluster, which may violate one rule.
 
     Attributes:
-        node_class: of all nodes.
-        records_after_crash: what a disk holds after a crash.
-        keeps_disk_incarnation: a founder whose disk was lost comes back as if it were the old one.
+        node_class: Class of all nodes.
+        records_after_crash: Returns the records that a disk holds after a crash, given those that
+            it held before.
+        keeps_disk_incarnation: Whether a founder that lost its disk rejoins under its former disk
+            incarnation.
     """
 
     node_class: type[RaftNode] = RaftNode
@@ -183,28 +192,28 @@
 CORRECT_VARIANT = Variant()
 
 BROKEN_VARIANTS = {
-    "answers before it wrote": Variant(RespondsBeforeSync),
-    "forgets its vote": Variant(records_after_crash=_records_without_votes),
-    "counts an earlier term's": Variant(CommitsEarlierTerms),
-    "applies twice": Variant(AppliesTwice),
-    "reads alone": Variant(ReadsWithoutQuorum),
-    "stood still": Variant(IgnoresStalls),
-    "many changes": Variant(AllowsConcurrentChanges),
-    "lost disk votes": Variant(keeps_disk_incarnation=True),
-    "time goes back": Variant(StampsLocalTime),
-    "votes for an older log": Variant(VotesForOlderLogs),
-    "learners count": Variant(CountsLearners),
-    "takes without a look": Variant(SkipsLogMatching),
+    "responds before sync": Variant(RespondsBeforeSync),
+    "forgets votes in a crash": Variant(records_after_crash=_records_without_votes),
+    "commits earlier terms": Variant(CommitsEarlierTerms),
+    "applies commands twice": Variant(AppliesTwice),
+    "reads without a quorum": Variant(ReadsWithoutQuorum),
+    "ignores stalls": Variant(IgnoresStalls),
+    "allows concurrent membership changes": Variant(AllowsConcurrentChanges),
+    "votes after losing its disk": Variant(keeps_disk_incarnation=True),
+    "agreed time decreases": Variant(StampsLocalTime),
+    "votes for older logs": Variant(VotesForOlderLogs),
+    "counts learners": Variant(CountsLearners),
+    "skips the log matching check": Variant(SkipsLogMatching),
 }
 
 REVEALING_FAULTS = {
-    "answers before it wrote": (Fault.POWER_FAILURE,),
-    "counts an earlier term's": (Fault.ELECTION_DISRUPTION,),
-    "reads alone": (Fault.TRANSFER_AND_ISOLATE_LEADER,),
-    "stood still": (Fault.STALL,),
-    "many changes": (Fault.CONCURRENT_MEMBERSHIP_CHANGES,),
-    "learners count": (Fault.MEMBERSHIP_CHANGE, Fault.LEADER_REACHES_ONE, Fault.CRASH_LOSING_TAIL),
-    "lost disk votes": (Fault.LOSE_DISK, Fault.MEMBERSHIP_CHANGE),
-    "forgets its vote": (Fault.ELECTION_DISRUPTION,),
+    "responds before sync": (Fault.POWER_FAILURE,),
+    "commits earlier terms": (Fault.ELECTION_DISRUPTION,),
+    "reads without a quorum": (Fault.TRANSFER_AND_ISOLATE_LEADER,),
+    "ignores stalls": (Fault.STALL,),
+    "allows concurrent membership changes": (Fault.CONCURRENT_MEMBERSHIP_CHANGES,),
+    "counts learners": (Fault.MEMBERSHIP_CHANGE, Fault.LEADER_REACHES_ONE, Fault.CRASH_LOSING_TAIL),
+    "votes after losing its disk": (Fault.LOSE_DISK, Fault.MEMBERSHIP_CHANGE),
+    "forgets votes in a crash": (Fault.ELECTION_DISRUPTION,),
 }
-"""Under which faults a variant shows soon; the others do so under any mix."""
+"""Faults that reveal a variant quickly; variants not listed are found under any mix."""
--- a/thymeknot/raft/cluster_faults.py
+++ b/thymeknot/raft/cluster_faults.py
@@ -1,7 +1,7 @@
-"""Faults that are injected to a simulated cluster, and what its operators do.
+"""Fault injection and operator actions in a simulated cluster.
 
-Each seed draws its own mix of faults, since a little of everything at once reaches few corners
-(Groce et al., "Swarm Testing", 2012).
+Each seed draws its own subset and mix of faults, since runs with a little of every fault reach few
+corner cases (Groce et al., "Swarm Testing", 2012).
 """
 
 from collections import Counter
@@ -18,13 +18,13 @@
 from .simulated_host import Disk, Host
 
 SKIPPED_FAULT_INTERVAL = 50
-"""Until the next fault where one could not be injected."""
+"""Interval until the next fault if one could not be injected."""
 MIN_VOTERS = 3
-"""An operator seldom leaves fewer."""
+"""Number of voters that operators seldom go below."""
 
 
 class Fault(StrEnum):
-    """Kinds of faults. The values are reported; their order is that of the weights."""
+    """Kinds of faults. The values are reported; the order is that of the fault weights."""
 
     PARTITION = "cut"
     PARTITION_ONE_WAY = "cut one way"
@@ -48,7 +48,7 @@
 
 
 class FaultInjector:
-    """Does faults to a cluster, each kind as often as the run's conditions weigh it."""
+    """Injects faults into a cluster with the frequencies that the run's conditions define."""
 
     def __init__(
         self,
@@ -65,13 +65,13 @@
         self._mean_interval = conditions.mean_fault_interval
         self._promotion_share = conditions.promotion_share
         self._keeps_disk_incarnation = keeps_disk_incarnation
-        self._disruptions_left = 0  # leaders that are hit as they begin
-        self._power_failure_pending = False  # at the next acknowledged write
-        self._leader_isolation_pending = False  # at the next transfer of leadership
+        self._disruptions_left = 0  # number of new leaders still to be disrupted
+        self._power_failure_pending = False  # it comes with the next acknowledged write
+        self._leader_isolation_pending = False  # it comes with the next leadership transfer
         cluster.on_new_leader = self._handle_new_leader
         cluster.on_timeout_now = self._handle_timeout_now
         clients.on_acknowledged = self._handle_acknowledged_write
-        self._faults: dict[Fault, Callable[[], bool]] = {
+        self._injectors: dict[Fault, Callable[[], bool]] = {
             Fault.PARTITION: self._partition,
             Fault.PARTITION_ONE_WAY: self._partition_one_way,
             Fault.HEAL: self._heal,
@@ -84,7 +84,7 @@
             Fault.MEMBERSHIP_CHANGE: self._change_members,
             Fault.CONCURRENT_MEMBERSHIP_CHANGES: self._change_members_concurrently,
             Fault.LEADERSHIP_TRANSFER: self._transfer_leadership,
-            Fault.TRANSFER_AND_ISOLATE_LEADER: self._transfer_and_partition,
+            Fault.TRANSFER_AND_ISOLATE_LEADER: self._transfer_and_isolate_leader,
             Fault.POWER_FAILURE: self._schedule_power_failure,
             Fault.DISK_FAILURE: self._fail_disk,
             Fault.ELECTION_DISRUPTION: self._schedule_election_disruptions,
@@ -92,7 +92,7 @@
         cluster.schedule(self._mean_interval, self._inject_next)
 
     def stop(self) -> None:
-        """No more faults; what stands still or is stopped goes on."""
+        """Stops injecting faults, ends all stalls and restarts nodes that stopped."""
         cluster = self._cluster
         cluster.end_network_faults()
         self._fault_weights = []
@@ -109,22 +109,22 @@
         injected = False
         if sum(self._fault_weights) > 0:
             kind = FAULTS[self._random.pick(self._fault_weights)]
-            injected = self._faults[kind]()
+            injected = self._injectors[kind]()
             self.counts[kind] += injected
         interval = (
             self._mean_interval * self._random.draw() * 2 if injected else SKIPPED_FAULT_INTERVAL
         )
         self._cluster.schedule(interval, self._inject_next)
 
-    # Leaders.
+    # Finding the leader.
 
     def _leader(self) -> Host | None:
-        """The host that leads in the latest term, or None."""
+        """Returns the host that is leader in the latest term, or None."""
         leading = [host for host in self._cluster.hosts.values() if host.is_leader()]
         return max(leading, key=lambda host: _node(host).term) if leading else None
 
     def _settled_leader(self) -> Host | None:
-        """A leader of whose term something is committed."""
+        """Returns the leader if it has committed an entry of its term and does not stall."""
         host = self._leader()
         if host is None or host.stalled_until > self._cluster.now:
             return None
@@ -135,17 +135,17 @@
     def _members(self, leader: Host) -> Members:
         return _node(leader).log.members
 
-    # The network.
+    # Network faults.
 
     def _cut_off(self, side: set[str]) -> None:
-        """Cuts off the hosts on one side from the others."""
+        """Blocks all links between the hosts in `side` and the others."""
         names = self._cluster.hosts
         self._cluster.blocked_links = {
             (one, other) for one in names for other in names if (one in side) != (other in side)
         }
 
     def _partition(self) -> bool:
-        """Cuts the cluster in two; messages that are on their way are lost too."""
+        """Partitions the cluster into two random sides; messages in flight are lost too."""
         self._cut_off({name for name in self._cluster.hosts if self._random.draw() < 0.5})
         self._cluster.schedule(self._random.draw() * 4_000, self._heal)
         return True
@@ -161,17 +161,17 @@
         self._cluster.blocked_links = set()
         return True
 
-    # Hosts.
+    # Host faults.
 
     def _stall(self) -> bool:
-        """A host stands still for a while, most likely the leader."""
+        """Stalls a host, usually the leader, for 0.5 to 10.5 lease durations."""
         cluster = self._cluster
         host = self._leader() if self._random.draw() < 0.7 else cluster.random_host()
         if host is None or host.node is None or host.stalled_until > cluster.now:
             return False
-        span = cluster.settings.lease_duration * (0.5 + self._random.draw() * 10)
-        host.stalled_until = cluster.now + int(span)
-        cluster.schedule(span + 1, cluster.resume, host)
+        duration = cluster.settings.lease_duration * (0.5 + self._random.draw() * 10)
+        host.stalled_until = cluster.now + int(duration)
+        cluster.schedule(duration + 1, cluster.resume, host)
         return True
 
     def _crash_random_host(self, loses_tail: bool) -> bool:
@@ -185,7 +185,10 @@
         return host is not None
 
     def _let_leader_reach_one(self) -> bool:
-        """A leader reaches one other only and then is gone; what it left there may be committed."""
+        """Lets the leader reach a single host, then crashes it.
+
+        The entries replicated to that host may still be committed by a later leader.
+        """
         host = self._leader()
         if host is None:
             return False
@@ -207,16 +210,16 @@
         self._cluster.blocked_links = set()
 
     def _schedule_power_failure(self) -> bool:
-        """All hosts fail as soon as a write is acknowledged: none has the time to sync."""
+        """Crashes all hosts right after the next acknowledged write, before they can sync."""
         self._power_failure_pending = True
         return True
 
     def _handle_acknowledged_write(self) -> None:
         if self._power_failure_pending:
             self._power_failure_pending = False
-            self._cluster.schedule(0, self._fail_power)
+            self._cluster.schedule(0, self._crash_all_hosts)
 
-    def _fail_power(self) -> None:
+    def _crash_all_hosts(self) -> None:
         for host in self._cluster.hosts.values():
             self._cluster.crash(host, True)
 
@@ -230,11 +233,11 @@
             self._disrupt_new_leader(host)
 
     def _disrupt_new_leader(self, host: Host) -> None:
-        """A new leader reaches nobody or one, and it or those that elected it restart."""
+        """Isolates a new leader except for at most one host, then crashes it or the others."""
         cluster = self._cluster
         others = [name for name in cluster.hosts if name != host.name]
-        near = cluster.choose(others) if self._random.draw() < 0.7 else None
-        cluster.blocked_links = {(host.name, name) for name in others if name != near}
+        reachable = cluster.choose(others) if self._random.draw() < 0.7 else None
+        cluster.blocked_links = {(host.name, name) for name in others if name != reachable}
         if self._random.draw() < 0.3:
             cluster.blocked_links |= {(name, host.name) for name in others}
             for name in others:
@@ -243,10 +246,13 @@
         else:
             cluster.schedule(10 + self._random.draw() * 120, self._crash_and_heal, host)
 
-    # Disks.
+    # Disk faults.
 
     def _disk_loss_allowed(self) -> bool:
-        """Whether all voters have their disks: Raft promises nothing if a majority loses them."""
+        """Returns whether a disk may be lost: only while all voters still have theirs.
+
+        Raft guarantees nothing if a majority of the voters loses its disks.
+        """
         leader = self._leader()
         if leader is None:
             return False
@@ -255,11 +261,14 @@
             return False
         voters = node.log.members.voters
         hosts = self._cluster.hosts
-        complete = all(hosts[name].disk.incarnation == disk for name, disk in voters.items())
-        return complete and len(voters) >= MIN_VOTERS
+        all_disks_kept = all(hosts[name].disk.incarnation == disk for name, disk in voters.items())
+        return all_disks_kept and len(voters) >= MIN_VOTERS
 
     def _lose_disk(self) -> bool:
-        """A node comes back under a new disk incarnation, as a learner once it is taken in."""
+        """Replaces a disk: the node returns with a new disk incarnation.
+
+        It has no vote until an operator adds it again, as a learner, and promotes it.
+        """
         if not self._disk_loss_allowed():
             return False
         cluster = self._cluster
@@ -271,23 +280,23 @@
         return True
 
     def _fail_disk(self) -> bool:
-        """A node is of no use until it is started again, with what its disk holds."""
+        """Fails a disk: the node stops until it is restarted with the records on its disk."""
         cluster = self._cluster
         host = cluster.random_host()
         if host.node is None or host.stalled_until > cluster.now:
             return False
-        cluster.handle_event(host, DiskFailed("by chance"))
+        cluster.handle_event(host, DiskFailed("injected fault"))
         cluster.schedule(500 + self._random.draw() * 2_000, cluster.crash, host, True)
         return True
 
-    # Operators.
+    # Operator actions.
 
     def _change_members(self) -> bool:
-        """An operator puts back who lost its disk, takes nodes in and out."""
+        """Re-adds a node that lost its disk, or adds, promotes or removes a node."""
         leader = self._settled_leader()
         if leader is None:
             return False
-        command = self._change_command(self._members(leader))
+        command = self._draw_change_command(self._members(leader))
         if command is None:
             return False
         self._clients.send_operator_command(leader, command)
@@ -295,7 +304,7 @@
             self._cluster.schedule(1, self._change_members)
         return True
 
-    def _change_command(self, members: Members) -> dict[str, object] | None:
+    def _draw_change_command(self, members: Members) -> dict[str, object] | None:
         voters, learners = members
         hosts = self._cluster.hosts
         listed = {**voters, **learners}
@@ -303,21 +312,21 @@
         outside = [name for name in hosts if name not in listed]
         draw = self._random.draw()
         if replaced:
-            return self._add_command(replaced)
+            return self._draw_add_command(replaced)
         if learners and draw < self._promotion_share:
             return {"do": "promote", "name": self._cluster.choose(learners)}
         if outside and (draw < 0.85 or len(voters) < MIN_VOTERS):
-            return self._add_command(outside)
+            return self._draw_add_command(outside)
         if len(voters) > MIN_VOTERS or (len(voters) == MIN_VOTERS and draw > 0.97):
             return {"do": "remove", "name": self._cluster.choose(voters)}
         return None
 
-    def _add_command(self, names: list[str]) -> dict[str, object]:
+    def _draw_add_command(self, names: list[str]) -> dict[str, object]:
         name = names[self._cluster.random_below(len(names))]
         return {"do": "add", "name": name, "life": self._cluster.hosts[name].disk.incarnation}
 
     def _change_members_concurrently(self) -> bool:
-        """Several operators at once, perhaps at a leader that reaches few."""
+        """Removes up to two voters at nearly the same time, perhaps via a leader without quorum."""
         leader = self._settled_leader()
         if leader is None:
             return False
@@ -325,11 +334,11 @@
         voters = self._members(leader).voters
         others = [name for name in voters if name != leader.name]
         if self._random.draw() < 0.5:
-            near = {leader.name}
+            reachable = {leader.name}
             if len(voters) > MIN_VOTERS:
-                near.add(others[cluster.random_below(len(others))])
-            self._cut_off(near)
-            others = [name for name in others if name not in near]
+                reachable.add(others[cluster.random_below(len(others))])
+            self._cut_off(reachable)
+            others = [name for name in others if name not in reachable]
             cluster.schedule(200 + self._random.draw() * 2_000, self._heal)
         for step in range(min(2, len(voters) - 2)):
             command = {"do": "remove", "name": others[step]}
@@ -343,8 +352,8 @@
             self._clients.send_operator_command(leader, {"do": "transfer", "name": name})
         return leader is not None
 
-    def _transfer_and_partition(self) -> bool:
-        """The leader tells another to take over and then hears nothing more."""
+    def _transfer_and_isolate_leader(self) -> bool:
+        """Transfers leadership and isolates the former leader from incoming messages."""
         self._leader_isolation_pending = True
         return self._transfer_leadership()
 
@@ -360,5 +369,5 @@
 
 def _node(host: Host) -> RaftNode:
     if host.node is None:
-        raise ValueError(f"{host.name} is down")
+        raise ValueError(f"host {host.name} is down and has no node")
     return host.node
--- a/thymeknot/raft/model_checker.py
+++ b/thymeknot/raft/model_checker.py
@@ -1,4 +1,4 @@
-"""Looks for interleavings and faults under which something that must hold doesn't."""
+"""Searches random interleavings and faults for violations of Raft's invariants."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 from typing import NamedTuple
@@ -30,31 +30,33 @@
     max_promotion_lag=4,
     max_delayed_messages=64,
 )
-"""Small limits, so that runs reach them."""
+"""Small limits, so that short runs reach them."""
 RECOVERY_TIMEOUT: Ticks = 40_000
-"""Simulated time within which a cluster without faults must acknowledge writes."""
+"""Simulated time within which a cluster has to acknowledge writes after its faults ended."""
 RECOVERY_WRITES = 6
-"""Writes that show that a cluster gets on."""
+"""Number of acknowledged writes that show that a cluster makes progress."""
 WARM_UP_DRAWS = 4
-"""The first numbers of similar seeds are similar."""
+"""Number of draws that are skipped, because those of similar seeds are similar."""
 
 
 class LivenessError(RaftError):
-    """Nothing gets on, though it could."""
+    """The cluster makes no progress although a quorum of the voters is available."""
 
 
 class Report(NamedTuple):
-    """What a run came to.
+    """Result of a run.
 
     Attributes:
-        states: events that nodes handled.
-        faults: counts by kind.
-        writes: acknowledged.
-        reads: answered.
-        leaders: terms that had one.
-        counterexamples: sentences; one ends the run.
-        standstill: a sentence, if a cluster that has its voters didn't get on after its faults.
-        bereft: faults and operators left too few complete voters for anything to be committed.
+        event_count: Number of events that nodes handled.
+        faults: Number of injected faults by kind.
+        writes: Number of acknowledged writes.
+        reads: Number of answered reads.
+        leaders: Number of terms that had a leader.
+        counterexamples: Descriptions of violated invariants. The first one ends the run.
+        liveness_failure: Description, if the cluster made no progress after the faults ended
+            although it had a quorum; else None.
+        quorum_lost: Whether faults and operators left too few voters with their disks to commit
+            entries.
     """
 
     event_count: int
@@ -68,14 +70,17 @@
 
 
 class SearchResult(NamedTuple):
-    """How many seeds were tried, and the first counterexample if there was one."""
+    """Number of seeds that were tried, and the first counterexample or None."""
 
     tried: int
     counterexample: str | None
 
 
 def draw_conditions(random: Random, focus: Collection[str] | None) -> Conditions:
-    """The conditions of a run; with a focus, few faults of the network and many of some kinds."""
+    """Draws the conditions of a run.
+
+    With a focus, only the kinds of faults in it are injected, and network faults are rare.
+    """
     loss_share = random.draw() * 0.2
     duplication_share = random.draw() * 0.15
     delayed_share = random.draw() * 0.3
@@ -84,7 +89,7 @@
     max_sync_delay = sync_share * (60 if random.draw() < 0.6 else 400)
     promotion_share = random.draw()
     single_entries = random.draw() < 0.5
-    # Only some kinds of fault in a run, each as often as it draws.
+    # Swarm testing: a run has only some kinds of faults, with random weights.
     weights = [random.draw() if random.draw() < 0.6 else 0.0 for _ in FAULTS]
     mean_fault_interval = 200 + random.draw() * 3_000
     if focus:
@@ -108,7 +113,7 @@
 
 
 class Run:
-    """One run of a cluster with its clients and faults."""
+    """One run of a simulated cluster with its clients and faults."""
 
     def __init__(
         self,
@@ -139,11 +144,13 @@
         self.quorum_lost = False
 
     def check_recovery(self) -> None:
-        """Ends the faults: new writes are acknowledged, unless too few disks are left.
+        """Stops the faults and checks that the cluster acknowledges new writes.
+
+        It need not if too few voters have their disks.
 
         Raises:
-            StandstillError: they aren't.
-            InvariantError: acknowledged writes are gone.
+            LivenessError: No new writes are acknowledged.
+            InvariantError: Acknowledged writes are lost.
         """
         clients = self.clients
         hosts = self.cluster.hosts.values()
@@ -155,16 +162,19 @@
             self._has_quorum(host.node.log.members.voters) for host in hosts if host.node
         )
         if clients.writes < target_writes and not self.quorum_lost:
-            raise LivenessError("nothing is agreed though all faults are over")
+            raise LivenessError("writes are not acknowledged although all faults have ended")
         longest = max(len(host.register.write_ids) for host in hosts)
         if clients.writes > writes_before and clients.acknowledged > longest:
-            raise InvariantError("what was acknowledged is gone")
+            raise InvariantError("acknowledged writes are lost")
 
     def _has_quorum(self, voters: dict[str, int]) -> bool:
-        """Whether enough voters have the disk that the list names; a node may have no list yet."""
+        """Returns whether a majority of the voters still has the disk listed in the configuration.
+
+        A node may have no configuration yet.
+        """
         hosts = self.cluster.hosts
-        complete = sum(hosts[name].disk.incarnation == disk for name, disk in voters.items())
-        return not voters or 2 * complete > len(voters)
+        kept_disks = sum(hosts[name].disk.incarnation == disk for name, disk in voters.items())
+        return not voters or 2 * kept_disks > len(voters)
 
 
 def explore(
@@ -174,14 +184,15 @@
     settings: RaftSettings = SMALL_LIMITS,
     focus: Collection[str] | None = None,
 ) -> Report:
-    """Runs a cluster once.
+    """Runs a simulated cluster once.
 
     Args:
-        seed: of all that is random; it draws a mix of faults unless there is a focus.
-        steps: events that nodes handle.
-        variant: a name in BROKEN; None for correct nodes.
-        settings: of all nodes.
-        focus: kinds of faults, of which alone there are many then, on a network that is fair else.
+        seed: Seed of the random source, which also draws the mix of faults if there is no focus.
+        steps: Number of events that nodes handle.
+        variant: Name of a variant in BROKEN_VARIANTS; None for correct nodes.
+        settings: Settings of all nodes.
+        focus: Kinds of faults that are injected, at a high rate and with few network faults; None
+            for a random mix.
     """
     run = Run(seed, variant, settings, focus)
     cluster = run.cluster
@@ -207,7 +218,7 @@
 
 
 def search(variant: str, seeds: Iterable[int], steps: int) -> SearchResult:
-    """Tries seeds until a variant shows."""
+    """Tries seeds until a run of the variant gives a counterexample."""
     tried = 0
     for seed in seeds:
         tried += 1
--- a/thymeknot/raft/simulated_clients.py
+++ b/thymeknot/raft/simulated_clients.py
@@ -1,4 +1,4 @@
-"""Clients of a simulated cluster, and what they may rely on."""
+"""Clients of a simulated cluster, which check that reads are linearizable."""
 
 from collections.abc import Callable
 from dataclasses import dataclass
@@ -18,11 +18,11 @@
 
 CLIENT_COUNT = 3
 MAX_PENDING_CALLS = 4096
-"""Calls without an outcome that are remembered."""
+"""Maximum number of calls without an outcome that are remembered; the oldest are dropped."""
 
 
 class _CommandCall(NamedTuple):
-    """A client's command that is out."""
+    """A pending command of a client."""
 
     origin: str
     incarnation: int
@@ -30,13 +30,13 @@
 
 
 class _ReadCall(NamedTuple):
-    """A read that is out, and the writes that were acknowledged before it."""
+    """A pending read, and the number of writes that were acknowledged before it was sent."""
 
     acknowledged: int
 
 
 class _OperatorCall(NamedTuple):
-    """An operator's command that is out."""
+    """A pending command of an operator."""
 
 
 _Call = _CommandCall | _ReadCall | _OperatorCall
@@ -44,7 +44,7 @@
 
 @dataclass
 class _ClientState:
-    """A client's session, and its command until that is acknowledged."""
+    """The session of a client, and its command until it is acknowledged."""
 
     incarnation: int = 0
     number: int = 0
@@ -52,13 +52,13 @@
 
 
 class SimulatedClients:
-    """Writers, a reader and operators.
+    """Simulated writers, a reader and operators.
 
     Attributes:
-        acknowledged: writes that are known to be in the register.
-        writes: commands that were acknowledged.
-        reads: reads that were answered.
-        on_acknowledged: called when a command is acknowledged.
+        acknowledged: Number of writes that are known to be in the register.
+        writes: Number of acknowledged commands.
+        reads: Number of answered reads.
+        on_acknowledged: Called when a command is acknowledged.
     """
 
     def __init__(self, cluster: SimulatedCluster) -> None:
@@ -77,7 +77,7 @@
         cluster.schedule(self._random.draw() * 500, self._send_read)
 
     def _send_write(self, name: str) -> None:
-        """Sends one command at a time; after an unknown outcome the same number again."""
+        """Sends the client's command, again with the same number until it is acknowledged."""
         client = self._clients[name]
         self._cluster.schedule(20 + self._random.draw() * 200, self._send_write, name)
         if client.command is None:
@@ -103,7 +103,7 @@
         return cluster.random_host()
 
     def send_operator_command(self, leader: Host, command: dict[str, Any]) -> None:
-        """An operator sends the nodes a command."""
+        """Sends a membership change or another Raft command of an operator to the leader."""
         self._last_token += 1
         token = self._new_token(_OperatorCall())
         origin = f"operator{token}"
@@ -117,13 +117,13 @@
         self._pending_calls[self._last_token] = call
         return self._last_token
 
-    # Answers.
+    # Outcomes.
 
     def _take_pending_call(self, token: object) -> _Call | None:
         return self._pending_calls.pop(token, None) if isinstance(token, int) else None
 
     def command_completed(self, host: Host, effect: CommandCompleted) -> None:
-        """Takes the reply to a command."""
+        """Handles the reply to a command."""
         call = self._take_pending_call(effect.token)
         reply = effect.reply
         if not isinstance(call, _CommandCall) or reply is None or "place" not in reply:
@@ -139,7 +139,7 @@
                 client.number = 0
 
     def read_ready(self, host: Host, effect: ReadReady) -> None:
-        """A read must see at least what was acknowledged before it was asked."""
+        """Checks that a read sees at least the writes acknowledged before it was sent."""
         call = self._take_pending_call(effect.token)
         if not isinstance(call, _ReadCall):
             return
@@ -147,10 +147,10 @@
         seen = len(host.register.write_ids)
         if seen < call.acknowledged:
             raise InvariantError(
-                f"{host.name} read {seen} writes of {call.acknowledged} that were "
-                "acknowledged before it was asked"
+                f"a read from {host.name} saw {seen} writes, but {call.acknowledged} were "
+                "acknowledged before the read was sent"
             )
 
     def request_rejected(self, host: Host, effect: RequestRejected) -> None:
-        """A call has no outcome."""
+        """Forgets a rejected call."""
         self._take_pending_call(effect.token)
--- a/thymeknot/raft/simulated_cluster.py
+++ b/thymeknot/raft/simulated_cluster.py
@@ -1,7 +1,7 @@
-"""Several real nodes in one process, with simulated clocks, disks and a network.
+"""Several real nodes in one process, with simulated clocks, disks and a simulated network.
 
-Nothing here stands in for a node: faults come as its own events or are done to what lies between
-nodes. What must hold after each step is checked here and in `simulated_clients`.
+The nodes run the production code: faults reach a node as its usual events, or affect the network,
+clocks and disks around it. Invariants are checked after each step, here and in `simulated_clients`.
 """
 
 from collections.abc import Callable, Iterable
@@ -35,43 +35,43 @@
 
 HOST_NAMES = "abcde"
 MIN_HOSTS = 4
-"""One more than the fewest founders, so that there is one to be taken in."""
+"""One more than the minimum number of founders, so that there is a host to add to the cluster."""
 FIRST_NEW_INCARNATION = 101
-"""Of disks that were not there from the beginning."""
+"""First incarnation of disks that were not created with the cluster."""
 MAX_BUFFERED_MESSAGES = 64
-"""Messages that wait for a node that stands still; a socket's buffer holds no more."""
+"""Maximum number of messages that wait for a stalled node, as in a socket's receive buffer."""
 
 Item = TypeVar("Item")
 
 
 class InvariantError(RaftError):
-    """Something doesn't hold; the text says what."""
+    """An invariant is violated; the text says which."""
 
 
 class Random(Protocol):
     """A seeded source of random numbers."""
 
     def draw(self) -> float:
-        """A number in [0, 1)."""
+        """Returns a number in [0, 1)."""
 
     def pick(self, weights: list[float]) -> int:
-        """A place in the weights, each as likely as it weighs."""
+        """Returns an index of `weights` with a probability in proportion to its weight."""
 
 
 class Conditions(NamedTuple):
-    """What a run's seed draws once.
+    """Conditions of a run, which its seed determines.
 
     Attributes:
-        loss: share of messages that get lost.
-        duplication: share of messages that come twice.
-        late_share: share of messages that may come late.
-        late_delay: by how much at most.
-        sync_delay: how long a disk takes to sync at most.
-        promotion_share: how eagerly an operator makes learners voters.
-        single_entries: each message carries one entry at most.
-        fault_weights: of each kind of fault.
-        fault_pause: between two faults, on average.
-        founder_count: nodes that found the cluster.
+        loss_share: Share of messages that are lost.
+        duplication_share: Share of messages that are delivered twice.
+        delayed_share: Share of messages that get an extra delay.
+        max_extra_delay: Maximum extra delay of a message.
+        max_sync_delay: Maximum duration of a disk sync.
+        promotion_share: Probability that an operator promotes a learner where one can be promoted.
+        single_entries: Whether each message carries at most one entry.
+        fault_weights: Relative frequency of each kind of fault, in the order of `Fault`.
+        mean_fault_interval: Mean interval between two faults.
+        founder_count: Number of nodes in the initial configuration.
     """
 
     loss_share: float
@@ -87,27 +87,28 @@
 
 
 class Observer(Protocol):
-    """What the nodes' clients are told."""
+    """Receives the outcomes of commands and reads."""
 
     def command_completed(self, host: Host, effect: CommandCompleted) -> None:
-        """A command has its reply."""
+        """A command completed with a reply."""
 
     def read_ready(self, host: Host, effect: ReadReady) -> None:
-        """The register may be read."""
+        """A read may be served from the register."""
 
     def request_rejected(self, host: Host, effect: RequestRejected) -> None:
         """A command or read was rejected."""
 
 
 class SimulatedCluster:
-    """The hosts, the time and the network between them.
+    """The hosts of a cluster, simulated time and the network between the hosts.
 
     Args:
-        random: of the run.
-        conditions: of the run.
-        settings: of all nodes.
-        node_class: of all nodes.
-        records_after_crash: what a disk holds after a crash.
+        random: Random source of the run.
+        conditions: Conditions of the run.
+        settings: Settings of all nodes.
+        node_class: Class of all nodes.
+        records_after_crash: Returns the records that a disk holds after a crash, given those that
+            it held before.
     """
 
     def __init__(
@@ -122,9 +123,9 @@
         self.random = random
         self.settings = settings
         self.now: Ticks = 0
-        self.event_count = 0  # events that nodes handled
+        self.event_count = 0  # number of events that nodes handled
         self.leaders: dict[int, str] = {}  # by term
-        self.blocked_links: set[tuple[str, str]] = set()  # (sender, receiver) that are cut off
+        self.blocked_links: set[tuple[str, str]] = set()  # pairs of sender and receiver
         self.observer: Observer | None = None
         self.on_new_leader: Callable[[Host], object] = lambda _: None
         self.on_timeout_now: Callable[[str, str, Message], object] = lambda *_: None
@@ -132,7 +133,7 @@
         self._node_class = node_class
         self._records_after_crash = records_after_crash
         self._queue: list[tuple[Ticks, int, Callable[..., object], tuple[Any, ...]]] = []
-        self._sequence = 0  # orders what is due at the same moment
+        self._sequence = 0  # orders calls that are due at the same time
         self._next_incarnation = FIRST_NEW_INCARNATION
         self._committed: dict[int, tuple[Ticks, bytes]] = {}  # by index: agreed time, command
         self._effect_handlers: dict[type[Effect], Callable[[Host, Any], None]] = {
@@ -157,44 +158,44 @@
         return Host(name, incarnation, rate, int(self.random.draw() * 10**6))
 
     def new_incarnation(self) -> int:
-        """One that no disk had."""
+        """Returns a disk incarnation that was not used before."""
         incarnation = self._next_incarnation
         self._next_incarnation += 1
         return incarnation
 
     def random_below(self, limit: int) -> int:
-        """A number in [0, limit)."""
+        """Returns a random integer in [0, limit)."""
         return int(self.random.draw() * limit)
 
     def choose(self, items: Iterable[Item]) -> Item | None:
-        """One of the items, or None if there is none."""
+        """Returns a random item, or None if there are no items."""
         choices = list(items)
         return choices[self.random_below(len(choices))] if choices else None
 
     def random_host(self) -> Host:
-        """One of the hosts."""
+        """Returns a random host."""
         return list(self.hosts.values())[self.random_below(len(self.hosts))]
 
     # Time.
 
     def schedule(self, delay: float, call: Callable[..., object], *arguments: Any) -> None:
-        """Plans a call."""
+        """Schedules a call after a delay in simulated time."""
         self._sequence += 1
         at = self.now + max(0, int(delay))
         heappush(self._queue, (at, self._sequence, call, arguments))
 
     def clock(self, host: Host) -> Ticks:
-        """The time by a host's clock."""
+        """Returns the current time of a host's clock."""
         return int(host.clock_offset + self.now * host.clock_rate)
 
     def run(self, events: int) -> None:
-        """Runs until nodes handled so many more events."""
+        """Runs until nodes have handled `events` more events."""
         target_count = self.event_count + events
         while self.event_count < target_count and self._queue:
             self._run_next()
 
     def run_for(self, duration: Ticks, done: Callable[[], bool]) -> None:
-        """Runs for so long, or until it is done."""
+        """Runs for a duration of simulated time, or until `done` returns true."""
         end_time = self.now + duration
         while self._queue and self._queue[0][0] <= end_time and not done():
             self._run_next()
@@ -206,7 +207,7 @@
     # Nodes.
 
     def start_node(self, host: Host) -> None:
-        """Starts a host's node with what its disk holds."""
+        """Starts the node of a host from the records on its disk."""
         host.generation += 1
         disk = host.disk
         recovered = Recovered(disk.incarnation)
@@ -227,7 +228,7 @@
         self.handle_event(host, TimerDue())
 
     def handle_event(self, host: Host, event: Event) -> None:
-        """Gives a node an event; it is kept for later while the node stands still."""
+        """Passes an event to a node; while the host stalls, the event is delayed."""
         if host.node is None:
             return
         if host.stalled_until > self.now:
@@ -243,14 +244,14 @@
         messages = [
             delayed for delayed in host.delayed_events if isinstance(delayed, MessageReceived)
         ]
-        if len(messages) > MAX_BUFFERED_MESSAGES:  # what the disk has to say isn't lost
+        if len(messages) > MAX_BUFFERED_MESSAGES:  # events of the disk are never lost
             host.delayed_events.remove(messages[0])
 
     def resume(self, host: Host) -> None:
-        """A host stands still no longer: its node takes what has come, in some order."""
+        """Ends the stall of a host: its node handles the delayed events in random order."""
         waiting_events = host.delayed_events
         host.delayed_events = []
-        if self.random.draw() < 0.5:  # its clients' sockets may be the first that it looks at
+        if self.random.draw() < 0.5:  # client and disk events may come first
             for event in [
                 waiting for waiting in waiting_events if not isinstance(waiting, MessageReceived)
             ]:
@@ -260,11 +261,11 @@
             self.handle_event(host, waiting_events.pop(self.random_below(len(waiting_events))))
 
     def crash(self, host: Host, loses_tail: bool) -> None:
-        """A host goes down for a while.
+        """Crashes a host, which restarts after a random time.
 
         Args:
-            host: that goes down.
-            loses_tail: what wasn't synced is gone, from some place on.
+            host: The host.
+            loses_tail: Whether records that were not synced are lost, from a random one on.
         """
         if host.node is None:
             return
@@ -306,7 +307,7 @@
             self.schedule(delay, self.deliver, host.name, peer, message)
 
     def deliver(self, sender: str, peer: str, message: Message) -> None:
-        """A message comes, unless its way is cut off."""
+        """Delivers a message, unless the link is blocked."""
         if (sender, peer) not in self.blocked_links:
             self.handle_event(self.hosts[peer], MessageReceived(sender, message))
 
@@ -323,15 +324,15 @@
 
     def _set_timer(self, host: Host, effect: SetTimer) -> None:
         host.timer_at = effect.at
-        wait = (effect.at - self.clock(host)) / host.clock_rate + 1
-        self.schedule(wait, self._timer_expired, host, host.generation, effect.at)
+        delay = (effect.at - self.clock(host)) / host.clock_rate + 1
+        self.schedule(delay, self._timer_expired, host, host.generation, effect.at)
 
     def _timer_expired(self, host: Host, generation: int, at: Ticks) -> None:
         if host.generation != generation or host.timer_at != at:
             return
         if host.stalled_until > self.now:
-            wait = host.stalled_until - self.now + 1
-            self.schedule(wait, self._timer_expired, host, generation, at)
+            delay = host.stalled_until - self.now + 1
+            self.schedule(delay, self._timer_expired, host, generation, at)
         else:
             self.handle_event(host, TimerDue())
 
@@ -347,37 +348,43 @@
         if self.observer:
             self.observer.request_rejected(host, effect)
 
-    # What must hold.
+    # Invariants.
 
     def _entry_applied(self, host: Host, effect: EntryApplied) -> None:
-        """Committed logs match; agreed time doesn't go back; a command is applied once."""
+        """Checks the invariants of applied entries.
+
+        All nodes apply the same entry at an index, agreed time never decreases, and each command
+        is applied once.
+        """
         index = effect.log_index
         content = (effect.at, msgspec.msgpack.encode(effect.command))
         if self._committed.setdefault(index, content) != content:
             raise InvariantError(
-                f"{host.name} applied another entry at {index} than was applied there before"
+                f"{host.name} applied another entry at index {index} than a node before it"
             )
         previous = self._committed.get(index - 1)
         if previous and previous[0] > effect.at:
-            raise InvariantError(f"agreed time goes back at {index}")
+            raise InvariantError(f"agreed time decreases at index {index}")
         command = effect.command
         if command.get("part") == "register" and host.register.apply_counts[command["id"]] > 1:
             raise InvariantError(f"{command['id']} was applied twice")
 
     def _check_leader(self, host: Host) -> None:
-        """A term has one leader."""
+        """Checks that a term has at most one leader."""
         node = host.node
         if node is None or not host.is_leader():
             return
         is_new = node.term not in self.leaders
         known_leader = self.leaders.setdefault(node.term, host.name)
         if known_leader != host.name:
-            raise InvariantError(f"{host.name} and {known_leader} lead in term {node.term}")
+            raise InvariantError(
+                f"{host.name} and {known_leader} are both leader in term {node.term}"
+            )
         if is_new:
             self.on_new_leader(host)
 
     def end_network_faults(self) -> None:
-        """From now on the network is as good as one can be."""
+        """Heals the network: from now on messages are not lost, duplicated or delayed."""
         self.blocked_links = set()
         self._conditions = self._conditions._replace(
             loss_share=0.0, duplication_share=0.0, delayed_share=0.0
--- a/thymeknot/raft/simulated_host.py
+++ b/thymeknot/raft/simulated_host.py
@@ -1,4 +1,4 @@
-"""A simulated host: a real node with a simulated disk and clock, and a register as its machine."""
+"""A simulated host: a real node with a simulated disk, clock and state machine."""
 
 from collections import Counter
 
@@ -11,32 +11,35 @@
 
 
 class Register:
-    """A state machine of writes in their order. Each names itself: one applied twice is seen."""
+    """A state machine that records writes in order.
+
+    Each write has an id, so that a write that is applied twice is detected.
+    """
 
     def __init__(self) -> None:
         self.write_ids: list[str] = []
         self.apply_counts: Counter[str] = Counter()
 
     def apply(self, at: Ticks, command: Command) -> Reply:
-        """Adds a write; its place is the reply."""
+        """Appends a write and replies with its position, which starts at 1."""
         self.write_ids.append(command["id"])
         self.apply_counts[command["id"]] += 1
         return {"ok": True, "place": len(self.write_ids)}
 
     def image(self) -> list[str]:
-        """The writes."""
+        """Returns the ids of all writes."""
         return self.write_ids
 
     def load(self, image: list[str]) -> None:
-        """Replaces the writes."""
+        """Replaces the writes with those of an image."""
         self.write_ids = list(image)
         self.apply_counts = Counter(image)
 
 
 class Disk:
-    """Records given to Persist.
+    """A simulated disk that holds the records of Persist effects.
 
-    The first `synced` of them outlast a crash, of the others as many as the random source keeps.
+    The first `synced` records survive a crash; the random source decides how many others do.
     """
 
     def __init__(self, incarnation: int) -> None:
@@ -46,19 +49,20 @@
 
 
 class Host:
-    """A node with its disk and its clock.
+    """A node with its disk and clock.
 
     Attributes:
-        name: the node's.
-        clock_rate: of its clock to the simulated time.
-        clock_offset: of its clock at the beginning.
-        disk: what outlasts a crash.
-        register: the node's state machine.
-        node: None while it is down.
-        boots: starts and crashes; what was planned before one is void.
-        stalled_until: it stands still until then.
-        delayed: events that came while it stood still.
-        timer: the moment of its last SetTimer, by its own clock.
+        name: Name of the node.
+        clock_rate: Rate of the host's clock relative to simulated time.
+        clock_offset: Offset of the host's clock at the start of the simulation.
+        disk: The disk, which survives crashes.
+        register: State machine of the node.
+        node: The node; None while the host is down.
+        generation: Increases with each start and crash; calls scheduled in an earlier generation
+            are ignored.
+        stalled_until: Simulated time until which the host stalls.
+        delayed_events: Events that arrived while the host stalled.
+        timer_at: Time of the last SetTimer effect by the host's own clock.
     """
 
     def __init__(self, name: str, incarnation: int, clock_rate: float, clock_offset: Ticks) -> None:
@@ -74,5 +78,5 @@
         self.timer_at: Ticks | None = None
 
     def is_leader(self) -> bool:
-        """Whether its node is up and thinks that it leads."""
+        """Returns whether the node is up and considers itself leader."""
         return self.node is not None and self.node.role == Role.LEADER
