--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -176,7 +176,9 @@
     def count_rejected(self, kind: str, reason: str) -> None:
         """Counts and logs a rejected connection or message."""
         self.rejected[kind] += 1
-        _structured_log.seldom("message rejected", kind=kind, why=reason, count=self.rejected[kind])
+        _structured_log.log_rate_limited(
+            "message rejected", kind=kind, why=reason, count=self.rejected[kind]
+        )
 
     def verify(self, session: bytes, last_number: int, signed: SignedArguments) -> SignedMessage:
         """Verifies and decodes a signed message.
@@ -339,7 +341,7 @@
         try:
             reply = self._answer_query(pending.query if pending else None)
         except Exception as error:  # a failing query must not stop the node
-            _structured_log.fault("query", error)
+            _structured_log.log_exception("query", error)
             reply = rejection("the query can't be answered")
         self._answer_request(effect.token, {"reply": reply})
 
