--- a/thymeknot/raft/broken_variants.py
+++ b/thymeknot/raft/broken_variants.py
@@ -86,7 +86,7 @@
     reads: _TimerReads
 
     def handle(self, now: Ticks, event: Event) -> list[Effect]:
-        """Handles an event and records the time if it is a timer."""
+        """Handles an event, records the time of timers and hides stalls from the node."""
         if isinstance(event, TimerDue):
             self.reads.checked_at = now
         self.last_handled_at = now
--- a/thymeknot/raft/client.py
+++ b/thymeknot/raft/client.py
@@ -168,7 +168,7 @@
         return request.answer
 
     def close(self) -> None:
-        """Makes no further attempts."""
+        """Stops all further attempts."""
         self._closed = True
 
     def _send_next_command(self) -> None:
@@ -186,7 +186,7 @@
             self._attempt(request)
 
     def _complete_timed_out(self, request: _Request) -> None:
-        reason = "no keeper answered in time; the outcome of the request is unknown"
+        reason = "no keeper answered before the deadline; the outcome is unknown"
         self._complete_unknown(request, reason, MAX_BACKOFF)
 
     def _complete_unknown(self, request: _Request, reason: str, retry_after: Ticks) -> None:
--- a/thymeknot/raft/cluster_faults.py
+++ b/thymeknot/raft/cluster_faults.py
@@ -66,8 +66,8 @@
         self._promotion_share = conditions.promotion_share
         self._keeps_disk_incarnation = keeps_disk_incarnation
         self._disruptions_left = 0  # number of new leaders still to be disrupted
-        self._power_failure_pending = False  # it comes with the next acknowledged write
-        self._leader_isolation_pending = False  # it comes with the next leadership transfer
+        self._power_failure_pending = False  # at the next acknowledged write
+        self._leader_isolation_pending = False  # at the next leadership transfer
         cluster.on_new_leader = self._handle_new_leader
         cluster.on_timeout_now = self._handle_timeout_now
         clients.on_acknowledged = self._handle_acknowledged_write
@@ -141,7 +141,10 @@
         """Blocks all links between the hosts in `side` and the others."""
         names = self._cluster.hosts
         self._cluster.blocked_links = {
-            (one, other) for one in names for other in names if (one in side) != (other in side)
+            (sender, receiver)
+            for sender in names
+            for receiver in names
+            if (sender in side) != (receiver in side)
         }
 
     def _partition(self) -> bool:
@@ -151,11 +154,11 @@
         return True
 
     def _partition_one_way(self) -> bool:
-        one = self._cluster.random_host().name
-        other = self._cluster.random_host().name
-        self._cluster.blocked_links.add((one, other))
+        sender = self._cluster.random_host().name
+        receiver = self._cluster.random_host().name
+        self._cluster.blocked_links.add((sender, receiver))
         self._cluster.schedule(self._random.draw() * 4_000, self._heal)
-        return one != other
+        return sender != receiver
 
     def _heal(self) -> bool:
         self._cluster.blocked_links = set()
--- a/thymeknot/raft/peer_server.py
+++ b/thymeknot/raft/peer_server.py
@@ -307,8 +307,8 @@
         self._waiting_writes = []
         self._write_in_progress = True
         records = [record for effect in batch for record in effect.records]
-        written = deferToThread(self._storage.persist, records)
-        written.addCallbacks(self._write_finished, self._write_failed, (batch[-1].serial,))
+        write_result = deferToThread(self._storage.persist, records)
+        write_result.addCallbacks(self._write_finished, self._write_failed, (batch[-1].serial,))
 
     def _write_finished(self, error: WriteFault | None, serial: int) -> None:
         self._write_in_progress = False
--- a/thymeknot/raft/simulated_clients.py
+++ b/thymeknot/raft/simulated_clients.py
@@ -77,7 +77,7 @@
         cluster.schedule(self._random.draw() * 500, self._send_read)
 
     def _send_write(self, name: str) -> None:
-        """Sends the client's command, again with the same number until it is acknowledged."""
+        """Sends a command; repeats it with the same sequence number until it is acknowledged."""
         client = self._clients[name]
         self._cluster.schedule(20 + self._random.draw() * 200, self._send_write, name)
         if client.command is None:
@@ -96,6 +96,7 @@
         self._cluster.handle_event(host, ReadRequested(token))
 
     def _likely_leader(self) -> Host:
+        """Returns a host that considers itself leader, or sometimes a random host."""
         cluster = self._cluster
         leading = [host for host in cluster.hosts.values() if host.is_leader()]
         if leading and self._random.draw() < 0.9:
@@ -103,7 +104,7 @@
         return cluster.random_host()
 
     def send_operator_command(self, leader: Host, command: dict[str, Any]) -> None:
-        """Sends a membership change or another Raft command of an operator to the leader."""
+        """Sends an operator's Raft command, such as a membership change, to the leader."""
         self._last_token += 1
         token = self._new_token(_OperatorCall())
         origin = f"operator{token}"
--- a/thymeknot/raft/simulated_cluster.py
+++ b/thymeknot/raft/simulated_cluster.py
@@ -248,10 +248,13 @@
             host.delayed_events.remove(messages[0])
 
     def resume(self, host: Host) -> None:
-        """Ends the stall of a host: its node handles the delayed events in random order."""
+        """Ends the stall of a host: its node handles the delayed events in random order.
+
+        In half of the cases client and disk events come before all messages.
+        """
         waiting_events = host.delayed_events
         host.delayed_events = []
-        if self.random.draw() < 0.5:  # client and disk events may come first
+        if self.random.draw() < 0.5:
             for event in [
                 waiting for waiting in waiting_events if not isinstance(waiting, MessageReceived)
             ]:
@@ -271,10 +274,10 @@
             return
         disk = host.disk
         if loses_tail:
-            kept = disk.synced
+            kept_count = disk.synced
             if self.random.draw() < 0.5:
-                kept += self.random_below(len(disk.records) - disk.synced + 1)
-            del disk.records[kept:]
+                kept_count += self.random_below(len(disk.records) - disk.synced + 1)
+            del disk.records[kept_count:]
         disk.records = self._records_after_crash(disk.records)
         disk.synced = len(disk.records)
         host.node = None
