--- a/thymeknot/simulator_wire/host.py
+++ b/thymeknot/simulator_wire/host.py
@@ -1,4 +1,4 @@
-"""Hosts decision engines on standard input and output, for the users' simulator."""
+"""Runs decision engines for the external simulator, on standard input and output."""
 
 import sys
 from collections.abc import Callable, Iterable, Sequence
@@ -12,39 +12,39 @@
 from ..policy.engine import DecisionEngine
 from . import codec
 
-MESSAGES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *codec.EVENTS}
+MESSAGE_NAMES = {"NEW_INSTANCE", "KILLED", "ANNOUNCE", *codec.EVENTS}
 BATCH_START = "BATCH "
 BATCH_END = "YOUR_TURN"
 
 
 class Engine(Protocol):
-    """What is hosted: it answers the events of a moment with actions."""
+    """A hosted decision engine."""
 
     def handle(self, now: Ticks, events: list[Event], /) -> Iterable[Action]:
-        """Returns the actions that the events of this moment lead to."""
+        """Handles the events of one point in time, and returns the resulting actions."""
 
 
-MAKE_ENGINE: Callable[[Settings, int, Ticks], Engine] = DecisionEngine
-"""Makes the engine of a new instance from its settings, its seed and the time."""
+ENGINE_FACTORY: Callable[[Settings, int, Ticks], Engine] = DecisionEngine
+"""Creates the engine of a new instance from its settings, its seed and the present time."""
 
 
-class OpenCensus(NamedTuple):
-    """A CENSUS whose ENTRY lines are being read."""
+class IncompleteCensus(NamedTuple):
+    """A CENSUS (endpoint list) with ENTRY lines still to come."""
 
-    table: int
-    """The number of the endpoint list."""
-    missing: int
-    """How many ENTRY lines follow."""
+    list_number: int
+    """The number by which ANNOUNCE lines refer to the list."""
+    remaining: int
+    """The number of ENTRY lines still to come."""
 
 
 class Host:
-    """The instances of one process.
+    """The instances in this process.
 
-    They share nothing but the numbered endpoint lists that the protocol itself shares.
+    They share only the numbered endpoint lists, which the protocol defines as shared.
 
     Attributes:
-        instances: The engine of each running instance, by its name.
-        lists: The endpoint lists, by their number.
+        instances: The engines of the running instances, by instance name.
+        lists: The endpoint lists, by number.
     """
 
     def __init__(self) -> None:
@@ -52,120 +52,130 @@
         self.lists: dict[int, list[Endpoint]] = {}
 
     def batch(self, now: Ticks, lines: Iterable[str]) -> list[str]:
-        """Handles the lines of one batch; each instance gets its events in one call.
+        """Handles the lines of one batch, with one engine call for each instance that has events.
 
         Returns:
             The lines of the reply.
 
         Raises:
-            MalformedLineError: A line is not allowed; the text quotes it.
+            MalformedLineError: A line violates the protocol; the text quotes it.
         """
-        inboxes: dict[str, list[Event]] = {}
+        events_by_instance: dict[str, list[Event]] = {}
         replies: list[str] = []
-        census: OpenCensus | None = None
+        census: IncompleteCensus | None = None
         for text in lines:
             try:
-                census = self._read_line(now, text, inboxes, replies, census)
+                census = self._read_line(now, text, events_by_instance, replies, census)
             except codec.MalformedLineError as error:
                 raise codec.MalformedLineError(f"{error}: {text!r}") from None
         if census:
-            raise codec.MalformedLineError("the batch ends inside a CENSUS")
-        for name, events in inboxes.items():
-            self._decide(now, name, events, replies)
+            raise codec.MalformedLineError("batch ends within a CENSUS")
+        for name, events in events_by_instance.items():
+            self._handle_events(now, name, events, replies)
         return replies
 
     def _read_line(
         self,
         now: Ticks,
         text: str,
-        inboxes: dict[str, list[Event]],
+        events_by_instance: dict[str, list[Event]],
         replies: list[str],
-        census: OpenCensus | None,
-    ) -> OpenCensus | None:
-        """Takes in one line; returns the CENSUS that it leaves open."""
+        census: IncompleteCensus | None,
+    ) -> IncompleteCensus | None:
+        """Handles one line; returns the CENSUS that is incomplete after it, if any."""
         name, *values = text.split(" ")
         if census or name == "ENTRY":
             return self._read_entry(name, values, census)
         if name == "CENSUS":
             return self._open_census(values)
-        if name not in MESSAGES:
-            raise codec.MalformedLineError("no such message")
+        if name not in MESSAGE_NAMES:
+            raise codec.MalformedLineError("unknown message")
         if not values:
-            raise codec.MalformedLineError("no instance named")
+            raise codec.MalformedLineError("instance missing")
         instance, *values = values
         if name == "NEW_INSTANCE":
-            self._start(now, instance, values, inboxes, replies)
+            self._start_instance(now, instance, values, events_by_instance, replies)
         elif instance not in self.instances:
-            raise codec.MalformedLineError("an event for an unknown instance")
+            raise codec.MalformedLineError("event for an unknown instance")
         elif name == "KILLED":
-            inboxes.pop(instance, None)
+            events_by_instance.pop(instance, None)
             del self.instances[instance]
         elif name == "ANNOUNCE":
-            inboxes.setdefault(instance, []).append(self._endpoint_update(values))
+            events_by_instance.setdefault(instance, []).append(self._endpoint_update(values))
         else:
-            inboxes.setdefault(instance, []).append(codec.read_event(name, values))
+            events_by_instance.setdefault(instance, []).append(codec.read_event(name, values))
         return None
 
     def _read_entry(
-        self, name: str, values: Sequence[str], census: OpenCensus | None
-    ) -> OpenCensus | None:
+        self, name: str, values: Sequence[str], census: IncompleteCensus | None
+    ) -> IncompleteCensus | None:
         if name != "ENTRY" or not census:
             raise codec.MalformedLineError(
-                "an ENTRY out of place" if name == "ENTRY" else "a CENSUS cut short"
+                "ENTRY outside of a CENSUS"
+                if name == "ENTRY"
+                else "CENSUS with too few ENTRY lines"
             )
-        table, missing = census
-        self.lists[table].append(codec.read_endpoint(values))
-        return OpenCensus(table, missing - 1) if missing > 1 else None
+        list_number, remaining = census
+        self.lists[list_number].append(codec.read_endpoint(values))
+        return IncompleteCensus(list_number, remaining - 1) if remaining > 1 else None
 
-    def _open_census(self, values: Sequence[str]) -> OpenCensus | None:
+    def _open_census(self, values: Sequence[str]) -> IncompleteCensus | None:
         try:
-            table, count = (int(value) for value in values)
+            list_number, count = (int(value) for value in values)
         except ValueError:
-            raise codec.MalformedLineError("CENSUS takes a number and a count") from None
-        self.lists[table] = []
-        return OpenCensus(table, count) if count else None
+            raise codec.MalformedLineError(
+                "CENSUS takes two integers, the number and the length of the list"
+            ) from None
+        self.lists[list_number] = []
+        return IncompleteCensus(list_number, count) if count else None
 
-    def _start(
+    def _start_instance(
         self,
         now: Ticks,
         instance: str,
         values: Sequence[str],
-        inboxes: dict[str, list[Event]],
+        events_by_instance: dict[str, list[Event]],
         replies: list[str],
     ) -> None:
         try:
             seed = int(values[0])
         except (IndexError, ValueError):
-            raise codec.MalformedLineError("NEW_INSTANCE without a seed") from None
-        inboxes.pop(instance, None)
+            raise codec.MalformedLineError("NEW_INSTANCE without an integer seed") from None
+        events_by_instance.pop(instance, None)
         settings = codec.read_settings(values[1:])
         try:
-            self.instances[instance] = MAKE_ENGINE(settings, seed, now)
-        except Exception as error:  # whatever the engine raises has to reach the operators
+            self.instances[instance] = ENGINE_FACTORY(settings, seed, now)
+        except Exception as error:  # any exception of the engine is reported to the simulator
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
     def _endpoint_update(self, values: Sequence[str]) -> EndpointUpdate:
         try:
-            kind_word, _, table = values
-            kind = codec.UPDATE_KINDS[kind_word]
-            endpoints = () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(table)])
+            kind_name, _, list_number = values
+            kind = codec.UPDATE_KINDS[kind_name]
+            endpoints = (
+                () if kind == UpdateKind.FETCH_FAILED else tuple(self.lists[int(list_number)])
+            )
         except (ValueError, KeyError):
-            raise codec.MalformedLineError("ANNOUNCE: bad value") from None
+            raise codec.MalformedLineError(
+                "ANNOUNCE with an invalid value or an unknown endpoint list"
+            ) from None
         return EndpointUpdate(kind, endpoints)
 
-    def _decide(self, now: Ticks, instance: str, events: list[Event], replies: list[str]) -> None:
+    def _handle_events(
+        self, now: Ticks, instance: str, events: list[Event], replies: list[str]
+    ) -> None:
         try:
             actions = self.instances[instance].handle(now, events)
             replies.extend(codec.write_action(instance, action) for action in actions)
-        except Exception as error:  # whatever the engine raises has to reach the operators
+        except Exception as error:  # any exception of the engine is reported to the simulator
             replies.append(codec.write_fault(instance, f"{type(error).__name__}: {error}"))
 
 
 def serve(source: Iterable[str], sink: TextIO) -> None:
-    """Answers batches of lines until the input ends.
+    """Handles batches of lines until the input ends.
 
     Raises:
-        MalformedLineError: A line is not allowed.
+        MalformedLineError: A line violates the protocol.
     """
     host = Host()
     now: Ticks | None = None
@@ -176,7 +186,7 @@
             now = _batch_time(text, now)
         elif now is None:
             if text:
-                raise codec.MalformedLineError(f"a line outside a batch: {text!r}")
+                raise codec.MalformedLineError(f"line outside of a batch: {text!r}")
         elif text == BATCH_END:
             sink.write("\n".join([*host.batch(now, lines), "OK\n"]))
             sink.flush()
@@ -185,20 +195,20 @@
         elif text:
             lines.append(text)
     if now is not None:
-        raise codec.MalformedLineError("the input ends inside a batch")
+        raise codec.MalformedLineError("input ends within a batch")
 
 
-def _batch_time(text: str, open_batch: Ticks | None) -> Ticks:
-    if open_batch is not None:
-        raise codec.MalformedLineError(f"a BATCH inside a batch: {text!r}")
+def _batch_time(text: str, open_batch_time: Ticks | None) -> Ticks:
+    if open_batch_time is not None:
+        raise codec.MalformedLineError(f"BATCH within a batch: {text!r}")
     try:
         return codec.read_time(text.removeprefix(BATCH_START))
     except ValueError:
-        raise codec.MalformedLineError(f"BATCH without a clock: {text!r}") from None
+        raise codec.MalformedLineError(f"BATCH without a time in nanoseconds: {text!r}") from None
 
 
 def main() -> int:
-    """Serves standard input; returns the exit code."""
+    """Serves the simulator on standard input; returns the exit code."""
     try:
         serve(sys.stdin, sys.stdout)
     except codec.MalformedLineError as error:
