--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -80,7 +80,7 @@
 
 @when(parsers.parse("the way from the keepers to {name} is cut as soon as it is granted"))
 def cut_from(world, name):
-    while world.units[name].agent.state != "beginning":
+    while world.units[name].agent.state != "confirming":
         world.run(0.001)
     world.partition([name], "from")
 
@@ -108,7 +108,7 @@
             if world.units[name].agent.state == "out":
                 world.perform(
                     world.units[name],
-                    world.units[name].agent.done(world.read_clock(world.units[name])),
+                    world.units[name].agent.finish_disruption(world.read_clock(world.units[name])),
                 )
             elif world.units[name].agent.state == "in":
                 world.submit(do="ask", unit=name, plan="crowd", epoch=1, urgency=0)
@@ -198,7 +198,7 @@
     def home():
         for unit in world.units.values():
             if unit.is_alive and unit.agent.state == "out":
-                world.perform(unit, unit.agent.done(world.read_clock(unit)))
+                world.perform(unit, unit.agent.finish_disruption(world.read_clock(unit)))
             if (
                 known := world.service.machine.fleet.units[unit.name]
             ).state == "asked" and world.service.is_up:
--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -293,7 +293,7 @@
 class HolderAlone(unittest.TestCase):
     def order(self, holder, now, **more):
         """It beats at `now` and is told at once to begin; gives the tokens of what it asked."""
-        token = next(facts[0] for what, *facts in holder.due(now) if what == "say")
+        token = next(facts[0] for what, *facts in holder.advance_time(now) if what == "propose")
         order = {
             "do": "begin",
             "fence": 1,
@@ -305,24 +305,24 @@
         }
         return [
             facts[0]
-            for what, *facts in holder.told(
+            for what, *facts in holder.receive_reply(
                 now, token, {"ok": True, "at": 5, "orders": {"u": order}}
             )
-            if what == "say" and facts[1]["do"] == "begin"
+            if what == "propose" and facts[1]["do"] == "begin"
         ]
 
     def test_a_yes_counts_within_the_bound_alone(self):
         for late, drains in ((19_000, True), (19_900, False), (50_000, False)):
             holder = DisruptionAgent("u", 0, "old")
             (token,) = self.order(holder, 100)
-            effects = holder.told(100 + late, token, {"ok": True, "at": 6})
+            effects = holder.receive_reply(100 + late, token, {"ok": True, "at": 6})
             self.assertEqual(any(what == "drain" for what, *_ in effects), drains, late)
             self.assertEqual(holder.state, "draining" if drains else "in")
 
     def test_old_fences_and_epochs_are_not_begun_again(self):
         holder = DisruptionAgent("u", 0, "old")
         (token,) = self.order(holder, 100, fence=4, epoch=3)
-        holder.told(101, token, {"refused": "halted", "by": [], "again": 0, "at": 6})
+        holder.receive_reply(101, token, {"refused": "halted", "by": [], "again": 0, "at": 6})
         self.assertEqual(self.order(holder, 10_000, fence=4, epoch=3), [])
         self.assertEqual(self.order(holder, 20_000, fence=5, epoch=2), [])
         self.assertEqual(len(self.order(holder, 30_000, fence=5, epoch=3)), 1)
@@ -330,11 +330,11 @@
     def test_alone_it_begins_nothing_and_comes_back(self):
         holder = DisruptionAgent("u", 0, "old")
         (token,) = self.order(holder, 0)
-        holder.told(10, token, {"ok": True, "at": 6})
-        holder.emptied(20)
-        self.assertTrue(holder.frozen(90_000))
-        self.assertIn(("come", "new"), holder.done(90_000, "new"))
-        self.assertIn(("serve",), holder.ready(95_000, "new"))
+        holder.receive_reply(10, token, {"ok": True, "at": 6})
+        holder.finish_drain(20)
+        self.assertTrue(holder.is_frozen(90_000))
+        self.assertIn(("return", "new"), holder.finish_disruption(90_000, "new"))
+        self.assertIn(("serve",), holder.finish_return(95_000, "new"))
         self.assertEqual(holder.state, "in")
 
 
@@ -499,7 +499,7 @@
 
     def _begin(self, command):
         one = self.fleet.get_unit(command.unit)
-        if one.state == PermitState.IN and command.fence <= one.fencing_token:
+        if one.state == PermitState.IN_SERVICE and command.fence <= one.fencing_token:
             one.state = PermitState.GRANTED
         one.request = one.request or PermitRequest(0, 0, "x", command.epoch)
         return super()._begin(command._replace(fence=one.fencing_token))
@@ -540,7 +540,7 @@
         self.assertEqual(self.halted(DisruptionStateMachine), "")
 
     def test_holders_without_a_bound(self):
-        with Changed(DisruptionAgent, "bound", lambda self: 10**9):
+        with Changed(DisruptionAgent, "local_bound", lambda self: 10**9):
             self.assertIn("A2", self.halted(DisruptionStateMachine, slow=True))
         self.assertEqual(self.halted(DisruptionStateMachine, slow=True), "")
 
@@ -575,7 +575,11 @@
             world.service.restart()
             return " ".join(world.run(10).checker.violations)
 
-        with Changed(Unit, "is_idle", lambda self, at, silent: not self.is_seen_ready(at, silent)):
+        with Changed(
+            Unit,
+            "is_reported_unavailable",
+            lambda self, at, silent: not self.is_reported_ready(at, silent),
+        ):
             self.assertIn("A1", dark())
         self.assertEqual(dark(), "")
 
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -55,7 +55,7 @@
     def _wake(self) -> None:
         if not self.closed:
             self.timer = self.timers.add(self.clock() + self.interval, self._wake)
-            self._carry_out(self.holder.due(self.clock()))
+            self._carry_out(self.holder.advance_time(self.clock()))
 
     def _carry_out(self, effects: Iterable[tuple[Any, ...]]) -> None:
         for kind, *arguments in effects:
@@ -67,7 +67,7 @@
     def _replied(self, reply: dict[str, Any], token: int) -> None:
         # An unknown outcome comes from the client, not from the cluster: it is no reply.
         if not self.closed and not reply.get("unknown"):
-            self._carry_out(self.holder.told(self.clock(), token, reply))
+            self._carry_out(self.holder.receive_reply(self.clock(), token, reply))
 
     def _drain(self, fence: int, build: str) -> None:
         structured_log.log(
@@ -80,12 +80,14 @@
 
     def _drained(self, fence: int) -> None:
         structured_log.log("drained", unit=self.unit, fence=fence)
-        self._carry_out(self.holder.emptied(self.clock()))
+        self._carry_out(self.holder.finish_drain(self.clock()))
 
     def _return(self, build: str) -> None:
         """Serves again, with this build or, if it is empty, with the present one."""
         self._serve(
-            lambda: self._carry_out(self.holder.ready(self.clock(), build or self.holder.build))
+            lambda: self._carry_out(
+                self.holder.finish_return(self.clock(), build or self.holder.build)
+            )
         )
 
     def _serve(self, then: Optional[Callable[[], None]] = None) -> None:
@@ -99,7 +101,7 @@
 
         def failed(reason: str) -> None:
             structured_log.log("listener not reopened", unit=self.unit, why=reason)
-            self._carry_out(self.holder.failed(self.clock(), reason))
+            self._carry_out(self.holder.fail_return(self.clock(), reason))
 
         def listens() -> None:
             structured_log.log("drain ended", unit=self.unit)
@@ -109,9 +111,9 @@
         self.proxy.undrain(listens, failed)
 
     EFFECTS: ClassVar[dict[str, Callable[..., None]]] = {
-        "say": _propose,
+        "propose": _propose,
         "drain": _drain,
-        "come": _return,
+        "return": _return,
         "serve": _serve,
     }
     """How each effect of `disruption.agent` is carried out."""
--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -28,13 +28,13 @@
 class ActionKind(StrEnum):
     """What the process of the unit is to do; the first field of an action."""
 
-    SAY = "say"
+    PROPOSE = "propose"
     DRAIN = "drain"
-    COME = "come"
+    RETURN = "return"
     SERVE = "serve"
 
 
-class SayAction(NamedTuple):
+class ProposeAction(NamedTuple):
     """Propose a command; its reply comes back with the token."""
 
     kind: ActionKind
@@ -46,11 +46,11 @@
     """Take no new work from here on; `build` is the one to return with, or empty."""
 
     kind: ActionKind
-    fence: int
+    fencing_token: int
     build: str
 
 
-class ComeAction(NamedTuple):
+class ReturnAction(NamedTuple):
     """Return with that build, or with the one there is if it is empty."""
 
     kind: ActionKind
@@ -63,7 +63,7 @@
     kind: ActionKind
 
 
-Action: TypeAlias = SayAction | DrainAction | ComeAction | ServeAction
+Action: TypeAlias = ProposeAction | DrainAction | ReturnAction | ServeAction
 
 
 class SaidCommand(NamedTuple):
@@ -127,7 +127,7 @@
         self.start = start
         self.build = build
         self.settings = settings or DisruptionSettings()
-        self.state = AgentState.IN if ready else AgentState.RETURNING
+        self.state = AgentState.IN_SERVICE if ready else AgentState.RETURNING
         self.fault: str | None = None
         self.heard_at: Ticks = 0
         self.fresh_at: Ticks | None = None
@@ -154,20 +154,20 @@
             AgentEffect.FAIL: self._give_up_permit,
         }
 
-    def bound(self) -> Ticks:
+    def local_bound(self) -> Ticks:
         """The bound on its own clock, less what that may be wrong by."""
         return self.settings.bound - self.settings.bound * self.settings.drift // 1000
 
-    def frozen(self, now: Ticks) -> bool:
+    def is_frozen(self, now: Ticks) -> bool:
         """Whether it heard no reply for its bound: it begins nothing."""
-        return self.fresh_at is None or now - self.fresh_at > self.bound()
+        return self.fresh_at is None or now - self.fresh_at > self.local_bound()
 
     # What happens to it; each gives what the process is to do.
 
-    def due(self, now: Ticks) -> list[Action]:
+    def advance_time(self, now: Ticks) -> list[Action]:
         """Time goes on; to be called at least every quarter of the bound."""
         if self._awaits_confirmation() and now > self.permit_until:
-            self._transition(AgentInput.LATE, now)
+            self._transition(AgentInput.EXPIRED, now)
         if now >= self.next_report_at:
             self.next_report_at = now + self.settings.bound // REPORTS_PER_BOUND
             if self._awaits_confirmation():
@@ -180,7 +180,7 @@
                 self._report(now)
         return self._take_actions()
 
-    def told(self, now: Ticks, token: int, reply: Any) -> list[Action]:
+    def receive_reply(self, now: Ticks, token: int, reply: Any) -> list[Action]:
         """A reply came; unknown and repeated ones, and those of another form, say nothing."""
         said = self.waiting.pop(token, None)
         if said is None or not isinstance(reply, dict):
@@ -188,7 +188,7 @@
         self.heard_at = max(self.heard_at, reply.get("at", 0))
         if self.fresh_at is None or said.at > self.fresh_at:
             self.fresh_at = said.at
-        is_late = now - said.at > self.bound()
+        is_late = now - said.at > self.local_bound()
         if said.name == CommandName.BEGIN:
             self._take_confirmation(said, bool(reply.get("ok")), is_late, now)
         elif reply.get("ok"):
@@ -197,24 +197,24 @@
                 self._take_order(order, said.at, is_late, now)
         return self._take_actions()
 
-    def emptied(self, now: Ticks) -> list[Action]:
+    def finish_drain(self, now: Ticks) -> list[Action]:
         """The last request that it had taken has its response."""
-        self._transition(AgentInput.EMPTIED, now)
+        self._transition(AgentInput.DRAINED, now)
         return self._take_actions()
 
-    def done(self, now: Ticks, build: str = "") -> list[Action]:
+    def finish_disruption(self, now: Ticks, build: str = "") -> list[Action]:
         """What it was disrupted for is done, or given up: it returns in any case."""
         self.target_build = build
         self._transition(AgentInput.DONE, now)
         return self._take_actions()
 
-    def ready(self, now: Ticks, build: str) -> list[Action]:
+    def finish_return(self, now: Ticks, build: str) -> list[Action]:
         """It serves again, warm."""
         self.build = build
         self._transition(AgentInput.READY, now)
         return self._take_actions()
 
-    def failed(self, now: Ticks, why: str) -> list[Action]:
+    def fail_return(self, now: Ticks, why: str) -> list[Action]:
         """It can't return, for a reason in a sentence."""
         self.fault = why
         self._transition(AgentInput.FAILED, now)
@@ -223,7 +223,7 @@
     # Its parts.
 
     def _awaits_confirmation(self) -> bool:
-        return self.state in (AgentState.BEGINNING, AgentState.LEAVING)
+        return self.state in (AgentState.CONFIRMING, AgentState.CONFIRMING_COLD)
 
     def _take_actions(self) -> list[Action]:
         actions = self.actions
@@ -238,9 +238,9 @@
             return
         # A reply may have been held by a stop of this process, and be over: the clock decides.
         if is_late or now > self.permit_until:
-            self._transition(AgentInput.LATE, now)
+            self._transition(AgentInput.EXPIRED, now)
         else:
-            self._transition(AgentInput.YES if confirmed else AgentInput.NO, now)
+            self._transition(AgentInput.CONFIRMED if confirmed else AgentInput.REJECTED, now)
 
     def _take_order(self, order: dict[str, Any], at: Ticks, is_late: bool, now: Ticks) -> None:
         """Takes an order that was asked for `at`."""
@@ -250,7 +250,7 @@
             self._take_permit(order, at, is_late, now)
         elif fencing_token == self.fencing_token or (
             fencing_token > self.fencing_token
-            and self.state in (AgentState.IN, AgentState.RETURNING)
+            and self.state in (AgentState.IN_SERVICE, AgentState.RETURNING)
         ):
             self.fencing_token = fencing_token
             if name == OrderName.RETURN:
@@ -263,7 +263,7 @@
         plan = order["plan"]
         epoch = order["epoch"]
         if (
-            self.state not in (AgentState.IN, AgentState.RETURNING)
+            self.state not in (AgentState.IN_SERVICE, AgentState.RETURNING)
             or is_late
             or fencing_token <= self.spent_token
             or epoch < self.epochs.get(plan, 0)
@@ -278,7 +278,7 @@
         self.target_build = order["build"]
         # What is left of the permit counts from when it was asked for: the reply is not older.
         left = order["left"] - order["left"] * self.settings.drift // 1000
-        self.permit_until = at + min(left, 2 * self.bound())
+        self.permit_until = at + min(left, 2 * self.local_bound())
         self._transition(AgentInput.BEGIN, now)
 
     def _transition(self, event: str, now: Ticks) -> None:
@@ -296,11 +296,13 @@
             del self.waiting[next(iter(self.waiting))]
         self.waiting[self.last_token] = SaidCommand(now, name, fencing_token)
         command = {"part": PART_NAME, "do": name.value, **fields}
-        self.actions.append(SayAction(ActionKind.SAY, self.last_token, command))
+        self.actions.append(ProposeAction(ActionKind.PROPOSE, self.last_token, command))
 
     def _report(self, now: Ticks) -> None:
         report = [REPORTED_STATUS[self.state].value, self.start, self.build]
-        self._say(now, CommandName.SEEN, {"as_of": self.heard_at, "units": {self.unit: report}})
+        self._say(
+            now, CommandName.REPORT_UNITS, {"as_of": self.heard_at, "units": {self.unit: report}}
+        )
 
     def _ask_to_begin(self, now: Ticks) -> None:
         self._say(
@@ -340,14 +342,14 @@
         self._report(now)
 
     def _report_drained(self, now: Ticks) -> None:
-        self._say(now, CommandName.OUT, {"unit": self.unit, "fence": self.fencing_token})
+        self._say(now, CommandName.REPORT_DRAINED, {"unit": self.unit, "fence": self.fencing_token})
 
     def _serve(self, now: Ticks) -> None:
         self.actions.append(ServeAction(ActionKind.SERVE))
         self._give_up_permit(now)
 
     def _come(self, now: Ticks) -> None:
-        self.actions.append(ComeAction(ActionKind.COME, self.target_build))
+        self.actions.append(ReturnAction(ActionKind.RETURN, self.target_build))
         self.fault = None
         self._give_up_permit(now)
 
--- a/thymeknot/disruption/agent_transitions.py
+++ b/thymeknot/disruption/agent_transitions.py
@@ -9,12 +9,12 @@
 class AgentState(StrEnum):
     """Where the unit stands by its own account."""
 
-    IN = "in"
-    BEGINNING = "beginning"
+    IN_SERVICE = "in"
+    CONFIRMING = "confirming"
     DRAINING = "draining"
-    OUT = "out"
+    OUT_OF_SERVICE = "out"
     RETURNING = "returning"
-    LEAVING = "leaving"
+    CONFIRMING_COLD = "confirming cold"
 
 
 class AgentInput(StrEnum):
@@ -24,10 +24,10 @@
     DRAIN = "drain"
     STAY = "stay"
     RETURN = "return"
-    YES = "yes"
-    NO = "no"
-    LATE = "late"
-    EMPTIED = "emptied"
+    CONFIRMED = "confirmed"
+    REJECTED = "rejected"
+    EXPIRED = "expired"
+    DRAINED = "drained"
     DONE = "done"
     READY = "ready"
     FAILED = "failed"
@@ -64,42 +64,47 @@
 AGENT_TRANSITIONS: dict[tuple[AgentState, str], AgentTransition] = {
     (state, event): AgentTransition(next_state, effect)
     for state, event, next_state, effect in (
-        (AgentState.IN, AgentInput.BEGIN, AgentState.BEGINNING, AgentEffect.BEGIN),
-        (AgentState.BEGINNING, AgentInput.YES, AgentState.DRAINING, AgentEffect.DRAIN),
-        (AgentState.BEGINNING, AgentInput.NO, AgentState.IN, AgentEffect.DROP),
-        (AgentState.BEGINNING, AgentInput.LATE, AgentState.IN, AgentEffect.GIVE),
-        (AgentState.BEGINNING, AgentInput.RETURN, AgentState.IN, AgentEffect.GIVE),
-        (AgentState.BEGINNING, AgentInput.DONE, AgentState.IN, AgentEffect.GIVE),
-        (AgentState.DRAINING, AgentInput.EMPTIED, AgentState.OUT, AgentEffect.TELL),
-        (AgentState.DRAINING, AgentInput.RETURN, AgentState.IN, AgentEffect.SERVE),
-        (AgentState.DRAINING, AgentInput.DONE, AgentState.IN, AgentEffect.SERVE),
-        (AgentState.OUT, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.COME),
-        (AgentState.OUT, AgentInput.DONE, AgentState.RETURNING, AgentEffect.COME),
+        (AgentState.IN_SERVICE, AgentInput.BEGIN, AgentState.CONFIRMING, AgentEffect.BEGIN),
+        (AgentState.CONFIRMING, AgentInput.CONFIRMED, AgentState.DRAINING, AgentEffect.DRAIN),
+        (AgentState.CONFIRMING, AgentInput.REJECTED, AgentState.IN_SERVICE, AgentEffect.DROP),
+        (AgentState.CONFIRMING, AgentInput.EXPIRED, AgentState.IN_SERVICE, AgentEffect.GIVE),
+        (AgentState.CONFIRMING, AgentInput.RETURN, AgentState.IN_SERVICE, AgentEffect.GIVE),
+        (AgentState.CONFIRMING, AgentInput.DONE, AgentState.IN_SERVICE, AgentEffect.GIVE),
+        (AgentState.DRAINING, AgentInput.DRAINED, AgentState.OUT_OF_SERVICE, AgentEffect.TELL),
+        (AgentState.DRAINING, AgentInput.RETURN, AgentState.IN_SERVICE, AgentEffect.SERVE),
+        (AgentState.DRAINING, AgentInput.DONE, AgentState.IN_SERVICE, AgentEffect.SERVE),
+        (AgentState.OUT_OF_SERVICE, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.COME),
+        (AgentState.OUT_OF_SERVICE, AgentInput.DONE, AgentState.RETURNING, AgentEffect.COME),
         # The state machine did not hear that it is empty.
-        (AgentState.OUT, AgentInput.DRAIN, AgentState.OUT, AgentEffect.TELL),
+        (AgentState.OUT_OF_SERVICE, AgentInput.DRAIN, AgentState.OUT_OF_SERVICE, AgentEffect.TELL),
         # Nor that it gave up its permit, or has returned.
-        (AgentState.IN, AgentInput.DRAIN, AgentState.IN, AgentEffect.GIVE),
-        (AgentState.IN, AgentInput.STAY, AgentState.IN, AgentEffect.GIVE),
+        (AgentState.IN_SERVICE, AgentInput.DRAIN, AgentState.IN_SERVICE, AgentEffect.GIVE),
+        (AgentState.IN_SERVICE, AgentInput.STAY, AgentState.IN_SERVICE, AgentEffect.GIVE),
         (AgentState.RETURNING, AgentInput.DRAIN, AgentState.RETURNING, AgentEffect.GIVE),
         (AgentState.RETURNING, AgentInput.STAY, AgentState.RETURNING, AgentEffect.GIVE),
-        (AgentState.RETURNING, AgentInput.READY, AgentState.IN, AgentEffect.HOME),
+        (AgentState.RETURNING, AgentInput.READY, AgentState.IN_SERVICE, AgentEffect.HOME),
         (AgentState.RETURNING, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.FAIL),
         # A build that never gets warm is replaced without having served.
-        (AgentState.RETURNING, AgentInput.BEGIN, AgentState.LEAVING, AgentEffect.BEGIN),
-        (AgentState.LEAVING, AgentInput.YES, AgentState.OUT, AgentEffect.LEAVE),
-        (AgentState.LEAVING, AgentInput.NO, AgentState.RETURNING, AgentEffect.DROP),
-        (AgentState.LEAVING, AgentInput.LATE, AgentState.RETURNING, AgentEffect.GIVE),
-        (AgentState.LEAVING, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.GIVE),
-        (AgentState.LEAVING, AgentInput.READY, AgentState.IN, AgentEffect.HOME),
-        (AgentState.LEAVING, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.FAIL),
+        (AgentState.RETURNING, AgentInput.BEGIN, AgentState.CONFIRMING_COLD, AgentEffect.BEGIN),
+        (
+            AgentState.CONFIRMING_COLD,
+            AgentInput.CONFIRMED,
+            AgentState.OUT_OF_SERVICE,
+            AgentEffect.LEAVE,
+        ),
+        (AgentState.CONFIRMING_COLD, AgentInput.REJECTED, AgentState.RETURNING, AgentEffect.DROP),
+        (AgentState.CONFIRMING_COLD, AgentInput.EXPIRED, AgentState.RETURNING, AgentEffect.GIVE),
+        (AgentState.CONFIRMING_COLD, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.GIVE),
+        (AgentState.CONFIRMING_COLD, AgentInput.READY, AgentState.IN_SERVICE, AgentEffect.HOME),
+        (AgentState.CONFIRMING_COLD, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.FAIL),
     )
 }
 # What the unit is reported as.
 REPORTED_STATUS = {
-    AgentState.IN: UnitStatus.READY,
-    AgentState.BEGINNING: UnitStatus.READY,
-    AgentState.DRAINING: UnitStatus.OUT,
-    AgentState.OUT: UnitStatus.OUT,
+    AgentState.IN_SERVICE: UnitStatus.READY,
+    AgentState.CONFIRMING: UnitStatus.READY,
+    AgentState.DRAINING: UnitStatus.OUT_OF_SERVICE,
+    AgentState.OUT_OF_SERVICE: UnitStatus.OUT_OF_SERVICE,
     AgentState.RETURNING: UnitStatus.COLD,
-    AgentState.LEAVING: UnitStatus.COLD,
+    AgentState.CONFIRMING_COLD: UnitStatus.COLD,
 }
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -47,14 +47,14 @@
 
     Attributes:
         name: its name.
-        where: the units it chooses.
+        selector: the units it chooses.
         each: the label for each value of which it holds by itself, or None.
         kind: how the limit is stated.
         amount: the limit: a number of units, or a fraction for a share.
     """
 
     name: str
-    where: Selector
+    selector: Selector
     each: str | None
     kind: BudgetKind
     amount: float
@@ -74,7 +74,7 @@
         """The budget as a snapshot has it."""
         return {
             "name": self.name,
-            "where": self.where,
+            "where": self.selector,
             "each": self.each,
             "kind": self.kind.value,
             "amount": self.amount,
@@ -86,7 +86,7 @@
 
     Attributes:
         name: the budget's name, with the label's value behind a slash if the budget has `each`.
-        where: the units that belong to it.
+        selector: the units that belong to it.
         kind: how the limit is stated.
         amount: the limit as stated.
         size: how many units belong to it.
@@ -105,15 +105,15 @@
         "name",
         "reserved",
         "restored_at",
+        "selector",
         "size",
         "unavailable",
-        "where",
         "within_limit",
     )
 
-    def __init__(self, name: str, where: Selector, kind: BudgetKind, amount: float) -> None:
+    def __init__(self, name: str, selector: Selector, kind: BudgetKind, amount: float) -> None:
         self.name = name
-        self.where = where
+        self.selector = selector
         self.kind = kind
         self.amount = amount
         self.size = 0
@@ -230,22 +230,22 @@
     found = False
     for name in sorted(units):
         labels = units[name]
-        if not matches(budget.where, labels) or (budget.each and budget.each not in labels):
+        if not matches(budget.selector, labels) or (budget.each and budget.each not in labels):
             continue
         found = True
-        where = budget.where
+        selector = budget.selector
         usage_name = budget.name
         if budget.each:
             value = labels[budget.each]
-            where = [*where, [budget.each, [value]]]
+            selector = [*selector, [budget.each, [value]]]
             usage_name = f"{usage_name}/{value}"
         usage = usages.by_name.setdefault(
-            usage_name, BudgetUsage(usage_name, where, budget.kind, budget.amount)
+            usage_name, BudgetUsage(usage_name, selector, budget.kind, budget.amount)
         )
         usage.size += 1
         usages.by_unit[name].append(usage)
     if not found:
         raise CommandRejectedError(
-            f"budget {budget.name} chooses no unit: {describe_selector(budget.where)}",
+            f"budget {budget.name} chooses no unit: {describe_selector(budget.selector)}",
             [budget.name],
         )
--- a/thymeknot/disruption/command_reader.py
+++ b/thymeknot/disruption/command_reader.py
@@ -6,20 +6,20 @@
 
 from .commands import (
     PART_NAME,
-    AskCommand,
-    BackCommand,
     BeginCommand,
     CancelCommand,
     Command,
     CommandName,
     DeclareCommand,
     HaltCommand,
-    OutCommand,
-    ReadyCommand,
-    ReleaseCommand,
+    ReportDrainedCommand,
+    ReportReadyCommand,
+    ReportUnitsCommand,
+    RequestPermitCommand,
     ResumeCommand,
     ReturnCommand,
-    SeenCommand,
+    RollBackCommand,
+    StartReleaseCommand,
     StatusCommand,
     TickCommand,
     Verdict,
@@ -39,7 +39,7 @@
 # Characters of a sentence in a command.
 MAX_SENTENCE_LENGTH = 512
 # Characters of an unknown word that a rejection repeats.
-MAX_WORD_SHOWN = 40
+MAX_QUOTED_LENGTH = 40
 # Bits of a whole number: it has to fit a signed one of 64 bits wherever it is stored.
 MAX_NUMBER_BITS = 62
 REQUIRED: Final = object()
@@ -69,7 +69,7 @@
     default: Any = REQUIRED
 
 
-def is_natural(value: object) -> bool:
+def is_non_negative_integer(value: object) -> bool:
     """Whether a value is a whole number, not negative, that can be stored."""
     return (
         isinstance(value, int) and not isinstance(value, bool) and 0 <= value < 1 << MAX_NUMBER_BITS
@@ -87,16 +87,16 @@
 
 
 NAME = ValueRule(is_name, "a name of 1 to 128 characters")
-NATURAL = ValueRule(is_natural, "a whole number, not negative")
+NATURAL = ValueRule(is_non_negative_integer, "a whole number, not negative")
 SENTENCE = ValueRule(is_sentence, "a sentence of 1 to 512 characters")
 NAME_OR_EMPTY = ValueRule(is_name_or_empty, "a name, or empty")
 FLAG = ValueRule(lambda value: isinstance(value, bool), "true or false")
 MAPPING = ValueRule(lambda value: isinstance(value, dict), "a mapping")
 LIST = ValueRule(lambda value: isinstance(value, list), "a list")
-URGENCY = ValueRule(lambda value: is_natural(value) and value <= 9, "0 to 9")
+URGENCY = ValueRule(lambda value: is_non_negative_integer(value) and value <= 9, "0 to 9")
 # Causes that a command may state; the others are the machine's own.
 CAUSE = ValueRule(
-    lambda value: value in (HaltCause.OPERATOR, HaltCause.GANG, HaltCause.CLASS),
+    lambda value: value in (HaltCause.OPERATOR, HaltCause.GANG, HaltCause.REQUEST_CLASS),
     "operator, gang or class",
 )
 VERDICT = ValueRule(lambda value: value in tuple(Verdict), "on, hold or back")
@@ -110,8 +110,8 @@
         "budgets": FieldRule(LIST, None),
         "terms": FieldRule(MAPPING, None),
     },
-    CommandName.SEEN: {"as_of": FieldRule(NATURAL), "units": FieldRule(MAPPING)},
-    CommandName.ASK: {
+    CommandName.REPORT_UNITS: {"as_of": FieldRule(NATURAL), "units": FieldRule(MAPPING)},
+    CommandName.REQUEST_PERMIT: {
         "unit": FieldRule(NAME),
         "plan": FieldRule(NAME),
         "epoch": FieldRule(NATURAL),
@@ -126,13 +126,13 @@
         "epoch": FieldRule(NATURAL),
         "start": FieldRule(NATURAL),
     },
-    CommandName.OUT: {"unit": FieldRule(NAME), "fence": FieldRule(NATURAL)},
+    CommandName.REPORT_DRAINED: {"unit": FieldRule(NAME), "fence": FieldRule(NATURAL)},
     CommandName.RETURN: {
         "unit": FieldRule(NAME),
         "fence": FieldRule(NATURAL),
         "fault": FieldRule(SENTENCE, None),
     },
-    CommandName.READY: {
+    CommandName.REPORT_READY: {
         "unit": FieldRule(NAME),
         "as_of": FieldRule(NATURAL),
         "start": FieldRule(NATURAL),
@@ -146,13 +146,13 @@
         "cause": FieldRule(CAUSE, HaltCause.OPERATOR),
     },
     CommandName.RESUME: {"halt": FieldRule(NATURAL)},
-    CommandName.BACK: {
+    CommandName.ROLL_BACK: {
         "release": FieldRule(NAME, None),
         "unit": FieldRule(NAME, None),
         "plan": FieldRule(NAME, None),
         "epoch": FieldRule(NATURAL, None),
     },
-    CommandName.RELEASE: {
+    CommandName.START_RELEASE: {
         "release": FieldRule(NAME),
         "epoch": FieldRule(NATURAL),
         "where": FieldRule(MAPPING),
@@ -180,17 +180,17 @@
 }
 COMMAND_TYPES: dict[CommandName, type[Command]] = {
     CommandName.DECLARE: DeclareCommand,
-    CommandName.SEEN: SeenCommand,
-    CommandName.ASK: AskCommand,
+    CommandName.REPORT_UNITS: ReportUnitsCommand,
+    CommandName.REQUEST_PERMIT: RequestPermitCommand,
     CommandName.TICK: TickCommand,
     CommandName.BEGIN: BeginCommand,
-    CommandName.OUT: OutCommand,
+    CommandName.REPORT_DRAINED: ReportDrainedCommand,
     CommandName.RETURN: ReturnCommand,
-    CommandName.READY: ReadyCommand,
+    CommandName.REPORT_READY: ReportReadyCommand,
     CommandName.HALT: HaltCommand,
     CommandName.RESUME: ResumeCommand,
-    CommandName.BACK: BackCommand,
-    CommandName.RELEASE: ReleaseCommand,
+    CommandName.ROLL_BACK: RollBackCommand,
+    CommandName.START_RELEASE: StartReleaseCommand,
     CommandName.VOTE: VoteCommand,
     CommandName.CANCEL: CancelCommand,
     CommandName.STATUS: StatusCommand,
@@ -234,7 +234,7 @@
         raise CommandRejectedError("this command is for another part")
     for field in command:
         if field not in rules and field not in ("do", "part"):
-            raise CommandRejectedError(f"{name} has no field {str(field)[:MAX_WORD_SHOWN]!r}")
+            raise CommandRejectedError(f"{name} has no field {str(field)[:MAX_QUOTED_LENGTH]!r}")
     return name, {
         field: _read_field(name, field, rule, command.get(field)) for field, rule in rules.items()
     }
@@ -261,7 +261,7 @@
         except ValueError:
             pass  # the rejection below names it
     raise CommandRejectedError(
-        f"no command {str(do)[:MAX_WORD_SHOWN]!r}; there are {', '.join(CommandName)}"
+        f"no command {str(do)[:MAX_QUOTED_LENGTH]!r}; there are {', '.join(CommandName)}"
     )
 
 
--- a/thymeknot/disruption/commands.py
+++ b/thymeknot/disruption/commands.py
@@ -19,17 +19,17 @@
     """The names of the commands; the value is what the field `do` has."""
 
     DECLARE = "declare"
-    SEEN = "seen"
-    ASK = "ask"
+    REPORT_UNITS = "seen"
+    REQUEST_PERMIT = "ask"
     TICK = "tick"
     BEGIN = "begin"
-    OUT = "out"
+    REPORT_DRAINED = "out"
     RETURN = "return"
-    READY = "ready"
+    REPORT_READY = "ready"
     HALT = "halt"
     RESUME = "resume"
-    BACK = "back"
-    RELEASE = "release"
+    ROLL_BACK = "back"
+    START_RELEASE = "release"
     VOTE = "vote"
     CANCEL = "cancel"
     STATUS = "status"
@@ -38,9 +38,9 @@
 class Verdict(StrEnum):
     """The decision module's verdict on a wave of a release."""
 
-    ON = "on"
+    CONTINUE = "on"
     HOLD = "hold"
-    BACK = "back"
+    ROLL_BACK = "back"
 
 
 class DeclareCommand(NamedTuple):
@@ -61,7 +61,7 @@
     terms: dict[str, Any] | None
 
 
-class SeenCommand(NamedTuple):
+class ReportUnitsCommand(NamedTuple):
     """What an observer saw.
 
     Attributes:
@@ -73,7 +73,7 @@
     units: dict[str, Any]
 
 
-class AskCommand(NamedTuple):
+class RequestPermitCommand(NamedTuple):
     """A request for a permit; see PermitRequest. `queue` says whether it may wait."""
 
     unit: str
@@ -104,7 +104,7 @@
     start: int
 
 
-class OutCommand(NamedTuple):
+class ReportDrainedCommand(NamedTuple):
     """A unit has drained, by the permit with the fencing token `fence`."""
 
     unit: str
@@ -119,8 +119,8 @@
     fault: str | None
 
 
-class ReadyCommand(NamedTuple):
-    """A unit was seen ready; see SeenCommand."""
+class ReportReadyCommand(NamedTuple):
+    """A unit was seen ready; see ReportUnitsCommand."""
 
     unit: str
     as_of: Ticks
@@ -144,7 +144,7 @@
     halt: int
 
 
-class BackCommand(NamedTuple):
+class RollBackCommand(NamedTuple):
     """Rolls back a release, or calls back a unit or the units of a plan; just one is given."""
 
     release: str | None
@@ -153,7 +153,7 @@
     epoch: int | None
 
 
-class ReleaseCommand(NamedTuple):
+class StartReleaseCommand(NamedTuple):
     """Starts a release; see Release. `wait` says whether it may wait for another release."""
 
     release: str
@@ -195,17 +195,17 @@
 
 Command: TypeAlias = (
     DeclareCommand
-    | SeenCommand
-    | AskCommand
+    | ReportUnitsCommand
+    | RequestPermitCommand
     | TickCommand
     | BeginCommand
-    | OutCommand
+    | ReportDrainedCommand
     | ReturnCommand
-    | ReadyCommand
+    | ReportReadyCommand
     | HaltCommand
     | ResumeCommand
-    | BackCommand
-    | ReleaseCommand
+    | RollBackCommand
+    | StartReleaseCommand
     | VoteCommand
     | CancelCommand
     | StatusCommand
--- a/thymeknot/disruption/declaration.py
+++ b/thymeknot/disruption/declaration.py
@@ -3,7 +3,7 @@
 from typing import Any, NamedTuple
 
 from .budgets import MAX_BUDGETS, Budget, parse_budget
-from .command_reader import MAX_WORD_SHOWN, is_natural
+from .command_reader import MAX_QUOTED_LENGTH, is_non_negative_integer
 from .commands import DeclareCommand
 from .fleet import Fleet
 from .permits import PERMITTED_STATES
@@ -66,7 +66,7 @@
 
 def _take_away(fleet: Fleet, units: dict[str, Labels], name: Any) -> None:
     if not is_name(name) or name not in units:
-        raise CommandRejectedError(f"no unit {str(name)[:MAX_WORD_SHOWN]} was declared")
+        raise CommandRejectedError(f"no unit {str(name)[:MAX_QUOTED_LENGTH]} was declared")
     if name in fleet.units and fleet.units[name].state in PERMITTED_STATES:
         raise CommandRejectedError(
             f"unit {name} is {fleet.units[name].state}: it can't be taken away meanwhile", [name]
@@ -78,9 +78,9 @@
     plain = current.to_plain()
     for name, value in given.items():
         _, least, most = SETTING_RANGES.get(name, UNKNOWN_SETTING)
-        if not is_natural(value) or not least <= value <= most:
+        if not is_non_negative_integer(value) or not least <= value <= most:
             raise CommandRejectedError(
-                f"term {str(name)[:MAX_WORD_SHOWN]} is unknown, or not a whole number of "
+                f"term {str(name)[:MAX_QUOTED_LENGTH]} is unknown, or not a whole number of "
                 f"{least} to {most}"
             )
         plain[name] = value
--- a/thymeknot/disruption/fleet.py
+++ b/thymeknot/disruption/fleet.py
@@ -182,7 +182,7 @@
             unit.build = unit.granted_request.build or unit.build
         if status == UnitStatus.READY:
             unit.ready_at = as_of
-            if unit.is_seen_ready(self.at, self.settings.silent):
+            if unit.is_reported_ready(self.at, self.settings.silent):
                 self.transition(unit, PermitInput.READY)
         self.update_usages(unit)
 
@@ -199,9 +199,9 @@
             return False
         if step.state != unit.state:
             unit.state = step.state
-            unit.since = self.at
+            unit.state_entered_at = self.at
         self._effects[step.effect](unit, *details)
-        _keep_while(self.requesting, unit, unit.state == PermitState.ASKED)
+        _keep_while(self.requesting, unit, unit.state == PermitState.REQUESTED)
         _keep_while(self.permitted, unit, unit.state in PERMITTED_STATES)
         self.update_usages(unit)
         return True
@@ -266,7 +266,7 @@
         for plain_unit in plain["units"]:
             unit = Unit.from_plain(plain_unit)
             self.units[unit.name] = unit
-            if unit.state == PermitState.ASKED:
+            if unit.state == PermitState.REQUESTED:
                 self.requesting[unit.name] = unit
             elif unit.state in PERMITTED_STATES:
                 self.permitted[unit.name] = unit
--- a/thymeknot/disruption/halts.py
+++ b/thymeknot/disruption/halts.py
@@ -26,7 +26,7 @@
     BUDGET = "budget"
     CRASHES = "crashes"
     GANG = "gang"
-    CLASS = "class"
+    REQUEST_CLASS = "class"
 
 
 class CauseRules(NamedTuple):
@@ -51,7 +51,7 @@
     HaltCause.BUDGET: CauseRules(False, False, True),
     HaltCause.CRASHES: CauseRules(False, False, False),
     HaltCause.GANG: CauseRules(True, True, False),
-    HaltCause.CLASS: CauseRules(True, True, False),
+    HaltCause.REQUEST_CLASS: CauseRules(True, True, False),
 }
 
 
@@ -60,7 +60,7 @@
 
     Attributes:
         number: its number; a later halt has a higher one.
-        where: the units it holds, or None if it is of a release.
+        selector: the units it holds, or None if it is of a release.
         release: the release it holds, or None.
         budget: the name of the budget usage whose excess caused it, or None.
         cause: why it was ordered.
@@ -70,7 +70,7 @@
     """
 
     number: int
-    where: Selector | None
+    selector: Selector | None
     release: str | None
     budget: str | None
     cause: HaltCause
@@ -81,8 +81,8 @@
     @classmethod
     def from_plain(cls, plain: list[Any]) -> "Halt":
         """Reads a halt out of a snapshot."""
-        number, where, release, budget, cause, why, by, at = plain
-        return cls(number, where, release, budget, HaltCause(cause), why, by, at)
+        number, selector, release, budget, cause, why, by, at = plain
+        return cls(number, selector, release, budget, HaltCause(cause), why, by, at)
 
     def to_plain(self) -> list[Any]:
         """The halt as a snapshot has it."""
@@ -90,7 +90,9 @@
 
     def describe(self) -> str:
         """The halt in a sentence."""
-        where = f"release {self.release}" if self.release else describe_selector(self.where or [])
+        where = (
+            f"release {self.release}" if self.release else describe_selector(self.selector or [])
+        )
         return f"halt {self.number} by {self.by} of {where}: {self.why}"
 
 
@@ -108,7 +110,7 @@
         why: str,
         by: str,
         *,
-        where: Selector | None = None,
+        selector: Selector | None = None,
         release: str | None = None,
         budget: str | None = None,
     ) -> Halt:
@@ -118,9 +120,9 @@
             CommandRejectedError: too many halts stand.
         """
         for halt in self.by_number.values():
-            if (halt.cause, halt.where, halt.release, halt.budget, halt.by) == (
+            if (halt.cause, halt.selector, halt.release, halt.budget, halt.by) == (
                 cause,
-                where,
+                selector,
                 release,
                 budget,
                 by,
@@ -134,11 +136,11 @@
                     f"{MAX_HALTS} halts stand already; one of all units needs no more beside it"
                 )
         self.last_number += 1
-        halt = Halt(self.last_number, where, release, budget, cause, why, by, at)
+        halt = Halt(self.last_number, selector, release, budget, cause, why, by, at)
         self.by_number[self.last_number] = halt
         return halt
 
-    def find_holding(self, unit: "Unit", release: "Release | None") -> Halt | None:
+    def find_halt_of_request(self, unit: "Unit", release: "Release | None") -> Halt | None:
         """The first halt that holds a unit's request, or None.
 
         Args:
@@ -160,11 +162,11 @@
             if halt.release is not None:
                 if release and halt.release == release.name:
                     return halt
-            elif matches(halt.where or [], unit.labels):
+            elif matches(halt.selector or [], unit.labels):
                 return halt
         return None
 
-    def find_stopping(
+    def find_halt_of_release(
         self, release: "Release", unit_labels: list[Labels], rollback: bool
     ) -> Halt | None:
         """The first halt that stops a release with units of these labels, or None."""
@@ -176,12 +178,12 @@
                 continue
             if halt.release == release.name or (
                 halt.release is None
-                and any(matches(halt.where or [], labels) for labels in unit_labels)
+                and any(matches(halt.selector or [], labels) for labels in unit_labels)
             ):
                 return halt
         return None
 
-    def end_restored(self, fleet: "Fleet") -> None:
+    def end_halts_of_restored_budgets(self, fleet: "Fleet") -> None:
         """Ends the halts of budgets that are restored for long enough, or are no more."""
         ending = [
             halt for halt in self.by_number.values() if CAUSE_RULES[halt.cause].ends_with_budget
--- a/thymeknot/disruption/permit_commands.py
+++ b/thymeknot/disruption/permit_commands.py
@@ -4,7 +4,13 @@
 
 from ..interface.clock import TICKS_PER_SECOND
 from . import scheduler
-from .commands import AskCommand, BeginCommand, CancelCommand, OutCommand, ReturnCommand
+from .commands import (
+    BeginCommand,
+    CancelCommand,
+    ReportDrainedCommand,
+    RequestPermitCommand,
+    ReturnCommand,
+)
 from .fleet import Fleet
 from .permits import PERMITTED_STATES, PermitInput, PermitRequest, PermitState, Unit
 from .plan_epochs import PlanEpochs
@@ -35,7 +41,7 @@
         self.plans = plans
         self.find_hold = find_hold
 
-    def request(self, command: AskCommand) -> UnitReply:
+    def request(self, command: RequestPermitCommand) -> UnitReply:
         """Takes a request for a permit, or raises the urgency of the one there is."""
         unit = self.fleet.get_unit(command.unit)
         plan = command.plan
@@ -43,7 +49,7 @@
             raise CommandRejectedError(
                 f"plans that begin with {PLAN_PREFIX} are asked for by releases", [plan]
             )
-        self.plans.take(plan, command.epoch)
+        self.plans.accept_epoch(plan, command.epoch)
         if unit.request and unit.request.plan != plan:
             raise CommandRejectedError(
                 f"unit {unit.name} is {unit.state} by {unit.request.plan} already",
@@ -60,7 +66,7 @@
             )
             if not command.queue:
                 self._check_fits(unit, request)
-            self.fleet.transition(unit, PermitInput.ASKED, request)
+            self.fleet.transition(unit, PermitInput.REQUESTED, request)
         elif command.urgency > unit.request.urgency:
             unit.request.urgency = command.urgency
             self.fleet.capacity_freed = True
@@ -107,7 +113,9 @@
                 f"permit {command.fence} was given to another start of unit {unit.name}",
                 [unit.name],
             )
-        if command.epoch != unit.granted_request.epoch or self.plans.is_over(plan, command.epoch):
+        if command.epoch != unit.granted_request.epoch or self.plans.has_other_epoch(
+            plan, command.epoch
+        ):
             raise CommandRejectedError(f"epoch {command.epoch} of {plan} is over", [plan])
         if unit.state == PermitState.DRAINING:
             return UnitReply(unit.name)  # repeated: a reply was lost
@@ -123,7 +131,7 @@
         """Ends a permit and raises CommandRejectedError if its unit must not begin any more."""
         hold = self.find_hold(unit)
         exceeded = self.fleet.find_exceeded_budget(unit)
-        if exceeded and not unit.is_idle(self.fleet.at, self.fleet.settings.silent):
+        if exceeded and not unit.is_reported_unavailable(self.fleet.at, self.fleet.settings.silent):
             # Others crashed since it was granted. A unit that does not serve may go: that may be
             # what restores the budget.
             self.fleet.transition(unit, PermitInput.HALTED)
@@ -136,17 +144,17 @@
             self.fleet.transition(unit, PermitInput.HALTED)
             raise CommandRejectedError(hold, again=RETRY_WAIT_TICKS)
 
-    def record_drained(self, command: OutCommand) -> UnitReply:
+    def record_drained(self, command: ReportDrainedCommand) -> UnitReply:
         """A unit has drained."""
         unit = self._get_permitted(command.unit, command.fence)
-        self.fleet.transition(unit, PermitInput.EMPTIED)
+        self.fleet.transition(unit, PermitInput.DRAINED)
         return UnitReply(command.unit)
 
-    def take_return(self, command: ReturnCommand) -> UnitReply:
+    def record_return(self, command: ReturnCommand) -> UnitReply:
         """A unit returns, gives up a permit it did not begin, or tells why it can't return."""
         unit = self._get_permitted(command.unit, command.fence)
         was_granted = unit.state == PermitState.GRANTED
-        self.fleet.transition(unit, PermitInput.TURNED if was_granted else PermitInput.RETURNED)
+        self.fleet.transition(unit, PermitInput.REVOKED if was_granted else PermitInput.RETURNED)
         if command.fault:
             self.fleet.transition(unit, PermitInput.FAILED, command.fault)
         return UnitReply(command.unit)
@@ -170,5 +178,5 @@
             raise CommandRejectedError(
                 f"epoch {command.epoch} of {request.plan} is over", [request.plan]
             )
-        self.fleet.transition(unit, PermitInput.TURNED)
+        self.fleet.transition(unit, PermitInput.REVOKED)
         return UnitReply(command.unit)
--- a/thymeknot/disruption/permits.py
+++ b/thymeknot/disruption/permits.py
@@ -22,25 +22,25 @@
 class PermitState(StrEnum):
     """Where a unit stands with its permit."""
 
-    IN = "in"
-    ASKED = "asked"
+    IN_SERVICE = "in"
+    REQUESTED = "asked"
     GRANTED = "granted"
     DRAINING = "draining"
-    OUT = "out"
+    OUT_OF_SERVICE = "out"
     RETURNING = "returning"
 
 
 class PermitInput(StrEnum):
     """What happens to a unit's permit."""
 
-    ASKED = "asked"
+    REQUESTED = "requested"
     GRANTED = "granted"
-    TURNED = "turned"
+    REVOKED = "revoked"
     BEGAN = "began"
     LAPSED = "lapsed"
     RESTARTED = "restarted"
     HALTED = "halted"
-    EMPTIED = "emptied"
+    DRAINED = "drained"
     RETURNED = "returned"
     FAILED = "failed"
     READY = "ready"
@@ -66,7 +66,7 @@
 
     READY = "ready"
     COLD = "cold"
-    OUT = "out"
+    OUT_OF_SERVICE = "out"
     GONE = "gone"
 
 
@@ -86,34 +86,44 @@
 PERMITTED_STATES = (
     PermitState.GRANTED,
     PermitState.DRAINING,
-    PermitState.OUT,
+    PermitState.OUT_OF_SERVICE,
     PermitState.RETURNING,
 )
 # States of a unit that is not disrupted, nor permitted to be.
-IN_SERVICE_STATES = (PermitState.IN, PermitState.ASKED)
+IN_SERVICE_STATES = (PermitState.IN_SERVICE, PermitState.REQUESTED)
 # By value, for reports: looking them up here is faster than making the member.
 STATUS_BY_VALUE = {status.value: status for status in UnitStatus}
 # An input that has no transition changes nothing. Only a checked begin leads to draining.
 PERMIT_TRANSITIONS = {
     (state, event): PermitTransition(next_state, effect)
     for state, event, next_state, effect in (
-        (PermitState.IN, PermitInput.ASKED, PermitState.ASKED, PermitEffect.QUEUE),
-        (PermitState.ASKED, PermitInput.GRANTED, PermitState.GRANTED, PermitEffect.PERMIT),
-        (PermitState.ASKED, PermitInput.TURNED, PermitState.IN, PermitEffect.FORGET),
+        (PermitState.IN_SERVICE, PermitInput.REQUESTED, PermitState.REQUESTED, PermitEffect.QUEUE),
+        (PermitState.REQUESTED, PermitInput.GRANTED, PermitState.GRANTED, PermitEffect.PERMIT),
+        (PermitState.REQUESTED, PermitInput.REVOKED, PermitState.IN_SERVICE, PermitEffect.FORGET),
         (PermitState.GRANTED, PermitInput.BEGAN, PermitState.DRAINING, PermitEffect.DRAIN),
-        (PermitState.GRANTED, PermitInput.LAPSED, PermitState.IN, PermitEffect.DOUBT),
-        (PermitState.GRANTED, PermitInput.TURNED, PermitState.IN, PermitEffect.DOUBT),
-        (PermitState.GRANTED, PermitInput.RESTARTED, PermitState.IN, PermitEffect.DOUBT),
-        (PermitState.GRANTED, PermitInput.HALTED, PermitState.ASKED, PermitEffect.WAIT),
-        (PermitState.DRAINING, PermitInput.EMPTIED, PermitState.OUT, PermitEffect.REST),
-        (PermitState.DRAINING, PermitInput.TURNED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.GRANTED, PermitInput.LAPSED, PermitState.IN_SERVICE, PermitEffect.DOUBT),
+        (PermitState.GRANTED, PermitInput.REVOKED, PermitState.IN_SERVICE, PermitEffect.DOUBT),
+        (PermitState.GRANTED, PermitInput.RESTARTED, PermitState.IN_SERVICE, PermitEffect.DOUBT),
+        (PermitState.GRANTED, PermitInput.HALTED, PermitState.REQUESTED, PermitEffect.WAIT),
+        (PermitState.DRAINING, PermitInput.DRAINED, PermitState.OUT_OF_SERVICE, PermitEffect.REST),
+        (PermitState.DRAINING, PermitInput.REVOKED, PermitState.RETURNING, PermitEffect.CALL),
         (PermitState.DRAINING, PermitInput.RETURNED, PermitState.RETURNING, PermitEffect.CALL),
         (PermitState.DRAINING, PermitInput.RESTARTED, PermitState.RETURNING, PermitEffect.CALL),
-        (PermitState.OUT, PermitInput.TURNED, PermitState.RETURNING, PermitEffect.CALL),
-        (PermitState.OUT, PermitInput.RETURNED, PermitState.RETURNING, PermitEffect.CALL),
-        (PermitState.OUT, PermitInput.RESTARTED, PermitState.RETURNING, PermitEffect.CALL),
+        (PermitState.OUT_OF_SERVICE, PermitInput.REVOKED, PermitState.RETURNING, PermitEffect.CALL),
+        (
+            PermitState.OUT_OF_SERVICE,
+            PermitInput.RETURNED,
+            PermitState.RETURNING,
+            PermitEffect.CALL,
+        ),
+        (
+            PermitState.OUT_OF_SERVICE,
+            PermitInput.RESTARTED,
+            PermitState.RETURNING,
+            PermitEffect.CALL,
+        ),
         (PermitState.RETURNING, PermitInput.FAILED, PermitState.RETURNING, PermitEffect.NAME),
-        (PermitState.RETURNING, PermitInput.READY, PermitState.IN, PermitEffect.HOME),
+        (PermitState.RETURNING, PermitInput.READY, PermitState.IN_SERVICE, PermitEffect.HOME),
     )
 }
 
@@ -123,7 +133,7 @@
     """A request for a permit.
 
     Attributes:
-        at: agreed time of the request.
+        requested_at: agreed time of the request.
         urgency: 0 to 9; each degree counts as some age.
         plan: the plan that requests.
         epoch: the plan's epoch.
@@ -131,7 +141,7 @@
         build: the build it is to return with, or empty.
     """
 
-    at: Ticks
+    requested_at: Ticks
     urgency: int
     plan: str
     epoch: int
@@ -140,7 +150,7 @@
 
     def to_plain(self) -> list[Any]:
         """The request as a snapshot has it; its parts are the constructor's arguments."""
-        return [self.at, self.urgency, self.plan, self.epoch, self.rollback, self.build]
+        return [self.requested_at, self.urgency, self.plan, self.epoch, self.rollback, self.build]
 
 
 class Unit:
@@ -150,7 +160,7 @@
         name: its name.
         labels: its labels.
         state: where it stands with its permit.
-        since: agreed time at which it came to that state.
+        state_entered_at: agreed time at which it came to that state.
         request: the request it has or was granted; None only in service.
         fencing_token: the token of its newest permit, 0 if it never had one.
         permit_until: agreed time at which the permit lapses if it was not begun.
@@ -179,9 +189,9 @@
         "reported_at",
         "request",
         "silence_queued",
-        "since",
         "start",
         "state",
+        "state_entered_at",
         "status",
         "usages",
     )
@@ -189,8 +199,8 @@
     def __init__(self, name: str, labels: Labels) -> None:
         self.name = name
         self.labels = labels
-        self.state = PermitState.IN
-        self.since: Ticks = 0
+        self.state = PermitState.IN_SERVICE
+        self.state_entered_at: Ticks = 0
         self.request: PermitRequest | None = None
         self.fencing_token = 0
         self.permit_until: Ticks = 0
@@ -212,7 +222,7 @@
             raise ValueError(f"unit {self.name} is {self.state} and has no request")
         return self.request
 
-    def is_seen_ready(self, at: Ticks, silent: Ticks) -> bool:
+    def is_reported_ready(self, at: Ticks, silent: Ticks) -> bool:
         """Whether it was seen ready lately and since the last doubt, whatever was permitted."""
         return (
             self.status == UnitStatus.READY
@@ -222,9 +232,9 @@
 
     def is_ready(self, at: Ticks, silent: Ticks) -> bool:
         """Whether it counts as ready; every other unit is unavailable."""
-        return self.state in IN_SERVICE_STATES and self.is_seen_ready(at, silent)
+        return self.state in IN_SERVICE_STATES and self.is_reported_ready(at, silent)
 
-    def is_idle(self, at: Ticks, silent: Ticks) -> bool:
+    def is_reported_unavailable(self, at: Ticks, silent: Ticks) -> bool:
         """Whether it was reported lately not to serve.
 
         Silence proves no such thing: behind a partition it may serve, and would be disrupted when
@@ -254,7 +264,7 @@
             self.request.to_plain() if self.request else None,
             [
                 self.state.value,
-                self.since,
+                self.state_entered_at,
                 self.fencing_token,
                 self.permit_until,
                 self.lapsed_permits,
@@ -275,7 +285,7 @@
         unit = cls(name, labels)
         unit.request = PermitRequest(*request) if request else None
         unit.state = PermitState(stored[0])
-        unit.since = stored[1]
+        unit.state_entered_at = stored[1]
         unit.fencing_token = stored[2]
         unit.permit_until = stored[3]
         unit.lapsed_permits = stored[4]
--- a/thymeknot/disruption/plan_epochs.py
+++ b/thymeknot/disruption/plan_epochs.py
@@ -37,12 +37,12 @@
         self.fleet = fleet
         self.by_name: dict[str, PlanEpoch] = {}
 
-    def is_over(self, plan: str, epoch: int) -> bool:
+    def has_other_epoch(self, plan: str, epoch: int) -> bool:
         """Whether a plan is known by another epoch."""
         known = self.by_name.get(plan)
         return known is not None and known.epoch != epoch
 
-    def take(self, plan: str, epoch: int) -> None:
+    def accept_epoch(self, plan: str, epoch: int) -> None:
         """Takes a plan's epoch; a newer one ends what the older requested and was granted.
 
         Raises:
@@ -58,10 +58,10 @@
         if epoch > known.epoch:
             for unit in [*self.fleet.requesting.values(), *self.fleet.permitted.values()]:
                 if unit.granted_request.plan == plan and unit.state in (
-                    PermitState.ASKED,
+                    PermitState.REQUESTED,
                     PermitState.GRANTED,
                 ):
-                    self.fleet.transition(unit, PermitInput.TURNED)
+                    self.fleet.transition(unit, PermitInput.REVOKED)
         known.epoch = epoch
         known.last_used = self.fleet.at
 
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -5,7 +5,7 @@
 
 from ..interface.clock import TICKS_PER_SECOND
 from .budgets import ROUNDING_TOLERANCE
-from .commands import ReleaseCommand, Verdict, VoteCommand
+from .commands import StartReleaseCommand, Verdict, VoteCommand
 from .fleet import Fleet
 from .halts import Halt, HaltCause
 from .release import ENDED_STATES, ROLLBACK_STATES, Release, ReleaseInput, ReleaseState
@@ -20,7 +20,7 @@
 PLACE_RETRY_TICKS = 60 * TICKS_PER_SECOND
 
 
-def start_release(rollouts: Rollouts, command: ReleaseCommand) -> ReleaseReply:
+def start_release(rollouts: Rollouts, command: StartReleaseCommand) -> ReleaseReply:
     """Adds a release, or tells the state of the one that the same command added before.
 
     Raises:
@@ -73,7 +73,7 @@
     )
 
 
-def _check_successor(known: Release, command: ReleaseCommand) -> None:
+def _check_successor(known: Release, command: StartReleaseCommand) -> None:
     """Raises CommandRejectedError if a command neither repeats a release nor may replace it."""
     name = command.release
     if command.epoch < known.epoch:
@@ -95,7 +95,7 @@
         )
 
 
-def _choose_members(fleet: Fleet, command: ReleaseCommand) -> list[str]:
+def _choose_members(fleet: Fleet, command: StartReleaseCommand) -> list[str]:
     """Names of the units of a release, in the order in which they are disrupted.
 
     Racks take turns: else those that request at once would stand in few racks, whose budgets let
@@ -176,14 +176,14 @@
         raise CommandRejectedError(
             f"no release {command.release} of epoch {command.epoch}", [command.release]
         )
-    if command.verdict == Verdict.BACK:
+    if command.verdict == Verdict.ROLL_BACK:
         return _vote_back(rollouts, release, command.why, enforce)
     if command.wave != release.wave:
         raise CommandRejectedError(
             f"release {release.name} is in wave {release.wave}, the vote is on wave {command.wave}",
             [release.name],
         )
-    approved = command.verdict == Verdict.ON
+    approved = command.verdict == Verdict.CONTINUE
     release.approved_waves = command.wave + 1 if approved else command.wave
     return VoteReply(release.state.value, release.wave)
 
--- a/thymeknot/disruption/replies.py
+++ b/thymeknot/disruption/replies.py
@@ -26,7 +26,7 @@
 ORDER_BY_STATE = {
     PermitState.GRANTED: OrderName.BEGIN,
     PermitState.DRAINING: OrderName.DRAIN,
-    PermitState.OUT: OrderName.STAY,
+    PermitState.OUT_OF_SERVICE: OrderName.STAY,
     PermitState.RETURNING: OrderName.RETURN,
 }
 
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -180,12 +180,16 @@
             unit.lapsed_permits = 0
             if unit.request and unit.request.plan == release.plan:
                 self._withdraw(unit)
-                if unit.state in (PermitState.DRAINING, PermitState.OUT, PermitState.RETURNING):
+                if unit.state in (
+                    PermitState.DRAINING,
+                    PermitState.OUT_OF_SERVICE,
+                    PermitState.RETURNING,
+                ):
                     self._call_back(unit, release)
 
     def _withdraw(self, unit: Unit) -> None:
-        if unit.state in (PermitState.ASKED, PermitState.GRANTED):
-            self.fleet.transition(unit, PermitInput.TURNED)
+        if unit.state in (PermitState.REQUESTED, PermitState.GRANTED):
+            self.fleet.transition(unit, PermitInput.REVOKED)
 
     def _call_back(self, unit: Unit, release: Release) -> None:
         """Has an unavailable unit return with the earlier build.
@@ -196,7 +200,7 @@
         if not request.rollback:
             request.build = release.earlier_build
             unit.fault = ""
-            self.fleet.transition(unit, PermitInput.TURNED)
+            self.fleet.transition(unit, PermitInput.REVOKED)
 
     def run_round(self) -> None:
         """Does what is next for each release; at ticks and after commands that touch releases."""
@@ -214,7 +218,7 @@
     def _apply_halts(self, release: Release) -> None:
         """Halts a release, or resumes it, by the halts that stand."""
         labels = [unit.labels for unit in self.get_units(release)]
-        halt = self.halts.find_stopping(release, labels, release.state in ROLLBACK_STATES)
+        halt = self.halts.find_halt_of_release(release, labels, release.state in ROLLBACK_STATES)
         self.transition(release, ReleaseInput.HALTED if halt else ReleaseInput.RESUMED)
 
     def _request_permit(self, release: Release, unit: Unit, rollback: bool) -> None:
@@ -222,7 +226,7 @@
         request = PermitRequest(
             self.fleet.at, release.urgency, release.plan, release.epoch, rollback, build
         )
-        self.fleet.transition(unit, PermitInput.ASKED, request)
+        self.fleet.transition(unit, PermitInput.REQUESTED, request)
 
     def _count_free_requests(self, release: Release) -> int:
         """How many more units of a release may request."""
@@ -255,7 +259,7 @@
         """How far a unit is with a release that goes on."""
         at = self.fleet.at
         settings = self.fleet.settings
-        is_in = unit.state == PermitState.IN
+        is_in = unit.state == PermitState.IN_SERVICE
         is_ready = unit.is_ready(at, settings.silent)
         if not is_in or (is_ready and unit.build != release.build):
             if is_in and unit.lapsed_permits >= MAX_LAPSED_PERMITS:
@@ -266,7 +270,7 @@
             return UnitProgress(True, needs_permit=is_in, is_well=True)
         if is_ready:
             return UnitProgress(False, is_well=True)
-        if at - max(unit.since, unit.ready_at, release.started_at) > settings.home:
+        if at - max(unit.state_entered_at, unit.ready_at, release.started_at) > settings.home:
             return UnitProgress(False, "is " + unit.describe_unavailability(at, settings.silent))
         # It was not seen ready since it returned, or was silent for a moment.
         return UnitProgress(True)
@@ -274,11 +278,11 @@
     def _explain_overdue(self, unit: Unit) -> str | None:
         """Why a unit that is on its way is not waited for, or None."""
         settings = self.fleet.settings
-        age = self.fleet.at - unit.since
+        age = self.fleet.at - unit.state_entered_at
         seconds = age // TICKS_PER_SECOND
         if unit.state == PermitState.RETURNING and (unit.fault or age > settings.home):
             return unit.fault or f"was called back {seconds} s ago and was not seen ready"
-        if unit.state in (PermitState.DRAINING, PermitState.OUT) and age > settings.hold:
+        if unit.state in (PermitState.DRAINING, PermitState.OUT_OF_SERVICE) and age > settings.hold:
             return f"is {unit.state} for {seconds} s"
         return None
 
@@ -303,7 +307,7 @@
         at = self.fleet.at
         settings = self.fleet.settings
         has_build = unit.build == release.build
-        if unit.state == PermitState.IN and has_build:
+        if unit.state == PermitState.IN_SERVICE and has_build:
             if unit.lapsed_permits >= MAX_LAPSED_PERMITS:
                 is_ready = unit.is_ready(at, settings.silent)
                 word = "ready" if is_ready else unit.describe_unavailability(at, settings.silent)
@@ -311,17 +315,17 @@
             return UnitProgress(True, needs_permit=True)
         request = unit.request
         if request is None or request.plan != release.plan:
-            if unit.state == PermitState.IN or not has_build:
+            if unit.state == PermitState.IN_SERVICE or not has_build:
                 return UnitProgress(False)
             reason = f"is {unit.state} by {unit.granted_request.plan}"
-            return UnitProgress(at - unit.since <= settings.home, reason)
-        if unit.state == PermitState.ASKED:
+            return UnitProgress(at - unit.state_entered_at <= settings.home, reason)
+        if unit.state == PermitState.REQUESTED:
             # Named at once, and waited for no longer than one that is on its way: those that
             # crashed may start again.
             stuck = explain_stuck(self.fleet, unit)
-            return UnitProgress(not stuck or at - request.at <= settings.home, stuck)
+            return UnitProgress(not stuck or at - request.requested_at <= settings.home, stuck)
         overdue = self._explain_overdue(unit)
-        return UnitProgress(not overdue and unit.state != PermitState.IN, overdue)
+        return UnitProgress(not overdue and unit.state != PermitState.IN_SERVICE, overdue)
 
     def to_plain(self) -> list[Any]:
         """The releases as a snapshot has them."""
--- a/thymeknot/disruption/scheduler.py
+++ b/thymeknot/disruption/scheduler.py
@@ -34,7 +34,11 @@
 
     def rank(unit: Unit) -> tuple[bool, Ticks, str]:
         request = unit.granted_request
-        return (not request.rollback, request.at - request.urgency * urgency_step, unit.name)
+        return (
+            not request.rollback,
+            request.requested_at - request.urgency * urgency_step,
+            unit.name,
+        )
 
     return sorted(requesting, key=rank)
 
@@ -45,7 +49,7 @@
     A unit that is known not to serve takes no capacity: the rollback of a build that crashes must
     not wait for itself.
     """
-    if unit.is_idle(fleet.at, fleet.settings.silent):
+    if unit.is_reported_unavailable(fleet.at, fleet.settings.silent):
         return []
     blocking = (usage for usage in unit.usages if usage.would_exceed(unit.name))
     return sorted(blocking, key=lambda usage: usage.name)
@@ -59,7 +63,11 @@
     for name in usage.unavailable:
         unit = fleet.units[name]
         limit = settings.home if unit.state == PermitState.RETURNING else settings.hold
-        expected += unit.state in PERMITTED_STATES and not unit.fault and at - unit.since <= limit
+        expected += (
+            unit.state in PERMITTED_STATES
+            and not unit.fault
+            and at - unit.state_entered_at <= limit
+        )
     return expected >= len(usage.unavailable) + 1 - usage.allowed
 
 
@@ -78,7 +86,7 @@
         blocking = find_blocking_budgets(fleet, unit)
         if not blocking:
             fleet.transition(unit, PermitInput.GRANTED)
-        elif fleet.at - unit.granted_request.at >= fleet.settings.patience and all(
+        elif fleet.at - unit.granted_request.requested_at >= fleet.settings.patience and all(
             will_free_capacity(fleet, usage)
             for usage in blocking
             if len(usage.unavailable) >= usage.allowed
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -12,7 +12,7 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.random_source import LinearCongruentialGenerator
-from .agent import Action, ComeAction, DisruptionAgent, DrainAction, SayAction
+from .agent import Action, DisruptionAgent, DrainAction, ProposeAction, ReturnAction
 from .agent_transitions import AgentState
 from .commands import PART_NAME, CommandName
 from .invariant_checker import BudgetGroup, InvariantChecker
@@ -306,7 +306,7 @@
         """Lets time go on for an agent."""
         if self._is_running(unit, start):
             if unit.suspended_until <= self.now:
-                self.perform(unit, unit.agent.due(self.read_clock(unit)))
+                self.perform(unit, unit.agent.advance_time(self.read_clock(unit)))
             self.schedule(
                 max(self.settings.bound / POLLS_PER_BOUND, unit.suspended_until - self.now),
                 lambda: self._poll(unit, start),
@@ -317,29 +317,31 @@
     def perform(self, unit: SimulatedUnit, actions: list[Action]) -> None:
         """Does what a unit's agent wants."""
         for action in actions:
-            if isinstance(action, SayAction):
+            if isinstance(action, ProposeAction):
                 self._say(unit, action)
             elif isinstance(action, DrainAction):
                 self._drain(unit, action)
-            elif isinstance(action, ComeAction):
+            elif isinstance(action, ReturnAction):
                 self._come(unit, action)
             else:
                 unit.is_serving = True
                 self.checker.record_serving(unit.name)
 
-    def _say(self, unit: SimulatedUnit, action: SayAction) -> None:
+    def _say(self, unit: SimulatedUnit, action: ProposeAction) -> None:
         start = unit.start
 
         def take_reply(reply: dict[str, Any]) -> None:
             if self._is_running(unit, start):
-                self.perform(unit, unit.agent.told(self.read_clock(unit), action.token, reply))
+                self.perform(
+                    unit, unit.agent.receive_reply(self.read_clock(unit), action.token, reply)
+                )
 
         unit.client.propose(action.command, take_reply)
 
     def _drain(self, unit: SimulatedUnit, action: DrainAction) -> None:
         unit.is_serving = False
         is_rollback = unit.name in self.rolled_back
-        self.checker.record_disruption(self.now, unit.name, action.fence, is_rollback)
+        self.checker.record_disruption(self.now, unit.name, action.fencing_token, is_rollback)
         self._schedule_for_process(
             unit,
             WORK_TICKS * (0.2 + self._random.draw()),
@@ -347,20 +349,22 @@
         )
 
     def _finish_drain(self, unit: SimulatedUnit, build: str) -> None:
-        if unit.agent.state not in (AgentState.DRAINING, AgentState.OUT):
+        if unit.agent.state not in (AgentState.DRAINING, AgentState.OUT_OF_SERVICE):
             return
-        self.perform(unit, unit.agent.emptied(self.read_clock(unit)))
+        self.perform(unit, unit.agent.finish_drain(self.read_clock(unit)))
         if build:  # it was disrupted to be replaced: that is done after a while
             self._schedule_for_process(
                 unit,
                 WORK_TICKS * (0.5 + self._random.draw()),
-                lambda: self.perform(unit, unit.agent.done(self.read_clock(unit), build)),
+                lambda: self.perform(
+                    unit, unit.agent.finish_disruption(self.read_clock(unit), build)
+                ),
             )
 
-    def _come(self, unit: SimulatedUnit, action: ComeAction) -> None:
+    def _come(self, unit: SimulatedUnit, action: ReturnAction) -> None:
         unit.build = action.build or unit.build
         if unit.return_fault:
-            self.perform(unit, unit.agent.failed(self.read_clock(unit), unit.return_fault))
+            self.perform(unit, unit.agent.fail_return(self.read_clock(unit), unit.return_fault))
         else:
             self._schedule_for_process(
                 unit,
@@ -369,4 +373,4 @@
             )
 
     def _finish_warm_up(self, unit: SimulatedUnit) -> None:
-        self.perform(unit, unit.agent.ready(self.read_clock(unit), unit.build))
+        self.perform(unit, unit.agent.finish_return(self.read_clock(unit), unit.build))
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -12,27 +12,27 @@
 from . import scheduler
 from .budgets import BudgetUsage
 from .command_reader import (
-    MAX_WORD_SHOWN,
+    MAX_QUOTED_LENGTH,
     is_name_or_empty,
-    is_natural,
+    is_non_negative_integer,
     parse_command,
     read_fields,
 )
 from .commands import (
-    AskCommand,
-    BackCommand,
     BeginCommand,
     CancelCommand,
     Command,
     CommandName,
     DeclareCommand,
     HaltCommand,
-    OutCommand,
-    ReadyCommand,
-    ReleaseCommand,
+    ReportDrainedCommand,
+    ReportReadyCommand,
+    ReportUnitsCommand,
+    RequestPermitCommand,
     ResumeCommand,
     ReturnCommand,
-    SeenCommand,
+    RollBackCommand,
+    StartReleaseCommand,
     StatusCommand,
     TickCommand,
     VoteCommand,
@@ -80,8 +80,8 @@
     CommandName.TICK,
     CommandName.HALT,
     CommandName.RESUME,
-    CommandName.BACK,
-    CommandName.RELEASE,
+    CommandName.ROLL_BACK,
+    CommandName.START_RELEASE,
     CommandName.VOTE,
     CommandName.CANCEL,
 )
@@ -108,17 +108,17 @@
         self.epoch = 0
         self._handlers: dict[type[Command], Callable[[Any], Reply]] = {
             DeclareCommand: self._declare,
-            SeenCommand: self._seen,
-            AskCommand: self._ask,
+            ReportUnitsCommand: self._seen,
+            RequestPermitCommand: self._ask,
             TickCommand: self._tick,
             BeginCommand: self._begin,
-            OutCommand: self._out,
+            ReportDrainedCommand: self._out,
             ReturnCommand: self._return,
-            ReadyCommand: self._ready,
+            ReportReadyCommand: self._ready,
             HaltCommand: self._halt,
             ResumeCommand: self._resume,
-            BackCommand: self._back,
-            ReleaseCommand: self._release,
+            RollBackCommand: self._back,
+            StartReleaseCommand: self._release,
             VoteCommand: self._vote,
             CancelCommand: self._cancel,
             StatusCommand: self._report,
@@ -127,7 +127,7 @@
     def apply(self, at: Any, command: Any) -> dict[str, Any]:
         """Takes a command at agreed time `at`, never earlier than the last; gives its reply."""
         fleet = self.fleet
-        if is_natural(at):
+        if is_non_negative_integer(at):
             fleet.advance_time(at)
         name = None
         reply: Reply | None = None
@@ -156,7 +156,7 @@
 
     def find_hold(self, unit: Unit) -> str | None:
         """The sentence of a halt that holds a unit's request, or None."""
-        halt = self.halts.find_holding(unit, self.releases.find_requesting(unit.request))
+        halt = self.halts.find_halt_of_request(unit, self.releases.find_requesting(unit.request))
         return halt.describe() if halt else None
 
     # What follows from any command.
@@ -168,7 +168,7 @@
         fleet.newly_exceeded = []
         for usage in sorted(exceeded, key=lambda usage: usage.name):
             self._halt_exceeded(usage)
-        self.halts.end_restored(fleet)
+        self.halts.end_halts_of_restored_budgets(fleet)
         if name in RELEASE_ROUND_COMMANDS or exceeded:
             self.releases.run_round()
         if fleet.capacity_freed or name == CommandName.TICK:
@@ -188,14 +188,14 @@
                     HaltCause.BUDGET,
                     why,
                     by,
-                    where=usage.where,
+                    selector=usage.selector,
                     budget=usage.name,
                 )
             )
             for release in list(self.releases.by_name.values()):
                 units = self.releases.get_units(release)
                 if release.state == ReleaseState.GOING and any(
-                    matches(usage.where, unit.labels) for unit in units
+                    matches(usage.selector, unit.labels) for unit in units
                 ):
                     self._enforce(
                         self.halts.add(
@@ -231,7 +231,7 @@
             len(declaration.units), len(declaration.budgets), declaration.settings.to_plain()
         )
 
-    def _seen(self, command: SeenCommand) -> SeenReply:
+    def _seen(self, command: ReportUnitsCommand) -> SeenReply:
         """Takes reports; of units that are not declared, or in another form, they say nothing."""
         if command.as_of > self.fleet.at:
             raise CommandRejectedError(
@@ -243,7 +243,7 @@
         for name, report in sorted(command.units.items(), key=lambda pair: str(pair[0])):
             unit = self.fleet.units.get(name)
             if unit is None or not _is_report(report):
-                strange.append(str(name)[:MAX_WORD_SHOWN])
+                strange.append(str(name)[:MAX_QUOTED_LENGTH])
                 continue
             status, start, build = report
             self.fleet.record_report(unit, command.as_of, STATUS_BY_VALUE[status], start, build)
@@ -251,22 +251,22 @@
                 orders[name] = make_order(self.fleet, unit).to_plain()
         return SeenReply(orders, strange[:MAX_STRANGE_SHOWN] or None)
 
-    def _ready(self, command: ReadyCommand) -> SeenReply:
+    def _ready(self, command: ReportReadyCommand) -> SeenReply:
         self.fleet.get_unit(command.unit)
         report = [UnitStatus.READY.value, command.start, command.build]
-        return self._seen(SeenCommand(command.as_of, {command.unit: report}))
+        return self._seen(ReportUnitsCommand(command.as_of, {command.unit: report}))
 
-    def _ask(self, command: AskCommand) -> UnitReply:
+    def _ask(self, command: RequestPermitCommand) -> UnitReply:
         return self.permits.request(command)
 
     def _begin(self, command: BeginCommand) -> UnitReply:
         return self.permits.begin(command)
 
-    def _out(self, command: OutCommand) -> UnitReply:
+    def _out(self, command: ReportDrainedCommand) -> UnitReply:
         return self.permits.record_drained(command)
 
     def _return(self, command: ReturnCommand) -> UnitReply:
-        return self.permits.take_return(command)
+        return self.permits.record_return(command)
 
     def _cancel(self, command: CancelCommand) -> UnitReply:
         return self.permits.cancel(command)
@@ -287,7 +287,7 @@
             command.cause,
             command.why,
             command.by,
-            where=where,
+            selector=where,
             release=command.release,
         )
         self._enforce(halt)
@@ -303,7 +303,7 @@
         self.fleet.capacity_freed = True
         return ResumeReply(halt.describe(), sorted(self.halts.by_number))
 
-    def _back(self, command: BackCommand) -> ReleaseReply | CalledReply:
+    def _back(self, command: RollBackCommand) -> ReleaseReply | CalledReply:
         given = (command.release, command.unit, command.plan)
         if sum(name is not None for name in given) != 1:
             raise CommandRejectedError("back is of one release, unit or plan")
@@ -325,12 +325,12 @@
                     [unit.request.plan],
                 )
         if command.plan is not None and command.epoch is not None:
-            self.plans.take(command.plan, command.epoch)
+            self.plans.accept_epoch(command.plan, command.epoch)
         return CalledReply(
-            sorted(unit.name for unit in units if self.fleet.transition(unit, PermitInput.TURNED))
+            sorted(unit.name for unit in units if self.fleet.transition(unit, PermitInput.REVOKED))
         )
 
-    def _release(self, command: ReleaseCommand) -> ReleaseReply:
+    def _release(self, command: StartReleaseCommand) -> ReleaseReply:
         return start_release(self.releases, command)
 
     def _vote(self, command: VoteCommand) -> VoteReply | VotedBackReply:
@@ -375,6 +375,6 @@
         and len(report) == 3
         and isinstance(report[0], str)
         and report[0] in STATUS_BY_VALUE
-        and is_natural(report[1])
+        and is_non_negative_integer(report[1])
         and is_name_or_empty(report[2])
     )
--- a/thymeknot/disruption/status.py
+++ b/thymeknot/disruption/status.py
@@ -46,7 +46,7 @@
     is_ready = unit.is_ready(fleet.at, silent)
     waits: str | None = None
     blockers: list[str] | None = None
-    if unit.state == PermitState.ASKED:
+    if unit.state == PermitState.REQUESTED:
         blockers = []
         waits = find_hold(unit)
         if not waits:
