--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -114,7 +114,7 @@
             return taken[-1]
 
         with patch.object(message_codec, "sign_message", kept):
-            good.once("n0", message_codec.READ, {"query": {"do": "status"}})
+            good.ask_node("n0", message_codec.READ, {"query": {"do": "status"}})
         for kind, why in (
             ("replayed", "came before"),
             ("replayed", "another connection"),
@@ -129,13 +129,13 @@
             )
             with patch.object(message_codec, "sign_message", lambda *_, told=told: told):
                 self.assertRaisesRegex(
-                    message_codec.MessageError, why, good.once, "n0", message_codec.READ, {}
+                    message_codec.MessageError, why, good.ask_node, "n0", message_codec.READ, {}
                 )
             line = fleet.programs["n0"].logged("message rejected")
             self.assertEqual(line["kind"], kind)
             time.sleep(1.05)  # such a line is written once a second at most
         with self.assertRaisesRegex(message_codec.MessageError, "in the name of n1"):
-            good.once(
+            good.ask_node(
                 "n0",
                 message_codec.PROPOSE,
                 {"origin": "n1", "incarnation": 1, "number": 1, "command": {}},
--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -185,7 +185,7 @@
 
 @when("all keepers are lost")
 def lost(world):
-    world.service.lose()
+    world.service.fail()
 
 
 @when("the keepers are back")
--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -158,7 +158,7 @@
 
     def test_starts_grow(self):
         with tempfile.TemporaryDirectory() as folder:
-            numbers = [feature.started(folder) for _ in range(3)]
+            numbers = [feature.next_incarnation(folder) for _ in range(3)]
             self.assertEqual(sorted(set(numbers)), numbers)
 
     def test_off_it_is_not_imported(self):
--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -531,10 +531,10 @@
                 }
                 return super()._halt(command)
 
-            def find_hold(self, unit):
+            def explain_hold(self, unit):
                 if unit.name not in getattr(self, "reachable", ()):
                     return None
-                return super().find_hold(unit)
+                return super().explain_hold(unit)
 
         self.assertIn("A3", self.halted(Told))
         self.assertEqual(self.halted(DisruptionStateMachine), "")
@@ -545,10 +545,10 @@
         self.assertEqual(self.halted(DisruptionStateMachine, slow=True), "")
 
     def test_a_way_back_outside_the_budgets(self):
-        def loose(fleet, find_hold, grant_permits=scheduler.grant_permits):
+        def loose(fleet, explain_hold, grant_permits=scheduler.grant_permits):
             for unit in [one for one in fleet.requesting.values() if one.request.rollback]:
                 fleet.transition(unit, PermitInput.GRANTED)
-            grant_permits(fleet, find_hold)
+            grant_permits(fleet, explain_hold)
 
         def unasked(self, unit, find_exceeded=Fleet.find_exceeded_budget):
             return None if unit.request.rollback else find_exceeded(self, unit)
@@ -570,7 +570,7 @@
             world.run(8)
             for name in sorted(world.units):
                 world.submit(do="ask", unit=name, plan="ann", epoch=1)
-            world.service.lose()
+            world.service.fail()
             world.run(20)
             world.service.restart()
             return " ".join(world.run(10).checker.violations)
--- a/thymeknot/cli/coordination_commands.py
+++ b/thymeknot/cli/coordination_commands.py
@@ -8,7 +8,7 @@
 from typing import Any, NamedTuple, Optional
 
 from ..coordination.blocking_client import BlockingClient, NoAnswerError
-from ..coordination.feature import built
+from ..coordination.feature import build_parts
 from ..coordination.settings import CoordinationSettings
 from ..interface.clock import TICKS_PER_SECOND
 from ..operator_config import loader
@@ -54,7 +54,7 @@
         )
     settings = loader.record(CoordinationSettings, section)
     try:
-        made = built(settings, section, os.path.dirname(os.path.abspath(path)))
+        made = build_parts(settings, section, os.path.dirname(os.path.abspath(path)))
     except ValueError as error:
         raise CoordinationCommandError(f"{path}: {error}") from None
     return BlockingClient(
--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -91,12 +91,12 @@
             within: Seconds until it is given up.
 
         Raises:
-            NoAnswerError: No node answered in time; `again` asks once more under the same number.
+            NoAnswerError: No node answered in time; `retry` asks once more under the same number.
         """
         self.number += 1
-        return self.again(command, within)
+        return self.retry(command, within)
 
-    def again(self, command: dict[str, Any], within: float = PATIENCE_SECONDS) -> dict[str, Any]:
+    def retry(self, command: dict[str, Any], within: float = PATIENCE_SECONDS) -> dict[str, Any]:
         """Retries the last command under its number, so that it counts once.
 
         Args:
@@ -129,7 +129,7 @@
         """
         return self._ask(message_codec.READ, {"query": query}, within)
 
-    def once(self, name: str, kind: int, question: dict[str, Any]) -> dict[str, Any]:
+    def ask_node(self, name: str, kind: int, question: dict[str, Any]) -> dict[str, Any]:
         """Asks one node once, and returns its answer.
 
         Args:
@@ -205,7 +205,7 @@
         while time.monotonic() < deadline:
             name = self.leader or names[self.turn % len(names)]
             try:
-                answer = self.once(name, kind, question)
+                answer = self.ask_node(name, kind, question)
             except (OSError, KeyError, message_codec.MessageError):
                 answer = {}
             if "reply" in answer:
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -15,7 +15,7 @@
 from ..state.random_source import LinearCongruentialGenerator
 from .cluster_clock import ClusterClock
 from .drain_agent import DrainAgent
-from .incarnation import started
+from .incarnation import next_incarnation
 from .raft_member import RaftContext, RaftMember, open_member, peer_channels
 from .settings import (
     CoordinationSettings,
@@ -29,7 +29,7 @@
     from ..proxy.proxy import Proxy  # the command line needs no sidecar
 
 
-class Built(NamedTuple):
+class CoordinationParts(NamedTuple):
     """What is made of the settings alone.
 
     Attributes:
@@ -45,7 +45,9 @@
     declaration: list[dict[str, Any]]
 
 
-def built(settings: CoordinationSettings, section: dict[str, Any], folder: str) -> Built:
+def build_parts(
+    settings: CoordinationSettings, section: dict[str, Any], folder: str
+) -> CoordinationParts:
     """Checks the settings, and makes what can be made without starting anything.
 
     Args:
@@ -70,7 +72,7 @@
         raise CoordinationSettingsError(("fleet",), str(error)) from None
     if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
         raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the ring")
-    return Built(identity, ring, networks, declaration_commands(settings, section))
+    return CoordinationParts(identity, ring, networks, declaration_commands(settings, section))
 
 
 class CoordinationFeature:
@@ -91,7 +93,7 @@
             CoordinationSettingsError: The settings, the data folder or the address can't be used.
         """
         self.settings = settings
-        parts = built(settings, section, folder)
+        parts = build_parts(settings, section, folder)
         self.ring = parts.ring
         self.context = RaftContext(proxy.reactor, proxy.timers, parts.identity, lambda: self.ring)
         self.member: Optional[RaftMember] = None
@@ -100,7 +102,7 @@
         own_node = settings.own_node()
         data = os.path.join(folder, settings.data)
         try:
-            self.incarnation = started(data)
+            self.incarnation = next_incarnation(data)
             self.channels = peer_channels(self.context, settings)
             if own_node:
                 self.member = open_member(
@@ -163,7 +165,7 @@
             ValueError: The new settings can't be used; the present ones are kept.
         """
         settings, section = made
-        parts = built(settings, section, folder)
+        parts = build_parts(settings, section, folder)
         self.ring = parts.ring
         if self.member:
             self.member.server.allowed_hosts = parts.networks
@@ -180,4 +182,4 @@
             self.member.server.close()
 
 
-__all__ = ["Built", "CoordinationFeature", "built", "started"]
+__all__ = ["CoordinationFeature", "CoordinationParts", "build_parts", "next_incarnation"]
--- a/thymeknot/coordination/incarnation.py
+++ b/thymeknot/coordination/incarnation.py
@@ -12,7 +12,7 @@
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
-def started(folder: str) -> int:
+def next_incarnation(folder: str) -> int:
     """Numbers this start, and writes the number to the disk before it is used.
 
     It is greater than the last number, and at least the calendar's milliseconds, so that it also
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -146,6 +146,6 @@
         do, fields = machine.read(query)
         if do != "status":
             raise CommandRejectedError("a read is of status")
-        return {"ok": True, "at": machine.fleet.at, **machine._status(**fields)}
+        return {"ok": True, "at": machine.fleet.at, **machine.read_status(**fields)}
     except CommandRejectedError as rejection:
-        return {"refused": rejection.sentence, "by": rejection.by, "again": rejection.again}
+        return {"refused": rejection.reason, "by": rejection.by, "again": rejection.retry_after}
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -17,7 +17,7 @@
     Labels,
     Selector,
     describe_selector,
-    is_name,
+    is_valid_name,
     matches,
     parse_selector,
 )
@@ -168,7 +168,7 @@
         CommandRejectedError: the budget is malformed; the sentence names it.
     """
     name = given.get("name") if isinstance(given, dict) else None
-    if not isinstance(name, str) or not is_name(name):
+    if not isinstance(name, str) or not is_valid_name(name):
         raise CommandRejectedError("a budget is a mapping with a name")
     kinds = [kind for kind in BudgetKind if kind in given]
     if len(kinds) != 1 or set(given) - {"name", "where", "each", *kinds}:
--- a/thymeknot/disruption/command_reader.py
+++ b/thymeknot/disruption/command_reader.py
@@ -26,7 +26,7 @@
     VoteCommand,
 )
 from .halts import HaltCause
-from .targets import CommandRejectedError, is_name
+from .targets import CommandRejectedError, is_valid_name
 
 # About the bytes of a command as msgpack.
 MAX_COMMAND_SIZE = 65_536
@@ -83,10 +83,10 @@
 
 def is_name_or_empty(value: object) -> bool:
     """Whether a value is a name, or the empty text."""
-    return value == "" or is_name(value)
+    return value == "" or is_valid_name(value)
 
 
-NAME = ValueRule(is_name, "a name of 1 to 128 characters")
+NAME = ValueRule(is_valid_name, "a name of 1 to 128 characters")
 NATURAL = ValueRule(is_natural, "a whole number, not negative")
 SENTENCE = ValueRule(is_sentence, "a sentence of 1 to 512 characters")
 NAME_OR_EMPTY = ValueRule(is_name_or_empty, "a name, or empty")
--- a/thymeknot/disruption/declaration.py
+++ b/thymeknot/disruption/declaration.py
@@ -13,7 +13,7 @@
     DisruptionSettings,
     Labels,
     SettingRange,
-    is_name,
+    is_valid_name,
     parse_labels,
 )
 
@@ -65,7 +65,7 @@
 
 
 def _take_away(fleet: Fleet, units: dict[str, Labels], name: Any) -> None:
-    if not is_name(name) or name not in units:
+    if not is_valid_name(name) or name not in units:
         raise CommandRejectedError(f"no unit {str(name)[:MAX_WORD_SHOWN]} was declared")
     if name in fleet.units and fleet.units[name].state in PERMITTED_STATES:
         raise CommandRejectedError(
--- a/thymeknot/disruption/permit_commands.py
+++ b/thymeknot/disruption/permit_commands.py
@@ -10,7 +10,7 @@
 from .plan_epochs import PlanEpochs
 from .release import PLAN_PREFIX
 from .replies import UnitReply
-from .status import RETRY_WAIT_TICKS, describe_unit
+from .status import PERMIT_RETRY_TICKS, describe_unit
 from .targets import CommandRejectedError
 
 # Units whose requests wait at once; releases feed theirs in.
@@ -25,15 +25,15 @@
     Attributes:
         fleet: the units.
         plans: the epochs of plans.
-        find_hold: gives the sentence of a halt that holds a unit's request, or None.
+        explain_hold: gives the sentence of a halt that holds a unit's request, or None.
     """
 
     def __init__(
-        self, fleet: Fleet, plans: PlanEpochs, find_hold: Callable[[Unit], str | None]
+        self, fleet: Fleet, plans: PlanEpochs, explain_hold: Callable[[Unit], str | None]
     ) -> None:
         self.fleet = fleet
         self.plans = plans
-        self.find_hold = find_hold
+        self.explain_hold = explain_hold
 
     def request(self, command: AskCommand) -> UnitReply:
         """Takes a request for a permit, or raises the urgency of the one there is."""
@@ -48,12 +48,12 @@
             raise CommandRejectedError(
                 f"unit {unit.name} is {unit.state} by {unit.request.plan} already",
                 [unit.request.plan],
-                RETRY_WAIT_TICKS,
+                PERMIT_RETRY_TICKS,
             )
         if not unit.request:
             if len(self.fleet.requesting) >= MAX_REQUESTS:
                 raise CommandRejectedError(
-                    f"{MAX_REQUESTS} units wait already", again=QUEUE_RETRY_TICKS
+                    f"{MAX_REQUESTS} units wait already", retry_after=QUEUE_RETRY_TICKS
                 )
             request = PermitRequest(
                 self.fleet.at, command.urgency, plan, command.epoch, False, command.build
@@ -69,13 +69,13 @@
     def _check_fits(self, unit: Unit, request: PermitRequest) -> None:
         """Raises CommandRejectedError if a request would have to wait."""
         unit.request = request
-        hold = self.find_hold(unit)
+        hold = self.explain_hold(unit)
         blocking = scheduler.find_blocking_budgets(self.fleet, unit)
         wait = scheduler.explain_wait(self.fleet, unit) if blocking else None
         unit.request = None
         if hold or wait:
             sentence = hold or (wait.sentence if wait else "")
-            raise CommandRejectedError(sentence, wait.by if wait else [], RETRY_WAIT_TICKS)
+            raise CommandRejectedError(sentence, wait.by if wait else [], PERMIT_RETRY_TICKS)
 
     def _get_permitted(self, name: str, fencing_token: int) -> Unit:
         """The unit, if the fencing token is that of its permit.
@@ -85,7 +85,7 @@
         """
         unit = self.fleet.get_unit(name)
         if unit.state not in PERMITTED_STATES:
-            waits = describe_unit(self.fleet, unit, self.find_hold).waits
+            waits = describe_unit(self.fleet, unit, self.explain_hold).waits
             raise CommandRejectedError(
                 f"unit {name} has no permit; it is {unit.state}" + (f": {waits}" if waits else ""),
                 [name],
@@ -121,7 +121,7 @@
 
     def _check_begin(self, unit: Unit) -> None:
         """Ends a permit and raises CommandRejectedError if its unit must not begin any more."""
-        hold = self.find_hold(unit)
+        hold = self.explain_hold(unit)
         exceeded = self.fleet.find_exceeded_budget(unit)
         if exceeded and not unit.is_idle(self.fleet.at, self.fleet.settings.silent):
             # Others crashed since it was granted. A unit that does not serve may go: that may be
@@ -130,11 +130,11 @@
             raise CommandRejectedError(
                 scheduler.describe_usage(self.fleet, exceeded),
                 [exceeded.name, *sorted(exceeded.unavailable)],
-                RETRY_WAIT_TICKS,
+                PERMIT_RETRY_TICKS,
             )
         if hold:
             self.fleet.transition(unit, PermitInput.HALTED)
-            raise CommandRejectedError(hold, again=RETRY_WAIT_TICKS)
+            raise CommandRejectedError(hold, retry_after=PERMIT_RETRY_TICKS)
 
     def record_drained(self, command: OutCommand) -> UnitReply:
         """A unit has drained."""
--- a/thymeknot/disruption/plan_epochs.py
+++ b/thymeknot/disruption/plan_epochs.py
@@ -70,7 +70,7 @@
             self._forget_unused()
         if len(self.by_name) >= MAX_PLANS:
             raise CommandRejectedError(
-                f"{MAX_PLANS} plans are known already", again=PLAN_MEMORY_TICKS
+                f"{MAX_PLANS} plans are known already", retry_after=PLAN_MEMORY_TICKS
             )
         known = PlanEpoch(epoch, self.fleet.at)
         self.by_name[plan] = known
--- a/thymeknot/disruption/release.py
+++ b/thymeknot/disruption/release.py
@@ -14,13 +14,13 @@
     """How far a release is."""
 
     WAITING = "waiting"
-    GOING = "going"
+    RUNNING = "going"
     HALTED = "halted"
     DONE = "done"
-    BACKING = "backing"
-    HELD = "held"
-    BACKED = "backed"
-    LEFT = "left"
+    ROLLING_BACK = "backing"
+    ROLLBACK_HALTED = "held"
+    ROLLED_BACK = "backed"
+    PARTLY_ROLLED_BACK = "left"
 
 
 class ReleaseInput(StrEnum):
@@ -32,7 +32,7 @@
     RESUMED = "resumed"
     FINISHED = "finished"
     HOME = "home"
-    STUCK = "stuck"
+    BLOCKED = "stuck"
 
 
 class ReleaseEffect(StrEnum):
@@ -60,25 +60,59 @@
 RELEASE_TRANSITIONS = {
     (state, event): ReleaseTransition(next_state, effect)
     for state, event, next_state, effect in (
-        (ReleaseState.WAITING, ReleaseInput.FREE, ReleaseState.GOING, ReleaseEffect.ASK),
-        (ReleaseState.WAITING, ReleaseInput.TURNED, ReleaseState.BACKED, ReleaseEffect.END),
-        (ReleaseState.GOING, ReleaseInput.HALTED, ReleaseState.HALTED, ReleaseEffect.STOP),
-        (ReleaseState.GOING, ReleaseInput.TURNED, ReleaseState.BACKING, ReleaseEffect.TURN),
-        (ReleaseState.GOING, ReleaseInput.FINISHED, ReleaseState.DONE, ReleaseEffect.END),
-        (ReleaseState.HALTED, ReleaseInput.RESUMED, ReleaseState.GOING, ReleaseEffect.ASK),
-        (ReleaseState.HALTED, ReleaseInput.TURNED, ReleaseState.BACKING, ReleaseEffect.TURN),
-        (ReleaseState.BACKING, ReleaseInput.HALTED, ReleaseState.HELD, ReleaseEffect.STOP),
-        (ReleaseState.BACKING, ReleaseInput.TURNED, ReleaseState.BACKING, ReleaseEffect.TURN),
-        (ReleaseState.BACKING, ReleaseInput.HOME, ReleaseState.BACKED, ReleaseEffect.END),
-        (ReleaseState.BACKING, ReleaseInput.STUCK, ReleaseState.LEFT, ReleaseEffect.END),
-        (ReleaseState.HELD, ReleaseInput.RESUMED, ReleaseState.BACKING, ReleaseEffect.TURN),
-        (ReleaseState.HELD, ReleaseInput.TURNED, ReleaseState.BACKING, ReleaseEffect.TURN),
-        (ReleaseState.LEFT, ReleaseInput.TURNED, ReleaseState.BACKING, ReleaseEffect.TURN),
-        (ReleaseState.DONE, ReleaseInput.TURNED, ReleaseState.BACKING, ReleaseEffect.TURN),
+        (ReleaseState.WAITING, ReleaseInput.FREE, ReleaseState.RUNNING, ReleaseEffect.ASK),
+        (ReleaseState.WAITING, ReleaseInput.TURNED, ReleaseState.ROLLED_BACK, ReleaseEffect.END),
+        (ReleaseState.RUNNING, ReleaseInput.HALTED, ReleaseState.HALTED, ReleaseEffect.STOP),
+        (ReleaseState.RUNNING, ReleaseInput.TURNED, ReleaseState.ROLLING_BACK, ReleaseEffect.TURN),
+        (ReleaseState.RUNNING, ReleaseInput.FINISHED, ReleaseState.DONE, ReleaseEffect.END),
+        (ReleaseState.HALTED, ReleaseInput.RESUMED, ReleaseState.RUNNING, ReleaseEffect.ASK),
+        (ReleaseState.HALTED, ReleaseInput.TURNED, ReleaseState.ROLLING_BACK, ReleaseEffect.TURN),
+        (
+            ReleaseState.ROLLING_BACK,
+            ReleaseInput.HALTED,
+            ReleaseState.ROLLBACK_HALTED,
+            ReleaseEffect.STOP,
+        ),
+        (
+            ReleaseState.ROLLING_BACK,
+            ReleaseInput.TURNED,
+            ReleaseState.ROLLING_BACK,
+            ReleaseEffect.TURN,
+        ),
+        (ReleaseState.ROLLING_BACK, ReleaseInput.HOME, ReleaseState.ROLLED_BACK, ReleaseEffect.END),
+        (
+            ReleaseState.ROLLING_BACK,
+            ReleaseInput.BLOCKED,
+            ReleaseState.PARTLY_ROLLED_BACK,
+            ReleaseEffect.END,
+        ),
+        (
+            ReleaseState.ROLLBACK_HALTED,
+            ReleaseInput.RESUMED,
+            ReleaseState.ROLLING_BACK,
+            ReleaseEffect.TURN,
+        ),
+        (
+            ReleaseState.ROLLBACK_HALTED,
+            ReleaseInput.TURNED,
+            ReleaseState.ROLLING_BACK,
+            ReleaseEffect.TURN,
+        ),
+        (
+            ReleaseState.PARTLY_ROLLED_BACK,
+            ReleaseInput.TURNED,
+            ReleaseState.ROLLING_BACK,
+            ReleaseEffect.TURN,
+        ),
+        (ReleaseState.DONE, ReleaseInput.TURNED, ReleaseState.ROLLING_BACK, ReleaseEffect.TURN),
     )
 }
-ENDED_STATES = (ReleaseState.DONE, ReleaseState.BACKED, ReleaseState.LEFT)
-ROLLBACK_STATES = (ReleaseState.BACKING, ReleaseState.HELD, ReleaseState.LEFT)
+ENDED_STATES = (ReleaseState.DONE, ReleaseState.ROLLED_BACK, ReleaseState.PARTLY_ROLLED_BACK)
+ROLLBACK_STATES = (
+    ReleaseState.ROLLING_BACK,
+    ReleaseState.ROLLBACK_HALTED,
+    ReleaseState.PARTLY_ROLLED_BACK,
+)
 
 
 @dataclass(slots=True)
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -41,8 +41,8 @@
     other = rollouts.find_earlier(None, set(members))
     if other and not command.wait:
         raise _make_busy_error(other)
-    if not rollouts.make_place():
-        raise CommandRejectedError("too many releases are under way", again=PLACE_RETRY_TICKS)
+    if not rollouts.make_room():
+        raise CommandRejectedError("too many releases are under way", retry_after=PLACE_RETRY_TICKS)
     release = rollouts.add(
         name=name,
         epoch=command.epoch,
@@ -191,7 +191,7 @@
 def _vote_back(
     rollouts: Rollouts, release: Release, why: str | None, enforce: Callable[[Halt], None]
 ) -> VotedBackReply:
-    if release.state not in (ReleaseState.GOING, ReleaseState.HALTED):
+    if release.state not in (ReleaseState.RUNNING, ReleaseState.HALTED):
         raise CommandRejectedError(
             f"release {release.name} is {release.state}: there is nothing to turn", [release.name]
         )
--- a/thymeknot/disruption/replies.py
+++ b/thymeknot/disruption/replies.py
@@ -210,4 +210,4 @@
 
 def write_rejection(rejection: CommandRejectedError) -> dict[str, Any]:
     """A rejection as it is written, without the agreed time."""
-    return {"refused": rejection.sentence, "by": rejection.by, "again": rejection.again}
+    return {"refused": rejection.reason, "by": rejection.by, "again": rejection.retry_after}
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -75,7 +75,7 @@
         units = self.fleet.units
         return [units[name] for name in release.members if name in units]
 
-    def in_order(self) -> list[Release]:
+    def sorted_by_number(self) -> list[Release]:
         """All releases by number."""
         return sorted(self.by_name.values(), key=lambda release: release.number)
 
@@ -111,7 +111,7 @@
         self.by_name[release.name] = release
         return release
 
-    def make_place(self) -> bool:
+    def make_room(self) -> bool:
         """Drops the release that ended first if there are too many.
 
         Gives whether there is place for one more.
@@ -121,7 +121,7 @@
                 (
                     release
                     for release in self.by_name.values()
-                    if release.state in (ReleaseState.DONE, ReleaseState.BACKED)
+                    if release.state in (ReleaseState.DONE, ReleaseState.ROLLED_BACK)
                 ),
                 key=lambda release: release.number,
                 default=None,
@@ -138,7 +138,7 @@
             release: only releases before this one count; None: all do.
             members: names of units.
         """
-        for other in self.in_order():
+        for other in self.sorted_by_number():
             if (
                 other is not release
                 and other.name != (release and release.name)
@@ -149,7 +149,7 @@
                 return other
         return None
 
-    def find_requesting(self, request: PermitRequest | None) -> Release | None:
+    def find_requester(self, request: PermitRequest | None) -> Release | None:
         """The release that made a request, or None."""
         if request is None or not request.plan.startswith(PLAN_PREFIX):
             return None
@@ -200,15 +200,15 @@
 
     def run_round(self) -> None:
         """Does what is next for each release; at ticks and after commands that touch releases."""
-        for release in self.in_order():
+        for release in self.sorted_by_number():
             if release.state == ReleaseState.WAITING and not self.find_earlier(
                 release, set(release.members)
             ):
                 self.transition(release, ReleaseInput.FREE)
             self._apply_halts(release)
-            if release.state == ReleaseState.GOING:
+            if release.state == ReleaseState.RUNNING:
                 self._advance(release)
-            elif release.state == ReleaseState.BACKING:
+            elif release.state == ReleaseState.ROLLING_BACK:
                 self._advance_rollback(release)
 
     def _apply_halts(self, release: Release) -> None:
@@ -296,7 +296,7 @@
                 free -= 1
         release.set_aside = set_aside
         if not is_waiting:
-            self.transition(release, ReleaseInput.STUCK if set_aside else ReleaseInput.HOME)
+            self.transition(release, ReleaseInput.BLOCKED if set_aside else ReleaseInput.HOME)
 
     def _judge_rolled_back_unit(self, release: Release, unit: Unit) -> UnitProgress:
         """How far a unit is with the rollback of a release."""
@@ -325,7 +325,7 @@
 
     def to_plain(self) -> list[Any]:
         """The releases as a snapshot has them."""
-        return [self.last_number, [release.to_plain() for release in self.in_order()]]
+        return [self.last_number, [release.to_plain() for release in self.sorted_by_number()]]
 
     def load(self, plain: list[Any]) -> None:
         """Takes the releases of a snapshot in place of its own."""
--- a/thymeknot/disruption/scheduler.py
+++ b/thymeknot/disruption/scheduler.py
@@ -63,17 +63,17 @@
     return expected >= len(usage.unavailable) + 1 - usage.allowed
 
 
-def grant_permits(fleet: Fleet, find_hold: Callable[[Unit], str | None]) -> None:
+def grant_permits(fleet: Fleet, explain_hold: Callable[[Unit], str | None]) -> None:
     """Grants every request that fits.
 
     Args:
         fleet: the units and budgets.
-        find_hold: gives the sentence of a halt that holds a unit's request, or None.
+        explain_hold: gives the sentence of a halt that holds a unit's request, or None.
     """
     for usage in fleet.usages.values():
         usage.reserved = 0
     for unit in order_requests(list(fleet.requesting.values()), fleet.settings.step):
-        if find_hold(unit):
+        if explain_hold(unit):
             continue
         blocking = find_blocking_budgets(fleet, unit)
         if not blocking:
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -187,9 +187,9 @@
         self.now = end
         return self
 
-    def run_until(self, condition: Callable[[], object], most_seconds: int = 600) -> object:
+    def run_until(self, condition: Callable[[], object], max_seconds: int = 600) -> object:
         """Runs until a condition holds, at most so many seconds; gives whether it does."""
-        for _ in range(most_seconds * LOOKS_PER_SECOND):
+        for _ in range(max_seconds * LOOKS_PER_SECOND):
             if condition():
                 return True
             self.run(LOOK_SECONDS)
--- a/thymeknot/disruption/simulated_service.py
+++ b/thymeknot/disruption/simulated_service.py
@@ -121,7 +121,7 @@
         self.is_up = True
         self.network.checker.record_service_back()
 
-    def lose(self) -> None:
+    def fail(self) -> None:
         """All replicas are lost."""
         self.is_up = False
         self.network.checker.record_service_lost(self.network.now)
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -104,7 +104,7 @@
         self.halts = Halts()
         self.releases = Rollouts(self.fleet, self.halts)
         self.plans = PlanEpochs(self.fleet)
-        self.permits = PermitCommands(self.fleet, self.plans, self.find_hold)
+        self.permits = PermitCommands(self.fleet, self.plans, self.explain_hold)
         self.epoch = 0
         self._handlers: dict[type[Command], Callable[[Any], Reply]] = {
             DeclareCommand: self._declare,
@@ -141,7 +141,7 @@
         self._settle(name)
         if isinstance(reply, UnitReply):
             written.update(
-                write_fields(describe_unit(fleet, fleet.units[reply.unit], self.find_hold))
+                write_fields(describe_unit(fleet, fleet.units[reply.unit], self.explain_hold))
             )
         written["at"] = fleet.at
         return written
@@ -154,9 +154,9 @@
         """
         return read_fields(command)
 
-    def find_hold(self, unit: Unit) -> str | None:
+    def explain_hold(self, unit: Unit) -> str | None:
         """The sentence of a halt that holds a unit's request, or None."""
-        halt = self.halts.find_holding(unit, self.releases.find_requesting(unit.request))
+        halt = self.halts.find_holding(unit, self.releases.find_requester(unit.request))
         return halt.describe() if halt else None
 
     # What follows from any command.
@@ -172,7 +172,7 @@
         if name in RELEASE_ROUND_COMMANDS or exceeded:
             self.releases.run_round()
         if fleet.capacity_freed or name == CommandName.TICK:
-            scheduler.grant_permits(fleet, self.find_hold)
+            scheduler.grant_permits(fleet, self.explain_hold)
 
     def _halt_exceeded(self, usage: BudgetUsage) -> None:
         """Crashes exceeded a budget: its place is halted until it is restored.
@@ -194,7 +194,7 @@
             )
             for release in list(self.releases.by_name.values()):
                 units = self.releases.get_units(release)
-                if release.state == ReleaseState.GOING and any(
+                if release.state == ReleaseState.RUNNING and any(
                     matches(usage.where, unit.labels) for unit in units
                 ):
                     self._enforce(
@@ -213,7 +213,7 @@
         for unit in [
             unit for unit in self.fleet.permitted.values() if unit.state == PermitState.GRANTED
         ]:
-            if self.find_hold(unit):
+            if self.explain_hold(unit):
                 self.fleet.transition(unit, PermitInput.HALTED)
 
     # The commands.
@@ -339,11 +339,11 @@
     def _report(self, command: StatusCommand) -> StatusReply | UnitStatusReply:
         if command.unit is not None:
             unit = self.fleet.get_unit(command.unit)
-            return UnitStatusReply(unit.name, describe_unit(self.fleet, unit, self.find_hold))
+            return UnitStatusReply(unit.name, describe_unit(self.fleet, unit, self.explain_hold))
         where = parse_selector(command.where or {})
-        return report_status(self.fleet, self.halts, self.releases, where, self.find_hold)
+        return report_status(self.fleet, self.halts, self.releases, where, self.explain_hold)
 
-    def _status(self, unit: str | None, where: dict[str, Any] | None) -> dict[str, Any]:
+    def read_status(self, unit: str | None, where: dict[str, Any] | None) -> dict[str, Any]:
         """The fields of a status reply; changes nothing, so a read may be answered by it."""
         return write_fields(self._report(StatusCommand(unit, where)))
 
--- a/thymeknot/disruption/status.py
+++ b/thymeknot/disruption/status.py
@@ -16,7 +16,7 @@
 # Units, budgets and units set aside that one status names.
 MAX_SHOWN = 512
 # Ticks after which a unit that waits for a permit is to ask again.
-RETRY_WAIT_TICKS = TICKS_PER_SECOND
+PERMIT_RETRY_TICKS = TICKS_PER_SECOND
 
 
 def make_order(fleet: Fleet, unit: Unit) -> Order:
@@ -33,14 +33,14 @@
 
 
 def describe_unit(
-    fleet: Fleet, unit: Unit, find_hold: Callable[[Unit], str | None]
+    fleet: Fleet, unit: Unit, explain_hold: Callable[[Unit], str | None]
 ) -> UnitStanding:
     """Where a unit stands.
 
     Args:
         fleet: the fleet it is of.
         unit: the unit.
-        find_hold: gives the sentence of a halt that holds a unit's request, or None.
+        explain_hold: gives the sentence of a halt that holds a unit's request, or None.
     """
     silent = fleet.settings.silent
     is_ready = unit.is_ready(fleet.at, silent)
@@ -48,7 +48,7 @@
     blockers: list[str] | None = None
     if unit.state == PermitState.ASKED:
         blockers = []
-        waits = find_hold(unit)
+        waits = explain_hold(unit)
         if not waits:
             waits, blockers = explain_wait(fleet, unit)
     is_permitted = unit.state in PERMITTED_STATES
@@ -61,7 +61,7 @@
         fault=unit.fault or None,
         waits=waits,
         by=blockers,
-        again=None if blockers is None else RETRY_WAIT_TICKS,
+        again=None if blockers is None else PERMIT_RETRY_TICKS,
     )
 
 
@@ -70,7 +70,7 @@
     halts: Halts,
     rollouts: Rollouts,
     where: Selector,
-    find_hold: Callable[[Unit], str | None],
+    explain_hold: Callable[[Unit], str | None],
 ) -> StatusReply:
     """How all stand; of the units those that a selector chooses."""
     silent = fleet.settings.silent
@@ -82,7 +82,7 @@
         out=sum(not unit.is_ready(fleet.at, silent) for unit in units),
         more=max(0, len(away) - MAX_SHOWN),
         away={
-            unit.name: write_fields(describe_unit(fleet, unit, find_hold))
+            unit.name: write_fields(describe_unit(fleet, unit, explain_hold))
             for unit in away[:MAX_SHOWN]
         },
         budgets={
--- a/thymeknot/disruption/targets.py
+++ b/thymeknot/disruption/targets.py
@@ -34,16 +34,16 @@
     """A command was rejected and has changed nothing but what time changes.
 
     Attributes:
-        sentence: why it was rejected.
+        reason: why it was rejected.
         by: names of the units, budgets, plans or releases that stand in the way.
-        again: ticks after which a retry makes sense; 0 if none does.
+        retry_after: ticks after which a retry makes sense; 0 if none does.
     """
 
-    def __init__(self, sentence: str, by: Iterable[str] = (), again: Ticks = 0) -> None:
-        super().__init__(sentence)
-        self.sentence = sentence
+    def __init__(self, reason: str, by: Iterable[str] = (), retry_after: Ticks = 0) -> None:
+        super().__init__(reason)
+        self.reason = reason
         self.by = list(by)
-        self.again = again
+        self.retry_after = retry_after
 
 
 class SettingRange(NamedTuple):
@@ -109,7 +109,7 @@
         return self.bound + self.bound * self.drift // 1000 + 1
 
 
-def is_name(value: object) -> bool:
+def is_valid_name(value: object) -> bool:
     """Whether a value may be the name of a unit, budget, plan, release or build."""
     return isinstance(value, str) and 0 < len(value) <= MAX_NAME_LENGTH and value.isprintable()
 
@@ -120,10 +120,10 @@
     Raises:
         CommandRejectedError: the name or a label is none, or the kind is unknown.
     """
-    if not is_name(name):
+    if not is_valid_name(name):
         raise CommandRejectedError(f"a unit's name is 1 to {MAX_NAME_LENGTH} printable characters")
     if not isinstance(given, dict) or any(
-        label not in LABEL_NAMES or not is_name(value) for label, value in given.items()
+        label not in LABEL_NAMES or not is_valid_name(value) for label, value in given.items()
     ):
         raise CommandRejectedError(
             f"unit {name} has a label that is unknown or no name; there are "
@@ -152,7 +152,7 @@
             label not in LABEL_NAMES
             or not isinstance(values, list)
             or not values
-            or not all(map(is_name, values))
+            or not all(map(is_valid_name, values))
         ):
             raise CommandRejectedError(
                 f"a selector has {str(label)[:MAX_NAME_LENGTH]!r} that is no label, "
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -61,7 +61,7 @@
 def _check_coordination(settings: Any, folder: str) -> CheckedFeature:
     told = _record(_module("coordination.settings").CoordinationSettings, settings)
     feature = _module("coordination.feature")
-    feature.built(told, settings, folder)
+    feature.build_parts(told, settings, folder)
     return CheckedFeature(
         lambda proxy: feature.CoordinationFeature(proxy, told, settings, folder), (told, settings)
     )
