--- a/thymeknot/disruption/replies.py
+++ b/thymeknot/disruption/replies.py
@@ -26,7 +26,7 @@
 ORDER_BY_STATE = {
     PermitState.GRANTED: OrderName.BEGIN,
     PermitState.DRAINING: OrderName.DRAIN,
-    PermitState.OUT: OrderName.STAY,
+    PermitState.OUT_OF_SERVICE: OrderName.STAY,
     PermitState.RETURNING: OrderName.RETURN,
 }
 
@@ -210,4 +210,4 @@
 
 def write_rejection(rejection: CommandRejectedError) -> dict[str, Any]:
     """A rejection as it is written, without the agreed time."""
-    return {"refused": rejection.sentence, "by": rejection.by, "again": rejection.again}
+    return {"refused": rejection.reason, "by": rejection.by, "again": rejection.retry_after}
--- a/thymeknot/raft/model_checker.py
+++ b/thymeknot/raft/model_checker.py
@@ -1,18 +1,18 @@
-"""Looks for interleavings and faults under which something that must hold doesn't."""
+"""Searches random interleavings and faults for violations of Raft's invariants."""
 
 from collections.abc import Callable, Collection, Iterable, Mapping
 from typing import NamedTuple
 
 from ..interface.clock import Ticks
 from ..state.random_source import LinearCongruentialGenerator
-from .broken_variants import BROKEN, CORRECT, FOCUS
+from .broken_variants import BROKEN_VARIANTS, CORRECT_VARIANT, REVEALING_FAULTS
 from .cluster_faults import FAULTS, Fault, FaultInjector
 from .errors import RaftError
 from .settings import ElectionTimeout, RaftSettings
 from .simulated_clients import SimulatedClients
 from .simulated_cluster import Conditions, InvariantError, Random, SimulatedCluster
 
-SMALL = RaftSettings(
+SMALL_LIMITS = RaftSettings(
     heartbeat_interval=100,
     election_timeout=ElectionTimeout(500, 1_000),
     lease_duration=300,
@@ -30,85 +30,90 @@
     max_promotion_lag=4,
     max_delayed_messages=64,
 )
-"""Small limits, so that runs reach them."""
-SETTLING_TIME: Ticks = 40_000
-"""Simulated time within which a cluster without faults must acknowledge writes."""
-SETTLING_WRITES = 6
-"""Writes that show that a cluster gets on."""
+"""Small limits, so that short runs reach them."""
+RECOVERY_TIMEOUT: Ticks = 40_000
+"""Simulated time within which a cluster has to acknowledge writes after its faults ended."""
+RECOVERY_WRITES = 6
+"""Number of acknowledged writes that show that a cluster makes progress."""
 WARM_UP_DRAWS = 4
-"""The first numbers of similar seeds are similar."""
+"""Number of draws that are skipped, because those of similar seeds are similar."""
 
 
-class StandstillError(RaftError):
-    """Nothing gets on, though it could."""
+class LivenessError(RaftError):
+    """The cluster makes no progress although a quorum of the voters is available."""
 
 
 class Report(NamedTuple):
-    """What a run came to.
+    """Result of a run.
 
     Attributes:
-        states: events that nodes handled.
-        faults: counts by kind.
-        writes: acknowledged.
-        reads: answered.
-        leaders: terms that had one.
-        counterexamples: sentences; one ends the run.
-        standstill: a sentence, if a cluster that has its voters didn't get on after its faults.
-        bereft: faults and operators left too few complete voters for anything to be committed.
+        event_count: Number of events that nodes handled.
+        faults: Number of injected faults by kind.
+        writes: Number of acknowledged writes.
+        reads: Number of answered reads.
+        leaders: Number of terms that had a leader.
+        counterexamples: Descriptions of violated invariants. The first one ends the run.
+        liveness_failure: Description, if the cluster made no progress after the faults ended
+            although it had a quorum; else None.
+        quorum_lost: Whether faults and operators left too few voters with their disks to commit
+            entries.
     """
 
-    states: int
+    event_count: int
     faults: Mapping[Fault, int]
     writes: int
     reads: int
     leaders: int
     counterexamples: tuple[str, ...]
-    standstill: str | None
-    bereft: bool
+    liveness_failure: str | None
+    quorum_lost: bool
 
 
 class SearchResult(NamedTuple):
-    """How many seeds were tried, and the first counterexample if there was one."""
+    """Number of seeds that were tried, and the first counterexample or None."""
 
     tried: int
     counterexample: str | None
 
 
 def draw_conditions(random: Random, focus: Collection[str] | None) -> Conditions:
-    """The conditions of a run; with a focus, few faults of the network and many of some kinds."""
-    loss = random.draw() * 0.2
-    duplication = random.draw() * 0.15
-    late_share = random.draw() * 0.3
-    late_delay = 600 if random.draw() < 0.7 else 3_000
+    """Draws the conditions of a run.
+
+    With a focus, only the kinds of faults in it are injected, and network faults are rare.
+    """
+    loss_share = random.draw() * 0.2
+    duplication_share = random.draw() * 0.15
+    delayed_share = random.draw() * 0.3
+    max_extra_delay = 600 if random.draw() < 0.7 else 3_000
     sync_share = random.draw()
-    sync_delay = sync_share * (60 if random.draw() < 0.6 else 400)
+    max_sync_delay = sync_share * (60 if random.draw() < 0.6 else 400)
     promotion_share = random.draw()
     single_entries = random.draw() < 0.5
-    # Only some kinds of fault in a run, each as often as it draws.
+    # Swarm testing: a run has only some kinds of faults, with random weights.
     weights = [random.draw() if random.draw() < 0.6 else 0.0 for _ in FAULTS]
-    pause = 200 + random.draw() * 3_000
+    mean_fault_interval = 200 + random.draw() * 3_000
     if focus:
         weights = [float(kind in focus) for kind in FAULTS]
-        pause = 800
-        loss /= 8
-        duplication /= 8
-        late_share /= 8
+        mean_fault_interval = 800
+        loss_share /= 8
+        duplication_share /= 8
+        delayed_share /= 8
     return Conditions(
-        loss=loss,
-        duplication=duplication,
-        late_share=late_share,
-        late_delay=late_delay,
-        sync_delay=sync_delay,
+        loss_share=loss_share,
+        duplication_share=duplication_share,
+        delayed_share=delayed_share,
+        max_extra_delay=max_extra_delay,
+        max_sync_delay=max_sync_delay,
         promotion_share=promotion_share,
         single_entries=single_entries,
         fault_weights=weights,
-        fault_pause=pause,
+        mean_fault_interval=mean_fault_interval,
         founder_count=3 if random.draw() < 0.6 else 5,
     )
 
 
 class Run:
-    """One run of a cluster with its clients and faults."""
+    """One run of a simulated cluster with its clients and faults."""
 
     def __init__(
         self,
@@ -122,7 +127,7 @@
         for _ in range(WARM_UP_DRAWS):
             random.draw()
         conditions = draw_conditions(random, focus)
-        variant = BROKEN[variant_name] if variant_name else CORRECT
+        variant = BROKEN_VARIANTS[variant_name] if variant_name else CORRECT_VARIANT
         if conditions.single_entries:
             settings = settings._replace(max_batch_entries=1)
         self.cluster = SimulatedCluster(
@@ -136,82 +141,88 @@
         self.faults = FaultInjector(
             self.cluster, self.clients, conditions, variant.keeps_disk_incarnation
         )
-        self.bereft = False
+        self.quorum_lost = False
+
+    def check_recovery(self) -> None:
+        """Stops the faults and checks that the cluster acknowledges new writes.
 
-    def settle(self) -> None:
-        """Ends the faults: new writes are acknowledged, unless too few disks are left.
+        It need not if too few voters have their disks.
 
         Raises:
-            StandstillError: they aren't.
-            InvariantError: acknowledged writes are gone.
+            LivenessError: No new writes are acknowledged.
+            InvariantError: Acknowledged writes are lost.
         """
         clients = self.clients
         hosts = self.cluster.hosts.values()
-        self.faults.end()
-        before = clients.writes
-        wanted = before + SETTLING_WRITES
-        self.cluster.run_for(SETTLING_TIME, lambda: clients.writes >= wanted)
-        self.bereft = not all(
+        self.faults.stop()
+        writes_before = clients.writes
+        target_writes = writes_before + RECOVERY_WRITES
+        self.cluster.run_for(RECOVERY_TIMEOUT, lambda: clients.writes >= target_writes)
+        self.quorum_lost = not all(
             self._has_quorum(host.node.log.members.voters) for host in hosts if host.node
         )
-        if clients.writes < wanted and not self.bereft:
-            raise StandstillError("nothing is agreed though all faults are over")
+        if clients.writes < target_writes and not self.quorum_lost:
+            raise LivenessError("writes are not acknowledged although all faults have ended")
         longest = max(len(host.register.write_ids) for host in hosts)
-        if clients.writes > before and clients.acknowledged > longest:
-            raise InvariantError("what was acknowledged is gone")
+        if clients.writes > writes_before and clients.acknowledged > longest:
+            raise InvariantError("acknowledged writes are lost")
 
     def _has_quorum(self, voters: dict[str, int]) -> bool:
-        """Whether enough voters have the disk that the list names; a node may have no list yet."""
+        """Returns whether a majority of the voters still has the disk listed in the configuration.
+
+        A node may have no configuration yet.
+        """
         hosts = self.cluster.hosts
-        complete = sum(hosts[name].disk.incarnation == disk for name, disk in voters.items())
-        return not voters or 2 * complete > len(voters)
+        kept_disks = sum(hosts[name].disk.incarnation == disk for name, disk in voters.items())
+        return not voters or 2 * kept_disks > len(voters)
 
 
 def explore(
     seed: int,
     steps: int,
     variant: str | None = None,
-    settings: RaftSettings = SMALL,
+    settings: RaftSettings = SMALL_LIMITS,
     focus: Collection[str] | None = None,
 ) -> Report:
-    """Runs a cluster once.
+    """Runs a simulated cluster once.
 
     Args:
-        seed: of all that is random; it draws a mix of faults unless there is a focus.
-        steps: events that nodes handle.
-        variant: a name in BROKEN; None for correct nodes.
-        settings: of all nodes.
-        focus: kinds of faults, of which alone there are many then, on a network that is fair else.
+        seed: Seed of the random source, which also draws the mix of faults if there is no focus.
+        steps: Number of events that nodes handle.
+        variant: Name of a variant in BROKEN_VARIANTS; None for correct nodes.
+        settings: Settings of all nodes.
+        focus: Kinds of faults that are injected, at a high rate and with few network faults; None
+            for a random mix.
     """
     run = Run(seed, variant, settings, focus)
     cluster = run.cluster
     counterexamples: tuple[str, ...] = ()
-    standstill = None
+    liveness_failure = None
     try:
         cluster.run(steps)
-        run.settle()
+        run.check_recovery()
     except InvariantError as error:
         counterexamples = (f"seed {seed}, event {cluster.event_count}, at {cluster.now}: {error}",)
-    except StandstillError as error:
-        standstill = f"seed {seed}, event {cluster.event_count}, at {cluster.now}: {error}"
+    except LivenessError as error:
+        liveness_failure = f"seed {seed}, event {cluster.event_count}, at {cluster.now}: {error}"
     return Report(
-        states=cluster.event_count,
+        event_count=cluster.event_count,
         faults=dict(run.faults.counts),
         writes=run.clients.writes,
         reads=run.clients.reads,
         leaders=len(cluster.leaders),
         counterexamples=counterexamples,
-        standstill=standstill,
-        bereft=run.bereft,
+        liveness_failure=liveness_failure,
+        quorum_lost=run.quorum_lost,
     )
 
 
 def search(variant: str, seeds: Iterable[int], steps: int) -> SearchResult:
-    """Tries seeds until a variant shows."""
+    """Tries seeds until a run of the variant gives a counterexample."""
     tried = 0
     for seed in seeds:
         tried += 1
-        report = explore(seed, steps, variant, focus=FOCUS.get(variant))
+        report = explore(seed, steps, variant, focus=REVEALING_FAULTS.get(variant))
         if report.counterexamples:
             return SearchResult(tried, report.counterexamples[0])
     return SearchResult(tried, None)
