--- a/thymeknot/gossip/__init__.py
+++ b/thymeknot/gossip/__init__.py
@@ -1,12 +1,12 @@
-"""Gossip among instances: who lives, and what others saw of an endpoint.
+"""Gossip between instances: SWIM-style membership and shared evidence about endpoints.
 
-Apart from the socket all of it is pure. By layer:
+All modules except `udp_transport` are free of input and output. By layer:
 
-- `settings` (what an operator sets), `keyring` (keys), `keys` (a command that makes one);
+- `settings` (operator settings), `keyring` (keys), `keys` (the command that creates a key file);
 - `codec` (datagrams), `replay_window`, `rate_limits`;
-- `membership` (who lives), `dissemination_queue` (what is passed on), `own_experience`,
-  `credibility` and `suspicion` (what is believed of endpoints);
-- `context` and `outbox` (what the parts of a node share), `prober`, `peer_hints`, `item_exchange`
-  and `receiver` (its parts), `node` (all of these as one, still without a network);
-- `udp_transport` (the socket, and the way to and from the proxy).
+- `membership` (which peers are alive), `dissemination_queue` (items to pass on), `own_experience`,
+  `credibility` and `suspicion` (which endpoints are suspected);
+- `context` and `outbox` (state shared by the parts of a node), `prober`, `peer_hints`,
+  `item_exchange` and `receiver` (the parts), `node` (all parts combined, without a network);
+- `udp_transport` (the socket and the connection to the proxy).
 """
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -1,9 +1,10 @@
-"""Datagrams to and from typed records. Nothing here is trusted: it may still be anybody's.
+"""Encodes and decodes datagrams as typed records. Signatures are not verified here.
 
-A datagram is one byte of version, 8 of the key's name, a MessagePack array, and 64 of the signature
-over all before. An item within it is built alike without the version and is signed by its origin,
-so that it passes through relays as it was made. Decoding by msgspec is strict: a wrong type, length
-or number of fields is rejected. Records are arrays on the wire, so their fields' names are not.
+A datagram consists of one version byte, an 8-byte key id, a MessagePack array and a 64-byte
+signature over everything before it. An item inside a datagram has the same layout without the
+version byte. Its origin signs it, so that other instances can forward it unchanged. Decoding with
+msgspec is strict: a wrong type, length or number of fields is rejected. Records are encoded as
+arrays, so field names do not appear on the wire.
 """
 
 from enum import StrEnum
@@ -15,15 +16,15 @@
 
 VERSION = 1
 VERSION_SIZE = 1  # bytes
-MAX_DATAGRAM = 1400  # bytes: below the usual MTU with all headers
-MIN_FRAME = 8  # bytes of the shortest frame, unsigned
+MAX_DATAGRAM = 1400  # bytes; fits the usual MTU together with all headers
+MIN_FRAME = 8  # bytes of the shortest encoded frame, without signature
 MIN_DATAGRAM = VERSION_SIZE + KEY_ID_SIZE + MIN_FRAME + SIGNATURE_SIZE  # bytes
 MAX_ITEM = 400  # bytes
 MIN_ITEM = MIN_DATAGRAM - VERSION_SIZE  # bytes
 MAX_HINTS = 24  # peers in one datagram
-MAX_INDIRECT_ANSWER = 480  # bytes of an answer that a relay passes on
-# Bytes of a ping that asks one who proved nothing: longer than the answer by far, so that nobody is
-# sent more than was sent in its name.
+MAX_INDIRECT_ANSWER = 480  # bytes of an answer that a relay forwards
+# Bytes that are added to a ping to a peer that is not validated. They make the ping much longer
+# than its answer, so that a spoofed source address can't be used for an amplification attack.
 PING_PADDING = 128
 
 Name = Annotated[str, Meta(max_length=32)]
@@ -36,34 +37,34 @@
 
 
 class DropReason(StrEnum):
-    """Why a datagram or an item was dropped. The values are logged."""
+    """Reason for dropping a datagram or an item. The values are logged."""
 
     SIZE = "size"
     VERSION = "version"
-    NETWORK = "network"  # of the source is not allowed
-    KEY = "key"  # is nobody's of the ring
-    BUDGET = "budget"  # of verifications is used up
+    NETWORK = "network"  # the source address is not in an allowed network
+    KEY = "key"  # no peer in the keyring owns the key
+    BUDGET = "budget"  # the limit of signature verifications is reached
     FORM = "form"
-    SENDER = "sender"  # is not whose key it is
-    RECIPIENT = "recipient"  # is another
+    SENDER = "sender"  # the stated sender does not own the key
+    RECIPIENT = "recipient"  # addressed to another instance
     REPLAY = "replay"
     SIGNATURE = "signature"
-    UNPROVED = "unproved"  # start of the sender
-    LAPSED = "lapsed"  # too old, or about what is not known
-    EQUIVOCATION = "lie"  # another content under the same number
+    UNPROVED = "unproved"  # the sender has not proved its present start
+    LAPSED = "lapsed"  # too old, or about something unknown here
+    EQUIVOCATION = "lie"  # two items with the same number and different content
 
 
 class _Record(Struct, array_like=True, forbid_unknown_fields=True, frozen=True, gc=False):
-    """What all records have in common on the wire."""
+    """Base of all records: encoded as an array, unknown fields rejected."""
 
 
 class Alive(_Record, frozen=True, tag="a"):
-    """The origin lives.
+    """The origin is alive.
 
     Attributes:
-        host: Host of its address.
-        port: Port of its address.
-        incarnation: Its incarnation.
+        host: Host of the origin's address.
+        port: Port of the origin's address.
+        incarnation: The origin's incarnation.
     """
 
     host: Host
@@ -72,15 +73,15 @@
 
 
 class Left(_Record, frozen=True, tag="l"):
-    """The origin leaves."""
+    """The origin leaves the group."""
 
 
 class Suspect(_Record, frozen=True, tag="s"):
-    """The origin got no answer from a peer.
+    """The origin suspects a peer that did not answer its probes.
 
     Attributes:
         subject: Name of the peer.
-        start: The peer's start.
+        start: Id of the peer's start.
         incarnation: The peer's incarnation.
     """
 
@@ -90,15 +91,15 @@
 
 
 class Evidence(_Record, frozen=True, tag="c"):
-    """What the origin saw of an endpoint of late.
+    """The origin's recent attempts at an endpoint.
 
     Attributes:
-        pod: The endpoint's id.
-        address: Its address.
-        build: Its build.
-        started: Its start.
-        tried: Attempts that ended.
-        failed: Those of them that failed.
+        endpoint_id: The endpoint's id.
+        address: The endpoint's address, empty if addresses are not matched.
+        build: The endpoint's build.
+        endpoint_started_at: Unix time of the endpoint's start, in ticks, or 0 if unknown.
+        attempts: Number of attempts that ended.
+        failures: Number of those attempts that failed.
     """
 
     endpoint_id: Text
@@ -113,14 +114,14 @@
 
 
 class Item(_Record, frozen=True):
-    """What an origin says to all, passed on by others.
+    """A message from its origin to all instances, forwarded by others.
 
     Attributes:
         origin: Name of the origin.
-        start: Start of the origin.
-        number: Number of the item, within the start.
-        at: Ticks since the origin's start.
-        body: What it says.
+        start: Id of the origin's start.
+        number: Sequence number, unique within the start.
+        made_at: Ticks since the origin's start when the item was made.
+        body: Content.
     """
 
     origin: Name
@@ -134,8 +135,8 @@
     """A probe.
 
     Attributes:
-        nonce: To be sent back.
-        pad: Makes the ping longer than its answer; where it is not empty, the answer is bare.
+        nonce: Sent back in the answer.
+        padding: Makes the ping longer than its answer. Unless it is empty, the answer has no items.
     """
 
     nonce: Nonce
@@ -146,9 +147,9 @@
     """An answer to a probe.
 
     Attributes:
-        nonce: That of the probe.
-        back: A nonce for the asker to answer, so that both have proved themselves in three
-            datagrams.
+        nonce: Nonce of the probe.
+        challenge: A nonce that the prober answers in turn, so that three datagrams validate both
+            sides.
     """
 
     nonce: Nonce
@@ -156,13 +157,13 @@
 
 
 class IndirectPing(_Record, frozen=True, tag="q"):
-    """A request to a relay: ping a peer with this nonce, and pass its answer on.
+    """SWIM's ping-req: asks a relay to ping a peer with this nonce and to forward the answer.
 
     Attributes:
-        nonce: The nonce.
+        nonce: Nonce of the probe.
         target: Name of the peer.
-        host: Host of its address.
-        port: Port of its address.
+        host: Host of the peer's address.
+        port: Port of the peer's address.
     """
 
     nonce: Nonce
@@ -172,11 +173,11 @@
 
 
 class IndirectAck(_Record, frozen=True, tag="y"):
-    """A relay's answer.
+    """A relay's answer to an `IndirectPing`.
 
     Attributes:
-        nonce: That of the request.
-        answer: The whole datagram with which the peer answered, or None: it did not.
+        nonce: Nonce of the request.
+        answer: The complete datagram of the peer's answer, or None if the peer did not answer.
     """
 
     nonce: Nonce
@@ -184,15 +185,15 @@
 
 
 class Push(_Record, frozen=True, tag="i"):
-    """Only items."""
+    """A frame that carries items only."""
 
 
 class Hints(_Record, frozen=True, tag="h"):
-    """Where peers may be: no proof of anything, a ping finds out.
+    """Possible addresses of peers. They are not trusted until a ping confirms them.
 
     Attributes:
-        asking: Whether the sender asks for hints back.
-        peers: (name, host, port) of peers.
+        wants_reply: Whether the sender asks for hints in return.
+        peers: (name, host, port) of each peer.
     """
 
     wants_reply: bool
@@ -203,17 +204,17 @@
 
 
 class Frame(_Record, frozen=True):
-    """What one datagram says.
+    """Content of a datagram.
 
     Attributes:
         sender: Name of the sender.
         recipient: Name of the intended receiver, so that the datagram can't be replayed to another
             one; empty in the first ping to a seed, whose name is not known yet.
-        start: Start of the sender.
-        number: Number of the datagram, within the start.
-        at: Ticks since the sender's start.
-        body: What it is about.
-        items: Sealed items that ride on it.
+        start: Id of the sender's start.
+        number: Sequence number, unique within the start.
+        sent_at: Ticks since the sender's start when the datagram was sent.
+        body: The message itself.
+        items: Sealed items piggybacked on the datagram.
     """
 
     sender: Name
@@ -226,12 +227,12 @@
 
 
 class SealedFrame(NamedTuple):
-    """A datagram that was read, not verified.
+    """A decoded datagram whose signature is not verified yet.
 
     Attributes:
-        key_id: Names the key that should have signed it.
-        frame: What it says.
-        signed: The bytes that are signed.
+        key_id: Id of the key that should have signed it.
+        frame: Its content.
+        signed_bytes: The bytes that the signature covers.
         signature: The signature.
     """
 
@@ -242,12 +243,12 @@
 
 
 class SealedItem(NamedTuple):
-    """An item that was read, not verified.
+    """A decoded item whose signature is not verified yet.
 
     Attributes:
-        key_id: Names the key that should have signed it.
-        item: What it says.
-        signed: The bytes that are signed.
+        key_id: Id of the key that should have signed it.
+        item: Its content.
+        signed_bytes: The bytes that the signature covers.
         signature: The signature.
     """
 
@@ -280,12 +281,12 @@
 
 
 def datagram_key_id(datagram: bytes) -> bytes:
-    """Returns the name of the key that should have signed a datagram, before it is read."""
+    """Returns the id of the key that should have signed an undecoded datagram."""
     return datagram[VERSION_SIZE : VERSION_SIZE + KEY_ID_SIZE]
 
 
 def read_frame(datagram: bytes) -> SealedFrame | DropReason:
-    """Reads a datagram, or says why it can't be."""
+    """Decodes a datagram; returns the reason if it is malformed."""
     if not MIN_DATAGRAM <= len(datagram) <= MAX_DATAGRAM:
         return DropReason.SIZE
     if datagram[0] != VERSION:
@@ -300,7 +301,7 @@
 
 
 def read_item(content: bytes) -> SealedItem | DropReason:
-    """Reads an item, or says why it can't be."""
+    """Decodes an item; returns the reason if it is malformed."""
     if not MIN_ITEM <= len(content) <= MAX_ITEM:
         return DropReason.SIZE
     try:
--- a/thymeknot/gossip/context.py
+++ b/thymeknot/gossip/context.py
@@ -1,4 +1,4 @@
-"""What the parts of a gossip node share."""
+"""State shared by the parts of a gossip node."""
 
 from collections.abc import Callable
 from dataclasses import dataclass, field
@@ -14,16 +14,16 @@
 from .settings import GossipSettings
 from .suspicion import SuspicionDetector
 
-TICK_INTERVAL = TICKS_PER_SECOND // 10  # between two calls of `GossipNode.tick`
-ITEM_SPACE = 1100  # bytes of items in a datagram; the rest is for its frame
+TICK_INTERVAL = TICKS_PER_SECOND // 10  # between calls of `GossipNode.tick`
+ITEM_SPACE = 1100  # bytes of items per datagram; the rest is left for the frame
 
 
 class LogEvent(NamedTuple):
-    """What a log should hold.
+    """An event for the caller to log.
 
     Attributes:
         event: Name of the event.
-        fields: Its fields.
+        fields: Keys and values of the event.
     """
 
     event: str
@@ -32,23 +32,23 @@
 
 @dataclass
 class GossipContext:
-    """The state that several parts of a node read. The node alone replaces parts of it.
+    """State that several parts of a node read; only the node replaces attributes.
 
     Attributes:
         settings: The operator's settings.
         local: This instance.
-        ring: The peers' keys.
+        ring: Keyring of the peers' public keys.
         sources: Networks that peers may send from.
-        members: The peers.
-        suspicions: Evidence about endpoints.
-        limits: How many signatures may be verified.
-        queue: Items that are passed on.
-        outbox: What goes out.
-        new_nonce: Returns 8 bytes that nobody can guess.
-        unix: Returns Unix seconds.
-        by_address: Names of the peers that proved an address, by address.
-        dropped: How much was dropped, by the value of the `DropReason`.
-        log_events: What the caller has not logged yet.
+        members: Membership state of the peers.
+        suspicions: Evidence about endpoints and the suspicions derived from it.
+        limits: Rate limits of signature verifications.
+        queue: Items to pass on.
+        outbox: Outgoing datagrams.
+        new_nonce: Returns 8 unpredictable bytes.
+        unix: Returns the Unix time in seconds.
+        by_address: Names of the peers by validated address.
+        dropped: Number of dropped datagrams and items by `DropReason` value.
+        log_events: Events that the caller has not logged yet.
     """
 
     settings: GossipSettings
@@ -69,14 +69,14 @@
     log_events: list[LogEvent] = field(default_factory=list)
 
     def key_owner(self, key_id: bytes) -> str | None:
-        """Returns the name that a key belongs to now, or None."""
+        """Returns the name of the peer that owns a key now, or None."""
         return self.ring.owner(key_id, self.unix())
 
     def drop(self, reason: DropReason | None) -> None:
-        """Counts what was dropped, if there is a reason."""
+        """Counts a dropped datagram or item; does nothing if `reason` is None."""
         if reason is not None:
             self.dropped[reason.value] += 1
 
     def pick_items(self, receiver: str) -> list[bytes]:
-        """Picks items that ride on a datagram."""
+        """Picks the items to piggyback on a datagram to `receiver`."""
         return self.queue.pick(len(self.members.live), ITEM_SPACE, receiver)
--- a/thymeknot/gossip/credibility.py
+++ b/thymeknot/gossip/credibility.py
@@ -1,10 +1,10 @@
-"""What an origin's word is worth: more as it proved right before, less as it proved wrong."""
+"""Credibility of origins: raised by evidence that own attempts confirm, lowered otherwise."""
 
-INITIAL_CREDIT = 0.5  # of one that said nothing yet
-MIN_CREDIT = 0.2  # below it a word counts for nothing
-CREDIT_GAIN = 0.1  # added by a word that proved right
-CREDIT_LOSS_FACTOR = 0.5  # times the credit, by a word that proved wrong
-CREDIT_RECOVERY = 0.002  # of the way back to the initial credit, each time
+INITIAL_CREDIT = 0.5  # of an origin without any judged evidence
+MIN_CREDIT = 0.2  # evidence of an origin with less credit is ignored
+CREDIT_GAIN = 0.1  # added for evidence that own attempts confirm
+CREDIT_LOSS_FACTOR = 0.5  # multiplies the credit for evidence that own attempts refute
+CREDIT_RECOVERY = 0.002  # share of the distance to the initial credit, per call of `recover`
 
 
 class Credibility:
@@ -18,19 +18,19 @@
         return self._credits.get(origin, INITIAL_CREDIT)
 
     def record_confirmation(self, origin: str) -> None:
-        """Raises an origin's credit."""
+        """Raises the credit of an origin whose evidence was confirmed."""
         self._credits[origin] = min(1.0, self.credit_of(origin) + CREDIT_GAIN)
 
     def record_refutation(self, origin: str) -> None:
-        """Lowers an origin's credit."""
+        """Lowers the credit of an origin whose evidence was refuted."""
         self._credits[origin] = self.credit_of(origin) * CREDIT_LOSS_FACTOR
 
     def record_equivocation(self, origin: str) -> None:
-        """Takes all of an origin's credit."""
+        """Removes all credit of an origin that signed contradicting items."""
         self._credits[origin] = 0.0
 
     def recover(self) -> None:
-        """Takes each origin a step back to the initial credit: what one was is not for ever."""
+        """Moves each credit a step towards the initial credit, so that no judgement is final."""
         for origin in list(self._credits):
             credit = self._credits[origin]
             self._credits[origin] = credit + CREDIT_RECOVERY * (INITIAL_CREDIT - credit)
--- a/thymeknot/gossip/dissemination_queue.py
+++ b/thymeknot/gossip/dissemination_queue.py
@@ -1,7 +1,7 @@
-"""What is passed on: origins' items as they were signed, the least sent first.
+"""Dissemination queue: items with their origins' signatures, the least often sent first.
 
-Bounded in all, and by origin. The queue of SWIM (Das, Gupta, Motivala, 2002): updates ride on the
-protocol's own datagrams a number of times that is logarithmic in the members.
+Bounded in total and per origin. Follows SWIM (Das, Gupta, Motivala, 2002): updates are piggybacked
+on the protocol's own datagrams, each a number of times that is logarithmic in the group size.
 """
 
 from collections.abc import Callable, Hashable
@@ -10,54 +10,56 @@
 
 from ..interface.clock import Ticks
 
-MAX_ITEMS = 512  # items, of all origins
-MAX_ITEMS_PER_ORIGIN = 32  # items
-RETRANSMIT_MULTIPLIER = 2  # times the logarithm of the members: how often an item is sent
-MAX_RESENT_ITEMS = 2  # of those sent so often, beside what is new: heals what loss has left out
-ITEM_OVERHEAD_BYTES = 3  # bytes that the encoding of a list adds to an item
+MAX_ITEMS = 512  # of all origins together
+MAX_ITEMS_PER_ORIGIN = 32
+RETRANSMIT_MULTIPLIER = 2  # an item is sent this many times log2(members + 1), rounded up
+# Items that have reached that limit and are sent again at random in each datagram. They reach
+# members that missed an item through datagram loss.
+MAX_RESENT_ITEMS = 2
+ITEM_OVERHEAD_BYTES = 3  # that the encoding of a list adds to an item
 
 LIVENESS = "alive"
-"""What `Alive` and `Left` items are about: an origin that has left is not called alive any more."""
+"""Topic of `Alive` and `Left` items, so that a `Left` replaces the origin's earlier `Alive`."""
 
 _ItemKey: TypeAlias = tuple[str, Hashable]
-"""(origin, what it is about)."""
+"""(origin, topic)."""
 
 
 class RandomSource(Protocol):
-    """What the queue draws from; `thymeknot.state.random_source` has one."""
+    """Random numbers for the queue; implemented in `thymeknot.state.random_source`."""
 
     def draw(self) -> float:
-        """Returns a number from 0 to below 1."""
+        """Returns a number in [0, 1)."""
 
 
 class ItemSource(Protocol):
-    """What the queue reads of an item."""
+    """The attributes of an item that the queue reads."""
 
     @property
     def origin(self) -> str:
-        """Name of who signed it."""
+        """Name of the instance that signed the item."""
 
     @property
     def start(self) -> int:
-        """The origin's start that it belongs to."""
+        """Id of the origin's start that the item belongs to."""
 
     @property
     def number(self) -> int:
-        """Its number within the start; a later one has a higher number."""
+        """Sequence number within the start; later items have higher numbers."""
 
 
 class QueuedItem:
-    """An item as its origin signed it.
+    """A signed item in the queue.
 
     Attributes:
-        origin: Name of who signed it.
-        start: The origin's start that it belongs to.
-        number: Its number within the start.
-        key_id: Names the key that signed it.
-        content: Its bytes.
-        sent: How often it was sent.
-        made: When it was made, by this instance's clock.
-        about: What it is about; a newer one of the origin about the same replaces it.
+        origin: Name of the instance that signed it.
+        start: Id of the origin's start that it belongs to.
+        number: Sequence number within the start.
+        key_id: Id of the key that signed it.
+        content: Encoded item with its signature.
+        send_count: How often it was sent.
+        made_at: When it was made, by this instance's clock.
+        topic: What it is about; the origin's next item on the same topic replaces it.
     """
 
     __slots__ = ("content", "key_id", "made_at", "number", "origin", "send_count", "start", "topic")
@@ -76,11 +78,11 @@
 
 
 class DisseminationQueue:
-    """The items that are passed on.
+    """Items to pass on to other members.
 
     Attributes:
-        items: They, by origin and what they are about.
-        count_by_origin: How many there are of each origin.
+        items: The items by (origin, topic).
+        count_by_origin: Number of items of each origin.
     """
 
     def __init__(self, random_source: RandomSource, lifetime: Ticks) -> None:
@@ -95,9 +97,10 @@
     def add(
         self, item: ItemSource, key_id: bytes, content: bytes, made_at: Ticks, topic: Hashable
     ) -> None:
-        """Adds an item, unless a newer one of the same origin about the same is there.
+        """Adds an item unless a newer one of the same origin on the same topic is queued.
 
-        It replaces an older one. Datagrams overtake each other, so an older one may come later.
+        An older one is replaced. Datagrams can arrive out of order, so that an older item may come
+        after a newer one.
         """
         key = (item.origin, topic)
         existing = self.items.get(key)
@@ -108,7 +111,7 @@
         elif self.count_by_origin.get(item.origin, 0) >= MAX_ITEMS_PER_ORIGIN:
             self._drop_oldest(item.origin)
         elif len(self.items) >= MAX_ITEMS:
-            # The origin with most gives up its oldest: a loud one crowds out itself.
+            # The origin with most items loses its oldest, so that it can't displace the others'.
             self._drop_oldest(
                 max(self.count_by_origin, key=lambda origin: self.count_by_origin[origin])
             )
@@ -129,7 +132,7 @@
             del self.count_by_origin[origin]
 
     def prune(self, now: Ticks, is_valid: Callable[[QueuedItem], bool]) -> None:
-        """Drops items that are too old or no longer valid."""
+        """Removes items that are older than the lifetime or no longer valid."""
         for key in [
             key
             for key, item in self.items.items()
@@ -138,7 +141,7 @@
             self._drop(key)
 
     def has_fresh(self, member_count: int) -> bool:
-        """Returns whether an item still has to be passed on."""
+        """Returns whether any item is below its retransmit limit."""
         limit = self._retransmit_limit(member_count)
         return any(item.send_count < limit for item in self.items.values())
 
@@ -148,15 +151,16 @@
     def pick(
         self, member_count: int, space: int, excluded_origin: str | None = None
     ) -> list[bytes]:
-        """Picks the contents for one datagram and counts them as sent.
+        """Picks the items for one datagram and counts them as sent.
 
         Args:
-            member_count: How many members live.
-            space: Bytes that the datagram has for them.
-            excluded_origin: The receiver, whose own items are not sent back to it.
+            member_count: Number of live members.
+            space: Bytes available for items in the datagram.
+            excluded_origin: Origin whose items are left out: the receiver of the datagram.
 
         Returns:
-            The least sent first, then a few at random of those that were sent often enough.
+            Encoded items: those below the retransmit limit, the least often sent first, then up to
+            `MAX_RESENT_ITEMS` random others.
         """
         limit = self._retransmit_limit(member_count)
         ready = [item for item in self.items.values() if item.origin != excluded_origin]
--- a/thymeknot/gossip/item_exchange.py
+++ b/thymeknot/gossip/item_exchange.py
@@ -1,4 +1,4 @@
-"""Items of others: verified, applied and passed on, or kept until their origin proves itself."""
+"""Processes items of other instances: verifies, applies and passes them on, or holds them."""
 
 from collections.abc import Hashable
 from hashlib import blake2b
@@ -14,21 +14,21 @@
 from .prober import Prober
 from .rate_limits import SendPurpose
 
-MAX_PENDING_ITEMS = 256  # items that wait for their origin's proof
-MAX_PENDING_ITEMS_PER_ORIGIN = 8  # items
+MAX_PENDING_ITEMS = 256  # held until their origins prove their present start
+MAX_PENDING_ITEMS_PER_ORIGIN = 8
 MAX_PENDING_AGE = 5 * TICKS_PER_SECOND
-# An item may seem to come from so much later than its origin's clock allows.
+# An item may be dated in the future by this much, beyond the error of the measured clock offset.
 MAX_CLOCK_LEAD = TICKS_PER_SECOND
 DIGEST_SIZE = 8  # bytes
 
 
 class PendingItem(NamedTuple):
-    """An item that waits for its origin's proof.
+    """An item that is held until its origin proves its present start.
 
     Attributes:
-        since: When it came.
+        received_at: When it was received.
         origin: Name of the origin.
-        content: Its bytes.
+        content: Encoded item with its signature.
     """
 
     received_at: Ticks
@@ -37,7 +37,7 @@
 
 
 class ItemExchange:
-    """Takes items of others.
+    """Processes items of other instances.
 
     Attributes:
         waiting: Items that wait for their origin's proof, the oldest first.
@@ -51,7 +51,11 @@
         self._pending_by_origin: dict[str, int] = {}
 
     def receive(self, now: Ticks, forwarder: Member, content: bytes) -> DropReason | None:
-        """Takes an item that a proved peer brought, and returns why it was dropped, if it was."""
+        """Processes an item from a validated peer.
+
+        Returns:
+            The reason if the item was dropped, else None.
+        """
         sealed = codec.read_item(content)
         if isinstance(sealed, DropReason):
             return sealed
@@ -86,11 +90,11 @@
     def _accept(
         self, now: Ticks, origin: Member, sealed: SealedItem, content: bytes, digest: bytes
     ) -> DropReason | None:
-        """Takes a verified item."""
+        """Applies a verified item and queues it to be passed on."""
         context = self._context
         item = sealed.item
         if origin.item_window.seen(item.number):
-            # Another content under the same number, and the origin's own signature.
+            # The origin itself signed two different items with the same number.
             context.suspicions.discredit(origin.name)
             context.log_events.append(LogEvent("equivocation detected", {"peer": origin.name}))
             return DropReason.EQUIVOCATION
@@ -108,7 +112,7 @@
         return None
 
     def _apply(self, now: Ticks, origin: Member, item: Item, made: Ticks) -> Hashable | None:
-        """Applies an item, and returns what it is about; None if that is not known here."""
+        """Applies an item and returns its topic, or None if its subject is unknown here."""
         body = item.body
         if isinstance(body, Alive):
             self._apply_alive(now, origin, body, made)
@@ -134,7 +138,7 @@
         return ("Evidence", body.endpoint_id) if used else None
 
     def _apply_suspect(self, now: Ticks, origin: Member, body: Suspect) -> bool:
-        """Takes note that a peer is suspected, and returns whether that is of its present start."""
+        """Records a suspicion and returns whether it concerns the subject's present start."""
         context = self._context
         if body.subject == context.local.name:
             self._refute(now, body)
@@ -147,7 +151,7 @@
         return True
 
     def _refute(self, now: Ticks, body: Suspect) -> None:
-        """Says that this instance lives, if its present incarnation is suspected."""
+        """Refutes a suspicion of the present incarnation by announcing a higher one."""
         context = self._context
         local = context.local
         if body.start == local.start and body.incarnation >= local.incarnation:
@@ -158,7 +162,7 @@
     def _hold_until_proved(
         self, now: Ticks, origin: Member, item: Item, content: bytes
     ) -> DropReason | None:
-        """Has an item of an origin that has not proved this start wait a short while."""
+        """Holds an item whose origin has not proved the item's start, and probes the origin."""
         body = item.body
         if isinstance(body, Alive) and origin.state == MemberState.UNPROVED:
             self._hints.learn(now, origin.name, (body.host, body.port))
@@ -179,7 +183,7 @@
         return None
 
     def release_pending(self, now: Ticks, member: Member) -> None:
-        """Takes the items that waited for a peer's proof."""
+        """Processes the items that were held for a peer which has now been validated."""
         if not self._pending_by_origin.pop(member.name, None):
             return
         pending = self.pending
@@ -189,7 +193,7 @@
                 self._context.drop(self.receive(now, member, item.content))
 
     def expire(self, now: Ticks) -> None:
-        """Drops the items that waited too long."""
+        """Drops items that have been held longer than `MAX_PENDING_AGE`."""
         if not self.pending or now - self.pending[0].received_at <= MAX_PENDING_AGE:
             return
         self.pending = [item for item in self.pending if now - item.received_at <= MAX_PENDING_AGE]
--- a/thymeknot/gossip/keyring.py
+++ b/thymeknot/gossip/keyring.py
@@ -1,6 +1,6 @@
-"""Who signs: an instance's own Ed25519 key, and the ring of its peers' keys.
+"""Signing identity of this instance (an Ed25519 key) and keyring of its peers' public keys.
 
-Keys are rotated by two keys of one name at a time, and revoked by name.
+To rotate a key, a peer has two keys in the keyring for a while. Single keys can be revoked.
 """
 
 import base64
@@ -19,26 +19,26 @@
 
 KEY_ID_SIZE = 8  # bytes
 SIGNATURE_SIZE = 64  # bytes, of Ed25519
-MAX_CACHED_HOSTS = 4096  # whose answer of the address set is remembered
+MAX_CACHED_HOSTS = 4096  # hosts whose membership in the networks is cached
 TIME_FORMAT = "%Y-%m-%dT%H:%M:%SZ"
 
 
 class KeyringError(ValueError):
-    """A key, ring or network that can't be used; the text says which."""
+    """An unusable key, keyring or network; the message states which."""
 
 
 def key_id(public: bytes) -> bytes:
-    """Returns the 8 bytes that name a public key of 32."""
+    """Returns the 8-byte id of a 32-byte public key."""
     return blake2b(public, digest_size=KEY_ID_SIZE).digest()
 
 
 class Identity:
-    """A private key: what this instance signs with.
+    """An instance's name and private key.
 
     Attributes:
-        name: Its name in the ring.
-        public: The public key, raw.
-        key_id: Names the public key.
+        name: Name in the keyring.
+        public: Raw public key.
+        key_id: Id of the public key.
     """
 
     def __init__(self, name: str, private: Ed25519PrivateKey) -> None:
@@ -52,7 +52,7 @@
         return self._private.sign(message)
 
     def public_key_text(self) -> str:
-        """Returns the public key as a ring holds it."""
+        """Returns the public key in base64, as in `PeerKey.key`."""
         return base64.b64encode(self.public).decode()
 
 
@@ -62,10 +62,10 @@
 
 
 def read_identity(name: str, content: bytes) -> Identity:
-    """Returns the identity of a PEM file's bytes.
+    """Returns the identity with the private key from the content of a PEM file.
 
     Raises:
-        KeyringError: That is no private key of Ed25519.
+        KeyringError: The content is not an Ed25519 private key.
     """
     try:
         private = serialization.load_pem_private_key(content, None)
@@ -77,12 +77,12 @@
 
 
 class KeyringEntry(NamedTuple):
-    """A key of the ring.
+    """A public key in the keyring.
 
     Attributes:
-        name: Whose it is.
+        name: Name of the peer that owns it.
         verifier: The public key.
-        until: When it ends, in Unix seconds.
+        until: When it expires, in Unix seconds.
     """
 
     name: str
@@ -91,20 +91,20 @@
 
 
 class Keyring:
-    """The peers' public keys.
+    """Public keys of the peers.
 
-    A key counts from when the ring holds it until its stated end or its revocation.
+    A key is valid as soon as the keyring has it, until it expires or is revoked.
 
     Attributes:
-        entries: The keys by the bytes that name them.
-        groups: The group of each peer.
+        entries: Entries by key id.
+        groups: Group of each peer by name.
     """
 
     def __init__(self, peers: Collection[Peer], revoked: Iterable[str] = ()) -> None:
-        """Builds a ring.
+        """Builds a keyring.
 
         Raises:
-            KeyringError: A key or name is there twice, or an end is no time.
+            KeyringError: Two peers have the same key or name, or an expiry is not a valid time.
         """
         self.entries: dict[bytes, KeyringEntry] = {}
         self.groups: dict[str, str] = {}
@@ -113,7 +113,7 @@
             self.groups[peer.name] = peer.group or peer.name
             self._add_keys(peer, revoked_ids)
         if len(self.groups) != len(peers):
-            raise KeyringError("a name stands twice among the peers")
+            raise KeyringError("a peer name occurs twice")
 
     def _add_keys(self, peer: Peer, revoked_ids: set[bytes]) -> None:
         for peer_key in peer.keys:
@@ -123,23 +123,23 @@
                 continue
             entry = self.entries.get(identifier)
             if entry and entry.name != peer.name:
-                raise KeyringError(f"the same key stands for {entry.name} and for {peer.name}")
+                raise KeyringError(f"the same key belongs to {entry.name} and to {peer.name}")
             verifier = Ed25519PublicKey.from_public_bytes(public)
             self.entries[identifier] = KeyringEntry(
                 peer.name, verifier, _parse_key_end(peer_key.until)
             )
 
     def owner(self, identifier: bytes, unix: float) -> str | None:
-        """Returns the name that a key belongs to at a time, or None."""
+        """Returns the name of the peer that owns a key at a time, or None."""
         entry = self.entries.get(identifier)
         return entry.name if entry and unix < entry.until else None
 
     def active_names(self, unix: float) -> set[str]:
-        """Returns the names that hold a key at a time."""
+        """Returns the names of the peers that have a valid key at a time."""
         return {entry.name for entry in self.entries.values() if unix < entry.until}
 
     def verifies(self, identifier: bytes, message: bytes, signature: bytes) -> bool:
-        """Returns whether the key made this signature over these very bytes."""
+        """Returns whether the key made this signature over this message."""
         try:
             self.entries[identifier].verifier.verify(signature, message)
         except (InvalidSignature, KeyError):
@@ -153,17 +153,17 @@
     try:
         return calendar.timegm(time.strptime(text, TIME_FORMAT))
     except ValueError:
-        raise KeyringError(f"{text} is no time such as 2027-01-31T00:00:00Z") from None
+        raise KeyringError(f"{text} is not a time such as 2027-01-31T00:00:00Z") from None
 
 
 class AllowedNetworks:
-    """The set of networks that peers may send from."""
+    """Set of networks that peers may send from."""
 
     def __init__(self, networks: Iterable[str]) -> None:
         """Builds the set.
 
         Raises:
-            KeyringError: One of them is no network.
+            KeyringError: One of `networks` is not a valid network.
         """
         try:
             self._networks = IPSet([IPNetwork(network) for network in networks])
--- a/thymeknot/gossip/keys.py
+++ b/thymeknot/gossip/keys.py
@@ -1,4 +1,4 @@
-"""The command that makes an instance's key: python -m thymeknot.gossip.keys new NAME FILE."""
+"""Command that creates an instance's key: python -m thymeknot.gossip.keys new NAME FILE."""
 
 import argparse
 import os
@@ -15,16 +15,16 @@
     "Makes an instance's key: python -m thymeknot.gossip.keys new NAME FILE prints the record for "
     "the peers' rings."
 )
-EXIT_UNUSABLE = 2  # the file can't be written or read or holds no key, or a library is missing
+EXIT_UNUSABLE = 2  # the file is unusable or has no key, or a library is missing
 
 
 def peer_record(identity: "Identity") -> str:
-    """Returns the record of an identity for the peers' rings, as text of an operator's file."""
+    """Returns the entry of an identity for the `peers` of an operator file."""
     return f'{{name: "{identity.name}", keys: [{{key: "{identity.public_key_text()}"}}]}}'
 
 
 def create_key_file(name: str, path: str) -> "Identity":
-    """Makes a key in a new file that only its owner reads.
+    """Creates a key in a new file that only its owner can read.
 
     Raises:
         OSError: The file exists or can't be written.
@@ -61,7 +61,7 @@
 
 
 def main(arguments: Sequence[str]) -> int:
-    """Runs the command and returns its exit code."""
+    """Runs the command and returns its exit status."""
     chosen = _parse(arguments)
     from .keyring import KeyringError, read_identity  # noqa: PLC0415  see `program`
 
@@ -79,9 +79,10 @@
 
 
 def program(arguments: Sequence[str]) -> int:
-    """Runs the command as a program of its own.
+    """Runs the command as a stand-alone program and returns its exit status.
 
-    Its libraries are imported by what uses them, so that a missing one can be named here.
+    Third-party libraries are imported inside functions, so that this function can report a missing
+    one.
     """
     try:
         with libraries_from(GOSSIP):
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -1,10 +1,11 @@
-"""Who lives: SWIM's probes and suspicion, without a network.
+"""Membership state of the peers: SWIM's failure detection and suspicion, without a network.
 
-One thing differs: what others say of a peer makes an instance look for itself and never moves the
-peer, so that no number of liars can bury one who answers.
+One difference from SWIM: a suspicion reported by others only makes an instance probe the peer
+itself and never changes the peer's state, so that no number of lying instances can have a peer that
+answers declared dead.
 
-Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2018): local
-health.
+Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2018) for the
+local health.
 """
 
 from collections.abc import Collection, Iterable
@@ -18,21 +19,21 @@
 from .replay_window import ReplayWindow
 from .settings import GossipSettings
 
-EXPECTED_PROBERS_OF_SUSPECT = 16  # of all instances, in a period, that probe one that was suspected
-MIN_MISSED_PROBES = 4  # own probes that must fail before one is dead, however long that takes
-MAX_EXTRA_PROBES = 64  # suspected peers at once that are probed out of turn
-EXTRA_PROBES_PER_PERIOD = 2  # of them in one period; as many of those this instance suspects
-MAX_HEALTH = 8  # Lifeguard's multiplier goes up to this plus one
-FRAME_WINDOW_SIZE = 128  # numbers of datagrams
-ITEM_WINDOW_SIZE = 1024  # numbers of items
-MAX_DIGESTS_PER_ORIGIN = 64  # items remembered by their bytes, of one origin
-MAX_SUSPECTING_GROUPS = 16  # groups that suspect one peer
-MAX_CONFIRMATIONS = 3  # suspecters that shorten a suspicion
-MAX_BACKOFF_DOUBLINGS = 6  # of the time between probes of one that does not answer
+EXPECTED_PROBERS_OF_SUSPECT = 16  # instances of the whole group, per period
+MIN_MISSED_PROBES = 4  # consecutive own probes that must fail before a peer is declared dead
+MAX_EXTRA_PROBES = 64  # suspected peers queued to be probed out of turn
+EXTRA_PROBES_PER_PERIOD = 2  # of those; the same number again of peers that this instance suspects
+MAX_HEALTH = 8  # Lifeguard's multiplier is 1 + health, at most 1 + MAX_HEALTH
+FRAME_WINDOW_SIZE = 128  # sequence numbers of datagrams
+ITEM_WINDOW_SIZE = 1024  # sequence numbers of items
+MAX_DIGESTS_PER_ORIGIN = 64  # latest items, to detect equivocation
+MAX_SUSPECTING_GROUPS = 16  # recorded per suspected peer
+MAX_CONFIRMATIONS = 3  # reports by other groups that shorten a suspicion
+MAX_BACKOFF_DOUBLINGS = 6  # of the interval between probes of a peer that does not answer
 
 
 class MemberState(StrEnum):
-    """What an instance holds a peer for. The values are logged."""
+    """State of a peer as one instance sees it. The values are logged."""
 
     UNPROVED = "unproved"
     ALIVE = "alive"
@@ -42,19 +43,19 @@
 
 
 class MemberInput(StrEnum):
-    """What can happen to a peer."""
+    """Input of the state machine of a peer."""
 
-    ANSWERED = "answered"  # a nonce of ours
-    PROBE_FAILED = "missed"  # a probe was not answered
-    SUSPECTED = "accused"  # by another
-    FRESH_ITEM = "spoke"  # a fresh item of its own
-    SUSPICION_EXPIRED = "overdue"  # its suspicion is over
+    ANSWERED = "answered"  # the peer answered a nonce of this instance
+    PROBE_FAILED = "missed"  # the peer did not answer a probe
+    SUSPECTED = "accused"  # another instance reported a suspicion
+    FRESH_ITEM = "spoke"  # a recent item of the peer arrived
+    SUSPICION_EXPIRED = "overdue"  # the duration of the suspicion is over
     LEFT = "left"
-    ADDRESS_TAKEN = "replaced"  # another name has its address
+    ADDRESS_TAKEN = "replaced"  # another peer validated the address
 
 
 class MemberEffect(StrEnum):
-    """What a transition does."""
+    """Side effect of a transition."""
 
     CLEAR = "clear"
     BACK_OFF = "back off"
@@ -65,18 +66,18 @@
 
 
 class Transition(NamedTuple):
-    """What an input does in a state.
+    """Result of an input in a state.
 
     Attributes:
-        state: The next state.
-        effect: What is done on the way.
+        state: Next state.
+        effect: Side effect.
     """
 
     state: MemberState
     effect: MemberEffect
 
 
-# A pair that is not here changes nothing.
+# Pairs that are not listed change nothing.
 TRANSITIONS: dict[tuple[MemberState, MemberInput], Transition] = {
     (MemberState.UNPROVED, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
     (MemberState.UNPROVED, MemberInput.PROBE_FAILED): Transition(
@@ -130,9 +131,9 @@
     """A peer's change of state, for the log.
 
     Attributes:
-        name: Its name.
-        before: The state before.
-        after: The state now.
+        name: Name of the peer.
+        before: Former state.
+        after: New state.
     """
 
     name: str
@@ -141,11 +142,11 @@
 
 
 class ClockOffset(NamedTuple):
-    """A peer's clock against this instance's.
+    """Offset between a peer's clock and this instance's clock.
 
     Attributes:
-        ticks: What is to be added to the peer's ticks.
-        error: The round trip by which it was measured, in ticks.
+        ticks: Added to the peer's ticks to get this instance's.
+        error: Round-trip time of the measurement, in ticks.
     """
 
     ticks: Ticks
@@ -153,26 +154,27 @@
 
 
 class Member:
-    """A peer of the ring as this instance knows it.
+    """A peer in the keyring as this instance knows it.
 
-    Nothing of it counts before it has proved its present start by answering a nonce of ours.
+    Its messages are ignored until it has proved its present start by answering a nonce of this
+    instance.
 
     Attributes:
-        name: Its name.
-        address: Where it proved to be, or where others say it is.
-        state: Its state.
-        start: The start that it proved, None for none.
-        incarnation: Its incarnation within the start.
-        offset: Its clock against ours.
-        since: When its state began.
-        misses: Own probes that it did not answer in a row.
-        suspecters: When each group said that it suspects the peer.
-        looked: When it was probed last.
-        frames: Numbers of its datagrams.
-        items: Numbers of its items.
-        digests: Digests of its latest items by number.
-        rested: Doublings of the time between probes while it does not answer.
-        told_at: When it was asked last to prove itself.
+        name: Name in the keyring.
+        address: Validated address, or before validation an address from hints.
+        state: Membership state.
+        start: Id of the proved start, or None.
+        incarnation: Incarnation within the start.
+        offset: Offset of its clock.
+        state_since: When the present state began.
+        missed_probes: Number of consecutive own probes that it did not answer.
+        suspecting_groups: Time of the latest suspicion by each group.
+        last_probe_at: When it was last probed.
+        frame_window: Sequence numbers of its datagrams that were received.
+        item_window: Sequence numbers of its items that were received.
+        digests: Digests of its latest items by sequence number.
+        backoff_doublings: Doublings of the probe interval while it does not answer.
+        challenged_at: When it was last asked to prove its start.
     """
 
     __slots__ = (
@@ -204,7 +206,7 @@
         self.adopt_start(None)
 
     def adopt_start(self, start: int | None) -> None:
-        """Takes up another start of the name: nothing said under the former one counts."""
+        """Adopts a new start of the peer and discards all state of the former one."""
         self.start = start
         self.incarnation = 0
         self.offset: ClockOffset | None = None
@@ -215,32 +217,32 @@
         self.digests: dict[int, bytes] = {}
 
     def is_live(self) -> bool:
-        """Returns whether it counts as living."""
+        """Returns whether the peer is alive or only suspected."""
         return self.state in LIVE_STATES
 
     def live_address(self) -> Address:
-        """Returns the address of a living peer, which it proved."""
+        """Returns the validated address of a live peer."""
         return cast(Address, self.address)
 
     def clock_offset(self) -> ClockOffset:
-        """Returns the clock's offset of a living peer, which was measured as it proved itself."""
+        """Returns the clock offset of a live peer, measured when it proved its start."""
         return cast(ClockOffset, self.offset)
 
     def remember_digest(self, number: int, digest: bytes) -> None:
-        """Keeps an item's digest for a while: another content under its number is a lie."""
+        """Stores an item's digest, so that a different item with its number is detected."""
         if len(self.digests) >= MAX_DIGESTS_PER_ORIGIN:
             del self.digests[next(iter(self.digests))]
         self.digests[number] = digest
 
 
 class Members:
-    """The peers of the ring.
+    """The peers in the keyring.
 
     Attributes:
-        all: They by name.
-        live: Those that count as living.
-        health: Lifeguard's local health: 0 is well.
-        events: Changes of state that the caller has not taken yet.
+        all: All peers by name.
+        live: Peers that are alive or suspected.
+        health: Lifeguard's local health score, from 0 (healthy) to `MAX_HEALTH`.
+        state_changes: State changes that the caller has not taken yet.
     """
 
     def __init__(
@@ -252,13 +254,12 @@
         self.all = {name: Member(name) for name in names}
         self.live: list[Member] = []
         self.state_changes: list[StateChange] = []
-        self._probe_round: list[
-            str
-        ] = []  # names still to be probed in this round, the next one last
-        self._extra_probes: dict[str, Ticks] = {}  # when names are probed out of turn
+        # Names not yet probed in this round, the next one last.
+        self._probe_round: list[str] = []
+        self._extra_probes: dict[str, Ticks] = {}  # when to probe peers out of turn, by name
 
     def set_names(self, names: Collection[str]) -> None:
-        """Takes up another ring: names that left it are gone, new ones wait to be met."""
+        """Replaces the names of the peers: removes missing ones and adds new ones, unproved."""
         for name in [name for name in self.all if name not in names]:
             del self.all[name]
         for name in names:
@@ -270,11 +271,11 @@
         }
 
     def update_live(self) -> None:
-        """Lists anew who lives, after states were changed."""
+        """Recomputes `live` after states were changed."""
         self.live = [member for member in self.all.values() if member.is_live()]
 
     def apply(self, member: Member, event: MemberInput, now: Ticks) -> None:
-        """Applies an input to a peer."""
+        """Applies an input to the state machine of a peer."""
         before = member.state
         transition = TRANSITIONS.get((before, event))
         if transition is None:
@@ -306,25 +307,27 @@
         period = self._settings.probe_every
         if member.name in self._extra_probes or now - member.last_probe_at < period:
             return
-        # Hundreds that probed at once would be more than it can answer, and it would be suspected.
+        # Probes by hundreds of instances at once would overload the peer, which would then miss
+        # some of them and stay suspected.
         periods = int(self._random_source.draw() * len(self.live) / EXPECTED_PROBERS_OF_SUSPECT)
         if len(self._extra_probes) < MAX_EXTRA_PROBES:
             self._extra_probes[member.name] = now + periods * period
 
     def record_suspicion(self, member: Member, group: str, now: Ticks) -> None:
-        """Notes that somebody got no answer from a peer.
+        """Records that another instance suspects a peer.
 
-        The next probe is for it, and agreement of others shortens this instance's own suspicion.
+        The peer is probed out of turn, and each reporting group shortens this instance's own
+        suspicion.
         """
         if len(member.suspecting_groups) < MAX_SUSPECTING_GROUPS:
             member.suspecting_groups[group] = now
         self.apply(member, MemberInput.SUSPECTED, now)
 
     def suspicion_duration(self, member: Member) -> Ticks:
-        """Returns how long a suspicion lasts.
+        """Returns the duration of a suspicion.
 
-        It is long at first, shorter with each that agrees, never shorter than a third, and longer
-        for an instance that finds itself unwell.
+        It becomes shorter with each group that reports the same suspicion, down to a third, and is
+        longer while this instance's local health is poor.
         """
         settings = self._settings
         scale = max(1.0, log(len(self.live) + 1))
@@ -332,11 +335,11 @@
         confirmations = min(
             MAX_CONFIRMATIONS, sum(1 for at in member.suspecting_groups.values() if at)
         )
-        # Each of three that agree takes 2/9 of it, so that a third is left.
+        # Each of up to three confirmations removes 2/9, which leaves a third.
         return int(full * (1 - confirmations * 2 / 9) * (1 + self.health / 2))
 
     def declare_overdue_dead(self, now: Ticks) -> None:
-        """Declares suspects dead whose time is over, after own probes that failed."""
+        """Declares suspects dead whose suspicion has expired and that missed enough own probes."""
         for member in self.live:
             if (
                 member.state == MemberState.SUSPECT
@@ -346,13 +349,13 @@
                 self.apply(member, MemberInput.SUSPICION_EXPIRED, now)
 
     def change_health(self, change: int) -> None:
-        """Changes the local health: up if this instance seems slow, down with answered probes."""
+        """Adds `change` to the local health score, which grows while this instance seems slow."""
         self.health = max(0, min(MAX_HEALTH, self.health + change))
 
     def next_probes(self, now: Ticks) -> list[Member]:
-        """Returns whom to probe in this period.
+        """Returns the peers to probe in this period.
 
-        One by a shuffled round, then those to be probed out of turn, then suspects.
+        These are the next peer of a shuffled round, peers to probe out of turn, and suspects.
         """
         chosen = self._next_in_round()
         suspects = [member for member in self.live if member.state == MemberState.SUSPECT]
@@ -371,9 +374,9 @@
         return chosen
 
     def _next_in_round(self) -> list[Member]:
-        """Returns the next one that lives of the round, if any; begins a round if one is over.
+        """Returns the next live peer of the round, if any; begins a new round after the last.
 
-        Each round has a random order (Fisher-Yates), so that none waits longer than two rounds.
+        Each round is in random order (Fisher-Yates), so that no peer waits longer than two rounds.
         """
         if not self._probe_round:
             names = [member.name for member in self.live]
@@ -388,7 +391,7 @@
         return []
 
     def peers_to_validate(self, now: Ticks, limit: int) -> list[Member]:
-        """Returns peers with an address that proved nothing, are dead or left, by their backoff."""
+        """Returns peers with an address that are not live and whose backoff is over."""
         period = self._settings.probe_every
         candidates = [
             member
@@ -403,7 +406,7 @@
         return candidates[:limit]
 
     def sample(self, count: int, exclude: Collection[str] = ()) -> list[Member]:
-        """Returns so many living ones at random."""
+        """Returns up to `count` random peers in state `ALIVE`."""
         candidates = [
             member
             for member in self.live
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -1,6 +1,6 @@
-"""One instance's part in the gossip, without a network.
+"""The gossip node of one instance, without a network.
 
-Datagrams and moments come in; datagrams, suspicions and log events go out.
+Its inputs are datagrams and ticks; its outputs are datagrams, suspicions and log events.
 """
 
 from collections.abc import Callable, Sequence
@@ -20,30 +20,31 @@
 from .settings import GossipSettings
 from .suspicion import Suspicion, SuspicionDetector
 
-PUSHES_PER_PERIOD = 5  # rounds of items in a protocol period
-PUSH_FANOUT = 2  # peers that a round goes to
-VALIDATIONS_PER_PERIOD = 4  # peers that are asked to prove themselves in a period
-EVALUATIONS_PER_PERIOD = 2  # rounds of evidence and suspicions in a period
-LEAVE_FANOUT = 4  # peers that are told that this instance leaves
-SEED_PROBE_INTERVAL = 5 * TICKS_PER_SECOND  # between two questions to seeds, once a member lives
+PUSHES_PER_PERIOD = 5  # rounds of pushed items per protocol period
+PUSH_FANOUT = 2  # peers that receive the items of a round
+VALIDATIONS_PER_PERIOD = 4  # unvalidated peers that are probed per period
+EVALUATIONS_PER_PERIOD = 2  # rounds of evidence and suspicions per period
+LEAVE_FANOUT = 4  # peers that are notified when this instance leaves
+SEED_PROBE_INTERVAL = 5 * TICKS_PER_SECOND  # while any member is live
 
 
 class GossipNode:
-    """The parts of the gossip and their moments.
+    """Combines the parts of gossip and schedules their work.
 
-    A newcomer says nothing of itself: it asks, and proof comes by nonces. Hundreds that start at
-    once would otherwise each tell all others what only a ping can prove.
+    A new instance does not announce itself: it pings seeds and peers, and both sides validate each
+    other by nonces. Otherwise hundreds of instances that start at once would each announce to all
+    others what only a ping can prove.
 
     Attributes:
-        context: What the parts share.
+        context: State shared by the parts.
         local: This instance.
-        members: The peers.
-        suspicions: Evidence about endpoints.
-        queue: Items that are passed on.
-        outbox: What goes out.
-        limits: How many signatures may be verified.
-        prober: Probes.
-        items: Items of others.
+        members: Membership state of the peers.
+        suspicions: Evidence about endpoints and the suspicions derived from it.
+        queue: Items to pass on.
+        outbox: Outgoing datagrams.
+        limits: Rate limits of signature verifications.
+        prober: Outstanding probes.
+        items: Processes items of other instances.
         changed_suspicions: Suspicions that the caller has not taken yet.
     """
 
@@ -62,20 +63,20 @@
         new_nonce: Callable[[], bytes],
         unix: Callable[[], float],
     ) -> None:
-        """Makes a node that has met nobody.
+        """Creates a node that knows no address of a peer.
 
         Args:
             settings: The operator's settings.
-            identity: What this instance signs with.
-            ring: The peers' keys.
+            identity: Name and private key of this instance.
+            ring: Keyring of the peers' public keys.
             sources: Networks that peers may send from.
-            announced: Where others reach this instance.
-            seeds: Addresses that are asked first.
-            now: The time.
-            random_source: What it draws from.
-            start: Names this start.
-            new_nonce: Returns 8 bytes that nobody can guess.
-            unix: Returns Unix seconds.
+            announced: Address at which peers reach this instance.
+            seeds: Addresses that are probed first.
+            now: Current time.
+            random_source: Random numbers for probe order, fanout and the queue.
+            start: Id of this start, unique among the starts of this instance.
+            new_nonce: Returns 8 unpredictable bytes.
+            unix: Returns the Unix time in seconds.
         """
         self.local = LocalInstance(identity, announced, start, now)
         others = [name for name in ring.groups if name != identity.name]
@@ -116,36 +117,37 @@
 
     @property
     def dropped(self) -> dict[str, int]:
-        """How much was dropped, by reason."""
+        """Number of dropped datagrams and items by reason."""
         return self.context.dropped
 
     def take_datagrams(self) -> list[Datagram]:
-        """Returns the datagrams that are to go out, once."""
+        """Returns and clears the outgoing datagrams."""
         taken = self.outbox.datagrams
         self.outbox.datagrams = []
         return taken
 
     def take_suspicions(self) -> list[Suspicion]:
-        """Returns the suspicions that began, grew or ended, once."""
+        """Returns and clears the suspicions that began or ended."""
         taken = self.changed_suspicions
         self.changed_suspicions = []
         return taken
 
     def take_log_events(self) -> list[LogEvent]:
-        """Returns what a log should hold, once."""
+        """Returns and clears the events to log."""
         taken = self.context.log_events
         self.context.log_events = []
         return taken
 
     def receive_datagram(self, now: Ticks, source: Address, datagram: bytes) -> None:
-        """Takes a datagram. What is wrong with it is counted by its reason and no more."""
+        """Processes a datagram. A dropped one is only counted by its reason."""
         if not self._has_left:
             self.context.drop(self._receiver.receive(now, source, datagram))
 
     def tick(self, now: Ticks) -> None:
-        """Does what is due; to be called every TICK_INTERVAL.
+        """Runs the work that is due. Must be called every `TICK_INTERVAL`.
 
-        A node that stood still for a while doubts itself first.
+        After a stall of this process, outstanding probes get more time and the local health score
+        rises.
         """
         if now - self._next_tick_at > STALL_THRESHOLD:
             self.prober.after_stall(now)
@@ -164,7 +166,7 @@
             self._evaluate_endpoints(now)
 
     def _push(self, now: Ticks) -> None:
-        """Passes items on, if there are fresh ones."""
+        """Pushes items to random peers if any is below its retransmit limit."""
         if not self.queue.has_fresh(len(self.members.live)):
             return
         for member in self.members.sample(PUSH_FANOUT):
@@ -194,7 +196,7 @@
         self.members.state_changes = []
 
     def _probe(self, now: Ticks) -> None:
-        """Sends the probes of a period."""
+        """Sends the probes of a protocol period."""
         outstanding = {probe.name for probe in self.prober.probes.values() if probe.is_period_probe}
         for member in self.members.next_probes(now):
             if member.name not in outstanding:
@@ -208,10 +210,10 @@
             self.prober.probe(now, seed, None, SendPurpose.PROVE)
 
     def _seeds_to_probe(self, now: Ticks) -> Sequence[Address]:
-        """Returns the seeds to ask in this period: all while no member lives, else one at times.
+        """Returns the seeds to probe: all while no member is live, else one per interval.
 
-        A living member does not mean that all are met: parts of a fleet that began without each
-        other would else stay apart for good.
+        A live member does not mean that all peers are known. If instances stopped probing seeds,
+        parts of a fleet that started during a network partition would never find each other.
         """
         if not self.members.live:
             return self._seeds
@@ -227,7 +229,7 @@
         return name is not None and self._is_alive(name)
 
     def _is_current(self, item: QueuedItem, unix: float) -> bool:
-        """Returns whether an item's key counts, and its origin's start is the present one."""
+        """Returns whether an item's key is valid and it belongs to its origin's present start."""
         if self.context.ring.owner(item.key_id, unix) != item.origin:
             return False
         member = self.members.all.get(item.origin)
@@ -244,13 +246,14 @@
         self.changed_suspicions += self.suspicions.update(now, self._is_alive)
 
     def set_sources(self, sources: AllowedNetworks) -> None:
-        """Takes up other networks that peers may send from."""
+        """Replaces the networks that peers may send from."""
         self.context.sources = sources
 
     def set_keyring(self, ring: Keyring, now: Ticks) -> None:
-        """Takes up another ring.
+        """Replaces the keyring.
 
-        Words signed with keys that no longer count are forgotten, and so are those who said them.
+        Removes peers without a valid key, items signed with invalid keys, and the evidence of their
+        origins.
         """
         context = self.context
         unix = context.unix()
@@ -275,7 +278,7 @@
         self.limits.set_validated_addresses(context.by_address)
 
     def leave(self, now: Ticks) -> None:
-        """Says goodbye to a few: the others hear of it."""
+        """Announces to a few peers that this instance leaves; they pass it on."""
         self._has_left = True
         self.outbox.publish(now, Left(), LIVENESS)
         for member in self.members.sample(LEAVE_FANOUT):
--- a/thymeknot/gossip/outbox.py
+++ b/thymeknot/gossip/outbox.py
@@ -1,4 +1,4 @@
-"""This instance's own datagrams and items: numbered, signed and within the limits."""
+"""Numbers, signs and rate-limits the datagrams and items of this instance."""
 
 from collections.abc import Hashable, Iterable
 from dataclasses import dataclass
@@ -17,12 +17,12 @@
     """This instance as its peers see it.
 
     Attributes:
-        identity: What it signs with.
-        announced: Where others reach it.
-        start: Names this start; no other start of the name has it.
+        identity: Name and private key.
+        announced: Address at which peers reach it.
+        start: Id of this start, unique among the starts of this instance.
         started_at: When it started, by its clock.
-        number: The latest number of a datagram or item.
-        incarnation: Goes up each time that it refutes a suspicion.
+        number: Latest sequence number of a datagram or item.
+        incarnation: Incremented to refute a suspicion.
     """
 
     identity: Identity
@@ -34,16 +34,16 @@
 
     @property
     def name(self) -> str:
-        """Its name in the ring."""
+        """Name in the keyring."""
         return self.identity.name
 
 
 class Datagram(NamedTuple):
-    """A datagram that is to go out.
+    """An outgoing datagram.
 
     Attributes:
-        address: Where to.
-        content: Its bytes.
+        address: Destination.
+        content: Encoded datagram with its signature.
     """
 
     address: Address
@@ -51,11 +51,11 @@
 
 
 class Outbox:
-    """What goes out.
+    """Outgoing datagrams.
 
     Attributes:
-        datagrams: Those that the caller has not taken yet.
-        limits: How much may go out.
+        datagrams: Datagrams that the caller has not taken yet.
+        limits: Rate limits of outgoing traffic.
     """
 
     def __init__(self, local: LocalInstance, limits: SendLimits, queue: DisseminationQueue) -> None:
@@ -78,16 +78,16 @@
         """Sends a datagram if the limits allow it.
 
         Args:
-            now: The time.
-            address: Where to.
-            to: Name of the receiver, or empty.
-            body: What it says.
-            purpose: What it is for.
-            items: Sealed items that ride on it.
-            max_size: Most bytes that it may have.
+            now: Current time.
+            address: Destination.
+            to: Name of the receiver, or empty if unknown.
+            body: Message.
+            purpose: Determines the share of the limits that the datagram may use.
+            items: Sealed items to piggyback.
+            max_size: Largest allowed size in bytes.
 
         Returns:
-            Whether it goes out.
+            Whether the datagram is sent.
         """
         local = self._local
         local.number += 1
@@ -102,7 +102,7 @@
         return True
 
     def publish(self, now: Ticks, body: codec.ItemBody, topic: Hashable) -> None:
-        """Signs an item of this instance's own, and has it passed on."""
+        """Signs an item of this instance and queues it to be passed on."""
         local = self._local
         local.number += 1
         item = Item(local.name, local.start, local.number, now - local.started_at, body)
--- a/thymeknot/gossip/own_experience.py
+++ b/thymeknot/gossip/own_experience.py
@@ -1,4 +1,4 @@
-"""What this instance saw of endpoints itself."""
+"""Counts of this instance's own attempts at endpoints."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -6,21 +6,21 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.sliding_window import SlidingWindow
 
-WINDOW_BUCKETS = 10  # of the time that evidence counts
-FRESH_BUCKETS = 3  # the latest of them are fresh
-EVIDENCE_INTERVAL = 2 * TICKS_PER_SECOND  # between two words about one endpoint
-MIN_ATTEMPTS_TO_COMPARE = 4  # at the other endpoints, for their rate of failures to say something
-MIN_FAILURE_RATE = 0.01  # of the other endpoints, so that a ratio to it makes sense
+WINDOW_BUCKETS = 10  # of the window, which is as long as evidence is valid
+FRESH_BUCKETS = 3  # the latest buckets, whose counts are fresh
+EVIDENCE_INTERVAL = 2 * TICKS_PER_SECOND  # between evidence about the same endpoint
+MIN_ATTEMPTS_TO_COMPARE = 4  # at the other endpoints, for a failure rate
+MIN_FAILURE_RATE = 0.01  # assumed of the other endpoints, so that a ratio to it is defined
 
 
 class EndpointKey(NamedTuple):
-    """An endpoint. One that came back with another start or build is another.
+    """Identifies an endpoint. After a restart or a new build it is a different endpoint.
 
     Attributes:
-        id: Its id.
-        address: Its address, or empty if addresses are not matched.
-        build: Its build.
-        started: Its start in Unix time, in ticks, 0 if not known.
+        id: Endpoint id.
+        address: Address, empty if addresses are not matched.
+        build: Build.
+        started: Unix time of its start, in ticks, or 0 if unknown.
     """
 
     id: str
@@ -30,11 +30,11 @@
 
 
 class AttemptCounts(NamedTuple):
-    """Attempts of late.
+    """Recent attempts.
 
     Attributes:
-        tried: Attempts that ended.
-        failed: Those of them that failed.
+        attempts: Number of attempts that ended.
+        failures: Number of those attempts that failed.
     """
 
     attempts: int
@@ -42,17 +42,18 @@
 
 
 class ObservedEndpoint:
-    """An endpoint as this instance saw it.
+    """An endpoint with the counts of this instance's attempts and its suspicion.
 
     Attributes:
-        key: The endpoint.
-        count_tried: Counts an attempt that ended. Bound once, since each attempt comes here.
-        count_failed: Counts one that failed.
-        failed_at: When an attempt failed last.
-        sent_at: When evidence about it was sent last.
-        sent: The counts that were sent last.
-        until: Until when it is suspected.
-        times: How often it was suspected of late.
+        key: Identifies the endpoint.
+        count_attempt: Counts an attempt that ended. A bound method, looked up once because it is
+            called for each attempt.
+        count_failure: Counts an attempt that failed.
+        last_failure_at: When an attempt last failed.
+        evidence_sent_at: When evidence about it was last sent.
+        sent_counts: Counts in the evidence that was last sent.
+        suspected_until: When its latest suspicion ends.
+        suspicion_count: Number of recent suspicions.
     """
 
     __slots__ = (
@@ -81,21 +82,22 @@
         self.suspicion_count = 0
 
     def counts(self, now: Ticks) -> AttemptCounts:
-        """Returns the counts of all the time that evidence counts."""
+        """Returns the counts over the whole window."""
         return AttemptCounts(int(self._attempts.total(now)), int(self._failures.total(now)))
 
     def fresh_counts(self, now: Ticks) -> AttemptCounts:
-        """Returns the fresh counts."""
+        """Returns the counts in the latest `FRESH_BUCKETS`."""
         attempts = self._attempts.total(now, False, FRESH_BUCKETS)
         return AttemptCounts(int(attempts), int(self._failures.total(now, False, FRESH_BUCKETS)))
 
 
 class EndpointTotals:
-    """The attempts at all endpoints together.
+    """Counts of this instance's attempts at all endpoints together.
 
     Attributes:
-        count_tried: Counts an attempt that ended. Bound once, since each attempt comes here.
-        count_failed: Counts one that failed.
+        count_attempt: Counts an attempt that ended. A bound method, looked up once because it is
+            called for each attempt.
+        count_failure: Counts an attempt that failed.
     """
 
     def __init__(self, span: Ticks) -> None:
@@ -105,7 +107,7 @@
         self.count_failure: Callable[[Ticks], None] = self._failures.add
 
     def failure_rate_without(self, now: Ticks, observed: ObservedEndpoint) -> float | None:
-        """Returns the rate of failures at the other endpoints, None after too few attempts."""
+        """Returns the failure rate of the other endpoints, or None after too few attempts."""
         own = observed.counts(now)
         attempts = int(self._attempts.total(now)) - own.attempts
         failures = int(self._failures.total(now)) - own.failures
--- a/thymeknot/gossip/peer_hints.py
+++ b/thymeknot/gossip/peer_hints.py
@@ -1,4 +1,4 @@
-"""Where peers may be, as others say: enough to ask them, and proof of nothing."""
+"""Exchange of address hints. A hint only makes an instance ping a peer; it proves nothing."""
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import codec
@@ -7,20 +7,20 @@
 from .membership import Member, MemberState
 from .rate_limits import Address, SendPurpose
 
-REQUEST_INTERVAL = 5 * TICKS_PER_SECOND  # between two questions, once nothing new is heard
-HINTS_PER_REQUEST = 8  # peers that a question names; an answer names so many more
+REQUEST_INTERVAL = 5 * TICKS_PER_SECOND  # between requests while no new hint arrives
+HINTS_PER_REQUEST = 8  # peers in a request; a reply has up to this many more
 
 
 class PeerHints:
-    """Questions and answers about the addresses of peers."""
+    """Requests and replies with the addresses of peers."""
 
     def __init__(self, context: GossipContext, now: Ticks) -> None:
         self._context = context
         self._next_request_at = now
-        self._has_new_hints = False  # since the last question
+        self._has_new_hints = False  # since the last request
 
     def receive(self, now: Ticks, source: Address, member: Member, hints: Hints) -> None:
-        """Takes hints of a proved peer, and answers them if it asks."""
+        """Processes hints of a validated peer and replies if it asks for hints."""
         if hints.wants_reply:
             reply = Hints(False, self._sample_hints(len(hints.peers) + HINTS_PER_REQUEST))
             self._context.outbox.send(now, source, member.name, reply, SendPurpose.PROVE)
@@ -28,7 +28,7 @@
             self.learn(now, name, (host, port))
 
     def learn(self, now: Ticks, name: str, address: Address) -> None:
-        """Takes note that a peer may be there: if nobody proved better, it will be probed."""
+        """Stores a possible address of a peer, to be probed, unless the peer already has one."""
         context = self._context
         member = context.members.all.get(name)
         if (
@@ -42,9 +42,10 @@
             self._has_new_hints = True
 
     def tick(self, now: Ticks) -> None:
-        """Asks one peer from time to time, more often while there is something new."""
+        """Asks a random peer for hints periodically, more often while new ones arrive."""
         context = self._context
-        # A question counts once somebody lives: a newcomer would else wait for the next one.
+        # The interval starts only once a peer is live. Otherwise a new instance would use its first
+        # turn without anybody to ask and wait for the next one.
         if now < self._next_request_at or not context.members.live:
             return
         interval = context.settings.probe_every if self._has_new_hints else REQUEST_INTERVAL
--- a/thymeknot/gossip/prober.py
+++ b/thymeknot/gossip/prober.py
@@ -1,4 +1,4 @@
-"""Probes: nonces that are outstanding, answers by relays, and what follows where none comes."""
+"""Probes: outstanding nonces, indirect probes by relays, and failures of probes."""
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import codec
@@ -7,27 +7,27 @@
 from .membership import Member, MemberInput, MemberState
 from .rate_limits import Address, SendPurpose
 
-MAX_PROBES = 512  # nonces that are outstanding
-# Own probes that failed before others are told: with loss, each first one would be told to all.
+MAX_PROBES = 512  # outstanding nonces
+# Failed own probes before the suspicion is published. With datagram loss, publishing it after the
+# first one would announce every single loss to the whole group.
 MISSES_BEFORE_SUSPECT = 3
-STALL_THRESHOLD = (
-    TICKS_PER_SECOND // 2
-)  # a tick late by so much: it is this instance that stood still
-STALL_HEALTH_PENALTY = 2  # what a stall adds to the local health
+STALL_THRESHOLD = TICKS_PER_SECOND // 2  # delay of a tick from which this process had stalled
+STALL_HEALTH_PENALTY = 2  # added to the local health score after a stall
 
 
 class Probe:
-    """A nonce that is outstanding.
+    """An outstanding nonce.
 
     Attributes:
         nonce: The nonce.
-        name: Name of the one that is asked, None where a seed's name is not known yet.
-        address: Where it is asked.
-        at: When it was asked.
-        ends: Until when an answer counts.
-        asked: Relays and repeated pings that have not said no.
-        asker: Name of the peer on whose behalf it is asked, or None.
-        period: Whether it is the probe of a protocol period, that may make its target suspected.
+        name: Name of the probed peer, or None for a seed whose name is not known yet.
+        address: Address that was probed.
+        sent_at: When the probe was sent.
+        deadline: Until when an answer is accepted.
+        pending_answers: Number of relays and repeated pings that have not reported a failure.
+        requester: Name of the peer on whose behalf the probe is sent, or None.
+        is_period_probe: Whether it is a probe of a protocol period. Only these can make their
+            target suspected.
     """
 
     __slots__ = (
@@ -63,10 +63,10 @@
 
 
 class Prober:
-    """The probes of a node.
+    """Sends probes and evaluates their answers.
 
     Attributes:
-        probes: Those that are outstanding, by nonce.
+        probes: Outstanding probes by nonce.
     """
 
     def __init__(self, context: GossipContext) -> None:
@@ -94,18 +94,19 @@
     ) -> None:
         """Sends a ping with a nonce.
 
-        With padding it asks for a bare answer: from one that proved nothing, which may not answer
-        with more than it was sent, or for another, to whom the answer is passed on whole.
+        Padding asks for an answer without items. It is used for a peer that is not validated, whose
+        answer must not be longer than the ping, and for a relayed probe, whose answer is forwarded
+        as a whole.
 
         Args:
-            now: The time.
-            address: Where to.
-            name: Whom to, None if that is not known.
-            purpose: What it is for.
+            now: Current time.
+            address: Destination.
+            name: Name of the probed peer, or None if unknown.
+            purpose: Determines the share of the send limits that the ping may use.
             requester: Name of the peer on whose behalf it is sent.
-            is_period_probe: Whether it is the probe of a protocol period.
-            nonce: The asker's nonce; a new one if None.
-            max_size: Most bytes that it may have.
+            is_period_probe: Whether it is a probe of a protocol period.
+            nonce: Nonce of the requester; None for a new one.
+            max_size: Largest allowed size of the ping in bytes.
         """
         context = self._context
         nonce = nonce or context.new_nonce()
@@ -131,16 +132,16 @@
             )
 
     def expect_answer(self, now: Ticks, nonce: bytes, member: Member, source: Address) -> None:
-        """Takes note of a nonce that went out with an answer."""
+        """Registers a nonce that was sent as the challenge in an answer."""
         deadline = now + self._context.settings.probe_timeout
         self.probes[nonce] = Probe(nonce, member.name, source, now, deadline)
 
     def is_full(self) -> bool:
-        """Returns whether no more nonces may be outstanding."""
+        """Returns whether the maximum number of nonces is outstanding."""
         return len(self.probes) >= MAX_PROBES
 
     def after_stall(self, now: Ticks) -> None:
-        """Gives answers more time after this instance stood still: they wait unread, or came."""
+        """Extends all deadlines after a stall of this process, since answers may wait unread."""
         self._context.members.change_health(STALL_HEALTH_PENALTY)
         for probe in self.probes.values():
             probe.deadline = now + self._timeout()
@@ -159,7 +160,7 @@
             )
 
     def forward_answer(self, now: Ticks, probe: Probe, answer: bytes | None) -> None:
-        """Passes an answer, or that there was none, on to the asker of a probe."""
+        """Forwards an answer, or None for a failed probe, to the requester of the probe."""
         requester = self._member(probe.requester)
         if requester and requester.address:
             body = IndirectAck(probe.nonce, answer)
@@ -168,10 +169,10 @@
             )
 
     def receive_indirect_ack(self, now: Ticks, relay: Member, reply: IndirectAck) -> None:
-        """Takes a peer's answer by way of a relay.
+        """Processes a peer's answer that was forwarded by a relay.
 
-        It is signed by the one who lives and holds our own nonce, so that no relay can make one up
-        or keep one for later; it proves no address.
+        The answer is signed by the probed peer and has this instance's nonce, so that a relay can
+        neither forge nor replay it. It does not prove the peer's address.
         """
         probe = self.probes.get(reply.nonce)
         if probe is None or probe.name is None:
@@ -196,7 +197,7 @@
     def _is_answer(
         self, sealed: codec.SealedFrame, target: Member, relay: Member, nonce: bytes
     ) -> bool:
-        """Returns whether a datagram is the target's answer to a relay, but for its signature."""
+        """Returns whether a datagram, if its signature is valid, is the target's answer."""
         frame = sealed.frame
         return (
             frame.sender == target.name
@@ -208,7 +209,7 @@
         )
 
     def tick(self, now: Ticks) -> None:
-        """Ends the probes whose time is over, and the suspicions that follow."""
+        """Ends probes and suspicions whose deadline has passed."""
         for probe in [probe for probe in self.probes.values() if now >= probe.deadline]:
             member = self._member(probe.name)
             if probe.requester:
@@ -222,7 +223,7 @@
         self._context.members.declare_overdue_dead(now)
 
     def _probe_indirectly(self, now: Ticks, probe: Probe, member: Member) -> None:
-        """Asks relays, and once more itself: of lost datagrams most are lost on their own."""
+        """Asks relays to probe the peer, and pings it once more, as most losses are independent."""
         context = self._context
         relays = context.members.sample(context.settings.relays, (member.name,))
         ping = Ping(probe.nonce, b"")
@@ -231,7 +232,7 @@
             request = IndirectPing(probe.nonce, member.name, *probe.address)
             context.outbox.send(now, relay.live_address(), relay.name, request, SendPurpose.PROBE)
         probe.pending_answers = len(relays) + 1
-        # The rest of the period is for the relays, or as long again where there is little left.
+        # Relays have the rest of the period, but at least two probe timeouts.
         period = context.settings.probe_every * (1 + context.members.health)
         probe.deadline = max(
             probe.sent_at + period - TICK_INTERVAL, now + 2 * context.settings.probe_timeout
@@ -240,7 +241,7 @@
     def _on_probe_failed(self, now: Ticks, probe: Probe, member: Member) -> None:
         members = self._context.members
         if probe.is_period_probe:
-            # Relays that say neither yes nor no: it is rather this instance that is cut off.
+            # If relays report neither success nor failure, this instance itself may be cut off.
             members.change_health(1 if probe.pending_answers > 1 else 0)
             members.apply(member, MemberInput.PROBE_FAILED, now)
             if (
--- a/thymeknot/gossip/rate_limits.py
+++ b/thymeknot/gossip/rate_limits.py
@@ -1,4 +1,4 @@
-"""Rate limits: what goes out a second, and how many signatures are verified a second."""
+"""Rate limits of outgoing datagrams and of signature verifications."""
 
 from collections.abc import Iterable
 from enum import StrEnum
@@ -7,23 +7,23 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from .settings import SendLimitSettings, VerificationLimitSettings
 
-SHARED_BUCKETS = 16  # that addresses which proved nothing share: one flood blocks one lane
-RATE_SHARE = 0.8  # of a ceiling; rate and burst together are what was set
-BURST_SHARE = 0.2  # of a ceiling
-MIN_BURST = 2.0  # tokens, so that a small ceiling lets a question and an answer out
+SHARED_BUCKETS = 16  # for all unvalidated addresses; a flood from one address blocks one bucket
+RATE_SHARE = 0.8  # of the configured limit; rate and burst add up to it
+BURST_SHARE = 0.2  # of the configured limit
+MIN_BURST = 2.0  # tokens, so that even a small limit allows a ping and an answer
 
 Address: TypeAlias = tuple[str, int]
 """(host, port)."""
 
 
 class TokenBucket:
-    """A rate with a burst: never more than rate x time + burst.
+    """Token bucket: allows at most rate x time + burst.
 
     Attributes:
-        rate: Tokens a second.
-        burst: Most tokens that it holds.
-        left: Tokens that it holds.
-        at: When `left` was computed.
+        rate: Tokens per second.
+        burst: Capacity in tokens.
+        tokens: Available tokens.
+        updated_at: When `tokens` was last updated.
     """
 
     __slots__ = ("burst", "rate", "tokens", "updated_at")
@@ -35,7 +35,7 @@
         self.updated_at = now
 
     def has_tokens(self, now: Ticks, amount: float = 1) -> bool:
-        """Returns whether it holds so many tokens."""
+        """Refills the bucket and returns whether it has at least `amount` tokens."""
         self.tokens = min(
             self.burst, self.tokens + (now - self.updated_at) * self.rate / TICKS_PER_SECOND
         )
@@ -43,7 +43,7 @@
         return self.tokens >= amount
 
     def take(self, now: Ticks, amount: float = 1) -> bool:
-        """Takes so many tokens if it holds them, and returns whether it did."""
+        """Takes `amount` tokens if available, and returns whether they were."""
         if not self.has_tokens(now, amount):
             return False
         self.tokens -= amount
@@ -51,7 +51,7 @@
 
 
 class SendPurpose(StrEnum):
-    """What a datagram is sent for; the more it is needed, the less it leaves for others."""
+    """Purpose of a datagram, which decides how much of the send limits it may use."""
 
     ANSWER = "answer"
     PROBE = "probe"
@@ -60,16 +60,16 @@
 
 
 class SendLimits:
-    """Limits of bytes and datagrams out.
+    """Limits of outgoing bytes and datagrams.
 
-    What tells living instances from dead ones (answers, probes) may use all of it; what is only
-    useful leaves a part of it for them. In any second at most the ceiling goes out.
+    Datagrams for failure detection (answers, probes) may use nearly all of the limits; those for
+    other purposes leave a reserve for them. In no second more than the configured limits is sent.
 
     Attributes:
-        refused: Datagrams that were not sent.
+        refused: Number of datagrams that were not sent.
     """
 
-    # Share of the burst that a datagram leaves for those that are needed more.
+    # Share of the burst that a datagram leaves for more important purposes.
     RESERVED_SHARES = {  # noqa: RUF012 - never changed
         SendPurpose.ANSWER: 0.0,
         SendPurpose.PROBE: 0.05,
@@ -84,7 +84,7 @@
         self.refused = 0
 
     def try_send(self, now: Ticks, size: int, purpose: SendPurpose) -> bool:
-        """Takes a datagram of so many bytes off the limits, and returns whether it may go out."""
+        """Takes a datagram of `size` bytes from the limits if they allow it; returns whether."""
         reserved = self.RESERVED_SHARES[purpose]
         for bucket, amount in ((self._bytes, size), (self._datagrams, 1)):
             if not bucket.has_tokens(now, amount + reserved * (bucket.burst - amount)):
@@ -96,15 +96,16 @@
 
 
 class VerificationLimits:
-    """Limits of signatures verified.
+    """Limits of signature verifications.
 
-    Each proved address has a bucket of its own, all others share a few lanes. A datagram that holds
-    an outstanding nonce of ours is looked at before all of these, since only its answerer knows it.
+    Each validated address has its own bucket; all others share a few buckets. A datagram with an
+    outstanding nonce of this instance is verified regardless of them, since only the probed peer
+    knows the nonce.
 
     Attributes:
-        total: The bucket of all verifications.
-        peers: Buckets of the proved addresses.
-        verified: How many signatures were verified.
+        total: Bucket of all verifications.
+        peers: Buckets by validated address.
+        verified: Number of signatures that were verified.
     """
 
     def __init__(self, settings: VerificationLimitSettings, salt: int, now: Ticks) -> None:
@@ -120,7 +121,7 @@
         self.verified = 0
 
     def set_validated_addresses(self, addresses: Iterable[Address]) -> None:
-        """Gives these addresses buckets of their own, and no others."""
+        """Sets the addresses that have their own buckets."""
         rate = self._settings.peer
         self.peers = {
             address: self.peers.get(address) or TokenBucket(rate, rate / 2, self._started_at)
@@ -128,7 +129,7 @@
         }
 
     def bucket_for(self, source: Address) -> TokenBucket:
-        """Returns the bucket that a source draws on."""
+        """Returns the bucket of a source address."""
         return (
             self.peers.get(source)
             or self._shared_buckets[hash((self._salt, source)) % SHARED_BUCKETS]
--- a/thymeknot/gossip/receiver.py
+++ b/thymeknot/gossip/receiver.py
@@ -1,9 +1,9 @@
-"""Datagrams that come in.
+"""Processing of received datagrams.
 
-What a stranger sends costs the least that tells so, in the order of cost: size, version, network,
-key's name, budget of its address, form, number, signature. Nothing a peer says counts before it has
-answered a nonce of ours under its present start; what it said under another start is as good as a
-stranger's.
+Checks run in the order of their cost, so that an unwanted datagram costs as little as possible:
+size, version, network, key id, budget of the source address, encoding, sequence number, signature.
+The content of a peer's datagrams is ignored until the peer has answered a nonce of this instance
+under its present start; datagrams of another start are treated like a stranger's.
 """
 
 from typing import NamedTuple
@@ -20,14 +20,14 @@
 
 
 class Incoming(NamedTuple):
-    """A datagram that was read.
+    """A decoded datagram with its context.
 
     Attributes:
-        now: The time.
-        source: Where it came from.
-        datagram: Its bytes.
-        member: The peer whose key it names.
-        read: What it says.
+        now: Time of reception.
+        source: Source address.
+        datagram: Raw bytes.
+        member: Peer that owns the stated key.
+        sealed: Decoded datagram, not verified yet.
     """
 
     now: Ticks
@@ -38,7 +38,7 @@
 
 
 class Receiver:
-    """Verifies datagrams and hands what they say to the other parts."""
+    """Verifies datagrams and dispatches their content to the other parts."""
 
     def __init__(
         self, context: GossipContext, prober: Prober, hints: PeerHints, items: ItemExchange
@@ -49,7 +49,11 @@
         self._items = items
 
     def receive(self, now: Ticks, source: Address, datagram: bytes) -> DropReason | None:
-        """Takes a datagram, and returns why it was dropped, if it was."""
+        """Processes a datagram.
+
+        Returns:
+            The reason if the datagram was dropped, else None.
+        """
         reason = self._check_raw(source, datagram)
         if reason is not None:
             return reason
@@ -80,7 +84,7 @@
         return None
 
     def _handle_sealed(self, incoming: Incoming, bucket: TokenBucket) -> DropReason | None:
-        """Takes a datagram that is not verified."""
+        """Checks a decoded datagram, verifies its signature and processes its content."""
         member = incoming.member
         frame = incoming.sealed.frame
         body = frame.body
@@ -93,7 +97,7 @@
         if not start_proved and not isinstance(body, Ping) and probe is None:
             self._ask_for_proof(incoming)
             return DropReason.UNPROVED
-        # What an awaited nonce brings in is verified whatever others have used up.
+        # An answer to an outstanding nonce is verified even if the limits are used up.
         reason = self._verify(incoming, bucket if probe is None else None)
         if reason is not None:
             return reason
@@ -103,7 +107,7 @@
         return None
 
     def _verify(self, incoming: Incoming, bucket: TokenBucket | None) -> DropReason | None:
-        """Verifies a signature, within the limits if there is a bucket."""
+        """Verifies a signature, within the limits unless `bucket` is None."""
         limits = self._context.limits
         now = incoming.now
         if bucket is not None and not (bucket.take(now) and limits.total.take(now)):
@@ -115,13 +119,13 @@
         return None
 
     def _is_for_us(self, frame: Frame) -> bool:
-        """Returns whether a datagram is for this instance, by name or as a seed's first ping."""
+        """Returns whether a datagram names this instance or is a first ping to it as a seed."""
         if frame.recipient == self._context.local.name:
             return True
         return frame.recipient == "" and isinstance(frame.body, Ping) and not frame.items
 
     def _ask_for_proof(self, incoming: Incoming) -> None:
-        """Pings a sender of another start than it proved, to find out who that is."""
+        """Pings a sender whose start is not proved, so that it can prove it."""
         now, source, datagram, member, _ = incoming
         if now - member.challenged_at >= self._context.settings.probe_every:
             member.challenged_at = now
@@ -150,8 +154,8 @@
     def _answer_ping(self, incoming: Incoming, ping: Ping, start_proved: bool) -> None:
         """Answers a ping.
 
-        One that proved nothing gets no items and one answer no longer than what it sent, that asks
-        it to prove itself.
+        The answer to a peer that is not validated has no items, is no longer than the ping, and has
+        a challenge unless the peer was challenged recently.
         """
         context = self._context
         now, source, datagram, member, _ = incoming
@@ -173,10 +177,10 @@
             self._prober.expect_answer(now, challenge, member, source)
 
     def _accept_ack(self, incoming: Incoming, probe: Probe) -> bool:
-        """Takes an answer with a nonce of ours: proof of the start it names.
+        """Processes an answer to an outstanding nonce, which proves the sender's start.
 
         Returns:
-            Whether it is from the one that was asked.
+            Whether the answer comes from the probed peer and address.
         """
         now, source, datagram, member, sealed = incoming
         if probe.name not in (None, member.name) or source != probe.address:
@@ -200,14 +204,14 @@
         return True
 
     def _record_proof(self, now: Ticks, member: Member, frame: Frame, probe: Probe) -> None:
-        """Takes up what an answer proved: a peer's start, clock and address."""
+        """Stores what an answer proved: the peer's start, clock offset and address."""
         context = self._context
         if member.start != frame.start:
             if member.start is not None:
                 context.suspicions.forget_origin(member.name)
             member.adopt_start(frame.start)
-        # The peer's clock against ours, by the middle of the way there and back; the quickest
-        # answer counts (Cristian, 1989).
+        # The peer's clock is compared with the middle of the round trip; the measurement with the
+        # shortest round trip is kept (Cristian, 1989).
         round_trip = now - probe.sent_at
         if member.offset is None or round_trip <= member.offset.error:
             member.offset = ClockOffset((probe.sent_at + now) // 2 - frame.sent_at, round_trip)
@@ -216,7 +220,7 @@
         self._items.release_pending(now, member)
 
     def _set_address(self, now: Ticks, member: Member, address: Address) -> None:
-        """Takes up an address that a peer proved; another name there is gone."""
+        """Stores a peer's validated address; another peer that had this address is dead."""
         context = self._context
         former_name = context.by_address.get(address)
         if member.address == address and former_name == member.name:
--- a/thymeknot/gossip/replay_window.py
+++ b/thymeknot/gossip/replay_window.py
@@ -1,16 +1,16 @@
-"""Which numbers of a sender were seen: a sliding window of bits, so that nothing is taken twice.
+"""Anti-replay window: a sliding bit mask of the sequence numbers that were received.
 
-The anti-replay window of IPsec (RFC 4303, section 3.4.3).
+Follows the anti-replay window of IPsec (RFC 4303, section 3.4.3).
 """
 
 
 class ReplayWindow:
-    """Numbers within `size` of the highest one; what is older counts as seen.
+    """Records sequence numbers; numbers older than the window count as seen.
 
     Attributes:
-        size: Numbers that the window covers.
-        highest: The highest number that was marked, -1 for none.
-        bits: Bit n says whether the number `highest - n` was marked.
+        size: Number of sequence numbers that the window covers.
+        highest: Highest number marked so far, or -1.
+        bits: Bit n is set if the number `highest - n` was marked.
     """
 
     __slots__ = ("bits", "highest", "size")
@@ -21,7 +21,7 @@
         self.bits = 0
 
     def seen(self, number: int) -> bool:
-        """Returns whether a number was marked or is too old to tell."""
+        """Returns whether a number was marked or is older than the window."""
         behind = self.highest - number
         return behind >= 0 and (behind >= self.size or bool(self.bits >> behind & 1))
 
--- a/thymeknot/gossip/settings.py
+++ b/thymeknot/gossip/settings.py
@@ -1,17 +1,17 @@
-"""What an operator sets for gossip, as records. Durations are in ticks. See operator/schema.
+"""Gossip settings as records. Durations are in ticks. See operator/schema.
 
-Field names are the keys of the operator's file.
+Field names are the keys of the operator file.
 """
 
 from typing import NamedTuple, Optional
 
 
 class SendLimitSettings(NamedTuple):
-    """What may go out.
+    """Limits of outgoing traffic.
 
     Attributes:
-        bytes: A second.
-        datagrams: A second.
+        bytes: Bytes per second.
+        datagrams: Datagrams per second.
     """
 
     bytes: int
@@ -19,12 +19,12 @@
 
 
 class VerificationLimitSettings(NamedTuple):
-    """How many signatures may be verified.
+    """Limits of signature verifications.
 
     Attributes:
-        total: A second.
-        peer: A second, of them, for one peer's address.
-        unknown: A second, of them, for all addresses that proved nothing.
+        total: Verifications per second.
+        peer: Verifications per second for the validated address of one peer.
+        unknown: Verifications per second for all addresses that are not validated.
     """
 
     total: int
@@ -33,17 +33,17 @@
 
 
 class SuspicionSettings(NamedTuple):
-    """What of others' evidence about endpoints is believed.
+    """When evidence of other instances makes an endpoint suspected.
 
     Attributes:
-        witnesses: Independent instances that must agree.
-        liars: Instances that may lie without effect.
-        enough: Attempts that the evidence must cover.
-        bar: Share of failed attempts from which an endpoint may be suspected.
-        most_share: Largest share of a build's endpoints that may be suspected at once.
-        lapse: How long evidence counts.
-        doubt: How long a first suspicion lasts.
-        match_address: Whether evidence must name the endpoint's address too.
+        witnesses: Minimum number of independent instances that must agree.
+        liars: Number of lying instances that must have no effect.
+        enough: Minimum number of attempts that the evidence must cover.
+        bar: Minimum share of failed attempts for a suspicion.
+        most_share: Maximum share of a build's endpoints that are suspected at once.
+        lapse: How long evidence is valid.
+        doubt: Duration of a first suspicion.
+        match_address: Whether evidence must also match the endpoint's address.
     """
 
     witnesses: int
@@ -61,7 +61,7 @@
 
     Attributes:
         key: The key in base64.
-        until: When it ends, as 2027-01-31T00:00:00Z; None for never.
+        until: When it expires, such as 2027-01-31T00:00:00Z, or None for never.
     """
 
     key: str
@@ -69,12 +69,12 @@
 
 
 class Peer(NamedTuple):
-    """A peer of the ring.
+    """A peer in the keyring.
 
     Attributes:
-        name: Its name.
-        group: Peers of one group count as one witness; its own name if None.
-        keys: Its public keys.
+        name: Name.
+        group: Group; peers in a group count as one witness. None for a group of its own.
+        keys: Public keys.
     """
 
     name: str
@@ -83,24 +83,25 @@
 
 
 class GossipSettings(NamedTuple):
-    """All settings of gossip.
+    """All gossip settings.
 
     Attributes:
-        name: This instance's name in the ring.
+        name: This instance's name in the keyring.
         listen: Address of its socket.
-        announce: Address where others reach it; `listen` if None.
-        key: File of its private key.
-        seeds: Addresses that are asked first.
+        announce: Address at which peers reach it; `listen` if None.
+        key: File with its private key.
+        seeds: Addresses of peers that are probed first.
         from_: Networks that peers may send from.
-        peers: The ring.
-        revoked: Public keys in base64 that count no more.
+        peers: Peers and their public keys.
+        revoked: Revoked public keys in base64.
         probe_every: Length of a protocol period.
         probe_timeout: How long an answer to a probe may take.
-        relays: Peers that are asked to probe one that did not answer.
-        suspect_times: Times of the period, by the logarithm of the members, that a suspicion lasts.
-        ceiling: What may go out.
-        verifications: How many signatures may be verified.
-        hearsay: What of others' evidence is believed.
+        relays: Number of peers that are asked to probe a peer that did not answer.
+        suspect_times: SWIM's suspicion multiplier: a suspicion lasts this many protocol periods
+            times the natural logarithm of the group size.
+        ceiling: Limits of outgoing traffic.
+        verifications: Limits of signature verifications.
+        hearsay: When evidence of other instances makes an endpoint suspected.
     """
 
     name: str
@@ -121,6 +122,6 @@
 
 
 def parse_address(text: str) -> tuple[str, int]:
-    """Returns (host, port) of "127.0.0.1:7946" or "[::1]:7946"."""
+    """Parses "127.0.0.1:7946" or "[::1]:7946" into (host, port)."""
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
--- a/thymeknot/gossip/suspicion.py
+++ b/thymeknot/gossip/suspicion.py
@@ -1,9 +1,10 @@
-"""What others saw of endpoints, and what of it is believed.
+"""Derives suspicions of endpoints from own attempts and from evidence of other instances.
 
-Evidence counts attempts and their failures of late; it is worth what its origin's earlier evidence
-proved worth. An endpoint is suspected only if enough independent witnesses agree after the words
-most against it were left out, so that the stated number of liars can't move it; never against own
-fresh experience; and only a stated share of a build's endpoints at once. Each suspicion ends.
+Evidence counts recent attempts and failures. It is weighted by its origin's credibility, which
+depends on the origin's earlier evidence. An endpoint is suspected only if enough independent
+witnesses agree after the most unfavourable evidence was discarded, so that the configured number of
+lying instances has no effect. Own fresh attempts outweigh evidence of others, and only a configured
+share of a build's endpoints is suspected at once. Every suspicion expires.
 """
 
 from collections.abc import Callable, Iterable, Mapping, Sequence
@@ -23,31 +24,29 @@
 )
 from .settings import SuspicionSettings
 
-MAX_ATTEMPTS_PER_WITNESS = 20  # that one word counts for: the loudest is one among several
-MIN_OWN_ATTEMPTS = 4  # own fresh attempts that outweigh any evidence of others
-MIN_ATTEMPTS_TO_REFUTE = 2  # own attempts that are worth a good word
-MIN_RATIO_TO_OTHERS = 3.0  # times the failure rate of the other endpoints, to be bad
-MAX_P_VALUE = 1e-3  # how likely what is left may be at an endpoint as well as the others
-MIN_ATTEMPTS_TO_JUDGE = 6  # own fresh attempts that prove another's word right or wrong
-MAX_SWINGS = 3  # a word that swung so often is worth nothing for a while
-MIN_SWING = 0.4  # change of the failure rate that is a swing
-MAX_EVIDENCE = 2048  # of all origins
+MAX_ATTEMPTS_PER_WITNESS = 20  # per piece of evidence, so that no witness outweighs all others
+MIN_OWN_ATTEMPTS = 4  # fresh ones, which outweigh all evidence of others
+MIN_ATTEMPTS_TO_REFUTE = 2  # own attempts needed to send evidence that refutes that of others
+MIN_RATIO_TO_OTHERS = 3.0  # of an endpoint's failure rate to that of the other endpoints
+MAX_P_VALUE = 1e-3  # of the failures under the failure rate of the other endpoints
+MIN_ATTEMPTS_TO_JUDGE = 6  # own fresh ones, to confirm or refute evidence of others
+MAX_SWINGS = 3  # evidence that swung this often is ignored until it expires
+MIN_SWING = 0.4  # change of the failure rate between updates that counts as a swing
+MAX_EVIDENCE = 2048  # of all origins together
 MAX_EVIDENCE_PER_ORIGIN = 16
-MAX_EVIDENCE_PER_ROUND = 6  # words in one round
-SUFFICIENT_REPORTS_FACTOR = (
-    2  # times the witnesses and liars: more voices on one side are not needed
-)
-MAX_DURATION_FACTOR = 4  # times the first suspicion's duration, when it comes again
-MAX_SUSPICION_COUNT = 8  # suspicions that are counted
-SUSPICION_PAUSE = TICKS_PER_SECOND  # between two suspicions, when the endpoint is tried
+MAX_EVIDENCE_PER_ROUND = 6  # endpoints per round
+SUFFICIENT_REPORTS_FACTOR = 2  # times (witnesses + liars) instances are enough on either side
+MAX_DURATION_FACTOR = 4  # of a repeated suspicion's duration to that of the first
+MAX_SUSPICION_COUNT = 8  # largest count of suspicions of an endpoint
+SUSPICION_PAUSE = TICKS_PER_SECOND  # between two suspicions, in which the endpoint is used again
 
 
 class Suspicion(NamedTuple):
-    """An endpoint that is used last.
+    """A suspected endpoint, which is chosen only after all others.
 
     Attributes:
-        endpoint: The endpoint.
-        until: Until when; a moment that is over takes the suspicion back.
+        endpoint: Identifies the endpoint.
+        until: When the suspicion ends; a time that has passed withdraws it.
     """
 
     endpoint: EndpointKey
@@ -58,11 +57,11 @@
     """An origin's latest evidence about an endpoint.
 
     Attributes:
-        tried: Attempts that ended.
-        failed: Those of them that failed.
-        seen: When it was made, by this instance's clock.
-        swings: How often the failure rate swung.
-        judged: Whether own experience proved it right or wrong.
+        attempts: Number of attempts that ended.
+        failures: Number of those attempts that failed.
+        observed_at: When it was made, by this instance's clock.
+        swings: How often the failure rate changed by more than `MIN_SWING`.
+        judged: Whether own attempts have confirmed or refuted it.
     """
 
     __slots__ = ("attempts", "failures", "judged", "observed_at", "swings")
@@ -75,7 +74,7 @@
         self.judged = False
 
     def update(self, evidence: Evidence, observed_at: Ticks) -> bool:
-        """Takes newer evidence, and returns whether it is newer."""
+        """Stores evidence if it is newer, and returns whether it is."""
         if observed_at <= self.observed_at and self.attempts:
             return False
         if self.attempts:
@@ -90,11 +89,11 @@
 
 
 class _WeightedCounts(NamedTuple):
-    """Attempts that a group's word counts for.
+    """Weighted evidence of a group.
 
     Attributes:
-        tried: Attempts.
-        failed: Failed ones.
+        attempts: Weighted number of attempts.
+        failures: Weighted number of failed attempts.
     """
 
     attempts: float
@@ -102,7 +101,7 @@
 
 
 def binomial_tail(attempts: int, failures: int, rate: float) -> float:
-    """Returns how likely so many failures or more are at this rate."""
+    """Returns the probability of at least `failures` failures at a failure rate."""
     return sum(
         comb(attempts, count) * rate**count * (1 - rate) ** (attempts - count)
         for count in range(failures, attempts + 1)
@@ -110,19 +109,19 @@
 
 
 class SuspicionDetector:
-    """Evidence about endpoints, own and others', and the suspicions that follow.
+    """Collects own and other instances' evidence about endpoints and decides on suspicions.
 
     Attributes:
-        evidence: Others' latest evidence, by endpoint and origin.
-        credibility: What origins' words are worth.
+        evidence: Latest evidence of other instances by endpoint and origin.
+        credibility: Credibility of the origins.
     """
 
     def __init__(self, settings: SuspicionSettings, group_of: Callable[[str], str]) -> None:
-        """Makes a detector without endpoints.
+        """Creates a detector without endpoints.
 
         Args:
-            settings: What is believed.
-            group_of: The group of an origin; those of one group count as one witness.
+            settings: When evidence makes an endpoint suspected.
+            group_of: Returns the group of an origin; origins in a group count as one witness.
         """
         self._settings = settings
         self._group_of = group_of
@@ -131,13 +130,13 @@
         self._evidence_count = 0
         self._observed: dict[str, ObservedEndpoint] = {}  # the ready endpoints, by id
         self._totals = EndpointTotals(settings.lapse)
-        # Work follows trouble and not the length of the list.
-        self._failing: dict[str, ObservedEndpoint] = {}  # that failed of late
+        # Kept apart, so that work grows with the number of failing endpoints, not of all endpoints.
+        self._failing: dict[str, ObservedEndpoint] = {}  # with recent failures, by id
         self._suspected: dict[str, ObservedEndpoint] = {}
         self._ready_by_build: dict[int, int] = {}
 
     def set_endpoints(self, endpoints: Iterable[EndpointKey]) -> None:
-        """Takes up the ready endpoints; what is no longer the same endpoint is forgotten."""
+        """Sets the ready endpoints and discards evidence about all others."""
         former = self._observed
         self._observed = {}
         self._ready_by_build = {}
@@ -167,16 +166,16 @@
                 del self.evidence[key]
 
     def forget_origin(self, name: str) -> None:
-        """Forgets what an origin said: its key was revoked, it started anew, or it lied."""
+        """Discards the evidence of an origin that restarted, left, died, lied or lost its key."""
         self._retain_evidence(lambda key, origin: origin != name)
 
     def discredit(self, name: str) -> None:
-        """Takes note that an origin said two things under one number: proof of a lie."""
+        """Removes the credit and evidence of an origin that signed two items with one number."""
         self.credibility.record_equivocation(name)
         self.forget_origin(name)
 
     def record_attempt(self, now: Ticks, name: str, failed: bool) -> None:
-        """Counts an own attempt at an endpoint that ended."""
+        """Counts an attempt of this instance at an endpoint."""
         observed = self._observed.get(name)
         if observed:
             observed.count_attempt(now)
@@ -188,16 +187,16 @@
                 self._failing[name] = observed
 
     def add_evidence(self, now: Ticks, origin: str, evidence: Evidence, observed_at: Ticks) -> bool:
-        """Takes evidence of an origin that is proved and alive.
+        """Stores evidence of a live origin.
 
         Args:
-            now: The time.
-            origin: Its name.
-            evidence: What it saw.
-            observed_at: When it saw that, by this instance's clock.
+            now: Current time.
+            origin: Name of the origin.
+            evidence: The evidence.
+            observed_at: When it was made, by this instance's clock.
 
         Returns:
-            Whether it was of use.
+            Whether the evidence was stored.
         """
         key = EndpointKey(
             evidence.endpoint_id, evidence.address, evidence.build, evidence.endpoint_started_at
@@ -218,9 +217,9 @@
         return record.update(evidence, observed_at)
 
     def evidence_to_send(self, now: Ticks) -> list[tuple[EndpointKey, AttemptCounts]]:
-        """Returns what is worth sending now, the worst first.
+        """Returns the evidence to send now, the most failures first.
 
-        Endpoints that fail, and good words for those that others speak ill of.
+        It covers endpoints that fail, and endpoints that succeed although others report failures.
         """
         max_age = self._settings.lapse
         for name in [
@@ -244,11 +243,11 @@
     def _is_worth_sending(
         self, now: Ticks, observed: ObservedEndpoint, counts: AttemptCounts
     ) -> bool:
-        """Returns whether own counts are bad, or good against others' bad ones.
+        """Returns whether own counts are bad, or are good and refute bad ones of others.
 
-        One failure is worth a word: an instance that uses another endpoint after the first has no
-        second one, and what failed a few by chance is refuted by those whom it did not. A few
-        voices are enough on either side, however many instances there are.
+        A single failure is worth sending: an instance that switches to another endpoint after it
+        will not see a second one, and failures by chance are refuted by instances that had none.
+        Evidence of a few instances is enough on either side, whatever the group size.
         """
         settings = self._settings
         records = self.evidence.get(observed.key, {})
@@ -269,11 +268,11 @@
         return (is_bad and against < enough) or (refutes and len(records) - against < enough)
 
     def update(self, now: Ticks, is_alive: Callable[[str], bool]) -> list[Suspicion]:
-        """Returns the suspicions that begin, grow or end.
+        """Returns the suspicions that begin or end.
 
         Args:
-            now: The time.
-            is_alive: Whether an origin is a live peer.
+            now: Current time.
+            is_alive: Returns whether an origin is a live peer.
         """
         max_age = self._settings.lapse
         self._retain_evidence(
@@ -292,7 +291,7 @@
         return self._update_suspicions(now, against)
 
     def _update_credibility(self, records: Mapping[str, ReceivedEvidence], rate: float) -> None:
-        """Has own experience prove others' words right or wrong, each word once."""
+        """Confirms or refutes evidence by own attempts, each piece of evidence once."""
         threshold = self._settings.bar
         for origin, record in records.items():
             if record.judged or record.failures / record.attempts < threshold:
@@ -312,10 +311,10 @@
         now: Ticks,
         is_alive: Callable[[str], bool],
     ) -> float | None:
-        """Returns how much speaks against an endpoint, or None where it is not enough."""
+        """Returns the weighted failures at an endpoint, or None if they justify no suspicion."""
         settings = self._settings
         if own.attempts >= MIN_OWN_ATTEMPTS and own.failures / own.attempts < settings.bar:
-            return None  # own fresh experience beats others' evidence
+            return None  # own fresh attempts outweigh evidence of others
         by_group = self._evidence_by_group(records, is_alive)
         witnesses = sum(one.failures / one.attempts >= settings.bar for one in by_group)
         if own.failures and own.failures / own.attempts >= settings.bar:
@@ -336,10 +335,10 @@
     def _evidence_by_group(
         self, records: Mapping[str, ReceivedEvidence], is_alive: Callable[[str], bool]
     ) -> list[_WeightedCounts]:
-        """Returns each group's word by its credit, in credits of one that said nothing yet.
+        """Returns the evidence of each group, weighted relative to an origin of initial credit.
 
-        Of a group the word that says the most is kept: more names of one hand are no more
-        witnesses.
+        Only the evidence with the most weighted failures of a group is kept, so that several
+        instances under one control count as one witness.
         """
         by_group: dict[str, _WeightedCounts] = {}
         for origin, record in records.items():
@@ -357,9 +356,9 @@
         ]
 
     def _trim_extremes(self, by_group: Sequence[_WeightedCounts]) -> list[_WeightedCounts]:
-        """Leaves out as many words most against the endpoint as there may be liars.
+        """Discards the most unfavourable evidence, as many groups as there may be liars.
 
-        With enough words, as many that are most for it are left out too.
+        With enough evidence, as many of the most favourable groups are discarded as well.
         """
         settings = self._settings
         left = sorted(by_group, key=lambda one: one.failures - settings.bar * one.attempts)
@@ -381,14 +380,14 @@
             if observed.suspected_until > now:
                 if observed in against:
                     allowed[observed.key.build] -= 1
-                else:  # its ground is gone
+                else:  # the evidence is no longer sufficient
                     observed.suspected_until = now
                     changed.append(Suspicion(observed.key, now))
             elif now - observed.suspected_until > 2 * settings.lapse:
                 observed.suspicion_count = 0
                 del self._suspected[name]
         for observed in sorted(against, key=lambda one: against[one], reverse=True):
-            # Between two suspicions the endpoint is used as any other: it may be well again.
+            # Between two suspicions the endpoint is used normally, as it may have recovered.
             may_begin = (
                 observed.suspected_until <= now
                 and now >= observed.suspected_until + SUSPICION_PAUSE
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -1,7 +1,8 @@
-"""The gossip's socket, and its way to and from the proxy.
+"""UDP transport of gossip and its connection to the proxy.
 
-It reads a bounded number of datagrams in a round of the event loop, so that a flood delays no
-request. What the socket can't send at once is lost, as the network may lose it.
+A bounded number of datagrams is read per iteration of the event loop, so that a flood does not
+delay requests. Datagrams that the socket can't send immediately are dropped, as the network may
+lose datagrams as well.
 """
 
 import os
@@ -26,25 +27,24 @@
 from .settings import GossipSettings, parse_address
 from .suspicion import Suspicion
 
-DATAGRAMS_PER_READ = 24  # in a round of the event loop; what stays comes in the next one
-RECEIVE_BUFFER_SIZE = (
-    1 << 20
-)  # bytes asked of the system, so that a flood leaves room between rounds
-READ_SIZE = 2048  # bytes, more than a valid datagram has
-REPORT_INTERVAL = 10 * TICKS_PER_SECOND  # between two log lines of counts
+DATAGRAMS_PER_READ = 24  # per iteration of the event loop; the rest waits for the next one
+RECEIVE_BUFFER_SIZE = 1 << 20  # bytes requested from the kernel, to absorb a flood between reads
+READ_SIZE = 2048  # bytes, more than the longest valid datagram
+REPORT_INTERVAL = 10 * TICKS_PER_SECOND  # between log events with counts
 NONCE_SIZE = 8  # bytes
 RANDOM_SEED_BITS = 64
 FAILED_OUTCOMES = {Outcome.ERROR, Outcome.RESET, Outcome.CONNECT_FAILED}
-# Share of a request class's latency objective that a timed-out attempt must have had to count.
+# Share of the request class's latency objective that a timed-out attempt must have had to count
+# as a failure.
 MIN_SHARE_OF_OBJECTIVE = 0.99
 
 
 class Credentials(NamedTuple):
-    """What a node is made of beside its settings.
+    """Keys and networks loaded according to the settings.
 
     Attributes:
-        identity: What it signs with.
-        ring: The peers' keys.
+        identity: Name and private key of this instance.
+        ring: Keyring of the peers' public keys.
         sources: Networks that peers may send from.
     """
 
@@ -54,14 +54,14 @@
 
 
 def load_credentials(settings: GossipSettings, folder: str) -> Credentials:
-    """Returns the credentials that the settings name.
+    """Loads the credentials that the settings name.
 
     Args:
         settings: The operator's settings.
-        folder: Where the file of the key is looked for.
+        folder: Directory of the key file.
 
     Raises:
-        KeyringError: They can't be used; the text begins with the faulty key of the settings.
+        KeyringError: They are not usable; the message begins with the key of the faulty setting.
     """
     try:
         with open(os.path.join(folder, settings.key), "rb") as source:
@@ -71,7 +71,7 @@
     except OSError as error:
         raise KeyringError(f"gossip.key: can't be read: {_error_text(error)}") from None
     if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
-        raise KeyringError("gossip.key: belongs to another name in the ring")
+        raise KeyringError("gossip.key: belongs to another name in gossip.peers")
     return Credentials(identity, ring, sources)
 
 
@@ -80,7 +80,7 @@
 
 
 def _bind_socket(listen: str) -> socket.socket:
-    """Returns a non-blocking socket for datagrams.
+    """Returns a non-blocking UDP socket that is bound to `listen`.
 
     Raises:
         KeyringError: The address can't be bound.
@@ -99,11 +99,11 @@
 
 
 class BusiestSecond:
-    """What went out in the busiest second, for the log.
+    """Peaks of outgoing traffic per second, for the log.
 
     Attributes:
-        bytes_most: Bytes.
-        datagrams_most: Datagrams.
+        max_bytes: Most bytes in a second.
+        max_datagrams: Most datagrams in a second.
     """
 
     def __init__(self) -> None:
@@ -114,7 +114,7 @@
         self.max_datagrams = 0
 
     def count(self, now: int, datagrams: list[Datagram]) -> None:
-        """Counts datagrams that go out."""
+        """Counts outgoing datagrams."""
         second = now // TICKS_PER_SECOND
         if second != self._second:
             self._second = second
@@ -126,31 +126,32 @@
         self.max_datagrams = max(self.max_datagrams, self._datagrams)
 
     def reset(self) -> None:
-        """Forgets the busiest second; the present one goes on."""
+        """Resets the peaks; counting of the present second continues."""
         self.max_bytes = 0
         self.max_datagrams = 0
 
 
 @implementer(IReadDescriptor)
 class GossipFeature:
-    """Joins a node to a socket and the proxy.
+    """Connects a gossip node with a UDP socket and the proxy.
 
-    The proxy calls `on_attempt_ended` and `on_endpoints_changed`; suspicions come to it as events.
+    The proxy calls `on_attempt_ended` and `on_endpoints_changed`, and receives suspicions as
+    events.
 
     Attributes:
-        node: The node.
+        node: The gossip node.
     """
 
     def __init__(self, proxy: Any, settings: GossipSettings, folder: str) -> None:
-        """Opens the socket and begins.
+        """Opens the socket and starts gossip.
 
         Args:
             proxy: The proxy.
             settings: The operator's settings.
-            folder: Where the file of the key is looked for.
+            folder: Directory of the key file.
 
         Raises:
-            KeyringError: The settings can't be used.
+            KeyringError: The settings are not usable.
         """
         self._proxy = proxy
         self._settings = settings
@@ -181,34 +182,34 @@
         proxy.reactor.addReader(self)
         self._tick()
 
-    # The reactor's reader.
+    # Methods of Twisted's `IReadDescriptor`.
 
     def fileno(self) -> int:
-        """Returns the socket's descriptor."""
+        """Returns the file descriptor of the socket."""
         return self._socket.fileno()
 
     def logPrefix(self) -> str:  # noqa: N802 - Twisted's name
-        """Returns what Twisted's log calls it."""
+        """Returns the prefix for Twisted's log."""
         return "gossip"
 
     def connectionLost(self, reason: Any) -> None:  # noqa: N802 - Twisted's name
-        """Closes the socket as the reactor stops."""
+        """Closes the socket when the reactor stops."""
         self.close()
 
     def doRead(self) -> None:  # noqa: N802 - Twisted's name
-        """Reads some datagrams."""
+        """Reads and processes up to `DATAGRAMS_PER_READ` datagrams."""
         now = self._clock()
         received = self.node.receive_datagram
         for _ in range(DATAGRAMS_PER_READ):
             try:
                 length, source = self._socket.recvfrom_into(self._buffer)
-            except OSError:  # nothing more, or an earlier datagram of ours met nobody
+            except OSError:  # no more datagrams, or an ICMP error for one that was sent before
                 break
             received(now, source[:2], bytes(self._view[:length]))
         self._flush()
 
     def _flush(self) -> None:
-        """Sends, tells the proxy and logs what the node has for them."""
+        """Sends datagrams, reports suspicions to the proxy and logs events of the node."""
         datagrams = self.node.take_datagrams()
         if datagrams:
             self._busiest.count(self._clock(), datagrams)
@@ -216,7 +217,7 @@
             try:
                 self._socket.sendto(datagram.content, datagram.address)
             except OSError:
-                pass  # as lost on the way
+                pass  # equivalent to a loss in the network
         suspicions = self.node.take_suspicions()
         if suspicions:
             self._report_suspicions(suspicions)
@@ -277,13 +278,13 @@
             self._reported_drops = dict(node.dropped)
             structured_log.log("gossip dropped", **dropped)
 
-    # From the proxy.
+    # Called by the proxy.
 
     def on_attempt_ended(self, attempt: Any, outcome: Outcome) -> None:
-        """Counts an attempt that ended, where it says something of the endpoint.
+        """Counts an attempt that ended, if its outcome is informative about the endpoint.
 
-        One that was cancelled or rejected does not, nor a timeout that only the client's short
-        patience made.
+        A cancelled or rejected attempt is not, nor is a timeout that was only due to a short
+        deadline of the client.
         """
         if outcome == Outcome.DONE or outcome in FAILED_OUTCOMES:
             failed = outcome != Outcome.DONE
@@ -294,7 +295,7 @@
         self.node.suspicions.record_attempt(self._clock(), attempt.endpoint.address, failed)
 
     def _used_latency_objective(self, attempt: Any) -> bool:
-        """Returns whether an attempt had the time that its request class should take."""
+        """Returns whether an attempt had about as much time as its latency objective."""
         classes = self._proxy.settings.request_classes
         request_class = classes[attempt.request.command.request_class]
         return bool(
@@ -303,10 +304,10 @@
         )
 
     def on_endpoints_changed(self) -> None:
-        """Takes up the ready endpoints that the proxy has now."""
+        """Passes the proxy's ready endpoints to the node."""
         proxy = self._proxy
         addresses = proxy.addresses if self._settings.hearsay.match_address else {}
-        # An endpoint's start is told in Unix time: each instance counts from a start of its own.
+        # Starts of endpoints are sent in Unix time, since each instance's clock has its own epoch.
         self.node.suspicions.set_endpoints(
             [
                 EndpointKey(
@@ -321,17 +322,17 @@
         )
 
     def reconfigure(self, settings: GossipSettings, folder: str) -> None:
-        """Takes up another ring; other settings take a new start.
+        """Replaces the keyring and the allowed networks; other settings need a restart.
 
         Raises:
-            KeyringError: The settings can't be used; what was there stays.
+            KeyringError: The settings are not usable; the former ones stay in effect.
         """
         credentials = load_credentials(settings, folder)
         self.node.set_sources(credentials.sources)
         self.node.set_keyring(credentials.ring, self._clock())
 
     def stop(self) -> None:
-        """Says goodbye to the peers."""
+        """Announces to the peers that this instance leaves."""
         self.node.leave(self._clock())
         self._flush()
 
