--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -188,11 +188,11 @@
             item_of(Evidence("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000))
             for _ in range(30)
         ]
-        self.assertLessEqual(len(claims[0]), codec.MAX_ITEM)
+        self.assertLessEqual(len(claims[0]), codec.MAX_ITEM_SIZE)
         NODE.queue.add(codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x")
         picked = NODE.queue.pick(3, 1100)
         self.assertLessEqual(
-            len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MAX_DATAGRAM
+            len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MAX_DATAGRAM_SIZE
         )
 
 
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -16,16 +16,16 @@
 
 VERSION = 1
 VERSION_SIZE = 1  # bytes
-MAX_DATAGRAM = 1400  # bytes; fits the usual MTU together with all headers
-MIN_FRAME = 8  # bytes of the shortest encoded frame, without signature
-MIN_DATAGRAM = VERSION_SIZE + KEY_ID_SIZE + MIN_FRAME + SIGNATURE_SIZE  # bytes
-MAX_ITEM = 400  # bytes
-MIN_ITEM = MIN_DATAGRAM - VERSION_SIZE  # bytes
+MAX_DATAGRAM_SIZE = 1400  # bytes; fits the usual MTU together with all headers
+MIN_FRAME_SIZE = 8  # bytes of the shortest encoded frame, without signature
+MIN_DATAGRAM_SIZE = VERSION_SIZE + KEY_ID_SIZE + MIN_FRAME_SIZE + SIGNATURE_SIZE  # bytes
+MAX_ITEM_SIZE = 400  # bytes
+MIN_ITEM_SIZE = MIN_DATAGRAM_SIZE - VERSION_SIZE  # bytes
 MAX_HINTS = 24  # peers in one datagram
-MAX_INDIRECT_ANSWER = 480  # bytes of an answer that a relay forwards
+MAX_INDIRECT_ANSWER_SIZE = 480  # bytes of an answer that a relay forwards
 # Bytes that are added to a ping to a peer that is not validated. They make the ping much longer
 # than its answer, so that a spoofed source address can't be used for an amplification attack.
-PING_PADDING = 128
+PING_PADDING_SIZE = 128
 
 Name = Annotated[str, Meta(max_length=32)]
 Text = Annotated[str, Meta(max_length=96)]
@@ -181,7 +181,7 @@
     """
 
     nonce: Nonce
-    answer: Optional[Annotated[bytes, Meta(max_length=MAX_INDIRECT_ANSWER)]]
+    answer: Optional[Annotated[bytes, Meta(max_length=MAX_INDIRECT_ANSWER_SIZE)]]
 
 
 class Push(_Record, frozen=True, tag="i"):
@@ -223,7 +223,7 @@
     number: Count
     sent_at: Count
     body: Body
-    items: Annotated[list[Annotated[bytes, Meta(max_length=MAX_ITEM)]], Meta(max_length=64)]
+    items: Annotated[list[Annotated[bytes, Meta(max_length=MAX_ITEM_SIZE)]], Meta(max_length=64)]
 
 
 class SealedFrame(NamedTuple):
@@ -287,7 +287,7 @@
 
 def read_frame(datagram: bytes) -> SealedFrame | DropReason:
     """Decodes a datagram; returns the reason if it is malformed."""
-    if not MIN_DATAGRAM <= len(datagram) <= MAX_DATAGRAM:
+    if not MIN_DATAGRAM_SIZE <= len(datagram) <= MAX_DATAGRAM_SIZE:
         return DropReason.SIZE
     if datagram[0] != VERSION:
         return DropReason.VERSION
@@ -302,7 +302,7 @@
 
 def read_item(content: bytes) -> SealedItem | DropReason:
     """Decodes an item; returns the reason if it is malformed."""
-    if not MIN_ITEM <= len(content) <= MAX_ITEM:
+    if not MIN_ITEM_SIZE <= len(content) <= MAX_ITEM_SIZE:
         return DropReason.SIZE
     try:
         item = _item_decoder.decode(content[KEY_ID_SIZE:-SIGNATURE_SIZE])
--- a/thymeknot/gossip/context.py
+++ b/thymeknot/gossip/context.py
@@ -37,7 +37,7 @@
     Attributes:
         settings: The operator's settings.
         local: This instance.
-        ring: Keyring of the peers' public keys.
+        keyring: Keyring of the peers' public keys.
         sources: Networks that peers may send from.
         members: Membership state of the peers.
         suspicions: Evidence about endpoints and the suspicions derived from it.
@@ -53,7 +53,7 @@
 
     settings: GossipSettings
     local: LocalInstance
-    ring: Keyring
+    keyring: Keyring
     sources: AllowedNetworks
     members: Members
     suspicions: SuspicionDetector
@@ -70,7 +70,7 @@
 
     def key_owner(self, key_id: bytes) -> str | None:
         """Returns the name of the peer that owns a key now, or None."""
-        return self.ring.owner(key_id, self.unix())
+        return self.keyring.owner(key_id, self.unix())
 
     def drop(self, reason: DropReason | None) -> None:
         """Counts a dropped datagram or item; does nothing if `reason` is None."""
--- a/thymeknot/gossip/dissemination_queue.py
+++ b/thymeknot/gossip/dissemination_queue.py
@@ -163,9 +163,9 @@
             `MAX_RESENT_ITEMS` random others.
         """
         limit = self._retransmit_limit(member_count)
-        ready = [item for item in self.items.values() if item.origin != excluded_origin]
-        fresh = [item for item in ready if item.send_count < limit]
-        disseminated = [item for item in ready if item.send_count >= limit]
+        candidates = [item for item in self.items.values() if item.origin != excluded_origin]
+        fresh = [item for item in candidates if item.send_count < limit]
+        disseminated = [item for item in candidates if item.send_count >= limit]
         chosen: list[QueuedItem] = []
         for item in sorted(fresh, key=lambda item: item.send_count):
             if len(item.content) + ITEM_OVERHEAD_BYTES <= space:
--- a/thymeknot/gossip/item_exchange.py
+++ b/thymeknot/gossip/item_exchange.py
@@ -40,7 +40,7 @@
     """Processes items of other instances.
 
     Attributes:
-        waiting: Items that wait for their origin's proof, the oldest first.
+        pending: Items held until their origin proves its present start, the oldest first.
     """
 
     def __init__(self, context: GossipContext, prober: Prober, hints: PeerHints) -> None:
@@ -83,7 +83,7 @@
         if not (bucket is None or bucket.take(now)) or not limits.total.take(now):
             return DropReason.BUDGET
         limits.verified += 1
-        if not self._context.ring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
+        if not self._context.keyring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
             return DropReason.SIGNATURE
         return None
 
@@ -101,21 +101,21 @@
         origin.item_window.mark(item.number)
         origin.remember_digest(item.number, digest)
         offset = origin.clock_offset()
-        made = item.made_at + offset.ticks
+        made_at = item.made_at + offset.ticks
         max_age = context.settings.hearsay.lapse
-        if now - made > max_age or made - now > MAX_CLOCK_LEAD + offset.error:
+        if now - made_at > max_age or made_at - now > MAX_CLOCK_LEAD + offset.error:
             return DropReason.LAPSED
-        topic = self._apply(now, origin, item, made)
+        topic = self._apply(now, origin, item, made_at)
         if topic is None:
             return DropReason.LAPSED
-        context.queue.add(item, sealed.key_id, content, made, topic)
+        context.queue.add(item, sealed.key_id, content, made_at, topic)
         return None
 
-    def _apply(self, now: Ticks, origin: Member, item: Item, made: Ticks) -> Hashable | None:
+    def _apply(self, now: Ticks, origin: Member, item: Item, made_at: Ticks) -> Hashable | None:
         """Applies an item and returns its topic, or None if its subject is unknown here."""
         body = item.body
         if isinstance(body, Alive):
-            self._apply_alive(now, origin, body, made)
+            self._apply_alive(now, origin, body, made_at)
             return LIVENESS
         if isinstance(body, Left):
             self._context.members.apply(origin, MemberInput.LEFT, now)
@@ -123,18 +123,18 @@
             return LIVENESS
         if isinstance(body, Suspect):
             return ("Suspect", body.subject) if self._apply_suspect(now, origin, body) else None
-        return self._apply_evidence(now, origin, body, made)
+        return self._apply_evidence(now, origin, body, made_at)
 
-    def _apply_alive(self, now: Ticks, origin: Member, body: Alive, made: Ticks) -> None:
+    def _apply_alive(self, now: Ticks, origin: Member, body: Alive, made_at: Ticks) -> None:
         if body.incarnation > origin.incarnation or origin.state == MemberState.ALIVE:
             origin.incarnation = max(origin.incarnation, body.incarnation)
-            if now - made < self._context.settings.probe_every:
+            if now - made_at < self._context.settings.probe_every:
                 self._context.members.apply(origin, MemberInput.FRESH_ITEM, now)
 
     def _apply_evidence(
-        self, now: Ticks, origin: Member, body: Evidence, made: Ticks
+        self, now: Ticks, origin: Member, body: Evidence, made_at: Ticks
     ) -> Hashable | None:
-        used = self._context.suspicions.add_evidence(now, origin.name, body, made)
+        used = self._context.suspicions.add_evidence(now, origin.name, body, made_at)
         return ("Evidence", body.endpoint_id) if used else None
 
     def _apply_suspect(self, now: Ticks, origin: Member, body: Suspect) -> bool:
@@ -146,7 +146,7 @@
         subject = context.members.all.get(body.subject)
         if subject is None or subject.start != body.start or body.incarnation < subject.incarnation:
             return False
-        group = context.ring.groups.get(origin.name, origin.name)
+        group = context.keyring.groups.get(origin.name, origin.name)
         context.members.record_suspicion(subject, group, now)
         return True
 
--- a/thymeknot/gossip/keyring.py
+++ b/thymeknot/gossip/keyring.py
@@ -113,7 +113,7 @@
             self.groups[peer.name] = peer.group or peer.name
             self._add_keys(peer, revoked_ids)
         if len(self.groups) != len(peers):
-            raise KeyringError("a peer name occurs twice")
+            raise KeyringError("a name occurs twice among the peers")
 
     def _add_keys(self, peer: Peer, revoked_ids: set[bytes]) -> None:
         for peer_key in peer.keys:
@@ -129,14 +129,14 @@
                 peer.name, verifier, _parse_key_end(peer_key.until)
             )
 
-    def owner(self, identifier: bytes, unix: float) -> str | None:
+    def owner(self, identifier: bytes, unix_time: float) -> str | None:
         """Returns the name of the peer that owns a key at a time, or None."""
         entry = self.entries.get(identifier)
-        return entry.name if entry and unix < entry.until else None
+        return entry.name if entry and unix_time < entry.until else None
 
-    def active_names(self, unix: float) -> set[str]:
+    def active_names(self, unix_time: float) -> set[str]:
         """Returns the names of the peers that have a valid key at a time."""
-        return {entry.name for entry in self.entries.values() if unix < entry.until}
+        return {entry.name for entry in self.entries.values() if unix_time < entry.until}
 
     def verifies(self, identifier: bytes, message: bytes, signature: bytes) -> bool:
         """Returns whether the key made this signature over this message."""
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -62,7 +62,7 @@
     FIRST_MISS = "first miss"
     NEXT_MISS = "next miss"
     PROBE_SOON = "probe soon"
-    FORGET_SUSPECTERS = "forget suspecters"
+    FORGET_SUSPICIONS = "forget suspecters"
 
 
 class Transition(NamedTuple):
@@ -90,10 +90,10 @@
         MemberState.ALIVE, MemberEffect.PROBE_SOON
     ),
     (MemberState.ALIVE, MemberInput.LEFT): Transition(
-        MemberState.LEFT, MemberEffect.FORGET_SUSPECTERS
+        MemberState.LEFT, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.ALIVE, MemberInput.ADDRESS_TAKEN): Transition(
-        MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
+        MemberState.DEAD, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.SUSPECT, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
     (MemberState.SUSPECT, MemberInput.FRESH_ITEM): Transition(
@@ -106,13 +106,13 @@
         MemberState.SUSPECT, MemberEffect.PROBE_SOON
     ),
     (MemberState.SUSPECT, MemberInput.SUSPICION_EXPIRED): Transition(
-        MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
+        MemberState.DEAD, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.SUSPECT, MemberInput.LEFT): Transition(
-        MemberState.LEFT, MemberEffect.FORGET_SUSPECTERS
+        MemberState.LEFT, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.SUSPECT, MemberInput.ADDRESS_TAKEN): Transition(
-        MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
+        MemberState.DEAD, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.DEAD, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
     (MemberState.DEAD, MemberInput.PROBE_FAILED): Transition(
@@ -299,11 +299,11 @@
         elif effect is MemberEffect.BACK_OFF:
             member.backoff_doublings = min(member.backoff_doublings + 1, MAX_BACKOFF_DOUBLINGS)
         elif effect is MemberEffect.PROBE_SOON:
-            self._probe_soon(member, now)
+            self._schedule_extra_probe(member, now)
         else:
             member.suspecting_groups = {}
 
-    def _probe_soon(self, member: Member, now: Ticks) -> None:
+    def _schedule_extra_probe(self, member: Member, now: Ticks) -> None:
         period = self._settings.probe_every
         if member.name in self._extra_probes or now - member.last_probe_at < period:
             return
@@ -331,12 +331,12 @@
         """
         settings = self._settings
         scale = max(1.0, log(len(self.live) + 1))
-        full = settings.suspect_times * settings.probe_every * scale
+        full_duration = settings.suspect_times * settings.probe_every * scale
         confirmations = min(
             MAX_CONFIRMATIONS, sum(1 for at in member.suspecting_groups.values() if at)
         )
         # Each of up to three confirmations removes 2/9, which leaves a third.
-        return int(full * (1 - confirmations * 2 / 9) * (1 + self.health / 2))
+        return int(full_duration * (1 - confirmations * 2 / 9) * (1 + self.health / 2))
 
     def declare_overdue_dead(self, now: Ticks) -> None:
         """Declares suspects dead whose suspicion has expired and that missed enough own probes."""
@@ -360,13 +360,13 @@
         chosen = self._next_in_round()
         suspects = [member for member in self.live if member.state == MemberState.SUSPECT]
         suspects.sort(key=lambda member: member.last_probe_at)
-        due = [
+        due_names = [
             name for name, at in self._extra_probes.items() if at <= now or name not in self.all
         ][:EXTRA_PROBES_PER_PERIOD]
-        extra = [self.all[name] for name in due if name in self.all]
-        for name in due:
+        extra_probes = [self.all[name] for name in due_names if name in self.all]
+        for name in due_names:
             del self._extra_probes[name]
-        for member in extra + suspects[:EXTRA_PROBES_PER_PERIOD]:
+        for member in extra_probes + suspects[:EXTRA_PROBES_PER_PERIOD]:
             if member not in chosen and member.is_live():
                 chosen.append(member)
         for member in chosen:
@@ -380,9 +380,9 @@
         """
         if not self._probe_round:
             names = [member.name for member in self.live]
-            for at in range(len(names) - 1, 0, -1):
-                other = int(self._random_source.draw() * (at + 1))
-                names[at], names[other] = names[other], names[at]
+            for index in range(len(names) - 1, 0, -1):
+                other_index = int(self._random_source.draw() * (index + 1))
+                names[index], names[other_index] = names[other_index], names[index]
             self._probe_round = names
         while self._probe_round:
             member = self.all.get(self._probe_round.pop())
@@ -414,7 +414,7 @@
         ]
         chosen: list[Member] = []
         while candidates and len(chosen) < count:
-            at = int(self._random_source.draw() * len(candidates))
-            candidates[at], candidates[-1] = candidates[-1], candidates[at]
+            index = int(self._random_source.draw() * len(candidates))
+            candidates[index], candidates[-1] = candidates[-1], candidates[index]
             chosen.append(candidates.pop())
         return chosen
--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -52,7 +52,7 @@
         self,
         settings: GossipSettings,
         identity: Identity,
-        ring: Keyring,
+        keyring: Keyring,
         sources: AllowedNetworks,
         *,
         announced: Address,
@@ -68,7 +68,7 @@
         Args:
             settings: The operator's settings.
             identity: Name and private key of this instance.
-            ring: Keyring of the peers' public keys.
+            keyring: Keyring of the peers' public keys.
             sources: Networks that peers may send from.
             announced: Address at which peers reach this instance.
             seeds: Addresses that are probed first.
@@ -79,7 +79,7 @@
             unix: Returns the Unix time in seconds.
         """
         self.local = LocalInstance(identity, announced, start, now)
-        others = [name for name in ring.groups if name != identity.name]
+        others = [name for name in keyring.groups if name != identity.name]
         self.members = Members(others, settings, random_source)
         self.suspicions = SuspicionDetector(settings.hearsay, self._group_of)
         self.queue = DisseminationQueue(random_source, settings.hearsay.lapse)
@@ -88,7 +88,7 @@
         self.context = GossipContext(
             settings=settings,
             local=self.local,
-            ring=ring,
+            keyring=keyring,
             sources=sources,
             members=self.members,
             suspicions=self.suspicions,
@@ -113,7 +113,7 @@
         self._has_left = False
 
     def _group_of(self, name: str) -> str:
-        return self.context.ring.groups.get(name, name)
+        return self.context.keyring.groups.get(name, name)
 
     @property
     def dropped(self) -> dict[str, int]:
@@ -217,12 +217,12 @@
         """
         if not self.members.live:
             return self._seeds
-        unmet = [seed for seed in self._seeds if not self._is_seed_known(seed)]
-        if now < self._next_seed_probe_at or not unmet:
+        unknown_seeds = [seed for seed in self._seeds if not self._is_seed_known(seed)]
+        if now < self._next_seed_probe_at or not unknown_seeds:
             return ()
         self._next_seed_probe_at = now + SEED_PROBE_INTERVAL
         self._seed_index += 1
-        return (unmet[self._seed_index % len(unmet)],)
+        return (unknown_seeds[self._seed_index % len(unknown_seeds)],)
 
     def _is_seed_known(self, seed: Address) -> bool:
         name = self.context.by_address.get(seed)
@@ -230,7 +230,7 @@
 
     def _is_current(self, item: QueuedItem, unix: float) -> bool:
         """Returns whether an item's key is valid and it belongs to its origin's present start."""
-        if self.context.ring.owner(item.key_id, unix) != item.origin:
+        if self.context.keyring.owner(item.key_id, unix) != item.origin:
             return False
         member = self.members.all.get(item.origin)
         is_own = item.origin == self.local.name
@@ -249,7 +249,7 @@
         """Replaces the networks that peers may send from."""
         self.context.sources = sources
 
-    def set_keyring(self, ring: Keyring, now: Ticks) -> None:
+    def set_keyring(self, keyring: Keyring, now: Ticks) -> None:
         """Replaces the keyring.
 
         Removes peers without a valid key, items signed with invalid keys, and the evidence of their
@@ -257,18 +257,18 @@
         """
         context = self.context
         unix = context.unix()
-        context.ring = ring
-        active_names = ring.active_names(unix)
+        context.keyring = keyring
+        active_names = keyring.active_names(unix)
         for name in [name for name in self.members.all if name not in active_names]:
             self.suspicions.forget_origin(name)
         orphaned = {
             item.origin
             for item in self.queue.items.values()
-            if ring.owner(item.key_id, unix) != item.origin
+            if keyring.owner(item.key_id, unix) != item.origin
         }
         for name in orphaned:
             self.suspicions.forget_origin(name)
-        self.queue.prune(now, lambda item: ring.owner(item.key_id, unix) == item.origin)
+        self.queue.prune(now, lambda item: keyring.owner(item.key_id, unix) == item.origin)
         self.members.set_names([name for name in active_names if name != self.local.name])
         context.by_address = {
             member.address: member.name
--- a/thymeknot/gossip/outbox.py
+++ b/thymeknot/gossip/outbox.py
@@ -68,19 +68,19 @@
         self,
         now: Ticks,
         address: Address,
-        to: str,
+        recipient: str,
         body: Body,
         purpose: SendPurpose,
         *,
         items: Iterable[bytes] = (),
-        max_size: int = codec.MAX_DATAGRAM,
+        max_size: int = codec.MAX_DATAGRAM_SIZE,
     ) -> bool:
         """Sends a datagram if the limits allow it.
 
         Args:
             now: Current time.
             address: Destination.
-            to: Name of the receiver, or empty if unknown.
+            recipient: Name of the receiver, or empty if unknown.
             body: Message.
             purpose: Determines the share of the limits that the datagram may use.
             items: Sealed items to piggyback.
@@ -92,7 +92,13 @@
         local = self._local
         local.number += 1
         frame = Frame(
-            local.name, to, local.start, local.number, now - local.started_at, body, list(items)
+            local.name,
+            recipient,
+            local.start,
+            local.number,
+            now - local.started_at,
+            body,
+            list(items),
         )
         unsigned = codec.encode_unsigned_frame(frame, local.identity.key_id)
         size = len(unsigned) + SIGNATURE_SIZE
--- a/thymeknot/gossip/prober.py
+++ b/thymeknot/gossip/prober.py
@@ -90,7 +90,7 @@
         requester: str | None = None,
         is_period_probe: bool = False,
         nonce: bytes | None = None,
-        max_size: int = codec.MAX_DATAGRAM,
+        max_size: int = codec.MAX_DATAGRAM_SIZE,
     ) -> None:
         """Sends a ping with a nonce.
 
@@ -117,7 +117,7 @@
         items = context.pick_items(name) if proved and name is not None and not requester else []
         deadline = now + self._timeout()
         bare_answer = b"\0" if requester else b""
-        ping = Ping(nonce, bare_answer if proved else bytes(codec.PING_PADDING))
+        ping = Ping(nonce, bare_answer if proved else bytes(codec.PING_PADDING_SIZE))
         if context.outbox.send(
             now, address, name or "", ping, purpose, items=items, max_size=max_size
         ):
@@ -190,7 +190,7 @@
         if not context.limits.total.take(now):
             return
         context.limits.verified += 1
-        if context.ring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
+        if context.keyring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
             del self.probes[reply.nonce]
             context.members.apply(target, MemberInput.ANSWERED, now)
 
--- a/thymeknot/gossip/receiver.py
+++ b/thymeknot/gossip/receiver.py
@@ -75,7 +75,7 @@
         return self._handle_sealed(Incoming(now, source, datagram, member, sealed), bucket)
 
     def _check_raw(self, source: Address, datagram: bytes) -> DropReason | None:
-        if not codec.MIN_DATAGRAM <= len(datagram) <= codec.MAX_DATAGRAM:
+        if not codec.MIN_DATAGRAM_SIZE <= len(datagram) <= codec.MAX_DATAGRAM_SIZE:
             return DropReason.SIZE
         if datagram[0] != codec.VERSION:
             return DropReason.VERSION
@@ -114,7 +114,7 @@
             return DropReason.BUDGET
         limits.verified += 1
         sealed = incoming.sealed
-        if not self._context.ring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
+        if not self._context.keyring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
             return DropReason.SIGNATURE
         return None
 
@@ -170,7 +170,7 @@
             Ack(ping.nonce, challenge),
             SendPurpose.ANSWER,
             items=items,
-            max_size=codec.MAX_DATAGRAM if validated else len(datagram),
+            max_size=codec.MAX_DATAGRAM_SIZE if validated else len(datagram),
         )
         if sent and challenge and not self._prober.is_full():
             member.challenged_at = now
@@ -197,7 +197,7 @@
                 SendPurpose.ANSWER,
                 max_size=len(datagram),
             )
-        self._prober.forward_answer(now, probe, datagram[: codec.MAX_INDIRECT_ANSWER])
+        self._prober.forward_answer(now, probe, datagram[: codec.MAX_INDIRECT_ANSWER_SIZE])
         self._record_proof(now, member, sealed.frame, probe)
         if probe.is_period_probe:
             context.members.change_health(-1)
--- a/thymeknot/gossip/suspicion.py
+++ b/thymeknot/gossip/suspicion.py
@@ -141,15 +141,19 @@
         self._observed = {}
         self._ready_by_build = {}
         for key in endpoints:
-            known = former.get(key.id)
-            same = known is not None and known.key == key
+            former_endpoint = former.get(key.id)
+            same = former_endpoint is not None and former_endpoint.key == key
             self._observed[key.id] = (
-                known if known is not None and same else ObservedEndpoint(key, self._settings.lapse)
+                former_endpoint
+                if former_endpoint is not None and same
+                else ObservedEndpoint(key, self._settings.lapse)
             )
             self._ready_by_build[key.build] = self._ready_by_build.get(key.build, 0) + 1
-        for kept in (self._failing, self._suspected):
-            for name in [name for name, own in kept.items() if self._observed.get(name) is not own]:
-                del kept[name]
+        for tracked in (self._failing, self._suspected):
+            for name in [
+                name for name, own in tracked.items() if self._observed.get(name) is not own
+            ]:
+                del tracked[name]
         self._retain_evidence(lambda key, origin: self._is_listed(key))
 
     def _is_listed(self, key: EndpointKey) -> bool:
@@ -209,8 +213,8 @@
             return False
         record = self.evidence.get(key, {}).get(origin)
         if record is None:
-            of_origin = sum(origin in records for records in self.evidence.values())
-            if self._evidence_count >= MAX_EVIDENCE or of_origin >= MAX_EVIDENCE_PER_ORIGIN:
+            count_of_origin = sum(origin in records for records in self.evidence.values())
+            if self._evidence_count >= MAX_EVIDENCE or count_of_origin >= MAX_EVIDENCE_PER_ORIGIN:
                 return False
             record = self.evidence.setdefault(key, {})[origin] = ReceivedEvidence()
             self._evidence_count += 1
@@ -234,7 +238,7 @@
             counts = observed.counts(now)
             if self._is_worth_sending(now, observed, counts) and observed.sent_counts != counts:
                 candidates.append((counts, observed))
-        candidates.sort(key=lambda one: -one[0].failures)
+        candidates.sort(key=lambda candidate: -candidate[0].failures)
         for counts, observed in candidates[:MAX_EVIDENCE_PER_ROUND]:
             observed.evidence_sent_at = now
             observed.sent_counts = counts
@@ -251,21 +255,23 @@
         """
         settings = self._settings
         records = self.evidence.get(observed.key, {})
-        against = sum(
+        reporting_failures = sum(
             record.failures >= settings.bar * record.attempts for record in records.values()
         )
         enough = SUFFICIENT_REPORTS_FACTOR * (settings.witnesses + settings.liars)
         rate = counts.failures / counts.attempts if counts.attempts else 0.0
-        others = self._totals.failure_rate_without(now, observed)
+        others_failure_rate = self._totals.failure_rate_without(now, observed)
         is_bad = (
             counts.failures > 0
             and rate >= settings.bar
-            and (others is None or rate >= MIN_RATIO_TO_OTHERS * others)
+            and (others_failure_rate is None or rate >= MIN_RATIO_TO_OTHERS * others_failure_rate)
         )
         refutes = (
             bool(records) and counts.attempts >= MIN_ATTEMPTS_TO_REFUTE and rate < settings.bar / 2
         )
-        return (is_bad and against < enough) or (refutes and len(records) - against < enough)
+        return (is_bad and reporting_failures < enough) or (
+            refutes and len(records) - reporting_failures < enough
+        )
 
     def update(self, now: Ticks, is_alive: Callable[[str], bool]) -> list[Suspicion]:
         """Returns the suspicions that begin or end.
@@ -279,16 +285,16 @@
             lambda key, origin: now - self.evidence[key][origin].observed_at <= max_age
         )
         self.credibility.recover()
-        against: dict[ObservedEndpoint, float] = {}
+        to_suspect: dict[ObservedEndpoint, float] = {}
         for key, records in self.evidence.items():
             observed = self._observed[key.id]
             own = observed.fresh_counts(now)
             if own.attempts >= MIN_ATTEMPTS_TO_JUDGE:
                 self._update_credibility(records, own.failures / own.attempts)
-            strength = self._failure_weight(records, observed, own, now, is_alive)
-            if strength:
-                against[observed] = strength
-        return self._update_suspicions(now, against)
+            weighted_failures = self._failure_weight(records, observed, own, now, is_alive)
+            if weighted_failures:
+                to_suspect[observed] = weighted_failures
+        return self._update_suspicions(now, to_suspect)
 
     def _update_credibility(self, records: Mapping[str, ReceivedEvidence], rate: float) -> None:
         """Confirms or refutes evidence by own attempts, each piece of evidence once."""
@@ -316,20 +322,20 @@
         if own.attempts >= MIN_OWN_ATTEMPTS and own.failures / own.attempts < settings.bar:
             return None  # own fresh attempts outweigh evidence of others
         by_group = self._evidence_by_group(records, is_alive)
-        witnesses = sum(one.failures / one.attempts >= settings.bar for one in by_group)
+        witnesses = sum(counts.failures / counts.attempts >= settings.bar for counts in by_group)
         if own.failures and own.failures / own.attempts >= settings.bar:
             witnesses += 1
         if witnesses < settings.witnesses:
             return None
-        left = [*self._trim_extremes(by_group), _WeightedCounts(own.attempts, own.failures)]
-        attempts = sum(one.attempts for one in left)
-        failures = sum(one.failures for one in left)
-        others = self._totals.failure_rate_without(now, observed) or MIN_FAILURE_RATE
+        trimmed = [*self._trim_extremes(by_group), _WeightedCounts(own.attempts, own.failures)]
+        attempts = sum(counts.attempts for counts in trimmed)
+        failures = sum(counts.failures for counts in trimmed)
+        others_failure_rate = self._totals.failure_rate_without(now, observed) or MIN_FAILURE_RATE
         if attempts < settings.enough or failures / attempts < max(
-            settings.bar, MIN_RATIO_TO_OTHERS * others
+            settings.bar, MIN_RATIO_TO_OTHERS * others_failure_rate
         ):
             return None
-        p_value = binomial_tail(round(attempts), round(failures), others)
+        p_value = binomial_tail(round(attempts), round(failures), others_failure_rate)
         return failures if p_value <= MAX_P_VALUE else None
 
     def _evidence_by_group(
@@ -351,8 +357,8 @@
             if group not in by_group or weighted.failures > by_group[group].failures:
                 by_group[group] = weighted
         return [
-            _WeightedCounts(one.attempts / INITIAL_CREDIT, one.failures / INITIAL_CREDIT)
-            for one in by_group.values()
+            _WeightedCounts(counts.attempts / INITIAL_CREDIT, counts.failures / INITIAL_CREDIT)
+            for counts in by_group.values()
         ]
 
     def _trim_extremes(self, by_group: Sequence[_WeightedCounts]) -> list[_WeightedCounts]:
@@ -361,15 +367,17 @@
         With enough evidence, as many of the most favourable groups are discarded as well.
         """
         settings = self._settings
-        left = sorted(by_group, key=lambda one: one.failures - settings.bar * one.attempts)
+        trimmed = sorted(
+            by_group, key=lambda counts: counts.failures - settings.bar * counts.attempts
+        )
         if settings.liars:
-            left = left[: len(left) - settings.liars]
-        if len(left) > settings.witnesses + settings.liars:
-            left = left[settings.liars :]
-        return left
+            trimmed = trimmed[: len(trimmed) - settings.liars]
+        if len(trimmed) > settings.witnesses + settings.liars:
+            trimmed = trimmed[settings.liars :]
+        return trimmed
 
     def _update_suspicions(
-        self, now: Ticks, against: Mapping[ObservedEndpoint, float]
+        self, now: Ticks, to_suspect: Mapping[ObservedEndpoint, float]
     ) -> list[Suspicion]:
         settings = self._settings
         changed: list[Suspicion] = []
@@ -378,7 +386,7 @@
         }
         for name, observed in list(self._suspected.items()):
             if observed.suspected_until > now:
-                if observed in against:
+                if observed in to_suspect:
                     allowed[observed.key.build] -= 1
                 else:  # the evidence is no longer sufficient
                     observed.suspected_until = now
@@ -386,7 +394,7 @@
             elif now - observed.suspected_until > 2 * settings.lapse:
                 observed.suspicion_count = 0
                 del self._suspected[name]
-        for observed in sorted(against, key=lambda one: against[one], reverse=True):
+        for observed in sorted(to_suspect, key=lambda suspect: to_suspect[suspect], reverse=True):
             # Between two suspicions the endpoint is used normally, as it may have recovered.
             may_begin = (
                 observed.suspected_until <= now
--- a/thymeknot/gossip/udp_transport.py
+++ b/thymeknot/gossip/udp_transport.py
@@ -29,7 +29,7 @@
 
 DATAGRAMS_PER_READ = 24  # per iteration of the event loop; the rest waits for the next one
 RECEIVE_BUFFER_SIZE = 1 << 20  # bytes requested from the kernel, to absorb a flood between reads
-READ_SIZE = 2048  # bytes, more than the longest valid datagram
+READ_BUFFER_SIZE = 2048  # bytes, more than the longest valid datagram
 REPORT_INTERVAL = 10 * TICKS_PER_SECOND  # between log events with counts
 NONCE_SIZE = 8  # bytes
 RANDOM_SEED_BITS = 64
@@ -44,12 +44,12 @@
 
     Attributes:
         identity: Name and private key of this instance.
-        ring: Keyring of the peers' public keys.
+        keyring: Keyring of the peers' public keys.
         sources: Networks that peers may send from.
     """
 
     identity: Identity
-    ring: Keyring
+    keyring: Keyring
     sources: AllowedNetworks
 
 
@@ -66,13 +66,13 @@
     try:
         with open(os.path.join(folder, settings.key), "rb") as source:
             identity = read_identity(settings.name, source.read())
-        ring = Keyring(settings.peers, settings.revoked)
+        keyring = Keyring(settings.peers, settings.revoked)
         sources = AllowedNetworks(settings.from_)
     except OSError as error:
         raise KeyringError(f"gossip.key: can't be read: {_error_text(error)}") from None
-    if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
+    if keyring.owner(identity.key_id, time.time()) not in (None, settings.name):
         raise KeyringError("gossip.key: belongs to another name in gossip.peers")
-    return Credentials(identity, ring, sources)
+    return Credentials(identity, keyring, sources)
 
 
 def _error_text(error: OSError) -> str:
@@ -98,7 +98,7 @@
     return sock
 
 
-class BusiestSecond:
+class TrafficPeaks:
     """Peaks of outgoing traffic per second, for the log.
 
     Attributes:
@@ -160,7 +160,7 @@
         self.node = GossipNode(
             settings,
             credentials.identity,
-            credentials.ring,
+            credentials.keyring,
             credentials.sources,
             announced=parse_address(settings.announce or settings.listen),
             seeds=[parse_address(seed) for seed in settings.seeds],
@@ -171,9 +171,9 @@
             unix=time.time,
         )
         self._socket = _bind_socket(settings.listen)
-        self._buffer = bytearray(READ_SIZE)
+        self._buffer = bytearray(READ_BUFFER_SIZE)
         self._view = memoryview(self._buffer)
-        self._busiest = BusiestSecond()
+        self._traffic_peaks = TrafficPeaks()
         self._reported_at = self._clock()
         self._reported_drops: dict[str, int] = {}
         self._reported_verified = 0
@@ -212,7 +212,7 @@
         """Sends datagrams, reports suspicions to the proxy and logs events of the node."""
         datagrams = self.node.take_datagrams()
         if datagrams:
-            self._busiest.count(self._clock(), datagrams)
+            self._traffic_peaks.count(self._clock(), datagrams)
         for datagram in datagrams:
             try:
                 self._socket.sendto(datagram.content, datagram.address)
@@ -260,14 +260,14 @@
             span=(now - self._reported_at) / TICKS_PER_SECOND,
             live=len(node.members.live),
             health=node.members.health,
-            bytes_most=self._busiest.max_bytes,
-            datagrams_most=self._busiest.max_datagrams,
+            bytes_most=self._traffic_peaks.max_bytes,
+            datagrams_most=self._traffic_peaks.max_datagrams,
             refused=node.outbox.limits.refused,
             verified=node.limits.verified - self._reported_verified,
             rumours=len(node.queue),
         )
         self._reported_at = now
-        self._busiest.reset()
+        self._traffic_peaks.reset()
         self._reported_verified = node.limits.verified
         dropped = {
             reason: count
@@ -329,7 +329,7 @@
         """
         credentials = load_credentials(settings, folder)
         self.node.set_sources(credentials.sources)
-        self.node.set_keyring(credentials.ring, self._clock())
+        self.node.set_keyring(credentials.keyring, self._clock())
 
     def stop(self) -> None:
         """Announces to the peers that this instance leaves."""
