--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip among instances in simulated time: who lives, what is believed, what a liar can do."""
+"""Tests of gossip in simulated time: membership, suspicions, hostile peers and rate limits."""
 
 import unittest
 
@@ -7,395 +7,428 @@
 from thymeknot.gossip.rate_limits import SendLimits, SendPurpose, TokenBucket, VerificationLimits
 from thymeknot.gossip.settings import VerificationLimitSettings
 
-PODS = pods_of(8)
+ENDPOINTS = pods_of(8)
 
 
-def world(count=5, seed=3, **more):
-    made = World([f"n{at}" for at in range(count)], seed, **more)
-    made.begin()
-    for one in made.live():
-        one.node.suspicions.set_endpoints(PODS)
-    return made
+def start_world(count=5, seed=3, **options):
+    world = World([f"n{index}" for index in range(count)], seed, **options)
+    world.begin()
+    for instance in world.live():
+        instance.node.suspicions.set_endpoints(ENDPOINTS)
+    return world
 
 
-def settled(count=5, seed=3, **more):
-    made = world(count, seed, **more)
-    made.run(20 * SECOND)
-    return made
+def converged_world(count=5, seed=3, **options):
+    world = start_world(count, seed, **options)
+    world.run(20 * SECOND)
+    return world
 
 
-def doubts(made):
-    found = [(one.name, doubt) for one in made.live() for doubt in one.node.changed_suspicions]
-    for one in made.live():
-        one.node.changed_suspicions = []
-    return [(name, doubt.endpoint.id) for name, doubt in found if doubt.until > made.now]
+def take_suspicions(world):
+    suspicions = [
+        (instance.name, suspicion)
+        for instance in world.live()
+        for suspicion in instance.node.changed_suspicions
+    ]
+    for instance in world.live():
+        instance.node.changed_suspicions = []
+    return [
+        (name, suspicion.endpoint.id)
+        for name, suspicion in suspicions
+        if suspicion.until > world.now
+    ]
 
 
-def deliver(made, name, pod, tried, failed):
-    node = made.instances[name].node
+def record_attempts(world, name, endpoint, tried, failed):
+    node = world.instances[name].node
     for number in range(tried):
-        node.suspicions.record_attempt(made.instances[name].clock(), pod, number < failed)
+        node.suspicions.record_attempt(world.instances[name].clock(), endpoint, number < failed)
 
 
-def with_liar(made, name="n4", pods=PODS):
-    """Has an instance lie once a second, and overhear what it gets."""
-    liar = Liar(made.instances[name].node, pods)
-    instance = made.instances[name]
-    made.taps.append(
+def add_liar(world, name="n4", endpoints=ENDPOINTS):
+    """Makes an instance hostile; returns a function that sends one round of lies."""
+    liar = Liar(world.instances[name].node, endpoints)
+    instance = world.instances[name]
+    world.taps.append(
         lambda source, address, content: address == instance.address and liar.overheard(content)
     )
 
-    def lie():
+    def send_lies():
         liar.lies(instance.clock())
         instance.flush()
 
-    return lie
-
-
-class Lives(unittest.TestCase):
-    def all_alive(self, made, but=()):
-        for name in made.instances:
-            if name not in but:
-                self.assertEqual(set(made.states(name)), {"alive"}, name)
-
-    def test_all_meet_by_two_seeds_and_a_dead_one_is_buried_and_comes_back_under_its_name(self):
-        made = settled(8)
-        self.all_alive(made)
-        before = made.instances["n0"].node.members.all["n5"].start
-        made.instances["n5"].kill()
-        made.run(30 * SECOND)
-        self.assertEqual(set(made.states("n5")), {"dead"})
-        made.instances["n5"].begin([made.instances["n1"].address])
-        made.run(10 * SECOND)
-        self.all_alive(made)
-        self.assertNotEqual(made.instances["n0"].node.members.all["n5"].start, before)
-
-    def test_all_restart_at_once(self):
-        made = settled()
-        seeds = [made.instances["n0"].address]
-        for one in made.instances.values():
-            one.kill()
-            one.begin(seeds)
-        made.run(15 * SECOND)
-        self.all_alive(made)
-
-    def test_loss_copies_and_disorder_bury_nobody(self):
-        made = settled(8, loss=0.3, copies=0.2, delay=(2, 900))
-        buried = []
-        made.run(
+    return send_lies
+
+
+class Membership(unittest.TestCase):
+    def assert_all_alive(self, world, excluded=()):
+        for name in world.instances:
+            if name not in excluded:
+                self.assertEqual(set(world.states(name)), {"alive"}, name)
+
+    def test_dead_instance_is_detected_and_rejoins_under_its_name(self):
+        world = converged_world(8)
+        self.assert_all_alive(world)
+        before = world.instances["n0"].node.members.all["n5"].start
+        world.instances["n5"].kill()
+        world.run(30 * SECOND)
+        self.assertEqual(set(world.states("n5")), {"dead"})
+        world.instances["n5"].begin([world.instances["n1"].address])
+        world.run(10 * SECOND)
+        self.assert_all_alive(world)
+        self.assertNotEqual(world.instances["n0"].node.members.all["n5"].start, before)
+
+    def test_simultaneous_restart_of_all_instances(self):
+        world = converged_world()
+        seeds = [world.instances["n0"].address]
+        for instance in world.instances.values():
+            instance.kill()
+            instance.begin(seeds)
+        world.run(15 * SECOND)
+        self.assert_all_alive(world)
+
+    def test_no_instance_is_declared_dead_by_loss_duplication_and_reordering(self):
+        world = converged_world(8, loss=0.3, copies=0.2, delay=(2, 900))
+        declared_dead = []
+        world.run(
             120 * SECOND,
-            lambda: buried.extend(name for name in made.instances if "dead" in made.states(name)),
+            lambda: declared_dead.extend(
+                name for name in world.instances if "dead" in world.states(name)
+            ),
         )
-        self.assertEqual(buried, [])
+        self.assertEqual(declared_dead, [])
 
-    def test_half_cut_off_then_healed(self):
-        made = settled(6)
+    def test_network_partition_and_recovery(self):
+        world = converged_world(6)
         for name in ("n0", "n1", "n2"):
-            made.side[made.instances[name].address] = 1
-        made.run(40 * SECOND)
-        self.assertEqual(made.states("n0"), ["alive"] * 2 + ["dead"] * 3)
-        made.side.clear()
-        made.run(90 * SECOND)
-        self.all_alive(made)
-
-    def test_a_fleet_meets_before_the_second_question_for_hints(self):
-        """An instance asks for hints each 5 s. The first question fell into its first moment, when nobody lived that
-        could be asked, so that all waited for the second: a fleet on a good network met after 8 s."""
-        made = world(5)
-        made.run(4 * SECOND)
-        self.all_alive(made)
-
-    def test_halves_that_start_without_each_other_meet_by_the_seeds(self):
-        """Each half has one of the two seeds, and the network between them is down while all start. Both halves have
-        living members then, and an instance asked its seeds only while it had none: the halves never met. Where first
-        pings are lost, the same came by chance: 9 fleets of 400 at 20% loss, simulated."""
-        made = World([f"n{at}" for at in range(6)], 3)
+            world.side[world.instances[name].address] = 1
+        world.run(40 * SECOND)
+        self.assertEqual(world.states("n0"), ["alive"] * 2 + ["dead"] * 3)
+        world.side.clear()
+        world.run(90 * SECOND)
+        self.assert_all_alive(world)
+
+    def test_fleet_converges_before_the_second_hint_request(self):
+        """The first hint request was due when no peer was live yet and was skipped. All instances then waited 5 s for the
+        next one, and a fleet on a good network took 8 s to converge."""
+        world = start_world(5)
+        world.run(4 * SECOND)
+        self.assert_all_alive(world)
+
+    def test_halves_started_during_a_partition_find_each_other_by_seeds(self):
+        """Each half has one of the two seeds, and the network between them is down while all start. Instances probed
+        seeds only while they had no live member, so the halves never found each other. Lost first pings had the same
+        effect by chance (9 fleets of 400 at 20% loss, simulated)."""
+        world = World([f"n{index}" for index in range(6)], 3)
         for name in ("n0", "n2", "n4"):
-            made.side[made.instances[name].address] = 1
-        made.begin()
-        made.run(10 * SECOND)
-        self.assertEqual(made.states("n0"), ["unproved", "alive", "unproved", "alive", "unproved"])
-        made.side.clear()
-        made.run(20 * SECOND)
-        self.all_alive(made)
-
-    def test_clocks_five_seconds_apart_change_nothing(self):
-        made = World([f"n{at}" for at in range(5)], 3)
-        for at, one in enumerate(made.instances.values()):
-            one.ahead = at * 5 * SECOND
-        made.begin()
-        for one in made.live():
-            one.node.suspicions.set_endpoints(PODS)
-        made.run(20 * SECOND)
-        self.all_alive(made)
+            world.side[world.instances[name].address] = 1
+        world.begin()
+        world.run(10 * SECOND)
+        self.assertEqual(world.states("n0"), ["unproved", "alive", "unproved", "alive", "unproved"])
+        world.side.clear()
+        world.run(20 * SECOND)
+        self.assert_all_alive(world)
+
+    def test_clock_differences_of_five_seconds_have_no_effect(self):
+        world = World([f"n{index}" for index in range(5)], 3)
+        for index, instance in enumerate(world.instances.values()):
+            instance.ahead = index * 5 * SECOND
+        world.begin()
+        for instance in world.live():
+            instance.node.suspicions.set_endpoints(ENDPOINTS)
+        world.run(20 * SECOND)
+        self.assert_all_alive(world)
         for name in ("n1", "n2", "n3", "n4"):
-            deliver(made, name, "s-3", 8, 7)
-        made.run(5 * SECOND)
+            record_attempts(world, name, "s-3", 8, 7)
+        world.run(5 * SECOND)
         self.assertIn(
-            "n0", [one.name for one in made.live() for doubt in one.node.changed_suspicions]
+            "n0",
+            [
+                instance.name
+                for instance in world.live()
+                for suspicion in instance.node.changed_suspicions
+            ],
         )
 
-    def test_one_that_stalls_doubts_itself_first_and_refutes(self):
-        made = settled()
-        made.instances["n2"].stall(2 * SECOND)
-        made.run(3 * SECOND)
-        self.assertNotIn("dead", made.states("n2"))
-        made.run(5 * SECOND)
-        self.all_alive(made)
-        # Stalled for so long that it is declared dead, it is alive again soon after it is back.
-        made.instances["n2"].stall(30 * SECOND)
-        made.run(29 * SECOND)
-        self.assertIn("dead", made.states("n2"))
-        made.run(20 * SECOND)
-        self.all_alive(made)
+    def test_stalled_instance_refutes_suspicion_and_recovers_from_death(self):
+        world = converged_world()
+        world.instances["n2"].stall(2 * SECOND)
+        world.run(3 * SECOND)
+        self.assertNotIn("dead", world.states("n2"))
+        world.run(5 * SECOND)
+        self.assert_all_alive(world)
+        # After a stall that is long enough to be declared dead, it becomes alive again.
+        world.instances["n2"].stall(30 * SECOND)
+        world.run(29 * SECOND)
+        self.assertIn("dead", world.states("n2"))
+        world.run(20 * SECOND)
+        self.assert_all_alive(world)
         self.assertEqual(
-            {one.state for one in made.instances["n2"].node.members.all.values()}, {"alive"}
+            {instance.state for instance in world.instances["n2"].node.members.all.values()},
+            {"alive"},
         )
 
-    def test_one_that_leaves_is_gone_at_once_and_another_name_at_an_address_takes_it(self):
-        made = settled()
-        made.instances["n3"].node.leave(made.instances["n3"].clock())
-        made.instances["n3"].flush()
-        made.run(3 * SECOND)
-        self.assertEqual(set(made.states("n3")), {"left"})
-        made.instances["n3"].kill()
-        old, new = made.instances["n1"], made.instances["n3"]
-        old.kill()
-        new.address, made.by_address[old.address] = old.address, new
-        new.begin([made.instances["n0"].address])
-        made.run(8 * SECOND)
-        self.assertEqual(set(made.states("n3")), {"alive"})
+    def test_leave_is_announced_and_a_peer_takes_over_an_address(self):
+        world = converged_world()
+        world.instances["n3"].node.leave(world.instances["n3"].clock())
+        world.instances["n3"].flush()
+        world.run(3 * SECOND)
+        self.assertEqual(set(world.states("n3")), {"left"})
+        world.instances["n3"].kill()
+        former, successor = world.instances["n1"], world.instances["n3"]
+        former.kill()
+        successor.address, world.by_address[former.address] = former.address, successor
+        successor.begin([world.instances["n0"].address])
+        world.run(8 * SECOND)
+        self.assertEqual(set(world.states("n3")), {"alive"})
         self.assertEqual(
-            {made.instances[name].node.members.all["n1"].state for name in ("n0", "n2", "n4")},
+            {world.instances[name].node.members.all["n1"].state for name in ("n0", "n2", "n4")},
             {"dead"},
         )
 
 
-class Liars(unittest.TestCase):
-    def test_a_hostile_peer_moves_no_healthy_pod_and_buries_nobody(self):
-        made = settled()
-        lie, wrong = with_liar(made), []
+class HostilePeers(unittest.TestCase):
+    def test_hostile_peer_causes_no_suspicion_of_endpoint_or_dead_member(self):
+        world = converged_world()
+        send_lies, violations = add_liar(world), []
 
-        def round_of_lies():
-            lie()
+        def run_hostile_round():
+            send_lies()
             for name in ("n0", "n1", "n2", "n3"):
-                deliver(made, name, "s-1", 1, 0)
-                wrong.extend(state for state in made.states(name) if state in ("dead", "left"))
-            wrong.extend(doubts(made))
+                record_attempts(world, name, "s-1", 1, 0)
+                violations.extend(
+                    state for state in world.states(name) if state in ("dead", "left")
+                )
+            violations.extend(take_suspicions(world))
 
-        made.run(90 * SECOND, round_of_lies)
-        self.assertEqual(wrong, [])
+        world.run(90 * SECOND, run_hostile_round)
+        self.assertEqual(violations, [])
         self.assertLess(
-            made.instances["n0"].node.suspicions.credibility.credit_of("n4"), 0.05
-        )  # two tongues were heard
+            world.instances["n0"].node.suspicions.credibility.credit_of("n4"), 0.05
+        )  # equivocation was detected
         for kind in ("sender", "signature", "form", "recipient", "version"):
-            self.assertTrue(any(one.node.dropped[kind] for one in made.live()), kind)
+            self.assertTrue(any(instance.node.dropped[kind] for instance in world.live()), kind)
 
-    def test_the_same_lies_by_three_of_five_would_be_believed(self):
-        """What the one above shows rests on the number of witnesses and not on lies being without effect."""
-        made = settled()
+    def test_false_evidence_of_three_in_five_causes_a_suspicion(self):
+        """Shows that the previous tests depend on the number of witnesses: false evidence does have an effect."""
+        world = converged_world()
         for name in ("n2", "n3", "n4"):
-            deliver(made, name, "s-1", 20, 20)
-        found = []
-        made.run(6 * SECOND, lambda: found.extend(doubts(made)))
-        self.assertIn(("n0", "s-1"), found)
+            record_attempts(world, name, "s-1", 20, 20)
+        suspicions = []
+        world.run(6 * SECOND, lambda: suspicions.extend(take_suspicions(world)))
+        self.assertIn(("n0", "s-1"), suspicions)
 
-    def test_a_true_failing_pod_is_believed_beside_a_liar_and_lapses_when_it_is_well(self):
-        made = settled(6)
-        lie, found = with_liar(made, "n5"), []
+    def test_failing_endpoint_is_suspected_despite_a_liar_until_it_recovers(self):
+        world = converged_world(6)
+        send_lies, suspicions = add_liar(world, "n5"), []
 
         def traffic():
-            lie()
+            send_lies()
             for name in ("n1", "n2", "n3", "n4"):
-                deliver(made, name, "s-6", 4, 3)
-                deliver(made, name, "s-2", 4, 0)
-            found.extend(doubts(made))
-
-        made.run(10 * SECOND, traffic)
-        self.assertIn(("n0", "s-6"), found)
-        self.assertEqual({pod for _, pod in found}, {"s-6"})
-        made.run(30 * SECOND)
-        doubts(made)
-        found.clear()
-        made.run(10 * SECOND, lambda: found.extend(doubts(made)))
-        self.assertEqual(found, [])
-
-    def test_own_fresh_experience_beats_hearsay_and_costs_the_others_their_credit(self):
-        made, found = settled(), []
+                record_attempts(world, name, "s-6", 4, 3)
+                record_attempts(world, name, "s-2", 4, 0)
+            suspicions.extend(take_suspicions(world))
+
+        world.run(10 * SECOND, traffic)
+        self.assertIn(("n0", "s-6"), suspicions)
+        self.assertEqual({endpoint for _, endpoint in suspicions}, {"s-6"})
+        world.run(30 * SECOND)
+        take_suspicions(world)
+        suspicions.clear()
+        world.run(10 * SECOND, lambda: suspicions.extend(take_suspicions(world)))
+        self.assertEqual(suspicions, [])
+
+    def test_own_fresh_attempts_outweigh_evidence_and_lower_credibility(self):
+        world, suspicions = converged_world(), []
 
         def traffic():
             for name in ("n1", "n2", "n3", "n4"):
-                deliver(made, name, "s-6", 6, 6)
-            deliver(made, "n0", "s-6", 8, 0)
-            found.extend(doubts(made))
+                record_attempts(world, name, "s-6", 6, 6)
+            record_attempts(world, "n0", "s-6", 8, 0)
+            suspicions.extend(take_suspicions(world))
 
-        made.run(6 * SECOND, traffic)
-        self.assertNotIn(("n0", "s-6"), found)
-        self.assertLess(made.instances["n0"].node.suspicions.credibility.credit_of("n1"), 0.2)
+        world.run(6 * SECOND, traffic)
+        self.assertNotIn(("n0", "s-6"), suspicions)
+        self.assertLess(world.instances["n0"].node.suspicions.credibility.credit_of("n1"), 0.2)
 
-    def test_names_of_one_group_are_one_witness(self):
-        made = settled(6, groups={"n2": "rack", "n3": "rack", "n4": "rack", "n5": "rack"})
+    def test_peers_in_one_group_count_as_one_witness(self):
+        world = converged_world(6, groups={"n2": "rack", "n3": "rack", "n4": "rack", "n5": "rack"})
         for name in ("n2", "n3", "n4", "n5"):
-            deliver(made, name, "s-1", 20, 20)
-        made.run(6 * SECOND)
-        self.assertNotIn(("n0", "s-1"), doubts(made))
+            record_attempts(world, name, "s-1", 20, 20)
+        world.run(6 * SECOND)
+        self.assertNotIn(("n0", "s-1"), take_suspicions(world))
 
-    def test_a_share_of_a_builds_pods_at_most_and_none_where_all_fail_alike(self):
-        made = settled(6)
+    def test_suspected_share_is_limited_and_zero_if_all_endpoints_fail_alike(self):
+        world = converged_world(6)
         for name in ("n1", "n2", "n3", "n4", "n5"):
-            for pod in ("s-0", "s-1", "s-2", "s-3", "s-4"):
-                deliver(made, name, pod, 6, 6)
-            for pod in ("s-5", "s-6", "s-7"):
-                deliver(made, name, pod, 60, 0)
-        made.run(5 * SECOND)
+            for endpoint in ("s-0", "s-1", "s-2", "s-3", "s-4"):
+                record_attempts(world, name, endpoint, 6, 6)
+            for endpoint in ("s-5", "s-6", "s-7"):
+                record_attempts(world, name, endpoint, 60, 0)
+        world.run(5 * SECOND)
         self.assertEqual(
-            len([one for one in doubts(made) if one[0] == "n0"]),
-            int(len(PODS) * HEARSAY.most_share),
+            len([suspicion for suspicion in take_suspicions(world) if suspicion[0] == "n0"]),
+            int(len(ENDPOINTS) * HEARSAY.most_share),
         )
-        made = settled(6)
+        world = converged_world(6)
         for name in ("n1", "n2", "n3", "n4", "n5"):
-            for pod in PODS:
-                deliver(made, name, pod.id, 6, 4)
-        made.run(5 * SECOND)
-        self.assertEqual(doubts(made), [])
-
-    def test_one_that_came_back_is_another_pod(self):
-        made = settled(6)
-        back = [pod._replace(started=777) if pod.id == "s-6" else pod for pod in PODS]
-        made.instances["n0"].node.suspicions.set_endpoints(back)
+            for endpoint in ENDPOINTS:
+                record_attempts(world, name, endpoint.id, 6, 4)
+        world.run(5 * SECOND)
+        self.assertEqual(take_suspicions(world), [])
+
+    def test_restarted_endpoint_is_a_different_endpoint(self):
+        world = converged_world(6)
+        restarted = [
+            endpoint._replace(started=777) if endpoint.id == "s-6" else endpoint
+            for endpoint in ENDPOINTS
+        ]
+        world.instances["n0"].node.suspicions.set_endpoints(restarted)
         for name in ("n1", "n2", "n3", "n4"):
-            deliver(made, name, "s-6", 8, 8)
-        made.run(5 * SECOND)
-        self.assertNotIn("n0", [name for name, _ in doubts(made)])
+            record_attempts(world, name, "s-6", 8, 8)
+        world.run(5 * SECOND)
+        self.assertNotIn("n0", [name for name, _ in take_suspicions(world)])
 
-    def test_what_a_revoked_key_said_is_forgotten(self):
-        made = settled()
+    def test_evidence_of_a_revoked_key_is_discarded(self):
+        world = converged_world()
         for name in ("n2", "n3", "n4"):
-            deliver(made, name, "s-1", 10, 10)
-        made.run(3 * SECOND)
-        node = made.instances["n0"].node
-        claimed = {origin for words in node.suspicions.evidence.values() for origin in words}
-        self.assertEqual(claimed, {"n2", "n3", "n4"})
-        made.ring.revoked = {"n4"}
-        node.set_keyring(made.ring, made.instances["n0"].clock())
+            record_attempts(world, name, "s-1", 10, 10)
+        world.run(3 * SECOND)
+        node = world.instances["n0"].node
+        origins = {origin for words in node.suspicions.evidence.values() for origin in words}
+        self.assertEqual(origins, {"n2", "n3", "n4"})
+        world.ring.revoked = {"n4"}
+        node.set_keyring(world.ring, world.instances["n0"].clock())
         self.assertEqual(
             {origin for words in node.suspicions.evidence.values() for origin in words},
             {"n2", "n3"},
         )
         self.assertNotIn("n4", node.members.all)
-        doubts(made)
-        made.run(2 * SECOND)
-        ended = [doubt for doubt in node.changed_suspicions if doubt.until <= made.now]
-        self.assertTrue(ended)  # the doubt's ground is gone, so it is taken back
-
-    def test_datagrams_sent_again_after_the_victims_restart_count_for_nothing(self):
-        made, heard = settled(), []
-        victim = made.instances["n0"]
-        made.taps.append(
+        take_suspicions(world)
+        world.run(2 * SECOND)
+        ended = [suspicion for suspicion in node.changed_suspicions if suspicion.until <= world.now]
+        self.assertTrue(
+            ended
+        )  # the evidence is no longer sufficient, so the suspicion is withdrawn
+
+    def test_datagrams_replayed_after_a_restart_have_no_effect(self):
+        world, captured_live = converged_world(), []
+        victim = world.instances["n0"]
+        world.taps.append(
             lambda source, address, content: (
-                address == victim.address and heard.append((source, content))
+                address == victim.address and captured_live.append((source, content))
             )
         )
         for name in ("n1", "n2", "n3", "n4"):
-            deliver(made, name, "s-1", 10, 10)
-        made.run(3 * SECOND)
-        others = [made.instances[name] for name in ("n1", "n2", "n3", "n4")]
+            record_attempts(world, name, "s-1", 10, 10)
+        world.run(3 * SECOND)
+        others = [world.instances[name] for name in ("n1", "n2", "n3", "n4")]
         for other in others:
             other.kill()
         victim.kill()
         victim.begin([])
-        victim.node.suspicions.set_endpoints(PODS)
-        captured = list(heard)
-        made.run(
+        victim.node.suspicions.set_endpoints(ENDPOINTS)
+        captured = list(captured_live)
+        world.run(
             30 * SECOND, lambda: [victim.received(source, content) for source, content in captured]
         )
-        self.assertEqual({one.state for one in victim.node.members.all.values()}, {"unproved"})
+        self.assertEqual(
+            {instance.state for instance in victim.node.members.all.values()}, {"unproved"}
+        )
         self.assertEqual(victim.node.suspicions.evidence, {})
         self.assertEqual(victim.node.changed_suspicions, [])
 
 
-class Ceilings(unittest.TestCase):
-    def test_no_second_sends_more_than_the_ceiling_whatever_comes_in(self):
-        made, times = settled(loss=0.1), {}
-        made.taps.append(
-            lambda source, address, content: times.setdefault(source, []).append(
-                (made.now, len(content))
+class RateLimits(unittest.TestCase):
+    def test_outgoing_rate_stays_within_limits_under_attack(self):
+        world, sent_by_source = converged_world(loss=0.1), {}
+        world.taps.append(
+            lambda source, address, content: sent_by_source.setdefault(source, []).append(
+                (world.now, len(content))
             )
         )
-        lie = with_liar(made)
-        made.run(30 * SECOND, lambda: [lie() for _ in range(10)], SECOND // 10)
+        send_lies = add_liar(world)
+        world.run(30 * SECOND, lambda: [send_lies() for _ in range(10)], SECOND // 10)
         for name in ("n0", "n1", "n2", "n3"):
-            mine = times[made.instances[name].address]
-            for at, (begin, _) in enumerate(mine):
-                within = [size for moment, size in mine[at : at + 200] if moment < begin + SECOND]
+            own_datagrams = sent_by_source[world.instances[name].address]
+            for index, (second_start, _) in enumerate(own_datagrams):
+                within = [
+                    size
+                    for moment, size in own_datagrams[index : index + 200]
+                    if moment < second_start + SECOND
+                ]
                 self.assertLessEqual(len(within), TERMS.ceiling.datagrams + 1)
                 self.assertLessEqual(sum(within), TERMS.ceiling.bytes)
             self.assertLess(
-                made.instances[name].node.limits.verified, 50 * TERMS.verifications.total
+                world.instances[name].node.limits.verified, 50 * TERMS.verifications.total
             )
 
-    def test_an_answer_to_the_unproved_is_no_longer_than_what_it_answers(self):
-        made, sizes = world(3), {}
-        shorter = []
+    def test_answer_to_unvalidated_address_is_not_longer_than_the_request(self):
+        world, sizes = start_world(3), {}
+        amplified = []
 
         def tap(source, address, content):
-            known = made.by_address[source].node.context.by_address
-            if address in known and made.by_address[address].node:
+            known = world.by_address[source].node.context.by_address
+            if address in known and world.by_address[address].node:
                 return
             if (address, source) in sizes and len(content) > sizes[address, source]:
-                shorter.append((len(content), sizes[address, source]))
+                amplified.append((len(content), sizes[address, source]))
             sizes[source, address] = len(content)
 
-        made.taps.append(tap)
-        victim = made.instances["n0"]
-        made.run(SECOND // 2)
-        # A captured ping from an address that proved nothing: only as much comes back, and only there.
-        self.assertEqual(shorter, [])
+        world.taps.append(tap)
+        victim = world.instances["n0"]
+        world.run(SECOND // 2)
+        # Captured pings sent from an unvalidated address: no more bytes than in the pings come back.
+        self.assertEqual(amplified, [])
         pings = []
-        made.taps.append(
+        world.taps.append(
             lambda source, address, content: address == victim.address and pings.append(content)
         )
-        made.instances["n1"].kill()
-        made.instances["n1"].begin([victim.address])
-        made.run(2 * SECOND)
-        stranger, back = ("10.9.9.9", 99), []
-        made.taps.append(
-            lambda source, address, content: address == stranger and back.append(content)
+        world.instances["n1"].kill()
+        world.instances["n1"].begin([victim.address])
+        world.run(2 * SECOND)
+        stranger, received_back = ("10.9.9.9", 99), []
+        world.taps.append(
+            lambda source, address, content: address == stranger and received_back.append(content)
         )
-        made.run(30 * SECOND)
+        world.run(30 * SECOND)
         for content in pings[:50]:
             victim.received(stranger, content)
-        self.assertLessEqual(sum(map(len, back)), sum(map(len, pings[:50])))
+        self.assertLessEqual(sum(map(len, received_back)), sum(map(len, pings[:50])))
 
-    def test_a_flood_from_elsewhere_leaves_answers_and_peers_their_part(self):
+    def test_flood_does_not_use_up_verifications_of_validated_peers(self):
         now = 0
-        checking = VerificationLimits(VerificationLimitSettings(100, 50, 16), 7, now)
-        checking.set_validated_addresses([("10.0.0.1", 1)])
+        limits = VerificationLimits(VerificationLimitSettings(100, 50, 16), 7, now)
+        limits.set_validated_addresses([("10.0.0.1", 1)])
         flooded = sum(
-            checking.bucket_for(("10.0.0.9", 9)).take(at) for at in range(0, 10 * SECOND, 10)
+            limits.bucket_for(("10.0.0.9", 9)).take(tick) for tick in range(0, 10 * SECOND, 10)
         )
-        self.assertLessEqual(flooded, 13)  # its lane's burst and ten seconds of a sixteenth
-        self.assertTrue(checking.bucket_for(("10.0.0.1", 1)).take(10 * SECOND))
-        free = sum(checking.bucket_for(("10.0.0.9", port)).take(10 * SECOND) for port in range(64))
-        self.assertGreaterEqual(free, 14)  # other lanes were left alone
-
-    def test_rumours_wait_before_answers_do(self):
-        sending = SendLimits(TERMS.ceiling, 0)
-        while sending.try_send(0, 400, SendPurpose.UPDATES):
+        self.assertLessEqual(
+            flooded, 13
+        )  # the burst of a shared bucket and ten seconds at its rate
+        self.assertTrue(limits.bucket_for(("10.0.0.1", 1)).take(10 * SECOND))
+        admitted = sum(
+            limits.bucket_for(("10.0.0.9", port)).take(10 * SECOND) for port in range(64)
+        )
+        self.assertGreaterEqual(admitted, 14)  # the other shared buckets are not affected
+
+    def test_updates_leave_a_reserve_for_answers(self):
+        limits = SendLimits(TERMS.ceiling, 0)
+        while limits.try_send(0, 400, SendPurpose.UPDATES):
             pass
-        self.assertTrue(sending.try_send(0, 400, SendPurpose.ANSWER))
+        self.assertTrue(limits.try_send(0, 400, SendPurpose.ANSWER))
         bucket = TokenBucket(10, 5, 0)
-        self.assertEqual(sum(bucket.take(at) for at in range(0, 10 * SECOND, 100)), 5 + 99)
-
-    def test_a_loud_origin_crowds_out_itself_and_tables_stay_bounded(self):
-        made = settled()
-        many = pods_of(400)
-        for one in made.live():
-            one.node.suspicions.set_endpoints(many)
-        lie = with_liar(made, pods=many)
-        made.run(20 * SECOND, lie)
+        self.assertEqual(sum(bucket.take(tick) for tick in range(0, 10 * SECOND, 100)), 5 + 99)
+
+    def test_tables_stay_bounded_with_an_origin_that_floods(self):
+        world = converged_world()
+        many_endpoints = pods_of(400)
+        for instance in world.live():
+            instance.node.suspicions.set_endpoints(many_endpoints)
+        send_lies = add_liar(world, endpoints=many_endpoints)
+        world.run(20 * SECOND, send_lies)
         for name in ("n0", "n1", "n2", "n3"):
-            node = made.instances[name].node
+            node = world.instances[name].node
             self.assertLessEqual(node.queue.count_by_origin.get("n4", 0), 32)
             self.assertLessEqual(
                 sum("n4" in words for words in node.suspicions.evidence.values()), 16
@@ -404,8 +437,8 @@
             self.assertLessEqual(len(node.prober.probes), 32)
             self.assertTrue(
                 all(
-                    len(one.digests) <= 64 and len(one.suspecting_groups) <= 16
-                    for one in node.members.all.values()
+                    len(instance.digests) <= 64 and len(instance.suspecting_groups) <= 16
+                    for instance in node.members.all.values()
                 )
             )
 
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -1,4 +1,4 @@
-"""What gossip reads and believes word by word: keys, datagrams, windows; with real signatures."""
+"""Tests of gossip datagrams, keys and replay windows, with real signatures."""
 
 import base64
 import os
@@ -28,16 +28,18 @@
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 KEYS = {name: new_identity(name) for name in ("n0", "n1", "n2")}
-UNTIL = "2027-01-31T00:00:00Z"
-ENDS = 1801353600
+KEY_END = "2027-01-31T00:00:00Z"
+KEY_END_UNIX = 1801353600
 
 
-def peer(name, *told, group=None):
-    return Peer(name, group, tuple(PeerKey(one.public_key_text(), until) for one, until in told))
+def peer(name, *keys, group=None):
+    return Peer(
+        name, group, tuple(PeerKey(identity.public_key_text(), until) for identity, until in keys)
+    )
 
 
 class RealWorld(World):
-    """A world whose instances sign with real keys."""
+    """A simulated network whose instances sign with real keys."""
 
     def __init__(self, names, seed):
         super().__init__(names, seed)
@@ -47,19 +49,21 @@
         return KEYS[name]
 
 
-def two():
+def converged_world():
     world = RealWorld(["n0", "n1", "n2"], 5)
     world.begin()
     world.run(8 * SECOND)
     return world
 
 
-WORLD = two()
+WORLD = converged_world()
 NODE = WORLD.instances["n0"].node
 
 
-def frame_of(sender="n1", identity=None, body=None, items=(), to="n0", number=None, start=None):
-    """A frame as n1 would send it next to n0, changed as told."""
+def sealed_frame_from_n1(
+    sender="n1", identity=None, body=None, items=(), to="n0", number=None, start=None
+):
+    """Returns the next datagram from n1 to n0, with the given changes."""
     node = WORLD.instances["n1"].node
     node.local.number += 1
     frame = Frame(
@@ -74,7 +78,7 @@
     return codec.seal_frame(frame, identity or KEYS["n1"])
 
 
-def item_of(body, origin="n1", identity=None, start=None, age=0):
+def sealed_item_from_n1(body, origin="n1", identity=None, start=None, age=0):
     node = WORLD.instances["n1"].node
     node.local.number += 1
     item = Item(
@@ -87,149 +91,164 @@
     return codec.seal_item(item, identity or KEYS["n1"])
 
 
-def dropped(datagram, source=None):
-    """What a datagram from n1's address was dropped for, or None; how many went out for it."""
-    before, NODE.outbox.datagrams = dict(NODE.dropped), []
+def drop_reason(datagram, source=None):
+    """Delivers a datagram to n0, by default from n1's address; returns its drop reason or None."""
+    previous, NODE.outbox.datagrams = dict(NODE.dropped), []
     NODE.receive_datagram(WORLD.now, source or WORLD.instances["n1"].address, datagram)
-    found = [kind for kind, count in NODE.dropped.items() if count != before[kind]]
-    return found[0] if found else None
+    reasons = [kind for kind, count in NODE.dropped.items() if count != previous[kind]]
+    return reasons[0] if reasons else None
 
 
-class Datagrams(unittest.TestCase):
+class DatagramChecks(unittest.TestCase):
     def setUp(self):
-        WORLD.now += SECOND  # budgets are full again
+        WORLD.now += SECOND  # refills the verification limits
 
-    def test_what_is_well_formed_is_taken_once(self):
-        good = frame_of()
-        self.assertIsNone(dropped(good))
-        self.assertEqual(dropped(good), "replay")
+    def test_valid_datagram_is_accepted_once(self):
+        valid_datagram = sealed_frame_from_n1()
+        self.assertIsNone(drop_reason(valid_datagram))
+        self.assertEqual(drop_reason(valid_datagram), "replay")
 
-    def test_forged_ones_are_refused_each_for_its_reason(self):
-        stranger = new_identity("n1")
-        good = frame_of()
+    def test_forged_datagrams_are_dropped_with_their_reasons(self):
+        stranger_key = new_identity("n1")
+        valid_datagram = sealed_frame_from_n1()
         for kind, datagram in (
             ("size", b""),
-            ("size", good + bytes(1400)),
-            ("version", b"\2" + good[1:]),
-            ("key", frame_of(identity=stranger)),
-            ("sender", frame_of(identity=KEYS["n2"])),
-            ("sender", frame_of(sender="n2")),
-            ("recipient", frame_of(to="n2")),
-            ("recipient", frame_of(to="")),
-            ("signature", good[:-1] + bytes((good[-1] ^ 1,))),
-            ("form", good[:9] + b"\xc1" + good[10:]),
-            ("unproved", frame_of(start=7)),
-            ("unproved", frame_of(body=Ack(bytes(8), None), start=7)),
+            ("size", valid_datagram + bytes(1400)),
+            ("version", b"\2" + valid_datagram[1:]),
+            ("key", sealed_frame_from_n1(identity=stranger_key)),
+            ("sender", sealed_frame_from_n1(identity=KEYS["n2"])),
+            ("sender", sealed_frame_from_n1(sender="n2")),
+            ("recipient", sealed_frame_from_n1(to="n2")),
+            ("recipient", sealed_frame_from_n1(to="")),
+            ("signature", valid_datagram[:-1] + bytes((valid_datagram[-1] ^ 1,))),
+            ("form", valid_datagram[:9] + b"\xc1" + valid_datagram[10:]),
+            ("unproved", sealed_frame_from_n1(start=7)),
+            ("unproved", sealed_frame_from_n1(body=Ack(bytes(8), None), start=7)),
         ):
-            self.assertEqual(dropped(datagram), kind)
-        self.assertEqual(dropped(good, ("192.0.2.1", 7946)), "network")
+            self.assertEqual(drop_reason(datagram), kind)
+        self.assertEqual(drop_reason(valid_datagram, ("192.0.2.1", 7946)), "network")
 
-    def test_a_flipped_bit_anywhere_is_refused(self):
-        for at in range(len(frame_of())):
+    def test_any_flipped_bit_makes_a_datagram_invalid(self):
+        for offset in range(len(sealed_frame_from_n1())):
             WORLD.now += SECOND // 10
-            datagram = bytearray(frame_of(items=[item_of(Left())]))
-            datagram[at] ^= 1
-            self.assertIsNotNone(dropped(bytes(datagram)), at)
+            datagram = bytearray(sealed_frame_from_n1(items=[sealed_item_from_n1(Left())]))
+            datagram[offset] ^= 1
+            self.assertIsNotNone(drop_reason(bytes(datagram)), offset)
         self.assertEqual(NODE.members.all["n1"].state, "alive")
 
-    def test_items_count_for_their_origin_alone(self):
-        claim, pod = Evidence("s-1", "", 1, 0, 9, 9), EndpointKey("s-1", "", 1, 0)
-        NODE.suspicions.set_endpoints([pod])
-        signed = item_of(claim)  # its last byte is zero in one of sixteen: it is turned, not set
+    def test_items_are_accepted_only_from_their_origin(self):
+        evidence, endpoint = Evidence("s-1", "", 1, 0, 9, 9), EndpointKey("s-1", "", 1, 0)
+        NODE.suspicions.set_endpoints([endpoint])
+        signed = sealed_item_from_n1(
+            evidence
+        )  # flip a bit: the last byte may already have any fixed value
         for kind, item in (
-            ("key", item_of(claim, origin="n2")),
+            ("key", sealed_item_from_n1(evidence, origin="n2")),
             ("signature", signed[:-1] + bytes([signed[-1] ^ 1])),
-            ("key", item_of(Left(), "n2")),
-            ("unproved", item_of(Alive("10.0.0.9", 9, 0), start=9)),
-            ("lapsed", item_of(claim, age=TERMS.hearsay.lapse + SECOND)),
-            ("lapsed", item_of(claim, age=-3 * SECOND)),
-            ("lapsed", item_of(Evidence("s-9", "", 1, 0, 9, 9))),
+            ("key", sealed_item_from_n1(Left(), "n2")),
+            ("unproved", sealed_item_from_n1(Alive("10.0.0.9", 9, 0), start=9)),
+            ("lapsed", sealed_item_from_n1(evidence, age=TERMS.hearsay.lapse + SECOND)),
+            ("lapsed", sealed_item_from_n1(evidence, age=-3 * SECOND)),
+            ("lapsed", sealed_item_from_n1(Evidence("s-9", "", 1, 0, 9, 9))),
             ("size", b"x"),
             ("form", bytes(120)),
         ):
             WORLD.now += SECOND // 10
-            self.assertEqual(dropped(frame_of(items=[item])), kind)
+            self.assertEqual(drop_reason(sealed_frame_from_n1(items=[item])), kind)
         self.assertEqual(NODE.suspicions.evidence, {})
-        self.assertIsNone(dropped(frame_of(items=[item_of(claim)])))
-        self.assertEqual(set(NODE.suspicions.evidence[pod]), {"n1"})
+        self.assertIsNone(drop_reason(sealed_frame_from_n1(items=[sealed_item_from_n1(evidence)])))
+        self.assertEqual(set(NODE.suspicions.evidence[endpoint]), {"n1"})
         NODE.suspicions.set_endpoints([])
 
-    def test_an_instance_called_dead_says_that_it_lives(self):
-        before = NODE.local.incarnation
+    def test_false_suspicion_is_refuted_with_a_higher_incarnation(self):
+        previous = NODE.local.incarnation
         self.assertIsNone(
-            dropped(frame_of(items=[item_of(codec.Suspect("n0", NODE.local.start, before))]))
+            drop_reason(
+                sealed_frame_from_n1(
+                    items=[sealed_item_from_n1(codec.Suspect("n0", NODE.local.start, previous))]
+                )
+            )
         )
-        self.assertEqual(NODE.local.incarnation, before + 1)
+        self.assertEqual(NODE.local.incarnation, previous + 1)
         self.assertIsNone(
-            dropped(
-                frame_of(items=[item_of(codec.Suspect("n0", NODE.local.start + 1, before + 9))])
+            drop_reason(
+                sealed_frame_from_n1(
+                    items=[
+                        sealed_item_from_n1(codec.Suspect("n0", NODE.local.start + 1, previous + 9))
+                    ]
+                )
             )
         )
-        self.assertEqual(NODE.local.incarnation, before + 1)  # of another start: old news
+        self.assertEqual(NODE.local.incarnation, previous + 1)  # of another start: ignored
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.binary(max_size=1500), st.integers(0, 400), st.binary(max_size=30))
-    def test_noise_of_any_form_is_dropped_and_never_answered_with_more(self, noise, at, patch):
+    def test_random_datagrams_are_dropped_and_not_amplified(self, noise, offset, patch):
         WORLD.now += SECOND // 10
         for datagram in (
             noise,
             codec.encode_unsigned_frame(Frame("n1", "n0", 1, 1, 1, Push(), []), KEYS["n1"].key_id)
             + noise,
-            (good := frame_of())[:at] + patch + good[at + len(patch) :],
+            (valid_datagram := sealed_frame_from_n1())[:offset]
+            + patch
+            + valid_datagram[offset + len(patch) :],
         ):
-            if datagram != good:
-                self.assertIsNotNone(dropped(datagram))
+            if datagram != valid_datagram:
+                self.assertIsNotNone(drop_reason(datagram))
                 self.assertLessEqual(
                     sum(len(out.content) for out in NODE.outbox.datagrams), len(datagram)
                 )
 
-    def test_the_longest_frames_fit(self):
-        claims = [
-            item_of(Evidence("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000))
+    def test_size_of_longest_items_fits_a_datagram(self):
+        items = [
+            sealed_item_from_n1(
+                Evidence("p" * 96, "a" * 96, 1 << 53, 1 << 53, 1_000_000, 1_000_000)
+            )
             for _ in range(30)
         ]
-        self.assertLessEqual(len(claims[0]), codec.MAX_ITEM_SIZE)
-        NODE.queue.add(codec.read_item(claims[0])[1], KEYS["n1"].key_id, claims[0], WORLD.now, "x")
+        self.assertLessEqual(len(items[0]), codec.MAX_ITEM_SIZE)
+        NODE.queue.add(codec.read_item(items[0])[1], KEYS["n1"].key_id, items[0], WORLD.now, "x")
         picked = NODE.queue.pick(3, 1100)
         self.assertLessEqual(
-            len(frame_of(body=Ping(bytes(8), b""), items=picked)), codec.MAX_DATAGRAM_SIZE
+            len(sealed_frame_from_n1(body=Ping(bytes(8), b""), items=picked)),
+            codec.MAX_DATAGRAM_SIZE,
         )
 
 
-class PassedOn(unittest.TestCase):
-    """An instance that had left went on being called alive by those who passed on its items: its Alive and its Left
-    stood in the queue under keys of their own, and an older item that came late took the place of a newer one."""
+class ForwardedItems(unittest.TestCase):
+    """Guards against an instance that has left being reported alive: its Alive and its Left were queued under
+    different topics, and an older item that arrived late replaced a newer one."""
 
-    def queued(self, world):
+    def liveness_items(self, world):
         return [
             codec.read_item(item.content).item.body
             for (origin, topic), item in world.queue.items.items()
             if origin == "n1" and topic == LIVENESS
         ]
 
-    def test_an_instance_that_has_left_is_not_called_alive_any_more(self):
-        world = two()
+    def test_left_replaces_alive_and_late_alive_is_ignored(self):
+        world = converged_world()
         node, origin = world.instances["n0"].node, world.instances["n1"].node
-        say = lambda body: codec.seal_item(  # noqa: E731
+        seal = lambda body: codec.seal_item(  # noqa: E731
             Item(
                 "n1", origin.local.start, next(numbers), world.now - origin.local.started_at, body
             ),
             KEYS["n1"],
         )
         numbers = iter(range(1_000, 1_010))
-        alive, late, left = (
-            say(Alive("127.0.0.1", 9, 0)),
-            say(Alive("127.0.0.1", 9, 0)),
-            say(Left()),
+        alive, late_alive, left = (
+            seal(Alive("127.0.0.1", 9, 0)),
+            seal(Alive("127.0.0.1", 9, 0)),
+            seal(Left()),
         )
-        bringer = node.members.all["n2"]
-        self.assertIsNone(node.items.receive(world.now, bringer, alive))
-        self.assertIsNone(node.items.receive(world.now, bringer, left))
-        self.assertEqual(self.queued(node), [Left()])
-        node.items.receive(world.now, bringer, late)
-        self.assertEqual(self.queued(node), [Left()])
-
-    def test_an_older_item_that_comes_late_replaces_no_newer_one(self):
+        forwarder = node.members.all["n2"]
+        self.assertIsNone(node.items.receive(world.now, forwarder, alive))
+        self.assertIsNone(node.items.receive(world.now, forwarder, left))
+        self.assertEqual(self.liveness_items(node), [Left()])
+        node.items.receive(world.now, forwarder, late_alive)
+        self.assertEqual(self.liveness_items(node), [Left()])
+
+    def test_late_older_item_does_not_replace_a_newer_one(self):
         queue = DisseminationQueue(LinearCongruentialGenerator(1), 10 * SECOND)
         for number, start in ((1, 7), (3, 7), (2, 7), (4, 7), (1, 8)):
             queue.add(Item("n1", start, number, 0, Left()), b"", bytes([number]), 0, "x")
@@ -240,28 +259,32 @@
         self.assertEqual(queue.count_by_origin, {"n1": 1})
 
 
-class KeysOfTheRing(unittest.TestCase):
-    def test_a_rotation_has_both_keys_until_the_old_ones_end(self):
+class KeyringTest(unittest.TestCase):
+    def test_both_keys_are_valid_during_rotation_until_the_old_one_expires(self):
         old, new = new_identity("n1"), new_identity("n1")
-        ring = Keyring([peer("n1", (old, UNTIL), (new, None))])
-        self.assertEqual([ring.owner(one.key_id, ENDS - 1) for one in (old, new)], ["n1", "n1"])
-        self.assertEqual([ring.owner(one.key_id, ENDS) for one in (old, new)], [None, "n1"])
-        self.assertEqual(ring.active_names(ENDS), {"n1"})
+        ring = Keyring([peer("n1", (old, KEY_END), (new, None))])
+        self.assertEqual(
+            [ring.owner(identity.key_id, KEY_END_UNIX - 1) for identity in (old, new)], ["n1", "n1"]
+        )
+        self.assertEqual(
+            [ring.owner(identity.key_id, KEY_END_UNIX) for identity in (old, new)], [None, "n1"]
+        )
+        self.assertEqual(ring.active_names(KEY_END_UNIX), {"n1"})
 
-    def test_a_revoked_key_is_nobodys_and_faulty_rings_are_refused(self):
-        mine = KEYS["n1"]
+    def test_revoked_key_has_no_owner_and_invalid_keyrings_are_rejected(self):
+        key = KEYS["n1"]
         self.assertIsNone(
-            Keyring([peer("n1", (mine, None))], [mine.public_key_text()]).owner(mine.key_id, 0)
+            Keyring([peer("n1", (key, None))], [key.public_key_text()]).owner(key.key_id, 0)
         )
-        for peers, said in (
-            ([peer("n1", (mine, None)), peer("n2", (mine, None))], "the same key"),
-            ([peer("n1", (mine, None)), peer("n1", (KEYS["n2"], None))], "twice"),
-            ([peer("n1", (mine, "tomorrow"))], "not a time"),
+        for peers, expected_error in (
+            ([peer("n1", (key, None)), peer("n2", (key, None))], "the same key"),
+            ([peer("n1", (key, None)), peer("n1", (KEYS["n2"], None))], "twice"),
+            ([peer("n1", (key, "tomorrow"))], "not a time"),
         ):
-            with self.assertRaisesRegex(KeyringError, said):
+            with self.assertRaisesRegex(KeyringError, expected_error):
                 Keyring(peers)
 
-    def test_networks(self):
+    def test_allowed_networks(self):
         sources = AllowedNetworks(["127.0.0.0/8", "10.1.0.0/16", "::1/128"])
         self.assertEqual(
             [host in sources for host in ("127.9.9.9", "10.1.2.3", "10.2.0.1", "::1", "not one")],
@@ -270,9 +293,9 @@
         with self.assertRaisesRegex(KeyringError, "from"):
             AllowedNetworks(["300.0.0.0/8"])
 
-    def test_the_command_makes_a_key_once_and_shows_it(self):
-        with tempfile.TemporaryDirectory() as folder:
-            path = os.path.join(folder, "n7.key")
+    def test_command_creates_a_key_file_once_and_shows_it(self):
+        with tempfile.TemporaryDirectory() as directory:
+            path = os.path.join(directory, "n7.key")
             self.assertEqual(keys.main(["new", "n7", path]), 0)
             self.assertEqual(os.stat(path).st_mode & 0o777, 0o600)
             self.assertEqual(keys.main(["new", "n7", path]), 2)
@@ -284,10 +307,10 @@
             read_identity("n7", b"no key")
 
 
-class Windows(unittest.TestCase):
+class ReplayWindowTest(unittest.TestCase):
     @settings(max_examples=200, deadline=None, derandomize=True)
     @given(st.integers(1, 40), st.lists(st.integers(0, 120), max_size=80))
-    def test_like_a_set_that_forgets_what_is_old(self, size, numbers):
+    def test_matches_a_set_with_a_lower_bound(self, size, numbers):
         window, seen = ReplayWindow(size), set()
         for number in numbers:
             highest = max(seen, default=-1)
@@ -297,37 +320,39 @@
                 seen.add(number)
 
 
-class InTheDecisions(unittest.TestCase):
-    def test_a_doubted_pod_is_turned_to_later_and_never_excluded(self):
-        made_ = balancer(pod("old-1"), pod("old-2"))
-        made_.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
+class SuspicionsInDecisionEngine(unittest.TestCase):
+    def test_suspected_endpoint_is_used_last_but_not_excluded(self):
+        engine = balancer(pod("old-1"), pod("old-2"))
+        engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
+        self.assertEqual(
+            {*sent(engine.handle(NOW, [taken(f"t{number}") for number in range(8)]))}, {"old-2"}
+        )
+        engine.handle(NOW, [SuspicionReported("old-2", 1, 0, NOW + SECOND)])
         self.assertEqual(
-            {*sent(made_.handle(NOW, [taken(f"t{at}") for at in range(8)]))}, {"old-2"}
+            len(sent(engine.handle(NOW, [taken(f"u{number}") for number in range(4)]))), 4
         )
-        made_.handle(NOW, [SuspicionReported("old-2", 1, 0, NOW + SECOND)])
-        self.assertEqual(len(sent(made_.handle(NOW, [taken(f"u{at}") for at in range(4)]))), 4)
-        made_.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW)])
+        engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW)])
         self.assertEqual(
-            {*sent(made_.handle(NOW, [taken(f"v{at}") for at in range(4)]))}, {"old-1"}
+            {*sent(engine.handle(NOW, [taken(f"v{number}") for number in range(4)]))}, {"old-1"}
         )
-        made_ = balancer(pod("old-1"), pod("old-2"))
-        made_.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
-        later = made_.handle(NOW + 2 * SECOND, [taken(f"w{at}") for at in range(8)])
-        self.assertEqual({*sent(later)}, {"old-1", "old-2"})
-
-    def test_of_another_build_or_start_it_changes_nothing_and_never_a_vote(self):
-        made_ = balancer()
-        sums = dict(made_.sequential_test.sums)
+        engine = balancer(pod("old-1"), pod("old-2"))
+        engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
+        actions = engine.handle(NOW + 2 * SECOND, [taken(f"w{number}") for number in range(8)])
+        self.assertEqual({*sent(actions)}, {"old-1", "old-2"})
+
+    def test_suspicion_of_another_build_or_start_is_ignored_and_never_votes(self):
+        engine = balancer()
+        sums = dict(engine.sequential_test.sums)
         for event in (
             SuspicionReported("old-1", 2, 0, NOW + SECOND),
             SuspicionReported("old-1", 1, 5, NOW + SECOND),
             SuspicionReported("gone", 1, 0, NOW + SECOND),
         ):
-            self.assertNotIn(CastVote, kinds(made_.handle(NOW, [event])))
+            self.assertNotIn(CastVote, kinds(engine.handle(NOW, [event])))
         self.assertEqual(
-            [known.suspected_until for known in made_.context.endpoints.values()], [0, 0, 0]
+            [known.suspected_until for known in engine.context.endpoints.values()], [0, 0, 0]
         )
-        self.assertEqual(made_.sequential_test.sums, sums)
+        self.assertEqual(engine.sequential_test.sums, sums)
 
 
 if __name__ == "__main__":
