--- a/thymeknot/disruption/agent_transitions.py
+++ b/thymeknot/disruption/agent_transitions.py
@@ -36,16 +36,16 @@
 class AgentEffect(StrEnum):
     """What a transition has the agent say or do."""
 
-    BEGIN = "begin"
+    REQUEST_CONFIRMATION = "request confirmation"
     DRAIN = "drain"
-    LEAVE = "leave"
-    DROP = "drop"
-    GIVE = "give"
-    TELL = "tell"
-    SERVE = "serve"
-    COME = "come"
-    HOME = "home"
-    FAIL = "fail"
+    DRAIN_COLD = "drain cold"
+    DISCARD_PERMIT = "discard permit"
+    RETURN_PERMIT = "return permit"
+    REPORT_DRAINED = "report drained"
+    RESUME_SERVICE = "resume service"
+    START_RETURN = "start return"
+    COMPLETE_RETURN = "complete return"
+    REPORT_FAULT = "report fault"
 
 
 class AgentTransition(NamedTuple):
@@ -64,39 +64,114 @@
 AGENT_TRANSITIONS: dict[tuple[AgentState, str], AgentTransition] = {
     (state, event): AgentTransition(next_state, effect)
     for state, event, next_state, effect in (
-        (AgentState.IN_SERVICE, AgentInput.BEGIN, AgentState.CONFIRMING, AgentEffect.BEGIN),
+        (
+            AgentState.IN_SERVICE,
+            AgentInput.BEGIN,
+            AgentState.CONFIRMING,
+            AgentEffect.REQUEST_CONFIRMATION,
+        ),
         (AgentState.CONFIRMING, AgentInput.CONFIRMED, AgentState.DRAINING, AgentEffect.DRAIN),
-        (AgentState.CONFIRMING, AgentInput.REJECTED, AgentState.IN_SERVICE, AgentEffect.DROP),
-        (AgentState.CONFIRMING, AgentInput.EXPIRED, AgentState.IN_SERVICE, AgentEffect.GIVE),
-        (AgentState.CONFIRMING, AgentInput.RETURN, AgentState.IN_SERVICE, AgentEffect.GIVE),
-        (AgentState.CONFIRMING, AgentInput.DONE, AgentState.IN_SERVICE, AgentEffect.GIVE),
-        (AgentState.DRAINING, AgentInput.DRAINED, AgentState.OUT_OF_SERVICE, AgentEffect.TELL),
-        (AgentState.DRAINING, AgentInput.RETURN, AgentState.IN_SERVICE, AgentEffect.SERVE),
-        (AgentState.DRAINING, AgentInput.DONE, AgentState.IN_SERVICE, AgentEffect.SERVE),
-        (AgentState.OUT_OF_SERVICE, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.COME),
-        (AgentState.OUT_OF_SERVICE, AgentInput.DONE, AgentState.RETURNING, AgentEffect.COME),
+        (
+            AgentState.CONFIRMING,
+            AgentInput.REJECTED,
+            AgentState.IN_SERVICE,
+            AgentEffect.DISCARD_PERMIT,
+        ),
+        (
+            AgentState.CONFIRMING,
+            AgentInput.EXPIRED,
+            AgentState.IN_SERVICE,
+            AgentEffect.RETURN_PERMIT,
+        ),
+        (
+            AgentState.CONFIRMING,
+            AgentInput.RETURN,
+            AgentState.IN_SERVICE,
+            AgentEffect.RETURN_PERMIT,
+        ),
+        (AgentState.CONFIRMING, AgentInput.DONE, AgentState.IN_SERVICE, AgentEffect.RETURN_PERMIT),
+        (
+            AgentState.DRAINING,
+            AgentInput.DRAINED,
+            AgentState.OUT_OF_SERVICE,
+            AgentEffect.REPORT_DRAINED,
+        ),
+        (AgentState.DRAINING, AgentInput.RETURN, AgentState.IN_SERVICE, AgentEffect.RESUME_SERVICE),
+        (AgentState.DRAINING, AgentInput.DONE, AgentState.IN_SERVICE, AgentEffect.RESUME_SERVICE),
+        (
+            AgentState.OUT_OF_SERVICE,
+            AgentInput.RETURN,
+            AgentState.RETURNING,
+            AgentEffect.START_RETURN,
+        ),
+        (
+            AgentState.OUT_OF_SERVICE,
+            AgentInput.DONE,
+            AgentState.RETURNING,
+            AgentEffect.START_RETURN,
+        ),
         # The state machine did not hear that it is empty.
-        (AgentState.OUT_OF_SERVICE, AgentInput.DRAIN, AgentState.OUT_OF_SERVICE, AgentEffect.TELL),
+        (
+            AgentState.OUT_OF_SERVICE,
+            AgentInput.DRAIN,
+            AgentState.OUT_OF_SERVICE,
+            AgentEffect.REPORT_DRAINED,
+        ),
         # Nor that it gave up its permit, or has returned.
-        (AgentState.IN_SERVICE, AgentInput.DRAIN, AgentState.IN_SERVICE, AgentEffect.GIVE),
-        (AgentState.IN_SERVICE, AgentInput.STAY, AgentState.IN_SERVICE, AgentEffect.GIVE),
-        (AgentState.RETURNING, AgentInput.DRAIN, AgentState.RETURNING, AgentEffect.GIVE),
-        (AgentState.RETURNING, AgentInput.STAY, AgentState.RETURNING, AgentEffect.GIVE),
-        (AgentState.RETURNING, AgentInput.READY, AgentState.IN_SERVICE, AgentEffect.HOME),
-        (AgentState.RETURNING, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.FAIL),
+        (AgentState.IN_SERVICE, AgentInput.DRAIN, AgentState.IN_SERVICE, AgentEffect.RETURN_PERMIT),
+        (AgentState.IN_SERVICE, AgentInput.STAY, AgentState.IN_SERVICE, AgentEffect.RETURN_PERMIT),
+        (AgentState.RETURNING, AgentInput.DRAIN, AgentState.RETURNING, AgentEffect.RETURN_PERMIT),
+        (AgentState.RETURNING, AgentInput.STAY, AgentState.RETURNING, AgentEffect.RETURN_PERMIT),
+        (
+            AgentState.RETURNING,
+            AgentInput.READY,
+            AgentState.IN_SERVICE,
+            AgentEffect.COMPLETE_RETURN,
+        ),
+        (AgentState.RETURNING, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.REPORT_FAULT),
         # A build that never gets warm is replaced without having served.
-        (AgentState.RETURNING, AgentInput.BEGIN, AgentState.CONFIRMING_COLD, AgentEffect.BEGIN),
+        (
+            AgentState.RETURNING,
+            AgentInput.BEGIN,
+            AgentState.CONFIRMING_COLD,
+            AgentEffect.REQUEST_CONFIRMATION,
+        ),
         (
             AgentState.CONFIRMING_COLD,
             AgentInput.CONFIRMED,
             AgentState.OUT_OF_SERVICE,
-            AgentEffect.LEAVE,
+            AgentEffect.DRAIN_COLD,
+        ),
+        (
+            AgentState.CONFIRMING_COLD,
+            AgentInput.REJECTED,
+            AgentState.RETURNING,
+            AgentEffect.DISCARD_PERMIT,
+        ),
+        (
+            AgentState.CONFIRMING_COLD,
+            AgentInput.EXPIRED,
+            AgentState.RETURNING,
+            AgentEffect.RETURN_PERMIT,
+        ),
+        (
+            AgentState.CONFIRMING_COLD,
+            AgentInput.RETURN,
+            AgentState.RETURNING,
+            AgentEffect.RETURN_PERMIT,
+        ),
+        (
+            AgentState.CONFIRMING_COLD,
+            AgentInput.READY,
+            AgentState.IN_SERVICE,
+            AgentEffect.COMPLETE_RETURN,
+        ),
+        (
+            AgentState.CONFIRMING_COLD,
+            AgentInput.FAILED,
+            AgentState.RETURNING,
+            AgentEffect.REPORT_FAULT,
         ),
-        (AgentState.CONFIRMING_COLD, AgentInput.REJECTED, AgentState.RETURNING, AgentEffect.DROP),
-        (AgentState.CONFIRMING_COLD, AgentInput.EXPIRED, AgentState.RETURNING, AgentEffect.GIVE),
-        (AgentState.CONFIRMING_COLD, AgentInput.RETURN, AgentState.RETURNING, AgentEffect.GIVE),
-        (AgentState.CONFIRMING_COLD, AgentInput.READY, AgentState.IN_SERVICE, AgentEffect.HOME),
-        (AgentState.CONFIRMING_COLD, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.FAIL),
     )
 }
 # What the unit is reported as.
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -28,7 +28,7 @@
 # Units that a sentence names; a status has them all.
 MAX_UNITS_NAMED = 8
 # The largest number that `most` and `least` take.
-MAX_AMOUNT = 1_000_000
+MAX_UNIT_COUNT = 1_000_000
 # Added before a share is rounded down, so that 0.1 of 30 is 3 in floating point too.
 ROUNDING_TOLERANCE = 1e-9
 
@@ -161,31 +161,31 @@
     by_unit: dict[str, list[BudgetUsage]]
 
 
-def parse_budget(given: Any) -> Budget:
+def parse_budget(declared: Any) -> Budget:
     """Reads a declared budget.
 
     Raises:
         CommandRejectedError: the budget is malformed; the sentence names it.
     """
-    name = given.get("name") if isinstance(given, dict) else None
+    name = declared.get("name") if isinstance(declared, dict) else None
     if not isinstance(name, str) or not is_name(name):
         raise CommandRejectedError("a budget is a mapping with a name")
-    kinds = [kind for kind in BudgetKind if kind in given]
-    if len(kinds) != 1 or set(given) - {"name", "where", "each", *kinds}:
+    limit_kinds = [kind for kind in BudgetKind if kind in declared]
+    if len(limit_kinds) != 1 or set(declared) - {"name", "where", "each", *limit_kinds}:
         raise CommandRejectedError(
             f"budget {name} needs exactly one of {', '.join(BudgetKind)}, "
             "and may have where and each",
             [name],
         )
-    kind = kinds[0]
-    amount = given[kind]
-    each = given.get("each")
+    kind = limit_kinds[0]
+    amount = declared[kind]
+    each = declared.get("each")
     _check_amount(name, kind, amount)
     if each is not None and each not in LABEL_NAMES:
         raise CommandRejectedError(
             f"budget {name}: each is one of {', '.join(LABEL_NAMES)}", [name]
         )
-    return Budget(name, parse_selector(given.get("where", {})), each, kind, amount)
+    return Budget(name, parse_selector(declared.get("where", {})), each, kind, amount)
 
 
 def _check_amount(name: str, kind: BudgetKind, amount: object) -> None:
@@ -195,7 +195,9 @@
             raise CommandRejectedError(
                 f"budget {name}: a share is a fraction over 0 and under 1", [name]
             )
-    elif isinstance(amount, bool) or not isinstance(amount, int) or not 0 <= amount <= MAX_AMOUNT:
+    elif (
+        isinstance(amount, bool) or not isinstance(amount, int) or not 0 <= amount <= MAX_UNIT_COUNT
+    ):
         raise CommandRejectedError(f"budget {name}: {kind} is a whole number", [name])
 
 
@@ -227,12 +229,12 @@
 
 def _add_usages(budget: Budget, units: dict[str, Labels], usages: BudgetUsages) -> None:
     """Adds the places of one budget and enters the units that belong to them."""
-    found = False
+    matched = False
     for name in sorted(units):
         labels = units[name]
         if not matches(budget.selector, labels) or (budget.each and budget.each not in labels):
             continue
-        found = True
+        matched = True
         selector = budget.selector
         usage_name = budget.name
         if budget.each:
@@ -244,7 +246,7 @@
         )
         usage.size += 1
         usages.by_unit[name].append(usage)
-    if not found:
+    if not matched:
         raise CommandRejectedError(
             f"budget {budget.name} chooses no unit: {describe_selector(budget.selector)}",
             [budget.name],
--- a/thymeknot/disruption/command_reader.py
+++ b/thymeknot/disruption/command_reader.py
@@ -29,19 +29,19 @@
 from .targets import CommandRejectedError, is_name
 
 # About the bytes of a command as msgpack.
-MAX_COMMAND_SIZE = 65_536
+MAX_COMMAND_BYTES = 65_536
 # Lists and mappings within each other that a command may have.
 MAX_COMMAND_DEPTH = 8
 # About the bytes of a list's, mapping's or string's head as msgpack.
-SIZE_OF_HEAD = 5
+HEADER_BYTES = 5
 # About the bytes of a number as msgpack.
-SIZE_OF_NUMBER = 9
+NUMBER_BYTES = 9
 # Characters of a sentence in a command.
 MAX_SENTENCE_LENGTH = 512
 # Characters of an unknown word that a rejection repeats.
 MAX_QUOTED_LENGTH = 40
 # Bits of a whole number: it has to fit a signed one of 64 bits wherever it is stored.
-MAX_NUMBER_BITS = 62
+MAX_INTEGER_BITS = 62
 REQUIRED: Final = object()
 
 
@@ -61,18 +61,20 @@
     """A field of a command.
 
     Attributes:
-        value: what its value has to be.
+        value_rule: what its value has to be.
         default: its value if the command has none, or REQUIRED.
     """
 
-    value: ValueRule
+    value_rule: ValueRule
     default: Any = REQUIRED
 
 
 def is_non_negative_integer(value: object) -> bool:
     """Whether a value is a whole number, not negative, that can be stored."""
     return (
-        isinstance(value, int) and not isinstance(value, bool) and 0 <= value < 1 << MAX_NUMBER_BITS
+        isinstance(value, int)
+        and not isinstance(value, bool)
+        and 0 <= value < 1 << MAX_INTEGER_BITS
     )
 
 
@@ -87,10 +89,10 @@
 
 
 NAME = ValueRule(is_name, "a name of 1 to 128 characters")
-NATURAL = ValueRule(is_non_negative_integer, "a whole number, not negative")
+NON_NEGATIVE_INTEGER = ValueRule(is_non_negative_integer, "a whole number, not negative")
 SENTENCE = ValueRule(is_sentence, "a sentence of 1 to 512 characters")
 NAME_OR_EMPTY = ValueRule(is_name_or_empty, "a name, or empty")
-FLAG = ValueRule(lambda value: isinstance(value, bool), "true or false")
+BOOLEAN = ValueRule(lambda value: isinstance(value, bool), "true or false")
 MAPPING = ValueRule(lambda value: isinstance(value, dict), "a mapping")
 LIST = ValueRule(lambda value: isinstance(value, list), "a list")
 URGENCY = ValueRule(lambda value: is_non_negative_integer(value) and value <= 9, "0 to 9")
@@ -104,38 +106,41 @@
 # The fields of each command, in the order in which they are checked.
 COMMAND_FIELDS: dict[CommandName, dict[str, FieldRule]] = {
     CommandName.DECLARE: {
-        "epoch": FieldRule(NATURAL),
+        "epoch": FieldRule(NON_NEGATIVE_INTEGER),
         "units": FieldRule(MAPPING, None),
         "gone": FieldRule(LIST, None),
         "budgets": FieldRule(LIST, None),
         "terms": FieldRule(MAPPING, None),
     },
-    CommandName.REPORT_UNITS: {"as_of": FieldRule(NATURAL), "units": FieldRule(MAPPING)},
+    CommandName.REPORT_UNITS: {
+        "as_of": FieldRule(NON_NEGATIVE_INTEGER),
+        "units": FieldRule(MAPPING),
+    },
     CommandName.REQUEST_PERMIT: {
         "unit": FieldRule(NAME),
         "plan": FieldRule(NAME),
-        "epoch": FieldRule(NATURAL),
+        "epoch": FieldRule(NON_NEGATIVE_INTEGER),
         "urgency": FieldRule(URGENCY, 0),
         "build": FieldRule(NAME_OR_EMPTY, ""),
-        "queue": FieldRule(FLAG, True),
+        "queue": FieldRule(BOOLEAN, True),
     },
     CommandName.TICK: {},
     CommandName.BEGIN: {
         "unit": FieldRule(NAME),
-        "fence": FieldRule(NATURAL),
-        "epoch": FieldRule(NATURAL),
-        "start": FieldRule(NATURAL),
+        "fence": FieldRule(NON_NEGATIVE_INTEGER),
+        "epoch": FieldRule(NON_NEGATIVE_INTEGER),
+        "start": FieldRule(NON_NEGATIVE_INTEGER),
     },
-    CommandName.REPORT_DRAINED: {"unit": FieldRule(NAME), "fence": FieldRule(NATURAL)},
+    CommandName.REPORT_DRAINED: {"unit": FieldRule(NAME), "fence": FieldRule(NON_NEGATIVE_INTEGER)},
     CommandName.RETURN: {
         "unit": FieldRule(NAME),
-        "fence": FieldRule(NATURAL),
+        "fence": FieldRule(NON_NEGATIVE_INTEGER),
         "fault": FieldRule(SENTENCE, None),
     },
     CommandName.REPORT_READY: {
         "unit": FieldRule(NAME),
-        "as_of": FieldRule(NATURAL),
-        "start": FieldRule(NATURAL),
+        "as_of": FieldRule(NON_NEGATIVE_INTEGER),
+        "start": FieldRule(NON_NEGATIVE_INTEGER),
         "build": FieldRule(NAME_OR_EMPTY, ""),
     },
     CommandName.HALT: {
@@ -145,36 +150,36 @@
         "release": FieldRule(NAME, None),
         "cause": FieldRule(CAUSE, HaltCause.OPERATOR),
     },
-    CommandName.RESUME: {"halt": FieldRule(NATURAL)},
+    CommandName.RESUME: {"halt": FieldRule(NON_NEGATIVE_INTEGER)},
     CommandName.ROLL_BACK: {
         "release": FieldRule(NAME, None),
         "unit": FieldRule(NAME, None),
         "plan": FieldRule(NAME, None),
-        "epoch": FieldRule(NATURAL, None),
+        "epoch": FieldRule(NON_NEGATIVE_INTEGER, None),
     },
     CommandName.START_RELEASE: {
         "release": FieldRule(NAME),
-        "epoch": FieldRule(NATURAL),
+        "epoch": FieldRule(NON_NEGATIVE_INTEGER),
         "where": FieldRule(MAPPING),
         "build": FieldRule(NAME),
         "earlier": FieldRule(NAME),
         "waves": FieldRule(LIST),
-        "gate": FieldRule(FLAG, True),
-        "auto": FieldRule(FLAG, True),
+        "gate": FieldRule(BOOLEAN, True),
+        "auto": FieldRule(BOOLEAN, True),
         "urgency": FieldRule(URGENCY, 0),
-        "wait": FieldRule(FLAG, False),
+        "wait": FieldRule(BOOLEAN, False),
     },
     CommandName.VOTE: {
         "release": FieldRule(NAME),
-        "epoch": FieldRule(NATURAL),
-        "wave": FieldRule(NATURAL),
+        "epoch": FieldRule(NON_NEGATIVE_INTEGER),
+        "wave": FieldRule(NON_NEGATIVE_INTEGER),
         "verdict": FieldRule(VERDICT),
         "why": FieldRule(SENTENCE, None),
     },
     CommandName.CANCEL: {
         "unit": FieldRule(NAME),
         "plan": FieldRule(NAME, None),
-        "epoch": FieldRule(NATURAL, None),
+        "epoch": FieldRule(NON_NEGATIVE_INTEGER, None),
     },
     CommandName.STATUS: {"unit": FieldRule(NAME, None), "where": FieldRule(MAPPING, None)},
 }
@@ -204,18 +209,18 @@
 
     Gives more than any command may have if it is nested too deep or holds what is not plain.
     """
-    total = SIZE_OF_HEAD
-    for part in [*value, *value.values()] if type(value) is dict else value:
-        kind = type(part)
-        if kind is str:
-            total += SIZE_OF_HEAD + len(part)
-        elif kind in (int, float, bool) or part is None:
-            total += SIZE_OF_NUMBER
-        elif kind in (list, dict) and depth < MAX_COMMAND_DEPTH:
-            total += estimate_size(part, depth + 1)
+    size = HEADER_BYTES
+    for item in [*value, *value.values()] if type(value) is dict else value:
+        item_type = type(item)
+        if item_type is str:
+            size += HEADER_BYTES + len(item)
+        elif item_type in (int, float, bool) or item is None:
+            size += NUMBER_BYTES
+        elif item_type in (list, dict) and depth < MAX_COMMAND_DEPTH:
+            size += estimate_size(item, depth + 1)
         else:
-            return MAX_COMMAND_SIZE + 1
-    return total
+            return MAX_COMMAND_BYTES + 1
+    return size
 
 
 def read_fields(command: Any) -> tuple[CommandName, dict[str, Any]]:
@@ -224,9 +229,9 @@
     Raises:
         CommandRejectedError: it is malformed.
     """
-    if type(command) is not dict or estimate_size(command) > MAX_COMMAND_SIZE:
+    if type(command) is not dict or estimate_size(command) > MAX_COMMAND_BYTES:
         raise CommandRejectedError(
-            f"a command is a mapping of plain values of at most {MAX_COMMAND_SIZE} bytes"
+            f"a command is a mapping of plain values of at most {MAX_COMMAND_BYTES} bytes"
         )
     name = _read_name(command)
     rules = COMMAND_FIELDS[name]
@@ -254,22 +259,22 @@
 
 
 def _read_name(command: dict[Any, Any]) -> CommandName:
-    do = command.get("do")
-    if isinstance(do, str):
+    requested = command.get("do")
+    if isinstance(requested, str):
         try:
-            return CommandName(do)
+            return CommandName(requested)
         except ValueError:
             pass  # the rejection below names it
     raise CommandRejectedError(
-        f"no command {str(do)[:MAX_QUOTED_LENGTH]!r}; there are {', '.join(CommandName)}"
+        f"no command {str(requested)[:MAX_QUOTED_LENGTH]!r}; there are {', '.join(CommandName)}"
     )
 
 
 def _read_field(name: CommandName, field: str, rule: FieldRule, value: Any) -> Any:
     if value is None:
         if rule.default is REQUIRED:
-            raise CommandRejectedError(f"{name} needs {field}: {rule.value.expected}")
+            raise CommandRejectedError(f"{name} needs {field}: {rule.value_rule.expected}")
         return rule.default
-    if not rule.value.is_valid(value):
-        raise CommandRejectedError(f"{name}: {field} is not {rule.value.expected}")
+    if not rule.value_rule.is_valid(value):
+        raise CommandRejectedError(f"{name}: {field} is not {rule.value_rule.expected}")
     return value
--- a/thymeknot/disruption/declaration.py
+++ b/thymeknot/disruption/declaration.py
@@ -19,7 +19,7 @@
 
 MAX_UNITS = 65_536
 # No value is within it: an unknown setting is rejected like one out of its range.
-UNKNOWN_SETTING = SettingRange(0, 1, 0)
+UNKNOWN_SETTING_RANGE = SettingRange(0, 1, 0)
 
 
 class Declaration(NamedTuple):
@@ -43,20 +43,20 @@
         CommandRejectedError: a part is malformed, or changes a unit that has a permit.
     """
     units = {name: unit.labels for name, unit in fleet.units.items()}
-    for name, given in (command.units or {}).items():
-        labels = parse_labels(name, given)
+    for name, declared in (command.units or {}).items():
+        labels = parse_labels(name, declared)
         if name in units and units[name] != labels and fleet.units[name].state in PERMITTED_STATES:
             raise CommandRejectedError(
                 f"unit {name} is {fleet.units[name].state}: it can't be moved meanwhile", [name]
             )
         units[name] = labels
     for name in command.gone or []:
-        _take_away(fleet, units, name)
+        _remove_unit(fleet, units, name)
     if len(units) > MAX_UNITS:
         raise CommandRejectedError(f"more than {MAX_UNITS} units")
     budgets = fleet.budgets
     if command.budgets is not None:
-        budgets = [parse_budget(given) for given in command.budgets]
+        budgets = [parse_budget(declared) for declared in command.budgets]
     if len({budget.name for budget in budgets}) < len(budgets) or len(budgets) > MAX_BUDGETS:
         raise CommandRejectedError(
             f"budgets have names of their own, and are at most {MAX_BUDGETS}"
@@ -64,7 +64,7 @@
     return Declaration(units, budgets, _read_settings(fleet.settings, command.terms or {}))
 
 
-def _take_away(fleet: Fleet, units: dict[str, Labels], name: Any) -> None:
+def _remove_unit(fleet: Fleet, units: dict[str, Labels], name: Any) -> None:
     if not is_name(name) or name not in units:
         raise CommandRejectedError(f"no unit {str(name)[:MAX_QUOTED_LENGTH]} was declared")
     if name in fleet.units and fleet.units[name].state in PERMITTED_STATES:
@@ -74,18 +74,18 @@
     del units[name]
 
 
-def _read_settings(current: DisruptionSettings, given: dict[str, Any]) -> DisruptionSettings:
-    plain = current.to_plain()
-    for name, value in given.items():
-        _, least, most = SETTING_RANGES.get(name, UNKNOWN_SETTING)
-        if not is_non_negative_integer(value) or not least <= value <= most:
+def _read_settings(current: DisruptionSettings, declared: dict[str, Any]) -> DisruptionSettings:
+    settings = current.to_plain()
+    for name, value in declared.items():
+        _, minimum, maximum = SETTING_RANGES.get(name, UNKNOWN_SETTING_RANGE)
+        if not is_non_negative_integer(value) or not minimum <= value <= maximum:
             raise CommandRejectedError(
                 f"term {str(name)[:MAX_QUOTED_LENGTH]} is unknown, or not a whole number of "
-                f"{least} to {most}"
+                f"{minimum} to {maximum}"
             )
-        plain[name] = value
-    if plain["permit"] < plain["bound"] or plain["silent"] < plain["bound"]:
+        settings[name] = value
+    if settings["permit"] < settings["bound"] or settings["silent"] < settings["bound"]:
         raise CommandRejectedError(
             "permits and silence last at least for the bound: else a holder could begin after both"
         )
-    return DisruptionSettings.from_plain(plain)
+    return DisruptionSettings.from_plain(settings)
--- a/thymeknot/disruption/fleet.py
+++ b/thymeknot/disruption/fleet.py
@@ -31,7 +31,7 @@
         usages: the usages of all budgets by name.
         requesting: units that requested a permit and wait, by name.
         permitted: units that have a permit, by name.
-        silences: heap of (agreed time, name): when a ready unit may have become silent.
+        silence_deadlines: heap of (agreed time, name): when a ready unit may have become silent.
         capacity_freed: whether a request may fit that did not fit before.
         newly_exceeded: budget usages that became exceeded and caused no halt yet.
         last_report_at: agreed time of the last report of any observer.
@@ -49,21 +49,21 @@
         self.usages: dict[str, BudgetUsage] = {}
         self.requesting: dict[str, Unit] = {}
         self.permitted: dict[str, Unit] = {}
-        self.silences: list[tuple[Ticks, str]] = []
+        self.silence_deadlines: list[tuple[Ticks, str]] = []
         self.capacity_freed = True
         self.newly_exceeded: list[BudgetUsage] = []
         self.last_report_at: Ticks = -1
         self._effects: dict[PermitEffect, Callable[..., None]] = {
-            PermitEffect.QUEUE: self._take_request,
-            PermitEffect.PERMIT: self._issue_permit,
-            PermitEffect.FORGET: self._drop_request,
-            PermitEffect.DOUBT: self._end_permit,
-            PermitEffect.WAIT: self._doubt_evidence,
-            PermitEffect.DRAIN: self._reset_lapsed_permits,
-            PermitEffect.REST: self._change_nothing,
-            PermitEffect.CALL: self._doubt_evidence,
-            PermitEffect.NAME: self._record_fault,
-            PermitEffect.HOME: self._finish_return,
+            PermitEffect.QUEUE_REQUEST: self._queue_request,
+            PermitEffect.ISSUE_PERMIT: self._issue_permit,
+            PermitEffect.DROP_REQUEST: self._drop_request,
+            PermitEffect.END_PERMIT: self._end_permit,
+            PermitEffect.REQUEUE: self._discard_evidence,
+            PermitEffect.RESET_LAPSES: self._reset_lapsed_permits,
+            PermitEffect.NOTHING: self._do_nothing,
+            PermitEffect.CALL_BACK: self._discard_evidence,
+            PermitEffect.RECORD_FAULT: self._record_fault,
+            PermitEffect.COMPLETE_RETURN: self._complete_return,
         }
 
     def get_unit(self, name: str) -> Unit:
@@ -118,7 +118,7 @@
                     usage.restored_at = self.at
         if not unavailable and not unit.silence_queued:
             unit.silence_queued = True
-            heappush(self.silences, (unit.ready_at + self.settings.silent, unit.name))
+            heappush(self.silence_deadlines, (unit.ready_at + self.settings.silent, unit.name))
 
     def find_exceeded_budget(self, unit: Unit) -> BudgetUsage | None:
         """The first budget usage of a unit that is exceeded, or None."""
@@ -131,8 +131,8 @@
         capacity stays taken, since the holder may be draining behind a partition.
         """
         self.at = max(self.at, at)
-        while self.silences and self.silences[0][0] <= self.at:
-            silent_unit = self.units.get(heappop(self.silences)[1])
+        while self.silence_deadlines and self.silence_deadlines[0][0] <= self.at:
+            silent_unit = self.units.get(heappop(self.silence_deadlines)[1])
             if silent_unit is None:
                 continue
             silent_unit.silence_queued = False
@@ -194,19 +194,19 @@
             event: what happened.
             details: the PermitRequest with ASKED, the fault's sentence with FAILED, else nothing.
         """
-        step = PERMIT_TRANSITIONS.get((unit.state, event))
-        if step is None:
+        transition = PERMIT_TRANSITIONS.get((unit.state, event))
+        if transition is None:
             return False
-        if step.state != unit.state:
-            unit.state = step.state
+        if transition.state != unit.state:
+            unit.state = transition.state
             unit.state_entered_at = self.at
-        self._effects[step.effect](unit, *details)
-        _keep_while(self.requesting, unit, unit.state == PermitState.REQUESTED)
-        _keep_while(self.permitted, unit, unit.state in PERMITTED_STATES)
+        self._effects[transition.effect](unit, *details)
+        _update_group(self.requesting, unit, unit.state == PermitState.REQUESTED)
+        _update_group(self.permitted, unit, unit.state in PERMITTED_STATES)
         self.update_usages(unit)
         return True
 
-    def _take_request(self, unit: Unit, request: PermitRequest) -> None:
+    def _queue_request(self, unit: Unit, request: PermitRequest) -> None:
         unit.request = request
         unit.fault = ""
         self.capacity_freed = True
@@ -221,22 +221,22 @@
 
     def _end_permit(self, unit: Unit) -> None:
         unit.request = None
-        unit.doubted_at = self.at
+        unit.evidence_valid_after = self.at
 
-    def _doubt_evidence(self, unit: Unit) -> None:
+    def _discard_evidence(self, unit: Unit) -> None:
         # What was seen before a halt or a call back proves nothing. The request keeps its age.
-        unit.doubted_at = self.at
+        unit.evidence_valid_after = self.at
 
     def _reset_lapsed_permits(self, unit: Unit) -> None:
         unit.lapsed_permits = 0
 
-    def _change_nothing(self, unit: Unit) -> None:
+    def _do_nothing(self, unit: Unit) -> None:
         pass
 
     def _record_fault(self, unit: Unit, fault: str) -> None:
         unit.fault = fault
 
-    def _finish_return(self, unit: Unit) -> None:
+    def _complete_return(self, unit: Unit) -> None:
         unit.fault = ""
         unit.request = None
 
@@ -283,12 +283,12 @@
             usage.restored_at = restored_at
         self.newly_exceeded = []
         self.capacity_freed = True
-        heapify(self.silences)
+        heapify(self.silence_deadlines)
 
 
-def _keep_while(group: dict[str, Unit], unit: Unit, belongs: bool) -> None:
+def _update_group(group: dict[str, Unit], unit: Unit, is_member: bool) -> None:
     """Has a unit in a group exactly while it belongs there; it keeps its place in the order."""
-    if belongs:
+    if is_member:
         group[unit.name] = unit
     else:
         group.pop(unit.name, None)
--- a/thymeknot/disruption/halts.py
+++ b/thymeknot/disruption/halts.py
@@ -64,9 +64,9 @@
         release: the release it holds, or None.
         budget: the name of the budget usage whose excess caused it, or None.
         cause: why it was ordered.
-        why: the reason in words.
-        by: who ordered it.
-        at: agreed time at which it was ordered.
+        reason: the reason in words.
+        ordered_by: who ordered it.
+        ordered_at: agreed time at which it was ordered.
     """
 
     number: int
@@ -74,15 +74,17 @@
     release: str | None
     budget: str | None
     cause: HaltCause
-    why: str
-    by: str
-    at: Ticks
+    reason: str
+    ordered_by: str
+    ordered_at: Ticks
 
     @classmethod
     def from_plain(cls, plain: list[Any]) -> "Halt":
         """Reads a halt out of a snapshot."""
-        number, selector, release, budget, cause, why, by, at = plain
-        return cls(number, selector, release, budget, HaltCause(cause), why, by, at)
+        number, selector, release, budget, cause, reason, ordered_by, ordered_at = plain
+        return cls(
+            number, selector, release, budget, HaltCause(cause), reason, ordered_by, ordered_at
+        )
 
     def to_plain(self) -> list[Any]:
         """The halt as a snapshot has it."""
@@ -90,10 +92,10 @@
 
     def describe(self) -> str:
         """The halt in a sentence."""
-        where = (
+        scope = (
             f"release {self.release}" if self.release else describe_selector(self.selector or [])
         )
-        return f"halt {self.number} by {self.by} of {where}: {self.why}"
+        return f"halt {self.number} by {self.ordered_by} of {scope}: {self.reason}"
 
 
 class Halts:
@@ -105,10 +107,10 @@
 
     def add(
         self,
-        at: Ticks,
+        ordered_at: Ticks,
         cause: HaltCause,
-        why: str,
-        by: str,
+        reason: str,
+        ordered_by: str,
         *,
         selector: Selector | None = None,
         release: str | None = None,
@@ -120,12 +122,12 @@
             CommandRejectedError: too many halts stand.
         """
         for halt in self.by_number.values():
-            if (halt.cause, halt.selector, halt.release, halt.budget, halt.by) == (
+            if (halt.cause, halt.selector, halt.release, halt.budget, halt.ordered_by) == (
                 cause,
                 selector,
                 release,
                 budget,
-                by,
+                ordered_by,
             ):
                 # Repeated it is newer: a rollback that was ordered before it stops too.
                 del self.by_number[halt.number]
@@ -136,7 +138,9 @@
                     f"{MAX_HALTS} halts stand already; one of all units needs no more beside it"
                 )
         self.last_number += 1
-        halt = Halt(self.last_number, selector, release, budget, cause, why, by, at)
+        halt = Halt(
+            self.last_number, selector, release, budget, cause, reason, ordered_by, ordered_at
+        )
         self.by_number[self.last_number] = halt
         return halt
 
@@ -167,13 +171,14 @@
         return None
 
     def find_halt_of_release(
-        self, release: "Release", unit_labels: list[Labels], rollback: bool
+        self, release: "Release", unit_labels: list[Labels], is_rollback: bool
     ) -> Halt | None:
         """The first halt that stops a release with units of these labels, or None."""
         for halt in self.by_number.values():
             rules = CAUSE_RULES[halt.cause]
             if rules.ends_with_budget or (
-                rollback and (not rules.stops_rollbacks or halt.number <= release.last_known_halt)
+                is_rollback
+                and (not rules.stops_rollbacks or halt.number <= release.last_known_halt)
             ):
                 continue
             if halt.release == release.name or (
@@ -185,10 +190,10 @@
 
     def end_halts_of_restored_budgets(self, fleet: "Fleet") -> None:
         """Ends the halts of budgets that are restored for long enough, or are no more."""
-        ending = [
+        expirable = [
             halt for halt in self.by_number.values() if CAUSE_RULES[halt.cause].ends_with_budget
         ]
-        for halt in ending:
+        for halt in expirable:
             usage = fleet.usages.get(halt.budget or "")
             if usage is None or (
                 usage.within_limit and fleet.at - usage.restored_at >= fleet.settings.rest
--- a/thymeknot/disruption/permit_commands.py
+++ b/thymeknot/disruption/permit_commands.py
@@ -20,9 +20,9 @@
 from .targets import CommandRejectedError
 
 # Units whose requests wait at once; releases feed theirs in.
-MAX_REQUESTS = 1_024
+MAX_WAITING_REQUESTS = 1_024
 # Ticks after which to ask again for a permit when too many requests wait.
-QUEUE_RETRY_TICKS = 10 * TICKS_PER_SECOND
+FULL_QUEUE_RETRY_TICKS = 10 * TICKS_PER_SECOND
 
 
 class PermitCommands:
@@ -57,22 +57,22 @@
                 RETRY_WAIT_TICKS,
             )
         if not unit.request:
-            if len(self.fleet.requesting) >= MAX_REQUESTS:
+            if len(self.fleet.requesting) >= MAX_WAITING_REQUESTS:
                 raise CommandRejectedError(
-                    f"{MAX_REQUESTS} units wait already", again=QUEUE_RETRY_TICKS
+                    f"{MAX_WAITING_REQUESTS} units wait already", again=FULL_QUEUE_RETRY_TICKS
                 )
             request = PermitRequest(
                 self.fleet.at, command.urgency, plan, command.epoch, False, command.build
             )
             if not command.queue:
-                self._check_fits(unit, request)
+                self._check_capacity(unit, request)
             self.fleet.transition(unit, PermitInput.REQUESTED, request)
         elif command.urgency > unit.request.urgency:
             unit.request.urgency = command.urgency
             self.fleet.capacity_freed = True
         return UnitReply(command.unit)
 
-    def _check_fits(self, unit: Unit, request: PermitRequest) -> None:
+    def _check_capacity(self, unit: Unit, request: PermitRequest) -> None:
         """Raises CommandRejectedError if a request would have to wait."""
         unit.request = request
         hold = self.find_hold(unit)
@@ -123,11 +123,11 @@
             raise CommandRejectedError(
                 f"unit {unit.name} is {unit.state}: it has begun already", [unit.name]
             )
-        self._check_begin(unit)
+        self._check_may_begin(unit)
         self.fleet.transition(unit, PermitInput.BEGAN)
         return UnitReply(unit.name)
 
-    def _check_begin(self, unit: Unit) -> None:
+    def _check_may_begin(self, unit: Unit) -> None:
         """Ends a permit and raises CommandRejectedError if its unit must not begin any more."""
         hold = self.find_hold(unit)
         exceeded = self.fleet.find_exceeded_budget(unit)
--- a/thymeknot/disruption/permits.py
+++ b/thymeknot/disruption/permits.py
@@ -49,16 +49,16 @@
 class PermitEffect(StrEnum):
     """What a transition does to the unit beside its state."""
 
-    QUEUE = "queue"
-    PERMIT = "permit"
-    FORGET = "forget"
-    DOUBT = "doubt"
-    WAIT = "wait"
-    DRAIN = "drain"
-    REST = "rest"
-    CALL = "call"
-    NAME = "name"
-    HOME = "home"
+    QUEUE_REQUEST = "queue request"
+    ISSUE_PERMIT = "issue permit"
+    DROP_REQUEST = "drop request"
+    END_PERMIT = "end permit"
+    REQUEUE = "requeue"
+    RESET_LAPSES = "reset lapses"
+    NOTHING = "nothing"
+    CALL_BACK = "call back"
+    RECORD_FAULT = "record fault"
+    COMPLETE_RETURN = "complete return"
 
 
 class UnitStatus(StrEnum):
@@ -97,33 +97,78 @@
 PERMIT_TRANSITIONS = {
     (state, event): PermitTransition(next_state, effect)
     for state, event, next_state, effect in (
-        (PermitState.IN_SERVICE, PermitInput.REQUESTED, PermitState.REQUESTED, PermitEffect.QUEUE),
-        (PermitState.REQUESTED, PermitInput.GRANTED, PermitState.GRANTED, PermitEffect.PERMIT),
-        (PermitState.REQUESTED, PermitInput.REVOKED, PermitState.IN_SERVICE, PermitEffect.FORGET),
-        (PermitState.GRANTED, PermitInput.BEGAN, PermitState.DRAINING, PermitEffect.DRAIN),
-        (PermitState.GRANTED, PermitInput.LAPSED, PermitState.IN_SERVICE, PermitEffect.DOUBT),
-        (PermitState.GRANTED, PermitInput.REVOKED, PermitState.IN_SERVICE, PermitEffect.DOUBT),
-        (PermitState.GRANTED, PermitInput.RESTARTED, PermitState.IN_SERVICE, PermitEffect.DOUBT),
-        (PermitState.GRANTED, PermitInput.HALTED, PermitState.REQUESTED, PermitEffect.WAIT),
-        (PermitState.DRAINING, PermitInput.DRAINED, PermitState.OUT_OF_SERVICE, PermitEffect.REST),
-        (PermitState.DRAINING, PermitInput.REVOKED, PermitState.RETURNING, PermitEffect.CALL),
-        (PermitState.DRAINING, PermitInput.RETURNED, PermitState.RETURNING, PermitEffect.CALL),
-        (PermitState.DRAINING, PermitInput.RESTARTED, PermitState.RETURNING, PermitEffect.CALL),
-        (PermitState.OUT_OF_SERVICE, PermitInput.REVOKED, PermitState.RETURNING, PermitEffect.CALL),
+        (
+            PermitState.IN_SERVICE,
+            PermitInput.REQUESTED,
+            PermitState.REQUESTED,
+            PermitEffect.QUEUE_REQUEST,
+        ),
+        (
+            PermitState.REQUESTED,
+            PermitInput.GRANTED,
+            PermitState.GRANTED,
+            PermitEffect.ISSUE_PERMIT,
+        ),
+        (
+            PermitState.REQUESTED,
+            PermitInput.REVOKED,
+            PermitState.IN_SERVICE,
+            PermitEffect.DROP_REQUEST,
+        ),
+        (PermitState.GRANTED, PermitInput.BEGAN, PermitState.DRAINING, PermitEffect.RESET_LAPSES),
+        (PermitState.GRANTED, PermitInput.LAPSED, PermitState.IN_SERVICE, PermitEffect.END_PERMIT),
+        (PermitState.GRANTED, PermitInput.REVOKED, PermitState.IN_SERVICE, PermitEffect.END_PERMIT),
+        (
+            PermitState.GRANTED,
+            PermitInput.RESTARTED,
+            PermitState.IN_SERVICE,
+            PermitEffect.END_PERMIT,
+        ),
+        (PermitState.GRANTED, PermitInput.HALTED, PermitState.REQUESTED, PermitEffect.REQUEUE),
+        (
+            PermitState.DRAINING,
+            PermitInput.DRAINED,
+            PermitState.OUT_OF_SERVICE,
+            PermitEffect.NOTHING,
+        ),
+        (PermitState.DRAINING, PermitInput.REVOKED, PermitState.RETURNING, PermitEffect.CALL_BACK),
+        (PermitState.DRAINING, PermitInput.RETURNED, PermitState.RETURNING, PermitEffect.CALL_BACK),
+        (
+            PermitState.DRAINING,
+            PermitInput.RESTARTED,
+            PermitState.RETURNING,
+            PermitEffect.CALL_BACK,
+        ),
+        (
+            PermitState.OUT_OF_SERVICE,
+            PermitInput.REVOKED,
+            PermitState.RETURNING,
+            PermitEffect.CALL_BACK,
+        ),
         (
             PermitState.OUT_OF_SERVICE,
             PermitInput.RETURNED,
             PermitState.RETURNING,
-            PermitEffect.CALL,
+            PermitEffect.CALL_BACK,
         ),
         (
             PermitState.OUT_OF_SERVICE,
             PermitInput.RESTARTED,
             PermitState.RETURNING,
-            PermitEffect.CALL,
+            PermitEffect.CALL_BACK,
+        ),
+        (
+            PermitState.RETURNING,
+            PermitInput.FAILED,
+            PermitState.RETURNING,
+            PermitEffect.RECORD_FAULT,
+        ),
+        (
+            PermitState.RETURNING,
+            PermitInput.READY,
+            PermitState.IN_SERVICE,
+            PermitEffect.COMPLETE_RETURN,
         ),
-        (PermitState.RETURNING, PermitInput.FAILED, PermitState.RETURNING, PermitEffect.NAME),
-        (PermitState.RETURNING, PermitInput.READY, PermitState.IN_SERVICE, PermitEffect.HOME),
     )
 }
 
@@ -170,7 +215,7 @@
         start: number of its process' start, -1 if it was never reported.
         build: the build it runs, empty if it never said so.
         status: what was reported last.
-        doubted_at: agreed time up to which reports prove nothing, -1 if there is none.
+        evidence_valid_after: agreed time up to which reports prove nothing, -1 if there is none.
         fault: why it can't return, or empty.
         usages: the budget usages it belongs to.
         silence_queued: whether its silence is awaited in the fleet's queue.
@@ -178,7 +223,7 @@
 
     __slots__ = (
         "build",
-        "doubted_at",
+        "evidence_valid_after",
         "fault",
         "fencing_token",
         "labels",
@@ -207,7 +252,7 @@
         self.lapsed_permits = 0
         self.reported_at: Ticks = -1
         self.ready_at: Ticks = -1
-        self.doubted_at: Ticks = -1
+        self.evidence_valid_after: Ticks = -1
         self.start = -1
         self.build = ""
         self.status = UnitStatus.GONE
@@ -226,7 +271,7 @@
         """Whether it was seen ready lately and since the last doubt, whatever was permitted."""
         return (
             self.status == UnitStatus.READY
-            and self.ready_at > self.doubted_at
+            and self.ready_at > self.evidence_valid_after
             and self.ready_at + silent > at
         )
 
@@ -273,7 +318,7 @@
                 self.start,
                 self.build,
                 self.status.value,
-                self.doubted_at,
+                self.evidence_valid_after,
                 self.fault,
             ],
         ]
@@ -294,6 +339,6 @@
         unit.start = stored[7]
         unit.build = stored[8]
         unit.status = UnitStatus(stored[9])
-        unit.doubted_at = stored[10]
+        unit.evidence_valid_after = stored[10]
         unit.fault = stored[11]
         return unit
--- a/thymeknot/disruption/plan_epochs.py
+++ b/thymeknot/disruption/plan_epochs.py
@@ -12,7 +12,7 @@
 
 MAX_PLANS = 256
 # An unused plan's epoch is remembered for a day: no command is delayed longer.
-PLAN_MEMORY_TICKS = 24 * 3_600 * TICKS_PER_SECOND
+UNUSED_PLAN_RETENTION_TICKS = 24 * 3_600 * TICKS_PER_SECOND
 
 
 class PlanEpoch:
@@ -50,7 +50,7 @@
         """
         known = self.by_name.get(plan)
         if known is None:
-            known = self._remember(plan, epoch)
+            known = self._add_plan(plan, epoch)
         if epoch < known.epoch:
             raise CommandRejectedError(
                 f"epoch {epoch} of {plan} is over; it is {known.epoch} now", [plan]
@@ -65,22 +65,25 @@
         known.epoch = epoch
         known.last_used = self.fleet.at
 
-    def _remember(self, plan: str, epoch: int) -> PlanEpoch:
+    def _add_plan(self, plan: str, epoch: int) -> PlanEpoch:
         if len(self.by_name) >= MAX_PLANS:
-            self._forget_unused()
+            self._remove_unused_plans()
         if len(self.by_name) >= MAX_PLANS:
             raise CommandRejectedError(
-                f"{MAX_PLANS} plans are known already", again=PLAN_MEMORY_TICKS
+                f"{MAX_PLANS} plans are known already", again=UNUSED_PLAN_RETENTION_TICKS
             )
         known = PlanEpoch(epoch, self.fleet.at)
         self.by_name[plan] = known
         return known
 
-    def _forget_unused(self) -> None:
+    def _remove_unused_plans(self) -> None:
         units = [*self.fleet.requesting.values(), *self.fleet.permitted.values()]
-        used = {unit.granted_request.plan for unit in units}
+        used_plans = {unit.granted_request.plan for unit in units}
         for name, known in list(self.by_name.items()):
-            if name not in used and self.fleet.at - known.last_used > PLAN_MEMORY_TICKS:
+            if (
+                name not in used_plans
+                and self.fleet.at - known.last_used > UNUSED_PLAN_RETENTION_TICKS
+            ):
                 del self.by_name[name]
 
     def to_plain(self) -> dict[str, list[Any]]:
