--- a/thymeknot/disruption/__init__.py
+++ b/thymeknot/disruption/__init__.py
@@ -1,22 +1,22 @@
-"""Disruption budgets, agreed on by all instances: which units may be unavailable at once.
+"""Disruption budgets that all instances agree on: how many units may be unavailable at once.
 
-Pure code: no clock, socket or disk. Times are ticks; `at` is agreed time, `now` the monotonic clock
-of one process.
+The package does no I/O: it reads no clock, socket or disk. Times are in ticks. `at` is the agreed
+time of the replicated log; `now` is the monotonic clock of one process.
 
 Modules:
-    targets: units' labels, selectors over them, settings.
+    targets: labels of units, selectors over labels, settings.
     budgets: budgets and their usage.
-    permits: a unit, its permit and the evidence of its readiness.
+    permits: a unit, its permit and the evidence that it is ready.
     fleet: all units and the usage of all budgets.
-    scheduler: which requests for permits are granted.
-    halts: what stops requests and releases.
+    scheduler: decides which permit requests are granted.
+    halts: halts of permit requests and of releases.
     release, rollouts: releases in waves, and their rollbacks.
     plan_epochs: the epochs of plans.
-    commands, command_reader: the typed form of commands, and how they are read.
-    replies: the typed form of replies, and how they are written.
-    declaration, permit_commands, release_commands, status: what groups of commands do.
-    state_machine: all of these, changed by the commands of a replicated log.
-    agent, agent_transitions: the unit's own side.
-    simulated_fleet, simulated_service, simulated_layout: a fleet in virtual time.
-    invariant_checker: checks from outside that no budget is exceeded.
+    commands, command_reader: typed commands, and their validation and parsing.
+    replies: typed replies, and their encoding.
+    declaration, permit_commands, release_commands, status: the handlers of related commands.
+    state_machine: the state machine that applies the commands of a replicated log.
+    agent, agent_transitions: the client side, which runs on each unit.
+    simulated_fleet, simulated_service, simulated_layout: a simulated fleet in virtual time.
+    invariant_checker: verifies independently that the invariants hold, such as the budgets.
 """
--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -1,11 +1,13 @@
-"""The unit's own side of a permit: it reports, takes orders, and begins only what it may. Pure.
-
-It says and hears everything as commands and replies; each reply is dated by when it was asked for,
-on the agent's own monotonic clock. A begin counts only if its confirmation came within `bound` of
-asking, less what the clock may drift: so a halt that the state machine took stops it after the
-bound, whether it is notified, slow, stopped or partitioned, and a reply that was delayed is worth
-nothing. Without the state machine it freezes: a unit that serves goes on serving, one that is
-unavailable may return by itself, and nothing begins.
+"""The agent of a unit: reports its status, follows orders, begins only confirmed disruptions.
+
+The agent does no I/O. It communicates with the state machine through commands and replies, and
+dates each reply by the time at which its command was sent, on the agent's own monotonic clock.
+
+A confirmation to begin is valid only if it arrives within `bound` of the request, reduced by the
+possible clock drift. So once the state machine has accepted a halt, no agent begins a disruption
+after the bound, whether it is notified, slow, suspended or partitioned, and a delayed reply has no
+effect. When the state machine is unreachable, the agent is frozen: a serving unit keeps serving, an
+unavailable one may return by itself, and no disruption begins.
 """
 
 from collections.abc import Callable
@@ -26,7 +28,7 @@
 
 
 class ActionKind(StrEnum):
-    """What the process of the unit is to do; the first field of an action."""
+    """What the unit's process has to do; the first field of each action."""
 
     PROPOSE = "propose"
     DRAIN = "drain"
@@ -35,7 +37,7 @@
 
 
 class ProposeAction(NamedTuple):
-    """Propose a command; its reply comes back with the token."""
+    """Propose a command; pass its reply to `receive_reply` with the same token."""
 
     kind: ActionKind
     token: int
@@ -43,7 +45,7 @@
 
 
 class DrainAction(NamedTuple):
-    """Take no new work from here on; `build` is the one to return with, or empty."""
+    """Accept no new work; `build` is the build to return with, or empty to keep the current one."""
 
     kind: ActionKind
     fencing_token: int
@@ -51,14 +53,14 @@
 
 
 class ReturnAction(NamedTuple):
-    """Return with that build, or with the one there is if it is empty."""
+    """Return to service with `build`, or with the current build if it is empty."""
 
     kind: ActionKind
     build: str
 
 
 class ServeAction(NamedTuple):
-    """Take new work again at once."""
+    """Accept new work again immediately."""
 
     kind: ActionKind
 
@@ -67,12 +69,12 @@
 
 
 class PendingCommand(NamedTuple):
-    """A command without a reply.
+    """A command that was sent and has no reply yet.
 
     Attributes:
-        sent_at: when it was said, on the agent's clock.
-        name: which command it was.
-        fencing_token: the token of a begin, else 0.
+        sent_at: when it was sent, on the agent's clock.
+        name: the command's name.
+        fencing_token: the permit's fencing token for a begin command, otherwise 0.
     """
 
     sent_at: Ticks
@@ -80,38 +82,38 @@
     fencing_token: int
 
 
-# Commands without a reply that are remembered.
+# Beyond this number of commands without a reply, the oldest is forgotten.
 MAX_PENDING_COMMANDS = 64
-# Plans whose epochs are remembered.
+# Beyond this number of plans, the least recently updated epoch is forgotten.
 MAX_PLAN_EPOCHS = 64
-# Reports within a bound.
+# Status reports sent per `bound`.
 REPORTS_PER_BOUND = 4
 
 
 class DisruptionAgent:
-    """The unit's own side of its permit.
+    """The agent of one unit.
 
-    Times are ticks of its own monotonic clock, save `last_agreed_time`.
+    Times are ticks of the process's monotonic clock, except `last_agreed_time`.
 
     Attributes:
         unit: the unit's name.
-        incarnation: a number that grows with each start of the process.
-        build: the build it runs.
-        settings: what the operator set.
-        state: where it stands.
-        fault: reason it can't return, or None.
-        last_agreed_time: the last agreed time it heard.
-        last_contact_at: when the newest command was pending that has a reply, or None.
+        incarnation: increases with each start of the process.
+        build: the build that the unit runs.
+        settings: the operator's settings.
+        state: the agent's state.
+        fault: why the unit cannot return to service, or None.
+        last_agreed_time: the newest agreed time received.
+        last_contact_at: when the newest command that has a reply was sent, or None.
         last_command_token: the token of the newest command.
-        pending_commands: commands without a reply by token.
-        next_report_at: when it reports next.
-        fencing_token: the token of the permit it has or had.
+        pending_commands: commands without a reply, by token.
+        next_report_at: when the next status report is due.
+        fencing_token: the fencing token of the current or last permit.
         permit_until: when the permit lapses.
         epoch: the epoch of the plan that requested the permit.
         target_build: the build to return with, or empty.
-        last_spent_token: fencing tokens up to this one are worth nothing here.
-        plan_epochs: the highest epochs of plans by which it was to begin.
-        actions: what the process is to do, not yet given back.
+        last_spent_token: permits with a fencing token up to this one are no longer valid.
+        plan_epochs: the highest epoch seen for each plan, from orders to begin.
+        actions: actions to be returned by the current call.
     """
 
     def __init__(  # noqa: PLR0917 (callers pass them by position)
@@ -155,33 +157,33 @@
         }
 
     def local_bound(self) -> Ticks:
-        """The bound on its own clock, less what that may be wrong by."""
+        """The bound in ticks of the agent's clock, reduced by the possible drift of that clock."""
         return self.settings.bound - self.settings.bound * self.settings.drift // 1000
 
     def is_frozen(self, now: Ticks) -> bool:
-        """Whether it heard no reply for its bound: it begins nothing."""
+        """Whether no command sent within the bound has a reply; no disruption may begin then."""
         return self.last_contact_at is None or now - self.last_contact_at > self.local_bound()
 
-    # What happens to it; each gives what the process is to do.
+    # Inputs; each returns the actions that the process has to carry out.
 
     def advance_time(self, now: Ticks) -> list[Action]:
-        """Time goes on; to be called at least every quarter of the bound."""
+        """Handles the passing of time; call it at least every quarter of the bound."""
         if self._awaits_confirmation() and now > self.permit_until:
             self._transition(AgentInput.EXPIRED, now)
         if now >= self.next_report_at:
             self.next_report_at = now + self.settings.bound // REPORTS_PER_BOUND
             if self._awaits_confirmation():
-                # The reply may be lost; the state machine takes a repeat.
+                # The reply may be lost; the state machine accepts repeated commands.
                 self._request_confirmation(now)
             if self.state == AgentState.RETURNING and self.fault:
-                # Until somebody comes: nobody else can tell reason.
+                # Repeated until the fault is repaired: only this agent knows the reason.
                 self._return_permit(now)
             else:
                 self._report(now)
         return self._pop_actions()
 
     def receive_reply(self, now: Ticks, token: int, reply: Any) -> list[Action]:
-        """A reply came; unknown and repeated ones, and those of another form, say nothing."""
+        """Handles a reply; ignores it if its token is unknown or repeated, or it is no mapping."""
         pending = self.pending_commands.pop(token, None)
         if pending is None or not isinstance(reply, dict):
             return self._pop_actions()
@@ -198,29 +200,34 @@
         return self._pop_actions()
 
     def finish_drain(self, now: Ticks) -> list[Action]:
-        """The last request that it had taken has its response."""
+        """Records that the last request in flight has its response."""
         self._transition(AgentInput.DRAINED, now)
         return self._pop_actions()
 
     def finish_disruption(self, now: Ticks, build: str = "") -> list[Action]:
-        """What it was disrupted for is done, or given up: it returns in any case."""
+        """Records that the work that needed the disruption is done or abandoned; the unit returns.
+
+        Args:
+            now: the agent's monotonic clock.
+            build: the build to return with, or empty to keep the current one.
+        """
         self.target_build = build
         self._transition(AgentInput.DONE, now)
         return self._pop_actions()
 
     def finish_return(self, now: Ticks, build: str) -> list[Action]:
-        """It serves again, warm."""
+        """Records that the unit is warm and serves again, with `build`."""
         self.build = build
         self._transition(AgentInput.READY, now)
         return self._pop_actions()
 
     def fail_return(self, now: Ticks, reason: str) -> list[Action]:
-        """It can't return, for a reason in a sentence."""
+        """Records that the unit cannot return to service; `reason` is a sentence."""
         self.fault = reason
         self._transition(AgentInput.FAILED, now)
         return self._pop_actions()
 
-    # Its parts.
+    # Internal steps.
 
     def _awaits_confirmation(self) -> bool:
         return self.state in (AgentState.CONFIRMING, AgentState.CONFIRMING_COLD)
@@ -233,10 +240,10 @@
     def _handle_confirmation(
         self, pending: PendingCommand, confirmed: bool, is_late: bool, now: Ticks
     ) -> None:
-        """The reply to a begin came."""
+        """Handles the reply to a begin command."""
         if not self._awaits_confirmation() or pending.fencing_token != self.fencing_token:
             return
-        # A reply may have been held by a stop of this process, and be over: the clock decides.
+        # If the process was suspended, the reply may have expired meanwhile: check the clock.
         if is_late or now > self.permit_until:
             self._transition(AgentInput.EXPIRED, now)
         else:
@@ -245,7 +252,7 @@
     def _handle_order(
         self, order: dict[str, Any], sent_at: Ticks, is_late: bool, now: Ticks
     ) -> None:
-        """Takes an order that was asked for `at`."""
+        """Handles an order from the reply to a command that was sent at `sent_at`."""
         name = order["do"]
         fencing_token = order["fence"]
         if name == OrderName.BEGIN:
@@ -262,7 +269,7 @@
     def _handle_permit(
         self, order: dict[str, Any], sent_at: Ticks, is_late: bool, now: Ticks
     ) -> None:
-        """Asks whether it may begin, unless the order's fencing token or epoch is over."""
+        """Requests confirmation to begin, unless the order is late or its token or epoch is old."""
         fencing_token = order["fence"]
         plan = order["plan"]
         epoch = order["epoch"]
@@ -280,13 +287,14 @@
         self.fencing_token = fencing_token
         self.epoch = epoch
         self.target_build = order["build"]
-        # What is left of the permit counts from when it was asked for: the reply is not older.
+        # The remaining time counts from when the command was sent: the reply was written later, so
+        # the permit cannot be overestimated.
         remaining = order["left"] - order["left"] * self.settings.drift // 1000
         self.permit_until = sent_at + min(remaining, 2 * self.local_bound())
         self._transition(AgentInput.BEGIN, now)
 
     def _transition(self, event: str, now: Ticks) -> None:
-        """Takes an AgentInput, or the name of an order; an unknown name changes nothing."""
+        """Applies an AgentInput or an order's name; one without a transition changes nothing."""
         transition = AGENT_TRANSITIONS.get((self.state, event))
         if transition is not None:
             self.state = transition.state
@@ -339,7 +347,7 @@
         self.last_spent_token = self.fencing_token
 
     def _return_permit(self, now: Ticks) -> None:
-        """It did not begin, or returns: the state machine may think that it is unavailable."""
+        """Reports that the unit did not begin or returns; it may be recorded as unavailable."""
         self.last_spent_token = max(self.last_spent_token, self.fencing_token)
         fields: dict[str, Any] = {"unit": self.unit, "fence": self.fencing_token}
         if self.fault:
--- a/thymeknot/disruption/agent_transitions.py
+++ b/thymeknot/disruption/agent_transitions.py
@@ -1,4 +1,4 @@
-"""The states of an agent, and what leads from one to another."""
+"""The states of an agent and the transitions between them."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -7,7 +7,11 @@
 
 
 class AgentState(StrEnum):
-    """Where the unit stands by its own account."""
+    """The unit's state as its agent knows it.
+
+    CONFIRMING waits for the confirmation to begin; CONFIRMING_COLD does so while the unit is not
+    warm yet. OUT_OF_SERVICE has drained.
+    """
 
     IN_SERVICE = "in"
     CONFIRMING = "confirming"
@@ -18,7 +22,7 @@
 
 
 class AgentInput(StrEnum):
-    """What happens to the agent; orders have the names of OrderName."""
+    """Inputs of the agent; the values of those that are orders equal the values of OrderName."""
 
     BEGIN = "begin"
     DRAIN = "drain"
@@ -34,7 +38,7 @@
 
 
 class AgentEffect(StrEnum):
-    """What a transition has the agent say or do."""
+    """What the agent sends or does on a transition."""
 
     REQUEST_CONFIRMATION = "request confirmation"
     DRAIN = "drain"
@@ -49,18 +53,18 @@
 
 
 class AgentTransition(NamedTuple):
-    """What an input leads to.
+    """The result of an input in a state.
 
     Attributes:
         state: the next state.
-        effect: what the agent says or does.
+        effect: what the agent sends or does.
     """
 
     state: AgentState
     effect: AgentEffect
 
 
-# An input that has no transition changes nothing.
+# An input without a transition changes nothing.
 AGENT_TRANSITIONS: dict[tuple[AgentState, str], AgentTransition] = {
     (state, event): AgentTransition(next_state, effect)
     for state, event, next_state, effect in (
@@ -110,14 +114,15 @@
             AgentState.RETURNING,
             AgentEffect.START_RETURN,
         ),
-        # The state machine did not hear that it is empty.
+        # The state machine did not receive the report that the unit has drained.
         (
             AgentState.OUT_OF_SERVICE,
             AgentInput.DRAIN,
             AgentState.OUT_OF_SERVICE,
             AgentEffect.REPORT_DRAINED,
         ),
-        # Nor that it gave up its permit, or has returned.
+        # The state machine did not receive the report that the permit was given up, or that the
+        # unit has returned.
         (AgentState.IN_SERVICE, AgentInput.DRAIN, AgentState.IN_SERVICE, AgentEffect.RETURN_PERMIT),
         (AgentState.IN_SERVICE, AgentInput.STAY, AgentState.IN_SERVICE, AgentEffect.RETURN_PERMIT),
         (AgentState.RETURNING, AgentInput.DRAIN, AgentState.RETURNING, AgentEffect.RETURN_PERMIT),
@@ -129,7 +134,7 @@
             AgentEffect.COMPLETE_RETURN,
         ),
         (AgentState.RETURNING, AgentInput.FAILED, AgentState.RETURNING, AgentEffect.REPORT_FAULT),
-        # A build that never gets warm is replaced without having served.
+        # A build that never becomes warm can be replaced although it has never served.
         (
             AgentState.RETURNING,
             AgentInput.BEGIN,
@@ -174,7 +179,7 @@
         ),
     )
 }
-# What the unit is reported as.
+# The status that the agent reports in each state.
 REPORTED_STATUS = {
     AgentState.IN_SERVICE: UnitStatus.READY,
     AgentState.CONFIRMING: UnitStatus.READY,
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -1,8 +1,9 @@
-"""Disruption budgets: how many units may be unavailable at once, and where.
+"""Disruption budgets: how many of the selected units may be unavailable at once.
 
-Budgets nest and hold together: a unit may be disrupted only if every budget that chooses it has
-capacity. A budget states one of `most` (a number), `share` (of the units it chooses, rounded down)
-or `least` (so many stay ready). With `each` it holds for every value of that label by itself:
+Budgets may overlap: a unit may be disrupted only if every budget that selects it has capacity. A
+budget has exactly one of `most` (units that may be unavailable), `share` (the fraction of the
+selected units that may be unavailable, rounded down) and `least` (units that must stay ready). With
+`each`, the limit applies separately to each value of that label:
 `{"name": "racks", "each": "rack", "most": 1}`.
 """
 
@@ -23,18 +24,18 @@
 )
 
 MAX_BUDGETS = 64
-# Places of all budgets together, one for each value of the label in `each`.
+# Maximum usages of all budgets together; a budget with `each` has one per value of the label.
 MAX_BUDGET_USAGES = 16_384
-# Units that a sentence names; a status has them all.
+# Maximum units that a sentence names; a status reply lists them.
 MAX_UNITS_NAMED = 8
-# The largest number that `most` and `least` take.
+# Maximum value of `most` and `least`.
 MAX_UNIT_COUNT = 1_000_000
-# Added before a share is rounded down, so that 0.1 of 30 is 3 in floating point too.
+# Added before a share is rounded down, so that floating-point error cannot turn 0.1 of 30 into 2.
 ROUNDING_TOLERANCE = 1e-9
 
 
 class BudgetKind(StrEnum):
-    """How a budget states its limit; the value is the key that states it."""
+    """The kind of limit that a budget has; the value is its key in the declaration."""
 
     MOST = "most"
     SHARE = "share"
@@ -46,11 +47,11 @@
     """A declared budget.
 
     Attributes:
-        name: its name.
-        selector: the units it chooses.
-        each: the label for each value of which it holds by itself, or None.
-        kind: how the limit is stated.
-        amount: the limit: a number of units, or a fraction for a share.
+        name: the budget's name.
+        selector: the units that it covers.
+        each: the label to whose values the limit applies separately, or None.
+        kind: the kind of limit.
+        amount: the limit: a fraction for SHARE, otherwise a number of units.
     """
 
     name: str
@@ -61,7 +62,7 @@
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> "Budget":
-        """Reads a budget out of a snapshot."""
+        """Decodes a budget from a snapshot."""
         return cls(
             plain["name"],
             plain["where"],
@@ -71,7 +72,7 @@
         )
 
     def to_plain(self) -> dict[str, Any]:
-        """The budget as a snapshot has it."""
+        """Encodes the budget for a snapshot."""
         return {
             "name": self.name,
             "where": self.selector,
@@ -82,20 +83,20 @@
 
 
 class BudgetUsage:
-    """A budget at one place: how many units belong to it, which are unavailable, how many may be.
+    """The usage of a budget, or of a budget with `each` for one value of the label.
 
     Attributes:
-        name: the budget's name, with the label's value behind a slash if the budget has `each`.
-        selector: the units that belong to it.
-        kind: how the limit is stated.
-        amount: the limit as stated.
-        size: how many units belong to it.
+        name: the budget's name, followed by a slash and the label's value if the budget has `each`.
+        selector: the units that it covers.
+        kind: the kind of limit.
+        amount: the limit as declared.
+        size: the number of units that it covers.
         allowed: how many of them may be unavailable.
-        unavailable: names of those that are, in the order in which they became so.
-        reserved: capacity kept for the request that waited longest: 0 or 1.
-        within_limit: whether no more are unavailable than may be. False at first: no unit was seen
-            yet, which is no crash and exceeds nothing.
-        restored_at: agreed time from which it was within its limit.
+        unavailable: names of the unavailable units, in the order in which they became unavailable.
+        reserved: capacity reserved for the request that has waited longest: 0 or 1.
+        within_limit: whether at most `allowed` units are unavailable. Initially False: units that
+            were never reported count as unavailable, but must not be taken for a crash.
+        restored_at: agreed time since which the usage is within its limit.
     """
 
     __slots__ = (
@@ -124,16 +125,16 @@
         self.restored_at: Ticks = 0
 
     def is_exceeded(self) -> bool:
-        """Whether more units are unavailable than may be."""
+        """Whether more than `allowed` units are unavailable."""
         return len(self.unavailable) > self.allowed
 
     def would_exceed(self, name: str) -> bool:
-        """Whether the limit is exceeded with this unit and the reserved capacity counted too."""
+        """Whether disrupting this unit would exceed the limit, reserved capacity included."""
         unavailable = self.unavailable
         return len(unavailable) + self.reserved + (name not in unavailable) > self.allowed
 
     def compute_allowed(self) -> float:
-        """How many of its units may be unavailable."""
+        """Computes how many of the covered units may be unavailable."""
         if self.kind == BudgetKind.MOST:
             return self.amount
         if self.kind == BudgetKind.SHARE:
@@ -141,7 +142,7 @@
         return self.size - self.amount
 
     def describe_limit(self) -> str:
-        """The limit in words."""
+        """Describes the limit as a verb phrase for a sentence about the budget."""
         if self.kind == BudgetKind.MOST:
             return f"lets {self.amount} be out"
         if self.kind == BudgetKind.SHARE:
@@ -150,11 +151,11 @@
 
 
 class BudgetUsages(NamedTuple):
-    """The usage of all budgets.
+    """The usages of all budgets.
 
     Attributes:
-        by_name: every usage by its name.
-        by_unit: by unit's name the usages it belongs to, in the order of the budgets.
+        by_name: all usages by name.
+        by_unit: for each unit's name, the usages that cover it, in the order of the budgets.
     """
 
     by_name: dict[str, BudgetUsage]
@@ -162,10 +163,10 @@
 
 
 def parse_budget(declared: Any) -> Budget:
-    """Reads a declared budget.
+    """Parses a declared budget.
 
     Raises:
-        CommandRejectedError: the budget is malformed; the sentence names it.
+        CommandRejectedError: the budget is malformed; the sentence names the budget.
     """
     name = declared.get("name") if isinstance(declared, dict) else None
     if not isinstance(name, str) or not is_name(name):
@@ -190,7 +191,8 @@
 
 def _check_amount(name: str, kind: BudgetKind, amount: object) -> None:
     if kind == BudgetKind.SHARE:
-        # A whole number is most often a percentage that was meant: 10 would be ten times all.
+        # An integer is most likely meant as a percentage; as a share, 10 would be ten times all
+        # units.
         if not isinstance(amount, float) or not 0 < amount < 1:
             raise CommandRejectedError(
                 f"budget {name}: a share is a fraction over 0 and under 1", [name]
@@ -202,11 +204,15 @@
 
 
 def build_usages(budgets: list[Budget], units: dict[str, Labels]) -> BudgetUsages:
-    """Makes the usages of all budgets over units, given as labels by name; nobody is unavailable.
+    """Creates the usages of all budgets; all units count as available.
+
+    Args:
+        budgets: the budgets.
+        units: labels by unit name.
 
     Raises:
-        CommandRejectedError: a budget chooses no unit, there are too many places, or a budget
-            would never let a unit be disrupted, so that a release would wait for it for ever.
+        CommandRejectedError: a budget selects no unit, there are too many usages, or a budget
+            never allows a disruption, so that a release would wait for it forever.
     """
     usages = BudgetUsages({}, {name: [] for name in units})
     for budget in budgets:
@@ -228,7 +234,7 @@
 
 
 def _add_usages(budget: Budget, units: dict[str, Labels], usages: BudgetUsages) -> None:
-    """Adds the places of one budget and enters the units that belong to them."""
+    """Adds the usages of one budget and assigns the units that they cover."""
     matched = False
     for name in sorted(units):
         labels = units[name]
--- a/thymeknot/disruption/command_reader.py
+++ b/thymeknot/disruption/command_reader.py
@@ -1,4 +1,4 @@
-"""How commands are checked and read: the fields of each, what their values have to be, defaults."""
+"""Validation and parsing of commands: their fields, the allowed values and the defaults."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -28,29 +28,30 @@
 from .halts import HaltCause
 from .targets import CommandRejectedError, is_name
 
-# About the bytes of a command as msgpack.
+# Maximum estimated size of a command in msgpack.
 MAX_COMMAND_BYTES = 65_536
-# Lists and mappings within each other that a command may have.
+# Maximum nesting of lists and mappings in a command.
 MAX_COMMAND_DEPTH = 8
-# About the bytes of a list's, mapping's or string's head as msgpack.
+# Estimated size of the header of a list, mapping or string in msgpack.
 HEADER_BYTES = 5
-# About the bytes of a number as msgpack.
+# Estimated size of a number in msgpack.
 NUMBER_BYTES = 9
-# Characters of a sentence in a command.
+# Maximum characters of a sentence in a command.
 MAX_SENTENCE_LENGTH = 512
-# Characters of an unknown word that a rejection repeats.
+# Maximum characters of an unknown word that a rejection quotes.
 MAX_QUOTED_LENGTH = 40
-# Bits of a whole number: it has to fit a signed one of 64 bits wherever it is stored.
+# Integers in commands stay well within a signed 64-bit integer, wherever they are stored.
 MAX_INTEGER_BITS = 62
+# Marks a field that has no default.
 REQUIRED: Final = object()
 
 
 class ValueRule(NamedTuple):
-    """What a field's value has to be.
+    """The values that a field allows.
 
     Attributes:
-        is_valid: whether a value is that.
-        expected: what it has to be, in words.
+        is_valid: tells whether a value is allowed.
+        expected: the allowed values in words, for rejections.
     """
 
     is_valid: Callable[[Any], bool]
@@ -61,8 +62,8 @@
     """A field of a command.
 
     Attributes:
-        value_rule: what its value has to be.
-        default: its value if the command has none, or REQUIRED.
+        value_rule: the allowed values.
+        default: the value if the command has none, or REQUIRED.
     """
 
     value_rule: ValueRule
@@ -70,7 +71,7 @@
 
 
 def is_non_negative_integer(value: object) -> bool:
-    """Whether a value is a whole number, not negative, that can be stored."""
+    """Whether a value is a non-negative integer that fits into MAX_INTEGER_BITS."""
     return (
         isinstance(value, int)
         and not isinstance(value, bool)
@@ -79,12 +80,12 @@
 
 
 def is_sentence(value: object) -> bool:
-    """Whether a value is a sentence."""
+    """Whether a value is printable text of 1 to MAX_SENTENCE_LENGTH characters."""
     return isinstance(value, str) and 0 < len(value) <= MAX_SENTENCE_LENGTH and value.isprintable()
 
 
 def is_name_or_empty(value: object) -> bool:
-    """Whether a value is a name, or the empty text."""
+    """Whether a value is a name or the empty string."""
     return value == "" or is_name(value)
 
 
@@ -96,14 +97,14 @@
 MAPPING = ValueRule(lambda value: isinstance(value, dict), "a mapping")
 LIST = ValueRule(lambda value: isinstance(value, list), "a list")
 URGENCY = ValueRule(lambda value: is_non_negative_integer(value) and value <= 9, "0 to 9")
-# Causes that a command may state; the others are the machine's own.
+# Causes that a command may give; the state machine alone sets the others.
 CAUSE = ValueRule(
     lambda value: value in (HaltCause.OPERATOR, HaltCause.GANG, HaltCause.REQUEST_CLASS),
     "operator, gang or class",
 )
 VERDICT = ValueRule(lambda value: value in tuple(Verdict), "on, hold or back")
 
-# The fields of each command, in the order in which they are checked.
+# The fields of each command, in the order in which they are validated.
 COMMAND_FIELDS: dict[CommandName, dict[str, FieldRule]] = {
     CommandName.DECLARE: {
         "epoch": FieldRule(NON_NEGATIVE_INTEGER),
@@ -200,14 +201,15 @@
     CommandName.CANCEL: CancelCommand,
     CommandName.STATUS: StatusCommand,
 }
-# Fields whose plain values become members of an enum.
+# Fields whose plain values are converted to enum members.
 FIELD_ENUMS: dict[str, type[StrEnum]] = {"cause": HaltCause, "verdict": Verdict}
 
 
 def estimate_size(value: list[Any] | dict[Any, Any], depth: int = 0) -> int:
-    """About the bytes of a list or mapping.
+    """Estimates the size in bytes of a list or mapping in msgpack.
 
-    Gives more than any command may have if it is nested too deep or holds what is not plain.
+    Returns more than MAX_COMMAND_BYTES if the value is nested too deeply or contains anything but
+    strings, numbers, booleans, None, lists and mappings.
     """
     size = HEADER_BYTES
     for item in [*value, *value.values()] if type(value) is dict else value:
@@ -224,10 +226,13 @@
 
 
 def read_fields(command: Any) -> tuple[CommandName, dict[str, Any]]:
-    """Checks a command; gives its name and its fields by COMMAND_FIELDS, with defaults.
+    """Validates a command against COMMAND_FIELDS.
+
+    Returns:
+        The command's name, and its fields with defaults filled in.
 
     Raises:
-        CommandRejectedError: it is malformed.
+        CommandRejectedError: the command is malformed.
     """
     if type(command) is not dict or estimate_size(command) > MAX_COMMAND_BYTES:
         raise CommandRejectedError(
@@ -246,10 +251,13 @@
 
 
 def parse_command(command: Any) -> tuple[CommandName, Command]:
-    """Checks a command; gives its name and its typed form.
+    """Validates a command and converts it.
+
+    Returns:
+        The command's name, and its typed record.
 
     Raises:
-        CommandRejectedError: it is malformed.
+        CommandRejectedError: the command is malformed.
     """
     name, fields = read_fields(command)
     for field, enum in FIELD_ENUMS.items():
@@ -264,7 +272,7 @@
         try:
             return CommandName(requested)
         except ValueError:
-            pass  # the rejection below names it
+            pass  # rejected below
     raise CommandRejectedError(
         f"no command {str(requested)[:MAX_QUOTED_LENGTH]!r}; there are {', '.join(CommandName)}"
     )
--- a/thymeknot/disruption/commands.py
+++ b/thymeknot/disruption/commands.py
@@ -1,8 +1,8 @@
-"""The commands of the disruption state machine in their typed form.
+"""Typed commands of the disruption state machine.
 
-In the log a command is a mapping with `do`, its name, and its fields; `part` may say that it is for
-this machine. `command_reader` makes one of the records below of it; they have the same names for
-their fields.
+In the log, a command is a mapping of `do` (the command's name), its fields and optionally `part`
+(the state machine that it addresses). `command_reader` converts it to one of the records below,
+whose fields have the same names.
 """
 
 from enum import StrEnum
@@ -11,12 +11,12 @@
 from ..interface.clock import Ticks
 from .halts import HaltCause
 
-# What the field `part` says of a command that is for this machine.
+# The value of `part` that addresses this state machine.
 PART_NAME = "turns"
 
 
 class CommandName(StrEnum):
-    """The names of the commands; the value is what the field `do` has."""
+    """The names of the commands; the value is that of the field `do`."""
 
     DECLARE = "declare"
     REPORT_UNITS = "seen"
@@ -36,7 +36,11 @@
 
 
 class Verdict(StrEnum):
-    """The decision module's verdict on a wave of a release."""
+    """The decision module's verdict on a wave of a release.
+
+    CONTINUE allows the next wave, HOLD withdraws that before the next wave begins, and ROLL_BACK
+    halts the release and, with automatic rollback, rolls it back.
+    """
 
     CONTINUE = "on"
     HOLD = "hold"
@@ -44,13 +48,13 @@
 
 
 class DeclareCommand(NamedTuple):
-    """The operator's declaration. None leaves a part as it is.
+    """The operator's declaration of units, budgets and settings; None leaves them unchanged.
 
     Attributes:
-        epoch: the declaration's epoch; older ones are rejected.
-        units: labels by name of units to add or change.
-        gone: names of units to take away.
-        budgets: all budgets.
+        epoch: the declaration's epoch; a declaration older than the newest is rejected.
+        units: labels by name of the units to add or change.
+        gone: names of the units to remove.
+        budgets: all budgets; they replace the current ones.
         terms: settings to change, by name.
     """
 
@@ -62,11 +66,11 @@
 
 
 class ReportUnitsCommand(NamedTuple):
-    """What an observer saw.
+    """Status reports of units.
 
     Attributes:
-        as_of: the last agreed time that it had heard when it looked.
-        units: `[status, start, build]` by name.
+        as_of: the newest agreed time that the observer knew when it made the observation.
+        units: `[status, start, build]` by unit name; `start` is the number of the process's start.
     """
 
     as_of: Ticks
@@ -74,7 +78,7 @@
 
 
 class RequestPermitCommand(NamedTuple):
-    """A request for a permit; see PermitRequest. `queue` says whether it may wait."""
+    """Requests a permit; see PermitRequest. Without `queue` it is rejected if it has to wait."""
 
     unit: str
     plan: str
@@ -85,17 +89,17 @@
 
 
 class TickCommand(NamedTuple):
-    """Time goes on."""
+    """Advances agreed time and triggers what depends on it."""
 
 
 class BeginCommand(NamedTuple):
-    """An agent asks whether it may begin by the permit it has.
+    """An agent's request to confirm that it may begin the permitted disruption.
 
     Attributes:
-        unit: its unit.
+        unit: the agent's unit.
         fence: the permit's fencing token.
         epoch: the plan's epoch.
-        start: the number of the process' start.
+        start: the number of the process's start.
     """
 
     unit: str
@@ -105,14 +109,14 @@
 
 
 class ReportDrainedCommand(NamedTuple):
-    """A unit has drained, by the permit with the fencing token `fence`."""
+    """Reports that a unit has drained, under the permit with the fencing token `fence`."""
 
     unit: str
     fence: int
 
 
 class ReturnCommand(NamedTuple):
-    """A unit returns, or gives up a permit it did not begin; `fault` says why it can't return."""
+    """Reports that a unit returns or gives up its permit, or cannot return because of `fault`."""
 
     unit: str
     fence: int
@@ -120,7 +124,7 @@
 
 
 class ReportReadyCommand(NamedTuple):
-    """A unit was seen ready; see ReportUnitsCommand."""
+    """Reports that a unit is ready; see ReportUnitsCommand for the fields."""
 
     unit: str
     as_of: Ticks
@@ -129,7 +133,7 @@
 
 
 class HaltCommand(NamedTuple):
-    """Halts a release, or the units that a selector chooses; see Halt."""
+    """Halts a release, or the units that the selector `where` matches; see Halt."""
 
     by: str
     why: str
@@ -145,7 +149,7 @@
 
 
 class RollBackCommand(NamedTuple):
-    """Rolls back a release, or calls back a unit or the units of a plan; just one is given."""
+    """Rolls back a release, or calls back one unit or all units of a plan; only one is set."""
 
     release: str | None
     unit: str | None
@@ -154,7 +158,7 @@
 
 
 class StartReleaseCommand(NamedTuple):
-    """Starts a release; see Release. `wait` says whether it may wait for another release."""
+    """Starts a release; see Release. Without `wait` it is rejected while another has its units."""
 
     release: str
     epoch: int
@@ -169,7 +173,7 @@
 
 
 class VoteCommand(NamedTuple):
-    """The decision module's verdict on a wave of a release, and why."""
+    """The decision module's verdict on a wave of a release, with an optional reason."""
 
     release: str
     epoch: int
@@ -179,7 +183,7 @@
 
 
 class CancelCommand(NamedTuple):
-    """Takes back the request or permit of a unit, if it is of this plan and epoch."""
+    """Withdraws a unit's request or permit; a given plan must match, a given epoch not be older."""
 
     unit: str
     plan: str | None
@@ -187,7 +191,7 @@
 
 
 class StatusCommand(NamedTuple):
-    """Asks how a unit, or the units that a selector chooses, stand; changes nothing."""
+    """Queries the status of one unit, or of the units that a selector matches; changes nothing."""
 
     unit: str | None
     where: dict[str, Any] | None
--- a/thymeknot/disruption/declaration.py
+++ b/thymeknot/disruption/declaration.py
@@ -1,4 +1,4 @@
-"""What a declaration makes of the units, budgets and settings there are; it changes nothing."""
+"""Merges a declaration with the current units, budgets and settings, without changing them."""
 
 from typing import Any, NamedTuple
 
@@ -18,15 +18,15 @@
 )
 
 MAX_UNITS = 65_536
-# No value is within it: an unknown setting is rejected like one out of its range.
+# An empty range, so that an unknown setting is rejected like a value out of range.
 UNKNOWN_SETTING_RANGE = SettingRange(0, 1, 0)
 
 
 class Declaration(NamedTuple):
-    """All that is declared.
+    """The complete state that a declaration results in.
 
     Attributes:
-        units: labels of all units by name.
+        units: labels of all units, by name.
         budgets: all budgets.
         settings: all settings.
     """
@@ -37,10 +37,10 @@
 
 
 def read_declaration(fleet: Fleet, command: DeclareCommand) -> Declaration:
-    """Adds what a command declares to what the fleet has.
+    """Applies a declaration to copies of the fleet's units, budgets and settings.
 
     Raises:
-        CommandRejectedError: a part is malformed, or changes a unit that has a permit.
+        CommandRejectedError: a field is malformed, or changes a unit that has a permit.
     """
     units = {name: unit.labels for name, unit in fleet.units.items()}
     for name, declared in (command.units or {}).items():
--- a/thymeknot/disruption/fleet.py
+++ b/thymeknot/disruption/fleet.py
@@ -1,4 +1,4 @@
-"""All units of the fleet: the permits they have, and which of them are unavailable by budget."""
+"""The fleet: all units, their permits, and the budget usages that follow from their state."""
 
 from collections.abc import Callable
 from heapq import heapify, heappop, heappush
@@ -20,21 +20,22 @@
 
 
 class Fleet:
-    """All units, which of them are unavailable, and the fencing token that never comes twice.
+    """All units and budget usages; issues permits with strictly increasing fencing tokens.
 
     Attributes:
-        at: agreed time.
-        last_fencing_token: the token of the newest permit.
-        settings: what the operator set.
+        at: the current agreed time.
+        last_fencing_token: the fencing token of the newest permit.
+        settings: the operator's settings.
         units: all units by name.
         budgets: the declared budgets.
         usages: the usages of all budgets by name.
-        requesting: units that requested a permit and wait, by name.
+        requesting: units with a waiting permit request, by name.
         permitted: units that have a permit, by name.
-        silence_deadlines: heap of (agreed time, name): when a ready unit may have become silent.
-        capacity_freed: whether a request may fit that did not fit before.
-        newly_exceeded: budget usages that became exceeded and caused no halt yet.
-        last_report_at: agreed time of the last report of any observer.
+        silence_deadlines: heap of (agreed time, unit name): when a ready unit becomes silent unless
+            it is reported ready again.
+        capacity_freed: whether a request that did not fit before may fit now.
+        newly_exceeded: usages that exceeded their limit and have not caused a halt yet.
+        last_report_at: agreed time of the last report of any unit.
     """
 
     def __init__(self) -> None:
@@ -67,10 +68,10 @@
         }
 
     def get_unit(self, name: str) -> Unit:
-        """The unit of a name.
+        """Returns the unit with a name.
 
         Raises:
-            CommandRejectedError: none was declared.
+            CommandRejectedError: no unit of this name was declared.
         """
         unit = self.units.get(name)
         if unit is None:
@@ -78,10 +79,14 @@
         return unit
 
     def declare(self, units: dict[str, Labels], budgets: list[Budget]) -> None:
-        """Takes all units (labels by name) and budgets in place of those before.
+        """Replaces all units and budgets; units that stay declared keep their state.
+
+        Args:
+            units: labels by unit name.
+            budgets: the budgets.
 
         Raises:
-            CommandRejectedError: a budget is impossible; nothing was changed.
+            CommandRejectedError: a budget cannot be applied to the units; nothing was changed.
         """
         usages = build_usages(budgets, units)
         for name in [name for name in self.units if name not in units]:
@@ -102,7 +107,7 @@
         self.newly_exceeded = []
 
     def update_usages(self, unit: Unit) -> None:
-        """Brings the budget usages of a unit up to what it now counts as."""
+        """Updates the budget usages of a unit after its availability may have changed."""
         unavailable = not unit.is_ready(self.at, self.settings.silent)
         for usage in unit.usages:
             if unavailable and unit.name not in usage.unavailable:
@@ -121,14 +126,14 @@
             heappush(self.silence_deadlines, (unit.ready_at + self.settings.silent, unit.name))
 
     def find_exceeded_budget(self, unit: Unit) -> BudgetUsage | None:
-        """The first budget usage of a unit that is exceeded, or None."""
+        """Returns the first exceeded budget usage of a unit, or None."""
         return next((usage for usage in unit.usages if usage.is_exceeded()), None)
 
     def advance_time(self, at: Ticks) -> None:
-        """Lets agreed time go on to `at`, if that is later.
+        """Advances agreed time to `at`, if that is later.
 
-        Units that were silent too long count as unavailable. Permits that nobody began lapse; their
-        capacity stays taken, since the holder may be draining behind a partition.
+        Units that have been silent for too long count as unavailable. Permits that were not begun
+        lapse; their capacity stays in use, since the unit may be draining behind a partition.
         """
         self.at = max(self.at, at)
         while self.silence_deadlines and self.silence_deadlines[0][0] <= self.at:
@@ -138,8 +143,8 @@
             silent_unit.silence_queued = False
             self.update_usages(silent_unit)
         if self.at - self.last_report_at >= self.settings.silent:
-            # No unit at all was reported: it is the observers that are lost. All units count as
-            # unavailable, but no crash exceeded a budget.
+            # No unit was reported at all, so the observers must be lost. All units count as
+            # unavailable, but that is not a crash and must not halt the budgets.
             self.newly_exceeded = []
         for unit in [
             unit
@@ -152,16 +157,16 @@
     def record_report(
         self, unit: Unit, as_of: Ticks, status: UnitStatus, start: int, build: str
     ) -> None:
-        """Takes what an observer saw.
+        """Records a status report.
 
-        Reports that are older than the last, or of an earlier start, don't count.
+        Ignores a report that is older than the last one or from an earlier start of the process.
 
         Args:
-            unit: the unit that was seen.
-            as_of: the last agreed time that the observer had heard when it looked.
-            status: what it saw.
-            start: the number of the process' start.
-            build: the build it runs, or empty if it does not say so.
+            unit: the reported unit.
+            as_of: the newest agreed time that the observer knew when it made the observation.
+            status: the observed status.
+            start: the number of the process's start.
+            build: the build that the unit runs, or empty if unknown.
         """
         if start < unit.start or as_of < unit.reported_at:
             return
@@ -169,7 +174,7 @@
             restarted = unit.start >= 0
             unit.start = start
             if restarted:
-                # What was seen of the former start proves nothing of this one.
+                # Earlier reports say nothing about the new process.
                 unit.ready_at = -1
                 unit.status = UnitStatus.COLD
                 self.transition(unit, PermitInput.RESTARTED)
@@ -178,7 +183,7 @@
         if build:
             unit.build = build
         elif status == UnitStatus.READY and unit.state == PermitState.RETURNING:
-            # One that does not tell its build has the one it was disrupted for.
+            # Without a reported build, assume the build that the unit was disrupted for.
             unit.build = unit.granted_request.build or unit.build
         if status == UnitStatus.READY:
             unit.ready_at = as_of
@@ -187,12 +192,16 @@
         self.update_usages(unit)
 
     def transition(self, unit: Unit, event: PermitInput, *details: Any) -> bool:
-        """Takes an input of a unit's permit by PERMIT_TRANSITIONS; gives whether it did anything.
+        """Applies an input to a unit's permit according to PERMIT_TRANSITIONS.
 
         Args:
             unit: the unit.
-            event: what happened.
-            details: the PermitRequest with ASKED, the fault's sentence with FAILED, else nothing.
+            event: the input.
+            details: the PermitRequest for REQUESTED, the fault's sentence for FAILED, otherwise
+                empty.
+
+        Returns:
+            Whether the input has a transition in the current state.
         """
         transition = PERMIT_TRANSITIONS.get((unit.state, event))
         if transition is None:
@@ -224,7 +233,8 @@
         unit.evidence_valid_after = self.at
 
     def _discard_evidence(self, unit: Unit) -> None:
-        # What was seen before a halt or a call back proves nothing. The request keeps its age.
+        # Reports from before a halt or a call back no longer prove that the unit is ready. The
+        # request keeps its age.
         unit.evidence_valid_after = self.at
 
     def _reset_lapsed_permits(self, unit: Unit) -> None:
@@ -241,7 +251,7 @@
         unit.request = None
 
     def to_plain(self) -> dict[str, Any]:
-        """The fleet as a snapshot has it."""
+        """Encodes the fleet for a snapshot."""
         return {
             "at": self.at,
             "fence": self.last_fencing_token,
@@ -256,7 +266,7 @@
         }
 
     def load(self, plain: dict[str, Any]) -> None:
-        """Takes the fleet of a snapshot in place of its own."""
+        """Replaces the state by that of a snapshot."""
         self._reset()
         self.at = plain["at"]
         self.last_fencing_token = plain["fence"]
@@ -287,7 +297,7 @@
 
 
 def _update_group(group: dict[str, Unit], unit: Unit, is_member: bool) -> None:
-    """Has a unit in a group exactly while it belongs there; it keeps its place in the order."""
+    """Adds a unit to a group or removes it; a unit that is already in keeps its position."""
     if is_member:
         group[unit.name] = unit
     else:
--- a/thymeknot/disruption/halts.py
+++ b/thymeknot/disruption/halts.py
@@ -1,7 +1,7 @@
-"""Halts: what stops, why, and what ends it.
+"""Halts: their scope, their cause and the conditions that end them.
 
-A halt holds requests, ends permits that were not begun, and stops releases. It never holds a unit
-that is unavailable from returning.
+A halt blocks permit requests, ends permits that were not begun, and stops releases. It never
+prevents an unavailable unit from returning.
 """
 
 from enum import StrEnum
@@ -30,12 +30,12 @@
 
 
 class CauseRules(NamedTuple):
-    """What a halt of a cause does.
+    """The effects that depend on a halt's cause.
 
     Attributes:
-        holds_rollback_requests: whether it holds the requests of rollbacks too.
-        stops_rollbacks: whether it stops the rollbacks of releases too.
-        ends_with_budget: whether it ends when its budget is within its limit again.
+        holds_rollback_requests: whether the halt also blocks permit requests of rollbacks.
+        stops_rollbacks: whether the halt also stops the rollbacks of releases.
+        ends_with_budget: whether the halt ends once its budget is within its limit again.
     """
 
     holds_rollback_requests: bool
@@ -43,8 +43,8 @@
     ends_with_budget: bool
 
 
-# A budget that is exceeded in the middle of a rollback must not stop it: the units that exceed it
-# may be the very ones that have to be rolled back.
+# A budget that is exceeded during a rollback must not stop it: the unavailable units may be the
+# ones that have to be rolled back.
 CAUSE_RULES = {
     HaltCause.OPERATOR: CauseRules(True, True, False),
     HaltCause.VOTE: CauseRules(True, True, False),
@@ -56,17 +56,17 @@
 
 
 class Halt(NamedTuple):
-    """A halt that stands; the fields are in the order in which a snapshot has them.
+    """A halt in effect; snapshots store the fields in this order.
 
     Attributes:
-        number: its number; a later halt has a higher one.
-        selector: the units it holds, or None if it is of a release.
-        release: the release it holds, or None.
-        budget: the name of the budget usage whose excess caused it, or None.
-        cause: why it was ordered.
-        reason: the reason in words.
+        number: the halt's number; later halts have higher numbers.
+        selector: the units it applies to, or None if it applies to a release.
+        release: the name of the release it applies to, or None.
+        budget: the name of the exceeded budget usage that caused it, or None.
+        cause: the kind of cause.
+        reason: the reason as a sentence.
         ordered_by: who ordered it.
-        ordered_at: agreed time at which it was ordered.
+        ordered_at: agreed time of the order.
     """
 
     number: int
@@ -80,18 +80,18 @@
 
     @classmethod
     def from_plain(cls, plain: list[Any]) -> "Halt":
-        """Reads a halt out of a snapshot."""
+        """Decodes a halt from a snapshot."""
         number, selector, release, budget, cause, reason, ordered_by, ordered_at = plain
         return cls(
             number, selector, release, budget, HaltCause(cause), reason, ordered_by, ordered_at
         )
 
     def to_plain(self) -> list[Any]:
-        """The halt as a snapshot has it."""
+        """Encodes the halt for a snapshot."""
         return list(self._replace(cause=self.cause.value))  # type: ignore[arg-type]  # plain text
 
     def describe(self) -> str:
-        """The halt in a sentence."""
+        """Describes the halt in a sentence."""
         scope = (
             f"release {self.release}" if self.release else describe_selector(self.selector or [])
         )
@@ -99,7 +99,12 @@
 
 
 class Halts:
-    """All halts that stand, by number, in the order in which they were ordered."""
+    """All halts in effect.
+
+    Attributes:
+        last_number: the number of the newest halt.
+        by_number: the halts by number, in the order in which they were ordered.
+    """
 
     def __init__(self) -> None:
         self.last_number = 0
@@ -116,10 +121,10 @@
         release: str | None = None,
         budget: str | None = None,
     ) -> Halt:
-        """Adds a halt. One that says the same takes the place of the earlier one.
+        """Adds a halt; replaces an earlier one with the same cause, scope, budget and origin.
 
         Raises:
-            CommandRejectedError: too many halts stand.
+            CommandRejectedError: too many halts are in effect.
         """
         for halt in self.by_number.values():
             if (halt.cause, halt.selector, halt.release, halt.budget, halt.ordered_by) == (
@@ -129,7 +134,8 @@
                 budget,
                 ordered_by,
             ):
-                # Repeated it is newer: a rollback that was ordered before it stops too.
+                # The repeated halt gets a new number, so it also stops a rollback that was ordered
+                # after the earlier one.
                 del self.by_number[halt.number]
                 break
         else:
@@ -145,12 +151,12 @@
         return halt
 
     def find_halt_of_request(self, unit: "Unit", release: "Release | None") -> Halt | None:
-        """The first halt that holds a unit's request, or None.
+        """Returns the first halt that blocks a unit's request, or None.
 
         Args:
             unit: a unit with a request.
-            release: the release that requests, or None. Its rollback was ordered in knowledge of
-                all halts up to its `last_known_halt`.
+            release: the release that made the request, or None. Halts up to its `last_known_halt`
+                were known when its rollback was ordered, so they do not block the rollback.
         """
         request = unit.request
         for halt in self.by_number.values():
@@ -173,7 +179,7 @@
     def find_halt_of_release(
         self, release: "Release", unit_labels: list[Labels], is_rollback: bool
     ) -> Halt | None:
-        """The first halt that stops a release with units of these labels, or None."""
+        """Returns the first halt that stops a release with units of these labels, or None."""
         for halt in self.by_number.values():
             rules = CAUSE_RULES[halt.cause]
             if rules.ends_with_budget or (
@@ -189,7 +195,7 @@
         return None
 
     def end_halts_of_restored_budgets(self, fleet: "Fleet") -> None:
-        """Ends the halts of budgets that are restored for long enough, or are no more."""
+        """Ends halts whose budget was within its limit for long enough or is no longer declared."""
         expirable = [
             halt for halt in self.by_number.values() if CAUSE_RULES[halt.cause].ends_with_budget
         ]
@@ -202,11 +208,11 @@
                 fleet.capacity_freed = True
 
     def to_plain(self) -> list[Any]:
-        """The halts as a snapshot has them."""
+        """Encodes the halts for a snapshot."""
         halts = [halt.to_plain() for _, halt in sorted(self.by_number.items())]
         return [self.last_number, halts]
 
     def load(self, plain: list[Any]) -> None:
-        """Takes the halts of a snapshot in place of its own."""
+        """Replaces the halts by those of a snapshot."""
         self.last_number = plain[0]
         self.by_number = {halt[0]: Halt.from_plain(halt) for halt in plain[1]}
--- a/thymeknot/disruption/permit_commands.py
+++ b/thymeknot/disruption/permit_commands.py
@@ -1,4 +1,4 @@
-"""The commands that are about the permit of one unit."""
+"""Handlers of the commands that concern the permit of one unit."""
 
 from collections.abc import Callable
 
@@ -19,19 +19,19 @@
 from .status import RETRY_WAIT_TICKS, describe_unit
 from .targets import CommandRejectedError
 
-# Units whose requests wait at once; releases feed theirs in.
+# Maximum waiting requests; releases limit the number of their own.
 MAX_WAITING_REQUESTS = 1_024
-# Ticks after which to ask again for a permit when too many requests wait.
+# Ticks after which a request that was rejected for a full queue may be retried.
 FULL_QUEUE_RETRY_TICKS = 10 * TICKS_PER_SECOND
 
 
 class PermitCommands:
-    """Takes commands; each method raises CommandRejectedError if it rejects one.
+    """Handles permit commands; each handler raises CommandRejectedError to reject its command.
 
     Attributes:
         fleet: the units.
         plans: the epochs of plans.
-        find_hold: gives the sentence of a halt that holds a unit's request, or None.
+        find_hold: returns the sentence of a halt that blocks a unit's request, or None.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
         self.find_hold = find_hold
 
     def request(self, command: RequestPermitCommand) -> UnitReply:
-        """Takes a request for a permit, or raises the urgency of the one there is."""
+        """Adds a permit request, or raises the urgency of the plan's existing one."""
         unit = self.fleet.get_unit(command.unit)
         plan = command.plan
         if plan.startswith(PLAN_PREFIX):
@@ -73,7 +73,11 @@
         return UnitReply(command.unit)
 
     def _check_capacity(self, unit: Unit, request: PermitRequest) -> None:
-        """Raises CommandRejectedError if a request would have to wait."""
+        """Rejects a request that cannot be granted immediately.
+
+        Raises:
+            CommandRejectedError: a halt or a budget blocks the request.
+        """
         unit.request = request
         hold = self.find_hold(unit)
         blocking = scheduler.find_blocking_budgets(self.fleet, unit)
@@ -84,10 +88,10 @@
             raise CommandRejectedError(sentence, wait.by if wait else [], RETRY_WAIT_TICKS)
 
     def _get_permitted(self, name: str, fencing_token: int) -> Unit:
-        """The unit, if the fencing token is that of its permit.
+        """Returns the unit, if its permit has this fencing token.
 
         Raises:
-            CommandRejectedError: it has no permit, or another one.
+            CommandRejectedError: the unit has no permit, or one with another fencing token.
         """
         unit = self.fleet.get_unit(name)
         if unit.state not in PERMITTED_STATES:
@@ -105,7 +109,7 @@
         return unit
 
     def begin(self, command: BeginCommand) -> UnitReply:
-        """Confirms that a unit may begin, or rejects it."""
+        """Confirms that a unit may begin its disruption."""
         unit = self._get_permitted(command.unit, command.fence)
         plan = unit.granted_request.plan
         if command.start != unit.start:
@@ -118,7 +122,7 @@
         ):
             raise CommandRejectedError(f"epoch {command.epoch} of {plan} is over", [plan])
         if unit.state == PermitState.DRAINING:
-            return UnitReply(unit.name)  # repeated: a reply was lost
+            return UnitReply(unit.name)  # repeated command: the earlier reply was lost
         if unit.state != PermitState.GRANTED:
             raise CommandRejectedError(
                 f"unit {unit.name} is {unit.state}: it has begun already", [unit.name]
@@ -128,12 +132,16 @@
         return UnitReply(unit.name)
 
     def _check_may_begin(self, unit: Unit) -> None:
-        """Ends a permit and raises CommandRejectedError if its unit must not begin any more."""
+        """Ends the permit of a unit that may no longer begin.
+
+        Raises:
+            CommandRejectedError: a budget is exceeded, or a halt blocks the unit.
+        """
         hold = self.find_hold(unit)
         exceeded = self.fleet.find_exceeded_budget(unit)
         if exceeded and not unit.is_reported_unavailable(self.fleet.at, self.fleet.settings.silent):
-            # Others crashed since it was granted. A unit that does not serve may go: that may be
-            # what restores the budget.
+            # Other units became unavailable after the grant. A unit that does not serve may still
+            # be disrupted, since that may be what restores the budget.
             self.fleet.transition(unit, PermitInput.HALTED)
             raise CommandRejectedError(
                 scheduler.describe_usage(self.fleet, exceeded),
@@ -145,13 +153,13 @@
             raise CommandRejectedError(hold, again=RETRY_WAIT_TICKS)
 
     def record_drained(self, command: ReportDrainedCommand) -> UnitReply:
-        """A unit has drained."""
+        """Records that a unit has drained."""
         unit = self._get_permitted(command.unit, command.fence)
         self.fleet.transition(unit, PermitInput.DRAINED)
         return UnitReply(command.unit)
 
     def record_return(self, command: ReturnCommand) -> UnitReply:
-        """A unit returns, gives up a permit it did not begin, or tells why it can't return."""
+        """Records that a unit returns, gives up a permit not yet begun, or cannot return."""
         unit = self._get_permitted(command.unit, command.fence)
         was_granted = unit.state == PermitState.GRANTED
         self.fleet.transition(unit, PermitInput.REVOKED if was_granted else PermitInput.RETURNED)
@@ -160,7 +168,7 @@
         return UnitReply(command.unit)
 
     def cancel(self, command: CancelCommand) -> UnitReply:
-        """Takes back the request or permit of a unit that no release disrupts."""
+        """Withdraws the request or permit of a unit, unless a release made the request."""
         unit = self.fleet.get_unit(command.unit)
         request = unit.request
         if not request or (command.plan is not None and request.plan != command.plan):
--- a/thymeknot/disruption/permits.py
+++ b/thymeknot/disruption/permits.py
@@ -1,13 +1,14 @@
-"""A unit's permit: its states and transitions, the request for it, and the evidence of readiness.
+"""Units and their permits: states, transitions, requests, and the evidence that a unit is ready.
 
-A permit is a lease with a fencing token. The state says what was permitted; whether a unit serves
-is another matter, and only evidence tells: a unit counts as ready if it is in service (or requested
-a permit) and was seen ready, not longer ago than `silent`, and after the last doubt. Every other
-unit is unavailable: crashed, silent, unknown, warming up, permitted, or with a lapsed permit.
+A permit is a lease with a fencing token. The permit's state records what was permitted. Whether the
+unit serves is known only from reports: a unit counts as ready if it is in service (or has requested
+a permit), was reported ready within the last `silent` ticks, and that report is newer than the
+event that last invalidated its evidence. Every other unit is unavailable: crashed, silent, unknown,
+warming up, permitted, or with a lapsed permit.
 
-Evidence is dated by `as_of`, the last agreed time that the observer had heard when it looked. So it
-can't be younger than it says: a report that was delayed, or is retried, proves nothing about a unit
-that was disrupted since.
+Reports are dated by `as_of`, the newest agreed time that the observer knew when it made the
+observation. The observation is therefore never older than its date, and a report that was delayed
+or retried proves nothing about a unit that was disrupted since.
 """
 
 from dataclasses import dataclass
@@ -20,7 +21,12 @@
 
 
 class PermitState(StrEnum):
-    """Where a unit stands with its permit."""
+    """The state of a unit's permit.
+
+    IN_SERVICE and REQUESTED have no permit; REQUESTED waits for one. GRANTED has a permit that was
+    not begun, DRAINING began it, OUT_OF_SERVICE has drained, and RETURNING waits until the unit is
+    ready again.
+    """
 
     IN_SERVICE = "in"
     REQUESTED = "asked"
@@ -31,7 +37,7 @@
 
 
 class PermitInput(StrEnum):
-    """What happens to a unit's permit."""
+    """Inputs of a unit's permit."""
 
     REQUESTED = "requested"
     GRANTED = "granted"
@@ -47,7 +53,7 @@
 
 
 class PermitEffect(StrEnum):
-    """What a transition does to the unit beside its state."""
+    """What a transition does to the unit besides changing the permit's state."""
 
     QUEUE_REQUEST = "queue request"
     ISSUE_PERMIT = "issue permit"
@@ -62,7 +68,7 @@
 
 
 class UnitStatus(StrEnum):
-    """What an observer reports of a unit."""
+    """The status that an observer reports for a unit; COLD is not warm yet, GONE does not run."""
 
     READY = "ready"
     COLD = "cold"
@@ -71,7 +77,7 @@
 
 
 class PermitTransition(NamedTuple):
-    """What an input leads to.
+    """The result of an input in a state.
 
     Attributes:
         state: the next state.
@@ -82,18 +88,18 @@
     effect: PermitEffect
 
 
-# States in which a unit has a permit.
+# States in which the unit has a permit.
 PERMITTED_STATES = (
     PermitState.GRANTED,
     PermitState.DRAINING,
     PermitState.OUT_OF_SERVICE,
     PermitState.RETURNING,
 )
-# States of a unit that is not disrupted, nor permitted to be.
+# States in which the unit has no permit.
 IN_SERVICE_STATES = (PermitState.IN_SERVICE, PermitState.REQUESTED)
-# By value, for reports: looking them up here is faster than making the member.
+# For reports: looking up the member here is faster than calling UnitStatus(value).
 STATUS_BY_VALUE = {status.value: status for status in UnitStatus}
-# An input that has no transition changes nothing. Only a checked begin leads to draining.
+# An input without a transition changes nothing. Only a confirmed begin leads to draining.
 PERMIT_TRANSITIONS = {
     (state, event): PermitTransition(next_state, effect)
     for state, event, next_state, effect in (
@@ -179,11 +185,11 @@
 
     Attributes:
         requested_at: agreed time of the request.
-        urgency: 0 to 9; each degree counts as some age.
-        plan: the plan that requests.
+        urgency: 0 to 9; the setting `step` is the age in ticks that each degree is worth.
+        plan: the name of the plan that made the request.
         epoch: the plan's epoch.
         rollback: whether the unit is to be disrupted for a rollback.
-        build: the build it is to return with, or empty.
+        build: the build to return with, or empty to keep the current one.
     """
 
     requested_at: Ticks
@@ -194,31 +200,32 @@
     build: str = ""
 
     def to_plain(self) -> list[Any]:
-        """The request as a snapshot has it; its parts are the constructor's arguments."""
+        """Encodes the request for a snapshot as the list of the constructor's arguments."""
         return [self.requested_at, self.urgency, self.plan, self.epoch, self.rollback, self.build]
 
 
 class Unit:
-    """A unit, its permit, and what was reported of it.
+    """A unit, its permit, and its last reported status.
 
     Attributes:
-        name: its name.
-        labels: its labels.
-        state: where it stands with its permit.
-        state_entered_at: agreed time at which it came to that state.
-        request: the request it has or was granted; None only in service.
-        fencing_token: the token of its newest permit, 0 if it never had one.
-        permit_until: agreed time at which the permit lapses if it was not begun.
-        lapsed_permits: how many permits lapsed since one was begun.
+        name: the unit's name.
+        labels: the unit's labels.
+        state: the state of its permit.
+        state_entered_at: agreed time at which that state was entered.
+        request: the waiting or granted request; None only in service.
+        fencing_token: the fencing token of the newest permit, 0 if there was none.
+        permit_until: agreed time at which the permit lapses unless it is begun.
+        lapsed_permits: the number of permits that lapsed since one was last begun.
         reported_at: date of the last report, -1 if there was none.
-        ready_at: date of the last report of it as ready, -1 if there was none.
-        start: number of its process' start, -1 if it was never reported.
-        build: the build it runs, empty if it never said so.
-        status: what was reported last.
-        evidence_valid_after: agreed time up to which reports prove nothing, -1 if there is none.
-        fault: why it can't return, or empty.
-        usages: the budget usages it belongs to.
-        silence_queued: whether its silence is awaited in the fleet's queue.
+        ready_at: date of the last report with the status READY, -1 if there was none.
+        start: number of the process's start, -1 if the unit was never reported.
+        build: the build that the unit runs, empty if unknown.
+        status: the last reported status.
+        evidence_valid_after: agreed time; reports dated up to it do not prove that the unit is
+            ready. -1 if there is none.
+        fault: why the unit cannot return, or empty.
+        usages: the budget usages that cover the unit.
+        silence_queued: whether the unit has an entry in the fleet's `silence_deadlines`.
     """
 
     __slots__ = (
@@ -262,13 +269,17 @@
 
     @property
     def granted_request(self) -> PermitRequest:
-        """The request of a unit that is not in service without one."""
+        """The request of a unit that waits for a permit or has one.
+
+        Raises:
+            ValueError: the unit is in service and has no request.
+        """
         if self.request is None:
             raise ValueError(f"unit {self.name} is {self.state} and has no request")
         return self.request
 
     def is_reported_ready(self, at: Ticks, silent: Ticks) -> bool:
-        """Whether it was seen ready lately and since the last doubt, whatever was permitted."""
+        """Whether a recent and valid report has the status READY, whatever the permit's state."""
         return (
             self.status == UnitStatus.READY
             and self.ready_at > self.evidence_valid_after
@@ -276,14 +287,14 @@
         )
 
     def is_ready(self, at: Ticks, silent: Ticks) -> bool:
-        """Whether it counts as ready; every other unit is unavailable."""
+        """Whether the unit counts as ready; otherwise it counts as unavailable."""
         return self.state in IN_SERVICE_STATES and self.is_reported_ready(at, silent)
 
     def is_reported_unavailable(self, at: Ticks, silent: Ticks) -> bool:
-        """Whether it was reported lately not to serve.
+        """Whether the last report is recent and has a status other than READY.
 
-        Silence proves no such thing: behind a partition it may serve, and would be disrupted when
-        the partition heals.
+        A silent unit does not qualify: it may be serving behind a partition, and would be disrupted
+        when the partition heals.
         """
         return (
             self.status != UnitStatus.READY
@@ -292,7 +303,7 @@
         )
 
     def describe_unavailability(self, at: Ticks, silent: Ticks) -> str:
-        """Why it counts as unavailable, in a word or a few."""
+        """Returns why the unit counts as unavailable, as a short phrase."""
         if self.state in PERMITTED_STATES:
             return self.state.value
         if self.reported_at < 0:
@@ -302,7 +313,7 @@
         return "silent" if self.ready_at + silent <= at else "not seen since its permit ended"
 
     def to_plain(self) -> list[Any]:
-        """The unit as a snapshot has it."""
+        """Encodes the unit for a snapshot."""
         return [
             self.name,
             self.labels,
@@ -325,7 +336,7 @@
 
     @classmethod
     def from_plain(cls, plain: list[Any]) -> "Unit":
-        """Reads a unit out of a snapshot; it belongs to no budget yet."""
+        """Decodes a unit from a snapshot; its budget usages are still empty."""
         name, labels, request, stored = plain
         unit = cls(name, labels)
         unit.request = PermitRequest(*request) if request else None
--- a/thymeknot/disruption/plan_epochs.py
+++ b/thymeknot/disruption/plan_epochs.py
@@ -1,6 +1,6 @@
-"""The epochs of plans: a client that takes a plan over raises its epoch.
+"""The epochs of plans: a client that takes over a plan raises its epoch.
 
-Commands of an older epoch are rejected.
+Commands with an older epoch are rejected.
 """
 
 from typing import Any
@@ -11,7 +11,7 @@
 from .targets import CommandRejectedError
 
 MAX_PLANS = 256
-# An unused plan's epoch is remembered for a day: no command is delayed longer.
+# The epoch of an unused plan is kept for a day: no command is delayed for longer.
 UNUSED_PLAN_RETENTION_TICKS = 24 * 3_600 * TICKS_PER_SECOND
 
 
@@ -19,8 +19,8 @@
     """The epoch of a plan.
 
     Attributes:
-        epoch: the highest epoch that was heard.
-        last_used: agreed time at which it was used last.
+        epoch: the highest accepted epoch.
+        last_used: agreed time of its last use.
     """
 
     __slots__ = ("epoch", "last_used")
@@ -31,22 +31,30 @@
 
 
 class PlanEpochs:
-    """The epochs of all plans that are remembered, by the plan's name."""
+    """The epochs of all known plans.
+
+    Attributes:
+        fleet: the fleet whose permits the plans request.
+        by_name: the epochs by the plan's name.
+    """
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
         self.by_name: dict[str, PlanEpoch] = {}
 
     def has_other_epoch(self, plan: str, epoch: int) -> bool:
-        """Whether a plan is known by another epoch."""
+        """Whether a plan is known with an epoch other than this one."""
         known = self.by_name.get(plan)
         return known is not None and known.epoch != epoch
 
     def accept_epoch(self, plan: str, epoch: int) -> None:
-        """Takes a plan's epoch; a newer one ends what the older requested and was granted.
+        """Records the use of a plan's epoch.
+
+        A newer epoch withdraws the requests and the unused permits of the older one.
 
         Raises:
-            CommandRejectedError: the epoch is older than the known one, or too many are known.
+            CommandRejectedError: the epoch is older than the known one, or there are too many
+                plans.
         """
         known = self.by_name.get(plan)
         if known is None:
@@ -87,11 +95,11 @@
                 del self.by_name[name]
 
     def to_plain(self) -> dict[str, list[Any]]:
-        """The epochs as a snapshot has them."""
+        """Encodes the epochs for a snapshot."""
         return {
             name: [known.epoch, known.last_used] for name, known in sorted(self.by_name.items())
         }
 
     def load(self, plain: dict[str, list[Any]]) -> None:
-        """Takes the epochs of a snapshot in place of its own."""
+        """Replaces the epochs by those of a snapshot."""
         self.by_name = {name: PlanEpoch(*known) for name, known in plain.items()}
