--- a/thymeknot/policy/hedging.py
+++ b/thymeknot/policy/hedging.py
@@ -1,4 +1,4 @@
-"""Hedged requests: a second copy of a request whose answer is much later than its class's."""
+"""Hedged requests: a second attempt for a request that takes much longer than its class's mean."""
 
 from ..interface.actions import SetTimer
 from ..interface.enums import Idempotency
@@ -7,30 +7,30 @@
 from .load_shedding import LoadShedder
 from .retry_budget import TokenBudget
 
-HEDGE_TOKENS_MOST = 5.0  # hedged requests of one instance at once, where few share the endpoints
-HEDGES_PER_REQUEST = 0.05  # hedged requests may add so much to the traffic
-HEDGE_AFTER_MEANS = 3.0  # times the class's mean response time; the later of the two counts
-HEDGE_AFTER_OBJECTIVE = 0.4  # of the class's latency objective; the later of the two counts
-OPEN_FACTOR = 2  # room: so many times the open requests must be within the limit
+MAX_HEDGE_TOKENS = 5.0  # burst of hedged requests of one instance in a small fleet
+HEDGE_TOKENS_PER_REQUEST = 0.05  # hedged requests add at most this fraction to the traffic
+HEDGE_DELAY_LATENCY_RATIO = 3.0  # of the class's mean response time
+HEDGE_DELAY_OBJECTIVE_RATIO = 0.4  # of its latency objective; the longer delay applies
+OPEN_REQUESTS_HEADROOM = 2  # hedge only if twice the open requests are within the limit
 
 
 class Hedging:
-    """When a request is sent a second time while its first attempt is in flight.
+    """Decides when a request gets a second attempt while its first one is in flight.
 
     Attributes:
-        budget: its tokens.
-        timers: the id of the request, by the token of the timer that is set for it.
+        budget: the token budget for hedged requests.
+        timers: request ids by the token of their hedging timer.
     """
 
     def __init__(self, context: DecisionContext, admission: LoadShedder) -> None:
         self.context = context
         self.admission = admission
-        self.budget = TokenBudget(context.settings, HEDGE_TOKENS_MOST, HEDGES_PER_REQUEST)
+        self.budget = TokenBudget(context.settings, MAX_HEDGE_TOKENS, HEDGE_TOKENS_PER_REQUEST)
         self.timers: dict[int, str] = {}
         self._last_token = 0
 
     def set_timer(self, request: RequestState) -> None:
-        """Sets the timer for a request whose first attempt is sent, if it may be hedged."""
+        """Schedules the hedging timer after the first attempt, if the request may be hedged."""
         context, request_class = self.context, request.request_class
         if (
             not context.settings.hedging_allowed
@@ -39,15 +39,16 @@
             return
         objective = request_class.latency_objective
         self._last_token += 1
-        wait = max(
-            HEDGE_AFTER_MEANS * self.admission.mean_latencies.get(request_class.name, objective),
-            HEDGE_AFTER_OBJECTIVE * objective,
+        delay = max(
+            HEDGE_DELAY_LATENCY_RATIO
+            * self.admission.mean_latencies.get(request_class.name, objective),
+            HEDGE_DELAY_OBJECTIVE_RATIO * objective,
         )
         self.timers[self._last_token] = request.id
-        context.actions.append(SetTimer(context.now + int(wait), self._last_token))
+        context.actions.append(SetTimer(context.now + int(delay), self._last_token))
 
     def has_room(self, request: RequestState, open_requests: int) -> bool:
-        """Whether few requests need it and there is room for one more attempt."""
+        """Returns whether the token budget and the concurrency limit allow a hedged request."""
         context = self.context
         first_traffic_at = context.first_traffic_at or 0
         limit = self.admission.concurrency_limit(
@@ -55,7 +56,7 @@
         )
         return (
             self.budget.tokens >= 1
-            and OPEN_FACTOR * open_requests <= limit
+            and OPEN_REQUESTS_HEADROOM * open_requests <= limit
             and not request.streaming
             and request.in_flight() == 1
         )
--- a/thymeknot/policy/request_lifecycle.py
+++ b/thymeknot/policy/request_lifecycle.py
@@ -1,4 +1,4 @@
-"""A request's life: received, sent, perhaps sent again or hedged, and its final answer."""
+"""The life cycle of a request: admission, attempts, retries, hedging and the final response."""
 
 from collections.abc import Callable
 from enum import StrEnum
@@ -32,22 +32,22 @@
 
 
 class RequestPhase(StrEnum):
-    """Where a request is in its life."""
+    """The phases of a request's life cycle."""
 
     NEW = "new"
     OPEN = "open"
     ANSWERED = "answered"
-    """It has had its final answer; attempts may be in flight."""
+    """The final response was sent; attempts may still be in flight."""
 
 
 class RequestInput(StrEnum):
-    """What happens to a request."""
+    """The inputs of a request's state machine."""
 
     RECEIVED = "received"
     GIVEN_UP = "given up"
     CLIENT_LEFT = "client left"
     NOT_RUN = "unrun"
-    """An attempt ended, and it is proved that it did not run."""
+    """An attempt ended that provably did not run."""
     MAY_HAVE_RUN = "perhaps run"
     SLOW = "slow"
     ANSWERED = "answered"
@@ -63,16 +63,16 @@
     Outcome.CONNECT_FAILED: RequestInput.NOT_RUN,
     Outcome.NOT_SENT: RequestInput.NOT_RUN,
 }
-"""What the end of an attempt proves."""
+"""The input that an attempt's outcome amounts to: whether the request may have run."""
 
-MAY_HAVE_RUN_COST = 1  # tokens for a retry of what may have run; others are free
+UNSAFE_RETRY_COST = 1  # retry tokens if the request may have run; other retries are free
 
 
 class RequestLifecycle:
-    """The requests in hand.
+    """Runs the state machine of each open request.
 
     Attributes:
-        open: requests without a final answer or with attempts in flight, by id.
+        open: requests without a final response or with attempts in flight, by id.
     """
 
     def __init__(
@@ -102,7 +102,7 @@
         self.open: dict[str, RequestState] = {}
 
     def receive(self, event: RequestReceived) -> None:
-        """Takes in a request and sends or rejects it."""
+        """Registers a new request and sends or rejects it."""
         context = self.context
         now = context.now
         request_class = context.settings.request_classes[event.request_class]
@@ -115,20 +115,20 @@
         self.baseline.non_retries.add(now, not event.is_retry)
         if event.key:
             self.split.count_key(event.key)
-        self.retry_budget.count_request()
-        self.hedging.budget.count_request()
-        self._step(request, RequestInput.RECEIVED)
+        self.retry_budget.record_request()
+        self.hedging.budget.record_request()
+        self._apply_input(request, RequestInput.RECEIVED)
 
     def end_attempt(self, event: AttemptEnded) -> None:
-        """Takes in the end of an attempt."""
+        """Handles the end of an attempt."""
         request = self.open.get(event.id)
         if request is None or event.number >= len(request.attempts):
             return
         attempt = request.attempts[event.number]
         if not attempt.in_flight:
             return
-        proof = INPUT_BY_OUTCOME[event.outcome]
-        not_run = proof == RequestInput.NOT_RUN
+        request_input = INPUT_BY_OUTCOME[event.outcome]
+        not_run = request_input == RequestInput.NOT_RUN
         attempt.in_flight = False
         attempt.may_have_run = not not_run
         attempt.endpoint_state.in_flight -= 1
@@ -140,37 +140,37 @@
             event.latency,
             not_run,
         )
-        self.learn(request, attempt.endpoint_state, event)
+        self.record_outcome(request, attempt.endpoint_state, event)
         if event.outcome == Outcome.DONE:
             self.split.pin(LateResponseSeen(request.key, attempt.endpoint.build))
-        self._step(request, RequestInput.ANSWERED if event.closed else proof)
+        self._apply_input(request, RequestInput.ANSWERED if event.closed else request_input)
 
-    def end_client(self, event: ClientDisconnected) -> None:
-        """The client of a request went away."""
+    def disconnect_client(self, event: ClientDisconnected) -> None:
+        """Handles the disconnection of a request's client."""
         request = self.open.get(event.id)
         if request is not None:
-            self._step(request, RequestInput.CLIENT_LEFT)
+            self._apply_input(request, RequestInput.CLIENT_LEFT)
 
     def start_response(self, event: ResponseStarted) -> None:
-        """The response is streamed to the client: no other attempt can serve it now."""
+        """Marks the response as streaming: no other attempt can serve the request now."""
         request = self.open.get(event.id)
         if request is not None:
             request.streaming = True
 
     def fire_timer(self, token: int) -> None:
-        """A request's hedging timer is due."""
+        """Handles a hedging timer that is due."""
         context = self.context
-        name = self.hedging.timers.pop(token, None)
-        request = self.open.get(name) if name is not None else None
+        request_id = self.hedging.timers.pop(token, None)
+        request = self.open.get(request_id) if request_id is not None else None
         context.request_id = request.id if request else None
         if request:
-            self._step(request, RequestInput.SLOW)
+            self._apply_input(request, RequestInput.SLOW)
 
-    def _step(self, request: RequestState, happened: RequestInput) -> None:
-        transition = TRANSITIONS.get((request.state, happened))
+    def _apply_input(self, request: RequestState, request_input: RequestInput) -> None:
+        transition = TRANSITIONS.get((request.state, request_input))
         if transition:
-            request.state, act = transition
-            act(self, request)
+            request.state, action = transition
+            action(self, request)
 
     def _admit(self, request: RequestState) -> None:
         context = self.context
@@ -179,7 +179,7 @@
             request.request_class,
             self.open.values(),
             context.now - (context.first_traffic_at or 0),
-            recent=context.arrivals.total(context.now),
+            recent_requests=context.arrivals.total(context.now),
             draw=context.rng.draw,
         )
         if rejection:
@@ -188,115 +188,120 @@
             self.baseline.rejected.add(context.now)
             self.slowdown.add_rejection()
         if rejection or not self._send(request):
-            self._step(request, RequestInput.GIVEN_UP)
+            self._apply_input(request, RequestInput.GIVEN_UP)
 
     def _send(self, request: RequestState) -> bool:
-        """Sends an attempt where one may go; tells whether it did."""
-        if not self._may_send(request):
+        """Sends an attempt if possible; returns whether it did."""
+        if not self._can_send(request):
             return False
         for newest in self.split.builds_for(request):
             if newest and not self.exposure.allows(request.request_class, not request.attempts):
                 continue
-            known = self.selection.choose(request, newest)
-            if known:
-                self._send_to(request, known, newest)
+            endpoint = self.selection.choose(request, newest)
+            if endpoint:
+                self._send_to(request, endpoint, newest)
                 return True
         return False
 
-    def _may_send(self, request: RequestState) -> bool:
-        """Whether there is a release to send to, and time and attempts are left."""
+    def _can_send(self, request: RequestState) -> bool:
+        """Returns whether a release is known, and time and attempts are left."""
         context = self.context
-        sent, most = len(request.attempts), context.settings.max_attempts
+        sent, max_attempts = len(request.attempts), context.settings.max_attempts
         if context.release is None:
             context.explain(Reason.NO_NEWS)
         elif context.now >= request.deadline:
             context.explain(Reason.TIME_OVER, request.deadline - context.now, 0)
-        elif sent >= most:
-            context.explain(Reason.MOST_DELIVERIES, sent, most)
+        elif sent >= max_attempts:
+            context.explain(Reason.MOST_DELIVERIES, sent, max_attempts)
         else:
             return True
         return False
 
-    def _send_to(self, request: RequestState, known: EndpointState, newest: bool) -> None:
+    def _send_to(self, request: RequestState, endpoint: EndpointState, newest: bool) -> None:
         context, now = self.context, self.context.now
         self.exposure.count_sent(request.request_class, newest)
-        known.in_flight += 1
-        known.recent_attempts.add(now)
-        request.attempts.append(AttemptState(known, now))
-        until = request.deadline
+        endpoint.in_flight += 1
+        endpoint.recent_attempts.add(now)
+        request.attempts.append(AttemptState(endpoint, now))
+        attempt_deadline = request.deadline
         if request.request_class.late_priority_weight <= 0 and now < request.latency_deadline:
-            until = min(until, request.latency_deadline)  # nothing is earned after it
-        listed = known.listed
+            # A response after the latency objective has no value.
+            attempt_deadline = min(attempt_deadline, request.latency_deadline)
+        listed = endpoint.listed
         if context.reason_callback:
             context.explain(
                 Reason.SENT,
                 listed.address,
                 listed.build,
                 newest,
-                until - now,
-                self.selection.cost(known),
+                attempt_deadline - now,
+                self.selection.cost(endpoint),
             )
         number = len(request.attempts) - 1
-        context.actions.append(SendAttempt(request.id, listed.address, max(1, until - now), number))
+        context.actions.append(
+            SendAttempt(request.id, listed.address, max(1, attempt_deadline - now), number)
+        )
         if number == 0:
             self.hedging.set_timer(request)
 
-    def _earns_until(self, request: RequestState) -> Ticks:
+    def _value_deadline(self, request: RequestState) -> Ticks:
         return min(request.latency_deadline, request.deadline)
 
-    def _in_time(self, request: RequestState) -> bool:
-        """Whether a response after the class's mean time would still earn."""
+    def _can_meet_objective(self, request: RequestState) -> bool:
+        """Returns whether a response after the class's mean latency would still have value."""
         mean = self.admission.mean_latencies.get(request.request_class.name, 0)
-        return self.context.now + mean < self._earns_until(request)
+        return self.context.now + mean < self._value_deadline(request)
 
     def _retry(self, request: RequestState) -> None:
-        """An attempt ended without an answer: sends another while it can earn, or answers."""
+        """Retries after an attempt without a response, or gives up with a final response."""
         if request.in_flight():
             return
         context, now = self.context, self.context.now
-        first = request.first_possible_run()
-        cost = 0 if first is None else MAY_HAVE_RUN_COST
-        if not self._in_time(request):
+        first_run = request.first_possible_run()
+        token_cost = 0 if first_run is None else UNSAFE_RETRY_COST
+        if not self._can_meet_objective(request):
             mean = self.admission.mean_latencies.get(request.request_class.name, 0)
-            context.explain(Reason.TIME_OVER, self._earns_until(request) - now, mean)
-        elif self.retry_budget.tokens < cost:
+            context.explain(Reason.TIME_OVER, self._value_deadline(request) - now, mean)
+        elif self.retry_budget.tokens < token_cost:
             context.explain(Reason.NO_BUDGET, self.retry_budget.tokens)
-        elif first is not None and not idempotency.may_repeat(request, now, by_client=False):
-            context.explain(Reason.MAY_HAVE_RUN, first.endpoint.address, now - first.sent_at)
+        elif first_run is not None and not idempotency.may_repeat(request, now, by_client=False):
+            context.explain(
+                Reason.MAY_HAVE_RUN, first_run.endpoint.address, now - first_run.sent_at
+            )
         elif self._send(request):
-            self.retry_budget.tokens -= cost
+            self.retry_budget.tokens -= token_cost
             return
-        self._step(request, RequestInput.GIVEN_UP)
+        self._apply_input(request, RequestInput.GIVEN_UP)
 
     def _hedge(self, request: RequestState) -> None:
-        """Sends a hedged request, as long as few need it and there is room."""
+        """Sends a hedged request if the budget, the limit and the time left allow it."""
         context = self.context
         if (
             self.hedging.has_room(request, len(self.open))
-            and self._in_time(request)
+            and self._can_meet_objective(request)
             and idempotency.may_repeat(request, context.now, by_client=False)
         ):
             context.explain(Reason.SECOND_COPY, context.now - request.attempts[0].sent_at)
             self.hedging.budget.tokens -= self._send(request)
 
     def _reject(self, request: RequestState) -> None:
-        """The final answer, at once: to wait would only keep the client from trying again."""
+        """Sends the final response at once: waiting would only delay the client's own retry."""
         context, settings = self.context, self.context.settings
-        first = request.first_possible_run()
-        if first is None or idempotency.may_repeat(request, context.now, by_client=True):
-            wait = 0
+        first_run = request.first_possible_run()
+        if first_run is None or idempotency.may_repeat(request, context.now, by_client=True):
+            retry_after = 0
             if settings.retry_after_allowed:
                 objective = request.request_class.latency_objective
-                wait = min(settings.max_retry_after, objective // 2)
-            context.explain(Reason.DEFERRED, wait)
-            context.actions.append(Reject(request.id, wait))
+                retry_after = min(settings.max_retry_after, objective // 2)
+            context.explain(Reason.DEFERRED, retry_after)
+            context.actions.append(Reject(request.id, retry_after))
         else:
-            context.explain(Reason.ABANDONED, first.endpoint.address)
+            context.explain(Reason.ABANDONED, first_run.endpoint.address)
             context.actions.append(Fail(request.id))
-        self._close(request)
+        self._finish(request)
 
-    def _close(self, request: RequestState) -> None:
-        """Cancels what is in flight after the final answer."""
+    def _finish(self, request: RequestState) -> None:
+        """Cancels the attempts that are in flight after the final response."""
         context = self.context
         if context.settings.cancellation_allowed and not request.streaming:
             context.actions += [
@@ -304,37 +309,39 @@
                 for number, attempt in enumerate(request.attempts)
                 if attempt.in_flight
             ]
-        self._forget(request)
+        self._remove_if_idle(request)
 
-    def _forget(self, request: RequestState) -> None:
+    def _remove_if_idle(self, request: RequestState) -> None:
         if not request.in_flight():
             self.open.pop(request.id, None)
 
-    def learn(self, request: RequestState, known: EndpointState, event: AttemptEnded) -> None:
-        """Takes in what an attempt's end tells of its endpoint, its build and the load."""
+    def record_outcome(
+        self, request: RequestState, endpoint: EndpointState, event: AttemptEnded
+    ) -> None:
+        """Updates the statistics of the endpoint, the build and the load from an attempt's end."""
         context, outcome, latency = self.context, event.outcome, event.latency
         now, request_class = context.now, request.request_class
-        self.evidence.add_outcome(request, known, outcome, latency)
-        self.selection.read_load(known, event)
+        self.evidence.add_outcome(request, endpoint, outcome, latency)
+        self.selection.record_load(endpoint, event)
         if outcome in (Outcome.CANCELLED, Outcome.NOT_SENT):
             return
-        fraction = known.warmup_fraction(now, context.settings)
-        if not (known.on_newest_build and context.build_state == BuildState.ON_TRIAL):
-            # A build's own slowness is no overload.
-            self.admission.record_outcome(now, request_class, event, fraction)
-        self.selection.count_end(known, outcome)
+        warmup_fraction = endpoint.warmup_fraction(now, context.settings)
+        if not (endpoint.on_newest_build and context.build_state == BuildState.ON_TRIAL):
+            # Slowness of the build on trial itself must not count as overload.
+            self.admission.record_outcome(now, request_class, event, warmup_fraction)
+        self.selection.record_outcome(endpoint, outcome)
         if outcome == Outcome.DONE:
             self.admission.record_latency(now, request_class, latency)
             mean = self.admission.mean_latencies[request_class.name]
-            self.selection.count_response(known, latency, fraction, mean)
-            self.slow_start.count_response(fraction)
+            self.selection.record_response(endpoint, latency, warmup_fraction, mean)
+            self.slow_start.record_response(warmup_fraction)
 
 
 class Transition(NamedTuple):
-    """The next phase of a request, and what is done as it goes there."""
+    """The next phase of a request, and the action on entering it."""
 
     phase: RequestPhase
-    act: Callable[[RequestLifecycle, RequestState], None]
+    action: Callable[[RequestLifecycle, RequestState], None]
 
 
 TRANSITIONS: dict[tuple[str, RequestInput], Transition] = {
@@ -345,7 +352,7 @@
         RequestPhase.ANSWERED, RequestLifecycle._reject
     ),
     (RequestPhase.OPEN, RequestInput.CLIENT_LEFT): Transition(
-        RequestPhase.ANSWERED, RequestLifecycle._close
+        RequestPhase.ANSWERED, RequestLifecycle._finish
     ),
     (RequestPhase.OPEN, RequestInput.NOT_RUN): Transition(
         RequestPhase.OPEN, RequestLifecycle._retry
@@ -355,16 +362,16 @@
     ),
     (RequestPhase.OPEN, RequestInput.SLOW): Transition(RequestPhase.OPEN, RequestLifecycle._hedge),
     (RequestPhase.OPEN, RequestInput.ANSWERED): Transition(
-        RequestPhase.ANSWERED, RequestLifecycle._close
+        RequestPhase.ANSWERED, RequestLifecycle._finish
     ),
     (RequestPhase.ANSWERED, RequestInput.ANSWERED): Transition(
-        RequestPhase.ANSWERED, RequestLifecycle._forget
+        RequestPhase.ANSWERED, RequestLifecycle._remove_if_idle
     ),
     (RequestPhase.ANSWERED, RequestInput.NOT_RUN): Transition(
-        RequestPhase.ANSWERED, RequestLifecycle._forget
+        RequestPhase.ANSWERED, RequestLifecycle._remove_if_idle
     ),
     (RequestPhase.ANSWERED, RequestInput.MAY_HAVE_RUN): Transition(
-        RequestPhase.ANSWERED, RequestLifecycle._forget
+        RequestPhase.ANSWERED, RequestLifecycle._remove_if_idle
     ),
 }
-"""What an input does in a phase. What is missing changes nothing."""
+"""Transitions by phase and input. Inputs that are not listed for a phase are ignored."""
