--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -29,32 +29,32 @@
 BUDGETS = [{"name": "racks", "each": "rack", "most": 1}, {"name": "all", "least": 5}]
 
 
-def made(terms=None, machine=DisruptionStateMachine, ready=NAMES):
-    one = machine()
+def made(terms=None, machine_class=DisruptionStateMachine, ready_units=NAMES):
+    machine = machine_class()
     units = {
         name: {"kind": "pod", "rack": f"r{number // 2}", "zone": "z"}
         for number, name in enumerate(NAMES)
     }
-    assert "ok" in one.apply(
+    assert "ok" in machine.apply(
         0, {"do": "declare", "epoch": 1, "units": units, "budgets": BUDGETS, "terms": terms or {}}
     )
-    see(one, 1, ready)
-    return one
+    report(machine, 1, ready_units)
+    return machine
 
 
-def see(one, at, names, status="ready", build="old", start=0):
-    return one.apply(
+def report(machine, at, names, status="ready", build="old", start=0):
+    return machine.apply(
         at, {"do": "seen", "as_of": at, "units": {name: [status, start, build] for name in names}}
     )
 
 
-def ask(one, at, name, plan="ann", **more):
-    return one.apply(at, {"do": "ask", "unit": name, "plan": plan, "epoch": 1, **more})
+def request_permit(machine, at, name, plan="ann", **fields):
+    return machine.apply(at, {"do": "ask", "unit": name, "plan": plan, "epoch": 1, **fields})
 
 
-def begin(one, at, reply, **more):
+def begin_disruption(machine, at, reply, **fields):
     order = reply["order"]
-    return one.apply(
+    return machine.apply(
         at,
         {
             "do": "begin",
@@ -62,14 +62,14 @@
             "fence": order["fence"],
             "epoch": order["epoch"],
             "start": 0,
-            **more,
+            **fields,
         },
     )
 
 
-class Budgets(unittest.TestCase):
-    def test_an_impossible_budget_is_refused_by_its_name(self):
-        for budget, word in (
+class BudgetTests(unittest.TestCase):
+    def test_rejects_impossible_budget_with_its_name(self):
+        for budget, expected in (
             ({"name": "b", "most": 0}, "nobody could ever go out"),
             ({"name": "b", "least": 8}, "8"),
             ({"name": "b", "share": 0.1}, "0.1 of 8"),
@@ -80,97 +80,104 @@
         ):
             reply = made().apply(2, {"do": "declare", "epoch": 2, "budgets": [budget]})
             self.assertIn("budget b", reply["refused"])
-            self.assertIn(word, reply["refused"])
+            self.assertIn(expected, reply["refused"])
 
-    def test_nested_budgets_hold_together_and_are_named(self):
-        one = made()
-        self.assertEqual(ask(one, 2, "u0")["state"], "granted")
-        reply = ask(one, 2, "u1")
+    def test_applies_overlapping_budgets_and_names_the_blocking_one(self):
+        machine = made()
+        self.assertEqual(request_permit(machine, 2, "u0")["state"], "granted")
+        reply = request_permit(machine, 2, "u1")
         self.assertEqual((reply["state"], reply["by"]), ("asked", ["racks/r0", "u0"]))
         self.assertIn("u0 (granted)", reply["waits"])
         self.assertEqual(
-            [ask(one, 2, name)["state"] for name in ("u2", "u4", "u6")],
+            [request_permit(machine, 2, name)["state"] for name in ("u2", "u4", "u6")],
             ["granted", "granted", "asked"],
         )
-        self.assertIn("budget all", ask(one, 2, "u7", queue=False)["refused"])
-
-    def test_unknown_cold_silent_and_gone_count_as_out(self):
-        one = made(ready=NAMES[:6])
-        see(one, 2, ["u6"], "cold")
-        self.assertEqual(ask(one, 3, "u0")["state"], "granted")
-        self.assertIn("u6 (cold), u7 (unknown)", ask(one, 3, "u2")["waits"])
-
-    def test_a_lapsed_permit_frees_its_room_only_when_the_holder_is_seen_since(self):
-        one = made()
-        ask(one, 2, "u0")
-        see(one, 50_000, NAMES)
-        see(one, 100_000, NAMES)
-        self.assertEqual(one.apply(100_001, {"do": "status", "unit": "u0"})["state"], "granted")
-        one.apply(100_003, {"do": "tick"})
-        self.assertEqual(ask(one, 100_003, "u1")["by"], ["racks/r0", "u0"])
-        one.apply(
+        self.assertIn("budget all", request_permit(machine, 2, "u7", queue=False)["refused"])
+
+    def test_unknown_and_cold_units_count_as_unavailable(self):
+        machine = made(ready_units=NAMES[:6])
+        report(machine, 2, ["u6"], "cold")
+        self.assertEqual(request_permit(machine, 3, "u0")["state"], "granted")
+        self.assertIn("u6 (cold), u7 (unknown)", request_permit(machine, 3, "u2")["waits"])
+
+    def test_lapsed_permit_frees_capacity_only_after_newer_report(self):
+        machine = made()
+        request_permit(machine, 2, "u0")
+        report(machine, 50_000, NAMES)
+        report(machine, 100_000, NAMES)
+        self.assertEqual(machine.apply(100_001, {"do": "status", "unit": "u0"})["state"], "granted")
+        machine.apply(100_003, {"do": "tick"})
+        self.assertEqual(request_permit(machine, 100_003, "u1")["by"], ["racks/r0", "u0"])
+        machine.apply(
             100_010, {"do": "seen", "as_of": 100_002, "units": {"u0": ["ready", 0, ""]}}
         )  # an old look
-        self.assertEqual(ask(one, 100_010, "u1")["state"], "asked")
-        see(one, 100_011, ["u0"])
-        self.assertEqual(ask(one, 100_011, "u1")["state"], "granted")
+        self.assertEqual(request_permit(machine, 100_010, "u1")["state"], "asked")
+        report(machine, 100_011, ["u0"])
+        self.assertEqual(request_permit(machine, 100_011, "u1")["state"], "granted")
 
 
-class Permits(unittest.TestCase):
-    def test_begin_reads_fence_epoch_start_time_and_halts(self):
-        one = made()
-        reply = ask(one, 2, "u0")
-        for more, word in (
+class PermitTests(unittest.TestCase):
+    def test_begin_checks_fencing_token_epoch_start_and_halts(self):
+        machine = made()
+        reply = request_permit(machine, 2, "u0")
+        for fields, expected in (
             ({"fence": 9}, "newest is 1"),
             ({"epoch": 0}, "epoch 0"),
             ({"start": 7}, "another start"),
         ):
-            self.assertIn(word, begin(one, 3, reply, **more)["refused"])
-        self.assertIn("ok", begin(one, 3, reply))
-        self.assertIn("ok", begin(one, 4, reply), "said twice")
-        other = ask(one, 5, "u2")
-        halt = one.apply(6, {"do": "halt", "by": "ann", "why": "smoke", "where": {}})
-        self.assertIn("no permit", begin(one, 7, other)["refused"])
-        self.assertIn("halt 1 by ann of all: smoke", ask(one, 7, "u2")["waits"])
-        see(one, 8, NAMES)
-        one.apply(9, {"do": "resume", "halt": halt["halt"]})
-        self.assertIn("newest is 3", begin(one, 10, other)["refused"])
-
-    def test_a_newer_epoch_ends_what_the_older_was_granted(self):
-        one = made()
-        reply = ask(one, 2, "u0", "moves")
-        self.assertIn("ok", one.apply(3, {"do": "ask", "unit": "u4", "plan": "moves", "epoch": 2}))
-        self.assertIn("no permit", begin(one, 4, reply)["refused"])
-        self.assertIn("epoch 1 of moves is over", ask(one, 5, "u0", "moves")["refused"])
-
-    def test_who_crashed_since_the_grant_is_counted_at_the_begin(self):
-        one = made()
-        reply = ask(one, 2, "u0")
-        see(one, 3, ["u1"], "gone")
-        self.assertIn("u1 (gone)", begin(one, 4, reply)["refused"])
-
-    def test_age_wins_over_urgency_and_room_is_kept_for_who_waits(self):
-        one = made({"patience": 10, "step": 50, "silent": 600_000})
-        ask(one, 2, "u0"), ask(one, 2, "u2")
-        begin(one, 2, ask(one, 2, "u0")), begin(one, 2, ask(one, 2, "u2"))
-        ask(one, 3, "u1")  # waits for u0's rack; all has one place left
-        self.assertEqual(ask(one, 20, "u4", urgency=0)["state"], "asked")
-        self.assertIn("kept", one.apply(20, {"do": "status", "unit": "u4"})["waits"])
-        one.apply(21, {"do": "cancel", "unit": "u0"})
-        see(one, 22, ["u0"])
+            self.assertIn(expected, begin_disruption(machine, 3, reply, **fields)["refused"])
+        self.assertIn("ok", begin_disruption(machine, 3, reply))
+        self.assertIn("ok", begin_disruption(machine, 4, reply), "said twice")
+        second = request_permit(machine, 5, "u2")
+        halt = machine.apply(6, {"do": "halt", "by": "ann", "why": "smoke", "where": {}})
+        self.assertIn("no permit", begin_disruption(machine, 7, second)["refused"])
+        self.assertIn("halt 1 by ann of all: smoke", request_permit(machine, 7, "u2")["waits"])
+        report(machine, 8, NAMES)
+        machine.apply(9, {"do": "resume", "halt": halt["halt"]})
+        self.assertIn("newest is 3", begin_disruption(machine, 10, second)["refused"])
+
+    def test_newer_epoch_revokes_permits_of_older_epoch(self):
+        machine = made()
+        reply = request_permit(machine, 2, "u0", "moves")
+        self.assertIn(
+            "ok", machine.apply(3, {"do": "ask", "unit": "u4", "plan": "moves", "epoch": 2})
+        )
+        self.assertIn("no permit", begin_disruption(machine, 4, reply)["refused"])
+        self.assertIn(
+            "epoch 1 of moves is over", request_permit(machine, 5, "u0", "moves")["refused"]
+        )
+
+    def test_begin_counts_units_that_crashed_after_the_grant(self):
+        machine = made()
+        reply = request_permit(machine, 2, "u0")
+        report(machine, 3, ["u1"], "gone")
+        self.assertIn("u1 (gone)", begin_disruption(machine, 4, reply)["refused"])
+
+    def test_old_request_outweighs_urgency_and_reserves_capacity(self):
+        machine = made({"patience": 10, "step": 50, "silent": 600_000})
+        request_permit(machine, 2, "u0"), request_permit(machine, 2, "u2")
+        (
+            begin_disruption(machine, 2, request_permit(machine, 2, "u0")),
+            begin_disruption(machine, 2, request_permit(machine, 2, "u2")),
+        )
+        request_permit(machine, 3, "u1")  # waits for u0's rack; all has one place left
+        self.assertEqual(request_permit(machine, 20, "u4", urgency=0)["state"], "asked")
+        self.assertIn("kept", machine.apply(20, {"do": "status", "unit": "u4"})["waits"])
+        machine.apply(21, {"do": "cancel", "unit": "u0"})
+        report(machine, 22, ["u0"])
         self.assertEqual(
-            [one.apply(23, {"do": "status", "unit": name})["state"] for name in ("u1", "u4")],
+            [machine.apply(23, {"do": "status", "unit": name})["state"] for name in ("u1", "u4")],
             ["granted", "granted"],
         )
 
 
-class Nonsense(unittest.TestCase):
-    def test_every_bad_command_gets_a_sentence_and_changes_nothing(self):
-        one = made()
-        before = json.dumps(one.image())
-        deep = []
+class CommandValidationTests(unittest.TestCase):
+    def test_malformed_command_is_rejected_with_reason_and_changes_nothing(self):
+        machine = made()
+        snapshot = json.dumps(machine.image())
+        nested = []
         for _ in range(20):
-            deep = [deep]
+            nested = [nested]
         for command in (
             None,
             [],
@@ -189,7 +196,7 @@
             {"do": "ask", "unit": "u0", "plan": "p", "epoch": True},
             {"do": "ask", "unit": "u" * 129, "plan": "p", "epoch": 1},
             {"do": "seen", "as_of": 10**9, "units": {}},
-            {"do": "seen", "as_of": 0, "units": deep},
+            {"do": "seen", "as_of": 0, "units": nested},
             {"do": "seen", "as_of": 0, "units": {"u0": object()}},
             {"do": "halt", "by": "a", "why": "b"},
             {"do": "halt", "by": "a", "why": "b", "where": {"x": 1}},
@@ -212,12 +219,12 @@
             {"do": "declare", "epoch": 2, "terms": {"bound": 0}},
             {"do": "declare", "epoch": 2, "gone": ["u9"]},
         ):
-            reply = one.apply(1, command)
+            reply = machine.apply(1, command)
             self.assertGreater(len(reply.get("refused", "").split()), 2, command)
-        self.assertEqual(json.dumps(one.image()), before)
+        self.assertEqual(json.dumps(machine.image()), snapshot)
 
-    def test_a_command_of_any_shape_never_raises(self):
-        chance = random.Random(5)
+    def test_random_commands_never_raise(self):
+        generator = random.Random(5)
         values = [
             "u0",
             "u1",
@@ -245,24 +252,24 @@
             {"u0": {"kind": "pod"}},
             [BUDGETS[0]],
         ]
-        one = made()
+        machine = made()
         for at in range(6_000):
-            do = chance.choice([*COMMAND_FIELDS]).value
+            name = generator.choice([*COMMAND_FIELDS]).value
             command = {
-                "do": do,
+                "do": name,
                 **{
-                    field: chance.choice(values)
-                    for field in COMMAND_FIELDS[do]
-                    if chance.random() < 0.9
+                    field: generator.choice(values)
+                    for field in COMMAND_FIELDS[name]
+                    if generator.random() < 0.9
                 },
             }
-            reply = one.apply(at, command)
+            reply = machine.apply(at, command)
             self.assertTrue(("ok" in reply) != ("refused" in reply))
 
-    def test_an_image_taken_up_goes_on_the_same(self):
-        world = SimulatedFleet(3, *make_layout(3, 2, 4))
-        world.run(8)
-        world.submit(
+    def test_restored_snapshot_continues_identically(self):
+        fleet = SimulatedFleet(3, *make_layout(3, 2, 4))
+        fleet.run(8)
+        fleet.submit(
             do="release",
             release="r",
             epoch=1,
@@ -272,28 +279,30 @@
             waves=[1],
             gate=False,
         )
-        world.run(12)
-        world.crash("unit-003")
-        world.run(5)
-        one, other = world.service.machine, DisruptionStateMachine()
-        other.load(json.loads(json.dumps(one.image())))
-        apply, same = one.apply, []
-
-        def both(at, command):
+        fleet.run(12)
+        fleet.crash("unit-003")
+        fleet.run(5)
+        machine, restored = fleet.service.machine, DisruptionStateMachine()
+        restored.load(json.loads(json.dumps(machine.image())))
+        apply, equal_replies = machine.apply, []
+
+        def apply_to_both(at, command):
             reply = apply(at, command)
-            same.append(reply == other.apply(at, command))
+            equal_replies.append(reply == restored.apply(at, command))
             return reply
 
-        one.apply = both
-        world.run(20)
-        self.assertTrue(all(same) and len(same) > 500)
-        self.assertEqual(one.image(), other.image())
+        machine.apply = apply_to_both
+        fleet.run(20)
+        self.assertTrue(all(equal_replies) and len(equal_replies) > 500)
+        self.assertEqual(machine.image(), restored.image())
 
 
-class HolderAlone(unittest.TestCase):
-    def order(self, holder, now, **more):
-        """It beats at `now` and is told at once to begin; gives the tokens of what it asked."""
-        token = next(facts[0] for what, *facts in holder.advance_time(now) if what == "propose")
+class AgentTests(unittest.TestCase):
+    def receive_begin_order(self, agent, now, **fields):
+        """It beats at `now` and is told at once to begin; gives the tokens of kind it asked."""
+        token = next(
+            arguments[0] for kind, *arguments in agent.advance_time(now) if kind == "propose"
+        )
         order = {
             "do": "begin",
             "fence": 1,
@@ -301,41 +310,41 @@
             "epoch": 1,
             "left": 100_000,
             "build": "",
-            **more,
+            **fields,
         }
         return [
-            facts[0]
-            for what, *facts in holder.receive_reply(
+            arguments[0]
+            for kind, *arguments in agent.receive_reply(
                 now, token, {"ok": True, "at": 5, "orders": {"u": order}}
             )
-            if what == "propose" and facts[1]["do"] == "begin"
+            if kind == "propose" and arguments[1]["do"] == "begin"
         ]
 
-    def test_a_yes_counts_within_the_bound_alone(self):
-        for late, drains in ((19_000, True), (19_900, False), (50_000, False)):
-            holder = DisruptionAgent("u", 0, "old")
-            (token,) = self.order(holder, 100)
-            effects = holder.receive_reply(100 + late, token, {"ok": True, "at": 6})
-            self.assertEqual(any(what == "drain" for what, *_ in effects), drains, late)
-            self.assertEqual(holder.state, "draining" if drains else "in")
-
-    def test_old_fences_and_epochs_are_not_begun_again(self):
-        holder = DisruptionAgent("u", 0, "old")
-        (token,) = self.order(holder, 100, fence=4, epoch=3)
-        holder.receive_reply(101, token, {"refused": "halted", "by": [], "again": 0, "at": 6})
-        self.assertEqual(self.order(holder, 10_000, fence=4, epoch=3), [])
-        self.assertEqual(self.order(holder, 20_000, fence=5, epoch=2), [])
-        self.assertEqual(len(self.order(holder, 30_000, fence=5, epoch=3)), 1)
-
-    def test_alone_it_begins_nothing_and_comes_back(self):
-        holder = DisruptionAgent("u", 0, "old")
-        (token,) = self.order(holder, 0)
-        holder.receive_reply(10, token, {"ok": True, "at": 6})
-        holder.finish_drain(20)
-        self.assertTrue(holder.is_frozen(90_000))
-        self.assertIn(("return", "new"), holder.finish_disruption(90_000, "new"))
-        self.assertIn(("serve",), holder.finish_return(95_000, "new"))
-        self.assertEqual(holder.state, "in")
+    def test_confirmation_is_valid_only_within_bound(self):
+        for delay, drains in ((19_000, True), (19_900, False), (50_000, False)):
+            agent = DisruptionAgent("u", 0, "old")
+            (token,) = self.receive_begin_order(agent, 100)
+            actions = agent.receive_reply(100 + delay, token, {"ok": True, "at": 6})
+            self.assertEqual(any(kind == "drain" for kind, *_ in actions), drains, delay)
+            self.assertEqual(agent.state, "draining" if drains else "in")
+
+    def test_does_not_begin_with_old_fencing_token_or_epoch(self):
+        agent = DisruptionAgent("u", 0, "old")
+        (token,) = self.receive_begin_order(agent, 100, fence=4, epoch=3)
+        agent.receive_reply(101, token, {"refused": "halted", "by": [], "again": 0, "at": 6})
+        self.assertEqual(self.receive_begin_order(agent, 10_000, fence=4, epoch=3), [])
+        self.assertEqual(self.receive_begin_order(agent, 20_000, fence=5, epoch=2), [])
+        self.assertEqual(len(self.receive_begin_order(agent, 30_000, fence=5, epoch=3)), 1)
+
+    def test_returns_to_service_while_frozen(self):
+        agent = DisruptionAgent("u", 0, "old")
+        (token,) = self.receive_begin_order(agent, 0)
+        agent.receive_reply(10, token, {"ok": True, "at": 6})
+        agent.finish_drain(20)
+        self.assertTrue(agent.is_frozen(90_000))
+        self.assertIn(("return", "new"), agent.finish_disruption(90_000, "new"))
+        self.assertIn(("serve",), agent.finish_return(95_000, "new"))
+        self.assertEqual(agent.state, "in")
 
 
 class Search(RuleBasedStateMachine):
@@ -462,10 +471,10 @@
         assert other.image() == self.one.image()
 
 
-def search(machine=DisruptionStateMachine, examples=60):
-    kind = type("Search", (Search,), {"machine": machine})
+def run_model_test(machine_class=DisruptionStateMachine, examples=60):
+    model = type("Search", (Search,), {"machine": machine_class})
     run_state_machine_as_test(
-        kind,
+        model,
         settings=settings(
             max_examples=examples,
             stateful_step_count=30,
@@ -480,49 +489,51 @@
     )
 
 
-class Changed:
+class PatchedAttribute:
     """A module's or class' attribute replaced for a while."""
 
-    def __init__(self, owner, name, value):
-        self.owner, self.name, self.value = owner, name, value
+    def __init__(self, owner, name, replacement):
+        self.owner, self.name, self.replacement = owner, name, replacement
 
     def __enter__(self):
-        self.was = getattr(self.owner, self.name)
-        setattr(self.owner, self.name, self.value)
+        self.original = getattr(self.owner, self.name)
+        setattr(self.owner, self.name, self.replacement)
 
     def __exit__(self, *_):
-        setattr(self.owner, self.name, self.was)
+        setattr(self.owner, self.name, self.original)
 
 
-class NoFence(DisruptionStateMachine):
+class IgnoresFencingTokens(DisruptionStateMachine):
     """Takes any permit of a unit that was ever granted."""
 
     def _begin(self, command):
-        one = self.fleet.get_unit(command.unit)
-        if one.state == PermitState.IN_SERVICE and command.fence <= one.fencing_token:
-            one.state = PermitState.GRANTED
-        one.request = one.request or PermitRequest(0, 0, "x", command.epoch)
-        return super()._begin(command._replace(fence=one.fencing_token))
+        unit = self.fleet.get_unit(command.unit)
+        if unit.state == PermitState.IN_SERVICE and command.fence <= unit.fencing_token:
+            unit.state = PermitState.GRANTED
+        unit.request = unit.request or PermitRequest(0, 0, "x", command.epoch)
+        return super()._begin(command._replace(fence=unit.fencing_token))
 
 
-class Broken(unittest.TestCase):
+class FaultDetectionTests(unittest.TestCase):
     """Each of these has to be found, by the search or by the checker that looks from outside at who serves."""
 
-    def test_the_search_finds_nothing_in_the_real_one(self):
-        search()
+    def test_model_finds_no_violation_in_correct_machine(self):
+        run_model_test()
 
-    def test_fencing_unread(self):
+    def test_model_detects_ignored_fencing_tokens(self):
         with self.assertRaises(AssertionError):
-            search(NoFence, 300)
+            run_model_test(IgnoresFencingTokens, 300)
 
-    def test_lapsed_permits_freed(self):
-        with Changed(Fleet, "_end_permit", lambda self, unit: setattr(unit, "request", None)):
-            self.assertIn("A1", self.lapse(None))
+    def test_detects_capacity_freed_by_lapsed_permit(self):
+        with PatchedAttribute(
+            Fleet, "_end_permit", lambda self, unit: setattr(unit, "request", None)
+        ):
+            self.assertIn("A1", self.request_after_lapse(None))
 
-    def test_halt_told_to_reachable_ones_only(self):
+    def test_detects_halt_enforced_for_reachable_units_only(self):
         """Stops those who hear it, and goes on saying yes to the others."""
 
-        class Told(DisruptionStateMachine):
+        class HaltsReachableUnitsOnly(DisruptionStateMachine):
             def _halt(self, command):
                 self.reachable = {
                     name
@@ -536,67 +547,71 @@
                     return None
                 return super().find_hold(unit)
 
-        self.assertIn("A3", self.halted(Told))
-        self.assertEqual(self.halted(DisruptionStateMachine), "")
+        self.assertIn("A3", self.find_halt_violations(HaltsReachableUnitsOnly))
+        self.assertEqual(self.find_halt_violations(DisruptionStateMachine), "")
 
-    def test_holders_without_a_bound(self):
-        with Changed(DisruptionAgent, "local_bound", lambda self: 10**9):
-            self.assertIn("A2", self.halted(DisruptionStateMachine, slow=True))
-        self.assertEqual(self.halted(DisruptionStateMachine, slow=True), "")
+    def test_detects_agents_without_bound(self):
+        with PatchedAttribute(DisruptionAgent, "local_bound", lambda self: 10**9):
+            self.assertIn(
+                "A2", self.find_halt_violations(DisruptionStateMachine, slow_replies=True)
+            )
+        self.assertEqual(self.find_halt_violations(DisruptionStateMachine, slow_replies=True), "")
 
-    def test_a_way_back_outside_the_budgets(self):
-        def loose(fleet, find_hold, grant_permits=scheduler.grant_permits):
-            for unit in [one for one in fleet.requesting.values() if one.request.rollback]:
+    def test_detects_rollback_outside_budgets(self):
+        def grant_all_rollbacks(fleet, find_hold, grant_permits=scheduler.grant_permits):
+            for unit in [
+                waiting for waiting in fleet.requesting.values() if waiting.request.rollback
+            ]:
                 fleet.transition(unit, PermitInput.GRANTED)
             grant_permits(fleet, find_hold)
 
-        def unasked(self, unit, find_exceeded=Fleet.find_exceeded_budget):
+        def ignore_budgets_of_rollbacks(self, unit, find_exceeded=Fleet.find_exceeded_budget):
             return None if unit.request.rollback else find_exceeded(self, unit)
 
-        with Changed(scheduler, "grant_permits", loose):
-            self.assertEqual(self.back(), "", "the begin is checked by itself")
+        with PatchedAttribute(scheduler, "grant_permits", grant_all_rollbacks):
+            self.assertEqual(self.find_rollback_violations(), "", "the begin is checked by itself")
         with (
-            Changed(scheduler, "grant_permits", loose),
-            Changed(Fleet, "find_exceeded_budget", unasked),
+            PatchedAttribute(scheduler, "grant_permits", grant_all_rollbacks),
+            PatchedAttribute(Fleet, "find_exceeded_budget", ignore_budgets_of_rollbacks),
         ):
-            self.assertIn("A1", self.back())
-        self.assertEqual(self.back(), "")
-
-    def test_silence_taken_for_death(self):
-        """Of a dead one it is known that its going takes nothing away; of all that are silent after a blackout not."""
-
-        def dark():
-            world = SimulatedFleet(9, *make_layout(3, 2, 5))
-            world.run(8)
-            for name in sorted(world.units):
-                world.submit(do="ask", unit=name, plan="ann", epoch=1)
-            world.service.lose()
-            world.run(20)
-            world.service.restart()
-            return " ".join(world.run(10).checker.violations)
-
-        with Changed(
+            self.assertIn("A1", self.find_rollback_violations())
+        self.assertEqual(self.find_rollback_violations(), "")
+
+    def test_detects_silence_treated_as_unavailability(self):
+        """Of a dead machine it is known that its going takes nothing away; of all that are silent after a blackout not."""
+
+        def find_outage_violations():
+            fleet = SimulatedFleet(9, *make_layout(3, 2, 5))
+            fleet.run(8)
+            for name in sorted(fleet.units):
+                fleet.submit(do="ask", unit=name, plan="ann", epoch=1)
+            fleet.service.lose()
+            fleet.run(20)
+            fleet.service.restart()
+            return " ".join(fleet.run(10).checker.violations)
+
+        with PatchedAttribute(
             Unit,
             "is_reported_unavailable",
             lambda self, at, silent: not self.is_reported_ready(at, silent),
         ):
-            self.assertIn("A1", dark())
-        self.assertEqual(dark(), "")
+            self.assertIn("A1", find_outage_violations())
+        self.assertEqual(find_outage_violations(), "")
 
-    def test_evidence_without_a_date(self):
-        def undated(self, unit, as_of, *told, record_report=Fleet.record_report):
-            record_report(self, unit, self.at, *told)
+    def test_detects_undated_reports(self):
+        def record_report_undated(self, unit, as_of, *report, record_report=Fleet.record_report):
+            record_report(self, unit, self.at, *report)
 
-        one = made()
-        with Changed(Fleet, "record_report", undated):
-            self.assertEqual(self.old_look(one), "granted")
-        self.assertEqual(self.old_look(made()), "asked")
+        machine = made()
+        with PatchedAttribute(Fleet, "record_report", record_report_undated):
+            self.assertEqual(self.request_after_late_report(machine), "granted")
+        self.assertEqual(self.request_after_late_report(made()), "asked")
 
-    def old_look(self, one):
+    def request_after_late_report(self, machine):
         """A look at u0 from before its permit lapsed comes after that."""
-        ask(one, 2, "u0")
-        one.apply(100_003, {"do": "tick"})
-        one.apply(
+        request_permit(machine, 2, "u0")
+        machine.apply(100_003, {"do": "tick"})
+        machine.apply(
             100_010,
             {
                 "do": "seen",
@@ -604,49 +619,50 @@
                 "units": {"u0": ["ready", 0, ""], "u1": ["ready", 0, ""]},
             },
         )
-        see(one, 100_011, NAMES[1:])
-        return ask(one, 100_012, "u1")["state"]
+        report(machine, 100_011, NAMES[1:])
+        return request_permit(machine, 100_012, "u1")["state"]
 
-    def lapse(self, machine):
+    def request_after_lapse(self, machine_class):
         """u0 is granted and says nothing; its room is given to u1 when its permit lapses."""
-        one = made()
-        ask(one, 2, "u0")
-        see(one, 50_000, NAMES)
-        see(one, 99_999, NAMES)
-        one.apply(100_003, {"do": "tick"})
-        return "A1" if ask(one, 100_004, "u1")["state"] == "granted" else ""
-
-    def halted(self, machine, slow=False):
-        world = SimulatedFleet(
+        machine = made()
+        request_permit(machine, 2, "u0")
+        report(machine, 50_000, NAMES)
+        report(machine, 99_999, NAMES)
+        machine.apply(100_003, {"do": "tick"})
+        return "A1" if request_permit(machine, 100_004, "u1")["state"] == "granted" else ""
+
+    def find_halt_violations(self, machine_class, slow_replies=False):
+        fleet = SimulatedFleet(
             5,
             *make_layout(3, 2, 5),
-            make_machine=machine,
+            make_machine=machine_class,
             settings=DisruptionSettings(permit=200_000, silent=200_000),
         )
-        world.run(8)
-        names = sorted(world.units)
+        fleet.run(8)
+        names = sorted(fleet.units)
         for name in names:
-            world.units[name].suspended_until = (
-                world.now + 9 * TICKS_PER_SECOND if name in names[::2] else 0
+            fleet.units[name].suspended_until = (
+                fleet.now + 9 * TICKS_PER_SECOND if name in names[::2] else 0
             )
         for name in names:
-            world.submit(do="ask", unit=name, plan="ann", epoch=1)
-        carry = world.deliver
-        if slow:  # a yes that is long on its way
-            world.deliver = lambda sender, to, call: world.schedule(
-                4 * TICKS_PER_SECOND if sender == "keepers" else 0, lambda: carry(sender, to, call)
+            fleet.submit(do="ask", unit=name, plan="ann", epoch=1)
+        deliver = fleet.deliver
+        if slow_replies:  # a yes that is long on its way
+            fleet.deliver = lambda sender, receiver, call: fleet.schedule(
+                4 * TICKS_PER_SECOND if sender == "keepers" else 0,
+                lambda: deliver(sender, receiver, call),
             )
-        world.run(2)
-        if not slow:
-            halt = world.submit(do="halt", by="ann", why="smoke", where={})
-            world.checker.record_halt(halt["halt"], world.now, set(names))
-        world.run(30)
-        return " ".join(world.checker.violations)
-
-    def back(self):
-        world = SimulatedFleet(6, *make_layout(3, 2, 5))
-        world.run(8)
-        world.submit(
+        fleet.run(2)
+        if not slow_replies:
+            halt = fleet.submit(do="halt", by="ann", why="smoke", where={})
+            fleet.checker.record_halt(halt["halt"], fleet.now, set(names))
+        fleet.run(30)
+        return " ".join(fleet.checker.violations)
+
+    def find_rollback_violations(self):
+        fleet = SimulatedFleet(6, *make_layout(3, 2, 5))
+        fleet.run(8)
+        fleet.submit(
             do="release",
             release="r",
             epoch=1,
@@ -656,14 +672,14 @@
             waves=[1],
             gate=False,
         )
-        world.run_until(lambda: len(world.list_with_build("new")) > 20)
-        world.submit(do="back", release="r")
-        world.run(40)
-        return " ".join(world.checker.violations)
+        fleet.run_until(lambda: len(fleet.list_with_build("new")) > 20)
+        fleet.submit(do="back", release="r")
+        fleet.run(40)
+        return " ".join(fleet.checker.violations)
 
 
-class Table(unittest.TestCase):
-    def test_nothing_leads_out_but_a_begin(self):
+class PermitTransitionTests(unittest.TestCase):
+    def test_only_begin_leads_to_draining(self):
         self.assertEqual(
             [key for key, (state, _) in PERMIT_TRANSITIONS.items() if state == "draining"],
             [("granted", "began")],
