--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -1,4 +1,7 @@
-"""The disruption state machine: budgets, permits, halts, rollbacks, malformed commands; broken variants that are found."""
+"""Tests of the disruption state machine and the agent.
+
+FaultDetectionTests breaks one rule at a time and requires that the model or the invariant checker notices.
+"""
 
 import json
 import random
@@ -29,6 +32,7 @@
 BUDGETS = [{"name": "racks", "each": "rack", "most": 1}, {"name": "all", "least": 5}]
 
 
+# `NAMES` and `made` keep their names: `Search` uses them, and its source seeds its examples.
 def made(terms=None, machine_class=DisruptionStateMachine, ready_units=NAMES):
     machine = machine_class()
     units = {
@@ -110,7 +114,7 @@
         self.assertEqual(request_permit(machine, 100_003, "u1")["by"], ["racks/r0", "u0"])
         machine.apply(
             100_010, {"do": "seen", "as_of": 100_002, "units": {"u0": ["ready", 0, ""]}}
-        )  # an old look
+        )  # dated before the permit lapsed
         self.assertEqual(request_permit(machine, 100_010, "u1")["state"], "asked")
         report(machine, 100_011, ["u0"])
         self.assertEqual(request_permit(machine, 100_011, "u1")["state"], "granted")
@@ -127,7 +131,7 @@
         ):
             self.assertIn(expected, begin_disruption(machine, 3, reply, **fields)["refused"])
         self.assertIn("ok", begin_disruption(machine, 3, reply))
-        self.assertIn("ok", begin_disruption(machine, 4, reply), "said twice")
+        self.assertIn("ok", begin_disruption(machine, 4, reply), "repeated")
         second = request_permit(machine, 5, "u2")
         halt = machine.apply(6, {"do": "halt", "by": "ann", "why": "smoke", "where": {}})
         self.assertIn("no permit", begin_disruption(machine, 7, second)["refused"])
@@ -160,7 +164,9 @@
             begin_disruption(machine, 2, request_permit(machine, 2, "u0")),
             begin_disruption(machine, 2, request_permit(machine, 2, "u2")),
         )
-        request_permit(machine, 3, "u1")  # waits for u0's rack; all has one place left
+        request_permit(
+            machine, 3, "u1"
+        )  # waits for u0's rack; the budget `all` has capacity for one
         self.assertEqual(request_permit(machine, 20, "u4", urgency=0)["state"], "asked")
         self.assertIn("kept", machine.apply(20, {"do": "status", "unit": "u4"})["waits"])
         machine.apply(21, {"do": "cancel", "unit": "u0"})
@@ -299,7 +305,7 @@
 
 class AgentTests(unittest.TestCase):
     def receive_begin_order(self, agent, now, **fields):
-        """It beats at `now` and is told at once to begin; gives the tokens of kind it asked."""
+        """Reports at `now`, receives an order to begin; returns the tokens of its confirmation requests."""
         token = next(
             arguments[0] for kind, *arguments in agent.advance_time(now) if kind == "propose"
         )
@@ -347,6 +353,13 @@
         self.assertEqual(agent.state, "in")
 
 
+# Drives the state machine with random commands and compares it with a model that knows only which begins were confirmed
+# and which units crashed. A disrupted unit counts as unavailable until it returns, a crashed one as soon as it was
+# reported.
+#
+# Hypothesis derives the seed of a derandomized run from the source of this class, its name and docstring included. Any
+# change to it but in comments selects other examples, among which `test_model_detects_ignored_fencing_tokens` may not
+# find its fault: with all of its names changed, 300 examples did not find it.
 class Search(RuleBasedStateMachine):
     """A model beside it that knows only what was said yes to and what was crashed: whoever went and is not back is out,
     and so is who crashed longer ago than anybody may not know it."""
@@ -490,7 +503,7 @@
 
 
 class PatchedAttribute:
-    """A module's or class' attribute replaced for a while."""
+    """Replaces an attribute of a module or class while the context is active."""
 
     def __init__(self, owner, name, replacement):
         self.owner, self.name, self.replacement = owner, name, replacement
@@ -504,7 +517,7 @@
 
 
 class IgnoresFencingTokens(DisruptionStateMachine):
-    """Takes any permit of a unit that was ever granted."""
+    """Accepts any fencing token that a unit was ever granted."""
 
     def _begin(self, command):
         unit = self.fleet.get_unit(command.unit)
@@ -515,7 +528,7 @@
 
 
 class FaultDetectionTests(unittest.TestCase):
-    """Each of these has to be found, by the search or by the checker that looks from outside at who serves."""
+    """Each fault must be detected, by the model or by the invariant checker of the simulated fleet."""
 
     def test_model_finds_no_violation_in_correct_machine(self):
         run_model_test()
@@ -531,7 +544,7 @@
             self.assertIn("A1", self.request_after_lapse(None))
 
     def test_detects_halt_enforced_for_reachable_units_only(self):
-        """Stops those who hear it, and goes on saying yes to the others."""
+        """A halt must also bind units that cannot be reached; this one lets those go on."""
 
         class HaltsReachableUnitsOnly(DisruptionStateMachine):
             def _halt(self, command):
@@ -569,7 +582,7 @@
             return None if unit.request.rollback else find_exceeded(self, unit)
 
         with PatchedAttribute(scheduler, "grant_permits", grant_all_rollbacks):
-            self.assertEqual(self.find_rollback_violations(), "", "the begin is checked by itself")
+            self.assertEqual(self.find_rollback_violations(), "", "begin checks the budgets again")
         with (
             PatchedAttribute(scheduler, "grant_permits", grant_all_rollbacks),
             PatchedAttribute(Fleet, "find_exceeded_budget", ignore_budgets_of_rollbacks),
@@ -578,7 +591,10 @@
         self.assertEqual(self.find_rollback_violations(), "")
 
     def test_detects_silence_treated_as_unavailability(self):
-        """Of a dead machine it is known that its going takes nothing away; of all that are silent after a blackout not."""
+        """A unit that is reported unavailable may be disrupted without capacity, a silent one may not.
+
+        After an outage of the service all units are silent, but they serve.
+        """
 
         def find_outage_violations():
             fleet = SimulatedFleet(9, *make_layout(3, 2, 5))
@@ -608,7 +624,7 @@
         self.assertEqual(self.request_after_late_report(made()), "asked")
 
     def request_after_late_report(self, machine):
-        """A look at u0 from before its permit lapsed comes after that."""
+        """Delivers a report of u0 that is dated before its permit lapsed; returns the state of u1's request."""
         request_permit(machine, 2, "u0")
         machine.apply(100_003, {"do": "tick"})
         machine.apply(
@@ -623,7 +639,7 @@
         return request_permit(machine, 100_012, "u1")["state"]
 
     def request_after_lapse(self, machine_class):
-        """u0 is granted and says nothing; its room is given to u1 when its permit lapses."""
+        """Lets the permit of u0 lapse without a report after it; returns "A1" if u1 gets its capacity."""
         machine = made()
         request_permit(machine, 2, "u0")
         report(machine, 50_000, NAMES)
@@ -647,7 +663,7 @@
         for name in names:
             fleet.submit(do="ask", unit=name, plan="ann", epoch=1)
         deliver = fleet.deliver
-        if slow_replies:  # a yes that is long on its way
+        if slow_replies:  # confirmations arrive late
             fleet.deliver = lambda sender, receiver, call: fleet.schedule(
                 4 * TICKS_PER_SECOND if sender == "keepers" else 0,
                 lambda: deliver(sender, receiver, call),
