--- a/tests/unit/disruption/test_disruption.py
+++ b/tests/unit/disruption/test_disruption.py
@@ -555,10 +555,10 @@
                 }
                 return super()._halt(command)
 
-            def find_hold(self, unit):
+            def explain_hold(self, unit):
                 if unit.name not in getattr(self, "reachable", ()):
                     return None
-                return super().find_hold(unit)
+                return super().explain_hold(unit)
 
         self.assertIn("A3", self.find_halt_violations(HaltsReachableUnitsOnly))
         self.assertEqual(self.find_halt_violations(DisruptionStateMachine), "")
@@ -571,12 +571,12 @@
         self.assertEqual(self.find_halt_violations(DisruptionStateMachine, slow_replies=True), "")
 
     def test_detects_rollback_outside_budgets(self):
-        def grant_all_rollbacks(fleet, find_hold, grant_permits=scheduler.grant_permits):
+        def grant_all_rollbacks(fleet, explain_hold, grant_permits=scheduler.grant_permits):
             for unit in [
                 waiting for waiting in fleet.requesting.values() if waiting.request.rollback
             ]:
                 fleet.transition(unit, PermitInput.GRANTED)
-            grant_permits(fleet, find_hold)
+            grant_permits(fleet, explain_hold)
 
         def ignore_budgets_of_rollbacks(self, unit, find_exceeded=Fleet.find_exceeded_budget):
             return None if unit.request.rollback else find_exceeded(self, unit)
@@ -601,7 +601,7 @@
             fleet.run(8)
             for name in sorted(fleet.units):
                 fleet.submit(do="ask", unit=name, plan="ann", epoch=1)
-            fleet.service.lose()
+            fleet.service.fail()
             fleet.run(20)
             fleet.service.restart()
             return " ".join(fleet.run(10).checker.violations)
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -11,7 +11,7 @@
 from ..disruption.state_machine import DisruptionStateMachine
 from ..disruption.targets import CommandRejectedError
 from ..gossip.keyring import AllowedNetworks, Identity, Keyring
-from ..gossip.settings import address
+from ..gossip.settings import parse_address
 from ..interface.clock import Ticks
 from ..raft.client import PeerChannel
 from ..raft.node import RaftNode
@@ -58,7 +58,7 @@
         node.name: PeerChannel(
             context.reactor,
             node.name,
-            address(node.address),
+            parse_address(node.address),
             context.identity,
             context.ring,
             time.time,
@@ -146,6 +146,6 @@
         do, fields = machine.read(query)
         if do != "status":
             raise CommandRejectedError("a read is of status")
-        return {"ok": True, "at": machine.fleet.at, **machine._status(**fields)}
+        return {"ok": True, "at": machine.fleet.at, **machine.read_status(**fields)}
     except CommandRejectedError as rejection:
-        return {"refused": rejection.sentence, "by": rejection.by, "again": rejection.again}
+        return {"refused": rejection.reason, "by": rejection.by, "again": rejection.retry_after}
--- a/thymeknot/disruption/budgets.py
+++ b/thymeknot/disruption/budgets.py
@@ -18,7 +18,7 @@
     Labels,
     Selector,
     describe_selector,
-    is_name,
+    is_valid_name,
     matches,
     parse_selector,
 )
@@ -169,7 +169,7 @@
         CommandRejectedError: the budget is malformed; the sentence names the budget.
     """
     name = declared.get("name") if isinstance(declared, dict) else None
-    if not isinstance(name, str) or not is_name(name):
+    if not isinstance(name, str) or not is_valid_name(name):
         raise CommandRejectedError("a budget is a mapping with a name")
     limit_kinds = [kind for kind in BudgetKind if kind in declared]
     if len(limit_kinds) != 1 or set(declared) - {"name", "where", "each", *limit_kinds}:
--- a/thymeknot/disruption/plan_epochs.py
+++ b/thymeknot/disruption/plan_epochs.py
@@ -78,7 +78,7 @@
             self._remove_unused_plans()
         if len(self.by_name) >= MAX_PLANS:
             raise CommandRejectedError(
-                f"{MAX_PLANS} plans are known already", again=UNUSED_PLAN_RETENTION_TICKS
+                f"{MAX_PLANS} plans are known already", retry_after=UNUSED_PLAN_RETENTION_TICKS
             )
         known = PlanEpoch(epoch, self.fleet.at)
         self.by_name[plan] = known
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -48,7 +48,7 @@
 def _check_gossip(settings: Any, folder: str) -> CheckedFeature:
     told = _record(_module("gossip.settings").GossipSettings, settings)
     transport = _module("gossip.udp_transport")
-    transport.built(told, folder)
+    transport.load_credentials(told, folder)
     return CheckedFeature(lambda proxy: transport.GossipFeature(proxy, told, folder), told)
 
 
@@ -61,7 +61,7 @@
 def _check_coordination(settings: Any, folder: str) -> CheckedFeature:
     told = _record(_module("coordination.settings").CoordinationSettings, settings)
     feature = _module("coordination.feature")
-    feature.built(told, settings, folder)
+    feature.build_parts(told, settings, folder)
     return CheckedFeature(
         lambda proxy: feature.CoordinationFeature(proxy, told, settings, folder), (told, settings)
     )
