--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -150,7 +150,7 @@
                 network.reactor.advance(0.1)
         asked = len(network.reactor.tcpClients)
         self.assertGreaterEqual(asked, 11)
-        network.proxy._carry_out([SubscribeToEndpoints(True)])
+        network.proxy._execute([SubscribeToEndpoints(True)])
         self.assertEqual(len(network.reactor.tcpClients), asked)
 
 
@@ -216,14 +216,14 @@
                 [1, 1, 1, 1],
             ),
         ):
-            belief = SnapshotValidator()
+            validator = SnapshotValidator()
             self.assertEqual(
-                [belief.doubt(*one, 3) is None for one in told],
+                [validator.validate(*one, 3) is None for one in told],
                 [bool(one) for one in believed],
                 told,
             )
         self.assertIsNone(
-            SnapshotValidator().doubt("a", 1, True, 0, 0)
+            SnapshotValidator().validate("a", 1, True, 0, 0)
         )  # with nothing known, nobody is news
 
     def test_a_list_that_would_take_all_that_is_known_ends_its_stream_alone(self):
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -539,7 +539,7 @@
             network = Network(endpoint_entry("s-1"))
             network.proxy.engine.handle = lambda *_: []
             network.ask("01", lane="pay")
-            network.proxy._carry_out([SendAttempt("01", "s-1", 20_000)])
+            network.proxy._execute([SendAttempt("01", "s-1", 20_000)])
             if reached == "not connected":
                 network.refuse()
             else:
@@ -548,7 +548,7 @@
                     connection.resumeProducing()
                 connection.connectionLost(Failure(ConnectionLost()))
             ends = counted(network)
-            network.proxy._carry_out([SendAttempt("01", "s-1", 20_000)])
+            network.proxy._execute([SendAttempt("01", "s-1", 20_000)])
             if reached == "written":
                 self.assertEqual(
                     (pods_dialled(network), ends), ([7001], [("01", 1, Outcome.NOT_SENT)])
@@ -1242,8 +1242,8 @@
             if connection.transport.disconnecting or connection.transport.disconnected:
                 self.test.assertIsNone(connection.waiting)
         for held in self.proxy.requests_in_flight:
-            same(held.attempts_out, sum(attempt.in_flight for attempt in held.attempts))
-            self.test.assertTrue(held.attempts_out or not held.closed, held.id)
+            same(held.attempts_in_flight, sum(attempt.in_flight for attempt in held.attempts))
+            self.test.assertTrue(held.attempts_in_flight or not held.closed, held.id)
             for attempt in held.attempts:
                 where = sum(attempt in pool.waiting for pool in by_pod.values()) + any(
                     one.delivery is attempt and one.waiting is not None for one in self.connections
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -674,7 +674,7 @@
             {**configuration_object(), "limits": None, "name": None, "weather": 1}, 0
         )
         self.assertEqual(
-            (start.name, start.sockets, start.seed), ("sidecar", configuration.SOCKETS, 31)
+            (start.name, start.sockets, start.seed), ("sidecar", configuration.DEFAULT_SOCKETS, 31)
         )
         self.assertEqual(
             (start.settings.stage_fractions, start.connection_limits.connect_timeout),
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -9,7 +9,7 @@
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 from thymeknot.interface.events import AttemptEnded, EndpointUpdate, RequestReceived
 from thymeknot.interface.reasons import Reason as R
-from thymeknot.service.rejection_summary import EVERY, RejectionSummary
+from thymeknot.service.rejection_summary import LOG_INTERVAL, RejectionSummary
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.scenarios import Fault
 from thymeknot.simulation.simulated_platform import ReleaseState
@@ -19,17 +19,17 @@
 class Sums(unittest.TestCase):
     def setUp(self):
         self.lines = []
-        self.refusals = RejectionSummary(lambda event, **fields: self.lines.append((event, fields)))
-        self.refusals.due(NOW)
+        self.summary = RejectionSummary(lambda event, **fields: self.lines.append((event, fields)))
+        self.summary.flush(NOW)
 
     def told(self, *reasons):
         for reason in reasons:
-            self.refusals.hear("t", reason)
+            self.summary.record("t", reason)
 
     def test_each_final_answer_counts_under_what_decided_it(self):
         self.told(R.POSITION, R.SENT, R.ENDED, R.DONE)
         self.assertEqual(
-            (self.refusals.due(NOW), self.lines), (NOW + EVERY, [])
+            (self.summary.flush(NOW), self.lines), (NOW + LOG_INTERVAL, [])
         )  # nothing turned away is no line
         for reasons in (
             (R.OVER_LIMIT, R.DEFERRED),
@@ -39,9 +39,9 @@
             (R.DOUBTED, R.NO_POD, R.DEFERRED),
         ):
             self.told(*reasons)
-        self.refusals.hear("another", R.BY_LOT)
+        self.summary.record("another", R.BY_LOT)
         self.told(R.DEFERRED)  # not by what decided another transaction
-        self.refusals.due(NOW + EVERY, pressure=0.5)
+        self.summary.flush(NOW + LOG_INTERVAL, pressure=0.5)
         self.assertEqual(
             self.lines,
             [
@@ -61,27 +61,27 @@
                 )
             ],
         )
-        self.refusals.due(NOW + 2 * EVERY)
+        self.summary.flush(NOW + 2 * LOG_INTERVAL)
         self.assertEqual(len(self.lines), 1)
 
     def test_what_is_kept_is_bounded_by_the_reasons(self):
         for first in R:
             for reason in R:
                 self.told(first, reason, R.DEFERRED, first, reason, R.ABANDONED)
-        self.assertLess(len(self.refusals.counts), 3 * len(R))
+        self.assertLess(len(self.summary.counts), 3 * len(R))
 
     def test_the_record_hears_it_too(self):
         heard = []
-        self.refusals.next_listener = lambda *told: heard.append(told)
-        self.refusals.hear("t", R.DEFERRED, 50)
+        self.summary.next_listener = lambda *told: heard.append(told)
+        self.summary.record("t", R.DEFERRED, 50)
         self.assertEqual(heard, [("t", R.DEFERRED, 50)])
 
     def test_the_decisions_name_what_turned_it_away(self):
         made = made_of(pod("a"), max_attempts=1)
-        made.context.say = self.refusals.hear
+        made.context.say = self.summary.record
         made.handle(NOW, [taken()])
         made.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
-        self.refusals.due(NOW + EVERY)
+        self.summary.flush(NOW + LOG_INTERVAL)
         self.assertEqual(self.lines[0][1]["deferred"], {"MOST_DELIVERIES": 1})
 
 
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -51,7 +51,7 @@
 )
 from thymeknot.policy.engine import DecisionEngine
 from thymeknot.service import configuration
-from thymeknot.service.configuration import ConfigurationError, pairs
+from thymeknot.service.configuration import ConfigurationError, flatten
 from thymeknot.simulation.invariants import InvariantChecker
 from thymeknot.simulator_wire.host import Host
 from thymeknot.state.endpoint_state import EndpointState
@@ -141,7 +141,7 @@
                 for port in range(5)
             ]
             return [
-                f"NEW_INSTANCE {self.name} 77 " + " ".join(pairs(self.settings)),
+                f"NEW_INSTANCE {self.name} 77 " + " ".join(flatten(self.settings)),
                 f"CENSUS {table} {len(pods)}",
                 *pods,
                 f"ANNOUNCE {self.name} cached 1 {table}",
--- a/tests/unit/service/test_structured_log.py
+++ b/tests/unit/service/test_structured_log.py
@@ -9,7 +9,7 @@
 
 import thymeknot
 from thymeknot.service.log_events import LEVELS
-from thymeknot.service.structured_log import VARIABLE
+from thymeknot.service.structured_log import LEVEL_VARIABLE
 
 CALL = re.compile(
     r'(?:structured_log\.(?:log|log_rate_limited)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|LogEvent\(\s*"([^"]+)"',
@@ -59,7 +59,7 @@
             ("nonsense", ["vote", "configuration rejected", "request overdue"]),
         ):
             self.assertEqual(
-                [line["event"] for line in self.lines(code, **{VARIABLE: level})[0]], events
+                [line["event"] for line in self.lines(code, **{LEVEL_VARIABLE: level})[0]], events
             )
 
     def test_a_line_that_cannot_be_written_ends_nothing(self):
--- a/thymeknot/polling/snapshot_validation.py
+++ b/thymeknot/polling/snapshot_validation.py
@@ -63,11 +63,11 @@
 }
 
 
-class Doubt(NamedTuple):
+class SnapshotRejection(NamedTuple):
     """Why a list is not taken."""
 
     reason: str
-    again: bool
+    fetch_again: bool
     """Whether it is fetched again at once, and believed if it comes again."""
 
 
@@ -85,9 +85,9 @@
         self.source: object = None
         self.version = 0
 
-    def doubt(
+    def validate(
         self, source: object, version: int, whole: bool, names: int, known: int
-    ) -> Doubt | None:
+    ) -> SnapshotRejection | None:
         """Decides whether a list is taken.
 
         Args:
@@ -115,6 +115,8 @@
             reason = (
                 f"is older than {self.version}" if kind == SnapshotKind.OLDER else "names no pod"
             )
-            return Doubt(f"version {version} {reason}", decision == Decision.FETCH_AGAIN)
+            return SnapshotRejection(
+                f"version {version} {reason}", decision == Decision.FETCH_AGAIN
+            )
         self.version = version
         return None
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -103,13 +103,13 @@
             and endpoints.is_ready(endpoint)
             and endpoints.addresses[endpoint.address] == address
             and (newest == self.newest_build or (newest is not None and endpoint.build < newest))
-            and not self._key_stays(update, endpoint)
+            and not self._key_is_sticky(update, endpoint)
             and proxy.exposure.allows(
                 now, update, endpoint.build, self.request.command.request_class
             )
         )
 
-    def _key_stays(self, update: ReleaseUpdate | None, endpoint: Endpoint) -> bool:
+    def _key_is_sticky(self, update: ReleaseUpdate | None, endpoint: Endpoint) -> bool:
         """Returns whether its key stays with the newest build, which has answered it since."""
         command = self.request.command
         return (
@@ -145,17 +145,17 @@
             now, self.proxy.releases.latest, self.endpoint.build, self.request.command.request_class
         )
         left = max(1, (self.expires_at - now) // 10)
-        delivered = connection.deliver(self.request.command.words(left), self._begun)
-        delivered.addCallback(self._responded)
+        delivered = connection.deliver(self.request.command.words(left), self._response_begun)
+        delivered.addCallback(self._response_ended)
 
     def not_connected(self, broken: BrokenConnection) -> None:
         """Ends it because no connection has come up for it."""
         self.proxy.attempt_ended(self, Outcome.CONNECT_FAILED)
 
-    def _begun(self) -> None:
+    def _response_begun(self) -> None:
         self.proxy.response_discarded(self, "in part or unreadable")
 
-    def _responded(self, end: PodResponse | BrokenConnection) -> None:
+    def _response_ended(self, end: PodResponse | BrokenConnection) -> None:
         """Ends it by the response, or by how its connection broke."""
         proxy = self.proxy
         if isinstance(end, BrokenConnection):
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -17,7 +17,7 @@
 if TYPE_CHECKING:
     from .graceful_shutdown import GracefulShutdown
 
-BACKLOG = 512
+LISTEN_BACKLOG = 512
 """Connections that the machine accepts ahead of the reactor."""
 
 EVICTION_CANDIDATES = 16
@@ -26,10 +26,10 @@
 CLOSING_ALLOWANCE = 8
 """Connections beyond the places for clients, while those that were evicted for them close."""
 
-CROWDED_SHARE = 1 / 3
+EVICTION_RATIO = 1 / 3
 """Of the places for clients: from there on, idle connections are evicted when one comes."""
 
-LEAST_IDLE_TIME = 2_000
+MIN_IDLE_TIME = 2_000
 """Ticks: a connection that has been idle for less is evicted only when no place is left."""
 
 
@@ -99,7 +99,7 @@
         """
         host, port = self.address
         self.port = self.reactor.listenTCP(
-            port, ClientFactory(self), backlog=BACKLOG, interface=host
+            port, ClientFactory(self), backlog=LISTEN_BACKLOG, interface=host
         )
         self.port.doRead = partial(self._accept, self.port, self.port.doRead)
         self.listening = True
@@ -139,11 +139,11 @@
         now = self.clock()
         if self.shutdown.clients_finishing():  # it had to wait for a place
             connection.finish()
-        if not full and len(self.clients) < self.max_clients * CROWDED_SHARE:
+        if not full and len(self.clients) < self.max_clients * EVICTION_RATIO:
             return
         idle = self._eviction_candidates(connection, now)
-        for one in self._chosen_for_eviction(idle, full, now):
-            one.evict()
+        for client in self._connections_to_evict(idle, full, now):
+            client.evict()
         if (
             full
             and (not idle or len(self.clients) >= self.max_clients + CLOSING_ALLOWANCE)
@@ -157,21 +157,25 @@
     def _eviction_candidates(self, new: ClientConnection, now: Ticks) -> list[ClientConnection]:
         """Returns idle connections for which nothing waits unread, the first to go first."""
         idle = sorted(
-            (one for one in self.clients if one is not new and not one.closing and not one.places),
-            key=lambda one: (one.awaited(now), one.spoke, one.used_at),
+            (
+                client
+                for client in self.clients
+                if client is not new and not client.closing and not client.places
+            ),
+            key=lambda client: (client.awaited(now), client.spoke, client.used_at),
         )[:EVICTION_CANDIDATES]
-        return [one for one in idle if nothing_waits(one.transport)]
+        return [client for client in idle if nothing_waits(client.transport)]
 
-    def _chosen_for_eviction(
+    def _connections_to_evict(
         self, idle: list[ClientConnection], full: bool, now: Ticks
     ) -> list[ClientConnection]:
         """Returns those idle for long, beyond the crowded share; else one, if it is full."""
-        rested = [
-            one
-            for one in idle
-            if one.idle() and now >= one.used_at + LEAST_IDLE_TIME and not one.awaited(now)
+        long_idle = [
+            client
+            for client in idle
+            if client.idle() and now >= client.used_at + MIN_IDLE_TIME and not client.awaited(now)
         ]
-        chosen = rested[: int(len(self.clients) - self.max_clients * CROWDED_SHARE)]
+        chosen = long_idle[: int(len(self.clients) - self.max_clients * EVICTION_RATIO)]
         return chosen or (idle[:1] if full else [])
 
     def became_idle(self) -> None:
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -17,13 +17,13 @@
 if TYPE_CHECKING:
     from .proxy import Proxy
 
-OVERDUE_AFTER = 50
+OVERDUE_MARGIN = 50
 """Ticks after its client's end: a request still without an answer gets one."""
 
-NO_SUCH_CLASS = resp.failure("ERR no such lane")
+UNKNOWN_CLASS_RESPONSE = resp.failure("ERR no such lane")
 """The answer to a request of a class that the settings do not name."""
 
-FAILED_ANSWER = resp.failure("ERR abandoned")
+FAILED_RESPONSE = resp.failure("ERR abandoned")
 """The answer to a request that has failed and may have run."""
 
 
@@ -74,7 +74,7 @@
         name = command.id.decode()
         request_class = self.proxy.settings.request_classes.get(command.request_class)
         if request_class is None:
-            connection.answer(place, NO_SUCH_CLASS)
+            connection.answer(place, UNKNOWN_CLASS_RESPONSE)
             return
         self._notice_if_first_client_is_gone(name)
         if connection.gone:  # it was the same
@@ -114,7 +114,7 @@
         request = InFlightRequest(name, command, connection, place, now + left)
         request.slot = self.table.by_id[name] = self.table.by_slot.add(request)
         request.overdue_timer = self.timers.add(
-            request.expires_at + OVERDUE_AFTER, self._overdue, request
+            request.expires_at + OVERDUE_MARGIN, self._overdue, request
         )
         key = command.key.decode() or None
         proxy.exposure.took(now, command.request_class)
@@ -152,17 +152,17 @@
         request.expires_at = now + min(command.left * 10, request_class.outer_limit)
         self.timers.cancel(request.overdue_timer)
         request.overdue_timer = self.timers.add(
-            request.expires_at + OVERDUE_AFTER, self._overdue, request
+            request.expires_at + OVERDUE_MARGIN, self._overdue, request
         )
 
     def _overdue(self, request: InFlightRequest) -> None:
         """Answers a request that the decisions have missed: an answer is still owed."""
         proxy = self.proxy
         if not request.closed:
-            structured_log.log("request overdue", id=request.id, out=request.attempts_out)
+            structured_log.log("request overdue", id=request.id, out=request.attempts_in_flight)
             if proxy.why is not None:
                 proxy.why.ended(request.id, proxy.why.abandoned)
-            self.answer(request, FAILED_ANSWER)
+            self.answer(request, FAILED_RESPONSE)
             proxy.handle_events(ClientDisconnected(request.id))
 
     def answer(self, request: InFlightRequest | None, content: bytes) -> None:
@@ -172,7 +172,7 @@
             request.closed = True
             request.connection.answer(request.place, content)
             self.table.release(request)
-            if proxy.why is not None and not request.attempts_out:
+            if proxy.why is not None and not request.attempts_in_flight:
                 proxy.why.over(request.id)
 
     def reject(self, action: Reject) -> None:
@@ -183,4 +183,4 @@
 
     def fail(self, action: Fail) -> None:
         """Gives the final answer of a request that may have run."""
-        self.answer(self.table.find(action.id), FAILED_ANSWER)
+        self.answer(self.table.find(action.id), FAILED_RESPONSE)
--- a/thymeknot/proxy/descriptor_budget.py
+++ b/thymeknot/proxy/descriptor_budget.py
@@ -3,7 +3,7 @@
 import resource
 from typing import NamedTuple
 
-LEAST_DESCRIPTORS = 64
+MIN_DESCRIPTORS = 64
 """Counted on even where the machine allows fewer: the configuration takes no lower limit."""
 
 RESERVED_DESCRIPTORS = 40
@@ -25,19 +25,19 @@
     endpoints: int
 
 
-def allowed_descriptors(most: int) -> int:
+def allowed_descriptors(limit: int) -> int:
     """Returns how many descriptors the machine allows, at most so many.
 
     Where the machine refuses one, the network library closes the connection that has come.
     """
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed == resource.RLIM_INFINITY:
-        return most
-    return min(most, max(allowed, LEAST_DESCRIPTORS))
+        return limit
+    return min(limit, max(allowed, MIN_DESCRIPTORS))
 
 
-def descriptor_budget(most: int) -> DescriptorBudget:
+def descriptor_budget(limit: int) -> DescriptorBudget:
     """Shares out the descriptors that the machine allows, at most so many."""
-    spare = allowed_descriptors(most) - RESERVED_DESCRIPTORS
-    for_endpoints = int(spare * ENDPOINT_SHARE)
-    return DescriptorBudget(spare - for_endpoints, for_endpoints)
+    available = allowed_descriptors(limit) - RESERVED_DESCRIPTORS
+    for_endpoints = int(available * ENDPOINT_SHARE)
+    return DescriptorBudget(available - for_endpoints, for_endpoints)
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -24,16 +24,16 @@
 """Reads a piece of a stream; returns whether a sign of life was in it."""
 
 
-def notifying_reader(read: StreamReader, heard: Callable[[], None]) -> StreamReader:
-    """Returns a reader that calls heard() after each piece with a sign of life in it."""
+def notifying_reader(read: StreamReader, on_data: Callable[[], None]) -> StreamReader:
+    """Returns a reader that calls on_data() after each piece with a sign of life in it."""
 
-    def both(content: memoryview) -> bool:
+    def read_and_notify(content: memoryview) -> bool:
         alive = read(content)
         if alive:  # less is a part of a line
-            heard()
+            on_data()
         return alive
 
-    return both
+    return read_and_notify
 
 
 class EndpointUpdates:
@@ -68,12 +68,12 @@
             free=not polled,
         )
 
-    def notify_on_data(self, heard: Callable[[], None]) -> None:
-        """Has heard() called whenever the watch has spoken.
+    def notify_on_data(self, on_data: Callable[[], None]) -> None:
+        """Has on_data() called whenever the watch has spoken.
 
         Each list in what came is taken up by then; an empty line says that there is none.
         """
-        self.watch.reader = lambda: notifying_reader(self._watch_reader(), heard)
+        self.watch.reader = lambda: notifying_reader(self._watch_reader(), on_data)
 
     def start(self) -> None:
         """Begins to watch.
@@ -101,11 +101,11 @@
         """
         update = listing.update
         whole = update.kind != UpdateKind.DELTA
-        doubt = self._validator.doubt(
+        rejection = self._validator.validate(
             source, listing.version, whole, len(update.endpoints), len(self.listed_endpoints)
         )
-        if doubt:
-            raise discovery.StaleSnapshotError(*doubt)
+        if rejection:
+            raise discovery.StaleSnapshotError(*rejection)
         self.version = listing.version
         self._source = source
         replaced = self._merge(update.endpoints, {} if whole else dict(self.listed_endpoints))
@@ -124,7 +124,7 @@
             replaced: Names under which another process runs now.
         """
         proxy = self.proxy
-        proxy.inbox.append(update)
+        proxy.pending_events.append(update)
         if proxy.gossip is not None:
             proxy.gossip.listed()
         proxy.withdraw_unwritten(
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -10,17 +10,17 @@
 from ..protocol.write_progress import take_no_more
 from .client_listener import ClientListener
 
-READ_BEFORE_CLOSING = 300
+READ_GRACE_PERIOD = 300
 """Ticks from the last connection accepted to the first one closed: what has come is read."""
 
-CLOSE_AFTER_LAST_ANSWER = 500
+CLOSE_AFTER_LAST_RESPONSE = 500
 """Ticks from the latest moment of an answer to the close of connections whose clients have not."""
 
 ACCEPT_REST_WITHIN = 10_000
 """Ticks from the end of service, for accepted connections that have found no place yet."""
 
 
-def _nothing() -> None:
+def _noop() -> None:
     """Does nothing: stands in for what was called already."""
 
 
@@ -44,7 +44,7 @@
         self.listener_closed: Deferred[Any] | None = None
         self._close_timer: int | None = None
         self._finish_timer: int | None = None
-        self._return: object | None = None  # the latest return, until the next shutdown
+        self._undrain_token: object | None = None  # the latest return, until the next shutdown
         listener.shutdown = self
 
     def began(self) -> bool:
@@ -65,7 +65,7 @@
         """
         self.on_drained = on_drained
         self.answer_by = answer_by
-        self._return = None
+        self._undrain_token = None
         if not self.listener_closed:
             self.listener_closed = Deferred()
             self._close_timer = self.timers.add(
@@ -73,11 +73,9 @@
             )
             self.accept_rest()
         self.timers.cancel(self._finish_timer)
-        self._finish_timer = self.timers.add(
-            self.clock() + READ_BEFORE_CLOSING, self._finish_clients
-        )
+        self._finish_timer = self.timers.add(self.clock() + READ_GRACE_PERIOD, self._finish_clients)
         if answer_by is not None:
-            self.timers.add(answer_by + CLOSE_AFTER_LAST_ANSWER, self._close_answered)
+            self.timers.add(answer_by + CLOSE_AFTER_LAST_RESPONSE, self._close_lingering)
 
     def accept_rest(self) -> None:
         """Closes the port once all is accepted that the machine has; the rest waits for places."""
@@ -104,47 +102,47 @@
             take_no_more(self.listener.port.socket)
             self.listener.accept_all()
 
-    def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
+    def undrain(self, on_listening: Callable[[], None], on_failure: Callable[[str], None]) -> None:
         """Takes new work again; connections that were closing still close.
 
         Where it is drained once more before the port is open, it stays drained and calls neither.
 
         Args:
-            listens: Called once the port is open.
-            failed: Called with the reason where the port can't be opened.
+            on_listening: Called once the port is open.
+            on_failure: Called with the reason where the port can't be opened.
         """
         self.timers.cancel(self._finish_timer)
         self.on_drained = None
         self.answer_by = None
         self.listener.accepting_paused = False
-        returning = self._return = object()
+        token = self._undrain_token = object()
         if self.listener.listening:  # for what found no place
             self.timers.cancel(self._close_timer)
             self.listener_closed = None
             self.listener.port.startReading()
-            listens()
+            on_listening()
             return
         assert self.listener_closed is not None  # it is drained, or it would be listening
-        self.listener_closed.addCallback(self._serve_again, returning, listens, failed)
+        self.listener_closed.addCallback(self._reopen_listener, token, on_listening, on_failure)
 
-    def _serve_again(
+    def _reopen_listener(
         self,
         _: object,
-        returning: object,
-        listens: Callable[[], None],
-        failed: Callable[[str], None],
+        token: object,
+        on_listening: Callable[[], None],
+        on_failure: Callable[[str], None],
     ) -> None:
         """Opens the port, closed by now, unless another shutdown has begun since."""
-        if self._return is not returning:
+        if self._undrain_token is not token:
             return
         self.listener_closed = None
         try:
             self.listener.serve()
         except CannotListenError as error:
             self.listener_closed = succeed(None)
-            failed(str(error))
+            on_failure(str(error))
             return
-        listens()
+        on_listening()
 
     def _finish_clients(self) -> None:
         self._finish_timer = None
@@ -152,7 +150,7 @@
             connection.finish()
         self.end_if_empty()
 
-    def _close_answered(self) -> None:
+    def _close_lingering(self) -> None:
         """Closes the connections that wait for their client's close: the process is to end."""
         for connection in self.listener.clients:
             connection.stop_lingering()
@@ -161,5 +159,5 @@
         """Calls `on_drained`, once, if the port and all connections are closed."""
         if self.on_drained and not self.listener.clients and not self.listener.listening:
             on_drained = self.on_drained
-            self.on_drained = _nothing
+            self.on_drained = _noop
             on_drained()
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -24,7 +24,7 @@
         place: The place of its answer among those of the connection.
         expires_at: When its client stops waiting.
         attempts: All attempts so far, by number.
-        attempts_out: How many attempts have not ended.
+        attempts_in_flight: How many attempts have not ended.
         closed: Whether it has had its final answer, or its client has left.
         overdue_timer: The timer for a request that the decisions have missed.
         repeated: Whether a repeat of it waits for the outcome of the original's attempts.
@@ -32,7 +32,7 @@
 
     __slots__ = (
         "attempts",
-        "attempts_out",
+        "attempts_in_flight",
         "closed",
         "command",
         "connection",
@@ -59,7 +59,7 @@
         self.expires_at = expires_at
         self.slot: int | None = None
         self.attempts: list[Attempt] = []
-        self.attempts_out = 0
+        self.attempts_in_flight = 0
         self.closed = False
         self.overdue_timer: int | None = None
         self.repeated = False
@@ -90,7 +90,7 @@
         """Lets go of a request that is over and of which no attempt is out."""
         if (
             request.closed
-            and not request.attempts_out
+            and not request.attempts_in_flight
             and request.slot is not None
             and self.by_id.get(request.id) == request.slot
         ):
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -47,7 +47,7 @@
 from ..state.trial_exposure import TrialExposure
 from .attempt import Attempt
 from .client_listener import ClientListener
-from .client_requests import FAILED_ANSWER, ClientRequests, close_if_client_gone
+from .client_requests import FAILED_RESPONSE, ClientRequests, close_if_client_gone
 from .descriptor_budget import descriptor_budget
 from .endpoint_updates import Address, EndpointUpdates
 from .graceful_shutdown import GracefulShutdown
@@ -83,8 +83,9 @@
         requests_in_flight: The table of these by slot.
         client_requests: Takes and answers requests.
         exposure: What was received and what was sent to the newest build on trial.
-        inbox: Events that the decisions are yet to be told of.
-        deciding: Whether the decisions are being told of events: further ones wait in `inbox`.
+        pending_events: Events that the decisions are yet to be told of.
+        handling_events: Whether the decisions are being told of events: further ones wait in
+            `pending_events`.
         gossip: Hears of ended attempts and lists; None without the feature.
         why: Hears of requests' starts and ends; None without the feature.
         fleet: Drains this instance as it is told; None without the feature.
@@ -122,19 +123,21 @@
         )
         self.shutdown = GracefulShutdown(self.listener)
         self.exposure = TrialExposure(start.settings)
-        self.inbox: list[Event] = []
-        self.deciding = False
+        self.pending_events: list[Event] = []
+        self.handling_events = False
         self.gossip: Any = None
         self.why: Any = None
         self.fleet: Any = None
         self.rejections = RejectionSummary(structured_log.log)
-        self.engine = DecisionEngine(self.settings, start.seed, self.clock(), self.rejections.hear)
+        self.engine = DecisionEngine(
+            self.settings, start.seed, self.clock(), self.rejections.record
+        )
         chance = LinearCongruentialGenerator(~start.seed)
         self.endpoints = EndpointUpdates(self, chance)
         self.releases = ReleaseChannel(self, chance)
-        self._carriers = self._carriers_by_action()
+        self._action_handlers = self._handlers_by_action_type()
 
-    def _carriers_by_action(self) -> dict[type[Action], Callable[[Any], None]]:
+    def _handlers_by_action_type(self) -> dict[type[Action], Callable[[Any], None]]:
         return {
             SendAttempt: self._send,
             CancelAttempt: self._cancel,
@@ -176,14 +179,14 @@
             }
         )
 
-    def begin(self, heard: Callable[[], None] | None = None) -> None:
+    def begin(self, on_data: Callable[[], None] | None = None) -> None:
         """Tells the decisions what is known at the start, and begins to listen for more.
 
         Args:
-            heard: Called whenever the watch of endpoints has spoken.
+            on_data: Called whenever the watch of endpoints has spoken.
         """
-        if heard is not None:
-            self.endpoints.notify_on_data(heard)
+        if on_data is not None:
+            self.endpoints.notify_on_data(on_data)
         self.endpoints.take_up(self.start.known, self.endpoints.discovery.address)
         self.handle_events(self.start.news)
         self.endpoints.start()
@@ -192,7 +195,9 @@
 
     def _log_rejections(self) -> None:
         pressure = round(self.engine.admission.pressure(self.clock(), ()), 2)
-        self.timers.add(self.rejections.due(self.clock(), pressure=pressure), self._log_rejections)
+        self.timers.add(
+            self.rejections.flush(self.clock(), pressure=pressure), self._log_rejections
+        )
 
     # What other packages use of the parts.
 
@@ -246,36 +251,36 @@
 
     def handle_events(self, *events: Event) -> None:
         """Hands events to the decisions in order, with those that their actions bring about."""
-        self.inbox += events
-        if self.deciding:
+        self.pending_events += events
+        if self.handling_events:
             return
-        self.deciding = True
+        self.handling_events = True
         try:
-            while self.inbox:
-                self._decide(self.inbox.pop(0))
+            while self.pending_events:
+                self._handle_event(self.pending_events.pop(0))
         finally:
-            self.deciding = False
+            self.handling_events = False
 
-    def _decide(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         if type(event) is ReleaseUpdate:
             self.releases.take_up(event)
         try:
             actions = self.engine.handle(self.clock(), [event])
         except Exception as error:  # costs the request of this event, not the program
             structured_log.log_exception("decisions", error)
-            self._carry_out(self.engine.actions)
+            self._execute(self.engine.actions)
             name = getattr(event, "id", None)
             request = None if name is None else self.requests.find(name)
-            if request and not request.closed and not request.attempts_out:
-                self.client_requests.answer(request, FAILED_ANSWER)
-                self.inbox.append(ClientDisconnected(request.id))
+            if request and not request.closed and not request.attempts_in_flight:
+                self.client_requests.answer(request, FAILED_RESPONSE)
+                self.pending_events.append(ClientDisconnected(request.id))
         else:
-            self._carry_out(actions)
+            self._execute(actions)
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in list(actions):
             try:
-                self._carriers[type(action)](action)
+                self._action_handlers[type(action)](action)
             except Exception as error:  # the other actions stand
                 structured_log.log_exception(type(action).__name__, error)
 
@@ -297,14 +302,14 @@
         What is not written whole must not be carried past what was told since. The decisions hear
         of the ends together with what was told.
         """
-        deciding = self.deciding
-        self.deciding = True
+        handling = self.handling_events
+        self.handling_events = True
         try:
             for attempt, address in self.pools.unwritten():
                 if fails(attempt.endpoint, address):
                     attempt.withdraw()
         finally:
-            self.deciding = deciding
+            self.handling_events = handling
 
     # Attempts.
 
@@ -325,7 +330,7 @@
             min(now + action.timeout, request.expires_at),
         )
         request.attempts.append(attempt)
-        request.attempts_out += 1
+        request.attempts_in_flight += 1
         if attempt.number >= self.settings.max_attempts or not attempt.may_be_written(
             endpoints.addresses.get(endpoint)
         ):
@@ -350,7 +355,7 @@
         Its client was noticed to have left. The decisions keep an attempt in flight until the end
         that bears its number; for another number they would keep the request for good.
         """
-        self.inbox.append(
+        self.pending_events.append(
             AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, action.endpoint, action.number, None)
         )
 
@@ -369,7 +374,7 @@
         request = attempt.request
         attempt.in_flight = False
         attempt.may_have_run = PROOF[outcome] != "unrun"
-        request.attempts_out -= 1
+        request.attempts_in_flight -= 1
         if attempt.timer is not None:
             self.timers.cancel(attempt.timer)
         if outcome == Outcome.DONE and answer is not None and not request.closed:
@@ -385,11 +390,11 @@
         )
         if self.gossip is not None and attempt.endpoint:
             self.gossip.ended(attempt, outcome)
-        if request.repeated and not request.attempts_out:  # the decisions are done with it
-            self.client_requests.answer(request, FAILED_ANSWER)
+        if request.repeated and not request.attempts_in_flight:  # the decisions are done with it
+            self.client_requests.answer(request, FAILED_RESPONSE)
         self.requests.release(request)
         self.handle_events(event)
-        if self.why is not None and request.closed and not request.attempts_out:
+        if self.why is not None and request.closed and not request.attempts_in_flight:
             self.why.over(request.id)
 
     def response_discarded(self, attempt: Attempt, reason: str) -> None:
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -33,32 +33,32 @@
     connection_limits: ConnectionLimits
 
 
-SOCKETS: Final = 1024
+DEFAULT_SOCKETS: Final = 1024
 """Descriptors, where no limit is told."""
-LEAST_SOCKETS: Final = 64
-LEAST_PORT: Final = 1
-MOST_PORT: Final = 65_535
-MOST_PORT_DIGITS: Final = 5
-MOST_ERROR_LENGTH: Final = 200
+MIN_SOCKETS: Final = 64
+MIN_PORT: Final = 1
+MAX_PORT: Final = 65_535
+MAX_PORT_DIGITS: Final = 5
+MAX_ERROR_LENGTH: Final = 200
 """Characters of an error that repeats a value."""
 HEXADECIMAL: Final = 16
 RESERVED_CHARACTERS: Final = frozenset(".=")
 """No setting is named with these, and such a name could pass for the path of another one."""
 
 
-def pairs(value: Any, path: str = "") -> list[str]:
+def flatten(value: Any, path: str = "") -> list[str]:
     """The settings' nested object as the simulator wire's names and values."""
     if isinstance(value, dict):
         return [
             pair
             for name, inner in value.items()
             if not RESERVED_CHARACTERS & set(name)
-            for pair in pairs(inner, f"{path}.{name}" if path else name)
+            for pair in flatten(inner, f"{path}.{name}" if path else name)
         ]
     if isinstance(value, list):
         if value and all(isinstance(inner, dict) for inner in value):
             listed = [
-                pair for at, inner in enumerate(value) for pair in pairs(inner, f"{path}.{at}")
+                pair for at, inner in enumerate(value) for pair in flatten(inner, f"{path}.{at}")
             ]
             return [f"{path}.count={len(value)}", *listed]
         return [f"{path}=" + ",".join(_text(inner) for inner in value)]
@@ -73,7 +73,7 @@
     return "-" if value is None else str(value)
 
 
-def _at(value: Any, path: str, kind: type | tuple[type, ...], *default: Any) -> Any:
+def _value_at(value: Any, path: str, expected: type | tuple[type, ...], *default: Any) -> Any:
     """The value at a dotted path, checked for its type."""
     *inner, last = path.split(".")
     for at, name in enumerate(inner, 1):
@@ -81,32 +81,32 @@
         value = {} if value is None else value  # null is as good as left out
         if not isinstance(value, dict):
             raise ConfigurationError(
-                f"{'.'.join(inner[:at])}: is no object: {value!r}"[:MOST_ERROR_LENGTH]
+                f"{'.'.join(inner[:at])}: is no object: {value!r}"[:MAX_ERROR_LENGTH]
             )
     value = value.get(last)
     if value is None and default:
         return default[0]
     if value is None:
         raise ConfigurationError(f"{path}: is missing")
-    if not isinstance(value, kind) or (isinstance(value, bool) and kind is not bool):
-        raise ConfigurationError(f"{path}: is of a wrong type: {value!r}"[:MOST_ERROR_LENGTH])
+    if not isinstance(value, expected) or (isinstance(value, bool) and expected is not bool):
+        raise ConfigurationError(f"{path}: is of a wrong type: {value!r}"[:MAX_ERROR_LENGTH])
     return value
 
 
 def _address(value: Any, path: str) -> tuple[str, int]:
-    text: str = _at(value, path, str)
+    text: str = _value_at(value, path, str)
     host, _, port = text.rpartition(":")
     if not _is_host(host) or not _is_port(port):
         message = f"{path}: is no address with a port: {text!r}"
-        raise ConfigurationError(message[:MOST_ERROR_LENGTH])
+        raise ConfigurationError(message[:MAX_ERROR_LENGTH])
     return host, int(port)
 
 
 def _is_port(text: str) -> bool:
     # int() takes other digits than ASCII's, and takes long over a long row of them.
-    if not (text.isascii() and text.isdigit() and len(text) <= MOST_PORT_DIGITS):
+    if not (text.isascii() and text.isdigit() and len(text) <= MAX_PORT_DIGITS):
         return False
-    return LEAST_PORT <= int(text) <= MOST_PORT
+    return MIN_PORT <= int(text) <= MAX_PORT
 
 
 def _is_host(text: str) -> bool:
@@ -118,43 +118,43 @@
 
 
 def _seed(value: Any) -> int:
-    text = _at(value, "seed", (str, int))
+    text = _value_at(value, "seed", (str, int))
     try:
         return int(text, HEXADECIMAL) if isinstance(text, str) else int(text)
     except ValueError:
         raise ConfigurationError(f"seed: is no hexadecimal number: {text!r}") from None
 
 
-def parse(told: Any, epoch: Ticks) -> StartConfiguration:
+def parse(document: Any, epoch: Ticks) -> StartConfiguration:
     """The configuration that a JSON object tells.
 
     Args:
-        told: the object.
+        document: the object.
         epoch: Unix time less the monotonic clock.
 
     Raises:
         ConfigurationError: it can't be used.
     """
-    if not isinstance(told, dict):
+    if not isinstance(document, dict):
         raise ConfigurationError("the configuration is no object")
-    settings, connection_limits = _read_settings(told)
+    settings, connection_limits = _read_settings(document)
     return StartConfiguration(
-        news=_read_release(told),
-        known=_read_known(told, epoch),
-        sockets=_read_sockets(told),
-        name=_at(told, "name", str, "sidecar"),
-        listen=_address(told, "listen"),
-        discovery=_address(told, "discovery"),
-        platform=_address(told, "deployer.address"),
-        seed=_seed(told),
+        news=_read_release(document),
+        known=_read_known(document, epoch),
+        sockets=_read_sockets(document),
+        name=_value_at(document, "name", str, "sidecar"),
+        listen=_address(document, "listen"),
+        discovery=_address(document, "discovery"),
+        platform=_address(document, "deployer.address"),
+        seed=_seed(document),
         settings=settings,
         connection_limits=connection_limits,
     )
 
 
-def _read_settings(told: Any) -> tuple[Settings, ConnectionLimits]:
+def _read_settings(document: Any) -> tuple[Settings, ConnectionLimits]:
     try:
-        setting_pairs = pairs(_at(told, "settings", dict))
+        setting_pairs = flatten(_value_at(document, "settings", dict))
     except RecursionError:
         raise ConfigurationError("settings: are nested too deep") from None
     try:
@@ -164,26 +164,26 @@
         raise ConfigurationError(f"settings: {error}") from None
 
 
-def _read_release(told: Any) -> ReleaseUpdate:
+def _read_release(document: Any) -> ReleaseUpdate:
     try:
-        return deployer.read_news(_at(told, "deployer.news", dict))
+        return deployer.read_news(_value_at(document, "deployer.news", dict))
     except deployer.UnreadableReleaseError as error:
         raise ConfigurationError(f"deployer.news.{error}") from None
 
 
-def _read_known(told: Any, epoch: Ticks) -> discovery.EndpointListing:
+def _read_known(document: Any, epoch: Ticks) -> discovery.EndpointListing:
     try:
-        return discovery.read_list(_at(told, "known", dict), epoch, UpdateKind.CACHED)
+        return discovery.read_list(_value_at(document, "known", dict), epoch, UpdateKind.CACHED)
     except discovery.UnreadableListError as error:
         raise ConfigurationError(f"known.{error}") from None
     except OverflowError as error:  # a number that reads well and is out of bounds in use
         raise ConfigurationError(f"known: {error}") from None
 
 
-def _read_sockets(told: Any) -> int:
-    sockets: int = _at(told, "limits.sockets", int, SOCKETS)
-    if sockets < LEAST_SOCKETS:
-        raise ConfigurationError(f"limits.sockets: {sockets} are too few, {LEAST_SOCKETS} at least")
+def _read_sockets(document: Any) -> int:
+    sockets: int = _value_at(document, "limits.sockets", int, DEFAULT_SOCKETS)
+    if sockets < MIN_SOCKETS:
+        raise ConfigurationError(f"limits.sockets: {sockets} are too few, {MIN_SOCKETS} at least")
     return sockets
 
 
@@ -194,10 +194,10 @@
         raise ConfigurationError("NODE_CONFIG: is missing from the environment")
     try:
         with open(path, "rb") as source:
-            told = orjson.loads(source.read())
+            document = orjson.loads(source.read())
     except OSError as error:
         reason = os.strerror(error.errno or 0)
         raise ConfigurationError(f"NODE_CONFIG: can't be read: {reason}: {path}") from None
     except orjson.JSONDecodeError as error:
         raise ConfigurationError(f"NODE_CONFIG: is no JSON: {error}") from None
-    return parse(told, epoch)
+    return parse(document, epoch)
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -30,7 +30,7 @@
 class CheckedFeature(NamedTuple):
     """A feature whose settings can be used."""
 
-    make: Callable[[Any], Feature]
+    create: Callable[[Any], Feature]
     """Begins it with a proxy."""
     settings: Any
     """What `Feature.reconfigure` takes."""
@@ -46,24 +46,24 @@
 
 
 def _check_gossip(settings: Any, folder: str) -> CheckedFeature:
-    told = _record(_module("gossip.settings").GossipSettings, settings)
+    typed = _record(_module("gossip.settings").GossipSettings, settings)
     transport = _module("gossip.udp_transport")
-    transport.built(told, folder)
-    return CheckedFeature(lambda proxy: transport.GossipFeature(proxy, told, folder), told)
+    transport.built(typed, folder)
+    return CheckedFeature(lambda proxy: transport.GossipFeature(proxy, typed, folder), typed)
 
 
 def _check_decision_log(settings: Any, folder: str) -> CheckedFeature:
-    told = _record(_module("decision_log.settings").DecisionLogSettings, settings)
+    typed = _record(_module("decision_log.settings").DecisionLogSettings, settings)
     server = _module("decision_log.query_server")
-    return CheckedFeature(lambda proxy: server.DecisionLogFeature(proxy, told, folder), told)
+    return CheckedFeature(lambda proxy: server.DecisionLogFeature(proxy, typed, folder), typed)
 
 
 def _check_coordination(settings: Any, folder: str) -> CheckedFeature:
-    told = _record(_module("coordination.settings").CoordinationSettings, settings)
+    typed = _record(_module("coordination.settings").CoordinationSettings, settings)
     feature = _module("coordination.feature")
-    feature.built(told, settings, folder)
+    feature.built(typed, settings, folder)
     return CheckedFeature(
-        lambda proxy: feature.CoordinationFeature(proxy, told, settings, folder), (told, settings)
+        lambda proxy: feature.CoordinationFeature(proxy, typed, settings, folder), (typed, settings)
     )
 
 
@@ -81,7 +81,7 @@
     def __init__(self, path: str | None) -> None:
         self.path = path
         self.running: dict[str, Feature] = {}
-        self.made = self._read(path) if path else {}
+        self.checked = self._read(path) if path else {}
 
     @staticmethod
     def _read(path: str) -> dict[str, CheckedFeature]:
@@ -92,21 +92,21 @@
         except loader.OperatorConfigError as error:
             raise FeatureError("\n".join(str(fault) for fault in error.faults)) from None
         folder = os.path.dirname(os.path.abspath(path))
-        made = {}
-        for name, told in settings.items():
+        checked_features = {}
+        for name, typed in settings.items():
             try:
                 with libraries_from(f"requirements-{name}.txt"):
-                    made[name] = CHECKS[name](told, folder)
+                    checked_features[name] = CHECKS[name](typed, folder)
             except ValueError as error:
                 line = loader.line(path, error.key) if hasattr(error, "key") else ""
                 raise FeatureError(f"{path}:{line} {error}") from None
-        return made
+        return checked_features
 
     def begin(self, proxy: Any) -> None:
         """Begins each feature and makes it known to the proxy. Raises FeatureError."""
-        for name, checked in self.made.items():
+        for name, checked in self.checked.items():
             try:
-                self.running[name] = checked.make(proxy)
+                self.running[name] = checked.create(proxy)
             except ValueError as error:
                 raise FeatureError(f"{self.path}: {error}") from None
             setattr(proxy, name, self.running[name])
@@ -116,15 +116,15 @@
         """Reads the file again; features that do not run wait for the next start."""
         if not self.path:
             return
-        made = self._read(self.path)
+        checked_features = self._read(self.path)
         folder = os.path.dirname(os.path.abspath(self.path))
         for name, feature in self.running.items():
-            if name in made:
+            if name in checked_features:
                 try:
-                    feature.reconfigure(made[name].settings, folder)
+                    feature.reconfigure(checked_features[name].settings, folder)
                 except ValueError as error:
                     raise FeatureError(f"{self.path}: {error}") from None
-        changed = sorted(made.keys() ^ self.running.keys())
+        changed = sorted(checked_features.keys() ^ self.running.keys())
         structured_log.log("operator file reloaded", only_at_a_start=changed)
 
     def stop(self) -> None:
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -14,23 +14,23 @@
 STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
 ACCEPT_AFTER_SIGTERM_SECONDS: Final = 0.5
 """Seconds after SIGTERM in which new connections still come."""
-LAST: Final = 0.05
+FLUSH_SECONDS: Final = 0.05
 """Seconds that the last responses need to go out."""
-SPARED: Final[Ticks] = 4_000
+SHUTDOWN_MARGIN: Final[Ticks] = 4_000
 """After SIGTERM the last answer comes no later than so long after the longest deadline. The kill
 comes 0.7 s after that. The rest is for connections that close, for the process's own end, and for
 0.15 s in which it may be held up."""
-COUNTED: Final[Ticks] = 3 * TICKS_PER_SECOND
+MAX_COUNTED_DEADLINE: Final[Ticks] = 3 * TICKS_PER_SECOND
 """What the longest deadline counts as at most."""
 FIRST_LIST_TIMEOUT_SECONDS = 0.5
 """Seconds. Where lists are pushed, what the agent on the machine has counts as told from the first
 moment, and the list that the configuration holds is older: the sidecar listens once the agent has
 spoken, or after this long. An agent that is up answers at once; one that is silent longer is down,
 and learns nothing that could count as told."""
-TRIES: Final = 100
+MAX_LISTEN_TRIES: Final = 100
 """How often an address that is in use is tried: the process before this one may hold it until it is
 killed, by the platform about 3.7 s after SIGTERM."""
-AGAIN: Final = 0.05
+LISTEN_RETRY_SECONDS: Final = 0.05
 """Seconds between two of these."""
 EXIT_UNUSABLE: Final = 2
 TICK_NANOSECONDS: Final = 100_000
@@ -55,13 +55,13 @@
     return serve(environment, environment.get(features.OPERATOR_FILE_VARIABLE) or None)
 
 
-def serve(environment: Mapping[str, str], operator: str | None) -> int:
+def serve(environment: Mapping[str, str], operator_file: str | None) -> int:
     """Serves by the environment's configuration and the operator's file. Gives an exit code."""
-    code = Lifecycle(environment, operator).run()
+    exit_code = Lifecycle(environment, operator_file).run()
     # The interpreter restores default handlers as it ends: another signal would end it by itself.
     for number in (signal.SIGHUP, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
-    return code
+    return exit_code
 
 
 class Lifecycle:
@@ -72,11 +72,11 @@
     while it was being read.
     """
 
-    def __init__(self, environment: Mapping[str, str], operator: str | None) -> None:
+    def __init__(self, environment: Mapping[str, str], operator_file: str | None) -> None:
         self.environment = environment
-        self.operator = operator
-        self.code = 0
-        self.again = False
+        self.operator_file = operator_file
+        self.exit_code = 0
+        self.reload_pending = False
         """Whether a SIGHUP came before the configuration could be read again."""
         self.serving = False
         self.stopping = False
@@ -84,17 +84,17 @@
         self.features: Any = None
         self.reactor: Any = None
         self.proxy: Any = None
-        self.tries = 0
-        self.waits = False
+        self.listen_tries = 0
+        self.retry_pending = False
         """Whether it waits for an address that is in use."""
 
     def run(self) -> int:
         """Serves until it is told to stop. Gives an exit code."""
-        signal.signal(signal.SIGHUP, self._told_to_read)
+        signal.signal(signal.SIGHUP, self._on_sighup)
         signal.signal(signal.SIGINT, signal.SIG_DFL)  # ends it without a traceback
         try:
             start = self._read()
-            self.features = features.Features(self.operator)
+            self.features = features.Features(self.operator_file)
         except (configuration.ConfigurationError, features.FeatureError) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
             return EXIT_UNUSABLE
@@ -104,7 +104,7 @@
 
         self.reactor = monotonic_reactor()
         for number in STOP_SIGNALS:
-            signal.signal(number, self._told_to_stop)
+            signal.signal(number, self._on_stop_signal)
         structured_log.capture_twisted_errors()
         self.proxy = Proxy(
             start,
@@ -119,21 +119,21 @@
             self.proxy.begin(self._listen)
             self.reactor.callLater(FIRST_LIST_TIMEOUT_SECONDS, self._listen)
         self.reactor.run(installSignalHandlers=False)
-        return self.code
+        return self.exit_code
 
     def _read(self) -> configuration.StartConfiguration:
         """The configuration; a faulty one that was replaced while it was read is read again."""
         while True:
-            self.again = False
+            self.reload_pending = False
             try:
                 return configuration.load(self.environment, self.epoch)
             except configuration.ConfigurationError:
-                if not self.again:
+                if not self.reload_pending:
                     raise
 
     def _listen(self) -> None:
         """Begins to serve; the first call counts."""
-        if self.serving or self.stopping or self.waits:
+        if self.serving or self.stopping or self.retry_pending:
             return
         from twisted.internet.error import CannotListenError  # noqa: PLC0415 (imported where it is needed)
 
@@ -142,7 +142,7 @@
             self.serving = True
             self.features.begin(self.proxy)
         except CannotListenError as error:
-            if not self._in_use(error):
+            if not self._retry_if_in_use(error):
                 self._fail(f"listen: {error}")
             return
         except features.FeatureError as error:
@@ -161,40 +161,44 @@
         )
         gc.collect()
         gc.freeze()  # what stands from the start is not looked through again
-        if self.again:
-            self.again = False
+        if self.reload_pending:
+            self.reload_pending = False
             self._reconfigure()
 
-    def _in_use(self, error: Any) -> bool:
+    def _retry_if_in_use(self, error: Any) -> bool:
         """Whether it is tried again: another process has the address still."""
-        if self.serving or error.socketError.errno != errno.EADDRINUSE or self.tries >= TRIES:
+        if (
+            self.serving
+            or error.socketError.errno != errno.EADDRINUSE
+            or self.listen_tries >= MAX_LISTEN_TRIES
+        ):
             return False
-        if not self.tries:
+        if not self.listen_tries:
             structured_log.log("address in use", listen=self.proxy.start.listen)
-        self.tries += 1
-        self.waits = True
-        self.reactor.callLater(AGAIN, self._listen_again)
+        self.listen_tries += 1
+        self.retry_pending = True
+        self.reactor.callLater(LISTEN_RETRY_SECONDS, self._listen_again)
         return True
 
     def _listen_again(self) -> None:
-        self.waits = False
+        self.retry_pending = False
         self._listen()
 
-    def _fail(self, why: str) -> None:
-        print(f"thymeknot: {why}", file=sys.stderr)
-        self.code = EXIT_UNUSABLE
+    def _fail(self, message: str) -> None:
+        print(f"thymeknot: {message}", file=sys.stderr)
+        self.exit_code = EXIT_UNUSABLE
         self.stopping = True
         self.reactor.stop()
 
     # Signals.
 
-    def _told_to_read(self, *_: Any) -> None:
+    def _on_sighup(self, *_: Any) -> None:
         if self.serving:
             self.reactor.callFromThread(self._reconfigure)
         else:
-            self.again = True
+            self.reload_pending = True
 
-    def _told_to_stop(self, *_: Any) -> None:
+    def _on_stop_signal(self, *_: Any) -> None:
         self.reactor.callFromThread(self._stop)
 
     def _stop(self) -> None:
@@ -215,15 +219,15 @@
             self.reactor.callLater(
                 ACCEPT_AFTER_SIGTERM_SECONDS,
                 self.proxy.shut_down,
-                self._emptied,
-                clock() + min(longest, COUNTED) + SPARED,
+                self._on_drained,
+                clock() + min(longest, MAX_COUNTED_DEADLINE) + SHUTDOWN_MARGIN,
             )
         else:
-            self._emptied()
+            self._on_drained()
 
-    def _emptied(self) -> None:
+    def _on_drained(self) -> None:
         structured_log.log("stopped")
-        self.reactor.callLater(LAST, self.reactor.stop)
+        self.reactor.callLater(FLUSH_SECONDS, self.reactor.stop)
 
     def _reconfigure(self) -> None:
         """Reads the files again.
@@ -239,7 +243,7 @@
         except Exception as error:
             structured_log.log_exception("operator file", error)
         try:
-            later = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
+            restart_keys = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
         except configuration.ConfigurationError as error:
             structured_log.log("configuration rejected", error=str(error))
         except Exception as error:  # a file must not end the program, whatever it holds
@@ -249,5 +253,5 @@
                 "configuration reloaded",
                 discovery=self.proxy.discovery.host,
                 platform=self.proxy.platform.host,
-                only_at_a_start=later,
+                only_at_a_start=restart_keys,
             )
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -11,10 +11,10 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.reasons import Reason
 
-EVERY: Final[Ticks] = 5 * TICKS_PER_SECOND
+LOG_INTERVAL: Final[Ticks] = 5 * TICKS_PER_SECOND
 """Between two lines."""
 
-FINAL: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
+FINAL_REASONS: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
 """The reasons that are final answers, with the keys of the log line."""
 
 
@@ -47,7 +47,7 @@
         (Reason.UNREACHABLE, Reason.DOUBTED, Reason.USED, Reason.COLD, Reason.OUTSIDE),
         Role.EXCLUDES_ENDPOINTS,
     ),
-    **dict.fromkeys(FINAL, Role.FINAL_ANSWER),
+    **dict.fromkeys(FINAL_REASONS, Role.FINAL_ANSWER),
 }
 
 ROLE_BY_NUMBER: Final = [
@@ -60,7 +60,7 @@
 class RejectionSummary:
     """Counts the causes of rejections and failures between two log lines.
 
-    `hear` is called for each reason; `next_listener`, if set, is called with the same arguments.
+    `record` is called for each reason; `next_listener`, if set, is called with the same arguments.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -69,10 +69,10 @@
         self.counts: dict[tuple[str, str], int] = {}
         self.since: Ticks = 0
         self._request: str | None = None
-        self._deciding: Reason | None = None
+        self._decisive: Reason | None = None
         self._excluding: Reason | None = None
 
-    def hear(self, name: str | None, reason: Reason, *operands: Any) -> None:
+    def record(self, name: str | None, reason: Reason, *operands: Any) -> None:
         """Takes a reason for a request (None for votes) as the decisions name it."""
         role = ROLE_BY_NUMBER[reason]
         if role:
@@ -83,36 +83,36 @@
     def _count(self, name: str | None, reason: Reason, role: Role) -> None:
         if name != self._request:  # what decided another request says nothing of this one
             self._request = name
-            self._deciding = None
+            self._decisive = None
             self._excluding = None
         if role == Role.EXCLUDES_ENDPOINTS:
             self._excluding = reason
         elif role == Role.DECIDES:
-            self._deciding = reason
+            self._decisive = reason
         else:
-            key = FINAL[reason], self._cause()
+            key = FINAL_REASONS[reason], self._cause()
             self.counts[key] = self.counts.get(key, 0) + 1
             self._request = None
 
     def _cause(self) -> str:
-        if self._deciding is None:
+        if self._decisive is None:
             return "NOTHING"
-        if self._deciding is Reason.NO_POD and self._excluding is not None:
-            return f"{self._deciding.name}/{self._excluding.name}"
-        return self._deciding.name
+        if self._decisive is Reason.NO_POD and self._excluding is not None:
+            return f"{self._decisive.name}/{self._excluding.name}"
+        return self._decisive.name
 
-    def due(self, now: Ticks, **beside: Any) -> Ticks:
+    def flush(self, now: Ticks, **fields: Any) -> Ticks:
         """Logs what came together since the last line; gives when it wants to be called again."""
         if self.counts:
             sums: dict[str, dict[str, int]] = {"deferred": {}, "abandoned": {}}
-            for (answer, cause), count in sorted(self.counts.items(), key=lambda one: -one[1]):
+            for (answer, cause), count in sorted(self.counts.items(), key=lambda item: -item[1]):
                 sums[answer][cause] = count
             self.log(
                 "requests rejected",
                 seconds=(now - self.since) / TICKS_PER_SECOND,
                 **{answer: causes for answer, causes in sums.items() if causes},
-                **beside,
+                **fields,
             )
             self.counts = {}
         self.since = now
-        return now + EVERY
+        return now + LOG_INTERVAL
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -15,7 +15,7 @@
 
 from .log_events import LEVELS
 
-VARIABLE: Final = "THYMEKNOT_LOG"
+LEVEL_VARIABLE: Final = "THYMEKNOT_LOG"
 LEVELS_BY_NAME: Final = {
     "debug": logging.DEBUG,
     "info": logging.INFO,
@@ -47,7 +47,7 @@
         return True
 
 
-def _rendered(logger: Any, level: Any, fields: Fields) -> bytes:
+def _render(logger: Any, level: Any, fields: Fields) -> bytes:
     """The line of these fields: time first, the level where it is above info."""
     if level > logging.INFO:
         fields["level"] = logging.getLevelName(level).lower()
@@ -56,7 +56,7 @@
     )
 
 
-def _written(line: bytes) -> None:
+def _write_line(line: bytes) -> None:
     try:
         os.write(STANDARD_OUTPUT, line)
     except OSError:
@@ -74,15 +74,15 @@
 
     def log(self, level: int, fields: Any) -> None:
         """Writes the fields unless their level is below the one asked for."""
-        if level >= _least:
+        if level >= _min_level:
             for process in self._processors:
                 fields = process(self._logger, level, fields)
             self._logger(fields)
 
 
-_least = LEVELS_BY_NAME.get(os.environ.get(VARIABLE, "info").lower(), logging.INFO)
+_min_level = LEVELS_BY_NAME.get(os.environ.get(LEVEL_VARIABLE, "info").lower(), logging.INFO)
 _log = (
-    structlog.wrap_logger(_written, [_rendered], _DirectLogger, cache_logger_on_first_use=True)
+    structlog.wrap_logger(_write_line, [_render], _DirectLogger, cache_logger_on_first_use=True)
     .bind()
     .log
 )
