--- a/thymeknot/__main__.py
+++ b/thymeknot/__main__.py
@@ -1,18 +1,18 @@
-"""Starts one sidecar; with words, the command line."""
+"""Starts one sidecar, or the command line if there are arguments."""
 
 import os
 import signal
 import sys
 
 EXIT_UNUSABLE = 2
-"""Exit code: the words, the files or the installation can't be used."""
+"""Exit code: invalid arguments, invalid files or an incomplete installation."""
 
 
 def main() -> int:
-    """Serves, or runs the command that the words name, and gives the exit code."""
+    """Runs the sidecar, or the command named by the arguments; returns the exit code."""
     arguments = sys.argv[1:]
     if not arguments:
-        # Before anything is loaded: the file that a SIGHUP announces is read after this anyway.
+        # Ignored while modules load: the file that a SIGHUP announces is read afterwards anyway.
         signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from .service import required_libraries  # noqa: PLC0415 (imported where it is needed)
 
--- a/thymeknot/polling/__init__.py
+++ b/thymeknot/polling/__init__.py
@@ -1,5 +1,5 @@
-"""Polling a shared service that takes a limited number of calls from all of its callers.
+"""Polling of a shared service that accepts a limited rate of calls from all its callers.
 
-The modules decide how often one caller asks, and whether a list that it was given is believed. They
-are pure: no input or output.
+The modules decide how often one caller polls, and whether a list that it received is accepted. They
+perform no input or output.
 """
--- a/thymeknot/polling/adaptive_interval.py
+++ b/thymeknot/polling/adaptive_interval.py
@@ -1,7 +1,7 @@
-"""How long one of many callers waits before it calls a shared service again.
+"""The wait between calls of one of many callers to a shared service.
 
-A caller knows only how its own calls ended, and the rate of all callers together must fall when the
-service is overloaded. Times are ticks (tenths of a millisecond). Source: docs/design/vast.md.
+A caller knows only the results of its own calls, yet the total rate of all callers must fall when
+the service is overloaded. Times are ticks (tenths of a millisecond). Source: docs/design/vast.md.
 """
 
 from collections.abc import Callable
@@ -9,26 +9,26 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 
-# The regular interval is drawn between these two, so that many callers spread.
+# The regular interval is drawn between these two, so that callers spread out.
 MIN_REGULAR_INTERVAL: Ticks = 2_000
 MAX_REGULAR_INTERVAL: Ticks = 8_000
-# Between two calls of a shared service at most: a late update must still arrive.
+# Longest wait between calls to a shared service, so that updates still arrive.
 MAX_INTERVAL: Ticks = 8 * TICKS_PER_SECOND
-# The same for a peer that serves this caller alone, where a call costs others nothing.
+# The same for a peer that serves this caller alone, where a call delays no other caller.
 MAX_DEDICATED_INTERVAL: Ticks = TICKS_PER_SECOND
-# What was refused or malformed at least this long after its call counts as established before.
+# A stream refused or malformed at least this long after its call counts as established.
 ESTABLISHED_AFTER: Ticks = 2 * TICKS_PER_SECOND
-# The first calls are spread over this time for each caller: such a service takes one call of each
-# in 2 to 8 s.
+# The first calls are spread over this time per caller: a shared service accepts one call from each
+# caller in 2 to 8 s.
 INITIAL_SPREAD_PER_CALLER: Ticks = 1_000
-# All first calls are made within this time: what the service has counted is sent after 6 s.
+# All first calls are made within this time: the service sends its counts after 6 s.
 MAX_INITIAL_SPREAD: Ticks = 6 * TICKS_PER_SECOND
-# Doublings of the regular interval at most: far more than MAX_INTERVAL allows, and a small number.
+# Maximum doublings of the regular interval: MAX_INTERVAL is reached long before; bounds the shift.
 MAX_DOUBLINGS = 10
 
 
 class IntervalState(StrEnum):
-    """What the last calls say of the service."""
+    """The state of the service, as inferred from the last calls."""
 
     REGULAR = "fresh"
     SUSPECT = "warned"
@@ -40,18 +40,18 @@
     """How a call, or the stream that it opened, ended."""
 
     REFUSED = "refused"
-    """The service ended it."""
+    """The service ended or rejected it."""
     LOST = "lost"
-    """No connection, or silence: it says nothing about the load of the service."""
+    """No connection, or silence; no sign of overload."""
     MALFORMED = "spoilt"
     ESTABLISHED = "stood"
-    """It had been useful before it ended."""
+    """It had delivered data before it ended."""
 
 
-# (state, result) -> next state, and what is added to the number of refusals in a row (None: it
-# starts again from 0). A refusal means that all callers together ask too much; a lost connection
-# does not, and changes nothing. One malformed answer may be an exception; after a second one the
-# service is not worth two calls a second.
+# (state, result) -> next state, and the increment of the consecutive refusals (None resets them to
+# 0). A refusal means that all callers together call too often; a lost connection does not, and
+# changes nothing. One malformed response may be an exception; after a second one the service is not
+# worth two calls a second.
 TRANSITIONS: dict[tuple[IntervalState, CallResult], tuple[IntervalState, int | None]] = {
     (IntervalState.REGULAR, CallResult.REFUSED): (IntervalState.BACKING_OFF, 1),
     (IntervalState.REGULAR, CallResult.LOST): (IntervalState.REGULAR, 0),
@@ -69,12 +69,12 @@
 
 
 class AdaptiveInterval:
-    """The interval between calls of one service by one caller.
+    """The interval between one caller's calls to one service.
 
     Attributes:
-        draw: Gives a random number from 0 to 1; seeded by the caller.
+        draw: Returns a random number from 0 to 1; seeded by the caller.
         max_interval: The longest interval while backing off, in ticks.
-        state: What the last calls say of the service.
+        state: The state of the service as shown by the last calls.
         refusals: How many calls in a row were refused.
     """
 
@@ -85,16 +85,16 @@
         self.refusals = 0
 
     def initial_wait(self, asking: int) -> Ticks:
-        """Returns the wait before the first call, where `asking` callers start at once."""
+        """Returns the wait before the first call, if `asking` callers start at once."""
         return int(self.draw() * min(MAX_INITIAL_SPREAD, INITIAL_SPREAD_PER_CALLER * asking))
 
     def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
-        """Notes how a call, or the stream that it opened, ended.
+        """Records how a call, or the stream that it opened, ended.
 
         Args:
             how: The result.
-            age: The time since the call. What is refused or malformed after ESTABLISHED_AFTER was
-                not rejected by an overloaded service.
+            age: The time since the call. A refusal or malformed data after ESTABLISHED_AFTER
+                is no sign of overload.
 
         Returns:
             The wait before the next call.
@@ -109,7 +109,7 @@
         """Returns the wait before the next call: exponential backoff with jitter.
 
         It is four times the regular interval after the first refusal and doubles with each further
-        one, up to the longest.
+        one, up to `max_interval`.
         """
         wait = MIN_REGULAR_INTERVAL + int(
             self.draw() * (MAX_REGULAR_INTERVAL - MIN_REGULAR_INTERVAL)
--- a/thymeknot/polling/snapshot_validation.py
+++ b/thymeknot/polling/snapshot_validation.py
@@ -1,7 +1,7 @@
-"""Whether a snapshot of the endpoint list is believed.
+"""Validates snapshots of the endpoint list.
 
-One that names no endpoint, or is older than the last, would remove all that is known. Changes are
-always believed: they add to what is known, and a drain takes effect at once. Pure. Source:
+A snapshot that is empty or older than the last could remove all known endpoints. Deltas are always
+accepted: they add to the list, and a drain must take effect at once. Performs no I/O. Source:
 docs/design/vast.md.
 """
 
@@ -10,7 +10,7 @@
 
 
 class ValidatorState(StrEnum):
-    """Whether the last snapshot was taken."""
+    """Whether the last snapshot was accepted, and if not, why."""
 
     TRUSTING = "firm"
     SAW_OLDER = "doubting"
@@ -18,32 +18,32 @@
 
 
 class SnapshotKind(StrEnum):
-    """How a list compares with the last one that was taken."""
+    """How a list compares with the last accepted one."""
 
     NEWER = "newer"
-    """Not older than the last, or no snapshot at all."""
+    """Not older than the last one, or a delta."""
     OLDER = "older"
     EMPTY = "empty"
-    """It names no endpoint and has no newer version."""
+    """Without endpoints, and without a newer version."""
     EMPTIED = "emptied"
-    """It names no endpoint and has a newer version."""
+    """Without endpoints, with a newer version."""
 
 
 class Decision(StrEnum):
-    """What is done with a list."""
+    """What to do with a list."""
 
     TAKE = "take"
     KEEP = "keep"
-    """It is not taken; what is known stays."""
+    """Reject it and keep the known endpoints."""
     FETCH_AGAIN = "ask"
-    """It is not taken, but fetched again at once, and taken if it comes again."""
+    """Reject it, fetch it again at once, and accept it if it comes again."""
 
 
-# (state, kind) -> next state, decision. An older snapshot comes from a service that numbers its
-# versions anew, an emptied one from a service that has noted the end of the endpoints that it no
-# longer names: both count if they are confirmed. A service that answers differently each time is
-# polled less and less often. A snapshot that is empty without a newer version comes from a service
-# that has not discovered the endpoints yet: keeping them costs failed connections at most.
+# (state, kind) -> next state, decision. An older snapshot comes from a service that has restarted
+# its version numbers, an emptied one from a service that has seen all endpoints end: both are
+# accepted once confirmed. A service whose responses keep differing is polled less and less often. A
+# snapshot that is empty without a newer version comes from a service that has not discovered the
+# endpoints yet: keeping them costs failed connections at most.
 TRANSITIONS: dict[tuple[ValidatorState, SnapshotKind], tuple[ValidatorState, Decision]] = {
     (ValidatorState.TRUSTING, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
     (ValidatorState.SAW_OLDER, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
@@ -64,20 +64,20 @@
 
 
 class SnapshotRejection(NamedTuple):
-    """Why a list is not taken."""
+    """Why a list is rejected."""
 
     reason: str
     fetch_again: bool
-    """Whether it is fetched again at once, and believed if it comes again."""
+    """Whether to fetch it again at once; it is accepted if it comes again."""
 
 
 class SnapshotValidator:
-    """Validates the lists that one sidecar gets.
+    """Validates the lists that one sidecar receives.
 
     Attributes:
-        state: Whether the last snapshot was taken.
-        source: The address that sent the last list; each address counts its own versions.
-        version: The version of the last list that was taken from this source.
+        state: Whether the last snapshot was accepted, and if not, why.
+        source: The address that sent the last list; each address has its own versions.
+        version: The version of the last list accepted from this source.
     """
 
     def __init__(self) -> None:
@@ -88,17 +88,17 @@
     def validate(
         self, source: object, version: int, whole: bool, names: int, known: int
     ) -> SnapshotRejection | None:
-        """Decides whether a list is taken.
+        """Decides whether to accept a list.
 
         Args:
             source: The address that sent it.
             version: Its version.
-            whole: Whether it is a snapshot, rather than changes.
+            whole: Whether it is a snapshot rather than a delta.
             names: How many endpoints it names.
             known: How many endpoints are known now.
 
         Returns:
-            Why it is not taken; None where it is, and its version is then the last.
+            Why it is rejected; None if it is accepted, and `version` is then its version.
         """
         if source != self.source:
             self.state = ValidatorState.TRUSTING
--- a/thymeknot/proxy/__init__.py
+++ b/thymeknot/proxy/__init__.py
@@ -1,1 +1,1 @@
-"""Between the network and the decision engine: connections, requests and attempts in flight."""
+"""Connects the network to the decision engine: connections, requests and attempts."""
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt to have a request answered by an endpoint, and its one end."""
+"""One attempt to get a response to a request from an endpoint."""
 
 from typing import TYPE_CHECKING
 
@@ -13,23 +13,23 @@
     from .proxy import Proxy
 
 BUSY = "BUSY"
-"""The first word of an error that promises no effect, on both sides of the proxy."""
+"""The first word of an error that promises that the request had no effect, on both sides."""
 
 
 class Attempt:
-    """An attempt that waits for a connection or is out on one; the connection pools' delivery.
+    """An attempt that waits for a connection or was written to one; see the connection pools.
 
     Attributes:
-        proxy: Who is told of its end.
+        proxy: Notified when it ends.
         request: The request that it is for.
         number: Its number among the request's attempts.
         endpoint: The endpoint as it was listed when the attempt began; None where it was not.
         started_at: When it began.
         expires_at: When it times out.
-        in_flight: Whether it has not ended.
+        in_flight: Whether it has not ended yet.
         connection: The connection that it was written to; None while it waits for one.
-        timer: The timer of `timer_due`.
-        write_by: Until when its last byte may be written.
+        timer: The timer that calls `timer_due`.
+        write_by: When its last byte must be written.
         newest_build: The newest build when it began.
         may_have_run: Whether the endpoint may have executed it.
     """
@@ -72,10 +72,10 @@
         self.write_by = self._write_by()
 
     def _write_by(self) -> Ticks:
-        """Returns until when its last byte may be written, by what earlier attempts may have done.
+        """Returns when its last byte must be written, given which earlier attempts may have run.
 
-        Endpoints drop a repeat with an idempotency key for the deduplication window, counted as
-        the decisions count it; a request that is not idempotent may not be repeated at all.
+        Endpoints drop a retry with an idempotency key during the deduplication window, measured
+        as the engine measures it; a request that is not idempotent must not be retried at all.
         """
         suspect = next((earlier for earlier in self.request.attempts if earlier.may_have_run), None)
         request_class = self.proxy.settings.request_classes[self.request.command.request_class]
@@ -86,9 +86,9 @@
         return 0
 
     def may_be_written(self, address: str | None) -> bool:
-        """Returns whether the decision still holds at this address.
+        """Returns whether the decision to send it to this address is still valid.
 
-        The attempt may have waited for a connection since it was decided.
+        The state may have changed while the attempt waited for a connection.
         """
         proxy = self.proxy
         endpoint = self.endpoint
@@ -110,7 +110,7 @@
         )
 
     def _key_is_sticky(self, update: ReleaseUpdate | None, endpoint: Endpoint) -> bool:
-        """Returns whether its key stays with the newest build, which has answered it since."""
+        """Returns whether the newest build has since answered its key, which is then sticky."""
         command = self.request.command
         return (
             update is not None
@@ -120,7 +120,7 @@
         )
 
     def written(self) -> bool:
-        """Returns whether its last byte has gone to the network."""
+        """Returns whether its last byte has been written to the network."""
         return self.connection is not None and self.connection.written
 
     def withdraw(self) -> None:
@@ -128,7 +128,7 @@
         self.give_up(Outcome.NOT_SENT)
 
     def timer_due(self) -> None:
-        """Ends it when it may not be written any more, and when its time is over."""
+        """Ends it when it can no longer be written in time, or has timed out."""
         if self.proxy.clock() >= self.expires_at:
             self.give_up()
         elif not self.written():
@@ -137,8 +137,8 @@
             self.timer = self.proxy.timers.add(self.expires_at, self.timer_due)
 
     def write_to(self, connection: PodConnection) -> None:
-        """Writes it to a connection that is free."""
-        assert self.endpoint is not None  # else it has ended as not sent
+        """Writes it to a free connection."""
+        assert self.endpoint is not None  # otherwise it has ended as not sent
         self.connection = connection
         now = self.proxy.clock()
         self.proxy.exposure.wrote(
@@ -149,20 +149,20 @@
         delivered.addCallback(self._response_ended)
 
     def not_connected(self, broken: BrokenConnection) -> None:
-        """Ends it because no connection has come up for it."""
+        """Ends it because no connection could be opened."""
         self.proxy.attempt_ended(self, Outcome.CONNECT_FAILED)
 
     def _response_begun(self) -> None:
         self.proxy.response_discarded(self, "in part or unreadable")
 
     def _response_ended(self, end: PodResponse | BrokenConnection) -> None:
-        """Ends it by the response, or by how its connection broke."""
+        """Ends it with the response or with the failure of its connection."""
         proxy = self.proxy
         if isinstance(end, BrokenConnection):
             written = end.reached == WRITTEN
             if self.in_flight and written:
                 proxy.response_discarded(self, end.reason)
-            if self.in_flight:  # still: the decisions may have cancelled it
+            if self.in_flight:  # checked again: the engine may have cancelled it
                 proxy.attempt_ended(self, Outcome.RESET if written else Outcome.CONNECT_FAILED)
         elif end.failure is None:
             if self.in_flight:
@@ -174,13 +174,13 @@
             proxy.attempt_ended(self, Outcome.REJECTED if busy else Outcome.ERROR)
 
     def give_up(self, outcome: Outcome | None = None) -> None:
-        """Ends it without a response; one to what was written may yet come, and is not read.
+        """Ends it without a response; one that still arrives is not read.
 
         Args:
-            outcome: How it ends; None means that its time is over.
+            outcome: How it ends; None means that it timed out.
         """
         written = self.written()
-        self.in_flight = False  # its one end is this: what its connection says of its own is none
+        self.in_flight = False  # so that the closed connection does not end it a second time
         self.proxy.pools.give_up(self, self.connection)
         if written:
             self.proxy.response_discarded(self, "given up")
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients' connections, within the places for them, and evicts idle ones to make room."""
+"""Accepts clients' connections up to a limit, and evicts idle ones to make room."""
 
 from collections.abc import Callable
 from functools import partial
@@ -18,19 +18,19 @@
     from .graceful_shutdown import GracefulShutdown
 
 LISTEN_BACKLOG = 512
-"""Connections that the machine accepts ahead of the reactor."""
+"""Length of the kernel's queue of connections that wait to be accepted."""
 
 EVICTION_CANDIDATES = 16
-"""Idle connections that are looked at for eviction when one comes; the eldest."""
+"""Number of idle connections, oldest first, considered for eviction per new connection."""
 
 CLOSING_ALLOWANCE = 8
-"""Connections beyond the places for clients, while those that were evicted for them close."""
+"""Connections allowed beyond the limit while evicted ones close."""
 
 EVICTION_RATIO = 1 / 3
-"""Of the places for clients: from there on, idle connections are evicted when one comes."""
+"""Fraction of the limit from which a new connection causes idle ones to be evicted."""
 
 MIN_IDLE_TIME = 2_000
-"""Ticks: a connection that has been idle for less is evicted only when no place is left."""
+"""Ticks; a connection that has been idle for less is evicted only if the limit is reached."""
 
 
 class ClientFactory(Factory):
@@ -47,22 +47,22 @@
 
 
 class ClientListener:
-    """The listening port and the clients' connections; the owner that these report to.
+    """The listening port and its clients' connections, which report to it as their owner.
 
     Attributes:
         reactor: Twisted's reactor; it has no static type.
         timers: All timers of the program.
-        clock: The time, in ticks.
+        clock: Returns the monotonic time, in ticks.
         address: The host and port to listen on.
-        sockets: The configured limit of descriptors, which also bounds what is accepted in one go.
-        max_clients: The places for clients.
-        take: Called with each request: its connection, the place of its answer, its command.
-        gone: Called with a connection whose client waits for nothing more.
+        sockets: The configured limit of descriptors; also the most accept calls in one go.
+        max_clients: The maximum number of client connections.
+        take: Called with each request: its connection, response position and command.
+        gone: Called with a connection whose client has stopped waiting.
         clients: The open connections.
-        accepting_paused: Whether new connections wait until one of the others is idle or closed.
-        listening: Whether the port is open, or is to be closed once the rest has been accepted.
+        accepting_paused: Whether accepting waits until a connection becomes idle or closes.
+        listening: Whether the port is open, or will be closed once the backlog is accepted.
         port: The listening port.
-        shutdown: What drains and ends the listener; it sets this itself.
+        shutdown: Drains the listener; GracefulShutdown sets this itself.
     """
 
     shutdown: "GracefulShutdown"
@@ -95,7 +95,7 @@
         """Opens the port.
 
         Raises:
-            CannotListenError: The address is in use, or is none of this machine's.
+            CannotListenError: The address is in use or does not belong to this machine.
         """
         host, port = self.address
         self.port = self.reactor.listenTCP(
@@ -105,39 +105,39 @@
         self.listening = True
 
     def _accept(self, port: Any, accept: Callable[[], None]) -> None:
-        """Accepts no more at once than there are places for.
+        """Accepts no more connections at once than the limit allows.
 
-        The network library closes a connection that finds no descriptor.
+        The network library would close a connection for which no descriptor is left.
         """
         port.numberAccepts = max(1, min(port.numberAccepts, self.max_clients - len(self.clients)))
         accept()
 
     def accept_all(self) -> None:
-        """Accepts all that the machine has accepted; the reactor takes but some at a time."""
+        """Accepts the whole backlog; the reactor accepts only some at a time."""
         for _ in range(self.sockets):
             before = self.port.sessionno
             self.port.doRead()
             if self.port.sessionno == before or self.accepting_paused:
                 return
 
-    # What the connections report.
+    # Callbacks of the connections.
 
     def fault(self, where: str, error: Exception) -> None:
-        """Logs a fault that has cost a connection."""
+        """Logs an exception that has closed a connection."""
         structured_log.log_exception(where, error)
 
     def opened(self, connection: ClientConnection) -> None:
-        """Takes up a new connection, and makes room for those to come.
+        """Registers a new connection, and makes room for further ones.
 
-        Between requests a connection may be closed, but none for which something waits unread, and
-        one that has said nothing whole only after half a second. A crowd of clients that ask once
-        and stay would hold the places that those to come need.
+        A connection may be closed between requests, but not while data waits to be read, and one
+        that has not sent a complete request only after half a second. Otherwise many clients that
+        send one request and stay connected would block new ones.
         """
         connection.slot = self.clients.add(connection)
         connection.used_at = self.clock()
         full = len(self.clients) >= self.max_clients
         now = self.clock()
-        if self.shutdown.clients_finishing():  # it had to wait for a place
+        if self.shutdown.clients_finishing():  # accepted during a drain
             connection.finish()
         if not full and len(self.clients) < self.max_clients * EVICTION_RATIO:
             return
@@ -149,13 +149,13 @@
             and (not idle or len(self.clients) >= self.max_clients + CLOSING_ALLOWANCE)
             and not self.accepting_paused
         ):
-            self.accepting_paused = True  # also until those that make room have closed
+            self.accepting_paused = True  # also until the evicted connections have closed
             self.port.stopReading()
             if not idle:
                 structured_log.log_rate_limited("accepting paused", connections=len(self.clients))
 
     def _eviction_candidates(self, new: ClientConnection, now: Ticks) -> list[ClientConnection]:
-        """Returns idle connections for which nothing waits unread, the first to go first."""
+        """Returns idle connections without unread data, in the order of eviction."""
         idle = sorted(
             (
                 client
@@ -169,7 +169,7 @@
     def _connections_to_evict(
         self, idle: list[ClientConnection], full: bool, now: Ticks
     ) -> list[ClientConnection]:
-        """Returns those idle for long, beyond the crowded share; else one, if it is full."""
+        """Returns the long idle ones above the eviction ratio; if none and full, the first."""
         long_idle = [
             client
             for client in idle
@@ -179,7 +179,7 @@
         return chosen or (idle[:1] if full else [])
 
     def became_idle(self) -> None:
-        """Accepts again if that is paused: the next connection finds one to take the place of."""
+        """Resumes accepting: an idle connection can now be evicted for the next one."""
         if self.accepting_paused and not self.shutdown.began():
             self.accepting_paused = False
             self.port.startReading()
@@ -187,8 +187,8 @@
             self.shutdown.accept_rest()
 
     def left(self, connection: ClientConnection) -> None:
-        """Lets go of a connection that is closed."""
-        if connection.slot is not None:  # it was taken up
+        """Removes a closed connection."""
+        if connection.slot is not None:  # it was registered
             self.clients.remove(connection.slot)
         self.gone(connection)
         self.became_idle()
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -1,4 +1,4 @@
-"""Takes clients' requests and gives them their answers."""
+"""Accepts clients' requests and sends their responses."""
 
 from typing import TYPE_CHECKING
 
@@ -18,32 +18,32 @@
     from .proxy import Proxy
 
 OVERDUE_MARGIN = 50
-"""Ticks after its client's end: a request still without an answer gets one."""
+"""Ticks after a request's deadline when it gets a response if the engine has sent none."""
 
 UNKNOWN_CLASS_RESPONSE = resp.failure("ERR no such lane")
-"""The answer to a request of a class that the settings do not name."""
+"""The response to a request whose class is not in the settings."""
 
 FAILED_RESPONSE = resp.failure("ERR abandoned")
-"""The answer to a request that has failed and may have run."""
+"""The response to a request that has failed and may have run."""
 
 
 def close_if_client_gone(request: InFlightRequest) -> None:
-    """Ends the request's connection if its client has left.
+    """Closes the request's connection if its client has disconnected.
 
-    The reactor may have read something else before the end, or does not read that connection.
+    The reactor may not have reported this yet, or may not be reading from the connection.
     """
     if not request.closed and has_left(request.connection.transport):
         request.connection.readConnectionLost()
 
 
 class ClientRequests:
-    """What stands between the clients' connections and the decisions.
+    """Passes requests from the clients' connections to the decision engine, and responses back.
 
     Attributes:
-        proxy: Who tells the decisions of requests.
+        proxy: Passes events to the engine.
         table: The requests in flight.
         timers: All timers of the program.
-        clock: The time, in ticks.
+        clock: Returns the monotonic time, in ticks.
     """
 
     def __init__(self, proxy: "Proxy", table: RequestTable) -> None:
@@ -53,7 +53,7 @@
         self.clock = proxy.clock
 
     def gone(self, connection: ClientConnection) -> None:
-        """Ends the requests of a connection whose client waits for nothing more."""
+        """Ends the requests of a connection whose client has stopped waiting."""
         proxy = self.proxy
         for request in self.table.by_slot if connection.places else ():
             if request.connection is connection and not request.closed:
@@ -61,7 +61,7 @@
                 if proxy.why is not None:
                     proxy.why.ended(request.id, proxy.why.left)
                 proxy.handle_events(ClientDisconnected(request.id))
-                # Also where none may be cancelled: these are not out yet.
+                # Even if cancellation is not allowed: these were not completely written.
                 for attempt in request.attempts:
                     if attempt.in_flight and not attempt.written():
                         attempt.withdraw()
@@ -70,14 +70,14 @@
                 self.table.release(request)
 
     def take(self, connection: ClientConnection, place: int, command: Command) -> None:
-        """Takes a request, or answers at once why it is not taken."""
+        """Accepts a request, or responds at once with the reason for refusing it."""
         name = command.id.decode()
         request_class = self.proxy.settings.request_classes.get(command.request_class)
         if request_class is None:
             connection.answer(place, UNKNOWN_CLASS_RESPONSE)
             return
         self._notice_if_first_client_is_gone(name)
-        if connection.gone:  # it was the same
+        if connection.gone:  # the earlier request came over this connection
             return
         if name in self.table.by_id or name in self.table.may_have_run:
             self._take_repeat(name, connection, place, command)
@@ -89,18 +89,18 @@
         self._begin(name, connection, place, command, left)
 
     def _notice_if_first_client_is_gone(self, name: str) -> None:
-        """Lets go of what an id stands for already, if the client that sent it has left."""
+        """Releases an earlier request with this id if its client has disconnected."""
         earlier = self.table.find(name) if name in self.table.by_id else None
         if earlier is not None:
             close_if_client_gone(earlier)
 
     def _is_full(self) -> bool:
-        """Whether as many requests are in hand, or remembered, as the settings allow."""
+        """Returns whether requests in flight and blocked ids have reached `max_open`."""
         held = len(self.table.by_slot) + len(self.table.may_have_run)
         return held >= self.proxy.connection_limits.max_open
 
     def _time_left(self, command: Command, request_class: RequestClass) -> Ticks:
-        """Returns for how long a request is held: no client has one held beyond the outer limit."""
+        """Returns how long the request may take, at most the outer limit of its class."""
         left = min(command.left * 10, request_class.outer_limit)
         answer_by = self.proxy.shutdown.answer_by
         return left if answer_by is None else min(left, answer_by - self.clock())
@@ -108,7 +108,7 @@
     def _begin(
         self, name: str, connection: ClientConnection, place: int, command: Command, left: Ticks
     ) -> None:
-        """Takes a request up and tells the decisions of it."""
+        """Registers a request and reports it to the engine."""
         proxy = self.proxy
         now = connection.used_at = self.clock()
         request = InFlightRequest(name, command, connection, place, now + left)
@@ -129,11 +129,11 @@
     def _take_repeat(
         self, name: str, connection: ClientConnection, place: int, command: Command
     ) -> None:
-        """Takes a request whose id was taken before.
+        """Handles a request whose id was used before.
 
-        A client whose connection was closed under a request that it thinks unread sends it once
-        more. Where attempts of the first copy are out still, what they bring is the answer; where
-        it may have run, it does not run again.
+        A client whose connection closed before it had a response sends the request again. If
+        attempts of the first copy are still in flight, their result is the response; if the first
+        copy may have run, the request does not run again.
         """
         proxy = self.proxy
         request = self.table.find(name)
@@ -156,7 +156,7 @@
         )
 
     def _overdue(self, request: InFlightRequest) -> None:
-        """Answers a request that the decisions have missed: an answer is still owed."""
+        """Responds to a request that the engine has left without a response."""
         proxy = self.proxy
         if not request.closed:
             structured_log.log("request overdue", id=request.id, out=request.attempts_in_flight)
@@ -166,7 +166,7 @@
             proxy.handle_events(ClientDisconnected(request.id))
 
     def answer(self, request: InFlightRequest | None, content: bytes) -> None:
-        """Gives a request its final answer, if it is owed one."""
+        """Sends a request its final response, unless it is closed."""
         proxy = self.proxy
         if request and not request.closed:
             request.closed = True
@@ -176,11 +176,11 @@
                 proxy.why.over(request.id)
 
     def reject(self, action: Reject) -> None:
-        """Gives the final answer that promises no effect."""
+        """Sends the final response that promises that the request had no effect."""
         milliseconds = -(-action.retry_after // 10)
         content = resp.failure(f"{BUSY} {milliseconds}" if milliseconds else BUSY)
         self.answer(self.table.find(action.id), content)
 
     def fail(self, action: Fail) -> None:
-        """Gives the final answer of a request that may have run."""
+        """Sends the final response of a request that may have run."""
         self.answer(self.table.find(action.id), FAILED_RESPONSE)
--- a/thymeknot/proxy/descriptor_budget.py
+++ b/thymeknot/proxy/descriptor_budget.py
@@ -1,20 +1,20 @@
-"""How the file descriptors of the process are shared between clients and endpoints."""
+"""Divides the file descriptors of the process between clients and endpoints."""
 
 import resource
 from typing import NamedTuple
 
 MIN_DESCRIPTORS = 64
-"""Counted on even where the machine allows fewer: the configuration takes no lower limit."""
+"""Assumed even if the system allows fewer: the configuration accepts no lower limit."""
 
 RESERVED_DESCRIPTORS = 40
-"""For discovery, the platform, the reactor's own descriptors and the standard streams."""
+"""Reserved for discovery, the platform, the reactor's descriptors and standard streams."""
 
 ENDPOINT_SHARE = 0.4
-"""Of what is not reserved: connections to endpoints. The rest is for clients."""
+"""Fraction of the unreserved descriptors for endpoint connections; the rest is for clients."""
 
 
 class DescriptorBudget(NamedTuple):
-    """How many connections each side may have.
+    """The maximum number of connections on each side.
 
     Attributes:
         clients: Connections of clients.
@@ -26,9 +26,9 @@
 
 
 def allowed_descriptors(limit: int) -> int:
-    """Returns how many descriptors the machine allows, at most so many.
+    """Returns how many descriptors the system allows, up to the limit.
 
-    Where the machine refuses one, the network library closes the connection that has come.
+    Without a free descriptor, the network library closes an incoming connection.
     """
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed == resource.RLIM_INFINITY:
@@ -37,7 +37,7 @@
 
 
 def descriptor_budget(limit: int) -> DescriptorBudget:
-    """Shares out the descriptors that the machine allows, at most so many."""
+    """Divides the descriptors that the system allows, up to the limit."""
     available = allowed_descriptors(limit) - RESERVED_DESCRIPTORS
     for_endpoints = int(available * ENDPOINT_SHARE)
     return DescriptorBudget(available - for_endpoints, for_endpoints)
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""The endpoints as discovery lists them: watched, fetched, validated, told to the decisions."""
+"""Watches, fetches and validates the endpoint list, and passes it to the decision engine."""
 
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
@@ -21,15 +21,15 @@
 """Host and port."""
 
 StreamReader = Callable[[memoryview], bool]
-"""Reads a piece of a stream; returns whether a sign of life was in it."""
+"""Reads a chunk of a stream; returns whether the chunk shows that the stream is alive."""
 
 
 def notifying_reader(read: StreamReader, on_data: Callable[[], None]) -> StreamReader:
-    """Returns a reader that calls on_data() after each piece with a sign of life in it."""
+    """Returns a reader that calls on_data() after each chunk that shows the stream to be alive."""
 
     def read_and_notify(content: memoryview) -> bool:
         alive = read(content)
-        if alive:  # less is a part of a line
+        if alive:  # otherwise only part of a line has arrived
             on_data()
         return alive
 
@@ -37,14 +37,14 @@
 
 
 class EndpointUpdates:
-    """Keeps the list of endpoints.
+    """Maintains the endpoint list.
 
     Attributes:
-        proxy: Who is told of updates, and whose connections follow them.
+        proxy: Receives the updates; its connections are adjusted to them.
         listed_endpoints: Each listed endpoint by its name.
-        addresses: Where each listed endpoint listens, by its name.
+        addresses: The address of each listed endpoint, by its name.
         version: The version of the list.
-        discovery: Calls to the discovery service.
+        discovery: The HTTP client of the discovery service.
         watch: The stream of updates, from the agent on the same machine or by polling.
     """
 
@@ -54,7 +54,7 @@
         self.listed_endpoints: dict[str, Endpoint] = {}
         self.addresses: dict[str, str] = {}
         self.version: int = proxy.start.known.version
-        self._source: Address | None = None  # the address that told the list
+        self._source: Address | None = None  # the address that sent the list
         self._validator = SnapshotValidator()
         self.discovery = proxy.caller(proxy.start.discovery)
         self.watch = WatchStream(
@@ -69,17 +69,17 @@
         )
 
     def notify_on_data(self, on_data: Callable[[], None]) -> None:
-        """Has on_data() called whenever the watch has spoken.
+        """Calls on_data() whenever the watch stream has received data.
 
-        Each list in what came is taken up by then; an empty line says that there is none.
+        Any lists in the data have been applied by then; an empty line means that there is none.
         """
         self.watch.reader = lambda: notifying_reader(self._watch_reader(), on_data)
 
     def start(self) -> None:
-        """Begins to watch.
+        """Starts the watch.
 
-        Where lists are polled all instances ask one service: a fleet that starts at once must not
-        come there at once.
+        If lists are polled, all instances call one service: the first calls of a fleet that starts
+        at once are spread out.
         """
         settings = self.proxy.settings
         if settings.lists_polled:
@@ -88,16 +88,16 @@
             self.watch.start()
 
     def move(self, address: Address) -> None:
-        """Goes on at this address; calls that are out end at the former one."""
+        """Switches to this address; calls in progress finish at the previous one."""
         if address != self.discovery.address:
             self.discovery = self.proxy.caller(address)
             self.watch.move(self.discovery)
 
     def take_up(self, listing: discovery.EndpointListing, source: Address) -> None:
-        """Takes up a list that this address told.
+        """Applies a list that this address sent.
 
         Raises:
-            StaleSnapshotError: The list is not believed; nothing has changed.
+            StaleSnapshotError: The list was not accepted; nothing has changed.
         """
         update = listing.update
         whole = update.kind != UpdateKind.DELTA
@@ -117,11 +117,11 @@
         self._tell(update, replaced)
 
     def _tell(self, update: EndpointUpdate, replaced: set[str]) -> None:
-        """Tells what the list has become, and lets go of connections that it leaves without use.
+        """Reports the update, and drops connections and attempts that it makes obsolete.
 
         Args:
-            update: What was told.
-            replaced: Names under which another process runs now.
+            update: The update.
+            replaced: Names whose process was replaced by another one.
         """
         proxy = self.proxy
         proxy.pending_events.append(update)
@@ -138,9 +138,9 @@
         proxy.handle_events()
 
     def _merge(self, endpoints: tuple[Endpoint, ...], listed: dict[str, Endpoint]) -> set[str]:
-        """Adds the told endpoints to these; returns the names under which another process runs now.
+        """Merges endpoints into `listed`; returns the names whose process was replaced.
 
-        What stands open to an earlier process may be silent: it is another endpoint of that name.
+        Connections to the previous process may be dead: it was a different endpoint of that name.
         """
         before = self.listed_endpoints
         self.listed_endpoints = listed
@@ -165,7 +165,7 @@
         )
 
     def _version_to_ask_from(self) -> int:
-        """Returns the last version of the present address; 0 asks a new one for the whole list."""
+        """Returns the last version from the current address; 0 requests the full list."""
         return self.version if self._source == self.discovery.address else 0
 
     def _watch_reader(self) -> StreamReader:
@@ -189,25 +189,25 @@
         return read
 
     def subscribe(self, action: SubscribeToEndpoints) -> None:
-        """Does nothing: the watch stands, or polls as often as discovery bears."""
+        """Does nothing: the watch stream is always open, or polls at its adaptive interval."""
 
     def fetch(self, action: FetchEndpoints) -> None:
-        """Asks for the whole list once; the decisions are told of it, or that it did not come."""
+        """Fetches the full list once; the engine is told of the list or of the failure."""
         fetched = self.discovery.call(
             discovery.fetch(self.discovery.host), self.proxy.settings.vote_timeout
         )
         fetched.addCallback(self._fetched, self.discovery.address)
 
     def _fetched(self, end: Reply | BrokenConnection, source: Address) -> None:
-        """Takes up a list that was asked for at this address, if that is the present one still."""
+        """Applies a list fetched from this address, if the address is still current."""
         try:
             if source != self.discovery.address:
-                raise discovery.UnreadableListError("asked at a former address")
+                raise discovery.UnreadableListError("fetched from a previous address")
             if not isinstance(end, Reply) or end.status != 200:
                 raise discovery.UnreadableListError(
                     f"status {end.status}" if isinstance(end, Reply) else end.reason
                 )
             self.take_up(discovery.read_json(end.body, self.proxy.epoch), source)
-        except Exception as error:  # the decisions are owed one answer, whatever came
+        except Exception as error:  # the engine needs exactly one result of the fetch
             structured_log.log("endpoint list not fetched", error=str(error)[:MOST_REASON])
             self.proxy.handle_events(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Drains the clients' connections, for good or for a while, and takes up work again."""
+"""Drains the clients' connections, permanently or temporarily, and resumes service."""
 
 from collections.abc import Callable
 from typing import Any
@@ -11,27 +11,27 @@
 from .client_listener import ClientListener
 
 READ_GRACE_PERIOD = 300
-"""Ticks from the last connection accepted to the first one closed: what has come is read."""
+"""Ticks from the last accepted connection to the first close, so that received data is read."""
 
 CLOSE_AFTER_LAST_RESPONSE = 500
-"""Ticks from the latest moment of an answer to the close of connections whose clients have not."""
+"""Ticks from the latest possible response until connections still open are closed."""
 
 ACCEPT_REST_WITHIN = 10_000
-"""Ticks from the end of service, for accepted connections that have found no place yet."""
+"""Ticks after the drain begins in which connections that wait for a free place are accepted."""
 
 
 def _noop() -> None:
-    """Does nothing: stands in for what was called already."""
+    """Does nothing; replaces a callback that was already called."""
 
 
 class GracefulShutdown:
-    """Ends a listener without a client that is refused, cut off or left without its answer.
+    """Stops a listener without refusing, cutting off or leaving unanswered any client.
 
     Attributes:
-        listener: What it drains.
+        listener: The listener to drain.
         on_drained: Called once the port and all connections are closed; None while it serves.
-        answer_by: When the process may be ended from outside, once it was told to stop.
-        listener_closed: The closing of the port, fired once it is closed; None while it serves.
+        answer_by: When the process may be killed after a stop signal; None without one.
+        listener_closed: A Deferred that fires once the port is closed; None while it serves.
     """
 
     def __init__(self, listener: ClientListener) -> None:
@@ -44,24 +44,23 @@
         self.listener_closed: Deferred[Any] | None = None
         self._close_timer: int | None = None
         self._finish_timer: int | None = None
-        self._undrain_token: object | None = None  # the latest return, until the next shutdown
+        self._undrain_token: object | None = None  # the latest undrain, until a drain
         listener.shutdown = self
 
     def began(self) -> bool:
-        """Returns whether no new work is to be taken."""
+        """Returns whether no new work is accepted."""
         return self.on_drained is not None
 
     def clients_finishing(self) -> bool:
-        """Returns whether the connections have been told to close once nothing is owed to them."""
+        """Returns whether the connections have been told to close once all responses are sent."""
         return self.on_drained is not None and self._finish_timer is None
 
     def drain(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
-        """Takes no new work, and closes each client's connection once nothing is owed to it.
+        """Accepts no new work, and closes each client's connection once it has its responses.
 
         Args:
             on_drained: Called once the port and all connections are closed.
-            answer_by: The moment by which the process may be ended from outside: what is still
-                taken has its answer before that.
+            answer_by: When the process may be killed: requests still accepted are answered before.
         """
         self.on_drained = on_drained
         self.answer_by = answer_by
@@ -78,22 +77,22 @@
             self.timers.add(answer_by + CLOSE_AFTER_LAST_RESPONSE, self._close_lingering)
 
     def accept_rest(self) -> None:
-        """Closes the port once all is accepted that the machine has; the rest waits for places."""
+        """Closes the port once the backlog is accepted; without free places the rest waits."""
         self.listener.accepting_paused = False
         self.listener.accept_all()
         if not self.listener.accepting_paused:
             self._close_listener()
 
     def _close_listener(self) -> None:
-        """Closes the port, also where some connections still wait for a place.
+        """Closes the port, even if some connections still wait for a place.
 
-        A crowd that goes on coming would hold up the end for ever.
+        A continuous stream of new clients would otherwise delay the shutdown for ever.
         """
         self.timers.cancel(self._close_timer)
         self.listener.listening = False
         closed = self.listener_closed
-        assert closed is not None  # it was made when the shutdown began
-        # What comes until the port closes is accepted just before that.
+        assert closed is not None  # created when the drain began
+        # Connections that arrive until the port closes are accepted just before.
         self.reactor.callLater(0, self._accept_last)
         maybeDeferred(self.listener.port.stopListening).chainDeferred(closed)
 
@@ -103,26 +102,27 @@
             self.listener.accept_all()
 
     def undrain(self, on_listening: Callable[[], None], on_failure: Callable[[str], None]) -> None:
-        """Takes new work again; connections that were closing still close.
+        """Accepts new work again; connections that were closing still close.
 
-        Where it is drained once more before the port is open, it stays drained and calls neither.
+        If it is drained again before the port is open, it stays drained and neither callback is
+        called.
 
         Args:
             on_listening: Called once the port is open.
-            on_failure: Called with the reason where the port can't be opened.
+            on_failure: Called with the reason if the port cannot be opened.
         """
         self.timers.cancel(self._finish_timer)
         self.on_drained = None
         self.answer_by = None
         self.listener.accepting_paused = False
         token = self._undrain_token = object()
-        if self.listener.listening:  # for what found no place
+        if self.listener.listening:  # connections still wait for a place
             self.timers.cancel(self._close_timer)
             self.listener_closed = None
             self.listener.port.startReading()
             on_listening()
             return
-        assert self.listener_closed is not None  # it is drained, or it would be listening
+        assert self.listener_closed is not None  # not listening, hence drained
         self.listener_closed.addCallback(self._reopen_listener, token, on_listening, on_failure)
 
     def _reopen_listener(
@@ -132,7 +132,7 @@
         on_listening: Callable[[], None],
         on_failure: Callable[[str], None],
     ) -> None:
-        """Opens the port, closed by now, unless another shutdown has begun since."""
+        """Opens the closed port again, unless another drain has begun since."""
         if self._undrain_token is not token:
             return
         self.listener_closed = None
@@ -151,7 +151,7 @@
         self.end_if_empty()
 
     def _close_lingering(self) -> None:
-        """Closes the connections that wait for their client's close: the process is to end."""
+        """Closes connections that still wait for their client to close: the process is ending."""
         for connection in self.listener.clients:
             connection.stop_lingering()
 
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -19,15 +19,15 @@
     Attributes:
         id: The id that its client gave it.
         slot: Its number in the proxy's table of requests.
-        command: The request as its client worded it.
-        connection: The client's connection that its answer belongs to.
-        place: The place of its answer among those of the connection.
+        command: The request as received from the client.
+        connection: The client's connection that gets its response.
+        place: The position of its response among those of the connection.
         expires_at: When its client stops waiting.
         attempts: All attempts so far, by number.
         attempts_in_flight: How many attempts have not ended.
-        closed: Whether it has had its final answer, or its client has left.
-        overdue_timer: The timer for a request that the decisions have missed.
-        repeated: Whether a repeat of it waits for the outcome of the original's attempts.
+        closed: Whether it has had its final response, or its client has disconnected.
+        overdue_timer: Fires if the engine has left the request without a response.
+        repeated: Whether a repeat of it waits for the result of the first copy's attempts.
     """
 
     __slots__ = (
@@ -66,13 +66,13 @@
 
 
 class RequestTable:
-    """The requests in flight, and the ids that may not be taken again for a while.
+    """The requests in flight, and the ids that may not be used again for a while.
 
     Attributes:
         timers: All timers of the program.
         by_slot: The requests by their number.
         by_id: The number of each request by its id.
-        may_have_run: Ids of requests that may have run and were let go without an answer.
+        may_have_run: Ids of requests that may have run and were released without a response.
     """
 
     def __init__(self, timers: TimerQueue) -> None:
@@ -87,7 +87,7 @@
         return None if slot is None else self.by_slot.get(slot)
 
     def release(self, request: InFlightRequest) -> None:
-        """Lets go of a request that is over and of which no attempt is out."""
+        """Releases a closed request that has no attempt in flight."""
         if (
             request.closed
             and not request.attempts_in_flight
@@ -99,9 +99,9 @@
             self.timers.cancel(request.overdue_timer)
 
     def remember(self, request: InFlightRequest, idempotency: Idempotency) -> None:
-        """Bars the id of a request that may have run, for as long as its client would have waited.
+        """Blocks the id of a request that may have run, until its client would have timed out.
 
-        Called for one that is let go without an answer. An idempotent one may run again.
+        Called for a request released without a response. An idempotent one may run again.
         """
         if (
             idempotency != Idempotency.IDEMPOTENT
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -1,6 +1,7 @@
-"""Between the network and the decisions: what comes in becomes events, actions are carried out.
+"""Connects the network to the decision engine.
 
-It decides nothing: where, when and whether a request is sent are the decision engine's.
+Network input becomes events for the engine, and the actions that it returns are executed. The
+proxy decides nothing itself: whether, when and where a request is sent is up to the engine.
 """
 
 from collections.abc import Callable, Iterable
@@ -62,36 +63,36 @@
     "settings": "settings",
     "connection_limits": "settings",
 }
-"""The fields of StartConfiguration that bind at the start, and the configuration's key of each."""
+"""Fields of StartConfiguration that take effect only at start, with their configuration keys."""
 
 
 class Proxy:
-    """One instance: it owns its connections, requests and decisions, and carries between them.
+    """One sidecar instance: owns its connections, its requests and its decision engine.
 
     Attributes:
-        start: The configuration that it was started with.
+        start: The configuration at start.
         reactor: Twisted's reactor; it has no static type.
         timers: All timers of the program.
-        epoch: Unix time less the clock, in ticks.
-        clock: The time, in ticks.
-        settings: The settings of the decisions.
-        connection_limits: The settings of the connections.
+        epoch: Unix time minus the monotonic clock, in ticks.
+        clock: Returns the monotonic time, in ticks.
+        settings: The settings of the decision engine.
+        connection_limits: The limits of the connections.
         pools: The connections to endpoints.
         listener: The listening port and the clients' connections.
         shutdown: Drains the listener.
         requests: The requests in flight.
-        requests_in_flight: The table of these by slot.
-        client_requests: Takes and answers requests.
-        exposure: What was received and what was sent to the newest build on trial.
-        pending_events: Events that the decisions are yet to be told of.
-        handling_events: Whether the decisions are being told of events: further ones wait in
+        requests_in_flight: The same requests by slot.
+        client_requests: Accepts and answers requests.
+        exposure: Counts requests received and attempts written to the build on trial.
+        pending_events: Events that the engine has not handled yet.
+        handling_events: Whether the engine is handling events; further ones are queued in
             `pending_events`.
-        gossip: Hears of ended attempts and lists; None without the feature.
-        why: Hears of requests' starts and ends; None without the feature.
-        fleet: Drains this instance as it is told; None without the feature.
-        rejections: Sums up why requests are rejected.
-        engine: The decisions.
-        endpoints: The list of endpoints.
+        gossip: Notified of ended attempts and endpoint lists; None without the feature.
+        why: The decision log, notified when requests start and end; None without the feature.
+        fleet: Drains this instance on command; None without the feature.
+        rejections: Summarises why requests are rejected.
+        engine: The decision engine.
+        endpoints: The endpoint list.
         releases: Votes and release updates.
     """
 
@@ -154,20 +155,20 @@
         }
 
     def caller(self, address: Address) -> HttpCaller:
-        """Returns what makes calls to this address."""
+        """Returns an HTTP client for this address."""
         return HttpCaller(
             self.reactor, self.timers, address, self.connection_limits.connect_timeout
         )
 
     def reconfigure(self, start: StartConfiguration) -> list[str]:
-        """Takes up the addresses of a new configuration.
+        """Applies the addresses of a new configuration.
 
-        Calls that are out end at the former addresses. What the configuration knows of endpoints
-        and builds is older than what the streams have told.
+        Calls in progress finish at the previous addresses. The endpoints and the release state of
+        the configuration are ignored: the streams have reported newer ones.
 
         Returns:
-            The changed keys that take a new start. `known` and `deployer.news` are not among them,
-            since they only tell how things stood then.
+            The changed keys that need a restart to take effect. `known` and `deployer.news` are
+            never among them, since they only describe the state at start.
         """
         self.endpoints.move(start.discovery)
         self.releases.move(start.platform)
@@ -180,10 +181,10 @@
         )
 
     def begin(self, on_data: Callable[[], None] | None = None) -> None:
-        """Tells the decisions what is known at the start, and begins to listen for more.
+        """Reports the configured state to the engine, and subscribes to updates.
 
         Args:
-            on_data: Called whenever the watch of endpoints has spoken.
+            on_data: Called whenever the endpoint watch stream has received data.
         """
         if on_data is not None:
             self.endpoints.notify_on_data(on_data)
@@ -199,7 +200,7 @@
             self.rejections.flush(self.clock(), pressure=pressure), self._log_rejections
         )
 
-    # What other packages use of the parts.
+    # Accessors for other packages.
 
     @property
     def clients(self) -> SlotTable[Any]:
@@ -218,39 +219,39 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Where each listed endpoint listens, by its name."""
+        """The address of each listed endpoint, by its name."""
         return self.endpoints.addresses
 
     @property
     def discovery(self) -> HttpCaller:
-        """Calls to the discovery service."""
+        """The HTTP client of the discovery service."""
         return self.endpoints.discovery
 
     @property
     def platform(self) -> HttpCaller:
-        """Calls to the platform."""
+        """The HTTP client of the release platform."""
         return self.releases.platform
 
     def serve(self) -> None:
-        """Opens the listening port; raises CannotListenError where the address can't be had."""
+        """Opens the listening port; raises CannotListenError if the address is unavailable."""
         self.listener.serve()
 
     def shut_down(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
-        """Drains for good; see GracefulShutdown.finish."""
+        """Drains before the process ends; see GracefulShutdown.drain."""
         self.shutdown.drain(on_drained, answer_by)
 
     def drain(self, on_drained: Callable[[], None]) -> None:
-        """Drains for a while: a permit lets this instance go out, and `undrain` brings it back."""
+        """Drains temporarily, under a permit; `undrain` resumes service."""
         self.shutdown.drain(on_drained)
 
     def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
-        """Takes new work again; see GracefulShutdown.undrain."""
+        """Accepts new work again; see GracefulShutdown.undrain."""
         self.shutdown.undrain(listens, failed)
 
-    # Events into the decisions, their actions out.
+    # Passing events to the engine and executing its actions.
 
     def handle_events(self, *events: Event) -> None:
-        """Hands events to the decisions in order, with those that their actions bring about."""
+        """Passes events to the engine in order, then those that its actions cause."""
         self.pending_events += events
         if self.handling_events:
             return
@@ -266,7 +267,7 @@
             self.releases.take_up(event)
         try:
             actions = self.engine.handle(self.clock(), [event])
-        except Exception as error:  # costs the request of this event, not the program
+        except Exception as error:  # fails the request of this event, not the process
             structured_log.log_exception("decisions", error)
             self._execute(self.engine.actions)
             name = getattr(event, "id", None)
@@ -281,7 +282,7 @@
         for action in list(actions):
             try:
                 self._action_handlers[type(action)](action)
-            except Exception as error:  # the other actions stand
+            except Exception as error:  # the remaining actions are still executed
                 structured_log.log_exception(type(action).__name__, error)
 
     def _set_timer(self, action: SetTimer) -> None:
@@ -297,10 +298,10 @@
         self.pools.retire(action.endpoint)
 
     def withdraw_unwritten(self, fails: Callable[[Endpoint, str], bool]) -> None:
-        """Withdraws the attempts whose endpoint and address fail, as long as none can have run.
+        """Withdraws attempts that are not completely written and whose endpoint and address fail.
 
-        What is not written whole must not be carried past what was told since. The decisions hear
-        of the ends together with what was told.
+        An attempt that was decided before an update must not be written against it. The engine is
+        told that the attempts ended together with the update itself.
         """
         handling = self.handling_events
         self.handling_events = True
@@ -339,7 +340,7 @@
         attempt.timer = self.timers.add(attempt.write_by, attempt.timer_due)
         try:
             sent = self.pools.send(endpoint, endpoints.addresses[endpoint], attempt)
-        except Exception as error:  # the decisions are owed its end all the same
+        except Exception as error:  # the engine needs the end of every attempt
             structured_log.log_exception("connection pools", error)
             attempt.give_up()
             return
@@ -350,10 +351,10 @@
             self.attempt_ended(attempt, Outcome.NOT_SENT)
 
     def _end_without_request(self, action: SendAttempt) -> None:
-        """Ends an attempt whose request was let go while the decision was made.
+        """Ends an attempt whose request was released while the decision was made.
 
-        Its client was noticed to have left. The decisions keep an attempt in flight until the end
-        that bears its number; for another number they would keep the request for good.
+        The client was found to have disconnected. The engine keeps an attempt in flight until an
+        end with its number arrives; with another number it would keep the request for ever.
         """
         self.pending_events.append(
             AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, action.endpoint, action.number, None)
@@ -370,7 +371,7 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, answer: PodResponse | None = None
     ) -> None:
-        """Takes up the one end of an attempt. The first good answer goes to the client at once."""
+        """Handles the end of an attempt. The first good response goes to the client at once."""
         request = attempt.request
         attempt.in_flight = False
         attempt.may_have_run = PROOF[outcome] != "unrun"
@@ -390,7 +391,7 @@
         )
         if self.gossip is not None and attempt.endpoint:
             self.gossip.ended(attempt, outcome)
-        if request.repeated and not request.attempts_in_flight:  # the decisions are done with it
+        if request.repeated and not request.attempts_in_flight:  # the engine has finished with it
             self.client_requests.answer(request, FAILED_RESPONSE)
         self.requests.release(request)
         self.handle_events(event)
@@ -398,7 +399,10 @@
             self.why.over(request.id)
 
     def response_discarded(self, attempt: Attempt, reason: str) -> None:
-        """Counts a key as answered: a response came too late, in part, spoilt, or may yet come."""
+        """Counts a key as answered by a build whose response is discarded.
+
+        The response was late, partial or malformed, or may still arrive.
+        """
         command = attempt.request.command
         assert attempt.endpoint is not None  # it was written
         structured_log.log_rate_limited(
@@ -413,7 +417,7 @@
         )
 
     def _load(self, report: bytes) -> tuple[float, ...] | None:
-        """Returns the values of a load report in the order of the settings; None for a bad one."""
+        """Returns the values of a load report in the order of the settings; None if malformed."""
         told = dict(
             pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(",")
         )
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -1,4 +1,4 @@
-"""How the newest build stands, told by the platform's stream and by the answers to votes."""
+"""The release state of the newest build, from the platform's stream and its vote responses."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
@@ -45,12 +45,12 @@
 
 
 class ReleaseChannel:
-    """Casts votes, and keeps the latest release update.
+    """Casts votes and holds the latest release update.
 
     Attributes:
-        proxy: Who is told of updates.
-        latest: The latest update; None until one has come.
-        platform: Calls to the platform.
+        proxy: Receives the updates.
+        latest: The latest update; None before the first one.
+        platform: The HTTP client of the release platform.
         stream: The platform's stream of updates.
     """
 
@@ -70,19 +70,19 @@
         )
 
     def start(self) -> None:
-        """Begins to listen to the platform."""
+        """Subscribes to the platform."""
         self.stream.start()
 
     def move(self, address: Address) -> None:
-        """Goes on at this address; calls that are out end at the former one."""
+        """Switches to this address; calls in progress finish at the previous one."""
         if address != self.platform.address:
             self.platform = self.proxy.caller(address)
             self.stream.move(self.platform)
 
     def take_up(self, update: ReleaseUpdate) -> None:
-        """Keeps an update before the decisions hear it.
+        """Stores an update before the engine handles it.
 
-        A lower cap, or another phase, binds what still waits for a connection.
+        A lower cap or another phase also applies to attempts that still wait for a connection.
         """
         if update.outcome != Outcome.DONE:
             return
@@ -101,22 +101,23 @@
 
         def read(content: memoryview) -> bool:
             for event, data in events.feed(content):
-                # What can't be read ends the stream: it is asked for anew.
+                # A malformed event ends the stream, which is then reopened.
                 told = deployer.read_event(event, data)
                 if told is not None and (
                     isinstance(told, ReleaseUpdate)
                     or told.request_class in self.proxy.settings.request_classes
                 ):
                     self.proxy.handle_events(told)
-            return b"\n" in bytes(content)  # any whole line
+            return b"\n" in bytes(content)  # at least one complete line
 
         return read
 
     def _reconciled(self, update: ReleaseUpdate, asked: Ticks) -> ReleaseUpdate:
-        """Returns the state that answers a vote cast at this moment.
+        """Returns the release state after the response to a vote that was cast at `asked`.
 
-        It is the answer's, unless what the stream told meanwhile is newer. Where neither is surely
-        the newer, the one that lets less through holds; the next answer or event tells.
+        It is the state in the response, unless the stream has since reported a newer one. If it is
+        unclear which is newer, the one with the smaller traffic share is used until the next
+        response or event.
         """
         held = self.latest
         if update.outcome != Outcome.DONE or held is None:
@@ -127,7 +128,7 @@
         return held._replace(answers_vote=True) if older else update
 
     def cast_vote(self, action: CastVote) -> None:
-        """Sends a vote; the decisions are told of the answer, or that none came in time."""
+        """Sends a vote; the engine is told of the response or of the timeout."""
         asked = self.proxy.clock()
         evidence = self.proxy.engine.vote_evidence()
 
--- a/thymeknot/service/__init__.py
+++ b/thymeknot/service/__init__.py
@@ -1,1 +1,1 @@
-"""Configuration, logs, start and stop."""
+"""Configuration, logging, start and shutdown."""
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -1,4 +1,4 @@
-"""The one place where configuration is read, checked and given defaults."""
+"""Reads and validates the configuration, and applies its defaults."""
 
 import os
 from collections.abc import Mapping
@@ -15,11 +15,11 @@
 
 
 class ConfigurationError(ValueError):
-    """The configuration can't be used. The text begins with the faulty key."""
+    """The configuration is invalid. The message begins with the key at fault."""
 
 
 class StartConfiguration(NamedTuple):
-    """All that a sidecar is told at its start. Addresses are (host, port)."""
+    """The configuration of a sidecar at its start. Addresses are (host, port)."""
 
     name: str
     listen: tuple[str, int]
@@ -34,20 +34,20 @@
 
 
 DEFAULT_SOCKETS: Final = 1024
-"""Descriptors, where no limit is told."""
+"""Default limit of file descriptors."""
 MIN_SOCKETS: Final = 64
 MIN_PORT: Final = 1
 MAX_PORT: Final = 65_535
 MAX_PORT_DIGITS: Final = 5
 MAX_ERROR_LENGTH: Final = 200
-"""Characters of an error that repeats a value."""
+"""Maximum characters of an error message that quotes a value."""
 HEXADECIMAL: Final = 16
 RESERVED_CHARACTERS: Final = frozenset(".=")
-"""No setting is named with these, and such a name could pass for the path of another one."""
+"""No setting name has these characters; such a name could be taken for a path."""
 
 
 def flatten(value: Any, path: str = "") -> list[str]:
-    """The settings' nested object as the simulator wire's names and values."""
+    """Flattens the nested settings into the name=value pairs of the simulator's protocol."""
     if isinstance(value, dict):
         return [
             pair
@@ -68,17 +68,19 @@
 def _text(value: Any) -> str:
     if isinstance(value, bool):
         return str(value).lower()
-    if isinstance(value, float) and value.is_integer():  # as some write a whole number
+    if (
+        isinstance(value, float) and value.is_integer()
+    ):  # some JSON encoders write integers like this
         return str(int(value))
     return "-" if value is None else str(value)
 
 
 def _value_at(value: Any, path: str, expected: type | tuple[type, ...], *default: Any) -> Any:
-    """The value at a dotted path, checked for its type."""
+    """Returns the value at a dotted path, checked for its type."""
     *inner, last = path.split(".")
     for at, name in enumerate(inner, 1):
         value = value.get(name)
-        value = {} if value is None else value  # null is as good as left out
+        value = {} if value is None else value  # null counts as missing
         if not isinstance(value, dict):
             raise ConfigurationError(
                 f"{'.'.join(inner[:at])}: is no object: {value!r}"[:MAX_ERROR_LENGTH]
@@ -89,7 +91,7 @@
     if value is None:
         raise ConfigurationError(f"{path}: is missing")
     if not isinstance(value, expected) or (isinstance(value, bool) and expected is not bool):
-        raise ConfigurationError(f"{path}: is of a wrong type: {value!r}"[:MAX_ERROR_LENGTH])
+        raise ConfigurationError(f"{path}: is of the wrong type: {value!r}"[:MAX_ERROR_LENGTH])
     return value
 
 
@@ -103,14 +105,14 @@
 
 
 def _is_port(text: str) -> bool:
-    # int() takes other digits than ASCII's, and takes long over a long row of them.
+    # int() also accepts non-ASCII digits, and is slow for a long string of digits.
     if not (text.isascii() and text.isdigit() and len(text) <= MAX_PORT_DIGITS):
         return False
     return MIN_PORT <= int(text) <= MAX_PORT
 
 
 def _is_host(text: str) -> bool:
-    """Whether the network library can use it: what it can't encode, it raises at every use."""
+    """Returns whether Twisted can encode the host name; otherwise every use would raise."""
     try:
         return bool(text) and text.isprintable() and bool(text.encode("idna"))
     except UnicodeError:
@@ -126,17 +128,17 @@
 
 
 def parse(document: Any, epoch: Ticks) -> StartConfiguration:
-    """The configuration that a JSON object tells.
+    """Parses a configuration from a JSON object.
 
     Args:
-        document: the object.
-        epoch: Unix time less the monotonic clock.
+        document: The decoded JSON object.
+        epoch: Unix time minus the monotonic clock, in ticks.
 
     Raises:
-        ConfigurationError: it can't be used.
+        ConfigurationError: The configuration is invalid.
     """
     if not isinstance(document, dict):
-        raise ConfigurationError("the configuration is no object")
+        raise ConfigurationError("the configuration is not a JSON object")
     settings, connection_limits = _read_settings(document)
     return StartConfiguration(
         news=_read_release(document),
@@ -176,7 +178,7 @@
         return discovery.read_list(_value_at(document, "known", dict), epoch, UpdateKind.CACHED)
     except discovery.UnreadableListError as error:
         raise ConfigurationError(f"known.{error}") from None
-    except OverflowError as error:  # a number that reads well and is out of bounds in use
+    except OverflowError as error:  # a number that parses but is out of range
         raise ConfigurationError(f"known: {error}") from None
 
 
@@ -188,7 +190,7 @@
 
 
 def load(environment: Mapping[str, str], epoch: Ticks) -> StartConfiguration:
-    """The configuration of the file that NODE_CONFIG names. Raises ConfigurationError."""
+    """Loads the file that NODE_CONFIG names; raises ConfigurationError."""
     path = environment.get("NODE_CONFIG")
     if not path:
         raise ConfigurationError("NODE_CONFIG: is missing from the environment")
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -1,4 +1,4 @@
-"""The features that an operator's file switches on; without it nothing of them is imported."""
+"""Optional features, enabled by an operator file; without one their code is not imported."""
 
 import os
 from collections.abc import Callable
@@ -10,30 +10,30 @@
 from .required_libraries import COMMANDS, libraries_from
 
 OPERATOR_FILE_VARIABLE: Final = "THYMEKNOT_OPERATOR"
-"""The environment variable that names the operator's file."""
+"""The environment variable that names the operator file."""
 
 
 class FeatureError(ValueError):
-    """An operator's file that can't be used: a line for each fault."""
+    """An invalid operator file; the message has one line per error."""
 
 
 class Feature(Protocol):
-    """What a running feature is told."""
+    """A running feature."""
 
     def reconfigure(self, settings: Any, folder: str) -> None:
-        """Takes up new settings; raises ValueError and keeps the former ones."""
+        """Applies new settings; raises ValueError if they are invalid, and keeps the old ones."""
 
     def stop(self) -> None:
-        """The sidecar stops."""
+        """Called when the sidecar stops."""
 
 
 class CheckedFeature(NamedTuple):
-    """A feature whose settings can be used."""
+    """A feature whose settings are valid."""
 
     create: Callable[[Any], Feature]
-    """Begins it with a proxy."""
+    """Starts the feature for a proxy."""
     settings: Any
-    """What `Feature.reconfigure` takes."""
+    """The settings, as `Feature.reconfigure` expects them."""
 
 
 def _module(name: str) -> ModuleType:
@@ -41,7 +41,7 @@
 
 
 def _record(kind: Any, settings: Any) -> Any:
-    """The typed settings of a record of the operator's file. Raises ValueError."""
+    """Returns the typed settings of an operator file record; raises ValueError."""
     return _module("operator_config.loader").record(kind, settings)
 
 
@@ -72,11 +72,11 @@
     "why": _check_decision_log,
     "fleet": _check_coordination,
 }
-"""By the feature's key in the operator's file, which is the proxy's attribute as well."""
+"""Checks by the feature's key in the operator file, also its attribute name on the proxy."""
 
 
 class Features:
-    """The features of one operator's file: checked at once, begun with the sidecar."""
+    """The features of one operator file: checked when loaded, started with the sidecar."""
 
     def __init__(self, path: str | None) -> None:
         self.path = path
@@ -103,7 +103,7 @@
         return checked_features
 
     def begin(self, proxy: Any) -> None:
-        """Begins each feature and makes it known to the proxy. Raises FeatureError."""
+        """Starts each feature and sets it as attribute of the proxy; raises FeatureError."""
         for name, checked in self.checked.items():
             try:
                 self.running[name] = checked.create(proxy)
@@ -113,7 +113,7 @@
             structured_log.log("feature started", feature=name)
 
     def reconfigure(self) -> None:
-        """Reads the file again; features that do not run wait for the next start."""
+        """Reloads the file; newly enabled features are started only at the next start."""
         if not self.path:
             return
         checked_features = self._read(self.path)
@@ -128,6 +128,6 @@
         structured_log.log("operator file reloaded", only_at_a_start=changed)
 
     def stop(self) -> None:
-        """Tells each feature that the sidecar stops."""
+        """Stops each feature."""
         for feature in self.running.values():
             feature.stop()
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of the sidecar's process: start, readiness, reload by SIGHUP, and graceful shutdown."""
+"""The lifecycle of the sidecar's process: start, readiness, reload on SIGHUP, graceful shutdown."""
 
 import errno
 import gc
@@ -13,36 +13,41 @@
 
 STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
 ACCEPT_AFTER_SIGTERM_SECONDS: Final = 0.5
-"""Seconds after SIGTERM in which new connections still come."""
+"""Seconds after SIGTERM in which new connections are still accepted."""
 FLUSH_SECONDS: Final = 0.05
-"""Seconds that the last responses need to go out."""
+"""Seconds for the last responses to be sent."""
 SHUTDOWN_MARGIN: Final[Ticks] = 4_000
-"""After SIGTERM the last answer comes no later than so long after the longest deadline. The kill
-comes 0.7 s after that. The rest is for connections that close, for the process's own end, and for
-0.15 s in which it may be held up."""
+"""Ticks after the longest deadline, counted from SIGTERM, by which the last response is sent.
+
+The process is killed 0.7 s later. That time is for connections to close, for the process to exit,
+and for up to 0.15 s in which it may be held up."""
 MAX_COUNTED_DEADLINE: Final[Ticks] = 3 * TICKS_PER_SECOND
-"""What the longest deadline counts as at most."""
+"""Upper bound on the longest deadline in this calculation."""
 FIRST_LIST_TIMEOUT_SECONDS = 0.5
-"""Seconds. Where lists are pushed, what the agent on the machine has counts as told from the first
-moment, and the list that the configuration holds is older: the sidecar listens once the agent has
-spoken, or after this long. An agent that is up answers at once; one that is silent longer is down,
-and learns nothing that could count as told."""
+"""Longest wait, in seconds, for the first pushed endpoint list before the sidecar listens.
+
+If lists are pushed, the sidecar is expected to know from the start what the agent on its machine
+knows, and the list in the configuration is older. An agent that is up responds at once; one that is
+silent for longer is down, and has no newer list to offer."""
 MAX_LISTEN_TRIES: Final = 100
-"""How often an address that is in use is tried: the process before this one may hold it until it is
-killed, by the platform about 3.7 s after SIGTERM."""
+"""Maximum attempts to listen on an address in use: the previous process may hold it until
+the platform kills it, about 3.7 s after SIGTERM."""
 LISTEN_RETRY_SECONDS: Final = 0.05
-"""Seconds between two of these."""
+"""Seconds between two of these attempts."""
 EXIT_UNUSABLE: Final = 2
 TICK_NANOSECONDS: Final = 100_000
 
 
 def clock() -> Ticks:
-    """The monotonic clock."""
+    """Returns the monotonic time in ticks."""
     return time.monotonic_ns() // TICK_NANOSECONDS
 
 
 def monotonic_reactor() -> Any:
-    """The event loop. Its own clock is Unix time: a step back of that would hold up all timers."""
+    """Returns the reactor, switched to the monotonic clock.
+
+    Its own clock is Unix time; if that was set back, all timers would be delayed.
+    """
     from twisted.internet import reactor  # noqa: PLC0415 (imported where it is needed)
 
     installed: Any = reactor
@@ -51,25 +56,24 @@
 
 
 def main(environment: Mapping[str, str]) -> int:
-    """Serves without a command: an operator's file is named by the environment, if at all."""
+    """Runs the sidecar with the operator file that the environment names, if any."""
     return serve(environment, environment.get(features.OPERATOR_FILE_VARIABLE) or None)
 
 
 def serve(environment: Mapping[str, str], operator_file: str | None) -> int:
-    """Serves by the environment's configuration and the operator's file. Gives an exit code."""
+    """Runs the sidecar with the environment's configuration; returns the exit code."""
     exit_code = Lifecycle(environment, operator_file).run()
-    # The interpreter restores default handlers as it ends: another signal would end it by itself.
+    # The interpreter restores default handlers on exit: another signal would kill the process.
     for number in (signal.SIGHUP, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
     return exit_code
 
 
 class Lifecycle:
-    """One sidecar, from its first signal to its end.
+    """One sidecar process, from its start to its exit.
 
-    Until there is a loop, SIGTERM and SIGINT end the process by themselves: nothing is open yet. A
-    SIGHUP is heard from the first moment and remembered, since the file may have been replaced
-    while it was being read.
+    Until the reactor is loaded, SIGTERM and SIGINT kill the process: nothing is open yet. SIGHUP is
+    recorded from the start, since the file may be replaced while it is being read.
     """
 
     def __init__(self, environment: Mapping[str, str], operator_file: str | None) -> None:
@@ -86,19 +90,19 @@
         self.proxy: Any = None
         self.listen_tries = 0
         self.retry_pending = False
-        """Whether it waits for an address that is in use."""
+        """Whether it waits to retry an address that is in use."""
 
     def run(self) -> int:
-        """Serves until it is told to stop. Gives an exit code."""
+        """Runs until a stop signal; returns the exit code."""
         signal.signal(signal.SIGHUP, self._on_sighup)
-        signal.signal(signal.SIGINT, signal.SIG_DFL)  # ends it without a traceback
+        signal.signal(signal.SIGINT, signal.SIG_DFL)  # exits without a traceback
         try:
             start = self._read()
             self.features = features.Features(self.operator_file)
         except (configuration.ConfigurationError, features.FeatureError) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
             return EXIT_UNUSABLE
-        # Not before the files are checked: a faulty one is told at once.
+        # Imported after the files are checked, so that an invalid file is reported at once.
         from ..proxy.proxy import Proxy  # noqa: PLC0415 (imported where it is needed)
         from ..state.timer_queue import TimerQueue  # noqa: PLC0415 (imported where it is needed)
 
@@ -122,7 +126,7 @@
         return self.exit_code
 
     def _read(self) -> configuration.StartConfiguration:
-        """The configuration; a faulty one that was replaced while it was read is read again."""
+        """Reads the configuration; an invalid one replaced meanwhile is read again."""
         while True:
             self.reload_pending = False
             try:
@@ -132,7 +136,7 @@
                     raise
 
     def _listen(self) -> None:
-        """Begins to serve; the first call counts."""
+        """Starts serving; only the first call has an effect."""
         if self.serving or self.stopping or self.retry_pending:
             return
         from twisted.internet.error import CannotListenError  # noqa: PLC0415 (imported where it is needed)
@@ -148,7 +152,7 @@
         except features.FeatureError as error:
             self._fail(str(error))
             return
-        except Exception as error:  # must not stay up without a listener
+        except Exception as error:  # must not keep running without a listener
             structured_log.log_exception("start", error)
             self._fail(f"start: {type(error).__name__}: {error}")
             return
@@ -160,13 +164,17 @@
             "ready", name=start.name, listen=start.listen, pods=len(self.proxy.listed_endpoints)
         )
         gc.collect()
-        gc.freeze()  # what stands from the start is not looked through again
+        gc.freeze()  # excludes all objects created so far from garbage collection
         if self.reload_pending:
             self.reload_pending = False
             self._reconfigure()
 
     def _retry_if_in_use(self, error: Any) -> bool:
-        """Whether it is tried again: another process has the address still."""
+        """Schedules another attempt if another process still has the address.
+
+        Returns:
+            Whether there will be another attempt.
+        """
         if (
             self.serving
             or error.socketError.errno != errno.EADDRINUSE
@@ -202,7 +210,7 @@
         self.reactor.callFromThread(self._stop)
 
     def _stop(self) -> None:
-        if self.stopping:  # a second signal must not stop it twice
+        if self.stopping:  # a second signal has no effect
             return
         self.stopping = True
         self.features.stop()
@@ -230,10 +238,10 @@
         self.reactor.callLater(FLUSH_SECONDS, self.reactor.stop)
 
     def _reconfigure(self) -> None:
-        """Reads the files again.
+        """Reloads the files.
 
-        A sidecar that stops still forwards what it has in flight by the endpoint list, so it moves
-        to another discovery, too; its features have left, and take up nothing.
+        A stopping sidecar still forwards its requests in flight by the endpoint list, so it follows
+        a change of the discovery address; its features have stopped and are not reconfigured.
         """
         try:
             if not self.stopping:
@@ -246,7 +254,7 @@
             restart_keys = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
         except configuration.ConfigurationError as error:
             structured_log.log("configuration rejected", error=str(error))
-        except Exception as error:  # a file must not end the program, whatever it holds
+        except Exception as error:  # no file content may end the process
             structured_log.log_exception("configuration", error)
         else:
             structured_log.log(
--- a/thymeknot/service/log_events.py
+++ b/thymeknot/service/log_events.py
@@ -1,4 +1,4 @@
-"""All events that are logged, with their levels: the one place where they are declared."""
+"""Declares all log events and their levels."""
 
 from logging import ERROR, INFO, WARNING
 from typing import Final
@@ -44,7 +44,7 @@
     "drained": INFO,
     "drain ended": INFO,
     "listener not reopened": ERROR,
-    # The record of decisions.
+    # The decision log.
     "decision log opened": INFO,
     "decision log set aside": WARNING,
     "decision log in memory": WARNING,
@@ -78,4 +78,4 @@
     "record set aside": "decision log set aside",
     "record in memory": "decision log in memory",
 }
-"""Events by the names that versions up to 0.1.0 logged: old logs are read as well."""
+"""Current event names by the names that versions up to 0.1.0 logged, for reading old logs."""
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,7 +1,7 @@
-"""Why requests are rejected or failed, summed into one log line every few seconds.
+"""Summarises why requests are rejected or fail, in one log line every few seconds.
 
-It listens to the reasons that the decisions name. Nothing is logged where nothing was rejected. The
-sums are bounded by the closed table of reasons.
+It receives the reasons that the decision engine reports. If nothing was rejected, nothing is
+logged. The number of counters is bounded by the closed table of reasons.
 """
 
 from collections.abc import Callable
@@ -12,19 +12,19 @@
 from ..interface.reasons import Reason
 
 LOG_INTERVAL: Final[Ticks] = 5 * TICKS_PER_SECOND
-"""Between two lines."""
+"""Ticks between two log lines."""
 
 FINAL_REASONS: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
-"""The reasons that are final answers, with the keys of the log line."""
+"""The reasons that are final responses, with their keys in the log line."""
 
 
 class Role(IntEnum):
-    """What a reason is to a final answer."""
+    """How a reason relates to a final response."""
 
     NONE = 0
     DECIDES = 1
     EXCLUDES_ENDPOINTS = 2
-    """It kept the last endpoints out where none will do."""
+    """It ruled out endpoints; the cause if no endpoint is left."""
     FINAL_ANSWER = 3
 
 
@@ -54,7 +54,7 @@
     ROLES.get(Reason(number), Role.DECIDES) if number else Role.DECIDES
     for number in range(max(Reason) + 1)
 ]
-"""A list, since it is asked several times for every request."""
+"""A list for speed: it is read several times per request."""
 
 
 class RejectionSummary:
@@ -73,7 +73,7 @@
         self._excluding: Reason | None = None
 
     def record(self, name: str | None, reason: Reason, *operands: Any) -> None:
-        """Takes a reason for a request (None for votes) as the decisions name it."""
+        """Records a reason that the engine reports for a request (None for votes)."""
         role = ROLE_BY_NUMBER[reason]
         if role:
             self._count(name, reason, role)
@@ -81,7 +81,7 @@
             self.next_listener(name, reason, *operands)
 
     def _count(self, name: str | None, reason: Reason, role: Role) -> None:
-        if name != self._request:  # what decided another request says nothing of this one
+        if name != self._request:  # the reasons of another request do not apply
             self._request = name
             self._decisive = None
             self._excluding = None
@@ -102,7 +102,7 @@
         return self._decisive.name
 
     def flush(self, now: Ticks, **fields: Any) -> Ticks:
-        """Logs what came together since the last line; gives when it wants to be called again."""
+        """Logs the counts since the last line; returns when to call it again."""
         if self.counts:
             sums: dict[str, dict[str, int]] = {"deferred": {}, "abandoned": {}}
             for (answer, cause), count in sorted(self.counts.items(), key=lambda item: -item[1]):
--- a/thymeknot/service/required_libraries.py
+++ b/thymeknot/service/required_libraries.py
@@ -4,7 +4,7 @@
 from contextlib import contextmanager
 
 COMMANDS = "requirements-why.txt"
-"""What every command needs: click."""
+"""Needed by every command: click."""
 COORDINATION = "requirements-fleet.txt"
 GOSSIP = "requirements-gossip.txt"
 LABORATORY = "requirements-laboratory.txt"
@@ -19,8 +19,8 @@
 def libraries_from(requirements: str) -> Iterator[None]:
     """Turns a failed import of a library into an error that says what to install.
 
-    It is a context manager and a decorator. A module of the program itself that is not found is a
-    fault of the program, and its error passes unchanged.
+    Usable as context manager and as decorator. If a module of the program itself is missing, that
+    is a bug, and its error is raised unchanged.
 
     Args:
         requirements: The file that lists what the command needs.
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -1,7 +1,7 @@
-"""Logs: one JSON line an event, on standard output.
+"""Structured logging: one JSON line per event on standard output.
 
-Events and their levels are declared in log_events. The lines are structlog's, rendered by orjson.
-What is below the level in THYMEKNOT_LOG (info, if unset) is not written.
+Events and their levels are declared in log_events. structlog processes the lines and orjson renders
+them. Events below the level in THYMEKNOT_LOG (default: info) are not written.
 """
 
 import logging
@@ -28,17 +28,17 @@
 
 
 class EventRateLimit:
-    """Lets each event through once in an interval, by event and address."""
+    """Limits events to one per interval for each event and address."""
 
     INTERVAL_SECONDS = 1.0
     MAX_KINDS = 100
-    """Addresses come and go with the configuration: beyond so many kinds all are forgotten."""
+    """Addresses change with the configuration: beyond this many kinds, all are forgotten."""
 
     def __init__(self) -> None:
         self._last_written: dict[tuple[str, Any], float] = {}
 
     def permits(self, kind: tuple[str, Any], now: float) -> bool:
-        """Whether this kind is to be written now; if so, it is counted as written."""
+        """Returns whether to write this kind now; if so, records it as written."""
         if len(self._last_written) > self.MAX_KINDS:
             self._last_written.clear()
         if now - self._last_written.get(kind, -self.INTERVAL_SECONDS) < self.INTERVAL_SECONDS:
@@ -47,8 +47,8 @@
         return True
 
 
-def _render(logger: Any, level: Any, fields: Fields) -> bytes:
-    """The line of these fields: time first, the level where it is above info."""
+def _rendered(logger: Any, level: Any, fields: Fields) -> bytes:
+    """Renders a line: the time first; the level only if above info."""
     if level > logging.INFO:
         fields["level"] = logging.getLevelName(level).lower()
     return orjson.dumps(
@@ -60,7 +60,7 @@
     try:
         os.write(STANDARD_OUTPUT, line)
     except OSError:
-        pass  # a log that can't be written must not stop the service
+        pass  # a failed log write must not stop the service
 
 
 class _DirectLogger(structlog.BoundLoggerBase):
@@ -73,7 +73,7 @@
     _processors: Iterable[Callable[[Any, Any, Any], Any]]
 
     def log(self, level: int, fields: Any) -> None:
-        """Writes the fields unless their level is below the one asked for."""
+        """Writes the fields unless their level is below the configured one."""
         if level >= _min_level:
             for process in self._processors:
                 fields = process(self._logger, level, fields)
@@ -82,7 +82,7 @@
 
 _min_level = LEVELS_BY_NAME.get(os.environ.get(LEVEL_VARIABLE, "info").lower(), logging.INFO)
 _log = (
-    structlog.wrap_logger(_write_line, [_render], _DirectLogger, cache_logger_on_first_use=True)
+    structlog.wrap_logger(_write_line, [_rendered], _DirectLogger, cache_logger_on_first_use=True)
     .bind()
     .log
 )
@@ -90,18 +90,18 @@
 
 
 def log(event: str, **fields: Any) -> None:
-    """Logs an event of log_events; one that is not declared there is logged as an error."""
+    """Logs an event declared in log_events; an undeclared one is logged at error level."""
     _log(LEVELS.get(event, logging.ERROR), {"event": event, **fields})
 
 
 def log_rate_limited(event: str, **fields: Any) -> None:
-    """Logs what may come with every request: once a second at most, by event and address."""
+    """Logs an event that may occur on every request, once a second per event and address."""
     if _rate_limit.permits((event, fields.get("address")), time.monotonic()):
         log(event, **fields)
 
 
 def log_exception(where: str, error: BaseException) -> None:
-    """Logs an exception that was stopped: what it was and where it arose."""
+    """Logs a caught exception with the line that raised it."""
     trace = error.__traceback__
     place = "unknown"
     while trace is not None:
@@ -112,7 +112,7 @@
 
 
 def capture_twisted_errors() -> None:
-    """Makes errors that the network library logs come out as events of the same kind."""
+    """Logs the errors that Twisted logs as events of this log."""
     from twisted.logger import ILogObserver, LogLevel, globalLogBeginner  # noqa: PLC0415 (imported where it is needed)
 
     def observe(event: Any) -> None:
