--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -83,7 +83,7 @@
         value = {} if value is None else value  # null counts as missing
         if not isinstance(value, dict):
             raise ConfigurationError(
-                f"{'.'.join(inner[:at])}: is no object: {value!r}"[:MAX_ERROR_LENGTH]
+                f"{'.'.join(inner[:at])}: is not an object: {value!r}"[:MAX_ERROR_LENGTH]
             )
     value = value.get(last)
     if value is None and default:
@@ -99,7 +99,7 @@
     text: str = _value_at(value, path, str)
     host, _, port = text.rpartition(":")
     if not _is_host(host) or not _is_port(port):
-        message = f"{path}: is no address with a port: {text!r}"
+        message = f"{path}: is not an address with a port: {text!r}"
         raise ConfigurationError(message[:MAX_ERROR_LENGTH])
     return host, int(port)
 
@@ -124,7 +124,7 @@
     try:
         return int(text, HEXADECIMAL) if isinstance(text, str) else int(text)
     except ValueError:
-        raise ConfigurationError(f"seed: is no hexadecimal number: {text!r}") from None
+        raise ConfigurationError(f"seed: is not a hexadecimal number: {text!r}") from None
 
 
 def parse(document: Any, epoch: Ticks) -> StartConfiguration:
