--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -1,4 +1,4 @@
-"""How often one of many asks a service that takes few calls from all, and what the laboratory has of such services."""
+"""Polling intervals and snapshot validation, and the simulator's model of shared services."""
 
 import unittest
 
@@ -27,8 +27,8 @@
 HEAD = b"HTTP/1.1 %d X\r\nTransfer-Encoding: chunked\r\n\r\n1\r\n\n\r\n"
 
 
-class Waits(unittest.TestCase):
-    def test_a_refusal_makes_it_rarer_and_what_stands_makes_it_usual(self):
+class AdaptiveIntervalTest(unittest.TestCase):
+    def test_refusals_back_off_and_an_established_stream_resets(self):
         pace = AdaptiveInterval(lambda: 0.5)
         for how, age, wait, state in (
             (CallResult.LOST, 0, 5_000, IntervalState.REGULAR),
@@ -73,14 +73,14 @@
         st.integers(1, 2**60),
         st.integers(1, 10_000),
     )
-    def test_it_is_asked_again_within_bounds_whatever_comes(self, ends, seed, asking):
+    def test_wait_is_always_within_bounds(self, ends, seed, asking):
         pace = AdaptiveInterval(LinearCongruentialGenerator(seed).draw)
         self.assertTrue(0 <= pace.initial_wait(asking) <= MAX_INITIAL_SPREAD)
         for how, age in ends:
             self.assertTrue(MIN_REGULAR_INTERVAL <= pace.record(how, age) <= MAX_INTERVAL)
 
 
-class Overbooked(Service):
+class RateLimitedService(Service):
     """The laboratory's service as kept streams dial it."""
 
     def __init__(self, rate, clock):
@@ -99,7 +99,7 @@
         return "ended"
 
 
-class Askings(unittest.TestCase):
+class SharedServiceTest(unittest.TestCase):
     def started(self, service, asking, seed):
         stream = WatchStream(
             service,
@@ -113,14 +113,14 @@
         stream.start_among(asking)
         return stream
 
-    def test_forty_have_a_list_before_long_from_a_service_of_eight_calls_a_second(self):
+    def test_forty_callers_get_a_list_from_a_service_of_eight_calls_per_second(self):
         for asking, seconds, kill_at, refused in (
             (40, 20, None, 80),
             (0, 30, None, 120),
             (40, 40, 20.0, 160),
         ):
             clock = Clock()
-            service = Overbooked(8, clock)
+            service = RateLimitedService(8, clock)
             streams = [self.started(service, asking, seed) for seed in range(1, 41)]
             for step in range(seconds * 20):
                 clock.advance(0.05)
@@ -130,19 +130,19 @@
             self.assertEqual(sum(stream.stream is not None for stream in streams), 40)
             self.assertLess(service.refused, refused)
 
-    def test_all_that_start_at_once_have_a_list_of_a_service_that_takes_one_call_of_each_in_eight_seconds(
+    def test_callers_that_start_at_once_all_get_a_list_at_one_call_each_in_eight_seconds(
         self,
     ):
         for asking, rate, seconds, refused in ((60, 7.5, 17, 40), (200, 25, 22, 260)):
             clock = Clock()
-            service = Overbooked(rate, clock)
+            service = RateLimitedService(rate, clock)
             streams = [self.started(service, asking, seed) for seed in range(1, asking + 1)]
             for _ in range(seconds * 20):
                 clock.advance(0.05)
             self.assertEqual(sum(stream.stream is not None for stream in streams), asking)
             self.assertLess(service.refused, refused)
 
-    def test_a_cut_link_is_tried_as_usual_and_no_call_is_made_beside_the_watch(self):
+    def test_lost_connection_does_not_back_off_and_adds_no_call_to_the_watch(self):
         network = Network()
         for _ in range(10):
             network.refuse(-1)
@@ -154,8 +154,8 @@
         self.assertEqual(len(network.reactor.tcpClients), asked)
 
 
-class Lists(unittest.TestCase):
-    def test_which_lists_are_believed(self):
+class SnapshotValidationTest(unittest.TestCase):
+    def test_which_lists_are_accepted(self):
         for told, believed in (
             (
                 [("a", 7, True, 3), ("a", 7, True, 3), ("a", 9, False, 0), ("a", 8, True, 3)],
@@ -226,7 +226,7 @@
             SnapshotValidator().validate("a", 1, True, 0, 0)
         )  # with nothing known, nobody is news
 
-    def test_a_list_that_would_take_all_that_is_known_ends_its_stream_alone(self):
+    def test_list_that_would_remove_all_endpoints_only_ends_its_stream(self):
         for spoilt in (
             b'{"version":6,"full":true,"servers":[]}',
             b'{"version":6,"full":true,"servers":[}',
@@ -252,8 +252,8 @@
             self.assertEqual([port for _, port, *_ in network.reactor.tcpClients].count(2), 2)
 
 
-class Held(unittest.TestCase):
-    def test_connections_are_used_again_refused_and_expire(self):
+class SimulatedConnectionsTest(unittest.TestCase):
+    def test_connections_are_reused_refused_and_expire(self):
         some, line, other = Connections(1), (0, 1, "p"), (1, 1, "p")
         for now, of, taken, good in (
             (0, line, True, True),
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -1,4 +1,4 @@
-"""What is still owed when an attempt, a connection or a dial to a pod ends: each order is stepped by hand."""
+"""The ends of attempts, connections and dials to endpoints, with each order of events set explicitly."""
 
 import array
 import fcntl
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -1,4 +1,4 @@
-"""Between network and decisions, without a network: deliveries that wait, bounds, faults, deadlines."""
+"""The proxy on an in-memory network: pending attempts, limits, exceptions and deadlines."""
 
 import copy
 import socket
@@ -152,8 +152,8 @@
         )
 
 
-class Waiting(unittest.TestCase):
-    def test_a_delivery_that_waits_is_not_carried_past_a_drain(self):
+class PendingAttemptsTest(unittest.TestCase):
+    def test_pending_attempt_is_withdrawn_when_its_endpoint_drains(self):
         network = Network(endpoint_entry("s-1"))
         network.ask()
         network.update_endpoints(endpoint_entry("s-2"), endpoint_entry("s-1", state="Terminating"))
@@ -161,7 +161,7 @@
         late = network.connect(-2)
         self.assertEqual(late.transport.value(), b"")
 
-    def test_nor_to_another_process_under_the_same_id(self):
+    def test_pending_attempt_is_not_sent_to_a_replacement_process_of_the_same_name(self):
         network = Network(endpoint_entry("s-1"))
         network.ask()
         network.update_endpoints(endpoint_entry("s-1", build=40))
@@ -169,7 +169,7 @@
         self.assertEqual(network.connect(-1).transport.value()[:3], b"*4\r")
         self.assertEqual(len(network.proxy.requests.by_id), 1)
 
-    def test_nor_past_a_lower_cap(self):
+    def test_pending_attempt_is_withdrawn_when_the_cap_is_lowered(self):
         network = Network(
             endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
         )
@@ -180,7 +180,7 @@
         self.assertRegex(client.transport.value(), b"^-BUSY")
         self.assertEqual(network.connect().transport.value(), b"")
 
-    def test_a_connection_that_does_not_come_up_in_time_never_ran(self):
+    def test_attempt_with_connect_timeout_is_retried_as_not_run(self):
         network = Network(endpoint_entry("s-1"))
         network.ask(lane="pay")
         network.reactor.advance(0.3)
@@ -189,7 +189,7 @@
         network.refuse()
         self.assertEqual(network.dialled_ports(), [7001, 7001])
 
-    def test_a_connection_that_gets_free_serves_the_one_that_waits_once_it_has_rested(self):
+    def test_freed_connection_serves_the_waiting_attempt_after_its_rest(self):
         network = Network(endpoint_entry("s-1"))
         network.ask("01")
         first = network.connect()
@@ -201,13 +201,13 @@
         network.reactor.advance(0.002)
         self.assertIn(b"$2\r\n02\r\n", first.transport.value())
 
-    def test_what_is_written_in_part_never_ran(self):
+    def test_partially_written_attempt_is_retried_as_not_run(self):
         network = Network(endpoint_entry("s-1"))
         network.ask(lane="pay")
         network.connect().connectionLost(Failure(ConnectionRefusedError()))
         self.assertEqual(network.dialled_ports(), [7001, 7001])
 
-    def test_a_pod_that_has_moved_is_dialled_at_its_new_address(self):
+    def test_moved_endpoint_is_dialled_at_its_new_address(self):
         network = Network(endpoint_entry("s-1"))
         network.ask("01")
         idle = network.connect()
@@ -217,7 +217,7 @@
         network.ask("02")
         self.assertEqual((idle.transport.disconnecting, network.dialled_ports()), (True, [7001, 9]))
 
-    def test_what_was_written_and_given_up_may_be_answered_so_its_key_stays(self):
+    def test_key_is_sticky_after_a_written_attempt_is_abandoned(self):
         for end in ("time-out", "client", "reset"):
             network = Network(
                 endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
@@ -234,7 +234,7 @@
                 )
             self.assertEqual(network.proxy.engine.pins, {"key"})
 
-    def test_nothing_is_kept_of_a_connection_that_has_ended(self):
+    def test_closed_connection_leaves_no_timers_or_buffered_data(self):
         network = Network(endpoint_entry("s-1"))
         network.ask()
         connection = network.connect()
@@ -246,7 +246,7 @@
         self.assertEqual([call for call, arguments in live if connection in arguments], [])
         self.assertEqual(connection.parser.chunks, [])
 
-    def test_a_good_answer_after_the_time_out_still_binds_the_key_to_the_build(self):
+    def test_late_response_makes_the_key_sticky(self):
         network = Network(
             endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
         )
@@ -260,7 +260,7 @@
         connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(network.proxy.engine.pins, {"key"})
 
-    def test_so_does_one_in_part_or_spoilt_as_soon_as_it_comes(self):
+    def test_partial_or_malformed_late_response_makes_the_key_sticky(self):
         for answer in (
             VALUE_RESPONSE[:9],
             b"noise",
@@ -278,7 +278,7 @@
             self.assertEqual(connection.transport.disconnected, answer != VALUE_RESPONSE[:9])
 
 
-class BesideAnAnswer(unittest.TestCase):
+class UnexpectedBytesTest(unittest.TestCase):
     def answered(self, answer, stale=False):
         """A network on which a first transaction was answered so, and a second one is asked then."""
         network = Network(endpoint_entry("s-1"))
@@ -290,18 +290,18 @@
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
         return network, connection
 
-    def test_more_than_belongs_to_it_ends_the_connection_and_answers_nothing_else(self):
+    def test_surplus_response_bytes_close_the_connection_and_answer_no_other_request(self):
         for more in (VALUE_RESPONSE, b"noise", b"$5\r\n"):
             network, connection = self.answered(VALUE_RESPONSE + more)
             network.ask("02")
             self.assertTrue(connection.transport.disconnected)
             self.assertEqual(network.dialled_ports(), [7001, 7001])
 
-    def test_what_is_wrong_behind_a_whole_value_spoils_the_connection_alone(self):
+    def test_malformed_bytes_after_a_complete_value_only_close_the_connection(self):
         network, connection = self.answered(VALUE_RESPONSE[:-5] + b"$x1\r\n")
         self.assertTrue(connection.transport.disconnected)
 
-    def test_what_has_come_unread_is_no_answer_to_the_next(self):
+    def test_unread_bytes_do_not_answer_the_next_request(self):
         network, connection = self.answered(VALUE_RESPONSE, stale=True)
         self.assertTrue(connection.transport.disconnected)
         network, connection = self.answered(VALUE_RESPONSE)
@@ -312,20 +312,20 @@
             (connection.transport.disconnected, network.dialled_ports()), (True, [7001, 7001])
         )
 
-    def test_bytes_on_an_idle_connection_end_it_also_where_they_are_no_whole_message(self):
+    def test_any_bytes_on_an_idle_connection_close_it(self):
         network, connection = self.answered(VALUE_RESPONSE)
         connection.dataReceived(b"$5\r\nab")
         self.assertTrue(connection.transport.disconnected)
 
 
-class Bounds(unittest.TestCase):
-    def test_without_descriptors_for_pods_it_defers(self):
+class LimitsTest(unittest.TestCase):
+    def test_request_is_rejected_without_descriptors_for_endpoints(self):
         network = Network(endpoint_entry("s-1"), sockets=64)
         clients = [network.ask(f"{at}") for at in range(20)]
         self.assertEqual(len(network.dialled_ports()), network.proxy.pools.most)
         self.assertRegex(clients[-1].transport.value(), b"^-BUSY")
 
-    def test_who_says_nothing_or_half_a_command_is_answered_and_closed_in_time(self):
+    def test_silent_client_or_partial_command_is_answered_and_closed_in_time(self):
         network = Network(endpoint_entry("s-1"))
         silent, half, idle = network.client(), network.client(), network.client()
         half.dataReceived(command("PING")[:5])
@@ -342,7 +342,7 @@
         network.reactor.advance(0)
         self.assertEqual(network.closes(idle), [(True, True)])
 
-    def test_who_does_not_read_is_not_read_from_and_is_ended_in_time(self):
+    def test_client_that_does_not_read_is_paused_and_closed_in_time(self):
         network = Network(endpoint_entry("s-1"))
         slow, stuck = network.client(), network.client()
         for one in (slow, stuck):
@@ -358,7 +358,7 @@
             [(False, "producing"), (True, "paused")],
         )
 
-    def test_who_never_spoke_makes_room_before_a_client_that_did(self):
+    def test_client_that_sent_nothing_is_evicted_before_one_that_did(self):
         network = Network(endpoint_entry("s-1"), sockets=64)
         usual = network.ask("01")
         clients = [network.client() for _ in range(network.proxy.listener.max_clients - 2)]
@@ -371,7 +371,7 @@
             [False, False, True, False, False],
         )
 
-    def test_a_crowd_that_asks_once_and_stays_leaves_places_for_those_to_come(self):
+    def test_many_idle_clients_leave_room_for_new_ones(self):
         network = Network()
         clients = []
         for _ in range(3 * network.proxy.listener.max_clients):
@@ -383,7 +383,7 @@
         self.assertLess(len(network.proxy.clients), network.proxy.listener.max_clients / 2)
         self.assertGreater(len(network.proxy.clients), network.proxy.listener.max_clients / 4)
 
-    def test_no_transaction_is_held_for_longer_than_its_lane_can_earn(self):
+    def test_no_request_is_held_beyond_the_outer_limit_of_its_class(self):
         network = Network()
         network.proxy.engine.handle = lambda *_: []
         client = network.ask(left=999_999_999)
@@ -391,7 +391,7 @@
         network.reactor.advance(0)
         self.assertRegex(client.transport.value(), b"^-ERR")
 
-    def test_a_pod_that_comes_back_as_another_build_has_nothing_of_the_earlier_one(self):
+    def test_endpoint_that_returns_with_another_build_gets_new_connections(self):
         network = Network(endpoint_entry("s-1"))
         network.ask("01")
         busy = network.connect()
@@ -402,7 +402,7 @@
         network.update_endpoints(endpoint_entry("s-1", state="Gone"))
         self.assertEqual((network.proxy.addresses, network.proxy.pools.by_pod), ({}, {}))
 
-    def test_an_idle_client_makes_room_for_another(self):
+    def test_idle_client_is_evicted_for_a_new_one(self):
         network = Network(endpoint_entry("s-1"), sockets=64)
         clients = [network.client() for _ in range(network.proxy.listener.max_clients)]
         self.assertEqual(
@@ -410,7 +410,7 @@
             [True] + [False] * (len(clients) - 1),
         )
 
-    def test_a_connection_that_is_to_close_still_answers_a_command_that_has_begun(self):
+    def test_closing_connection_answers_a_partially_received_command(self):
         network, ping = Network(), command("PING")
         client = network.client()
         client.dataReceived(ping[:5])
@@ -421,7 +421,7 @@
             (client.transport.value(), network.closes(client)), (b"+PONG\r\n", [(True, True)])
         )
 
-    def test_an_idle_connection_is_retired_before_the_pod_does_it(self):
+    def test_idle_connection_is_closed_before_the_endpoint_closes_it(self):
         network = Network(endpoint_entry("s-1"))
         network.ask()
         connection = network.connect()
@@ -432,7 +432,7 @@
             network.reactor.advance(0)
         self.assertTrue(connection.transport.disconnecting)
 
-    def test_a_fault_in_the_decisions_is_answered_and_the_next_one_served(self):
+    def test_engine_exception_fails_its_request_and_the_next_one_is_served(self):
         network = Network(endpoint_entry("s-1"))
         decide, network.proxy.engine.handle = network.proxy.engine.handle, lambda *_: 1 / 0
         client = network.ask("01")
@@ -441,7 +441,7 @@
         network.ask("02")
         self.assertEqual(network.dialled_ports(), [7001])
 
-    def test_what_the_decisions_miss_is_answered_at_the_clients_end(self):
+    def test_request_missed_by_the_engine_is_answered_at_its_deadline(self):
         network = Network(endpoint_entry("s-1"))
         network.proxy.engine.handle = lambda *_: []
         client = network.ask(left=200)
@@ -450,7 +450,7 @@
         self.assertRegex(client.transport.value(), b"^-ERR")
         self.assertEqual(len(network.proxy.requests_in_flight), 0)
 
-    def test_nothing_is_kept_of_transactions_that_are_over(self):
+    def test_completed_requests_are_released(self):
         network = Network(endpoint_entry("s-1"))
         client, other = network.ask("01"), network.ask("02")
         other.connectionLost(Failure(ConnectionRefusedError()))
@@ -463,7 +463,7 @@
         )
 
 
-class Calls(unittest.TestCase):
+class PlatformAndDiscoveryCallsTest(unittest.TestCase):
     def vote(self, network):
         """What the decisions hear of a vote, once the connector of its call is there."""
         heard = []
@@ -475,7 +475,7 @@
         network.reactor.advance(seconds)
         network.reactor.advance(0)
 
-    def test_a_call_that_was_written_and_not_answered_may_count(self):
+    def test_written_vote_without_response_may_have_counted(self):
         network = Network()
         heard = self.vote(network)
         call = network.connect()
@@ -485,7 +485,7 @@
             [event.outcome for event in heard if type(event) is ReleaseUpdate], [Outcome.TIMED_OUT]
         )
 
-    def test_the_line_of_a_vote_holds_what_it_goes_by(self):
+    def test_vote_log_line_has_its_evidence(self):
         network = Network()
         with mock.patch.object(structured_log, "log") as logged:
             self.vote(network)
@@ -499,7 +499,7 @@
         )
         self.assertEqual(set(line["bounds"]), {"failed", "slow"})
 
-    def test_one_that_was_not_written_whole_or_never_connected_does_not(self):
+    def test_partially_written_or_unconnected_vote_did_not_count(self):
         network = Network()
         heard = self.vote(network)
         network.connect()
@@ -513,7 +513,7 @@
             [Outcome.ERROR, Outcome.ERROR],
         )
 
-    def test_a_stream_that_shows_no_sign_of_life_is_polled_again(self):
+    def test_silent_stream_is_reopened(self):
         network = Network()
         stream = network.connect(1)
         stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
@@ -526,7 +526,7 @@
         now = [port for _, port, *_ in network.reactor.tcpClients]
         self.assertEqual((dialled.count(3), now.count(3)), (1, 2))
 
-    def test_a_silent_stream_is_kept_until_another_speaks(self):
+    def test_silent_stream_is_kept_until_its_replacement_sends_data(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for old_speaks in (True, False):
             network = Network()
@@ -547,7 +547,7 @@
                 (not old_speaks, old_speaks),
             )
 
-    def test_a_new_address_is_asked_beside_the_old_one_until_it_speaks(self):
+    def test_old_stream_is_kept_until_the_new_address_sends_data(self):
         network, life = Network(), b"2\r\n:\n\r\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         old = network.connect(1)
@@ -571,14 +571,14 @@
         network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
         self.assertEqual(network.reactor.tcpClients[-1][1], 9)
 
-    def test_what_takes_a_new_start_is_named_by_its_key(self):
+    def test_reload_names_the_keys_that_need_a_restart(self):
         network = Network()
         later = configuration.parse(
             {**configuration_object(), "listen": "127.0.0.1:7", "limits": {"sockets": 99}}, 0
         )
         self.assertEqual(network.proxy.reconfigure(later), ["limits.sockets", "listen"])
 
-    def test_a_spoilt_stream_ends_and_is_polled_again_and_what_was_held_stays(self):
+    def test_malformed_stream_is_reopened_and_the_state_kept(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         for spoilt in (
             b"event: progress\ndata: version=x&step=1\n\n",
@@ -595,7 +595,7 @@
             self.assertEqual([port for _, port, *_ in network.reactor.tcpClients].count(3), 2)
             self.assertEqual((network.proxy.releases.latest, network.faults), (held, []))
 
-    def test_an_answer_without_an_end_is_not_kept(self):
+    def test_endless_response_is_not_buffered(self):
         network = Network()
         heard = self.vote(network)
         call = network.connect()
@@ -608,7 +608,7 @@
             [event.outcome for event in heard if type(event) is ReleaseUpdate], [Outcome.TIMED_OUT]
         )
 
-    def test_a_refused_stream_is_polled_again_without_a_fault(self):
+    def test_refused_stream_is_reopened_without_an_exception(self):
         network = Network()
         network.refuse(1)
         for _ in range(9):
@@ -617,11 +617,11 @@
         self.assertEqual(network.faults, [])
 
 
-class Memory(unittest.TestCase):
-    def test_the_loops_clock_only_goes_forward(self):
+class InternalStructuresTest(unittest.TestCase):
+    def test_reactor_clock_is_monotonic(self):
         self.assertLess(abs(life.monotonic_reactor().seconds() - time.monotonic()), 60)
 
-    def test_slots_are_numbered_and_used_again(self):
+    def test_slots_are_numbered_and_reused(self):
         slots = SlotTable()
         first, second = slots.add("a"), slots.add("b")
         slots.remove(first)
@@ -630,7 +630,7 @@
             (slots.add("c"), slots.get(second), len(slots), slots.peak), (first, "b", 2, 2)
         )
 
-    def test_deadlines_come_in_order_of_time_then_of_asking(self):
+    def test_timers_fire_in_order_of_time_then_of_registration(self):
         reactor, called, faults = MemoryReactorClock(), [], []
         deadlines = TimerQueue(
             lambda: int(reactor.seconds() * 10_000),
@@ -648,8 +648,8 @@
         self.assertEqual((called, len(faults)), (["first", "second", "late"], 1))
 
 
-class Configuration(unittest.TestCase):
-    def test_what_is_faulty_is_named_by_its_key(self):
+class ConfigurationTest(unittest.TestCase):
+    def test_error_names_the_faulty_key(self):
         cases = {
             "listen": 5,
             "discovery": "nowhere",
--- a/tests/unit/proxy/test_release_channel.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -1,4 +1,4 @@
-"""A vote's answer that is read after a newer word of the stream."""
+"""Vote responses that are received after a newer event of the release stream."""
 
 import unittest
 
@@ -30,7 +30,7 @@
     return b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
 
 
-class VotesAnswer(unittest.TestCase):
+class VoteResponseTest(unittest.TestCase):
     def after(self, told, answered):
         """The state held once a vote's call was out for 0.2 s, the stream told this halfway, and then its answer
         came."""
@@ -63,7 +63,7 @@
         self.assertEqual(here, there)
         return here
 
-    def test_one_that_is_older_opens_nothing_that_was_closed(self):
+    def test_older_vote_response_does_not_raise_the_cap(self):
         for ago in (3000, 50, 0):  # also where it was so long on its way that it looks newer
             self.assertEqual(
                 self.after({"status": "rolling_back", "cap": 0.0}, {"ago": ago}),
@@ -75,11 +75,11 @@
             (43, "trial", 0.05),
         )
 
-    def test_one_that_is_newer_moves_on(self):
+    def test_newer_vote_response_advances_the_state(self):
         self.assertEqual(self.after(None, {"step": 1, "cap": 0.9, "ago": 0}), (42, "trial", 0.9))
         self.assertEqual(self.after(None, {"build": 43, "cap": 0.1, "ago": 0}), (43, "trial", 0.1))
 
-    def test_one_that_closes_binds_at_once_whatever_the_stream_told(self):
+    def test_vote_response_that_rolls_back_takes_effect_at_once(self):
         self.assertEqual(
             self.after({"step": 1, "cap": 0.9}, {"status": "rolling_back", "cap": 0.0, "ago": 0}),
             (42, "rolling_back", 0.0),
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -1,4 +1,4 @@
-"""Why work is turned away, in sums; and the laboratory's days of a fleet, whose faults must do what they say."""
+"""The summary of rejections, and the effects of the simulator's injected faults."""
 
 import unittest
 
@@ -16,7 +16,7 @@
 from thymeknot.simulation.simulator import Simulator, current_engine
 
 
-class Sums(unittest.TestCase):
+class RejectionSummaryTest(unittest.TestCase):
     def setUp(self):
         self.lines = []
         self.summary = RejectionSummary(lambda event, **fields: self.lines.append((event, fields)))
@@ -26,7 +26,7 @@
         for reason in reasons:
             self.summary.record("t", reason)
 
-    def test_each_final_answer_counts_under_what_decided_it(self):
+    def test_final_responses_are_counted_by_cause(self):
         self.told(R.POSITION, R.SENT, R.ENDED, R.DONE)
         self.assertEqual(
             (self.summary.flush(NOW), self.lines), (NOW + LOG_INTERVAL, [])
@@ -64,19 +64,19 @@
         self.summary.flush(NOW + 2 * LOG_INTERVAL)
         self.assertEqual(len(self.lines), 1)
 
-    def test_what_is_kept_is_bounded_by_the_reasons(self):
+    def test_counters_are_bounded_by_the_number_of_reasons(self):
         for first in R:
             for reason in R:
                 self.told(first, reason, R.DEFERRED, first, reason, R.ABANDONED)
         self.assertLess(len(self.summary.counts), 3 * len(R))
 
-    def test_the_record_hears_it_too(self):
+    def test_reasons_are_passed_to_the_next_listener(self):
         heard = []
         self.summary.next_listener = lambda *told: heard.append(told)
         self.summary.record("t", R.DEFERRED, 50)
         self.assertEqual(heard, [("t", R.DEFERRED, 50)])
 
-    def test_the_decisions_name_what_turned_it_away(self):
+    def test_engine_reports_the_cause_of_a_rejection(self):
         made = made_of(pod("a"), max_attempts=1)
         made.context.say = self.summary.record
         made.handle(NOW, [taken()])
@@ -85,14 +85,14 @@
         self.assertEqual(self.lines[0][1]["deferred"], {"MOST_DELIVERIES": 1})
 
 
-class Faults(unittest.TestCase):
+class SimulatedFaultsTest(unittest.TestCase):
     """What a fault does to what reaches pods and instances, seen from outside the decisions."""
 
     def made(self, kind, seed=3):
         day, (begin, _) = large_fleet_scenarios.drawn(seed, kind, 9, 6, 20, load=0.3, good=True)
         return Simulator(day._replace(offers=()), current_engine), begin
 
-    def test_a_lost_zone_says_nothing_and_comes_back_cold(self):
+    def test_lost_zone_is_silent_and_restarts_cold(self):
         fleet, _ = self.made("zone")
         fleet.now = 8 * TICKS_PER_SECOND
         fleet.servers.lose_zone("b")
@@ -106,7 +106,7 @@
         )
         self.assertFalse(any(one.silent for one in back))
 
-    def test_a_zone_that_is_cut_off_reaches_itself_alone_and_no_platform(self):
+    def test_partitioned_zone_reaches_only_itself_and_not_the_platform(self):
         fleet, _ = self.made("split")
         fleet.cut_zones = {"b"}
         inside, outside = 1, 0
@@ -127,7 +127,7 @@
             (fleet.cut_zones, told), (set(), list(range(9)))
         )  # what was missed is told again
 
-    def test_what_a_pause_holds_up_is_done_after_it(self):
+    def test_work_delayed_by_a_pause_resumes_after_it(self):
         fleet, _ = self.made("herd")
         some = next(iter(fleet.servers.pods.values()))
         some.paused = 5 * TICKS_PER_SECOND
@@ -136,7 +136,7 @@
         self.assertEqual(fleet._calls[0][0], 5 * TICKS_PER_SECOND + 1)
         self.assertFalse(some.fits(TICKS_PER_SECOND, TICKS_PER_SECOND))
 
-    def test_the_platform_turns_votes_away_beyond_its_calls(self):
+    def test_platform_rejects_votes_above_its_rate(self):
         fleet, _ = self.made("calm")
         fleet.day = fleet.day._replace(terms=fleet.day.terms._replace(votes_per_second=2.0))
         fleet.platform.state = ReleaseState(2, 0, ReleasePhase.ON_TRIAL, 0.08)
@@ -165,7 +165,7 @@
             ],
         )
 
-    def test_a_recalled_delivery_ends_and_what_it_set_off_runs_on(self):
+    def test_cancelled_attempt_ends_while_its_work_continues(self):
         told = []
 
         class Recalls:
@@ -195,7 +195,7 @@
             ({Outcome.CANCELLED}, sum(type(one) is RequestReceived for one in told)),
         )
 
-    def test_days_of_each_kind_keep_the_rules(self):
+    def test_scenarios_of_each_kind_keep_the_invariants(self):
         for kind in large_fleet_scenarios.KINDS:
             day, _ = large_fleet_scenarios.drawn(2, kind, 12, 9, 15, load=0.4)
             self.assertEqual(Simulator(day, current_engine).play().checker.broken, [], kind)
--- a/tests/unit/service/test_structured_log.py
+++ b/tests/unit/service/test_structured_log.py
@@ -1,4 +1,4 @@
-"""Logs: what is declared, and the lines that come out."""
+"""The declaration of log events and the format of log lines."""
 
 import json
 import os
@@ -17,7 +17,7 @@
 )
 
 
-class Logs(unittest.TestCase):
+class StructuredLogTest(unittest.TestCase):
     def lines(self, code, **more):
         ended = subprocess.run(
             [sys.executable, "-c", f"from thymeknot.service import structured_log as logs; {code}"],
@@ -28,7 +28,7 @@
         )
         return [json.loads(line) for line in ended.stdout.splitlines()], ended.stderr
 
-    def test_each_event_that_the_program_logs_is_declared(self):
+    def test_every_logged_event_is_declared(self):
         said = set()
         for folder, _, names in os.walk(os.path.dirname(thymeknot.__file__)):
             for name in names:
@@ -39,7 +39,7 @@
         self.assertEqual(said - LEVELS.keys(), set())
         self.assertEqual(LEVELS.keys() - said, set())
 
-    def test_a_line_is_an_object_with_its_time_first_and_its_level_where_that_is_above_info(self):
+    def test_line_starts_with_the_time_and_has_a_level_above_info(self):
         (vote, fault, other), errors = self.lines(
             "logs.log('vote', build=4); logs.log_exception('here', ValueError('x')); logs.log('undeclared')"
         )
@@ -51,7 +51,7 @@
         )
         self.assertEqual((other["level"], errors), ("error", ""))
 
-    def test_levels_below_the_one_asked_for_are_not_written(self):
+    def test_levels_below_the_configured_one_are_not_written(self):
         code = "logs.log('vote'); logs.log('configuration rejected'); logs.log('request overdue')"
         for level, events in (
             ("warning", ["configuration rejected", "request overdue"]),
@@ -62,7 +62,7 @@
                 [line["event"] for line in self.lines(code, **{LEVEL_VARIABLE: level})[0]], events
             )
 
-    def test_a_line_that_cannot_be_written_ends_nothing(self):
+    def test_failed_write_does_not_stop_the_process(self):
         code = "import os; os.close(1); logs.log('vote'); os.dup2(2, 1); logs.log('vote')"
         self.assertEqual(self.lines(code)[1].count("vote"), 1)
 
