--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -36,7 +36,7 @@
             random_source=LinearCongruentialGenerator(3),
         )
         self.record.clock = lambda: self.now
-        self.balancer.context.say = self.record.say
+        self.balancer.context.reason_callback = self.record.say
         self.expected = {}
 
     def take(self, name, lane="read", key=None, left=3 * TICKS_PER_SECOND, tenant="t"):
@@ -87,7 +87,7 @@
 
 
 def by_position(case, name):
-    case.balancer.split.fraction, case.balancer.split.raised_at = 1.0, NOW + 10**9
+    case.balancer.split.fraction, case.balancer.split.fraction_updated_at = 1.0, NOW + 10**9
     usual(case, name, key=LOW)
 
 
@@ -159,7 +159,7 @@
     ].listed._replace(zone="a")
     case.balancer.requests.retry_budget.tokens = 2.0
     del case.balancer.context.endpoints[where]
-    case.balancer.selection.sort_by_build()
+    case.balancer.selection.group_by_build()
     case.end(name, Outcome.ERROR, where)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.OUTSIDE, R.NO_POD, R.POSITION)
 
@@ -176,8 +176,8 @@
 
 def pressed_by(balancer):
     """Answers of now that took a hundred times their goal."""
-    balancer.admission.responses.add(balancer.context.now)
-    balancer.admission.times.add(balancer.context.now, 100.0)
+    balancer.admission.response_counts.add(balancer.context.now)
+    balancer.admission.relative_latencies.add(balancer.context.now, 100.0)
 
 
 def by_lot(case, name):
--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -41,7 +41,7 @@
 
     def sealed(self, by=None, to="n2", number=1, body=b"body"):
         return message_codec.sign_message(
-            by or self.one, to, SESSION, number, message_codec.KEEPER, body
+            by or self.one, to, SESSION, number, message_codec.PEER, body
         )
 
     def test_what_is_taken_and_what_is_refused_by_kind(self):
@@ -53,7 +53,8 @@
         self.assertEqual(self.opened(self.sealed(self.other)), "unknown")
         self.assertEqual(self.opened({**good, "content": good["content"] + b"\0"}), "forged")
         self.assertEqual(
-            self.opened({**good, "content": bytes(message_codec.LETTER_MOST + 1)}), "oversized"
+            self.opened({**good, "content": bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES + 1)}),
+            "oversized",
         )
         revoked = Keyring([Peer("n1", None, (PeerKey(self.one.text(), None),))], [self.one.text()])
         self.assertEqual(self.opened(good, ring=revoked), "unknown")
@@ -63,13 +64,15 @@
                 {
                     "key": self.one.key_id,
                     "content": content,
-                    "signature": self.one.sign(message_codec.MARK + content),
+                    "signature": self.one.sign(message_codec.SIGNATURE_CONTEXT + content),
                 }
             ),
             "nonsense",
         )
         self.assertRaises(
-            message_codec.MessageError, self.sealed, body=bytes(message_codec.LETTER_MOST)
+            message_codec.MessageError,
+            self.sealed,
+            body=bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES),
         )
 
 
@@ -81,7 +84,7 @@
             def __init__(self, name, told):
                 self.name, self.told = name, told
 
-            def ask(self, kind, body):
+            def send_request(self, kind, body):
                 asked.append((self.name, kind, msgspec.msgpack.decode(body).get("number")))
                 return Deferred() if self.told is None else succeed(self.told)
 
@@ -95,7 +98,7 @@
         one = client.RaftClient(
             deadlines, ways, LinearCongruentialGenerator(1), "n1", 5, msgspec.msgpack.encode
         )
-        one.place, found = 0, []
+        one.next_node, found = 0, []
         one.propose({"do": "x"}).addCallback(found.append)
         clock.pump([0.01] * 20)
         self.assertEqual(found, [{"ok": True}])
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -121,9 +121,9 @@
         connection = network.connect()
         connection.resumeProducing()
         pass_on(network, 0.2)
-        network.proxy.engine.pins.clear()
+        network.proxy.engine.pinned_keys.clear()
         connection.dataReceived(VALUE_RESPONSE + VALUE_RESPONSE)
-        self.assertEqual(network.proxy.engine.pins, {"key"})
+        self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
         self.assertTrue(connection.transport.disconnected)
         self.assertEqual(client.transport.value().count(b"\r\n"), 1)
         connection.connectionLost(Failure(ConnectionLost()))
@@ -150,7 +150,7 @@
             if end == "more":
                 connection.dataReceived(VALUE_RESPONSE)
             elif end == "pod gone":
-                network.proxy.pools.retire("s-1")
+                network.proxy.pools.close_idle("s-1")
             else:
                 for _ in range(13):
                     pass_on(network, 1)
@@ -185,7 +185,7 @@
         client = network.ask("01")
         connection = network.connect()
         connection.resumeProducing()
-        network.proxy.pools.ready = lambda _: 1 / 0
+        network.proxy.pools.response_received = lambda _: 1 / 0
         faults, network.proxy.pools.fault = [], lambda *fault: faults.append(fault)
         connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(
@@ -261,7 +261,7 @@
 
     def test_one_that_rests_is_retired_where_no_more_may_be_opened(self):
         network, connection, _ = self.answered()
-        network.proxy.pools.most = 1
+        network.proxy.pools.max_connections = 1
         network.ask("02")
         self.assertTrue(connection.transport.disconnecting)
         self.assertEqual(pods_dialled(network), [7001, 7001])
@@ -289,7 +289,7 @@
                 connection.resumeProducing()
             idle.dataReceived(VALUE_RESPONSE)
             clients.append(network.ask("03"))  # the idle one rests: it is dialled for
-            network.proxy.engine.pins.clear()  # else the key stays with the former build
+            network.proxy.engine.pinned_keys.clear()  # else the key stays with the former build
             network.update_endpoints(endpoint_entry("s-1", **change))
             self.assertTrue(idle.transport.disconnecting)
             self.assertEqual(network.connect(network.streams + 2).transport.value(), b"")
@@ -332,7 +332,7 @@
                     if connection.transport.disconnecting and not connection.transport.disconnected:
                         connection.transport.disconnected = True
                         connection.connectionLost(Failure(ConnectionLost()))
-                    elif connection.waiting is not None:
+                    elif connection.pending_response is not None:
                         if connection.transport.value():
                             connection.transport.clear()
                             connection.resumeProducing() if not connection.written else None
@@ -465,7 +465,8 @@
             self.assertEqual(ends, [("01", 0, Outcome.DONE if whole else Outcome.RESET)], at)
             self.assertRegex(client.transport.value(), rb"^\$1\r\nv\r\n$" if whole else b"^-ERR")
             self.assertEqual(
-                (network.proxy.engine.pins, len(network.proxy.requests_in_flight)), ({"key"}, 0)
+                (network.proxy.engine.pinned_keys, len(network.proxy.requests_in_flight)),
+                ({"key"}, 0),
             )
             self.assertEqual((len(network.proxy.pools), network.faults), (0, []))
 
@@ -482,7 +483,7 @@
         known = proxy.engine.context.endpoints.values()
         self.assertEqual([one.in_flight for one in known], [0])
         self.assertEqual((len(proxy.engine.requests.open), len(proxy.requests_in_flight)), (0, 0))
-        self.assertEqual((len(proxy.pools), proxy.pools.unwritten()), (0, []))
+        self.assertEqual((len(proxy.pools), proxy.pools.unwritten_attempts()), (0, []))
 
 
 class Held(unittest.TestCase):
@@ -717,9 +718,9 @@
                 terms.exposure_window,
             ):  # ten at once, and a window later: its edge lies within their bucket
                 allowed = [
-                    exposure.took(at, "read")
+                    exposure.count_received(at, "read")
                     or exposure.allows(at, news, 42, "read")
-                    and not exposure.wrote(at, news, 42, "read")
+                    and not exposure.count_written(at, news, 42, "read")
                     for _ in range(10)
                 ]
             self.assertEqual(all(allowed), may, cap)
@@ -777,7 +778,7 @@
                         connection.transport.clear()
                         connection.resumeProducing()
                         trial += build == 42
-                    elif connection.waiting is not None:
+                    elif connection.pending_response is not None:
                         connection.dataReceived(VALUE_RESPONSE)
                     elif connection.transport.disconnecting or (
                         hangs and int(pod[2:]) > 4
@@ -1074,7 +1075,7 @@
         self.network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         self.proxy, self.pools = self.network.proxy, self.network.proxy.pools
         self.clients, self.dials, self.connections, self.may_have_run, self.seen = {}, [], [], {}, 0
-        self.pools.most = 9
+        self.pools.max_connections = 9
 
     def pending_dials(self):
         """Takes up dials that are new, ends those that were stopped; gives those that are under way."""
@@ -1125,7 +1126,7 @@
         if connection := self.pick([one for one in self.open() if one.transport.producer], place):
             name = connection.transport.value().split(b"\r\n")[6].decode()
             connection.transport.clear()
-            pod, news = connection.delivery.endpoint, self.proxy.releases.latest
+            pod, news = connection.attempt.endpoint, self.proxy.releases.latest
             self.test.assertTrue(
                 self.proxy.endpoints.is_ready(pod) and (news.cap or pod.build < news.build), name
             )
@@ -1138,7 +1139,7 @@
         if connection := self.pick(self.connections, place):
             if connection.transport.disconnected:
                 return
-            name = connection.delivery and connection.delivery.request.id
+            name = connection.attempt and connection.attempt.request.id
             if kind == "busy" and name and connection.written:
                 self.may_have_run[name] = False
             connection.dataReceived(ANSWERS[kind])
@@ -1185,7 +1186,7 @@
     def served(self, place):
         """One that waits for its answer gets a good one."""
         if connection := self.pick(
-            [one for one in self.open() if one.written and one.waiting], place
+            [one for one in self.open() if one.written and one.pending_response], place
         ):
             self.answer(self.connections.index(connection), "good")
 
@@ -1215,7 +1216,7 @@
         same((self.faults, self.network.faults), ([], []))
         same(self.pools.dialling, len(dials))
         same({id(one) for one in self.pools.connections}, {id(one) for one in self.connections})
-        live = self.proxy.timers.live
+        live = self.proxy.timers.pending
         for call, arguments in live.values():
             for one in (getattr(call, "__self__", None), *arguments):
                 self.test.assertFalse(
@@ -1226,7 +1227,7 @@
             self.test.assertLessEqual(len(pool.waiting), pool.dialling)
             for connection in pool.idle:
                 same(
-                    (connection.waiting, connection.delivery, connection.connector.pool),
+                    (connection.pending_response, connection.attempt, connection.connector.pool),
                     (None, None, pool),
                 )
                 same(
@@ -1240,13 +1241,14 @@
                 )
         for connection in self.connections:
             if connection.transport.disconnecting or connection.transport.disconnected:
-                self.test.assertIsNone(connection.waiting)
+                self.test.assertIsNone(connection.pending_response)
         for held in self.proxy.requests_in_flight:
             same(held.attempts_in_flight, sum(attempt.in_flight for attempt in held.attempts))
             self.test.assertTrue(held.attempts_in_flight or not held.closed, held.id)
             for attempt in held.attempts:
                 where = sum(attempt in pool.waiting for pool in by_pod.values()) + any(
-                    one.delivery is attempt and one.waiting is not None for one in self.connections
+                    one.attempt is attempt and one.pending_response is not None
+                    for one in self.connections
                 )
                 same(where, 1) if attempt.in_flight else None
 
@@ -1260,7 +1262,11 @@
             self.turn()
             self.check()
         self.test.assertEqual(
-            (len(self.proxy.requests_in_flight), self.proxy.requests.by_id, self.pools.unwritten()),
+            (
+                len(self.proxy.requests_in_flight),
+                self.proxy.requests.by_id,
+                self.pools.unwritten_attempts(),
+            ),
             (0, {}, []),
         )
         for name, client in self.clients.items():
@@ -1268,7 +1274,7 @@
         self.test.assertEqual((len(self.pools), self.connections), (0, []))
         kept = [
             call
-            for call, arguments in self.proxy.timers.live.values()
+            for call, arguments in self.proxy.timers.pending.values()
             for one in (getattr(call, "__self__", None), *arguments)
             if type(one).__name__
             in ("Attempt", "InFlightRequest", "ConnectionPool", "PodConnection")
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -232,7 +232,7 @@
                 (client if end == "client" else connection).connectionLost(
                     Failure(ConnectionRefusedError())
                 )
-            self.assertEqual(network.proxy.engine.pins, {"key"})
+            self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
 
     def test_closed_connection_leaves_no_timers_or_buffered_data(self):
         network = Network(endpoint_entry("s-1"))
@@ -242,7 +242,7 @@
         connection.dataReceived(b"*3\r\n$600000\r\n" + b"x" * 9000)
         self.assertTrue(connection.transport.disconnected)
         connection.connectionLost(Failure(ConnectionRefusedError()))
-        live = network.proxy.timers.live.values()
+        live = network.proxy.timers.pending.values()
         self.assertEqual([call for call, arguments in live if connection in arguments], [])
         self.assertEqual(connection.parser.chunks, [])
 
@@ -256,9 +256,9 @@
         network.reactor.advance(0.2)
         network.reactor.advance(0)
         self.assertTrue(connection.transport.ended)
-        network.proxy.engine.pins.clear()
+        network.proxy.engine.pinned_keys.clear()
         connection.dataReceived(VALUE_RESPONSE)
-        self.assertEqual(network.proxy.engine.pins, {"key"})
+        self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
 
     def test_partial_or_malformed_late_response_makes_the_key_sticky(self):
         for answer in (
@@ -274,7 +274,7 @@
             connection = network.connect()
             connection.resumeProducing()
             connection.dataReceived(answer)
-            self.assertEqual(network.proxy.engine.pins, {"key"})
+            self.assertEqual(network.proxy.engine.pinned_keys, {"key"})
             self.assertEqual(connection.transport.disconnected, answer != VALUE_RESPONSE[:9])
 
 
@@ -322,7 +322,7 @@
     def test_request_is_rejected_without_descriptors_for_endpoints(self):
         network = Network(endpoint_entry("s-1"), sockets=64)
         clients = [network.ask(f"{at}") for at in range(20)]
-        self.assertEqual(len(network.dialled_ports()), network.proxy.pools.most)
+        self.assertEqual(len(network.dialled_ports()), network.proxy.pools.max_connections)
         self.assertRegex(clients[-1].transport.value(), b"^-BUSY")
 
     def test_silent_client_or_partial_command_is_answered_and_closed_in_time(self):
@@ -566,7 +566,7 @@
         self.assertFalse(old.transport.disconnected)
         new.dataReceived(life)
         self.assertEqual(
-            (old.transport.disconnected, network.proxy.releases.stream.stream), (True, new)
+            (old.transport.disconnected, network.proxy.releases.stream.current), (True, new)
         )
         network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
         self.assertEqual(network.reactor.tcpClients[-1][1], 9)
--- a/tests/unit/raft/test_peer_server.py
+++ b/tests/unit/raft/test_peer_server.py
@@ -15,7 +15,7 @@
 from thymeknot.raft import peer_server
 from thymeknot.raft.errors import RequestRejectedError
 from thymeknot.raft.message_codec import (
-    KEEPER,
+    PEER,
     PROPOSE,
     READ,
     REPLY,
@@ -31,7 +31,7 @@
 from thymeknot.raft.roles import Role
 from thymeknot.raft.settings import RaftSettings
 from thymeknot.raft.simulated_host import Register
-from thymeknot.raft.state_machine import Parts
+from thymeknot.raft.state_machine import CompositeStateMachine
 from thymeknot.raft.storage import RaftStorage
 from thymeknot.state.random_source import LinearCongruentialGenerator
 from thymeknot.state.timer_queue import TimerQueue
@@ -83,11 +83,11 @@
                 RaftSettings(),
                 LinearCongruentialGenerator(1),
                 recovered,
-                Parts({"register": self.register}),
+                CompositeStateMachine({"register": self.register}),
                 now,
             ),
             storage,
-            lambda query: {"writes": len(self.register.order), "query": query},
+            lambda query: {"writes": len(self.register.write_ids), "query": query},
         )
         self.addCleanup(self.server.close)
 
@@ -128,7 +128,7 @@
 
     def lead(self):
         self.clock.pump([0.01] * 80)
-        self.assertEqual(self.server.keeper.role, Role.LEADER)
+        self.assertEqual(self.server.raft_node.role, Role.LEADER)
 
     def test_command_and_read_are_answered(self):
         self.lead()
@@ -171,11 +171,11 @@
         answer = self.asked(connection, PROPOSE, self.command(), 9, by=stranger)
         self.assertIsInstance(answer, RequestRejectedError)
         self.assertEqual(self.server.rejected["unknown"], 1)
-        self.assertEqual(self.register.order, [])
+        self.assertEqual(self.register.write_ids, [])
 
     def test_message_of_no_node_is_counted(self):
         line, _, pump, session = self.connect()
-        line.callRemote(DeliverMessage, **self.signed(session, KEEPER, [6, [1, 0]]))
+        line.callRemote(DeliverMessage, **self.signed(session, PEER, [6, [1, 0]]))
         pump.flush()
         self.assertEqual(self.server.rejected, {"nonsense": 1})
 
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -78,7 +78,7 @@
 
     def test_engine_reports_the_cause_of_a_rejection(self):
         made = made_of(pod("a"), max_attempts=1)
-        made.context.say = self.summary.record
+        made.context.reason_callback = self.summary.record
         made.handle(NOW, [taken()])
         made.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
         self.summary.flush(NOW + LOG_INTERVAL)
--- a/thymeknot/policy/baseline.py
+++ b/thymeknot/policy/baseline.py
@@ -1,180 +1,203 @@
-"""How the earlier build does: the rates and response times that the newest one is held to."""
+"""The earlier build's rates and latencies, against which the newest build is compared."""
 
 from typing import NamedTuple
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import Outcome
 from .context import (
-    CROWD_FACTOR,
-    HIGH_RATE,
+    HIGH_REQUEST_RATE,
+    LARGE_FLEET_RATIO,
     TRAFFIC_WINDOW_BUCKETS,
     TRAFFIC_WINDOW_SECONDS,
     BuildState,
     DecisionContext,
-    traffic_window,
+    new_traffic_window,
 )
-from .sequential_test import RATE_LEAST, SequentialTest, Symptom
-
-OUTCOMES_LEAST = 5  # of the earlier build, that say something of its rates
-OUTCOMES_MATURE = 20  # that say enough by themselves
-RATE_HIGHEST = 0.6  # of the earlier build's outcomes; above it nothing could be found worse
-RECENT_BUCKETS = 4  # two seconds: a storm at both builds
-LOSS_RATE_SOUND = 0.02  # of its outcomes, lost on the way: below it the way is sound
-LOSSES_SOUND = 2  # and so few are sound in any case
-SLOW_QUANTILE = 0.9  # of the earlier build's response times: what is above it is slow
-MARK_UNKNOWN = 2.0  # times the first response time, as the first mark
-MARK_GAIN_LEAST = 0.05
-MARK_GAIN_FALL = 0.2  # how fast the gain falls with the outcomes seen
-MEAN_GAIN_PART = 0.4  # of the mark's gain
-SETTLED_AFTER = 3 * TICKS_PER_SECOND  # ticks of traffic that tell what is usual
-CHANCE_TRIES = 3  # requests in two seconds that may come by chance
-BUSIER = 1.5  # times the usual traffic, from which slowness may be the load's
-
-
-class LatencyMark(NamedTuple):
-    """The response times of a request class on a kind of machine."""
-
-    slow_above: float
-    """The quantile above which a response is slow, in ticks."""
-    seen: int
+from .sequential_test import MIN_NULL_RATE, SequentialTest, Symptom
+
+MIN_OUTCOMES = 5  # of the earlier build, for an estimate of its rates
+RELIABLE_OUTCOMES = 20  # outcomes whose estimate needs no other support
+MAX_NULL_RATE = 0.6  # above this rate no build could be found worse
+RECENT_BUCKETS = 4  # two seconds: short enough to notice a storm of failures at both builds
+# The network is reliable if less than this fraction of the earlier build's attempts was lost,
+# or fewer than this number.
+TOLERATED_LOSS_RATE = 0.02
+TOLERATED_LOSSES = 2
+SLOW_QUANTILE = 0.9  # of the earlier build's latencies: responses above it are slow
+INITIAL_THRESHOLD_RATIO = 2.0  # initial slow threshold, as a multiple of the first latency
+MIN_THRESHOLD_GAIN = 0.05  # minimum step of the slow threshold, relative to its value
+THRESHOLD_GAIN_DECAY = 0.2  # how fast that step falls with the number of outcomes
+MEAN_GAIN_RATIO = 0.4  # gain of the mean latency, as a ratio of the threshold's gain
+MIN_TRAFFIC_AGE = 3 * TICKS_PER_SECOND  # ticks of traffic before a baseline is captured
+CHANCE_REQUESTS = 3  # requests in two seconds that chance may add
+HIGH_TRAFFIC_RATIO = 1.5  # multiple of the usual traffic above which load may explain slowness
+
+
+class LatencyStats(NamedTuple):
+    """Latencies of a request class on a machine type."""
+
+    slow_threshold: float
+    """Estimate of SLOW_QUANTILE, in ticks: a response above it is slow."""
+    outcomes: int
+    """How many outcomes the estimates are based on."""
     mean: float
+    """Moving mean of the latency, in ticks."""
 
 
-class BeforeOffer(NamedTuple):
-    """What was usual before the newest build was offered or, for a later start, at first."""
+class PreTrialBaseline(NamedTuple):
+    """Traffic and latencies before the newest build could affect them.
 
-    marks: dict[tuple[str, str], LatencyMark]
-    """By request class and kind of machine."""
+    An instance that starts during a trial captures its first seconds of traffic instead.
+    """
+
+    latency_stats: dict[tuple[str, str], LatencyStats]
+    """By request class and machine type."""
     rate: float
-    """Requests a second without marked retries."""
-    rejected_part: float
+    """Requests per second, without those that clients marked as retries."""
+    rejected_fraction: float
+    """Fraction of the requests that this instance rejected."""
 
 
 class Baseline:
-    """The earlier build's outcomes lately, and what was usual before the offer.
+    """The earlier build's recent outcomes, and the baseline captured before the trial.
 
     Attributes:
-        marks: response times by request class and kind of machine.
-        seen: the earlier build's outcomes.
-        failed: those that failed, but for losses on the way.
-        slow: those that were slow.
-        errors: those that ended with an error.
-        losses: those that were lost on the way.
-        first_tries: requests that are not marked as retries.
-        rejected: requests that were rejected.
-        before_offer: None until it is known.
-        earlier_endpoints: how many endpoints the earlier build had at the offer.
+        latency_stats: latencies by request class and machine type.
+        outcomes: window of the earlier build's outcomes.
+        failed: window of those that failed, without network losses.
+        slow: window of those that were slow.
+        errors: window of those that ended with an application error.
+        losses: window of those that were lost in the network.
+        non_retries: window of requests that clients did not mark as retries.
+        rejected: window of requests that were rejected.
+        pre_trial: the captured baseline; None until there is enough traffic for one.
+        earlier_endpoint_count: how many endpoints the earlier build had when the trial began.
     """
 
     def __init__(self, context: DecisionContext, test: SequentialTest) -> None:
         self.context = context
         self.test = test
-        self.marks: dict[tuple[str, str], LatencyMark] = {}
-        self.seen = traffic_window()
-        self.failed = traffic_window()
-        self.slow = traffic_window()
-        self.errors = traffic_window()
-        self.losses = traffic_window()
-        self.first_tries = traffic_window()
-        self.rejected = traffic_window()
-        self.before_offer: BeforeOffer | None = None
-        self.earlier_endpoints = 0
-
-    def restart(self) -> None:
-        """Another release: what was usual before it is to be found anew."""
-        self.earlier_endpoints = len(self.context.by_build[False])
-        self.before_offer = None
-
-    def learn(
+        self.latency_stats: dict[tuple[str, str], LatencyStats] = {}
+        self.outcomes = new_traffic_window()
+        self.failed = new_traffic_window()
+        self.slow = new_traffic_window()
+        self.errors = new_traffic_window()
+        self.losses = new_traffic_window()
+        self.non_retries = new_traffic_window()
+        self.rejected = new_traffic_window()
+        self.pre_trial: PreTrialBaseline | None = None
+        self.earlier_endpoint_count = 0
+
+    def reset(self) -> None:
+        """Discards the captured baseline, for another release."""
+        self.earlier_endpoint_count = len(self.context.by_build[False])
+        self.pre_trial = None
+
+    def add_outcome(
         self,
-        cell: tuple[str, str],
-        mark: LatencyMark,
+        latency_key: tuple[str, str],
+        stats: LatencyStats,
         outcome: Outcome,
         latency: Ticks,
         *,
         slow: bool,
         warm: bool,
     ) -> None:
-        """Takes in an outcome of the earlier build, or of one that is not judged.
+        """Adds an outcome of the earlier build, or of a build that is not evaluated.
 
         Args:
-            cell: its request class and kind of machine.
-            mark: the cell's mark so far.
+            latency_key: request class and machine type of the attempt.
+            stats: the latencies of that key so far.
             outcome: how the attempt ended.
-            latency: its response time.
-            slow: whether that was slow.
-            warm: whether its endpoint has its full capacity.
+            latency: latency of the attempt, in ticks.
+            slow: whether the attempt was slow.
+            warm: whether its endpoint has warmed up completely.
         """
         now = self.context.now
         if warm and outcome in (Outcome.DONE, Outcome.TIMED_OUT):
-            gain = max(MARK_GAIN_LEAST, 1 / (2 + MARK_GAIN_FALL * mark.seen))
-            rise = 1 + gain * (SLOW_QUANTILE - 1 + slow)
-            self.marks[cell] = LatencyMark(
-                mark.slow_above * rise,
-                mark.seen + 1,
-                mark.mean + MEAN_GAIN_PART * gain * (latency - mark.mean),
+            gain = max(MIN_THRESHOLD_GAIN, 1 / (2 + THRESHOLD_GAIN_DECAY * stats.outcomes))
+            scale = 1 + gain * (SLOW_QUANTILE - 1 + slow)
+            self.latency_stats[latency_key] = LatencyStats(
+                stats.slow_threshold * scale,
+                stats.outcomes + 1,
+                stats.mean + MEAN_GAIN_RATIO * gain * (latency - stats.mean),
             )
-        lost = lost_on_the_way(outcome)
-        self.seen.add(now)
+        lost = is_network_loss(outcome)
+        self.outcomes.add(now)
         self.failed.add(now, outcome != Outcome.DONE and not lost)
         self.slow.add(now, slow)
         self.errors.add(now, outcome == Outcome.ERROR)
         self.losses.add(now, lost)
 
-    def compare(self) -> bool:
-        """Sets the test's null rates; tells whether enough of the outcomes are recent.
+    def update_null_rates(self) -> bool:
+        """Sets the test's null rates; returns whether enough outcomes are recent.
 
-        The recent rates count if they are of many outcomes or higher: a storm at both builds is
-        not the newest one's, and one that is over hides nothing.
+        Rates of the last two seconds are used if they are reliable or higher than those of the
+        whole window: a storm of failures at both builds must not be blamed on the newest one, and
+        a storm that is over must not hide a bad build.
         """
         now, null_rates = self.context.now, self.test.null_rates
         counts = (Symptom.FAILED, self.failed), (Symptom.SLOW, self.slow)
-        for back, least in ((TRAFFIC_WINDOW_BUCKETS, OUTCOMES_LEAST), (RECENT_BUCKETS, 1)):
-            seen = self.seen.total(now, False, back)
-            if seen < least:
+        for buckets, min_outcomes in ((TRAFFIC_WINDOW_BUCKETS, MIN_OUTCOMES), (RECENT_BUCKETS, 1)):
+            total = self.outcomes.total(now, False, buckets)
+            if total < min_outcomes:
                 continue
             for symptom, window in counts:
-                # In a storm one failure will do. The floor for slowness is the higher one.
-                seen = max(seen, 2 * OUTCOMES_LEAST if symptom == Symptom.SLOW else 2)
+                # A single failure is enough to recognise a storm of failures; the rate of slow
+                # responses needs more outcomes.
+                total = max(total, 2 * MIN_OUTCOMES if symptom == Symptom.SLOW else 2)
                 rate = max(
-                    RATE_LEAST[symptom], min(RATE_HIGHEST, window.total(now, False, back) / seen)
+                    MIN_NULL_RATE[symptom],
+                    min(MAX_NULL_RATE, window.total(now, False, buckets) / total),
                 )
-                if back == TRAFFIC_WINDOW_BUCKETS or seen >= OUTCOMES_MATURE:
+                if buckets == TRAFFIC_WINDOW_BUCKETS or total >= RELIABLE_OUTCOMES:
                     null_rates[symptom] = rate
                 else:
                     null_rates[symptom] = max(rate, null_rates[symptom])
-        return self.seen.total(now, False, RECENT_BUCKETS) >= OUTCOMES_LEAST
+        return self.outcomes.total(now, False, RECENT_BUCKETS) >= MIN_OUTCOMES
 
-    def way_is_sound(self) -> bool:
-        """Whether the earlier build loses hardly any attempts on the way."""
+    def network_is_reliable(self) -> bool:
+        """Returns whether the earlier build loses hardly any attempts in the network."""
         now = self.context.now
-        return self.losses.total(now) < max(LOSSES_SOUND, LOSS_RATE_SOUND * self.seen.total(now))
+        return self.losses.total(now) < max(
+            TOLERATED_LOSSES, TOLERATED_LOSS_RATE * self.outcomes.total(now)
+        )
+
+    def traffic_ratio(self) -> float:
+        """Returns the traffic of the last two seconds as a multiple of that before the trial.
 
-    def busier(self) -> float:
-        """The traffic of two seconds without marked retries, in times of the usual, or 1."""
-        if self.before_offer is None:
+        Requests marked as retries do not count. Without a captured baseline the ratio is 1.
+        """
+        if self.pre_trial is None:
             return 1.0
-        tries, now = self.first_tries, self.context.now
-        span = (RECENT_BUCKETS * tries.width + now % tries.width) / TICKS_PER_SECOND
-        seen = tries.total(now, False, RECENT_BUCKETS) - CHANCE_TRIES
-        return seen / (self.before_offer.rate * span + 1)
+        requests, now = self.non_retries, self.context.now
+        span = (
+            RECENT_BUCKETS * requests.bucket_width + now % requests.bucket_width
+        ) / TICKS_PER_SECOND
+        total = requests.total(now, False, RECENT_BUCKETS) - CHANCE_REQUESTS
+        return total / (self.pre_trial.rate * span + 1)
+
+    def capture_pre_trial(self) -> None:
+        """Captures the baseline once per trial, as soon as there is enough traffic for it.
 
-    def settle(self) -> None:
-        """Keeps what is usual before the newest build has an effect, as soon as it is known."""
+        Instances with little traffic and those of a large fleet capture none.
+        """
         context = self.context
-        age = context.age()
-        tries = self.first_tries.total(context.now)
-        rate = tries * TICKS_PER_SECOND / min(TRAFFIC_WINDOW_SECONDS * TICKS_PER_SECOND, age + 1)
-        fit = (
-            age >= SETTLED_AFTER
-            and rate >= HIGH_RATE
-            and context.settings.instances < CROWD_FACTOR * self.earlier_endpoints
+        age = context.traffic_age()
+        requests = self.non_retries.total(context.now)
+        rate = requests * TICKS_PER_SECOND / min(TRAFFIC_WINDOW_SECONDS * TICKS_PER_SECOND, age + 1)
+        ready = (
+            age >= MIN_TRAFFIC_AGE
+            and rate >= HIGH_REQUEST_RATE
+            and context.settings.instances < LARGE_FLEET_RATIO * self.earlier_endpoint_count
         )
-        if context.build_state == BuildState.ON_TRIAL and self.before_offer is None and fit:
-            rejected_part = self.rejected.total(context.now) / context.arrivals.total(context.now)
-            self.before_offer = BeforeOffer(dict(self.marks), rate, rejected_part)
+        if context.build_state == BuildState.ON_TRIAL and self.pre_trial is None and ready:
+            rejected_fraction = self.rejected.total(context.now) / context.arrivals.total(
+                context.now
+            )
+            self.pre_trial = PreTrialBaseline(dict(self.latency_stats), rate, rejected_fraction)
 
 
-def lost_on_the_way(outcome: Outcome) -> bool:
-    """Whether the network, not the endpoint, may have failed."""
+def is_network_loss(outcome: Outcome) -> bool:
+    """Returns whether the network, rather than the endpoint, may have caused the outcome."""
     return outcome in (Outcome.RESET, Outcome.CONNECT_FAILED)
--- a/thymeknot/policy/release_lifecycle.py
+++ b/thymeknot/policy/release_lifecycle.py
@@ -1,4 +1,4 @@
-"""The newest build's life: offered, moved from stage to stage, released or withdrawn."""
+"""The life cycle of the newest build: on trial, from stage to stage, released or withdrawn."""
 
 from enum import Enum
 
@@ -15,47 +15,47 @@
 
 
 class ReleaseChange(Enum):
-    """What an update changes."""
+    """What an update changes about the newest build."""
 
     OFFERED = "offered"
-    MET = "met"
-    """Another build that is not on trial."""
+    FOUND_AFTER_TRIAL = "found after trial"
+    """A new build that is no longer on trial in the first update about it."""
     STAGE_CHANGED = "stage changed"
     WITHDRAWN = "withdrawn"
     RELEASED = "released"
 
 
 class Effect(Enum):
-    """What a change has the parts do."""
+    """What a change makes the other parts of the engine do."""
 
-    RESTART = "restart"
+    RESET = "reset"
     NEXT_STAGE = "next stage"
     NONE = "none"
 
 
-FROM_ANY_STATE = {
-    ReleaseChange.OFFERED: (BuildState.ON_TRIAL, Effect.RESTART),
-    ReleaseChange.MET: (BuildState.USUAL, Effect.RESTART),
-    ReleaseChange.WITHDRAWN: (BuildState.WITHDRAWN, Effect.RESTART),
+DEFAULT_TRANSITIONS = {
+    ReleaseChange.OFFERED: (BuildState.ON_TRIAL, Effect.RESET),
+    ReleaseChange.FOUND_AFTER_TRIAL: (BuildState.NOT_EVALUATED, Effect.RESET),
+    ReleaseChange.WITHDRAWN: (BuildState.WITHDRAWN, Effect.RESET),
 }
-"""Change -> next state and effect, where TRANSITIONS says nothing else."""
+"""Next state and effect by change, for pairs that TRANSITIONS does not contain."""
 
 TRANSITIONS = {
     (BuildState.ON_TRIAL, ReleaseChange.STAGE_CHANGED): (BuildState.ON_TRIAL, Effect.NEXT_STAGE),
     (BuildState.ON_TRIAL, ReleaseChange.RELEASED): (BuildState.RELEASED, Effect.NEXT_STAGE),
     (BuildState.WITHDRAWN, ReleaseChange.WITHDRAWN): (BuildState.WITHDRAWN, Effect.NONE),
 }
-"""(State, change) -> next state and effect. What is in neither table changes nothing."""
+"""Next state and effect by state and change. Pairs in neither table change nothing."""
 
-CHANGE_OF_PHASE = {
+CHANGE_BY_PHASE = {
     ReleasePhase.ON_TRIAL: ReleaseChange.OFFERED,
     ReleasePhase.RELEASED: ReleaseChange.RELEASED,
 }
-"""What another phase of the same build means; the phases that are not here withdraw it."""
+"""The change that a new phase of the same build makes; phases not listed here withdraw it."""
 
 
 class ReleaseLifecycle:
-    """Takes in how the newest build stands and has the other parts follow."""
+    """Tracks the rollout state of the newest build and resets the other parts as it changes."""
 
     def __init__(
         self,
@@ -77,56 +77,57 @@
         self.baseline = baseline
         self.slowdown = slowdown
         self.voting = voting
-        self.restart()
+        self.reset()
 
     def update(self, event: ReleaseUpdate) -> None:
-        """Takes in an update, or the answer to a vote."""
+        """Handles a release update, which may be the response to a vote."""
         context = self.context
         if event.answers_vote:
-            self.voting.answered(event)
+            self.voting.handle_response(event)
         if event.outcome != Outcome.DONE:
             return
-        # An update of this outcome has all fields.
-        new = Release(event.build, event.stage, event.phase, event.cap)  # type: ignore[arg-type]
-        old = context.release
-        context.release = new
-        if old is None or old.build != new.build:
+        # Updates with the outcome DONE have all fields set.
+        current = Release(event.build, event.stage, event.phase, event.cap)  # type: ignore[arg-type]
+        previous = context.release
+        context.release = current
+        if previous is None or previous.build != current.build:
             self.split.pinned_keys = set()
-            self.voting.met = {}
-            self.selection.sort_by_build()
-        change = _change_between(old, new)
+            self.voting.first_started = {}
+            self.selection.group_by_build()
+        change = _change_between(previous, current)
         if change is None:
             return
         transition = TRANSITIONS.get(
             (context.build_state, change),
-            FROM_ANY_STATE.get(change, (context.build_state, Effect.NONE)),
+            DEFAULT_TRANSITIONS.get(change, (context.build_state, Effect.NONE)),
         )
         context.build_state, effect = transition
-        if effect == Effect.RESTART:
-            self.restart()
+        if effect == Effect.RESET:
+            self.reset()
         elif effect == Effect.NEXT_STAGE:
-            self.next_stage()
-
-    def restart(self) -> None:
-        """Begins with another build, or with one that is withdrawn."""
-        self.baseline.restart()
-        self.split.restart()
-        self.exposure.restart()
-        self.slowdown.restart()
-        self.test.restart()
-        self.next_stage()
-
-    def next_stage(self) -> None:
-        """Begins with another stage."""
-        self.split.next_stage()
-        self.voting.next_stage()
-        self.test.next_stage()
-
-
-def _change_between(old: Release | None, new: Release) -> ReleaseChange | None:
-    if old is None or old.build != new.build:
-        on_trial = new.phase == ReleasePhase.ON_TRIAL
-        return ReleaseChange.OFFERED if on_trial else ReleaseChange.MET
-    if old.phase != new.phase:
-        return CHANGE_OF_PHASE.get(new.phase, ReleaseChange.WITHDRAWN)
-    return ReleaseChange.STAGE_CHANGED if old.stage != new.stage else None
+            self.start_stage()
+
+    def reset(self) -> None:
+        """Resets all parts, for another build or one that was withdrawn."""
+        self.baseline.reset()
+        self.split.reset()
+        self.exposure.reset()
+        self.slowdown.reset()
+        self.test.reset()
+        self.start_stage()
+
+    def start_stage(self) -> None:
+        """Starts another stage in all parts that depend on it."""
+        self.split.start_stage()
+        self.voting.start_stage()
+        self.test.start_stage()
+
+
+def _change_between(previous: Release | None, current: Release) -> ReleaseChange | None:
+    """Returns what changed from one rollout state to the next; None if nothing did."""
+    if previous is None or previous.build != current.build:
+        on_trial = current.phase == ReleasePhase.ON_TRIAL
+        return ReleaseChange.OFFERED if on_trial else ReleaseChange.FOUND_AFTER_TRIAL
+    if previous.phase != current.phase:
+        return CHANGE_BY_PHASE.get(current.phase, ReleaseChange.WITHDRAWN)
+    return ReleaseChange.STAGE_CHANGED if previous.stage != current.stage else None
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -9,7 +9,7 @@
 from ..interface.clock import Ticks
 from ..protocol.client import ClientConnection
 from ..protocol.command import Command
-from ..protocol.write_progress import nothing_waits
+from ..protocol.write_progress import is_receive_buffer_empty
 from ..service import structured_log
 from ..state.slot_table import SlotTable
 from ..state.timer_queue import TimerQueue
@@ -56,8 +56,8 @@
         address: The host and port to listen on.
         sockets: The configured limit of descriptors; also the most accept calls in one go.
         max_clients: The maximum number of client connections.
-        take: Called with each request: its connection, response position and command.
-        gone: Called with a connection whose client has stopped waiting.
+        request_received: Called with each request: its connection, response position and command.
+        client_gone: Called with a connection whose client has stopped waiting.
         clients: The open connections.
         accepting_paused: Whether accepting waits until a connection becomes idle or closes.
         listening: Whether the port is open, or will be closed once the backlog is accepted.
@@ -75,8 +75,8 @@
         *,
         sockets: int,
         max_clients: int,
-        take: Callable[[ClientConnection, int, Command], None],
-        gone: Callable[[ClientConnection], None],
+        request_received: Callable[[ClientConnection, int, Command], None],
+        client_gone: Callable[[ClientConnection], None],
     ) -> None:
         self.reactor = reactor
         self.timers = timers
@@ -84,8 +84,8 @@
         self.address = address
         self.sockets = sockets
         self.max_clients = max_clients
-        self.take = take
-        self.gone = gone
+        self.request_received = request_received
+        self.client_gone = client_gone
         self.clients: SlotTable[ClientConnection] = SlotTable()
         self.accepting_paused = False
         self.listening = False
@@ -126,7 +126,7 @@
         """Logs an exception that has closed a connection."""
         structured_log.log_exception(where, error)
 
-    def opened(self, connection: ClientConnection) -> None:
+    def connection_opened(self, connection: ClientConnection) -> None:
         """Registers a new connection, and makes room for further ones.
 
         A connection may be closed between requests, but not while data waits to be read, and one
@@ -134,7 +134,7 @@
         send one request and stay connected would block new ones.
         """
         connection.slot = self.clients.add(connection)
-        connection.used_at = self.clock()
+        connection.last_used_at = self.clock()
         full = len(self.clients) >= self.max_clients
         now = self.clock()
         if self.shutdown.clients_finishing():  # accepted during a drain
@@ -160,11 +160,15 @@
             (
                 client
                 for client in self.clients
-                if client is not new and not client.closing and not client.places
+                if client is not new and not client.closing and not client.pending_responses
+            ),
+            key=lambda client: (
+                client.awaits_first_command(now),
+                client.command_received,
+                client.last_used_at,
             ),
-            key=lambda client: (client.awaited(now), client.spoke, client.used_at),
         )[:EVICTION_CANDIDATES]
-        return [client for client in idle if nothing_waits(client.transport)]
+        return [client for client in idle if is_receive_buffer_empty(client.transport)]
 
     def _connections_to_evict(
         self, idle: list[ClientConnection], full: bool, now: Ticks
@@ -173,12 +177,14 @@
         long_idle = [
             client
             for client in idle
-            if client.idle() and now >= client.used_at + MIN_IDLE_TIME and not client.awaited(now)
+            if client.is_idle()
+            and now >= client.last_used_at + MIN_IDLE_TIME
+            and not client.awaits_first_command(now)
         ]
         chosen = long_idle[: int(len(self.clients) - self.max_clients * EVICTION_RATIO)]
         return chosen or (idle[:1] if full else [])
 
-    def became_idle(self) -> None:
+    def connection_became_idle(self) -> None:
         """Resumes accepting: an idle connection can now be evicted for the next one."""
         if self.accepting_paused and not self.shutdown.began():
             self.accepting_paused = False
@@ -186,10 +192,10 @@
         elif self.accepting_paused and self.listening:
             self.shutdown.accept_rest()
 
-    def left(self, connection: ClientConnection) -> None:
+    def connection_closed(self, connection: ClientConnection) -> None:
         """Removes a closed connection."""
         if connection.slot is not None:  # it was registered
             self.clients.remove(connection.slot)
-        self.gone(connection)
-        self.became_idle()
+        self.client_gone(connection)
+        self.connection_became_idle()
         self.shutdown.end_if_empty()
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -8,7 +8,7 @@
 from ..interface.events import Endpoint, EndpointUpdate
 from ..polling.snapshot_validation import SnapshotValidator
 from ..protocol import discovery
-from ..protocol.http_calls import MOST_REASON, Reply
+from ..protocol.http_calls import MAX_REASON_LENGTH, Reply
 from ..protocol.watch_stream import WatchStream
 from ..protocol.write_progress import BrokenConnection
 from ..service import structured_log
@@ -60,12 +60,12 @@
         self.watch = WatchStream(
             self.discovery,
             chance,
-            discovery.SILENCE,
-            lambda: discovery.watch(self.discovery.host, self._version_to_ask_from()),
+            discovery.SILENCE_TIMEOUT,
+            lambda: discovery.watch_request(self.discovery.host, self._version_to_ask_from()),
             self._watch_reader,
             structured_log.log_rate_limited,
-            discovery.FIRST_WORD[polled],
-            free=not polled,
+            discovery.FIRST_DATA_TIMEOUTS[polled],
+            dedicated=not polled,
         )
 
     def notify_on_data(self, on_data: Callable[[], None]) -> None:
@@ -73,7 +73,7 @@
 
         Any lists in the data have been applied by then; an empty line means that there is none.
         """
-        self.watch.reader = lambda: notifying_reader(self._watch_reader(), on_data)
+        self.watch.make_reader = lambda: notifying_reader(self._watch_reader(), on_data)
 
     def start(self) -> None:
         """Starts the watch.
@@ -83,7 +83,7 @@
         """
         settings = self.proxy.settings
         if settings.lists_polled:
-            self.watch.start_among(settings.instances)
+            self.watch.start_spread(settings.instances)
         else:
             self.watch.start()
 
@@ -132,7 +132,7 @@
                 not self.is_ready(endpoint) or self.addresses[endpoint.address] != address
             )
         )
-        proxy.pools.keep_only(
+        proxy.pools.close_all_except(
             {name: address for name, address in self.addresses.items() if name not in replaced}
         )
         proxy.handle_events()
@@ -169,7 +169,7 @@
         return self.version if self._source == self.discovery.address else 0
 
     def _watch_reader(self) -> StreamReader:
-        lists = discovery.Lists()
+        lists = discovery.ListParser()
         source = self.discovery.address
 
         def read(content: memoryview) -> bool:
@@ -182,7 +182,7 @@
                     if told is not None:
                         yield discovery.read_list(told, self.proxy.epoch)
 
-            for listing in discovery.folded(listings()):
+            for listing in discovery.merge_deltas(listings()):
                 self.take_up(listing, source)
             return alive
 
@@ -194,7 +194,7 @@
     def fetch(self, action: FetchEndpoints) -> None:
         """Fetches the full list once; the engine is told of the list or of the failure."""
         fetched = self.discovery.call(
-            discovery.fetch(self.discovery.host), self.proxy.settings.vote_timeout
+            discovery.fetch_request(self.discovery.host), self.proxy.settings.vote_timeout
         )
         fetched.addCallback(self._fetched, self.discovery.address)
 
@@ -209,5 +209,5 @@
                 )
             self.take_up(discovery.read_json(end.body, self.proxy.epoch), source)
         except Exception as error:  # the engine needs exactly one result of the fetch
-            structured_log.log("endpoint list not fetched", error=str(error)[:MOST_REASON])
+            structured_log.log("endpoint list not fetched", error=str(error)[:MAX_REASON_LENGTH])
             self.proxy.handle_events(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -168,7 +168,7 @@
 
 def _read_release(document: Any) -> ReleaseUpdate:
     try:
-        return deployer.read_news(_value_at(document, "deployer.news", dict))
+        return deployer.read_release_update(_value_at(document, "deployer.news", dict))
     except deployer.UnreadableReleaseError as error:
         raise ConfigurationError(f"deployer.news.{error}") from None
 
