--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -64,8 +64,8 @@
     return [port for port in network.dialled_ports() if port > 7000]
 
 
-class OneEnd(unittest.TestCase):
-    def test_what_is_written_in_part_ends_once_whoever_ends_it(self):
+class AttemptEndTest(unittest.TestCase):
+    def test_partially_written_attempt_ends_once(self):
         for end, outcome in (("time", Outcome.CONNECT_FAILED), ("client", Outcome.CANCELLED)):
             network = Network(endpoint_entry("s-1"))
             ends, client = counted(network), network.ask(left=200)
@@ -80,7 +80,7 @@
                 (len(network.proxy.requests_in_flight), network.proxy.requests.by_id), (0, {})
             )
 
-    def test_what_is_given_up_as_the_other_side_closes_ends_once(self):
+    def test_attempt_abandoned_while_the_endpoint_closes_ends_once(self):
         for end, outcome in (("time", Outcome.TIMED_OUT), ("client", Outcome.CANCELLED)):
             network = Network(endpoint_entry("s-1"))
             ends, client = counted(network), network.ask(left=200)
@@ -97,7 +97,7 @@
                 (len(network.proxy.requests_in_flight), len(network.proxy.pools)), (0, 0)
             )
 
-    def test_an_answer_that_has_come_goes_before_a_deadline_of_the_same_turn(self):
+    def test_received_response_wins_over_a_deadline_of_the_same_reactor_turn(self):
         network, turns = Network(endpoint_entry("s-1")), []
         deadlines, wake = network.proxy.timers, network.proxy.timers.wake
         # A loop reads its sockets between two calls that are due: what is due at once comes a turn later.
@@ -113,7 +113,7 @@
         turns[0][0](*turns[0][1:])
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
 
-    def test_what_was_given_up_binds_its_key_once_and_what_follows_answers_nobody(self):
+    def test_abandoned_attempt_makes_its_key_sticky_once_and_later_bytes_answer_nothing(self):
         network = Network(
             endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
         )
@@ -131,7 +131,7 @@
         self.assertEqual((network.faults, len(network.proxy.pools)), ([], 0))
 
 
-class Ending(unittest.TestCase):
+class IdleConnectionEndTest(unittest.TestCase):
     """A connection is lost a turn of the loop after its end was settled."""
 
     def idle(self):
@@ -144,7 +144,7 @@
         connection.transport.clear()
         return network, connection
 
-    def test_what_is_sent_while_an_idle_connection_ends_goes_on_another(self):
+    def test_attempt_during_the_close_of_an_idle_connection_uses_another(self):
         for end in ("more", "told idle time", "pod gone"):
             network, connection = self.idle()
             if end == "more":
@@ -162,13 +162,13 @@
             connection.connectionLost(Failure(ConnectionLost()))
             self.assertEqual(network.faults, [])
 
-    def test_an_end_that_the_loop_has_not_read_is_seen(self):
+    def test_unread_end_of_stream_is_detected(self):
         network, connection = self.idle()
         connection.transport.recv = lambda most, flags: b""
         network.ask("02")
         self.assertEqual((connection.transport.value(), pods_dialled(network)), (b"", [7001, 7001]))
 
-    def test_a_connection_that_stands_idle_keeps_nothing_of_what_was_answered(self):
+    def test_idle_connection_keeps_nothing_of_answered_requests(self):
         network = Network(endpoint_entry("s-1"))
         network.ask("01")
         connection = network.connect()
@@ -180,7 +180,7 @@
             attempt, [getattr(held, "__self__", held) for held in vars(connection).values()]
         )
 
-    def test_a_fault_in_what_comes_after_an_answer_costs_no_answer(self):
+    def test_exception_after_a_response_loses_no_response(self):
         network = Network(endpoint_entry("s-1"))
         client = network.ask("01")
         connection = network.connect()
@@ -195,7 +195,7 @@
         self.assertEqual(len(network.proxy.requests_in_flight), 0)
 
 
-class Late(unittest.TestCase):
+class LateResponseTest(unittest.TestCase):
     """Answers carry no id: a second one, some milliseconds late, must not meet the next request."""
 
     def answered(self, *more):
@@ -209,7 +209,7 @@
         connection.transport.clear()
         return network, connection, clients
 
-    def test_a_second_answer_within_the_rest_answers_nobody(self):
+    def test_second_response_during_the_rest_answers_nothing(self):
         spoilt = b"*", b"\r\n", b"\xff" * 70_000, b"-BUSY\r\n", b"*3\r\n$1\r\nw\r\n$x"
         for waits, late in itertools.product(
             (True, False), (VALUE_RESPONSE.replace(b"v", b"w"), *spoilt)
@@ -229,21 +229,21 @@
             self.assertEqual(clients[1].transport.value(), b"$1\r\n2\r\n")
             self.assertEqual(pods_dialled(network), [7001, 7001])
 
-    def test_after_its_rest_a_connection_is_used_again_and_none_is_dialled(self):
+    def test_connection_is_reused_after_its_rest(self):
         network, connection, _ = self.answered()
         network.reactor.advance(0.02)
         network.ask("02")
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
         self.assertEqual(pods_dialled(network), [7001])
 
-    def test_who_has_waited_longest_gets_the_one_that_has_rested(self):
+    def test_longest_waiting_attempt_gets_the_rested_connection(self):
         network, connection, _ = self.answered("02", "03")
         network.reactor.advance(0.02)
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
         self.assertIn(b"$2\r\n03\r\n", network.connect().transport.value())
         self.assertEqual(network.connect(-2).transport.value(), b"")  # its dial is spare
 
-    def test_nobody_overtakes_who_waits(self):
+    def test_new_attempt_does_not_overtake_a_waiting_one(self):
         network, connection, _ = self.answered("02")
         network.proxy.timers.clock = lambda: (
             1_000_200
@@ -252,21 +252,21 @@
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
         self.assertIn(b"$2\r\n03\r\n", network.connect().transport.value())
 
-    def test_the_dial_of_one_that_waits_may_fail_while_another_rests(self):
+    def test_dial_of_a_waiting_attempt_may_fail_while_a_connection_rests(self):
         network, connection, clients = self.answered("02")
         network.refuse()
         self.assertEqual(pods_dialled(network), [7001, 7001, 7001])  # never ran: asked for again
         network.reactor.advance(0.02)
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
 
-    def test_one_that_rests_is_retired_where_no_more_may_be_opened(self):
+    def test_resting_connection_is_closed_at_the_connection_limit(self):
         network, connection, _ = self.answered()
         network.proxy.pools.max_connections = 1
         network.ask("02")
         self.assertTrue(connection.transport.disconnecting)
         self.assertEqual(pods_dialled(network), [7001, 7001])
 
-    def test_an_answer_before_the_last_byte_was_written_is_none(self):
+    def test_response_before_the_last_byte_was_written_does_not_count(self):
         network = Network(endpoint_entry("s-1"))
         client = network.ask("01", lane="pay")
         connection = network.connect()
@@ -277,8 +277,8 @@
         )  # it never ran, so a binding one may go again
 
 
-class Restarted(unittest.TestCase):
-    def test_another_process_at_the_same_address_gets_nothing_on_what_was_open_or_dialled_before(
+class RestartedEndpointTest(unittest.TestCase):
+    def test_replacement_process_gets_nothing_on_earlier_connections(
         self,
     ):
         for change in ({"build": 40}, {"started_ms": 9}):
@@ -305,7 +305,7 @@
             self.assertEqual([client.transport.value() for client in clients], [b"$1\r\nv\r\n"] * 3)
 
 
-class Cost(unittest.TestCase):
+class ConnectionRestCostTest(unittest.TestCase):
     def dials(self, rest, a_second, pods, took):
         """Connections dialled in half a minute, of pods that take so many steps of 5 ms for an answer."""
         network, chance, due, connected = (
@@ -343,7 +343,7 @@
         self.assertEqual(network.faults, [])
         return connected
 
-    def test_the_rest_costs_few_connections_where_requests_are_spread_over_pods(self):
+    def test_rest_costs_few_connections_with_requests_spread_over_endpoints(self):
         before, after = (
             self.dials(rest, 20, 60, 20) for rest in (0, connection_pool.REST_AFTER_RESPONSE)
         )
@@ -372,8 +372,8 @@
             self.over.put(connection)
 
 
-class LateOverSockets(WithPods):
-    def test_a_second_answer_goes_to_nobody_where_the_next_request_is_out(self):
+class LateResponseOverSocketsTest(WithPods):
+    def test_second_response_does_not_answer_the_next_request(self):
         pod = Twice()
         self.addCleanup(pod.close)
         with self.program(pod.entry("s-1")).client() as client:
@@ -427,8 +427,8 @@
                 connection.sendall(bytes((byte,)))
 
 
-class AnswersOverSockets(WithPods):
-    def test_a_whole_answer_is_kept_where_the_connection_ends_or_is_reset_behind_it(self):
+class ResponsesOverSocketsTest(WithPods):
+    def test_complete_response_counts_if_the_connection_then_closes_or_resets(self):
         for reset in (False, True):
             pod = EndsBehind(reset)
             self.addCleanup(pod.close)
@@ -439,7 +439,7 @@
                     self.assertEqual(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), name * 1000)
             self.assertEqual(pod.heard.qsize(), 2)
 
-    def test_an_answer_in_single_bytes_is_one(self):
+    def test_response_in_single_bytes_is_assembled(self):
         pod = BytesOverSockets()
         self.addCleanup(pod.close)
         with self.program(pod.entry("s-1")).client() as client:
@@ -447,8 +447,8 @@
                 self.assertEqual(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), name)
 
 
-class Cut(unittest.TestCase):
-    def test_a_value_that_is_whole_is_served_wherever_the_connection_ends_behind_it(self):
+class TruncatedResponseTest(unittest.TestCase):
+    def test_complete_value_is_served_wherever_the_connection_then_ends(self):
         value_ends = VALUE_RESPONSE.index(b"v\r\n") + 3
         for at, why in itertools.product(
             range(len(VALUE_RESPONSE)), (ConnectionLost, ConnectionDone)
@@ -471,8 +471,8 @@
             self.assertEqual((len(network.proxy.pools), network.faults), (0, []))
 
 
-class Carried(unittest.TestCase):
-    def test_an_attempt_whose_dial_raises_is_ended_and_counted_out_nowhere(self):
+class DialExceptionTest(unittest.TestCase):
+    def test_attempt_whose_dial_raises_ends_and_is_not_counted_in_flight(self):
         """Where the network library raises as a connection is dialled, the attempt stood in the pool's queue, out for the
         proxy and in flight for the decisions, for good: its client was answered as overdue, and nothing let go of it."""
         network = Network(endpoint_entry("s-1"))
@@ -486,7 +486,7 @@
         self.assertEqual((len(proxy.pools), proxy.pools.unwritten_attempts()), (0, []))
 
 
-class Held(unittest.TestCase):
+class HeldAttemptTest(unittest.TestCase):
     """What waits for a connection, or is not written whole, is held to all terms up to its last byte."""
 
     def again(self, lane="mark", window=10_000):
@@ -501,7 +501,7 @@
         connection.connectionLost(Failure(ConnectionLost()))
         return network, client
 
-    def test_a_repeat_is_not_written_after_the_window_in_which_it_is_known(self):
+    def test_retry_is_not_written_after_the_deduplication_window(self):
         network, client = self.again()
         self.assertEqual(pods_dialled(network), [7001, 7001])
         pass_on(network, 0.09)
@@ -511,13 +511,13 @@
         self.assertEqual(network.connect().transport.value(), b"")
         self.assertEqual((len(network.proxy.requests_in_flight), network.faults), (0, []))
 
-    def test_nor_where_its_connection_comes_up_before_that_deadline_is_due(self):
+    def test_retry_is_not_written_if_connected_before_the_window_timer_fires(self):
         network, client = self.again()
         network.proxy.timers.clock = network.proxy.clock = lambda: 1_010_000
         self.assertEqual(network.connect().transport.value(), b"")
         self.assertRegex(client.transport.value(), b"^-ERR")
 
-    def test_nor_its_last_byte(self):
+    def test_last_byte_of_a_retry_is_not_written_after_the_window(self):
         network, client = self.again()
         connection = network.connect()
         self.assertNotEqual(connection.transport.value(), b"")
@@ -525,7 +525,7 @@
         self.assertTrue(connection.transport.disconnected)
         self.assertRegex(client.transport.value(), b"^-ERR")
 
-    def test_within_the_window_it_is_and_has_all_its_time_for_the_answer(self):
+    def test_retry_within_the_window_keeps_its_full_response_time(self):
         network, client = self.again()
         connection = network.connect()
         connection.resumeProducing()
@@ -533,7 +533,7 @@
         connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
 
-    def test_a_binding_request_that_may_have_run_is_written_no_second_time_whatever_asks_for_it(
+    def test_non_idempotent_request_that_may_have_run_is_never_written_again(
         self,
     ):
         for reached in ("written", "in part", "not connected"):
@@ -570,7 +570,7 @@
         self.assertNotEqual(connection.transport.value(), b"")
         return b"" if connection.transport.disconnected else connection.transport.value()
 
-    def test_what_was_told_since_takes_back_what_waits_and_what_is_written_in_part(self):
+    def test_updates_withdraw_waiting_and_partially_written_attempts(self):
         changes = {
             "drain": lambda network: network.update_endpoints(
                 endpoint_entry("s-1", build=42, state="Terminating")
@@ -607,7 +607,7 @@
             for name, change in changes.items():
                 self.assertEqual(self.changed(change, written), b"", (name, written))
 
-    def test_what_changes_nothing_for_it_takes_nothing_back(self):
+    def test_unrelated_updates_withdraw_nothing(self):
         changes = {
             "the same list": lambda network: network.update_endpoints(
                 endpoint_entry("s-1", build=42), endpoint_entry("s-2", build=42)
@@ -623,7 +623,7 @@
             for name, change in changes.items():
                 self.assertNotEqual(self.changed(change, written), b"", (name, written))
 
-    def test_a_dial_to_where_its_pod_was_carries_nothing_and_it_goes_to_where_it_is(self):
+    def test_attempt_for_a_moved_endpoint_goes_to_the_new_address(self):
         network = Network(endpoint_entry("s-1"))
         network.ask("01")
         network.update_endpoints(endpoint_entry("s-1", addr="127.0.0.1:8001"))
@@ -636,7 +636,7 @@
             len(network.proxy.pools), 2
         )  # the former is ended, and the loop has not told of it yet
 
-    def test_a_key_that_the_newest_build_answered_meanwhile_goes_to_no_earlier_one(self):
+    def test_key_answered_by_the_newest_build_meanwhile_goes_to_no_earlier_build(self):
         for keys_stay, goes_to in ((True, 7002), (False, 7001)):
             network = Network(
                 endpoint_entry("s-1"),
@@ -659,13 +659,13 @@
             if keys_stay:
                 self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
 
-    def test_news_of_an_earlier_build_takes_back_what_waits_for_one_that_is_none_then(self):
+    def test_update_for_an_earlier_build_withdraws_attempts_at_the_later_one(self):
         back = ReleaseUpdate(41, 0, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0)
         self.assertEqual(
             self.changed(lambda network: network.proxy.handle_events(back), False), b""
         )
 
-    def test_what_waits_for_a_client_that_has_gone_is_not_written_where_nothing_may_be_recalled(
+    def test_waiting_attempt_of_a_gone_client_is_not_written_without_cancellation(
         self,
     ):
         network = Network(endpoint_entry("s-1"))
@@ -679,8 +679,8 @@
         )
 
 
-class Retired(unittest.TestCase):
-    def test_none_is_used_past_the_idle_time_however_short_that_is(self):
+class IdleTimeoutTest(unittest.TestCase):
+    def test_no_connection_is_used_past_a_short_idle_timeout(self):
         """The pod closes it by then, and what is written to it ends as a reset: a binding one would be lost."""
         for idle, waits, dialled in (
             (4_000, 0.2, 1),
@@ -701,12 +701,12 @@
             self.assertEqual(connection.transport.disconnecting, dialled == 2)
 
 
-class Bunched(unittest.TestCase):
+class ExposureWindowTest(unittest.TestCase):
     """Dials that hang for nearly the told time and come up at once: all that waited is written in one moment."""
 
     HANG, RATE = 1.0, 20
 
-    def test_where_all_may_go_there_the_edge_of_the_window_turns_nothing_away(self):
+    def test_window_edge_rejects_nothing_at_full_cap(self):
         terms = Network(endpoint_entry("s-1")).proxy.settings
         for cap, may in ((1.0, True), (0.9, False)):
             exposure, news = (
@@ -725,7 +725,7 @@
                 ]
             self.assertEqual(all(allowed), may, cap)
 
-    def test_exposure_is_kept_to_when_it_is_written(self):
+    def test_exposure_budget_is_checked_when_the_attempt_is_written(self):
         for seed, cap in ((0, 0.5), (1, 0.5), (2, 0.5), (3, 1.0)):
             network, chance = (
                 Network(
@@ -838,13 +838,13 @@
     entry = PodPeer.entry
 
 
-class HeldOverSockets(WithPods):
+class HeldAttemptOverSocketsTest(WithPods):
     def held_pod(self):
         pod = HeldPod()
         self.addCleanup(pod.close)
         return pod
 
-    def test_a_repeat_whose_connection_comes_up_after_the_window_is_not_written(self):
+    def test_retry_connected_after_the_window_is_not_written(self):
         pod, window = self.held_pod(), 0.3
 
         def change(told):
@@ -867,7 +867,7 @@
             self.assertEqual(client.ask("SVC.QUERY", "a", "02", READ), b"02")
         self.assertEqual(pod.heard, [b"01", b"02"])
 
-    def test_a_binding_request_is_written_once_at_most_where_dials_are_held_and_connections_reset(
+    def test_non_idempotent_request_is_written_at_most_once_with_slow_dials_and_resets(
         self,
     ):
         held, pod = self.held_pod(), self.pod(lambda words: None)
@@ -887,8 +887,8 @@
         self.assertEqual([name for name in held.heard if name in names], [])
 
 
-class Full(unittest.TestCase):
-    def test_a_connection_that_comes_up_with_something_on_it_fails_what_it_was_dialled_for(self):
+class UnusableConnectionTest(unittest.TestCase):
+    def test_new_connection_with_unread_data_fails_its_attempt(self):
         network = Network(endpoint_entry("s-1"))
         ends = counted(network)
         network.ask("01", lane="pay")
@@ -901,7 +901,7 @@
             (ends, pods_dialled(network)), ([("01", 0, Outcome.CONNECT_FAILED)], [7001, 7001])
         )
 
-    def test_a_dial_that_has_reached_itself_carries_nothing(self):
+    def test_self_connected_dial_is_not_used(self):
         """At a port of this machine that nobody listens at: what is written comes back, and reads as an answer."""
         network = Network(endpoint_entry("s-1"))
         ends, client = counted(network), network.ask("01", lane="pay")
@@ -921,7 +921,7 @@
         self.assertEqual((len(network.proxy.pools), network.faults), (1, []))
 
 
-class BadAnswers(unittest.TestCase):
+class MalformedResponseTest(unittest.TestCase):
     """What a pod sends without sense or end costs its own connection, and is let go."""
 
     BULK = b"$%d\r\n%s\r\n" % (500_000, b"x" * 500_000)
@@ -954,7 +954,7 @@
         self.assertEqual([name for name, *_ in ends], ["01", "02"])
         return ends[0][2], read
 
-    def test_what_can_be_no_answer_ends_as_one_that_may_have_run(self):
+    def test_malformed_response_ends_as_may_have_run(self):
         for content in (
             b"$999999999999999999\r\n",
             b"*3\r\n$999999\r\n",
@@ -971,15 +971,15 @@
         ):
             self.assertEqual(self.ended(content)[0], Outcome.RESET, content[:20])
 
-    def test_an_answer_without_end_is_not_read_for_ever(self):
+    def test_endless_response_is_cut_off(self):
         for content in (b"*64\r\n" + self.BULK * 8, b"*64\r\n$1\r\nv\r\n" + self.BULK * 8):
             outcome, read = self.ended(content)
             self.assertEqual((outcome, read < 800_000), (Outcome.DONE, True))  # its value was whole
 
-    def test_an_array_in_an_answer_ends_it_and_a_whole_value_before_it_stands(self):
+    def test_nested_array_ends_the_response_but_a_complete_value_counts(self):
         self.assertEqual(self.ended(b"*3\r\n$1\r\nv\r\n" + b"*64\r\n" * 3)[0], Outcome.DONE)
 
-    def test_a_load_report_that_is_none_is_let_go_and_the_value_stands(self):
+    def test_malformed_load_report_is_dropped_and_the_value_counts(self):
         network = Network(endpoint_entry("s-1"))
         network.proxy.settings = network.proxy.settings._replace(load_metrics=("load", "queue"))
         for report, load in (
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -206,8 +206,8 @@
     return json.loads(ended.stdout)[0]
 
 
-class Interleaved(unittest.TestCase):
-    def test_two_with_other_settings_in_one_process_decide_as_each_alone(self):
+class InstanceIsolationTest(unittest.TestCase):
+    def test_two_instances_in_one_process_decide_as_each_alone(self):
         expected = [alone(0), alone(1)]
         self.assertEqual(play(*made()), expected)
         self.assertEqual(play(*reversed(made())), expected[::-1])
@@ -216,7 +216,7 @@
             self.assertFalse([line for line in actions if line.startswith("FAULT")])
         self.assertNotEqual(*[[line.split(" ")[0] for line in actions] for actions in expected])
 
-    def test_one_that_starts_anew_with_other_settings_keeps_nothing_of_the_former(self):
+    def test_restarted_instance_keeps_none_of_its_previous_settings(self):
         first, second = made("sidecar-1")
         host = Host()
         for at in range(50):
@@ -227,13 +227,13 @@
         self.assertEqual(second.actions, alone(1, "sidecar-1"))
 
 
-class Reloaded(unittest.TestCase):
+class ReloadTest(unittest.TestCase):
     def later(self, told):
         network = Network()
         network.proxy.start = configuration.parse(example(), 0)
         return network, network.proxy.reconfigure(configuration.parse(told, 0))
 
-    def test_each_key_that_waits_for_a_start_is_named(self):
+    def test_reload_names_every_changed_key_that_needs_a_restart(self):
         cases = {
             "name": ("name", "other"),
             "listen": ("listen", "127.0.0.1:6380"),
@@ -260,7 +260,7 @@
         told = {**changed("name", "other"), "settings": other_settings(), "seed": "1"}
         self.assertEqual(self.later(told)[1], ["name", "seed", "settings"])
 
-    def test_what_nothing_waits_for_is_not_named(self):
+    def test_reload_does_not_name_keys_without_effect(self):
         """Addresses are taken up; the list and the news told how things stood; the rest the program does not read."""
         for path, new in {
             "discovery": "127.0.0.1:8501",
@@ -273,7 +273,7 @@
         }.items():
             self.assertEqual(self.later(changed(path, new))[1], [], path)
 
-    def test_the_settings_it_started_with_stay_whole(self):
+    def test_reload_keeps_the_settings_of_the_start(self):
         network = Network()
         proxy = network.proxy
         before = (
@@ -298,13 +298,13 @@
             self.assertIs(was, stays)
 
 
-class Refused(unittest.TestCase):
+class InvalidSettingsTest(unittest.TestCase):
     def refuse(self, told, key):
         with self.assertRaises(ConfigurationError) as caught:
             configuration.parse(told, 0)
         self.assertIn(key, str(caught.exception))
 
-    def test_numbers_that_are_none_or_out_of_bounds_are_named(self):
+    def test_error_names_invalid_and_out_of_range_numbers(self):
         numbers = ["nan", "inf", "-inf", -1, -(10**18), "", None, True, [], "9" * 5000]
         for path in (
             "balancers",
@@ -348,13 +348,13 @@
         for small in (1e-320, 1e-9):
             self.refuse(changed("settings.extra.calls_per_s", small), "extra.calls_per_s")
 
-    def test_no_class_a_class_twice_and_one_without_a_name_are_named(self):
+    def test_error_names_missing_duplicate_and_unnamed_classes(self):
         self.refuse(changed("settings.categories", []), "categories.count")
         self.refuse(changed("settings.categories.2.name", "read"), "categories.2.name")
         for name in ("", None, "-"):
             self.refuse(changed("settings.categories.1.name", name), "categories.1.name")
 
-    def test_addresses_that_nothing_can_be_reached_at_are_named(self):
+    def test_error_names_invalid_addresses(self):
         for path in ("listen", "discovery", "deployer.address"):
             for text in (
                 "x:²",
@@ -369,7 +369,7 @@
             ):
                 self.refuse(changed(path, text), f"{path}: is not an address")
 
-    def test_what_is_nested_too_deep_or_stands_in_place_of_an_object_is_named(self):
+    def test_error_names_deep_nesting_and_values_in_place_of_objects(self):
         deep = {}
         for _ in range(1020):
             deep = {"a": deep}
@@ -379,7 +379,7 @@
                 self.refuse(changed(path, other), f"{path}: is not an object")
         self.refuse(changed("known.servers.0.started_ms", 1e308), "known")
 
-    def test_a_file_that_is_no_text_of_json_is_named(self):
+    def test_error_names_a_file_that_is_not_json(self):
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "config.json")
             for content in (
@@ -398,8 +398,8 @@
                 configuration.load({"NODE_CONFIG": folder}, 0)
 
 
-class Taken(unittest.TestCase):
-    def test_names_that_differ_in_case_are_classes_of_their_own(self):
+class ValidSettingsTest(unittest.TestCase):
+    def test_class_names_are_case_sensitive(self):
         told = changed("settings.categories.1.name", "Read")
         lanes = configuration.parse(told, 0).settings.request_classes
         self.assertEqual(
@@ -407,7 +407,7 @@
             (Idempotency.IDEMPOTENT, Idempotency.KEYED),
         )
 
-    def test_thousands_of_classes_and_no_time_for_repeats(self):
+    def test_thousands_of_classes_and_zero_deduplication_window(self):
         told = example()
         told["settings"]["categories"] = [
             {**told["settings"]["categories"][1], "name": f"c{number}", "window": 0}
@@ -419,7 +419,7 @@
             (5000, 0),
         )
 
-    def test_what_means_the_same_is_read_as_the_same(self):
+    def test_equivalent_values_are_read_as_equal(self):
         """Whole numbers as others write them, no voter needed, and keys added that could pass for others."""
         same, expected = example()["settings"], configuration.parse(example(), 0)
         for *path, key, new in (
@@ -436,7 +436,7 @@
             (told["settings"][path[0]] if path else told["settings"])[key] = new
             self.assertEqual(configuration.parse(told, 0)[-2:], expected[-2:], (path, key, new))
 
-    def test_what_no_decision_looks_at_may_be_left_out(self):
+    def test_unused_settings_are_optional(self):
         told = example()
         told["settings"].update(
             stats={}, permissions={**told["settings"]["permissions"], "retry_after": False}
@@ -461,7 +461,7 @@
             with self.assertRaisesRegex(ConfigurationError, named):
                 configuration.parse(asked, 0)
 
-    def test_a_pod_that_starts_at_nothing_or_at_once_has_some_capacity(self):
+    def test_zero_initial_fraction_or_warmup_duration_leaves_some_capacity(self):
         for cold, cold_from in ((0, 0.3), (0, 0.0), (50_000, 0.0)):
             known = EndpointState(
                 Endpoint("p", "a", 1.0, 0, EndpointCondition.READY, 70, "m", 1), 10
@@ -472,7 +472,7 @@
             for now in (20, 70, 71):  # the clock may be behind the pod's
                 self.assertGreater(known.warmup_fraction(now, terms), 0, (cold, cold_from, now))
 
-    def test_a_short_span_counts_nothing_older(self):
+    def test_short_window_counts_nothing_older(self):
         for span in (1, 7, 150):
             for back in (120, 30, None):
                 ring = SlidingWindow(span, 120)
@@ -898,7 +898,7 @@
     return [world.said for world in worlds]
 
 
-class Drawn(unittest.TestCase):
+class RandomSettingsTest(unittest.TestCase):
     """Settings drawn by seed, always the same ones."""
 
     SEEDS = range(80)
@@ -910,24 +910,24 @@
         unserved = [how for how in world.checker.over.values() if how != "done"] if calm else []
         return world.checker.broken[:3], unserved, bool(served)
 
-    def test_whatever_is_drawn_each_has_one_answer_in_time_and_the_rules_are_kept(self):
+    def test_random_settings_answer_every_request_once_in_time_and_keep_the_invariants(self):
         for seed in self.SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(self.faults(seed, False), ([], [], True))
 
-    def test_where_all_is_well_no_class_goes_unserved(self):
+    def test_without_faults_every_class_is_served(self):
         for seed in self.SEEDS:
             with self.subTest(seed=seed):
                 self.assertEqual(self.faults(seed, True), ([], [], True))
 
-    def test_two_with_other_settings_that_take_turns_decide_as_each_alone(self):
+    def test_two_alternating_instances_decide_as_each_alone(self):
         for seed in self.SEEDS[::6]:
             with self.subTest(seed=seed):
                 alone = [played(World(seed))[0], played(World(seed + 1))[0]]
                 self.assertEqual(played(World(seed), World(seed + 1)), alone)
 
 
-class Started(unittest.TestCase):
+class SettingsLimitsTest(unittest.TestCase):
     """The program itself, at all lower edges and at all upper ones together; its classes have times to be served in."""
 
     def changed(self, edge):
@@ -954,7 +954,7 @@
 
         return change
 
-    def test_it_starts_and_serves_every_class_at_each_edge(self):
+    def test_sidecar_serves_every_class_at_each_limit(self):
         for edge in (0, -1):
             pod = PodPeer()
             self.addCleanup(pod.close)
