--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -1,6 +1,7 @@
-"""Between the network and the decisions: what comes in becomes events, actions are carried out.
+"""Connects the network to the decision engine.
 
-It decides nothing: where, when and whether a request is sent are the decision engine's.
+Network input becomes events for the engine, and the actions that it returns are executed. The
+proxy decides nothing itself: whether, when and where a request is sent is up to the engine.
 """
 
 from collections.abc import Callable, Iterable
@@ -47,7 +48,7 @@
 from ..state.trial_exposure import TrialExposure
 from .attempt import Attempt
 from .client_listener import ClientListener
-from .client_requests import FAILED_ANSWER, ClientRequests, close_if_client_gone
+from .client_requests import FAILED_RESPONSE, ClientRequests, close_if_client_gone
 from .descriptor_budget import descriptor_budget
 from .endpoint_updates import Address, EndpointUpdates
 from .graceful_shutdown import GracefulShutdown
@@ -62,35 +63,36 @@
     "settings": "settings",
     "connection_limits": "settings",
 }
-"""The fields of StartConfiguration that bind at the start, and the configuration's key of each."""
+"""Fields of StartConfiguration that take effect only at start, with their configuration keys."""
 
 
 class Proxy:
-    """One instance: it owns its connections, requests and decisions, and carries between them.
+    """One sidecar instance: owns its connections, its requests and its decision engine.
 
     Attributes:
-        start: The configuration that it was started with.
+        start: The configuration at start.
         reactor: Twisted's reactor; it has no static type.
         timers: All timers of the program.
-        epoch: Unix time less the clock, in ticks.
-        clock: The time, in ticks.
-        settings: The settings of the decisions.
-        connection_limits: The settings of the connections.
+        epoch: Unix time minus the monotonic clock, in ticks.
+        clock: Returns the monotonic time, in ticks.
+        settings: The settings of the decision engine.
+        connection_limits: The limits of the connections.
         pools: The connections to endpoints.
         listener: The listening port and the clients' connections.
         shutdown: Drains the listener.
         requests: The requests in flight.
-        requests_in_flight: The table of these by slot.
-        client_requests: Takes and answers requests.
-        exposure: What was received and what was sent to the newest build on trial.
-        inbox: Events that the decisions are yet to be told of.
-        deciding: Whether the decisions are being told of events: further ones wait in `inbox`.
-        gossip: Hears of ended attempts and lists; None without the feature.
-        why: Hears of requests' starts and ends; None without the feature.
-        fleet: Drains this instance as it is told; None without the feature.
-        rejections: Sums up why requests are rejected.
-        engine: The decisions.
-        endpoints: The list of endpoints.
+        requests_in_flight: The same requests by slot.
+        client_requests: Accepts and answers requests.
+        exposure: Counts requests received and attempts written to the build on trial.
+        pending_events: Events that the engine has not handled yet.
+        handling_events: Whether the engine is handling events; further ones are queued in
+            `pending_events`.
+        gossip: Notified of ended attempts and endpoint lists; None without the feature.
+        why: The decision log, notified when requests start and end; None without the feature.
+        fleet: Drains this instance on command; None without the feature.
+        rejections: Summarises why requests are rejected.
+        engine: The decision engine.
+        endpoints: The endpoint list.
         releases: Votes and release updates.
     """
 
@@ -122,19 +124,21 @@
         )
         self.shutdown = GracefulShutdown(self.listener)
         self.exposure = TrialExposure(start.settings)
-        self.inbox: list[Event] = []
-        self.deciding = False
+        self.pending_events: list[Event] = []
+        self.handling_events = False
         self.gossip: Any = None
         self.why: Any = None
         self.fleet: Any = None
         self.rejections = RejectionSummary(structured_log.log)
-        self.engine = DecisionEngine(self.settings, start.seed, self.clock(), self.rejections.hear)
+        self.engine = DecisionEngine(
+            self.settings, start.seed, self.clock(), self.rejections.record
+        )
         chance = LinearCongruentialGenerator(~start.seed)
         self.endpoints = EndpointUpdates(self, chance)
         self.releases = ReleaseChannel(self, chance)
-        self._carriers = self._carriers_by_action()
+        self._action_handlers = self._handlers_by_action_type()
 
-    def _carriers_by_action(self) -> dict[type[Action], Callable[[Any], None]]:
+    def _handlers_by_action_type(self) -> dict[type[Action], Callable[[Any], None]]:
         return {
             SendAttempt: self._send,
             CancelAttempt: self._cancel,
@@ -151,20 +155,20 @@
         }
 
     def caller(self, address: Address) -> HttpCaller:
-        """Returns what makes calls to this address."""
+        """Returns an HTTP client for this address."""
         return HttpCaller(
             self.reactor, self.timers, address, self.connection_limits.connect_timeout
         )
 
     def reconfigure(self, start: StartConfiguration) -> list[str]:
-        """Takes up the addresses of a new configuration.
+        """Applies the addresses of a new configuration.
 
-        Calls that are out end at the former addresses. What the configuration knows of endpoints
-        and builds is older than what the streams have told.
+        Calls in progress finish at the previous addresses. The endpoints and the release state of
+        the configuration are ignored: the streams have reported newer ones.
 
         Returns:
-            The changed keys that take a new start. `known` and `deployer.news` are not among them,
-            since they only tell how things stood then.
+            The changed keys that need a restart to take effect. `known` and `deployer.news` are
+            never among them, since they only describe the state at start.
         """
         self.endpoints.move(start.discovery)
         self.releases.move(start.platform)
@@ -176,14 +180,14 @@
             }
         )
 
-    def begin(self, heard: Callable[[], None] | None = None) -> None:
-        """Tells the decisions what is known at the start, and begins to listen for more.
+    def begin(self, on_data: Callable[[], None] | None = None) -> None:
+        """Reports the configured state to the engine, and subscribes to updates.
 
         Args:
-            heard: Called whenever the watch of endpoints has spoken.
+            on_data: Called whenever the endpoint watch stream has received data.
         """
-        if heard is not None:
-            self.endpoints.notify_on_data(heard)
+        if on_data is not None:
+            self.endpoints.notify_on_data(on_data)
         self.endpoints.take_up(self.start.known, self.endpoints.discovery.address)
         self.handle_events(self.start.news)
         self.endpoints.start()
@@ -192,9 +196,11 @@
 
     def _log_rejections(self) -> None:
         pressure = round(self.engine.admission.pressure(self.clock(), ()), 2)
-        self.timers.add(self.rejections.due(self.clock(), pressure=pressure), self._log_rejections)
+        self.timers.add(
+            self.rejections.flush(self.clock(), pressure=pressure), self._log_rejections
+        )
 
-    # What other packages use of the parts.
+    # Accessors for other packages.
 
     @property
     def clients(self) -> SlotTable[Any]:
@@ -213,70 +219,70 @@
 
     @property
     def addresses(self) -> dict[str, str]:
-        """Where each listed endpoint listens, by its name."""
+        """The address of each listed endpoint, by its name."""
         return self.endpoints.addresses
 
     @property
     def discovery(self) -> HttpCaller:
-        """Calls to the discovery service."""
+        """The HTTP client of the discovery service."""
         return self.endpoints.discovery
 
     @property
     def platform(self) -> HttpCaller:
-        """Calls to the platform."""
+        """The HTTP client of the release platform."""
         return self.releases.platform
 
     def serve(self) -> None:
-        """Opens the listening port; raises CannotListenError where the address can't be had."""
+        """Opens the listening port; raises CannotListenError if the address is unavailable."""
         self.listener.serve()
 
     def shut_down(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
-        """Drains for good; see GracefulShutdown.finish."""
+        """Drains before the process ends; see GracefulShutdown.drain."""
         self.shutdown.drain(on_drained, answer_by)
 
     def drain(self, on_drained: Callable[[], None]) -> None:
-        """Drains for a while: a permit lets this instance go out, and `undrain` brings it back."""
+        """Drains temporarily, under a permit; `undrain` resumes service."""
         self.shutdown.drain(on_drained)
 
     def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
-        """Takes new work again; see GracefulShutdown.undrain."""
+        """Accepts new work again; see GracefulShutdown.undrain."""
         self.shutdown.undrain(listens, failed)
 
-    # Events into the decisions, their actions out.
+    # Passing events to the engine and executing its actions.
 
     def handle_events(self, *events: Event) -> None:
-        """Hands events to the decisions in order, with those that their actions bring about."""
-        self.inbox += events
-        if self.deciding:
+        """Passes events to the engine in order, then those that its actions cause."""
+        self.pending_events += events
+        if self.handling_events:
             return
-        self.deciding = True
+        self.handling_events = True
         try:
-            while self.inbox:
-                self._decide(self.inbox.pop(0))
+            while self.pending_events:
+                self._handle_event(self.pending_events.pop(0))
         finally:
-            self.deciding = False
+            self.handling_events = False
 
-    def _decide(self, event: Event) -> None:
+    def _handle_event(self, event: Event) -> None:
         if type(event) is ReleaseUpdate:
             self.releases.take_up(event)
         try:
             actions = self.engine.handle(self.clock(), [event])
-        except Exception as error:  # costs the request of this event, not the program
+        except Exception as error:  # fails the request of this event, not the process
             structured_log.log_exception("decisions", error)
-            self._carry_out(self.engine.actions)
+            self._execute(self.engine.actions)
             name = getattr(event, "id", None)
             request = None if name is None else self.requests.find(name)
-            if request and not request.closed and not request.attempts_out:
-                self.client_requests.answer(request, FAILED_ANSWER)
-                self.inbox.append(ClientDisconnected(request.id))
+            if request and not request.closed and not request.attempts_in_flight:
+                self.client_requests.answer(request, FAILED_RESPONSE)
+                self.pending_events.append(ClientDisconnected(request.id))
         else:
-            self._carry_out(actions)
+            self._execute(actions)
 
-    def _carry_out(self, actions: Iterable[Action]) -> None:
+    def _execute(self, actions: Iterable[Action]) -> None:
         for action in list(actions):
             try:
-                self._carriers[type(action)](action)
-            except Exception as error:  # the other actions stand
+                self._action_handlers[type(action)](action)
+            except Exception as error:  # the remaining actions are still executed
                 structured_log.log_exception(type(action).__name__, error)
 
     def _set_timer(self, action: SetTimer) -> None:
@@ -292,19 +298,19 @@
         self.pools.close_idle(action.endpoint)
 
     def withdraw_unwritten(self, fails: Callable[[Endpoint, str], bool]) -> None:
-        """Withdraws the attempts whose endpoint and address fail, as long as none can have run.
+        """Withdraws attempts that are not completely written and whose endpoint and address fail.
 
-        What is not written whole must not be carried past what was told since. The decisions hear
-        of the ends together with what was told.
+        An attempt that was decided before an update must not be written against it. The engine is
+        told that the attempts ended together with the update itself.
         """
-        deciding = self.deciding
-        self.deciding = True
+        handling = self.handling_events
+        self.handling_events = True
         try:
             for attempt, address in self.pools.unwritten_attempts():
                 if fails(attempt.endpoint, address):
                     attempt.withdraw()
         finally:
-            self.deciding = deciding
+            self.handling_events = handling
 
     # Attempts.
 
@@ -325,7 +331,7 @@
             min(now + action.timeout, request.expires_at),
         )
         request.attempts.append(attempt)
-        request.attempts_out += 1
+        request.attempts_in_flight += 1
         if attempt.number >= self.settings.max_attempts or not attempt.may_be_written(
             endpoints.addresses.get(endpoint)
         ):
@@ -334,7 +340,7 @@
         attempt.timer = self.timers.add(attempt.write_by, attempt.timer_due)
         try:
             sent = self.pools.send(endpoint, endpoints.addresses[endpoint], attempt)
-        except Exception as error:  # the decisions are owed its end all the same
+        except Exception as error:  # the engine needs the end of every attempt
             structured_log.log_exception("connection pools", error)
             attempt.give_up()
             return
@@ -345,12 +351,12 @@
             self.attempt_ended(attempt, Outcome.NOT_SENT)
 
     def _end_without_request(self, action: SendAttempt) -> None:
-        """Ends an attempt whose request was let go while the decision was made.
+        """Ends an attempt whose request was released while the decision was made.
 
-        Its client was noticed to have left. The decisions keep an attempt in flight until the end
-        that bears its number; for another number they would keep the request for good.
+        The client was found to have disconnected. The engine keeps an attempt in flight until an
+        end with its number arrives; with another number it would keep the request for ever.
         """
-        self.inbox.append(
+        self.pending_events.append(
             AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, action.endpoint, action.number, None)
         )
 
@@ -365,11 +371,11 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, answer: PodResponse | None = None
     ) -> None:
-        """Takes up the one end of an attempt. The first good answer goes to the client at once."""
+        """Handles the end of an attempt. The first good response goes to the client at once."""
         request = attempt.request
         attempt.in_flight = False
         attempt.may_have_run = INPUT_BY_OUTCOME[outcome] != "unrun"
-        request.attempts_out -= 1
+        request.attempts_in_flight -= 1
         if attempt.timer is not None:
             self.timers.cancel(attempt.timer)
         if outcome == Outcome.DONE and answer is not None and not request.closed:
@@ -385,15 +391,18 @@
         )
         if self.gossip is not None and attempt.endpoint:
             self.gossip.on_attempt_ended(attempt, outcome)
-        if request.repeated and not request.attempts_out:  # the decisions are done with it
-            self.client_requests.answer(request, FAILED_ANSWER)
+        if request.repeated and not request.attempts_in_flight:  # the engine has finished with it
+            self.client_requests.answer(request, FAILED_RESPONSE)
         self.requests.release(request)
         self.handle_events(event)
-        if self.why is not None and request.closed and not request.attempts_out:
+        if self.why is not None and request.closed and not request.attempts_in_flight:
             self.why.over(request.id)
 
     def response_discarded(self, attempt: Attempt, reason: str) -> None:
-        """Counts a key as answered: a response came too late, in part, spoilt, or may yet come."""
+        """Counts a key as answered by a build whose response is discarded.
+
+        The response was late, partial or malformed, or may still arrive.
+        """
         command = attempt.request.command
         assert attempt.endpoint is not None  # it was written
         structured_log.log_rate_limited(
@@ -408,7 +417,7 @@
         )
 
     def _load(self, report: bytes) -> tuple[float, ...] | None:
-        """Returns the values of a load report in the order of the settings; None for a bad one."""
+        """Returns the values of a load report in the order of the settings; None if malformed."""
         told = dict(
             pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(",")
         )
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -1,4 +1,4 @@
-"""The features that an operator's file switches on; without it nothing of them is imported."""
+"""Optional features, enabled by an operator file; without one their code is not imported."""
 
 import os
 from collections.abc import Callable
@@ -10,30 +10,30 @@
 from .required_libraries import COMMANDS, libraries_from
 
 OPERATOR_FILE_VARIABLE: Final = "THYMEKNOT_OPERATOR"
-"""The environment variable that names the operator's file."""
+"""The environment variable that names the operator file."""
 
 
 class FeatureError(ValueError):
-    """An operator's file that can't be used: a line for each fault."""
+    """An invalid operator file; the message has one line per error."""
 
 
 class Feature(Protocol):
-    """What a running feature is told."""
+    """A running feature."""
 
     def reconfigure(self, settings: Any, folder: str) -> None:
-        """Takes up new settings; raises ValueError and keeps the former ones."""
+        """Applies new settings; raises ValueError if they are invalid, and keeps the old ones."""
 
     def stop(self) -> None:
-        """The sidecar stops."""
+        """Called when the sidecar stops."""
 
 
 class CheckedFeature(NamedTuple):
-    """A feature whose settings can be used."""
+    """A feature whose settings are valid."""
 
-    make: Callable[[Any], Feature]
-    """Begins it with a proxy."""
+    create: Callable[[Any], Feature]
+    """Starts the feature for a proxy."""
     settings: Any
-    """What `Feature.reconfigure` takes."""
+    """The settings, as `Feature.reconfigure` expects them."""
 
 
 def _module(name: str) -> ModuleType:
@@ -41,29 +41,29 @@
 
 
 def _record(kind: Any, settings: Any) -> Any:
-    """The typed settings of a record of the operator's file. Raises ValueError."""
+    """Returns the typed settings of an operator file record; raises ValueError."""
     return _module("operator_config.loader").record(kind, settings)
 
 
 def _check_gossip(settings: Any, folder: str) -> CheckedFeature:
-    told = _record(_module("gossip.settings").GossipSettings, settings)
+    typed = _record(_module("gossip.settings").GossipSettings, settings)
     transport = _module("gossip.udp_transport")
-    transport.load_credentials(told, folder)
-    return CheckedFeature(lambda proxy: transport.GossipFeature(proxy, told, folder), told)
+    transport.load_credentials(typed, folder)
+    return CheckedFeature(lambda proxy: transport.GossipFeature(proxy, typed, folder), typed)
 
 
 def _check_decision_log(settings: Any, folder: str) -> CheckedFeature:
-    told = _record(_module("decision_log.settings").DecisionLogSettings, settings)
+    typed = _record(_module("decision_log.settings").DecisionLogSettings, settings)
     server = _module("decision_log.query_server")
-    return CheckedFeature(lambda proxy: server.DecisionLogFeature(proxy, told, folder), told)
+    return CheckedFeature(lambda proxy: server.DecisionLogFeature(proxy, typed, folder), typed)
 
 
 def _check_coordination(settings: Any, folder: str) -> CheckedFeature:
-    told = _record(_module("coordination.settings").CoordinationSettings, settings)
+    typed = _record(_module("coordination.settings").CoordinationSettings, settings)
     feature = _module("coordination.feature")
-    feature.build_parts(told, settings, folder)
+    feature.build_parts(typed, settings, folder)
     return CheckedFeature(
-        lambda proxy: feature.CoordinationFeature(proxy, told, settings, folder), (told, settings)
+        lambda proxy: feature.CoordinationFeature(proxy, typed, settings, folder), (typed, settings)
     )
 
 
@@ -72,16 +72,16 @@
     "why": _check_decision_log,
     "fleet": _check_coordination,
 }
-"""By the feature's key in the operator's file, which is the proxy's attribute as well."""
+"""Checks by the feature's key in the operator file, also its attribute name on the proxy."""
 
 
 class Features:
-    """The features of one operator's file: checked at once, begun with the sidecar."""
+    """The features of one operator file: checked when loaded, started with the sidecar."""
 
     def __init__(self, path: str | None) -> None:
         self.path = path
         self.running: dict[str, Feature] = {}
-        self.made = self._read(path) if path else {}
+        self.checked = self._read(path) if path else {}
 
     @staticmethod
     def _read(path: str) -> dict[str, CheckedFeature]:
@@ -92,42 +92,42 @@
         except loader.OperatorConfigError as error:
             raise FeatureError("\n".join(str(fault) for fault in error.faults)) from None
         folder = os.path.dirname(os.path.abspath(path))
-        made = {}
-        for name, told in settings.items():
+        checked_features = {}
+        for name, typed in settings.items():
             try:
                 with libraries_from(f"requirements-{name}.txt"):
-                    made[name] = CHECKS[name](told, folder)
+                    checked_features[name] = CHECKS[name](typed, folder)
             except ValueError as error:
                 line = loader.line(path, error.key) if hasattr(error, "key") else ""
                 raise FeatureError(f"{path}:{line} {error}") from None
-        return made
+        return checked_features
 
     def begin(self, proxy: Any) -> None:
-        """Begins each feature and makes it known to the proxy. Raises FeatureError."""
-        for name, checked in self.made.items():
+        """Starts each feature and sets it as attribute of the proxy; raises FeatureError."""
+        for name, checked in self.checked.items():
             try:
-                self.running[name] = checked.make(proxy)
+                self.running[name] = checked.create(proxy)
             except ValueError as error:
                 raise FeatureError(f"{self.path}: {error}") from None
             setattr(proxy, name, self.running[name])
             structured_log.log("feature started", feature=name)
 
     def reconfigure(self) -> None:
-        """Reads the file again; features that do not run wait for the next start."""
+        """Reloads the file; newly enabled features are started only at the next start."""
         if not self.path:
             return
-        made = self._read(self.path)
+        checked_features = self._read(self.path)
         folder = os.path.dirname(os.path.abspath(self.path))
         for name, feature in self.running.items():
-            if name in made:
+            if name in checked_features:
                 try:
-                    feature.reconfigure(made[name].settings, folder)
+                    feature.reconfigure(checked_features[name].settings, folder)
                 except ValueError as error:
                     raise FeatureError(f"{self.path}: {error}") from None
-        changed = sorted(made.keys() ^ self.running.keys())
+        changed = sorted(checked_features.keys() ^ self.running.keys())
         structured_log.log("operator file reloaded", only_at_a_start=changed)
 
     def stop(self) -> None:
-        """Tells each feature that the sidecar stops."""
+        """Stops each feature."""
         for feature in self.running.values():
             feature.stop()
