--- a/thymeknot/disruption/agent.py
+++ b/thymeknot/disruption/agent.py
@@ -1,11 +1,13 @@
-"""The unit's own side of a permit: it reports, takes orders, and begins only what it may. Pure.
-
-It says and hears everything as commands and replies; each reply is dated by when it was asked for,
-on the agent's own monotonic clock. A begin counts only if its confirmation came within `bound` of
-asking, less what the clock may drift: so a halt that the state machine took stops it after the
-bound, whether it is notified, slow, stopped or partitioned, and a reply that was delayed is worth
-nothing. Without the state machine it freezes: a unit that serves goes on serving, one that is
-unavailable may return by itself, and nothing begins.
+"""The agent of a unit: reports its status, follows orders, begins only confirmed disruptions.
+
+The agent does no I/O. It communicates with the state machine through commands and replies, and
+dates each reply by the time at which its command was sent, on the agent's own monotonic clock.
+
+A confirmation to begin is valid only if it arrives within `bound` of the request, reduced by the
+possible clock drift. So once the state machine has accepted a halt, no agent begins a disruption
+after the bound, whether it is notified, slow, suspended or partitioned, and a delayed reply has no
+effect. When the state machine is unreachable, the agent is frozen: a serving unit keeps serving, an
+unavailable one may return by itself, and no disruption begins.
 """
 
 from collections.abc import Callable
@@ -26,7 +28,7 @@
 
 
 class ActionKind(StrEnum):
-    """What the process of the unit is to do; the first field of an action."""
+    """What the unit's process has to do; the first field of each action."""
 
     PROPOSE = "propose"
     DRAIN = "drain"
@@ -35,7 +37,7 @@
 
 
 class ProposeAction(NamedTuple):
-    """Propose a command; its reply comes back with the token."""
+    """Propose a command; pass its reply to `receive_reply` with the same token."""
 
     kind: ActionKind
     token: int
@@ -43,7 +45,7 @@
 
 
 class DrainAction(NamedTuple):
-    """Take no new work from here on; `build` is the one to return with, or empty."""
+    """Accept no new work; `build` is the build to return with, or empty to keep the current one."""
 
     kind: ActionKind
     fencing_token: int
@@ -51,14 +53,14 @@
 
 
 class ReturnAction(NamedTuple):
-    """Return with that build, or with the one there is if it is empty."""
+    """Return to service with `build`, or with the current build if it is empty."""
 
     kind: ActionKind
     build: str
 
 
 class ServeAction(NamedTuple):
-    """Take new work again at once."""
+    """Accept new work again immediately."""
 
     kind: ActionKind
 
@@ -66,188 +68,195 @@
 Action: TypeAlias = ProposeAction | DrainAction | ReturnAction | ServeAction
 
 
-class SaidCommand(NamedTuple):
-    """A command without a reply.
+class PendingCommand(NamedTuple):
+    """A command that was sent and has no reply yet.
 
     Attributes:
-        at: when it was said, on the agent's clock.
-        name: which command it was.
-        fencing_token: the token of a begin, else 0.
+        sent_at: when it was sent, on the agent's clock.
+        name: the command's name.
+        fencing_token: the permit's fencing token for a begin command, otherwise 0.
     """
 
-    at: Ticks
+    sent_at: Ticks
     name: CommandName
     fencing_token: int
 
 
-# Commands without a reply that are remembered.
-MAX_WAITING = 64
-# Plans whose epochs are remembered.
-MAX_EPOCHS = 64
-# Reports within a bound.
+# Beyond this number of commands without a reply, the oldest is forgotten.
+MAX_PENDING_COMMANDS = 64
+# Beyond this number of plans, the least recently updated epoch is forgotten.
+MAX_PLAN_EPOCHS = 64
+# Status reports sent per `bound`.
 REPORTS_PER_BOUND = 4
 
 
 class DisruptionAgent:
-    """The unit's own side of its permit.
+    """The agent of one unit.
 
-    Times are ticks of its own monotonic clock, save `heard_at`.
+    Times are ticks of the process's monotonic clock, except `last_agreed_time`.
 
     Attributes:
         unit: the unit's name.
-        start: a number that grows with each start of the process.
-        build: the build it runs.
-        settings: what the operator set.
-        state: where it stands.
-        fault: why it can't return, or None.
-        heard_at: the last agreed time it heard.
-        fresh_at: when the newest command was said that has a reply, or None.
-        last_token: the token of the newest command.
-        waiting: commands without a reply by token.
-        next_report_at: when it reports next.
-        fencing_token: the token of the permit it has or had.
+        incarnation: increases with each start of the process.
+        build: the build that the unit runs.
+        settings: the operator's settings.
+        state: the agent's state.
+        fault: why the unit cannot return to service, or None.
+        last_agreed_time: the newest agreed time received.
+        last_contact_at: when the newest command that has a reply was sent, or None.
+        last_command_token: the token of the newest command.
+        pending_commands: commands without a reply, by token.
+        next_report_at: when the next status report is due.
+        fencing_token: the fencing token of the current or last permit.
         permit_until: when the permit lapses.
         epoch: the epoch of the plan that requested the permit.
         target_build: the build to return with, or empty.
-        spent_token: fencing tokens up to this one are worth nothing here.
-        epochs: the highest epochs of plans by which it was to begin.
-        actions: what the process is to do, not yet given back.
+        last_spent_token: permits with a fencing token up to this one are no longer valid.
+        plan_epochs: the highest epoch seen for each plan, from orders to begin.
+        actions: actions to be returned by the current call.
     """
 
     def __init__(  # noqa: PLR0917 (callers pass them by position)
         self,
         unit: str,
-        start: int,
+        incarnation: int,
         build: str,
         settings: DisruptionSettings | None = None,
         now: Ticks = 0,
-        ready: bool = True,
+        is_ready: bool = True,
     ) -> None:
         self.unit = unit
-        self.start = start
+        self.incarnation = incarnation
         self.build = build
         self.settings = settings or DisruptionSettings()
-        self.state = AgentState.IN_SERVICE if ready else AgentState.RETURNING
+        self.state = AgentState.IN_SERVICE if is_ready else AgentState.RETURNING
         self.fault: str | None = None
-        self.heard_at: Ticks = 0
-        self.fresh_at: Ticks | None = None
-        self.last_token = 0
-        self.waiting: dict[int, SaidCommand] = {}
+        self.last_agreed_time: Ticks = 0
+        self.last_contact_at: Ticks | None = None
+        self.last_command_token = 0
+        self.pending_commands: dict[int, PendingCommand] = {}
         self.next_report_at = now
         self.fencing_token = 0
         self.permit_until: Ticks = 0
         self.epoch = 0
         self.target_build = ""
-        self.spent_token = 0
-        self.epochs: dict[str, int] = {}
+        self.last_spent_token = 0
+        self.plan_epochs: dict[str, int] = {}
         self.actions: list[Action] = []
         self._effects: dict[AgentEffect, Callable[[Ticks], None]] = {
-            AgentEffect.BEGIN: self._ask_to_begin,
-            AgentEffect.DRAIN: self._drain,
-            AgentEffect.LEAVE: self._leave,
-            AgentEffect.DROP: self._drop_permit,
-            AgentEffect.GIVE: self._give_up_permit,
-            AgentEffect.TELL: self._report_drained,
-            AgentEffect.SERVE: self._serve,
-            AgentEffect.COME: self._come,
-            AgentEffect.HOME: self._finish_return,
-            AgentEffect.FAIL: self._give_up_permit,
+            AgentEffect.REQUEST_CONFIRMATION: self._request_confirmation,
+            AgentEffect.DRAIN: self._drain_and_report,
+            AgentEffect.DRAIN_COLD: self._drain_cold,
+            AgentEffect.DISCARD_PERMIT: self._discard_permit,
+            AgentEffect.RETURN_PERMIT: self._return_permit,
+            AgentEffect.REPORT_DRAINED: self._report_drained,
+            AgentEffect.RESUME_SERVICE: self._resume_service,
+            AgentEffect.START_RETURN: self._start_return,
+            AgentEffect.COMPLETE_RETURN: self._complete_return,
+            AgentEffect.REPORT_FAULT: self._return_permit,
         }
 
     def local_bound(self) -> Ticks:
-        """The bound on its own clock, less what that may be wrong by."""
+        """The bound in ticks of the agent's clock, reduced by the possible drift of that clock."""
         return self.settings.bound - self.settings.bound * self.settings.drift // 1000
 
     def is_frozen(self, now: Ticks) -> bool:
-        """Whether it heard no reply for its bound: it begins nothing."""
-        return self.fresh_at is None or now - self.fresh_at > self.local_bound()
+        """Whether no command sent within the bound has a reply; no disruption may begin then."""
+        return self.last_contact_at is None or now - self.last_contact_at > self.local_bound()
 
-    # What happens to it; each gives what the process is to do.
+    # Inputs; each returns the actions that the process has to carry out.
 
     def advance_time(self, now: Ticks) -> list[Action]:
-        """Time goes on; to be called at least every quarter of the bound."""
+        """Handles the passing of time; call it at least every quarter of the bound."""
         if self._awaits_confirmation() and now > self.permit_until:
             self._transition(AgentInput.EXPIRED, now)
         if now >= self.next_report_at:
             self.next_report_at = now + self.settings.bound // REPORTS_PER_BOUND
             if self._awaits_confirmation():
-                # The reply may be lost; the state machine takes a repeat.
-                self._ask_to_begin(now)
+                # The reply may be lost; the state machine accepts repeated commands.
+                self._request_confirmation(now)
             if self.state == AgentState.RETURNING and self.fault:
-                # Until somebody comes: nobody else can tell why.
-                self._give_up_permit(now)
+                # Repeated until the fault is repaired: only this agent knows the reason.
+                self._return_permit(now)
             else:
                 self._report(now)
-        return self._take_actions()
+        return self._pop_actions()
 
     def receive_reply(self, now: Ticks, token: int, reply: Any) -> list[Action]:
-        """A reply came; unknown and repeated ones, and those of another form, say nothing."""
-        said = self.waiting.pop(token, None)
-        if said is None or not isinstance(reply, dict):
-            return self._take_actions()
-        self.heard_at = max(self.heard_at, reply.get("at", 0))
-        if self.fresh_at is None or said.at > self.fresh_at:
-            self.fresh_at = said.at
-        is_late = now - said.at > self.local_bound()
-        if said.name == CommandName.BEGIN:
-            self._take_confirmation(said, bool(reply.get("ok")), is_late, now)
+        """Handles a reply; ignores it if its token is unknown or repeated, or it is no mapping."""
+        pending = self.pending_commands.pop(token, None)
+        if pending is None or not isinstance(reply, dict):
+            return self._pop_actions()
+        self.last_agreed_time = max(self.last_agreed_time, reply.get("at", 0))
+        if self.last_contact_at is None or pending.sent_at > self.last_contact_at:
+            self.last_contact_at = pending.sent_at
+        is_late = now - pending.sent_at > self.local_bound()
+        if pending.name == CommandName.BEGIN:
+            self._handle_confirmation(pending, bool(reply.get("ok")), is_late, now)
         elif reply.get("ok"):
             order = reply.get("orders", {}).get(self.unit) or reply.get("order")
             if order:
-                self._take_order(order, said.at, is_late, now)
-        return self._take_actions()
+                self._handle_order(order, pending.sent_at, is_late, now)
+        return self._pop_actions()
 
     def finish_drain(self, now: Ticks) -> list[Action]:
-        """The last request that it had taken has its response."""
+        """Records that the last request in flight has its response."""
         self._transition(AgentInput.DRAINED, now)
-        return self._take_actions()
+        return self._pop_actions()
 
     def finish_disruption(self, now: Ticks, build: str = "") -> list[Action]:
-        """What it was disrupted for is done, or given up: it returns in any case."""
+        """Records that the work that needed the disruption is done or abandoned; the unit returns.
+
+        Args:
+            now: the agent's monotonic clock.
+            build: the build to return with, or empty to keep the current one.
+        """
         self.target_build = build
         self._transition(AgentInput.DONE, now)
-        return self._take_actions()
+        return self._pop_actions()
 
     def finish_return(self, now: Ticks, build: str) -> list[Action]:
-        """It serves again, warm."""
+        """Records that the unit is warm and serves again, with `build`."""
         self.build = build
         self._transition(AgentInput.READY, now)
-        return self._take_actions()
+        return self._pop_actions()
 
-    def fail_return(self, now: Ticks, why: str) -> list[Action]:
-        """It can't return, for a reason in a sentence."""
-        self.fault = why
+    def fail_return(self, now: Ticks, reason: str) -> list[Action]:
+        """Records that the unit cannot return to service; `reason` is a sentence."""
+        self.fault = reason
         self._transition(AgentInput.FAILED, now)
-        return self._take_actions()
+        return self._pop_actions()
 
-    # Its parts.
+    # Internal steps.
 
     def _awaits_confirmation(self) -> bool:
         return self.state in (AgentState.CONFIRMING, AgentState.CONFIRMING_COLD)
 
-    def _take_actions(self) -> list[Action]:
+    def _pop_actions(self) -> list[Action]:
         actions = self.actions
         self.actions = []
         return actions
 
-    def _take_confirmation(
-        self, said: SaidCommand, confirmed: bool, is_late: bool, now: Ticks
+    def _handle_confirmation(
+        self, pending: PendingCommand, confirmed: bool, is_late: bool, now: Ticks
     ) -> None:
-        """The reply to a begin came."""
-        if not self._awaits_confirmation() or said.fencing_token != self.fencing_token:
+        """Handles the reply to a begin command."""
+        if not self._awaits_confirmation() or pending.fencing_token != self.fencing_token:
             return
-        # A reply may have been held by a stop of this process, and be over: the clock decides.
+        # If the process was suspended, the reply may have expired meanwhile: check the clock.
         if is_late or now > self.permit_until:
             self._transition(AgentInput.EXPIRED, now)
         else:
             self._transition(AgentInput.CONFIRMED if confirmed else AgentInput.REJECTED, now)
 
-    def _take_order(self, order: dict[str, Any], at: Ticks, is_late: bool, now: Ticks) -> None:
-        """Takes an order that was asked for `at`."""
+    def _handle_order(
+        self, order: dict[str, Any], sent_at: Ticks, is_late: bool, now: Ticks
+    ) -> None:
+        """Handles an order from the reply to a command that was sent at `sent_at`."""
         name = order["do"]
         fencing_token = order["fence"]
         if name == OrderName.BEGIN:
-            self._take_permit(order, at, is_late, now)
+            self._handle_permit(order, sent_at, is_late, now)
         elif fencing_token == self.fencing_token or (
             fencing_token > self.fencing_token
             and self.state in (AgentState.IN_SERVICE, AgentState.RETURNING)
@@ -257,102 +266,109 @@
                 self.target_build = order["build"]
             self._transition(name, now)
 
-    def _take_permit(self, order: dict[str, Any], at: Ticks, is_late: bool, now: Ticks) -> None:
-        """Asks whether it may begin, unless the order's fencing token or epoch is over."""
+    def _handle_permit(
+        self, order: dict[str, Any], sent_at: Ticks, is_late: bool, now: Ticks
+    ) -> None:
+        """Requests confirmation to begin, unless the order is late or its token or epoch is old."""
         fencing_token = order["fence"]
         plan = order["plan"]
         epoch = order["epoch"]
         if (
             self.state not in (AgentState.IN_SERVICE, AgentState.RETURNING)
             or is_late
-            or fencing_token <= self.spent_token
-            or epoch < self.epochs.get(plan, 0)
+            or fencing_token <= self.last_spent_token
+            or epoch < self.plan_epochs.get(plan, 0)
         ):
             return
-        self.epochs.pop(plan, None)
-        if len(self.epochs) >= MAX_EPOCHS:
-            del self.epochs[next(iter(self.epochs))]
-        self.epochs[plan] = epoch
+        self.plan_epochs.pop(plan, None)
+        if len(self.plan_epochs) >= MAX_PLAN_EPOCHS:
+            del self.plan_epochs[next(iter(self.plan_epochs))]
+        self.plan_epochs[plan] = epoch
         self.fencing_token = fencing_token
         self.epoch = epoch
         self.target_build = order["build"]
-        # What is left of the permit counts from when it was asked for: the reply is not older.
-        left = order["left"] - order["left"] * self.settings.drift // 1000
-        self.permit_until = at + min(left, 2 * self.local_bound())
+        # The remaining time counts from when the command was sent: the reply was written later, so
+        # the permit cannot be overestimated.
+        remaining = order["left"] - order["left"] * self.settings.drift // 1000
+        self.permit_until = sent_at + min(remaining, 2 * self.local_bound())
         self._transition(AgentInput.BEGIN, now)
 
     def _transition(self, event: str, now: Ticks) -> None:
-        """Takes an AgentInput, or the name of an order; an unknown name changes nothing."""
-        step = AGENT_TRANSITIONS.get((self.state, event))
-        if step is not None:
-            self.state = step.state
-            self._effects[step.effect](now)
+        """Applies an AgentInput or an order's name; one without a transition changes nothing."""
+        transition = AGENT_TRANSITIONS.get((self.state, event))
+        if transition is not None:
+            self.state = transition.state
+            self._effects[transition.effect](now)
 
-    def _say(
+    def _propose(
         self, now: Ticks, name: CommandName, fields: dict[str, Any], fencing_token: int = 0
     ) -> None:
-        self.last_token += 1
-        if len(self.waiting) >= MAX_WAITING:
-            del self.waiting[next(iter(self.waiting))]
-        self.waiting[self.last_token] = SaidCommand(now, name, fencing_token)
+        self.last_command_token += 1
+        if len(self.pending_commands) >= MAX_PENDING_COMMANDS:
+            del self.pending_commands[next(iter(self.pending_commands))]
+        self.pending_commands[self.last_command_token] = PendingCommand(now, name, fencing_token)
         command = {"part": PART_NAME, "do": name.value, **fields}
-        self.actions.append(ProposeAction(ActionKind.PROPOSE, self.last_token, command))
+        self.actions.append(ProposeAction(ActionKind.PROPOSE, self.last_command_token, command))
 
     def _report(self, now: Ticks) -> None:
-        report = [REPORTED_STATUS[self.state].value, self.start, self.build]
-        self._say(
-            now, CommandName.REPORT_UNITS, {"as_of": self.heard_at, "units": {self.unit: report}}
+        report = [REPORTED_STATUS[self.state].value, self.incarnation, self.build]
+        self._propose(
+            now,
+            CommandName.REPORT_UNITS,
+            {"as_of": self.last_agreed_time, "units": {self.unit: report}},
         )
 
-    def _ask_to_begin(self, now: Ticks) -> None:
-        self._say(
+    def _request_confirmation(self, now: Ticks) -> None:
+        self._propose(
             now,
             CommandName.BEGIN,
             {
                 "unit": self.unit,
                 "fence": self.fencing_token,
                 "epoch": self.epoch,
-                "start": self.start,
+                "start": self.incarnation,
             },
             self.fencing_token,
         )
 
-    def _add_drain(self) -> None:
-        self.spent_token = self.fencing_token
+    def _start_drain(self) -> None:
+        self.last_spent_token = self.fencing_token
         self.actions.append(DrainAction(ActionKind.DRAIN, self.fencing_token, self.target_build))
 
-    def _drain(self, now: Ticks) -> None:
-        self._add_drain()
+    def _drain_and_report(self, now: Ticks) -> None:
+        self._start_drain()
         self._report(now)
 
-    def _leave(self, now: Ticks) -> None:
-        self._add_drain()
+    def _drain_cold(self, now: Ticks) -> None:
+        self._start_drain()
         self._report_drained(now)
 
-    def _drop_permit(self, _now: Ticks) -> None:
-        self.spent_token = self.fencing_token
+    def _discard_permit(self, _now: Ticks) -> None:
+        self.last_spent_token = self.fencing_token
 
-    def _give_up_permit(self, now: Ticks) -> None:
-        """It did not begin, or returns: the state machine may think that it is unavailable."""
-        self.spent_token = max(self.spent_token, self.fencing_token)
+    def _return_permit(self, now: Ticks) -> None:
+        """Reports that the unit did not begin or returns; it may be recorded as unavailable."""
+        self.last_spent_token = max(self.last_spent_token, self.fencing_token)
         fields: dict[str, Any] = {"unit": self.unit, "fence": self.fencing_token}
         if self.fault:
             fields["fault"] = self.fault
-        self._say(now, CommandName.RETURN, fields)
+        self._propose(now, CommandName.RETURN, fields)
         self._report(now)
 
     def _report_drained(self, now: Ticks) -> None:
-        self._say(now, CommandName.REPORT_DRAINED, {"unit": self.unit, "fence": self.fencing_token})
+        self._propose(
+            now, CommandName.REPORT_DRAINED, {"unit": self.unit, "fence": self.fencing_token}
+        )
 
-    def _serve(self, now: Ticks) -> None:
+    def _resume_service(self, now: Ticks) -> None:
         self.actions.append(ServeAction(ActionKind.SERVE))
-        self._give_up_permit(now)
+        self._return_permit(now)
 
-    def _come(self, now: Ticks) -> None:
+    def _start_return(self, now: Ticks) -> None:
         self.actions.append(ReturnAction(ActionKind.RETURN, self.target_build))
         self.fault = None
-        self._give_up_permit(now)
+        self._return_permit(now)
 
-    def _finish_return(self, now: Ticks) -> None:
+    def _complete_return(self, now: Ticks) -> None:
         self.actions.append(ServeAction(ActionKind.SERVE))
         self._report(now)
