--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -22,7 +22,7 @@
 )
 from thymeknot.gang_scheduling.gang_state import STATES_WITH_LEASE
 from thymeknot.gang_scheduling.jobs import Gang, tree_parents
-from thymeknot.gang_scheduling.topology import Places, Stated
+from thymeknot.gang_scheduling.topology import MachineSpec, Topology
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
@@ -55,20 +55,22 @@
 def small(chance):
     """4 to 7 racks, partly taken, of unlike uplinks, with plans and others' traffic; a gang of 4 to 20."""
     racks = 4 + int(chance.draw() * 4)
-    places = Places(
+    places = Topology(
         uplinks={f"zone/c{at % 2}/z{at}": int((1 + 3 * chance.draw()) * GIGA) for at in range(3)}
     )
     for at in range(racks):
         zone = int(chance.draw() * 3)
-        hosts = {f"r{at}m{one}": Stated(4, {"gpu": 4}) for one in range(1 + int(chance.draw() * 4))}
+        hosts = {
+            f"r{at}m{one}": MachineSpec(4, {"gpu": 4}) for one in range(1 + int(chance.draw() * 4))
+        }
         places.add_rack(
             f"r{at}", f"z{zone}", f"c{zone % 2}", int((0.5 + 2 * chance.draw()) * GIGA), hosts
         )
         for machine in hosts:
             places.reserve({machine: int(chance.draw() ** 2 * 5)}, (("gpu", 1),))
             if chance.draw() < 0.15:
-                places.host(machine).planned = 1
-        places.carried[f"rack/r{at}"] = chance.draw() ** 2 * GIGA
+                places.host(machine).planned_removal = 1
+        places.link_traffic[f"rack/r{at}"] = chance.draw() ** 2 * GIGA
     return places, some_gang(chance, 4 + int(chance.draw() * 17))
 
 
@@ -91,14 +93,17 @@
     once each way."""
     weights, workers, much = scorer.weights, scorer.workers, scorer.gang.bytes
     racks = [at for at, room in enumerate(scorer.capacity) if room > 0]
-    groups = [([at], scorer.rack_load[at] + much * scorer.rack_rate[at]) for at in racks]
+    groups = [
+        ([at], scorer.rack_background_load[at] + much * scorer.rack_load_per_byte[at])
+        for at in racks
+    ]
     for site, (_, base, rate) in enumerate(scorer.sites):
-        inside = [at for at in racks if site in (scorer.zone_site[at], scorer.cluster_site[at])]
+        inside = [at for at in racks if site in (scorer.rack_zone[at], scorer.rack_cluster[at])]
         groups += [(inside, base + much * rate)] if inside else []
-    bases = [scorer.rack_load[at] for at in racks] + [
+    bases = [scorer.rack_background_load[at] for at in racks] + [
         base
         for site, (_, base, _) in enumerate(scorer.sites)
-        if any(site in (scorer.zone_site[at], scorer.cluster_site[at]) for at in racks)
+        if any(site in (scorer.rack_zone[at], scorer.rack_cluster[at]) for at in racks)
     ]
     many, last = len(racks), 2 * len(racks) + 2 * len(groups)
     place = {at: one for one, at in enumerate(racks)}
@@ -176,7 +181,7 @@
             scorer.total(placement_search.heuristic_search(scorer)) / solved(scorer, 3)[0] - 1
         )
         places.reserve(
-            placement_search.find_placement(places, gang, 0).places, gang.resource_shape()
+            placement_search.find_placement(places, gang, 0).placement, gang.resource_shape()
         )
     return max(apart), found
 
@@ -304,7 +309,7 @@
 
 def large(chance):
     """200 racks of 25 machines of 8 slots in 20 zones of 4 clusters; some machines of each rack are others'."""
-    places = Places(
+    places = Topology(
         uplinks={
             **{f"zone/c{at % 4}/z{at}": 40 * GIGA for at in range(20)},
             **{f"cluster/c{at}": 50 * GIGA for at in range(4)},
@@ -317,13 +322,13 @@
             f"z{zone}",
             f"c{zone % 4}",
             10 * GIGA,
-            {f"r{at:03}m{one:02}": Stated(8, {"gpu": 8}) for one in range(25)},
+            {f"r{at:03}m{one:02}": MachineSpec(8, {"gpu": 8}) for one in range(25)},
         )
         for machine in places.racks[f"r{at:03}"].hosts:
             if chance.draw() < 0.4:
                 places.reserve({machine: 1 + int(chance.draw() * 8)}, (("gpu", 1),))
             if chance.draw() < 0.03:
-                places.host(machine).planned = 1
+                places.host(machine).planned_removal = 1
     return places
 
 
@@ -334,11 +339,11 @@
     for _ in range(gangs):
         gang = some_gang(chance, int(2 * 256 ** chance.draw()), 2 * GIGA)
         began = time.process_time()
-        plan = placement_search.find_placement(places, gang, 0, how=how)
+        plan = placement_search.find_placement(places, gang, 0, search=how)
         took.append(1000 * (time.process_time() - began))
         if plan:
-            places.reserve(plan.places, gang.resource_shape())
-            counts = places.workers_by_rack(plan.places)
+            places.reserve(plan.placement, gang.resource_shape())
+            counts = places.workers_by_rack(plan.placement)
             placement_score.add_traffic(places, gang, counts)
             placed.append((gang, counts))
     return places, placed, took
@@ -368,8 +373,8 @@
         "search": None,
         "first_fit": placement_search.first_fit,
         "random": placement_search.random_fit(LinearCongruentialGenerator(seed + 7)),
-        "packing": placement_search.packing,
-        "spreading": placement_search.spreading,
+        "packing": placement_search.pack_fullest_first,
+        "spreading": placement_search.spread_evenly,
     }
     found, took, first, began = {}, [], None, time.monotonic()
     for name, how in ways.items():
@@ -478,12 +483,14 @@
             do("offer", gang=f"g{turn}", job=job)
         elif lot < 0.35:  # score
             name = pick(machine.queue()[:2])
-            plan = name and placement_search.find_placement(machine.view(), gangs[name].gang, at)
+            plan = name and placement_search.find_placement(
+                machine.topology_with_traffic(), gangs[name].gang, at
+            )
             wanted[who] = plan and (name, plan)
         elif lot < 0.60 and wanted[who]:
             name, plan = wanted[who]
             wanted[who] = None
-            reply = do("hold", gang=name, places=plan.places, versions=plan.versions)
+            reply = do("hold", gang=name, places=plan.placement, versions=plan.versions)
             sums["holds"] += "ok" in reply
             sums["stale"] += "scored at" in reply.get("refused", "")
             if (
@@ -500,7 +507,7 @@
             sums["done"] += "ok" in do("done", gang=name, fence=gangs[name].fence)
         elif lot < 0.84 and (name := pick(in_state.get("hurt", ()))):
             replacement = worker_replacement.replace_failed_workers(
-                machine.view(), gangs[name].gang, at, gangs[name].places, 0
+                machine.topology_with_traffic(), gangs[name].gang, at, gangs[name].placement, 0
             )
             if replacement:
                 plan = replacement.plan
@@ -508,7 +515,7 @@
                     "mend",
                     gang=name,
                     fence=gangs[name].fence,
-                    places=plan.places,
+                    places=plan.placement,
                     versions=plan.versions,
                 )
                 sums["mended"] += "ok" in reply and "ok" in do(
@@ -525,7 +532,7 @@
             sums["lost"] += "ok" in do(
                 "lost",
                 kind=kind_,
-                name=pick(machine.state.places.racks if kind_ == "rack" else everywhere),
+                name=pick(machine.state.topology.racks if kind_ == "rack" else everywhere),
             )
         elif 0.92 <= lot < 0.99:
             do(
@@ -533,7 +540,7 @@
                 machine=pick(
                     name
                     for name in everywhere
-                    if machine.state.places.host(name).capacity(()) < 1 or chance.draw() < 0.1
+                    if machine.state.topology.host(name).capacity(()) < 1 or chance.draw() < 0.1
                 )
                 or everywhere[0],
             )
--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -16,7 +16,7 @@
 )
 from thymeknot.gang_scheduling.commands import CommandRejectedError
 from thymeknot.gang_scheduling.gang_state import STATES_WITH_SLOTS, TRANSITIONS, GangState
-from thymeknot.gang_scheduling.topology import Places, Stated
+from thymeknot.gang_scheduling.topology import MachineSpec, Topology
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
@@ -63,11 +63,13 @@
         )
 
     def plan(self, name):
-        return placement_search.find_placement(self.machine.view(), self.life(name).gang, self.at)
+        return placement_search.find_placement(
+            self.machine.topology_with_traffic(), self.life(name).gang, self.at
+        )
 
     def hold(self, name, plan=None):
         plan = plan or self.plan(name)
-        return self.do("hold", gang=name, places=plan.places, versions=plan.versions)
+        return self.do("hold", gang=name, places=plan.placement, versions=plan.versions)
 
     def run(self, name, **more):
         if name not in self.machine.state.gangs:
@@ -88,7 +90,7 @@
         )
 
     def on(self, name):
-        return sorted(self.life(name).places)
+        return sorted(self.life(name).placement)
 
     def later(self, seconds):
         self.at += int(seconds * SECOND)
@@ -129,9 +131,9 @@
             life.state = now
             more = {"dropped": {fleet.on("g")[0]: 1}} if what in ("lost", "taken") else {}
             if what.startswith("mend") or what == "hold":
-                more = {"places": dict(life.places)}
+                more = {"placement": dict(life.placement)}
             if what == "hold":
-                fleet.machine.lifecycle.set_places(life, {})
+                fleet.machine.lifecycle.set_placement(life, {})
             try:
                 fleet.machine.lifecycle.transition("g", what, **more)
                 self.assertEqual(life.state, TRANSITIONS[now, what][0], (now, what))
@@ -319,9 +321,9 @@
         fleet.ok("lost", kind="worker", name=fleet.on("g")[0], gang="g")
         life = fleet.life("g")
         plan, way = worker_replacement.replace_failed_workers(
-            fleet.machine.view(), life.gang, fleet.at, life.places, 0
+            fleet.machine.topology_with_traffic(), life.gang, fleet.at, life.placement, 0
         )
-        reply = fleet.ok("mend", gang="g", fence=old, places=plan.places, versions=plan.versions)
+        reply = fleet.ok("mend", gang="g", fence=old, places=plan.placement, versions=plan.versions)
         self.assertEqual((way, reply["way"], fleet.state("g")), ("in place", "in place", "bound"))
         self.assertIn("fence", fleet.do("start", gang="g", fence=old)["refused"])
         fleet.ok("start", gang="g", fence=reply["fence"])
@@ -333,14 +335,14 @@
         home = fleet.on("g")[0]
         fleet.ok("lost", kind="worker", name=home, gang="g")
         life = fleet.life("g")
-        places = fleet.machine.view()
+        places = fleet.machine.topology_with_traffic()
         places.host(home).closed = "another"  # nobody new there
         places.mark_changed(home)
         plan, way = worker_replacement.replace_failed_workers(
-            places, life.gang, fleet.at, life.places, 0
+            places, life.gang, fleet.at, life.placement, 0
         )
-        self.assertEqual((way, len(plan.places)), ("whole", 1))
-        fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)
+        self.assertEqual((way, len(plan.placement)), ("whole", 1))
+        fleet.ok("mend", gang="g", fence=fence, places=plan.placement, versions=plan.versions)
         self.assertEqual((fleet.state("g"), fleet.broken()), ("moving", []))
 
     def test_a_loss_frees_what_is_held_whole(self):
@@ -367,16 +369,20 @@
         fleet.later(1)
         reply = fleet.do("drain_asked", machine=machine, drain="d")
         self.assertEqual((reply["by"], reply["again"]), (["g"], 59 * SECOND))
-        self.assertEqual(fleet.machine.state.places.host(machine).capacity(()), 0)
+        self.assertEqual(fleet.machine.state.topology.host(machine).capacity(()), 0)
         self.assertIn("drain d's", fleet.do("drain_asked", machine=machine, drain="e")["refused"])
         fleet.later(30)
         said = fleet.ok("checkpoint", gang="g", fence=fence)
         self.assertEqual((said["next"], fleet.state("g")), ("mend", "hurt"))
         fleet.ok("drain_asked", machine=machine, drain="d")
         plan, _ = worker_replacement.replace_failed_workers(
-            fleet.machine.view(), fleet.life("g").gang, fleet.at, fleet.life("g").places, 0
+            fleet.machine.topology_with_traffic(),
+            fleet.life("g").gang,
+            fleet.at,
+            fleet.life("g").placement,
+            0,
         )
-        self.assertNotIn(machine, plan.places)
+        self.assertNotIn(machine, plan.placement)
         self.assertEqual(fleet.broken(), [])
 
     def test_a_drain_takes_a_unit_of_the_budget_at_once_and_no_second(self):
@@ -389,11 +395,11 @@
         )
         life = fleet.life("g")
         plan, _ = worker_replacement.replace_failed_workers(
-            fleet.machine.view(), life.gang, fleet.at, life.places, 0
+            fleet.machine.topology_with_traffic(), life.gang, fleet.at, life.placement, 0
         )
-        fence = fleet.ok("mend", gang="g", fence=fence, places=plan.places, versions=plan.versions)[
-            "fence"
-        ]
+        fence = fleet.ok(
+            "mend", gang="g", fence=fence, places=plan.placement, versions=plan.versions
+        )["fence"]
         second = fleet.on("g")[0]
         self.assertIn(
             "until its checkpoint",
@@ -416,12 +422,12 @@
         fleet.ok("drain_asked", machine="r0m0", drain="d")
         life = fleet.life("g")
         plan, way = worker_replacement.replace_failed_workers(
-            fleet.machine.view(), life.gang, fleet.at, life.places, 0
+            fleet.machine.topology_with_traffic(), life.gang, fleet.at, life.placement, 0
         )
         self.assertEqual(
-            (way, {machine[:2] for machine in plan.places}), ("in place", {"r1", "r2"})
+            (way, {machine[:2] for machine in plan.placement}), ("in place", {"r1", "r2"})
         )
-        fleet.ok("mend", gang="g", fence=life.fence, places=plan.places, versions=plan.versions)
+        fleet.ok("mend", gang="g", fence=life.fence, places=plan.placement, versions=plan.versions)
 
 
 class Fairness(unittest.TestCase):
@@ -509,20 +515,20 @@
 
 
 def places_of(racks, hosts=2, slots=4, chance=None):
-    places = Places(uplinks={"zone/c/z0": 3 * 10**9, "zone/c/z1": 10**9})
+    places = Topology(uplinks={"zone/c/z0": 3 * 10**9, "zone/c/z1": 10**9})
     for at in range(racks):
         places.add_rack(
             f"r{at}",
             f"z{at % 2}",
             "c",
             10**9,
-            {f"r{at}m{one}": Stated(slots) for one in range(hosts)},
+            {f"r{at}m{one}": MachineSpec(slots) for one in range(hosts)},
         )
         for machine in places.racks[f"r{at}"].hosts if chance else ():
             places.reserve({machine: int(chance.draw() * (slots + 1))}, ())
         if chance:
-            places.carried[f"rack/r{at}"] = chance.draw() * 10**9
-            places.host(f"r{at}m0").planned = int(chance.draw() * 2)
+            places.link_traffic[f"rack/r{at}"] = chance.draw() * 10**9
+            places.host(f"r{at}m0").planned_removal = int(chance.draw() * 2)
     return places
 
 
@@ -583,13 +589,13 @@
             plan.score.sentence(),
             r"A step takes 0.\d+ s of 10.000 s by the uplink .* takes \d+% of it.",
         )
-        self.assertEqual(sum(plan.places.values()), 12)
+        self.assertEqual(sum(plan.placement.values()), 12)
 
     def test_plans_and_others_traffic_turn_a_gang_away(self):
         places = places_of(2)
         home = next(iter(placement_search.find_placement(places, gang_of(8), 0).versions))
         for machine in places.racks[home].hosts:
-            places.host(machine).planned = 5
+            places.host(machine).planned_removal = 5
         self.assertNotIn(home, placement_search.find_placement(places, gang_of(8), 0).versions)
         busy = places_of(4, hosts=1)
         placement_score.add_traffic(busy, gang_of(8, much=10**10), {"r0": 4, "r2": 4})
@@ -602,8 +608,8 @@
         for how in (
             placement_search.first_fit,
             placement_search.random_fit(LinearCongruentialGenerator(1)),
-            placement_search.packing,
-            placement_search.spreading,
+            placement_search.pack_fullest_first,
+            placement_search.spread_evenly,
         ):
             self.assertEqual(sum(how(scorer).values()), 20)
             self.assertIsNone(how(placement_score.Scorer(places_of(2), gang_of(20), 0)))
--- a/thymeknot/gang_scheduling/commands.py
+++ b/thymeknot/gang_scheduling/commands.py
@@ -12,7 +12,7 @@
 
 from ..interface.clock import Ticks
 from .jobs import MAX_WORKERS, Amount, Gang, Name, Span
-from .topology import DEFAULT_HOST_LINK, Stated
+from .topology import DEFAULT_HOST_LINK, MachineSpec
 
 MAX_MACHINES = 512  # machines that one command may name, which bounds an entry of the log
 MAX_BLOCKERS_IN_REPLY = 8  # names that a rejection lists, which bounds a reply
@@ -69,7 +69,7 @@
     zone: Name
     cluster: Name
     bandwidth: Span
-    machines: Annotated[dict[Name, Stated], Meta(min_length=1, max_length=MAX_MACHINES)]
+    machines: Annotated[dict[Name, MachineSpec], Meta(min_length=1, max_length=MAX_MACHINES)]
     link: Span = DEFAULT_HOST_LINK
 
 
@@ -129,12 +129,12 @@
     Attributes:
         gang: Its name.
         versions: {rack: version that was scored}.
-        places: {machine: workers}.
+        placement: {machine: workers}.
     """
 
     gang: Name
     versions: RackVersions
-    places: MachineWorkers
+    placement: MachineWorkers = msgspec.field(name="places")
 
 
 class FencedCommand(Command, frozen=True):
@@ -170,11 +170,11 @@
 
     Attributes:
         versions: {rack: version that was scored}, of the racks with new workers.
-        places: {machine: workers}, the whole new placement.
+        placement: {machine: workers}, the whole new placement.
     """
 
     versions: dict[Name, Amount]
-    places: MachineWorkers
+    placement: MachineWorkers = msgspec.field(name="places")
 
 
 class Withdraw(Command, frozen=True, tag="withdraw"):
--- a/thymeknot/gang_scheduling/fairness.py
+++ b/thymeknot/gang_scheduling/fairness.py
@@ -5,7 +5,7 @@
 
 from ..interface.clock import Ticks
 from .commands import CommandRejectedError, Preempt
-from .gang_state import GangLife, GangState, Snapshot
+from .gang_state import GangRecord, GangState, Snapshot
 from .jobs import Gang
 from .settings import GangSettings
 
@@ -51,7 +51,7 @@
         ]
         return [name for _, name in sorted(waiting)]
 
-    def check_turn(self, name: str, life: GangLife, places: Mapping[str, int]) -> None:
+    def check_turn(self, name: str, life: GangRecord, places: Mapping[str, int]) -> None:
         """Keeps capacity for a gang that is due before another.
 
         A gang that waited long, and one within its publisher's share, gets capacity kept by those
@@ -85,14 +85,14 @@
             patient = state.at - waiting.since >= self._settings.patience
             shape = waiting.gang.resource_shape()
             if (key[0] < own_key[0] or patient) and (
-                state.places.total_capacity(shape) >= waiting.gang.workers
+                state.topology.total_capacity(shape) >= waiting.gang.workers
             ):
                 first = (key, other)
         return first[1] if first else None
 
-    def _capacity_after(self, life: GangLife, places: Mapping[str, int], head: Gang) -> int:
+    def _capacity_after(self, life: GangRecord, places: Mapping[str, int], head: Gang) -> int:
         """Returns how many of the head's workers fit once a gang has its places."""
-        known = self._state.places
+        known = self._state.topology
         head_shape = head.resource_shape()
         shape = life.gang.resource_shape()
         capacity = sum(known.rack_capacity(rack, head_shape) for rack in known.racks)
@@ -104,7 +104,7 @@
             host.reserve(-workers, shape)
         return capacity
 
-    def check_preemption(self, command: Preempt, victim: GangLife, by: GangLife) -> None:
+    def check_preemption(self, command: Preempt, victim: GangRecord, by: GangRecord) -> None:
         """Checks whether a gang may be asked to make room for another.
 
         Raises:
@@ -116,7 +116,7 @@
                     obstacle.sentence, [command.gang], max(0, obstacle.again)
                 )
 
-    def _obstacles(self, command: Preempt, victim: GangLife, by: GangLife) -> list[_Obstacle]:
+    def _obstacles(self, command: Preempt, victim: GangRecord, by: GangRecord) -> list[_Obstacle]:
         """Returns all reasons that can speak against a preemption, the first one first."""
         settings = self._settings
         ending = [life for life in self._state.gangs.values() if life.ending]
@@ -170,7 +170,7 @@
         )
         return int(borrows), -self._aged_priority(life), life.number
 
-    def _aged_priority(self, life: GangLife) -> int:
+    def _aged_priority(self, life: GangRecord) -> int:
         return life.gang.priority + (self._state.at - life.since) // self._settings.age
 
     def _is_over_share(self, gang: Gang, more: int = 0) -> bool:
@@ -186,7 +186,7 @@
             for life in state.gangs.values():
                 publisher = life.gang.publisher
                 used = self._used_slots.get(publisher, 0)
-                self._used_slots[publisher] = used + sum(life.places.values())
+                self._used_slots[publisher] = used + sum(life.placement.values())
         share = state.shares.get(gang.publisher, 0)
-        allowed = share * state.places.total_capacity(()) // SHARE_UNITS
+        allowed = share * state.topology.total_capacity(()) // SHARE_UNITS
         return self._used_slots.get(gang.publisher, 0) + more > allowed
--- a/thymeknot/gang_scheduling/gang_lifecycle.py
+++ b/thymeknot/gang_scheduling/gang_lifecycle.py
@@ -5,7 +5,7 @@
 from typing import NamedTuple
 
 from .commands import CommandRejectedError
-from .gang_state import STATES_WITH_LEASE, TRANSITIONS, GangEffect, GangInput, GangLife, Snapshot
+from .gang_state import STATES_WITH_LEASE, TRANSITIONS, GangEffect, GangInput, GangRecord, Snapshot
 from .settings import GangSettings
 
 MAX_BACKOFF_DOUBLINGS = 20  # so that the backoff stays a small integer before its limit applies
@@ -15,12 +15,12 @@
     """What comes with an input.
 
     Attributes:
-        places: {machine: workers}, the whole new placement.
+        placement: {machine: workers}, the whole new placement.
         dropped: {machine: workers} that are lost or taken.
         why: Reason of an end, for people.
     """
 
-    places: Mapping[str, int] = {}
+    placement: Mapping[str, int] = {}
     dropped: Mapping[str, int] = {}
     why: str = ""
 
@@ -31,7 +31,7 @@
     def __init__(self, state: Snapshot, settings: GangSettings) -> None:
         self._state = state
         self._settings = settings
-        self._effects: dict[GangEffect, Callable[[str, GangLife, TransitionDetails], None]] = {
+        self._effects: dict[GangEffect, Callable[[str, GangRecord, TransitionDetails], None]] = {
             GangEffect.TAKE_SLOTS: self._take_slots,
             GangEffect.RENEW_LEASE: self._renew_lease,
             GangEffect.RUN: self._run,
@@ -44,7 +44,7 @@
             GangEffect.END: self._end,
         }
 
-    def find(self, name: str) -> GangLife:
+    def find(self, name: str) -> GangRecord:
         """Returns a gang that is not over.
 
         Raises:
@@ -61,16 +61,16 @@
         name: str,
         what: GangInput,
         *,
-        places: Mapping[str, int] | None = None,
+        placement: Mapping[str, int] | None = None,
         dropped: Mapping[str, int] | None = None,
         why: str = "",
-    ) -> GangLife:
+    ) -> GangRecord:
         """Applies an input to a gang.
 
         Args:
             name: The gang.
             what: The input.
-            places: See `TransitionDetails`; so are the others.
+            placement: See `TransitionDetails`; so are the others.
             dropped: See there.
             why: See there.
 
@@ -90,7 +90,9 @@
             )
         life.state = step.state
         life.lease = 0
-        self._effects[step.effect](name, life, TransitionDetails(places or {}, dropped or {}, why))
+        self._effects[step.effect](
+            name, life, TransitionDetails(placement or {}, dropped or {}, why)
+        )
         self._state.count(step.effect.value)
         return life
 
@@ -102,7 +104,7 @@
             elif life.ending and life.ends <= self._state.at:
                 self.preempt_if_needed(name, life)
 
-    def preempt_if_needed(self, name: str, life: GangLife) -> bool:
+    def preempt_if_needed(self, name: str, life: GangRecord) -> bool:
         """Preempts a gang if the one that it makes room for still waits; forgets it otherwise.
 
         Returns:
@@ -128,66 +130,68 @@
         hit = []
         for name, life in list(self._state.gangs.items()):
             dropped = {
-                machine: workers for machine, workers in life.places.items() if machine in cleared
+                machine: workers
+                for machine, workers in life.placement.items()
+                if machine in cleared
             }
             if dropped:
                 self.transition(name, what, dropped=dropped)
                 hit.append(name)
         return hit
 
-    def set_places(self, life: GangLife, places: Mapping[str, int]) -> None:
+    def set_placement(self, life: GangRecord, places: Mapping[str, int]) -> None:
         """Reserves and gives back what differs between a gang's placement and a new one."""
         deltas = {
-            machine: places.get(machine, 0) - life.places.get(machine, 0)
-            for machine in sorted({*places, *life.places})
+            machine: places.get(machine, 0) - life.placement.get(machine, 0)
+            for machine in sorted({*places, *life.placement})
         }
-        self._state.places.reserve(deltas, life.gang.resource_shape())
-        life.places = dict(places)
+        self._state.topology.reserve(deltas, life.gang.resource_shape())
+        life.placement = dict(places)
 
     def _next_fence(self) -> int:
         self._state.fence += 1
         return self._state.fence
 
-    def _take_slots(self, name: str, life: GangLife, details: TransitionDetails) -> None:
-        self._state.places.reserve(details.places, life.gang.resource_shape())
-        life.places = dict(details.places)
+    def _take_slots(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
+        self._state.topology.reserve(details.placement, life.gang.resource_shape())
+        life.placement = dict(details.placement)
         life.fence = self._next_fence()
         life.lease = self._state.at + self._settings.hold
 
-    def _renew_lease(self, name: str, life: GangLife, details: TransitionDetails) -> None:
+    def _renew_lease(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
         life.lease = self._state.at + self._settings.start
 
-    def _run(self, name: str, life: GangLife, details: TransitionDetails) -> None:
+    def _run(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
         life.tries = 0
         life.saved = self._state.at
 
-    def _note_checkpoint(self, name: str, life: GangLife, details: TransitionDetails) -> None:
+    def _note_checkpoint(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
         life.saved = self._state.at
 
-    def _change_places(self, name: str, life: GangLife, details: TransitionDetails) -> None:
+    def _change_places(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
         """Gives a new fencing token, so that workers of before the loss are fenced off."""
-        self.set_places(life, details.places)
+        self.set_placement(life, details.placement)
         life.fence = self._next_fence()
         life.lease = self._state.at + self._settings.start
 
-    def _drop_workers(self, name: str, life: GangLife, details: TransitionDetails) -> None:
+    def _drop_workers(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
         left = {
             machine: workers - details.dropped.get(machine, 0)
-            for machine, workers in life.places.items()
+            for machine, workers in life.placement.items()
         }
-        self.set_places(
+        self.set_placement(
             life, {machine: workers for machine, workers in left.items() if workers > 0}
         )
         _forget_preemption(life)
         life.lease = self._state.at + self._settings.mend
 
-    def _give_up(self, name: str, life: GangLife, details: TransitionDetails) -> None:
+    def _give_up(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
         """Puts a gang back into the queue with its age, after a backoff.
 
         The backoff doubles and has jitter by name, so that many gangs that lost their leases
         together do not come together again.
         """
-        self.set_places(life, {})
+        self.set_placement(life, {})
         life.tries += 1
         doublings = min(life.tries - 1, MAX_BACKOFF_DOUBLINGS)
         backoff = min(self._settings.again_most, self._settings.again << doublings)
@@ -197,15 +201,15 @@
             why = f"{life.tries} leases in a row lapsed or were lost"
             self.transition(name, GangInput.EXHAUSTED, why=why)
 
-    def _yield_slots(self, name: str, life: GangLife, details: TransitionDetails) -> None:
+    def _yield_slots(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
         """Starts the waiting anew: by its old age it would be ahead of whom it made room for."""
-        self.set_places(life, {})
+        self.set_placement(life, {})
         life.preempted += 1
         life.since = self._state.at
         _forget_preemption(life)
 
-    def _end(self, name: str, life: GangLife, details: TransitionDetails) -> None:
-        self.set_places(life, {})
+    def _end(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
+        self.set_placement(life, {})
         ended = self._state.ended
         ended[name] = f"{life.state}: {details.why}" if details.why else life.state.value
         del self._state.gangs[name]
@@ -213,6 +217,6 @@
             del ended[next(iter(ended))]
 
 
-def _forget_preemption(life: GangLife) -> None:
+def _forget_preemption(life: GangRecord) -> None:
     life.ending = ""
     life.ends = 0
--- a/thymeknot/gang_scheduling/gang_state.py
+++ b/thymeknot/gang_scheduling/gang_state.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from .jobs import Gang
-from .topology import Places
+from .topology import Topology
 
 
 class GangState(StrEnum):
@@ -129,7 +129,7 @@
 )
 
 
-class GangLife(msgspec.Struct):
+class GangRecord(msgspec.Struct):
     """A gang and where it is in its life. Field names are stored keys; times are agreed, in ticks.
 
     Attributes:
@@ -137,7 +137,7 @@
         number: Its number, in the order of offers.
         since: When its waiting began.
         state: Its state.
-        places: {machine: workers}.
+        placement: {machine: workers}.
         fence: Fencing token of its latest placement.
         lease: When its lease expires, 0 for none.
         tries: Leases that expired or were lost in a row.
@@ -153,7 +153,7 @@
     number: int
     since: int
     state: GangState = GangState.OFFERED
-    places: dict[str, int] = {}
+    placement: dict[str, int] = msgspec.field(default_factory=dict, name="places")
     fence: int = 0
     lease: int = 0
     tries: int = 0
@@ -172,7 +172,7 @@
         at: Agreed time of the latest command, in ticks.
         fence: The latest fencing token.
         number: The latest gang's number.
-        places: The racks.
+        topology: The racks.
         gangs: Gangs that are not over, by name, in the order of their numbers.
         ended: How gangs ended, by name, the oldest first.
         shares: Thousandths of all slots by publisher.
@@ -182,8 +182,8 @@
     at: int = 0
     fence: int = 0
     number: int = 0
-    places: Places = msgspec.field(default_factory=Places)
-    gangs: dict[str, GangLife] = {}
+    topology: Topology = msgspec.field(default_factory=Topology, name="places")
+    gangs: dict[str, GangRecord] = {}
     ended: dict[str, str] = {}
     shares: dict[str, int] = {}
     counted: dict[str, int] = {}
@@ -196,6 +196,6 @@
         """Returns whether the gang is known and waits in the queue."""
         return name in self.gangs and self.gangs[name].state == GangState.OFFERED
 
-    def lease_left(self, life: GangLife) -> int:
+    def lease_left(self, life: GangRecord) -> int:
         """Returns the ticks until a gang's lease expires, 0 if it has none."""
         return max(0, life.lease - self.at) if life.lease else 0
--- a/thymeknot/gang_scheduling/placement_score.py
+++ b/thymeknot/gang_scheduling/placement_score.py
@@ -11,14 +11,14 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from .jobs import Gang
-from .topology import Places
+from .topology import Topology
 
 MIN_TRAFFIC = 1e-6  # bytes a second; less is a rounding error of adding and taking away
 RANK_KEY_BASE = 1024  # above MAX_WORKERS, so that two ranks make one integer key
 MACHINE_LINK: Final = "machine"  # the bottleneck where a worker's own link is slowest
 
 RackIndex: TypeAlias = int
-"""A rack's position in `Places.rack_order()`."""
+"""A rack's position in `Topology.rack_order()`."""
 
 RackCounts: TypeAlias = dict[RackIndex, int]
 """A placement: {rack index: workers}, without zeros."""
@@ -105,13 +105,13 @@
 
     Attributes:
         link: Name of its uplink.
-        load: Share of the uplink that others use already.
-        rate: Steps over target that one byte a step adds to the uplink.
+        background_load: Share of the uplink that others use already.
+        load_per_byte: Steps over target that one byte a step adds to the uplink.
     """
 
     link: str
-    load: float
-    rate: float
+    background_load: float
+    load_per_byte: float
 
 
 LinkLoad: TypeAlias = tuple[float, float, Bottleneck]
@@ -121,43 +121,45 @@
 """
 
 
-def add_traffic(places: Places, gang: Gang, counts: Mapping[str, int], times: int = 1) -> None:
+def add_traffic(topology: Topology, gang: Gang, counts: Mapping[str, int], times: int = 1) -> None:
     """Adds a gang's traffic to the uplinks.
 
     Args:
-        places: Where the traffic is kept, in `carried`.
+        topology: Where the traffic is kept, in `link_traffic`.
         gang: Who sends.
         counts: {rack name: workers}.
         times: 1 to add, -1 to take away.
     """
-    for link, crossing in uplink_traffic(places, gang, counts):
-        carried = places.carried.get(link, 0.0) + times * crossing * TICKS_PER_SECOND / gang.target
+    for link, crossing in uplink_traffic(topology, gang, counts):
+        carried = (
+            topology.link_traffic.get(link, 0.0) + times * crossing * TICKS_PER_SECOND / gang.target
+        )
         if carried > MIN_TRAFFIC:
-            places.carried[link] = carried
+            topology.link_traffic[link] = carried
         else:
-            places.carried.pop(link, None)
+            topology.link_traffic.pop(link, None)
 
 
 def _rack_link(name: str) -> str:
     return "rack/" + name
 
 
-def _site_links(places: Places, name: str) -> tuple[str, str]:
+def _site_links(topology: Topology, name: str) -> tuple[str, str]:
     """Returns the names of the uplinks of a rack's zone and cluster."""
-    rack = places.racks[name]
+    rack = topology.racks[name]
     return f"zone/{rack.cluster}/{rack.zone}", "cluster/" + rack.cluster
 
 
 def uplink_traffic(
-    places: Places, gang: Gang, counts: Mapping[str, int]
+    topology: Topology, gang: Gang, counts: Mapping[str, int]
 ) -> list[tuple[str, float]]:
     """Returns (link, bytes a step) of each uplink that the gang's traffic crosses."""
     low = 0
     ranges: dict[str, tuple[int, int]] = {}
-    for name in places.rack_order():
+    for name in topology.rack_order():
         workers = counts.get(name, 0)
         if workers:
-            for link in (_rack_link(name), *_site_links(places, name)):
+            for link in (_rack_link(name), *_site_links(topology, name)):
                 first, _ = ranges.get(link, (low, low))
                 ranges[link] = (first, low + workers)
             low += workers
@@ -174,14 +176,14 @@
     Lists are by rack index.
 
     Attributes:
-        names: Names of the racks.
+        rack_names: Names of the racks.
         capacity: Workers that fit.
         unplanned_capacity: Workers that fit on machines that no plan takes before the gang's end.
         slots: Slots, at least 1.
-        rack_load: Share of the uplink that others use already.
-        rack_rate: Steps over target that one byte a step adds to the uplink.
-        zone_site: Index into `sites` of the rack's zone.
-        cluster_site: Index into `sites` of the rack's cluster.
+        rack_background_load: Share of the uplink that others use already.
+        rack_load_per_byte: Steps over target that one byte a step adds to the uplink.
+        rack_zone: Index into `sites` of the rack's zone.
+        rack_cluster: Index into `sites` of the rack's cluster.
         sites: The zones and clusters.
         expected_end: Agreed time in ticks at which the gang should end.
         min_step: Least duration of a step over its target, by the machines' own links.
@@ -189,12 +191,12 @@
     """
 
     def __init__(
-        self, places: Places, gang: Gang, now: Ticks, weights: Weights | None = None
+        self, topology: Topology, gang: Gang, now: Ticks, weights: Weights | None = None
     ) -> None:
-        self.places = places
+        self.topology = topology
         self.gang = gang
         self.weights = weights or Weights()
-        self.names = places.rack_order()
+        self.rack_names = topology.rack_order()
         self.shape = gang.resource_shape()
         self.expected_end = now + gang.lasts
         self.target_seconds = gang.target / TICKS_PER_SECOND
@@ -203,53 +205,53 @@
         self.capacity: list[int] = []
         self.unplanned_capacity: list[int] = []
         self.slots: list[int] = []
-        self.rack_load: list[float] = []
-        self.rack_rate: list[float] = []
-        self.zone_site: list[int] = []
-        self.cluster_site: list[int] = []
+        self.rack_background_load: list[float] = []
+        self.rack_load_per_byte: list[float] = []
+        self.rack_zone: list[int] = []
+        self.rack_cluster: list[int] = []
         self.sites: list[Site] = []
         self._crossing_bytes: dict[int, float] = {}
         self._site_index: dict[str, int] = {}
-        for name in self.names:
+        for name in self.rack_names:
             self._add_rack(name)
-        slowest = min((places.racks[name].link for name in self.names), default=inf)
+        slowest = min((topology.racks[name].link for name in self.rack_names), default=inf)
         self.min_step = (
             gang.busiest_worker_bytes() / max(1, slowest) / self.target_seconds
-            if self.names
+            if self.rack_names
             else 0.0
         )
 
     def _add_rack(self, name: str) -> None:
         """Appends one rack to the lists."""
-        rack = self.places.racks[name]
-        capacity = self.places.rack_capacity(name, self.shape)
-        by_machine = self.places.machine_capacities(name, self.shape)
+        rack = self.topology.racks[name]
+        capacity = self.topology.rack_capacity(name, self.shape)
+        by_machine = self.topology.machine_capacities(name, self.shape)
         planned = sum(
             by_machine.get(machine, 0)
             for machine, host in rack.hosts.items()
-            if 0 < host.planned < self.expected_end
+            if 0 < host.planned_removal < self.expected_end
         )
         self.capacity.append(capacity)
         self.unplanned_capacity.append(capacity - planned)
         self.slots.append(max(1, rack.slots))
-        self.rack_load.append(self._others_load(_rack_link(name), rack.bandwidth))
-        self.rack_rate.append(1 / (max(1, rack.bandwidth) * self.target_seconds))
-        zone_link, cluster_link = _site_links(self.places, name)
-        self.zone_site.append(self._site(zone_link))
-        self.cluster_site.append(self._site(cluster_link))
+        self.rack_background_load.append(self._others_load(_rack_link(name), rack.bandwidth))
+        self.rack_load_per_byte.append(1 / (max(1, rack.bandwidth) * self.target_seconds))
+        zone_link, cluster_link = _site_links(self.topology, name)
+        self.rack_zone.append(self._site(zone_link))
+        self.rack_cluster.append(self._site(cluster_link))
 
     def _site(self, link: str) -> int:
         """Returns the index of a site, which is added if it is new."""
         if link not in self._site_index:
             self._site_index[link] = len(self.sites)
-            bandwidth = self.places.uplinks.get(link, inf)
+            bandwidth = self.topology.uplinks.get(link, inf)
             rate = 1 / (max(1, bandwidth) * self.target_seconds)
             self.sites.append(Site(link, self._others_load(link, bandwidth), rate))
         return self._site_index[link]
 
     def _others_load(self, link: str, bandwidth: float) -> float:
         """Returns the share of the link that others use already."""
-        return self.places.carried.get(link, 0.0) / max(1, bandwidth)
+        return self.topology.link_traffic.get(link, 0.0) / max(1, bandwidth)
 
     def crossing_bytes(self, low: int, high: int) -> float:
         """Returns `Gang.crossing_bytes`, from a cache."""
@@ -262,13 +264,17 @@
     def rack_step(self, index: RackIndex, low: int, high: int) -> float:
         """Returns the predicted step over target by the rack's uplink, for ranks low to high."""
         crossing = self.crossing_bytes(low, high)
-        return self.rack_load[index] + crossing * self.rack_rate[index] if crossing else 0.0
+        return (
+            self.rack_background_load[index] + crossing * self.rack_load_per_byte[index]
+            if crossing
+            else 0.0
+        )
 
     def _site_load(self, index: int, low: int, high: int) -> LinkLoad:
         site = self.sites[index]
         crossing = self.crossing_bytes(low, high)
-        step = site.load + crossing * site.rate if crossing else 0.0
-        return step, site.load, site.link
+        step = site.background_load + crossing * site.load_per_byte if crossing else 0.0
+        return step, site.background_load, site.link
 
     def rack_terms(self, index: RackIndex, workers: int) -> tuple[float, float]:
         """Returns the terms (fragments, planned) of so many workers in the rack."""
@@ -285,18 +291,20 @@
         zone = cluster = -1
         low = zone_low = cluster_low = 0
         for index in order:
-            if self.zone_site[index] != zone:
+            if self.rack_zone[index] != zone:
                 if zone >= 0:
                     loads.append(self._site_load(zone, zone_low, low))
-                zone = self.zone_site[index]
+                zone = self.rack_zone[index]
                 zone_low = low
-            if self.cluster_site[index] != cluster:
+            if self.rack_cluster[index] != cluster:
                 if cluster >= 0:
                     loads.append(self._site_load(cluster, cluster_low, low))
-                cluster = self.cluster_site[index]
+                cluster = self.rack_cluster[index]
                 cluster_low = low
             high = low + counts[index]
-            loads.append((self.rack_step(index, low, high), self.rack_load[index], index))
+            loads.append(
+                (self.rack_step(index, low, high), self.rack_background_load[index], index)
+            )
             low = high
         if zone >= 0:
             loads.append(self._site_load(zone, zone_low, low))
@@ -349,7 +357,9 @@
         weights = self.weights
         loss = ""
         if counts:
-            loss = f"The loss of rack {self.names[values.fullest]} takes {values.loss:.0%} of it."
+            loss = (
+                f"The loss of rack {self.rack_names[values.fullest]} takes {values.loss:.0%} of it."
+            )
         parts = {
             "step": ScorePart(values.step, weights.step, self._step_sentence(values)),
             "harm": ScorePart(
@@ -375,14 +385,14 @@
     def _step_sentence(self, values: ScoreValues) -> str:
         link = values.bottleneck
         if isinstance(link, int):
-            where = f"the uplink of rack {self.names[link]}"
-            others = self.rack_load[link]
+            where = f"the uplink of rack {self.rack_names[link]}"
+            others = self.rack_background_load[link]
         elif link == MACHINE_LINK:
             where = "a worker's own machine"
             others = 0.0
         else:
             where = f"the uplink of {link}"
-            others = self.sites[self._site_index[link]].load
+            others = self.sites[self._site_index[link]].background_load
         return (
             f"A step takes {values.step * self.target_seconds:.3f} s of "
             f"{self.target_seconds:.3f} s by {where}, which others fill to {others:.0%}."
--- a/thymeknot/gang_scheduling/placement_search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -12,7 +12,7 @@
 from ..interface.clock import Ticks
 from .jobs import Gang
 from .placement_score import RackCounts, RackIndex, Score, Scorer, Weights
-from .topology import Places
+from .topology import Topology
 
 MAX_EXACT_DISTRIBUTIONS = 3_000  # ways to distribute the workers, up to which all are searched
 MAX_EVALUATIONS = 700  # scores that the heuristic's improvement may ask for: 30 to 60 us each
@@ -28,12 +28,12 @@
     """A proposed placement.
 
     Attributes:
-        places: {machine: workers}.
+        placement: {machine: workers}.
         versions: {rack: version that was scored}.
         score: Why here and not elsewhere.
     """
 
-    places: dict[str, int]
+    placement: dict[str, int]
     versions: dict[str, int]
     score: Score
 
@@ -53,33 +53,33 @@
 
 
 def find_placement(
-    places: Places,
+    topology: Topology,
     gang: Gang,
     now: Ticks,
     weights: Weights | None = None,
-    how: SearchMethod | None = None,
+    search: SearchMethod | None = None,
 ) -> Plan | None:
     """Finds a placement for a gang.
 
     Args:
-        places: Racks, with what other gangs put on the uplinks.
+        topology: Racks, with what other gangs put on the uplinks.
         gang: The gang.
         now: Agreed time.
         weights: Weights of the score's terms.
-        how: The search; `choose_search` if it is None.
+        search: The search method; `choose_search` if it is None.
 
     Returns:
         A plan, or None if the gang fits nowhere now.
     """
-    scorer = Scorer(places, gang, now, weights)
-    counts = (how or choose_search)(scorer)
+    scorer = Scorer(topology, gang, now, weights)
+    counts = (search or choose_search)(scorer)
     return plan_of(scorer, counts) if counts else None
 
 
 def scored_versions(scorer: Scorer, counts: RackCounts) -> dict[str, int]:
     """Returns {rack: version that was scored} of a placement."""
-    racks = scorer.places.racks
-    return {scorer.names[index]: racks[scorer.names[index]].version for index in counts}
+    racks = scorer.topology.racks
+    return {scorer.rack_names[index]: racks[scorer.rack_names[index]].version for index in counts}
 
 
 def plan_of(scorer: Scorer, counts: RackCounts) -> Plan:
@@ -87,8 +87,8 @@
     picked: dict[str, int] = {}
     for index, workers in counts.items():
         picked.update(
-            scorer.places.pick_machines(
-                scorer.names[index], scorer.shape, workers, scorer.expected_end
+            scorer.topology.pick_machines(
+                scorer.rack_names[index], scorer.shape, workers, scorer.expected_end
             )
         )
     return Plan(picked, scored_versions(scorer, counts), scorer.explain(counts))
@@ -192,7 +192,7 @@
 
 
 def _spread(scorer: Scorer, racks: list[RackIndex]) -> RackCounts | None:
-    """Places the same number in each rack as far as they fit; None if not all are placed."""
+    """Topology the same number in each rack as far as they fit; None if not all are placed."""
     counts: RackCounts = {}
     left = scorer.workers
     for done, index in enumerate(sorted(racks, key=lambda index: scorer.capacity[index])):
@@ -209,14 +209,14 @@
     everywhere = -1
     sites: dict[int, list[RackIndex]] = {}
     for index in usable:
-        for site in (scorer.zone_site[index], scorer.cluster_site[index], everywhere):
+        for site in (scorer.rack_zone[index], scorer.rack_cluster[index], everywhere):
             sites.setdefault(site, []).append(index)
     return list(sites.values())
 
 
 def _load_with_gang(scorer: Scorer, index: RackIndex) -> float:
     """Returns about what the rack's uplink would carry with a part of the gang in it."""
-    return scorer.rack_load[index] + scorer.rack_rate[index] * scorer.gang.bytes
+    return scorer.rack_background_load[index] + scorer.rack_load_per_byte[index] * scorer.gang.bytes
 
 
 def _rack_orders(scorer: Scorer, racks: list[RackIndex]) -> Iterator[list[RackIndex]]:
@@ -303,9 +303,9 @@
 
 def _near_racks(scorer: Scorer, counts: RackCounts, ranked: list[RackIndex]) -> list[RackIndex]:
     """Returns the placement's racks, some of its zones, and the best of anywhere."""
-    zones = {scorer.zone_site[index] for index in counts}
+    zones = {scorer.rack_zone[index] for index in counts}
     in_zones = [
-        index for index in ranked if index not in counts and scorer.zone_site[index] in zones
+        index for index in ranked if index not in counts and scorer.rack_zone[index] in zones
     ]
     near = list(counts) + in_zones[:MAX_RACKS_IN_ZONES]
     return near + [index for index in ranked if index not in near][:MAX_RACKS_ELSEWHERE]
@@ -382,12 +382,12 @@
     return fit
 
 
-def packing(scorer: Scorer) -> RackCounts | None:
+def pack_fullest_first(scorer: Scorer) -> RackCounts | None:
     """Fills the racks that are fullest already first: a baseline."""
     racks = range(len(scorer.capacity))
     return _fill(scorer, sorted(racks, key=lambda index: (scorer.capacity[index], index)))
 
 
-def spreading(scorer: Scorer) -> RackCounts | None:
+def spread_evenly(scorer: Scorer) -> RackCounts | None:
     """Spreads the workers evenly over all racks: a baseline."""
     return _spread(scorer, _usable_racks(scorer))
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -41,11 +41,11 @@
 )
 from .fairness import SHARE_UNITS, Fairness
 from .gang_lifecycle import GangLifecycle
-from .gang_state import STATES_WITH_SLOTS, GangInput, GangLife, GangState, Snapshot
+from .gang_state import STATES_WITH_SLOTS, GangInput, GangRecord, GangState, Snapshot
 from .jobs import ReplacementMethod, validation_error
 from .placement_score import add_traffic
 from .settings import GangSettings
-from .topology import MachineAlreadyPlacedError, Places
+from .topology import DuplicateMachineError, Topology
 
 MAX_PARSE_ERROR_LENGTH = 200  # characters of a parser's message in a reply
 STALE_RETRY_TICKS = TICKS_PER_SECOND // 100  # a new score is quick
@@ -134,16 +134,16 @@
 
     # For schedulers, which only read.
 
-    def view(self) -> Places:
+    def topology_with_traffic(self) -> Topology:
         """Returns the racks with the traffic of each gang that runs or is about to.
 
         It is valid until the next command.
         """
-        places = self.state.places
-        places.carried.clear()
+        places = self.state.topology
+        places.link_traffic.clear()
         for life in self.state.gangs.values():
             if life.state in STATES_WITH_SLOTS and life.state != GangState.DEGRADED:
-                add_traffic(places, life.gang, places.workers_by_rack(life.places))
+                add_traffic(places, life.gang, places.workers_by_rack(life.placement))
         return places
 
     def queue(self) -> list[str]:
@@ -154,10 +154,10 @@
     # Commands about racks and machines.
 
     def _add_rack(self, command: AddRack) -> None:
-        if command.rack in self.state.places.racks:
+        if command.rack in self.state.topology.racks:
             raise CommandRejectedError(f"Rack {command.rack} stands already.")
         try:
-            self.state.places.add_rack(
+            self.state.topology.add_rack(
                 command.rack,
                 command.zone,
                 command.cluster,
@@ -165,11 +165,11 @@
                 command.machines,
                 link=command.link,
             )
-        except MachineAlreadyPlacedError as error:
+        except DuplicateMachineError as error:
             raise CommandRejectedError(str(error)) from None
 
     def _set_uplink(self, command: SetUplink) -> None:
-        self.state.places.uplinks[command.of] = command.bandwidth
+        self.state.topology.uplinks[command.of] = command.bandwidth
 
     def _set_share(self, command: SetShare) -> None:
         shares = self.state.shares
@@ -185,13 +185,13 @@
         for machine in command.machines:
             self._check_machine(machine)
         for machine in command.machines:
-            self.state.places.host(machine).planned = command.at
-            self.state.places.mark_changed(machine)
+            self.state.topology.host(machine).planned_removal = command.at
+            self.state.topology.mark_changed(machine)
 
     def _report_loss(self, command: ReportLoss) -> Reply:
         if command.kind == LossKind.WORKER:
             return self._lose_worker(command)
-        places = self.state.places
+        places = self.state.topology
         if command.kind == LossKind.RACK:
             if command.name not in places.racks:
                 raise CommandRejectedError(f"No rack {command.name} stands here.")
@@ -206,7 +206,7 @@
 
     def _lose_worker(self, command: ReportLoss) -> Reply:
         life = self.lifecycle.find(command.gang)
-        if not life.places.get(command.name):
+        if not life.placement.get(command.name):
             raise CommandRejectedError(
                 f"Gang {command.gang} has no worker on {command.name}.", [command.gang]
             )
@@ -215,11 +215,11 @@
 
     def _report_recovery(self, command: ReportRecovery) -> None:
         self._check_machine(command.machine)
-        host = self.state.places.host(command.machine)
+        host = self.state.topology.host(command.machine)
         host.gone = False
         host.closed = ""
-        host.planned = 0
-        self.state.places.mark_changed(command.machine, total_changed=True)
+        host.planned_removal = 0
+        self.state.topology.mark_changed(command.machine, total_changed=True)
 
     def _request_drain(self, command: RequestDrain) -> Reply:
         """Empties a machine, which takes no new workers from now on.
@@ -228,17 +228,17 @@
         """
         machine = command.machine
         self._check_machine(machine)
-        host = self.state.places.host(machine)
+        host = self.state.topology.host(machine)
         if host.closed and host.closed != command.drain:
             raise CommandRejectedError(
                 f"Machine {machine} is drain {host.closed}'s already.", [host.closed]
             )
         host.closed = command.drain
-        self.state.places.mark_changed(machine)
+        self.state.topology.mark_changed(machine)
         waits = {
             name: self._drain_wait(life)
             for name, life in self.state.gangs.items()
-            if machine in life.places and not self._may_drain(life, command)
+            if machine in life.placement and not self._may_drain(life, command)
         }
         if waits:
             raise CommandRejectedError(
@@ -248,17 +248,17 @@
             )
         return {"gangs": self.lifecycle.take_off([machine], GangInput.TAKEN)}
 
-    def _may_drain(self, life: GangLife, command: RequestDrain) -> bool:
+    def _may_drain(self, life: GangRecord, command: RequestDrain) -> bool:
         """Returns whether a drain may take a gang's workers off a machine now."""
         if life.state in (GangState.DEGRADED, GangState.RESERVED):
             return True  # it stands still, or was never told of its places
         if life.state != GangState.RUNNING:
             return False
-        placed = sum(life.places.values())
-        out = life.gang.workers - placed + life.places[command.machine]
+        placed = sum(life.placement.values())
+        out = life.gang.workers - placed + life.placement[command.machine]
         return life.saved == self.state.at or (command.unit and out <= life.gang.spare)
 
-    def _drain_wait(self, life: GangLife) -> Ticks:
+    def _drain_wait(self, life: GangRecord) -> Ticks:
         """Returns the ticks until a gang's next checkpoint or the end of its lease."""
         if life.state == GangState.RUNNING:
             return life.saved + life.gang.checkpoint - self.state.at
@@ -281,7 +281,7 @@
             raise CommandRejectedError(
                 "Too many gangs are here already.", again=self.settings.again_most
             )
-        capacity = state.places.total_capacity(command.job.resource_shape())
+        capacity = state.topology.total_capacity(command.job.resource_shape())
         if capacity < command.job.workers:
             raise CommandRejectedError(
                 f"All machines together have room for {capacity} of its "
@@ -289,7 +289,7 @@
                 [name],
             )
         state.number += 1
-        state.gangs[name] = GangLife(command.job, state.number, state.at)
+        state.gangs[name] = GangRecord(command.job, state.number, state.at)
 
     def _reserve(self, command: Reserve) -> Reply:
         name = command.gang
@@ -304,10 +304,10 @@
                 [name],
                 life.again - self.state.at,
             )
-        _check_all_or_none(name, life, command.places)
-        self._check_capacity(life, command.places, command.versions)
-        self._fairness.check_turn(name, life, command.places)
-        life = self.lifecycle.transition(name, GangInput.RESERVE, places=command.places)
+        _check_all_or_none(name, life, command.placement)
+        self._check_capacity(life, command.placement, command.versions)
+        self._fairness.check_turn(name, life, command.placement)
+        life = self.lifecycle.transition(name, GangInput.RESERVE, placement=command.placement)
         return {"fence": life.fence, "until": life.lease}
 
     def _bind(self, command: Bind) -> Reply:
@@ -331,8 +331,8 @@
             return {"next": "yield"}
         closed = {
             machine: workers
-            for machine, workers in life.places.items()
-            if self.state.places.host(machine).closed
+            for machine, workers in life.placement.items()
+            if self.state.topology.host(machine).closed
         }
         if closed:
             self.lifecycle.transition(name, GangInput.TAKEN, dropped=closed)
@@ -341,7 +341,7 @@
 
     def _replace_workers(self, command: ReplaceWorkers) -> Reply:
         name = command.gang
-        places = command.places
+        places = command.placement
         life = self._check_fence(command)
         if life.state != GangState.DEGRADED:
             raise CommandRejectedError(f"Gang {name} is {life.state}, not hurt.", [name])
@@ -349,14 +349,16 @@
         for machine in places:
             self._check_machine(machine)
         more = {
-            machine: workers - life.places.get(machine, 0)
+            machine: workers - life.placement.get(machine, 0)
             for machine, workers in places.items()
-            if workers > life.places.get(machine, 0)
+            if workers > life.placement.get(machine, 0)
         }
         self._check_capacity(life, more, command.versions)
-        stays = all(places.get(machine, 0) >= workers for machine, workers in life.places.items())
-        method = ReplacementMethod.IN_PLACE if life.places and stays else ReplacementMethod.WHOLE
-        life = self.lifecycle.transition(name, _INPUT_OF_METHOD[method], places=places)
+        stays = all(
+            places.get(machine, 0) >= workers for machine, workers in life.placement.items()
+        )
+        method = ReplacementMethod.IN_PLACE if life.placement and stays else ReplacementMethod.WHOLE
+        life = self.lifecycle.transition(name, _INPUT_OF_METHOD[method], placement=places)
         return {"way": method.value, "fence": life.fence, "until": life.lease}
 
     def _withdraw(self, command: Withdraw) -> None:
@@ -384,10 +386,10 @@
         self.lifecycle.expire_leases()
 
     def _check_capacity(
-        self, life: GangLife, places: Mapping[str, int], versions: Mapping[str, int]
+        self, life: GangRecord, places: Mapping[str, int], versions: Mapping[str, int]
     ) -> None:
         """Rejects unless the places have capacity and their racks are as they were scored."""
-        known = self.state.places
+        known = self.state.topology
         for machine in places:
             self._check_machine(machine)
         racks = sorted(known.workers_by_rack(places))
@@ -412,7 +414,7 @@
                 self.settings.again,
             )
 
-    def _check_fence(self, command: FencedCommand) -> GangLife:
+    def _check_fence(self, command: FencedCommand) -> GangRecord:
         """Returns the gang, if the command has the fencing token of its latest placement."""
         life = self.lifecycle.find(command.gang)
         if command.fence != life.fence:
@@ -423,11 +425,11 @@
         return life
 
     def _check_machine(self, machine: str) -> None:
-        if machine not in self.state.places.where:
+        if machine not in self.state.topology.where:
             raise CommandRejectedError(f"No machine {machine} stands here.")
 
 
-def _check_all_or_none(name: str, life: GangLife, places: Mapping[str, int]) -> None:
+def _check_all_or_none(name: str, life: GangRecord, places: Mapping[str, int]) -> None:
     placed = sum(places.values())
     if placed != life.gang.workers:
         raise CommandRejectedError(
--- a/thymeknot/gang_scheduling/topology.py
+++ b/thymeknot/gang_scheduling/topology.py
@@ -18,7 +18,7 @@
 MAX_CACHED_TOTALS = 256  # entries by shape; the cache is emptied beyond it
 
 
-class MachineAlreadyPlacedError(ValueError):
+class DuplicateMachineError(ValueError):
     """A new rack names a machine that is in another rack."""
 
 
@@ -32,7 +32,7 @@
         left: Amount of each resource that is free.
         closed: Name of the drain that asked for the machine, or empty.
         gone: Whether the machine is lost.
-        planned: Agreed time in ticks at which it is to go by plan, 0 if never.
+        planned_removal: Agreed time in ticks at which it is to go by plan, 0 if never.
     """
 
     slots: int
@@ -41,7 +41,7 @@
     left: dict[str, int]
     closed: str = ""
     gone: bool = False
-    planned: int = 0
+    planned_removal: int = msgspec.field(default=0, name="planned")
 
     def capacity(self, shape: ResourceShape) -> int:
         """Returns how many more workers fit; none on a machine that drains or is lost."""
@@ -90,7 +90,7 @@
     slots: int = 0
 
 
-class Stated(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
+class MachineSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
     """A machine as the operator states it.
 
     Attributes:
@@ -116,7 +116,7 @@
     total: int
 
 
-class Places(msgspec.Struct, dict=True):
+class Topology(msgspec.Struct, dict=True):
     """All racks and the uplinks above them. Its field names are stored keys.
 
     Attributes:
@@ -138,7 +138,7 @@
         self._totals: dict[ResourceShape, tuple[int, int]] = {}  # shape: (stood, workers)
         self._order: list[str] | None = None
         # Bytes a second that placed gangs send over each uplink, kept by `placement_score`.
-        self.carried: dict[str, float] = {}
+        self.link_traffic: dict[str, float] = {}
 
     def add_rack(
         self,
@@ -146,18 +146,18 @@
         zone: str,
         cluster: str,
         bandwidth: int,
-        machines: Mapping[str, Stated],
+        machines: Mapping[str, MachineSpec],
         *,
         link: int = DEFAULT_HOST_LINK,
     ) -> None:
         """Adds a rack of machines by name.
 
         Raises:
-            MachineAlreadyPlacedError: A machine is in a rack already.
+            DuplicateMachineError: A machine is in a rack already.
         """
         for machine in machines:
             if machine in self.where:
-                raise MachineAlreadyPlacedError(
+                raise DuplicateMachineError(
                     f"Machine {machine} stands in rack {self.where[machine]} already."
                 )
         hosts = {
@@ -263,7 +263,7 @@
             usable = {
                 machine: capacity
                 for machine, capacity in capacities.items()
-                if (0 < hosts[machine].planned < until) == planned
+                if (0 < hosts[machine].planned_removal < until) == planned
             }
             while workers and usable:
                 capacity, machine = _closest(usable, workers)
--- a/thymeknot/gang_scheduling/worker_replacement.py
+++ b/thymeknot/gang_scheduling/worker_replacement.py
@@ -7,7 +7,7 @@
 from .jobs import Gang, ReplacementMethod
 from .placement_score import RackCounts, RackIndex, Scorer, Weights
 from .placement_search import Plan, choose_search, plan_of, scored_versions
-from .topology import Places
+from .topology import Topology
 
 MAX_REPLACEMENT_RACKS = 8  # racks that are scored for each replaced worker
 RESTART_TICKS = 300_000  # 30 s, that a worker takes to load its state
@@ -27,7 +27,7 @@
 
 
 def replace_failed_workers(
-    places: Places,
+    topology: Topology,
     gang: Gang,
     now: Ticks,
     left: Mapping[str, int],
@@ -43,7 +43,7 @@
     only a few, and what the two placements are worth in each step of the rest of the run.
 
     Args:
-        places: Racks, with what other gangs put on the uplinks.
+        topology: Racks, with what other gangs put on the uplinks.
         gang: The gang.
         now: Agreed time.
         left: {machine: workers} that are left.
@@ -57,10 +57,10 @@
     """
     remaining = remaining or gang.lasts
     missing = gang.workers - sum(left.values())
-    scorer = Scorer(places, gang, now, weights)
-    index = {name: position for position, name in enumerate(scorer.names)}
-    own = {index[name]: workers for name, workers in places.workers_by_rack(left).items()}
-    own_scorer = _scorer_with_own_slots(places, gang, now, weights, own)
+    scorer = Scorer(topology, gang, now, weights)
+    index = {name: position for position, name in enumerate(scorer.rack_names)}
+    own = {index[name]: workers for name, workers in topology.workers_by_rack(left).items()}
+    own_scorer = _scorer_with_own_slots(topology, gang, now, weights, own)
     ways: list[tuple[float, ReplacementMethod, RackCounts]] = []
     patched = _add_workers(scorer, own_scorer, own, missing)
     if patched is not None:
@@ -85,10 +85,10 @@
 
 
 def _scorer_with_own_slots(
-    places: Places, gang: Gang, now: Ticks, weights: Weights | None, own: RackCounts
+    topology: Topology, gang: Gang, now: Ticks, weights: Weights | None, own: RackCounts
 ) -> Scorer:
     """Returns a scorer that counts the slots of the gang's own workers as capacity."""
-    scorer = Scorer(places, gang, now, weights)
+    scorer = Scorer(topology, gang, now, weights)
     for index, workers in own.items():
         scorer.capacity[index] += workers
         scorer.unplanned_capacity[index] += workers
@@ -115,7 +115,7 @@
 
 def _replacement_racks(scorer: Scorer, own: RackCounts, counts: RackCounts) -> list[RackIndex]:
     """Returns the racks that are worth a score for one more worker, nearest first."""
-    zones = {scorer.zone_site[index] for index in counts}
+    zones = {scorer.rack_zone[index] for index in counts}
     free = [
         index
         for index, capacity in enumerate(scorer.capacity)
@@ -124,8 +124,8 @@
     free.sort(
         key=lambda index: (
             index not in counts,
-            scorer.zone_site[index] not in zones,
-            scorer.rack_load[index],
+            scorer.rack_zone[index] not in zones,
+            scorer.rack_background_load[index],
             -scorer.capacity[index],
         )
     )
@@ -140,8 +140,8 @@
     for index, workers in counts.items():
         more = workers - own.get(index, 0)
         if more:
-            picked = scorer.places.pick_machines(
-                scorer.names[index], scorer.shape, more, scorer.expected_end
+            picked = scorer.topology.pick_machines(
+                scorer.rack_names[index], scorer.shape, more, scorer.expected_end
             )
             for machine, some in picked.items():
                 machines[machine] = machines.get(machine, 0) + some
