--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -304,7 +304,7 @@
 
     def test_a_client_that_has_gone_and_is_not_noticed(self):
         with (
-            mock.patch.object(ClientRequests, "gone", lambda self, connection: None),
+            mock.patch.object(ClientRequests, "client_disconnected", lambda self, connection: None),
             self.assertRaises(Wrong) as found,
         ):
             play(
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -103,7 +103,7 @@
         (5, 1, 4, 7, 10, 50, 3, 24),
         """
 from thymeknot.proxy.client_requests import ClientRequests
-ClientRequests.gone = lambda self, connection: None
+ClientRequests.client_disconnected = lambda self, connection: None
 from thymeknot.proxy import proxy
 proxy.close_if_client_gone = lambda request: None
 """,
@@ -132,7 +132,7 @@
         (1, 2),
         """
 from thymeknot.proxy.graceful_shutdown import GracefulShutdown
-GracefulShutdown.end_if_empty = lambda self: None
+GracefulShutdown.notify_if_drained = lambda self: None
 """,
     ),
     "an end with a status": Planted(
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -575,7 +575,7 @@
             "drain": lambda network: network.update_endpoints(
                 endpoint_entry("s-1", build=42, state="Terminating")
             ),
-            "gone from a whole list": lambda network: network.proxy.endpoints.take_up(
+            "gone from a whole list": lambda network: network.proxy.endpoints.apply(
                 discovery.read_list(
                     {"version": 9, "full": True, "servers": [endpoint_entry("s-2", build=42)]}, 0
                 ),
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -147,7 +147,7 @@
         )
 
     def update_endpoints(self, *entries):
-        self.proxy.endpoints.take_up(
+        self.proxy.endpoints.apply(
             configuration.discovery.read_list({"version": 9, "servers": list(entries)}, 0), "again"
         )
 
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -186,7 +186,7 @@
 
     def connection_became_idle(self) -> None:
         """Resumes accepting: an idle connection can now be evicted for the next one."""
-        if self.accepting_paused and not self.shutdown.began():
+        if self.accepting_paused and not self.shutdown.is_draining():
             self.accepting_paused = False
             self.port.startReading()
         elif self.accepting_paused and self.listening:
@@ -198,4 +198,4 @@
             self.clients.remove(connection.slot)
         self.client_gone(connection)
         self.connection_became_idle()
-        self.shutdown.end_if_empty()
+        self.shutdown.notify_if_drained()
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -52,7 +52,7 @@
         self.timers = proxy.timers
         self.clock = proxy.clock
 
-    def gone(self, connection: ClientConnection) -> None:
+    def client_disconnected(self, connection: ClientConnection) -> None:
         """Ends the requests of a connection whose client has stopped waiting."""
         proxy = self.proxy
         for request in self.table.by_slot if connection.pending_responses else ():
@@ -69,18 +69,18 @@
                 self.table.remember(request, request_class.idempotency)
                 self.table.release(request)
 
-    def take(self, connection: ClientConnection, place: int, command: Command) -> None:
+    def accept(self, connection: ClientConnection, place: int, command: Command) -> None:
         """Accepts a request, or responds at once with the reason for refusing it."""
         name = command.id.decode()
         request_class = self.proxy.settings.request_classes.get(command.request_class)
         if request_class is None:
             connection.answer(place, UNKNOWN_CLASS_RESPONSE)
             return
-        self._notice_if_first_client_is_gone(name)
+        self._release_if_first_client_gone(name)
         if connection.client_gone:  # the earlier request came over this connection
             return
         if name in self.table.by_id or name in self.table.may_have_run:
-            self._take_repeat(name, connection, place, command)
+            self._accept_repeat(name, connection, place, command)
             return
         left = self._time_left(command, request_class)
         if self._is_full() or left <= 0:
@@ -88,7 +88,7 @@
             return
         self._begin(name, connection, place, command, left)
 
-    def _notice_if_first_client_is_gone(self, name: str) -> None:
+    def _release_if_first_client_gone(self, name: str) -> None:
         """Releases an earlier request with this id if its client has disconnected."""
         earlier = self.table.find(name) if name in self.table.by_id else None
         if earlier is not None:
@@ -133,7 +133,7 @@
             )
         )
 
-    def _take_repeat(
+    def _accept_repeat(
         self, name: str, connection: ClientConnection, place: int, command: Command
     ) -> None:
         """Handles a request whose id was used before.
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -87,13 +87,13 @@
         else:
             self.watch.start()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Switches to this address; calls in progress finish at the previous one."""
         if address != self.discovery.address:
             self.discovery = self.proxy.caller(address)
             self.watch.move(self.discovery)
 
-    def take_up(self, listing: discovery.EndpointListing, source: Address) -> None:
+    def apply(self, listing: discovery.EndpointListing, source: Address) -> None:
         """Applies a list that this address sent.
 
         Raises:
@@ -183,7 +183,7 @@
                         yield discovery.read_list(told, self.proxy.epoch)
 
             for listing in discovery.merge_deltas(listings()):
-                self.take_up(listing, source)
+                self.apply(listing, source)
             return alive
 
         return read
@@ -207,7 +207,7 @@
                 raise discovery.UnreadableListError(
                     f"status {end.status}" if isinstance(end, Reply) else end.reason
                 )
-            self.take_up(discovery.read_json(end.body, self.proxy.epoch), source)
+            self.apply(discovery.read_json(end.body, self.proxy.epoch), source)
         except Exception as error:  # the engine needs exactly one result of the fetch
             structured_log.log("endpoint list not fetched", error=str(error)[:MAX_REASON_LENGTH])
             self.proxy.handle_events(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -47,7 +47,7 @@
         self._undrain_token: object | None = None  # the latest undrain, until a drain
         listener.shutdown = self
 
-    def began(self) -> bool:
+    def is_draining(self) -> bool:
         """Returns whether no new work is accepted."""
         return self.on_drained is not None
 
@@ -148,14 +148,14 @@
         self._finish_timer = None
         for connection in self.listener.clients:
             connection.finish()
-        self.end_if_empty()
+        self.notify_if_drained()
 
     def _close_lingering(self) -> None:
         """Closes connections that still wait for their client to close: the process is ending."""
         for connection in self.listener.clients:
             connection.stop_lingering()
 
-    def end_if_empty(self) -> None:
+    def notify_if_drained(self) -> None:
         """Calls `on_drained`, once, if the port and all connections are closed."""
         if self.on_drained and not self.listener.clients and not self.listener.listening:
             on_drained = self.on_drained
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -119,8 +119,8 @@
             start.listen,
             sockets=start.sockets,
             max_clients=budget.clients,
-            request_received=self.client_requests.take,
-            client_gone=self.client_requests.gone,
+            request_received=self.client_requests.accept,
+            client_gone=self.client_requests.client_disconnected,
         )
         self.shutdown = GracefulShutdown(self.listener)
         self.exposure = TrialExposure(start.settings)
@@ -170,8 +170,8 @@
             The changed keys that need a restart to take effect. `known` and `deployer.news` are
             never among them, since they only describe the state at start.
         """
-        self.endpoints.move(start.discovery)
-        self.releases.move(start.platform)
+        self.endpoints.change_address(start.discovery)
+        self.releases.change_address(start.platform)
         return sorted(
             {
                 key
@@ -188,7 +188,7 @@
         """
         if on_data is not None:
             self.endpoints.notify_on_data(on_data)
-        self.endpoints.take_up(self.start.known, self.endpoints.discovery.address)
+        self.endpoints.apply(self.start.known, self.endpoints.discovery.address)
         self.handle_events(self.start.news)
         self.endpoints.start()
         self.releases.start()
@@ -264,7 +264,7 @@
 
     def _handle_event(self, event: Event) -> None:
         if type(event) is ReleaseUpdate:
-            self.releases.take_up(event)
+            self.releases.apply(event)
         try:
             actions = self.engine.handle(self.clock(), [event])
         except Exception as error:  # fails the request of this event, not the process
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -73,13 +73,13 @@
         """Subscribes to the platform."""
         self.stream.start()
 
-    def move(self, address: Address) -> None:
+    def change_address(self, address: Address) -> None:
         """Switches to this address; calls in progress finish at the previous one."""
         if address != self.platform.address:
             self.platform = self.proxy.caller(address)
             self.stream.move(self.platform)
 
-    def take_up(self, update: ReleaseUpdate) -> None:
+    def apply(self, update: ReleaseUpdate) -> None:
         """Stores an update before the engine handles it.
 
         A lower cap or another phase also applies to attempts that still wait for a connection.
