--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -588,11 +588,11 @@
         self.assertEqual([held.id for held in network.proxy.requests_in_flight], ["01"])
         network.ask("03", connection=client)  # the kill may come at any moment
         self.assertEqual([held.id for held in network.proxy.requests_in_flight], ["01"])
-        connection = network.connect(network.streams)
+        connection = network.connect(network.initial_dials)
         connection.resumeProducing()
         connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n-BUSY 500\r\n-BUSY\r\n")
-        self.assertEqual(network.closes(client), [(True, True)])
+        self.assertEqual(network.close_states(client), [(True, True)])
 
     def test_new_connections_that_were_held_off_are_taken_once_one_rests(self):
         class Port:
@@ -617,10 +617,10 @@
                 client.dataReceived(
                     command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9]
                 )
-                client.transport.stale = True
+                client.transport.has_unread_data = True
         network.client()
         self.assertFalse(network.proxy.listener.port.on)
-        connection = network.connect(network.streams)
+        connection = network.connect(network.initial_dials)
         connection.resumeProducing()
         connection.dataReceived(VALUE_RESPONSE)
         self.assertTrue(network.proxy.listener.port.on)
@@ -634,12 +634,12 @@
         network.proxy.settings = network.proxy.engine.context.settings = (
             network.proxy.settings._replace(cancellation_allowed=recalls)
         )
-        first = network.ask("01", lane=lane)
-        connection = network.connect(network.streams)
+        first = network.ask("01", request_class=lane)
+        connection = network.connect(network.initial_dials)
         if written:
             connection.resumeProducing()
         first.connectionLost(None)
-        return network, connection, network.ask("01", lane=lane)
+        return network, connection, network.ask("01", request_class=lane)
 
     def test_the_copy_gets_what_the_first_one_brings_and_nothing_runs_twice(self):
         for lane in ("read", "mark", "pay"):
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -986,7 +986,7 @@
                 2
             ].current.dataReceived(encode_chunk(gone + back))
             self.assertEqual(network.dialled_ports().count(7001), dialled)
-        self.assertEqual(network.connect(network.streams).transport.value(), b"")
+        self.assertEqual(network.connect(network.initial_dials).transport.value(), b"")
         self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
 
 
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -68,7 +68,7 @@
     def test_partially_written_attempt_ends_once(self):
         for end, outcome in (("time", Outcome.CONNECT_FAILED), ("client", Outcome.CANCELLED)):
             network = Network(endpoint_entry("s-1"))
-            ends, client = counted(network), network.ask(left=200)
+            ends, client = counted(network), network.ask(timeout_ms=200)
             connection = network.connect()
             if end == "time":
                 pass_on(network, 0.2)
@@ -83,7 +83,7 @@
     def test_attempt_abandoned_while_the_endpoint_closes_ends_once(self):
         for end, outcome in (("time", Outcome.TIMED_OUT), ("client", Outcome.CANCELLED)):
             network = Network(endpoint_entry("s-1"))
-            ends, client = counted(network), network.ask(left=200)
+            ends, client = counted(network), network.ask(timeout_ms=200)
             connection = network.connect()
             connection.resumeProducing()
             connection.transport.__class__ = Broken
@@ -104,7 +104,7 @@
         deadlines.wake = lambda seconds, *call: (
             turns.append(call) if not seconds else wake(seconds, *call)
         )
-        client = network.ask(left=200)
+        client = network.ask(timeout_ms=200)
         connection = network.connect()
         connection.resumeProducing()
         network.reactor.advance(0.2)
@@ -117,7 +117,7 @@
         network = Network(
             endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
         )
-        client = network.ask(left=200)
+        client = network.ask(timeout_ms=200)
         connection = network.connect()
         connection.resumeProducing()
         pass_on(network, 0.2)
@@ -268,7 +268,7 @@
 
     def test_response_before_the_last_byte_was_written_does_not_count(self):
         network = Network(endpoint_entry("s-1"))
-        client = network.ask("01", lane="pay")
+        client = network.ask("01", request_class="pay")
         connection = network.connect()
         connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual((client.transport.value(), connection.transport.disconnected), (b"", True))
@@ -284,7 +284,10 @@
         for change in ({"build": 40}, {"started_ms": 9}):
             network = Network(endpoint_entry("s-1"))
             clients = [network.ask(name) for name in ("01", "02")]
-            idle, out = network.connect(network.streams), network.connect(network.streams + 1)
+            idle, out = (
+                network.connect(network.initial_dials),
+                network.connect(network.initial_dials + 1),
+            )
             for connection in (idle, out):
                 connection.resumeProducing()
             idle.dataReceived(VALUE_RESPONSE)
@@ -292,7 +295,7 @@
             network.proxy.engine.pinned_keys.clear()  # else the key stays with the former build
             network.update_endpoints(endpoint_entry("s-1", **change))
             self.assertTrue(idle.transport.disconnecting)
-            self.assertEqual(network.connect(network.streams + 2).transport.value(), b"")
+            self.assertEqual(network.connect(network.initial_dials + 2).transport.value(), b"")
             self.assertEqual(pods_dialled(network), [7001] * 4)
             new = network.connect()
             self.assertIn(b"$2\r\n03\r\n", new.transport.value())
@@ -320,7 +323,9 @@
                 if chance.random() < a_second / 200:
                     network.ask(f"{step}", connection=client)
                 clients = [
-                    one for one in network.reactor.tcpClients[network.streams :] if one[1] > 7000
+                    one
+                    for one in network.reactor.tcpClients[network.initial_dials :]
+                    if one[1] > 7000
                 ]
                 for dialled in clients[connected:]:
                     connection = dialled[2].buildProtocol(None)
@@ -456,7 +461,7 @@
             network = Network(
                 endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
             )
-            ends, client = counted(network), network.ask("01", lane="pay")
+            ends, client = counted(network), network.ask("01", request_class="pay")
             connection = network.connect()
             connection.resumeProducing()
             connection.dataReceived(VALUE_RESPONSE[:at])
@@ -494,7 +499,7 @@
         network = Network(endpoint_entry("s-1"))
         lanes = network.proxy.settings.request_classes
         lanes[lane] = lanes[lane]._replace(deduplication_window=window)
-        client = network.ask("01", lane=lane)
+        client = network.ask("01", request_class=lane)
         connection = network.connect()
         connection.resumeProducing()
         pass_on(network, 0.9)
@@ -539,7 +544,7 @@
         for reached in ("written", "in part", "not connected"):
             network = Network(endpoint_entry("s-1"))
             network.proxy.engine.handle = lambda *_: []
-            network.ask("01", lane="pay")
+            network.ask("01", request_class="pay")
             network.proxy._execute([SendAttempt("01", "s-1", 20_000)])
             if reached == "not connected":
                 network.refuse()
@@ -566,7 +571,7 @@
         connection = network.connect() if written else None
         change(network)
         if connection is None:
-            return network.connect(network.streams).transport.value()
+            return network.connect(network.initial_dials).transport.value()
         self.assertNotEqual(connection.transport.value(), b"")
         return b"" if connection.transport.disconnected else connection.transport.value()
 
@@ -630,7 +635,7 @@
         self.assertEqual(
             pods_dialled(network), [7001, 8001]
         )  # at once, not when the former dial ends
-        self.assertEqual(network.connect(network.streams).transport.value(), b"")
+        self.assertEqual(network.connect(network.initial_dials).transport.value(), b"")
         self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
         self.assertEqual(
             len(network.proxy.pools), 2
@@ -649,7 +654,7 @@
             network.proxy.engine.context.settings = network.proxy.settings._replace(
                 sticky_keys=keys_stay
             )
-            network.ask("01", lane="pay")
+            network.ask("01", request_class="pay")
             self.assertEqual(pods_dialled(network), [7001])
             network.proxy.handle_events(
                 LateResponseSeen("key", 42)
@@ -691,12 +696,12 @@
             network.proxy.pools.connection_limits = network.proxy.connection_limits._replace(
                 idle_timeout=idle
             )
-            network.ask("01", lane="pay")
+            network.ask("01", request_class="pay")
             connection = network.connect()
             connection.resumeProducing()
             connection.dataReceived(VALUE_RESPONSE)
             network.reactor.advance(waits)
-            network.ask("02", lane="pay")
+            network.ask("02", request_class="pay")
             self.assertEqual(len(pods_dialled(network)), dialled, (idle, waits))
             self.assertEqual(connection.transport.disconnecting, dialled == 2)
 
@@ -741,7 +746,7 @@
                 network.proxy,
                 network.client(),
                 [],
-                network.streams,
+                network.initial_dials,
                 0,
             )
             proxy.pools.connection_limits = proxy.connection_limits._replace(
@@ -891,7 +896,7 @@
     def test_new_connection_with_unread_data_fails_its_attempt(self):
         network = Network(endpoint_entry("s-1"))
         ends = counted(network)
-        network.ask("01", lane="pay")
+        network.ask("01", request_class="pay")
         connection = network.reactor.tcpClients[-1][2].buildProtocol(None)
         connection.makeConnection(Stale())
         self.assertEqual(
@@ -904,7 +909,7 @@
     def test_self_connected_dial_is_not_used(self):
         """At a port of this machine that nobody listens at: what is written comes back, and reads as an answer."""
         network = Network(endpoint_entry("s-1"))
-        ends, client = counted(network), network.ask("01", lane="pay")
+        ends, client = counted(network), network.ask("01", request_class="pay")
         connection, transport = network.reactor.tcpClients[-1][2].buildProtocol(None), Transport()
         transport.peerAddr = transport.getHost()
         connection.makeConnection(transport)
@@ -929,8 +934,15 @@
     def ended(self, content):
         """(how the attempt ended, how much was read) of one that gets this in pieces, beside another request."""
         network, read = Network(endpoint_entry("s-1")), 0
-        ends, client, other = counted(network), network.ask("01", lane="pay"), network.ask("02")
-        connection, beside = network.connect(network.streams), network.connect(network.streams + 1)
+        ends, client, other = (
+            counted(network),
+            network.ask("01", request_class="pay"),
+            network.ask("02"),
+        )
+        connection, beside = (
+            network.connect(network.initial_dials),
+            network.connect(network.initial_dials + 1),
+        )
         for one in (connection, beside):
             one.resumeProducing()
         with mock.patch.object(structured_log, "log_rate_limited") as told:
@@ -1063,7 +1075,7 @@
 
 
 class Stale(Transport):
-    stale = True
+    has_unread_data = True
 
 
 class World:
@@ -1098,7 +1110,7 @@
 
     def ask(self, lane, left):
         name = f"{lane}-{len(self.clients)}"
-        self.clients[name] = self.network.ask(name, lane=lane, left=left)
+        self.clients[name] = self.network.ask(name, request_class=lane, timeout_ms=left)
 
     def up(self, place, transport=Transport):
         if dial := self.pick(self.pending_dials(), place):
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -64,7 +64,7 @@
 
 
 class Transport(StringTransport):
-    ended = disconnected = stale = False
+    ended = disconnected = has_unread_data = False
 
     def abortConnection(self):
         self.disconnected = True
@@ -73,7 +73,7 @@
         return self
 
     def recv(self, most, flags):
-        if not self.stale:
+        if not self.has_unread_data:
             raise BlockingIOError
         return b"*"
 
@@ -113,19 +113,21 @@
         start = start._replace(settings=start.settings._replace(lists_polled=polled))
         self.proxy = Proxy(start, self.reactor, deadlines, 0)
         self.proxy.begin()
-        self.streams = len(self.reactor.tcpClients)
+        self.initial_dials = len(self.reactor.tcpClients)
 
     def client(self):
         connection = ClientConnection(self.proxy.listener)
         connection.makeConnection(Transport())
         return connection
 
-    def ask(self, name="01", lane="read", left=5000, connection=None):
+    def ask(self, name="01", request_class="read", timeout_ms=5000, connection=None):
         connection = connection or self.client()
-        connection.dataReceived(command("SVC.QUERY", "key", name, f"c={lane},d={left}"))
+        connection.dataReceived(
+            command("SVC.QUERY", "key", name, f"c={request_class},d={timeout_ms}")
+        )
         return connection
 
-    def closes(self, *clients):
+    def close_states(self, *clients):
         """Whether sending has ended there, and a while later the connection."""
         ended = [client.transport.ended for client in clients]
         self.reactor.advance(0.2)
@@ -134,7 +136,7 @@
 
     def dialled_ports(self):
         """The ports of pods that were dialled."""
-        return [port for _, port, *_ in self.reactor.tcpClients[self.streams :]]
+        return [port for _, port, *_ in self.reactor.tcpClients[self.initial_dials :]]
 
     def connect(self, at=-1):
         connection = self.reactor.tcpClients[at][2].buildProtocol(None)
@@ -182,7 +184,7 @@
 
     def test_attempt_with_connect_timeout_is_retried_as_not_run(self):
         network = Network(endpoint_entry("s-1"))
-        network.ask(lane="pay")
+        network.ask(request_class="pay")
         network.reactor.advance(0.3)
         network.reactor.advance(0)
         self.assertTrue(network.reactor.connectors[-1].stoppedConnecting)
@@ -203,7 +205,7 @@
 
     def test_partially_written_attempt_is_retried_as_not_run(self):
         network = Network(endpoint_entry("s-1"))
-        network.ask(lane="pay")
+        network.ask(request_class="pay")
         network.connect().connectionLost(Failure(ConnectionRefusedError()))
         self.assertEqual(network.dialled_ports(), [7001, 7001])
 
@@ -222,7 +224,7 @@
             network = Network(
                 endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
             )
-            client = network.ask(left=200)
+            client = network.ask(timeout_ms=200)
             connection = network.connect()
             connection.resumeProducing()
             if end == "time-out":
@@ -250,7 +252,7 @@
         network = Network(
             endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
         )
-        network.ask(left=200)
+        network.ask(timeout_ms=200)
         connection = network.connect()
         connection.resumeProducing()
         network.reactor.advance(0.2)
@@ -282,10 +284,10 @@
     def answered(self, answer, stale=False):
         """A network on which a first transaction was answered so, and a second one is asked then."""
         network = Network(endpoint_entry("s-1"))
-        client = network.ask("01", left=900)
+        client = network.ask("01", timeout_ms=900)
         connection = network.connect()
         connection.resumeProducing()
-        connection.transport.stale = stale
+        connection.transport.has_unread_data = stale
         connection.dataReceived(answer)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
         return network, connection
@@ -306,7 +308,7 @@
         self.assertTrue(connection.transport.disconnected)
         network, connection = self.answered(VALUE_RESPONSE)
         network.reactor.advance(0.02)  # else it rests, and the next one goes on another anyway
-        connection.transport.stale = True
+        connection.transport.has_unread_data = True
         network.ask("02")
         self.assertEqual(
             (connection.transport.disconnected, network.dialled_ports()), (True, [7001, 7001])
@@ -334,13 +336,13 @@
             network.reactor.advance(2.5)
             network.reactor.advance(0)
         self.assertEqual(
-            network.closes(silent, half, idle), [(True, True), (True, True), (False, False)]
+            network.close_states(silent, half, idle), [(True, True), (True, True), (False, False)]
         )
         self.assertRegex(half.transport.value(), b"^-ERR")
         idle.dataReceived(command("PING")[:5])
         network.reactor.advance(2.5)
         network.reactor.advance(0)
-        self.assertEqual(network.closes(idle), [(True, True)])
+        self.assertEqual(network.close_states(idle), [(True, True)])
 
     def test_client_that_does_not_read_is_paused_and_closed_in_time(self):
         network = Network(endpoint_entry("s-1"))
@@ -363,7 +365,7 @@
         usual = network.ask("01")
         clients = [network.client() for _ in range(network.proxy.listener.max_clients - 2)]
         clients[0].dataReceived(b"*2")
-        clients[1].transport.stale = True  # its command has come, but is not read yet
+        clients[1].transport.has_unread_data = True  # its command has come, but is not read yet
         newest = [network.client() for _ in range(2)]
         self.assertTrue(clients[0].transport.disconnected)
         self.assertEqual(
@@ -386,7 +388,7 @@
     def test_no_request_is_held_beyond_the_outer_limit_of_its_class(self):
         network = Network()
         network.proxy.engine.handle = lambda *_: []
-        client = network.ask(left=999_999_999)
+        client = network.ask(timeout_ms=999_999_999)
         network.reactor.advance(20.1)
         network.reactor.advance(0)
         self.assertRegex(client.transport.value(), b"^-ERR")
@@ -415,10 +417,10 @@
         client = network.client()
         client.dataReceived(ping[:5])
         client.finish()
-        self.assertEqual(network.closes(client), [(False, False)])
+        self.assertEqual(network.close_states(client), [(False, False)])
         client.dataReceived(ping[5:])
         self.assertEqual(
-            (client.transport.value(), network.closes(client)), (b"+PONG\r\n", [(True, True)])
+            (client.transport.value(), network.close_states(client)), (b"+PONG\r\n", [(True, True)])
         )
 
     def test_idle_connection_is_closed_before_the_endpoint_closes_it(self):
@@ -444,7 +446,7 @@
     def test_request_missed_by_the_engine_is_answered_at_its_deadline(self):
         network = Network(endpoint_entry("s-1"))
         network.proxy.engine.handle = lambda *_: []
-        client = network.ask(left=200)
+        client = network.ask(timeout_ms=200)
         network.reactor.advance(0.21)
         network.reactor.advance(0)
         self.assertRegex(client.transport.value(), b"^-ERR")
@@ -454,7 +456,7 @@
         network = Network(endpoint_entry("s-1"))
         client, other = network.ask("01"), network.ask("02")
         other.connectionLost(Failure(ConnectionRefusedError()))
-        connection = network.connect(network.streams)
+        connection = network.connect(network.initial_dials)
         connection.resumeProducing()
         connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
