--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -443,7 +443,7 @@
             target.flush()
             running.process.send_signal(signal.SIGHUP)
             self.assertRegex(
-                running.logged("configuration rejected")["error"], "^NODE_CONFIG: is no JSON"
+                running.logged("configuration rejected")["error"], "^NODE_CONFIG: is not valid JSON"
             )
             target.write(text[len(text) // 2 :])
         running.process.send_signal(signal.SIGHUP)
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -201,5 +201,5 @@
         reason = os.strerror(error.errno or 0)
         raise ConfigurationError(f"NODE_CONFIG: can't be read: {reason}: {path}") from None
     except orjson.JSONDecodeError as error:
-        raise ConfigurationError(f"NODE_CONFIG: is no JSON: {error}") from None
+        raise ConfigurationError(f"NODE_CONFIG: is not valid JSON: {error}") from None
     return parse(document, epoch)
