--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -295,12 +295,12 @@
             record_attempts(world, name, "s-1", 10, 10)
         world.run(3 * SECOND)
         node = world.instances["n0"].node
-        origins = {origin for words in node.suspicions.evidence.values() for origin in words}
+        origins = {origin for records in node.suspicions.evidence.values() for origin in records}
         self.assertEqual(origins, {"n2", "n3", "n4"})
         world.ring.revoked = {"n4"}
         node.set_keyring(world.ring, world.instances["n0"].clock())
         self.assertEqual(
-            {origin for words in node.suspicions.evidence.values() for origin in words},
+            {origin for records in node.suspicions.evidence.values() for origin in records},
             {"n2", "n3"},
         )
         self.assertNotIn("n4", node.members.all)
@@ -431,7 +431,7 @@
             node = world.instances[name].node
             self.assertLessEqual(node.queue.count_by_origin.get("n4", 0), 32)
             self.assertLessEqual(
-                sum("n4" in words for words in node.suspicions.evidence.values()), 16
+                sum("n4" in records for records in node.suspicions.evidence.values()), 16
             )
             self.assertLessEqual(len(node.items.pending), 256)
             self.assertLessEqual(len(node.prober.probes), 32)
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -219,10 +219,10 @@
     """Guards against an instance that has left being reported alive: its Alive and its Left were queued under
     different topics, and an older item that arrived late replaced a newer one."""
 
-    def liveness_items(self, world):
+    def liveness_items(self, node):
         return [
             codec.read_item(item.content).item.body
-            for (origin, topic), item in world.queue.items.items()
+            for (origin, topic), item in node.queue.items.items()
             if origin == "n1" and topic == LIVENESS
         ]
 
--- a/thymeknot/gossip/codec.py
+++ b/thymeknot/gossip/codec.py
@@ -5,6 +5,8 @@
 version byte. Its origin signs it, so that other instances can forward it unchanged. Decoding with
 msgspec is strict: a wrong type, length or number of fields is rejected. Records are encoded as
 arrays, so field names do not appear on the wire.
+
+A start is one run of an instance's process; its id tells it from earlier runs under the same name.
 """
 
 from enum import StrEnum
--- a/thymeknot/gossip/prober.py
+++ b/thymeknot/gossip/prober.py
@@ -113,11 +113,11 @@
         if len(self.probes) >= MAX_PROBES or nonce in self.probes:
             return
         member = self._member(name)
-        proved = member is not None and member.is_live()
-        items = context.pick_items(name) if proved and name is not None and not requester else []
+        validated = member is not None and member.is_live()
+        items = context.pick_items(name) if validated and name is not None and not requester else []
         deadline = now + self._timeout()
         bare_answer = b"\0" if requester else b""
-        ping = Ping(nonce, bare_answer if proved else bytes(codec.PING_PADDING_SIZE))
+        ping = Ping(nonce, bare_answer if validated else bytes(codec.PING_PADDING_SIZE))
         if context.outbox.send(
             now, address, name or "", ping, purpose, items=items, max_size=max_size
         ):
