--- a/thymeknot/gossip/peer_hints.py
+++ b/thymeknot/gossip/peer_hints.py
@@ -1,4 +1,4 @@
-"""Where peers may be, as others say: enough to ask them, and proof of nothing."""
+"""Exchange of address hints. A hint only makes an instance ping a peer; it proves nothing."""
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import codec
@@ -7,28 +7,28 @@
 from .membership import Member, MemberState
 from .rate_limits import Address, SendPurpose
 
-HINTS_INTERVAL = 5 * TICKS_PER_SECOND  # between two questions, once nothing new is heard
-HINTS_IN_QUESTION = 8  # peers that a question names; an answer names so many more
+REQUEST_INTERVAL = 5 * TICKS_PER_SECOND  # between requests while no new hint arrives
+HINTS_PER_REQUEST = 8  # peers in a request; a reply has up to this many more
 
 
 class PeerHints:
-    """Questions and answers about the addresses of peers."""
+    """Requests and replies with the addresses of peers."""
 
     def __init__(self, context: GossipContext, now: Ticks) -> None:
         self._context = context
-        self._ask_at = now
-        self._has_learnt = False  # since the last question
-
-    def received(self, now: Ticks, source: Address, member: Member, hints: Hints) -> None:
-        """Takes hints of a proved peer, and answers them if it asks."""
-        if hints.asking:
-            answer = Hints(False, self._known(len(hints.peers) + HINTS_IN_QUESTION))
-            self._context.outbox.send(now, source, member.name, answer, SendPurpose.PROVE)
+        self._next_request_at = now
+        self._has_new_hints = False  # since the last request
+
+    def receive(self, now: Ticks, source: Address, member: Member, hints: Hints) -> None:
+        """Processes hints of a validated peer and replies if it asks for hints."""
+        if hints.wants_reply:
+            reply = Hints(False, self._sample_hints(len(hints.peers) + HINTS_PER_REQUEST))
+            self._context.outbox.send(now, source, member.name, reply, SendPurpose.PROVE)
         for name, host, port in hints.peers:
             self.learn(now, name, (host, port))
 
     def learn(self, now: Ticks, name: str, address: Address) -> None:
-        """Takes note that a peer may be there: if nobody proved better, it will be probed."""
+        """Stores a possible address of a peer, to be probed, unless the peer already has one."""
         context = self._context
         member = context.members.all.get(name)
         if (
@@ -38,25 +38,24 @@
             and member.address is None
         ):
             member.address = address
-            member.looked = now - context.settings.probe_every
-            self._has_learnt = True
+            member.last_probe_at = now - context.settings.probe_every
+            self._has_new_hints = True
 
     def tick(self, now: Ticks) -> None:
-        """Asks one peer from time to time, more often while there is something new."""
+        """Asks a random peer for hints periodically, more often while new ones arrive."""
         context = self._context
-        # A question counts once somebody lives: a newcomer would else wait for the next one.
-        if now < self._ask_at or not context.members.live:
+        # The interval starts only once a peer is live. Otherwise a new instance would use its first
+        # turn without anybody to ask and wait for the next one.
+        if now < self._next_request_at or not context.members.live:
             return
-        interval = context.settings.probe_every if self._has_learnt else HINTS_INTERVAL
-        self._ask_at = now + interval
-        self._has_learnt = False
+        interval = context.settings.probe_every if self._has_new_hints else REQUEST_INTERVAL
+        self._next_request_at = now + interval
+        self._has_new_hints = False
         for member in context.members.sample(1):
-            question = Hints(True, self._known(HINTS_IN_QUESTION))
-            context.outbox.send(
-                now, member.live_address(), member.name, question, SendPurpose.PROVE
-            )
+            request = Hints(True, self._sample_hints(HINTS_PER_REQUEST))
+            context.outbox.send(now, member.live_address(), member.name, request, SendPurpose.PROVE)
 
-    def _known(self, limit: int) -> list[tuple[str, str, int]]:
+    def _sample_hints(self, limit: int) -> list[tuple[str, str, int]]:
         return [
             (member.name, *member.address)
             for member in self._context.members.sample(min(limit, codec.MAX_HINTS))
