--- a/measure/why.py
+++ b/measure/why.py
@@ -21,7 +21,7 @@
 from tests.support.decisions import LANES
 from tests.support.peers import PodPeer, reserved, until
 from tests.support.programs import Program
-from thymeknot.cli.decision_log_client import lines_of
+from thymeknot.cli.decision_log_client import query_results
 from thymeknot.decision_log.entry_codec import SLOT_BYTES
 from thymeknot.decision_log.fair_eviction import FairEviction
 from thymeknot.decision_log.recorder import Recorder
@@ -50,18 +50,20 @@
 
     def one(self, name, lane="read", tenant="t0", key=None, end=R.DONE, sent=1):
         record = self.record
-        record.taken(name, key or name, tenant, lane, False)
-        record.say(name, R.POSITION, 0.3, 0.2, 0.5)
+        record.request_received(name, key or name, tenant, lane, False)
+        record.record_reason(name, R.POSITION, 0.3, 0.2, 0.5)
         for number in range(sent):
-            record.say(name, R.SENT, f"s-{self.chance.randrange(12)}", 1, False, 9000, 1.0)
-            record.say(
+            record.record_reason(
+                name, R.SENT, f"s-{self.chance.randrange(12)}", 1, False, 9000, 1.0
+            )
+            record.record_reason(
                 name, R.ENDED, "s-1", number, "done" if end == R.DONE else "error", 200, False
             )
         if end == R.DONE:
-            record.ended(name, end)
+            record.request_answered(name, end)
         else:
-            record.say(name, end, *((50,) if end == R.DEFERRED else ("s-1",)))
-        record.over(name)
+            record.record_reason(name, end, *((50,) if end == R.DEFERRED else ("s-1",)))
+        record.request_finished(name)
 
 
 def flood(seed):
@@ -87,11 +89,11 @@
                 )
                 costly.append(name)
     rig.record.flush(rig.now + SECOND)
-    kept = {one["region"]: one for one in rig.record.kept()["regions"]}
+    kept = {one["region"]: one for one in rig.record.retention_report()["regions"]}
     slots = min(kept["pay, unusual"]["slots"], kept["pay, as usual"]["slots"])
     within = costly[-slots:]  # the guarantee: as many as the region's slots, whatever else comes
     return {
-        "costly_kept": sum(any(rig.record.by_name(name)) for name in within),
+        "costly_kept": sum(any(rig.record.find_by_name(name)) for name in within),
         "costly_within": len(within),
         "flooded": 200_000,
         "stays_s": kept["pay, unusual"]["stays_s"],
@@ -162,10 +164,10 @@
                 told = process.stdout.read().split()
             rig = Clocked(seed, 1, path)
             last = told[-1].decode() if told else "0"
-            entries = list(rig.record.by_name(f"w-{last}"))
+            entries = list(rig.record.find_by_name(f"w-{last}"))
             whole = bool(entries) and entries[-1].end == R.ABANDONED and len(entries[-1].notes) == 4
-            recovered += whole and rig.record.torn <= 1
-            torn += rig.record.torn
+            recovered += whole and rig.record.torn_slots <= 1
+            torn += rig.record.torn_slots
             rig.record.slot_file.close()
     return {"recovered_after_kill": recovered, "kills": count, "torn_found": torn}
 
@@ -187,7 +189,7 @@
                     del held[most]
                 held.setdefault(("new", at), []).append(slot)
             else:
-                shares.add(("new", at), shares.give())
+                shares.add(("new", at), shares.evict())
         took.append(round((time.perf_counter() - begin) / steps * 1e6, 2))
     return {"shares_us": took[0], "plain_us": took[1]}
 
@@ -206,7 +208,9 @@
     unread = socket.create_connection(("127.0.0.1", port))
     unread.sendall(b'{"ask":"find"}\n' * 50)
     while time.monotonic() < end:
-        asked += sum(1 for _ in lines_of(f"127.0.0.1:{port}", None, {"ask": "find", "limit": 200}))
+        asked += sum(
+            1 for _ in query_results(f"127.0.0.1:{port}", None, {"ask": "find", "limit": 200})
+        )
         time.sleep(0.02)
     unread.close()
     return asked
@@ -250,7 +254,9 @@
         found = {}
         until(
             lambda: found,
-            lambda: found.update(next(iter(lines_of(f"127.0.0.1:{port}", None, {"ask": "kept"})))),
+            lambda: found.update(
+                next(iter(query_results(f"127.0.0.1:{port}", None, {"ask": "kept"})))
+            ),
         )
     finally:
         for program in programs.values():
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -36,30 +36,30 @@
             random_source=LinearCongruentialGenerator(3),
         )
         self.record.clock = lambda: self.now
-        self.balancer.context.reason_callback = self.record.say
+        self.balancer.context.reason_callback = self.record.record_reason
         self.expected = {}
 
     def take(self, name, lane="read", key=None, left=3 * TICKS_PER_SECOND, tenant="t"):
-        self.record.taken(name, key, tenant, lane, False)
+        self.record.request_received(name, key, tenant, lane, False)
         return self.balancer.handle(self.now, [taken(name, lane, key, left)])
 
     def end(self, name, outcome=Outcome.ERROR, address="old-1", number=0, latency=100):
         if outcome == Outcome.DONE:
-            self.record.ended(name, R.DONE)
+            self.record.request_answered(name, R.DONE)
         return self.balancer.handle(
             self.now, [ended(name, outcome, address, number, outcome == Outcome.DONE, latency)]
         )
 
     def expect(self, name, end, *reasons):
         self.expected[name] = end, {*reasons, *((end,) if end else ())}
-        self.record.over(name)
+        self.record.request_finished(name)
 
     def right(self):
         """How many are explained by just what was expected, how many there are, and the wrong ones."""
         self.record.flush(self.now + TICKS_PER_SECOND)
         wrong = []
         for name, (end, reasons) in self.expected.items():
-            found = list(self.record.by_name(name))
+            found = list(self.record.find_by_name(name))
             if (
                 not found
                 or found[-1].end != (end or 0)
@@ -228,7 +228,7 @@
 
 def went_away(case, name):
     case.take(name)
-    case.record.ended(name, R.LEFT)
+    case.record.request_answered(name, R.LEFT)
     case.balancer.handle(case.now, [ClientDisconnected(name)])
     case.expect(name, R.LEFT, R.SENT, R.POSITION)
 
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -10,7 +10,7 @@
 from measure.world import World
 from tests.support.decisions import LANES
 from thymeknot.decision_log.entry_filter import EntryFilter
-from thymeknot.decision_log.explanations import explained
+from thymeknot.decision_log.explanations import explain_entry
 from thymeknot.decision_log.recorder import Recorder
 from thymeknot.decision_log.settings import DecisionLogSettings
 from thymeknot.decision_log.slot_file import SlotFile
@@ -49,7 +49,7 @@
             clock=lambda: self.world.now,
             random_source=LinearCongruentialGenerator(seed),
         )
-        self.balancer = DecisionEngine(TERMS, seed, self.world.now, self.record.say)
+        self.balancer = DecisionEngine(TERMS, seed, self.world.now, self.record.record_reason)
         self.tell(EndpointUpdate(UpdateKind.CACHED, tuple(pods)))
         self.tell(news)
         self.arrive()
@@ -69,7 +69,7 @@
                     )
                 )
             elif type(action) in (Reject, Fail):
-                self.record.over(action.id)
+                self.record.request_finished(action.id)
 
     phase, swarm = ReleasePhase.ON_TRIAL, (0, 0, 0.0)
 
@@ -78,7 +78,7 @@
             f"{self.chance.getrandbits(48):012x}",
             "pay" if self.chance.random() < 0.2 else "read",
         )
-        self.record.taken(name, name, "t", lane, False)
+        self.record.request_received(name, name, "t", lane, False)
         self.tell(RequestReceived(name, lane, "t", name, 3 * SECOND, None, False, False))
         self.world.at(
             self.world.now + max(1, int(self.chance.expovariate(self.rate) * SECOND)), self.arrive
@@ -89,7 +89,7 @@
         hit = first <= self.world.now < last and action.endpoint.startswith("new")
         failed = self.chance.random() < (share if hit else self.ill.get(action.endpoint, 0.001))
         if not failed:
-            self.record.ended(action.id, R.DONE)
+            self.record.request_answered(action.id, R.DONE)
         self.tell(
             AttemptEnded(
                 action.id,
@@ -102,7 +102,7 @@
             )
         )
         if not failed:
-            self.record.over(action.id)
+            self.record.request_finished(action.id)
 
 
 def pods(prefix, count, build, started=0):
@@ -159,7 +159,7 @@
         for note in entry.notes
         if note[0] not in (R.POSITION, R.DEFERRED, R.SENT, R.ENDED)
     )
-    return deferred, why, record.tally()
+    return deferred, why, record.tally_report()
 
 
 def main(arguments):
@@ -169,12 +169,12 @@
     votes, failures = went_back(seed)
     print("A good build, of whose machines deliveries fail for half a second:")
     for entry in votes:
-        print("\n".join(explained(entry)))
+        print("\n".join(explain_entry(entry)))
     print("failed deliveries by pod:", dict(sorted(failures.items())))
     deferred, why, tally = after_restart(seed)
     print(f"Just after a restart with all pods cold: {len(deferred)} deferred, for", dict(why))
     for entry in deferred[-1:] + deferred[:1]:
-        print("\n".join(explained(entry)))
+        print("\n".join(explain_entry(entry)))
     print(tally["ends"])
     return 0
 
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -21,9 +21,9 @@
 
 from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
 from thymeknot.cli.log_summary import Summary
-from thymeknot.decision_log.entry_codec import Entry, packed
+from thymeknot.decision_log.entry_codec import Entry, pack_slot
 from thymeknot.decision_log.recorder import Recorder
-from thymeknot.decision_log.regions import laid_out
+from thymeknot.decision_log.regions import lay_out_regions
 from thymeknot.decision_log.settings import DecisionLogSettings
 from thymeknot.decision_log.slot_file import SlotFile
 from thymeknot.disruption.state_machine import DisruptionStateMachine as DisruptionMachine
@@ -109,23 +109,25 @@
     )
     for number in range(30):
         name, lane = f"{number:016x}", "pay" if number % 3 else "read"
-        record.taken(name, f"key{number}", "acme" if number % 2 else None, lane, number % 5 == 0)
-        record.say(name, Reason.POSITION, 0.25, 0.5, 0.3)
-        record.say(name, Reason.SENT, f"s-{number % 4}", 41, True, 1500, 0.75)
-        record.say(
+        record.request_received(
+            name, f"key{number}", "acme" if number % 2 else None, lane, number % 5 == 0
+        )
+        record.record_reason(name, Reason.POSITION, 0.25, 0.5, 0.3)
+        record.record_reason(name, Reason.SENT, f"s-{number % 4}", 41, True, 1500, 0.75)
+        record.record_reason(
             name, Reason.ENDED, f"s-{number % 4}", 0, "done" if number % 4 else "reset", 120, False
         )
         if number % 4:
-            record.ended(name, Reason.DONE)
+            record.request_answered(name, Reason.DONE)
         else:
-            record.say(name, Reason.ABANDONED, f"s-{number % 4}")
-        record.over(name)
-    record.say(None, Reason.VOTED, 41, 2, 3, 1.25, 250)
+            record.record_reason(name, Reason.ABANDONED, f"s-{number % 4}")
+        record.request_finished(name)
+    record.record_reason(None, Reason.VOTED, 41, 2, 3, 1.25, 250)
     record.flush(10_000_000)
     notes = [[int(reason), 10, "s-1", 2, 3.5, True, None] for reason in Reason]
     arena.write(
         RECORD_SLOTS - 1,
-        packed(Entry(5, "e" * 40, "k", "t", "pay", True, int(Reason.LEFT), 9, notes), 999),
+        pack_slot(Entry(5, "e" * 40, "k", "t", "pay", True, int(Reason.LEFT), 9, notes), 999),
     )
     arena.memory.flush()
     arena.close()
@@ -135,7 +137,7 @@
 
 def record_layout():
     """Where each region of the record lies."""
-    regions = laid_out(record_settings(), lanes(), RECORD_SLOTS)
+    regions = lay_out_regions(record_settings(), lanes(), RECORD_SLOTS)
     return [
         [list(name) if isinstance(name, tuple) else name, *where] for name, where in regions.items()
     ]
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -17,16 +17,16 @@
 from tests.support.decisions import LANES
 from tests.support.peers import PATIENCE, SETTINGS, PodPeer, reserved, until
 from tests.support.programs import Program
-from thymeknot.cli.decision_log_client import lines_of
+from thymeknot.cli.decision_log_client import query_results
 from thymeknot.decision_log import query_protocol
-from thymeknot.decision_log.entry_codec import SLOT_BYTES, Entry, packed, pods, unpacked
+from thymeknot.decision_log.entry_codec import SLOT_BYTES, Entry, pack_slot, pods, unpack_slot
 from thymeknot.decision_log.entry_filter import EntryFilter
-from thymeknot.decision_log.explanations import SAID, explained
+from thymeknot.decision_log.explanations import EXPLANATIONS, explain_entry
 from thymeknot.decision_log.fair_eviction import FairEviction
 from thymeknot.decision_log.heavy_hitters import HeavyHitters
 from thymeknot.decision_log.query_protocol import Watch, answer
-from thymeknot.decision_log.regions import laid_out
-from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, left_over
+from thymeknot.decision_log.regions import lay_out_regions
+from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, load_slot_file
 from thymeknot.interface.reasons import Reason as R
 
 OK = b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
@@ -40,7 +40,7 @@
         self.assertEqual((right, met), (total, set(R)))
 
     def test_each_reason_has_a_sentence(self):
-        self.assertEqual(set(SAID), set(R))
+        self.assertEqual(set(EXPLANATIONS), set(R))
         entry = Entry(
             NOW,
             "a",
@@ -58,7 +58,7 @@
                 [int(R.ABANDONED), 900, "s-1"],
             ],
         )
-        text = "\n".join(explained(entry))
+        text = "\n".join(explain_entry(entry))
         for part in (
             "below the ramp at 0.5000",
             "sent to s-1, build 2 (the newest)",
@@ -84,10 +84,10 @@
     EDGES = (-1, 0, 1, 999, 1 << 62, 1.5, float("inf"), True, None, "x", "")
 
     def read(self, entry):
-        slot = packed(entry, 7)
-        found = unpacked(slot)
+        slot = pack_slot(entry, 7)
+        found = unpack_slot(slot)
         if found is not None:
-            explained(found.entry)
+            explain_entry(found.entry)
             query_protocol.shown(found.entry)
             pods(found.entry)
         return found
@@ -102,7 +102,7 @@
 
     def test_a_reason_of_a_later_version_is_told_by_its_number(self):
         found = self.read(Entry(*self.ENTRY[:6], 998, 1000, [[999, 10, "s-1"]]))
-        lines = explained(found.entry)
+        lines = explain_entry(found.entry)
         self.assertIn("reason_998 after", lines[0])
         self.assertIn("REASON_999, as another version tells it: ['s-1']", lines[1])
         self.assertIsNone(self.read(Entry(*self.ENTRY, [[]])))
@@ -123,7 +123,7 @@
             rig.now += 1
             rig.one(f"loud-{at}", tenant="loud", key=f"k-{at}", end=R.DEFERRED)
         rig.record.flush(rig.now + SLOT_BYTES)
-        self.assertEqual(sum(any(rig.record.by_name(f"quiet-{at}")) for at in range(20)), 20)
+        self.assertEqual(sum(any(rig.record.find_by_name(f"quiet-{at}")) for at in range(20)), 20)
         self.assertLessEqual(len(rig.record.index.by_key), rig.record.slot_file.slots)
 
     def test_what_goes_as_usual_is_sampled_evenly(self):
@@ -149,23 +149,23 @@
         rig.one("y", "pay", key="k")  # the client's retry under a new id, and then it is done
         rig.record.flush(rig.now + 10_000)
         self.assertEqual(
-            [entry.end for entry in rig.record.by_name("x")], [R.DEFERRED, R.ABANDONED]
+            [entry.end for entry in rig.record.find_by_name("x")], [R.DEFERRED, R.ABANDONED]
         )
-        self.assertEqual([entry.id for entry in rig.record.by_name("k")], ["x", "x", "y"])
+        self.assertEqual([entry.id for entry in rig.record.find_by_name("k")], ["x", "x", "y"])
         self.assertEqual(
             [one.id for one in rig.record.find(EntryFilter(reason=int(R.DEFERRED))) if one], ["x"]
         )
-        self.assertEqual(rig.record.tally()["reasons"]["ABANDONED"], 1)
+        self.assertEqual(rig.record.tally_report()["reasons"]["ABANDONED"], 1)
 
     def test_an_entry_longer_than_its_slot_keeps_its_beginning_and_end(self):
         notes = [[int(R.SENT), at, "s" * 60, 1, False, 9, 1.0] for at in range(40)]
-        content = packed(Entry(1, "i", "k", "t", "pay", False, 23, 5, list(notes)), 9)
-        number, entry = unpacked(content.ljust(SLOT_BYTES, b"\0"))
+        content = pack_slot(Entry(1, "i", "k", "t", "pay", False, 23, 5, list(notes)), 9)
+        number, entry = unpack_slot(content.ljust(SLOT_BYTES, b"\0"))
         self.assertEqual((number, entry.notes[0], entry.notes[-1]), (9, notes[0], notes[-1]))
         self.assertEqual(entry.cut + len(entry.notes), 40)
 
     def test_regions_follow_what_lanes_earn_and_fill_the_slots(self):
-        found = laid_out(WHY, LANES, 1000)
+        found = lay_out_regions(WHY, LANES, 1000)
         self.assertLessEqual(sum(count for _, count in found.values()), 1000)
         self.assertGreater(sum(count for _, count in found.values()), 980)
         self.assertGreater(found["pay", True][1], 50)
@@ -178,7 +178,7 @@
         shares, plain = FairEviction(), {}
         for slot, (give, holder) in enumerate(steps):
             if give and plain:
-                slot = shares.give()
+                slot = shares.evict()
                 most = max(map(len, plain.values()))
                 owner = next(name for name, held in plain.items() if slot in held)
                 self.assertEqual((len(plain[owner]), plain[owner][0]), (most, slot))
@@ -210,22 +210,22 @@
 
     def test_a_kill_at_every_byte_of_a_write_leaves_the_others_whole(self):
         arena = SlotFile(3, self.path, self.say)
-        before = packed(Entry(1, "before", None, None, "pay", False, 24, 5, []), 1)
-        content = packed(
+        before = pack_slot(Entry(1, "before", None, None, "pay", False, 24, 5, []), 1)
+        content = pack_slot(
             Entry(2, "torn", "k", None, "pay", False, 24, 5, [[7, 0, "s-1", 1, False, 9, 1.0]]), 4
         )
         arena.write(0, before)
         arena.write(2, before)
         # In the order of the writes: the checksum goes first, then the rest, the new checksum last.
         for cut in range(len(content) + 1):
-            arena.write(1, packed(Entry(3, "former", None, None, "pay", False, 24, 5, []), 2))
+            arena.write(1, pack_slot(Entry(3, "former", None, None, "pay", False, 24, 5, []), 2))
             at = HEADER_BYTES + SLOT_BYTES
             arena.memory[at : at + 4] = b"\0\0\0\0"
             part = content[4 : 4 + cut]
             arena.memory[at + 4 : at + 4 + len(part)] = part
             if cut == len(content):
                 arena.memory[at : at + 4] = content[:4]
-            found, torn = SlotFile(3, self.path, self.say).whole()
+            found, torn = SlotFile(3, self.path, self.say).read_all()
             whole = cut == len(content)
             self.assertEqual(
                 [entry.id for _, _, entry in found], ["before"] + ["torn"] * whole + ["before"], cut
@@ -243,7 +243,7 @@
             target.write(b"no record at all")
         arena = SlotFile(5, self.path, self.say)
         self.assertEqual([because for _, because in self.said], ["3 slots, 5 are set", "no record"])
-        self.assertEqual(arena.whole(), ([], 0))
+        self.assertEqual(arena.read_all(), ([], 0))
         with open(self.path, "r+b") as target:
             target.seek(8)
             target.write(b"\7")
@@ -273,13 +273,15 @@
         rig.record.flush(rig.now + 10_000)
         kept = len(rig.record.index.slots)
         again = Clocked(1, 1, self.path)
-        self.assertEqual((again.record.recovered, again.record.torn), (kept, 0))
-        self.assertEqual([entry.end for entry in again.record.by_name("p-1999")], [R.ABANDONED])
+        self.assertEqual((again.record.recovered_entries, again.record.torn_slots), (kept, 0))
+        self.assertEqual(
+            [entry.end for entry in again.record.find_by_name("p-1999")], [R.ABANDONED]
+        )
         again.one("later", "pay", end=R.ABANDONED)
         again.record.flush(again.now + 10_000)
         self.assertEqual(len(again.record.index.slots), kept)
-        self.assertEqual(left_over(self.path).whole()[1], 0)
-        lines = list(lines_of("", self.path, {"ask": "why", "id": "later"}))
+        self.assertEqual(load_slot_file(self.path).read_all()[1], 0)
+        lines = list(query_results("", self.path, {"ask": "why", "id": "later"}))
         self.assertEqual((lines[0]["end"], lines[-1]["end"]), ("ABANDONED", 1))
 
 
@@ -341,7 +343,7 @@
             lambda: (
                 time.sleep(0.05),
                 found.__setitem__(
-                    slice(None), list(lines_of(place, None, {"ask": "why", "id": "03"}))
+                    slice(None), list(query_results(place, None, {"ask": "why", "id": "03"}))
                 ),
             ),
         )
@@ -366,7 +368,7 @@
         # What is over is kept at the next upkeep, up to half a second later: until then `find` knows nothing of it.
         asked = {"ask": "find", "lane": "pay"}
         until(
-            lambda: sum("id" in one for one in lines_of(place, None, asked)) == 2,
+            lambda: sum("id" in one for one in query_results(place, None, asked)) == 2,
             lambda: time.sleep(0.05),
         )
         said = command("why", "--at", place, "--json", "find", "--lane", "pay", "--since", "1h")
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -11,7 +11,7 @@
 from tests.golden import generate
 from thymeknot.decision_log.entry_codec import SLOT_BYTES
 from thymeknot.decision_log.recorder import Recorder
-from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, left_over
+from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, load_slot_file
 from thymeknot.disruption.state_machine import DisruptionStateMachine as DisruptionMachine
 from thymeknot.gang_scheduling.state_machine import GangStateMachine as GangMachine
 from thymeknot.gossip import codec
@@ -83,13 +83,13 @@
             target.write(stored("decision_record.bin"))
 
     def test_every_slot_is_read_and_packed_to_the_same_bytes(self):
-        arena = left_over(self.path)
-        whole, torn = arena.whole()
+        arena = load_slot_file(self.path)
+        whole, torn = arena.read_all()
         self.assertEqual((len(whole), torn), (23, 0))
         for slot, number, entry in whole:
             with self.subTest(slot):
                 begin = HEADER_BYTES + slot * SLOT_BYTES
-                content = generate.packed(entry, number)
+                content = generate.pack_slot(entry, number)
                 self.assertEqual(content, bytes(arena.memory[begin : begin + len(content)]))
         self.assertEqual(
             {note[0] for note in whole[-1][2].notes}, {int(reason) for reason in Reason}
@@ -106,8 +106,8 @@
             clock=lambda: 0,
             random_source=LinearCongruentialGenerator(5),
         )
-        self.assertEqual((record.recovered, record.torn), (22, 0))
-        found = list(record.by_name("0000000000000019"))
+        self.assertEqual((record.recovered_entries, record.torn_slots), (22, 0))
+        found = list(record.find_by_name("0000000000000019"))
         self.assertEqual(
             [(one.request_class, one.key, one.tenant) for one in found], [("pay", "key25", "acme")]
         )
--- a/thymeknot/cli/decision_log_client.py
+++ b/thymeknot/cli/decision_log_client.py
@@ -15,7 +15,7 @@
     """Nobody answers there, or not in time; the text names the address or file."""
 
 
-def lines_of(
+def query_results(
     address: str, path: Optional[str], query: Mapping[str, Any]
 ) -> Iterator[dict[str, Any]]:
     """Yields the objects of the answer.
--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -6,7 +6,7 @@
 import click
 
 from ..service.required_libraries import COMMANDS, libraries_from
-from .decision_log_client import UnreachableError, lines_of
+from .decision_log_client import UnreachableError, query_results
 from .output import show
 
 SECONDS_BY_UNIT: Final = {"s": 1, "m": 60, "h": 3600, "d": 86400}
@@ -67,7 +67,7 @@
     place, path, plain = context.obj
     found = 0
     try:
-        for line in lines_of(place, path, query):
+        for line in query_results(place, path, query):
             if "error" in line:
                 raise click.UsageError(line["error"])
             if "end" in line and "id" not in line:
--- a/thymeknot/cli/decision_log_file.py
+++ b/thymeknot/cli/decision_log_file.py
@@ -6,7 +6,7 @@
 from ..decision_log.entry_codec import Entry, pods
 from ..decision_log.entry_filter import EntryFilter
 from ..decision_log.query_protocol import shown
-from ..decision_log.slot_file import left_over
+from ..decision_log.slot_file import load_slot_file
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.reasons import Reason
 from .decision_log_client import UnreachableError
@@ -22,10 +22,10 @@
         UnreachableError: The file is no record, or the query is for a running instance.
     """
     try:
-        record = left_over(path)
+        record = load_slot_file(path)
     except (OSError, ValueError) as error:
         raise UnreachableError(str(error)) from None
-    stored = sorted(record.whole().entries, key=lambda one: -one.number)
+    stored = sorted(record.read_all().entries, key=lambda one: -one.number)
     count = 0
     for one in stored:
         if not _matches(one.entry, query, stored[0].entry.at):
--- a/thymeknot/decision_log/entry_codec.py
+++ b/thymeknot/decision_log/entry_codec.py
@@ -65,7 +65,7 @@
 _decode = msgpack.Decoder(Entry).decode
 
 
-def packed(entry: Entry, number: int) -> bytes:
+def pack_slot(entry: Entry, number: int) -> bytes:
     """Returns the bytes of a slot.
 
     Notes that do not fit are left out from the middle, so that beginning and end are kept.
@@ -97,7 +97,7 @@
     )
 
 
-def unpacked(slot: bytes) -> Optional[NumberedEntry]:
+def unpack_slot(slot: bytes) -> Optional[NumberedEntry]:
     """Reads a slot; None for what is empty, torn or damaged."""
     checksum, length, number = SLOT_HEADER.unpack_from(slot)
     if not 0 < length <= len(slot) - SLOT_HEADER.size:
--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -128,7 +128,7 @@
     )
 
 
-SAID: dict[Reason, Callable[..., Sentence]] = {
+EXPLANATIONS: dict[Reason, Callable[..., Sentence]] = {
     Reason.POSITION: _position,
     Reason.ASTRAY: _astray,
     Reason.ENDED: _ended,
@@ -185,12 +185,12 @@
     """Returns the sentence of a note; one that another version wrote may be told by its values."""
     number, operands = note_reason(note), note[NOTE_HEAD:]
     try:
-        return SAID[Reason(number)](*operands)
+        return EXPLANATIONS[Reason(number)](*operands)
     except (KeyError, IndexError, TypeError, ValueError):
         return Sentence(f"{reason_name(number)}, as another version tells it: {operands}")
 
 
-def explained(entry: Entry) -> list[str]:
+def explain_entry(entry: Entry) -> list[str]:
     """Returns lines for a person: what the entry is, then each reason in order with its remedy."""
     lines = [_title(entry)]
     for note in entry.notes:
--- a/thymeknot/decision_log/fair_eviction.py
+++ b/thymeknot/decision_log/fair_eviction.py
@@ -47,7 +47,7 @@
         if after > self.most or (before == self.most and before not in self.by_count):
             self.most = after
 
-    def give(self) -> int:
+    def evict(self) -> int:
         """Releases the slot to use again.
 
         Returns:
--- a/thymeknot/decision_log/query_protocol.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -13,7 +13,7 @@
 from ..interface.reasons import Reason
 from .entry_codec import NOTE_HEAD, Entry, Note, note_delay, note_reason, reason_name
 from .entry_filter import EntryFilter
-from .explanations import explained, sentence_of
+from .explanations import explain_entry, sentence_of
 from .recorder import Recorder
 
 MAX_LINE_BYTES: Final = 4096
@@ -98,7 +98,7 @@
         "took_ms": entry.took / TICKS_PER_MILLISECOND,
         "cut": entry.cut,
         "reasons": [_note_object(note) for note in entry.notes],
-        "lines": explained(entry),
+        "lines": explain_entry(entry),
     }
 
 
@@ -123,14 +123,14 @@
 def _answer(query: Mapping[str, Any], recorder: Recorder, most: int) -> Iterator[Optional[bytes]]:
     match query.get("ask"):
         case "why":
-            return _entry_lines(recorder.by_name(_text(query, "id") or ""), most)
+            return _entry_lines(recorder.find_by_name(_text(query, "id") or ""), most)
         case "find":
             wanted, limit = _find_query(query)
             return _entry_lines(recorder.find(wanted), min(most, int(limit)) if limit else most)
         case "tally":
-            return iter([_line(recorder.tally()), _line({"end": 1})])
+            return iter([_line(recorder.tally_report()), _line({"end": 1})])
         case "kept":
-            return iter([_line(recorder.kept()), _line({"end": 1})])
+            return iter([_line(recorder.retention_report()), _line({"end": 1})])
         case _:
             raise QueryError("ask: why, find, tally or kept")
 
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -69,12 +69,14 @@
 
 
 class DecisionLogFeature:
-    """What the proxy calls: `taken`, `ended` and `over`; the decisions' reasons go to the record.
+    """What the proxy calls: `request_received`, `request_answered` and `request_finished`.
+
+    The decisions' reasons go to the record.
 
     Attributes:
-        done: The reason of a final answer by an endpoint.
-        left: The reason of a client that went away.
-        abandoned: The reason of a transaction that was given up.
+        done_reason: The reason of a final answer by an endpoint.
+        left_reason: The reason of a client that went away.
+        abandoned_reason: The reason of a transaction that was given up.
     """
 
     def __init__(self, proxy: HostProxy, settings: DecisionLogSettings, folder: str) -> None:
@@ -102,12 +104,12 @@
             clock=proxy.clock,
             random_source=LinearCongruentialGenerator(proxy.start.seed ^ SEED_SALT),
         )
-        self.ended = self.record.ended
-        self.over = self.record.over
-        self.done = Reason.DONE
-        self.left = Reason.LEFT
-        self.abandoned = Reason.ABANDONED
-        proxy.rejections.next_listener = self.record.say
+        self.request_answered = self.record.request_answered
+        self.request_finished = self.record.request_finished
+        self.done_reason = Reason.DONE
+        self.left_reason = Reason.LEFT
+        self.abandoned_reason = Reason.ABANDONED
+        proxy.rejections.next_listener = self.record.record_reason
         try:
             self.port = self._listen(folder)
         except (CannotListenError, OSError) as error:
@@ -137,8 +139,8 @@
             listen=listen,
             slots=self.slot_file.slots,
             file=self.slot_file.path,
-            recovered=self.record.recovered,
-            torn=self.record.torn,
+            recovered=self.record.recovered_entries,
+            torn=self.record.torn_slots,
         )
 
     def _connection(self) -> Optional[QueryConnection]:
@@ -151,9 +153,9 @@
         self.record.flush(self.clock())
         self.timers.add(self.clock() + UPKEEP_INTERVAL, self._upkeep)
 
-    def taken(self, name: str, command: Any) -> None:
+    def request_received(self, name: str, command: Any) -> None:
         """The proxy has taken a client's command under this id."""
-        self.record.taken(
+        self.record.request_received(
             name,
             command.key.decode() or None,
             command.tenant,
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -13,10 +13,10 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.reasons import Reason
 from ..interface.settings import RequestClass
-from .entry_codec import MAX_NOTES, MAX_TEXT_LENGTH, SLOT_BYTES, Entry, packed
+from .entry_codec import MAX_NOTES, MAX_TEXT_LENGTH, SLOT_BYTES, Entry, pack_slot
 from .entry_filter import EntryFilter
 from .entry_index import EntryIndex
-from .regions import ORDINARY, RATE_SPAN, VOTES, Region, laid_out
+from .regions import ORDINARY, RATE_SPAN, VOTES, Region, lay_out_regions
 from .settings import DecisionLogSettings
 from .slot_file import SlotFile, StoredEntry
 from .tallies import REJECTIONS, Tallies
@@ -89,8 +89,8 @@
         index: The slots in use.
         tallies: Sums over all transactions.
         watchers: Called with every entry as it is kept.
-        recovered: How many entries an earlier run has left.
-        torn: How many slots an earlier run has left incomplete.
+        recovered_entries: How many entries an earlier run has left.
+        torn_slots: How many slots an earlier run has left incomplete.
     """
 
     def __init__(
@@ -111,13 +111,13 @@
         self.random_source = random_source
         self.regions = {
             key: Region(key, extent.first, extent.slots)
-            for key, extent in laid_out(settings, request_classes, slot_file.slots).items()
+            for key, extent in lay_out_regions(settings, request_classes, slot_file.slots).items()
         }
         self.index = EntryIndex()
         self.tallies = Tallies()
         self.watchers: list[Callable[[Entry], object]] = []
-        self.recovered = 0
-        self.torn = 0
+        self.recovered_entries = 0
+        self.torn_slots = 0
         self._open: dict[str, OpenTransaction] = {}
         self._closing: deque[tuple[str, Ticks, OpenTransaction]] = deque()
         """Those that are over, with id and end; plain tuples, as there is one for each request."""
@@ -134,7 +134,7 @@
 
         An entry keeps its slot if its region is still that of its request class.
         """
-        contents = self.slot_file.whole()
+        contents = self.slot_file.read_all()
         stored = {one.slot: one for one in contents.entries}
         for region in self.regions.values():
             self._recover_region(region, stored)
@@ -142,8 +142,8 @@
             for slot in range(self.slot_file.slots):
                 if slot not in stored:
                     self.slot_file.clear(slot)
-        self.recovered = len(self.index.slots)
-        self.torn = contents.torn
+        self.recovered_entries = len(self.index.slots)
+        self.torn_slots = contents.torn
 
     def _recover_region(self, region: Region, stored: Mapping[int, StoredEntry]) -> None:
         own = {
@@ -165,7 +165,7 @@
 
     # What the decisions and the proxy tell.
 
-    def taken(
+    def request_received(
         self,
         name: str,
         key: Optional[str],
@@ -182,7 +182,7 @@
         if len(self._open) < MAX_OPEN:
             self._open[name] = OpenTransaction(now, key, tenant, request_class, repeat)
 
-    def say(self, name: Optional[str], reason: Reason, *operands: Any) -> None:
+    def record_reason(self, name: Optional[str], reason: Reason, *operands: Any) -> None:
         """Notes a reason as it is decided; without a name it may be that of a vote."""
         if name is None:
             if reason == Reason.VOTED:
@@ -202,7 +202,7 @@
             del notes[MAX_NOTES // 2]
         notes.append((reason, self.clock() - transaction.at, *operands))
 
-    def ended(self, name: str, reason: Reason) -> None:
+    def request_answered(self, name: str, reason: Reason) -> None:
         """Notes the final answer as the proxy gave it, unless the decisions have named one."""
         transaction = self._open.get(name)
         if transaction is not None and not transaction.end:
@@ -210,7 +210,7 @@
             self._reason_counts[reason] += 1
             transaction.notes.append((reason, self.clock() - transaction.at))
 
-    def over(self, name: str) -> None:
+    def request_finished(self, name: str) -> None:
         """Nothing of the transaction is in flight any more."""
         now = self.clock()
         transaction = self._open.get(name)
@@ -309,7 +309,7 @@
         if in_use:
             self.index.remove(slot)
         region.rate.add(now)
-        self.slot_file.write(slot, packed(entry, self._number))
+        self.slot_file.write(slot, pack_slot(entry, self._number))
         self.index.add(slot, self._number, entry)
         for watcher in self.watchers:
             watcher(entry)
@@ -321,7 +321,7 @@
         stored = self.slot_file.read(slot)
         return stored.entry if stored and stored.number == number else None
 
-    def by_name(self, name: str) -> Iterator[Entry]:
+    def find_by_name(self, name: str) -> Iterator[Entry]:
         """Yields all that is kept under an id, or else a key; open transactions as they stand."""
         name = name[:MAX_TEXT_LENGTH]
         for slot, number in self.index.named(name):
@@ -343,11 +343,11 @@
             entry = self._read(slot, number)
             yield entry if entry and wanted.matches(entry, begin) else None
 
-    def tally(self) -> dict[str, Any]:
+    def tally_report(self) -> dict[str, Any]:
         """Returns sums over all transactions, recorded or not."""
         return self.tallies.shown()
 
-    def kept(self) -> dict[str, Any]:
+    def retention_report(self) -> dict[str, Any]:
         """Returns what is kept, with rate of entries and retention in seconds of each region."""
         now = self.clock()
         regions = []
@@ -366,7 +366,7 @@
             "regions": regions,
             "megabytes": round(self.slot_file.slots * SLOT_BYTES / 1e6, 1),
             "file": self.slot_file.path,
-            "recovered": self.recovered,
-            "torn": self.torn,
+            "recovered": self.recovered_entries,
+            "torn": self.torn_slots,
             "open": len(self._open),
         }
--- a/thymeknot/decision_log/regions.py
+++ b/thymeknot/decision_log/regions.py
@@ -42,7 +42,7 @@
     slots: int
 
 
-def laid_out(
+def lay_out_regions(
     settings: DecisionLogSettings, request_classes: Mapping[str, RequestClass], slots: int
 ) -> dict[RegionKey, Extent]:
     """Parts the slots into regions, in the order in which they lie.
@@ -128,7 +128,7 @@
         """Returns a slot for one more entry of this holder, and whether it was in use."""
         full = self.used == self.slots
         if full:
-            slot = self.eviction.give()
+            slot = self.eviction.evict()
         else:
             slot = self.first + self.used
             self.used += 1
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -12,7 +12,7 @@
 from typing import Any, NamedTuple, Optional, Union
 from zlib import crc32
 
-from .entry_codec import CHECKSUM_BYTES, SLOT_BYTES, SLOT_HEADER, Entry, NumberedEntry, unpacked
+from .entry_codec import CHECKSUM_BYTES, SLOT_BYTES, SLOT_HEADER, Entry, NumberedEntry, unpack_slot
 
 MAGIC = b"tkwhy\0\0\0"
 VERSION = 1
@@ -141,9 +141,9 @@
     def read(self, slot: int) -> Optional[NumberedEntry]:
         """Reads a slot; None for one that is empty, torn or damaged."""
         begin = HEADER_BYTES + slot * SLOT_BYTES
-        return unpacked(bytes(self.memory[begin : begin + SLOT_BYTES]))
+        return unpack_slot(bytes(self.memory[begin : begin + SLOT_BYTES]))
 
-    def whole(self) -> Contents:
+    def read_all(self) -> Contents:
         """Reads all slots."""
         entries = []
         torn = 0
@@ -194,7 +194,7 @@
     return f"{count} slots, {slots} are set" if count != slots else "another size"
 
 
-def left_over(path: str) -> SlotFile:
+def load_slot_file(path: str) -> SlotFile:
     """Reads into memory the file that some process has left, whatever its size.
 
     Raises:
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -59,7 +59,7 @@
             if request.connection is connection and not request.closed:
                 request.closed = True
                 if proxy.why is not None:
-                    proxy.why.ended(request.id, proxy.why.left)
+                    proxy.why.request_answered(request.id, proxy.why.left_reason)
                 proxy.handle_events(ClientDisconnected(request.id))
                 # Even if cancellation is not allowed: these were not completely written.
                 for attempt in request.attempts:
@@ -119,7 +119,7 @@
         key = command.key.decode() or None
         proxy.exposure.count_received(now, command.request_class)
         if proxy.why is not None:
-            proxy.why.taken(name, command)
+            proxy.why.request_received(name, command)
         proxy.handle_events(
             RequestReceived(
                 name,
@@ -172,7 +172,7 @@
         if not request.closed:
             structured_log.log("request overdue", id=request.id, out=request.attempts_in_flight)
             if proxy.why is not None:
-                proxy.why.ended(request.id, proxy.why.abandoned)
+                proxy.why.request_answered(request.id, proxy.why.abandoned_reason)
             self.answer(request, FAILED_RESPONSE)
             proxy.handle_events(ClientDisconnected(request.id))
 
@@ -184,7 +184,7 @@
             request.connection.answer(request.place, content)
             self.table.release(request)
             if proxy.why is not None and not request.attempts_in_flight:
-                proxy.why.over(request.id)
+                proxy.why.request_finished(request.id)
 
     def reject(self, action: Reject) -> None:
         """Sends the final response that promises that the request had no effect."""
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -381,7 +381,7 @@
         if outcome == Outcome.DONE and answer is not None and not request.closed:
             request.closed = True
             if self.why is not None:
-                self.why.ended(request.id, self.why.done)
+                self.why.request_answered(request.id, self.why.done_reason)
             request.connection.answer(request.place, resp.value(answer.value))
         load = self._load(answer.report) if answer and answer.report else None
         endpoint = attempt.endpoint.address if attempt.endpoint else ""
@@ -396,7 +396,7 @@
         self.requests.release(request)
         self.handle_events(event)
         if self.why is not None and request.closed and not request.attempts_in_flight:
-            self.why.over(request.id)
+            self.why.request_finished(request.id)
 
     def response_discarded(self, attempt: Attempt, reason: str) -> None:
         """Counts a key as answered by a build whose response is discarded.
