--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -13,19 +13,19 @@
 from ..gossip.settings import address
 from ..raft import message_codec
 
-ATTEMPT_SECONDS = 1.0
+ATTEMPT_TIMEOUT_SECONDS = 1.0
 """How long an answer to one attempt is waited for."""
 
-PAUSE_SECONDS = 0.05
+RETRY_INTERVAL_SECONDS = 0.05
 """Between two attempts, so that an election under way is not met with a storm of them."""
 
-PATIENCE_SECONDS = 10.0
+DEFAULT_TIMEOUT_SECONDS = 10.0
 """How long a command or a read is tried unless the caller says otherwise."""
 
-BOX_FIELDS = 16
+MAX_BOX_FIELDS = 16
 """Fields that are read of one box; those of the protocol have four at most."""
 
-BOX_LENGTH = struct.Struct(">H")
+LENGTH_PREFIX = struct.Struct(">H")
 """The length before each key and value of an AMP box, in bytes."""
 
 
@@ -61,7 +61,7 @@
         identity: Identity,
         ring: Keyring,
         addresses: Mapping[str, str],
-        word: str,
+        client_name: str,
         incarnation: int,
     ) -> None:
         """Connects to nobody yet.
@@ -70,43 +70,47 @@
             identity: The name and private key that the client signs with.
             ring: The public keys of the nodes.
             addresses: HOST:PORT by node's name.
-            word: Tells this client apart from others of the same identity.
+            client_name: Tells this client apart from others of the same identity.
             incarnation: A number that grows with each client of that word.
         """
         self.identity = identity
         self.ring = ring
         self.addresses = dict(addresses)
-        self.origin = f"{identity.name}/{word}"
+        self.origin = f"{identity.name}/{client_name}"
         self.incarnation = incarnation
         self.number = 0
         self.leader: Optional[str] = None
-        self.turn = 0
+        self.next_node = 0
         self.connections: dict[str, _Connection] = {}
 
-    def propose(self, command: dict[str, Any], within: float = PATIENCE_SECONDS) -> dict[str, Any]:
+    def propose(
+        self, command: dict[str, Any], timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
+    ) -> dict[str, Any]:
         """Has a command carried out, and returns the reply.
 
         Args:
             command: The command, a mapping of plain values.
-            within: Seconds until it is given up.
+            timeout_seconds: Seconds after which to give up.
 
         Raises:
             NoAnswerError: No node answered in time; `retry` asks once more under the same number.
         """
         self.number += 1
-        return self.retry(command, within)
+        return self.retry(command, timeout_seconds)
 
-    def retry(self, command: dict[str, Any], within: float = PATIENCE_SECONDS) -> dict[str, Any]:
+    def retry(
+        self, command: dict[str, Any], timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
+    ) -> dict[str, Any]:
         """Retries the last command under its number, so that it counts once.
 
         Args:
             command: The command that was proposed last.
-            within: Seconds until it is given up.
+            timeout_seconds: Seconds after which to give up.
 
         Raises:
             NoAnswerError: No node answered in time.
         """
-        return self._ask(
+        return self._request_until_reply(
             message_codec.PROPOSE,
             {
                 "command": command,
@@ -114,28 +118,30 @@
                 "incarnation": self.incarnation,
                 "number": self.number,
             },
-            within,
+            timeout_seconds,
         )
 
-    def read(self, query: dict[str, Any], within: float = PATIENCE_SECONDS) -> dict[str, Any]:
+    def read(
+        self, query: dict[str, Any], timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
+    ) -> dict[str, Any]:
         """Returns the reply to a query, which changes nothing.
 
         Args:
             query: The query, a mapping of plain values.
-            within: Seconds until it is given up.
+            timeout_seconds: Seconds after which to give up.
 
         Raises:
             NoAnswerError: No node answered in time.
         """
-        return self._ask(message_codec.READ, {"query": query}, within)
+        return self._request_until_reply(message_codec.READ, {"query": query}, timeout_seconds)
 
-    def ask_node(self, name: str, kind: int, question: dict[str, Any]) -> dict[str, Any]:
+    def ask_node(self, name: str, kind: int, request: dict[str, Any]) -> dict[str, Any]:
         """Asks one node once, and returns its answer.
 
         Args:
             name: The node's name.
             kind: PROPOSE or READ.
-            question: What is sent, before it is encoded and signed.
+            request: What is sent, before it is encoded and signed.
 
         Returns:
             {"reply": reply}, or `why`, `again`, `leader` and `unknown` where it gave none.
@@ -154,17 +160,19 @@
                 connection.session,
                 number,
                 kind,
-                msgspec.msgpack.encode(question),
+                msgspec.msgpack.encode(request),
             )
-            connection.sock.sendall(_box_bytes(_command=b"Ask", _ask=b"%d" % number, **signed))
-            answer = self._open(name, connection, _read_box(connection.reader))
+            connection.sock.sendall(_encode_box(_command=b"Ask", _ask=b"%d" % number, **signed))
+            response = self._verify_response(name, connection, _read_box(connection.reader))
         except BaseException:
             connection.close()  # an answer that still comes would be taken for the next one's
             raise
         self.connections[name] = connection._replace(number=number)
-        return answer
+        return response
 
-    def _open(self, name: str, connection: _Connection, box: dict[bytes, bytes]) -> dict[str, Any]:
+    def _verify_response(
+        self, name: str, connection: _Connection, box: dict[bytes, bytes]
+    ) -> dict[str, Any]:
         """The answer in a box, once it is proven to be the node's, to the message sent last."""
         if b"_error_description" in box:
             raise message_codec.MessageError(
@@ -187,38 +195,42 @@
 
     def _connect(self, name: str) -> _Connection:
         """Connects, and agrees on a session."""
-        sock = socket.create_connection(address(self.addresses[name]), timeout=ATTEMPT_SECONDS)
+        sock = socket.create_connection(
+            address(self.addresses[name]), timeout=ATTEMPT_TIMEOUT_SECONDS
+        )
         reader = sock.makefile("rb")
         nonce = message_codec.new_nonce()
         try:
-            sock.sendall(_box_bytes(_command=b"Hello", _ask=b"0", nonce=nonce))
+            sock.sendall(_encode_box(_command=b"Hello", _ask=b"0", nonce=nonce))
             return _Connection(reader, sock, nonce + _read_box(reader)[b"nonce"], 0)
         except BaseException:
             reader.close()
             sock.close()
             raise
 
-    def _ask(self, kind: int, question: dict[str, Any], within: float) -> dict[str, Any]:
+    def _request_until_reply(
+        self, kind: int, request: dict[str, Any], timeout_seconds: float
+    ) -> dict[str, Any]:
         """Asks the leader, or the nodes in turn, until one gives a reply."""
-        deadline = time.monotonic() + within
+        deadline = time.monotonic() + timeout_seconds
         names = sorted(self.addresses)
         while time.monotonic() < deadline:
-            name = self.leader or names[self.turn % len(names)]
+            name = self.leader or names[self.next_node % len(names)]
             try:
-                answer = self.ask_node(name, kind, question)
+                response = self.ask_node(name, kind, request)
             except (OSError, KeyError, message_codec.MessageError):
-                answer = {}
-            if "reply" in answer:
+                response = {}
+            if "reply" in response:
                 self.leader = name
-                reply: dict[str, Any] = answer["reply"]
+                reply: dict[str, Any] = response["reply"]
                 return reply
-            if _is_final(answer, name):
-                return {"refused": answer["why"], "by": [], "again": 0}
-            self.turn += 1
-            leader = answer.get("leader")
+            if _is_final(response, name):
+                return {"refused": response["why"], "by": [], "again": 0}
+            self.next_node += 1
+            leader = response.get("leader")
             self.leader = leader if leader in self.addresses else None
-            time.sleep(PAUSE_SECONDS)
-        raise NoAnswerError(f"no keeper answered within {within:g} s")
+            time.sleep(RETRY_INTERVAL_SECONDS)
+        raise NoAnswerError(f"no keeper answered within {timeout_seconds:g} s")
 
     def close(self) -> None:
         """Closes all connections."""
@@ -227,16 +239,16 @@
         self.connections.clear()
 
 
-def _is_final(answer: dict[str, Any], name: str) -> bool:
+def _is_final(response: dict[str, Any], name: str) -> bool:
     """Whether the leader itself rejected the question, so that no retry would be taken."""
     return (
-        answer.get("again", 0) is None
-        and not answer.get("unknown")
-        and answer.get("leader") == name
+        response.get("again", 0) is None
+        and not response.get("unknown")
+        and response.get("leader") == name
     )
 
 
-def _box_bytes(**fields: bytes) -> bytes:
+def _encode_box(**fields: bytes) -> bytes:
     """An AMP box of these fields as it is sent."""
     content: bytes = Box(**fields).serialize()  # type: ignore[no-untyped-call]  # twisted's
     return content
@@ -250,12 +262,12 @@
     """
     box: dict[bytes, bytes] = {}
     try:
-        for _ in range(BOX_FIELDS):
-            (length,) = BOX_LENGTH.unpack(reader.read(2))
+        for _ in range(MAX_BOX_FIELDS):
+            (length,) = LENGTH_PREFIX.unpack(reader.read(2))
             if not length:
                 return box
             key = reader.read(length)
-            (length,) = BOX_LENGTH.unpack(reader.read(2))
+            (length,) = LENGTH_PREFIX.unpack(reader.read(2))
             box[key] = reader.read(length)
     except struct.error:
         raise OSError("the connection ended") from None
--- a/thymeknot/coordination/cluster_clock.py
+++ b/thymeknot/coordination/cluster_clock.py
@@ -13,7 +13,7 @@
 DECLARATION_INTERVAL: Ticks = TICKS_PER_SECOND
 """Between two proposals of a declaration, so that one has time to be applied."""
 
-TICK_PATIENCE = 4
+TICK_TIMEOUT_INTERVALS = 4
 """Intervals that a proposed tick is waited for: a late one is worth less than the next."""
 
 
@@ -47,39 +47,41 @@
         self.epoch = epoch
         self.declaration = declaration
         self.timer: Optional[int] = None
-        self.pending = False
-        self.declared_at: Ticks = 0
+        self.tick_pending = False
+        self.last_declared_at: Ticks = 0
         self._tick()
 
     def _tick(self) -> None:
         self.timer = self.timers.add(self.timers.clock() + self.interval, self._tick)
         if self.member.server.raft_node.role != LEADER:
-            self.declared_at = 0
+            self.last_declared_at = 0
             return
-        if self.pending:
+        if self.tick_pending:
             return
-        self._declare()
-        self.pending = True
+        self._propose_declaration()
+        self.tick_pending = True
         tick = {"part": DISRUPTION_PART, "do": "tick"}
-        self.client.propose(tick, self.interval * TICK_PATIENCE).addCallback(self._ticked)
+        self.client.propose(tick, self.interval * TICK_TIMEOUT_INTERVALS).addCallback(
+            self._handle_tick_reply
+        )
 
-    def _declare(self) -> None:
+    def _propose_declaration(self) -> None:
         """Proposes the declaration if the state machine has an older one."""
         now = self.timers.clock()
         if self.member.machine.epoch >= self.epoch:
             return
-        if now - self.declared_at < DECLARATION_INTERVAL:
+        if now - self.last_declared_at < DECLARATION_INTERVAL:
             return
-        self.declared_at = now
+        self.last_declared_at = now
         for command in self.declaration:
-            self.client.propose(command).addCallback(self._declared)
+            self.client.propose(command).addCallback(self._handle_declaration_reply)
 
-    def _declared(self, reply: dict[str, Any]) -> None:
+    def _handle_declaration_reply(self, reply: dict[str, Any]) -> None:
         if "refused" in reply:
             structured_log.log("declaration rejected", why=reply["refused"])
 
-    def _ticked(self, _: dict[str, Any]) -> None:
-        self.pending = False
+    def _handle_tick_reply(self, _: dict[str, Any]) -> None:
+        self.tick_pending = False
 
     def close(self) -> None:
         """Ends the ticks and the client."""
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -12,7 +12,7 @@
 if TYPE_CHECKING:
     from ..proxy.proxy import Proxy  # the command line needs no sidecar
 
-WAKES_PER_BOUND = 16
+POLLS_PER_BOUND = 16
 """Calls of the unit's agent within its bound: it needs four at least, and a call costs little."""
 
 
@@ -44,30 +44,30 @@
         self.timers = proxy.timers
         self.clock = proxy.clock
         self.unit = unit
-        self.interval = max(1, settings.bound // WAKES_PER_BOUND)
+        self.interval = max(1, settings.bound // POLLS_PER_BOUND)
         # The agent takes no answer that is older than its bound, so none is waited for longer.
-        self.patience: Ticks = settings.bound
+        self.reply_timeout: Ticks = settings.bound
         self.timer: Optional[int] = None
         self.closed = False
-        self.holder = DisruptionAgent(unit, incarnation, build, settings, self.clock(), True)
-        self._wake()
+        self.agent = DisruptionAgent(unit, incarnation, build, settings, self.clock(), True)
+        self._poll()
 
-    def _wake(self) -> None:
+    def _poll(self) -> None:
         if not self.closed:
-            self.timer = self.timers.add(self.clock() + self.interval, self._wake)
-            self._carry_out(self.holder.due(self.clock()))
+            self.timer = self.timers.add(self.clock() + self.interval, self._poll)
+            self._perform(self.agent.due(self.clock()))
 
-    def _carry_out(self, effects: Iterable[tuple[Any, ...]]) -> None:
-        for kind, *arguments in effects:
-            self.EFFECTS[kind](self, *arguments)
+    def _perform(self, actions: Iterable[tuple[Any, ...]]) -> None:
+        for kind, *arguments in actions:
+            self.ACTION_HANDLERS[kind](self, *arguments)
 
     def _propose(self, token: int, command: dict[str, Any]) -> None:
-        self.client.propose(command, self.patience).addCallback(self._replied, token)
+        self.client.propose(command, self.reply_timeout).addCallback(self._handle_reply, token)
 
-    def _replied(self, reply: dict[str, Any], token: int) -> None:
+    def _handle_reply(self, reply: dict[str, Any], token: int) -> None:
         # An unknown outcome comes from the client, not from the cluster: it is no reply.
         if not self.closed and not reply.get("unknown"):
-            self._carry_out(self.holder.told(self.clock(), token, reply))
+            self._perform(self.agent.told(self.clock(), token, reply))
 
     def _drain(self, fence: int, build: str) -> None:
         structured_log.log(
@@ -80,12 +80,12 @@
 
     def _drained(self, fence: int) -> None:
         structured_log.log("drained", unit=self.unit, fence=fence)
-        self._carry_out(self.holder.emptied(self.clock()))
+        self._perform(self.agent.emptied(self.clock()))
 
     def _return(self, build: str) -> None:
         """Serves again, with this build or, if it is empty, with the present one."""
         self._serve(
-            lambda: self._carry_out(self.holder.ready(self.clock(), build or self.holder.build))
+            lambda: self._perform(self.agent.ready(self.clock(), build or self.agent.build))
         )
 
     def _serve(self, then: Optional[Callable[[], None]] = None) -> None:
@@ -97,18 +97,18 @@
         if not self.proxy.listener_closed:
             return
 
-        def failed(reason: str) -> None:
+        def on_failure(reason: str) -> None:
             structured_log.log("listener not reopened", unit=self.unit, why=reason)
-            self._carry_out(self.holder.failed(self.clock(), reason))
+            self._perform(self.agent.failed(self.clock(), reason))
 
-        def listens() -> None:
+        def on_listening() -> None:
             structured_log.log("drain ended", unit=self.unit)
             if then:
                 then()
 
-        self.proxy.undrain(listens, failed)
+        self.proxy.undrain(on_listening, on_failure)
 
-    EFFECTS: ClassVar[dict[str, Callable[..., None]]] = {
+    ACTION_HANDLERS: ClassVar[dict[str, Callable[..., None]]] = {
         "say": _propose,
         "drain": _drain,
         "come": _return,
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -16,7 +16,7 @@
 from .cluster_clock import ClusterClock
 from .drain_agent import DrainAgent
 from .incarnation import next_incarnation
-from .raft_member import RaftContext, RaftMember, open_member, peer_channels
+from .raft_member import RaftContext, RaftMember, make_peer_channels, open_member
 from .settings import (
     CoordinationSettings,
     CoordinationSettingsError,
@@ -100,13 +100,13 @@
         self.clock: Optional[ClusterClock] = None
         self.agent: Optional[DrainAgent] = None
         own_node = settings.own_node()
-        data = os.path.join(folder, settings.data)
+        data_folder = os.path.join(folder, settings.data)
         try:
-            self.incarnation = next_incarnation(data)
-            self.channels = peer_channels(self.context, settings)
+            self.incarnation = next_incarnation(data_folder)
+            self.channels = make_peer_channels(self.context, settings)
             if own_node:
                 self.member = open_member(
-                    self.context, settings, data, parts.networks, self.channels
+                    self.context, settings, data_folder, parts.networks, self.channels
                 )
         except (OSError, DamagedStorageError) as error:
             raise CoordinationSettingsError(("fleet", "data"), str(error)) from None
@@ -114,14 +114,14 @@
             self._listen(self.member, own_node)
             self.clock = ClusterClock(
                 timers=proxy.timers,
-                client=self._client("clock"),
+                client=self._make_client("clock"),
                 member=self.member,
                 interval=settings.tick,
                 epoch=settings.epoch,
                 declaration=parts.declaration,
             )
         if settings.unit:
-            self.agent = self._drain_agent(proxy, settings.unit)
+            self.agent = self._make_drain_agent(proxy, settings.unit)
 
     def _listen(self, member: RaftMember, own_node: NodeSettings) -> None:
         host, port = address(self.settings.listen or own_node.address)
@@ -130,41 +130,43 @@
         except Exception as error:
             raise CoordinationSettingsError(("fleet", "listen"), str(error)) from None
 
-    def _drain_agent(self, proxy: "Proxy", unit: str) -> DrainAgent:
+    def _make_drain_agent(self, proxy: "Proxy", unit: str) -> DrainAgent:
         durations = DisruptionSettings(
             bound=self.settings.bound, silent=self.settings.silent, permit=self.settings.permit
         )
         return DrainAgent(
             proxy,
-            client=self._client("unit"),
+            client=self._make_client("unit"),
             unit=unit,
             incarnation=self.incarnation,
             build=self.settings.build,
             settings=durations,
         )
 
-    def _client(self, word: str) -> RaftClient:
+    def _make_client(self, client_name: str) -> RaftClient:
         """A client of the cluster with an origin of its own: its commands end no other's."""
         return RaftClient(
             self.context.timers,
             self.channels,
             LinearCongruentialGenerator(secrets.randbits(64)),
-            f"{self.settings.name}/{word}",
+            f"{self.settings.name}/{client_name}",
             self.incarnation,
             msgspec.msgpack.encode,
         )
 
-    def reconfigure(self, made: tuple[CoordinationSettings, dict[str, Any]], folder: str) -> None:
+    def reconfigure(
+        self, new_settings: tuple[CoordinationSettings, dict[str, Any]], folder: str
+    ) -> None:
         """Takes the key ring and the networks of new settings; the others take a new start.
 
         Args:
-            made: The section of the new file as a record, and as plain values.
+            new_settings: The section of the new file as a record, and as plain values.
             folder: The operator file's folder.
 
         Raises:
             ValueError: The new settings can't be used; the present ones are kept.
         """
-        settings, section = made
+        settings, section = new_settings
         parts = build_parts(settings, section, folder)
         self.ring = parts.ring
         if self.member:
--- a/thymeknot/coordination/incarnation.py
+++ b/thymeknot/coordination/incarnation.py
@@ -3,10 +3,10 @@
 import os
 import time
 
-FILE_NAME = "start"
+INCARNATION_FILE = "start"
 """The file in the data folder that keeps the number of the last start."""
 
-READ_CHARACTERS = 20
+MAX_DIGITS = 20
 """Characters that are read of the file: the digits of any 64-bit number."""
 
 NANOSECONDS_PER_MILLISECOND = 1_000_000
@@ -24,18 +24,18 @@
     Raises:
         OSError: The folder or the file can't be used.
     """
-    path = os.path.join(folder, FILE_NAME)
-    last = 0
+    path = os.path.join(folder, INCARNATION_FILE)
+    last_incarnation = 0
     os.makedirs(folder, exist_ok=True)
     try:
         with open(path, encoding="ascii") as source:
-            last = int(source.read(READ_CHARACTERS))
+            last_incarnation = int(source.read(MAX_DIGITS))
     except (FileNotFoundError, ValueError):
         pass  # a first start, or a damaged file: the calendar stands in for the last number
-    number = max(last + 1, time.time_ns() // NANOSECONDS_PER_MILLISECOND)
+    incarnation = max(last_incarnation + 1, time.time_ns() // NANOSECONDS_PER_MILLISECOND)
     with open(path + ".part", "w", encoding="ascii") as target:
-        target.write(str(number))
+        target.write(str(incarnation))
         target.flush()
         os.fsync(target.fileno())
     os.replace(path + ".part", path)
-    return number
+    return incarnation
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -52,7 +52,9 @@
     machine: DisruptionStateMachine
 
 
-def peer_channels(context: RaftContext, settings: CoordinationSettings) -> dict[str, PeerChannel]:
+def make_peer_channels(
+    context: RaftContext, settings: CoordinationSettings
+) -> dict[str, PeerChannel]:
     """A channel to each Raft node, by its name; channels connect when they are used."""
     return {
         node.name: PeerChannel(
@@ -70,7 +72,7 @@
 def open_member(
     context: RaftContext,
     settings: CoordinationSettings,
-    data: str,
+    data_folder: str,
     networks: AllowedNetworks,
     channels: dict[str, PeerChannel],
 ) -> RaftMember:
@@ -79,7 +81,7 @@
     Args:
         context: What the node shares with the rest of the instance.
         settings: The operator's settings.
-        data: The folder of this instance's data.
+        data_folder: The folder of this instance's data.
         networks: The networks that peers may connect from.
         channels: The channels to all nodes, by name.
 
@@ -87,10 +89,10 @@
         DamagedStorageError: What is on the disk can't be trusted.
         OSError: The folder can't be used.
     """
-    storage = _make_storage(settings, data)
-    opened = storage.open(settings.founds and not _was_used(storage))
-    for sentence in opened.warnings:
-        structured_log.log("raft storage failed", error=sentence)
+    storage = _make_storage(settings, data_folder)
+    opened = storage.open(settings.founds and not _has_data(storage))
+    for warning in opened.warnings:
+        structured_log.log("raft storage failed", error=warning)
     disruption = DisruptionStateMachine()
     machine = CompositeStateMachine({DISRUPTION_PART: disruption})
     names = [node.name for node in settings.keepers]
@@ -120,15 +122,15 @@
     return RaftMember(server, disruption)
 
 
-def _make_storage(settings: CoordinationSettings, data: str) -> RaftStorage:
+def _make_storage(settings: CoordinationSettings, data_folder: str) -> RaftStorage:
     return RaftStorage(
-        os.path.join(data, "log"),
-        os.path.join(data, settings.lineage or "lineage"),
+        os.path.join(data_folder, "log"),
+        os.path.join(data_folder, settings.lineage or "lineage"),
         lambda: secrets.randbits(62) + 1,
     )
 
 
-def _was_used(storage: RaftStorage) -> bool:
+def _has_data(storage: RaftStorage) -> bool:
     """Whether a node ran on this storage before."""
     if os.path.isdir(storage.folder) and os.listdir(storage.folder):
         return True
--- a/thymeknot/coordination/settings.py
+++ b/thymeknot/coordination/settings.py
@@ -22,10 +22,10 @@
 )
 """Smaller than Raft's defaults: a message with a batch of entries must fit AMP's 64 KiB."""
 
-DECLARATION_BYTES = 16 << 10
+MAX_DECLARATION_BYTES = 16 << 10
 """Bytes of units, about, in one declaration: half of an entry, since the count is an estimate."""
 
-UNIT_OVERHEAD_BYTES = 64
+ESTIMATED_UNIT_OVERHEAD_BYTES = 64
 """Bytes that a unit adds to a declaration beyond its name and labels, estimated."""
 
 
@@ -126,7 +126,7 @@
     if len(units) < len(section["units"]):
         raise CoordinationSettingsError(("fleet", "units"), "a name stands twice")
     common = {"part": DISRUPTION_PART, "do": "declare", "epoch": settings.epoch}
-    *full_batches, last_batch = _unit_batches(units)
+    *full_batches, last_batch = _split_units(units)
     commands = [{**common, "units": batch} for batch in full_batches]
     commands.append(
         {
@@ -143,15 +143,15 @@
     return commands
 
 
-def _unit_batches(units: dict[str, dict[str, str]]) -> Iterator[dict[str, dict[str, str]]]:
+def _split_units(units: dict[str, dict[str, str]]) -> Iterator[dict[str, dict[str, str]]]:
     """Parts of the units that fit one command each; the last one may be empty."""
     batch: dict[str, dict[str, str]] = {}
     size = 0
     for name, labels in units.items():
         batch[name] = labels
-        size += UNIT_OVERHEAD_BYTES + len(name)
+        size += ESTIMATED_UNIT_OVERHEAD_BYTES + len(name)
         size += sum(len(label) + len(value) for label, value in labels.items())
-        if size > DECLARATION_BYTES:
+        if size > MAX_DECLARATION_BYTES:
             yield batch
             batch = {}
             size = 0
@@ -182,11 +182,11 @@
         reply = machine.apply(0, command)
         if "refused" in reply:
             raise CoordinationSettingsError(
-                ("fleet", _rejected_key(reply["refused"])), reply["refused"]
+                ("fleet", _find_rejected_key(reply["refused"])), reply["refused"]
             )
 
 
-def _rejected_key(sentence: str) -> str:
+def _find_rejected_key(sentence: str) -> str:
     """The key of the operator file that the state machine's sentence is about."""
     if "budget" in sentence:
         return "budgets"
--- a/thymeknot/disruption/invariant_checker.py
+++ b/thymeknot/disruption/invariant_checker.py
@@ -21,7 +21,7 @@
 
     name: str
     units: set[str]
-    most: int
+    max_unavailable: int
 
 
 class WatchedHalt(NamedTuple):
@@ -69,14 +69,14 @@
         disruptions: all disruptions.
     """
 
-    def __init__(self, groups: list[BudgetGroup], notice: Ticks, bound: Ticks) -> None:
+    def __init__(self, groups: list[BudgetGroup], crash_grace_period: Ticks, bound: Ticks) -> None:
         self.groups = groups
-        self.notice = notice
+        self.crash_grace_period = crash_grace_period
         self.bound = bound
         self.disrupted_at: dict[str, Ticks] = {}
         self.crashed_at: dict[str, Ticks] = {}
         self.confirmations: dict[str, dict[int, Ticks]] = {}
-        self.used_tokens: dict[str, int] = {}
+        self.highest_used_tokens: dict[str, int] = {}
         self.halts: dict[int, WatchedHalt] = {}
         self.service_lost_at: Ticks | None = None
         self.violations: list[str] = []
@@ -119,10 +119,14 @@
         self._check_permit(now, name, fencing_token)
         for number, halt in self.halts.items():
             if name in halt.units and not is_rollback and now - halt.at > self.bound:
-                self._note(now, "A3", f"{name} went {now - halt.at} after halt {number}")
+                self._report_violation(
+                    now, "A3", f"{name} went {now - halt.at} after halt {number}"
+                )
         lost_at = self.service_lost_at
         if lost_at is not None and now - lost_at > self.bound:
-            self._note(now, "A6", f"{name} went {now - lost_at} after the keepers were lost")
+            self._report_violation(
+                now, "A6", f"{name} went {now - lost_at} after the keepers were lost"
+            )
 
     def record_crash(self, now: Ticks, name: str) -> None:
         """A unit crashed."""
@@ -139,32 +143,37 @@
             unavailable = {
                 unit
                 for unit in group.units
-                if unit in self.disrupted_at or now - self.crashed_at.get(unit, now) > self.notice
+                if unit in self.disrupted_at
+                or now - self.crashed_at.get(unit, now) > self.crash_grace_period
             }
             # A unit that crashed and did not serve since takes nothing away by being disrupted.
             if (
                 name in group.units
                 and name not in self.crashed_at
-                and len(unavailable) > group.most
+                and len(unavailable) > group.max_unavailable
             ):
-                self._note(
+                self._report_violation(
                     now,
                     "A1",
                     f"{name} went, {len(unavailable)} of {group.name} are out "
-                    f"and {group.most} may be: {sorted(unavailable)}",
+                    f"and {group.max_unavailable} may be: {sorted(unavailable)}",
                 )
 
     def _check_permit(self, now: Ticks, name: str, fencing_token: int) -> None:
         confirmed_at = self.confirmations.get(name, {}).get(fencing_token)
-        used = self.used_tokens.get(name)
-        if confirmed_at is None or now - confirmed_at > self.bound or fencing_token <= (used or 0):
-            self._note(
+        highest_used = self.highest_used_tokens.get(name)
+        if (
+            confirmed_at is None
+            or now - confirmed_at > self.bound
+            or fencing_token <= (highest_used or 0)
+        ):
+            self._report_violation(
                 now,
                 "A2",
                 f"{name} went by permit {fencing_token}, which was confirmed {confirmed_at} "
-                f"and used {used}",
+                f"and used {highest_used}",
             )
-        self.used_tokens[name] = max(fencing_token, used or 0)
+        self.highest_used_tokens[name] = max(fencing_token, highest_used or 0)
 
-    def _note(self, now: Ticks, invariant: str, sentence: str) -> None:
+    def _report_violation(self, now: Ticks, invariant: str, sentence: str) -> None:
         self.violations.append(f"{invariant} at {now}: {sentence}")
--- a/thymeknot/disruption/release.py
+++ b/thymeknot/disruption/release.py
@@ -26,22 +26,22 @@
 class ReleaseInput(StrEnum):
     """What happens to a release."""
 
-    FREE = "free"
-    TURNED = "turned"
+    UNITS_FREE = "units_free"
+    ROLLBACK_ORDERED = "rollback_ordered"
     HALTED = "halted"
     RESUMED = "resumed"
     FINISHED = "finished"
-    HOME = "home"
-    BLOCKED = "stuck"
+    ROLLBACK_FINISHED = "rollback_finished"
+    ROLLBACK_BLOCKED = "rollback_blocked"
 
 
 class ReleaseEffect(StrEnum):
     """What a transition does to the units of a release."""
 
-    ASK = "ask"
-    STOP = "stop"
-    TURN = "turn"
-    END = "end"
+    REQUEST_PERMITS = "request_permits"
+    WITHDRAW_PERMITS = "withdraw_permits"
+    ROLL_BACK = "roll_back"
+    FINISH = "finish"
 
 
 class ReleaseTransition(NamedTuple):
@@ -60,51 +60,91 @@
 RELEASE_TRANSITIONS = {
     (state, event): ReleaseTransition(next_state, effect)
     for state, event, next_state, effect in (
-        (ReleaseState.WAITING, ReleaseInput.FREE, ReleaseState.RUNNING, ReleaseEffect.ASK),
-        (ReleaseState.WAITING, ReleaseInput.TURNED, ReleaseState.ROLLED_BACK, ReleaseEffect.END),
-        (ReleaseState.RUNNING, ReleaseInput.HALTED, ReleaseState.HALTED, ReleaseEffect.STOP),
-        (ReleaseState.RUNNING, ReleaseInput.TURNED, ReleaseState.ROLLING_BACK, ReleaseEffect.TURN),
-        (ReleaseState.RUNNING, ReleaseInput.FINISHED, ReleaseState.DONE, ReleaseEffect.END),
-        (ReleaseState.HALTED, ReleaseInput.RESUMED, ReleaseState.RUNNING, ReleaseEffect.ASK),
-        (ReleaseState.HALTED, ReleaseInput.TURNED, ReleaseState.ROLLING_BACK, ReleaseEffect.TURN),
+        (
+            ReleaseState.WAITING,
+            ReleaseInput.UNITS_FREE,
+            ReleaseState.RUNNING,
+            ReleaseEffect.REQUEST_PERMITS,
+        ),
+        (
+            ReleaseState.WAITING,
+            ReleaseInput.ROLLBACK_ORDERED,
+            ReleaseState.ROLLED_BACK,
+            ReleaseEffect.FINISH,
+        ),
+        (
+            ReleaseState.RUNNING,
+            ReleaseInput.HALTED,
+            ReleaseState.HALTED,
+            ReleaseEffect.WITHDRAW_PERMITS,
+        ),
+        (
+            ReleaseState.RUNNING,
+            ReleaseInput.ROLLBACK_ORDERED,
+            ReleaseState.ROLLING_BACK,
+            ReleaseEffect.ROLL_BACK,
+        ),
+        (ReleaseState.RUNNING, ReleaseInput.FINISHED, ReleaseState.DONE, ReleaseEffect.FINISH),
+        (
+            ReleaseState.HALTED,
+            ReleaseInput.RESUMED,
+            ReleaseState.RUNNING,
+            ReleaseEffect.REQUEST_PERMITS,
+        ),
+        (
+            ReleaseState.HALTED,
+            ReleaseInput.ROLLBACK_ORDERED,
+            ReleaseState.ROLLING_BACK,
+            ReleaseEffect.ROLL_BACK,
+        ),
         (
             ReleaseState.ROLLING_BACK,
             ReleaseInput.HALTED,
             ReleaseState.ROLLBACK_HALTED,
-            ReleaseEffect.STOP,
+            ReleaseEffect.WITHDRAW_PERMITS,
         ),
         (
             ReleaseState.ROLLING_BACK,
-            ReleaseInput.TURNED,
+            ReleaseInput.ROLLBACK_ORDERED,
             ReleaseState.ROLLING_BACK,
-            ReleaseEffect.TURN,
+            ReleaseEffect.ROLL_BACK,
         ),
-        (ReleaseState.ROLLING_BACK, ReleaseInput.HOME, ReleaseState.ROLLED_BACK, ReleaseEffect.END),
         (
             ReleaseState.ROLLING_BACK,
-            ReleaseInput.BLOCKED,
+            ReleaseInput.ROLLBACK_FINISHED,
+            ReleaseState.ROLLED_BACK,
+            ReleaseEffect.FINISH,
+        ),
+        (
+            ReleaseState.ROLLING_BACK,
+            ReleaseInput.ROLLBACK_BLOCKED,
             ReleaseState.PARTLY_ROLLED_BACK,
-            ReleaseEffect.END,
+            ReleaseEffect.FINISH,
         ),
         (
             ReleaseState.ROLLBACK_HALTED,
             ReleaseInput.RESUMED,
             ReleaseState.ROLLING_BACK,
-            ReleaseEffect.TURN,
+            ReleaseEffect.ROLL_BACK,
         ),
         (
             ReleaseState.ROLLBACK_HALTED,
-            ReleaseInput.TURNED,
+            ReleaseInput.ROLLBACK_ORDERED,
             ReleaseState.ROLLING_BACK,
-            ReleaseEffect.TURN,
+            ReleaseEffect.ROLL_BACK,
         ),
         (
             ReleaseState.PARTLY_ROLLED_BACK,
-            ReleaseInput.TURNED,
+            ReleaseInput.ROLLBACK_ORDERED,
+            ReleaseState.ROLLING_BACK,
+            ReleaseEffect.ROLL_BACK,
+        ),
+        (
+            ReleaseState.DONE,
+            ReleaseInput.ROLLBACK_ORDERED,
             ReleaseState.ROLLING_BACK,
-            ReleaseEffect.TURN,
+            ReleaseEffect.ROLL_BACK,
         ),
-        (ReleaseState.DONE, ReleaseInput.TURNED, ReleaseState.ROLLING_BACK, ReleaseEffect.TURN),
     )
 }
 ENDED_STATES = (ReleaseState.DONE, ReleaseState.ROLLED_BACK, ReleaseState.PARTLY_ROLLED_BACK)
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -17,7 +17,7 @@
 # Ticks after which to ask again for a release that waits for another one.
 RELEASE_RETRY_TICKS = 10 * TICKS_PER_SECOND
 # Ticks after which to ask again for a release when too many are under way.
-PLACE_RETRY_TICKS = 60 * TICKS_PER_SECOND
+CAPACITY_RETRY_TICKS = 60 * TICKS_PER_SECOND
 
 
 def start_release(rollouts: Rollouts, command: ReleaseCommand) -> ReleaseReply:
@@ -27,22 +27,24 @@
         CommandRejectedError: it can't be started, or not now.
     """
     name = command.release
-    known = rollouts.by_name.get(name)
-    if known:
-        _check_successor(known, command)
-        if command.epoch == known.epoch:
-            return ReleaseReply(name, known.state.value)
+    existing = rollouts.by_name.get(name)
+    if existing:
+        _check_successor(existing, command)
+        if command.epoch == existing.epoch:
+            return ReleaseReply(name, existing.state.value)
     if command.build == command.earlier:
         raise CommandRejectedError(
             f"build {command.build} is the earlier one too: there is nothing to release", [name]
         )
     members = _choose_members(rollouts.fleet, command)
     waves = _parse_waves(command.waves, len(members))
-    other = rollouts.find_earlier(None, set(members))
+    other = rollouts.find_conflicting(None, set(members))
     if other and not command.wait:
-        raise _make_busy_error(other)
+        raise _make_conflict_error(other)
     if not rollouts.make_room():
-        raise CommandRejectedError("too many releases are under way", retry_after=PLACE_RETRY_TICKS)
+        raise CommandRejectedError(
+            "too many releases are under way", retry_after=CAPACITY_RETRY_TICKS
+        )
     release = rollouts.add(
         name=name,
         epoch=command.epoch,
@@ -63,33 +65,33 @@
     )
 
 
-def _make_busy_error(other: Release) -> CommandRejectedError:
+def _make_conflict_error(other: Release) -> CommandRejectedError:
     """The rejection of a release while another one has the same units."""
-    doing = "on its way back" if other.state in ROLLBACK_STATES else other.state
+    activity = "on its way back" if other.state in ROLLBACK_STATES else other.state
     return CommandRejectedError(
-        f"release {other.name} is {doing} with the same units; ask again after it, or with wait",
+        f"release {other.name} is {activity} with the same units; ask again after it, or with wait",
         [other.name],
         RELEASE_RETRY_TICKS,
     )
 
 
-def _check_successor(known: Release, command: ReleaseCommand) -> None:
+def _check_successor(existing: Release, command: ReleaseCommand) -> None:
     """Raises CommandRejectedError if a command neither repeats a release nor may replace it."""
     name = command.release
-    if command.epoch < known.epoch:
+    if command.epoch < existing.epoch:
         raise CommandRejectedError(
-            f"epoch {command.epoch} of release {name} is over; it is {known.epoch} now", [name]
+            f"epoch {command.epoch} of release {name} is over; it is {existing.epoch} now", [name]
         )
-    if command.epoch == known.epoch:
-        if (known.build, known.earlier_build) != (command.build, command.earlier):
+    if command.epoch == existing.epoch:
+        if (existing.build, existing.earlier_build) != (command.build, command.earlier):
             raise CommandRejectedError(
-                f"release {name} of epoch {command.epoch} is of build {known.build}; "
+                f"release {name} of epoch {command.epoch} is of build {existing.build}; "
                 "a new one needs a higher epoch",
                 [name],
             )
-    elif known.state not in ENDED_STATES:
+    elif existing.state not in ENDED_STATES:
         raise CommandRejectedError(
-            f"release {name} is {known.state}; its way back goes first",
+            f"release {name} is {existing.state}; its way back goes first",
             [name],
             RELEASE_RETRY_TICKS,
         )
@@ -106,12 +108,12 @@
     if not members:
         raise CommandRejectedError(f"release {command.release} chooses no unit", [command.release])
     units_by_rack: dict[str | None, int] = {}
-    place_in_rack: dict[str, int] = {}
+    position_in_rack: dict[str, int] = {}
     for name in members:
         rack = fleet.units[name].labels.get("rack")
         units_by_rack[rack] = units_by_rack.get(rack, 0) + 1
-        place_in_rack[name] = units_by_rack[rack]
-    members.sort(key=lambda name: (place_in_rack[name], name))
+        position_in_rack[name] = units_by_rack[rack]
+    members.sort(key=lambda name: (position_in_rack[name], name))
     return members
 
 
@@ -141,22 +143,22 @@
             f"epoch {epoch} of release {name} is over; it is {release.epoch} now", [name]
         )
     if release.state in ENDED_STATES:
-        other = rollouts.find_earlier(None, set(release.members))
+        other = rollouts.find_conflicting(None, set(release.members))
         if other:
             raise CommandRejectedError(
                 f"release {other.name} is {other.state} with units of {name}: it goes first",
                 [other.name],
                 RELEASE_RETRY_TICKS,
             )
-    if not rollouts.transition(release, ReleaseInput.TURNED):
+    if not rollouts.transition(release, ReleaseInput.ROLLBACK_ORDERED):
         raise CommandRejectedError(
             f"release {name} is {release.state}: there is nothing to bring back", [name]
         )
     return ReleaseReply(name, release.state.value)
 
 
-def take_vote(
-    rollouts: Rollouts, command: VoteCommand, enforce: Callable[[Halt], None]
+def apply_vote(
+    rollouts: Rollouts, command: VoteCommand, enforce_halt: Callable[[Halt], None]
 ) -> VoteReply | VotedBackReply:
     """Takes the decision module's verdict on the wave that it has seen.
 
@@ -166,7 +168,7 @@
     Args:
         rollouts: all releases.
         command: the verdict.
-        enforce: ends what a halt ends at once.
+        enforce_halt: ends what a halt ends at once.
 
     Raises:
         CommandRejectedError: the release or its wave is another one, or can't be voted back.
@@ -177,7 +179,7 @@
             f"no release {command.release} of epoch {command.epoch}", [command.release]
         )
     if command.verdict == Verdict.BACK:
-        return _vote_back(rollouts, release, command.why, enforce)
+        return _apply_rollback_vote(rollouts, release, command.why, enforce_halt)
     if command.wave != release.wave:
         raise CommandRejectedError(
             f"release {release.name} is in wave {release.wave}, the vote is on wave {command.wave}",
@@ -188,8 +190,8 @@
     return VoteReply(release.state.value, release.wave)
 
 
-def _vote_back(
-    rollouts: Rollouts, release: Release, why: str | None, enforce: Callable[[Halt], None]
+def _apply_rollback_vote(
+    rollouts: Rollouts, release: Release, why: str | None, enforce_halt: Callable[[Halt], None]
 ) -> VotedBackReply:
     if release.state not in (ReleaseState.RUNNING, ReleaseState.HALTED):
         raise CommandRejectedError(
@@ -202,9 +204,9 @@
         "vote",
         release=release.name,
     )
-    enforce(halt)
+    enforce_halt(halt)
     rollouts.transition(release, ReleaseInput.HALTED)
     if release.auto_rollback:
-        rollouts.transition(release, ReleaseInput.TURNED)
+        rollouts.transition(release, ReleaseInput.ROLLBACK_ORDERED)
     bound = rollouts.fleet.settings.halt_bound()
     return VotedBackReply(release.state.value, halt.number, bound)
--- a/thymeknot/disruption/replies.py
+++ b/thymeknot/disruption/replies.py
@@ -97,7 +97,7 @@
     stands: list[int]
 
 
-class CalledReply(NamedTuple):
+class CalledBackReply(NamedTuple):
     """Names of the units that were called back."""
 
     called: list[str]
@@ -128,7 +128,7 @@
     bound: Ticks
 
 
-class UnitStanding(NamedTuple):
+class UnitDetails(NamedTuple):
     """Where a unit stands.
 
     Attributes:
@@ -182,7 +182,7 @@
     """How one unit stands."""
 
     unit: str
-    standing: UnitStanding
+    details: UnitDetails
 
 
 Reply: TypeAlias = (
@@ -192,7 +192,7 @@
     | SeenReply
     | HaltReply
     | ResumeReply
-    | CalledReply
+    | CalledBackReply
     | ReleaseReply
     | VoteReply
     | VotedBackReply
@@ -201,10 +201,10 @@
 )
 
 
-def write_fields(reply: Reply | UnitStanding) -> dict[str, Any]:
+def write_fields(reply: Reply | UnitDetails) -> dict[str, Any]:
     """The fields of a reply as they are written."""
     if isinstance(reply, UnitStatusReply):
-        return {"unit": reply.unit, **write_fields(reply.standing)}
+        return {"unit": reply.unit, **write_fields(reply.details)}
     return {name: value for name, value in reply._asdict().items() if value is not None}
 
 
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -30,11 +30,11 @@
     ReleaseInput,
     ReleaseState,
 )
-from .scheduler import explain_stuck
+from .scheduler import explain_blocked
 
 MAX_RELEASES = 64
 # Units of a release that request at once: the queue is for other plans too.
-MAX_OPEN_REQUESTS = 256
+MAX_PENDING_REQUESTS = 256
 # Permits that a unit lets lapse before it is set aside.
 MAX_LAPSED_PERMITS = 5
 
@@ -52,7 +52,7 @@
     is_awaited: bool
     reason: str | None = None
     needs_permit: bool = False
-    is_well: bool = False
+    is_recovered: bool = False
 
 
 class Rollouts:
@@ -64,10 +64,10 @@
         self.by_name: dict[str, Release] = {}
         self.last_number = 0
         self._effects: dict[ReleaseEffect, Callable[[Release], None]] = {
-            ReleaseEffect.ASK: self._await_round,
-            ReleaseEffect.STOP: self._withdraw_all,
-            ReleaseEffect.TURN: self._begin_rollback,
-            ReleaseEffect.END: self._withdraw_all,
+            ReleaseEffect.REQUEST_PERMITS: self._wait_for_next_round,
+            ReleaseEffect.WITHDRAW_PERMITS: self._withdraw_permits,
+            ReleaseEffect.ROLL_BACK: self._begin_rollback,
+            ReleaseEffect.FINISH: self._withdraw_permits,
         }
 
     def get_units(self, release: Release) -> list[Unit]:
@@ -131,7 +131,7 @@
             del self.by_name[ended.name]
         return True
 
-    def find_earlier(self, release: Release | None, members: set[str]) -> Release | None:
+    def find_conflicting(self, release: Release | None, members: set[str]) -> Release | None:
         """The first release that has one of these units and is not over, or None.
 
         Args:
@@ -164,10 +164,10 @@
         self._effects[step.effect](release)
         return True
 
-    def _await_round(self, release: Release) -> None:
+    def _wait_for_next_round(self, release: Release) -> None:
         """Does nothing: the next round requests permits."""
 
-    def _withdraw_all(self, release: Release) -> None:
+    def _withdraw_permits(self, release: Release) -> None:
         """Takes back its requests, and its permits that nobody began."""
         for unit in self.get_units(release):
             if unit.request and unit.request.plan == release.plan:
@@ -181,13 +181,13 @@
             if unit.request and unit.request.plan == release.plan:
                 self._withdraw(unit)
                 if unit.state in (PermitState.DRAINING, PermitState.OUT, PermitState.RETURNING):
-                    self._call_back(unit, release)
+                    self._recall_unit(unit, release)
 
     def _withdraw(self, unit: Unit) -> None:
         if unit.state in (PermitState.ASKED, PermitState.GRANTED):
             self.fleet.transition(unit, PermitInput.TURNED)
 
-    def _call_back(self, unit: Unit, release: Release) -> None:
+    def _recall_unit(self, unit: Unit, release: Release) -> None:
         """Has an unavailable unit return with the earlier build.
 
         One that was disrupted for a rollback goes on with that; its build is the earlier one.
@@ -198,13 +198,13 @@
             unit.fault = ""
             self.fleet.transition(unit, PermitInput.TURNED)
 
-    def run_round(self) -> None:
+    def advance_releases(self) -> None:
         """Does what is next for each release; at ticks and after commands that touch releases."""
         for release in self.sorted_by_number():
-            if release.state == ReleaseState.WAITING and not self.find_earlier(
+            if release.state == ReleaseState.WAITING and not self.find_conflicting(
                 release, set(release.members)
             ):
-                self.transition(release, ReleaseInput.FREE)
+                self.transition(release, ReleaseInput.UNITS_FREE)
             self._apply_halts(release)
             if release.state == ReleaseState.RUNNING:
                 self._advance(release)
@@ -224,26 +224,26 @@
         )
         self.fleet.transition(unit, PermitInput.ASKED, request)
 
-    def _count_free_requests(self, release: Release) -> int:
+    def _count_available_requests(self, release: Release) -> int:
         """How many more units of a release may request."""
         plan = release.plan
-        return MAX_OPEN_REQUESTS - sum(
+        return MAX_PENDING_REQUESTS - sum(
             unit.granted_request.plan == plan for unit in self.fleet.requesting.values()
         )
 
     def _advance(self, release: Release) -> None:
-        free = self._count_free_requests(release)
+        available_requests = self._count_available_requests(release)
         is_waiting = False
         for unit in self.get_units(release)[: release.waves[release.wave]]:
-            progress = self._judge_unit(release, unit)
+            progress = self._assess_unit(release, unit)
             if progress.reason:
                 release.set_aside[unit.name] = progress.reason
-            elif progress.is_well:
+            elif progress.is_recovered:
                 release.set_aside.pop(unit.name, None)
             is_waiting = is_waiting or progress.is_awaited
-            if progress.needs_permit and free > 0:
+            if progress.needs_permit and available_requests > 0:
                 self._request_permit(release, unit, False)
-                free -= 1
+                available_requests -= 1
         if is_waiting:
             return
         if release.waves[release.wave] >= len(release.members):
@@ -251,21 +251,21 @@
         elif not release.gated or release.approved_waves > release.wave:
             release.wave += 1
 
-    def _judge_unit(self, release: Release, unit: Unit) -> UnitProgress:
+    def _assess_unit(self, release: Release, unit: Unit) -> UnitProgress:
         """How far a unit is with a release that goes on."""
         at = self.fleet.at
         settings = self.fleet.settings
-        is_in = unit.state == PermitState.IN
+        is_in_service = unit.state == PermitState.IN
         is_ready = unit.is_ready(at, settings.silent)
-        if not is_in or (is_ready and unit.build != release.build):
-            if is_in and unit.lapsed_permits >= MAX_LAPSED_PERMITS:
+        if not is_in_service or (is_ready and unit.build != release.build):
+            if is_in_service and unit.lapsed_permits >= MAX_LAPSED_PERMITS:
                 return UnitProgress(False, _describe_lapses(unit))
             overdue = self._explain_overdue(unit)
             if overdue:
                 return UnitProgress(False, overdue)
-            return UnitProgress(True, needs_permit=is_in, is_well=True)
+            return UnitProgress(True, needs_permit=is_in_service, is_recovered=True)
         if is_ready:
-            return UnitProgress(False, is_well=True)
+            return UnitProgress(False, is_recovered=True)
         if at - max(unit.since, unit.ready_at, release.started_at) > settings.home:
             return UnitProgress(False, "is " + unit.describe_unavailability(at, settings.silent))
         # It was not seen ready since it returned, or was silent for a moment.
@@ -283,22 +283,25 @@
         return None
 
     def _advance_rollback(self, release: Release) -> None:
-        free = self._count_free_requests(release)
+        available_requests = self._count_available_requests(release)
         is_waiting = False
         set_aside: dict[str, str] = {}
         for unit in self.get_units(release):
-            progress = self._judge_rolled_back_unit(release, unit)
+            progress = self._assess_rollback(release, unit)
             if progress.reason:
                 set_aside[unit.name] = progress.reason
             is_waiting = is_waiting or progress.is_awaited
-            if progress.needs_permit and free > 0:
+            if progress.needs_permit and available_requests > 0:
                 self._request_permit(release, unit, True)
-                free -= 1
+                available_requests -= 1
         release.set_aside = set_aside
         if not is_waiting:
-            self.transition(release, ReleaseInput.BLOCKED if set_aside else ReleaseInput.HOME)
+            self.transition(
+                release,
+                ReleaseInput.ROLLBACK_BLOCKED if set_aside else ReleaseInput.ROLLBACK_FINISHED,
+            )
 
-    def _judge_rolled_back_unit(self, release: Release, unit: Unit) -> UnitProgress:
+    def _assess_rollback(self, release: Release, unit: Unit) -> UnitProgress:
         """How far a unit is with the rollback of a release."""
         at = self.fleet.at
         settings = self.fleet.settings
@@ -306,8 +309,10 @@
         if unit.state == PermitState.IN and has_build:
             if unit.lapsed_permits >= MAX_LAPSED_PERMITS:
                 is_ready = unit.is_ready(at, settings.silent)
-                word = "ready" if is_ready else unit.describe_unavailability(at, settings.silent)
-                return UnitProgress(False, f"{_describe_lapses(unit)}; it is {word}")
+                readiness = (
+                    "ready" if is_ready else unit.describe_unavailability(at, settings.silent)
+                )
+                return UnitProgress(False, f"{_describe_lapses(unit)}; it is {readiness}")
             return UnitProgress(True, needs_permit=True)
         request = unit.request
         if request is None or request.plan != release.plan:
@@ -318,8 +323,10 @@
         if unit.state == PermitState.ASKED:
             # Named at once, and waited for no longer than one that is on its way: those that
             # crashed may start again.
-            stuck = explain_stuck(self.fleet, unit)
-            return UnitProgress(not stuck or at - request.at <= settings.home, stuck)
+            blocked_reason = explain_blocked(self.fleet, unit)
+            return UnitProgress(
+                not blocked_reason or at - request.at <= settings.home, blocked_reason
+            )
         overdue = self._explain_overdue(unit)
         return UnitProgress(not overdue and unit.state != PermitState.IN, overdue)
 
--- a/thymeknot/disruption/scheduler.py
+++ b/thymeknot/disruption/scheduler.py
@@ -88,7 +88,7 @@
     fleet.capacity_freed = False
 
 
-def explain_stuck(fleet: Fleet, unit: Unit) -> str | None:
+def explain_blocked(fleet: Fleet, unit: Unit) -> str | None:
     """Why a unit's grant can't come whatever is waited for, in a sentence; None if it can."""
     for usage in find_blocking_budgets(fleet, unit):
         if len(usage.unavailable) >= usage.allowed and not will_free_capacity(fleet, usage):
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -23,29 +23,29 @@
 # Ticks between two tick commands.
 TICK_INTERVAL = TICKS_PER_SECOND // 5
 # Ticks in which a unit gets warm, on average.
-WARM_UP_TICKS = 2 * TICKS_PER_SECOND
+MEAN_WARM_UP_TICKS = 2 * TICKS_PER_SECOND
 # Ticks that draining, and replacing a unit, take at most and on average.
-WORK_TICKS = 3 * TICKS_PER_SECOND
+MEAN_REPLACEMENT_TICKS = 3 * TICKS_PER_SECOND
 # How often an agent is called within a bound; it asks for four times at least.
 POLLS_PER_BOUND = 8
 # Of the allowed drift, how much a clock has at most.
-DRIFT_SHARE = 0.9
+MAX_DRIFT_RATIO = 0.9
 # Ticks by which clocks differ at most.
-CLOCK_OFFSET_TICKS = 1e7
+MAX_CLOCK_OFFSET_TICKS = 1e7
 # Ticks that a message takes at least.
-DELAY_TICKS = 20
+MIN_DELAY_TICKS = 20
 # Ticks that it takes at most beyond that.
-JITTER_TICKS = 80
+MAX_JITTER_TICKS = 80
 # The share of messages that arrive twice.
-DUPLICATE_SHARE = 0.01
+DUPLICATE_PROBABILITY = 0.01
 # The share of messages that are late.
-LATE_SHARE = 0.02
+LATE_PROBABILITY = 0.02
 # Seconds by which these are late at most.
-LATE_SECONDS = 3
+MAX_LATE_SECONDS = 3
 # Seconds of virtual time between two looks whether a condition holds.
-LOOK_SECONDS = 0.5
+CONDITION_CHECK_SECONDS = 0.5
 # Looks within a second.
-LOOKS_PER_SECOND = 2
+CONDITION_CHECKS_PER_SECOND = 2
 
 
 class RandomSource(Protocol):
@@ -94,7 +94,7 @@
         self.is_serving = True
         self.build = "old"
         self.start = 0
-        self.warm_up: Ticks = WARM_UP_TICKS
+        self.warm_up: Ticks = MEAN_WARM_UP_TICKS
         self.suspended_until: Ticks = 0
         self.return_fault: str | None = None
         self.agent: DisruptionAgent
@@ -150,15 +150,15 @@
         self.partitions: set[tuple[str, str]] = set()
         drift = self.settings.drift / 1000
         bound = self.settings.halt_bound()
-        notice = self.settings.silent + bound + TICK_INTERVAL
-        self.checker = InvariantChecker(groups, notice, bound)
+        crash_grace_period = self.settings.silent + bound + TICK_INTERVAL
+        self.checker = InvariantChecker(groups, crash_grace_period, bound)
         self.service = SimulatedService(self, make_machine())
         self.units: dict[str, SimulatedUnit] = {}
         self.rolled_back: set[str] = set()
         self.failing_build: str | None = None
         for name, labels in units.items():
-            rate = 1 + drift * (2 * self._random.draw() - 1) * DRIFT_SHARE
-            offset = int(self._random.draw() * CLOCK_OFFSET_TICKS)
+            rate = 1 + drift * (2 * self._random.draw() - 1) * MAX_DRIFT_RATIO
+            offset = int(self._random.draw() * MAX_CLOCK_OFFSET_TICKS)
             self.units[name] = SimulatedUnit(name, labels, rate, offset)
             self._start_process(self.units[name], True)
         self.declare_reply = self.submit(
@@ -189,10 +189,10 @@
 
     def run_until(self, condition: Callable[[], object], max_seconds: int = 600) -> object:
         """Runs until a condition holds, at most so many seconds; gives whether it does."""
-        for _ in range(max_seconds * LOOKS_PER_SECOND):
+        for _ in range(max_seconds * CONDITION_CHECKS_PER_SECOND):
             if condition():
                 return True
-            self.run(LOOK_SECONDS)
+            self.run(CONDITION_CHECK_SECONDS)
         return condition()
 
     def deliver(self, sender: str, receiver: str, call: Callable[[], object]) -> None:
@@ -200,11 +200,14 @@
         random = self._random
         if (sender, receiver) in self.partitions or random.draw() < self._loss:
             return
-        for _ in range(2 if random.draw() < DUPLICATE_SHARE else 1):
+        for _ in range(2 if random.draw() < DUPLICATE_PROBABILITY else 1):
             wait = (
-                DELAY_TICKS
-                + random.draw() * JITTER_TICKS
-                + (random.draw() < LATE_SHARE) * random.draw() * LATE_SECONDS * TICKS_PER_SECOND
+                MIN_DELAY_TICKS
+                + random.draw() * MAX_JITTER_TICKS
+                + (random.draw() < LATE_PROBABILITY)
+                * random.draw()
+                * MAX_LATE_SECONDS
+                * TICKS_PER_SECOND
             )
             self.schedule(wait, lambda: self._arrive(receiver, call))
 
@@ -318,16 +321,16 @@
         """Does what a unit's agent wants."""
         for action in actions:
             if isinstance(action, SayAction):
-                self._say(unit, action)
+                self._send(unit, action)
             elif isinstance(action, DrainAction):
                 self._drain(unit, action)
             elif isinstance(action, ComeAction):
-                self._come(unit, action)
+                self._return(unit, action)
             else:
                 unit.is_serving = True
                 self.checker.record_serving(unit.name)
 
-    def _say(self, unit: SimulatedUnit, action: SayAction) -> None:
+    def _send(self, unit: SimulatedUnit, action: SayAction) -> None:
         start = unit.start
 
         def take_reply(reply: dict[str, Any]) -> None:
@@ -342,7 +345,7 @@
         self.checker.record_disruption(self.now, unit.name, action.fence, is_rollback)
         self._schedule_for_process(
             unit,
-            WORK_TICKS * (0.2 + self._random.draw()),
+            MEAN_REPLACEMENT_TICKS * (0.2 + self._random.draw()),
             lambda: self._finish_drain(unit, action.build),
         )
 
@@ -353,11 +356,11 @@
         if build:  # it was disrupted to be replaced: that is done after a while
             self._schedule_for_process(
                 unit,
-                WORK_TICKS * (0.5 + self._random.draw()),
+                MEAN_REPLACEMENT_TICKS * (0.5 + self._random.draw()),
                 lambda: self.perform(unit, unit.agent.done(self.read_clock(unit), build)),
             )
 
-    def _come(self, unit: SimulatedUnit, action: ComeAction) -> None:
+    def _return(self, unit: SimulatedUnit, action: ComeAction) -> None:
         unit.build = action.build or unit.build
         if unit.return_fault:
             self.perform(unit, unit.agent.failed(self.read_clock(unit), unit.return_fault))
--- a/thymeknot/disruption/simulated_layout.py
+++ b/thymeknot/disruption/simulated_layout.py
@@ -7,10 +7,10 @@
 from .targets import Labels, UnitKind
 
 # How many units of a rack and of a zone may be unavailable.
-MOST_OF_RACK = 1
-MOST_OF_ZONE = 3
+MAX_UNAVAILABLE_PER_RACK = 1
+MAX_UNAVAILABLE_PER_ZONE = 3
 # Which share of each kind may be unavailable.
-SHARE_OF_KIND = 0.2
+MAX_UNAVAILABLE_SHARE_PER_KIND = 0.2
 
 
 class FleetLayout(NamedTuple):
@@ -44,17 +44,17 @@
             "lane": "pay",
         }
     groups = []
-    for label, most in (("rack", MOST_OF_RACK), ("zone", MOST_OF_ZONE)):
+    for label, limit in (("rack", MAX_UNAVAILABLE_PER_RACK), ("zone", MAX_UNAVAILABLE_PER_ZONE)):
         for value in sorted({labels[label] for labels in units.values()}):
             names = {name for name, labels in units.items() if labels[label] == value}
-            groups.append(BudgetGroup(f"{label} {value}", names, most))
+            groups.append(BudgetGroup(f"{label} {value}", names, limit))
     for kind in (UnitKind.POD, UnitKind.SIDECAR):
         names = {name for name, labels in units.items() if labels["kind"] == kind}
-        most = int(len(names) * SHARE_OF_KIND + ROUNDING_TOLERANCE)
-        groups.append(BudgetGroup(kind.value, names, most))
+        limit = int(len(names) * MAX_UNAVAILABLE_SHARE_PER_KIND + ROUNDING_TOLERANCE)
+        groups.append(BudgetGroup(kind.value, names, limit))
     budgets: list[dict[str, Any]] = [
-        {"name": "racks", "each": "rack", "most": MOST_OF_RACK},
-        {"name": "zones", "each": "zone", "most": MOST_OF_ZONE},
-        {"name": "kinds", "each": "kind", "share": SHARE_OF_KIND},
+        {"name": "racks", "each": "rack", "most": MAX_UNAVAILABLE_PER_RACK},
+        {"name": "zones", "each": "zone", "most": MAX_UNAVAILABLE_PER_ZONE},
+        {"name": "kinds", "each": "kind", "share": MAX_UNAVAILABLE_SHARE_PER_KIND},
     ]
     return FleetLayout(units, budgets, groups)
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -51,10 +51,10 @@
 )
 from .plan_epochs import PlanEpochs
 from .release import PLAN_PREFIX, ReleaseState
-from .release_commands import roll_back_release, start_release, take_vote
+from .release_commands import apply_vote, roll_back_release, start_release
 from .replies import (
     AcceptedReply,
-    CalledReply,
+    CalledBackReply,
     DeclareReply,
     HaltReply,
     ReleaseReply,
@@ -74,7 +74,7 @@
 from .targets import CommandRejectedError, matches, parse_selector
 
 # Names of reports that were not understood that a reply has.
-MAX_STRANGE_SHOWN = 8
+MAX_INVALID_NAMES_SHOWN = 8
 # Commands after which releases go on.
 RELEASE_ROUND_COMMANDS = (
     CommandName.TICK,
@@ -104,7 +104,7 @@
         self.halts = Halts()
         self.releases = Rollouts(self.fleet, self.halts)
         self.plans = PlanEpochs(self.fleet)
-        self.permits = PermitCommands(self.fleet, self.plans, self.explain_hold)
+        self.permit_commands = PermitCommands(self.fleet, self.plans, self.explain_hold)
         self.epoch = 0
         self._handlers: dict[type[Command], Callable[[Any], Reply]] = {
             DeclareCommand: self._declare,
@@ -121,7 +121,7 @@
             ReleaseCommand: self._release,
             VoteCommand: self._vote,
             CancelCommand: self._cancel,
-            StatusCommand: self._report,
+            StatusCommand: self._status,
         }
 
     def apply(self, at: Any, command: Any) -> dict[str, Any]:
@@ -138,7 +138,7 @@
             written = {"ok": True, **write_fields(reply)}
         except CommandRejectedError as rejection:
             written = write_rejection(rejection)
-        self._settle(name)
+        self._apply_consequences(name)
         if isinstance(reply, UnitReply):
             written.update(
                 write_fields(describe_unit(fleet, fleet.units[reply.unit], self.explain_hold))
@@ -161,20 +161,20 @@
 
     # What follows from any command.
 
-    def _settle(self, name: CommandName | None) -> None:
+    def _apply_consequences(self, name: CommandName | None) -> None:
         """Halts what exceeded budgets, has releases go on, and grants what fits."""
         fleet = self.fleet
         exceeded = fleet.newly_exceeded
         fleet.newly_exceeded = []
         for usage in sorted(exceeded, key=lambda usage: usage.name):
-            self._halt_exceeded(usage)
+            self._halt_exceeded_budget(usage)
         self.halts.end_restored(fleet)
         if name in RELEASE_ROUND_COMMANDS or exceeded:
-            self.releases.run_round()
+            self.releases.advance_releases()
         if fleet.capacity_freed or name == CommandName.TICK:
             scheduler.grant_permits(fleet, self.explain_hold)
 
-    def _halt_exceeded(self, usage: BudgetUsage) -> None:
+    def _halt_exceeded_budget(self, usage: BudgetUsage) -> None:
         """Crashes exceeded a budget: its place is halted until it is restored.
 
         Releases with units there are halted until somebody resumes them.
@@ -182,7 +182,7 @@
         why = scheduler.describe_usage(self.fleet, usage)
         by = "budget " + usage.name
         try:
-            self._enforce(
+            self._enforce_halt(
                 self.halts.add(
                     self.fleet.at,
                     HaltCause.BUDGET,
@@ -197,7 +197,7 @@
                 if release.state == ReleaseState.RUNNING and any(
                     matches(usage.where, unit.labels) for unit in units
                 ):
-                    self._enforce(
+                    self._enforce_halt(
                         self.halts.add(
                             self.fleet.at, HaltCause.CRASHES, why, by, release=release.name
                         )
@@ -205,7 +205,7 @@
         except CommandRejectedError:
             pass  # too many halts stand; the budget itself still grants nothing
 
-    def _enforce(self, _halt: Halt) -> None:
+    def _enforce_halt(self, _halt: Halt) -> None:
         """Ends the permits that nobody began and that a new halt holds.
 
         Agents that don't hear it are stopped by their bound, since no begin is confirmed any more.
@@ -239,17 +239,17 @@
             )
         self.fleet.last_report_at = self.fleet.at
         orders: dict[str, Any] = {}
-        strange = []
+        invalid_names = []
         for name, report in sorted(command.units.items(), key=lambda pair: str(pair[0])):
             unit = self.fleet.units.get(name)
             if unit is None or not _is_report(report):
-                strange.append(str(name)[:MAX_WORD_SHOWN])
+                invalid_names.append(str(name)[:MAX_WORD_SHOWN])
                 continue
             status, start, build = report
             self.fleet.record_report(unit, command.as_of, STATUS_BY_VALUE[status], start, build)
             if unit.state in PERMITTED_STATES and unit.start == start:
                 orders[name] = make_order(self.fleet, unit).to_plain()
-        return SeenReply(orders, strange[:MAX_STRANGE_SHOWN] or None)
+        return SeenReply(orders, invalid_names[:MAX_INVALID_NAMES_SHOWN] or None)
 
     def _ready(self, command: ReadyCommand) -> SeenReply:
         self.fleet.get_unit(command.unit)
@@ -257,19 +257,19 @@
         return self._seen(SeenCommand(command.as_of, {command.unit: report}))
 
     def _ask(self, command: AskCommand) -> UnitReply:
-        return self.permits.request(command)
+        return self.permit_commands.request(command)
 
     def _begin(self, command: BeginCommand) -> UnitReply:
-        return self.permits.begin(command)
+        return self.permit_commands.begin(command)
 
     def _out(self, command: OutCommand) -> UnitReply:
-        return self.permits.record_drained(command)
+        return self.permit_commands.record_drained(command)
 
     def _return(self, command: ReturnCommand) -> UnitReply:
-        return self.permits.take_return(command)
+        return self.permit_commands.take_return(command)
 
     def _cancel(self, command: CancelCommand) -> UnitReply:
-        return self.permits.cancel(command)
+        return self.permit_commands.cancel(command)
 
     def _tick(self, _command: TickCommand) -> AcceptedReply:
         return AcceptedReply()
@@ -290,7 +290,7 @@
             where=where,
             release=command.release,
         )
-        self._enforce(halt)
+        self._enforce_halt(halt)
         return HaltReply(halt.number, self.fleet.settings.halt_bound())
 
     def _resume(self, command: ResumeCommand) -> ResumeReply:
@@ -303,7 +303,7 @@
         self.fleet.capacity_freed = True
         return ResumeReply(halt.describe(), sorted(self.halts.by_number))
 
-    def _back(self, command: BackCommand) -> ReleaseReply | CalledReply:
+    def _back(self, command: BackCommand) -> ReleaseReply | CalledBackReply:
         given = (command.release, command.unit, command.plan)
         if sum(name is not None for name in given) != 1:
             raise CommandRejectedError("back is of one release, unit or plan")
@@ -326,7 +326,7 @@
                 )
         if command.plan is not None and command.epoch is not None:
             self.plans.take(command.plan, command.epoch)
-        return CalledReply(
+        return CalledBackReply(
             sorted(unit.name for unit in units if self.fleet.transition(unit, PermitInput.TURNED))
         )
 
@@ -334,9 +334,9 @@
         return start_release(self.releases, command)
 
     def _vote(self, command: VoteCommand) -> VoteReply | VotedBackReply:
-        return take_vote(self.releases, command, self._enforce)
+        return apply_vote(self.releases, command, self._enforce_halt)
 
-    def _report(self, command: StatusCommand) -> StatusReply | UnitStatusReply:
+    def _status(self, command: StatusCommand) -> StatusReply | UnitStatusReply:
         if command.unit is not None:
             unit = self.fleet.get_unit(command.unit)
             return UnitStatusReply(unit.name, describe_unit(self.fleet, unit, self.explain_hold))
@@ -345,7 +345,7 @@
 
     def read_status(self, unit: str | None, where: dict[str, Any] | None) -> dict[str, Any]:
         """The fields of a status reply; changes nothing, so a read may be answered by it."""
-        return write_fields(self._report(StatusCommand(unit, where)))
+        return write_fields(self._status(StatusCommand(unit, where)))
 
     # Snapshots.
 
--- a/thymeknot/disruption/status.py
+++ b/thymeknot/disruption/status.py
@@ -8,13 +8,13 @@
 from .halts import Halts
 from .permits import PERMITTED_STATES, PermitState, Unit
 from .release import Release
-from .replies import ORDER_BY_STATE, Order, StatusReply, UnitStanding, write_fields
+from .replies import ORDER_BY_STATE, Order, StatusReply, UnitDetails, write_fields
 from .rollouts import Rollouts
 from .scheduler import explain_wait
 from .targets import Selector, matches
 
 # Units, budgets and units set aside that one status names.
-MAX_SHOWN = 512
+MAX_ENTRIES_SHOWN = 512
 # Ticks after which a unit that waits for a permit is to ask again.
 PERMIT_RETRY_TICKS = TICKS_PER_SECOND
 
@@ -34,7 +34,7 @@
 
 def describe_unit(
     fleet: Fleet, unit: Unit, explain_hold: Callable[[Unit], str | None]
-) -> UnitStanding:
+) -> UnitDetails:
     """Where a unit stands.
 
     Args:
@@ -51,12 +51,12 @@
         waits = explain_hold(unit)
         if not waits:
             waits, blockers = explain_wait(fleet, unit)
-    is_permitted = unit.state in PERMITTED_STATES
-    return UnitStanding(
+    has_permit = unit.state in PERMITTED_STATES
+    return UnitDetails(
         state=unit.state.value,
         ready=is_ready,
         build=unit.build,
-        order=make_order(fleet, unit).to_plain() if is_permitted else None,
+        order=make_order(fleet, unit).to_plain() if has_permit else None,
         out=None if is_ready else unit.describe_unavailability(fleet.at, silent),
         fault=unit.fault or None,
         waits=waits,
@@ -75,15 +75,15 @@
     """How all stand; of the units those that a selector chooses."""
     silent = fleet.settings.silent
     units = [unit for _, unit in sorted(fleet.units.items()) if matches(where, unit.labels)]
-    away = [unit for unit in units if unit.request or not unit.is_ready(fleet.at, silent)]
+    listed = [unit for unit in units if unit.request or not unit.is_ready(fleet.at, silent)]
     return StatusReply(
         terms=fleet.settings.to_plain(),
         units=len(units),
         out=sum(not unit.is_ready(fleet.at, silent) for unit in units),
-        more=max(0, len(away) - MAX_SHOWN),
+        more=max(0, len(listed) - MAX_ENTRIES_SHOWN),
         away={
             unit.name: write_fields(describe_unit(fleet, unit, explain_hold))
-            for unit in away[:MAX_SHOWN]
+            for unit in listed[:MAX_ENTRIES_SHOWN]
         },
         budgets={
             name: {
@@ -91,7 +91,7 @@
                 "out": len(usage.unavailable),
                 "said": usage.describe_limit(),
             }
-            for name, usage in sorted(fleet.usages.items())[:MAX_SHOWN]
+            for name, usage in sorted(fleet.usages.items())[:MAX_ENTRIES_SHOWN]
         },
         halts={str(number): halt.describe() for number, halt in sorted(halts.by_number.items())},
         releases={
@@ -108,7 +108,7 @@
         "wave": release.wave,
         "waves": len(release.waves),
         "voted": release.approved_waves,
-        "aside": dict(sorted(release.set_aside.items())[:MAX_SHOWN]),
+        "aside": dict(sorted(release.set_aside.items())[:MAX_ENTRIES_SHOWN]),
         "home": sum(
             unit.build == release.build and unit.is_ready(fleet.at, fleet.settings.silent)
             for unit in rollouts.get_units(release)
--- a/thymeknot/disruption/targets.py
+++ b/thymeknot/disruption/targets.py
@@ -50,8 +50,8 @@
     """The default of a setting and its inclusive limits."""
 
     default: int
-    least: int
-    most: int
+    minimum: int
+    maximum: int
 
 
 # By name of the setting, in the order in which settings are stored.
