--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -1,4 +1,4 @@
-"""What the fleet's letters refuse, what `check` refuses of its settings, and what is imported where it is off."""
+"""Tests of signed Raft messages, the Raft client's retries, the fleet settings and lazy imports."""
 
 import os
 import re
@@ -24,117 +24,129 @@
 SESSION = b"s" * 32
 
 
-class Letters(unittest.TestCase):
+class MessageSignatures(unittest.TestCase):
     def setUp(self):
-        self.one, self.two, self.other = new_identity("n1"), new_identity("n2"), new_identity("n1")
+        self.sender, self.recipient, self.impostor = (
+            new_identity("n1"),
+            new_identity("n2"),
+            new_identity("n1"),
+        )
         self.ring = Keyring(
-            [Peer(one.name, None, (PeerKey(one.text(), None),)) for one in (self.one, self.two)]
+            [
+                Peer(identity.name, None, (PeerKey(identity.text(), None),))
+                for identity in (self.sender, self.recipient)
+            ]
         )
 
-    def opened(self, told, session=SESSION, last=0, ring=None):
+    def open(self, message, session=SESSION, last_number=0, ring=None):
+        """The body of a message, or the kind of the error that rejects it."""
         try:
             return message_codec.open_message(
-                ring or self.ring, 0.0, "n2", session, last, **told
+                ring or self.ring, 0.0, "n2", session, last_number, **message
             ).body
-        except message_codec.MessageError as bad:
-            return bad.kind
+        except message_codec.MessageError as error:
+            return error.kind
 
-    def sealed(self, by=None, to="n2", number=1, body=b"body"):
+    def sign(self, identity=None, recipient="n2", number=1, body=b"body"):
         return message_codec.sign_message(
-            by or self.one, to, SESSION, number, message_codec.PEER, body
+            identity or self.sender, recipient, SESSION, number, message_codec.PEER, body
         )
 
-    def test_what_is_taken_and_what_is_refused_by_kind(self):
-        good = self.sealed()
-        self.assertEqual(self.opened(good), b"body")
-        self.assertEqual(self.opened(good, last=1), "replayed")
-        self.assertEqual(self.opened(good, session=b"t" * 32), "replayed")
-        self.assertEqual(self.opened(self.sealed(to="n3")), "misled")
-        self.assertEqual(self.opened(self.sealed(self.other)), "unknown")
-        self.assertEqual(self.opened({**good, "content": good["content"] + b"\0"}), "forged")
+    def test_valid_message_is_accepted_and_invalid_ones_are_rejected_by_kind(self):
+        valid = self.sign()
+        self.assertEqual(self.open(valid), b"body")
+        self.assertEqual(self.open(valid, last_number=1), "replayed")
+        self.assertEqual(self.open(valid, session=b"t" * 32), "replayed")
+        self.assertEqual(self.open(self.sign(recipient="n3")), "misled")
+        self.assertEqual(self.open(self.sign(self.impostor)), "unknown")
+        self.assertEqual(self.open({**valid, "content": valid["content"] + b"\0"}), "forged")
         self.assertEqual(
-            self.opened({**good, "content": bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES + 1)}),
+            self.open({**valid, "content": bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES + 1)}),
             "oversized",
         )
-        revoked = Keyring([Peer("n1", None, (PeerKey(self.one.text(), None),))], [self.one.text()])
-        self.assertEqual(self.opened(good, ring=revoked), "unknown")
+        revoked = Keyring(
+            [Peer("n1", None, (PeerKey(self.sender.text(), None),))], [self.sender.text()]
+        )
+        self.assertEqual(self.open(valid, ring=revoked), "unknown")
         content = msgspec.msgpack.encode(["n1", 7])
         self.assertEqual(
-            self.opened(
+            self.open(
                 {
-                    "key": self.one.key_id,
+                    "key": self.sender.key_id,
                     "content": content,
-                    "signature": self.one.sign(message_codec.SIGNATURE_CONTEXT + content),
+                    "signature": self.sender.sign(message_codec.SIGNATURE_CONTEXT + content),
                 }
             ),
             "nonsense",
         )
         self.assertRaises(
             message_codec.MessageError,
-            self.sealed,
+            self.sign,
             body=bytes(message_codec.MAX_SIGNED_MESSAGE_BYTES),
         )
 
 
-class Ways(unittest.TestCase):
-    def test_a_retry_has_its_number_goes_to_the_leader_told_and_ends_by_its_deadline(self):
-        clock, asked = Clock(), []
+class RaftClientRetries(unittest.TestCase):
+    def test_retry_keeps_its_number_follows_the_leader_hint_and_ends_at_its_deadline(self):
+        clock, requests = Clock(), []
 
-        class Channel:
-            def __init__(self, name, told):
-                self.name, self.told = name, told
+        class FakeChannel:
+            def __init__(self, name, response):
+                self.name, self.response = name, response
 
             def send_request(self, kind, body):
-                asked.append((self.name, kind, msgspec.msgpack.decode(body).get("number")))
-                return Deferred() if self.told is None else succeed(self.told)
+                requests.append((self.name, kind, msgspec.msgpack.decode(body).get("number")))
+                return Deferred() if self.response is None else succeed(self.response)
 
-        deadlines = TimerQueue(lambda: int(clock.seconds() * 10_000), clock.callLater, self.fail)
-        ways = {
-            "a": Channel(
+        timers = TimerQueue(lambda: int(clock.seconds() * 10_000), clock.callLater, self.fail)
+        channels = {
+            "a": FakeChannel(
                 "a", {"why": "does not lead", "again": 0, "leader": "b", "unknown": False}
             ),
-            "b": Channel("b", {"reply": {"ok": True}}),
+            "b": FakeChannel("b", {"reply": {"ok": True}}),
         }
-        one = client.RaftClient(
-            deadlines, ways, LinearCongruentialGenerator(1), "n1", 5, msgspec.msgpack.encode
+        raft_client = client.RaftClient(
+            timers, channels, LinearCongruentialGenerator(1), "n1", 5, msgspec.msgpack.encode
         )
-        one.next_node, found = 0, []
-        one.propose({"do": "x"}).addCallback(found.append)
+        raft_client.next_node, replies = 0, []
+        raft_client.propose({"do": "x"}).addCallback(replies.append)
         clock.pump([0.01] * 20)
-        self.assertEqual(found, [{"ok": True}])
-        self.assertEqual(asked, [("a", message_codec.PROPOSE, 1), ("b", message_codec.PROPOSE, 1)])
-        ways["b"].told = None
-        one.propose({"do": "y"}, 20_000).addCallback(found.append)
-        one.propose({"do": "z"}, 100_000)
+        self.assertEqual(replies, [{"ok": True}])
+        self.assertEqual(
+            requests, [("a", message_codec.PROPOSE, 1), ("b", message_codec.PROPOSE, 1)]
+        )
+        channels["b"].response = None
+        raft_client.propose({"do": "y"}, 20_000).addCallback(replies.append)
+        raft_client.propose({"do": "z"}, 100_000)
         clock.pump([0.02] * 120)
-        self.assertTrue(found[1]["unknown"])
-        self.assertEqual({number for _, _, number in asked[2:]}, {2, 3})
-        self.assertLess(len(asked), 12)
+        self.assertTrue(replies[1]["unknown"])
+        self.assertEqual({number for _, _, number in requests[2:]}, {2, 3})
+        self.assertLess(len(requests), 12)
 
 
-class Settings(unittest.TestCase):
-    def text(self, folder):
-        """The example with a key of this test's own."""
+class FleetSettings(unittest.TestCase):
+    def example_text(self, folder):
+        """The example operator file with a newly generated key, stored in the folder."""
         with open(os.path.join(FOLDER, "fleet.cue"), encoding="utf-8") as source:
             text = source.read()
-        mine = keys.new("n1", os.path.join(folder, "n1.key"))
-        return text.replace("1AAw0DZ1WlCsgTTdX1mtbDDSR+AlbN1aIBj8BVe+gXE=", mine.text())
+        identity = keys.new("n1", os.path.join(folder, "n1.key"))
+        return text.replace("1AAw0DZ1WlCsgTTdX1mtbDDSR+AlbN1aIBj8BVe+gXE=", identity.text())
 
-    def said(self, change):
-        """What a file like the example, changed so, is refused with."""
+    def load_error(self, change):
+        """The error for the example file after a change, or None if it is accepted."""
         with tempfile.TemporaryDirectory() as folder:
             path = os.path.join(folder, "fleet.cue")
             with open(path, "w", encoding="utf-8") as target:
-                target.write(change(self.text(folder)))
+                target.write(change(self.example_text(folder)))
             try:
                 features.Features(path)
             except features.FeatureError as error:
                 return str(error).replace(path, "F")
         return None
 
-    def test_the_example_is_taken_and_what_cannot_work_is_named_with_line_and_key(self):
-        self.assertIsNone(self.said(lambda text: text))
-        for change, told in (
+    def test_example_is_accepted_and_invalid_settings_are_reported_with_line_and_key(self):
+        self.assertIsNone(self.load_error(lambda text: text))
+        for change, error_pattern in (
             (
                 lambda text: re.sub(r'\n.*name: "n3", address.*', "", text),
                 r"F:11: fleet\.keepers: 2 keepers",
@@ -154,24 +166,24 @@
             ),
             (lambda text: text.replace('rack: "a1"', 'shelf: "a1"'), r"shelf: no such field"),
         ):
-            self.assertRegex(self.said(change), told)
+            self.assertRegex(self.load_error(change), error_pattern)
 
-    def test_starts_grow(self):
+    def test_incarnations_grow_with_each_start(self):
         with tempfile.TemporaryDirectory() as folder:
-            numbers = [feature.next_incarnation(folder) for _ in range(3)]
-            self.assertEqual(sorted(set(numbers)), numbers)
+            incarnations = [feature.next_incarnation(folder) for _ in range(3)]
+            self.assertEqual(sorted(set(incarnations)), incarnations)
 
-    def test_off_it_is_not_imported(self):
+    def test_disabled_feature_is_not_imported(self):
         code = (
             "import sys; from thymeknot.service import features, lifecycle; import thymeknot.proxy.proxy; "
             "features.Features(None); "
             "print([name for name in sys.modules if name.startswith(('thymeknot.coordination', 'thymeknot.raft', "
             "'thymeknot.disruption', 'twisted.protocols.amp', 'msgspec'))])"
         )
-        done = subprocess.run(
+        result = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=30
         )
-        self.assertEqual(done.stdout.strip(), "[]", done.stderr)
+        self.assertEqual(result.stdout.strip(), "[]", result.stderr)
 
 
 if __name__ == "__main__":
--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -1,4 +1,4 @@
-"""A blocking client of the Raft nodes for the command line and for tests, without an event loop."""
+"""A blocking client of the Raft nodes, without an event loop, for the command line and tests."""
 
 import socket
 import struct
@@ -14,39 +14,39 @@
 from ..raft import message_codec
 
 ATTEMPT_TIMEOUT_SECONDS = 1.0
-"""How long an answer to one attempt is waited for."""
+"""Socket timeout of one attempt at one node."""
 
 RETRY_INTERVAL_SECONDS = 0.05
-"""Between two attempts, so that an election under way is not met with a storm of them."""
+"""Pause between two attempts, so that retries do not flood the nodes during an election."""
 
 DEFAULT_TIMEOUT_SECONDS = 10.0
-"""How long a command or a read is tried unless the caller says otherwise."""
+"""Default time after which a command or a read is given up."""
 
 MAX_BOX_FIELDS = 16
-"""Fields that are read of one box; those of the protocol have four at most."""
+"""Maximum number of fields in a received box; the protocol's boxes have at most four."""
 
 LENGTH_PREFIX = struct.Struct(">H")
-"""The length before each key and value of an AMP box, in bytes."""
+"""The length in bytes that precedes each key and value of an AMP box."""
 
 
 class NoAnswerError(Exception):
-    """No node answered within the time: the command may have been carried out, or not."""
+    """No node replied within the timeout. The command may or may not have been applied."""
 
 
 class _Connection(NamedTuple):
     """An open connection to one node.
 
     Attributes:
-        reader: What comes in, buffered.
+        reader: Buffered reader of the socket.
         sock: The socket.
-        session: Both ends' shares of the session, which each message is signed for.
-        number: The number of the last message on it.
+        session: The nonces of both ends, which the signature of each message covers.
+        last_number: The number of the last message on the connection.
     """
 
     reader: BinaryIO
     sock: socket.socket
     session: bytes
-    number: int
+    last_number: int
 
     def close(self) -> None:
         self.reader.close()
@@ -54,7 +54,7 @@
 
 
 class BlockingClient:
-    """Sends one command or read at a time, and retries it at the other nodes."""
+    """Sends one command or read at a time, and retries it at the other nodes if necessary."""
 
     def __init__(
         self,
@@ -64,21 +64,21 @@
         client_name: str,
         incarnation: int,
     ) -> None:
-        """Connects to nobody yet.
+        """Creates the client; connections are opened when they are needed.
 
         Args:
             identity: The name and private key that the client signs with.
-            ring: The public keys of the nodes.
-            addresses: HOST:PORT by node's name.
-            client_name: Tells this client apart from others of the same identity.
-            incarnation: A number that grows with each client of that word.
+            ring: The key ring with the public keys of the nodes.
+            addresses: HOST:PORT of each node, by name.
+            client_name: Distinguishes this client from others of the same identity.
+            incarnation: A number that grows with each client of the same name.
         """
         self.identity = identity
         self.ring = ring
         self.addresses = dict(addresses)
         self.origin = f"{identity.name}/{client_name}"
         self.incarnation = incarnation
-        self.number = 0
+        self.last_command_number = 0
         self.leader: Optional[str] = None
         self.next_node = 0
         self.connections: dict[str, _Connection] = {}
@@ -86,25 +86,25 @@
     def propose(
         self, command: dict[str, Any], timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
     ) -> dict[str, Any]:
-        """Has a command carried out, and returns the reply.
+        """Submits a command and returns the reply.
 
         Args:
             command: The command, a mapping of plain values.
             timeout_seconds: Seconds after which to give up.
 
         Raises:
-            NoAnswerError: No node answered in time; `retry` asks once more under the same number.
+            NoAnswerError: No node replied in time; `retry` sends the same command again.
         """
-        self.number += 1
+        self.last_command_number += 1
         return self.retry(command, timeout_seconds)
 
     def retry(
         self, command: dict[str, Any], timeout_seconds: float = DEFAULT_TIMEOUT_SECONDS
     ) -> dict[str, Any]:
-        """Retries the last command under its number, so that it counts once.
+        """Sends the last command again under the same number, so that it is applied only once.
 
         Args:
-            command: The command that was proposed last.
+            command: The command that was passed to the last call of `propose`.
             timeout_seconds: Seconds after which to give up.
 
         Raises:
@@ -116,7 +116,7 @@
                 "command": command,
                 "origin": self.origin,
                 "incarnation": self.incarnation,
-                "number": self.number,
+                "number": self.last_command_number,
             },
             timeout_seconds,
         )
@@ -136,23 +136,24 @@
         return self._request_until_reply(message_codec.READ, {"query": query}, timeout_seconds)
 
     def ask_node(self, name: str, kind: int, request: dict[str, Any]) -> dict[str, Any]:
-        """Asks one node once, and returns its answer.
+        """Sends one request to one node, without a retry, and returns the response.
 
         Args:
-            name: The node's name.
+            name: Name of the node.
             kind: PROPOSE or READ.
-            request: What is sent, before it is encoded and signed.
+            request: The request as a mapping, before it is encoded and signed.
 
         Returns:
-            {"reply": reply}, or `why`, `again`, `leader` and `unknown` where it gave none.
+            `{"reply": reply}`, or a mapping with `why`, `again`, `leader` and `unknown` if the node
+            has no reply.
 
         Raises:
-            OSError: The connection can't be made, or ended.
-            KeyError: The answer lacks a field.
-            MessageError: The node rejected the message, or its answer can't be trusted.
+            OSError: The connection failed or was closed.
+            KeyError: The response lacks a field.
+            MessageError: The node rejected the message, or its response is not authentic.
         """
         connection = self.connections.pop(name, None) or self._connect(name)
-        number = connection.number + 1
+        number = connection.last_number + 1
         try:
             signed = message_codec.sign_message(
                 self.identity,
@@ -165,15 +166,15 @@
             connection.sock.sendall(_encode_box(_command=b"Ask", _ask=b"%d" % number, **signed))
             response = self._verify_response(name, connection, _read_box(connection.reader))
         except BaseException:
-            connection.close()  # an answer that still comes would be taken for the next one's
+            connection.close()  # a late response would be taken for that to the next request
             raise
-        self.connections[name] = connection._replace(number=number)
+        self.connections[name] = connection._replace(last_number=number)
         return response
 
     def _verify_response(
         self, name: str, connection: _Connection, box: dict[bytes, bytes]
     ) -> dict[str, Any]:
-        """The answer in a box, once it is proven to be the node's, to the message sent last."""
+        """Returns the response in a box, after verifying that the node sent it for this request."""
         if b"_error_description" in box:
             raise message_codec.MessageError(
                 "refused", box[b"_error_description"].decode("utf-8", "replace")
@@ -183,18 +184,18 @@
             time.time(),
             self.identity.name,
             connection.session,
-            connection.number,
+            connection.last_number,
             box[b"key"],
             box[b"content"],
             box[b"signature"],
         )
-        expected = (name, message_codec.REPLY, connection.number + 1)
+        expected = (name, message_codec.REPLY, connection.last_number + 1)
         if (message.sender, message.kind, message.number) != expected:
-            raise message_codec.MessageError("misled", "an answer to another question")
+            raise message_codec.MessageError("misled", "the response belongs to another request")
         return message_codec.decode_mapping(message.body)
 
     def _connect(self, name: str) -> _Connection:
-        """Connects, and agrees on a session."""
+        """Connects to a node and exchanges the nonces of the session."""
         sock = socket.create_connection(
             address(self.addresses[name]), timeout=ATTEMPT_TIMEOUT_SECONDS
         )
@@ -211,7 +212,7 @@
     def _request_until_reply(
         self, kind: int, request: dict[str, Any], timeout_seconds: float
     ) -> dict[str, Any]:
-        """Asks the leader, or the nodes in turn, until one gives a reply."""
+        """Sends a request to the leader, or to the nodes in turn, until one gives a reply."""
         deadline = time.monotonic() + timeout_seconds
         names = sorted(self.addresses)
         while time.monotonic() < deadline:
@@ -240,7 +241,7 @@
 
 
 def _is_final(response: dict[str, Any], name: str) -> bool:
-    """Whether the leader itself rejected the question, so that no retry would be taken."""
+    """Whether the leader itself rejected the request for good, so that a retry is useless."""
     return (
         response.get("again", 0) is None
         and not response.get("unknown")
@@ -249,16 +250,18 @@
 
 
 def _encode_box(**fields: bytes) -> bytes:
-    """An AMP box of these fields as it is sent."""
+    """Encodes the fields as an AMP box."""
     content: bytes = Box(**fields).serialize()  # type: ignore[no-untyped-call]  # twisted's
     return content
 
 
 def _read_box(reader: BinaryIO) -> dict[bytes, bytes]:
-    """The next AMP box: its values by key. The lengths of its form bound its size.
+    """Reads the next AMP box and returns its values by key.
+
+    The number of fields and their two-byte lengths limit its size.
 
     Raises:
-        OSError: The connection ended, or the box has too many fields.
+        OSError: The connection was closed, or the box has more than MAX_BOX_FIELDS fields.
     """
     box: dict[bytes, bytes] = {}
     try:
@@ -270,5 +273,5 @@
             (length,) = LENGTH_PREFIX.unpack(reader.read(2))
             box[key] = reader.read(length)
     except struct.error:
-        raise OSError("the connection ended") from None
-    raise OSError("a box of too many fields")
+        raise OSError("connection closed while reading a box") from None
+    raise OSError("a box has too many fields")
--- a/thymeknot/coordination/cluster_clock.py
+++ b/thymeknot/coordination/cluster_clock.py
@@ -1,4 +1,4 @@
-"""Advances the replicated time while this instance's node leads, and renews the declaration."""
+"""Advances the replicated time while this instance's node leads, and submits its declaration."""
 
 from typing import Any, Optional
 
@@ -11,14 +11,14 @@
 from .settings import DISRUPTION_PART
 
 DECLARATION_INTERVAL: Ticks = TICKS_PER_SECOND
-"""Between two proposals of a declaration, so that one has time to be applied."""
+"""Minimum time between two proposals of the declaration, so that one has time to be applied."""
 
 TICK_TIMEOUT_INTERVALS = 4
-"""Intervals that a proposed tick is waited for: a late one is worth less than the next."""
+"""Timeout of a proposed tick, in tick intervals: a late tick is worth less than the next one."""
 
 
 class ClusterClock:
-    """Proposes a tick at each interval while the node leads; one tick is pending at a time."""
+    """Proposes a tick at each interval while the node leads, with at most one tick pending."""
 
     def __init__(
         self,
@@ -30,14 +30,14 @@
         epoch: int,
         declaration: list[dict[str, Any]],
     ) -> None:
-        """Starts at once.
+        """Starts the clock.
 
         Args:
-            timers: The timers of the sidecar.
-            client: A client of the cluster, for this clock alone.
+            timers: The timer queue of the sidecar.
+            client: A client of the cluster that only this clock uses.
             member: This instance's Raft node.
-            interval: Between two ticks.
-            epoch: The number of the declaration.
+            interval: Ticks between two proposed ticks.
+            epoch: The epoch of the declaration.
             declaration: The commands of the declaration, in order.
         """
         self.timers = timers
@@ -66,7 +66,7 @@
         )
 
     def _propose_declaration(self) -> None:
-        """Proposes the declaration if the state machine has an older one."""
+        """Proposes the declaration if that in the state machine has a lower epoch."""
         now = self.timers.clock()
         if self.member.machine.epoch >= self.epoch:
             return
@@ -84,6 +84,6 @@
         self.tick_pending = False
 
     def close(self) -> None:
-        """Ends the ticks and the client."""
+        """Stops the ticks and closes the client."""
         self.client.close()
         self.timers.cancel(self.timer)
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -1,4 +1,4 @@
-"""Carries out the fleet's drains on the sidecar, as the unit's agent decides them."""
+"""Carries out the actions of the unit's disruption agent on the sidecar."""
 
 from collections.abc import Callable, Iterable
 from typing import TYPE_CHECKING, Any, ClassVar, Optional
@@ -13,11 +13,11 @@
     from ..proxy.proxy import Proxy  # the command line needs no sidecar
 
 POLLS_PER_BOUND = 16
-"""Calls of the unit's agent within its bound: it needs four at least, and a call costs little."""
+"""Polls of the unit's agent within its bound: it needs at least four, and a poll is cheap."""
 
 
 class DrainAgent:
-    """The unit's agent on the real sidecar."""
+    """Connects the unit's disruption agent to the Raft cluster and to the running sidecar."""
 
     def __init__(
         self,
@@ -29,15 +29,15 @@
         build: str,
         settings: DisruptionSettings,
     ) -> None:
-        """Starts at once.
+        """Starts the agent.
 
         Args:
             proxy: The running sidecar.
-            client: A client of the cluster, for this agent alone.
-            unit: The unit's name.
-            incarnation: A number that grows with each start.
+            client: A client of the cluster that only this agent uses.
+            unit: Name of the unit.
+            incarnation: A number that grows with each start of the instance.
             build: The build that the unit runs.
-            settings: The durations that the fleet agreed on.
+            settings: The settings of disruption control, in particular its durations.
         """
         self.proxy = proxy
         self.client = client
@@ -45,7 +45,7 @@
         self.clock = proxy.clock
         self.unit = unit
         self.interval = max(1, settings.bound // POLLS_PER_BOUND)
-        # The agent takes no answer that is older than its bound, so none is waited for longer.
+        # The agent ignores replies that are older than its bound, so waiting longer is useless.
         self.reply_timeout: Ticks = settings.bound
         self.timer: Optional[int] = None
         self.closed = False
@@ -65,7 +65,7 @@
         self.client.propose(command, self.reply_timeout).addCallback(self._handle_reply, token)
 
     def _handle_reply(self, reply: dict[str, Any], token: int) -> None:
-        # An unknown outcome comes from the client, not from the cluster: it is no reply.
+        # An unknown outcome is reported by the client, not by the cluster, so it is not a reply.
         if not self.closed and not reply.get("unknown"):
             self._perform(self.agent.told(self.clock(), token, reply))
 
@@ -83,16 +83,16 @@
         self._perform(self.agent.emptied(self.clock()))
 
     def _return(self, build: str) -> None:
-        """Serves again, with this build or, if it is empty, with the present one."""
+        """Serves again, with `build` or, if it is empty, with the current build."""
         self._serve(
             lambda: self._perform(self.agent.ready(self.clock(), build or self.agent.build))
         )
 
     def _serve(self, then: Optional[Callable[[], None]] = None) -> None:
-        """Accepts requests again; does nothing if the sidecar already does.
+        """Accepts requests again; does nothing if the listener is open.
 
         Args:
-            then: Called once the sidecar listens.
+            then: Called once the listener is open.
         """
         if not self.proxy.listener_closed:
             return
@@ -114,9 +114,9 @@
         "come": _return,
         "serve": _serve,
     }
-    """How each effect of `disruption.agent` is carried out."""
+    """Handlers of the actions of `disruption.agent`, by action kind."""
 
     def close(self) -> None:
-        """Ends the agent; replies that still come are ignored."""
+        """Stops the agent; late replies are ignored."""
         self.closed = True
         self.timers.cancel(self.timer)
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -1,4 +1,4 @@
-"""The feature as a whole: identity, key ring, channels, Raft node, clock and drain agent."""
+"""Assembles the feature: identity, key ring, channels, Raft node, cluster clock and drain agent."""
 
 import os
 import secrets
@@ -30,12 +30,12 @@
 
 
 class CoordinationParts(NamedTuple):
-    """What is made of the settings alone.
+    """The parts of the feature that depend on the settings alone.
 
     Attributes:
         identity: This instance's name and private key.
-        ring: The public keys of all that may speak.
-        networks: The networks that they may connect from.
+        ring: The public keys of all peers that may send messages.
+        networks: The networks from which peers may connect.
         declaration: The commands that declare the operator's units and budgets.
     """
 
@@ -48,12 +48,12 @@
 def build_parts(
     settings: CoordinationSettings, section: dict[str, Any], folder: str
 ) -> CoordinationParts:
-    """Checks the settings, and makes what can be made without starting anything.
+    """Checks the settings and builds the parts that need no running sidecar.
 
     Args:
         settings: The section of the operator file as a record.
         section: The same section as plain values.
-        folder: The operator file's folder, which relative paths count from.
+        folder: The operator file's folder, to which relative paths refer.
 
     Raises:
         CoordinationSettingsError: The settings can't be used.
@@ -71,23 +71,23 @@
     except KeyringError as error:
         raise CoordinationSettingsError(("fleet",), str(error)) from None
     if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
-        raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the ring")
+        raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the key ring")
     return CoordinationParts(identity, ring, networks, declaration_commands(settings, section))
 
 
 class CoordinationFeature:
-    """The running feature, from the sidecar's start to its end."""
+    """The running feature, from the start of the sidecar until it stops."""
 
     def __init__(
         self, proxy: "Proxy", settings: CoordinationSettings, section: dict[str, Any], folder: str
     ) -> None:
-        """Starts everything.
+        """Starts the feature.
 
         Args:
             proxy: The running sidecar.
             settings: The section of the operator file as a record.
             section: The same section as plain values.
-            folder: The operator file's folder, which relative paths count from.
+            folder: The operator file's folder, to which relative paths refer.
 
         Raises:
             CoordinationSettingsError: The settings, the data folder or the address can't be used.
@@ -144,7 +144,11 @@
         )
 
     def _make_client(self, client_name: str) -> RaftClient:
-        """A client of the cluster with an origin of its own: its commands end no other's."""
+        """Returns a client of the cluster with its own origin.
+
+        The cluster recognizes repeated commands by origin and number, so each client needs its
+        own origin.
+        """
         return RaftClient(
             self.context.timers,
             self.channels,
@@ -157,14 +161,14 @@
     def reconfigure(
         self, new_settings: tuple[CoordinationSettings, dict[str, Any]], folder: str
     ) -> None:
-        """Takes the key ring and the networks of new settings; the others take a new start.
+        """Applies the key ring and the networks of new settings; all other changes need a restart.
 
         Args:
             new_settings: The section of the new file as a record, and as plain values.
             folder: The operator file's folder.
 
         Raises:
-            ValueError: The new settings can't be used; the present ones are kept.
+            ValueError: The new settings can't be used; the current ones stay in force.
         """
         settings, section = new_settings
         parts = build_parts(settings, section, folder)
@@ -173,7 +177,7 @@
             self.member.server.allowed_hosts = parts.networks
 
     def stop(self) -> None:
-        """Ends the feature; the unit counts as unavailable once it was not seen for long enough."""
+        """Stops the feature; after the setting `silent` the unit counts as unavailable."""
         if self.agent:
             self.agent.close()
         if self.clock:
--- a/thymeknot/coordination/raft_member.py
+++ b/thymeknot/coordination/raft_member.py
@@ -25,13 +25,13 @@
 
 
 class RaftContext(NamedTuple):
-    """What a node and the clients of an instance share.
+    """The objects that the node and the clients of an instance share.
 
     Attributes:
         reactor: Twisted's event loop.
-        timers: The timers of the sidecar.
+        timers: The timer queue of the sidecar.
         identity: This instance's name and private key.
-        ring: Returns the key ring of now; a reload replaces it.
+        ring: Returns the current key ring, which a reload replaces.
     """
 
     reactor: IReactorTCP
@@ -41,11 +41,11 @@
 
 
 class RaftMember(NamedTuple):
-    """A running node.
+    """A running Raft node.
 
     Attributes:
-        server: Takes the messages of the other nodes and of clients, and owns the node.
-        machine: The replicated state machine, as far as this node applied the log.
+        server: Receives messages from the other nodes and from clients, and owns the node.
+        machine: The state machine, with the log entries that this node has applied.
     """
 
     server: PeerServer
@@ -55,7 +55,7 @@
 def make_peer_channels(
     context: RaftContext, settings: CoordinationSettings
 ) -> dict[str, PeerChannel]:
-    """A channel to each Raft node, by its name; channels connect when they are used."""
+    """Returns a channel to each Raft node, by name; channels connect when they are first used."""
     return {
         node.name: PeerChannel(
             context.reactor,
@@ -76,17 +76,17 @@
     networks: AllowedNetworks,
     channels: dict[str, PeerChannel],
 ) -> RaftMember:
-    """Opens the storage of this instance's node, and makes its server, which does not listen yet.
+    """Opens the storage of this instance's node and creates its server, which does not listen yet.
 
     Args:
-        context: What the node shares with the rest of the instance.
+        context: The objects that the node shares with the rest of the instance.
         settings: The operator's settings.
-        data_folder: The folder of this instance's data.
-        networks: The networks that peers may connect from.
+        data_folder: The data folder of this instance.
+        networks: The networks from which peers may connect.
         channels: The channels to all nodes, by name.
 
     Raises:
-        DamagedStorageError: What is on the disk can't be trusted.
+        DamagedStorageError: The stored data is damaged or can't be trusted.
         OSError: The folder can't be used.
     """
     storage = _make_storage(settings, data_folder)
@@ -131,18 +131,18 @@
 
 
 def _has_data(storage: RaftStorage) -> bool:
-    """Whether a node ran on this storage before."""
+    """Whether a node has used this storage before."""
     if os.path.isdir(storage.folder) and os.listdir(storage.folder):
         return True
     return os.path.exists(storage.lineage_path)
 
 
 def read_status(machine: DisruptionStateMachine, query: Optional[dict[str, Any]]) -> dict[str, Any]:
-    """The state machine's reply to a status query, which changes nothing.
+    """Returns the state machine's reply to a status query, which changes nothing.
 
     Args:
-        machine: The state machine of drains.
-        query: A command with `do` and its fields; only `status` is a read, all else is rejected.
+        machine: The disruption state machine.
+        query: A command with `do` and its fields; every command other than `status` is rejected.
     """
     try:
         do, fields = machine.read(query)
--- a/thymeknot/coordination/settings.py
+++ b/thymeknot/coordination/settings.py
@@ -1,6 +1,6 @@
-"""What an operator sets for the fleet, and the checks that the settings work together.
+"""The settings of the section `fleet` of the operator file, and their validation.
 
-The fields of the records are the keys of the operator file: operator_config/schema/fleet.cue.
+The fields of the records are the keys of the section; see operator_config/schema/fleet.cue.
 """
 
 from collections.abc import Iterator
@@ -12,28 +12,28 @@
 from ..raft.settings import RaftSettings
 
 DISRUPTION_PART = "turns"
-"""The replicated state machine of drains, as commands on the wire and on the disk name it."""
+"""Name of the disruption state machine in commands, on the wire and on disk."""
 
 CLUSTER_SIZES = (1, 3, 5, 7)
-"""Numbers of Raft nodes: an even number survives no more failures than the odd one below it."""
+"""Allowed numbers of Raft nodes. An even number tolerates no more failures than one node less."""
 
 RAFT_SETTINGS = RaftSettings(
     max_command_bytes=32 << 10, max_batch_bytes=24 << 10, snapshot_chunk_bytes=32 << 10
 )
-"""Smaller than Raft's defaults: a message with a batch of entries must fit AMP's 64 KiB."""
+"""Limits below Raft's defaults, so that a message with a batch of entries fits AMP's 64 KiB."""
 
 MAX_DECLARATION_BYTES = 16 << 10
-"""Bytes of units, about, in one declaration: half of an entry, since the count is an estimate."""
+"""Estimated size of the units in one declaration: half an entry, to allow for estimation errors."""
 
 ESTIMATED_UNIT_OVERHEAD_BYTES = 64
-"""Bytes that a unit adds to a declaration beyond its name and labels, estimated."""
+"""Estimated bytes that a unit adds to a declaration beyond its name and labels."""
 
 
 class CoordinationSettingsError(ValueError):
-    """Settings that can't be used.
+    """The settings can't be used.
 
     Attributes:
-        key: The keys that lead to the setting in the operator file.
+        key: Path of keys to the invalid setting in the operator file.
     """
 
     def __init__(self, key: tuple[str, ...], text: str) -> None:
@@ -46,7 +46,7 @@
 
     Attributes:
         name: Its name in the key ring.
-        address: HOST:PORT where this instance reaches it.
+        address: HOST:PORT at which this instance reaches it.
         keys: Its public keys.
     """
 
@@ -61,21 +61,21 @@
     Attributes:
         name: This instance's name in the key ring.
         key: File of the private key, relative to the operator file.
-        data: Folder of this instance alone, on a persistent disk.
-        lineage: File by which an old copy of `data` is recognised.
-        listen: HOST:PORT where this instance's node listens, if it differs from its address.
-        founds: Whether the node starts a new cluster.
-        from_: Networks that peers connect from.
+        data: Data folder, on a persistent disk; no other instance may use it.
+        lineage: File by which an outdated copy of `data` is recognized.
+        listen: HOST:PORT on which this instance's node listens, if it differs from its address.
+        founds: Whether the node bootstraps a new cluster.
+        from_: Networks from which peers may connect.
         keepers: The Raft nodes.
         peers: The other identities that may send commands.
         revoked: Public keys that are no longer accepted.
-        unit: This sidecar as a unit that can be drained, or None.
+        unit: Name of this sidecar as a unit that can be drained, or None.
         build: The build that the unit runs.
-        epoch: The number of the declaration; the highest one counts.
-        bound: An agent that heard nothing for so long starts no drain.
-        silent: A unit not seen ready for so long counts as unavailable.
-        permit: A permit that is not used for so long expires.
-        tick: The interval at which the leader advances the replicated time.
+        epoch: Epoch of the declaration; the highest one is in force.
+        bound: Ticks without a reply after which an agent starts no drain.
+        silent: Ticks without a ready report after which a unit counts as unavailable.
+        permit: Ticks after which an unused permit expires.
+        tick: Ticks between two advances of the replicated time by the leader.
     """
 
     name: str
@@ -97,34 +97,34 @@
     tick: Ticks
 
     def ring_peers(self) -> tuple[Peer, ...]:
-        """All identities of the key ring: the Raft nodes and the other peers."""
+        """Returns all identities of the key ring: the Raft nodes and the other peers."""
         return (*(Peer(node.name, None, node.keys) for node in self.keepers), *self.peers)
 
     def own_node(self) -> Optional[NodeSettings]:
-        """The Raft node that this instance is, or None."""
+        """Returns this instance's own entry among the Raft nodes, or None."""
         return next((node for node in self.keepers if node.name == self.name), None)
 
 
 def declaration_commands(
     settings: CoordinationSettings, section: dict[str, Any]
 ) -> list[dict[str, Any]]:
-    """The commands that declare an operator file's units, budgets and durations.
+    """Returns the commands that declare an operator file's units, budgets and durations.
 
-    The budgets come in the last command, when the units that they select are declared.
+    The last command has the budgets, since the units that they select must be declared before.
 
     Args:
         settings: The section as a record.
         section: The same section as plain values, with `units` and `budgets`.
 
     Raises:
-        CoordinationSettingsError: A unit is named twice.
+        CoordinationSettingsError: Two units have the same name.
     """
     units = {
         unit["name"]: {label: value for label, value in unit.items() if label != "name"}
         for unit in section["units"]
     }
     if len(units) < len(section["units"]):
-        raise CoordinationSettingsError(("fleet", "units"), "a name stands twice")
+        raise CoordinationSettingsError(("fleet", "units"), "two units have the same name")
     common = {"part": DISRUPTION_PART, "do": "declare", "epoch": settings.epoch}
     *full_batches, last_batch = _split_units(units)
     commands = [{**common, "units": batch} for batch in full_batches]
@@ -144,7 +144,7 @@
 
 
 def _split_units(units: dict[str, dict[str, str]]) -> Iterator[dict[str, dict[str, str]]]:
-    """Parts of the units that fit one command each; the last one may be empty."""
+    """Splits the units into batches of one command each; the last batch may be empty."""
     batch: dict[str, dict[str, str]] = {}
     size = 0
     for name, labels in units.items():
@@ -166,17 +166,17 @@
         section: The same section as plain values.
 
     Raises:
-        CoordinationSettingsError: They do not.
+        CoordinationSettingsError: The settings contradict each other.
     """
     names = [node.name for node in settings.keepers]
     if len(names) not in CLUSTER_SIZES or len(set(names)) < len(names):
         raise CoordinationSettingsError(
             ("fleet", "keepers"),
-            f"{len(names)} keepers; there are 1, 3, 5 or 7, each named once: an "
-            "even number outlasts no more losses than one less",
+            f"{len(names)} keepers; allowed are 1, 3, 5 or 7 with different names (an even "
+            "number tolerates no more failures than one node less)",
         )
     if settings.unit and settings.unit not in {unit["name"] for unit in section["units"]}:
-        raise CoordinationSettingsError(("fleet", "unit"), f"{settings.unit} is none of the units")
+        raise CoordinationSettingsError(("fleet", "unit"), f"{settings.unit} is not in fleet.units")
     machine = DisruptionStateMachine()
     for command in declaration_commands(settings, section):
         reply = machine.apply(0, command)
@@ -187,7 +187,7 @@
 
 
 def _find_rejected_key(sentence: str) -> str:
-    """The key of the operator file that the state machine's sentence is about."""
+    """Returns the key of the operator file that the state machine's sentence refers to."""
     if "budget" in sentence:
         return "budgets"
     return "bound" if "permits" in sentence else "units"
--- a/thymeknot/disruption/invariant_checker.py
+++ b/thymeknot/disruption/invariant_checker.py
@@ -1,8 +1,8 @@
-"""Watches a fleet from outside and notes where an invariant is violated.
+"""Checks the invariants of disruption control on a simulated fleet, from the outside.
 
-It knows which units serve, which stopped serving on their own and which by a crash, and which
-begins were confirmed. It shares nothing with the state machine: budgets are plain sets of names and
-a number.
+The checker is told which units serve, which were disrupted and which crashed, and which begins were
+confirmed. It shares no code or state with the state machine: a budget is a set of unit names and a
+number.
 """
 
 from typing import NamedTuple
@@ -11,12 +11,12 @@
 
 
 class BudgetGroup(NamedTuple):
-    """A budget as the checker knows it.
+    """A budget in the form that the checker uses.
 
     Attributes:
-        name: its name in a violation.
+        name: name that violations use for it.
         units: names of the units that belong to it.
-        most: how many of them may be unavailable.
+        max_unavailable: how many of them may be unavailable.
     """
 
     name: str
@@ -25,11 +25,11 @@
 
 
 class WatchedHalt(NamedTuple):
-    """A halt that stands.
+    """A halt in force.
 
     Attributes:
-        at: when it was confirmed.
-        units: names of the units it holds.
+        at: virtual time at which it was confirmed.
+        units: names of the units that it holds.
     """
 
     at: Ticks
@@ -37,11 +37,11 @@
 
 
 class Disruption(NamedTuple):
-    """A unit that stopped taking new work, and not by a crash.
+    """A unit stopped taking new work, other than by a crash.
 
     Attributes:
-        at: when it did.
-        unit: its name.
+        at: virtual time at which it did.
+        unit: name of the unit.
     """
 
     at: Ticks
@@ -51,22 +51,26 @@
 class InvariantChecker:
     """Checks every disruption of a unit when it begins.
 
-    The invariants: A1, no more units of a group are unavailable than may be. A2, a permit was
-    confirmed within the bound and is used once, in the order of fencing tokens. A3, nothing begins
-    under a halt after the bound. A6, nothing begins after the bound without the state machine.
+    The invariants:
+
+    - A1: no more units of a group are unavailable than the group allows.
+    - A2: the begin was confirmed within the bound, and each permit is used at most once, in the
+      order of fencing tokens.
+    - A3: no disruption begins under a halt once the bound has passed, except for a rollback.
+    - A6: no disruption begins once the state machine has been unreachable for the bound.
 
     Attributes:
         groups: the budgets.
-        notice: ticks after a crash within which nobody needs to know of it.
-        bound: ticks after which a halt, or the loss of the state machine, binds.
-        disrupted_at: by name since when a unit is disrupted.
-        crashed_at: by name since when a unit is crashed, and did not serve since.
-        confirmations: by name and fencing token when a begin was confirmed last.
-        used_tokens: by name the highest fencing token it was disrupted by.
-        halts: halts that stand, by number.
-        service_lost_at: since when the state machine can't be reached, or None.
-        violations: what was found, in sentences that begin with the invariant's name.
-        disruptions: all disruptions.
+        crash_grace_period: ticks after a crash during which the fleet need not know of it.
+        bound: ticks after which a halt, or the loss of the state machine, must take effect.
+        disrupted_at: time of the disruption of each disrupted unit, by name.
+        crashed_at: time of the crash of each unit that has not served since, by name.
+        confirmations: time of the last confirmation of a begin, by name and fencing token.
+        highest_used_tokens: highest fencing token that each unit was disrupted with, by name.
+        halts: halts in force, by number.
+        service_lost_at: time since when the state machine is unreachable, or None.
+        violations: sentences that begin with the name of the violated invariant.
+        disruptions: all disruptions, in order.
     """
 
     def __init__(self, groups: list[BudgetGroup], crash_grace_period: Ticks, bound: Ticks) -> None:
@@ -83,34 +87,34 @@
         self.disruptions: list[Disruption] = []
 
     def record_confirmation(self, now: Ticks, name: str, fencing_token: int) -> None:
-        """The state machine confirmed a begin."""
+        """Records that the state machine confirmed a begin."""
         self.confirmations.setdefault(name, {})[fencing_token] = now
 
     def record_halt(self, number: int, now: Ticks, units: set[str]) -> None:
-        """A halt of these units was confirmed."""
+        """Records that a halt of these units was confirmed."""
         self.halts[number] = WatchedHalt(now, units)
 
     def record_resume(self, number: int) -> None:
-        """A halt ended."""
+        """Records that a halt ended."""
         self.halts.pop(number, None)
 
     def record_service_lost(self, now: Ticks) -> None:
-        """The state machine can't be reached from now on."""
+        """Records that the state machine is unreachable from now on."""
         self.service_lost_at = now
 
     def record_service_back(self) -> None:
-        """The state machine can be reached again."""
+        """Records that the state machine is reachable again."""
         self.service_lost_at = None
 
     def record_disruption(
         self, now: Ticks, name: str, fencing_token: int, is_rollback: bool = False
     ) -> None:
-        """A unit takes no new work from now on, and did not crash.
+        """Records that a unit stopped taking new work without a crash, and checks the invariants.
 
         Args:
-            now: when it stopped.
-            name: its name.
-            fencing_token: the token of the permit it used.
+            now: virtual time.
+            name: name of the unit.
+            fencing_token: fencing token of the permit that it used.
             is_rollback: whether it is disrupted for a rollback that was ordered.
         """
         self.disruptions.append(Disruption(now, name))
@@ -120,21 +124,21 @@
         for number, halt in self.halts.items():
             if name in halt.units and not is_rollback and now - halt.at > self.bound:
                 self._report_violation(
-                    now, "A3", f"{name} went {now - halt.at} after halt {number}"
+                    now, "A3", f"{name} was disrupted {now - halt.at} ticks after halt {number}"
                 )
         lost_at = self.service_lost_at
         if lost_at is not None and now - lost_at > self.bound:
             self._report_violation(
-                now, "A6", f"{name} went {now - lost_at} after the keepers were lost"
+                now, "A6", f"{name} was disrupted {now - lost_at} ticks after the service was lost"
             )
 
     def record_crash(self, now: Ticks, name: str) -> None:
-        """A unit crashed."""
+        """Records that a unit crashed."""
         self.crashed_at.setdefault(name, now)
         self.disrupted_at.pop(name, None)
 
     def record_serving(self, name: str) -> None:
-        """A unit takes new work, warm."""
+        """Records that a unit has warmed up and takes new work."""
         self.disrupted_at.pop(name, None)
         self.crashed_at.pop(name, None)
 
@@ -146,7 +150,7 @@
                 if unit in self.disrupted_at
                 or now - self.crashed_at.get(unit, now) > self.crash_grace_period
             }
-            # A unit that crashed and did not serve since takes nothing away by being disrupted.
+            # Disrupting a unit that has not served since its crash takes no capacity away.
             if (
                 name in group.units
                 and name not in self.crashed_at
@@ -155,8 +159,8 @@
                 self._report_violation(
                     now,
                     "A1",
-                    f"{name} went, {len(unavailable)} of {group.name} are out "
-                    f"and {group.max_unavailable} may be: {sorted(unavailable)}",
+                    f"{name} was disrupted, {len(unavailable)} of {group.name} are unavailable "
+                    f"and at most {group.max_unavailable} may be: {sorted(unavailable)}",
                 )
 
     def _check_permit(self, now: Ticks, name: str, fencing_token: int) -> None:
@@ -170,8 +174,8 @@
             self._report_violation(
                 now,
                 "A2",
-                f"{name} went by permit {fencing_token}, which was confirmed {confirmed_at} "
-                f"and used {highest_used}",
+                f"{name} was disrupted with permit {fencing_token}, confirmed at {confirmed_at}; "
+                f"the highest permit used before is {highest_used}",
             )
         self.highest_used_tokens[name] = max(fencing_token, highest_used or 0)
 
--- a/thymeknot/disruption/release.py
+++ b/thymeknot/disruption/release.py
@@ -1,4 +1,4 @@
-"""A release: the units that get a build, its waves, and its states."""
+"""The record of a release: its units, build and waves, and its state transitions."""
 
 from dataclasses import dataclass, field
 from enum import StrEnum
@@ -6,12 +6,23 @@
 
 from ..interface.clock import Ticks
 
-# What the names of the plans of releases begin with; nobody else may request by such a name.
+# Prefix of the plan names of releases. Permit requests from clients may not use it.
 PLAN_PREFIX = "release:"
 
 
 class ReleaseState(StrEnum):
-    """How far a release is."""
+    """The state of a release. The values are stored and sent.
+
+    Attributes:
+        WAITING: an earlier release has some of its units.
+        RUNNING: it requests permits, wave by wave.
+        HALTED: a halt stops it.
+        DONE: all waves are finished.
+        ROLLING_BACK: its units are given the earlier build.
+        ROLLBACK_HALTED: a halt stops its rollback.
+        ROLLED_BACK: the rollback is finished.
+        PARTLY_ROLLED_BACK: the rollback has ended, but some units could not be rolled back.
+    """
 
     WAITING = "waiting"
     RUNNING = "going"
@@ -24,7 +35,17 @@
 
 
 class ReleaseInput(StrEnum):
-    """What happens to a release."""
+    """An event that may change the state of a release.
+
+    Attributes:
+        UNITS_FREE: no earlier release has its units any more.
+        ROLLBACK_ORDERED: an operator or a vote ordered its rollback.
+        HALTED: a halt stops it.
+        RESUMED: no halt stops it any more.
+        FINISHED: the last wave is finished.
+        ROLLBACK_FINISHED: no unit has its build any more.
+        ROLLBACK_BLOCKED: the remaining units can't be rolled back.
+    """
 
     UNITS_FREE = "units_free"
     ROLLBACK_ORDERED = "rollback_ordered"
@@ -36,7 +57,14 @@
 
 
 class ReleaseEffect(StrEnum):
-    """What a transition does to the units of a release."""
+    """What a transition does to the units of a release.
+
+    Attributes:
+        REQUEST_PERMITS: permits are requested in the next round.
+        WITHDRAW_PERMITS: requests and unused permits are withdrawn.
+        ROLL_BACK: as WITHDRAW_PERMITS, and disrupted units are recalled.
+        FINISH: as WITHDRAW_PERMITS.
+    """
 
     REQUEST_PERMITS = "request_permits"
     WITHDRAW_PERMITS = "withdraw_permits"
@@ -45,18 +73,18 @@
 
 
 class ReleaseTransition(NamedTuple):
-    """What an input leads to.
+    """The result of an input in some state.
 
     Attributes:
         state: the next state.
-        effect: what is done to the release's units.
+        effect: the effect on the units of the release.
     """
 
     state: ReleaseState
     effect: ReleaseEffect
 
 
-# An input that has no transition changes nothing.
+# By state and input. An input without an entry for the current state is ignored.
 RELEASE_TRANSITIONS = {
     (state, event): ReleaseTransition(next_state, effect)
     for state, event, next_state, effect in (
@@ -160,22 +188,23 @@
     """A release and its progress.
 
     Attributes:
-        name: its name.
-        epoch: its epoch; a new release of the same name needs a higher one.
-        members: names of its units, in the order in which they are disrupted.
-        build: the build it gives its units.
-        earlier_build: the build that a rollback gives them.
-        waves: how many units are done after each wave.
-        gated: whether a wave begins only after the verdict `on` for the one before.
-        auto_rollback: whether the verdict `back` rolls it back too.
-        urgency: the urgency of its requests.
-        started_at: agreed time at which it was added.
-        number: its number; a later release has a higher one.
-        state: how far it is.
-        wave: the index of its wave.
-        approved_waves: how many waves have the verdict `on`.
-        last_known_halt: the number of the newest halt when its rollback was ordered.
-        set_aside: by name of a unit the reason why it is not waited for.
+        name: name of the release.
+        epoch: epoch of the release; a new release of the same name needs a higher one.
+        members: names of the units, in the order in which they are disrupted.
+        build: the build that is released.
+        earlier_build: the build that a rollback restores.
+        waves: cumulative number of units at the end of each wave.
+        gated: whether a wave waits for the verdict `on` for the previous wave.
+        auto_rollback: whether the verdict `back` also starts the rollback.
+        urgency: urgency of its permit requests, from 0 to 9.
+        started_at: agreed time at which the release was added.
+        number: sequence number; later releases have higher numbers.
+        state: current state.
+        wave: index of the current wave.
+        approved_waves: number of waves that have the verdict `on`.
+        last_known_halt: number of the newest halt when the rollback was ordered; halts up to it
+            do not stop the rollback.
+        set_aside: reasons why units are not waited for, by unit name.
     """
 
     name: str
@@ -197,11 +226,11 @@
 
     @property
     def plan(self) -> str:
-        """The name of the plan by which it requests permits."""
+        """Name of the plan under which it requests permits."""
         return PLAN_PREFIX + self.name
 
     def to_plain(self) -> dict[str, Any]:
-        """The release as a snapshot has it."""
+        """Returns the release in its snapshot form."""
         return {
             "name": self.name,
             "epoch": self.epoch,
@@ -223,7 +252,7 @@
 
     @classmethod
     def from_plain(cls, plain: dict[str, Any]) -> "Release":
-        """Reads a release out of a snapshot."""
+        """Restores a release from its snapshot form."""
         return cls(
             name=plain["name"],
             epoch=plain["epoch"],
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -1,4 +1,4 @@
-"""The commands that are about releases: start one, roll one back, vote on a wave."""
+"""Commands on releases: start a release, roll it back, vote on a wave."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,17 +14,17 @@
 from .targets import CommandRejectedError, matches, parse_selector
 
 MAX_WAVES = 64
-# Ticks after which to ask again for a release that waits for another one.
+# Ticks until a retry makes sense while another release has the same units.
 RELEASE_RETRY_TICKS = 10 * TICKS_PER_SECOND
-# Ticks after which to ask again for a release when too many are under way.
+# Ticks until a retry makes sense while there are MAX_RELEASES unfinished releases.
 CAPACITY_RETRY_TICKS = 60 * TICKS_PER_SECOND
 
 
 def start_release(rollouts: Rollouts, command: ReleaseCommand) -> ReleaseReply:
-    """Adds a release, or tells the state of the one that the same command added before.
+    """Adds a release, or returns the state of the release if the command is a repeat.
 
     Raises:
-        CommandRejectedError: it can't be started, or not now.
+        CommandRejectedError: the release can't be started, or can't be started now.
     """
     name = command.release
     existing = rollouts.by_name.get(name)
@@ -66,7 +66,7 @@
 
 
 def _make_conflict_error(other: Release) -> CommandRejectedError:
-    """The rejection of a release while another one has the same units."""
+    """Returns the rejection for a release whose units another release has."""
     activity = "on its way back" if other.state in ROLLBACK_STATES else other.state
     return CommandRejectedError(
         f"release {other.name} is {activity} with the same units; ask again after it, or with wait",
@@ -76,7 +76,11 @@
 
 
 def _check_successor(existing: Release, command: ReleaseCommand) -> None:
-    """Raises CommandRejectedError if a command neither repeats a release nor may replace it."""
+    """Checks that a command repeats the release of the same name or may replace it.
+
+    Raises:
+        CommandRejectedError: it does neither.
+    """
     name = command.release
     if command.epoch < existing.epoch:
         raise CommandRejectedError(
@@ -98,10 +102,10 @@
 
 
 def _choose_members(fleet: Fleet, command: ReleaseCommand) -> list[str]:
-    """Names of the units of a release, in the order in which they are disrupted.
+    """Returns the names of a release's units, in the order in which they are disrupted.
 
-    Racks take turns: else those that request at once would stand in few racks, whose budgets let
-    few of them go.
+    The order interleaves racks. Otherwise the units that request permits at the same time would be
+    in a few racks, whose budgets allow only a few disruptions at once.
     """
     selector = parse_selector(command.where)
     members = [name for name, unit in sorted(fleet.units.items()) if matches(selector, unit.labels)]
@@ -118,7 +122,11 @@
 
 
 def _parse_waves(shares: list[Any], count: int) -> list[int]:
-    """How many of `count` units are done after each wave, given as rising shares up to 1."""
+    """Converts rising shares up to 1 into the cumulative number of `count` units per wave.
+
+    Raises:
+        CommandRejectedError: the shares do not rise, or the last one is not 1.
+    """
     if not 0 < len(shares) <= MAX_WAVES or any(
         isinstance(share, bool) or not isinstance(share, int | float) or not 0 < share <= 1
         for share in shares
@@ -133,7 +141,8 @@
     """Rolls a release back.
 
     Raises:
-        CommandRejectedError: there is no such release, or nothing to roll back, or not now.
+        CommandRejectedError: there is no such release, nothing to roll back, or another release
+            has some of the units.
     """
     release = rollouts.by_name.get(name)
     if release is None:
@@ -160,18 +169,19 @@
 def apply_vote(
     rollouts: Rollouts, command: VoteCommand, enforce_halt: Callable[[Halt], None]
 ) -> VoteReply | VotedBackReply:
-    """Takes the decision module's verdict on the wave that it has seen.
+    """Applies the decision module's verdict on a wave of a release.
 
-    `on` lets the next wave begin, `hold` takes that back while it did not begin, `back` halts the
-    release and, with automatic rollback, rolls it back.
+    `on` approves the next wave. `hold` withdraws that approval if the wave has not begun. `back`
+    halts the release and, with automatic rollback, rolls it back.
 
     Args:
         rollouts: all releases.
         command: the verdict.
-        enforce_halt: ends what a halt ends at once.
+        enforce_halt: withdraws the unused permits that a new halt holds.
 
     Raises:
-        CommandRejectedError: the release or its wave is another one, or can't be voted back.
+        CommandRejectedError: the release, its epoch or its wave is not the current one, or the
+            release is in a state in which it can't be voted back.
     """
     release = rollouts.by_name.get(command.release)
     if release is None or command.epoch != release.epoch:
--- a/thymeknot/disruption/replies.py
+++ b/thymeknot/disruption/replies.py
@@ -1,8 +1,9 @@
-"""The replies of the disruption state machine: their typed form, and how they are written.
+"""The typed replies of the disruption state machine, and their encoding as mappings.
 
-Every written reply has `at`, the agreed time, and either `"ok": True` with the fields of one of the
-records below or `"refused"` (a sentence), `"by"` (who stands in the way) and `"again"` (ticks after
-which a retry makes sense). A field that is None is left out.
+Every encoded reply has `at`, the agreed time. An accepted command adds `"ok": True` and the fields
+of one of the records below; fields that are None are omitted. A rejected command adds `"refused"`
+(the reason as a sentence), `"by"` (names of whatever is in the way) and `"again"` (ticks until a
+retry makes sense). The fields of the records are the keys on the wire.
 """
 
 from enum import StrEnum
@@ -14,7 +15,7 @@
 
 
 class OrderName(StrEnum):
-    """What an agent is to do."""
+    """Name of an order to an agent."""
 
     BEGIN = "begin"
     DRAIN = "drain"
@@ -22,7 +23,7 @@
     RETURN = "return"
 
 
-# What an agent is told to do, by the state of its unit's permit.
+# The order to the agent, by the state of its unit's permit.
 ORDER_BY_STATE = {
     PermitState.GRANTED: OrderName.BEGIN,
     PermitState.DRAINING: OrderName.DRAIN,
@@ -32,15 +33,15 @@
 
 
 class Order(NamedTuple):
-    """What an agent is to do, and by which permit.
+    """An order to the agent of a unit that has a permit.
 
     Attributes:
-        do: what it is to do.
-        fence: the permit's fencing token.
+        do: the order.
+        fence: fencing token of the permit.
         plan: the plan that requested the permit.
-        epoch: the plan's epoch.
+        epoch: epoch of the plan.
         left: ticks until the permit lapses.
-        build: the build to return with, or empty.
+        build: the build with which the unit is to return, or empty.
     """
 
     do: OrderName
@@ -51,25 +52,26 @@
     build: str
 
     def to_plain(self) -> dict[str, Any]:
-        """The order as a reply has it."""
+        """Returns the order in its encoded form."""
         return {**self._asdict(), "do": self.do.value}
 
 
 class AcceptedReply(NamedTuple):
-    """A command was taken that says nothing more."""
+    """Reply to a command that has no result."""
 
 
 class UnitReply(NamedTuple):
-    """A command was taken that is about a unit; how the unit stands is added after settling.
+    """Reply to a command on one unit.
 
-    A permit that is granted at once is so told at once.
+    The state machine adds the unit's UnitDetails after the consequences of the command have been
+    applied, so that the reply already shows a permit that was granted at once.
     """
 
     unit: str
 
 
 class DeclareReply(NamedTuple):
-    """How many units and budgets there are now, and the settings."""
+    """Numbers of units and budgets after a declaration, and the settings in force."""
 
     units: int
     budgets: int
@@ -77,34 +79,34 @@
 
 
 class SeenReply(NamedTuple):
-    """Orders by unit's name, and names of some reports that were not understood."""
+    """Orders by unit name, and the names of some reports that were unknown or malformed."""
 
     orders: dict[str, Any]
     strange: list[str] | None
 
 
 class HaltReply(NamedTuple):
-    """The number of a halt, and the ticks after which it binds every agent."""
+    """The number of a halt, and the ticks after which no agent begins a disruption under it."""
 
     halt: int
     bound: Ticks
 
 
 class ResumeReply(NamedTuple):
-    """The halt that ended in a sentence, and the numbers of those that stand."""
+    """Description of the halt that ended, and the numbers of the remaining halts."""
 
     was: str
     stands: list[int]
 
 
 class CalledBackReply(NamedTuple):
-    """Names of the units that were called back."""
+    """Names of the units whose requests or permits were withdrawn, or that were recalled."""
 
     called: list[str]
 
 
 class ReleaseReply(NamedTuple):
-    """A release and its state; for a new one how many units it has, its waves and its wait."""
+    """A release and its state; a new one also has its number of units, waves and wait reason."""
 
     release: str
     state: str
@@ -114,14 +116,14 @@
 
 
 class VoteReply(NamedTuple):
-    """The state of a release and its wave."""
+    """The state of a release and the index of its current wave."""
 
     state: str
     wave: int
 
 
 class VotedBackReply(NamedTuple):
-    """The state of a release that was voted back, and its halt; see HaltReply."""
+    """The state of a release after the verdict `back`, and its halt; see HaltReply."""
 
     state: str
     halt: int
@@ -129,18 +131,18 @@
 
 
 class UnitDetails(NamedTuple):
-    """Where a unit stands.
+    """The current state of a unit.
 
     Attributes:
-        state: where it stands with its permit.
+        state: state of its permit.
         ready: whether it counts as ready.
         build: the build it runs.
-        order: what its agent is to do, if it has a permit.
-        out: why it counts as unavailable, if it does.
-        fault: why it can't return.
-        waits: why its request was not granted.
-        by: who stands in the way of its request.
-        again: ticks after which to ask again.
+        order: the order to its agent; None without a permit.
+        out: why it counts as unavailable; None if it is ready.
+        fault: why it can't return, or None.
+        waits: why its request has not been granted, or None.
+        by: names of the budgets and units that block its request.
+        again: ticks until a retry of its request makes sense.
     """
 
     state: str
@@ -155,17 +157,17 @@
 
 
 class StatusReply(NamedTuple):
-    """How units, budgets, halts and releases stand.
+    """The status of units, budgets, halts and releases.
 
     Attributes:
         terms: the settings.
-        units: how many units were asked for.
-        out: how many of them are unavailable.
-        more: how many more than those in `away` have a request or are unavailable.
-        away: by name how these stand.
-        budgets: by name the usages of the budgets.
-        halts: by number the halts that stand, in sentences.
-        releases: by name the releases.
+        units: number of units that the selector matches.
+        out: number of those that are unavailable.
+        more: number of units with a request or unavailable that are omitted from `away`.
+        away: details of the units that have a request or are unavailable, by name.
+        budgets: usages of the budgets, by name.
+        halts: descriptions of the halts in force, by number.
+        releases: summaries of the releases, by name.
     """
 
     terms: dict[str, int]
@@ -179,7 +181,7 @@
 
 
 class UnitStatusReply(NamedTuple):
-    """How one unit stands."""
+    """The status of one unit."""
 
     unit: str
     details: UnitDetails
@@ -202,12 +204,12 @@
 
 
 def write_fields(reply: Reply | UnitDetails) -> dict[str, Any]:
-    """The fields of a reply as they are written."""
+    """Encodes the fields of a reply, without those that are None."""
     if isinstance(reply, UnitStatusReply):
         return {"unit": reply.unit, **write_fields(reply.details)}
     return {name: value for name, value in reply._asdict().items() if value is not None}
 
 
 def write_rejection(rejection: CommandRejectedError) -> dict[str, Any]:
-    """A rejection as it is written, without the agreed time."""
+    """Encodes a rejection, without the agreed time."""
     return {"refused": rejection.reason, "by": rejection.by, "again": rejection.retry_after}
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -1,16 +1,16 @@
-"""Releases as waves of permits, and their rollbacks.
-
-A release gives its units a build, wave by wave. It requests permits as any plan does and has no
-capacity of its own, so no wave can raise a budget. A wave is over when each of its units is ready
-with the build or set aside with a reason; with a gate the next begins only after the decision
-module's verdict `on` for it. Its verdict `back` halts the release, and with automatic rollback
-rolls it back too.
-
-A rollback is possible from every state: units that requested or were granted a permit stay in
-service, those that drain or are unavailable are called back with the earlier build, those that are
-ready with the new build are disrupted once more by a permit within the same budgets. Units that
-can't return are named with the reason and not waited for; a rollback that is ordered again tries
-them again.
+"""Releases in waves, and their rollbacks.
+
+A release gives its units a build, wave by wave. It requests permits like any other plan and has no
+capacity of its own, so a wave can't exceed a budget. A wave is finished when each of its units is
+ready with the build or set aside with a reason. In a gated release the next wave begins only after
+the decision module's verdict `on` for the finished one. The verdict `back` halts the release and,
+with automatic rollback, starts its rollback.
+
+A rollback can be ordered in every state except ROLLED_BACK. Units that have only requested or been
+granted a permit stay in service. Units that are draining or out are recalled with
+the earlier build. Units that are ready with the new build are disrupted once more, with a permit
+and within the same budgets. Units that can't return are set aside with the reason and not waited
+for; ordering the rollback again retries them.
 """
 
 from collections.abc import Callable
@@ -33,20 +33,20 @@
 from .scheduler import explain_blocked
 
 MAX_RELEASES = 64
-# Units of a release that request at once: the queue is for other plans too.
+# Pending permit requests per release, so that it leaves room in the queue for other plans.
 MAX_PENDING_REQUESTS = 256
-# Permits that a unit lets lapse before it is set aside.
+# A unit is set aside after it has let this many permits lapse.
 MAX_LAPSED_PERMITS = 5
 
 
 class UnitProgress(NamedTuple):
-    """How far a unit is with a release or its rollback.
+    """The progress of a unit in a release or its rollback.
 
     Attributes:
-        is_awaited: whether the release waits for it.
-        reason: why it is set aside, or None.
-        needs_permit: whether a permit is to be requested for it.
-        is_well: whether a reason for which it was set aside before is over.
+        is_awaited: whether the wave or rollback waits for the unit.
+        reason: why the unit is set aside, or None.
+        needs_permit: whether a permit is to be requested for the unit.
+        is_recovered: whether an earlier reason for setting the unit aside no longer applies.
     """
 
     is_awaited: bool
@@ -56,7 +56,7 @@
 
 
 class Rollouts:
-    """All releases by name, in the order in which they were added."""
+    """All releases, and the steps that they take in each round."""
 
     def __init__(self, fleet: Fleet, halts: Halts) -> None:
         self.fleet = fleet
@@ -71,12 +71,12 @@
         }
 
     def get_units(self, release: Release) -> list[Unit]:
-        """The units of a release that are still declared, in its order."""
+        """Returns the units of a release that are still declared, in the order of the release."""
         units = self.fleet.units
         return [units[name] for name in release.members if name in units]
 
     def sorted_by_number(self) -> list[Release]:
-        """All releases by number."""
+        """Returns all releases, ordered by number."""
         return sorted(self.by_name.values(), key=lambda release: release.number)
 
     def add(
@@ -92,7 +92,7 @@
         auto_rollback: bool,
         urgency: int,
     ) -> Release:
-        """Adds a release in place of an ended one of the same name; it waits for the next round."""
+        """Adds a release, replacing an ended one of the same name; it starts in the next round."""
         self.last_number += 1
         release = Release(
             name=name,
@@ -112,7 +112,7 @@
         return release
 
     def make_room(self) -> bool:
-        """Drops the release that ended first if there are too many.
+        """Drops the oldest ended release if there are too many.
 
         Gives whether there is place for one more.
         """
@@ -132,10 +132,10 @@
         return True
 
     def find_conflicting(self, release: Release | None, members: set[str]) -> Release | None:
-        """The first release that has one of these units and is not over, or None.
+        """Returns the first unfinished release that has one of these units, or None.
 
         Args:
-            release: only releases before this one count; None: all do.
+            release: only releases before this one are considered; None: all are.
             members: names of units.
         """
         for other in self.sorted_by_number():
@@ -150,13 +150,13 @@
         return None
 
     def find_requester(self, request: PermitRequest | None) -> Release | None:
-        """The release that made a request, or None."""
+        """Returns the release that made a request, or None."""
         if request is None or not request.plan.startswith(PLAN_PREFIX):
             return None
         return self.by_name.get(request.plan[len(PLAN_PREFIX) :])
 
     def transition(self, release: Release, event: ReleaseInput) -> bool:
-        """Takes an input by RELEASE_TRANSITIONS; gives whether it did anything."""
+        """Applies an input by RELEASE_TRANSITIONS; returns False if it has no transition."""
         step = RELEASE_TRANSITIONS.get((release.state, event))
         if step is None:
             return False
@@ -165,10 +165,10 @@
         return True
 
     def _wait_for_next_round(self, release: Release) -> None:
-        """Does nothing: the next round requests permits."""
+        """Does nothing now: permits are requested in the next round."""
 
     def _withdraw_permits(self, release: Release) -> None:
-        """Takes back its requests, and its permits that nobody began."""
+        """Withdraws the release's requests and the permits that were not begun."""
         for unit in self.get_units(release):
             if unit.request and unit.request.plan == release.plan:
                 self._withdraw(unit)
@@ -188,9 +188,9 @@
             self.fleet.transition(unit, PermitInput.TURNED)
 
     def _recall_unit(self, unit: Unit, release: Release) -> None:
-        """Has an unavailable unit return with the earlier build.
+        """Recalls a disrupted unit with the earlier build.
 
-        One that was disrupted for a rollback goes on with that; its build is the earlier one.
+        A unit that is already disrupted for a rollback continues, since it returns with that build.
         """
         request = unit.granted_request
         if not request.rollback:
@@ -199,7 +199,7 @@
             self.fleet.transition(unit, PermitInput.TURNED)
 
     def advance_releases(self) -> None:
-        """Does what is next for each release; at ticks and after commands that touch releases."""
+        """Takes the next step of each release, at ticks and after commands that affect releases."""
         for release in self.sorted_by_number():
             if release.state == ReleaseState.WAITING and not self.find_conflicting(
                 release, set(release.members)
@@ -212,7 +212,7 @@
                 self._advance_rollback(release)
 
     def _apply_halts(self, release: Release) -> None:
-        """Halts a release, or resumes it, by the halts that stand."""
+        """Halts or resumes a release according to the halts in force."""
         labels = [unit.labels for unit in self.get_units(release)]
         halt = self.halts.find_stopping(release, labels, release.state in ROLLBACK_STATES)
         self.transition(release, ReleaseInput.HALTED if halt else ReleaseInput.RESUMED)
@@ -225,7 +225,7 @@
         self.fleet.transition(unit, PermitInput.ASKED, request)
 
     def _count_available_requests(self, release: Release) -> int:
-        """How many more units of a release may request."""
+        """Returns how many more permits a release may request now."""
         plan = release.plan
         return MAX_PENDING_REQUESTS - sum(
             unit.granted_request.plan == plan for unit in self.fleet.requesting.values()
@@ -252,7 +252,7 @@
             release.wave += 1
 
     def _assess_unit(self, release: Release, unit: Unit) -> UnitProgress:
-        """How far a unit is with a release that goes on."""
+        """Returns the progress of a unit in a running release."""
         at = self.fleet.at
         settings = self.fleet.settings
         is_in_service = unit.state == PermitState.IN
@@ -268,11 +268,11 @@
             return UnitProgress(False, is_recovered=True)
         if at - max(unit.since, unit.ready_at, release.started_at) > settings.home:
             return UnitProgress(False, "is " + unit.describe_unavailability(at, settings.silent))
-        # It was not seen ready since it returned, or was silent for a moment.
+        # Not yet seen ready since its return, or silent for a short time.
         return UnitProgress(True)
 
     def _explain_overdue(self, unit: Unit) -> str | None:
-        """Why a unit that is on its way is not waited for, or None."""
+        """Returns why a disrupted unit is no longer waited for, or None."""
         settings = self.fleet.settings
         age = self.fleet.at - unit.since
         seconds = age // TICKS_PER_SECOND
@@ -302,7 +302,7 @@
             )
 
     def _assess_rollback(self, release: Release, unit: Unit) -> UnitProgress:
-        """How far a unit is with the rollback of a release."""
+        """Returns the progress of a unit in the rollback of a release."""
         at = self.fleet.at
         settings = self.fleet.settings
         has_build = unit.build == release.build
@@ -321,8 +321,8 @@
             reason = f"is {unit.state} by {unit.granted_request.plan}"
             return UnitProgress(at - unit.since <= settings.home, reason)
         if unit.state == PermitState.ASKED:
-            # Named at once, and waited for no longer than one that is on its way: those that
-            # crashed may start again.
+            # A crashed unit may start again. So the reason is reported at once, but the unit is
+            # still waited for, as long as a returning one.
             blocked_reason = explain_blocked(self.fleet, unit)
             return UnitProgress(
                 not blocked_reason or at - request.at <= settings.home, blocked_reason
@@ -331,11 +331,11 @@
         return UnitProgress(not overdue and unit.state != PermitState.IN, overdue)
 
     def to_plain(self) -> list[Any]:
-        """The releases as a snapshot has them."""
+        """Returns the releases in their snapshot form."""
         return [self.last_number, [release.to_plain() for release in self.sorted_by_number()]]
 
     def load(self, plain: list[Any]) -> None:
-        """Takes the releases of a snapshot in place of its own."""
+        """Replaces all releases by those of a snapshot."""
         self.last_number = plain[0]
         self.by_name = {release["name"]: Release.from_plain(release) for release in plain[1]}
 
--- a/thymeknot/disruption/scheduler.py
+++ b/thymeknot/disruption/scheduler.py
@@ -1,11 +1,13 @@
-"""Which requests for permits are granted.
-
-The order is rollbacks first, then age, to which each degree of urgency adds `step`: urgency is
-bounded, so age wins in the end. For a request that has waited longer than `patience` and does not
-fit, while the units in its way are returning, capacity is reserved in all its budgets: else a unit
-whose rack is busy when its cluster is not, and the other way round, would starve while younger
-requests slip past. At most one place of each budget is reserved, and none for a grant that can't
-come: a crashed rack must not stop a cluster.
+"""Grants requests for permits.
+
+Rollbacks are considered first, then requests by age, to which each degree of urgency adds `step`.
+Urgency is bounded, so age decides in the end.
+
+Capacity is reserved in all budgets of a request that has waited for at least `patience` and does
+not fit, provided that the units in its way are expected to return. Otherwise a unit whose rack and
+cluster are never free at the same time would starve while younger requests overtake it. At most one
+unit of capacity per budget is reserved, and none for a request that can't be granted: a crashed
+rack must not block a cluster.
 """
 
 from collections.abc import Callable, Iterable
@@ -21,8 +23,8 @@
     """Why a request was not granted.
 
     Attributes:
-        sentence: the reason in words.
-        by: names of the budgets, then of the units in the way.
+        sentence: the reason as a sentence.
+        by: names of the blocking budgets, then of the unavailable units in them.
     """
 
     sentence: str
@@ -30,7 +32,7 @@
 
 
 def order_requests(requesting: Iterable[Unit], urgency_step: Ticks) -> list[Unit]:
-    """Units that requested a permit, in the order in which they are considered."""
+    """Returns the units that requested a permit in the order in which they are considered."""
 
     def rank(unit: Unit) -> tuple[bool, Ticks, str]:
         request = unit.granted_request
@@ -40,10 +42,10 @@
 
 
 def find_blocking_budgets(fleet: Fleet, unit: Unit) -> list[BudgetUsage]:
-    """The budgets that have no capacity for a unit, by name.
+    """Returns the budgets that have no capacity for a unit, ordered by name.
 
-    A unit that is known not to serve takes no capacity: the rollback of a build that crashes must
-    not wait for itself.
+    A unit that is known not to serve needs no capacity: otherwise the rollback of a crashing build
+    would wait for the very units that it repairs.
     """
     if unit.is_idle(fleet.at, fleet.settings.silent):
         return []
@@ -52,7 +54,7 @@
 
 
 def will_free_capacity(fleet: Fleet, usage: BudgetUsage) -> bool:
-    """Whether enough of the unavailable units have permits, and so can be expected to return."""
+    """Whether enough unavailable units hold permits, and so are expected to return, for a grant."""
     settings = fleet.settings
     at = fleet.at
     expected = 0
@@ -64,11 +66,11 @@
 
 
 def grant_permits(fleet: Fleet, explain_hold: Callable[[Unit], str | None]) -> None:
-    """Grants every request that fits.
+    """Grants every request that fits into its budgets.
 
     Args:
         fleet: the units and budgets.
-        explain_hold: gives the sentence of a halt that holds a unit's request, or None.
+        explain_hold: returns the description of a halt that holds a unit's request, or None.
     """
     for usage in fleet.usages.values():
         usage.reserved = 0
@@ -89,7 +91,7 @@
 
 
 def explain_blocked(fleet: Fleet, unit: Unit) -> str | None:
-    """Why a unit's grant can't come whatever is waited for, in a sentence; None if it can."""
+    """Returns why waiting can't get a unit its permit, as a sentence; None if it can."""
     for usage in find_blocking_budgets(fleet, unit):
         if len(usage.unavailable) >= usage.allowed and not will_free_capacity(fleet, usage):
             return describe_usage(fleet, usage)
@@ -97,7 +99,7 @@
 
 
 def describe_usage(fleet: Fleet, usage: BudgetUsage) -> str:
-    """A sentence that names a budget and the units that are unavailable in it."""
+    """Describes a budget and the units that are unavailable in it, as a sentence."""
     names = sorted(usage.unavailable)
     units = ", ".join(
         f"{name} ({fleet.units[name].describe_unavailability(fleet.at, fleet.settings.silent)})"
@@ -111,7 +113,7 @@
 
 
 def explain_wait(fleet: Fleet, unit: Unit) -> WaitReason:
-    """Why a unit's request was not granted."""
+    """Returns why a unit's request was not granted."""
     blocking = find_blocking_budgets(fleet, unit)
     if not blocking:
         return WaitReason("others that waited longer go first", [])
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -1,8 +1,8 @@
-"""A fleet in memory, in virtual time.
+"""A simulated fleet in virtual time.
 
-Agents by the hundreds, a network that loses, duplicates, delays and partitions, clocks that drift,
-processes that crash, are suspended and start again, and the replicated log behind a stub. The same
-pure code as everywhere.
+It runs hundreds of real agents against the real state machine behind a stub of the replicated log.
+The network loses, duplicates, delays and partitions messages; clocks drift; processes crash, are
+suspended and restart.
 """
 
 from collections.abc import Callable, Iterable
@@ -22,44 +22,50 @@
 
 # Ticks between two tick commands.
 TICK_INTERVAL = TICKS_PER_SECOND // 5
-# Ticks in which a unit gets warm, on average.
+# Mean warm-up time of a unit, in ticks.
 MEAN_WARM_UP_TICKS = 2 * TICKS_PER_SECOND
-# Ticks that draining, and replacing a unit, take at most and on average.
+# Mean time to replace a drained unit, in ticks; a drain takes 0.2 to 1.2 times as long.
 MEAN_REPLACEMENT_TICKS = 3 * TICKS_PER_SECOND
-# How often an agent is called within a bound; it asks for four times at least.
+# Polls of an agent within a bound. An agent needs at least four.
 POLLS_PER_BOUND = 8
-# Of the allowed drift, how much a clock has at most.
+# Maximum drift of a clock, as a ratio of the allowed drift.
 MAX_DRIFT_RATIO = 0.9
-# Ticks by which clocks differ at most.
+# Maximum initial value of a monotonic clock, in ticks.
 MAX_CLOCK_OFFSET_TICKS = 1e7
-# Ticks that a message takes at least.
+# Minimum delay of a message, in ticks.
 MIN_DELAY_TICKS = 20
-# Ticks that it takes at most beyond that.
+# Maximum jitter on top of that, in ticks.
 MAX_JITTER_TICKS = 80
-# The share of messages that arrive twice.
+# Probability that a message is delivered twice.
 DUPLICATE_PROBABILITY = 0.01
-# The share of messages that are late.
+# Probability that a message is late.
 LATE_PROBABILITY = 0.02
-# Seconds by which these are late at most.
+# Maximum extra delay of a late message, in seconds.
 MAX_LATE_SECONDS = 3
-# Seconds of virtual time between two looks whether a condition holds.
+# Virtual time between two checks of a condition, in seconds.
 CONDITION_CHECK_SECONDS = 0.5
-# Looks within a second.
+# Checks of a condition per second of virtual time.
 CONDITION_CHECKS_PER_SECOND = 2
 
 
 class RandomSource(Protocol):
-    """What is asked of a source of random numbers."""
+    """The interface that the fleet needs of a random number generator."""
 
     def draw(self) -> float:
-        """A number from 0 up to, but not including, 1."""
+        """Returns a number from 0 up to, but not including, 1."""
 
 
 new_random_source: Callable[[int], RandomSource] = LinearCongruentialGenerator
 
 
 class Direction(StrEnum):
-    """Which messages of a unit a partition takes: to the service, from it, or both."""
+    """Which messages between a unit and the service a partition drops.
+
+    Attributes:
+        BOTH: all messages.
+        TO: those to the service.
+        FROM: those from the service.
+    """
 
     BOTH = "both"
     TO = "to"
@@ -67,22 +73,22 @@
 
 
 class SimulatedUnit:
-    """A unit in truth: whether its process lives and serves, and its clock.
+    """The actual state of a unit, its process and its clock.
 
     Attributes:
-        name: its name.
-        labels: its labels.
-        clock_rate: how fast its monotonic clock is.
-        clock_offset: what that clock shows at time 0.
-        is_alive: whether its process lives.
-        is_serving: whether that takes new work.
+        name: name of the unit.
+        labels: labels of the unit.
+        clock_rate: ticks of its monotonic clock per tick of virtual time.
+        clock_offset: value of that clock at virtual time 0.
+        is_alive: whether its process is running.
+        is_serving: whether the process takes new work.
         build: the build it runs.
-        start: the number of the process' start.
-        warm_up: ticks in which it gets warm, on average.
-        suspended_until: until when its process is suspended.
+        start: number of the process start, counted from 1.
+        warm_up: mean warm-up time in ticks.
+        suspended_until: virtual time until which the process is suspended.
         return_fault: why it can't return, or None.
-        agent: the agent of the living process.
-        client: the client of the living process.
+        agent: the agent of the current process.
+        client: the client of the current process.
     """
 
     def __init__(self, name: str, labels: Labels, clock_rate: float, clock_offset: Ticks) -> None:
@@ -102,18 +108,18 @@
 
 
 class SimulatedFleet:
-    """Units, their agents and clients, the network and the service, in virtual time.
+    """Units with their agents and clients, the network and the service, in virtual time.
 
     Attributes:
         now: virtual time in ticks.
-        settings: what the operator set.
-        units: the units by name.
-        service: the stub of the replicated log.
-        checker: checks from outside.
-        partitions: (sender, receiver) between which no message arrives.
+        settings: settings of disruption control.
+        units: all units, by name.
+        service: stub of the replicated log.
+        checker: checker of the invariants.
+        partitions: pairs of sender and receiver between which all messages are lost.
         rolled_back: names of units whose rollback was ordered.
-        failing_build: a build that never gets warm once it crashed, or None.
-        declare_reply: the reply to the declaration.
+        failing_build: a build that never warms up after a crash, or None.
+        declare_reply: reply to the declaration.
     """
 
     def __init__(
@@ -131,14 +137,14 @@
         """Starts all units and declares them.
 
         Args:
-            seed: of the random source.
-            units: labels by name.
-            budgets: the budgets as a declaration has them.
-            groups: the budgets again for the checker outside.
-            settings: what the operator sets; None: defaults.
-            loss: the share of messages that are lost.
-            make_agent: makes the agent of a process.
-            make_machine: makes the state machine.
+            seed: seed of the random number generator.
+            units: labels of the units, by name.
+            budgets: the budgets, in the form of a declaration.
+            groups: the same budgets, in the form that the checker uses.
+            settings: settings of disruption control; None: defaults.
+            loss: probability that a message is lost.
+            make_agent: creates the agent of a process.
+            make_machine: creates the state machine.
         """
         self._random = new_random_source(seed * 2 + 1)
         self._events: list[tuple[Ticks, int, Callable[[], object]]] = []
@@ -173,12 +179,12 @@
     # Time and the network.
 
     def schedule(self, wait: float, call: Callable[[], object]) -> None:
-        """Calls back after so many ticks, at least one."""
+        """Schedules a call after so many ticks, at least one."""
         self._event_count += 1
         heappush(self._events, (self.now + max(1, int(wait)), self._event_count, call))
 
     def run(self, seconds: float) -> "SimulatedFleet":
-        """Lets so much virtual time pass; gives itself."""
+        """Runs for so many seconds of virtual time, and returns the fleet itself."""
         end = self.now + int(seconds * TICKS_PER_SECOND)
         while self._events and self._events[0][0] <= end:
             at, _, call = heappop(self._events)
@@ -188,7 +194,7 @@
         return self
 
     def run_until(self, condition: Callable[[], object], max_seconds: int = 600) -> object:
-        """Runs until a condition holds, at most so many seconds; gives whether it does."""
+        """Runs until a condition holds, or until the time is up; returns whether it holds."""
         for _ in range(max_seconds * CONDITION_CHECKS_PER_SECOND):
             if condition():
                 return True
@@ -196,7 +202,7 @@
         return condition()
 
     def deliver(self, sender: str, receiver: str, call: Callable[[], object]) -> None:
-        """Calls `call` when a message arrives: once, twice or never."""
+        """Schedules `call` for the delivery of a message, which may be lost or duplicated."""
         random = self._random
         if (sender, receiver) in self.partitions or random.draw() < self._loss:
             return
@@ -212,11 +218,16 @@
             self.schedule(wait, lambda: self._arrive(receiver, call))
 
     def submit(self, **command: Any) -> dict[str, Any]:
-        """Applies an operator's command at the service itself: nothing is lost on its way."""
+        """Applies an operator's command directly at the service, without the network."""
         return self.service.apply({"part": PART_NAME, **command})
 
     def partition(self, names: Iterable[str], direction: str = Direction.BOTH) -> None:
-        """Cuts units off from the service; `direction` is the value of a Direction."""
+        """Partitions units from the service.
+
+        Args:
+            names: names of the units.
+            direction: the messages that are lost, as the value of a Direction.
+        """
         for name in names:
             if direction != Direction.FROM:
                 self.partitions.add((name, SERVICE_ADDRESS))
@@ -228,7 +239,7 @@
         self.partitions.clear()
 
     def _arrive(self, receiver: str, call: Callable[[], object]) -> None:
-        """A message arrived; a suspended process takes it when it resumes."""
+        """Handles the arrival of a message; a suspended process receives it when it resumes."""
         unit = self.units.get(receiver)
         if unit and unit.suspended_until > self.now:
             self.schedule(unit.suspended_until - self.now, lambda: self._arrive(receiver, call))
@@ -243,19 +254,24 @@
     # Units and their processes.
 
     def read_clock(self, unit: SimulatedUnit) -> Ticks:
-        """What the monotonic clock of a unit shows."""
+        """Returns the value of a unit's monotonic clock, in ticks."""
         return int(self.now * unit.clock_rate) + unit.clock_offset
 
     def list_serving(self) -> list[str]:
-        """Names of the units that serve."""
+        """Returns the names of the units that serve."""
         return [name for name, unit in self.units.items() if unit.is_serving and unit.is_alive]
 
     def list_with_build(self, build: str) -> list[str]:
-        """Names of the units that run a build."""
+        """Returns the names of the units that run a build."""
         return [name for name, unit in self.units.items() if unit.build == build]
 
     def crash(self, name: str, restart_after: float | None = None) -> None:
-        """Kills a unit's process; it starts again, cold, after so many seconds, or never."""
+        """Kills a unit's process.
+
+        Args:
+            name: name of the unit.
+            restart_after: seconds until the process restarts, not warmed up; None: never.
+        """
         unit = self.units[name]
         unit.is_alive = False
         unit.is_serving = False
@@ -264,7 +280,7 @@
             self.schedule(restart_after * TICKS_PER_SECOND, lambda: self.restart(name))
 
     def restart(self, name: str) -> None:
-        """Starts the process of a unit that crashed; it gets warm unless its build fails."""
+        """Restarts the process of a crashed unit; it does not warm up if its build is failing."""
         unit = self.units[name]
         if not unit.is_alive:
             self._start_process(unit, False)
@@ -272,7 +288,7 @@
                 self._schedule_for_process(unit, unit.warm_up, lambda: self._finish_warm_up(unit))
 
     def suspend(self, name: str, seconds: float) -> None:
-        """Sends SIGSTOP to a unit's process, and SIGCONT after so many seconds."""
+        """Suspends a unit's process for so many seconds, as SIGSTOP and SIGCONT do."""
         self.units[name].suspended_until = self.now + int(seconds * TICKS_PER_SECOND)
 
     def _start_process(self, unit: SimulatedUnit, ready: bool) -> None:
@@ -293,7 +309,7 @@
     def _schedule_for_process(
         self, unit: SimulatedUnit, wait: float, call: Callable[[], object]
     ) -> None:
-        """Calls back after so long, if the process still lives then; later if it is suspended."""
+        """Schedules a call unless the process has ended by then; delays it during a suspension."""
         start = unit.start
 
         def call_if_running() -> None:
@@ -306,7 +322,7 @@
         self.schedule(wait, call_if_running)
 
     def _poll(self, unit: SimulatedUnit, start: int) -> None:
-        """Lets time go on for an agent."""
+        """Polls a unit's agent at regular intervals while its process runs."""
         if self._is_running(unit, start):
             if unit.suspended_until <= self.now:
                 self.perform(unit, unit.agent.due(self.read_clock(unit)))
@@ -315,10 +331,10 @@
                 lambda: self._poll(unit, start),
             )
 
-    # What agents want done.
+    # Actions of agents.
 
     def perform(self, unit: SimulatedUnit, actions: list[Action]) -> None:
-        """Does what a unit's agent wants."""
+        """Performs the actions that a unit's agent returned."""
         for action in actions:
             if isinstance(action, SayAction):
                 self._send(unit, action)
@@ -353,7 +369,7 @@
         if unit.agent.state not in (AgentState.DRAINING, AgentState.OUT):
             return
         self.perform(unit, unit.agent.emptied(self.read_clock(unit)))
-        if build:  # it was disrupted to be replaced: that is done after a while
+        if build:  # disrupted to be replaced, which takes some time
             self._schedule_for_process(
                 unit,
                 MEAN_REPLACEMENT_TICKS * (0.5 + self._random.draw()),
--- a/thymeknot/disruption/simulated_layout.py
+++ b/thymeknot/disruption/simulated_layout.py
@@ -1,4 +1,4 @@
-"""The units, budgets and groups of a simulated fleet."""
+"""The units and budgets of a simulated fleet."""
 
 from typing import Any, NamedTuple
 
@@ -6,20 +6,20 @@
 from .invariant_checker import BudgetGroup
 from .targets import Labels, UnitKind
 
-# How many units of a rack and of a zone may be unavailable.
+# Number of units of a rack and of a zone that may be unavailable.
 MAX_UNAVAILABLE_PER_RACK = 1
 MAX_UNAVAILABLE_PER_ZONE = 3
-# Which share of each kind may be unavailable.
+# Share of the units of each kind that may be unavailable.
 MAX_UNAVAILABLE_SHARE_PER_KIND = 0.2
 
 
 class FleetLayout(NamedTuple):
-    """What a simulated fleet consists of.
+    """The units and budgets of a simulated fleet.
 
     Attributes:
-        units: labels by name.
-        budgets: the budgets as a declaration has them.
-        groups: the same budgets for the checker outside.
+        units: labels of the units, by name.
+        budgets: the budgets, in the form of a declaration.
+        groups: the same budgets, in the form that the invariant checker uses.
     """
 
     units: dict[str, Labels]
@@ -28,7 +28,7 @@
 
 
 def make_layout(zones: int = 3, racks: int = 4, units_per_rack: int = 5) -> FleetLayout:
-    """Lays out a fleet of so many zones of so many racks of so many units.
+    """Returns a fleet of `zones` zones with `racks` racks each and `units_per_rack` units per rack.
 
     One unit of each rack may be unavailable, three of each zone, and a fifth of each kind.
     """
--- a/thymeknot/disruption/simulated_service.py
+++ b/thymeknot/disruption/simulated_service.py
@@ -1,7 +1,7 @@
 """A stub of the replicated log in virtual time, for a simulated fleet.
 
-One state machine takes commands in the order in which they arrive. What agents use of it is
-`SimulatedClient.propose` alone, so a real client of the log can stand in its place.
+A single state machine applies commands in the order in which they arrive. Agents use only
+`SimulatedClient.propose`, so a real client of the log can replace it.
 """
 
 from collections.abc import Callable
@@ -12,19 +12,19 @@
 from .invariant_checker import InvariantChecker
 from .state_machine import DisruptionStateMachine
 
-# Where the network has the service.
+# Address of the service in the simulated network.
 SERVICE_ADDRESS = "keepers"
 
 ReplyCallback: TypeAlias = Callable[[dict[str, Any]], object]
-"""Takes a reply."""
+"""Called with a reply."""
 
 
 class SimulatedNetwork(Protocol):
-    """What the service and its clients need of the simulated fleet.
+    """The interface of the simulated fleet that the service and its clients use.
 
     Attributes:
-        now: virtual time.
-        checker: checks from outside.
+        now: virtual time in ticks.
+        checker: checker of the invariants.
         service: the service.
     """
 
@@ -33,16 +33,16 @@
     service: "SimulatedService"
 
     def deliver(self, sender: str, receiver: str, call: Callable[[], object]) -> None:
-        """Calls `call` when a message arrives: once, twice or never."""
+        """Schedules `call` for the delivery of a message, which may be lost or duplicated."""
 
 
 class CommandKey(NamedTuple):
-    """Tells a command from its repeats.
+    """Identifies a command, so that its repeats are recognized.
 
     Attributes:
-        origin: the client's name.
-        incarnation: the number of its process' start.
-        number: the number of the command in that.
+        origin: name of the client.
+        incarnation: number of the client's process start.
+        number: number of the command within the incarnation.
     """
 
     origin: str
@@ -51,14 +51,14 @@
 
 
 class AppliedCommand(NamedTuple):
-    """The last command of an origin that was applied, and its reply."""
+    """The last applied command of an origin, and its reply."""
 
     key: CommandKey
     reply: dict[str, Any]
 
 
 class SimulatedClient:
-    """What a process has of the service."""
+    """The client that a process uses to send commands to the service."""
 
     def __init__(self, network: SimulatedNetwork, origin: str, incarnation: int) -> None:
         self.network = network
@@ -67,20 +67,21 @@
         self.last_number = 0
 
     def propose(self, command: dict[str, Any], then: ReplyCallback) -> None:
-        """Sends a command; `then` takes its reply, or is never called."""
+        """Sends a command; `then` is called with each reply that arrives, if any."""
         self.last_number += 1
         key = CommandKey(self.origin, self.incarnation, self.last_number)
         self.network.deliver(
             self.origin,
             SERVICE_ADDRESS,
-            lambda: self.network.service.take(key, command, then),
+            lambda: self.network.service.receive(key, command, then),
         )
 
 
 class SimulatedService:
-    """The stub: reachable or not, with one state machine.
+    """The service: one state machine, which is reachable or not.
 
-    Each command of an origin is applied once; the reply of its last one is remembered.
+    Each command is applied once. The reply to the last command of each origin is kept, and is sent
+    again for a repeat.
     """
 
     def __init__(self, network: SimulatedNetwork, machine: DisruptionStateMachine) -> None:
@@ -90,8 +91,8 @@
         self.last_applied: dict[str, AppliedCommand] = {}
         self.agreed_time: Ticks = 0
 
-    def take(self, key: CommandKey, command: dict[str, Any], then: ReplyCallback) -> None:
-        """A command arrived; its reply is sent back unless it is older than the last applied."""
+    def receive(self, key: CommandKey, command: dict[str, Any], then: ReplyCallback) -> None:
+        """Handles a command; it is ignored if it is older than the origin's last applied one."""
         if not self.is_up:
             return
         last = self.last_applied.get(key.origin)
@@ -104,7 +105,7 @@
         self.network.deliver(SERVICE_ADDRESS, key.origin, lambda: then(reply))
 
     def apply(self, command: dict[str, Any]) -> dict[str, Any]:
-        """Applies a command now."""
+        """Applies a command at once and returns its reply."""
         self.agreed_time = max(self.agreed_time, self.network.now)
         reply = self.machine.apply(self.agreed_time, command)
         if command.get("do") == CommandName.BEGIN and "ok" in reply:
@@ -114,7 +115,7 @@
         return reply
 
     def restart(self) -> None:
-        """All replicas were killed and start again from their snapshot."""
+        """Simulates a restart of all replicas from their snapshot."""
         image = self.machine.image()
         self.machine = type(self.machine)()
         self.machine.load(image)
@@ -122,6 +123,6 @@
         self.network.checker.record_service_back()
 
     def fail(self) -> None:
-        """All replicas are lost."""
+        """Simulates the loss of all replicas."""
         self.is_up = False
         self.network.checker.record_service_lost(self.network.now)
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -1,9 +1,9 @@
-"""The state machine that the log is applied to.
+"""The replicated state machine of disruptions, to which the entries of the log are applied.
 
-It is deterministic: it knows no time but `at`, no randomness, and no order but that of names and
-numbers. A command is a mapping as `commands` reads it, a reply one as `replies` writes it. Nothing
-that a command holds makes it raise. A rejected command has changed nothing but what time changes,
-save that a rejected begin ends its permit.
+It is deterministic: its only time is `at`, it uses no randomness, and it iterates in the order of
+names and numbers. Commands are mappings as decoded by `command_reader`, replies are mappings as
+encoded by `replies`. No content of a command makes it raise. A rejected command changes nothing
+beyond the effects of the passage of time, except that a rejected begin ends its permit.
 """
 
 from collections.abc import Callable
@@ -73,9 +73,9 @@
 from .status import describe_unit, make_order, report_status
 from .targets import CommandRejectedError, matches, parse_selector
 
-# Names of reports that were not understood that a reply has.
+# Names of unknown or malformed reports that a reply lists.
 MAX_INVALID_NAMES_SHOWN = 8
-# Commands after which releases go on.
+# Commands after which each release takes its next step.
 RELEASE_ROUND_COMMANDS = (
     CommandName.TICK,
     CommandName.HALT,
@@ -88,15 +88,15 @@
 
 
 class DisruptionStateMachine:
-    """Units, budgets, permits, halts and releases, changed by commands alone.
+    """Units, budgets, permits, halts and releases, which only commands change.
 
     Attributes:
         fleet: units and budgets.
-        halts: the halts that stand.
+        halts: the halts in force.
         releases: all releases.
         plans: the epochs of plans.
-        permits: takes the commands that are about the permit of one unit.
-        epoch: the epoch of the newest declaration.
+        permit_commands: applies the commands on the permit of one unit.
+        epoch: epoch of the newest declaration.
     """
 
     def __init__(self) -> None:
@@ -125,7 +125,12 @@
         }
 
     def apply(self, at: Any, command: Any) -> dict[str, Any]:
-        """Takes a command at agreed time `at`, never earlier than the last; gives its reply."""
+        """Applies a command and returns its reply.
+
+        Args:
+            at: agreed time of the command; time does not go back if it is earlier than the last.
+            command: the command as a mapping.
+        """
         fleet = self.fleet
         if is_natural(at):
             fleet.advance_time(at)
@@ -147,22 +152,22 @@
         return written
 
     def read(self, command: Any) -> tuple[CommandName, dict[str, Any]]:
-        """Checks a command without applying it; gives its name and fields.
+        """Checks a command without applying it, and returns its name and fields.
 
         Raises:
-            CommandRejectedError: it is malformed.
+            CommandRejectedError: the command is malformed.
         """
         return read_fields(command)
 
     def explain_hold(self, unit: Unit) -> str | None:
-        """The sentence of a halt that holds a unit's request, or None."""
+        """Returns the description of a halt that holds a unit's request, or None."""
         halt = self.halts.find_holding(unit, self.releases.find_requester(unit.request))
         return halt.describe() if halt else None
 
-    # What follows from any command.
+    # Consequences of every command.
 
     def _apply_consequences(self, name: CommandName | None) -> None:
-        """Halts what exceeded budgets, has releases go on, and grants what fits."""
+        """Halts where a budget was exceeded, advances releases and grants permits that fit."""
         fleet = self.fleet
         exceeded = fleet.newly_exceeded
         fleet.newly_exceeded = []
@@ -175,9 +180,9 @@
             scheduler.grant_permits(fleet, self.explain_hold)
 
     def _halt_exceeded_budget(self, usage: BudgetUsage) -> None:
-        """Crashes exceeded a budget: its place is halted until it is restored.
+        """Halts the units of a budget that crashes exceeded, until the budget is restored.
 
-        Releases with units there are halted until somebody resumes them.
+        Running releases with units in the budget are halted until an operator resumes them.
         """
         why = scheduler.describe_usage(self.fleet, usage)
         by = "budget " + usage.name
@@ -203,12 +208,12 @@
                         )
                     )
         except CommandRejectedError:
-            pass  # too many halts stand; the budget itself still grants nothing
+            pass  # too many halts are in force, but an exceeded budget grants nothing anyway
 
     def _enforce_halt(self, _halt: Halt) -> None:
-        """Ends the permits that nobody began and that a new halt holds.
+        """Ends the permits that were not begun and that a new halt holds.
 
-        Agents that don't hear it are stopped by their bound, since no begin is confirmed any more.
+        Agents that don't learn of the halt stop after their bound, since no begin is confirmed.
         """
         for unit in [
             unit for unit in self.fleet.permitted.values() if unit.state == PermitState.GRANTED
@@ -216,7 +221,7 @@
             if self.explain_hold(unit):
                 self.fleet.transition(unit, PermitInput.HALTED)
 
-    # The commands.
+    # Command handlers.
 
     def _declare(self, command: DeclareCommand) -> DeclareReply:
         if command.epoch < self.epoch:
@@ -232,7 +237,7 @@
         )
 
     def _seen(self, command: SeenCommand) -> SeenReply:
-        """Takes reports; of units that are not declared, or in another form, they say nothing."""
+        """Records reports; those of undeclared units or in another form are returned as strange."""
         if command.as_of > self.fleet.at:
             raise CommandRejectedError(
                 f"as_of {command.as_of} is ahead of agreed time {self.fleet.at}"
@@ -344,13 +349,13 @@
         return report_status(self.fleet, self.halts, self.releases, where, self.explain_hold)
 
     def read_status(self, unit: str | None, where: dict[str, Any] | None) -> dict[str, Any]:
-        """The fields of a status reply; changes nothing, so a read may be answered by it."""
+        """Returns the fields of a status reply. Changes nothing, so it can answer a read."""
         return write_fields(self._status(StatusCommand(unit, where)))
 
     # Snapshots.
 
     def image(self) -> dict[str, Any]:
-        """The snapshot: plain values, the same for the same history."""
+        """Returns a snapshot of plain values, which is the same for the same history."""
         return {
             "fleet": self.fleet.to_plain(),
             "halts": self.halts.to_plain(),
@@ -360,7 +365,7 @@
         }
 
     def load(self, image: dict[str, Any]) -> None:
-        """Takes a snapshot in place of its own state."""
+        """Replaces the state by that of a snapshot."""
         self.fleet.load(image["fleet"])
         self.halts.load(image["halts"])
         self.releases.load(image["releases"])
@@ -369,7 +374,7 @@
 
 
 def _is_report(report: Any) -> bool:
-    """Whether a report of a unit is `[status, start, build]`."""
+    """Whether a unit's report has the form `[status, start, build]`."""
     return (
         isinstance(report, list)
         and len(report) == 3
--- a/thymeknot/disruption/status.py
+++ b/thymeknot/disruption/status.py
@@ -1,4 +1,4 @@
-"""How units, budgets, halts and releases stand, for replies. Changes nothing."""
+"""The status of units, budgets, halts and releases, as replies report it. Changes nothing."""
 
 from collections.abc import Callable
 from typing import Any
@@ -13,14 +13,14 @@
 from .scheduler import explain_wait
 from .targets import Selector, matches
 
-# Units, budgets and units set aside that one status names.
+# Units, budgets and set-aside units that one status lists at most, each.
 MAX_ENTRIES_SHOWN = 512
-# Ticks after which a unit that waits for a permit is to ask again.
+# Ticks until a unit that waits for a permit should retry its request.
 PERMIT_RETRY_TICKS = TICKS_PER_SECOND
 
 
 def make_order(fleet: Fleet, unit: Unit) -> Order:
-    """What the agent of a unit with a permit is to do."""
+    """Returns the order to the agent of a unit that has a permit."""
     request = unit.granted_request
     return Order(
         do=ORDER_BY_STATE[unit.state],
@@ -35,12 +35,12 @@
 def describe_unit(
     fleet: Fleet, unit: Unit, explain_hold: Callable[[Unit], str | None]
 ) -> UnitDetails:
-    """Where a unit stands.
+    """Returns the current state of a unit.
 
     Args:
-        fleet: the fleet it is of.
+        fleet: the fleet that the unit belongs to.
         unit: the unit.
-        explain_hold: gives the sentence of a halt that holds a unit's request, or None.
+        explain_hold: returns the description of a halt that holds a unit's request, or None.
     """
     silent = fleet.settings.silent
     is_ready = unit.is_ready(fleet.at, silent)
@@ -72,7 +72,7 @@
     where: Selector,
     explain_hold: Callable[[Unit], str | None],
 ) -> StatusReply:
-    """How all stand; of the units those that a selector chooses."""
+    """Returns the status of budgets, halts, releases and the units that a selector matches."""
     silent = fleet.settings.silent
     units = [unit for _, unit in sorted(fleet.units.items()) if matches(where, unit.labels)]
     listed = [unit for unit in units if unit.request or not unit.is_ready(fleet.at, silent)]
--- a/thymeknot/disruption/targets.py
+++ b/thymeknot/disruption/targets.py
@@ -1,8 +1,8 @@
-"""Units, their labels, selectors over them, and the settings of the disruption budgets.
+"""Units' labels, selectors over them, and the settings of disruption control.
 
-A unit is a sidecar or a pod. Its labels say where it stands and what it serves; budgets, halts and
-releases choose by them. A selector is a mapping of a label to a value or a list of values; an empty
-one matches all units.
+A unit is a sidecar or a pod. Its labels say where it runs and what it serves; budgets, halts and
+releases select units by them. A selector maps labels to a value or a list of values; an empty one
+matches all units.
 """
 
 from collections.abc import Iterable
@@ -13,30 +13,30 @@
 from ..interface.clock import Ticks
 
 Labels: TypeAlias = dict[str, str]
-"""The labels of a unit: values by label name, in the order of LABEL_NAMES."""
+"""The labels of a unit: values by label name, ordered as in LABEL_NAMES."""
 
 Selector: TypeAlias = list[list[Any]]
-"""A selector as it is stored: sorted pairs `[label, sorted values]`; all pairs must match."""
+"""The stored form of a selector: sorted pairs `[label, sorted values]`, all of which must match."""
 
 LABEL_NAMES = ("kind", "rack", "zone", "cluster", "lane", "service")
-# Characters of a name. The log keeps names for ever, so they must stay short.
+# In characters. Names are kept in the log forever, so they must be short.
 MAX_NAME_LENGTH = 128
 
 
 class UnitKind(StrEnum):
-    """What a unit is; the value of its label `kind`."""
+    """The kind of a unit: the value of its label `kind`."""
 
     SIDECAR = "sidecar"
     POD = "pod"
 
 
 class CommandRejectedError(Exception):
-    """A command was rejected and has changed nothing but what time changes.
+    """A command was rejected, and changed nothing beyond the effects of the passage of time.
 
     Attributes:
-        reason: why it was rejected.
-        by: names of the units, budgets, plans or releases that stand in the way.
-        retry_after: ticks after which a retry makes sense; 0 if none does.
+        reason: why it was rejected, as a sentence.
+        by: names of the units, budgets, plans or releases that are in the way.
+        retry_after: ticks until a retry makes sense; 0 if it never does.
     """
 
     def __init__(self, reason: str, by: Iterable[str] = (), retry_after: Ticks = 0) -> None:
@@ -47,14 +47,14 @@
 
 
 class SettingRange(NamedTuple):
-    """The default of a setting and its inclusive limits."""
+    """The default of a setting and its inclusive minimum and maximum."""
 
     default: int
     minimum: int
     maximum: int
 
 
-# By name of the setting, in the order in which settings are stored.
+# By setting name, in the order in which settings are stored. In ticks, except `drift`.
 SETTING_RANGES = {
     "bound": SettingRange(20_000, 1_000, 600_000),
     "silent": SettingRange(60_000, 1_000, 6_000_000),
@@ -70,18 +70,18 @@
 
 @dataclass(frozen=True, slots=True)
 class DisruptionSettings:
-    """What an operator sets for all units; field names are the keys of a declaration's `terms`.
+    """Settings for all units. The field names are the keys of a declaration's `terms`.
 
     Attributes:
-        bound: ticks without an answer after which an agent begins no disruption.
+        bound: ticks without a reply after which an agent begins no disruption.
         silent: ticks without a ready report after which a unit counts as unavailable.
         permit: ticks after which a permit that was not begun expires.
         patience: ticks of waiting after which budget capacity is reserved for a request.
-        step: ticks of age that one degree of urgency is worth.
-        home: ticks after which a returning unit is named as overdue.
-        hold: ticks after which an unavailable unit is named as overdue.
+        step: ticks of age that each degree of urgency adds to a request.
+        home: ticks after which a returning unit is overdue.
+        hold: ticks after which a draining or drained unit is overdue.
         rest: ticks for which a budget must be within its limit before its halt ends.
-        drift: thousandths by which a monotonic clock may be wrong.
+        drift: maximum rate error of a monotonic clock, in thousandths.
     """
 
     bound: Ticks = SETTING_RANGES["bound"].default
@@ -96,16 +96,16 @@
 
     @classmethod
     def from_plain(cls, plain: dict[str, int]) -> "DisruptionSettings":
-        """Reads stored settings; unknown keys are ignored and missing ones have their default."""
+        """Restores stored settings; unknown keys are ignored, missing ones get their default."""
         known = {field.name for field in fields(cls)}
         return cls(**{name: value for name, value in plain.items() if name in known})
 
     def to_plain(self) -> dict[str, int]:
-        """The settings as they are stored and replied."""
+        """Returns the settings in the form in which they are stored and sent."""
         return asdict(self)
 
     def halt_bound(self) -> Ticks:
-        """Ticks after a halt from which nothing begins, by the slowest clock the drift allows."""
+        """Ticks after a halt until no agent can begin, even with the slowest clock allowed."""
         return self.bound + self.bound * self.drift // 1000 + 1
 
 
@@ -115,10 +115,10 @@
 
 
 def parse_labels(name: object, given: Any) -> Labels:
-    """Checks the labels of the unit `name` and gives them in the order of LABEL_NAMES.
+    """Checks the name and labels of a unit, and returns the labels in the order of LABEL_NAMES.
 
     Raises:
-        CommandRejectedError: the name or a label is none, or the kind is unknown.
+        CommandRejectedError: the name, a label or a value is invalid, or the kind is unknown.
     """
     if not is_valid_name(name):
         raise CommandRejectedError(f"a unit's name is 1 to {MAX_NAME_LENGTH} printable characters")
@@ -136,10 +136,10 @@
 
 
 def parse_selector(given: Any) -> Selector:
-    """Checks a selector and gives it as it is stored.
+    """Checks a selector and returns it in its stored form.
 
     Raises:
-        CommandRejectedError: it is no mapping, or a label is unknown or has no values.
+        CommandRejectedError: it is not a mapping, or a label is unknown or has no valid values.
     """
     if not isinstance(given, dict):
         raise CommandRejectedError(
@@ -163,10 +163,10 @@
 
 
 def matches(selector: Selector, labels: Labels) -> bool:
-    """Whether a stored selector chooses a unit with these labels."""
+    """Whether a selector in its stored form matches a unit with these labels."""
     return all(labels.get(label) in values for label, values in selector)
 
 
 def describe_selector(selector: Selector) -> str:
-    """A stored selector in words."""
+    """Describes a selector in its stored form, for use in a sentence."""
     return " and ".join(f"{label} {'|'.join(values)}" for label, values in selector) or "all"
