--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -33,7 +33,7 @@
         )
         self.ring = Keyring(
             [
-                Peer(identity.name, None, (PeerKey(identity.text(), None),))
+                Peer(identity.name, None, (PeerKey(identity.public_key_text(), None),))
                 for identity in (self.sender, self.recipient)
             ]
         )
@@ -65,7 +65,8 @@
             "oversized",
         )
         revoked = Keyring(
-            [Peer("n1", None, (PeerKey(self.sender.text(), None),))], [self.sender.text()]
+            [Peer("n1", None, (PeerKey(self.sender.public_key_text(), None),))],
+            [self.sender.public_key_text()],
         )
         self.assertEqual(self.open(valid, ring=revoked), "unknown")
         content = msgspec.msgpack.encode(["n1", 7])
@@ -129,8 +130,10 @@
         """The example operator file with a newly generated key, stored in the folder."""
         with open(os.path.join(FOLDER, "fleet.cue"), encoding="utf-8") as source:
             text = source.read()
-        identity = keys.new("n1", os.path.join(folder, "n1.key"))
-        return text.replace("1AAw0DZ1WlCsgTTdX1mtbDDSR+AlbN1aIBj8BVe+gXE=", identity.text())
+        identity = keys.create_key_file("n1", os.path.join(folder, "n1.key"))
+        return text.replace(
+            "1AAw0DZ1WlCsgTTdX1mtbDDSR+AlbN1aIBj8BVe+gXE=", identity.public_key_text()
+        )
 
     def load_error(self, change):
         """The error for the example file after a change, or None if it is accepted."""
--- a/thymeknot/coordination/blocking_client.py
+++ b/thymeknot/coordination/blocking_client.py
@@ -10,7 +10,7 @@
 from twisted.protocols.amp import Box
 
 from ..gossip.keyring import Identity, Keyring
-from ..gossip.settings import address
+from ..gossip.settings import parse_address
 from ..raft import message_codec
 
 ATTEMPT_TIMEOUT_SECONDS = 1.0
@@ -197,7 +197,7 @@
     def _connect(self, name: str) -> _Connection:
         """Connects to a node and exchanges the nonces of the session."""
         sock = socket.create_connection(
-            address(self.addresses[name]), timeout=ATTEMPT_TIMEOUT_SECONDS
+            parse_address(self.addresses[name]), timeout=ATTEMPT_TIMEOUT_SECONDS
         )
         reader = sock.makefile("rb")
         nonce = message_codec.new_nonce()
--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -55,7 +55,7 @@
     def _poll(self) -> None:
         if not self.closed:
             self.timer = self.timers.add(self.clock() + self.interval, self._poll)
-            self._perform(self.agent.due(self.clock()))
+            self._perform(self.agent.advance_time(self.clock()))
 
     def _perform(self, actions: Iterable[tuple[Any, ...]]) -> None:
         for kind, *arguments in actions:
@@ -67,7 +67,7 @@
     def _handle_reply(self, reply: dict[str, Any], token: int) -> None:
         # An unknown outcome is reported by the client, not by the cluster, so it is not a reply.
         if not self.closed and not reply.get("unknown"):
-            self._perform(self.agent.told(self.clock(), token, reply))
+            self._perform(self.agent.receive_reply(self.clock(), token, reply))
 
     def _drain(self, fence: int, build: str) -> None:
         structured_log.log(
@@ -80,12 +80,12 @@
 
     def _drained(self, fence: int) -> None:
         structured_log.log("drained", unit=self.unit, fence=fence)
-        self._perform(self.agent.emptied(self.clock()))
+        self._perform(self.agent.finish_drain(self.clock()))
 
     def _return(self, build: str) -> None:
         """Serves again, with `build` or, if it is empty, with the current build."""
         self._serve(
-            lambda: self._perform(self.agent.ready(self.clock(), build or self.agent.build))
+            lambda: self._perform(self.agent.finish_return(self.clock(), build or self.agent.build))
         )
 
     def _serve(self, then: Optional[Callable[[], None]] = None) -> None:
@@ -99,7 +99,7 @@
 
         def on_failure(reason: str) -> None:
             structured_log.log("listener not reopened", unit=self.unit, why=reason)
-            self._perform(self.agent.failed(self.clock(), reason))
+            self._perform(self.agent.fail_return(self.clock(), reason))
 
         def on_listening() -> None:
             structured_log.log("drain ended", unit=self.unit)
@@ -109,9 +109,9 @@
         self.proxy.undrain(on_listening, on_failure)
 
     ACTION_HANDLERS: ClassVar[dict[str, Callable[..., None]]] = {
-        "say": _propose,
+        "propose": _propose,
         "drain": _drain,
-        "come": _return,
+        "return": _return,
         "serve": _serve,
     }
     """Handlers of the actions of `disruption.agent`, by action kind."""
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -5,7 +5,7 @@
 
 from ..interface.clock import TICKS_PER_SECOND
 from .budgets import ROUNDING_TOLERANCE
-from .commands import ReleaseCommand, Verdict, VoteCommand
+from .commands import StartReleaseCommand, Verdict, VoteCommand
 from .fleet import Fleet
 from .halts import Halt, HaltCause
 from .release import ENDED_STATES, ROLLBACK_STATES, Release, ReleaseInput, ReleaseState
@@ -20,7 +20,7 @@
 CAPACITY_RETRY_TICKS = 60 * TICKS_PER_SECOND
 
 
-def start_release(rollouts: Rollouts, command: ReleaseCommand) -> ReleaseReply:
+def start_release(rollouts: Rollouts, command: StartReleaseCommand) -> ReleaseReply:
     """Adds a release, or returns the state of the release if the command is a repeat.
 
     Raises:
@@ -75,7 +75,7 @@
     )
 
 
-def _check_successor(existing: Release, command: ReleaseCommand) -> None:
+def _check_successor(existing: Release, command: StartReleaseCommand) -> None:
     """Checks that a command repeats the release of the same name or may replace it.
 
     Raises:
@@ -101,7 +101,7 @@
         )
 
 
-def _choose_members(fleet: Fleet, command: ReleaseCommand) -> list[str]:
+def _choose_members(fleet: Fleet, command: StartReleaseCommand) -> list[str]:
     """Returns the names of a release's units, in the order in which they are disrupted.
 
     The order interleaves racks. Otherwise the units that request permits at the same time would be
@@ -188,14 +188,14 @@
         raise CommandRejectedError(
             f"no release {command.release} of epoch {command.epoch}", [command.release]
         )
-    if command.verdict == Verdict.BACK:
+    if command.verdict == Verdict.ROLL_BACK:
         return _apply_rollback_vote(rollouts, release, command.why, enforce_halt)
     if command.wave != release.wave:
         raise CommandRejectedError(
             f"release {release.name} is in wave {release.wave}, the vote is on wave {command.wave}",
             [release.name],
         )
-    approved = command.verdict == Verdict.ON
+    approved = command.verdict == Verdict.CONTINUE
     release.approved_waves = command.wave + 1 if approved else command.wave
     return VoteReply(release.state.value, release.wave)
 
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -180,12 +180,16 @@
             unit.lapsed_permits = 0
             if unit.request and unit.request.plan == release.plan:
                 self._withdraw(unit)
-                if unit.state in (PermitState.DRAINING, PermitState.OUT, PermitState.RETURNING):
+                if unit.state in (
+                    PermitState.DRAINING,
+                    PermitState.OUT_OF_SERVICE,
+                    PermitState.RETURNING,
+                ):
                     self._recall_unit(unit, release)
 
     def _withdraw(self, unit: Unit) -> None:
-        if unit.state in (PermitState.ASKED, PermitState.GRANTED):
-            self.fleet.transition(unit, PermitInput.TURNED)
+        if unit.state in (PermitState.REQUESTED, PermitState.GRANTED):
+            self.fleet.transition(unit, PermitInput.REVOKED)
 
     def _recall_unit(self, unit: Unit, release: Release) -> None:
         """Recalls a disrupted unit with the earlier build.
@@ -196,7 +200,7 @@
         if not request.rollback:
             request.build = release.earlier_build
             unit.fault = ""
-            self.fleet.transition(unit, PermitInput.TURNED)
+            self.fleet.transition(unit, PermitInput.REVOKED)
 
     def advance_releases(self) -> None:
         """Takes the next step of each release, at ticks and after commands that affect releases."""
@@ -214,7 +218,7 @@
     def _apply_halts(self, release: Release) -> None:
         """Halts or resumes a release according to the halts in force."""
         labels = [unit.labels for unit in self.get_units(release)]
-        halt = self.halts.find_stopping(release, labels, release.state in ROLLBACK_STATES)
+        halt = self.halts.find_halt_of_release(release, labels, release.state in ROLLBACK_STATES)
         self.transition(release, ReleaseInput.HALTED if halt else ReleaseInput.RESUMED)
 
     def _request_permit(self, release: Release, unit: Unit, rollback: bool) -> None:
@@ -222,7 +226,7 @@
         request = PermitRequest(
             self.fleet.at, release.urgency, release.plan, release.epoch, rollback, build
         )
-        self.fleet.transition(unit, PermitInput.ASKED, request)
+        self.fleet.transition(unit, PermitInput.REQUESTED, request)
 
     def _count_available_requests(self, release: Release) -> int:
         """Returns how many more permits a release may request now."""
@@ -255,7 +259,7 @@
         """Returns the progress of a unit in a running release."""
         at = self.fleet.at
         settings = self.fleet.settings
-        is_in_service = unit.state == PermitState.IN
+        is_in_service = unit.state == PermitState.IN_SERVICE
         is_ready = unit.is_ready(at, settings.silent)
         if not is_in_service or (is_ready and unit.build != release.build):
             if is_in_service and unit.lapsed_permits >= MAX_LAPSED_PERMITS:
@@ -266,7 +270,7 @@
             return UnitProgress(True, needs_permit=is_in_service, is_recovered=True)
         if is_ready:
             return UnitProgress(False, is_recovered=True)
-        if at - max(unit.since, unit.ready_at, release.started_at) > settings.home:
+        if at - max(unit.state_entered_at, unit.ready_at, release.started_at) > settings.home:
             return UnitProgress(False, "is " + unit.describe_unavailability(at, settings.silent))
         # Not yet seen ready since its return, or silent for a short time.
         return UnitProgress(True)
@@ -274,11 +278,11 @@
     def _explain_overdue(self, unit: Unit) -> str | None:
         """Returns why a disrupted unit is no longer waited for, or None."""
         settings = self.fleet.settings
-        age = self.fleet.at - unit.since
+        age = self.fleet.at - unit.state_entered_at
         seconds = age // TICKS_PER_SECOND
         if unit.state == PermitState.RETURNING and (unit.fault or age > settings.home):
             return unit.fault or f"was called back {seconds} s ago and was not seen ready"
-        if unit.state in (PermitState.DRAINING, PermitState.OUT) and age > settings.hold:
+        if unit.state in (PermitState.DRAINING, PermitState.OUT_OF_SERVICE) and age > settings.hold:
             return f"is {unit.state} for {seconds} s"
         return None
 
@@ -306,7 +310,7 @@
         at = self.fleet.at
         settings = self.fleet.settings
         has_build = unit.build == release.build
-        if unit.state == PermitState.IN and has_build:
+        if unit.state == PermitState.IN_SERVICE and has_build:
             if unit.lapsed_permits >= MAX_LAPSED_PERMITS:
                 is_ready = unit.is_ready(at, settings.silent)
                 readiness = (
@@ -316,19 +320,19 @@
             return UnitProgress(True, needs_permit=True)
         request = unit.request
         if request is None or request.plan != release.plan:
-            if unit.state == PermitState.IN or not has_build:
+            if unit.state == PermitState.IN_SERVICE or not has_build:
                 return UnitProgress(False)
             reason = f"is {unit.state} by {unit.granted_request.plan}"
-            return UnitProgress(at - unit.since <= settings.home, reason)
-        if unit.state == PermitState.ASKED:
+            return UnitProgress(at - unit.state_entered_at <= settings.home, reason)
+        if unit.state == PermitState.REQUESTED:
             # A crashed unit may start again. So the reason is reported at once, but the unit is
             # still waited for, as long as a returning one.
             blocked_reason = explain_blocked(self.fleet, unit)
             return UnitProgress(
-                not blocked_reason or at - request.at <= settings.home, blocked_reason
+                not blocked_reason or at - request.requested_at <= settings.home, blocked_reason
             )
         overdue = self._explain_overdue(unit)
-        return UnitProgress(not overdue and unit.state != PermitState.IN, overdue)
+        return UnitProgress(not overdue and unit.state != PermitState.IN_SERVICE, overdue)
 
     def to_plain(self) -> list[Any]:
         """Returns the releases in their snapshot form."""
--- a/thymeknot/policy/slow_start.py
+++ b/thymeknot/policy/slow_start.py
@@ -1,94 +1,106 @@
-"""Rule 4: an endpoint that warms up gets its part of what warm ones are seen to take."""
+"""Rule 4: slow start limits an endpoint that warms up to its share of the load of warm ones."""
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.endpoint_state import EndpointState
 from ..state.sliding_window import SlidingWindow
 from .context import MAX_UPKEEP_INTERVAL, DecisionContext
 
-CAPACITY_PART = 0.5  # of the overload limit, as others send there unseen
-ATTEMPTS_LEAST = 4  # attempts of all instances together that an endpoint may get in a window
-CROWD_EXPONENT = 3  # in a crowd a warming endpoint's capacity counts by this power of its fraction
-RATE_RISE_TIME = 4 * TICKS_PER_SECOND  # over which the rate of warm endpoints follows a rise
-RATE_FALL_TIME = 20 * TICKS_PER_SECOND  # and a fall: overload must not pull it down quickly
-SERVED_SECONDS = 4  # of responses: a mean, as peaks of hundreds of instances do not add up
-SERVED_BUCKETS = 8  # half a second each
-NO_CAPACITY = 1e9  # divides the rate to nothing where no endpoint is warm
+OVERLOAD_LIMIT_RATIO = 0.5  # of the overload limit; other instances send there unseen
+MIN_FLEET_ATTEMPTS = 4  # attempts per window that all instances together may always send
+# With many instances per endpoint, a warming endpoint counts by this power of its warm-up fraction.
+LARGE_FLEET_EXPONENT = 3
+RATE_RISE_TIME_CONSTANT = 4 * TICKS_PER_SECOND  # of the smoothed rate of warm endpoints
+RATE_FALL_TIME_CONSTANT = 20 * TICKS_PER_SECOND  # long: an overload must not lower the rate quickly
+RESPONSE_WINDOW_SECONDS = 4  # a mean suffices: peaks of hundreds of instances do not add up
+RESPONSE_WINDOW_BUCKETS = 8  # half a second each
+NO_WARM_CAPACITY = 1e9  # divisor that makes the rate negligible if no endpoint is warm
 
 
 class SlowStart:
-    """The capacity of the ready endpoints, and what warming ones may take.
+    """Tracks the capacity of the ready endpoints and limits attempts at those that warm up.
 
     Attributes:
-        capacity: what the ready endpoints can carry at least, in sizes, of the newest build (True)
-            and of earlier ones (False).
-        warm_size: the sum of the sizes of warm endpoints.
-        warm_rate: attempts a second that one of size 1 is seen to take.
+        capacity: minimum capacity of the ready endpoints, as a sum of their sizes, for the newest
+            build (True) and earlier ones (False).
+        warm_capacity: sum of the sizes of the warm endpoints.
+        warm_request_rate: observed responses per second of a warm endpoint of size 1.
     """
 
     def __init__(self, context: DecisionContext) -> None:
         self.context = context
         self.capacity = {True: 0.0, False: 0.0}
-        self.warm_size = 0.0
+        self.warm_capacity = 0.0
         self.warm_request_rate = 0.0
-        self._measured_until: Ticks = 0
-        self._served = SlidingWindow(SERVED_SECONDS * TICKS_PER_SECOND, SERVED_BUCKETS)
+        self._warming_until: Ticks = 0
+        self._warm_responses = SlidingWindow(
+            RESPONSE_WINDOW_SECONDS * TICKS_PER_SECOND, RESPONSE_WINDOW_BUCKETS
+        )
 
     def update_capacity(self) -> None:
-        """Adds up what the ready endpoints can carry now."""
+        """Recomputes the capacity of the ready endpoints."""
         context = self.context
-        self.warm_size = 0.0
+        self.warm_capacity = 0.0
         self.capacity = {True: 0.0, False: 0.0}
-        exponent = CROWD_EXPONENT if context.is_large_fleet() else 1
+        exponent = LARGE_FLEET_EXPONENT if context.is_large_fleet() else 1
         settings, now = context.settings, context.now
-        for newest, side in context.by_build.items():
-            for known in side:
-                fraction = known.warmup_fraction(now, settings)
-                self.capacity[newest] += known.listed.size * fraction**exponent
-                self.warm_size += known.listed.size * (fraction == 1.0)
-                self._measured_until = max(
-                    self._measured_until,
-                    known.listed.started + settings.warmup_duration + MAX_UPKEEP_INTERVAL,
+        for newest, endpoints in context.by_build.items():
+            for endpoint in endpoints:
+                fraction = endpoint.warmup_fraction(now, settings)
+                self.capacity[newest] += endpoint.listed.size * fraction**exponent
+                self.warm_capacity += endpoint.listed.size * (fraction == 1.0)
+                self._warming_until = max(
+                    self._warming_until,
+                    endpoint.listed.started + settings.warmup_duration + MAX_UPKEEP_INTERVAL,
                 )
 
-    def count_response(self, fraction: float) -> None:
-        """Counts a good response of an endpoint that has this part of its capacity."""
-        self._served.add(self.context.now, fraction == 1.0)
+    def record_response(self, fraction: float) -> None:
+        """Counts a successful response if its endpoint is warm (warm-up fraction 1)."""
+        self._warm_responses.add(self.context.now, fraction == 1.0)
 
-    def upkeep(self, passed: Ticks) -> None:
-        """Measures again while endpoints warm up, and lets the rate of warm ones follow.
+    def upkeep(self, elapsed: Ticks) -> None:
+        """Updates the capacity while endpoints warm up, and the rate of warm endpoints.
 
         Args:
-            passed: ticks since the last upkeep.
+            elapsed: ticks since the previous upkeep.
         """
         context = self.context
-        if context.now <= self._measured_until:
+        if context.now <= self._warming_until:
             self.update_capacity()
-        rate = self._served.total(context.now) / SERVED_SECONDS / (self.warm_size or NO_CAPACITY)
-        span = min(
-            RATE_RISE_TIME if rate > self.warm_request_rate else RATE_FALL_TIME,
+        rate = (
+            self._warm_responses.total(context.now)
+            / RESPONSE_WINDOW_SECONDS
+            / (self.warm_capacity or NO_WARM_CAPACITY)
+        )
+        time_constant = min(
+            RATE_RISE_TIME_CONSTANT if rate > self.warm_request_rate else RATE_FALL_TIME_CONSTANT,
             context.traffic_age(),
         )
         self.warm_request_rate += (
-            (rate - self.warm_request_rate) * passed / max(TICKS_PER_SECOND, span)
+            (rate - self.warm_request_rate) * elapsed / max(TICKS_PER_SECOND, time_constant)
         )
 
-    def has_room(self, known: EndpointState, fraction: float) -> bool:
-        """Whether this instance may send one more to an endpoint that warms up.
+    def has_room(self, endpoint: EndpointState, fraction: float) -> bool:
+        """Returns whether this instance may send one more attempt to an endpoint that warms up.
 
-        The fewer endpoints an instance uses, the fewer others use this one. With a share of less
-        than an attempt a window, chance decides once for each endpoint and window.
+        The smaller the subsets, the fewer instances share this endpoint. The fractional part of a
+        share is decided at random, once per endpoint and window.
         """
         context, settings = self.context, self.context.settings
-        rate, window = self.warm_request_rate * known.listed.size, settings.overload_window
+        rate, window = self.warm_request_rate * endpoint.listed.size, settings.overload_window
         share = max(
-            CAPACITY_PART * settings.overload_factor * fraction * rate * window / TICKS_PER_SECOND,
-            ATTEMPTS_LEAST / settings.instances,
+            OVERLOAD_LIMIT_RATIO
+            * settings.overload_factor
+            * fraction
+            * rate
+            * window
+            / TICKS_PER_SECOND,
+            MIN_FLEET_ATTEMPTS / settings.instances,
         )
-        newest = known.on_newest_build
+        newest = endpoint.on_newest_build
         if newest is None:
             share = 0.0
         else:
             share *= len(context.by_build[newest]) / (len(context.subsets[newest]) or 1)
-        if known.random_share[0] != context.now // window:
-            known.random_share = context.now // window, context.rng.draw()
-        return known.recent_attempts.total(context.now) + 1 <= share + known.random_share[1]
+        if endpoint.random_share[0] != context.now // window:
+            endpoint.random_share = context.now // window, context.rng.draw()
+        return endpoint.recent_attempts.total(context.now) + 1 <= share + endpoint.random_share[1]
--- a/thymeknot/proxy/descriptor_budget.py
+++ b/thymeknot/proxy/descriptor_budget.py
@@ -1,20 +1,20 @@
-"""How the file descriptors of the process are shared between clients and endpoints."""
+"""Divides the file descriptors of the process between clients and endpoints."""
 
 import resource
 from typing import NamedTuple
 
-LEAST_DESCRIPTORS = 64
-"""Counted on even where the machine allows fewer: the configuration takes no lower limit."""
+MIN_DESCRIPTORS = 64
+"""Assumed even if the system allows fewer: the configuration accepts no lower limit."""
 
 RESERVED_DESCRIPTORS = 40
-"""For discovery, the platform, the reactor's own descriptors and the standard streams."""
+"""Reserved for discovery, the platform, the reactor's descriptors and standard streams."""
 
 ENDPOINT_SHARE = 0.4
-"""Of what is not reserved: connections to endpoints. The rest is for clients."""
+"""Fraction of the unreserved descriptors for endpoint connections; the rest is for clients."""
 
 
 class DescriptorBudget(NamedTuple):
-    """How many connections each side may have.
+    """The maximum number of connections on each side.
 
     Attributes:
         clients: Connections of clients.
@@ -25,19 +25,19 @@
     endpoints: int
 
 
-def allowed_descriptors(most: int) -> int:
-    """Returns how many descriptors the machine allows, at most so many.
+def allowed_descriptors(limit: int) -> int:
+    """Returns how many descriptors the system allows, up to the limit.
 
-    Where the machine refuses one, the network library closes the connection that has come.
+    Without a free descriptor, the network library closes an incoming connection.
     """
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed == resource.RLIM_INFINITY:
-        return most
-    return min(most, max(allowed, LEAST_DESCRIPTORS))
+        return limit
+    return min(limit, max(allowed, MIN_DESCRIPTORS))
 
 
-def descriptor_budget(most: int) -> DescriptorBudget:
-    """Shares out the descriptors that the machine allows, at most so many."""
-    spare = allowed_descriptors(most) - RESERVED_DESCRIPTORS
-    for_endpoints = int(spare * ENDPOINT_SHARE)
-    return DescriptorBudget(spare - for_endpoints, for_endpoints)
+def descriptor_budget(limit: int) -> DescriptorBudget:
+    """Divides the descriptors that the system allows, up to the limit."""
+    available = allowed_descriptors(limit) - RESERVED_DESCRIPTORS
+    for_endpoints = int(available * ENDPOINT_SHARE)
+    return DescriptorBudget(available - for_endpoints, for_endpoints)
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,7 +1,7 @@
-"""Why requests are rejected or failed, summed into one log line every few seconds.
+"""Summarises why requests are rejected or fail, in one log line every few seconds.
 
-It listens to the reasons that the decisions name. Nothing is logged where nothing was rejected. The
-sums are bounded by the closed table of reasons.
+It receives the reasons that the decision engine reports. If nothing was rejected, nothing is
+logged. The number of counters is bounded by the closed table of reasons.
 """
 
 from collections.abc import Callable
@@ -11,20 +11,20 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.reasons import Reason
 
-EVERY: Final[Ticks] = 5 * TICKS_PER_SECOND
-"""Between two lines."""
+LOG_INTERVAL: Final[Ticks] = 5 * TICKS_PER_SECOND
+"""Ticks between two log lines."""
 
-FINAL: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
-"""The reasons that are final answers, with the keys of the log line."""
+FINAL_REASONS: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
+"""The reasons that are final responses, with their keys in the log line."""
 
 
 class Role(IntEnum):
-    """What a reason is to a final answer."""
+    """How a reason relates to a final response."""
 
     NONE = 0
     DECIDES = 1
     EXCLUDES_ENDPOINTS = 2
-    """It kept the last endpoints out where none will do."""
+    """It ruled out endpoints; the cause if no endpoint is left."""
     FINAL_ANSWER = 3
 
 
@@ -47,20 +47,20 @@
         (Reason.UNREACHABLE, Reason.DOUBTED, Reason.USED, Reason.COLD, Reason.OUTSIDE),
         Role.EXCLUDES_ENDPOINTS,
     ),
-    **dict.fromkeys(FINAL, Role.FINAL_ANSWER),
+    **dict.fromkeys(FINAL_REASONS, Role.FINAL_ANSWER),
 }
 
 ROLE_BY_NUMBER: Final = [
     ROLES.get(Reason(number), Role.DECIDES) if number else Role.DECIDES
     for number in range(max(Reason) + 1)
 ]
-"""A list, since it is asked several times for every request."""
+"""A list for speed: it is read several times per request."""
 
 
 class RejectionSummary:
     """Counts the causes of rejections and failures between two log lines.
 
-    `hear` is called for each reason; `next_listener`, if set, is called with the same arguments.
+    `record` is called for each reason; `next_listener`, if set, is called with the same arguments.
     """
 
     def __init__(self, log: Callable[..., None]) -> None:
@@ -69,11 +69,11 @@
         self.counts: dict[tuple[str, str], int] = {}
         self.since: Ticks = 0
         self._request: str | None = None
-        self._deciding: Reason | None = None
+        self._decisive: Reason | None = None
         self._excluding: Reason | None = None
 
-    def hear(self, name: str | None, reason: Reason, *operands: Any) -> None:
-        """Takes a reason for a request (None for votes) as the decisions name it."""
+    def record(self, name: str | None, reason: Reason, *operands: Any) -> None:
+        """Records a reason that the engine reports for a request (None for votes)."""
         role = ROLE_BY_NUMBER[reason]
         if role:
             self._count(name, reason, role)
@@ -81,38 +81,38 @@
             self.next_listener(name, reason, *operands)
 
     def _count(self, name: str | None, reason: Reason, role: Role) -> None:
-        if name != self._request:  # what decided another request says nothing of this one
+        if name != self._request:  # the reasons of another request do not apply
             self._request = name
-            self._deciding = None
+            self._decisive = None
             self._excluding = None
         if role == Role.EXCLUDES_ENDPOINTS:
             self._excluding = reason
         elif role == Role.DECIDES:
-            self._deciding = reason
+            self._decisive = reason
         else:
-            key = FINAL[reason], self._cause()
+            key = FINAL_REASONS[reason], self._cause()
             self.counts[key] = self.counts.get(key, 0) + 1
             self._request = None
 
     def _cause(self) -> str:
-        if self._deciding is None:
+        if self._decisive is None:
             return "NOTHING"
-        if self._deciding is Reason.NO_POD and self._excluding is not None:
-            return f"{self._deciding.name}/{self._excluding.name}"
-        return self._deciding.name
+        if self._decisive is Reason.NO_POD and self._excluding is not None:
+            return f"{self._decisive.name}/{self._excluding.name}"
+        return self._decisive.name
 
-    def due(self, now: Ticks, **beside: Any) -> Ticks:
-        """Logs what came together since the last line; gives when it wants to be called again."""
+    def flush(self, now: Ticks, **fields: Any) -> Ticks:
+        """Logs the counts since the last line; returns when to call it again."""
         if self.counts:
             sums: dict[str, dict[str, int]] = {"deferred": {}, "abandoned": {}}
-            for (answer, cause), count in sorted(self.counts.items(), key=lambda one: -one[1]):
+            for (answer, cause), count in sorted(self.counts.items(), key=lambda item: -item[1]):
                 sums[answer][cause] = count
             self.log(
                 "requests rejected",
                 seconds=(now - self.since) / TICKS_PER_SECOND,
                 **{answer: causes for answer, causes in sums.items() if causes},
-                **beside,
+                **fields,
             )
             self.counts = {}
         self.since = now
-        return now + EVERY
+        return now + LOG_INTERVAL
