--- a/thymeknot/disruption/invariant_checker.py
+++ b/thymeknot/disruption/invariant_checker.py
@@ -24,7 +24,7 @@
     max_unavailable: int
 
 
-class WatchedHalt(NamedTuple):
+class RecordedHalt(NamedTuple):
     """A halt in force.
 
     Attributes:
@@ -81,7 +81,7 @@
         self.crashed_at: dict[str, Ticks] = {}
         self.confirmations: dict[str, dict[int, Ticks]] = {}
         self.highest_used_tokens: dict[str, int] = {}
-        self.halts: dict[int, WatchedHalt] = {}
+        self.halts: dict[int, RecordedHalt] = {}
         self.service_lost_at: Ticks | None = None
         self.violations: list[str] = []
         self.disruptions: list[Disruption] = []
@@ -92,7 +92,7 @@
 
     def record_halt(self, number: int, now: Ticks, units: set[str]) -> None:
         """Records that a halt of these units was confirmed."""
-        self.halts[number] = WatchedHalt(now, units)
+        self.halts[number] = RecordedHalt(now, units)
 
     def record_resume(self, number: int) -> None:
         """Records that a halt ended."""
@@ -102,7 +102,7 @@
         """Records that the state machine is unreachable from now on."""
         self.service_lost_at = now
 
-    def record_service_back(self) -> None:
+    def record_service_restored(self) -> None:
         """Records that the state machine is reachable again."""
         self.service_lost_at = None
 
@@ -175,7 +175,7 @@
                 now,
                 "A2",
                 f"{name} was disrupted with permit {fencing_token}, confirmed at {confirmed_at}; "
-                f"the highest permit used before is {highest_used}",
+                f"the highest token used before is {highest_used}",
             )
         self.highest_used_tokens[name] = max(fencing_token, highest_used or 0)
 
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -16,7 +16,7 @@
 MAX_WAVES = 64
 # Ticks until a retry makes sense while another release has the same units.
 RELEASE_RETRY_TICKS = 10 * TICKS_PER_SECOND
-# Ticks until a retry makes sense while there are MAX_RELEASES unfinished releases.
+# Ticks until a retry makes sense while there is no room for another release.
 CAPACITY_RETRY_TICKS = 60 * TICKS_PER_SECOND
 
 
@@ -36,7 +36,7 @@
         raise CommandRejectedError(
             f"build {command.build} is the earlier one too: there is nothing to release", [name]
         )
-    members = _choose_members(rollouts.fleet, command)
+    members = _select_members(rollouts.fleet, command)
     waves = _parse_waves(command.waves, len(members))
     other = rollouts.find_conflicting(None, set(members))
     if other and not command.wait:
@@ -101,7 +101,7 @@
         )
 
 
-def _choose_members(fleet: Fleet, command: StartReleaseCommand) -> list[str]:
+def _select_members(fleet: Fleet, command: StartReleaseCommand) -> list[str]:
     """Returns the names of a release's units, in the order in which they are disrupted.
 
     The order interleaves racks. Otherwise the units that request permits at the same time would be
--- a/thymeknot/disruption/replies.py
+++ b/thymeknot/disruption/replies.py
@@ -78,7 +78,7 @@
     terms: dict[str, int]
 
 
-class SeenReply(NamedTuple):
+class ReportReply(NamedTuple):
     """Orders by unit name, and the names of some reports that were unknown or malformed."""
 
     orders: dict[str, Any]
@@ -191,7 +191,7 @@
     AcceptedReply
     | UnitReply
     | DeclareReply
-    | SeenReply
+    | ReportReply
     | HaltReply
     | ResumeReply
     | CalledBackReply
@@ -203,13 +203,13 @@
 )
 
 
-def write_fields(reply: Reply | UnitDetails) -> dict[str, Any]:
+def encode_fields(reply: Reply | UnitDetails) -> dict[str, Any]:
     """Encodes the fields of a reply, without those that are None."""
     if isinstance(reply, UnitStatusReply):
-        return {"unit": reply.unit, **write_fields(reply.details)}
+        return {"unit": reply.unit, **encode_fields(reply.details)}
     return {name: value for name, value in reply._asdict().items() if value is not None}
 
 
-def write_rejection(rejection: CommandRejectedError) -> dict[str, Any]:
+def encode_rejection(rejection: CommandRejectedError) -> dict[str, Any]:
     """Encodes a rejection, without the agreed time."""
     return {"refused": rejection.reason, "by": rejection.by, "again": rejection.retry_after}
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -114,7 +114,7 @@
     def make_room(self) -> bool:
         """Drops the oldest ended release if there are too many.
 
-        Gives whether there is place for one more.
+        Returns whether there is room for one more.
         """
         if len(self.by_name) >= MAX_RELEASES:
             ended = min(
@@ -171,7 +171,7 @@
         """Withdraws the release's requests and the permits that were not begun."""
         for unit in self.get_units(release):
             if unit.request and unit.request.plan == release.plan:
-                self._withdraw(unit)
+                self._withdraw_unit(unit)
 
     def _begin_rollback(self, release: Release) -> None:
         release.last_known_halt = self.halts.last_number
@@ -179,7 +179,7 @@
         for unit in self.get_units(release):
             unit.lapsed_permits = 0
             if unit.request and unit.request.plan == release.plan:
-                self._withdraw(unit)
+                self._withdraw_unit(unit)
                 if unit.state in (
                     PermitState.DRAINING,
                     PermitState.OUT_OF_SERVICE,
@@ -187,7 +187,7 @@
                 ):
                     self._recall_unit(unit, release)
 
-    def _withdraw(self, unit: Unit) -> None:
+    def _withdraw_unit(self, unit: Unit) -> None:
         if unit.state in (PermitState.REQUESTED, PermitState.GRANTED):
             self.fleet.transition(unit, PermitInput.REVOKED)
 
@@ -211,7 +211,7 @@
                 self.transition(release, ReleaseInput.UNITS_FREE)
             self._apply_halts(release)
             if release.state == ReleaseState.RUNNING:
-                self._advance(release)
+                self._advance_rollout(release)
             elif release.state == ReleaseState.ROLLING_BACK:
                 self._advance_rollback(release)
 
@@ -235,7 +235,7 @@
             unit.granted_request.plan == plan for unit in self.fleet.requesting.values()
         )
 
-    def _advance(self, release: Release) -> None:
+    def _advance_rollout(self, release: Release) -> None:
         available_requests = self._count_available_requests(release)
         is_waiting = False
         for unit in self.get_units(release)[: release.waves[release.wave]]:
--- a/thymeknot/disruption/simulated_fleet.py
+++ b/thymeknot/disruption/simulated_fleet.py
@@ -178,10 +178,10 @@
 
     # Time and the network.
 
-    def schedule(self, wait: float, call: Callable[[], object]) -> None:
+    def schedule(self, delay: float, call: Callable[[], object]) -> None:
         """Schedules a call after so many ticks, at least one."""
         self._event_count += 1
-        heappush(self._events, (self.now + max(1, int(wait)), self._event_count, call))
+        heappush(self._events, (self.now + max(1, int(delay)), self._event_count, call))
 
     def run(self, seconds: float) -> "SimulatedFleet":
         """Runs for so many seconds of virtual time, and returns the fleet itself."""
@@ -207,7 +207,7 @@
         if (sender, receiver) in self.partitions or random.draw() < self._loss:
             return
         for _ in range(2 if random.draw() < DUPLICATE_PROBABILITY else 1):
-            wait = (
+            delay = (
                 MIN_DELAY_TICKS
                 + random.draw() * MAX_JITTER_TICKS
                 + (random.draw() < LATE_PROBABILITY)
@@ -215,7 +215,7 @@
                 * MAX_LATE_SECONDS
                 * TICKS_PER_SECOND
             )
-            self.schedule(wait, lambda: self._arrive(receiver, call))
+            self.schedule(delay, lambda: self._receive(receiver, call))
 
     def submit(self, **command: Any) -> dict[str, Any]:
         """Applies an operator's command directly at the service, without the network."""
@@ -238,11 +238,11 @@
         """Ends all partitions."""
         self.partitions.clear()
 
-    def _arrive(self, receiver: str, call: Callable[[], object]) -> None:
+    def _receive(self, receiver: str, call: Callable[[], object]) -> None:
         """Handles the arrival of a message; a suspended process receives it when it resumes."""
         unit = self.units.get(receiver)
         if unit and unit.suspended_until > self.now:
-            self.schedule(unit.suspended_until - self.now, lambda: self._arrive(receiver, call))
+            self.schedule(unit.suspended_until - self.now, lambda: self._receive(receiver, call))
         else:
             call()
 
@@ -307,7 +307,7 @@
         return unit.is_alive and unit.start == start
 
     def _schedule_for_process(
-        self, unit: SimulatedUnit, wait: float, call: Callable[[], object]
+        self, unit: SimulatedUnit, delay: float, call: Callable[[], object]
     ) -> None:
         """Schedules a call unless the process has ended by then; delays it during a suspension."""
         start = unit.start
@@ -319,7 +319,7 @@
                 else:
                     call()
 
-        self.schedule(wait, call_if_running)
+        self.schedule(delay, call_if_running)
 
     def _poll(self, unit: SimulatedUnit, start: int) -> None:
         """Polls a unit's agent at regular intervals while its process runs."""
@@ -349,13 +349,13 @@
     def _send(self, unit: SimulatedUnit, action: ProposeAction) -> None:
         start = unit.start
 
-        def take_reply(reply: dict[str, Any]) -> None:
+        def handle_reply(reply: dict[str, Any]) -> None:
             if self._is_running(unit, start):
                 self.perform(
                     unit, unit.agent.receive_reply(self.read_clock(unit), action.token, reply)
                 )
 
-        unit.client.propose(action.command, take_reply)
+        unit.client.propose(action.command, handle_reply)
 
     def _drain(self, unit: SimulatedUnit, action: DrainAction) -> None:
         unit.is_serving = False
--- a/thymeknot/disruption/simulated_service.py
+++ b/thymeknot/disruption/simulated_service.py
@@ -120,7 +120,7 @@
         self.machine = type(self.machine)()
         self.machine.load(image)
         self.is_up = True
-        self.network.checker.record_service_back()
+        self.network.checker.record_service_restored()
 
     def fail(self) -> None:
         """Simulates the loss of all replicas."""
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -59,15 +59,15 @@
     HaltReply,
     ReleaseReply,
     Reply,
+    ReportReply,
     ResumeReply,
-    SeenReply,
     StatusReply,
     UnitReply,
     UnitStatusReply,
     VotedBackReply,
     VoteReply,
-    write_fields,
-    write_rejection,
+    encode_fields,
+    encode_rejection,
 )
 from .rollouts import Rollouts
 from .status import describe_unit, make_order, report_status
@@ -108,17 +108,17 @@
         self.epoch = 0
         self._handlers: dict[type[Command], Callable[[Any], Reply]] = {
             DeclareCommand: self._declare,
-            ReportUnitsCommand: self._seen,
-            RequestPermitCommand: self._ask,
+            ReportUnitsCommand: self._report_units,
+            RequestPermitCommand: self._request_permit,
             TickCommand: self._tick,
             BeginCommand: self._begin,
-            ReportDrainedCommand: self._out,
+            ReportDrainedCommand: self._report_drained,
             ReturnCommand: self._return,
-            ReportReadyCommand: self._ready,
+            ReportReadyCommand: self._report_ready,
             HaltCommand: self._halt,
             ResumeCommand: self._resume,
-            RollBackCommand: self._back,
-            StartReleaseCommand: self._release,
+            RollBackCommand: self._roll_back,
+            StartReleaseCommand: self._start_release,
             VoteCommand: self._vote,
             CancelCommand: self._cancel,
             StatusCommand: self._status,
@@ -140,16 +140,16 @@
             parsed_name, parsed = parse_command(command)
             reply = self._handlers[type(parsed)](parsed)
             name = parsed_name
-            written = {"ok": True, **write_fields(reply)}
+            encoded = {"ok": True, **encode_fields(reply)}
         except CommandRejectedError as rejection:
-            written = write_rejection(rejection)
+            encoded = encode_rejection(rejection)
         self._apply_consequences(name)
         if isinstance(reply, UnitReply):
-            written.update(
-                write_fields(describe_unit(fleet, fleet.units[reply.unit], self.explain_hold))
+            encoded.update(
+                encode_fields(describe_unit(fleet, fleet.units[reply.unit], self.explain_hold))
             )
-        written["at"] = fleet.at
-        return written
+        encoded["at"] = fleet.at
+        return encoded
 
     def read(self, command: Any) -> tuple[CommandName, dict[str, Any]]:
         """Checks a command without applying it, and returns its name and fields.
@@ -236,8 +236,8 @@
             len(declaration.units), len(declaration.budgets), declaration.settings.to_plain()
         )
 
-    def _seen(self, command: ReportUnitsCommand) -> SeenReply:
-        """Records reports; those of undeclared units or in another form are returned as strange."""
+    def _report_units(self, command: ReportUnitsCommand) -> ReportReply:
+        """Records reports. The reply names those of undeclared units and those in another form."""
         if command.as_of > self.fleet.at:
             raise CommandRejectedError(
                 f"as_of {command.as_of} is ahead of agreed time {self.fleet.at}"
@@ -254,20 +254,20 @@
             self.fleet.record_report(unit, command.as_of, STATUS_BY_VALUE[status], start, build)
             if unit.state in PERMITTED_STATES and unit.start == start:
                 orders[name] = make_order(self.fleet, unit).to_plain()
-        return SeenReply(orders, invalid_names[:MAX_INVALID_NAMES_SHOWN] or None)
+        return ReportReply(orders, invalid_names[:MAX_INVALID_NAMES_SHOWN] or None)
 
-    def _ready(self, command: ReportReadyCommand) -> SeenReply:
+    def _report_ready(self, command: ReportReadyCommand) -> ReportReply:
         self.fleet.get_unit(command.unit)
         report = [UnitStatus.READY.value, command.start, command.build]
-        return self._seen(ReportUnitsCommand(command.as_of, {command.unit: report}))
+        return self._report_units(ReportUnitsCommand(command.as_of, {command.unit: report}))
 
-    def _ask(self, command: RequestPermitCommand) -> UnitReply:
+    def _request_permit(self, command: RequestPermitCommand) -> UnitReply:
         return self.permit_commands.request(command)
 
     def _begin(self, command: BeginCommand) -> UnitReply:
         return self.permit_commands.begin(command)
 
-    def _out(self, command: ReportDrainedCommand) -> UnitReply:
+    def _report_drained(self, command: ReportDrainedCommand) -> UnitReply:
         return self.permit_commands.record_drained(command)
 
     def _return(self, command: ReturnCommand) -> UnitReply:
@@ -286,13 +286,13 @@
             )
         if command.release is not None and command.release not in self.releases.by_name:
             raise CommandRejectedError(f"no release {command.release}", [command.release])
-        where = parse_selector(command.where) if command.where is not None else None
+        selector = parse_selector(command.where) if command.where is not None else None
         halt = self.halts.add(
             self.fleet.at,
             command.cause,
             command.why,
             command.by,
-            selector=where,
+            selector=selector,
             release=command.release,
         )
         self._enforce_halt(halt)
@@ -308,9 +308,9 @@
         self.fleet.capacity_freed = True
         return ResumeReply(halt.describe(), sorted(self.halts.by_number))
 
-    def _back(self, command: RollBackCommand) -> ReleaseReply | CalledBackReply:
-        given = (command.release, command.unit, command.plan)
-        if sum(name is not None for name in given) != 1:
+    def _roll_back(self, command: RollBackCommand) -> ReleaseReply | CalledBackReply:
+        targets = (command.release, command.unit, command.plan)
+        if sum(name is not None for name in targets) != 1:
             raise CommandRejectedError("back is of one release, unit or plan")
         if command.release is not None:
             return roll_back_release(self.releases, command.release, command.epoch)
@@ -335,7 +335,7 @@
             sorted(unit.name for unit in units if self.fleet.transition(unit, PermitInput.REVOKED))
         )
 
-    def _release(self, command: StartReleaseCommand) -> ReleaseReply:
+    def _start_release(self, command: StartReleaseCommand) -> ReleaseReply:
         return start_release(self.releases, command)
 
     def _vote(self, command: VoteCommand) -> VoteReply | VotedBackReply:
@@ -345,12 +345,12 @@
         if command.unit is not None:
             unit = self.fleet.get_unit(command.unit)
             return UnitStatusReply(unit.name, describe_unit(self.fleet, unit, self.explain_hold))
-        where = parse_selector(command.where or {})
-        return report_status(self.fleet, self.halts, self.releases, where, self.explain_hold)
+        selector = parse_selector(command.where or {})
+        return report_status(self.fleet, self.halts, self.releases, selector, self.explain_hold)
 
     def read_status(self, unit: str | None, where: dict[str, Any] | None) -> dict[str, Any]:
         """Returns the fields of a status reply. Changes nothing, so it can answer a read."""
-        return write_fields(self._status(StatusCommand(unit, where)))
+        return encode_fields(self._status(StatusCommand(unit, where)))
 
     # Snapshots.
 
--- a/thymeknot/disruption/status.py
+++ b/thymeknot/disruption/status.py
@@ -8,7 +8,7 @@
 from .halts import Halts
 from .permits import PERMITTED_STATES, PermitState, Unit
 from .release import Release
-from .replies import ORDER_BY_STATE, Order, StatusReply, UnitDetails, write_fields
+from .replies import ORDER_BY_STATE, Order, StatusReply, UnitDetails, encode_fields
 from .rollouts import Rollouts
 from .scheduler import explain_wait
 from .targets import Selector, matches
@@ -69,12 +69,12 @@
     fleet: Fleet,
     halts: Halts,
     rollouts: Rollouts,
-    where: Selector,
+    selector: Selector,
     explain_hold: Callable[[Unit], str | None],
 ) -> StatusReply:
     """Returns the status of budgets, halts, releases and the units that a selector matches."""
     silent = fleet.settings.silent
-    units = [unit for _, unit in sorted(fleet.units.items()) if matches(where, unit.labels)]
+    units = [unit for _, unit in sorted(fleet.units.items()) if matches(selector, unit.labels)]
     listed = [unit for unit in units if unit.request or not unit.is_ready(fleet.at, silent)]
     return StatusReply(
         terms=fleet.settings.to_plain(),
@@ -82,7 +82,7 @@
         out=sum(not unit.is_ready(fleet.at, silent) for unit in units),
         more=max(0, len(listed) - MAX_ENTRIES_SHOWN),
         away={
-            unit.name: write_fields(describe_unit(fleet, unit, explain_hold))
+            unit.name: encode_fields(describe_unit(fleet, unit, explain_hold))
             for unit in listed[:MAX_ENTRIES_SHOWN]
         },
         budgets={
