--- a/thymeknot/coordination/drain_agent.py
+++ b/thymeknot/coordination/drain_agent.py
@@ -10,7 +10,7 @@
 from ..service import structured_log
 
 if TYPE_CHECKING:
-    from ..proxy.proxy import Proxy  # the command line needs no sidecar
+    from ..proxy.proxy import Proxy  # for types only: the command line runs without a sidecar
 
 POLLS_PER_BOUND = 16
 """Polls of the unit's agent within its bound: it needs at least four, and a poll is cheap."""
@@ -69,17 +69,17 @@
         if not self.closed and not reply.get("unknown"):
             self._perform(self.agent.receive_reply(self.clock(), token, reply))
 
-    def _drain(self, fence: int, build: str) -> None:
+    def _start_drain(self, fencing_token: int, build: str) -> None:
         structured_log.log(
             "drain started",
             unit=self.unit,
-            fence=fence,
+            fence=fencing_token,
             transactions=len(self.proxy.requests_in_flight),
         )
-        self.proxy.drain(lambda: self._drained(fence))
+        self.proxy.drain(lambda: self._finish_drain(fencing_token))
 
-    def _drained(self, fence: int) -> None:
-        structured_log.log("drained", unit=self.unit, fence=fence)
+    def _finish_drain(self, fencing_token: int) -> None:
+        structured_log.log("drained", unit=self.unit, fence=fencing_token)
         self._perform(self.agent.finish_drain(self.clock()))
 
     def _return(self, build: str) -> None:
@@ -88,11 +88,11 @@
             lambda: self._perform(self.agent.finish_return(self.clock(), build or self.agent.build))
         )
 
-    def _serve(self, then: Optional[Callable[[], None]] = None) -> None:
+    def _serve(self, on_open: Optional[Callable[[], None]] = None) -> None:
         """Accepts requests again; does nothing if the listener is open.
 
         Args:
-            then: Called once the listener is open.
+            on_open: Called once the listener is open.
         """
         if not self.proxy.listener_closed:
             return
@@ -103,14 +103,14 @@
 
         def on_listening() -> None:
             structured_log.log("drain ended", unit=self.unit)
-            if then:
-                then()
+            if on_open:
+                on_open()
 
         self.proxy.undrain(on_listening, on_failure)
 
     ACTION_HANDLERS: ClassVar[dict[str, Callable[..., None]]] = {
         "propose": _propose,
-        "drain": _drain,
+        "drain": _start_drain,
         "return": _return,
         "serve": _serve,
     }
--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -26,7 +26,7 @@
 )
 
 if TYPE_CHECKING:
-    from ..proxy.proxy import Proxy  # the command line needs no sidecar
+    from ..proxy.proxy import Proxy  # for types only: the command line runs without a sidecar
 
 
 class CoordinationParts(NamedTuple):
--- a/thymeknot/disruption/simulated_service.py
+++ b/thymeknot/disruption/simulated_service.py
@@ -66,14 +66,14 @@
         self.incarnation = incarnation
         self.last_number = 0
 
-    def propose(self, command: dict[str, Any], then: ReplyCallback) -> None:
-        """Sends a command; `then` is called with each reply that arrives, if any."""
+    def propose(self, command: dict[str, Any], on_reply: ReplyCallback) -> None:
+        """Sends a command; `on_reply` is called with each reply that arrives, if any."""
         self.last_number += 1
         key = CommandKey(self.origin, self.incarnation, self.last_number)
         self.network.deliver(
             self.origin,
             SERVICE_ADDRESS,
-            lambda: self.network.service.receive(key, command, then),
+            lambda: self.network.service.receive(key, command, on_reply),
         )
 
 
@@ -91,7 +91,7 @@
         self.last_applied: dict[str, AppliedCommand] = {}
         self.agreed_time: Ticks = 0
 
-    def receive(self, key: CommandKey, command: dict[str, Any], then: ReplyCallback) -> None:
+    def receive(self, key: CommandKey, command: dict[str, Any], on_reply: ReplyCallback) -> None:
         """Handles a command; it is ignored if it is older than the origin's last applied one."""
         if not self.is_up:
             return
@@ -102,7 +102,7 @@
         elif key < last.key:
             return
         reply = last.reply
-        self.network.deliver(SERVICE_ADDRESS, key.origin, lambda: then(reply))
+        self.network.deliver(SERVICE_ADDRESS, key.origin, lambda: on_reply(reply))
 
     def apply(self, command: dict[str, Any]) -> dict[str, Any]:
         """Applies a command at once and returns its reply."""
