--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -129,7 +129,7 @@
             fleet.run("g")
             life = fleet.life("g")
             life.state = now
-            more = {"dropped": {fleet.on("g")[0]: 1}} if what in ("lost", "taken") else {}
+            more = {"removed": {fleet.on("g")[0]: 1}} if what in ("lost", "taken") else {}
             if what.startswith("mend") or what == "hold":
                 more = {"placement": dict(life.placement)}
             if what == "hold":
@@ -306,7 +306,7 @@
                 self.assertTrue(fleet.hold(name)["ok"])
             fleet.later(10)
             if fleet.state("g") == "offered":
-                waits.append([fleet.life(name).again - fleet.at for name in ("g", "h")])
+                waits.append([fleet.life(name).backoff_until - fleet.at for name in ("g", "h")])
                 self.assertIn("backs off", fleet.hold("g")["refused"])
                 fleet.later(60)
         self.assertEqual(len(waits), 7)
@@ -336,7 +336,7 @@
         fleet.ok("lost", kind="worker", name=home, gang="g")
         life = fleet.life("g")
         places = fleet.machine.topology_with_traffic()
-        places.host(home).closed = "another"  # nobody new there
+        places.host(home).draining_for = "another"  # nobody new there
         places.mark_changed(home)
         plan, way = worker_replacement.replace_failed_workers(
             places, life.gang, fleet.at, life.placement, 0
@@ -539,7 +539,9 @@
 
 class Search(unittest.TestCase):
     @quick
-    @given(some.sampled_from(list(jobs.CROSSING_BYTES)), some.integers(1, 8), some.data())
+    @given(
+        some.sampled_from(list(jobs.CROSSING_BYTES_BY_PATTERN)), some.integers(1, 8), some.data()
+    )
     def test_crossing_bytes_are_those_of_the_pairs(self, pattern, half, data):
         gang = gang_of(2 * half, pattern)
         low = data.draw(some.integers(0, gang.workers))
@@ -554,7 +556,7 @@
 
     @quick
     @given(
-        some.sampled_from(list(jobs.CROSSING_BYTES)),
+        some.sampled_from(list(jobs.CROSSING_BYTES_BY_PATTERN)),
         some.integers(1, 4),
         some.integers(2, 4),
         some.integers(0, 2**30),
@@ -583,10 +585,10 @@
 
     def test_the_score_explains_itself(self):
         plan = placement_search.find_placement(places_of(4, hosts=1), gang_of(12, "all"), 0)
-        parts = plan.score.parts.values()
-        self.assertAlmostEqual(plan.score.total, sum(part.value * part.weight for part in parts))
+        terms = plan.score.terms.values()
+        self.assertAlmostEqual(plan.score.total, sum(term.value * term.weight for term in terms))
         self.assertRegex(
-            plan.score.sentence(),
+            plan.score.explanation(),
             r"A step takes 0.\d+ s of 10.000 s by the uplink .* takes \d+% of it.",
         )
         self.assertEqual(sum(plan.placement.values()), 12)
--- a/thymeknot/gang_scheduling/commands.py
+++ b/thymeknot/gang_scheduling/commands.py
@@ -11,8 +11,8 @@
 from msgspec import Meta
 
 from ..interface.clock import Ticks
-from .jobs import MAX_WORKERS, Amount, Gang, Name, Span
-from .topology import DEFAULT_HOST_LINK, MachineSpec
+from .jobs import MAX_WORKERS, Gang, Name, NonNegativeInt, PositiveInt
+from .topology import DEFAULT_MACHINE_BANDWIDTH, MachineSpec
 
 MAX_MACHINES = 512  # machines that one command may name, which bounds an entry of the log
 MAX_BLOCKERS_IN_REPLY = 8  # names that a rejection lists, which bounds a reply
@@ -24,7 +24,7 @@
     dict[Name, Annotated[int, Meta(ge=1, le=MAX_WORKERS)]],
     Meta(min_length=1, max_length=MAX_WORKERS),
 ]
-RackVersions = Annotated[dict[Name, Amount], Meta(min_length=1, max_length=MAX_WORKERS)]
+RackVersions = Annotated[dict[Name, NonNegativeInt], Meta(min_length=1, max_length=MAX_WORKERS)]
 
 
 class CommandRejectedError(Exception):
@@ -34,12 +34,12 @@
         reply: What the client gets: the sentence, who is in the way, and when to ask again.
     """
 
-    def __init__(self, sentence: str, by: Iterable[str] = (), again: Ticks = 0) -> None:
-        super().__init__(sentence)
+    def __init__(self, message: str, blockers: Iterable[str] = (), retry_after: Ticks = 0) -> None:
+        super().__init__(message)
         self.reply: Reply = {
-            "refused": sentence,
-            "by": sorted(by)[:MAX_BLOCKERS_IN_REPLY],
-            "again": again,
+            "refused": message,
+            "by": sorted(blockers)[:MAX_BLOCKERS_IN_REPLY],
+            "again": retry_after,
         }
 
 
@@ -62,29 +62,29 @@
         cluster: Name of its cluster.
         bandwidth: Bytes a second of its uplink.
         machines: Its machines by name.
-        link: Bytes a second of each machine's link.
+        machine_bandwidth: Bytes a second of each machine's link.
     """
 
     rack: Name
     zone: Name
     cluster: Name
-    bandwidth: Span
+    bandwidth: PositiveInt
     machines: Annotated[dict[Name, MachineSpec], Meta(min_length=1, max_length=MAX_MACHINES)]
-    link: Span = DEFAULT_HOST_LINK
+    machine_bandwidth: PositiveInt = msgspec.field(default=DEFAULT_MACHINE_BANDWIDTH, name="link")
 
 
 class SetUplink(Command, frozen=True, tag="uplink"):
     """States the bandwidth of a zone's or cluster's uplink.
 
     Attributes:
-        of: "zone/CLUSTER/ZONE" or "cluster/CLUSTER".
+        uplink: "zone/CLUSTER/ZONE" or "cluster/CLUSTER".
         bandwidth: Bytes a second.
     """
 
-    of: Annotated[
+    uplink: Annotated[
         str, Meta(pattern=r"\A(zone/[A-Za-z0-9_.:-]+|cluster)/[A-Za-z0-9_.:-]+\Z", max_length=160)
-    ]
-    bandwidth: Span
+    ] = msgspec.field(name="of")
+    bandwidth: PositiveInt
 
 
 class SetShare(Command, frozen=True, tag="share"):
@@ -104,11 +104,11 @@
 
     Attributes:
         machines: Their names.
-        at: Agreed time in ticks, 0 for never.
+        removal_time: Agreed time in ticks, 0 for never.
     """
 
     machines: Annotated[list[Name], Meta(min_length=1, max_length=MAX_MACHINES)]
-    at: Amount
+    removal_time: NonNegativeInt = msgspec.field(name="at")
 
 
 class OfferGang(Command, frozen=True, tag="offer"):
@@ -146,7 +146,7 @@
     """
 
     gang: Name
-    fence: Amount
+    fence: NonNegativeInt
 
 
 class Bind(FencedCommand, frozen=True, tag="bind"):
@@ -173,7 +173,7 @@
         placement: {machine: workers}, the whole new placement.
     """
 
-    versions: dict[Name, Amount]
+    versions: dict[Name, NonNegativeInt]
     placement: MachineWorkers = msgspec.field(name="places")
 
 
@@ -192,11 +192,11 @@
 
     Attributes:
         gang: The gang that is to make room.
-        by: The gang that it makes room for.
+        beneficiary: The gang that it makes room for.
     """
 
     gang: Name
-    by: Name
+    beneficiary: Name = msgspec.field(name="by")
 
 
 class LossKind(StrEnum):
@@ -237,13 +237,13 @@
     Attributes:
         machine: Its name.
         drain: Name of the drain, which has the machine from now on.
-        unit: Whether to take the machine at once if no gang on it then misses more workers than it
-            can spare.
+        use_budget: Whether to take the machine at once if no gang on it then misses more
+            workers than it can spare.
     """
 
     machine: Name
     drain: Name
-    unit: bool = False
+    use_budget: bool = msgspec.field(default=False, name="unit")
 
 
 class Tick(Command, frozen=True, tag="tick"):
--- a/thymeknot/gang_scheduling/fairness.py
+++ b/thymeknot/gang_scheduling/fairness.py
@@ -15,18 +15,18 @@
 """(1 if it would borrow from other publishers else 0, -priority with age, number): least first."""
 
 
-class _Obstacle(NamedTuple):
+class _Objection(NamedTuple):
     """A reason against a preemption.
 
     Attributes:
-        holds: Whether it holds.
-        sentence: The reason.
-        again: Ticks until it makes sense to ask again, 0 if not known.
+        applies: Whether it holds.
+        reason: The reason.
+        retry_after: Ticks until it makes sense to ask again, 0 if not known.
     """
 
-    holds: bool
-    sentence: str
-    again: Ticks
+    applies: bool
+    reason: str
+    retry_after: Ticks
 
 
 class Fairness:
@@ -45,13 +45,15 @@
     def queue(self) -> list[str]:
         """Returns the offered gangs in the order in which they are due, without backoffs."""
         waiting = [
-            (self._key(name), name)
-            for name, life in self._state.gangs.items()
-            if life.state == GangState.OFFERED and life.again <= self._state.at
+            (self._queue_key(name), name)
+            for name, record in self._state.gangs.items()
+            if record.state == GangState.OFFERED and record.backoff_until <= self._state.now
         ]
         return [name for _, name in sorted(waiting)]
 
-    def check_turn(self, name: str, life: GangRecord, places: Mapping[str, int]) -> None:
+    def check_queue_order(
+        self, name: str, record: GangRecord, placement: Mapping[str, int]
+    ) -> None:
         """Keeps capacity for a gang that is due before another.
 
         A gang that waited long, and one within its publisher's share, gets capacity kept by those
@@ -60,120 +62,136 @@
         Raises:
             CommandRejectedError: A gang that is due first would find no capacity after this one.
         """
-        head_name = self._first_ahead_of(name)
+        head_name = self._protected_head(name)
         if head_name is None:
             return
         head = self._state.gangs[head_name]
-        if self._capacity_after(life, places, head.gang) < head.gang.workers:
+        if self._head_capacity_after(record, placement, head.gang) < head.gang.workers:
             raise CommandRejectedError(
                 f"Gang {head_name} is due before {name} and would find no room.",
                 [head_name],
-                self._settings.again,
+                self._settings.initial_backoff,
             )
 
-    def _first_ahead_of(self, name: str) -> str | None:
+    def _protected_head(self, name: str) -> str | None:
         """Returns the first gang for which capacity is kept against the named one."""
         state = self._state
-        own_key = self._key(name)
+        own_key = self._queue_key(name)
         first: tuple[QueueKey, str] | None = None
         for other, waiting in state.gangs.items():
-            if other == name or waiting.state != GangState.OFFERED or waiting.again > state.at:
+            if (
+                other == name
+                or waiting.state != GangState.OFFERED
+                or waiting.backoff_until > state.now
+            ):
                 continue
-            key = self._key(other)
+            key = self._queue_key(other)
             if key >= own_key or (first is not None and key >= first[0]):
                 continue
-            patient = state.at - waiting.since >= self._settings.patience
+            waited_long = state.now - waiting.waiting_since >= self._settings.capacity_hold_wait
             shape = waiting.gang.resource_shape()
-            if (key[0] < own_key[0] or patient) and (
-                state.topology.total_capacity(shape) >= waiting.gang.workers
+            if (key[0] < own_key[0] or waited_long) and (
+                state.topology.empty_capacity(shape) >= waiting.gang.workers
             ):
                 first = (key, other)
         return first[1] if first else None
 
-    def _capacity_after(self, life: GangRecord, places: Mapping[str, int], head: Gang) -> int:
+    def _head_capacity_after(
+        self, record: GangRecord, placement: Mapping[str, int], head: Gang
+    ) -> int:
         """Returns how many of the head's workers fit once a gang has its places."""
-        known = self._state.topology
+        topology = self._state.topology
         head_shape = head.resource_shape()
-        shape = life.gang.resource_shape()
-        capacity = sum(known.rack_capacity(rack, head_shape) for rack in known.racks)
-        for machine, workers in places.items():
-            host = known.host(machine)
-            before = host.capacity(head_shape)
+        shape = record.gang.resource_shape()
+        capacity = sum(topology.rack_capacity(rack, head_shape) for rack in topology.racks)
+        for machine, workers in placement.items():
+            host = topology.host(machine)
+            capacity_before = host.capacity(head_shape)
             host.reserve(workers, shape)
-            capacity -= before - max(0, host.capacity(head_shape))
+            capacity -= capacity_before - max(0, host.capacity(head_shape))
             host.reserve(-workers, shape)
         return capacity
 
-    def check_preemption(self, command: Preempt, victim: GangRecord, by: GangRecord) -> None:
+    def check_preemption(self, command: Preempt, victim: GangRecord, waiting: GangRecord) -> None:
         """Checks whether a gang may be asked to make room for another.
 
         Raises:
             CommandRejectedError: It may not.
         """
-        for obstacle in self._obstacles(command, victim, by):
-            if obstacle.holds:
+        for objection in self._objections(command, victim, waiting):
+            if objection.applies:
                 raise CommandRejectedError(
-                    obstacle.sentence, [command.gang], max(0, obstacle.again)
+                    objection.reason, [command.gang], max(0, objection.retry_after)
                 )
 
-    def _obstacles(self, command: Preempt, victim: GangRecord, by: GangRecord) -> list[_Obstacle]:
+    def _objections(
+        self, command: Preempt, victim: GangRecord, waiting: GangRecord
+    ) -> list[_Objection]:
         """Returns all reasons that can speak against a preemption, the first one first."""
         settings = self._settings
-        ending = [life for life in self._state.gangs.values() if life.ending]
-        promised = sum(life.gang.workers for life in ending if life.ending == command.by)
-        gives_back = self._is_over_share(victim.gang) and not self._is_over_share(
-            by.gang, by.gang.workers
+        pending = [record for record in self._state.gangs.values() if record.preempted_by]
+        promised_workers = sum(
+            record.gang.workers for record in pending if record.preempted_by == command.beneficiary
+        )
+        restores_shares = self._is_over_share(victim.gang) and not self._is_over_share(
+            waiting.gang, waiting.gang.workers
         )
-        priority_missing = victim.gang.priority + 1 - by.gang.priority
-        waited = self._state.at - by.since
+        priority_gap = victim.gang.priority + 1 - waiting.gang.priority
+        waited = self._state.now - waiting.waiting_since
         return [
-            _Obstacle(
+            _Objection(
                 victim.state != GangState.RUNNING,
                 f"Gang {command.gang} is {victim.state}, not running.",
-                self._state.lease_left(victim),
+                self._state.remaining_lease(victim),
             ),
-            _Obstacle(
-                by.state != GangState.OFFERED, f"Gang {command.by} is {by.state}, not offered.", 0
+            _Objection(
+                waiting.state != GangState.OFFERED,
+                f"Gang {command.beneficiary} is {waiting.state}, not offered.",
+                0,
             ),
-            _Obstacle(
-                bool(victim.ending),
-                f"Gang {command.gang} makes room for {victim.ending} already.",
+            _Objection(
+                bool(victim.preempted_by),
+                f"Gang {command.gang} makes room for {victim.preempted_by} already.",
                 0,
             ),
-            _Obstacle(
-                victim.preempted >= settings.preempted_most,
-                f"Gang {command.gang} made room {victim.preempted} times, as often as one has to.",
+            _Objection(
+                victim.preemptions >= settings.max_preemptions,
+                f"Gang {command.gang} made room {victim.preemptions} times, "
+                "as often as one has to.",
                 0,
             ),
-            _Obstacle(
-                len(ending) >= settings.ending_most,
-                f"{len(ending)} gangs make room for others already.",
-                settings.age,
+            _Objection(
+                len(pending) >= settings.max_pending_preemptions,
+                f"{len(pending)} gangs make room for others already.",
+                settings.priority_aging_interval,
             ),
-            _Obstacle(
-                promised > 0 and promised >= by.gang.workers,
-                f"Enough makes room for {command.by} already.",
+            _Objection(
+                promised_workers > 0 and promised_workers >= waiting.gang.workers,
+                f"Enough makes room for {command.beneficiary} already.",
                 0,
             ),
-            _Obstacle(
-                not gives_back and self._aged_priority(by) <= victim.gang.priority,
-                f"Gang {command.by} has no higher priority than {command.gang} yet.",
-                priority_missing * settings.age - waited,
+            _Objection(
+                not restores_shares and self._effective_priority(waiting) <= victim.gang.priority,
+                f"Gang {command.beneficiary} has no higher priority than {command.gang} yet.",
+                priority_gap * settings.priority_aging_interval - waited,
             ),
         ]
 
-    def _key(self, name: str) -> QueueKey:
-        life = self._state.gangs[name]
-        borrows = (
-            self._is_over_share(life.gang, life.gang.workers)
-            and self._state.at - life.since < self._settings.starved
+    def _queue_key(self, name: str) -> QueueKey:
+        record = self._state.gangs[name]
+        exceeds_share = (
+            self._is_over_share(record.gang, record.gang.workers)
+            and self._state.now - record.waiting_since < self._settings.starvation_wait
         )
-        return int(borrows), -self._aged_priority(life), life.number
+        return int(exceeds_share), -self._effective_priority(record), record.number
 
-    def _aged_priority(self, life: GangRecord) -> int:
-        return life.gang.priority + (self._state.at - life.since) // self._settings.age
+    def _effective_priority(self, record: GangRecord) -> int:
+        return (
+            record.gang.priority
+            + (self._state.now - record.waiting_since) // self._settings.priority_aging_interval
+        )
 
-    def _is_over_share(self, gang: Gang, more: int = 0) -> bool:
+    def _is_over_share(self, gang: Gang, extra_workers: int = 0) -> bool:
         """Returns whether a gang's publisher is over its share, with so many workers more.
 
         Without any shares nobody is.
@@ -183,10 +201,10 @@
             return False
         if self._used_slots is None:
             self._used_slots = {}
-            for life in state.gangs.values():
-                publisher = life.gang.publisher
+            for record in state.gangs.values():
+                publisher = record.gang.publisher
                 used = self._used_slots.get(publisher, 0)
-                self._used_slots[publisher] = used + sum(life.placement.values())
+                self._used_slots[publisher] = used + sum(record.placement.values())
         share = state.shares.get(gang.publisher, 0)
-        allowed = share * state.topology.total_capacity(()) // SHARE_UNITS
-        return self._used_slots.get(gang.publisher, 0) + more > allowed
+        allowed = share * state.topology.empty_capacity(()) // SHARE_UNITS
+        return self._used_slots.get(gang.publisher, 0) + extra_workers > allowed
--- a/thymeknot/gang_scheduling/gang_lifecycle.py
+++ b/thymeknot/gang_scheduling/gang_lifecycle.py
@@ -16,13 +16,13 @@
 
     Attributes:
         placement: {machine: workers}, the whole new placement.
-        dropped: {machine: workers} that are lost or taken.
-        why: Reason of an end, for people.
+        removed: {machine: workers} that are lost or taken.
+        reason: Reason of an end, for people.
     """
 
     placement: Mapping[str, int] = {}
-    dropped: Mapping[str, int] = {}
-    why: str = ""
+    removed: Mapping[str, int] = {}
+    reason: str = ""
 
 
 class GangLifecycle:
@@ -32,19 +32,19 @@
         self._state = state
         self._settings = settings
         self._effects: dict[GangEffect, Callable[[str, GangRecord, TransitionDetails], None]] = {
-            GangEffect.TAKE_SLOTS: self._take_slots,
+            GangEffect.RESERVE_SLOTS: self._reserve_slots,
             GangEffect.RENEW_LEASE: self._renew_lease,
-            GangEffect.RUN: self._run,
-            GangEffect.NOTE_CHECKPOINT: self._note_checkpoint,
+            GangEffect.RUN: self._mark_running,
+            GangEffect.RECORD_CHECKPOINT: self._record_checkpoint,
             GangEffect.YIELD_SLOTS: self._yield_slots,
-            GangEffect.DROP_WORKERS: self._drop_workers,
-            GangEffect.DROP_MORE_WORKERS: self._drop_workers,
-            GangEffect.CHANGE_PLACES: self._change_places,
-            GangEffect.GIVE_UP: self._give_up,
+            GangEffect.REMOVE_WORKERS: self._remove_workers,
+            GangEffect.REMOVE_MORE_WORKERS: self._remove_workers,
+            GangEffect.CHANGE_PLACEMENT: self._change_placement,
+            GangEffect.REQUEUE: self._requeue,
             GangEffect.END: self._end,
         }
 
-    def find(self, name: str) -> GangRecord:
+    def get(self, name: str) -> GangRecord:
         """Returns a gang that is not over.
 
         Raises:
@@ -59,20 +59,20 @@
     def transition(
         self,
         name: str,
-        what: GangInput,
+        gang_input: GangInput,
         *,
         placement: Mapping[str, int] | None = None,
-        dropped: Mapping[str, int] | None = None,
-        why: str = "",
+        removed: Mapping[str, int] | None = None,
+        reason: str = "",
     ) -> GangRecord:
         """Applies an input to a gang.
 
         Args:
             name: The gang.
-            what: The input.
+            gang_input: The input.
             placement: See `TransitionDetails`; so are the others.
-            dropped: See there.
-            why: See there.
+            removed: See there.
+            reason: See there.
 
         Returns:
             The gang.
@@ -80,143 +80,143 @@
         Raises:
             CommandRejectedError: The gang is not known, or its state does not take the input.
         """
-        life = self.find(name)
-        step = TRANSITIONS.get((life.state, what))
-        if step is None:
+        record = self.get(name)
+        rule = TRANSITIONS.get((record.state, gang_input))
+        if rule is None:
             raise CommandRejectedError(
-                f"Gang {name} is {life.state}: {what} does not go with that.",
+                f"Gang {name} is {record.state}: {gang_input} does not go with that.",
                 [name],
-                self._state.lease_left(life),
+                self._state.remaining_lease(record),
             )
-        life.state = step.state
-        life.lease = 0
-        self._effects[step.effect](
-            name, life, TransitionDetails(placement or {}, dropped or {}, why)
+        record.state = rule.state
+        record.lease_expiry = 0
+        self._effects[rule.effect](
+            name, record, TransitionDetails(placement or {}, removed or {}, reason)
         )
-        self._state.count(step.effect.value)
-        return life
+        self._state.count(rule.effect.value)
+        return record
 
     def expire_leases(self) -> None:
         """Applies what is due by now, in the order of the gangs' numbers on each replica."""
-        for name, life in list(self._state.gangs.items()):
-            if life.state in STATES_WITH_LEASE and life.lease <= self._state.at:
+        for name, record in list(self._state.gangs.items()):
+            if record.state in STATES_WITH_LEASE and record.lease_expiry <= self._state.now:
                 self.transition(name, GangInput.EXPIRE)
-            elif life.ending and life.ends <= self._state.at:
-                self.preempt_if_needed(name, life)
+            elif record.preempted_by and record.preemption_deadline <= self._state.now:
+                self.preempt_or_clear(name, record)
 
-    def preempt_if_needed(self, name: str, life: GangRecord) -> bool:
+    def preempt_or_clear(self, name: str, record: GangRecord) -> bool:
         """Preempts a gang if the one that it makes room for still waits; forgets it otherwise.
 
         Returns:
             Whether it was preempted.
         """
-        if self._state.is_offered(life.ending):
+        if self._state.is_offered(record.preempted_by):
             self.transition(name, GangInput.PREEMPTED)
             return True
-        _forget_preemption(life)
+        _clear_preemption(record)
         return False
 
-    def take_off(self, machines: Iterable[str], what: GangInput) -> list[str]:
+    def remove_workers(self, machines: Iterable[str], gang_input: GangInput) -> list[str]:
         """Takes all workers off machines.
 
         Args:
             machines: Names of the machines.
-            what: LOST or TAKEN.
+            gang_input: LOST or DRAINED.
 
         Returns:
             Names of the gangs that had workers there.
         """
-        cleared = set(machines)
-        hit = []
-        for name, life in list(self._state.gangs.items()):
-            dropped = {
+        machine_names = set(machines)
+        affected = []
+        for name, record in list(self._state.gangs.items()):
+            removed = {
                 machine: workers
-                for machine, workers in life.placement.items()
-                if machine in cleared
+                for machine, workers in record.placement.items()
+                if machine in machine_names
             }
-            if dropped:
-                self.transition(name, what, dropped=dropped)
-                hit.append(name)
-        return hit
+            if removed:
+                self.transition(name, gang_input, removed=removed)
+                affected.append(name)
+        return affected
 
-    def set_placement(self, life: GangRecord, places: Mapping[str, int]) -> None:
+    def set_placement(self, record: GangRecord, placement: Mapping[str, int]) -> None:
         """Reserves and gives back what differs between a gang's placement and a new one."""
         deltas = {
-            machine: places.get(machine, 0) - life.placement.get(machine, 0)
-            for machine in sorted({*places, *life.placement})
+            machine: placement.get(machine, 0) - record.placement.get(machine, 0)
+            for machine in sorted({*placement, *record.placement})
         }
-        self._state.topology.reserve(deltas, life.gang.resource_shape())
-        life.placement = dict(places)
+        self._state.topology.reserve(deltas, record.gang.resource_shape())
+        record.placement = dict(placement)
 
     def _next_fence(self) -> int:
-        self._state.fence += 1
-        return self._state.fence
+        self._state.last_fence += 1
+        return self._state.last_fence
 
-    def _take_slots(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
-        self._state.topology.reserve(details.placement, life.gang.resource_shape())
-        life.placement = dict(details.placement)
-        life.fence = self._next_fence()
-        life.lease = self._state.at + self._settings.hold
+    def _reserve_slots(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
+        self._state.topology.reserve(details.placement, record.gang.resource_shape())
+        record.placement = dict(details.placement)
+        record.fence = self._next_fence()
+        record.lease_expiry = self._state.now + self._settings.reservation_lease
 
-    def _renew_lease(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
-        life.lease = self._state.at + self._settings.start
+    def _renew_lease(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
+        record.lease_expiry = self._state.now + self._settings.start_lease
 
-    def _run(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
-        life.tries = 0
-        life.saved = self._state.at
+    def _mark_running(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
+        record.failed_leases = 0
+        record.last_checkpoint = self._state.now
 
-    def _note_checkpoint(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
-        life.saved = self._state.at
+    def _record_checkpoint(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
+        record.last_checkpoint = self._state.now
 
-    def _change_places(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
+    def _change_placement(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
         """Gives a new fencing token, so that workers of before the loss are fenced off."""
-        self.set_placement(life, details.placement)
-        life.fence = self._next_fence()
-        life.lease = self._state.at + self._settings.start
-
-    def _drop_workers(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
-        left = {
-            machine: workers - details.dropped.get(machine, 0)
-            for machine, workers in life.placement.items()
+        self.set_placement(record, details.placement)
+        record.fence = self._next_fence()
+        record.lease_expiry = self._state.now + self._settings.start_lease
+
+    def _remove_workers(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
+        remaining = {
+            machine: workers - details.removed.get(machine, 0)
+            for machine, workers in record.placement.items()
         }
         self.set_placement(
-            life, {machine: workers for machine, workers in left.items() if workers > 0}
+            record, {machine: workers for machine, workers in remaining.items() if workers > 0}
         )
-        _forget_preemption(life)
-        life.lease = self._state.at + self._settings.mend
+        _clear_preemption(record)
+        record.lease_expiry = self._state.now + self._settings.replacement_lease
 
-    def _give_up(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
+    def _requeue(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
         """Puts a gang back into the queue with its age, after a backoff.
 
         The backoff doubles and has jitter by name, so that many gangs that lost their leases
         together do not come together again.
         """
-        self.set_placement(life, {})
-        life.tries += 1
-        doublings = min(life.tries - 1, MAX_BACKOFF_DOUBLINGS)
-        backoff = min(self._settings.again_most, self._settings.again << doublings)
-        jitter = binascii.crc32(f"{name} {life.tries}".encode()) % (backoff // 2 + 1)
-        life.again = self._state.at + backoff // 2 + jitter
-        if life.tries >= self._settings.tries:
-            why = f"{life.tries} leases in a row lapsed or were lost"
-            self.transition(name, GangInput.EXHAUSTED, why=why)
-
-    def _yield_slots(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
+        self.set_placement(record, {})
+        record.failed_leases += 1
+        doublings = min(record.failed_leases - 1, MAX_BACKOFF_DOUBLINGS)
+        backoff = min(self._settings.max_backoff, self._settings.initial_backoff << doublings)
+        jitter = binascii.crc32(f"{name} {record.failed_leases}".encode()) % (backoff // 2 + 1)
+        record.backoff_until = self._state.now + backoff // 2 + jitter
+        if record.failed_leases >= self._settings.max_failed_leases:
+            reason = f"{record.failed_leases} leases in a row lapsed or were lost"
+            self.transition(name, GangInput.EXHAUSTED, reason=reason)
+
+    def _yield_slots(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
         """Starts the waiting anew: by its old age it would be ahead of whom it made room for."""
-        self.set_placement(life, {})
-        life.preempted += 1
-        life.since = self._state.at
-        _forget_preemption(life)
+        self.set_placement(record, {})
+        record.preemptions += 1
+        record.waiting_since = self._state.now
+        _clear_preemption(record)
 
-    def _end(self, name: str, life: GangRecord, details: TransitionDetails) -> None:
-        self.set_placement(life, {})
+    def _end(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
+        self.set_placement(record, {})
         ended = self._state.ended
-        ended[name] = f"{life.state}: {details.why}" if details.why else life.state.value
+        ended[name] = f"{record.state}: {details.reason}" if details.reason else record.state.value
         del self._state.gangs[name]
-        while len(ended) > self._settings.remembered:
+        while len(ended) > self._settings.max_remembered_gangs:
             del ended[next(iter(ended))]
 
 
-def _forget_preemption(life: GangRecord) -> None:
-    life.ending = ""
-    life.ends = 0
+def _clear_preemption(record: GangRecord) -> None:
+    record.preempted_by = ""
+    record.preemption_deadline = 0
--- a/thymeknot/gang_scheduling/gang_state.py
+++ b/thymeknot/gang_scheduling/gang_state.py
@@ -35,7 +35,7 @@
     WITHDRAW = "withdraw"
     PREEMPTED = "preempted"
     LOST = "lost"
-    TAKEN = "taken"  # by a drain
+    DRAINED = "taken"  # by a drain
     EXPIRE = "lapse"  # of the lease
     EXHAUSTED = "exhausted"  # too many leases expired in a row
 
@@ -43,15 +43,15 @@
 class GangEffect(StrEnum):
     """What a transition does. The values are stored, as keys of counters."""
 
-    TAKE_SLOTS = "take"
+    RESERVE_SLOTS = "take"
     RENEW_LEASE = "renew"
     RUN = "run"
-    NOTE_CHECKPOINT = "note"
+    RECORD_CHECKPOINT = "note"
     YIELD_SLOTS = "yield_slots"
-    DROP_WORKERS = "drop"
-    DROP_MORE_WORKERS = "drop_more"
-    CHANGE_PLACES = "swap"
-    GIVE_UP = "give_up"
+    REMOVE_WORKERS = "drop"
+    REMOVE_MORE_WORKERS = "drop_more"
+    CHANGE_PLACEMENT = "swap"
+    REQUEUE = "give_up"
     END = "end"
 
 
@@ -67,43 +67,45 @@
     effect: GangEffect
 
 
-_TO_QUEUE = Transition(GangState.OFFERED, GangEffect.GIVE_UP)
+_TO_QUEUE = Transition(GangState.OFFERED, GangEffect.REQUEUE)
 _TO_REFUSED = Transition(GangState.REFUSED, GangEffect.END)
 _TO_RUNNING = Transition(GangState.RUNNING, GangEffect.RUN)
-_TO_DEGRADED = Transition(GangState.DEGRADED, GangEffect.DROP_WORKERS)
-_MORE_DEGRADED = Transition(GangState.DEGRADED, GangEffect.DROP_MORE_WORKERS)
+_TO_DEGRADED = Transition(GangState.DEGRADED, GangEffect.REMOVE_WORKERS)
+_MORE_DEGRADED = Transition(GangState.DEGRADED, GangEffect.REMOVE_MORE_WORKERS)
 
 # A pair that is not here is rejected and changes nothing.
 TRANSITIONS: dict[tuple[GangState, GangInput], Transition] = {
-    (GangState.OFFERED, GangInput.RESERVE): Transition(GangState.RESERVED, GangEffect.TAKE_SLOTS),
+    (GangState.OFFERED, GangInput.RESERVE): Transition(
+        GangState.RESERVED, GangEffect.RESERVE_SLOTS
+    ),
     (GangState.OFFERED, GangInput.EXHAUSTED): _TO_REFUSED,
     (GangState.OFFERED, GangInput.WITHDRAW): _TO_REFUSED,
     (GangState.RESERVED, GangInput.BIND): Transition(GangState.BOUND, GangEffect.RENEW_LEASE),
     (GangState.RESERVED, GangInput.EXPIRE): _TO_QUEUE,
     # All or none: what is left of a reservation reserves nothing.
     (GangState.RESERVED, GangInput.LOST): _TO_QUEUE,
-    (GangState.RESERVED, GangInput.TAKEN): _TO_QUEUE,
+    (GangState.RESERVED, GangInput.DRAINED): _TO_QUEUE,
     (GangState.RESERVED, GangInput.WITHDRAW): _TO_REFUSED,
     (GangState.BOUND, GangInput.START): _TO_RUNNING,
     (GangState.BOUND, GangInput.EXPIRE): _TO_QUEUE,
     (GangState.BOUND, GangInput.LOST): _TO_QUEUE,
     (GangState.BOUND, GangInput.WITHDRAW): _TO_REFUSED,
     (GangState.RUNNING, GangInput.CHECKPOINT): Transition(
-        GangState.RUNNING, GangEffect.NOTE_CHECKPOINT
+        GangState.RUNNING, GangEffect.RECORD_CHECKPOINT
     ),
     (GangState.RUNNING, GangInput.PREEMPTED): Transition(GangState.OFFERED, GangEffect.YIELD_SLOTS),
     (GangState.RUNNING, GangInput.LOST): _TO_DEGRADED,
     # A drain takes workers after a checkpoint, or as a unit of the gang's budget.
-    (GangState.RUNNING, GangInput.TAKEN): _TO_DEGRADED,
+    (GangState.RUNNING, GangInput.DRAINED): _TO_DEGRADED,
     (GangState.RUNNING, GangInput.FINISH): Transition(GangState.DONE, GangEffect.END),
     (GangState.RUNNING, GangInput.WITHDRAW): _TO_REFUSED,
     (GangState.DEGRADED, GangInput.LOST): _MORE_DEGRADED,
-    (GangState.DEGRADED, GangInput.TAKEN): _MORE_DEGRADED,
+    (GangState.DEGRADED, GangInput.DRAINED): _MORE_DEGRADED,
     (GangState.DEGRADED, GangInput.REPLACE_IN_PLACE): Transition(
-        GangState.BOUND, GangEffect.CHANGE_PLACES
+        GangState.BOUND, GangEffect.CHANGE_PLACEMENT
     ),
     (GangState.DEGRADED, GangInput.REPLACE_WHOLE): Transition(
-        GangState.MOVING, GangEffect.CHANGE_PLACES
+        GangState.MOVING, GangEffect.CHANGE_PLACEMENT
     ),
     (GangState.DEGRADED, GangInput.EXPIRE): _TO_QUEUE,
     (GangState.DEGRADED, GangInput.WITHDRAW): _TO_REFUSED,
@@ -135,33 +137,33 @@
     Attributes:
         gang: What it asks for.
         number: Its number, in the order of offers.
-        since: When its waiting began.
+        waiting_since: When its waiting began.
         state: Its state.
         placement: {machine: workers}.
         fence: Fencing token of its latest placement.
-        lease: When its lease expires, 0 for none.
-        tries: Leases that expired or were lost in a row.
-        again: When its backoff ends.
-        saved: When it last started or wrote a checkpoint.
-        preempted: How often it was preempted.
-        ending: Name of the gang that it is to make room for, or empty.
-        ends: When it makes room at the latest.
+        lease_expiry: When its lease expires, 0 for none.
+        failed_leases: Leases that expired or were lost in a row.
+        backoff_until: When its backoff ends.
+        last_checkpoint: When it last started or wrote a checkpoint.
+        preemptions: How often it was preempted.
+        preempted_by: Name of the gang that it is to make room for, or empty.
+        preemption_deadline: When it makes room at the latest.
         why: Stored and not used.
     """
 
     gang: Gang
     number: int
-    since: int
+    waiting_since: int = msgspec.field(name="since")
     state: GangState = GangState.OFFERED
     placement: dict[str, int] = msgspec.field(default_factory=dict, name="places")
     fence: int = 0
-    lease: int = 0
-    tries: int = 0
-    again: int = 0
-    saved: int = 0
-    preempted: int = 0
-    ending: str = ""
-    ends: int = 0
+    lease_expiry: int = msgspec.field(default=0, name="lease")
+    failed_leases: int = msgspec.field(default=0, name="tries")
+    backoff_until: int = msgspec.field(default=0, name="again")
+    last_checkpoint: int = msgspec.field(default=0, name="saved")
+    preemptions: int = msgspec.field(default=0, name="preempted")
+    preempted_by: str = msgspec.field(default="", name="ending")
+    preemption_deadline: int = msgspec.field(default=0, name="ends")
     why: str = ""
 
 
@@ -169,33 +171,33 @@
     """All of the state, as it is written down and read back. Field names are stored keys.
 
     Attributes:
-        at: Agreed time of the latest command, in ticks.
-        fence: The latest fencing token.
-        number: The latest gang's number.
+        now: Agreed time of the latest command, in ticks.
+        last_fence: The latest fencing token.
+        last_number: The latest gang's number.
         topology: The racks.
         gangs: Gangs that are not over, by name, in the order of their numbers.
         ended: How gangs ended, by name, the oldest first.
         shares: Thousandths of all slots by publisher.
-        counted: How often each effect and rejection happened.
+        counters: How often each effect and rejection happened.
     """
 
-    at: int = 0
-    fence: int = 0
-    number: int = 0
+    now: int = msgspec.field(default=0, name="at")
+    last_fence: int = msgspec.field(default=0, name="fence")
+    last_number: int = msgspec.field(default=0, name="number")
     topology: Topology = msgspec.field(default_factory=Topology, name="places")
     gangs: dict[str, GangRecord] = {}
     ended: dict[str, str] = {}
     shares: dict[str, int] = {}
-    counted: dict[str, int] = {}
+    counters: dict[str, int] = msgspec.field(default_factory=dict, name="counted")
 
-    def count(self, what: str) -> None:
+    def count(self, event: str) -> None:
         """Counts one event."""
-        self.counted[what] = self.counted.get(what, 0) + 1
+        self.counters[event] = self.counters.get(event, 0) + 1
 
     def is_offered(self, name: str) -> bool:
         """Returns whether the gang is known and waits in the queue."""
         return name in self.gangs and self.gangs[name].state == GangState.OFFERED
 
-    def lease_left(self, life: GangRecord) -> int:
+    def remaining_lease(self, record: GangRecord) -> int:
         """Returns the ticks until a gang's lease expires, 0 if it has none."""
-        return max(0, life.lease - self.at) if life.lease else 0
+        return max(0, record.lease_expiry - self.now) if record.lease_expiry else 0
--- a/thymeknot/gang_scheduling/jobs.py
+++ b/thymeknot/gang_scheduling/jobs.py
@@ -19,8 +19,8 @@
 MAX_RESOURCE_KINDS = 16  # kinds of resources that a worker may need
 
 Name = Annotated[str, Meta(pattern=r"\A[A-Za-z0-9_.:/-]{1,64}\Z")]
-Amount = Annotated[int, Meta(ge=0, le=1 << 50)]
-Span = Annotated[int, Meta(ge=1, le=1 << 50)]
+NonNegativeInt = Annotated[int, Meta(ge=0, le=1 << 50)]
+PositiveInt = Annotated[int, Meta(ge=1, le=1 << 50)]
 
 ResourceShape: TypeAlias = tuple[tuple[str, int], ...]
 """What one worker needs beside its slot: sorted (resource, amount), without zero amounts."""
@@ -65,15 +65,15 @@
 
     workers: Annotated[int, Meta(ge=MIN_WORKERS, le=MAX_WORKERS)]
     pattern: Annotated[str, Meta(max_length=16)]
-    bytes: Amount
-    target: Span
+    bytes: NonNegativeInt
+    target: PositiveInt
     publisher: Name
-    checkpoint: Span
-    needs: dict[Name, Amount] = {}
+    checkpoint: PositiveInt
+    needs: dict[Name, NonNegativeInt] = {}
     priority: Annotated[int, Meta(ge=0, le=100)] = 10
-    lasts: Span = 36_000_000
-    spare: Amount = 0
-    matrix: Annotated[list[list[Amount]], Meta(max_length=MAX_MATRIX_PARTS)] = []
+    lasts: PositiveInt = 36_000_000
+    spare: NonNegativeInt = 0
+    matrix: Annotated[list[list[NonNegativeInt]], Meta(max_length=MAX_MATRIX_PARTS)] = []
 
     def resource_shape(self) -> ResourceShape:
         """Returns what one worker needs beside its slot, in a form that can be a key."""
@@ -86,7 +86,7 @@
         """
         if (low == 0 and high == self.workers) or low == high:
             return 0
-        return CROSSING_BYTES[self.pattern](self, low, high)
+        return CROSSING_BYTES_BY_PATTERN[self.pattern](self, low, high)
 
     def busiest_worker_bytes(self) -> int:
         """Returns the least that the busiest worker sends or receives on its own link in a step."""
@@ -94,7 +94,7 @@
             columns: list[int] = [sum(column) for column in zip(*self.matrix)]
             rows = [sum(row) for row in self.matrix]
             return max(rows + columns)
-        return self.bytes * EDGES_PER_WORKER[self.pattern]
+        return self.bytes * BUSIEST_WORKER_EDGES[self.pattern]
 
 
 def _ring_crossing(gang: Gang, low: int, high: int) -> float:
@@ -116,16 +116,16 @@
 
     Subtrees are contiguous ranges, so a range of ranks cuts few edges.
     """
-    found = [-1] * workers
-    open_ranges = [(0, workers)]
-    while open_ranges:
-        root, end = open_ranges.pop()
+    parents = [-1] * workers
+    pending_ranges = [(0, workers)]
+    while pending_ranges:
+        root, end = pending_ranges.pop()
         middle = root + 1 + (end - root) // 2
-        for child, until in ((root + 1, min(middle, end)), (middle, end)):
-            if child < until:
-                found[child] = root
-                open_ranges.append((child, until))
-    return tuple(found)
+        for child, child_end in ((root + 1, min(middle, end)), (middle, end)):
+            if child < child_end:
+                parents[child] = root
+                pending_ranges.append((child, child_end))
+    return tuple(parents)
 
 
 @cache
@@ -149,14 +149,14 @@
     sent = received = 0.0
     for sender, row in enumerate(gang.matrix):
         for receiver, amount in enumerate(row):
-            partners = size - 1 if sender == receiver else size
-            if partners and amount:
-                sent += amount * inside[sender] * (size - inside[receiver]) / partners
-                received += amount * (size - inside[sender]) * inside[receiver] / partners
+            peers = size - 1 if sender == receiver else size
+            if peers and amount:
+                sent += amount * inside[sender] * (size - inside[receiver]) / peers
+                received += amount * (size - inside[sender]) * inside[receiver] / peers
     return max(sent, received)
 
 
-CROSSING_BYTES: dict[str, Callable[[Gang, int, int], float]] = {
+CROSSING_BYTES_BY_PATTERN: dict[str, Callable[[Gang, int, int], float]] = {
     TrafficPattern.RING: _ring_crossing,
     TrafficPattern.ALL_TO_ALL: _all_to_all_crossing,
     TrafficPattern.TREE: _tree_crossing,
@@ -165,7 +165,7 @@
 }
 
 # Edges over which the busiest worker of a pattern sends `Gang.bytes` in a step.
-EDGES_PER_WORKER: dict[str, int] = {
+BUSIEST_WORKER_EDGES: dict[str, int] = {
     TrafficPattern.RING: 1,
     TrafficPattern.ALL_TO_ALL: 1,
     TrafficPattern.TREE: 3,
@@ -174,13 +174,13 @@
 
 
 def validation_error(gang: Gang) -> str | None:
-    """Returns one sentence on why a well-formed gang is still invalid, or None."""
+    """Returns one message on why a well-formed gang is still invalid, or None."""
     parts = len(gang.matrix)
     is_matrix = gang.pattern == TrafficPattern.MATRIX
-    for invalid, sentence in (
+    for invalid, message in (
         (
-            gang.pattern not in CROSSING_BYTES,
-            f"The pattern is none of {', '.join(CROSSING_BYTES)}.",
+            gang.pattern not in CROSSING_BYTES_BY_PATTERN,
+            f"The pattern is none of {', '.join(CROSSING_BYTES_BY_PATTERN)}.",
         ),
         (is_matrix and not parts, "The pattern matrix needs a matrix."),
         (not is_matrix and parts, "A matrix goes with the pattern matrix alone."),
@@ -193,5 +193,5 @@
         ),
     ):
         if invalid:
-            return sentence
+            return message
     return None
--- a/thymeknot/gang_scheduling/placement_score.py
+++ b/thymeknot/gang_scheduling/placement_score.py
@@ -14,7 +14,7 @@
 from .topology import Topology
 
 MIN_TRAFFIC = 1e-6  # bytes a second; less is a rounding error of adding and taking away
-RANK_KEY_BASE = 1024  # above MAX_WORKERS, so that two ranks make one integer key
+RANK_RANGE_KEY_BASE = 1024  # above MAX_WORKERS, so that two ranks make one integer key
 MACHINE_LINK: Final = "machine"  # the bottleneck where a worker's own link is slowest
 
 RackIndex: TypeAlias = int
@@ -47,7 +47,7 @@
     loss: float = 0.2
 
 
-class ScoreValues(NamedTuple):
+class ScoreTermValues(NamedTuple):
     """The unweighted terms of a score.
 
     Attributes:
@@ -69,18 +69,18 @@
     fullest: RackIndex
 
 
-class ScorePart(NamedTuple):
+class ScoreTerm(NamedTuple):
     """One term of a score.
 
     Attributes:
         value: The term.
         weight: What it is multiplied by.
-        sentence: What it means, for people.
+        explanation: What it means, for people.
     """
 
     value: float
     weight: float
-    sentence: str
+    explanation: str
 
 
 @dataclass(frozen=True)
@@ -89,15 +89,15 @@
 
     Attributes:
         total: Sum of value by weight.
-        parts: The terms by name, as in `Weights`.
+        terms: The terms by name, as in `Weights`.
     """
 
     total: float
-    parts: dict[str, ScorePart]
+    terms: dict[str, ScoreTerm]
 
-    def sentence(self) -> str:
+    def explanation(self) -> str:
         """Returns the sentences of all terms."""
-        return " ".join(part.sentence for part in self.parts.values())
+        return " ".join(term.explanation for term in self.terms.values())
 
 
 class Site(NamedTuple):
@@ -121,21 +121,21 @@
 """
 
 
-def add_traffic(topology: Topology, gang: Gang, counts: Mapping[str, int], times: int = 1) -> None:
+def add_traffic(topology: Topology, gang: Gang, counts: Mapping[str, int], sign: int = 1) -> None:
     """Adds a gang's traffic to the uplinks.
 
     Args:
         topology: Where the traffic is kept, in `link_traffic`.
         gang: Who sends.
         counts: {rack name: workers}.
-        times: 1 to add, -1 to take away.
+        sign: 1 to add, -1 to take away.
     """
     for link, crossing in uplink_traffic(topology, gang, counts):
-        carried = (
-            topology.link_traffic.get(link, 0.0) + times * crossing * TICKS_PER_SECOND / gang.target
+        traffic = (
+            topology.link_traffic.get(link, 0.0) + sign * crossing * TICKS_PER_SECOND / gang.target
         )
-        if carried > MIN_TRAFFIC:
-            topology.link_traffic[link] = carried
+        if traffic > MIN_TRAFFIC:
+            topology.link_traffic[link] = traffic
         else:
             topology.link_traffic.pop(link, None)
 
@@ -214,9 +214,11 @@
         self._site_index: dict[str, int] = {}
         for name in self.rack_names:
             self._add_rack(name)
-        slowest = min((topology.racks[name].link for name in self.rack_names), default=inf)
+        slowest_bandwidth = min(
+            (topology.racks[name].machine_bandwidth for name in self.rack_names), default=inf
+        )
         self.min_step = (
-            gang.busiest_worker_bytes() / max(1, slowest) / self.target_seconds
+            gang.busiest_worker_bytes() / max(1, slowest_bandwidth) / self.target_seconds
             if self.rack_names
             else 0.0
         )
@@ -234,7 +236,7 @@
         self.capacity.append(capacity)
         self.unplanned_capacity.append(capacity - planned)
         self.slots.append(max(1, rack.slots))
-        self.rack_background_load.append(self._others_load(_rack_link(name), rack.bandwidth))
+        self.rack_background_load.append(self._background_load(_rack_link(name), rack.bandwidth))
         self.rack_load_per_byte.append(1 / (max(1, rack.bandwidth) * self.target_seconds))
         zone_link, cluster_link = _site_links(self.topology, name)
         self.rack_zone.append(self._site(zone_link))
@@ -246,20 +248,20 @@
             self._site_index[link] = len(self.sites)
             bandwidth = self.topology.uplinks.get(link, inf)
             rate = 1 / (max(1, bandwidth) * self.target_seconds)
-            self.sites.append(Site(link, self._others_load(link, bandwidth), rate))
+            self.sites.append(Site(link, self._background_load(link, bandwidth), rate))
         return self._site_index[link]
 
-    def _others_load(self, link: str, bandwidth: float) -> float:
+    def _background_load(self, link: str, bandwidth: float) -> float:
         """Returns the share of the link that others use already."""
         return self.topology.link_traffic.get(link, 0.0) / max(1, bandwidth)
 
     def crossing_bytes(self, low: int, high: int) -> float:
         """Returns `Gang.crossing_bytes`, from a cache."""
-        key = low * RANK_KEY_BASE + high
-        found = self._crossing_bytes.get(key)
-        if found is None:
-            found = self._crossing_bytes[key] = self.gang.crossing_bytes(low, high)
-        return found
+        key = low * RANK_RANGE_KEY_BASE + high
+        cached = self._crossing_bytes.get(key)
+        if cached is None:
+            cached = self._crossing_bytes[key] = self.gang.crossing_bytes(low, high)
+        return cached
 
     def rack_step(self, index: RackIndex, low: int, high: int) -> float:
         """Returns the predicted step over target by the rack's uplink, for ranks low to high."""
@@ -276,7 +278,7 @@
         step = site.background_load + crossing * site.load_per_byte if crossing else 0.0
         return step, site.background_load, site.link
 
-    def rack_terms(self, index: RackIndex, workers: int) -> tuple[float, float]:
+    def rack_term_values(self, index: RackIndex, workers: int) -> tuple[float, float]:
         """Returns the terms (fragments, planned) of so many workers in the rack."""
         fragments = (self.capacity[index] - workers) / self.slots[index]
         return fragments, max(0, workers - self.unplanned_capacity[index]) / self.workers
@@ -311,37 +313,43 @@
             loads.append(self._site_load(cluster, cluster_low, low))
         return loads
 
-    def values(self, counts: RackCounts) -> ScoreValues:
+    def term_values(self, counts: RackCounts) -> ScoreTermValues:
         """Returns the unweighted terms of a placement."""
         self.evaluations += 1
         order = sorted(counts)
-        worst = self.min_step
+        slowest_step = self.min_step
         bottleneck: Bottleneck = MACHINE_LINK
         harm = 0.0
-        for step, others, link in self._link_loads(counts, order):
-            if step > 1 and others:
+        for step, background, link in self._link_loads(counts, order):
+            if step > 1 and background:
                 harm += step - 1
-            if step > worst:
-                worst = step
+            if step > slowest_step:
+                slowest_step = step
                 bottleneck = link
         fragments = planned = 0.0
-        most = 0
+        fullest_workers = 0
         fullest = -1
         for index in order:
             workers = counts[index]
-            if workers > most:
-                most = workers
+            if workers > fullest_workers:
+                fullest_workers = workers
                 fullest = index
             fragments += (self.capacity[index] - workers) / self.slots[index]
             if workers > self.unplanned_capacity[index]:
                 planned += (workers - self.unplanned_capacity[index]) / self.workers
-        return ScoreValues(
-            worst, bottleneck, harm, fragments, planned, most / self.workers, fullest
+        return ScoreTermValues(
+            slowest_step,
+            bottleneck,
+            harm,
+            fragments,
+            planned,
+            fullest_workers / self.workers,
+            fullest,
         )
 
     def total(self, counts: RackCounts) -> float:
         """Returns the weighted sum of a placement's terms."""
-        values = self.values(counts)
+        values = self.term_values(counts)
         weights = self.weights
         return (
             weights.step * values.step
@@ -353,47 +361,47 @@
 
     def explain(self, counts: RackCounts) -> Score:
         """Returns the score of a placement with its sentences."""
-        values = self.values(counts)
+        values = self.term_values(counts)
         weights = self.weights
         loss = ""
         if counts:
             loss = (
                 f"The loss of rack {self.rack_names[values.fullest]} takes {values.loss:.0%} of it."
             )
-        parts = {
-            "step": ScorePart(values.step, weights.step, self._step_sentence(values)),
-            "harm": ScorePart(
+        terms = {
+            "step": ScoreTerm(values.step, weights.step, self._explain_step(values)),
+            "harm": ScoreTerm(
                 values.harm,
                 weights.harm,
                 f"Links that others use would be over full by {values.harm:.0%} together.",
             ),
-            "fragments": ScorePart(
+            "fragments": ScoreTerm(
                 values.fragments,
                 weights.fragments,
                 f"It leaves {values.fragments:.2f} racks' room over in {len(counts)} racks.",
             ),
-            "planned": ScorePart(
+            "planned": ScoreTerm(
                 values.planned,
                 weights.planned,
                 f"{values.planned:.0%} of it stands where a drain, wave or move is planned "
                 "before its end.",
             ),
-            "loss": ScorePart(values.loss, weights.loss, loss),
+            "loss": ScoreTerm(values.loss, weights.loss, loss),
         }
-        return Score(sum(part.value * part.weight for part in parts.values()), parts)
+        return Score(sum(term.value * term.weight for term in terms.values()), terms)
 
-    def _step_sentence(self, values: ScoreValues) -> str:
+    def _explain_step(self, values: ScoreTermValues) -> str:
         link = values.bottleneck
         if isinstance(link, int):
             where = f"the uplink of rack {self.rack_names[link]}"
-            others = self.rack_background_load[link]
+            background = self.rack_background_load[link]
         elif link == MACHINE_LINK:
             where = "a worker's own machine"
-            others = 0.0
+            background = 0.0
         else:
             where = f"the uplink of {link}"
-            others = self.sites[self._site_index[link]].background_load
+            background = self.sites[self._site_index[link]].background_load
         return (
             f"A step takes {values.step * self.target_seconds:.3f} s of "
-            f"{self.target_seconds:.3f} s by {where}, which others fill to {others:.0%}."
+            f"{self.target_seconds:.3f} s by {where}, which others fill to {background:.0%}."
         )
--- a/thymeknot/gang_scheduling/placement_search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -16,10 +16,12 @@
 
 MAX_EXACT_DISTRIBUTIONS = 3_000  # ways to distribute the workers, up to which all are searched
 MAX_EVALUATIONS = 700  # scores that the heuristic's improvement may ask for: 30 to 60 us each
-IMPROVED_STARTS = 4  # best starts that are improved; they share MAX_EVALUATIONS
+MAX_IMPROVED_STARTS = 4  # best starts that are improved; they share MAX_EVALUATIONS
 MIN_IMPROVEMENT = 1e-12  # of a score; less is a rounding error
-MAX_RACKS_IN_ZONES = 12  # free racks of the placement's own zones that a round of moves looks at
-MAX_RACKS_ELSEWHERE = 4  # racks of anywhere that a round of moves looks at beside them
+MAX_SAME_ZONE_CANDIDATES = (
+    12  # free racks of the placement's own zones that a round of moves looks at
+)
+MAX_OTHER_CANDIDATES = 4  # racks of anywhere that a round of moves looks at beside them
 SPARE_CAPACITY_WEIGHT = 0.1  # of a rack's free share against its load when racks are ranked
 
 
@@ -49,7 +51,7 @@
 """Finds a placement, or None if the gang fits nowhere now."""
 
 _Move: TypeAlias = tuple[RackIndex, RackIndex, int]
-"""(giver, taker, workers): workers below 0 go the other way."""
+"""(source, target, workers): workers below 0 go the other way."""
 
 
 def find_placement(
@@ -73,7 +75,7 @@
     """
     scorer = Scorer(topology, gang, now, weights)
     counts = (search or choose_search)(scorer)
-    return plan_of(scorer, counts) if counts else None
+    return make_plan(scorer, counts) if counts else None
 
 
 def scored_versions(scorer: Scorer, counts: RackCounts) -> dict[str, int]:
@@ -82,16 +84,16 @@
     return {scorer.rack_names[index]: racks[scorer.rack_names[index]].version for index in counts}
 
 
-def plan_of(scorer: Scorer, counts: RackCounts) -> Plan:
+def make_plan(scorer: Scorer, counts: RackCounts) -> Plan:
     """Returns the plan of a placement, with a machine for each worker."""
-    picked: dict[str, int] = {}
+    placement: dict[str, int] = {}
     for index, workers in counts.items():
-        picked.update(
+        placement.update(
             scorer.topology.pick_machines(
                 scorer.rack_names[index], scorer.shape, workers, scorer.expected_end
             )
         )
-    return Plan(picked, scored_versions(scorer, counts), scorer.explain(counts))
+    return Plan(placement, scored_versions(scorer, counts), scorer.explain(counts))
 
 
 def _usable_racks(scorer: Scorer) -> list[RackIndex]:
@@ -115,7 +117,7 @@
 
     def __init__(self, scorer: Scorer, racks: list[RackIndex], best: RackCounts) -> None:
         self.best = best
-        self._least = scorer.total(best)
+        self._best_total = scorer.total(best)
         self._scorer = scorer
         self._racks = racks
         self._counts: RackCounts = {}
@@ -124,7 +126,9 @@
             capacity = min(scorer.workers, scorer.capacity[racks[position]])
             self._capacity_from[position] = self._capacity_from[position + 1] + capacity
 
-    def descend(self, position: int, placed: int, step: float, cost: float, most: int) -> None:
+    def search_from(
+        self, position: int, placed: int, step: float, cost: float, fullest: int
+    ) -> None:
         """Tries all numbers of workers for the next rack.
 
         Args:
@@ -132,11 +136,11 @@
             placed: Workers that are placed.
             step: The slowest step so far.
             cost: Weighted fragments and plans so far.
-            most: Workers in the fullest rack so far.
+            fullest: Workers in the fullest rack so far.
         """
         scorer = self._scorer
         if placed == scorer.workers:
-            self._compare()
+            self._update_best()
             return
         if placed + self._capacity_from[position] < scorer.workers:
             return
@@ -144,24 +148,24 @@
         index = self._racks[position]
         for workers in range(min(scorer.capacity[index], scorer.workers - placed), -1, -1):
             if not workers:
-                self.descend(position + 1, placed, step, cost, most)
+                self.search_from(position + 1, placed, step, cost, fullest)
                 continue
-            fragments, planned = scorer.rack_terms(index, workers)
+            fragments, planned = scorer.rack_term_values(index, workers)
             new_cost = cost + weights.fragments * fragments + weights.planned * planned
             new_step = max(step, scorer.rack_step(index, placed, placed + workers))
-            new_most = max(most, workers)
-            loss = weights.loss * new_most / scorer.workers
-            if weights.step * new_step + new_cost + loss >= self._least:
+            new_fullest = max(fullest, workers)
+            loss = weights.loss * new_fullest / scorer.workers
+            if weights.step * new_step + new_cost + loss >= self._best_total:
                 continue
             self._counts[index] = workers
-            self.descend(position + 1, placed + workers, new_step, new_cost, new_most)
+            self.search_from(position + 1, placed + workers, new_step, new_cost, new_fullest)
             del self._counts[index]
 
-    def _compare(self) -> None:
+    def _update_best(self) -> None:
         value = self._scorer.total(self._counts)
-        if value < self._least - MIN_IMPROVEMENT:
+        if value < self._best_total - MIN_IMPROVEMENT:
             self.best = dict(self._counts)
-            self._least = value
+            self._best_total = value
 
 
 def exact_search(scorer: Scorer) -> RackCounts | None:
@@ -173,43 +177,43 @@
     if start is None:
         return None
     search = _BranchAndBound(scorer, racks, start)
-    search.descend(0, 0, scorer.min_step, 0.0, 0)
+    search.search_from(0, 0, scorer.min_step, 0.0, 0)
     return search.best
 
 
-def _fill(scorer: Scorer, racks: Iterable[RackIndex]) -> RackCounts | None:
+def _fill_in_order(scorer: Scorer, racks: Iterable[RackIndex]) -> RackCounts | None:
     """Fills racks in their order until all workers are placed; None if they are not."""
     counts: RackCounts = {}
-    left = scorer.workers
+    unplaced = scorer.workers
     for index in racks:
-        workers = min(scorer.capacity[index], left)
+        workers = min(scorer.capacity[index], unplaced)
         if workers > 0:
             counts[index] = workers
-            left -= workers
-            if not left:
+            unplaced -= workers
+            if not unplaced:
                 return counts
     return None
 
 
-def _spread(scorer: Scorer, racks: list[RackIndex]) -> RackCounts | None:
+def _fill_evenly(scorer: Scorer, racks: list[RackIndex]) -> RackCounts | None:
     """Topology the same number in each rack as far as they fit; None if not all are placed."""
     counts: RackCounts = {}
-    left = scorer.workers
-    for done, index in enumerate(sorted(racks, key=lambda index: scorer.capacity[index])):
-        fair_share = -(-left // (len(racks) - done))
+    unplaced = scorer.workers
+    for filled_racks, index in enumerate(sorted(racks, key=lambda index: scorer.capacity[index])):
+        fair_share = -(-unplaced // (len(racks) - filled_racks))
         workers = min(scorer.capacity[index], fair_share)
         if workers > 0:
             counts[index] = workers
-            left -= workers
-    return None if left else counts
+            unplaced -= workers
+    return None if unplaced else counts
 
 
 def _racks_by_site(scorer: Scorer, usable: list[RackIndex]) -> list[list[RackIndex]]:
     """Returns the racks of each zone, of each cluster and of all together."""
-    everywhere = -1
+    all_sites = -1
     sites: dict[int, list[RackIndex]] = {}
     for index in usable:
-        for site in (scorer.rack_zone[index], scorer.rack_cluster[index], everywhere):
+        for site in (scorer.rack_zone[index], scorer.rack_cluster[index], all_sites):
             sites.setdefault(site, []).append(index)
     return list(sites.values())
 
@@ -234,7 +238,7 @@
     )
 
 
-def _starts(scorer: Scorer) -> Iterator[RackCounts]:
+def _starting_placements(scorer: Scorer) -> Iterator[RackCounts]:
     """Yields placements to improve.
 
     Each rack that takes all, and each site that is large enough, filled in several orders or evenly
@@ -248,67 +252,78 @@
         if sum(scorer.capacity[index] for index in racks) < scorer.workers:
             continue
         for order in _rack_orders(scorer, racks):
-            filled = _fill(scorer, order)
+            filled = _fill_in_order(scorer, order)
             if filled is None:
                 continue
             yield filled
             needed = len(filled)
             sizes = dict.fromkeys((needed, needed + 1, 2 * needed, 4 * needed, len(order)))
             for size in sizes:
-                spread = _spread(scorer, order[:size]) if size <= len(order) else None
+                spread = _fill_evenly(scorer, order[:size]) if size <= len(order) else None
                 if spread:
                     yield spread
 
 
-def _moves(scorer: Scorer, counts: RackCounts, near: list[RackIndex]) -> Iterator[_Move]:
+def _candidate_moves(
+    scorer: Scorer, counts: RackCounts, candidates: list[RackIndex]
+) -> Iterator[_Move]:
     """Yields moves of some workers from one rack to another, the fullest racks first."""
     capacity = scorer.capacity
-    for giver in sorted(counts, key=lambda index: -counts[index]):
-        workers = counts[giver]
-        for taker in near:
-            free = capacity[taker] - counts.get(taker, 0)
-            if taker == giver or free <= 0:
+    for source in sorted(counts, key=lambda index: -counts[index]):
+        workers = counts[source]
+        for target in candidates:
+            free = capacity[target] - counts.get(target, 0)
+            if target == source or free <= 0:
                 continue
             sizes = {min(workers, free), min(free, (workers + 1) // 2), 1}
             for size in sorted(sizes, reverse=True):
-                yield giver, taker, size
-    yield from _swaps(scorer, counts, near)
+                yield source, target, size
+    yield from _candidate_swaps(scorer, counts, candidates)
 
 
-def _swaps(scorer: Scorer, counts: RackCounts, near: list[RackIndex]) -> Iterator[_Move]:
+def _candidate_swaps(
+    scorer: Scorer, counts: RackCounts, candidates: list[RackIndex]
+) -> Iterator[_Move]:
     """Yields moves by which two racks with capacity for each other's workers swap them."""
     capacity = scorer.capacity
     for rack in counts:
-        for other in near:
-            mine = counts.get(rack, 0)
-            theirs = counts.get(other, 0)
-            if not theirs or rack >= other or mine == theirs:
+        for other in candidates:
+            rack_workers = counts.get(rack, 0)
+            other_workers = counts.get(other, 0)
+            if not other_workers or rack >= other or rack_workers == other_workers:
                 continue
-            if capacity[rack] >= theirs and capacity[other] >= mine:
-                yield rack, other, mine - theirs
+            if capacity[rack] >= other_workers and capacity[other] >= rack_workers:
+                yield rack, other, rack_workers - other_workers
 
 
-def _moved(scorer: Scorer, counts: RackCounts, move: _Move) -> RackCounts | None:
+def _apply_move(scorer: Scorer, counts: RackCounts, move: _Move) -> RackCounts | None:
     """Returns the placement after a move, or None if an earlier move made it impossible."""
-    giver, taker, workers = move
-    given = counts.get(giver, 0) - workers
-    taken = counts.get(taker, 0) + workers
-    if not (0 <= given <= scorer.capacity[giver] and 0 <= taken <= scorer.capacity[taker]):
+    source, target, workers = move
+    source_workers = counts.get(source, 0) - workers
+    target_workers = counts.get(target, 0) + workers
+    if not (
+        0 <= source_workers <= scorer.capacity[source]
+        and 0 <= target_workers <= scorer.capacity[target]
+    ):
         return None
     trial = dict(counts)
-    trial[giver] = given
-    trial[taker] = taken
-    return {index: some for index, some in trial.items() if some}
+    trial[source] = source_workers
+    trial[target] = target_workers
+    return {index: count for index, count in trial.items() if count}
 
 
-def _near_racks(scorer: Scorer, counts: RackCounts, ranked: list[RackIndex]) -> list[RackIndex]:
+def _candidate_racks(
+    scorer: Scorer, counts: RackCounts, ranked: list[RackIndex]
+) -> list[RackIndex]:
     """Returns the placement's racks, some of its zones, and the best of anywhere."""
     zones = {scorer.rack_zone[index] for index in counts}
     in_zones = [
         index for index in ranked if index not in counts and scorer.rack_zone[index] in zones
     ]
-    near = list(counts) + in_zones[:MAX_RACKS_IN_ZONES]
-    return near + [index for index in ranked if index not in near][:MAX_RACKS_ELSEWHERE]
+    candidates = list(counts) + in_zones[:MAX_SAME_ZONE_CANDIDATES]
+    return (
+        candidates + [index for index in ranked if index not in candidates][:MAX_OTHER_CANDIDATES]
+    )
 
 
 def _improve(
@@ -322,7 +337,7 @@
     Returns:
         The placement and its score.
     """
-    until = scorer.evaluations + budget
+    evaluation_limit = scorer.evaluations + budget
     ranked = sorted(
         _usable_racks(scorer),
         key=lambda index: (
@@ -331,19 +346,19 @@
         ),
     )
     improved = True
-    while improved and scorer.evaluations < until:
+    while improved and scorer.evaluations < evaluation_limit:
         improved = False
-        near = _near_racks(scorer, counts, ranked)
-        for move in list(_moves(scorer, counts, near)):
-            if scorer.evaluations >= until:
+        candidates = _candidate_racks(scorer, counts, ranked)
+        for move in list(_candidate_moves(scorer, counts, candidates)):
+            if scorer.evaluations >= evaluation_limit:
                 break
-            trial = _moved(scorer, counts, move)
+            trial = _apply_move(scorer, counts, move)
             if trial is None:
                 continue
-            found = scorer.total(trial)
-            if found < value - MIN_IMPROVEMENT:
+            trial_value = scorer.total(trial)
+            if trial_value < value - MIN_IMPROVEMENT:
                 counts = trial
-                value = found
+                value = trial_value
                 improved = True
     return counts, value
 
@@ -352,7 +367,7 @@
     """Finds a good placement quickly: the best of many starts, improved. None if none fits."""
     seen: set[tuple[tuple[int, int], ...]] = set()
     starts: list[tuple[float, tuple[tuple[int, int], ...]]] = []
-    for counts in _starts(scorer):
+    for counts in _starting_placements(scorer):
         key = tuple(sorted(counts.items()))
         if key not in seen:
             seen.add(key)
@@ -361,15 +376,15 @@
         return None
     starts.sort()
     improved = [
-        _improve(scorer, dict(key), value, MAX_EVALUATIONS // IMPROVED_STARTS)
-        for value, key in starts[:IMPROVED_STARTS]
+        _improve(scorer, dict(key), value, MAX_EVALUATIONS // MAX_IMPROVED_STARTS)
+        for value, key in starts[:MAX_IMPROVED_STARTS]
     ]
-    return min(improved, key=lambda end: end[1])[0]
+    return min(improved, key=lambda result: result[1])[0]
 
 
 def first_fit(scorer: Scorer) -> RackCounts | None:
     """Fills racks in their order: a baseline."""
-    return _fill(scorer, range(len(scorer.capacity)))
+    return _fill_in_order(scorer, range(len(scorer.capacity)))
 
 
 def random_fit(random_source: RandomSource) -> SearchMethod:
@@ -377,7 +392,7 @@
 
     def fit(scorer: Scorer) -> RackCounts | None:
         racks = range(len(scorer.capacity))
-        return _fill(scorer, sorted(racks, key=lambda index: random_source.draw()))
+        return _fill_in_order(scorer, sorted(racks, key=lambda index: random_source.draw()))
 
     return fit
 
@@ -385,9 +400,9 @@
 def pack_fullest_first(scorer: Scorer) -> RackCounts | None:
     """Fills the racks that are fullest already first: a baseline."""
     racks = range(len(scorer.capacity))
-    return _fill(scorer, sorted(racks, key=lambda index: (scorer.capacity[index], index)))
+    return _fill_in_order(scorer, sorted(racks, key=lambda index: (scorer.capacity[index], index)))
 
 
 def spread_evenly(scorer: Scorer) -> RackCounts | None:
     """Spreads the workers evenly over all racks: a baseline."""
-    return _spread(scorer, _usable_racks(scorer))
+    return _fill_evenly(scorer, _usable_racks(scorer))
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -104,19 +104,21 @@
             the way, and the ticks until it makes sense to ask again.
         """
         try:
-            self.state.at = max(self.state.at, now)
+            self.state.now = max(self.state.now, now)
             self._expire_leases()
             self._fairness.invalidate()
-            asked: Command = msgspec.convert(command, AnyCommand)
-            reply = self._handlers[type(asked)](asked)
+            parsed: Command = msgspec.convert(command, AnyCommand)
+            reply = self._handlers[type(parsed)](parsed)
             return {"ok": True, **(reply or {})}
         except msgspec.ValidationError as error:
             message = str(error)[:MAX_PARSE_ERROR_LENGTH]
-            return self._rejected(CommandRejectedError(f"The command can't be read: {message}."))
+            return self._count_rejection(
+                CommandRejectedError(f"The command can't be read: {message}.")
+            )
         except CommandRejectedError as error:
-            return self._rejected(error)
+            return self._count_rejection(error)
 
-    def _rejected(self, error: CommandRejectedError) -> Reply:
+    def _count_rejection(self, error: CommandRejectedError) -> Reply:
         self.state.count("refused")
         return error.reply
 
@@ -139,12 +141,12 @@
 
         It is valid until the next command.
         """
-        places = self.state.topology
-        places.link_traffic.clear()
-        for life in self.state.gangs.values():
-            if life.state in STATES_WITH_SLOTS and life.state != GangState.DEGRADED:
-                add_traffic(places, life.gang, places.workers_by_rack(life.placement))
-        return places
+        topology = self.state.topology
+        topology.link_traffic.clear()
+        for record in self.state.gangs.values():
+            if record.state in STATES_WITH_SLOTS and record.state != GangState.DEGRADED:
+                add_traffic(topology, record.gang, topology.workers_by_rack(record.placement))
+        return topology
 
     def queue(self) -> list[str]:
         """Returns the offered gangs in the order in which they are due, without backoffs."""
@@ -163,13 +165,13 @@
                 command.cluster,
                 command.bandwidth,
                 command.machines,
-                link=command.link,
+                machine_bandwidth=command.machine_bandwidth,
             )
         except DuplicateMachineError as error:
             raise CommandRejectedError(str(error)) from None
 
     def _set_uplink(self, command: SetUplink) -> None:
-        self.state.topology.uplinks[command.of] = command.bandwidth
+        self.state.topology.uplinks[command.uplink] = command.bandwidth
 
     def _set_share(self, command: SetShare) -> None:
         shares = self.state.shares
@@ -185,41 +187,41 @@
         for machine in command.machines:
             self._check_machine(machine)
         for machine in command.machines:
-            self.state.topology.host(machine).planned_removal = command.at
+            self.state.topology.host(machine).planned_removal = command.removal_time
             self.state.topology.mark_changed(machine)
 
     def _report_loss(self, command: ReportLoss) -> Reply:
         if command.kind == LossKind.WORKER:
             return self._lose_worker(command)
-        places = self.state.topology
+        topology = self.state.topology
         if command.kind == LossKind.RACK:
-            if command.name not in places.racks:
+            if command.name not in topology.racks:
                 raise CommandRejectedError(f"No rack {command.name} stands here.")
-            machines = list(places.racks[command.name].hosts)
+            machines = list(topology.racks[command.name].hosts)
         else:
             self._check_machine(command.name)
             machines = [command.name]
         for machine in machines:
-            places.host(machine).gone = True
-            places.mark_changed(machine, total_changed=True)
-        return {"gangs": self.lifecycle.take_off(machines, GangInput.LOST)}
+            topology.host(machine).lost = True
+            topology.mark_changed(machine, empty_capacity_changed=True)
+        return {"gangs": self.lifecycle.remove_workers(machines, GangInput.LOST)}
 
     def _lose_worker(self, command: ReportLoss) -> Reply:
-        life = self.lifecycle.find(command.gang)
-        if not life.placement.get(command.name):
+        record = self.lifecycle.get(command.gang)
+        if not record.placement.get(command.name):
             raise CommandRejectedError(
                 f"Gang {command.gang} has no worker on {command.name}.", [command.gang]
             )
-        self.lifecycle.transition(command.gang, GangInput.LOST, dropped={command.name: 1})
+        self.lifecycle.transition(command.gang, GangInput.LOST, removed={command.name: 1})
         return {"gangs": [command.gang]}
 
     def _report_recovery(self, command: ReportRecovery) -> None:
         self._check_machine(command.machine)
         host = self.state.topology.host(command.machine)
-        host.gone = False
-        host.closed = ""
+        host.lost = False
+        host.draining_for = ""
         host.planned_removal = 0
-        self.state.topology.mark_changed(command.machine, total_changed=True)
+        self.state.topology.mark_changed(command.machine, empty_capacity_changed=True)
 
     def _request_drain(self, command: RequestDrain) -> Reply:
         """Empties a machine, which takes no new workers from now on.
@@ -229,40 +231,42 @@
         machine = command.machine
         self._check_machine(machine)
         host = self.state.topology.host(machine)
-        if host.closed and host.closed != command.drain:
+        if host.draining_for and host.draining_for != command.drain:
             raise CommandRejectedError(
-                f"Machine {machine} is drain {host.closed}'s already.", [host.closed]
+                f"Machine {machine} is drain {host.draining_for}'s already.", [host.draining_for]
             )
-        host.closed = command.drain
+        host.draining_for = command.drain
         self.state.topology.mark_changed(machine)
-        waits = {
-            name: self._drain_wait(life)
-            for name, life in self.state.gangs.items()
-            if machine in life.placement and not self._may_drain(life, command)
+        wait_by_gang = {
+            name: self._drain_wait(record)
+            for name, record in self.state.gangs.items()
+            if machine in record.placement and not self._can_drain_now(record, command)
         }
-        if waits:
+        if wait_by_gang:
             raise CommandRejectedError(
-                f"Gang {next(iter(waits))} runs on {machine} until its checkpoint.",
-                waits,
-                max(MIN_DRAIN_RETRY_TICKS, *waits.values()),
+                f"Gang {next(iter(wait_by_gang))} runs on {machine} until its checkpoint.",
+                wait_by_gang,
+                max(MIN_DRAIN_RETRY_TICKS, *wait_by_gang.values()),
             )
-        return {"gangs": self.lifecycle.take_off([machine], GangInput.TAKEN)}
+        return {"gangs": self.lifecycle.remove_workers([machine], GangInput.DRAINED)}
 
-    def _may_drain(self, life: GangRecord, command: RequestDrain) -> bool:
+    def _can_drain_now(self, record: GangRecord, command: RequestDrain) -> bool:
         """Returns whether a drain may take a gang's workers off a machine now."""
-        if life.state in (GangState.DEGRADED, GangState.RESERVED):
+        if record.state in (GangState.DEGRADED, GangState.RESERVED):
             return True  # it stands still, or was never told of its places
-        if life.state != GangState.RUNNING:
+        if record.state != GangState.RUNNING:
             return False
-        placed = sum(life.placement.values())
-        out = life.gang.workers - placed + life.placement[command.machine]
-        return life.saved == self.state.at or (command.unit and out <= life.gang.spare)
+        placed = sum(record.placement.values())
+        missing = record.gang.workers - placed + record.placement[command.machine]
+        return record.last_checkpoint == self.state.now or (
+            command.use_budget and missing <= record.gang.spare
+        )
 
-    def _drain_wait(self, life: GangRecord) -> Ticks:
+    def _drain_wait(self, record: GangRecord) -> Ticks:
         """Returns the ticks until a gang's next checkpoint or the end of its lease."""
-        if life.state == GangState.RUNNING:
-            return life.saved + life.gang.checkpoint - self.state.at
-        return self.state.lease_left(life)
+        if record.state == GangState.RUNNING:
+            return record.last_checkpoint + record.gang.checkpoint - self.state.now
+        return self.state.remaining_lease(record)
 
     # Commands about gangs.
 
@@ -275,44 +279,46 @@
             raise CommandRejectedError(
                 f"Gang {name} was {state.ended[name]}; a new one needs a new name.", [name]
             )
-        if sentence := validation_error(command.job):
-            raise CommandRejectedError(sentence, [name])
-        if len(state.gangs) >= self.settings.offered_most:
+        if message := validation_error(command.job):
+            raise CommandRejectedError(message, [name])
+        if len(state.gangs) >= self.settings.max_active_gangs:
             raise CommandRejectedError(
-                "Too many gangs are here already.", again=self.settings.again_most
+                "Too many gangs are here already.", retry_after=self.settings.max_backoff
             )
-        capacity = state.topology.total_capacity(command.job.resource_shape())
+        capacity = state.topology.empty_capacity(command.job.resource_shape())
         if capacity < command.job.workers:
             raise CommandRejectedError(
                 f"All machines together have room for {capacity} of its "
                 f"{command.job.workers} workers.",
                 [name],
             )
-        state.number += 1
-        state.gangs[name] = GangRecord(command.job, state.number, state.at)
+        state.last_number += 1
+        state.gangs[name] = GangRecord(command.job, state.last_number, state.now)
 
     def _reserve(self, command: Reserve) -> Reply:
         name = command.gang
-        life = self.lifecycle.find(name)
-        if life.state != GangState.OFFERED:
+        record = self.lifecycle.get(name)
+        if record.state != GangState.OFFERED:
             raise CommandRejectedError(
-                f"Gang {name} is {life.state}, not offered.", [name], self.state.lease_left(life)
+                f"Gang {name} is {record.state}, not offered.",
+                [name],
+                self.state.remaining_lease(record),
             )
-        if life.again > self.state.at:
+        if record.backoff_until > self.state.now:
             raise CommandRejectedError(
-                f"Gang {name} backs off after {life.tries} tries.",
+                f"Gang {name} backs off after {record.failed_leases} tries.",
                 [name],
-                life.again - self.state.at,
+                record.backoff_until - self.state.now,
             )
-        _check_all_or_none(name, life, command.placement)
-        self._check_capacity(life, command.placement, command.versions)
-        self._fairness.check_turn(name, life, command.placement)
-        life = self.lifecycle.transition(name, GangInput.RESERVE, placement=command.placement)
-        return {"fence": life.fence, "until": life.lease}
+        _check_complete(name, record, command.placement)
+        self._check_capacity(record, command.placement, command.versions)
+        self._fairness.check_queue_order(name, record, command.placement)
+        record = self.lifecycle.transition(name, GangInput.RESERVE, placement=command.placement)
+        return {"fence": record.fence, "until": record.lease_expiry}
 
     def _bind(self, command: Bind) -> Reply:
         self._check_fence(command)
-        return {"until": self.lifecycle.transition(command.gang, GangInput.BIND).lease}
+        return {"until": self.lifecycle.transition(command.gang, GangInput.BIND).lease_expiry}
 
     def _start(self, command: Start) -> None:
         self._check_fence(command)
@@ -326,43 +332,45 @@
         """Says what the gang has to do next: "go on", "yield" (it has no slots now) or "mend"."""
         name = command.gang
         self._check_fence(command)
-        life = self.lifecycle.transition(name, GangInput.CHECKPOINT)
-        if life.ending and self.lifecycle.preempt_if_needed(name, life):
+        record = self.lifecycle.transition(name, GangInput.CHECKPOINT)
+        if record.preempted_by and self.lifecycle.preempt_or_clear(name, record):
             return {"next": "yield"}
         closed = {
             machine: workers
-            for machine, workers in life.placement.items()
-            if self.state.topology.host(machine).closed
+            for machine, workers in record.placement.items()
+            if self.state.topology.host(machine).draining_for
         }
         if closed:
-            self.lifecycle.transition(name, GangInput.TAKEN, dropped=closed)
-            return {"next": "mend", "without": sorted(closed), "until": life.lease}
+            self.lifecycle.transition(name, GangInput.DRAINED, removed=closed)
+            return {"next": "mend", "without": sorted(closed), "until": record.lease_expiry}
         return {"next": "go on"}
 
     def _replace_workers(self, command: ReplaceWorkers) -> Reply:
         name = command.gang
-        places = command.placement
-        life = self._check_fence(command)
-        if life.state != GangState.DEGRADED:
-            raise CommandRejectedError(f"Gang {name} is {life.state}, not hurt.", [name])
-        _check_all_or_none(name, life, places)
-        for machine in places:
+        placement = command.placement
+        record = self._check_fence(command)
+        if record.state != GangState.DEGRADED:
+            raise CommandRejectedError(f"Gang {name} is {record.state}, not hurt.", [name])
+        _check_complete(name, record, placement)
+        for machine in placement:
             self._check_machine(machine)
-        more = {
-            machine: workers - life.placement.get(machine, 0)
-            for machine, workers in places.items()
-            if workers > life.placement.get(machine, 0)
+        added = {
+            machine: workers - record.placement.get(machine, 0)
+            for machine, workers in placement.items()
+            if workers > record.placement.get(machine, 0)
         }
-        self._check_capacity(life, more, command.versions)
-        stays = all(
-            places.get(machine, 0) >= workers for machine, workers in life.placement.items()
+        self._check_capacity(record, added, command.versions)
+        all_stay = all(
+            placement.get(machine, 0) >= workers for machine, workers in record.placement.items()
+        )
+        method = (
+            ReplacementMethod.IN_PLACE if record.placement and all_stay else ReplacementMethod.WHOLE
         )
-        method = ReplacementMethod.IN_PLACE if life.placement and stays else ReplacementMethod.WHOLE
-        life = self.lifecycle.transition(name, _INPUT_OF_METHOD[method], placement=places)
-        return {"way": method.value, "fence": life.fence, "until": life.lease}
+        record = self.lifecycle.transition(name, _INPUT_OF_METHOD[method], placement=placement)
+        return {"way": method.value, "fence": record.fence, "until": record.lease_expiry}
 
     def _withdraw(self, command: Withdraw) -> None:
-        self.lifecycle.transition(command.gang, GangInput.WITHDRAW, why="withdrawn")
+        self.lifecycle.transition(command.gang, GangInput.WITHDRAW, reason="withdrawn")
 
     def _preempt(self, command: Preempt) -> Reply:
         """Asks a running gang to make room after its next checkpoint.
@@ -370,12 +378,12 @@
         If it owes that checkpoint by a whole interval, it is taken back to the last one it wrote: a
         gang that hangs is not safe from everybody.
         """
-        victim = self.lifecycle.find(command.gang)
-        by = self.lifecycle.find(command.by)
-        self._fairness.check_preemption(command, victim, by)
-        victim.ending = command.by
-        victim.ends = self.state.at + 2 * victim.gang.checkpoint
-        return {"until": victim.ends}
+        victim = self.lifecycle.get(command.gang)
+        waiting = self.lifecycle.get(command.beneficiary)
+        self._fairness.check_preemption(command, victim, waiting)
+        victim.preempted_by = command.beneficiary
+        victim.preemption_deadline = self.state.now + 2 * victim.gang.checkpoint
+        return {"until": victim.preemption_deadline}
 
     def _tick(self, command: Tick) -> None:
         """Does nothing: leases expired before."""
@@ -386,52 +394,52 @@
         self.lifecycle.expire_leases()
 
     def _check_capacity(
-        self, life: GangRecord, places: Mapping[str, int], versions: Mapping[str, int]
+        self, record: GangRecord, placement: Mapping[str, int], versions: Mapping[str, int]
     ) -> None:
         """Rejects unless the places have capacity and their racks are as they were scored."""
-        known = self.state.topology
-        for machine in places:
+        topology = self.state.topology
+        for machine in placement:
             self._check_machine(machine)
-        racks = sorted(known.workers_by_rack(places))
-        if unread := [name for name in racks if name not in versions]:
-            raise CommandRejectedError(f"No version of rack {unread[0]} was scored.", unread)
-        if stale := [name for name in racks if versions[name] != known.racks[name].version]:
+        racks = sorted(topology.workers_by_rack(placement))
+        if unscored := [name for name in racks if name not in versions]:
+            raise CommandRejectedError(f"No version of rack {unscored[0]} was scored.", unscored)
+        if stale := [name for name in racks if versions[name] != topology.racks[name].version]:
             raise CommandRejectedError(
-                f"Rack {stale[0]} is at version {known.racks[stale[0]].version}, "
+                f"Rack {stale[0]} is at version {topology.racks[stale[0]].version}, "
                 f"scored at {versions[stale[0]]}.",
                 stale,
                 STALE_RETRY_TICKS,
             )
-        shape = life.gang.resource_shape()
+        shape = record.gang.resource_shape()
         if full := [
             machine
-            for machine, workers in places.items()
-            if known.host(machine).capacity(shape) < workers
+            for machine, workers in placement.items()
+            if topology.host(machine).capacity(shape) < workers
         ]:
             raise CommandRejectedError(
-                f"Machine {full[0]} has no room for {places[full[0]]} workers.",
+                f"Machine {full[0]} has no room for {placement[full[0]]} workers.",
                 full,
-                self.settings.again,
+                self.settings.initial_backoff,
             )
 
     def _check_fence(self, command: FencedCommand) -> GangRecord:
         """Returns the gang, if the command has the fencing token of its latest placement."""
-        life = self.lifecycle.find(command.gang)
-        if command.fence != life.fence:
+        record = self.lifecycle.get(command.gang)
+        if command.fence != record.fence:
             raise CommandRejectedError(
-                f"Gang {command.gang} is at fence {life.fence}, not {command.fence}.",
+                f"Gang {command.gang} is at fence {record.fence}, not {command.fence}.",
                 [command.gang],
             )
-        return life
+        return record
 
     def _check_machine(self, machine: str) -> None:
-        if machine not in self.state.topology.where:
+        if machine not in self.state.topology.rack_by_machine:
             raise CommandRejectedError(f"No machine {machine} stands here.")
 
 
-def _check_all_or_none(name: str, life: GangRecord, places: Mapping[str, int]) -> None:
-    placed = sum(places.values())
-    if placed != life.gang.workers:
+def _check_complete(name: str, record: GangRecord, placement: Mapping[str, int]) -> None:
+    placed = sum(placement.values())
+    if placed != record.gang.workers:
         raise CommandRejectedError(
-            f"All or none: {placed} of {life.gang.workers} workers have a place.", [name]
+            f"All or none: {placed} of {record.gang.workers} workers have a place.", [name]
         )
--- a/thymeknot/gang_scheduling/topology.py
+++ b/thymeknot/gang_scheduling/topology.py
@@ -11,9 +11,9 @@
 import msgspec
 
 from ..interface.clock import Ticks
-from .jobs import Amount, Name, ResourceShape
+from .jobs import Name, NonNegativeInt, ResourceShape
 
-DEFAULT_HOST_LINK = 3_125_000_000  # bytes a second: 25 Gbit/s, where a rack states none
+DEFAULT_MACHINE_BANDWIDTH = 3_125_000_000  # bytes a second: 25 Gbit/s, where a rack states none
 MAX_CACHED_RACK_CAPACITIES = 4096  # entries by rack and shape; the cache is emptied beyond it
 MAX_CACHED_TOTALS = 256  # entries by shape; the cache is emptied beyond it
 
@@ -27,45 +27,45 @@
 
     Attributes:
         slots: Workers that the machine can take when it is empty.
-        free: Slots that are free.
-        has: Amount of each resource of the machine.
-        left: Amount of each resource that is free.
-        closed: Name of the drain that asked for the machine, or empty.
-        gone: Whether the machine is lost.
+        free_slots: Slots that are free.
+        resources: Amount of each resource of the machine.
+        free_resources: Amount of each resource that is free.
+        draining_for: Name of the drain that asked for the machine, or empty.
+        lost: Whether the machine is lost.
         planned_removal: Agreed time in ticks at which it is to go by plan, 0 if never.
     """
 
     slots: int
-    free: int
-    has: dict[str, int]
-    left: dict[str, int]
-    closed: str = ""
-    gone: bool = False
+    free_slots: int = msgspec.field(name="free")
+    resources: dict[str, int] = msgspec.field(name="has")
+    free_resources: dict[str, int] = msgspec.field(name="left")
+    draining_for: str = msgspec.field(default="", name="closed")
+    lost: bool = msgspec.field(default=False, name="gone")
     planned_removal: int = msgspec.field(default=0, name="planned")
 
     def capacity(self, shape: ResourceShape) -> int:
         """Returns how many more workers fit; none on a machine that drains or is lost."""
-        if self.closed or self.gone:
+        if self.draining_for or self.lost:
             return 0
-        most = self.free
-        left = self.left
+        capacity = self.free_slots
+        free = self.free_resources
         for name, amount in shape:
-            workers = left.get(name, 0) // amount
-            if workers < most:  # noqa: PLR1730 (a search asks this a million times; a call costs more)
-                most = workers
-        return most
+            workers = free.get(name, 0) // amount
+            if workers < capacity:  # noqa: PLR1730 (a search asks this a million times; a call costs more)
+                capacity = workers
+        return capacity
 
     def empty_capacity(self, shape: ResourceShape) -> int:
         """Returns how many workers would fit if nobody else were on the machine."""
-        if self.gone:
+        if self.lost:
             return 0
-        return min([self.slots, *(self.has.get(name, 0) // amount for name, amount in shape)])
+        return min([self.slots, *(self.resources.get(name, 0) // amount for name, amount in shape)])
 
     def reserve(self, workers: int, shape: ResourceShape) -> None:
         """Takes slots and resources for so many workers; a negative number gives them back."""
-        self.free -= workers
+        self.free_slots -= workers
         for name, amount in shape:
-            self.left[name] = self.left.get(name, 0) - workers * amount
+            self.free_resources[name] = self.free_resources.get(name, 0) - workers * amount
 
 
 class Rack(msgspec.Struct):
@@ -75,7 +75,7 @@
         zone: Name of its zone.
         cluster: Name of its cluster.
         bandwidth: Bytes a second of its uplink.
-        link: Bytes a second of each of its machines' links.
+        machine_bandwidth: Bytes a second of each of its machines' links.
         hosts: Its machines by name.
         version: Goes up with each change of capacity or prospects.
         slots: Sum of the machines' slots.
@@ -84,7 +84,7 @@
     zone: str
     cluster: str
     bandwidth: int
-    link: int
+    machine_bandwidth: int = msgspec.field(name="link")
     hosts: dict[str, Host]
     version: int = 1
     slots: int = 0
@@ -95,11 +95,11 @@
 
     Attributes:
         slots: Workers that the machine can take.
-        has: Amount of each resource.
+        resources: Amount of each resource.
     """
 
-    slots: Amount
-    has: dict[Name, Amount] = {}
+    slots: NonNegativeInt
+    resources: dict[Name, NonNegativeInt] = msgspec.field(default_factory=dict, name="has")
 
 
 class _RackCapacity(NamedTuple):
@@ -123,20 +123,22 @@
         racks: Racks by name.
         uplinks: Bytes a second by "zone/CLUSTER/ZONE" or "cluster/CLUSTER"; one that nobody stated
             is no limit.
-        where: Name of the rack of each machine.
-        stood: Goes up with each change of what could be there at all.
+        rack_by_machine: Name of the rack of each machine.
+        capacity_version: Goes up with each change of what could be there at all.
     """
 
     racks: dict[str, Rack] = {}
     uplinks: dict[str, int] = {}
-    where: dict[str, str] = {}
-    stood: int = 0
+    rack_by_machine: dict[str, str] = msgspec.field(default_factory=dict, name="where")
+    capacity_version: int = msgspec.field(default=0, name="stood")
 
     def __post_init__(self) -> None:
         """Sets what is derived and not stored."""
         self._capacities: dict[tuple[str, ResourceShape], _RackCapacity] = {}
-        self._totals: dict[ResourceShape, tuple[int, int]] = {}  # shape: (stood, workers)
-        self._order: list[str] | None = None
+        self._totals: dict[
+            ResourceShape, tuple[int, int]
+        ] = {}  # shape: (capacity_version, workers)
+        self._rack_order: list[str] | None = None
         # Bytes a second that placed gangs send over each uplink, kept by `placement_score`.
         self.link_traffic: dict[str, float] = {}
 
@@ -148,7 +150,7 @@
         bandwidth: int,
         machines: Mapping[str, MachineSpec],
         *,
-        link: int = DEFAULT_HOST_LINK,
+        machine_bandwidth: int = DEFAULT_MACHINE_BANDWIDTH,
     ) -> None:
         """Adds a rack of machines by name.
 
@@ -156,40 +158,40 @@
             DuplicateMachineError: A machine is in a rack already.
         """
         for machine in machines:
-            if machine in self.where:
+            if machine in self.rack_by_machine:
                 raise DuplicateMachineError(
-                    f"Machine {machine} stands in rack {self.where[machine]} already."
+                    f"Machine {machine} stands in rack {self.rack_by_machine[machine]} already."
                 )
         hosts = {
-            machine: Host(stated.slots, stated.slots, dict(stated.has), dict(stated.has))
-            for machine, stated in sorted(machines.items())
+            machine: Host(spec.slots, spec.slots, dict(spec.resources), dict(spec.resources))
+            for machine, spec in sorted(machines.items())
         }
         slots = sum(host.slots for host in hosts.values())
-        self.racks[name] = Rack(zone, cluster, bandwidth, link, hosts, 1, slots)
-        self.where.update(dict.fromkeys(hosts, name))
-        self.stood += 1
-        self._order = None
+        self.racks[name] = Rack(zone, cluster, bandwidth, machine_bandwidth, hosts, 1, slots)
+        self.rack_by_machine.update(dict.fromkeys(hosts, name))
+        self.capacity_version += 1
+        self._rack_order = None
 
     def host(self, machine: str) -> Host:
         """Returns a machine by name."""
-        return self.racks[self.where[machine]].hosts[machine]
+        return self.racks[self.rack_by_machine[machine]].hosts[machine]
 
     def rack_order(self) -> list[str]:
         """Returns the names of racks in the order in which ranks are assigned.
 
         Racks that share an uplink are next to each other.
         """
-        if self._order is None or len(self._order) != len(self.racks):
-            self._order = sorted(
+        if self._rack_order is None or len(self._rack_order) != len(self.racks):
+            self._rack_order = sorted(
                 self.racks, key=lambda name: (self.racks[name].cluster, self.racks[name].zone, name)
             )
-        return self._order
+        return self._rack_order
 
-    def _capacity(self, name: str, shape: ResourceShape) -> _RackCapacity:
+    def _cached_capacity(self, name: str, shape: ResourceShape) -> _RackCapacity:
         rack = self.racks[name]
         key = (name, shape)
-        known = self._capacities.get(key)
-        if known is None or known.version != rack.version:
+        cached = self._capacities.get(key)
+        if cached is None or cached.version != rack.version:
             if len(self._capacities) > MAX_CACHED_RACK_CAPACITIES:
                 self._capacities.clear()
             by_machine = {
@@ -197,22 +199,22 @@
                 for machine, host in rack.hosts.items()
                 if (workers := host.capacity(shape)) > 0
             }
-            known = _RackCapacity(rack.version, by_machine, sum(by_machine.values()))
-            self._capacities[key] = known
-        return known
+            cached = _RackCapacity(rack.version, by_machine, sum(by_machine.values()))
+            self._capacities[key] = cached
+        return cached
 
     def machine_capacities(self, name: str, shape: ResourceShape) -> dict[str, int]:
         """Returns {machine: workers that fit} of a rack, without machines where none fits."""
-        return self._capacity(name, shape).by_machine
+        return self._cached_capacity(name, shape).by_machine
 
     def rack_capacity(self, name: str, shape: ResourceShape) -> int:
         """Returns how many workers fit into a rack."""
-        return self._capacity(name, shape).total
+        return self._cached_capacity(name, shape).total
 
-    def total_capacity(self, shape: ResourceShape) -> int:
+    def empty_capacity(self, shape: ResourceShape) -> int:
         """Returns how many workers the machines could take if all were empty."""
-        known = self._totals.get(shape)
-        if known is None or known[0] != self.stood:
+        cached = self._totals.get(shape)
+        if cached is None or cached[0] != self.capacity_version:
             if len(self._totals) > MAX_CACHED_TOTALS:
                 self._totals.clear()
             workers = sum(
@@ -220,61 +222,67 @@
                 for rack in self.racks.values()
                 for host in rack.hosts.values()
             )
-            known = self._totals[shape] = (self.stood, workers)
-        return known[1]
+            cached = self._totals[shape] = (self.capacity_version, workers)
+        return cached[1]
 
-    def mark_changed(self, machine: str, total_changed: bool = False) -> None:
+    def mark_changed(self, machine: str, empty_capacity_changed: bool = False) -> None:
         """Raises the version of a machine's rack, so that placements scored before are rejected.
 
         Args:
             machine: The machine that changed.
-            total_changed: Whether the machine's capacity when empty changed too.
+            empty_capacity_changed: Whether the machine's capacity when empty changed too.
         """
-        self.racks[self.where[machine]].version += 1
-        self.stood += total_changed
+        self.racks[self.rack_by_machine[machine]].version += 1
+        self.capacity_version += empty_capacity_changed
 
-    def reserve(self, placed: Mapping[str, int], shape: ResourceShape) -> None:
+    def reserve(self, workers_by_machine: Mapping[str, int], shape: ResourceShape) -> None:
         """Takes {machine: workers}; negative numbers give back. The caller checked that it fits."""
-        for machine, workers in placed.items():
+        for machine, workers in workers_by_machine.items():
             if workers:
                 self.host(machine).reserve(workers, shape)
-        for name in {self.where[machine] for machine, workers in placed.items() if workers}:
+        for name in {
+            self.rack_by_machine[machine]
+            for machine, workers in workers_by_machine.items()
+            if workers
+        }:
             self.racks[name].version += 1
 
-    def workers_by_rack(self, placed: Mapping[str, int]) -> dict[str, int]:
+    def workers_by_rack(self, workers_by_machine: Mapping[str, int]) -> dict[str, int]:
         """Returns {rack: workers} of {machine: workers}."""
-        found: dict[str, int] = {}
-        for machine, workers in placed.items():
-            found[self.where[machine]] = found.get(self.where[machine], 0) + workers
-        return found
+        by_rack: dict[str, int] = {}
+        for machine, workers in workers_by_machine.items():
+            by_rack[self.rack_by_machine[machine]] = (
+                by_rack.get(self.rack_by_machine[machine], 0) + workers
+            )
+        return by_rack
 
     def pick_machines(
-        self, name: str, shape: ResourceShape, workers: int, until: Ticks
+        self, name: str, shape: ResourceShape, workers: int, end: Ticks
     ) -> dict[str, int]:
         """Returns {machine: workers} of a rack for so many workers, which must fit.
 
-        Machines that no plan takes before `until` come first, then the machine that the workers
+        Machines that no plan takes before `end` come first, then the machine that the workers
         fill most closely, so that empty machines stay empty.
         """
         hosts = self.racks[name].hosts
         picked: dict[str, int] = {}
         capacities = self.machine_capacities(name, shape)
-        for planned in (False, True):
+        for has_plan in (False, True):
             usable = {
                 machine: capacity
                 for machine, capacity in capacities.items()
-                if (0 < hosts[machine].planned_removal < until) == planned
+                if (0 < hosts[machine].planned_removal < end) == has_plan
             }
             while workers and usable:
-                capacity, machine = _closest(usable, workers)
+                capacity, machine = _best_fit_machine(usable, workers)
                 picked[machine] = min(capacity, workers)
                 workers -= picked[machine]
                 del usable[machine]
         return picked
 
 
-def _closest(usable: Mapping[str, int], workers: int) -> tuple[int, str]:
+def _best_fit_machine(usable: Mapping[str, int], workers: int) -> tuple[int, str]:
     """Returns (capacity, machine) of the smallest that takes all workers, else of the largest."""
-    sizes = [(capacity, machine) for machine, capacity in usable.items()]
-    sufficient = [size for size in sizes if size[0] >= workers]
-    return min(sufficient) if sufficient else max(sizes)
+    options = [(capacity, machine) for machine, capacity in usable.items()]
+    sufficient = [option for option in options if option[0] >= workers]
+    return min(sufficient) if sufficient else max(options)
--- a/thymeknot/gang_scheduling/worker_replacement.py
+++ b/thymeknot/gang_scheduling/worker_replacement.py
@@ -6,12 +6,12 @@
 from ..interface.clock import Ticks
 from .jobs import Gang, ReplacementMethod
 from .placement_score import RackCounts, RackIndex, Scorer, Weights
-from .placement_search import Plan, choose_search, plan_of, scored_versions
+from .placement_search import Plan, choose_search, make_plan, scored_versions
 from .topology import Topology
 
 MAX_REPLACEMENT_RACKS = 8  # racks that are scored for each replaced worker
 RESTART_TICKS = 300_000  # 30 s, that a worker takes to load its state
-WHOLE_RESTARTS = 2  # restarts that moving the whole gang costs
+RESTARTS_PER_MOVE = 2  # restarts that moving the whole gang costs
 
 
 class Replacement(NamedTuple):
@@ -19,7 +19,7 @@
 
     Attributes:
         plan: The whole new placement.
-        method: Whether the workers that are left stay.
+        method: Whether the workers that are surviving stay.
     """
 
     plan: Plan
@@ -30,12 +30,12 @@
     topology: Topology,
     gang: Gang,
     now: Ticks,
-    left: Mapping[str, int],
+    surviving: Mapping[str, int],
     since_checkpoint: Ticks,
     *,
     weights: Weights | None = None,
     restart: Ticks = RESTART_TICKS,
-    remaining: Ticks | None = None,
+    remaining_run: Ticks | None = None,
 ) -> Replacement | None:
     """Finds a new placement for a gang that lost workers.
 
@@ -46,80 +46,86 @@
         topology: Racks, with what other gangs put on the uplinks.
         gang: The gang.
         now: Agreed time.
-        left: {machine: workers} that are left.
+        surviving: {machine: workers} that are surviving.
         since_checkpoint: Time that is lost since the checkpoint.
         weights: Weights of the score's terms.
         restart: Time that a worker takes to load its state.
-        remaining: How long the gang still runs; all that it was to run if it is None.
+        remaining_run: How long the gang still runs; all that it was to run if it is None.
 
     Returns:
-        The cheaper way, or None if the gang fits nowhere now.
+        The cheaper option, or None if the gang fits nowhere now.
     """
-    remaining = remaining or gang.lasts
-    missing = gang.workers - sum(left.values())
+    remaining_run = remaining_run or gang.lasts
+    missing = gang.workers - sum(surviving.values())
     scorer = Scorer(topology, gang, now, weights)
-    index = {name: position for position, name in enumerate(scorer.rack_names)}
-    own = {index[name]: workers for name, workers in topology.workers_by_rack(left).items()}
-    own_scorer = _scorer_with_own_slots(topology, gang, now, weights, own)
-    ways: list[tuple[float, ReplacementMethod, RackCounts]] = []
-    patched = _add_workers(scorer, own_scorer, own, missing)
-    if patched is not None:
+    rack_index = {name: position for position, name in enumerate(scorer.rack_names)}
+    own_counts = {
+        rack_index[name]: workers for name, workers in topology.workers_by_rack(surviving).items()
+    }
+    own_scorer = _scorer_with_own_slots(topology, gang, now, weights, own_counts)
+    options: list[tuple[float, ReplacementMethod, RackCounts]] = []
+    in_place = _add_missing_workers(scorer, own_scorer, own_counts, missing)
+    if in_place is not None:
         cost = (
-            own_scorer.total(patched) * remaining
+            own_scorer.total(in_place) * remaining_run
             + since_checkpoint
             + restart * max(1, missing) / gang.workers
         )
-        ways.append((cost, ReplacementMethod.IN_PLACE, patched))
-    moved = choose_search(scorer)
-    if moved:
-        cost = own_scorer.total(moved) * remaining + since_checkpoint + restart * WHOLE_RESTARTS
-        ways.append((cost, ReplacementMethod.WHOLE, moved))
-    if not ways:
+        options.append((cost, ReplacementMethod.IN_PLACE, in_place))
+    whole = choose_search(scorer)
+    if whole:
+        cost = (
+            own_scorer.total(whole) * remaining_run + since_checkpoint + restart * RESTARTS_PER_MOVE
+        )
+        options.append((cost, ReplacementMethod.WHOLE, whole))
+    if not options:
         return None
-    _, method, counts = min(ways, key=lambda way: way[0])
+    _, method, counts = min(options, key=lambda option: option[0])
     if method == ReplacementMethod.WHOLE:
-        return Replacement(plan_of(scorer, counts), method)
-    machines = _add_machines(scorer, left, own, counts)
+        return Replacement(make_plan(scorer, counts), method)
+    placement = _place_added_workers(scorer, surviving, own_counts, counts)
     versions = scored_versions(scorer, counts)
-    return Replacement(Plan(machines, versions, own_scorer.explain(counts)), method)
+    return Replacement(Plan(placement, versions, own_scorer.explain(counts)), method)
 
 
 def _scorer_with_own_slots(
-    topology: Topology, gang: Gang, now: Ticks, weights: Weights | None, own: RackCounts
+    topology: Topology, gang: Gang, now: Ticks, weights: Weights | None, own_counts: RackCounts
 ) -> Scorer:
     """Returns a scorer that counts the slots of the gang's own workers as capacity."""
     scorer = Scorer(topology, gang, now, weights)
-    for index, workers in own.items():
+    for index, workers in own_counts.items():
         scorer.capacity[index] += workers
         scorer.unplanned_capacity[index] += workers
     return scorer
 
 
-def _add_workers(
-    scorer: Scorer, own_scorer: Scorer, own: RackCounts, missing: int
+def _add_missing_workers(
+    scorer: Scorer, own_scorer: Scorer, own_counts: RackCounts, missing: int
 ) -> RackCounts | None:
     """Adds the missing workers, one after the other, to where each costs least.
 
     Returns:
         The whole placement, or None if they do not all fit.
     """
-    counts = dict(own)
+    counts = dict(own_counts)
     for _ in range(missing):
-        near = _replacement_racks(scorer, own, counts)
-        if not near:
+        candidates = _replacement_racks(scorer, own_counts, counts)
+        if not candidates:
             return None
-        trials = ({**counts, index: counts.get(index, 0) + 1} for index in near)
+        trials = ({**counts, index: counts.get(index, 0) + 1} for index in candidates)
         counts = min(trials, key=own_scorer.total)
     return counts
 
 
-def _replacement_racks(scorer: Scorer, own: RackCounts, counts: RackCounts) -> list[RackIndex]:
+def _replacement_racks(
+    scorer: Scorer, own_counts: RackCounts, counts: RackCounts
+) -> list[RackIndex]:
     """Returns the racks that are worth a score for one more worker, nearest first."""
     zones = {scorer.rack_zone[index] for index in counts}
     free = [
         index
         for index, capacity in enumerate(scorer.capacity)
-        if capacity > counts.get(index, 0) - own.get(index, 0)
+        if capacity > counts.get(index, 0) - own_counts.get(index, 0)
     ]
     free.sort(
         key=lambda index: (
@@ -132,17 +138,17 @@
     return free[:MAX_REPLACEMENT_RACKS]
 
 
-def _add_machines(
-    scorer: Scorer, left: Mapping[str, int], own: RackCounts, counts: RackCounts
+def _place_added_workers(
+    scorer: Scorer, surviving: Mapping[str, int], own_counts: RackCounts, counts: RackCounts
 ) -> dict[str, int]:
-    """Returns {machine: workers}: those that are left, and machines for the others."""
-    machines = dict(left)
+    """Returns {machine: workers}: those that are surviving, and machines for the others."""
+    placement = dict(surviving)
     for index, workers in counts.items():
-        more = workers - own.get(index, 0)
-        if more:
+        added = workers - own_counts.get(index, 0)
+        if added:
             picked = scorer.topology.pick_machines(
-                scorer.rack_names[index], scorer.shape, more, scorer.expected_end
+                scorer.rack_names[index], scorer.shape, added, scorer.expected_end
             )
-            for machine, some in picked.items():
-                machines[machine] = machines.get(machine, 0) + some
-    return machines
+            for machine, workers_added in picked.items():
+                placement[machine] = placement.get(machine, 0) + workers_added
+    return placement
