--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -589,7 +589,7 @@
         self.assertAlmostEqual(plan.score.total, sum(term.value * term.weight for term in terms))
         self.assertRegex(
             plan.score.explanation(),
-            r"A step takes 0.\d+ s of 10.000 s by the uplink .* takes \d+% of it.",
+            r"A step takes 0.\d+ s of 10.000 s over the uplink .* takes \d+% of it.",
         )
         self.assertEqual(sum(plan.placement.values()), 12)
 
--- a/thymeknot/gang_scheduling/__init__.py
+++ b/thymeknot/gang_scheduling/__init__.py
@@ -1,10 +1,11 @@
-"""Gangs of workers placed by rack, all or none.
+"""Gang scheduling: all workers of a gang are placed at once, or none is.
 
-Pure: no I/O, no clock, no random numbers of its own.
+This package does no I/O, reads no clock and draws no random numbers of its own.
 
-`jobs` says what a gang asks for, `topology` where workers can run, `placement_score` what a
-placement is worth and why, `placement_search` finds one, and `worker_replacement` a new one for a
-gang that lost workers. `commands` and `gang_state` are the log's commands and the replicated state,
-`gang_lifecycle` and `fairness` its rules, and `state_machine` is what the log is applied to. The
-search runs beside the log: it proposes a placement, and the state machine accepts or rejects it.
+`jobs` defines what a gang asks for, `topology` the machines and links, `placement_score` the cost
+of a placement with its explanation, `placement_search` the search for a placement, and
+`worker_replacement` the search for a new placement after a gang lost workers. `commands` defines
+the commands in the replicated log and `gang_state` the replicated state; `gang_lifecycle` and
+`fairness` hold the rules, and `state_machine` applies the log. The search runs outside the log: a
+scheduler proposes a placement, and the state machine accepts or rejects it.
 """
--- a/thymeknot/gang_scheduling/commands.py
+++ b/thymeknot/gang_scheduling/commands.py
@@ -1,6 +1,6 @@
-"""The commands of the gangs' state machine, as they stand in the replicated log.
+"""Commands of the gang scheduling state machine, as stored in the replicated log.
 
-Tags and field names are stored: a command's field `do` holds its tag.
+Tags and encoded field names are stored; a command's field `do` holds its tag.
 """
 
 from collections.abc import Iterable
@@ -14,11 +14,11 @@
 from .jobs import MAX_WORKERS, Gang, Name, NonNegativeInt, PositiveInt
 from .topology import DEFAULT_MACHINE_BANDWIDTH, MachineSpec
 
-MAX_MACHINES = 512  # machines that one command may name, which bounds an entry of the log
-MAX_BLOCKERS_IN_REPLY = 8  # names that a rejection lists, which bounds a reply
+MAX_MACHINES = 512  # machines in one command; bounds the size of a log entry
+MAX_BLOCKERS_IN_REPLY = 8  # names listed in a rejection; bounds the size of a reply
 
 Reply: TypeAlias = dict[str, Any]
-"""A reply as plain values, which goes back to the client as JSON."""
+"""A reply as plain values; the client receives it as JSON."""
 
 MachineWorkers = Annotated[
     dict[Name, Annotated[int, Meta(ge=1, le=MAX_WORKERS)]],
@@ -28,10 +28,11 @@
 
 
 class CommandRejectedError(Exception):
-    """A command was rejected and changed nothing.
+    """Raised when a command is rejected.
 
     Attributes:
-        reply: What the client gets: the sentence, who is in the way, and when to ask again.
+        reply: The reply to the client: the reason, the names of the gangs, racks, machines or
+            drains that block the command, and the ticks to wait before a retry.
     """
 
     def __init__(self, message: str, blockers: Iterable[str] = (), retry_after: Ticks = 0) -> None:
@@ -44,10 +45,10 @@
 
 
 class Command(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="do"):
-    """What all commands have.
+    """Base of all commands.
 
     Attributes:
-        part: Names the state machine among those that share the log.
+        part: Selects this state machine among those that share the log.
     """
 
     part: Literal["gangs"]
@@ -57,12 +58,12 @@
     """Adds a rack.
 
     Attributes:
-        rack: Its name.
+        rack: Name of the rack.
         zone: Name of its zone.
         cluster: Name of its cluster.
-        bandwidth: Bytes a second of its uplink.
-        machines: Its machines by name.
-        machine_bandwidth: Bytes a second of each machine's link.
+        bandwidth: Bandwidth of the rack's uplink, in bytes per second.
+        machines: The rack's machines by name.
+        machine_bandwidth: Bandwidth of each machine's link, in bytes per second.
     """
 
     rack: Name
@@ -74,11 +75,11 @@
 
 
 class SetUplink(Command, frozen=True, tag="uplink"):
-    """States the bandwidth of a zone's or cluster's uplink.
+    """Sets the bandwidth of a zone's or cluster's uplink.
 
     Attributes:
         uplink: "zone/CLUSTER/ZONE" or "cluster/CLUSTER".
-        bandwidth: Bytes a second.
+        bandwidth: Bandwidth in bytes per second.
     """
 
     uplink: Annotated[
@@ -88,11 +89,11 @@
 
 
 class SetShare(Command, frozen=True, tag="share"):
-    """States a publisher's share of all slots.
+    """Sets a publisher's guaranteed share of all slots.
 
     Attributes:
-        publisher: Its name.
-        thousandths: The share.
+        publisher: Name of the publisher.
+        thousandths: The share, in thousandths of all slots.
     """
 
     publisher: Name
@@ -100,11 +101,11 @@
 
 
 class PlanRemoval(Command, frozen=True, tag="planned"):
-    """States when machines are to go by plan.
+    """Sets when machines will be removed as planned.
 
     Attributes:
-        machines: Their names.
-        removal_time: Agreed time in ticks, 0 for never.
+        machines: Names of the machines.
+        removal_time: Agreed time of the removal in ticks, 0 for none.
     """
 
     machines: Annotated[list[Name], Meta(min_length=1, max_length=MAX_MACHINES)]
@@ -112,11 +113,11 @@
 
 
 class OfferGang(Command, frozen=True, tag="offer"):
-    """Puts a gang into the queue.
+    """Adds a gang to the queue.
 
     Attributes:
-        gang: Its name, which no gang had before.
-        job: What it asks for.
+        gang: Name of the gang; it must not have been used before.
+        job: What the gang asks for.
     """
 
     gang: Name
@@ -124,11 +125,11 @@
 
 
 class Reserve(Command, frozen=True, tag="hold"):
-    """Reserves all slots of a gang, or none.
+    """Reserves slots for all workers of a gang, or for none.
 
     Attributes:
-        gang: Its name.
-        versions: {rack: version that was scored}.
+        gang: Name of the gang.
+        versions: {rack: version at which the placement was scored}.
         placement: {machine: workers}.
     """
 
@@ -138,11 +139,11 @@
 
 
 class FencedCommand(Command, frozen=True):
-    """A command of who reserved a gang's slots.
+    """Base of the commands that only the holder of a gang's reservation may send.
 
     Attributes:
-        gang: Its name.
-        fence: Fencing token of the reservation.
+        gang: Name of the gang.
+        fence: Fencing token of the gang's latest placement.
     """
 
     gang: Name
@@ -150,11 +151,11 @@
 
 
 class Bind(FencedCommand, frozen=True, tag="bind"):
-    """Binds a reserved gang: its workers are being started."""
+    """Binds a reserved gang: its workers are about to be started."""
 
 
 class Start(FencedCommand, frozen=True, tag="start"):
-    """Reports that all workers of a gang run."""
+    """Reports that all workers of a gang are running."""
 
 
 class Checkpoint(FencedCommand, frozen=True, tag="checkpoint"):
@@ -162,15 +163,16 @@
 
 
 class Finish(FencedCommand, frozen=True, tag="done"):
-    """Reports that a gang is done."""
+    """Reports that a gang has finished."""
 
 
 class ReplaceWorkers(FencedCommand, frozen=True, tag="mend"):
     """Replaces the failed workers of a gang.
 
     Attributes:
-        versions: {rack: version that was scored}, of the racks with new workers.
-        placement: {machine: workers}, the whole new placement.
+        versions: {rack: version at which the placement was scored}, for the racks that get
+            additional workers.
+        placement: {machine: workers} of the complete new placement.
     """
 
     versions: dict[Name, NonNegativeInt]
@@ -178,21 +180,21 @@
 
 
 class Withdraw(Command, frozen=True, tag="withdraw"):
-    """Ends a gang whatever it does.
+    """Ends a gang, whatever its state.
 
     Attributes:
-        gang: Its name.
+        gang: Name of the gang.
     """
 
     gang: Name
 
 
 class Preempt(Command, frozen=True, tag="preempt"):
-    """Asks a running gang to make room after its next checkpoint.
+    """Preempts a running gang after its next checkpoint.
 
     Attributes:
-        gang: The gang that is to make room.
-        beneficiary: The gang that it makes room for.
+        gang: Name of the gang to preempt.
+        beneficiary: Name of the queued gang that needs the slots.
     """
 
     gang: Name
@@ -200,7 +202,7 @@
 
 
 class LossKind(StrEnum):
-    """What is lost."""
+    """Kind of a loss."""
 
     WORKER = "worker"
     MACHINE = "machine"
@@ -208,12 +210,12 @@
 
 
 class ReportLoss(Command, frozen=True, tag="lost"):
-    """Reports a loss.
+    """Reports the loss of a worker, a machine or a rack.
 
     Attributes:
-        kind: A worker of `gang` on machine `name`, a machine, or a rack.
-        name: The machine or rack.
-        gang: For a worker, its gang.
+        kind: What was lost; a lost worker is one of `gang` on machine `name`.
+        name: Name of the machine or rack.
+        gang: Name of the gang, for the loss of a worker only.
     """
 
     kind: LossKind
@@ -222,23 +224,23 @@
 
 
 class ReportRecovery(Command, frozen=True, tag="back"):
-    """Reports that a machine may be used again.
+    """Reports that a machine can be used again.
 
     Attributes:
-        machine: Its name.
+        machine: Name of the machine.
     """
 
     machine: Name
 
 
 class RequestDrain(Command, frozen=True, tag="drain_asked"):
-    """Asks for a machine to be emptied.
+    """Requests that a machine be drained of its workers.
 
     Attributes:
-        machine: Its name.
-        drain: Name of the drain, which has the machine from now on.
-        use_budget: Whether to take the machine at once if no gang on it then misses more
-            workers than it can spare.
+        machine: Name of the machine.
+        drain: Name of the drain, which owns the machine from now on.
+        use_budget: Whether to drain the machine at once if every gang on it can then spare its
+            missing workers.
     """
 
     machine: Name
@@ -247,7 +249,7 @@
 
 
 class Tick(Command, frozen=True, tag="tick"):
-    """Lets time pass: leases expire before any command."""
+    """Advances the agreed time; expired leases are processed before every command."""
 
 
 AnyCommand: TypeAlias = Union[
--- a/thymeknot/gang_scheduling/fairness.py
+++ b/thymeknot/gang_scheduling/fairness.py
@@ -1,4 +1,4 @@
-"""Which gang is next: priority, age, publishers' shares and preemption."""
+"""Queue order and preemption: priority, waiting time and publishers' shares."""
 
 from collections.abc import Mapping
 from typing import NamedTuple, TypeAlias
@@ -12,16 +12,19 @@
 SHARE_UNITS = 1000  # shares are in thousandths of all slots
 
 QueueKey: TypeAlias = tuple[int, int, int]
-"""(1 if it would borrow from other publishers else 0, -priority with age, number): least first."""
+"""(1 if the gang would exceed its publisher's share else 0, -effective priority, number).
+
+The gang with the smallest key is first.
+"""
 
 
 class _Objection(NamedTuple):
-    """A reason against a preemption.
+    """A possible reason to reject a preemption.
 
     Attributes:
-        applies: Whether it holds.
-        reason: The reason.
-        retry_after: Ticks until it makes sense to ask again, 0 if not known.
+        applies: Whether the reason applies.
+        reason: Text of the rejection.
+        retry_after: Ticks to wait before a retry, 0 if unknown.
     """
 
     applies: bool
@@ -30,20 +33,20 @@
 
 
 class Fairness:
-    """The order of the queue and the rules of preemption, over one state."""
+    """Queue order and preemption rules of one replicated state."""
 
     def __init__(self, state: Snapshot, settings: GangSettings) -> None:
         self._state = state
         self._settings = settings
-        # Slots by publisher, summed once for each command, since each waiting gang asks.
+        # Used slots by publisher; computed once per command, because every queued gang needs them.
         self._used_slots: dict[str, int] | None = None
 
     def invalidate(self) -> None:
-        """Forgets what was summed up before the state changed."""
+        """Discards the cached sums; call it whenever the state has changed."""
         self._used_slots = None
 
     def queue(self) -> list[str]:
-        """Returns the offered gangs in the order in which they are due, without backoffs."""
+        """Returns the queued gangs in scheduling order, without those in backoff."""
         waiting = [
             (self._queue_key(name), name)
             for name, record in self._state.gangs.items()
@@ -54,13 +57,14 @@
     def check_queue_order(
         self, name: str, record: GangRecord, placement: Mapping[str, int]
     ) -> None:
-        """Keeps capacity for a gang that is due before another.
+        """Holds capacity for a gang that is ahead in the queue.
 
-        A gang that waited long, and one within its publisher's share, gets capacity kept by those
-        who come after. The order is total and nobody blocks the first, so none waits in a ring.
+        Capacity is held for a gang that has waited long and for a gang within its publisher's
+        share, against the gangs behind it. The order is total and the first gang is never blocked,
+        so gangs cannot wait for each other in a cycle.
 
         Raises:
-            CommandRejectedError: A gang that is due first would find no capacity after this one.
+            CommandRejectedError: A gang ahead would not fit any more once this one is placed.
         """
         head_name = self._protected_head(name)
         if head_name is None:
@@ -74,7 +78,7 @@
             )
 
     def _protected_head(self, name: str) -> str | None:
-        """Returns the first gang for which capacity is kept against the named one."""
+        """Returns the first gang in the queue for which capacity is held against the named gang."""
         state = self._state
         own_key = self._queue_key(name)
         first: tuple[QueueKey, str] | None = None
@@ -99,7 +103,7 @@
     def _head_capacity_after(
         self, record: GangRecord, placement: Mapping[str, int], head: Gang
     ) -> int:
-        """Returns how many of the head's workers fit once a gang has its places."""
+        """Returns how many workers of the head gang fit once a gang has its placement."""
         topology = self._state.topology
         head_shape = head.resource_shape()
         shape = record.gang.resource_shape()
@@ -113,10 +117,10 @@
         return capacity
 
     def check_preemption(self, command: Preempt, victim: GangRecord, waiting: GangRecord) -> None:
-        """Checks whether a gang may be asked to make room for another.
+        """Checks whether a gang may be preempted in favor of another.
 
         Raises:
-            CommandRejectedError: It may not.
+            CommandRejectedError: The preemption is not allowed.
         """
         for objection in self._objections(command, victim, waiting):
             if objection.applies:
@@ -127,7 +131,7 @@
     def _objections(
         self, command: Preempt, victim: GangRecord, waiting: GangRecord
     ) -> list[_Objection]:
-        """Returns all reasons that can speak against a preemption, the first one first."""
+        """Returns the possible rejections of a preemption; the first that applies is reported."""
         settings = self._settings
         pending = [record for record in self._state.gangs.values() if record.preempted_by]
         promised_workers = sum(
@@ -192,9 +196,9 @@
         )
 
     def _is_over_share(self, gang: Gang, extra_workers: int = 0) -> bool:
-        """Returns whether a gang's publisher is over its share, with so many workers more.
+        """Returns whether a gang's publisher exceeds its share, given additional workers.
 
-        Without any shares nobody is.
+        If no shares are set, no publisher exceeds its share.
         """
         state = self._state
         if not state.shares:
--- a/thymeknot/gang_scheduling/gang_lifecycle.py
+++ b/thymeknot/gang_scheduling/gang_lifecycle.py
@@ -1,4 +1,4 @@
-"""Moves gangs along the table of transitions: slots, leases, fencing tokens and backoff."""
+"""Applies the transition table to gangs: slots, leases, fencing tokens and backoff."""
 
 import binascii
 from collections.abc import Callable, Iterable, Mapping
@@ -8,16 +8,16 @@
 from .gang_state import STATES_WITH_LEASE, TRANSITIONS, GangEffect, GangInput, GangRecord, Snapshot
 from .settings import GangSettings
 
-MAX_BACKOFF_DOUBLINGS = 20  # so that the backoff stays a small integer before its limit applies
+MAX_BACKOFF_DOUBLINGS = 20  # keeps the integer small before the maximum backoff applies
 
 
 class TransitionDetails(NamedTuple):
-    """What comes with an input.
+    """Parameters of an input.
 
     Attributes:
-        placement: {machine: workers}, the whole new placement.
-        removed: {machine: workers} that are lost or taken.
-        reason: Reason of an end, for people.
+        placement: {machine: workers} of the complete new placement.
+        removed: {machine: workers} that were lost or drained.
+        reason: Human-readable reason why a gang ends.
     """
 
     placement: Mapping[str, int] = {}
@@ -26,7 +26,7 @@
 
 
 class GangLifecycle:
-    """The transitions of all gangs of one state."""
+    """Transitions of the gangs of one replicated state."""
 
     def __init__(self, state: Snapshot, settings: GangSettings) -> None:
         self._state = state
@@ -45,10 +45,10 @@
         }
 
     def get(self, name: str) -> GangRecord:
-        """Returns a gang that is not over.
+        """Returns a gang that has not ended.
 
         Raises:
-            CommandRejectedError: It is over or was never offered.
+            CommandRejectedError: The gang has ended or was never offered.
         """
         if name in self._state.gangs:
             return self._state.gangs[name]
@@ -68,17 +68,18 @@
         """Applies an input to a gang.
 
         Args:
-            name: The gang.
+            name: Name of the gang.
             gang_input: The input.
-            placement: See `TransitionDetails`; so are the others.
-            removed: See there.
-            reason: See there.
+            placement: See `TransitionDetails`.
+            removed: See `TransitionDetails`.
+            reason: See `TransitionDetails`.
 
         Returns:
-            The gang.
+            The gang's record.
 
         Raises:
-            CommandRejectedError: The gang is not known, or its state does not take the input.
+            CommandRejectedError: No gang of this name exists, or the input is not valid in its
+                state.
         """
         record = self.get(name)
         rule = TRANSITIONS.get((record.state, gang_input))
@@ -97,7 +98,10 @@
         return record
 
     def expire_leases(self) -> None:
-        """Applies what is due by now, in the order of the gangs' numbers on each replica."""
+        """Applies expired leases and preemption deadlines.
+
+        Gangs are processed in the order of their numbers, which is the same on all replicas.
+        """
         for name, record in list(self._state.gangs.items()):
             if record.state in STATES_WITH_LEASE and record.lease_expiry <= self._state.now:
                 self.transition(name, GangInput.EXPIRE)
@@ -105,10 +109,10 @@
                 self.preempt_or_clear(name, record)
 
     def preempt_or_clear(self, name: str, record: GangRecord) -> bool:
-        """Preempts a gang if the one that it makes room for still waits; forgets it otherwise.
+        """Preempts a gang if the beneficiary is still queued, else cancels the preemption.
 
         Returns:
-            Whether it was preempted.
+            Whether the gang was preempted.
         """
         if self._state.is_offered(record.preempted_by):
             self.transition(name, GangInput.PREEMPTED)
@@ -117,14 +121,14 @@
         return False
 
     def remove_workers(self, machines: Iterable[str], gang_input: GangInput) -> list[str]:
-        """Takes all workers off machines.
+        """Removes all workers from machines.
 
         Args:
             machines: Names of the machines.
-            gang_input: LOST or DRAINED.
+            gang_input: The reason, LOST or DRAINED.
 
         Returns:
-            Names of the gangs that had workers there.
+            Names of the gangs that had workers on the machines.
         """
         machine_names = set(machines)
         affected = []
@@ -140,7 +144,7 @@
         return affected
 
     def set_placement(self, record: GangRecord, placement: Mapping[str, int]) -> None:
-        """Reserves and gives back what differs between a gang's placement and a new one."""
+        """Sets a gang's placement, and reserves or releases the slots that differ."""
         deltas = {
             machine: placement.get(machine, 0) - record.placement.get(machine, 0)
             for machine in sorted({*placement, *record.placement})
@@ -169,7 +173,7 @@
         record.last_checkpoint = self._state.now
 
     def _change_placement(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
-        """Gives a new fencing token, so that workers of before the loss are fenced off."""
+        """Sets the new placement under a new fencing token, which fences off earlier workers."""
         self.set_placement(record, details.placement)
         record.fence = self._next_fence()
         record.lease_expiry = self._state.now + self._settings.start_lease
@@ -186,10 +190,10 @@
         record.lease_expiry = self._state.now + self._settings.replacement_lease
 
     def _requeue(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
-        """Puts a gang back into the queue with its age, after a backoff.
+        """Returns a gang to the queue after a backoff; its waiting time keeps counting.
 
-        The backoff doubles and has jitter by name, so that many gangs that lost their leases
-        together do not come together again.
+        The backoff doubles with each failed lease. Its jitter is derived from the name, so that
+        gangs whose leases failed together do not all retry at the same time.
         """
         self.set_placement(record, {})
         record.failed_leases += 1
@@ -202,7 +206,10 @@
             self.transition(name, GangInput.EXHAUSTED, reason=reason)
 
     def _yield_slots(self, name: str, record: GangRecord, details: TransitionDetails) -> None:
-        """Starts the waiting anew: by its old age it would be ahead of whom it made room for."""
+        """Releases the slots of a preempted gang and restarts its waiting time.
+
+        With its earlier waiting time it would be ahead of the gang for which it was preempted.
+        """
         self.set_placement(record, {})
         record.preemptions += 1
         record.waiting_since = self._state.now
--- a/thymeknot/gang_scheduling/gang_state.py
+++ b/thymeknot/gang_scheduling/gang_state.py
@@ -1,4 +1,4 @@
-"""The replicated state of gangs: a gang's states and transitions, and the snapshot of all of it."""
+"""The replicated state: the states and transitions of a gang, and the snapshot of all gangs."""
 
 from enum import StrEnum
 from typing import NamedTuple
@@ -10,20 +10,20 @@
 
 
 class GangState(StrEnum):
-    """Where a gang is in its life. The values are stored."""
+    """State of a gang. The values are stored."""
 
-    OFFERED = "offered"  # in the queue
-    RESERVED = "held"  # has all its slots, by a lease
-    BOUND = "bound"  # its workers are being started, by a lease
+    OFFERED = "offered"  # waiting in the queue
+    RESERVED = "held"  # all its slots are reserved, under a lease
+    BOUND = "bound"  # its workers are being started, under a lease
     RUNNING = "running"
-    DEGRADED = "hurt"  # lost workers that are to be replaced, by a lease
-    MOVING = "moving"  # all its workers are being started elsewhere, by a lease
+    DEGRADED = "hurt"  # some workers are missing and must be replaced, under a lease
+    MOVING = "moving"  # all its workers are being started elsewhere, under a lease
     DONE = "done"
-    REFUSED = "refused"
+    REFUSED = "refused"  # withdrawn, or too many of its leases failed
 
 
 class GangInput(StrEnum):
-    """What can happen to a gang. The values appear in replies."""
+    """Event that can change a gang's state. The values appear in replies."""
 
     RESERVE = "hold"
     BIND = "bind"
@@ -34,14 +34,14 @@
     REPLACE_WHOLE = "mend whole"
     WITHDRAW = "withdraw"
     PREEMPTED = "preempted"
-    LOST = "lost"
-    DRAINED = "taken"  # by a drain
-    EXPIRE = "lapse"  # of the lease
-    EXHAUSTED = "exhausted"  # too many leases expired in a row
+    LOST = "lost"  # some workers were lost
+    DRAINED = "taken"  # some workers were removed by a drain
+    EXPIRE = "lapse"  # the lease expired
+    EXHAUSTED = "exhausted"  # too many consecutive leases failed
 
 
 class GangEffect(StrEnum):
-    """What a transition does. The values are stored, as keys of counters."""
+    """Action of a transition. The values are stored, as keys of `Snapshot.counters`."""
 
     RESERVE_SLOTS = "take"
     RENEW_LEASE = "renew"
@@ -56,11 +56,11 @@
 
 
 class Transition(NamedTuple):
-    """What an input does in a state.
+    """Result of an input in a state.
 
     Attributes:
         state: The next state.
-        effect: What is done on the way.
+        effect: The action that goes with the transition.
     """
 
     state: GangState
@@ -73,7 +73,7 @@
 _TO_DEGRADED = Transition(GangState.DEGRADED, GangEffect.REMOVE_WORKERS)
 _MORE_DEGRADED = Transition(GangState.DEGRADED, GangEffect.REMOVE_MORE_WORKERS)
 
-# A pair that is not here is rejected and changes nothing.
+# An input is rejected in a state for which it is not listed.
 TRANSITIONS: dict[tuple[GangState, GangInput], Transition] = {
     (GangState.OFFERED, GangInput.RESERVE): Transition(
         GangState.RESERVED, GangEffect.RESERVE_SLOTS
@@ -82,7 +82,7 @@
     (GangState.OFFERED, GangInput.WITHDRAW): _TO_REFUSED,
     (GangState.RESERVED, GangInput.BIND): Transition(GangState.BOUND, GangEffect.RENEW_LEASE),
     (GangState.RESERVED, GangInput.EXPIRE): _TO_QUEUE,
-    # All or none: what is left of a reservation reserves nothing.
+    # All or none: a reservation that lost slots is released as a whole.
     (GangState.RESERVED, GangInput.LOST): _TO_QUEUE,
     (GangState.RESERVED, GangInput.DRAINED): _TO_QUEUE,
     (GangState.RESERVED, GangInput.WITHDRAW): _TO_REFUSED,
@@ -95,7 +95,7 @@
     ),
     (GangState.RUNNING, GangInput.PREEMPTED): Transition(GangState.OFFERED, GangEffect.YIELD_SLOTS),
     (GangState.RUNNING, GangInput.LOST): _TO_DEGRADED,
-    # A drain takes workers after a checkpoint, or as a unit of the gang's budget.
+    # A drain removes workers after a checkpoint, or within the gang's disruption budget.
     (GangState.RUNNING, GangInput.DRAINED): _TO_DEGRADED,
     (GangState.RUNNING, GangInput.FINISH): Transition(GangState.DONE, GangEffect.END),
     (GangState.RUNNING, GangInput.WITHDRAW): _TO_REFUSED,
@@ -132,23 +132,25 @@
 
 
 class GangRecord(msgspec.Struct):
-    """A gang and where it is in its life. Field names are stored keys; times are agreed, in ticks.
+    """State of a gang that has not ended.
+
+    The encoded field names are stored. Times are agreed times in ticks.
 
     Attributes:
-        gang: What it asks for.
-        number: Its number, in the order of offers.
-        waiting_since: When its waiting began.
+        gang: What the gang asks for.
+        number: Sequence number, in the order in which gangs were offered.
+        waiting_since: Start of the current wait in the queue.
         state: Its state.
         placement: {machine: workers}.
-        fence: Fencing token of its latest placement.
-        lease_expiry: When its lease expires, 0 for none.
-        failed_leases: Leases that expired or were lost in a row.
-        backoff_until: When its backoff ends.
-        last_checkpoint: When it last started or wrote a checkpoint.
-        preemptions: How often it was preempted.
-        preempted_by: Name of the gang that it is to make room for, or empty.
-        preemption_deadline: When it makes room at the latest.
-        why: Stored and not used.
+        fence: Fencing token of the latest placement.
+        lease_expiry: Time at which the lease expires, 0 for no lease.
+        failed_leases: Consecutive leases that expired or were lost.
+        backoff_until: End of the backoff.
+        last_checkpoint: Time of the latest start or checkpoint.
+        preemptions: How often the gang was preempted.
+        preempted_by: Name of the queued gang for which a preemption is pending, or empty.
+        preemption_deadline: Time at which a pending preemption takes place at the latest.
+        why: Unused; kept because it is stored.
     """
 
     gang: Gang
@@ -168,17 +170,17 @@
 
 
 class Snapshot(msgspec.Struct):
-    """All of the state, as it is written down and read back. Field names are stored keys.
+    """The complete replicated state. The encoded field names are stored.
 
     Attributes:
         now: Agreed time of the latest command, in ticks.
         last_fence: The latest fencing token.
-        last_number: The latest gang's number.
-        topology: The racks.
-        gangs: Gangs that are not over, by name, in the order of their numbers.
-        ended: How gangs ended, by name, the oldest first.
-        shares: Thousandths of all slots by publisher.
-        counters: How often each effect and rejection happened.
+        last_number: The sequence number of the latest gang.
+        topology: The racks and uplinks.
+        gangs: Gangs that have not ended, by name, in the order of their numbers.
+        ended: Outcomes of ended gangs by name, oldest first.
+        shares: Shares by publisher, in thousandths of all slots.
+        counters: Number of transitions by effect, and of rejections.
     """
 
     now: int = msgspec.field(default=0, name="at")
@@ -191,13 +193,13 @@
     counters: dict[str, int] = msgspec.field(default_factory=dict, name="counted")
 
     def count(self, event: str) -> None:
-        """Counts one event."""
+        """Increments the counter of an event."""
         self.counters[event] = self.counters.get(event, 0) + 1
 
     def is_offered(self, name: str) -> bool:
-        """Returns whether the gang is known and waits in the queue."""
+        """Returns whether a gang exists and waits in the queue."""
         return name in self.gangs and self.gangs[name].state == GangState.OFFERED
 
     def remaining_lease(self, record: GangRecord) -> int:
-        """Returns the ticks until a gang's lease expires, 0 if it has none."""
+        """Returns the ticks until a gang's lease expires, or 0 if it has no lease."""
         return max(0, record.lease_expiry - self.now) if record.lease_expiry else 0
--- a/thymeknot/gang_scheduling/jobs.py
+++ b/thymeknot/gang_scheduling/jobs.py
@@ -1,8 +1,8 @@
-"""A gang: workers that step together, and the bytes that cross the boundary of a part of them.
+"""Gangs: workers that run synchronized steps, and the traffic that they exchange.
 
-Ranks are assigned in the order of clusters, zones and racks, so the workers under one uplink are
-always one contiguous range of ranks. The bytes that cross the uplink then follow from the two ends
-of the range, and a score needs no list of half a million pairs.
+Ranks are assigned in the order of clusters, zones and racks, so the workers below an uplink always
+form one contiguous range of ranks. The bytes that cross the uplink therefore depend only on the
+bounds of that range, and scoring does not need to enumerate up to half a million pairs of workers.
 """
 
 from collections.abc import Callable
@@ -13,21 +13,21 @@
 import msgspec
 from msgspec import Meta
 
-MIN_WORKERS = 2  # workers: one worker alone exchanges nothing
-MAX_WORKERS = 512  # workers in one gang, which bounds a search and a command
-MAX_MATRIX_PARTS = 64  # rows of a traffic matrix, which bounds a command
-MAX_RESOURCE_KINDS = 16  # kinds of resources that a worker may need
+MIN_WORKERS = 2  # a single worker exchanges no data
+MAX_WORKERS = 512  # workers per gang; bounds the search and the size of a command
+MAX_MATRIX_PARTS = 64  # rows of a traffic matrix; bounds the size of a command
+MAX_RESOURCE_KINDS = 16  # distinct resources that a worker may need
 
 Name = Annotated[str, Meta(pattern=r"\A[A-Za-z0-9_.:/-]{1,64}\Z")]
 NonNegativeInt = Annotated[int, Meta(ge=0, le=1 << 50)]
 PositiveInt = Annotated[int, Meta(ge=1, le=1 << 50)]
 
 ResourceShape: TypeAlias = tuple[tuple[str, int], ...]
-"""What one worker needs beside its slot: sorted (resource, amount), without zero amounts."""
+"""Resources that a worker needs besides its slot: sorted (resource, amount), no zero amounts."""
 
 
 class TrafficPattern(StrEnum):
-    """How the workers of a gang exchange data in a step."""
+    """How the workers of a gang exchange data in each step."""
 
     RING = "ring"
     ALL_TO_ALL = "all"
@@ -37,30 +37,30 @@
 
 
 class ReplacementMethod(StrEnum):
-    """How the failed workers of a gang are replaced."""
+    """How the lost workers of a gang are replaced. The values appear in replies."""
 
-    IN_PLACE = "in place"  # the workers that are left stay where they are
-    WHOLE = "whole"  # all workers move
+    IN_PLACE = "in place"  # the surviving workers stay where they are
+    WHOLE = "whole"  # all workers are placed anew
 
 
 class Gang(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a publisher asks for. Its field names are stored keys.
+    """What a publisher asks for. The field names are stored.
 
     Attributes:
         workers: Number of workers.
         pattern: A value of `TrafficPattern`; `validation_error` checks it.
-        bytes: Bytes that a worker sends in a step (ring, pipeline, tree: over each of its edges,
-            each way it has).
-        target: Duration that a step should take, in ticks.
-        publisher: Who owns the gang; shares are by publisher.
+        bytes: Bytes that each worker sends per step (ring, pipeline and tree: over each of its
+            edges, in each direction of the edge).
+        target: Target duration of a step, in ticks.
+        publisher: Owner of the gang; shares are assigned by publisher.
         checkpoint: Interval between checkpoints, in ticks.
-        needs: Amount of each resource that one worker needs beside its slot.
-        priority: Higher is scheduled first.
-        lasts: How long it is expected to run, in ticks; only the score reads it.
-        spare: How many workers may be out at once without the gang's leave, which a drain may take
-            as a unit.
-        matrix: For the pattern "matrix"; row a says what each worker of part a sends to all of
-            part b together.
+        needs: Amount of each resource that a worker needs besides its slot.
+        priority: Gangs of higher priority are scheduled first.
+        lasts: Expected duration of the run, in ticks; only the score uses it.
+        spare: Disruption budget: how many workers may be missing at once without waiting for a
+            checkpoint, so that a drain can take them.
+        matrix: Traffic of the pattern "matrix". The workers are split into equal parts;
+            `matrix[a][b]` is the bytes per step from each worker of part a to part b in total.
     """
 
     workers: Annotated[int, Meta(ge=MIN_WORKERS, le=MAX_WORKERS)]
@@ -76,20 +76,20 @@
     matrix: Annotated[list[list[NonNegativeInt]], Meta(max_length=MAX_MATRIX_PARTS)] = []
 
     def resource_shape(self) -> ResourceShape:
-        """Returns what one worker needs beside its slot, in a form that can be a key."""
+        """Returns the resources that a worker needs besides its slot, in hashable form."""
         return tuple(sorted((name, amount) for name, amount in self.needs.items() if amount))
 
     def crossing_bytes(self, low: int, high: int) -> float:
-        """Returns the bytes a step between ranks low to high (exclusive) and the rest.
+        """Returns the bytes per step between the ranks low to high (exclusive) and all others.
 
-        The two directions may differ; the fuller one counts.
+        Where the two directions differ, the result is the larger one.
         """
         if (low == 0 and high == self.workers) or low == high:
             return 0
         return CROSSING_BYTES_BY_PATTERN[self.pattern](self, low, high)
 
     def busiest_worker_bytes(self) -> int:
-        """Returns the least that the busiest worker sends or receives on its own link in a step."""
+        """Returns a lower bound of the bytes per step on the link of the busiest worker."""
         if self.pattern == TrafficPattern.MATRIX:
             columns: list[int] = [sum(column) for column in zip(*self.matrix)]
             rows = [sum(row) for row in self.matrix]
@@ -112,9 +112,9 @@
 
 @cache
 def tree_parents(workers: int) -> tuple[int, ...]:
-    """Returns each rank's parent (-1 for the root) in a binary tree in preorder.
+    """Returns the parent of each rank (-1 for the root) in a binary tree in preorder.
 
-    Subtrees are contiguous ranges, so a range of ranks cuts few edges.
+    Subtrees are contiguous ranges of ranks, so few edges cross the boundary of a range.
     """
     parents = [-1] * workers
     pending_ranges = [(0, workers)]
@@ -164,7 +164,7 @@
     TrafficPattern.MATRIX: _matrix_crossing,
 }
 
-# Edges over which the busiest worker of a pattern sends `Gang.bytes` in a step.
+# Number of edges over which the busiest worker sends `Gang.bytes` per step.
 BUSIEST_WORKER_EDGES: dict[str, int] = {
     TrafficPattern.RING: 1,
     TrafficPattern.ALL_TO_ALL: 1,
@@ -174,7 +174,7 @@
 
 
 def validation_error(gang: Gang) -> str | None:
-    """Returns one message on why a well-formed gang is still invalid, or None."""
+    """Returns why a gang of valid types is still invalid, or None if it is valid."""
     parts = len(gang.matrix)
     is_matrix = gang.pattern == TrafficPattern.MATRIX
     for invalid, message in (
--- a/thymeknot/gang_scheduling/placement_score.py
+++ b/thymeknot/gang_scheduling/placement_score.py
@@ -1,7 +1,7 @@
-"""What a placement is worth: terms that the operator weighs, less is better, each with a sentence.
+"""The cost of a placement: weighted terms, each with an explanation; lower is better.
 
-A placement is a number of workers for each rack. Everything here is outside the replicated state,
-so it may use floats.
+A placement is scored by its number of workers in each rack. Nothing here is part of the replicated
+state, so floats are safe.
 """
 
 from collections.abc import Mapping
@@ -13,31 +13,32 @@
 from .jobs import Gang
 from .topology import Topology
 
-MIN_TRAFFIC = 1e-6  # bytes a second; less is a rounding error of adding and taking away
-RANK_RANGE_KEY_BASE = 1024  # above MAX_WORKERS, so that two ranks make one integer key
-MACHINE_LINK: Final = "machine"  # the bottleneck where a worker's own link is slowest
+MIN_TRAFFIC = 1e-6  # bytes per second; less is a rounding error of adding and subtracting traffic
+RANK_RANGE_KEY_BASE = 1024  # above MAX_WORKERS, so that a pair of ranks maps to one integer
+MACHINE_LINK: Final = "machine"  # the bottleneck if a worker's own link is the slowest
 
 RackIndex: TypeAlias = int
 """A rack's position in `Topology.rack_order()`."""
 
 RackCounts: TypeAlias = dict[RackIndex, int]
-"""A placement: {rack index: workers}, without zeros."""
+"""A placement by rack: {rack index: workers}, without zeros."""
 
 Bottleneck: TypeAlias = int | str
-"""The slowest link: a rack index, the name of a site's uplink, or `MACHINE_LINK`."""
+"""The slowest link: a rack index (its uplink), the name of a site's uplink, or `MACHINE_LINK`."""
 
 
 @dataclass(frozen=True)
 class Weights:
-    """How much each term of a score counts.
+    """Weight of each term of a score; `ScoreTermValues` defines the terms.
 
     Attributes:
-        step: Predicted duration of a step over its target.
-        harm: By how much links that others use would be overloaded, summed: the fullest link alone
-            would hide what a gang that is too much for any place does to a small one at its side.
-        fragments: Capacity left over in racks that were broken into, in racks.
-        planned: Share of the workers that are in the way of a planned drain, wave or move.
-        loss: Share of the workers that the loss of one rack takes.
+        step: Weight of the step duration.
+        harm: Weight of the overload of shared links. It is a sum, because the most loaded link
+            alone would hide the harm that a gang too large for any placement does to a small gang
+            next to it.
+        fragments: Weight of the fragmentation of racks.
+        planned: Weight of the workers on machines with a planned removal.
+        loss: Weight of the workers that the loss of one rack would remove.
     """
 
     step: float = 1.0
@@ -51,12 +52,13 @@
     """The unweighted terms of a score.
 
     Attributes:
-        step: Predicted duration of a step over its target.
-        bottleneck: The link that decides `step`.
-        harm: Overload of links that others use, summed.
-        fragments: Capacity left over in racks that were broken into, in racks.
-        planned: Share of the workers in the way of a planned drain, wave or move.
-        loss: Share of the workers in the fullest rack.
+        step: Predicted duration of a step, as a ratio to its target.
+        bottleneck: The link that determines `step`.
+        harm: Sum of the overload of links that other gangs use, each as a ratio to the target.
+        fragments: Capacity left over in the racks that the placement uses, in units of racks.
+        planned: Share of the workers on machines that are planned to be removed before the gang
+            ends (by a drain, wave or move).
+        loss: Share of the workers in the rack with the most workers.
         fullest: Index of that rack, -1 if there is none.
     """
 
@@ -73,9 +75,9 @@
     """One term of a score.
 
     Attributes:
-        value: The term.
-        weight: What it is multiplied by.
-        explanation: What it means, for people.
+        value: The unweighted value.
+        weight: The weight.
+        explanation: Human-readable explanation.
     """
 
     value: float
@@ -88,15 +90,15 @@
     """A score with its explanation.
 
     Attributes:
-        total: Sum of value by weight.
-        terms: The terms by name, as in `Weights`.
+        total: Weighted sum of the terms.
+        terms: The terms by name; the names are those in `Weights`.
     """
 
     total: float
     terms: dict[str, ScoreTerm]
 
     def explanation(self) -> str:
-        """Returns the sentences of all terms."""
+        """Returns the explanations of all terms as one text."""
         return " ".join(term.explanation for term in self.terms.values())
 
 
@@ -105,8 +107,8 @@
 
     Attributes:
         link: Name of its uplink.
-        background_load: Share of the uplink that others use already.
-        load_per_byte: Steps over target that one byte a step adds to the uplink.
+        background_load: Load of the uplink by other gangs, as a ratio to its bandwidth.
+        load_per_byte: Load that one byte per step adds, as a ratio to the target of the step.
     """
 
     link: str
@@ -115,20 +117,21 @@
 
 
 LinkLoad: TypeAlias = tuple[float, float, Bottleneck]
-"""(predicted step over target by an uplink, share of it that others use already, the uplink).
+"""(step duration as a ratio to the target, background load of the link, link).
 
-A plain tuple, since a search makes thousands: a named one takes several times as long to make.
+A plain tuple, because a search creates thousands of them and creating a named tuple takes several
+times as long.
 """
 
 
 def add_traffic(topology: Topology, gang: Gang, counts: Mapping[str, int], sign: int = 1) -> None:
-    """Adds a gang's traffic to the uplinks.
+    """Adds a gang's traffic to `Topology.link_traffic`, or subtracts it.
 
     Args:
-        topology: Where the traffic is kept, in `link_traffic`.
-        gang: Who sends.
+        topology: The topology that is updated.
+        gang: The gang.
         counts: {rack name: workers}.
-        sign: 1 to add, -1 to take away.
+        sign: 1 to add the traffic, -1 to subtract it.
     """
     for link, crossing in uplink_traffic(topology, gang, counts):
         traffic = (
@@ -153,7 +156,7 @@
 def uplink_traffic(
     topology: Topology, gang: Gang, counts: Mapping[str, int]
 ) -> list[tuple[str, float]]:
-    """Returns (link, bytes a step) of each uplink that the gang's traffic crosses."""
+    """Returns (link, bytes per step) for each uplink that the gang's traffic crosses."""
     low = 0
     ranges: dict[str, tuple[int, int]] = {}
     for name in topology.rack_order():
@@ -171,23 +174,26 @@
 
 
 class Scorer:
-    """Scores of one gang over the places as they are now; made anew when they change.
+    """Scores placements of one gang on the current topology.
 
-    Lists are by rack index.
+    A scorer becomes invalid when the topology changes. Lists are indexed by rack index.
 
     Attributes:
         rack_names: Names of the racks.
-        capacity: Workers that fit.
-        unplanned_capacity: Workers that fit on machines that no plan takes before the gang's end.
-        slots: Slots, at least 1.
-        rack_background_load: Share of the uplink that others use already.
-        rack_load_per_byte: Steps over target that one byte a step adds to the uplink.
+        capacity: Number of workers that fit.
+        unplanned_capacity: Number of workers that fit on machines without a planned removal before
+            the expected end of the gang.
+        slots: Number of slots, at least 1.
+        rack_background_load: Load of the rack's uplink by other gangs, as a ratio to its bandwidth.
+        rack_load_per_byte: Load that one byte per step adds to the rack's uplink, as a ratio to the
+            target of the step.
         rack_zone: Index into `sites` of the rack's zone.
         rack_cluster: Index into `sites` of the rack's cluster.
         sites: The zones and clusters.
-        expected_end: Agreed time in ticks at which the gang should end.
-        min_step: Least duration of a step over its target, by the machines' own links.
-        evaluations: How many placements were scored.
+        expected_end: Agreed time in ticks at which the gang is expected to end.
+        min_step: Lower bound of the step duration, as a ratio to its target, from the machines'
+            own links.
+        evaluations: Number of placements scored so far.
     """
 
     def __init__(
@@ -224,7 +230,7 @@
         )
 
     def _add_rack(self, name: str) -> None:
-        """Appends one rack to the lists."""
+        """Appends a rack to the lists."""
         rack = self.topology.racks[name]
         capacity = self.topology.rack_capacity(name, self.shape)
         by_machine = self.topology.machine_capacities(name, self.shape)
@@ -243,7 +249,7 @@
         self.rack_cluster.append(self._site(cluster_link))
 
     def _site(self, link: str) -> int:
-        """Returns the index of a site, which is added if it is new."""
+        """Returns the index of a site; a new site is added."""
         if link not in self._site_index:
             self._site_index[link] = len(self.sites)
             bandwidth = self.topology.uplinks.get(link, inf)
@@ -252,11 +258,11 @@
         return self._site_index[link]
 
     def _background_load(self, link: str, bandwidth: float) -> float:
-        """Returns the share of the link that others use already."""
+        """Returns the load of a link by other gangs, as a ratio to its bandwidth."""
         return self.topology.link_traffic.get(link, 0.0) / max(1, bandwidth)
 
     def crossing_bytes(self, low: int, high: int) -> float:
-        """Returns `Gang.crossing_bytes`, from a cache."""
+        """Returns `Gang.crossing_bytes`, cached."""
         key = low * RANK_RANGE_KEY_BASE + high
         cached = self._crossing_bytes.get(key)
         if cached is None:
@@ -264,7 +270,13 @@
         return cached
 
     def rack_step(self, index: RackIndex, low: int, high: int) -> float:
-        """Returns the predicted step over target by the rack's uplink, for ranks low to high."""
+        """Returns the predicted step duration on a rack's uplink, as a ratio to the target.
+
+        Args:
+            index: The rack.
+            low: First rank in the rack.
+            high: End of the ranks in the rack (exclusive).
+        """
         crossing = self.crossing_bytes(low, high)
         return (
             self.rack_background_load[index] + crossing * self.rack_load_per_byte[index]
@@ -279,15 +291,15 @@
         return step, site.background_load, site.link
 
     def rack_term_values(self, index: RackIndex, workers: int) -> tuple[float, float]:
-        """Returns the terms (fragments, planned) of so many workers in the rack."""
+        """Returns (fragments, planned) that a number of workers in a rack contributes."""
         fragments = (self.capacity[index] - workers) / self.slots[index]
         return fragments, max(0, workers - self.unplanned_capacity[index]) / self.workers
 
     def _link_loads(self, counts: RackCounts, order: list[RackIndex]) -> list[LinkLoad]:
-        """Returns the loads of the uplinks that the placement uses.
+        """Returns the loads of the uplinks that a placement uses.
 
-        A site comes after the last of its racks. The order decides how floats are summed and which
-        of two equal links is named.
+        A site follows the last of its racks. The order determines in which order floats are summed
+        and which of two equally slow links is reported.
         """
         loads: list[LinkLoad] = []
         zone = cluster = -1
@@ -314,7 +326,7 @@
         return loads
 
     def term_values(self, counts: RackCounts) -> ScoreTermValues:
-        """Returns the unweighted terms of a placement."""
+        """Returns the unweighted terms of a placement's score."""
         self.evaluations += 1
         order = sorted(counts)
         slowest_step = self.min_step
@@ -348,7 +360,7 @@
         )
 
     def total(self, counts: RackCounts) -> float:
-        """Returns the weighted sum of a placement's terms."""
+        """Returns the score of a placement: the weighted sum of its terms."""
         values = self.term_values(counts)
         weights = self.weights
         return (
@@ -360,7 +372,7 @@
         )
 
     def explain(self, counts: RackCounts) -> Score:
-        """Returns the score of a placement with its sentences."""
+        """Returns the score of a placement with an explanation of each term."""
         values = self.term_values(counts)
         weights = self.weights
         loss = ""
@@ -373,17 +385,18 @@
             "harm": ScoreTerm(
                 values.harm,
                 weights.harm,
-                f"Links that others use would be over full by {values.harm:.0%} together.",
+                f"Links that other gangs use would be overloaded by {values.harm:.0%} in total.",
             ),
             "fragments": ScoreTerm(
                 values.fragments,
                 weights.fragments,
-                f"It leaves {values.fragments:.2f} racks' room over in {len(counts)} racks.",
+                f"It leaves the capacity of {values.fragments:.2f} racks unused "
+                f"in {len(counts)} racks.",
             ),
             "planned": ScoreTerm(
                 values.planned,
                 weights.planned,
-                f"{values.planned:.0%} of it stands where a drain, wave or move is planned "
+                f"{values.planned:.0%} of it is on machines with a drain, wave or move planned "
                 "before its end.",
             ),
             "loss": ScoreTerm(values.loss, weights.loss, loss),
@@ -396,12 +409,12 @@
             where = f"the uplink of rack {self.rack_names[link]}"
             background = self.rack_background_load[link]
         elif link == MACHINE_LINK:
-            where = "a worker's own machine"
+            where = "the link of a machine"
             background = 0.0
         else:
             where = f"the uplink of {link}"
             background = self.sites[self._site_index[link]].background_load
         return (
             f"A step takes {values.step * self.target_seconds:.3f} s of "
-            f"{self.target_seconds:.3f} s by {where}, which others fill to {background:.0%}."
+            f"{self.target_seconds:.3f} s over {where}, which other gangs load to {background:.0%}."
         )
--- a/thymeknot/gang_scheduling/placement_search.py
+++ b/thymeknot/gang_scheduling/placement_search.py
@@ -1,7 +1,7 @@
-"""Finds where a gang goes: by branch and bound where few racks matter, else by a heuristic.
+"""Finds a placement for a gang: by branch and bound for small problems, else by a heuristic.
 
-What comes out is a proposal: the replicated state accepts it only against the versions that were
-scored here.
+The result is a proposal; the state machine accepts it only if the racks are still at the versions
+that were scored here.
 """
 
 from collections.abc import Callable, Iterable, Iterator
@@ -14,15 +14,15 @@
 from .placement_score import RackCounts, RackIndex, Score, Scorer, Weights
 from .topology import Topology
 
-MAX_EXACT_DISTRIBUTIONS = 3_000  # ways to distribute the workers, up to which all are searched
-MAX_EVALUATIONS = 700  # scores that the heuristic's improvement may ask for: 30 to 60 us each
-MAX_IMPROVED_STARTS = 4  # best starts that are improved; they share MAX_EVALUATIONS
+MAX_EXACT_DISTRIBUTIONS = 3_000  # distributions of workers up to which the exact search is used
+MAX_EVALUATIONS = 700  # scores computed to improve heuristic placements; 30 to 60 us each
+MAX_IMPROVED_STARTS = 4  # best starting placements that are improved; they share MAX_EVALUATIONS
 MIN_IMPROVEMENT = 1e-12  # of a score; less is a rounding error
-MAX_SAME_ZONE_CANDIDATES = (
-    12  # free racks of the placement's own zones that a round of moves looks at
+MAX_SAME_ZONE_CANDIDATES = 12  # other racks in the placement's zones, per round of moves
+MAX_OTHER_CANDIDATES = 4  # additional racks in any zone, per round of moves
+SPARE_CAPACITY_WEIGHT = (
+    0.1  # weight of a rack's free share relative to its load in the ranking of racks
 )
-MAX_OTHER_CANDIDATES = 4  # racks of anywhere that a round of moves looks at beside them
-SPARE_CAPACITY_WEIGHT = 0.1  # of a rack's free share against its load when racks are ranked
 
 
 @dataclass(frozen=True)
@@ -31,8 +31,8 @@
 
     Attributes:
         placement: {machine: workers}.
-        versions: {rack: version that was scored}.
-        score: Why here and not elsewhere.
+        versions: {rack: version at which the placement was scored}.
+        score: The score, which explains the choice.
     """
 
     placement: dict[str, int]
@@ -41,17 +41,17 @@
 
 
 class RandomSource(Protocol):
-    """What `random_fit` draws from; `thymeknot.state.random_source` has one."""
+    """Random numbers for `random_fit`; `thymeknot.state.random_source` implements it."""
 
     def draw(self) -> float:
-        """Returns a number from 0 to below 1."""
+        """Returns a random number in [0, 1)."""
 
 
 SearchMethod: TypeAlias = Callable[[Scorer], RackCounts | None]
-"""Finds a placement, or None if the gang fits nowhere now."""
+"""Finds a placement, or returns None if the gang does not fit at present."""
 
 _Move: TypeAlias = tuple[RackIndex, RackIndex, int]
-"""(source, target, workers): workers below 0 go the other way."""
+"""(source, target, workers); a negative number moves workers from target to source."""
 
 
 def find_placement(
@@ -64,14 +64,14 @@
     """Finds a placement for a gang.
 
     Args:
-        topology: Racks, with what other gangs put on the uplinks.
+        topology: The racks, with the traffic of other gangs.
         gang: The gang.
-        now: Agreed time.
-        weights: Weights of the score's terms.
-        search: The search method; `choose_search` if it is None.
+        now: Agreed time in ticks.
+        weights: Weights of the score's terms; default weights if None.
+        search: The search method; `choose_search` if None.
 
     Returns:
-        A plan, or None if the gang fits nowhere now.
+        A plan, or None if the gang does not fit at present.
     """
     scorer = Scorer(topology, gang, now, weights)
     counts = (search or choose_search)(scorer)
@@ -79,13 +79,13 @@
 
 
 def scored_versions(scorer: Scorer, counts: RackCounts) -> dict[str, int]:
-    """Returns {rack: version that was scored} of a placement."""
+    """Returns {rack: current version} for the racks of a placement."""
     racks = scorer.topology.racks
     return {scorer.rack_names[index]: racks[scorer.rack_names[index]].version for index in counts}
 
 
 def make_plan(scorer: Scorer, counts: RackCounts) -> Plan:
-    """Returns the plan of a placement, with a machine for each worker."""
+    """Returns the plan of a placement, with the workers assigned to machines."""
     placement: dict[str, int] = {}
     for index, workers in counts.items():
         placement.update(
@@ -101,7 +101,7 @@
 
 
 def choose_search(scorer: Scorer) -> RackCounts | None:
-    """Finds a placement by whichever search fits the size, or None."""
+    """Finds a placement by the exact search if the problem is small, else by the heuristic."""
     racks = len(_usable_racks(scorer))
     if racks and comb(scorer.workers + racks - 1, racks - 1) <= MAX_EXACT_DISTRIBUTIONS:
         return exact_search(scorer)
@@ -109,10 +109,10 @@
 
 
 class _BranchAndBound:
-    """Goes through all distributions of the workers over the racks that may beat the best one.
+    """Searches all distributions of the workers over racks that may improve on the best one.
 
-    The bound is what the racks decided so far cost for certain, and the least that any distribution
-    of the rest adds to one rack's loss; every term only grows with what is still to come.
+    The lower bound of a partial distribution is the cost of the racks decided so far, with the
+    `loss` term of their fullest rack. It is valid because no term decreases as workers are added.
     """
 
     def __init__(self, scorer: Scorer, racks: list[RackIndex], best: RackCounts) -> None:
@@ -121,7 +121,9 @@
         self._scorer = scorer
         self._racks = racks
         self._counts: RackCounts = {}
-        self._capacity_from = [0] * (len(racks) + 1)  # workers that the racks from here on take
+        self._capacity_from = [0] * (
+            len(racks) + 1
+        )  # workers that fit in the racks from this position on
         for position in range(len(racks) - 1, -1, -1):
             capacity = min(scorer.workers, scorer.capacity[racks[position]])
             self._capacity_from[position] = self._capacity_from[position + 1] + capacity
@@ -129,14 +131,14 @@
     def search_from(
         self, position: int, placed: int, step: float, cost: float, fullest: int
     ) -> None:
-        """Tries all numbers of workers for the next rack.
+        """Tries all possible numbers of workers for the next rack and searches on from each.
 
         Args:
-            position: Position of the rack in the list of racks.
-            placed: Workers that are placed.
-            step: The slowest step so far.
-            cost: Weighted fragments and plans so far.
-            fullest: Workers in the fullest rack so far.
+            position: Position of the next rack in the list of racks.
+            placed: Number of workers placed so far.
+            step: Longest step duration so far, as a ratio to the target.
+            cost: Weighted sum of the terms `fragments` and `planned` so far.
+            fullest: Number of workers in the rack with the most workers so far.
         """
         scorer = self._scorer
         if placed == scorer.workers:
@@ -169,7 +171,10 @@
 
 
 def exact_search(scorer: Scorer) -> RackCounts | None:
-    """Finds the best placement there is, or None. Its time grows with the distributions."""
+    """Finds the placement with the lowest score, or returns None if the gang does not fit.
+
+    The time grows with the number of distributions of the workers over the racks.
+    """
     racks = _usable_racks(scorer)
     if sum(min(scorer.workers, scorer.capacity[index]) for index in racks) < scorer.workers:
         return None
@@ -182,7 +187,7 @@
 
 
 def _fill_in_order(scorer: Scorer, racks: Iterable[RackIndex]) -> RackCounts | None:
-    """Fills racks in their order until all workers are placed; None if they are not."""
+    """Fills racks in the given order; returns None if not all workers fit."""
     counts: RackCounts = {}
     unplaced = scorer.workers
     for index in racks:
@@ -196,7 +201,7 @@
 
 
 def _fill_evenly(scorer: Scorer, racks: list[RackIndex]) -> RackCounts | None:
-    """Topology the same number in each rack as far as they fit; None if not all are placed."""
+    """Distributes the workers evenly within the capacities; returns None if not all fit."""
     counts: RackCounts = {}
     unplaced = scorer.workers
     for filled_racks, index in enumerate(sorted(racks, key=lambda index: scorer.capacity[index])):
@@ -209,7 +214,7 @@
 
 
 def _racks_by_site(scorer: Scorer, usable: list[RackIndex]) -> list[list[RackIndex]]:
-    """Returns the racks of each zone, of each cluster and of all together."""
+    """Returns the usable racks of each zone, of each cluster and of all sites."""
     all_sites = -1
     sites: dict[int, list[RackIndex]] = {}
     for index in usable:
@@ -219,14 +224,15 @@
 
 
 def _load_with_gang(scorer: Scorer, index: RackIndex) -> float:
-    """Returns about what the rack's uplink would carry with a part of the gang in it."""
+    """Returns an estimate of the load of a rack's uplink if a part of the gang were in it."""
     return scorer.rack_background_load[index] + scorer.rack_load_per_byte[index] * scorer.gang.bytes
 
 
 def _rack_orders(scorer: Scorer, racks: list[RackIndex]) -> Iterator[list[RackIndex]]:
-    """Yields orders in which racks may be filled.
+    """Yields orders in which to fill racks.
 
-    By capacity, by capacity without plans, by load, and racks that are in use already first.
+    They are: largest capacity, largest capacity without planned removals, least load, and racks
+    that are already in use before empty ones.
     """
     capacity = scorer.capacity
     load = {index: _load_with_gang(scorer, index) for index in racks}
@@ -239,10 +245,10 @@
 
 
 def _starting_placements(scorer: Scorer) -> Iterator[RackCounts]:
-    """Yields placements to improve.
+    """Yields starting placements for the heuristic search.
 
-    Each rack that takes all, and each site that is large enough, filled in several orders or evenly
-    over some of its racks.
+    They are: each rack that fits all workers, and each site with enough capacity, filled in several
+    orders or evenly over some of its racks.
     """
     usable = _usable_racks(scorer)
     for index in usable:
@@ -267,7 +273,7 @@
 def _candidate_moves(
     scorer: Scorer, counts: RackCounts, candidates: list[RackIndex]
 ) -> Iterator[_Move]:
-    """Yields moves of some workers from one rack to another, the fullest racks first."""
+    """Yields moves of workers between racks, from the racks with the most workers first."""
     capacity = scorer.capacity
     for source in sorted(counts, key=lambda index: -counts[index]):
         workers = counts[source]
@@ -284,7 +290,7 @@
 def _candidate_swaps(
     scorer: Scorer, counts: RackCounts, candidates: list[RackIndex]
 ) -> Iterator[_Move]:
-    """Yields moves by which two racks with capacity for each other's workers swap them."""
+    """Yields moves that swap the workers of two racks, if both have the capacity."""
     capacity = scorer.capacity
     for rack in counts:
         for other in candidates:
@@ -297,7 +303,7 @@
 
 
 def _apply_move(scorer: Scorer, counts: RackCounts, move: _Move) -> RackCounts | None:
-    """Returns the placement after a move, or None if an earlier move made it impossible."""
+    """Returns the placement after a move, or None if an earlier move made it invalid."""
     source, target, workers = move
     source_workers = counts.get(source, 0) - workers
     target_workers = counts.get(target, 0) + workers
@@ -315,7 +321,7 @@
 def _candidate_racks(
     scorer: Scorer, counts: RackCounts, ranked: list[RackIndex]
 ) -> list[RackIndex]:
-    """Returns the placement's racks, some of its zones, and the best of anywhere."""
+    """Returns the placement's racks, then the best others in its zones, then in any zone."""
     zones = {scorer.rack_zone[index] for index in counts}
     in_zones = [
         index for index in ranked if index not in counts and scorer.rack_zone[index] in zones
@@ -329,13 +335,19 @@
 def _improve(
     scorer: Scorer, counts: RackCounts, value: float, budget: int
 ) -> tuple[RackCounts, float]:
-    """Improves a placement by moves while they help and the budget of scores lasts.
+    """Improves a placement by local search.
+
+    Each move that lowers the score is applied at once; finding the best of all moves would require
+    a score for each of them.
 
-    It takes the first move that helps and goes on from there: the best of all moves would cost as
-    many scores as there are moves.
+    Args:
+        scorer: Scores of the gang.
+        counts: The placement.
+        value: Score of the placement.
+        budget: Number of placements that may be scored.
 
     Returns:
-        The placement and its score.
+        The improved placement and its score.
     """
     evaluation_limit = scorer.evaluations + budget
     ranked = sorted(
@@ -364,7 +376,10 @@
 
 
 def heuristic_search(scorer: Scorer) -> RackCounts | None:
-    """Finds a good placement quickly: the best of many starts, improved. None if none fits."""
+    """Finds a good placement quickly, or returns None if the gang does not fit.
+
+    The best of many starting placements are improved by local search.
+    """
     seen: set[tuple[tuple[int, int], ...]] = set()
     starts: list[tuple[float, tuple[tuple[int, int], ...]]] = []
     for counts in _starting_placements(scorer):
@@ -383,12 +398,12 @@
 
 
 def first_fit(scorer: Scorer) -> RackCounts | None:
-    """Fills racks in their order: a baseline."""
+    """Fills racks in index order; a baseline."""
     return _fill_in_order(scorer, range(len(scorer.capacity)))
 
 
 def random_fit(random_source: RandomSource) -> SearchMethod:
-    """Returns a search that fills racks in any order: a baseline."""
+    """Returns a search that fills racks in random order; a baseline."""
 
     def fit(scorer: Scorer) -> RackCounts | None:
         racks = range(len(scorer.capacity))
@@ -398,11 +413,11 @@
 
 
 def pack_fullest_first(scorer: Scorer) -> RackCounts | None:
-    """Fills the racks that are fullest already first: a baseline."""
+    """Fills racks in the order of their free capacity, least first; a baseline."""
     racks = range(len(scorer.capacity))
     return _fill_in_order(scorer, sorted(racks, key=lambda index: (scorer.capacity[index], index)))
 
 
 def spread_evenly(scorer: Scorer) -> RackCounts | None:
-    """Spreads the workers evenly over all racks: a baseline."""
+    """Distributes the workers evenly over all racks; a baseline."""
     return _fill_evenly(scorer, _usable_racks(scorer))
--- a/thymeknot/gang_scheduling/settings.py
+++ b/thymeknot/gang_scheduling/settings.py
@@ -1,4 +1,4 @@
-"""What the operator may set for gangs."""
+"""Operator settings of gang scheduling."""
 
 import msgspec
 
@@ -6,22 +6,27 @@
 
 
 class GangSettings(msgspec.Struct, frozen=True):
-    """Limits of the gangs' state machine. Durations in ticks; the field names are the operator's.
+    """Limits of the gang scheduling state machine.
+
+    Durations are in ticks. The encoded field names are the operator's.
 
     Attributes:
-        reservation_lease: Lease from the reservation to the bind.
-        start_lease: Lease from the bind, or from a replacement of workers, to the start.
-        replacement_lease: Lease from the loss of workers to their replacement.
-        priority_aging_interval: Each such time of waiting is worth one step of priority.
-        capacity_hold_wait: A gang that waited so long gets capacity kept for it.
-        starvation_wait: A gang that waited so long counts as within its publisher's share.
-        max_failed_leases: Leases of one gang that may expire in a row.
-        initial_backoff: Backoff after the first; it doubles after each further one.
-        max_backoff: Longest backoff.
-        max_preemptions: Preemptions in a gang's life.
-        max_pending_preemptions: Gangs that are being preempted at once.
-        max_remembered_gangs: Gangs remembered that are done or refused.
-        max_active_gangs: Gangs that may be known at once.
+        reservation_lease: Duration of the lease from the reservation to the bind.
+        start_lease: Duration of the lease from the bind, or from a replacement of workers, to the
+            start.
+        replacement_lease: Duration of the lease from the loss of workers to their replacement.
+        priority_aging_interval: Waiting time after which the priority of a queued gang rises by 1.
+        capacity_hold_wait: Waiting time after which capacity is held for a queued gang.
+        starvation_wait: Waiting time after which a gang counts as within its publisher's share.
+        max_failed_leases: Consecutive leases of a gang that may expire or be lost before it is
+            rejected for good.
+        initial_backoff: Backoff after the first failed lease; it doubles with each further one.
+            Also the retry delay of rejections for lack of capacity.
+        max_backoff: Upper limit of the backoff.
+        max_preemptions: How often one gang can be preempted.
+        max_pending_preemptions: Preemptions that may be pending at once.
+        max_remembered_gangs: Ended gangs whose names and outcomes are remembered.
+        max_active_gangs: Gangs that may be queued or placed at once.
     """
 
     reservation_lease: int = msgspec.field(default=10 * TICKS_PER_SECOND, name="hold")
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -1,11 +1,11 @@
-"""The replicated state machine of gangs: the commands of the log and their replies.
+"""The replicated state machine for gang scheduling: applies commands of the log and replies.
 
-`GangStateMachine.apply(now, command)` is what the log is applied to. It knows no time but the
-agreed one, draws no random numbers and decides nothing by floats, so all replicas come to the same
-state. A bad command is rejected with a sentence.
+`GangStateMachine.apply(now, command)` applies one entry of the log. It uses only the agreed time,
+draws no random numbers and makes no decision by floats, so all replicas reach the same state. An
+invalid command is rejected with a reason.
 
-Nothing here waits while it has a part: a reservation takes all of a gang's slots or none, so two
-gangs can't have half of theirs each.
+A reservation takes all slots of a gang or none, so two gangs cannot each hold a part of their slots
+and wait for the rest.
 """
 
 from collections.abc import Callable, Mapping
@@ -47,9 +47,11 @@
 from .settings import GangSettings
 from .topology import DuplicateMachineError, Topology
 
-MAX_PARSE_ERROR_LENGTH = 200  # characters of a parser's message in a reply
-STALE_RETRY_TICKS = TICKS_PER_SECOND // 100  # a new score is quick
-MIN_DRAIN_RETRY_TICKS = TICKS_PER_SECOND // 10  # a drain that waits asks no more often
+MAX_PARSE_ERROR_LENGTH = 200  # characters of a validation error that a reply contains
+STALE_RETRY_TICKS = TICKS_PER_SECOND // 100  # scoring again is quick
+MIN_DRAIN_RETRY_TICKS = (
+    TICKS_PER_SECOND // 10
+)  # minimum interval between retries of a waiting drain
 
 _INPUT_OF_METHOD = {
     ReplacementMethod.IN_PLACE: GangInput.REPLACE_IN_PLACE,
@@ -58,7 +60,7 @@
 
 
 class GangStateMachine:
-    """The state and its commands. Not thread-safe; each replica has its own, all alike."""
+    """The replicated state and its commands. Not thread-safe; each replica has its own instance."""
 
     def __init__(self, settings: GangSettings | None = None) -> None:
         self.settings = settings or GangSettings()
@@ -88,20 +90,21 @@
         self.lifecycle = GangLifecycle(state, self.settings)
         self._fairness = Fairness(state, self.settings)
 
-    # What the log asks for.
+    # Interface to the replicated log.
 
     def apply(self, now: Ticks, command: Any) -> Reply:
-        """Applies one command. Raises nothing.
+        """Applies one command; never raises, even for a malformed one.
 
-        Leases expire before the command is looked at: it is an entry of the log as a tick is.
+        Leases expire before the command is parsed, because even an invalid command is an entry of
+        the log that advances the agreed time.
 
         Args:
-            now: Agreed time.
-            command: Plain values that should be one of `AnyCommand`.
+            now: Agreed time in ticks.
+            command: Plain values, normally of one of `AnyCommand`.
 
         Returns:
-            {"ok": True, ...}, or {"refused", "by", "again"} with a sentence, the gangs or racks in
-            the way, and the ticks until it makes sense to ask again.
+            {"ok": True, ...}, or {"refused", "by", "again"}: the reason, the names of what blocks
+            the command, and the ticks to wait before a retry.
         """
         try:
             self.state.now = max(self.state.now, now)
@@ -123,23 +126,23 @@
         return error.reply
 
     def image(self) -> Any:
-        """Returns all of the state as plain values, which `load` takes back."""
+        """Returns the complete state as plain values, for `load`."""
         return msgspec.to_builtins(self.state)
 
     def load(self, image: Any) -> None:
-        """Replaces the state.
+        """Replaces the state with one that `image` returned.
 
         Raises:
-            msgspec.ValidationError: That is no state.
+            msgspec.ValidationError: The image is not a valid state.
         """
         self._attach(msgspec.convert(image, Snapshot))
 
-    # For schedulers, which only read.
+    # Queries by schedulers.
 
     def topology_with_traffic(self) -> Topology:
-        """Returns the racks with the traffic of each gang that runs or is about to.
+        """Returns the topology with the traffic of all gangs that run or are being started.
 
-        It is valid until the next command.
+        The result is valid until the next command.
         """
         topology = self.state.topology
         topology.link_traffic.clear()
@@ -149,11 +152,11 @@
         return topology
 
     def queue(self) -> list[str]:
-        """Returns the offered gangs in the order in which they are due, without backoffs."""
+        """Returns the queued gangs in scheduling order, without those in backoff."""
         self._fairness.invalidate()
         return self._fairness.queue()
 
-    # Commands about racks and machines.
+    # Commands for racks and machines.
 
     def _add_rack(self, command: AddRack) -> None:
         if command.rack in self.state.topology.racks:
@@ -224,9 +227,9 @@
         self.state.topology.mark_changed(command.machine, empty_capacity_changed=True)
 
     def _request_drain(self, command: RequestDrain) -> Reply:
-        """Empties a machine, which takes no new workers from now on.
+        """Drains a machine; it accepts no new workers from now on, even if this is rejected.
 
-        A rejection says when to ask again; the machine stays closed for new workers.
+        A rejection tells when to retry.
         """
         machine = command.machine
         self._check_machine(machine)
@@ -251,9 +254,9 @@
         return {"gangs": self.lifecycle.remove_workers([machine], GangInput.DRAINED)}
 
     def _can_drain_now(self, record: GangRecord, command: RequestDrain) -> bool:
-        """Returns whether a drain may take a gang's workers off a machine now."""
+        """Returns whether a drain may remove a gang's workers from a machine now."""
         if record.state in (GangState.DEGRADED, GangState.RESERVED):
-            return True  # it stands still, or was never told of its places
+            return True  # it makes no progress, or its workers were not started yet
         if record.state != GangState.RUNNING:
             return False
         placed = sum(record.placement.values())
@@ -263,12 +266,12 @@
         )
 
     def _drain_wait(self, record: GangRecord) -> Ticks:
-        """Returns the ticks until a gang's next checkpoint or the end of its lease."""
+        """Returns the ticks until a gang's next checkpoint or the expiry of its lease."""
         if record.state == GangState.RUNNING:
             return record.last_checkpoint + record.gang.checkpoint - self.state.now
         return self.state.remaining_lease(record)
 
-    # Commands about gangs.
+    # Commands for gangs.
 
     def _offer_gang(self, command: OfferGang) -> None:
         name = command.gang
@@ -329,7 +332,11 @@
         self.lifecycle.transition(command.gang, GangInput.FINISH)
 
     def _checkpoint(self, command: Checkpoint) -> Reply:
-        """Says what the gang has to do next: "go on", "yield" (it has no slots now) or "mend"."""
+        """Records a checkpoint and replies what the gang must do next.
+
+        "go on" continues the run, "yield" stops it because the gang was preempted and has lost its
+        slots, and "mend" requires that the workers removed by a drain be replaced.
+        """
         name = command.gang
         self._check_fence(command)
         record = self.lifecycle.transition(name, GangInput.CHECKPOINT)
@@ -373,10 +380,10 @@
         self.lifecycle.transition(command.gang, GangInput.WITHDRAW, reason="withdrawn")
 
     def _preempt(self, command: Preempt) -> Reply:
-        """Asks a running gang to make room after its next checkpoint.
+        """Marks a running gang to be preempted after its next checkpoint.
 
-        If it owes that checkpoint by a whole interval, it is taken back to the last one it wrote: a
-        gang that hangs is not safe from everybody.
+        A gang that is overdue with this checkpoint by a whole interval is preempted anyway and
+        resumes from its last one; otherwise a gang that hangs could never be preempted.
         """
         victim = self.lifecycle.get(command.gang)
         waiting = self.lifecycle.get(command.beneficiary)
@@ -386,9 +393,9 @@
         return {"until": victim.preemption_deadline}
 
     def _tick(self, command: Tick) -> None:
-        """Does nothing: leases expired before."""
+        """Does nothing; `apply` has already expired the leases."""
 
-    # Rules.
+    # Shared rules.
 
     def _expire_leases(self) -> None:
         self.lifecycle.expire_leases()
@@ -396,7 +403,7 @@
     def _check_capacity(
         self, record: GangRecord, placement: Mapping[str, int], versions: Mapping[str, int]
     ) -> None:
-        """Rejects unless the places have capacity and their racks are as they were scored."""
+        """Checks that a placement fits and that its racks are at the versions that were scored."""
         topology = self.state.topology
         for machine in placement:
             self._check_machine(machine)
@@ -423,7 +430,7 @@
             )
 
     def _check_fence(self, command: FencedCommand) -> GangRecord:
-        """Returns the gang, if the command has the fencing token of its latest placement."""
+        """Returns the gang if the command has the fencing token of its latest placement."""
         record = self.lifecycle.get(command.gang)
         if command.fence != record.fence:
             raise CommandRejectedError(
--- a/thymeknot/gang_scheduling/topology.py
+++ b/thymeknot/gang_scheduling/topology.py
@@ -1,8 +1,8 @@
-"""Where workers can run: machines in racks, racks in zones, zones in clusters, and the uplinks.
+"""The topology that gangs run on: machines in racks, racks in zones, zones in clusters, uplinks.
 
-Bandwidth is in bytes a second each way. A rack's version goes up with whatever changes its capacity
-or its prospects. A placement commits only against the versions that were scored, and that alone
-keeps two schedulers apart.
+Bandwidth is in bytes per second in each direction. A rack's version increases with each change of
+its capacity or planned removals. A placement is accepted only if its racks are still at the
+versions that were scored; this check alone resolves conflicts between concurrent schedulers.
 """
 
 from collections.abc import Mapping
@@ -13,26 +13,26 @@
 from ..interface.clock import Ticks
 from .jobs import Name, NonNegativeInt, ResourceShape
 
-DEFAULT_MACHINE_BANDWIDTH = 3_125_000_000  # bytes a second: 25 Gbit/s, where a rack states none
-MAX_CACHED_RACK_CAPACITIES = 4096  # entries by rack and shape; the cache is emptied beyond it
-MAX_CACHED_TOTALS = 256  # entries by shape; the cache is emptied beyond it
+DEFAULT_MACHINE_BANDWIDTH = 3_125_000_000  # bytes per second (25 Gbit/s), for a rack that sets none
+MAX_CACHED_RACK_CAPACITIES = 4096  # entries by rack and shape; a fuller cache is cleared
+MAX_CACHED_TOTALS = 256  # entries by shape; a fuller cache is cleared
 
 
 class DuplicateMachineError(ValueError):
-    """A new rack names a machine that is in another rack."""
+    """Raised when a new rack contains a machine that is already in another rack."""
 
 
 class Host(msgspec.Struct, omit_defaults=True):
-    """A machine. Its field names are stored keys.
+    """A machine and its free capacity. The encoded field names are stored.
 
     Attributes:
-        slots: Workers that the machine can take when it is empty.
-        free_slots: Slots that are free.
-        resources: Amount of each resource of the machine.
-        free_resources: Amount of each resource that is free.
-        draining_for: Name of the drain that asked for the machine, or empty.
-        lost: Whether the machine is lost.
-        planned_removal: Agreed time in ticks at which it is to go by plan, 0 if never.
+        slots: Number of workers that the empty machine can run.
+        free_slots: Number of free slots.
+        resources: Total amount of each resource.
+        free_resources: Free amount of each resource.
+        draining_for: Name of the drain that owns the machine, or empty.
+        lost: Whether the machine was reported lost.
+        planned_removal: Agreed time in ticks at which the machine will be removed, 0 for none.
     """
 
     slots: int
@@ -44,40 +44,40 @@
     planned_removal: int = msgspec.field(default=0, name="planned")
 
     def capacity(self, shape: ResourceShape) -> int:
-        """Returns how many more workers fit; none on a machine that drains or is lost."""
+        """Returns how many more workers fit; 0 on a machine that drains or is lost."""
         if self.draining_for or self.lost:
             return 0
         capacity = self.free_slots
         free = self.free_resources
         for name, amount in shape:
             workers = free.get(name, 0) // amount
-            if workers < capacity:  # noqa: PLR1730 (a search asks this a million times; a call costs more)
+            if workers < capacity:  # noqa: PLR1730 (called a million times per search; min() is slower)
                 capacity = workers
         return capacity
 
     def empty_capacity(self, shape: ResourceShape) -> int:
-        """Returns how many workers would fit if nobody else were on the machine."""
+        """Returns how many workers would fit if the machine were empty; 0 if it is lost."""
         if self.lost:
             return 0
         return min([self.slots, *(self.resources.get(name, 0) // amount for name, amount in shape)])
 
     def reserve(self, workers: int, shape: ResourceShape) -> None:
-        """Takes slots and resources for so many workers; a negative number gives them back."""
+        """Reserves slots and resources for workers; a negative number releases them."""
         self.free_slots -= workers
         for name, amount in shape:
             self.free_resources[name] = self.free_resources.get(name, 0) - workers * amount
 
 
 class Rack(msgspec.Struct):
-    """A rack. Its field names are stored keys.
+    """A rack of machines. The encoded field names are stored.
 
     Attributes:
         zone: Name of its zone.
         cluster: Name of its cluster.
-        bandwidth: Bytes a second of its uplink.
-        machine_bandwidth: Bytes a second of each of its machines' links.
-        hosts: Its machines by name.
-        version: Goes up with each change of capacity or prospects.
+        bandwidth: Bandwidth of its uplink, in bytes per second.
+        machine_bandwidth: Bandwidth of each machine's link, in bytes per second.
+        hosts: The rack's machines by name.
+        version: Increases with each change of capacity or planned removals.
         slots: Sum of the machines' slots.
     """
 
@@ -91,10 +91,10 @@
 
 
 class MachineSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A machine as the operator states it.
+    """A machine as described in the command that adds its rack.
 
     Attributes:
-        slots: Workers that the machine can take.
+        slots: Number of workers that the machine can run.
         resources: Amount of each resource.
     """
 
@@ -103,11 +103,11 @@
 
 
 class _RackCapacity(NamedTuple):
-    """Cached capacity of a rack for one shape.
+    """Cached capacity of a rack for one resource shape.
 
     Attributes:
-        version: The rack's version that was read.
-        by_machine: {machine: workers that fit}, without machines where none fits.
+        version: The rack's version at which the capacity was computed.
+        by_machine: {machine: workers that fit}, without machines on which none fits.
         total: Sum of `by_machine`.
     """
 
@@ -117,14 +117,15 @@
 
 
 class Topology(msgspec.Struct, dict=True):
-    """All racks and the uplinks above them. Its field names are stored keys.
+    """All racks and the uplinks above them. The encoded field names are stored.
 
     Attributes:
         racks: Racks by name.
-        uplinks: Bytes a second by "zone/CLUSTER/ZONE" or "cluster/CLUSTER"; one that nobody stated
-            is no limit.
+        uplinks: Bandwidth in bytes per second of "zone/CLUSTER/ZONE" and "cluster/CLUSTER"; an
+            uplink that is not listed has unlimited bandwidth.
         rack_by_machine: Name of the rack of each machine.
-        capacity_version: Goes up with each change of what could be there at all.
+        capacity_version: Increases with each change of the machines' capacity when empty.
+        link_traffic: Traffic of placed gangs in bytes per second by uplink; derived, not stored.
     """
 
     racks: dict[str, Rack] = {}
@@ -133,13 +134,12 @@
     capacity_version: int = msgspec.field(default=0, name="stood")
 
     def __post_init__(self) -> None:
-        """Sets what is derived and not stored."""
+        """Initializes the caches and other derived attributes, which are not stored."""
         self._capacities: dict[tuple[str, ResourceShape], _RackCapacity] = {}
-        self._totals: dict[
-            ResourceShape, tuple[int, int]
-        ] = {}  # shape: (capacity_version, workers)
+        # By shape: (capacity_version, workers).
+        self._totals: dict[ResourceShape, tuple[int, int]] = {}
         self._rack_order: list[str] | None = None
-        # Bytes a second that placed gangs send over each uplink, kept by `placement_score`.
+        # Maintained by `placement_score.add_traffic`.
         self.link_traffic: dict[str, float] = {}
 
     def add_rack(
@@ -152,10 +152,10 @@
         *,
         machine_bandwidth: int = DEFAULT_MACHINE_BANDWIDTH,
     ) -> None:
-        """Adds a rack of machines by name.
+        """Adds a rack with its machines, given by name.
 
         Raises:
-            DuplicateMachineError: A machine is in a rack already.
+            DuplicateMachineError: A machine is already in a rack.
         """
         for machine in machines:
             if machine in self.rack_by_machine:
@@ -173,13 +173,13 @@
         self._rack_order = None
 
     def host(self, machine: str) -> Host:
-        """Returns a machine by name."""
+        """Returns the machine of a name."""
         return self.racks[self.rack_by_machine[machine]].hosts[machine]
 
     def rack_order(self) -> list[str]:
-        """Returns the names of racks in the order in which ranks are assigned.
+        """Returns the names of the racks in the order in which ranks are assigned to them.
 
-        Racks that share an uplink are next to each other.
+        Racks below the same uplink are adjacent.
         """
         if self._rack_order is None or len(self._rack_order) != len(self.racks):
             self._rack_order = sorted(
@@ -204,7 +204,7 @@
         return cached
 
     def machine_capacities(self, name: str, shape: ResourceShape) -> dict[str, int]:
-        """Returns {machine: workers that fit} of a rack, without machines where none fits."""
+        """Returns {machine: workers that fit} of a rack, without machines on which none fits."""
         return self._cached_capacity(name, shape).by_machine
 
     def rack_capacity(self, name: str, shape: ResourceShape) -> int:
@@ -212,7 +212,7 @@
         return self._cached_capacity(name, shape).total
 
     def empty_capacity(self, shape: ResourceShape) -> int:
-        """Returns how many workers the machines could take if all were empty."""
+        """Returns how many workers would fit if all machines were empty."""
         cached = self._totals.get(shape)
         if cached is None or cached[0] != self.capacity_version:
             if len(self._totals) > MAX_CACHED_TOTALS:
@@ -226,17 +226,24 @@
         return cached[1]
 
     def mark_changed(self, machine: str, empty_capacity_changed: bool = False) -> None:
-        """Raises the version of a machine's rack, so that placements scored before are rejected.
+        """Increments the version of a machine's rack, which invalidates earlier scores.
 
         Args:
-            machine: The machine that changed.
-            empty_capacity_changed: Whether the machine's capacity when empty changed too.
+            machine: Name of the machine that changed.
+            empty_capacity_changed: Whether the machine's capacity when empty changed as well.
         """
         self.racks[self.rack_by_machine[machine]].version += 1
         self.capacity_version += empty_capacity_changed
 
     def reserve(self, workers_by_machine: Mapping[str, int], shape: ResourceShape) -> None:
-        """Takes {machine: workers}; negative numbers give back. The caller checked that it fits."""
+        """Reserves capacity for workers on machines; negative numbers release it.
+
+        The caller must have checked that the workers fit.
+
+        Args:
+            workers_by_machine: {machine: workers}.
+            shape: Resources that each worker needs.
+        """
         for machine, workers in workers_by_machine.items():
             if workers:
                 self.host(machine).reserve(workers, shape)
@@ -248,7 +255,7 @@
             self.racks[name].version += 1
 
     def workers_by_rack(self, workers_by_machine: Mapping[str, int]) -> dict[str, int]:
-        """Returns {rack: workers} of {machine: workers}."""
+        """Returns {rack: workers} for a placement given as {machine: workers}."""
         by_rack: dict[str, int] = {}
         for machine, workers in workers_by_machine.items():
             by_rack[self.rack_by_machine[machine]] = (
@@ -259,10 +266,19 @@
     def pick_machines(
         self, name: str, shape: ResourceShape, workers: int, end: Ticks
     ) -> dict[str, int]:
-        """Returns {machine: workers} of a rack for so many workers, which must fit.
+        """Selects machines of a rack for a number of workers, which must fit.
+
+        Machines without a planned removal before `end` are used first. Among these, the best fit is
+        used, so that empty machines stay empty.
+
+        Args:
+            name: Name of the rack.
+            shape: Resources that each worker needs.
+            workers: Number of workers.
+            end: Agreed time in ticks at which the gang is expected to end.
 
-        Machines that no plan takes before `end` come first, then the machine that the workers
-        fill most closely, so that empty machines stay empty.
+        Returns:
+            {machine: workers}.
         """
         hosts = self.racks[name].hosts
         picked: dict[str, int] = {}
@@ -282,7 +298,7 @@
 
 
 def _best_fit_machine(usable: Mapping[str, int], workers: int) -> tuple[int, str]:
-    """Returns (capacity, machine) of the smallest that takes all workers, else of the largest."""
+    """Returns (capacity, machine): the smallest that fits all workers, else the largest."""
     options = [(capacity, machine) for machine, capacity in usable.items()]
     sufficient = [option for option in options if option[0] >= workers]
     return min(sufficient) if sufficient else max(options)
--- a/thymeknot/gang_scheduling/worker_replacement.py
+++ b/thymeknot/gang_scheduling/worker_replacement.py
@@ -1,4 +1,4 @@
-"""Finds a new placement for a gang that lost workers: in place, or the whole gang elsewhere."""
+"""Finds a new placement for a gang that lost workers: in place, or for the whole gang."""
 
 from collections.abc import Mapping
 from typing import NamedTuple
@@ -9,17 +9,17 @@
 from .placement_search import Plan, choose_search, make_plan, scored_versions
 from .topology import Topology
 
-MAX_REPLACEMENT_RACKS = 8  # racks that are scored for each replaced worker
-RESTART_TICKS = 300_000  # 30 s, that a worker takes to load its state
-RESTARTS_PER_MOVE = 2  # restarts that moving the whole gang costs
+MAX_REPLACEMENT_RACKS = 8  # racks scored per replaced worker
+RESTART_TICKS = 300_000  # 30 s; time a worker takes to load its state
+RESTARTS_PER_MOVE = 2  # cost of moving the whole gang, in restarts of a worker
 
 
 class Replacement(NamedTuple):
-    """A proposal for a gang with failed workers.
+    """A proposed replacement of lost workers.
 
     Attributes:
-        plan: The whole new placement.
-        method: Whether the workers that are surviving stay.
+        plan: The complete new placement.
+        method: Whether the surviving workers stay where they are.
     """
 
     plan: Plan
@@ -39,21 +39,21 @@
 ) -> Replacement | None:
     """Finds a new placement for a gang that lost workers.
 
-    Both methods go back to the checkpoint. What decides is that all workers load their state or
-    only a few, and what the two placements are worth in each step of the rest of the run.
+    With both methods the gang resumes from its checkpoint. They differ in how many workers have to
+    load their state, and in the scores of the placements over the rest of the run.
 
     Args:
-        topology: Racks, with what other gangs put on the uplinks.
+        topology: The racks, with the traffic of other gangs.
         gang: The gang.
-        now: Agreed time.
-        surviving: {machine: workers} that are surviving.
-        since_checkpoint: Time that is lost since the checkpoint.
-        weights: Weights of the score's terms.
-        restart: Time that a worker takes to load its state.
-        remaining_run: How long the gang still runs; all that it was to run if it is None.
+        now: Agreed time in ticks.
+        surviving: {machine: workers} of the surviving workers.
+        since_checkpoint: Ticks since the checkpoint; this work is lost.
+        weights: Weights of the score's terms; default weights if None.
+        restart: Ticks that a worker takes to load its state.
+        remaining_run: Ticks that the gang will still run; its expected duration if None.
 
     Returns:
-        The cheaper option, or None if the gang fits nowhere now.
+        The cheaper replacement, or None if the gang does not fit at present.
     """
     remaining_run = remaining_run or gang.lasts
     missing = gang.workers - sum(surviving.values())
@@ -91,7 +91,7 @@
 def _scorer_with_own_slots(
     topology: Topology, gang: Gang, now: Ticks, weights: Weights | None, own_counts: RackCounts
 ) -> Scorer:
-    """Returns a scorer that counts the slots of the gang's own workers as capacity."""
+    """Returns a scorer that counts the slots of the surviving workers as capacity."""
     scorer = Scorer(topology, gang, now, weights)
     for index, workers in own_counts.items():
         scorer.capacity[index] += workers
@@ -102,10 +102,10 @@
 def _add_missing_workers(
     scorer: Scorer, own_scorer: Scorer, own_counts: RackCounts, missing: int
 ) -> RackCounts | None:
-    """Adds the missing workers, one after the other, to where each costs least.
+    """Adds the missing workers one by one, each to the rack that gives the lowest score.
 
     Returns:
-        The whole placement, or None if they do not all fit.
+        The complete placement, or None if not all workers fit.
     """
     counts = dict(own_counts)
     for _ in range(missing):
@@ -120,7 +120,7 @@
 def _replacement_racks(
     scorer: Scorer, own_counts: RackCounts, counts: RackCounts
 ) -> list[RackIndex]:
-    """Returns the racks that are worth a score for one more worker, nearest first."""
+    """Returns the racks to score for one more worker, nearest first."""
     zones = {scorer.rack_zone[index] for index in counts}
     free = [
         index
@@ -141,7 +141,7 @@
 def _place_added_workers(
     scorer: Scorer, surviving: Mapping[str, int], own_counts: RackCounts, counts: RackCounts
 ) -> dict[str, int]:
-    """Returns {machine: workers}: those that are surviving, and machines for the others."""
+    """Returns {machine: workers} of the surviving workers and the added ones."""
     placement = dict(surviving)
     for index, workers in counts.items():
         added = workers - own_counts.get(index, 0)
