--- a/tests/unit/raft/test_peer_server.py
+++ b/tests/unit/raft/test_peer_server.py
@@ -59,7 +59,9 @@
             SimpleNamespace(
                 name=identity.name,
                 group=None,
-                keys=[SimpleNamespace(key=identity.text(), until="2999-01-01T00:00:00Z")],
+                keys=[
+                    SimpleNamespace(key=identity.public_key_text(), until="2999-01-01T00:00:00Z")
+                ],
             )
             for identity in (self.node_identity, self.client_identity)
         ]
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -1,4 +1,4 @@
-"""Drains the clients' connections, for good or for a while, and takes up work again."""
+"""Drains the clients' connections, permanently or temporarily, and resumes service."""
 
 from collections.abc import Callable
 from typing import Any
@@ -10,28 +10,28 @@
 from ..protocol.write_progress import drop_new_connections
 from .client_listener import ClientListener
 
-READ_BEFORE_CLOSING = 300
-"""Ticks from the last connection accepted to the first one closed: what has come is read."""
+READ_GRACE_PERIOD = 300
+"""Ticks from the last accepted connection to the first close, so that received data is read."""
 
-CLOSE_AFTER_LAST_ANSWER = 500
-"""Ticks from the latest moment of an answer to the close of connections whose clients have not."""
+CLOSE_AFTER_LAST_RESPONSE = 500
+"""Ticks from the latest possible response until connections still open are closed."""
 
 ACCEPT_REST_WITHIN = 10_000
-"""Ticks from the end of service, for accepted connections that have found no place yet."""
+"""Ticks after the drain begins in which connections that wait for a free place are accepted."""
 
 
-def _nothing() -> None:
-    """Does nothing: stands in for what was called already."""
+def _noop() -> None:
+    """Does nothing; replaces a callback that was already called."""
 
 
 class GracefulShutdown:
-    """Ends a listener without a client that is refused, cut off or left without its answer.
+    """Stops a listener without refusing, cutting off or leaving unanswered any client.
 
     Attributes:
-        listener: What it drains.
+        listener: The listener to drain.
         on_drained: Called once the port and all connections are closed; None while it serves.
-        answer_by: When the process may be ended from outside, once it was told to stop.
-        listener_closed: The closing of the port, fired once it is closed; None while it serves.
+        answer_by: When the process may be killed after a stop signal; None without one.
+        listener_closed: A Deferred that fires once the port is closed; None while it serves.
     """
 
     def __init__(self, listener: ClientListener) -> None:
@@ -44,28 +44,27 @@
         self.listener_closed: Deferred[Any] | None = None
         self._close_timer: int | None = None
         self._finish_timer: int | None = None
-        self._return: object | None = None  # the latest return, until the next shutdown
+        self._undrain_token: object | None = None  # the latest undrain, until a drain
         listener.shutdown = self
 
-    def began(self) -> bool:
-        """Returns whether no new work is to be taken."""
+    def is_draining(self) -> bool:
+        """Returns whether no new work is accepted."""
         return self.on_drained is not None
 
     def clients_finishing(self) -> bool:
-        """Returns whether the connections have been told to close once nothing is owed to them."""
+        """Returns whether the connections have been told to close once all responses are sent."""
         return self.on_drained is not None and self._finish_timer is None
 
     def drain(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
-        """Takes no new work, and closes each client's connection once nothing is owed to it.
+        """Accepts no new work, and closes each client's connection once it has its responses.
 
         Args:
             on_drained: Called once the port and all connections are closed.
-            answer_by: The moment by which the process may be ended from outside: what is still
-                taken has its answer before that.
+            answer_by: When the process may be killed: requests still accepted are answered before.
         """
         self.on_drained = on_drained
         self.answer_by = answer_by
-        self._return = None
+        self._undrain_token = None
         if not self.listener_closed:
             self.listener_closed = Deferred()
             self._close_timer = self.timers.add(
@@ -73,29 +72,27 @@
             )
             self.accept_rest()
         self.timers.cancel(self._finish_timer)
-        self._finish_timer = self.timers.add(
-            self.clock() + READ_BEFORE_CLOSING, self._finish_clients
-        )
+        self._finish_timer = self.timers.add(self.clock() + READ_GRACE_PERIOD, self._finish_clients)
         if answer_by is not None:
-            self.timers.add(answer_by + CLOSE_AFTER_LAST_ANSWER, self._close_answered)
+            self.timers.add(answer_by + CLOSE_AFTER_LAST_RESPONSE, self._close_lingering)
 
     def accept_rest(self) -> None:
-        """Closes the port once all is accepted that the machine has; the rest waits for places."""
+        """Closes the port once the backlog is accepted; without free places the rest waits."""
         self.listener.accepting_paused = False
         self.listener.accept_all()
         if not self.listener.accepting_paused:
             self._close_listener()
 
     def _close_listener(self) -> None:
-        """Closes the port, also where some connections still wait for a place.
+        """Closes the port, even if some connections still wait for a place.
 
-        A crowd that goes on coming would hold up the end for ever.
+        A continuous stream of new clients would otherwise delay the shutdown for ever.
         """
         self.timers.cancel(self._close_timer)
         self.listener.listening = False
         closed = self.listener_closed
-        assert closed is not None  # it was made when the shutdown began
-        # What comes until the port closes is accepted just before that.
+        assert closed is not None  # created when the drain began
+        # Connections that arrive until the port closes are accepted just before.
         self.reactor.callLater(0, self._accept_last)
         maybeDeferred(self.listener.port.stopListening).chainDeferred(closed)
 
@@ -104,62 +101,63 @@
             drop_new_connections(self.listener.port.socket)
             self.listener.accept_all()
 
-    def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
-        """Takes new work again; connections that were closing still close.
+    def undrain(self, on_listening: Callable[[], None], on_failure: Callable[[str], None]) -> None:
+        """Accepts new work again; connections that were closing still close.
 
-        Where it is drained once more before the port is open, it stays drained and calls neither.
+        If it is drained again before the port is open, it stays drained and neither callback is
+        called.
 
         Args:
-            listens: Called once the port is open.
-            failed: Called with the reason where the port can't be opened.
+            on_listening: Called once the port is open.
+            on_failure: Called with the reason if the port cannot be opened.
         """
         self.timers.cancel(self._finish_timer)
         self.on_drained = None
         self.answer_by = None
         self.listener.accepting_paused = False
-        returning = self._return = object()
-        if self.listener.listening:  # for what found no place
+        token = self._undrain_token = object()
+        if self.listener.listening:  # connections still wait for a place
             self.timers.cancel(self._close_timer)
             self.listener_closed = None
             self.listener.port.startReading()
-            listens()
+            on_listening()
             return
-        assert self.listener_closed is not None  # it is drained, or it would be listening
-        self.listener_closed.addCallback(self._serve_again, returning, listens, failed)
+        assert self.listener_closed is not None  # not listening, hence drained
+        self.listener_closed.addCallback(self._reopen_listener, token, on_listening, on_failure)
 
-    def _serve_again(
+    def _reopen_listener(
         self,
         _: object,
-        returning: object,
-        listens: Callable[[], None],
-        failed: Callable[[str], None],
+        token: object,
+        on_listening: Callable[[], None],
+        on_failure: Callable[[str], None],
     ) -> None:
-        """Opens the port, closed by now, unless another shutdown has begun since."""
-        if self._return is not returning:
+        """Opens the closed port again, unless another drain has begun since."""
+        if self._undrain_token is not token:
             return
         self.listener_closed = None
         try:
             self.listener.serve()
         except CannotListenError as error:
             self.listener_closed = succeed(None)
-            failed(str(error))
+            on_failure(str(error))
             return
-        listens()
+        on_listening()
 
     def _finish_clients(self) -> None:
         self._finish_timer = None
         for connection in self.listener.clients:
             connection.finish()
-        self.end_if_empty()
+        self.notify_if_drained()
 
-    def _close_answered(self) -> None:
-        """Closes the connections that wait for their client's close: the process is to end."""
+    def _close_lingering(self) -> None:
+        """Closes connections that still wait for their client to close: the process is ending."""
         for connection in self.listener.clients:
             connection.stop_lingering()
 
-    def end_if_empty(self) -> None:
+    def notify_if_drained(self) -> None:
         """Calls `on_drained`, once, if the port and all connections are closed."""
         if self.on_drained and not self.listener.clients and not self.listener.listening:
             on_drained = self.on_drained
-            self.on_drained = _nothing
+            self.on_drained = _noop
             on_drained()
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of the sidecar's process: start, readiness, reload by SIGHUP, and graceful shutdown."""
+"""The lifecycle of the sidecar's process: start, readiness, reload on SIGHUP, graceful shutdown."""
 
 import errno
 import gc
@@ -13,36 +13,41 @@
 
 STOP_SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
 ACCEPT_AFTER_SIGTERM_SECONDS: Final = 0.5
-"""Seconds after SIGTERM in which new connections still come."""
-LAST: Final = 0.05
-"""Seconds that the last responses need to go out."""
-SPARED: Final[Ticks] = 4_000
-"""After SIGTERM the last answer comes no later than so long after the longest deadline. The kill
-comes 0.7 s after that. The rest is for connections that close, for the process's own end, and for
-0.15 s in which it may be held up."""
-COUNTED: Final[Ticks] = 3 * TICKS_PER_SECOND
-"""What the longest deadline counts as at most."""
+"""Seconds after SIGTERM in which new connections are still accepted."""
+FLUSH_SECONDS: Final = 0.05
+"""Seconds for the last responses to be sent."""
+SHUTDOWN_MARGIN: Final[Ticks] = 4_000
+"""Ticks after the longest deadline, counted from SIGTERM, by which the last response is sent.
+
+The process is killed 0.7 s later. That time is for connections to close, for the process to exit,
+and for up to 0.15 s in which it may be held up."""
+MAX_COUNTED_DEADLINE: Final[Ticks] = 3 * TICKS_PER_SECOND
+"""Upper bound on the longest deadline in this calculation."""
 FIRST_LIST_TIMEOUT_SECONDS = 0.5
-"""Seconds. Where lists are pushed, what the agent on the machine has counts as told from the first
-moment, and the list that the configuration holds is older: the sidecar listens once the agent has
-spoken, or after this long. An agent that is up answers at once; one that is silent longer is down,
-and learns nothing that could count as told."""
-TRIES: Final = 100
-"""How often an address that is in use is tried: the process before this one may hold it until it is
-killed, by the platform about 3.7 s after SIGTERM."""
-AGAIN: Final = 0.05
-"""Seconds between two of these."""
+"""Longest wait, in seconds, for the first pushed endpoint list before the sidecar listens.
+
+If lists are pushed, the sidecar is expected to know from the start what the agent on its machine
+knows, and the list in the configuration is older. An agent that is up responds at once; one that is
+silent for longer is down, and has no newer list to offer."""
+MAX_LISTEN_TRIES: Final = 100
+"""Maximum attempts to listen on an address in use: the previous process may hold it until
+the platform kills it, about 3.7 s after SIGTERM."""
+LISTEN_RETRY_SECONDS: Final = 0.05
+"""Seconds between two of these attempts."""
 EXIT_UNUSABLE: Final = 2
 TICK_NANOSECONDS: Final = 100_000
 
 
 def clock() -> Ticks:
-    """The monotonic clock."""
+    """Returns the monotonic time in ticks."""
     return time.monotonic_ns() // TICK_NANOSECONDS
 
 
 def monotonic_reactor() -> Any:
-    """The event loop. Its own clock is Unix time: a step back of that would hold up all timers."""
+    """Returns the reactor, switched to the monotonic clock.
+
+    Its own clock is Unix time; if that was set back, all timers would be delayed.
+    """
     from twisted.internet import reactor  # noqa: PLC0415 (imported where it is needed)
 
     installed: Any = reactor
@@ -51,32 +56,31 @@
 
 
 def main(environment: Mapping[str, str]) -> int:
-    """Serves without a command: an operator's file is named by the environment, if at all."""
+    """Runs the sidecar with the operator file that the environment names, if any."""
     return serve(environment, environment.get(features.OPERATOR_FILE_VARIABLE) or None)
 
 
-def serve(environment: Mapping[str, str], operator: str | None) -> int:
-    """Serves by the environment's configuration and the operator's file. Gives an exit code."""
-    code = Lifecycle(environment, operator).run()
-    # The interpreter restores default handlers as it ends: another signal would end it by itself.
+def serve(environment: Mapping[str, str], operator_file: str | None) -> int:
+    """Runs the sidecar with the environment's configuration; returns the exit code."""
+    exit_code = Lifecycle(environment, operator_file).run()
+    # The interpreter restores default handlers on exit: another signal would kill the process.
     for number in (signal.SIGHUP, *STOP_SIGNALS):
         signal.signal(number, signal.SIG_IGN)
-    return code
+    return exit_code
 
 
 class Lifecycle:
-    """One sidecar, from its first signal to its end.
+    """One sidecar process, from its start to its exit.
 
-    Until there is a loop, SIGTERM and SIGINT end the process by themselves: nothing is open yet. A
-    SIGHUP is heard from the first moment and remembered, since the file may have been replaced
-    while it was being read.
+    Until the reactor is loaded, SIGTERM and SIGINT kill the process: nothing is open yet. SIGHUP is
+    recorded from the start, since the file may be replaced while it is being read.
     """
 
-    def __init__(self, environment: Mapping[str, str], operator: str | None) -> None:
+    def __init__(self, environment: Mapping[str, str], operator_file: str | None) -> None:
         self.environment = environment
-        self.operator = operator
-        self.code = 0
-        self.again = False
+        self.operator_file = operator_file
+        self.exit_code = 0
+        self.reload_pending = False
         """Whether a SIGHUP came before the configuration could be read again."""
         self.serving = False
         self.stopping = False
@@ -84,27 +88,27 @@
         self.features: Any = None
         self.reactor: Any = None
         self.proxy: Any = None
-        self.tries = 0
-        self.waits = False
-        """Whether it waits for an address that is in use."""
+        self.listen_tries = 0
+        self.retry_pending = False
+        """Whether it waits to retry an address that is in use."""
 
     def run(self) -> int:
-        """Serves until it is told to stop. Gives an exit code."""
-        signal.signal(signal.SIGHUP, self._told_to_read)
-        signal.signal(signal.SIGINT, signal.SIG_DFL)  # ends it without a traceback
+        """Runs until a stop signal; returns the exit code."""
+        signal.signal(signal.SIGHUP, self._on_sighup)
+        signal.signal(signal.SIGINT, signal.SIG_DFL)  # exits without a traceback
         try:
             start = self._read()
-            self.features = features.Features(self.operator)
+            self.features = features.Features(self.operator_file)
         except (configuration.ConfigurationError, features.FeatureError) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
             return EXIT_UNUSABLE
-        # Not before the files are checked: a faulty one is told at once.
+        # Imported after the files are checked, so that an invalid file is reported at once.
         from ..proxy.proxy import Proxy  # noqa: PLC0415 (imported where it is needed)
         from ..state.timer_queue import TimerQueue  # noqa: PLC0415 (imported where it is needed)
 
         self.reactor = monotonic_reactor()
         for number in STOP_SIGNALS:
-            signal.signal(number, self._told_to_stop)
+            signal.signal(number, self._on_stop_signal)
         structured_log.capture_twisted_errors()
         self.proxy = Proxy(
             start,
@@ -119,21 +123,21 @@
             self.proxy.begin(self._listen)
             self.reactor.callLater(FIRST_LIST_TIMEOUT_SECONDS, self._listen)
         self.reactor.run(installSignalHandlers=False)
-        return self.code
+        return self.exit_code
 
     def _read(self) -> configuration.StartConfiguration:
-        """The configuration; a faulty one that was replaced while it was read is read again."""
+        """Reads the configuration; an invalid one replaced meanwhile is read again."""
         while True:
-            self.again = False
+            self.reload_pending = False
             try:
                 return configuration.load(self.environment, self.epoch)
             except configuration.ConfigurationError:
-                if not self.again:
+                if not self.reload_pending:
                     raise
 
     def _listen(self) -> None:
-        """Begins to serve; the first call counts."""
-        if self.serving or self.stopping or self.waits:
+        """Starts serving; only the first call has an effect."""
+        if self.serving or self.stopping or self.retry_pending:
             return
         from twisted.internet.error import CannotListenError  # noqa: PLC0415 (imported where it is needed)
 
@@ -142,13 +146,13 @@
             self.serving = True
             self.features.begin(self.proxy)
         except CannotListenError as error:
-            if not self._in_use(error):
+            if not self._retry_if_in_use(error):
                 self._fail(f"listen: {error}")
             return
         except features.FeatureError as error:
             self._fail(str(error))
             return
-        except Exception as error:  # must not stay up without a listener
+        except Exception as error:  # must not keep running without a listener
             structured_log.log_exception("start", error)
             self._fail(f"start: {type(error).__name__}: {error}")
             return
@@ -160,45 +164,53 @@
             "ready", name=start.name, listen=start.listen, pods=len(self.proxy.listed_endpoints)
         )
         gc.collect()
-        gc.freeze()  # what stands from the start is not looked through again
-        if self.again:
-            self.again = False
+        gc.freeze()  # excludes all objects created so far from garbage collection
+        if self.reload_pending:
+            self.reload_pending = False
             self._reconfigure()
 
-    def _in_use(self, error: Any) -> bool:
-        """Whether it is tried again: another process has the address still."""
-        if self.serving or error.socketError.errno != errno.EADDRINUSE or self.tries >= TRIES:
+    def _retry_if_in_use(self, error: Any) -> bool:
+        """Schedules another attempt if another process still has the address.
+
+        Returns:
+            Whether there will be another attempt.
+        """
+        if (
+            self.serving
+            or error.socketError.errno != errno.EADDRINUSE
+            or self.listen_tries >= MAX_LISTEN_TRIES
+        ):
             return False
-        if not self.tries:
+        if not self.listen_tries:
             structured_log.log("address in use", listen=self.proxy.start.listen)
-        self.tries += 1
-        self.waits = True
-        self.reactor.callLater(AGAIN, self._listen_again)
+        self.listen_tries += 1
+        self.retry_pending = True
+        self.reactor.callLater(LISTEN_RETRY_SECONDS, self._listen_again)
         return True
 
     def _listen_again(self) -> None:
-        self.waits = False
+        self.retry_pending = False
         self._listen()
 
-    def _fail(self, why: str) -> None:
-        print(f"thymeknot: {why}", file=sys.stderr)
-        self.code = EXIT_UNUSABLE
+    def _fail(self, message: str) -> None:
+        print(f"thymeknot: {message}", file=sys.stderr)
+        self.exit_code = EXIT_UNUSABLE
         self.stopping = True
         self.reactor.stop()
 
     # Signals.
 
-    def _told_to_read(self, *_: Any) -> None:
+    def _on_sighup(self, *_: Any) -> None:
         if self.serving:
             self.reactor.callFromThread(self._reconfigure)
         else:
-            self.again = True
+            self.reload_pending = True
 
-    def _told_to_stop(self, *_: Any) -> None:
+    def _on_stop_signal(self, *_: Any) -> None:
         self.reactor.callFromThread(self._stop)
 
     def _stop(self) -> None:
-        if self.stopping:  # a second signal must not stop it twice
+        if self.stopping:  # a second signal has no effect
             return
         self.stopping = True
         self.features.stop()
@@ -215,21 +227,21 @@
             self.reactor.callLater(
                 ACCEPT_AFTER_SIGTERM_SECONDS,
                 self.proxy.shut_down,
-                self._emptied,
-                clock() + min(longest, COUNTED) + SPARED,
+                self._on_drained,
+                clock() + min(longest, MAX_COUNTED_DEADLINE) + SHUTDOWN_MARGIN,
             )
         else:
-            self._emptied()
+            self._on_drained()
 
-    def _emptied(self) -> None:
+    def _on_drained(self) -> None:
         structured_log.log("stopped")
-        self.reactor.callLater(LAST, self.reactor.stop)
+        self.reactor.callLater(FLUSH_SECONDS, self.reactor.stop)
 
     def _reconfigure(self) -> None:
-        """Reads the files again.
+        """Reloads the files.
 
-        A sidecar that stops still forwards what it has in flight by the endpoint list, so it moves
-        to another discovery, too; its features have left, and take up nothing.
+        A stopping sidecar still forwards its requests in flight by the endpoint list, so it follows
+        a change of the discovery address; its features have stopped and are not reconfigured.
         """
         try:
             if not self.stopping:
@@ -239,15 +251,15 @@
         except Exception as error:
             structured_log.log_exception("operator file", error)
         try:
-            later = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
+            restart_keys = self.proxy.reconfigure(configuration.load(self.environment, self.epoch))
         except configuration.ConfigurationError as error:
             structured_log.log("configuration rejected", error=str(error))
-        except Exception as error:  # a file must not end the program, whatever it holds
+        except Exception as error:  # no file content may end the process
             structured_log.log_exception("configuration", error)
         else:
             structured_log.log(
                 "configuration reloaded",
                 discovery=self.proxy.discovery.host,
                 platform=self.proxy.platform.host,
-                only_at_a_start=later,
+                only_at_a_start=restart_keys,
             )
