--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -1,4 +1,8 @@
-"""Gangs: the table of their record, two schedulers and their deaths, drains and losses, fairness, and the search."""
+"""Tests of gang scheduling.
+
+They cover the transition table, concurrent and crashing schedulers, losses and drains, queue order
+and preemption, and the placement search.
+"""
 
 import itertools
 import unittest
@@ -25,7 +29,10 @@
 
 
 class ClusterFixture:
-    """A machine of the state with `racks` racks of `hosts` machines of `slots` slots, and a clock."""
+    """A gang scheduling state machine with a small cluster and a clock.
+
+    The cluster has `racks` racks of `hosts` machines of `slots` slots each.
+    """
 
     def __init__(
         self,
@@ -104,7 +111,7 @@
         self.apply_accepted("tick")
 
     def invariant_violations(self):
-        """What must never be, counted from the image alone."""
+        """Returns violated invariants, derived from the state machine's image only."""
         image, used, violations = self.state_machine.image(), {}, []
         for name, record in image["gangs"].items():
             placed = sum(record["places"].values())
@@ -246,14 +253,14 @@
 
 
 class IgnoresVersions(state_machine.GangStateMachine):
-    """Broken: versions are not read, and room is taken for granted with them, as a scheduler that trusts its score."""
+    """Faulty variant: accepts a placement without checking rack versions and free capacity."""
 
     def _check_capacity(self, record, placement, versions):
         pass
 
 
 class IgnoresLeases(state_machine.GangStateMachine):
-    """Broken: leases are not read."""
+    """Faulty variant: never expires leases."""
 
     def _expire_leases(self):
         pass
@@ -261,7 +268,7 @@
 
 class ConcurrentSchedulersTest(unittest.TestCase):
     def reserve_concurrently(self, state_machine_class=state_machine.GangStateMachine):
-        """Two schedulers score one rack at once, and both commit."""
+        """Lets two schedulers score the same rack before either of them reserves slots."""
         cluster = ClusterFixture(racks=1, hosts=1, state_machine_class=state_machine_class)
         cluster.offer("g")
         cluster.offer("h")
@@ -289,7 +296,7 @@
         )
 
     def let_reservation_expire(self, state_machine_class=state_machine.GangStateMachine):
-        """The scheduler dies between hold and bind."""
+        """Lets a lease expire, as when a scheduler crashes between reservation and bind."""
         cluster = ClusterFixture(racks=1, hosts=1, state_machine_class=state_machine_class)
         cluster.offer("g")
         fence = cluster.reserve("g")["fence"]
@@ -301,7 +308,7 @@
         self.assertEqual((cluster.state_of("g"), cluster.invariant_violations()), ("offered", []))
         self.assertIn(
             "offered", cluster.apply("bind", gang="g", fence=fence)["refused"]
-        )  # it wakes up again
+        )  # the scheduler resumes after its lease has expired
         cluster.advance(2)
         self.assertNotEqual(cluster.reserve("g")["fence"], fence)
 
@@ -375,7 +382,7 @@
         cluster.apply_accepted("lost", kind="worker", name=machine, gang="g")
         record = cluster.record("g")
         topology = cluster.state_machine.topology_with_traffic()
-        topology.host(machine).draining_for = "another"  # nobody new there
+        topology.host(machine).draining_for = "another"  # no new workers fit there
         topology.mark_changed(machine)
         plan, method = worker_replacement.replace_failed_workers(
             topology, record.gang, cluster.now, record.placement, 0
@@ -556,12 +563,12 @@
                     if name == "large":
                         return self.assertGreater(
                             cluster.now, 1000 * SECOND
-                        )  # not before its age outweighs priority
+                        )  # not before its waiting time outweighs the others' priority
                     fence = cluster.record(name).fence
                     cluster.apply_accepted("bind", gang=name, fence=fence)
                     cluster.apply_accepted("start", gang=name, fence=fence)
                     end_times[name] = cluster.now + int((60 + 60 * random_source.draw()) * SECOND)
-        self.fail("the large gang never ran")
+        self.fail("the large gang was never scheduled")
 
     def test_shares_are_borrowed_and_returned(self):
         cluster = ClusterFixture(racks=1, hosts=4)
@@ -569,10 +576,14 @@
             cluster.apply_accepted("share", publisher=publisher, thousandths=500)
         self.assertIn("1100", cluster.apply("share", publisher="r", thousandths=100)["refused"])
         cluster.start_gang("p1", workers=8)
-        fence = cluster.start_gang("p2", workers=8, priority=90)  # borrowed: nobody else waits
+        fence = cluster.start_gang(
+            "p2", workers=8, priority=90
+        )  # borrows from q, as no other gang is queued
         cluster.offer("q1", workers=8, publisher="q", priority=0)
         cluster.offer("p3", workers=4, priority=99)
-        cluster.apply_accepted("preempt", gang="p2", by="q1")  # whatever the priorities
+        cluster.apply_accepted(
+            "preempt", gang="p2", by="q1"
+        )  # allowed in spite of the priorities, because p2 borrows
         self.assertEqual(
             cluster.apply_accepted("checkpoint", gang="p2", fence=fence)["next"], "yield"
         )
@@ -692,7 +703,10 @@
 
 
 def traffic_pairs(gang):
-    """(from, to, bytes) of all pairs that talk, written down anew from what the patterns mean."""
+    """Yields (sender, receiver, bytes per step) of all pairs of workers that exchange data.
+
+    This implementation is independent of `Gang.crossing_bytes`.
+    """
     peers, size = gang.workers - 1, gang.workers // max(1, len(gang.matrix))
     for sender, receiver in itertools.permutations(range(gang.workers), 2):
         volume = {
--- a/thymeknot/gang_scheduling/commands.py
+++ b/thymeknot/gang_scheduling/commands.py
@@ -89,7 +89,7 @@
 
 
 class SetShare(Command, frozen=True, tag="share"):
-    """Sets a publisher's guaranteed share of all slots.
+    """Sets a publisher's share of all slots.
 
     Attributes:
         publisher: Name of the publisher.
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -49,9 +49,7 @@
 
 MAX_PARSE_ERROR_LENGTH = 200  # characters of a validation error that a reply contains
 STALE_RETRY_TICKS = TICKS_PER_SECOND // 100  # scoring again is quick
-MIN_DRAIN_RETRY_TICKS = (
-    TICKS_PER_SECOND // 10
-)  # minimum interval between retries of a waiting drain
+MIN_DRAIN_RETRY_TICKS = TICKS_PER_SECOND // 10  # minimum retry delay of a waiting drain
 
 _INPUT_OF_METHOD = {
     ReplacementMethod.IN_PLACE: GangInput.REPLACE_IN_PLACE,
@@ -227,9 +225,10 @@
         self.state.topology.mark_changed(command.machine, empty_capacity_changed=True)
 
     def _request_drain(self, command: RequestDrain) -> Reply:
-        """Drains a machine; it accepts no new workers from now on, even if this is rejected.
+        """Drains a machine; it accepts no new workers from now on.
 
-        A rejection tells when to retry.
+        If a gang has to reach its checkpoint first, the command is rejected with a retry time, and
+        the machine stays closed to new workers.
         """
         machine = command.machine
         self._check_machine(machine)
