--- a/thymeknot/gang_scheduling/fairness.py
+++ b/thymeknot/gang_scheduling/fairness.py
@@ -116,32 +116,36 @@
             host.reserve(-workers, shape)
         return capacity
 
-    def check_preemption(self, command: Preempt, victim: GangRecord, waiting: GangRecord) -> None:
+    def check_preemption(
+        self, command: Preempt, victim: GangRecord, beneficiary: GangRecord
+    ) -> None:
         """Checks whether a gang may be preempted in favor of another.
 
         Raises:
             CommandRejectedError: The preemption is not allowed.
         """
-        for objection in self._objections(command, victim, waiting):
+        for objection in self._objections(command, victim, beneficiary):
             if objection.applies:
                 raise CommandRejectedError(
                     objection.reason, [command.gang], max(0, objection.retry_after)
                 )
 
     def _objections(
-        self, command: Preempt, victim: GangRecord, waiting: GangRecord
+        self, command: Preempt, victim: GangRecord, beneficiary: GangRecord
     ) -> list[_Objection]:
         """Returns the possible rejections of a preemption; the first that applies is reported."""
         settings = self._settings
-        pending = [record for record in self._state.gangs.values() if record.preempted_by]
+        pending = [record for record in self._state.gangs.values() if record.preemption_beneficiary]
         promised_workers = sum(
-            record.gang.workers for record in pending if record.preempted_by == command.beneficiary
+            record.gang.workers
+            for record in pending
+            if record.preemption_beneficiary == command.beneficiary
         )
         restores_shares = self._is_over_share(victim.gang) and not self._is_over_share(
-            waiting.gang, waiting.gang.workers
+            beneficiary.gang, beneficiary.gang.workers
         )
-        priority_gap = victim.gang.priority + 1 - waiting.gang.priority
-        waited = self._state.now - waiting.waiting_since
+        priority_gap = victim.gang.priority + 1 - beneficiary.gang.priority
+        waited = self._state.now - beneficiary.waiting_since
         return [
             _Objection(
                 victim.state != GangState.RUNNING,
@@ -149,13 +153,13 @@
                 self._state.remaining_lease(victim),
             ),
             _Objection(
-                waiting.state != GangState.OFFERED,
-                f"Gang {command.beneficiary} is {waiting.state}, not offered.",
+                beneficiary.state != GangState.OFFERED,
+                f"Gang {command.beneficiary} is {beneficiary.state}, not offered.",
                 0,
             ),
             _Objection(
-                bool(victim.preempted_by),
-                f"Gang {command.gang} makes room for {victim.preempted_by} already.",
+                bool(victim.preemption_beneficiary),
+                f"Gang {command.gang} makes room for {victim.preemption_beneficiary} already.",
                 0,
             ),
             _Objection(
@@ -170,12 +174,13 @@
                 settings.priority_aging_interval,
             ),
             _Objection(
-                promised_workers > 0 and promised_workers >= waiting.gang.workers,
+                promised_workers > 0 and promised_workers >= beneficiary.gang.workers,
                 f"Enough makes room for {command.beneficiary} already.",
                 0,
             ),
             _Objection(
-                not restores_shares and self._effective_priority(waiting) <= victim.gang.priority,
+                not restores_shares
+                and self._effective_priority(beneficiary) <= victim.gang.priority,
                 f"Gang {command.beneficiary} has no higher priority than {command.gang} yet.",
                 priority_gap * settings.priority_aging_interval - waited,
             ),
--- a/thymeknot/gang_scheduling/gang_lifecycle.py
+++ b/thymeknot/gang_scheduling/gang_lifecycle.py
@@ -105,7 +105,7 @@
         for name, record in list(self._state.gangs.items()):
             if record.state in STATES_WITH_LEASE and record.lease_expiry <= self._state.now:
                 self.transition(name, GangInput.EXPIRE)
-            elif record.preempted_by and record.preemption_deadline <= self._state.now:
+            elif record.preemption_beneficiary and record.preemption_deadline <= self._state.now:
                 self.preempt_or_clear(name, record)
 
     def preempt_or_clear(self, name: str, record: GangRecord) -> bool:
@@ -114,7 +114,7 @@
         Returns:
             Whether the gang was preempted.
         """
-        if self._state.is_offered(record.preempted_by):
+        if self._state.is_offered(record.preemption_beneficiary):
             self.transition(name, GangInput.PREEMPTED)
             return True
         _clear_preemption(record)
@@ -225,5 +225,5 @@
 
 
 def _clear_preemption(record: GangRecord) -> None:
-    record.preempted_by = ""
+    record.preemption_beneficiary = ""
     record.preemption_deadline = 0
--- a/thymeknot/gang_scheduling/gang_state.py
+++ b/thymeknot/gang_scheduling/gang_state.py
@@ -148,7 +148,7 @@
         backoff_until: End of the backoff.
         last_checkpoint: Time of the latest start or checkpoint.
         preemptions: How often the gang was preempted.
-        preempted_by: Name of the queued gang for which a preemption is pending, or empty.
+        preemption_beneficiary: Name of the queued gang for which a preemption is pending, or empty.
         preemption_deadline: Time at which a pending preemption takes place at the latest.
         why: Unused; kept because it is stored.
     """
@@ -164,7 +164,7 @@
     backoff_until: int = msgspec.field(default=0, name="again")
     last_checkpoint: int = msgspec.field(default=0, name="saved")
     preemptions: int = msgspec.field(default=0, name="preempted")
-    preempted_by: str = msgspec.field(default="", name="ending")
+    preemption_beneficiary: str = msgspec.field(default="", name="ending")
     preemption_deadline: int = msgspec.field(default=0, name="ends")
     why: str = ""
 
--- a/thymeknot/gang_scheduling/placement_score.py
+++ b/thymeknot/gang_scheduling/placement_score.py
@@ -245,16 +245,16 @@
         self.rack_background_load.append(self._background_load(_rack_link(name), rack.bandwidth))
         self.rack_load_per_byte.append(1 / (max(1, rack.bandwidth) * self.target_seconds))
         zone_link, cluster_link = _site_links(self.topology, name)
-        self.rack_zone.append(self._site(zone_link))
-        self.rack_cluster.append(self._site(cluster_link))
+        self.rack_zone.append(self._find_site(zone_link))
+        self.rack_cluster.append(self._find_site(cluster_link))
 
-    def _site(self, link: str) -> int:
+    def _find_site(self, link: str) -> int:
         """Returns the index of a site; a new site is added."""
         if link not in self._site_index:
             self._site_index[link] = len(self.sites)
             bandwidth = self.topology.uplinks.get(link, inf)
-            rate = 1 / (max(1, bandwidth) * self.target_seconds)
-            self.sites.append(Site(link, self._background_load(link, bandwidth), rate))
+            load_per_byte = 1 / (max(1, bandwidth) * self.target_seconds)
+            self.sites.append(Site(link, self._background_load(link, bandwidth), load_per_byte))
         return self._site_index[link]
 
     def _background_load(self, link: str, bandwidth: float) -> float:
@@ -406,15 +406,16 @@
     def _explain_step(self, values: ScoreTermValues) -> str:
         link = values.bottleneck
         if isinstance(link, int):
-            where = f"the uplink of rack {self.rack_names[link]}"
+            link_name = f"the uplink of rack {self.rack_names[link]}"
             background = self.rack_background_load[link]
         elif link == MACHINE_LINK:
-            where = "the link of a machine"
+            link_name = "the link of a machine"
             background = 0.0
         else:
-            where = f"the uplink of {link}"
+            link_name = f"the uplink of {link}"
             background = self.sites[self._site_index[link]].background_load
         return (
             f"A step takes {values.step * self.target_seconds:.3f} s of "
-            f"{self.target_seconds:.3f} s over {where}, which other gangs load to {background:.0%}."
+            f"{self.target_seconds:.3f} s over {link_name}, "
+            f"which other gangs load to {background:.0%}."
         )
--- a/thymeknot/gang_scheduling/state_machine.py
+++ b/thymeknot/gang_scheduling/state_machine.py
@@ -193,7 +193,7 @@
 
     def _report_loss(self, command: ReportLoss) -> Reply:
         if command.kind == LossKind.WORKER:
-            return self._lose_worker(command)
+            return self._report_worker_loss(command)
         topology = self.state.topology
         if command.kind == LossKind.RACK:
             if command.name not in topology.racks:
@@ -207,7 +207,7 @@
             topology.mark_changed(machine, empty_capacity_changed=True)
         return {"gangs": self.lifecycle.remove_workers(machines, GangInput.LOST)}
 
-    def _lose_worker(self, command: ReportLoss) -> Reply:
+    def _report_worker_loss(self, command: ReportLoss) -> Reply:
         record = self.lifecycle.get(command.gang)
         if not record.placement.get(command.name):
             raise CommandRejectedError(
@@ -339,16 +339,16 @@
         name = command.gang
         self._check_fence(command)
         record = self.lifecycle.transition(name, GangInput.CHECKPOINT)
-        if record.preempted_by and self.lifecycle.preempt_or_clear(name, record):
+        if record.preemption_beneficiary and self.lifecycle.preempt_or_clear(name, record):
             return {"next": "yield"}
-        closed = {
+        draining = {
             machine: workers
             for machine, workers in record.placement.items()
             if self.state.topology.host(machine).draining_for
         }
-        if closed:
-            self.lifecycle.transition(name, GangInput.DRAINED, removed=closed)
-            return {"next": "mend", "without": sorted(closed), "until": record.lease_expiry}
+        if draining:
+            self.lifecycle.transition(name, GangInput.DRAINED, removed=draining)
+            return {"next": "mend", "without": sorted(draining), "until": record.lease_expiry}
         return {"next": "go on"}
 
     def _replace_workers(self, command: ReplaceWorkers) -> Reply:
@@ -385,9 +385,9 @@
         resumes from its last one; otherwise a gang that hangs could never be preempted.
         """
         victim = self.lifecycle.get(command.gang)
-        waiting = self.lifecycle.get(command.beneficiary)
-        self._fairness.check_preemption(command, victim, waiting)
-        victim.preempted_by = command.beneficiary
+        beneficiary = self.lifecycle.get(command.beneficiary)
+        self._fairness.check_preemption(command, victim, beneficiary)
+        victim.preemption_beneficiary = command.beneficiary
         victim.preemption_deadline = self.state.now + 2 * victim.gang.checkpoint
         return {"until": victim.preemption_deadline}
 
@@ -417,14 +417,15 @@
                 STALE_RETRY_TICKS,
             )
         shape = record.gang.resource_shape()
-        if full := [
+        if full_machines := [
             machine
             for machine, workers in placement.items()
             if topology.host(machine).capacity(shape) < workers
         ]:
             raise CommandRejectedError(
-                f"Machine {full[0]} has no room for {placement[full[0]]} workers.",
-                full,
+                f"Machine {full_machines[0]} has no room for "
+                f"{placement[full_machines[0]]} workers.",
+                full_machines,
                 self.settings.initial_backoff,
             )
 
