--- a/thymeknot/gossip/node.py
+++ b/thymeknot/gossip/node.py
@@ -1,6 +1,6 @@
-"""One instance's part in the gossip, without a network.
+"""The gossip node of one instance, without a network.
 
-Datagrams and moments come in; datagrams, suspicions and log events go out.
+Its inputs are datagrams and ticks; its outputs are datagrams, suspicions and log events.
 """
 
 from collections.abc import Callable, Sequence
@@ -8,42 +8,43 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from .codec import Evidence, Left, Push
 from .context import ITEM_SPACE, TICK_INTERVAL, GossipContext, LogEvent
-from .dissemination_queue import LIFE, DisseminationQueue, QueuedItem, RandomSource
+from .dissemination_queue import LIVENESS, DisseminationQueue, QueuedItem, RandomSource
 from .item_exchange import ItemExchange
 from .keyring import AllowedNetworks, Identity, Keyring
 from .membership import Members, MemberState
 from .outbox import Datagram, LocalInstance, Outbox
 from .peer_hints import PeerHints
-from .prober import STALL, Prober
+from .prober import STALL_THRESHOLD, Prober
 from .rate_limits import Address, SendLimits, SendPurpose, VerificationLimits
 from .receiver import Receiver
 from .settings import GossipSettings
 from .suspicion import Suspicion, SuspicionDetector
 
-PUSHES_IN_PERIOD = 5  # rounds of items in a protocol period
-PUSH_FANOUT = 2  # peers that a round goes to
-PROOFS_AT_ONCE = 4  # peers that are asked to prove themselves in a period
-DECISIONS_IN_PERIOD = 2  # rounds of evidence and suspicions in a period
-GOODBYE_FANOUT = 4  # peers that are told that this instance leaves
-SEED_INTERVAL = 5 * TICKS_PER_SECOND  # between two questions to seeds, once a member lives
+PUSHES_PER_PERIOD = 5  # rounds of pushed items per protocol period
+PUSH_FANOUT = 2  # peers that receive the items of a round
+VALIDATIONS_PER_PERIOD = 4  # unvalidated peers that are probed per period
+EVALUATIONS_PER_PERIOD = 2  # rounds of evidence and suspicions per period
+LEAVE_FANOUT = 4  # peers that are notified when this instance leaves
+SEED_PROBE_INTERVAL = 5 * TICKS_PER_SECOND  # while any member is live
 
 
 class GossipNode:
-    """The parts of the gossip and their moments.
+    """Combines the parts of gossip and schedules their work.
 
-    A newcomer says nothing of itself: it asks, and proof comes by nonces. Hundreds that start at
-    once would otherwise each tell all others what only a ping can prove.
+    A new instance does not announce itself: it pings seeds and peers, and both sides validate each
+    other by nonces. Otherwise hundreds of instances that start at once would each announce to all
+    others what only a ping can prove.
 
     Attributes:
-        context: What the parts share.
+        context: State shared by the parts.
         local: This instance.
-        members: The peers.
-        suspicions: Evidence about endpoints.
-        queue: Items that are passed on.
-        outbox: What goes out.
-        limits: How many signatures may be verified.
-        prober: Probes.
-        items: Items of others.
+        members: Membership state of the peers.
+        suspicions: Evidence about endpoints and the suspicions derived from it.
+        queue: Items to pass on.
+        outbox: Outgoing datagrams.
+        limits: Rate limits of signature verifications.
+        prober: Outstanding probes.
+        items: Processes items of other instances.
         changed_suspicions: Suspicions that the caller has not taken yet.
     """
 
@@ -51,7 +52,7 @@
         self,
         settings: GossipSettings,
         identity: Identity,
-        ring: Keyring,
+        keyring: Keyring,
         sources: AllowedNetworks,
         *,
         announced: Address,
@@ -62,23 +63,23 @@
         new_nonce: Callable[[], bytes],
         unix: Callable[[], float],
     ) -> None:
-        """Makes a node that has met nobody.
+        """Creates a node that knows no address of a peer.
 
         Args:
             settings: The operator's settings.
-            identity: What this instance signs with.
-            ring: The peers' keys.
+            identity: Name and private key of this instance.
+            keyring: Keyring of the peers' public keys.
             sources: Networks that peers may send from.
-            announced: Where others reach this instance.
-            seeds: Addresses that are asked first.
-            now: The time.
-            random_source: What it draws from.
-            start: Names this start.
-            new_nonce: Returns 8 bytes that nobody can guess.
-            unix: Returns Unix seconds.
+            announced: Address at which peers reach this instance.
+            seeds: Addresses that are probed first.
+            now: Current time.
+            random_source: Random numbers for probe order, fanout and the queue.
+            start: Id of this start, unique among the starts of this instance.
+            new_nonce: Returns 8 unpredictable bytes.
+            unix: Returns the Unix time in seconds.
         """
         self.local = LocalInstance(identity, announced, start, now)
-        others = [name for name in ring.groups if name != identity.name]
+        others = [name for name in keyring.groups if name != identity.name]
         self.members = Members(others, settings, random_source)
         self.suspicions = SuspicionDetector(settings.hearsay, self._group_of)
         self.queue = DisseminationQueue(random_source, settings.hearsay.lapse)
@@ -87,7 +88,7 @@
         self.context = GossipContext(
             settings=settings,
             local=self.local,
-            ring=ring,
+            keyring=keyring,
             sources=sources,
             members=self.members,
             suspicions=self.suspicions,
@@ -103,68 +104,69 @@
         self.items = ItemExchange(self.context, self.prober, self._hints)
         self._receiver = Receiver(self.context, self.prober, self._hints, self.items)
         self._seeds = [seed for seed in seeds if seed != announced]
-        self._seed_turn = 0
-        self._ask_seed_at = now
-        self._tick_due = now
-        self._probe_at = now
-        self._push_at = now
-        self._decide_at = now
+        self._seed_index = 0
+        self._next_seed_probe_at = now
+        self._next_tick_at = now
+        self._next_probe_at = now
+        self._next_push_at = now
+        self._next_evaluation_at = now
         self._has_left = False
 
     def _group_of(self, name: str) -> str:
-        return self.context.ring.groups.get(name, name)
+        return self.context.keyring.groups.get(name, name)
 
     @property
     def dropped(self) -> dict[str, int]:
-        """How much was dropped, by reason."""
+        """Number of dropped datagrams and items by reason."""
         return self.context.dropped
 
     def take_datagrams(self) -> list[Datagram]:
-        """Returns the datagrams that are to go out, once."""
+        """Returns and clears the outgoing datagrams."""
         taken = self.outbox.datagrams
         self.outbox.datagrams = []
         return taken
 
     def take_suspicions(self) -> list[Suspicion]:
-        """Returns the suspicions that began, grew or ended, once."""
+        """Returns and clears the suspicions that began or ended."""
         taken = self.changed_suspicions
         self.changed_suspicions = []
         return taken
 
     def take_log_events(self) -> list[LogEvent]:
-        """Returns what a log should hold, once."""
+        """Returns and clears the events to log."""
         taken = self.context.log_events
         self.context.log_events = []
         return taken
 
     def receive_datagram(self, now: Ticks, source: Address, datagram: bytes) -> None:
-        """Takes a datagram. What is wrong with it is counted by its reason and no more."""
+        """Processes a datagram. A dropped one is only counted by its reason."""
         if not self._has_left:
             self.context.drop(self._receiver.receive(now, source, datagram))
 
     def tick(self, now: Ticks) -> None:
-        """Does what is due; to be called every TICK_INTERVAL.
+        """Runs the work that is due. Must be called every `TICK_INTERVAL`.
 
-        A node that stood still for a while doubts itself first.
+        After a stall of this process, outstanding probes get more time and the local health score
+        rises.
         """
-        if now - self._tick_due > STALL:
+        if now - self._next_tick_at > STALL_THRESHOLD:
             self.prober.after_stall(now)
-        self._tick_due = now + TICK_INTERVAL
+        self._next_tick_at = now + TICK_INTERVAL
         self.prober.tick(now)
         period = self.context.settings.probe_every
-        if now >= self._probe_at:
-            self._probe_at = now + period
+        if now >= self._next_probe_at:
+            self._next_probe_at = now + period
             self._begin_period(now)
-        if now >= self._push_at:
-            self._push_at = now + period // PUSHES_IN_PERIOD
+        if now >= self._next_push_at:
+            self._next_push_at = now + period // PUSHES_PER_PERIOD
             self._push(now)
         self._hints.tick(now)
-        if now >= self._decide_at:
-            self._decide_at = now + period // DECISIONS_IN_PERIOD
-            self._decide(now)
+        if now >= self._next_evaluation_at:
+            self._next_evaluation_at = now + period // EVALUATIONS_PER_PERIOD
+            self._evaluate_endpoints(now)
 
     def _push(self, now: Ticks) -> None:
-        """Passes items on, if there are fresh ones."""
+        """Pushes items to random peers if any is below its retransmit limit."""
         if not self.queue.has_fresh(len(self.members.live)):
             return
         for member in self.members.sample(PUSH_FANOUT):
@@ -186,49 +188,49 @@
         self.items.expire(now)
         unix = self.context.unix()
         self.queue.prune(now, lambda item: self._is_current(item, unix))
-        for name, before, after in self.members.events:
+        for name, before, after in self.members.state_changes:
             fields = {"peer": name, "before": before.value, "now": after.value}
             self.context.log_events.append(LogEvent("peer state changed", fields))
             if after == MemberState.DEAD:
                 self.suspicions.forget_origin(name)
-        self.members.events = []
+        self.members.state_changes = []
 
     def _probe(self, now: Ticks) -> None:
-        """Sends the probes of a period."""
-        out = {probe.name for probe in self.prober.probes.values() if probe.period}
+        """Sends the probes of a protocol period."""
+        outstanding = {probe.name for probe in self.prober.probes.values() if probe.is_period_probe}
         for member in self.members.next_probes(now):
-            if member.name not in out:
+            if member.name not in outstanding:
                 self.prober.probe(
-                    now, member.live_address(), member.name, SendPurpose.PROBE, period=True
+                    now, member.live_address(), member.name, SendPurpose.PROBE, is_period_probe=True
                 )
-        for member in self.members.to_prove(now, PROOFS_AT_ONCE):
+        for member in self.members.peers_to_validate(now, VALIDATIONS_PER_PERIOD):
             if member.address is not None:
                 self.prober.probe(now, member.address, member.name, SendPurpose.PROVE)
-        for seed in self._seeds_to_ask(now):
+        for seed in self._seeds_to_probe(now):
             self.prober.probe(now, seed, None, SendPurpose.PROVE)
 
-    def _seeds_to_ask(self, now: Ticks) -> Sequence[Address]:
-        """Returns the seeds to ask in this period: all while no member lives, else one at times.
+    def _seeds_to_probe(self, now: Ticks) -> Sequence[Address]:
+        """Returns the seeds to probe: all while no member is live, else one per interval.
 
-        A living member does not mean that all are met: parts of a fleet that began without each
-        other would else stay apart for good.
+        A live member does not mean that all peers are known. If instances stopped probing seeds,
+        parts of a fleet that started during a network partition would never find each other.
         """
         if not self.members.live:
             return self._seeds
-        unmet = [seed for seed in self._seeds if not self._is_met(seed)]
-        if now < self._ask_seed_at or not unmet:
+        unknown_seeds = [seed for seed in self._seeds if not self._is_seed_known(seed)]
+        if now < self._next_seed_probe_at or not unknown_seeds:
             return ()
-        self._ask_seed_at = now + SEED_INTERVAL
-        self._seed_turn += 1
-        return (unmet[self._seed_turn % len(unmet)],)
+        self._next_seed_probe_at = now + SEED_PROBE_INTERVAL
+        self._seed_index += 1
+        return (unknown_seeds[self._seed_index % len(unknown_seeds)],)
 
-    def _is_met(self, seed: Address) -> bool:
+    def _is_seed_known(self, seed: Address) -> bool:
         name = self.context.by_address.get(seed)
         return name is not None and self._is_alive(name)
 
     def _is_current(self, item: QueuedItem, unix: float) -> bool:
-        """Returns whether an item's key counts, and its origin's start is the present one."""
-        if self.context.ring.owner(item.key_id, unix) != item.origin:
+        """Returns whether an item's key is valid and it belongs to its origin's present start."""
+        if self.context.keyring.owner(item.key_id, unix) != item.origin:
             return False
         member = self.members.all.get(item.origin)
         is_own = item.origin == self.local.name
@@ -238,35 +240,36 @@
         member = self.members.all.get(name)
         return member is not None and member.is_live()
 
-    def _decide(self, now: Ticks) -> None:
+    def _evaluate_endpoints(self, now: Ticks) -> None:
         for key, counts in self.suspicions.evidence_to_send(now):
-            self.outbox.say(now, Evidence(*key, *counts), ("Evidence", key.id))
+            self.outbox.publish(now, Evidence(*key, *counts), ("Evidence", key.id))
         self.changed_suspicions += self.suspicions.update(now, self._is_alive)
 
     def set_sources(self, sources: AllowedNetworks) -> None:
-        """Takes up other networks that peers may send from."""
+        """Replaces the networks that peers may send from."""
         self.context.sources = sources
 
-    def rekey(self, ring: Keyring, now: Ticks) -> None:
-        """Takes up another ring.
+    def set_keyring(self, keyring: Keyring, now: Ticks) -> None:
+        """Replaces the keyring.
 
-        Words signed with keys that no longer count are forgotten, and so are those who said them.
+        Removes peers without a valid key, items signed with invalid keys, and the evidence of their
+        origins.
         """
         context = self.context
         unix = context.unix()
-        context.ring = ring
-        held = ring.active_names(unix)
-        for name in [name for name in self.members.all if name not in held]:
+        context.keyring = keyring
+        active_names = keyring.active_names(unix)
+        for name in [name for name in self.members.all if name not in active_names]:
             self.suspicions.forget_origin(name)
         orphaned = {
             item.origin
             for item in self.queue.items.values()
-            if ring.owner(item.key_id, unix) != item.origin
+            if keyring.owner(item.key_id, unix) != item.origin
         }
         for name in orphaned:
             self.suspicions.forget_origin(name)
-        self.queue.prune(now, lambda item: ring.owner(item.key_id, unix) == item.origin)
-        self.members.rekey([name for name in held if name != self.local.name])
+        self.queue.prune(now, lambda item: keyring.owner(item.key_id, unix) == item.origin)
+        self.members.set_names([name for name in active_names if name != self.local.name])
         context.by_address = {
             member.address: member.name
             for member in self.members.all.values()
@@ -275,10 +278,10 @@
         self.limits.set_validated_addresses(context.by_address)
 
     def leave(self, now: Ticks) -> None:
-        """Says goodbye to a few: the others hear of it."""
+        """Announces to a few peers that this instance leaves; they pass it on."""
         self._has_left = True
-        self.outbox.say(now, Left(), LIFE)
-        for member in self.members.sample(GOODBYE_FANOUT):
+        self.outbox.publish(now, Left(), LIVENESS)
+        for member in self.members.sample(LEAVE_FANOUT):
             items = self.queue.pick(len(self.members.live), ITEM_SPACE, member.name)
             self.outbox.send(
                 now, member.live_address(), member.name, Push(), SendPurpose.ANSWER, items=items
--- a/thymeknot/gossip/own_experience.py
+++ b/thymeknot/gossip/own_experience.py
@@ -1,4 +1,4 @@
-"""What this instance saw of endpoints itself."""
+"""Counts of this instance's own attempts at endpoints."""
 
 from collections.abc import Callable
 from typing import NamedTuple
@@ -6,21 +6,21 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..state.sliding_window import SlidingWindow
 
-BUCKETS = 10  # of the time that evidence counts
-FRESH_BUCKETS = 3  # the latest of them are fresh
-SEND_INTERVAL = 2 * TICKS_PER_SECOND  # between two words about one endpoint
-MIN_ATTEMPTS_TO_COMPARE = 4  # at the other endpoints, for their rate of failures to say something
-MIN_FAILURE_RATE = 0.01  # of the other endpoints, so that a ratio to it makes sense
+WINDOW_BUCKETS = 10  # of the window, which is as long as evidence is valid
+FRESH_BUCKETS = 3  # the latest buckets, whose counts are fresh
+EVIDENCE_INTERVAL = 2 * TICKS_PER_SECOND  # between evidence about the same endpoint
+MIN_ATTEMPTS_TO_COMPARE = 4  # at the other endpoints, for a failure rate
+MIN_FAILURE_RATE = 0.01  # assumed of the other endpoints, so that a ratio to it is defined
 
 
 class EndpointKey(NamedTuple):
-    """An endpoint. One that came back with another start or build is another.
+    """Identifies an endpoint. After a restart or a new build it is a different endpoint.
 
     Attributes:
-        id: Its id.
-        address: Its address, or empty if addresses are not matched.
-        build: Its build.
-        started: Its start in Unix time, in ticks, 0 if not known.
+        id: Endpoint id.
+        address: Address, empty if addresses are not matched.
+        build: Build.
+        started: Unix time of its start, in ticks, or 0 if unknown.
     """
 
     id: str
@@ -29,84 +29,90 @@
     started: int
 
 
-class Counts(NamedTuple):
-    """Attempts of late.
+class AttemptCounts(NamedTuple):
+    """Recent attempts.
 
     Attributes:
-        tried: Attempts that ended.
-        failed: Those of them that failed.
+        attempts: Number of attempts that ended.
+        failures: Number of those attempts that failed.
     """
 
-    tried: int
-    failed: int
+    attempts: int
+    failures: int
 
 
-class Observed:
-    """An endpoint as this instance saw it.
+class ObservedEndpoint:
+    """An endpoint with the counts of this instance's attempts and its suspicion.
 
     Attributes:
-        key: The endpoint.
-        count_tried: Counts an attempt that ended. Bound once, since each attempt comes here.
-        count_failed: Counts one that failed.
-        failed_at: When an attempt failed last.
-        sent_at: When evidence about it was sent last.
-        sent: The counts that were sent last.
-        until: Until when it is suspected.
-        times: How often it was suspected of late.
+        key: Identifies the endpoint.
+        count_attempt: Counts an attempt that ended. A bound method, looked up once because it is
+            called for each attempt.
+        count_failure: Counts an attempt that failed.
+        last_failure_at: When an attempt last failed.
+        evidence_sent_at: When evidence about it was last sent.
+        sent_counts: Counts in the evidence that was last sent.
+        suspected_until: When its latest suspicion ends.
+        suspicion_count: Number of recent suspicions.
     """
 
     __slots__ = (
-        "_failed",
-        "_tried",
-        "count_failed",
-        "count_tried",
-        "failed_at",
+        "_attempts",
+        "_failures",
+        "count_attempt",
+        "count_failure",
+        "evidence_sent_at",
         "key",
-        "sent",
-        "sent_at",
-        "times",
-        "until",
+        "last_failure_at",
+        "sent_counts",
+        "suspected_until",
+        "suspicion_count",
     )
 
     def __init__(self, key: EndpointKey, span: Ticks) -> None:
         self.key = key
-        self._tried = SlidingWindow(span, BUCKETS)
-        self._failed = SlidingWindow(span, BUCKETS)
-        self.count_tried: Callable[[Ticks], None] = self._tried.add
-        self.count_failed: Callable[[Ticks], None] = self._failed.add
-        self.failed_at: Ticks = 0
-        self.sent_at: Ticks = -SEND_INTERVAL
-        self.sent: Counts | None = None
-        self.until: Ticks = 0
-        self.times = 0
+        self._attempts = SlidingWindow(span, WINDOW_BUCKETS)
+        self._failures = SlidingWindow(span, WINDOW_BUCKETS)
+        self.count_attempt: Callable[[Ticks], None] = self._attempts.add
+        self.count_failure: Callable[[Ticks], None] = self._failures.add
+        self.last_failure_at: Ticks = 0
+        self.evidence_sent_at: Ticks = -EVIDENCE_INTERVAL
+        self.sent_counts: AttemptCounts | None = None
+        self.suspected_until: Ticks = 0
+        self.suspicion_count = 0
 
-    def counts(self, now: Ticks) -> Counts:
-        """Returns the counts of all the time that evidence counts."""
-        return Counts(int(self._tried.total(now)), int(self._failed.total(now)))
+    def counts(self, now: Ticks) -> AttemptCounts:
+        """Returns the counts over the whole window."""
+        return AttemptCounts(int(self._attempts.total(now)), int(self._failures.total(now)))
 
-    def fresh_counts(self, now: Ticks) -> Counts:
-        """Returns the fresh counts."""
-        tried = self._tried.total(now, False, FRESH_BUCKETS)
-        return Counts(int(tried), int(self._failed.total(now, False, FRESH_BUCKETS)))
+    def fresh_counts(self, now: Ticks) -> AttemptCounts:
+        """Returns the counts in the latest `FRESH_BUCKETS`."""
+        attempts = self._attempts.total(now, False, FRESH_BUCKETS)
+        return AttemptCounts(int(attempts), int(self._failures.total(now, False, FRESH_BUCKETS)))
 
 
-class AllEndpoints:
-    """The attempts at all endpoints together.
+class EndpointTotals:
+    """Counts of this instance's attempts at all endpoints together.
 
     Attributes:
-        count_tried: Counts an attempt that ended. Bound once, since each attempt comes here.
-        count_failed: Counts one that failed.
+        count_attempt: Counts an attempt that ended. A bound method, looked up once because it is
+            called for each attempt.
+        count_failure: Counts an attempt that failed.
     """
 
     def __init__(self, span: Ticks) -> None:
-        self._tried = SlidingWindow(span, BUCKETS)
-        self._failed = SlidingWindow(span, BUCKETS)
-        self.count_tried: Callable[[Ticks], None] = self._tried.add
-        self.count_failed: Callable[[Ticks], None] = self._failed.add
+        self._attempts = SlidingWindow(span, WINDOW_BUCKETS)
+        self._failures = SlidingWindow(span, WINDOW_BUCKETS)
+        self.count_attempt: Callable[[Ticks], None] = self._attempts.add
+        self.count_failure: Callable[[Ticks], None] = self._failures.add
 
-    def failure_rate_without(self, now: Ticks, observed: Observed) -> float | None:
-        """Returns the rate of failures at the other endpoints, None after too few attempts."""
+    def failure_rate_without(self, now: Ticks, observed: ObservedEndpoint) -> float | None:
+        """Returns the failure rate of the other endpoints, or None after too few attempts."""
         own = observed.counts(now)
-        tried = int(self._tried.total(now)) - own.tried
-        failed = int(self._failed.total(now)) - own.failed
-        return max(MIN_FAILURE_RATE, failed / tried) if tried >= MIN_ATTEMPTS_TO_COMPARE else None
+        attempts = int(self._attempts.total(now)) - own.attempts
+        failures = int(self._failures.total(now)) - own.failures
+        return (
+            max(MIN_FAILURE_RATE, failures / attempts)
+            if attempts >= MIN_ATTEMPTS_TO_COMPARE
+            else None
+        )
