--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -30,38 +30,38 @@
 PING, PONG = command("PING"), b"+PONG\r\n"
 
 
-def query(name, left=5000):
-    return command("SVC.QUERY", "key", name, f"c=read,d={left}")
+def query(name, timeout_ms=5000):
+    return command("SVC.QUERY", "key", name, f"c=read,d={timeout_ms}")
 
 
-class Real(Network):
+class SocketNetwork(Network):
     """A sidecar whose clients come over real connections; all else is in memory, and so is time."""
 
-    def __init__(self, *entries, **more):
-        super().__init__(*entries, **more)
+    def __init__(self, *entries, **options):
+        super().__init__(*entries, **options)
         self.loop, self.listener = EPollReactor(), socket.create_server(("127.0.0.1", 0))
 
     def step(self, times=3):
         for _ in range(times):
             self.loop.iterate(0)
 
-    def pass_on(self, units):
+    def advance_time(self, ticks):
         """So many tenths of a millisecond; deadlines go once more round the loop."""
         for _ in range(2):
-            self.reactor.advance(units / 10_000 / 2)
+            self.reactor.advance(ticks / 10_000 / 2)
             self.reactor.advance(0)
         self.step()
 
-    def opens(self):
+    def open_connection(self):
         """(the client's socket, the sidecar's connection)."""
-        near = socket.create_connection(self.listener.getsockname(), timeout=5)
-        far, address = self.listener.accept()
-        far.setblocking(False)
+        client_socket = socket.create_connection(self.listener.getsockname(), timeout=5)
+        server_socket, address = self.listener.accept()
+        server_socket.setblocking(False)
         connection = ClientConnection(self.proxy.listener)
-        transport = Server(far, connection, address, None, 0, self.loop)
+        transport = Server(server_socket, connection, address, None, 0, self.loop)
         transport.startReading()
         connection.makeConnection(transport)
-        return near, connection
+        return client_socket, connection
 
     def close(self):
         self.listener.close()
@@ -72,123 +72,132 @@
             reader.connectionLost(None)
 
 
-def all_of(near):
+def read_to_end(client_socket):
     """What the client reads up to the end of its connection, or up to a reset, which is told by an ending."""
-    got = b""
+    received = b""
     try:
-        while more := near.recv(65536):
-            got += more
+        while chunk := client_socket.recv(65536):
+            received += chunk
     except ConnectionResetError:
-        return got + b"RESET"
-    return got
+        return received + b"RESET"
+    return received
 
 
-class OverSockets(unittest.TestCase):
-    def network(self, *entries, **more):
-        network = Real(*entries, **more)
+class ClientConnectionSocketTest(unittest.TestCase):
+    def network(self, *entries, **options):
+        network = SocketNetwork(*entries, **options)
         self.addCleanup(network.close)
         return network
 
-    def opens(self, network):
-        near, connection = network.opens()
-        self.addCleanup(near.close)
-        return near, connection
+    def open_connection(self, network):
+        client_socket, connection = network.open_connection()
+        self.addCleanup(client_socket.close)
+        return client_socket, connection
 
-    def test_a_request_that_waits_unread_as_the_last_answer_goes_out_is_answered_before_the_close(
+    def test_request_unread_when_last_response_is_sent_is_answered_before_close(
         self,
     ):
         network = self.network()
-        near, connection = self.opens(network)
-        near.sendall(PING)
+        client_socket, connection = self.open_connection(network)
+        client_socket.sendall(PING)
         connection.finish = lambda: None  # until it is told
         network.step()
         del connection.finish
-        near.sendall(PING)  # in the machine: the loop does not turn before the end is asked for
+        client_socket.sendall(
+            PING
+        )  # in the machine: the loop does not turn before the end is asked for
         connection.finish()
         network.step()
-        network.pass_on(2 * LINGER_TIME)
-        self.assertEqual(all_of(near), PONG * 2)
+        network.advance_time(2 * LINGER_TIME)
+        self.assertEqual(read_to_end(client_socket), PONG * 2)
 
-    def test_one_that_is_read_in_the_turn_in_which_all_was_answered_is_answered_too(self):
+    def test_request_read_in_same_iteration_as_finish_is_answered(self):
         network = self.network()
-        near, connection = self.opens(network)
+        client_socket, connection = self.open_connection(network)
         connection.finish()
         connection.dataReceived(PING)  # before the loop has come to writing
         network.step()
-        network.pass_on(2 * LINGER_TIME)
-        self.assertEqual(all_of(near), PONG)
+        network.advance_time(2 * LINGER_TIME)
+        self.assertEqual(read_to_end(client_socket), PONG)
 
-    def test_what_crosses_the_end_is_not_read_and_the_answers_before_it_are_not_reset(self):
+    def test_request_sent_after_end_of_stream_is_not_read_and_responses_are_not_reset(self):
         network = self.network()
-        near, connection = self.opens(network)
-        near.sendall(PING)
+        client_socket, connection = self.open_connection(network)
+        client_socket.sendall(PING)
         network.step()
         connection.finish()
         network.step()
-        near.sendall(PING)  # sending has ended: its client reads that, and asks elsewhere
+        client_socket.sendall(PING)  # sending has ended: its client reads that, and asks elsewhere
         network.step()
-        self.assertEqual(all_of(near), PONG)
-        network.pass_on(2 * LINGER_TIME)
+        self.assertEqual(read_to_end(client_socket), PONG)
+        network.advance_time(2 * LINGER_TIME)
         self.assertEqual(len(network.proxy.clients), 0)
 
-    def test_a_new_connection_is_waited_for_until_its_first_command_has_come(self):
+    def test_finish_waits_for_first_command_of_new_connection(self):
         network = self.network()
-        near, connection = self.opens(network)
+        client_socket, connection = self.open_connection(network)
         connection.finish()
-        network.pass_on(4_000)
-        near.sendall(PING)
+        network.advance_time(4_000)
+        client_socket.sendall(PING)
         network.step()
-        network.pass_on(2 * LINGER_TIME)
-        self.assertEqual(all_of(near), PONG)
+        network.advance_time(2 * LINGER_TIME)
+        self.assertEqual(read_to_end(client_socket), PONG)
 
-    def test_an_error_behind_good_commands_is_told_whatever_comes_behind_it(self):
-        for wrong, why in (
+    def test_syntax_error_after_valid_commands_is_reported_despite_trailing_data(self):
+        for malformed, reason in (
             (b"nonsense\r\n", b"neither an array nor a string begins here"),
             (b"*1\r\n*1\r\n", b"an array in a command"),
         ):
             network = self.network()
-            near, connection = self.opens(network)
-            near.sendall(PING + wrong)
+            client_socket, connection = self.open_connection(network)
+            client_socket.sendall(PING + malformed)
             network.step(1)
-            near.sendall(b"more" * 20_000)  # unread as the connection ends
+            client_socket.sendall(b"more" * 20_000)  # unread as the connection ends
             network.step(9)
-            network.pass_on(2 * LINGER_TIME)
-            self.assertEqual(all_of(near), PONG + b"-ERR syntax: " + why + b"\r\n")
+            network.advance_time(2 * LINGER_TIME)
+            self.assertEqual(read_to_end(client_socket), PONG + b"-ERR syntax: " + reason + b"\r\n")
             self.assertEqual(len(network.proxy.clients), 0)
 
-    def test_a_client_that_shuts_its_sending_side_still_gets_what_is_answered(self):
+    def test_half_closed_client_still_receives_responses(self):
         network = self.network()
-        near, _ = self.opens(network)
-        near.sendall(PING)
-        near.shutdown(socket.SHUT_WR)  # both are there as the loop turns
+        client_socket, _ = self.open_connection(network)
+        client_socket.sendall(PING)
+        client_socket.shutdown(socket.SHUT_WR)  # both are there as the loop turns
         network.step(9)
-        self.assertEqual(all_of(near), PONG)
+        self.assertEqual(read_to_end(client_socket), PONG)
         self.assertEqual(len(network.proxy.clients), 0)
 
-    def test_and_what_it_waits_for_is_sent_on_no_more(self):
+    def test_pending_requests_of_half_closed_client_are_not_forwarded(self):
         network = self.network(endpoint_entry("s-1"))
-        near, _ = self.opens(network)
-        near.sendall(query("01"))
+        client_socket, _ = self.open_connection(network)
+        client_socket.sendall(query("01"))
         network.step()
         self.assertEqual(network.dialled_ports(), [7001])
-        near.shutdown(socket.SHUT_WR)
+        client_socket.shutdown(socket.SHUT_WR)
         network.step(9)
-        late = network.connect()
-        self.assertEqual((late.transport.value(), len(network.proxy.requests_in_flight)), (b"", 0))
+        late_connection = network.connect()
+        self.assertEqual(
+            (late_connection.transport.value(), len(network.proxy.requests_in_flight)), (b"", 0)
+        )
 
-    def test_who_leaves_while_it_is_not_read_from_is_noticed(self):
+    def test_disconnect_is_detected_while_reading_is_paused(self):
         """A connection with too much in hand is not read, so its end is not either."""
-        for leaves in (lambda near: near.close(), lambda near: near.shutdown(socket.SHUT_WR)):
+        for disconnect in (
+            lambda client_socket: client_socket.close(),
+            lambda client_socket: client_socket.shutdown(socket.SHUT_WR),
+        ):
             network = self.network(*(endpoint_entry(f"s-{at}") for at in range(9)))
-            near, connection = self.opens(network)
-            near.sendall(b"".join(query(f"{at}") for at in range(MAX_PIPELINED_COMMANDS + 9)))
+            client_socket, connection = self.open_connection(network)
+            client_socket.sendall(
+                b"".join(query(f"{at}") for at in range(MAX_PIPELINED_COMMANDS + 9))
+            )
             network.step()
-            near.sendall(PING)  # unread, before the end
-            leaves(near)
+            client_socket.sendall(PING)  # unread, before the end
+            disconnect(client_socket)
             network.step()
             self.assertFalse(connection.reading)
             self.assertGreater(len(network.proxy.requests_in_flight), MAX_PIPELINED_COMMANDS // 2)
-            network.pass_on(2 * DISCONNECT_CHECK_INTERVAL)
+            network.advance_time(2 * DISCONNECT_CHECK_INTERVAL)
             self.assertEqual(len(network.proxy.requests_in_flight), 0)
             dialled = len(network.dialled_ports())
             self.assertEqual(
@@ -196,59 +205,64 @@
                 [b""] * dialled,
             )
 
-    def test_half_a_command_whose_rest_is_not_read_yet_is_not_ended_for_being_late(self):
+    def test_partial_command_does_not_time_out_while_reading_is_paused(self):
         network = self.network(*(endpoint_entry(f"s-{at}") for at in range(9)))
-        near, connection = self.opens(network)
-        near.sendall(
+        client_socket, connection = self.open_connection(network)
+        client_socket.sendall(
             b"".join(query(f"{at}") for at in range(MAX_PIPELINED_COMMANDS + 9)) + PING[:5]
         )
         network.step()
-        near.sendall(PING[5:])
-        network.pass_on(COMMAND_TIMEOUT + 10)
+        client_socket.sendall(PING[5:])
+        network.advance_time(COMMAND_TIMEOUT + 10)
         self.assertEqual(
             (connection.reading, connection.input_valid, connection.parser.held), (False, True, 5)
         )
         for _ in range(9):
-            network.pass_on(5_000)  # the time of what is in hand is over
-        near.shutdown(socket.SHUT_WR)
-        network.pass_on(10)
-        answers = all_of(near).split(b"\r\n")
+            network.advance_time(5_000)  # the time of what is in hand is over
+        client_socket.shutdown(socket.SHUT_WR)
+        network.advance_time(10)
+        answers = read_to_end(client_socket).split(b"\r\n")
         self.assertEqual(
             (len(answers), answers[-2:]), (MAX_PIPELINED_COMMANDS + 9 + 2, [b"+PONG", b""])
         )
 
-    def test_nor_is_one_whose_rest_has_come_as_its_time_ends(self):
+    def test_partial_command_completed_at_its_deadline_does_not_time_out(self):
         network = self.network()
-        near, connection = self.opens(network)
-        near.sendall(PING[:5])
+        client_socket, connection = self.open_connection(network)
+        client_socket.sendall(PING[:5])
         network.step()
-        near.sendall(PING[5:])  # in the machine: the loop does not turn before the deadline
+        client_socket.sendall(
+            PING[5:]
+        )  # in the machine: the loop does not turn before the deadline
         connection._command_overdue()
         network.step()
-        network.pass_on(2 * DISCONNECT_CHECK_INTERVAL)
-        self.assertEqual(near.recv(99), PONG)
+        network.advance_time(2 * DISCONNECT_CHECK_INTERVAL)
+        self.assertEqual(client_socket.recv(99), PONG)
 
-    def test_one_that_never_spoke_is_closed_without_a_word_or_its_client_takes_that_for_an_answer(
+    def test_connection_without_commands_is_closed_without_response(
         self,
     ):
-        for speaks in (False, True):
+        for sends_command in (False, True):
             network = self.network()
-            near, connection = self.opens(network)
-            network.pass_on(COMMAND_TIMEOUT - 100)
-            if speaks:
-                near.sendall(PING)  # in the machine: the loop does not turn before the deadline
+            client_socket, connection = self.open_connection(network)
+            network.advance_time(COMMAND_TIMEOUT - 100)
+            if sends_command:
+                client_socket.sendall(
+                    PING
+                )  # in the machine: the loop does not turn before the deadline
                 connection._command_overdue()
-            network.pass_on(200)
-            network.pass_on(2 * LINGER_TIME)
+            network.advance_time(200)
+            network.advance_time(2 * LINGER_TIME)
             self.assertEqual(
-                (near.recv(99), len(network.proxy.clients)), (PONG, 1) if speaks else (b"", 0)
+                (client_socket.recv(99), len(network.proxy.clients)),
+                (PONG, 1) if sends_command else (b"", 0),
             )
 
-    def test_a_copy_that_is_read_before_the_end_of_the_firsts_connection_takes_its_place(self):
+    def test_repeat_read_before_disconnect_of_first_connection_replaces_it(self):
         """Its client has closed that connection, and asks on another: the loop may come to this one first, or does not
         read that one at all."""
         network = self.network(endpoint_entry("s-1"))
-        first, _ = self.opens(network)
+        first, _ = self.open_connection(network)
         first.sendall(query("01"))
         network.step()
         pod = network.connect()
@@ -261,32 +275,35 @@
         network.step()
         self.assertEqual([held.connection for held in network.proxy.requests_in_flight], [second])
 
-    def test_nor_does_a_copy_on_the_same_connection_once_its_client_has_left(self):
+    def test_repeat_on_same_connection_is_not_forwarded_after_disconnect(self):
         network = self.network(endpoint_entry("s-1"))
-        near, _ = self.opens(network)
-        near.sendall(query("01"))
+        client_socket, _ = self.open_connection(network)
+        client_socket.sendall(query("01"))
         network.step()
-        near.sendall(query("01"))
-        near.close()
+        client_socket.sendall(query("01"))
+        client_socket.close()
         network.step(1)
         self.assertEqual(
             (len(network.dialled_ports()), len(network.proxy.requests_in_flight)), (1, 0)
         )
 
-    def test_what_is_read_after_its_client_has_left_is_not_sent_on(self):
+    def test_request_read_after_disconnect_is_not_forwarded(self):
         """It waited in the machine: for a place, or because the loop was held up. What pods get is in memory here,
         and written at once."""
-        for leaves in (lambda near: near.close(), lambda near: near.shutdown(socket.SHUT_WR)):
+        for disconnect in (
+            lambda client_socket: client_socket.close(),
+            lambda client_socket: client_socket.shutdown(socket.SHUT_WR),
+        ):
             network = self.network(endpoint_entry("s-1"))
             network.ask("warm")
             pod = network.connect()
             pod.resumeProducing()
             pod.dataReceived(VALUE_RESPONSE)
-            network.pass_on(200)  # it has rested: what is decided is written
+            network.advance_time(200)  # it has rested: what is decided is written
             sent = pod.transport.value()
-            near, connection = self.opens(network)
-            near.sendall(query("01") + query("02") + query("02"))
-            leaves(near)
+            client_socket, connection = self.open_connection(network)
+            client_socket.sendall(query("01") + query("02") + query("02"))
+            disconnect(client_socket)
             network.step(1)
             self.assertEqual(
                 (pod.transport.value(), len(network.proxy.requests_in_flight)), (sent, 0)
@@ -297,111 +314,111 @@
             )
             self.assertTrue(connection.client_gone)
 
-    def test_an_attempt_after_another_is_not_sent_on_either(self):
+    def test_retry_is_not_sent_after_disconnect(self):
         network = self.network(endpoint_entry("s-1"), endpoint_entry("s-2"))
-        near, _ = self.opens(network)
-        near.sendall(query("01"))
+        client_socket, _ = self.open_connection(network)
+        client_socket.sendall(query("01"))
         network.step()
         pod = network.connect()
         pod.resumeProducing()
-        near.close()  # the loop has not turned since
+        client_socket.close()  # the loop has not turned since
         pod.dataReceived(b"-ERR failed\r\n")
         self.assertEqual(
             (len(network.dialled_ports()), len(network.proxy.requests_in_flight)), (1, 0)
         )
         self.assertEqual(network.proxy.engine.requests.open, {})
 
-    def test_an_evicted_connection_frees_its_descriptor_at_once(self):
+    def test_evicted_connection_frees_its_descriptor_at_once(self):
         network = self.network()
-        near, connection = self.opens(network)
-        near.sendall(PING)
+        client_socket, connection = self.open_connection(network)
+        client_socket.sendall(PING)
         network.step()
         connection.evict()
         network.step()
-        self.assertEqual((all_of(near), len(network.proxy.clients)), (PONG, 0))
+        self.assertEqual((read_to_end(client_socket), len(network.proxy.clients)), (PONG, 0))
 
-    def test_one_to_be_evicted_that_does_not_read_holds_its_place_for_half_a_second(self):
+    def test_evicted_connection_with_unread_response_closes_after_half_a_second(self):
         for blocked in (False, True):
             network = self.network()
-            near, connection = self.opens(network)
-            near.sendall(PING)
+            client_socket, connection = self.open_connection(network)
+            client_socket.sendall(PING)
             network.step()
             if not blocked:
                 connection.pauseProducing = lambda: None  # not noticed before
             connection.transport.write(b"x" * (16 << 20))  # an answer, more than the machine holds
             network.step()
             connection.evict()
-            network.pass_on(EVICTION_FLUSH_TIMEOUT - 100)
+            network.advance_time(EVICTION_FLUSH_TIMEOUT - 100)
             self.assertEqual(len(network.proxy.clients), 1)
-            network.pass_on(200)
+            network.advance_time(200)
             self.assertEqual(len(network.proxy.clients), 0)
 
-    def test_one_to_be_evicted_that_speaks_in_the_same_turn_is_heard(self):
+    def test_command_received_in_same_iteration_as_eviction_is_answered(self):
         network = self.network()
-        near, connection = self.opens(network)
-        near.sendall(PING)
+        client_socket, connection = self.open_connection(network)
+        client_socket.sendall(PING)
         network.step()
-        near.sendall(PING)
+        client_socket.sendall(PING)
         connection.evict()
         network.step()
-        self.assertEqual(all_of(near), PONG * 2)
+        self.assertEqual(read_to_end(client_socket), PONG * 2)
 
-    def listening(self):
+    def listen_on_reserved_port(self):
         network = self.network(endpoint_entry("s-1"))
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
-        kept, port = reserved()
-        self.addCleanup(kept.close)
+        reserved_socket, port = reserved()
+        self.addCleanup(reserved_socket.close)
         proxy.start = proxy.start._replace(listen=("127.0.0.1", port))
         proxy.listener.address = proxy.start.listen
         proxy.serve()
 
-        def takes():
+        def accepts_connections():
             network.step(9)
             try:
-                near = socket.create_connection(proxy.start.listen, timeout=5)
+                client_socket = socket.create_connection(proxy.start.listen, timeout=5)
             except ConnectionRefusedError:
                 return False
-            with near:
-                near.sendall(PING)
+            with client_socket:
+                client_socket.sendall(PING)
                 network.step(9)
-                return near.recv(99) == PONG
+                return client_socket.recv(99) == PONG
 
-        self.assertTrue(takes())
-        return network, takes
+        self.assertTrue(accepts_connections())
+        return network, accepts_connections
 
-    def test_a_way_back_that_is_overtaken_by_the_next_drain_does_not_listen(self):
-        network, takes = self.listening()
-        said = []
-        network.proxy.drain(lambda: said.append("empty"))
+    def test_undrain_superseded_by_another_drain_does_not_listen(self):
+        network, accepts_connections = self.listen_on_reserved_port()
+        callbacks = []
+        network.proxy.drain(lambda: callbacks.append("empty"))
         network.proxy.undrain(
-            lambda: said.append("first back"), said.append
+            lambda: callbacks.append("first back"), callbacks.append
         )  # its listener is closing still
-        network.proxy.drain(lambda: said.append("empty again"))
-        self.assertFalse(takes())
-        network.pass_on(1_000)
-        self.assertEqual(said, ["empty again"])
-        network.proxy.undrain(lambda: said.append("back"), said.append)
-        self.assertTrue(takes())
-        self.assertEqual(said, ["empty again", "back"])
-
-    def test_undone_in_the_middle_what_was_in_hand_is_answered_and_new_work_taken(self):
-        network, takes = self.listening()
-        near = socket.create_connection(network.proxy.start.listen, timeout=5)
-        self.addCleanup(near.close)
-        near.sendall(query("01"))
+        network.proxy.drain(lambda: callbacks.append("empty again"))
+        self.assertFalse(accepts_connections())
+        network.advance_time(1_000)
+        self.assertEqual(callbacks, ["empty again"])
+        network.proxy.undrain(lambda: callbacks.append("back"), callbacks.append)
+        self.assertTrue(accepts_connections())
+        self.assertEqual(callbacks, ["empty again", "back"])
+
+    def test_undrain_during_drain_answers_requests_in_flight_and_accepts_new_ones(self):
+        network, accepts_connections = self.listen_on_reserved_port()
+        client_socket = socket.create_connection(network.proxy.start.listen, timeout=5)
+        self.addCleanup(client_socket.close)
+        client_socket.sendall(query("01"))
         network.step(9)
-        said = []
-        network.proxy.drain(lambda: said.append("empty"))
-        network.pass_on(1_000)
-        near.sendall(PING)
-        network.proxy.undrain(lambda: said.append("back"), said.append)
-        self.assertTrue(takes())
-        network.pass_on(60_000)  # its answer is due by now
-        network.pass_on(2 * LINGER_TIME)
-        self.assertRegex(all_of(near), rb"^-[^\r]*\r\n\+PONG\r\n$")
-        self.assertEqual(said, ["back"])
-
-    def test_all_that_the_machine_has_accepted_is_taken_before_the_listener_closes(self):
+        callbacks = []
+        network.proxy.drain(lambda: callbacks.append("empty"))
+        network.advance_time(1_000)
+        client_socket.sendall(PING)
+        network.proxy.undrain(lambda: callbacks.append("back"), callbacks.append)
+        self.assertTrue(accepts_connections())
+        network.advance_time(60_000)  # its answer is due by now
+        network.advance_time(2 * LINGER_TIME)
+        self.assertRegex(read_to_end(client_socket), rb"^-[^\r]*\r\n\+PONG\r\n$")
+        self.assertEqual(callbacks, ["back"])
+
+    def test_listener_backlog_is_accepted_before_listener_closes(self):
         network, factory = self.network(), Factory()
         factory.noisy, factory.buildProtocol = (
             False,
@@ -414,26 +431,28 @@
         first = socket.create_connection(address)
         self.addCleanup(first.close)
         network.step(9)  # the port has learnt that one comes at a time
-        crowd = [socket.create_connection(address, timeout=5) for _ in range(30)]
-        for near in crowd:
-            self.addCleanup(near.close)
-            near.sendall(PING)
-        emptied = []
-        network.proxy.shut_down(lambda: emptied.append(True))
+        client_sockets = [socket.create_connection(address, timeout=5) for _ in range(30)]
+        for client_socket in client_sockets:
+            self.addCleanup(client_socket.close)
+            client_socket.sendall(PING)
+        shutdown_callbacks = []
+        network.proxy.shut_down(lambda: shutdown_callbacks.append(True))
         self.assertEqual(len(network.proxy.clients), 31)
         network.step(9)
-        network.pass_on(400)
-        network.pass_on(2 * LINGER_TIME)
+        network.advance_time(400)
+        network.advance_time(2 * LINGER_TIME)
         network.step(9)
-        self.assertEqual([all_of(near) for near in crowd], [PONG] * 30)
-        self.assertEqual(emptied, [])  # the first may be about to say its first word
-        network.pass_on(5_000)
-        network.pass_on(2 * LINGER_TIME)
+        self.assertEqual(
+            [read_to_end(client_socket) for client_socket in client_sockets], [PONG] * 30
+        )
+        self.assertEqual(shutdown_callbacks, [])  # the first may be about to say its first word
+        network.advance_time(5_000)
+        network.advance_time(2 * LINGER_TIME)
         network.step(9)
-        self.assertEqual(all_of(first), b"")
-        self.assertEqual(emptied, [True])
+        self.assertEqual(read_to_end(first), b"")
+        self.assertEqual(shutdown_callbacks, [True])
 
-    def test_who_comes_between_the_last_one_taken_and_the_close_is_not_accepted_and_then_reset(
+    def test_connection_between_last_accept_and_close_is_refused_not_reset(
         self,
     ):
         network, factory = self.network(), Factory()
@@ -446,138 +465,146 @@
         )
         address = "127.0.0.1", port.getHost().port
         network.proxy.shut_down(lambda: None)
-        early, late = (socket.socket() for _ in range(2))
-        for near in (early, late):
-            self.addCleanup(near.close)
-            near.settimeout(5)
+        early, late_connection = (socket.socket() for _ in range(2))
+        for client_socket in (early, late_connection):
+            self.addCleanup(client_socket.close)
+            client_socket.settimeout(5)
         early.connect(address)
         early.sendall(PING)
         network.reactor.advance(0)  # the last one is taken
-        late.setblocking(False)
-        late.connect_ex(address)
-        self.assertEqual(select.select([], [late], [], 0.2)[1], [])  # the machine lets nobody in
+        late_connection.setblocking(False)
+        late_connection.connect_ex(address)
+        self.assertEqual(
+            select.select([], [late_connection], [], 0.2)[1], []
+        )  # the machine lets nobody in
         network.step(9)  # the listener closes
         self.assertTrue(port.disconnected)
-        network.pass_on(400)
-        network.pass_on(2 * LINGER_TIME)
-        self.assertEqual(all_of(early), PONG)
-        late.setblocking(True)
-        late.settimeout(5)
+        network.advance_time(400)
+        network.advance_time(2 * LINGER_TIME)
+        self.assertEqual(read_to_end(early), PONG)
+        late_connection.setblocking(True)
+        late_connection.settimeout(5)
         self.assertEqual(
-            select.select([], [late], [], 5)[1], [late]
+            select.select([], [late_connection], [], 5)[1], [late_connection]
         )  # it asks once more in a second, and is told
-        self.assertEqual(late.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), errno.ECONNREFUSED)
+        self.assertEqual(
+            late_connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), errno.ECONNREFUSED
+        )
 
 
-class Places(unittest.TestCase):
+class ConnectionLimitTest(unittest.TestCase):
     """A crowd that the machine has accepted, more than there are places for, as the loop comes to it: each is taken
     once there is one, and none is closed for want of a descriptor."""
 
-    def taken(self, finishes):
-        network = Real(endpoint_entry("s-1"), sockets=64)
+    def flood_and_run(self, shuts_down):
+        network = SocketNetwork(endpoint_entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address = ("127.0.0.1", 0)
         proxy.serve()
-        address, most, said = proxy.listener.port.socket.getsockname(), [], []
-        crowd = [socket.create_connection(address, timeout=5) for _ in range(60)]
-        for at, near in enumerate(crowd):
-            self.addCleanup(near.close)
-            near.sendall(query(f"{at}", 300))
-        if finishes:
-            proxy.shut_down(lambda: said.append("empty"))
+        address, client_counts, callbacks = proxy.listener.port.socket.getsockname(), [], []
+        client_sockets = [socket.create_connection(address, timeout=5) for _ in range(60)]
+        for at, client_socket in enumerate(client_sockets):
+            self.addCleanup(client_socket.close)
+            client_socket.sendall(query(f"{at}", 300))
+        if shuts_down:
+            proxy.shut_down(lambda: callbacks.append("empty"))
         for _ in range(200):
-            network.pass_on(100)
-            most.append(len(proxy.clients))
-        return network, crowd, max(most), said
+            network.advance_time(100)
+            client_counts.append(len(proxy.clients))
+        return network, client_sockets, max(client_counts), callbacks
 
-    def test_by_one_that_serves(self):
-        network, crowd, most, _ = self.taken(False)
-        self.assertLessEqual(most, network.proxy.listener.max_clients + CLOSING_ALLOWANCE)
+    def test_limit_holds_while_serving(self):
+        network, client_sockets, max_seen, _ = self.flood_and_run(False)
+        self.assertLessEqual(max_seen, network.proxy.listener.max_clients + CLOSING_ALLOWANCE)
         self.assertEqual(
-            {near.recv(99)[:1] for near in crowd}, {b"-"}
+            {client_socket.recv(99)[:1] for client_socket in client_sockets}, {b"-"}
         )  # its time is over: nothing else is there
         self.assertFalse(network.proxy.listener.accepting_paused)
 
-    def test_by_one_that_ends(self):
-        network, crowd, most, said = self.taken(True)
-        self.assertLessEqual(most, network.proxy.listener.max_clients + CLOSING_ALLOWANCE)
-        self.assertEqual({all_of(near)[:1] for near in crowd}, {b"-"})
+    def test_limit_holds_during_shutdown(self):
+        network, client_sockets, max_seen, callbacks = self.flood_and_run(True)
+        self.assertLessEqual(max_seen, network.proxy.listener.max_clients + CLOSING_ALLOWANCE)
+        self.assertEqual(
+            {read_to_end(client_socket)[:1] for client_socket in client_sockets}, {b"-"}
+        )
         self.assertEqual(
-            (said, len(network.proxy.clients), network.proxy.listener_closed.called),
+            (callbacks, len(network.proxy.clients), network.proxy.listener_closed.called),
             (["empty"], 0, True),
         )
 
-    def test_one_that_is_new_keeps_its_place_before_one_that_is_idle(self):
+    def test_idle_connection_is_evicted_before_new_connection(self):
         """Its first command is on its way, and a new connection that is closed without an answer counts as refused."""
-        for waited, goes in ((0.0, 1), (0.6, 0)):
+        for elapsed, evicted_index in ((0.0, 1), (0.6, 0)):
             network = Network(endpoint_entry("s-1"), sockets=64)
             new, idle = network.client(), network.client()
             idle.dataReceived(PING)
-            network.reactor.advance(waited)
+            network.reactor.advance(elapsed)
             while not (new.closing or idle.closing):
                 network.client().pending_responses.append(None)  # in hand
-            self.assertEqual([one.closing for one in (new, idle)], [at == goes for at in range(2)])
+            self.assertEqual(
+                [client.closing for client in (new, idle)], [at == evicted_index for at in range(2)]
+            )
 
-    def test_nor_does_a_crowd_close_it(self):
+    def test_burst_of_connections_does_not_evict_new_connections(self):
         network = Network(endpoint_entry("s-1"))
         clients = [network.client() for _ in range(network.proxy.listener.max_clients // 2)]
         network.reactor.advance(0.3)
         network.client()
-        self.assertFalse(any(one.closing for one in clients))
+        self.assertFalse(any(client.closing for client in clients))
         network.reactor.advance(0.3)
         network.client()
-        self.assertTrue(any(one.closing for one in clients))
+        self.assertTrue(any(client.closing for client in clients))
 
-    def test_by_one_that_comes_back_before_its_drain_is_over(self):
-        network = Real(endpoint_entry("s-1"), sockets=64)
+    def test_backlog_is_served_after_undrain_during_drain(self):
+        network = SocketNetwork(endpoint_entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
-        proxy.listener.address, said = ("127.0.0.1", 0), []
+        proxy.listener.address, callbacks = ("127.0.0.1", 0), []
         proxy.serve()
-        crowd = [
+        client_sockets = [
             socket.create_connection(proxy.listener.port.socket.getsockname(), timeout=5)
             for _ in range(60)
         ]
-        for at, near in enumerate(crowd):
-            self.addCleanup(near.close)
-            near.sendall(query(f"{at}", 300))
-        proxy.drain(lambda: said.append("empty"))
+        for at, client_socket in enumerate(client_sockets):
+            self.addCleanup(client_socket.close)
+            client_socket.sendall(query(f"{at}", 300))
+        proxy.drain(lambda: callbacks.append("empty"))
         network.step()
-        proxy.undrain(lambda: said.append("back"), said.append)
+        proxy.undrain(lambda: callbacks.append("back"), callbacks.append)
         for _ in range(ACCEPT_REST_WITHIN // 100 + 9):
-            network.pass_on(100)
-        self.assertEqual({near.recv(99)[:1] for near in crowd}, {b"-"})
+            network.advance_time(100)
+        self.assertEqual({client_socket.recv(99)[:1] for client_socket in client_sockets}, {b"-"})
         self.assertEqual(
-            (said, proxy.listener.listening, proxy.listener_closed), (["back"], True, None)
+            (callbacks, proxy.listener.listening, proxy.listener_closed), (["back"], True, None)
         )
 
-    def test_a_crowd_that_goes_on_coming_does_not_hold_up_the_end(self):
-        network = Real(endpoint_entry("s-1"), sockets=64)
+    def test_continuous_new_connections_do_not_delay_shutdown(self):
+        network = SocketNetwork(endpoint_entry("s-1"), sockets=64)
         self.addCleanup(network.close)
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address = ("127.0.0.1", 0)
         proxy.serve()
-        address, rounds = proxy.listener.port.socket.getsockname(), ACCEPT_REST_WITHIN // 100 + 2
+        address, steps = proxy.listener.port.socket.getsockname(), ACCEPT_REST_WITHIN // 100 + 2
 
-        def comes(at):
-            near = socket.create_connection(address, timeout=5)
-            self.addCleanup(near.close)
-            near.sendall(query(f"{at}", 300))
+        def connect_client(at):
+            client_socket = socket.create_connection(address, timeout=5)
+            self.addCleanup(client_socket.close)
+            client_socket.sendall(query(f"{at}", 300))
 
         for at in range(60):
-            comes(at)
+            connect_client(at)
         proxy.shut_down(lambda: None)
-        for at in range(rounds):
+        for at in range(steps):
             if proxy.listener.listening:
                 for _ in range(3):
-                    comes(f"{at}.{_}")
-            network.pass_on(100)
+                    connect_client(f"{at}.{_}")
+            network.advance_time(100)
         self.assertEqual((proxy.listener.listening, proxy.listener_closed.called), (False, True))
 
 
-class Stopping(unittest.TestCase):
-    def test_what_is_taken_after_the_stop_has_its_answer_before_the_kill(self):
+class ShutdownTest(unittest.TestCase):
+    def test_request_accepted_during_shutdown_is_answered_before_kill(self):
         network = Network(endpoint_entry("s-1"))
         client = network.ask("01")
         network.proxy.shutdown.listener_closed = True
@@ -594,56 +621,56 @@
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n-BUSY 500\r\n-BUSY\r\n")
         self.assertEqual(network.close_states(client), [(True, True)])
 
-    def test_new_connections_that_were_held_off_are_taken_once_one_rests(self):
+    def test_accepting_resumes_once_a_connection_is_idle(self):
         class Port:
-            on = True
+            reading = True
 
             def stopReading(self):
-                self.on = False
+                self.reading = False
 
             def startReading(self):
-                self.on = True
+                self.reading = True
 
         network = Network(endpoint_entry("s-1"), sockets=64)
         network.proxy.listener.port = Port()
         clients = [network.ask(f"{at}") for at in range(network.proxy.listener.max_clients)]
         self.assertEqual(
-            (len(network.proxy.requests_in_flight) > 2, network.proxy.listener.port.on),
+            (len(network.proxy.requests_in_flight) > 2, network.proxy.listener.port.reading),
             (True, True),
         )
-        busy = [client for client in clients if client.pending_responses]
+        busy_clients = [client for client in clients if client.pending_responses]
         for client in clients:
-            if client not in busy:
+            if client not in busy_clients:
                 client.dataReceived(
                     command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9]
                 )
                 client.transport.has_unread_data = True
         network.client()
-        self.assertFalse(network.proxy.listener.port.on)
+        self.assertFalse(network.proxy.listener.port.reading)
         connection = network.connect(network.initial_dials)
         connection.resumeProducing()
         connection.dataReceived(VALUE_RESPONSE)
-        self.assertTrue(network.proxy.listener.port.on)
+        self.assertTrue(network.proxy.listener.port.reading)
 
 
-class Repeated(unittest.TestCase):
+class RepeatedRequestTest(unittest.TestCase):
     """A client whose connection was closed under a request sends the same one once more, under the same id."""
 
-    def left(self, lane, written, recalls):
+    def repeat_after_disconnect(self, request_class, written, cancellation_allowed):
         network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         network.proxy.settings = network.proxy.engine.context.settings = (
-            network.proxy.settings._replace(cancellation_allowed=recalls)
+            network.proxy.settings._replace(cancellation_allowed=cancellation_allowed)
         )
-        first = network.ask("01", request_class=lane)
+        first = network.ask("01", request_class=request_class)
         connection = network.connect(network.initial_dials)
         if written:
             connection.resumeProducing()
         first.connectionLost(None)
-        return network, connection, network.ask("01", request_class=lane)
+        return network, connection, network.ask("01", request_class=request_class)
 
-    def test_the_copy_gets_what_the_first_one_brings_and_nothing_runs_twice(self):
-        for lane in ("read", "mark", "pay"):
-            network, connection, second = self.left(lane, True, False)
+    def test_repeat_receives_response_of_first_request_and_nothing_runs_twice(self):
+        for request_class in ("read", "mark", "pay"):
+            network, connection, second = self.repeat_after_disconnect(request_class, True, False)
             self.assertEqual((second.transport.value(), len(network.dialled_ports())), (b"", 1))
             connection.dataReceived(VALUE_RESPONSE)
             self.assertEqual(second.transport.value(), b"$1\r\nv\r\n")
@@ -651,11 +678,13 @@
                 (len(network.proxy.requests_in_flight), network.proxy.requests.by_id), (0, {})
             )
 
-    def test_what_has_not_gone_out_whole_goes_no_further_and_the_copy_is_sent_anew(self):
+    def test_partially_written_request_is_cancelled_and_repeat_is_sent(self):
         """Also where what is out may not be recalled: it is not out."""
-        for recalls in (True, False):
-            for lane in ("read", "mark", "pay"):
-                network, connection, second = self.left(lane, False, recalls)
+        for cancellation_allowed in (True, False):
+            for request_class in ("read", "mark", "pay"):
+                network, connection, second = self.repeat_after_disconnect(
+                    request_class, False, cancellation_allowed
+                )
                 self.assertTrue(connection.transport.disconnected)
                 self.assertEqual((second.transport.value(), len(network.dialled_ports())), (b"", 2))
                 second.connectionLost(None)
@@ -664,65 +693,67 @@
                     (0, {}),
                 )
 
-    def test_or_its_failure(self):
-        network, connection, second = self.left("pay", True, False)
+    def test_repeat_receives_failure_of_first_request(self):
+        network, connection, second = self.repeat_after_disconnect("pay", True, False)
         connection.connectionLost(Failure(ConnectionLost()))
         self.assertEqual(second.transport.value(), b"-ERR abandoned\r\n")
         self.assertEqual(
             (len(network.dialled_ports()), len(network.proxy.requests_in_flight)), (1, 0)
         )
 
-    def test_or_an_answer_at_its_own_end(self):
-        network, _, second = self.left("pay", True, False)
+    def test_repeat_is_answered_at_its_own_deadline(self):
+        network, _, second = self.repeat_after_disconnect("pay", True, False)
         network.proxy.requests.find("01").attempts[0].expires_at += 10**6
         network.proxy.timers.cancel(network.proxy.requests.find("01").attempts[0].timer)
         network.reactor.advance(5.1)
         network.reactor.advance(0)
         self.assertEqual(second.transport.value(), b"-ERR abandoned\r\n")
 
-    def test_where_the_first_was_recalled_one_that_may_have_run_is_not_run_again_while_it_may_be_asked_for(
+    def test_request_that_may_have_run_is_not_repeated_after_cancellation(
         self,
     ):
-        for lane, written, dials in (
+        for request_class, written, dials in (
             ("read", True, 2),
             ("pay", False, 2),
             ("pay", True, 1),
             ("mark", True, 1),
         ):
-            network, _, second = self.left(lane, written, True)
-            self.assertEqual(len(network.dialled_ports()), dials, (lane, written))
+            network, _, second = self.repeat_after_disconnect(request_class, written, True)
+            self.assertEqual(len(network.dialled_ports()), dials, (request_class, written))
             self.assertEqual(second.transport.value()[:4], b"-ERR" if dials == 1 else b"")
             if dials == 1:  # and nothing of it is kept
                 network.reactor.advance(5.1)
                 network.reactor.advance(0)
                 self.assertEqual(network.proxy.requests.may_have_run, set())
 
-    def test_a_copy_while_the_first_ones_client_is_there_is_refused(self):
+    def test_repeat_is_rejected_while_first_client_is_connected(self):
         network = Network(endpoint_entry("s-1"))
         first, second = network.ask("01"), network.ask("01")
         self.assertEqual((first.transport.value(), second.transport.value()[:4]), (b"", b"-ERR"))
 
 
-class Leaving(unittest.TestCase):
-    def test_those_of_one_client_may_be_removed_and_others_sent_while_it_is_told(self):
+class ClientDisconnectTest(unittest.TestCase):
+    def test_requests_may_be_added_and_removed_while_disconnect_is_handled(self):
         """The walk over what it had goes on over what the decisions change at each."""
         network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         client = network.client()
         for at in range(6):
             network.ask(f"{at}", connection=client)
-        other, decide = network.ask("other"), network.proxy.engine.handle
+        other_client, handle_events = network.ask("other"), network.proxy.engine.handle
 
         def handle(now, events):
             if (
                 type(events[0]) is ClientDisconnected
             ):  # another of its own ends at the same moment, and a new one comes
-                last = network.proxy.requests.find("5")
+                last_request = network.proxy.requests.find("5")
                 for attempt in (
-                    [attempt for attempt in last.attempts if attempt.in_flight] if last else ()
+                    [attempt for attempt in last_request.attempts if attempt.in_flight]
+                    if last_request
+                    else ()
                 ):
                     attempt.give_up()
                 network.ask(f"new{events[0].id}")
-            return decide(now, events)
+            return handle_events(now, events)
 
         network.proxy.engine.handle = handle
         client.connectionLost(None)
@@ -731,7 +762,7 @@
             set(),
         )
         self.assertIn("other", {held.id for held in network.proxy.requests_in_flight})
-        self.assertEqual((network.faults, len(other.pending_responses)), ([], 1))
+        self.assertEqual((network.faults, len(other_client.pending_responses)), ([], 1))
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -90,7 +90,7 @@
 )
 
 
-class Drawn(unittest.TestCase):
+class RandomOrderTest(unittest.TestCase):
     @settings(
         HOW, phases=[Phase.generate], report_multiple_bugs=False
     )  # smallest() takes less time than shrinking
@@ -103,11 +103,11 @@
             self.fail(f"{error!r}; {smallest(STARTS, drawn, error)}")
 
 
-class Known(unittest.TestCase):
+class RegressionTest(unittest.TestCase):
     """Faults that were found, each in its smallest order; what is not mended yet is red and left out above by a switch
     in orders.py."""
 
-    def test_a_client_that_leaves_while_it_is_not_read_from_has_no_more_attempts(self):
+    def test_client_disconnect_while_reading_is_paused_ends_its_attempts(self):
         with mock.patch.object(order_rig, "ENDS_WHILE_NOT_READ", True):
             for how in ("close", "shut", "reset"):
                 with self.subTest(how):
@@ -121,7 +121,7 @@
                         ("passes", 400, -1),
                     )
 
-    def test_what_is_read_after_its_client_has_left_is_not_sent_on(self):
+    def test_request_read_after_disconnect_is_not_forwarded(self):
         for how in ("close", "shut", "reset"):
             with self.subTest(how):
                 play(
@@ -133,7 +133,7 @@
                     ("passes", 400, -1),
                 )
 
-    def test_a_second_copy_of_an_answer_is_not_taken_for_the_next_requests(self):
+    def test_duplicate_response_is_not_used_for_the_next_request(self):
         with mock.patch.object(order_rig, "SECOND_COPIES_MEET_OTHERS", True):
             play(
                 *STARTS,
@@ -146,7 +146,7 @@
                 ("passes", 100, -1),
             )
 
-    def test_what_has_not_begun_to_go_out_is_not_begun_after_a_drain(self):
+    def test_unwritten_attempt_is_not_sent_after_a_drain(self):
         with mock.patch.object(order_rig, "PODS_TAKE_NOTHING", True):
             play(
                 *STARTS,
@@ -156,7 +156,7 @@
                 ("passes", 100, -1),
             )
 
-    def test_an_attempt_decided_after_its_client_has_left_is_ended_by_its_own_number(self):
+    def test_attempt_decided_after_disconnect_is_ended_by_its_own_id(self):
         play(
             *STARTS,
             ("pod_takes", 1, 0, 0),
@@ -166,7 +166,7 @@
             ("listed", 1, "Terminating", -1),
         )
 
-    def test_a_client_that_leaves_while_it_is_not_read_from_is_noticed_in_time(self):
+    def test_disconnect_while_reading_is_paused_is_detected_in_time(self):
         """A client asks for more than is read from it at once, one attempt is written in part, and the client leaves.
         Its connection is looked at by a timer alone. As the looks came each 0.1 s, which is all the time that an
         attempt may still begin in, and after the writes of their turn, the rest went out 0.1001 s after the client had
@@ -183,39 +183,39 @@
             ("leave", 1, "reset", -1),
         )
 
-    def test_a_connection_is_not_blamed_for_time_in_which_the_process_was_held_up(self):
+    def test_checker_excludes_time_in_which_the_process_was_suspended(self):
         """A connection that is owed nothing was found open 0.151 s after the end of service, 0.150 s of which the
         process had no processor: the page allows for that. With a turn of the loop it is closed; the checker counts
         the bound in time in which the sidecar could run, and a connection that stays open is still found."""
-        ended = *STARTS, ("ping", 1, -1), ("finish", -1), ("passes", 1, 1)
-        play(*ended, ("leave_unread", 0, 1, "shut", 0))
-        play(*ended, ("held_up", 150, 0))
+        finished = *STARTS, ("ping", 1, -1), ("finish", -1), ("passes", 1, 1)
+        play(*finished, ("leave_unread", 0, 1, "shut", 0))
+        play(*finished, ("held_up", 150, 0))
         with (
             mock.patch.object(ClientConnection, "finish", lambda self: None),
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(Wrong) as raised,
         ):
-            play(*ended, ("held_up", 150, 0), ("passes", 151, -1))
-        self.assertRegex(str(found.exception), "owed nothing and open 0.3.* s after the end")
+            play(*finished, ("held_up", 150, 0), ("passes", 151, -1))
+        self.assertRegex(str(raised.exception), "owed nothing and open 0.3.* s after the end")
 
-    def test_half_a_command_is_judged_by_the_build_that_was_listed_as_it_was_begun(self):
+    def test_checker_uses_the_build_listed_when_a_partial_command_began(self):
         """A pod of the earlier build takes a part of a command, 2.6 s later its name is listed with the newest build,
         which takes nothing: the trace has the command begun before the listing, so nothing went to the newest build.
         The checker went by what was listed at the end."""
-        begun = (
+        initial_events = (
             *STARTS,
             ("built", "withdrawn", 1.0, 1),
             ("pod_takes", 0, 40, 0),
             ("ask", 3, 0, 2, 0, 5, 0),
         )
-        play(*begun, ("passes", 2600, -1), ("listed", 0, "other build", 1))
+        play(*initial_events, ("passes", 2600, -1), ("listed", 0, "other build", 1))
         with (
             mock.patch.object(order_rig.Pod, "build_known_at", lambda self, moment: 42),
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(Wrong) as raised,
         ):
-            play(*begun, ("passes", 2600, -1), ("listed", 0, "Terminating", 1))
-        self.assertRegex(str(found.exception), "though the newest build takes nothing")
+            play(*initial_events, ("passes", 2600, -1), ("listed", 0, "Terminating", 1))
+        self.assertRegex(str(raised.exception), "though the newest build takes nothing")
 
-    def test_answers_that_take_no_time_are_no_fault(self):
+    def test_immediate_responses_are_allowed(self):
         with mock.patch.object(order_rig, "ANSWERS_AT_ONCE", True):
             play(
                 *STARTS,
@@ -225,25 +225,25 @@
                 ("passes", 11000, -1),
             )
 
-    def test_a_drain_while_it_comes_back_from_another_does_not_leave_it_listening(self):
+    def test_drain_during_undrain_stops_listening(self):
         with mock.patch.object(order_rig, "DRAINS_WHILE_COMING_BACK", True):
             play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("passes", 100, -1))
 
 
-class Checker(unittest.TestCase):
+class CheckerTest(unittest.TestCase):
     """It finds what is broken on purpose: the same orders, drawn until one shows it."""
 
-    def found(self, broken, name, patch, wrong):
+    def assert_detected(self, target, name, replacement, error_pattern):
         @settings(HOW, phases=[Phase.generate], report_multiple_bugs=False)
         @given(DRAWN)
         def run(drawn):
             play(*STARTS, *drawn)
 
-        with mock.patch.object(broken, name, patch), self.assertRaises(Wrong) as found:
+        with mock.patch.object(target, name, replacement), self.assertRaises(Wrong) as raised:
             run()
-        self.assertRegex(str(found.exception), wrong)
+        self.assertRegex(str(raised.exception), error_pattern)
 
-    def test_answers_that_do_not_keep_the_order_of_the_commands(self):
+    def test_out_of_order_responses_are_detected(self):
         def answer(self, place, content):
             at = place - self.first_sequence
             if not self.connected or at < 0 or self.pending_responses[at] is not None:
@@ -257,15 +257,15 @@
             if self.closing:
                 self.finish()
 
-        self.found(ClientConnection, "answer", answer, "is answered with .*, made for")
+        self.assert_detected(ClientConnection, "answer", answer, "is answered with .*, made for")
 
-    def test_deliveries_that_wait_and_are_carried_past_a_drain(self):
+    def test_attempts_written_after_a_drain_are_detected(self):
         with (
             mock.patch.object(Proxy, "withdraw_unwritten", lambda self, fails: None),
             mock.patch.object(
                 Attempt, "may_be_written", lambda self, address: True
             ),  # which would hold it, too
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(Wrong) as raised,
         ):
             play(
                 *STARTS,
@@ -275,12 +275,12 @@
                 ("passes", 100, -1),
                 ("dials_end", True, -1),
             )
-        self.assertRegex(str(found.exception), "after its drain was told")
+        self.assertRegex(str(raised.exception), "after its drain was told")
 
-    def test_an_attempt_that_is_given_up_and_does_not_end(self):
-        self.found(Attempt, "give_up", lambda self, outcome=None: None, "left at the end")
+    def test_abandoned_attempt_that_does_not_end_is_detected(self):
+        self.assert_detected(Attempt, "give_up", lambda self, outcome=None: None, "left at the end")
 
-    def test_a_connection_that_is_closed_with_something_owed(self):
+    def test_connection_closed_with_pending_responses_is_detected(self):
         def finish(self):
             self.closing = True
             if not self.ended:
@@ -288,24 +288,24 @@
                 self.transport.unregisterProducer()
                 self.transport.loseConnection()
 
-        self.found(ClientConnection, "finish", finish, "closed with .* owed")
+        self.assert_detected(ClientConnection, "finish", finish, "closed with .* owed")
 
-    def test_a_binding_request_that_is_sent_again_though_it_may_have_run(self):
+    def test_repeated_non_idempotent_request_is_detected(self):
         with (
             mock.patch.object(idempotency, "may_repeat", lambda request, now, by_client: True),
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(Wrong) as raised,
         ):
             play(
                 *STARTS,
                 *(("pod_does", pod, "error", 3, -1) for pod in range(3)),
                 ("ask", 0, 2, 2, 0, 1, -1),
             )
-        self.assertRegex(str(found.exception), "binding .* may have run")
+        self.assertRegex(str(raised.exception), "binding .* may have run")
 
-    def test_a_client_that_has_gone_and_is_not_noticed(self):
+    def test_undetected_client_disconnect_is_detected(self):
         with (
             mock.patch.object(ClientRequests, "client_disconnected", lambda self, connection: None),
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(Wrong) as raised,
         ):
             play(
                 *STARTS,
@@ -317,7 +317,7 @@
                 *COME_UP,
                 ("passes", 400, -1),
             )
-        self.assertRegex(str(found.exception), "after its client left")
+        self.assertRegex(str(raised.exception), "after its client left")
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_gossip.py
+++ b/tests/integration/test_gossip.py
@@ -10,65 +10,74 @@
 from thymeknot.gossip import keys
 
 
-class OnLoopback(unittest.TestCase):
-    def test_real_programs_beside_a_hostile_peer(self):
-        figures = loopback(3, True)
+class LoopbackTest(unittest.TestCase):
+    def test_real_programs_withstand_a_hostile_peer(self):
+        measurements = loopback(3, True)
         for name in ("wrongful_exclusions", "wrong_dead", "rules_broken", "faults"):
-            self.assertEqual(figures[name], 0, name)
+            self.assertEqual(measurements[name], 0, name)
         self.assertLessEqual(
-            figures["bytes_per_second_most"], 2 * figures["ceiling"]
+            measurements["bytes_per_second_most"], 2 * measurements["ceiling"]
         )  # clock seconds, not any second
-        self.assertEqual(figures["answers"]["lost"], 0)
-        self.assertGreater(figures["answers"]["done"], 500)
+        self.assertEqual(measurements["answers"]["lost"], 0)
+        self.assertGreater(measurements["answers"]["done"], 500)
 
-    def test_a_ring_is_taken_up_on_reload_and_one_that_ends_says_goodbye(self):
+    def test_reload_applies_the_keyring_and_shutdown_announces_departure(self):
         fleet = Fleet([lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"], HONEST[:3], ())
         self.addCleanup(fleet.close)
-        said = {name: [] for name in fleet.programs}
+        log_lines = {name: [] for name in fleet.programs}
 
-        def gather():
+        def collect_log_lines():
             time.sleep(0.05)
-            for name in said:
-                said[name] += fleet.lines(name)
+            for name in log_lines:
+                log_lines[name] += fleet.lines(name)
 
-        def met(name, other, state):
+        def peer_became(name, other, state):
             return any(
                 line["event"] == "peer state changed"
                 and (line["peer"], line["now"]) == (other, state)
-                for line in said[name]
+                for line in log_lines[name]
             )
 
         until(
             lambda: all(
-                met(name, other, "alive") for name in said for other in said if name != other
+                peer_became(name, other, "alive")
+                for name in log_lines
+                for other in log_lines
+                if name != other
             ),
-            gather,
+            collect_log_lines,
         )
         # n2 is revoked at n0: it is no peer there any more, and n0 is none that it can reach.
         n0 = fleet.programs["n0"]
-        with open(n0.operator, "w", encoding="utf-8") as target:
+        with open(n0.operator, "w", encoding="utf-8") as output:
             revoked = f']\nrevoked: ["{fleet.identities["n2"].public_key_text()}"]\nhearsay'
-            target.write(fleet.text("n0").replace("]\nhearsay", revoked))
+            output.write(fleet.text("n0").replace("]\nhearsay", revoked))
         n0.process.send_signal(signal.SIGHUP)
-        until(lambda: any(line["event"] == "operator file reloaded" for line in said["n0"]), gather)
+        until(
+            lambda: any(line["event"] == "operator file reloaded" for line in log_lines["n0"]),
+            collect_log_lines,
+        )
         # A file that can't be used changes nothing and is named.
-        with open(n0.operator, "w", encoding="utf-8") as target:
-            target.write("gossip: name: 7")
+        with open(n0.operator, "w", encoding="utf-8") as output:
+            output.write("gossip: name: 7")
         n0.process.send_signal(signal.SIGHUP)
         until(
             lambda: any(
                 line["event"] == "operator file rejected" and "gossip.name" in line["error"]
-                for line in said["n0"]
+                for line in log_lines["n0"]
             ),
-            gather,
+            collect_log_lines,
         )
         fleet.programs["n1"].process.send_signal(signal.SIGTERM)
-        until(lambda: met("n0", "n1", "left") and met("n2", "n1", "left"), gather)
+        until(
+            lambda: peer_became("n0", "n1", "left") and peer_became("n2", "n1", "left"),
+            collect_log_lines,
+        )
         self.assertEqual(keys.peer_record(fleet.identities["n0"])[:13], '{name: "n0", ')
 
 
-class InShort(unittest.TestCase):
-    def test_the_simulated_part_in_its_short_form(self):
+class SimulatedMeasurementTest(unittest.TestCase):
+    def test_short_simulation(self):
         self.assertEqual(main(["--part", "simulated", "--short", "--seed", "2"]), 0)
 
 
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -18,7 +18,7 @@
 from thymeknot.service import lifecycle
 
 
-def settled(process):
+def wait_until_signals_delivered(process):
     """Once nothing of a signal is pending: what it was sent has been delivered."""
 
     def pending():
@@ -32,88 +32,90 @@
     until(lambda: not pending(), lambda: None)
 
 
-class Piped(Program):
+class FifoProgram(Program):
     """The program whose configuration is a FIFO: it reads when the test writes, and the test knows that it reads."""
 
     def write(self, told):
         os.mkfifo(self.path)
 
-    def fill(self, content):
+    def open_and_write(self, content):
         """Opens for writing once the program has it open to read; its read ends with that file."""
-        opened = []
+        descriptors = []
 
         def attempt():
             try:
-                opened.append(os.open(self.path, os.O_WRONLY | os.O_NONBLOCK))
+                descriptors.append(os.open(self.path, os.O_WRONLY | os.O_NONBLOCK))
             except OSError as error:
                 if error.errno != errno.ENXIO:  # nobody reads yet
                     raise
                 time.sleep(0.005)
 
-        until(lambda: opened, attempt)
-        target = os.fdopen(opened[0], "wb", buffering=0)
-        target.write(content if isinstance(content, bytes) else json.dumps(content).encode())
-        return target
+        until(lambda: descriptors, attempt)
+        output = os.fdopen(descriptors[0], "wb", buffering=0)
+        output.write(content if isinstance(content, bytes) else json.dumps(content).encode())
+        return output
 
-    def end(self, target):
+    def finish_read(self, output):
         """Ends this read; the next one is of another file, and can't take what is left of this."""
         os.unlink(self.path)
         os.mkfifo(self.path)
-        target.close()
+        output.close()
 
-    def settled(self):
-        settled(self.process)
+    def wait_until_signals_delivered(self):
+        wait_until_signals_delivered(self.process)
 
 
-class Starting(WithPods):
-    def piped(self, *entries, **more):
-        made = Piped(*entries, **more)
-        self.addCleanup(made.__exit__)
-        return made
+class StartupTest(WithPods):
+    def fifo_program(self, *entries, **more):
+        program = FifoProgram(*entries, **more)
+        self.addCleanup(program.__exit__)
+        return program
 
-    def test_a_sighup_while_the_file_is_read_has_it_read_again_once_it_serves(self):
+    def test_sighup_while_the_file_is_read_reloads_it_once_serving(self):
         new = DiscoveryPeer()
         self.addCleanup(new.close)
-        running = self.piped()
-        first = running.fill(running.told)  # the program has it open, and waits for its end
-        running.process.send_signal(signal.SIGHUP)
-        running.settled()
-        running.end(first)
-        running.end(
-            running.fill({**running.told, "discovery": new.address})
+        program = self.fifo_program()
+        first = program.open_and_write(
+            program.told
+        )  # the program has it open, and waits for its end
+        program.process.send_signal(signal.SIGHUP)
+        program.wait_until_signals_delivered()
+        program.finish_read(first)
+        program.finish_read(
+            program.open_and_write({**program.told, "discovery": new.address})
         )  # goes on only where it is read again
-        running.discovery.asked.put(
+        program.discovery.asked.put(
             "perhaps never"
         )  # it may move before it has asked at the former address
-        running.__enter__()
-        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
+        program.__enter__()
+        self.assertEqual(program.logged("configuration reloaded")["discovery"], new.address)
         new.asked.get(timeout=PATIENCE)
 
-    def test_a_half_written_file_that_a_sighup_announces_anew_is_read_once_more_at_the_start(self):
-        running = self.piped()
-        half = running.fill(json.dumps(running.told).encode()[:100])
-        running.process.send_signal(signal.SIGHUP)
-        running.settled()
-        running.end(half)
-        running.end(running.fill(running.told))
-        running.__enter__()
-        with running.client() as client:
+    def test_partial_file_is_read_again_at_startup_after_sighup(self):
+        program = self.fifo_program()
+        half = program.open_and_write(json.dumps(program.told).encode()[:100])
+        program.process.send_signal(signal.SIGHUP)
+        program.wait_until_signals_delivered()
+        program.finish_read(half)
+        program.finish_read(program.open_and_write(program.told))
+        program.__enter__()
+        with program.client() as client:
             self.assertEqual(client.ask("PING"), b"+PONG")
 
-    def test_a_sighup_before_it_serves_has_the_file_read_again(self):
+    def test_sighup_before_serving_reloads_the_file(self):
         with patient():
-            running = self.piped(silent=True)
-        running.end(running.fill(running.told))
-        running.discovery.asked.get(timeout=PATIENCE)  # it has begun, and waits for the first list
-        running.process.send_signal(signal.SIGHUP)
-        running.settled()
-        running.discovery.say("\n")
-        running.end(running.fill({**running.told, "name": "n2"}))
-        running.discovery.asked.put("again")
-        running.__enter__()
-        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
-
-    def in_use(self):
+            program = self.fifo_program(silent=True)
+        program.finish_read(program.open_and_write(program.told))
+        program.discovery.asked.get(timeout=PATIENCE)  # it has begun, and waits for the first list
+        program.process.send_signal(signal.SIGHUP)
+        program.wait_until_signals_delivered()
+        program.discovery.say("\n")
+        program.finish_read(program.open_and_write({**program.told, "name": "n2"}))
+        program.discovery.asked.put("again")
+        program.__enter__()
+        self.assertEqual(program.logged("configuration reloaded")["only_at_a_start"], ["name"])
+
+    def program_waiting_for_address(self):
         """The program as it waits for its address; who has that."""
         held = []
 
@@ -121,59 +123,59 @@
             host, _, port = told["listen"].rpartition(":")
             held.append(socket.create_server((host, int(port))))
 
-        running = Program(change=change)
-        self.addCleanup(running.__exit__)
+        program = Program(change=change)
+        self.addCleanup(program.__exit__)
         self.addCleanup(held[0].close)
-        until(lambda: b'"address in use"' in running.process.stdout.readline(), lambda: None)
-        return running, held[0]
-
-    def test_an_address_that_is_in_use_is_waited_for_and_a_sighup_meanwhile_is_heard(self):
-        running, other = self.in_use()
-        running.write({**running.told, "name": "n2"})
-        running.process.send_signal(signal.SIGHUP)
-        settled(running.process)
+        until(lambda: b'"address in use"' in program.process.stdout.readline(), lambda: None)
+        return program, held[0]
+
+    def test_startup_waits_for_an_address_in_use_and_handles_sighup(self):
+        program, other = self.program_waiting_for_address()
+        program.write({**program.told, "name": "n2"})
+        program.process.send_signal(signal.SIGHUP)
+        wait_until_signals_delivered(program.process)
         other.close()
-        running.__enter__()
-        with running.client() as client:
+        program.__enter__()
+        with program.client() as client:
             self.assertEqual(client.ask("PING"), b"+PONG")
-        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
-
-    def test_sigterm_ends_that_wait(self):
-        running, _ = self.in_use()
-        running.process.send_signal(signal.SIGTERM)
-        self.assertEqual((running.process.wait(PATIENCE), running.process.stderr.read()), (0, b""))
-
-    def test_sigterm_while_the_file_is_read_ends_it_by_the_signal_without_a_word(self):
-        for number in (signal.SIGTERM, signal.SIGINT):
-            running = self.piped()
-            target = running.fill(b"{")
-            running.process.send_signal(number)
-            out, error = running.process.communicate(timeout=PATIENCE)
-            target.close()
-            self.assertEqual((running.process.returncode, out, error), (-number, b"", b""))
-
-    def test_sigterm_before_it_serves_ends_it_soon_with_nothing_taken(self):
-        for numbers in (
+        self.assertEqual(program.logged("configuration reloaded")["only_at_a_start"], ["name"])
+
+    def test_sigterm_ends_the_wait_for_an_address_in_use(self):
+        program, _ = self.program_waiting_for_address()
+        program.process.send_signal(signal.SIGTERM)
+        self.assertEqual((program.process.wait(PATIENCE), program.process.stderr.read()), (0, b""))
+
+    def test_sigterm_while_the_file_is_read_terminates_without_output(self):
+        for signal_number in (signal.SIGTERM, signal.SIGINT):
+            program = self.fifo_program()
+            output = program.open_and_write(b"{")
+            program.process.send_signal(signal_number)
+            out, error = program.process.communicate(timeout=PATIENCE)
+            output.close()
+            self.assertEqual((program.process.returncode, out, error), (-signal_number, b"", b""))
+
+    def test_sigterm_before_serving_ends_the_process_without_accepting(self):
+        for signal_numbers in (
             [signal.SIGTERM],
             [signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGTERM],
         ):
             with patient():
-                running = Program(silent=True)
-            self.addCleanup(running.__exit__)
-            running.discovery.asked.get(
+                program = Program(silent=True)
+            self.addCleanup(program.__exit__)
+            program.discovery.asked.get(
                 timeout=PATIENCE
             )  # it has begun, and waits for the first list
-            for number in numbers:
-                running.process.send_signal(number)
-            out, error = running.process.communicate(timeout=PATIENCE)
-            self.assertEqual((running.process.returncode, error), (0, b""))
+            for signal_number in signal_numbers:
+                program.process.send_signal(signal_number)
+            out, error = program.process.communicate(timeout=PATIENCE)
+            self.assertEqual((program.process.returncode, error), (0, b""))
             events = [json.loads(line)["event"] for line in out.splitlines()]
             # A watch that hears nothing may have been given up before the signal, too.
             self.assertEqual(
                 [one for one in events if one != "stream ended"], ["stopping", "stopped"]
             )
 
-    def test_a_sighup_while_it_loads_does_not_end_it(self):
+    def test_sighup_during_imports_does_not_end_the_process(self):
         """Sent to itself at the import of the module that reads the file, so before anything of the start."""
         code = """import os, runpy, signal, sys
 class Finder:
@@ -183,86 +185,86 @@
 sys.meta_path.insert(0, Finder())
 runpy.run_module("thymeknot", run_name="__main__")"""
         with coded(code):
-            running = Program()
-        self.addCleanup(running.__exit__)
-        with running.__enter__().client() as client:
+            program = Program()
+        self.addCleanup(program.__exit__)
+        with program.__enter__().client() as client:
             self.assertEqual(client.ask("PING"), b"+PONG")
 
-    def test_a_signal_as_the_interpreter_ends_does_not_change_how_it_ended(self):
+    def test_signal_at_interpreter_exit_does_not_change_the_exit_status(self):
         """The interpreter gives back its handlers before it clears its modules: what comes then would end it."""
-        for number in (signal.SIGHUP, *lifecycle.STOP_SIGNALS):
-            for told, code in ((lambda told: None, 0), (lambda told: told.pop("seed"), 2)):
-                last = f"""class Last:
+        for signal_number in (signal.SIGHUP, *lifecycle.STOP_SIGNALS):
+            for change, exit_status in ((lambda told: None, 0), (lambda told: told.pop("seed"), 2)):
+                code_at_exit = f"""class Last:
     kill, own = os.kill, os.getpid()
     def __del__(self):
-        self.kill(self.own, {int(number)})
+        self.kill(self.own, {int(signal_number)})
 last = Last()"""
-                with begun_by(last):
-                    running = Program(change=told)
-                self.addCleanup(running.__exit__)
-                if not code:
-                    running.__enter__().process.send_signal(signal.SIGTERM)
-                self.assertEqual(running.process.wait(PATIENCE), code, number)
+                with begun_by(code_at_exit):
+                    program = Program(change=change)
+                self.addCleanup(program.__exit__)
+                if not exit_status:
+                    program.__enter__().process.send_signal(signal.SIGTERM)
+                self.assertEqual(program.process.wait(PATIENCE), exit_status, signal_number)
 
 
-class FirstList(WithPods):
-    def waiting(self, *entries):
+class FirstEndpointListTest(WithPods):
+    def start_without_list(self, *entries):
         """The program once its watch is asked for: whatever it listens for without a list, it does so by now."""
         with patient():
-            running = Program(*entries, silent=True)
-        self.addCleanup(running.__exit__)
-        running.discovery.asked.put(running.discovery.asked.get(timeout=PATIENCE))
+            program = Program(*entries, silent=True)
+        self.addCleanup(program.__exit__)
+        program.discovery.asked.put(program.discovery.asked.get(timeout=PATIENCE))
         with self.assertRaises(ConnectionRefusedError):
-            running.client()
-        return running
+            program.client()
+        return program
 
-    def test_what_the_agent_has_binds_the_first_transaction(self):
+    def test_first_request_uses_the_endpoint_list_of_the_agent(self):
         left, new = self.pod(), self.pod()
-        running = self.waiting(left.entry("s-1"))
-        running.discovery.push_list(9, left.entry("s-1", state="Terminating"), new.entry("s-2"))
-        with running.__enter__().client() as client:
+        program = self.start_without_list(left.entry("s-1"))
+        program.discovery.push_list(9, left.entry("s-1", state="Terminating"), new.entry("s-2"))
+        with program.__enter__().client() as client:
             self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
         self.assertEqual((left.heard.qsize(), new.heard.qsize()), (0, 1))
 
-    def test_a_sign_of_life_says_that_there_is_no_list(self):
-        running = self.waiting()
-        running.discovery.say("\n")
-        with running.__enter__().client() as client:
+    def test_heartbeat_indicates_that_there_is_no_list(self):
+        program = self.start_without_list()
+        program.discovery.say("\n")
+        with program.__enter__().client() as client:
             self.assertEqual(client.ask("PING"), b"+PONG")
 
-    def test_a_part_of_a_list_is_not_taken_for_it(self):
-        heard = []
+    def test_partial_list_does_not_notify(self):
+        calls = []
 
-        def whole(content):
-            heard.append(content)
+        def read_list(content):
+            calls.append(content)
             return bytes(content).endswith(b"\n")
 
-        read = notifying_reader(whole, lambda: heard.append("told"))
+        read = notifying_reader(read_list, lambda: calls.append("told"))
         for content in (b'{"version"', b":9}\n", b"\n"):
             read(memoryview(content))
-        self.assertEqual(heard, [b'{"version"', b":9}\n", "told", b"\n", "told"])
+        self.assertEqual(calls, [b'{"version"', b":9}\n", "told", b"\n", "told"])
 
-    def test_a_silent_agent_is_waited_for_no_longer_than_the_bound(self):
+    def test_wait_for_a_silent_agent_is_bounded(self):
         pod = self.pod()
-        running = self.program(pod.entry("s-1"), silent=True)
-        with running.client() as client:
+        program = self.program(pod.entry("s-1"), silent=True)
+        with program.client() as client:
             self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
 
-    def test_lists_that_are_asked_for_are_not_waited_for(self):
+    def test_polled_lists_are_not_waited_for(self):
         def change(told):
             told["settings"].update(discovery="subscribe", balancers=400)
 
         with patient():
-            running = Program(change=change)
-        self.addCleanup(running.__exit__)
-        running.discovery.asked.put("later")
-        running.__enter__()
-        with running.client() as client:
+            program = Program(change=change)
+        self.addCleanup(program.__exit__)
+        program.discovery.asked.put("later")
+        program.__enter__()
+        with program.client() as client:
             self.assertEqual(client.ask("PING"), b"+PONG")
 
 
-class Stopping(WithPods):
-    def test_sighup_while_it_stops_moves_it_and_what_is_in_hand_is_answered(self):
+class ShutdownTest(WithPods):
+    def test_sighup_during_shutdown_reconfigures_and_requests_in_flight_are_answered(self):
         release, new = threading.Event(), DiscoveryPeer()
         self.addCleanup(new.close)
 
@@ -271,92 +273,92 @@
             return value(words[2])
 
         pod = self.pod(answer)
-        running = self.program(pod.entry("s-1"))
-        with running.client() as client:
+        program = self.program(pod.entry("s-1"))
+        with program.client() as client:
             client.send("SVC.QUERY", "a", "01", READ)
             pod.heard.get(timeout=PATIENCE)
-            running.process.send_signal(signal.SIGTERM)
-            running.logged("stopping")
-            running.write({**running.told, "discovery": new.address})
-            running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
-            running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration reloaded")
-            with open(running.path, "w", encoding="utf-8") as target:
-                target.write("{")
-            running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration rejected")
-            running.process.send_signal(signal.SIGTERM)
+            program.process.send_signal(signal.SIGTERM)
+            program.logged("stopping")
+            program.write({**program.told, "discovery": new.address})
+            program.process.send_signal(signal.SIGHUP)
+            self.assertEqual(program.logged("configuration reloaded")["discovery"], new.address)
+            program.process.send_signal(signal.SIGHUP)
+            program.logged("configuration reloaded")
+            with open(program.path, "w", encoding="utf-8") as output:
+                output.write("{")
+            program.process.send_signal(signal.SIGHUP)
+            program.logged("configuration rejected")
+            program.process.send_signal(signal.SIGTERM)
             release.set()
             self.assertEqual((client.answer(), client.answer()), (b"01", b""))
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(program.process.wait(PATIENCE), 0)
 
-    def test_each_connection_that_the_machine_accepted_before_the_end_is_answered(self):
+    def test_listener_backlog_is_answered_during_shutdown(self):
         pod = self.pod()
         with stands_still():
-            running = self.program(pod.entry("s-1"))
-        with running.client() as first:
+            program = self.program(pod.entry("s-1"))
+        with program.client() as first:
             self.assertEqual(
                 first.ask("PING"), b"+PONG"
             )  # one came the last time: so many are taken at once
-            running.process.send_signal(signal.SIGTERM)
-            running.stood_still()
-            begun = time.monotonic()  # its end is set
-            clients = [running.client() for _ in range(30)]
+            program.process.send_signal(signal.SIGTERM)
+            program.stood_still()
+            started_at = time.monotonic()  # its end is set
+            clients = [program.client() for _ in range(30)]
             for number, client in enumerate(clients):
                 self.addCleanup(client.__exit__)
                 client.send("SVC.QUERY", "a", f"{number:02x}", READ)
             time.sleep(
-                max(0, begun + 2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS - time.monotonic())
+                max(0, started_at + 2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS - time.monotonic())
             )  # the end comes while it stands still
-            running.process.send_signal(signal.SIGCONT)
+            program.process.send_signal(signal.SIGCONT)
             self.assertEqual(
                 [client.answer() for client in clients], [b"%02x" % number for number in range(30)]
             )
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(program.process.wait(PATIENCE), 0)
 
-    def test_at_the_limit_of_descriptors_none_that_the_machine_accepted_is_closed_upon(self):
+    def test_listener_backlog_is_answered_at_the_descriptor_limit(self):
         """Also where the machine allows fewer than the configuration names."""
-        limited = (
+        startup_code = (
             "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\n"
             f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}"
         )
-        for sockets, stops in ((64, False), (64, True), (256, False)):
-            with begun_by(limited):
-                running = Program(
+        for sockets, sends_sigterm in ((64, False), (64, True), (256, False)):
+            with begun_by(startup_code):
+                program = Program(
                     silent=True,
                     change=lambda told, sockets=sockets: told["limits"].update(sockets=sockets),
                 )
-            self.addCleanup(running.__exit__)
-            until(lambda running=running: running.discovery.streams, lambda: time.sleep(0.005))
-            running.discovery.say("\n")
-            running.__enter__().process.send_signal(signal.SIGSTOP)
-            clients = [running.client() for _ in range(100)]
+            self.addCleanup(program.__exit__)
+            until(lambda program=program: program.discovery.streams, lambda: time.sleep(0.005))
+            program.discovery.say("\n")
+            program.__enter__().process.send_signal(signal.SIGSTOP)
+            clients = [program.client() for _ in range(100)]
             for client in clients:
                 self.addCleanup(client.__exit__)
                 client.send("PING")
-            if stops:
-                running.process.send_signal(signal.SIGTERM)
+            if sends_sigterm:
+                program.process.send_signal(signal.SIGTERM)
                 time.sleep(
                     2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS
                 )  # the end comes while it stands still
-            running.process.send_signal(signal.SIGCONT)
+            program.process.send_signal(signal.SIGCONT)
             self.assertEqual(
-                [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, stops)
+                [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, sends_sigterm)
             )
 
-    def test_the_features_of_one_that_stops_take_up_no_file(self):
+    def test_features_are_not_reconfigured_during_shutdown(self):
         for stopping in (False, True):
-            made = lifecycle.Lifecycle({"NODE_CONFIG": "deploy/example.json"}, None)
-            made.features, made.proxy, made.stopping = mock.Mock(), mock.Mock(), stopping
+            service = lifecycle.Lifecycle({"NODE_CONFIG": "deploy/example.json"}, None)
+            service.features, service.proxy, service.stopping = mock.Mock(), mock.Mock(), stopping
             with mock.patch.object(lifecycle.structured_log, "log"):
-                made._reconfigure()
+                service._reconfigure()
             self.assertEqual(
-                (made.features.reconfigure.call_count, made.proxy.reconfigure.call_count),
+                (service.features.reconfigure.call_count, service.proxy.reconfigure.call_count),
                 (0 if stopping else 1, 1),
             )
 
-    def test_a_vote_that_is_out_does_not_hold_up_the_end(self):
+    def test_pending_vote_does_not_delay_shutdown(self):
         voted, release = queue.Queue(), threading.Event()
 
         def answer(form):
@@ -367,7 +369,7 @@
         pod = self.pod(
             lambda words: b"-ERR failed\r\n" if words[0] == b"SVC.SUBMIT" else value(words[2])
         )
-        running = self.program(
+        program = self.program(
             pod.entry("s-1", 42),
             self.pod().entry("s-2"),
             answer=answer,
@@ -381,73 +383,73 @@
         )
         self.addCleanup(release.set)
         count = iter(range(100_000))
-        with running.client() as client:
+        with program.client() as client:
             until(
                 lambda: not voted.empty(),
                 lambda: client.ask("SVC.QUERY", "a", f"{next(count):x}", READ),
             )
-            running.process.send_signal(signal.SIGTERM)
-            running.logged("stopping")
+            program.process.send_signal(signal.SIGTERM)
+            program.logged("stopping")
             self.assertEqual(client.answer(), b"")
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(program.process.wait(PATIENCE), 0)
         self.assertFalse(release.is_set())
 
-    def test_it_has_ended_by_itself_when_the_platform_may_kill_it(self):
+    def test_process_exits_before_the_platform_kills_it(self):
         """A client goes on sending on its open connection while the process stops, and endpoints hang. All that is
         taken has its answer before the kill, which comes 3.7 s after SIGTERM at the earliest; but the last answers came
         after 3.65 s, and 0.05 s of rest behind them ended the process just then: killed at 3.70 s, its status -9."""
         pod = self.pod(lambda words: b"")
-        running = self.program(pod.entry("s-1"))
-        with running.client() as client:
+        program = self.program(pod.entry("s-1"))
+        with program.client() as client:
             client.send("SVC.QUERY", "a", "01", "c=read,t=acme,d=3000")
             pod.heard.get(timeout=PATIENCE)
-            running.process.send_signal(signal.SIGTERM)
-            stopping = running.logged("stopping")
+            program.process.send_signal(signal.SIGTERM)
+            stopping = program.logged("stopping")
             time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             client.send("SVC.QUERY", "a", "02", "c=read,t=acme,d=3000")
             answers = [client.answer() for _ in range(3)]
-            stopped = running.logged("stopped")
+            stopped = program.logged("stopped")
         self.assertRegex(answers[0], b"^-")
         self.assertRegex(answers[1], b"^-")
-        self.assertEqual((answers[2], running.process.wait(PATIENCE)), (b"", 0))
+        self.assertEqual((answers[2], program.process.wait(PATIENCE)), (b"", 0))
         # The kill, less the time for which the page lets a sidecar be held up.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
-    def test_it_has_ended_by_itself_though_requests_were_read_only_at_the_last_moment(self):
+    def test_process_exits_before_kill_when_requests_are_read_late(self):
         """A client has 90 requests in hand when the process stops, and endpoints hang. The first 65 are answered at the
         latest moment; only then are the others read, and answered a little later. Their connection was closed 0.2 s
         after that, as the moment at which all such waits end was over by then, and the process was killed: 3.69 s after
         SIGTERM it logged its end, 3.70 s after it the kill may come."""
         pod = self.pod(lambda words: b"")
-        running = self.program(pod.entry("s-1"))
-        with running.client() as client:
-            running.process.send_signal(signal.SIGTERM)
-            stopping = running.logged("stopping")
+        program = self.program(pod.entry("s-1"))
+        with program.client() as client:
+            program.process.send_signal(signal.SIGTERM)
+            stopping = program.logged("stopping")
             time.sleep(0.9 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             for number in range(90):
                 client.send("SVC.QUERY", "a", f"{number:02x}", "c=read,t=acme,d=3000")
             answers = [client.answer() for _ in range(91)]
-            stopped = running.logged("stopped")
-            self.assertEqual(running.process.wait(PATIENCE), 0)
+            stopped = program.logged("stopped")
+            self.assertEqual(program.process.wait(PATIENCE), 0)
         self.assertEqual([answer[:1] for answer in answers], [b"-"] * 90 + [b""])
         # The kill, less the time for which the page lets a sidecar be held up.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
-    def test_a_half_written_file_is_kept_and_the_whole_one_is_owed_to_the_next_sighup(self):
+    def test_partial_file_is_rejected_and_the_complete_one_loaded_on_next_sighup(self):
         new = DiscoveryPeer()
         self.addCleanup(new.close)
-        running = self.program()
-        text = json.dumps({**running.told, "discovery": new.address})
-        with open(running.path, "w", encoding="utf-8") as target:
-            target.write(text[: len(text) // 2])
-            target.flush()
-            running.process.send_signal(signal.SIGHUP)
+        program = self.program()
+        text = json.dumps({**program.told, "discovery": new.address})
+        with open(program.path, "w", encoding="utf-8") as output:
+            output.write(text[: len(text) // 2])
+            output.flush()
+            program.process.send_signal(signal.SIGHUP)
             self.assertRegex(
-                running.logged("configuration rejected")["error"], "^NODE_CONFIG: is not valid JSON"
+                program.logged("configuration rejected")["error"], "^NODE_CONFIG: is not valid JSON"
             )
-            target.write(text[len(text) // 2 :])
-        running.process.send_signal(signal.SIGHUP)
-        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
+            output.write(text[len(text) // 2 :])
+        program.process.send_signal(signal.SIGHUP)
+        self.assertEqual(program.logged("configuration reloaded")["discovery"], new.address)
         new.asked.get(timeout=PATIENCE)
 
 
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -22,13 +22,13 @@
         return peer
 
     def program(self, *entries, **more):
-        running = Program(*entries, **more)
-        self.addCleanup(running.__exit__)
-        return running.__enter__()
+        program = Program(*entries, **more)
+        self.addCleanup(program.__exit__)
+        return program.__enter__()
 
 
-class Served(WithPods):
-    def test_each_kind_is_served_and_passed_on_unchanged_but_for_the_time(self):
+class RequestForwardingTest(WithPods):
+    def test_each_request_class_is_forwarded_unchanged_except_its_deadline(self):
         pod = self.pod()
         with self.program(pod.entry("s-1")).client() as client:
             for words in (
@@ -44,7 +44,7 @@
                 self.assertEqual((name, got[3].replace(b"d=" + left, b"d=15000")), (b"d", sent[3]))
                 self.assertLessEqual(int(left), 15000)
 
-    def test_pipelined_commands_are_answered_in_their_order(self):
+    def test_pipelined_commands_are_answered_in_order(self):
         second = threading.Event()
 
         def answer(words):
@@ -63,7 +63,7 @@
             )
             self.assertEqual([client.answer() for _ in range(3)], [b"01", b"+PONG", b"02"])
 
-    def test_frames_may_come_in_pieces(self):
+    def test_frames_may_arrive_byte_by_byte(self):
         def piecemeal(words):
             for byte in value(words[2])[:-1]:
                 pod.connections[0].send(bytes([byte]))
@@ -76,20 +76,20 @@
             self.assertEqual(client.answer(), b"01")
 
 
-class Failing(WithPods):
-    def test_what_all_pods_turn_away_is_deferred(self):
+class EndpointFailureTest(WithPods):
+    def test_request_rejected_by_all_pods_is_deferred(self):
         pod = self.pod(lambda words: b"-BUSY\r\n")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
 
-    def test_a_refused_connection_never_ran_so_a_binding_one_goes_elsewhere(self):
+    def test_non_idempotent_request_is_retried_after_refused_connection(self):
         gone, pod = self.pod(), self.pod()
         gone.stop()
         with self.program(gone.entry("s-1", weight=9.0), pod.entry("s-2")).client() as client:
             for name in ("01", "02", "03"):
                 self.assertEqual(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
 
-    def test_a_reset_after_the_last_byte_may_have_run_so_a_binding_one_is_abandoned(self):
+    def test_non_idempotent_request_is_abandoned_after_reset_once_fully_sent(self):
         pods = [self.pod(lambda words: None) for _ in range(2)]
         with self.program(
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
@@ -97,7 +97,7 @@
             self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", PAY, "B"), b"^-ERR")
         self.assertEqual(sum(pod.heard.qsize() for pod in pods), 1)
 
-    def test_a_retriable_one_is_sent_again_after_a_reset(self):
+    def test_idempotent_request_is_retried_after_reset(self):
         pods = [self.pod(lambda words: None), self.pod()]
         with self.program(
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
@@ -106,20 +106,20 @@
                 [client.ask("SVC.QUERY", "a", name, READ) for name in ("01", "02")], [b"01", b"02"]
             )
 
-    def test_silence_ends_with_the_clients_time_and_the_connection_with_it(self):
+    def test_connection_to_silent_pod_is_closed_at_the_request_deadline(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
         self.assertTrue(pod.ended.get(timeout=PATIENCE))
 
-    def test_an_unreadable_answer_may_have_run(self):
+    def test_request_with_malformed_response_is_not_retried(self):
         for answer in (b"*1\r\n$4\r\nhal", b"$70000\r\n", b"nonsense\r\n", b"*1\r\n$-1\r\n"):
             pod = self.pod(lambda words, answer=answer: answer)
             with self.program(pod.entry("s-1")).client() as client:
                 self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", "c=pay,d=2500", "B"), b"^-ERR")
             self.assertEqual(pod.heard.qsize(), 1)
 
-    def test_a_client_that_leaves_ends_its_delivery(self):
+    def test_client_disconnect_cancels_its_attempt(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             client.send("SVC.SUBMIT", "a", "01", PAY, "B")
@@ -127,10 +127,10 @@
             client.connection.shutdown(2)
             self.assertTrue(pod.ended.get(timeout=PATIENCE))
 
-    def test_bad_commands_are_named_and_touch_no_other_client(self):
+    def test_invalid_command_is_reported_and_does_not_affect_other_clients(self):
         pod = self.pod()
-        running = self.program(pod.entry("s-1"))
-        with running.client() as good, running.client() as bad:
+        program = self.program(pod.entry("s-1"))
+        with program.client() as good, program.client() as bad:
             for words, reason in (
                 (("NO.SUCH", "a"), b"unknown command"),
                 (("SVC.QUERY", "a"), b"takes a key"),
@@ -146,14 +146,14 @@
             self.assertEqual(good.ask("SVC.QUERY", "a", "02", READ), b"02")
 
 
-class Crowded(WithPods):
-    def test_a_burst_of_connections_is_served_within_the_descriptors(self):
+class ConnectionLoadTest(WithPods):
+    def test_burst_of_connections_is_served_within_the_descriptor_limit(self):
         pod = self.pod()
-        running = self.program(
+        program = self.program(
             pod.entry("s-1"), change=lambda told: told["limits"].update(sockets=64)
         )
         clients = [
-            running.client() for _ in range(40)
+            program.client() for _ in range(40)
         ]  # 12 find room at once; the eldest idle ones give way
         served = 0
         for at, client in enumerate(clients):
@@ -163,13 +163,13 @@
                 except ConnectionError:
                     pass
         self.assertGreaterEqual(served, 11)
-        with running.client() as late:
-            self.assertEqual(late.ask("SVC.QUERY", "a", "late", READ), b"late")
+        with program.client() as late_client:
+            self.assertEqual(late_client.ask("SVC.QUERY", "a", "late", READ), b"late")
 
-    def test_a_slow_reader_holds_up_nobody_and_gets_all_its_answers(self):
+    def test_slow_reader_blocks_no_other_client_and_receives_all_responses(self):
         pod = self.pod(lambda words: value(words[2] * 15000))
-        running = self.program(pod.entry("s-1"))
-        with running.client() as slow, running.client() as other:
+        program = self.program(pod.entry("s-1"))
+        with program.client() as slow, program.client() as other:
             for at in range(100, 160):
                 slow.send("SVC.QUERY", "a", f"{at}", READ)
             self.assertEqual(other.ask("SVC.QUERY", "a", "999", READ), b"999" * 15000)
@@ -178,8 +178,8 @@
             )
 
 
-class Told(WithPods):
-    def test_a_drain_told_during_work_lets_it_end_and_sends_nothing_new(self):
+class UpdateTest(WithPods):
+    def test_drain_lets_requests_in_flight_finish_and_sends_no_new_ones(self):
         told = threading.Event()
 
         def answer(words):
@@ -187,11 +187,11 @@
             return value(words[2])
 
         old, new = self.pod(answer), self.pod()
-        running = self.program(old.entry("s-1"))
-        with running.client() as first, running.client() as second:
+        program = self.program(old.entry("s-1"))
+        with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
             old.heard.get(timeout=PATIENCE)
-            running.discovery.push_list(8, old.entry("s-1", state="Terminating"), new.entry("s-2"))
+            program.discovery.push_list(8, old.entry("s-1", state="Terminating"), new.entry("s-2"))
             until(lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "r", READ))
             self.assertEqual(
                 [second.ask("SVC.QUERY", "a", f"1{at}", READ) for at in range(9)],
@@ -200,7 +200,7 @@
             told.set()
             self.assertEqual(first.answer(), b"01")
 
-    def test_a_build_that_fails_is_voted_back_and_the_vote_asked_again_until_it_counts(self):
+    def test_failing_build_is_voted_down_and_the_vote_is_retried_until_accepted(self):
         answers = [
             (400, b"<Error><Code>throttled</Code></Error>"),
             (
@@ -213,7 +213,7 @@
             ),
         ]
         good, bad = self.pod(), self.pod(lambda words: b"-ERR failed\r\n")
-        running = self.program(
+        program = self.program(
             good.entry("s-1"),
             bad.entry("s-2", 42),
             answer=lambda form: answers.pop(0) if len(answers) > 1 else answers[0],
@@ -225,16 +225,16 @@
                 "observedAgoMs": 5,
             },
         )
-        with running.client() as client:
+        with program.client() as client:
             number = itertools.count()
             until(
-                lambda: running.platform.calls.qsize() > 1,
+                lambda: program.platform.calls.qsize() > 1,
                 lambda: client.ask("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
-            self.assertEqual([running.platform.calls.get() for _ in range(2)], [vote] * 2)
+            self.assertEqual([program.platform.calls.get() for _ in range(2)], [vote] * 2)
             until(
-                lambda: running.logged("vote")["outcome"] == "done", lambda: None
+                lambda: program.logged("vote")["outcome"] == "done", lambda: None
             )  # its answer was heard
             while not bad.heard.empty():
                 bad.heard.get()
@@ -242,31 +242,31 @@
                 client.ask("SVC.QUERY", f"key{at}", f"after{at}", READ)
             self.assertEqual(bad.heard.qsize(), 0)
 
-    def test_streams_that_end_are_asked_for_again_and_heard(self):
+    def test_ended_watch_streams_are_reopened(self):
         pod, new = self.pod(), self.pod()
-        running = self.program(pod.entry("s-1"))
-        running.discovery.push_list(9, pod.entry("s-1"))
-        for peer in (running.discovery, running.platform):
+        program = self.program(pod.entry("s-1"))
+        program.discovery.push_list(9, pod.entry("s-1"))
+        for peer in (program.discovery, program.platform):
             peer.cut()
-        self.assertEqual(running.platform.asked.get(timeout=PATIENCE), "/v2/projects/main/stream")
-        self.assertRegex(running.discovery.asked.get(timeout=PATIENCE), r"stream=1&index=(7|9)$")
-        running.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
-        running.platform.push_news(version=42)  # before it is told, nothing goes to that build
-        with running.client() as client:
+        self.assertEqual(program.platform.asked.get(timeout=PATIENCE), "/v2/projects/main/stream")
+        self.assertRegex(program.discovery.asked.get(timeout=PATIENCE), r"stream=1&index=(7|9)$")
+        program.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
+        program.platform.push_news(version=42)  # before it is told, nothing goes to that build
+        with program.client() as client:
             until(lambda: not new.heard.empty(), lambda: client.ask("SVC.QUERY", "a", "01", READ))
 
-    def test_what_discovery_says_unreadably_changes_nothing_and_is_asked_again(self):
+    def test_malformed_endpoint_list_is_ignored_and_requested_again(self):
         pod = self.pod()
-        running = self.program(pod.entry("s-1"))
-        running.discovery.say('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
-        until(lambda: "servers.0.state" in running.logged("stream ended")["reason"], lambda: None)
-        running.discovery.asked.get(timeout=PATIENCE)
-        with running.client() as client:
+        program = self.program(pod.entry("s-1"))
+        program.discovery.say('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
+        until(lambda: "servers.0.state" in program.logged("stream ended")["reason"], lambda: None)
+        program.discovery.asked.get(timeout=PATIENCE)
+        with program.client() as client:
             self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
 
 
-class Reconfigured(WithPods):
-    def test_sighup_moves_to_the_new_addresses_and_keeps_what_it_holds_where_the_file_is_bad(self):
+class ReconfigurationTest(WithPods):
+    def test_sighup_applies_new_addresses_and_ignores_an_invalid_file(self):
         release = threading.Event()
 
         def answer(words):
@@ -275,30 +275,30 @@
             return value(words[2])
 
         pod, new = self.pod(answer), self.pod()
-        running = self.program(pod.entry("s-1"))
+        program = self.program(pod.entry("s-1"))
         discovery, platform = DiscoveryPeer(), PlatformPeer()
         self.addCleanup(discovery.close)
         self.addCleanup(platform.close)
-        with running.client() as first, running.client() as second:
+        with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
             pod.heard.get(timeout=PATIENCE)
-            running.write({**running.told, "discovery": "nowhere"})
-            running.process.send_signal(signal.SIGHUP)
-            self.assertRegex(running.logged("configuration rejected")["error"], "^discovery: ")
-            running.write(
+            program.write({**program.told, "discovery": "nowhere"})
+            program.process.send_signal(signal.SIGHUP)
+            self.assertRegex(program.logged("configuration rejected")["error"], "^discovery: ")
+            program.write(
                 {
-                    **running.told,
+                    **program.told,
                     "discovery": discovery.address,
-                    "deployer": {**running.told["deployer"], "address": platform.address},
+                    "deployer": {**program.told["deployer"], "address": platform.address},
                 }
             )
             for _ in range(2):
-                running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], [])
+                program.process.send_signal(signal.SIGHUP)
+            self.assertEqual(program.logged("configuration reloaded")["only_at_a_start"], [])
             discovery.asked.get(timeout=PATIENCE)
             platform.asked.get(timeout=PATIENCE)
-            running.discovery.close()
-            running.platform.close()
+            program.discovery.close()
+            program.platform.close()
             discovery.push_list(8, new.entry("s-2", 42), pod.entry("s-1", state="Terminating"))
             platform.push_news(version=42)
             until(lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "02", READ))
@@ -306,8 +306,8 @@
             self.assertEqual(first.answer(), b"01")
 
 
-class Stopping(WithPods):
-    def test_sigterm_answers_what_is_in_hand_and_what_comes_meanwhile(self):
+class ShutdownTest(WithPods):
+    def test_sigterm_answers_requests_in_flight_and_new_connections(self):
         stopped = threading.Event()
 
         def answer(words):
@@ -317,24 +317,24 @@
 
         pod = self.pod(answer)
         with stands_still():
-            running = self.program(pod.entry("s-1"))
-        with running.client() as first, running.client() as second:
+            program = self.program(pod.entry("s-1"))
+        with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
             pod.heard.get(timeout=PATIENCE)
-            running.process.send_signal(signal.SIGTERM)
-            running.stood_still()
+            program.process.send_signal(signal.SIGTERM)
+            program.stood_still()
             with (
-                running.client() as late
+                program.client() as late_client
             ):  # it comes within the last half second, however busy the machine is
-                running.process.send_signal(signal.SIGTERM)
-                running.process.send_signal(signal.SIGCONT)
-                self.assertEqual(late.ask("SVC.QUERY", "a", "02", READ), b"02")
+                program.process.send_signal(signal.SIGTERM)
+                program.process.send_signal(signal.SIGCONT)
+                self.assertEqual(late_client.ask("SVC.QUERY", "a", "02", READ), b"02")
             self.assertEqual(second.answer(), b"")
             stopped.set()
             self.assertEqual((first.answer(), first.answer()), (b"01", b""))
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(program.process.wait(PATIENCE), 0)
 
-    def test_a_bad_configuration_ends_it_and_names_the_key(self):
+    def test_invalid_configuration_ends_the_process_and_names_the_key(self):
         def without(*path):
             def change(told):
                 for name in path[:-1]:
@@ -352,8 +352,8 @@
             "deployer.news.status": lambda told: told["deployer"]["news"].update(status="odd"),
         }
         for key, change in cases.items():
-            running = Program(change=change)
-            _, error = running.process.communicate(timeout=PATIENCE)
-            running.__exit__()
-            self.assertNotEqual(running.process.returncode, 0)
+            program = Program(change=change)
+            _, error = program.process.communicate(timeout=PATIENCE)
+            program.__exit__()
+            self.assertNotEqual(program.process.returncode, 0)
             self.assertRegex(error.decode(), f"^thymeknot: .*{key}.*\n$")
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -11,145 +11,154 @@
 from tests.support.process_rig import PAY, Checker, Fleet, talk
 from thymeknot.raft import message_codec
 
-LONG = PAY.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
-WITHIN = 15  # seconds that a condition has to come about
+LONG_REQUEST = PAY.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
+TIMEOUT_SECONDS = 15  # seconds that a condition has to come about
 
 
-class Plays(unittest.TestCase):
-    def fleet(self, most=1):
-        made = Fleet(3, most)
-        self.addCleanup(made.close)
-        self.op = made.asker()
-        self.until(
+class FleetTestCase(unittest.TestCase):
+    def start_fleet(self, max_out=1):
+        fleet = Fleet(3, max_out)
+        self.addCleanup(fleet.close)
+        self.operator = fleet.asker()
+        self.wait_until(
             lambda: self.status()["units"] == 3 and self.status()["out"] == 0, "the fleet stands"
         )
-        self.until(lambda: not made.checker.out() and made.clients.done() > 20, "all serve")
-        return made
-
-    def until(self, holds, what):
-        end = time.monotonic() + WITHIN
-        while not holds():
-            if time.monotonic() > end:
-                self.fail(f"{what}: not within {WITHIN} s; {self.status()}")
+        self.wait_until(lambda: not fleet.checker.out() and fleet.clients.done() > 20, "all serve")
+        return fleet
+
+    def wait_until(self, condition, description):
+        deadline = time.monotonic() + TIMEOUT_SECONDS
+        while not condition():
+            if time.monotonic() > deadline:
+                self.fail(f"{description}: not within {TIMEOUT_SECONDS} s; {self.status()}")
             time.sleep(0.03)
 
     def status(self):
-        return self.op.read({"do": "status", "where": {"kind": ["sidecar"]}})
+        return self.operator.read({"do": "status", "where": {"kind": ["sidecar"]}})
 
     def state(self, unit):
-        return self.op.read({"do": "status", "unit": unit}).get("state")
+        return self.operator.read({"do": "status", "unit": unit}).get("state")
 
-    def ask(self, unit, epoch=1):
-        return self.op.propose(
+    def request_drain(self, unit, epoch=1):
+        return self.operator.propose(
             {"part": "turns", "do": "ask", "unit": unit, "plan": f"op-{unit}", "epoch": epoch}
         )
 
-    def back(self, unit):
-        return self.op.propose({"part": "turns", "do": "back", "unit": unit})
+    def request_return(self, unit):
+        return self.operator.propose({"part": "turns", "do": "back", "unit": unit})
 
-    def kept(self, fleet, killed=()):
+    def check_invariants(self, fleet, killed=()):
         """What holds in every play."""
         fleet.clients.close()
         self.assertEqual(fleet.binding_twice(), [])
-        self.assertEqual([one for one in fleet.clients.unanswered() if one[1] not in killed], [])
+        self.assertEqual(
+            [request for request in fleet.clients.unanswered() if request[1] not in killed], []
+        )
         self.assertGreater(fleet.clients.done(), 100)
 
 
-class Looks(unittest.TestCase):
-    def test_those_are_out_together_who_were_so_at_one_moment(self):
+class CheckerTest(unittest.TestCase):
+    def test_units_count_as_out_together_only_if_out_at_the_same_time(self):
         """In the order of a look: each "a" or "b" that answers, or not, at its turn."""
-        for turns, out in (
+        for answers, expected in (
             (("a", "b"), ""),
             (("!a", "b"), "a"),
             (("a", "!b"), "b"),
             (("!a", "!b", "!a", "!b"), "ab"),
             (("!a", "!b", "a", "!b"), "b"),
         ):  # a came back before b went, or as the look went on
-            checker, said = Checker.__new__(Checker), list(turns)
+            checker, remaining = Checker.__new__(Checker), list(answers)
             checker.ports = {"a": "a", "b": "b"}
 
-            def serves(port, said=said):
-                self.assertEqual(said[0].strip("!"), port)
-                return not said.pop(0).startswith("!")
+            def serves(port, remaining=remaining):
+                self.assertEqual(remaining[0].strip("!"), port)
+                return not remaining.pop(0).startswith("!")
 
             checker.serves = serves
-            self.assertEqual((checker._look(), said), (frozenset(out), []))
-
-
-class Drained(Plays):
-    def test_one_goes_out_under_load_the_next_only_when_it_is_back(self):
-        fleet = self.fleet()
-        self.assertTrue(self.ask("n0")["ok"])
-        self.until(lambda: fleet.checker.out() == {"n0"}, "n0 goes out")
-        self.until(lambda: self.state("n0") == "out", "it says that it is empty")
-        told = self.ask("n1")
-        self.assertEqual(told["state"], "asked")
-        self.assertIn("n0", told["by"])
+            self.assertEqual((checker._look(), remaining), (frozenset(expected), []))
+
+
+class DrainTest(FleetTestCase):
+    def test_next_unit_drains_only_after_the_previous_one_returns(self):
+        fleet = self.start_fleet()
+        self.assertTrue(self.request_drain("n0")["ok"])
+        self.wait_until(lambda: fleet.checker.out() == {"n0"}, "n0 goes out")
+        self.wait_until(lambda: self.state("n0") == "out", "it says that it is empty")
+        reply = self.request_drain("n1")
+        self.assertEqual(reply["state"], "asked")
+        self.assertIn("n0", reply["by"])
         done = fleet.clients.done()
-        self.until(lambda: fleet.clients.done() > done + 100, "the others serve")
+        self.wait_until(lambda: fleet.clients.done() > done + 100, "the others serve")
         self.assertEqual(fleet.checker.out(), {"n0"})
-        self.assertTrue(self.back("n0")["ok"])
-        self.until(lambda: fleet.checker.out() == {"n1"}, "n0 is back, and n1 goes out")
-        self.until(lambda: self.state("n1") == "out", "n1 is empty")
-        self.back("n1")
-        self.until(lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home")
+        self.assertTrue(self.request_return("n0")["ok"])
+        self.wait_until(lambda: fleet.checker.out() == {"n1"}, "n0 is back, and n1 goes out")
+        self.wait_until(lambda: self.state("n1") == "out", "n1 is empty")
+        self.request_return("n1")
+        self.wait_until(
+            lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home"
+        )
         self.assertEqual(fleet.checker.most_out(), 1)
-        self.kept(fleet)
+        self.check_invariants(fleet)
 
 
-class Asked(Plays):
-    def test_by_commands_and_by_those_who_may_not(self):
-        fleet = self.fleet()
-        self.by_commands(fleet)
-        self.refused(fleet)
-        self.kept(fleet)
+class CommandTest(FleetTestCase):
+    def test_fleet_commands_and_rejected_messages(self):
+        fleet = self.start_fleet()
+        self.check_commands(fleet)
+        self.check_rejected_messages(fleet)
+        self.check_invariants(fleet)
 
-    def refused(self, fleet):
+    def check_rejected_messages(self, fleet):
         """What is forged, replayed or nonsense ends by itself, and is counted in the log."""
-        good, taken = fleet.asker("n0", word="x"), []
-        seal = message_codec.sign_message
+        client, captured = fleet.asker("n0", word="x"), []
+        sign_message = message_codec.sign_message
 
-        def kept(*told):
-            taken.append(seal(*told))
-            return taken[-1]
+        def record_signed(*arguments):
+            captured.append(sign_message(*arguments))
+            return captured[-1]
 
-        with patch.object(message_codec, "sign_message", kept):
-            good.ask_node("n0", message_codec.READ, {"query": {"do": "status"}})
-        for kind, why in (
+        with patch.object(message_codec, "sign_message", record_signed):
+            client.ask_node("n0", message_codec.READ, {"query": {"do": "status"}})
+        for kind, reason in (
             ("replayed", "came before"),
             ("replayed", "another connection"),
             ("forged", "not signed"),
         ):
-            if why == "another connection":
-                good.close()
-            told = (
-                taken[0]
+            if reason == "another connection":
+                client.close()
+            message = (
+                captured[0]
                 if kind == "replayed"
-                else {**taken[0], "content": taken[0]["content"] + b"x"}
+                else {**captured[0], "content": captured[0]["content"] + b"x"}
             )
-            with patch.object(message_codec, "sign_message", lambda *_, told=told: told):
+            with patch.object(message_codec, "sign_message", lambda *_, message=message: message):
                 self.assertRaisesRegex(
-                    message_codec.MessageError, why, good.ask_node, "n0", message_codec.READ, {}
+                    message_codec.MessageError,
+                    reason,
+                    client.ask_node,
+                    "n0",
+                    message_codec.READ,
+                    {},
                 )
             line = fleet.programs["n0"].logged("message rejected")
             self.assertEqual(line["kind"], kind)
             time.sleep(1.05)  # such a line is written once a second at most
         with self.assertRaisesRegex(message_codec.MessageError, "in the name of n1"):
-            good.ask_node(
+            client.ask_node(
                 "n0",
                 message_codec.PROPOSE,
                 {"origin": "n1", "incarnation": 1, "number": 1, "command": {}},
             )
-        with socket.create_connection(("127.0.0.1", fleet.ports["n0"]), timeout=5) as one:
-            one.sendall(b"GET / HTTP/1.1\r\n\r\n")
+        with socket.create_connection(("127.0.0.1", fleet.ports["n0"]), timeout=5) as connection:
+            connection.sendall(b"GET / HTTP/1.1\r\n\r\n")
             try:
-                self.assertEqual(one.recv(100), b"")
+                self.assertEqual(connection.recv(100), b"")
             except ConnectionResetError:
                 pass
 
-    def command(self, fleet, *words):
+    def run_command(self, fleet, *words):
         """(exit code, what it says)."""
-        done = subprocess.run(
+        result = subprocess.run(
             [
                 sys.executable,
                 "-m",
@@ -161,100 +170,116 @@
             ],
             capture_output=True,
             text=True,
-            timeout=WITHIN,
+            timeout=TIMEOUT_SECONDS,
         )
-        return done.returncode, done.stdout + done.stderr
-
-    def by_commands(self, fleet):
-        code, said = self.command(fleet, "halt", "the network is worked at")
-        self.assertEqual(code, 0, said)
-        number = said.split()[1]
-        code, said = self.command(fleet, "drain", "n1")
-        self.assertEqual(code, 0)
-        self.assertRegex(said, "n1: asked, halt [0-9]+ by .*: the network is worked at")
-        self.assertEqual(self.command(fleet, "drain", "n9"), (1, "no unit n9 was declared\n"))
-        self.assertRegex(self.command(fleet, "--json", "status")[1], '"out":1')
-        self.assertEqual(self.command(fleet, "back", "n1"), (0, "called back: n1\n"))
-        self.assertEqual(self.command(fleet, "resume", number)[0], 0)
+        return result.returncode, result.stdout + result.stderr
+
+    def check_commands(self, fleet):
+        exit_status, output = self.run_command(fleet, "halt", "the network is worked at")
+        self.assertEqual(exit_status, 0, output)
+        halt_number = output.split()[1]
+        exit_status, output = self.run_command(fleet, "drain", "n1")
+        self.assertEqual(exit_status, 0)
+        self.assertRegex(output, "n1: asked, halt [0-9]+ by .*: the network is worked at")
+        self.assertEqual(self.run_command(fleet, "drain", "n9"), (1, "no unit n9 was declared\n"))
+        self.assertRegex(self.run_command(fleet, "--json", "status")[1], '"out":1')
+        self.assertEqual(self.run_command(fleet, "back", "n1"), (0, "called back: n1\n"))
+        self.assertEqual(self.run_command(fleet, "resume", halt_number)[0], 0)
         self.assertEqual(fleet.checker.out(), frozenset())
 
 
-class LeaderKilled(Plays):
-    def test_in_the_middle_of_a_drain_and_back_with_its_disk(self):
-        fleet = self.fleet()
-        leader = self.op.leader
-        gone, third = (name for name in fleet.names if name != leader)
-        slow, answer = (
-            socket.create_connection(("127.0.0.1", fleet.programs[gone].port), timeout=20),
+class LeaderCrashTest(FleetTestCase):
+    def test_leader_killed_during_a_drain_restarts_with_its_disk(self):
+        fleet = self.start_fleet()
+        leader = self.operator.leader
+        drained_unit, other_unit = (name for name in fleet.names if name != leader)
+        slow_socket, slow_answers = (
+            socket.create_connection(("127.0.0.1", fleet.programs[drained_unit].port), timeout=20),
             [],
         )
-        self.addCleanup(slow.close)
-        taken = threading.Thread(
-            target=lambda: answer.append(talk(slow, "slow-1", LONG)), daemon=True
+        self.addCleanup(slow_socket.close)
+        request_thread = threading.Thread(
+            target=lambda: slow_answers.append(talk(slow_socket, "slow-1", LONG_REQUEST)),
+            daemon=True,
         )
-        taken.start()
-        self.until(lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "a slow one is taken")
-        self.assertTrue(self.ask(gone)["ok"])
-        self.until(lambda: fleet.checker.out() == {gone}, "it takes no more")
-        self.assertEqual(answer, [])
+        request_thread.start()
+        self.wait_until(
+            lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "a slow one is taken"
+        )
+        self.assertTrue(self.request_drain(drained_unit)["ok"])
+        self.wait_until(lambda: fleet.checker.out() == {drained_unit}, "it takes no more")
+        self.assertEqual(slow_answers, [])
         fleet.kill(leader)
         killed_at = time.monotonic()
-        self.assertEqual(self.ask("p0")["state"], "granted")
-        stall = time.monotonic() - killed_at
-        self.assertLess(stall, 3)
-        self.assertEqual(self.ask(third)["state"], "asked")
+        self.assertEqual(self.request_drain("p0")["state"], "granted")
+        failover_seconds = time.monotonic() - killed_at
+        self.assertLess(failover_seconds, 3)
+        self.assertEqual(self.request_drain(other_unit)["state"], "asked")
         fleet.slow.set()
-        self.until(lambda: self.state(gone) == "out", "the drain ends under another leader")
-        taken.join(WITHIN)
-        self.assertEqual(answer, [b"$6\r\nslow-1\r\n+PONG\r\n"])
-        self.assertEqual(self.state(third), "asked")
+        self.wait_until(
+            lambda: self.state(drained_unit) == "out", "the drain ends under another leader"
+        )
+        request_thread.join(TIMEOUT_SECONDS)
+        self.assertEqual(slow_answers, [b"$6\r\nslow-1\r\n+PONG\r\n"])
+        self.assertEqual(self.state(other_unit), "asked")
         fleet.restart(leader)
-        self.until(lambda: fleet.checker.out() == {gone}, "the killed one serves again")
-        self.assertTrue(self.back(gone)["ok"])
-        self.until(lambda: fleet.checker.out() == {third}, "only then the third goes out")
+        self.wait_until(
+            lambda: fleet.checker.out() == {drained_unit}, "the killed one serves again"
+        )
+        self.assertTrue(self.request_return(drained_unit)["ok"])
+        self.wait_until(lambda: fleet.checker.out() == {other_unit}, "only then the third goes out")
         self.assertEqual(fleet.checker.most_out(but=[leader]), 1)
-        self.back(third)
-        self.until(lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home")
-        print(f"\nfrom the leader's kill to the next grant: {stall:.2f} s")
-        self.kept(fleet, {leader})
-
-
-class Cut(Plays):
-    def test_the_smaller_side_with_the_former_leader_grants_nothing(self):
-        fleet = self.fleet(2)
-        alone = self.op.leader
-        one, other = (name for name in fleet.names if name != alone)
-        small = fleet.asker(alone, word="small")
-        fleet.cut(alone)
-        said = []
-        asking = threading.Thread(
-            target=lambda: said.append(self.small_ask(small, alone)), daemon=True
+        self.request_return(other_unit)
+        self.wait_until(
+            lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home"
+        )
+        print(f"\nfrom the leader's kill to the next grant: {failover_seconds:.2f} s")
+        self.check_invariants(fleet, {leader})
+
+
+class NetworkPartitionTest(FleetTestCase):
+    def test_minority_with_the_former_leader_grants_nothing(self):
+        fleet = self.start_fleet(2)
+        former_leader = self.operator.leader
+        first, second = (name for name in fleet.names if name != former_leader)
+        minority_client = fleet.asker(former_leader, word="small")
+        fleet.cut(former_leader)
+        replies = []
+        request_thread = threading.Thread(
+            target=lambda: replies.append(
+                self.request_on_minority_side(minority_client, former_leader)
+            ),
+            daemon=True,
         )
-        asking.start()
-        self.op = fleet.asker(one, other, word="large")
-        self.until(lambda: alone in self.status().get("away", {}), "the cut one counts as out")
-        self.assertTrue(self.ask(one)["ok"])
-        self.until(lambda: fleet.checker.out() == {one}, "the larger side goes on")
-        self.assertEqual(self.ask(other)["state"], "asked")
-        asking.join(WITHIN)
-        self.assertEqual(said, ["silent"])
+        request_thread.start()
+        self.operator = fleet.asker(first, second, word="large")
+        self.wait_until(
+            lambda: former_leader in self.status().get("away", {}), "the cut one counts as out"
+        )
+        self.assertTrue(self.request_drain(first)["ok"])
+        self.wait_until(lambda: fleet.checker.out() == {first}, "the larger side goes on")
+        self.assertEqual(self.request_drain(second)["state"], "asked")
+        request_thread.join(TIMEOUT_SECONDS)
+        self.assertEqual(replies, ["silent"])
         self.assertEqual(fleet.checker.most_out(), 1)
         fleet.heal()
-        self.back(one)
-        self.until(
-            lambda: fleet.checker.out() == {other} or self.state(other) == "out",
+        self.request_return(first)
+        self.wait_until(
+            lambda: fleet.checker.out() == {second} or self.state(second) == "out",
             "healed: room for the other",
         )
-        self.back(other)
-        self.until(lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home")
+        self.request_return(second)
+        self.wait_until(
+            lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home"
+        )
         self.assertLessEqual(fleet.checker.most_out(), 2)
-        self.kept(fleet)
+        self.check_invariants(fleet)
 
-    def small_ask(self, small, unit):
+    def request_on_minority_side(self, minority_client, unit):
         from thymeknot.coordination.blocking_client import NoAnswerError
 
         try:
-            return small.propose(
+            return minority_client.propose(
                 {"part": "turns", "do": "ask", "unit": unit, "plan": "small", "epoch": 1}, 4.0
             )
         except NoAnswerError:
--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -19,23 +19,23 @@
     parsers.parse("a fleet of {many:d} units in {zones:d} zones on a lossy network"),
     target_fixture="world",
 )
-def a_fleet(many, zones):
+def create_fleet(many, zones):
     world = SimulatedFleet(many + zones, *make_layout(zones, 4, many // zones // 4))
     assert world.declare_reply["ok"]
     return world.run(8)
 
 
-def some(world, label, value):
+def units_with_label(world, label, value):
     return sorted(name for name, unit in world.units.items() if unit.labels.get(label) == value)
 
 
-def ask(world, who, name):
-    reply = world.submit(do="ask", unit=name, plan=who, epoch=1)
+def request_drain(world, operator, name):
+    reply = world.submit(do="ask", unit=name, plan=operator, epoch=1)
     assert "at" in reply
     return reply
 
 
-def release(world, waves, name="spring", build="new", **more):
+def start_release(world, waves, name="spring", build="new", **options):
     return world.submit(
         do="release",
         release=name,
@@ -44,11 +44,11 @@
         build=build,
         earlier="old",
         waves=waves,
-        **more,
+        **options,
     )
 
 
-def state(world, name="spring"):
+def release_state(world, name="spring"):
     return world.submit(do="status")["releases"][name]
 
 
@@ -56,37 +56,37 @@
 
 
 @when(parsers.parse("{who} asks for all units of {label} {value} from the {end} on"))
-def ask_all(world, who, label, value, end):
-    for name in sorted(some(world, label, value), reverse=end == "last"):
-        ask(world, who, name)
+def request_all(world, who, label, value, end):
+    for name in sorted(units_with_label(world, label, value), reverse=end == "last"):
+        request_drain(world, who, name)
 
 
 @when(parsers.re(r"(?P<who>\w+) asks for (?P<name>unit-\d+)"))
-def ask_one(world, who, name):
-    ask(world, who, name)
+def request_unit(world, who, name):
+    request_drain(world, who, name)
 
 
 @when(parsers.parse("{name} is cut off while it asks"))
-def cut_asking(world, name):
-    ask(world, "ann", name)
+def partition_while_requesting(world, name):
+    request_drain(world, "ann", name)
     world.partition([name])
 
 
 @when(parsers.parse("{name} is stopped for {seconds:d} seconds as soon as it is granted"))
-def stop_granted(world, name, seconds):
+def suspend_on_grant(world, name, seconds):
     assert world.submit(do="status", unit=name)["state"] == "granted"
     world.suspend(name, seconds)
 
 
 @when(parsers.parse("the way from the keepers to {name} is cut as soon as it is granted"))
-def cut_from(world, name):
+def partition_on_grant(world, name):
     while world.units[name].agent.state != "confirming":
         world.run(0.001)
     world.partition([name], "from")
 
 
 @when(parsers.re(r"(?P<name>unit-\d+) begins, and (?P<rest>.*)"))
-def begins_and(world, name, rest):
+def interrupt_drain(world, name, rest):
     assert world.run_until(lambda: world.units[name].agent.state == "draining", 30)
     if "crashes" in rest:
         world.crash(name, 5)
@@ -99,11 +99,11 @@
         r"for (?P<seconds>\d+) seconds others of zone (?P<zone>\w+) go out and come back in turn"
     )
 )
-def busy(world, story, seconds, zone):
+def keep_zone_busy(world, story, seconds, zone):
     """Others ask again as soon as they are home, with all urgency there is."""
-    names = [name for name in some(world, "zone", zone) if name != "unit-000"]
+    names = [name for name in units_with_label(world, "zone", zone) if name != "unit-000"]
 
-    def turn():
+    def request_next():
         for name in names:
             if world.units[name].agent.state == "out":
                 world.perform(
@@ -112,40 +112,40 @@
                 )
             elif world.units[name].agent.state == "in":
                 world.submit(do="ask", unit=name, plan="crowd", epoch=1, urgency=0)
-        world.schedule(TICKS_PER_SECOND, turn)
+        world.schedule(TICKS_PER_SECOND, request_next)
 
-    turn()
+    request_next()
     story["busy"] = int(seconds)
 
 
 @when("ann asks for unit-000 after the first 30 seconds")
-def ask_later(world):
+def request_after_delay(world):
     world.run(30)
-    ask(world, "ann", "unit-000")
+    request_drain(world, "ann", "unit-000")
 
 
 # What happens to the fleet.
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
-def passes(world, seconds):
+def advance_time(world, seconds):
     world.run(seconds)
 
 
 @when(parsers.parse("{many:d} units of zone {zone} crash"))
-def crash_some(world, many, zone):
-    for name in some(world, "zone", zone)[-many:]:
+def crash_units(world, many, zone):
+    for name in units_with_label(world, "zone", zone)[-many:]:
         world.crash(name)
 
 
 @when(parsers.parse("{many:d} units of zone {zone} crash for {seconds:d} seconds"))
-def crash_for(world, many, zone, seconds):
-    for name in some(world, "zone", zone)[-many:]:
+def crash_units_temporarily(world, many, zone, seconds):
+    for name in units_with_label(world, "zone", zone)[-many:]:
         world.crash(name, seconds)
 
 
 @when(parsers.parse("{many:d} units crash for {seconds:d} seconds in the course of it"))
-def crash_course(world, many, seconds):
+def crash_units_at_intervals(world, many, seconds):
     for number, name in enumerate(sorted(world.units)[:: len(world.units) // many][:many]):
         world.schedule(
             (10 + 15 * number) * TICKS_PER_SECOND, lambda name=name: world.crash(name, seconds)
@@ -157,84 +157,84 @@
         "all units with the new build crash for {seconds:d} seconds and never get warm again"
     )
 )
-def crash_new(world, seconds):
+def crash_new_build(world, seconds):
     world.failing_build = "new"
     for name in world.list_with_build("new"):
         world.crash(name, seconds)
 
 
 @when("the network heals")
-def heals(world):
+def heal_network(world):
     world.heal()
 
 
 @when("a third of the units is cut off")
-def third(world):
+def partition_a_third(world):
     world.partition(sorted(world.units)[::3])
 
 
 @when(parsers.parse("every answer takes {seconds:d} seconds"))
-def slow(world, seconds):
-    carry = world.deliver
+def delay_replies(world, seconds):
+    deliver = world.deliver
     world.deliver = lambda sender, to, call: (
-        world.schedule(seconds * TICKS_PER_SECOND, lambda: carry(sender, to, call))
+        world.schedule(seconds * TICKS_PER_SECOND, lambda: deliver(sender, to, call))
         if sender == "keepers"
-        else carry(sender, to, call)
+        else deliver(sender, to, call)
     )
 
 
 @when("all keepers are lost")
-def lost(world):
+def stop_keepers(world):
     world.service.fail()
 
 
 @when("the keepers are back")
-def again(world):
+def restart_keepers(world):
     world.service.restart()
 
 
 @when("what is out comes back by itself")
-def by_itself(world):
-    def home():
+def return_automatically(world):
+    def return_units():
         for unit in world.units.values():
             if unit.is_alive and unit.agent.state == "out":
                 world.perform(unit, unit.agent.finish_disruption(world.read_clock(unit)))
             if (
-                known := world.service.machine.fleet.units[unit.name]
+                record := world.service.machine.fleet.units[unit.name]
             ).state == "asked" and world.service.is_up:
-                world.submit(do="cancel", unit=known.name)
-        world.schedule(TICKS_PER_SECOND, home)
+                world.submit(do="cancel", unit=record.name)
+        world.schedule(TICKS_PER_SECOND, return_units)
 
-    home()
+    return_units()
 
 
 # Releases and halts.
 
 
 @when(parsers.re(r"a release in waves of (?P<waves>[\d., and]+) begins"))
-def begin(world, waves):
+def begin_release(world, waves):
     shares = [float(part) for part in waves.replace("and", ",").replace(" ", "").split(",") if part]
-    reply = release(world, [1 if part == 1 else part for part in shares])
+    reply = start_release(world, [1 if part == 1 else part for part in shares])
     assert reply["ok"], reply
 
 
 @when("the decision module votes on whenever a wave is over")
-def votes(world, story):
+def vote_forward(world, story):
     story["ends"] = None
 
     def vote():
-        known = world.service.machine.releases.by_name["spring"]
-        done = len([name for name in known.members if world.units[name].build == "new"])
-        assert done <= known.waves[known.wave], "more than the wave has the new build"
-        if known.state == "going" and done >= known.waves[known.wave]:
-            world.submit(do="vote", release="spring", epoch=1, wave=known.wave, verdict="on")
+        release = world.service.machine.releases.by_name["spring"]
+        updated = len([name for name in release.members if world.units[name].build == "new"])
+        assert updated <= release.waves[release.wave], "more than the wave has the new build"
+        if release.state == "going" and updated >= release.waves[release.wave]:
+            world.submit(do="vote", release="spring", epoch=1, wave=release.wave, verdict="on")
         world.schedule(TICKS_PER_SECOND, vote)
 
     vote()
 
 
 @when("the operator resumes what crashes halted")
-def resumes(world):
+def resume_crash_halts(world):
     def resume():
         for number, halt in list(world.service.machine.halts.by_number.items()):
             if halt.cause == "crashes":
@@ -245,28 +245,28 @@
 
 
 @when("the decision module votes back")
-def votes_back(world, story):
-    known = state(world)
-    assert known["home"] > 0
-    reply = world.submit(do="vote", release="spring", epoch=1, wave=known["wave"], verdict="back")
+def vote_rollback(world, story):
+    release = release_state(world)
+    assert release["home"] > 0
+    reply = world.submit(do="vote", release="spring", epoch=1, wave=release["wave"], verdict="back")
     assert reply["state"] == "backing", reply
     world.rolled_back = set(world.units)
 
 
 @when("the operator orders the way back")
-def orders_back(world):
+def request_rollback(world):
     reply = world.submit(do="back", release="spring")
     assert reply.get("ok"), reply
     world.rolled_back = set(world.units)
 
 
 @when("the vote for a wave that is not over yet comes")
-def early_vote(world, story):
+def vote_early(world, story):
     story["reply"] = world.submit(do="vote", release="spring", epoch=1, wave=1, verdict="on")
 
 
 @when("one unit of it will say that its disk is gone")
-def lame(world, story):
+def set_return_fault(world, story):
     name = next(
         name for name, unit in world.units.items() if unit.agent.state in ("draining", "out")
     )
@@ -274,17 +274,17 @@
 
 
 @when("another release of the same units is asked for")
-def another(world, story):
-    story["reply"] = release(world, [1], "summer", "newer")
+def request_conflicting_release(world, story):
+    story["reply"] = start_release(world, [1], "summer", "newer")
 
 
 @when("another release of the same units is asked for that waits")
-def another_waits(world, story):
-    assert release(world, [1], "summer", "newer", wait=True)["state"] == "waiting"
+def request_waiting_release(world, story):
+    assert start_release(world, [1], "summer", "newer", wait=True)["state"] == "waiting"
 
 
 @when("the operator halts all")
-def halts(world, story):
+def halt_fleet(world, story):
     for number in list(world.checker.halts):
         world.checker.record_resume(number)
     reply = world.submit(do="halt", by="operator", why="it smells", where={})
@@ -294,7 +294,7 @@
 
 
 @when("the class pay is served too little in zone z0")
-def served(world):
+def halt_request_class(world):
     reply = world.submit(
         do="halt",
         by="class pay",
@@ -302,33 +302,39 @@
         cause="class",
         where={"zone": "z0", "lane": "pay"},
     )
-    world.checker.record_halt(reply["halt"], world.now, set(some(world, "zone", "z0")))
+    world.checker.record_halt(reply["halt"], world.now, set(units_with_label(world, "zone", "z0")))
 
 
 # What is seen.
 
 
 @then("no rule was broken")
-def unbroken(world):
+def assert_no_violation(world):
     assert world.checker.violations == []
 
 
 @then(parsers.parse("{many:d} units of {label} {value} are out"))
-def are_out(world, many, label, value):
+def assert_units_out(world, many, label, value):
     assert (
-        len([name for name in some(world, label, value) if not world.units[name].is_serving])
+        len(
+            [
+                name
+                for name in units_with_label(world, label, value)
+                if not world.units[name].is_serving
+            ]
+        )
         == many
     )
 
 
 @then(parsers.parse("at most {many:d} unit of {label} {value} is out or cut off"))
-def at_most(world, many, label, value):
+def assert_max_units_out(world, many, label, value):
     cut = {name for pair in world.partitions for name in pair}
     assert (
         len(
             [
                 name
-                for name in some(world, label, value)
+                for name in units_with_label(world, label, value)
                 if not world.units[name].is_serving or name in cut
             ]
         )
@@ -337,124 +343,134 @@
 
 
 @then("whoever waits is told a budget and the units in its way")
-def told_why(world):
-    waiting = [one for one in world.submit(do="status")["away"].values() if one["state"] == "asked"]
-    asked = [
+def assert_waiting_units_know_budget(world):
+    waiting = [
+        entry for entry in world.submit(do="status")["away"].values() if entry["state"] == "asked"
+    ]
+    replies = [
         world.submit(do="status", unit=name)
         for name, unit in world.service.machine.fleet.requesting.items()
     ]
-    assert asked and len(waiting) == len(asked)
-    for one in asked:
-        assert "budget" in one["waits"] and any(name.startswith("unit-") for name in one["by"]), one
+    assert replies and len(waiting) == len(replies)
+    for reply in replies:
+        assert "budget" in reply["waits"] and any(
+            name.startswith("unit-") for name in reply["by"]
+        ), reply
 
 
 @then("whoever waits is told the halt")
-def told_halt(world):
+def assert_waiting_units_know_halt(world):
     assert "class pay" in world.submit(do="status", unit="unit-000")["waits"]
 
 
 @then(parsers.re(r"(?P<name>unit-\d+) serves"))
-def one_serves(world, name):
+def assert_unit_serves(world, name):
     assert world.units[name].is_serving
 
 
 @then(parsers.re(r"(?P<name>unit-\d+) is out"))
-def one_out(world, name):
+def assert_unit_out(world, name):
     assert not world.units[name].is_serving
 
 
 @then("every unit serves")
-def all_serve(world):
+def assert_all_serve(world):
     assert world.run_until(lambda: len(world.list_serving()) == len(world.units), 60)
 
 
 @then("nobody has a permit")
-def no_permits(world):
+def assert_no_permits(world):
     assert world.run_until(lambda: not world.service.machine.fleet.permitted, 30)
 
 
 @then("the keepers know who is out")
-def know(world):
+def assert_keepers_know_units_out(world):
     assert world.run_until(
         lambda: world.submit(do="status")["out"] == len(world.units) - len(world.list_serving()), 30
     )
 
 
 @then(parsers.parse("no unit of zone {zone} that lives is out"))
-def none_out(world, zone):
+def assert_no_live_unit_out(world, zone):
     assert [
         name
-        for name in some(world, "zone", zone)
+        for name in units_with_label(world, "zone", zone)
         if world.units[name].is_alive and not world.units[name].is_serving
     ] == []
 
 
 @then(parsers.parse("unit-000 was out within {seconds:d} seconds"))
-def was_out(world, seconds):
+def assert_unit_was_out(world, seconds):
     assert world.run_until(
         lambda: any(name == "unit-000" for _, name in world.checker.disruptions), seconds
     )
 
 
 @then(parsers.parse("the release is done within {seconds:d} seconds"))
-def done(world, seconds):
-    assert world.run_until(lambda: state(world)["state"] == "done", seconds), state(world)
+def assert_release_done(world, seconds):
+    assert world.run_until(lambda: release_state(world)["state"] == "done", seconds), release_state(
+        world
+    )
 
 
 @then(parsers.parse("the way back is over within {seconds:d} seconds"))
-def backed(world, seconds):
-    assert world.run_until(lambda: state(world)["state"] == "backed", seconds), state(world)
+def assert_rollback_finished(world, seconds):
+    assert world.run_until(lambda: release_state(world)["state"] == "backed", seconds), (
+        release_state(world)
+    )
 
 
 @then("the way back is left with that unit named and its disk")
-def left(world, story):
-    assert world.run_until(lambda: state(world)["state"] == "left", 200), state(world)
-    assert state(world)["aside"] == {story["lame"]: "its disk is gone"}
+def assert_rollback_incomplete(world, story):
+    assert world.run_until(lambda: release_state(world)["state"] == "left", 200), release_state(
+        world
+    )
+    assert release_state(world)["aside"] == {story["lame"]: "its disk is gone"}
 
 
 @then("all others have the old build")
-def others_old(world, story):
+def assert_others_have_old_build(world, story):
     assert {unit.build for name, unit in world.units.items() if name != story["lame"]} == {"old"}
 
 
 @then(parsers.parse("every unit has the {build} build"))
-def all_build(world, build):
+def assert_all_have_build(world, build):
     assert len(world.list_with_build(build)) == len(world.units)
 
 
 @then(parsers.parse("{many:d} units have the new build"))
-def some_build(world, many):
+def assert_units_have_new_build(world, many):
     assert len(world.list_with_build("new")) == many
 
 
 @then("it is refused with a sentence")
-def refused(story):
+def assert_rejected(story):
     assert len(story["reply"]["refused"].split()) > 4 and "spring" in story["reply"]["refused"]
 
 
 @then(parsers.parse("the other release is going within {seconds:d} seconds"))
-def other_going(world, seconds):
-    assert world.run_until(lambda: state(world, "summer")["state"] == "going", seconds)
+def assert_other_release_running(world, seconds):
+    assert world.run_until(lambda: release_state(world, "summer")["state"] == "going", seconds)
 
 
 @then("the release is held")
-def is_held(world):
-    assert state(world)["state"] == "held"
+def assert_release_held(world):
+    assert release_state(world)["state"] == "held"
 
 
 @then("nothing went out after the bound")
-def nothing_after(world, story):
+def assert_no_disruption_after_bound(world, story):
     assert [
         one for one in world.checker.disruptions if one[0] > story["halted"] + world.checker.bound
     ] == []
 
 
 @then("a halt names a budget and who broke it")
-def halt_names(world):
+def assert_halt_names_budget(world):
     halts = world.submit(do="status")["halts"].values()
     assert any("budget" in halt and "unit-" in halt for halt in halts), halts
 
 
 @then("no halt stands")
-def no_halt(world):
+def assert_no_halt(world):
     assert world.submit(do="status")["halts"] == {}
--- a/tests/stories/test_stories.py
+++ b/tests/stories/test_stories.py
@@ -9,13 +9,13 @@
 STORIES = Path(__file__).parent
 
 
-class Stories(unittest.TestCase):
-    def test_every_story_comes_true(self):
-        told = sum(
-            len(re.findall(r"^\s*Scenario:", one.read_text(), re.M))
-            for one in STORIES.glob("*.feature")
+class StoriesTest(unittest.TestCase):
+    def test_all_scenarios_pass(self):
+        scenario_count = sum(
+            len(re.findall(r"^\s*Scenario:", feature.read_text(), re.M))
+            for feature in STORIES.glob("*.feature")
         )
-        ran = subprocess.run(
+        result = subprocess.run(
             [
                 sys.executable,
                 "-m",
@@ -31,9 +31,9 @@
             text=True,
             cwd=STORIES.parent.parent,
         )
-        passed = re.search(r"(\d+) passed", ran.stdout)
-        self.assertEqual(ran.returncode, 0, ran.stdout[-6000:] + ran.stderr[-2000:])
-        self.assertEqual(int(passed[1]) if passed else 0, told, "a story did not run")
+        passed = re.search(r"(\d+) passed", result.stdout)
+        self.assertEqual(result.returncode, 0, result.stdout[-6000:] + result.stderr[-2000:])
+        self.assertEqual(int(passed[1]) if passed else 0, scenario_count, "a story did not run")
 
 
 if __name__ == "__main__":
