--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -25,7 +25,7 @@
     ClientConnection,
 )
 from thymeknot.proxy.client_listener import CLOSING_ALLOWANCE
-from thymeknot.proxy.graceful_shutdown import ACCEPT_REST_WITHIN
+from thymeknot.proxy.graceful_shutdown import BACKLOG_ACCEPT_TIMEOUT
 
 PING, PONG = command("PING"), b"+PONG\r\n"
 
@@ -545,7 +545,7 @@
         proxy.drain(lambda: said.append("empty"))
         network.step()
         proxy.undrain(lambda: said.append("back"), said.append)
-        for _ in range(ACCEPT_REST_WITHIN // 100 + 9):
+        for _ in range(BACKLOG_ACCEPT_TIMEOUT // 100 + 9):
             network.pass_on(100)
         self.assertEqual({near.recv(99)[:1] for near in crowd}, {b"-"})
         self.assertEqual(
@@ -558,7 +558,10 @@
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address = ("127.0.0.1", 0)
         proxy.serve()
-        address, rounds = proxy.listener.port.socket.getsockname(), ACCEPT_REST_WITHIN // 100 + 2
+        address, rounds = (
+            proxy.listener.port.socket.getsockname(),
+            BACKLOG_ACCEPT_TIMEOUT // 100 + 2,
+        )
 
         def comes(at):
             near = socket.create_connection(address, timeout=5)
--- a/thymeknot/polling/adaptive_interval.py
+++ b/thymeknot/polling/adaptive_interval.py
@@ -84,25 +84,25 @@
         self.state = IntervalState.REGULAR
         self.refusals = 0
 
-    def initial_wait(self, asking: int) -> Ticks:
+    def initial_wait(self, callers: int) -> Ticks:
         """Returns the wait before the first call, if `asking` callers start at once."""
-        return int(self.draw() * min(MAX_INITIAL_SPREAD, INITIAL_SPREAD_PER_CALLER * asking))
+        return int(self.draw() * min(MAX_INITIAL_SPREAD, INITIAL_SPREAD_PER_CALLER * callers))
 
-    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, result: CallResult, age: Ticks = 0) -> Ticks:
         """Records how a call, or the stream that it opened, ended.
 
         Args:
-            how: The result.
+            result: The result.
             age: The time since the call. A refusal or malformed data after ESTABLISHED_AFTER
                 is no sign of overload.
 
         Returns:
             The wait before the next call.
         """
-        if how in (CallResult.REFUSED, CallResult.MALFORMED) and age >= ESTABLISHED_AFTER:
-            how = CallResult.ESTABLISHED
-        self.state, step = TRANSITIONS[self.state, how]
-        self.refusals = 0 if step is None else self.refusals + step
+        if result in (CallResult.REFUSED, CallResult.MALFORMED) and age >= ESTABLISHED_AFTER:
+            result = CallResult.ESTABLISHED
+        self.state, increment = TRANSITIONS[self.state, result]
+        self.refusals = 0 if increment is None else self.refusals + increment
         return self.next_wait()
 
     def next_wait(self) -> Ticks:
--- a/thymeknot/polling/snapshot_validation.py
+++ b/thymeknot/polling/snapshot_validation.py
@@ -32,8 +32,8 @@
 class Decision(StrEnum):
     """What to do with a list."""
 
-    TAKE = "take"
-    KEEP = "keep"
+    ACCEPT = "take"
+    REJECT = "keep"
     """Reject it and keep the known endpoints."""
     FETCH_AGAIN = "ask"
     """Reject it, fetch it again at once, and accept it if it comes again."""
@@ -45,21 +45,21 @@
 # snapshot that is empty without a newer version comes from a service that has not discovered the
 # endpoints yet: keeping them costs failed connections at most.
 TRANSITIONS: dict[tuple[ValidatorState, SnapshotKind], tuple[ValidatorState, Decision]] = {
-    (ValidatorState.TRUSTING, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
-    (ValidatorState.SAW_OLDER, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
-    (ValidatorState.SAW_EMPTIED, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.TAKE),
+    (ValidatorState.TRUSTING, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.ACCEPT),
+    (ValidatorState.SAW_OLDER, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.ACCEPT),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.ACCEPT),
     (ValidatorState.TRUSTING, SnapshotKind.OLDER): (ValidatorState.SAW_OLDER, Decision.FETCH_AGAIN),
-    (ValidatorState.SAW_OLDER, SnapshotKind.OLDER): (ValidatorState.TRUSTING, Decision.TAKE),
-    (ValidatorState.SAW_EMPTIED, SnapshotKind.OLDER): (ValidatorState.SAW_OLDER, Decision.KEEP),
-    (ValidatorState.TRUSTING, SnapshotKind.EMPTY): (ValidatorState.TRUSTING, Decision.KEEP),
-    (ValidatorState.SAW_OLDER, SnapshotKind.EMPTY): (ValidatorState.SAW_OLDER, Decision.KEEP),
-    (ValidatorState.SAW_EMPTIED, SnapshotKind.EMPTY): (ValidatorState.SAW_EMPTIED, Decision.KEEP),
+    (ValidatorState.SAW_OLDER, SnapshotKind.OLDER): (ValidatorState.TRUSTING, Decision.ACCEPT),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.OLDER): (ValidatorState.SAW_OLDER, Decision.REJECT),
+    (ValidatorState.TRUSTING, SnapshotKind.EMPTY): (ValidatorState.TRUSTING, Decision.REJECT),
+    (ValidatorState.SAW_OLDER, SnapshotKind.EMPTY): (ValidatorState.SAW_OLDER, Decision.REJECT),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.EMPTY): (ValidatorState.SAW_EMPTIED, Decision.REJECT),
     (ValidatorState.TRUSTING, SnapshotKind.EMPTIED): (
         ValidatorState.SAW_EMPTIED,
         Decision.FETCH_AGAIN,
     ),
-    (ValidatorState.SAW_OLDER, SnapshotKind.EMPTIED): (ValidatorState.SAW_EMPTIED, Decision.KEEP),
-    (ValidatorState.SAW_EMPTIED, SnapshotKind.EMPTIED): (ValidatorState.TRUSTING, Decision.TAKE),
+    (ValidatorState.SAW_OLDER, SnapshotKind.EMPTIED): (ValidatorState.SAW_EMPTIED, Decision.REJECT),
+    (ValidatorState.SAW_EMPTIED, SnapshotKind.EMPTIED): (ValidatorState.TRUSTING, Decision.ACCEPT),
 }
 
 
@@ -86,15 +86,15 @@
         self.version = 0
 
     def validate(
-        self, source: object, version: int, whole: bool, names: int, known: int
+        self, source: object, version: int, is_snapshot: bool, listed: int, known: int
     ) -> SnapshotRejection | None:
         """Decides whether to accept a list.
 
         Args:
             source: The address that sent it.
             version: Its version.
-            whole: Whether it is a snapshot rather than a delta.
-            names: How many endpoints it names.
+            is_snapshot: Whether it is a snapshot rather than a delta.
+            listed: How many endpoints it lists.
             known: How many endpoints are known now.
 
         Returns:
@@ -104,14 +104,14 @@
             self.state = ValidatorState.TRUSTING
             self.source = source
             self.version = version
-        if whole and known and not names:
+        if is_snapshot and known and not listed:
             kind = SnapshotKind.EMPTIED if version > self.version else SnapshotKind.EMPTY
-        elif whole and version < self.version:
+        elif is_snapshot and version < self.version:
             kind = SnapshotKind.OLDER
         else:
             kind = SnapshotKind.NEWER
         self.state, decision = TRANSITIONS[self.state, kind]
-        if decision != Decision.TAKE:
+        if decision != Decision.ACCEPT:
             reason = (
                 f"is older than {self.version}" if kind == SnapshotKind.OLDER else "names no pod"
             )
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -77,12 +77,14 @@
         Endpoints drop a retry with an idempotency key during the deduplication window, measured
         as the engine measures it; a request that is not idempotent must not be retried at all.
         """
-        suspect = next((earlier for earlier in self.request.attempts if earlier.may_have_run), None)
+        uncertain = next(
+            (earlier for earlier in self.request.attempts if earlier.may_have_run), None
+        )
         request_class = self.proxy.settings.request_classes[self.request.command.request_class]
-        if suspect is None or request_class.idempotency == Idempotency.IDEMPOTENT:
+        if uncertain is None or request_class.idempotency == Idempotency.IDEMPOTENT:
             return self.expires_at
         if request_class.idempotency == Idempotency.KEYED:
-            return min(self.expires_at, suspect.started_at + request_class.deduplication_window)
+            return min(self.expires_at, uncertain.started_at + request_class.deduplication_window)
         return 0
 
     def may_be_written(self, address: str | None) -> bool:
@@ -144,36 +146,36 @@
         self.proxy.exposure.count_written(
             now, self.proxy.releases.latest, self.endpoint.build, self.request.command.request_class
         )
-        left = max(1, (self.expires_at - now) // 10)
+        remaining_ms = max(1, (self.expires_at - now) // 10)
         delivered = connection.send_command(
-            self.request.command.forwarded_words(left), self._response_begun
+            self.request.command.forwarded_words(remaining_ms), self._response_started
         )
         delivered.addCallback(self._response_ended)
 
-    def not_connected(self, broken: BrokenConnection) -> None:
+    def not_connected(self, failure: BrokenConnection) -> None:
         """Ends it because no connection could be opened."""
         self.proxy.attempt_ended(self, Outcome.CONNECT_FAILED)
 
-    def _response_begun(self) -> None:
+    def _response_started(self) -> None:
         self.proxy.response_discarded(self, "in part or unreadable")
 
-    def _response_ended(self, end: PodResponse | BrokenConnection) -> None:
+    def _response_ended(self, result: PodResponse | BrokenConnection) -> None:
         """Ends it with the response or with the failure of its connection."""
         proxy = self.proxy
-        if isinstance(end, BrokenConnection):
-            written = end.progress == WRITTEN
+        if isinstance(result, BrokenConnection):
+            written = result.progress == WRITTEN
             if self.in_flight and written:
-                proxy.response_discarded(self, end.reason)
+                proxy.response_discarded(self, result.reason)
             if self.in_flight:  # checked again: the engine may have cancelled it
                 proxy.attempt_ended(self, Outcome.RESET if written else Outcome.CONNECT_FAILED)
-        elif end.failure is None:
+        elif result.failure is None:
             if self.in_flight:
-                proxy.attempt_ended(self, Outcome.DONE, end)
+                proxy.attempt_ended(self, Outcome.DONE, result)
             else:
                 proxy.response_discarded(self, "late")
         elif self.in_flight:
-            busy = end.failure.split(" ")[0] == BUSY
-            proxy.attempt_ended(self, Outcome.REJECTED if busy else Outcome.ERROR)
+            rejected = result.failure.split(" ")[0] == BUSY
+            proxy.attempt_ended(self, Outcome.REJECTED if rejected else Outcome.ERROR)
 
     def give_up(self, outcome: Outcome | None = None) -> None:
         """Ends it without a response; one that still arrives is not read.
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -66,67 +66,72 @@
                     if attempt.in_flight and not attempt.written():
                         attempt.withdraw()
                 request_class = proxy.settings.request_classes[request.command.request_class]
-                self.table.remember(request, request_class.idempotency)
+                self.table.block_id(request, request_class.idempotency)
                 self.table.release(request)
 
-    def accept(self, connection: ClientConnection, place: int, command: Command) -> None:
+    def accept(self, connection: ClientConnection, sequence: int, command: Command) -> None:
         """Accepts a request, or responds at once with the reason for refusing it."""
-        name = command.id.decode()
+        request_id = command.id.decode()
         request_class = self.proxy.settings.request_classes.get(command.request_class)
         if request_class is None:
-            connection.answer(place, UNKNOWN_CLASS_RESPONSE)
+            connection.answer(sequence, UNKNOWN_CLASS_RESPONSE)
             return
-        self._release_if_first_client_gone(name)
+        self._release_if_first_client_gone(request_id)
         if connection.client_gone:  # the earlier request came over this connection
             return
-        if name in self.table.by_id or name in self.table.may_have_run:
-            self._accept_repeat(name, connection, place, command)
+        if request_id in self.table.by_id or request_id in self.table.may_have_run:
+            self._accept_repeat(request_id, connection, sequence, command)
             return
-        left = self._time_left(command, request_class)
-        if self._is_full() or left <= 0:
-            connection.answer(place, resp.failure(BUSY))
+        time_left = self._time_left(command, request_class)
+        if self._is_full() or time_left <= 0:
+            connection.answer(sequence, resp.failure(BUSY))
             return
-        self._begin(name, connection, place, command, left)
+        self._begin(request_id, connection, sequence, command, time_left)
 
-    def _release_if_first_client_gone(self, name: str) -> None:
+    def _release_if_first_client_gone(self, request_id: str) -> None:
         """Releases an earlier request with this id if its client has disconnected."""
-        earlier = self.table.find(name) if name in self.table.by_id else None
+        earlier = self.table.find(request_id) if request_id in self.table.by_id else None
         if earlier is not None:
             close_if_client_gone(earlier)
 
     def _is_full(self) -> bool:
         """Returns whether requests in flight and blocked ids have reached `max_open`."""
-        held = len(self.table.by_slot) + len(self.table.may_have_run)
-        return held >= self.proxy.connection_limits.max_open
+        occupied = len(self.table.by_slot) + len(self.table.may_have_run)
+        return occupied >= self.proxy.connection_limits.max_open
 
     def _time_left(self, command: Command, request_class: RequestClass) -> Ticks:
         """Returns how long the request may take, at most the outer limit of its class."""
-        left = min(command.timeout_ms * 10, request_class.outer_limit)
+        time_left = min(command.timeout_ms * 10, request_class.outer_limit)
         answer_by = self.proxy.shutdown.answer_by
-        return left if answer_by is None else min(left, answer_by - self.clock())
+        return time_left if answer_by is None else min(time_left, answer_by - self.clock())
 
     def _begin(
-        self, name: str, connection: ClientConnection, place: int, command: Command, left: Ticks
+        self,
+        request_id: str,
+        connection: ClientConnection,
+        sequence: int,
+        command: Command,
+        time_left: Ticks,
     ) -> None:
         """Registers a request and reports it to the engine."""
         proxy = self.proxy
         now = connection.last_used_at = self.clock()
-        request = InFlightRequest(name, command, connection, place, now + left)
-        request.slot = self.table.by_id[name] = self.table.by_slot.add(request)
+        request = InFlightRequest(request_id, command, connection, sequence, now + time_left)
+        request.slot = self.table.by_id[request_id] = self.table.by_slot.add(request)
         request.overdue_timer = self.timers.add(
             request.expires_at + OVERDUE_MARGIN, self._overdue, request
         )
         key = command.key.decode() or None
         proxy.exposure.count_received(now, command.request_class)
         if proxy.why is not None:
-            proxy.why.taken(name, command)
+            proxy.why.taken(request_id, command)
         proxy.handle_events(
             RequestReceived(
-                name,
+                request_id,
                 command.request_class,
                 command.tenant,
                 key,
-                left,
+                time_left,
                 None,
                 command.is_retry,
                 False,
@@ -134,7 +139,7 @@
         )
 
     def _accept_repeat(
-        self, name: str, connection: ClientConnection, place: int, command: Command
+        self, request_id: str, connection: ClientConnection, sequence: int, command: Command
     ) -> None:
         """Handles a request whose id was used before.
 
@@ -143,20 +148,20 @@
         copy may have run, the request does not run again.
         """
         proxy = self.proxy
-        request = self.table.find(name)
+        request = self.table.find(request_id)
         if request is None:
-            connection.answer(place, resp.failure("ERR this id may have run already"))
+            connection.answer(sequence, resp.failure("ERR this id may have run already"))
             return
         if (
             not request.closed
             or not request.connection.client_gone
             or request.command[:3] != command[:3]
         ):
-            connection.answer(place, resp.failure("ERR this id is in hand already"))
+            connection.answer(sequence, resp.failure("ERR this id is in hand already"))
             return
         now = self.clock()
         request.connection = connection
-        request.place = place
+        request.sequence = sequence
         request.closed = False
         request.repeated = True
         request_class = proxy.settings.request_classes[request.command.request_class]
@@ -181,7 +186,7 @@
         proxy = self.proxy
         if request and not request.closed:
             request.closed = True
-            request.connection.answer(request.place, content)
+            request.connection.answer(request.sequence, content)
             self.table.release(request)
             if proxy.why is not None and not request.attempts_in_flight:
                 proxy.why.over(request.id)
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -48,8 +48,8 @@
         watch: The stream of updates, from the agent on the same machine or by polling.
     """
 
-    def __init__(self, proxy: "Proxy", chance: LinearCongruentialGenerator) -> None:
-        polled = proxy.settings.lists_polled
+    def __init__(self, proxy: "Proxy", random_source: LinearCongruentialGenerator) -> None:
+        lists_polled = proxy.settings.lists_polled
         self.proxy = proxy
         self.listed_endpoints: dict[str, Endpoint] = {}
         self.addresses: dict[str, str] = {}
@@ -59,13 +59,13 @@
         self.discovery = proxy.caller(proxy.start.discovery)
         self.watch = WatchStream(
             self.discovery,
-            chance,
+            random_source,
             discovery.SILENCE_TIMEOUT,
-            lambda: discovery.watch_request(self.discovery.host, self._version_to_ask_from()),
+            lambda: discovery.watch_request(self.discovery.host, self._version_to_request_from()),
             self._watch_reader,
             structured_log.log_rate_limited,
-            discovery.FIRST_DATA_TIMEOUTS[polled],
-            dedicated=not polled,
+            discovery.FIRST_DATA_TIMEOUTS[lists_polled],
+            dedicated=not lists_polled,
         )
 
     def notify_on_data(self, on_data: Callable[[], None]) -> None:
@@ -100,23 +100,23 @@
             StaleSnapshotError: The list was not accepted; nothing has changed.
         """
         update = listing.update
-        whole = update.kind != UpdateKind.DELTA
+        is_snapshot = update.kind != UpdateKind.DELTA
         rejection = self._validator.validate(
-            source, listing.version, whole, len(update.endpoints), len(self.listed_endpoints)
+            source, listing.version, is_snapshot, len(update.endpoints), len(self.listed_endpoints)
         )
         if rejection:
             raise discovery.StaleSnapshotError(*rejection)
         self.version = listing.version
         self._source = source
-        replaced = self._merge(update.endpoints, {} if whole else dict(self.listed_endpoints))
+        replaced = self._merge(update.endpoints, {} if is_snapshot else dict(self.listed_endpoints))
         self.addresses = {
             name: address
             for name, address in {**self.addresses, **listing.addresses}.items()
             if name in self.listed_endpoints
         }
-        self._tell(update, replaced)
+        self._propagate(update, replaced)
 
-    def _tell(self, update: EndpointUpdate, replaced: set[str]) -> None:
+    def _propagate(self, update: EndpointUpdate, replaced: set[str]) -> None:
         """Reports the update, and drops connections and attempts that it makes obsolete.
 
         Args:
@@ -142,12 +142,12 @@
 
         Connections to the previous process may be dead: it was a different endpoint of that name.
         """
-        before = self.listed_endpoints
+        previous = self.listed_endpoints
         self.listed_endpoints = listed
         replaced = set()
         for endpoint in endpoints:
-            known = before.get(endpoint.address)
-            if known and (known.started, known.build) != (endpoint.started, endpoint.build):
+            earlier = previous.get(endpoint.address)
+            if earlier and (earlier.started, earlier.build) != (endpoint.started, endpoint.build):
                 replaced.add(endpoint.address)
             if endpoint.condition == EndpointCondition.GONE:
                 listed.pop(endpoint.address, None)
@@ -157,14 +157,14 @@
 
     def is_ready(self, endpoint: Endpoint) -> bool:
         """Returns whether this process of the endpoint is still listed as ready."""
-        now = self.listed_endpoints.get(endpoint.address)
+        listed = self.listed_endpoints.get(endpoint.address)
         return (
-            now is not None
-            and now.condition == EndpointCondition.READY
-            and ((now.started, now.build) == (endpoint.started, endpoint.build))
+            listed is not None
+            and listed.condition == EndpointCondition.READY
+            and ((listed.started, listed.build) == (endpoint.started, endpoint.build))
         )
 
-    def _version_to_ask_from(self) -> int:
+    def _version_to_request_from(self) -> int:
         """Returns the last version from the current address; 0 requests the full list."""
         return self.version if self._source == self.discovery.address else 0
 
@@ -177,10 +177,10 @@
 
             def listings() -> Iterator[discovery.EndpointListing]:
                 nonlocal alive
-                for told in lists.feed(content):
+                for document in lists.feed(content):
                     alive = True
-                    if told is not None:
-                        yield discovery.read_list(told, self.proxy.epoch)
+                    if document is not None:
+                        yield discovery.read_list(document, self.proxy.epoch)
 
             for listing in discovery.merge_deltas(listings()):
                 self.apply(listing, source)
@@ -198,16 +198,16 @@
         )
         fetched.addCallback(self._fetched, self.discovery.address)
 
-    def _fetched(self, end: Reply | BrokenConnection, source: Address) -> None:
+    def _fetched(self, result: Reply | BrokenConnection, source: Address) -> None:
         """Applies a list fetched from this address, if the address is still current."""
         try:
             if source != self.discovery.address:
                 raise discovery.UnreadableListError("fetched from a previous address")
-            if not isinstance(end, Reply) or end.status != 200:
+            if not isinstance(result, Reply) or result.status != 200:
                 raise discovery.UnreadableListError(
-                    f"status {end.status}" if isinstance(end, Reply) else end.reason
+                    f"status {result.status}" if isinstance(result, Reply) else result.reason
                 )
-            self.apply(discovery.read_json(end.body, self.proxy.epoch), source)
+            self.apply(discovery.read_json(result.body, self.proxy.epoch), source)
         except Exception as error:  # the engine needs exactly one result of the fetch
             structured_log.log("endpoint list not fetched", error=str(error)[:MAX_REASON_LENGTH])
             self.proxy.handle_events(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -16,7 +16,7 @@
 CLOSE_AFTER_LAST_RESPONSE = 500
 """Ticks from the latest possible response until connections still open are closed."""
 
-ACCEPT_REST_WITHIN = 10_000
+BACKLOG_ACCEPT_TIMEOUT = 10_000
 """Ticks after the drain begins in which connections that wait for a free place are accepted."""
 
 
@@ -68,7 +68,7 @@
         if not self.listener_closed:
             self.listener_closed = Deferred()
             self._close_timer = self.timers.add(
-                self.clock() + ACCEPT_REST_WITHIN, self._close_listener
+                self.clock() + BACKLOG_ACCEPT_TIMEOUT, self._close_listener
             )
             self.accept_rest()
         self.timers.cancel(self._finish_timer)
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -21,7 +21,7 @@
         slot: Its number in the proxy's table of requests.
         command: The request as received from the client.
         connection: The client's connection that gets its response.
-        place: The position of its response among those of the connection.
+        sequence: The position of its response among those of the connection.
         expires_at: When its client stops waiting.
         attempts: All attempts so far, by number.
         attempts_in_flight: How many attempts have not ended.
@@ -39,8 +39,8 @@
         "expires_at",
         "id",
         "overdue_timer",
-        "place",
         "repeated",
+        "sequence",
         "slot",
     )
 
@@ -49,13 +49,13 @@
         name: str,
         command: Command,
         connection: ClientConnection,
-        place: int,
+        sequence: int,
         expires_at: Ticks,
     ) -> None:
         self.id = name
         self.command = command
         self.connection = connection
-        self.place = place
+        self.sequence = sequence
         self.expires_at = expires_at
         self.slot: int | None = None
         self.attempts: list[Attempt] = []
@@ -98,7 +98,7 @@
             self.by_slot.remove(request.slot)
             self.timers.cancel(request.overdue_timer)
 
-    def remember(self, request: InFlightRequest, idempotency: Idempotency) -> None:
+    def block_id(self, request: InFlightRequest, idempotency: Idempotency) -> None:
         """Blocks the id of a request that may have run, until its client would have timed out.
 
         Called for a request released without a response. An idempotent one may run again.
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -133,9 +133,9 @@
         self.engine = DecisionEngine(
             self.settings, start.seed, self.clock(), self.rejections.record
         )
-        chance = LinearCongruentialGenerator(~start.seed)
-        self.endpoints = EndpointUpdates(self, chance)
-        self.releases = ReleaseChannel(self, chance)
+        random_source = LinearCongruentialGenerator(~start.seed)
+        self.endpoints = EndpointUpdates(self, random_source)
+        self.releases = ReleaseChannel(self, random_source)
         self._action_handlers = self._handlers_by_action_type()
 
     def _handlers_by_action_type(self) -> dict[type[Action], Callable[[Any], None]]:
@@ -244,9 +244,9 @@
         """Drains temporarily, under a permit; `undrain` resumes service."""
         self.shutdown.drain(on_drained)
 
-    def undrain(self, listens: Callable[[], None], failed: Callable[[str], None]) -> None:
+    def undrain(self, on_listening: Callable[[], None], on_failure: Callable[[str], None]) -> None:
         """Accepts new work again; see GracefulShutdown.undrain."""
-        self.shutdown.undrain(listens, failed)
+        self.shutdown.undrain(on_listening, on_failure)
 
     # Passing events to the engine and executing its actions.
 
@@ -297,20 +297,20 @@
     def _close_idle(self, action: CloseIdleConnections) -> None:
         self.pools.close_idle(action.endpoint)
 
-    def withdraw_unwritten(self, fails: Callable[[Endpoint, str], bool]) -> None:
+    def withdraw_unwritten(self, is_obsolete: Callable[[Endpoint, str], bool]) -> None:
         """Withdraws attempts that are not completely written and whose endpoint and address fail.
 
         An attempt that was decided before an update must not be written against it. The engine is
         told that the attempts ended together with the update itself.
         """
-        handling = self.handling_events
+        was_handling = self.handling_events
         self.handling_events = True
         try:
             for attempt, address in self.pools.unwritten_attempts():
-                if fails(attempt.endpoint, address):
+                if is_obsolete(attempt.endpoint, address):
                     attempt.withdraw()
         finally:
-            self.handling_events = handling
+            self.handling_events = was_handling
 
     # Attempts.
 
@@ -382,7 +382,7 @@
             request.closed = True
             if self.why is not None:
                 self.why.ended(request.id, self.why.done)
-            request.connection.answer(request.place, resp.value(answer.value))
+            request.connection.answer(request.sequence, resp.value(answer.value))
         load = self._load(answer.report) if answer and answer.report else None
         endpoint = attempt.endpoint.address if attempt.endpoint else ""
         latency = self.clock() - attempt.started_at
@@ -418,11 +418,11 @@
 
     def _load(self, report: bytes) -> tuple[float, ...] | None:
         """Returns the values of a load report in the order of the settings; None if malformed."""
-        told = dict(
+        values = dict(
             pair.partition("=")[::2] for pair in report.decode("utf-8", "replace").split(",")
         )
         try:
-            load = tuple(float(told[name]) for name in self.settings.load_metrics)
+            load = tuple(float(values[name]) for name in self.settings.load_metrics)
         except (KeyError, ValueError):
             return None
         return load if all(map(isfinite, load)) else None
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -54,14 +54,14 @@
         stream: The platform's stream of updates.
     """
 
-    def __init__(self, proxy: "Proxy", chance: LinearCongruentialGenerator) -> None:
+    def __init__(self, proxy: "Proxy", random_source: LinearCongruentialGenerator) -> None:
         self.proxy = proxy
         self.latest: ReleaseUpdate | None = None
         self._latest_at: Ticks = 0
         self.platform = proxy.caller(proxy.start.platform)
         self.stream = WatchStream(
             self.platform,
-            chance,
+            random_source,
             deployer.SILENCE_TIMEOUT,
             lambda: deployer.stream_request(self.platform.host),
             self._stream_reader,
@@ -86,13 +86,13 @@
         """
         if update.outcome != Outcome.DONE:
             return
-        old = self.latest
+        previous = self.latest
         self.latest = update
         self._latest_at = self.proxy.clock()
         if (
-            old
-            and old.build == update.build
-            and (_cap(update) < _cap(old) or update.phase != old.phase)
+            previous
+            and previous.build == update.build
+            and (_cap(update) < _cap(previous) or update.phase != previous.phase)
         ):
             self.proxy.withdraw_unwritten(lambda endpoint, _: endpoint.build >= update.build)
 
@@ -102,38 +102,40 @@
         def read(content: memoryview) -> bool:
             for event, data in events.feed(content):
                 # A malformed event ends the stream, which is then reopened.
-                told = deployer.read_event(event, data)
-                if told is not None and (
-                    isinstance(told, ReleaseUpdate)
-                    or told.request_class in self.proxy.settings.request_classes
+                parsed = deployer.read_event(event, data)
+                if parsed is not None and (
+                    isinstance(parsed, ReleaseUpdate)
+                    or parsed.request_class in self.proxy.settings.request_classes
                 ):
-                    self.proxy.handle_events(told)
+                    self.proxy.handle_events(parsed)
             return b"\n" in bytes(content)  # at least one complete line
 
         return read
 
-    def _reconciled(self, update: ReleaseUpdate, asked: Ticks) -> ReleaseUpdate:
+    def _reconciled(self, update: ReleaseUpdate, sent_at: Ticks) -> ReleaseUpdate:
         """Returns the release state after the response to a vote that was cast at `asked`.
 
         It is the state in the response, unless the stream has since reported a newer one. If it is
         unclear which is newer, the one with the smaller traffic share is used until the next
         response or event.
         """
-        held = self.latest
-        if update.outcome != Outcome.DONE or held is None:
+        current = self.latest
+        if update.outcome != Outcome.DONE or current is None:
             return update
-        older = update.build < held.build
-        if update.build == held.build and asked - _age(update) <= self._latest_at - _age(held):
-            older = traffic_share(update) > traffic_share(held)
-        return held._replace(answers_vote=True) if older else update
+        older = update.build < current.build
+        if update.build == current.build and sent_at - _age(update) <= self._latest_at - _age(
+            current
+        ):
+            older = traffic_share(update) > traffic_share(current)
+        return current._replace(answers_vote=True) if older else update
 
     def cast_vote(self, action: CastVote) -> None:
         """Sends a vote; the engine is told of the response or of the timeout."""
-        asked = self.proxy.clock()
+        sent_at = self.proxy.clock()
         evidence = self.proxy.engine.vote_evidence()
 
-        def answered(end: Reply | BrokenConnection) -> None:
-            update = self._reconciled(deployer.read_vote_reply(action.build, end), asked)
+        def on_response(result: Reply | BrokenConnection) -> None:
+            update = self._reconciled(deployer.read_vote_reply(action.build, result), sent_at)
             structured_log.log(
                 "vote",
                 build=action.build,
@@ -154,4 +156,4 @@
         vote = self.platform.call(
             deployer.vote_request(self.platform.host, action), self.proxy.settings.vote_timeout
         )
-        vote.addCallback(answered)
+        vote.addCallback(on_response)
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -58,7 +58,9 @@
     if isinstance(value, list):
         if value and all(isinstance(inner, dict) for inner in value):
             listed = [
-                pair for at, inner in enumerate(value) for pair in flatten(inner, f"{path}.{at}")
+                pair
+                for index, inner in enumerate(value)
+                for pair in flatten(inner, f"{path}.{index}")
             ]
             return [f"{path}.count={len(value)}", *listed]
         return [f"{path}=" + ",".join(_text(inner) for inner in value)]
@@ -78,12 +80,12 @@
 def _value_at(value: Any, path: str, expected: type | tuple[type, ...], *default: Any) -> Any:
     """Returns the value at a dotted path, checked for its type."""
     *inner, last = path.split(".")
-    for at, name in enumerate(inner, 1):
+    for index, name in enumerate(inner, 1):
         value = value.get(name)
         value = {} if value is None else value  # null counts as missing
         if not isinstance(value, dict):
             raise ConfigurationError(
-                f"{'.'.join(inner[:at])}: is not an object: {value!r}"[:MAX_ERROR_LENGTH]
+                f"{'.'.join(inner[:index])}: is not an object: {value!r}"[:MAX_ERROR_LENGTH]
             )
     value = value.get(last)
     if value is None and default:
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -97,7 +97,7 @@
         signal.signal(signal.SIGHUP, self._on_sighup)
         signal.signal(signal.SIGINT, signal.SIG_DFL)  # exits without a traceback
         try:
-            start = self._read()
+            start = self._load_configuration()
             self.features = features.Features(self.operator_file)
         except (configuration.ConfigurationError, features.FeatureError) as error:
             print(f"thymeknot: {error}", file=sys.stderr)
@@ -125,7 +125,7 @@
         self.reactor.run(installSignalHandlers=False)
         return self.exit_code
 
-    def _read(self) -> configuration.StartConfiguration:
+    def _load_configuration(self) -> configuration.StartConfiguration:
         """Reads the configuration; an invalid one replaced meanwhile is read again."""
         while True:
             self.reload_pending = False
@@ -147,14 +147,14 @@
             self.features.begin(self.proxy)
         except CannotListenError as error:
             if not self._retry_if_in_use(error):
-                self._fail(f"listen: {error}")
+                self._exit_with_error(f"listen: {error}")
             return
         except features.FeatureError as error:
-            self._fail(str(error))
+            self._exit_with_error(str(error))
             return
         except Exception as error:  # must not keep running without a listener
             structured_log.log_exception("start", error)
-            self._fail(f"start: {type(error).__name__}: {error}")
+            self._exit_with_error(f"start: {type(error).__name__}: {error}")
             return
         self._ready()
 
@@ -185,14 +185,14 @@
             structured_log.log("address in use", listen=self.proxy.start.listen)
         self.listen_tries += 1
         self.retry_pending = True
-        self.reactor.callLater(LISTEN_RETRY_SECONDS, self._listen_again)
+        self.reactor.callLater(LISTEN_RETRY_SECONDS, self._retry_listen)
         return True
 
-    def _listen_again(self) -> None:
+    def _retry_listen(self) -> None:
         self.retry_pending = False
         self._listen()
 
-    def _fail(self, message: str) -> None:
+    def _exit_with_error(self, message: str) -> None:
         print(f"thymeknot: {message}", file=sys.stderr)
         self.exit_code = EXIT_UNUSABLE
         self.stopping = True
@@ -220,7 +220,7 @@
             transactions=len(self.proxy.requests_in_flight),
         )
         if self.serving:
-            longest = max(
+            longest_deadline = max(
                 request_class.outer_limit
                 for request_class in self.proxy.settings.request_classes.values()
             )
@@ -228,7 +228,7 @@
                 ACCEPT_AFTER_SIGTERM_SECONDS,
                 self.proxy.shut_down,
                 self._on_drained,
-                clock() + min(longest, MAX_COUNTED_DEADLINE) + SHUTDOWN_MARGIN,
+                clock() + min(longest_deadline, MAX_COUNTED_DEADLINE) + SHUTDOWN_MARGIN,
             )
         else:
             self._on_drained()
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -72,17 +72,17 @@
         self._decisive: Reason | None = None
         self._excluding: Reason | None = None
 
-    def record(self, name: str | None, reason: Reason, *operands: Any) -> None:
+    def record(self, request_id: str | None, reason: Reason, *operands: Any) -> None:
         """Records a reason that the engine reports for a request (None for votes)."""
         role = ROLE_BY_NUMBER[reason]
         if role:
-            self._count(name, reason, role)
+            self._count(request_id, reason, role)
         if self.next_listener is not None:
-            self.next_listener(name, reason, *operands)
+            self.next_listener(request_id, reason, *operands)
 
-    def _count(self, name: str | None, reason: Reason, role: Role) -> None:
-        if name != self._request:  # the reasons of another request do not apply
-            self._request = name
+    def _count(self, request_id: str | None, reason: Reason, role: Role) -> None:
+        if request_id != self._request:  # the reasons of another request do not apply
+            self._request = request_id
             self._decisive = None
             self._excluding = None
         if role == Role.EXCLUDES_ENDPOINTS:
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -103,12 +103,12 @@
 def log_exception(where: str, error: BaseException) -> None:
     """Logs a caught exception with the line that raised it."""
     trace = error.__traceback__
-    place = "unknown"
+    location = "unknown"
     while trace is not None:
         file = os.path.basename(trace.tb_frame.f_code.co_filename)
-        place = f"{file}:{trace.tb_lineno}"
+        location = f"{file}:{trace.tb_lineno}"
         trace = trace.tb_next
-    log("fault", where=where, error=f"{type(error).__name__}: {error}", at_line=place)
+    log("fault", where=where, error=f"{type(error).__name__}: {error}", at_line=location)
 
 
 def capture_twisted_errors() -> None:
