--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -373,7 +373,7 @@
         deep = {}
         for _ in range(1020):
             deep = {"a": deep}
-        self.refuse(changed("settings.deep", deep), "settings: are nested too deep")
+        self.refuse(changed("settings.deep", deep), "settings: are nested too deeply")
         for path in ("limits", "deployer"):
             for other in (5, "x", [], False):
                 self.refuse(changed(path, other), f"{path}: is not an object")
--- a/thymeknot/polling/snapshot_validation.py
+++ b/thymeknot/polling/snapshot_validation.py
@@ -1,8 +1,8 @@
 """Validates snapshots of the endpoint list.
 
-A snapshot that is empty or older than the last could remove all known endpoints. Deltas are always
-accepted: they add to the list, and a drain must take effect at once. Performs no I/O. Source:
-docs/design/vast.md.
+A snapshot that is empty or older than the last one could remove all known endpoints. Deltas are
+always accepted: they add to the list, and a drain must take effect at once. Performs no I/O.
+Source: docs/design/vast.md.
 """
 
 from enum import StrEnum
@@ -10,7 +10,7 @@
 
 
 class ValidatorState(StrEnum):
-    """Whether the last snapshot was accepted, and if not, why."""
+    """Whether the last snapshot was accepted; if not, the reason."""
 
     TRUSTING = "firm"
     SAW_OLDER = "doubting"
@@ -36,14 +36,14 @@
     REJECT = "keep"
     """Reject it and keep the known endpoints."""
     FETCH_AGAIN = "ask"
-    """Reject it, fetch it again at once, and accept it if it comes again."""
+    """Reject it, fetch it again at once, and accept it if the same one is received."""
 
 
 # (state, kind) -> next state, decision. An older snapshot comes from a service that has restarted
 # its version numbers, an emptied one from a service that has seen all endpoints end: both are
 # accepted once confirmed. A service whose responses keep differing is polled less and less often. A
 # snapshot that is empty without a newer version comes from a service that has not discovered the
-# endpoints yet: keeping them costs failed connections at most.
+# endpoints yet; keeping the known ones costs failed connections at most.
 TRANSITIONS: dict[tuple[ValidatorState, SnapshotKind], tuple[ValidatorState, Decision]] = {
     (ValidatorState.TRUSTING, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.ACCEPT),
     (ValidatorState.SAW_OLDER, SnapshotKind.NEWER): (ValidatorState.TRUSTING, Decision.ACCEPT),
@@ -64,18 +64,18 @@
 
 
 class SnapshotRejection(NamedTuple):
-    """Why a list is rejected."""
+    """The reason why a list is rejected."""
 
     reason: str
     fetch_again: bool
-    """Whether to fetch it again at once; it is accepted if it comes again."""
+    """Whether to fetch the list again at once; it is accepted if the same one is received."""
 
 
 class SnapshotValidator:
-    """Validates the lists that one sidecar receives.
+    """Validates the endpoint lists that a sidecar receives.
 
     Attributes:
-        state: Whether the last snapshot was accepted, and if not, why.
+        state: Whether the last snapshot was accepted; if not, the reason.
         source: The address that sent the last list; each address has its own versions.
         version: The version of the last list accepted from this source.
     """
@@ -95,10 +95,10 @@
             version: Its version.
             is_snapshot: Whether it is a snapshot rather than a delta.
             listed: How many endpoints it lists.
-            known: How many endpoints are known now.
+            known: How many endpoints are known before it.
 
         Returns:
-            Why it is rejected; None if it is accepted, and `version` is then its version.
+            Why it is rejected. None if it is accepted; `self.version` is then its version.
         """
         if source != self.source:
             self.state = ValidatorState.TRUSTING
@@ -113,7 +113,9 @@
         self.state, decision = TRANSITIONS[self.state, kind]
         if decision != Decision.ACCEPT:
             reason = (
-                f"is older than {self.version}" if kind == SnapshotKind.OLDER else "names no pod"
+                f"is older than {self.version}"
+                if kind == SnapshotKind.OLDER
+                else "lists no endpoints"
             )
             return SnapshotRejection(
                 f"version {version} {reason}", decision == Decision.FETCH_AGAIN
--- a/thymeknot/proxy/attempt.py
+++ b/thymeknot/proxy/attempt.py
@@ -13,24 +13,26 @@
     from .proxy import Proxy
 
 BUSY = "BUSY"
-"""The first word of an error that promises that the request had no effect, on both sides."""
+"""First word of an error response to a request that had no effect.
+
+Endpoints send it to the sidecar, and the sidecar to its clients."""
 
 
 class Attempt:
-    """An attempt that waits for a connection or was written to one; see the connection pools.
+    """An attempt that waits for a connection or was written to one; see ConnectionPools.
 
     Attributes:
-        proxy: Notified when it ends.
-        request: The request that it is for.
-        number: Its number among the request's attempts.
-        endpoint: The endpoint as it was listed when the attempt began; None where it was not.
-        started_at: When it began.
-        expires_at: When it times out.
+        proxy: Notified when the attempt ends.
+        request: The request that the attempt serves.
+        number: Index among the request's attempts.
+        endpoint: The endpoint as listed when the attempt began; None if it was not listed.
+        started_at: When the attempt began, in ticks.
+        expires_at: When it times out, in ticks.
         in_flight: Whether it has not ended yet.
         connection: The connection that it was written to; None while it waits for one.
         timer: The timer that calls `timer_due`.
-        write_by: When its last byte must be written.
-        newest_build: The newest build when it began.
+        write_by: When its last byte must be written, in ticks.
+        newest_build: The newest build when the attempt began; None if unknown.
         may_have_run: Whether the endpoint may have executed it.
     """
 
@@ -72,10 +74,10 @@
         self.write_by = self._write_by()
 
     def _write_by(self) -> Ticks:
-        """Returns when its last byte must be written, given which earlier attempts may have run.
+        """Returns the deadline for its last byte, given the earlier attempts that may have run.
 
-        Endpoints drop a retry with an idempotency key during the deduplication window, measured
-        as the engine measures it; a request that is not idempotent must not be retried at all.
+        Endpoints discard a retry with an idempotency key within the deduplication window, which
+        is measured as in the engine; a request that is not idempotent must not be retried at all.
         """
         uncertain = next(
             (earlier for earlier in self.request.attempts if earlier.may_have_run), None
@@ -112,7 +114,7 @@
         )
 
     def _key_is_sticky(self, update: ReleaseUpdate | None, endpoint: Endpoint) -> bool:
-        """Returns whether the newest build has since answered its key, which is then sticky."""
+        """Returns whether the newest build has answered the key meanwhile, making it sticky."""
         command = self.request.command
         return (
             update is not None
@@ -126,11 +128,11 @@
         return self.connection is not None and self.connection.written
 
     def withdraw(self) -> None:
-        """Ends it as not sent."""
+        """Ends the attempt as not sent."""
         self.give_up(Outcome.NOT_SENT)
 
     def timer_due(self) -> None:
-        """Ends it when it can no longer be written in time, or has timed out."""
+        """Ends the attempt if it can no longer be written in time, or has timed out."""
         if self.proxy.clock() >= self.expires_at:
             self.give_up()
         elif not self.written():
@@ -139,7 +141,7 @@
             self.timer = self.proxy.timers.add(self.expires_at, self.timer_due)
 
     def write_to(self, connection: PodConnection) -> None:
-        """Writes it to a free connection."""
+        """Writes the request to a free connection."""
         assert self.endpoint is not None  # otherwise it has ended as not sent
         self.connection = connection
         now = self.proxy.clock()
@@ -153,14 +155,14 @@
         delivered.addCallback(self._response_ended)
 
     def not_connected(self, failure: BrokenConnection) -> None:
-        """Ends it because no connection could be opened."""
+        """Ends the attempt because no connection could be opened."""
         self.proxy.attempt_ended(self, Outcome.CONNECT_FAILED)
 
     def _response_started(self) -> None:
-        self.proxy.response_discarded(self, "in part or unreadable")
+        self.proxy.response_discarded(self, "partial or malformed")
 
     def _response_ended(self, result: PodResponse | BrokenConnection) -> None:
-        """Ends it with the response or with the failure of its connection."""
+        """Ends the attempt with its response or with the failure of its connection."""
         proxy = self.proxy
         if isinstance(result, BrokenConnection):
             written = result.progress == WRITTEN
@@ -178,13 +180,13 @@
             proxy.attempt_ended(self, Outcome.REJECTED if rejected else Outcome.ERROR)
 
     def give_up(self, outcome: Outcome | None = None) -> None:
-        """Ends it without a response; one that still arrives is not read.
+        """Ends the attempt without a response; one that still arrives is not read.
 
         Args:
-            outcome: How it ends; None means that it timed out.
+            outcome: The outcome; None if the attempt timed out.
         """
         written = self.written()
-        self.in_flight = False  # so that the closed connection does not end it a second time
+        self.in_flight = False  # otherwise closing the connection would end it a second time
         self.proxy.pools.give_up(self, self.connection)
         if written:
             self.proxy.response_discarded(self, "given up")
--- a/thymeknot/proxy/client_listener.py
+++ b/thymeknot/proxy/client_listener.py
@@ -34,7 +34,7 @@
 
 
 class ClientFactory(Factory):
-    """Makes the connections of a listener."""
+    """Creates the protocol of each accepted connection."""
 
     noisy = False
 
@@ -42,27 +42,28 @@
         self.listener = listener
 
     def buildProtocol(self, address: object) -> ClientConnection:  # noqa: N802 -- Twisted's name
-        """Returns the protocol of a connection that was accepted."""
+        """Returns the protocol for an accepted connection."""
         return ClientConnection(self.listener)
 
 
 class ClientListener:
-    """The listening port and its clients' connections, which report to it as their owner.
+    """The listening port and the clients' connections, for which it is the owner.
 
     Attributes:
         reactor: Twisted's reactor; it has no static type.
         timers: All timers of the program.
         clock: Returns the monotonic time, in ticks.
         address: The host and port to listen on.
-        sockets: The configured limit of descriptors; also the most accept calls in one go.
+        sockets: The configured limit of descriptors; also the maximum number of accept calls in a
+            row.
         max_clients: The maximum number of client connections.
         request_received: Called with each request: its connection, response position and command.
-        client_gone: Called with a connection whose client has stopped waiting.
+        client_gone: Called with each connection whose client has disconnected.
         clients: The open connections.
-        accepting_paused: Whether accepting waits until a connection becomes idle or closes.
+        accepting_paused: Whether no connection is accepted until one becomes idle or closes.
         listening: Whether the port is open, or will be closed once the backlog is accepted.
         port: The listening port.
-        shutdown: Drains the listener; GracefulShutdown sets this itself.
+        shutdown: Drains the listener; set by GracefulShutdown.
     """
 
     shutdown: "GracefulShutdown"
@@ -105,9 +106,9 @@
         self.listening = True
 
     def _accept(self, port: Any, accept: Callable[[], None]) -> None:
-        """Accepts no more connections at once than the limit allows.
+        """Accepts at most as many connections in a row as the limit allows.
 
-        The network library would close a connection for which no descriptor is left.
+        Twisted closes an accepted connection if no descriptor is left for it.
         """
         port.numberAccepts = max(1, min(port.numberAccepts, self.max_clients - len(self.clients)))
         accept()
@@ -123,15 +124,15 @@
     # Callbacks of the connections.
 
     def fault(self, where: str, error: Exception) -> None:
-        """Logs an exception that has closed a connection."""
+        """Logs an exception that closed a connection."""
         structured_log.log_exception(where, error)
 
     def connection_opened(self, connection: ClientConnection) -> None:
-        """Registers a new connection, and makes room for further ones.
+        """Registers a new connection, and evicts idle ones to make room for further ones.
 
-        A connection may be closed between requests, but not while data waits to be read, and one
-        that has not sent a complete request only after half a second. Otherwise many clients that
-        send one request and stay connected would block new ones.
+        Without eviction, many clients that send one request and stay connected would block new
+        ones. A connection may be evicted between requests, but not while it has unread data; one
+        that has not sent a complete request yet may be evicted only after half a second.
         """
         connection.slot = self.clients.add(connection)
         connection.last_used_at = self.clock()
@@ -149,7 +150,7 @@
             and (not idle or len(self.clients) >= self.max_clients + CLOSING_ALLOWANCE)
             and not self.accepting_paused
         ):
-            self.accepting_paused = True  # also until the evicted connections have closed
+            self.accepting_paused = True  # at least until the evicted connections have closed
             self.port.stopReading()
             if not idle:
                 structured_log.log_rate_limited("accepting paused", connections=len(self.clients))
@@ -173,7 +174,10 @@
     def _connections_to_evict(
         self, idle: list[ClientConnection], full: bool, now: Ticks
     ) -> list[ClientConnection]:
-        """Returns the long idle ones above the eviction ratio; if none and full, the first."""
+        """Returns the connections idle for long that exceed the eviction ratio.
+
+        If there are none and the limit is reached, the first of the idle ones is returned.
+        """
         long_idle = [
             client
             for client in idle
@@ -185,7 +189,7 @@
         return chosen or (idle[:1] if full else [])
 
     def connection_became_idle(self) -> None:
-        """Resumes accepting: an idle connection can now be evicted for the next one."""
+        """Resumes accepting, since the idle connection can be evicted for the next client."""
         if self.accepting_paused and not self.shutdown.is_draining():
             self.accepting_paused = False
             self.port.startReading()
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -1,4 +1,4 @@
-"""Accepts clients' requests and sends their responses."""
+"""Accepts requests from clients and sends the responses."""
 
 from typing import TYPE_CHECKING
 
@@ -18,19 +18,19 @@
     from .proxy import Proxy
 
 OVERDUE_MARGIN = 50
-"""Ticks after a request's deadline when it gets a response if the engine has sent none."""
+"""Ticks after its deadline when a request fails if the engine has not responded to it."""
 
 UNKNOWN_CLASS_RESPONSE = resp.failure("ERR no such lane")
-"""The response to a request whose class is not in the settings."""
+"""Response to a request whose class is not in the settings."""
 
 FAILED_RESPONSE = resp.failure("ERR abandoned")
-"""The response to a request that has failed and may have run."""
+"""Response to a request that has failed and may have run."""
 
 
 def close_if_client_gone(request: InFlightRequest) -> None:
     """Closes the request's connection if its client has disconnected.
 
-    The reactor may not have reported this yet, or may not be reading from the connection.
+    The reactor may not have reported the close yet, or reading may be paused.
     """
     if not request.closed and peer_has_closed(request.connection.transport):
         request.connection.readConnectionLost()
@@ -53,7 +53,7 @@
         self.clock = proxy.clock
 
     def client_disconnected(self, connection: ClientConnection) -> None:
-        """Ends the requests of a connection whose client has stopped waiting."""
+        """Ends the requests of a connection whose client has disconnected."""
         proxy = self.proxy
         for request in self.table.by_slot if connection.pending_responses else ():
             if request.connection is connection and not request.closed:
@@ -61,7 +61,7 @@
                 if proxy.why is not None:
                     proxy.why.ended(request.id, proxy.why.left)
                 proxy.handle_events(ClientDisconnected(request.id))
-                # Even if cancellation is not allowed: these were not completely written.
+                # Also without permission to cancel, since these were not completely written.
                 for attempt in request.attempts:
                     if attempt.in_flight and not attempt.written():
                         attempt.withdraw()
@@ -70,14 +70,14 @@
                 self.table.release(request)
 
     def accept(self, connection: ClientConnection, sequence: int, command: Command) -> None:
-        """Accepts a request, or responds at once with the reason for refusing it."""
+        """Accepts a request, or responds at once with the reason for not accepting it."""
         request_id = command.id.decode()
         request_class = self.proxy.settings.request_classes.get(command.request_class)
         if request_class is None:
             connection.answer(sequence, UNKNOWN_CLASS_RESPONSE)
             return
         self._release_if_first_client_gone(request_id)
-        if connection.client_gone:  # the earlier request came over this connection
+        if connection.client_gone:  # the earlier request had arrived on this connection
             return
         if request_id in self.table.by_id or request_id in self.table.may_have_run:
             self._accept_repeat(request_id, connection, sequence, command)
@@ -100,7 +100,7 @@
         return occupied >= self.proxy.connection_limits.max_open
 
     def _time_left(self, command: Command, request_class: RequestClass) -> Ticks:
-        """Returns how long the request may take, at most the outer limit of its class."""
+        """Returns the ticks left for the request, at most the outer limit of its class."""
         time_left = min(command.timeout_ms * 10, request_class.outer_limit)
         answer_by = self.proxy.shutdown.answer_by
         return time_left if answer_by is None else min(time_left, answer_by - self.clock())
@@ -143,9 +143,9 @@
     ) -> None:
         """Handles a request whose id was used before.
 
-        A client whose connection closed before it had a response sends the request again. If
-        attempts of the first copy are still in flight, their result is the response; if the first
-        copy may have run, the request does not run again.
+        A client sends a request again if its connection closed before the response arrived. If
+        attempts of the first copy are still in flight, their result is the response. If the first
+        copy may have run, the request is not sent to an endpoint again.
         """
         proxy = self.proxy
         request = self.table.find(request_id)
@@ -172,7 +172,7 @@
         )
 
     def _overdue(self, request: InFlightRequest) -> None:
-        """Responds to a request that the engine has left without a response."""
+        """Fails a request to which the engine has not responded in time."""
         proxy = self.proxy
         if not request.closed:
             structured_log.log("request overdue", id=request.id, out=request.attempts_in_flight)
@@ -192,7 +192,7 @@
                 proxy.why.over(request.id)
 
     def reject(self, action: Reject) -> None:
-        """Sends the final response that promises that the request had no effect."""
+        """Sends the final response of a request that certainly had no effect."""
         milliseconds = -(-action.retry_after // 10)
         content = resp.failure(f"{BUSY} {milliseconds}" if milliseconds else BUSY)
         self.answer(self.table.find(action.id), content)
--- a/thymeknot/proxy/descriptor_budget.py
+++ b/thymeknot/proxy/descriptor_budget.py
@@ -4,21 +4,21 @@
 from typing import NamedTuple
 
 MIN_DESCRIPTORS = 64
-"""Assumed even if the system allows fewer: the configuration accepts no lower limit."""
+"""Assumed even if the system allows fewer, as the configuration accepts no lower limit."""
 
 RESERVED_DESCRIPTORS = 40
 """Reserved for discovery, the platform, the reactor's descriptors and standard streams."""
 
 ENDPOINT_SHARE = 0.4
-"""Fraction of the unreserved descriptors for endpoint connections; the rest is for clients."""
+"""Fraction of the unreserved descriptors for endpoints; the rest is for clients."""
 
 
 class DescriptorBudget(NamedTuple):
-    """The maximum number of connections on each side.
+    """Maximum numbers of connections.
 
     Attributes:
-        clients: Connections of clients.
-        endpoints: Connections to endpoints.
+        clients: Maximum number of connections from clients.
+        endpoints: Maximum number of connections to endpoints.
     """
 
     clients: int
@@ -28,7 +28,7 @@
 def allowed_descriptors(limit: int) -> int:
     """Returns how many descriptors the system allows, up to the limit.
 
-    Without a free descriptor, the network library closes an incoming connection.
+    Beyond the system's limit, Twisted closes incoming connections.
     """
     allowed, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     if allowed == resource.RLIM_INFINITY:
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Watches, fetches and validates the endpoint list, and passes it to the decision engine."""
+"""Watches, fetches and validates the endpoint list for the decision engine."""
 
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
@@ -21,11 +21,11 @@
 """Host and port."""
 
 StreamReader = Callable[[memoryview], bool]
-"""Reads a chunk of a stream; returns whether the chunk shows that the stream is alive."""
+"""Reads a chunk of a stream; returns whether it completes a line, so that the stream is alive."""
 
 
 def notifying_reader(read: StreamReader, on_data: Callable[[], None]) -> StreamReader:
-    """Returns a reader that calls on_data() after each chunk that shows the stream to be alive."""
+    """Returns a reader that calls on_data() after each chunk that completes a line."""
 
     def read_and_notify(content: memoryview) -> bool:
         alive = read(content)
@@ -40,12 +40,12 @@
     """Maintains the endpoint list.
 
     Attributes:
-        proxy: Receives the updates; its connections are adjusted to them.
+        proxy: Receives the updates, and closes connections that they make obsolete.
         listed_endpoints: Each listed endpoint by its name.
         addresses: The address of each listed endpoint, by its name.
         version: The version of the list.
         discovery: The HTTP client of the discovery service.
-        watch: The stream of updates, from the agent on the same machine or by polling.
+        watch: The stream of updates, pushed by the agent on the same machine or polled.
     """
 
     def __init__(self, proxy: "Proxy", random_source: LinearCongruentialGenerator) -> None:
@@ -54,7 +54,7 @@
         self.listed_endpoints: dict[str, Endpoint] = {}
         self.addresses: dict[str, str] = {}
         self.version: int = proxy.start.known.version
-        self._source: Address | None = None  # the address that sent the list
+        self._source: Address | None = None  # the address that sent the latest list
         self._validator = SnapshotValidator()
         self.discovery = proxy.caller(proxy.start.discovery)
         self.watch = WatchStream(
@@ -71,15 +71,15 @@
     def notify_on_data(self, on_data: Callable[[], None]) -> None:
         """Calls on_data() whenever the watch stream has received data.
 
-        Any lists in the data have been applied by then; an empty line means that there is none.
+        Lists in the data have been applied by then; an empty line says that there is no newer list.
         """
         self.watch.make_reader = lambda: notifying_reader(self._watch_reader(), on_data)
 
     def start(self) -> None:
         """Starts the watch.
 
-        If lists are polled, all instances call one service: the first calls of a fleet that starts
-        at once are spread out.
+        If lists are polled, all instances call one service, so the first calls of a fleet that
+        starts at once are spread out.
         """
         settings = self.proxy.settings
         if settings.lists_polled:
@@ -88,16 +88,16 @@
             self.watch.start()
 
     def change_address(self, address: Address) -> None:
-        """Switches to this address; calls in progress finish at the previous one."""
+        """Switches to another discovery address; calls in progress finish at the previous one."""
         if address != self.discovery.address:
             self.discovery = self.proxy.caller(address)
             self.watch.move(self.discovery)
 
     def apply(self, listing: discovery.EndpointListing, source: Address) -> None:
-        """Applies a list that this address sent.
+        """Applies a list received from an address.
 
         Raises:
-            StaleSnapshotError: The list was not accepted; nothing has changed.
+            StaleSnapshotError: The list was rejected; the known list is kept.
         """
         update = listing.update
         is_snapshot = update.kind != UpdateKind.DELTA
@@ -117,11 +117,11 @@
         self._propagate(update, replaced)
 
     def _propagate(self, update: EndpointUpdate, replaced: set[str]) -> None:
-        """Reports the update, and drops connections and attempts that it makes obsolete.
+        """Reports the update, and ends connections and attempts that it makes obsolete.
 
         Args:
             update: The update.
-            replaced: Names whose process was replaced by another one.
+            replaced: Names of endpoints whose process was replaced by another one.
         """
         proxy = self.proxy
         proxy.pending_events.append(update)
@@ -138,9 +138,9 @@
         proxy.handle_events()
 
     def _merge(self, endpoints: tuple[Endpoint, ...], listed: dict[str, Endpoint]) -> set[str]:
-        """Merges endpoints into `listed`; returns the names whose process was replaced.
+        """Merges endpoints into `listed`; returns the names of those whose process was replaced.
 
-        Connections to the previous process may be dead: it was a different endpoint of that name.
+        Connections to the previous process cannot be used: it was another endpoint of that name.
         """
         previous = self.listed_endpoints
         self.listed_endpoints = listed
@@ -165,7 +165,7 @@
         )
 
     def _version_to_request_from(self) -> int:
-        """Returns the last version from the current address; 0 requests the full list."""
+        """Returns the version last received from the current address, or 0 for the full list."""
         return self.version if self._source == self.discovery.address else 0
 
     def _watch_reader(self) -> StreamReader:
@@ -192,14 +192,14 @@
         """Does nothing: the watch stream is always open, or polls at its adaptive interval."""
 
     def fetch(self, action: FetchEndpoints) -> None:
-        """Fetches the full list once; the engine is told of the list or of the failure."""
+        """Fetches the full list once, and reports the list or the failure to the engine."""
         fetched = self.discovery.call(
             discovery.fetch_request(self.discovery.host), self.proxy.settings.vote_timeout
         )
         fetched.addCallback(self._fetched, self.discovery.address)
 
     def _fetched(self, result: Reply | BrokenConnection, source: Address) -> None:
-        """Applies a list fetched from this address, if the address is still current."""
+        """Applies a list fetched from an address, if that is still the current one."""
         try:
             if source != self.discovery.address:
                 raise discovery.UnreadableListError("fetched from a previous address")
--- a/thymeknot/proxy/graceful_shutdown.py
+++ b/thymeknot/proxy/graceful_shutdown.py
@@ -11,26 +11,28 @@
 from .client_listener import ClientListener
 
 READ_GRACE_PERIOD = 300
-"""Ticks from the last accepted connection to the first close, so that received data is read."""
+"""Ticks between the last accept and the first close, in which received data is still read."""
 
 CLOSE_AFTER_LAST_RESPONSE = 500
-"""Ticks from the latest possible response until connections still open are closed."""
+"""Ticks after the deadline of the last response when connections still open are closed."""
 
 BACKLOG_ACCEPT_TIMEOUT = 10_000
-"""Ticks after the drain begins in which connections that wait for a free place are accepted."""
+"""Ticks after the start of a drain in which connections beyond the limit are still accepted.
+
+They wait in the kernel's backlog until another client's connection closes."""
 
 
 def _noop() -> None:
-    """Does nothing; replaces a callback that was already called."""
+    """Does nothing; replaces a callback that has been called."""
 
 
 class GracefulShutdown:
-    """Stops a listener without refusing, cutting off or leaving unanswered any client.
+    """Stops a listener without refusing or disconnecting a client or leaving it unanswered.
 
     Attributes:
         listener: The listener to drain.
         on_drained: Called once the port and all connections are closed; None while it serves.
-        answer_by: When the process may be killed after a stop signal; None without one.
+        answer_by: When the process may be killed after a stop signal, in ticks; None without one.
         listener_closed: A Deferred that fires once the port is closed; None while it serves.
     """
 
@@ -48,19 +50,20 @@
         listener.shutdown = self
 
     def is_draining(self) -> bool:
-        """Returns whether no new work is accepted."""
+        """Returns whether a drain has begun and was not undone."""
         return self.on_drained is not None
 
     def clients_finishing(self) -> bool:
-        """Returns whether the connections have been told to close once all responses are sent."""
+        """Returns whether connections close as soon as their responses are sent."""
         return self.on_drained is not None and self._finish_timer is None
 
     def drain(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
-        """Accepts no new work, and closes each client's connection once it has its responses.
+        """Stops accepting new work, and closes each client's connection after its responses.
 
         Args:
             on_drained: Called once the port and all connections are closed.
-            answer_by: When the process may be killed: requests still accepted are answered before.
+            answer_by: When the process may be killed, in ticks; requests that are still accepted
+                get their response before.
         """
         self.on_drained = on_drained
         self.answer_by = answer_by
@@ -77,16 +80,16 @@
             self.timers.add(answer_by + CLOSE_AFTER_LAST_RESPONSE, self._close_lingering)
 
     def accept_rest(self) -> None:
-        """Closes the port once the backlog is accepted; without free places the rest waits."""
+        """Closes the port once the backlog is accepted; at the connection limit the rest waits."""
         self.listener.accepting_paused = False
         self.listener.accept_all()
         if not self.listener.accepting_paused:
             self._close_listener()
 
     def _close_listener(self) -> None:
-        """Closes the port, even if some connections still wait for a place.
+        """Closes the port, even if some connections still wait to be accepted.
 
-        A continuous stream of new clients would otherwise delay the shutdown for ever.
+        Otherwise a continuous stream of new clients would delay the shutdown for ever.
         """
         self.timers.cancel(self._close_timer)
         self.listener.listening = False
@@ -116,13 +119,13 @@
         self.answer_by = None
         self.listener.accepting_paused = False
         token = self._undrain_token = object()
-        if self.listener.listening:  # connections still wait for a place
+        if self.listener.listening:  # connections still wait to be accepted
             self.timers.cancel(self._close_timer)
             self.listener_closed = None
             self.listener.port.startReading()
             on_listening()
             return
-        assert self.listener_closed is not None  # not listening, hence drained
+        assert self.listener_closed is not None  # set by the drain, which has closed the port
         self.listener_closed.addCallback(self._reopen_listener, token, on_listening, on_failure)
 
     def _reopen_listener(
@@ -151,7 +154,7 @@
         self.notify_if_drained()
 
     def _close_lingering(self) -> None:
-        """Closes connections that still wait for their client to close: the process is ending."""
+        """Closes connections that still wait for the client to close them; the process exits."""
         for connection in self.listener.clients:
             connection.stop_lingering()
 
--- a/thymeknot/proxy/in_flight.py
+++ b/thymeknot/proxy/in_flight.py
@@ -1,4 +1,4 @@
-"""A client's request from its arrival until it is answered and its last attempt has ended."""
+"""Requests in flight: from their arrival until the response is sent and all attempts ended."""
 
 from typing import TYPE_CHECKING
 
@@ -17,17 +17,17 @@
     """One request in flight.
 
     Attributes:
-        id: The id that its client gave it.
-        slot: Its number in the proxy's table of requests.
+        id: The id that the client gave it.
+        slot: Its slot in the table of requests; None before it is added.
         command: The request as received from the client.
-        connection: The client's connection that gets its response.
+        connection: The client's connection, to which the response is sent.
         sequence: The position of its response among those of the connection.
-        expires_at: When its client stops waiting.
+        expires_at: When the client stops waiting, in ticks.
         attempts: All attempts so far, by number.
         attempts_in_flight: How many attempts have not ended.
-        closed: Whether it has had its final response, or its client has disconnected.
-        overdue_timer: Fires if the engine has left the request without a response.
-        repeated: Whether a repeat of it waits for the result of the first copy's attempts.
+        closed: Whether the final response was sent, or the client has disconnected.
+        overdue_timer: The timer that fails the request if the engine has not responded.
+        repeated: Whether the client sent it again and waits for the first copy's attempts.
     """
 
     __slots__ = (
@@ -66,12 +66,12 @@
 
 
 class RequestTable:
-    """The requests in flight, and the ids that may not be used again for a while.
+    """The requests in flight, and the ids that must not be used again for a while.
 
     Attributes:
         timers: All timers of the program.
-        by_slot: The requests by their number.
-        by_id: The number of each request by its id.
+        by_slot: The requests by slot.
+        by_id: The slot of each request by its id.
         may_have_run: Ids of requests that may have run and were released without a response.
     """
 
@@ -82,12 +82,12 @@
         self.may_have_run: set[str] = set()
 
     def find(self, name: str) -> InFlightRequest | None:
-        """Returns the request of this id, if there is one."""
+        """Returns the request in flight with this id, if any."""
         slot = self.by_id.get(name)
         return None if slot is None else self.by_slot.get(slot)
 
     def release(self, request: InFlightRequest) -> None:
-        """Releases a closed request that has no attempt in flight."""
+        """Removes a request if it is closed and has no attempt in flight."""
         if (
             request.closed
             and not request.attempts_in_flight
@@ -99,9 +99,9 @@
             self.timers.cancel(request.overdue_timer)
 
     def block_id(self, request: InFlightRequest, idempotency: Idempotency) -> None:
-        """Blocks the id of a request that may have run, until its client would have timed out.
+        """Blocks the id of a request that may have run, until the client would have timed out.
 
-        Called for a request released without a response. An idempotent one may run again.
+        Called if the client disconnected before the response; idempotent requests may run again.
         """
         if (
             idempotency != Idempotency.IDEMPOTENT
--- a/thymeknot/proxy/proxy.py
+++ b/thymeknot/proxy/proxy.py
@@ -67,7 +67,7 @@
 
 
 class Proxy:
-    """One sidecar instance: owns its connections, its requests and its decision engine.
+    """A sidecar instance: its connections, its requests and its decision engine.
 
     Attributes:
         start: The configuration at start.
@@ -81,15 +81,15 @@
         listener: The listening port and the clients' connections.
         shutdown: Drains the listener.
         requests: The requests in flight.
-        requests_in_flight: The same requests by slot.
+        requests_in_flight: The requests in flight by slot, `requests.by_slot`.
         client_requests: Accepts and answers requests.
         exposure: Counts requests received and attempts written to the build on trial.
         pending_events: Events that the engine has not handled yet.
-        handling_events: Whether the engine is handling events; further ones are queued in
+        handling_events: Whether the engine is handling events; new ones are then queued in
             `pending_events`.
-        gossip: Notified of ended attempts and endpoint lists; None without the feature.
+        gossip: Gossip, notified of ended attempts and endpoint lists; None without the feature.
         why: The decision log, notified when requests start and end; None without the feature.
-        fleet: Drains this instance on command; None without the feature.
+        fleet: Coordination, which drains this instance on command; None without the feature.
         rejections: Summarises why requests are rejected.
         engine: The decision engine.
         endpoints: The endpoint list.
@@ -164,7 +164,7 @@
         """Applies the addresses of a new configuration.
 
         Calls in progress finish at the previous addresses. The endpoints and the release state of
-        the configuration are ignored: the streams have reported newer ones.
+        the configuration are ignored, since the streams have reported newer ones.
 
         Returns:
             The changed keys that need a restart to take effect. `known` and `deployer.news` are
@@ -233,7 +233,11 @@
         return self.releases.platform
 
     def serve(self) -> None:
-        """Opens the listening port; raises CannotListenError if the address is unavailable."""
+        """Opens the listening port.
+
+        Raises:
+            CannotListenError: The address is in use or does not belong to this machine.
+        """
         self.listener.serve()
 
     def shut_down(self, on_drained: Callable[[], None], answer_by: Ticks | None = None) -> None:
@@ -251,7 +255,7 @@
     # Passing events to the engine and executing its actions.
 
     def handle_events(self, *events: Event) -> None:
-        """Passes events to the engine in order, then those that its actions cause."""
+        """Passes events to the engine in order, followed by those that its actions cause."""
         self.pending_events += events
         if self.handling_events:
             return
@@ -267,7 +271,7 @@
             self.releases.apply(event)
         try:
             actions = self.engine.handle(self.clock(), [event])
-        except Exception as error:  # fails the request of this event, not the process
+        except Exception as error:  # only the request of this event fails, not the process
             structured_log.log_exception("decisions", error)
             self._execute(self.engine.actions)
             name = getattr(event, "id", None)
@@ -300,8 +304,8 @@
     def withdraw_unwritten(self, is_obsolete: Callable[[Endpoint, str], bool]) -> None:
         """Withdraws attempts that are not completely written and whose endpoint and address fail.
 
-        An attempt that was decided before an update must not be written against it. The engine is
-        told that the attempts ended together with the update itself.
+        An attempt that was decided before an update must not be written if the update forbids it.
+        The engine handles the ends of the attempts together with the update.
         """
         was_handling = self.handling_events
         self.handling_events = True
@@ -340,7 +344,7 @@
         attempt.timer = self.timers.add(attempt.write_by, attempt.timer_due)
         try:
             sent = self.pools.send(endpoint, endpoints.addresses[endpoint], attempt)
-        except Exception as error:  # the engine needs the end of every attempt
+        except Exception as error:  # the end of every attempt must be reported to the engine
             structured_log.log_exception("connection pools", error)
             attempt.give_up()
             return
@@ -351,10 +355,10 @@
             self.attempt_ended(attempt, Outcome.NOT_SENT)
 
     def _end_without_request(self, action: SendAttempt) -> None:
-        """Ends an attempt whose request was released while the decision was made.
+        """Ends an attempt whose request was released meanwhile, as the client had disconnected.
 
-        The client was found to have disconnected. The engine keeps an attempt in flight until an
-        end with its number arrives; with another number it would keep the request for ever.
+        The engine keeps an attempt in flight until an end with its number is reported; with
+        another number it would keep the request for ever.
         """
         self.pending_events.append(
             AttemptEnded(action.id, Outcome.NOT_SENT, True, 0, action.endpoint, action.number, None)
@@ -371,7 +375,7 @@
     def attempt_ended(
         self, attempt: Attempt, outcome: Outcome, answer: PodResponse | None = None
     ) -> None:
-        """Handles the end of an attempt. The first good response goes to the client at once."""
+        """Handles the end of an attempt; the first good response goes to the client at once."""
         request = attempt.request
         attempt.in_flight = False
         attempt.may_have_run = INPUT_BY_OUTCOME[outcome] != "unrun"
@@ -391,7 +395,7 @@
         )
         if self.gossip is not None and attempt.endpoint:
             self.gossip.on_attempt_ended(attempt, outcome)
-        if request.repeated and not request.attempts_in_flight:  # the engine has finished with it
+        if request.repeated and not request.attempts_in_flight:  # the engine has already closed it
             self.client_requests.answer(request, FAILED_RESPONSE)
         self.requests.release(request)
         self.handle_events(event)
@@ -401,7 +405,7 @@
     def response_discarded(self, attempt: Attempt, reason: str) -> None:
         """Counts a key as answered by a build whose response is discarded.
 
-        The response was late, partial or malformed, or may still arrive.
+        It was late, partial or malformed, or may still arrive.
         """
         command = attempt.request.command
         assert attempt.endpoint is not None  # it was written
--- a/thymeknot/proxy/release_channel.py
+++ b/thymeknot/proxy/release_channel.py
@@ -1,4 +1,4 @@
-"""The release state of the newest build, from the platform's stream and its vote responses."""
+"""The release state of the newest build, from the platform's stream and vote responses."""
 
 from collections.abc import Mapping
 from typing import TYPE_CHECKING
@@ -21,6 +21,7 @@
 
 
 LOGGED_DIGITS = 2
+"""Decimal places of the evidence in the log line of a vote."""
 
 
 def _cap(update: ReleaseUpdate) -> float:
@@ -45,7 +46,7 @@
 
 
 class ReleaseChannel:
-    """Casts votes and holds the latest release update.
+    """Casts votes and keeps the latest release update.
 
     Attributes:
         proxy: Receives the updates.
@@ -74,7 +75,7 @@
         self.stream.start()
 
     def change_address(self, address: Address) -> None:
-        """Switches to this address; calls in progress finish at the previous one."""
+        """Switches to another platform address; calls in progress finish at the previous one."""
         if address != self.platform.address:
             self.platform = self.proxy.caller(address)
             self.stream.move(self.platform)
@@ -116,7 +117,7 @@
         """Returns the release state after the response to a vote that was cast at `asked`.
 
         It is the state in the response, unless the stream has since reported a newer one. If it is
-        unclear which is newer, the one with the smaller traffic share is used until the next
+        unclear which is newer, the one with the smaller traffic share applies until the next
         response or event.
         """
         current = self.latest
@@ -130,7 +131,7 @@
         return current._replace(answers_vote=True) if older else update
 
     def cast_vote(self, action: CastVote) -> None:
-        """Sends a vote; the engine is told of the response or of the timeout."""
+        """Sends a vote, and reports the response or the timeout to the engine."""
         sent_at = self.proxy.clock()
         evidence = self.proxy.engine.vote_evidence()
 
--- a/thymeknot/service/configuration.py
+++ b/thymeknot/service/configuration.py
@@ -1,4 +1,4 @@
-"""Reads and validates the configuration, and applies its defaults."""
+"""Reads and validates the configuration, and applies defaults."""
 
 import os
 from collections.abc import Mapping
@@ -15,7 +15,7 @@
 
 
 class ConfigurationError(ValueError):
-    """The configuration is invalid. The message begins with the key at fault."""
+    """The configuration is invalid; the message begins with the faulty key."""
 
 
 class StartConfiguration(NamedTuple):
@@ -43,7 +43,7 @@
 """Maximum characters of an error message that quotes a value."""
 HEXADECIMAL: Final = 16
 RESERVED_CHARACTERS: Final = frozenset(".=")
-"""No setting name has these characters; such a name could be taken for a path."""
+"""Names with these characters are ignored, since they could be mistaken for a path."""
 
 
 def flatten(value: Any, path: str = "") -> list[str]:
@@ -93,7 +93,7 @@
     if value is None:
         raise ConfigurationError(f"{path}: is missing")
     if not isinstance(value, expected) or (isinstance(value, bool) and expected is not bool):
-        raise ConfigurationError(f"{path}: is of the wrong type: {value!r}"[:MAX_ERROR_LENGTH])
+        raise ConfigurationError(f"{path}: has the wrong type: {value!r}"[:MAX_ERROR_LENGTH])
     return value
 
 
@@ -160,7 +160,7 @@
     try:
         setting_pairs = flatten(_value_at(document, "settings", dict))
     except RecursionError:
-        raise ConfigurationError("settings: are nested too deep") from None
+        raise ConfigurationError("settings: are nested too deeply") from None
     try:
         settings = codec.read_settings(setting_pairs)
         return settings, codec.read_connection_limits(setting_pairs)
@@ -180,19 +180,19 @@
         return discovery.read_list(_value_at(document, "known", dict), epoch, UpdateKind.CACHED)
     except discovery.UnreadableListError as error:
         raise ConfigurationError(f"known.{error}") from None
-    except OverflowError as error:  # a number that parses but is out of range
+    except OverflowError as error:  # a valid JSON number that is out of range
         raise ConfigurationError(f"known: {error}") from None
 
 
 def _read_sockets(document: Any) -> int:
     sockets: int = _value_at(document, "limits.sockets", int, DEFAULT_SOCKETS)
     if sockets < MIN_SOCKETS:
-        raise ConfigurationError(f"limits.sockets: {sockets} are too few, {MIN_SOCKETS} at least")
+        raise ConfigurationError(f"limits.sockets: {sockets} is below the minimum of {MIN_SOCKETS}")
     return sockets
 
 
 def load(environment: Mapping[str, str], epoch: Ticks) -> StartConfiguration:
-    """Loads the file that NODE_CONFIG names; raises ConfigurationError."""
+    """Loads the configuration file that NODE_CONFIG names; raises ConfigurationError."""
     path = environment.get("NODE_CONFIG")
     if not path:
         raise ConfigurationError("NODE_CONFIG: is missing from the environment")
@@ -201,7 +201,7 @@
             document = orjson.loads(source.read())
     except OSError as error:
         reason = os.strerror(error.errno or 0)
-        raise ConfigurationError(f"NODE_CONFIG: can't be read: {reason}: {path}") from None
+        raise ConfigurationError(f"NODE_CONFIG: cannot be read: {reason}: {path}") from None
     except orjson.JSONDecodeError as error:
         raise ConfigurationError(f"NODE_CONFIG: is not valid JSON: {error}") from None
     return parse(document, epoch)
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -1,4 +1,4 @@
-"""Optional features, enabled by an operator file; without one their code is not imported."""
+"""Optional features, enabled by the operator file; the code of other features is not imported."""
 
 import os
 from collections.abc import Callable
@@ -24,7 +24,7 @@
         """Applies new settings; raises ValueError if they are invalid, and keeps the old ones."""
 
     def stop(self) -> None:
-        """Called when the sidecar stops."""
+        """Stops the feature when the sidecar stops."""
 
 
 class CheckedFeature(NamedTuple):
@@ -72,11 +72,11 @@
     "why": _check_decision_log,
     "fleet": _check_coordination,
 }
-"""Checks by the feature's key in the operator file, also its attribute name on the proxy."""
+"""Checks by the key of the feature in the operator file, also the attribute name on the proxy."""
 
 
 class Features:
-    """The features of one operator file: checked when loaded, started with the sidecar."""
+    """The features of an operator file, checked when it is loaded and started with the sidecar."""
 
     def __init__(self, path: str | None) -> None:
         self.path = path
@@ -103,7 +103,7 @@
         return checked_features
 
     def begin(self, proxy: Any) -> None:
-        """Starts each feature and sets it as attribute of the proxy; raises FeatureError."""
+        """Starts each feature and sets it as an attribute of the proxy; raises FeatureError."""
         for name, checked in self.checked.items():
             try:
                 self.running[name] = checked.create(proxy)
--- a/thymeknot/service/lifecycle.py
+++ b/thymeknot/service/lifecycle.py
@@ -20,7 +20,7 @@
 """Ticks after the longest deadline, counted from SIGTERM, by which the last response is sent.
 
 The process is killed 0.7 s later. That time is for connections to close, for the process to exit,
-and for up to 0.15 s in which it may be held up."""
+and for delays of up to 0.15 s."""
 MAX_COUNTED_DEADLINE: Final[Ticks] = 3 * TICKS_PER_SECOND
 """Upper bound on the longest deadline in this calculation."""
 FIRST_LIST_TIMEOUT_SECONDS = 0.5
@@ -30,8 +30,8 @@
 knows, and the list in the configuration is older. An agent that is up responds at once; one that is
 silent for longer is down, and has no newer list to offer."""
 MAX_LISTEN_TRIES: Final = 100
-"""Maximum attempts to listen on an address in use: the previous process may hold it until
-the platform kills it, about 3.7 s after SIGTERM."""
+"""Maximum attempts to listen on an address in use; the previous process may hold it until the
+platform kills it, about 3.7 s after SIGTERM."""
 LISTEN_RETRY_SECONDS: Final = 0.05
 """Seconds between two of these attempts."""
 EXIT_UNUSABLE: Final = 2
@@ -46,7 +46,7 @@
 def monotonic_reactor() -> Any:
     """Returns the reactor, switched to the monotonic clock.
 
-    Its own clock is Unix time; if that was set back, all timers would be delayed.
+    The default clock is Unix time: if it is set back, all timers are delayed.
     """
     from twisted.internet import reactor  # noqa: PLC0415 (imported where it is needed)
 
@@ -90,12 +90,12 @@
         self.proxy: Any = None
         self.listen_tries = 0
         self.retry_pending = False
-        """Whether it waits to retry an address that is in use."""
+        """Whether another attempt to listen is scheduled, as the address is in use."""
 
     def run(self) -> int:
         """Runs until a stop signal; returns the exit code."""
         signal.signal(signal.SIGHUP, self._on_sighup)
-        signal.signal(signal.SIGINT, signal.SIG_DFL)  # exits without a traceback
+        signal.signal(signal.SIGINT, signal.SIG_DFL)  # exit without a traceback
         try:
             start = self._load_configuration()
             self.features = features.Features(self.operator_file)
@@ -126,7 +126,7 @@
         return self.exit_code
 
     def _load_configuration(self) -> configuration.StartConfiguration:
-        """Reads the configuration; an invalid one replaced meanwhile is read again."""
+        """Reads the configuration; reads again if an invalid one was replaced meanwhile."""
         while True:
             self.reload_pending = False
             try:
@@ -152,7 +152,7 @@
         except features.FeatureError as error:
             self._exit_with_error(str(error))
             return
-        except Exception as error:  # must not keep running without a listener
+        except Exception as error:  # must not continue without a listener
             structured_log.log_exception("start", error)
             self._exit_with_error(f"start: {type(error).__name__}: {error}")
             return
@@ -240,8 +240,8 @@
     def _reconfigure(self) -> None:
         """Reloads the files.
 
-        A stopping sidecar still forwards its requests in flight by the endpoint list, so it follows
-        a change of the discovery address; its features have stopped and are not reconfigured.
+        A stopping sidecar still routes its requests in flight by the endpoint list, so it follows a
+        change of the discovery address. Its features have stopped and are not reconfigured.
         """
         try:
             if not self.stopping:
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,7 +1,7 @@
 """Summarises why requests are rejected or fail, in one log line every few seconds.
 
-It receives the reasons that the decision engine reports. If nothing was rejected, nothing is
-logged. The number of counters is bounded by the closed table of reasons.
+It receives the reasons that the decision engine reports. If no request was rejected or failed,
+nothing is logged. The number of counters is bounded, since the set of reasons is closed.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 """Ticks between two log lines."""
 
 FINAL_REASONS: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
-"""The reasons that are final responses, with their keys in the log line."""
+"""The reasons that are final responses, with their keys in the log event."""
 
 
 class Role(IntEnum):
@@ -24,7 +24,7 @@
     NONE = 0
     DECIDES = 1
     EXCLUDES_ENDPOINTS = 2
-    """It ruled out endpoints; the cause if no endpoint is left."""
+    """Excludes endpoints; it is the cause if no endpoint is left."""
     FINAL_ANSWER = 3
 
 
@@ -81,7 +81,7 @@
             self.next_listener(request_id, reason, *operands)
 
     def _count(self, request_id: str | None, reason: Reason, role: Role) -> None:
-        if request_id != self._request:  # the reasons of another request do not apply
+        if request_id != self._request:  # reasons of the previous request do not apply
             self._request = request_id
             self._decisive = None
             self._excluding = None
@@ -102,7 +102,7 @@
         return self._decisive.name
 
     def flush(self, now: Ticks, **fields: Any) -> Ticks:
-        """Logs the counts since the last line; returns when to call it again."""
+        """Logs the counts since the last call, with more fields; returns when to call it again."""
         if self.counts:
             sums: dict[str, dict[str, int]] = {"deferred": {}, "abandoned": {}}
             for (answer, cause), count in sorted(self.counts.items(), key=lambda item: -item[1]):
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -32,7 +32,7 @@
 
     INTERVAL_SECONDS = 1.0
     MAX_KINDS = 100
-    """Addresses change with the configuration: beyond this many kinds, all are forgotten."""
+    """Beyond this many kinds all are forgotten, since addresses change with the configuration."""
 
     def __init__(self) -> None:
         self._last_written: dict[tuple[str, Any], float] = {}
