--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -29,8 +29,8 @@
 
 class AdaptiveIntervalTest(unittest.TestCase):
     def test_refusals_back_off_and_an_established_stream_resets(self):
-        pace = AdaptiveInterval(lambda: 0.5)
-        for how, age, wait, state in (
+        interval = AdaptiveInterval(lambda: 0.5)
+        for result, age, wait, state in (
             (CallResult.LOST, 0, 5_000, IntervalState.REGULAR),
             (CallResult.REFUSED, ESTABLISHED_AFTER, 5_000, IntervalState.REGULAR),
             (CallResult.REFUSED, ESTABLISHED_AFTER - 1, 20_000, IntervalState.BACKING_OFF),
@@ -53,7 +53,7 @@
             (CallResult.MALFORMED, 0, 5_000, IntervalState.SUSPECT),
             (CallResult.REFUSED, 0, 20_000, IntervalState.BACKING_OFF),
         ):
-            self.assertEqual((pace.record(how, age), pace.state), (wait, state))
+            self.assertEqual((interval.record(result, age), interval.state), (wait, state))
 
     @given(
         st.lists(
@@ -92,7 +92,9 @@
 
     def dial(self, stream, failed, late):
         stream.makeConnection(Transport())
-        self.call(lambda good: stream.over or stream.dataReceived(HEAD % (200 if good else 503)))
+        self.call(
+            lambda accepted: stream.over or stream.dataReceived(HEAD % (200 if accepted else 503))
+        )
         stream.transport.abortConnection = lambda: stream.over or stream.connectionLost(self)
 
     def getErrorMessage(self):
@@ -100,7 +102,7 @@
 
 
 class SharedServiceTest(unittest.TestCase):
-    def started(self, service, asking, seed):
+    def start_stream(self, service, callers, seed):
         stream = WatchStream(
             service,
             LinearCongruentialGenerator(seed << 33),
@@ -110,37 +112,37 @@
             lambda *line, **fields: None,
             FIRST_DATA_TIMEOUTS[True],
         )
-        stream.start_spread(asking)
+        stream.start_spread(callers)
         return stream
 
     def test_forty_callers_get_a_list_from_a_service_of_eight_calls_per_second(self):
-        for asking, seconds, kill_at, refused in (
+        for callers, seconds, restart_at, max_refused in (
             (40, 20, None, 80),
             (0, 30, None, 120),
             (40, 40, 20.0, 160),
         ):
             clock = Clock()
             service = RateLimitedService(8, clock)
-            streams = [self.started(service, asking, seed) for seed in range(1, 41)]
+            streams = [self.start_stream(service, callers, seed) for seed in range(1, 41)]
             for step in range(seconds * 20):
                 clock.advance(0.05)
-                for at in range(28 if step / 20 == kill_at else 0):
-                    streams[at].start = lambda: None  # its process is gone
-                    streams[at] = self.started(service, asking, step + at + 1)
+                for index in range(28 if step / 20 == restart_at else 0):
+                    streams[index].start = lambda: None  # its process is gone
+                    streams[index] = self.start_stream(service, callers, step + index + 1)
             self.assertEqual(sum(stream.current is not None for stream in streams), 40)
-            self.assertLess(service.refused, refused)
+            self.assertLess(service.refused, max_refused)
 
     def test_callers_that_start_at_once_all_get_a_list_at_one_call_each_in_eight_seconds(
         self,
     ):
-        for asking, rate, seconds, refused in ((60, 7.5, 17, 40), (200, 25, 22, 260)):
+        for callers, rate, seconds, max_refused in ((60, 7.5, 17, 40), (200, 25, 22, 260)):
             clock = Clock()
             service = RateLimitedService(rate, clock)
-            streams = [self.started(service, asking, seed) for seed in range(1, asking + 1)]
+            streams = [self.start_stream(service, callers, seed) for seed in range(1, callers + 1)]
             for _ in range(seconds * 20):
                 clock.advance(0.05)
-            self.assertEqual(sum(stream.current is not None for stream in streams), asking)
-            self.assertLess(service.refused, refused)
+            self.assertEqual(sum(stream.current is not None for stream in streams), callers)
+            self.assertLess(service.refused, max_refused)
 
     def test_lost_connection_does_not_back_off_and_adds_no_call_to_the_watch(self):
         network = Network()
@@ -156,7 +158,7 @@
 
 class SnapshotValidationTest(unittest.TestCase):
     def test_which_lists_are_accepted(self):
-        for told, believed in (
+        for lists, accepted in (
             (
                 [("a", 7, True, 3), ("a", 7, True, 3), ("a", 9, False, 0), ("a", 8, True, 3)],
                 [1, 1, 1, 0],
@@ -218,16 +220,16 @@
         ):
             validator = SnapshotValidator()
             self.assertEqual(
-                [validator.validate(*one, 3) is None for one in told],
-                [bool(one) for one in believed],
-                told,
+                [validator.validate(*endpoint_list, 3) is None for endpoint_list in lists],
+                [bool(endpoint_list) for endpoint_list in accepted],
+                lists,
             )
         self.assertIsNone(
             SnapshotValidator().validate("a", 1, True, 0, 0)
         )  # with nothing known, nobody is news
 
     def test_list_that_would_remove_all_endpoints_only_ends_its_stream(self):
-        for spoilt in (
+        for content in (
             b'{"version":6,"full":true,"servers":[]}',
             b'{"version":6,"full":true,"servers":[}',
             b"nonsense",
@@ -237,14 +239,14 @@
             b'{"version":6,"full":true,"servers":[{"id":"s-9","addr":"127.0.0.1:9","state":"Ready"}]}',
         ):
             network = Network(endpoint_entry("s-1"))
-            stream, held = (
+            stream, before = (
                 network.connect(0),
                 (dict(network.proxy.listed_endpoints), network.proxy.endpoints.version),
             )
             stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            stream.dataReceived(b"%x\r\n%s\n\r\n" % (len(spoilt) + 1, spoilt))
+            stream.dataReceived(b"%x\r\n%s\n\r\n" % (len(content) + 1, content))
             self.assertEqual(
-                (network.proxy.listed_endpoints, network.proxy.endpoints.version), held, spoilt
+                (network.proxy.listed_endpoints, network.proxy.endpoints.version), before, content
             )
             self.assertTrue(stream.transport.disconnected and not network.faults)
             for _ in range(40):
@@ -254,21 +256,23 @@
 
 class SimulatedConnectionsTest(unittest.TestCase):
     def test_connections_are_reused_refused_and_expire(self):
-        some, line, other = Connections(1), (0, 1, "p"), (1, 1, "p")
-        for now, of, taken, good in (
-            (0, line, True, True),
-            (20, line, True, True),
-            (40, other, False, None),
-            (40 + IDLE_TIMEOUT, other, True, False),
-            (60 + IDLE_TIMEOUT, line, True, None),
+        connections, connection, other_connection = Connections(1), (0, 1, "p"), (1, 1, "p")
+        for now, requested, accepted, reusable in (
+            (0, connection, True, True),
+            (20, connection, True, True),
+            (40, other_connection, False, None),
+            (40 + IDLE_TIMEOUT, other_connection, True, False),
+            (60 + IDLE_TIMEOUT, connection, True, None),
         ):
-            self.assertEqual(some.take(now, of, "p"), taken)
-            if good is not None:
-                some.give(now + 10, of, "p", good)
-        self.assertEqual((some.made, some.refused, some.held["p"]), (3, 1, 1))
-        some.drop(lambda line: line[0] == 0)
-        some.give(70 + IDLE_TIMEOUT, line, "p", True)  # what its process held is gone with it
-        self.assertEqual(some.held["p"], 0)
+            self.assertEqual(connections.take(now, requested, "p"), accepted)
+            if reusable is not None:
+                connections.give(now + 10, requested, "p", reusable)
+        self.assertEqual((connections.made, connections.refused, connections.held["p"]), (3, 1, 1))
+        connections.drop(lambda connection: connection[0] == 0)
+        connections.give(
+            70 + IDLE_TIMEOUT, connection, "p", True
+        )  # what its process held is gone with it
+        self.assertEqual(connections.held["p"], 0)
 
 
 if __name__ == "__main__":
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -26,17 +26,17 @@
 VALUE_RESPONSE = b"*3\r\n$1\r\nv\r\n$-1\r\n$-1\r\n"
 
 
-def endpoint_entry(name, build=41, state="Ready", **more):
+def endpoint_entry(name, build=41, state="Ready", **fields):
     return {
         "id": name,
         "addr": f"127.0.0.1:{int(name[2:]) + 7000}",
         "state": state,
         "image_id": build,
-        **more,
+        **fields,
     }
 
 
-def configuration_object(*entries, **news):
+def configuration_object(*entries, **release):
     """A configuration's object: build 41 released, unless the news says otherwise."""
     return {
         "name": "n1",
@@ -53,14 +53,14 @@
                 "status": "released",
                 "maxWeight": 1.0,
                 "observedAgoMs": 60000,
-                **news,
+                **release,
             },
         },
         "known": {"version": 7, "full": True, "servers": list(entries)},
     }
 
 
-STANDS = socket.socketpair()  # a connection whose other side is there
+OPEN_SOCKETS = socket.socketpair()  # a connection whose other side is there
 
 
 class Transport(StringTransport):
@@ -72,7 +72,7 @@
     def getHandle(self):
         return self
 
-    def recv(self, most, flags):
+    def recv(self, size, flags):
         if not self.has_unread_data:
             raise BlockingIOError
         return b"*"
@@ -84,7 +84,7 @@
         pass
 
     def fileno(self):
-        return STANDS[0].fileno()
+        return OPEN_SOCKETS[0].fileno()
 
     def startWriting(self):
         """As the network's own: once all is written, who is registered to be asked for more is asked."""
@@ -100,18 +100,18 @@
 class Network:
     """A sidecar on a network that exists in memory alone."""
 
-    def __init__(self, *entries, sockets=1024, polled=False, **news):
+    def __init__(self, *entries, sockets=1024, polled=False, **release):
         self.reactor, self.faults = MemoryReactorClock(), []
-        deadlines = TimerQueue(
+        timers = TimerQueue(
             lambda: 1_000_000 + int(self.reactor.seconds() * 10_000),
             self.reactor.callLater,
             lambda *fault: self.faults.append(fault),
         )
-        start = configuration.parse(configuration_object(*entries, **news), 0)._replace(
+        start = configuration.parse(configuration_object(*entries, **release), 0)._replace(
             sockets=sockets
         )
         start = start._replace(settings=start.settings._replace(lists_polled=polled))
-        self.proxy = Proxy(start, self.reactor, deadlines, 0)
+        self.proxy = Proxy(start, self.reactor, timers, 0)
         self.proxy.begin()
         self.initial_dials = len(self.reactor.tcpClients)
 
@@ -129,10 +129,13 @@
 
     def close_states(self, *clients):
         """Whether sending has ended there, and a while later the connection."""
-        ended = [client.transport.ended for client in clients]
+        half_closed = [client.transport.ended for client in clients]
         self.reactor.advance(0.2)
         self.reactor.advance(0)
-        return [(end, client.transport.disconnecting) for end, client in zip(ended, clients)]
+        return [
+            (sent_end, client.transport.disconnecting)
+            for sent_end, client in zip(half_closed, clients)
+        ]
 
     def dialled_ports(self):
         """The ports of pods that were dialled."""
@@ -160,8 +163,8 @@
         network.ask()
         network.update_endpoints(endpoint_entry("s-2"), endpoint_entry("s-1", state="Terminating"))
         self.assertEqual(network.dialled_ports(), [7001, 7002])
-        late = network.connect(-2)
-        self.assertEqual(late.transport.value(), b"")
+        connection = network.connect(-2)
+        self.assertEqual(connection.transport.value(), b"")
 
     def test_pending_attempt_is_not_sent_to_a_replacement_process_of_the_same_name(self):
         network = Network(endpoint_entry("s-1"))
@@ -281,32 +284,32 @@
 
 
 class UnexpectedBytesTest(unittest.TestCase):
-    def answered(self, answer, stale=False):
+    def network_with_response(self, response, stale=False):
         """A network on which a first transaction was answered so, and a second one is asked then."""
         network = Network(endpoint_entry("s-1"))
         client = network.ask("01", timeout_ms=900)
         connection = network.connect()
         connection.resumeProducing()
         connection.transport.has_unread_data = stale
-        connection.dataReceived(answer)
+        connection.dataReceived(response)
         self.assertEqual(client.transport.value(), b"$1\r\nv\r\n")
         return network, connection
 
     def test_surplus_response_bytes_close_the_connection_and_answer_no_other_request(self):
         for more in (VALUE_RESPONSE, b"noise", b"$5\r\n"):
-            network, connection = self.answered(VALUE_RESPONSE + more)
+            network, connection = self.network_with_response(VALUE_RESPONSE + more)
             network.ask("02")
             self.assertTrue(connection.transport.disconnected)
             self.assertEqual(network.dialled_ports(), [7001, 7001])
 
     def test_malformed_bytes_after_a_complete_value_only_close_the_connection(self):
-        network, connection = self.answered(VALUE_RESPONSE[:-5] + b"$x1\r\n")
+        network, connection = self.network_with_response(VALUE_RESPONSE[:-5] + b"$x1\r\n")
         self.assertTrue(connection.transport.disconnected)
 
     def test_unread_bytes_do_not_answer_the_next_request(self):
-        network, connection = self.answered(VALUE_RESPONSE, stale=True)
+        network, connection = self.network_with_response(VALUE_RESPONSE, stale=True)
         self.assertTrue(connection.transport.disconnected)
-        network, connection = self.answered(VALUE_RESPONSE)
+        network, connection = self.network_with_response(VALUE_RESPONSE)
         network.reactor.advance(0.02)  # else it rests, and the next one goes on another anyway
         connection.transport.has_unread_data = True
         network.ask("02")
@@ -315,7 +318,7 @@
         )
 
     def test_any_bytes_on_an_idle_connection_close_it(self):
-        network, connection = self.answered(VALUE_RESPONSE)
+        network, connection = self.network_with_response(VALUE_RESPONSE)
         connection.dataReceived(b"$5\r\nab")
         self.assertTrue(connection.transport.disconnected)
 
@@ -323,22 +326,23 @@
 class LimitsTest(unittest.TestCase):
     def test_request_is_rejected_without_descriptors_for_endpoints(self):
         network = Network(endpoint_entry("s-1"), sockets=64)
-        clients = [network.ask(f"{at}") for at in range(20)]
+        clients = [network.ask(f"{number}") for number in range(20)]
         self.assertEqual(len(network.dialled_ports()), network.proxy.pools.max_connections)
         self.assertRegex(clients[-1].transport.value(), b"^-BUSY")
 
     def test_silent_client_or_partial_command_is_answered_and_closed_in_time(self):
         network = Network(endpoint_entry("s-1"))
-        silent, half, idle = network.client(), network.client(), network.client()
-        half.dataReceived(command("PING")[:5])
+        silent, partial, idle = network.client(), network.client(), network.client()
+        partial.dataReceived(command("PING")[:5])
         idle.dataReceived(command("PING"))
         for _ in range(2):
             network.reactor.advance(2.5)
             network.reactor.advance(0)
         self.assertEqual(
-            network.close_states(silent, half, idle), [(True, True), (True, True), (False, False)]
+            network.close_states(silent, partial, idle),
+            [(True, True), (True, True), (False, False)],
         )
-        self.assertRegex(half.transport.value(), b"^-ERR")
+        self.assertRegex(partial.transport.value(), b"^-ERR")
         idle.dataReceived(command("PING")[:5])
         network.reactor.advance(2.5)
         network.reactor.advance(0)
@@ -347,29 +351,35 @@
     def test_client_that_does_not_read_is_paused_and_closed_in_time(self):
         network = Network(endpoint_entry("s-1"))
         slow, stuck = network.client(), network.client()
-        for one in (slow, stuck):
-            one.dataReceived(command("PING"))
-            one.pauseProducing()
-            self.assertEqual(one.transport.producerState, "paused")
+        for connection in (slow, stuck):
+            connection.dataReceived(command("PING"))
+            connection.pauseProducing()
+            self.assertEqual(connection.transport.producerState, "paused")
         slow.resumeProducing()
         for _ in range(2):
             network.reactor.advance(10)
             network.reactor.advance(0)
         self.assertEqual(
-            [(one.transport.disconnected, one.transport.producerState) for one in (slow, stuck)],
+            [
+                (connection.transport.disconnected, connection.transport.producerState)
+                for connection in (slow, stuck)
+            ],
             [(False, "producing"), (True, "paused")],
         )
 
     def test_client_that_sent_nothing_is_evicted_before_one_that_did(self):
         network = Network(endpoint_entry("s-1"), sockets=64)
-        usual = network.ask("01")
+        active = network.ask("01")
         clients = [network.client() for _ in range(network.proxy.listener.max_clients - 2)]
         clients[0].dataReceived(b"*2")
         clients[1].transport.has_unread_data = True  # its command has come, but is not read yet
         newest = [network.client() for _ in range(2)]
         self.assertTrue(clients[0].transport.disconnected)
         self.assertEqual(
-            [one.transport.disconnecting for one in (usual, clients[1], clients[2], *newest)],
+            [
+                connection.transport.disconnecting
+                for connection in (active, clients[1], clients[2], *newest)
+            ],
             [False, False, True, False, False],
         )
 
@@ -436,10 +446,10 @@
 
     def test_engine_exception_fails_its_request_and_the_next_one_is_served(self):
         network = Network(endpoint_entry("s-1"))
-        decide, network.proxy.engine.handle = network.proxy.engine.handle, lambda *_: 1 / 0
+        handle, network.proxy.engine.handle = network.proxy.engine.handle, lambda *_: 1 / 0
         client = network.ask("01")
         self.assertRegex(client.transport.value(), b"^-ERR")
-        network.proxy.engine.handle = decide
+        network.proxy.engine.handle = handle
         network.ask("02")
         self.assertEqual(network.dialled_ports(), [7001])
 
@@ -466,33 +476,34 @@
 
 
 class PlatformAndDiscoveryCallsTest(unittest.TestCase):
-    def vote(self, network):
+    def cast_vote(self, network):
         """What the decisions hear of a vote, once the connector of its call is there."""
-        heard = []
+        handled_events = []
         network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
-        network.proxy.engine.handle = lambda now, events: heard.extend(events) or []
-        return heard
+        network.proxy.engine.handle = lambda now, events: handled_events.extend(events) or []
+        return handled_events
 
-    def pass_on(self, network, seconds):
+    def advance(self, network, seconds):
         network.reactor.advance(seconds)
         network.reactor.advance(0)
 
     def test_written_vote_without_response_may_have_counted(self):
         network = Network()
-        heard = self.vote(network)
+        handled_events = self.cast_vote(network)
         call = network.connect()
         call.resumeProducing()
-        self.pass_on(network, 1.3)
+        self.advance(network, 1.3)
         self.assertEqual(
-            [event.outcome for event in heard if type(event) is ReleaseUpdate], [Outcome.TIMED_OUT]
+            [event.outcome for event in handled_events if type(event) is ReleaseUpdate],
+            [Outcome.TIMED_OUT],
         )
 
     def test_vote_log_line_has_its_evidence(self):
         network = Network()
         with mock.patch.object(structured_log, "log") as logged:
-            self.vote(network)
+            self.cast_vote(network)
             network.connect().resumeProducing()
-            self.pass_on(network, 1.3)
+            self.advance(network, 1.3)
         (line,) = [call.kwargs for call in logged.call_args_list if call.args == ("vote",)]
         orjson.dumps(line)
         self.assertEqual(
@@ -503,15 +514,15 @@
 
     def test_partially_written_or_unconnected_vote_did_not_count(self):
         network = Network()
-        heard = self.vote(network)
+        handled_events = self.cast_vote(network)
         network.connect()
-        self.pass_on(network, 1.3)
+        self.advance(network, 1.3)
         network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
-        self.pass_on(network, 1.3)
+        self.advance(network, 1.3)
         self.assertTrue(network.reactor.connectors[-1].stoppedConnecting)
         network.refuse()
         self.assertEqual(
-            [event.outcome for event in heard if type(event) is ReleaseUpdate],
+            [event.outcome for event in handled_events if type(event) is ReleaseUpdate],
             [Outcome.ERROR, Outcome.ERROR],
         )
 
@@ -520,53 +531,53 @@
         stream = network.connect(1)
         stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for _ in range(6):  # a sign each second
-            self.pass_on(network, 1)
+            self.advance(network, 1)
             stream.dataReceived(b"2\r\n:\n\r\n")
         dialled = [port for _, port, *_ in network.reactor.tcpClients]
         for _ in range(6):
-            self.pass_on(network, 1)
+            self.advance(network, 1)
         now = [port for _, port, *_ in network.reactor.tcpClients]
         self.assertEqual((dialled.count(3), now.count(3)), (1, 2))
 
     def test_silent_stream_is_kept_until_its_replacement_sends_data(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        for old_speaks in (True, False):
+        for old_sends in (True, False):
             network = Network()
             old = network.connect(1)
             old.dataReceived(head + b"2\r\n:\n\r\n")
             for _ in range(9):
-                self.pass_on(network, 0.5)
+                self.advance(network, 0.5)
             new = network.connect()
             self.assertEqual(
                 (old.transport.disconnected, network.reactor.tcpClients[-1][1]), (False, 3)
             )
-            if old_speaks:
+            if old_sends:
                 old.dataReceived(b"2\r\n:\n\r\n")
             else:
                 new.dataReceived(head + b"2\r\n:\n\r\n")
             self.assertEqual(
                 (old.transport.disconnected, new.transport.disconnected),
-                (not old_speaks, old_speaks),
+                (not old_sends, old_sends),
             )
 
     def test_old_stream_is_kept_until_the_new_address_sends_data(self):
-        network, life = Network(), b"2\r\n:\n\r\n"
+        network, keep_alive = Network(), b"2\r\n:\n\r\n"
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
         old = network.connect(1)
-        old.dataReceived(head + life)
+        old.dataReceived(head + keep_alive)
         for port in (8, 9):  # twice in a row
             changed = configuration_object()
             changed["deployer"]["address"] = f"127.0.0.1:{port}"
             self.assertEqual(network.proxy.reconfigure(configuration.parse(changed, 0)), [])
         network.refuse()
-        old.dataReceived(life)  # does not end the asking, as it would at its own address
+        old.dataReceived(keep_alive)  # does not end the asking, as it would at its own address
         for _ in range(9):
-            self.pass_on(network, 0.1)
+            self.advance(network, 0.1)
         new = network.connect()
         self.assertEqual([port for _, port, *_ in network.reactor.tcpClients], [2, 3, 8, 9, 9])
         new.dataReceived(head)
         self.assertFalse(old.transport.disconnected)
-        new.dataReceived(life)
+        new.dataReceived(keep_alive)
         self.assertEqual(
             (old.transport.disconnected, network.proxy.releases.stream.current), (True, new)
         )
@@ -582,24 +593,24 @@
 
     def test_malformed_stream_is_reopened_and_the_state_kept(self):
         head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        for spoilt in (
+        for malformed in (
             b"event: progress\ndata: version=x&step=1\n\n",
             b"event: progress\ndata: version=42&step=1"
             b"&status=trial&maxWeight=1&observedAgoMs=inf\n\n",
             b"\x00noise\n",
         ):
             network = Network()
-            stream, held = network.connect(1), network.proxy.releases.latest
-            stream.dataReceived(head + b"%x\r\n%s\r\n" % (len(spoilt), spoilt))
+            stream, state_before = network.connect(1), network.proxy.releases.latest
+            stream.dataReceived(head + b"%x\r\n%s\r\n" % (len(malformed), malformed))
             self.assertTrue(stream.transport.disconnected)
             for _ in range(9):
-                self.pass_on(network, 0.1)
+                self.advance(network, 0.1)
             self.assertEqual([port for _, port, *_ in network.reactor.tcpClients].count(3), 2)
-            self.assertEqual((network.proxy.releases.latest, network.faults), (held, []))
+            self.assertEqual((network.proxy.releases.latest, network.faults), (state_before, []))
 
     def test_endless_response_is_not_buffered(self):
         network = Network()
-        heard = self.vote(network)
+        handled_events = self.cast_vote(network)
         call = network.connect()
         call.resumeProducing()
         call.dataReceived(b"HTTP/1.1 200 OK\r\n\r\n")
@@ -607,14 +618,15 @@
             call.dataReceived(b"x" * 65536)
         self.assertTrue(call.transport.disconnected)
         self.assertEqual(
-            [event.outcome for event in heard if type(event) is ReleaseUpdate], [Outcome.TIMED_OUT]
+            [event.outcome for event in handled_events if type(event) is ReleaseUpdate],
+            [Outcome.TIMED_OUT],
         )
 
     def test_refused_stream_is_reopened_without_an_exception(self):
         network = Network()
         network.refuse(1)
         for _ in range(9):
-            self.pass_on(network, 0.1)
+            self.advance(network, 0.1)
         self.assertEqual([port for _, port, *_ in network.reactor.tcpClients].count(3), 2)
         self.assertEqual(network.faults, [])
 
@@ -634,16 +646,16 @@
 
     def test_timers_fire_in_order_of_time_then_of_registration(self):
         reactor, called, faults = MemoryReactorClock(), [], []
-        deadlines = TimerQueue(
+        timers = TimerQueue(
             lambda: int(reactor.seconds() * 10_000),
             reactor.callLater,
             lambda *fault: faults.append(fault),
         )
-        deadlines.add(200, called.append, "late")
-        deadlines.add(100, called.append, "first")
-        deadlines.add(100, called.index, "none")
-        deadlines.add(100, called.append, "second")
-        deadlines.cancel(deadlines.add(100, called.append, "cancelled"))
+        timers.add(200, called.append, "late")
+        timers.add(100, called.append, "first")
+        timers.add(100, called.index, "none")
+        timers.add(100, called.append, "second")
+        timers.cancel(timers.add(100, called.append, "cancelled"))
         for _ in range(4):
             reactor.advance(0.01)
             reactor.advance(0)
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -3,7 +3,7 @@
 import unittest
 
 from tests.support.decisions import NOW, ended, pod, taken
-from tests.support.decisions import balancer as made_of
+from tests.support.decisions import balancer as engine_with
 from thymeknot.interface.actions import CancelAttempt, CastVote, Fail, SendAttempt
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
@@ -22,12 +22,12 @@
         self.summary = RejectionSummary(lambda event, **fields: self.lines.append((event, fields)))
         self.summary.flush(NOW)
 
-    def told(self, *reasons):
+    def record(self, *reasons):
         for reason in reasons:
             self.summary.record("t", reason)
 
     def test_final_responses_are_counted_by_cause(self):
-        self.told(R.POSITION, R.SENT, R.ENDED, R.DONE)
+        self.record(R.POSITION, R.SENT, R.ENDED, R.DONE)
         self.assertEqual(
             (self.summary.flush(NOW), self.lines), (NOW + LOG_INTERVAL, [])
         )  # nothing turned away is no line
@@ -38,9 +38,9 @@
             (R.POSITION, R.COLD, R.NO_POD, R.VOTED, R.DEFERRED),
             (R.DOUBTED, R.NO_POD, R.DEFERRED),
         ):
-            self.told(*reasons)
+            self.record(*reasons)
         self.summary.record("another", R.BY_LOT)
-        self.told(R.DEFERRED)  # not by what decided another transaction
+        self.record(R.DEFERRED)  # not by what decided another transaction
         self.summary.flush(NOW + LOG_INTERVAL, pressure=0.5)
         self.assertEqual(
             self.lines,
@@ -67,20 +67,20 @@
     def test_counters_are_bounded_by_the_number_of_reasons(self):
         for first in R:
             for reason in R:
-                self.told(first, reason, R.DEFERRED, first, reason, R.ABANDONED)
+                self.record(first, reason, R.DEFERRED, first, reason, R.ABANDONED)
         self.assertLess(len(self.summary.counts), 3 * len(R))
 
     def test_reasons_are_passed_to_the_next_listener(self):
-        heard = []
-        self.summary.next_listener = lambda *told: heard.append(told)
+        passed_on = []
+        self.summary.next_listener = lambda *arguments: passed_on.append(arguments)
         self.summary.record("t", R.DEFERRED, 50)
-        self.assertEqual(heard, [("t", R.DEFERRED, 50)])
+        self.assertEqual(passed_on, [("t", R.DEFERRED, 50)])
 
     def test_engine_reports_the_cause_of_a_rejection(self):
-        made = made_of(pod("a"), max_attempts=1)
-        made.context.reason_callback = self.summary.record
-        made.handle(NOW, [taken()])
-        made.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
+        engine = engine_with(pod("a"), max_attempts=1)
+        engine.context.reason_callback = self.summary.record
+        engine.handle(NOW, [taken()])
+        engine.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
         self.summary.flush(NOW + LOG_INTERVAL)
         self.assertEqual(self.lines[0][1]["deferred"], {"MOST_DELIVERIES": 1})
 
@@ -88,92 +88,102 @@
 class SimulatedFaultsTest(unittest.TestCase):
     """What a fault does to what reaches pods and instances, seen from outside the decisions."""
 
-    def made(self, kind, seed=3):
+    def simulator_with_fault(self, kind, seed=3):
         day, (begin, _) = large_fleet_scenarios.drawn(seed, kind, 9, 6, 20, load=0.3, good=True)
         return Simulator(day._replace(offers=()), current_engine), begin
 
     def test_lost_zone_is_silent_and_restarts_cold(self):
-        fleet, _ = self.made("zone")
-        fleet.now = 8 * TICKS_PER_SECOND
-        fleet.servers.lose_zone("b")
-        lost = [one for one in fleet.servers.pods.values() if one.zone == "b"]
-        self.assertTrue(lost and all(one.silent for one in lost))
-        fleet.now = 13 * TICKS_PER_SECOND
-        fleet.servers.restore_zone("b")
-        back = [fleet.servers.pods[one.name] for one in lost]
+        simulator, _ = self.simulator_with_fault("zone")
+        simulator.now = 8 * TICKS_PER_SECOND
+        simulator.servers.lose_zone("b")
+        lost = [endpoint for endpoint in simulator.servers.pods.values() if endpoint.zone == "b"]
+        self.assertTrue(lost and all(endpoint.silent for endpoint in lost))
+        simulator.now = 13 * TICKS_PER_SECOND
+        simulator.servers.restore_zone("b")
+        restarted = [simulator.servers.pods[endpoint.name] for endpoint in lost]
         self.assertTrue(
-            all(one.started == fleet.now and one.warmth(fleet.now) < 0.5 for one in back)
+            all(
+                endpoint.started == simulator.now and endpoint.warmth(simulator.now) < 0.5
+                for endpoint in restarted
+            )
         )
-        self.assertFalse(any(one.silent for one in back))
+        self.assertFalse(any(endpoint.silent for endpoint in restarted))
 
     def test_partitioned_zone_reaches_only_itself_and_not_the_platform(self):
-        fleet, _ = self.made("split")
-        fleet.cut_zones = {"b"}
+        simulator, _ = self.simulator_with_fault("split")
+        simulator.cut_zones = {"b"}
         inside, outside = 1, 0
         reached = {
-            one.zone: (fleet._reaches(inside, one), fleet._reaches(outside, one))
-            for one in fleet.servers.pods.values()
+            endpoint.zone: (
+                simulator._reaches(inside, endpoint),
+                simulator._reaches(outside, endpoint),
+            )
+            for endpoint in simulator.servers.pods.values()
         }
         self.assertEqual(reached, {"a": (False, True), "b": (True, False), "c": (False, True)})
         self.assertEqual(
-            (fleet.is_off_platform(inside), fleet.is_off_platform(outside)), (True, False)
+            (simulator.is_off_platform(inside), simulator.is_off_platform(outside)), (True, False)
         )
-        fleet._calls.clear()
-        fleet._faults._zone_cut(Fault("cut", 0, 1, (1,), 0.0), False)
-        told = sorted(
-            arguments[0] for _, _, call, arguments in fleet._calls if call == fleet.platform.told
+        simulator._calls.clear()
+        simulator._faults._zone_cut(Fault("cut", 0, 1, (1,), 0.0), False)
+        notified = sorted(
+            arguments[0]
+            for _, _, call, arguments in simulator._calls
+            if call == simulator.platform.told
         )
         self.assertEqual(
-            (fleet.cut_zones, told), (set(), list(range(9)))
+            (simulator.cut_zones, notified), (set(), list(range(9)))
         )  # what was missed is told again
 
     def test_work_delayed_by_a_pause_resumes_after_it(self):
-        fleet, _ = self.made("herd")
-        some = next(iter(fleet.servers.pods.values()))
-        some.paused = 5 * TICKS_PER_SECOND
-        fleet.now = TICKS_PER_SECOND
-        fleet._served(some, None)
-        self.assertEqual(fleet._calls[0][0], 5 * TICKS_PER_SECOND + 1)
-        self.assertFalse(some.fits(TICKS_PER_SECOND, TICKS_PER_SECOND))
+        simulator, _ = self.simulator_with_fault("herd")
+        endpoint = next(iter(simulator.servers.pods.values()))
+        endpoint.paused = 5 * TICKS_PER_SECOND
+        simulator.now = TICKS_PER_SECOND
+        simulator._served(endpoint, None)
+        self.assertEqual(simulator._calls[0][0], 5 * TICKS_PER_SECOND + 1)
+        self.assertFalse(endpoint.fits(TICKS_PER_SECOND, TICKS_PER_SECOND))
 
     def test_platform_rejects_votes_above_its_rate(self):
-        fleet, _ = self.made("calm")
-        fleet.day = fleet.day._replace(terms=fleet.day.terms._replace(votes_per_second=2.0))
-        fleet.platform.state = ReleaseState(2, 0, ReleasePhase.ON_TRIAL, 0.08)
-        fleet.platform._calls = 4.0
+        simulator, _ = self.simulator_with_fault("calm")
+        simulator.day = simulator.day._replace(
+            terms=simulator.day.terms._replace(votes_per_second=2.0)
+        )
+        simulator.platform.state = ReleaseState(2, 0, ReleasePhase.ON_TRIAL, 0.08)
+        simulator.platform._calls = 4.0
         for instance in range(9):
-            fleet._vote(instance, fleet.lives[instance], CastVote(2, 0, Verdict.PROMOTE))
-        self.assertEqual(fleet.results.votes_asked["full"], 5)
-        told = [
+            simulator._vote(instance, simulator.lives[instance], CastVote(2, 0, Verdict.PROMOTE))
+        self.assertEqual(simulator.results.votes_asked["full"], 5)
+        notified = [
             arguments[2]
-            for _, _, call, arguments in fleet._calls
-            if call == fleet.platform._told_vote
+            for _, _, call, arguments in simulator._calls
+            if call == simulator.platform._told_vote
         ]
-        self.assertEqual((told.count(Outcome.DONE), told.count(Outcome.REJECTED)), (4, 5))
-        fleet.now = fleet.platform._calls_at = TICKS_PER_SECOND
-        fleet.now = 2 * TICKS_PER_SECOND
-        fleet._vote(0, fleet.lives[0], CastVote(2, 1, Verdict.PROMOTE))  # for another stage
+        self.assertEqual((notified.count(Outcome.DONE), notified.count(Outcome.REJECTED)), (4, 5))
+        simulator.now = simulator.platform._calls_at = TICKS_PER_SECOND
+        simulator.now = 2 * TICKS_PER_SECOND
+        simulator._vote(0, simulator.lives[0], CastVote(2, 1, Verdict.PROMOTE))  # for another stage
         self.assertEqual(
-            (fleet.results.votes_asked["full"], fleet.results.votes_asked["moot"]), (5, 1)
+            (simulator.results.votes_asked["full"], simulator.results.votes_asked["moot"]), (5, 1)
         )
         self.assertIn(
             Outcome.NOT_SENT,
             [
                 arguments[2]
-                for _, _, call, arguments in fleet._calls
-                if call == fleet.platform._told_vote
+                for _, _, call, arguments in simulator._calls
+                if call == simulator.platform._told_vote
             ],
         )
 
     def test_cancelled_attempt_ends_while_its_work_continues(self):
-        told = []
+        notified = []
 
-        class Recalls:
-            def __init__(self, terms, seed, now):
+        class CancellingEngine:
+            def __init__(self, engine_settings, seed, now):
                 self.pods = []
 
             def handle(self, now, events):
-                told.extend(events)
+                notified.extend(events)
                 actions = []
                 for event in events:
                     if type(event) is EndpointUpdate:
@@ -187,12 +197,12 @@
                         actions.append(Fail(event.id))
                 return actions
 
-        fleet, _ = self.made("calm")
-        Simulator(fleet.day._replace(faults=()), Recalls).play()
-        ends = [event.outcome for event in told if type(event) is AttemptEnded]
+        simulator, _ = self.simulator_with_fault("calm")
+        Simulator(simulator.day._replace(faults=()), CancellingEngine).play()
+        ends = [event.outcome for event in notified if type(event) is AttemptEnded]
         self.assertEqual(
             (set(ends), len(ends)),
-            ({Outcome.CANCELLED}, sum(type(one) is RequestReceived for one in told)),
+            ({Outcome.CANCELLED}, sum(type(handled) is RequestReceived for handled in notified)),
         )
 
     def test_scenarios_of_each_kind_keep_the_invariants(self):
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -58,8 +58,8 @@
 from thymeknot.state.sliding_window import SlidingWindow
 
 ROOT = os.path.abspath(os.path.join(os.path.dirname(__file__), *[os.pardir] * 3))
-BATCHES, STEP, UNIT = 240, 20_000_000, 100_000
-FIRST_BATCH = 5_000_000_000
+BATCH_COUNT, BATCH_INTERVAL_NS, TICK_NS = 240, 20_000_000, 100_000
+FIRST_BATCH_NS = 5_000_000_000
 
 
 def example():
@@ -67,7 +67,7 @@
         return orjson.loads(source.read())
 
 
-def put(value, path, new):
+def set_path(value, path, new):
     *inner, last = path.split(".")
     for name in inner:
         value = value[int(name)] if isinstance(value, list) else value[name]
@@ -75,18 +75,18 @@
 
 
 def changed(path, new):
-    told = example()
-    put(told, path, new)
-    return told
+    document = example()
+    set_path(document, path, new)
+    return document
 
 
 def other_settings():
     """Settings that differ from the helpers' in everything, with the same names for other classes."""
-    told = copy.deepcopy(SETTINGS)
-    told.update(
+    settings = copy.deepcopy(SETTINGS)
+    settings.update(
         balancers=40, discovery="subscribe", stats={"names": ["rate"], "source": "piggyback"}
     )
-    told["categories"] = [
+    settings["categories"] = [
         {
             "name": name,
             "semantics": effect,
@@ -103,13 +103,13 @@
             ("weigh", "deduplicated", "cell", 2.0),
         )
     ]
-    told["permissions"].update(
+    settings["permissions"].update(
         max_attempts=2, max_retry_after=0, second_copies=True, may_cancel=False, retry_after=False
     )
-    told["rules"].update(
+    settings["rules"].update(
         cold_from=0.05, cold=9_000_000_000, fall_multiple=1.1, overload_for=500_000_000
     )
-    told["extra"].update(
+    settings["extra"].update(
         window=900_000_000,
         allowance=1.0,
         guarded_stages=1,
@@ -121,21 +121,21 @@
         vote_life=1_500_000_000,
         calls_per_s=8.0,
     )
-    return told
+    return settings
 
 
-class Played:
+class ScriptedInstance:
     """One instance and its pods, that answer by turns; the same events whatever else the host holds."""
 
     OUTCOMES = "delivered", "app_error", "delivered", "shed", "delivered", "expired", "dial_failed"
 
-    def __init__(self, name, settings, lanes, zone):
-        self.name, self.settings, self.lanes, self.zone = name, settings, lanes, zone
-        self.left, self.answers, self.actions = {}, [], []
+    def __init__(self, name, settings, class_names, zone):
+        self.name, self.settings, self.class_names, self.zone = name, settings, class_names, zone
+        self.attempt_counts, self.pending_results, self.actions = {}, [], []
 
-    def events(self, at, table):
+    def events(self, batch, table):
         """The lines of a batch. table: the numbers of its lists."""
-        if at == 0:
+        if batch == 0:
             pods = [
                 f"ENTRY {self.zone} 1 0 on - {self.zone}:{port} m {41 + port % 2}"
                 for port in range(5)
@@ -147,91 +147,113 @@
                 f"ANNOUNCE {self.name} cached 1 {table}",
                 f"ROLLOUT_STATE {self.name} 42 0 0 0 delivered 0.5 0",
             ]
-        lines, self.answers = self.answers, []
-        for number in range(at % 3):
-            lane, name = self.lanes[(at + number) % len(self.lanes)], f"{at:x}a{number}"
-            self.left[name] = 0
-            lines.append(f"INGRESS {self.name} {name} {lane} - {at % 5} 800000000 - 0 0")
+        lines, self.pending_results = self.pending_results, []
+        for number in range(batch % 3):
+            class_name, request_id = (
+                self.class_names[(batch + number) % len(self.class_names)],
+                f"{batch:x}a{number}",
+            )
+            self.attempt_counts[request_id] = 0
+            lines.append(
+                f"INGRESS {self.name} {request_id} {class_name} - {batch % 5} 800000000 - 0 0"
+            )
         return lines
 
-    def hear(self, lines, now):
+    def receive(self, lines, now):
         for line in lines:
             self.actions.append(line)
             word, _, *values = line.split(" ")
             if word == "TRY":
-                name, pod = values[:2]
-                attempt = self.left[name]
-                self.left[name] += 1
-                how = self.OUTCOMES[len(self.actions) % len(self.OUTCOMES)]
-                self.answers.append(
-                    f"RESULT {self.name} {name} {how} {int(how == 'delivered')} {15 * UNIT} {pod} "
+                request_id, endpoint = values[:2]
+                attempt = self.attempt_counts[request_id]
+                self.attempt_counts[request_id] += 1
+                outcome = self.OUTCOMES[len(self.actions) % len(self.OUTCOMES)]
+                self.pending_results.append(
+                    f"RESULT {self.name} {request_id} {outcome} {int(outcome == 'delivered')} "
+                    f"{15 * TICK_NS} {endpoint} "
                     f"{attempt} -"
                 )
             elif word == "NOTIFY_ME":
-                self.answers.append(f"TICK_DUE {self.name} {values[1]}")
+                self.pending_results.append(f"TICK_DUE {self.name} {values[1]}")
             elif word == "VERDICT":
-                self.answers.append(
+                self.pending_results.append(
                     f"ROLLOUT_STATE {self.name} {values[0]} {values[1]} 0 1 delivered 0.5 0"
                 )
 
 
-def play(*played):
+def run_batches(*scripted):
     """All that each of them does in one host."""
     host = Host()
-    for at in range(BATCHES):
-        lines = [line for table, one in enumerate(played) for line in one.events(at, table)]
-        replies = host.batch((FIRST_BATCH + at * STEP) // UNIT, lines)
-        for one in played:
-            one.hear([line for line in replies if line.split(" ")[1] == one.name], at)
-    return [one.actions for one in played]
+    for batch in range(BATCH_COUNT):
+        lines = [
+            line
+            for table, instance in enumerate(scripted)
+            for line in instance.events(batch, table)
+        ]
+        replies = host.batch((FIRST_BATCH_NS + batch * BATCH_INTERVAL_NS) // TICK_NS, lines)
+        for instance in scripted:
+            instance.receive(
+                [line for line in replies if line.split(" ")[1] == instance.name], batch
+            )
+    return [instance.actions for instance in scripted]
 
 
-def made(name="sidecar-2"):
+def instances(name="sidecar-2"):
     """Two instances whose settings have nothing in common."""
     return (
-        Played("sidecar-1", SETTINGS, ("read", "mark", "pay"), "10.0.0.1"),
-        Played(name, other_settings(), ("pay", "weigh", "read"), "10.0.0.2"),
+        ScriptedInstance("sidecar-1", SETTINGS, ("read", "mark", "pay"), "10.0.0.1"),
+        ScriptedInstance(name, other_settings(), ("pay", "weigh", "read"), "10.0.0.2"),
     )
 
 
-def alone(place, name="sidecar-2"):
+def run_in_process(index, name="sidecar-2"):
     """What one of them does in a process of its own: nothing that another left in this one can reach it."""
     code = (
-        "import json; from tests.unit.service.test_settings import made, play; "
-        f"print(json.dumps(play(made({name!r})[{place}])))"
+        "import json; from tests.unit.service.test_settings import instances, run_batches; "
+        f"print(json.dumps(run_batches(instances({name!r})[{index}])))"
     )
-    ended = subprocess.run(
+    result = subprocess.run(
         [sys.executable, "-c", code], cwd=ROOT, capture_output=True, check=True, timeout=60
     )
-    return json.loads(ended.stdout)[0]
+    return json.loads(result.stdout)[0]
 
 
 class InstanceIsolationTest(unittest.TestCase):
     def test_two_instances_in_one_process_decide_as_each_alone(self):
-        expected = [alone(0), alone(1)]
-        self.assertEqual(play(*made()), expected)
-        self.assertEqual(play(*reversed(made())), expected[::-1])
+        expected = [run_in_process(0), run_in_process(1)]
+        self.assertEqual(run_batches(*instances()), expected)
+        self.assertEqual(run_batches(*reversed(instances())), expected[::-1])
         for actions in expected:  # it decided on more than one thing, and never failed
             self.assertGreater(len({line.split(" ")[0] for line in actions}), 2)
             self.assertFalse([line for line in actions if line.startswith("FAULT")])
         self.assertNotEqual(*[[line.split(" ")[0] for line in actions] for actions in expected])
 
     def test_restarted_instance_keeps_none_of_its_previous_settings(self):
-        first, second = made("sidecar-1")
+        first, second = instances("sidecar-1")
         host = Host()
-        for at in range(50):
-            first.hear(host.batch((FIRST_BATCH + at * STEP) // UNIT, first.events(at, 0)), at)
-        host.batch((FIRST_BATCH + 49 * STEP) // UNIT, [f"KILLED {first.name}"])
-        for at in range(BATCHES):
-            second.hear(host.batch((FIRST_BATCH + at * STEP) // UNIT, second.events(at, 0)), at)
-        self.assertEqual(second.actions, alone(1, "sidecar-1"))
+        for batch in range(50):
+            first.receive(
+                host.batch(
+                    (FIRST_BATCH_NS + batch * BATCH_INTERVAL_NS) // TICK_NS, first.events(batch, 0)
+                ),
+                batch,
+            )
+        host.batch((FIRST_BATCH_NS + 49 * BATCH_INTERVAL_NS) // TICK_NS, [f"KILLED {first.name}"])
+        for batch in range(BATCH_COUNT):
+            second.receive(
+                host.batch(
+                    (FIRST_BATCH_NS + batch * BATCH_INTERVAL_NS) // TICK_NS, second.events(batch, 0)
+                ),
+                batch,
+            )
+        self.assertEqual(second.actions, run_in_process(1, "sidecar-1"))
 
 
 class ReloadTest(unittest.TestCase):
-    def later(self, told):
+    def reload(self, document):
         network = Network()
         network.proxy.start = configuration.parse(example(), 0)
-        return network, network.proxy.reconfigure(configuration.parse(told, 0))
+        return network, network.proxy.reconfigure(configuration.parse(document, 0))
 
     def test_reload_names_every_changed_key_that_needs_a_restart(self):
         cases = {
@@ -241,7 +263,7 @@
             "limits.sockets": ("limits.sockets", 512),
         }
         for key, (path, new) in cases.items():
-            self.assertEqual(self.later(changed(path, new))[1], [key])
+            self.assertEqual(self.reload(changed(path, new))[1], [key])
         settings = {
             "categories.0.name": "other",
             "categories.1.window": 1,
@@ -256,9 +278,9 @@
             "stats.names": ["rate"],
         }
         for path, new in settings.items():
-            self.assertEqual(self.later(changed(f"settings.{path}", new))[1], ["settings"], path)
-        told = {**changed("name", "other"), "settings": other_settings(), "seed": "1"}
-        self.assertEqual(self.later(told)[1], ["name", "seed", "settings"])
+            self.assertEqual(self.reload(changed(f"settings.{path}", new))[1], ["settings"], path)
+        document = {**changed("name", "other"), "settings": other_settings(), "seed": "1"}
+        self.assertEqual(self.reload(document)[1], ["name", "seed", "settings"])
 
     def test_reload_does_not_name_keys_without_effect(self):
         """Addresses are taken up; the list and the news told how things stood; the rest the program does not read."""
@@ -271,7 +293,7 @@
             "limits.cores": 0.5,
             "settings.unheard": 1,
         }.items():
-            self.assertEqual(self.later(changed(path, new))[1], [], path)
+            self.assertEqual(self.reload(changed(path, new))[1], [], path)
 
     def test_reload_keeps_the_settings_of_the_start(self):
         network = Network()
@@ -299,9 +321,9 @@
 
 
 class InvalidSettingsTest(unittest.TestCase):
-    def refuse(self, told, key):
+    def assert_rejected(self, document, key):
         with self.assertRaises(ConfigurationError) as caught:
-            configuration.parse(told, 0)
+            configuration.parse(document, 0)
         self.assertIn(key, str(caught.exception))
 
     def test_error_names_invalid_and_out_of_range_numbers(self):
@@ -322,7 +344,7 @@
         ):
             for number in numbers:
                 named = path.removesuffix(".1") if path.endswith("waves.1") else path
-                self.refuse(changed(f"settings.{path}", number), named)
+                self.assert_rejected(changed(f"settings.{path}", number), named)
         for path in (
             "categories.0.promise",
             "categories.0.give_up",
@@ -335,7 +357,7 @@
             "extra.calls_per_s",
             "balancers",
         ):
-            self.refuse(changed(f"settings.{path}", 0), path)
+            self.assert_rejected(changed(f"settings.{path}", 0), path)
         for path in (
             "categories.0.promise",
             "rules.cold",
@@ -344,15 +366,15 @@
             "balancers",
         ):
             for large in (1e300, 2.0**64, 10**19):
-                self.refuse(changed(f"settings.{path}", large), path)
+                self.assert_rejected(changed(f"settings.{path}", large), path)
         for small in (1e-320, 1e-9):
-            self.refuse(changed("settings.extra.calls_per_s", small), "extra.calls_per_s")
+            self.assert_rejected(changed("settings.extra.calls_per_s", small), "extra.calls_per_s")
 
     def test_error_names_missing_duplicate_and_unnamed_classes(self):
-        self.refuse(changed("settings.categories", []), "categories.count")
-        self.refuse(changed("settings.categories.2.name", "read"), "categories.2.name")
+        self.assert_rejected(changed("settings.categories", []), "categories.count")
+        self.assert_rejected(changed("settings.categories.2.name", "read"), "categories.2.name")
         for name in ("", None, "-"):
-            self.refuse(changed("settings.categories.1.name", name), "categories.1.name")
+            self.assert_rejected(changed("settings.categories.1.name", name), "categories.1.name")
 
     def test_error_names_invalid_addresses(self):
         for path in ("listen", "discovery", "deployer.address"):
@@ -367,17 +389,17 @@
                 "\0:80",
                 "a b\n:8",
             ):
-                self.refuse(changed(path, text), f"{path}: is not an address")
+                self.assert_rejected(changed(path, text), f"{path}: is not an address")
 
     def test_error_names_deep_nesting_and_values_in_place_of_objects(self):
         deep = {}
         for _ in range(1020):
             deep = {"a": deep}
-        self.refuse(changed("settings.deep", deep), "settings: are nested too deeply")
+        self.assert_rejected(changed("settings.deep", deep), "settings: are nested too deeply")
         for path in ("limits", "deployer"):
             for other in (5, "x", [], False):
-                self.refuse(changed(path, other), f"{path}: is not an object")
-        self.refuse(changed("known.servers.0.started_ms", 1e308), "known")
+                self.assert_rejected(changed(path, other), f"{path}: is not an object")
+        self.assert_rejected(changed("known.servers.0.started_ms", 1e308), "known")
 
     def test_error_names_a_file_that_is_not_json(self):
         with tempfile.TemporaryDirectory() as folder:
@@ -400,30 +422,30 @@
 
 class ValidSettingsTest(unittest.TestCase):
     def test_class_names_are_case_sensitive(self):
-        told = changed("settings.categories.1.name", "Read")
-        lanes = configuration.parse(told, 0).settings.request_classes
+        document = changed("settings.categories.1.name", "Read")
+        request_classes = configuration.parse(document, 0).settings.request_classes
         self.assertEqual(
-            (lanes["read"].idempotency, lanes["Read"].idempotency),
+            (request_classes["read"].idempotency, request_classes["Read"].idempotency),
             (Idempotency.IDEMPOTENT, Idempotency.KEYED),
         )
 
     def test_thousands_of_classes_and_zero_deduplication_window(self):
-        told = example()
-        told["settings"]["categories"] = [
-            {**told["settings"]["categories"][1], "name": f"c{number}", "window": 0}
+        document = example()
+        document["settings"]["categories"] = [
+            {**document["settings"]["categories"][1], "name": f"c{number}", "window": 0}
             for number in range(5000)
         ]
-        read = configuration.parse(told, 0).settings
+        settings = configuration.parse(document, 0).settings
         self.assertEqual(
-            (len(read.request_classes), read.request_classes["c4999"].deduplication_window),
+            (len(settings.request_classes), settings.request_classes["c4999"].deduplication_window),
             (5000, 0),
         )
 
     def test_equivalent_values_are_read_as_equal(self):
         """Whole numbers as others write them, no voter needed, and keys added that could pass for others."""
-        same, expected = example()["settings"], configuration.parse(example(), 0)
+        original, expected = example()["settings"], configuration.parse(example(), 0)
         for *path, key, new in (
-            ("extra", "window", float(same["extra"]["window"])),
+            ("extra", "window", float(original["extra"]["window"])),
             ("balancers", 1.0),
             ("extra", "votes_to_revert", 0),
             ("balancers=9", 9),
@@ -432,59 +454,65 @@
             ("extra.window", {"a": None}),
             ("added", None),
         ):
-            told = example()
-            (told["settings"][path[0]] if path else told["settings"])[key] = new
-            self.assertEqual(configuration.parse(told, 0)[-2:], expected[-2:], (path, key, new))
+            document = example()
+            (document["settings"][path[0]] if path else document["settings"])[key] = new
+            self.assertEqual(configuration.parse(document, 0)[-2:], expected[-2:], (path, key, new))
 
     def test_unused_settings_are_optional(self):
-        told = example()
-        told["settings"].update(
-            stats={}, permissions={**told["settings"]["permissions"], "retry_after": False}
+        document = example()
+        document["settings"].update(
+            stats={}, permissions={**document["settings"]["permissions"], "retry_after": False}
         )
         del (
-            told["settings"]["rules"]["ask_within"],
-            told["settings"]["permissions"]["max_retry_after"],
+            document["settings"]["rules"]["ask_within"],
+            document["settings"]["permissions"]["max_retry_after"],
         )
-        for lane in told["settings"]["categories"]:
-            if lane["semantics"] != "deduplicated":
-                del lane["key_scope"], lane["window"]
+        for category in document["settings"]["categories"]:
+            if category["semantics"] != "deduplicated":
+                del category["key_scope"], category["window"]
         self.assertEqual(
-            list(configuration.parse(told, 0).settings.request_classes), ["read", "mark", "pay"]
+            list(configuration.parse(document, 0).settings.request_classes), ["read", "mark", "pay"]
         )
         for path, new, named in (
             ("discovery", "subscribe", "ask_within"),
             ("permissions.retry_after", True, "max_ret"),
             ("categories.0.semantics", "deduplicated", "categories.0.key_scope"),
         ):
-            asked = copy.deepcopy(told)
-            put(asked["settings"], path, new)
+            variant = copy.deepcopy(document)
+            set_path(variant["settings"], path, new)
             with self.assertRaisesRegex(ConfigurationError, named):
-                configuration.parse(asked, 0)
+                configuration.parse(variant, 0)
 
     def test_zero_initial_fraction_or_warmup_duration_leaves_some_capacity(self):
-        for cold, cold_from in ((0, 0.3), (0, 0.0), (50_000, 0.0)):
-            known = EndpointState(
+        for warmup_duration, initial_fraction in ((0, 0.3), (0, 0.0), (50_000, 0.0)):
+            endpoint = EndpointState(
                 Endpoint("p", "a", 1.0, 0, EndpointCondition.READY, 70, "m", 1), 10
             )
-            terms = configuration.parse(example(), 0).settings._replace(
-                warmup_duration=cold, warmup_initial_fraction=cold_from
+            settings = configuration.parse(example(), 0).settings._replace(
+                warmup_duration=warmup_duration, warmup_initial_fraction=initial_fraction
             )
             for now in (20, 70, 71):  # the clock may be behind the pod's
-                self.assertGreater(known.warmup_fraction(now, terms), 0, (cold, cold_from, now))
+                self.assertGreater(
+                    endpoint.warmup_fraction(now, settings),
+                    0,
+                    (warmup_duration, initial_fraction, now),
+                )
 
     def test_short_window_counts_nothing_older(self):
         for span in (1, 7, 150):
-            for back in (120, 30, None):
-                ring = SlidingWindow(span, 120)
-                ring.add(1000)
-                later = 1000 + span + ring.bucket_width
+            for span_back in (120, 30, None):
+                window = SlidingWindow(span, 120)
+                window.add(1000)
+                later = 1000 + span + window.bucket_width
                 self.assertEqual(
-                    (ring.total(1000, False, back), ring.total(later, False, back)), (1, 0), span
+                    (window.total(1000, False, span_back), window.total(later, False, span_back)),
+                    (1, 0),
+                    span,
                 )
 
 
 # What a value may be, from edge to edge: times in nanoseconds, shares, counts.
-EDGES = {
+SETTING_EDGES = {
     "balancers": (1, 2, 6, 500),
     "discovery": ("automatic", "subscribe"),
     "stats.names": ([], ["busy"], ["rate", "x y"]),
@@ -514,7 +542,7 @@
     "extra.vote_wait": (10**5, 10**9, 10**11),
     "extra.calls_per_s": (1e-6, 0.3, 0.5, 1, 2.5, 150.0, 10**9),
 }
-LANE_EDGES = {
+CLASS_EDGES = {
     "semantics": ("idempotent", "deduplicated", "at_most_once"),
     "key_scope": ("all", "zone", "cell"),
     "window": (0, 99_999, 3 * 10**8, 2 * 10**9, 10**13),
@@ -539,7 +567,7 @@
     "%",
     "a&b",
 )
-ADDED = {
+UNKNOWN_SETTINGS = {
     "balancers=1": 0,
     "extra.window": [],
     "parties": [{"name": "é", "share": 0.0}],
@@ -548,29 +576,35 @@
 }
 
 
-def drawn(chance):
+def random_configuration(random_source):
     """Whole settings that a deployment may have, each of them at an edge or between."""
-    told = example()
-    for path, values in EDGES.items():
-        put(told["settings"], path, chance.choice(values))
-    only = chance.choice([{}, {}, *({"semantics": effect} for effect in LANE_EDGES["semantics"])])
-    told["settings"]["categories"] = [
-        {**{key: chance.choice(values) for key, values in LANE_EDGES.items()}, "name": name, **only}
+    document = example()
+    for path, values in SETTING_EDGES.items():
+        set_path(document["settings"], path, random_source.choice(values))
+    overrides = random_source.choice(
+        [{}, {}, *({"semantics": semantics} for semantics in CLASS_EDGES["semantics"])]
+    )
+    document["settings"]["categories"] = [
+        {
+            **{key: random_source.choice(values) for key, values in CLASS_EDGES.items()},
+            "name": name,
+            **overrides,
+        }
         for name in [
-            *chance.sample(NAMES, chance.choice((1, 2, 14))),
-            *map(str, range(5, chance.choice((5, 21)))),
+            *random_source.sample(NAMES, random_source.choice((1, 2, 14))),
+            *map(str, range(5, random_source.choice((5, 21)))),
         ]
     ]
-    told["settings"].update(ADDED if chance.random() < 0.5 else {})
-    return orjson.loads(orjson.dumps(told))
+    document["settings"].update(UNKNOWN_SETTINGS if random_source.random() < 0.5 else {})
+    return orjson.loads(orjson.dumps(document))
 
 
-class World:
+class RandomInstance:
     """An instance under drawn settings amid events of every kind, in simulated time, before the checkers' eyes. calm:
     all is well, and a request comes once the one before is answered."""
 
-    TURNS, GRACE = 120, 2_500
-    RAN = {
+    TURNS, GRACE_TICKS = 120, 2_500
+    MAY_HAVE_RUN_BY_OUTCOME = {
         **dict.fromkeys((Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED)),
         Outcome.DONE: True,
         **dict.fromkeys((Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT), False),
@@ -583,52 +617,61 @@
     }
 
     def __init__(self, seed, calm=False):
-        self.chance, self.calm, self.now, self.number, self.queue = (
+        self.random, self.calm, self.now, self.number, self.queue = (
             random.Random(seed),
             calm,
             10**9,
             0,
             [],
         )
-        self.terms = terms = configuration.parse(drawn(self.chance), 0).settings
+        self.settings = settings = configuration.parse(
+            random_configuration(self.random), 0
+        ).settings
         self.checker = InvariantChecker(
-            terms.request_classes,
-            self.GRACE,
-            terms.exposure_window,
-            terms.exposure_allowance,
-            terms.exposure_by_class,
-            guarded=terms.guarded_stages,
+            settings.request_classes,
+            self.GRACE_TICKS,
+            settings.exposure_window,
+            settings.exposure_allowance,
+            settings.exposure_by_class,
+            guarded=settings.guarded_stages,
         )
-        self.made, self.pods, self.held, self.said = (
-            DecisionEngine(terms, seed, self.now),
+        self.engine, self.endpoints, self.requests, self.action_log = (
+            DecisionEngine(settings, seed, self.now),
             {},
             {},
             [],
         )
-        self.order = 1, 0, ReleasePhase.RELEASED, 1.0
-        least = min(lane.latency_objective for lane in terms.request_classes.values())
-        self.step = min(2_000, least) if calm else self.chance.choice((1, 100, 2_000, 5_000))
-        many = self.chance.choice((1, 4, 12)) if not calm else 8
-        self.listed([self.pod(number, 1 + number % 2) for number in range(many)], UpdateKind.CACHED)
-        self.tell(self.news())
+        self.release = 1, 0, ReleasePhase.RELEASED, 1.0
+        min_objective = min(
+            request_class.latency_objective for request_class in settings.request_classes.values()
+        )
+        self.step = (
+            min(2_000, min_objective) if calm else self.random.choice((1, 100, 2_000, 5_000))
+        )
+        endpoint_count = self.random.choice((1, 4, 12)) if not calm else 8
+        self.update_endpoints(
+            [self.random_endpoint(number, 1 + number % 2) for number in range(endpoint_count)],
+            UpdateKind.CACHED,
+        )
+        self.handle(self.release_update())
 
     # What comes.
 
-    def pod(self, number, build):
-        any_of = self.chance.choice
-        started = 0 if self.calm else any_of((0, 0, self.now, self.now - 3_000, self.now + 50))
+    def random_endpoint(self, number, build):
+        choose = self.random.choice
+        started = 0 if self.calm else choose((0, 0, self.now, self.now - 3_000, self.now + 50))
         condition = (
             EndpointCondition.READY
             if self.calm
-            else any_of(
+            else choose(
                 (EndpointCondition.READY,) * 6
                 + (EndpointCondition.DRAINING, EndpointCondition.GONE)
             )
         )
         return Endpoint(
             f"p{number}",
-            any_of("ab"),
-            any_of((0.01, 1.0, 100.0)),
+            choose("ab"),
+            choose((0.01, 1.0, 100.0)),
             number % 3,
             condition,
             started,
@@ -636,253 +679,278 @@
             build,
         )
 
-    def listed(self, pods, kind):
-        for pod in pods:
-            self.pods[pod.address] = pod
+    def update_endpoints(self, endpoints, kind):
+        for endpoint in endpoints:
+            self.endpoints[endpoint.address] = endpoint
             self.checker.listed(
                 self.now,
                 0,
-                pod.address,
-                "ready" if pod.condition == EndpointCondition.READY else "gone",
+                endpoint.address,
+                "ready" if endpoint.condition == EndpointCondition.READY else "gone",
             )
-        self.tell(EndpointUpdate(kind, tuple(pods)))
+        self.handle(EndpointUpdate(kind, tuple(endpoints)))
 
-    def news(self, answers=False, outcome=Outcome.DONE):
-        build, stage, phase, cap = self.order
+    def release_update(self, answers=False, outcome=Outcome.DONE):
+        build, stage, phase, cap = self.release
         if outcome != Outcome.DONE:
             return ReleaseUpdate(build, None, None, answers, outcome, None, None)
         self.checker.cap(self.now, 0, build, cap, stage, phase=self.PHASES[phase])
         return ReleaseUpdate(build, stage, phase, answers, Outcome.DONE, cap, 0)
 
-    def moved(self):
-        build, stage, phase, _ = self.order
+    def advance_release(self):
+        build, stage, phase, _ = self.release
         if phase != ReleasePhase.ON_TRIAL:
-            self.order = build + 1, 0, ReleasePhase.ON_TRIAL, self.chance.random()
-        elif stage + 1 < len(self.terms.stage_fractions) and self.chance.random() < 0.7:
-            self.order = build, stage + 1, phase, self.chance.choice((0.0, 0.1, 1.0))
+            self.release = build + 1, 0, ReleasePhase.ON_TRIAL, self.random.random()
+        elif stage + 1 < len(self.settings.stage_fractions) and self.random.random() < 0.7:
+            self.release = build, stage + 1, phase, self.random.choice((0.0, 0.1, 1.0))
         else:
-            self.order = (
+            self.release = (
                 build,
                 stage,
-                *self.chance.choice(
+                *self.random.choice(
                     ((ReleasePhase.RELEASED, 1.0), (ReleasePhase.ROLLING_BACK, 0.0))
                 ),
             )
-        self.tell(self.news())
+        self.handle(self.release_update())
 
-    def asked(self):
-        name, self.number, lane = (
+    def send_request(self):
+        request_id, self.number, class_name = (
             f"{self.number:x}",
             self.number + 1,
-            self.chance.choice(list(self.terms.request_classes)),
+            self.random.choice(list(self.settings.request_classes)),
         )
-        limit = self.terms.request_classes[lane].outer_limit
-        left = limit if self.calm else min(limit, self.chance.choice((1, 100, 5_000, 20_000)))
-        key = None if self.calm else self.chance.choice((None, "k", "ключ", name))
-        self.held[name] = {
-            "lane": lane,
-            "ends": self.now + left,
+        limit = self.settings.request_classes[class_name].outer_limit
+        time_left = limit if self.calm else min(limit, self.random.choice((1, 100, 5_000, 20_000)))
+        key = None if self.calm else self.random.choice((None, "k", "ключ", request_id))
+        self.requests[request_id] = {
+            "lane": class_name,
+            "ends": self.now + time_left,
             "key": key,
             "over": False,
             "sent": [],
             "streams": 0,
         }
-        self.checker.taken(self.now, 0, name, lane, self.now + left)
-        self.tell(
+        self.checker.taken(self.now, 0, request_id, class_name, self.now + time_left)
+        self.handle(
             RequestReceived(
-                name,
-                lane,
-                self.chance.choice((None, "tenant é")),
+                request_id,
+                class_name,
+                self.random.choice((None, "tenant é")),
                 key,
-                left,
+                time_left,
                 None,
-                self.chance.random() < 0.2,
+                self.random.random() < 0.2,
                 False,
             )
         )
 
     def turn(self):
-        any_of, build, lane = (
-            self.chance.choice,
-            self.order[0],
-            self.chance.choice(list(self.terms.request_classes)),
+        choose, build, class_name = (
+            self.random.choice,
+            self.release[0],
+            self.random.choice(list(self.settings.request_classes)),
         )
-        for _ in range(1 if self.calm else any_of((0, 1, 1, 3))):
-            self.asked()
-        if self.chance.random() < 0.1:
-            self.moved()
+        for _ in range(1 if self.calm else choose((0, 1, 1, 3))):
+            self.send_request()
+        if self.random.random() < 0.1:
+            self.advance_release()
         if self.calm:
             return
-        pod, spread = any_of(list(self.pods)), any_of((1, 100, 5_000))
-        what = any_of(
+        endpoint, spread = choose(list(self.endpoints)), choose((1, 100, 5_000))
+        event = choose(
             ("list", "tally", "complaint", "doubt", "unheard", "left", "stream", "", "", "", "", "")
         )
-        if what == "list":
-            self.listed(
+        if event == "list":
+            self.update_endpoints(
                 [
-                    self.pod(any_of(range(14)), max(1, build - any_of((-1, 0, 0, 1, 1))))
-                    for _ in range(any_of((0, 1, 5)))
+                    self.random_endpoint(
+                        choose(range(14)), max(1, build - choose((-1, 0, 0, 1, 1)))
+                    )
+                    for _ in range(choose((0, 1, 5)))
                 ],
-                any_of((UpdateKind.DELTA, UpdateKind.DELTA, UpdateKind.FULL)),
+                choose((UpdateKind.DELTA, UpdateKind.DELTA, UpdateKind.FULL)),
             )
-        elif what == "tally":
-            self.tell(
+        elif event == "tally":
+            self.handle(
                 *(
                     FleetCounts(
                         some,
-                        lane,
-                        any_of((0, 1, 50)),
-                        any_of((0, 0, 1, 20)),
+                        class_name,
+                        choose((0, 1, 50)),
+                        choose((0, 0, 1, 20)),
                         spread,
-                        any_of((0, 5_000)),
+                        choose((0, 5_000)),
                     )
                     for some in (build - 1, build)
                 )
             )
-        elif what in ("complaint", "doubt", "unheard"):
-            self.tell(
+        elif event in ("complaint", "doubt", "unheard"):
+            self.handle(
                 {
-                    "complaint": ComplaintReceived(spread, pod, lane),
+                    "complaint": ComplaintReceived(spread, endpoint, class_name),
                     "unheard": LateResponseSeen("k", build - 1),
                     "doubt": SuspicionReported(
-                        pod, self.pods[pod].build, self.pods[pod].started, self.now + spread
+                        endpoint,
+                        self.endpoints[endpoint].build,
+                        self.endpoints[endpoint].started,
+                        self.now + spread,
                     ),
-                }[what]
+                }[event]
             )
-        elif waiting := [name for name, held in self.held.items() if not held["over"]]:
-            name = any_of(waiting)
-            if what == "left":
-                self.over(name, "left")
-                self.tell(ClientDisconnected(name))
-            elif what == "stream" and len(sent := self.held[name]["sent"]) == 1 and sent[0]["out"]:
-                self.held[name]["streams"] = 1
-                self.tell(ResponseStarted(name, sent[0]["pod"], 0, 1))
+        elif waiting := [
+            request_id for request_id, request in self.requests.items() if not request["over"]
+        ]:
+            request_id = choose(waiting)
+            if event == "left":
+                self.close(request_id, "left")
+                self.handle(ClientDisconnected(request_id))
+            elif (
+                event == "stream"
+                and len(sent := self.requests[request_id]["sent"]) == 1
+                and sent[0]["out"]
+            ):
+                self.requests[request_id]["streams"] = 1
+                self.handle(ResponseStarted(request_id, sent[0]["pod"], 0, 1))
 
     # What the instance does.
 
-    def over(self, name, how):
-        self.held[name]["over"] = True
-        self.checker.answered(self.now, 0, name, how)
+    def close(self, request_id, outcome):
+        self.requests[request_id]["over"] = True
+        self.checker.answered(self.now, 0, request_id, outcome)
 
-    def at(self, moment, act, *values):
+    def schedule(self, moment, callback, *values):
         self.number += 1
-        heapq.heappush(self.queue, (max(moment, self.now), self.number, act, values))
+        heapq.heappush(self.queue, (max(moment, self.now), self.number, callback, values))
 
-    def tell(self, *events):
-        actions = self.made.handle(self.now, events)
-        self.said.append(repr(actions))
+    def handle(self, *events):
+        actions = self.engine.handle(self.now, events)
+        self.action_log.append(repr(actions))
         for action in actions:
             self.ACTIONS[type(action)](self, action)
 
     def deliver(self, action):
-        held, pod = self.held[action.id], self.pods[action.endpoint]
+        request, endpoint = self.requests[action.id], self.endpoints[action.endpoint]
         self.checker.sent(
             self.now,
             0,
             action.id,
             action.endpoint,
-            pod.build,
-            lane=held["lane"],
-            key=held["key"] or action.id,
+            endpoint.build,
+            lane=request["lane"],
+            key=request["key"] or action.id,
         )
         if (
-            held["over"]
-            or sum(one["out"] for one in held["sent"]) > self.terms.hedging_allowed
+            request["over"]
+            or sum(other["out"] for other in request["sent"]) > self.settings.hedging_allowed
             or action.timeout <= 0
         ):
-            self.checker._broke(2, self.now, f"{action}: {held}")
-        held["sent"].append(
-            {"out": True, "pod": action.endpoint, "build": pod.build, "at": self.now}
+            self.checker._broke(2, self.now, f"{action}: {request}")
+        request["sent"].append(
+            {"out": True, "pod": action.endpoint, "build": endpoint.build, "at": self.now}
         )
-        if len(held["sent"]) > self.terms.max_attempts:
+        if len(request["sent"]) > self.settings.max_attempts:
             self.checker._broke(2, self.now, f"{action}: one too many")
-        within = min(action.timeout, held["ends"] - self.now)
-        after = self.chance.choice((0, 1, 50, 2_000, 10**6)) if not self.calm else self.step // 8
-        outcome = self.chance.choice(
-            [Outcome.DONE] * 6 + [one for one in self.RAN if one != Outcome.CANCELLED]
+        within = min(action.timeout, request["ends"] - self.now)
+        after = self.random.choice((0, 1, 50, 2_000, 10**6)) if not self.calm else self.step // 8
+        outcome = self.random.choice(
+            [Outcome.DONE] * 6
+            + [other for other in self.MAY_HAVE_RUN_BY_OUTCOME if other != Outcome.CANCELLED]
         )
-        self.at(
+        self.schedule(
             self.now + min(after, within),
             self.end,
             action.id,
-            len(held["sent"]) - 1,
+            len(request["sent"]) - 1,
             Outcome.DONE if self.calm else Outcome.TIMED_OUT if after > within else outcome,
         )
 
-    def end(self, name, number, outcome):
-        held = self.held[name]
-        attempt = held["sent"][number]
+    def end(self, request_id, number, outcome):
+        request = self.requests[request_id]
+        attempt = request["sent"][number]
         if not attempt["out"]:
             return
         attempt["out"] = False
-        self.checker.proved(0, name, number, self.RAN[outcome])
-        if (outcome == Outcome.DONE or held["streams"]) and not held["over"]:
-            self.over(name, "done")
-        if outcome == Outcome.DONE and self.terms.sticky_keys:
-            self.checker.key_answered(0, held["key"] or name, attempt["build"])
+        self.checker.proved(0, request_id, number, self.MAY_HAVE_RUN_BY_OUTCOME[outcome])
+        if (outcome == Outcome.DONE or request["streams"]) and not request["over"]:
+            self.close(request_id, "done")
+        if outcome == Outcome.DONE and self.settings.sticky_keys:
+            self.checker.key_answered(0, request["key"] or request_id, attempt["build"])
         load = (
-            (float("nan"),) * len(self.terms.load_metrics) if self.chance.random() < 0.1 else None
+            (float("nan"),) * len(self.settings.load_metrics)
+            if self.random.random() < 0.1
+            else None
         )
-        self.tell(
+        self.handle(
             AttemptEnded(
-                name, outcome, held["over"], self.now - attempt["at"], attempt["pod"], number, load
+                request_id,
+                outcome,
+                request["over"],
+                self.now - attempt["at"],
+                attempt["pod"],
+                number,
+                load,
             )
         )
 
-    def recall(self, action):
-        if self.held[action.id]["sent"][action.number]["out"]:
-            self.at(self.now, self.end, action.id, action.number, Outcome.CANCELLED)
+    def cancel(self, action):
+        if self.requests[action.id]["sent"][action.number]["out"]:
+            self.schedule(self.now, self.end, action.id, action.number, Outcome.CANCELLED)
 
-    def ask(self, _):
-        self.at(
+    def fetch(self, _):
+        self.schedule(
             self.now + 100,
-            self.tell,
-            EndpointUpdate(self.chance.choice((UpdateKind.FETCH_FAILED, UpdateKind.DELTA)), ()),
+            self.handle,
+            EndpointUpdate(self.random.choice((UpdateKind.FETCH_FAILED, UpdateKind.DELTA)), ()),
         )
 
     def vote(self, action):
         allowed = {
-            Verdict.PROMOTE: self.terms.promotion_mode != PromotionMode.TIMER,
-            Verdict.PAUSE: self.terms.promotion_mode == PromotionMode.TIMER,
+            Verdict.PROMOTE: self.settings.promotion_mode != PromotionMode.TIMER,
+            Verdict.PAUSE: self.settings.promotion_mode == PromotionMode.TIMER,
         }
         if not allowed.get(action.verdict, True):
             self.checker._broke(5, self.now, f"{action} is no vote here")
-        self.at(
-            self.now + self.chance.choice((1, 500)),
-            lambda how: self.tell(self.news(True, how)),
-            self.chance.choice(
+        self.schedule(
+            self.now + self.random.choice((1, 500)),
+            lambda outcome: self.handle(self.release_update(True, outcome)),
+            self.random.choice(
                 (Outcome.DONE, Outcome.DONE, Outcome.REJECTED, Outcome.NOT_SENT, Outcome.TIMED_OUT)
             ),
         )
 
     ACTIONS = {
         SendAttempt: deliver,
-        CancelAttempt: recall,
-        SubscribeToEndpoints: ask,
-        FetchEndpoints: ask,
+        CancelAttempt: cancel,
+        SubscribeToEndpoints: fetch,
+        FetchEndpoints: fetch,
         CastVote: vote,
-        Reject: lambda self, action: self.over(action.id, "deferred"),
-        Fail: lambda self, action: self.over(action.id, "abandoned"),
-        SetTimer: lambda self, action: self.at(action.at, self.tell, TimerFired(action.token)),
+        Reject: lambda self, action: self.close(action.id, "deferred"),
+        Fail: lambda self, action: self.close(action.id, "abandoned"),
+        SetTimer: lambda self, action: self.schedule(
+            action.at, self.handle, TimerFired(action.token)
+        ),
         LogNote: lambda self, action: None,
     }
 
     def play(self):
         """Turn by turn; then what is open ends. Gives the breaches, among them what is left over."""
         for turn in range(self.TURNS):
-            self.at(self.now + self.step * turn, self.turn)
+            self.schedule(self.now + self.step * turn, self.turn)
         last = (
             self.now
             + self.step * self.TURNS
-            + max(lane.outer_limit for lane in self.terms.request_classes.values())
+            + max(
+                request_class.outer_limit
+                for request_class in self.settings.request_classes.values()
+            )
             + 1
         )
         while self.queue[0][0] <= last:
-            self.now, _, act, values = heapq.heappop(self.queue)
-            act(*values)
+            self.now, _, callback, values = heapq.heappop(self.queue)
+            callback(*values)
             yield
         self.checker.ended(last + 100)
-        if self.made.requests.open or self.checker.open:
+        if self.engine.requests.open or self.checker.open:
             self.checker._broke(
                 1, last, f"open yet: {list(self.made.requests.open)} {list(self.checker.open)}"
             )
@@ -890,12 +958,12 @@
             self.checker._broke(0, last, "it has stopped looking")
 
 
-def played(*worlds):
+def run_alternately(*random_instances):
     """What each says, turn and turn about."""
-    plays = [world.play() for world in worlds]
-    while plays:
-        plays = [play for play in plays if next(play, plays) is not plays]
-    return [world.said for world in worlds]
+    runs = [instance.play() for instance in random_instances]
+    while runs:
+        runs = [run for run in runs if next(run, runs) is not runs]
+    return [instance.action_log for instance in random_instances]
 
 
 class RandomSettingsTest(unittest.TestCase):
@@ -904,11 +972,15 @@
     SEEDS = range(80)
 
     def faults(self, seed, calm):
-        world = World(seed, calm)
-        played(world)
-        served = {held["lane"] for held in world.held.values()}
-        unserved = [how for how in world.checker.over.values() if how != "done"] if calm else []
-        return world.checker.broken[:3], unserved, bool(served)
+        instance = RandomInstance(seed, calm)
+        run_alternately(instance)
+        served = {request["lane"] for request in instance.requests.values()}
+        unserved = (
+            [outcome for outcome in instance.checker.over.values() if outcome != "done"]
+            if calm
+            else []
+        )
+        return instance.checker.broken[:3], unserved, bool(served)
 
     def test_random_settings_answer_every_request_once_in_time_and_keep_the_invariants(self):
         for seed in self.SEEDS:
@@ -923,50 +995,64 @@
     def test_two_alternating_instances_decide_as_each_alone(self):
         for seed in self.SEEDS[::6]:
             with self.subTest(seed=seed):
-                alone = [played(World(seed))[0], played(World(seed + 1))[0]]
-                self.assertEqual(played(World(seed), World(seed + 1)), alone)
+                expected = [
+                    run_alternately(RandomInstance(seed))[0],
+                    run_alternately(RandomInstance(seed + 1))[0],
+                ]
+                self.assertEqual(
+                    run_alternately(RandomInstance(seed), RandomInstance(seed + 1)), expected
+                )
 
 
 class SettingsLimitsTest(unittest.TestCase):
     """The program itself, at all lower edges and at all upper ones together; its classes have times to be served in."""
 
-    def changed(self, edge):
-        def change(told):
-            for path, values in EDGES.items():
-                put(told["settings"], path, values[edge])
-            told["settings"].update(ADDED, discovery="automatic")
+    def change_settings(self, edge):
+        def change(document):
+            for path, values in SETTING_EDGES.items():
+                set_path(document["settings"], path, values[edge])
+            document["settings"].update(UNKNOWN_SETTINGS, discovery="automatic")
             if (
                 not edge
             ):  # nothing is promised to who gives a connection a tenth of a millisecond to come up
-                put(told["settings"], "permissions.connect_timeout", 10**9)
-            lane, effects = told["settings"]["categories"][0], LANE_EDGES["semantics"]
-            told["settings"]["categories"] = [
-                {**lane, "name": name, "semantics": effects[number % 3], "worth": edge + 1}
-                for number, name in enumerate(NAMES)
+                set_path(document["settings"], "permissions.connect_timeout", 10**9)
+            category, semantics = document["settings"]["categories"][0], CLASS_EDGES["semantics"]
+            document["settings"]["categories"] = [
+                {
+                    **category,
+                    "name": class_name,
+                    "semantics": semantics[number % 3],
+                    "worth": edge + 1,
+                }
+                for number, class_name in enumerate(NAMES)
             ]
-            put(
-                told,
+            set_path(
+                document,
                 "limits",
                 [{"sockets": 64}, {"cores": 0.05, "sockets": None, "memory_mb": None}][edge],
             )
             for key in ("zone", "kind", "cell", "weight"):
-                del told["known"]["servers"][0][key]
+                del document["known"]["servers"][0][key]
 
         return change
 
     def test_sidecar_serves_every_class_at_each_limit(self):
         for edge in (0, -1):
-            pod = PodPeer()
-            self.addCleanup(pod.close)
+            endpoint = PodPeer()
+            self.addCleanup(endpoint.close)
             with (
-                Program(pod.entry("пoд №1 {x}"), change=self.changed(edge)) as program,
+                Program(endpoint.entry("пoд №1 {x}"), change=self.change_settings(edge)) as program,
                 program.client() as client,
             ):
-                for number, name in enumerate(NAMES * 2):
-                    said = client.ask(
-                        "SVC.SUBMIT", "k", f"{number:x}", f"c={name},t=té nant,d=5000,k=a", "BODY"
+                for number, class_name in enumerate(NAMES * 2):
+                    response = client.ask(
+                        "SVC.SUBMIT",
+                        "k",
+                        f"{number:x}",
+                        f"c={class_name},t=té nant,d=5000,k=a",
+                        "BODY",
                     )
-                    self.assertEqual(said, b"%x" % number, (edge, name))
+                    self.assertEqual(response, b"%x" % number, (edge, class_name))
                 program.process.terminate()
                 self.assertEqual(program.process.wait(PATIENCE), 0)
                 faults = [line for line in list(program.lines.queue) if b'"level":"error"' in line]
--- a/tests/unit/service/test_structured_log.py
+++ b/tests/unit/service/test_structured_log.py
@@ -18,26 +18,29 @@
 
 
 class StructuredLogTest(unittest.TestCase):
-    def lines(self, code, **more):
-        ended = subprocess.run(
+    def lines(self, code, **environment):
+        result = subprocess.run(
             [sys.executable, "-c", f"from thymeknot.service import structured_log as logs; {code}"],
             timeout=20,
             capture_output=True,
             text=True,
-            env={**os.environ, **more},
+            env={**os.environ, **environment},
         )
-        return [json.loads(line) for line in ended.stdout.splitlines()], ended.stderr
+        return [json.loads(line) for line in result.stdout.splitlines()], result.stderr
 
     def test_every_logged_event_is_declared(self):
-        said = set()
+        logged = set()
         for folder, _, names in os.walk(os.path.dirname(thymeknot.__file__)):
             for name in names:
                 if name.endswith(".py"):
                     with open(os.path.join(folder, name), encoding="utf-8") as source:
-                        said |= {one or two for one, two in CALL.findall(source.read())}
-        self.assertGreater(len(said), 20)
-        self.assertEqual(said - LEVELS.keys(), set())
-        self.assertEqual(LEVELS.keys() - said, set())
+                        logged |= {
+                            called or constructed
+                            for called, constructed in CALL.findall(source.read())
+                        }
+        self.assertGreater(len(logged), 20)
+        self.assertEqual(logged - LEVELS.keys(), set())
+        self.assertEqual(LEVELS.keys() - logged, set())
 
     def test_line_starts_with_the_time_and_has_a_level_above_info(self):
         (vote, fault, other), errors = self.lines(
