--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -81,7 +81,7 @@
 
 
 class RateLimitedService(Service):
-    """The laboratory's service as kept streams dial it."""
+    """The simulator's shared service, dialled by watch streams."""
 
     def __init__(self, rate, clock):
         self.timers = TimerQueue(
@@ -127,7 +127,7 @@
             for step in range(seconds * 20):
                 clock.advance(0.05)
                 for index in range(28 if step / 20 == restart_at else 0):
-                    streams[index].start = lambda: None  # its process is gone
+                    streams[index].start = lambda: None  # its process was killed
                     streams[index] = self.start_stream(service, callers, step + index + 1)
             self.assertEqual(sum(stream.current is not None for stream in streams), 40)
             self.assertLess(service.refused, max_refused)
@@ -226,7 +226,7 @@
             )
         self.assertIsNone(
             SnapshotValidator().validate("a", 1, True, 0, 0)
-        )  # with nothing known, nobody is news
+        )  # no endpoint was known before
 
     def test_list_that_would_remove_all_endpoints_only_ends_its_stream(self):
         for content in (
@@ -271,7 +271,7 @@
         connections.drop(lambda connection: connection[0] == 0)
         connections.give(
             70 + IDLE_TIMEOUT, connection, "p", True
-        )  # what its process held is gone with it
+        )  # the connections of the killed process were dropped
         self.assertEqual(connections.held["p"], 0)
 
 
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -1,4 +1,4 @@
-"""The ends of attempts, connections and dials to endpoints, with each order of events set explicitly."""
+"""Ends of attempts, connections and dials to endpoints, with the order of events controlled."""
 
 import array
 import fcntl
@@ -37,14 +37,14 @@
 
 
 class ResetTransport(Transport):
-    """A transport whose other side has reset it, which the loop has not got to yet."""
+    """A transport reset by the peer, before the reactor has reported it."""
 
     def shutdown(self, how):
         raise OSError
 
 
 def record_attempt_ends(network):
-    """Has each attempt's end counted, beside what is done with it."""
+    """Returns a list to which the end of each attempt is added."""
     ends, attempt_ended = [], network.proxy.attempt_ended
 
     def record(attempt, outcome, response=None):
@@ -100,7 +100,7 @@
     def test_received_response_wins_over_a_deadline_of_the_same_reactor_turn(self):
         network, deferred_calls = Network(endpoint_entry("s-1")), []
         timers, wake = network.proxy.timers, network.proxy.timers.wake
-        # A loop reads its sockets between two calls that are due: what is due at once comes a turn later.
+        # The reactor reads its sockets between timer calls, so a call without delay runs a turn later.
         timers.wake = lambda seconds, *call: (
             deferred_calls.append(call) if not seconds else wake(seconds, *call)
         )
@@ -132,7 +132,7 @@
 
 
 class IdleConnectionEndTest(unittest.TestCase):
-    """A connection is lost a turn of the loop after its end was settled."""
+    """The reactor reports a lost connection one turn after it was closed."""
 
     def network_with_idle_connection(self):
         network = Network(endpoint_entry("s-1"))
@@ -145,11 +145,11 @@
         return network, connection
 
     def test_attempt_during_the_close_of_an_idle_connection_uses_another(self):
-        for end in ("more", "told idle time", "pod gone"):
+        for end in ("surplus response", "idle timeout", "endpoint removed"):
             network, connection = self.network_with_idle_connection()
-            if end == "more":
+            if end == "surplus response":
                 connection.dataReceived(VALUE_RESPONSE)
-            elif end == "pod gone":
+            elif end == "endpoint removed":
                 network.proxy.pools.close_idle("s-1")
             else:
                 for _ in range(13):
@@ -201,10 +201,10 @@
 
 
 class LateResponseTest(unittest.TestCase):
-    """Answers carry no id: a second one, some milliseconds late, must not meet the next request."""
+    """Responses carry no id: a duplicate a few milliseconds late must not answer the next request."""
 
     def network_with_answered_request(self, *other_ids):
-        """A network whose first request was answered, while these others were asked or wait for a dial."""
+        """Returns a network whose first request was answered while the others wait for a connection."""
         network = Network(endpoint_entry("s-1"))
         clients = [network.ask("01")]
         connection = network.connect()
@@ -248,13 +248,13 @@
         network.reactor.advance(0.02)
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
         self.assertIn(b"$2\r\n03\r\n", network.connect().transport.value())
-        self.assertEqual(network.connect(-2).transport.value(), b"")  # its dial is spare
+        self.assertEqual(
+            network.connect(-2).transport.value(), b""
+        )  # no attempt is left for this dial
 
     def test_new_attempt_does_not_overtake_a_waiting_one(self):
         network, connection, _ = self.network_with_answered_request("02")
-        network.proxy.timers.clock = lambda: (
-            1_000_200
-        )  # its rest is over, and its deadline has not come
+        network.proxy.timers.clock = lambda: 1_000_200  # after the rest, before its timer has fired
         network.ask("03")
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
         self.assertIn(b"$2\r\n03\r\n", network.connect().transport.value())
@@ -264,7 +264,7 @@
         network.refuse()
         self.assertEqual(
             dialled_endpoint_ports(network), [7001, 7001, 7001]
-        )  # never ran: asked for again
+        )  # not run, so it is dialled again
         network.reactor.advance(0.02)
         self.assertIn(b"$2\r\n02\r\n", connection.transport.value())
 
@@ -283,7 +283,7 @@
         self.assertEqual((client.transport.value(), connection.transport.disconnected), (b"", True))
         self.assertEqual(
             dialled_endpoint_ports(network), [7001, 7001]
-        )  # it never ran, so a binding one may go again
+        )  # not run, so even a non-idempotent request is retried
 
 
 class RestartedEndpointTest(unittest.TestCase):
@@ -300,8 +300,8 @@
             for connection in (idle, in_use):
                 connection.resumeProducing()
             idle.dataReceived(VALUE_RESPONSE)
-            clients.append(network.ask("03"))  # the idle one rests: it is dialled for
-            network.proxy.engine.pinned_keys.clear()  # else the key stays with the former build
+            clients.append(network.ask("03"))  # the idle connection rests, so a new one is dialled
+            network.proxy.engine.pinned_keys.clear()  # otherwise the key is sticky to the previous build
             network.update_endpoints(endpoint_entry("s-1", **changes))
             self.assertTrue(idle.transport.disconnecting)
             self.assertEqual(network.connect(network.initial_dials + 2).transport.value(), b"")
@@ -312,7 +312,7 @@
             for connection in (
                 in_use,
                 replacement,
-            ):  # what was out may end, and its connection ends with it
+            ):  # attempts in flight may complete; the old connection then closes
                 connection.dataReceived(VALUE_RESPONSE)
             self.assertEqual(
                 (in_use.transport.disconnected, replacement.transport.disconnected), (True, False)
@@ -322,7 +322,7 @@
 
 class ConnectionRestCostTest(unittest.TestCase):
     def count_dials(self, rest, requests_per_second, endpoint_count, response_steps):
-        """Connections dialled in half a minute, of pods that take so many steps of 5 ms for an answer."""
+        """Returns the dials in 30 s to endpoints that respond after `response_steps` steps of 5 ms."""
         network, random_source, connections, connected = (
             Network(*(endpoint_entry(f"s-{at}") for at in range(1, endpoint_count + 1))),
             random.Random(11),
@@ -368,8 +368,10 @@
 
 
 class DuplicateResponsePeer(PodPeer):
-    """Answers a request; the next one that comes on another connection has it answer the first again, there, and
-    wait until that connection has been ended for it."""
+    """Responds a second time on the previous connection when a request arrives on another one.
+
+    It then waits until the previous connection is closed, before it responds to the new request.
+    """
 
     def __init__(self):
         self.previous, self.duplicates, self.closed_connections = None, 0, queue.Queue()
@@ -402,12 +404,12 @@
                         client.ask("SVC.QUERY", "a", request_id, READ), request_id.encode()
                     )
 
-            # A pair that the machine held apart for longer than the rest goes on one connection, and is no case.
+            # If the machine delays the second request beyond the rest, both use one connection: try again.
             until(lambda: endpoint.duplicates, send_two_requests)
 
 
 class CloseAfterResponsePeer(PodPeer):
-    """Ends the connection behind its whole answer, and the program reads neither until both have come."""
+    """Closes the connection right after a response; the sidecar is stopped until both have arrived."""
 
     def __init__(self, reset):
         self.reset, self.process = reset, None
@@ -437,7 +439,7 @@
 
 
 class BytewiseResponsePeer(PodPeer):
-    """Its answers come byte by byte."""
+    """Sends its responses byte by byte."""
 
     def serve(self, connection, stream):
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
@@ -494,8 +496,11 @@
 
 class DialExceptionTest(unittest.TestCase):
     def test_attempt_whose_dial_raises_ends_and_is_not_counted_in_flight(self):
-        """Where the network library raises as a connection is dialled, the attempt stood in the pool's queue, out for the
-        proxy and in flight for the decisions, for good: its client was answered as overdue, and nothing let go of it."""
+        """An exception of the network library while dialling must end the attempt.
+
+        It used to stay in the queue of the pool, and in flight for proxy and engine, for ever; its
+        client was answered only as overdue.
+        """
         network = Network(endpoint_entry("s-1"))
         network.reactor.connectTCP = mock.Mock(side_effect=OverflowError("no such port"))
         client = network.ask("01")
@@ -508,10 +513,10 @@
 
 
 class HeldAttemptTest(unittest.TestCase):
-    """What waits for a connection, or is not written whole, is held to all terms up to its last byte."""
+    """Attempts that are not completely written must meet all conditions until their last byte."""
 
     def network_with_waiting_retry(self, class_name="mark", deduplication_window=10_000):
-        """A network whose request may have run once, 0.9 s ago, and is asked for again: it waits for its dial."""
+        """Returns a network in which a retry waits for its dial, 0.9 s after the first attempt."""
         network = Network(endpoint_entry("s-1"))
         request_classes = network.proxy.settings.request_classes
         request_classes[class_name] = request_classes[class_name]._replace(
@@ -530,7 +535,7 @@
         advance(network, 0.09)
         self.assertEqual(client.transport.value(), b"")
         advance(network, 0.02)
-        self.assertRegex(client.transport.value(), b"^-ERR")  # and not -BUSY: it may have run
+        self.assertRegex(client.transport.value(), b"^-ERR")  # not -BUSY, since it may have run
         self.assertEqual(network.connect().transport.value(), b"")
         self.assertEqual((len(network.proxy.requests_in_flight), network.faults), (0, []))
 
@@ -559,7 +564,7 @@
     def test_non_idempotent_request_that_may_have_run_is_never_written_again(
         self,
     ):
-        for progress in ("written", "in part", "not connected"):
+        for progress in ("written", "partly written", "not connected"):
             network = Network(endpoint_entry("s-1"))
             network.proxy.engine.handle = lambda *_: []
             network.ask("01", request_class="pay")
@@ -581,7 +586,7 @@
                 self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
 
     def bytes_after_change(self, change, partly_written):
-        """(what waited or was written in part, as a pod saw it; whether its request is in hand still)."""
+        """Returns what the endpoint received of an attempt that waited or was partly written."""
         network = Network(
             endpoint_entry("s-1", build=42), version=42, step=0, status="trial", maxWeight=1.0
         )
@@ -598,13 +603,13 @@
             "drain": lambda network: network.update_endpoints(
                 endpoint_entry("s-1", build=42, state="Terminating")
             ),
-            "gone from a whole list": lambda network: network.proxy.endpoints.apply(
+            "missing from a snapshot": lambda network: network.proxy.endpoints.apply(
                 discovery.read_list(
                     {"version": 9, "full": True, "servers": [endpoint_entry("s-2", build=42)]}, 0
                 ),
                 "again",
             ),
-            "gone": lambda network: network.update_endpoints(
+            "removed": lambda network: network.update_endpoints(
                 endpoint_entry("s-1", build=42, state="Gone")
             ),
             "restart": lambda network: network.update_endpoints(
@@ -619,7 +624,7 @@
             "lower cap": lambda network: network.proxy.handle_events(
                 ReleaseUpdate(42, 0, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 0.0, 0)
             ),
-            "going back": lambda network: network.proxy.handle_events(
+            "rolling back": lambda network: network.proxy.handle_events(
                 ReleaseUpdate(42, 0, ReleasePhase.ROLLING_BACK, False, Outcome.DONE, 0.0, 0)
             ),
             "withdrawn": lambda network: network.proxy.handle_events(
@@ -660,12 +665,12 @@
         network.update_endpoints(endpoint_entry("s-1", addr="127.0.0.1:8001"))
         self.assertEqual(
             dialled_endpoint_ports(network), [7001, 8001]
-        )  # at once, not when the former dial ends
+        )  # at once, without waiting for the previous dial
         self.assertEqual(network.connect(network.initial_dials).transport.value(), b"")
         self.assertIn(b"$2\r\n01\r\n", network.connect().transport.value())
         self.assertEqual(
             len(network.proxy.pools), 2
-        )  # the former is ended, and the loop has not told of it yet
+        )  # the previous one is closed, but the reactor has not reported it yet
 
     def test_key_answered_by_the_newest_build_meanwhile_goes_to_no_earlier_build(self):
         for sticky, expected_port in ((True, 7002), (False, 7001)):
@@ -684,7 +689,7 @@
             self.assertEqual(dialled_endpoint_ports(network), [7001])
             network.proxy.handle_events(
                 LateResponseSeen("key", 42)
-            )  # by an attempt of another request with this key
+            )  # from an attempt of another request with this key
             self.assertEqual(bool(network.connect().transport.value()), not sticky)
             self.assertEqual(dialled_endpoint_ports(network)[-1], expected_port)
             if sticky:
@@ -712,12 +717,12 @@
 
 class IdleTimeoutTest(unittest.TestCase):
     def test_no_connection_is_used_past_a_short_idle_timeout(self):
-        """The pod closes it by then, and what is written to it ends as a reset: a binding one would be lost."""
+        """The endpoint would close it, and a non-idempotent request written to it would fail."""
         for idle_timeout, wait_seconds, expected_dials in (
             (4_000, 0.2, 1),
             (4_000, 0.35, 2),
             (1, 0.02, 2),
-        ):  # less than between two looks
+        ):  # shorter than the interval between two checks
             network = Network(endpoint_entry("s-1"))
             network.proxy.pools.connection_limits = network.proxy.connection_limits._replace(
                 idle_timeout=idle_timeout
@@ -735,7 +740,7 @@
 
 
 class ExposureWindowTest(unittest.TestCase):
-    """Dials that hang for nearly the told time and come up at once: all that waited is written in one moment."""
+    """Dials hang almost until their timeout; then all waiting attempts are written at once."""
 
     HANG_SECONDS, REQUESTS_PER_SECOND = 1.0, 20
 
@@ -749,7 +754,7 @@
             for at in (
                 0,
                 engine_settings.exposure_window,
-            ):  # ten at once, and a window later: its edge lies within their bucket
+            ):  # ten at once, then ten a window later, whose edge lies within the bucket of the first
                 allowed = [
                     exposure.count_received(at, "read")
                     or exposure.allows(at, update, 42, "read")
@@ -786,7 +791,7 @@
                 0,
                 engine_settings.exposure_window,
                 engine_settings.exposure_allowance + 2,
-            )  # as the protocol has it
+            )  # the tolerance of the protocol
             checker.cap(0, "", 42, cap * 1.04, 0, phase="trial")
             for step in range(2000):
                 now, dials_hang = step * 100, step >= 800 and step % 400 < self.HANG_SECONDS * 100
@@ -822,7 +827,7 @@
                         connection.dataReceived(VALUE_RESPONSE)
                     elif connection.transport.disconnecting or (
                         dials_hang and int(endpoint[2:]) > 4
-                    ):  # the pod pauses
+                    ):  # the endpoint pauses
                         connections.remove(connection)
                         connection.connectionLost(Failure(ConnectionLost()))
             self.assertEqual([text for rule, _, text in checker.broken if rule == 5], [])
@@ -830,7 +835,7 @@
 
 
 class HeldEndpointPeer:
-    """A pod that takes connections only when it is told to: until then they do not come up."""
+    """An endpoint that accepts connections only on demand; until then they are not established."""
 
     def __init__(self):
         self.listener, self.backlog_sockets, self.heard = socket.socket(), [], []
@@ -839,14 +844,14 @@
         self.address = "127.0.0.1:%d" % self.listener.getsockname()[1]
 
     def fill_backlog(self):
-        """Fills the queue of those that are to be accepted: the machine answers no further one."""
+        """Fills the backlog, so that the kernel completes no further connection."""
         while not self.backlog_sockets or select.select([], self.backlog_sockets[-1:], [], 0.2)[1]:
             self.backlog_sockets.append(socket.socket())
             self.backlog_sockets[-1].setblocking(False)
             self.backlog_sockets[-1].connect_ex(self.listener.getsockname())
 
     def accept_one(self):
-        """The next connection, and the first command on it."""
+        """Accepts the next connection, and reads the first command."""
         connection, _ = self.listener.accept()
         with connection.makefile("rb") as stream:
             words = words_of(stream)
@@ -899,9 +904,9 @@
             connection.close()  # reset: it may have run
             time.sleep(
                 window_seconds + 0.1
-            )  # it was decided before it was heard: its window is over, however long this takes
+            )  # the window started before the command was received, so it is over now
             endpoint.accept_all()
-            # The next one waits for the same dials, so where the repeat is written it is heard before the answer.
+            # The next request waits for the same dials, so a retry would be received before its response.
             with self.subTest("answered"):
                 self.assertRegex(client.answer(), b"^-ERR")
             self.assertEqual(client.ask("SVC.QUERY", "a", "02", READ), b"02")
@@ -947,7 +952,7 @@
         )
 
     def test_self_connected_dial_is_not_used(self):
-        """At a port of this machine that nobody listens at: what is written comes back, and reads as an answer."""
+        """A dial to a local port without a listener may connect to itself and read its own request."""
         network = Network(endpoint_entry("s-1"))
         ends, client = record_attempt_ends(network), network.ask("01", request_class="pay")
         connection, transport = network.reactor.tcpClients[-1][2].buildProtocol(None), Transport()
@@ -968,12 +973,15 @@
 
 
 class MalformedResponseTest(unittest.TestCase):
-    """What a pod sends without sense or end costs its own connection, and is let go."""
+    """A malformed or endless response closes its own connection only, and is not buffered."""
 
     BULK = b"$%d\r\n%s\r\n" % (500_000, b"x" * 500_000)
 
     def outcome_of(self, content):
-        """(how the attempt ended, how much was read) of one that gets this in pieces, beside another request."""
+        """Returns the outcome of an attempt that receives this content, and the bytes read.
+
+        Another request runs on a second connection, which must not be affected.
+        """
         network, bytes_read = Network(endpoint_entry("s-1")), 0
         ends, client, other = (
             record_attempt_ends(network),
@@ -999,7 +1007,7 @@
                 for call in log.call_args_list
                 if call.args[0] == "late response discarded"
             ]
-            self.assertRegex(lines[-1], "answer")  # what was wrong with it
+            self.assertRegex(lines[-1], "answer")  # says what was malformed
         other_connection.dataReceived(VALUE_RESPONSE)
         self.assertEqual(other.transport.value(), b"$1\r\nv\r\n")
         connection.connectionLost(Failure(ConnectionLost()))
@@ -1029,7 +1037,7 @@
             outcome, bytes_read = self.outcome_of(content)
             self.assertEqual(
                 (outcome, bytes_read < 800_000), (Outcome.DONE, True)
-            )  # its value was whole
+            )  # its value was complete
 
     def test_nested_array_ends_the_response_but_a_complete_value_counts(self):
         self.assertEqual(self.outcome_of(b"*3\r\n$1\r\nv\r\n" + b"*64\r\n" * 3)[0], Outcome.DONE)
@@ -1089,7 +1097,7 @@
     "restarted": {"started_ms": 7000},
     "other build": {"build": 40},
 }
-# What comes, how often among all that comes, and its choices; a number chooses, or says which of what there is.
+# Step -> (weight, arguments to choose from by a number). Without arguments the number is passed.
 STEP_TYPES = {
     "send_request": (
         6,
@@ -1127,7 +1135,7 @@
 
 
 class World:
-    """A network of two pods on which all that can come in any order does: each step is one thing that comes."""
+    """A network of two endpoints, on which events happen in any order: each step is one event."""
 
     def __init__(self, test):
         self.test, self.faults = test, []
@@ -1144,7 +1152,7 @@
         self.pools.max_connections = 9
 
     def pending_dials(self):
-        """Takes up dials that are new, ends those that were stopped; gives those that are under way."""
+        """Registers new dials, ends stopped ones, and returns the pending ones."""
         while self.dials_seen < len(self.network.reactor.tcpClients):
             _, port, factory, *_ = self.network.reactor.tcpClients[self.dials_seen]
             if port > 7000:
@@ -1176,11 +1184,11 @@
             connection.makeConnection(transport())
 
     def connect_with_unread_data(self, index):
-        """The pod answers, or closes, before anything was asked."""
+        """Connects; the endpoint has sent data, or closed, before any request."""
         self.connect(index, UnreadDataTransport)
 
     def send_and_write_request(self, class_name, timeout_ms):
-        """One is asked, and written at once."""
+        """Sends a request that is written at once."""
         self.send_request(class_name, timeout_ms)
         self.connect(-1)
         self.write(-1)
@@ -1246,7 +1254,7 @@
         )
 
     def deliver_closes(self):
-        """The loop tells of the connections that were ended."""
+        """Reports the closed connections as lost, as the reactor does in its next turn."""
         closed = [
             candidate
             for candidate in self.connections
@@ -1257,7 +1265,7 @@
             connection.connectionLost(Failure(ConnectionLost()))
 
     def receive_good(self, index):
-        """One that waits for its answer gets a good one."""
+        """An attempt that waits for its response gets a good one."""
         if connection := self.pick(
             [
                 candidate
@@ -1269,7 +1277,7 @@
             self.receive(self.connections.index(connection), "good")
 
     def receive_any(self, number):
-        """Whatever may come, on any connection."""
+        """Any response arrives on any connection."""
         self.receive(number // len(RESPONSES), sorted(RESPONSES)[number % len(RESPONSES)])
 
     def list_ready(self, name):
@@ -1336,7 +1344,7 @@
                 assert_equal(locations, 1) if attempt.in_flight else None
 
     def end(self):
-        """Nothing more comes from outside: each request has its one answer, and nothing is kept."""
+        """Ends all input: each request must have exactly one response, and nothing may be retained."""
         for _ in range(40):
             while self.pending_dials():
                 self.refuse(0)
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -37,7 +37,7 @@
 
 
 def configuration_object(*entries, **release):
-    """A configuration's object: build 41 released, unless the news says otherwise."""
+    """Returns the JSON object of a configuration; build 41 is released unless overridden."""
     return {
         "name": "n1",
         "listen": "127.0.0.1:1",
@@ -60,7 +60,7 @@
     }
 
 
-OPEN_SOCKETS = socket.socketpair()  # a connection whose other side is there
+OPEN_SOCKETS = socket.socketpair()  # a connection whose peer is open
 
 
 class Transport(StringTransport):
@@ -87,18 +87,18 @@
         return OPEN_SOCKETS[0].fileno()
 
     def startWriting(self):
-        """As the network's own: once all is written, who is registered to be asked for more is asked."""
+        """As Twisted's transport: once all is written, a pull producer is asked for more."""
         if self.producer and not self.streaming:
             self.producer.resumeProducing()
 
     def registerProducer(self, producer, streaming):
         super().registerProducer(producer, streaming)
-        if not streaming:  # as the network's own does: a pull producer is asked at once
+        if not streaming:  # as in Twisted: a pull producer is asked at once
             producer.resumeProducing()
 
 
 class Network:
-    """A sidecar on a network that exists in memory alone."""
+    """A sidecar on an in-memory network."""
 
     def __init__(self, *entries, sockets=1024, polled=False, **release):
         self.reactor, self.faults = MemoryReactorClock(), []
@@ -128,7 +128,7 @@
         return connection
 
     def close_states(self, *clients):
-        """Whether sending has ended there, and a while later the connection."""
+        """Returns per client whether sending has ended, and whether the connection closes 0.2 s later."""
         half_closed = [client.transport.ended for client in clients]
         self.reactor.advance(0.2)
         self.reactor.advance(0)
@@ -138,7 +138,7 @@
         ]
 
     def dialled_ports(self):
-        """The ports of pods that were dialled."""
+        """Returns the ports of endpoints that were dialled, in order."""
         return [port for _, port, *_ in self.reactor.tcpClients[self.initial_dials :]]
 
     def connect(self, at=-1):
@@ -285,7 +285,7 @@
 
 class UnexpectedBytesTest(unittest.TestCase):
     def network_with_response(self, response, stale=False):
-        """A network on which a first transaction was answered so, and a second one is asked then."""
+        """Returns a network whose first request got this response, and the connection."""
         network = Network(endpoint_entry("s-1"))
         client = network.ask("01", timeout_ms=900)
         connection = network.connect()
@@ -310,7 +310,9 @@
         network, connection = self.network_with_response(VALUE_RESPONSE, stale=True)
         self.assertTrue(connection.transport.disconnected)
         network, connection = self.network_with_response(VALUE_RESPONSE)
-        network.reactor.advance(0.02)  # else it rests, and the next one goes on another anyway
+        network.reactor.advance(
+            0.02
+        )  # otherwise it rests, and the next request uses another one anyway
         connection.transport.has_unread_data = True
         network.ask("02")
         self.assertEqual(
@@ -372,7 +374,7 @@
         active = network.ask("01")
         clients = [network.client() for _ in range(network.proxy.listener.max_clients - 2)]
         clients[0].dataReceived(b"*2")
-        clients[1].transport.has_unread_data = True  # its command has come, but is not read yet
+        clients[1].transport.has_unread_data = True  # its command has arrived, but is not read yet
         newest = [network.client() for _ in range(2)]
         self.assertTrue(clients[0].transport.disconnected)
         self.assertEqual(
@@ -477,7 +479,7 @@
 
 class PlatformAndDiscoveryCallsTest(unittest.TestCase):
     def cast_vote(self, network):
-        """What the decisions hear of a vote, once the connector of its call is there."""
+        """Casts a vote; returns the list of events that the engine receives from then on."""
         handled_events = []
         network.proxy.releases.cast_vote(CastVote(41, 1, Verdict.ABORT))
         network.proxy.engine.handle = lambda now, events: handled_events.extend(events) or []
@@ -530,7 +532,7 @@
         network = Network()
         stream = network.connect(1)
         stream.dataReceived(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        for _ in range(6):  # a sign each second
+        for _ in range(6):  # a keep-alive each second
             self.advance(network, 1)
             stream.dataReceived(b"2\r\n:\n\r\n")
         dialled = [port for _, port, *_ in network.reactor.tcpClients]
@@ -570,7 +572,7 @@
             changed["deployer"]["address"] = f"127.0.0.1:{port}"
             self.assertEqual(network.proxy.reconfigure(configuration.parse(changed, 0)), [])
         network.refuse()
-        old.dataReceived(keep_alive)  # does not end the asking, as it would at its own address
+        old.dataReceived(keep_alive)  # does not stop the retries, since it is from the old address
         for _ in range(9):
             self.advance(network, 0.1)
         new = network.connect()
--- a/tests/unit/proxy/test_release_channel.py
+++ b/tests/unit/proxy/test_release_channel.py
@@ -32,8 +32,10 @@
 
 class VoteResponseTest(unittest.TestCase):
     def state_after_vote(self, event_fields, response_fields):
-        """The state held once a vote's call was out for 0.2 s, the stream told this halfway, and then its answer
-        came."""
+        """Returns the release state after a vote response that arrives after a stream event.
+
+        The event, if any, arrives 0.1 s after the vote was cast, and the response 0.1 s later.
+        """
         network = Network(
             endpoint_entry("s-1"),
             endpoint_entry("s-2", build=42),
@@ -55,7 +57,7 @@
         votes = []
         network.proxy.engine.voting.handle_response = lambda update: votes.append(update.outcome)
         call.dataReceived(reply(**response_fields))
-        self.assertEqual(votes, [Outcome.DONE])  # the vote counted, whichever state is the newer
+        self.assertEqual(votes, [Outcome.DONE])  # the vote counts, whichever state is newer
         proxy_state, engine_state = (
             (release.build, STATUS_BY_PHASE[release.phase], release.cap)
             for release in (network.proxy.releases.latest, network.proxy.engine.context.release)
@@ -68,7 +70,7 @@
             3000,
             50,
             0,
-        ):  # also where it was so long on its way that it looks newer
+        ):  # also if it was so long in transit that it seems newer
             self.assertEqual(
                 self.state_after_vote(
                     {"status": "rolling_back", "cap": 0.0}, {"observed_ago_ms": observed_ago_ms}
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -30,7 +30,7 @@
         self.record(R.POSITION, R.SENT, R.ENDED, R.DONE)
         self.assertEqual(
             (self.summary.flush(NOW), self.lines), (NOW + LOG_INTERVAL, [])
-        )  # nothing turned away is no line
+        )  # no line if nothing was rejected
         for reasons in (
             (R.OVER_LIMIT, R.DEFERRED),
             (R.OVER_LIMIT, R.DEFERRED),
@@ -40,7 +40,7 @@
         ):
             self.record(*reasons)
         self.summary.record("another", R.BY_LOT)
-        self.record(R.DEFERRED)  # not by what decided another transaction
+        self.record(R.DEFERRED)  # not counted with the reason of another request
         self.summary.flush(NOW + LOG_INTERVAL, pressure=0.5)
         self.assertEqual(
             self.lines,
@@ -86,7 +86,7 @@
 
 
 class SimulatedFaultsTest(unittest.TestCase):
-    """What a fault does to what reaches pods and instances, seen from outside the decisions."""
+    """Effects of injected faults on endpoints and instances, apart from the decisions."""
 
     def simulator_with_fault(self, kind, seed=3):
         day, (begin, _) = large_fleet_scenarios.drawn(seed, kind, 9, 6, 20, load=0.3, good=True)
@@ -133,7 +133,7 @@
         )
         self.assertEqual(
             (simulator.cut_zones, notified), (set(), list(range(9)))
-        )  # what was missed is told again
+        )  # missed events are sent again
 
     def test_work_delayed_by_a_pause_resumes_after_it(self):
         simulator, _ = self.simulator_with_fault("herd")
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -81,7 +81,7 @@
 
 
 def other_settings():
-    """Settings that differ from the helpers' in everything, with the same names for other classes."""
+    """Returns settings that differ from SETTINGS in every value, but share class names."""
     settings = copy.deepcopy(SETTINGS)
     settings.update(
         balancers=40, discovery="subscribe", stats={"names": ["rate"], "source": "piggyback"}
@@ -125,7 +125,7 @@
 
 
 class ScriptedInstance:
-    """One instance and its pods, that answer by turns; the same events whatever else the host holds."""
+    """An instance with endpoints whose outcomes rotate, whatever other instances do."""
 
     OUTCOMES = "delivered", "app_error", "delivered", "shed", "delivered", "expired", "dial_failed"
 
@@ -134,7 +134,7 @@
         self.attempt_counts, self.pending_results, self.actions = {}, [], []
 
     def events(self, batch, table):
-        """The lines of a batch. table: the numbers of its lists."""
+        """Returns the lines of a batch; `table` is the number of its endpoint list."""
         if batch == 0:
             pods = [
                 f"ENTRY {self.zone} 1 0 on - {self.zone}:{port} m {41 + port % 2}"
@@ -182,7 +182,7 @@
 
 
 def run_batches(*scripted):
-    """All that each of them does in one host."""
+    """Runs the instances in one host; returns the actions of each."""
     host = Host()
     for batch in range(BATCH_COUNT):
         lines = [
@@ -199,7 +199,7 @@
 
 
 def instances(name="sidecar-2"):
-    """Two instances whose settings have nothing in common."""
+    """Returns two instances whose settings have nothing in common."""
     return (
         ScriptedInstance("sidecar-1", SETTINGS, ("read", "mark", "pay"), "10.0.0.1"),
         ScriptedInstance(name, other_settings(), ("pay", "weigh", "read"), "10.0.0.2"),
@@ -207,7 +207,7 @@
 
 
 def run_in_process(index, name="sidecar-2"):
-    """What one of them does in a process of its own: nothing that another left in this one can reach it."""
+    """Returns the actions of one instance in a process of its own, free of state left by another."""
     code = (
         "import json; from tests.unit.service.test_settings import instances, run_batches; "
         f"print(json.dumps(run_batches(instances({name!r})[{index}])))"
@@ -223,7 +223,7 @@
         expected = [run_in_process(0), run_in_process(1)]
         self.assertEqual(run_batches(*instances()), expected)
         self.assertEqual(run_batches(*reversed(instances())), expected[::-1])
-        for actions in expected:  # it decided on more than one thing, and never failed
+        for actions in expected:  # more than one kind of action, and no fault
             self.assertGreater(len({line.split(" ")[0] for line in actions}), 2)
             self.assertFalse([line for line in actions if line.startswith("FAULT")])
         self.assertNotEqual(*[[line.split(" ")[0] for line in actions] for actions in expected])
@@ -283,7 +283,7 @@
         self.assertEqual(self.reload(document)[1], ["name", "seed", "settings"])
 
     def test_reload_does_not_name_keys_without_effect(self):
-        """Addresses are taken up; the list and the news told how things stood; the rest the program does not read."""
+        """Addresses are applied; the list and the news describe the state at start; the rest is not read."""
         for path, new in {
             "discovery": "127.0.0.1:8501",
             "deployer.address": "127.0.0.1:6401",
@@ -442,7 +442,7 @@
         )
 
     def test_equivalent_values_are_read_as_equal(self):
-        """Whole numbers as others write them, no voter needed, and keys added that could pass for others."""
+        """Integers written as floats, no required votes, and added keys that resemble paths."""
         original, expected = example()["settings"], configuration.parse(example(), 0)
         for *path, key, new in (
             ("extra", "window", float(original["extra"]["window"])),
@@ -491,7 +491,7 @@
             settings = configuration.parse(example(), 0).settings._replace(
                 warmup_duration=warmup_duration, warmup_initial_fraction=initial_fraction
             )
-            for now in (20, 70, 71):  # the clock may be behind the pod's
+            for now in (20, 70, 71):  # the clock may be behind the endpoint's
                 self.assertGreater(
                     endpoint.warmup_fraction(now, settings),
                     0,
@@ -511,7 +511,7 @@
                 )
 
 
-# What a value may be, from edge to edge: times in nanoseconds, shares, counts.
+# Valid values including both limits: times in nanoseconds, fractions, counts.
 SETTING_EDGES = {
     "balancers": (1, 2, 6, 500),
     "discovery": ("automatic", "subscribe"),
@@ -577,7 +577,7 @@
 
 
 def random_configuration(random_source):
-    """Whole settings that a deployment may have, each of them at an edge or between."""
+    """Returns a valid configuration with random settings, at or between their limits."""
     document = example()
     for path, values in SETTING_EDGES.items():
         set_path(document["settings"], path, random_source.choice(values))
@@ -600,8 +600,10 @@
 
 
 class RandomInstance:
-    """An instance under drawn settings amid events of every kind, in simulated time, before the checkers' eyes. calm:
-    all is well, and a request comes once the one before is answered."""
+    """An engine with random settings and events of every kind, in simulated time, under the checker.
+
+    If `calm`, nothing fails, and each request is sent after the response to the previous one.
+    """
 
     TURNS, GRACE_TICKS = 120, 2_500
     MAY_HAVE_RUN_BY_OUTCOME = {
@@ -655,7 +657,7 @@
         )
         self.handle(self.release_update())
 
-    # What comes.
+    # Events.
 
     def random_endpoint(self, number, build):
         choose = self.random.choice
@@ -812,7 +814,7 @@
                 self.requests[request_id]["streams"] = 1
                 self.handle(ResponseStarted(request_id, sent[0]["pod"], 0, 1))
 
-    # What the instance does.
+    # Actions of the engine.
 
     def close(self, request_id, outcome):
         self.requests[request_id]["over"] = True
@@ -849,7 +851,7 @@
             {"out": True, "pod": action.endpoint, "build": endpoint.build, "at": self.now}
         )
         if len(request["sent"]) > self.settings.max_attempts:
-            self.checker._broke(2, self.now, f"{action}: one too many")
+            self.checker._broke(2, self.now, f"{action}: exceeds max_attempts")
         within = min(action.timeout, request["ends"] - self.now)
         after = self.random.choice((0, 1, 50, 2_000, 10**6)) if not self.calm else self.step // 8
         outcome = self.random.choice(
@@ -909,7 +911,7 @@
             Verdict.PAUSE: self.settings.promotion_mode == PromotionMode.TIMER,
         }
         if not allowed.get(action.verdict, True):
-            self.checker._broke(5, self.now, f"{action} is no vote here")
+            self.checker._broke(5, self.now, f"{action} is not allowed with this promotion mode")
         self.schedule(
             self.now + self.random.choice((1, 500)),
             lambda outcome: self.handle(self.release_update(True, outcome)),
@@ -933,7 +935,7 @@
     }
 
     def play(self):
-        """Turn by turn; then what is open ends. Gives the breaches, among them what is left over."""
+        """Runs all turns, then ends what is in flight; open requests and a missing tick are violations."""
         for turn in range(self.TURNS):
             self.schedule(self.now + self.step * turn, self.turn)
         last = (
@@ -952,14 +954,14 @@
         self.checker.ended(last + 100)
         if self.engine.requests.open or self.checker.open:
             self.checker._broke(
-                1, last, f"open yet: {list(self.made.requests.open)} {list(self.checker.open)}"
+                1, last, f"still open: {list(self.made.requests.open)} {list(self.checker.open)}"
             )
         if not any(values and values[0] == TimerFired(0) for _, _, _, values in self.queue):
-            self.checker._broke(0, last, "it has stopped looking")
+            self.checker._broke(0, last, "the tick timer is not set")
 
 
 def run_alternately(*random_instances):
-    """What each says, turn and turn about."""
+    """Runs the instances alternately; returns the actions of each."""
     runs = [instance.play() for instance in random_instances]
     while runs:
         runs = [run for run in runs if next(run, runs) is not runs]
@@ -967,7 +969,7 @@
 
 
 class RandomSettingsTest(unittest.TestCase):
-    """Settings drawn by seed, always the same ones."""
+    """Settings from fixed seeds."""
 
     SEEDS = range(80)
 
@@ -1005,16 +1007,17 @@
 
 
 class SettingsLimitsTest(unittest.TestCase):
-    """The program itself, at all lower edges and at all upper ones together; its classes have times to be served in."""
+    """The sidecar process with all settings at their lower, then at their upper limits.
+
+    The times of its classes are excepted, so that requests can be served.
+    """
 
     def change_settings(self, edge):
         def change(document):
             for path, values in SETTING_EDGES.items():
                 set_path(document["settings"], path, values[edge])
             document["settings"].update(UNKNOWN_SETTINGS, discovery="automatic")
-            if (
-                not edge
-            ):  # nothing is promised to who gives a connection a tenth of a millisecond to come up
+            if not edge:  # a connection timeout of 0.1 ms would let no request through
                 set_path(document["settings"], "permissions.connect_timeout", 10**9)
             category, semantics = document["settings"]["categories"][0], CLASS_EDGES["semantics"]
             document["settings"]["categories"] = [
