--- a/thymeknot/coordination/incarnation.py
+++ b/thymeknot/coordination/incarnation.py
@@ -1,41 +1,41 @@
-"""The incarnation: a number of this start, greater than those of all earlier starts."""
+"""The incarnation: a number of this start that is greater than those of all earlier starts."""
 
 import os
 import time
 
-FILE_NAME = "start"
-"""The file in the data folder that keeps the number of the last start."""
+INCARNATION_FILE = "start"
+"""Name of the file in the data folder that holds the last incarnation."""
 
-READ_CHARACTERS = 20
-"""Characters that are read of the file: the digits of any 64-bit number."""
+MAX_DIGITS = 20
+"""Maximum number of characters read from the file: the digits of any 64-bit number."""
 
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
 def next_incarnation(folder: str) -> int:
-    """Numbers this start, and writes the number to the disk before it is used.
+    """Returns the incarnation of this start, after writing it to the disk.
 
-    It is greater than the last number, and at least the calendar's milliseconds, so that it also
-    grows where the file was lost.
+    It is greater than the last one and at least the Unix time in milliseconds, so that it also
+    grows if the file was lost.
 
     Args:
-        folder: The data folder; it is made if it is missing.
+        folder: The data folder; it is created if it is missing.
 
     Raises:
         OSError: The folder or the file can't be used.
     """
-    path = os.path.join(folder, FILE_NAME)
-    last = 0
+    path = os.path.join(folder, INCARNATION_FILE)
+    last_incarnation = 0
     os.makedirs(folder, exist_ok=True)
     try:
         with open(path, encoding="ascii") as source:
-            last = int(source.read(READ_CHARACTERS))
+            last_incarnation = int(source.read(MAX_DIGITS))
     except (FileNotFoundError, ValueError):
-        pass  # a first start, or a damaged file: the calendar stands in for the last number
-    number = max(last + 1, time.time_ns() // NANOSECONDS_PER_MILLISECOND)
+        pass  # first start or damaged file: the calendar time takes the place of the last number
+    incarnation = max(last_incarnation + 1, time.time_ns() // NANOSECONDS_PER_MILLISECOND)
     with open(path + ".part", "w", encoding="ascii") as target:
-        target.write(str(number))
+        target.write(str(incarnation))
         target.flush()
         os.fsync(target.fileno())
     os.replace(path + ".part", path)
-    return number
+    return incarnation
--- a/thymeknot/disruption/release_commands.py
+++ b/thymeknot/disruption/release_commands.py
@@ -1,4 +1,4 @@
-"""The commands that are about releases: start one, roll one back, vote on a wave."""
+"""Commands on releases: start a release, roll it back, vote on a wave."""
 
 from collections.abc import Callable
 from typing import Any
@@ -14,35 +14,37 @@
 from .targets import CommandRejectedError, matches, parse_selector
 
 MAX_WAVES = 64
-# Ticks after which to ask again for a release that waits for another one.
+# Ticks until a retry makes sense while another release has the same units.
 RELEASE_RETRY_TICKS = 10 * TICKS_PER_SECOND
-# Ticks after which to ask again for a release when too many are under way.
-PLACE_RETRY_TICKS = 60 * TICKS_PER_SECOND
+# Ticks until a retry makes sense while there is no room for another release.
+CAPACITY_RETRY_TICKS = 60 * TICKS_PER_SECOND
 
 
 def start_release(rollouts: Rollouts, command: StartReleaseCommand) -> ReleaseReply:
-    """Adds a release, or tells the state of the one that the same command added before.
+    """Adds a release, or returns the state of the release if the command is a repeat.
 
     Raises:
-        CommandRejectedError: it can't be started, or not now.
+        CommandRejectedError: the release can't be started, or can't be started now.
     """
     name = command.release
-    known = rollouts.by_name.get(name)
-    if known:
-        _check_successor(known, command)
-        if command.epoch == known.epoch:
-            return ReleaseReply(name, known.state.value)
+    existing = rollouts.by_name.get(name)
+    if existing:
+        _check_successor(existing, command)
+        if command.epoch == existing.epoch:
+            return ReleaseReply(name, existing.state.value)
     if command.build == command.earlier:
         raise CommandRejectedError(
             f"build {command.build} is the earlier one too: there is nothing to release", [name]
         )
-    members = _choose_members(rollouts.fleet, command)
+    members = _select_members(rollouts.fleet, command)
     waves = _parse_waves(command.waves, len(members))
-    other = rollouts.find_earlier(None, set(members))
+    other = rollouts.find_conflicting(None, set(members))
     if other and not command.wait:
-        raise _make_busy_error(other)
+        raise _make_conflict_error(other)
     if not rollouts.make_room():
-        raise CommandRejectedError("too many releases are under way", retry_after=PLACE_RETRY_TICKS)
+        raise CommandRejectedError(
+            "too many releases are under way", retry_after=CAPACITY_RETRY_TICKS
+        )
     release = rollouts.add(
         name=name,
         epoch=command.epoch,
@@ -63,60 +65,68 @@
     )
 
 
-def _make_busy_error(other: Release) -> CommandRejectedError:
-    """The rejection of a release while another one has the same units."""
-    doing = "on its way back" if other.state in ROLLBACK_STATES else other.state
+def _make_conflict_error(other: Release) -> CommandRejectedError:
+    """Returns the rejection for a release whose units another release has."""
+    activity = "on its way back" if other.state in ROLLBACK_STATES else other.state
     return CommandRejectedError(
-        f"release {other.name} is {doing} with the same units; ask again after it, or with wait",
+        f"release {other.name} is {activity} with the same units; ask again after it, or with wait",
         [other.name],
         RELEASE_RETRY_TICKS,
     )
 
 
-def _check_successor(known: Release, command: StartReleaseCommand) -> None:
-    """Raises CommandRejectedError if a command neither repeats a release nor may replace it."""
+def _check_successor(existing: Release, command: StartReleaseCommand) -> None:
+    """Checks that a command repeats the release of the same name or may replace it.
+
+    Raises:
+        CommandRejectedError: it does neither.
+    """
     name = command.release
-    if command.epoch < known.epoch:
+    if command.epoch < existing.epoch:
         raise CommandRejectedError(
-            f"epoch {command.epoch} of release {name} is over; it is {known.epoch} now", [name]
+            f"epoch {command.epoch} of release {name} is over; it is {existing.epoch} now", [name]
         )
-    if command.epoch == known.epoch:
-        if (known.build, known.earlier_build) != (command.build, command.earlier):
+    if command.epoch == existing.epoch:
+        if (existing.build, existing.earlier_build) != (command.build, command.earlier):
             raise CommandRejectedError(
-                f"release {name} of epoch {command.epoch} is of build {known.build}; "
+                f"release {name} of epoch {command.epoch} is of build {existing.build}; "
                 "a new one needs a higher epoch",
                 [name],
             )
-    elif known.state not in ENDED_STATES:
+    elif existing.state not in ENDED_STATES:
         raise CommandRejectedError(
-            f"release {name} is {known.state}; its way back goes first",
+            f"release {name} is {existing.state}; its way back goes first",
             [name],
             RELEASE_RETRY_TICKS,
         )
 
 
-def _choose_members(fleet: Fleet, command: StartReleaseCommand) -> list[str]:
-    """Names of the units of a release, in the order in which they are disrupted.
+def _select_members(fleet: Fleet, command: StartReleaseCommand) -> list[str]:
+    """Returns the names of a release's units, in the order in which they are disrupted.
 
-    Racks take turns: else those that request at once would stand in few racks, whose budgets let
-    few of them go.
+    The order interleaves racks. Otherwise the units that request permits at the same time would be
+    in a few racks, whose budgets allow only a few disruptions at once.
     """
     selector = parse_selector(command.where)
     members = [name for name, unit in sorted(fleet.units.items()) if matches(selector, unit.labels)]
     if not members:
         raise CommandRejectedError(f"release {command.release} chooses no unit", [command.release])
     units_by_rack: dict[str | None, int] = {}
-    place_in_rack: dict[str, int] = {}
+    position_in_rack: dict[str, int] = {}
     for name in members:
         rack = fleet.units[name].labels.get("rack")
         units_by_rack[rack] = units_by_rack.get(rack, 0) + 1
-        place_in_rack[name] = units_by_rack[rack]
-    members.sort(key=lambda name: (place_in_rack[name], name))
+        position_in_rack[name] = units_by_rack[rack]
+    members.sort(key=lambda name: (position_in_rack[name], name))
     return members
 
 
 def _parse_waves(shares: list[Any], count: int) -> list[int]:
-    """How many of `count` units are done after each wave, given as rising shares up to 1."""
+    """Converts rising shares up to 1 into the cumulative number of `count` units per wave.
+
+    Raises:
+        CommandRejectedError: the shares do not rise, or the last one is not 1.
+    """
     if not 0 < len(shares) <= MAX_WAVES or any(
         isinstance(share, bool) or not isinstance(share, int | float) or not 0 < share <= 1
         for share in shares
@@ -131,7 +141,8 @@
     """Rolls a release back.
 
     Raises:
-        CommandRejectedError: there is no such release, or nothing to roll back, or not now.
+        CommandRejectedError: there is no such release, nothing to roll back, or another release
+            has some of the units.
     """
     release = rollouts.by_name.get(name)
     if release is None:
@@ -141,35 +152,36 @@
             f"epoch {epoch} of release {name} is over; it is {release.epoch} now", [name]
         )
     if release.state in ENDED_STATES:
-        other = rollouts.find_earlier(None, set(release.members))
+        other = rollouts.find_conflicting(None, set(release.members))
         if other:
             raise CommandRejectedError(
                 f"release {other.name} is {other.state} with units of {name}: it goes first",
                 [other.name],
                 RELEASE_RETRY_TICKS,
             )
-    if not rollouts.transition(release, ReleaseInput.TURNED):
+    if not rollouts.transition(release, ReleaseInput.ROLLBACK_ORDERED):
         raise CommandRejectedError(
             f"release {name} is {release.state}: there is nothing to bring back", [name]
         )
     return ReleaseReply(name, release.state.value)
 
 
-def take_vote(
-    rollouts: Rollouts, command: VoteCommand, enforce: Callable[[Halt], None]
+def apply_vote(
+    rollouts: Rollouts, command: VoteCommand, enforce_halt: Callable[[Halt], None]
 ) -> VoteReply | VotedBackReply:
-    """Takes the decision module's verdict on the wave that it has seen.
+    """Applies the decision module's verdict on a wave of a release.
 
-    `on` lets the next wave begin, `hold` takes that back while it did not begin, `back` halts the
-    release and, with automatic rollback, rolls it back.
+    `on` approves the next wave. `hold` withdraws that approval if the wave has not begun. `back`
+    halts the release and, with automatic rollback, rolls it back.
 
     Args:
         rollouts: all releases.
         command: the verdict.
-        enforce: ends what a halt ends at once.
+        enforce_halt: withdraws the unused permits that a new halt holds.
 
     Raises:
-        CommandRejectedError: the release or its wave is another one, or can't be voted back.
+        CommandRejectedError: the release, its epoch or its wave is not the current one, or the
+            release is in a state in which it can't be voted back.
     """
     release = rollouts.by_name.get(command.release)
     if release is None or command.epoch != release.epoch:
@@ -177,7 +189,7 @@
             f"no release {command.release} of epoch {command.epoch}", [command.release]
         )
     if command.verdict == Verdict.ROLL_BACK:
-        return _vote_back(rollouts, release, command.why, enforce)
+        return _apply_rollback_vote(rollouts, release, command.why, enforce_halt)
     if command.wave != release.wave:
         raise CommandRejectedError(
             f"release {release.name} is in wave {release.wave}, the vote is on wave {command.wave}",
@@ -188,8 +200,8 @@
     return VoteReply(release.state.value, release.wave)
 
 
-def _vote_back(
-    rollouts: Rollouts, release: Release, why: str | None, enforce: Callable[[Halt], None]
+def _apply_rollback_vote(
+    rollouts: Rollouts, release: Release, why: str | None, enforce_halt: Callable[[Halt], None]
 ) -> VotedBackReply:
     if release.state not in (ReleaseState.RUNNING, ReleaseState.HALTED):
         raise CommandRejectedError(
@@ -202,9 +214,9 @@
         "vote",
         release=release.name,
     )
-    enforce(halt)
+    enforce_halt(halt)
     rollouts.transition(release, ReleaseInput.HALTED)
     if release.auto_rollback:
-        rollouts.transition(release, ReleaseInput.TURNED)
+        rollouts.transition(release, ReleaseInput.ROLLBACK_ORDERED)
     bound = rollouts.fleet.settings.halt_bound()
     return VotedBackReply(release.state.value, halt.number, bound)
--- a/thymeknot/disruption/state_machine.py
+++ b/thymeknot/disruption/state_machine.py
@@ -1,9 +1,9 @@
-"""The state machine that the log is applied to.
+"""The replicated state machine of disruptions, to which the entries of the log are applied.
 
-It is deterministic: it knows no time but `at`, no randomness, and no order but that of names and
-numbers. A command is a mapping as `commands` reads it, a reply one as `replies` writes it. Nothing
-that a command holds makes it raise. A rejected command has changed nothing but what time changes,
-save that a rejected begin ends its permit.
+It is deterministic: its only time is `at`, it uses no randomness, and it iterates in the order of
+names and numbers. Commands are mappings as decoded by `command_reader`, replies are mappings as
+encoded by `replies`. No content of a command makes it raise. A rejected command changes nothing
+beyond the effects of the passage of time, except that a rejected begin ends its permit.
 """
 
 from collections.abc import Callable
@@ -51,31 +51,31 @@
 )
 from .plan_epochs import PlanEpochs
 from .release import PLAN_PREFIX, ReleaseState
-from .release_commands import roll_back_release, start_release, take_vote
+from .release_commands import apply_vote, roll_back_release, start_release
 from .replies import (
     AcceptedReply,
-    CalledReply,
+    CalledBackReply,
     DeclareReply,
     HaltReply,
     ReleaseReply,
     Reply,
+    ReportReply,
     ResumeReply,
-    SeenReply,
     StatusReply,
     UnitReply,
     UnitStatusReply,
     VotedBackReply,
     VoteReply,
-    write_fields,
-    write_rejection,
+    encode_fields,
+    encode_rejection,
 )
 from .rollouts import Rollouts
 from .status import describe_unit, make_order, report_status
 from .targets import CommandRejectedError, matches, parse_selector
 
-# Names of reports that were not understood that a reply has.
-MAX_STRANGE_SHOWN = 8
-# Commands after which releases go on.
+# Names of unknown or malformed reports that a reply lists.
+MAX_INVALID_NAMES_SHOWN = 8
+# Commands after which each release takes its next step.
 RELEASE_ROUND_COMMANDS = (
     CommandName.TICK,
     CommandName.HALT,
@@ -88,15 +88,15 @@
 
 
 class DisruptionStateMachine:
-    """Units, budgets, permits, halts and releases, changed by commands alone.
+    """Units, budgets, permits, halts and releases, which only commands change.
 
     Attributes:
         fleet: units and budgets.
-        halts: the halts that stand.
+        halts: the halts in force.
         releases: all releases.
         plans: the epochs of plans.
-        permits: takes the commands that are about the permit of one unit.
-        epoch: the epoch of the newest declaration.
+        permit_commands: applies the commands on the permit of one unit.
+        epoch: epoch of the newest declaration.
     """
 
     def __init__(self) -> None:
@@ -104,28 +104,33 @@
         self.halts = Halts()
         self.releases = Rollouts(self.fleet, self.halts)
         self.plans = PlanEpochs(self.fleet)
-        self.permits = PermitCommands(self.fleet, self.plans, self.explain_hold)
+        self.permit_commands = PermitCommands(self.fleet, self.plans, self.explain_hold)
         self.epoch = 0
         self._handlers: dict[type[Command], Callable[[Any], Reply]] = {
             DeclareCommand: self._declare,
-            ReportUnitsCommand: self._seen,
-            RequestPermitCommand: self._ask,
+            ReportUnitsCommand: self._report_units,
+            RequestPermitCommand: self._request_permit,
             TickCommand: self._tick,
             BeginCommand: self._begin,
-            ReportDrainedCommand: self._out,
+            ReportDrainedCommand: self._report_drained,
             ReturnCommand: self._return,
-            ReportReadyCommand: self._ready,
+            ReportReadyCommand: self._report_ready,
             HaltCommand: self._halt,
             ResumeCommand: self._resume,
-            RollBackCommand: self._back,
-            StartReleaseCommand: self._release,
+            RollBackCommand: self._roll_back,
+            StartReleaseCommand: self._start_release,
             VoteCommand: self._vote,
             CancelCommand: self._cancel,
-            StatusCommand: self._report,
+            StatusCommand: self._status,
         }
 
     def apply(self, at: Any, command: Any) -> dict[str, Any]:
-        """Takes a command at agreed time `at`, never earlier than the last; gives its reply."""
+        """Applies a command and returns its reply.
+
+        Args:
+            at: agreed time of the command; time does not go back if it is earlier than the last.
+            command: the command as a mapping.
+        """
         fleet = self.fleet
         if is_non_negative_integer(at):
             fleet.advance_time(at)
@@ -135,54 +140,54 @@
             parsed_name, parsed = parse_command(command)
             reply = self._handlers[type(parsed)](parsed)
             name = parsed_name
-            written = {"ok": True, **write_fields(reply)}
+            encoded = {"ok": True, **encode_fields(reply)}
         except CommandRejectedError as rejection:
-            written = write_rejection(rejection)
-        self._settle(name)
+            encoded = encode_rejection(rejection)
+        self._apply_consequences(name)
         if isinstance(reply, UnitReply):
-            written.update(
-                write_fields(describe_unit(fleet, fleet.units[reply.unit], self.explain_hold))
+            encoded.update(
+                encode_fields(describe_unit(fleet, fleet.units[reply.unit], self.explain_hold))
             )
-        written["at"] = fleet.at
-        return written
+        encoded["at"] = fleet.at
+        return encoded
 
     def read(self, command: Any) -> tuple[CommandName, dict[str, Any]]:
-        """Checks a command without applying it; gives its name and fields.
+        """Checks a command without applying it, and returns its name and fields.
 
         Raises:
-            CommandRejectedError: it is malformed.
+            CommandRejectedError: the command is malformed.
         """
         return read_fields(command)
 
     def explain_hold(self, unit: Unit) -> str | None:
-        """The sentence of a halt that holds a unit's request, or None."""
+        """Returns the description of a halt that holds a unit's request, or None."""
         halt = self.halts.find_halt_of_request(unit, self.releases.find_requester(unit.request))
         return halt.describe() if halt else None
 
-    # What follows from any command.
+    # Consequences of every command.
 
-    def _settle(self, name: CommandName | None) -> None:
-        """Halts what exceeded budgets, has releases go on, and grants what fits."""
+    def _apply_consequences(self, name: CommandName | None) -> None:
+        """Halts where a budget was exceeded, advances releases and grants permits that fit."""
         fleet = self.fleet
         exceeded = fleet.newly_exceeded
         fleet.newly_exceeded = []
         for usage in sorted(exceeded, key=lambda usage: usage.name):
-            self._halt_exceeded(usage)
+            self._halt_exceeded_budget(usage)
         self.halts.end_halts_of_restored_budgets(fleet)
         if name in RELEASE_ROUND_COMMANDS or exceeded:
-            self.releases.run_round()
+            self.releases.advance_releases()
         if fleet.capacity_freed or name == CommandName.TICK:
             scheduler.grant_permits(fleet, self.explain_hold)
 
-    def _halt_exceeded(self, usage: BudgetUsage) -> None:
-        """Crashes exceeded a budget: its place is halted until it is restored.
+    def _halt_exceeded_budget(self, usage: BudgetUsage) -> None:
+        """Halts the units of a budget that crashes exceeded, until the budget is restored.
 
-        Releases with units there are halted until somebody resumes them.
+        Running releases with units in the budget are halted until an operator resumes them.
         """
         why = scheduler.describe_usage(self.fleet, usage)
         by = "budget " + usage.name
         try:
-            self._enforce(
+            self._enforce_halt(
                 self.halts.add(
                     self.fleet.at,
                     HaltCause.BUDGET,
@@ -197,18 +202,18 @@
                 if release.state == ReleaseState.RUNNING and any(
                     matches(usage.selector, unit.labels) for unit in units
                 ):
-                    self._enforce(
+                    self._enforce_halt(
                         self.halts.add(
                             self.fleet.at, HaltCause.CRASHES, why, by, release=release.name
                         )
                     )
         except CommandRejectedError:
-            pass  # too many halts stand; the budget itself still grants nothing
+            pass  # too many halts are in force, but an exceeded budget grants nothing anyway
 
-    def _enforce(self, _halt: Halt) -> None:
-        """Ends the permits that nobody began and that a new halt holds.
+    def _enforce_halt(self, _halt: Halt) -> None:
+        """Ends the permits that were not begun and that a new halt holds.
 
-        Agents that don't hear it are stopped by their bound, since no begin is confirmed any more.
+        Agents that don't learn of the halt stop after their bound, since no begin is confirmed.
         """
         for unit in [
             unit for unit in self.fleet.permitted.values() if unit.state == PermitState.GRANTED
@@ -216,7 +221,7 @@
             if self.explain_hold(unit):
                 self.fleet.transition(unit, PermitInput.HALTED)
 
-    # The commands.
+    # Command handlers.
 
     def _declare(self, command: DeclareCommand) -> DeclareReply:
         if command.epoch < self.epoch:
@@ -231,45 +236,45 @@
             len(declaration.units), len(declaration.budgets), declaration.settings.to_plain()
         )
 
-    def _seen(self, command: ReportUnitsCommand) -> SeenReply:
-        """Takes reports; of units that are not declared, or in another form, they say nothing."""
+    def _report_units(self, command: ReportUnitsCommand) -> ReportReply:
+        """Records reports. The reply names those of undeclared units and those in another form."""
         if command.as_of > self.fleet.at:
             raise CommandRejectedError(
                 f"as_of {command.as_of} is ahead of agreed time {self.fleet.at}"
             )
         self.fleet.last_report_at = self.fleet.at
         orders: dict[str, Any] = {}
-        strange = []
+        invalid_names = []
         for name, report in sorted(command.units.items(), key=lambda pair: str(pair[0])):
             unit = self.fleet.units.get(name)
             if unit is None or not _is_report(report):
-                strange.append(str(name)[:MAX_QUOTED_LENGTH])
+                invalid_names.append(str(name)[:MAX_QUOTED_LENGTH])
                 continue
             status, start, build = report
             self.fleet.record_report(unit, command.as_of, STATUS_BY_VALUE[status], start, build)
             if unit.state in PERMITTED_STATES and unit.start == start:
                 orders[name] = make_order(self.fleet, unit).to_plain()
-        return SeenReply(orders, strange[:MAX_STRANGE_SHOWN] or None)
+        return ReportReply(orders, invalid_names[:MAX_INVALID_NAMES_SHOWN] or None)
 
-    def _ready(self, command: ReportReadyCommand) -> SeenReply:
+    def _report_ready(self, command: ReportReadyCommand) -> ReportReply:
         self.fleet.get_unit(command.unit)
         report = [UnitStatus.READY.value, command.start, command.build]
-        return self._seen(ReportUnitsCommand(command.as_of, {command.unit: report}))
+        return self._report_units(ReportUnitsCommand(command.as_of, {command.unit: report}))
 
-    def _ask(self, command: RequestPermitCommand) -> UnitReply:
-        return self.permits.request(command)
+    def _request_permit(self, command: RequestPermitCommand) -> UnitReply:
+        return self.permit_commands.request(command)
 
     def _begin(self, command: BeginCommand) -> UnitReply:
-        return self.permits.begin(command)
+        return self.permit_commands.begin(command)
 
-    def _out(self, command: ReportDrainedCommand) -> UnitReply:
-        return self.permits.record_drained(command)
+    def _report_drained(self, command: ReportDrainedCommand) -> UnitReply:
+        return self.permit_commands.record_drained(command)
 
     def _return(self, command: ReturnCommand) -> UnitReply:
-        return self.permits.record_return(command)
+        return self.permit_commands.record_return(command)
 
     def _cancel(self, command: CancelCommand) -> UnitReply:
-        return self.permits.cancel(command)
+        return self.permit_commands.cancel(command)
 
     def _tick(self, _command: TickCommand) -> AcceptedReply:
         return AcceptedReply()
@@ -281,16 +286,16 @@
             )
         if command.release is not None and command.release not in self.releases.by_name:
             raise CommandRejectedError(f"no release {command.release}", [command.release])
-        where = parse_selector(command.where) if command.where is not None else None
+        selector = parse_selector(command.where) if command.where is not None else None
         halt = self.halts.add(
             self.fleet.at,
             command.cause,
             command.why,
             command.by,
-            selector=where,
+            selector=selector,
             release=command.release,
         )
-        self._enforce(halt)
+        self._enforce_halt(halt)
         return HaltReply(halt.number, self.fleet.settings.halt_bound())
 
     def _resume(self, command: ResumeCommand) -> ResumeReply:
@@ -303,9 +308,9 @@
         self.fleet.capacity_freed = True
         return ResumeReply(halt.describe(), sorted(self.halts.by_number))
 
-    def _back(self, command: RollBackCommand) -> ReleaseReply | CalledReply:
-        given = (command.release, command.unit, command.plan)
-        if sum(name is not None for name in given) != 1:
+    def _roll_back(self, command: RollBackCommand) -> ReleaseReply | CalledBackReply:
+        targets = (command.release, command.unit, command.plan)
+        if sum(name is not None for name in targets) != 1:
             raise CommandRejectedError("back is of one release, unit or plan")
         if command.release is not None:
             return roll_back_release(self.releases, command.release, command.epoch)
@@ -326,31 +331,31 @@
                 )
         if command.plan is not None and command.epoch is not None:
             self.plans.accept_epoch(command.plan, command.epoch)
-        return CalledReply(
+        return CalledBackReply(
             sorted(unit.name for unit in units if self.fleet.transition(unit, PermitInput.REVOKED))
         )
 
-    def _release(self, command: StartReleaseCommand) -> ReleaseReply:
+    def _start_release(self, command: StartReleaseCommand) -> ReleaseReply:
         return start_release(self.releases, command)
 
     def _vote(self, command: VoteCommand) -> VoteReply | VotedBackReply:
-        return take_vote(self.releases, command, self._enforce)
+        return apply_vote(self.releases, command, self._enforce_halt)
 
-    def _report(self, command: StatusCommand) -> StatusReply | UnitStatusReply:
+    def _status(self, command: StatusCommand) -> StatusReply | UnitStatusReply:
         if command.unit is not None:
             unit = self.fleet.get_unit(command.unit)
             return UnitStatusReply(unit.name, describe_unit(self.fleet, unit, self.explain_hold))
-        where = parse_selector(command.where or {})
-        return report_status(self.fleet, self.halts, self.releases, where, self.explain_hold)
+        selector = parse_selector(command.where or {})
+        return report_status(self.fleet, self.halts, self.releases, selector, self.explain_hold)
 
     def read_status(self, unit: str | None, where: dict[str, Any] | None) -> dict[str, Any]:
-        """The fields of a status reply; changes nothing, so a read may be answered by it."""
-        return write_fields(self._report(StatusCommand(unit, where)))
+        """Returns the fields of a status reply. Changes nothing, so it can answer a read."""
+        return encode_fields(self._status(StatusCommand(unit, where)))
 
     # Snapshots.
 
     def image(self) -> dict[str, Any]:
-        """The snapshot: plain values, the same for the same history."""
+        """Returns a snapshot of plain values, which is the same for the same history."""
         return {
             "fleet": self.fleet.to_plain(),
             "halts": self.halts.to_plain(),
@@ -360,7 +365,7 @@
         }
 
     def load(self, image: dict[str, Any]) -> None:
-        """Takes a snapshot in place of its own state."""
+        """Replaces the state by that of a snapshot."""
         self.fleet.load(image["fleet"])
         self.halts.load(image["halts"])
         self.releases.load(image["releases"])
@@ -369,7 +374,7 @@
 
 
 def _is_report(report: Any) -> bool:
-    """Whether a report of a unit is `[status, start, build]`."""
+    """Whether a unit's report has the form `[status, start, build]`."""
     return (
         isinstance(report, list)
         and len(report) == 3
--- a/thymeknot/disruption/status.py
+++ b/thymeknot/disruption/status.py
@@ -1,4 +1,4 @@
-"""How units, budgets, halts and releases stand, for replies. Changes nothing."""
+"""The status of units, budgets, halts and releases, as replies report it. Changes nothing."""
 
 from collections.abc import Callable
 from typing import Any
@@ -8,19 +8,19 @@
 from .halts import Halts
 from .permits import PERMITTED_STATES, PermitState, Unit
 from .release import Release
-from .replies import ORDER_BY_STATE, Order, StatusReply, UnitStanding, write_fields
+from .replies import ORDER_BY_STATE, Order, StatusReply, UnitDetails, encode_fields
 from .rollouts import Rollouts
 from .scheduler import explain_wait
 from .targets import Selector, matches
 
-# Units, budgets and units set aside that one status names.
-MAX_SHOWN = 512
-# Ticks after which a unit that waits for a permit is to ask again.
+# Units, budgets and set-aside units that one status lists at most, each.
+MAX_ENTRIES_SHOWN = 512
+# Ticks until a unit that waits for a permit should retry its request.
 PERMIT_RETRY_TICKS = TICKS_PER_SECOND
 
 
 def make_order(fleet: Fleet, unit: Unit) -> Order:
-    """What the agent of a unit with a permit is to do."""
+    """Returns the order to the agent of a unit that has a permit."""
     request = unit.granted_request
     return Order(
         do=ORDER_BY_STATE[unit.state],
@@ -34,13 +34,13 @@
 
 def describe_unit(
     fleet: Fleet, unit: Unit, explain_hold: Callable[[Unit], str | None]
-) -> UnitStanding:
-    """Where a unit stands.
+) -> UnitDetails:
+    """Returns the current state of a unit.
 
     Args:
-        fleet: the fleet it is of.
+        fleet: the fleet that the unit belongs to.
         unit: the unit.
-        explain_hold: gives the sentence of a halt that holds a unit's request, or None.
+        explain_hold: returns the description of a halt that holds a unit's request, or None.
     """
     silent = fleet.settings.silent
     is_ready = unit.is_ready(fleet.at, silent)
@@ -51,12 +51,12 @@
         waits = explain_hold(unit)
         if not waits:
             waits, blockers = explain_wait(fleet, unit)
-    is_permitted = unit.state in PERMITTED_STATES
-    return UnitStanding(
+    has_permit = unit.state in PERMITTED_STATES
+    return UnitDetails(
         state=unit.state.value,
         ready=is_ready,
         build=unit.build,
-        order=make_order(fleet, unit).to_plain() if is_permitted else None,
+        order=make_order(fleet, unit).to_plain() if has_permit else None,
         out=None if is_ready else unit.describe_unavailability(fleet.at, silent),
         fault=unit.fault or None,
         waits=waits,
@@ -69,21 +69,21 @@
     fleet: Fleet,
     halts: Halts,
     rollouts: Rollouts,
-    where: Selector,
+    selector: Selector,
     explain_hold: Callable[[Unit], str | None],
 ) -> StatusReply:
-    """How all stand; of the units those that a selector chooses."""
+    """Returns the status of budgets, halts, releases and the units that a selector matches."""
     silent = fleet.settings.silent
-    units = [unit for _, unit in sorted(fleet.units.items()) if matches(where, unit.labels)]
-    away = [unit for unit in units if unit.request or not unit.is_ready(fleet.at, silent)]
+    units = [unit for _, unit in sorted(fleet.units.items()) if matches(selector, unit.labels)]
+    listed = [unit for unit in units if unit.request or not unit.is_ready(fleet.at, silent)]
     return StatusReply(
         terms=fleet.settings.to_plain(),
         units=len(units),
         out=sum(not unit.is_ready(fleet.at, silent) for unit in units),
-        more=max(0, len(away) - MAX_SHOWN),
+        more=max(0, len(listed) - MAX_ENTRIES_SHOWN),
         away={
-            unit.name: write_fields(describe_unit(fleet, unit, explain_hold))
-            for unit in away[:MAX_SHOWN]
+            unit.name: encode_fields(describe_unit(fleet, unit, explain_hold))
+            for unit in listed[:MAX_ENTRIES_SHOWN]
         },
         budgets={
             name: {
@@ -91,7 +91,7 @@
                 "out": len(usage.unavailable),
                 "said": usage.describe_limit(),
             }
-            for name, usage in sorted(fleet.usages.items())[:MAX_SHOWN]
+            for name, usage in sorted(fleet.usages.items())[:MAX_ENTRIES_SHOWN]
         },
         halts={str(number): halt.describe() for number, halt in sorted(halts.by_number.items())},
         releases={
@@ -108,7 +108,7 @@
         "wave": release.wave,
         "waves": len(release.waves),
         "voted": release.approved_waves,
-        "aside": dict(sorted(release.set_aside.items())[:MAX_SHOWN]),
+        "aside": dict(sorted(release.set_aside.items())[:MAX_ENTRIES_SHOWN]),
         "home": sum(
             unit.build == release.build and unit.is_ready(fleet.at, fleet.settings.silent)
             for unit in rollouts.get_units(release)
--- a/thymeknot/gang_scheduling/placement_score.py
+++ b/thymeknot/gang_scheduling/placement_score.py
@@ -1,7 +1,7 @@
-"""What a placement is worth: terms that the operator weighs, less is better, each with a sentence.
+"""The cost of a placement: weighted terms, each with an explanation; lower is better.
 
-A placement is a number of workers for each rack. Everything here is outside the replicated state,
-so it may use floats.
+A placement is scored by its number of workers in each rack. Nothing here is part of the replicated
+state, so floats are safe.
 """
 
 from collections.abc import Mapping
@@ -11,33 +11,34 @@
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from .jobs import Gang
-from .topology import Places
+from .topology import Topology
 
-MIN_TRAFFIC = 1e-6  # bytes a second; less is a rounding error of adding and taking away
-RANK_KEY_BASE = 1024  # above MAX_WORKERS, so that two ranks make one integer key
-MACHINE_LINK: Final = "machine"  # the bottleneck where a worker's own link is slowest
+MIN_TRAFFIC = 1e-6  # bytes per second; less is a rounding error of adding and subtracting traffic
+RANK_RANGE_KEY_BASE = 1024  # above MAX_WORKERS, so that a pair of ranks maps to one integer
+MACHINE_LINK: Final = "machine"  # the bottleneck if a worker's own link is the slowest
 
 RackIndex: TypeAlias = int
-"""A rack's position in `Places.rack_order()`."""
+"""A rack's position in `Topology.rack_order()`."""
 
 RackCounts: TypeAlias = dict[RackIndex, int]
-"""A placement: {rack index: workers}, without zeros."""
+"""A placement by rack: {rack index: workers}, without zeros."""
 
 Bottleneck: TypeAlias = int | str
-"""The slowest link: a rack index, the name of a site's uplink, or `MACHINE_LINK`."""
+"""The slowest link: a rack index (its uplink), the name of a site's uplink, or `MACHINE_LINK`."""
 
 
 @dataclass(frozen=True)
 class Weights:
-    """How much each term of a score counts.
+    """Weight of each term of a score; `ScoreTermValues` defines the terms.
 
     Attributes:
-        step: Predicted duration of a step over its target.
-        harm: By how much links that others use would be overloaded, summed: the fullest link alone
-            would hide what a gang that is too much for any place does to a small one at its side.
-        fragments: Capacity left over in racks that were broken into, in racks.
-        planned: Share of the workers that are in the way of a planned drain, wave or move.
-        loss: Share of the workers that the loss of one rack takes.
+        step: Weight of the step duration.
+        harm: Weight of the overload of shared links. It is a sum, because the most loaded link
+            alone would hide the harm that a gang too large for any placement does to a small gang
+            next to it.
+        fragments: Weight of the fragmentation of racks.
+        planned: Weight of the workers on machines with a planned removal.
+        loss: Weight of the workers that the loss of one rack would remove.
     """
 
     step: float = 1.0
@@ -47,16 +48,17 @@
     loss: float = 0.2
 
 
-class ScoreValues(NamedTuple):
+class ScoreTermValues(NamedTuple):
     """The unweighted terms of a score.
 
     Attributes:
-        step: Predicted duration of a step over its target.
-        bottleneck: The link that decides `step`.
-        harm: Overload of links that others use, summed.
-        fragments: Capacity left over in racks that were broken into, in racks.
-        planned: Share of the workers in the way of a planned drain, wave or move.
-        loss: Share of the workers in the fullest rack.
+        step: Predicted duration of a step, as a ratio to its target.
+        bottleneck: The link that determines `step`.
+        harm: Sum of the overload of links that other gangs use, each as a ratio to the target.
+        fragments: Capacity left over in the racks that the placement uses, in units of racks.
+        planned: Share of the workers on machines that are planned to be removed before the gang
+            ends (by a drain, wave or move).
+        loss: Share of the workers in the rack with the most workers.
         fullest: Index of that rack, -1 if there is none.
     """
 
@@ -69,18 +71,18 @@
     fullest: RackIndex
 
 
-class ScorePart(NamedTuple):
+class ScoreTerm(NamedTuple):
     """One term of a score.
 
     Attributes:
-        value: The term.
-        weight: What it is multiplied by.
-        sentence: What it means, for people.
+        value: The unweighted value.
+        weight: The weight.
+        explanation: Human-readable explanation.
     """
 
     value: float
     weight: float
-    sentence: str
+    explanation: str
 
 
 @dataclass(frozen=True)
@@ -88,16 +90,16 @@
     """A score with its explanation.
 
     Attributes:
-        total: Sum of value by weight.
-        parts: The terms by name, as in `Weights`.
+        total: Weighted sum of the terms.
+        terms: The terms by name; the names are those in `Weights`.
     """
 
     total: float
-    parts: dict[str, ScorePart]
+    terms: dict[str, ScoreTerm]
 
-    def sentence(self) -> str:
-        """Returns the sentences of all terms."""
-        return " ".join(part.sentence for part in self.parts.values())
+    def explanation(self) -> str:
+        """Returns the explanations of all terms as one text."""
+        return " ".join(term.explanation for term in self.terms.values())
 
 
 class Site(NamedTuple):
@@ -105,59 +107,62 @@
 
     Attributes:
         link: Name of its uplink.
-        load: Share of the uplink that others use already.
-        rate: Steps over target that one byte a step adds to the uplink.
+        background_load: Load of the uplink by other gangs, as a ratio to its bandwidth.
+        load_per_byte: Load that one byte per step adds, as a ratio to the target of the step.
     """
 
     link: str
-    load: float
-    rate: float
+    background_load: float
+    load_per_byte: float
 
 
 LinkLoad: TypeAlias = tuple[float, float, Bottleneck]
-"""(predicted step over target by an uplink, share of it that others use already, the uplink).
+"""(step duration as a ratio to the target, background load of the link, link).
 
-A plain tuple, since a search makes thousands: a named one takes several times as long to make.
+A plain tuple, because a search creates thousands of them and creating a named tuple takes several
+times as long.
 """
 
 
-def add_traffic(places: Places, gang: Gang, counts: Mapping[str, int], times: int = 1) -> None:
-    """Adds a gang's traffic to the uplinks.
+def add_traffic(topology: Topology, gang: Gang, counts: Mapping[str, int], sign: int = 1) -> None:
+    """Adds a gang's traffic to `Topology.link_traffic`, or subtracts it.
 
     Args:
-        places: Where the traffic is kept, in `carried`.
-        gang: Who sends.
+        topology: The topology that is updated.
+        gang: The gang.
         counts: {rack name: workers}.
-        times: 1 to add, -1 to take away.
+        sign: 1 to add the traffic, -1 to subtract it.
     """
-    for link, crossing in uplink_traffic(places, gang, counts):
-        carried = places.carried.get(link, 0.0) + times * crossing * TICKS_PER_SECOND / gang.target
-        if carried > MIN_TRAFFIC:
-            places.carried[link] = carried
+    for link, crossing in uplink_traffic(topology, gang, counts):
+        traffic = (
+            topology.link_traffic.get(link, 0.0) + sign * crossing * TICKS_PER_SECOND / gang.target
+        )
+        if traffic > MIN_TRAFFIC:
+            topology.link_traffic[link] = traffic
         else:
-            places.carried.pop(link, None)
+            topology.link_traffic.pop(link, None)
 
 
 def _rack_link(name: str) -> str:
     return "rack/" + name
 
 
-def _site_links(places: Places, name: str) -> tuple[str, str]:
+def _site_links(topology: Topology, name: str) -> tuple[str, str]:
     """Returns the names of the uplinks of a rack's zone and cluster."""
-    rack = places.racks[name]
+    rack = topology.racks[name]
     return f"zone/{rack.cluster}/{rack.zone}", "cluster/" + rack.cluster
 
 
 def uplink_traffic(
-    places: Places, gang: Gang, counts: Mapping[str, int]
+    topology: Topology, gang: Gang, counts: Mapping[str, int]
 ) -> list[tuple[str, float]]:
-    """Returns (link, bytes a step) of each uplink that the gang's traffic crosses."""
+    """Returns (link, bytes per step) for each uplink that the gang's traffic crosses."""
     low = 0
     ranges: dict[str, tuple[int, int]] = {}
-    for name in places.rack_order():
+    for name in topology.rack_order():
         workers = counts.get(name, 0)
         if workers:
-            for link in (_rack_link(name), *_site_links(places, name)):
+            for link in (_rack_link(name), *_site_links(topology, name)):
                 first, _ = ranges.get(link, (low, low))
                 ranges[link] = (first, low + workers)
             low += workers
@@ -169,32 +174,35 @@
 
 
 class Scorer:
-    """Scores of one gang over the places as they are now; made anew when they change.
+    """Scores placements of one gang on the current topology.
 
-    Lists are by rack index.
+    A scorer becomes invalid when the topology changes. Lists are indexed by rack index.
 
     Attributes:
-        names: Names of the racks.
-        capacity: Workers that fit.
-        unplanned_capacity: Workers that fit on machines that no plan takes before the gang's end.
-        slots: Slots, at least 1.
-        rack_load: Share of the uplink that others use already.
-        rack_rate: Steps over target that one byte a step adds to the uplink.
-        zone_site: Index into `sites` of the rack's zone.
-        cluster_site: Index into `sites` of the rack's cluster.
+        rack_names: Names of the racks.
+        capacity: Number of workers that fit.
+        unplanned_capacity: Number of workers that fit on machines without a planned removal before
+            the expected end of the gang.
+        slots: Number of slots, at least 1.
+        rack_background_load: Load of the rack's uplink by other gangs, as a ratio to its bandwidth.
+        rack_load_per_byte: Load that one byte per step adds to the rack's uplink, as a ratio to the
+            target of the step.
+        rack_zone: Index into `sites` of the rack's zone.
+        rack_cluster: Index into `sites` of the rack's cluster.
         sites: The zones and clusters.
-        expected_end: Agreed time in ticks at which the gang should end.
-        min_step: Least duration of a step over its target, by the machines' own links.
-        evaluations: How many placements were scored.
+        expected_end: Agreed time in ticks at which the gang is expected to end.
+        min_step: Lower bound of the step duration, as a ratio to its target, from the machines'
+            own links.
+        evaluations: Number of placements scored so far.
     """
 
     def __init__(
-        self, places: Places, gang: Gang, now: Ticks, weights: Weights | None = None
+        self, topology: Topology, gang: Gang, now: Ticks, weights: Weights | None = None
     ) -> None:
-        self.places = places
+        self.topology = topology
         self.gang = gang
         self.weights = weights or Weights()
-        self.names = places.rack_order()
+        self.rack_names = topology.rack_order()
         self.shape = gang.resource_shape()
         self.expected_end = now + gang.lasts
         self.target_seconds = gang.target / TICKS_PER_SECOND
@@ -203,137 +211,157 @@
         self.capacity: list[int] = []
         self.unplanned_capacity: list[int] = []
         self.slots: list[int] = []
-        self.rack_load: list[float] = []
-        self.rack_rate: list[float] = []
-        self.zone_site: list[int] = []
-        self.cluster_site: list[int] = []
+        self.rack_background_load: list[float] = []
+        self.rack_load_per_byte: list[float] = []
+        self.rack_zone: list[int] = []
+        self.rack_cluster: list[int] = []
         self.sites: list[Site] = []
         self._crossing_bytes: dict[int, float] = {}
         self._site_index: dict[str, int] = {}
-        for name in self.names:
+        for name in self.rack_names:
             self._add_rack(name)
-        slowest = min((places.racks[name].link for name in self.names), default=inf)
+        slowest_bandwidth = min(
+            (topology.racks[name].machine_bandwidth for name in self.rack_names), default=inf
+        )
         self.min_step = (
-            gang.busiest_worker_bytes() / max(1, slowest) / self.target_seconds
-            if self.names
+            gang.busiest_worker_bytes() / max(1, slowest_bandwidth) / self.target_seconds
+            if self.rack_names
             else 0.0
         )
 
     def _add_rack(self, name: str) -> None:
-        """Appends one rack to the lists."""
-        rack = self.places.racks[name]
-        capacity = self.places.rack_capacity(name, self.shape)
-        by_machine = self.places.machine_capacities(name, self.shape)
+        """Appends a rack to the lists."""
+        rack = self.topology.racks[name]
+        capacity = self.topology.rack_capacity(name, self.shape)
+        by_machine = self.topology.machine_capacities(name, self.shape)
         planned = sum(
             by_machine.get(machine, 0)
             for machine, host in rack.hosts.items()
-            if 0 < host.planned < self.expected_end
+            if 0 < host.planned_removal < self.expected_end
         )
         self.capacity.append(capacity)
         self.unplanned_capacity.append(capacity - planned)
         self.slots.append(max(1, rack.slots))
-        self.rack_load.append(self._others_load(_rack_link(name), rack.bandwidth))
-        self.rack_rate.append(1 / (max(1, rack.bandwidth) * self.target_seconds))
-        zone_link, cluster_link = _site_links(self.places, name)
-        self.zone_site.append(self._site(zone_link))
-        self.cluster_site.append(self._site(cluster_link))
-
-    def _site(self, link: str) -> int:
-        """Returns the index of a site, which is added if it is new."""
+        self.rack_background_load.append(self._background_load(_rack_link(name), rack.bandwidth))
+        self.rack_load_per_byte.append(1 / (max(1, rack.bandwidth) * self.target_seconds))
+        zone_link, cluster_link = _site_links(self.topology, name)
+        self.rack_zone.append(self._find_site(zone_link))
+        self.rack_cluster.append(self._find_site(cluster_link))
+
+    def _find_site(self, link: str) -> int:
+        """Returns the index of a site; a new site is added."""
         if link not in self._site_index:
             self._site_index[link] = len(self.sites)
-            bandwidth = self.places.uplinks.get(link, inf)
-            rate = 1 / (max(1, bandwidth) * self.target_seconds)
-            self.sites.append(Site(link, self._others_load(link, bandwidth), rate))
+            bandwidth = self.topology.uplinks.get(link, inf)
+            load_per_byte = 1 / (max(1, bandwidth) * self.target_seconds)
+            self.sites.append(Site(link, self._background_load(link, bandwidth), load_per_byte))
         return self._site_index[link]
 
-    def _others_load(self, link: str, bandwidth: float) -> float:
-        """Returns the share of the link that others use already."""
-        return self.places.carried.get(link, 0.0) / max(1, bandwidth)
+    def _background_load(self, link: str, bandwidth: float) -> float:
+        """Returns the load of a link by other gangs, as a ratio to its bandwidth."""
+        return self.topology.link_traffic.get(link, 0.0) / max(1, bandwidth)
 
     def crossing_bytes(self, low: int, high: int) -> float:
-        """Returns `Gang.crossing_bytes`, from a cache."""
-        key = low * RANK_KEY_BASE + high
-        found = self._crossing_bytes.get(key)
-        if found is None:
-            found = self._crossing_bytes[key] = self.gang.crossing_bytes(low, high)
-        return found
+        """Returns `Gang.crossing_bytes`, cached."""
+        key = low * RANK_RANGE_KEY_BASE + high
+        cached = self._crossing_bytes.get(key)
+        if cached is None:
+            cached = self._crossing_bytes[key] = self.gang.crossing_bytes(low, high)
+        return cached
 
     def rack_step(self, index: RackIndex, low: int, high: int) -> float:
-        """Returns the predicted step over target by the rack's uplink, for ranks low to high."""
+        """Returns the predicted step duration on a rack's uplink, as a ratio to the target.
+
+        Args:
+            index: The rack.
+            low: First rank in the rack.
+            high: End of the ranks in the rack (exclusive).
+        """
         crossing = self.crossing_bytes(low, high)
-        return self.rack_load[index] + crossing * self.rack_rate[index] if crossing else 0.0
+        return (
+            self.rack_background_load[index] + crossing * self.rack_load_per_byte[index]
+            if crossing
+            else 0.0
+        )
 
     def _site_load(self, index: int, low: int, high: int) -> LinkLoad:
         site = self.sites[index]
         crossing = self.crossing_bytes(low, high)
-        step = site.load + crossing * site.rate if crossing else 0.0
-        return step, site.load, site.link
+        step = site.background_load + crossing * site.load_per_byte if crossing else 0.0
+        return step, site.background_load, site.link
 
-    def rack_terms(self, index: RackIndex, workers: int) -> tuple[float, float]:
-        """Returns the terms (fragments, planned) of so many workers in the rack."""
+    def rack_term_values(self, index: RackIndex, workers: int) -> tuple[float, float]:
+        """Returns (fragments, planned) that a number of workers in a rack contributes."""
         fragments = (self.capacity[index] - workers) / self.slots[index]
         return fragments, max(0, workers - self.unplanned_capacity[index]) / self.workers
 
     def _link_loads(self, counts: RackCounts, order: list[RackIndex]) -> list[LinkLoad]:
-        """Returns the loads of the uplinks that the placement uses.
+        """Returns the loads of the uplinks that a placement uses.
 
-        A site comes after the last of its racks. The order decides how floats are summed and which
-        of two equal links is named.
+        A site follows the last of its racks. The order determines in which order floats are summed
+        and which of two equally slow links is reported.
         """
         loads: list[LinkLoad] = []
         zone = cluster = -1
         low = zone_low = cluster_low = 0
         for index in order:
-            if self.zone_site[index] != zone:
+            if self.rack_zone[index] != zone:
                 if zone >= 0:
                     loads.append(self._site_load(zone, zone_low, low))
-                zone = self.zone_site[index]
+                zone = self.rack_zone[index]
                 zone_low = low
-            if self.cluster_site[index] != cluster:
+            if self.rack_cluster[index] != cluster:
                 if cluster >= 0:
                     loads.append(self._site_load(cluster, cluster_low, low))
-                cluster = self.cluster_site[index]
+                cluster = self.rack_cluster[index]
                 cluster_low = low
             high = low + counts[index]
-            loads.append((self.rack_step(index, low, high), self.rack_load[index], index))
+            loads.append(
+                (self.rack_step(index, low, high), self.rack_background_load[index], index)
+            )
             low = high
         if zone >= 0:
             loads.append(self._site_load(zone, zone_low, low))
             loads.append(self._site_load(cluster, cluster_low, low))
         return loads
 
-    def values(self, counts: RackCounts) -> ScoreValues:
-        """Returns the unweighted terms of a placement."""
+    def term_values(self, counts: RackCounts) -> ScoreTermValues:
+        """Returns the unweighted terms of a placement's score."""
         self.evaluations += 1
         order = sorted(counts)
-        worst = self.min_step
+        slowest_step = self.min_step
         bottleneck: Bottleneck = MACHINE_LINK
         harm = 0.0
-        for step, others, link in self._link_loads(counts, order):
-            if step > 1 and others:
+        for step, background, link in self._link_loads(counts, order):
+            if step > 1 and background:
                 harm += step - 1
-            if step > worst:
-                worst = step
+            if step > slowest_step:
+                slowest_step = step
                 bottleneck = link
         fragments = planned = 0.0
-        most = 0
+        fullest_workers = 0
         fullest = -1
         for index in order:
             workers = counts[index]
-            if workers > most:
-                most = workers
+            if workers > fullest_workers:
+                fullest_workers = workers
                 fullest = index
             fragments += (self.capacity[index] - workers) / self.slots[index]
             if workers > self.unplanned_capacity[index]:
                 planned += (workers - self.unplanned_capacity[index]) / self.workers
-        return ScoreValues(
-            worst, bottleneck, harm, fragments, planned, most / self.workers, fullest
+        return ScoreTermValues(
+            slowest_step,
+            bottleneck,
+            harm,
+            fragments,
+            planned,
+            fullest_workers / self.workers,
+            fullest,
         )
 
     def total(self, counts: RackCounts) -> float:
-        """Returns the weighted sum of a placement's terms."""
-        values = self.values(counts)
+        """Returns the score of a placement: the weighted sum of its terms."""
+        values = self.term_values(counts)
         weights = self.weights
         return (
             weights.step * values.step
@@ -344,46 +372,50 @@
         )
 
     def explain(self, counts: RackCounts) -> Score:
-        """Returns the score of a placement with its sentences."""
-        values = self.values(counts)
+        """Returns the score of a placement with an explanation of each term."""
+        values = self.term_values(counts)
         weights = self.weights
         loss = ""
         if counts:
-            loss = f"The loss of rack {self.names[values.fullest]} takes {values.loss:.0%} of it."
-        parts = {
-            "step": ScorePart(values.step, weights.step, self._step_sentence(values)),
-            "harm": ScorePart(
+            loss = (
+                f"The loss of rack {self.rack_names[values.fullest]} takes {values.loss:.0%} of it."
+            )
+        terms = {
+            "step": ScoreTerm(values.step, weights.step, self._explain_step(values)),
+            "harm": ScoreTerm(
                 values.harm,
                 weights.harm,
-                f"Links that others use would be over full by {values.harm:.0%} together.",
+                f"Links that other gangs use would be overloaded by {values.harm:.0%} in total.",
             ),
-            "fragments": ScorePart(
+            "fragments": ScoreTerm(
                 values.fragments,
                 weights.fragments,
-                f"It leaves {values.fragments:.2f} racks' room over in {len(counts)} racks.",
+                f"It leaves the capacity of {values.fragments:.2f} racks unused "
+                f"in {len(counts)} racks.",
             ),
-            "planned": ScorePart(
+            "planned": ScoreTerm(
                 values.planned,
                 weights.planned,
-                f"{values.planned:.0%} of it stands where a drain, wave or move is planned "
+                f"{values.planned:.0%} of it is on machines with a drain, wave or move planned "
                 "before its end.",
             ),
-            "loss": ScorePart(values.loss, weights.loss, loss),
+            "loss": ScoreTerm(values.loss, weights.loss, loss),
         }
-        return Score(sum(part.value * part.weight for part in parts.values()), parts)
+        return Score(sum(term.value * term.weight for term in terms.values()), terms)
 
-    def _step_sentence(self, values: ScoreValues) -> str:
+    def _explain_step(self, values: ScoreTermValues) -> str:
         link = values.bottleneck
         if isinstance(link, int):
-            where = f"the uplink of rack {self.names[link]}"
-            others = self.rack_load[link]
+            link_name = f"the uplink of rack {self.rack_names[link]}"
+            background = self.rack_background_load[link]
         elif link == MACHINE_LINK:
-            where = "a worker's own machine"
-            others = 0.0
+            link_name = "the link of a machine"
+            background = 0.0
         else:
-            where = f"the uplink of {link}"
-            others = self.sites[self._site_index[link]].load
+            link_name = f"the uplink of {link}"
+            background = self.sites[self._site_index[link]].background_load
         return (
             f"A step takes {values.step * self.target_seconds:.3f} s of "
-            f"{self.target_seconds:.3f} s by {where}, which others fill to {others:.0%}."
+            f"{self.target_seconds:.3f} s over {link_name}, "
+            f"which other gangs load to {background:.0%}."
         )
--- a/thymeknot/gang_scheduling/settings.py
+++ b/thymeknot/gang_scheduling/settings.py
@@ -1,4 +1,4 @@
-"""What the operator may set for gangs."""
+"""Operator settings of gang scheduling."""
 
 import msgspec
 
@@ -6,34 +6,39 @@
 
 
 class GangSettings(msgspec.Struct, frozen=True):
-    """Limits of the gangs' state machine. Durations in ticks; the field names are the operator's.
+    """Limits of the gang scheduling state machine.
+
+    Durations are in ticks. The encoded field names are the operator's.
 
     Attributes:
-        hold: Lease from the reservation to the bind.
-        start: Lease from the bind, or from a replacement of workers, to the start.
-        mend: Lease from the loss of workers to their replacement.
-        age: Each such time of waiting is worth one step of priority.
-        patience: A gang that waited so long gets capacity kept for it.
-        starved: A gang that waited so long counts as within its publisher's share.
-        tries: Leases of one gang that may expire in a row.
-        again: Backoff after the first; it doubles after each further one.
-        again_most: Longest backoff.
-        preempted_most: Preemptions in a gang's life.
-        ending_most: Gangs that are being preempted at once.
-        remembered: Gangs remembered that are done or refused.
-        offered_most: Gangs that may be known at once.
+        reservation_lease: Duration of the lease from the reservation to the bind.
+        start_lease: Duration of the lease from the bind, or from a replacement of workers, to the
+            start.
+        replacement_lease: Duration of the lease from the loss of workers to their replacement.
+        priority_aging_interval: Waiting time after which the priority of a queued gang rises by 1.
+        capacity_hold_wait: Waiting time after which capacity is held for a queued gang.
+        starvation_wait: Waiting time after which a gang counts as within its publisher's share.
+        max_failed_leases: Consecutive leases of a gang that may expire or be lost before it is
+            rejected for good.
+        initial_backoff: Backoff after the first failed lease; it doubles with each further one.
+            Also the retry delay of rejections for lack of capacity.
+        max_backoff: Upper limit of the backoff.
+        max_preemptions: How often one gang can be preempted.
+        max_pending_preemptions: Preemptions that may be pending at once.
+        max_remembered_gangs: Ended gangs whose names and outcomes are remembered.
+        max_active_gangs: Gangs that may be queued or placed at once.
     """
 
-    hold: int = 10 * TICKS_PER_SECOND
-    start: int = 30 * TICKS_PER_SECOND
-    mend: int = 60 * TICKS_PER_SECOND
-    age: int = 60 * TICKS_PER_SECOND
-    patience: int = 60 * TICKS_PER_SECOND
-    starved: int = 1800 * TICKS_PER_SECOND
-    tries: int = 8
-    again: int = TICKS_PER_SECOND
-    again_most: int = 60 * TICKS_PER_SECOND
-    preempted_most: int = 2
-    ending_most: int = 4
-    remembered: int = 1000
-    offered_most: int = 2000
+    reservation_lease: int = msgspec.field(default=10 * TICKS_PER_SECOND, name="hold")
+    start_lease: int = msgspec.field(default=30 * TICKS_PER_SECOND, name="start")
+    replacement_lease: int = msgspec.field(default=60 * TICKS_PER_SECOND, name="mend")
+    priority_aging_interval: int = msgspec.field(default=60 * TICKS_PER_SECOND, name="age")
+    capacity_hold_wait: int = msgspec.field(default=60 * TICKS_PER_SECOND, name="patience")
+    starvation_wait: int = msgspec.field(default=1800 * TICKS_PER_SECOND, name="starved")
+    max_failed_leases: int = msgspec.field(default=8, name="tries")
+    initial_backoff: int = msgspec.field(default=TICKS_PER_SECOND, name="again")
+    max_backoff: int = msgspec.field(default=60 * TICKS_PER_SECOND, name="again_most")
+    max_preemptions: int = msgspec.field(default=2, name="preempted_most")
+    max_pending_preemptions: int = msgspec.field(default=4, name="ending_most")
+    max_remembered_gangs: int = msgspec.field(default=1000, name="remembered")
+    max_active_gangs: int = msgspec.field(default=2000, name="offered_most")
--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -59,7 +59,7 @@
             if request.connection is connection and not request.closed:
                 request.closed = True
                 if proxy.why is not None:
-                    proxy.why.ended(request.id, proxy.why.left)
+                    proxy.why.request_answered(request.id, proxy.why.left_reason)
                 proxy.handle_events(ClientDisconnected(request.id))
                 # Also without permission to cancel, since these were not completely written.
                 for attempt in request.attempts:
@@ -124,7 +124,7 @@
         key = command.key.decode() or None
         proxy.exposure.count_received(now, command.request_class)
         if proxy.why is not None:
-            proxy.why.taken(request_id, command)
+            proxy.why.request_received(request_id, command)
         proxy.handle_events(
             RequestReceived(
                 request_id,
@@ -177,7 +177,7 @@
         if not request.closed:
             structured_log.log("request overdue", id=request.id, out=request.attempts_in_flight)
             if proxy.why is not None:
-                proxy.why.ended(request.id, proxy.why.abandoned)
+                proxy.why.request_answered(request.id, proxy.why.abandoned_reason)
             self.answer(request, FAILED_RESPONSE)
             proxy.handle_events(ClientDisconnected(request.id))
 
@@ -189,7 +189,7 @@
             request.connection.answer(request.sequence, content)
             self.table.release(request)
             if proxy.why is not None and not request.attempts_in_flight:
-                proxy.why.over(request.id)
+                proxy.why.request_finished(request.id)
 
     def reject(self, action: Reject) -> None:
         """Sends the final response of a request that certainly had no effect."""
