--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -725,12 +725,12 @@
         time_left = limit if self.calm else min(limit, self.random.choice((1, 100, 5_000, 20_000)))
         key = None if self.calm else self.random.choice((None, "k", "ключ", request_id))
         self.requests[request_id] = {
-            "lane": class_name,
-            "ends": self.now + time_left,
+            "request_class": class_name,
+            "expires_at": self.now + time_left,
             "key": key,
-            "over": False,
-            "sent": [],
-            "streams": 0,
+            "closed": False,
+            "attempts": [],
+            "streaming": 0,
         }
         self.checker.taken(self.now, 0, request_id, class_name, self.now + time_left)
         self.handle(
@@ -760,9 +760,22 @@
             return
         endpoint, spread = choose(list(self.endpoints)), choose((1, 100, 5_000))
         event = choose(
-            ("list", "tally", "complaint", "doubt", "unheard", "left", "stream", "", "", "", "", "")
+            (
+                "listing",
+                "fleet counts",
+                "complaint",
+                "suspicion",
+                "late response",
+                "disconnect",
+                "stream",
+                "",
+                "",
+                "",
+                "",
+                "",
+            )
         )
-        if event == "list":
+        if event == "listing":
             self.update_endpoints(
                 [
                     self.random_endpoint(
@@ -772,7 +785,7 @@
                 ],
                 choose((UpdateKind.DELTA, UpdateKind.DELTA, UpdateKind.FULL)),
             )
-        elif event == "tally":
+        elif event == "fleet counts":
             self.handle(
                 *(
                     FleetCounts(
@@ -786,12 +799,12 @@
                     for some in (build - 1, build)
                 )
             )
-        elif event in ("complaint", "doubt", "unheard"):
+        elif event in ("complaint", "suspicion", "late response"):
             self.handle(
                 {
                     "complaint": ComplaintReceived(spread, endpoint, class_name),
-                    "unheard": LateResponseSeen("k", build - 1),
-                    "doubt": SuspicionReported(
+                    "late response": LateResponseSeen("k", build - 1),
+                    "suspicion": SuspicionReported(
                         endpoint,
                         self.endpoints[endpoint].build,
                         self.endpoints[endpoint].started,
@@ -800,24 +813,24 @@
                 }[event]
             )
         elif waiting := [
-            request_id for request_id, request in self.requests.items() if not request["over"]
+            request_id for request_id, request in self.requests.items() if not request["closed"]
         ]:
             request_id = choose(waiting)
-            if event == "left":
+            if event == "disconnect":
                 self.close(request_id, "left")
                 self.handle(ClientDisconnected(request_id))
             elif (
                 event == "stream"
-                and len(sent := self.requests[request_id]["sent"]) == 1
-                and sent[0]["out"]
+                and len(attempts := self.requests[request_id]["attempts"]) == 1
+                and attempts[0]["in_flight"]
             ):
-                self.requests[request_id]["streams"] = 1
-                self.handle(ResponseStarted(request_id, sent[0]["pod"], 0, 1))
+                self.requests[request_id]["streaming"] = 1
+                self.handle(ResponseStarted(request_id, attempts[0]["endpoint"], 0, 1))
 
     # Actions of the engine.
 
     def close(self, request_id, outcome):
-        self.requests[request_id]["over"] = True
+        self.requests[request_id]["closed"] = True
         self.checker.answered(self.now, 0, request_id, outcome)
 
     def schedule(self, moment, callback, *values):
@@ -838,21 +851,27 @@
             action.id,
             action.endpoint,
             endpoint.build,
-            lane=request["lane"],
+            lane=request["request_class"],
             key=request["key"] or action.id,
         )
         if (
-            request["over"]
-            or sum(other["out"] for other in request["sent"]) > self.settings.hedging_allowed
+            request["closed"]
+            or sum(attempt["in_flight"] for attempt in request["attempts"])
+            > self.settings.hedging_allowed
             or action.timeout <= 0
         ):
             self.checker._broke(2, self.now, f"{action}: {request}")
-        request["sent"].append(
-            {"out": True, "pod": action.endpoint, "build": endpoint.build, "at": self.now}
+        request["attempts"].append(
+            {
+                "in_flight": True,
+                "endpoint": action.endpoint,
+                "build": endpoint.build,
+                "started_at": self.now,
+            }
         )
-        if len(request["sent"]) > self.settings.max_attempts:
+        if len(request["attempts"]) > self.settings.max_attempts:
             self.checker._broke(2, self.now, f"{action}: exceeds max_attempts")
-        within = min(action.timeout, request["ends"] - self.now)
+        within = min(action.timeout, request["expires_at"] - self.now)
         after = self.random.choice((0, 1, 50, 2_000, 10**6)) if not self.calm else self.step // 8
         outcome = self.random.choice(
             [Outcome.DONE] * 6
@@ -862,18 +881,18 @@
             self.now + min(after, within),
             self.end,
             action.id,
-            len(request["sent"]) - 1,
+            len(request["attempts"]) - 1,
             Outcome.DONE if self.calm else Outcome.TIMED_OUT if after > within else outcome,
         )
 
     def end(self, request_id, number, outcome):
         request = self.requests[request_id]
-        attempt = request["sent"][number]
-        if not attempt["out"]:
+        attempt = request["attempts"][number]
+        if not attempt["in_flight"]:
             return
-        attempt["out"] = False
+        attempt["in_flight"] = False
         self.checker.proved(0, request_id, number, self.MAY_HAVE_RUN_BY_OUTCOME[outcome])
-        if (outcome == Outcome.DONE or request["streams"]) and not request["over"]:
+        if (outcome == Outcome.DONE or request["streaming"]) and not request["closed"]:
             self.close(request_id, "done")
         if outcome == Outcome.DONE and self.settings.sticky_keys:
             self.checker.key_answered(0, request["key"] or request_id, attempt["build"])
@@ -886,16 +905,16 @@
             AttemptEnded(
                 request_id,
                 outcome,
-                request["over"],
-                self.now - attempt["at"],
-                attempt["pod"],
+                request["closed"],
+                self.now - attempt["started_at"],
+                attempt["endpoint"],
                 number,
                 load,
             )
         )
 
     def cancel(self, action):
-        if self.requests[action.id]["sent"][action.number]["out"]:
+        if self.requests[action.id]["attempts"][action.number]["in_flight"]:
             self.schedule(self.now, self.end, action.id, action.number, Outcome.CANCELLED)
 
     def fetch(self, _):
@@ -976,7 +995,7 @@
     def faults(self, seed, calm):
         instance = RandomInstance(seed, calm)
         run_alternately(instance)
-        served = {request["lane"] for request in instance.requests.values()}
+        served = {request["request_class"] for request in instance.requests.values()}
         unserved = (
             [outcome for outcome in instance.checker.over.values() if outcome != "done"]
             if calm
