--- a/tests/unit/coordination/test_coordination.py
+++ b/tests/unit/coordination/test_coordination.py
@@ -11,7 +11,7 @@
 from twisted.internet.defer import Deferred, succeed
 from twisted.internet.task import Clock
 
-from tests.unit.operator_config.test_operator_config import FOLDER
+from tests.unit.operator_config.test_operator_config import DEPLOY_FOLDER
 from thymeknot.coordination import feature
 from thymeknot.gossip import keys
 from thymeknot.gossip.keyring import Keyring, new_identity
@@ -128,7 +128,7 @@
 class FleetSettings(unittest.TestCase):
     def example_text(self, folder):
         """The example operator file with a newly generated key, stored in the folder."""
-        with open(os.path.join(FOLDER, "fleet.cue"), encoding="utf-8") as source:
+        with open(os.path.join(DEPLOY_FOLDER, "fleet.cue"), encoding="utf-8") as source:
             text = source.read()
         identity = keys.create_key_file("n1", os.path.join(folder, "n1.key"))
         return text.replace(
--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -19,7 +19,7 @@
 from thymeknot.load_generator.driver import Driver, DriverSettings
 from thymeknot.load_generator.ramp import Ramp, RampState
 from thymeknot.load_generator.schedule import RequestClass, RequestKind
-from thymeknot.load_generator.verdict import Goal, Stretch, Verdict, judge
+from thymeknot.load_generator.verdict import Goal, RunSummary, Verdict, judge
 from thymeknot.protocol.resp import MalformedRespError
 
 READ = RequestClass("read", 1.0, RequestKind.READ)
@@ -49,7 +49,10 @@
 
 class Plan(unittest.TestCase):
     def test_the_same_seed_is_the_same_plan_and_arrivals_and_lanes_keep_their_rate(self):
-        lanes = [schedule.lane("read=3"), schedule.lane("pay=1,write")]
+        lanes = [
+            schedule.parse_request_class("read=3"),
+            schedule.parse_request_class("pay=1,write"),
+        ]
         one, two, other = (
             list(schedule.schedule_requests(seed, 500, 10 * schedule.TICKS_PER_SECOND, lanes))
             for seed in (3, 3, 4)
@@ -74,7 +77,7 @@
             "read=nan",
         ):
             with self.assertRaises(schedule.ScheduleError):
-                schedule.lane(text)
+                schedule.parse_request_class(text)
 
     def test_what_the_tool_did_itself_is_looked_at_first(self):
         for more, verdict in (
@@ -85,7 +88,7 @@
         ):
             self.assertEqual(
                 judge(
-                    Stretch(
+                    RunSummary(
                         **{
                             "rate": 100.0,
                             "latency": 100,
@@ -109,7 +112,9 @@
             ramp.record(Verdict.HELD if ramp.rate <= truth else Verdict.FAILED, "")
             steps += 1
             self.assertLess(steps, 60)
-        self.assertTrue(0.9 * truth <= ramp.held <= truth, (truth, ramp.held))
+        self.assertTrue(
+            0.9 * truth <= ramp.highest_held_rate <= truth, (truth, ramp.highest_held_rate)
+        )
 
     def test_a_saturated_tool_blames_nobody_and_nothing_held_ends_too(self):
         for shown, held, failed in (
@@ -120,8 +125,8 @@
             for one in shown:
                 if ramp.state != RampState.OVER:
                     ramp.record(one, "")
-            self.assertEqual((ramp.state, ramp.held), (RampState.OVER, held))
-            self.assertGreaterEqual(ramp.failed, failed)
+            self.assertEqual((ramp.state, ramp.highest_held_rate), (RampState.OVER, held))
+            self.assertGreaterEqual(ramp.lowest_failed_rate, failed)
 
 
 class Speaks(unittest.TestCase):
--- a/tests/unit/operator_config/test_operator_config.py
+++ b/tests/unit/operator_config/test_operator_config.py
@@ -17,14 +17,14 @@
     peers: [{{name: "n2", keys: [{{key: "{KEY}"}}]}}]
 }}
 '''
-FOLDER = os.path.join(os.path.dirname(__file__), *[os.pardir] * 3, "deploy")
+DEPLOY_FOLDER = os.path.join(os.path.dirname(__file__), *[os.pardir] * 3, "deploy")
 
 
 def faults(text):
     try:
         return loader.read(text, "x.cue")
     except OperatorConfigError as error:
-        return [str(fault) for fault in error.faults]
+        return [str(fault) for fault in error.diagnostics]
 
 
 def unified(schema, text):
@@ -135,18 +135,24 @@
         try:
             loader.read(text, "x.cue")
         except OperatorConfigError as error:
-            self.assertTrue(error.faults and all(fault.file == "x.cue" for fault in error.faults))
+            self.assertTrue(
+                error.diagnostics and all(fault.file == "x.cue" for fault in error.diagnostics)
+            )
 
     def test_each_example_under_deploy_is_read(self):
-        found = [name for name in os.listdir(FOLDER) if name.endswith(".cue")]
+        found = [name for name in os.listdir(DEPLOY_FOLDER) if name.endswith(".cue")]
         self.assertIn("gossip.cue", found)
         for name in found:
-            self.assertTrue(loader.load(os.path.join(FOLDER, name)))
+            self.assertTrue(loader.load(os.path.join(DEPLOY_FOLDER, name)))
 
 
 class Program(unittest.TestCase):
     def run_it(self, *arguments, code=None, **more):
-        environment = {**os.environ, "NODE_CONFIG": os.path.join(FOLDER, "example.json"), **more}
+        environment = {
+            **os.environ,
+            "NODE_CONFIG": os.path.join(DEPLOY_FOLDER, "example.json"),
+            **more,
+        }
         return subprocess.run(
             [sys.executable, *(("-c", code) if code else ("-m", "thymeknot")), *arguments],
             capture_output=True,
@@ -156,7 +162,7 @@
         )
 
     def test_a_faulty_file_ends_the_start_with_each_fault(self):
-        faulty = os.path.join(FOLDER, "balancer.toml")  # some file that is no operator's
+        faulty = os.path.join(DEPLOY_FOLDER, "balancer.toml")  # some file that is no operator's
         for ended in (self.run_it("--operator", faulty), self.run_it(THYMEKNOT_OPERATOR=faulty)):
             self.assertEqual(ended.returncode, 2)
             self.assertRegex(ended.stderr, r"^thymeknot: .*balancer\.toml:1: unexpected")
--- a/thymeknot/cli/coordination_commands.py
+++ b/thymeknot/cli/coordination_commands.py
@@ -47,12 +47,14 @@
     try:
         section = loader.load(path).get("fleet") if path else None
     except loader.OperatorConfigError as error:
-        raise CoordinationCommandError("\n".join(str(fault) for fault in error.faults)) from None
+        raise CoordinationCommandError(
+            "\n".join(str(diagnostic) for diagnostic in error.diagnostics)
+        ) from None
     if path is None or section is None:
         raise CoordinationCommandError(
             "an operator's file with `fleet` says who the keepers are: --operator FILE"
         )
-    settings = loader.record(CoordinationSettings, section)
+    settings = loader.to_record(CoordinationSettings, section)
     try:
         made = build_parts(settings, section, os.path.dirname(os.path.abspath(path)))
     except ValueError as error:
--- a/thymeknot/cli/load_commands.py
+++ b/thymeknot/cli/load_commands.py
@@ -74,13 +74,13 @@
 
     host, _, port = place.rpartition(":")
     try:
-        request_classes = [schedule.lane(one) for one in lanes]
+        request_classes = [schedule.parse_request_class(one) for one in lanes]
         if not port.isdigit():
             raise schedule.ScheduleError(f"{place}: HOST:PORT")
     except schedule.ScheduleError as error:
         raise click.UsageError(str(error)) from None
     climbing = schedule.Ramp(options["rate"]) if ramp else None
-    results = run.stretches(
+    results = run.run_load(
         host,
         int(port),
         {
@@ -102,9 +102,9 @@
         climbing,
     )
     last = results[-1]
-    found: dict[str, Any] = {"verdict": last.verdict, "why": last.why}
-    found.update(last.statistics.figures(options["seconds"]))
+    found: dict[str, Any] = {"verdict": last.verdict, "why": last.reason}
+    found.update(last.statistics.to_report(options["seconds"]))
     if climbing:
-        found.update(held_per_s=round(climbing.held, 1), held_until=climbing.why)
+        found.update(held_per_s=round(climbing.highest_held_rate, 1), held_until=climbing.reason)
     click.echo(json_line(found))
     context.exit(0 if climbing or last.verdict == schedule.HELD else 1)
--- a/thymeknot/load_generator/latency_histogram.py
+++ b/thymeknot/load_generator/latency_histogram.py
@@ -84,7 +84,7 @@
         _record(self.served[name], now - sent_at)
         _record(self.all, now - request.due)
 
-    def figures(self, seconds: float) -> dict[str, Any]:
+    def to_report(self, seconds: float) -> dict[str, Any]:
         """The figures for people and programs; latencies are milliseconds.
 
         Args:
--- a/thymeknot/load_generator/ramp.py
+++ b/thymeknot/load_generator/ramp.py
@@ -34,9 +34,9 @@
     Attributes:
         rate: The rate of the next stretch, in requests a second.
         state: Where the search is.
-        held: The highest rate that held.
-        failed: The lowest rate that failed.
-        why: The reason of the last verdict.
+        highest_held_rate: The highest rate that held.
+        lowest_failed_rate: The lowest rate that failed.
+        reason: The reason of the last verdict.
     """
 
     def __init__(
@@ -55,17 +55,17 @@
         self.within = within
         self.most = most
         self.state = RampState.CLIMB
-        self.held = 0.0
-        self.failed = math.inf
-        self.why = "not begun"
+        self.highest_held_rate = 0.0
+        self.lowest_failed_rate = math.inf
+        self.reason = "not begun"
 
-    def record(self, verdict: Verdict, why: str) -> None:
+    def record(self, verdict: Verdict, reason: str) -> None:
         """Takes what the stretch at `rate` showed, and sets the next rate or the end."""
-        self.why = why
+        self.reason = reason
         if verdict == Verdict.HELD:
-            self.held = max(self.held, self.rate)
+            self.highest_held_rate = max(self.highest_held_rate, self.rate)
         elif verdict == Verdict.FAILED:
-            self.failed = min(self.failed, self.rate)
+            self.lowest_failed_rate = min(self.lowest_failed_rate, self.rate)
         self.state = TRANSITIONS[self.state, verdict]
         if self.state == RampState.CLIMB:
             self._climb()
@@ -74,11 +74,14 @@
 
     def _climb(self) -> None:
         self.rate = min(self.most, self.rate * self.factor)
-        if self.held >= self.most:
+        if self.highest_held_rate >= self.most:
             self.state = RampState.OVER
 
     def _narrow(self) -> None:
-        gap = self.failed - self.held
-        if gap <= self.within * self.failed or self.failed < MIN_FAILED_RATE:
+        gap = self.lowest_failed_rate - self.highest_held_rate
+        if (
+            gap <= self.within * self.lowest_failed_rate
+            or self.lowest_failed_rate < MIN_FAILED_RATE
+        ):
             self.state = RampState.OVER
-        self.rate = (self.held + self.failed) / 2
+        self.rate = (self.highest_held_rate + self.lowest_failed_rate) / 2
--- a/thymeknot/load_generator/run.py
+++ b/thymeknot/load_generator/run.py
@@ -12,7 +12,7 @@
 from .latency_histogram import LoadStatistics, Outcome
 from .ramp import Ramp, RampState
 from .schedule import RequestClass, schedule_requests
-from .verdict import Goal, Stretch, Verdict, judge
+from .verdict import Goal, RunSummary, Verdict, judge
 
 NANOSECONDS_PER_TICK = 100_000
 
@@ -38,19 +38,19 @@
     keys: int
 
 
-class StretchResult(NamedTuple):
+class RunResult(NamedTuple):
     """One stretch.
 
     Attributes:
         rate: Requests a second.
         verdict: Whether it met the goal.
-        why: The reason in words.
+        reason: The reason in words.
         statistics: Its latencies and outcomes.
     """
 
     rate: float
     verdict: Verdict
-    why: str
+    reason: str
     statistics: LoadStatistics
 
 
@@ -78,7 +78,7 @@
         self.goal = goal
         self.notify = notify
         self.ramp = ramp
-        self.results: list[StretchResult] = []
+        self.results: list[RunResult] = []
 
     def begin(self) -> None:
         """Starts the next stretch."""
@@ -96,11 +96,11 @@
 
     def _ended(self, statistics: LoadStatistics, rate: float) -> None:
         stretch = _summarize(statistics, rate, self.goal)
-        verdict, why = judge(stretch, self.goal)
-        self.results.append(StretchResult(rate, verdict, why, statistics))
-        self.notify(f"{rate:8.0f}/s  {verdict:9}  {why}  (done {stretch.done} of {stretch.due})")
+        verdict, reason = judge(stretch, self.goal)
+        self.results.append(RunResult(rate, verdict, reason, statistics))
+        self.notify(f"{rate:8.0f}/s  {verdict:9}  {reason}  (done {stretch.done} of {stretch.due})")
         if self.ramp:
-            self.ramp.record(verdict, why)
+            self.ramp.record(verdict, reason)
         if self.ramp and self.ramp.state != RampState.OVER:
             self.begin()
         else:
@@ -111,10 +111,10 @@
         self.reactor.stop()
 
 
-def _summarize(statistics: LoadStatistics, rate: float, goal: Goal) -> Stretch:
+def _summarize(statistics: LoadStatistics, rate: float, goal: Goal) -> RunSummary:
     done = statistics.outcomes[Outcome.DONE]
     latency = statistics.all.get_value_at_percentile(100 * goal.quantile) if done else 0
-    return Stretch(
+    return RunSummary(
         rate=rate,
         latency=latency,
         done=done,
@@ -124,7 +124,7 @@
     )
 
 
-def stretches(  # noqa: PLR0917  # the command line gives all of them by position
+def run_load(  # noqa: PLR0917  # the command line gives all of them by position
     host: str,
     port: int,
     plan: Plan,
@@ -134,7 +134,7 @@
     patience: Ticks = 2 * TICKS_PER_SECOND,
     protocol: str = "resp2",
     ramp: Optional[Ramp] = None,
-) -> list[StretchResult]:
+) -> list[RunResult]:
     """Runs one stretch, or as many as a ramp takes, and the event loop until they are over.
 
     Args:
--- a/thymeknot/load_generator/schedule.py
+++ b/thymeknot/load_generator/schedule.py
@@ -68,7 +68,7 @@
     """An option that can't be used; the text says what would do."""
 
 
-def lane(text: str) -> RequestClass:
+def parse_request_class(text: str) -> RequestClass:
     """Parses the command line's NAME=SHARE, NAME=SHARE,write or NAME=SHARE,marked.
 
     Raises:
@@ -127,6 +127,6 @@
     "RequestClass",
     "RequestKind",
     "ScheduleError",
-    "lane",
+    "parse_request_class",
     "schedule_requests",
 ]
--- a/thymeknot/load_generator/verdict.py
+++ b/thymeknot/load_generator/verdict.py
@@ -30,15 +30,15 @@
     Attributes:
         quantile: The quantile of the corrected latencies that counts.
         latency: How long that quantile may be.
-        not_done: The share of requests that may end otherwise than done.
+        max_not_done_share: The share of requests that may end otherwise than done.
     """
 
     quantile: float = 0.99
     latency: Ticks = 500
-    not_done: float = 0.01
+    max_not_done_share: float = 0.01
 
 
-class Stretch(NamedTuple):
+class RunSummary(NamedTuple):
     """What one stretch at one rate came to.
 
     Attributes:
@@ -64,20 +64,20 @@
 
     Attributes:
         verdict: What the stretch showed.
-        why: The figure that decided, in words.
+        reason: The figure that decided, in words.
     """
 
     verdict: Verdict
-    why: str
+    reason: str
 
 
-def judge(stretch: Stretch, goal: Goal) -> Judgement:
+def judge(stretch: RunSummary, goal: Goal) -> Judgement:
     """Compares a stretch with the goal; the load tool's own delay is looked at first."""
     if stretch.late > max(MIN_OWN_DELAY_LIMIT, MAX_OWN_DELAY_SHARE * goal.latency):
-        why = f"the load tool itself was {stretch.late / 10:.1f} ms late"
-        return Judgement(Verdict.SATURATED, why)
+        reason = f"the load tool itself was {stretch.late / 10:.1f} ms late"
+        return Judgement(Verdict.SATURATED, reason)
     not_done = stretch.ended - stretch.done
-    if not_done > goal.not_done * max(1, stretch.ended):
+    if not_done > goal.max_not_done_share * max(1, stretch.ended):
         return Judgement(Verdict.FAILED, f"{not_done} of {stretch.ended} not done")
     verdict = Verdict.FAILED if stretch.latency > goal.latency else Verdict.HELD
     return Judgement(verdict, f"{goal.quantile:.1%} within {stretch.latency / 10:.1f} ms")
--- a/thymeknot/operator_config/errors.py
+++ b/thymeknot/operator_config/errors.py
@@ -23,7 +23,7 @@
 """The location of what no file holds."""
 
 
-class Fault(NamedTuple):
+class Diagnostic(NamedTuple):
     """One fault.
 
     Attributes:
@@ -49,9 +49,9 @@
     """A file that can't be used.
 
     Attributes:
-        faults: All that is wrong with it.
+        diagnostics: All that is wrong with it.
     """
 
-    def __init__(self, faults: Iterable[Fault]) -> None:
-        self.faults = list(faults)
-        super().__init__("; ".join(str(fault) for fault in self.faults))
+    def __init__(self, diagnostics: Iterable[Diagnostic]) -> None:
+        self.diagnostics = list(diagnostics)
+        super().__init__("; ".join(str(diagnostic) for diagnostic in self.diagnostics))
--- a/thymeknot/operator_config/evaluation.py
+++ b/thymeknot/operator_config/evaluation.py
@@ -3,7 +3,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .errors import NOWHERE, Fault, KeyPath, Location, OperatorConfigError
+from .errors import NOWHERE, Diagnostic, KeyPath, Location, OperatorConfigError
 from .unification import check
 from .values import (
     Constraint,
@@ -58,7 +58,7 @@
     name = reference.name
     if name not in definitions or name in within:
         text = "refers to itself" if name in within else "is not defined"
-        raise OperatorConfigError([Fault(*reference.location, (), f"{name} {text}")])
+        raise OperatorConfigError([Diagnostic(*reference.location, (), f"{name} {text}")])
     return _close(resolve(definitions[name], definitions, (*within, name)))
 
 
@@ -92,33 +92,35 @@
     return value._replace(is_closed=not value.is_open, fields=fields)
 
 
-def to_plain(value: Value, path: KeyPath, faults: list[Fault], location: Location = NOWHERE) -> Any:
+def to_plain(
+    value: Value, path: KeyPath, diagnostics: list[Diagnostic], location: Location = NOWHERE
+) -> Any:
     """The plain Python value: dicts, lists and scalars; defaults stand for what is left open.
 
     Args:
         value: The value.
         path: The keys that lead to it.
-        faults: Takes what is left open and has no default.
+        diagnostics: Takes what is left open and has no default.
         location: Where the struct or list around it is written, which such a fault names.
     """
     if isinstance(value, Scalar):
         return value.value
     if isinstance(value, Struct):
         return {
-            name: to_plain(field.value, (*path, name), faults, value.location)
+            name: to_plain(field.value, (*path, name), diagnostics, value.location)
             for name, field in value.fields.items()
             if not field.is_optional or _is_given(field.value)
         }
     if isinstance(value, ListValue) and value.elements is not None:
         return [
-            to_plain(element, (*path, index), faults, value.location)
+            to_plain(element, (*path, index), diagnostics, value.location)
             for index, element in enumerate(value.elements)
         ]
     if isinstance(value, Disjunction):
         defaults = [option.value for option in value.options if option.is_default]
         if defaults and _is_unambiguous(defaults):
-            return to_plain(defaults[0], path, faults, location)
-    faults.append(Fault(*location, path, f"is missing; asked for: {value}"))
+            return to_plain(defaults[0], path, diagnostics, location)
+    diagnostics.append(Diagnostic(*location, path, f"is missing; asked for: {value}"))
     return None
 
 
--- a/thymeknot/operator_config/grammar.py
+++ b/thymeknot/operator_config/grammar.py
@@ -12,7 +12,7 @@
 from lark.exceptions import VisitError
 from lark.tree import Meta
 
-from .errors import Fault, Location, OperatorConfigError
+from .errors import Diagnostic, Location, OperatorConfigError
 from .unification import unify
 from .values import (
     TOP,
@@ -97,14 +97,14 @@
         return str(ast.literal_eval(str(token)))
     except (SyntaxError, ValueError):
         text = f"no string that can be read: {token}"
-        raise OperatorConfigError([Fault(None, token.line or 0, (), text)]) from None
+        raise OperatorConfigError([Diagnostic(None, token.line or 0, (), text)]) from None
 
 
 def _number_value(token: Token) -> Union[int, float]:
     text = str(token)
     if len(text) > MAX_NUMBER_LENGTH:
         message = f"a number of {len(text)} characters, {MAX_NUMBER_LENGTH} at most"
-        raise OperatorConfigError([Fault(None, token.line or 0, (), message)])
+        raise OperatorConfigError([Diagnostic(None, token.line or 0, (), message)])
     return float(text) if any(mark in text for mark in ".eE") else int(text)
 
 
@@ -114,7 +114,7 @@
         re.compile(str(pattern))
     except re.error as error:
         text = f"no regular expression: {token}: {error}"
-        raise OperatorConfigError([Fault(None, token.line or 0, (), text)]) from None
+        raise OperatorConfigError([Diagnostic(None, token.line or 0, (), text)]) from None
 
 
 @v_args(inline=True, meta=True)
@@ -131,16 +131,16 @@
     def _struct(self, meta: Meta, members: list[Member], is_open: bool) -> Struct:
         """A struct of its members; what is given to one name twice is unified."""
         fields: dict[str, Field] = {}
-        faults: list[Fault] = []
+        diagnostics: list[Diagnostic] = []
         for (name, is_optional), value in members:
             field = Field(value, is_optional)
             earlier = fields.get(name)
             if earlier:
-                unified = unify(earlier.value, value, (name,), faults)
+                unified = unify(earlier.value, value, (name,), diagnostics)
                 field = Field(unified, earlier.is_optional and is_optional)
             fields[name] = field
-        if faults:
-            raise OperatorConfigError(faults)
+        if diagnostics:
+            raise OperatorConfigError(diagnostics)
         return Struct(fields, is_open, False, self._location(meta))
 
     def start(self, meta: Meta, *members: Member) -> Struct:
@@ -184,7 +184,7 @@
         if token in KIND_NAMES:
             return Constraint(Kind(str(token)), (), self._location(meta))
         text = f"no such name: {token} (strings stand in quotes)"
-        raise OperatorConfigError([Fault(self.file, meta.line, (), text)])
+        raise OperatorConfigError([Diagnostic(self.file, meta.line, (), text)])
 
     def reference(self, meta: Meta, token: Token) -> Reference:
         """A definition's name."""
@@ -208,11 +208,11 @@
     def conjunction(self, meta: Meta, first: Value, *others: Value) -> Value:
         """Values that all hold."""
         unified = first
-        faults: list[Fault] = []
+        diagnostics: list[Diagnostic] = []
         for other in others:
-            unified = unify(unified, other, (), faults)
-        if faults:
-            raise OperatorConfigError(faults)
+            unified = unify(unified, other, (), diagnostics)
+        if diagnostics:
+            raise OperatorConfigError(diagnostics)
         return unified
 
     def default(self, meta: Meta, value: Value) -> Disjunction:
@@ -245,13 +245,13 @@
     """
     if len(text) > MAX_FILE_SIZE:
         message = f"{len(text)} characters, {MAX_FILE_SIZE} at most"
-        raise OperatorConfigError([Fault(file, 1, (), message)])
+        raise OperatorConfigError([Diagnostic(file, 1, (), message)])
     try:
         return _ValueBuilder(file).transform(_parser.parse(text))
     except UnexpectedInput as error:
         found = getattr(error, "token", None) or getattr(error, "char", "")
         message = "the file ends too early" if str(found) == "" else f"unexpected {str(found)!r}"
-        raise OperatorConfigError([Fault(file, max(error.line, 1), (), message)]) from None
+        raise OperatorConfigError([Diagnostic(file, max(error.line, 1), (), message)]) from None
     except VisitError as error:
         _raise_original(error, file)
 
@@ -264,5 +264,6 @@
     if not isinstance(original, OperatorConfigError):
         raise error
     raise OperatorConfigError(
-        fault if fault.file else fault._replace(file=file) for fault in original.faults
+        diagnostic if diagnostic.file else diagnostic._replace(file=file)
+        for diagnostic in original.diagnostics
     ) from None
--- a/thymeknot/operator_config/loader.py
+++ b/thymeknot/operator_config/loader.py
@@ -4,7 +4,7 @@
 from importlib import resources
 from typing import Any, TypeVar, get_type_hints
 
-from .errors import Fault, OperatorConfigError
+from .errors import Diagnostic, OperatorConfigError
 from .evaluation import resolve, to_plain
 from .grammar import MAX_FILE_SIZE, parse
 from .unification import unify
@@ -56,27 +56,31 @@
     try:
         return _read(text, file)
     except RecursionError:
-        raise OperatorConfigError([Fault(file, 1, (), "is nested too deeply")]) from None
+        raise OperatorConfigError([Diagnostic(file, 1, (), "is nested too deeply")]) from None
 
 
 def _read(text: str, file: str) -> dict[str, Any]:
     struct = parse(text, file)
     own = resolve(struct._replace(fields=_own_fields(struct)), _definitions(struct))
-    faults: list[Fault] = []
-    unified = unify(load_schema(), own, (), faults)
-    settings: dict[str, Any] = to_plain(unified, (), faults, own.location)
-    if faults:
+    diagnostics: list[Diagnostic] = []
+    unified = unify(load_schema(), own, (), diagnostics)
+    settings: dict[str, Any] = to_plain(unified, (), diagnostics, own.location)
+    if diagnostics:
         first_line = max(own.location.line, 1)
         # A fault located in a schema is about what was left out: it gets the file's first line.
         located = (
-            fault if fault.file == file else fault._replace(file=file, line=first_line)
-            for fault in set(faults)
+            diagnostic
+            if diagnostic.file == file
+            else diagnostic._replace(file=file, line=first_line)
+            for diagnostic in set(diagnostics)
+        )
+        raise OperatorConfigError(
+            sorted(located, key=lambda diagnostic: (diagnostic.line, str(diagnostic)))
         )
-        raise OperatorConfigError(sorted(located, key=lambda fault: (fault.line, str(fault))))
     return settings
 
 
-def record(kind: type[Record], settings: dict[str, Any]) -> Record:
+def to_record(kind: type[Record], settings: dict[str, Any]) -> Record:
     """A NamedTuple of plain settings: records for mappings, tuples for lists, None for absent keys.
 
     Args:
@@ -89,10 +93,10 @@
         value = settings.get(name.rstrip("_"))
         inner: Any = getattr(hint, "__args__", (hint,))[0] if value is not None else None
         if isinstance(value, dict):
-            value = record(hint if hasattr(hint, "_fields") else inner, value)
+            value = to_record(hint if hasattr(hint, "_fields") else inner, value)
         elif isinstance(value, list):
             value = tuple(
-                record(inner, element) if isinstance(element, dict) else element
+                to_record(inner, element) if isinstance(element, dict) else element
                 for element in value
             )
         values[name] = value
@@ -110,13 +114,13 @@
             text = source.read(MAX_FILE_SIZE + 1)
     except OSError as error:
         reason = os.strerror(error.errno or 0)
-        raise OperatorConfigError([Fault(path, 0, (), f"can't be read: {reason}")]) from None
+        raise OperatorConfigError([Diagnostic(path, 0, (), f"can't be read: {reason}")]) from None
     except UnicodeDecodeError:
-        raise OperatorConfigError([Fault(path, 0, (), "is no UTF-8")]) from None
+        raise OperatorConfigError([Diagnostic(path, 0, (), "is no UTF-8")]) from None
     return read(text, path)
 
 
-def line(path: str, keys: tuple[str, ...]) -> str:
+def line_prefix(path: str, keys: tuple[str, ...]) -> str:
     """Where a file tells the value behind these keys, or the nearest one around it, as "7:"."""
     with open(path, encoding="utf-8") as source:
         value: Value = parse(source.read(MAX_FILE_SIZE), path)
@@ -128,4 +132,4 @@
     return f"{value.location.line}:"
 
 
-__all__ = ["OperatorConfigError", "line", "load", "load_schema", "read", "record"]
+__all__ = ["OperatorConfigError", "line_prefix", "load", "load_schema", "read", "to_record"]
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -42,7 +42,7 @@
 
 def _record(kind: Any, settings: Any) -> Any:
     """Returns the typed settings of an operator file record; raises ValueError."""
-    return _module("operator_config.loader").record(kind, settings)
+    return _module("operator_config.loader").to_record(kind, settings)
 
 
 def _check_gossip(settings: Any, folder: str) -> CheckedFeature:
@@ -90,7 +90,9 @@
         try:
             settings = loader.load(path)
         except loader.OperatorConfigError as error:
-            raise FeatureError("\n".join(str(fault) for fault in error.faults)) from None
+            raise FeatureError(
+                "\n".join(str(diagnostic) for diagnostic in error.diagnostics)
+            ) from None
         folder = os.path.dirname(os.path.abspath(path))
         checked_features = {}
         for name, typed in settings.items():
@@ -98,7 +100,7 @@
                 with libraries_from(f"requirements-{name}.txt"):
                     checked_features[name] = CHECKS[name](typed, folder)
             except ValueError as error:
-                line = loader.line(path, error.key) if hasattr(error, "key") else ""
+                line = loader.line_prefix(path, error.key) if hasattr(error, "key") else ""
                 raise FeatureError(f"{path}:{line} {error}") from None
         return checked_features
 
