--- a/thymeknot/proxy/client_requests.py
+++ b/thymeknot/proxy/client_requests.py
@@ -1,4 +1,4 @@
-"""Accepts clients' requests and sends their responses."""
+"""Accepts requests from clients and sends the responses."""
 
 from typing import TYPE_CHECKING
 
@@ -18,19 +18,19 @@
     from .proxy import Proxy
 
 OVERDUE_MARGIN = 50
-"""Ticks after a request's deadline when it gets a response if the engine has sent none."""
+"""Ticks after its deadline when a request fails if the engine has not responded to it."""
 
 UNKNOWN_CLASS_RESPONSE = resp.failure("ERR no such lane")
-"""The response to a request whose class is not in the settings."""
+"""Response to a request whose class is not in the settings."""
 
 FAILED_RESPONSE = resp.failure("ERR abandoned")
-"""The response to a request that has failed and may have run."""
+"""Response to a request that has failed and may have run."""
 
 
 def close_if_client_gone(request: InFlightRequest) -> None:
     """Closes the request's connection if its client has disconnected.
 
-    The reactor may not have reported this yet, or may not be reading from the connection.
+    The reactor may not have reported the close yet, or reading may be paused.
     """
     if not request.closed and peer_has_closed(request.connection.transport):
         request.connection.readConnectionLost()
@@ -53,7 +53,7 @@
         self.clock = proxy.clock
 
     def client_disconnected(self, connection: ClientConnection) -> None:
-        """Ends the requests of a connection whose client has stopped waiting."""
+        """Ends the requests of a connection whose client has disconnected."""
         proxy = self.proxy
         for request in self.table.by_slot if connection.pending_responses else ():
             if request.connection is connection and not request.closed:
@@ -61,72 +61,77 @@
                 if proxy.why is not None:
                     proxy.why.request_answered(request.id, proxy.why.left_reason)
                 proxy.handle_events(ClientDisconnected(request.id))
-                # Even if cancellation is not allowed: these were not completely written.
+                # Also without permission to cancel, since these were not completely written.
                 for attempt in request.attempts:
                     if attempt.in_flight and not attempt.written():
                         attempt.withdraw()
                 request_class = proxy.settings.request_classes[request.command.request_class]
-                self.table.remember(request, request_class.idempotency)
+                self.table.block_id(request, request_class.idempotency)
                 self.table.release(request)
 
-    def accept(self, connection: ClientConnection, place: int, command: Command) -> None:
-        """Accepts a request, or responds at once with the reason for refusing it."""
-        name = command.id.decode()
+    def accept(self, connection: ClientConnection, sequence: int, command: Command) -> None:
+        """Accepts a request, or responds at once with the reason for not accepting it."""
+        request_id = command.id.decode()
         request_class = self.proxy.settings.request_classes.get(command.request_class)
         if request_class is None:
-            connection.answer(place, UNKNOWN_CLASS_RESPONSE)
+            connection.answer(sequence, UNKNOWN_CLASS_RESPONSE)
             return
-        self._release_if_first_client_gone(name)
-        if connection.client_gone:  # the earlier request came over this connection
+        self._release_if_first_client_gone(request_id)
+        if connection.client_gone:  # the earlier request had arrived on this connection
             return
-        if name in self.table.by_id or name in self.table.may_have_run:
-            self._accept_repeat(name, connection, place, command)
+        if request_id in self.table.by_id or request_id in self.table.may_have_run:
+            self._accept_repeat(request_id, connection, sequence, command)
             return
-        left = self._time_left(command, request_class)
-        if self._is_full() or left <= 0:
-            connection.answer(place, resp.failure(BUSY))
+        time_left = self._time_left(command, request_class)
+        if self._is_full() or time_left <= 0:
+            connection.answer(sequence, resp.failure(BUSY))
             return
-        self._begin(name, connection, place, command, left)
+        self._begin(request_id, connection, sequence, command, time_left)
 
-    def _release_if_first_client_gone(self, name: str) -> None:
+    def _release_if_first_client_gone(self, request_id: str) -> None:
         """Releases an earlier request with this id if its client has disconnected."""
-        earlier = self.table.find(name) if name in self.table.by_id else None
+        earlier = self.table.find(request_id) if request_id in self.table.by_id else None
         if earlier is not None:
             close_if_client_gone(earlier)
 
     def _is_full(self) -> bool:
         """Returns whether requests in flight and blocked ids have reached `max_open`."""
-        held = len(self.table.by_slot) + len(self.table.may_have_run)
-        return held >= self.proxy.connection_limits.max_open
+        occupied = len(self.table.by_slot) + len(self.table.may_have_run)
+        return occupied >= self.proxy.connection_limits.max_open
 
     def _time_left(self, command: Command, request_class: RequestClass) -> Ticks:
-        """Returns how long the request may take, at most the outer limit of its class."""
-        left = min(command.timeout_ms * 10, request_class.outer_limit)
+        """Returns the ticks left for the request, at most the outer limit of its class."""
+        time_left = min(command.timeout_ms * 10, request_class.outer_limit)
         answer_by = self.proxy.shutdown.answer_by
-        return left if answer_by is None else min(left, answer_by - self.clock())
+        return time_left if answer_by is None else min(time_left, answer_by - self.clock())
 
     def _begin(
-        self, name: str, connection: ClientConnection, place: int, command: Command, left: Ticks
+        self,
+        request_id: str,
+        connection: ClientConnection,
+        sequence: int,
+        command: Command,
+        time_left: Ticks,
     ) -> None:
         """Registers a request and reports it to the engine."""
         proxy = self.proxy
         now = connection.last_used_at = self.clock()
-        request = InFlightRequest(name, command, connection, place, now + left)
-        request.slot = self.table.by_id[name] = self.table.by_slot.add(request)
+        request = InFlightRequest(request_id, command, connection, sequence, now + time_left)
+        request.slot = self.table.by_id[request_id] = self.table.by_slot.add(request)
         request.overdue_timer = self.timers.add(
             request.expires_at + OVERDUE_MARGIN, self._overdue, request
         )
         key = command.key.decode() or None
         proxy.exposure.count_received(now, command.request_class)
         if proxy.why is not None:
-            proxy.why.request_received(name, command)
+            proxy.why.request_received(request_id, command)
         proxy.handle_events(
             RequestReceived(
-                name,
+                request_id,
                 command.request_class,
                 command.tenant,
                 key,
-                left,
+                time_left,
                 None,
                 command.is_retry,
                 False,
@@ -134,29 +139,29 @@
         )
 
     def _accept_repeat(
-        self, name: str, connection: ClientConnection, place: int, command: Command
+        self, request_id: str, connection: ClientConnection, sequence: int, command: Command
     ) -> None:
         """Handles a request whose id was used before.
 
-        A client whose connection closed before it had a response sends the request again. If
-        attempts of the first copy are still in flight, their result is the response; if the first
-        copy may have run, the request does not run again.
+        A client sends a request again if its connection closed before the response arrived. If
+        attempts of the first copy are still in flight, their result is the response. If the first
+        copy may have run, the request is not sent to an endpoint again.
         """
         proxy = self.proxy
-        request = self.table.find(name)
+        request = self.table.find(request_id)
         if request is None:
-            connection.answer(place, resp.failure("ERR this id may have run already"))
+            connection.answer(sequence, resp.failure("ERR this id may have run already"))
             return
         if (
             not request.closed
             or not request.connection.client_gone
             or request.command[:3] != command[:3]
         ):
-            connection.answer(place, resp.failure("ERR this id is in hand already"))
+            connection.answer(sequence, resp.failure("ERR this id is in hand already"))
             return
         now = self.clock()
         request.connection = connection
-        request.place = place
+        request.sequence = sequence
         request.closed = False
         request.repeated = True
         request_class = proxy.settings.request_classes[request.command.request_class]
@@ -167,7 +172,7 @@
         )
 
     def _overdue(self, request: InFlightRequest) -> None:
-        """Responds to a request that the engine has left without a response."""
+        """Fails a request to which the engine has not responded in time."""
         proxy = self.proxy
         if not request.closed:
             structured_log.log("request overdue", id=request.id, out=request.attempts_in_flight)
@@ -181,13 +186,13 @@
         proxy = self.proxy
         if request and not request.closed:
             request.closed = True
-            request.connection.answer(request.place, content)
+            request.connection.answer(request.sequence, content)
             self.table.release(request)
             if proxy.why is not None and not request.attempts_in_flight:
                 proxy.why.request_finished(request.id)
 
     def reject(self, action: Reject) -> None:
-        """Sends the final response that promises that the request had no effect."""
+        """Sends the final response of a request that certainly had no effect."""
         milliseconds = -(-action.retry_after // 10)
         content = resp.failure(f"{BUSY} {milliseconds}" if milliseconds else BUSY)
         self.answer(self.table.find(action.id), content)
--- a/thymeknot/service/structured_log.py
+++ b/thymeknot/service/structured_log.py
@@ -32,7 +32,7 @@
 
     INTERVAL_SECONDS = 1.0
     MAX_KINDS = 100
-    """Addresses change with the configuration: beyond this many kinds, all are forgotten."""
+    """Beyond this many kinds all are forgotten, since addresses change with the configuration."""
 
     def __init__(self) -> None:
         self._last_written: dict[tuple[str, Any], float] = {}
@@ -103,12 +103,12 @@
 def log_exception(where: str, error: BaseException) -> None:
     """Logs a caught exception with the line that raised it."""
     trace = error.__traceback__
-    place = "unknown"
+    location = "unknown"
     while trace is not None:
         file = os.path.basename(trace.tb_frame.f_code.co_filename)
-        place = f"{file}:{trace.tb_lineno}"
+        location = f"{file}:{trace.tb_lineno}"
         trace = trace.tb_next
-    log("fault", where=where, error=f"{type(error).__name__}: {error}", at_line=place)
+    log("fault", where=where, error=f"{type(error).__name__}: {error}", at_line=location)
 
 
 def capture_twisted_errors() -> None:
