--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -25,7 +25,7 @@
     ClientConnection,
 )
 from thymeknot.proxy.client_listener import CLOSING_ALLOWANCE
-from thymeknot.proxy.graceful_shutdown import ACCEPT_REST_WITHIN
+from thymeknot.proxy.graceful_shutdown import BACKLOG_ACCEPT_TIMEOUT
 
 PING, PONG = command("PING"), b"+PONG\r\n"
 
@@ -572,7 +572,7 @@
         proxy.drain(lambda: callbacks.append("empty"))
         network.step()
         proxy.undrain(lambda: callbacks.append("back"), callbacks.append)
-        for _ in range(ACCEPT_REST_WITHIN // 100 + 9):
+        for _ in range(BACKLOG_ACCEPT_TIMEOUT // 100 + 9):
             network.advance_time(100)
         self.assertEqual({client_socket.recv(99)[:1] for client_socket in client_sockets}, {b"-"})
         self.assertEqual(
@@ -585,7 +585,10 @@
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address = ("127.0.0.1", 0)
         proxy.serve()
-        address, steps = proxy.listener.port.socket.getsockname(), ACCEPT_REST_WITHIN // 100 + 2
+        address, steps = (
+            proxy.listener.port.socket.getsockname(),
+            BACKLOG_ACCEPT_TIMEOUT // 100 + 2,
+        )
 
         def connect_client(at):
             client_socket = socket.create_connection(address, timeout=5)
--- a/thymeknot/service/features.py
+++ b/thymeknot/service/features.py
@@ -1,4 +1,4 @@
-"""Optional features, enabled by an operator file; without one their code is not imported."""
+"""Optional features, enabled by the operator file; the code of other features is not imported."""
 
 import os
 from collections.abc import Callable
@@ -24,7 +24,7 @@
         """Applies new settings; raises ValueError if they are invalid, and keeps the old ones."""
 
     def stop(self) -> None:
-        """Called when the sidecar stops."""
+        """Stops the feature when the sidecar stops."""
 
 
 class CheckedFeature(NamedTuple):
@@ -42,7 +42,7 @@
 
 def _record(kind: Any, settings: Any) -> Any:
     """Returns the typed settings of an operator file record; raises ValueError."""
-    return _module("operator_config.loader").record(kind, settings)
+    return _module("operator_config.loader").to_record(kind, settings)
 
 
 def _check_gossip(settings: Any, folder: str) -> CheckedFeature:
@@ -72,11 +72,11 @@
     "why": _check_decision_log,
     "fleet": _check_coordination,
 }
-"""Checks by the feature's key in the operator file, also its attribute name on the proxy."""
+"""Checks by the key of the feature in the operator file, also the attribute name on the proxy."""
 
 
 class Features:
-    """The features of one operator file: checked when loaded, started with the sidecar."""
+    """The features of an operator file, checked when it is loaded and started with the sidecar."""
 
     def __init__(self, path: str | None) -> None:
         self.path = path
@@ -90,7 +90,9 @@
         try:
             settings = loader.load(path)
         except loader.OperatorConfigError as error:
-            raise FeatureError("\n".join(str(fault) for fault in error.faults)) from None
+            raise FeatureError(
+                "\n".join(str(diagnostic) for diagnostic in error.diagnostics)
+            ) from None
         folder = os.path.dirname(os.path.abspath(path))
         checked_features = {}
         for name, typed in settings.items():
@@ -98,12 +100,12 @@
                 with libraries_from(f"requirements-{name}.txt"):
                     checked_features[name] = CHECKS[name](typed, folder)
             except ValueError as error:
-                line = loader.line(path, error.key) if hasattr(error, "key") else ""
+                line = loader.line_prefix(path, error.key) if hasattr(error, "key") else ""
                 raise FeatureError(f"{path}:{line} {error}") from None
         return checked_features
 
     def begin(self, proxy: Any) -> None:
-        """Starts each feature and sets it as attribute of the proxy; raises FeatureError."""
+        """Starts each feature and sets it as an attribute of the proxy; raises FeatureError."""
         for name, checked in self.checked.items():
             try:
                 self.running[name] = checked.create(proxy)
--- a/thymeknot/service/rejection_summary.py
+++ b/thymeknot/service/rejection_summary.py
@@ -1,7 +1,7 @@
 """Summarises why requests are rejected or fail, in one log line every few seconds.
 
-It receives the reasons that the decision engine reports. If nothing was rejected, nothing is
-logged. The number of counters is bounded by the closed table of reasons.
+It receives the reasons that the decision engine reports. If no request was rejected or failed,
+nothing is logged. The number of counters is bounded, since the set of reasons is closed.
 """
 
 from collections.abc import Callable
@@ -15,7 +15,7 @@
 """Ticks between two log lines."""
 
 FINAL_REASONS: Final = {Reason.DEFERRED: "deferred", Reason.ABANDONED: "abandoned"}
-"""The reasons that are final responses, with their keys in the log line."""
+"""The reasons that are final responses, with their keys in the log event."""
 
 
 class Role(IntEnum):
@@ -24,7 +24,7 @@
     NONE = 0
     DECIDES = 1
     EXCLUDES_ENDPOINTS = 2
-    """It ruled out endpoints; the cause if no endpoint is left."""
+    """Excludes endpoints; it is the cause if no endpoint is left."""
     FINAL_ANSWER = 3
 
 
@@ -72,17 +72,17 @@
         self._decisive: Reason | None = None
         self._excluding: Reason | None = None
 
-    def record(self, name: str | None, reason: Reason, *operands: Any) -> None:
+    def record(self, request_id: str | None, reason: Reason, *operands: Any) -> None:
         """Records a reason that the engine reports for a request (None for votes)."""
         role = ROLE_BY_NUMBER[reason]
         if role:
-            self._count(name, reason, role)
+            self._count(request_id, reason, role)
         if self.next_listener is not None:
-            self.next_listener(name, reason, *operands)
+            self.next_listener(request_id, reason, *operands)
 
-    def _count(self, name: str | None, reason: Reason, role: Role) -> None:
-        if name != self._request:  # the reasons of another request do not apply
-            self._request = name
+    def _count(self, request_id: str | None, reason: Reason, role: Role) -> None:
+        if request_id != self._request:  # reasons of the previous request do not apply
+            self._request = request_id
             self._decisive = None
             self._excluding = None
         if role == Role.EXCLUDES_ENDPOINTS:
@@ -102,7 +102,7 @@
         return self._decisive.name
 
     def flush(self, now: Ticks, **fields: Any) -> Ticks:
-        """Logs the counts since the last line; returns when to call it again."""
+        """Logs the counts since the last call, with more fields; returns when to call it again."""
         if self.counts:
             sums: dict[str, dict[str, int]] = {"deferred": {}, "abandoned": {}}
             for (answer, cause), count in sorted(self.counts.items(), key=lambda item: -item[1]):
