--- a/tests/integration/__init__.py
+++ b/tests/integration/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, by the package that they test."""
+"""Integration tests with real sockets, real processes and random orders of events."""
--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -1,5 +1,7 @@
-"""Ends of clients' connections: real sockets and the loop's own transports, the loop stepped by hand, so that what
-waits unread in the machine does so every time."""
+"""Closing of client connections over real sockets, with the event loop stepped by hand.
+
+Stepping the loop makes data that waits unread in the kernel do so in every run.
+"""
 
 import errno
 import select
@@ -35,7 +37,7 @@
 
 
 class SocketNetwork(Network):
-    """A sidecar whose clients come over real connections; all else is in memory, and so is time."""
+    """A sidecar with real client connections; endpoint connections and time are simulated."""
 
     def __init__(self, *entries, **options):
         super().__init__(*entries, **options)
@@ -46,14 +48,14 @@
             self.loop.iterate(0)
 
     def advance_time(self, ticks):
-        """So many tenths of a millisecond; deadlines go once more round the loop."""
+        """Advances time by ticks of 0.1 ms. Timers need a second iteration of the loop."""
         for _ in range(2):
             self.reactor.advance(ticks / 10_000 / 2)
             self.reactor.advance(0)
         self.step()
 
     def open_connection(self):
-        """(the client's socket, the sidecar's connection)."""
+        """Returns the client's socket and the sidecar's connection."""
         client_socket = socket.create_connection(self.listener.getsockname(), timeout=5)
         server_socket, address = self.listener.accept()
         server_socket.setblocking(False)
@@ -73,7 +75,7 @@
 
 
 def read_to_end(client_socket):
-    """What the client reads up to the end of its connection, or up to a reset, which is told by an ending."""
+    """Reads until the connection ends. A reset is indicated by the suffix RESET."""
     received = b""
     try:
         while chunk := client_socket.recv(65536):
@@ -94,18 +96,14 @@
         self.addCleanup(client_socket.close)
         return client_socket, connection
 
-    def test_request_unread_when_last_response_is_sent_is_answered_before_close(
-        self,
-    ):
+    def test_request_unread_when_last_response_is_sent_is_answered_before_close(self):
         network = self.network()
         client_socket, connection = self.open_connection(network)
         client_socket.sendall(PING)
-        connection.finish = lambda: None  # until it is told
+        connection.finish = lambda: None  # until the test asks for it
         network.step()
         del connection.finish
-        client_socket.sendall(
-            PING
-        )  # in the machine: the loop does not turn before the end is asked for
+        client_socket.sendall(PING)  # unread in the kernel: the loop does not run before finish()
         connection.finish()
         network.step()
         network.advance_time(2 * LINGER_TIME)
@@ -115,7 +113,7 @@
         network = self.network()
         client_socket, connection = self.open_connection(network)
         connection.finish()
-        connection.dataReceived(PING)  # before the loop has come to writing
+        connection.dataReceived(PING)  # before the loop has written the response
         network.step()
         network.advance_time(2 * LINGER_TIME)
         self.assertEqual(read_to_end(client_socket), PONG)
@@ -127,7 +125,7 @@
         network.step()
         connection.finish()
         network.step()
-        client_socket.sendall(PING)  # sending has ended: its client reads that, and asks elsewhere
+        client_socket.sendall(PING)  # the client sees the end of stream and repeats it elsewhere
         network.step()
         self.assertEqual(read_to_end(client_socket), PONG)
         network.advance_time(2 * LINGER_TIME)
@@ -152,7 +150,7 @@
             client_socket, connection = self.open_connection(network)
             client_socket.sendall(PING + malformed)
             network.step(1)
-            client_socket.sendall(b"more" * 20_000)  # unread as the connection ends
+            client_socket.sendall(b"more" * 20_000)  # unread when the connection closes
             network.step(9)
             network.advance_time(2 * LINGER_TIME)
             self.assertEqual(read_to_end(client_socket), PONG + b"-ERR syntax: " + reason + b"\r\n")
@@ -162,7 +160,7 @@
         network = self.network()
         client_socket, _ = self.open_connection(network)
         client_socket.sendall(PING)
-        client_socket.shutdown(socket.SHUT_WR)  # both are there as the loop turns
+        client_socket.shutdown(socket.SHUT_WR)  # the command and the end of stream arrive together
         network.step(9)
         self.assertEqual(read_to_end(client_socket), PONG)
         self.assertEqual(len(network.proxy.clients), 0)
@@ -181,7 +179,7 @@
         )
 
     def test_disconnect_is_detected_while_reading_is_paused(self):
-        """A connection with too much in hand is not read, so its end is not either."""
+        """A connection with too many pending commands is not read, so no read sees its end."""
         for disconnect in (
             lambda client_socket: client_socket.close(),
             lambda client_socket: client_socket.shutdown(socket.SHUT_WR),
@@ -192,7 +190,7 @@
                 b"".join(query(f"{at}") for at in range(MAX_PIPELINED_COMMANDS + 9))
             )
             network.step()
-            client_socket.sendall(PING)  # unread, before the end
+            client_socket.sendall(PING)  # unread, ahead of the end of stream
             disconnect(client_socket)
             network.step()
             self.assertFalse(connection.reading)
@@ -218,7 +216,7 @@
             (connection.reading, connection.input_valid, connection.parser.held), (False, True, 5)
         )
         for _ in range(9):
-            network.advance_time(5_000)  # the time of what is in hand is over
+            network.advance_time(5_000)  # the deadlines of the pending requests pass
         client_socket.shutdown(socket.SHUT_WR)
         network.advance_time(10)
         answers = read_to_end(client_socket).split(b"\r\n")
@@ -231,25 +229,21 @@
         client_socket, connection = self.open_connection(network)
         client_socket.sendall(PING[:5])
         network.step()
-        client_socket.sendall(
-            PING[5:]
-        )  # in the machine: the loop does not turn before the deadline
+        # Unread in the kernel: the loop does not run before the deadline.
+        client_socket.sendall(PING[5:])
         connection._command_overdue()
         network.step()
         network.advance_time(2 * DISCONNECT_CHECK_INTERVAL)
         self.assertEqual(client_socket.recv(99), PONG)
 
-    def test_connection_without_commands_is_closed_without_response(
-        self,
-    ):
+    def test_connection_without_commands_is_closed_without_response(self):
         for sends_command in (False, True):
             network = self.network()
             client_socket, connection = self.open_connection(network)
             network.advance_time(COMMAND_TIMEOUT - 100)
             if sends_command:
-                client_socket.sendall(
-                    PING
-                )  # in the machine: the loop does not turn before the deadline
+                # Unread in the kernel: the loop does not run before the deadline.
+                client_socket.sendall(PING)
                 connection._command_overdue()
             network.advance_time(200)
             network.advance_time(2 * LINGER_TIME)
@@ -259,15 +253,17 @@
             )
 
     def test_repeat_read_before_disconnect_of_first_connection_replaces_it(self):
-        """Its client has closed that connection, and asks on another: the loop may come to this one first, or does not
-        read that one at all."""
+        """The client closes its first connection and repeats the request on another.
+
+        The loop may read the second connection first, or not read the first one at all.
+        """
         network = self.network(endpoint_entry("s-1"))
         first, _ = self.open_connection(network)
         first.sendall(query("01"))
         network.step()
         pod = network.connect()
         pod.resumeProducing()
-        first.close()  # the loop does not turn before the copy is read
+        first.close()  # the loop does not run before the repeat is read
         second = network.ask("01")
         self.assertEqual(second.transport.value(), b"")
         network.connect().resumeProducing()
@@ -288,8 +284,10 @@
         )
 
     def test_request_read_after_disconnect_is_not_forwarded(self):
-        """It waited in the machine: for a place, or because the loop was held up. What pods get is in memory here,
-        and written at once."""
+        """The request waited in the kernel, for a free slot or because the loop was delayed.
+
+        Endpoint connections are in memory here and are written to at once.
+        """
         for disconnect in (
             lambda client_socket: client_socket.close(),
             lambda client_socket: client_socket.shutdown(socket.SHUT_WR),
@@ -299,7 +297,7 @@
             pod = network.connect()
             pod.resumeProducing()
             pod.dataReceived(VALUE_RESPONSE)
-            network.advance_time(200)  # it has rested: what is decided is written
+            network.advance_time(200)  # the connection has been idle long enough to be used again
             sent = pod.transport.value()
             client_socket, connection = self.open_connection(network)
             client_socket.sendall(query("01") + query("02") + query("02"))
@@ -321,7 +319,7 @@
         network.step()
         pod = network.connect()
         pod.resumeProducing()
-        client_socket.close()  # the loop has not turned since
+        client_socket.close()  # the loop has not run since
         pod.dataReceived(b"-ERR failed\r\n")
         self.assertEqual(
             (len(network.dialled_ports()), len(network.proxy.requests_in_flight)), (1, 0)
@@ -344,8 +342,9 @@
             client_socket.sendall(PING)
             network.step()
             if not blocked:
-                connection.pauseProducing = lambda: None  # not noticed before
-            connection.transport.write(b"x" * (16 << 20))  # an answer, more than the machine holds
+                # The blocked write goes unnoticed until the eviction.
+                connection.pauseProducing = lambda: None
+            connection.transport.write(b"x" * (16 << 20))  # more than the socket buffers hold
             network.step()
             connection.evict()
             network.advance_time(EVICTION_FLUSH_TIMEOUT - 100)
@@ -389,17 +388,16 @@
     def test_undrain_superseded_by_another_drain_does_not_listen(self):
         network, accepts_connections = self.listen_on_reserved_port()
         callbacks = []
-        network.proxy.drain(lambda: callbacks.append("empty"))
-        network.proxy.undrain(
-            lambda: callbacks.append("first back"), callbacks.append
-        )  # its listener is closing still
-        network.proxy.drain(lambda: callbacks.append("empty again"))
+        network.proxy.drain(lambda: callbacks.append("drained"))
+        # The listener is still closing.
+        network.proxy.undrain(lambda: callbacks.append("first undrain"), callbacks.append)
+        network.proxy.drain(lambda: callbacks.append("drained again"))
         self.assertFalse(accepts_connections())
         network.advance_time(1_000)
-        self.assertEqual(callbacks, ["empty again"])
-        network.proxy.undrain(lambda: callbacks.append("back"), callbacks.append)
+        self.assertEqual(callbacks, ["drained again"])
+        network.proxy.undrain(lambda: callbacks.append("undrained"), callbacks.append)
         self.assertTrue(accepts_connections())
-        self.assertEqual(callbacks, ["empty again", "back"])
+        self.assertEqual(callbacks, ["drained again", "undrained"])
 
     def test_undrain_during_drain_answers_requests_in_flight_and_accepts_new_ones(self):
         network, accepts_connections = self.listen_on_reserved_port()
@@ -408,15 +406,15 @@
         client_socket.sendall(query("01"))
         network.step(9)
         callbacks = []
-        network.proxy.drain(lambda: callbacks.append("empty"))
+        network.proxy.drain(lambda: callbacks.append("drained"))
         network.advance_time(1_000)
         client_socket.sendall(PING)
-        network.proxy.undrain(lambda: callbacks.append("back"), callbacks.append)
+        network.proxy.undrain(lambda: callbacks.append("undrained"), callbacks.append)
         self.assertTrue(accepts_connections())
-        network.advance_time(60_000)  # its answer is due by now
+        network.advance_time(60_000)  # past the deadline of the request
         network.advance_time(2 * LINGER_TIME)
         self.assertRegex(read_to_end(client_socket), rb"^-[^\r]*\r\n\+PONG\r\n$")
-        self.assertEqual(callbacks, ["back"])
+        self.assertEqual(callbacks, ["undrained"])
 
     def test_listener_backlog_is_accepted_before_listener_closes(self):
         network, factory = self.network(), Factory()
@@ -430,7 +428,7 @@
         address = "127.0.0.1", port.getHost().port
         first = socket.create_connection(address)
         self.addCleanup(first.close)
-        network.step(9)  # the port has learnt that one comes at a time
+        network.step(9)  # the port now accepts one connection at a time
         client_sockets = [socket.create_connection(address, timeout=5) for _ in range(30)]
         for client_socket in client_sockets:
             self.addCleanup(client_socket.close)
@@ -445,16 +443,15 @@
         self.assertEqual(
             [read_to_end(client_socket) for client_socket in client_sockets], [PONG] * 30
         )
-        self.assertEqual(shutdown_callbacks, [])  # the first may be about to say its first word
+        # The first client may still send its first command.
+        self.assertEqual(shutdown_callbacks, [])
         network.advance_time(5_000)
         network.advance_time(2 * LINGER_TIME)
         network.step(9)
         self.assertEqual(read_to_end(first), b"")
         self.assertEqual(shutdown_callbacks, [True])
 
-    def test_connection_between_last_accept_and_close_is_refused_not_reset(
-        self,
-    ):
+    def test_connection_between_last_accept_and_close_is_refused_not_reset(self):
         network, factory = self.network(), Factory()
         factory.noisy, factory.buildProtocol = (
             False,
@@ -471,12 +468,11 @@
             client_socket.settimeout(5)
         early.connect(address)
         early.sendall(PING)
-        network.reactor.advance(0)  # the last one is taken
+        network.reactor.advance(0)  # the last connection is accepted
         late_connection.setblocking(False)
         late_connection.connect_ex(address)
-        self.assertEqual(
-            select.select([], [late_connection], [], 0.2)[1], []
-        )  # the machine lets nobody in
+        # The kernel accepts no connection.
+        self.assertEqual(select.select([], [late_connection], [], 0.2)[1], [])
         network.step(9)  # the listener closes
         self.assertTrue(port.disconnected)
         network.advance_time(400)
@@ -484,17 +480,18 @@
         self.assertEqual(read_to_end(early), PONG)
         late_connection.setblocking(True)
         late_connection.settimeout(5)
-        self.assertEqual(
-            select.select([], [late_connection], [], 5)[1], [late_connection]
-        )  # it asks once more in a second, and is told
+        # The kernel repeats the SYN after a second and is refused.
+        self.assertEqual(select.select([], [late_connection], [], 5)[1], [late_connection])
         self.assertEqual(
             late_connection.getsockopt(socket.SOL_SOCKET, socket.SO_ERROR), errno.ECONNREFUSED
         )
 
 
 class ConnectionLimitTest(unittest.TestCase):
-    """A crowd that the machine has accepted, more than there are places for, as the loop comes to it: each is taken
-    once there is one, and none is closed for want of a descriptor."""
+    """More connections in the kernel's backlog than the sidecar may hold open.
+
+    Each is accepted once a slot is free, and none is closed for lack of a descriptor.
+    """
 
     def flood_and_run(self, shuts_down):
         network = SocketNetwork(endpoint_entry("s-1"), sockets=64)
@@ -508,7 +505,7 @@
             self.addCleanup(client_socket.close)
             client_socket.sendall(query(f"{at}", 300))
         if shuts_down:
-            proxy.shut_down(lambda: callbacks.append("empty"))
+            proxy.shut_down(lambda: callbacks.append("drained"))
         for _ in range(200):
             network.advance_time(100)
             client_counts.append(len(proxy.clients))
@@ -517,9 +514,8 @@
     def test_limit_holds_while_serving(self):
         network, client_sockets, max_seen, _ = self.flood_and_run(False)
         self.assertLessEqual(max_seen, network.proxy.listener.max_clients + CLOSING_ALLOWANCE)
-        self.assertEqual(
-            {client_socket.recv(99)[:1] for client_socket in client_sockets}, {b"-"}
-        )  # its time is over: nothing else is there
+        # Past its deadline: there is no endpoint that responds.
+        self.assertEqual({client_socket.recv(99)[:1] for client_socket in client_sockets}, {b"-"})
         self.assertFalse(network.proxy.listener.accepting_paused)
 
     def test_limit_holds_during_shutdown(self):
@@ -530,18 +526,18 @@
         )
         self.assertEqual(
             (callbacks, len(network.proxy.clients), network.proxy.listener_closed.called),
-            (["empty"], 0, True),
+            (["drained"], 0, True),
         )
 
     def test_idle_connection_is_evicted_before_new_connection(self):
-        """Its first command is on its way, and a new connection that is closed without an answer counts as refused."""
+        """A new connection's first command is on its way: closing it would count as refused."""
         for elapsed, evicted_index in ((0.0, 1), (0.6, 0)):
             network = Network(endpoint_entry("s-1"), sockets=64)
             new, idle = network.client(), network.client()
             idle.dataReceived(PING)
             network.reactor.advance(elapsed)
             while not (new.closing or idle.closing):
-                network.client().pending_responses.append(None)  # in hand
+                network.client().pending_responses.append(None)  # a pending command
             self.assertEqual(
                 [client.closing for client in (new, idle)], [at == evicted_index for at in range(2)]
             )
@@ -569,14 +565,15 @@
         for at, client_socket in enumerate(client_sockets):
             self.addCleanup(client_socket.close)
             client_socket.sendall(query(f"{at}", 300))
-        proxy.drain(lambda: callbacks.append("empty"))
+        proxy.drain(lambda: callbacks.append("drained"))
         network.step()
-        proxy.undrain(lambda: callbacks.append("back"), callbacks.append)
+        proxy.undrain(lambda: callbacks.append("undrained"), callbacks.append)
         for _ in range(BACKLOG_ACCEPT_TIMEOUT // 100 + 9):
             network.advance_time(100)
         self.assertEqual({client_socket.recv(99)[:1] for client_socket in client_sockets}, {b"-"})
         self.assertEqual(
-            (callbacks, proxy.listener.listening, proxy.listener_closed), (["back"], True, None)
+            (callbacks, proxy.listener.listening, proxy.listener_closed),
+            (["undrained"], True, None),
         )
 
     def test_continuous_new_connections_do_not_delay_shutdown(self):
@@ -616,7 +613,7 @@
         network.reactor.advance(0.6)
         network.reactor.advance(0)
         self.assertEqual([held.id for held in network.proxy.requests_in_flight], ["01"])
-        network.ask("03", connection=client)  # the kill may come at any moment
+        network.ask("03", connection=client)  # too late: the kill may come at any moment
         self.assertEqual([held.id for held in network.proxy.requests_in_flight], ["01"])
         connection = network.connect(network.initial_dials)
         connection.resumeProducing()
@@ -657,7 +654,7 @@
 
 
 class RepeatedRequestTest(unittest.TestCase):
-    """A client whose connection was closed under a request sends the same one once more, under the same id."""
+    """A client that loses its connection during a request repeats it under the same id."""
 
     def repeat_after_disconnect(self, request_class, written, cancellation_allowed):
         network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
@@ -682,7 +679,7 @@
             )
 
     def test_partially_written_request_is_cancelled_and_repeat_is_sent(self):
-        """Also where what is out may not be recalled: it is not out."""
+        """This holds without permission to cancel, too: the request was never sent in full."""
         for cancellation_allowed in (True, False):
             for request_class in ("read", "mark", "pay"):
                 network, connection, second = self.repeat_after_disconnect(
@@ -712,9 +709,7 @@
         network.reactor.advance(0)
         self.assertEqual(second.transport.value(), b"-ERR abandoned\r\n")
 
-    def test_request_that_may_have_run_is_not_repeated_after_cancellation(
-        self,
-    ):
+    def test_request_that_may_have_run_is_not_repeated_after_cancellation(self):
         for request_class, written, dials in (
             ("read", True, 2),
             ("pay", False, 2),
@@ -724,7 +719,7 @@
             network, _, second = self.repeat_after_disconnect(request_class, written, True)
             self.assertEqual(len(network.dialled_ports()), dials, (request_class, written))
             self.assertEqual(second.transport.value()[:4], b"-ERR" if dials == 1 else b"")
-            if dials == 1:  # and nothing of it is kept
+            if dials == 1:  # and no state of it is kept
                 network.reactor.advance(5.1)
                 network.reactor.advance(0)
                 self.assertEqual(network.proxy.requests.may_have_run, set())
@@ -737,7 +732,7 @@
 
 class ClientDisconnectTest(unittest.TestCase):
     def test_requests_may_be_added_and_removed_while_disconnect_is_handled(self):
-        """The walk over what it had goes on over what the decisions change at each."""
+        """The loop over a client's requests tolerates changes that each decision makes to them."""
         network = Network(endpoint_entry("s-1"), endpoint_entry("s-2"))
         client = network.client()
         for at in range(6):
@@ -745,9 +740,8 @@
         other_client, handle_events = network.ask("other"), network.proxy.engine.handle
 
         def handle(now, events):
-            if (
-                type(events[0]) is ClientDisconnected
-            ):  # another of its own ends at the same moment, and a new one comes
+            # Another request of the client ends meanwhile, and a new one arrives.
+            if type(events[0]) is ClientDisconnected:
                 last_request = network.proxy.requests.find("5")
                 for attempt in (
                     [attempt for attempt in last_request.attempts if attempt.in_flight]
--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -1,4 +1,7 @@
-"""Orders of what clients, pods, the network and the operators do, drawn by chance: nothing stays owed at the end."""
+"""Random orders of events from clients, endpoints, the network and operators.
+
+After each order no request, response, connection or timer may be left over.
+"""
 
 import unittest
 from unittest import mock
@@ -16,9 +19,8 @@
 
 ONE, POD = st.integers(0, 3), st.integers(0, 2)
 LANE = LEFT = KEY = st.integers(0, 2)
-TURNS = st.sampled_from(
-    (-1, -1, -1, 0, 1)
-)  # rounds of the loop after an order; -1: until all is at rest
+# Iterations of the event loop after an event; -1: until nothing is left to do.
+TURNS = st.sampled_from((-1, -1, -1, 0, 1))
 
 
 def order(name, *arguments):
@@ -71,13 +73,13 @@
     order("finish"),
 )
 ASKS = COMMON[0]
-# What is asked, and something that happens to it, three times out of five.
+# Three of the five alternatives draw a request or a common event.
 ORDERS = st.one_of(ASKS, st.one_of(COMMON), st.one_of(COMMON), st.one_of(SELDOM), st.one_of(SELDOM))
 STARTS = ("open", -1), ("open", -1)
 HANG, COME_UP = ([("dials", pod, how, -1) for pod in range(3)] for how in (HANGS, COMES_UP))
 DRAWN = st.lists(ORDERS, min_size=20, max_size=50)
-# Without it the draws would follow from a digest of the test's source, and a formatter would change them: this is that
-# digest before the first formatted commit.
+# Without a fixed seed the draws depend on a digest of the test's source, which a formatter changes.
+# This is the digest before the first formatted commit.
 SEED_HIGH = 0x391C06CA5BE5A373CEBCFFE4FF4AFE851DF38BF072FFC468
 SEED_LOW = 0xF03789D4856C1F038CA2B16B767AF3F8E8AD7A7BC8396DDB
 SEED = (SEED_HIGH << 192) + SEED_LOW
@@ -104,8 +106,10 @@
 
 
 class RegressionTest(unittest.TestCase):
-    """Faults that were found, each in its smallest order; what is not mended yet is red and left out above by a switch
-    in orders.py."""
+    """Faults that were found, each as its smallest order of events.
+
+    A fault that is not fixed yet fails here and is excluded above by a switch in order_rig.py.
+    """
 
     def test_client_disconnect_while_reading_is_paused_ends_its_attempts(self):
         with mock.patch.object(order_rig, "ENDS_WHILE_NOT_READ", True):
@@ -167,10 +171,13 @@
         )
 
     def test_disconnect_while_reading_is_paused_is_detected_in_time(self):
-        """A client asks for more than is read from it at once, one attempt is written in part, and the client leaves.
-        Its connection is looked at by a timer alone. As the looks came each 0.1 s, which is all the time that an
-        attempt may still begin in, and after the writes of their turn, the rest went out 0.1001 s after the client had
-        left: look at 251.0 ms (there), leaves at 251.0 ms, rest written at 351.1 ms, look after that."""
+        """A client sends more than is read at once and leaves during a partially written attempt.
+
+        Only a timer checks such a connection. The checks used to come every 0.1 s, which is all
+        the time in which an attempt may still begin, and after the writes of their iteration, so
+        the rest was written 0.1001 s after the client had left: check at 251.0 ms (connected),
+        disconnect at 251.0 ms, rest written at 351.1 ms, next check after that.
+        """
         play(
             *STARTS,
             ("passes", 1, 1),
@@ -184,9 +191,12 @@
         )
 
     def test_checker_excludes_time_in_which_the_process_was_suspended(self):
-        """A connection that is owed nothing was found open 0.151 s after the end of service, 0.150 s of which the
-        process had no processor: the page allows for that. With a turn of the loop it is closed; the checker counts
-        the bound in time in which the sidecar could run, and a connection that stays open is still found."""
+        """A connection without pending responses was found open 0.151 s after the end of service.
+
+        The process had no processor for 0.150 s of it, which the specification allows for. One
+        iteration of the loop closes the connection. The checker counts only time in which the
+        sidecar could run, and still finds a connection that stays open.
+        """
         finished = *STARTS, ("ping", 1, -1), ("finish", -1), ("passes", 1, 1)
         play(*finished, ("leave_unread", 0, 1, "shut", 0))
         play(*finished, ("held_up", 150, 0))
@@ -198,9 +208,12 @@
         self.assertRegex(str(raised.exception), "owed nothing and open 0.3.* s after the end")
 
     def test_checker_uses_the_build_listed_when_a_partial_command_began(self):
-        """A pod of the earlier build takes a part of a command, 2.6 s later its name is listed with the newest build,
-        which takes nothing: the trace has the command begun before the listing, so nothing went to the newest build.
-        The checker went by what was listed at the end."""
+        """A pod of the earlier build reads part of a command; 2.6 s later its name has a new build.
+
+        The newest build may receive nothing, and the command was begun before the listing, so
+        nothing was sent to the newest build. The checker used to apply the build that was listed
+        at the end.
+        """
         initial_events = (
             *STARTS,
             ("built", "withdrawn", 1.0, 1),
@@ -231,7 +244,7 @@
 
 
 class CheckerTest(unittest.TestCase):
-    """It finds what is broken on purpose: the same orders, drawn until one shows it."""
+    """The checker detects faults that are injected, with the same random orders of events."""
 
     def assert_detected(self, target, name, replacement, error_pattern):
         @settings(HOW, phases=[Phase.generate], report_multiple_bugs=False)
@@ -249,7 +262,7 @@
             if not self.connected or at < 0 or self.pending_responses[at] is not None:
                 return
             self.pending_responses[at] = content
-            self.transport.write(content)  # at once, not behind those before it
+            self.transport.write(content)  # immediately, not after earlier responses
             while self.pending_responses and self.pending_responses[0] is not None:
                 self.pending_responses.popleft()
                 self.first_sequence += 1
@@ -262,9 +275,8 @@
     def test_attempts_written_after_a_drain_are_detected(self):
         with (
             mock.patch.object(Proxy, "withdraw_unwritten", lambda self, fails: None),
-            mock.patch.object(
-                Attempt, "may_be_written", lambda self, address: True
-            ),  # which would hold it, too
+            # may_be_written would prevent the write as well.
+            mock.patch.object(Attempt, "may_be_written", lambda self, address: True),
             self.assertRaises(Wrong) as raised,
         ):
             play(
--- a/tests/integration/test_gossip.py
+++ b/tests/integration/test_gossip.py
@@ -1,4 +1,4 @@
-"""Gossip with the real program on loopback, and the short form of its measurement."""
+"""Gossip between real programs on loopback, and the short form of its measurement."""
 
 import signal
 import time
@@ -15,9 +15,8 @@
         measurements = loopback(3, True)
         for name in ("wrongful_exclusions", "wrong_dead", "rules_broken", "faults"):
             self.assertEqual(measurements[name], 0, name)
-        self.assertLessEqual(
-            measurements["bytes_per_second_most"], 2 * measurements["ceiling"]
-        )  # clock seconds, not any second
+        # The ceiling holds per clock second; any window of a second overlaps two of them.
+        self.assertLessEqual(measurements["bytes_per_second_most"], 2 * measurements["ceiling"])
         self.assertEqual(measurements["answers"]["lost"], 0)
         self.assertGreater(measurements["answers"]["done"], 500)
 
@@ -47,7 +46,7 @@
             ),
             collect_log_lines,
         )
-        # n2 is revoked at n0: it is no peer there any more, and n0 is none that it can reach.
+        # n0 revokes n2: neither is a peer of the other from here on.
         n0 = fleet.programs["n0"]
         with open(n0.operator, "w", encoding="utf-8") as output:
             revoked = f']\nrevoked: ["{fleet.identities["n2"].public_key_text()}"]\nhearsay'
@@ -57,7 +56,7 @@
             lambda: any(line["event"] == "operator file reloaded" for line in log_lines["n0"]),
             collect_log_lines,
         )
-        # A file that can't be used changes nothing and is named.
+        # An invalid file changes nothing, and the error names the field.
         with open(n0.operator, "w", encoding="utf-8") as output:
             output.write("gossip: name: 7")
         n0.process.send_signal(signal.SIGHUP)
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -1,4 +1,7 @@
-"""The program's start and stop while signals come: at named moments, never by waiting."""
+"""Startup and shutdown of the program while signals arrive.
+
+Signals are sent at defined points of the program's run, not after a wait.
+"""
 
 import errno
 import json
@@ -19,7 +22,7 @@
 
 
 def wait_until_signals_delivered(process):
-    """Once nothing of a signal is pending: what it was sent has been delivered."""
+    """Waits until the process has no pending signal, so that all sent ones are delivered."""
 
     def pending():
         with open(f"/proc/{process.pid}/status", encoding="utf-8") as source:
@@ -33,20 +36,20 @@
 
 
 class FifoProgram(Program):
-    """The program whose configuration is a FIFO: it reads when the test writes, and the test knows that it reads."""
+    """A program whose configuration file is a FIFO, so that the test controls when it is read."""
 
     def write(self, told):
         os.mkfifo(self.path)
 
     def open_and_write(self, content):
-        """Opens for writing once the program has it open to read; its read ends with that file."""
+        """Writes to the FIFO once the program has opened it. Closing the result ends the read."""
         descriptors = []
 
         def attempt():
             try:
                 descriptors.append(os.open(self.path, os.O_WRONLY | os.O_NONBLOCK))
             except OSError as error:
-                if error.errno != errno.ENXIO:  # nobody reads yet
+                if error.errno != errno.ENXIO:  # the FIFO has no reader yet
                     raise
                 time.sleep(0.005)
 
@@ -56,7 +59,7 @@
         return output
 
     def finish_read(self, output):
-        """Ends this read; the next one is of another file, and can't take what is left of this."""
+        """Ends this read. The next one opens a new FIFO and can't read what is left in this one."""
         os.unlink(self.path)
         os.mkfifo(self.path)
         output.close()
@@ -75,18 +78,15 @@
         new = DiscoveryPeer()
         self.addCleanup(new.close)
         program = self.fifo_program()
-        first = program.open_and_write(
-            program.told
-        )  # the program has it open, and waits for its end
+        # The program has the file open and waits for its end.
+        first = program.open_and_write(program.told)
         program.process.send_signal(signal.SIGHUP)
         program.wait_until_signals_delivered()
         program.finish_read(first)
-        program.finish_read(
-            program.open_and_write({**program.told, "discovery": new.address})
-        )  # goes on only where it is read again
-        program.discovery.asked.put(
-            "perhaps never"
-        )  # it may move before it has asked at the former address
+        # Returns only if the program reads the file again.
+        program.finish_read(program.open_and_write({**program.told, "discovery": new.address}))
+        # The program may reconfigure before its first request to the former address.
+        program.discovery.asked.put("perhaps never")
         program.__enter__()
         self.assertEqual(program.logged("configuration reloaded")["discovery"], new.address)
         new.asked.get(timeout=PATIENCE)
@@ -106,7 +106,7 @@
         with patient():
             program = self.fifo_program(silent=True)
         program.finish_read(program.open_and_write(program.told))
-        program.discovery.asked.get(timeout=PATIENCE)  # it has begun, and waits for the first list
+        program.discovery.asked.get(timeout=PATIENCE)  # started, waiting for the first list
         program.process.send_signal(signal.SIGHUP)
         program.wait_until_signals_delivered()
         program.discovery.say("\n")
@@ -116,7 +116,7 @@
         self.assertEqual(program.logged("configuration reloaded")["only_at_a_start"], ["name"])
 
     def program_waiting_for_address(self):
-        """The program as it waits for its address; who has that."""
+        """Returns a program that waits for its address, and the socket that occupies it."""
         held = []
 
         def change(told):
@@ -162,21 +162,20 @@
             with patient():
                 program = Program(silent=True)
             self.addCleanup(program.__exit__)
-            program.discovery.asked.get(
-                timeout=PATIENCE
-            )  # it has begun, and waits for the first list
+            # Started, waiting for the first list.
+            program.discovery.asked.get(timeout=PATIENCE)
             for signal_number in signal_numbers:
                 program.process.send_signal(signal_number)
             out, error = program.process.communicate(timeout=PATIENCE)
             self.assertEqual((program.process.returncode, error), (0, b""))
             events = [json.loads(line)["event"] for line in out.splitlines()]
-            # A watch that hears nothing may have been given up before the signal, too.
+            # A silent watch stream may have been closed before the signal.
             self.assertEqual(
                 [one for one in events if one != "stream ended"], ["stopping", "stopped"]
             )
 
     def test_sighup_during_imports_does_not_end_the_process(self):
-        """Sent to itself at the import of the module that reads the file, so before anything of the start."""
+        """The signal is sent at the import of the JSON parser, before any startup code has run."""
         code = """import os, runpy, signal, sys
 class Finder:
     def find_spec(self, name, path, target=None):
@@ -191,7 +190,10 @@
             self.assertEqual(client.ask("PING"), b"+PONG")
 
     def test_signal_at_interpreter_exit_does_not_change_the_exit_status(self):
-        """The interpreter gives back its handlers before it clears its modules: what comes then would end it."""
+        """The interpreter restores the default handlers before it clears its modules.
+
+        A signal that arrives after that would end the process.
+        """
         for signal_number in (signal.SIGHUP, *lifecycle.STOP_SIGNALS):
             for change, exit_status in ((lambda told: None, 0), (lambda told: told.pop("seed"), 2)):
                 code_at_exit = f"""class Last:
@@ -209,7 +211,10 @@
 
 class FirstEndpointListTest(WithPods):
     def start_without_list(self, *entries):
-        """The program once its watch is asked for: whatever it listens for without a list, it does so by now."""
+        """Returns a program that waits for its first list after requesting the watch stream.
+
+        If it listened without a list, it would do so by then.
+        """
         with patient():
             program = Program(*entries, silent=True)
         self.addCleanup(program.__exit__)
@@ -298,19 +303,19 @@
         with stands_still():
             program = self.program(pod.entry("s-1"))
         with program.client() as first:
-            self.assertEqual(
-                first.ask("PING"), b"+PONG"
-            )  # one came the last time: so many are taken at once
+            # The listener accepts as many connections at once as came the last time: one.
+            self.assertEqual(first.ask("PING"), b"+PONG")
             program.process.send_signal(signal.SIGTERM)
             program.stood_still()
-            started_at = time.monotonic()  # its end is set
+            started_at = time.monotonic()  # the shutdown deadline is set
             clients = [program.client() for _ in range(30)]
             for number, client in enumerate(clients):
                 self.addCleanup(client.__exit__)
                 client.send("SVC.QUERY", "a", f"{number:02x}", READ)
+            # The time to accept connections ends while the process is stopped.
             time.sleep(
                 max(0, started_at + 2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS - time.monotonic())
-            )  # the end comes while it stands still
+            )
             program.process.send_signal(signal.SIGCONT)
             self.assertEqual(
                 [client.answer() for client in clients], [b"%02x" % number for number in range(30)]
@@ -318,7 +323,7 @@
         self.assertEqual(program.process.wait(PATIENCE), 0)
 
     def test_listener_backlog_is_answered_at_the_descriptor_limit(self):
-        """Also where the machine allows fewer than the configuration names."""
+        """This holds as well if the process limit is lower than the configured one."""
         startup_code = (
             "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\n"
             f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}"
@@ -339,9 +344,8 @@
                 client.send("PING")
             if sends_sigterm:
                 program.process.send_signal(signal.SIGTERM)
-                time.sleep(
-                    2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS
-                )  # the end comes while it stands still
+                # The time to accept connections ends while the process is stopped.
+                time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             program.process.send_signal(signal.SIGCONT)
             self.assertEqual(
                 [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, sends_sigterm)
@@ -395,9 +399,12 @@
         self.assertFalse(release.is_set())
 
     def test_process_exits_before_the_platform_kills_it(self):
-        """A client goes on sending on its open connection while the process stops, and endpoints hang. All that is
-        taken has its answer before the kill, which comes 3.7 s after SIGTERM at the earliest; but the last answers came
-        after 3.65 s, and 0.05 s of rest behind them ended the process just then: killed at 3.70 s, its status -9."""
+        """A client keeps sending on its open connection during shutdown while endpoints hang.
+
+        Every accepted request must be answered before the kill, at the earliest 3.7 s after
+        SIGTERM. The last responses used to come after 3.65 s, and a pause of 0.05 s behind them
+        delayed the exit until the kill at 3.70 s, with exit status -9.
+        """
         pod = self.pod(lambda words: b"")
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
@@ -412,14 +419,17 @@
         self.assertRegex(answers[0], b"^-")
         self.assertRegex(answers[1], b"^-")
         self.assertEqual((answers[2], program.process.wait(PATIENCE)), (b"", 0))
-        # The kill, less the time for which the page lets a sidecar be held up.
+        # The time of the kill minus the 0.15 s for which a sidecar may be delayed.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
     def test_process_exits_before_kill_when_requests_are_read_late(self):
-        """A client has 90 requests in hand when the process stops, and endpoints hang. The first 65 are answered at the
-        latest moment; only then are the others read, and answered a little later. Their connection was closed 0.2 s
-        after that, as the moment at which all such waits end was over by then, and the process was killed: 3.69 s after
-        SIGTERM it logged its end, 3.70 s after it the kill may come."""
+        """A client has 90 pending requests at shutdown while endpoints hang.
+
+        The first 65 are answered at the last possible moment; only then are the others read and
+        answered a little later. Their connection used to be closed 0.2 s after that, because the
+        deadline that ends all such waits had passed, and the process was killed: it logged its
+        end 3.69 s after SIGTERM, and the kill may come after 3.70 s.
+        """
         pod = self.pod(lambda words: b"")
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
@@ -432,7 +442,7 @@
             stopped = program.logged("stopped")
             self.assertEqual(program.process.wait(PATIENCE), 0)
         self.assertEqual([answer[:1] for answer in answers], [b"-"] * 90 + [b""])
-        # The kill, less the time for which the page lets a sidecar be held up.
+        # The time of the kill minus the 0.15 s for which a sidecar may be delayed.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
     def test_partial_file_is_rejected_and_the_complete_one_loaded_on_next_sighup(self):
--- a/tests/integration/test_soak.py
+++ b/tests/integration/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak in short: a few plays of real processes, some planted faults, and orders of other seeds.
+"""Short soak test: real processes under random plans, injected faults and event orders.
 
 The long run is started by hand: make soak SEEDS=1-50.
 """
@@ -14,8 +14,8 @@
 
 SEEDS = (1, 2, 4, 5, 6)
 INJECTED_FAULTS = ("an answer that is dropped", "keys that do not stay", "an end that never comes")
-ORDER_SEEDS = (1, 2)  # seeds
-LISTS_PER_SEED = 60  # of orders a seed
+ORDER_SEEDS = (1, 2)
+LISTS_PER_SEED = 60  # lists of events drawn for each seed
 WORKER_PROCESSES = 3
 
 
@@ -67,7 +67,7 @@
         )
 
     def test_answer_is_due_with_the_answers_before_it(self):
-        """Two are read only once an earlier one has its answer; the last of them has less time than the one before."""
+        """Two requests are read only after an earlier answer; the last has the shortest deadline."""
 
         def sent(deadline, **options):
             return Request("r", 0, "read", "k", "", deadline, 0.0, 0, due_after=3.0, **options)
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program over sockets, against stand-ins of pods, discovery and the platform."""
+"""The program over sockets, with stand-ins for pods, discovery and the release platform."""
 
 import itertools
 import signal
@@ -152,9 +152,8 @@
         program = self.program(
             pod.entry("s-1"), change=lambda told: told["limits"].update(sockets=64)
         )
-        clients = [
-            program.client() for _ in range(40)
-        ]  # 12 find room at once; the eldest idle ones give way
+        # 12 fit at a time; the oldest idle connections are closed for new ones.
+        clients = [program.client() for _ in range(40)]
         served = 0
         for at, client in enumerate(clients):
             with client:
@@ -233,9 +232,8 @@
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
             self.assertEqual([program.platform.calls.get() for _ in range(2)], [vote] * 2)
-            until(
-                lambda: program.logged("vote")["outcome"] == "done", lambda: None
-            )  # its answer was heard
+            # The platform's reply to the vote has been received.
+            until(lambda: program.logged("vote")["outcome"] == "done", lambda: None)
             while not bad.heard.empty():
                 bad.heard.get()
             for at in range(50):
@@ -251,7 +249,7 @@
         self.assertEqual(program.platform.asked.get(timeout=PATIENCE), "/v2/projects/main/stream")
         self.assertRegex(program.discovery.asked.get(timeout=PATIENCE), r"stream=1&index=(7|9)$")
         program.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
-        program.platform.push_news(version=42)  # before it is told, nothing goes to that build
+        program.platform.push_news(version=42)  # no request goes to this build before
         with program.client() as client:
             until(lambda: not new.heard.empty(), lambda: client.ask("SVC.QUERY", "a", "01", READ))
 
@@ -323,9 +321,8 @@
             pod.heard.get(timeout=PATIENCE)
             program.process.send_signal(signal.SIGTERM)
             program.stood_still()
-            with (
-                program.client() as late_client
-            ):  # it comes within the last half second, however busy the machine is
+            # Connects within the last half second, however busy the machine is.
+            with program.client() as late_client:
                 program.process.send_signal(signal.SIGTERM)
                 program.process.send_signal(signal.SIGCONT)
                 self.assertEqual(late_client.ask("SVC.QUERY", "a", "02", READ), b"02")
--- a/tests/processes/__init__.py
+++ b/tests/processes/__init__.py
@@ -1,1 +1,1 @@
-"""Several processes of the program, relays on every path between them, and a checker that stands outside."""
+"""Tests with several processes of the program, a relay on each path, and an external checker."""
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -1,4 +1,4 @@
-"""A drain under load, the leader killed in its middle, and the smaller side of a cut: by real processes on loopback."""
+"""Drains under load, a crash of the leader and a network partition, with real processes."""
 
 import socket
 import subprocess
@@ -11,8 +11,9 @@
 from tests.support.process_rig import PAY, Checker, Fleet, talk
 from thymeknot.raft import message_codec
 
-LONG_REQUEST = PAY.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
-TIMEOUT_SECONDS = 15  # seconds that a condition has to come about
+# The deadline must not pass before the test releases the request.
+LONG_REQUEST = PAY.replace("d=6000", "d=15000")
+TIMEOUT_SECONDS = 15  # for a condition to become true
 
 
 class FleetTestCase(unittest.TestCase):
@@ -21,16 +22,20 @@
         self.addCleanup(fleet.close)
         self.operator = fleet.asker()
         self.wait_until(
-            lambda: self.status()["units"] == 3 and self.status()["out"] == 0, "the fleet stands"
+            lambda: self.status()["units"] == 3 and self.status()["out"] == 0,
+            "all units are declared and in service",
+        )
+        self.wait_until(
+            lambda: not fleet.checker.out() and fleet.clients.done() > 20,
+            "all units serve requests",
         )
-        self.wait_until(lambda: not fleet.checker.out() and fleet.clients.done() > 20, "all serve")
         return fleet
 
     def wait_until(self, condition, description):
         deadline = time.monotonic() + TIMEOUT_SECONDS
         while not condition():
             if time.monotonic() > deadline:
-                self.fail(f"{description}: not within {TIMEOUT_SECONDS} s; {self.status()}")
+                self.fail(f"{description}: not within {TIMEOUT_SECONDS} s; status {self.status()}")
             time.sleep(0.03)
 
     def status(self):
@@ -48,7 +53,7 @@
         return self.operator.propose({"part": "turns", "do": "back", "unit": unit})
 
     def check_invariants(self, fleet, killed=()):
-        """What holds in every play."""
+        """Checks what holds in every test, after the clients have stopped."""
         fleet.clients.close()
         self.assertEqual(fleet.binding_twice(), [])
         self.assertEqual(
@@ -59,14 +64,15 @@
 
 class CheckerTest(unittest.TestCase):
     def test_units_count_as_out_together_only_if_out_at_the_same_time(self):
-        """In the order of a look: each "a" or "b" that answers, or not, at its turn."""
+        """Each entry is one PING in order: the unit, with a "!" in front if it does not answer."""
+        # In the last case "a" came back before "b" went out, or between the two checks.
         for answers, expected in (
             (("a", "b"), ""),
             (("!a", "b"), "a"),
             (("a", "!b"), "b"),
             (("!a", "!b", "!a", "!b"), "ab"),
             (("!a", "!b", "a", "!b"), "b"),
-        ):  # a came back before b went, or as the look went on
+        ):
             checker, remaining = Checker.__new__(Checker), list(answers)
             checker.ports = {"a": "a", "b": "b"}
 
@@ -82,20 +88,23 @@
     def test_next_unit_drains_only_after_the_previous_one_returns(self):
         fleet = self.start_fleet()
         self.assertTrue(self.request_drain("n0")["ok"])
-        self.wait_until(lambda: fleet.checker.out() == {"n0"}, "n0 goes out")
-        self.wait_until(lambda: self.state("n0") == "out", "it says that it is empty")
+        self.wait_until(lambda: fleet.checker.out() == {"n0"}, "n0 goes out of service")
+        self.wait_until(lambda: self.state("n0") == "out", "n0 reports that it is drained")
         reply = self.request_drain("n1")
         self.assertEqual(reply["state"], "asked")
         self.assertIn("n0", reply["by"])
         done = fleet.clients.done()
-        self.wait_until(lambda: fleet.clients.done() > done + 100, "the others serve")
+        self.wait_until(lambda: fleet.clients.done() > done + 100, "the other units serve requests")
         self.assertEqual(fleet.checker.out(), {"n0"})
         self.assertTrue(self.request_return("n0")["ok"])
-        self.wait_until(lambda: fleet.checker.out() == {"n1"}, "n0 is back, and n1 goes out")
-        self.wait_until(lambda: self.state("n1") == "out", "n1 is empty")
+        self.wait_until(
+            lambda: fleet.checker.out() == {"n1"}, "n0 is back in service and n1 goes out"
+        )
+        self.wait_until(lambda: self.state("n1") == "out", "n1 reports that it is drained")
         self.request_return("n1")
         self.wait_until(
-            lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home"
+            lambda: not fleet.checker.out() and self.status()["out"] == 0,
+            "all units are back in service",
         )
         self.assertEqual(fleet.checker.most_out(), 1)
         self.check_invariants(fleet)
@@ -109,7 +118,7 @@
         self.check_invariants(fleet)
 
     def check_rejected_messages(self, fleet):
-        """What is forged, replayed or nonsense ends by itself, and is counted in the log."""
+        """Forged, replayed and malformed messages are rejected and logged."""
         client, captured = fleet.asker("n0", word="x"), []
         sign_message = message_codec.sign_message
 
@@ -142,7 +151,7 @@
                 )
             line = fleet.programs["n0"].logged("message rejected")
             self.assertEqual(line["kind"], kind)
-            time.sleep(1.05)  # such a line is written once a second at most
+            time.sleep(1.05)  # rejections are logged at most once a second
         with self.assertRaisesRegex(message_codec.MessageError, "in the name of n1"):
             client.ask_node(
                 "n0",
@@ -157,7 +166,7 @@
                 pass
 
     def run_command(self, fleet, *words):
-        """(exit code, what it says)."""
+        """Runs a `fleet` command and returns its exit status and its output."""
         result = subprocess.run(
             [
                 sys.executable,
@@ -175,12 +184,12 @@
         return result.returncode, result.stdout + result.stderr
 
     def check_commands(self, fleet):
-        exit_status, output = self.run_command(fleet, "halt", "the network is worked at")
+        exit_status, output = self.run_command(fleet, "halt", "network maintenance")
         self.assertEqual(exit_status, 0, output)
         halt_number = output.split()[1]
         exit_status, output = self.run_command(fleet, "drain", "n1")
         self.assertEqual(exit_status, 0)
-        self.assertRegex(output, "n1: asked, halt [0-9]+ by .*: the network is worked at")
+        self.assertRegex(output, "n1: asked, halt [0-9]+ by .*: network maintenance")
         self.assertEqual(self.run_command(fleet, "drain", "n9"), (1, "no unit n9 was declared\n"))
         self.assertRegex(self.run_command(fleet, "--json", "status")[1], '"out":1')
         self.assertEqual(self.run_command(fleet, "back", "n1"), (0, "called back: n1\n"))
@@ -204,10 +213,12 @@
         )
         request_thread.start()
         self.wait_until(
-            lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "a slow one is taken"
+            lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "the slow request is accepted"
         )
         self.assertTrue(self.request_drain(drained_unit)["ok"])
-        self.wait_until(lambda: fleet.checker.out() == {drained_unit}, "it takes no more")
+        self.wait_until(
+            lambda: fleet.checker.out() == {drained_unit}, "the unit accepts no more requests"
+        )
         self.assertEqual(slow_answers, [])
         fleet.kill(leader)
         killed_at = time.monotonic()
@@ -217,23 +228,26 @@
         self.assertEqual(self.request_drain(other_unit)["state"], "asked")
         fleet.slow.set()
         self.wait_until(
-            lambda: self.state(drained_unit) == "out", "the drain ends under another leader"
+            lambda: self.state(drained_unit) == "out", "the drain ends under the new leader"
         )
         request_thread.join(TIMEOUT_SECONDS)
         self.assertEqual(slow_answers, [b"$6\r\nslow-1\r\n+PONG\r\n"])
         self.assertEqual(self.state(other_unit), "asked")
         fleet.restart(leader)
         self.wait_until(
-            lambda: fleet.checker.out() == {drained_unit}, "the killed one serves again"
+            lambda: fleet.checker.out() == {drained_unit}, "the killed leader serves again"
         )
         self.assertTrue(self.request_return(drained_unit)["ok"])
-        self.wait_until(lambda: fleet.checker.out() == {other_unit}, "only then the third goes out")
+        self.wait_until(
+            lambda: fleet.checker.out() == {other_unit}, "the third unit goes out of service"
+        )
         self.assertEqual(fleet.checker.most_out(but=[leader]), 1)
         self.request_return(other_unit)
         self.wait_until(
-            lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home"
+            lambda: not fleet.checker.out() and self.status()["out"] == 0,
+            "all units are back in service",
         )
-        print(f"\nfrom the leader's kill to the next grant: {failover_seconds:.2f} s")
+        print(f"\ntime from the kill of the leader to the next grant: {failover_seconds:.2f} s")
         self.check_invariants(fleet, {leader})
 
 
@@ -254,10 +268,11 @@
         request_thread.start()
         self.operator = fleet.asker(first, second, word="large")
         self.wait_until(
-            lambda: former_leader in self.status().get("away", {}), "the cut one counts as out"
+            lambda: former_leader in self.status().get("away", {}),
+            "the partitioned unit counts as out",
         )
         self.assertTrue(self.request_drain(first)["ok"])
-        self.wait_until(lambda: fleet.checker.out() == {first}, "the larger side goes on")
+        self.wait_until(lambda: fleet.checker.out() == {first}, "the majority grants a drain")
         self.assertEqual(self.request_drain(second)["state"], "asked")
         request_thread.join(TIMEOUT_SECONDS)
         self.assertEqual(replies, ["silent"])
@@ -266,11 +281,12 @@
         self.request_return(first)
         self.wait_until(
             lambda: fleet.checker.out() == {second} or self.state(second) == "out",
-            "healed: room for the other",
+            "the second unit goes out after the partition heals",
         )
         self.request_return(second)
         self.wait_until(
-            lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home"
+            lambda: not fleet.checker.out() and self.status()["out"] == 0,
+            "all units are back in service",
         )
         self.assertLessEqual(fleet.checker.most_out(), 2)
         self.check_invariants(fleet)
--- a/tests/stories/__init__.py
+++ b/tests/stories/__init__.py
@@ -1,1 +1,1 @@
-"""Stories in plain words over a fleet in memory; `steps` says what the words do."""
+"""Acceptance stories over a simulated fleet in memory; `steps` implements their steps."""
--- a/tests/stories/halts.feature
+++ b/tests/stories/halts.feature
@@ -1,78 +1,78 @@
-Feature: Halts that bind whoever hears them or not
-  After the stated bound nothing more goes out, and what is out may come back.
+Feature: Halts that also bind units that are not notified
+  After the stated bound no further unit goes out, and units that are out may return.
 
-  Scenario: Half of a wave is out and a third is cut off
+  Scenario: Half of a wave is out and a third of the units is partitioned
     Given a fleet of 240 units in 4 zones on a lossy network
     When a release in waves of 1.0 begins
     And 4 seconds pass
-    And a third of the units is cut off
-    And the operator halts all
+    And a third of the units is partitioned
+    And the operator halts the fleet
     And 30 seconds pass
-    Then nothing went out after the bound
-    And no rule was broken
+    Then no unit goes out after the bound
+    And no invariant was violated
     When the network heals
-    And the operator orders the way back
-    Then the way back is over within 300 seconds
+    And the operator requests a rollback
+    Then the rollback is finished within 300 seconds
     And every unit has the old build
-    And no rule was broken
+    And no invariant was violated
 
-  Scenario: Halt, back, halt again in the middle of the way back, and back
+  Scenario: A halt and a rollback, halted midway and requested again
     Given a fleet of 120 units in 4 zones on a lossy network
     When a release in waves of 1.0 begins
     And 40 seconds pass
-    And the operator halts all
-    And the operator orders the way back
+    And the operator halts the fleet
+    And the operator requests a rollback
     And 5 seconds pass
-    And the operator halts all
+    And the operator halts the fleet
     And 20 seconds pass
-    Then nothing went out after the bound
+    Then no unit goes out after the bound
     And the release is held
-    When the operator orders the way back
-    Then the way back is over within 300 seconds
+    When the operator requests a rollback
+    Then the rollback is finished within 300 seconds
     And every unit has the old build
-    And no rule was broken
+    And no invariant was violated
 
-  Scenario: Answers that are slower than the bound are worth nothing
+  Scenario: Permits that arrive after the bound are ignored
     Given a fleet of 60 units in 3 zones on a lossy network
-    When ann asks for all units of zone z0 from the first on
-    And every answer takes 5 seconds
+    When ann requests drains of all units of zone z0 starting with the first
+    And every reply takes 5 seconds
     And 3 seconds pass
-    And the operator halts all
+    And the operator halts the fleet
     And 30 seconds pass
-    Then nothing went out after the bound
-    And no rule was broken
+    Then no unit goes out after the bound
+    And no invariant was violated
 
-  Scenario: A budget broken by crashes halts its place, and ends when it is whole
+  Scenario: Crashes that exceed a budget halt its domain until the units have recovered
     Given a fleet of 60 units in 3 zones on a lossy network
-    When ann asks for all units of zone z0 from the first on
+    When ann requests drains of all units of zone z0 starting with the first
     And 8 seconds pass
     And 3 units of zone z0 crash for 20 seconds
     And 10 seconds pass
-    Then a halt names a budget and who broke it
-    When what is out comes back by itself
+    Then a halt names a budget and the units that exceeded it
+    When units that are out return on their own
     And 60 seconds pass
-    Then no halt stands
-    And no rule was broken
+    Then no halt is active
+    And no invariant was violated
 
-  Scenario: A class served too little halts one cluster's lane and nothing else
+  Scenario: A request class that misses its objective halts one lane of one cluster only
     Given a fleet of 60 units in 3 zones on a lossy network
-    When the class pay is served too little in zone z0
-    And ann asks for unit-000
-    And ann asks for unit-001
+    When request class pay misses its objective in zone z0
+    And ann requests a drain of unit-000
+    And ann requests a drain of unit-001
     And 20 seconds pass
     Then unit-000 serves
     And unit-001 is out
-    And whoever waits is told the halt
-    And no rule was broken
+    And the waiting request names the halt
+    And no invariant was violated
 
-  Scenario: All keepers are killed and restarted between a halt and its hearing
+  Scenario: All keepers are restarted before a halt reaches the units
     Given a fleet of 60 units in 3 zones on a lossy network
     When a release in waves of 1.0 begins
     And 5 seconds pass
-    And the operator halts all
-    And all keepers are lost
+    And the operator halts the fleet
+    And all keepers fail
     And 10 seconds pass
-    And the keepers are back
+    And the keepers restart
     And 30 seconds pass
-    Then nothing went out after the bound
-    And no rule was broken
+    Then no unit goes out after the bound
+    And no invariant was violated
--- a/tests/stories/steps.py
+++ b/tests/stories/steps.py
@@ -1,4 +1,7 @@
-"""What the stories' words do. The checker is `thymeknot.disruption.invariant_checker`, which looks at who serves."""
+"""Steps of the stories.
+
+The checker is `thymeknot.disruption.invariant_checker`, which observes which units serve.
+"""
 
 from pytest import fixture
 from pytest_bdd import given, parsers, scenarios, then, when
@@ -52,40 +55,42 @@
     return world.submit(do="status")["releases"][name]
 
 
-# Asking.
+# Drain requests.
 
 
-@when(parsers.parse("{who} asks for all units of {label} {value} from the {end} on"))
+@when(
+    parsers.parse("{who} requests drains of all units of {label} {value} starting with the {end}")
+)
 def request_all(world, who, label, value, end):
     for name in sorted(units_with_label(world, label, value), reverse=end == "last"):
         request_drain(world, who, name)
 
 
-@when(parsers.re(r"(?P<who>\w+) asks for (?P<name>unit-\d+)"))
+@when(parsers.re(r"(?P<who>\w+) requests a drain of (?P<name>unit-\d+)"))
 def request_unit(world, who, name):
     request_drain(world, who, name)
 
 
-@when(parsers.parse("{name} is cut off while it asks"))
+@when(parsers.parse("{name} is partitioned while it requests a drain"))
 def partition_while_requesting(world, name):
     request_drain(world, "ann", name)
     world.partition([name])
 
 
-@when(parsers.parse("{name} is stopped for {seconds:d} seconds as soon as it is granted"))
+@when(parsers.parse("{name} is suspended for {seconds:d} seconds as soon as its drain is granted"))
 def suspend_on_grant(world, name, seconds):
     assert world.submit(do="status", unit=name)["state"] == "granted"
     world.suspend(name, seconds)
 
 
-@when(parsers.parse("the way from the keepers to {name} is cut as soon as it is granted"))
+@when(parsers.parse("the path from the keepers to {name} fails as soon as its drain is granted"))
 def partition_on_grant(world, name):
     while world.units[name].agent.state != "confirming":
         world.run(0.001)
     world.partition([name], "from")
 
 
-@when(parsers.re(r"(?P<name>unit-\d+) begins, and (?P<rest>.*)"))
+@when(parsers.re(r"(?P<name>unit-\d+) begins its drain, and (?P<rest>.*)"))
 def interrupt_drain(world, name, rest):
     assert world.run_until(lambda: world.units[name].agent.state == "draining", 30)
     if "crashes" in rest:
@@ -96,11 +101,11 @@
 
 @when(
     parsers.re(
-        r"for (?P<seconds>\d+) seconds others of zone (?P<zone>\w+) go out and come back in turn"
+        r"for (?P<seconds>\d+) seconds other units of zone (?P<zone>\w+) drain and return in turn"
     )
 )
 def keep_zone_busy(world, story, seconds, zone):
-    """Others ask again as soon as they are home, with all urgency there is."""
+    """The other units request a drain as soon as they are back, with the highest urgency."""
     names = [name for name in units_with_label(world, "zone", zone) if name != "unit-000"]
 
     def request_next():
@@ -118,13 +123,13 @@
     story["busy"] = int(seconds)
 
 
-@when("ann asks for unit-000 after the first 30 seconds")
+@when("ann requests a drain of unit-000 after the first 30 seconds")
 def request_after_delay(world):
     world.run(30)
     request_drain(world, "ann", "unit-000")
 
 
-# What happens to the fleet.
+# Events in the fleet.
 
 
 @when(parsers.parse("{seconds:d} seconds pass"))
@@ -144,7 +149,7 @@
         world.crash(name, seconds)
 
 
-@when(parsers.parse("{many:d} units crash for {seconds:d} seconds in the course of it"))
+@when(parsers.parse("{many:d} units crash for {seconds:d} seconds during the release"))
 def crash_units_at_intervals(world, many, seconds):
     for number, name in enumerate(sorted(world.units)[:: len(world.units) // many][:many]):
         world.schedule(
@@ -154,7 +159,7 @@
 
 @when(
     parsers.parse(
-        "all units with the new build crash for {seconds:d} seconds and never get warm again"
+        "all units with the new build crash for {seconds:d} seconds and never finish their warm-up"
     )
 )
 def crash_new_build(world, seconds):
@@ -168,12 +173,12 @@
     world.heal()
 
 
-@when("a third of the units is cut off")
+@when("a third of the units is partitioned")
 def partition_a_third(world):
     world.partition(sorted(world.units)[::3])
 
 
-@when(parsers.parse("every answer takes {seconds:d} seconds"))
+@when(parsers.parse("every reply takes {seconds:d} seconds"))
 def delay_replies(world, seconds):
     deliver = world.deliver
     world.deliver = lambda sender, to, call: (
@@ -183,17 +188,17 @@
     )
 
 
-@when("all keepers are lost")
+@when("all keepers fail")
 def stop_keepers(world):
     world.service.fail()
 
 
-@when("the keepers are back")
+@when("the keepers restart")
 def restart_keepers(world):
     world.service.restart()
 
 
-@when("what is out comes back by itself")
+@when("units that are out return on their own")
 def return_automatically(world):
     def return_units():
         for unit in world.units.values():
@@ -218,14 +223,16 @@
     assert reply["ok"], reply
 
 
-@when("the decision module votes on whenever a wave is over")
+@when("the decision module approves each completed wave")
 def vote_forward(world, story):
     story["ends"] = None
 
     def vote():
         release = world.service.machine.releases.by_name["spring"]
         updated = len([name for name in release.members if world.units[name].build == "new"])
-        assert updated <= release.waves[release.wave], "more than the wave has the new build"
+        assert updated <= release.waves[release.wave], (
+            "more units than the wave allows have the new build"
+        )
         if release.state == "going" and updated >= release.waves[release.wave]:
             world.submit(do="vote", release="spring", epoch=1, wave=release.wave, verdict="on")
         world.schedule(TICKS_PER_SECOND, vote)
@@ -233,7 +240,7 @@
     vote()
 
 
-@when("the operator resumes what crashes halted")
+@when("the operator resumes every halt caused by crashes")
 def resume_crash_halts(world):
     def resume():
         for number, halt in list(world.service.machine.halts.by_number.items()):
@@ -244,7 +251,7 @@
     resume()
 
 
-@when("the decision module votes back")
+@when("the decision module votes for a rollback")
 def vote_rollback(world, story):
     release = release_state(world)
     assert release["home"] > 0
@@ -253,19 +260,19 @@
     world.rolled_back = set(world.units)
 
 
-@when("the operator orders the way back")
+@when("the operator requests a rollback")
 def request_rollback(world):
     reply = world.submit(do="back", release="spring")
     assert reply.get("ok"), reply
     world.rolled_back = set(world.units)
 
 
-@when("the vote for a wave that is not over yet comes")
+@when("a vote for an unfinished wave arrives")
 def vote_early(world, story):
     story["reply"] = world.submit(do="vote", release="spring", epoch=1, wave=1, verdict="on")
 
 
-@when("one unit of it will say that its disk is gone")
+@when("one unit that is out will report a lost disk")
 def set_return_fault(world, story):
     name = next(
         name for name, unit in world.units.items() if unit.agent.state in ("draining", "out")
@@ -273,42 +280,42 @@
     world.units[name].return_fault, story["lame"] = "its disk is gone", name
 
 
-@when("another release of the same units is asked for")
+@when("another release of the same units is requested")
 def request_conflicting_release(world, story):
     story["reply"] = start_release(world, [1], "summer", "newer")
 
 
-@when("another release of the same units is asked for that waits")
+@when("another release of the same units is requested that waits")
 def request_waiting_release(world, story):
     assert start_release(world, [1], "summer", "newer", wait=True)["state"] == "waiting"
 
 
-@when("the operator halts all")
+@when("the operator halts the fleet")
 def halt_fleet(world, story):
     for number in list(world.checker.halts):
         world.checker.record_resume(number)
-    reply = world.submit(do="halt", by="operator", why="it smells", where={})
+    reply = world.submit(do="halt", by="operator", why="elevated error rate", where={})
     assert reply["ok"] and reply["bound"] == world.checker.bound
     world.checker.record_halt(reply["halt"], world.now, set(world.units))
     world.rolled_back, story["halted"] = set(), world.now
 
 
-@when("the class pay is served too little in zone z0")
+@when("request class pay misses its objective in zone z0")
 def halt_request_class(world):
     reply = world.submit(
         do="halt",
         by="class pay",
-        why="9 of 10 in time, 95 of 100 are due",
+        why="9 of 10 in time, 95 of 100 required",
         cause="class",
         where={"zone": "z0", "lane": "pay"},
     )
     world.checker.record_halt(reply["halt"], world.now, set(units_with_label(world, "zone", "z0")))
 
 
-# What is seen.
+# Checks.
 
 
-@then("no rule was broken")
+@then("no invariant was violated")
 def assert_no_violation(world):
     assert world.checker.violations == []
 
@@ -327,7 +334,7 @@
     )
 
 
-@then(parsers.parse("at most {many:d} unit of {label} {value} is out or cut off"))
+@then(parsers.parse("at most {many:d} unit of {label} {value} is out or partitioned"))
 def assert_max_units_out(world, many, label, value):
     cut = {name for pair in world.partitions for name in pair}
     assert (
@@ -342,7 +349,7 @@
     )
 
 
-@then("whoever waits is told a budget and the units in its way")
+@then("each waiting request names a budget and the units that block it")
 def assert_waiting_units_know_budget(world):
     waiting = [
         entry for entry in world.submit(do="status")["away"].values() if entry["state"] == "asked"
@@ -358,7 +365,7 @@
         ), reply
 
 
-@then("whoever waits is told the halt")
+@then("the waiting request names the halt")
 def assert_waiting_units_know_halt(world):
     assert "class pay" in world.submit(do="status", unit="unit-000")["waits"]
 
@@ -378,19 +385,19 @@
     assert world.run_until(lambda: len(world.list_serving()) == len(world.units), 60)
 
 
-@then("nobody has a permit")
+@then("no unit holds a permit")
 def assert_no_permits(world):
     assert world.run_until(lambda: not world.service.machine.fleet.permitted, 30)
 
 
-@then("the keepers know who is out")
+@then("the keepers know which units are out")
 def assert_keepers_know_units_out(world):
     assert world.run_until(
         lambda: world.submit(do="status")["out"] == len(world.units) - len(world.list_serving()), 30
     )
 
 
-@then(parsers.parse("no unit of zone {zone} that lives is out"))
+@then(parsers.parse("no live unit of zone {zone} is out"))
 def assert_no_live_unit_out(world, zone):
     assert [
         name
@@ -399,28 +406,28 @@
     ] == []
 
 
-@then(parsers.parse("unit-000 was out within {seconds:d} seconds"))
+@then(parsers.parse("unit-000 goes out within {seconds:d} seconds"))
 def assert_unit_was_out(world, seconds):
     assert world.run_until(
         lambda: any(name == "unit-000" for _, name in world.checker.disruptions), seconds
     )
 
 
-@then(parsers.parse("the release is done within {seconds:d} seconds"))
+@then(parsers.parse("the release is finished within {seconds:d} seconds"))
 def assert_release_done(world, seconds):
     assert world.run_until(lambda: release_state(world)["state"] == "done", seconds), release_state(
         world
     )
 
 
-@then(parsers.parse("the way back is over within {seconds:d} seconds"))
+@then(parsers.parse("the rollback is finished within {seconds:d} seconds"))
 def assert_rollback_finished(world, seconds):
     assert world.run_until(lambda: release_state(world)["state"] == "backed", seconds), (
         release_state(world)
     )
 
 
-@then("the way back is left with that unit named and its disk")
+@then("the rollback stops short and names that unit and its disk")
 def assert_rollback_incomplete(world, story):
     assert world.run_until(lambda: release_state(world)["state"] == "left", 200), release_state(
         world
@@ -428,7 +435,7 @@
     assert release_state(world)["aside"] == {story["lame"]: "its disk is gone"}
 
 
-@then("all others have the old build")
+@then("all other units have the old build")
 def assert_others_have_old_build(world, story):
     assert {unit.build for name, unit in world.units.items() if name != story["lame"]} == {"old"}
 
@@ -443,12 +450,12 @@
     assert len(world.list_with_build("new")) == many
 
 
-@then("it is refused with a sentence")
+@then("it is rejected with an explanation")
 def assert_rejected(story):
     assert len(story["reply"]["refused"].split()) > 4 and "spring" in story["reply"]["refused"]
 
 
-@then(parsers.parse("the other release is going within {seconds:d} seconds"))
+@then(parsers.parse("the other release is running within {seconds:d} seconds"))
 def assert_other_release_running(world, seconds):
     assert world.run_until(lambda: release_state(world, "summer")["state"] == "going", seconds)
 
@@ -458,19 +465,19 @@
     assert release_state(world)["state"] == "held"
 
 
-@then("nothing went out after the bound")
+@then("no unit goes out after the bound")
 def assert_no_disruption_after_bound(world, story):
     assert [
         one for one in world.checker.disruptions if one[0] > story["halted"] + world.checker.bound
     ] == []
 
 
-@then("a halt names a budget and who broke it")
+@then("a halt names a budget and the units that exceeded it")
 def assert_halt_names_budget(world):
     halts = world.submit(do="status")["halts"].values()
     assert any("budget" in halt and "unit-" in halt for halt in halts), halts
 
 
-@then("no halt stands")
+@then("no halt is active")
 def assert_no_halt(world):
     assert world.submit(do="status")["halts"] == {}
--- a/tests/stories/test_stories.py
+++ b/tests/stories/test_stories.py
@@ -1,4 +1,4 @@
-"""Runs the stories of tests/stories by pytest: they need its given, when and then."""
+"""Runs the stories of tests/stories with pytest, which their pytest-bdd steps require."""
 
 import re
 import subprocess
@@ -33,7 +33,9 @@
         )
         passed = re.search(r"(\d+) passed", result.stdout)
         self.assertEqual(result.returncode, 0, result.stdout[-6000:] + result.stderr[-2000:])
-        self.assertEqual(int(passed[1]) if passed else 0, scenario_count, "a story did not run")
+        self.assertEqual(
+            int(passed[1]) if passed else 0, scenario_count, "some scenarios did not run"
+        )
 
 
 if __name__ == "__main__":
