--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -14,7 +14,7 @@
 from measure.hostile import Liar
 from measure.load import drive, quantile
 from measure.world import TERMS
-from tests.support.peers import PodPeer, until
+from tests.support.peers import FakeEndpoint, wait_until
 from tests.support.programs import Program
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Frame, Ping
@@ -52,7 +52,7 @@
     """Programs that gossip, beside stand-ins of all they speak to. answers: a function for each pod."""
 
     def __init__(self, answers, names=HONEST, others=(HOSTILE,), more=HEARSAY):
-        self.pods = [PodPeer(answer) for answer in answers]
+        self.pods = [FakeEndpoint(answer) for answer in answers]
         self.folder = tempfile.TemporaryDirectory()
         self.kept = {name: datagram_port() for name in (*names, *others)}
         self.identities, self.ports = {}, {name: port for name, (_, port) in self.kept.items()}
@@ -223,7 +223,7 @@
                 for name in HONEST
             }
 
-        until(
+        wait_until(
             lambda: all(len({peer for peer, *_ in changes}) >= 4 for changes in met().values()),
             lambda: (time.sleep(0.1), gather()),
             met,
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -10,7 +10,7 @@
 import numpy as np
 
 from measure.load import drive, quantile
-from tests.support.peers import PodPeer
+from tests.support.peers import FakeEndpoint
 from tests.support.programs import Program
 from thymeknot.simulation import scenarios, statistics
 from thymeknot.simulation.baseline_policies import BREAKERS
@@ -26,7 +26,7 @@
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
 
-    pods = [PodPeer(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
+    pods = [FakeEndpoint(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
     held, rate, why = 0, start, "none failed"
     with (
         Program(*(pod.entry(f"s-{at}") for at, pod in enumerate(pods))) as program,
--- a/measure/shop.py
+++ b/measure/shop.py
@@ -6,7 +6,7 @@
 
 from measure.hostile import Liar
 from measure.world import TERMS, World
-from tests.support.decisions import TERMS as SETTINGS
+from tests.support.decisions import ENGINE_SETTINGS as SETTINGS
 from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.interface.actions import SendAttempt, SetTimer
 from thymeknot.interface.enums import (
--- a/measure/why.py
+++ b/measure/why.py
@@ -18,8 +18,8 @@
 
 from measure.load import drive, quantile
 from measure.why_cases import NOW, WHY, mix
-from tests.support.decisions import LANES
-from tests.support.peers import PodPeer, reserved, until
+from tests.support.decisions import REQUEST_CLASSES
+from tests.support.peers import FakeEndpoint, reserve_port, wait_until
 from tests.support.programs import Program
 from thymeknot.cli.decision_log_client import lines_of
 from thymeknot.decision_log.entry_codec import SLOT_BYTES
@@ -41,7 +41,7 @@
         arena = SlotFile(megabytes * 1_000_000 // SLOT_BYTES, path)
         self.record = Recorder(
             terms,
-            LANES,
+            REQUEST_CLASSES,
             arena,
             epoch=0,
             clock=lambda: self.now,
@@ -215,8 +215,8 @@
 def on_sockets(seed, short):
     """Two programs in turn under the same load, one with the record: CPU of a transaction; and latency while it is
     asked and while it is not."""
-    kept, port = reserved()
-    pods = [PodPeer(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
+    kept, port = reserve_port()
+    pods = [FakeEndpoint(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
     entries = [pod.entry(f"s-{at}") for at, pod in enumerate(pods)]
     programs = {}
     cpu, count, asked, calm, lines = {True: 0.0, False: 0.0}, {True: 0, False: 0}, [], [], 0
@@ -248,7 +248,7 @@
                     (asked if ask else calm).extend(took)
                     lines += other.result() if other else 0
         found = {}
-        until(
+        wait_until(
             lambda: found,
             lambda: found.update(next(iter(lines_of(f"127.0.0.1:{port}", None, {"ask": "kept"})))),
         )
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -1,7 +1,15 @@
 """A known mix of transactions: each is brought about by a state built for it, and what explains it is known from that.
 Every reason of the table occurs. Figures from it are simulated."""
 
-from tests.support.decisions import LANES, TERMS, balancer, ended, news, pod, taken
+from tests.support.decisions import (
+    ENGINE_SETTINGS,
+    REQUEST_CLASSES,
+    make_attempt_ended,
+    make_endpoint,
+    make_engine,
+    make_release_update,
+    make_request,
+)
 from thymeknot.decision_log.entry_filter import EntryFilter
 from thymeknot.decision_log.recorder import Recorder
 from thymeknot.decision_log.settings import DecisionLogSettings
@@ -25,11 +33,13 @@
     def __init__(self, *pods, told=None, bare=False, record=None, **changes):
         self.now = NOW
         self.balancer = (
-            DecisionEngine(TERMS, 7, NOW) if bare else balancer(*pods, told=told, **changes)
+            DecisionEngine(ENGINE_SETTINGS, 7, NOW)
+            if bare
+            else make_engine(*pods, release_update=told, **changes)
         )
         self.record = record or Recorder(
             WHY,
-            LANES,
+            REQUEST_CLASSES,
             SlotFile(10_000),
             epoch=0,
             clock=lambda: self.now,
@@ -41,13 +51,14 @@
 
     def take(self, name, lane="read", key=None, left=3 * TICKS_PER_SECOND, tenant="t"):
         self.record.taken(name, key, tenant, lane, False)
-        return self.balancer.handle(self.now, [taken(name, lane, key, left)])
+        return self.balancer.handle(self.now, [make_request(name, lane, key, left)])
 
     def end(self, name, outcome=Outcome.ERROR, address="old-1", number=0, latency=100):
         if outcome == Outcome.DONE:
             self.record.ended(name, R.DONE)
         return self.balancer.handle(
-            self.now, [ended(name, outcome, address, number, outcome == Outcome.DONE, latency)]
+            self.now,
+            [make_attempt_ended(name, outcome, address, number, outcome == Outcome.DONE, latency)],
         )
 
     def expect(self, name, end, *reasons):
@@ -246,54 +257,75 @@
     case.now -= TICKS_PER_SECOND // 2
 
 
-OLD = pod("old-1"), pod("old-2")
-TRIAL = OLD + (pod("new-1", 2),)
+OLD = make_endpoint("old-1"), make_endpoint("old-2")
+TRIAL = OLD + (make_endpoint("new-1", 2),)
 # What makes the state, what is done to each transaction; "each": every transaction has a state of its own.
 CASES = {
     "as usual": (lambda **more: Case(*OLD, **more), usual, True),
     "position": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0, **more),
+        lambda **more: Case(
+            *TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0, **more
+        ),
         by_position,
         True,
     ),
     "stays": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0, **more),
+        lambda **more: Case(
+            *TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0, **more
+        ),
         staying,
         True,
     ),
     "astray": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0, **more),
+        lambda **more: Case(
+            *TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0, **more
+        ),
         astray,
         True,
     ),
     "guarded": (
-        lambda **more: Case(*TRIAL, told=news(0, cap=1.0), exposure_allowance=1000.0, **more),
+        lambda **more: Case(
+            *TRIAL, told=make_release_update(0, cap=1.0), exposure_allowance=1000.0, **more
+        ),
         guarded,
         True,
     ),
     "exposed": (
-        lambda **more: Case(*TRIAL, told=news(2, cap=0.01), exposure_allowance=0.0, **more),
+        lambda **more: Case(
+            *TRIAL, told=make_release_update(2, cap=0.01), exposure_allowance=0.0, **more
+        ),
         exposed,
         True,
     ),
-    "closed": (lambda **more: Case(*TRIAL, told=news(2, cap=0.0), **more), closed, True),
+    "closed": (
+        lambda **more: Case(*TRIAL, told=make_release_update(2, cap=0.0), **more),
+        closed,
+        True,
+    ),
     "unreachable": (lambda **more: Case(*OLD, **more), unreachable, True),
     "doubted": (lambda **more: Case(*OLD, **more), doubted, True),
     "again": (lambda **more: Case(*OLD, **more), again, True),
     "cold": (
         lambda **more: Case(
-            pod("c-1", started=NOW - 1), pod("c-2", started=NOW - 1), instances=10**6, **more
+            make_endpoint("c-1", started=NOW - 1),
+            make_endpoint("c-2", started=NOW - 1),
+            instances=10**6,
+            **more,
         ),
         cold,
         True,
     ),
     "outside": (
-        lambda **more: Case(pod("z-1", zone="a"), pod("z-2", zone="b")._replace(size=1e-6), **more),
+        lambda **more: Case(
+            make_endpoint("z-1", zone="a"),
+            make_endpoint("z-2", zone="b")._replace(size=1e-6),
+            **more,
+        ),
         outside,
         True,
     ),
     "no pod": (
-        lambda **more: Case(pod("old-1", condition=EndpointCondition.DRAINING), **more),
+        lambda **more: Case(make_endpoint("old-1", condition=EndpointCondition.DRAINING), **more),
         no_pod,
         True,
     ),
@@ -323,7 +355,7 @@
 
 def voting():
     """A bad build on trial, and the votes that the record holds of it."""
-    case = Case(*TRIAL, told=news(2, cap=1.0), exposure_allowance=1000.0)
+    case = Case(*TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0)
     for _ in range(40):
         case.balancer.sequential_test.add("failed", True)
     case.balancer.handle(NOW + TICKS_PER_SECOND, [TimerFired(0)])
@@ -337,7 +369,7 @@
     for name, (make, act, _) in CASES.items():
         record = Recorder(
             WHY,
-            LANES,
+            REQUEST_CLASSES,
             SlotFile(10_000),
             epoch=0,
             clock=lambda: NOW,
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -8,7 +8,7 @@
 
 from measure.shop import SHOP
 from measure.world import World
-from tests.support.decisions import LANES
+from tests.support.decisions import REQUEST_CLASSES
 from thymeknot.decision_log.entry_filter import EntryFilter
 from thymeknot.decision_log.explanations import explained
 from thymeknot.decision_log.recorder import Recorder
@@ -30,7 +30,9 @@
 
 SECOND = 10_000
 TERMS = SHOP._replace(
-    request_classes={name: LANES[name] for name in ("read", "pay")}, instances=3, guarded_stages=0
+    request_classes={name: REQUEST_CLASSES[name] for name in ("read", "pay")},
+    instances=3,
+    guarded_stages=0,
 )
 WHY = DecisionLogSettings(8, None, "", 0.4, 0.3, 60 * SECOND, 200)
 
--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -12,8 +12,8 @@
 from twisted.internet.tcp import Server
 from twisted.python.failure import Failure
 
-from tests.support.peers import reserved
-from tests.support.programs import command
+from tests.support.peers import reserve_port
+from tests.support.programs import encode_command
 from tests.unit.proxy.test_proxy import VALUE_RESPONSE, Network, endpoint_entry
 from thymeknot.interface.events import ClientDisconnected
 from thymeknot.protocol.client import (
@@ -27,11 +27,11 @@
 from thymeknot.proxy.client_listener import CLOSING_ALLOWANCE
 from thymeknot.proxy.graceful_shutdown import ACCEPT_REST_WITHIN
 
-PING, PONG = command("PING"), b"+PONG\r\n"
+PING, PONG = encode_command("PING"), b"+PONG\r\n"
 
 
 def query(name, left=5000):
-    return command("SVC.QUERY", "key", name, f"c=read,d={left}")
+    return encode_command("SVC.QUERY", "key", name, f"c=read,d={left}")
 
 
 class Real(Network):
@@ -349,7 +349,7 @@
     def listening(self):
         network = self.network(endpoint_entry("s-1"))
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
-        kept, port = reserved()
+        kept, port = reserve_port()
         self.addCleanup(kept.close)
         proxy.start = proxy.start._replace(listen=("127.0.0.1", port))
         proxy.listener.address = proxy.start.listen
@@ -615,7 +615,7 @@
         for client in clients:
             if client not in busy:
                 client.dataReceived(
-                    command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9]
+                    encode_command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9]
                 )
                 client.transport.has_unread_data = True
         network.client()
--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -7,7 +7,7 @@
 from hypothesis import strategies as st
 
 from tests.support import order_rig
-from tests.support.order_rig import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
+from tests.support.order_rig import ACCEPTS, HANGS, REFUSES, CheckFailed, minimize, play
 from thymeknot.policy import idempotency
 from thymeknot.protocol.client import ClientConnection
 from thymeknot.proxy.attempt import Attempt
@@ -39,7 +39,7 @@
         st.sampled_from(("Ready", "Terminating", "Gone", "restarted", "other build", "moved")),
     ),
     order("leave", ONE, st.sampled_from(("close", "shut", "reset"))),
-    order("dials", POD, st.sampled_from((COMES_UP, HANGS, HANGS, REFUSES))),
+    order("dials", POD, st.sampled_from((ACCEPTS, HANGS, HANGS, REFUSES))),
     order("dials_end", st.booleans()),
 )
 SELDOM = (
@@ -74,7 +74,7 @@
 # What is asked, and something that happens to it, three times out of five.
 ORDERS = st.one_of(ASKS, st.one_of(COMMON), st.one_of(COMMON), st.one_of(SELDOM), st.one_of(SELDOM))
 STARTS = ("open", -1), ("open", -1)
-HANG, COME_UP = ([("dials", pod, how, -1) for pod in range(3)] for how in (HANGS, COMES_UP))
+HANG, COME_UP = ([("dials", pod, how, -1) for pod in range(3)] for how in (HANGS, ACCEPTS))
 DRAWN = st.lists(ORDERS, min_size=20, max_size=50)
 # Without it the draws would follow from a digest of the test's source, and a formatter would change them: this is that
 # digest before the first formatted commit.
@@ -100,7 +100,7 @@
         try:
             play(*STARTS, *drawn)
         except Exception as error:
-            self.fail(f"{error!r}; {smallest(STARTS, drawn, error)}")
+            self.fail(f"{error!r}; {minimize(STARTS, drawn, error)}")
 
 
 class Known(unittest.TestCase):
@@ -108,7 +108,7 @@
     in orders.py."""
 
     def test_a_client_that_leaves_while_it_is_not_read_from_has_no_more_attempts(self):
-        with mock.patch.object(order_rig, "ENDS_WHILE_NOT_READ", True):
+        with mock.patch.object(order_rig, "DISCONNECTS_WHILE_READING_PAUSED", True):
             for how in ("close", "shut", "reset"):
                 with self.subTest(how):
                     play(
@@ -134,7 +134,7 @@
                 )
 
     def test_a_second_copy_of_an_answer_is_not_taken_for_the_next_requests(self):
-        with mock.patch.object(order_rig, "SECOND_COPIES_MEET_OTHERS", True):
+        with mock.patch.object(order_rig, "DUPLICATE_RESPONSES_REACH_NEXT_REQUEST", True):
             play(
                 *STARTS,
                 ("listed", 1, "Gone", -1),
@@ -147,7 +147,7 @@
             )
 
     def test_what_has_not_begun_to_go_out_is_not_begun_after_a_drain(self):
-        with mock.patch.object(order_rig, "PODS_TAKE_NOTHING", True):
+        with mock.patch.object(order_rig, "ENDPOINTS_READ_NOTHING", True):
             play(
                 *STARTS,
                 *(("pod_takes", pod, 0, -1) for pod in range(3)),
@@ -192,7 +192,7 @@
         play(*ended, ("held_up", 150, 0))
         with (
             mock.patch.object(ClientConnection, "finish", lambda self: None),
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(CheckFailed) as found,
         ):
             play(*ended, ("held_up", 150, 0), ("passes", 151, -1))
         self.assertRegex(str(found.exception), "owed nothing and open 0.3.* s after the end")
@@ -209,14 +209,14 @@
         )
         play(*begun, ("passes", 2600, -1), ("listed", 0, "other build", 1))
         with (
-            mock.patch.object(order_rig.Pod, "build_known_at", lambda self, moment: 42),
-            self.assertRaises(Wrong) as found,
+            mock.patch.object(order_rig.SteppedEndpoint, "build_known_at", lambda self, moment: 42),
+            self.assertRaises(CheckFailed) as found,
         ):
             play(*begun, ("passes", 2600, -1), ("listed", 0, "Terminating", 1))
         self.assertRegex(str(found.exception), "though the newest build takes nothing")
 
     def test_answers_that_take_no_time_are_no_fault(self):
-        with mock.patch.object(order_rig, "ANSWERS_AT_ONCE", True):
+        with mock.patch.object(order_rig, "RESPONSES_WITHOUT_DELAY", True):
             play(
                 *STARTS,
                 ("pod_does", 1, "twice", 0, -1),
@@ -226,7 +226,7 @@
             )
 
     def test_a_drain_while_it_comes_back_from_another_does_not_leave_it_listening(self):
-        with mock.patch.object(order_rig, "DRAINS_WHILE_COMING_BACK", True):
+        with mock.patch.object(order_rig, "DRAINS_DURING_UNDRAIN", True):
             play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("passes", 100, -1))
 
 
@@ -239,7 +239,7 @@
         def run(drawn):
             play(*STARTS, *drawn)
 
-        with mock.patch.object(broken, name, patch), self.assertRaises(Wrong) as found:
+        with mock.patch.object(broken, name, patch), self.assertRaises(CheckFailed) as found:
             run()
         self.assertRegex(str(found.exception), wrong)
 
@@ -265,7 +265,7 @@
             mock.patch.object(
                 Attempt, "may_be_written", lambda self, address: True
             ),  # which would hold it, too
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(CheckFailed) as found,
         ):
             play(
                 *STARTS,
@@ -293,7 +293,7 @@
     def test_a_binding_request_that_is_sent_again_though_it_may_have_run(self):
         with (
             mock.patch.object(idempotency, "may_repeat", lambda request, now, by_client: True),
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(CheckFailed) as found,
         ):
             play(
                 *STARTS,
@@ -305,7 +305,7 @@
     def test_a_client_that_has_gone_and_is_not_noticed(self):
         with (
             mock.patch.object(ClientRequests, "client_disconnected", lambda self, connection: None),
-            self.assertRaises(Wrong) as found,
+            self.assertRaises(CheckFailed) as found,
         ):
             play(
                 *STARTS,
--- a/tests/integration/test_gossip.py
+++ b/tests/integration/test_gossip.py
@@ -6,7 +6,7 @@
 
 from measure.gossip import main
 from measure.gossip_loopback import HONEST, Fleet, loopback
-from tests.support.peers import until
+from tests.support.peers import wait_until
 from thymeknot.gossip import keys
 
 
@@ -38,7 +38,7 @@
                 for line in said[name]
             )
 
-        until(
+        wait_until(
             lambda: all(
                 met(name, other, "alive") for name in said for other in said if name != other
             ),
@@ -50,12 +50,14 @@
             revoked = f']\nrevoked: ["{fleet.identities["n2"].public_key_text()}"]\nhearsay'
             target.write(fleet.text("n0").replace("]\nhearsay", revoked))
         n0.process.send_signal(signal.SIGHUP)
-        until(lambda: any(line["event"] == "operator file reloaded" for line in said["n0"]), gather)
+        wait_until(
+            lambda: any(line["event"] == "operator file reloaded" for line in said["n0"]), gather
+        )
         # A file that can't be used changes nothing and is named.
         with open(n0.operator, "w", encoding="utf-8") as target:
             target.write("gossip: name: 7")
         n0.process.send_signal(signal.SIGHUP)
-        until(
+        wait_until(
             lambda: any(
                 line["event"] == "operator file rejected" and "gossip.name" in line["error"]
                 for line in said["n0"]
@@ -63,7 +65,7 @@
             gather,
         )
         fleet.programs["n1"].process.send_signal(signal.SIGTERM)
-        until(lambda: met("n0", "n1", "left") and met("n2", "n1", "left"), gather)
+        wait_until(lambda: met("n0", "n1", "left") and met("n2", "n1", "left"), gather)
         self.assertEqual(keys.peer_record(fleet.identities["n0"])[:13], '{name: "n0", ')
 
 
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -12,8 +12,14 @@
 from unittest import mock
 
 from tests.integration.test_sockets import READ, WithPods, value
-from tests.support.peers import PATIENCE, DiscoveryPeer, until
-from tests.support.programs import Program, begun_by, coded, patient, stands_still
+from tests.support.peers import TIMEOUT_SECONDS, FakeDiscovery, wait_until
+from tests.support.programs import (
+    Program,
+    pause_at_sigterm,
+    run_after_setup,
+    run_with_code,
+    without_first_list_timeout,
+)
 from thymeknot.proxy.endpoint_updates import notifying_reader
 from thymeknot.service import lifecycle
 
@@ -29,7 +35,7 @@
                 if line.startswith(("SigPnd", "ShdPnd")) and int(line.split()[1], 16)
             ]
 
-    until(lambda: not pending(), lambda: None)
+    wait_until(lambda: not pending(), lambda: None)
 
 
 class Piped(Program):
@@ -50,7 +56,7 @@
                     raise
                 time.sleep(0.005)
 
-        until(lambda: opened, attempt)
+        wait_until(lambda: opened, attempt)
         target = os.fdopen(opened[0], "wb", buffering=0)
         target.write(content if isinstance(content, bytes) else json.dumps(content).encode())
         return target
@@ -72,7 +78,7 @@
         return made
 
     def test_a_sighup_while_the_file_is_read_has_it_read_again_once_it_serves(self):
-        new = DiscoveryPeer()
+        new = FakeDiscovery()
         self.addCleanup(new.close)
         running = self.piped()
         first = running.fill(running.told)  # the program has it open, and waits for its end
@@ -87,7 +93,7 @@
         )  # it may move before it has asked at the former address
         running.__enter__()
         self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=PATIENCE)
+        new.asked.get(timeout=TIMEOUT_SECONDS)
 
     def test_a_half_written_file_that_a_sighup_announces_anew_is_read_once_more_at_the_start(self):
         running = self.piped()
@@ -101,10 +107,12 @@
             self.assertEqual(client.ask("PING"), b"+PONG")
 
     def test_a_sighup_before_it_serves_has_the_file_read_again(self):
-        with patient():
+        with without_first_list_timeout():
             running = self.piped(silent=True)
         running.end(running.fill(running.told))
-        running.discovery.asked.get(timeout=PATIENCE)  # it has begun, and waits for the first list
+        running.discovery.asked.get(
+            timeout=TIMEOUT_SECONDS
+        )  # it has begun, and waits for the first list
         running.process.send_signal(signal.SIGHUP)
         running.settled()
         running.discovery.say("\n")
@@ -124,7 +132,7 @@
         running = Program(change=change)
         self.addCleanup(running.__exit__)
         self.addCleanup(held[0].close)
-        until(lambda: b'"address in use"' in running.process.stdout.readline(), lambda: None)
+        wait_until(lambda: b'"address in use"' in running.process.stdout.readline(), lambda: None)
         return running, held[0]
 
     def test_an_address_that_is_in_use_is_waited_for_and_a_sighup_meanwhile_is_heard(self):
@@ -141,14 +149,16 @@
     def test_sigterm_ends_that_wait(self):
         running, _ = self.in_use()
         running.process.send_signal(signal.SIGTERM)
-        self.assertEqual((running.process.wait(PATIENCE), running.process.stderr.read()), (0, b""))
+        self.assertEqual(
+            (running.process.wait(TIMEOUT_SECONDS), running.process.stderr.read()), (0, b"")
+        )
 
     def test_sigterm_while_the_file_is_read_ends_it_by_the_signal_without_a_word(self):
         for number in (signal.SIGTERM, signal.SIGINT):
             running = self.piped()
             target = running.fill(b"{")
             running.process.send_signal(number)
-            out, error = running.process.communicate(timeout=PATIENCE)
+            out, error = running.process.communicate(timeout=TIMEOUT_SECONDS)
             target.close()
             self.assertEqual((running.process.returncode, out, error), (-number, b"", b""))
 
@@ -157,15 +167,15 @@
             [signal.SIGTERM],
             [signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGTERM],
         ):
-            with patient():
+            with without_first_list_timeout():
                 running = Program(silent=True)
             self.addCleanup(running.__exit__)
             running.discovery.asked.get(
-                timeout=PATIENCE
+                timeout=TIMEOUT_SECONDS
             )  # it has begun, and waits for the first list
             for number in numbers:
                 running.process.send_signal(number)
-            out, error = running.process.communicate(timeout=PATIENCE)
+            out, error = running.process.communicate(timeout=TIMEOUT_SECONDS)
             self.assertEqual((running.process.returncode, error), (0, b""))
             events = [json.loads(line)["event"] for line in out.splitlines()]
             # A watch that hears nothing may have been given up before the signal, too.
@@ -182,7 +192,7 @@
             os.kill(os.getpid(), signal.SIGHUP)
 sys.meta_path.insert(0, Finder())
 runpy.run_module("thymeknot", run_name="__main__")"""
-        with coded(code):
+        with run_with_code(code):
             running = Program()
         self.addCleanup(running.__exit__)
         with running.__enter__().client() as client:
@@ -197,21 +207,21 @@
     def __del__(self):
         self.kill(self.own, {int(number)})
 last = Last()"""
-                with begun_by(last):
+                with run_after_setup(last):
                     running = Program(change=told)
                 self.addCleanup(running.__exit__)
                 if not code:
                     running.__enter__().process.send_signal(signal.SIGTERM)
-                self.assertEqual(running.process.wait(PATIENCE), code, number)
+                self.assertEqual(running.process.wait(TIMEOUT_SECONDS), code, number)
 
 
 class FirstList(WithPods):
     def waiting(self, *entries):
         """The program once its watch is asked for: whatever it listens for without a list, it does so by now."""
-        with patient():
+        with without_first_list_timeout():
             running = Program(*entries, silent=True)
         self.addCleanup(running.__exit__)
-        running.discovery.asked.put(running.discovery.asked.get(timeout=PATIENCE))
+        running.discovery.asked.put(running.discovery.asked.get(timeout=TIMEOUT_SECONDS))
         with self.assertRaises(ConnectionRefusedError):
             running.client()
         return running
@@ -252,7 +262,7 @@
         def change(told):
             told["settings"].update(discovery="subscribe", balancers=400)
 
-        with patient():
+        with without_first_list_timeout():
             running = Program(change=change)
         self.addCleanup(running.__exit__)
         running.discovery.asked.put("later")
@@ -263,18 +273,18 @@
 
 class Stopping(WithPods):
     def test_sighup_while_it_stops_moves_it_and_what_is_in_hand_is_answered(self):
-        release, new = threading.Event(), DiscoveryPeer()
+        release, new = threading.Event(), FakeDiscovery()
         self.addCleanup(new.close)
 
         def answer(words):
-            release.wait(PATIENCE)
+            release.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         pod = self.pod(answer)
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             client.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=PATIENCE)
+            pod.heard.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
             running.logged("stopping")
             running.write({**running.told, "discovery": new.address})
@@ -289,11 +299,11 @@
             running.process.send_signal(signal.SIGTERM)
             release.set()
             self.assertEqual((client.answer(), client.answer()), (b"01", b""))
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_each_connection_that_the_machine_accepted_before_the_end_is_answered(self):
         pod = self.pod()
-        with stands_still():
+        with pause_at_sigterm():
             running = self.program(pod.entry("s-1"))
         with running.client() as first:
             self.assertEqual(
@@ -313,22 +323,22 @@
             self.assertEqual(
                 [client.answer() for client in clients], [b"%02x" % number for number in range(30)]
             )
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_at_the_limit_of_descriptors_none_that_the_machine_accepted_is_closed_upon(self):
         """Also where the machine allows fewer than the configuration names."""
         limited = (
             "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\n"
-            f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}"
+            f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {TIMEOUT_SECONDS}"
         )
         for sockets, stops in ((64, False), (64, True), (256, False)):
-            with begun_by(limited):
+            with run_after_setup(limited):
                 running = Program(
                     silent=True,
                     change=lambda told, sockets=sockets: told["limits"].update(sockets=sockets),
                 )
             self.addCleanup(running.__exit__)
-            until(lambda running=running: running.discovery.streams, lambda: time.sleep(0.005))
+            wait_until(lambda running=running: running.discovery.streams, lambda: time.sleep(0.005))
             running.discovery.say("\n")
             running.__enter__().process.send_signal(signal.SIGSTOP)
             clients = [running.client() for _ in range(100)]
@@ -361,7 +371,7 @@
 
         def answer(form):
             voted.put(form)
-            release.wait(PATIENCE)
+            release.wait(TIMEOUT_SECONDS)
             return 500, b""
 
         pod = self.pod(
@@ -382,14 +392,14 @@
         self.addCleanup(release.set)
         count = iter(range(100_000))
         with running.client() as client:
-            until(
+            wait_until(
                 lambda: not voted.empty(),
                 lambda: client.ask("SVC.QUERY", "a", f"{next(count):x}", READ),
             )
             running.process.send_signal(signal.SIGTERM)
             running.logged("stopping")
             self.assertEqual(client.answer(), b"")
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
         self.assertFalse(release.is_set())
 
     def test_it_has_ended_by_itself_when_the_platform_may_kill_it(self):
@@ -400,7 +410,7 @@
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             client.send("SVC.QUERY", "a", "01", "c=read,t=acme,d=3000")
-            pod.heard.get(timeout=PATIENCE)
+            pod.heard.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
             stopping = running.logged("stopping")
             time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
@@ -409,7 +419,7 @@
             stopped = running.logged("stopped")
         self.assertRegex(answers[0], b"^-")
         self.assertRegex(answers[1], b"^-")
-        self.assertEqual((answers[2], running.process.wait(PATIENCE)), (b"", 0))
+        self.assertEqual((answers[2], running.process.wait(TIMEOUT_SECONDS)), (b"", 0))
         # The kill, less the time for which the page lets a sidecar be held up.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
@@ -428,13 +438,13 @@
                 client.send("SVC.QUERY", "a", f"{number:02x}", "c=read,t=acme,d=3000")
             answers = [client.answer() for _ in range(91)]
             stopped = running.logged("stopped")
-            self.assertEqual(running.process.wait(PATIENCE), 0)
+            self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
         self.assertEqual([answer[:1] for answer in answers], [b"-"] * 90 + [b""])
         # The kill, less the time for which the page lets a sidecar be held up.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
     def test_a_half_written_file_is_kept_and_the_whole_one_is_owed_to_the_next_sighup(self):
-        new = DiscoveryPeer()
+        new = FakeDiscovery()
         self.addCleanup(new.close)
         running = self.program()
         text = json.dumps({**running.told, "discovery": new.address})
@@ -448,7 +458,7 @@
             target.write(text[len(text) // 2 :])
         running.process.send_signal(signal.SIGHUP)
         self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=PATIENCE)
+        new.asked.get(timeout=TIMEOUT_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -5,8 +5,14 @@
 import threading
 import unittest
 
-from tests.support.peers import PATIENCE, DiscoveryPeer, PlatformPeer, PodPeer, until
-from tests.support.programs import Program, command, stands_still
+from tests.support.peers import (
+    TIMEOUT_SECONDS,
+    FakeDiscovery,
+    FakeEndpoint,
+    FakePlatform,
+    wait_until,
+)
+from tests.support.programs import Program, encode_command, pause_at_sigterm
 
 READ, MARK, PAY = "c=read,t=acme,d=15000", "c=mark,t=acme,d=15000,k=5c0f", "c=pay,t=acme,d=15000"
 
@@ -17,7 +23,7 @@
 
 class WithPods(unittest.TestCase):
     def pod(self, answer=None):
-        peer = PodPeer(answer)
+        peer = FakeEndpoint(answer)
         self.addCleanup(peer.close)
         return peer
 
@@ -37,7 +43,7 @@
                 ("SVC.SUBMIT", "7f3a", "03", PAY, b"\r\n\x00" * 9000),
             ):
                 self.assertEqual(client.ask(*words), words[2].encode())
-                got = pod.heard.get(timeout=PATIENCE)
+                got = pod.heard.get(timeout=TIMEOUT_SECONDS)
                 sent = [word if isinstance(word, bytes) else word.encode() for word in words]
                 self.assertEqual(got[:3] + got[4:], sent[:3] + sent[4:])
                 name, _, left = got[3].split(b",")[2].partition(b"=")
@@ -49,7 +55,7 @@
 
         def answer(words):
             if words[2] == b"01":
-                second.wait(PATIENCE)
+                second.wait(TIMEOUT_SECONDS)
             else:
                 second.set()
             return value(words[2])
@@ -57,9 +63,9 @@
         pod = self.pod(answer)
         with self.program(pod.entry("s-1")).client() as client:
             client.connection.sendall(
-                command("SVC.QUERY", "a", "01", READ)
-                + command("PING")
-                + command("SVC.QUERY", "b", "02", READ)
+                encode_command("SVC.QUERY", "a", "01", READ)
+                + encode_command("PING")
+                + encode_command("SVC.QUERY", "b", "02", READ)
             )
             self.assertEqual([client.answer() for _ in range(3)], [b"01", b"+PONG", b"02"])
 
@@ -71,7 +77,7 @@
 
         pod = self.pod(piecemeal)
         with self.program(pod.entry("s-1")).client() as client:
-            for byte in command("SVC.QUERY", "a", "01", READ):
+            for byte in encode_command("SVC.QUERY", "a", "01", READ):
                 client.connection.sendall(bytes([byte]))
             self.assertEqual(client.answer(), b"01")
 
@@ -110,7 +116,7 @@
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
-        self.assertTrue(pod.ended.get(timeout=PATIENCE))
+        self.assertTrue(pod.ended.get(timeout=TIMEOUT_SECONDS))
 
     def test_an_unreadable_answer_may_have_run(self):
         for answer in (b"*1\r\n$4\r\nhal", b"$70000\r\n", b"nonsense\r\n", b"*1\r\n$-1\r\n"):
@@ -123,9 +129,9 @@
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             client.send("SVC.SUBMIT", "a", "01", PAY, "B")
-            pod.heard.get(timeout=PATIENCE)
+            pod.heard.get(timeout=TIMEOUT_SECONDS)
             client.connection.shutdown(2)
-            self.assertTrue(pod.ended.get(timeout=PATIENCE))
+            self.assertTrue(pod.ended.get(timeout=TIMEOUT_SECONDS))
 
     def test_bad_commands_are_named_and_touch_no_other_client(self):
         pod = self.pod()
@@ -183,16 +189,18 @@
         told = threading.Event()
 
         def answer(words):
-            told.wait(PATIENCE)
+            told.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         old, new = self.pod(answer), self.pod()
         running = self.program(old.entry("s-1"))
         with running.client() as first, running.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            old.heard.get(timeout=PATIENCE)
+            old.heard.get(timeout=TIMEOUT_SECONDS)
             running.discovery.push_list(8, old.entry("s-1", state="Terminating"), new.entry("s-2"))
-            until(lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "r", READ))
+            wait_until(
+                lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "r", READ)
+            )
             self.assertEqual(
                 [second.ask("SVC.QUERY", "a", f"1{at}", READ) for at in range(9)],
                 [b"1%d" % at for at in range(9)],
@@ -227,13 +235,13 @@
         )
         with running.client() as client:
             number = itertools.count()
-            until(
+            wait_until(
                 lambda: running.platform.calls.qsize() > 1,
                 lambda: client.ask("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
             self.assertEqual([running.platform.calls.get() for _ in range(2)], [vote] * 2)
-            until(
+            wait_until(
                 lambda: running.logged("vote")["outcome"] == "done", lambda: None
             )  # its answer was heard
             while not bad.heard.empty():
@@ -248,19 +256,27 @@
         running.discovery.push_list(9, pod.entry("s-1"))
         for peer in (running.discovery, running.platform):
             peer.cut()
-        self.assertEqual(running.platform.asked.get(timeout=PATIENCE), "/v2/projects/main/stream")
-        self.assertRegex(running.discovery.asked.get(timeout=PATIENCE), r"stream=1&index=(7|9)$")
+        self.assertEqual(
+            running.platform.asked.get(timeout=TIMEOUT_SECONDS), "/v2/projects/main/stream"
+        )
+        self.assertRegex(
+            running.discovery.asked.get(timeout=TIMEOUT_SECONDS), r"stream=1&index=(7|9)$"
+        )
         running.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
         running.platform.push_news(version=42)  # before it is told, nothing goes to that build
         with running.client() as client:
-            until(lambda: not new.heard.empty(), lambda: client.ask("SVC.QUERY", "a", "01", READ))
+            wait_until(
+                lambda: not new.heard.empty(), lambda: client.ask("SVC.QUERY", "a", "01", READ)
+            )
 
     def test_what_discovery_says_unreadably_changes_nothing_and_is_asked_again(self):
         pod = self.pod()
         running = self.program(pod.entry("s-1"))
         running.discovery.say('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
-        until(lambda: "servers.0.state" in running.logged("stream ended")["reason"], lambda: None)
-        running.discovery.asked.get(timeout=PATIENCE)
+        wait_until(
+            lambda: "servers.0.state" in running.logged("stream ended")["reason"], lambda: None
+        )
+        running.discovery.asked.get(timeout=TIMEOUT_SECONDS)
         with running.client() as client:
             self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
 
@@ -271,17 +287,17 @@
 
         def answer(words):
             if words[2] == b"01":
-                release.wait(PATIENCE)
+                release.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         pod, new = self.pod(answer), self.pod()
         running = self.program(pod.entry("s-1"))
-        discovery, platform = DiscoveryPeer(), PlatformPeer()
+        discovery, platform = FakeDiscovery(), FakePlatform()
         self.addCleanup(discovery.close)
         self.addCleanup(platform.close)
         with running.client() as first, running.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=PATIENCE)
+            pod.heard.get(timeout=TIMEOUT_SECONDS)
             running.write({**running.told, "discovery": "nowhere"})
             running.process.send_signal(signal.SIGHUP)
             self.assertRegex(running.logged("configuration rejected")["error"], "^discovery: ")
@@ -295,13 +311,15 @@
             for _ in range(2):
                 running.process.send_signal(signal.SIGHUP)
             self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], [])
-            discovery.asked.get(timeout=PATIENCE)
-            platform.asked.get(timeout=PATIENCE)
+            discovery.asked.get(timeout=TIMEOUT_SECONDS)
+            platform.asked.get(timeout=TIMEOUT_SECONDS)
             running.discovery.close()
             running.platform.close()
             discovery.push_list(8, new.entry("s-2", 42), pod.entry("s-1", state="Terminating"))
             platform.push_news(version=42)
-            until(lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "02", READ))
+            wait_until(
+                lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "02", READ)
+            )
             release.set()
             self.assertEqual(first.answer(), b"01")
 
@@ -312,15 +330,15 @@
 
         def answer(words):
             if words[2] == b"01":
-                stopped.wait(PATIENCE)
+                stopped.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         pod = self.pod(answer)
-        with stands_still():
+        with pause_at_sigterm():
             running = self.program(pod.entry("s-1"))
         with running.client() as first, running.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=PATIENCE)
+            pod.heard.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
             running.stood_still()
             with (
@@ -332,7 +350,7 @@
             self.assertEqual(second.answer(), b"")
             stopped.set()
             self.assertEqual((first.answer(), first.answer()), (b"01", b""))
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_a_bad_configuration_ends_it_and_names_the_key(self):
         def without(*path):
@@ -353,7 +371,7 @@
         }
         for key, change in cases.items():
             running = Program(change=change)
-            _, error = running.process.communicate(timeout=PATIENCE)
+            _, error = running.process.communicate(timeout=TIMEOUT_SECONDS)
             running.__exit__()
             self.assertNotEqual(running.process.returncode, 0)
             self.assertRegex(error.decode(), f"^thymeknot: .*{key}.*\n$")
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -8,10 +8,10 @@
 import unittest
 from unittest.mock import patch
 
-from tests.support.process_rig import PAY, Checker, Fleet, talk
+from tests.support.process_rig import PAY_METADATA, AvailabilityMonitor, Fleet, send_request
 from thymeknot.raft import message_codec
 
-LONG = PAY.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
+LONG = PAY_METADATA.replace("d=6000", "d=15000")  # its time must not end before the test lets it go
 WITHIN = 15  # seconds that a condition has to come about
 
 
@@ -65,7 +65,7 @@
             (("!a", "!b", "!a", "!b"), "ab"),
             (("!a", "!b", "a", "!b"), "b"),
         ):  # a came back before b went, or as the look went on
-            checker, said = Checker.__new__(Checker), list(turns)
+            checker, said = AvailabilityMonitor.__new__(AvailabilityMonitor), list(turns)
             checker.ports = {"a": "a", "b": "b"}
 
             def serves(port, said=said):
@@ -190,7 +190,7 @@
         )
         self.addCleanup(slow.close)
         taken = threading.Thread(
-            target=lambda: answer.append(talk(slow, "slow-1", LONG)), daemon=True
+            target=lambda: answer.append(send_request(slow, "slow-1", LONG)), daemon=True
         )
         taken.start()
         self.until(lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "a slow one is taken")
--- a/tests/soak/orders.py
+++ b/tests/soak/orders.py
@@ -4,7 +4,7 @@
 from hypothesis import strategies as st
 
 from tests.integration import test_event_orders as short
-from tests.support.order_rig import play, smallest
+from tests.support.order_rig import minimize, play
 
 HELD_UP = short.order("held_up", st.sampled_from((20, 60, 150)))  # the page allows for 0.15 s
 LONGER = st.lists(
@@ -38,4 +38,4 @@
     if not found:
         return None
     drawn, error = found[0]
-    return smallest(short.STARTS, drawn, error), repr(error)
+    return minimize(short.STARTS, drawn, error), repr(error)
--- a/tests/soak/player.py
+++ b/tests/soak/player.py
@@ -15,7 +15,7 @@
 from tests.soak.plan import ClientPlan, Early, Ending, Feature, Habit, Trouble, drawn
 from tests.soak.sidecar import READY_WITHIN, Sidecar, clock
 from tests.soak.stand_ins import Pod
-from tests.support.peers import reserved
+from tests.support.peers import reserve_port
 from thymeknot.gossip import keys
 
 LAG_LOOKS = 0.01  # seconds between two looks at how late this process itself is
@@ -87,7 +87,7 @@
         self.ports = {}
         for name in self.names:
             if plan.feature == Feature.FLEET:
-                place, self.ports[name] = reserved()
+                place, self.ports[name] = reserve_port()
                 self.kept.append(place)
             else:
                 self.ports[name] = _udp_port()
--- a/tests/soak/sidecar.py
+++ b/tests/soak/sidecar.py
@@ -11,7 +11,7 @@
 
 from tests.soak.ledger import Process
 from tests.soak.stand_ins import Discovery, Platform, host_of
-from tests.support.peers import SETTINGS, reserved
+from tests.support.peers import SETTINGS, reserve_port
 
 SOCKETS = 256
 OUTER_LIMIT = 3.0  # seconds: the longest deadline that a client has
@@ -33,7 +33,7 @@
         self.discovery = Discovery(instance, ledger, pods)
         self.platform = Platform(instance, ledger, cap)
         self.retired = []
-        self.place, self.port = reserved()
+        self.place, self.port = reserve_port()
         self.folder = tempfile.TemporaryDirectory()
         self.path = os.path.join(self.folder.name, "config.json")
         self.process, self.running, self.readers = None, None, []
--- a/tests/support/decisions.py
+++ b/tests/support/decisions.py
@@ -24,7 +24,7 @@
 NOW = 1000 * TICKS_PER_SECOND
 
 
-LANES = {
+REQUEST_CLASSES = {
     "read": RequestClass(
         "read",
         Idempotency.IDEMPOTENT,
@@ -68,8 +68,8 @@
 }
 
 
-TERMS = Settings(
-    request_classes=LANES,
+ENGINE_SETTINGS = Settings(
+    request_classes=REQUEST_CLASSES,
     instances=2,
     lists_polled=False,
     max_attempts=4,
@@ -98,49 +98,58 @@
 )
 
 
-def pod(address, build=1, started=0, condition=EndpointCondition.READY, zone="a"):
+def make_endpoint(address, build=1, started=0, condition=EndpointCondition.READY, zone="a"):
     return Endpoint(address, zone, 1.0, 0, condition, started, "std", build)
 
 
-def news(stage=1, phase=ReleasePhase.ON_TRIAL, cap=0.5, build=2):
+def make_release_update(stage=1, phase=ReleasePhase.ON_TRIAL, cap=0.5, build=2):
     return ReleaseUpdate(build, stage, phase, False, Outcome.DONE, cap, 0)
 
 
-def balancer(*pods, told=None, **changes):
+def make_engine(*endpoints, release_update=None, **changes):
     """An instance that knows these pods (two of the earlier build, one of the new) and this news."""
-    made = DecisionEngine(TERMS._replace(**changes), 7, NOW - 10 * TICKS_PER_SECOND)
-    pods = pods or (pod("old-1"), pod("old-2"), pod("new-1", 2))
-    made.handle(
+    engine = DecisionEngine(ENGINE_SETTINGS._replace(**changes), 7, NOW - 10 * TICKS_PER_SECOND)
+    endpoints = endpoints or (
+        make_endpoint("old-1"),
+        make_endpoint("old-2"),
+        make_endpoint("new-1", 2),
+    )
+    engine.handle(
         NOW - 10 * TICKS_PER_SECOND,
-        [EndpointUpdate(UpdateKind.CACHED, pods), news(4, ReleasePhase.RELEASED, 1.0, 1)],
+        [
+            EndpointUpdate(UpdateKind.CACHED, endpoints),
+            make_release_update(4, ReleasePhase.RELEASED, 1.0, 1),
+        ],
     )
-    if told:
-        made.handle(NOW - 10 * TICKS_PER_SECOND, [told])
-    made.context.actions, made.context.now, made.context.first_traffic_at = (
+    if release_update:
+        engine.handle(NOW - 10 * TICKS_PER_SECOND, [release_update])
+    engine.context.actions, engine.context.now, engine.context.first_traffic_at = (
         [],
         NOW,
         NOW - 10 * TICKS_PER_SECOND,
     )
-    return made
+    return engine
 
 
-def pressed(made, times, count=40):
+def record_slow_responses(engine, factor, count=40):
     """Its answers of now took so many times their goal."""
-    made.admission.response_counts.add(made.context.now, count)
-    made.admission.relative_latencies.add(made.context.now, count * times)
+    engine.admission.response_counts.add(engine.context.now, count)
+    engine.admission.relative_latencies.add(engine.context.now, count * factor)
 
 
-def taken(name="t1", lane="read", key=None, left=3 * TICKS_PER_SECOND):
-    return RequestReceived(name, lane, None, key, left, None, False, False)
+def make_request(name="t1", lane="read", key=None, remaining=3 * TICKS_PER_SECOND):
+    return RequestReceived(name, lane, None, key, remaining, None, False, False)
 
 
-def ended(name="t1", outcome=Outcome.ERROR, address="old-1", number=0, closed=False, latency=100):
+def make_attempt_ended(
+    name="t1", outcome=Outcome.ERROR, address="old-1", number=0, closed=False, latency=100
+):
     return AttemptEnded(name, outcome, closed, latency, address, number, None)
 
 
-def kinds(actions):
+def action_types(actions):
     return [type(action) for action in actions]
 
 
-def sent(actions):
+def attempted_endpoints(actions):
     return [action.endpoint for action in actions if isinstance(action, SendAttempt)]
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -16,48 +16,55 @@
 from twisted.python import log as twisted_log
 
 from tests.support.peers import SETTINGS
-from tests.support.programs import command
-from tests.support.stepped_network import Reactor, Wire, Wrong
+from tests.support.programs import encode_command
+from tests.support.stepped_network import CheckFailed, FakeSocket, SteppedReactor
 from thymeknot.proxy.proxy import Proxy
 from thymeknot.service import configuration, structured_log
 from thymeknot.state.timer_queue import TimerQueue
 
-MS = 10  # times are whole tenths of a millisecond, as the sidecar's
-BORN = 1_000_000
-SLACK = 500 * MS  # beyond a request's time, for its answer
-TOLD_SLACK = 50 * MS  # every time limit of the protocol is longer by this
-CAP_SLACK = 150 * MS  # a lower cap binds then
-LEFT_SLACK = 100 * MS  # attempts for a client that has gone
-STALLS = 9_900 * MS  # a client that reads nothing for so long may be cut off
-FINISHES = 150 * MS  # after SIGTERM's end of service, for a connection that is owed nothing
-FIRST_COMMAND = (
-    500 * MS
+TICKS_PER_MS = 10  # times are whole tenths of a millisecond, as the sidecar's
+START_TICKS = 1_000_000
+RESPONSE_SLACK = 500 * TICKS_PER_MS  # beyond a request's time, for its answer
+UPDATE_SLACK = 50 * TICKS_PER_MS  # every time limit of the protocol is longer by this
+CAP_UPDATE_SLACK = 150 * TICKS_PER_MS  # a lower cap binds then
+DISCONNECT_SLACK = 100 * TICKS_PER_MS  # attempts for a client that has gone
+STALL_TIMEOUT = 9_900 * TICKS_PER_MS  # a client that reads nothing for so long may be cut off
+SHUTDOWN_CLOSE_LIMIT = (
+    150 * TICKS_PER_MS
+)  # after SIGTERM's end of service, for a connection that is owed nothing
+FIRST_COMMAND_WAIT = (
+    500 * TICKS_PER_MS
 )  # a new connection is waited for so long, for the command that it was opened for
-BEGINS = 2_400 * MS  # a command that takes so long to come may be turned away
-LANES = ("read", "mark", "pay")
-TIMES = (300, 1500, 4000)  # milliseconds that a client waits
-WINDOW, MOST = 5_000 * MS, 4  # of the settings: how long a fingerprint holds, attempts
-DISCOVERIES, PLATFORMS = (2, 8), (3, 9)
-REFUSES, HANGS, COMES_UP = "refuses", "hangs", "comes up"
+COMMAND_TIMEOUT = 2_400 * TICKS_PER_MS  # a command that takes so long to come may be turned away
+REQUEST_CLASSES = ("read", "mark", "pay")
+DEADLINES_MS = (300, 1500, 4000)  # milliseconds that a client waits
+DEDUPLICATION_WINDOW, MAX_ATTEMPTS = (
+    5_000 * TICKS_PER_MS,
+    4,
+)  # of the settings: how long a fingerprint holds, attempts
+DISCOVERY_PORTS, PLATFORM_PORTS = (2, 8), (3, 9)
+REFUSES, HANGS, ACCEPTS = "refuses", "hangs", "comes up"
 
 # Faults of the program that are known and not mended yet are left out of the drawn orders by these switches; each has
 # a test of its own in test_orders.py. Once one is mended, True draws it again.
-ENDS_WHILE_NOT_READ = True  # a client leaves while the sidecar does not read from it
-SECOND_COPIES_MEET_OTHERS = (
+DISCONNECTS_WHILE_READING_PAUSED = True  # a client leaves while the sidecar does not read from it
+DUPLICATE_RESPONSES_REACH_NEXT_REQUEST = (
     True  # a pod's second copy of an answer comes after the connection's next request
 )
-ANSWERS_AT_ONCE = True  # a pod answers within the same tenth of a millisecond
-PODS_TAKE_NOTHING = True  # not one byte of an attempt goes out before its pod is told draining
-DRAINS_WHILE_COMING_BACK = (
+RESPONSES_WITHOUT_DELAY = True  # a pod answers within the same tenth of a millisecond
+ENDPOINTS_READ_NOTHING = True  # not one byte of an attempt goes out before its pod is told draining
+DRAINS_DURING_UNDRAIN = (
     True  # `drain` or `finish` before the listener that an `undrain` waits for has closed
 )
 
 
-QUICK = copy.deepcopy(SETTINGS)  # idle connections to pods are retired soon, or the ends take long
-QUICK["permissions"]["conn_idle"] = 4_000_000_000
+SHORT_IDLE_SETTINGS = copy.deepcopy(
+    SETTINGS
+)  # idle connections to pods are retired soon, or the ends take long
+SHORT_IDLE_SETTINGS["permissions"]["conn_idle"] = 4_000_000_000
 
 
-class Asked:
+class SentCommand:
     """A command as its client sent it."""
 
     def __init__(self, kind, end, name=None, nonce=None, lane=None, left=0, wants=None):
@@ -65,9 +72,9 @@
         self.left, self.wants, self.read_at, self.answered = left, wants, None, None
 
 
-class Client:
+class SteppedClient:
     def __init__(self, rig, number):
-        self.rig, self.number, self.wire = rig, number, Wire(rig)
+        self.rig, self.number, self.wire = rig, number, FakeSocket(rig)
         self.asked, self.out, self.buffer, self.got = [], 0, b"", 0
         self.half, self.spoilt_at, self.gone_at, self.stalled_since, self.freed_at = (
             b"",
@@ -87,12 +94,12 @@
     def slow(self):
         """It may be turned away: its first command, or half of one, is too long in coming."""
         self.was_slow |= (
-            bool(self.half or not self.asked) and self.rig.now >= self.begun_at + BEGINS
+            bool(self.half or not self.asked) and self.rig.now >= self.begun_at + COMMAND_TIMEOUT
         )
         return self.was_slow
 
 
-class Attempt:
+class ReceivedAttempt:
     """A command that came whole to a pod."""
 
     def __init__(self, pod, wire, words, begun, whole):
@@ -100,11 +107,11 @@
         self.build, self.nonce, self.turned_away, self.end = pod.build, words[4].decode(), None, 0
 
 
-class Pod:
+class SteppedEndpoint:
     def __init__(self, rig, number, build):
         self.rig, self.name, self.build, self.port = rig, f"s-{number}", build, 7000 + number
-        self.state, self.started, self.mode, self.lag = "Ready", 0, "good", 40 * MS
-        self.dials, self.budget = COMES_UP, None
+        self.state, self.started, self.mode, self.lag = "Ready", 0, "good", 40 * TICKS_PER_MS
+        self.dials, self.budget = ACCEPTS, None
         self.known = 0, build
         self.builds_known = [(0, build)]  # (from when, the build that it was listed with)
         self.barred_at, self.stale_at = (
@@ -130,7 +137,7 @@
         }
 
 
-def whole_command(buffer):
+def parse_command(buffer):
     """The words of the first command in the buffer and its length, or None."""
     found = re.match(rb"\*(\d+)\r\n", buffer)
     if not found:
@@ -145,7 +152,7 @@
     return words, at
 
 
-def whole_answer(buffer):
+def parse_response(buffer):
     """The first answer in the buffer and its length, or None."""
     end = buffer.find(b"\r\n")
     if end < 0:
@@ -164,14 +171,18 @@
     """play(orders) gives them one after another, lets all run to an end and checks it."""
 
     def __init__(self):
-        self.now, self.wires, self.soon, self.count = BORN, [], [], 0
+        self.now, self.wires, self.soon, self.count = START_TICKS, [], [], 0
         self.hold_ups = []  # (from, until): the sidecar did not run
         self.stirred = self.touched = False  # in this round; by the others, for the next one
         self.clients, self.links, self.attempts, self.made, self.faults = [], [], [], {}, []
         self.ended_links = []
         self.by_nonce, self.streams, self.stream_mode, self.version = {}, [], "live", 7
         self.emptied, self.drains, self.state, self.finished_at = 0, 0, "serving", None
-        self.pods = [Pod(self, 1, 41), Pod(self, 2, 41), Pod(self, 3, 42)]
+        self.pods = [
+            SteppedEndpoint(self, 1, 41),
+            SteppedEndpoint(self, 2, 41),
+            SteppedEndpoint(self, 3, 42),
+        ]
         self.news = {
             "version": 42,
             "step": 1,
@@ -191,12 +202,12 @@
                 "discovery": "127.0.0.1:2",
                 "seed": "1f",
                 "limits": {"sockets": 1024},
-                "settings": QUICK,
+                "settings": SHORT_IDLE_SETTINGS,
                 "deployer": {"address": "127.0.0.1:3", "news": dict(self.news)},
                 "known": {"version": 7, "full": True, "servers": [p.entry() for p in self.pods]},
             },
         )
-        self.reactor = Reactor(self)
+        self.reactor = SteppedReactor(self)
         fault = self._fault
         self.patches = [
             mock.patch.object(structured_log, "log_exception", fault),
@@ -261,7 +272,7 @@
             if quiet == 1 and times is None:
                 return
         if times is None:
-            raise Wrong("the loop does not come to rest")
+            raise CheckFailed("the loop does not come to rest")
 
     def later(self, after, call):
         self.count += 1
@@ -293,13 +304,13 @@
 
     def dialled(self, dial):
         port = dial.addr[1]
-        if port in DISCOVERIES + PLATFORMS:
+        if port in DISCOVERY_PORTS + PLATFORM_PORTS:
             dial.come_up() if self.stream_mode != "ended" else dial.refuse()
             return
         pod = next((pod for pod in self.pods if pod.port == port), None)
         how = REFUSES if pod is None or pod.state == "Gone" else pod.dials
         dial.wire.pod = pod
-        if how == COMES_UP:
+        if how == ACCEPTS:
             dial.come_up()
         elif how == REFUSES:
             dial.refuse()
@@ -307,7 +318,7 @@
             self.waits.append(dial)
 
     def came_up(self, wire):
-        if wire.port in DISCOVERIES + PLATFORMS:
+        if wire.port in DISCOVERY_PORTS + PLATFORM_PORTS:
             self.links.append([wire, b"", self._stream])
         else:
             wire.budget = wire.pod.budget
@@ -331,7 +342,7 @@
                 link[1] = b""
                 continue
             wire.put(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            wire.lists = wire.port in DISCOVERIES
+            wire.lists = wire.port in DISCOVERY_PORTS
             self.streams.append(wire)
             if self.stream_mode == "live":
                 self.tell_pods(self.pods, full=True, to=[wire]) if wire.lists else self.tell_news(
@@ -406,11 +417,11 @@
 
     def _requests(self, link):
         wire, pod = link[0], link[0].pod
-        while (found := whole_command(link[1])) is not None:
+        while (found := parse_command(link[1])) is not None:
             words, length = found
             begin, link[1] = wire.parsed, link[1][length:]
             wire.parsed += length
-            attempt = Attempt(
+            attempt = ReceivedAttempt(
                 pod, wire, words, wire.written_at(begin), wire.written_at(wire.parsed - 1)
             )
             attempt.end = wire.parsed
@@ -438,7 +449,7 @@
             self.made[value] = attempt.nonce
             wire.put(good)
             if mode == "twice":
-                self.later(5 * MS, lambda: self._second_copy(attempt, good))
+                self.later(5 * TICKS_PER_MS, lambda: self._second_copy(attempt, good))
         elif mode == "error":
             wire.put(b"-ERR failed\r\n")
         elif mode == "busy":
@@ -448,7 +459,7 @@
             wire.end("reset")
 
     def _second_copy(self, attempt, good):
-        if SECOND_COPIES_MEET_OTHERS or attempt.wire.sent == attempt.end:
+        if DUPLICATE_RESPONSES_REACH_NEXT_REQUEST or attempt.wire.sent == attempt.end:
             attempt.wire.put(good)
 
     # The checker.
@@ -457,43 +468,47 @@
         pod, nonce = attempt.pod, attempt.nonce
         client, asked = self.by_nonce[nonce]
         if attempt.words[:3] != asked.wants[:3] or attempt.words[4:] != asked.wants[4:]:
-            raise Wrong(f"a pod got {attempt.words}, its client sent {asked.wants}")
+            raise CheckFailed(f"a pod got {attempt.words}, its client sent {asked.wants}")
         earlier = [
             other for other in self.attempts if other.nonce == nonce and other is not attempt
         ]
-        if len(earlier) >= MOST:
-            raise Wrong(f"{nonce} is sent for the {len(earlier) + 1}th time")
+        if len(earlier) >= MAX_ATTEMPTS:
+            raise CheckFailed(f"{nonce} is sent for the {len(earlier) + 1}th time")
         perhaps = [
             other
             for other in earlier
             if other.turned_away is None or other.turned_away > attempt.whole
         ]
         if perhaps and asked.lane == "pay":
-            raise Wrong(f"binding {nonce} is sent again while it may have run")
-        if perhaps and asked.lane == "mark" and attempt.whole >= perhaps[0].whole + WINDOW:
-            raise Wrong(f"fingerprinted {nonce} is sent again after its window")
+            raise CheckFailed(f"binding {nonce} is sent again while it may have run")
+        if (
+            perhaps
+            and asked.lane == "mark"
+            and attempt.whole >= perhaps[0].whole + DEDUPLICATION_WINDOW
+        ):
+            raise CheckFailed(f"fingerprinted {nonce} is sent again after its window")
         self.check_begun(attempt.wire, attempt.begun, f"{nonce} to {pod.name}")
-        if client.gone_at is not None and attempt.whole > client.gone_at + LEFT_SLACK:
-            raise Wrong(
+        if client.gone_at is not None and attempt.whole > client.gone_at + DISCONNECT_SLACK:
+            raise CheckFailed(
                 f"{nonce} is sent {(attempt.whole - client.gone_at) / 10_000} s after its client left"
             )
 
     def check_begun(self, wire, begun, what):
         pod = wire.pod
-        if pod.barred_at is not None and begun > pod.barred_at + TOLD_SLACK:
-            raise Wrong(f"{what}: begun after its drain was told")
+        if pod.barred_at is not None and begun > pod.barred_at + UPDATE_SLACK:
+            raise CheckFailed(f"{what}: begun after its drain was told")
         if (
             pod.stale_at is not None
             and wire.made_at < pod.stale_at
-            and begun > pod.stale_at + TOLD_SLACK
+            and begun > pod.stale_at + UPDATE_SLACK
         ):
-            raise Wrong(f"{what}: begun on a connection to the process before")
+            raise CheckFailed(f"{what}: begun on a connection to the process before")
         if (
             self.closed_at is not None
             and pod.build_known_at(begun) >= self.told_news["version"]
-            and begun > self.closed_at + CAP_SLACK
+            and begun > self.closed_at + CAP_UPDATE_SLACK
         ):
-            raise Wrong(f"{what}: begun though the newest build takes nothing")
+            raise CheckFailed(f"{what}: begun though the newest build takes nothing")
 
     def _hear(self, client):
         wire = client.wire
@@ -503,14 +518,14 @@
         if wire.far_gone:
             return
         client.buffer += wire.pull()
-        while (found := whole_answer(client.buffer)) is not None:
+        while (found := parse_response(client.buffer)) is not None:
             answer, length = found
             client.buffer = client.buffer[length:]
             self._answered(client, answer)
         if (wire.closed or wire.shut) and not client.eof:
             client.eof = True
             if client.buffer and client.gone_at is None and not wire.aborted:
-                raise Wrong(
+                raise CheckFailed(
                     f"client {client.number}: closed within an answer: {client.buffer[:40]}"
                 )
             self.check_closed(client)
@@ -524,30 +539,32 @@
             ):
                 client.excused = True
                 return
-            raise Wrong(f"client {client.number}: an answer that nothing asked for: {answer[:60]}")
+            raise CheckFailed(
+                f"client {client.number}: an answer that nothing asked for: {answer[:60]}"
+            )
         asked = client.asked[client.got]
         if asked.read_at is None:
-            raise Wrong(
+            raise CheckFailed(
                 f"client {client.number}: {answer[:60]} before {asked.nonce or asked.kind} was read"
             )
         client.got += 1
         asked.answered = self.now
         if asked.kind == "ping" and answer != b"+PONG":
-            raise Wrong(f"PING is answered with {answer[:60]}")
+            raise CheckFailed(f"PING is answered with {answer[:60]}")
         if asked.kind == "wrong" and not answer.startswith(b"-ERR"):
-            raise Wrong(f"what is no request is answered with {answer[:60]}")
+            raise CheckFailed(f"what is no request is answered with {answer[:60]}")
         if asked.kind != "request":
             return
         if answer.startswith(b"$"):
             nonce = self.made.pop(answer[1:], None)
             if nonce != asked.nonce:
-                raise Wrong(f"{asked.nonce} is answered with {answer[:60]}, made for {nonce}")
+                raise CheckFailed(f"{asked.nonce} is answered with {answer[:60]}, made for {nonce}")
         elif answer.startswith(b"-BUSY"):
             perhaps = [
                 one for one in self.attempts if one.nonce == asked.nonce and one.turned_away is None
             ]
             if perhaps and asked.lane == "pay":
-                raise Wrong(f"binding {asked.nonce} is refused though it may have run")
+                raise CheckFailed(f"binding {asked.nonce} is refused though it may have run")
         elif answer.startswith(b"-ERR this id is in hand"):
             others = [
                 (other, one)
@@ -559,9 +576,11 @@
                 (one.answered or other.wire.closed_at or asked.read_at) < asked.read_at
                 for other, one in others
             ):
-                raise Wrong(f"{asked.nonce}: no other holds its id, and it is turned away for it")
+                raise CheckFailed(
+                    f"{asked.nonce}: no other holds its id, and it is turned away for it"
+                )
         elif not answer.startswith(b"-ERR"):
-            raise Wrong(f"{asked.nonce} is answered with {answer[:60]}")
+            raise CheckFailed(f"{asked.nonce} is answered with {answer[:60]}")
 
     def check_times(self):
         for client in self.clients:
@@ -573,16 +592,16 @@
             ):
                 continue
             if client.stalled_since is not None:
-                client.excused |= self.now >= client.stalled_since + STALLS
+                client.excused |= self.now >= client.stalled_since + STALL_TIMEOUT
                 continue
             self.check_finished(client)
             due = client.freed_at
             for asked in client.asked[client.got :]:
                 if asked.read_at is None:
                     break
-                due = max(due, asked.read_at + asked.left * MS)
-                if asked.answered is None and self.now > due + SLACK:
-                    raise Wrong(
+                due = max(due, asked.read_at + asked.left * TICKS_PER_MS)
+                if asked.answered is None and self.now > due + RESPONSE_SLACK:
+                    raise CheckFailed(
                         f"client {client.number}: {asked.nonce or asked.kind} is not answered in time"
                     )
 
@@ -604,9 +623,9 @@
             + [asked.answered for asked in client.asked[: client.got]]
         )
         if not client.asked:  # its first command may be on its way
-            since = max(since, client.opened_at + FIRST_COMMAND)
-        if self.now > since + FINISHES + self.held_since(since):
-            raise Wrong(
+            since = max(since, client.opened_at + FIRST_COMMAND_WAIT)
+        if self.now > since + SHUTDOWN_CLOSE_LIMIT + self.held_since(since):
+            raise CheckFailed(
                 f"client {client.number}: owed nothing and open {(self.now - since) / 10_000} s after the end"
             )
 
@@ -617,37 +636,39 @@
     def check_closed(self, client):
         if client.gone_at is not None or client.excused:
             return
-        if client.stalled_since is not None and self.now >= client.stalled_since + STALLS:
+        if client.stalled_since is not None and self.now >= client.stalled_since + STALL_TIMEOUT:
             return
         owed = [asked for asked in client.asked[client.got :] if asked.read_at is not None]
         if owed:
-            raise Wrong(f"client {client.number}: closed with {owed[0].nonce or owed[0].kind} owed")
+            raise CheckFailed(
+                f"client {client.number}: closed with {owed[0].nonce or owed[0].kind} owed"
+            )
         if (
             client.spoilt_at is None
             and not client.slow
             and self.state == "serving"
             and not self.drains
         ):
-            raise Wrong(f"client {client.number}: closed for no reason")
+            raise CheckFailed(f"client {client.number}: closed for no reason")
 
     def check_end(self):
         for client in self.clients:
             owed = [asked for asked in client.asked[client.got :] if asked.read_at is not None]
             if client.gone_at is None and not client.excused and owed:
-                raise Wrong(
+                raise CheckFailed(
                     f"client {client.number}: {owed[0].nonce or owed[0].kind} was never answered"
                 )
             if not client.wire.closed:
-                raise Wrong(f"client {client.number}: its connection is open at the end")
+                raise CheckFailed(f"client {client.number}: its connection is open at the end")
         for wire, rest, _ in self.links + self.ended_links:
             if rest and hasattr(wire, "pod"):
                 self.check_begun(
                     wire, wire.written_at(wire.parsed), f"half a command to {wire.pod.name}"
                 )
         if any(door.open for door in self.reactor.doors):
-            raise Wrong("it listens at the end")
+            raise CheckFailed("it listens at the end")
         if self.emptied != 1:
-            raise Wrong(f"emptied was called {self.emptied} times")
+            raise CheckFailed(f"emptied was called {self.emptied} times")
         proxy = self.proxy
         left = {
             "clients": len(proxy.clients),
@@ -665,7 +686,7 @@
         }
         left = {what: count for what, count in left.items() if count}
         if left:
-            raise Wrong(f"left at the end: {left}")
+            raise CheckFailed(f"left at the end: {left}")
         standing = {
             "Proxy.handle_events",
             "Proxy._log_rejections",
@@ -687,20 +708,20 @@
             or periodic.count("_log_rejections") != 1
             or len(periodic) > 12
         ):
-            raise Wrong(f"deadlines left: {live or periodic}")
+            raise CheckFailed(f"deadlines left: {live or periodic}")
         open_ = [
             wire.port
             for wire in self.wires
-            if not wire.closed and wire.port not in DISCOVERIES + PLATFORMS
+            if not wire.closed and wire.port not in DISCOVERY_PORTS + PLATFORM_PORTS
         ]
         if open_:
-            raise Wrong(f"descriptors left open: {open_}")
+            raise CheckFailed(f"descriptors left open: {open_}")
         if len([wire for wire in self.wires if not wire.closed]) > 4:
-            raise Wrong("streams left open")
+            raise CheckFailed("streams left open")
 
     def check_faults(self):
         if self.faults:
-            raise Wrong(f"a fault: {self.faults[0]}")
+            raise CheckFailed(f"a fault: {self.faults[0]}")
 
     # The orders. Numbers choose among what is there.
 
@@ -722,19 +743,19 @@
         for pod in self.pods:
             pod.mode, pod.lag, pod.dials = (
                 ("good" if pod.mode != "silent" else "silent"),
-                MS,
-                COMES_UP,
+                TICKS_PER_MS,
+                ACCEPTS,
             )
             self.pod_takes(self.pods.index(pod), None)
         self.dials_end(True)
-        self.wait(1_000 * MS)
-        self.wait(5_000 * MS)
+        self.wait(1_000 * TICKS_PER_MS)
+        self.wait(5_000 * TICKS_PER_MS)
         if self.state == "drained":
             self.undrain()
             self.turn()
         if self.state == "serving":
             self.finish()
-        self.wait(6_500 * MS)
+        self.wait(6_500 * TICKS_PER_MS)
         self.check_faults()
         self.check_end()
 
@@ -748,7 +769,7 @@
             and door.lets_in
             and len([one for one in self.clients if one.gone_at is None]) < 6
         ):
-            client = Client(self, len(self.clients))
+            client = SteppedClient(self, len(self.clients))
             self.clients.append(client)
             door.queue.append(client.wire)
 
@@ -756,8 +777,8 @@
         self.count += 1
         nonce = f"n{self.count}"
         name = of.name if of else f"id{self.count}"
-        lane = of.lane if of else LANES[lane % 3]
-        left = TIMES[left % 3]
+        lane = of.lane if of else REQUEST_CLASSES[lane % 3]
+        left = DEADLINES_MS[left % 3]
         words = [
             b"SVC.QUERY" if lane == "read" else b"SVC.SUBMIT",
             b"k%d" % (key % 3),
@@ -765,7 +786,7 @@
             f"c={lane},t=x,d={left}".encode(),
             nonce.encode(),
         ]
-        return Asked("request", 0, name, nonce, lane, left, words), command(*words)
+        return SentCommand("request", 0, name, nonce, lane, left, words), encode_command(*words)
 
     def _put(self, client, asked, data):
         if (
@@ -801,10 +822,10 @@
             self._put(client, *self._request(client, 0, 1, 0, earlier[of % len(earlier)]))
 
     def ping(self, number):
-        self._put(self.client(number), Asked("ping", 0), command("PING"))
+        self._put(self.client(number), SentCommand("ping", 0), encode_command("PING"))
 
     def wrong(self, number):
-        self._put(self.client(number), Asked("wrong", 0), command("GET", "x"))
+        self._put(self.client(number), SentCommand("wrong", 0), encode_command("GET", "x"))
 
     def part(self, number, lane, left):
         client = self.client(number)
@@ -849,13 +870,16 @@
     def free(self, number):
         client = self.client(number)
         if client:
-            if client.stalled_since is not None and self.now >= client.stalled_since + STALLS:
+            if (
+                client.stalled_since is not None
+                and self.now >= client.stalled_since + STALL_TIMEOUT
+            ):
                 client.excused = True
             client.wire.budget, client.stalled_since, client.freed_at = None, None, self.now
 
     def leave(self, number, how):
         client = self.client(number)
-        if client and not ENDS_WHILE_NOT_READ and self.may_not_be_read(client):
+        if client and not DISCONNECTS_WHILE_READING_PAUSED and self.may_not_be_read(client):
             return
         if client and client.gone_at is None:
             client.gone_at = self.now
@@ -877,8 +901,8 @@
 
     def held_up(self, milliseconds):
         """The process gets no processor for so long: the page allows for up to 0.15 s. Its loop does not run."""
-        self.hold_ups.append((self.now, self.now + milliseconds * MS))
-        self.now += milliseconds * MS
+        self.hold_ups.append((self.now, self.now + milliseconds * TICKS_PER_MS))
+        self.now += milliseconds * TICKS_PER_MS
 
     def writes_first(self, first):
         self.reactor.writes_first = first
@@ -896,11 +920,14 @@
             dial.come_up() if up and dial.wire.pod is not None else dial.refuse()
 
     def pod_does(self, pod, mode, lag):
-        self.pods[pod % 3].mode, self.pods[pod % 3].lag = mode, max(lag * MS, not ANSWERS_AT_ONCE)
+        self.pods[pod % 3].mode, self.pods[pod % 3].lag = (
+            mode,
+            max(lag * TICKS_PER_MS, not RESPONSES_WITHOUT_DELAY),
+        )
 
     def pod_takes(self, pod, budget):
         pod = self.pods[pod % 3]
-        budget = pod.budget = 1 if budget == 0 and not PODS_TAKE_NOTHING else budget
+        budget = pod.budget = 1 if budget == 0 and not ENDPOINTS_READ_NOTHING else budget
         for wire, *_ in self.links:
             if getattr(wire, "pod", None) is pod:
                 wire.budget = budget
@@ -958,12 +985,12 @@
 
     def move(self, discovery, platform):
         told = copy.deepcopy(self.told)
-        told["discovery"] = f"127.0.0.1:{DISCOVERIES[discovery % 2]}"
-        told["deployer"]["address"] = f"127.0.0.1:{PLATFORMS[platform % 2]}"
+        told["discovery"] = f"127.0.0.1:{DISCOVERY_PORTS[discovery % 2]}"
+        told["deployer"]["address"] = f"127.0.0.1:{PLATFORM_PORTS[platform % 2]}"
         self.proxy.reconfigure(configuration.parse(told, 0))
 
     def passes(self, milliseconds):
-        self.wait(milliseconds * MS)
+        self.wait(milliseconds * TICKS_PER_MS)
 
     def _emptied(self):
         self.emptied += 1
@@ -977,7 +1004,7 @@
         if self.state == "drained":
             self.state = "serving"
             self.proxy.undrain(lambda: None, lambda why: self.faults.append(f"undrain: {why}"))
-            if not DRAINS_WHILE_COMING_BACK:
+            if not DRAINS_DURING_UNDRAIN:
                 self.turn()
 
     def finish(self):
@@ -987,7 +1014,7 @@
 
 
 def play(*orders):
-    """Gives these orders to a sidecar of their own, and raises Wrong where the checker finds something."""
+    """Gives these orders to a sidecar of their own, and raises CheckFailed where the checker finds something."""
     rig = Rig()
     try:
         return rig.play(orders)
@@ -995,7 +1022,7 @@
         rig.over()
 
 
-def smallest(starts, orders, error, tries=150):
+def minimize(starts, orders, error, tries=150):
     """Fewer of the orders that show the same; what a bounded search finds."""
 
     def shows(fewer):
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -12,7 +12,7 @@
 
 # Stand-ins of the outside systems, on free loopback ports, and the program itself.
 
-PATIENCE = 20  # seconds that a test waits at most; nothing passes by waiting
+TIMEOUT_SECONDS = 20  # seconds that a test waits at most; nothing passes by waiting
 
 
 SETTINGS = {
@@ -70,17 +70,17 @@
 }
 
 
-def until(done, act, state=None):
+def wait_until(done, act, state=None):
     """Does it again until it is done; never for ever. state() tells how things stood if it did not come about."""
-    end = time.monotonic() + PATIENCE
+    end = time.monotonic() + TIMEOUT_SECONDS
     while not done():
         if time.monotonic() > end:
             stood = f": {state()}" if state else ""
-            raise AssertionError(f"it did not come about in {PATIENCE} s{stood}")
+            raise AssertionError(f"it did not come about in {TIMEOUT_SECONDS} s{stood}")
         act()
 
 
-def reserved():
+def reserve_port():
     """(a socket that keeps a free loopback port, the port). Who asks the machine for any port is never given it, and
     who wants this one can listen there, again and again; until somebody does, connections are refused."""
     place = socket.socket()
@@ -91,11 +91,11 @@
     return place, place.getsockname()[1]
 
 
-class Peer:
+class FakeServer:
     """A listener on a free loopback port, a thread for each connection; serve(connection, source) is its part."""
 
     def __init__(self):
-        self.place, port = reserved()
+        self.place, port = reserve_port()
         self.listener = socket.create_server(("127.0.0.1", port))
         self.address = f"127.0.0.1:{port}"
         self.connections = []
@@ -140,7 +140,7 @@
         self.cut()
 
 
-def words_of(source):
+def read_command(source):
     """The next command that comes in, or None."""
     first = source.readline()
     if not first:
@@ -148,7 +148,7 @@
     return [source.read(int(source.readline()[1:]) + 2)[:-2] for _ in range(int(first[1:]))]
 
 
-class PodPeer(Peer):
+class FakeEndpoint(FakeServer):
     """A pod. answer(words) gives the bytes to write, b"" to say nothing, or None to reset the connection."""
 
     def __init__(self, answer=None):
@@ -159,7 +159,7 @@
         super().__init__()
 
     def serve(self, connection, source):
-        while (words := words_of(source)) is not None:
+        while (words := read_command(source)) is not None:
             self.heard.put(words)
             answer = self.answer(words)
             if answer is None:
@@ -183,7 +183,7 @@
         }
 
 
-class HttpPeer(Peer):
+class FakeHttpServer(FakeServer):
     """What discovery and the platform have in common. Calls go to answer(form). A stream is told at once what it has
     missed, then what is new, and a sign of life as often as PROTOCOL.md has it: what was given to tell is kept, so a
     stream that the sidecar gives up loses nothing. A silent one takes streams and says nothing until it is told to."""
@@ -271,7 +271,7 @@
         super().close()
 
 
-class DiscoveryPeer(HttpPeer):
+class FakeDiscovery(FakeHttpServer):
     """Keeps the changes and whole lists that it was given, each entry's last under its version."""
 
     SIGN, EVERY = "\n", 2.0
@@ -311,7 +311,7 @@
             self.told(self._line(version, full, entries))
 
 
-class PlatformPeer(HttpPeer):
+class FakePlatform(FakeHttpServer):
     """Keeps the state of the newest build, also as a vote that counts changes it."""
 
     SIGN, EVERY = ":\n", 1.0
--- a/tests/support/process_rig.py
+++ b/tests/support/process_rig.py
@@ -10,15 +10,15 @@
 import time
 from collections import Counter
 
-from tests.support.peers import PATIENCE, PodPeer, reserved
-from tests.support.programs import Program, command
+from tests.support.peers import TIMEOUT_SECONDS, FakeEndpoint, reserve_port
+from tests.support.programs import Program, encode_command
 from thymeknot.coordination.blocking_client import BlockingClient
 from thymeknot.gossip import keys
 from thymeknot.gossip.keyring import Keyring
 from thymeknot.gossip.settings import Peer, PeerKey
 
-READ, PAY = "c=read,t=acme,d=6000", "c=pay,t=acme,d=6000"
-LOOK = 0.03  # seconds between two looks of the checker
+READ_METADATA, PAY_METADATA = "c=read,t=acme,d=6000", "c=pay,t=acme,d=6000"
+CHECK_INTERVAL_SECONDS = 0.03  # seconds between two looks of the checker
 
 
 class Relay:
@@ -99,7 +99,7 @@
         self.thread.join(2)
 
 
-class Checker:
+class AvailabilityMonitor:
     """Looks from outside, again and again, at who answers PING on its port. `out`: who did not at each look. Several
     were out together if they were so twice, each time before or after all others: one that came back just before
     another went does not count, however slow the look is."""
@@ -113,7 +113,7 @@
     def serves(port):
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=1) as one:
-                one.sendall(command("PING"))
+                one.sendall(encode_command("PING"))
                 return one.recv(16).startswith(b"+PONG")
         except OSError:
             return False
@@ -127,7 +127,7 @@
     def _run(self):
         while not self.closed:
             self.looks.append((time.monotonic(), self._look()))
-            time.sleep(LOOK)
+            time.sleep(CHECK_INTERVAL_SECONDS)
 
     def out(self):
         return self.looks[-1][1] if self.looks else frozenset(self.ports)
@@ -141,7 +141,7 @@
         self.thread.join(3)
 
 
-class Clients:
+class LoadClients:
     """Threads that send one transaction after another, each on a connection of its own to any sidecar that takes it.
     Each id is used once; what comes back is kept: an answer, an error, or none where the connection broke."""
 
@@ -158,14 +158,14 @@
         while not self.closed:
             name = names[(at + count) % len(names)]
             count += 1
-            what, words = f"c{at}-{count}", READ if count % 2 else PAY
+            what, words = f"c{at}-{count}", READ_METADATA if count % 2 else PAY_METADATA
             try:
                 one = socket.create_connection(("127.0.0.1", self.ports[name]), timeout=8)
             except OSError:
                 time.sleep(0.005)
                 continue  # not taken: no transaction
             with one:
-                answer = talk(one, what, words)
+                answer = send_request(one, what, words)
             with self.lock:
                 self.got.append((what, name, time.monotonic(), answer))
             time.sleep(0.01)
@@ -190,16 +190,16 @@
             return sum(answer.startswith(b"$") for *_, answer in self.got)
 
 
-def talk(one, what, words):
+def send_request(one, what, words):
     """Sends one transaction and a PING behind it: what comes up to the PONG is its one answer."""
     verb = (
         ("SVC.QUERY", "k", what, words)
-        if words == READ
+        if words == READ_METADATA
         else ("SVC.SUBMIT", "k", what, words, "BODY")
     )
     answer = b""
     try:
-        one.sendall(command(*verb) + command("PING"))
+        one.sendall(encode_command(*verb) + encode_command("PING"))
         while not answer.endswith(b"+PONG\r\n") and (part := one.recv(4096)):
             answer += part
     except OSError:
@@ -214,9 +214,9 @@
         self.folder = tempfile.TemporaryDirectory()
         self.names, self.most = [f"n{at}" for at in range(count)], most
         self.ran, self.slow, self.lock = [], threading.Event(), threading.Lock()
-        self.pods = [PodPeer(self._answer) for _ in range(2)]
+        self.pods = [FakeEndpoint(self._answer) for _ in range(2)]
         self.kept = [
-            reserved() for _ in self.names
+            reserve_port() for _ in self.names
         ]  # also while a process is killed and has not come back
         self.ports = {name: port for name, (_, port) in zip(self.names, self.kept)}
         self.identities = {
@@ -244,14 +244,14 @@
             self.close()
             raise
         ports = {name: program.port for name, program in self.programs.items()}
-        self.checker, self.clients = Checker(ports), Clients(ports)
+        self.checker, self.clients = AvailabilityMonitor(ports), LoadClients(ports)
 
     def _answer(self, words):
         """A pod's: it keeps what ran, and holds what is called slow until it is let go."""
         with self.lock:
             self.ran.append((words[0], words[2]))
         if words[2].startswith(b"slow"):
-            self.slow.wait(PATIENCE)
+            self.slow.wait(TIMEOUT_SECONDS)
         return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2])
 
     def text(self, name):
--- a/tests/support/programs.py
+++ b/tests/support/programs.py
@@ -12,10 +12,17 @@
 import time
 from unittest import mock
 
-from tests.support.peers import PATIENCE, SETTINGS, DiscoveryPeer, PlatformPeer, reserved, until
+from tests.support.peers import (
+    SETTINGS,
+    TIMEOUT_SECONDS,
+    FakeDiscovery,
+    FakePlatform,
+    reserve_port,
+    wait_until,
+)
 
 
-def coded(code):
+def run_with_code(code):
     """Programs that are made meanwhile are started by this code."""
     start = subprocess.Popen
     return mock.patch(
@@ -23,23 +30,23 @@
     )
 
 
-def begun_by(code):
+def run_after_setup(code):
     """They begin with this code, and end with Life's."""
-    return coded(f"""import os, signal, sys
+    return run_with_code(f"""import os, signal, sys
 from thymeknot.service import lifecycle
 {code}
 sys.exit(lifecycle.main(os.environ))""")
 
 
-def patient():
+def without_first_list_timeout():
     """Has the program wait for its first list for as long as the test does: what comes before it, comes every time."""
-    return begun_by(f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}")
+    return run_after_setup(f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {TIMEOUT_SECONDS}")
 
 
-def stands_still():
+def pause_at_sigterm():
     """Has the program stop itself at SIGTERM, its end set, up to SIGCONT: what comes in its last half second, comes
     every time."""
-    return begun_by("""stop = lifecycle.Lifecycle._stop
+    return run_after_setup("""stop = lifecycle.Lifecycle._stop
 def stands(one):
     first = not one.stopping
     stop(one)
@@ -55,13 +62,13 @@
         self,
         *entries,
         answer=None,
-        news=PlatformPeer.NEWS,
+        news=FakePlatform.NEWS,
         change=None,
         operator=None,
         silent=False,
     ):
-        self.discovery, self.platform = DiscoveryPeer(silent=silent), PlatformPeer(answer, news)
-        self.place, self.port = reserved()
+        self.discovery, self.platform = FakeDiscovery(silent=silent), FakePlatform(answer, news)
+        self.place, self.port = reserve_port()
         told = {
             "name": "n1",
             "listen": f"127.0.0.1:{self.port}",
@@ -97,9 +104,9 @@
 
     def logged(self, event):
         """The next line of this event."""
-        until(
+        wait_until(
             lambda: self.line["event"] == event,
-            lambda: setattr(self, "line", json.loads(self.lines.get(timeout=PATIENCE))),
+            lambda: setattr(self, "line", json.loads(self.lines.get(timeout=TIMEOUT_SECONDS))),
         )
         line, self.line = self.line, {"event": None}
         return line
@@ -109,7 +116,7 @@
             with open(f"/proc/{self.process.pid}/stat", encoding="utf-8") as source:
                 return source.read().rpartition(")")[2].split()[0]
 
-        until(lambda: state() == "T", lambda: time.sleep(0.005))
+        wait_until(lambda: state() == "T", lambda: time.sleep(0.005))
 
     def __enter__(self):
         line, self.line = b"", {"event": None}
@@ -118,8 +125,8 @@
             if not line:
                 raise AssertionError(self.process.stderr.read().decode())
         self.read(self.process.stdout)
-        self.discovery.asked.get(timeout=PATIENCE)
-        self.platform.asked.get(timeout=PATIENCE)
+        self.discovery.asked.get(timeout=TIMEOUT_SECONDS)
+        self.platform.asked.get(timeout=TIMEOUT_SECONDS)
         return self
 
     def read(self, source):
@@ -145,7 +152,7 @@
 
 class Client:
     def __init__(self, port):
-        self.connection = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+        self.connection = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_SECONDS)
         self.source = self.connection.makefile("rb")
 
     def __enter__(self):
@@ -156,7 +163,7 @@
         self.connection.close()
 
     def send(self, *words):
-        self.connection.sendall(command(*words))
+        self.connection.sendall(encode_command(*words))
 
     def ask(self, *words):
         self.send(*words)
@@ -169,7 +176,7 @@
         return line.strip()
 
 
-def command(*words):
+def encode_command(*words):
     words = [word if isinstance(word, bytes) else word.encode() for word in words]
     return b"*%d\r\n" % len(words) + b"".join(
         b"$%d\r\n%s\r\n" % (len(word), word) for word in words
--- a/tests/support/stepped_network.py
+++ b/tests/support/stepped_network.py
@@ -8,11 +8,11 @@
 from twisted.internet.selectreactor import SelectReactor
 
 
-class Wrong(AssertionError):
+class CheckFailed(AssertionError):
     """What the checker found."""
 
 
-class Wire:
+class FakeSocket:
     """The sidecar's end of a connection. budget: how many bytes the other side takes yet; None: any."""
 
     def __init__(self, rig, port=None):
@@ -124,11 +124,11 @@
         self.far.close()
 
 
-class Dial(tcp.Client):
+class FakeConnect(tcp.Client):
     """A real client's transport whose connection comes up when the rig lets it."""
 
     def createInternetSocket(self):
-        self.wire = Wire(self.connector.reactor.rig, self.addr[1])
+        self.wire = FakeSocket(self.connector.reactor.rig, self.addr[1])
         return self.wire
 
     def resolveAddress(self):
@@ -152,12 +152,12 @@
         return ("127.0.0.1", self.wire.fileno())  # another one than the pod's
 
 
-class DialConnector(tcp.Connector):
+class FakeConnector(tcp.Connector):
     def _makeTransport(self):
-        return Dial(self.host, self.port, None, self, self.reactor)
+        return FakeConnect(self.host, self.port, None, self, self.reactor)
 
 
-class Door:
+class FakeListener:
     """A listener, as tcp.Port is one."""
 
     def __init__(self, reactor, factory):
@@ -177,7 +177,7 @@
 
     def doRead(self):
         if not self.open:
-            raise Wrong("a listener that is closed was read")
+            raise CheckFailed("a listener that is closed was read")
         queue, self.queue = self.queue[: self.numberAccepts], self.queue[self.numberAccepts :]
         for wire in queue:
             self.sessionno += 1
@@ -207,7 +207,7 @@
         return done
 
 
-class Reactor(SelectReactor):
+class SteppedReactor(SelectReactor):
     """Twisted's own, its iterations stepped by hand and in one order, its clock the rig's. The machine may name what
     is ready in any order: writes_first has what can be written go before what has come."""
 
@@ -242,14 +242,14 @@
         SelectReactor.addWriter(self, writer)
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
-        connector = DialConnector(host, port, factory, timeout, bindAddress, self)
+        connector = FakeConnector(host, port, factory, timeout, bindAddress, self)
         connector.connect()
         return connector
 
     def listenTCP(self, port, factory, backlog=50, interface=""):
         if any(door.open for door in self.doors):
             raise error.CannotListenError(interface, port, "in use")
-        self.doors.append(Door(self, factory))
+        self.doors.append(FakeListener(self, factory))
         return self.doors[-1]
 
     def next_due(self):
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -14,8 +14,8 @@
 
 from measure.why import Clocked, flood, kills
 from measure.why_cases import NOW, WHY, mix
-from tests.support.decisions import LANES
-from tests.support.peers import PATIENCE, SETTINGS, PodPeer, reserved, until
+from tests.support.decisions import REQUEST_CLASSES
+from tests.support.peers import SETTINGS, TIMEOUT_SECONDS, FakeEndpoint, reserve_port, wait_until
 from tests.support.programs import Program
 from thymeknot.cli.decision_log_client import lines_of
 from thymeknot.decision_log import query_protocol
@@ -165,7 +165,7 @@
         self.assertEqual(entry.cut + len(entry.notes), 40)
 
     def test_regions_follow_what_lanes_earn_and_fill_the_slots(self):
-        found = laid_out(WHY, LANES, 1000)
+        found = laid_out(WHY, REQUEST_CLASSES, 1000)
         self.assertLessEqual(sum(count for _, count in found.values()), 1000)
         self.assertGreater(sum(count for _, count in found.values()), 980)
         self.assertGreater(found["pay", True][1], 50)
@@ -260,7 +260,7 @@
             f"print(SlotFile(1000, {self.path!r}).path)"
         )
         ended = subprocess.run(
-            [sys.executable, "-c", code], capture_output=True, text=True, timeout=PATIENCE
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=TIMEOUT_SECONDS
         )
         self.assertEqual(ended.stdout.strip(), "None", ended.stderr)
         self.assertFalse(os.path.exists(self.path))
@@ -314,12 +314,12 @@
 
     def test_a_live_instance_and_the_commands(self):
         pods = [
-            PodPeer(lambda words: OK if words[2] != b"03" else None),
-            PodPeer(lambda words: b"-BUSY\r\n"),
+            FakeEndpoint(lambda words: OK if words[2] != b"03" else None),
+            FakeEndpoint(lambda words: b"-BUSY\r\n"),
         ]
         for pod in pods:
             self.addCleanup(pod.close)
-        kept, port = reserved()
+        kept, port = reserve_port()
         self.addCleanup(kept.close)
         place = f"127.0.0.1:{port}"
         running = Program(
@@ -336,7 +336,7 @@
         self.addCleanup(unread.close)
         unread.sendall(b'{"ask":"find"}\n' * 60)  # never reads an answer
         found = []
-        until(
+        wait_until(
             lambda: found and found[0]["end"] == "ABANDONED",
             lambda: (
                 time.sleep(0.05),
@@ -356,7 +356,7 @@
                 [sys.executable, "-m", "thymeknot", *words],
                 capture_output=True,
                 text=True,
-                timeout=PATIENCE,
+                timeout=TIMEOUT_SECONDS,
                 env={**os.environ, **more},
             )
 
@@ -365,7 +365,7 @@
         self.assertEqual(command("why", "--at", place, "nothing").returncode, 1)
         # What is over is kept at the next upkeep, up to half a second later: until then `find` knows nothing of it.
         asked = {"ask": "find", "lane": "pay"}
-        until(
+        wait_until(
             lambda: sum("id" in one for one in lines_of(place, None, asked)) == 2,
             lambda: time.sleep(0.05),
         )
--- a/tests/unit/gossip/test_gossip_messages.py
+++ b/tests/unit/gossip/test_gossip_messages.py
@@ -9,7 +9,14 @@
 from hypothesis import strategies as st
 
 from measure.world import SECOND, TERMS, World
-from tests.support.decisions import NOW, balancer, kinds, pod, sent, taken
+from tests.support.decisions import (
+    NOW,
+    action_types,
+    attempted_endpoints,
+    make_endpoint,
+    make_engine,
+    make_request,
+)
 from thymeknot.gossip import codec, keys
 from thymeknot.gossip.codec import Ack, Alive, Evidence, Frame, Item, Left, Ping, Push
 from thymeknot.gossip.dissemination_queue import LIVENESS, DisseminationQueue
@@ -322,33 +329,50 @@
 
 class SuspicionsInDecisionEngine(unittest.TestCase):
     def test_suspected_endpoint_is_used_last_but_not_excluded(self):
-        engine = balancer(pod("old-1"), pod("old-2"))
+        engine = make_engine(make_endpoint("old-1"), make_endpoint("old-2"))
         engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
         self.assertEqual(
-            {*sent(engine.handle(NOW, [taken(f"t{number}") for number in range(8)]))}, {"old-2"}
+            {
+                *attempted_endpoints(
+                    engine.handle(NOW, [make_request(f"t{number}") for number in range(8)])
+                )
+            },
+            {"old-2"},
         )
         engine.handle(NOW, [SuspicionReported("old-2", 1, 0, NOW + SECOND)])
         self.assertEqual(
-            len(sent(engine.handle(NOW, [taken(f"u{number}") for number in range(4)]))), 4
+            len(
+                attempted_endpoints(
+                    engine.handle(NOW, [make_request(f"u{number}") for number in range(4)])
+                )
+            ),
+            4,
         )
         engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW)])
         self.assertEqual(
-            {*sent(engine.handle(NOW, [taken(f"v{number}") for number in range(4)]))}, {"old-1"}
+            {
+                *attempted_endpoints(
+                    engine.handle(NOW, [make_request(f"v{number}") for number in range(4)])
+                )
+            },
+            {"old-1"},
         )
-        engine = balancer(pod("old-1"), pod("old-2"))
+        engine = make_engine(make_endpoint("old-1"), make_endpoint("old-2"))
         engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + SECOND)])
-        actions = engine.handle(NOW + 2 * SECOND, [taken(f"w{number}") for number in range(8)])
-        self.assertEqual({*sent(actions)}, {"old-1", "old-2"})
+        actions = engine.handle(
+            NOW + 2 * SECOND, [make_request(f"w{number}") for number in range(8)]
+        )
+        self.assertEqual({*attempted_endpoints(actions)}, {"old-1", "old-2"})
 
     def test_suspicion_of_another_build_or_start_is_ignored_and_never_votes(self):
-        engine = balancer()
+        engine = make_engine()
         sums = dict(engine.sequential_test.sums)
         for event in (
             SuspicionReported("old-1", 2, 0, NOW + SECOND),
             SuspicionReported("old-1", 1, 5, NOW + SECOND),
             SuspicionReported("gone", 1, 0, NOW + SECOND),
         ):
-            self.assertNotIn(CastVote, kinds(engine.handle(NOW, [event])))
+            self.assertNotIn(CastVote, action_types(engine.handle(NOW, [event])))
         self.assertEqual(
             [known.suspected_until for known in engine.context.endpoints.values()], [0, 0, 0]
         )
--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as some
 from twisted.internet.defer import succeed
 
-from tests.support.peers import PodPeer, words_of
+from tests.support.peers import FakeEndpoint, read_command
 from tests.support.programs import Program
 from thymeknot.load_generator import schedule
 from thymeknot.load_generator.codecs import Resp2Codec
@@ -27,13 +27,13 @@
 GOOD = b"$2\r\nok\r\n"
 
 
-class Once(PodPeer):
+class Once(FakeEndpoint):
     """Answers the first request of a connection; the second crosses its end."""
 
     def serve(self, connection, source):
-        if words_of(source) is not None:
+        if read_command(source) is not None:
             connection.sendall(GOOD)
-            words_of(source)
+            read_command(source)
 
 
 def loaded(port, *words):
@@ -166,7 +166,7 @@
                     stalled.append(time.sleep(0.8))
             return GOOD
 
-        server = PodPeer(answer)
+        server = FakeEndpoint(answer)
         port = int(server.address.rpartition(":")[2])
         told, code = loaded(
             port,
@@ -189,7 +189,7 @@
 
     def test_each_end_is_told_apart(self):
         silent, deferring, resetting = (
-            PodPeer(answer)
+            FakeEndpoint(answer)
             for answer in (
                 lambda words: b"",
                 lambda words: b"-BUSY 10\r\n" if words[1] < b"00000010" else GOOD,
@@ -230,7 +230,7 @@
                 server.stop()
 
     def test_a_sidecar_beside_its_pods(self):
-        pods = [PodPeer(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(2)]
+        pods = [FakeEndpoint(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(2)]
         with Program(*(pod.entry(f"s-{at}") for at, pod in enumerate(pods))) as program:
             told, _ = loaded(
                 program.port,
--- a/tests/unit/policy/outcomes.py
+++ b/tests/unit/policy/outcomes.py
@@ -1,6 +1,6 @@
 """Helpers for tests of the evidence: an engine that evaluates a build, and attempts that ended."""
 
-from tests.support.decisions import NOW, balancer, news, taken
+from tests.support.decisions import NOW, make_engine, make_release_update, make_request
 from thymeknot.policy.baseline import LatencyStats, PreTrialBaseline
 from thymeknot.policy.request_lifecycle import RequestPhase
 from thymeknot.state.request_state import RequestState
@@ -9,7 +9,7 @@
 
 
 def evaluating_engine(rate=50.0):
-    engine = balancer(told=news())
+    engine = make_engine(release_update=make_release_update())
     engine.baseline.pre_trial = PreTrialBaseline(USUAL_STATS, rate, 0.0)
     return engine
 
@@ -18,7 +18,7 @@
     """Records attempts at one endpoint that ended with this outcome and latency."""
     for number in range(times):
         request = RequestState(
-            taken(f"{address}-{number}", key=key),
+            make_request(f"{address}-{number}", key=key),
             engine.context.settings.request_classes["read"],
             NOW,
             RequestPhase.NEW,
--- a/tests/unit/policy/test_five_rules.py
+++ b/tests/unit/policy/test_five_rules.py
@@ -7,7 +7,16 @@
 
 import unittest
 
-from tests.support.decisions import NOW, balancer, ended, kinds, news, pod, sent, taken
+from tests.support.decisions import (
+    NOW,
+    action_types,
+    attempted_endpoints,
+    make_attempt_ended,
+    make_endpoint,
+    make_engine,
+    make_release_update,
+    make_request,
+)
 from thymeknot.interface.actions import Fail, Reject, SendAttempt, SetTimer
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind
@@ -17,57 +26,68 @@
 
 class FinalResponseTest(unittest.TestCase):
     def test_request_without_a_ready_endpoint_is_rejected_at_once(self):
-        engine = balancer(pod("gone", condition=EndpointCondition.DRAINING))
-        self.assertEqual(kinds(engine.handle(NOW, [taken()])), [Reject])
+        engine = make_engine(make_endpoint("gone", condition=EndpointCondition.DRAINING))
+        self.assertEqual(action_types(engine.handle(NOW, [make_request()])), [Reject])
 
     def test_request_past_its_deadline_is_rejected_without_an_attempt(self):
-        self.assertEqual(kinds(balancer().handle(NOW, [taken(left=0)])), [Reject])
+        self.assertEqual(
+            action_types(make_engine().handle(NOW, [make_request(remaining=0)])), [Reject]
+        )
 
     def test_no_action_follows_the_final_response(self):
-        engine = balancer()
-        engine.handle(NOW, [taken(lane="pay"), ended(outcome=Outcome.DONE, closed=True)])
+        engine = make_engine()
+        engine.handle(
+            NOW, [make_request(lane="pay"), make_attempt_ended(outcome=Outcome.DONE, closed=True)]
+        )
         self.assertEqual(
             engine.handle(
-                NOW + 1, [ended(outcome=Outcome.DONE, closed=True), ClientDisconnected("t1")]
+                NOW + 1,
+                [make_attempt_ended(outcome=Outcome.DONE, closed=True), ClientDisconnected("t1")],
             ),
             [],
         )
 
     def test_error_after_the_latency_objective_is_rejected_without_a_retry(self):
-        engine = balancer()
-        address = sent(engine.handle(NOW, [taken()]))[0]
+        engine = make_engine()
+        address = attempted_endpoints(engine.handle(NOW, [make_request()]))[0]
         actions = engine.handle(
-            NOW + TICKS_PER_SECOND, [ended(outcome=Outcome.ERROR, address=address)]
+            NOW + TICKS_PER_SECOND, [make_attempt_ended(outcome=Outcome.ERROR, address=address)]
         )
-        self.assertEqual(kinds(actions), [Reject])
+        self.assertEqual(action_types(actions), [Reject])
 
     def test_attempt_timeout_is_the_time_that_the_client_waits(self):
-        self.assertEqual(balancer().handle(NOW, [taken(left=123)])[0].timeout, 123)
+        self.assertEqual(make_engine().handle(NOW, [make_request(remaining=123)])[0].timeout, 123)
 
 
 class AtMostOnceTest(unittest.TestCase):
     def actions_after(self, request_class, outcome, later=1, **changes):
         """Returns the endpoint of the first attempt and the actions after it ended with this outcome."""
-        engine = balancer(pod("a"), pod("b"), pod("c", zone="z"), **changes)
-        first = sent(engine.handle(NOW, [taken(lane=request_class)]))[0]
-        return first, engine.handle(NOW + later, [ended(outcome=outcome, address=first)])
+        engine = make_engine(
+            make_endpoint("a"), make_endpoint("b"), make_endpoint("c", zone="z"), **changes
+        )
+        first = attempted_endpoints(engine.handle(NOW, [make_request(lane=request_class)]))[0]
+        return first, engine.handle(
+            NOW + later, [make_attempt_ended(outcome=outcome, address=first)]
+        )
 
     def test_non_idempotent_request_that_may_have_run_fails(self):
         for outcome in (Outcome.ERROR, Outcome.TIMED_OUT, Outcome.RESET, Outcome.CANCELLED):
-            self.assertEqual(kinds(self.actions_after("pay", outcome)[1]), [Fail], outcome)
+            self.assertEqual(action_types(self.actions_after("pay", outcome)[1]), [Fail], outcome)
 
     def test_non_idempotent_request_that_did_not_run_is_retried(self):
         for outcome in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT):
-            self.assertEqual(kinds(self.actions_after("pay", outcome)[1]), [SendAttempt], outcome)
+            self.assertEqual(
+                action_types(self.actions_after("pay", outcome)[1]), [SendAttempt], outcome
+            )
 
     def test_keyed_request_is_retried_only_within_its_deduplication_window(self):
         request_classes = {
-            "mark": balancer()
+            "mark": make_engine()
             .context.settings.request_classes["mark"]
             ._replace(latency_objective=3 * TICKS_PER_SECOND)
         }
         self.assertEqual(
-            kinds(
+            action_types(
                 self.actions_after(
                     "mark", Outcome.ERROR, 2 * TICKS_PER_SECOND - 1, request_classes=request_classes
                 )[1]
@@ -75,7 +95,7 @@
             [SendAttempt],
         )
         self.assertEqual(
-            kinds(
+            action_types(
                 self.actions_after(
                     "mark", Outcome.ERROR, 2 * TICKS_PER_SECOND, request_classes=request_classes
                 )[1]
@@ -84,51 +104,66 @@
         )
 
     def test_zone_scoped_keyed_request_is_retried_in_its_zone_or_fails(self):
-        engine = balancer(pod("a"), pod("c", zone="z"))
-        first = sent(engine.handle(NOW, [taken(lane="zoned")]))[0]
-        retry = engine.handle(NOW + 1, [ended(outcome=Outcome.ERROR, address=first)])
-        self.assertTrue(sent(retry) == [first] or kinds(retry) == [Fail])
+        engine = make_engine(make_endpoint("a"), make_endpoint("c", zone="z"))
+        first = attempted_endpoints(engine.handle(NOW, [make_request(lane="zoned")]))[0]
+        retry = engine.handle(NOW + 1, [make_attempt_ended(outcome=Outcome.ERROR, address=first)])
+        self.assertTrue(attempted_endpoints(retry) == [first] or action_types(retry) == [Fail])
 
     def test_request_fails_if_a_later_attempt_than_the_first_may_have_run(self):
-        engine = balancer(pod("a"), pod("b"))
-        first = sent(engine.handle(NOW, [taken(lane="pay")]))[0]
-        second = sent(engine.handle(NOW + 1, [ended(outcome=Outcome.REJECTED, address=first)]))[0]
+        engine = make_engine(make_endpoint("a"), make_endpoint("b"))
+        first = attempted_endpoints(engine.handle(NOW, [make_request(lane="pay")]))[0]
+        second = attempted_endpoints(
+            engine.handle(NOW + 1, [make_attempt_ended(outcome=Outcome.REJECTED, address=first)])
+        )[0]
         self.assertEqual(
-            kinds(engine.handle(NOW + 2, [ended(outcome=Outcome.ERROR, address=second, number=1)])),
+            action_types(
+                engine.handle(
+                    NOW + 2, [make_attempt_ended(outcome=Outcome.ERROR, address=second, number=1)]
+                )
+            ),
             [Fail],
         )
 
     def test_no_hedging_timer_if_hedging_is_disabled(self):
-        engine = balancer(hedging_allowed=False)
-        self.assertNotIn(SetTimer, kinds(engine.handle(NOW, [taken()])))
+        engine = make_engine(hedging_allowed=False)
+        self.assertNotIn(SetTimer, action_types(engine.handle(NOW, [make_request()])))
 
 
 class DrainTest(unittest.TestCase):
     def test_draining_or_gone_endpoint_gets_no_request(self):
         for condition in (EndpointCondition.DRAINING, EndpointCondition.GONE):
-            engine = balancer(pod("a"), pod("b"))
-            engine.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, (pod("a", condition=condition),))])
+            engine = make_engine(make_endpoint("a"), make_endpoint("b"))
+            engine.handle(
+                NOW, [EndpointUpdate(UpdateKind.DELTA, (make_endpoint("a", condition=condition),))]
+            )
             self.assertEqual(
-                {sent(engine.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"}
+                {
+                    attempted_endpoints(engine.handle(NOW, [make_request(str(n))]))[0]
+                    for n in range(9)
+                },
+                {"b"},
             )
 
     def test_endpoint_missing_from_a_full_list_is_gone(self):
-        engine = balancer(pod("a"), pod("b"))
-        engine.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (pod("b"),))])
-        self.assertEqual({sent(engine.handle(NOW, [taken(str(n))]))[0] for n in range(9)}, {"b"})
+        engine = make_engine(make_endpoint("a"), make_endpoint("b"))
+        engine.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (make_endpoint("b"),))])
+        self.assertEqual(
+            {attempted_endpoints(engine.handle(NOW, [make_request(str(n))]))[0] for n in range(9)},
+            {"b"},
+        )
 
     def test_failed_fetch_keeps_the_list_and_is_repeated(self):
-        engine = balancer(pod("a"), lists_polled=True)
+        engine = make_engine(make_endpoint("a"), lists_polled=True)
         engine.selection.next_poll_at = NOW + 9 * TICKS_PER_SECOND
         engine.handle(NOW, [EndpointUpdate(UpdateKind.FETCH_FAILED, ())])
-        self.assertEqual(sent(engine.handle(NOW, [taken()])), ["a"])
+        self.assertEqual(attempted_endpoints(engine.handle(NOW, [make_request()])), ["a"])
         self.assertLessEqual(engine.selection.next_poll_at, NOW + 2 * TICKS_PER_SECOND)
 
 
 class SlowStartTest(unittest.TestCase):
     def has_room(self, age, recent_attempts, rate=8.0):
         """Returns whether an endpoint of this age takes one attempt more than these."""
-        engine = balancer(pod("cold", started=NOW - age), overload_factor=2.0)
+        engine = make_engine(make_endpoint("cold", started=NOW - age), overload_factor=2.0)
         engine.slow_start.warm_request_rate, endpoint = rate, engine.context.endpoints["cold"]
         endpoint.recent_attempts.add(NOW, recent_attempts)
         return engine.slow_start.has_room(
@@ -146,7 +181,7 @@
     def test_shares_of_a_large_fleet_add_up_to_less_than_an_overload(self):
         admitted = 0
         for seed in range(400):
-            engine = balancer(pod("cold", started=NOW), instances=400)
+            engine = make_engine(make_endpoint("cold", started=NOW), instances=400)
             engine.context.rng.state, engine.slow_start.warm_request_rate = seed << 40, 8.0 / 400
             admitted += engine.slow_start.has_room(engine.context.endpoints["cold"], 0.25)
         self.assertTrue(0 < admitted < 2.0 * 0.25 * 8.0 * 3)
@@ -155,7 +190,7 @@
 class ExposureTest(unittest.TestCase):
     def exposure_after(self, received, attempted, cap=0.5, **changes):
         """Returns an engine after these requests and trial attempts, and whether it allows one more attempt."""
-        engine = balancer(told=news(cap=cap), **changes)
+        engine = make_engine(release_update=make_release_update(cap=cap), **changes)
         request_class = engine.context.settings.request_classes["read"]
         engine.exposure.window(engine.exposure.received, request_class).add(
             NOW - TICKS_PER_SECOND // 10, received
@@ -186,29 +221,38 @@
             (0, "pay", False),
             (1, "pay", True),
         ):
-            engine = balancer(told=news(stage=stage))
+            engine = make_engine(release_update=make_release_update(stage=stage))
             self.assertEqual(
                 engine.exposure.allows(engine.context.settings.request_classes[request_class]),
                 allowed,
             )
 
     def test_rolled_back_or_unannounced_build_gets_no_request(self):
-        engine = balancer(pod("new", 2), told=news(phase=ReleasePhase.ROLLING_BACK, cap=0.0))
-        self.assertEqual(kinds(engine.handle(NOW, [taken()])), [Reject])
-        self.assertEqual(kinds(balancer(pod("new", 2)).handle(NOW, [taken()])), [Reject])
+        engine = make_engine(
+            make_endpoint("new", 2),
+            release_update=make_release_update(phase=ReleasePhase.ROLLING_BACK, cap=0.0),
+        )
+        self.assertEqual(action_types(engine.handle(NOW, [make_request()])), [Reject])
+        self.assertEqual(
+            action_types(make_engine(make_endpoint("new", 2)).handle(NOW, [make_request()])),
+            [Reject],
+        )
 
     def test_sticky_key_is_not_sent_to_an_earlier_build_during_the_trial(self):
-        engine = balancer(told=news(cap=0.0))
+        engine = make_engine(release_update=make_release_update(cap=0.0))
         engine.split.pinned_keys.add("k")
-        self.assertEqual(kinds(engine.handle(NOW, [taken(key="k")])), [Reject])
-        engine.handle(NOW, [news(phase=ReleasePhase.ROLLING_BACK, cap=0.0)])
-        self.assertIn(sent(engine.handle(NOW, [taken("t2", key="k")]))[0], ("old-1", "old-2"))
+        self.assertEqual(action_types(engine.handle(NOW, [make_request(key="k")])), [Reject])
+        engine.handle(NOW, [make_release_update(phase=ReleasePhase.ROLLING_BACK, cap=0.0)])
+        self.assertIn(
+            attempted_endpoints(engine.handle(NOW, [make_request("t2", key="k")]))[0],
+            ("old-1", "old-2"),
+        )
 
     def test_sticky_keys_belong_to_the_newest_build_and_are_bounded(self):
-        engine = balancer(told=news(cap=0.0))
+        engine = make_engine(release_update=make_release_update(cap=0.0))
         for key in range(MAX_REMEMBERED_KEYS + 9):
             engine.handle(NOW, [LateResponseSeen(str(key), 1), LateResponseSeen(str(key), 2)])
         self.assertEqual(len(engine.split.pinned_keys), MAX_REMEMBERED_KEYS)
-        self.assertEqual(kinds(engine.handle(NOW, [taken(key="another")])), [Reject])
-        engine.handle(NOW, [news(build=3)])
+        self.assertEqual(action_types(engine.handle(NOW, [make_request(key="another")])), [Reject])
+        engine.handle(NOW, [make_release_update(build=3)])
         self.assertEqual(engine.split.pinned_keys, set())
--- a/tests/unit/policy/test_global_slowdown.py
+++ b/tests/unit/policy/test_global_slowdown.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.support.decisions import NOW, balancer, news, taken
+from tests.support.decisions import NOW, make_engine, make_release_update, make_request
 from tests.unit.policy.outcomes import USUAL_STATS, evaluating_engine, record_outcomes
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import (
@@ -27,7 +27,7 @@
             (True, 9.0, 12, True),
             (False, 4.0, 9, False),
         ):
-            engine = balancer(told=news(), replaces_machines=in_place)
+            engine = make_engine(release_update=make_release_update(), replaces_machines=in_place)
             engine.slowdown.evidence, engine.slowdown.since, engine.context.now = (
                 evidence,
                 NOW,
@@ -68,7 +68,7 @@
         for retries, is_high in ((False, True), (True, False)):
             engine = evaluating_engine(rate=10.0)
             for number in range(100):
-                engine.handle(NOW, [taken(str(number))._replace(is_retry=retries)])
+                engine.handle(NOW, [make_request(str(number))._replace(is_retry=retries)])
             self.assertEqual(engine.baseline.traffic_ratio() > 1.5, is_high)
 
     def test_the_mean_latency_reveals_a_slowdown_below_the_slow_threshold(self):
@@ -96,7 +96,7 @@
             self.assertEqual(engine.voting.verdict() == Verdict.ABORT, aborts)
 
     def test_latencies_of_too_few_outcomes_are_no_baseline(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         engine.baseline.pre_trial = PreTrialBaseline(
             {("read", "std"): LatencyStats(900, 19, 500)}, 50.0, 0.0
         )
@@ -105,7 +105,7 @@
 
     def test_a_baseline_needs_enough_traffic_and_a_small_fleet(self):
         for rate, endpoint_count, captured in ((13, 9, False), (17, 9, True), (17, 2, False)):
-            engine = balancer(told=news())
+            engine = make_engine(release_update=make_release_update())
             engine.baseline.earlier_endpoint_count = endpoint_count
             engine.context.arrivals.add(NOW, 8 * rate)
             engine.baseline.non_retries.add(NOW, 8 * rate)
@@ -114,13 +114,13 @@
 
     def test_rejections_count_as_slow_unless_they_were_usual(self):
         for usual_rejected_fraction, detected in ((0.0, True), (0.5, False)):
-            engine = balancer(told=news())
+            engine = make_engine(release_update=make_release_update())
             engine.baseline.pre_trial, engine.split.fraction = (
                 PreTrialBaseline(USUAL_STATS, 50.0, usual_rejected_fraction),
                 0.3,
             )
             engine.admission.target_latencies.add(NOW - TICKS_PER_SECOND, 2)
-            engine.handle(NOW, [taken(str(number)) for number in range(60)])
+            engine.handle(NOW, [make_request(str(number)) for number in range(60)])
             self.assertEqual(engine.slowdown.since is not None, detected)
 
     def test_rejections_at_startup_do_not_mask_later_ones(self):
@@ -131,7 +131,7 @@
         but when the released build was slow under load, 2,500 rejections in five seconds were no
         evidence against it.
         """
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         engine.baseline.pre_trial = PreTrialBaseline(USUAL_STATS, 50.0, 0.39)
         for second in range(10):
             engine.context.now += TICKS_PER_SECOND
@@ -145,7 +145,7 @@
         self.assertIsNotNone(engine.slowdown.since)
 
     def test_latencies_of_zero_ticks_do_not_divide_by_zero(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         record_outcomes(engine, Outcome.DONE, "old-1", 60, latency=0)
         engine.baseline.pre_trial = PreTrialBaseline(dict(engine.baseline.latency_stats), 50.0, 0.0)
         record_outcomes(engine, Outcome.DONE, "old-1", 1, latency=0)
--- a/tests/unit/policy/test_large_fleets.py
+++ b/tests/unit/policy/test_large_fleets.py
@@ -3,16 +3,16 @@
 import unittest
 
 from tests.support.decisions import (
+    ENGINE_SETTINGS,
     NOW,
-    TERMS,
-    balancer,
-    ended,
-    kinds,
-    news,
-    pod,
-    pressed,
-    sent,
-    taken,
+    action_types,
+    attempted_endpoints,
+    make_attempt_ended,
+    make_endpoint,
+    make_engine,
+    make_release_update,
+    make_request,
+    record_slow_responses,
 )
 from thymeknot.interface.actions import Reject, SendAttempt, SetTimer
 from thymeknot.interface.clock import TICKS_PER_SECOND
@@ -28,7 +28,7 @@
 from thymeknot.policy.context import MAX_UPKEEP_INTERVAL
 from thymeknot.policy.endpoint_selection import MIN_SUBSET_SIZE
 
-OLD_ENDPOINTS = [pod(f"old-{n}") for n in range(40)]
+OLD_ENDPOINTS = [make_endpoint(f"old-{n}") for n in range(40)]
 
 
 def redraw_subset(seed, engine):
@@ -41,7 +41,7 @@
 
 class EndpointSubsets(unittest.TestCase):
     def test_an_instance_with_little_traffic_uses_few_endpoints_and_exchanges_one(self):
-        engine = balancer(*OLD_ENDPOINTS)
+        engine = make_engine(*OLD_ENDPOINTS)
         before = {known.listed.address for known in engine.context.subsets[True]}
         engine.selection.next_exchange_at = engine.context.now = NOW
         engine.upkeep()
@@ -50,7 +50,7 @@
         self.assertGreaterEqual(len(before & after), MIN_SUBSET_SIZE - 1)
 
     def test_connection_losses_shrink_the_subset(self):
-        engine = balancer(*OLD_ENDPOINTS)
+        engine = make_engine(*OLD_ENDPOINTS)
         engine.context.arrivals.add(NOW, 30)
         for engine.selection.connection_loss_rate, expected_size in (
             (0.0, 30),
@@ -64,19 +64,21 @@
 
         This happens in a stage of nine in ten machines, in a rollback and when a zone restarts.
         """
-        early = [pod(f"new-{n}", 2) for n in range(27)]
+        early = [make_endpoint(f"new-{n}", 2) for n in range(27)]
         for late in (
-            [pod(f"new-{n}", 2, NOW) for n in range(27, 108)],  # endpoints of the next stage
+            [
+                make_endpoint(f"new-{n}", 2, NOW) for n in range(27, 108)
+            ],  # endpoints of the next stage
             [endpoint._replace(started=NOW) for endpoint in early[:20]],  # restarted endpoints
         ):
             late_used, used = 0, 0
             for seed in range(60):
                 engine = redraw_subset(
                     seed,
-                    balancer(
+                    make_engine(
                         *OLD_ENDPOINTS,
                         *early,
-                        told=news(phase=ReleasePhase.RELEASED, cap=1.0),
+                        release_update=make_release_update(phase=ReleasePhase.RELEASED, cap=1.0),
                         instances=216,
                     ),
                 )
@@ -95,20 +97,21 @@
         ]
         chosen = set()
         for seed in range(60):
-            engine = redraw_subset(seed, balancer(*endpoints, instances=400))
+            engine = redraw_subset(seed, make_engine(*endpoints, instances=400))
             engine.selection.draw_subset(True)
-            chosen.update(sent(engine.handle(NOW, [taken()])))
+            chosen.update(attempted_endpoints(engine.handle(NOW, [make_request()])))
         self.assertGreater(len(chosen), 8)
 
     def test_a_subset_is_replaced_when_all_its_endpoints_are_gone(self):
-        engine = balancer(*OLD_ENDPOINTS)
+        engine = make_engine(*OLD_ENDPOINTS)
         gone = tuple(
             known.listed._replace(condition=EndpointCondition.GONE)
             for known in engine.context.subsets[True]
         )
         engine.handle(NOW, [EndpointUpdate(UpdateKind.DELTA, gone)])
         self.assertNotIn(
-            sent(engine.handle(NOW, [taken()]))[0], {endpoint.address for endpoint in gone}
+            attempted_endpoints(engine.handle(NOW, [make_request()]))[0],
+            {endpoint.address for endpoint in gone},
         )
         engine.handle(
             NOW,
@@ -122,47 +125,59 @@
                 )
             ],
         )
-        self.assertEqual(kinds(engine.handle(NOW, [taken("t2")])), [Reject])
+        self.assertEqual(action_types(engine.handle(NOW, [make_request("t2")])), [Reject])
 
     def test_a_subset_is_replaced_when_all_its_endpoints_are_ejected(self):
-        engine = balancer(*OLD_ENDPOINTS)
+        engine = make_engine(*OLD_ENDPOINTS)
         ejected = {known.listed.address for known in engine.context.subsets[True]}
         for known in engine.context.subsets[True]:
             known.ejected_until = NOW + TICKS_PER_SECOND
-        self.assertNotIn(sent(engine.handle(NOW, [taken()]))[0], ejected)
+        self.assertNotIn(attempted_endpoints(engine.handle(NOW, [make_request()]))[0], ejected)
 
     def test_a_builds_only_endpoint_is_used_until_it_drains(self):
-        engine = balancer(*OLD_ENDPOINTS, pod("new-1", 2), told=news(cap=1.0))
+        engine = make_engine(
+            *OLD_ENDPOINTS, make_endpoint("new-1", 2), release_update=make_release_update(cap=1.0)
+        )
         engine.split.fraction = 1.0
-        self.assertEqual(sent(engine.handle(NOW, [taken(key="k")])), ["new-1"])
+        self.assertEqual(
+            attempted_endpoints(engine.handle(NOW, [make_request(key="k")])), ["new-1"]
+        )
         engine.handle(
             NOW,
             [
-                ended(outcome=Outcome.DONE, address="new-1", closed=True),
+                make_attempt_ended(outcome=Outcome.DONE, address="new-1", closed=True),
                 EndpointUpdate(
-                    UpdateKind.DELTA, (pod("new-1", 2, condition=EndpointCondition.DRAINING),)
+                    UpdateKind.DELTA,
+                    (make_endpoint("new-1", 2, condition=EndpointCondition.DRAINING),),
                 ),
             ],
         )
-        self.assertEqual(kinds(engine.handle(NOW, [taken("t2", key="k")])), [Reject])
+        self.assertEqual(action_types(engine.handle(NOW, [make_request("t2", key="k")])), [Reject])
 
     def test_endpoints_with_zero_latency_can_be_chosen(self):
-        engine = balancer(*OLD_ENDPOINTS, instances=400)
+        engine = make_engine(*OLD_ENDPOINTS, instances=400)
         for known in engine.context.endpoints.values():
             known.relative_latency = 0.0
-        self.assertEqual(kinds(engine.handle(NOW, [taken()])), [SendAttempt, SetTimer])
+        self.assertEqual(
+            action_types(engine.handle(NOW, [make_request()])), [SendAttempt, SetTimer]
+        )
 
     def test_a_cached_list_is_used_until_a_full_one_arrives(self):
-        engine = balancer(*OLD_ENDPOINTS)
-        self.assertEqual(len(sent(engine.handle(NOW, [taken()]))), 1)
-        engine.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (pod("other"),))])
-        self.assertEqual(sent(engine.handle(NOW, [taken("t2")])), ["other"])
+        engine = make_engine(*OLD_ENDPOINTS)
+        self.assertEqual(len(attempted_endpoints(engine.handle(NOW, [make_request()]))), 1)
+        engine.handle(NOW, [EndpointUpdate(UpdateKind.FULL, (make_endpoint("other"),))])
+        self.assertEqual(attempted_endpoints(engine.handle(NOW, [make_request("t2")])), ["other"])
 
     def test_a_load_report_of_nan_is_ignored(self):
-        engine = balancer(load_metrics=(UTILISATION,))
-        address = sent(engine.handle(NOW, [taken()]))[0]
+        engine = make_engine(load_metrics=(UTILISATION,))
+        address = attempted_endpoints(engine.handle(NOW, [make_request()]))[0]
         engine.handle(
-            NOW, [ended(outcome=Outcome.DONE, address=address)._replace(load=(float("nan"),))]
+            NOW,
+            [
+                make_attempt_ended(outcome=Outcome.DONE, address=address)._replace(
+                    load=(float("nan"),)
+                )
+            ],
         )
         self.assertEqual(engine.context.endpoints[address].load, 0.0)
 
@@ -181,17 +196,17 @@
         return engine.voting.verdict()
 
     def evaluating_engine(self, phase=ReleasePhase.ON_TRIAL):
-        engine = balancer(
+        engine = make_engine(
             *OLD_ENDPOINTS,
-            *[pod(f"new-{n}", 2) for n in range(40)],
+            *[make_endpoint(f"new-{n}", 2) for n in range(40)],
             instances=216,
             votes_to_revert=54,
         )
         for _ in range(4):
             self.record_period(engine, 2_200, 2, newest_attempts=0)
-        engine.handle(engine.context.now, [news(phase=ReleasePhase.ON_TRIAL)])
+        engine.handle(engine.context.now, [make_release_update(phase=ReleasePhase.ON_TRIAL)])
         if phase == ReleasePhase.RELEASED:
-            engine.handle(engine.context.now, [news(4, phase, 1.0)])
+            engine.handle(engine.context.now, [make_release_update(4, phase, 1.0)])
         engine.baseline.earlier_endpoint_count, engine.split.fraction, engine.voting.turn_offset = (
             40,
             0.4,
@@ -257,10 +272,10 @@
             "vote_lifetime": 60 * TICKS_PER_SECOND,
             **settings,
         }
-        engine = balancer(
+        engine = make_engine(
             *OLD_ENDPOINTS,
-            *[pod(f"new-{n}", 2, NOW) for n in range(40)],
-            told=news(stage),
+            *[make_endpoint(f"new-{n}", 2, NOW) for n in range(40)],
+            release_update=make_release_update(stage),
             **settings,
         )
         (
@@ -274,11 +289,11 @@
         )
         for until in range(NOW - 8 * TICKS_PER_SECOND, counted + 1, 2 * TICKS_PER_SECOND):
             engine.fleet.fleet_baseline.record_period(until)
-        engine.context.now = NOW + TERMS.warmup_duration + TICKS_PER_SECOND
+        engine.context.now = NOW + ENGINE_SETTINGS.warmup_duration + TICKS_PER_SECOND
         return engine.voting.verdict()
 
     def test_a_large_fleet_waits_for_the_counts_of_warm_endpoints(self):
-        warm = NOW + TERMS.warmup_duration
+        warm = NOW + ENGINE_SETTINGS.warmup_duration
         for case, stage, counted, verdict, settings in (
             ("counted before they were warm", 4, warm - TICKS_PER_SECOND, Verdict.ABSTAIN, {}),
             ("counted when they were warm", 4, warm, Verdict.PROMOTE, {}),
@@ -308,13 +323,15 @@
             self.assertEqual(self.last_stage_verdict(stage, counted, **settings), verdict, case)
 
     def test_a_missed_period_does_not_change_the_length_of_a_period(self):
-        engine = balancer()
+        engine = make_engine()
         for until, period in ((2, 0), (4, 2), (8, 2), (8, 2), (10, 2)):
             engine.fleet.fleet_baseline.record_period(until * TICKS_PER_SECOND)
             self.assertEqual(engine.fleet.fleet_baseline.period, period * TICKS_PER_SECOND)
 
     def test_a_stage_beyond_the_configured_ones_counts_as_the_last(self):
-        self.assertEqual(self.last_stage_verdict(9, NOW + TERMS.warmup_duration), Verdict.PROMOTE)
+        self.assertEqual(
+            self.last_stage_verdict(9, NOW + ENGINE_SETTINGS.warmup_duration), Verdict.PROMOTE
+        )
 
 
 class ManyColdEndpoints(unittest.TestCase):
@@ -322,15 +339,21 @@
 
     def test_in_a_large_fleet_the_ramp_waits_for_cold_endpoints(self):
         warm, cold = (
-            [pod(f"new-{n}", 2) for n in range(9)],
-            [pod(f"new-{n}", 2, NOW) for n in range(9, 27)],
+            [make_endpoint(f"new-{n}", 2) for n in range(9)],
+            [make_endpoint(f"new-{n}", 2, NOW) for n in range(9, 27)],
         )
         # 9 warm endpoints among 49 give a fraction of 0.18.
         for instances, lowest, highest in (
             (216, 0.18, 0.2),
             (2, 0.24, 0.28),
         ):
-            engine = balancer(*OLD_ENDPOINTS, *warm, *cold, told=news(cap=1.0), instances=instances)
+            engine = make_engine(
+                *OLD_ENDPOINTS,
+                *warm,
+                *cold,
+                release_update=make_release_update(cap=1.0),
+                instances=instances,
+            )
             engine.slow_start.update_capacity()
             engine.split.fraction_updated_at = NOW - 9 * TICKS_PER_SECOND
             engine.raise_split()
@@ -340,11 +363,11 @@
 
     def test_counts_remain_evidence_when_many_new_endpoints_appear(self):
         for late_count in (0, 81):
-            engine = balancer(
+            engine = make_engine(
                 *OLD_ENDPOINTS,
-                *[pod(f"new-{n}", 2) for n in range(27)],
-                *[pod(f"late-{n}", 2, NOW - 8_000) for n in range(late_count)],
-                told=news(),
+                *[make_endpoint(f"new-{n}", 2) for n in range(27)],
+                *[make_endpoint(f"late-{n}", 2, NOW - 8_000) for n in range(late_count)],
+                release_update=make_release_update(),
                 instances=216,
                 votes_to_revert=54,
             )
@@ -371,7 +394,9 @@
             engine.upkeep()
 
     def test_counts_abort_a_failing_build_but_not_within_one_period(self):
-        engine = balancer(told=news(), instances=400, votes_to_revert=100)
+        engine = make_engine(
+            release_update=make_release_update(), instances=400, votes_to_revert=100
+        )
         self.add_counts(engine, 15)
         self.assertNotEqual(engine.voting.verdict(), Verdict.ABORT)
         self.add_counts(engine, 15)
@@ -379,21 +404,29 @@
 
     def test_counts_abort_a_slow_build_but_not_a_good_one(self):
         for latency, aborts in ((3000, True), (1100, False)):
-            engine = balancer(told=news(), instances=400, votes_to_revert=100)
+            engine = make_engine(
+                release_update=make_release_update(), instances=400, votes_to_revert=100
+            )
             self.add_counts(engine, 0, latency, periods=3)
             self.assertEqual(engine.voting.verdict() == Verdict.ABORT, aborts)
 
     def test_a_network_that_loses_everything_does_not_invert_the_evidence(self):
-        engine = balancer(told=news(), instances=400, votes_to_revert=100)
+        engine = make_engine(
+            release_update=make_release_update(), instances=400, votes_to_revert=100
+        )
         # After a release the platform no longer counts the earlier build.
-        engine.handle(NOW, [news(phase=ReleasePhase.RELEASED, cap=1.0)])
+        engine.handle(NOW, [make_release_update(phase=ReleasePhase.RELEASED, cap=1.0)])
         engine.selection.connection_loss_rate = 0.99
         engine.handle(NOW, [FleetCounts(2, "read", 40, 40, 1_000, 0)])
         engine.fleet.process_pending()
         self.assertGreater(engine.sequential_test.sums["failed"], 0)
 
     def test_counts_of_cold_endpoints_are_no_evidence(self):
-        engine = balancer(pod("old-1"), pod("new-1", 2, started=NOW), told=news())
+        engine = make_engine(
+            make_endpoint("old-1"),
+            make_endpoint("new-1", 2, started=NOW),
+            release_update=make_release_update(),
+        )
         engine.handle(
             NOW, [FleetCounts(1, "read", 100, 0, 1000, 0), FleetCounts(2, "read", 40, 20, 5000, 0)]
         )
@@ -401,20 +434,23 @@
         self.assertLessEqual(max(engine.sequential_test.sums.values()), 0)
 
     def test_evidence_from_failures_outlasts_the_stage(self):
-        engine = balancer(told=news(stage=1))
+        engine = make_engine(release_update=make_release_update(stage=1))
         engine.sequential_test.sums = {"failed": 1.5, "slow": 1.5}
-        engine.handle(NOW, [news(stage=2)])
+        engine.handle(NOW, [make_release_update(stage=2)])
         self.assertEqual(engine.sequential_test.sums, {"failed": 1.5, "slow": 0.0})
 
     def test_a_larger_quorum_lowers_the_abort_bound(self):
-        single_vote, quorum = balancer(instances=540), balancer(instances=540, votes_to_revert=43)
+        single_vote, quorum = (
+            make_engine(instances=540),
+            make_engine(instances=540, votes_to_revert=43),
+        )
         self.assertGreater(
             single_vote.sequential_test.abort_bounds["failed"],
             2 * quorum.sequential_test.abort_bounds["failed"],
         )
 
     def test_one_recent_failure_of_the_earlier_build_reveals_a_storm(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         engine.baseline.outcomes.add(NOW, 1)
         engine.baseline.failed.add(NOW, 1)
         engine.baseline.update_null_rates()
@@ -431,9 +467,9 @@
         ):
             offsets = []
             for seed in range(50):
-                engine = balancer(instances=400, votes_per_second=rate)
+                engine = make_engine(instances=400, votes_per_second=rate)
                 engine.context.rng.state = seed << 40
-                engine.handle(NOW, [news()])
+                engine.handle(NOW, [make_release_update()])
                 offsets.append(engine.voting.turn_offset / TICKS_PER_SECOND)
             self.assertAlmostEqual(min(offsets), first)
             self.assertTrue(0.8 * span < max(offsets) - min(offsets) <= span, offsets)
@@ -442,18 +478,19 @@
             )
 
     def test_the_hedging_budget_starts_small_in_a_large_fleet(self):
-        self.assertLess(balancer(instances=400).requests.hedging.budget.tokens, 1)
+        self.assertLess(make_engine(instances=400).requests.hedging.budget.tokens, 1)
 
     def test_slow_responses_cause_random_shedding_with_few_requests_in_flight(self):
-        engine = balancer(*OLD_ENDPOINTS, instances=400)
-        pressed(engine, 1.0)
+        engine = make_engine(*OLD_ENDPOINTS, instances=400)
+        record_slow_responses(engine, 1.0)
         rejected = sum(
-            kinds(engine.handle(NOW, [taken(str(number))])) == [Reject] for number in range(40)
+            action_types(engine.handle(NOW, [make_request(str(number))])) == [Reject]
+            for number in range(40)
         )
         self.assertTrue(20 < rejected < 40)
 
     def test_the_upkeep_interval_follows_the_traffic(self):
-        engine = balancer()
+        engine = make_engine()
         engine.context.arrivals.add(NOW, 500)
         engine.upkeep()
         self.assertLess(engine.upkeep_interval, MAX_UPKEEP_INTERVAL)
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -9,8 +9,17 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.decisions import LANES, NOW, TERMS, ended, kinds, news, pod, taken
-from tests.support.decisions import balancer as make_engine
+from tests.support.decisions import (
+    ENGINE_SETTINGS,
+    NOW,
+    REQUEST_CLASSES,
+    action_types,
+    make_attempt_ended,
+    make_endpoint,
+    make_release_update,
+    make_request,
+)
+from tests.support.decisions import make_engine as make_policy_engine
 from thymeknot.interface.actions import CastVote, Reject
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
@@ -22,7 +31,7 @@
 from thymeknot.simulation.simulator import Simulator, current_engine
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
-READ, LARGE_FLEET = LANES["read"], TERMS._replace(instances=200)
+READ, LARGE_FLEET = REQUEST_CLASSES["read"], ENGINE_SETTINGS._replace(instances=200)
 # Bounds of the fraction of requests that is admitted.
 ALL, SOME, HALF, NONE = (1.0, 1.0), (0.6, 0.999), (0.05, 0.6), (0.0, 0.0)
 
@@ -44,7 +53,9 @@
     """
     for ago, outcome, latency, count in outcomes:
         for _ in range(count):
-            shedder.record_outcome(NOW - ago, READ, ended(outcome=outcome, latency=latency), 1.0)
+            shedder.record_outcome(
+                NOW - ago, READ, make_attempt_ended(outcome=outcome, latency=latency), 1.0
+            )
             if outcome == Outcome.DONE:
                 shedder.record_latency(NOW - ago, READ, latency)
     return shedder
@@ -171,7 +182,9 @@
             )
         )
         small_fleet, large_fleet = (
-            record_outcomes(LoadShedder(TERMS._replace(instances=count)), [FAST_RESPONSES])
+            record_outcomes(
+                LoadShedder(ENGINE_SETTINGS._replace(instances=count)), [FAST_RESPONSES]
+            )
             for count in (3, 200)
         )
         open_requests = [OpenRequest(0)] * 20
@@ -220,24 +233,31 @@
             (ReleasePhase.ON_TRIAL, False),
             (ReleasePhase.RELEASED, True),
         ):  # a released build is the only one
-            engine = make_engine(pod("old-1"), pod("new-1", 2), told=news(cap=1.0), instances=200)
-            engine.handle(NOW, [news(phase=phase, cap=1.0)])
+            engine = make_policy_engine(
+                make_endpoint("old-1"),
+                make_endpoint("new-1", 2),
+                release_update=make_release_update(cap=1.0),
+                instances=200,
+            )
+            engine.handle(NOW, [make_release_update(phase=phase, cap=1.0)])
             for at in range(30):
                 engine.requests.record_outcome(
                     type("Request", (), {"request_class": READ, "key": f"k{at}"}),
                     engine.context.endpoints["new-1"],
-                    ended(f"t{at}", Outcome.DONE, "new-1", closed=True, latency=20_000),
+                    make_attempt_ended(
+                        f"t{at}", Outcome.DONE, "new-1", closed=True, latency=20_000
+                    ),
                 )
             self.assertEqual(engine.admission.pressure(NOW, ()) > 1.0, overloaded)
 
     def test_shed_request_has_a_reason_and_a_retry_after(self):
-        reasons, engine = [], make_engine(instances=200)
+        reasons, engine = [], make_policy_engine(instances=200)
         engine.context.reason_callback = lambda name, reason, *operands: reasons.append(reason)
         record_outcomes(engine.admission, [(0, Outcome.DONE, 400_000, 500)])
         rejections = [
             action
             for at in range(20)
-            for action in engine.handle(NOW, [taken(f"t{at}")])
+            for action in engine.handle(NOW, [make_request(f"t{at}")])
             if type(action) is Reject
         ]
         self.assertTrue(rejections and all(action.retry_after > 0 for action in rejections))
@@ -245,7 +265,7 @@
 
     def test_promote_vote_is_withdrawn_on_trial_only(self):
         for phase, votes in ((ReleasePhase.ON_TRIAL, 1), (ReleasePhase.RELEASED, 0)):
-            engine = make_engine(told=news(4, cap=1.0))
+            engine = make_policy_engine(release_update=make_release_update(4, cap=1.0))
             (
                 engine.voting.vote,
                 engine.voting.vote_cast_at,
@@ -255,17 +275,19 @@
                 CastVote(2, 4, Verdict.PROMOTE),
                 NOW,
                 NOW,
-                news(4, phase, 1.0),
+                make_release_update(4, phase, 1.0),
             )
             engine.sequential_test.evidence_ratio, engine.context.actions = 0.7, []
             engine.voting.cast()
-            self.assertEqual(kinds(engine.context.actions).count(CastVote), votes, phase)
+            self.assertEqual(action_types(engine.context.actions).count(CastVote), votes, phase)
 
     def test_failures_of_one_moment_abstain_and_those_of_several_abort(self):
-        new_endpoints = [pod(f"new-{at}", 2) for at in range(8)]
+        new_endpoints = [make_endpoint(f"new-{at}", 2) for at in range(8)]
         for moments, verdict in ((1, Verdict.ABSTAIN), (3, Verdict.ABORT)):
-            engine = make_engine(
-                *(pod(f"old-{at}") for at in range(12)), *new_endpoints, told=news(cap=1.0)
+            engine = make_policy_engine(
+                *(make_endpoint(f"old-{at}") for at in range(12)),
+                *new_endpoints,
+                release_update=make_release_update(cap=1.0),
             )
             engine.baseline.outcomes.add(NOW, 40)  # the earlier build has no failures
             for second in range(moments):
--- a/tests/unit/policy/test_request_windows.py
+++ b/tests/unit/policy/test_request_windows.py
@@ -3,7 +3,7 @@
 import unittest
 from unittest import mock
 
-from tests.support.decisions import NOW, balancer, news, taken
+from tests.support.decisions import NOW, make_engine, make_release_update, make_request
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.state import sliding_window
 from thymeknot.state.sliding_window import SlidingWindow, get_or_create_window
@@ -29,11 +29,11 @@
         self.assertTrue(kept[0] is kept[2] is not kept[1] and kept[3] is kept[4])
 
     def test_repeated_requests_construct_no_further_windows(self):
-        engine, release = balancer(told=news()), news()
+        engine, release = make_engine(release_update=make_release_update()), make_release_update()
         exposure = TrialExposure(engine.context.settings)
 
         def send_request(name):
-            engine.handle(NOW, [taken(name)])
+            engine.handle(NOW, [make_request(name)])
             exposure.count_received(NOW, "read")
             exposure.count_written(NOW, release, release.build, "read")
             exposure.allows(NOW, release, release.build, "read")
--- a/tests/unit/policy/test_trial_evidence.py
+++ b/tests/unit/policy/test_trial_evidence.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.support.decisions import NOW, balancer, news, pod
+from tests.support.decisions import NOW, make_endpoint, make_engine, make_release_update
 from tests.unit.policy.outcomes import record_outcomes
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import (
@@ -16,7 +16,7 @@
 
 class TrialEvidenceTest(unittest.TestCase):
     def test_one_slow_endpoint_does_not_abort_a_build(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         engine.baseline.latency_stats["read", "std"] = LatencyStats(500, 100, 300)
         record_outcomes(engine, Outcome.DONE, "old-1", 20, latency=100)
         record_outcomes(engine, Outcome.DONE, "new-1", 60, latency=5000)
@@ -26,7 +26,11 @@
         self,
     ):
         for earlier_resets, verdict in ((0, Verdict.ABORT), (3, Verdict.PROMOTE)):
-            engine = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
+            engine = make_engine(
+                make_endpoint("old-1"),
+                *(make_endpoint(f"new-{n}", 2) for n in range(4)),
+                release_update=make_release_update(),
+            )
             record_outcomes(engine, Outcome.DONE, "old-1", 50)
             record_outcomes(engine, Outcome.RESET, "old-1", earlier_resets)
             for address in ("new-0", "new-1", "new-2"):
@@ -37,7 +41,11 @@
             self.assertEqual(engine.voting.verdict(), verdict)
 
     def test_errors_abort_a_build_even_if_the_network_is_unreliable(self):
-        engine = balancer(pod("old-1"), *(pod(f"new-{n}", 2) for n in range(4)), told=news())
+        engine = make_engine(
+            make_endpoint("old-1"),
+            *(make_endpoint(f"new-{n}", 2) for n in range(4)),
+            release_update=make_release_update(),
+        )
         record_outcomes(engine, Outcome.DONE, "old-1", 50)
         record_outcomes(engine, Outcome.RESET, "old-1", 5)
         record_outcomes(engine, Outcome.ERROR, "new-0", 9)
@@ -46,7 +54,11 @@
         self.assertEqual(engine.voting.verdict(), Verdict.ABORT)
 
     def test_slowness_and_timeouts_of_cold_endpoints_are_no_evidence(self):
-        engine = balancer(pod("old-1"), pod("new-1", 2, started=NOW - 1), told=news())
+        engine = make_engine(
+            make_endpoint("old-1"),
+            make_endpoint("new-1", 2, started=NOW - 1),
+            release_update=make_release_update(),
+        )
         engine.baseline.latency_stats["read", "std"] = LatencyStats(500, 100, 300)
         record_outcomes(engine, Outcome.DONE, "old-1", 20, latency=100)
         record_outcomes(engine, Outcome.DONE, "new-1", 20, latency=5000)
@@ -58,7 +70,9 @@
 
         Without it, missing evidence, excluded evidence and too little evidence look the same.
         """
-        engine = balancer(pod("old-1"), pod("new-1", 2), told=news())
+        engine = make_engine(
+            make_endpoint("old-1"), make_endpoint("new-1", 2), release_update=make_release_update()
+        )
         record_outcomes(engine, Outcome.DONE, "old-1", 50)
         record_outcomes(engine, Outcome.DONE, "new-1", 7)
         record_outcomes(engine, Outcome.ERROR, "new-1", 3, key="k")
@@ -69,18 +83,21 @@
         self.assertEqual((evidence.attempts, evidence.failed, evidence.judged), (16, 1, 8))
         self.assertEqual(evidence.excluded, {"failing_key": 2, "not_judged": 2, "lost": 4})
         self.assertEqual(evidence.sums["failed"], engine.sequential_test.sums["failed"])
-        engine.handle(NOW, [news(build=3)])
+        engine.handle(NOW, [make_release_update(build=3)])
         self.assertEqual(engine.vote_evidence()[:3], (0, 0, {}))
 
     def test_a_key_that_fails_repeatedly_counts_as_one_failure(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         record_outcomes(engine, Outcome.ERROR, "new-1", 50, key="k")
         self.assertNotEqual(engine.voting.verdict(), Verdict.ABORT)
 
     def test_connection_failures_at_both_builds_do_not_abort(self):
         for earlier_failures, verdict in ((5, Verdict.ABSTAIN), (0, Verdict.ABORT)):
-            engine = balancer(
-                pod("old-1"), pod("old-2"), *(pod(f"new-{n}", 2) for n in range(6)), told=news()
+            engine = make_engine(
+                make_endpoint("old-1"),
+                make_endpoint("old-2"),
+                *(make_endpoint(f"new-{n}", 2) for n in range(6)),
+                release_update=make_release_update(),
             )
             record_outcomes(engine, Outcome.DONE, "old-1", 60)
             record_outcomes(engine, Outcome.CONNECT_FAILED, "old-2", earlier_failures)
@@ -90,7 +107,7 @@
             self.assertEqual(engine.voting.verdict() == Verdict.ABORT, verdict == Verdict.ABORT)
 
     def test_a_storm_of_timeouts_that_is_over_does_not_hide_a_bad_build(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         record_outcomes(engine, Outcome.DONE, "old-1", 30)
         record_outcomes(engine, Outcome.TIMED_OUT, "old-1", 30)
         engine.context.now += 3 * TICKS_PER_SECOND
@@ -102,14 +119,14 @@
         self.assertGreater(engine.sequential_test.null_rates["failed"], 0.4)
 
     def test_resets_without_an_earlier_build_to_compare_do_not_abort(self):
-        engine = balancer(pod("new-1", 2), told=news())
+        engine = make_engine(make_endpoint("new-1", 2), release_update=make_release_update())
         record_outcomes(engine, Outcome.RESET, "new-1", 50)
         self.assertNotEqual(engine.voting.verdict(), Verdict.ABORT)
         record_outcomes(engine, Outcome.ERROR, "new-1", 50)
         self.assertEqual(engine.voting.verdict(), Verdict.ABORT)
 
     def test_a_storm_of_errors_at_both_builds_does_not_abort(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         for second in range(6):
             engine.context.now = NOW + second * TICKS_PER_SECOND
             record_outcomes(engine, Outcome.DONE, "old-1", 30)
@@ -124,8 +141,8 @@
             (27, False),
             (45, True),
         ):
-            engine = balancer(told=news())
-            engine.handle(NOW, [news(4, ReleasePhase.RELEASED, 1.0)])
+            engine = make_engine(release_update=make_release_update())
+            engine.handle(NOW, [make_release_update(4, ReleasePhase.RELEASED, 1.0)])
             for period in range(4):
                 engine.context.now = NOW + period * 2 * TICKS_PER_SECOND
                 engine.fleet.pending = [FleetCounts(2, "read", 100, failed, 100, 0)]
@@ -133,6 +150,6 @@
             self.assertEqual(engine.voting.verdict() == Verdict.ABORT, aborts, failed)
 
     def test_a_complaint_counts_as_a_failure(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         engine.handle(NOW, [ComplaintReceived(0, "new-1", "read")] * 5)
         self.assertEqual(engine.voting.verdict(), Verdict.ABORT)
--- a/tests/unit/policy/test_voting.py
+++ b/tests/unit/policy/test_voting.py
@@ -2,7 +2,7 @@
 
 import unittest
 
-from tests.support.decisions import NOW, balancer, news, pod
+from tests.support.decisions import NOW, make_endpoint, make_engine, make_release_update
 from tests.unit.policy.outcomes import record_outcomes
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.clock import TICKS_PER_SECOND
@@ -19,21 +19,23 @@
 
 class VotingTest(unittest.TestCase):
     def test_failures_abort_and_successes_promote(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         record_outcomes(engine, Outcome.DONE, "new-1", 90)
         self.assertEqual(engine.voting.verdict(), Verdict.PROMOTE)
         record_outcomes(engine, Outcome.ERROR, "new-1", 6)
         self.assertEqual(engine.voting.verdict(), Verdict.ABORT)
 
     def test_in_timer_mode_half_the_bound_pauses(self):
-        engine = balancer(told=news(), promotion_mode=PromotionMode.TIMER)
+        engine = make_engine(
+            release_update=make_release_update(), promotion_mode=PromotionMode.TIMER
+        )
         engine.sequential_test.evidence_ratio = 0.6
         self.assertEqual(engine.voting.verdict(), Verdict.PAUSE)
         engine.sequential_test.evidence_ratio = 0.4
         self.assertEqual(engine.voting.verdict(), Verdict.ABSTAIN)
 
     def test_a_vote_is_renewed_before_it_expires_and_withdrawn_without_evidence(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         engine.voting.vote, engine.voting.vote_cast_at, engine.voting.next_check_at = (
             CastVote(2, 1, Verdict.PROMOTE),
             NOW - engine.context.settings.vote_lifetime // 2,
@@ -54,7 +56,7 @@
         self.assertIn(CastVote(2, 1, Verdict.ABSTAIN), engine.context.actions)
 
     def test_a_vote_without_a_response_is_cast_again(self):
-        engine = balancer(told=news())
+        engine = make_engine(release_update=make_release_update())
         engine.voting.cast()
         engine.context.actions, engine.context.now = (
             [],
@@ -67,11 +69,17 @@
         # The release update arrives before the endpoint list. When endpoints that were still to drain
         # counted towards the next build's stage, half of the sidecars never voted for it.
         earlier, withdrawn = (
-            [pod(f"o-{n}") for n in range(40)],
-            [pod(f"g-{n}", 2) for n in range(40)],
+            [make_endpoint(f"o-{n}") for n in range(40)],
+            [make_endpoint(f"g-{n}", 2) for n in range(40)],
+        )
+        engine = make_engine(*earlier, *withdrawn, release_update=make_release_update(3, build=2))
+        engine.handle(
+            NOW,
+            [
+                make_release_update(0, ReleasePhase.WITHDRAWN, 0.0, 2),
+                make_release_update(0, build=3),
+            ],
         )
-        engine = balancer(*earlier, *withdrawn, told=news(3, build=2))
-        engine.handle(NOW, [news(0, ReleasePhase.WITHDRAWN, 0.0, 2), news(0, build=3)])
         draining = tuple(
             endpoint._replace(condition=EndpointCondition.DRAINING) for endpoint in withdrawn
         )
@@ -79,7 +87,8 @@
             NOW,
             [
                 EndpointUpdate(
-                    UpdateKind.DELTA, (*draining, *(pod(f"n-{n}", 3, NOW) for n in range(4)))
+                    UpdateKind.DELTA,
+                    (*draining, *(make_endpoint(f"n-{n}", 3, NOW) for n in range(4))),
                 )
             ],
         )
@@ -93,10 +102,10 @@
             (40, 2.9, Verdict.ABSTAIN),
             (40, 3.1, Verdict.PROMOTE),
         ):
-            engine = balancer(
-                pod("old-1"),
-                pod("new-1", 2, NOW),
-                told=news(),
+            engine = make_engine(
+                make_endpoint("old-1"),
+                make_endpoint("new-1", 2, NOW),
+                release_update=make_release_update(),
                 warmup_duration=warmup_seconds * TICKS_PER_SECOND,
             )
             (
@@ -117,7 +126,11 @@
             (4, 3.1, Verdict.ABSTAIN),
             (4, 4.1, Verdict.PROMOTE),
         ):
-            engine = balancer(pod("old-1"), pod("new-1", 2, NOW), told=news(stage=stage))
+            engine = make_engine(
+                make_endpoint("old-1"),
+                make_endpoint("new-1", 2, NOW),
+                release_update=make_release_update(stage=stage),
+            )
             (
                 engine.voting.turn_offset,
                 engine.sequential_test.below_pause_since,
@@ -130,12 +143,17 @@
             self.assertEqual(engine.voting.verdict(), verdict, (stage, age))
 
     def test_a_restarted_endpoint_does_not_delay_promotion(self):
-        endpoints = [pod("old-1"), pod("old-2"), pod("new-1", 2, NOW), pod("new-2", 2, NOW)]
+        endpoints = [
+            make_endpoint("old-1"),
+            make_endpoint("old-2"),
+            make_endpoint("new-1", 2, NOW),
+            make_endpoint("new-2", 2, NOW),
+        ]
         for started_endpoint, verdict in (
-            (pod("new-1", 2, NOW + 8 * TICKS_PER_SECOND), Verdict.PROMOTE),
-            (pod("new-3", 2, NOW + 8 * TICKS_PER_SECOND), Verdict.ABSTAIN),
+            (make_endpoint("new-1", 2, NOW + 8 * TICKS_PER_SECOND), Verdict.PROMOTE),
+            (make_endpoint("new-3", 2, NOW + 8 * TICKS_PER_SECOND), Verdict.ABSTAIN),
         ):
-            engine = balancer(*endpoints, told=news())
+            engine = make_engine(*endpoints, release_update=make_release_update())
             engine.voting.verdict()
             engine.handle(
                 NOW + 7 * TICKS_PER_SECOND,
@@ -151,14 +169,21 @@
             self.assertEqual(engine.voting.verdict(), verdict)
 
     def test_one_chance_failure_does_not_prevent_promotion_after_a_quiet_period(self):
-        engine = balancer(told=news(), votes_to_revert=2)
+        engine = make_engine(release_update=make_release_update(), votes_to_revert=2)
         engine.sequential_test.sums["failed"], engine.context.now = 1.0, NOW + 5 * TICKS_PER_SECOND
         self.assertEqual(engine.voting.verdict(), Verdict.PROMOTE)
 
     def test_no_promotion_until_enough_of_the_stages_endpoints_are_listed(self):
-        earlier = [pod(f"old-{n}") for n in range(8)]
-        engine = balancer(*earlier, pod("new-1", 2), pod("new-2", 2), told=news(stage=2))
+        earlier = [make_endpoint(f"old-{n}") for n in range(8)]
+        engine = make_engine(
+            *earlier,
+            make_endpoint("new-1", 2),
+            make_endpoint("new-2", 2),
+            release_update=make_release_update(stage=2),
+        )
         engine.context.now += 9 * TICKS_PER_SECOND
         self.assertEqual(engine.voting.verdict(), Verdict.ABSTAIN)
-        engine.handle(engine.context.now, [EndpointUpdate(UpdateKind.DELTA, (pod("new-3", 2),))])
+        engine.handle(
+            engine.context.now, [EndpointUpdate(UpdateKind.DELTA, (make_endpoint("new-3", 2),))]
+        )
         self.assertEqual(engine.voting.verdict(), Verdict.PROMOTE)
--- a/tests/unit/protocol/test_parsers.py
+++ b/tests/unit/protocol/test_parsers.py
@@ -4,7 +4,7 @@
 import time
 import unittest
 
-from tests.support.programs import command
+from tests.support.programs import encode_command
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.enums import EndpointCondition, Outcome, ReleasePhase, UpdateKind, Verdict
 from thymeknot.interface.events import Endpoint, EndpointUpdate, FleetCounts, ReleaseUpdate
@@ -49,7 +49,7 @@
 class RespTest(unittest.TestCase):
     def test_messages_are_parsed_at_any_chunk_boundary(self):
         data = (
-            command("SVC.QUERY", "k", "\r\n$3")
+            encode_command("SVC.QUERY", "k", "\r\n$3")
             + b"*3\r\n$0\r\n\r\n$-1\r\n*1\r\n:-12\r\n"
             + b"-ERR failed\r\n"
             + b"+OK\r\n*-1\r\n*0\r\n"
@@ -69,7 +69,7 @@
             )
 
     def test_long_value_in_chunks_and_zero_copy_slice(self):
-        whole, parser = command(b"x" * resp.MAX_BULK_BYTES), resp.Parser()
+        whole, parser = encode_command(b"x" * resp.MAX_BULK_BYTES), resp.Parser()
         found = [
             copied(message)
             for at in range(0, len(whole), 999)
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -13,8 +13,8 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from tests.support.peers import PATIENCE, PodPeer, until
-from tests.support.programs import Program, patient
+from tests.support.peers import TIMEOUT_SECONDS, FakeEndpoint, wait_until
+from tests.support.programs import Program, without_first_list_timeout
 from tests.unit.proxy.test_proxy import Network, configuration_object, endpoint_entry
 from thymeknot.interface.actions import CastVote, FetchEndpoints
 from thymeknot.interface.enums import Outcome, UpdateKind, Verdict
@@ -1087,8 +1087,10 @@
 
 class SocketTest(unittest.TestCase):
     def setUp(self):
-        self.old, self.new = PodPeer(), PodPeer()
-        with patient():  # the sidecar only serves once a watch stream is established
+        self.old, self.new = FakeEndpoint(), FakeEndpoint()
+        with (
+            without_first_list_timeout()
+        ):  # the sidecar only serves once a watch stream is established
             self.running = Program(self.old.entry("s-1"))
         self.running.__enter__()
         for last in (self.running.__exit__, self.old.close, self.new.close):
@@ -1097,7 +1099,7 @@
     def wait_until_new_endpoint_is_used(self):
         with self.running.client() as client:
             number = itertools.count()
-            until(
+            wait_until(
                 lambda: not self.new.heard.empty(),
                 lambda: client.ask("SVC.QUERY", "a", f"{next(number)}", "c=read,d=4000"),
             )
@@ -1122,8 +1124,8 @@
 
     def test_invalid_line_in_an_indented_list_ends_only_the_watch_and_is_logged(self):
         self.running.discovery.say('{"version": 9,\n"full": true,\nnoise\n')
-        until(lambda: "noise" in self.running.logged("stream ended")["reason"], lambda: None)
-        self.running.discovery.asked.get(timeout=PATIENCE)
+        wait_until(lambda: "noise" in self.running.logged("stream ended")["reason"], lambda: None)
+        self.running.discovery.asked.get(timeout=TIMEOUT_SECONDS)
         self.running.discovery.say(self.full_list(10))
         self.wait_until_new_endpoint_is_used()
 
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -22,8 +22,8 @@
 from twisted.python.failure import Failure
 
 from tests.integration.test_sockets import MARK, PAY, READ, WithPods, value
-from tests.support.peers import PATIENCE, PodPeer, until, words_of
-from tests.support.programs import command
+from tests.support.peers import TIMEOUT_SECONDS, FakeEndpoint, read_command, wait_until
+from tests.support.programs import encode_command
 from tests.unit.proxy.test_proxy import VALUE_RESPONSE, Network, Transport, endpoint_entry
 from thymeknot.interface.actions import SendAttempt
 from thymeknot.interface.enums import Outcome, ReleasePhase
@@ -355,7 +355,7 @@
         self.assertLessEqual(after, 1.05 * before + 2, (before, after))
 
 
-class Twice(PodPeer):
+class Twice(FakeEndpoint):
     """Answers a request; the next one that comes on another connection has it answer the first again, there, and
     wait until that connection has been ended for it."""
 
@@ -365,12 +365,12 @@
 
     def serve(self, connection, source):
         try:
-            while (words := words_of(source)) is not None:
+            while (words := read_command(source)) is not None:
                 last, self.last = self.last, connection
                 if last not in (None, connection):
                     last.sendall(value(b"a second answer"))
                     self.copies += 1
-                    while self.over.get(timeout=PATIENCE) is not last:
+                    while self.over.get(timeout=TIMEOUT_SECONDS) is not last:
                         pass
                 connection.sendall(value(words[2]))
         finally:
@@ -389,10 +389,10 @@
                     self.assertEqual(client.ask("SVC.QUERY", "a", name, READ), name.encode())
 
             # A pair that the machine held apart for longer than the rest goes on one connection, and is no case.
-            until(lambda: pod.copies, two)
+            wait_until(lambda: pod.copies, two)
 
 
-class EndsBehind(PodPeer):
+class EndsBehind(FakeEndpoint):
     """Ends the connection behind its whole answer, and the program reads neither until both have come."""
 
     def __init__(self, reset):
@@ -401,7 +401,7 @@
 
     def stand_still(self):
         self.process.send_signal(signal.SIGSTOP)
-        until(
+        wait_until(
             lambda: (
                 Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(") ")[2][0] == "T"
             ),
@@ -409,12 +409,14 @@
         )
 
     def serve(self, connection, source):
-        words = words_of(source)
+        words = read_command(source)
         self.heard.put(words)
         self.stand_still()
         connection.sendall(value(words[2] * 1000))
         unread = array.array("i", [1])
-        until(lambda: unread[0] == 0, lambda: fcntl.ioctl(connection, termios.TIOCOUTQ, unread))
+        wait_until(
+            lambda: unread[0] == 0, lambda: fcntl.ioctl(connection, termios.TIOCOUTQ, unread)
+        )
         if self.reset:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         source.close()
@@ -422,12 +424,12 @@
         self.process.send_signal(signal.SIGCONT)
 
 
-class BytesOverSockets(PodPeer):
+class BytesOverSockets(FakeEndpoint):
     """Its answers come byte by byte."""
 
     def serve(self, connection, source):
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        while (words := words_of(source)) is not None:
+        while (words := read_command(source)) is not None:
             for byte in value(words[2]):
                 connection.sendall(bytes((byte,)))
 
@@ -764,7 +766,9 @@
                 if chance.random() < self.RATE / 100:
                     checker.taken(now, "", f"{step}", "read", now + 50_000)
                     client.dataReceived(
-                        command("SVC.QUERY", f"{chance.random()}", f"{step}", "c=read,d=5000")
+                        encode_command(
+                            "SVC.QUERY", f"{chance.random()}", f"{step}", "c=read,d=5000"
+                        )
                     )
                 dials += [dial for dial in network.reactor.tcpClients[seen:] if dial[1] > 7000]
                 seen = len(network.reactor.tcpClients)
@@ -814,14 +818,14 @@
         """The next connection, and the first command on it."""
         connection, _ = self.listener.accept()
         with connection.makefile("rb") as source:
-            words = words_of(source)
+            words = read_command(source)
         self.heard.append(words[2])
         return connection
 
     def release(self):
         def serve(connection):
             with connection, connection.makefile("rb") as source:
-                while (words := words_of(source)) is not None:
+                while (words := read_command(source)) is not None:
                     self.heard.append(words[2])
                     connection.sendall(value(words[2]))
 
@@ -840,7 +844,7 @@
         for one in self.fill:
             one.close()
 
-    entry = PodPeer.entry
+    entry = FakeEndpoint.entry
 
 
 class HeldAttemptOverSocketsTest(WithPods):
@@ -883,7 +887,7 @@
                 self.assertRegex(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), b"^-")
             written = [pod.heard.get()[2] for _ in range(pod.heard.qsize())]
             held.release()
-            until(
+            wait_until(
                 lambda: held.heard,
                 lambda: client.ask("SVC.QUERY", "b", f"{time.monotonic_ns()}", READ),
             )
--- a/tests/unit/proxy/test_proxy.py
+++ b/tests/unit/proxy/test_proxy.py
@@ -12,7 +12,7 @@
 from twisted.python.failure import Failure
 
 from tests.support.peers import SETTINGS
-from tests.support.programs import command
+from tests.support.programs import encode_command
 from thymeknot.interface.actions import CastVote
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
 from thymeknot.interface.events import ReleaseUpdate
@@ -123,7 +123,7 @@
     def ask(self, name="01", request_class="read", timeout_ms=5000, connection=None):
         connection = connection or self.client()
         connection.dataReceived(
-            command("SVC.QUERY", "key", name, f"c={request_class},d={timeout_ms}")
+            encode_command("SVC.QUERY", "key", name, f"c={request_class},d={timeout_ms}")
         )
         return connection
 
@@ -330,8 +330,8 @@
     def test_silent_client_or_partial_command_is_answered_and_closed_in_time(self):
         network = Network(endpoint_entry("s-1"))
         silent, half, idle = network.client(), network.client(), network.client()
-        half.dataReceived(command("PING")[:5])
-        idle.dataReceived(command("PING"))
+        half.dataReceived(encode_command("PING")[:5])
+        idle.dataReceived(encode_command("PING"))
         for _ in range(2):
             network.reactor.advance(2.5)
             network.reactor.advance(0)
@@ -339,7 +339,7 @@
             network.close_states(silent, half, idle), [(True, True), (True, True), (False, False)]
         )
         self.assertRegex(half.transport.value(), b"^-ERR")
-        idle.dataReceived(command("PING")[:5])
+        idle.dataReceived(encode_command("PING")[:5])
         network.reactor.advance(2.5)
         network.reactor.advance(0)
         self.assertEqual(network.close_states(idle), [(True, True)])
@@ -348,7 +348,7 @@
         network = Network(endpoint_entry("s-1"))
         slow, stuck = network.client(), network.client()
         for one in (slow, stuck):
-            one.dataReceived(command("PING"))
+            one.dataReceived(encode_command("PING"))
             one.pauseProducing()
             self.assertEqual(one.transport.producerState, "paused")
         slow.resumeProducing()
@@ -378,7 +378,7 @@
         clients = []
         for _ in range(3 * network.proxy.listener.max_clients):
             clients.append(network.client())
-            clients[-1].dataReceived(command("PING"))
+            clients[-1].dataReceived(encode_command("PING"))
             network.reactor.advance(0.05)
             if clients[0].transport.disconnecting:
                 clients.pop(0).connectionLost(Failure(ConnectionRefusedError()))
@@ -413,7 +413,7 @@
         )
 
     def test_closing_connection_answers_a_partially_received_command(self):
-        network, ping = Network(), command("PING")
+        network, ping = Network(), encode_command("PING")
         client = network.client()
         client.dataReceived(ping[:5])
         client.finish()
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -2,8 +2,13 @@
 
 import unittest
 
-from tests.support.decisions import NOW, ended, pod, taken
-from tests.support.decisions import balancer as made_of
+from tests.support.decisions import (
+    NOW,
+    make_attempt_ended,
+    make_endpoint,
+    make_request,
+)
+from tests.support.decisions import make_engine as make_policy_engine
 from thymeknot.interface.actions import CancelAttempt, CastVote, Fail, SendAttempt
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome, ReleasePhase, Verdict
@@ -77,10 +82,10 @@
         self.assertEqual(heard, [("t", R.DEFERRED, 50)])
 
     def test_engine_reports_the_cause_of_a_rejection(self):
-        made = made_of(pod("a"), max_attempts=1)
+        made = make_policy_engine(make_endpoint("a"), max_attempts=1)
         made.context.reason_callback = self.summary.record
-        made.handle(NOW, [taken()])
-        made.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
+        made.handle(NOW, [make_request()])
+        made.handle(NOW, [make_attempt_ended(outcome=Outcome.REJECTED, address="a")])
         self.summary.flush(NOW + LOG_INTERVAL)
         self.assertEqual(self.lines[0][1]["deferred"], {"MOST_DELIVERIES": 1})
 
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from tests.support.peers import PATIENCE, SETTINGS, PodPeer
+from tests.support.peers import SETTINGS, TIMEOUT_SECONDS, FakeEndpoint
 from tests.support.programs import Program
 from tests.unit.proxy.test_proxy import Network
 from thymeknot.interface.actions import (
@@ -956,7 +956,7 @@
 
     def test_sidecar_serves_every_class_at_each_limit(self):
         for edge in (0, -1):
-            pod = PodPeer()
+            pod = FakeEndpoint()
             self.addCleanup(pod.close)
             with (
                 Program(pod.entry("пoд №1 {x}"), change=self.changed(edge)) as program,
@@ -968,7 +968,7 @@
                     )
                     self.assertEqual(said, b"%x" % number, (edge, name))
                 program.process.terminate()
-                self.assertEqual(program.process.wait(PATIENCE), 0)
+                self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
                 faults = [line for line in list(program.lines.queue) if b'"level":"error"' in line]
                 self.assertEqual(faults, [])
 
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -2,8 +2,14 @@
 
 import unittest
 
-from tests.support.decisions import NOW, ended, pod, sent, taken
-from tests.support.decisions import balancer as made_with
+from tests.support.decisions import (
+    NOW,
+    attempted_endpoints,
+    make_attempt_ended,
+    make_endpoint,
+    make_request,
+)
+from tests.support.decisions import make_engine as make_policy_engine
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome
 from thymeknot.interface.events import TimerFired
@@ -100,19 +106,27 @@
             ),
         ):
             made, uses, well = (
-                made_with(*(pod(f"old-{n}") for n in range(4))),
+                make_policy_engine(*(make_endpoint(f"old-{n}") for n in range(4))),
                 [],
                 NOW + 12 * TICKS_PER_SECOND,
             )
             for now in range(NOW, NOW + 30 * TICKS_PER_SECOND, TICKS_PER_SECOND // 2):
-                number, waiting = 0, sent(made.handle(now, [TimerFired(0), taken(f"t{now}")]))
+                number, waiting = (
+                    0,
+                    attempted_endpoints(made.handle(now, [TimerFired(0), make_request(f"t{now}")])),
+                )
                 while waiting:
                     at = waiting.pop()
                     outcome = ill(now) if at == "old-1" and now < well else Outcome.DONE
                     uses += [now] if at == "old-1" else []
-                    waiting += sent(
+                    waiting += attempted_endpoints(
                         made.handle(
-                            now, [ended(f"t{now}", outcome, at, number, outcome == Outcome.DONE)]
+                            now,
+                            [
+                                make_attempt_ended(
+                                    f"t{now}", outcome, at, number, outcome == Outcome.DONE
+                                )
+                            ],
                         )
                     )
                     number += 1
@@ -127,7 +141,7 @@
                 self.assertGreater(len(used), 2)
             made.now, out = NOW + 40 * TICKS_PER_SECOND, []
             for number in range(60):  # and when the others are busy, it is used in any case
-                out += sent(made.handle(made.now, [taken(f"busy{number}")]))
+                out += attempted_endpoints(made.handle(made.now, [make_request(f"busy{number}")]))
             self.assertTrue(0 < out.count("old-1") <= out.count("old-2"), out)
 
 
--- a/tests/unit/support/test_stand_ins.py
+++ b/tests/unit/support/test_stand_ins.py
@@ -6,7 +6,14 @@
 import struct
 import unittest
 
-from tests.support.peers import PATIENCE, DiscoveryPeer, Peer, PlatformPeer, reserved, until
+from tests.support.peers import (
+    TIMEOUT_SECONDS,
+    FakeDiscovery,
+    FakePlatform,
+    FakeServer,
+    reserve_port,
+    wait_until,
+)
 from thymeknot.protocol import deployer
 
 NEWS = {"version": 42, "step": 0, "status": "trial", "maxWeight": 0.5, "observedAgoMs": 5}
@@ -28,12 +35,12 @@
     def asks(self, peer, path):
         """(the connection, what reads its chunks): a stream that is heard by the peer."""
         host, _, port = peer.address.partition(":")
-        connection = socket.create_connection((host, int(port)), timeout=PATIENCE)
+        connection = socket.create_connection((host, int(port)), timeout=TIMEOUT_SECONDS)
         self.addCleanup(connection.close)
         connection.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
         source = connection.makefile("rb")
         self.addCleanup(source.close)
-        peer.asked.get(timeout=PATIENCE)
+        peer.asked.get(timeout=TIMEOUT_SECONDS)
         for _ in range(3):
             source.readline()
         return connection, lambda: source.read(int(source.readline(), 16) + 2)[:-2].decode()
@@ -42,7 +49,7 @@
         return self.asks(peer, f"/v1/servers?stream=1&index={since}")
 
     def test_the_first_line_is_what_changed_after_the_version_or_the_whole_list(self):
-        peer = self.peer(DiscoveryPeer())
+        peer = self.peer(FakeDiscovery())
         one, two, gone = entry("1"), entry("2"), entry("1", "Gone")
         cases = [
             ((), ((7, (7, False, [])), (0, (0, False, [])))),
@@ -62,25 +69,25 @@
     def test_what_is_pushed_while_a_watch_ends_is_told_to_the_next(self):
         """In each order: before the peer has seen the end, and after."""
         for seen in (False, True):
-            peer = self.peer(DiscoveryPeer(silent=True))
+            peer = self.peer(FakeDiscovery(silent=True))
             former, _ = self.watch(peer, 7)
             with peer.lock:  # it does not see the end before this is let go
                 former.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 socket.close(former.detach())
                 peer._tell(["\n"])
             if seen:
-                until(lambda peer=peer: not peer.streams, lambda: None)
+                wait_until(lambda peer=peer: not peer.streams, lambda: None)
             peer.push_list(8, entry("1"))
             for since, servers in ((7, [entry("1")]), (8, [])):
                 self.assertEqual(json.loads(self.watch(peer, since)[1]())["servers"], servers)
 
     def test_a_silent_one_speaks_once_it_is_told_to_and_to_each_that_asks(self):
-        peer = self.peer(DiscoveryPeer(silent=True))
+        peer = self.peer(FakeDiscovery(silent=True))
         connection, first = self.watch(peer, 7)
         connection.settimeout(0)
         with self.assertRaises(BlockingIOError):
             connection.recv(1, socket.MSG_PEEK)
-        connection.settimeout(PATIENCE)
+        connection.settimeout(TIMEOUT_SECONDS)
         peer.say("odd", "\n")
         _, second = self.watch(peer, 7)
         self.assertEqual([first(), first(), second(), second()], ["odd", "\n"] * 2)
@@ -89,14 +96,14 @@
 
     def test_signs_of_life_come_as_often_as_the_page_has_them(self):
         for peer, path, sign in (
-            (DiscoveryPeer(), "/v1/servers?stream=1&index=7", "\n"),
-            (PlatformPeer(), "/v2/projects/main/stream", ":\n"),
+            (FakeDiscovery(), "/v1/servers?stream=1&index=7", "\n"),
+            (FakePlatform(), "/v2/projects/main/stream", ":\n"),
         ):
             _, told = self.asks(self.peer(peer), path)
             self.assertEqual([told(), told(), told()][1:], [sign] * 2)
 
     def test_the_platform_tells_the_newest_state_at_once_also_one_that_a_vote_brought(self):
-        peer = self.peer(PlatformPeer(lambda form: (200, BACK), news=NEWS))
+        peer = self.peer(FakePlatform(lambda form: (200, BACK), news=NEWS))
 
         def state():
             told = self.asks(peer, "/v2/projects/main/stream")[1]()
@@ -109,7 +116,7 @@
             socket.create_connection(("127.0.0.1", int(peer.address[10:])))
         ) as call:
             call.sendall(b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n=")
-            peer.calls.get(timeout=PATIENCE)
+            peer.calls.get(timeout=TIMEOUT_SECONDS)
         self.assertEqual(state(), (42, deployer.PHASES["rolling_back"], 0.0))
         peer.push_news(43, cap=0.25)
         self.assertEqual(state(), (43, deployer.PHASES["released"], 0.25))
@@ -117,7 +124,7 @@
 
 class Ports(unittest.TestCase):
     def test_a_reserved_port_refuses_until_somebody_listens_there_and_again_after(self):
-        place, port = reserved()
+        place, port = reserve_port()
         self.addCleanup(place.close)
         for _ in range(2):
             with self.assertRaises(ConnectionRefusedError):
@@ -129,7 +136,7 @@
                 listener.accept()[0].close()
 
     def test_one_that_asks_for_any_port_is_not_given_it(self):
-        place, port = reserved()
+        place, port = reserve_port()
         self.addCleanup(place.close)
         with socket.socket() as other, self.assertRaises(OSError):
             other.bind(("127.0.0.1", port))
@@ -142,7 +149,7 @@
 
     def test_a_peer_that_stops_takes_not_one_connection_more(self):
         for _ in range(20):
-            peer = Peer()
+            peer = FakeServer()
             self.addCleanup(peer.close)
             peer.stop()
             with self.assertRaises(ConnectionRefusedError):
