--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -26,46 +26,58 @@
 
 
 MODES = st.sampled_from(
-    ("good", "good", "big", "twice", "half", "spoilt", "error", "error", "busy", "reset", "silent")
+    (
+        "good",
+        "good",
+        "big",
+        "duplicate",
+        "truncated",
+        "malformed",
+        "error",
+        "error",
+        "busy",
+        "reset",
+        "silent",
+    )
 )
 LAG = st.sampled_from((0, 3, 30, 100, 600, 2000))
 COMMON = (
-    order("ask", ONE, LANE, LEFT, KEY, st.sampled_from((1, 1, 2, 5))),
-    order("pod_does", POD, MODES, LAG),
-    order("passes", st.sampled_from((1, 30, 100, 400))),
+    order("send_requests", ONE, LANE, LEFT, KEY, st.sampled_from((1, 1, 2, 5))),
+    order("set_response_mode", POD, MODES, LAG),
+    order("advance_time", st.sampled_from((1, 30, 100, 400))),
     order(
-        "listed",
+        "change_endpoint",
         POD,
         st.sampled_from(("Ready", "Terminating", "Gone", "restarted", "other build", "moved")),
     ),
-    order("leave", ONE, st.sampled_from(("close", "shut", "reset"))),
-    order("dials", POD, st.sampled_from((ACCEPTS, HANGS, HANGS, REFUSES))),
-    order("dials_end", st.booleans()),
+    order("disconnect", ONE, st.sampled_from(("close", "shut", "reset"))),
+    order("set_connect_mode", POD, st.sampled_from((ACCEPTS, HANGS, HANGS, REFUSES))),
+    order("finish_connects", st.booleans()),
 )
 SELDOM = (
-    order("leave_unread", ONE, LANE, st.sampled_from(("close", "shut", "reset"))),
+    order("disconnect_before_read", ONE, LANE, st.sampled_from(("close", "shut", "reset"))),
     order("writes_first", st.booleans()),
-    order("open"),
+    order("open_client"),
     order("flood", ONE, LEFT),
-    order("again", ONE, ONE),
+    order("reuse_id", ONE, ONE),
     order("ping", ONE),
-    order("wrong", ONE),
-    order("part", ONE, LANE, LEFT),
-    order("rest", ONE),
-    order("garbage", ONE),
-    order("hold", ONE, st.sampled_from((0, 10, 70_000))),
-    order("free", ONE),
-    order("pod_takes", POD, st.sampled_from((0, 40, None))),
-    order("pod_ends", POD, st.sampled_from(("close", "shut", "reset"))),
-    order("whole"),
+    order("send_unsupported", ONE),
+    order("send_partial", ONE, LANE, LEFT),
+    order("send_remainder", ONE),
+    order("send_garbage", ONE),
+    order("pause_reading", ONE, st.sampled_from((0, 10, 70_000))),
+    order("resume_reading", ONE),
+    order("limit_endpoint_reads", POD, st.sampled_from((0, 40, None))),
+    order("close_endpoint_connections", POD, st.sampled_from(("close", "shut", "reset"))),
+    order("push_full_list"),
     order(
-        "built",
+        "change_release",
         st.sampled_from(("trial", "rolling_back", "withdrawn", "released", "next")),
         st.sampled_from((0.0, 0.5, 1.0)),
     ),
-    order("streams_are", st.sampled_from(("live", "silent", "ended"))),
-    order("move", st.integers(0, 1), st.integers(0, 1)),
-    order("passes", st.sampled_from((2_600, 11_000))),
+    order("set_stream_mode", st.sampled_from(("live", "silent", "ended"))),
+    order("change_addresses", st.integers(0, 1), st.integers(0, 1)),
+    order("advance_time", st.sampled_from((2_600, 11_000))),
     order("drain"),
     order("undrain"),
     order("finish"),
@@ -73,8 +85,10 @@
 ASKS = COMMON[0]
 # What is asked, and something that happens to it, three times out of five.
 ORDERS = st.one_of(ASKS, st.one_of(COMMON), st.one_of(COMMON), st.one_of(SELDOM), st.one_of(SELDOM))
-STARTS = ("open", -1), ("open", -1)
-HANG, COME_UP = ([("dials", pod, how, -1) for pod in range(3)] for how in (HANGS, ACCEPTS))
+STARTS = ("open_client", -1), ("open_client", -1)
+HANG, COME_UP = (
+    [("set_connect_mode", pod, how, -1) for pod in range(3)] for how in (HANGS, ACCEPTS)
+)
 DRAWN = st.lists(ORDERS, min_size=20, max_size=50)
 # Without it the draws would follow from a digest of the test's source, and a formatter would change them: this is that
 # digest before the first formatted commit.
@@ -115,10 +129,10 @@
                         *STARTS,
                         *HANG,
                         ("flood", 0, 2, -1),
-                        ("leave", 0, how, -1),
-                        ("passes", 400, -1),
+                        ("disconnect", 0, how, -1),
+                        ("advance_time", 400, -1),
                         *COME_UP,
-                        ("passes", 400, -1),
+                        ("advance_time", 400, -1),
                     )
 
     def test_what_is_read_after_its_client_has_left_is_not_sent_on(self):
@@ -127,43 +141,43 @@
                 play(
                     *STARTS,
                     ("writes_first", True, -1),
-                    ("ask", 0, 0, 2, 0, 3, -1),
-                    ("passes", 400, -1),
-                    ("leave_unread", 1, 0, how, -1),
-                    ("passes", 400, -1),
+                    ("send_requests", 0, 0, 2, 0, 3, -1),
+                    ("advance_time", 400, -1),
+                    ("disconnect_before_read", 1, 0, how, -1),
+                    ("advance_time", 400, -1),
                 )
 
     def test_a_second_copy_of_an_answer_is_not_taken_for_the_next_requests(self):
         with mock.patch.object(order_rig, "DUPLICATE_RESPONSES_REACH_NEXT_REQUEST", True):
             play(
                 *STARTS,
-                ("listed", 1, "Gone", -1),
-                ("listed", 2, "Gone", -1),
-                ("pod_does", 0, "twice", 30, -1),
-                ("ask", 0, 0, 2, 0, 1, -1),
-                ("passes", 31, -1),
-                ("ask", 1, 0, 2, 0, 1, -1),
-                ("passes", 100, -1),
+                ("change_endpoint", 1, "Gone", -1),
+                ("change_endpoint", 2, "Gone", -1),
+                ("set_response_mode", 0, "duplicate", 30, -1),
+                ("send_requests", 0, 0, 2, 0, 1, -1),
+                ("advance_time", 31, -1),
+                ("send_requests", 1, 0, 2, 0, 1, -1),
+                ("advance_time", 100, -1),
             )
 
     def test_what_has_not_begun_to_go_out_is_not_begun_after_a_drain(self):
         with mock.patch.object(order_rig, "ENDPOINTS_READ_NOTHING", True):
             play(
                 *STARTS,
-                *(("pod_takes", pod, 0, -1) for pod in range(3)),
-                ("ask", 0, 0, 2, 0, 3, -1),
-                *(("listed", pod, "Terminating", -1) for pod in range(3)),
-                ("passes", 100, -1),
+                *(("limit_endpoint_reads", pod, 0, -1) for pod in range(3)),
+                ("send_requests", 0, 0, 2, 0, 3, -1),
+                *(("change_endpoint", pod, "Terminating", -1) for pod in range(3)),
+                ("advance_time", 100, -1),
             )
 
     def test_an_attempt_decided_after_its_client_has_left_is_ended_by_its_own_number(self):
         play(
             *STARTS,
-            ("pod_takes", 1, 0, 0),
+            ("limit_endpoint_reads", 1, 0, 0),
             ("flood", 0, 0, 0),
-            ("pod_does", 1, "busy", 2000, -1),
-            ("leave", 0, "shut", -1),
-            ("listed", 1, "Terminating", -1),
+            ("set_response_mode", 1, "busy", 2000, -1),
+            ("disconnect", 0, "shut", -1),
+            ("change_endpoint", 1, "Terminating", -1),
         )
 
     def test_a_client_that_leaves_while_it_is_not_read_from_is_noticed_in_time(self):
@@ -173,28 +187,28 @@
         left: look at 251.0 ms (there), leaves at 251.0 ms, rest written at 351.1 ms, look after that."""
         play(
             *STARTS,
-            ("passes", 1, 1),
-            ("pod_takes", 1, 40, -1),
-            ("open", -1),
-            ("passes", 100, -1),
+            ("advance_time", 1, 1),
+            ("limit_endpoint_reads", 1, 40, -1),
+            ("open_client", -1),
+            ("advance_time", 100, -1),
             ("flood", 1, 0, -1),
-            ("leave_unread", 3, 0, "close", 1),
+            ("disconnect_before_read", 3, 0, "close", 1),
             ("writes_first", False, -1),
-            ("leave", 1, "reset", -1),
+            ("disconnect", 1, "reset", -1),
         )
 
     def test_a_connection_is_not_blamed_for_time_in_which_the_process_was_held_up(self):
         """A connection that is owed nothing was found open 0.151 s after the end of service, 0.150 s of which the
         process had no processor: the page allows for that. With a turn of the loop it is closed; the checker counts
         the bound in time in which the sidecar could run, and a connection that stays open is still found."""
-        ended = *STARTS, ("ping", 1, -1), ("finish", -1), ("passes", 1, 1)
-        play(*ended, ("leave_unread", 0, 1, "shut", 0))
-        play(*ended, ("held_up", 150, 0))
+        ended = *STARTS, ("ping", 1, -1), ("finish", -1), ("advance_time", 1, 1)
+        play(*ended, ("disconnect_before_read", 0, 1, "shut", 0))
+        play(*ended, ("stall_process", 150, 0))
         with (
             mock.patch.object(ClientConnection, "finish", lambda self: None),
             self.assertRaises(CheckFailed) as found,
         ):
-            play(*ended, ("held_up", 150, 0), ("passes", 151, -1))
+            play(*ended, ("stall_process", 150, 0), ("advance_time", 151, -1))
         self.assertRegex(str(found.exception), "owed nothing and open 0.3.* s after the end")
 
     def test_half_a_command_is_judged_by_the_build_that_was_listed_as_it_was_begun(self):
@@ -203,31 +217,31 @@
         The checker went by what was listed at the end."""
         begun = (
             *STARTS,
-            ("built", "withdrawn", 1.0, 1),
-            ("pod_takes", 0, 40, 0),
-            ("ask", 3, 0, 2, 0, 5, 0),
+            ("change_release", "withdrawn", 1.0, 1),
+            ("limit_endpoint_reads", 0, 40, 0),
+            ("send_requests", 3, 0, 2, 0, 5, 0),
         )
-        play(*begun, ("passes", 2600, -1), ("listed", 0, "other build", 1))
+        play(*begun, ("advance_time", 2600, -1), ("change_endpoint", 0, "other build", 1))
         with (
             mock.patch.object(order_rig.SteppedEndpoint, "build_known_at", lambda self, moment: 42),
             self.assertRaises(CheckFailed) as found,
         ):
-            play(*begun, ("passes", 2600, -1), ("listed", 0, "Terminating", 1))
+            play(*begun, ("advance_time", 2600, -1), ("change_endpoint", 0, "Terminating", 1))
         self.assertRegex(str(found.exception), "though the newest build takes nothing")
 
     def test_answers_that_take_no_time_are_no_fault(self):
         with mock.patch.object(order_rig, "RESPONSES_WITHOUT_DELAY", True):
             play(
                 *STARTS,
-                ("pod_does", 1, "twice", 0, -1),
-                ("pod_takes", 0, 40, -1),
+                ("set_response_mode", 1, "duplicate", 0, -1),
+                ("limit_endpoint_reads", 0, 40, -1),
                 ("flood", 1, 2, -1),
-                ("passes", 11000, -1),
+                ("advance_time", 11000, -1),
             )
 
     def test_a_drain_while_it_comes_back_from_another_does_not_leave_it_listening(self):
         with mock.patch.object(order_rig, "DRAINS_DURING_UNDRAIN", True):
-            play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("passes", 100, -1))
+            play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("advance_time", 100, -1))
 
 
 class Checker(unittest.TestCase):
@@ -270,10 +284,10 @@
             play(
                 *STARTS,
                 *HANG,
-                ("ask", 0, 0, 2, 0, 3, -1),
-                *(("listed", pod, "Terminating", -1) for pod in range(3)),
-                ("passes", 100, -1),
-                ("dials_end", True, -1),
+                ("send_requests", 0, 0, 2, 0, 3, -1),
+                *(("change_endpoint", pod, "Terminating", -1) for pod in range(3)),
+                ("advance_time", 100, -1),
+                ("finish_connects", True, -1),
             )
         self.assertRegex(str(found.exception), "after its drain was told")
 
@@ -297,8 +311,8 @@
         ):
             play(
                 *STARTS,
-                *(("pod_does", pod, "error", 3, -1) for pod in range(3)),
-                ("ask", 0, 2, 2, 0, 1, -1),
+                *(("set_response_mode", pod, "error", 3, -1) for pod in range(3)),
+                ("send_requests", 0, 2, 2, 0, 1, -1),
             )
         self.assertRegex(str(found.exception), "binding .* may have run")
 
@@ -310,12 +324,12 @@
             play(
                 *STARTS,
                 *HANG,
-                ("ask", 0, 0, 2, 0, 3, -1),
-                ("leave", 0, "close", -1),
-                ("passes", 400, -1),
-                ("dials_end", True, -1),
+                ("send_requests", 0, 0, 2, 0, 3, -1),
+                ("disconnect", 0, "close", -1),
+                ("advance_time", 400, -1),
+                ("finish_connects", True, -1),
                 *COME_UP,
-                ("passes", 400, -1),
+                ("advance_time", 400, -1),
             )
         self.assertRegex(str(found.exception), "after its client left")
 
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -41,7 +41,7 @@
 class Piped(Program):
     """The program whose configuration is a FIFO: it reads when the test writes, and the test knows that it reads."""
 
-    def write(self, told):
+    def write_config(self, told):
         os.mkfifo(self.path)
 
     def fill(self, content):
@@ -81,45 +81,47 @@
         new = FakeDiscovery()
         self.addCleanup(new.close)
         running = self.piped()
-        first = running.fill(running.told)  # the program has it open, and waits for its end
+        first = running.fill(running.config)  # the program has it open, and waits for its end
         running.process.send_signal(signal.SIGHUP)
         running.settled()
         running.end(first)
         running.end(
-            running.fill({**running.told, "discovery": new.address})
+            running.fill({**running.config, "discovery": new.address})
         )  # goes on only where it is read again
-        running.discovery.asked.put(
+        running.discovery.stream_requests.put(
             "perhaps never"
         )  # it may move before it has asked at the former address
         running.__enter__()
-        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=TIMEOUT_SECONDS)
+        self.assertEqual(running.wait_for_log("configuration reloaded")["discovery"], new.address)
+        new.stream_requests.get(timeout=TIMEOUT_SECONDS)
 
     def test_a_half_written_file_that_a_sighup_announces_anew_is_read_once_more_at_the_start(self):
         running = self.piped()
-        half = running.fill(json.dumps(running.told).encode()[:100])
+        half = running.fill(json.dumps(running.config).encode()[:100])
         running.process.send_signal(signal.SIGHUP)
         running.settled()
         running.end(half)
-        running.end(running.fill(running.told))
+        running.end(running.fill(running.config))
         running.__enter__()
         with running.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_a_sighup_before_it_serves_has_the_file_read_again(self):
         with without_first_list_timeout():
             running = self.piped(silent=True)
-        running.end(running.fill(running.told))
-        running.discovery.asked.get(
+        running.end(running.fill(running.config))
+        running.discovery.stream_requests.get(
             timeout=TIMEOUT_SECONDS
         )  # it has begun, and waits for the first list
         running.process.send_signal(signal.SIGHUP)
         running.settled()
-        running.discovery.say("\n")
-        running.end(running.fill({**running.told, "name": "n2"}))
-        running.discovery.asked.put("again")
+        running.discovery.push_raw("\n")
+        running.end(running.fill({**running.config, "name": "n2"}))
+        running.discovery.stream_requests.put("again")
         running.__enter__()
-        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
+        self.assertEqual(
+            running.wait_for_log("configuration reloaded")["only_at_a_start"], ["name"]
+        )
 
     def in_use(self):
         """The program as it waits for its address; who has that."""
@@ -137,14 +139,16 @@
 
     def test_an_address_that_is_in_use_is_waited_for_and_a_sighup_meanwhile_is_heard(self):
         running, other = self.in_use()
-        running.write({**running.told, "name": "n2"})
+        running.write_config({**running.config, "name": "n2"})
         running.process.send_signal(signal.SIGHUP)
         settled(running.process)
         other.close()
         running.__enter__()
         with running.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
-        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
+            self.assertEqual(client.request("PING"), b"+PONG")
+        self.assertEqual(
+            running.wait_for_log("configuration reloaded")["only_at_a_start"], ["name"]
+        )
 
     def test_sigterm_ends_that_wait(self):
         running, _ = self.in_use()
@@ -170,7 +174,7 @@
             with without_first_list_timeout():
                 running = Program(silent=True)
             self.addCleanup(running.__exit__)
-            running.discovery.asked.get(
+            running.discovery.stream_requests.get(
                 timeout=TIMEOUT_SECONDS
             )  # it has begun, and waits for the first list
             for number in numbers:
@@ -196,7 +200,7 @@
             running = Program()
         self.addCleanup(running.__exit__)
         with running.__enter__().client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_a_signal_as_the_interpreter_ends_does_not_change_how_it_ended(self):
         """The interpreter gives back its handlers before it clears its modules: what comes then would end it."""
@@ -221,7 +225,9 @@
         with without_first_list_timeout():
             running = Program(*entries, silent=True)
         self.addCleanup(running.__exit__)
-        running.discovery.asked.put(running.discovery.asked.get(timeout=TIMEOUT_SECONDS))
+        running.discovery.stream_requests.put(
+            running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        )
         with self.assertRaises(ConnectionRefusedError):
             running.client()
         return running
@@ -231,14 +237,14 @@
         running = self.waiting(left.entry("s-1"))
         running.discovery.push_list(9, left.entry("s-1", state="Terminating"), new.entry("s-2"))
         with running.__enter__().client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
-        self.assertEqual((left.heard.qsize(), new.heard.qsize()), (0, 1))
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
+        self.assertEqual((left.received_commands.qsize(), new.received_commands.qsize()), (0, 1))
 
     def test_a_sign_of_life_says_that_there_is_no_list(self):
         running = self.waiting()
-        running.discovery.say("\n")
+        running.discovery.push_raw("\n")
         with running.__enter__().client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_a_part_of_a_list_is_not_taken_for_it(self):
         heard = []
@@ -256,7 +262,7 @@
         pod = self.pod()
         running = self.program(pod.entry("s-1"), silent=True)
         with running.client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
 
     def test_lists_that_are_asked_for_are_not_waited_for(self):
         def change(told):
@@ -265,10 +271,10 @@
         with without_first_list_timeout():
             running = Program(change=change)
         self.addCleanup(running.__exit__)
-        running.discovery.asked.put("later")
+        running.discovery.stream_requests.put("later")
         running.__enter__()
         with running.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
 
 class Stopping(WithPods):
@@ -284,21 +290,23 @@
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             client.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=TIMEOUT_SECONDS)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
-            running.logged("stopping")
-            running.write({**running.told, "discovery": new.address})
+            running.wait_for_log("stopping")
+            running.write_config({**running.config, "discovery": new.address})
             running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
+            self.assertEqual(
+                running.wait_for_log("configuration reloaded")["discovery"], new.address
+            )
             running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration reloaded")
+            running.wait_for_log("configuration reloaded")
             with open(running.path, "w", encoding="utf-8") as target:
                 target.write("{")
             running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration rejected")
+            running.wait_for_log("configuration rejected")
             running.process.send_signal(signal.SIGTERM)
             release.set()
-            self.assertEqual((client.answer(), client.answer()), (b"01", b""))
+            self.assertEqual((client.read_response(), client.read_response()), (b"01", b""))
         self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_each_connection_that_the_machine_accepted_before_the_end_is_answered(self):
@@ -307,10 +315,10 @@
             running = self.program(pod.entry("s-1"))
         with running.client() as first:
             self.assertEqual(
-                first.ask("PING"), b"+PONG"
+                first.request("PING"), b"+PONG"
             )  # one came the last time: so many are taken at once
             running.process.send_signal(signal.SIGTERM)
-            running.stood_still()
+            running.wait_until_stopped()
             begun = time.monotonic()  # its end is set
             clients = [running.client() for _ in range(30)]
             for number, client in enumerate(clients):
@@ -321,7 +329,8 @@
             )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
-                [client.answer() for client in clients], [b"%02x" % number for number in range(30)]
+                [client.read_response() for client in clients],
+                [b"%02x" % number for number in range(30)],
             )
         self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
@@ -339,7 +348,7 @@
                 )
             self.addCleanup(running.__exit__)
             wait_until(lambda running=running: running.discovery.streams, lambda: time.sleep(0.005))
-            running.discovery.say("\n")
+            running.discovery.push_raw("\n")
             running.__enter__().process.send_signal(signal.SIGSTOP)
             clients = [running.client() for _ in range(100)]
             for client in clients:
@@ -352,7 +361,7 @@
                 )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
-                [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, stops)
+                [client.read_response() for client in clients], [b"+PONG"] * 100, (sockets, stops)
             )
 
     def test_the_features_of_one_that_stops_take_up_no_file(self):
@@ -381,7 +390,7 @@
             pod.entry("s-1", 42),
             self.pod().entry("s-2"),
             answer=answer,
-            news={
+            release_state={
                 "version": 42,
                 "step": 0,
                 "status": "trial",
@@ -394,11 +403,11 @@
         with running.client() as client:
             wait_until(
                 lambda: not voted.empty(),
-                lambda: client.ask("SVC.QUERY", "a", f"{next(count):x}", READ),
+                lambda: client.request("SVC.QUERY", "a", f"{next(count):x}", READ),
             )
             running.process.send_signal(signal.SIGTERM)
-            running.logged("stopping")
-            self.assertEqual(client.answer(), b"")
+            running.wait_for_log("stopping")
+            self.assertEqual(client.read_response(), b"")
         self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
         self.assertFalse(release.is_set())
 
@@ -410,13 +419,13 @@
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             client.send("SVC.QUERY", "a", "01", "c=read,t=acme,d=3000")
-            pod.heard.get(timeout=TIMEOUT_SECONDS)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
-            stopping = running.logged("stopping")
+            stopping = running.wait_for_log("stopping")
             time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             client.send("SVC.QUERY", "a", "02", "c=read,t=acme,d=3000")
-            answers = [client.answer() for _ in range(3)]
-            stopped = running.logged("stopped")
+            answers = [client.read_response() for _ in range(3)]
+            stopped = running.wait_for_log("stopped")
         self.assertRegex(answers[0], b"^-")
         self.assertRegex(answers[1], b"^-")
         self.assertEqual((answers[2], running.process.wait(TIMEOUT_SECONDS)), (b"", 0))
@@ -432,12 +441,12 @@
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             running.process.send_signal(signal.SIGTERM)
-            stopping = running.logged("stopping")
+            stopping = running.wait_for_log("stopping")
             time.sleep(0.9 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             for number in range(90):
                 client.send("SVC.QUERY", "a", f"{number:02x}", "c=read,t=acme,d=3000")
-            answers = [client.answer() for _ in range(91)]
-            stopped = running.logged("stopped")
+            answers = [client.read_response() for _ in range(91)]
+            stopped = running.wait_for_log("stopped")
             self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
         self.assertEqual([answer[:1] for answer in answers], [b"-"] * 90 + [b""])
         # The kill, less the time for which the page lets a sidecar be held up.
@@ -447,18 +456,19 @@
         new = FakeDiscovery()
         self.addCleanup(new.close)
         running = self.program()
-        text = json.dumps({**running.told, "discovery": new.address})
+        text = json.dumps({**running.config, "discovery": new.address})
         with open(running.path, "w", encoding="utf-8") as target:
             target.write(text[: len(text) // 2])
             target.flush()
             running.process.send_signal(signal.SIGHUP)
             self.assertRegex(
-                running.logged("configuration rejected")["error"], "^NODE_CONFIG: is not valid JSON"
+                running.wait_for_log("configuration rejected")["error"],
+                "^NODE_CONFIG: is not valid JSON",
             )
             target.write(text[len(text) // 2 :])
         running.process.send_signal(signal.SIGHUP)
-        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=TIMEOUT_SECONDS)
+        self.assertEqual(running.wait_for_log("configuration reloaded")["discovery"], new.address)
+        new.stream_requests.get(timeout=TIMEOUT_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -42,8 +42,8 @@
                 ("SVC.SUBMIT", "7f3a", "02", MARK, "BODY"),
                 ("SVC.SUBMIT", "7f3a", "03", PAY, b"\r\n\x00" * 9000),
             ):
-                self.assertEqual(client.ask(*words), words[2].encode())
-                got = pod.heard.get(timeout=TIMEOUT_SECONDS)
+                self.assertEqual(client.request(*words), words[2].encode())
+                got = pod.received_commands.get(timeout=TIMEOUT_SECONDS)
                 sent = [word if isinstance(word, bytes) else word.encode() for word in words]
                 self.assertEqual(got[:3] + got[4:], sent[:3] + sent[4:])
                 name, _, left = got[3].split(b",")[2].partition(b"=")
@@ -67,7 +67,7 @@
                 + encode_command("PING")
                 + encode_command("SVC.QUERY", "b", "02", READ)
             )
-            self.assertEqual([client.answer() for _ in range(3)], [b"01", b"+PONG", b"02"])
+            self.assertEqual([client.read_response() for _ in range(3)], [b"01", b"+PONG", b"02"])
 
     def test_frames_may_come_in_pieces(self):
         def piecemeal(words):
@@ -79,29 +79,29 @@
         with self.program(pod.entry("s-1")).client() as client:
             for byte in encode_command("SVC.QUERY", "a", "01", READ):
                 client.connection.sendall(bytes([byte]))
-            self.assertEqual(client.answer(), b"01")
+            self.assertEqual(client.read_response(), b"01")
 
 
 class Failing(WithPods):
     def test_what_all_pods_turn_away_is_deferred(self):
         pod = self.pod(lambda words: b"-BUSY\r\n")
         with self.program(pod.entry("s-1")).client() as client:
-            self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
+            self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
 
     def test_a_refused_connection_never_ran_so_a_binding_one_goes_elsewhere(self):
         gone, pod = self.pod(), self.pod()
-        gone.stop()
+        gone.stop_listening()
         with self.program(gone.entry("s-1", weight=9.0), pod.entry("s-2")).client() as client:
             for name in ("01", "02", "03"):
-                self.assertEqual(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
+                self.assertEqual(client.request("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
 
     def test_a_reset_after_the_last_byte_may_have_run_so_a_binding_one_is_abandoned(self):
         pods = [self.pod(lambda words: None) for _ in range(2)]
         with self.program(
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
         ).client() as client:
-            self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", PAY, "B"), b"^-ERR")
-        self.assertEqual(sum(pod.heard.qsize() for pod in pods), 1)
+            self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), b"^-ERR")
+        self.assertEqual(sum(pod.received_commands.qsize() for pod in pods), 1)
 
     def test_a_retriable_one_is_sent_again_after_a_reset(self):
         pods = [self.pod(lambda words: None), self.pod()]
@@ -109,29 +109,32 @@
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
         ).client() as client:
             self.assertEqual(
-                [client.ask("SVC.QUERY", "a", name, READ) for name in ("01", "02")], [b"01", b"02"]
+                [client.request("SVC.QUERY", "a", name, READ) for name in ("01", "02")],
+                [b"01", b"02"],
             )
 
     def test_silence_ends_with_the_clients_time_and_the_connection_with_it(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
-            self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
-        self.assertTrue(pod.ended.get(timeout=TIMEOUT_SECONDS))
+            self.assertRegex(client.request("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
+        self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
     def test_an_unreadable_answer_may_have_run(self):
         for answer in (b"*1\r\n$4\r\nhal", b"$70000\r\n", b"nonsense\r\n", b"*1\r\n$-1\r\n"):
             pod = self.pod(lambda words, answer=answer: answer)
             with self.program(pod.entry("s-1")).client() as client:
-                self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", "c=pay,d=2500", "B"), b"^-ERR")
-            self.assertEqual(pod.heard.qsize(), 1)
+                self.assertRegex(
+                    client.request("SVC.SUBMIT", "a", "01", "c=pay,d=2500", "B"), b"^-ERR"
+                )
+            self.assertEqual(pod.received_commands.qsize(), 1)
 
     def test_a_client_that_leaves_ends_its_delivery(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             client.send("SVC.SUBMIT", "a", "01", PAY, "B")
-            pod.heard.get(timeout=TIMEOUT_SECONDS)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             client.connection.shutdown(2)
-            self.assertTrue(pod.ended.get(timeout=TIMEOUT_SECONDS))
+            self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
     def test_bad_commands_are_named_and_touch_no_other_client(self):
         pod = self.pod()
@@ -145,11 +148,11 @@
                 (("SVC.QUERY", "a", "01", "c=read"), b"d, the time"),
                 (("SVC.QUERY", "a", "", READ), b"the id"),
             ):
-                self.assertRegex(bad.ask(*words), b"^-ERR .*" + reason)
+                self.assertRegex(bad.request(*words), b"^-ERR .*" + reason)
             bad.connection.sendall(b"*2\r\n$70000\r\n")
-            self.assertRegex(bad.answer(), b"^-ERR syntax")
-            self.assertEqual(bad.answer(), b"")
-            self.assertEqual(good.ask("SVC.QUERY", "a", "02", READ), b"02")
+            self.assertRegex(bad.read_response(), b"^-ERR syntax")
+            self.assertEqual(bad.read_response(), b"")
+            self.assertEqual(good.request("SVC.QUERY", "a", "02", READ), b"02")
 
 
 class Crowded(WithPods):
@@ -165,12 +168,12 @@
         for at, client in enumerate(clients):
             with client:
                 try:
-                    served += client.ask("SVC.QUERY", "a", f"{at}", READ) == b"%d" % at
+                    served += client.request("SVC.QUERY", "a", f"{at}", READ) == b"%d" % at
                 except ConnectionError:
                     pass
         self.assertGreaterEqual(served, 11)
         with running.client() as late:
-            self.assertEqual(late.ask("SVC.QUERY", "a", "late", READ), b"late")
+            self.assertEqual(late.request("SVC.QUERY", "a", "late", READ), b"late")
 
     def test_a_slow_reader_holds_up_nobody_and_gets_all_its_answers(self):
         pod = self.pod(lambda words: value(words[2] * 15000))
@@ -178,9 +181,10 @@
         with running.client() as slow, running.client() as other:
             for at in range(100, 160):
                 slow.send("SVC.QUERY", "a", f"{at}", READ)
-            self.assertEqual(other.ask("SVC.QUERY", "a", "999", READ), b"999" * 15000)
+            self.assertEqual(other.request("SVC.QUERY", "a", "999", READ), b"999" * 15000)
             self.assertEqual(
-                [slow.answer() for _ in range(60)], [b"%d" % at * 15000 for at in range(100, 160)]
+                [slow.read_response() for _ in range(60)],
+                [b"%d" % at * 15000 for at in range(100, 160)],
             )
 
 
@@ -196,17 +200,18 @@
         running = self.program(old.entry("s-1"))
         with running.client() as first, running.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            old.heard.get(timeout=TIMEOUT_SECONDS)
+            old.received_commands.get(timeout=TIMEOUT_SECONDS)
             running.discovery.push_list(8, old.entry("s-1", state="Terminating"), new.entry("s-2"))
             wait_until(
-                lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "r", READ)
+                lambda: not new.received_commands.empty(),
+                lambda: second.request("SVC.QUERY", "a", "r", READ),
             )
             self.assertEqual(
-                [second.ask("SVC.QUERY", "a", f"1{at}", READ) for at in range(9)],
+                [second.request("SVC.QUERY", "a", f"1{at}", READ) for at in range(9)],
                 [b"1%d" % at for at in range(9)],
             )
             told.set()
-            self.assertEqual(first.answer(), b"01")
+            self.assertEqual(first.read_response(), b"01")
 
     def test_a_build_that_fails_is_voted_back_and_the_vote_asked_again_until_it_counts(self):
         answers = [
@@ -225,7 +230,7 @@
             good.entry("s-1"),
             bad.entry("s-2", 42),
             answer=lambda form: answers.pop(0) if len(answers) > 1 else answers[0],
-            news={
+            release_state={
                 "version": 42,
                 "step": 0,
                 "status": "trial",
@@ -237,48 +242,53 @@
             number = itertools.count()
             wait_until(
                 lambda: running.platform.calls.qsize() > 1,
-                lambda: client.ask("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
+                lambda: client.request("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
             self.assertEqual([running.platform.calls.get() for _ in range(2)], [vote] * 2)
             wait_until(
-                lambda: running.logged("vote")["outcome"] == "done", lambda: None
+                lambda: running.wait_for_log("vote")["outcome"] == "done", lambda: None
             )  # its answer was heard
-            while not bad.heard.empty():
-                bad.heard.get()
+            while not bad.received_commands.empty():
+                bad.received_commands.get()
             for at in range(50):
-                client.ask("SVC.QUERY", f"key{at}", f"after{at}", READ)
-            self.assertEqual(bad.heard.qsize(), 0)
+                client.request("SVC.QUERY", f"key{at}", f"after{at}", READ)
+            self.assertEqual(bad.received_commands.qsize(), 0)
 
     def test_streams_that_end_are_asked_for_again_and_heard(self):
         pod, new = self.pod(), self.pod()
         running = self.program(pod.entry("s-1"))
         running.discovery.push_list(9, pod.entry("s-1"))
         for peer in (running.discovery, running.platform):
-            peer.cut()
+            peer.reset_connections()
         self.assertEqual(
-            running.platform.asked.get(timeout=TIMEOUT_SECONDS), "/v2/projects/main/stream"
+            running.platform.stream_requests.get(timeout=TIMEOUT_SECONDS),
+            "/v2/projects/main/stream",
         )
         self.assertRegex(
-            running.discovery.asked.get(timeout=TIMEOUT_SECONDS), r"stream=1&index=(7|9)$"
+            running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS), r"stream=1&index=(7|9)$"
         )
         running.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
-        running.platform.push_news(version=42)  # before it is told, nothing goes to that build
+        running.platform.push_release_state(
+            version=42
+        )  # before it is told, nothing goes to that build
         with running.client() as client:
             wait_until(
-                lambda: not new.heard.empty(), lambda: client.ask("SVC.QUERY", "a", "01", READ)
+                lambda: not new.received_commands.empty(),
+                lambda: client.request("SVC.QUERY", "a", "01", READ),
             )
 
     def test_what_discovery_says_unreadably_changes_nothing_and_is_asked_again(self):
         pod = self.pod()
         running = self.program(pod.entry("s-1"))
-        running.discovery.say('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
+        running.discovery.push_raw('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
         wait_until(
-            lambda: "servers.0.state" in running.logged("stream ended")["reason"], lambda: None
+            lambda: "servers.0.state" in running.wait_for_log("stream ended")["reason"],
+            lambda: None,
         )
-        running.discovery.asked.get(timeout=TIMEOUT_SECONDS)
+        running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
         with running.client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
 
 
 class Reconfigured(WithPods):
@@ -297,31 +307,34 @@
         self.addCleanup(platform.close)
         with running.client() as first, running.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=TIMEOUT_SECONDS)
-            running.write({**running.told, "discovery": "nowhere"})
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
+            running.write_config({**running.config, "discovery": "nowhere"})
             running.process.send_signal(signal.SIGHUP)
-            self.assertRegex(running.logged("configuration rejected")["error"], "^discovery: ")
-            running.write(
+            self.assertRegex(
+                running.wait_for_log("configuration rejected")["error"], "^discovery: "
+            )
+            running.write_config(
                 {
-                    **running.told,
+                    **running.config,
                     "discovery": discovery.address,
-                    "deployer": {**running.told["deployer"], "address": platform.address},
+                    "deployer": {**running.config["deployer"], "address": platform.address},
                 }
             )
             for _ in range(2):
                 running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], [])
-            discovery.asked.get(timeout=TIMEOUT_SECONDS)
-            platform.asked.get(timeout=TIMEOUT_SECONDS)
+            self.assertEqual(running.wait_for_log("configuration reloaded")["only_at_a_start"], [])
+            discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+            platform.stream_requests.get(timeout=TIMEOUT_SECONDS)
             running.discovery.close()
             running.platform.close()
             discovery.push_list(8, new.entry("s-2", 42), pod.entry("s-1", state="Terminating"))
-            platform.push_news(version=42)
+            platform.push_release_state(version=42)
             wait_until(
-                lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "02", READ)
+                lambda: not new.received_commands.empty(),
+                lambda: second.request("SVC.QUERY", "a", "02", READ),
             )
             release.set()
-            self.assertEqual(first.answer(), b"01")
+            self.assertEqual(first.read_response(), b"01")
 
 
 class Stopping(WithPods):
@@ -338,18 +351,18 @@
             running = self.program(pod.entry("s-1"))
         with running.client() as first, running.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=TIMEOUT_SECONDS)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
-            running.stood_still()
+            running.wait_until_stopped()
             with (
                 running.client() as late
             ):  # it comes within the last half second, however busy the machine is
                 running.process.send_signal(signal.SIGTERM)
                 running.process.send_signal(signal.SIGCONT)
-                self.assertEqual(late.ask("SVC.QUERY", "a", "02", READ), b"02")
-            self.assertEqual(second.answer(), b"")
+                self.assertEqual(late.request("SVC.QUERY", "a", "02", READ), b"02")
+            self.assertEqual(second.read_response(), b"")
             stopped.set()
-            self.assertEqual((first.answer(), first.answer()), (b"01", b""))
+            self.assertEqual((first.read_response(), first.read_response()), (b"01", b""))
         self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_a_bad_configuration_ends_it_and_names_the_key(self):
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -19,11 +19,14 @@
     def fleet(self, most=1):
         made = Fleet(3, most)
         self.addCleanup(made.close)
-        self.op = made.asker()
+        self.op = made.make_client()
         self.until(
             lambda: self.status()["units"] == 3 and self.status()["out"] == 0, "the fleet stands"
         )
-        self.until(lambda: not made.checker.out() and made.clients.done() > 20, "all serve")
+        self.until(
+            lambda: not made.monitor.unavailable() and made.clients.answered_count() > 20,
+            "all serve",
+        )
         return made
 
     def until(self, holds, what):
@@ -50,9 +53,9 @@
     def kept(self, fleet, killed=()):
         """What holds in every play."""
         fleet.clients.close()
-        self.assertEqual(fleet.binding_twice(), [])
+        self.assertEqual(fleet.repeated_submissions(), [])
         self.assertEqual([one for one in fleet.clients.unanswered() if one[1] not in killed], [])
-        self.assertGreater(fleet.clients.done(), 100)
+        self.assertGreater(fleet.clients.answered_count(), 100)
 
 
 class Looks(unittest.TestCase):
@@ -72,28 +75,30 @@
                 self.assertEqual(said[0].strip("!"), port)
                 return not said.pop(0).startswith("!")
 
-            checker.serves = serves
-            self.assertEqual((checker._look(), said), (frozenset(out), []))
+            checker.is_serving = serves
+            self.assertEqual((checker._check(), said), (frozenset(out), []))
 
 
 class Drained(Plays):
     def test_one_goes_out_under_load_the_next_only_when_it_is_back(self):
         fleet = self.fleet()
         self.assertTrue(self.ask("n0")["ok"])
-        self.until(lambda: fleet.checker.out() == {"n0"}, "n0 goes out")
+        self.until(lambda: fleet.monitor.unavailable() == {"n0"}, "n0 goes out")
         self.until(lambda: self.state("n0") == "out", "it says that it is empty")
         told = self.ask("n1")
         self.assertEqual(told["state"], "asked")
         self.assertIn("n0", told["by"])
-        done = fleet.clients.done()
-        self.until(lambda: fleet.clients.done() > done + 100, "the others serve")
-        self.assertEqual(fleet.checker.out(), {"n0"})
+        done = fleet.clients.answered_count()
+        self.until(lambda: fleet.clients.answered_count() > done + 100, "the others serve")
+        self.assertEqual(fleet.monitor.unavailable(), {"n0"})
         self.assertTrue(self.back("n0")["ok"])
-        self.until(lambda: fleet.checker.out() == {"n1"}, "n0 is back, and n1 goes out")
+        self.until(lambda: fleet.monitor.unavailable() == {"n1"}, "n0 is back, and n1 goes out")
         self.until(lambda: self.state("n1") == "out", "n1 is empty")
         self.back("n1")
-        self.until(lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home")
-        self.assertEqual(fleet.checker.most_out(), 1)
+        self.until(
+            lambda: not fleet.monitor.unavailable() and self.status()["out"] == 0, "all are home"
+        )
+        self.assertEqual(fleet.monitor.max_unavailable(), 1)
         self.kept(fleet)
 
 
@@ -106,7 +111,7 @@
 
     def refused(self, fleet):
         """What is forged, replayed or nonsense ends by itself, and is counted in the log."""
-        good, taken = fleet.asker("n0", word="x"), []
+        good, taken = fleet.make_client("n0", word="x"), []
         seal = message_codec.sign_message
 
         def kept(*told):
@@ -131,7 +136,7 @@
                 self.assertRaisesRegex(
                     message_codec.MessageError, why, good.ask_node, "n0", message_codec.READ, {}
                 )
-            line = fleet.programs["n0"].logged("message rejected")
+            line = fleet.programs["n0"].wait_for_log("message rejected")
             self.assertEqual(line["kind"], kind)
             time.sleep(1.05)  # such a line is written once a second at most
         with self.assertRaisesRegex(message_codec.MessageError, "in the name of n1"):
@@ -176,7 +181,7 @@
         self.assertRegex(self.command(fleet, "--json", "status")[1], '"out":1')
         self.assertEqual(self.command(fleet, "back", "n1"), (0, "called back: n1\n"))
         self.assertEqual(self.command(fleet, "resume", number)[0], 0)
-        self.assertEqual(fleet.checker.out(), frozenset())
+        self.assertEqual(fleet.monitor.unavailable(), frozenset())
 
 
 class LeaderKilled(Plays):
@@ -193,9 +198,11 @@
             target=lambda: answer.append(send_request(slow, "slow-1", LONG)), daemon=True
         )
         taken.start()
-        self.until(lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "a slow one is taken")
+        self.until(
+            lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.executed), "a slow one is taken"
+        )
         self.assertTrue(self.ask(gone)["ok"])
-        self.until(lambda: fleet.checker.out() == {gone}, "it takes no more")
+        self.until(lambda: fleet.monitor.unavailable() == {gone}, "it takes no more")
         self.assertEqual(answer, [])
         fleet.kill(leader)
         killed_at = time.monotonic()
@@ -203,18 +210,20 @@
         stall = time.monotonic() - killed_at
         self.assertLess(stall, 3)
         self.assertEqual(self.ask(third)["state"], "asked")
-        fleet.slow.set()
+        fleet.release_slow.set()
         self.until(lambda: self.state(gone) == "out", "the drain ends under another leader")
         taken.join(WITHIN)
         self.assertEqual(answer, [b"$6\r\nslow-1\r\n+PONG\r\n"])
         self.assertEqual(self.state(third), "asked")
         fleet.restart(leader)
-        self.until(lambda: fleet.checker.out() == {gone}, "the killed one serves again")
+        self.until(lambda: fleet.monitor.unavailable() == {gone}, "the killed one serves again")
         self.assertTrue(self.back(gone)["ok"])
-        self.until(lambda: fleet.checker.out() == {third}, "only then the third goes out")
-        self.assertEqual(fleet.checker.most_out(but=[leader]), 1)
+        self.until(lambda: fleet.monitor.unavailable() == {third}, "only then the third goes out")
+        self.assertEqual(fleet.monitor.max_unavailable(but=[leader]), 1)
         self.back(third)
-        self.until(lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home")
+        self.until(
+            lambda: not fleet.monitor.unavailable() and self.status()["out"] == 0, "all are home"
+        )
         print(f"\nfrom the leader's kill to the next grant: {stall:.2f} s")
         self.kept(fleet, {leader})
 
@@ -224,30 +233,32 @@
         fleet = self.fleet(2)
         alone = self.op.leader
         one, other = (name for name in fleet.names if name != alone)
-        small = fleet.asker(alone, word="small")
-        fleet.cut(alone)
+        small = fleet.make_client(alone, word="small")
+        fleet.isolate(alone)
         said = []
         asking = threading.Thread(
             target=lambda: said.append(self.small_ask(small, alone)), daemon=True
         )
         asking.start()
-        self.op = fleet.asker(one, other, word="large")
+        self.op = fleet.make_client(one, other, word="large")
         self.until(lambda: alone in self.status().get("away", {}), "the cut one counts as out")
         self.assertTrue(self.ask(one)["ok"])
-        self.until(lambda: fleet.checker.out() == {one}, "the larger side goes on")
+        self.until(lambda: fleet.monitor.unavailable() == {one}, "the larger side goes on")
         self.assertEqual(self.ask(other)["state"], "asked")
         asking.join(WITHIN)
         self.assertEqual(said, ["silent"])
-        self.assertEqual(fleet.checker.most_out(), 1)
+        self.assertEqual(fleet.monitor.max_unavailable(), 1)
         fleet.heal()
         self.back(one)
         self.until(
-            lambda: fleet.checker.out() == {other} or self.state(other) == "out",
+            lambda: fleet.monitor.unavailable() == {other} or self.state(other) == "out",
             "healed: room for the other",
         )
         self.back(other)
-        self.until(lambda: not fleet.checker.out() and self.status()["out"] == 0, "all are home")
-        self.assertLessEqual(fleet.checker.most_out(), 2)
+        self.until(
+            lambda: not fleet.monitor.unavailable() and self.status()["out"] == 0, "all are home"
+        )
+        self.assertLessEqual(fleet.monitor.max_unavailable(), 2)
         self.kept(fleet)
 
     def small_ask(self, small, unit):
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -434,21 +434,21 @@
 
     def _answer(self, attempt, mode):
         wire = attempt.wire
-        if mode in ("good", "big", "twice", "half", "spoilt"):
+        if mode in ("good", "big", "duplicate", "truncated", "malformed"):
             self.count += 1
             value = f"{attempt.nonce}:{self.count}".encode() + b"." * (
                 60_000 if mode == "big" else 0
             )
             good = b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(value), value)
-            if mode == "half":
+            if mode == "truncated":
                 wire.put(good[: len(good) // 2])
                 return
-            if mode == "spoilt":
+            if mode == "malformed":
                 wire.put(b"*3\r\n$%d\r\n" % (len(value) - 1) + good[good.index(value) :])
                 return
             self.made[value] = attempt.nonce
             wire.put(good)
-            if mode == "twice":
+            if mode == "duplicate":
                 self.later(5 * TICKS_PER_MS, lambda: self._second_copy(attempt, good))
         elif mode == "error":
             wire.put(b"-ERR failed\r\n")
@@ -737,17 +737,17 @@
     def end(self):
         self.turn()
         if self.stream_mode != "live":
-            self.streams_are("live")
+            self.set_stream_mode("live")
         for client in self.clients:
-            self.free(client.number)
+            self.resume_reading(client.number)
         for pod in self.pods:
             pod.mode, pod.lag, pod.dials = (
                 ("good" if pod.mode != "silent" else "silent"),
                 TICKS_PER_MS,
                 ACCEPTS,
             )
-            self.pod_takes(self.pods.index(pod), None)
-        self.dials_end(True)
+            self.limit_endpoint_reads(self.pods.index(pod), None)
+        self.finish_connects(True)
         self.wait(1_000 * TICKS_PER_MS)
         self.wait(5_000 * TICKS_PER_MS)
         if self.state == "drained":
@@ -762,7 +762,7 @@
     def client(self, number):
         return self.clients[number % len(self.clients)] if self.clients else None
 
-    def open(self):
+    def open_client(self):
         door = self.reactor.doors[-1]
         if (
             door.open
@@ -806,15 +806,15 @@
             if asked.nonce:
                 self.by_nonce[asked.nonce] = client, asked
 
-    def ask(self, number, lane, left, key, count):
+    def send_requests(self, number, lane, left, key, count):
         client = self.client(number)
         for _ in range(count):
             self._put(client, *self._request(client, lane, left, key))
 
     def flood(self, number, left):
-        self.ask(number, 0, left, 0, 70)
+        self.send_requests(number, 0, left, 0, 70)
 
-    def again(self, number, of):
+    def reuse_id(self, number, of):
         """With the id of an earlier one, after that one's connection was closed."""
         earlier = [asked for client, asked in self.by_nonce.values() if client.gone_at is not None]
         if earlier:
@@ -824,10 +824,10 @@
     def ping(self, number):
         self._put(self.client(number), SentCommand("ping", 0), encode_command("PING"))
 
-    def wrong(self, number):
+    def send_unsupported(self, number):
         self._put(self.client(number), SentCommand("wrong", 0), encode_command("GET", "x"))
 
-    def part(self, number, lane, left):
+    def send_partial(self, number, lane, left):
         client = self.client(number)
         if (
             client
@@ -841,14 +841,14 @@
             client.send(data[:9])
             client.half = asked, data[9:]
 
-    def rest(self, number):
+    def send_remainder(self, number):
         client = self.client(number)
         if client and client.half and client.gone_at is None and not client.slow:
             (asked, data), client.half, begun_at = client.half, b"", client.begun_at
             self._put(client, asked, data)
             client.begun_at = begun_at  # the command began to come then
 
-    def garbage(self, number):
+    def send_garbage(self, number):
         client = self.client(number)
         if (
             client
@@ -860,14 +860,14 @@
             client.send(b"what is this?\r\n")
             client.spoilt_at = self.now
 
-    def hold(self, number, budget):
+    def pause_reading(self, number, budget):
         client = self.client(number)
         if client and client.gone_at is None:
             client.wire.budget = budget
             if client.stalled_since is None:
                 client.stalled_since = self.now
 
-    def free(self, number):
+    def resume_reading(self, number):
         client = self.client(number)
         if client:
             if (
@@ -877,7 +877,7 @@
                 client.excused = True
             client.wire.budget, client.stalled_since, client.freed_at = None, None, self.now
 
-    def leave(self, number, how):
+    def disconnect(self, number, how):
         client = self.client(number)
         if client and not DISCONNECTS_WHILE_READING_PAUSED and self.may_not_be_read(client):
             return
@@ -892,14 +892,14 @@
                 pass
             client.wire.end("reset" if unread and how == "close" else how)
 
-    def leave_unread(self, number, lane, how):
+    def disconnect_before_read(self, number, lane, how):
         """Asks and leaves while the loop is held up: by the time that it reads what was asked, all is long over."""
         self.turn()
-        self.ask(number, lane, 2, 0, 1)
-        self.leave(number, how)
-        self.held_up(150)
+        self.send_requests(number, lane, 2, 0, 1)
+        self.disconnect(number, how)
+        self.stall_process(150)
 
-    def held_up(self, milliseconds):
+    def stall_process(self, milliseconds):
         """The process gets no processor for so long: the page allows for up to 0.15 s. Its loop does not run."""
         self.hold_ups.append((self.now, self.now + milliseconds * TICKS_PER_MS))
         self.now += milliseconds * TICKS_PER_MS
@@ -910,34 +910,34 @@
     def may_not_be_read(self, client):
         return len(client.asked) - client.got > 60 or client.wire.budget is not None
 
-    def dials(self, pod, how):
+    def set_connect_mode(self, pod, how):
         self.pods[pod % 3].dials = how
 
-    def dials_end(self, up):
+    def finish_connects(self, up):
         """What hangs comes up late, or is refused."""
         waits, self.waits = self.waits, []
         for dial in waits:
             dial.come_up() if up and dial.wire.pod is not None else dial.refuse()
 
-    def pod_does(self, pod, mode, lag):
+    def set_response_mode(self, pod, mode, lag):
         self.pods[pod % 3].mode, self.pods[pod % 3].lag = (
             mode,
             max(lag * TICKS_PER_MS, not RESPONSES_WITHOUT_DELAY),
         )
 
-    def pod_takes(self, pod, budget):
+    def limit_endpoint_reads(self, pod, budget):
         pod = self.pods[pod % 3]
         budget = pod.budget = 1 if budget == 0 and not ENDPOINTS_READ_NOTHING else budget
         for wire, *_ in self.links:
             if getattr(wire, "pod", None) is pod:
                 wire.budget = budget
 
-    def pod_ends(self, pod, how):
+    def close_endpoint_connections(self, pod, how):
         for wire, *_ in self.links:
             if getattr(wire, "pod", None) is self.pods[pod % 3]:
                 wire.end(how)
 
-    def listed(self, pod, what):
+    def change_endpoint(self, pod, what):
         pod = self.pods[pod % 3]
         if what == "moved":
             pod.port += 10
@@ -953,11 +953,11 @@
             pod.state = what
         self.tell_pods([pod])
 
-    def whole(self):
+    def push_full_list(self):
         if any(pod.state != "Gone" for pod in self.pods):
             self.tell_pods(self.pods, full=True)
 
-    def built(self, status, cap):
+    def change_release(self, status, cap):
         if status == "next":
             self.news = {
                 **self.news,
@@ -976,20 +976,20 @@
         )
         self.tell_news()
 
-    def streams_are(self, mode):
+    def set_stream_mode(self, mode):
         self.stream_mode = mode
         if mode == "ended":
             for wire in self.streams:
                 wire.end("close")
             self.streams = []
 
-    def move(self, discovery, platform):
+    def change_addresses(self, discovery, platform):
         told = copy.deepcopy(self.told)
         told["discovery"] = f"127.0.0.1:{DISCOVERY_PORTS[discovery % 2]}"
         told["deployer"]["address"] = f"127.0.0.1:{PLATFORM_PORTS[platform % 2]}"
         self.proxy.reconfigure(configuration.parse(told, 0))
 
-    def passes(self, milliseconds):
+    def advance_time(self, milliseconds):
         self.wait(milliseconds * TICKS_PER_MS)
 
     def _emptied(self):
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -95,7 +95,7 @@
     """A listener on a free loopback port, a thread for each connection; serve(connection, source) is its part."""
 
     def __init__(self):
-        self.place, port = reserve_port()
+        self.reservation, port = reserve_port()
         self.listener = socket.create_server(("127.0.0.1", port))
         self.address = f"127.0.0.1:{port}"
         self.connections = []
@@ -117,7 +117,7 @@
             except OSError:
                 pass
 
-    def cut(self):
+    def reset_connections(self):
         """Resets what stands."""
         for connection in self.connections:
             try:
@@ -126,7 +126,7 @@
             except OSError:
                 pass
 
-    def stop(self):
+    def stop_listening(self):
         """Takes no further connection, and nobody else does at its address."""
         with contextlib.suppress(OSError):
             self.listener.shutdown(
@@ -135,9 +135,9 @@
         self.listener.close()
 
     def close(self):
-        self.stop()
-        self.place.close()
-        self.cut()
+        self.stop_listening()
+        self.reservation.close()
+        self.reset_connections()
 
 
 def read_command(source):
@@ -152,7 +152,7 @@
     """A pod. answer(words) gives the bytes to write, b"" to say nothing, or None to reset the connection."""
 
     def __init__(self, answer=None):
-        self.heard, self.ended = queue.Queue(), queue.Queue()
+        self.received_commands, self.closed_connections = queue.Queue(), queue.Queue()
         self.answer = answer or (
             lambda words: b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2])
         )
@@ -160,13 +160,13 @@
 
     def serve(self, connection, source):
         while (words := read_command(source)) is not None:
-            self.heard.put(words)
+            self.received_commands.put(words)
             answer = self.answer(words)
             if answer is None:
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 return
             connection.sendall(answer)
-        self.ended.put(True)
+        self.closed_connections.put(True)
 
     def entry(self, name, build=41, state="Ready", **more):
         return {
@@ -189,15 +189,20 @@
     stream that the sidecar gives up loses nothing. A silent one takes streams and says nothing until it is told to."""
 
     def __init__(self, answer=None, silent=False):
-        self.streams, self.asked, self.calls, self.answer = [], queue.Queue(), queue.Queue(), answer
-        self.silent, self.said, self.lock, self.over = (
+        self.streams, self.stream_requests, self.calls, self.answer = (
+            [],
+            queue.Queue(),
+            queue.Queue(),
+            answer,
+        )
+        self.silent, self.raw_chunks, self.lock, self.stopped = (
             silent,
             None,
             threading.Lock(),
             threading.Event(),
         )
         super().__init__()
-        threading.Thread(target=self._live, daemon=True).start()
+        threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
     def serve(self, connection, source):
         while first := source.readline():
@@ -214,7 +219,7 @@
                 else (400, b"<Error><Code>throttled</Code></Error>")
             )
             if status == 200:
-                self.carried_out(body.decode())
+                self.apply_response(body.decode())
             connection.sendall(
                 b"HTTP/1.1 %d X\r\nContent-Length: %d\r\n\r\n%s" % (status, len(body), body)
             )
@@ -228,8 +233,8 @@
             except OSError:
                 pass
             if not self.silent:
-                self._tell(self.said or [self.missed(path)], [connection])
-        self.asked.put(path)
+                self._send(self.raw_chunks or [self.initial_message(path)], [connection])
+        self.stream_requests.put(path)
         try:
             source.read(1)  # it ends, or takes a byte too many: either is its end
         finally:
@@ -237,13 +242,13 @@
                 self.streams.remove(connection)
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
 
-    def _live(self):
-        while not self.over.wait(self.EVERY):
+    def _send_heartbeats(self):
+        while not self.stopped.wait(self.HEARTBEAT_SECONDS):
             with self.lock:
                 if not self.silent:
-                    self._tell([self.SIGN])
+                    self._send([self.HEARTBEAT])
 
-    def _tell(self, texts, streams=None):
+    def _send(self, texts, streams=None):
         """Each in a piece of its own. One that has ended is none: who asks instead of it is told what it missed."""
         data = b"".join(
             b"%x\r\n%s\r\n" % (len(text), text) for text in (text.encode() for text in texts)
@@ -254,40 +259,40 @@
             except OSError:
                 pass
 
-    def say(self, *texts):
+    def push_raw(self, *texts):
         """In these pieces and as it is, sound or not: to each stream that stands, and to each that asks, in place of
         what it has missed, until there is something to tell."""
         with self.lock:
-            self.silent, self.said = False, texts
-            self._tell(texts)
+            self.silent, self.raw_chunks = False, texts
+            self._send(texts)
 
-    def told(self, text):
+    def push(self, text):
         """Something to tell, which is kept by now; the lock is held."""
-        self.silent, self.said = False, None
-        self._tell([text])
+        self.silent, self.raw_chunks = False, None
+        self._send([text])
 
     def close(self):
-        self.over.set()
+        self.stopped.set()
         super().close()
 
 
 class FakeDiscovery(FakeHttpServer):
     """Keeps the changes and whole lists that it was given, each entry's last under its version."""
 
-    SIGN, EVERY = "\n", 2.0
+    HEARTBEAT, HEARTBEAT_SECONDS = "\n", 2.0
 
     def __init__(self, **more):
-        self.entries, self.version, self.whole = (
+        self.entries, self.version, self.full_list_version = (
             {},
             0,
             0,
         )  # id -> (version, entry); that of the last whole list
         super().__init__(**more)
 
-    def missed(self, path):
+    def initial_message(self, path):
         """The first line: what changed after the version that is asked from, or the whole list."""
         since = int(path.rpartition("index=")[2])
-        whole = since < self.whole
+        whole = since < self.full_list_version
         return self._line(
             max(self.version, since),
             whole,
@@ -306,16 +311,16 @@
         with self.lock:
             self.version = version
             if full:
-                self.whole, self.entries = version, {}
+                self.full_list_version, self.entries = version, {}
             self.entries.update((entry["id"], (version, entry)) for entry in entries)
-            self.told(self._line(version, full, entries))
+            self.push(self._line(version, full, entries))
 
 
 class FakePlatform(FakeHttpServer):
     """Keeps the state of the newest build, also as a vote that counts changes it."""
 
-    SIGN, EVERY = ":\n", 1.0
-    NEWS = {
+    HEARTBEAT, HEARTBEAT_SECONDS = ":\n", 1.0
+    RELEASE_STATE = {
         "version": 41,
         "step": 1,
         "status": "released",
@@ -323,24 +328,27 @@
         "observedAgoMs": 60000,
     }
 
-    def __init__(self, answer=None, news=NEWS, **more):
-        self._stands(news)
+    def __init__(self, answer=None, release_state=RELEASE_STATE, **more):
+        self._set_release_state(release_state)
         super().__init__(answer, **more)
 
-    def _stands(self, news):
-        self.news, self.since = dict(news), time.monotonic() - float(news["observedAgoMs"]) / 1000
+    def _set_release_state(self, release_state):
+        self.release_state, self.observed_at = (
+            dict(release_state),
+            time.monotonic() - float(release_state["observedAgoMs"]) / 1000,
+        )
 
-    def missed(self, path):
-        self.news["observedAgoMs"] = round(1000 * (time.monotonic() - self.since))
-        return f"event: progress\ndata: {urlencode(self.news)}\n\n"
+    def initial_message(self, path):
+        self.release_state["observedAgoMs"] = round(1000 * (time.monotonic() - self.observed_at))
+        return f"event: progress\ndata: {urlencode(self.release_state)}\n\n"
 
-    def carried_out(self, body):
+    def apply_response(self, body):
         with self.lock:
-            self._stands(dict(re.findall(r"<(\w+)>([^<>]*)</", body)))
+            self._set_release_state(dict(re.findall(r"<(\w+)>([^<>]*)</", body)))
 
-    def push_news(self, version=41, step=1, status="released", cap=1.0):
+    def push_release_state(self, version=41, step=1, status="released", cap=1.0):
         with self.lock:
-            self._stands(
+            self._set_release_state(
                 {
                     "version": version,
                     "step": step,
@@ -349,4 +357,4 @@
                     "observedAgoMs": 5,
                 }
             )
-            self.told(self.missed(None))
+            self.push(self.initial_message(None))
--- a/tests/support/process_rig.py
+++ b/tests/support/process_rig.py
@@ -105,12 +105,12 @@
     another went does not count, however slow the look is."""
 
     def __init__(self, ports):
-        self.ports, self.looks, self.closed = ports, [], False
+        self.ports, self.checks, self.closed = ports, [], False
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     @staticmethod
-    def serves(port):
+    def is_serving(port):
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=1) as one:
                 one.sendall(encode_command("PING"))
@@ -118,23 +118,23 @@
         except OSError:
             return False
 
-    def _look(self):
-        out = [name for name, port in self.ports.items() if not self.serves(port)]
+    def _check(self):
+        out = [name for name, port in self.ports.items() if not self.is_serving(port)]
         if len(out) > 1:
-            out = [name for name in out if not self.serves(self.ports[name])]
+            out = [name for name in out if not self.is_serving(self.ports[name])]
         return frozenset(out)
 
     def _run(self):
         while not self.closed:
-            self.looks.append((time.monotonic(), self._look()))
+            self.checks.append((time.monotonic(), self._check()))
             time.sleep(CHECK_INTERVAL_SECONDS)
 
-    def out(self):
-        return self.looks[-1][1] if self.looks else frozenset(self.ports)
+    def unavailable(self):
+        return self.checks[-1][1] if self.checks else frozenset(self.ports)
 
-    def most_out(self, but=(), since=0.0):
+    def max_unavailable(self, but=(), since=0.0):
         """The most that were out at one look; `but`: those whom the test itself killed."""
-        return max((len(out - set(but)) for at, out in self.looks if at >= since), default=0)
+        return max((len(out - set(but)) for at, out in self.checks if at >= since), default=0)
 
     def close(self):
         self.closed = True
@@ -146,7 +146,7 @@
     Each id is used once; what comes back is kept: an answer, an error, or none where the connection broke."""
 
     def __init__(self, ports, threads=3):
-        self.ports, self.closed, self.got, self.lock = ports, False, [], threading.Lock()
+        self.ports, self.closed, self.results, self.lock = ports, False, [], threading.Lock()
         self.threads = [
             threading.Thread(target=self._run, args=(at,), daemon=True) for at in range(threads)
         ]
@@ -167,7 +167,7 @@
             with one:
                 answer = send_request(one, what, words)
             with self.lock:
-                self.got.append((what, name, time.monotonic(), answer))
+                self.results.append((what, name, time.monotonic(), answer))
             time.sleep(0.01)
 
     def close(self):
@@ -180,14 +180,14 @@
         with self.lock:
             return [
                 (what, name, answer)
-                for what, name, _, answer in self.got
+                for what, name, _, answer in self.results
                 if answer != b"$%d\r\n%s\r\n+PONG\r\n" % (len(what), what.encode())
                 and not (answer.startswith((b"-BUSY", b"-ERR")) and answer.count(b"\r\n") == 2)
             ]
 
-    def done(self):
+    def answered_count(self):
         with self.lock:
-            return sum(answer.startswith(b"$") for *_, answer in self.got)
+            return sum(answer.startswith(b"$") for *_, answer in self.results)
 
 
 def send_request(one, what, words):
@@ -213,29 +213,29 @@
     def __init__(self, count=3, most=1):
         self.folder = tempfile.TemporaryDirectory()
         self.names, self.most = [f"n{at}" for at in range(count)], most
-        self.ran, self.slow, self.lock = [], threading.Event(), threading.Lock()
+        self.executed, self.release_slow, self.lock = [], threading.Event(), threading.Lock()
         self.pods = [FakeEndpoint(self._answer) for _ in range(2)]
-        self.kept = [
+        self.reservations = [
             reserve_port() for _ in self.names
         ]  # also while a process is killed and has not come back
-        self.ports = {name: port for name, (_, port) in zip(self.names, self.kept)}
+        self.ports = {name: port for name, (_, port) in zip(self.names, self.reservations)}
         self.identities = {
             name: keys.create_key_file(name, os.path.join(self.folder.name, f"{name}.key"))
             for name in [*self.names, "op"]
         }
-        self.paths = {
+        self.relays = {
             (one, two): Relay(self.ports[two])
             for one in self.names
             for two in self.names
             if one != two
         }
-        self.programs, self.checker, self.clients, self.askers = {}, None, None, []
+        self.programs, self.monitor, self.clients, self.operator_clients = {}, None, None, []
         entries = [pod.entry(f"s-{at}") for at, pod in enumerate(self.pods)]
         try:
             for name in self.names:
                 self.programs[name] = Program(
                     *entries,
-                    operator=lambda folder, name=name: self.text(name),
+                    operator=lambda folder, name=name: self.operator_file(name),
                     change=lambda told: told["settings"].update(balancers=count),
                 )
             for program in self.programs.values():
@@ -244,19 +244,19 @@
             self.close()
             raise
         ports = {name: program.port for name, program in self.programs.items()}
-        self.checker, self.clients = AvailabilityMonitor(ports), LoadClients(ports)
+        self.monitor, self.clients = AvailabilityMonitor(ports), LoadClients(ports)
 
     def _answer(self, words):
         """A pod's: it keeps what ran, and holds what is called slow until it is let go."""
         with self.lock:
-            self.ran.append((words[0], words[2]))
+            self.executed.append((words[0], words[2]))
         if words[2].startswith(b"slow"):
-            self.slow.wait(TIMEOUT_SECONDS)
+            self.release_slow.wait(TIMEOUT_SECONDS)
         return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2])
 
-    def text(self, name):
+    def operator_file(self, name):
         def place(other):
-            return self.ports[other] if other == name else self.paths[name, other].port
+            return self.ports[other] if other == name else self.relays[name, other].port
 
         keepers = ", ".join(
             f'{{name: "{one}", address: "127.0.0.1:{place(one)}", '
@@ -274,7 +274,7 @@
             'bound: "1s", silent: "2s", permit: "4s", tick: "100ms"\n}\n'
         )
 
-    def asker(self, *names, word="op"):
+    def make_client(self, *names, word="op"):
         """An operator's client, at these keepers alone or at all."""
         ring = Keyring(
             [
@@ -289,23 +289,23 @@
             word,
             time.time_ns(),
         )
-        self.askers.append(made)
+        self.operator_clients.append(made)
         return made
 
-    def binding_twice(self):
+    def repeated_submissions(self):
         """Binding transactions that pods ran more than once."""
         with self.lock:
-            ran = Counter(name for verb, name in self.ran if verb == b"SVC.SUBMIT")
+            ran = Counter(name for verb, name in self.executed if verb == b"SVC.SUBMIT")
         return [name for name, count in ran.items() if count > 1]
 
-    def cut(self, name):
+    def isolate(self, name):
         """Nothing passes between it and the others."""
-        for pair, path in self.paths.items():
+        for pair, path in self.relays.items():
             if name in pair:
                 path.cut()
 
     def heal(self):
-        for path in self.paths.values():
+        for path in self.relays.values():
             path.heal()
 
     def kill(self, name):
@@ -326,15 +326,15 @@
         program.readers.pop().join()
         former.stdout.close()
         former.stderr.close()
-        program.read(program.process.stdout)
+        program.collect_log(program.process.stdout)
 
     def close(self):
-        self.slow.set()
-        for part in (self.clients, self.checker, *self.askers):
+        self.release_slow.set()
+        for part in (self.clients, self.monitor, *self.operator_clients):
             if part:
                 part.close()
         for program in self.programs.values():
             program.__exit__()
-        for part in (*self.paths.values(), *self.pods, *(place for place, _ in self.kept)):
+        for part in (*self.relays.values(), *self.pods, *(place for place, _ in self.reservations)):
             part.close()
         self.folder.cleanup()
--- a/tests/support/programs.py
+++ b/tests/support/programs.py
@@ -62,29 +62,32 @@
         self,
         *entries,
         answer=None,
-        news=FakePlatform.NEWS,
+        release_state=FakePlatform.RELEASE_STATE,
         change=None,
         operator=None,
         silent=False,
     ):
-        self.discovery, self.platform = FakeDiscovery(silent=silent), FakePlatform(answer, news)
-        self.place, self.port = reserve_port()
-        told = {
+        self.discovery, self.platform = (
+            FakeDiscovery(silent=silent),
+            FakePlatform(answer, release_state),
+        )
+        self.reservation, self.port = reserve_port()
+        config = {
             "name": "n1",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": self.discovery.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "deployer": {"address": self.platform.address, "news": dict(news)},
+            "deployer": {"address": self.platform.address, "news": dict(release_state)},
             "known": {"version": 7, "full": True, "servers": list(entries)},
             "settings": copy.deepcopy(SETTINGS),
         }
         if change:
-            change(told)
+            change(config)
         self.folder = tempfile.TemporaryDirectory()
         path = self.path = os.path.join(self.folder.name, "config.json")
-        self.told, self.lines, self.readers = told, queue.Queue(), []
-        self.write(told)
+        self.config, self.lines, self.readers = config, queue.Queue(), []
+        self.write_config(config)
         words = [sys.executable, "-m", "thymeknot"]
         if operator:  # the text of an operator's file, its folder given
             self.operator = os.path.join(self.folder.name, "operator.cue")
@@ -98,11 +101,11 @@
             env={**os.environ, "NODE_CONFIG": path},
         )
 
-    def write(self, told):
+    def write_config(self, config):
         with open(self.path, "w", encoding="utf-8") as target:
-            json.dump(told, target)
+            json.dump(config, target)
 
-    def logged(self, event):
+    def wait_for_log(self, event):
         """The next line of this event."""
         wait_until(
             lambda: self.line["event"] == event,
@@ -111,7 +114,7 @@
         line, self.line = self.line, {"event": None}
         return line
 
-    def stood_still(self):
+    def wait_until_stopped(self):
         def state():
             with open(f"/proc/{self.process.pid}/stat", encoding="utf-8") as source:
                 return source.read().rpartition(")")[2].split()[0]
@@ -124,12 +127,12 @@
             line = self.process.stdout.readline()
             if not line:
                 raise AssertionError(self.process.stderr.read().decode())
-        self.read(self.process.stdout)
-        self.discovery.asked.get(timeout=TIMEOUT_SECONDS)
-        self.platform.asked.get(timeout=TIMEOUT_SECONDS)
+        self.collect_log(self.process.stdout)
+        self.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        self.platform.stream_requests.get(timeout=TIMEOUT_SECONDS)
         return self
 
-    def read(self, source):
+    def collect_log(self, source):
         """Keeps the lines that are logged there."""
         self.readers.append(
             threading.Thread(target=lambda: [self.lines.put(line) for line in source], daemon=True)
@@ -143,7 +146,7 @@
         self.process.communicate()
         self.discovery.close()
         self.platform.close()
-        self.place.close()
+        self.reservation.close()
         self.folder.cleanup()
 
     def client(self):
@@ -165,11 +168,11 @@
     def send(self, *words):
         self.connection.sendall(encode_command(*words))
 
-    def ask(self, *words):
+    def request(self, *words):
         self.send(*words)
-        return self.answer()
+        return self.read_response()
 
-    def answer(self):
+    def read_response(self):
         line = self.source.readline()
         if line.startswith(b"$"):
             return self.source.read(int(line[1:]) + 2)[:-2]
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -329,9 +329,9 @@
         self.addCleanup(running.__exit__)
         running.__enter__()
         with running.client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "k1", "01", READ), b"ok")
-            self.assertEqual(client.ask("SVC.SUBMIT", "k2", "02", PAY, "B"), b"ok")
-            self.assertTrue(client.ask("SVC.SUBMIT", "k3", "03", PAY, "B").startswith(b"-ERR"))
+            self.assertEqual(client.request("SVC.QUERY", "k1", "01", READ), b"ok")
+            self.assertEqual(client.request("SVC.SUBMIT", "k2", "02", PAY, "B"), b"ok")
+            self.assertTrue(client.request("SVC.SUBMIT", "k3", "03", PAY, "B").startswith(b"-ERR"))
         unread = socket.create_connection(("127.0.0.1", port))
         self.addCleanup(unread.close)
         unread.sendall(b'{"ask":"find"}\n' * 60)  # never reads an answer
@@ -381,7 +381,7 @@
         self.assertIn("MAY_HAVE_RUN", command("why", "--at", place, "tally").stdout)
         self.assertIn("stays_s", command("why", "--at", place, "kept").stdout)
         with running.client() as client:  # transactions are served while somebody does not read
-            self.assertEqual(client.ask("SVC.QUERY", "k1", "04", READ), b"ok")
+            self.assertEqual(client.request("SVC.QUERY", "k1", "04", READ), b"ok")
         running.process.kill()
         running.process.wait()
         self.assertEqual(command("why", "--at", place, "03").returncode, 3)
--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -227,7 +227,7 @@
             )
             self.assertEqual(code, 0 if server is once else 1, told)
             if server:
-                server.stop()
+                server.stop_listening()
 
     def test_a_sidecar_beside_its_pods(self):
         pods = [FakeEndpoint(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(2)]
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -1100,8 +1100,8 @@
         with self.running.client() as client:
             number = itertools.count()
             wait_until(
-                lambda: not self.new.heard.empty(),
-                lambda: client.ask("SVC.QUERY", "a", f"{next(number)}", "c=read,d=4000"),
+                lambda: not self.new.received_commands.empty(),
+                lambda: client.request("SVC.QUERY", "a", f"{next(number)}", "c=read,d=4000"),
             )
 
     def full_list(self, version, **more):
@@ -1114,7 +1114,7 @@
 
     def test_indented_list_in_pieces_between_heartbeats(self):
         streams_before, text = list(self.running.discovery.streams), self.full_list(9, indent=4)
-        self.running.discovery.say(
+        self.running.discovery.push_raw(
             "\n", *(text[at : at + 50] for at in range(0, len(text), 50)), "\n"
         )
         self.wait_until_new_endpoint_is_used()
@@ -1123,10 +1123,12 @@
         )  # the stream was not replaced
 
     def test_invalid_line_in_an_indented_list_ends_only_the_watch_and_is_logged(self):
-        self.running.discovery.say('{"version": 9,\n"full": true,\nnoise\n')
-        wait_until(lambda: "noise" in self.running.logged("stream ended")["reason"], lambda: None)
-        self.running.discovery.asked.get(timeout=TIMEOUT_SECONDS)
-        self.running.discovery.say(self.full_list(10))
+        self.running.discovery.push_raw('{"version": 9,\n"full": true,\nnoise\n')
+        wait_until(
+            lambda: "noise" in self.running.wait_for_log("stream ended")["reason"], lambda: None
+        )
+        self.running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        self.running.discovery.push_raw(self.full_list(10))
         self.wait_until_new_endpoint_is_used()
 
     def test_connects_that_never_complete_at_a_new_address_are_given_up(self):
@@ -1139,10 +1141,10 @@
                 filler = fillers.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(at)
-            self.running.write({**self.running.told, "discovery": "%s:%d" % at})
+            self.running.write_config({**self.running.config, "discovery": "%s:%d" % at})
             self.running.process.send_signal(signal.SIGHUP)
             for _ in range(2):  # a stream at the former address may have ended before
-                while self.running.logged("stream ended")["address"] != "%s:%d" % at:
+                while self.running.wait_for_log("stream ended")["address"] != "%s:%d" % at:
                     pass
             body = HEAD + encode_chunk(self.full_list(3).encode())
 
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -386,7 +386,7 @@
 
             def two():
                 for name in (f"{next(names)}", f"{next(names)}"):
-                    self.assertEqual(client.ask("SVC.QUERY", "a", name, READ), name.encode())
+                    self.assertEqual(client.request("SVC.QUERY", "a", name, READ), name.encode())
 
             # A pair that the machine held apart for longer than the rest goes on one connection, and is no case.
             wait_until(lambda: pod.copies, two)
@@ -410,7 +410,7 @@
 
     def serve(self, connection, source):
         words = read_command(source)
-        self.heard.put(words)
+        self.received_commands.put(words)
         self.stand_still()
         connection.sendall(value(words[2] * 1000))
         unread = array.array("i", [1])
@@ -443,15 +443,15 @@
             pod.process = running.process
             with running.client() as client:
                 for name in (b"1", b"2"):
-                    self.assertEqual(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), name * 1000)
-            self.assertEqual(pod.heard.qsize(), 2)
+                    self.assertEqual(client.request("SVC.SUBMIT", "a", name, PAY, "B"), name * 1000)
+            self.assertEqual(pod.received_commands.qsize(), 2)
 
     def test_response_in_single_bytes_is_assembled(self):
         pod = BytesOverSockets()
         self.addCleanup(pod.close)
         with self.program(pod.entry("s-1")).client() as client:
             for name in (b"11", b"12"):
-                self.assertEqual(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), name)
+                self.assertEqual(client.request("SVC.SUBMIT", "a", name, PAY, "B"), name)
 
 
 class TruncatedResponseTest(unittest.TestCase):
@@ -872,8 +872,8 @@
             pod.release()
             # The next one waits for the same dials, so where the repeat is written it is heard before the answer.
             with self.subTest("answered"):
-                self.assertRegex(client.answer(), b"^-ERR")
-            self.assertEqual(client.ask("SVC.QUERY", "a", "02", READ), b"02")
+                self.assertRegex(client.read_response(), b"^-ERR")
+            self.assertEqual(client.request("SVC.QUERY", "a", "02", READ), b"02")
         self.assertEqual(pod.heard, [b"01", b"02"])
 
     def test_non_idempotent_request_is_written_at_most_once_with_slow_dials_and_resets(
@@ -884,12 +884,12 @@
         names = [b"%d" % at for at in range(10, 18)]
         with self.program(held.entry("s-1", weight=9.0), pod.entry("s-2")).client() as client:
             for name in names:
-                self.assertRegex(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), b"^-")
-            written = [pod.heard.get()[2] for _ in range(pod.heard.qsize())]
+                self.assertRegex(client.request("SVC.SUBMIT", "a", name, PAY, "B"), b"^-")
+            written = [pod.received_commands.get()[2] for _ in range(pod.received_commands.qsize())]
             held.release()
             wait_until(
                 lambda: held.heard,
-                lambda: client.ask("SVC.QUERY", "b", f"{time.monotonic_ns()}", READ),
+                lambda: client.request("SVC.QUERY", "b", f"{time.monotonic_ns()}", READ),
             )
         self.assertEqual(sorted(set(written)), sorted(written))
         self.assertNotEqual(written, [])
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -963,7 +963,7 @@
                 program.client() as client,
             ):
                 for number, name in enumerate(NAMES * 2):
-                    said = client.ask(
+                    said = client.request(
                         "SVC.SUBMIT", "k", f"{number:x}", f"c={name},t=té nant,d=5000,k=a", "BODY"
                     )
                     self.assertEqual(said, b"%x" % number, (edge, name))
--- a/tests/unit/support/test_stand_ins.py
+++ b/tests/unit/support/test_stand_ins.py
@@ -16,7 +16,7 @@
 )
 from thymeknot.protocol import deployer
 
-NEWS = {"version": 42, "step": 0, "status": "trial", "maxWeight": 0.5, "observedAgoMs": 5}
+RELEASE_STATE = {"version": 42, "step": 0, "status": "trial", "maxWeight": 0.5, "observedAgoMs": 5}
 BACK = (
     b"<Response><entries><item><version>42</version><step>0</step><status>rolling_back</status>"
     b"<maxWeight>0</maxWeight><observedAgoMs>3</observedAgoMs></item></entries></Response>"
@@ -40,7 +40,7 @@
         connection.sendall(f"GET {path} HTTP/1.1\r\n\r\n".encode())
         source = connection.makefile("rb")
         self.addCleanup(source.close)
-        peer.asked.get(timeout=TIMEOUT_SECONDS)
+        peer.stream_requests.get(timeout=TIMEOUT_SECONDS)
         for _ in range(3):
             source.readline()
         return connection, lambda: source.read(int(source.readline(), 16) + 2)[:-2].decode()
@@ -74,7 +74,7 @@
             with peer.lock:  # it does not see the end before this is let go
                 former.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 socket.close(former.detach())
-                peer._tell(["\n"])
+                peer._send(["\n"])
             if seen:
                 wait_until(lambda peer=peer: not peer.streams, lambda: None)
             peer.push_list(8, entry("1"))
@@ -88,7 +88,7 @@
         with self.assertRaises(BlockingIOError):
             connection.recv(1, socket.MSG_PEEK)
         connection.settimeout(TIMEOUT_SECONDS)
-        peer.say("odd", "\n")
+        peer.push_raw("odd", "\n")
         _, second = self.watch(peer, 7)
         self.assertEqual([first(), first(), second(), second()], ["odd", "\n"] * 2)
         peer.push_list(8)
@@ -103,7 +103,7 @@
             self.assertEqual([told(), told(), told()][1:], [sign] * 2)
 
     def test_the_platform_tells_the_newest_state_at_once_also_one_that_a_vote_brought(self):
-        peer = self.peer(FakePlatform(lambda form: (200, BACK), news=NEWS))
+        peer = self.peer(FakePlatform(lambda form: (200, BACK), release_state=RELEASE_STATE))
 
         def state():
             told = self.asks(peer, "/v2/projects/main/stream")[1]()
@@ -118,7 +118,7 @@
             call.sendall(b"POST / HTTP/1.1\r\nContent-Length: 1\r\n\r\n=")
             peer.calls.get(timeout=TIMEOUT_SECONDS)
         self.assertEqual(state(), (42, deployer.PHASES["rolling_back"], 0.0))
-        peer.push_news(43, cap=0.25)
+        peer.push_release_state(43, cap=0.25)
         self.assertEqual(state(), (43, deployer.PHASES["released"], 0.25))
 
 
@@ -151,7 +151,7 @@
         for _ in range(20):
             peer = FakeServer()
             self.addCleanup(peer.close)
-            peer.stop()
+            peer.stop_listening()
             with self.assertRaises(ConnectionRefusedError):
                 socket.create_connection(("127.0.0.1", int(peer.address[10:])))
 
