--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -22,8 +22,8 @@
 from twisted.python.failure import Failure
 
 from tests.integration.test_sockets import MARK, PAY, READ, WithPods, value
-from tests.support.peers import PATIENCE, PodPeer, until, words_of
-from tests.support.programs import command
+from tests.support.peers import TIMEOUT_SECONDS, FakeEndpoint, read_command, wait_until
+from tests.support.programs import encode_command
 from tests.unit.proxy.test_proxy import VALUE_RESPONSE, Network, Transport, endpoint_entry
 from thymeknot.interface.actions import SendAttempt
 from thymeknot.interface.enums import Outcome, ReleasePhase
@@ -367,7 +367,7 @@
         self.assertLessEqual(after, 1.05 * before + 2, (before, after))
 
 
-class DuplicateResponsePeer(PodPeer):
+class DuplicateResponsePeer(FakeEndpoint):
     """Responds a second time on the previous connection when a request arrives on another one.
 
     It then waits until the previous connection is closed, before it responds to the new request.
@@ -379,12 +379,12 @@
 
     def serve(self, connection, stream):
         try:
-            while (words := words_of(stream)) is not None:
+            while (words := read_command(stream)) is not None:
                 previous, self.previous = self.previous, connection
                 if previous not in (None, connection):
                     previous.sendall(value(b"a second answer"))
                     self.duplicates += 1
-                    while self.closed_connections.get(timeout=PATIENCE) is not previous:
+                    while self.closed_connections.get(timeout=TIMEOUT_SECONDS) is not previous:
                         pass
                 connection.sendall(value(words[2]))
         finally:
@@ -401,14 +401,14 @@
             def send_two_requests():
                 for request_id in (f"{next(request_ids)}", f"{next(request_ids)}"):
                     self.assertEqual(
-                        client.ask("SVC.QUERY", "a", request_id, READ), request_id.encode()
+                        client.request("SVC.QUERY", "a", request_id, READ), request_id.encode()
                     )
 
             # If the machine delays the second request beyond the rest, both use one connection: try again.
-            until(lambda: endpoint.duplicates, send_two_requests)
+            wait_until(lambda: endpoint.duplicates, send_two_requests)
 
 
-class CloseAfterResponsePeer(PodPeer):
+class CloseAfterResponsePeer(FakeEndpoint):
     """Closes the connection right after a response; the sidecar is stopped until both have arrived."""
 
     def __init__(self, reset):
@@ -417,7 +417,7 @@
 
     def stop_process(self):
         self.process.send_signal(signal.SIGSTOP)
-        until(
+        wait_until(
             lambda: (
                 Path(f"/proc/{self.process.pid}/stat").read_text().rpartition(") ")[2][0] == "T"
             ),
@@ -425,12 +425,14 @@
         )
 
     def serve(self, connection, stream):
-        words = words_of(stream)
-        self.heard.put(words)
+        words = read_command(stream)
+        self.received_commands.put(words)
         self.stop_process()
         connection.sendall(value(words[2] * 1000))
         unread = array.array("i", [1])
-        until(lambda: unread[0] == 0, lambda: fcntl.ioctl(connection, termios.TIOCOUTQ, unread))
+        wait_until(
+            lambda: unread[0] == 0, lambda: fcntl.ioctl(connection, termios.TIOCOUTQ, unread)
+        )
         if self.reset:
             connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         stream.close()
@@ -438,12 +440,12 @@
         self.process.send_signal(signal.SIGCONT)
 
 
-class BytewiseResponsePeer(PodPeer):
+class BytewiseResponsePeer(FakeEndpoint):
     """Sends its responses byte by byte."""
 
     def serve(self, connection, stream):
         connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        while (words := words_of(stream)) is not None:
+        while (words := read_command(stream)) is not None:
             for byte in value(words[2]):
                 connection.sendall(bytes((byte,)))
 
@@ -458,16 +460,18 @@
             with running.client() as client:
                 for request_id in (b"1", b"2"):
                     self.assertEqual(
-                        client.ask("SVC.SUBMIT", "a", request_id, PAY, "B"), request_id * 1000
+                        client.request("SVC.SUBMIT", "a", request_id, PAY, "B"), request_id * 1000
                     )
-            self.assertEqual(endpoint.heard.qsize(), 2)
+            self.assertEqual(endpoint.received_commands.qsize(), 2)
 
     def test_response_in_single_bytes_is_assembled(self):
         endpoint = BytewiseResponsePeer()
         self.addCleanup(endpoint.close)
         with self.program(endpoint.entry("s-1")).client() as client:
             for request_id in (b"11", b"12"):
-                self.assertEqual(client.ask("SVC.SUBMIT", "a", request_id, PAY, "B"), request_id)
+                self.assertEqual(
+                    client.request("SVC.SUBMIT", "a", request_id, PAY, "B"), request_id
+                )
 
 
 class TruncatedResponseTest(unittest.TestCase):
@@ -800,7 +804,7 @@
                 if random_source.random() < self.REQUESTS_PER_SECOND / 100:
                     checker.taken(now, "", f"{step}", "read", now + 50_000)
                     client.dataReceived(
-                        command(
+                        encode_command(
                             "SVC.QUERY", f"{random_source.random()}", f"{step}", "c=read,d=5000"
                         )
                     )
@@ -854,14 +858,14 @@
         """Accepts the next connection, and reads the first command."""
         connection, _ = self.listener.accept()
         with connection.makefile("rb") as stream:
-            words = words_of(stream)
+            words = read_command(stream)
         self.heard.append(words[2])
         return connection
 
     def accept_all(self):
         def serve(connection):
             with connection, connection.makefile("rb") as stream:
-                while (words := words_of(stream)) is not None:
+                while (words := read_command(stream)) is not None:
                     self.heard.append(words[2])
                     connection.sendall(value(words[2]))
 
@@ -880,7 +884,7 @@
         for backlog_socket in self.backlog_sockets:
             backlog_socket.close()
 
-    entry = PodPeer.entry
+    entry = FakeEndpoint.entry
 
 
 class HeldAttemptOverSocketsTest(WithPods):
@@ -908,8 +912,8 @@
             endpoint.accept_all()
             # The next request waits for the same dials, so a retry would be received before its response.
             with self.subTest("answered"):
-                self.assertRegex(client.answer(), b"^-ERR")
-            self.assertEqual(client.ask("SVC.QUERY", "a", "02", READ), b"02")
+                self.assertRegex(client.read_response(), b"^-ERR")
+            self.assertEqual(client.request("SVC.QUERY", "a", "02", READ), b"02")
         self.assertEqual(endpoint.heard, [b"01", b"02"])
 
     def test_non_idempotent_request_is_written_at_most_once_with_slow_dials_and_resets(
@@ -922,12 +926,15 @@
             held_endpoint.entry("s-1", weight=9.0), endpoint.entry("s-2")
         ).client() as client:
             for request_id in request_ids:
-                self.assertRegex(client.ask("SVC.SUBMIT", "a", request_id, PAY, "B"), b"^-")
-            written = [endpoint.heard.get()[2] for _ in range(endpoint.heard.qsize())]
+                self.assertRegex(client.request("SVC.SUBMIT", "a", request_id, PAY, "B"), b"^-")
+            written = [
+                endpoint.received_commands.get()[2]
+                for _ in range(endpoint.received_commands.qsize())
+            ]
             held_endpoint.accept_all()
-            until(
+            wait_until(
                 lambda: held_endpoint.heard,
-                lambda: client.ask("SVC.QUERY", "b", f"{time.monotonic_ns()}", READ),
+                lambda: client.request("SVC.QUERY", "b", f"{time.monotonic_ns()}", READ),
             )
         self.assertEqual(sorted(set(written)), sorted(written))
         self.assertNotEqual(written, [])
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -12,7 +12,7 @@
 
 import orjson
 
-from tests.support.peers import PATIENCE, SETTINGS, PodPeer
+from tests.support.peers import SETTINGS, TIMEOUT_SECONDS, FakeEndpoint
 from tests.support.programs import Program
 from tests.unit.proxy.test_proxy import Network
 from thymeknot.interface.actions import (
@@ -1060,14 +1060,14 @@
 
     def test_sidecar_serves_every_class_at_each_limit(self):
         for edge in (0, -1):
-            endpoint = PodPeer()
+            endpoint = FakeEndpoint()
             self.addCleanup(endpoint.close)
             with (
                 Program(endpoint.entry("пoд №1 {x}"), change=self.change_settings(edge)) as program,
                 program.client() as client,
             ):
                 for number, class_name in enumerate(NAMES * 2):
-                    response = client.ask(
+                    response = client.request(
                         "SVC.SUBMIT",
                         "k",
                         f"{number:x}",
@@ -1076,7 +1076,7 @@
                     )
                     self.assertEqual(response, b"%x" % number, (edge, class_name))
                 program.process.terminate()
-                self.assertEqual(program.process.wait(PATIENCE), 0)
+                self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
                 faults = [line for line in list(program.lines.queue) if b'"level":"error"' in line]
                 self.assertEqual(faults, [])
 
