--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -84,8 +84,8 @@
     def test_engine_reports_the_cause_of_a_rejection(self):
         engine = make_policy_engine(make_endpoint("a"), max_attempts=1)
         engine.context.reason_callback = self.summary.record
-        engine.handle(NOW, [taken()])
-        engine.handle(NOW, [ended(outcome=Outcome.REJECTED, address="a")])
+        engine.handle(NOW, [make_request()])
+        engine.handle(NOW, [make_attempt_ended(outcome=Outcome.REJECTED, address="a")])
         self.summary.flush(NOW + LOG_INTERVAL)
         self.assertEqual(self.lines[0][1]["deferred"], {"MOST_DELIVERIES": 1})
 
