--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tests.support import order_rig
-from tests.support.order_rig import COMES_UP, HANGS, REFUSES, Wrong, play, smallest
+from tests.support.order_rig import ACCEPTS, HANGS, REFUSES, CheckFailed, minimize, play
 from thymeknot.policy import idempotency
 from thymeknot.protocol.client import ClientConnection
 from thymeknot.proxy.attempt import Attempt
@@ -28,46 +28,58 @@
 
 
 MODES = st.sampled_from(
-    ("good", "good", "big", "twice", "half", "spoilt", "error", "error", "busy", "reset", "silent")
+    (
+        "good",
+        "good",
+        "big",
+        "duplicate",
+        "truncated",
+        "malformed",
+        "error",
+        "error",
+        "busy",
+        "reset",
+        "silent",
+    )
 )
 LAG = st.sampled_from((0, 3, 30, 100, 600, 2000))
 COMMON = (
-    order("ask", ONE, LANE, LEFT, KEY, st.sampled_from((1, 1, 2, 5))),
-    order("pod_does", POD, MODES, LAG),
-    order("passes", st.sampled_from((1, 30, 100, 400))),
+    order("send_requests", ONE, LANE, LEFT, KEY, st.sampled_from((1, 1, 2, 5))),
+    order("set_response_mode", POD, MODES, LAG),
+    order("advance_time", st.sampled_from((1, 30, 100, 400))),
     order(
-        "listed",
+        "change_endpoint",
         POD,
         st.sampled_from(("Ready", "Terminating", "Gone", "restarted", "other build", "moved")),
     ),
-    order("leave", ONE, st.sampled_from(("close", "shut", "reset"))),
-    order("dials", POD, st.sampled_from((COMES_UP, HANGS, HANGS, REFUSES))),
-    order("dials_end", st.booleans()),
+    order("disconnect", ONE, st.sampled_from(("close", "shut", "reset"))),
+    order("set_connect_mode", POD, st.sampled_from((ACCEPTS, HANGS, HANGS, REFUSES))),
+    order("finish_connects", st.booleans()),
 )
 SELDOM = (
-    order("leave_unread", ONE, LANE, st.sampled_from(("close", "shut", "reset"))),
+    order("disconnect_before_read", ONE, LANE, st.sampled_from(("close", "shut", "reset"))),
     order("writes_first", st.booleans()),
-    order("open"),
+    order("open_client"),
     order("flood", ONE, LEFT),
-    order("again", ONE, ONE),
+    order("reuse_id", ONE, ONE),
     order("ping", ONE),
-    order("wrong", ONE),
-    order("part", ONE, LANE, LEFT),
-    order("rest", ONE),
-    order("garbage", ONE),
-    order("hold", ONE, st.sampled_from((0, 10, 70_000))),
-    order("free", ONE),
-    order("pod_takes", POD, st.sampled_from((0, 40, None))),
-    order("pod_ends", POD, st.sampled_from(("close", "shut", "reset"))),
-    order("whole"),
+    order("send_unsupported", ONE),
+    order("send_partial", ONE, LANE, LEFT),
+    order("send_remainder", ONE),
+    order("send_garbage", ONE),
+    order("pause_reading", ONE, st.sampled_from((0, 10, 70_000))),
+    order("resume_reading", ONE),
+    order("limit_endpoint_reads", POD, st.sampled_from((0, 40, None))),
+    order("close_endpoint_connections", POD, st.sampled_from(("close", "shut", "reset"))),
+    order("push_full_list"),
     order(
-        "built",
+        "change_release",
         st.sampled_from(("trial", "rolling_back", "withdrawn", "released", "next")),
         st.sampled_from((0.0, 0.5, 1.0)),
     ),
-    order("streams_are", st.sampled_from(("live", "silent", "ended"))),
-    order("move", st.integers(0, 1), st.integers(0, 1)),
-    order("passes", st.sampled_from((2_600, 11_000))),
+    order("set_stream_mode", st.sampled_from(("live", "silent", "ended"))),
+    order("change_addresses", st.integers(0, 1), st.integers(0, 1)),
+    order("advance_time", st.sampled_from((2_600, 11_000))),
     order("drain"),
     order("undrain"),
     order("finish"),
@@ -75,8 +87,10 @@
 ASKS = COMMON[0]
 # Three of the five alternatives draw a request or a common event.
 ORDERS = st.one_of(ASKS, st.one_of(COMMON), st.one_of(COMMON), st.one_of(SELDOM), st.one_of(SELDOM))
-STARTS = ("open", -1), ("open", -1)
-HANG, COME_UP = ([("dials", pod, how, -1) for pod in range(3)] for how in (HANGS, COMES_UP))
+STARTS = ("open_client", -1), ("open_client", -1)
+HANG, COME_UP = (
+    [("set_connect_mode", pod, how, -1) for pod in range(3)] for how in (HANGS, ACCEPTS)
+)
 DRAWN = st.lists(ORDERS, min_size=20, max_size=50)
 # Without a fixed seed the draws depend on a digest of the test's source, which a formatter changes.
 # This is the digest before the first formatted commit.
@@ -102,7 +116,7 @@
         try:
             play(*STARTS, *drawn)
         except Exception as error:
-            self.fail(f"{error!r}; {smallest(STARTS, drawn, error)}")
+            self.fail(f"{error!r}; {minimize(STARTS, drawn, error)}")
 
 
 class RegressionTest(unittest.TestCase):
@@ -112,17 +126,17 @@
     """
 
     def test_client_disconnect_while_reading_is_paused_ends_its_attempts(self):
-        with mock.patch.object(order_rig, "ENDS_WHILE_NOT_READ", True):
+        with mock.patch.object(order_rig, "DISCONNECTS_WHILE_READING_PAUSED", True):
             for how in ("close", "shut", "reset"):
                 with self.subTest(how):
                     play(
                         *STARTS,
                         *HANG,
                         ("flood", 0, 2, -1),
-                        ("leave", 0, how, -1),
-                        ("passes", 400, -1),
+                        ("disconnect", 0, how, -1),
+                        ("advance_time", 400, -1),
                         *COME_UP,
-                        ("passes", 400, -1),
+                        ("advance_time", 400, -1),
                     )
 
     def test_request_read_after_disconnect_is_not_forwarded(self):
@@ -131,43 +145,43 @@
                 play(
                     *STARTS,
                     ("writes_first", True, -1),
-                    ("ask", 0, 0, 2, 0, 3, -1),
-                    ("passes", 400, -1),
-                    ("leave_unread", 1, 0, how, -1),
-                    ("passes", 400, -1),
+                    ("send_requests", 0, 0, 2, 0, 3, -1),
+                    ("advance_time", 400, -1),
+                    ("disconnect_before_read", 1, 0, how, -1),
+                    ("advance_time", 400, -1),
                 )
 
     def test_duplicate_response_is_not_used_for_the_next_request(self):
-        with mock.patch.object(order_rig, "SECOND_COPIES_MEET_OTHERS", True):
+        with mock.patch.object(order_rig, "DUPLICATE_RESPONSES_REACH_NEXT_REQUEST", True):
             play(
                 *STARTS,
-                ("listed", 1, "Gone", -1),
-                ("listed", 2, "Gone", -1),
-                ("pod_does", 0, "twice", 30, -1),
-                ("ask", 0, 0, 2, 0, 1, -1),
-                ("passes", 31, -1),
-                ("ask", 1, 0, 2, 0, 1, -1),
-                ("passes", 100, -1),
+                ("change_endpoint", 1, "Gone", -1),
+                ("change_endpoint", 2, "Gone", -1),
+                ("set_response_mode", 0, "duplicate", 30, -1),
+                ("send_requests", 0, 0, 2, 0, 1, -1),
+                ("advance_time", 31, -1),
+                ("send_requests", 1, 0, 2, 0, 1, -1),
+                ("advance_time", 100, -1),
             )
 
     def test_unwritten_attempt_is_not_sent_after_a_drain(self):
-        with mock.patch.object(order_rig, "PODS_TAKE_NOTHING", True):
+        with mock.patch.object(order_rig, "ENDPOINTS_READ_NOTHING", True):
             play(
                 *STARTS,
-                *(("pod_takes", pod, 0, -1) for pod in range(3)),
-                ("ask", 0, 0, 2, 0, 3, -1),
-                *(("listed", pod, "Terminating", -1) for pod in range(3)),
-                ("passes", 100, -1),
+                *(("limit_endpoint_reads", pod, 0, -1) for pod in range(3)),
+                ("send_requests", 0, 0, 2, 0, 3, -1),
+                *(("change_endpoint", pod, "Terminating", -1) for pod in range(3)),
+                ("advance_time", 100, -1),
             )
 
     def test_attempt_decided_after_disconnect_is_ended_by_its_own_id(self):
         play(
             *STARTS,
-            ("pod_takes", 1, 0, 0),
+            ("limit_endpoint_reads", 1, 0, 0),
             ("flood", 0, 0, 0),
-            ("pod_does", 1, "busy", 2000, -1),
-            ("leave", 0, "shut", -1),
-            ("listed", 1, "Terminating", -1),
+            ("set_response_mode", 1, "busy", 2000, -1),
+            ("disconnect", 0, "shut", -1),
+            ("change_endpoint", 1, "Terminating", -1),
         )
 
     def test_disconnect_while_reading_is_paused_is_detected_in_time(self):
@@ -180,14 +194,14 @@
         """
         play(
             *STARTS,
-            ("passes", 1, 1),
-            ("pod_takes", 1, 40, -1),
-            ("open", -1),
-            ("passes", 100, -1),
+            ("advance_time", 1, 1),
+            ("limit_endpoint_reads", 1, 40, -1),
+            ("open_client", -1),
+            ("advance_time", 100, -1),
             ("flood", 1, 0, -1),
-            ("leave_unread", 3, 0, "close", 1),
+            ("disconnect_before_read", 3, 0, "close", 1),
             ("writes_first", False, -1),
-            ("leave", 1, "reset", -1),
+            ("disconnect", 1, "reset", -1),
         )
 
     def test_checker_excludes_time_in_which_the_process_was_suspended(self):
@@ -197,14 +211,14 @@
         iteration of the loop closes the connection. The checker counts only time in which the
         sidecar could run, and still finds a connection that stays open.
         """
-        finished = *STARTS, ("ping", 1, -1), ("finish", -1), ("passes", 1, 1)
-        play(*finished, ("leave_unread", 0, 1, "shut", 0))
-        play(*finished, ("held_up", 150, 0))
+        finished = *STARTS, ("ping", 1, -1), ("finish", -1), ("advance_time", 1, 1)
+        play(*finished, ("disconnect_before_read", 0, 1, "shut", 0))
+        play(*finished, ("stall_process", 150, 0))
         with (
             mock.patch.object(ClientConnection, "finish", lambda self: None),
-            self.assertRaises(Wrong) as raised,
+            self.assertRaises(CheckFailed) as raised,
         ):
-            play(*finished, ("held_up", 150, 0), ("passes", 151, -1))
+            play(*finished, ("stall_process", 150, 0), ("advance_time", 151, -1))
         self.assertRegex(str(raised.exception), "owed nothing and open 0.3.* s after the end")
 
     def test_checker_uses_the_build_listed_when_a_partial_command_began(self):
@@ -216,31 +230,35 @@
         """
         initial_events = (
             *STARTS,
-            ("built", "withdrawn", 1.0, 1),
-            ("pod_takes", 0, 40, 0),
-            ("ask", 3, 0, 2, 0, 5, 0),
+            ("change_release", "withdrawn", 1.0, 1),
+            ("limit_endpoint_reads", 0, 40, 0),
+            ("send_requests", 3, 0, 2, 0, 5, 0),
         )
-        play(*initial_events, ("passes", 2600, -1), ("listed", 0, "other build", 1))
+        play(*initial_events, ("advance_time", 2600, -1), ("change_endpoint", 0, "other build", 1))
         with (
-            mock.patch.object(order_rig.Pod, "build_known_at", lambda self, moment: 42),
-            self.assertRaises(Wrong) as raised,
+            mock.patch.object(order_rig.SteppedEndpoint, "build_known_at", lambda self, moment: 42),
+            self.assertRaises(CheckFailed) as raised,
         ):
-            play(*initial_events, ("passes", 2600, -1), ("listed", 0, "Terminating", 1))
+            play(
+                *initial_events,
+                ("advance_time", 2600, -1),
+                ("change_endpoint", 0, "Terminating", 1),
+            )
         self.assertRegex(str(raised.exception), "though the newest build takes nothing")
 
     def test_immediate_responses_are_allowed(self):
-        with mock.patch.object(order_rig, "ANSWERS_AT_ONCE", True):
+        with mock.patch.object(order_rig, "RESPONSES_WITHOUT_DELAY", True):
             play(
                 *STARTS,
-                ("pod_does", 1, "twice", 0, -1),
-                ("pod_takes", 0, 40, -1),
+                ("set_response_mode", 1, "duplicate", 0, -1),
+                ("limit_endpoint_reads", 0, 40, -1),
                 ("flood", 1, 2, -1),
-                ("passes", 11000, -1),
+                ("advance_time", 11000, -1),
             )
 
     def test_drain_during_undrain_stops_listening(self):
-        with mock.patch.object(order_rig, "DRAINS_WHILE_COMING_BACK", True):
-            play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("passes", 100, -1))
+        with mock.patch.object(order_rig, "DRAINS_DURING_UNDRAIN", True):
+            play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("advance_time", 100, -1))
 
 
 class CheckerTest(unittest.TestCase):
@@ -252,7 +270,7 @@
         def run(drawn):
             play(*STARTS, *drawn)
 
-        with mock.patch.object(target, name, replacement), self.assertRaises(Wrong) as raised:
+        with mock.patch.object(target, name, replacement), self.assertRaises(CheckFailed) as raised:
             run()
         self.assertRegex(str(raised.exception), error_pattern)
 
@@ -277,15 +295,15 @@
             mock.patch.object(Proxy, "withdraw_unwritten", lambda self, fails: None),
             # may_be_written would prevent the write as well.
             mock.patch.object(Attempt, "may_be_written", lambda self, address: True),
-            self.assertRaises(Wrong) as raised,
+            self.assertRaises(CheckFailed) as raised,
         ):
             play(
                 *STARTS,
                 *HANG,
-                ("ask", 0, 0, 2, 0, 3, -1),
-                *(("listed", pod, "Terminating", -1) for pod in range(3)),
-                ("passes", 100, -1),
-                ("dials_end", True, -1),
+                ("send_requests", 0, 0, 2, 0, 3, -1),
+                *(("change_endpoint", pod, "Terminating", -1) for pod in range(3)),
+                ("advance_time", 100, -1),
+                ("finish_connects", True, -1),
             )
         self.assertRegex(str(raised.exception), "after its drain was told")
 
@@ -305,29 +323,29 @@
     def test_repeated_non_idempotent_request_is_detected(self):
         with (
             mock.patch.object(idempotency, "may_repeat", lambda request, now, by_client: True),
-            self.assertRaises(Wrong) as raised,
+            self.assertRaises(CheckFailed) as raised,
         ):
             play(
                 *STARTS,
-                *(("pod_does", pod, "error", 3, -1) for pod in range(3)),
-                ("ask", 0, 2, 2, 0, 1, -1),
+                *(("set_response_mode", pod, "error", 3, -1) for pod in range(3)),
+                ("send_requests", 0, 2, 2, 0, 1, -1),
             )
         self.assertRegex(str(raised.exception), "binding .* may have run")
 
     def test_undetected_client_disconnect_is_detected(self):
         with (
             mock.patch.object(ClientRequests, "client_disconnected", lambda self, connection: None),
-            self.assertRaises(Wrong) as raised,
+            self.assertRaises(CheckFailed) as raised,
         ):
             play(
                 *STARTS,
                 *HANG,
-                ("ask", 0, 0, 2, 0, 3, -1),
-                ("leave", 0, "close", -1),
-                ("passes", 400, -1),
-                ("dials_end", True, -1),
+                ("send_requests", 0, 0, 2, 0, 3, -1),
+                ("disconnect", 0, "close", -1),
+                ("advance_time", 400, -1),
+                ("finish_connects", True, -1),
                 *COME_UP,
-                ("passes", 400, -1),
+                ("advance_time", 400, -1),
             )
         self.assertRegex(str(raised.exception), "after its client left")
 
--- a/tests/integration/test_gossip.py
+++ b/tests/integration/test_gossip.py
@@ -6,7 +6,7 @@
 
 from measure.gossip import main
 from measure.gossip_loopback import HONEST, Fleet, loopback
-from tests.support.peers import until
+from tests.support.peers import wait_until
 from thymeknot.gossip import keys
 
 
@@ -37,7 +37,7 @@
                 for line in log_lines[name]
             )
 
-        until(
+        wait_until(
             lambda: all(
                 peer_became(name, other, "alive")
                 for name in log_lines
@@ -52,7 +52,7 @@
             revoked = f']\nrevoked: ["{fleet.identities["n2"].public_key_text()}"]\nhearsay'
             output.write(fleet.text("n0").replace("]\nhearsay", revoked))
         n0.process.send_signal(signal.SIGHUP)
-        until(
+        wait_until(
             lambda: any(line["event"] == "operator file reloaded" for line in log_lines["n0"]),
             collect_log_lines,
         )
@@ -60,7 +60,7 @@
         with open(n0.operator, "w", encoding="utf-8") as output:
             output.write("gossip: name: 7")
         n0.process.send_signal(signal.SIGHUP)
-        until(
+        wait_until(
             lambda: any(
                 line["event"] == "operator file rejected" and "gossip.name" in line["error"]
                 for line in log_lines["n0"]
@@ -68,7 +68,7 @@
             collect_log_lines,
         )
         fleet.programs["n1"].process.send_signal(signal.SIGTERM)
-        until(
+        wait_until(
             lambda: peer_became("n0", "n1", "left") and peer_became("n2", "n1", "left"),
             collect_log_lines,
         )
--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -15,8 +15,14 @@
 from unittest import mock
 
 from tests.integration.test_sockets import READ, WithPods, value
-from tests.support.peers import PATIENCE, DiscoveryPeer, until
-from tests.support.programs import Program, begun_by, coded, patient, stands_still
+from tests.support.peers import TIMEOUT_SECONDS, FakeDiscovery, wait_until
+from tests.support.programs import (
+    Program,
+    pause_at_sigterm,
+    run_after_setup,
+    run_with_code,
+    without_first_list_timeout,
+)
 from thymeknot.proxy.endpoint_updates import notifying_reader
 from thymeknot.service import lifecycle
 
@@ -32,13 +38,13 @@
                 if line.startswith(("SigPnd", "ShdPnd")) and int(line.split()[1], 16)
             ]
 
-    until(lambda: not pending(), lambda: None)
+    wait_until(lambda: not pending(), lambda: None)
 
 
 class FifoProgram(Program):
     """A program whose configuration file is a FIFO, so that the test controls when it is read."""
 
-    def write(self, told):
+    def write_config(self, told):
         os.mkfifo(self.path)
 
     def open_and_write(self, content):
@@ -53,7 +59,7 @@
                     raise
                 time.sleep(0.005)
 
-        until(lambda: descriptors, attempt)
+        wait_until(lambda: descriptors, attempt)
         output = os.fdopen(descriptors[0], "wb", buffering=0)
         output.write(content if isinstance(content, bytes) else json.dumps(content).encode())
         return output
@@ -75,45 +81,48 @@
         return program
 
     def test_sighup_while_the_file_is_read_reloads_it_once_serving(self):
-        new = DiscoveryPeer()
+        new = FakeDiscovery()
         self.addCleanup(new.close)
         program = self.fifo_program()
         # The program has the file open and waits for its end.
-        first = program.open_and_write(program.told)
+        first = program.open_and_write(program.config)
         program.process.send_signal(signal.SIGHUP)
         program.wait_until_signals_delivered()
         program.finish_read(first)
         # Returns only if the program reads the file again.
-        program.finish_read(program.open_and_write({**program.told, "discovery": new.address}))
+        program.finish_read(program.open_and_write({**program.config, "discovery": new.address}))
         # The program may reconfigure before its first request to the former address.
-        program.discovery.asked.put("perhaps never")
+        program.discovery.stream_requests.put("perhaps never")
         program.__enter__()
-        self.assertEqual(program.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=PATIENCE)
+        self.assertEqual(program.wait_for_log("configuration reloaded")["discovery"], new.address)
+        new.stream_requests.get(timeout=TIMEOUT_SECONDS)
 
     def test_partial_file_is_read_again_at_startup_after_sighup(self):
         program = self.fifo_program()
-        half = program.open_and_write(json.dumps(program.told).encode()[:100])
+        half = program.open_and_write(json.dumps(program.config).encode()[:100])
         program.process.send_signal(signal.SIGHUP)
         program.wait_until_signals_delivered()
         program.finish_read(half)
-        program.finish_read(program.open_and_write(program.told))
+        program.finish_read(program.open_and_write(program.config))
         program.__enter__()
         with program.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_sighup_before_serving_reloads_the_file(self):
-        with patient():
+        with without_first_list_timeout():
             program = self.fifo_program(silent=True)
-        program.finish_read(program.open_and_write(program.told))
-        program.discovery.asked.get(timeout=PATIENCE)  # started, waiting for the first list
+        program.finish_read(program.open_and_write(program.config))
+        # Started, waiting for the first list.
+        program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
         program.process.send_signal(signal.SIGHUP)
         program.wait_until_signals_delivered()
-        program.discovery.say("\n")
-        program.finish_read(program.open_and_write({**program.told, "name": "n2"}))
-        program.discovery.asked.put("again")
+        program.discovery.push_raw("\n")
+        program.finish_read(program.open_and_write({**program.config, "name": "n2"}))
+        program.discovery.stream_requests.put("again")
         program.__enter__()
-        self.assertEqual(program.logged("configuration reloaded")["only_at_a_start"], ["name"])
+        self.assertEqual(
+            program.wait_for_log("configuration reloaded")["only_at_a_start"], ["name"]
+        )
 
     def program_waiting_for_address(self):
         """Returns a program that waits for its address, and the socket that occupies it."""
@@ -126,31 +135,35 @@
         program = Program(change=change)
         self.addCleanup(program.__exit__)
         self.addCleanup(held[0].close)
-        until(lambda: b'"address in use"' in program.process.stdout.readline(), lambda: None)
+        wait_until(lambda: b'"address in use"' in program.process.stdout.readline(), lambda: None)
         return program, held[0]
 
     def test_startup_waits_for_an_address_in_use_and_handles_sighup(self):
         program, other = self.program_waiting_for_address()
-        program.write({**program.told, "name": "n2"})
+        program.write_config({**program.config, "name": "n2"})
         program.process.send_signal(signal.SIGHUP)
         wait_until_signals_delivered(program.process)
         other.close()
         program.__enter__()
         with program.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
-        self.assertEqual(program.logged("configuration reloaded")["only_at_a_start"], ["name"])
+            self.assertEqual(client.request("PING"), b"+PONG")
+        self.assertEqual(
+            program.wait_for_log("configuration reloaded")["only_at_a_start"], ["name"]
+        )
 
     def test_sigterm_ends_the_wait_for_an_address_in_use(self):
         program, _ = self.program_waiting_for_address()
         program.process.send_signal(signal.SIGTERM)
-        self.assertEqual((program.process.wait(PATIENCE), program.process.stderr.read()), (0, b""))
+        self.assertEqual(
+            (program.process.wait(TIMEOUT_SECONDS), program.process.stderr.read()), (0, b"")
+        )
 
     def test_sigterm_while_the_file_is_read_terminates_without_output(self):
         for signal_number in (signal.SIGTERM, signal.SIGINT):
             program = self.fifo_program()
             output = program.open_and_write(b"{")
             program.process.send_signal(signal_number)
-            out, error = program.process.communicate(timeout=PATIENCE)
+            out, error = program.process.communicate(timeout=TIMEOUT_SECONDS)
             output.close()
             self.assertEqual((program.process.returncode, out, error), (-signal_number, b"", b""))
 
@@ -159,14 +172,14 @@
             [signal.SIGTERM],
             [signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGTERM],
         ):
-            with patient():
+            with without_first_list_timeout():
                 program = Program(silent=True)
             self.addCleanup(program.__exit__)
             # Started, waiting for the first list.
-            program.discovery.asked.get(timeout=PATIENCE)
+            program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
             for signal_number in signal_numbers:
                 program.process.send_signal(signal_number)
-            out, error = program.process.communicate(timeout=PATIENCE)
+            out, error = program.process.communicate(timeout=TIMEOUT_SECONDS)
             self.assertEqual((program.process.returncode, error), (0, b""))
             events = [json.loads(line)["event"] for line in out.splitlines()]
             # A silent watch stream may have been closed before the signal.
@@ -183,11 +196,11 @@
             os.kill(os.getpid(), signal.SIGHUP)
 sys.meta_path.insert(0, Finder())
 runpy.run_module("thymeknot", run_name="__main__")"""
-        with coded(code):
+        with run_with_code(code):
             program = Program()
         self.addCleanup(program.__exit__)
         with program.__enter__().client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_signal_at_interpreter_exit_does_not_change_the_exit_status(self):
         """The interpreter restores the default handlers before it clears its modules.
@@ -201,12 +214,12 @@
     def __del__(self):
         self.kill(self.own, {int(signal_number)})
 last = Last()"""
-                with begun_by(code_at_exit):
+                with run_after_setup(code_at_exit):
                     program = Program(change=change)
                 self.addCleanup(program.__exit__)
                 if not exit_status:
                     program.__enter__().process.send_signal(signal.SIGTERM)
-                self.assertEqual(program.process.wait(PATIENCE), exit_status, signal_number)
+                self.assertEqual(program.process.wait(TIMEOUT_SECONDS), exit_status, signal_number)
 
 
 class FirstEndpointListTest(WithPods):
@@ -215,10 +228,12 @@
 
         If it listened without a list, it would do so by then.
         """
-        with patient():
+        with without_first_list_timeout():
             program = Program(*entries, silent=True)
         self.addCleanup(program.__exit__)
-        program.discovery.asked.put(program.discovery.asked.get(timeout=PATIENCE))
+        program.discovery.stream_requests.put(
+            program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        )
         with self.assertRaises(ConnectionRefusedError):
             program.client()
         return program
@@ -228,14 +243,14 @@
         program = self.start_without_list(left.entry("s-1"))
         program.discovery.push_list(9, left.entry("s-1", state="Terminating"), new.entry("s-2"))
         with program.__enter__().client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
-        self.assertEqual((left.heard.qsize(), new.heard.qsize()), (0, 1))
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
+        self.assertEqual((left.received_commands.qsize(), new.received_commands.qsize()), (0, 1))
 
     def test_heartbeat_indicates_that_there_is_no_list(self):
         program = self.start_without_list()
-        program.discovery.say("\n")
+        program.discovery.push_raw("\n")
         with program.__enter__().client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_partial_list_does_not_notify(self):
         calls = []
@@ -253,60 +268,62 @@
         pod = self.pod()
         program = self.program(pod.entry("s-1"), silent=True)
         with program.client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
 
     def test_polled_lists_are_not_waited_for(self):
         def change(told):
             told["settings"].update(discovery="subscribe", balancers=400)
 
-        with patient():
+        with without_first_list_timeout():
             program = Program(change=change)
         self.addCleanup(program.__exit__)
-        program.discovery.asked.put("later")
+        program.discovery.stream_requests.put("later")
         program.__enter__()
         with program.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
 
 class ShutdownTest(WithPods):
     def test_sighup_during_shutdown_reconfigures_and_requests_in_flight_are_answered(self):
-        release, new = threading.Event(), DiscoveryPeer()
+        release, new = threading.Event(), FakeDiscovery()
         self.addCleanup(new.close)
 
         def answer(words):
-            release.wait(PATIENCE)
+            release.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         pod = self.pod(answer)
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
             client.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=PATIENCE)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             program.process.send_signal(signal.SIGTERM)
-            program.logged("stopping")
-            program.write({**program.told, "discovery": new.address})
+            program.wait_for_log("stopping")
+            program.write_config({**program.config, "discovery": new.address})
             program.process.send_signal(signal.SIGHUP)
-            self.assertEqual(program.logged("configuration reloaded")["discovery"], new.address)
+            self.assertEqual(
+                program.wait_for_log("configuration reloaded")["discovery"], new.address
+            )
             program.process.send_signal(signal.SIGHUP)
-            program.logged("configuration reloaded")
+            program.wait_for_log("configuration reloaded")
             with open(program.path, "w", encoding="utf-8") as output:
                 output.write("{")
             program.process.send_signal(signal.SIGHUP)
-            program.logged("configuration rejected")
+            program.wait_for_log("configuration rejected")
             program.process.send_signal(signal.SIGTERM)
             release.set()
-            self.assertEqual((client.answer(), client.answer()), (b"01", b""))
-        self.assertEqual(program.process.wait(PATIENCE), 0)
+            self.assertEqual((client.read_response(), client.read_response()), (b"01", b""))
+        self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_listener_backlog_is_answered_during_shutdown(self):
         pod = self.pod()
-        with stands_still():
+        with pause_at_sigterm():
             program = self.program(pod.entry("s-1"))
         with program.client() as first:
             # The listener accepts as many connections at once as came the last time: one.
-            self.assertEqual(first.ask("PING"), b"+PONG")
+            self.assertEqual(first.request("PING"), b"+PONG")
             program.process.send_signal(signal.SIGTERM)
-            program.stood_still()
+            program.wait_until_stopped()
             started_at = time.monotonic()  # the shutdown deadline is set
             clients = [program.client() for _ in range(30)]
             for number, client in enumerate(clients):
@@ -318,25 +335,26 @@
             )
             program.process.send_signal(signal.SIGCONT)
             self.assertEqual(
-                [client.answer() for client in clients], [b"%02x" % number for number in range(30)]
+                [client.read_response() for client in clients],
+                [b"%02x" % number for number in range(30)],
             )
-        self.assertEqual(program.process.wait(PATIENCE), 0)
+        self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_listener_backlog_is_answered_at_the_descriptor_limit(self):
         """This holds as well if the process limit is lower than the configured one."""
         startup_code = (
             "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\n"
-            f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}"
+            f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {TIMEOUT_SECONDS}"
         )
         for sockets, sends_sigterm in ((64, False), (64, True), (256, False)):
-            with begun_by(startup_code):
+            with run_after_setup(startup_code):
                 program = Program(
                     silent=True,
                     change=lambda told, sockets=sockets: told["limits"].update(sockets=sockets),
                 )
             self.addCleanup(program.__exit__)
-            until(lambda program=program: program.discovery.streams, lambda: time.sleep(0.005))
-            program.discovery.say("\n")
+            wait_until(lambda program=program: program.discovery.streams, lambda: time.sleep(0.005))
+            program.discovery.push_raw("\n")
             program.__enter__().process.send_signal(signal.SIGSTOP)
             clients = [program.client() for _ in range(100)]
             for client in clients:
@@ -348,7 +366,9 @@
                 time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             program.process.send_signal(signal.SIGCONT)
             self.assertEqual(
-                [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, sends_sigterm)
+                [client.read_response() for client in clients],
+                [b"+PONG"] * 100,
+                (sockets, sends_sigterm),
             )
 
     def test_features_are_not_reconfigured_during_shutdown(self):
@@ -367,7 +387,7 @@
 
         def answer(form):
             voted.put(form)
-            release.wait(PATIENCE)
+            release.wait(TIMEOUT_SECONDS)
             return 500, b""
 
         pod = self.pod(
@@ -377,7 +397,7 @@
             pod.entry("s-1", 42),
             self.pod().entry("s-2"),
             answer=answer,
-            news={
+            release_state={
                 "version": 42,
                 "step": 0,
                 "status": "trial",
@@ -388,14 +408,14 @@
         self.addCleanup(release.set)
         count = iter(range(100_000))
         with program.client() as client:
-            until(
+            wait_until(
                 lambda: not voted.empty(),
-                lambda: client.ask("SVC.QUERY", "a", f"{next(count):x}", READ),
+                lambda: client.request("SVC.QUERY", "a", f"{next(count):x}", READ),
             )
             program.process.send_signal(signal.SIGTERM)
-            program.logged("stopping")
-            self.assertEqual(client.answer(), b"")
-        self.assertEqual(program.process.wait(PATIENCE), 0)
+            program.wait_for_log("stopping")
+            self.assertEqual(client.read_response(), b"")
+        self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
         self.assertFalse(release.is_set())
 
     def test_process_exits_before_the_platform_kills_it(self):
@@ -409,16 +429,16 @@
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
             client.send("SVC.QUERY", "a", "01", "c=read,t=acme,d=3000")
-            pod.heard.get(timeout=PATIENCE)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             program.process.send_signal(signal.SIGTERM)
-            stopping = program.logged("stopping")
+            stopping = program.wait_for_log("stopping")
             time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             client.send("SVC.QUERY", "a", "02", "c=read,t=acme,d=3000")
-            answers = [client.answer() for _ in range(3)]
-            stopped = program.logged("stopped")
+            answers = [client.read_response() for _ in range(3)]
+            stopped = program.wait_for_log("stopped")
         self.assertRegex(answers[0], b"^-")
         self.assertRegex(answers[1], b"^-")
-        self.assertEqual((answers[2], program.process.wait(PATIENCE)), (b"", 0))
+        self.assertEqual((answers[2], program.process.wait(TIMEOUT_SECONDS)), (b"", 0))
         # The time of the kill minus the 0.15 s for which a sidecar may be delayed.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
@@ -434,33 +454,34 @@
         program = self.program(pod.entry("s-1"))
         with program.client() as client:
             program.process.send_signal(signal.SIGTERM)
-            stopping = program.logged("stopping")
+            stopping = program.wait_for_log("stopping")
             time.sleep(0.9 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             for number in range(90):
                 client.send("SVC.QUERY", "a", f"{number:02x}", "c=read,t=acme,d=3000")
-            answers = [client.answer() for _ in range(91)]
-            stopped = program.logged("stopped")
-            self.assertEqual(program.process.wait(PATIENCE), 0)
+            answers = [client.read_response() for _ in range(91)]
+            stopped = program.wait_for_log("stopped")
+            self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
         self.assertEqual([answer[:1] for answer in answers], [b"-"] * 90 + [b""])
         # The time of the kill minus the 0.15 s for which a sidecar may be delayed.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
     def test_partial_file_is_rejected_and_the_complete_one_loaded_on_next_sighup(self):
-        new = DiscoveryPeer()
+        new = FakeDiscovery()
         self.addCleanup(new.close)
         program = self.program()
-        text = json.dumps({**program.told, "discovery": new.address})
+        text = json.dumps({**program.config, "discovery": new.address})
         with open(program.path, "w", encoding="utf-8") as output:
             output.write(text[: len(text) // 2])
             output.flush()
             program.process.send_signal(signal.SIGHUP)
             self.assertRegex(
-                program.logged("configuration rejected")["error"], "^NODE_CONFIG: is not valid JSON"
+                program.wait_for_log("configuration rejected")["error"],
+                "^NODE_CONFIG: is not valid JSON",
             )
             output.write(text[len(text) // 2 :])
         program.process.send_signal(signal.SIGHUP)
-        self.assertEqual(program.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=PATIENCE)
+        self.assertEqual(program.wait_for_log("configuration reloaded")["discovery"], new.address)
+        new.stream_requests.get(timeout=TIMEOUT_SECONDS)
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -5,8 +5,14 @@
 import threading
 import unittest
 
-from tests.support.peers import PATIENCE, DiscoveryPeer, PlatformPeer, PodPeer, until
-from tests.support.programs import Program, command, stands_still
+from tests.support.peers import (
+    TIMEOUT_SECONDS,
+    FakeDiscovery,
+    FakeEndpoint,
+    FakePlatform,
+    wait_until,
+)
+from tests.support.programs import Program, encode_command, pause_at_sigterm
 
 READ, MARK, PAY = "c=read,t=acme,d=15000", "c=mark,t=acme,d=15000,k=5c0f", "c=pay,t=acme,d=15000"
 
@@ -17,7 +23,7 @@
 
 class WithPods(unittest.TestCase):
     def pod(self, answer=None):
-        peer = PodPeer(answer)
+        peer = FakeEndpoint(answer)
         self.addCleanup(peer.close)
         return peer
 
@@ -36,8 +42,8 @@
                 ("SVC.SUBMIT", "7f3a", "02", MARK, "BODY"),
                 ("SVC.SUBMIT", "7f3a", "03", PAY, b"\r\n\x00" * 9000),
             ):
-                self.assertEqual(client.ask(*words), words[2].encode())
-                got = pod.heard.get(timeout=PATIENCE)
+                self.assertEqual(client.request(*words), words[2].encode())
+                got = pod.received_commands.get(timeout=TIMEOUT_SECONDS)
                 sent = [word if isinstance(word, bytes) else word.encode() for word in words]
                 self.assertEqual(got[:3] + got[4:], sent[:3] + sent[4:])
                 name, _, left = got[3].split(b",")[2].partition(b"=")
@@ -49,7 +55,7 @@
 
         def answer(words):
             if words[2] == b"01":
-                second.wait(PATIENCE)
+                second.wait(TIMEOUT_SECONDS)
             else:
                 second.set()
             return value(words[2])
@@ -57,11 +63,11 @@
         pod = self.pod(answer)
         with self.program(pod.entry("s-1")).client() as client:
             client.connection.sendall(
-                command("SVC.QUERY", "a", "01", READ)
-                + command("PING")
-                + command("SVC.QUERY", "b", "02", READ)
+                encode_command("SVC.QUERY", "a", "01", READ)
+                + encode_command("PING")
+                + encode_command("SVC.QUERY", "b", "02", READ)
             )
-            self.assertEqual([client.answer() for _ in range(3)], [b"01", b"+PONG", b"02"])
+            self.assertEqual([client.read_response() for _ in range(3)], [b"01", b"+PONG", b"02"])
 
     def test_frames_may_arrive_byte_by_byte(self):
         def piecemeal(words):
@@ -71,31 +77,31 @@
 
         pod = self.pod(piecemeal)
         with self.program(pod.entry("s-1")).client() as client:
-            for byte in command("SVC.QUERY", "a", "01", READ):
+            for byte in encode_command("SVC.QUERY", "a", "01", READ):
                 client.connection.sendall(bytes([byte]))
-            self.assertEqual(client.answer(), b"01")
+            self.assertEqual(client.read_response(), b"01")
 
 
 class EndpointFailureTest(WithPods):
     def test_request_rejected_by_all_pods_is_deferred(self):
         pod = self.pod(lambda words: b"-BUSY\r\n")
         with self.program(pod.entry("s-1")).client() as client:
-            self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
+            self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
 
     def test_non_idempotent_request_is_retried_after_refused_connection(self):
         gone, pod = self.pod(), self.pod()
-        gone.stop()
+        gone.stop_listening()
         with self.program(gone.entry("s-1", weight=9.0), pod.entry("s-2")).client() as client:
             for name in ("01", "02", "03"):
-                self.assertEqual(client.ask("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
+                self.assertEqual(client.request("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
 
     def test_non_idempotent_request_is_abandoned_after_reset_once_fully_sent(self):
         pods = [self.pod(lambda words: None) for _ in range(2)]
         with self.program(
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
         ).client() as client:
-            self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", PAY, "B"), b"^-ERR")
-        self.assertEqual(sum(pod.heard.qsize() for pod in pods), 1)
+            self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), b"^-ERR")
+        self.assertEqual(sum(pod.received_commands.qsize() for pod in pods), 1)
 
     def test_idempotent_request_is_retried_after_reset(self):
         pods = [self.pod(lambda words: None), self.pod()]
@@ -103,29 +109,32 @@
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
         ).client() as client:
             self.assertEqual(
-                [client.ask("SVC.QUERY", "a", name, READ) for name in ("01", "02")], [b"01", b"02"]
+                [client.request("SVC.QUERY", "a", name, READ) for name in ("01", "02")],
+                [b"01", b"02"],
             )
 
     def test_connection_to_silent_pod_is_closed_at_the_request_deadline(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
-            self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
-        self.assertTrue(pod.ended.get(timeout=PATIENCE))
+            self.assertRegex(client.request("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
+        self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
     def test_request_with_malformed_response_is_not_retried(self):
         for answer in (b"*1\r\n$4\r\nhal", b"$70000\r\n", b"nonsense\r\n", b"*1\r\n$-1\r\n"):
             pod = self.pod(lambda words, answer=answer: answer)
             with self.program(pod.entry("s-1")).client() as client:
-                self.assertRegex(client.ask("SVC.SUBMIT", "a", "01", "c=pay,d=2500", "B"), b"^-ERR")
-            self.assertEqual(pod.heard.qsize(), 1)
+                self.assertRegex(
+                    client.request("SVC.SUBMIT", "a", "01", "c=pay,d=2500", "B"), b"^-ERR"
+                )
+            self.assertEqual(pod.received_commands.qsize(), 1)
 
     def test_client_disconnect_cancels_its_attempt(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             client.send("SVC.SUBMIT", "a", "01", PAY, "B")
-            pod.heard.get(timeout=PATIENCE)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             client.connection.shutdown(2)
-            self.assertTrue(pod.ended.get(timeout=PATIENCE))
+            self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
     def test_invalid_command_is_reported_and_does_not_affect_other_clients(self):
         pod = self.pod()
@@ -139,11 +148,11 @@
                 (("SVC.QUERY", "a", "01", "c=read"), b"d, the time"),
                 (("SVC.QUERY", "a", "", READ), b"the id"),
             ):
-                self.assertRegex(bad.ask(*words), b"^-ERR .*" + reason)
+                self.assertRegex(bad.request(*words), b"^-ERR .*" + reason)
             bad.connection.sendall(b"*2\r\n$70000\r\n")
-            self.assertRegex(bad.answer(), b"^-ERR syntax")
-            self.assertEqual(bad.answer(), b"")
-            self.assertEqual(good.ask("SVC.QUERY", "a", "02", READ), b"02")
+            self.assertRegex(bad.read_response(), b"^-ERR syntax")
+            self.assertEqual(bad.read_response(), b"")
+            self.assertEqual(good.request("SVC.QUERY", "a", "02", READ), b"02")
 
 
 class ConnectionLoadTest(WithPods):
@@ -158,12 +167,12 @@
         for at, client in enumerate(clients):
             with client:
                 try:
-                    served += client.ask("SVC.QUERY", "a", f"{at}", READ) == b"%d" % at
+                    served += client.request("SVC.QUERY", "a", f"{at}", READ) == b"%d" % at
                 except ConnectionError:
                     pass
         self.assertGreaterEqual(served, 11)
         with program.client() as late_client:
-            self.assertEqual(late_client.ask("SVC.QUERY", "a", "late", READ), b"late")
+            self.assertEqual(late_client.request("SVC.QUERY", "a", "late", READ), b"late")
 
     def test_slow_reader_blocks_no_other_client_and_receives_all_responses(self):
         pod = self.pod(lambda words: value(words[2] * 15000))
@@ -171,9 +180,10 @@
         with program.client() as slow, program.client() as other:
             for at in range(100, 160):
                 slow.send("SVC.QUERY", "a", f"{at}", READ)
-            self.assertEqual(other.ask("SVC.QUERY", "a", "999", READ), b"999" * 15000)
+            self.assertEqual(other.request("SVC.QUERY", "a", "999", READ), b"999" * 15000)
             self.assertEqual(
-                [slow.answer() for _ in range(60)], [b"%d" % at * 15000 for at in range(100, 160)]
+                [slow.read_response() for _ in range(60)],
+                [b"%d" % at * 15000 for at in range(100, 160)],
             )
 
 
@@ -182,22 +192,25 @@
         told = threading.Event()
 
         def answer(words):
-            told.wait(PATIENCE)
+            told.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         old, new = self.pod(answer), self.pod()
         program = self.program(old.entry("s-1"))
         with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            old.heard.get(timeout=PATIENCE)
+            old.received_commands.get(timeout=TIMEOUT_SECONDS)
             program.discovery.push_list(8, old.entry("s-1", state="Terminating"), new.entry("s-2"))
-            until(lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "r", READ))
+            wait_until(
+                lambda: not new.received_commands.empty(),
+                lambda: second.request("SVC.QUERY", "a", "r", READ),
+            )
             self.assertEqual(
-                [second.ask("SVC.QUERY", "a", f"1{at}", READ) for at in range(9)],
+                [second.request("SVC.QUERY", "a", f"1{at}", READ) for at in range(9)],
                 [b"1%d" % at for at in range(9)],
             )
             told.set()
-            self.assertEqual(first.answer(), b"01")
+            self.assertEqual(first.read_response(), b"01")
 
     def test_failing_build_is_voted_down_and_the_vote_is_retried_until_accepted(self):
         answers = [
@@ -216,7 +229,7 @@
             good.entry("s-1"),
             bad.entry("s-2", 42),
             answer=lambda form: answers.pop(0) if len(answers) > 1 else answers[0],
-            news={
+            release_state={
                 "version": 42,
                 "step": 0,
                 "status": "trial",
@@ -226,41 +239,52 @@
         )
         with program.client() as client:
             number = itertools.count()
-            until(
+            wait_until(
                 lambda: program.platform.calls.qsize() > 1,
-                lambda: client.ask("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
+                lambda: client.request("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
             self.assertEqual([program.platform.calls.get() for _ in range(2)], [vote] * 2)
             # The platform's reply to the vote has been received.
-            until(lambda: program.logged("vote")["outcome"] == "done", lambda: None)
-            while not bad.heard.empty():
-                bad.heard.get()
+            wait_until(lambda: program.wait_for_log("vote")["outcome"] == "done", lambda: None)
+            while not bad.received_commands.empty():
+                bad.received_commands.get()
             for at in range(50):
-                client.ask("SVC.QUERY", f"key{at}", f"after{at}", READ)
-            self.assertEqual(bad.heard.qsize(), 0)
+                client.request("SVC.QUERY", f"key{at}", f"after{at}", READ)
+            self.assertEqual(bad.received_commands.qsize(), 0)
 
     def test_ended_watch_streams_are_reopened(self):
         pod, new = self.pod(), self.pod()
         program = self.program(pod.entry("s-1"))
         program.discovery.push_list(9, pod.entry("s-1"))
         for peer in (program.discovery, program.platform):
-            peer.cut()
-        self.assertEqual(program.platform.asked.get(timeout=PATIENCE), "/v2/projects/main/stream")
-        self.assertRegex(program.discovery.asked.get(timeout=PATIENCE), r"stream=1&index=(7|9)$")
+            peer.reset_connections()
+        self.assertEqual(
+            program.platform.stream_requests.get(timeout=TIMEOUT_SECONDS),
+            "/v2/projects/main/stream",
+        )
+        self.assertRegex(
+            program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS), r"stream=1&index=(7|9)$"
+        )
         program.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
-        program.platform.push_news(version=42)  # no request goes to this build before
+        program.platform.push_release_state(version=42)  # no request goes to this build before
         with program.client() as client:
-            until(lambda: not new.heard.empty(), lambda: client.ask("SVC.QUERY", "a", "01", READ))
+            wait_until(
+                lambda: not new.received_commands.empty(),
+                lambda: client.request("SVC.QUERY", "a", "01", READ),
+            )
 
     def test_malformed_endpoint_list_is_ignored_and_requested_again(self):
         pod = self.pod()
         program = self.program(pod.entry("s-1"))
-        program.discovery.say('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
-        until(lambda: "servers.0.state" in program.logged("stream ended")["reason"], lambda: None)
-        program.discovery.asked.get(timeout=PATIENCE)
+        program.discovery.push_raw('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
+        wait_until(
+            lambda: "servers.0.state" in program.wait_for_log("stream ended")["reason"],
+            lambda: None,
+        )
+        program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
         with program.client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
 
 
 class ReconfigurationTest(WithPods):
@@ -269,39 +293,44 @@
 
         def answer(words):
             if words[2] == b"01":
-                release.wait(PATIENCE)
+                release.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         pod, new = self.pod(answer), self.pod()
         program = self.program(pod.entry("s-1"))
-        discovery, platform = DiscoveryPeer(), PlatformPeer()
+        discovery, platform = FakeDiscovery(), FakePlatform()
         self.addCleanup(discovery.close)
         self.addCleanup(platform.close)
         with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=PATIENCE)
-            program.write({**program.told, "discovery": "nowhere"})
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
+            program.write_config({**program.config, "discovery": "nowhere"})
             program.process.send_signal(signal.SIGHUP)
-            self.assertRegex(program.logged("configuration rejected")["error"], "^discovery: ")
-            program.write(
+            self.assertRegex(
+                program.wait_for_log("configuration rejected")["error"], "^discovery: "
+            )
+            program.write_config(
                 {
-                    **program.told,
+                    **program.config,
                     "discovery": discovery.address,
-                    "deployer": {**program.told["deployer"], "address": platform.address},
+                    "deployer": {**program.config["deployer"], "address": platform.address},
                 }
             )
             for _ in range(2):
                 program.process.send_signal(signal.SIGHUP)
-            self.assertEqual(program.logged("configuration reloaded")["only_at_a_start"], [])
-            discovery.asked.get(timeout=PATIENCE)
-            platform.asked.get(timeout=PATIENCE)
+            self.assertEqual(program.wait_for_log("configuration reloaded")["only_at_a_start"], [])
+            discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+            platform.stream_requests.get(timeout=TIMEOUT_SECONDS)
             program.discovery.close()
             program.platform.close()
             discovery.push_list(8, new.entry("s-2", 42), pod.entry("s-1", state="Terminating"))
-            platform.push_news(version=42)
-            until(lambda: not new.heard.empty(), lambda: second.ask("SVC.QUERY", "a", "02", READ))
+            platform.push_release_state(version=42)
+            wait_until(
+                lambda: not new.received_commands.empty(),
+                lambda: second.request("SVC.QUERY", "a", "02", READ),
+            )
             release.set()
-            self.assertEqual(first.answer(), b"01")
+            self.assertEqual(first.read_response(), b"01")
 
 
 class ShutdownTest(WithPods):
@@ -310,26 +339,26 @@
 
         def answer(words):
             if words[2] == b"01":
-                stopped.wait(PATIENCE)
+                stopped.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         pod = self.pod(answer)
-        with stands_still():
+        with pause_at_sigterm():
             program = self.program(pod.entry("s-1"))
         with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=PATIENCE)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             program.process.send_signal(signal.SIGTERM)
-            program.stood_still()
+            program.wait_until_stopped()
             # Connects within the last half second, however busy the machine is.
             with program.client() as late_client:
                 program.process.send_signal(signal.SIGTERM)
                 program.process.send_signal(signal.SIGCONT)
-                self.assertEqual(late_client.ask("SVC.QUERY", "a", "02", READ), b"02")
-            self.assertEqual(second.answer(), b"")
+                self.assertEqual(late_client.request("SVC.QUERY", "a", "02", READ), b"02")
+            self.assertEqual(second.read_response(), b"")
             stopped.set()
-            self.assertEqual((first.answer(), first.answer()), (b"01", b""))
-        self.assertEqual(program.process.wait(PATIENCE), 0)
+            self.assertEqual((first.read_response(), first.read_response()), (b"01", b""))
+        self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_invalid_configuration_ends_the_process_and_names_the_key(self):
         def without(*path):
@@ -350,7 +379,7 @@
         }
         for key, change in cases.items():
             program = Program(change=change)
-            _, error = program.process.communicate(timeout=PATIENCE)
+            _, error = program.process.communicate(timeout=TIMEOUT_SECONDS)
             program.__exit__()
             self.assertNotEqual(program.process.returncode, 0)
             self.assertRegex(error.decode(), f"^thymeknot: .*{key}.*\n$")
--- a/tests/processes/test_drains.py
+++ b/tests/processes/test_drains.py
@@ -8,11 +8,11 @@
 import unittest
 from unittest.mock import patch
 
-from tests.support.process_rig import PAY, Checker, Fleet, talk
+from tests.support.process_rig import PAY_METADATA, AvailabilityMonitor, Fleet, send_request
 from thymeknot.raft import message_codec
 
 # The deadline must not pass before the test releases the request.
-LONG_REQUEST = PAY.replace("d=6000", "d=15000")
+LONG_REQUEST = PAY_METADATA.replace("d=6000", "d=15000")
 TIMEOUT_SECONDS = 15  # for a condition to become true
 
 
@@ -20,13 +20,13 @@
     def start_fleet(self, max_out=1):
         fleet = Fleet(3, max_out)
         self.addCleanup(fleet.close)
-        self.operator = fleet.asker()
+        self.operator = fleet.make_client()
         self.wait_until(
             lambda: self.status()["units"] == 3 and self.status()["out"] == 0,
             "all units are declared and in service",
         )
         self.wait_until(
-            lambda: not fleet.checker.out() and fleet.clients.done() > 20,
+            lambda: not fleet.monitor.unavailable() and fleet.clients.answered_count() > 20,
             "all units serve requests",
         )
         return fleet
@@ -55,14 +55,14 @@
     def check_invariants(self, fleet, killed=()):
         """Checks what holds in every test, after the clients have stopped."""
         fleet.clients.close()
-        self.assertEqual(fleet.binding_twice(), [])
+        self.assertEqual(fleet.repeated_submissions(), [])
         self.assertEqual(
             [request for request in fleet.clients.unanswered() if request[1] not in killed], []
         )
-        self.assertGreater(fleet.clients.done(), 100)
+        self.assertGreater(fleet.clients.answered_count(), 100)
 
 
-class CheckerTest(unittest.TestCase):
+class AvailabilityMonitorTest(unittest.TestCase):
     def test_units_count_as_out_together_only_if_out_at_the_same_time(self):
         """Each entry is one PING in order: the unit, with a "!" in front if it does not answer."""
         # In the last case "a" came back before "b" went out, or between the two checks.
@@ -73,40 +73,42 @@
             (("!a", "!b", "!a", "!b"), "ab"),
             (("!a", "!b", "a", "!b"), "b"),
         ):
-            checker, remaining = Checker.__new__(Checker), list(answers)
-            checker.ports = {"a": "a", "b": "b"}
+            monitor, remaining = AvailabilityMonitor.__new__(AvailabilityMonitor), list(answers)
+            monitor.ports = {"a": "a", "b": "b"}
 
             def serves(port, remaining=remaining):
                 self.assertEqual(remaining[0].strip("!"), port)
                 return not remaining.pop(0).startswith("!")
 
-            checker.serves = serves
-            self.assertEqual((checker._look(), remaining), (frozenset(expected), []))
+            monitor.is_serving = serves
+            self.assertEqual((monitor._check(), remaining), (frozenset(expected), []))
 
 
 class DrainTest(FleetTestCase):
     def test_next_unit_drains_only_after_the_previous_one_returns(self):
         fleet = self.start_fleet()
         self.assertTrue(self.request_drain("n0")["ok"])
-        self.wait_until(lambda: fleet.checker.out() == {"n0"}, "n0 goes out of service")
+        self.wait_until(lambda: fleet.monitor.unavailable() == {"n0"}, "n0 goes out of service")
         self.wait_until(lambda: self.state("n0") == "out", "n0 reports that it is drained")
         reply = self.request_drain("n1")
         self.assertEqual(reply["state"], "asked")
         self.assertIn("n0", reply["by"])
-        done = fleet.clients.done()
-        self.wait_until(lambda: fleet.clients.done() > done + 100, "the other units serve requests")
-        self.assertEqual(fleet.checker.out(), {"n0"})
+        done = fleet.clients.answered_count()
+        self.wait_until(
+            lambda: fleet.clients.answered_count() > done + 100, "the other units serve requests"
+        )
+        self.assertEqual(fleet.monitor.unavailable(), {"n0"})
         self.assertTrue(self.request_return("n0")["ok"])
         self.wait_until(
-            lambda: fleet.checker.out() == {"n1"}, "n0 is back in service and n1 goes out"
+            lambda: fleet.monitor.unavailable() == {"n1"}, "n0 is back in service and n1 goes out"
         )
         self.wait_until(lambda: self.state("n1") == "out", "n1 reports that it is drained")
         self.request_return("n1")
         self.wait_until(
-            lambda: not fleet.checker.out() and self.status()["out"] == 0,
+            lambda: not fleet.monitor.unavailable() and self.status()["out"] == 0,
             "all units are back in service",
         )
-        self.assertEqual(fleet.checker.most_out(), 1)
+        self.assertEqual(fleet.monitor.max_unavailable(), 1)
         self.check_invariants(fleet)
 
 
@@ -119,7 +121,7 @@
 
     def check_rejected_messages(self, fleet):
         """Forged, replayed and malformed messages are rejected and logged."""
-        client, captured = fleet.asker("n0", word="x"), []
+        client, captured = fleet.make_client("n0", word="x"), []
         sign_message = message_codec.sign_message
 
         def record_signed(*arguments):
@@ -149,7 +151,7 @@
                     message_codec.READ,
                     {},
                 )
-            line = fleet.programs["n0"].logged("message rejected")
+            line = fleet.programs["n0"].wait_for_log("message rejected")
             self.assertEqual(line["kind"], kind)
             time.sleep(1.05)  # rejections are logged at most once a second
         with self.assertRaisesRegex(message_codec.MessageError, "in the name of n1"):
@@ -194,7 +196,7 @@
         self.assertRegex(self.run_command(fleet, "--json", "status")[1], '"out":1')
         self.assertEqual(self.run_command(fleet, "back", "n1"), (0, "called back: n1\n"))
         self.assertEqual(self.run_command(fleet, "resume", halt_number)[0], 0)
-        self.assertEqual(fleet.checker.out(), frozenset())
+        self.assertEqual(fleet.monitor.unavailable(), frozenset())
 
 
 class LeaderCrashTest(FleetTestCase):
@@ -208,16 +210,18 @@
         )
         self.addCleanup(slow_socket.close)
         request_thread = threading.Thread(
-            target=lambda: slow_answers.append(talk(slow_socket, "slow-1", LONG_REQUEST)),
+            target=lambda: slow_answers.append(send_request(slow_socket, "slow-1", LONG_REQUEST)),
             daemon=True,
         )
         request_thread.start()
         self.wait_until(
-            lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.ran), "the slow request is accepted"
+            lambda: (b"SVC.SUBMIT", b"slow-1") in list(fleet.executed),
+            "the slow request is accepted",
         )
         self.assertTrue(self.request_drain(drained_unit)["ok"])
         self.wait_until(
-            lambda: fleet.checker.out() == {drained_unit}, "the unit accepts no more requests"
+            lambda: fleet.monitor.unavailable() == {drained_unit},
+            "the unit accepts no more requests",
         )
         self.assertEqual(slow_answers, [])
         fleet.kill(leader)
@@ -226,7 +230,7 @@
         failover_seconds = time.monotonic() - killed_at
         self.assertLess(failover_seconds, 3)
         self.assertEqual(self.request_drain(other_unit)["state"], "asked")
-        fleet.slow.set()
+        fleet.release_slow.set()
         self.wait_until(
             lambda: self.state(drained_unit) == "out", "the drain ends under the new leader"
         )
@@ -235,16 +239,17 @@
         self.assertEqual(self.state(other_unit), "asked")
         fleet.restart(leader)
         self.wait_until(
-            lambda: fleet.checker.out() == {drained_unit}, "the killed leader serves again"
+            lambda: fleet.monitor.unavailable() == {drained_unit}, "the killed leader serves again"
         )
         self.assertTrue(self.request_return(drained_unit)["ok"])
         self.wait_until(
-            lambda: fleet.checker.out() == {other_unit}, "the third unit goes out of service"
+            lambda: fleet.monitor.unavailable() == {other_unit},
+            "the third unit goes out of service",
         )
-        self.assertEqual(fleet.checker.most_out(but=[leader]), 1)
+        self.assertEqual(fleet.monitor.max_unavailable(but=[leader]), 1)
         self.request_return(other_unit)
         self.wait_until(
-            lambda: not fleet.checker.out() and self.status()["out"] == 0,
+            lambda: not fleet.monitor.unavailable() and self.status()["out"] == 0,
             "all units are back in service",
         )
         print(f"\ntime from the kill of the leader to the next grant: {failover_seconds:.2f} s")
@@ -256,8 +261,8 @@
         fleet = self.start_fleet(2)
         former_leader = self.operator.leader
         first, second = (name for name in fleet.names if name != former_leader)
-        minority_client = fleet.asker(former_leader, word="small")
-        fleet.cut(former_leader)
+        minority_client = fleet.make_client(former_leader, word="small")
+        fleet.isolate(former_leader)
         replies = []
         request_thread = threading.Thread(
             target=lambda: replies.append(
@@ -266,29 +271,31 @@
             daemon=True,
         )
         request_thread.start()
-        self.operator = fleet.asker(first, second, word="large")
+        self.operator = fleet.make_client(first, second, word="large")
         self.wait_until(
             lambda: former_leader in self.status().get("away", {}),
             "the partitioned unit counts as out",
         )
         self.assertTrue(self.request_drain(first)["ok"])
-        self.wait_until(lambda: fleet.checker.out() == {first}, "the majority grants a drain")
+        self.wait_until(
+            lambda: fleet.monitor.unavailable() == {first}, "the majority grants a drain"
+        )
         self.assertEqual(self.request_drain(second)["state"], "asked")
         request_thread.join(TIMEOUT_SECONDS)
         self.assertEqual(replies, ["silent"])
-        self.assertEqual(fleet.checker.most_out(), 1)
+        self.assertEqual(fleet.monitor.max_unavailable(), 1)
         fleet.heal()
         self.request_return(first)
         self.wait_until(
-            lambda: fleet.checker.out() == {second} or self.state(second) == "out",
+            lambda: fleet.monitor.unavailable() == {second} or self.state(second) == "out",
             "the second unit goes out after the partition heals",
         )
         self.request_return(second)
         self.wait_until(
-            lambda: not fleet.checker.out() and self.status()["out"] == 0,
+            lambda: not fleet.monitor.unavailable() and self.status()["out"] == 0,
             "all units are back in service",
         )
-        self.assertLessEqual(fleet.checker.most_out(), 2)
+        self.assertLessEqual(fleet.monitor.max_unavailable(), 2)
         self.check_invariants(fleet)
 
     def request_on_minority_side(self, minority_client, unit):
--- a/tests/support/programs.py
+++ b/tests/support/programs.py
@@ -12,10 +12,17 @@
 import time
 from unittest import mock
 
-from tests.support.peers import PATIENCE, SETTINGS, DiscoveryPeer, PlatformPeer, reserved, until
+from tests.support.peers import (
+    SETTINGS,
+    TIMEOUT_SECONDS,
+    FakeDiscovery,
+    FakePlatform,
+    reserve_port,
+    wait_until,
+)
 
 
-def coded(code):
+def run_with_code(code):
     """Programs that are made meanwhile are started by this code."""
     start = subprocess.Popen
     return mock.patch(
@@ -23,23 +30,23 @@
     )
 
 
-def begun_by(code):
+def run_after_setup(code):
     """They begin with this code, and end with Life's."""
-    return coded(f"""import os, signal, sys
+    return run_with_code(f"""import os, signal, sys
 from thymeknot.service import lifecycle
 {code}
 sys.exit(lifecycle.main(os.environ))""")
 
 
-def patient():
+def without_first_list_timeout():
     """Has the program wait for its first list for as long as the test does: what comes before it, comes every time."""
-    return begun_by(f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}")
+    return run_after_setup(f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {TIMEOUT_SECONDS}")
 
 
-def stands_still():
+def pause_at_sigterm():
     """Has the program stop itself at SIGTERM, its end set, up to SIGCONT: what comes in its last half second, comes
     every time."""
-    return begun_by("""stop = lifecycle.Lifecycle._stop
+    return run_after_setup("""stop = lifecycle.Lifecycle._stop
 def stands(one):
     first = not one.stopping
     stop(one)
@@ -55,29 +62,32 @@
         self,
         *entries,
         answer=None,
-        news=PlatformPeer.NEWS,
+        release_state=FakePlatform.RELEASE_STATE,
         change=None,
         operator=None,
         silent=False,
     ):
-        self.discovery, self.platform = DiscoveryPeer(silent=silent), PlatformPeer(answer, news)
-        self.place, self.port = reserved()
-        told = {
+        self.discovery, self.platform = (
+            FakeDiscovery(silent=silent),
+            FakePlatform(answer, release_state),
+        )
+        self.reservation, self.port = reserve_port()
+        config = {
             "name": "n1",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": self.discovery.address,
             "seed": "8c1f30d27a5be964",
             "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 256},
-            "deployer": {"address": self.platform.address, "news": dict(news)},
+            "deployer": {"address": self.platform.address, "news": dict(release_state)},
             "known": {"version": 7, "full": True, "servers": list(entries)},
             "settings": copy.deepcopy(SETTINGS),
         }
         if change:
-            change(told)
+            change(config)
         self.folder = tempfile.TemporaryDirectory()
         path = self.path = os.path.join(self.folder.name, "config.json")
-        self.told, self.lines, self.readers = told, queue.Queue(), []
-        self.write(told)
+        self.config, self.lines, self.readers = config, queue.Queue(), []
+        self.write_config(config)
         words = [sys.executable, "-m", "thymeknot"]
         if operator:  # the text of an operator's file, its folder given
             self.operator = os.path.join(self.folder.name, "operator.cue")
@@ -91,25 +101,25 @@
             env={**os.environ, "NODE_CONFIG": path},
         )
 
-    def write(self, told):
+    def write_config(self, config):
         with open(self.path, "w", encoding="utf-8") as target:
-            json.dump(told, target)
+            json.dump(config, target)
 
-    def logged(self, event):
+    def wait_for_log(self, event):
         """The next line of this event."""
-        until(
+        wait_until(
             lambda: self.line["event"] == event,
-            lambda: setattr(self, "line", json.loads(self.lines.get(timeout=PATIENCE))),
+            lambda: setattr(self, "line", json.loads(self.lines.get(timeout=TIMEOUT_SECONDS))),
         )
         line, self.line = self.line, {"event": None}
         return line
 
-    def stood_still(self):
+    def wait_until_stopped(self):
         def state():
             with open(f"/proc/{self.process.pid}/stat", encoding="utf-8") as source:
                 return source.read().rpartition(")")[2].split()[0]
 
-        until(lambda: state() == "T", lambda: time.sleep(0.005))
+        wait_until(lambda: state() == "T", lambda: time.sleep(0.005))
 
     def __enter__(self):
         line, self.line = b"", {"event": None}
@@ -117,12 +127,12 @@
             line = self.process.stdout.readline()
             if not line:
                 raise AssertionError(self.process.stderr.read().decode())
-        self.read(self.process.stdout)
-        self.discovery.asked.get(timeout=PATIENCE)
-        self.platform.asked.get(timeout=PATIENCE)
+        self.collect_log(self.process.stdout)
+        self.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        self.platform.stream_requests.get(timeout=TIMEOUT_SECONDS)
         return self
 
-    def read(self, source):
+    def collect_log(self, source):
         """Keeps the lines that are logged there."""
         self.readers.append(
             threading.Thread(target=lambda: [self.lines.put(line) for line in source], daemon=True)
@@ -136,7 +146,7 @@
         self.process.communicate()
         self.discovery.close()
         self.platform.close()
-        self.place.close()
+        self.reservation.close()
         self.folder.cleanup()
 
     def client(self):
@@ -145,7 +155,7 @@
 
 class Client:
     def __init__(self, port):
-        self.connection = socket.create_connection(("127.0.0.1", port), timeout=PATIENCE)
+        self.connection = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_SECONDS)
         self.source = self.connection.makefile("rb")
 
     def __enter__(self):
@@ -156,20 +166,20 @@
         self.connection.close()
 
     def send(self, *words):
-        self.connection.sendall(command(*words))
+        self.connection.sendall(encode_command(*words))
 
-    def ask(self, *words):
+    def request(self, *words):
         self.send(*words)
-        return self.answer()
+        return self.read_response()
 
-    def answer(self):
+    def read_response(self):
         line = self.source.readline()
         if line.startswith(b"$"):
             return self.source.read(int(line[1:]) + 2)[:-2]
         return line.strip()
 
 
-def command(*words):
+def encode_command(*words):
     words = [word if isinstance(word, bytes) else word.encode() for word in words]
     return b"*%d\r\n" % len(words) + b"".join(
         b"$%d\r\n%s\r\n" % (len(word), word) for word in words
