--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -19,53 +19,57 @@
 from thymeknot.load_generator.driver import Driver, DriverSettings
 from thymeknot.load_generator.ramp import Ramp, RampState
 from thymeknot.load_generator.schedule import RequestClass, RequestKind
-from thymeknot.load_generator.verdict import Goal, RunSummary, Verdict, judge
+from thymeknot.load_generator.verdict import Goal, RunSummary, Verdict, evaluate
 from thymeknot.protocol.resp import MalformedRespError
 
 READ = RequestClass("read", 1.0, RequestKind.READ)
 GOAL = Goal(0.99, 500, 0.01)
-GOOD = b"$2\r\nok\r\n"
+OK_RESPONSE = b"$2\r\nok\r\n"
 
 
-class Once(PodPeer):
+class ClosingPeer(PodPeer):
     """Answers the first request of a connection; the second crosses its end."""
 
     def serve(self, connection, source):
         if words_of(source) is not None:
-            connection.sendall(GOOD)
+            connection.sendall(OK_RESPONSE)
             words_of(source)
 
 
-def loaded(port, *words):
+def run_load_command(port, *arguments):
     """The last line of `thymeknot load` against this port, and its exit code."""
-    told = subprocess.run(
-        [sys.executable, "-m", "thymeknot", "load", "--at", f"127.0.0.1:{port}", *words],
+    result = subprocess.run(
+        [sys.executable, "-m", "thymeknot", "load", "--at", f"127.0.0.1:{port}", *arguments],
         capture_output=True,
         text=True,
         timeout=60,
     )
-    return json.loads(told.stdout.splitlines()[-1]), told.returncode
+    return json.loads(result.stdout.splitlines()[-1]), result.returncode
 
 
-class Plan(unittest.TestCase):
-    def test_the_same_seed_is_the_same_plan_and_arrivals_and_lanes_keep_their_rate(self):
-        lanes = [
+class ScheduleAndRampTest(unittest.TestCase):
+    def test_schedule_is_deterministic_and_keeps_rate_and_shares(self):
+        request_classes = [
             schedule.parse_request_class("read=3"),
             schedule.parse_request_class("pay=1,write"),
         ]
-        one, two, other = (
-            list(schedule.schedule_requests(seed, 500, 10 * schedule.TICKS_PER_SECOND, lanes))
+        first, second, other = (
+            list(
+                schedule.schedule_requests(
+                    seed, 500, 10 * schedule.TICKS_PER_SECOND, request_classes
+                )
+            )
             for seed in (3, 3, 4)
         )
-        self.assertEqual(one, two)
-        self.assertNotEqual(one, other)
-        self.assertTrue(4_700 < len(one) < 5_300)
-        self.assertEqual([each.due for each in one], sorted(each.due for each in one))
+        self.assertEqual(first, second)
+        self.assertNotEqual(first, other)
+        self.assertTrue(4_700 < len(first) < 5_300)
+        self.assertEqual([each.due for each in first], sorted(each.due for each in first))
         self.assertTrue(
-            0.2 < sum(each.request_class.name == "pay" for each in one) / len(one) < 0.3
+            0.2 < sum(each.request_class.name == "pay" for each in first) / len(first) < 0.3
         )
 
-    def test_wrong_lanes_are_refused(self):
+    def test_invalid_request_classes_are_rejected(self):
         for text in (
             "",
             "=1",
@@ -79,24 +83,24 @@
             with self.assertRaises(schedule.ScheduleError):
                 schedule.parse_request_class(text)
 
-    def test_what_the_tool_did_itself_is_looked_at_first(self):
-        for more, verdict in (
-            ({"latency": 9_000, "done": 1, "late": 900}, Verdict.SATURATED),
+    def test_own_delay_is_checked_before_the_goal(self):
+        for changes, verdict in (
+            ({"latency": 9_000, "done": 1, "own_delay": 900}, Verdict.SATURATED),
             ({"latency": 9_000}, Verdict.FAILED),
             ({"done": 980}, Verdict.FAILED),
             ({}, Verdict.HELD),
         ):
             self.assertEqual(
-                judge(
+                evaluate(
                     RunSummary(
                         **{
                             "rate": 100.0,
                             "latency": 100,
                             "done": 1000,
                             "ended": 1000,
-                            "late": 1,
+                            "own_delay": 1,
                             "due": 1000,
-                            **more,
+                            **changes,
                         }
                     ),
                     GOAL,
@@ -108,7 +112,7 @@
     @given(some.floats(20, 20_000))
     def test_a_ramp_ends_and_finds_the_rate(self, truth):
         ramp, steps = Ramp(10), 0
-        while ramp.state != RampState.OVER:
+        while ramp.state != RampState.FINISHED:
             ramp.record(Verdict.HELD if ramp.rate <= truth else Verdict.FAILED, "")
             steps += 1
             self.assertLess(steps, 60)
@@ -116,64 +120,66 @@
             0.9 * truth <= ramp.highest_held_rate <= truth, (truth, ramp.highest_held_rate)
         )
 
-    def test_a_saturated_tool_blames_nobody_and_nothing_held_ends_too(self):
+    def test_ramp_ends_when_tool_is_saturated_or_no_rate_holds(self):
         for shown, held, failed in (
             ([Verdict.HELD, Verdict.SATURATED], 100, float("inf")),
             ([Verdict.FAILED] * 60, 0.0, 0.0),
         ):
             ramp = Ramp(100)
-            for one in shown:
-                if ramp.state != RampState.OVER:
-                    ramp.record(one, "")
-            self.assertEqual((ramp.state, ramp.highest_held_rate), (RampState.OVER, held))
+            for verdict in shown:
+                if ramp.state != RampState.FINISHED:
+                    ramp.record(verdict, "")
+            self.assertEqual((ramp.state, ramp.highest_held_rate), (RampState.FINISHED, held))
             self.assertGreaterEqual(ramp.lowest_failed_rate, failed)
 
 
-class Speaks(unittest.TestCase):
-    def test_each_kind_as_the_protocol_has_it(self):
-        told = schedule.Request(0, "a" * 16, "k1", READ, "t1")
-        self.assertEqual(Resp2Codec().encode(told, 20_000).count(b"\r\n$"), 4)
-        self.assertIn(b"c=read,t=t1,d=2000\r\n", Resp2Codec().encode(told, 20_000))
+class CodecTest(unittest.TestCase):
+    def test_request_kinds_are_encoded(self):
+        request = schedule.Request(0, "a" * 16, "k1", READ, "t1")
+        self.assertEqual(Resp2Codec().encode(request, 20_000).count(b"\r\n$"), 4)
+        self.assertIn(b"c=read,t=t1,d=2000\r\n", Resp2Codec().encode(request, 20_000))
         marked = Resp2Codec().encode(
-            told._replace(request_class=RequestClass("mark", 1, RequestKind.MARKED)), 20_000
+            request._replace(request_class=RequestClass("mark", 1, RequestKind.MARKED)), 20_000
         )
         self.assertTrue(
             marked.startswith(b"*5\r\n$10\r\nSVC.SUBMIT") and f"k={'a' * 16}".encode() in marked
         )
 
-    def test_answers_over_any_cut(self):
-        told = GOOD + b"-BUSY 50\r\n-ERR abandoned\r\n$-1\r\n*2\r\n$1\r\nx\r\n$-1\r\n"
-        for cut in range(len(told)):
-            speaker = Resp2Codec()
-            found = [*speaker.decode(told[:cut]), *speaker.decode(told[cut:])]
-            self.assertEqual(found, ["done", "deferred", "abandoned", "abandoned", "done"], cut)
+    def test_responses_are_decoded_across_any_split(self):
+        responses = OK_RESPONSE + b"-BUSY 50\r\n-ERR abandoned\r\n$-1\r\n*2\r\n$1\r\nx\r\n$-1\r\n"
+        for split in range(len(responses)):
+            codec = Resp2Codec()
+            outcomes = [*codec.decode(responses[:split]), *codec.decode(responses[split:])]
+            self.assertEqual(
+                outcomes, ["done", "deferred", "abandoned", "abandoned", "done"], split
+            )
         with self.assertRaises(MalformedRespError):
             list(Resp2Codec().decode(b"HTTP/1.1 200\r\n"))
 
 
-class OnSockets(unittest.TestCase):
-    def test_a_connection_that_comes_up_when_all_is_over_is_closed(self):
-        driver, line = (
+class LoadCommandTest(unittest.TestCase):
+    def test_connection_opened_after_the_end_is_closed(self):
+        driver, connection = (
             Driver(None, lambda: 0, DriverSettings("127.0.0.1", 1, Resp2Codec, 4, 100)),
             Mock(),
         )
         driver.finished, driver.connecting = succeed(None), 1
-        driver.connected(line, None)
-        line.transport.abortConnection.assert_called_once()
+        driver.connection_opened(connection, None)
+        connection.transport.abortConnection.assert_called_once()
 
-    def test_a_stall_counts_for_all_that_it_held_up(self):
-        begun = time.monotonic()
-        gate, stalled = threading.Lock(), []
+    def test_corrected_latencies_include_requests_delayed_by_a_stall(self):
+        started_at = time.monotonic()
+        lock, stalled = threading.Lock(), []
 
-        def answer(words):
-            with gate:
-                if not stalled and time.monotonic() > begun + 1.2:
+        def answer(arguments):
+            with lock:
+                if not stalled and time.monotonic() > started_at + 1.2:
                     stalled.append(time.sleep(0.8))
-            return GOOD
+            return OK_RESPONSE
 
         server = PodPeer(answer)
         port = int(server.address.rpartition(":")[2])
-        told, code = loaded(
+        report, code = run_load_command(
             port,
             "--rate",
             "100",
@@ -187,32 +193,32 @@
             "500",
         )  # of 50 ms, 13 of the tool's own would be too much
         server.close()
-        self.assertEqual((code, told["verdict"]), (1, Verdict.FAILED), told)
+        self.assertEqual((code, report["verdict"]), (1, Verdict.FAILED), report)
         # On one line one answer was slow as it was served; some 80 were due while it was.
-        self.assertGreater(told["corrected_ms"]["read"]["p90"], 100, told)
-        self.assertLess(told["served_ms"]["read"]["p90"], 50, told)
+        self.assertGreater(report["corrected_ms"]["read"]["p90"], 100, report)
+        self.assertLess(report["served_ms"]["read"]["p90"], 50, report)
 
-    def test_each_end_is_told_apart(self):
-        silent, deferring, resetting = (
+    def test_outcomes_are_distinguished(self):
+        silent, rejecting, resetting = (
             PodPeer(answer)
             for answer in (
-                lambda words: b"",
-                lambda words: b"-BUSY 10\r\n" if words[1] < b"00000010" else GOOD,
-                lambda words: None,
+                lambda arguments: b"",
+                lambda arguments: b"-BUSY 10\r\n" if arguments[1] < b"00000010" else OK_RESPONSE,
+                lambda arguments: None,
             )
         )
-        once = Once()
-        for server in (silent, deferring, resetting, once):
+        closing = ClosingPeer()
+        for server in (silent, rejecting, resetting, closing):
             self.addCleanup(server.close)
-        for server, lost, deferred, patience in (
+        for server, all_lost, some_rejected, patience in (
             (silent, True, False, 0.4),
-            (deferring, False, True, 9),
+            (rejecting, False, True, 9),
             (resetting, True, False, 9),
-            (once, False, False, 9),
+            (closing, False, False, 9),
             (None, True, False, 9),
         ):  # nobody listens at the last
             port = int((server or silent).address.rpartition(":")[2])
-            told, code = loaded(
+            report, code = run_load_command(
                 port,
                 "--rate",
                 "60",
@@ -225,19 +231,21 @@
                 "--goal-ms",
                 "5000",
             )  # by its ends alone: a busy machine takes 50 ms now and then
-            ends = told["ends"]
-            self.assertEqual(sum(ends.values()), told["due"], told)
+            ends = report["ends"]
+            self.assertEqual(sum(ends.values()), report["due"], report)
             self.assertEqual(
-                (ends["lost"] == told["due"], ends["deferred"] > 0), (lost, deferred), told
+                (ends["lost"] == report["due"], ends["deferred"] > 0),
+                (all_lost, some_rejected),
+                report,
             )
-            self.assertEqual(code, 0 if server is once else 1, told)
+            self.assertEqual(code, 0 if server is closing else 1, report)
             if server:
                 server.stop()
 
-    def test_a_sidecar_beside_its_pods(self):
-        pods = [PodPeer(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(2)]
-        with Program(*(pod.entry(f"s-{at}") for at, pod in enumerate(pods))) as program:
-            told, _ = loaded(
+    def test_load_through_a_sidecar(self):
+        pods = [PodPeer(lambda arguments: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(2)]
+        with Program(*(pod.entry(f"s-{index}") for index, pod in enumerate(pods))) as program:
+            report, _ = run_load_command(
                 program.port,
                 "--rate",
                 "60",
@@ -250,13 +258,20 @@
             )
         for pod in pods:
             pod.close()
-        self.assertEqual(told["ends"]["done"], told["due"], told)
-        self.assertEqual(set(told["corrected_ms"]), {"read", "pay"})
+        self.assertEqual(report["ends"]["done"], report["due"], report)
+        self.assertEqual(set(report["corrected_ms"]), {"read", "pay"})
 
-    def test_wrong_words_are_one_line_and_status_two(self):
-        for words in (["--at", "nowhere"], ["--lane", "x=y"], ["--rate", "0"], ["--quantile", "2"]):
-            told = subprocess.run(
-                [sys.executable, "-m", "thymeknot", "load", *words], capture_output=True, text=True
+    def test_invalid_arguments_exit_with_status_two(self):
+        for arguments in (
+            ["--at", "nowhere"],
+            ["--lane", "x=y"],
+            ["--rate", "0"],
+            ["--quantile", "2"],
+        ):
+            result = subprocess.run(
+                [sys.executable, "-m", "thymeknot", "load", *arguments],
+                capture_output=True,
+                text=True,
             )
-            self.assertEqual(told.returncode, 2, words)
-            self.assertNotIn("Traceback", told.stderr)
+            self.assertEqual(result.returncode, 2, arguments)
+            self.assertNotIn("Traceback", result.stderr)
--- a/tests/unit/operator_config/test_operator_config.py
+++ b/tests/unit/operator_config/test_operator_config.py
@@ -12,7 +12,7 @@
 from thymeknot.operator_config.errors import OperatorConfigError
 
 KEY = "A" * 43 + "="
-LEAST = f'''gossip: {{
+MINIMAL_FILE = f'''gossip: {{
     name: "n1", listen: "127.0.0.1:7946", key: "n1.key", from: ["127.0.0.0/8"]
     peers: [{{name: "n2", keys: [{{key: "{KEY}"}}]}}]
 }}
@@ -20,33 +20,37 @@
 DEPLOY_FOLDER = os.path.join(os.path.dirname(__file__), *[os.pardir] * 3, "deploy")
 
 
-def faults(text):
+def error_texts(text):
     try:
-        return loader.read(text, "x.cue")
+        return loader.parse_settings(text, "x.cue")
     except OperatorConfigError as error:
-        return [str(fault) for fault in error.diagnostics]
+        return [str(diagnostic) for diagnostic in error.diagnostics]
 
 
-def unified(schema, text):
-    told, bad = grammar.parse(f"a: {text}", "x.cue"), []
-    asked = grammar.parse(f"a: {schema}", "schema")
-    definitions = {name: value for name, (value, _) in asked.fields.items() if name.startswith("#")}
-    met = unification.unify(evaluation.resolve(asked, definitions), told, (), bad)
-    result = evaluation.to_plain(met, (), bad)
-    return [fault.text for fault in bad] or result["a"]
+def unify_texts(schema, text):
+    parsed, diagnostics = grammar.parse(f"a: {text}", "x.cue"), []
+    schema_struct = grammar.parse(f"a: {schema}", "schema")
+    definitions = {
+        name: value for name, (value, _) in schema_struct.fields.items() if name.startswith("#")
+    }
+    unified_value = unification.unify(
+        evaluation.resolve(schema_struct, definitions), parsed, (), diagnostics
+    )
+    result = evaluation.to_plain(unified_value, (), diagnostics)
+    return [diagnostic.message for diagnostic in diagnostics] or result["a"]
 
 
-class Reads(unittest.TestCase):
-    def test_what_is_left_out_gets_its_default_and_durations_are_tenths_of_a_millisecond(self):
-        told = loader.read(LEAST, "x.cue")["gossip"]
+class OperatorFileTest(unittest.TestCase):
+    def test_defaults_are_filled_in_and_durations_are_ticks(self):
+        parsed = loader.parse_settings(MINIMAL_FILE, "x.cue")["gossip"]
         self.assertEqual(
-            (told["probe_every"], told["relays"], told["ceiling"]),
+            (parsed["probe_every"], parsed["relays"], parsed["ceiling"]),
             (10_000, 3, {"bytes": 32000, "datagrams": 60}),
         )
-        told = loader.read(
-            LEAST + 'gossip: probe_timeout: "12ms"\ngossip: hearsay: lapse: "1m30s"', "x.cue"
+        parsed = loader.parse_settings(
+            MINIMAL_FILE + 'gossip: probe_timeout: "12ms"\ngossip: hearsay: lapse: "1m30s"', "x.cue"
         )["gossip"]
-        self.assertEqual((told["probe_timeout"], told["hearsay"]["lapse"]), (120, 900_000))
+        self.assertEqual((parsed["probe_timeout"], parsed["hearsay"]["lapse"]), (120, 900_000))
 
     def test_values_and_constraints(self):
         for schema, text, result in (
@@ -69,10 +73,10 @@
             ("int | *3", "3", 3),
             ("int", "1 & >0", 1),
         ):
-            self.assertEqual(unified(schema, text), result, (schema, text))
+            self.assertEqual(unify_texts(schema, text), result, (schema, text))
 
-    def test_what_does_not_fit_names_the_constraint(self):
-        for schema, text, fault in (
+    def test_mismatch_message_names_the_constraint(self):
+        for schema, text, error_text in (
             ("int & >=1 & <=64 | *3", "65", "65 breaks <=64; asked for: int & >=1 & <=64"),
             ("int", "1.5", "1.5 is no int; asked for: int"),
             ("int", '"1"', '"1" is no int; asked for: int'),
@@ -84,14 +88,15 @@
             ("{b: int}", "3", "3 does not fit {...}"),
             ('string & =~"^x"', '"y"', '"y" breaks =~"^x"; asked for: string & =~"^x"'),
         ):
-            self.assertEqual(unified(schema, text), [fault], (schema, text))
+            self.assertEqual(unify_texts(schema, text), [error_text], (schema, text))
 
-    def test_all_faults_come_at_once_each_with_its_line_and_key(self):
+    def test_all_errors_are_reported_with_line_and_key(self):
         text = (
-            LEAST + 'gossip: relays: 99\ngossip: probe_evry: "1s"\ngossip: ceiling: bytes: "many"\n'
+            MINIMAL_FILE
+            + 'gossip: relays: 99\ngossip: probe_evry: "1s"\ngossip: ceiling: bytes: "many"\n'
         )
         self.assertEqual(
-            faults(text),
+            error_texts(text),
             [
                 "x.cue:5: gossip.relays: 99 breaks <=8; asked for: int & >=0 & <=8",
                 "x.cue:6: gossip.probe_evry: no such field; did you mean probe_every?",
@@ -99,8 +104,8 @@
             ],
         )
 
-    def test_faults_of_form(self):
-        for text, fault in (
+    def test_syntax_and_reference_errors(self):
+        for text, error_text in (
             ("gossip: {", "x.cue:1: the file ends too early"),
             ("a: ]", "x.cue:1: unexpected ']'"),
             ("\n\na: maybe", "x.cue:3: no such name: maybe (strings stand in quotes)"),
@@ -113,45 +118,45 @@
                 'x.cue:3: no regular expression: "[": unterminated character set at position 0',
             ),
         ):
-            self.assertIn(fault, faults(text), text)
+            self.assertIn(error_text, error_texts(text), text)
 
-    def test_numbers_durations_and_depth_without_measure(self):
+    def test_oversized_numbers_durations_and_nesting(self):
         """Each of these ended a start in a traceback: Python reads no integer of over 4,300 digits, a duration
         beyond the floats is infinite, and what is nested a thousand deep goes beyond Python's own stack."""
         digits = "9" * 5_000
-        for text, fault in (
+        for text, error_text in (
             (f"\na: {digits}", "x.cue:2: a number of 5000 characters, 100 at most"),
             (f"a: >{digits}", "x.cue:1: a number of 5000 characters, 100 at most"),
             ("a: " + "(" * 5_000 + "1" + ")" * 5_000, "x.cue:1: is nested too deeply"),
             ("a: " * 5_000 + "1", "x.cue:1: is nested too deeply"),
         ):
-            self.assertIn(fault, faults(text), text[:40])
-        (said,) = faults(LEAST + f'gossip: probe_timeout: "{digits}s"')
-        self.assertRegex(said, '^x.cue:5: gossip.probe_timeout: "9+s" is no duration')
+            self.assertIn(error_text, error_texts(text), text[:40])
+        (message,) = error_texts(MINIMAL_FILE + f'gossip: probe_timeout: "{digits}s"')
+        self.assertRegex(message, '^x.cue:5: gossip.probe_timeout: "9+s" is no duration')
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.text(alphabet='ab#{}[]:,|&*"\\\n ?.<>=!~1-/_', max_size=60))
     def test_no_text_does_more_than_be_refused(self, text):
         try:
-            loader.read(text, "x.cue")
+            loader.parse_settings(text, "x.cue")
         except OperatorConfigError as error:
             self.assertTrue(
                 error.diagnostics and all(fault.file == "x.cue" for fault in error.diagnostics)
             )
 
-    def test_each_example_under_deploy_is_read(self):
-        found = [name for name in os.listdir(DEPLOY_FOLDER) if name.endswith(".cue")]
-        self.assertIn("gossip.cue", found)
-        for name in found:
+    def test_deploy_examples_load(self):
+        names = [name for name in os.listdir(DEPLOY_FOLDER) if name.endswith(".cue")]
+        self.assertIn("gossip.cue", names)
+        for name in names:
             self.assertTrue(loader.load(os.path.join(DEPLOY_FOLDER, name)))
 
 
-class Program(unittest.TestCase):
-    def run_it(self, *arguments, code=None, **more):
+class ProgramTest(unittest.TestCase):
+    def run_program(self, *arguments, code=None, **variables):
         environment = {
             **os.environ,
             "NODE_CONFIG": os.path.join(DEPLOY_FOLDER, "example.json"),
-            **more,
+            **variables,
         }
         return subprocess.run(
             [sys.executable, *(("-c", code) if code else ("-m", "thymeknot")), *arguments],
@@ -161,14 +166,17 @@
             timeout=30,
         )
 
-    def test_a_faulty_file_ends_the_start_with_each_fault(self):
-        faulty = os.path.join(DEPLOY_FOLDER, "balancer.toml")  # some file that is no operator's
-        for ended in (self.run_it("--operator", faulty), self.run_it(THYMEKNOT_OPERATOR=faulty)):
-            self.assertEqual(ended.returncode, 2)
-            self.assertRegex(ended.stderr, r"^thymeknot: .*balancer\.toml:1: unexpected")
-        self.assertIn("can't be read", self.run_it("--operator", "/nowhere.cue").stderr)
+    def test_invalid_file_fails_startup_with_each_error(self):
+        invalid_file = os.path.join(DEPLOY_FOLDER, "balancer.toml")  # not CUE
+        for result in (
+            self.run_program("--operator", invalid_file),
+            self.run_program(THYMEKNOT_OPERATOR=invalid_file),
+        ):
+            self.assertEqual(result.returncode, 2)
+            self.assertRegex(result.stderr, r"^thymeknot: .*balancer\.toml:1: unexpected")
+        self.assertIn("can't be read", self.run_program("--operator", "/nowhere.cue").stderr)
 
-    def test_what_is_off_is_not_imported(self):
+    def test_disabled_features_are_not_imported(self):
         code = (
             "import sys, thymeknot.__main__, thymeknot.proxy.proxy, thymeknot.service.lifecycle as l, thymeknot.service"
             ".features as f; f.Features(None); "
@@ -177,8 +185,8 @@
             "'thymeknot.gossip', 'thymeknot.operator_config', 'thymeknot.decision_log', 'thymeknot.load_generator', "
             "'thymeknot.simulation'))}))"
         )
-        ended = self.run_it(code=code)
-        self.assertEqual((ended.stdout.strip(), ended.returncode), ("[]", 0), ended.stderr)
+        result = self.run_program(code=code)
+        self.assertEqual((result.stdout.strip(), result.returncode), ("[]", 0), result.stderr)
 
 
 if __name__ == "__main__":
--- a/thymeknot/load_generator/codecs.py
+++ b/thymeknot/load_generator/codecs.py
@@ -14,7 +14,7 @@
 class Codec(Protocol):
     """What a protocol's class does."""
 
-    def encode(self, request: Request, left: Ticks) -> bytes:
+    def encode(self, request: Request, remaining: Ticks) -> bytes:
         """The bytes of a request whose client waits for so long yet."""
 
     def decode(self, data: bytes) -> Iterator[Outcome]:
@@ -31,22 +31,22 @@
     def __init__(self) -> None:
         self.parser = resp.Parser()
 
-    def encode(self, request: Request, left: Ticks) -> bytes:
+    def encode(self, request: Request, remaining: Ticks) -> bytes:
         """The bytes of a request; its deadline is at least a millisecond."""
         kind = request.request_class.kind
-        milliseconds = max(1, left // TICKS_PER_MILLISECOND)
+        milliseconds = max(1, remaining // TICKS_PER_MILLISECOND)
         options = f"c={request.request_class.name},t={request.tenant},d={milliseconds}"
         if kind == RequestKind.MARKED:
             options += f",k={request.id}"
         is_read = kind == RequestKind.READ
-        words = [
+        arguments = [
             b"SVC.QUERY" if is_read else b"SVC.SUBMIT",
             request.key.encode(),
             request.id.encode(),
             options.encode(),
         ]
-        content: bytes = resp.command(words if is_read else [*words, b"x"])
-        return content
+        encoded: bytes = resp.command(arguments if is_read else [*arguments, b"x"])
+        return encoded
 
     def decode(self, data: bytes) -> Iterator[Outcome]:
         """How requests ended: BUSY is a rejection, another error or a null a failure."""
--- a/thymeknot/load_generator/latency_histogram.py
+++ b/thymeknot/load_generator/latency_histogram.py
@@ -31,7 +31,7 @@
     return HdrHistogram(1, MAX_LATENCY, SIGNIFICANT_DIGITS)
 
 
-def _record(histogram: HdrHistogram, ticks: Ticks) -> None:
+def _record_latency(histogram: HdrHistogram, ticks: Ticks) -> None:
     histogram.record_value(max(1, min(MAX_LATENCY, ticks)))
 
 
@@ -47,29 +47,29 @@
     """What one stretch came to.
 
     Attributes:
-        corrected: Latencies by class, from when a request was due, so that a stall counts for all
+        corrected_by_class: Latencies by class, from when a request was due: a stall counts for all
             requests that it held up.
-        served: Latencies by class, from when a request was sent.
-        all: Corrected latencies of all classes.
-        late: The load tool's own delay in looking at requests that were due.
+        served_by_class: Latencies by class, from when a request was sent.
+        corrected_all: Corrected latencies of all classes.
+        own_delay: The load tool's own delay in looking at requests that were due.
         outcomes: Requests by how they ended.
-        due: Requests that were due.
-        sent: Requests that were sent.
+        due_count: Requests that were due.
+        sent_count: Requests that were sent.
     """
 
     def __init__(self) -> None:
-        self.corrected: dict[str, HdrHistogram] = {}
-        self.served: dict[str, HdrHistogram] = {}
-        self.all = _histogram()
-        self.late = _histogram()
+        self.corrected_by_class: dict[str, HdrHistogram] = {}
+        self.served_by_class: dict[str, HdrHistogram] = {}
+        self.corrected_all = _histogram()
+        self.own_delay = _histogram()
         self.outcomes = dict.fromkeys(Outcome, 0)
-        self.due = 0
-        self.sent = 0
+        self.due_count = 0
+        self.sent_count = 0
 
     def record_due(self, now: Ticks, request: Request) -> None:
         """Counts a request that was due, and how late it is looked at."""
-        self.due += 1
-        _record(self.late, now - request.due)
+        self.due_count += 1
+        _record_latency(self.own_delay, now - request.due)
 
     def record_end(self, now: Ticks, request: Request, sent_at: Ticks, outcome: Outcome) -> None:
         """Counts how a request ended; latencies are those of requests that were done."""
@@ -77,12 +77,12 @@
         if outcome is not Outcome.DONE:
             return
         name = request.request_class.name
-        if name not in self.corrected:
-            self.corrected[name] = _histogram()
-            self.served[name] = _histogram()
-        _record(self.corrected[name], now - request.due)
-        _record(self.served[name], now - sent_at)
-        _record(self.all, now - request.due)
+        if name not in self.corrected_by_class:
+            self.corrected_by_class[name] = _histogram()
+            self.served_by_class[name] = _histogram()
+        _record_latency(self.corrected_by_class[name], now - request.due)
+        _record_latency(self.served_by_class[name], now - sent_at)
+        _record_latency(self.corrected_all, now - request.due)
 
     def to_report(self, seconds: float) -> dict[str, Any]:
         """The figures for people and programs; latencies are milliseconds.
@@ -92,13 +92,13 @@
         """
         return {
             "seconds": seconds,
-            "due": self.due,
-            "sent": self.sent,
+            "due": self.due_count,
+            "sent": self.sent_count,
             "ends": {outcome.value: count for outcome, count in self.outcomes.items()},
             "done_per_s": round(self.outcomes[Outcome.DONE] / seconds, 1),
-            "corrected_ms": _by_class(self.corrected),
-            "served_ms": _by_class(self.served),
-            "own_lateness_ms": _percentiles(self.late),
+            "corrected_ms": _by_class(self.corrected_by_class),
+            "served_ms": _by_class(self.served_by_class),
+            "own_lateness_ms": _percentiles(self.own_delay),
         }
 
 
--- a/thymeknot/load_generator/ramp.py
+++ b/thymeknot/load_generator/ramp.py
@@ -9,18 +9,18 @@
 class RampState(enum.Enum):
     """Where the search is: no rate failed yet, between two rates, or at its end."""
 
-    CLIMB = "climb"
-    NARROW = "narrow"
-    OVER = "over"
+    CLIMBING = "climb"
+    BISECTING = "narrow"
+    FINISHED = "over"
 
 
 TRANSITIONS = {
-    (RampState.CLIMB, Verdict.HELD): RampState.CLIMB,
-    (RampState.CLIMB, Verdict.FAILED): RampState.NARROW,
-    (RampState.CLIMB, Verdict.SATURATED): RampState.OVER,
-    (RampState.NARROW, Verdict.HELD): RampState.NARROW,
-    (RampState.NARROW, Verdict.FAILED): RampState.NARROW,
-    (RampState.NARROW, Verdict.SATURATED): RampState.OVER,
+    (RampState.CLIMBING, Verdict.HELD): RampState.CLIMBING,
+    (RampState.CLIMBING, Verdict.FAILED): RampState.BISECTING,
+    (RampState.CLIMBING, Verdict.SATURATED): RampState.FINISHED,
+    (RampState.BISECTING, Verdict.HELD): RampState.BISECTING,
+    (RampState.BISECTING, Verdict.FAILED): RampState.BISECTING,
+    (RampState.BISECTING, Verdict.SATURATED): RampState.FINISHED,
 }
 """The next state; a load tool that is saturated says nothing of the server, so the search ends."""
 
@@ -40,21 +40,25 @@
     """
 
     def __init__(
-        self, start: float, factor: float = 1.5, within: float = 0.05, most: float = 1e6
+        self,
+        start_rate: float,
+        growth_factor: float = 1.5,
+        relative_gap: float = 0.05,
+        max_rate: float = 1e6,
     ) -> None:
         """Begins a search.
 
         Args:
-            start: The first rate.
-            factor: By which the rate climbs.
-            within: The gap that is narrow enough, as a share of the lowest rate that failed.
-            most: The highest rate that is tried.
+            start_rate: The first rate.
+            growth_factor: By which the rate climbs.
+            relative_gap: The gap that is narrow enough, as a share of the lowest rate that failed.
+            max_rate: The highest rate that is tried.
         """
-        self.rate = float(start)
-        self.factor = factor
-        self.within = within
-        self.most = most
-        self.state = RampState.CLIMB
+        self.rate = float(start_rate)
+        self.growth_factor = growth_factor
+        self.relative_gap = relative_gap
+        self.max_rate = max_rate
+        self.state = RampState.CLIMBING
         self.highest_held_rate = 0.0
         self.lowest_failed_rate = math.inf
         self.reason = "not begun"
@@ -67,21 +71,21 @@
         elif verdict == Verdict.FAILED:
             self.lowest_failed_rate = min(self.lowest_failed_rate, self.rate)
         self.state = TRANSITIONS[self.state, verdict]
-        if self.state == RampState.CLIMB:
-            self._climb()
-        elif self.state == RampState.NARROW:
-            self._narrow()
+        if self.state == RampState.CLIMBING:
+            self._raise_rate()
+        elif self.state == RampState.BISECTING:
+            self._bisect()
 
-    def _climb(self) -> None:
-        self.rate = min(self.most, self.rate * self.factor)
-        if self.highest_held_rate >= self.most:
-            self.state = RampState.OVER
+    def _raise_rate(self) -> None:
+        self.rate = min(self.max_rate, self.rate * self.growth_factor)
+        if self.highest_held_rate >= self.max_rate:
+            self.state = RampState.FINISHED
 
-    def _narrow(self) -> None:
+    def _bisect(self) -> None:
         gap = self.lowest_failed_rate - self.highest_held_rate
         if (
-            gap <= self.within * self.lowest_failed_rate
+            gap <= self.relative_gap * self.lowest_failed_rate
             or self.lowest_failed_rate < MIN_FAILED_RATE
         ):
-            self.state = RampState.OVER
+            self.state = RampState.FINISHED
         self.rate = (self.highest_held_rate + self.lowest_failed_rate) / 2
--- a/thymeknot/load_generator/run.py
+++ b/thymeknot/load_generator/run.py
@@ -12,7 +12,7 @@
 from .latency_histogram import LoadStatistics, Outcome
 from .ramp import Ramp, RampState
 from .schedule import RequestClass, schedule_requests
-from .verdict import Goal, RunSummary, Verdict, judge
+from .verdict import Goal, RunSummary, Verdict, evaluate
 
 NANOSECONDS_PER_TICK = 100_000
 
@@ -59,7 +59,7 @@
     return time.monotonic_ns() // NANOSECONDS_PER_TICK
 
 
-class _Run:
+class _RunSequence:
     """The stretches of one call, one after another; the event loop stops after the last."""
 
     def __init__(
@@ -80,47 +80,49 @@
         self.ramp = ramp
         self.results: list[RunResult] = []
 
-    def begin(self) -> None:
+    def start_next(self) -> None:
         """Starts the next stretch."""
         rate = self.ramp.rate if self.ramp else self.plan["rate"]
-        span = self.plan["seconds"] * TICKS_PER_SECOND
+        duration = self.plan["seconds"] * TICKS_PER_SECOND
         requests = schedule_requests(
             self.plan["seed"] + len(self.results),
             rate,
-            span,
+            duration,
             self.plan["lanes"],
-            keys=self.plan["keys"],
+            key_count=self.plan["keys"],
         )
         driver = Driver(self.reactor, monotonic_ticks, self.settings)
-        driver.run(requests, span).addCallback(self._ended, rate).addErrback(self._failed)
+        driver.run(requests, duration).addCallback(self._run_ended, rate).addErrback(
+            self._run_failed
+        )
 
-    def _ended(self, statistics: LoadStatistics, rate: float) -> None:
-        stretch = _summarize(statistics, rate, self.goal)
-        verdict, reason = judge(stretch, self.goal)
+    def _run_ended(self, statistics: LoadStatistics, rate: float) -> None:
+        summary = _summarize(statistics, rate, self.goal)
+        verdict, reason = evaluate(summary, self.goal)
         self.results.append(RunResult(rate, verdict, reason, statistics))
-        self.notify(f"{rate:8.0f}/s  {verdict:9}  {reason}  (done {stretch.done} of {stretch.due})")
+        self.notify(f"{rate:8.0f}/s  {verdict:9}  {reason}  (done {summary.done} of {summary.due})")
         if self.ramp:
             self.ramp.record(verdict, reason)
-        if self.ramp and self.ramp.state != RampState.OVER:
-            self.begin()
+        if self.ramp and self.ramp.state != RampState.FINISHED:
+            self.start_next()
         else:
             self.reactor.stop()
 
-    def _failed(self, failure: Failure) -> None:
+    def _run_failed(self, failure: Failure) -> None:
         failure.printTraceback()  # type: ignore[no-untyped-call]  # twisted's
         self.reactor.stop()
 
 
 def _summarize(statistics: LoadStatistics, rate: float, goal: Goal) -> RunSummary:
     done = statistics.outcomes[Outcome.DONE]
-    latency = statistics.all.get_value_at_percentile(100 * goal.quantile) if done else 0
+    latency = statistics.corrected_all.get_value_at_percentile(100 * goal.quantile) if done else 0
     return RunSummary(
         rate=rate,
         latency=latency,
         done=done,
         ended=sum(statistics.outcomes.values()),
-        late=statistics.late.get_value_at_percentile(OWN_DELAY_PERCENTILE),
-        due=statistics.due,
+        own_delay=statistics.own_delay.get_value_at_percentile(OWN_DELAY_PERCENTILE),
+        due=statistics.due_count,
     )
 
 
@@ -131,7 +133,7 @@
     goal: Goal,
     notify: Callable[[str], None],
     max_connections: int = 64,
-    patience: Ticks = 2 * TICKS_PER_SECOND,
+    client_timeout: Ticks = 2 * TICKS_PER_SECOND,
     protocol: str = "resp2",
     ramp: Optional[Ramp] = None,
 ) -> list[RunResult]:
@@ -144,7 +146,7 @@
         goal: What a stretch has to meet.
         notify: Takes a line about each stretch.
         max_connections: Connections at most.
-        patience: How long a client waits.
+        client_timeout: How long a client waits.
         protocol: A key of CODECS.
         ramp: Sets the rates, or None for the plan's own.
     """
@@ -152,8 +154,8 @@
 
     loop: Any = reactor
     loop.seconds = time.monotonic
-    settings = DriverSettings(host, port, CODECS[protocol], max_connections, patience)
-    run = _Run(loop, settings, plan, goal, notify=notify, ramp=ramp)
-    loop.callWhenRunning(run.begin)
+    settings = DriverSettings(host, port, CODECS[protocol], max_connections, client_timeout)
+    sequence = _RunSequence(loop, settings, plan, goal, notify=notify, ramp=ramp)
+    loop.callWhenRunning(sequence.start_next)
     loop.run(installSignalHandlers=True)
-    return run.results
+    return sequence.results
--- a/thymeknot/load_generator/schedule.py
+++ b/thymeknot/load_generator/schedule.py
@@ -11,13 +11,13 @@
 from .ramp import Ramp
 from .verdict import HELD, Goal
 
-KEYS = 10_000
+DEFAULT_KEY_COUNT = 10_000
 """Different keys, unless the caller says otherwise."""
 
 ZIPF_EXPONENT = 0.8
 """How uneven the keys are: the k-th is asked for in proportion to k to the power of minus this."""
 
-TENANTS = 4
+TENANT_COUNT = 4
 """Different tenants, unless the caller says otherwise."""
 
 
@@ -87,33 +87,40 @@
 
 
 def schedule_requests(
-    seed: int, rate: float, span: Ticks, classes: Sequence[RequestClass], *, keys: int = KEYS
+    seed: int,
+    rate: float,
+    duration: Ticks,
+    classes: Sequence[RequestClass],
+    *,
+    key_count: int = DEFAULT_KEY_COUNT,
 ) -> Iterator[Request]:
     """The requests of a stretch in order of time; the same arguments give the same ones.
 
     Args:
         seed: Of the random numbers.
         rate: Requests a second, on average.
-        span: The length of the stretch.
+        duration: The length of the stretch.
         classes: The classes that requests are drawn from by their shares.
-        keys: The number of different keys.
+        key_count: The number of different keys.
     """
     random = Random(seed)
-    cumulated_weights = list(accumulate(1 / rank**ZIPF_EXPONENT for rank in range(1, keys + 1)))
+    cumulative_weights = list(
+        accumulate(1 / rank**ZIPF_EXPONENT for rank in range(1, key_count + 1))
+    )
     shares = [request_class.share for request_class in classes]
     now = 0.0
     while True:
         now += random.expovariate(rate / TICKS_PER_SECOND)
-        if now >= span:
+        if now >= duration:
             return
-        (key,) = random.choices(range(keys), cum_weights=cumulated_weights)
+        (key,) = random.choices(range(key_count), cum_weights=cumulative_weights)
         (request_class,) = random.choices(classes, shares)
         yield Request(
             due=int(now),
             id=f"{random.getrandbits(64):016x}",
             key=f"{key:08x}",
             request_class=request_class,
-            tenant=f"t{key % TENANTS}",
+            tenant=f"t{key % TENANT_COUNT}",
         )
 
 
--- a/thymeknot/load_generator/verdict.py
+++ b/thymeknot/load_generator/verdict.py
@@ -5,7 +5,7 @@
 
 from ..interface.clock import Ticks
 
-MAX_OWN_DELAY_SHARE = 0.25
+MAX_OWN_DELAY_RATIO = 0.25
 """Of the goal's latency: a load tool that is later than this itself says nothing of the server."""
 
 MIN_OWN_DELAY_LIMIT: Ticks = 20
@@ -29,12 +29,12 @@
 
     Attributes:
         quantile: The quantile of the corrected latencies that counts.
-        latency: How long that quantile may be.
+        max_latency: How long that quantile may be.
         max_not_done_share: The share of requests that may end otherwise than done.
     """
 
     quantile: float = 0.99
-    latency: Ticks = 500
+    max_latency: Ticks = 500
     max_not_done_share: float = 0.01
 
 
@@ -46,7 +46,7 @@
         latency: The goal's quantile of the corrected latencies.
         done: Requests that ended well.
         ended: Requests that ended in any way.
-        late: The load tool's own delay, 99th percentile, from when a request was due to when it
+        own_delay: The load tool's own delay, 99th percentile, from when a request is due until it
             was looked at; what then waits for a connection waits for the server.
         due: Requests that were due.
     """
@@ -55,11 +55,11 @@
     latency: Ticks
     done: int
     ended: int
-    late: Ticks
+    own_delay: Ticks
     due: int
 
 
-class Judgement(NamedTuple):
+class Evaluation(NamedTuple):
     """A verdict with its reason.
 
     Attributes:
@@ -71,13 +71,13 @@
     reason: str
 
 
-def judge(stretch: RunSummary, goal: Goal) -> Judgement:
+def evaluate(summary: RunSummary, goal: Goal) -> Evaluation:
     """Compares a stretch with the goal; the load tool's own delay is looked at first."""
-    if stretch.late > max(MIN_OWN_DELAY_LIMIT, MAX_OWN_DELAY_SHARE * goal.latency):
-        reason = f"the load tool itself was {stretch.late / 10:.1f} ms late"
-        return Judgement(Verdict.SATURATED, reason)
-    not_done = stretch.ended - stretch.done
-    if not_done > goal.max_not_done_share * max(1, stretch.ended):
-        return Judgement(Verdict.FAILED, f"{not_done} of {stretch.ended} not done")
-    verdict = Verdict.FAILED if stretch.latency > goal.latency else Verdict.HELD
-    return Judgement(verdict, f"{goal.quantile:.1%} within {stretch.latency / 10:.1f} ms")
+    if summary.own_delay > max(MIN_OWN_DELAY_LIMIT, MAX_OWN_DELAY_RATIO * goal.max_latency):
+        reason = f"the load tool itself was {summary.own_delay / 10:.1f} ms late"
+        return Evaluation(Verdict.SATURATED, reason)
+    not_done = summary.ended - summary.done
+    if not_done > goal.max_not_done_share * max(1, summary.ended):
+        return Evaluation(Verdict.FAILED, f"{not_done} of {summary.ended} not done")
+    verdict = Verdict.FAILED if summary.latency > goal.max_latency else Verdict.HELD
+    return Evaluation(verdict, f"{goal.quantile:.1%} within {summary.latency / 10:.1f} ms")
--- a/thymeknot/operator_config/errors.py
+++ b/thymeknot/operator_config/errors.py
@@ -19,7 +19,7 @@
     line: int
 
 
-NOWHERE = Location(None, 0)
+UNKNOWN_LOCATION = Location(None, 0)
 """The location of what no file holds."""
 
 
@@ -30,19 +30,19 @@
         file: The file's name, or None where it is not known yet.
         line: The line, counted from 1, or 0 where there is none.
         path: The keys that lead to the value.
-        text: What is wrong.
+        message: What is wrong.
     """
 
     file: Optional[str]
     line: int
     path: KeyPath
-    text: str
+    message: str
 
     def __str__(self) -> str:
         key = "".join(
             f"[{part}]" if isinstance(part, int) else f".{part}" for part in self.path
         ).lstrip(".")
-        return f"{self.file}:{self.line}: " + (f"{key}: " if key else "") + self.text
+        return f"{self.file}:{self.line}: " + (f"{key}: " if key else "") + self.message
 
 
 class OperatorConfigError(ValueError):
--- a/thymeknot/operator_config/evaluation.py
+++ b/thymeknot/operator_config/evaluation.py
@@ -3,15 +3,15 @@
 from collections.abc import Mapping
 from typing import Any
 
-from .errors import NOWHERE, Diagnostic, KeyPath, Location, OperatorConfigError
-from .unification import check
+from .errors import UNKNOWN_LOCATION, Diagnostic, KeyPath, Location, OperatorConfigError
+from .unification import check_scalar
 from .values import (
     Constraint,
+    Disjunct,
     Disjunction,
     Field,
     Kind,
     ListValue,
-    Option,
     Reference,
     Scalar,
     Struct,
@@ -19,67 +19,69 @@
 )
 
 
-def resolve(value: Value, definitions: Mapping[str, Value], within: tuple[str, ...] = ()) -> Value:
+def resolve(
+    value: Value, definitions: Mapping[str, Value], resolving: tuple[str, ...] = ()
+) -> Value:
     """A value with its references replaced by what they refer to, closed.
 
     Args:
         value: The value.
         definitions: The definitions by name.
-        within: The definitions that are being resolved, from the outermost.
+        resolving: The definitions that are being resolved, from the outermost.
 
     Raises:
         OperatorConfigError: A reference is to no definition, or to one that contains itself.
     """
     if isinstance(value, Reference):
-        return _resolve_reference(value, definitions, within)
+        return _resolve_reference(value, definitions, resolving)
     if isinstance(value, Struct):
         fields = {
-            name: Field(resolve(field.value, definitions, within), field.is_optional)
+            name: Field(resolve(field.value, definitions, resolving), field.is_optional)
             for name, field in value.fields.items()
         }
         return value._replace(fields=fields)
     if isinstance(value, ListValue):
         elements = value.elements and tuple(
-            resolve(element, definitions, within) for element in value.elements
+            resolve(element, definitions, resolving) for element in value.elements
         )
-        return ListValue(resolve(value.element, definitions, within), elements, value.location)
+        return ListValue(resolve(value.element, definitions, resolving), elements, value.location)
     if isinstance(value, Disjunction):
-        options = [
-            Option(resolve(option.value, definitions, within), option.is_default)
-            for option in value.options
+        disjuncts = [
+            Disjunct(resolve(disjunct.value, definitions, resolving), disjunct.is_default)
+            for disjunct in value.disjuncts
         ]
-        return Disjunction(_with_durations(options), value.location)
+        return Disjunction(_with_durations(disjuncts), value.location)
     return value
 
 
 def _resolve_reference(
-    reference: Reference, definitions: Mapping[str, Value], within: tuple[str, ...]
+    reference: Reference, definitions: Mapping[str, Value], resolving: tuple[str, ...]
 ) -> Value:
     name = reference.name
-    if name not in definitions or name in within:
-        text = "refers to itself" if name in within else "is not defined"
-        raise OperatorConfigError([Diagnostic(*reference.location, (), f"{name} {text}")])
-    return _close(resolve(definitions[name], definitions, (*within, name)))
+    if name not in definitions or name in resolving:
+        message = "refers to itself" if name in resolving else "is not defined"
+        raise OperatorConfigError([Diagnostic(*reference.location, (), f"{name} {message}")])
+    return _close(resolve(definitions[name], definitions, (*resolving, name)))
 
 
-def _with_durations(options: list[Option]) -> tuple[Option, ...]:
+def _with_durations(disjuncts: list[Disjunct]) -> tuple[Disjunct, ...]:
     """The options, with each scalar beside a duration as one: it is written as a string."""
     if not any(
-        isinstance(option.value, Constraint) and option.value.kind == Kind.DURATION
-        for option in options
+        isinstance(disjunct.value, Constraint) and disjunct.value.kind == Kind.DURATION
+        for disjunct in disjuncts
     ):
-        return tuple(options)
+        return tuple(disjuncts)
     return tuple(
-        Option(_as_duration(option.value), option.is_default)
-        if isinstance(option.value, Scalar)
-        else option
-        for option in options
+        Disjunct(_as_duration(disjunct.value), disjunct.is_default)
+        if isinstance(disjunct.value, Scalar)
+        else disjunct
+        for disjunct in disjuncts
     )
 
 
 def _as_duration(scalar: Scalar) -> Value:
     """The scalar as a duration, or as it is if it is none: what it is used for reports that."""
-    return check(Constraint(Kind.DURATION, (), scalar.location), scalar, (), [])
+    return check_scalar(Constraint(Kind.DURATION, (), scalar.location), scalar, (), [])
 
 
 def _close(value: Value) -> Value:
@@ -93,7 +95,10 @@
 
 
 def to_plain(
-    value: Value, path: KeyPath, diagnostics: list[Diagnostic], location: Location = NOWHERE
+    value: Value,
+    path: KeyPath,
+    diagnostics: list[Diagnostic],
+    location: Location = UNKNOWN_LOCATION,
 ) -> Any:
     """The plain Python value: dicts, lists and scalars; defaults stand for what is left open.
 
@@ -117,7 +122,7 @@
             for index, element in enumerate(value.elements)
         ]
     if isinstance(value, Disjunction):
-        defaults = [option.value for option in value.options if option.is_default]
+        defaults = [disjunct.value for disjunct in value.disjuncts if disjunct.is_default]
         if defaults and _is_unambiguous(defaults):
             return to_plain(defaults[0], path, diagnostics, location)
     diagnostics.append(Diagnostic(*location, path, f"is missing; asked for: {value}"))
--- a/thymeknot/operator_config/grammar.py
+++ b/thymeknot/operator_config/grammar.py
@@ -18,11 +18,11 @@
     TOP,
     Bound,
     Constraint,
+    Disjunct,
     Disjunction,
     Field,
     Kind,
     ListValue,
-    Option,
     Reference,
     Scalar,
     Struct,
@@ -34,24 +34,24 @@
 _members: (member ","?)*
 member: label ":" (expr | member)
 label: (NAME | DEFINITION | STRING) OPTIONAL?
-?expr: choice | conjunction
-choice: option ("|" option)+ | default
-?option: default | conjunction
+?expr: disjunction | conjunction
+disjunction: disjunct ("|" disjunct)+ | default
+?disjunct: default | conjunction
 default: "*" conjunction
 conjunction: unary ("&" unary)*
 ?unary: NUMBER -> number
       | STRING -> string
-      | NAME -> word
+      | NAME -> identifier
       | DEFINITION -> reference
       | OPERATOR (NUMBER | STRING) -> bound
-      | "{" _members DOTS? ","? "}" -> struct
-      | "[" "..." expr? "]" -> list_of
-      | "[" (expr ","?)* "]" -> elements
+      | "{" _members ELLIPSIS? ","? "}" -> struct
+      | "[" "..." expr? "]" -> open_list
+      | "[" (expr ","?)* "]" -> closed_list
       | "(" expr ")"
 NAME: /[A-Za-z_][A-Za-z0-9_]*/
 DEFINITION: /#[A-Za-z][A-Za-z0-9_]*/
 OPTIONAL: "?"
-DOTS: "..."
+ELLIPSIS: "..."
 OPERATOR: ">=" | "<=" | "!=" | "=~" | ">" | "<"
 NUMBER: /-?[0-9]+(\.[0-9]+)?([eE][-+]?[0-9]+)?/
 STRING: /"([^"\\\n]|\\.)*"/
@@ -96,8 +96,8 @@
     try:
         return str(ast.literal_eval(str(token)))
     except (SyntaxError, ValueError):
-        text = f"no string that can be read: {token}"
-        raise OperatorConfigError([Diagnostic(None, token.line or 0, (), text)]) from None
+        message = f"no string that can be read: {token}"
+        raise OperatorConfigError([Diagnostic(None, token.line or 0, (), message)]) from None
 
 
 def _number_value(token: Token) -> Union[int, float]:
@@ -113,8 +113,8 @@
     try:
         re.compile(str(pattern))
     except re.error as error:
-        text = f"no regular expression: {token}: {error}"
-        raise OperatorConfigError([Diagnostic(None, token.line or 0, (), text)]) from None
+        message = f"no regular expression: {token}: {error}"
+        raise OperatorConfigError([Diagnostic(None, token.line or 0, (), message)]) from None
 
 
 @v_args(inline=True, meta=True)
@@ -173,7 +173,7 @@
         """A string in quotes."""
         return Scalar(Kind.STRING, _string_value(token), self._location(meta))
 
-    def word(self, meta: Meta, token: Token) -> Value:
+    def identifier(self, meta: Meta, token: Token) -> Value:
         """A word without quotes: a constant, a kind, or `_`."""
         if token in ("true", "false"):
             return Scalar(Kind.BOOL, token == "true", self._location(meta))
@@ -183,8 +183,8 @@
             return TOP
         if token in KIND_NAMES:
             return Constraint(Kind(str(token)), (), self._location(meta))
-        text = f"no such name: {token} (strings stand in quotes)"
-        raise OperatorConfigError([Diagnostic(self.file, meta.line, (), text)])
+        message = f"no such name: {token} (strings stand in quotes)"
+        raise OperatorConfigError([Diagnostic(self.file, meta.line, (), message)])
 
     def reference(self, meta: Meta, token: Token) -> Reference:
         """A definition's name."""
@@ -197,11 +197,11 @@
             _check_pattern(token, limit)
         return Constraint(None, (Bound(str(operator), limit),), self._location(meta))
 
-    def list_of(self, meta: Meta, element: Value = TOP) -> ListValue:
+    def open_list(self, meta: Meta, element: Value = TOP) -> ListValue:
         """Any number of elements that satisfy one constraint."""
         return ListValue(element, None, self._location(meta))
 
-    def elements(self, meta: Meta, *elements: Value) -> ListValue:
+    def closed_list(self, meta: Meta, *elements: Value) -> ListValue:
         """A list of just these elements."""
         return ListValue(TOP, elements, self._location(meta))
 
@@ -217,17 +217,17 @@
 
     def default(self, meta: Meta, value: Value) -> Disjunction:
         """A default."""
-        return Disjunction((Option(value, True),), self._location(meta))
+        return Disjunction((Disjunct(value, True),), self._location(meta))
 
-    def choice(self, meta: Meta, *alternatives: Value) -> Disjunction:
+    def disjunction(self, meta: Meta, *alternatives: Value) -> Disjunction:
         """Alternatives, flat: those of an inner choice are taken into the outer one."""
-        options: list[Option] = []
+        disjuncts: list[Disjunct] = []
         for alternative in alternatives:
             if isinstance(alternative, Disjunction):
-                options += alternative.options
+                disjuncts += alternative.disjuncts
             else:
-                options.append(Option(alternative, False))
-        return Disjunction(tuple(options), self._location(meta))
+                disjuncts.append(Disjunct(alternative, False))
+        return Disjunction(tuple(disjuncts), self._location(meta))
 
 
 _parser = Lark(GRAMMAR, parser="lalr", propagate_positions=True)
--- a/thymeknot/operator_config/loader.py
+++ b/thymeknot/operator_config/loader.py
@@ -10,7 +10,7 @@
 from .unification import unify
 from .values import Field, Struct, Value
 
-ROOT_SCHEMA = "operator.cue"
+ROOT_SCHEMA_FILE = "operator.cue"
 """The schema file whose struct an operator file is unified with; the others hold definitions."""
 
 Record = TypeVar("Record")
@@ -27,8 +27,8 @@
     definitions: dict[str, Value] = {}
     for struct in structs.values():
         definitions.update(_definitions(struct))
-    root = structs[ROOT_SCHEMA]
-    return resolve(Struct(_own_fields(root), False, True, root.location), definitions)
+    root = structs[ROOT_SCHEMA_FILE]
+    return resolve(Struct(_non_definition_fields(root), False, True, root.location), definitions)
 
 
 def _is_definition(name: str) -> bool:
@@ -39,11 +39,11 @@
     return {name: field.value for name, field in struct.fields.items() if _is_definition(name)}
 
 
-def _own_fields(struct: Struct) -> dict[str, Field]:
+def _non_definition_fields(struct: Struct) -> dict[str, Field]:
     return {name: field for name, field in struct.fields.items() if not _is_definition(name)}
 
 
-def read(text: str, file: str) -> dict[str, Any]:
+def parse_settings(text: str, file: str) -> dict[str, Any]:
     """The plain settings of an operator file's text, with defaults filled in.
 
     Args:
@@ -54,19 +54,19 @@
         OperatorConfigError: With every fault at once, by line.
     """
     try:
-        return _read(text, file)
+        return _parse_settings(text, file)
     except RecursionError:
         raise OperatorConfigError([Diagnostic(file, 1, (), "is nested too deeply")]) from None
 
 
-def _read(text: str, file: str) -> dict[str, Any]:
+def _parse_settings(text: str, file: str) -> dict[str, Any]:
     struct = parse(text, file)
-    own = resolve(struct._replace(fields=_own_fields(struct)), _definitions(struct))
+    resolved = resolve(struct._replace(fields=_non_definition_fields(struct)), _definitions(struct))
     diagnostics: list[Diagnostic] = []
-    unified = unify(load_schema(), own, (), diagnostics)
-    settings: dict[str, Any] = to_plain(unified, (), diagnostics, own.location)
+    unified = unify(load_schema(), resolved, (), diagnostics)
+    settings: dict[str, Any] = to_plain(unified, (), diagnostics, resolved.location)
     if diagnostics:
-        first_line = max(own.location.line, 1)
+        first_line = max(resolved.location.line, 1)
         # A fault located in a schema is about what was left out: it gets the file's first line.
         located = (
             diagnostic
@@ -80,27 +80,27 @@
     return settings
 
 
-def to_record(kind: type[Record], settings: dict[str, Any]) -> Record:
+def to_record(record_type: type[Record], settings: dict[str, Any]) -> Record:
     """A NamedTuple of plain settings: records for mappings, tuples for lists, None for absent keys.
 
     Args:
-        kind: The NamedTuple; its fields are named after the keys. A field whose key is a word of
+        record_type: The NamedTuple; fields are named after the keys. A field whose key is a word of
             Python's ends in an underscore.
         settings: The plain settings.
     """
     values: dict[str, Any] = {}
-    for name, hint in get_type_hints(kind).items():
+    for name, hint in get_type_hints(record_type).items():
         value = settings.get(name.rstrip("_"))
-        inner: Any = getattr(hint, "__args__", (hint,))[0] if value is not None else None
+        element_type: Any = getattr(hint, "__args__", (hint,))[0] if value is not None else None
         if isinstance(value, dict):
-            value = to_record(hint if hasattr(hint, "_fields") else inner, value)
+            value = to_record(hint if hasattr(hint, "_fields") else element_type, value)
         elif isinstance(value, list):
             value = tuple(
-                to_record(inner, element) if isinstance(element, dict) else element
+                to_record(element_type, element) if isinstance(element, dict) else element
                 for element in value
             )
         values[name] = value
-    return kind(**values)
+    return record_type(**values)
 
 
 def load(path: str) -> dict[str, Any]:
@@ -117,7 +117,7 @@
         raise OperatorConfigError([Diagnostic(path, 0, (), f"can't be read: {reason}")]) from None
     except UnicodeDecodeError:
         raise OperatorConfigError([Diagnostic(path, 0, (), "is no UTF-8")]) from None
-    return read(text, path)
+    return parse_settings(text, path)
 
 
 def line_prefix(path: str, keys: tuple[str, ...]) -> str:
@@ -132,4 +132,11 @@
     return f"{value.location.line}:"
 
 
-__all__ = ["OperatorConfigError", "line_prefix", "load", "load_schema", "read", "to_record"]
+__all__ = [
+    "OperatorConfigError",
+    "line_prefix",
+    "load",
+    "load_schema",
+    "parse_settings",
+    "to_record",
+]
--- a/thymeknot/operator_config/unification.py
+++ b/thymeknot/operator_config/unification.py
@@ -14,11 +14,11 @@
     TOP,
     Bound,
     Constraint,
+    Disjunct,
     Disjunction,
     Field,
     Kind,
     ListValue,
-    Option,
     Scalar,
     Struct,
     Value,
@@ -56,27 +56,29 @@
         return _unify_disjunction(left, right, path, diagnostics)
     if isinstance(right, Disjunction):
         return _unify_disjunction(right, left, path, diagnostics)
-    rule = RULES.get((type(left), type(right)))
-    if rule is not None:
-        return rule(left, right, path, diagnostics)
+    unifier = UNIFIERS.get((type(left), type(right)))
+    if unifier is not None:
+        return unifier(left, right, path, diagnostics)
     if type(left) is type(right):
-        return report(diagnostics, right, path, "can't be told here")
-    return _report_misfit(left, right, path, diagnostics)
+        return add_diagnostic(diagnostics, right, path, "can't be told here")
+    return _report_mismatch(left, right, path, diagnostics)
 
 
-def _report_misfit(
+def _report_mismatch(
     left: Value, right: Value, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
     """Reports two values that have nothing in common, at the location of the concrete one."""
     right_is_given = _is_concrete(right) or not _is_concrete(left)
     given = right if right_is_given else left
     expected = left if right_is_given else right
-    return report(diagnostics, given, path, f"{given} does not fit {expected}")
+    return add_diagnostic(diagnostics, given, path, f"{given} does not fit {expected}")
 
 
-def report(diagnostics: list[Diagnostic], value: Value, path: KeyPath, text: str) -> Value:
+def add_diagnostic(
+    diagnostics: list[Diagnostic], value: Value, path: KeyPath, message: str
+) -> Value:
     """Adds a fault at a value's location, and returns the value."""
-    diagnostics.append(Diagnostic(*value.location, path, text))
+    diagnostics.append(Diagnostic(*value.location, path, message))
     return value
 
 
@@ -86,7 +88,7 @@
     )
 
 
-def check(
+def check_scalar(
     constraint: Constraint, scalar: Scalar, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
     """The scalar as the constraint has it: a string becomes a duration where one is expected.
@@ -101,19 +103,21 @@
     if kind == Kind.DURATION and scalar.kind == Kind.STRING:
         ticks = parse_duration(str(scalar.value))
         if ticks is None:
-            text = f'{scalar} is no duration, such as "250ms" or "1m30s"'
-            return report(diagnostics, scalar, path, text)
+            message = f'{scalar} is no duration, such as "250ms" or "1m30s"'
+            return add_diagnostic(diagnostics, scalar, path, message)
         scalar = Scalar(Kind.DURATION, ticks, scalar.location)
     if not (kind in (None, scalar.kind) or (kind == Kind.NUMBER and scalar.kind == Kind.INT)):
-        return report(diagnostics, scalar, path, f"{scalar} is no {kind}; asked for: {constraint}")
+        return add_diagnostic(
+            diagnostics, scalar, path, f"{scalar} is no {kind}; asked for: {constraint}"
+        )
     for bound in constraint.bounds:
-        if not _keeps(scalar, bound):
-            text = f"{scalar} breaks {bound}; asked for: {constraint}"
-            return report(diagnostics, scalar, path, text)
+        if not _satisfies(scalar, bound):
+            message = f"{scalar} breaks {bound}; asked for: {constraint}"
+            return add_diagnostic(diagnostics, scalar, path, message)
     return scalar
 
 
-def _keeps(scalar: Scalar, bound: Bound) -> bool:
+def _satisfies(scalar: Scalar, bound: Bound) -> bool:
     """Whether a scalar keeps a bound; one that can't be compared with it does not."""
     limit: object = bound.limit
     if scalar.kind == Kind.DURATION and isinstance(bound.limit, str):
@@ -128,19 +132,19 @@
     """The result of unifying one alternative.
 
     Attributes:
-        option: The alternative.
+        disjunct: The alternative.
         result: What both values say.
         diagnostics: What is wrong; the alternative is left out if there is anything.
     """
 
-    option: Option
+    disjunct: Disjunct
     result: Value
     diagnostics: list[Diagnostic]
 
 
-def _attempt(option: Option, other: Value, path: KeyPath) -> _Attempt:
+def _try_disjunct(disjunct: Disjunct, other: Value, path: KeyPath) -> _Attempt:
     diagnostics: list[Diagnostic] = []
-    return _Attempt(option, unify(option.value, other, path, diagnostics), diagnostics)
+    return _Attempt(disjunct, unify(disjunct.value, other, path, diagnostics), diagnostics)
 
 
 def _unify_disjunction(
@@ -148,43 +152,45 @@
 ) -> Value:
     """The alternatives that fit the other value; the only one itself, if just one fits a value."""
     if isinstance(other, Disjunction):
-        options = _cross_options(disjunction, other, path)
+        disjuncts = _cross_disjuncts(disjunction, other, path)
     else:
-        attempts = [_attempt(option, other, path) for option in disjunction.options]
-        options = [
-            Option(attempt.result, attempt.option.is_default)
+        attempts = [_try_disjunct(disjunct, other, path) for disjunct in disjunction.disjuncts]
+        disjuncts = [
+            Disjunct(attempt.result, attempt.disjunct.is_default)
             for attempt in attempts
             if not attempt.diagnostics
         ]
-        nearest = [] if options else _nearest_faults(attempts, path)
-        if nearest:
-            diagnostics += nearest
+        closest = [] if disjuncts else _closest_diagnostics(attempts, path)
+        if closest:
+            diagnostics += closest
             return other
-    if not options:
-        return report(diagnostics, other, path, f"{other} is none of {disjunction}")
-    if len(options) == 1 and not isinstance(other, Disjunction):
-        return options[0].value
-    return Disjunction(tuple(options), disjunction.location)
+    if not disjuncts:
+        return add_diagnostic(diagnostics, other, path, f"{other} is none of {disjunction}")
+    if len(disjuncts) == 1 and not isinstance(other, Disjunction):
+        return disjuncts[0].value
+    return Disjunction(tuple(disjuncts), disjunction.location)
 
 
-def _cross_options(left: Disjunction, right: Disjunction, path: KeyPath) -> list[Option]:
+def _cross_disjuncts(left: Disjunction, right: Disjunction, path: KeyPath) -> list[Disjunct]:
     """Each alternative of one side with each of the other; a default is what both mark."""
-    options = []
-    for option in left.options:
-        for other in right.options:
-            attempt = _attempt(option, other.value, path)
+    disjuncts = []
+    for disjunct in left.disjuncts:
+        for other in right.disjuncts:
+            attempt = _try_disjunct(disjunct, other.value, path)
             if not attempt.diagnostics:
-                options.append(Option(attempt.result, option.is_default and other.is_default))
-    return options
+                disjuncts.append(Disjunct(attempt.result, disjunct.is_default and other.is_default))
+    return disjuncts
 
 
-def _nearest_faults(attempts: list[_Attempt], path: KeyPath) -> list[Diagnostic]:
+def _closest_diagnostics(attempts: list[_Attempt], path: KeyPath) -> list[Diagnostic]:
     """The faults of the alternative that came nearest, or none if no one did.
 
     That is the first whose faults lie inside of it, or the only one that is no scalar.
     """
     candidates = [
-        attempt.diagnostics for attempt in attempts if not isinstance(attempt.option.value, Scalar)
+        attempt.diagnostics
+        for attempt in attempts
+        if not isinstance(attempt.disjunct.value, Scalar)
     ]
     for candidate in candidates:
         if any(len(diagnostic.path) > len(path) for diagnostic in candidate):
@@ -198,7 +204,9 @@
     same_kind = left.kind == right.kind or {left.kind, right.kind} == {Kind.INT, Kind.NUMBER}
     if left.value == right.value and same_kind:
         return left
-    return report(diagnostics, right, path, f"{right} is not {left} (line {left.location.line})")
+    return add_diagnostic(
+        diagnostics, right, path, f"{right} is not {left} (line {left.location.line})"
+    )
 
 
 def _unify_constraints(
@@ -208,7 +216,7 @@
     if kinds == {Kind.INT, Kind.NUMBER}:
         kinds = {Kind.INT}
     if len(kinds) > 1:
-        return report(diagnostics, right, path, f"{right} does not fit {left}")
+        return add_diagnostic(diagnostics, right, path, f"{right} does not fit {left}")
     return Constraint(next(iter(kinds), None), left.bounds + right.bounds, left.location)
 
 
@@ -219,30 +227,30 @@
     fields: dict[str, Field] = {}
     for name in (*left.fields, *(name for name in right.fields if name not in left.fields)):
         key = (*path, name)
-        one = left.fields.get(name)
-        two = right.fields.get(name)
-        if one and two:
-            value = unify(one.value, two.value, key, diagnostics)
-            fields[name] = Field(value, one.is_optional and two.is_optional)
-        elif one:
-            fields[name] = one
-            _check_known(right, name, one.value, key, diagnostics)
-        elif two:
-            fields[name] = two
-            _check_known(left, name, two.value, key, diagnostics)
+        left_item = left.fields.get(name)
+        right_item = right.fields.get(name)
+        if left_item and right_item:
+            value = unify(left_item.value, right_item.value, key, diagnostics)
+            fields[name] = Field(value, left_item.is_optional and right_item.is_optional)
+        elif left_item:
+            fields[name] = left_item
+            _check_allowed(right, name, left_item.value, key, diagnostics)
+        elif right_item:
+            fields[name] = right_item
+            _check_allowed(left, name, right_item.value, key, diagnostics)
     is_closed = (left.is_closed and not left.is_open) or (right.is_closed and not right.is_open)
     location = right.location if left.is_closed else left.location
     return Struct(fields, not is_closed, is_closed, location)
 
 
-def _check_known(
+def _check_allowed(
     struct: Struct, name: str, value: Value, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> None:
     """Reports a field that a struct lacks and does not take."""
     if struct.is_closed and not struct.is_open:
-        near = difflib.get_close_matches(name, struct.fields, 1)
-        hint = f"; did you mean {near[0]}?" if near else ""
-        report(diagnostics, value, path, f"no such field{hint}")
+        close_matches = difflib.get_close_matches(name, struct.fields, 1)
+        hint = f"; did you mean {close_matches[0]}?" if close_matches else ""
+        add_diagnostic(diagnostics, value, path, f"no such field{hint}")
 
 
 def _unify_lists(
@@ -256,11 +264,11 @@
     if right.elements is None:
         return _unify_elements(right, left, path, diagnostics)
     if len(left.elements) != len(right.elements):
-        text = f"{len(right.elements)} elements, {len(left.elements)} were told"
-        return report(diagnostics, right, path, text)
+        message = f"{len(right.elements)} elements, {len(left.elements)} were told"
+        return add_diagnostic(diagnostics, right, path, message)
     elements = tuple(
-        unify(one, two, (*path, index), diagnostics)
-        for index, (one, two) in enumerate(zip(left.elements, right.elements))
+        unify(left_item, right_item, (*path, index), diagnostics)
+        for index, (left_item, right_item) in enumerate(zip(left.elements, right.elements))
     )
     return ListValue(TOP, elements, right.location)
 
@@ -276,17 +284,17 @@
     return ListValue(constraint.element, elements, given.location)
 
 
-def _check_right(
+def _check_left_scalar(
     left: Scalar, right: Constraint, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
-    return check(right, left, path, diagnostics)
+    return check_scalar(right, left, path, diagnostics)
 
 
-RULES: dict[tuple[type, type], Callable[[Any, Any, KeyPath, list[Diagnostic]], Value]] = {
+UNIFIERS: dict[tuple[type, type], Callable[[Any, Any, KeyPath, list[Diagnostic]], Value]] = {
     (Scalar, Scalar): _unify_scalars,
     (Constraint, Constraint): _unify_constraints,
-    (Constraint, Scalar): check,
-    (Scalar, Constraint): _check_right,
+    (Constraint, Scalar): check_scalar,
+    (Scalar, Constraint): _check_left_scalar,
     (Struct, Struct): _unify_structs,
     (ListValue, ListValue): _unify_lists,
 }
--- a/thymeknot/operator_config/values.py
+++ b/thymeknot/operator_config/values.py
@@ -8,7 +8,7 @@
 from math import isfinite
 from typing import NamedTuple, Optional, TypeAlias, Union
 
-from .errors import NOWHERE, Location
+from .errors import UNKNOWN_LOCATION, Location
 
 PlainScalar: TypeAlias = Union[str, int, float, bool, None]
 """The Python value of a scalar."""
@@ -28,7 +28,7 @@
 class Top(NamedTuple):
     """Any value at all: `_` in a file."""
 
-    location: Location = NOWHERE
+    location: Location = UNKNOWN_LOCATION
 
     def __str__(self) -> str:
         return "_"
@@ -89,7 +89,7 @@
         return " & ".join(kinds + [str(bound) for bound in self.bounds])
 
 
-class Option(NamedTuple):
+class Disjunct(NamedTuple):
     """One alternative of a disjunction.
 
     Attributes:
@@ -105,15 +105,17 @@
     """Alternatives: `"a" | *"b"` in a file.
 
     Attributes:
-        options: The alternatives in their order.
+        disjuncts: The alternatives in their order.
         location: Where they are written.
     """
 
-    options: tuple[Option, ...]
+    disjuncts: tuple[Disjunct, ...]
     location: Location
 
     def __str__(self) -> str:
-        return " | ".join("*" * option.is_default + str(option.value) for option in self.options)
+        return " | ".join(
+            "*" * disjunct.is_default + str(disjunct.value) for disjunct in self.disjuncts
+        )
 
 
 class Field(NamedTuple):
