--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -1,4 +1,4 @@
-"""The load tool: its own lateness is never the server's, a stall counts for all it held up, a ramp finds the rate."""
+"""The load generator: its own delay, latencies corrected for stalls, the ramp, and the command."""
 
 import json
 import subprocess
@@ -28,7 +28,7 @@
 
 
 class ClosingPeer(PodPeer):
-    """Answers the first request of a connection; the second crosses its end."""
+    """Answers the first request of a connection, and closes it after reading the second one."""
 
     def serve(self, connection, source):
         if words_of(source) is not None:
@@ -37,7 +37,7 @@
 
 
 def run_load_command(port, *arguments):
-    """The last line of `thymeknot load` against this port, and its exit code."""
+    """Runs `thymeknot load` against this port; returns its report (the last line) and exit code."""
     result = subprocess.run(
         [sys.executable, "-m", "thymeknot", "load", "--at", f"127.0.0.1:{port}", *arguments],
         capture_output=True,
@@ -191,10 +191,10 @@
             "3",
             "--goal-ms",
             "500",
-        )  # of 50 ms, 13 of the tool's own would be too much
+        )  # a goal of 50 ms would tolerate less than 13 ms of own delay
         server.close()
         self.assertEqual((code, report["verdict"]), (1, Verdict.FAILED), report)
-        # On one line one answer was slow as it was served; some 80 were due while it was.
+        # With one connection, one response is slow; some 80 requests become due meanwhile.
         self.assertGreater(report["corrected_ms"]["read"]["p90"], 100, report)
         self.assertLess(report["served_ms"]["read"]["p90"], 50, report)
 
@@ -216,7 +216,7 @@
             (resetting, True, False, 9),
             (closing, False, False, 9),
             (None, True, False, 9),
-        ):  # nobody listens at the last
+        ):  # nothing listens on the last port
             port = int((server or silent).address.rpartition(":")[2])
             report, code = run_load_command(
                 port,
@@ -230,7 +230,7 @@
                 "4",
                 "--goal-ms",
                 "5000",
-            )  # by its ends alone: a busy machine takes 50 ms now and then
+            )  # the verdict depends on outcomes alone: a busy machine may take 50 ms
             ends = report["ends"]
             self.assertEqual(sum(ends.values()), report["due"], report)
             self.assertEqual(
--- a/tests/unit/operator_config/test_operator_config.py
+++ b/tests/unit/operator_config/test_operator_config.py
@@ -1,4 +1,4 @@
-"""The operator's file: grammar, unification, faults; and the program with and without one."""
+"""Operator files: grammar, unification, error messages, and startup with and without a file."""
 
 import os
 import subprocess
@@ -77,16 +77,16 @@
 
     def test_mismatch_message_names_the_constraint(self):
         for schema, text, error_text in (
-            ("int & >=1 & <=64 | *3", "65", "65 breaks <=64; asked for: int & >=1 & <=64"),
-            ("int", "1.5", "1.5 is no int; asked for: int"),
-            ("int", '"1"', '"1" is no int; asked for: int'),
-            ('duration & <"1s"', '"1s"', '"1000ms" breaks <"1s"; asked for: duration & <"1s"'),
-            ("duration", '"5 parsecs"', '"5 parsecs" is no duration, such as "250ms" or "1m30s"'),
-            ('"a" | "b"', '"c"', '"c" is none of "a" | "b"'),
-            ("int", "_", "is missing; asked for: int"),
-            ("[...int]", "3", "3 does not fit [...int]"),
-            ("{b: int}", "3", "3 does not fit {...}"),
-            ('string & =~"^x"', '"y"', '"y" breaks =~"^x"; asked for: string & =~"^x"'),
+            ("int & >=1 & <=64 | *3", "65", "65 violates <=64; expected int & >=1 & <=64"),
+            ("int", "1.5", "1.5 is not of type int; expected int"),
+            ("int", '"1"', '"1" is not of type int; expected int'),
+            ('duration & <"1s"', '"1s"', '"1000ms" violates <"1s"; expected duration & <"1s"'),
+            ("duration", '"5 parsecs"', '"5 parsecs" is not a duration such as "250ms" or "1m30s"'),
+            ('"a" | "b"', '"c"', '"c" is not one of "a" | "b"'),
+            ("int", "_", "is missing; expected int"),
+            ("[...int]", "3", "3 does not match [...int]"),
+            ("{b: int}", "3", "3 does not match {...}"),
+            ('string & =~"^x"', '"y"', '"y" violates =~"^x"; expected string & =~"^x"'),
         ):
             self.assertEqual(unify_texts(schema, text), [error_text], (schema, text))
 
@@ -98,41 +98,44 @@
         self.assertEqual(
             error_texts(text),
             [
-                "x.cue:5: gossip.relays: 99 breaks <=8; asked for: int & >=0 & <=8",
+                "x.cue:5: gossip.relays: 99 violates <=8; expected int & >=0 & <=8",
                 "x.cue:6: gossip.probe_evry: no such field; did you mean probe_every?",
-                'x.cue:7: gossip.ceiling.bytes: "many" is no int; asked for: int & >=2000 & <=10000000',
+                'x.cue:7: gossip.ceiling.bytes: "many" is not of type int; expected int & >=2000 & <=10000000',
             ],
         )
 
     def test_syntax_and_reference_errors(self):
         for text, error_text in (
-            ("gossip: {", "x.cue:1: the file ends too early"),
+            ("gossip: {", "x.cue:1: unexpected end of file"),
             ("a: ]", "x.cue:1: unexpected ']'"),
-            ("\n\na: maybe", "x.cue:3: no such name: maybe (strings stand in quotes)"),
+            ("\n\na: maybe", "x.cue:3: unknown name: maybe (strings must be quoted)"),
             ("a: #X", "x.cue:1: #X is not defined"),
-            ("a: 1\na: 2", "x.cue:2: a: 2 is not 1 (line 1)"),
+            ("a: 1\na: 2", "x.cue:2: a: 2 conflicts with 1 (line 1)"),
             ("#X: {x: #X}\na: #X", "x.cue:1: #X refers to itself"),
             ("a: 1", "x.cue:1: a: no such field"),
             (
                 'a: "x"\n\na: =~"["',
-                'x.cue:3: no regular expression: "[": unterminated character set at position 0',
+                'x.cue:3: invalid regular expression: "[": unterminated character set at position 0',
             ),
         ):
             self.assertIn(error_text, error_texts(text), text)
 
     def test_oversized_numbers_durations_and_nesting(self):
-        """Each of these ended a start in a traceback: Python reads no integer of over 4,300 digits, a duration
-        beyond the floats is infinite, and what is nested a thousand deep goes beyond Python's own stack."""
+        """Each of these inputs made the start fail with a traceback.
+
+        Python refuses to parse integers of over 4,300 digits, a duration too large for a float becomes infinite,
+        and a nesting depth of a thousand exceeds Python's recursion limit.
+        """
         digits = "9" * 5_000
         for text, error_text in (
-            (f"\na: {digits}", "x.cue:2: a number of 5000 characters, 100 at most"),
-            (f"a: >{digits}", "x.cue:1: a number of 5000 characters, 100 at most"),
-            ("a: " + "(" * 5_000 + "1" + ")" * 5_000, "x.cue:1: is nested too deeply"),
-            ("a: " * 5_000 + "1", "x.cue:1: is nested too deeply"),
+            (f"\na: {digits}", "x.cue:2: number of 5000 characters exceeds the limit of 100"),
+            (f"a: >{digits}", "x.cue:1: number of 5000 characters exceeds the limit of 100"),
+            ("a: " + "(" * 5_000 + "1" + ")" * 5_000, "x.cue:1: values are nested too deeply"),
+            ("a: " * 5_000 + "1", "x.cue:1: values are nested too deeply"),
         ):
             self.assertIn(error_text, error_texts(text), text[:40])
         (message,) = error_texts(MINIMAL_FILE + f'gossip: probe_timeout: "{digits}s"')
-        self.assertRegex(message, '^x.cue:5: gossip.probe_timeout: "9+s" is no duration')
+        self.assertRegex(message, '^x.cue:5: gossip.probe_timeout: "9+s" is not a duration')
 
     @settings(max_examples=300, deadline=None, derandomize=True)
     @given(st.text(alphabet='ab#{}[]:,|&*"\\\n ?.<>=!~1-/_', max_size=60))
--- a/thymeknot/load_generator/__init__.py
+++ b/thymeknot/load_generator/__init__.py
@@ -1,12 +1,13 @@
-"""The load tool: sends requests at planned times whatever the answers do.
+"""An open-loop load generator: sends requests at scheduled times, however late the responses are.
 
-It reports its own delay, so that it is never taken for the server's.
+It measures its own delay, so that this is not mistaken for latency of the server. A run sends
+requests at one average rate for a fixed duration.
 
-- `schedule`: which request is sent when.
-- `codecs`: the protocols, one class each.
-- `driver`: sends one stretch over sockets.
-- `latency_histogram`: latencies and outcomes of a stretch.
-- `verdict`: whether a stretch met the goal.
-- `ramp`: which rate comes next.
-- `run`: a stretch or a ramp of them as a program.
+- `schedule`: the requests of a run and their times.
+- `codecs`: encodes and decodes the protocols, one class each.
+- `driver`: sends the requests of a run over sockets.
+- `latency_histogram`: latencies and outcomes of a run.
+- `verdict`: whether a run met its goal.
+- `ramp`: searches for the highest rate that meets the goal.
+- `run`: executes one run, or the runs of a ramp, in an event loop.
 """
--- a/thymeknot/load_generator/codecs.py
+++ b/thymeknot/load_generator/codecs.py
@@ -1,4 +1,4 @@
-"""The protocols that the load tool speaks; a codec belongs to one connection."""
+"""Encoding and decoding of the load generator's protocols; each connection has its own codec."""
 
 from collections.abc import Callable, Iterator
 from typing import Protocol
@@ -12,27 +12,32 @@
 
 
 class Codec(Protocol):
-    """What a protocol's class does."""
+    """Encodes requests and decodes responses of one connection."""
 
     def encode(self, request: Request, remaining: Ticks) -> bytes:
-        """The bytes of a request whose client waits for so long yet."""
+        """Encodes a request.
+
+        Args:
+            request: The request.
+            remaining: Time until the client stops waiting; may be negative.
+        """
 
     def decode(self, data: bytes) -> Iterator[Outcome]:
-        """How requests ended, in their order.
+        """Yields the outcomes of the responses that these bytes complete, in order.
 
         Raises:
-            MalformedRespError: The bytes are none of the protocol.
+            MalformedRespError: The bytes violate the protocol.
         """
 
 
 class Resp2Codec:
-    """The sidecar's own protocol, with one request at a time."""
+    """The sidecar's RESP2 protocol, without pipelining."""
 
     def __init__(self) -> None:
         self.parser = resp.Parser()
 
     def encode(self, request: Request, remaining: Ticks) -> bytes:
-        """The bytes of a request; its deadline is at least a millisecond."""
+        """Encodes a request; its deadline is at least one millisecond."""
         kind = request.request_class.kind
         milliseconds = max(1, remaining // TICKS_PER_MILLISECOND)
         options = f"c={request.request_class.name},t={request.tenant},d={milliseconds}"
@@ -49,7 +54,7 @@
         return encoded
 
     def decode(self, data: bytes) -> Iterator[Outcome]:
-        """How requests ended: BUSY is a rejection, another error or a null a failure."""
+        """Yields outcomes: BUSY is a rejection, any other error or a null is a failure."""
         for message in self.parser.feed(data):
             if isinstance(message, resp.Failure):
                 rejected = message.text.split(" ")[0] == "BUSY"
@@ -60,4 +65,4 @@
 
 
 CODECS: dict[str, Callable[[], Codec]] = {"resp2": Resp2Codec}
-"""The codec of each protocol, by the command line's word."""
+"""Codecs by the protocol's name on the command line."""
--- a/thymeknot/load_generator/driver.py
+++ b/thymeknot/load_generator/driver.py
@@ -1,4 +1,7 @@
-"""Sends a plan over sockets: many connections, one request at a time on each, in bounded time."""
+"""Sends the requests of a run over TCP: many connections, each with one request at a time.
+
+A run ends in bounded time, even if the server never responds.
+"""
 
 from collections import deque
 from collections.abc import Callable, Iterable, Iterator
@@ -16,27 +19,27 @@
 from .schedule import Request
 
 RESPONSE_GRACE: Ticks = TICKS_PER_SECOND // 2
-"""Beyond a client's patience, until a request counts as lost: an answer may be on its way."""
+"""Time after the client timeout until a sent request is lost: its response may be on its way."""
 
 END_GRACE: Ticks = 4 * RESPONSE_GRACE
-"""Beyond the last client's patience, until a stretch ends with requests still in flight."""
+"""Time after the last client timeout at which a run ends even with requests in flight."""
 
 POLL_INTERVAL_SECONDS = 0.001
-"""Between two looks at what is due: below the 2 ms of own delay that any goal allows."""
+"""Interval between checks for due requests: below the own delay of 2 ms that any goal tolerates."""
 
 CONNECT_TIMEOUT_SECONDS = 2
-"""How long a connection may take to be made."""
+"""Timeout for establishing a connection."""
 
 
 class DriverSettings(NamedTuple):
-    """How a plan is sent.
+    """How requests are sent.
 
     Attributes:
-        host: The server's address.
-        port: The server's port.
-        codec: Makes the codec of a connection.
-        max_connections: Connections at most.
-        client_timeout: How long a client waits, counted from when its request was due.
+        host: Host of the server.
+        port: Port of the server.
+        codec: Creates the codec of a connection.
+        max_connections: Maximum number of connections.
+        client_timeout: How long a client waits, from when its request is due.
     """
 
     host: str
@@ -47,16 +50,17 @@
 
 
 class Connection(Protocol):
-    """One connection; busy while a request is in flight on it."""
+    """A connection with at most one request in flight."""
 
-    transport: Any  # twisted's interfaces can't be checked without a plugin
+    transport: Any  # mypy can't check Twisted's interfaces without a plugin
 
     def __init__(self, driver: "Driver", request_to_resend: Optional[Request] = None) -> None:
-        """Belongs to a driver.
+        """Creates the protocol of a new connection.
 
         Args:
-            driver: It is notified of all that happens.
-            request_to_resend: A request interrupted on another connection, sent first here.
+            driver: The driver, which is notified of all events.
+            request_to_resend: A request that was interrupted on another connection; it is sent
+                first on this one.
         """
         self.driver = driver
         self.codec = driver.settings.codec()
@@ -65,8 +69,8 @@
         self.sent_at: Ticks = 0
         self.has_responded = False
 
-    def connectionMade(self) -> None:  # noqa: N802  # twisted's name
-        """Twisted: the connection stands."""
+    def connectionMade(self) -> None:  # noqa: N802  # name required by Twisted
+        """Twisted: the connection is established."""
         self.transport.setTcpNoDelay(True)
         self.driver.connection_opened(self, self.request_to_resend)
 
@@ -77,12 +81,12 @@
         remaining = self.driver.settings.client_timeout - (now - request.due)
         self.transport.write(self.codec.encode(request, remaining))
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802  # twisted's name
-        """Twisted: bytes came; what can't be read, or answers nothing, ends the connection."""
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802  # name required by Twisted
+        """Twisted: received data; malformed or unsolicited responses abort the connection."""
         try:
             for outcome in self.codec.decode(data):
                 if self.in_flight is None:
-                    raise MalformedRespError("an answer that nothing asked for")
+                    raise MalformedRespError("response without a request")
                 self.has_responded = True
                 self.request_finished(self.in_flight, outcome)
         except MalformedRespError:
@@ -92,12 +96,12 @@
             self.driver.connection_idle(self)
 
     def request_finished(self, request: Request, outcome: Outcome) -> None:
-        """The request in flight has ended."""
+        """Handles the end of the request in flight."""
         self.in_flight = None
         self.driver.request_ended(request, self.sent_at, outcome)
 
-    def connectionLost(self, reason: Optional[Failure] = None) -> None:  # noqa: N802  # twisted's
-        """Twisted: the connection ended."""
+    def connectionLost(self, reason: Optional[Failure] = None) -> None:  # noqa: N802  # Twisted's
+        """Twisted: the connection was closed."""
         self.driver.connection_closed(self)
         if self.in_flight is not None:
             request = self.in_flight
@@ -106,7 +110,7 @@
 
 
 class _ConnectionFactory(ClientFactory):
-    """Makes one connection; twisted asks for a factory."""
+    """Creates the protocol of one connection, as Twisted requires."""
 
     noisy = False
 
@@ -114,27 +118,27 @@
         self.driver = driver
         self.request_to_resend = request_to_resend
 
-    def buildProtocol(self, addr: Optional[IAddress]) -> Connection:  # noqa: N802  # twisted's name
-        """Twisted: the connection stands."""
+    def buildProtocol(self, addr: Optional[IAddress]) -> Connection:  # noqa: N802  # name required by Twisted
+        """Twisted: the connection is established."""
         return Connection(self.driver, self.request_to_resend)
 
-    def clientConnectionFailed(  # noqa: N802  # twisted's name
+    def clientConnectionFailed(  # noqa: N802  # name required by Twisted
         self, connector: IConnector, reason: Failure
     ) -> None:
-        """Twisted: no connection came about."""
+        """Twisted: the connection could not be established."""
         self.driver.connection_failed(self.request_to_resend)
 
 
 class Driver:
-    """Sends one stretch."""
+    """Sends the requests of one run."""
 
     def __init__(self, reactor: Any, clock: Callable[[], Ticks], settings: DriverSettings) -> None:
-        """Does nothing until `run`.
+        """Creates a driver; `run` starts it.
 
         Args:
             reactor: Twisted's event loop.
-            clock: Tells the time; it is monotonic.
-            settings: How the plan is sent.
+            clock: Monotonic clock in ticks.
+            settings: How requests are sent.
         """
         self.reactor = reactor
         self.clock = clock
@@ -152,14 +156,14 @@
         self.finished: Deferred[LoadStatistics] = Deferred()
 
     def run(self, requests: Iterable[Request], duration: Ticks) -> Deferred[LoadStatistics]:
-        """Sends a plan; to be called once.
+        """Sends the requests; may be called only once.
 
         Args:
             requests: The requests in order of time.
-            duration: The length of the stretch.
+            duration: Duration of the run.
 
         Returns:
-            The statistics, once all requests ended or the time is over.
+            Fires with the statistics when all requests have ended or the time is up.
         """
         self.requests = iter(requests)
         self.started_at = self.clock()
@@ -169,11 +173,11 @@
         return self.finished
 
     def now(self) -> Ticks:
-        """The time since the beginning of the stretch."""
+        """Returns the time since the start of the run."""
         return self.clock() - self.started_at
 
     def _poll(self) -> None:
-        """Looks at what is due, what has taken too long, and whether the stretch is over."""
+        """Queues due requests, sends and expires requests, and finishes the run at its end."""
         now = self.now()
         while self.next_request is not None and self.next_request.due <= now:
             self.statistics.record_due(now, self.next_request)
@@ -188,7 +192,7 @@
             self.reactor.callLater(POLL_INTERVAL_SECONDS, self._poll)
 
     def _expire(self, now: Ticks) -> None:
-        """Gives up requests whose client has gone: in flight with some slack, queued at once."""
+        """Marks requests as lost after the client timeout; those in flight have a grace period."""
         client_timeout = self.settings.client_timeout
         expired = [
             (connection, connection.in_flight)
@@ -203,7 +207,7 @@
             self.statistics.record_end(now, self.queue.popleft(), now, Outcome.LOST)
 
     def _send(self, now: Ticks) -> None:
-        """Sends what is queued on idle connections, and makes more of them for the rest."""
+        """Sends queued requests on idle connections, and opens more connections for the rest."""
         while self.queue and self.idle:
             request = self.queue.popleft()
             connection = self.idle.pop()
@@ -225,7 +229,7 @@
     def connection_opened(
         self, connection: Connection, request_to_resend: Optional[Request]
     ) -> None:
-        """A connection stands; one that comes when all is over is closed."""
+        """Handles an established connection; after the end of the run it is aborted."""
         self.connecting -= 1
         self.connections.add(connection)
         if self.finished.called:
@@ -236,28 +240,29 @@
             self.connection_idle(connection)
 
     def connection_failed(self, request_to_resend: Optional[Request]) -> None:
-        """A connection could not be made; what it was to send again is lost."""
+        """Handles a failed connection attempt; a request to be resent on it is lost."""
         self.connecting -= 1
         if request_to_resend is not None:
             self.request_ended(request_to_resend, self.now(), Outcome.LOST)
 
     def connection_idle(self, connection: Connection) -> None:
-        """A connection has no request in flight."""
+        """Handles a connection without a request in flight."""
         if not self.finished.called:
             self.idle.append(connection)
             self._send(self.now())
 
     def connection_closed(self, connection: Connection) -> None:
-        """A connection ended."""
+        """Handles a closed connection."""
         self.connections.discard(connection)
         if connection in self.idle:
             self.idle.remove(connection)
 
     def request_interrupted(self, connection: Connection, request: Request) -> None:
-        """A connection ended under a request.
+        """Handles a request whose connection was closed before the response.
 
-        A server may close one between requests: a request that crossed that on a connection that
-        had been used is sent once more on a new one, as the protocol has clients do.
+        A server may close a connection between two requests, and a request may be sent just then.
+        The protocol lets clients resend it: if the connection had already received a response, the
+        request is sent once more on a new connection. Otherwise it is lost.
         """
         if connection.has_responded and not self.finished.called:
             self._connect(request)
@@ -265,7 +270,7 @@
             self.request_ended(request, connection.sent_at, Outcome.LOST)
 
     def request_ended(self, request: Request, sent_at: Ticks, outcome: Outcome) -> None:
-        """A request that was sent has ended."""
+        """Records the outcome of a request that was sent."""
         self.in_flight_count -= 1
         self.statistics.record_end(self.now(), request, sent_at, outcome)
 
--- a/thymeknot/load_generator/latency_histogram.py
+++ b/thymeknot/load_generator/latency_histogram.py
@@ -1,4 +1,4 @@
-"""Latencies and outcomes of a stretch, in HDR histograms."""
+"""Latencies and outcomes of a run, in HDR histograms."""
 
 import enum
 from typing import Any
@@ -9,17 +9,20 @@
 from .schedule import Request
 
 MAX_LATENCY: Ticks = 10 * 60 * TICKS_PER_SECOND
-"""Ten minutes, far beyond a client's patience; a longer latency counts as this one."""
+"""Ten minutes, far above any client timeout; longer latencies are recorded as this value."""
 
 SIGNIFICANT_DIGITS = 3
-"""Of a latency: the histograms are exact to 0.1 %."""
+"""Significant decimal digits of a latency: the histograms have a relative error of 0.1 %."""
 
 PERCENTILES = {"p50": 50, "p90": 90, "p99": 99, "p999": 99.9, "max": 100}
-"""The percentiles that are reported, by their keys."""
+"""The reported percentiles by their keys in the report."""
 
 
 class Outcome(enum.StrEnum):
-    """How a request ended: answered, rejected, failed, or without an answer in time."""
+    """How a request ended.
+
+    DONE is a success, DEFERRED a rejection (BUSY), ABANDONED a failure, LOST no response in time.
+    """
 
     DONE = "done"
     DEFERRED = "deferred"
@@ -36,7 +39,7 @@
 
 
 def _percentiles(histogram: HdrHistogram) -> dict[str, float]:
-    """The reported percentiles in milliseconds."""
+    """Returns the reported percentiles in milliseconds."""
     return {
         name: round(histogram.get_value_at_percentile(percentile) / 10, 2)
         for name, percentile in PERCENTILES.items()
@@ -44,17 +47,17 @@
 
 
 class LoadStatistics:
-    """What one stretch came to.
+    """Latencies and counts of one run.
 
     Attributes:
-        corrected_by_class: Latencies by class, from when a request was due: a stall counts for all
-            requests that it held up.
-        served_by_class: Latencies by class, from when a request was sent.
-        corrected_all: Corrected latencies of all classes.
-        own_delay: The load tool's own delay in looking at requests that were due.
-        outcomes: Requests by how they ended.
-        due_count: Requests that were due.
-        sent_count: Requests that were sent.
+        corrected_by_class: Latencies by request class, measured from when a request was due, so
+            that a stall counts for every request that it delayed (no coordinated omission).
+        served_by_class: Latencies by request class, measured from when a request was sent.
+        corrected_all: Corrected latencies of all request classes.
+        own_delay: How late the load generator took up requests that were due.
+        outcomes: Number of requests by outcome.
+        due_count: Number of requests that became due.
+        sent_count: Number of requests sent.
     """
 
     def __init__(self) -> None:
@@ -67,12 +70,12 @@
         self.sent_count = 0
 
     def record_due(self, now: Ticks, request: Request) -> None:
-        """Counts a request that was due, and how late it is looked at."""
+        """Counts a request that became due, and records how late it is taken up."""
         self.due_count += 1
         _record_latency(self.own_delay, now - request.due)
 
     def record_end(self, now: Ticks, request: Request, sent_at: Ticks, outcome: Outcome) -> None:
-        """Counts how a request ended; latencies are those of requests that were done."""
+        """Counts the outcome of a request; records its latencies only if it is DONE."""
         self.outcomes[outcome] += 1
         if outcome is not Outcome.DONE:
             return
@@ -85,10 +88,10 @@
         _record_latency(self.corrected_all, now - request.due)
 
     def to_report(self, seconds: float) -> dict[str, Any]:
-        """The figures for people and programs; latencies are milliseconds.
+        """Returns the report as JSON-compatible values; latencies are in milliseconds.
 
         Args:
-            seconds: The length of the stretch.
+            seconds: Duration of the run.
         """
         return {
             "seconds": seconds,
--- a/thymeknot/load_generator/ramp.py
+++ b/thymeknot/load_generator/ramp.py
@@ -1,4 +1,4 @@
-"""Which rate comes next: a search for the highest rate that holds. Pure."""
+"""Search for the highest rate that meets the goal. Free of I/O and clocks."""
 
 import enum
 import math
@@ -7,7 +7,10 @@
 
 
 class RampState(enum.Enum):
-    """Where the search is: no rate failed yet, between two rates, or at its end."""
+    """State of the search.
+
+    CLIMBING until a rate fails, BISECTING between a held and a failed rate, FINISHED at the end.
+    """
 
     CLIMBING = "climb"
     BISECTING = "narrow"
@@ -22,21 +25,23 @@
     (RampState.BISECTING, Verdict.FAILED): RampState.BISECTING,
     (RampState.BISECTING, Verdict.SATURATED): RampState.FINISHED,
 }
-"""The next state; a load tool that is saturated says nothing of the server, so the search ends."""
+"""State after a run; the search ends when the load generator is saturated: it measures itself."""
 
 MIN_FAILED_RATE = 1
-"""Requests a second: a search that fails below this rate ends, since halving would never do."""
+"""Requests per second. The search ends if a lower rate fails: bisection would go on forever."""
 
 
 class Ramp:
-    """Climbs by a factor until a goal fails, then halves the gap until it is narrow enough.
+    """Raises the rate by a factor until a run fails, then bisects until the gap is small enough.
+
+    Rates are in requests per second.
 
     Attributes:
-        rate: The rate of the next stretch, in requests a second.
-        state: Where the search is.
-        highest_held_rate: The highest rate that held.
-        lowest_failed_rate: The lowest rate that failed.
-        reason: The reason of the last verdict.
+        rate: Rate of the next run.
+        state: State of the search.
+        highest_held_rate: The highest rate that met the goal; 0 if none did.
+        lowest_failed_rate: The lowest rate that failed; infinite if none did.
+        reason: Reason for the last verdict.
     """
 
     def __init__(
@@ -46,13 +51,14 @@
         relative_gap: float = 0.05,
         max_rate: float = 1e6,
     ) -> None:
-        """Begins a search.
+        """Starts a search.
 
         Args:
             start_rate: The first rate.
-            growth_factor: By which the rate climbs.
-            relative_gap: The gap that is narrow enough, as a share of the lowest rate that failed.
-            max_rate: The highest rate that is tried.
+            growth_factor: Factor by which the rate rises while no run has failed.
+            relative_gap: The search ends when the gap between the highest held and the lowest
+                failed rate is at most this share of the latter.
+            max_rate: The highest rate to try.
         """
         self.rate = float(start_rate)
         self.growth_factor = growth_factor
@@ -64,7 +70,7 @@
         self.reason = "not begun"
 
     def record(self, verdict: Verdict, reason: str) -> None:
-        """Takes what the stretch at `rate` showed, and sets the next rate or the end."""
+        """Records the verdict of the run at `rate`; sets the next rate, or finishes the search."""
         self.reason = reason
         if verdict == Verdict.HELD:
             self.highest_held_rate = max(self.highest_held_rate, self.rate)
--- a/thymeknot/load_generator/run.py
+++ b/thymeknot/load_generator/run.py
@@ -1,4 +1,4 @@
-"""One stretch, or a ramp of them, as a program: runs the event loop and gives the results."""
+"""Executes one run, or the runs of a ramp, in the event loop and returns the results."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -17,18 +17,18 @@
 NANOSECONDS_PER_TICK = 100_000
 
 OWN_DELAY_PERCENTILE = 99
-"""Of the load tool's own delay, which the verdict is about."""
+"""Percentile of the load generator's own delay that the verdict uses."""
 
 
 class Plan(TypedDict):
-    """What is sent, as the command line gives it.
+    """Parameters of the requests, from the command line.
 
     Keys:
-        seed: Of the random numbers; each stretch of a ramp adds one.
-        rate: Requests a second, unless a ramp sets it.
-        seconds: The length of a stretch.
+        seed: Seed of the random numbers; each further run of a ramp adds one.
+        rate: Requests per second; ignored with a ramp.
+        seconds: Duration of a run.
         lanes: The request classes.
-        keys: The number of different keys.
+        keys: Number of different keys.
     """
 
     seed: int
@@ -39,13 +39,13 @@
 
 
 class RunResult(NamedTuple):
-    """One stretch.
+    """Result of one run.
 
     Attributes:
-        rate: Requests a second.
+        rate: Requests per second.
         verdict: Whether it met the goal.
-        reason: The reason in words.
-        statistics: Its latencies and outcomes.
+        reason: Reason for the verdict, as text.
+        statistics: Latencies and outcomes.
     """
 
     rate: float
@@ -55,12 +55,12 @@
 
 
 def monotonic_ticks() -> Ticks:
-    """A monotonic clock."""
+    """Returns the time of a monotonic clock in ticks."""
     return time.monotonic_ns() // NANOSECONDS_PER_TICK
 
 
 class _RunSequence:
-    """The stretches of one call, one after another; the event loop stops after the last."""
+    """The consecutive runs of one call; the event loop stops after the last one."""
 
     def __init__(
         self,
@@ -81,7 +81,7 @@
         self.results: list[RunResult] = []
 
     def start_next(self) -> None:
-        """Starts the next stretch."""
+        """Starts the next run."""
         rate = self.ramp.rate if self.ramp else self.plan["rate"]
         duration = self.plan["seconds"] * TICKS_PER_SECOND
         requests = schedule_requests(
@@ -109,7 +109,7 @@
             self.reactor.stop()
 
     def _run_failed(self, failure: Failure) -> None:
-        failure.printTraceback()  # type: ignore[no-untyped-call]  # twisted's
+        failure.printTraceback()  # type: ignore[no-untyped-call]  # untyped in Twisted
         self.reactor.stop()
 
 
@@ -126,7 +126,7 @@
     )
 
 
-def run_load(  # noqa: PLR0917  # the command line gives all of them by position
+def run_load(  # noqa: PLR0917  # the `load` command passes all of them by position
     host: str,
     port: int,
     plan: Plan,
@@ -137,20 +137,20 @@
     protocol: str = "resp2",
     ramp: Optional[Ramp] = None,
 ) -> list[RunResult]:
-    """Runs one stretch, or as many as a ramp takes, and the event loop until they are over.
+    """Executes one run, or the runs that a ramp needs, and returns when the event loop has stopped.
 
     Args:
-        host: The server's address.
-        port: The server's port.
-        plan: What is sent.
-        goal: What a stretch has to meet.
-        notify: Takes a line about each stretch.
-        max_connections: Connections at most.
-        client_timeout: How long a client waits.
+        host: Host of the server.
+        port: Port of the server.
+        plan: Parameters of the requests.
+        goal: What a run has to meet.
+        notify: Called with a line of text about each run.
+        max_connections: Maximum number of connections.
+        client_timeout: How long a client waits, from when its request is due.
         protocol: A key of CODECS.
-        ramp: Sets the rates, or None for the plan's own.
+        ramp: Determines the rates; None for a single run at the plan's rate.
     """
-    from twisted.internet import reactor  # noqa: PLC0415  # importing it installs the event loop
+    from twisted.internet import reactor  # noqa: PLC0415  # the import installs the event loop
 
     loop: Any = reactor
     loop.seconds = time.monotonic
--- a/thymeknot/load_generator/schedule.py
+++ b/thymeknot/load_generator/schedule.py
@@ -1,4 +1,4 @@
-"""Which request is sent when: Poisson arrivals, keys by Zipf's law. Pure."""
+"""The requests of a run: Poisson arrivals, keys by Zipf's law. Free of I/O and clocks."""
 
 import enum
 import math
@@ -12,19 +12,19 @@
 from .verdict import HELD, Goal
 
 DEFAULT_KEY_COUNT = 10_000
-"""Different keys, unless the caller says otherwise."""
+"""Number of different keys by default."""
 
 ZIPF_EXPONENT = 0.8
-"""How uneven the keys are: the k-th is asked for in proportion to k to the power of minus this."""
+"""Exponent s of Zipf's law: the key of rank k is requested with a probability ~ k ** -s."""
 
 TENANT_COUNT = 4
-"""Different tenants, unless the caller says otherwise."""
+"""Number of different tenants; a key always belongs to the same one."""
 
 
 class RequestKind(enum.StrEnum):
-    """What a server may do with a request twice.
+    """Whether a request may be executed more than once.
 
-    Members: READ may run again, WRITE may not, MARKED is a write with an idempotency key.
+    READ is idempotent, WRITE is not, MARKED is a write with an idempotency key.
     """
 
     READ = "read"
@@ -33,12 +33,12 @@
 
 
 class RequestClass(NamedTuple):
-    """Requests of one class; the command line and the wire call it a lane.
+    """A request class; the command line calls it a lane.
 
     Attributes:
-        name: Its name on the wire.
-        share: Its part of all requests, relative to the shares of the other classes.
-        kind: Whether its requests may run again.
+        name: Name on the wire.
+        share: Share of all requests, relative to the shares of the other classes.
+        kind: Whether its requests may be executed more than once.
     """
 
     name: str
@@ -47,14 +47,14 @@
 
 
 class Request(NamedTuple):
-    """A planned request.
+    """A scheduled request.
 
     Attributes:
-        due: When it is to be sent, counted from the beginning of the stretch.
-        id: Its own identifier, 16 hexadecimal digits.
-        key: The key that it is about.
-        request_class: Its class.
-        tenant: On whose behalf it is sent.
+        due: When it should be sent, in ticks since the start of the run.
+        id: Unique identifier, 16 hexadecimal digits.
+        key: The key that it reads or writes.
+        request_class: The request class.
+        tenant: The tenant.
     """
 
     due: Ticks
@@ -65,14 +65,15 @@
 
 
 class ScheduleError(ValueError):
-    """An option that can't be used; the text says what would do."""
+    """An invalid command-line option; the message says what is allowed."""
 
 
 def parse_request_class(text: str) -> RequestClass:
-    """Parses the command line's NAME=SHARE, NAME=SHARE,write or NAME=SHARE,marked.
+    """Parses NAME=SHARE or NAME=SHARE,KIND of the command line; the default kind is read.
 
     Raises:
-        ScheduleError: The text has another form.
+        ScheduleError: The text has another form, the share is not a positive finite number, or the
+            kind is unknown.
     """
     name, _, rest = text.partition("=")
     share_text, _, kind = (rest or "1").partition(",")
@@ -80,9 +81,11 @@
     try:
         share = float(share_text)
     except ValueError:
-        raise ScheduleError(f"{text}: the share is no number") from None
+        raise ScheduleError(f"{text}: the share must be a number") from None
     if not name or "," in name or not 0 < share < math.inf or kind not in tuple(RequestKind):
-        raise ScheduleError(f"{text}: NAME=SHARE, and behind it read, write or marked")
+        raise ScheduleError(
+            f"{text}: must be NAME=SHARE[,KIND]: SHARE above 0, KIND read, write or marked"
+        )
     return RequestClass(name, share, RequestKind(kind))
 
 
@@ -94,14 +97,14 @@
     *,
     key_count: int = DEFAULT_KEY_COUNT,
 ) -> Iterator[Request]:
-    """The requests of a stretch in order of time; the same arguments give the same ones.
+    """Yields the requests of a run in order of time; equal arguments yield equal requests.
 
     Args:
-        seed: Of the random numbers.
-        rate: Requests a second, on average.
-        duration: The length of the stretch.
-        classes: The classes that requests are drawn from by their shares.
-        key_count: The number of different keys.
+        seed: Seed of the random numbers.
+        rate: Average requests per second.
+        duration: Duration of the run.
+        classes: The request classes, drawn in proportion to their shares.
+        key_count: Number of different keys.
     """
     random = Random(seed)
     cumulative_weights = list(
@@ -124,7 +127,7 @@
         )
 
 
-# The command line finds all of the load tool's options here.
+# The `load` command takes all that its options need from this module.
 __all__ = [
     "HELD",
     "TICKS_PER_SECOND",
--- a/thymeknot/load_generator/verdict.py
+++ b/thymeknot/load_generator/verdict.py
@@ -1,4 +1,4 @@
-"""Whether a stretch met its goal, or the load tool itself was too slow to say. Pure."""
+"""Evaluates whether a run met its goal, or the load generator itself was too slow to tell."""
 
 import enum
 from typing import NamedTuple
@@ -6,14 +6,17 @@
 from ..interface.clock import Ticks
 
 MAX_OWN_DELAY_RATIO = 0.25
-"""Of the goal's latency: a load tool that is later than this itself says nothing of the server."""
+"""Maximum own delay relative to the goal's latency: beyond it a run does not measure the server."""
 
 MIN_OWN_DELAY_LIMIT: Ticks = 20
-"""The least delay that is too much, 2 ms: below it the machine's scheduling alone would decide."""
+"""Own delay tolerated for any goal, 2 ms: the machine's scheduling alone can cause it."""
 
 
 class Verdict(enum.StrEnum):
-    """What a stretch showed."""
+    """Result of a run.
+
+    HELD met the goal, FAILED did not; SATURATED means that the load generator was too slow itself.
+    """
 
     HELD = "held"
     FAILED = "failed"
@@ -21,16 +24,16 @@
 
 
 HELD = Verdict.HELD
-"""The verdict of a stretch that met its goal, under the name that the command line asks for."""
+"""The verdict of a run that met its goal, as a constant for the `load` command."""
 
 
 class Goal(NamedTuple):
-    """What a stretch has to meet.
+    """What a run has to meet.
 
     Attributes:
-        quantile: The quantile of the corrected latencies that counts.
-        max_latency: How long that quantile may be.
-        max_not_done_share: The share of requests that may end otherwise than done.
+        quantile: The quantile of the corrected latencies to compare.
+        max_latency: Maximum of that quantile.
+        max_not_done_share: Maximum share of requests with an outcome other than DONE.
     """
 
     quantile: float = 0.99
@@ -39,16 +42,17 @@
 
 
 class RunSummary(NamedTuple):
-    """What one stretch at one rate came to.
+    """Summary of one run.
 
     Attributes:
-        rate: Requests a second that were due.
+        rate: Scheduled requests per second.
         latency: The goal's quantile of the corrected latencies.
-        done: Requests that ended well.
-        ended: Requests that ended in any way.
-        own_delay: The load tool's own delay, 99th percentile, from when a request is due until it
-            was looked at; what then waits for a connection waits for the server.
-        due: Requests that were due.
+        done: Number of requests with the outcome DONE.
+        ended: Number of requests that ended with any outcome.
+        own_delay: 99th percentile of the load generator's own delay, from when a request is due
+            until it is taken up. Time spent waiting for a connection after that is attributed to
+            the server.
+        due: Number of requests that became due.
     """
 
     rate: float
@@ -63,8 +67,8 @@
     """A verdict with its reason.
 
     Attributes:
-        verdict: What the stretch showed.
-        reason: The figure that decided, in words.
+        verdict: The verdict.
+        reason: The measurement that decided, as text.
     """
 
     verdict: Verdict
@@ -72,7 +76,7 @@
 
 
 def evaluate(summary: RunSummary, goal: Goal) -> Evaluation:
-    """Compares a stretch with the goal; the load tool's own delay is looked at first."""
+    """Compares a run with the goal; the load generator's own delay is checked first."""
     if summary.own_delay > max(MIN_OWN_DELAY_LIMIT, MAX_OWN_DELAY_RATIO * goal.max_latency):
         reason = f"the load tool itself was {summary.own_delay / 10:.1f} ms late"
         return Evaluation(Verdict.SATURATED, reason)
--- a/thymeknot/operator_config/__init__.py
+++ b/thymeknot/operator_config/__init__.py
@@ -1,9 +1,9 @@
-"""The operator file: settings beyond the platform's own, in a subset of CUE, as typed records.
+"""The operator file: settings of optional features, written in a subset of CUE.
 
-- `grammar`: text to values.
-- `values`: the values and constraints that a file is made of.
+- `grammar`: parses text into values.
+- `values`: the values and constraints of a file.
 - `unification`: unifies a file with its schema.
-- `evaluation`: resolves references, and gives plain Python values.
-- `loader`: reads files, and makes records of their settings.
-- `errors`: the faults of a file.
+- `evaluation`: resolves references and converts values to plain Python values.
+- `loader`: loads files and converts their settings to typed records.
+- `errors`: the errors found in a file.
 """
--- a/thymeknot/operator_config/errors.py
+++ b/thymeknot/operator_config/errors.py
@@ -1,18 +1,18 @@
-"""The faults of an operator file."""
+"""Errors found in an operator file."""
 
 from collections.abc import Iterable
 from typing import NamedTuple, Optional, TypeAlias
 
 KeyPath: TypeAlias = tuple[str | int, ...]
-"""The keys and list indices that lead to a value."""
+"""Path of keys and list indices to a value."""
 
 
 class Location(NamedTuple):
-    """Where a value is written.
+    """Location of a value in a file.
 
     Attributes:
-        file: The file's name as messages give it, or None where it is not known yet.
-        line: The line, counted from 1, or 0 where there is none.
+        file: Name of the file in messages, or None if it is not known yet.
+        line: Line number, from 1, or 0 if there is none.
     """
 
     file: Optional[str]
@@ -20,17 +20,17 @@
 
 
 UNKNOWN_LOCATION = Location(None, 0)
-"""The location of what no file holds."""
+"""The location of a value that is in no file."""
 
 
 class Diagnostic(NamedTuple):
-    """One fault.
+    """One error in a file, with its location.
 
     Attributes:
-        file: The file's name, or None where it is not known yet.
-        line: The line, counted from 1, or 0 where there is none.
-        path: The keys that lead to the value.
-        message: What is wrong.
+        file: Name of the file, or None if it is not known yet.
+        line: Line number, from 1, or 0 if there is none.
+        path: Path of keys to the value.
+        message: Text of the error, without the location.
     """
 
     file: Optional[str]
@@ -46,10 +46,10 @@
 
 
 class OperatorConfigError(ValueError):
-    """A file that can't be used.
+    """An invalid operator or schema file.
 
     Attributes:
-        diagnostics: All that is wrong with it.
+        diagnostics: All errors found in it.
     """
 
     def __init__(self, diagnostics: Iterable[Diagnostic]) -> None:
--- a/thymeknot/operator_config/evaluation.py
+++ b/thymeknot/operator_config/evaluation.py
@@ -1,4 +1,4 @@
-"""Resolves the references in a value, and turns a value into plain Python values."""
+"""Resolves references, and converts values to plain Python values."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -22,15 +22,15 @@
 def resolve(
     value: Value, definitions: Mapping[str, Value], resolving: tuple[str, ...] = ()
 ) -> Value:
-    """A value with its references replaced by what they refer to, closed.
+    """Returns a value with its references replaced by the closed definitions.
 
     Args:
         value: The value.
-        definitions: The definitions by name.
-        resolving: The definitions that are being resolved, from the outermost.
+        definitions: Definitions by name.
+        resolving: Names of the definitions being resolved, outermost first, to detect cycles.
 
     Raises:
-        OperatorConfigError: A reference is to no definition, or to one that contains itself.
+        OperatorConfigError: A referenced definition does not exist or contains itself.
     """
     if isinstance(value, Reference):
         return _resolve_reference(value, definitions, resolving)
@@ -65,7 +65,7 @@
 
 
 def _with_durations(disjuncts: list[Disjunct]) -> tuple[Disjunct, ...]:
-    """The options, with each scalar beside a duration as one: it is written as a string."""
+    """Returns the disjuncts; next to a duration constraint, strings are converted to durations."""
     if not any(
         isinstance(disjunct.value, Constraint) and disjunct.value.kind == Kind.DURATION
         for disjunct in disjuncts
@@ -80,12 +80,12 @@
 
 
 def _as_duration(scalar: Scalar) -> Value:
-    """The scalar as a duration, or as it is if it is none: what it is used for reports that."""
+    """Returns the scalar as a duration, or unchanged if it is none: unification reports that."""
     return check_scalar(Constraint(Kind.DURATION, (), scalar.location), scalar, (), [])
 
 
 def _close(value: Value) -> Value:
-    """A struct that takes no other fields, and all structs in its fields likewise."""
+    """Closes a struct and the structs in its fields, unless they are open; returns the result."""
     if not isinstance(value, Struct):
         return value
     fields = {
@@ -100,13 +100,13 @@
     diagnostics: list[Diagnostic],
     location: Location = UNKNOWN_LOCATION,
 ) -> Any:
-    """The plain Python value: dicts, lists and scalars; defaults stand for what is left open.
+    """Converts a value to dicts, lists and scalars; fills in defaults.
 
     Args:
         value: The value.
-        path: The keys that lead to it.
-        diagnostics: Takes what is left open and has no default.
-        location: Where the struct or list around it is written, which such a fault names.
+        path: Path of keys to it.
+        diagnostics: Receives an error for each value that is missing and has no default.
+        location: Location of the enclosing struct or list, for these errors.
     """
     if isinstance(value, Scalar):
         return value.value
@@ -125,17 +125,17 @@
         defaults = [disjunct.value for disjunct in value.disjuncts if disjunct.is_default]
         if defaults and _is_unambiguous(defaults):
             return to_plain(defaults[0], path, diagnostics, location)
-    diagnostics.append(Diagnostic(*location, path, f"is missing; asked for: {value}"))
+    diagnostics.append(Diagnostic(*location, path, f"is missing; expected {value}"))
     return None
 
 
 def _is_unambiguous(defaults: list[Value]) -> bool:
-    """Whether no default is a scalar other than the first one."""
+    """Returns whether no other default is a scalar that differs from the first default."""
     return all(default == defaults[0] or not isinstance(default, Scalar) for default in defaults)
 
 
 def _is_given(value: Value) -> bool:
-    """Whether an optional field holds anything beyond its constraint."""
+    """Returns whether an optional field holds a value, not only its constraint."""
     if isinstance(value, Struct):
         return any(_is_given(field.value) for field in value.fields.values())
     return isinstance(value, Scalar) or (
--- a/thymeknot/operator_config/grammar.py
+++ b/thymeknot/operator_config/grammar.py
@@ -1,7 +1,7 @@
 """Parses the text of an operator or schema file into values.
 
-The grammar is a subset of CUE's, described in docs/design/gossip.md: newlines and commas both end a
-field, `a: b: 1` is short for `a: {b: 1}`, and `//` begins a comment.
+The grammar is a subset of CUE, described in docs/design/gossip.md. A newline or a comma ends a
+field, `a: b: 1` abbreviates `a: {b: 1}`, and `//` starts a comment.
 """
 
 import ast
@@ -59,20 +59,20 @@
 %ignore /\/\/[^\n]*/
 """
 KIND_NAMES = (Kind.INT, Kind.NUMBER, Kind.STRING, Kind.BOOL, Kind.DURATION)
-"""The kinds that a file can name; null is a value."""
+"""The kinds that have a name in files; null is a value."""
 
 MAX_FILE_SIZE = 1 << 20
-"""Characters of a file: it is read whole, and a wrong path must not fill the memory."""
+"""Maximum characters of a file: it is read whole, and a wrong path must not exhaust the memory."""
 MAX_NUMBER_LENGTH = 100
-"""Characters of a number."""
+"""Maximum characters of a number; Python refuses to parse integers of over 4,300 digits."""
 
 
 class Label(NamedTuple):
-    """What stands before a field's colon.
+    """The label of a field, before the colon.
 
     Attributes:
-        name: The field's name.
-        is_optional: Whether the field may be left out.
+        name: Name of the field.
+        is_optional: Whether the field may be omitted.
     """
 
     name: str
@@ -80,11 +80,11 @@
 
 
 class Member(NamedTuple):
-    """A field as the text has it; the same name may come again.
+    """A field as written in the text, where a name may occur repeatedly.
 
     Attributes:
-        label: Its name, and whether it may be left out.
-        value: Its value.
+        label: Label of the field.
+        value: Value of the field.
     """
 
     label: Label
@@ -92,34 +92,34 @@
 
 
 def _string_value(token: Token) -> str:
-    """The text within a token's quotes, with its escapes resolved."""
+    """Returns the content of a quoted string, with escape sequences resolved."""
     try:
         return str(ast.literal_eval(str(token)))
     except (SyntaxError, ValueError):
-        message = f"no string that can be read: {token}"
+        message = f"invalid string: {token}"
         raise OperatorConfigError([Diagnostic(None, token.line or 0, (), message)]) from None
 
 
 def _number_value(token: Token) -> Union[int, float]:
     text = str(token)
     if len(text) > MAX_NUMBER_LENGTH:
-        message = f"a number of {len(text)} characters, {MAX_NUMBER_LENGTH} at most"
+        message = f"number of {len(text)} characters exceeds the limit of {MAX_NUMBER_LENGTH}"
         raise OperatorConfigError([Diagnostic(None, token.line or 0, (), message)])
     return float(text) if any(mark in text for mark in ".eE") else int(text)
 
 
 def _check_pattern(token: Token, pattern: Union[str, int, float]) -> None:
-    """Raises an OperatorConfigError unless this is a regular expression."""
+    """Raises an OperatorConfigError if the pattern is not a valid regular expression."""
     try:
         re.compile(str(pattern))
     except re.error as error:
-        message = f"no regular expression: {token}: {error}"
+        message = f"invalid regular expression: {token}: {error}"
         raise OperatorConfigError([Diagnostic(None, token.line or 0, (), message)]) from None
 
 
 @v_args(inline=True, meta=True)
 class _ValueBuilder(Transformer[Token, Struct]):
-    """Builds values of lark's tree; each keeps its location. A method is named after its rule."""
+    """Builds values with locations from Lark's parse tree; each method is named after a rule."""
 
     def __init__(self, file: str) -> None:
         super().__init__()
@@ -129,7 +129,7 @@
         return Location(self.file, getattr(meta, "line", 0))
 
     def _struct(self, meta: Meta, members: list[Member], is_open: bool) -> Struct:
-        """A struct of its members; what is given to one name twice is unified."""
+        """Builds a struct; values of repeated names are unified."""
         fields: dict[str, Field] = {}
         diagnostics: list[Diagnostic] = []
         for (name, is_optional), value in members:
@@ -144,37 +144,37 @@
         return Struct(fields, is_open, False, self._location(meta))
 
     def start(self, meta: Meta, *members: Member) -> Struct:
-        """A whole file."""
+        """Builds the struct of a whole file."""
         return self._struct(meta, list(members), False)
 
     def struct(self, meta: Meta, *parts: Union[Member, Token]) -> Struct:
-        """Members in braces; the only token that stays among them is `...`."""
+        """Builds a struct in braces; the only token among its parts is `...`."""
         is_open = any(isinstance(part, str) for part in parts)
         return self._struct(meta, [part for part in parts if isinstance(part, Member)], is_open)
 
     def member(self, meta: Meta, label: Label, value: Union[Value, Member]) -> Member:
-        """A label with a value, or with another member as a struct of its own."""
+        """Builds a member; one without braces, as in `a: b: 1`, becomes a struct."""
         if isinstance(value, Member):
             value = self._struct(meta, [value], False)
         return Member(label, value)
 
     def label(self, meta: Meta, name: Token, optional: Optional[Token] = None) -> Label:
-        """A field's name, in quotes or not."""
+        """Builds a label; its name may be quoted."""
         text = _string_value(name) if name.type == "STRING" else str(name)
         return Label(text, optional is not None)
 
     def number(self, meta: Meta, token: Token) -> Scalar:
-        """An integer or a floating-point number."""
+        """Builds an integer or a floating-point number."""
         value = _number_value(token)
         kind = Kind.INT if isinstance(value, int) else Kind.NUMBER
         return Scalar(kind, value, self._location(meta))
 
     def string(self, meta: Meta, token: Token) -> Scalar:
-        """A string in quotes."""
+        """Builds a string."""
         return Scalar(Kind.STRING, _string_value(token), self._location(meta))
 
     def identifier(self, meta: Meta, token: Token) -> Value:
-        """A word without quotes: a constant, a kind, or `_`."""
+        """Builds the value of an unquoted name: a constant, a kind, or `_`."""
         if token in ("true", "false"):
             return Scalar(Kind.BOOL, token == "true", self._location(meta))
         if token == "null":
@@ -183,30 +183,30 @@
             return TOP
         if token in KIND_NAMES:
             return Constraint(Kind(str(token)), (), self._location(meta))
-        message = f"no such name: {token} (strings stand in quotes)"
+        message = f"unknown name: {token} (strings must be quoted)"
         raise OperatorConfigError([Diagnostic(self.file, meta.line, (), message)])
 
     def reference(self, meta: Meta, token: Token) -> Reference:
-        """A definition's name."""
+        """Builds a reference to a definition."""
         return Reference(str(token), self._location(meta))
 
     def bound(self, meta: Meta, operator: Token, token: Token) -> Constraint:
-        """A comparison with a string or a number."""
+        """Builds a constraint that compares with a string or a number."""
         limit = _string_value(token) if token.type == "STRING" else _number_value(token)
         if operator == "=~":
             _check_pattern(token, limit)
         return Constraint(None, (Bound(str(operator), limit),), self._location(meta))
 
     def open_list(self, meta: Meta, element: Value = TOP) -> ListValue:
-        """Any number of elements that satisfy one constraint."""
+        """Builds a list of any number of elements that satisfy one constraint."""
         return ListValue(element, None, self._location(meta))
 
     def closed_list(self, meta: Meta, *elements: Value) -> ListValue:
-        """A list of just these elements."""
+        """Builds a list of exactly these elements."""
         return ListValue(TOP, elements, self._location(meta))
 
     def conjunction(self, meta: Meta, first: Value, *others: Value) -> Value:
-        """Values that all hold."""
+        """Unifies the operands of `&`."""
         unified = first
         diagnostics: list[Diagnostic] = []
         for other in others:
@@ -216,11 +216,11 @@
         return unified
 
     def default(self, meta: Meta, value: Value) -> Disjunction:
-        """A default."""
+        """Builds a disjunction of a single default."""
         return Disjunction((Disjunct(value, True),), self._location(meta))
 
     def disjunction(self, meta: Meta, *alternatives: Value) -> Disjunction:
-        """Alternatives, flat: those of an inner choice are taken into the outer one."""
+        """Builds a disjunction; nested disjunctions are flattened."""
         disjuncts: list[Disjunct] = []
         for alternative in alternatives:
             if isinstance(alternative, Disjunction):
@@ -234,30 +234,30 @@
 
 
 def parse(text: str, file: str) -> Struct:
-    """The struct that a text describes.
+    """Parses the text of a file into a struct.
 
     Args:
-        text: The text of a file.
-        file: The name that faults give.
+        text: The text.
+        file: Name of the file for error messages.
 
     Raises:
-        OperatorConfigError: The text is too long, or can't be parsed.
+        OperatorConfigError: The text is too long or can't be parsed.
     """
     if len(text) > MAX_FILE_SIZE:
-        message = f"{len(text)} characters, {MAX_FILE_SIZE} at most"
+        message = f"file of at least {len(text)} characters exceeds the limit of {MAX_FILE_SIZE}"
         raise OperatorConfigError([Diagnostic(file, 1, (), message)])
     try:
         return _ValueBuilder(file).transform(_parser.parse(text))
     except UnexpectedInput as error:
         found = getattr(error, "token", None) or getattr(error, "char", "")
-        message = "the file ends too early" if str(found) == "" else f"unexpected {str(found)!r}"
+        message = "unexpected end of file" if str(found) == "" else f"unexpected {str(found)!r}"
         raise OperatorConfigError([Diagnostic(file, max(error.line, 1), (), message)]) from None
     except VisitError as error:
         _raise_original(error, file)
 
 
 def _raise_original(error: VisitError, file: str) -> NoReturn:
-    """Raises what a method of the builder raised, with the file's name in each fault."""
+    """Raises the builder's original error, with the file's name in each diagnostic."""
     original = error.orig_exc
     if isinstance(original, RecursionError):
         raise original
--- a/thymeknot/operator_config/loader.py
+++ b/thymeknot/operator_config/loader.py
@@ -1,4 +1,4 @@
-"""Reads an operator file, unifies it with the package's schemas, and gives typed records."""
+"""Loads operator files: parses them, unifies them with the schema, makes typed records."""
 
 import os
 from importlib import resources
@@ -11,13 +11,13 @@
 from .values import Field, Struct, Value
 
 ROOT_SCHEMA_FILE = "operator.cue"
-"""The schema file whose struct an operator file is unified with; the others hold definitions."""
+"""The schema file with the top-level fields; the other schema files hold definitions."""
 
 Record = TypeVar("Record")
 
 
 def load_schema() -> Value:
-    """What an operator file may hold, with the definitions of all schema files resolved."""
+    """Returns the schema of operator files, with all references resolved."""
     folder = resources.files(__package__) / "schema"
     structs = {
         file.name: parse(file.read_text(encoding="utf-8"), f"schema/{file.name}")
@@ -44,19 +44,22 @@
 
 
 def parse_settings(text: str, file: str) -> dict[str, Any]:
-    """The plain settings of an operator file's text, with defaults filled in.
+    """Parses the text of an operator file into plain settings with defaults.
 
     Args:
         text: The text.
-        file: The name that faults give.
+        file: Name of the file for error messages.
 
     Raises:
-        OperatorConfigError: With every fault at once, by line.
+        OperatorConfigError: The file is invalid. Errors against the schema are reported all at
+            once, ordered by line; a syntax error is reported alone.
     """
     try:
         return _parse_settings(text, file)
     except RecursionError:
-        raise OperatorConfigError([Diagnostic(file, 1, (), "is nested too deeply")]) from None
+        raise OperatorConfigError(
+            [Diagnostic(file, 1, (), "values are nested too deeply")]
+        ) from None
 
 
 def _parse_settings(text: str, file: str) -> dict[str, Any]:
@@ -67,7 +70,7 @@
     settings: dict[str, Any] = to_plain(unified, (), diagnostics, resolved.location)
     if diagnostics:
         first_line = max(resolved.location.line, 1)
-        # A fault located in a schema is about what was left out: it gets the file's first line.
+        # An error located in the schema concerns an omitted value: report the file's first line.
         located = (
             diagnostic
             if diagnostic.file == file
@@ -81,11 +84,13 @@
 
 
 def to_record(record_type: type[Record], settings: dict[str, Any]) -> Record:
-    """A NamedTuple of plain settings: records for mappings, tuples for lists, None for absent keys.
+    """Converts plain settings to a NamedTuple.
+
+    Dicts become records, lists become tuples, and absent keys become None.
 
     Args:
-        record_type: The NamedTuple; fields are named after the keys. A field whose key is a word of
-            Python's ends in an underscore.
+        record_type: The NamedTuple, with fields named after the keys. The field of a key that is a
+            Python keyword has a trailing underscore.
         settings: The plain settings.
     """
     values: dict[str, Any] = {}
@@ -104,10 +109,10 @@
 
 
 def load(path: str) -> dict[str, Any]:
-    """The plain settings of the operator file at a path.
+    """Loads the operator file at a path and returns its plain settings with defaults.
 
     Raises:
-        OperatorConfigError: With every fault at once, by line.
+        OperatorConfigError: The file can't be read or is invalid; see `parse_settings`.
     """
     try:
         with open(path, encoding="utf-8") as source:
@@ -116,12 +121,12 @@
         reason = os.strerror(error.errno or 0)
         raise OperatorConfigError([Diagnostic(path, 0, (), f"can't be read: {reason}")]) from None
     except UnicodeDecodeError:
-        raise OperatorConfigError([Diagnostic(path, 0, (), "is no UTF-8")]) from None
+        raise OperatorConfigError([Diagnostic(path, 0, (), "is not valid UTF-8")]) from None
     return parse_settings(text, path)
 
 
 def line_prefix(path: str, keys: tuple[str, ...]) -> str:
-    """Where a file tells the value behind these keys, or the nearest one around it, as "7:"."""
+    """Returns the line of a value, or of the innermost existing value around it, such as "7:"."""
     with open(path, encoding="utf-8") as source:
         value: Value = parse(source.read(MAX_FILE_SIZE), path)
     for key in keys:
--- a/thymeknot/operator_config/schema/fleet.cue
+++ b/thymeknot/operator_config/schema/fleet.cue
@@ -1,31 +1,31 @@
-// A fleet that agrees who may go out: its keepers, its units, the budgets that bind them.
+// Coordination of drains: the Raft nodes (`keepers`), the units, and the disruption budgets.
 #Fleet: {
-	name:   string & =~"^[A-Za-z0-9._-]{1,32}$"      // this instance's name in the ring
-	key:    string & !=""                            // file of the private key, PEM; relative to this file
-	data:   string & !=""                            // folder of this instance alone, on a disk that lasts
-	lineage?: string & !=""                          // file that tells an old copy of `data`; best on another disk
-	listen?: #Address                                // TCP, of a keeper; else where `keepers` says
-	founds: bool | *false                            // a keeper's first start of all; take it out afterwards
-	from: [...string & =~"^[0-9a-fA-F:.]+(/[0-9]+)?$"]   // networks that the others speak from
+	name:   string & =~"^[A-Za-z0-9._-]{1,32}$"      // this instance's name in the keyring
+	key:    string & !=""                            // private key file, PEM; relative to this file
+	data:   string & !=""                            // data folder on a persistent disk; used by this instance only
+	lineage?: string & !=""                          // file by which an outdated copy of `data` is recognized; preferably on another disk
+	listen?: #Address                                // TCP address of this instance's Raft node, if not the one in `keepers`
+	founds: bool | *false                            // bootstraps a new cluster on the node's first start; remove afterwards
+	from: [...string & =~"^[0-9a-fA-F:.]+(/[0-9]+)?$"]   // networks from which peers may connect
 
-	keepers: [...#Keeper]                            // 1, 3, 5 or 7, the same everywhere
-	peers: [...#Peer] | *[]                          // the others that may speak: sidecars and operators
+	keepers: [...#Keeper]                            // the Raft nodes: 1, 3, 5 or 7, the same in all files
+	peers: [...#Peer] | *[]                          // other identities that may send commands: sidecars and operators
 	revoked: [...#Key] | *[]
 
-	unit?: string & !=""                             // this sidecar as a unit, if it may be drained
-	build: string | *""                              // what it runs
-	epoch: int & >=1 & <=1000000000 | *1             // of what is declared below; the highest one counts
+	unit?: string & !=""                             // name of this sidecar's unit, if it may be drained
+	build: string | *""                              // build that the unit runs
+	epoch: int & >=1 & <=1000000000 | *1             // epoch of the following declarations; the highest epoch is in force
 	units: [...#Unit]
 	budgets: [...#Budget]
-	bound:  duration & >="200ms" & <="1m" | *"2s"    // a holder that was told nothing for so long begins nothing
-	silent: duration & >="200ms" & <="10m" | *"3s"   // one not seen ready for so long counts as out
-	permit: duration & >="200ms" & <="10m" | *"10s"  // one that was not begun for so long lapses
-	tick:   duration & >="50ms" & <="10s" | *"200ms" // so often the keepers' time goes on
+	bound:  duration & >="200ms" & <="1m" | *"2s"    // without a reply for this long, a unit starts no drain
+	silent: duration & >="200ms" & <="10m" | *"3s"   // without a ready report for this long, a unit counts as unavailable
+	permit: duration & >="200ms" & <="10m" | *"10s"  // expiry of an unused permit
+	tick:   duration & >="50ms" & <="10s" | *"200ms" // interval at which the leader advances the replicated time
 }
 
 #Keeper: {
 	name:    string & =~"^[A-Za-z0-9._-]{1,32}$"
-	address: #Address                                // where this instance reaches it
+	address: #Address                                // address at which this instance reaches it
 	keys: [...{key: #Key, until?: string & =~"^[0-9]{4}-[0-9]{2}-[0-9]{2}T[0-9:]{5,8}Z$"}]
 }
 
@@ -39,7 +39,8 @@
 	service?: string & !=""
 }
 
-// Exactly one of most, share and least; `each` label's values have it each by itself.
+// Exactly one of `most`, `share` and `least` is required. With `each`, every value of that label has
+// its own budget.
 #Budget: {
 	name: string & !=""
 	each?: "kind" | "rack" | "zone" | "cluster" | "lane" | "service"
--- a/thymeknot/operator_config/schema/operator.cue
+++ b/thymeknot/operator_config/schema/operator.cue
@@ -1,4 +1,5 @@
-// What an operator's file may switch on. Each feature has a schema of its own beside this one.
+// Top-level fields of an operator file, one for each optional feature. A feature's schema is in the
+// file of the same name.
 gossip?: #Gossip
 why?: #Why
 fleet?: #Fleet
--- a/thymeknot/operator_config/unification.py
+++ b/thymeknot/operator_config/unification.py
@@ -1,4 +1,4 @@
-"""Unifies two values: what both of them say, or the faults where they contradict each other.
+"""Unifies two values: combines them into one that satisfies both, or reports where they conflict.
 
 Source: the published CUE language specification.
 """
@@ -38,17 +38,17 @@
     "!=": operator.ne,
     "=~": _matches,
 }
-"""How a value is compared with a bound's limit, by operator."""
+"""Comparison of a value with the limit of a bound, by operator."""
 
 
 def unify(left: Value, right: Value, path: KeyPath, diagnostics: list[Diagnostic]) -> Value:
-    """What both values say.
+    """Returns the value that satisfies both values.
 
     Args:
         left: One value.
-        right: The other; faults name the location of the concrete one of both.
-        path: The keys that lead to the values.
-        diagnostics: Takes what is wrong; the result is then of no use but to find more faults.
+        right: The other value. Errors refer to the location of whichever is concrete.
+        path: Path of keys to the values.
+        diagnostics: Receives the errors. If there are any, the result only serves to find more.
     """
     if left is TOP or right is TOP:
         return right if left is TOP else left
@@ -60,24 +60,24 @@
     if unifier is not None:
         return unifier(left, right, path, diagnostics)
     if type(left) is type(right):
-        return add_diagnostic(diagnostics, right, path, "can't be told here")
+        return add_diagnostic(diagnostics, right, path, "references can't be unified")
     return _report_mismatch(left, right, path, diagnostics)
 
 
 def _report_mismatch(
     left: Value, right: Value, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
-    """Reports two values that have nothing in common, at the location of the concrete one."""
+    """Reports values of incompatible types, at the location of the concrete one."""
     right_is_given = _is_concrete(right) or not _is_concrete(left)
     given = right if right_is_given else left
     expected = left if right_is_given else right
-    return add_diagnostic(diagnostics, given, path, f"{given} does not fit {expected}")
+    return add_diagnostic(diagnostics, given, path, f"{given} does not match {expected}")
 
 
 def add_diagnostic(
     diagnostics: list[Diagnostic], value: Value, path: KeyPath, message: str
 ) -> Value:
-    """Adds a fault at a value's location, and returns the value."""
+    """Adds an error at a value's location, and returns the value."""
     diagnostics.append(Diagnostic(*value.location, path, message))
     return value
 
@@ -91,34 +91,34 @@
 def check_scalar(
     constraint: Constraint, scalar: Scalar, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
-    """The scalar as the constraint has it: a string becomes a duration where one is expected.
+    """Checks a scalar and returns it; a string becomes a duration if the constraint requires one.
 
     Args:
-        constraint: What the scalar must satisfy.
-        scalar: The value; it is returned as it is after a fault.
-        path: The keys that lead to it.
-        diagnostics: Takes what is wrong.
+        constraint: The constraint that the scalar must satisfy.
+        scalar: The value; also returned if the check fails.
+        path: Path of keys to it.
+        diagnostics: Receives the error, if any.
     """
     kind = constraint.kind
     if kind == Kind.DURATION and scalar.kind == Kind.STRING:
         ticks = parse_duration(str(scalar.value))
         if ticks is None:
-            message = f'{scalar} is no duration, such as "250ms" or "1m30s"'
+            message = f'{scalar} is not a duration such as "250ms" or "1m30s"'
             return add_diagnostic(diagnostics, scalar, path, message)
         scalar = Scalar(Kind.DURATION, ticks, scalar.location)
     if not (kind in (None, scalar.kind) or (kind == Kind.NUMBER and scalar.kind == Kind.INT)):
         return add_diagnostic(
-            diagnostics, scalar, path, f"{scalar} is no {kind}; asked for: {constraint}"
+            diagnostics, scalar, path, f"{scalar} is not of type {kind}; expected {constraint}"
         )
     for bound in constraint.bounds:
         if not _satisfies(scalar, bound):
-            message = f"{scalar} breaks {bound}; asked for: {constraint}"
+            message = f"{scalar} violates {bound}; expected {constraint}"
             return add_diagnostic(diagnostics, scalar, path, message)
     return scalar
 
 
 def _satisfies(scalar: Scalar, bound: Bound) -> bool:
-    """Whether a scalar keeps a bound; one that can't be compared with it does not."""
+    """Returns whether a scalar satisfies a bound; one that can't be compared with it does not."""
     limit: object = bound.limit
     if scalar.kind == Kind.DURATION and isinstance(bound.limit, str):
         limit = parse_duration(bound.limit)
@@ -129,12 +129,12 @@
 
 
 class _Attempt(NamedTuple):
-    """The result of unifying one alternative.
+    """The result of unifying one disjunct with a value.
 
     Attributes:
-        disjunct: The alternative.
-        result: What both values say.
-        diagnostics: What is wrong; the alternative is left out if there is anything.
+        disjunct: The disjunct.
+        result: The unified value.
+        diagnostics: The errors; a disjunct with errors is eliminated.
     """
 
     disjunct: Disjunct
@@ -150,7 +150,10 @@
 def _unify_disjunction(
     disjunction: Disjunction, other: Value, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
-    """The alternatives that fit the other value; the only one itself, if just one fits a value."""
+    """Unifies each disjunct with the other value, and drops those that do not match.
+
+    A single remaining disjunct is returned itself, unless the other value is a disjunction.
+    """
     if isinstance(other, Disjunction):
         disjuncts = _cross_disjuncts(disjunction, other, path)
     else:
@@ -165,14 +168,14 @@
             diagnostics += closest
             return other
     if not disjuncts:
-        return add_diagnostic(diagnostics, other, path, f"{other} is none of {disjunction}")
+        return add_diagnostic(diagnostics, other, path, f"{other} is not one of {disjunction}")
     if len(disjuncts) == 1 and not isinstance(other, Disjunction):
         return disjuncts[0].value
     return Disjunction(tuple(disjuncts), disjunction.location)
 
 
 def _cross_disjuncts(left: Disjunction, right: Disjunction, path: KeyPath) -> list[Disjunct]:
-    """Each alternative of one side with each of the other; a default is what both mark."""
+    """Unifies all pairs of disjuncts; a default results from two defaults."""
     disjuncts = []
     for disjunct in left.disjuncts:
         for other in right.disjuncts:
@@ -183,9 +186,10 @@
 
 
 def _closest_diagnostics(attempts: list[_Attempt], path: KeyPath) -> list[Diagnostic]:
-    """The faults of the alternative that came nearest, or none if no one did.
+    """Returns the errors of the disjunct that matches best, or none if no disjunct stands out.
 
-    That is the first whose faults lie inside of it, or the only one that is no scalar.
+    It is the first disjunct with an error in a nested value, or else the only one that is not a
+    scalar.
     """
     candidates = [
         attempt.diagnostics
@@ -205,7 +209,7 @@
     if left.value == right.value and same_kind:
         return left
     return add_diagnostic(
-        diagnostics, right, path, f"{right} is not {left} (line {left.location.line})"
+        diagnostics, right, path, f"{right} conflicts with {left} (line {left.location.line})"
     )
 
 
@@ -216,14 +220,14 @@
     if kinds == {Kind.INT, Kind.NUMBER}:
         kinds = {Kind.INT}
     if len(kinds) > 1:
-        return add_diagnostic(diagnostics, right, path, f"{right} does not fit {left}")
+        return add_diagnostic(diagnostics, right, path, f"{right} does not match {left}")
     return Constraint(next(iter(kinds), None), left.bounds + right.bounds, left.location)
 
 
 def _unify_structs(
     left: Struct, right: Struct, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
-    """The fields of both; a field that only one has is a fault where the other is closed."""
+    """Merges the fields; a field that only one struct has is an error if the other is closed."""
     fields: dict[str, Field] = {}
     for name in (*left.fields, *(name for name in right.fields if name not in left.fields)):
         key = (*path, name)
@@ -246,7 +250,7 @@
 def _check_allowed(
     struct: Struct, name: str, value: Value, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> None:
-    """Reports a field that a struct lacks and does not take."""
+    """Reports a field that a closed struct does not have."""
     if struct.is_closed and not struct.is_open:
         close_matches = difflib.get_close_matches(name, struct.fields, 1)
         hint = f"; did you mean {close_matches[0]}?" if close_matches else ""
@@ -264,7 +268,7 @@
     if right.elements is None:
         return _unify_elements(right, left, path, diagnostics)
     if len(left.elements) != len(right.elements):
-        message = f"{len(right.elements)} elements, {len(left.elements)} were told"
+        message = f"{len(right.elements)} elements; expected {len(left.elements)}"
         return add_diagnostic(diagnostics, right, path, message)
     elements = tuple(
         unify(left_item, right_item, (*path, index), diagnostics)
@@ -276,7 +280,7 @@
 def _unify_elements(
     constraint: ListValue, given: ListValue, path: KeyPath, diagnostics: list[Diagnostic]
 ) -> Value:
-    """The elements of a list, each unified with what the other side wants of any."""
+    """Unifies each element of a list with the constraint on elements."""
     elements = tuple(
         unify(constraint.element, element, (*path, index), diagnostics)
         for index, element in enumerate(given.elements or ())
@@ -298,4 +302,4 @@
     (Struct, Struct): _unify_structs,
     (ListValue, ListValue): _unify_lists,
 }
-"""How a left and a right value of these types are unified; other pairs never fit."""
+"""Unification by the types of the left and right value; other pairs of types never match."""
--- a/thymeknot/operator_config/values.py
+++ b/thymeknot/operator_config/values.py
@@ -1,4 +1,4 @@
-"""The values and constraints that an operator file and its schema are made of.
+"""The values and constraints of operator files and schemas.
 
 Source: the published CUE language specification.
 """
@@ -11,11 +11,11 @@
 from .errors import UNKNOWN_LOCATION, Location
 
 PlainScalar: TypeAlias = Union[str, int, float, bool, None]
-"""The Python value of a scalar."""
+"""Python value of a scalar."""
 
 
 class Kind(enum.StrEnum):
-    """The kinds of scalars, as files and messages name them."""
+    """Kinds of scalars, by their names in files and messages."""
 
     INT = "int"
     NUMBER = "number"
@@ -26,7 +26,7 @@
 
 
 class Top(NamedTuple):
-    """Any value at all: `_` in a file."""
+    """The constraint that every value satisfies: `_` in a file."""
 
     location: Location = UNKNOWN_LOCATION
 
@@ -38,9 +38,9 @@
     """A concrete value.
 
     Attributes:
-        kind: Its kind.
-        value: Its Python value; of a duration, tenths of a millisecond.
-        location: Where it is written.
+        kind: Kind of the value.
+        value: Python value; durations are in ticks of 0.1 ms.
+        location: Location in the file.
     """
 
     kind: Kind
@@ -56,11 +56,11 @@
 
 
 class Bound(NamedTuple):
-    """What a scalar is compared with.
+    """A comparison that a scalar must satisfy.
 
     Attributes:
-        operator: One of the operators of the grammar, such as ">=" or "=~".
-        limit: The right side of the comparison; a regular expression for "=~".
+        operator: One of the grammar's operators, such as ">=" or "=~".
+        limit: Right operand; a regular expression for "=~".
     """
 
     operator: str
@@ -72,12 +72,12 @@
 
 
 class Constraint(NamedTuple):
-    """What a scalar must satisfy.
+    """The kind and the bounds that a scalar must satisfy.
 
     Attributes:
-        kind: The kind that it must have, or None.
-        bounds: All of which it must keep.
-        location: Where the constraint is written.
+        kind: Required kind, or None for any.
+        bounds: Bounds, all of which must be satisfied.
+        location: Location in the file.
     """
 
     kind: Optional[Kind]
@@ -93,8 +93,8 @@
     """One alternative of a disjunction.
 
     Attributes:
-        value: The alternative.
-        is_default: Whether it is marked as the default.
+        value: Value or constraint.
+        is_default: Whether it is marked as the default by `*`.
     """
 
     value: "Value"
@@ -105,8 +105,8 @@
     """Alternatives: `"a" | *"b"` in a file.
 
     Attributes:
-        disjuncts: The alternatives in their order.
-        location: Where they are written.
+        disjuncts: Alternatives in the order of the file.
+        location: Location in the file.
     """
 
     disjuncts: tuple[Disjunct, ...]
@@ -122,8 +122,8 @@
     """A field of a struct.
 
     Attributes:
-        value: What it holds, or must satisfy.
-        is_optional: Whether it may be left out.
+        value: Value or constraint.
+        is_optional: Whether the field may be omitted.
     """
 
     value: "Value"
@@ -134,10 +134,10 @@
     """Fields by name.
 
     Attributes:
-        fields: The fields in their order.
-        is_open: Whether it says by `...` that it takes other fields.
-        is_closed: Whether it is a definition's, which takes no other fields unless it is open.
-        location: Where it is written.
+        fields: Fields in the order of the file.
+        is_open: Whether `...` allows other fields.
+        is_closed: Whether it belongs to a definition, which allows other fields only if it is open.
+        location: Location in the file.
     """
 
     fields: dict[str, Field]
@@ -153,9 +153,9 @@
     """A list, or the constraint on one.
 
     Attributes:
-        element: What each element must satisfy.
-        elements: The elements, or None where any number of them may come.
-        location: Where it is written.
+        element: Constraint on each element.
+        elements: The elements, or None if any number of them is allowed.
+        location: Location in the file.
     """
 
     element: "Value"
@@ -169,11 +169,11 @@
 
 
 class Reference(NamedTuple):
-    """A definition by its name, which is resolved before anything is unified.
+    """A reference to a definition, resolved before the file is unified with its schema.
 
     Attributes:
-        name: The name, with its `#`.
-        location: Where it is referred to.
+        name: Name of the definition, including the `#`.
+        location: Location of the reference.
     """
 
     name: str
@@ -186,7 +186,7 @@
 Value: TypeAlias = Union[Top, Scalar, Constraint, Disjunction, Struct, ListValue, Reference]
 
 TOP = Top()
-"""The only Top."""
+"""The only instance of Top; it is compared by identity."""
 
 TICKS_PER_UNIT = {
     "us": 0.01,
@@ -196,16 +196,16 @@
     "h": 36_000_000,
     "d": 864_000_000,
 }
-"""Tenths of a millisecond in each unit of a duration."""
+"""Ticks (0.1 ms) per unit of a duration."""
 
 DURATION_PART = re.compile(r"(\d+(?:\.\d+)?)(us|ms|s|m|h|d)")
-"""One number and unit of a duration."""
+"""A number with its unit in a duration."""
 
 
 def parse_duration(text: str) -> Optional[int]:
-    """The tenths of a millisecond of a duration such as "1m30s", or None if it is none.
+    """Parses a duration such as "1m30s" into ticks of 0.1 ms; returns None if it is invalid.
 
-    A fraction is rounded up, so that no duration becomes 0.
+    Fractions of a tick are rounded up, so that no positive duration becomes 0.
     """
     parts = DURATION_PART.findall(text)
     if not parts or "".join(number + unit for number, unit in parts) != text:
