--- a/tests/soak/orders.py
+++ b/tests/soak/orders.py
@@ -4,9 +4,9 @@
 from hypothesis import strategies as st
 
 from tests.integration import test_event_orders as short
-from tests.support.order_rig import play, smallest
+from tests.support.order_rig import minimize, play
 
-HELD_UP = short.order("held_up", st.sampled_from((20, 60, 150)))  # the page allows for 0.15 s
+HELD_UP = short.order("stall_process", st.sampled_from((20, 60, 150)))  # the page allows for 0.15 s
 LONGER = st.lists(
     st.one_of(short.ORDERS, short.ORDERS, short.ORDERS, HELD_UP), min_size=40, max_size=120
 )
@@ -38,4 +38,4 @@
     if not found:
         return None
     drawn, error = found[0]
-    return smallest(short.STARTS, drawn, error), repr(error)
+    return minimize(short.STARTS, drawn, error), repr(error)
--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -12,7 +12,7 @@
 from hypothesis import strategies as some
 from twisted.internet.defer import succeed
 
-from tests.support.peers import PodPeer, words_of
+from tests.support.peers import FakeEndpoint, read_command
 from tests.support.programs import Program
 from thymeknot.load_generator import schedule
 from thymeknot.load_generator.codecs import Resp2Codec
@@ -27,13 +27,13 @@
 OK_RESPONSE = b"$2\r\nok\r\n"
 
 
-class ClosingPeer(PodPeer):
+class ClosingPeer(FakeEndpoint):
     """Answers the first request of a connection, and closes it after reading the second one."""
 
     def serve(self, connection, source):
-        if words_of(source) is not None:
+        if read_command(source) is not None:
             connection.sendall(OK_RESPONSE)
-            words_of(source)
+            read_command(source)
 
 
 def run_load_command(port, *arguments):
@@ -177,7 +177,7 @@
                     stalled.append(time.sleep(0.8))
             return OK_RESPONSE
 
-        server = PodPeer(answer)
+        server = FakeEndpoint(answer)
         port = int(server.address.rpartition(":")[2])
         report, code = run_load_command(
             port,
@@ -200,7 +200,7 @@
 
     def test_outcomes_are_distinguished(self):
         silent, rejecting, resetting = (
-            PodPeer(answer)
+            FakeEndpoint(answer)
             for answer in (
                 lambda arguments: b"",
                 lambda arguments: b"-BUSY 10\r\n" if arguments[1] < b"00000010" else OK_RESPONSE,
@@ -240,10 +240,12 @@
             )
             self.assertEqual(code, 0 if server is closing else 1, report)
             if server:
-                server.stop()
+                server.stop_listening()
 
     def test_load_through_a_sidecar(self):
-        pods = [PodPeer(lambda arguments: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(2)]
+        pods = [
+            FakeEndpoint(lambda arguments: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(2)
+        ]
         with Program(*(pod.entry(f"s-{index}") for index, pod in enumerate(pods))) as program:
             report, _ = run_load_command(
                 program.port,
--- a/tests/unit/protocol/test_watch_streams.py
+++ b/tests/unit/protocol/test_watch_streams.py
@@ -13,8 +13,8 @@
 from twisted.internet.error import ConnectionDone, ConnectionLost
 from twisted.python.failure import Failure
 
-from tests.support.peers import PATIENCE, PodPeer, until
-from tests.support.programs import Program, patient
+from tests.support.peers import TIMEOUT_SECONDS, FakeEndpoint, wait_until
+from tests.support.programs import Program, without_first_list_timeout
 from tests.unit.proxy.test_proxy import Network, configuration_object, endpoint_entry
 from thymeknot.interface.actions import CastVote, FetchEndpoints
 from thymeknot.interface.enums import Outcome, UpdateKind, Verdict
@@ -1087,8 +1087,10 @@
 
 class SocketTest(unittest.TestCase):
     def setUp(self):
-        self.old, self.new = PodPeer(), PodPeer()
-        with patient():  # the sidecar only serves once a watch stream is established
+        self.old, self.new = FakeEndpoint(), FakeEndpoint()
+        with (
+            without_first_list_timeout()
+        ):  # the sidecar only serves once a watch stream is established
             self.running = Program(self.old.entry("s-1"))
         self.running.__enter__()
         for last in (self.running.__exit__, self.old.close, self.new.close):
@@ -1097,9 +1099,9 @@
     def wait_until_new_endpoint_is_used(self):
         with self.running.client() as client:
             number = itertools.count()
-            until(
-                lambda: not self.new.heard.empty(),
-                lambda: client.ask("SVC.QUERY", "a", f"{next(number)}", "c=read,d=4000"),
+            wait_until(
+                lambda: not self.new.received_commands.empty(),
+                lambda: client.request("SVC.QUERY", "a", f"{next(number)}", "c=read,d=4000"),
             )
 
     def full_list(self, version, **more):
@@ -1112,7 +1114,7 @@
 
     def test_indented_list_in_pieces_between_heartbeats(self):
         streams_before, text = list(self.running.discovery.streams), self.full_list(9, indent=4)
-        self.running.discovery.say(
+        self.running.discovery.push_raw(
             "\n", *(text[at : at + 50] for at in range(0, len(text), 50)), "\n"
         )
         self.wait_until_new_endpoint_is_used()
@@ -1121,10 +1123,12 @@
         )  # the stream was not replaced
 
     def test_invalid_line_in_an_indented_list_ends_only_the_watch_and_is_logged(self):
-        self.running.discovery.say('{"version": 9,\n"full": true,\nnoise\n')
-        until(lambda: "noise" in self.running.logged("stream ended")["reason"], lambda: None)
-        self.running.discovery.asked.get(timeout=PATIENCE)
-        self.running.discovery.say(self.full_list(10))
+        self.running.discovery.push_raw('{"version": 9,\n"full": true,\nnoise\n')
+        wait_until(
+            lambda: "noise" in self.running.wait_for_log("stream ended")["reason"], lambda: None
+        )
+        self.running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        self.running.discovery.push_raw(self.full_list(10))
         self.wait_until_new_endpoint_is_used()
 
     def test_connects_that_never_complete_at_a_new_address_are_given_up(self):
@@ -1137,10 +1141,10 @@
                 filler = fillers.enter_context(socket.socket())
                 filler.setblocking(False)
                 filler.connect_ex(at)
-            self.running.write({**self.running.told, "discovery": "%s:%d" % at})
+            self.running.write_config({**self.running.config, "discovery": "%s:%d" % at})
             self.running.process.send_signal(signal.SIGHUP)
             for _ in range(2):  # a stream at the former address may have ended before
-                while self.running.logged("stream ended")["address"] != "%s:%d" % at:
+                while self.running.wait_for_log("stream ended")["address"] != "%s:%d" % at:
                     pass
             body = HEAD + encode_chunk(self.full_list(3).encode())
 
--- a/thymeknot/gang_scheduling/commands.py
+++ b/thymeknot/gang_scheduling/commands.py
@@ -1,6 +1,6 @@
-"""The commands of the gangs' state machine, as they stand in the replicated log.
+"""Commands of the gang scheduling state machine, as stored in the replicated log.
 
-Tags and field names are stored: a command's field `do` holds its tag.
+Tags and encoded field names are stored; a command's field `do` holds its tag.
 """
 
 from collections.abc import Iterable
@@ -11,43 +11,44 @@
 from msgspec import Meta
 
 from ..interface.clock import Ticks
-from .jobs import MAX_WORKERS, Amount, Gang, Name, Span
-from .topology import DEFAULT_HOST_LINK, MachineSpec
+from .jobs import MAX_WORKERS, Gang, Name, NonNegativeInt, PositiveInt
+from .topology import DEFAULT_MACHINE_BANDWIDTH, MachineSpec
 
-MAX_MACHINES = 512  # machines that one command may name, which bounds an entry of the log
-MAX_BLOCKERS_IN_REPLY = 8  # names that a rejection lists, which bounds a reply
+MAX_MACHINES = 512  # machines in one command; bounds the size of a log entry
+MAX_BLOCKERS_IN_REPLY = 8  # names listed in a rejection; bounds the size of a reply
 
 Reply: TypeAlias = dict[str, Any]
-"""A reply as plain values, which goes back to the client as JSON."""
+"""A reply as plain values; the client receives it as JSON."""
 
 MachineWorkers = Annotated[
     dict[Name, Annotated[int, Meta(ge=1, le=MAX_WORKERS)]],
     Meta(min_length=1, max_length=MAX_WORKERS),
 ]
-RackVersions = Annotated[dict[Name, Amount], Meta(min_length=1, max_length=MAX_WORKERS)]
+RackVersions = Annotated[dict[Name, NonNegativeInt], Meta(min_length=1, max_length=MAX_WORKERS)]
 
 
 class CommandRejectedError(Exception):
-    """A command was rejected and changed nothing.
+    """Raised when a command is rejected.
 
     Attributes:
-        reply: What the client gets: the sentence, who is in the way, and when to ask again.
+        reply: The reply to the client: the reason, the names of the gangs, racks, machines or
+            drains that block the command, and the ticks to wait before a retry.
     """
 
-    def __init__(self, sentence: str, by: Iterable[str] = (), again: Ticks = 0) -> None:
-        super().__init__(sentence)
+    def __init__(self, message: str, blockers: Iterable[str] = (), retry_after: Ticks = 0) -> None:
+        super().__init__(message)
         self.reply: Reply = {
-            "refused": sentence,
-            "by": sorted(by)[:MAX_BLOCKERS_IN_REPLY],
-            "again": again,
+            "refused": message,
+            "by": sorted(blockers)[:MAX_BLOCKERS_IN_REPLY],
+            "again": retry_after,
         }
 
 
 class Command(msgspec.Struct, frozen=True, forbid_unknown_fields=True, tag_field="do"):
-    """What all commands have.
+    """Base of all commands.
 
     Attributes:
-        part: Names the state machine among those that share the log.
+        part: Selects this state machine among those that share the log.
     """
 
     part: Literal["gangs"]
@@ -57,42 +58,42 @@
     """Adds a rack.
 
     Attributes:
-        rack: Its name.
+        rack: Name of the rack.
         zone: Name of its zone.
         cluster: Name of its cluster.
-        bandwidth: Bytes a second of its uplink.
-        machines: Its machines by name.
-        link: Bytes a second of each machine's link.
+        bandwidth: Bandwidth of the rack's uplink, in bytes per second.
+        machines: The rack's machines by name.
+        machine_bandwidth: Bandwidth of each machine's link, in bytes per second.
     """
 
     rack: Name
     zone: Name
     cluster: Name
-    bandwidth: Span
+    bandwidth: PositiveInt
     machines: Annotated[dict[Name, MachineSpec], Meta(min_length=1, max_length=MAX_MACHINES)]
-    link: Span = DEFAULT_HOST_LINK
+    machine_bandwidth: PositiveInt = msgspec.field(default=DEFAULT_MACHINE_BANDWIDTH, name="link")
 
 
 class SetUplink(Command, frozen=True, tag="uplink"):
-    """States the bandwidth of a zone's or cluster's uplink.
+    """Sets the bandwidth of a zone's or cluster's uplink.
 
     Attributes:
-        of: "zone/CLUSTER/ZONE" or "cluster/CLUSTER".
-        bandwidth: Bytes a second.
+        uplink: "zone/CLUSTER/ZONE" or "cluster/CLUSTER".
+        bandwidth: Bandwidth in bytes per second.
     """
 
-    of: Annotated[
+    uplink: Annotated[
         str, Meta(pattern=r"\A(zone/[A-Za-z0-9_.:-]+|cluster)/[A-Za-z0-9_.:-]+\Z", max_length=160)
-    ]
-    bandwidth: Span
+    ] = msgspec.field(name="of")
+    bandwidth: PositiveInt
 
 
 class SetShare(Command, frozen=True, tag="share"):
-    """States a publisher's share of all slots.
+    """Sets a publisher's share of all slots.
 
     Attributes:
-        publisher: Its name.
-        thousandths: The share.
+        publisher: Name of the publisher.
+        thousandths: The share, in thousandths of all slots.
     """
 
     publisher: Name
@@ -100,23 +101,23 @@
 
 
 class PlanRemoval(Command, frozen=True, tag="planned"):
-    """States when machines are to go by plan.
+    """Sets when machines will be removed as planned.
 
     Attributes:
-        machines: Their names.
-        at: Agreed time in ticks, 0 for never.
+        machines: Names of the machines.
+        removal_time: Agreed time of the removal in ticks, 0 for none.
     """
 
     machines: Annotated[list[Name], Meta(min_length=1, max_length=MAX_MACHINES)]
-    at: Amount
+    removal_time: NonNegativeInt = msgspec.field(name="at")
 
 
 class OfferGang(Command, frozen=True, tag="offer"):
-    """Puts a gang into the queue.
+    """Adds a gang to the queue.
 
     Attributes:
-        gang: Its name, which no gang had before.
-        job: What it asks for.
+        gang: Name of the gang; it must not have been used before.
+        job: What the gang asks for.
     """
 
     gang: Name
@@ -124,11 +125,11 @@
 
 
 class Reserve(Command, frozen=True, tag="hold"):
-    """Reserves all slots of a gang, or none.
+    """Reserves slots for all workers of a gang, or for none.
 
     Attributes:
-        gang: Its name.
-        versions: {rack: version that was scored}.
+        gang: Name of the gang.
+        versions: {rack: version at which the placement was scored}.
         placement: {machine: workers}.
     """
 
@@ -138,23 +139,23 @@
 
 
 class FencedCommand(Command, frozen=True):
-    """A command of who reserved a gang's slots.
+    """Base of the commands that only the holder of a gang's reservation may send.
 
     Attributes:
-        gang: Its name.
-        fence: Fencing token of the reservation.
+        gang: Name of the gang.
+        fence: Fencing token of the gang's latest placement.
     """
 
     gang: Name
-    fence: Amount
+    fence: NonNegativeInt
 
 
 class Bind(FencedCommand, frozen=True, tag="bind"):
-    """Binds a reserved gang: its workers are being started."""
+    """Binds a reserved gang: its workers are about to be started."""
 
 
 class Start(FencedCommand, frozen=True, tag="start"):
-    """Reports that all workers of a gang run."""
+    """Reports that all workers of a gang are running."""
 
 
 class Checkpoint(FencedCommand, frozen=True, tag="checkpoint"):
@@ -162,45 +163,46 @@
 
 
 class Finish(FencedCommand, frozen=True, tag="done"):
-    """Reports that a gang is done."""
+    """Reports that a gang has finished."""
 
 
 class ReplaceWorkers(FencedCommand, frozen=True, tag="mend"):
     """Replaces the failed workers of a gang.
 
     Attributes:
-        versions: {rack: version that was scored}, of the racks with new workers.
-        placement: {machine: workers}, the whole new placement.
+        versions: {rack: version at which the placement was scored}, for the racks that get
+            additional workers.
+        placement: {machine: workers} of the complete new placement.
     """
 
-    versions: dict[Name, Amount]
+    versions: dict[Name, NonNegativeInt]
     placement: MachineWorkers = msgspec.field(name="places")
 
 
 class Withdraw(Command, frozen=True, tag="withdraw"):
-    """Ends a gang whatever it does.
+    """Ends a gang, whatever its state.
 
     Attributes:
-        gang: Its name.
+        gang: Name of the gang.
     """
 
     gang: Name
 
 
 class Preempt(Command, frozen=True, tag="preempt"):
-    """Asks a running gang to make room after its next checkpoint.
+    """Preempts a running gang after its next checkpoint.
 
     Attributes:
-        gang: The gang that is to make room.
-        by: The gang that it makes room for.
+        gang: Name of the gang to preempt.
+        beneficiary: Name of the queued gang that needs the slots.
     """
 
     gang: Name
-    by: Name
+    beneficiary: Name = msgspec.field(name="by")
 
 
 class LossKind(StrEnum):
-    """What is lost."""
+    """Kind of a loss."""
 
     WORKER = "worker"
     MACHINE = "machine"
@@ -208,12 +210,12 @@
 
 
 class ReportLoss(Command, frozen=True, tag="lost"):
-    """Reports a loss.
+    """Reports the loss of a worker, a machine or a rack.
 
     Attributes:
-        kind: A worker of `gang` on machine `name`, a machine, or a rack.
-        name: The machine or rack.
-        gang: For a worker, its gang.
+        kind: What was lost; a lost worker is one of `gang` on machine `name`.
+        name: Name of the machine or rack.
+        gang: Name of the gang, for the loss of a worker only.
     """
 
     kind: LossKind
@@ -222,32 +224,32 @@
 
 
 class ReportRecovery(Command, frozen=True, tag="back"):
-    """Reports that a machine may be used again.
+    """Reports that a machine can be used again.
 
     Attributes:
-        machine: Its name.
+        machine: Name of the machine.
     """
 
     machine: Name
 
 
 class RequestDrain(Command, frozen=True, tag="drain_asked"):
-    """Asks for a machine to be emptied.
+    """Requests that a machine be drained of its workers.
 
     Attributes:
-        machine: Its name.
-        drain: Name of the drain, which has the machine from now on.
-        unit: Whether to take the machine at once if no gang on it then misses more workers than it
-            can spare.
+        machine: Name of the machine.
+        drain: Name of the drain, which owns the machine from now on.
+        use_budget: Whether to drain the machine at once if every gang on it can then spare its
+            missing workers.
     """
 
     machine: Name
     drain: Name
-    unit: bool = False
+    use_budget: bool = msgspec.field(default=False, name="unit")
 
 
 class Tick(Command, frozen=True, tag="tick"):
-    """Lets time pass: leases expire before any command."""
+    """Advances the agreed time; expired leases are processed before every command."""
 
 
 AnyCommand: TypeAlias = Union[
--- a/thymeknot/proxy/endpoint_updates.py
+++ b/thymeknot/proxy/endpoint_updates.py
@@ -1,4 +1,4 @@
-"""Watches, fetches and validates the endpoint list, and passes it to the decision engine."""
+"""Watches, fetches and validates the endpoint list for the decision engine."""
 
 from collections.abc import Callable, Iterator
 from typing import TYPE_CHECKING
@@ -21,11 +21,11 @@
 """Host and port."""
 
 StreamReader = Callable[[memoryview], bool]
-"""Reads a chunk of a stream; returns whether the chunk shows that the stream is alive."""
+"""Reads a chunk of a stream; returns whether it completes a line, so that the stream is alive."""
 
 
 def notifying_reader(read: StreamReader, on_data: Callable[[], None]) -> StreamReader:
-    """Returns a reader that calls on_data() after each chunk that shows the stream to be alive."""
+    """Returns a reader that calls on_data() after each chunk that completes a line."""
 
     def read_and_notify(content: memoryview) -> bool:
         alive = read(content)
@@ -40,46 +40,46 @@
     """Maintains the endpoint list.
 
     Attributes:
-        proxy: Receives the updates; its connections are adjusted to them.
+        proxy: Receives the updates, and closes connections that they make obsolete.
         listed_endpoints: Each listed endpoint by its name.
         addresses: The address of each listed endpoint, by its name.
         version: The version of the list.
         discovery: The HTTP client of the discovery service.
-        watch: The stream of updates, from the agent on the same machine or by polling.
+        watch: The stream of updates, pushed by the agent on the same machine or polled.
     """
 
-    def __init__(self, proxy: "Proxy", chance: LinearCongruentialGenerator) -> None:
-        polled = proxy.settings.lists_polled
+    def __init__(self, proxy: "Proxy", random_source: LinearCongruentialGenerator) -> None:
+        lists_polled = proxy.settings.lists_polled
         self.proxy = proxy
         self.listed_endpoints: dict[str, Endpoint] = {}
         self.addresses: dict[str, str] = {}
         self.version: int = proxy.start.known.version
-        self._source: Address | None = None  # the address that sent the list
+        self._source: Address | None = None  # the address that sent the latest list
         self._validator = SnapshotValidator()
         self.discovery = proxy.caller(proxy.start.discovery)
         self.watch = WatchStream(
             self.discovery,
-            chance,
+            random_source,
             discovery.SILENCE_TIMEOUT,
-            lambda: discovery.watch_request(self.discovery.host, self._version_to_ask_from()),
+            lambda: discovery.watch_request(self.discovery.host, self._version_to_request_from()),
             self._watch_reader,
             structured_log.log_rate_limited,
-            discovery.FIRST_DATA_TIMEOUTS[polled],
-            dedicated=not polled,
+            discovery.FIRST_DATA_TIMEOUTS[lists_polled],
+            dedicated=not lists_polled,
         )
 
     def notify_on_data(self, on_data: Callable[[], None]) -> None:
         """Calls on_data() whenever the watch stream has received data.
 
-        Any lists in the data have been applied by then; an empty line means that there is none.
+        Lists in the data have been applied by then; an empty line says that there is no newer list.
         """
         self.watch.make_reader = lambda: notifying_reader(self._watch_reader(), on_data)
 
     def start(self) -> None:
         """Starts the watch.
 
-        If lists are polled, all instances call one service: the first calls of a fleet that starts
-        at once are spread out.
+        If lists are polled, all instances call one service, so the first calls of a fleet that
+        starts at once are spread out.
         """
         settings = self.proxy.settings
         if settings.lists_polled:
@@ -88,40 +88,40 @@
             self.watch.start()
 
     def change_address(self, address: Address) -> None:
-        """Switches to this address; calls in progress finish at the previous one."""
+        """Switches to another discovery address; calls in progress finish at the previous one."""
         if address != self.discovery.address:
             self.discovery = self.proxy.caller(address)
             self.watch.move(self.discovery)
 
     def apply(self, listing: discovery.EndpointListing, source: Address) -> None:
-        """Applies a list that this address sent.
+        """Applies a list received from an address.
 
         Raises:
-            StaleSnapshotError: The list was not accepted; nothing has changed.
+            StaleSnapshotError: The list was rejected; the known list is kept.
         """
         update = listing.update
-        whole = update.kind != UpdateKind.DELTA
+        is_snapshot = update.kind != UpdateKind.DELTA
         rejection = self._validator.validate(
-            source, listing.version, whole, len(update.endpoints), len(self.listed_endpoints)
+            source, listing.version, is_snapshot, len(update.endpoints), len(self.listed_endpoints)
         )
         if rejection:
             raise discovery.StaleSnapshotError(*rejection)
         self.version = listing.version
         self._source = source
-        replaced = self._merge(update.endpoints, {} if whole else dict(self.listed_endpoints))
+        replaced = self._merge(update.endpoints, {} if is_snapshot else dict(self.listed_endpoints))
         self.addresses = {
             name: address
             for name, address in {**self.addresses, **listing.addresses}.items()
             if name in self.listed_endpoints
         }
-        self._tell(update, replaced)
+        self._propagate(update, replaced)
 
-    def _tell(self, update: EndpointUpdate, replaced: set[str]) -> None:
-        """Reports the update, and drops connections and attempts that it makes obsolete.
+    def _propagate(self, update: EndpointUpdate, replaced: set[str]) -> None:
+        """Reports the update, and ends connections and attempts that it makes obsolete.
 
         Args:
             update: The update.
-            replaced: Names whose process was replaced by another one.
+            replaced: Names of endpoints whose process was replaced by another one.
         """
         proxy = self.proxy
         proxy.pending_events.append(update)
@@ -138,16 +138,16 @@
         proxy.handle_events()
 
     def _merge(self, endpoints: tuple[Endpoint, ...], listed: dict[str, Endpoint]) -> set[str]:
-        """Merges endpoints into `listed`; returns the names whose process was replaced.
+        """Merges endpoints into `listed`; returns the names of those whose process was replaced.
 
-        Connections to the previous process may be dead: it was a different endpoint of that name.
+        Connections to the previous process cannot be used: it was another endpoint of that name.
         """
-        before = self.listed_endpoints
+        previous = self.listed_endpoints
         self.listed_endpoints = listed
         replaced = set()
         for endpoint in endpoints:
-            known = before.get(endpoint.address)
-            if known and (known.started, known.build) != (endpoint.started, endpoint.build):
+            earlier = previous.get(endpoint.address)
+            if earlier and (earlier.started, earlier.build) != (endpoint.started, endpoint.build):
                 replaced.add(endpoint.address)
             if endpoint.condition == EndpointCondition.GONE:
                 listed.pop(endpoint.address, None)
@@ -157,15 +157,15 @@
 
     def is_ready(self, endpoint: Endpoint) -> bool:
         """Returns whether this process of the endpoint is still listed as ready."""
-        now = self.listed_endpoints.get(endpoint.address)
+        listed = self.listed_endpoints.get(endpoint.address)
         return (
-            now is not None
-            and now.condition == EndpointCondition.READY
-            and ((now.started, now.build) == (endpoint.started, endpoint.build))
+            listed is not None
+            and listed.condition == EndpointCondition.READY
+            and ((listed.started, listed.build) == (endpoint.started, endpoint.build))
         )
 
-    def _version_to_ask_from(self) -> int:
-        """Returns the last version from the current address; 0 requests the full list."""
+    def _version_to_request_from(self) -> int:
+        """Returns the version last received from the current address, or 0 for the full list."""
         return self.version if self._source == self.discovery.address else 0
 
     def _watch_reader(self) -> StreamReader:
@@ -177,10 +177,10 @@
 
             def listings() -> Iterator[discovery.EndpointListing]:
                 nonlocal alive
-                for told in lists.feed(content):
+                for document in lists.feed(content):
                     alive = True
-                    if told is not None:
-                        yield discovery.read_list(told, self.proxy.epoch)
+                    if document is not None:
+                        yield discovery.read_list(document, self.proxy.epoch)
 
             for listing in discovery.merge_deltas(listings()):
                 self.apply(listing, source)
@@ -192,22 +192,22 @@
         """Does nothing: the watch stream is always open, or polls at its adaptive interval."""
 
     def fetch(self, action: FetchEndpoints) -> None:
-        """Fetches the full list once; the engine is told of the list or of the failure."""
+        """Fetches the full list once, and reports the list or the failure to the engine."""
         fetched = self.discovery.call(
             discovery.fetch_request(self.discovery.host), self.proxy.settings.vote_timeout
         )
         fetched.addCallback(self._fetched, self.discovery.address)
 
-    def _fetched(self, end: Reply | BrokenConnection, source: Address) -> None:
-        """Applies a list fetched from this address, if the address is still current."""
+    def _fetched(self, result: Reply | BrokenConnection, source: Address) -> None:
+        """Applies a list fetched from an address, if that is still the current one."""
         try:
             if source != self.discovery.address:
                 raise discovery.UnreadableListError("fetched from a previous address")
-            if not isinstance(end, Reply) or end.status != 200:
+            if not isinstance(result, Reply) or result.status != 200:
                 raise discovery.UnreadableListError(
-                    f"status {end.status}" if isinstance(end, Reply) else end.reason
+                    f"status {result.status}" if isinstance(result, Reply) else result.reason
                 )
-            self.apply(discovery.read_json(end.body, self.proxy.epoch), source)
+            self.apply(discovery.read_json(result.body, self.proxy.epoch), source)
         except Exception as error:  # the engine needs exactly one result of the fetch
             structured_log.log("endpoint list not fetched", error=str(error)[:MAX_REASON_LENGTH])
             self.proxy.handle_events(EndpointUpdate(UpdateKind.FETCH_FAILED, ()))
