--- a/tests/unit/load_generator/test_load_generator.py
+++ b/tests/unit/load_generator/test_load_generator.py
@@ -27,7 +27,7 @@
 OK_RESPONSE = b"$2\r\nok\r\n"
 
 
-class ClosingPeer(FakeEndpoint):
+class ClosingEndpoint(FakeEndpoint):
     """Answers the first request of a connection, and closes it after reading the second one."""
 
     def serve(self, connection, source):
@@ -64,9 +64,11 @@
         self.assertEqual(first, second)
         self.assertNotEqual(first, other)
         self.assertTrue(4_700 < len(first) < 5_300)
-        self.assertEqual([each.due for each in first], sorted(each.due for each in first))
+        self.assertEqual(
+            [request.due for request in first], sorted(request.due for request in first)
+        )
         self.assertTrue(
-            0.2 < sum(each.request_class.name == "pay" for each in first) / len(first) < 0.3
+            0.2 < sum(request.request_class.name == "pay" for request in first) / len(first) < 0.3
         )
 
     def test_invalid_request_classes_are_rejected(self):
@@ -121,12 +123,12 @@
         )
 
     def test_ramp_ends_when_tool_is_saturated_or_no_rate_holds(self):
-        for shown, held, failed in (
+        for verdicts, held, failed in (
             ([Verdict.HELD, Verdict.SATURATED], 100, float("inf")),
             ([Verdict.FAILED] * 60, 0.0, 0.0),
         ):
             ramp = Ramp(100)
-            for verdict in shown:
+            for verdict in verdicts:
                 if ramp.state != RampState.FINISHED:
                     ramp.record(verdict, "")
             self.assertEqual((ramp.state, ramp.highest_held_rate), (RampState.FINISHED, held))
@@ -207,7 +209,7 @@
                 lambda arguments: None,
             )
         )
-        closing = ClosingPeer()
+        closing = ClosingEndpoint()
         for server in (silent, rejecting, resetting, closing):
             self.addCleanup(server.close)
         for server, all_lost, some_rejected, patience in (
--- a/thymeknot/operator_config/unification.py
+++ b/thymeknot/operator_config/unification.py
@@ -231,17 +231,17 @@
     fields: dict[str, Field] = {}
     for name in (*left.fields, *(name for name in right.fields if name not in left.fields)):
         key = (*path, name)
-        left_item = left.fields.get(name)
-        right_item = right.fields.get(name)
-        if left_item and right_item:
-            value = unify(left_item.value, right_item.value, key, diagnostics)
-            fields[name] = Field(value, left_item.is_optional and right_item.is_optional)
-        elif left_item:
-            fields[name] = left_item
-            _check_allowed(right, name, left_item.value, key, diagnostics)
-        elif right_item:
-            fields[name] = right_item
-            _check_allowed(left, name, right_item.value, key, diagnostics)
+        left_field = left.fields.get(name)
+        right_field = right.fields.get(name)
+        if left_field and right_field:
+            value = unify(left_field.value, right_field.value, key, diagnostics)
+            fields[name] = Field(value, left_field.is_optional and right_field.is_optional)
+        elif left_field:
+            fields[name] = left_field
+            _check_allowed(right, name, left_field.value, key, diagnostics)
+        elif right_field:
+            fields[name] = right_field
+            _check_allowed(left, name, right_field.value, key, diagnostics)
     is_closed = (left.is_closed and not left.is_open) or (right.is_closed and not right.is_open)
     location = right.location if left.is_closed else left.location
     return Struct(fields, not is_closed, is_closed, location)
@@ -271,8 +271,8 @@
         message = f"{len(right.elements)} elements; expected {len(left.elements)}"
         return add_diagnostic(diagnostics, right, path, message)
     elements = tuple(
-        unify(left_item, right_item, (*path, index), diagnostics)
-        for index, (left_item, right_item) in enumerate(zip(left.elements, right.elements))
+        unify(left_element, right_element, (*path, index), diagnostics)
+        for index, (left_element, right_element) in enumerate(zip(left.elements, right.elements))
     )
     return ListValue(TOP, elements, right.location)
 
