--- a/thymeknot/load_generator/driver.py
+++ b/thymeknot/load_generator/driver.py
@@ -69,7 +69,7 @@
         self.sent_at: Ticks = 0
         self.has_responded = False
 
-    def connectionMade(self) -> None:  # noqa: N802  # name required by Twisted
+    def connectionMade(self) -> None:  # noqa: N802  # Twisted's name
         """Twisted: the connection is established."""
         self.transport.setTcpNoDelay(True)
         self.driver.connection_opened(self, self.request_to_resend)
@@ -81,7 +81,7 @@
         remaining = self.driver.settings.client_timeout - (now - request.due)
         self.transport.write(self.codec.encode(request, remaining))
 
-    def dataReceived(self, data: bytes) -> None:  # noqa: N802  # name required by Twisted
+    def dataReceived(self, data: bytes) -> None:  # noqa: N802  # Twisted's name
         """Twisted: received data; malformed or unsolicited responses abort the connection."""
         try:
             for outcome in self.codec.decode(data):
@@ -118,11 +118,11 @@
         self.driver = driver
         self.request_to_resend = request_to_resend
 
-    def buildProtocol(self, addr: Optional[IAddress]) -> Connection:  # noqa: N802  # name required by Twisted
+    def buildProtocol(self, addr: Optional[IAddress]) -> Connection:  # noqa: N802  # Twisted's name
         """Twisted: the connection is established."""
         return Connection(self.driver, self.request_to_resend)
 
-    def clientConnectionFailed(  # noqa: N802  # name required by Twisted
+    def clientConnectionFailed(  # noqa: N802  # Twisted's name
         self, connector: IConnector, reason: Failure
     ) -> None:
         """Twisted: the connection could not be established."""
@@ -163,7 +163,7 @@
             duration: Duration of the run.
 
         Returns:
-            Fires with the statistics when all requests have ended or the time is up.
+            A Deferred of the statistics; fires when all requests have ended or the time is up.
         """
         self.requests = iter(requests)
         self.started_at = self.clock()
@@ -215,8 +215,8 @@
             self.statistics.sent_count += 1
             connection.send(request, now)
         available = self.settings.max_connections - len(self.connections)
-        missing = min(len(self.queue), available) - self.connecting
-        for _ in range(max(0, missing)):
+        needed = min(len(self.queue), available) - self.connecting
+        for _ in range(max(0, needed)):
             self._connect()
 
     def _connect(self, request_to_resend: Optional[Request] = None) -> None:
