--- a/measure/why.py
+++ b/measure/why.py
@@ -165,7 +165,11 @@
             rig = Clocked(seed, 1, path)
             last = told[-1].decode() if told else "0"
             entries = list(rig.record.find_by_name(f"w-{last}"))
-            whole = bool(entries) and entries[-1].end == R.ABANDONED and len(entries[-1].notes) == 4
+            whole = (
+                bool(entries)
+                and entries[-1].final_reason == R.ABANDONED
+                and len(entries[-1].notes) == 4
+            )
             recovered += whole and rig.record.torn_slots <= 1
             torn += rig.record.torn_slots
             rig.record.slot_file.close()
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -62,7 +62,7 @@
             found = list(self.record.find_by_name(name))
             if (
                 not found
-                or found[-1].end != (end or 0)
+                or found[-1].final_reason != (end or 0)
                 or {note[0] for note in found[-1].notes} != set(reasons)
             ):
                 wrong.append(
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -337,7 +337,7 @@
     summary = Summary()
     for one in content.splitlines():
         summary.feed("n1", one)
-    return {"figures": summary.figures(), "stretches": list(summary.stretches())}
+    return {"figures": summary.figures(), "stretches": list(summary.intervals())}
 
 
 # Decisions.
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -8,7 +8,7 @@
 import tempfile
 import unittest
 
-from thymeknot.cli.log_summary import MAX_STRETCHES, Summary
+from thymeknot.cli.log_summary import MAX_INTERVALS, Summary
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.experiments import crowd_figures
 from thymeknot.simulation.recording import RecordingSimulator
@@ -60,7 +60,7 @@
                 "unread_lines": 0,
             },
         )
-        self.assertEqual([at for at, _ in summary.stretches()], [0.0, 5.0])
+        self.assertEqual([at for at, _ in summary.intervals()], [0.0, 5.0])
 
     def test_what_can_not_be_read_is_counted_and_nothing_grows_without_a_bound(self):
         summary = Summary(0.1)
@@ -74,26 +74,26 @@
             b"\xff{}\n",
         ):
             summary.feed("a", text)
-        self.assertEqual((summary.unread, summary.figures()["votes"]), (7, {}))
+        self.assertEqual((summary.unreadable_lines, summary.figures()["votes"]), (7, {}))
         for odd in (3, None, "x", [1], {"X": "y"}):
             summary.feed("a", line("requests rejected", deferred=odd))
         self.assertEqual(summary.figures()["turned_away"], {})
         summary.feed("a", line("vote", verdict=9, outcome=None))
-        for at in range(MAX_STRETCHES + 50):
+        for at in range(MAX_INTERVALS + 50):
             summary.feed("a", line("vote", at, verdict=0, outcome="done"))
-        self.assertLessEqual(len(summary.stretch_counts), MAX_STRETCHES)
+        self.assertLessEqual(len(summary.interval_counts), MAX_INTERVALS)
 
     def test_any_value_in_any_field(self):
         """A vote whose verdict was 1.0 ended `thymeknot logs` in a TypeError: it equals a verdict's number and indexes
         nothing. Each field of each event that is counted is tried with values of each type and at their edges."""
         values = (1.0, 0.5, -1, 4, 1 << 62, 1e308, True, None, "x", [], {}, [1], {"X": 1.0})
         names = ("verdict", "outcome", "refusals", "deferred", "abandoned", "at_line", "at")
-        for event, name, value in itertools.product(Summary._COUNTED, names, values):
+        for event, name, value in itertools.product(Summary._COUNTERS, names, values):
             with self.subTest(event=event, name=name, value=value):
                 summary = Summary(5.0)
                 summary.feed("a", line(**{"event": event, name: value}))
                 summary.figures()
-                list(summary.stretches())
+                list(summary.intervals())
         summary = Summary(5.0)
         for verdict in (1.0, True, 1):
             summary.feed("a", line("vote", verdict=verdict, outcome="done"))
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -19,12 +19,18 @@
 from tests.support.programs import Program
 from thymeknot.cli.decision_log_client import query_results
 from thymeknot.decision_log import query_protocol
-from thymeknot.decision_log.entry_codec import SLOT_BYTES, Entry, pack_slot, pods, unpack_slot
+from thymeknot.decision_log.entry_codec import (
+    SLOT_BYTES,
+    Entry,
+    endpoints_sent_to,
+    pack_slot,
+    unpack_slot,
+)
 from thymeknot.decision_log.entry_filter import EntryFilter
 from thymeknot.decision_log.explanations import EXPLANATIONS, explain_entry
 from thymeknot.decision_log.fair_eviction import FairEviction
 from thymeknot.decision_log.heavy_hitters import HeavyHitters
-from thymeknot.decision_log.query_protocol import Watch, answer
+from thymeknot.decision_log.query_protocol import Watch, answer_query
 from thymeknot.decision_log.regions import lay_out_regions
 from thymeknot.decision_log.slot_file import HEADER_BYTES, SlotFile, load_slot_file
 from thymeknot.interface.reasons import Reason as R
@@ -88,8 +94,8 @@
         found = unpack_slot(slot)
         if found is not None:
             explain_entry(found.entry)
-            query_protocol.shown(found.entry)
-            pods(found.entry)
+            query_protocol.entry_object(found.entry)
+            endpoints_sent_to(found.entry)
         return found
 
     def test_each_element_of_a_note_at_its_edges_of_a_wrong_type_or_left_out(self):
@@ -149,7 +155,8 @@
         rig.one("y", "pay", key="k")  # the client's retry under a new id, and then it is done
         rig.record.flush(rig.now + 10_000)
         self.assertEqual(
-            [entry.end for entry in rig.record.find_by_name("x")], [R.DEFERRED, R.ABANDONED]
+            [entry.final_reason for entry in rig.record.find_by_name("x")],
+            [R.DEFERRED, R.ABANDONED],
         )
         self.assertEqual([entry.id for entry in rig.record.find_by_name("k")], ["x", "x", "y"])
         self.assertEqual(
@@ -162,7 +169,7 @@
         content = pack_slot(Entry(1, "i", "k", "t", "pay", False, 23, 5, list(notes)), 9)
         number, entry = unpack_slot(content.ljust(SLOT_BYTES, b"\0"))
         self.assertEqual((number, entry.notes[0], entry.notes[-1]), (9, notes[0], notes[-1]))
-        self.assertEqual(entry.cut + len(entry.notes), 40)
+        self.assertEqual(entry.omitted_notes + len(entry.notes), 40)
 
     def test_regions_follow_what_lanes_earn_and_fill_the_slots(self):
         found = lay_out_regions(WHY, LANES, 1000)
@@ -275,7 +282,7 @@
         again = Clocked(1, 1, self.path)
         self.assertEqual((again.record.recovered_entries, again.record.torn_slots), (kept, 0))
         self.assertEqual(
-            [entry.end for entry in again.record.find_by_name("p-1999")], [R.ABANDONED]
+            [entry.final_reason for entry in again.record.find_by_name("p-1999")], [R.ABANDONED]
         )
         again.one("later", "pay", end=R.ABANDONED)
         again.record.flush(again.now + 10_000)
@@ -287,7 +294,7 @@
 
 class Asked(unittest.TestCase):
     def answers(self, record, **told):
-        return [json.loads(line) for line in answer(json.dumps(told), record, 5) if line]
+        return [json.loads(line) for line in answer_query(json.dumps(told), record, 5) if line]
 
     def test_faulty_questions_get_an_error_and_answers_are_bounded(self):
         rig = Clocked(1)
@@ -302,7 +309,7 @@
             {"ask": "find", "lane": "x" * 500},
         ):
             self.assertIn("error", self.answers(rig.record, **told)[0])
-        self.assertIn("error", json.loads(next(answer(b"no json", rig.record, 5))))
+        self.assertIn("error", json.loads(next(answer_query(b"no json", rig.record, 5))))
         found = self.answers(rig.record, ask="find", lane="pay")
         self.assertEqual((len(found), found[-1]), (6, {"end": 5, "more": True}))
         self.assertEqual(self.answers(rig.record, ask="find", pod="nowhere"), [{"end": 0}])
@@ -311,7 +318,7 @@
         watch = Watch(EntryFilter())
         for at in range(300):
             watch(Entry(at, "i", None, None, "pay", False, 24, 5, []))
-        lines = watch.take()
+        lines = watch.take_lines()
         self.assertEqual((len(lines), json.loads(lines[-1])), (257, {"missed": 44}))
 
     def test_a_live_instance_and_the_commands(self):
--- a/thymeknot/cli/coordination_commands.py
+++ b/thymeknot/cli/coordination_commands.py
@@ -20,7 +20,7 @@
 
     DONE = 0
     REFUSED = 1
-    FAULTY = 2
+    INVALID = 2
     """Words or files that can't be used."""
     UNREACHABLE = 3
     """No node answers."""
@@ -30,7 +30,7 @@
     """The operator's file can't be used for this; the text says why."""
 
 
-class Answer(NamedTuple):
+class CommandResult(NamedTuple):
     """What became of a command."""
 
     code: ExitCode
@@ -38,7 +38,7 @@
     """The nodes' reply, or one of the same form that says what went wrong."""
 
 
-def connect(path: Optional[str]) -> BlockingClient:
+def create_client(path: Optional[str]) -> BlockingClient:
     """Returns a client with the name and key of an operator's file.
 
     Raises:
@@ -54,48 +54,50 @@
         )
     settings = loader.record(CoordinationSettings, section)
     try:
-        made = build_parts(settings, section, os.path.dirname(os.path.abspath(path)))
+        parts = build_parts(settings, section, os.path.dirname(os.path.abspath(path)))
     except ValueError as error:
         raise CoordinationCommandError(f"{path}: {error}") from None
     return BlockingClient(
-        made.identity,
-        made.ring,
-        {one.name: one.address for one in settings.keepers},
+        parts.identity,
+        parts.ring,
+        {member.name: member.address for member in settings.keepers},
         # Its own for each call: two operators at one instance must not end each other's.
         f"op-{secrets.token_hex(6)}",
         time.time_ns() // 1_000_000,
     )
 
 
-def send(path: Optional[str], command: dict[str, Any], read: bool, within: float) -> Answer:
+def send_command(
+    path: Optional[str], command: dict[str, Any], is_read: bool, timeout_seconds: float
+) -> CommandResult:
     """Sends a command, or a read that changes nothing, and waits for the reply.
 
     Args:
         path: The operator's file.
         command: Its fields.
-        read: Whether it is a read.
-        within: Seconds to wait.
+        is_read: Whether it is a read.
+        timeout_seconds: Seconds to wait.
 
     Raises:
         CoordinationCommandError: The operator's file can't be used.
     """
-    client = connect(path)
+    client = create_client(path)
     try:
-        if read:
-            reply = client.read(command, within)
+        if is_read:
+            reply = client.read(command, timeout_seconds)
         else:
-            reply = client.propose({"part": "turns", **command}, within)
+            reply = client.propose({"part": "turns", **command}, timeout_seconds)
     except NoAnswerError as error:
         text = f"{error}; it may have been carried out: look at the status"
-        return Answer(ExitCode.UNREACHABLE, _refusal(text))
+        return CommandResult(ExitCode.UNREACHABLE, _refusal_reply(text))
     except message_codec.MessageError as error:
-        return Answer(ExitCode.FAULTY, _refusal(str(error)))
+        return CommandResult(ExitCode.INVALID, _refusal_reply(str(error)))
     finally:
         client.close()
-    return Answer(ExitCode.REFUSED if "refused" in reply else ExitCode.DONE, reply)
+    return CommandResult(ExitCode.REFUSED if "refused" in reply else ExitCode.DONE, reply)
 
 
-def _refusal(text: str) -> dict[str, Any]:
+def _refusal_reply(text: str) -> dict[str, Any]:
     return {"refused": text, "by": [], "again": 0}
 
 
@@ -103,22 +105,22 @@
     """Returns a reply in words."""
     if "refused" in reply:
         again = reply.get("again")
-        return [reply["refused"] + (f"; again in {_seconds(again)} s" if again else "")]
+        return [reply["refused"] + (f"; again in {_format_seconds(again)} s" if again else "")]
     if "units" in reply and "away" in reply:
         return _status_lines(reply)
     if "halt" in reply:
-        bound = _seconds(reply["bound"])
+        bound = _format_seconds(reply["bound"])
         return [f"halt {reply['halt']} stands; within {bound} s nothing more goes out"]
     if "was" in reply:
         return [f"over: {reply['was']}"]
     if "called" in reply:
         called = ", ".join(reply["called"]) or "none: nothing was out or asked for"
         return [f"called back: {called}"]
-    waits = f", {reply['waits']}" if "waits" in reply else ""
-    return [f"{reply['unit']}: {reply['state']}{waits}"]
+    waiting = f", {reply['waits']}" if "waits" in reply else ""
+    return [f"{reply['unit']}: {reply['state']}{waiting}"]
 
 
-def _seconds(ticks: float) -> str:
+def _format_seconds(ticks: float) -> str:
     return f"{ticks / TICKS_PER_SECOND:g}"
 
 
--- a/thymeknot/cli/decision_log_client.py
+++ b/thymeknot/cli/decision_log_client.py
@@ -30,13 +30,13 @@
     """
     if path:
         # Only here: it needs the decision log's libraries.
-        from .decision_log_file import matching_lines  # noqa: PLC0415
+        from .decision_log_file import query_file  # noqa: PLC0415
 
-        return matching_lines(path, query)
-    return _lines_of_instance(address, query)
+        return query_file(path, query)
+    return _query_instance(address, query)
 
 
-def _connected(address: str) -> socket.socket:
+def _connect(address: str) -> socket.socket:
     if address.startswith(UNIX_PREFIX):
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         connection.settimeout(ANSWER_TIMEOUT_SECONDS)
@@ -46,18 +46,18 @@
     return socket.create_connection((host.strip("[]"), int(port)), ANSWER_TIMEOUT_SECONDS)
 
 
-def _lines_of_instance(address: str, query: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
-    watching = query["ask"] == "watch"
+def _query_instance(address: str, query: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
+    is_watch = query["ask"] == "watch"
     try:
-        connection = _connected(address)
-        if watching:
+        connection = _connect(address)
+        if is_watch:
             connection.settimeout(None)
         with connection, connection.makefile("rb") as source:
             connection.sendall(orjson.dumps(query) + b"\n")
             for line in source:
                 answer = orjson.loads(line)
                 yield answer
-                if not watching and _is_last(answer):
+                if not is_watch and _is_last(answer):
                     return
     except (OSError, ValueError) as error:
         raise UnreachableError(f"{address}: {error}") from None
--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -7,26 +7,26 @@
 
 from ..service.required_libraries import COMMANDS, libraries_from
 from .decision_log_client import UnreachableError, query_results
-from .output import show
+from .output import print_object
 
 SECONDS_BY_UNIT: Final = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
-Command = Callable[..., Any]
+CommandFunction = Callable[..., Any]
 """What click makes a command of."""
 
 
-class Source(NamedTuple):
+class QueryTarget(NamedTuple):
     """What is asked, and how its answer is printed."""
 
-    place: str
+    address: str
     """Address of an instance."""
     path: Optional[str]
     """A left-over record, asked in place of the instance."""
-    plain: bool
+    as_json: bool
     """Whether lines of JSON are printed."""
 
 
-class IdOrCommand(click.Group):
+class IdOrCommandGroup(click.Group):
     """`why ID` beside `why find ...`: what is no command is an id."""
 
     def resolve_command(
@@ -38,10 +38,10 @@
         return super().resolve_command(ctx, args)
 
 
-@click.group("why", cls=IdOrCommand)
+@click.group("why", cls=IdOrCommandGroup)
 @click.option(
     "--at",
-    "place",
+    "address",
     default="127.0.0.1:6390",
     metavar="ADDRESS",
     envvar="THYMEKNOT_WHY",
@@ -54,32 +54,32 @@
     type=click.Path(exists=True, dir_okay=False),
     help="a record that was left over, instead",
 )
-@click.option("--json", "plain", is_flag=True, help="lines of JSON")
+@click.option("--json", "as_json", is_flag=True, help="lines of JSON")
 @click.pass_context
-def why(context: click.Context, place: str, path: Optional[str], plain: bool) -> None:
+def why(context: click.Context, address: str, path: Optional[str], as_json: bool) -> None:
     """Why a transaction (by ID or key) went where it went; what else is known of the latest ones."""  # noqa: E501  the help's own words
-    context.obj = Source(place, path, plain)
+    context.obj = QueryTarget(address, path, as_json)
 
 
 @libraries_from(COMMANDS)
-def _ask(context: click.Context, query: dict[str, Any]) -> None:
+def _run_query(context: click.Context, query: dict[str, Any]) -> None:
     """Prints what answers, and ends with the code that tells whether anything did."""
-    place, path, plain = context.obj
-    found = 0
+    address, path, as_json = context.obj
+    result_count = 0
     try:
-        for line in query_results(place, path, query):
+        for line in query_results(address, path, query):
             if "error" in line:
                 raise click.UsageError(line["error"])
             if "end" in line and "id" not in line:
                 if line.get("more"):
                     click.echo("there are more", err=True)
                 break
-            found += 1
-            show(line, plain)
+            result_count += 1
+            print_object(line, as_json)
     except UnreachableError as error:
         click.echo(f"why: {error}", err=True)
         context.exit(3)
-    context.exit(0 if found else 1)
+    context.exit(0 if result_count else 1)
 
 
 @why.command("id", hidden=True)
@@ -87,10 +87,10 @@
 @click.pass_context
 def by_id(context: click.Context, name: str) -> None:
     """One transaction, or all with this key."""
-    _ask(context, {"ask": "why", "id": name})
+    _run_query(context, {"ask": "why", "id": name})
 
 
-def _seconds(
+def _parse_duration(
     context: click.Context, option: click.Parameter, value: Optional[str]
 ) -> Optional[float]:
     if value is None:
@@ -102,25 +102,25 @@
         raise click.BadParameter("a time such as 90s, 15m or 2h") from None
 
 
-def _filters(command: Command) -> Command:
-    for name, text in (
+def _filter_options(command: CommandFunction) -> CommandFunction:
+    for name, help_text in (
         ("reason", "a reason's name"),
         ("pod", "sent to this pod"),
         ("tenant", "of this tenant"),
         ("lane", "of this lane"),
     ):
-        command = click.option(f"--{name}", help=text)(command)
+        command = click.option(f"--{name}", help=help_text)(command)
     return command
 
 
 @why.command()
-@_filters
-@click.option("--since", callback=_seconds, help="not longer ago than 90s, 15m, 2h")
+@_filter_options
+@click.option("--since", callback=_parse_duration, help="not longer ago than 90s, 15m, 2h")
 @click.option("--limit", type=click.IntRange(1, 10_000), default=50, show_default=True)
 @click.pass_context
 def find(context: click.Context, /, **fields: Any) -> None:
     """The latest that fit all that is told."""
-    _ask(
+    _run_query(
         context,
         {"ask": "find", **{name: value for name, value in fields.items() if value is not None}},
     )
@@ -130,22 +130,22 @@
 @click.pass_context
 def tally(context: click.Context) -> None:
     """Sums over all that ever was: ends, reasons, times, who is turned away most."""
-    _ask(context, {"ask": "tally"})
+    _run_query(context, {"ask": "tally"})
 
 
 @why.command()
 @click.pass_context
 def kept(context: click.Context) -> None:
     """What is kept, and for how long at the present rates."""
-    _ask(context, {"ask": "kept"})
+    _run_query(context, {"ask": "kept"})
 
 
 @why.command()
-@_filters
+@_filter_options
 @click.pass_context
 def watch(context: click.Context, /, **fields: Any) -> None:
     """Entries as they are made, until interrupted."""
-    _ask(
+    _run_query(
         context,
         {"ask": "watch", **{name: value for name, value in fields.items() if value is not None}},
     )
--- a/thymeknot/cli/fleet_commands.py
+++ b/thymeknot/cli/fleet_commands.py
@@ -10,7 +10,7 @@
 
 
 @click.group("fleet")
-@click.option("--json", "plain", is_flag=True, help="the reply as one line of JSON")
+@click.option("--json", "as_json", is_flag=True, help="the reply as one line of JSON")
 @click.option(
     "--within",
     default=10.0,
@@ -19,28 +19,28 @@
     help="seconds to wait",
 )
 @click.pass_context
-def fleet(context: click.Context, plain: bool, within: float) -> None:
+def fleet(context: click.Context, as_json: bool, within: float) -> None:
     """Who may go out, agreed by all. The operator's file says where the keepers are and who asks."""  # noqa: E501  the help's own words
-    context.obj = context.find_root().obj, plain, within
+    context.obj = context.find_root().obj, as_json, within
 
 
 @libraries_from(COORDINATION)
-def _agreed(context: click.Context, read: bool = False, **command: Any) -> None:
+def _run_command(context: click.Context, is_read: bool = False, **command: Any) -> None:
     """Exit codes: 0 done, 1 refused, 2 faulty words or files, 3 no keeper answers."""
     from . import coordination_commands  # noqa: PLC0415  needs libraries of its own
 
-    path, plain, within = context.obj
+    path, as_json, within = context.obj
     try:
-        code, reply = coordination_commands.send(
+        code, reply = coordination_commands.send_command(
             path,
             {name: value for name, value in command.items() if value is not None},
-            read,
+            is_read,
             within,
         )
     except coordination_commands.CoordinationCommandError as error:
         raise click.UsageError(str(error)) from None
-    for line in [json_line(reply)] if plain else coordination_commands.reply_lines(reply):
-        click.echo(line, err=code != 0 and not plain)
+    for line in [json_line(reply)] if as_json else coordination_commands.reply_lines(reply):
+        click.echo(line, err=code != 0 and not as_json)
     context.exit(code)
 
 
@@ -49,7 +49,7 @@
 @click.pass_context
 def fleet_status(context: click.Context, unit: Optional[str]) -> None:
     """Who is out, by which budget, and what is halted."""
-    _agreed(context, True, do="status", unit=unit)
+    _run_command(context, True, do="status", unit=unit)
 
 
 @fleet.command("drain")
@@ -64,7 +64,7 @@
 @click.pass_context
 def fleet_drain(context: click.Context, unit: str, urgency: int, wait: bool, epoch: int) -> None:
     """Asks that a unit goes out; it does when its budgets have room."""
-    _agreed(
+    _run_command(
         context, do="ask", unit=unit, plan=f"drain:{unit}", epoch=epoch, urgency=urgency, queue=wait
     )
 
@@ -74,7 +74,7 @@
 @click.pass_context
 def fleet_back(context: click.Context, unit: str) -> None:
     """Brings a unit back, or takes back that it was asked to go."""
-    _agreed(context, do="back", unit=unit)
+    _run_command(context, do="back", unit=unit)
 
 
 @fleet.command("halt")
@@ -83,7 +83,9 @@
 @click.pass_context
 def fleet_halt(context: click.Context, why: str, zone: Optional[str]) -> None:
     """Lets nothing more go out, for a reason given in words."""
-    _agreed(context, do="halt", by=getpass.getuser(), why=why, where={"zone": zone} if zone else {})
+    _run_command(
+        context, do="halt", by=getpass.getuser(), why=why, where={"zone": zone} if zone else {}
+    )
 
 
 @fleet.command("resume")
@@ -91,4 +93,4 @@
 @click.pass_context
 def fleet_resume(context: click.Context, halt: int) -> None:
     """Ends the halt of this number."""
-    _agreed(context, do="resume", halt=halt)
+    _run_command(context, do="resume", halt=halt)
--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -9,7 +9,7 @@
 from ..service.required_libraries import LABORATORY, libraries_from
 from .output import json_line
 
-Command = Callable[..., Any]
+CommandFunction = Callable[..., Any]
 """What click makes a command of."""
 
 
@@ -18,20 +18,22 @@
     """The laboratory: fleets and their failures in simulated time."""
 
 
-def _size(command: Command) -> Command:
-    for name, default, told in (
+def _size_options(command: CommandFunction) -> CommandFunction:
+    for name, default, help_text in (
         ("seconds", 40, "of the day"),
         ("rate", 400.0, "transactions a second"),
         ("pods", 24, "pods"),
         ("instances", 40, "sidecars"),
     ):
-        command = click.option(f"--{name}", default=default, show_default=True, help=told)(command)
+        command = click.option(f"--{name}", default=default, show_default=True, help=help_text)(
+            command
+        )
     command = click.option("--seed", default=1, show_default=True, help="the first day's")(command)
     return command
 
 
 @lab.command("run")
-@_size
+@_size_options
 @click.option(
     "--policy", default="now", show_default=True, help="now, at:REVISION, random, turns, ..."
 )
@@ -49,7 +51,7 @@
 @lab.command("compare")
 @click.argument("one")
 @click.argument("two")
-@_size
+@_size_options
 @click.option("--days", default=8, show_default=True)
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
 @click.option(
@@ -77,10 +79,11 @@
             )
         except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
-    for name, gap in found.items():
+    for name, difference in found.items():
         click.echo(
-            f"{name:10} {one} - {two}: {gap.mean:+.4f}  [{gap.low:+.4f}, {gap.high:+.4f}]  "
-            f"least seen {gap.least:.4f}, {gap.pairs} days"
+            f"{name:10} {one} - {two}: {difference.mean:+.4f}"
+            f"  [{difference.low:+.4f}, {difference.high:+.4f}]  "
+            f"least seen {difference.least:.4f}, {difference.pairs} days"
         )
     click.echo(f"rules broken: {broken or 'none'}")
 
@@ -106,7 +109,7 @@
     """Two policies on the same days of a whole fleet: two less one with its interval."""
     from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
 
-    chosen = _kinds(kinds)
+    chosen = _parse_kinds(kinds)
     with click.progressbar(
         length=2 * days * len(chosen), label="days", file=click.get_text_stream("stderr")
     ) as bar:
@@ -125,13 +128,13 @@
     click.echo(json_line(experiments.crowd_figures(pairs)))
 
 
-def _kinds(text: str) -> list[str]:
+def _parse_kinds(text: str) -> list[str]:
     from ..simulation import large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
 
-    wrong = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
-    if wrong:
+    unknown = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
+    if unknown:
         raise click.UsageError(
-            f"{', '.join(wrong)}: none of {', '.join(large_fleet_scenarios.KINDS)}"
+            f"{', '.join(unknown)}: none of {', '.join(large_fleet_scenarios.KINDS)}"
         )
     return text.split(",")
 
@@ -152,7 +155,7 @@
     """A page with pictures of one day of a fleet, played with each policy, in FOLDER."""
     from ..simulation import experiments, large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
 
-    _kinds(kind)
+    _parse_kinds(kind)
     from ..simulation import report  # noqa: PLC0415  needs libraries of its own
 
     try:
@@ -164,7 +167,7 @@
 
 
 @lab.command("search")
-@_size
+@_size_options
 @click.option("--days", default=24, show_default=True)
 @click.option("--against", default="random", show_default=True)
 @libraries_from(LABORATORY)
--- a/thymeknot/cli/load_commands.py
+++ b/thymeknot/cli/load_commands.py
@@ -9,14 +9,14 @@
 from .output import json_line
 
 TICKS_PER_MILLISECOND: Final = 10
-DIFFERENT_KEYS: Final = 10_000
+KEY_COUNT: Final = 10_000
 """Of the requests: enough that hardly any two in flight share one."""
 
 
 @click.command("load")
 @click.option(
     "--at",
-    "place",
+    "address",
     default="127.0.0.1:6379",
     metavar="ADDRESS",
     show_default=True,
@@ -63,7 +63,7 @@
     context: click.Context,
     /,
     *,
-    place: str,
+    address: str,
     lanes: tuple[str, ...],
     lines: int,
     ramp: bool,
@@ -72,14 +72,14 @@
     """Sends at its own times whatever the answers do. Latencies count from when a request was due."""  # noqa: E501  the help's own words
     from ..load_generator import run, schedule  # noqa: PLC0415  needs libraries of its own
 
-    host, _, port = place.rpartition(":")
+    host, _, port = address.rpartition(":")
     try:
         request_classes = [schedule.lane(one) for one in lanes]
         if not port.isdigit():
-            raise schedule.ScheduleError(f"{place}: HOST:PORT")
+            raise schedule.ScheduleError(f"{address}: HOST:PORT")
     except schedule.ScheduleError as error:
         raise click.UsageError(str(error)) from None
-    climbing = schedule.Ramp(options["rate"]) if ramp else None
+    ramp_state = schedule.Ramp(options["rate"]) if ramp else None
     results = run.stretches(
         host,
         int(port),
@@ -88,7 +88,7 @@
             "rate": options["rate"],
             "seconds": options["seconds"],
             "lanes": request_classes,
-            "keys": DIFFERENT_KEYS,
+            "keys": KEY_COUNT,
         },
         schedule.Goal(
             options["quantile"],
@@ -99,12 +99,12 @@
         lines,
         int(options["patience"] * TICKS_PER_SECOND),
         options["protocol"],
-        climbing,
+        ramp_state,
     )
-    last = results[-1]
-    found: dict[str, Any] = {"verdict": last.verdict, "why": last.why}
-    found.update(last.statistics.figures(options["seconds"]))
-    if climbing:
-        found.update(held_per_s=round(climbing.held, 1), held_until=climbing.why)
-    click.echo(json_line(found))
-    context.exit(0 if climbing or last.verdict == schedule.HELD else 1)
+    last_stretch = results[-1]
+    figures: dict[str, Any] = {"verdict": last_stretch.verdict, "why": last_stretch.why}
+    figures.update(last_stretch.statistics.figures(options["seconds"]))
+    if ramp_state:
+        figures.update(held_per_s=round(ramp_state.held, 1), held_until=ramp_state.why)
+    click.echo(json_line(figures))
+    context.exit(0 if ramp_state or last_stretch.verdict == schedule.HELD else 1)
--- a/thymeknot/cli/log_commands.py
+++ b/thymeknot/cli/log_commands.py
@@ -6,7 +6,7 @@
 import click
 
 from .log_summary import Summary
-from .output import show
+from .output import print_object
 
 
 @click.command("logs")
@@ -18,13 +18,13 @@
     type=click.FloatRange(0.1),
     help="seconds of a stretch",
 )
-@click.option("--json", "plain", is_flag=True, help="lines of JSON")
-def logs(files: Sequence[BinaryIO], every: float, plain: bool) -> None:
+@click.option("--json", "as_json", is_flag=True, help="lines of JSON")
+def logs(files: Sequence[BinaryIO], every: float, as_json: bool) -> None:
     """What the logs of a fleet say together: a FILE for each sidecar."""
     summary = Summary(every)
-    for source in files:
-        for line in source:
-            summary.feed(source.name, line)
-    for begin, counts in summary.stretches():
-        show({"at": begin, **counts}, plain)
-    show(summary.figures(), plain)
+    for file in files:
+        for line in file:
+            summary.feed(file.name, line)
+    for begin, counts in summary.intervals():
+        print_object({"at": begin, **counts}, as_json)
+    print_object(summary.figures(), as_json)
--- a/thymeknot/cli/log_summary.py
+++ b/thymeknot/cli/log_summary.py
@@ -12,18 +12,18 @@
 
 from ..service.log_events import CURRENT_NAMES
 
-BUSIEST: Final = 5
+MAX_BUSIEST_SIDECARS: Final = 5
 """Sidecars that are named."""
-MAX_STRETCHES: Final = 10_000
+MAX_INTERVALS: Final = 10_000
 """Stretches of time that are kept; what is later counts in the last one."""
-VERDICTS: Final = ("none", "on", "hold", "back")
+VERDICT_NAMES: Final = ("none", "on", "hold", "back")
 """By the number that a vote's event carries."""
 
 Event = dict[str, Any]
 """A logged event's fields, with `event` (its name) and `at` (Unix time in seconds)."""
 
 
-class Stretch(NamedTuple):
+class Interval(NamedTuple):
     """A stretch of time in which something happened."""
 
     begin: float
@@ -32,7 +32,7 @@
     """The most frequent first."""
 
 
-def event_of(line: bytes) -> Optional[Event]:
+def parse_event(line: bytes) -> Optional[Event]:
     """Returns the event of a log line, whatever stands before it; None if there is none."""
     begin = line.find(b"{")
     if begin < 0:
@@ -59,12 +59,12 @@
         unread: Lines that hold no event.
     """
 
-    def __init__(self, stretch_seconds: float = 5.0) -> None:
-        self.stretch_seconds = stretch_seconds
-        self.stretch_counts: dict[int, Counter[str]] = {}
+    def __init__(self, interval_seconds: float = 5.0) -> None:
+        self.interval_seconds = interval_seconds
+        self.interval_counts: dict[int, Counter[str]] = {}
         self._first_at: Optional[float] = None
-        self.unread = 0
-        self._starts = 0
+        self.unreadable_lines = 0
+        self._start_count = 0
         self._sidecars: set[str] = set()
         self._rejections: Counter[str] = Counter()
         self._rejections_by_sidecar: Counter[str] = Counter()
@@ -74,59 +74,59 @@
 
     def feed(self, sidecar: str, line: bytes) -> None:
         """Counts a line of a sidecar's log."""
-        event = event_of(line)
+        event = parse_event(line)
         if event is None:
-            self.unread += 1
+            self.unreadable_lines += 1
             return
         self._sidecars.add(sidecar)
         name = CURRENT_NAMES.get(event["event"], event["event"])
-        count = self._COUNTED.get(name) if name else None
+        count = self._COUNTERS.get(name) if name else None
         if count:
-            count(self, sidecar, event, self._stretch(event["at"]))
+            count(self, sidecar, event, self._interval_at(event["at"]))
 
-    def _stretch(self, at: float) -> Counter[str]:
+    def _interval_at(self, at: float) -> Counter[str]:
         """Returns the counts of the stretch in which this was."""
         self._first_at = at if self._first_at is None else min(self._first_at, at)
-        place = int(at // self.stretch_seconds)
-        if place not in self.stretch_counts and len(self.stretch_counts) >= MAX_STRETCHES:
-            place = max(self.stretch_counts)
-        return self.stretch_counts.setdefault(place, Counter())
+        number = int(at // self.interval_seconds)
+        if number not in self.interval_counts and len(self.interval_counts) >= MAX_INTERVALS:
+            number = max(self.interval_counts)
+        return self.interval_counts.setdefault(number, Counter())
 
-    def _count_rejections(self, sidecar: str, event: Event, stretch: Counter[str]) -> None:
+    def _count_rejections(self, sidecar: str, event: Event, interval: Counter[str]) -> None:
         for answer in ("deferred", "abandoned"):
             counts = event.get(answer)
             for cause, count in counts.items() if isinstance(counts, dict) else ():
                 if isinstance(count, int):
                     self._rejections[f"{answer} {cause}"] += count
-                    stretch[f"{answer} {cause}"] += count
+                    interval[f"{answer} {cause}"] += count
                     self._rejections_by_sidecar[sidecar] += count
 
-    def _count_vote(self, sidecar: str, event: Event, stretch: Counter[str]) -> None:
+    def _count_vote(self, sidecar: str, event: Event, interval: Counter[str]) -> None:
         verdict: Any = event.get("verdict")
         outcome = str(event.get("outcome"))
         # A float or a bool equals a number of the table and is none.
-        known = type(verdict) is int and 0 <= verdict < len(VERDICTS)
-        name = VERDICTS[verdict] if known else "unknown"
+        known = type(verdict) is int and 0 <= verdict < len(VERDICT_NAMES)
+        name = VERDICT_NAMES[verdict] if known else "unknown"
         self._votes[f"{name} {outcome}"] += 1
-        stretch[f"vote {name} {outcome}"] += 1
+        interval[f"vote {name} {outcome}"] += 1
 
-    def _count_stream(self, sidecar: str, event: Event, stretch: Counter[str]) -> None:
+    def _count_stream(self, sidecar: str, event: Event, interval: Counter[str]) -> None:
         """Counts the end of a stream, and whether the peer had refused the request for it."""
         refusals = event.get("refusals")
         end = "refused" if isinstance(refusals, int) and refusals else "ended"
         if event["event"] == "stream silent":
             end = "silent"
         self._streams[end] += 1
-        stretch[f"stream {end}"] += 1
+        interval[f"stream {end}"] += 1
 
-    def _count_start(self, sidecar: str, event: Event, stretch: Counter[str]) -> None:
-        self._starts += 1
-        stretch["started"] += 1
+    def _count_start(self, sidecar: str, event: Event, interval: Counter[str]) -> None:
+        self._start_count += 1
+        interval["started"] += 1
 
-    def _count_fault(self, sidecar: str, event: Event, stretch: Counter[str]) -> None:
+    def _count_fault(self, sidecar: str, event: Event, interval: Counter[str]) -> None:
         self._faults[f"{event['event']} {event.get('at_line', '')}".strip()] += 1
 
-    _COUNTED: ClassVar[dict[str, Callable[["Summary", str, Event, Counter[str]], None]]] = {
+    _COUNTERS: ClassVar[dict[str, Callable[["Summary", str, Event, Counter[str]], None]]] = {
         "requests rejected": _count_rejections,
         "vote": _count_vote,
         "fault": _count_fault,
@@ -143,22 +143,22 @@
         full = sum(count for name, count in self._votes.items() if name.endswith(" full"))
         return {
             "sidecars": len(self._sidecars),
-            "starts": self._starts,
+            "starts": self._start_count,
             "streams": dict(self._streams.most_common()),
             "turned_away": dict(self._rejections.most_common()),
-            "busiest": dict(self._rejections_by_sidecar.most_common(BUSIEST)),
+            "busiest": dict(self._rejections_by_sidecar.most_common(MAX_BUSIEST_SIDECARS)),
             "votes": dict(self._votes.most_common()),
             "votes_full_share": round(full / votes, 3) if votes else None,
             "faults": dict(self._faults),
-            "unread_lines": self.unread,
+            "unread_lines": self.unreadable_lines,
         }
 
-    def stretches(self) -> Iterator[Stretch]:
+    def intervals(self) -> Iterator[Interval]:
         """Yields each stretch in which something happened, the first one first."""
         if self._first_at is None:
             return
-        for place in sorted(self.stretch_counts):
-            counts = self.stretch_counts[place]
+        for number in sorted(self.interval_counts):
+            counts = self.interval_counts[number]
             if counts:
-                begin = round(place * self.stretch_seconds - self._first_at, 1)
-                yield Stretch(begin, dict(counts.most_common()))
+                begin = round(number * self.interval_seconds - self._first_at, 1)
+                yield Interval(begin, dict(counts.most_common()))
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -47,20 +47,20 @@
     """Reads the configuration and the operator's file and names every fault."""
     from ..service import configuration, features  # noqa: PLC0415  loads the sidecar
 
-    faults = []
-    for read in (
+    errors = []
+    for load_file in (
         lambda: configuration.load(os.environ, 0),
         lambda: features.Features(context.find_root().obj),
     ):
         try:
-            read()
+            load_file()
         except (configuration.ConfigurationError, features.FeatureError) as error:
-            faults.append(str(error))
-    for fault in faults:
-        click.echo(fault, err=True)
-    if not faults:
+            errors.append(str(error))
+    for error_text in errors:
+        click.echo(error_text, err=True)
+    if not errors:
         click.echo("both files can be used")
-    context.exit(2 if faults else 0)
+    context.exit(2 if errors else 0)
 
 
 for command in (why, keys, fleet, logs, load, lab):
--- a/thymeknot/cli/output.py
+++ b/thymeknot/cli/output.py
@@ -13,11 +13,11 @@
     return orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS).decode()
 
 
-def show(content: Mapping[str, Any], plain: bool) -> None:
+def print_object(content: Mapping[str, Any], as_json: bool) -> None:
     """Prints an object: as a line of JSON if plain, else its `lines` or as indented JSON."""
-    if plain or "lines" not in content:
-        rest = {name: value for name, value in content.items() if name != "lines"}
-        click.echo(orjson.dumps(rest, option=0 if plain else orjson.OPT_INDENT_2).decode())
+    if as_json or "lines" not in content:
+        fields = {name: value for name, value in content.items() if name != "lines"}
+        click.echo(orjson.dumps(fields, option=0 if as_json else orjson.OPT_INDENT_2).decode())
         return
-    moment = time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(content["at"]))
-    click.echo(moment + "\n".join(content["lines"]))
+    timestamp = time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(content["at"]))
+    click.echo(timestamp + "\n".join(content["lines"]))
--- a/thymeknot/decision_log/entry_codec.py
+++ b/thymeknot/decision_log/entry_codec.py
@@ -19,16 +19,16 @@
 # Checksum, length, number.
 SLOT_HEADER = struct.Struct("<IHQ")
 # What the checksum covers of the header: length, number.
-CHECKED_HEADER = struct.Struct("<HQ")
+CHECKSUMMED_HEADER = struct.Struct("<HQ")
 CHECKSUM_BYTES = 4
 # Notes of one entry; with more of them the middle is left out.
 MAX_NOTES = 40
 # Elements that each note begins with: the reason's number and the time.
-NOTE_HEAD = 2
+NOTE_HEADER_LENGTH = 2
 # Characters of an id, key or tenant: longer ones are cut, and found by this prefix alone.
 MAX_TEXT_LENGTH = 64
 # Characters of an id or request class where even an entry without notes does not fit its slot.
-SHORTENED_LENGTH = 16
+SHORTENED_TEXT_LENGTH = 16
 
 Note = list[Union[int, float, str, bool, None]]
 """A reason's number, the time since the transaction was taken, the reason's operands."""
@@ -37,19 +37,19 @@
 class Entry(Struct, array_like=True, gc=False):
     """One entry of the record. The order of the fields is stored."""
 
-    at: Ticks
+    received_at: Ticks
     """Unix time at which it was taken."""
     id: str
     key: Optional[str]
     tenant: Optional[str]
     request_class: str
-    repeat: bool
+    is_retry: bool
     """Whether its client said that it repeats an earlier one."""
-    end: int
+    final_reason: int
     """The reason that names its final answer, or 0 while it is open."""
-    took: Ticks
+    duration: Ticks
     notes: list[Note]
-    cut: int = 0
+    omitted_notes: int = 0
     """Notes that were left out for want of room."""
 
 
@@ -76,24 +76,24 @@
             entry = _shortened(entry)
         else:
             del entry.notes[len(entry.notes) // 2]
-            entry.cut += 1
+            entry.omitted_notes += 1
         content = _encode(entry)
-    rest = CHECKED_HEADER.pack(len(content), number) + content
-    return crc32(rest).to_bytes(CHECKSUM_BYTES, "little") + rest
+    checksummed = CHECKSUMMED_HEADER.pack(len(content), number) + content
+    return crc32(checksummed).to_bytes(CHECKSUM_BYTES, "little") + checksummed
 
 
 def _shortened(entry: Entry) -> Entry:
     return Entry(
-        at=entry.at,
-        id=entry.id[:SHORTENED_LENGTH],
+        received_at=entry.received_at,
+        id=entry.id[:SHORTENED_TEXT_LENGTH],
         key=None,
         tenant=None,
-        request_class=entry.request_class[:SHORTENED_LENGTH],
-        repeat=entry.repeat,
-        end=entry.end,
-        took=entry.took,
+        request_class=entry.request_class[:SHORTENED_TEXT_LENGTH],
+        is_retry=entry.is_retry,
+        final_reason=entry.final_reason,
+        duration=entry.duration,
         notes=[],
-        cut=entry.cut,
+        omitted_notes=entry.omitted_notes,
     )
 
 
@@ -108,18 +108,18 @@
         entry = _decode(slot[SLOT_HEADER.size : SLOT_HEADER.size + length])
     except (DecodeError, UnicodeDecodeError):
         return None
-    return NumberedEntry(number, entry) if _is_sound(entry) else None
+    return NumberedEntry(number, entry) if _has_valid_notes(entry) else None
 
 
-def _is_sound(entry: Entry) -> bool:
+def _has_valid_notes(entry: Entry) -> bool:
     """Whether each note begins with a reason's number and a time, as readers take for granted."""
     return all(
-        len(note) >= NOTE_HEAD and type(note[0]) is int and type(note[1]) is int
+        len(note) >= NOTE_HEADER_LENGTH and type(note[0]) is int and type(note[1]) is int
         for note in entry.notes
     )
 
 
-def pods(entry: Entry) -> set[str]:
+def endpoints_sent_to(entry: Entry) -> set[str]:
     """Returns the endpoints that it was sent to."""
     return {
         str(note[2])
@@ -141,6 +141,6 @@
     return cast(int, note[0])
 
 
-def note_delay(note: Note) -> Ticks:
+def note_elapsed(note: Note) -> Ticks:
     """Returns how long after the transaction was taken the note was made."""
     return cast(Ticks, note[1])
--- a/thymeknot/decision_log/entry_filter.py
+++ b/thymeknot/decision_log/entry_filter.py
@@ -11,23 +11,23 @@
 
     request_class: Optional[str] = None
     tenant: Optional[str] = None
-    pod: Optional[str] = None
+    endpoint: Optional[str] = None
     """The endpoint that it was sent to. Found by the index, so that `matches` leaves it out."""
     reason: Optional[int] = None
     """One of its notes names it."""
     since: Optional[Ticks] = None
     """It was taken within this time before the query."""
 
-    def matches(self, entry: Entry, begin: Optional[Ticks] = None) -> bool:
+    def matches(self, entry: Entry, earliest: Optional[Ticks] = None) -> bool:
         """Compares everything but the endpoint.
 
         Args:
             entry: What is compared.
-            begin: The earliest Unix time at which it may have been taken; stands for `since`.
+            earliest: The earliest Unix time at which it may have been taken; stands for `since`.
         """
         return (
             (self.request_class is None or entry.request_class == self.request_class)
             and (self.tenant is None or entry.tenant == self.tenant)
-            and (begin is None or entry.at >= begin)
+            and (earliest is None or entry.received_at >= earliest)
             and (self.reason is None or any(note[0] == self.reason for note in entry.notes))
         )
--- a/thymeknot/decision_log/entry_index.py
+++ b/thymeknot/decision_log/entry_index.py
@@ -3,26 +3,26 @@
 from collections.abc import Iterator
 from typing import NamedTuple, Optional
 
-from .entry_codec import Entry, pods
+from .entry_codec import Entry, endpoints_sent_to
 
-Slots = dict[int, int]
+NumberBySlot = dict[int, int]
 """The number of the entry that each slot holds."""
 
-Index = dict[str, Slots]
+SlotsByName = dict[str, NumberBySlot]
 """The slots under each name."""
 
 
-class Place(NamedTuple):
+class IndexKey(NamedTuple):
     """A name under which a slot is found."""
 
-    names: Index
+    slots_by_name: SlotsByName
     name: str
 
 
 class IndexedSlot(NamedTuple):
     """What is known of a slot in use."""
 
-    places: list[Place]
+    index_keys: list[IndexKey]
     number: int
 
 
@@ -38,41 +38,43 @@
 
     def __init__(self) -> None:
         self.slots: dict[int, IndexedSlot] = {}
-        self.by_id: Index = {}
-        self.by_key: Index = {}
-        self.by_pod: Index = {}
+        self.by_id: SlotsByName = {}
+        self.by_key: SlotsByName = {}
+        self.by_endpoint: SlotsByName = {}
 
     def add(self, slot: int, number: int, entry: Entry) -> None:
         """Makes an entry known."""
-        places = [Place(self.by_id, entry.id)]
+        index_keys = [IndexKey(self.by_id, entry.id)]
         if entry.key:
-            places.append(Place(self.by_key, entry.key))
-        places += [Place(self.by_pod, pod) for pod in pods(entry)]
-        for names, name in places:
-            names.setdefault(name, {})[slot] = number
-        self.slots[slot] = IndexedSlot(places, number)
+            index_keys.append(IndexKey(self.by_key, entry.key))
+        index_keys += [
+            IndexKey(self.by_endpoint, endpoint) for endpoint in endpoints_sent_to(entry)
+        ]
+        for slots_by_name, name in index_keys:
+            slots_by_name.setdefault(name, {})[slot] = number
+        self.slots[slot] = IndexedSlot(index_keys, number)
 
     def remove(self, slot: int) -> None:
         """Forgets the entry of a slot that is used again."""
         indexed = self.slots.pop(slot, None)
         if indexed is None:
             return
-        for names, name in indexed.places:
-            slots = names.get(name)
+        for slots_by_name, name in indexed.index_keys:
+            slots = slots_by_name.get(name)
             if slots:
                 slots.pop(slot, None)
                 if not slots:
-                    del names[name]
+                    del slots_by_name[name]
 
-    def named(self, name: str) -> Iterator[tuple[int, int]]:
+    def find_by_name(self, name: str) -> Iterator[tuple[int, int]]:
         """Yields slot and number of the entries with this id, or else this key, the latest last."""
         slots = self.by_id.get(name) or self.by_key.get(name) or {}
         yield from sorted(slots.items(), key=lambda item: item[1])
 
-    def latest_first(self, pod: Optional[str]) -> Iterator[tuple[int, int]]:
+    def newest_first(self, endpoint: Optional[str]) -> Iterator[tuple[int, int]]:
         """Yields slot and number of all entries, or of those sent to one endpoint."""
-        if pod:
-            slots = self.by_pod.get(pod, {})
+        if endpoint:
+            slots = self.by_endpoint.get(endpoint, {})
         else:
             slots = {slot: indexed.number for slot, indexed in self.slots.items()}
         yield from sorted(slots.items(), key=lambda item: -item[1])
--- a/thymeknot/decision_log/fair_eviction.py
+++ b/thymeknot/decision_log/fair_eviction.py
@@ -21,31 +21,33 @@
     """
 
     def __init__(self) -> None:
-        self.held: dict[Holder, deque[int]] = {}
-        self.by_count: dict[int, OrderedDict[Holder, None]] = {0: OrderedDict()}
-        self.most = 0
+        self.slots_by_holder: dict[Holder, deque[int]] = {}
+        self.holders_by_count: dict[int, OrderedDict[Holder, None]] = {0: OrderedDict()}
+        self.max_count = 0
 
     def __len__(self) -> int:
-        return sum(map(len, self.held.values()))
+        return sum(map(len, self.slots_by_holder.values()))
 
     def add(self, holder: Holder, slot: int) -> None:
         """Records that a holder holds one more slot."""
-        slots = self.held.get(holder)
+        slots = self.slots_by_holder.get(holder)
         if slots is None:
-            slots = self.held[holder] = deque()
-        self._move(holder, len(slots), len(slots) + 1)
+            slots = self.slots_by_holder[holder] = deque()
+        self._update_count(holder, len(slots), len(slots) + 1)
         slots.append(slot)
 
-    def _move(self, holder: Holder, before: int, after: int) -> None:
+    def _update_count(self, holder: Holder, before: int, after: int) -> None:
         if before:
-            holders = self.by_count[before]
+            holders = self.holders_by_count[before]
             del holders[holder]
             if not holders:
-                del self.by_count[before]
+                del self.holders_by_count[before]
         if after:
-            self.by_count.setdefault(after, OrderedDict())[holder] = None
-        if after > self.most or (before == self.most and before not in self.by_count):
-            self.most = after
+            self.holders_by_count.setdefault(after, OrderedDict())[holder] = None
+        if after > self.max_count or (
+            before == self.max_count and before not in self.holders_by_count
+        ):
+            self.max_count = after
 
     def evict(self) -> int:
         """Releases the slot to use again.
@@ -53,10 +55,10 @@
         Returns:
             The oldest slot of the holder with the most; of equals, the first to grow so large.
         """
-        holder = next(iter(self.by_count[self.most]))
-        slots = self.held[holder]
+        holder = next(iter(self.holders_by_count[self.max_count]))
+        slots = self.slots_by_holder[holder]
         slot = slots.popleft()
-        self._move(holder, len(slots) + 1, len(slots))
+        self._update_count(holder, len(slots) + 1, len(slots))
         if not slots:
-            del self.held[holder]
+            del self.slots_by_holder[holder]
         return slot
--- a/thymeknot/decision_log/heavy_hitters.py
+++ b/thymeknot/decision_log/heavy_hitters.py
@@ -34,11 +34,11 @@
             counts[name] = 1
             self.overcounts[name] = 0
         else:
-            least = min(counts, key=counts.__getitem__)
-            least_count = counts.pop(least)
-            del self.overcounts[least]
-            counts[name] = least_count + 1
-            self.overcounts[name] = least_count
+            rarest = min(counts, key=counts.__getitem__)
+            rarest_count = counts.pop(rarest)
+            del self.overcounts[rarest]
+            counts[name] = rarest_count + 1
+            self.overcounts[name] = rarest_count
 
     def top(self, count: int) -> list[Hitter]:
         """Returns the most frequent names, the highest estimate first."""
--- a/thymeknot/decision_log/query_connection.py
+++ b/thymeknot/decision_log/query_connection.py
@@ -13,25 +13,25 @@
 from zope.interface import implementer
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
-from .query_protocol import MAX_LINE_BYTES, Watch, answer, watched
+from .query_protocol import MAX_LINE_BYTES, Watch, answer_query, parse_watch
 from .recorder import Recorder
 from .settings import DecisionLogSettings
 
-STEPS_AT_A_TIME: Final = 4
+STEPS_PER_TURN: Final = 4
 """Entries looked at between other events: one step takes tens of microseconds."""
-REST_FACTOR: Final = 30
+PAUSE_FACTOR: Final = 30
 """How many times as long as the last steps the next ones wait, so that queries get a small part of
 the core."""
 IDLE_TIMEOUT: Final[Ticks] = 10 * TICKS_PER_SECOND
 """After this a client that neither asks nor reads is disconnected."""
-WATCH_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 10
+WATCH_POLL_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 10
 """Between two looks at what waits for a watcher."""
 
 
-class Server(Protocol):
+class QueryServer(Protocol):
     """What a connection needs of its server."""
 
-    record: Recorder
+    recorder: Recorder
     settings: DecisionLogSettings
     clock: Callable[[], Ticks]
     timers: Any
@@ -51,10 +51,10 @@
     transport: Any
     """Twisted's, of a stream socket."""
 
-    def __init__(self, server: Server) -> None:
+    def __init__(self, server: QueryServer) -> None:
         self._server = server
         self._received = b""
-        self._answer: Optional[Iterator[Optional[bytes]]] = None
+        self._results: Optional[Iterator[Optional[bytes]]] = None
         self._watch: Optional[Watch] = None
         self._idle_timer: Optional[int] = None
 
@@ -78,60 +78,60 @@
         if len(self._received) > MAX_LINE_BYTES:
             self.transport.write(b'{"error":"a line of 4096 bytes at most"}\n')
             self.transport.loseConnection()
-        elif self._answer is None and self._watch is None:
-            self._begin_next_query()
+        elif self._results is None and self._watch is None:
+            self._start_next_query()
 
-    def _begin_next_query(self) -> None:
-        line, found, rest = self._received.partition(b"\n")
-        if not found:
+    def _start_next_query(self) -> None:
+        line, newline, remainder = self._received.partition(b"\n")
+        if not newline:
             return
-        self._received = rest
+        self._received = remainder
         try:
-            self._watch = watched(line)
+            self._watch = parse_watch(line)
         except ValueError as error:
             self.transport.write(b'{"error":"%s"}\n' % str(error).replace('"', "'").encode())
             return
         if self._watch is not None:
-            self._server.record.watchers.append(self._watch)
+            self._server.recorder.watchers.append(self._watch)
             self._send_watched()
             return
-        self._answer = answer(line, self._server.record, self._server.settings.answers)
+        self._results = answer_query(line, self._server.recorder, self._server.settings.answers)
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The socket has taken what was written: a few more steps, after a rest."""
         server = self._server
-        server.reactor.callLater(REST_FACTOR * server.last_steps_seconds, self._work)
+        server.reactor.callLater(PAUSE_FACTOR * server.last_steps_seconds, self._run_steps)
 
-    def _work(self) -> None:
+    def _run_steps(self) -> None:
         """Does a few more steps, or begins the next query."""
-        if self._answer is None:
+        if self._results is None:
             return
-        began = time.perf_counter()
+        started_at = time.perf_counter()
         lines = []
         finished = False
-        for _ in range(STEPS_AT_A_TIME):
+        for _ in range(STEPS_PER_TURN):
             try:
-                line = next(self._answer)
+                line = next(self._results)
             except StopIteration:
                 finished = True
                 break
             if line is not None:
                 lines.append(line)
-        self._server.last_steps_seconds = time.perf_counter() - began
+        self._server.last_steps_seconds = time.perf_counter() - started_at
         if lines:
             self._restart_idle_timer()
             self.transport.write(b"".join(lines))
         elif finished:  # all lines were taken, too: the next query waits for that
-            self._answer = None
+            self._results = None
             self.transport.unregisterProducer()
-            self._begin_next_query()
+            self._start_next_query()
         else:
             self.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
         """The connection is lost."""
-        self._answer = None
+        self._results = None
 
     def _send_watched(self) -> None:
         if self._watch is None or not self.connected:
@@ -139,19 +139,19 @@
         # What its socket has not taken yet keeps new lines waiting, in a bounded number.
         unsent = self.transport.dataBuffer or getattr(self.transport, "_tempDataBuffer", None)
         if not unsent:
-            lines = self._watch.take()
+            lines = self._watch.take_lines()
             if lines:
                 self._restart_idle_timer()
                 self.transport.write(b"".join(lines))
         server = self._server
-        server.timers.add(server.clock() + WATCH_INTERVAL, self._send_watched)
+        server.timers.add(server.clock() + WATCH_POLL_INTERVAL, self._send_watched)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
         """The client is gone."""
         server = self._server
         server.timers.cancel(self._idle_timer)
         server.connections -= 1
-        self._answer = None
+        self._results = None
         if self._watch is not None:
-            server.record.watchers.remove(self._watch)
+            server.recorder.watchers.remove(self._watch)
             self._watch = None
--- a/thymeknot/decision_log/query_protocol.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -11,16 +11,16 @@
 
 from ..interface.clock import TICKS_PER_SECOND
 from ..interface.reasons import Reason
-from .entry_codec import NOTE_HEAD, Entry, Note, note_delay, note_reason, reason_name
+from .entry_codec import NOTE_HEADER_LENGTH, Entry, Note, note_elapsed, note_reason, reason_name
 from .entry_filter import EntryFilter
-from .explanations import explain_entry, sentence_of
+from .explanations import explain_entry, explain_note
 from .recorder import Recorder
 
 MAX_LINE_BYTES: Final = 4096
 """Of a query: all its fields at their longest take less."""
 MAX_FIELD_LENGTH: Final = 96
 """Characters of a query's text."""
-MAX_WAITING: Final = 256
+MAX_WAITING_ENTRIES: Final = 256
 """Entries that wait for a slow watcher."""
 TICKS_PER_MILLISECOND: Final = 10
 
@@ -32,26 +32,26 @@
 class FindQuery(NamedTuple):
     """The fields of `find` and `watch`."""
 
-    wanted: EntryFilter
+    entry_filter: EntryFilter
     limit: Optional[float]
     """Most entries of the answer; None or 0 leaves it to the settings."""
 
 
-def _object(line: bytes) -> dict[str, Any]:
+def _parse_object(line: bytes) -> dict[str, Any]:
     query = orjson.loads(line)
     if not isinstance(query, dict):
         raise QueryError("an object is asked for")
     return query
 
 
-def _text(query: Mapping[str, Any], name: str) -> Optional[str]:
+def _text_field(query: Mapping[str, Any], name: str) -> Optional[str]:
     value = query.get(name)
     if value is None or (isinstance(value, str) and 0 < len(value) <= MAX_FIELD_LENGTH):
         return value
     raise QueryError(f"{name}: a text of 1 to {MAX_FIELD_LENGTH} characters is asked for")
 
 
-def _number(query: Mapping[str, Any], name: str) -> Optional[float]:
+def _number_field(query: Mapping[str, Any], name: str) -> Optional[float]:
     value = query.get(name)
     if value is None:
         return None
@@ -60,92 +60,96 @@
     raise QueryError(f"{name}: a number is asked for")
 
 
-def _find_query(query: Mapping[str, Any]) -> FindQuery:
-    reason = _text(query, "reason")
+def _parse_find_query(query: Mapping[str, Any]) -> FindQuery:
+    reason = _text_field(query, "reason")
     if reason is not None and reason.upper() not in Reason.__members__:
         raise QueryError(f"reason: none of {', '.join(Reason.__members__)}")
-    since = _number(query, "since")
-    limit = _number(query, "limit")
-    wanted = EntryFilter(
-        request_class=_text(query, "lane"),
-        tenant=_text(query, "tenant"),
-        pod=_text(query, "pod"),
+    since = _number_field(query, "since")
+    limit = _number_field(query, "limit")
+    entry_filter = EntryFilter(
+        request_class=_text_field(query, "lane"),
+        tenant=_text_field(query, "tenant"),
+        endpoint=_text_field(query, "pod"),
         reason=None if reason is None else int(Reason[reason.upper()]),
         since=None if since is None else int(since * TICKS_PER_SECOND),
     )
-    return FindQuery(wanted, limit)
+    return FindQuery(entry_filter, limit)
 
 
 def _note_object(note: Note) -> dict[str, Any]:
     return {
         "reason": reason_name(note_reason(note)),
-        "after_ms": note_delay(note) / TICKS_PER_MILLISECOND,
-        "operands": note[NOTE_HEAD:],
-        "text": sentence_of(note).text,
+        "after_ms": note_elapsed(note) / TICKS_PER_MILLISECOND,
+        "operands": note[NOTE_HEADER_LENGTH:],
+        "text": explain_note(note).text,
     }
 
 
-def shown(entry: Entry) -> dict[str, Any]:
+def entry_object(entry: Entry) -> dict[str, Any]:
     """Returns the JSON object of an entry: its fields for programs, its lines for people."""
     return {
         "id": entry.id,
-        "at": entry.at / TICKS_PER_SECOND,
+        "at": entry.received_at / TICKS_PER_SECOND,
         "key": entry.key,
         "tenant": entry.tenant,
         "lane": entry.request_class,
-        "repeat": entry.repeat,
-        "end": reason_name(entry.end) if entry.end else "OPEN",
-        "took_ms": entry.took / TICKS_PER_MILLISECOND,
-        "cut": entry.cut,
+        "repeat": entry.is_retry,
+        "end": reason_name(entry.final_reason) if entry.final_reason else "OPEN",
+        "took_ms": entry.duration / TICKS_PER_MILLISECOND,
+        "cut": entry.omitted_notes,
         "reasons": [_note_object(note) for note in entry.notes],
         "lines": explain_entry(entry),
     }
 
 
-def _line(content: Mapping[str, Any]) -> bytes:
+def _json_line(content: Mapping[str, Any]) -> bytes:
     return orjson.dumps(content) + b"\n"
 
 
-def answer(line: bytes, recorder: Recorder, most: int) -> Iterator[Optional[bytes]]:
+def answer_query(line: bytes, recorder: Recorder, max_entries: int) -> Iterator[Optional[bytes]]:
     """Answers a query; a faulty one by a single line, `{"error": ...}`.
 
     Args:
         line: The query.
         recorder: What is asked.
-        most: Most entries in the answer, as the operator has set.
+        max_entries: The highest number of entries in the answer, as set by the operator.
     """
     try:
-        return _answer(_object(line), recorder, most)
+        return _dispatch(_parse_object(line), recorder, max_entries)
     except ValueError as error:  # orjson's errors are such, too
-        return iter([_line({"error": str(error)})])
+        return iter([_json_line({"error": str(error)})])
 
 
-def _answer(query: Mapping[str, Any], recorder: Recorder, most: int) -> Iterator[Optional[bytes]]:
+def _dispatch(
+    query: Mapping[str, Any], recorder: Recorder, max_entries: int
+) -> Iterator[Optional[bytes]]:
     match query.get("ask"):
         case "why":
-            return _entry_lines(recorder.find_by_name(_text(query, "id") or ""), most)
+            return _entry_lines(recorder.find_by_name(_text_field(query, "id") or ""), max_entries)
         case "find":
-            wanted, limit = _find_query(query)
-            return _entry_lines(recorder.find(wanted), min(most, int(limit)) if limit else most)
+            entry_filter, limit = _parse_find_query(query)
+            return _entry_lines(
+                recorder.find(entry_filter), min(max_entries, int(limit)) if limit else max_entries
+            )
         case "tally":
-            return iter([_line(recorder.tally_report()), _line({"end": 1})])
+            return iter([_json_line(recorder.tally_report()), _json_line({"end": 1})])
         case "kept":
-            return iter([_line(recorder.retention_report()), _line({"end": 1})])
+            return iter([_json_line(recorder.retention_report()), _json_line({"end": 1})])
         case _:
             raise QueryError("ask: why, find, tally or kept")
 
 
-def _entry_lines(entries: Iterable[Optional[Entry]], most: int) -> Iterator[Optional[bytes]]:
+def _entry_lines(entries: Iterable[Optional[Entry]], max_entries: int) -> Iterator[Optional[bytes]]:
     count = 0
     for entry in entries:
         if entry is None:
             yield None
             continue
-        yield _line(shown(entry))
+        yield _json_line(entry_object(entry))
         count += 1
-        if count >= most:
+        if count >= max_entries:
             break
-    yield _line({"end": count, "more": True} if count >= most else {"end": count})
+    yield _json_line({"end": count, "more": True} if count >= max_entries else {"end": count})
 
 
 class Watch:
@@ -154,31 +158,31 @@
     A bounded number of them waits until it reads; of those beyond the client is told the number.
     """
 
-    def __init__(self, wanted: EntryFilter) -> None:
-        self._wanted = wanted
+    def __init__(self, entry_filter: EntryFilter) -> None:
+        self._entry_filter = entry_filter
         self._waiting: list[Entry] = []
         self._missed = 0
 
     def __call__(self, entry: Entry) -> None:
         """Takes an entry as it is kept."""
-        if not self._wanted.matches(entry):
+        if not self._entry_filter.matches(entry):
             return
-        if len(self._waiting) < MAX_WAITING:
+        if len(self._waiting) < MAX_WAITING_ENTRIES:
             self._waiting.append(entry)
         else:
             self._missed += 1
 
-    def take(self) -> list[bytes]:
+    def take_lines(self) -> list[bytes]:
         """Returns the lines that wait."""
-        lines = [_line(shown(entry)) for entry in self._waiting]
+        lines = [_json_line(entry_object(entry)) for entry in self._waiting]
         self._waiting = []
         if self._missed:
-            lines.append(_line({"missed": self._missed}))
+            lines.append(_json_line({"missed": self._missed}))
             self._missed = 0
         return lines
 
 
-def watched(line: bytes) -> Optional[Watch]:
+def parse_watch(line: bytes) -> Optional[Watch]:
     """Returns a watch if the line asks for one.
 
     Raises:
@@ -190,4 +194,4 @@
         return None
     if not isinstance(query, dict) or query.get("ask") != "watch":
         return None
-    return Watch(_find_query(query).wanted)
+    return Watch(_parse_find_query(query).entry_filter)
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -20,12 +20,12 @@
 
 MAX_CONNECTIONS: Final = 8
 """Open at one time: queries are for a few operators, and each connection takes descriptors."""
-BACKLOG: Final = 8
+ACCEPT_BACKLOG: Final = 8
 """Connections that wait to be accepted."""
 SOCKET_MODE: Final = 0o600
 """Of a Unix socket: the record holds keys and tenants."""
 UNIX_PREFIX: Final = "unix:"
-UPKEEP_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 2
+FLUSH_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 2
 """Between two rounds in which transactions that are over are recorded."""
 SEED_SALT: Final = 0x77
 """So that the sample's random numbers are not those of the decisions, which have the same seed."""
@@ -58,14 +58,14 @@
 
     noisy = False
 
-    def __init__(self, connection: Callable[[], Optional[QueryConnection]]) -> None:
-        self._connection = connection
+    def __init__(self, create_connection: Callable[[], Optional[QueryConnection]]) -> None:
+        self._create_connection = create_connection
 
     def buildProtocol(  # noqa: N802 (Twisted's name)
         self, addr: Any
     ) -> Optional[QueryConnection]:
         """Returns a connection, or None to refuse it."""
-        return self._connection()
+        return self._create_connection()
 
 
 class DecisionLogFeature:
@@ -96,7 +96,7 @@
             path = os.path.join(folder, settings.directory, f"{proxy.start.name}.why")
         slots = settings.megabytes * 1_000_000 // SLOT_BYTES
         self.slot_file = SlotFile(slots, path, structured_log.log)
-        self.record = Recorder(
+        self.recorder = Recorder(
             settings,
             proxy.settings.request_classes,
             self.slot_file,
@@ -104,59 +104,63 @@
             clock=proxy.clock,
             random_source=LinearCongruentialGenerator(proxy.start.seed ^ SEED_SALT),
         )
-        self.request_answered = self.record.request_answered
-        self.request_finished = self.record.request_finished
+        self.request_answered = self.recorder.request_answered
+        self.request_finished = self.recorder.request_finished
         self.done_reason = Reason.DONE
         self.left_reason = Reason.LEFT
         self.abandoned_reason = Reason.ABANDONED
-        proxy.rejections.next_listener = self.record.record_reason
+        proxy.rejections.next_listener = self.recorder.record_reason
         try:
             self.port = self._listen(folder)
         except (CannotListenError, OSError) as error:
             raise QueryServerError(f"why.listen: {error}") from None
         self._log_opened()
-        self._upkeep()
+        self._flush_periodically()
 
     def _listen(self, folder: str) -> Any:
-        factory = ConnectionFactory(self._connection)
+        factory = ConnectionFactory(self._create_connection)
         address = self.settings.listen
         if address.startswith(UNIX_PREFIX):
             path = os.path.join(folder, address[len(UNIX_PREFIX) :])
             if os.path.exists(path) and stat.S_ISSOCK(os.stat(path).st_mode):
                 # A former run's, on which nobody listens: a name belongs to one instance.
                 os.unlink(path)
-            return self.reactor.listenUNIX(path, factory, backlog=BACKLOG, mode=SOCKET_MODE)
+            return self.reactor.listenUNIX(path, factory, backlog=ACCEPT_BACKLOG, mode=SOCKET_MODE)
         host, _, port = address.rpartition(":")
         return self.reactor.listenTCP(
-            int(port), factory, backlog=BACKLOG, interface=host.strip("[]")
+            int(port), factory, backlog=ACCEPT_BACKLOG, interface=host.strip("[]")
         )
 
     def _log_opened(self) -> None:
-        bound = self.port.getHost()  # port 0 stands for any free one
-        listen = f"{bound.host}:{bound.port}" if hasattr(bound, "port") else self.settings.listen
+        bound_address = self.port.getHost()  # port 0 stands for any free one
+        listen = (
+            f"{bound_address.host}:{bound_address.port}"
+            if hasattr(bound_address, "port")
+            else self.settings.listen
+        )
         structured_log.log(
             "decision log opened",
             listen=listen,
             slots=self.slot_file.slots,
             file=self.slot_file.path,
-            recovered=self.record.recovered_entries,
-            torn=self.record.torn_slots,
+            recovered=self.recorder.recovered_entries,
+            torn=self.recorder.torn_slots,
         )
 
-    def _connection(self) -> Optional[QueryConnection]:
+    def _create_connection(self) -> Optional[QueryConnection]:
         if self.connections >= MAX_CONNECTIONS:
             return None
         self.connections += 1
         return QueryConnection(self)
 
-    def _upkeep(self) -> None:
-        self.record.flush(self.clock())
-        self.timers.add(self.clock() + UPKEEP_INTERVAL, self._upkeep)
+    def _flush_periodically(self) -> None:
+        self.recorder.flush(self.clock())
+        self.timers.add(self.clock() + FLUSH_INTERVAL, self._flush_periodically)
 
-    def request_received(self, name: str, command: Any) -> None:
+    def request_received(self, request_id: str, command: Any) -> None:
         """The proxy has taken a client's command under this id."""
-        self.record.request_received(
-            name,
+        self.recorder.request_received(
+            request_id,
             command.key.decode() or None,
             command.tenant,
             command.request_class,
@@ -168,4 +172,4 @@
 
     def stop(self) -> None:
         """Records what is over at once; other transactions are recorded as they end."""
-        self.record.flush(self.clock(), 0)
+        self.recorder.flush(self.clock(), 0)
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -16,14 +16,14 @@
 from .entry_codec import MAX_NOTES, MAX_TEXT_LENGTH, SLOT_BYTES, Entry, pack_slot
 from .entry_filter import EntryFilter
 from .entry_index import EntryIndex
-from .regions import ORDINARY, RATE_SPAN, VOTES, Region, lay_out_regions
+from .regions import ORDINARY, RATE_WINDOW, VOTES, Region, lay_out_regions
 from .settings import DecisionLogSettings
 from .slot_file import SlotFile, StoredEntry
-from .tallies import REJECTIONS, Tallies
+from .tallies import REJECTION_REASONS, Tallies
 
-CLOSING_DELAY: Final[Ticks] = TICKS_PER_SECOND // 20
+RECORDING_DELAY: Final[Ticks] = TICKS_PER_SECOND // 20
 """From the end of a transaction to its entry: what an attempt's end proves is noted just after."""
-MAX_OPEN: Final = 50_000
+MAX_OPEN_REQUESTS: Final = 50_000
 """Transactions whose notes are kept at one time; a bound of memory."""
 # Looked up for every note: globals are quicker than attributes of the enum.
 SENT: Final = Reason.SENT
@@ -37,7 +37,7 @@
         """Returns a number from 0 to below 1."""
 
 
-class OpenTransaction:
+class OpenRequest:
     """A transaction that is not recorded yet.
 
     Attributes:
@@ -48,32 +48,37 @@
     """
 
     __slots__ = (
-        "at",
-        "cut",
-        "end",
+        "received_at",
+        "omitted_notes",
+        "final_reason",
         "key",
         "notes",
-        "over_at",
-        "repeat",
+        "finished_at",
+        "is_retry",
         "request_class",
-        "sent",
+        "attempts_sent",
         "tenant",
     )
 
     def __init__(
-        self, at: Ticks, key: Optional[str], tenant: Optional[str], request_class: str, repeat: bool
+        self,
+        received_at: Ticks,
+        key: Optional[str],
+        tenant: Optional[str],
+        request_class: str,
+        is_retry: bool,
     ) -> None:
-        self.at = at
+        self.received_at = received_at
         self.key = key
         self.tenant = tenant
         self.request_class = request_class
-        self.repeat = repeat
+        self.is_retry = is_retry
         # Tuples in place of lists: tuples of numbers are not tracked by the garbage collector.
         self.notes: list[Any] = []
-        self.end = 0
-        self.sent = 0
-        self.over_at: Optional[Ticks] = None
-        self.cut = 0
+        self.final_reason = 0
+        self.attempts_sent = 0
+        self.finished_at: Optional[Ticks] = None
+        self.omitted_notes = 0
 
 
 class Recorder:
@@ -110,7 +115,7 @@
         self.clock = clock
         self.random_source = random_source
         self.regions = {
-            key: Region(key, extent.first, extent.slots)
+            key: Region(key, extent.first_slot, extent.slots)
             for key, extent in lay_out_regions(settings, request_classes, slot_file.slots).items()
         }
         self.index = EntryIndex()
@@ -118,13 +123,13 @@
         self.watchers: list[Callable[[Entry], object]] = []
         self.recovered_entries = 0
         self.torn_slots = 0
-        self._open: dict[str, OpenTransaction] = {}
-        self._closing: deque[tuple[str, Ticks, OpenTransaction]] = deque()
+        self._open: dict[str, OpenRequest] = {}
+        self._finished: deque[tuple[str, Ticks, OpenRequest]] = deque()
         """Those that are over, with id and end; plain tuples, as there is one for each request."""
-        self._number = 0
-        self._reason_counts = self.tallies.reasons  # bound once: asked for with every note
-        self._sampled_at = clock()
-        self._sample_share = 1.0
+        self._last_number = 0
+        self._reason_counts = self.tallies.reason_counts  # bound once: asked for with every note
+        self._rate_measured_at = clock()
+        self._sampling_rate = 1.0
         self._ordinary_count = 0  # since the share was worked out
         if slot_file.path:
             self._recover()
@@ -135,188 +140,197 @@
         An entry keeps its slot if its region is still that of its request class.
         """
         contents = self.slot_file.read_all()
-        stored = {one.slot: one for one in contents.entries}
+        stored = {stored_entry.slot: stored_entry for stored_entry in contents.entries}
         for region in self.regions.values():
             self._recover_region(region, stored)
-        if contents.torn:  # cleared, so that a torn slot is reported once
+        if contents.torn_slots:  # cleared, so that a torn slot is reported once
             for slot in range(self.slot_file.slots):
                 if slot not in stored:
                     self.slot_file.clear(slot)
         self.recovered_entries = len(self.index.slots)
-        self.torn_slots = contents.torn
+        self.torn_slots = contents.torn_slots
 
     def _recover_region(self, region: Region, stored: Mapping[int, StoredEntry]) -> None:
-        own = {
-            slot: one
-            for slot, one in stored.items()
-            if region.first <= slot < region.first + region.slots
-            and self._region_of(one.entry) is region
+        own_entries = {
+            slot: stored_entry
+            for slot, stored_entry in stored.items()
+            if region.first_slot <= slot < region.first_slot + region.slots
+            and self._region_for(stored_entry.entry) is region
         }
-        if not own:
+        if not own_entries:
             return
-        region.used = max(own) - region.first + 1  # slots are first used in their order
-        used = range(region.first, region.first + region.used)
-        for slot in sorted(used, key=lambda slot: own[slot].number if slot in own else 0):
-            one = own.get(slot)
-            region.eviction.add(one.entry.tenant if one else None, slot)
-            if one:
-                self.index.add(slot, one.number, one.entry)
-                self._number = max(self._number, one.number)
+        # Slots are first used in their order.
+        region.used_slots = max(own_entries) - region.first_slot + 1
+        used_slots = range(region.first_slot, region.first_slot + region.used_slots)
+        for slot in sorted(
+            used_slots, key=lambda slot: own_entries[slot].number if slot in own_entries else 0
+        ):
+            stored_entry = own_entries.get(slot)
+            region.eviction.add(stored_entry.entry.tenant if stored_entry else None, slot)
+            if stored_entry:
+                self.index.add(slot, stored_entry.number, stored_entry.entry)
+                self._last_number = max(self._last_number, stored_entry.number)
 
     # What the decisions and the proxy tell.
 
     def request_received(
         self,
-        name: str,
+        request_id: str,
         key: Optional[str],
         tenant: Optional[str],
         request_class: str,
-        repeat: bool,
+        is_retry: bool,
     ) -> None:
         """Opens a transaction. An id that comes again closes the former one."""
         now = self.clock()
-        if name in self._open:
-            self._close(name)
-        if self._closing and now - self._closing[0][1] >= CLOSING_DELAY:
+        if request_id in self._open:
+            self._close_request(request_id)
+        if self._finished and now - self._finished[0][1] >= RECORDING_DELAY:
             self.flush(now)
-        if len(self._open) < MAX_OPEN:
-            self._open[name] = OpenTransaction(now, key, tenant, request_class, repeat)
+        if len(self._open) < MAX_OPEN_REQUESTS:
+            self._open[request_id] = OpenRequest(now, key, tenant, request_class, is_retry)
 
-    def record_reason(self, name: Optional[str], reason: Reason, *operands: Any) -> None:
-        """Notes a reason as it is decided; without a name it may be that of a vote."""
-        if name is None:
+    def record_reason(self, request_id: Optional[str], reason: Reason, *operands: Any) -> None:
+        """Notes a reason as it is decided; without an id it may be that of a vote."""
+        if request_id is None:
             if reason == Reason.VOTED:
-                self._keep_vote(*operands)
+                self._record_vote(*operands)
             return
-        transaction = self._open.get(name)
-        if transaction is None:
+        request = self._open.get(request_id)
+        if request is None:
             return
         self._reason_counts[reason] += 1
         if reason == SENT:
-            transaction.sent += 1
-        elif reason in REJECTIONS:
-            transaction.end = reason
-        notes = transaction.notes
+            request.attempts_sent += 1
+        elif reason in REJECTION_REASONS:
+            request.final_reason = reason
+        notes = request.notes
         if len(notes) >= MAX_NOTES:
-            transaction.cut += 1
+            request.omitted_notes += 1
             del notes[MAX_NOTES // 2]
-        notes.append((reason, self.clock() - transaction.at, *operands))
+        notes.append((reason, self.clock() - request.received_at, *operands))
 
-    def request_answered(self, name: str, reason: Reason) -> None:
+    def request_answered(self, request_id: str, reason: Reason) -> None:
         """Notes the final answer as the proxy gave it, unless the decisions have named one."""
-        transaction = self._open.get(name)
-        if transaction is not None and not transaction.end:
-            transaction.end = reason
+        request = self._open.get(request_id)
+        if request is not None and not request.final_reason:
+            request.final_reason = reason
             self._reason_counts[reason] += 1
-            transaction.notes.append((reason, self.clock() - transaction.at))
+            request.notes.append((reason, self.clock() - request.received_at))
 
-    def request_finished(self, name: str) -> None:
+    def request_finished(self, request_id: str) -> None:
         """Nothing of the transaction is in flight any more."""
         now = self.clock()
-        transaction = self._open.get(name)
-        if transaction is not None and transaction.over_at is None:
-            transaction.over_at = now
-            self._closing.append((name, now, transaction))
+        request = self._open.get(request_id)
+        if request is not None and request.finished_at is None:
+            request.finished_at = now
+            self._finished.append((request_id, now, request))
 
-    def flush(self, now: Ticks, wait: Ticks = CLOSING_DELAY) -> None:
+    def flush(self, now: Ticks, minimum_age: Ticks = RECORDING_DELAY) -> None:
         """Records the transactions that have been over for a while."""
-        if now - self._sampled_at >= TICKS_PER_SECOND:
-            self._adjust_sample(now)
-        while self._closing and now - self._closing[0][1] >= wait:
-            name, _, transaction = self._closing.popleft()
-            if self._open.get(name) is transaction:
-                self._close(name)
-
-    def _adjust_sample(self, now: Ticks) -> None:
+        if now - self._rate_measured_at >= TICKS_PER_SECOND:
+            self._adjust_sampling_rate(now)
+        while self._finished and now - self._finished[0][1] >= minimum_age:
+            request_id, _, request = self._finished.popleft()
+            if self._open.get(request_id) is request:
+                self._close_request(request_id)
+
+    def _adjust_sampling_rate(self, now: Ticks) -> None:
         """Keeps one in so many that the region's slots last for the span that is set."""
-        rate = self._ordinary_count * TICKS_PER_SECOND / (now - self._sampled_at)
-        self._sampled_at = now
+        rate = self._ordinary_count * TICKS_PER_SECOND / (now - self._rate_measured_at)
+        self._rate_measured_at = now
         self._ordinary_count = 0
         expected = rate * self.settings.span / TICKS_PER_SECOND
-        self._sample_share = min(1.0, self.regions[ORDINARY].slots / max(1e-9, expected))
+        self._sampling_rate = min(1.0, self.regions[ORDINARY].slots / max(1e-9, expected))
 
-    def _keep_vote(self, build: int, stage: int, verdict: int, doubt: float, seen: int) -> None:
+    def _record_vote(self, build: int, stage: int, verdict: int, doubt: float, seen: int) -> None:
         now = self.clock()
         voted = int(Reason.VOTED)
         entry = Entry(
-            at=now + self.epoch,
+            received_at=now + self.epoch,
             id=f"vote-{build}-{stage}",
             key=None,
             tenant=None,
             request_class=VOTES,
-            repeat=False,
-            end=voted,
-            took=0,
+            is_retry=False,
+            final_reason=voted,
+            duration=0,
             notes=[[voted, 0, build, stage, int(verdict), float(doubt), seen]],
         )
-        self._keep(self.regions[VOTES], entry, now)
+        self._store(self.regions[VOTES], entry, now)
 
-    def _close(self, name: str) -> None:
-        transaction = self._open.pop(name)
+    def _close_request(self, request_id: str) -> None:
+        request = self._open.pop(request_id)
         now = self.clock()
-        over_at = transaction.over_at
-        took = (over_at if over_at is not None else now) - transaction.at
-        request_class = transaction.request_class
+        finished_at = request.finished_at
+        duration = (finished_at if finished_at is not None else now) - request.received_at
+        request_class = request.request_class
         settings = self.request_classes.get(request_class)
-        self.tallies.add_end(request_class, transaction.end, took, settings is not None)
-        if transaction.end in REJECTIONS:
-            self.tallies.add_rejection(transaction.tenant, transaction.key)
+        self.tallies.add_request(
+            request_class, request.final_reason, duration, settings is not None
+        )
+        if request.final_reason in REJECTION_REASONS:
+            self.tallies.add_rejection(request.tenant, request.key)
         if (
-            transaction.end == DONE
-            and transaction.sent <= 1
+            request.final_reason == DONE
+            and request.attempts_sent <= 1
             and settings is not None
-            and took <= settings.latency_objective
+            and duration <= settings.latency_objective
             and (request_class, False) not in self.regions
         ):
             self._ordinary_count += 1
-            if self.random_source.draw() >= self._sample_share:
+            if self.random_source.draw() >= self._sampling_rate:
                 return
-        entry = self._entry(name[:MAX_TEXT_LENGTH], transaction, took)
+        entry = self._make_entry(request_id[:MAX_TEXT_LENGTH], request, duration)
         entry.key = entry.key and entry.key[:MAX_TEXT_LENGTH]
         entry.tenant = entry.tenant and entry.tenant[:MAX_TEXT_LENGTH]
-        self._keep(self._region_of(entry), entry, now)
+        self._store(self._region_for(entry), entry, now)
 
-    def _entry(self, name: str, transaction: OpenTransaction, took: Ticks) -> Entry:
+    def _make_entry(self, request_id: str, request: OpenRequest, duration: Ticks) -> Entry:
         return Entry(
-            transaction.at + self.epoch,
-            name,
-            transaction.key,
-            transaction.tenant,
-            transaction.request_class,
-            transaction.repeat,
-            transaction.end,
-            took,
-            transaction.notes,
-            transaction.cut,
+            request.received_at + self.epoch,
+            request_id,
+            request.key,
+            request.tenant,
+            request.request_class,
+            request.is_retry,
+            request.final_reason,
+            duration,
+            request.notes,
+            request.omitted_notes,
         )
 
-    def _region_of(self, entry: Entry) -> Region:
-        if entry.end == Reason.VOTED:
+    def _region_for(self, entry: Entry) -> Region:
+        if entry.final_reason == Reason.VOTED:
             return self.regions[VOTES]
-        name = entry.request_class
-        settings = self.request_classes.get(name)
-        unusual = self.regions.get((name, True))
+        class_name = entry.request_class
+        settings = self.request_classes.get(class_name)
+        unusual = self.regions.get((class_name, True))
         if settings is None or unusual is None:
             return self.regions[ORDINARY]
         sent = sum(note[0] == Reason.SENT for note in entry.notes)
-        if entry.end != Reason.DONE or sent > 1 or entry.took > settings.latency_objective:
+        if (
+            entry.final_reason != Reason.DONE
+            or sent > 1
+            or entry.duration > settings.latency_objective
+        ):
             return unusual
-        return self.regions.get((name, False)) or self.regions[ORDINARY]
+        return self.regions.get((class_name, False)) or self.regions[ORDINARY]
 
-    def _keep(self, region: Region, entry: Entry, now: Ticks) -> None:
-        self._number += 1
-        slot, in_use = region.place(entry.tenant)
-        if in_use:
+    def _store(self, region: Region, entry: Entry, now: Ticks) -> None:
+        self._last_number += 1
+        slot, was_in_use = region.take_slot(entry.tenant)
+        if was_in_use:
             self.index.remove(slot)
         region.rate.add(now)
-        self.slot_file.write(slot, pack_slot(entry, self._number))
-        self.index.add(slot, self._number, entry)
+        self.slot_file.write(slot, pack_slot(entry, self._last_number))
+        self.index.add(slot, self._last_number, entry)
         for watcher in self.watchers:
             watcher(entry)
 
     # Queries. Entries come from generators, so that a long search is done in parts.
 
-    def _read(self, slot: int, number: int) -> Optional[Entry]:
+    def _read_entry(self, slot: int, number: int) -> Optional[Entry]:
         """Returns the entry, if the slot still holds it."""
         stored = self.slot_file.read(slot)
         return stored.entry if stored and stored.number == number else None
@@ -324,40 +338,40 @@
     def find_by_name(self, name: str) -> Iterator[Entry]:
         """Yields all that is kept under an id, or else a key; open transactions as they stand."""
         name = name[:MAX_TEXT_LENGTH]
-        for slot, number in self.index.named(name):
-            entry = self._read(slot, number)
+        for slot, number in self.index.find_by_name(name):
+            entry = self._read_entry(slot, number)
             if entry:
                 yield entry
-        open_ones = [item for item in self._open.items() if name in (item[0], item[1].key)]
-        for identity, transaction in open_ones:
-            entry = self._entry(identity, transaction, self.clock() - transaction.at)
+        open_requests = [item for item in self._open.items() if name in (item[0], item[1].key)]
+        for request_id, request in open_requests:
+            entry = self._make_entry(request_id, request, self.clock() - request.received_at)
             entry.notes = list(entry.notes)
             yield entry
 
-    def find(self, wanted: EntryFilter) -> Iterator[Optional[Entry]]:
+    def find(self, entry_filter: EntryFilter) -> Iterator[Optional[Entry]]:
         """Yields the matching entries, the latest first, and None for every other one."""
-        latest_first = self.index.latest_first(wanted.pod)
-        since = wanted.since
-        begin = None if since is None else self.clock() + self.epoch - since
-        for slot, number in latest_first:
-            entry = self._read(slot, number)
-            yield entry if entry and wanted.matches(entry, begin) else None
+        newest_first = self.index.newest_first(entry_filter.endpoint)
+        since = entry_filter.since
+        earliest = None if since is None else self.clock() + self.epoch - since
+        for slot, number in newest_first:
+            entry = self._read_entry(slot, number)
+            yield entry if entry and entry_filter.matches(entry, earliest) else None
 
     def tally_report(self) -> dict[str, Any]:
         """Returns sums over all transactions, recorded or not."""
-        return self.tallies.shown()
+        return self.tallies.report()
 
     def retention_report(self) -> dict[str, Any]:
         """Returns what is kept, with rate of entries and retention in seconds of each region."""
         now = self.clock()
         regions = []
         for region in self.regions.values():
-            rate = region.rate.total(now) / (RATE_SPAN // TICKS_PER_SECOND)
+            rate = region.rate.total(now) / (RATE_WINDOW // TICKS_PER_SECOND)
             regions.append(
                 {
-                    "region": region.title(),
+                    "region": region.display_name(),
                     "slots": region.slots,
-                    "used": region.used,
+                    "used": region.used_slots,
                     "a_second": round(rate, 2),
                     "stays_s": round(region.slots / rate) if rate else None,
                 }
--- a/thymeknot/decision_log/regions.py
+++ b/thymeknot/decision_log/regions.py
@@ -20,15 +20,15 @@
 
 VOTES: Final = "votes"
 ORDINARY: Final = "ordinary"
-VOTES_PART: Final = 0.05
+VOTES_SHARE: Final = 0.05
 """Part of all slots for votes: they are few, and explain a whole release."""
-UNUSUAL_PART: Final = 0.6
+UNUSUAL_SHARE: Final = 0.6
 """Part of a class's slots for its unusual transactions: these are asked for more often."""
 MIN_REGION_SLOTS: Final = 8
 """Of every region, however little its class is worth."""
 MAX_REQUEST_CLASSES: Final = 64
 """That have regions of their own, so that these stay large enough to be of use."""
-RATE_SPAN: Final[Ticks] = 60 * TICKS_PER_SECOND
+RATE_WINDOW: Final[Ticks] = 60 * TICKS_PER_SECOND
 """The time over which the rate of new entries is counted."""
 RATE_BUCKETS: Final = 12
 """Of five seconds each."""
@@ -37,7 +37,7 @@
 class Extent(NamedTuple):
     """Where a region lies."""
 
-    first: int
+    first_slot: int
     """Its first slot."""
     slots: int
 
@@ -49,24 +49,34 @@
 
     Request classes beyond MAX_REQUEST_CLASSES get no region of their own.
     """
-    known = list(request_classes.values())[:MAX_REQUEST_CLASSES]
-    parts = _parts(
+    with_regions = list(request_classes.values())[:MAX_REQUEST_CLASSES]
+    shares = _region_shares(
         settings,
-        [one for one in known if one.idempotency != Idempotency.IDEMPOTENT],
-        [one for one in known if one.idempotency == Idempotency.IDEMPOTENT],
+        [
+            request_class
+            for request_class in with_regions
+            if request_class.idempotency != Idempotency.IDEMPOTENT
+        ],
+        [
+            request_class
+            for request_class in with_regions
+            if request_class.idempotency == Idempotency.IDEMPOTENT
+        ],
     )
-    free = slots - MIN_REGION_SLOTS * len(parts)
-    first = 0
-    found = {}
-    for key, part in parts.items():
-        count = MIN_REGION_SLOTS + int(free * part)
-        found[key] = Extent(first, count)
-        first += count
-    return found
-
-
-def _parts(
-    settings: DecisionLogSettings, costly: Sequence[RequestClass], cheap: Sequence[RequestClass]
+    divisible_slots = slots - MIN_REGION_SLOTS * len(shares)
+    first_slot = 0
+    extents = {}
+    for key, share in shares.items():
+        count = MIN_REGION_SLOTS + int(divisible_slots * share)
+        extents[key] = Extent(first_slot, count)
+        first_slot += count
+    return extents
+
+
+def _region_shares(
+    settings: DecisionLogSettings,
+    non_idempotent: Sequence[RequestClass],
+    idempotent: Sequence[RequestClass],
 ) -> dict[RegionKey, float]:
     """Returns the part of the slots for each region.
 
@@ -75,32 +85,35 @@
         costly: Classes that are not idempotent.
         cheap: Idempotent classes.
     """
-    parts: dict[RegionKey, float] = {
-        VOTES: VOTES_PART,
-        ORDINARY: settings.ordinary if cheap else 0.0,
+    shares: dict[RegionKey, float] = {
+        VOTES: VOTES_SHARE,
+        ORDINARY: settings.ordinary if idempotent else 0.0,
     }
-    rest = 1.0 - sum(parts.values())
-    if not costly:
-        costly_part = 0.0
-    elif not cheap:
-        costly_part = rest
+    remaining = 1.0 - sum(shares.values())
+    if not non_idempotent:
+        non_idempotent_share = 0.0
+    elif not idempotent:
+        non_idempotent_share = remaining
     else:
-        costly_part = min(rest, settings.costly)
-    for request_class, weight in _weights(costly):
-        part = costly_part * weight
-        parts[request_class, True] = part * UNUSUAL_PART
-        parts[request_class, False] = part * (1 - UNUSUAL_PART)
-    for request_class, weight in _weights(cheap):
-        parts[request_class, True] = (rest - costly_part) * weight
-    return parts
+        non_idempotent_share = min(remaining, settings.costly)
+    for request_class, weight in _normalized_weights(non_idempotent):
+        share = non_idempotent_share * weight
+        shares[request_class, True] = share * UNUSUAL_SHARE
+        shares[request_class, False] = share * (1 - UNUSUAL_SHARE)
+    for request_class, weight in _normalized_weights(idempotent):
+        shares[request_class, True] = (remaining - non_idempotent_share) * weight
+    return shares
 
 
-def _weights(request_classes: Sequence[RequestClass]) -> list[tuple[str, float]]:
+def _normalized_weights(request_classes: Sequence[RequestClass]) -> list[tuple[str, float]]:
     """Returns each class's name and its part of what all of them are worth."""
-    total = sum(one.priority_weight for one in request_classes)
+    total = sum(request_class.priority_weight for request_class in request_classes)
     return [
-        (one.name, one.priority_weight / total if total else 1 / len(request_classes))
-        for one in request_classes
+        (
+            request_class.name,
+            request_class.priority_weight / total if total else 1 / len(request_classes),
+        )
+        for request_class in request_classes
     ]
 
 
@@ -116,26 +129,26 @@
         rate: New entries over the last RATE_SPAN.
     """
 
-    def __init__(self, key: RegionKey, first: int, slots: int) -> None:
+    def __init__(self, key: RegionKey, first_slot: int, slots: int) -> None:
         self.key = key
-        self.first = first
+        self.first_slot = first_slot
         self.slots = slots
-        self.used = 0
+        self.used_slots = 0
         self.eviction = FairEviction()
-        self.rate = SlidingWindow(RATE_SPAN, RATE_BUCKETS)
+        self.rate = SlidingWindow(RATE_WINDOW, RATE_BUCKETS)
 
-    def place(self, holder: Holder) -> tuple[int, bool]:
+    def take_slot(self, holder: Holder) -> tuple[int, bool]:
         """Returns a slot for one more entry of this holder, and whether it was in use."""
-        full = self.used == self.slots
-        if full:
+        is_full = self.used_slots == self.slots
+        if is_full:
             slot = self.eviction.evict()
         else:
-            slot = self.first + self.used
-            self.used += 1
+            slot = self.first_slot + self.used_slots
+            self.used_slots += 1
         self.eviction.add(holder, slot)
-        return slot, full
+        return slot, is_full
 
-    def title(self) -> str:
+    def display_name(self) -> str:
         """Returns its name for a person."""
         if isinstance(self.key, str):
             return self.key
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -20,7 +20,7 @@
 HEADER_BYTES = 4096
 # Magic, version, bytes of a slot, number of slots; a checksum follows.
 HEADER_FIELDS = struct.Struct("<8sIIQ")
-STORED_HEADER_BYTES = HEADER_FIELDS.size + CHECKSUM_BYTES
+CHECKED_HEADER_BYTES = HEADER_FIELDS.size + CHECKSUM_BYTES
 # The file is readable by its owner alone: it holds keys and tenants.
 FILE_MODE = 0o600
 
@@ -45,11 +45,11 @@
 
     entries: list[StoredEntry]
     """In the order of the slots."""
-    torn: int
+    torn_slots: int
     """How many slots hold something that is not a complete entry."""
 
 
-def _log_nothing(event: str, **fields: Any) -> None:
+def _ignore_event(event: str, **fields: Any) -> None:
     pass
 
 
@@ -63,7 +63,7 @@
     """
 
     def __init__(
-        self, slots: int, path: Optional[str] = None, say: LogEvent = _log_nothing
+        self, slots: int, path: Optional[str] = None, log_event: LogEvent = _ignore_event
     ) -> None:
         """Opens or makes the file.
 
@@ -76,55 +76,57 @@
         self.path = path
         self.memory: Union[bytearray, mmap.mmap]
         if path is None:
-            self.memory = self._in_memory()
+            self.memory = self._allocate_memory()
             return
         try:
-            self.memory = self._mapped(path, say)
+            self.memory = self._map_file(path, log_event)
         except OSError as error:  # a full disk or a path that can't be written: kept in memory
-            say("decision log in memory", error=os.strerror(error.errno or 0), path=path)
+            log_event("decision log in memory", error=os.strerror(error.errno or 0), path=path)
             self.path = None
-            self.memory = self._in_memory()
+            self.memory = self._allocate_memory()
 
-    def _size(self) -> int:
+    def _file_size(self) -> int:
         return HEADER_BYTES + self.slots * SLOT_BYTES
 
-    def _in_memory(self) -> bytearray:
-        memory = bytearray(self._size())
-        memory[:STORED_HEADER_BYTES] = self._header()
+    def _allocate_memory(self) -> bytearray:
+        memory = bytearray(self._file_size())
+        memory[:CHECKED_HEADER_BYTES] = self._header()
         return memory
 
     def _header(self) -> bytes:
         fields = HEADER_FIELDS.pack(MAGIC, VERSION, SLOT_BYTES, self.slots)
         return fields + crc32(fields).to_bytes(CHECKSUM_BYTES, "little")
 
-    def _mapped(self, path: str, say: LogEvent) -> mmap.mmap:
-        size = self._size()
+    def _map_file(self, path: str, log_event: LogEvent) -> mmap.mmap:
+        size = self._file_size()
         os.makedirs(os.path.dirname(os.path.abspath(path)), exist_ok=True)
         if os.path.exists(path):
-            self._set_aside_unless_usable(path, say)
-        fresh = not os.path.exists(path)
+            self._rename_unless_usable(path, log_event)
+        is_new = not os.path.exists(path)
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
-            if fresh:
+            if is_new:
                 # Its blocks are allocated now: with a disk that fills later, writing to a mapped
                 # hole would end the process by a signal.
                 os.posix_fallocate(descriptor, 0, size)
                 os.pwrite(descriptor, self._header(), 0)
             return mmap.mmap(descriptor, size)
         except OSError:
-            if fresh:
+            if is_new:
                 os.unlink(path)
             raise
         finally:
             os.close(descriptor)
 
-    def _set_aside_unless_usable(self, path: str, say: LogEvent) -> None:
+    def _rename_unless_usable(self, path: str, log_event: LogEvent) -> None:
         header = _stored_header(path)
-        if header == self._header() and os.path.getsize(path) == self._size():
+        if header == self._header() and os.path.getsize(path) == self._file_size():
             return
-        aside = f"{path}.aside"
-        os.replace(path, aside)
-        say("decision log set aside", path=aside, because=_mismatch(header, self.slots))
+        renamed_path = f"{path}.aside"
+        os.replace(path, renamed_path)
+        log_event(
+            "decision log set aside", path=renamed_path, because=_mismatch_text(header, self.slots)
+        )
 
     def write(self, slot: int, content: bytes) -> None:
         """Writes a packed entry, its checksum last: that of a torn write does not fit."""
@@ -146,15 +148,15 @@
     def read_all(self) -> Contents:
         """Reads all slots."""
         entries = []
-        torn = 0
+        torn_slots = 0
         for slot in range(self.slots):
             stored = self.read(slot)
             if stored:
                 entries.append(StoredEntry(slot, stored.number, stored.entry))
             else:
                 begin = HEADER_BYTES + slot * SLOT_BYTES
-                torn += any(self.memory[begin : begin + SLOT_HEADER.size])
-        return Contents(entries, torn)
+                torn_slots += any(self.memory[begin : begin + SLOT_HEADER.size])
+        return Contents(entries, torn_slots)
 
     def close(self) -> None:
         """Closes the mapping, if there is one."""
@@ -164,12 +166,12 @@
 
 def _stored_header(path: str) -> bytes:
     with open(path, "rb") as source:
-        return source.read(STORED_HEADER_BYTES)
+        return source.read(CHECKED_HEADER_BYTES)
 
 
-def _header_fault(header: bytes) -> Optional[str]:
+def _header_error(header: bytes) -> Optional[str]:
     """Says why a stored header can't be read by this version; None if it can."""
-    if len(header) < STORED_HEADER_BYTES or header[: len(MAGIC)] != MAGIC:
+    if len(header) < CHECKED_HEADER_BYTES or header[: len(MAGIC)] != MAGIC:
         return "no record"
     fields = header[: HEADER_FIELDS.size]
     if crc32(fields) != int.from_bytes(header[HEADER_FIELDS.size :], "little"):
@@ -180,17 +182,17 @@
     return None
 
 
-def _slot_count(header: bytes) -> int:
+def _stored_slot_count(header: bytes) -> int:
     count: int = HEADER_FIELDS.unpack(header[: HEADER_FIELDS.size])[3]
     return count
 
 
-def _mismatch(header: bytes, slots: int) -> str:
+def _mismatch_text(header: bytes, slots: int) -> str:
     """Says why a file with this header is not one of so many slots."""
-    fault = _header_fault(header)
-    if fault is not None:
-        return fault
-    count = _slot_count(header)
+    error_text = _header_error(header)
+    if error_text is not None:
+        return error_text
+    count = _stored_slot_count(header)
     return f"{count} slots, {slots} are set" if count != slots else "another size"
 
 
@@ -202,10 +204,10 @@
         OSError: It can't be read.
     """
     header = _stored_header(path)
-    fault = _header_fault(header)
-    if fault is not None:
-        raise SlotFileError(f"{path}: {fault}")
-    slot_file = SlotFile(_slot_count(header))
+    error_text = _header_error(header)
+    if error_text is not None:
+        raise SlotFileError(f"{path}: {error_text}")
+    slot_file = SlotFile(_stored_slot_count(header))
     slot_file.path = path
     with open(path, "rb") as source:
         content = source.read(len(slot_file.memory))
