--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -110,7 +110,7 @@
         found = self.read(Entry(*self.ENTRY[:6], 998, 1000, [[999, 10, "s-1"]]))
         lines = explain_entry(found.entry)
         self.assertIn("reason_998 after", lines[0])
-        self.assertIn("REASON_999, as another version tells it: ['s-1']", lines[1])
+        self.assertIn("REASON_999, from another version: ['s-1']", lines[1])
         self.assertIsNone(self.read(Entry(*self.ENTRY, [[]])))
         self.assertIsNone(self.read(Entry(*self.ENTRY, [["x", 0]])))
 
@@ -249,13 +249,16 @@
         with open(self.path, "r+b") as target:
             target.write(b"no record at all")
         arena = SlotFile(5, self.path, self.say)
-        self.assertEqual([because for _, because in self.said], ["3 slots, 5 are set", "no record"])
+        self.assertEqual(
+            [because for _, because in self.said],
+            ["3 slots, configured are 5", "not a decision log"],
+        )
         self.assertEqual(arena.read_all(), ([], 0))
         with open(self.path, "r+b") as target:
             target.seek(8)
             target.write(b"\7")
         SlotFile(5, self.path, self.say)
-        self.assertEqual(self.said[-1], ("decision log set aside", "damaged head"))
+        self.assertEqual(self.said[-1], ("decision log set aside", "corrupt header"))
         for bad in (os.path.join(self.path, "below a file"), "/proc/none/n1.why"):
             self.assertIsNone(SlotFile(3, bad, self.say).path)
         self.assertEqual(self.said[-1][0], "decision log in memory")
@@ -397,9 +400,7 @@
         said = command("why", "--file", os.path.join(running.folder.name, "kept", "n1.why"), "03")
         self.assertIn("answered: abandoned", said.stdout, said.stderr)
         said = command("check", NODE_CONFIG=running.path, THYMEKNOT_OPERATOR=running.operator)
-        self.assertEqual(
-            (said.returncode, said.stdout), (0, "both files can be used\n"), said.stderr
-        )
+        self.assertEqual((said.returncode, said.stdout), (0, "both files are valid\n"), said.stderr)
         said = command("--operator", running.path, "check", NODE_CONFIG="/nowhere")
         self.assertEqual((said.returncode, len(said.stderr.splitlines())), (2, 2), said.stderr)
         self.assertEqual(len(SETTINGS["categories"]), 3)
--- a/thymeknot/cli/__init__.py
+++ b/thymeknot/cli/__init__.py
@@ -1,1 +1,4 @@
-"""The command line: a module for each group of commands. Imported only when there are words."""
+"""The command line, with a module for each group of commands.
+
+It is imported only if the program is started with arguments.
+"""
--- a/thymeknot/cli/coordination_commands.py
+++ b/thymeknot/cli/coordination_commands.py
@@ -1,4 +1,4 @@
-"""Commands to the fleet's coordination, sent to the Raft nodes, and their replies in words."""
+"""Sends commands of the `fleet` group to the Raft nodes and formats their replies."""
 
 import os
 import secrets
@@ -16,33 +16,33 @@
 
 
 class ExitCode(IntEnum):
-    """Of the `fleet` commands."""
+    """The exit codes of the `fleet` commands."""
 
     DONE = 0
     REFUSED = 1
     INVALID = 2
-    """Words or files that can't be used."""
+    """Invalid arguments or files."""
     UNREACHABLE = 3
-    """No node answers."""
+    """No node responded."""
 
 
 class CoordinationCommandError(ValueError):
-    """The operator's file can't be used for this; the text says why."""
+    """The operator file can't be used for `fleet` commands; the message says why."""
 
 
 class CommandResult(NamedTuple):
-    """What became of a command."""
+    """The result of a command."""
 
     code: ExitCode
     reply: dict[str, Any]
-    """The nodes' reply, or one of the same form that says what went wrong."""
+    """The nodes' reply, or a reply of the same form that describes the error."""
 
 
 def create_client(path: Optional[str]) -> BlockingClient:
-    """Returns a client with the name and key of an operator's file.
+    """Returns a client with the identity that is configured in an operator file.
 
     Raises:
-        CoordinationCommandError: The file can't be used, or has no `fleet`.
+        CoordinationCommandError: The file is invalid or has no `fleet` section.
     """
     try:
         section = loader.load(path).get("fleet") if path else None
@@ -50,7 +50,7 @@
         raise CoordinationCommandError("\n".join(str(fault) for fault in error.faults)) from None
     if path is None or section is None:
         raise CoordinationCommandError(
-            "an operator's file with `fleet` says who the keepers are: --operator FILE"
+            "the keepers must be listed in the `fleet` section of an operator file: --operator FILE"
         )
     settings = loader.record(CoordinationSettings, section)
     try:
@@ -61,7 +61,8 @@
         parts.identity,
         parts.ring,
         {member.name: member.address for member in settings.keepers},
-        # Its own for each call: two operators at one instance must not end each other's.
+        # A new session id for each call: two operators with the same identity must not end each
+        # other's session.
         f"op-{secrets.token_hex(6)}",
         time.time_ns() // 1_000_000,
     )
@@ -70,16 +71,16 @@
 def send_command(
     path: Optional[str], command: dict[str, Any], is_read: bool, timeout_seconds: float
 ) -> CommandResult:
-    """Sends a command, or a read that changes nothing, and waits for the reply.
+    """Sends a command and waits for the reply.
 
     Args:
-        path: The operator's file.
-        command: Its fields.
-        is_read: Whether it is a read.
-        timeout_seconds: Seconds to wait.
+        path: The path of the operator file.
+        command: The fields of the command.
+        is_read: Whether the command changes nothing.
+        timeout_seconds: The maximum time to wait.
 
     Raises:
-        CoordinationCommandError: The operator's file can't be used.
+        CoordinationCommandError: The operator file can't be used.
     """
     client = create_client(path)
     try:
@@ -88,7 +89,7 @@
         else:
             reply = client.propose({"part": "turns", **command}, timeout_seconds)
     except NoAnswerError as error:
-        text = f"{error}; it may have been carried out: look at the status"
+        text = f"{error}; the command may have been executed: check the status"
         return CommandResult(ExitCode.UNREACHABLE, _refusal_reply(text))
     except message_codec.MessageError as error:
         return CommandResult(ExitCode.INVALID, _refusal_reply(str(error)))
@@ -102,19 +103,19 @@
 
 
 def reply_lines(reply: Mapping[str, Any]) -> list[str]:
-    """Returns a reply in words."""
+    """Formats a reply as lines of text."""
     if "refused" in reply:
         again = reply.get("again")
-        return [reply["refused"] + (f"; again in {_format_seconds(again)} s" if again else "")]
+        return [reply["refused"] + (f"; try again in {_format_seconds(again)} s" if again else "")]
     if "units" in reply and "away" in reply:
         return _status_lines(reply)
     if "halt" in reply:
         bound = _format_seconds(reply["bound"])
-        return [f"halt {reply['halt']} stands; within {bound} s nothing more goes out"]
+        return [f"halt {reply['halt']} is in effect; no further drain starts after {bound} s"]
     if "was" in reply:
-        return [f"over: {reply['was']}"]
+        return [f"ended: {reply['was']}"]
     if "called" in reply:
-        called = ", ".join(reply["called"]) or "none: nothing was out or asked for"
+        called = ", ".join(reply["called"]) or "none: no unit was out or requested"
         return [f"called back: {called}"]
     waiting = f", {reply['waits']}" if "waits" in reply else ""
     return [f"{reply['unit']}: {reply['state']}{waiting}"]
--- a/thymeknot/cli/decision_log_client.py
+++ b/thymeknot/cli/decision_log_client.py
@@ -1,4 +1,4 @@
-"""Asks a running instance's decision log, or a record that was left over."""
+"""Queries the decision log of a running instance or in a file."""
 
 import socket
 from collections.abc import Iterator, Mapping
@@ -7,29 +7,29 @@
 import orjson
 
 ANSWER_TIMEOUT_SECONDS: Final = 10
-"""How long an answer may pause: an instance works on queries beside its traffic."""
+"""The maximum time between lines of an answer; an instance gives traffic priority over queries."""
 UNIX_PREFIX: Final = "unix:"
 
 
 class UnreachableError(Exception):
-    """Nobody answers there, or not in time; the text names the address or file."""
+    """The log can't be queried, or not in time; the message names the address or file."""
 
 
 def query_results(
     address: str, path: Optional[str], query: Mapping[str, Any]
 ) -> Iterator[dict[str, Any]]:
-    """Yields the objects of the answer.
+    """Yields the objects of the answer to a query.
 
     Args:
-        address: `host:port` or `unix:path` of an instance.
-        path: A left-over record, which is asked in place of an instance; None without one.
-        query: The query's fields.
+        address: The address of an instance, `host:port` or `unix:path`.
+        path: The log file to query instead of an instance, or None.
+        query: The fields of the query.
 
     Raises:
-        UnreachableError: With the first object that is missing.
+        UnreachableError: Raised by the iterator if the log can't be read (further).
     """
     if path:
-        # Only here: it needs the decision log's libraries.
+        # Imported here because it requires the libraries of the decision log.
         from .decision_log_file import query_file  # noqa: PLC0415
 
         return query_file(path, query)
--- a/thymeknot/cli/decision_log_commands.py
+++ b/thymeknot/cli/decision_log_commands.py
@@ -1,4 +1,4 @@
-"""The `why` commands: what the decision log knows of transactions."""
+"""The `why` commands, which query the decision log."""
 
 from collections.abc import Callable
 from typing import Any, Final, NamedTuple, Optional
@@ -12,27 +12,27 @@
 SECONDS_BY_UNIT: Final = {"s": 1, "m": 60, "h": 3600, "d": 86400}
 
 CommandFunction = Callable[..., Any]
-"""What click makes a command of."""
+"""A function that click makes a command of."""
 
 
 class QueryTarget(NamedTuple):
-    """What is asked, and how its answer is printed."""
+    """What is queried, and how the answer is printed."""
 
     address: str
-    """Address of an instance."""
+    """The address of an instance."""
     path: Optional[str]
-    """A left-over record, asked in place of the instance."""
+    """A log file to query instead of the instance."""
     as_json: bool
-    """Whether lines of JSON are printed."""
+    """Whether to print lines of JSON."""
 
 
 class IdOrCommandGroup(click.Group):
-    """`why ID` beside `why find ...`: what is no command is an id."""
+    """Accepts `why ID` besides `why find ...`: an unknown command is an id."""
 
     def resolve_command(
         self, ctx: click.Context, args: list[str]
     ) -> tuple[Optional[str], Optional[click.Command], list[str]]:
-        """Takes a first word that is no command for an id."""
+        """Treats a first argument that is not a command as an id."""
         if args and args[0] not in self.commands and not args[0].startswith("-"):
             return "id", self.commands["id"], args
         return super().resolve_command(ctx, args)
@@ -46,24 +46,24 @@
     metavar="ADDRESS",
     envvar="THYMEKNOT_WHY",
     show_default=True,
-    help="where an instance answers: host:port or unix:PATH",
+    help="address of an instance: host:port or unix:PATH",
 )
 @click.option(
     "--file",
     "path",
     type=click.Path(exists=True, dir_okay=False),
-    help="a record that was left over, instead",
+    help="query this log file instead of an instance",
 )
-@click.option("--json", "as_json", is_flag=True, help="lines of JSON")
+@click.option("--json", "as_json", is_flag=True, help="print lines of JSON")
 @click.pass_context
 def why(context: click.Context, address: str, path: Optional[str], as_json: bool) -> None:
-    """Why a transaction (by ID or key) went where it went; what else is known of the latest ones."""  # noqa: E501  the help's own words
+    """Explain how a request (by ID or key) was handled, or query the latest requests."""
     context.obj = QueryTarget(address, path, as_json)
 
 
 @libraries_from(COMMANDS)
 def _run_query(context: click.Context, query: dict[str, Any]) -> None:
-    """Prints what answers, and ends with the code that tells whether anything did."""
+    """Prints the answer; exits with 0 if it has entries, 1 if not, 3 if nobody answers."""
     address, path, as_json = context.obj
     result_count = 0
     try:
@@ -72,7 +72,7 @@
                 raise click.UsageError(line["error"])
             if "end" in line and "id" not in line:
                 if line.get("more"):
-                    click.echo("there are more", err=True)
+                    click.echo("there are more entries", err=True)
                 break
             result_count += 1
             print_object(line, as_json)
@@ -86,7 +86,7 @@
 @click.argument("name")
 @click.pass_context
 def by_id(context: click.Context, name: str) -> None:
-    """One transaction, or all with this key."""
+    """Explain one request, or all requests with this key."""
     _run_query(context, {"ask": "why", "id": name})
 
 
@@ -99,15 +99,15 @@
     try:
         return float(value[:-1] if unit else value) * (unit or 1)
     except ValueError:
-        raise click.BadParameter("a time such as 90s, 15m or 2h") from None
+        raise click.BadParameter("must be a duration such as 90s, 15m or 2h") from None
 
 
 def _filter_options(command: CommandFunction) -> CommandFunction:
     for name, help_text in (
-        ("reason", "a reason's name"),
-        ("pod", "sent to this pod"),
-        ("tenant", "of this tenant"),
-        ("lane", "of this lane"),
+        ("reason", "only entries with this reason"),
+        ("pod", "only entries that were sent to this pod"),
+        ("tenant", "only entries of this tenant"),
+        ("lane", "only entries of this lane"),
     ):
         command = click.option(f"--{name}", help=help_text)(command)
     return command
@@ -115,11 +115,13 @@
 
 @why.command()
 @_filter_options
-@click.option("--since", callback=_parse_duration, help="not longer ago than 90s, 15m, 2h")
+@click.option(
+    "--since", callback=_parse_duration, help="only entries of the last 90s, 15m, 2h, ..."
+)
 @click.option("--limit", type=click.IntRange(1, 10_000), default=50, show_default=True)
 @click.pass_context
 def find(context: click.Context, /, **fields: Any) -> None:
-    """The latest that fit all that is told."""
+    """Print the latest entries that match all options."""
     _run_query(
         context,
         {"ask": "find", **{name: value for name, value in fields.items() if value is not None}},
@@ -129,14 +131,14 @@
 @why.command()
 @click.pass_context
 def tally(context: click.Context) -> None:
-    """Sums over all that ever was: ends, reasons, times, who is turned away most."""
+    """Print counts since the start: responses, reasons, durations and who is rejected most."""
     _run_query(context, {"ask": "tally"})
 
 
 @why.command()
 @click.pass_context
 def kept(context: click.Context) -> None:
-    """What is kept, and for how long at the present rates."""
+    """Print how much is stored and for how long at the current rates."""
     _run_query(context, {"ask": "kept"})
 
 
@@ -144,7 +146,7 @@
 @_filter_options
 @click.pass_context
 def watch(context: click.Context, /, **fields: Any) -> None:
-    """Entries as they are made, until interrupted."""
+    """Print new entries until interrupted."""
     _run_query(
         context,
         {"ask": "watch", **{name: value for name, value in fields.items() if value is not None}},
--- a/thymeknot/cli/decision_log_file.py
+++ b/thymeknot/cli/decision_log_file.py
@@ -1,4 +1,4 @@
-"""Answers queries from a record that some process has left, with no instance running."""
+"""Answers queries from a decision log file without a running instance."""
 
 from collections.abc import Iterator, Mapping
 from typing import Any, Final, Optional
@@ -12,14 +12,14 @@
 from .decision_log_client import UnreachableError
 
 DEFAULT_LIMIT: Final = 10_000
-"""Where the query sets no limit; as many as a query may ask for."""
+"""The limit of a query that sets none; it is the maximum that a query may set."""
 
 
 def query_file(path: str, query: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
-    """Yields the objects of the answer, the latest entry first.
+    """Yields the objects of the answer, newest entry first.
 
     Raises:
-        UnreachableError: The file is no record, or the query is for a running instance.
+        UnreachableError: The file is not a decision log, or only an instance can answer the query.
     """
     try:
         slot_file = load_slot_file(path)
@@ -46,7 +46,9 @@
         case "find":
             return _matches_find(entry, query, newest_at)
         case other:
-            raise UnreachableError(f"{other}: asked of a live instance only")
+            raise UnreachableError(
+                f"{other}: only a running instance can answer this query, not a file"
+            )
 
 
 def _matches_find(entry: Entry, query: Mapping[str, Any], newest_at: Ticks) -> bool:
@@ -56,7 +58,7 @@
         tenant=query.get("tenant"),
         reason=int(Reason[reason.upper()]) if reason else None,
     )
-    # Back from the record's last entry: it may have been left long ago.
+    # Relative to the newest entry, since the file may be old.
     earliest = newest_at - query["since"] * TICKS_PER_SECOND if "since" in query else None
     return entry_filter.matches(entry, earliest) and (
         "pod" not in query or query["pod"] in endpoints_sent_to(entry)
--- a/thymeknot/cli/fleet_commands.py
+++ b/thymeknot/cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The `fleet` commands: who may go out, agreed by all."""
+"""The `fleet` commands, which coordinate drains across the fleet."""
 
 import getpass
 from typing import Any, Optional
@@ -10,24 +10,27 @@
 
 
 @click.group("fleet")
-@click.option("--json", "as_json", is_flag=True, help="the reply as one line of JSON")
+@click.option("--json", "as_json", is_flag=True, help="print the reply as one line of JSON")
 @click.option(
     "--within",
     default=10.0,
     show_default=True,
     type=click.FloatRange(0.1, 600),
-    help="seconds to wait",
+    help="maximum time to wait, in seconds",
 )
 @click.pass_context
 def fleet(context: click.Context, as_json: bool, within: float) -> None:
-    """Who may go out, agreed by all. The operator's file says where the keepers are and who asks."""  # noqa: E501  the help's own words
+    """Coordinate drains across the fleet.
+
+    The operator file has the keepers' addresses and the identity of the caller.
+    """
     context.obj = context.find_root().obj, as_json, within
 
 
 @libraries_from(COORDINATION)
 def _run_command(context: click.Context, is_read: bool = False, **command: Any) -> None:
-    """Exit codes: 0 done, 1 refused, 2 faulty words or files, 3 no keeper answers."""
-    from . import coordination_commands  # noqa: PLC0415  needs libraries of its own
+    """Runs a command; exits with 0: done, 1: refused, 2: invalid input, 3: no keeper responds."""
+    from . import coordination_commands  # noqa: PLC0415  requires extra libraries
 
     path, as_json, within = context.obj
     try:
@@ -45,10 +48,10 @@
 
 
 @fleet.command("status")
-@click.option("--unit", help="of one alone")
+@click.option("--unit", help="only this unit")
 @click.pass_context
 def fleet_status(context: click.Context, unit: Optional[str]) -> None:
-    """Who is out, by which budget, and what is halted."""
+    """Print which units are out, the disruption budgets and the halts."""
     _run_command(context, True, do="status", unit=unit)
 
 
@@ -56,14 +59,21 @@
 @click.argument("unit")
 @click.option("--urgency", default=0, show_default=True, type=click.IntRange(0, 9))
 @click.option(
-    "--wait/--now", default=True, show_default=True, help="whether to queue where nothing fits"
+    "--wait/--now",
+    default=True,
+    show_default=True,
+    help="queue, or be refused, if the budgets are exhausted",
 )
 @click.option(
-    "--epoch", default=1, show_default=True, type=click.IntRange(0), help="an older one is refused"
+    "--epoch",
+    default=1,
+    show_default=True,
+    type=click.IntRange(0),
+    help="epoch of the request; an older one is refused",
 )
 @click.pass_context
 def fleet_drain(context: click.Context, unit: str, urgency: int, wait: bool, epoch: int) -> None:
-    """Asks that a unit goes out; it does when its budgets have room."""
+    """Request a drain of a unit, which starts when its budgets allow it."""
     _run_command(
         context, do="ask", unit=unit, plan=f"drain:{unit}", epoch=epoch, urgency=urgency, queue=wait
     )
@@ -73,16 +83,16 @@
 @click.argument("unit")
 @click.pass_context
 def fleet_back(context: click.Context, unit: str) -> None:
-    """Brings a unit back, or takes back that it was asked to go."""
+    """Return a unit to service, or withdraw its drain request."""
     _run_command(context, do="back", unit=unit)
 
 
 @fleet.command("halt")
 @click.argument("why")
-@click.option("--zone", help="there alone; else everywhere")
+@click.option("--zone", help="only in this zone; default: everywhere")
 @click.pass_context
 def fleet_halt(context: click.Context, why: str, zone: Optional[str]) -> None:
-    """Lets nothing more go out, for a reason given in words."""
+    """Halt further drains, for the given reason."""
     _run_command(
         context, do="halt", by=getpass.getuser(), why=why, where={"zone": zone} if zone else {}
     )
@@ -92,5 +102,5 @@
 @click.argument("halt", type=int)
 @click.pass_context
 def fleet_resume(context: click.Context, halt: int) -> None:
-    """Ends the halt of this number."""
+    """End the halt with this number."""
     _run_command(context, do="resume", halt=halt)
--- a/thymeknot/cli/key_commands.py
+++ b/thymeknot/cli/key_commands.py
@@ -1,4 +1,4 @@
-"""The `keys` commands: keys of gossip's ring."""
+"""The `keys` commands, which manage the keys of the gossip keyring."""
 
 import click
 
@@ -7,7 +7,7 @@
 
 @click.group("keys")
 def keys() -> None:
-    """Keys of gossip's ring."""
+    """Manage keys of the gossip keyring."""
 
 
 @keys.command("new")
@@ -16,8 +16,8 @@
 @click.pass_context
 @libraries_from(GOSSIP)
 def keys_new(context: click.Context, name: str, file: str) -> None:
-    """Makes a key and prints its record for the ring."""
-    from ..gossip import keys as ring  # noqa: PLC0415  needs libraries of its own
+    """Create a key and print its keyring entry."""
+    from ..gossip import keys as ring  # noqa: PLC0415  requires extra libraries
 
     context.exit(ring.main(["new", name, file]))
 
@@ -28,7 +28,7 @@
 @click.pass_context
 @libraries_from(GOSSIP)
 def keys_show(context: click.Context, name: str, file: str) -> None:
-    """Prints the record of a key there is."""
-    from ..gossip import keys as ring  # noqa: PLC0415  needs libraries of its own
+    """Print the keyring entry of an existing key."""
+    from ..gossip import keys as ring  # noqa: PLC0415  requires extra libraries
 
     context.exit(ring.main(["show", name, file]))
--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -1,4 +1,4 @@
-"""The `lab` commands: fleets and their failures in simulated time."""
+"""The `lab` commands, which simulate fleets and their failures."""
 
 import os
 from collections.abc import Callable
@@ -10,25 +10,27 @@
 from .output import json_line
 
 CommandFunction = Callable[..., Any]
-"""What click makes a command of."""
+"""A function that click makes a command of."""
 
 
 @click.group("lab")
 def lab() -> None:
-    """The laboratory: fleets and their failures in simulated time."""
+    """Simulate fleets and their failures."""
 
 
 def _size_options(command: CommandFunction) -> CommandFunction:
     for name, default, help_text in (
-        ("seconds", 40, "of the day"),
-        ("rate", 400.0, "transactions a second"),
-        ("pods", 24, "pods"),
-        ("instances", 40, "sidecars"),
+        ("seconds", 40, "simulated time of a day"),
+        ("rate", 400.0, "requests per second"),
+        ("pods", 24, "number of pods"),
+        ("instances", 40, "number of sidecars"),
     ):
         command = click.option(f"--{name}", default=default, show_default=True, help=help_text)(
             command
         )
-    command = click.option("--seed", default=1, show_default=True, help="the first day's")(command)
+    command = click.option("--seed", default=1, show_default=True, help="seed of the first day")(
+        command
+    )
     return command
 
 
@@ -39,8 +41,8 @@
 )
 @libraries_from(LABORATORY)
 def lab_run(seed: int, policy: str, **size: int) -> None:
-    """Plays one day and prints its figures."""
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Simulate one day and print its figures."""
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
     try:
         click.echo(json_line(experiments.played((policy, seed, size))))
@@ -54,15 +56,16 @@
 @_size_options
 @click.option("--days", default=8, show_default=True)
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
-@click.option(
-    "--keep", type=click.Path(), help="a file of results; one that stands there is gone on with"
-)
+@click.option("--keep", type=click.Path(), help="file of results; an existing one is continued")
 @libraries_from(LABORATORY)
 def lab_compare(
     *, one: str, two: str, seed: int, days: int, workers: int, keep: Optional[str], **size: int
 ) -> None:
-    """Two policies on the same days: the difference with its interval, and the least that could be seen."""  # noqa: E501  the help's own words
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Compare two policies on the same days.
+
+    Prints the differences with their confidence intervals and the smallest detectable difference.
+    """
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
     with click.progressbar(
         length=2 * days, label="days", file=click.get_text_stream("stderr")
@@ -83,7 +86,7 @@
         click.echo(
             f"{name:10} {one} - {two}: {difference.mean:+.4f}"
             f"  [{difference.low:+.4f}, {difference.high:+.4f}]  "
-            f"least seen {difference.least:.4f}, {difference.pairs} days"
+            f"smallest detectable {difference.least:.4f}, {difference.pairs} days"
         )
     click.echo(f"rules broken: {broken or 'none'}")
 
@@ -95,9 +98,9 @@
     "--kinds",
     default="herd,zone",
     show_default=True,
-    help="of calm, roll, herd, zone, split, join, overload",
+    help="some of calm, roll, herd, zone, split, join, overload",
 )
-@click.option("--days", default=4, show_default=True, help="of each kind")
+@click.option("--days", default=4, show_default=True, help="number of days of each kind")
 @click.option("--instances", default=60, show_default=True)
 @click.option("--pods", default=36, show_default=True)
 @click.option("--seed", default=1, show_default=True)
@@ -106,8 +109,8 @@
 def lab_fleet(
     *, one: str, two: str, kinds: str, days: int, instances: int, pods: int, seed: int, workers: int
 ) -> None:
-    """Two policies on the same days of a whole fleet: two less one with its interval."""
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Compare two policies on the same days of a large fleet: TWO minus ONE, with intervals."""
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
     chosen = _parse_kinds(kinds)
     with click.progressbar(
@@ -129,12 +132,13 @@
 
 
 def _parse_kinds(text: str) -> list[str]:
-    from ..simulation import large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
+    from ..simulation import large_fleet_scenarios  # noqa: PLC0415  requires extra libraries
 
     unknown = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
     if unknown:
         raise click.UsageError(
-            f"{', '.join(unknown)}: none of {', '.join(large_fleet_scenarios.KINDS)}"
+            f"unknown kind {', '.join(unknown)},"
+            f" must be one of {', '.join(large_fleet_scenarios.KINDS)}"
         )
     return text.split(",")
 
@@ -143,7 +147,7 @@
 @click.argument("folder", type=click.Path(file_okay=False))
 @click.option("--kind", default="herd", show_default=True)
 @click.option(
-    "--policy", "names", multiple=True, default=("now",), show_default=True, help="again for each"
+    "--policy", "names", multiple=True, default=("now",), show_default=True, help="may be repeated"
 )
 @click.option("--instances", default=60, show_default=True)
 @click.option("--pods", default=36, show_default=True)
@@ -152,11 +156,11 @@
 def lab_report(
     *, folder: str, kind: str, names: tuple[str, ...], instances: int, pods: int, seed: int
 ) -> None:
-    """A page with pictures of one day of a fleet, played with each policy, in FOLDER."""
-    from ..simulation import experiments, large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
+    """Write a page with charts of one day of a fleet with each policy to FOLDER."""
+    from ..simulation import experiments, large_fleet_scenarios  # noqa: PLC0415  extra libraries
 
     _parse_kinds(kind)
-    from ..simulation import report  # noqa: PLC0415  needs libraries of its own
+    from ..simulation import report  # noqa: PLC0415  requires extra libraries
 
     try:
         policies = {name: experiments.policy(name) for name in names}
@@ -172,8 +176,8 @@
 @click.option("--against", default="random", show_default=True)
 @libraries_from(LABORATORY)
 def lab_search(seed: int, days: int, against: str, **size: int) -> None:
-    """The days on which the module does worst beside another policy, shrunk to what matters."""
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Find the days with the worst results compared to another policy, reduced to the cause."""
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
     for one in experiments.searched(
         "now", range(seed, seed + days), size, os.cpu_count() or 1, against
--- a/thymeknot/cli/load_commands.py
+++ b/thymeknot/cli/load_commands.py
@@ -1,4 +1,4 @@
-"""The `load` command: open-loop load on a sidecar."""
+"""The `load` command, an open-loop load generator for a sidecar."""
 
 from typing import Any, Final
 
@@ -10,7 +10,7 @@
 
 TICKS_PER_MILLISECOND: Final = 10
 KEY_COUNT: Final = 10_000
-"""Of the requests: enough that hardly any two in flight share one."""
+"""The number of different keys: enough that requests in flight rarely share one."""
 
 
 @click.command("load")
@@ -20,17 +20,21 @@
     default="127.0.0.1:6379",
     metavar="ADDRESS",
     show_default=True,
-    help="a sidecar",
+    help="address of the sidecar",
 )
 @click.option(
     "--rate",
     default=100.0,
     show_default=True,
     type=click.FloatRange(0.01),
-    help="requests a second; of a ramp, the first",
+    help="requests per second; the initial rate of a ramp",
 )
 @click.option(
-    "--seconds", default=10, show_default=True, type=click.IntRange(1, 3600), help="of a stretch"
+    "--seconds",
+    default=10,
+    show_default=True,
+    type=click.IntRange(1, 3600),
+    help="duration of a measurement",
 )
 @click.option(
     "--lane",
@@ -39,21 +43,27 @@
     default=("read=1",),
     show_default=True,
     metavar="NAME=SHARE[,KIND]",
-    help="read, write or marked; again for each lane",
+    help="KIND: read, write or marked; may be repeated",
 )
 @click.option(
     "--lines",
     default=64,
     show_default=True,
     type=click.IntRange(1, 20_000),
-    help="connections at most",
+    help="maximum number of connections",
+)
+@click.option("--patience", default=2.0, show_default=True, help="client timeout, in seconds")
+@click.option(
+    "--goal-ms", default=50.0, show_default=True, help="latency objective at the quantile"
 )
-@click.option("--patience", default=2.0, show_default=True, help="seconds that a client waits")
-@click.option("--goal-ms", default=50.0, show_default=True, help="of the quantile")
 @click.option("--quantile", default=0.99, show_default=True, type=click.FloatRange(0.5, 0.9999))
-@click.option("--not-done", default=0.01, show_default=True, help="share that may end otherwise")
 @click.option(
-    "--ramp", is_flag=True, help="climb until the goal fails; tells the highest rate held"
+    "--not-done", default=0.01, show_default=True, help="maximum share of unsuccessful requests"
+)
+@click.option(
+    "--ramp",
+    is_flag=True,
+    help="raise the rate until the objective fails; print the highest rate that met it",
 )
 @click.option("--seed", default=1, show_default=True)
 @click.option("--protocol", default="resp2", show_default=True, type=click.Choice(["resp2"]))
@@ -69,14 +79,17 @@
     ramp: bool,
     **options: Any,
 ) -> None:
-    """Sends at its own times whatever the answers do. Latencies count from when a request was due."""  # noqa: E501  the help's own words
-    from ..load_generator import run, schedule  # noqa: PLC0415  needs libraries of its own
+    """Send requests on a schedule that does not depend on the responses (open loop).
+
+    Latencies are measured from the time at which a request was scheduled.
+    """
+    from ..load_generator import run, schedule  # noqa: PLC0415  requires extra libraries
 
     host, _, port = address.rpartition(":")
     try:
         request_classes = [schedule.lane(one) for one in lanes]
         if not port.isdigit():
-            raise schedule.ScheduleError(f"{address}: HOST:PORT")
+            raise schedule.ScheduleError(f"--at {address}: must be HOST:PORT")
     except schedule.ScheduleError as error:
         raise click.UsageError(str(error)) from None
     ramp_state = schedule.Ramp(options["rate"]) if ramp else None
--- a/thymeknot/cli/log_commands.py
+++ b/thymeknot/cli/log_commands.py
@@ -1,4 +1,4 @@
-"""The `logs` command: what the logs of a fleet say together."""
+"""The `logs` command, which summarizes the logs of a fleet."""
 
 from collections.abc import Sequence
 from typing import BinaryIO
@@ -16,11 +16,11 @@
     default=5.0,
     show_default=True,
     type=click.FloatRange(0.1),
-    help="seconds of a stretch",
+    help="length of an interval, in seconds",
 )
-@click.option("--json", "as_json", is_flag=True, help="lines of JSON")
+@click.option("--json", "as_json", is_flag=True, help="print lines of JSON")
 def logs(files: Sequence[BinaryIO], every: float, as_json: bool) -> None:
-    """What the logs of a fleet say together: a FILE for each sidecar."""
+    """Summarize the logs of a fleet, with a FILE for each sidecar."""
     summary = Summary(every)
     for file in files:
         for line in file:
--- a/thymeknot/cli/log_summary.py
+++ b/thymeknot/cli/log_summary.py
@@ -1,7 +1,6 @@
-"""Sums up the logs of a fleet: why requests were rejected, how votes fared, what faulted, and when.
+"""Summarizes the logs of a fleet: rejections, votes, errors and streams, in total and over time.
 
-Lines come in, counts go out. Memory is bounded by the events' closed tables and by the numbers of
-stretches of time and of sidecars.
+Memory is bounded by the fixed set of events and by the numbers of intervals and sidecars.
 """
 
 from collections import Counter
@@ -13,27 +12,27 @@
 from ..service.log_events import CURRENT_NAMES
 
 MAX_BUSIEST_SIDECARS: Final = 5
-"""Sidecars that are named."""
+"""The number of sidecars with the most rejections that are listed."""
 MAX_INTERVALS: Final = 10_000
-"""Stretches of time that are kept; what is later counts in the last one."""
+"""The maximum number of intervals; later events are counted in the last one."""
 VERDICT_NAMES: Final = ("none", "on", "hold", "back")
-"""By the number that a vote's event carries."""
+"""The verdicts by their number in the event of a vote."""
 
 Event = dict[str, Any]
-"""A logged event's fields, with `event` (its name) and `at` (Unix time in seconds)."""
+"""The fields of a log event, with `event` (its name) and `at` (Unix time in seconds)."""
 
 
 class Interval(NamedTuple):
-    """A stretch of time in which something happened."""
+    """An interval with at least one event."""
 
     begin: float
-    """Seconds since the first event."""
+    """Start of the interval, in seconds since the first event."""
     counts: dict[str, int]
-    """The most frequent first."""
+    """The counts by kind of event, highest first."""
 
 
 def parse_event(line: bytes) -> Optional[Event]:
-    """Returns the event of a log line, whatever stands before it; None if there is none."""
+    """Returns the event in a log line, ignoring any prefix; None if there is none."""
     begin = line.find(b"{")
     if begin < 0:
         return None
@@ -51,12 +50,12 @@
 
 
 class Summary:
-    """Counts over the lines that it is fed.
+    """Counts the events in log lines.
 
     Attributes:
-        stretch_seconds: How long a stretch of time is.
-        stretch_counts: The counts of each stretch, by its place in time.
-        unread: Lines that hold no event.
+        interval_seconds: The length of an interval.
+        interval_counts: The counts of each interval, by its number since the Unix epoch.
+        unreadable_lines: The number of lines without an event.
     """
 
     def __init__(self, interval_seconds: float = 5.0) -> None:
@@ -73,7 +72,7 @@
         self._streams: Counter[str] = Counter()
 
     def feed(self, sidecar: str, line: bytes) -> None:
-        """Counts a line of a sidecar's log."""
+        """Counts a line from the log of a sidecar."""
         event = parse_event(line)
         if event is None:
             self.unreadable_lines += 1
@@ -85,7 +84,7 @@
             count(self, sidecar, event, self._interval_at(event["at"]))
 
     def _interval_at(self, at: float) -> Counter[str]:
-        """Returns the counts of the stretch in which this was."""
+        """Returns the counts of the interval that contains this time."""
         self._first_at = at if self._first_at is None else min(self._first_at, at)
         number = int(at // self.interval_seconds)
         if number not in self.interval_counts and len(self.interval_counts) >= MAX_INTERVALS:
@@ -104,14 +103,14 @@
     def _count_vote(self, sidecar: str, event: Event, interval: Counter[str]) -> None:
         verdict: Any = event.get("verdict")
         outcome = str(event.get("outcome"))
-        # A float or a bool equals a number of the table and is none.
+        # A float or bool may equal an int, but can't index the table or is not a verdict.
         known = type(verdict) is int and 0 <= verdict < len(VERDICT_NAMES)
         name = VERDICT_NAMES[verdict] if known else "unknown"
         self._votes[f"{name} {outcome}"] += 1
         interval[f"vote {name} {outcome}"] += 1
 
     def _count_stream(self, sidecar: str, event: Event, interval: Counter[str]) -> None:
-        """Counts the end of a stream, and whether the peer had refused the request for it."""
+        """Counts the end of a stream, and whether the peer had refused it."""
         refusals = event.get("refusals")
         end = "refused" if isinstance(refusals, int) and refusals else "ended"
         if event["event"] == "stream silent":
@@ -138,7 +137,7 @@
     }
 
     def figures(self) -> dict[str, Any]:
-        """Returns the sums over all lines."""
+        """Returns the totals over all lines."""
         votes = sum(self._votes.values())
         full = sum(count for name, count in self._votes.items() if name.endswith(" full"))
         return {
@@ -154,7 +153,7 @@
         }
 
     def intervals(self) -> Iterator[Interval]:
-        """Yields each stretch in which something happened, the first one first."""
+        """Yields the intervals with events, oldest first."""
         if self._first_at is None:
             return
         for number in sorted(self.interval_counts):
--- a/thymeknot/cli/main.py
+++ b/thymeknot/cli/main.py
@@ -1,6 +1,6 @@
-"""The command line's root, `serve` and `check`.
+"""The root of the command line, and the commands `serve` and `check`.
 
-Exit codes: 0 done, 1 nothing found, 2 faulty words or files, 3 nobody answers.
+Exit codes: 0: success, 1: nothing found, 2: invalid arguments or files, 3: no response.
 """
 
 import os
@@ -22,11 +22,11 @@
     "--operator",
     metavar="FILE",
     envvar=OPERATOR_FILE_VARIABLE,
-    help="what is switched on beside the configuration",
+    help="operator file with the settings of optional features",
 )
 @click.pass_context
 def thymeknot(context: click.Context, operator: Optional[str]) -> None:
-    """Shifts traffic while a service's software is being replaced. Without a command: serve."""
+    """Shift traffic between builds of a service during a release. The default command is serve."""
     context.obj = operator
     if context.invoked_subcommand is None:
         context.invoke(serve)
@@ -35,8 +35,8 @@
 @thymeknot.command()
 @click.pass_context
 def serve(context: click.Context) -> None:
-    """Serves by the configuration at NODE_CONFIG."""
-    from ..service import lifecycle  # noqa: PLC0415  loads the sidecar
+    """Run the sidecar with the configuration file named by NODE_CONFIG."""
+    from ..service import lifecycle  # noqa: PLC0415  imports the sidecar
 
     context.exit(lifecycle.serve(os.environ, context.find_root().obj))
 
@@ -44,8 +44,8 @@
 @thymeknot.command()
 @click.pass_context
 def check(context: click.Context) -> None:
-    """Reads the configuration and the operator's file and names every fault."""
-    from ..service import configuration, features  # noqa: PLC0415  loads the sidecar
+    """Check the configuration and the operator file, and print all errors."""
+    from ..service import configuration, features  # noqa: PLC0415  imports the sidecar
 
     errors = []
     for load_file in (
@@ -59,7 +59,7 @@
     for error_text in errors:
         click.echo(error_text, err=True)
     if not errors:
-        click.echo("both files can be used")
+        click.echo("both files are valid")
     context.exit(2 if errors else 0)
 
 
--- a/thymeknot/decision_log/entry_codec.py
+++ b/thymeknot/decision_log/entry_codec.py
@@ -1,8 +1,9 @@
-"""The stored form of an entry: one transaction or vote with its reasons, in a slot of fixed size.
+"""The storage format of entries: one request or vote with its reasons, in a slot of fixed size.
 
-A slot holds a checksum of the rest (4 bytes), the content's length (2), the entry's number (8),
-then a MessagePack array; integers are little-endian. A write torn by a kill has a checksum that
-does not fit, so that it is detected and never read as an entry.
+A slot holds a checksum of everything after it (4 bytes), the length of the content (2), the
+sequence number of the entry (8) and the content, a MessagePack array. Integers are little-endian.
+If the process is killed during a write, the checksum does not match, so a torn entry is detected
+and never read.
 """
 
 import struct
@@ -14,50 +15,52 @@
 from ..interface.clock import Ticks
 from ..interface.reasons import Reason
 
-# In bytes; a transaction of four attempts with all its reasons takes some 400.
+# A request with four attempts and all its reasons takes about 400 bytes.
 SLOT_BYTES = 768
-# Checksum, length, number.
+# Checksum, length of the content, sequence number.
 SLOT_HEADER = struct.Struct("<IHQ")
-# What the checksum covers of the header: length, number.
+# The part of the header that the checksum covers: length and sequence number.
 CHECKSUMMED_HEADER = struct.Struct("<HQ")
 CHECKSUM_BYTES = 4
-# Notes of one entry; with more of them the middle is left out.
+# The maximum number of notes in an entry; further ones displace those in the middle.
 MAX_NOTES = 40
-# Elements that each note begins with: the reason's number and the time.
+# The elements of a note before the operands: the reason's number and the elapsed time.
 NOTE_HEADER_LENGTH = 2
-# Characters of an id, key or tenant: longer ones are cut, and found by this prefix alone.
+# The maximum length of an id, key or tenant, in characters. Longer ones are truncated, and are
+# found only by this prefix.
 MAX_TEXT_LENGTH = 64
-# Characters of an id or request class where even an entry without notes does not fit its slot.
+# The length to which an id and request class are truncated, in characters, if an entry does not fit
+# its slot even without notes.
 SHORTENED_TEXT_LENGTH = 16
 
 Note = list[Union[int, float, str, bool, None]]
-"""A reason's number, the time since the transaction was taken, the reason's operands."""
+"""The number of a reason, the time since the request was received, and the reason's operands."""
 
 
 class Entry(Struct, array_like=True, gc=False):
-    """One entry of the record. The order of the fields is stored."""
+    """An entry of the log. It is stored as an array, so the order of the fields is fixed."""
 
     received_at: Ticks
-    """Unix time at which it was taken."""
+    """When the request was received, in Unix time."""
     id: str
     key: Optional[str]
     tenant: Optional[str]
     request_class: str
     is_retry: bool
-    """Whether its client said that it repeats an earlier one."""
+    """Whether the client marked it as a retry."""
     final_reason: int
-    """The reason that names its final answer, or 0 while it is open."""
+    """The reason of the final response, or 0 if there is none yet."""
     duration: Ticks
     notes: list[Note]
     omitted_notes: int = 0
-    """Notes that were left out for want of room."""
+    """The number of notes that were omitted for lack of space."""
 
 
 class NumberedEntry(NamedTuple):
-    """An entry as its slot holds it."""
+    """An entry with its sequence number."""
 
     number: int
-    """Numbers rise with every entry written."""
+    """The sequence number; it increases with every stored entry."""
     entry: Entry
 
 
@@ -66,9 +69,13 @@
 
 
 def pack_slot(entry: Entry, number: int) -> bytes:
-    """Returns the bytes of a slot.
+    """Encodes an entry as the content of a slot.
 
-    Notes that do not fit are left out from the middle, so that beginning and end are kept.
+    If it does not fit, notes are removed from the middle, so that the first and last ones are kept.
+
+    Args:
+        entry: The entry; its notes are removed in place.
+        number: Its sequence number.
     """
     content = _encode(entry)
     while len(content) > SLOT_BYTES - SLOT_HEADER.size:
@@ -98,7 +105,7 @@
 
 
 def unpack_slot(slot: bytes) -> Optional[NumberedEntry]:
-    """Reads a slot; None for what is empty, torn or damaged."""
+    """Decodes a slot; returns None if it is empty, torn or corrupt."""
     checksum, length, number = SLOT_HEADER.unpack_from(slot)
     if not 0 < length <= len(slot) - SLOT_HEADER.size:
         return None
@@ -112,7 +119,7 @@
 
 
 def _has_valid_notes(entry: Entry) -> bool:
-    """Whether each note begins with a reason's number and a time, as readers take for granted."""
+    """Returns whether each note begins with integers for reason and time, as readers assume."""
     return all(
         len(note) >= NOTE_HEADER_LENGTH and type(note[0]) is int and type(note[1]) is int
         for note in entry.notes
@@ -120,7 +127,7 @@
 
 
 def endpoints_sent_to(entry: Entry) -> set[str]:
-    """Returns the endpoints that it was sent to."""
+    """Returns the endpoints to which the request was sent."""
     return {
         str(note[2])
         for note in entry.notes
@@ -129,7 +136,7 @@
 
 
 def reason_name(number: int) -> str:
-    """Returns the name of a reason, also of one that a later version has written."""
+    """Returns the name of a reason, or `REASON_<number>` for one of a later version."""
     try:
         return Reason(number).name
     except ValueError:
@@ -137,10 +144,10 @@
 
 
 def note_reason(note: Note) -> int:
-    """Returns the number of the reason that a note names; a later version may have others."""
+    """Returns the reason's number, which may be unknown to this version."""
     return cast(int, note[0])
 
 
 def note_elapsed(note: Note) -> Ticks:
-    """Returns how long after the transaction was taken the note was made."""
+    """Returns the time from the receipt of the request to the note."""
     return cast(Ticks, note[1])
--- a/thymeknot/decision_log/entry_filter.py
+++ b/thymeknot/decision_log/entry_filter.py
@@ -1,4 +1,4 @@
-"""Which entries a query asks for."""
+"""The filter of a query."""
 
 from typing import NamedTuple, Optional
 
@@ -7,23 +7,23 @@
 
 
 class EntryFilter(NamedTuple):
-    """What an entry must have; None admits anything."""
+    """The conditions that an entry must meet; None matches anything."""
 
     request_class: Optional[str] = None
     tenant: Optional[str] = None
     endpoint: Optional[str] = None
-    """The endpoint that it was sent to. Found by the index, so that `matches` leaves it out."""
+    """An endpoint to which the request was sent; the index selects by it, not `matches`."""
     reason: Optional[int] = None
-    """One of its notes names it."""
+    """The number of a reason that must be among the notes."""
     since: Optional[Ticks] = None
-    """It was taken within this time before the query."""
+    """The maximum age of the request at the time of the query."""
 
     def matches(self, entry: Entry, earliest: Optional[Ticks] = None) -> bool:
-        """Compares everything but the endpoint.
+        """Returns whether an entry meets the conditions, except for that on the endpoint.
 
         Args:
-            entry: What is compared.
-            earliest: The earliest Unix time at which it may have been taken; stands for `since`.
+            entry: The entry to check.
+            earliest: The earliest time of receipt, in Unix time, computed from `since`.
         """
         return (
             (self.request_class is None or entry.request_class == self.request_class)
--- a/thymeknot/decision_log/entry_index.py
+++ b/thymeknot/decision_log/entry_index.py
@@ -1,4 +1,4 @@
-"""Finds the slots of entries by id, key and endpoint. Every index is bounded by the slots."""
+"""Finds slots by id, key and endpoint. The number of slots bounds the size of each index."""
 
 from collections.abc import Iterator
 from typing import NamedTuple, Optional
@@ -6,34 +6,34 @@
 from .entry_codec import Entry, endpoints_sent_to
 
 NumberBySlot = dict[int, int]
-"""The number of the entry that each slot holds."""
+"""The sequence number of the entry in each slot."""
 
 SlotsByName = dict[str, NumberBySlot]
-"""The slots under each name."""
+"""The slots that are indexed under each name."""
 
 
 class IndexKey(NamedTuple):
-    """A name under which a slot is found."""
+    """A name under which a slot is indexed."""
 
     slots_by_name: SlotsByName
     name: str
 
 
 class IndexedSlot(NamedTuple):
-    """What is known of a slot in use."""
+    """A slot in use."""
 
     index_keys: list[IndexKey]
     number: int
 
 
 class EntryIndex:
-    """The slots in use.
+    """An index of the slots in use.
 
     Attributes:
-        slots: Each slot in use.
-        by_id: Slots by their entry's id.
-        by_key: Slots by their entry's key.
-        by_pod: Slots by the endpoints to which their entry was sent.
+        slots: The slots in use.
+        by_id: Slots by the id of the entry.
+        by_key: Slots by the key of the entry.
+        by_endpoint: Slots by the endpoints to which the request was sent.
     """
 
     def __init__(self) -> None:
@@ -43,7 +43,7 @@
         self.by_endpoint: SlotsByName = {}
 
     def add(self, slot: int, number: int, entry: Entry) -> None:
-        """Makes an entry known."""
+        """Adds an entry to the index."""
         index_keys = [IndexKey(self.by_id, entry.id)]
         if entry.key:
             index_keys.append(IndexKey(self.by_key, entry.key))
@@ -55,7 +55,7 @@
         self.slots[slot] = IndexedSlot(index_keys, number)
 
     def remove(self, slot: int) -> None:
-        """Forgets the entry of a slot that is used again."""
+        """Removes the entry of a slot that is about to be reused."""
         indexed = self.slots.pop(slot, None)
         if indexed is None:
             return
@@ -67,12 +67,12 @@
                     del slots_by_name[name]
 
     def find_by_name(self, name: str) -> Iterator[tuple[int, int]]:
-        """Yields slot and number of the entries with this id, or else this key, the latest last."""
+        """Yields slot and sequence number of entries by id, or else by key, newest last."""
         slots = self.by_id.get(name) or self.by_key.get(name) or {}
         yield from sorted(slots.items(), key=lambda item: item[1])
 
     def newest_first(self, endpoint: Optional[str]) -> Iterator[tuple[int, int]]:
-        """Yields slot and number of all entries, or of those sent to one endpoint."""
+        """Yields slot and sequence number of all entries or of those sent to an endpoint."""
         if endpoint:
             slots = self.by_endpoint.get(endpoint, {})
         else:
--- a/thymeknot/decision_log/fair_eviction.py
+++ b/thymeknot/decision_log/fair_eviction.py
@@ -1,23 +1,23 @@
-"""Which slot of a full region is used again: the oldest of the holder that holds the most.
+"""Chooses the slot to reuse in a full region: the oldest slot of the holder with the most slots.
 
-Every step takes constant time, however many holders there are; measure/why.py compares it with a
-search through all holders.
+Each operation takes constant time, regardless of the number of holders; measure/why.py compares
+this with a linear search.
 """
 
 from collections import OrderedDict, deque
 from typing import Optional
 
 Holder = Optional[str]
-"""A tenant, or None for entries without one."""
+"""A tenant, or None for entries without a tenant."""
 
 
 class FairEviction:
-    """Slots by holder, and holders by how many slots they hold.
+    """Slots by holder, and holders by their number of slots.
 
     Attributes:
-        held: The slots of each holder, the oldest first.
-        by_count: The holders of each number of slots, in the order in which they came to hold it.
-        most: The highest number of slots that any holder holds.
+        slots_by_holder: The slots of each holder, oldest first.
+        holders_by_count: The holders by number of slots, in the order in which they reached it.
+        max_count: The highest number of slots of any holder.
     """
 
     def __init__(self) -> None:
@@ -29,7 +29,7 @@
         return sum(map(len, self.slots_by_holder.values()))
 
     def add(self, holder: Holder, slot: int) -> None:
-        """Records that a holder holds one more slot."""
+        """Adds a slot to a holder."""
         slots = self.slots_by_holder.get(holder)
         if slots is None:
             slots = self.slots_by_holder[holder] = deque()
@@ -50,10 +50,11 @@
             self.max_count = after
 
     def evict(self) -> int:
-        """Releases the slot to use again.
+        """Removes and returns the slot to reuse.
 
         Returns:
-            The oldest slot of the holder with the most; of equals, the first to grow so large.
+            The oldest slot of the holder with the most slots. Among holders with equally many, the
+            first to reach that number is chosen.
         """
         holder = next(iter(self.holders_by_count[self.max_count]))
         slots = self.slots_by_holder[holder]
--- a/thymeknot/decision_log/heavy_hitters.py
+++ b/thymeknot/decision_log/heavy_hitters.py
@@ -1,4 +1,4 @@
-"""Heavy hitters in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi 2005)."""
+"""Finds heavy hitters in bounded memory: Space-Saving (Metwally, Agrawal, El Abbadi 2005)."""
 
 from typing import NamedTuple
 
@@ -8,16 +8,17 @@
 
     name: str
     estimate: int
-    """How often it was seen, too high by `overcount` at most."""
+    """The number of occurrences; it may be too high, by `overcount` at most."""
     overcount: int
 
 
 class HeavyHitters:
-    """The most frequent of any number of names, in a fixed number of counters.
+    """Estimates the most frequent names with a fixed number of counters.
 
     Attributes:
+        size: The number of counters.
         counts: The estimated count of each name that has a counter.
-        overcounts: By how much each estimate may be too high.
+        overcounts: The maximum error of each estimate.
     """
 
     def __init__(self, size: int) -> None:
@@ -41,6 +42,6 @@
             self.overcounts[name] = rarest_count
 
     def top(self, count: int) -> list[Hitter]:
-        """Returns the most frequent names, the highest estimate first."""
+        """Returns the most frequent names, highest estimate first."""
         names = sorted(self.counts, key=self.counts.__getitem__, reverse=True)[:count]
         return [Hitter(name, self.counts[name], self.overcounts[name]) for name in names]
--- a/thymeknot/decision_log/query_connection.py
+++ b/thymeknot/decision_log/query_connection.py
@@ -1,7 +1,7 @@
 """A client's connection to the query server.
 
-A query is worked on a few entries at a time, between other events of the loop. A client that does
-not read holds up itself alone, and is disconnected after a while.
+Queries are processed a few entries at a time, between other events of the reactor. A client that
+does not read its answers only blocks itself, and is disconnected after a timeout.
 """
 
 import time
@@ -18,18 +18,18 @@
 from .settings import DecisionLogSettings
 
 STEPS_PER_TURN: Final = 4
-"""Entries looked at between other events: one step takes tens of microseconds."""
+"""Steps (entries examined) per call: a step takes tens of microseconds."""
 PAUSE_FACTOR: Final = 30
-"""How many times as long as the last steps the next ones wait, so that queries get a small part of
-the core."""
+"""The pause before the next steps, as a multiple of the duration of the last ones, so that queries
+use only a small share of the core."""
 IDLE_TIMEOUT: Final[Ticks] = 10 * TICKS_PER_SECOND
-"""After this a client that neither asks nor reads is disconnected."""
+"""The time after which a client that neither sends nor reads is disconnected."""
 WATCH_POLL_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 10
-"""Between two looks at what waits for a watcher."""
+"""The interval between checks for entries that wait to be sent to a watcher."""
 
 
 class QueryServer(Protocol):
-    """What a connection needs of its server."""
+    """The part of the server that a connection uses."""
 
     recorder: Recorder
     settings: DecisionLogSettings
@@ -37,19 +37,19 @@
     timers: Any
     """The timer queue."""
     reactor: Any
-    """Twisted's."""
+    """The Twisted reactor."""
     last_steps_seconds: float
-    """How long the last steps of any client took."""
+    """The duration of the last steps, for any client."""
     connections: int
-    """How many are open."""
+    """The number of open connections."""
 
 
 @implementer(IPullProducer)
 class QueryConnection(protocol.Protocol):
-    """Answers the queries of one client, one after the other."""
+    """Answers the queries of a client one after another."""
 
     transport: Any
-    """Twisted's, of a stream socket."""
+    """The Twisted transport of a stream socket."""
 
     def __init__(self, server: QueryServer) -> None:
         self._server = server
@@ -59,11 +59,11 @@
         self._idle_timer: Optional[int] = None
 
     def connectionMade(self) -> None:  # noqa: N802 (Twisted's name)
-        """The client has connected."""
+        """Starts the idle timer."""
         self._restart_idle_timer()
 
     def _restart_idle_timer(self) -> None:
-        """Something was read or written."""
+        """Called whenever something was read or written."""
         server = self._server
         if self._idle_timer is not None:
             server.timers.cancel(self._idle_timer)
@@ -72,7 +72,7 @@
         )
 
     def dataReceived(self, data: bytes) -> None:  # noqa: N802 (Twisted's name)
-        """The client asks."""
+        """Buffers the received data and starts the next query."""
         self._restart_idle_timer()
         self._received += data
         if len(self._received) > MAX_LINE_BYTES:
@@ -99,12 +99,12 @@
         self.transport.registerProducer(self, False)
 
     def resumeProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """The socket has taken what was written: a few more steps, after a rest."""
+        """Schedules further steps after a pause; called when the transport can accept more data."""
         server = self._server
         server.reactor.callLater(PAUSE_FACTOR * server.last_steps_seconds, self._run_steps)
 
     def _run_steps(self) -> None:
-        """Does a few more steps, or begins the next query."""
+        """Runs a few steps, or starts the next query if there are no more."""
         if self._results is None:
             return
         started_at = time.perf_counter()
@@ -122,7 +122,7 @@
         if lines:
             self._restart_idle_timer()
             self.transport.write(b"".join(lines))
-        elif finished:  # all lines were taken, too: the next query waits for that
+        elif finished:  # all lines have been written: the next query may start
             self._results = None
             self.transport.unregisterProducer()
             self._start_next_query()
@@ -130,13 +130,13 @@
             self.resumeProducing()
 
     def stopProducing(self) -> None:  # noqa: N802 (Twisted's name)
-        """The connection is lost."""
+        """Stops the query; called when the connection is lost."""
         self._results = None
 
     def _send_watched(self) -> None:
         if self._watch is None or not self.connected:
             return
-        # What its socket has not taken yet keeps new lines waiting, in a bounded number.
+        # While earlier lines are unsent, new entries wait in the watch, up to its limit.
         unsent = self.transport.dataBuffer or getattr(self.transport, "_tempDataBuffer", None)
         if not unsent:
             lines = self._watch.take_lines()
@@ -147,7 +147,7 @@
         server.timers.add(server.clock() + WATCH_POLL_INTERVAL, self._send_watched)
 
     def connectionLost(self, reason: Any = None) -> None:  # noqa: N802 (Twisted's name)
-        """The client is gone."""
+        """Releases the resources of the connection."""
         server = self._server
         server.timers.cancel(self._idle_timer)
         server.connections -= 1
--- a/thymeknot/decision_log/query_protocol.py
+++ b/thymeknot/decision_log/query_protocol.py
@@ -1,7 +1,7 @@
-"""The queries' protocol: a line of JSON asks, lines of JSON answer, the last one `{"end": count}`.
+"""The query protocol: a query is a line of JSON, its answer lines of JSON.
 
-Answers are iterators, so that a long search is done a few steps at a time; None stands for a step
-that gives no line. Nothing here does input or output.
+The last line of an answer is `{"end": count}`. Answers are iterators, so that a long search can be
+done in steps; None is a step that produces no line. This module does no I/O.
 """
 
 from collections.abc import Iterable, Iterator, Mapping
@@ -17,16 +17,16 @@
 from .recorder import Recorder
 
 MAX_LINE_BYTES: Final = 4096
-"""Of a query: all its fields at their longest take less."""
+"""The maximum length of a query; one with all fields at their maximum length is shorter."""
 MAX_FIELD_LENGTH: Final = 96
-"""Characters of a query's text."""
+"""The maximum length of a text field, in characters."""
 MAX_WAITING_ENTRIES: Final = 256
-"""Entries that wait for a slow watcher."""
+"""The maximum number of entries that wait for a slow watcher."""
 TICKS_PER_MILLISECOND: Final = 10
 
 
 class QueryError(ValueError):
-    """A query that can't be answered; the text names the field and what it must be."""
+    """An invalid query; the message names the field and the allowed values."""
 
 
 class FindQuery(NamedTuple):
@@ -34,7 +34,7 @@
 
     entry_filter: EntryFilter
     limit: Optional[float]
-    """Most entries of the answer; None or 0 leaves it to the settings."""
+    """The maximum number of entries in the answer; None or 0 selects that of the settings."""
 
 
 def _parse_object(line: bytes) -> dict[str, Any]:
@@ -86,7 +86,7 @@
 
 
 def entry_object(entry: Entry) -> dict[str, Any]:
-    """Returns the JSON object of an entry: its fields for programs, its lines for people."""
+    """Returns the JSON object of an entry: fields for programs, and `lines` for people."""
     return {
         "id": entry.id,
         "at": entry.received_at / TICKS_PER_SECOND,
@@ -107,16 +107,16 @@
 
 
 def answer_query(line: bytes, recorder: Recorder, max_entries: int) -> Iterator[Optional[bytes]]:
-    """Answers a query; a faulty one by a single line, `{"error": ...}`.
+    """Answers a query; the answer to an invalid one is a single line, `{"error": ...}`.
 
     Args:
         line: The query.
-        recorder: What is asked.
-        max_entries: The highest number of entries in the answer, as set by the operator.
+        recorder: The recorder whose entries are searched.
+        max_entries: The maximum number of entries in the answer, from the settings.
     """
     try:
         return _dispatch(_parse_object(line), recorder, max_entries)
-    except ValueError as error:  # orjson's errors are such, too
+    except ValueError as error:  # includes errors of orjson
         return iter([_json_line({"error": str(error)})])
 
 
@@ -153,9 +153,10 @@
 
 
 class Watch:
-    """Entries as they come, for a client that watches.
+    """The new entries for a client that watches.
 
-    A bounded number of them waits until it reads; of those beyond the client is told the number.
+    A limited number of entries waits until the client reads; further ones are only counted, and
+    the client receives their number.
     """
 
     def __init__(self, entry_filter: EntryFilter) -> None:
@@ -164,7 +165,7 @@
         self._missed = 0
 
     def __call__(self, entry: Entry) -> None:
-        """Takes an entry as it is kept."""
+        """Adds an entry that was just stored."""
         if not self._entry_filter.matches(entry):
             return
         if len(self._waiting) < MAX_WAITING_ENTRIES:
@@ -173,7 +174,7 @@
             self._missed += 1
 
     def take_lines(self) -> list[bytes]:
-        """Returns the lines that wait."""
+        """Removes and returns the waiting lines."""
         lines = [_json_line(entry_object(entry)) for entry in self._waiting]
         self._waiting = []
         if self._missed:
@@ -183,10 +184,10 @@
 
 
 def parse_watch(line: bytes) -> Optional[Watch]:
-    """Returns a watch if the line asks for one.
+    """Returns a watch if the query asks for one, else None.
 
     Raises:
-        QueryError: It does, with a faulty field.
+        QueryError: The query asks for a watch and has an invalid field.
     """
     try:
         query = orjson.loads(line)
--- a/thymeknot/decision_log/query_server.py
+++ b/thymeknot/decision_log/query_server.py
@@ -1,4 +1,4 @@
-"""The decision log as a feature of the proxy: its record, and the server that answers queries."""
+"""The decision log as a feature of the proxy: the recorder and the query server."""
 
 import os
 import stat
@@ -19,42 +19,42 @@
 from .slot_file import SlotFile
 
 MAX_CONNECTIONS: Final = 8
-"""Open at one time: queries are for a few operators, and each connection takes descriptors."""
+"""Maximum open connections: there are few operators, and each connection needs descriptors."""
 ACCEPT_BACKLOG: Final = 8
-"""Connections that wait to be accepted."""
+"""The maximum number of connections that wait to be accepted."""
 SOCKET_MODE: Final = 0o600
-"""Of a Unix socket: the record holds keys and tenants."""
+"""The mode of a Unix socket: only the owner, since the log contains keys and tenants."""
 UNIX_PREFIX: Final = "unix:"
 FLUSH_INTERVAL: Final[Ticks] = TICKS_PER_SECOND // 2
-"""Between two rounds in which transactions that are over are recorded."""
+"""The interval at which finished requests are stored."""
 SEED_SALT: Final = 0x77
-"""So that the sample's random numbers are not those of the decisions, which have the same seed."""
+"""Makes the random numbers for sampling differ from the engine's, which has the same seed."""
 
 
 class QueryServerError(ValueError):
-    """Settings that can't be put to use here. The text begins with the faulty key."""
+    """Settings that can't be applied on this host. The message begins with the key."""
 
 
 class HostProxy(Protocol):
-    """What the feature needs of the proxy."""
+    """The part of the proxy that the feature uses."""
 
     start: Any
-    """Its name, seed and configuration."""
+    """The start configuration, with the instance's name and seed."""
     settings: Any
-    """Of the decisions, with the request classes."""
+    """The settings of the decision engine, with the request classes."""
     reactor: Any
-    """Twisted's."""
+    """The Twisted reactor."""
     timers: Any
     """The timer queue."""
     clock: Callable[[], Ticks]
     epoch: Ticks
-    """Unix time less the clock's."""
+    """Unix time minus the clock's time."""
     rejections: Any
-    """Hears every reason, and passes it on to `then`."""
+    """Receives every reason and passes it to `next_listener`."""
 
 
 class ConnectionFactory(Factory):
-    """Makes the connections as Twisted asks for them."""
+    """Creates the connections for Twisted."""
 
     noisy = False
 
@@ -64,26 +64,40 @@
     def buildProtocol(  # noqa: N802 (Twisted's name)
         self, addr: Any
     ) -> Optional[QueryConnection]:
-        """Returns a connection, or None to refuse it."""
+        """Returns a new connection, or None to refuse it."""
         return self._create_connection()
 
 
 class DecisionLogFeature:
-    """What the proxy calls: `request_received`, `request_answered` and `request_finished`.
+    """The feature as the proxy uses it.
 
-    The decisions' reasons go to the record.
+    The proxy calls `request_received`, `request_answered` and `request_finished`; the decision
+    engine passes its reasons to the recorder.
 
     Attributes:
-        done_reason: The reason of a final answer by an endpoint.
-        left_reason: The reason of a client that went away.
-        abandoned_reason: The reason of a transaction that was given up.
+        settings: The settings of the decision log.
+        connections: The number of open connections.
+        last_steps_seconds: The duration of the last steps of a query.
+        slot_file: Stores the entries.
+        recorder: Collects reasons and finds entries.
+        request_answered: Records the final response to a request.
+        request_finished: Records that no attempt of a request is in flight any more.
+        done_reason: The reason of a response from an endpoint.
+        left_reason: The reason of a request whose client disconnected.
+        abandoned_reason: The reason of a request that failed.
+        port: The listening port.
     """
 
     def __init__(self, proxy: HostProxy, settings: DecisionLogSettings, folder: str) -> None:
-        """Opens the record and listens.
+        """Opens the log and starts to listen.
+
+        Args:
+            proxy: The proxy that uses the feature.
+            settings: The settings of the decision log.
+            folder: The directory of the operator file, to which paths are relative.
 
         Raises:
-            QueryServerError: It can't listen at the address that is set.
+            QueryServerError: The server can't listen on the configured address.
         """
         self.settings = settings
         self.reactor = proxy.reactor
@@ -123,7 +137,7 @@
         if address.startswith(UNIX_PREFIX):
             path = os.path.join(folder, address[len(UNIX_PREFIX) :])
             if os.path.exists(path) and stat.S_ISSOCK(os.stat(path).st_mode):
-                # A former run's, on which nobody listens: a name belongs to one instance.
+                # The socket of an earlier process: names are unique, so no other instance uses it.
                 os.unlink(path)
             return self.reactor.listenUNIX(path, factory, backlog=ACCEPT_BACKLOG, mode=SOCKET_MODE)
         host, _, port = address.rpartition(":")
@@ -132,7 +146,7 @@
         )
 
     def _log_opened(self) -> None:
-        bound_address = self.port.getHost()  # port 0 stands for any free one
+        bound_address = self.port.getHost()  # the port may be configured as 0, for any free port
         listen = (
             f"{bound_address.host}:{bound_address.port}"
             if hasattr(bound_address, "port")
@@ -158,7 +172,7 @@
         self.timers.add(self.clock() + FLUSH_INTERVAL, self._flush_periodically)
 
     def request_received(self, request_id: str, command: Any) -> None:
-        """The proxy has taken a client's command under this id."""
+        """Called when the proxy has received a client's command."""
         self.recorder.request_received(
             request_id,
             command.key.decode() or None,
@@ -168,8 +182,8 @@
         )
 
     def reconfigure(self, settings: DecisionLogSettings, folder: str) -> None:
-        """Every setting waits for the next start."""
+        """Does nothing: changed settings take effect at the next start."""
 
     def stop(self) -> None:
-        """Records what is over at once; other transactions are recorded as they end."""
+        """Stores finished requests now; those still open are stored as they finish."""
         self.recorder.flush(self.clock(), 0)
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -1,9 +1,10 @@
-"""The record of decisions: notes of open transactions, what is kept of them, and how it is found.
+"""Collects the reasons of open requests, stores entries in the decision log and finds them.
 
-The slots are parted into regions (see regions.py), and in a full region the tenant that holds the
-most gives way first. Ordinary transactions of idempotent request classes are sampled evenly, at a
-rate that follows the traffic. So in a region of N slots an entry stays for at least N / r seconds
-while r entries a second come to its region, and longer if its tenant holds no more than its share.
+The slots are divided into regions (see regions.py). In a full region, the oldest entry of the
+tenant with the most entries is evicted. Ordinary requests of idempotent request classes are sampled
+uniformly, at a rate that depends on the traffic. So in a region of N slots that receives r entries
+per second, an entry is retained for at least N / r seconds, and for longer if its tenant has at
+most its share of the slots.
 """
 
 from collections import deque
@@ -22,41 +23,47 @@
 from .tallies import REJECTION_REASONS, Tallies
 
 RECORDING_DELAY: Final[Ticks] = TICKS_PER_SECOND // 20
-"""From the end of a transaction to its entry: what an attempt's end proves is noted just after."""
+"""From the end of a request to its entry: notes on its last attempt arrive shortly after."""
 MAX_OPEN_REQUESTS: Final = 50_000
-"""Transactions whose notes are kept at one time; a bound of memory."""
-# Looked up for every note: globals are quicker than attributes of the enum.
+"""The maximum number of requests with notes at a time, to bound memory."""
+# Used for every note: module globals are faster to look up than members of the enum.
 SENT: Final = Reason.SENT
 DONE: Final = Reason.DONE
 
 
 class RandomSource(Protocol):
-    """What decides which ordinary transactions are kept."""
+    """The random numbers that select the sample of ordinary requests."""
 
     def draw(self) -> float:
-        """Returns a number from 0 to below 1."""
+        """Returns a random number in [0, 1)."""
 
 
 class OpenRequest:
-    """A transaction that is not recorded yet.
+    """A request that is not stored yet.
 
     Attributes:
-        end: The reason that names its final answer, or 0.
-        sent: Attempts that were made.
-        over_at: When nothing of it was left in flight; None before.
-        cut: Notes that were left out.
+        received_at: When it was received.
+        key: Its key.
+        tenant: Its tenant.
+        request_class: The name of its request class.
+        is_retry: Whether the client marked it as a retry.
+        notes: The reasons so far, each with the elapsed time and the operands.
+        final_reason: The reason of the final response, or 0 if there is none yet.
+        attempts_sent: The number of attempts sent.
+        finished_at: When it had its final response and no attempt in flight; None before.
+        omitted_notes: The number of notes that were omitted for lack of space.
     """
 
     __slots__ = (
-        "received_at",
-        "omitted_notes",
+        "attempts_sent",
         "final_reason",
-        "key",
-        "notes",
         "finished_at",
         "is_retry",
+        "key",
+        "notes",
+        "omitted_notes",
+        "received_at",
         "request_class",
-        "attempts_sent",
         "tenant",
     )
 
@@ -73,7 +80,7 @@
         self.tenant = tenant
         self.request_class = request_class
         self.is_retry = is_retry
-        # Tuples in place of lists: tuples of numbers are not tracked by the garbage collector.
+        # Tuples rather than lists: the garbage collector does not track tuples of numbers.
         self.notes: list[Any] = []
         self.final_reason = 0
         self.attempts_sent = 0
@@ -82,20 +89,21 @@
 
 
 class Recorder:
-    """Notes the reasons of open transactions and keeps entries in a slot file.
+    """Collects the reasons of open requests and stores entries in a slot file.
 
     Attributes:
-        settings: The operator's.
-        request_classes: By name.
-        slot_file: Where entries are kept.
-        epoch: Unix time less the clock's.
-        clock: Gives the time.
-        regions: By their keys.
-        index: The slots in use.
-        tallies: Sums over all transactions.
-        watchers: Called with every entry as it is kept.
-        recovered_entries: How many entries an earlier run has left.
-        torn_slots: How many slots an earlier run has left incomplete.
+        settings: The settings of the decision log.
+        request_classes: The request classes by name.
+        slot_file: Stores the entries.
+        epoch: Unix time minus the clock's time.
+        clock: Returns the monotonic time, in ticks.
+        random_source: Selects the sample of ordinary requests.
+        regions: The regions by key.
+        index: Finds entries by id, key and endpoint.
+        tallies: Counts over all requests.
+        watchers: Called with each entry when it is stored.
+        recovered_entries: The number of entries of an earlier process.
+        torn_slots: The number of slots that an earlier process left incomplete.
     """
 
     def __init__(
@@ -125,25 +133,25 @@
         self.torn_slots = 0
         self._open: dict[str, OpenRequest] = {}
         self._finished: deque[tuple[str, Ticks, OpenRequest]] = deque()
-        """Those that are over, with id and end; plain tuples, as there is one for each request."""
+        """Finished requests with id and end time; plain tuples, as each request needs one."""
         self._last_number = 0
-        self._reason_counts = self.tallies.reason_counts  # bound once: asked for with every note
+        self._reason_counts = self.tallies.reason_counts  # bound once: used for every note
         self._rate_measured_at = clock()
         self._sampling_rate = 1.0
-        self._ordinary_count = 0  # since the share was worked out
+        self._ordinary_count = 0  # since the sampling rate was last adjusted
         if slot_file.path:
             self._recover()
 
     def _recover(self) -> None:
-        """Takes up what an earlier run has left; what is torn counts as empty.
+        """Recovers the entries of an earlier process; torn slots count as empty.
 
-        An entry keeps its slot if its region is still that of its request class.
+        An entry is kept if its slot is still in the region for its request class.
         """
         contents = self.slot_file.read_all()
         stored = {stored_entry.slot: stored_entry for stored_entry in contents.entries}
         for region in self.regions.values():
             self._recover_region(region, stored)
-        if contents.torn_slots:  # cleared, so that a torn slot is reported once
+        if contents.torn_slots:  # cleared, so that a torn slot is only reported once
             for slot in range(self.slot_file.slots):
                 if slot not in stored:
                     self.slot_file.clear(slot)
@@ -159,7 +167,7 @@
         }
         if not own_entries:
             return
-        # Slots are first used in their order.
+        # Slots are used in order until all have been used.
         region.used_slots = max(own_entries) - region.first_slot + 1
         used_slots = range(region.first_slot, region.first_slot + region.used_slots)
         for slot in sorted(
@@ -171,7 +179,7 @@
                 self.index.add(slot, stored_entry.number, stored_entry.entry)
                 self._last_number = max(self._last_number, stored_entry.number)
 
-    # What the decisions and the proxy tell.
+    # Called by the decision engine and the proxy.
 
     def request_received(
         self,
@@ -181,7 +189,7 @@
         request_class: str,
         is_retry: bool,
     ) -> None:
-        """Opens a transaction. An id that comes again closes the former one."""
+        """Opens a request; an open request with the same id is closed and stored first."""
         now = self.clock()
         if request_id in self._open:
             self._close_request(request_id)
@@ -191,7 +199,7 @@
             self._open[request_id] = OpenRequest(now, key, tenant, request_class, is_retry)
 
     def record_reason(self, request_id: Optional[str], reason: Reason, *operands: Any) -> None:
-        """Notes a reason as it is decided; without an id it may be that of a vote."""
+        """Adds a reason to a request's notes; without a request, only votes are stored."""
         if request_id is None:
             if reason == Reason.VOTED:
                 self._record_vote(*operands)
@@ -211,7 +219,7 @@
         notes.append((reason, self.clock() - request.received_at, *operands))
 
     def request_answered(self, request_id: str, reason: Reason) -> None:
-        """Notes the final answer as the proxy gave it, unless the decisions have named one."""
+        """Records the final response, unless the decision engine has given its reason already."""
         request = self._open.get(request_id)
         if request is not None and not request.final_reason:
             request.final_reason = reason
@@ -219,7 +227,7 @@
             request.notes.append((reason, self.clock() - request.received_at))
 
     def request_finished(self, request_id: str) -> None:
-        """Nothing of the transaction is in flight any more."""
+        """Called when the request has its response and no attempt is in flight any more."""
         now = self.clock()
         request = self._open.get(request_id)
         if request is not None and request.finished_at is None:
@@ -227,7 +235,7 @@
             self._finished.append((request_id, now, request))
 
     def flush(self, now: Ticks, minimum_age: Ticks = RECORDING_DELAY) -> None:
-        """Records the transactions that have been over for a while."""
+        """Stores the requests that finished at least `minimum_age` ago."""
         if now - self._rate_measured_at >= TICKS_PER_SECOND:
             self._adjust_sampling_rate(now)
         while self._finished and now - self._finished[0][1] >= minimum_age:
@@ -236,7 +244,7 @@
                 self._close_request(request_id)
 
     def _adjust_sampling_rate(self, now: Ticks) -> None:
-        """Keeps one in so many that the region's slots last for the span that is set."""
+        """Sets the sampling rate so that the slots of the region cover the configured span."""
         rate = self._ordinary_count * TICKS_PER_SECOND / (now - self._rate_measured_at)
         self._rate_measured_at = now
         self._ordinary_count = 0
@@ -328,15 +336,15 @@
         for watcher in self.watchers:
             watcher(entry)
 
-    # Queries. Entries come from generators, so that a long search is done in parts.
+    # Queries. They are generators, so that a long search can be done in steps.
 
     def _read_entry(self, slot: int, number: int) -> Optional[Entry]:
-        """Returns the entry, if the slot still holds it."""
+        """Returns the entry with this sequence number, or None if its slot was reused."""
         stored = self.slot_file.read(slot)
         return stored.entry if stored and stored.number == number else None
 
     def find_by_name(self, name: str) -> Iterator[Entry]:
-        """Yields all that is kept under an id, or else a key; open transactions as they stand."""
+        """Yields entries by id, or else by key, and open requests in their current state."""
         name = name[:MAX_TEXT_LENGTH]
         for slot, number in self.index.find_by_name(name):
             entry = self._read_entry(slot, number)
@@ -349,7 +357,7 @@
             yield entry
 
     def find(self, entry_filter: EntryFilter) -> Iterator[Optional[Entry]]:
-        """Yields the matching entries, the latest first, and None for every other one."""
+        """Yields the matching entries, newest first, and None for each other entry."""
         newest_first = self.index.newest_first(entry_filter.endpoint)
         since = entry_filter.since
         earliest = None if since is None else self.clock() + self.epoch - since
@@ -358,11 +366,11 @@
             yield entry if entry and entry_filter.matches(entry, earliest) else None
 
     def tally_report(self) -> dict[str, Any]:
-        """Returns sums over all transactions, recorded or not."""
+        """Returns counts over all requests, whether stored or not."""
         return self.tallies.report()
 
     def retention_report(self) -> dict[str, Any]:
-        """Returns what is kept, with rate of entries and retention in seconds of each region."""
+        """Returns the state of the log, with rate and retention (in seconds) of each region."""
         now = self.clock()
         regions = []
         for region in self.regions.values():
--- a/thymeknot/decision_log/regions.py
+++ b/thymeknot/decision_log/regions.py
@@ -1,8 +1,8 @@
-"""How the slots are parted into regions, and which slot of a region an entry takes.
+"""Divides the slots into regions and assigns entries to slots.
 
-There is a region for votes, one for ordinary transactions of idempotent request classes, and for
-other transactions regions by request class and by whether the transaction was unusual. Their sizes
-follow the classes' priority weights. So no class can take another one's slots.
+There is a region for votes, one for ordinary requests of idempotent request classes, and regions
+for the other requests by request class and by whether the request was unusual. Their sizes are
+proportional to the priority weights of the classes. So no class can take another class's slots.
 """
 
 from collections.abc import Mapping, Sequence
@@ -16,38 +16,42 @@
 from .settings import DecisionLogSettings
 
 RegionKey = Union[str, tuple[str, bool]]
-"""VOTES, ORDINARY, or a request class and whether the region is for its unusual transactions."""
+"""VOTES, ORDINARY, or a request class and whether the region is for its unusual requests."""
 
 VOTES: Final = "votes"
 ORDINARY: Final = "ordinary"
 VOTES_SHARE: Final = 0.05
-"""Part of all slots for votes: they are few, and explain a whole release."""
+"""The share of slots for votes: they are few, and each concerns a whole release."""
 UNUSUAL_SHARE: Final = 0.6
-"""Part of a class's slots for its unusual transactions: these are asked for more often."""
+"""The share of a class's slots for its unusual requests, which are queried more often."""
 MIN_REGION_SLOTS: Final = 8
-"""Of every region, however little its class is worth."""
+"""The minimum size of a region, however low the priority weight of its class."""
 MAX_REQUEST_CLASSES: Final = 64
-"""That have regions of their own, so that these stay large enough to be of use."""
+"""The maximum number of classes with their own regions, so that these stay large enough."""
 RATE_WINDOW: Final[Ticks] = 60 * TICKS_PER_SECOND
-"""The time over which the rate of new entries is counted."""
+"""The window over which the rate of new entries is measured."""
 RATE_BUCKETS: Final = 12
-"""Of five seconds each."""
+"""The buckets of the window, five seconds each."""
 
 
 class Extent(NamedTuple):
-    """Where a region lies."""
+    """The slots of a region."""
 
     first_slot: int
-    """Its first slot."""
     slots: int
 
 
 def lay_out_regions(
     settings: DecisionLogSettings, request_classes: Mapping[str, RequestClass], slots: int
 ) -> dict[RegionKey, Extent]:
-    """Parts the slots into regions, in the order in which they lie.
+    """Divides the slots into regions and returns these in the order of their slots.
 
-    Request classes beyond MAX_REQUEST_CLASSES get no region of their own.
+    Only the first MAX_REQUEST_CLASSES request classes get their own regions.
+
+    Args:
+        settings: The settings of the decision log.
+        request_classes: The request classes by name.
+        slots: The total number of slots.
     """
     with_regions = list(request_classes.values())[:MAX_REQUEST_CLASSES]
     shares = _region_shares(
@@ -78,12 +82,12 @@
     non_idempotent: Sequence[RequestClass],
     idempotent: Sequence[RequestClass],
 ) -> dict[RegionKey, float]:
-    """Returns the part of the slots for each region.
+    """Returns each region's share of the slots.
 
     Args:
-        settings: The operator's.
-        costly: Classes that are not idempotent.
-        cheap: Idempotent classes.
+        settings: The settings of the decision log.
+        non_idempotent: The request classes that are not idempotent.
+        idempotent: The idempotent request classes.
     """
     shares: dict[RegionKey, float] = {
         VOTES: VOTES_SHARE,
@@ -106,7 +110,7 @@
 
 
 def _normalized_weights(request_classes: Sequence[RequestClass]) -> list[tuple[str, float]]:
-    """Returns each class's name and its part of what all of them are worth."""
+    """Returns the name of each class and its share of the total priority weight."""
     total = sum(request_class.priority_weight for request_class in request_classes)
     return [
         (
@@ -118,15 +122,15 @@
 
 
 class Region:
-    """A run of slots in which the largest holder gives way first.
+    """Consecutive slots; when all are in use, the holder with the most slots loses its oldest.
 
     Attributes:
-        key: Its name.
-        first: Its first slot.
-        slots: How many it has.
-        used: How many of them, from the first on, were ever used.
-        eviction: Who holds them.
-        rate: New entries over the last RATE_SPAN.
+        key: The key of the region.
+        first_slot: The first slot.
+        slots: The number of slots.
+        used_slots: The number of slots that have been used; they are the first ones.
+        eviction: The holders of the slots.
+        rate: The new entries within RATE_WINDOW.
     """
 
     def __init__(self, key: RegionKey, first_slot: int, slots: int) -> None:
@@ -138,7 +142,7 @@
         self.rate = SlidingWindow(RATE_WINDOW, RATE_BUCKETS)
 
     def take_slot(self, holder: Holder) -> tuple[int, bool]:
-        """Returns a slot for one more entry of this holder, and whether it was in use."""
+        """Returns a slot for a new entry of a holder, and whether the slot was in use."""
         is_full = self.used_slots == self.slots
         if is_full:
             slot = self.eviction.evict()
@@ -149,7 +153,7 @@
         return slot, is_full
 
     def display_name(self) -> str:
-        """Returns its name for a person."""
+        """Returns the name that is reported to operators."""
         if isinstance(self.key, str):
             return self.key
         request_class, unusual = self.key
--- a/thymeknot/decision_log/settings.py
+++ b/thymeknot/decision_log/settings.py
@@ -1,4 +1,4 @@
-"""What an operator sets for the decision log. See operator_config/schema/why.cue."""
+"""Settings of the decision log. Their schema is operator_config/schema/why.cue."""
 
 from typing import NamedTuple, Optional
 
@@ -6,19 +6,19 @@
 
 
 class DecisionLogSettings(NamedTuple):
-    """The `why` section of an operator file; the field names are its keys."""
+    """The `why` section of an operator file. The field names are its keys."""
 
     megabytes: int
-    """Size of the record."""
+    """The size of the decision log, in units of 10^6 bytes."""
     directory: Optional[str]
-    """Of the record's file, relative to the operator file; None keeps the record in memory."""
+    """Directory of the log file, relative to the operator file; None keeps the log in memory."""
     listen: str
-    """Address of the query server: `host:port` or `unix:path`."""
+    """The address of the query server: `host:port` or `unix:path`."""
     costly: float
-    """Part of the slots for request classes that are not idempotent, where there are others."""
+    """The share of slots for request classes that are not idempotent, if there are also others."""
     ordinary: float
-    """Part of the slots for ordinary transactions of idempotent request classes."""
+    """The share of slots for ordinary requests of idempotent request classes."""
     span: Ticks
-    """How long the sample of ordinary transactions is meant to reach back."""
+    """The time that the sample of ordinary requests should cover."""
     answers: int
-    """Most entries in the answer to one query."""
+    """The maximum number of entries in the answer to a query."""
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -1,8 +1,8 @@
-"""Slots of fixed size in one block of memory, or in a mapped file that outlives the process.
+"""Fixed-size slots in memory, or in a mapped file that outlives the process.
 
-A file is a page of header (magic, version, slot size, number of slots, checksum), then the slots.
-A file of another version or size, or with a damaged header, is renamed aside: it is never trusted,
-and it never prevents a start.
+A file consists of a header of one page (magic, version, slot size, number of slots, checksum) and
+the slots. A file of another version or size, or with a corrupt header, is renamed: its content is
+never trusted, and it never prevents a start.
 """
 
 import mmap
@@ -16,24 +16,24 @@
 
 MAGIC = b"tkwhy\0\0\0"
 VERSION = 1
-# One page of memory, so that the slots begin at a page's begin.
+# One page, so that the slots are page-aligned.
 HEADER_BYTES = 4096
-# Magic, version, bytes of a slot, number of slots; a checksum follows.
+# Magic, version, size of a slot in bytes, number of slots; a checksum follows.
 HEADER_FIELDS = struct.Struct("<8sIIQ")
 CHECKED_HEADER_BYTES = HEADER_FIELDS.size + CHECKSUM_BYTES
-# The file is readable by its owner alone: it holds keys and tenants.
+# Only the owner may read the file, since it contains keys and tenants.
 FILE_MODE = 0o600
 
 LogEvent = Callable[..., Any]
-"""Called with an event's name and its fields as keywords."""
+"""Logs an event, given its name and its fields as keyword arguments."""
 
 
 class SlotFileError(ValueError):
-    """A file that is no readable record; the text names the file and the fault."""
+    """A file that is not a readable decision log; the message has the path and the reason."""
 
 
 class StoredEntry(NamedTuple):
-    """An entry and where it lies."""
+    """An entry, its sequence number and its slot."""
 
     slot: int
     number: int
@@ -41,12 +41,12 @@
 
 
 class Contents(NamedTuple):
-    """All that can be read of a slot file."""
+    """The readable content of a slot file."""
 
     entries: list[StoredEntry]
-    """In the order of the slots."""
+    """The entries in the order of their slots."""
     torn_slots: int
-    """How many slots hold something that is not a complete entry."""
+    """The number of slots with an incomplete or corrupt entry."""
 
 
 def _ignore_event(event: str, **fields: Any) -> None:
@@ -57,20 +57,20 @@
     """Slots in memory or in a mapped file.
 
     Attributes:
-        slots: How many there are.
-        path: The file, or None if they are in memory alone.
+        slots: The number of slots.
+        path: The path of the file, or None if the slots are only in memory.
         memory: The header and the slots.
     """
 
     def __init__(
         self, slots: int, path: Optional[str] = None, log_event: LogEvent = _ignore_event
     ) -> None:
-        """Opens or makes the file.
+        """Opens or creates the file.
 
         Args:
-            slots: How many slots it has.
-            path: The file; None keeps the slots in memory.
-            say: Is told of a file that was renamed aside or can't be used.
+            slots: The number of slots.
+            path: The path of the file; None keeps the slots in memory.
+            log_event: Logs that a file was renamed or can't be used.
         """
         self.slots = slots
         self.path = path
@@ -80,7 +80,7 @@
             return
         try:
             self.memory = self._map_file(path, log_event)
-        except OSError as error:  # a full disk or a path that can't be written: kept in memory
+        except OSError as error:  # the disk is full or the path not writable: use memory instead
             log_event("decision log in memory", error=os.strerror(error.errno or 0), path=path)
             self.path = None
             self.memory = self._allocate_memory()
@@ -106,8 +106,8 @@
         descriptor = os.open(path, os.O_RDWR | os.O_CREAT, FILE_MODE)
         try:
             if is_new:
-                # Its blocks are allocated now: with a disk that fills later, writing to a mapped
-                # hole would end the process by a signal.
+                # Allocates the blocks now: if the disk filled up later, a write to a hole in the
+                # mapped file would kill the process with SIGBUS.
                 os.posix_fallocate(descriptor, 0, size)
                 os.pwrite(descriptor, self._header(), 0)
             return mmap.mmap(descriptor, size)
@@ -129,19 +129,19 @@
         )
 
     def write(self, slot: int, content: bytes) -> None:
-        """Writes a packed entry, its checksum last: that of a torn write does not fit."""
+        """Writes an encoded entry, its checksum last, so that a torn write has a wrong checksum."""
         begin = HEADER_BYTES + slot * SLOT_BYTES
         self.memory[begin : begin + CHECKSUM_BYTES] = bytes(CHECKSUM_BYTES)
         self.memory[begin + CHECKSUM_BYTES : begin + len(content)] = content[CHECKSUM_BYTES:]
         self.memory[begin : begin + CHECKSUM_BYTES] = content[:CHECKSUM_BYTES]
 
     def clear(self, slot: int) -> None:
-        """Empties a slot."""
+        """Clears a slot."""
         begin = HEADER_BYTES + slot * SLOT_BYTES
         self.memory[begin : begin + SLOT_BYTES] = bytes(SLOT_BYTES)
 
     def read(self, slot: int) -> Optional[NumberedEntry]:
-        """Reads a slot; None for one that is empty, torn or damaged."""
+        """Reads a slot; returns None if it is empty, torn or corrupt."""
         begin = HEADER_BYTES + slot * SLOT_BYTES
         return unpack_slot(bytes(self.memory[begin : begin + SLOT_BYTES]))
 
@@ -159,7 +159,7 @@
         return Contents(entries, torn_slots)
 
     def close(self) -> None:
-        """Closes the mapping, if there is one."""
+        """Closes the mapped file, if there is one."""
         if isinstance(self.memory, mmap.mmap):
             self.memory.close()
 
@@ -170,15 +170,15 @@
 
 
 def _header_error(header: bytes) -> Optional[str]:
-    """Says why a stored header can't be read by this version; None if it can."""
+    """Returns why this version can't read a file with this header; None if it can."""
     if len(header) < CHECKED_HEADER_BYTES or header[: len(MAGIC)] != MAGIC:
-        return "no record"
+        return "not a decision log"
     fields = header[: HEADER_FIELDS.size]
     if crc32(fields) != int.from_bytes(header[HEADER_FIELDS.size :], "little"):
-        return "damaged head"
+        return "corrupt header"
     _, version, slot_bytes, _ = HEADER_FIELDS.unpack(fields)
     if version != VERSION or slot_bytes != SLOT_BYTES:
-        return f"version {version}, slots of {slot_bytes}"
+        return f"format version {version} with slots of {slot_bytes} bytes"
     return None
 
 
@@ -188,20 +188,20 @@
 
 
 def _mismatch_text(header: bytes, slots: int) -> str:
-    """Says why a file with this header is not one of so many slots."""
+    """Returns why a file with this header can't be used for this number of slots."""
     error_text = _header_error(header)
     if error_text is not None:
         return error_text
     count = _stored_slot_count(header)
-    return f"{count} slots, {slots} are set" if count != slots else "another size"
+    return f"{count} slots, configured are {slots}" if count != slots else "wrong file size"
 
 
 def load_slot_file(path: str) -> SlotFile:
-    """Reads into memory the file that some process has left, whatever its size.
+    """Reads the slot file of another process into memory, with any number of slots.
 
     Raises:
-        SlotFileError: It is no record of this version.
-        OSError: It can't be read.
+        SlotFileError: The file is not a decision log of this version.
+        OSError: The file can't be read.
     """
     header = _stored_header(path)
     error_text = _header_error(header)
--- a/thymeknot/decision_log/tallies.py
+++ b/thymeknot/decision_log/tallies.py
@@ -1,4 +1,4 @@
-"""Sums over all transactions, recorded or not, in bounded memory."""
+"""Counts over all requests, whether stored or not, in bounded memory."""
 
 from typing import Any, Final, Optional
 
@@ -11,27 +11,28 @@
 from .regions import MAX_REQUEST_CLASSES
 
 HITTER_COUNTERS: Final = 64
-"""For tenants, and as many for keys: the ten that are shown are exact enough by that."""
+"""Counters for tenants, and as many for keys: enough for accurate estimates of the top ten."""
 DURATION_SAMPLING_INTERVAL: Final = 8
-"""One end in so many goes into the sketch of durations, which costs more than a count."""
+"""One in this many durations is added to the sketch, which costs more than a counter."""
 RELATIVE_ACCURACY: Final = 0.02
-"""Of the sketch's quantiles."""
+"""The relative error of the sketch's quantiles."""
 QUANTILES: Final = (0.5, 0.9, 0.99)
 REPORTED_HITTERS: Final = 10
+"""The number of tenants and of keys that are reported."""
 TICKS_PER_MILLISECOND: Final = 10
 REJECTION_REASONS: Final = (Reason.DEFERRED, Reason.ABANDONED)
-"""Final answers that are no results."""
+"""The reasons of final responses that carry no result."""
 
 
 class Tallies:
-    """Counts since the start.
+    """Counts since the start of the process.
 
     Attributes:
-        reasons: How often each reason was named, by its number.
-        ends: How many transactions of a request class ended with a reason (0: with none).
-        durations: The sketch of each request class, in milliseconds.
-        keys: Those of rejected transactions.
-        tenants: Those of rejected transactions.
+        reason_counts: The number of occurrences of each reason, by the reason's number.
+        end_counts: The number of finished requests by class and final reason (0 for none).
+        duration_sketches: A sketch of the durations of each request class, in milliseconds.
+        rejected_keys: The keys of rejected and failed requests.
+        rejected_tenants: The tenants of rejected and failed requests.
     """
 
     def __init__(self) -> None:
@@ -44,7 +45,7 @@
     def add_request(
         self, request_class: str, final_reason: int, duration: Ticks, is_known_class: bool
     ) -> None:
-        """Counts the end of a transaction; durations are kept of known request classes only."""
+        """Counts a finished request; only known request classes get a sketch of durations."""
         group = request_class, final_reason
         count = self.end_counts[group] = self.end_counts.get(group, 0) + 1
         if count % DURATION_SAMPLING_INTERVAL == 1 and is_known_class:
@@ -55,13 +56,13 @@
                 sketch.add(duration / TICKS_PER_MILLISECOND)
 
     def add_rejection(self, tenant: Optional[str], key: Optional[str]) -> None:
-        """Counts whose transaction was rejected."""
+        """Counts the tenant and key of a rejected or failed request."""
         self.rejected_tenants.add((tenant or "")[:MAX_TEXT_LENGTH])
         if key:
             self.rejected_keys.add(key[:MAX_TEXT_LENGTH])
 
     def report(self) -> dict[str, Any]:
-        """Returns the answer to `tally`."""
+        """Returns the answer to the query `tally`."""
         return {
             "ends": [
                 [request_class, Reason(final_reason).name if final_reason else "OPEN", count]
