--- a/thymeknot/cli/load_commands.py
+++ b/thymeknot/cli/load_commands.py
@@ -87,13 +87,13 @@
 
     host, _, port = address.rpartition(":")
     try:
-        request_classes = [schedule.lane(one) for one in lanes]
+        request_classes = [schedule.parse_request_class(lane) for lane in lanes]
         if not port.isdigit():
             raise schedule.ScheduleError(f"--at {address}: must be HOST:PORT")
     except schedule.ScheduleError as error:
         raise click.UsageError(str(error)) from None
     ramp_state = schedule.Ramp(options["rate"]) if ramp else None
-    results = run.stretches(
+    results = run.run_load(
         host,
         int(port),
         {
@@ -114,10 +114,12 @@
         options["protocol"],
         ramp_state,
     )
-    last_stretch = results[-1]
-    figures: dict[str, Any] = {"verdict": last_stretch.verdict, "why": last_stretch.why}
-    figures.update(last_stretch.statistics.figures(options["seconds"]))
+    last_result = results[-1]
+    figures: dict[str, Any] = {"verdict": last_result.verdict, "why": last_result.reason}
+    figures.update(last_result.statistics.to_report(options["seconds"]))
     if ramp_state:
-        figures.update(held_per_s=round(ramp_state.held, 1), held_until=ramp_state.why)
+        figures.update(
+            held_per_s=round(ramp_state.highest_held_rate, 1), held_until=ramp_state.reason
+        )
     click.echo(json_line(figures))
-    context.exit(0 if ramp_state or last_stretch.verdict == schedule.HELD else 1)
+    context.exit(0 if ramp_state or last_result.verdict == schedule.HELD else 1)
--- a/thymeknot/disruption/rollouts.py
+++ b/thymeknot/disruption/rollouts.py
@@ -1,16 +1,16 @@
-"""Releases as waves of permits, and their rollbacks.
-
-A release gives its units a build, wave by wave. It requests permits as any plan does and has no
-capacity of its own, so no wave can raise a budget. A wave is over when each of its units is ready
-with the build or set aside with a reason; with a gate the next begins only after the decision
-module's verdict `on` for it. Its verdict `back` halts the release, and with automatic rollback
-rolls it back too.
-
-A rollback is possible from every state: units that requested or were granted a permit stay in
-service, those that drain or are unavailable are called back with the earlier build, those that are
-ready with the new build are disrupted once more by a permit within the same budgets. Units that
-can't return are named with the reason and not waited for; a rollback that is ordered again tries
-them again.
+"""Releases in waves, and their rollbacks.
+
+A release gives its units a build, wave by wave. It requests permits like any other plan and has no
+capacity of its own, so a wave can't exceed a budget. A wave is finished when each of its units is
+ready with the build or set aside with a reason. In a gated release the next wave begins only after
+the decision module's verdict `on` for the finished one. The verdict `back` halts the release and,
+with automatic rollback, starts its rollback.
+
+A rollback can be ordered in every state except ROLLED_BACK. Units that have only requested or been
+granted a permit stay in service. Units that are draining or out are recalled with
+the earlier build. Units that are ready with the new build are disrupted once more, with a permit
+and within the same budgets. Units that can't return are set aside with the reason and not waited
+for; ordering the rollback again retries them.
 """
 
 from collections.abc import Callable
@@ -30,33 +30,33 @@
     ReleaseInput,
     ReleaseState,
 )
-from .scheduler import explain_stuck
+from .scheduler import explain_blocked
 
 MAX_RELEASES = 64
-# Units of a release that request at once: the queue is for other plans too.
-MAX_OPEN_REQUESTS = 256
-# Permits that a unit lets lapse before it is set aside.
+# Pending permit requests per release, so that it leaves room in the queue for other plans.
+MAX_PENDING_REQUESTS = 256
+# A unit is set aside after it has let this many permits lapse.
 MAX_LAPSED_PERMITS = 5
 
 
 class UnitProgress(NamedTuple):
-    """How far a unit is with a release or its rollback.
+    """The progress of a unit in a release or its rollback.
 
     Attributes:
-        is_awaited: whether the release waits for it.
-        reason: why it is set aside, or None.
-        needs_permit: whether a permit is to be requested for it.
-        is_well: whether a reason for which it was set aside before is over.
+        is_awaited: whether the wave or rollback waits for the unit.
+        reason: why the unit is set aside, or None.
+        needs_permit: whether a permit is to be requested for the unit.
+        is_recovered: whether an earlier reason for setting the unit aside no longer applies.
     """
 
     is_awaited: bool
     reason: str | None = None
     needs_permit: bool = False
-    is_well: bool = False
+    is_recovered: bool = False
 
 
 class Rollouts:
-    """All releases by name, in the order in which they were added."""
+    """All releases, and the steps that they take in each round."""
 
     def __init__(self, fleet: Fleet, halts: Halts) -> None:
         self.fleet = fleet
@@ -64,19 +64,19 @@
         self.by_name: dict[str, Release] = {}
         self.last_number = 0
         self._effects: dict[ReleaseEffect, Callable[[Release], None]] = {
-            ReleaseEffect.ASK: self._await_round,
-            ReleaseEffect.STOP: self._withdraw_all,
-            ReleaseEffect.TURN: self._begin_rollback,
-            ReleaseEffect.END: self._withdraw_all,
+            ReleaseEffect.REQUEST_PERMITS: self._wait_for_next_round,
+            ReleaseEffect.WITHDRAW_PERMITS: self._withdraw_permits,
+            ReleaseEffect.ROLL_BACK: self._begin_rollback,
+            ReleaseEffect.FINISH: self._withdraw_permits,
         }
 
     def get_units(self, release: Release) -> list[Unit]:
-        """The units of a release that are still declared, in its order."""
+        """Returns the units of a release that are still declared, in the order of the release."""
         units = self.fleet.units
         return [units[name] for name in release.members if name in units]
 
     def sorted_by_number(self) -> list[Release]:
-        """All releases by number."""
+        """Returns all releases, ordered by number."""
         return sorted(self.by_name.values(), key=lambda release: release.number)
 
     def add(
@@ -92,7 +92,7 @@
         auto_rollback: bool,
         urgency: int,
     ) -> Release:
-        """Adds a release in place of an ended one of the same name; it waits for the next round."""
+        """Adds a release, replacing an ended one of the same name; it starts in the next round."""
         self.last_number += 1
         release = Release(
             name=name,
@@ -112,9 +112,9 @@
         return release
 
     def make_room(self) -> bool:
-        """Drops the release that ended first if there are too many.
+        """Drops the oldest ended release if there are too many.
 
-        Gives whether there is place for one more.
+        Returns whether there is room for one more.
         """
         if len(self.by_name) >= MAX_RELEASES:
             ended = min(
@@ -131,11 +131,11 @@
             del self.by_name[ended.name]
         return True
 
-    def find_earlier(self, release: Release | None, members: set[str]) -> Release | None:
-        """The first release that has one of these units and is not over, or None.
+    def find_conflicting(self, release: Release | None, members: set[str]) -> Release | None:
+        """Returns the first unfinished release that has one of these units, or None.
 
         Args:
-            release: only releases before this one count; None: all do.
+            release: only releases before this one are considered; None: all are.
             members: names of units.
         """
         for other in self.sorted_by_number():
@@ -150,13 +150,13 @@
         return None
 
     def find_requester(self, request: PermitRequest | None) -> Release | None:
-        """The release that made a request, or None."""
+        """Returns the release that made a request, or None."""
         if request is None or not request.plan.startswith(PLAN_PREFIX):
             return None
         return self.by_name.get(request.plan[len(PLAN_PREFIX) :])
 
     def transition(self, release: Release, event: ReleaseInput) -> bool:
-        """Takes an input by RELEASE_TRANSITIONS; gives whether it did anything."""
+        """Applies an input by RELEASE_TRANSITIONS; returns False if it has no transition."""
         step = RELEASE_TRANSITIONS.get((release.state, event))
         if step is None:
             return False
@@ -164,14 +164,14 @@
         self._effects[step.effect](release)
         return True
 
-    def _await_round(self, release: Release) -> None:
-        """Does nothing: the next round requests permits."""
+    def _wait_for_next_round(self, release: Release) -> None:
+        """Does nothing now: permits are requested in the next round."""
 
-    def _withdraw_all(self, release: Release) -> None:
-        """Takes back its requests, and its permits that nobody began."""
+    def _withdraw_permits(self, release: Release) -> None:
+        """Withdraws the release's requests and the permits that were not begun."""
         for unit in self.get_units(release):
             if unit.request and unit.request.plan == release.plan:
-                self._withdraw(unit)
+                self._withdraw_unit(unit)
 
     def _begin_rollback(self, release: Release) -> None:
         release.last_known_halt = self.halts.last_number
@@ -179,22 +179,22 @@
         for unit in self.get_units(release):
             unit.lapsed_permits = 0
             if unit.request and unit.request.plan == release.plan:
-                self._withdraw(unit)
+                self._withdraw_unit(unit)
                 if unit.state in (
                     PermitState.DRAINING,
                     PermitState.OUT_OF_SERVICE,
                     PermitState.RETURNING,
                 ):
-                    self._call_back(unit, release)
+                    self._recall_unit(unit, release)
 
-    def _withdraw(self, unit: Unit) -> None:
+    def _withdraw_unit(self, unit: Unit) -> None:
         if unit.state in (PermitState.REQUESTED, PermitState.GRANTED):
             self.fleet.transition(unit, PermitInput.REVOKED)
 
-    def _call_back(self, unit: Unit, release: Release) -> None:
-        """Has an unavailable unit return with the earlier build.
+    def _recall_unit(self, unit: Unit, release: Release) -> None:
+        """Recalls a disrupted unit with the earlier build.
 
-        One that was disrupted for a rollback goes on with that; its build is the earlier one.
+        A unit that is already disrupted for a rollback continues, since it returns with that build.
         """
         request = unit.granted_request
         if not request.rollback:
@@ -202,21 +202,21 @@
             unit.fault = ""
             self.fleet.transition(unit, PermitInput.REVOKED)
 
-    def run_round(self) -> None:
-        """Does what is next for each release; at ticks and after commands that touch releases."""
+    def advance_releases(self) -> None:
+        """Takes the next step of each release, at ticks and after commands that affect releases."""
         for release in self.sorted_by_number():
-            if release.state == ReleaseState.WAITING and not self.find_earlier(
+            if release.state == ReleaseState.WAITING and not self.find_conflicting(
                 release, set(release.members)
             ):
-                self.transition(release, ReleaseInput.FREE)
+                self.transition(release, ReleaseInput.UNITS_FREE)
             self._apply_halts(release)
             if release.state == ReleaseState.RUNNING:
-                self._advance(release)
+                self._advance_rollout(release)
             elif release.state == ReleaseState.ROLLING_BACK:
                 self._advance_rollback(release)
 
     def _apply_halts(self, release: Release) -> None:
-        """Halts a release, or resumes it, by the halts that stand."""
+        """Halts or resumes a release according to the halts in force."""
         labels = [unit.labels for unit in self.get_units(release)]
         halt = self.halts.find_halt_of_release(release, labels, release.state in ROLLBACK_STATES)
         self.transition(release, ReleaseInput.HALTED if halt else ReleaseInput.RESUMED)
@@ -228,26 +228,26 @@
         )
         self.fleet.transition(unit, PermitInput.REQUESTED, request)
 
-    def _count_free_requests(self, release: Release) -> int:
-        """How many more units of a release may request."""
+    def _count_available_requests(self, release: Release) -> int:
+        """Returns how many more permits a release may request now."""
         plan = release.plan
-        return MAX_OPEN_REQUESTS - sum(
+        return MAX_PENDING_REQUESTS - sum(
             unit.granted_request.plan == plan for unit in self.fleet.requesting.values()
         )
 
-    def _advance(self, release: Release) -> None:
-        free = self._count_free_requests(release)
+    def _advance_rollout(self, release: Release) -> None:
+        available_requests = self._count_available_requests(release)
         is_waiting = False
         for unit in self.get_units(release)[: release.waves[release.wave]]:
-            progress = self._judge_unit(release, unit)
+            progress = self._assess_unit(release, unit)
             if progress.reason:
                 release.set_aside[unit.name] = progress.reason
-            elif progress.is_well:
+            elif progress.is_recovered:
                 release.set_aside.pop(unit.name, None)
             is_waiting = is_waiting or progress.is_awaited
-            if progress.needs_permit and free > 0:
+            if progress.needs_permit and available_requests > 0:
                 self._request_permit(release, unit, False)
-                free -= 1
+                available_requests -= 1
         if is_waiting:
             return
         if release.waves[release.wave] >= len(release.members):
@@ -255,28 +255,28 @@
         elif not release.gated or release.approved_waves > release.wave:
             release.wave += 1
 
-    def _judge_unit(self, release: Release, unit: Unit) -> UnitProgress:
-        """How far a unit is with a release that goes on."""
+    def _assess_unit(self, release: Release, unit: Unit) -> UnitProgress:
+        """Returns the progress of a unit in a running release."""
         at = self.fleet.at
         settings = self.fleet.settings
-        is_in = unit.state == PermitState.IN_SERVICE
+        is_in_service = unit.state == PermitState.IN_SERVICE
         is_ready = unit.is_ready(at, settings.silent)
-        if not is_in or (is_ready and unit.build != release.build):
-            if is_in and unit.lapsed_permits >= MAX_LAPSED_PERMITS:
+        if not is_in_service or (is_ready and unit.build != release.build):
+            if is_in_service and unit.lapsed_permits >= MAX_LAPSED_PERMITS:
                 return UnitProgress(False, _describe_lapses(unit))
             overdue = self._explain_overdue(unit)
             if overdue:
                 return UnitProgress(False, overdue)
-            return UnitProgress(True, needs_permit=is_in, is_well=True)
+            return UnitProgress(True, needs_permit=is_in_service, is_recovered=True)
         if is_ready:
-            return UnitProgress(False, is_well=True)
+            return UnitProgress(False, is_recovered=True)
         if at - max(unit.state_entered_at, unit.ready_at, release.started_at) > settings.home:
             return UnitProgress(False, "is " + unit.describe_unavailability(at, settings.silent))
-        # It was not seen ready since it returned, or was silent for a moment.
+        # Not yet seen ready since its return, or silent for a short time.
         return UnitProgress(True)
 
     def _explain_overdue(self, unit: Unit) -> str | None:
-        """Why a unit that is on its way is not waited for, or None."""
+        """Returns why a disrupted unit is no longer waited for, or None."""
         settings = self.fleet.settings
         age = self.fleet.at - unit.state_entered_at
         seconds = age // TICKS_PER_SECOND
@@ -287,31 +287,36 @@
         return None
 
     def _advance_rollback(self, release: Release) -> None:
-        free = self._count_free_requests(release)
+        available_requests = self._count_available_requests(release)
         is_waiting = False
         set_aside: dict[str, str] = {}
         for unit in self.get_units(release):
-            progress = self._judge_rolled_back_unit(release, unit)
+            progress = self._assess_rollback(release, unit)
             if progress.reason:
                 set_aside[unit.name] = progress.reason
             is_waiting = is_waiting or progress.is_awaited
-            if progress.needs_permit and free > 0:
+            if progress.needs_permit and available_requests > 0:
                 self._request_permit(release, unit, True)
-                free -= 1
+                available_requests -= 1
         release.set_aside = set_aside
         if not is_waiting:
-            self.transition(release, ReleaseInput.BLOCKED if set_aside else ReleaseInput.HOME)
+            self.transition(
+                release,
+                ReleaseInput.ROLLBACK_BLOCKED if set_aside else ReleaseInput.ROLLBACK_FINISHED,
+            )
 
-    def _judge_rolled_back_unit(self, release: Release, unit: Unit) -> UnitProgress:
-        """How far a unit is with the rollback of a release."""
+    def _assess_rollback(self, release: Release, unit: Unit) -> UnitProgress:
+        """Returns the progress of a unit in the rollback of a release."""
         at = self.fleet.at
         settings = self.fleet.settings
         has_build = unit.build == release.build
         if unit.state == PermitState.IN_SERVICE and has_build:
             if unit.lapsed_permits >= MAX_LAPSED_PERMITS:
                 is_ready = unit.is_ready(at, settings.silent)
-                word = "ready" if is_ready else unit.describe_unavailability(at, settings.silent)
-                return UnitProgress(False, f"{_describe_lapses(unit)}; it is {word}")
+                readiness = (
+                    "ready" if is_ready else unit.describe_unavailability(at, settings.silent)
+                )
+                return UnitProgress(False, f"{_describe_lapses(unit)}; it is {readiness}")
             return UnitProgress(True, needs_permit=True)
         request = unit.request
         if request is None or request.plan != release.plan:
@@ -320,19 +325,21 @@
             reason = f"is {unit.state} by {unit.granted_request.plan}"
             return UnitProgress(at - unit.state_entered_at <= settings.home, reason)
         if unit.state == PermitState.REQUESTED:
-            # Named at once, and waited for no longer than one that is on its way: those that
-            # crashed may start again.
-            stuck = explain_stuck(self.fleet, unit)
-            return UnitProgress(not stuck or at - request.requested_at <= settings.home, stuck)
+            # A crashed unit may start again. So the reason is reported at once, but the unit is
+            # still waited for, as long as a returning one.
+            blocked_reason = explain_blocked(self.fleet, unit)
+            return UnitProgress(
+                not blocked_reason or at - request.requested_at <= settings.home, blocked_reason
+            )
         overdue = self._explain_overdue(unit)
         return UnitProgress(not overdue and unit.state != PermitState.IN_SERVICE, overdue)
 
     def to_plain(self) -> list[Any]:
-        """The releases as a snapshot has them."""
+        """Returns the releases in their snapshot form."""
         return [self.last_number, [release.to_plain() for release in self.sorted_by_number()]]
 
     def load(self, plain: list[Any]) -> None:
-        """Takes the releases of a snapshot in place of its own."""
+        """Replaces all releases by those of a snapshot."""
         self.last_number = plain[0]
         self.by_name = {release["name"]: Release.from_plain(release) for release in plain[1]}
 
--- a/thymeknot/gossip/membership.py
+++ b/thymeknot/gossip/membership.py
@@ -1,10 +1,11 @@
-"""Who lives: SWIM's probes and suspicion, without a network.
+"""Membership state of the peers: SWIM's failure detection and suspicion, without a network.
 
-One thing differs: what others say of a peer makes an instance look for itself and never moves the
-peer, so that no number of liars can bury one who answers.
+One difference from SWIM: a suspicion reported by others only makes an instance probe the peer
+itself and never changes the peer's state, so that no number of lying instances can have a peer that
+answers declared dead.
 
-Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2018): local
-health.
+Sources: Das, Gupta, Motivala, "SWIM" (2002); Dadgar, Phillips, Currey, "Lifeguard" (2018) for the
+local health.
 """
 
 from collections.abc import Collection, Iterable
@@ -18,21 +19,21 @@
 from .replay_window import ReplayWindow
 from .settings import GossipSettings
 
-PROBERS_OF_SUSPECTED = 16  # of all instances, in a period, that probe one that was suspected
-MIN_MISSED_PROBES = 4  # own probes that must fail before one is dead, however long that takes
-MAX_EXTRA_PROBES = 64  # suspected peers at once that are probed out of turn
-EXTRA_PROBES_AT_ONCE = 2  # of them in one period; as many of those this instance suspects
-MAX_HEALTH = 8  # Lifeguard's multiplier goes up to this plus one
-FRAME_WINDOW = 128  # numbers of datagrams
-ITEM_WINDOW = 1024  # numbers of items
-MAX_DIGESTS = 64  # items remembered by their bytes, of one origin
-MAX_SUSPECTERS = 16  # groups that suspect one peer
-MAX_AGREEING = 3  # suspecters that shorten a suspicion
-MAX_BACKOFF_DOUBLINGS = 6  # of the time between probes of one that does not answer
+EXPECTED_PROBERS_OF_SUSPECT = 16  # instances of the whole group, per period
+MIN_MISSED_PROBES = 4  # consecutive own probes that must fail before a peer is declared dead
+MAX_EXTRA_PROBES = 64  # suspected peers queued to be probed out of turn
+EXTRA_PROBES_PER_PERIOD = 2  # of those; the same number again of peers that this instance suspects
+MAX_HEALTH = 8  # Lifeguard's multiplier is 1 + health, at most 1 + MAX_HEALTH
+FRAME_WINDOW_SIZE = 128  # sequence numbers of datagrams
+ITEM_WINDOW_SIZE = 1024  # sequence numbers of items
+MAX_DIGESTS_PER_ORIGIN = 64  # latest items, to detect equivocation
+MAX_SUSPECTING_GROUPS = 16  # recorded per suspected peer
+MAX_CONFIRMATIONS = 3  # reports by other groups that shorten a suspicion
+MAX_BACKOFF_DOUBLINGS = 6  # of the interval between probes of a peer that does not answer
 
 
 class MemberState(StrEnum):
-    """What an instance holds a peer for. The values are logged."""
+    """State of a peer as one instance sees it. The values are logged."""
 
     UNPROVED = "unproved"
     ALIVE = "alive"
@@ -42,79 +43,85 @@
 
 
 class MemberInput(StrEnum):
-    """What can happen to a peer."""
+    """Input of the state machine of a peer."""
 
-    ANSWERED = "answered"  # a nonce of ours
-    MISSED = "missed"  # a probe was not answered
-    SUSPECTED = "accused"  # by another
-    SPOKE = "spoke"  # a fresh item of its own
-    OVERDUE = "overdue"  # its suspicion is over
+    ANSWERED = "answered"  # the peer answered a nonce of this instance
+    PROBE_FAILED = "missed"  # the peer did not answer a probe
+    SUSPECTED = "accused"  # another instance reported a suspicion
+    FRESH_ITEM = "spoke"  # a recent item of the peer arrived
+    SUSPICION_EXPIRED = "overdue"  # the duration of the suspicion is over
     LEFT = "left"
-    REPLACED = "replaced"  # another name has its address
+    ADDRESS_TAKEN = "replaced"  # another peer validated the address
 
 
 class MemberEffect(StrEnum):
-    """What a transition does."""
+    """Side effect of a transition."""
 
     CLEAR = "clear"
     BACK_OFF = "back off"
     FIRST_MISS = "first miss"
     NEXT_MISS = "next miss"
     PROBE_SOON = "probe soon"
-    FORGET_SUSPECTERS = "forget suspecters"
+    FORGET_SUSPICIONS = "forget suspecters"
 
 
 class Transition(NamedTuple):
-    """What an input does in a state.
+    """Result of an input in a state.
 
     Attributes:
-        state: The next state.
-        effect: What is done on the way.
+        state: Next state.
+        effect: Side effect.
     """
 
     state: MemberState
     effect: MemberEffect
 
 
-# A pair that is not here changes nothing.
+# Pairs that are not listed change nothing.
 TRANSITIONS: dict[tuple[MemberState, MemberInput], Transition] = {
     (MemberState.UNPROVED, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.UNPROVED, MemberInput.MISSED): Transition(
+    (MemberState.UNPROVED, MemberInput.PROBE_FAILED): Transition(
         MemberState.UNPROVED, MemberEffect.BACK_OFF
     ),
-    (MemberState.ALIVE, MemberInput.MISSED): Transition(
+    (MemberState.ALIVE, MemberInput.PROBE_FAILED): Transition(
         MemberState.SUSPECT, MemberEffect.FIRST_MISS
     ),
     (MemberState.ALIVE, MemberInput.SUSPECTED): Transition(
         MemberState.ALIVE, MemberEffect.PROBE_SOON
     ),
     (MemberState.ALIVE, MemberInput.LEFT): Transition(
-        MemberState.LEFT, MemberEffect.FORGET_SUSPECTERS
+        MemberState.LEFT, MemberEffect.FORGET_SUSPICIONS
     ),
-    (MemberState.ALIVE, MemberInput.REPLACED): Transition(
-        MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
+    (MemberState.ALIVE, MemberInput.ADDRESS_TAKEN): Transition(
+        MemberState.DEAD, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.SUSPECT, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.SUSPECT, MemberInput.SPOKE): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.SUSPECT, MemberInput.MISSED): Transition(
+    (MemberState.SUSPECT, MemberInput.FRESH_ITEM): Transition(
+        MemberState.ALIVE, MemberEffect.CLEAR
+    ),
+    (MemberState.SUSPECT, MemberInput.PROBE_FAILED): Transition(
         MemberState.SUSPECT, MemberEffect.NEXT_MISS
     ),
     (MemberState.SUSPECT, MemberInput.SUSPECTED): Transition(
         MemberState.SUSPECT, MemberEffect.PROBE_SOON
     ),
-    (MemberState.SUSPECT, MemberInput.OVERDUE): Transition(
-        MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
+    (MemberState.SUSPECT, MemberInput.SUSPICION_EXPIRED): Transition(
+        MemberState.DEAD, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.SUSPECT, MemberInput.LEFT): Transition(
-        MemberState.LEFT, MemberEffect.FORGET_SUSPECTERS
+        MemberState.LEFT, MemberEffect.FORGET_SUSPICIONS
     ),
-    (MemberState.SUSPECT, MemberInput.REPLACED): Transition(
-        MemberState.DEAD, MemberEffect.FORGET_SUSPECTERS
+    (MemberState.SUSPECT, MemberInput.ADDRESS_TAKEN): Transition(
+        MemberState.DEAD, MemberEffect.FORGET_SUSPICIONS
     ),
     (MemberState.DEAD, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.DEAD, MemberInput.MISSED): Transition(MemberState.DEAD, MemberEffect.BACK_OFF),
+    (MemberState.DEAD, MemberInput.PROBE_FAILED): Transition(
+        MemberState.DEAD, MemberEffect.BACK_OFF
+    ),
     (MemberState.LEFT, MemberInput.ANSWERED): Transition(MemberState.ALIVE, MemberEffect.CLEAR),
-    (MemberState.LEFT, MemberInput.MISSED): Transition(MemberState.LEFT, MemberEffect.BACK_OFF),
+    (MemberState.LEFT, MemberInput.PROBE_FAILED): Transition(
+        MemberState.LEFT, MemberEffect.BACK_OFF
+    ),
 }
 
 LIVE_STATES = (MemberState.ALIVE, MemberState.SUSPECT)
@@ -124,9 +131,9 @@
     """A peer's change of state, for the log.
 
     Attributes:
-        name: Its name.
-        before: The state before.
-        after: The state now.
+        name: Name of the peer.
+        before: Former state.
+        after: New state.
     """
 
     name: str
@@ -135,11 +142,11 @@
 
 
 class ClockOffset(NamedTuple):
-    """A peer's clock against this instance's.
+    """Offset between a peer's clock and this instance's clock.
 
     Attributes:
-        ticks: What is to be added to the peer's ticks.
-        error: The round trip by which it was measured, in ticks.
+        ticks: Added to the peer's ticks to get this instance's.
+        error: Round-trip time of the measurement, in ticks.
     """
 
     ticks: Ticks
@@ -147,94 +154,95 @@
 
 
 class Member:
-    """A peer of the ring as this instance knows it.
+    """A peer in the keyring as this instance knows it.
 
-    Nothing of it counts before it has proved its present start by answering a nonce of ours.
+    Its messages are ignored until it has proved its present start by answering a nonce of this
+    instance.
 
     Attributes:
-        name: Its name.
-        address: Where it proved to be, or where others say it is.
-        state: Its state.
-        start: The start that it proved, None for none.
-        incarnation: Its incarnation within the start.
-        offset: Its clock against ours.
-        since: When its state began.
-        misses: Own probes that it did not answer in a row.
-        suspecters: When each group said that it suspects the peer.
-        looked: When it was probed last.
-        frames: Numbers of its datagrams.
-        items: Numbers of its items.
-        digests: Digests of its latest items by number.
-        rested: Doublings of the time between probes while it does not answer.
-        told_at: When it was asked last to prove itself.
+        name: Name in the keyring.
+        address: Validated address, or before validation an address from hints.
+        state: Membership state.
+        start: Id of the proved start, or None.
+        incarnation: Incarnation within the start.
+        offset: Offset of its clock.
+        state_since: When the present state began.
+        missed_probes: Number of consecutive own probes that it did not answer.
+        suspecting_groups: Time of the latest suspicion by each group.
+        last_probe_at: When it was last probed.
+        frame_window: Sequence numbers of its datagrams that were received.
+        item_window: Sequence numbers of its items that were received.
+        digests: Digests of its latest items by sequence number.
+        backoff_doublings: Doublings of the probe interval while it does not answer.
+        challenged_at: When it was last asked to prove its start.
     """
 
     __slots__ = (
         "address",
+        "backoff_doublings",
+        "challenged_at",
         "digests",
-        "frames",
+        "frame_window",
         "incarnation",
-        "items",
-        "looked",
-        "misses",
+        "item_window",
+        "last_probe_at",
+        "missed_probes",
         "name",
         "offset",
-        "rested",
-        "since",
         "start",
         "state",
-        "suspecters",
-        "told_at",
+        "state_since",
+        "suspecting_groups",
     )
 
     def __init__(self, name: str) -> None:
         self.name = name
         self.address: Address | None = None
         self.state = MemberState.UNPROVED
-        self.since: Ticks = 0
-        self.rested = 0
-        self.looked: Ticks = -TICKS_PER_SECOND
-        self.told_at: Ticks = 0
+        self.state_since: Ticks = 0
+        self.backoff_doublings = 0
+        self.last_probe_at: Ticks = -TICKS_PER_SECOND
+        self.challenged_at: Ticks = 0
         self.adopt_start(None)
 
     def adopt_start(self, start: int | None) -> None:
-        """Takes up another start of the name: nothing said under the former one counts."""
+        """Adopts a new start of the peer and discards all state of the former one."""
         self.start = start
         self.incarnation = 0
         self.offset: ClockOffset | None = None
-        self.misses = 0
-        self.suspecters: dict[str, Ticks] = {}
-        self.frames = ReplayWindow(FRAME_WINDOW)
-        self.items = ReplayWindow(ITEM_WINDOW)
+        self.missed_probes = 0
+        self.suspecting_groups: dict[str, Ticks] = {}
+        self.frame_window = ReplayWindow(FRAME_WINDOW_SIZE)
+        self.item_window = ReplayWindow(ITEM_WINDOW_SIZE)
         self.digests: dict[int, bytes] = {}
 
     def is_live(self) -> bool:
-        """Returns whether it counts as living."""
+        """Returns whether the peer is alive or only suspected."""
         return self.state in LIVE_STATES
 
     def live_address(self) -> Address:
-        """Returns the address of a living peer, which it proved."""
+        """Returns the validated address of a live peer."""
         return cast(Address, self.address)
 
     def clock_offset(self) -> ClockOffset:
-        """Returns the clock's offset of a living peer, which was measured as it proved itself."""
+        """Returns the clock offset of a live peer, measured when it proved its start."""
         return cast(ClockOffset, self.offset)
 
-    def remember(self, number: int, digest: bytes) -> None:
-        """Keeps an item's digest for a while: another content under its number is a lie."""
-        if len(self.digests) >= MAX_DIGESTS:
+    def remember_digest(self, number: int, digest: bytes) -> None:
+        """Stores an item's digest, so that a different item with its number is detected."""
+        if len(self.digests) >= MAX_DIGESTS_PER_ORIGIN:
             del self.digests[next(iter(self.digests))]
         self.digests[number] = digest
 
 
 class Members:
-    """The peers of the ring.
+    """The peers in the keyring.
 
     Attributes:
-        all: They by name.
-        live: Those that count as living.
-        health: Lifeguard's local health: 0 is well.
-        events: Changes of state that the caller has not taken yet.
+        all: All peers by name.
+        live: Peers that are alive or suspected.
+        health: Lifeguard's local health score, from 0 (healthy) to `MAX_HEALTH`.
+        state_changes: State changes that the caller has not taken yet.
     """
 
     def __init__(
@@ -245,163 +253,168 @@
         self.health = 0
         self.all = {name: Member(name) for name in names}
         self.live: list[Member] = []
-        self.events: list[StateChange] = []
-        self._round: list[str] = []  # names still to be probed in this round, the next one last
-        self._extra_probes: dict[str, Ticks] = {}  # when names are probed out of turn
+        self.state_changes: list[StateChange] = []
+        # Names not yet probed in this round, the next one last.
+        self._probe_round: list[str] = []
+        self._extra_probes: dict[str, Ticks] = {}  # when to probe peers out of turn, by name
 
-    def rekey(self, names: Collection[str]) -> None:
-        """Takes up another ring: names that left it are gone, new ones wait to be met."""
+    def set_names(self, names: Collection[str]) -> None:
+        """Replaces the names of the peers: removes missing ones and adds new ones, unproved."""
         for name in [name for name in self.all if name not in names]:
             del self.all[name]
         for name in names:
             self.all.setdefault(name, Member(name))
         self.update_live()
-        self._round = []
+        self._probe_round = []
         self._extra_probes = {
             name: at for name, at in self._extra_probes.items() if name in self.all
         }
 
     def update_live(self) -> None:
-        """Lists anew who lives, after states were changed."""
+        """Recomputes `live` after states were changed."""
         self.live = [member for member in self.all.values() if member.is_live()]
 
-    def step(self, member: Member, what: MemberInput, now: Ticks) -> None:
-        """Applies an input to a peer."""
+    def apply(self, member: Member, event: MemberInput, now: Ticks) -> None:
+        """Applies an input to the state machine of a peer."""
         before = member.state
-        transition = TRANSITIONS.get((before, what))
+        transition = TRANSITIONS.get((before, event))
         if transition is None:
             return
         member.state = transition.state
-        self._apply(transition.effect, member, now)
+        self._run_effect(transition.effect, member, now)
         if before != member.state:
-            member.since = now
+            member.state_since = now
             self.update_live()
-            self.events.append(StateChange(member.name, before, member.state))
+            self.state_changes.append(StateChange(member.name, before, member.state))
 
-    def _apply(self, effect: MemberEffect, member: Member, now: Ticks) -> None:
+    def _run_effect(self, effect: MemberEffect, member: Member, now: Ticks) -> None:
         if effect is MemberEffect.CLEAR:
-            member.misses = 0
-            member.suspecters = {}
-            member.rested = 0
+            member.missed_probes = 0
+            member.suspecting_groups = {}
+            member.backoff_doublings = 0
         elif effect is MemberEffect.FIRST_MISS:
-            member.misses = 1
+            member.missed_probes = 1
         elif effect is MemberEffect.NEXT_MISS:
-            member.misses += 1
+            member.missed_probes += 1
         elif effect is MemberEffect.BACK_OFF:
-            member.rested = min(member.rested + 1, MAX_BACKOFF_DOUBLINGS)
+            member.backoff_doublings = min(member.backoff_doublings + 1, MAX_BACKOFF_DOUBLINGS)
         elif effect is MemberEffect.PROBE_SOON:
-            self._probe_soon(member, now)
+            self._schedule_extra_probe(member, now)
         else:
-            member.suspecters = {}
+            member.suspecting_groups = {}
 
-    def _probe_soon(self, member: Member, now: Ticks) -> None:
+    def _schedule_extra_probe(self, member: Member, now: Ticks) -> None:
         period = self._settings.probe_every
-        if member.name in self._extra_probes or now - member.looked < period:
+        if member.name in self._extra_probes or now - member.last_probe_at < period:
             return
-        # Hundreds that probed at once would be more than it can answer, and it would be suspected.
-        periods = int(self._random_source.draw() * len(self.live) / PROBERS_OF_SUSPECTED)
+        # Probes by hundreds of instances at once would overload the peer, which would then miss
+        # some of them and stay suspected.
+        periods = int(self._random_source.draw() * len(self.live) / EXPECTED_PROBERS_OF_SUSPECT)
         if len(self._extra_probes) < MAX_EXTRA_PROBES:
             self._extra_probes[member.name] = now + periods * period
 
-    def suspected(self, member: Member, group: str, now: Ticks) -> None:
-        """Notes that somebody got no answer from a peer.
+    def record_suspicion(self, member: Member, group: str, now: Ticks) -> None:
+        """Records that another instance suspects a peer.
 
-        The next probe is for it, and agreement of others shortens this instance's own suspicion.
+        The peer is probed out of turn, and each reporting group shortens this instance's own
+        suspicion.
         """
-        if len(member.suspecters) < MAX_SUSPECTERS:
-            member.suspecters[group] = now
-        self.step(member, MemberInput.SUSPECTED, now)
+        if len(member.suspecting_groups) < MAX_SUSPECTING_GROUPS:
+            member.suspecting_groups[group] = now
+        self.apply(member, MemberInput.SUSPECTED, now)
 
     def suspicion_duration(self, member: Member) -> Ticks:
-        """Returns how long a suspicion lasts.
+        """Returns the duration of a suspicion.
 
-        It is long at first, shorter with each that agrees, never shorter than a third, and longer
-        for an instance that finds itself unwell.
+        It becomes shorter with each group that reports the same suspicion, down to a third, and is
+        longer while this instance's local health is poor.
         """
         settings = self._settings
         scale = max(1.0, log(len(self.live) + 1))
-        full = settings.suspect_times * settings.probe_every * scale
-        agreed = min(MAX_AGREEING, sum(1 for at in member.suspecters.values() if at))
-        # Each of three that agree takes 2/9 of it, so that a third is left.
-        return int(full * (1 - agreed * 2 / 9) * (1 + self.health / 2))
-
-    def bury_overdue(self, now: Ticks) -> None:
-        """Declares suspects dead whose time is over, after own probes that failed."""
+        full_duration = settings.suspect_times * settings.probe_every * scale
+        confirmations = min(
+            MAX_CONFIRMATIONS, sum(1 for at in member.suspecting_groups.values() if at)
+        )
+        # Each of up to three confirmations removes 2/9, which leaves a third.
+        return int(full_duration * (1 - confirmations * 2 / 9) * (1 + self.health / 2))
+
+    def declare_overdue_dead(self, now: Ticks) -> None:
+        """Declares suspects dead whose suspicion has expired and that missed enough own probes."""
         for member in self.live:
             if (
                 member.state == MemberState.SUSPECT
-                and member.misses >= MIN_MISSED_PROBES
-                and now - member.since > self.suspicion_duration(member)
+                and member.missed_probes >= MIN_MISSED_PROBES
+                and now - member.state_since > self.suspicion_duration(member)
             ):
-                self.step(member, MemberInput.OVERDUE, now)
+                self.apply(member, MemberInput.SUSPICION_EXPIRED, now)
 
     def change_health(self, change: int) -> None:
-        """Changes the local health: up if this instance seems slow, down with answered probes."""
+        """Adds `change` to the local health score, which grows while this instance seems slow."""
         self.health = max(0, min(MAX_HEALTH, self.health + change))
 
     def next_probes(self, now: Ticks) -> list[Member]:
-        """Returns whom to probe in this period.
+        """Returns the peers to probe in this period.
 
-        One by a shuffled round, then those to be probed out of turn, then suspects.
+        These are the next peer of a shuffled round, peers to probe out of turn, and suspects.
         """
-        chosen = self._next_of_round()
+        chosen = self._next_in_round()
         suspects = [member for member in self.live if member.state == MemberState.SUSPECT]
-        suspects.sort(key=lambda member: member.looked)
-        due = [
+        suspects.sort(key=lambda member: member.last_probe_at)
+        due_names = [
             name for name, at in self._extra_probes.items() if at <= now or name not in self.all
-        ][:EXTRA_PROBES_AT_ONCE]
-        extra = [self.all[name] for name in due if name in self.all]
-        for name in due:
+        ][:EXTRA_PROBES_PER_PERIOD]
+        extra_probes = [self.all[name] for name in due_names if name in self.all]
+        for name in due_names:
             del self._extra_probes[name]
-        for member in extra + suspects[:EXTRA_PROBES_AT_ONCE]:
+        for member in extra_probes + suspects[:EXTRA_PROBES_PER_PERIOD]:
             if member not in chosen and member.is_live():
                 chosen.append(member)
         for member in chosen:
-            member.looked = now
+            member.last_probe_at = now
         return chosen
 
-    def _next_of_round(self) -> list[Member]:
-        """Returns the next one that lives of the round, if any; begins a round if one is over.
+    def _next_in_round(self) -> list[Member]:
+        """Returns the next live peer of the round, if any; begins a new round after the last.
 
-        Each round has a random order (Fisher-Yates), so that none waits longer than two rounds.
+        Each round is in random order (Fisher-Yates), so that no peer waits longer than two rounds.
         """
-        if not self._round:
+        if not self._probe_round:
             names = [member.name for member in self.live]
-            for at in range(len(names) - 1, 0, -1):
-                other = int(self._random_source.draw() * (at + 1))
-                names[at], names[other] = names[other], names[at]
-            self._round = names
-        while self._round:
-            member = self.all.get(self._round.pop())
+            for index in range(len(names) - 1, 0, -1):
+                other_index = int(self._random_source.draw() * (index + 1))
+                names[index], names[other_index] = names[other_index], names[index]
+            self._probe_round = names
+        while self._probe_round:
+            member = self.all.get(self._probe_round.pop())
             if member and member.is_live():
                 return [member]
         return []
 
-    def to_prove(self, now: Ticks, limit: int) -> list[Member]:
-        """Returns peers with an address that proved nothing, are dead or left, by their backoff."""
+    def peers_to_validate(self, now: Ticks, limit: int) -> list[Member]:
+        """Returns peers with an address that are not live and whose backoff is over."""
         period = self._settings.probe_every
-        found = [
+        candidates = [
             member
             for member in self.all.values()
             if member.address
             and not member.is_live()
-            and now - member.looked >= period * (1 << member.rested)
+            and now - member.last_probe_at >= period * (1 << member.backoff_doublings)
         ]
-        found.sort(key=lambda member: member.looked)
-        for member in found[:limit]:
-            member.looked = now
-        return found[:limit]
+        candidates.sort(key=lambda member: member.last_probe_at)
+        for member in candidates[:limit]:
+            member.last_probe_at = now
+        return candidates[:limit]
 
     def sample(self, count: int, exclude: Collection[str] = ()) -> list[Member]:
-        """Returns so many living ones at random."""
-        pool = [
+        """Returns up to `count` random peers in state `ALIVE`."""
+        candidates = [
             member
             for member in self.live
             if member.state == MemberState.ALIVE and member.name not in exclude
         ]
         chosen: list[Member] = []
-        while pool and len(chosen) < count:
-            at = int(self._random_source.draw() * len(pool))
-            pool[at], pool[-1] = pool[-1], pool[at]
-            chosen.append(pool.pop())
+        while candidates and len(chosen) < count:
+            index = int(self._random_source.draw() * len(candidates))
+            candidates[index], candidates[-1] = candidates[-1], candidates[index]
+            chosen.append(candidates.pop())
         return chosen
--- a/thymeknot/gossip/prober.py
+++ b/thymeknot/gossip/prober.py
@@ -1,4 +1,4 @@
-"""Probes: nonces that are outstanding, answers by relays, and what follows where none comes."""
+"""Probes: outstanding nonces, indirect probes by relays, and failures of probes."""
 
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import codec
@@ -7,55 +7,66 @@
 from .membership import Member, MemberInput, MemberState
 from .rate_limits import Address, SendPurpose
 
-MAX_PROBES = 512  # nonces that are outstanding
-# Own probes that failed before others are told: with loss, each first one would be told to all.
+MAX_PROBES = 512  # outstanding nonces
+# Failed own probes before the suspicion is published. With datagram loss, publishing it after the
+# first one would announce every single loss to the whole group.
 MISSES_BEFORE_SUSPECT = 3
-STALL = TICKS_PER_SECOND // 2  # a tick late by so much: it is this instance that stood still
-STALL_HEALTH = 2  # what a stall adds to the local health
+STALL_THRESHOLD = TICKS_PER_SECOND // 2  # delay of a tick from which this process had stalled
+STALL_HEALTH_PENALTY = 2  # added to the local health score after a stall
 
 
 class Probe:
-    """A nonce that is outstanding.
+    """An outstanding nonce.
 
     Attributes:
         nonce: The nonce.
-        name: Name of the one that is asked, None where a seed's name is not known yet.
-        address: Where it is asked.
-        at: When it was asked.
-        ends: Until when an answer counts.
-        asked: Relays and repeated pings that have not said no.
-        asker: Name of the peer on whose behalf it is asked, or None.
-        period: Whether it is the probe of a protocol period, that may make its target suspected.
+        name: Name of the probed peer, or None for a seed whose name is not known yet.
+        address: Address that was probed.
+        sent_at: When the probe was sent.
+        deadline: Until when an answer is accepted.
+        pending_answers: Number of relays and repeated pings that have not reported a failure.
+        requester: Name of the peer on whose behalf the probe is sent, or None.
+        is_period_probe: Whether it is a probe of a protocol period. Only these can make their
+            target suspected.
     """
 
-    __slots__ = ("address", "asked", "asker", "at", "ends", "name", "nonce", "period")
+    __slots__ = (
+        "address",
+        "deadline",
+        "is_period_probe",
+        "name",
+        "nonce",
+        "pending_answers",
+        "requester",
+        "sent_at",
+    )
 
     def __init__(
         self,
         nonce: bytes,
         name: str | None,
         address: Address,
-        at: Ticks,
-        ends: Ticks,
+        sent_at: Ticks,
+        deadline: Ticks,
         *,
-        asker: str | None = None,
-        period: bool = False,
+        requester: str | None = None,
+        is_period_probe: bool = False,
     ) -> None:
         self.nonce = nonce
         self.name = name
         self.address = address
-        self.at = at
-        self.ends = ends
-        self.asked = 0
-        self.asker = asker
-        self.period = period
+        self.sent_at = sent_at
+        self.deadline = deadline
+        self.pending_answers = 0
+        self.requester = requester
+        self.is_period_probe = is_period_probe
 
 
 class Prober:
-    """The probes of a node.
+    """Sends probes and evaluates their answers.
 
     Attributes:
-        probes: Those that are outstanding, by nonce.
+        probes: Outstanding probes by nonce.
     """
 
     def __init__(self, context: GossipContext) -> None:
@@ -76,55 +87,64 @@
         name: str | None,
         purpose: SendPurpose,
         *,
-        asker: str | None = None,
-        period: bool = False,
+        requester: str | None = None,
+        is_period_probe: bool = False,
         nonce: bytes | None = None,
-        max_size: int = codec.MAX_DATAGRAM,
+        max_size: int = codec.MAX_DATAGRAM_SIZE,
     ) -> None:
         """Sends a ping with a nonce.
 
-        With padding it asks for a bare answer: from one that proved nothing, which may not answer
-        with more than it was sent, or for another, to whom the answer is passed on whole.
+        Padding asks for an answer without items. It is used for a peer that is not validated, whose
+        answer must not be longer than the ping, and for a relayed probe, whose answer is forwarded
+        as a whole.
 
         Args:
-            now: The time.
-            address: Where to.
-            name: Whom to, None if that is not known.
-            purpose: What it is for.
-            asker: Name of the peer on whose behalf it is sent.
-            period: Whether it is the probe of a protocol period.
-            nonce: The asker's nonce; a new one if None.
-            max_size: Most bytes that it may have.
+            now: Current time.
+            address: Destination.
+            name: Name of the probed peer, or None if unknown.
+            purpose: Determines the share of the send limits that the ping may use.
+            requester: Name of the peer on whose behalf it is sent.
+            is_period_probe: Whether it is a probe of a protocol period.
+            nonce: Nonce of the requester; None for a new one.
+            max_size: Largest allowed size of the ping in bytes.
         """
         context = self._context
         nonce = nonce or context.new_nonce()
         if len(self.probes) >= MAX_PROBES or nonce in self.probes:
             return
         member = self._member(name)
-        proved = member is not None and member.is_live()
-        items = context.pick_items(name) if proved and name is not None and not asker else []
-        ends = now + self._timeout()
-        bare_answer = b"\0" if asker else b""
-        ping = Ping(nonce, bare_answer if proved else bytes(codec.PING_PADDING))
+        validated = member is not None and member.is_live()
+        items = context.pick_items(name) if validated and name is not None and not requester else []
+        deadline = now + self._timeout()
+        bare_answer = b"\0" if requester else b""
+        ping = Ping(nonce, bare_answer if validated else bytes(codec.PING_PADDING_SIZE))
         if context.outbox.send(
             now, address, name or "", ping, purpose, items=items, max_size=max_size
         ):
-            self.probes[nonce] = Probe(nonce, name, address, now, ends, asker=asker, period=period)
+            self.probes[nonce] = Probe(
+                nonce,
+                name,
+                address,
+                now,
+                deadline,
+                requester=requester,
+                is_period_probe=is_period_probe,
+            )
 
     def expect_answer(self, now: Ticks, nonce: bytes, member: Member, source: Address) -> None:
-        """Takes note of a nonce that went out with an answer."""
-        ends = now + self._context.settings.probe_timeout
-        self.probes[nonce] = Probe(nonce, member.name, source, now, ends)
+        """Registers a nonce that was sent as the challenge in an answer."""
+        deadline = now + self._context.settings.probe_timeout
+        self.probes[nonce] = Probe(nonce, member.name, source, now, deadline)
 
     def is_full(self) -> bool:
-        """Returns whether no more nonces may be outstanding."""
+        """Returns whether the maximum number of nonces is outstanding."""
         return len(self.probes) >= MAX_PROBES
 
     def after_stall(self, now: Ticks) -> None:
-        """Gives answers more time after this instance stood still: they wait unread, or came."""
-        self._context.members.change_health(STALL_HEALTH)
+        """Extends all deadlines after a stall of this process, since answers may wait unread."""
+        self._context.members.change_health(STALL_HEALTH_PENALTY)
         for probe in self.probes.values():
-            probe.ends = now + self._timeout()
+            probe.deadline = now + self._timeout()
 
     def relay(self, now: Ticks, member: Member, request: IndirectPing) -> None:
         """Probes a peer on behalf of another."""
@@ -135,73 +155,75 @@
                 (request.host, request.port),
                 request.target,
                 SendPurpose.PROVE,
-                asker=member.name,
+                requester=member.name,
                 nonce=request.nonce,
             )
 
-    def pass_on(self, now: Ticks, probe: Probe, answer: bytes | None) -> None:
-        """Passes an answer, or that there was none, on to the asker of a probe."""
-        asker = self._member(probe.asker)
-        if asker and asker.address:
+    def forward_answer(self, now: Ticks, probe: Probe, answer: bytes | None) -> None:
+        """Forwards an answer, or None for a failed probe, to the requester of the probe."""
+        requester = self._member(probe.requester)
+        if requester and requester.address:
             body = IndirectAck(probe.nonce, answer)
-            self._context.outbox.send(now, asker.address, asker.name, body, SendPurpose.ANSWER)
+            self._context.outbox.send(
+                now, requester.address, requester.name, body, SendPurpose.ANSWER
+            )
 
-    def relayed(self, now: Ticks, relay: Member, reply: IndirectAck) -> None:
-        """Takes a peer's answer by way of a relay.
+    def receive_indirect_ack(self, now: Ticks, relay: Member, reply: IndirectAck) -> None:
+        """Processes a peer's answer that was forwarded by a relay.
 
-        It is signed by the one who lives and holds our own nonce, so that no relay can make one up
-        or keep one for later; it proves no address.
+        The answer is signed by the probed peer and has this instance's nonce, so that a relay can
+        neither forge nor replay it. It does not prove the peer's address.
         """
         probe = self.probes.get(reply.nonce)
         if probe is None or probe.name is None:
             return
-        probe.asked = max(0, probe.asked - 1)
+        probe.pending_answers = max(0, probe.pending_answers - 1)
         if reply.answer is None:
             return
-        read = codec.read_frame(reply.answer)
-        if isinstance(read, DropReason):
+        sealed = codec.read_frame(reply.answer)
+        if isinstance(sealed, DropReason):
             return
         target = self._member(probe.name)
-        if target is None or not self._is_answer(read, target, relay, reply.nonce):
+        if target is None or not self._is_answer(sealed, target, relay, reply.nonce):
             return
         context = self._context
         if not context.limits.total.take(now):
             return
         context.limits.verified += 1
-        if context.ring.verifies(read.key_id, read.signed, read.signature):
+        if context.keyring.verifies(sealed.key_id, sealed.signed_bytes, sealed.signature):
             del self.probes[reply.nonce]
-            context.members.step(target, MemberInput.ANSWERED, now)
+            context.members.apply(target, MemberInput.ANSWERED, now)
 
     def _is_answer(
-        self, read: codec.SealedFrame, target: Member, relay: Member, nonce: bytes
+        self, sealed: codec.SealedFrame, target: Member, relay: Member, nonce: bytes
     ) -> bool:
-        """Returns whether a datagram is the target's answer to a relay, but for its signature."""
-        frame = read.frame
+        """Returns whether a datagram, if its signature is valid, is the target's answer."""
+        frame = sealed.frame
         return (
             frame.sender == target.name
-            and self._context.key_owner(read.key_id) == target.name
+            and self._context.key_owner(sealed.key_id) == target.name
             and frame.recipient == relay.name
             and frame.start == target.start
-            and not target.frames.seen(frame.number)
+            and not target.frame_window.seen(frame.number)
             and frame.body == Ack(nonce, None)
         )
 
     def tick(self, now: Ticks) -> None:
-        """Ends the probes whose time is over, and the suspicions that follow."""
-        for probe in [probe for probe in self.probes.values() if now >= probe.ends]:
+        """Ends probes and suspicions whose deadline has passed."""
+        for probe in [probe for probe in self.probes.values() if now >= probe.deadline]:
             member = self._member(probe.name)
-            if probe.asker:
-                self.pass_on(now, probe, None)
-            elif probe.period and member and probe.asked == 0:
-                self._ask_relays(now, probe, member)
+            if probe.requester:
+                self.forward_answer(now, probe, None)
+            elif probe.is_period_probe and member and probe.pending_answers == 0:
+                self._probe_indirectly(now, probe, member)
                 continue
             del self.probes[probe.nonce]
-            if member is not None and not probe.asker:
-                self._missed(now, probe, member)
-        self._context.members.bury_overdue(now)
+            if member is not None and not probe.requester:
+                self._on_probe_failed(now, probe, member)
+        self._context.members.declare_overdue_dead(now)
 
-    def _ask_relays(self, now: Ticks, probe: Probe, member: Member) -> None:
-        """Asks relays, and once more itself: of lost datagrams most are lost on their own."""
+    def _probe_indirectly(self, now: Ticks, probe: Probe, member: Member) -> None:
+        """Asks relays to probe the peer, and pings it once more, as most losses are independent."""
         context = self._context
         relays = context.members.sample(context.settings.relays, (member.name,))
         ping = Ping(probe.nonce, b"")
@@ -209,25 +231,25 @@
         for relay in relays:
             request = IndirectPing(probe.nonce, member.name, *probe.address)
             context.outbox.send(now, relay.live_address(), relay.name, request, SendPurpose.PROBE)
-        probe.asked = len(relays) + 1
-        # The rest of the period is for the relays, or as long again where there is little left.
+        probe.pending_answers = len(relays) + 1
+        # Relays have the rest of the period, but at least two probe timeouts.
         period = context.settings.probe_every * (1 + context.members.health)
-        probe.ends = max(
-            probe.at + period - TICK_INTERVAL, now + 2 * context.settings.probe_timeout
+        probe.deadline = max(
+            probe.sent_at + period - TICK_INTERVAL, now + 2 * context.settings.probe_timeout
         )
 
-    def _missed(self, now: Ticks, probe: Probe, member: Member) -> None:
+    def _on_probe_failed(self, now: Ticks, probe: Probe, member: Member) -> None:
         members = self._context.members
-        if probe.period:
-            # Relays that say neither yes nor no: it is rather this instance that is cut off.
-            members.change_health(1 if probe.asked > 1 else 0)
-            members.step(member, MemberInput.MISSED, now)
+        if probe.is_period_probe:
+            # If relays report neither success nor failure, this instance itself may be cut off.
+            members.change_health(1 if probe.pending_answers > 1 else 0)
+            members.apply(member, MemberInput.PROBE_FAILED, now)
             if (
                 member.state == MemberState.SUSPECT
-                and member.misses == MISSES_BEFORE_SUSPECT
+                and member.missed_probes == MISSES_BEFORE_SUSPECT
                 and member.start is not None
             ):
                 body = Suspect(member.name, member.start, member.incarnation)
-                self._context.outbox.say(now, body, ("Suspect", member.name))
+                self._context.outbox.publish(now, body, ("Suspect", member.name))
         elif not member.is_live():
-            members.step(member, MemberInput.MISSED, now)
+            members.apply(member, MemberInput.PROBE_FAILED, now)
