--- a/tests/unit/cli/test_missing_libraries.py
+++ b/tests/unit/cli/test_missing_libraries.py
@@ -8,7 +8,7 @@
 from thymeknot.service.required_libraries import MissingLibraryError, libraries_from
 
 # Runs `python -m thymeknot` where the libraries named in the first word can't be imported.
-WITHOUT = """
+RUN_WITHOUT_LIBRARIES = """
 import runpy, sys
 for name in sys.argv[1].split(","):
     sys.modules[name] = None
@@ -17,9 +17,9 @@
 """
 
 
-def ran(missing, *words, **variables):
+def run_command(missing_libraries, *arguments, **variables):
     return subprocess.run(
-        [sys.executable, "-c", WITHOUT, missing, *words],
+        [sys.executable, "-c", RUN_WITHOUT_LIBRARIES, missing_libraries, *arguments],
         capture_output=True,
         text=True,
         timeout=30,
@@ -28,23 +28,23 @@
 
 
 class MissingLibraries(unittest.TestCase):
-    def told(self, library, requirements, *words, **variables):
-        ended = ran(library, *words, **variables)
+    def assert_library_missing(self, library, requirements, *arguments, **variables):
+        completed = run_command(library, *arguments, **variables)
         self.assertEqual(
             (2, "", f"thymeknot: {library} is not installed: pip install -r {requirements}\n"),
-            (ended.returncode, ended.stdout, ended.stderr),
+            (completed.returncode, completed.stdout, completed.stderr),
         )
         with open(requirements) as lines:
             names = {line.partition("==")[0] for line in lines}
         self.assertIn({"hdrh": "hdrhistogram"}.get(library, library), names)
 
-    def test_any_command_without_click(self):
-        for words in (["--help"], ["check"], ["load"], ["why", "tally"]):
-            with self.subTest(words):
-                self.told("click", "requirements-why.txt", *words)
+    def test_every_command_without_click(self):
+        for arguments in (["--help"], ["check"], ["load"], ["why", "tally"]):
+            with self.subTest(arguments):
+                self.assert_library_missing("click", "requirements-why.txt", *arguments)
 
-    def test_commands_with_libraries_of_their_own(self):
-        for library, requirements, *words in (
+    def test_commands_that_require_extra_libraries(self):
+        for library, requirements, *arguments in (
             ("lark", "requirements-fleet.txt", "--operator", "x", "fleet", "status"),
             ("numpy", "requirements-laboratory.txt", "lab", "run"),
             ("numpy", "requirements-laboratory.txt", "lab", "compare", "now", "now"),
@@ -55,24 +55,28 @@
             ("cryptography", "requirements-gossip.txt", "keys", "new", "n1", "x"),
             ("msgspec", "requirements-why.txt", "why", "--file", __file__, "x"),
         ):
-            with self.subTest(words):
-                self.told(library, requirements, *words)
+            with self.subTest(arguments):
+                self.assert_library_missing(library, requirements, *arguments)
 
-    def test_the_keys_program_without_its_library(self):
+    def test_the_keys_module_without_its_libraries(self):
         """`python -m thymeknot.gossip.keys`, as the operators' page words it, ended in a traceback."""
-        code = WITHOUT.replace('run_module("thymeknot"', 'run_module("thymeknot.gossip.keys"')
+        code = RUN_WITHOUT_LIBRARIES.replace(
+            'run_module("thymeknot"', 'run_module("thymeknot.gossip.keys"'
+        )
         for library in ("cryptography", "netaddr"):
             with self.subTest(library):
-                ended = subprocess.run(
+                completed = subprocess.run(
                     [sys.executable, "-c", code, library, "new", "n1", "x"],
                     capture_output=True,
                     text=True,
                     timeout=30,
                 )
-                wanted = (
+                expected = (
                     f"keys: {library} is not installed: pip install -r requirements-gossip.txt\n"
                 )
-                self.assertEqual((2, "", wanted), (ended.returncode, ended.stdout, ended.stderr))
+                self.assertEqual(
+                    (2, "", expected), (completed.returncode, completed.stdout, completed.stderr)
+                )
 
     def test_an_operator_file_whose_libraries_are_missing(self):
         example = "deploy/example.json"
@@ -81,23 +85,23 @@
             ("ddsketch", "requirements-why.txt", "deploy/why.cue"),
             ("cryptography", "requirements-gossip.txt", "deploy/gossip.cue"),
         ):
-            for words in ([], ["serve"], ["check"]):
-                with self.subTest(file=file, words=words):
-                    self.told(
+            for arguments in ([], ["serve"], ["check"]):
+                with self.subTest(file=file, arguments=arguments):
+                    self.assert_library_missing(
                         library,
                         requirements,
-                        *words,
+                        *arguments,
                         NODE_CONFIG=example,
                         THYMEKNOT_OPERATOR=file,
                     )
 
-    def test_faulty_words_end_as_before(self):
-        ended = ran("hdrh", "--no-such-option")
-        self.assertEqual(2, ended.returncode)
-        self.assertIn("No such option", ended.stderr)
-        self.assertEqual(0, ran("hdrh", "--help").returncode)
+    def test_invalid_options_and_help_require_no_extra_library(self):
+        completed = run_command("hdrh", "--no-such-option")
+        self.assertEqual(2, completed.returncode)
+        self.assertIn("No such option", completed.stderr)
+        self.assertEqual(0, run_command("hdrh", "--help").returncode)
 
-    def test_a_missing_module_of_the_program_is_its_fault(self):
+    def test_a_missing_module_of_the_program_is_reported_as_a_bug(self):
         with self.assertRaises(ModuleNotFoundError) as raised, libraries_from("x"):
             import thymeknot.no_such_module  # noqa: F401  the import is what is tested
         self.assertNotIsInstance(raised.exception, MissingLibraryError)
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -15,37 +15,39 @@
 from thymeknot.simulation.report import written
 from thymeknot.simulation.simulator import Simulator, current_engine
 
-SMALL = {"instances": 12, "pods": 9, "seconds": 12, "load": 0.4}
+SMALL_FLEET = {"instances": 12, "pods": 9, "seconds": 12, "load": 0.4}
 
 
-def line(event, at=100.0, **fields):
+def log_line(event, at=100.0, **fields):
     return json.dumps({"at": at, "event": event, **fields}).encode() + b"\n"
 
 
-def ran(*words):
+def run_command(*arguments):
     return subprocess.run(
-        [sys.executable, "-m", "thymeknot", *words], capture_output=True, text=True, timeout=120
+        [sys.executable, "-m", "thymeknot", *arguments], capture_output=True, text=True, timeout=120
     )
 
 
-class Logs(unittest.TestCase):
-    def test_what_the_logs_of_two_say_together(self):
+class LogSummaries(unittest.TestCase):
+    def test_the_logs_of_two_sidecars_are_combined(self):
         summary = Summary(5.0)
-        for whose, text in (
+        for sidecar, text in (
             (
                 "a",
-                line("requests rejected", deferred={"OVER_LIMIT": 3}, abandoned={"TIME_OVER": 1}),
+                log_line(
+                    "requests rejected", deferred={"OVER_LIMIT": 3}, abandoned={"TIME_OVER": 1}
+                ),
             ),
-            ("b", b"6.916 " + line("requests rejected", 101, deferred={"OVER_LIMIT": 2})),
-            ("b", line("vote", 107, verdict=1, outcome="full")),
-            ("a", line("vote", verdict=1, outcome="done")),
-            ("a", line("fault", at_line="x.py:3")),
-            ("a", line("ready")),
-            ("a", line("stream ended", refusals=3)),
-            ("b", line("stream ended", refusals=0)),
-            ("b", line("stream silent")),
+            ("b", b"6.916 " + log_line("requests rejected", 101, deferred={"OVER_LIMIT": 2})),
+            ("b", log_line("vote", 107, verdict=1, outcome="full")),
+            ("a", log_line("vote", verdict=1, outcome="done")),
+            ("a", log_line("fault", at_line="x.py:3")),
+            ("a", log_line("ready")),
+            ("a", log_line("stream ended", refusals=3)),
+            ("b", log_line("stream ended", refusals=0)),
+            ("b", log_line("stream silent")),
         ):
-            summary.feed(whose, text)
+            summary.feed(sidecar, text)
         self.assertEqual(
             summary.figures(),
             {
@@ -62,7 +64,7 @@
         )
         self.assertEqual([at for at, _ in summary.intervals()], [0.0, 5.0])
 
-    def test_what_can_not_be_read_is_counted_and_nothing_grows_without_a_bound(self):
+    def test_unreadable_lines_are_counted_and_memory_is_bounded(self):
         summary = Summary(0.1)
         for text in (
             b"",
@@ -75,15 +77,15 @@
         ):
             summary.feed("a", text)
         self.assertEqual((summary.unreadable_lines, summary.figures()["votes"]), (7, {}))
-        for odd in (3, None, "x", [1], {"X": "y"}):
-            summary.feed("a", line("requests rejected", deferred=odd))
+        for invalid in (3, None, "x", [1], {"X": "y"}):
+            summary.feed("a", log_line("requests rejected", deferred=invalid))
         self.assertEqual(summary.figures()["turned_away"], {})
-        summary.feed("a", line("vote", verdict=9, outcome=None))
+        summary.feed("a", log_line("vote", verdict=9, outcome=None))
         for at in range(MAX_INTERVALS + 50):
-            summary.feed("a", line("vote", at, verdict=0, outcome="done"))
+            summary.feed("a", log_line("vote", at, verdict=0, outcome="done"))
         self.assertLessEqual(len(summary.interval_counts), MAX_INTERVALS)
 
-    def test_any_value_in_any_field(self):
+    def test_any_value_in_any_field_is_accepted(self):
         """A vote whose verdict was 1.0 ended `thymeknot logs` in a TypeError: it equals a verdict's number and indexes
         nothing. Each field of each event that is counted is tried with values of each type and at their edges."""
         values = (1.0, 0.5, -1, 4, 1 << 62, 1e308, True, None, "x", [], {}, [1], {"X": 1.0})
@@ -91,58 +93,58 @@
         for event, name, value in itertools.product(Summary._COUNTERS, names, values):
             with self.subTest(event=event, name=name, value=value):
                 summary = Summary(5.0)
-                summary.feed("a", line(**{"event": event, name: value}))
+                summary.feed("a", log_line(**{"event": event, name: value}))
                 summary.figures()
                 list(summary.intervals())
         summary = Summary(5.0)
         for verdict in (1.0, True, 1):
-            summary.feed("a", line("vote", verdict=verdict, outcome="done"))
+            summary.feed("a", log_line("vote", verdict=verdict, outcome="done"))
         self.assertEqual(summary.figures()["votes"], {"unknown done": 2, "on done": 1})
 
-    def test_the_command(self):
+    def test_logs_command(self):
         with tempfile.NamedTemporaryFile(suffix=".log") as log:
-            log.write(line("requests rejected", deferred={"BY_LOT": 2}))
+            log.write(log_line("requests rejected", deferred={"BY_LOT": 2}))
             log.flush()
-            told = ran("logs", "--json", log.name)
+            completed = run_command("logs", "--json", log.name)
         self.assertEqual(
-            [json.loads(one) for one in told.stdout.splitlines()][0],
+            [json.loads(text) for text in completed.stdout.splitlines()][0],
             {"at": 0.0, "deferred BY_LOT": 2},
         )
-        self.assertEqual(ran("logs", "/nowhere.log").returncode, 2)
+        self.assertEqual(run_command("logs", "/nowhere.log").returncode, 2)
 
 
-class Pages(unittest.TestCase):
-    def test_watching_changes_nothing_and_counts_all(self):
-        day, _ = large_fleet_scenarios.drawn(3, "herd", **SMALL)
-        plain, watched = (
+class SimulationReports(unittest.TestCase):
+    def test_recording_changes_nothing_and_counts_all_requests(self):
+        day, _ = large_fleet_scenarios.drawn(3, "herd", **SMALL_FLEET)
+        plain, recorded = (
             Simulator(day, current_engine).play(),
             RecordingSimulator(day, current_engine).play(),
         )
-        self.assertEqual(plain.figures(), watched.figures())
-        self.assertEqual(sum(watched.how["done"]), plain.results.answers["done"])
+        self.assertEqual(plain.figures(), recorded.figures())
+        self.assertEqual(sum(recorded.how["done"]), plain.results.answers["done"])
         self.assertEqual(
-            sum(sum(one) for one in watched.sent.values()),
+            sum(sum(counts) for counts in recorded.sent.values()),
             sum(plain.results.attempts_by_pod.values()),
         )
 
-    def test_a_page_has_a_picture_for_each_policy_and_its_figures(self):
-        day, _ = large_fleet_scenarios.drawn(3, "zone", **SMALL)
+    def test_a_report_has_a_chart_and_figures_for_each_policy(self):
+        day, _ = large_fleet_scenarios.drawn(3, "zone", **SMALL_FLEET)
         with tempfile.TemporaryDirectory() as folder:
-            found = written(
+            figures = written(
                 day, {"now": current_engine, "<now>": current_engine}, folder, "zone & more"
             )
             with open(os.path.join(folder, "index.html"), encoding="utf-8") as page:
                 text = page.read()
-            for picture in ("day-0.png", "day-1.png"):
-                with open(os.path.join(folder, picture), "rb") as source:
+            for chart in ("day-0.png", "day-1.png"):
+                with open(os.path.join(folder, chart), "rb") as source:
                     self.assertEqual(source.read(4), b"\x89PNG")
-                self.assertIn(picture, text)
-        self.assertEqual(found["now"], found["<now>"])
-        self.assertIn(str(found["now"]["service"]), text)
+                self.assertIn(chart, text)
+        self.assertEqual(figures["now"], figures["<now>"])
+        self.assertIn(str(figures["now"]["service"]), text)
         self.assertTrue("zone &amp; more" in text and "<now>" not in text)
 
-    def test_a_comparison_says_what_one_day_can_not(self):
-        one = {
+    def test_a_comparison_of_a_single_day_has_no_interval(self):
+        day = {
             "kind": "calm",
             "good": True,
             "needless": 0.2,
@@ -157,27 +159,29 @@
             "rules_broken": [],
             "breaches": [],
         }
-        told = crowd_figures([(one, {**one, "needless": 0.1, "rules_broken": [4]})])
+        comparison = crowd_figures([(day, {**day, "needless": 0.1, "rules_broken": [4]})])
         self.assertEqual(
-            told["needless_share"],
+            comparison["needless_share"],
             {"before": 0.2, "now": 0.1, "gap": -0.1, "low": None, "high": None},
         )
         self.assertEqual(
-            (told["overload_served"], told["bad_kept"], told["rules_broken"]),
+            (comparison["overload_served"], comparison["bad_kept"], comparison["rules_broken"]),
             (None, None, [[], [4]]),
         )
-        for words in (
+        for arguments in (
             ["lab", "fleet", "now", "now", "--kinds", "no"],
             ["lab", "report", "nowhere", "--kind", "no"],
         ):
-            self.assertEqual(ran(*words).returncode, 2)
+            self.assertEqual(run_command(*arguments).returncode, 2)
 
-    def test_the_measurement_in_short(self):
-        told = subprocess.run(
+    def test_the_short_measurement(self):
+        completed = subprocess.run(
             [sys.executable, "-m", "measure.fleet", "--short", "--kinds", "calm", "--workers", "2"],
             capture_output=True,
             text=True,
             timeout=120,
         )
-        figures = json.loads(told.stdout.splitlines()[-1])
-        self.assertEqual((figures["rules_broken"], figures["days"]), ([[], []], 1), told.stderr)
+        figures = json.loads(completed.stdout.splitlines()[-1])
+        self.assertEqual(
+            (figures["rules_broken"], figures["days"]), ([[], []], 1), completed.stderr
+        )
