--- a/tests/unit/cli/__init__.py
+++ b/tests/unit/cli/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, by the package that they test."""
+"""Unit tests of the command line."""
--- a/tests/unit/cli/test_missing_libraries.py
+++ b/tests/unit/cli/test_missing_libraries.py
@@ -1,4 +1,4 @@
-"""A command whose libraries are not installed: status 2, and one line that names the file to install."""
+"""A command whose libraries are missing exits with 2 and one line that names what to install."""
 
 import os
 import subprocess
@@ -7,7 +7,7 @@
 
 from thymeknot.service.required_libraries import MissingLibraryError, libraries_from
 
-# Runs `python -m thymeknot` where the libraries named in the first word can't be imported.
+# Runs `python -m thymeknot` while the libraries in the first argument can't be imported.
 RUN_WITHOUT_LIBRARIES = """
 import runpy, sys
 for name in sys.argv[1].split(","):
@@ -59,7 +59,7 @@
                 self.assert_library_missing(library, requirements, *arguments)
 
     def test_the_keys_module_without_its_libraries(self):
-        """`python -m thymeknot.gossip.keys`, as the operators' page words it, ended in a traceback."""
+        """The documented command `python -m thymeknot.gossip.keys` ended in a traceback."""
         code = RUN_WITHOUT_LIBRARIES.replace(
             'run_module("thymeknot"', 'run_module("thymeknot.gossip.keys"'
         )
@@ -103,5 +103,5 @@
 
     def test_a_missing_module_of_the_program_is_reported_as_a_bug(self):
         with self.assertRaises(ModuleNotFoundError) as raised, libraries_from("x"):
-            import thymeknot.no_such_module  # noqa: F401  the import is what is tested
+            import thymeknot.no_such_module  # noqa: F401  tests the import
         self.assertNotIsInstance(raised.exception, MissingLibraryError)
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -1,4 +1,4 @@
-"""What a person reads: the logs of a fleet in sums, a day as a page, a comparison with its intervals."""
+"""Tests of reports for operators: log summaries, simulation reports and comparisons."""
 
 import itertools
 import json
@@ -86,8 +86,11 @@
         self.assertLessEqual(len(summary.interval_counts), MAX_INTERVALS)
 
     def test_any_value_in_any_field_is_accepted(self):
-        """A vote whose verdict was 1.0 ended `thymeknot logs` in a TypeError: it equals a verdict's number and indexes
-        nothing. Each field of each event that is counted is tried with values of each type and at their edges."""
+        """A vote with the verdict 1.0 made `thymeknot logs` raise a TypeError.
+
+        The float equals the number of a verdict but can't index a table. Each field of each counted
+        event is tested with values of all types, including extreme ones.
+        """
         values = (1.0, 0.5, -1, 4, 1 << 62, 1e308, True, None, "x", [], {}, [1], {"X": 1.0})
         names = ("verdict", "outcome", "refusals", "deferred", "abandoned", "at_line", "at")
         for event, name, value in itertools.product(Summary._COUNTERS, names, values):
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -1,4 +1,4 @@
-"""The record of decisions: reasons, what is kept, what a kill leaves, who asks."""
+"""Tests of the decision log: explanations, retention, recovery after a kill, and queries."""
 
 import json
 import os
@@ -77,8 +77,10 @@
 
 
 class UnexpectedEntries(unittest.TestCase):
-    """A record whose checksum is right may be of another version, or wrong in any field: `thymeknot why` ended in a
-    traceback for a reason that it does not know, and for a note without its number."""
+    """An entry with a valid checksum may be of another version or have invalid fields.
+
+    `thymeknot why` ended in a traceback for an unknown reason and for a note without a number.
+    """
 
     ENTRY_FIELDS = (123, "id1", "k", "t", "read", False, int(R.DONE), 1000)
     VALID_NOTES = (
@@ -155,7 +157,7 @@
         rig.one("x", "pay", key="k", end=R.DEFERRED)
         rig.one("x", "pay", key="k", end=R.ABANDONED)
         rig.now += 10_000
-        rig.one("y", "pay", key="k")  # the client's retry under a new id, and then it is done
+        rig.one("y", "pay", key="k")  # the client retries with a new id and succeeds
         rig.record.flush(rig.now + 10_000)
         self.assertEqual(
             [entry.final_reason for entry in rig.record.find_by_name("x")],
@@ -229,7 +231,7 @@
         )
         slot_file.write(0, intact_content)
         slot_file.write(2, intact_content)
-        # In the order of the writes: the checksum goes first, then the rest, the new checksum last.
+        # In the order of the writes: clear the checksum, write the rest, write the new checksum.
         for cut in range(len(content) + 1):
             slot_file.write(
                 1, pack_slot(Entry(3, "former", None, None, "pay", False, 24, 5, []), 2)
@@ -253,7 +255,7 @@
 
     def test_an_unusable_file_is_renamed_and_an_unwritable_path_means_memory(self):
         SlotFile(3, self.path, self.log_event).close()
-        SlotFile(5, self.path, self.log_event).close()  # shrunk or grown by a setting
+        SlotFile(5, self.path, self.log_event).close()  # the configured size has changed
         with open(self.path, "r+b") as target:
             target.write(b"no record at all")
         slot_file = SlotFile(5, self.path, self.log_event)
@@ -358,7 +360,7 @@
             self.assertTrue(client.ask("SVC.SUBMIT", "k3", "03", PAY, "B").startswith(b"-ERR"))
         stalled_client = socket.create_connection(("127.0.0.1", port))
         self.addCleanup(stalled_client.close)
-        stalled_client.sendall(b'{"ask":"find"}\n' * 60)  # never reads an answer
+        stalled_client.sendall(b'{"ask":"find"}\n' * 60)  # never reads the answers
         found = []
         until(
             lambda: found and found[0]["end"] == "ABANDONED",
@@ -387,7 +389,8 @@
         completed = run_command("why", "--at", address, "k3")
         self.assertIn("must not run twice", completed.stdout, completed.stderr)
         self.assertEqual(run_command("why", "--at", address, "nothing").returncode, 1)
-        # What is over is kept at the next upkeep, up to half a second later: until then `find` knows nothing of it.
+        # Finished requests are stored up to half a second later; until then `find` does not return
+        # them.
         query = {"ask": "find", "lane": "pay"}
         until(
             lambda: sum("id" in line for line in query_results(address, None, query)) == 2,
@@ -406,7 +409,9 @@
         )
         self.assertIn("MAY_HAVE_RUN", run_command("why", "--at", address, "tally").stdout)
         self.assertIn("stays_s", run_command("why", "--at", address, "kept").stdout)
-        with sidecar.client() as client:  # transactions are served while somebody does not read
+        with (
+            sidecar.client() as client
+        ):  # requests are served although another client does not read
             self.assertEqual(client.ask("SVC.QUERY", "k1", "04", READ), b"ok")
         sidecar.process.kill()
         sidecar.process.wait()
