--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -49,22 +49,24 @@
     )
 
 
-def _explain_astray(attempts: int, failed: bool, hot: bool) -> Explanation:
+def _explain_astray(attempts: int, failed: bool, is_hot: bool) -> Explanation:
     causes = []
     if attempts:
         causes.append(f"{attempts} earlier attempts")
     if failed:
         causes.append("its key failed on the newest build")
-    if hot:
+    if is_hot:
         causes.append("its key is so frequent that it would dominate the trial")
     return Explanation("the earlier build is tried first: " + ", ".join(causes))
 
 
-def _explain_exposure(attempts: float, taken: float, cap: float, allowance: float) -> Explanation:
-    sufficient = max(0.0, attempts + 1 - allowance) / taken if taken else 1.0
+def _explain_exposure(
+    attempts: float, received: float, cap: float, allowance: float
+) -> Explanation:
+    sufficient = max(0.0, attempts + 1 - allowance) / received if received else 1.0
     return Explanation(
         f"the exposure budget of the trial is exhausted: {attempts:g} attempts there,"
-        f" {allowance:g} plus {format_percent(cap)} of {taken:g} requests are allowed",
+        f" {allowance:g} plus {format_percent(cap)} of {received:g} requests are allowed",
         f"a cap of {format_percent(sufficient)} would have admitted it"
         if sufficient <= 1
         else None,
@@ -79,10 +81,13 @@
     )
 
 
-def _explain_ended(pod: str, number: int, outcome: str, latency: int, proved: bool) -> Explanation:
-    run = "" if outcome == Outcome.DONE else f"; {EXECUTION_TEXTS[bool(proved)]}"
+def _explain_ended(
+    pod: str, number: int, outcome: str, latency: int, proven_not_run: bool
+) -> Explanation:
+    execution = "" if outcome == Outcome.DONE else f"; {EXECUTION_TEXTS[bool(proven_not_run)]}"
     return Explanation(
-        f"attempt {number + 1} at {pod} ended after {format_milliseconds(latency)}: {outcome}{run}"
+        f"attempt {number + 1} at {pod} ended after {format_milliseconds(latency)}:"
+        f" {outcome}{execution}"
     )
 
 
@@ -93,17 +98,17 @@
     )
 
 
-def _explain_over_limit(opened: float, limit: float) -> Explanation:
+def _explain_over_limit(in_flight: float, limit: float) -> Explanation:
     return Explanation(
-        f"{opened:g} requests were in flight; {limit:.1f} can be answered in time",
-        f"{opened - limit:.0f} fewer in flight, or faster responses, would have admitted it",
+        f"{in_flight:g} requests were in flight; {limit:.1f} can be answered in time",
+        f"{in_flight - limit:.0f} fewer in flight, or faster responses, would have admitted it",
     )
 
 
-def _explain_by_lot(pressure: float, chance: float) -> Explanation:
+def _explain_by_lot(pressure: float, admitted_fraction: float) -> Explanation:
     return Explanation(
         f"responses take {pressure:.2f} times the latency objective here:"
-        f" a random {format_percent(chance)} of new requests are admitted",
+        f" a random {format_percent(admitted_fraction)} of new requests are admitted",
         "responses within half the objective would have admitted it",
     )
 
@@ -127,10 +132,12 @@
     return Explanation("answered: abandoned" + (cause if pod else ""))
 
 
-def _explain_voted(build: int, stage: int, verdict: int, doubt: float, seen: int) -> Explanation:
+def _explain_voted(
+    build: int, stage: int, verdict: int, evidence_ratio: float, outcome_count: int
+) -> Explanation:
     return Explanation(
         f"voted {VERDICT_NAMES[verdict]} on build {build}, stage {stage}:"
-        f" evidence at {doubt:.2f} of the threshold after {seen} outcomes"
+        f" evidence at {evidence_ratio:.2f} of the threshold after {outcome_count} outcomes"
     )
 
 
--- a/thymeknot/decision_log/recorder.py
+++ b/thymeknot/decision_log/recorder.py
@@ -251,7 +251,9 @@
         expected = rate * self.settings.span / TICKS_PER_SECOND
         self._sampling_rate = min(1.0, self.regions[ORDINARY].slots / max(1e-9, expected))
 
-    def _record_vote(self, build: int, stage: int, verdict: int, doubt: float, seen: int) -> None:
+    def _record_vote(
+        self, build: int, stage: int, verdict: int, evidence_ratio: float, outcome_count: int
+    ) -> None:
         now = self.clock()
         voted = int(Reason.VOTED)
         entry = Entry(
@@ -263,7 +265,7 @@
             is_retry=False,
             final_reason=voted,
             duration=0,
-            notes=[[voted, 0, build, stage, int(verdict), float(doubt), seen]],
+            notes=[[voted, 0, build, stage, int(verdict), float(evidence_ratio), outcome_count]],
         )
         self._store(self.regions[VOTES], entry, now)
 
