--- a/tests/integration/test_client_connections.py
+++ b/tests/integration/test_client_connections.py
@@ -12,8 +12,8 @@
 from twisted.internet.tcp import Server
 from twisted.python.failure import Failure
 
-from tests.support.peers import reserved
-from tests.support.programs import command
+from tests.support.peers import reserve_port
+from tests.support.programs import encode_command
 from tests.unit.proxy.test_proxy import VALUE_RESPONSE, Network, endpoint_entry
 from thymeknot.interface.events import ClientDisconnected
 from thymeknot.protocol.client import (
@@ -25,13 +25,13 @@
     ClientConnection,
 )
 from thymeknot.proxy.client_listener import CLOSING_ALLOWANCE
-from thymeknot.proxy.graceful_shutdown import ACCEPT_REST_WITHIN
+from thymeknot.proxy.graceful_shutdown import BACKLOG_ACCEPT_TIMEOUT
 
-PING, PONG = command("PING"), b"+PONG\r\n"
+PING, PONG = encode_command("PING"), b"+PONG\r\n"
 
 
 def query(name, left=5000):
-    return command("SVC.QUERY", "key", name, f"c=read,d={left}")
+    return encode_command("SVC.QUERY", "key", name, f"c=read,d={left}")
 
 
 class Real(Network):
@@ -349,7 +349,7 @@
     def listening(self):
         network = self.network(endpoint_entry("s-1"))
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
-        kept, port = reserved()
+        kept, port = reserve_port()
         self.addCleanup(kept.close)
         proxy.start = proxy.start._replace(listen=("127.0.0.1", port))
         proxy.listener.address = proxy.start.listen
@@ -545,7 +545,7 @@
         proxy.drain(lambda: said.append("empty"))
         network.step()
         proxy.undrain(lambda: said.append("back"), said.append)
-        for _ in range(ACCEPT_REST_WITHIN // 100 + 9):
+        for _ in range(BACKLOG_ACCEPT_TIMEOUT // 100 + 9):
             network.pass_on(100)
         self.assertEqual({near.recv(99)[:1] for near in crowd}, {b"-"})
         self.assertEqual(
@@ -558,7 +558,10 @@
         proxy, network.reactor.listenTCP = network.proxy, network.loop.listenTCP
         proxy.listener.address = ("127.0.0.1", 0)
         proxy.serve()
-        address, rounds = proxy.listener.port.socket.getsockname(), ACCEPT_REST_WITHIN // 100 + 2
+        address, rounds = (
+            proxy.listener.port.socket.getsockname(),
+            BACKLOG_ACCEPT_TIMEOUT // 100 + 2,
+        )
 
         def comes(at):
             near = socket.create_connection(address, timeout=5)
@@ -615,7 +618,7 @@
         for client in clients:
             if client not in busy:
                 client.dataReceived(
-                    command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9]
+                    encode_command("SVC.QUERY", "key", f"again{id(client)}", "c=read,d=5000")[:9]
                 )
                 client.transport.has_unread_data = True
         network.client()
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -14,8 +14,8 @@
 
 from measure.why import Clocked, flood, kills
 from measure.why_cases import NOW, WHY, mix
-from tests.support.decisions import LANES
-from tests.support.peers import PATIENCE, SETTINGS, PodPeer, reserved, until
+from tests.support.decisions import REQUEST_CLASSES
+from tests.support.peers import SETTINGS, TIMEOUT_SECONDS, FakeEndpoint, reserve_port, wait_until
 from tests.support.programs import Program
 from thymeknot.cli.decision_log_client import query_results
 from thymeknot.decision_log import query_protocol
@@ -178,7 +178,7 @@
         self.assertEqual(entry.omitted_notes + len(entry.notes), 40)
 
     def test_regions_follow_priority_weights_and_fill_the_slots(self):
-        regions = lay_out_regions(WHY, LANES, 1000)
+        regions = lay_out_regions(WHY, REQUEST_CLASSES, 1000)
         self.assertLessEqual(sum(count for _, count in regions.values()), 1000)
         self.assertGreater(sum(count for _, count in regions.values()), 980)
         self.assertGreater(regions["pay", True][1], 50)
@@ -280,7 +280,7 @@
             f"print(SlotFile(1000, {self.path!r}).path)"
         )
         completed = subprocess.run(
-            [sys.executable, "-c", code], capture_output=True, text=True, timeout=PATIENCE
+            [sys.executable, "-c", code], capture_output=True, text=True, timeout=TIMEOUT_SECONDS
         )
         self.assertEqual(completed.stdout.strip(), "None", completed.stderr)
         self.assertFalse(os.path.exists(self.path))
@@ -338,12 +338,12 @@
 
     def test_queries_and_commands_against_a_running_instance(self):
         pods = [
-            PodPeer(lambda words: OK if words[2] != b"03" else None),
-            PodPeer(lambda words: b"-BUSY\r\n"),
+            FakeEndpoint(lambda words: OK if words[2] != b"03" else None),
+            FakeEndpoint(lambda words: b"-BUSY\r\n"),
         ]
         for pod in pods:
             self.addCleanup(pod.close)
-        reservation, port = reserved()
+        reservation, port = reserve_port()
         self.addCleanup(reservation.close)
         address = f"127.0.0.1:{port}"
         sidecar = Program(
@@ -355,14 +355,14 @@
         self.addCleanup(sidecar.__exit__)
         sidecar.__enter__()
         with sidecar.client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "k1", "01", READ), b"ok")
-            self.assertEqual(client.ask("SVC.SUBMIT", "k2", "02", PAY, "B"), b"ok")
-            self.assertTrue(client.ask("SVC.SUBMIT", "k3", "03", PAY, "B").startswith(b"-ERR"))
+            self.assertEqual(client.request("SVC.QUERY", "k1", "01", READ), b"ok")
+            self.assertEqual(client.request("SVC.SUBMIT", "k2", "02", PAY, "B"), b"ok")
+            self.assertTrue(client.request("SVC.SUBMIT", "k3", "03", PAY, "B").startswith(b"-ERR"))
         stalled_client = socket.create_connection(("127.0.0.1", port))
         self.addCleanup(stalled_client.close)
         stalled_client.sendall(b'{"ask":"find"}\n' * 60)  # never reads the answers
         found = []
-        until(
+        wait_until(
             lambda: found and found[0]["end"] == "ABANDONED",
             lambda: (
                 time.sleep(0.05),
@@ -382,7 +382,7 @@
                 [sys.executable, "-m", "thymeknot", *words],
                 capture_output=True,
                 text=True,
-                timeout=PATIENCE,
+                timeout=TIMEOUT_SECONDS,
                 env={**os.environ, **variables},
             )
 
@@ -392,7 +392,7 @@
         # Finished requests are stored up to half a second later; until then `find` does not return
         # them.
         query = {"ask": "find", "lane": "pay"}
-        until(
+        wait_until(
             lambda: sum("id" in line for line in query_results(address, None, query)) == 2,
             lambda: time.sleep(0.05),
         )
@@ -409,10 +409,9 @@
         )
         self.assertIn("MAY_HAVE_RUN", run_command("why", "--at", address, "tally").stdout)
         self.assertIn("stays_s", run_command("why", "--at", address, "kept").stdout)
-        with (
-            sidecar.client() as client
-        ):  # requests are served although another client does not read
-            self.assertEqual(client.ask("SVC.QUERY", "k1", "04", READ), b"ok")
+        # Requests are served although another client does not read its answers.
+        with sidecar.client() as client:
+            self.assertEqual(client.request("SVC.QUERY", "k1", "04", READ), b"ok")
         sidecar.process.kill()
         sidecar.process.wait()
         self.assertEqual(run_command("why", "--at", address, "03").returncode, 3)
