--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -128,20 +128,22 @@
 
     def test_a_busy_tenant_evicts_only_its_own_entries(self):
         rig = Clocked(1, 1)
-        for at in range(20):
-            rig.one(f"quiet-{at}", tenant=f"q{at % 4}", end=R.DEFERRED)
-        for at in range(20_000):
+        for number in range(20):
+            rig.one(f"quiet-{number}", tenant=f"q{number % 4}", end=R.DEFERRED)
+        for number in range(20_000):
             rig.now += 1
-            rig.one(f"loud-{at}", tenant="loud", key=f"k-{at}", end=R.DEFERRED)
+            rig.one(f"loud-{number}", tenant="loud", key=f"k-{number}", end=R.DEFERRED)
         rig.record.flush(rig.now + SLOT_BYTES)
-        self.assertEqual(sum(any(rig.record.find_by_name(f"quiet-{at}")) for at in range(20)), 20)
+        self.assertEqual(
+            sum(any(rig.record.find_by_name(f"quiet-{number}")) for number in range(20)), 20
+        )
         self.assertLessEqual(len(rig.record.index.by_key), rig.record.slot_file.slots)
 
     def test_ordinary_requests_are_sampled_uniformly(self):
         rig = Clocked(2, 1, span=60)
-        for at in range(60 * 100):
+        for number in range(60 * 100):
             rig.now += 100
-            rig.one(f"u-{at}")
+            rig.one(f"u-{number}")
         ages = [
             int(entry.id[2:]) // 1500
             for entry in rig.record.find(EntryFilter(request_class="read"))
@@ -171,7 +173,7 @@
         self.assertEqual(rig.record.tally_report()["reasons"]["ABANDONED"], 1)
 
     def test_an_entry_too_long_for_its_slot_keeps_its_first_and_last_notes(self):
-        notes = [[int(R.SENT), at, "s" * 60, 1, False, 9, 1.0] for at in range(40)]
+        notes = [[int(R.SENT), number, "s" * 60, 1, False, 9, 1.0] for number in range(40)]
         content = pack_slot(Entry(1, "i", "k", "t", "pay", False, 23, 5, list(notes)), 9)
         number, entry = unpack_slot(content.ljust(SLOT_BYTES, b"\0"))
         self.assertEqual((number, entry.notes[0], entry.notes[-1]), (9, notes[0], notes[-1]))
--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -69,26 +69,26 @@
 
     with click.progressbar(
         length=2 * days, label="days", file=click.get_text_stream("stderr")
-    ) as bar:
+    ) as progress:
         try:
-            found, broken, _ = experiments.compared(
+            differences, broken_rules, _ = experiments.compared(
                 one,
                 two,
                 range(seed, seed + days),
                 size,
                 workers,
                 keep,
-                lambda done, count: bar.update(done - bar.pos),
+                lambda done, count: progress.update(done - progress.pos),
             )
         except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
-    for name, difference in found.items():
+    for name, difference in differences.items():
         click.echo(
             f"{name:10} {one} - {two}: {difference.mean:+.4f}"
             f"  [{difference.low:+.4f}, {difference.high:+.4f}]  "
             f"smallest detectable {difference.least:.4f}, {difference.pairs} days"
         )
-    click.echo(f"rules broken: {broken or 'none'}")
+    click.echo(f"rules broken: {broken_rules or 'none'}")
 
 
 @lab.command("fleet")
@@ -112,19 +112,19 @@
     """Compare two policies on the same days of a large fleet: TWO minus ONE, with intervals."""
     from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
-    chosen = _parse_kinds(kinds)
+    selected_kinds = _parse_kinds(kinds)
     with click.progressbar(
-        length=2 * days * len(chosen), label="days", file=click.get_text_stream("stderr")
-    ) as bar:
+        length=2 * days * len(selected_kinds), label="days", file=click.get_text_stream("stderr")
+    ) as progress:
         try:
             pairs = experiments.crowds_compared(
                 one,
                 two,
-                chosen,
+                selected_kinds,
                 range(seed, seed + days),
                 {"instances": instances, "pods": pods},
                 workers,
-                lambda done, count: bar.update(done - bar.pos),
+                lambda done, count: progress.update(done - progress.pos),
             )
         except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
@@ -179,7 +179,7 @@
     """Find the days with the worst results compared to another policy, reduced to the cause."""
     from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
-    for one in experiments.searched(
+    for day in experiments.searched(
         "now", range(seed, seed + days), size, os.cpu_count() or 1, against
     ):
-        click.echo(json_line(one))
+        click.echo(json_line(day))
--- a/thymeknot/cli/log_summary.py
+++ b/thymeknot/cli/log_summary.py
@@ -83,10 +83,10 @@
         if count:
             count(self, sidecar, event, self._interval_at(event["at"]))
 
-    def _interval_at(self, at: float) -> Counter[str]:
+    def _interval_at(self, time: float) -> Counter[str]:
         """Returns the counts of the interval that contains this time."""
-        self._first_at = at if self._first_at is None else min(self._first_at, at)
-        number = int(at // self.interval_seconds)
+        self._first_at = time if self._first_at is None else min(self._first_at, time)
+        number = int(time // self.interval_seconds)
         if number not in self.interval_counts and len(self.interval_counts) >= MAX_INTERVALS:
             number = max(self.interval_counts)
         return self.interval_counts.setdefault(number, Counter())
--- a/thymeknot/decision_log/explanations.py
+++ b/thymeknot/decision_log/explanations.py
@@ -30,9 +30,9 @@
     return f"{ticks / 10:g} ms"
 
 
-def format_percent(part: float) -> str:
+def format_percent(ratio: float) -> str:
     """Formats a ratio as a percentage."""
-    return f"{100 * part:.1f}%"
+    return f"{100 * ratio:.1f}%"
 
 
 def _explain_position(position: float, ramp: float, cap: float) -> Explanation:
@@ -174,8 +174,8 @@
     Reason.NO_NEWS: lambda: Explanation(
         "no release update received yet", "the first update of the release platform"
     ),
-    Reason.MOST_DELIVERIES: lambda made, most: Explanation(
-        f"{made} attempts were made, {most} are allowed"
+    Reason.MOST_DELIVERIES: lambda attempts_made, most: Explanation(
+        f"{attempts_made} attempts were made, {most} are allowed"
     ),
     Reason.TIME_OVER: _explain_time_over,
     Reason.NO_BUDGET: lambda left: Explanation(
--- a/thymeknot/decision_log/regions.py
+++ b/thymeknot/decision_log/regions.py
@@ -111,11 +111,13 @@
 
 def _normalized_weights(request_classes: Sequence[RequestClass]) -> list[tuple[str, float]]:
     """Returns the name of each class and its share of the total priority weight."""
-    total = sum(request_class.priority_weight for request_class in request_classes)
+    total_weight = sum(request_class.priority_weight for request_class in request_classes)
     return [
         (
             request_class.name,
-            request_class.priority_weight / total if total else 1 / len(request_classes),
+            request_class.priority_weight / total_weight
+            if total_weight
+            else 1 / len(request_classes),
         )
         for request_class in request_classes
     ]
--- a/thymeknot/decision_log/slot_file.py
+++ b/thymeknot/decision_log/slot_file.py
@@ -128,34 +128,36 @@
             "decision log set aside", path=renamed_path, because=_mismatch_text(header, self.slots)
         )
 
-    def write(self, slot: int, content: bytes) -> None:
+    def write(self, slot: int, encoded_entry: bytes) -> None:
         """Writes an encoded entry, its checksum last, so that a torn write has a wrong checksum."""
-        begin = HEADER_BYTES + slot * SLOT_BYTES
-        self.memory[begin : begin + CHECKSUM_BYTES] = bytes(CHECKSUM_BYTES)
-        self.memory[begin + CHECKSUM_BYTES : begin + len(content)] = content[CHECKSUM_BYTES:]
-        self.memory[begin : begin + CHECKSUM_BYTES] = content[:CHECKSUM_BYTES]
+        offset = HEADER_BYTES + slot * SLOT_BYTES
+        self.memory[offset : offset + CHECKSUM_BYTES] = bytes(CHECKSUM_BYTES)
+        self.memory[offset + CHECKSUM_BYTES : offset + len(encoded_entry)] = encoded_entry[
+            CHECKSUM_BYTES:
+        ]
+        self.memory[offset : offset + CHECKSUM_BYTES] = encoded_entry[:CHECKSUM_BYTES]
 
     def clear(self, slot: int) -> None:
         """Clears a slot."""
-        begin = HEADER_BYTES + slot * SLOT_BYTES
-        self.memory[begin : begin + SLOT_BYTES] = bytes(SLOT_BYTES)
+        offset = HEADER_BYTES + slot * SLOT_BYTES
+        self.memory[offset : offset + SLOT_BYTES] = bytes(SLOT_BYTES)
 
     def read(self, slot: int) -> Optional[NumberedEntry]:
         """Reads a slot; returns None if it is empty, torn or corrupt."""
-        begin = HEADER_BYTES + slot * SLOT_BYTES
-        return unpack_slot(bytes(self.memory[begin : begin + SLOT_BYTES]))
+        offset = HEADER_BYTES + slot * SLOT_BYTES
+        return unpack_slot(bytes(self.memory[offset : offset + SLOT_BYTES]))
 
     def read_all(self) -> Contents:
         """Reads all slots."""
         entries = []
         torn_slots = 0
         for slot in range(self.slots):
-            stored = self.read(slot)
-            if stored:
-                entries.append(StoredEntry(slot, stored.number, stored.entry))
+            numbered_entry = self.read(slot)
+            if numbered_entry:
+                entries.append(StoredEntry(slot, numbered_entry.number, numbered_entry.entry))
             else:
-                begin = HEADER_BYTES + slot * SLOT_BYTES
-                torn_slots += any(self.memory[begin : begin + SLOT_HEADER.size])
+                offset = HEADER_BYTES + slot * SLOT_BYTES
+                torn_slots += any(self.memory[offset : offset + SLOT_HEADER.size])
         return Contents(entries, torn_slots)
 
     def close(self) -> None:
@@ -210,6 +212,6 @@
     slot_file = SlotFile(_stored_slot_count(header))
     slot_file.path = path
     with open(path, "rb") as source:
-        content = source.read(len(slot_file.memory))
-    slot_file.memory[: len(content)] = content
+        file_content = source.read(len(slot_file.memory))
+    slot_file.memory[: len(file_content)] = file_content
     return slot_file
--- a/thymeknot/decision_log/tallies.py
+++ b/thymeknot/decision_log/tallies.py
@@ -46,8 +46,8 @@
         self, request_class: str, final_reason: int, duration: Ticks, is_known_class: bool
     ) -> None:
         """Counts a finished request; only known request classes get a sketch of durations."""
-        group = request_class, final_reason
-        count = self.end_counts[group] = self.end_counts.get(group, 0) + 1
+        outcome = request_class, final_reason
+        count = self.end_counts[outcome] = self.end_counts.get(outcome, 0) + 1
         if count % DURATION_SAMPLING_INTERVAL == 1 and is_known_class:
             sketch = self.duration_sketches.get(request_class)
             if sketch is None and len(self.duration_sketches) < MAX_REQUEST_CLASSES:
