--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -173,7 +173,7 @@
         self.assertEqual(rig.record.tally_report()["reasons"]["ABANDONED"], 1)
 
     def test_an_entry_too_long_for_its_slot_keeps_its_first_and_last_notes(self):
-        notes = [[int(R.SENT), number, "s" * 60, 1, False, 9, 1.0] for number in range(40)]
+        notes = [[int(R.SENT), elapsed, "s" * 60, 1, False, 9, 1.0] for elapsed in range(40)]
         content = pack_slot(Entry(1, "i", "k", "t", "pay", False, 23, 5, list(notes)), 9)
         number, entry = unpack_slot(content.ljust(SLOT_BYTES, b"\0"))
         self.assertEqual((number, entry.notes[0], entry.notes[-1]), (9, notes[0], notes[-1]))
