--- a/thymeknot/decision_log/regions.py
+++ b/thymeknot/decision_log/regions.py
@@ -1,8 +1,8 @@
-"""How the slots are parted into regions, and which slot of a region an entry takes.
+"""Divides the slots into regions and assigns entries to slots.
 
-There is a region for votes, one for ordinary transactions of idempotent request classes, and for
-other transactions regions by request class and by whether the transaction was unusual. Their sizes
-follow the classes' priority weights. So no class can take another one's slots.
+There is a region for votes, one for ordinary requests of idempotent request classes, and regions
+for the other requests by request class and by whether the request was unusual. Their sizes are
+proportional to the priority weights of the classes. So no class can take another class's slots.
 """
 
 from collections.abc import Mapping, Sequence
@@ -16,127 +16,146 @@
 from .settings import DecisionLogSettings
 
 RegionKey = Union[str, tuple[str, bool]]
-"""VOTES, ORDINARY, or a request class and whether the region is for its unusual transactions."""
+"""VOTES, ORDINARY, or a request class and whether the region is for its unusual requests."""
 
 VOTES: Final = "votes"
 ORDINARY: Final = "ordinary"
-VOTES_PART: Final = 0.05
-"""Part of all slots for votes: they are few, and explain a whole release."""
-UNUSUAL_PART: Final = 0.6
-"""Part of a class's slots for its unusual transactions: these are asked for more often."""
+VOTES_SHARE: Final = 0.05
+"""The share of slots for votes: they are few, and each concerns a whole release."""
+UNUSUAL_SHARE: Final = 0.6
+"""The share of a class's slots for its unusual requests, which are queried more often."""
 MIN_REGION_SLOTS: Final = 8
-"""Of every region, however little its class is worth."""
+"""The minimum size of a region, however low the priority weight of its class."""
 MAX_REQUEST_CLASSES: Final = 64
-"""That have regions of their own, so that these stay large enough to be of use."""
-RATE_SPAN: Final[Ticks] = 60 * TICKS_PER_SECOND
-"""The time over which the rate of new entries is counted."""
+"""The maximum number of classes with their own regions, so that these stay large enough."""
+RATE_WINDOW: Final[Ticks] = 60 * TICKS_PER_SECOND
+"""The window over which the rate of new entries is measured."""
 RATE_BUCKETS: Final = 12
-"""Of five seconds each."""
+"""The buckets of the window, five seconds each."""
 
 
 class Extent(NamedTuple):
-    """Where a region lies."""
+    """The slots of a region."""
 
-    first: int
-    """Its first slot."""
+    first_slot: int
     slots: int
 
 
 def lay_out_regions(
     settings: DecisionLogSettings, request_classes: Mapping[str, RequestClass], slots: int
 ) -> dict[RegionKey, Extent]:
-    """Parts the slots into regions, in the order in which they lie.
+    """Divides the slots into regions and returns these in the order of their slots.
 
-    Request classes beyond MAX_REQUEST_CLASSES get no region of their own.
+    Only the first MAX_REQUEST_CLASSES request classes get their own regions.
+
+    Args:
+        settings: The settings of the decision log.
+        request_classes: The request classes by name.
+        slots: The total number of slots.
     """
-    known = list(request_classes.values())[:MAX_REQUEST_CLASSES]
-    parts = _parts(
+    with_regions = list(request_classes.values())[:MAX_REQUEST_CLASSES]
+    shares = _region_shares(
         settings,
-        [one for one in known if one.idempotency != Idempotency.IDEMPOTENT],
-        [one for one in known if one.idempotency == Idempotency.IDEMPOTENT],
+        [
+            request_class
+            for request_class in with_regions
+            if request_class.idempotency != Idempotency.IDEMPOTENT
+        ],
+        [
+            request_class
+            for request_class in with_regions
+            if request_class.idempotency == Idempotency.IDEMPOTENT
+        ],
     )
-    free = slots - MIN_REGION_SLOTS * len(parts)
-    first = 0
-    found = {}
-    for key, part in parts.items():
-        count = MIN_REGION_SLOTS + int(free * part)
-        found[key] = Extent(first, count)
-        first += count
-    return found
-
-
-def _parts(
-    settings: DecisionLogSettings, costly: Sequence[RequestClass], cheap: Sequence[RequestClass]
+    divisible_slots = slots - MIN_REGION_SLOTS * len(shares)
+    first_slot = 0
+    extents = {}
+    for key, share in shares.items():
+        count = MIN_REGION_SLOTS + int(divisible_slots * share)
+        extents[key] = Extent(first_slot, count)
+        first_slot += count
+    return extents
+
+
+def _region_shares(
+    settings: DecisionLogSettings,
+    non_idempotent: Sequence[RequestClass],
+    idempotent: Sequence[RequestClass],
 ) -> dict[RegionKey, float]:
-    """Returns the part of the slots for each region.
+    """Returns each region's share of the slots.
 
     Args:
-        settings: The operator's.
-        costly: Classes that are not idempotent.
-        cheap: Idempotent classes.
+        settings: The settings of the decision log.
+        non_idempotent: The request classes that are not idempotent.
+        idempotent: The idempotent request classes.
     """
-    parts: dict[RegionKey, float] = {
-        VOTES: VOTES_PART,
-        ORDINARY: settings.ordinary if cheap else 0.0,
+    shares: dict[RegionKey, float] = {
+        VOTES: VOTES_SHARE,
+        ORDINARY: settings.ordinary if idempotent else 0.0,
     }
-    rest = 1.0 - sum(parts.values())
-    if not costly:
-        costly_part = 0.0
-    elif not cheap:
-        costly_part = rest
+    remaining = 1.0 - sum(shares.values())
+    if not non_idempotent:
+        non_idempotent_share = 0.0
+    elif not idempotent:
+        non_idempotent_share = remaining
     else:
-        costly_part = min(rest, settings.costly)
-    for request_class, weight in _weights(costly):
-        part = costly_part * weight
-        parts[request_class, True] = part * UNUSUAL_PART
-        parts[request_class, False] = part * (1 - UNUSUAL_PART)
-    for request_class, weight in _weights(cheap):
-        parts[request_class, True] = (rest - costly_part) * weight
-    return parts
-
-
-def _weights(request_classes: Sequence[RequestClass]) -> list[tuple[str, float]]:
-    """Returns each class's name and its part of what all of them are worth."""
-    total = sum(one.priority_weight for one in request_classes)
+        non_idempotent_share = min(remaining, settings.costly)
+    for request_class, weight in _normalized_weights(non_idempotent):
+        share = non_idempotent_share * weight
+        shares[request_class, True] = share * UNUSUAL_SHARE
+        shares[request_class, False] = share * (1 - UNUSUAL_SHARE)
+    for request_class, weight in _normalized_weights(idempotent):
+        shares[request_class, True] = (remaining - non_idempotent_share) * weight
+    return shares
+
+
+def _normalized_weights(request_classes: Sequence[RequestClass]) -> list[tuple[str, float]]:
+    """Returns the name of each class and its share of the total priority weight."""
+    total_weight = sum(request_class.priority_weight for request_class in request_classes)
     return [
-        (one.name, one.priority_weight / total if total else 1 / len(request_classes))
-        for one in request_classes
+        (
+            request_class.name,
+            request_class.priority_weight / total_weight
+            if total_weight
+            else 1 / len(request_classes),
+        )
+        for request_class in request_classes
     ]
 
 
 class Region:
-    """A run of slots in which the largest holder gives way first.
+    """Consecutive slots; when all are in use, the holder with the most slots loses its oldest.
 
     Attributes:
-        key: Its name.
-        first: Its first slot.
-        slots: How many it has.
-        used: How many of them, from the first on, were ever used.
-        eviction: Who holds them.
-        rate: New entries over the last RATE_SPAN.
+        key: The key of the region.
+        first_slot: The first slot.
+        slots: The number of slots.
+        used_slots: The number of slots that have been used; they are the first ones.
+        eviction: The holders of the slots.
+        rate: The new entries within RATE_WINDOW.
     """
 
-    def __init__(self, key: RegionKey, first: int, slots: int) -> None:
+    def __init__(self, key: RegionKey, first_slot: int, slots: int) -> None:
         self.key = key
-        self.first = first
+        self.first_slot = first_slot
         self.slots = slots
-        self.used = 0
+        self.used_slots = 0
         self.eviction = FairEviction()
-        self.rate = SlidingWindow(RATE_SPAN, RATE_BUCKETS)
+        self.rate = SlidingWindow(RATE_WINDOW, RATE_BUCKETS)
 
-    def place(self, holder: Holder) -> tuple[int, bool]:
-        """Returns a slot for one more entry of this holder, and whether it was in use."""
-        full = self.used == self.slots
-        if full:
+    def take_slot(self, holder: Holder) -> tuple[int, bool]:
+        """Returns a slot for a new entry of a holder, and whether the slot was in use."""
+        is_full = self.used_slots == self.slots
+        if is_full:
             slot = self.eviction.evict()
         else:
-            slot = self.first + self.used
-            self.used += 1
+            slot = self.first_slot + self.used_slots
+            self.used_slots += 1
         self.eviction.add(holder, slot)
-        return slot, full
+        return slot, is_full
 
-    def title(self) -> str:
-        """Returns its name for a person."""
+    def display_name(self) -> str:
+        """Returns the name that is reported to operators."""
         if isinstance(self.key, str):
             return self.key
         request_class, unusual = self.key
