--- a/thymeknot/cli/fleet_commands.py
+++ b/thymeknot/cli/fleet_commands.py
@@ -1,4 +1,4 @@
-"""The `fleet` commands: who may go out, agreed by all."""
+"""The `fleet` commands, which coordinate drains across the fleet."""
 
 import getpass
 from typing import Any, Optional
@@ -10,61 +10,71 @@
 
 
 @click.group("fleet")
-@click.option("--json", "plain", is_flag=True, help="the reply as one line of JSON")
+@click.option("--json", "as_json", is_flag=True, help="print the reply as one line of JSON")
 @click.option(
     "--within",
     default=10.0,
     show_default=True,
     type=click.FloatRange(0.1, 600),
-    help="seconds to wait",
+    help="maximum time to wait, in seconds",
 )
 @click.pass_context
-def fleet(context: click.Context, plain: bool, within: float) -> None:
-    """Who may go out, agreed by all. The operator's file says where the keepers are and who asks."""  # noqa: E501  the help's own words
-    context.obj = context.find_root().obj, plain, within
+def fleet(context: click.Context, as_json: bool, within: float) -> None:
+    """Coordinate drains across the fleet.
+
+    The operator file has the keepers' addresses and the identity of the caller.
+    """
+    context.obj = context.find_root().obj, as_json, within
 
 
 @libraries_from(COORDINATION)
-def _agreed(context: click.Context, read: bool = False, **command: Any) -> None:
-    """Exit codes: 0 done, 1 refused, 2 faulty words or files, 3 no keeper answers."""
-    from . import coordination_commands  # noqa: PLC0415  needs libraries of its own
+def _run_command(context: click.Context, is_read: bool = False, **command: Any) -> None:
+    """Runs a command; exits with 0: done, 1: refused, 2: invalid input, 3: no keeper responds."""
+    from . import coordination_commands  # noqa: PLC0415  requires extra libraries
 
-    path, plain, within = context.obj
+    path, as_json, within = context.obj
     try:
-        code, reply = coordination_commands.send(
+        code, reply = coordination_commands.send_command(
             path,
             {name: value for name, value in command.items() if value is not None},
-            read,
+            is_read,
             within,
         )
     except coordination_commands.CoordinationCommandError as error:
         raise click.UsageError(str(error)) from None
-    for line in [json_line(reply)] if plain else coordination_commands.reply_lines(reply):
-        click.echo(line, err=code != 0 and not plain)
+    for line in [json_line(reply)] if as_json else coordination_commands.reply_lines(reply):
+        click.echo(line, err=code != 0 and not as_json)
     context.exit(code)
 
 
 @fleet.command("status")
-@click.option("--unit", help="of one alone")
+@click.option("--unit", help="only this unit")
 @click.pass_context
 def fleet_status(context: click.Context, unit: Optional[str]) -> None:
-    """Who is out, by which budget, and what is halted."""
-    _agreed(context, True, do="status", unit=unit)
+    """Print which units are out, the disruption budgets and the halts."""
+    _run_command(context, True, do="status", unit=unit)
 
 
 @fleet.command("drain")
 @click.argument("unit")
 @click.option("--urgency", default=0, show_default=True, type=click.IntRange(0, 9))
 @click.option(
-    "--wait/--now", default=True, show_default=True, help="whether to queue where nothing fits"
+    "--wait/--now",
+    default=True,
+    show_default=True,
+    help="queue, or be refused, if the budgets are exhausted",
 )
 @click.option(
-    "--epoch", default=1, show_default=True, type=click.IntRange(0), help="an older one is refused"
+    "--epoch",
+    default=1,
+    show_default=True,
+    type=click.IntRange(0),
+    help="epoch of the request; an older one is refused",
 )
 @click.pass_context
 def fleet_drain(context: click.Context, unit: str, urgency: int, wait: bool, epoch: int) -> None:
-    """Asks that a unit goes out; it does when its budgets have room."""
-    _agreed(
+    """Request a drain of a unit, which starts when its budgets allow it."""
+    _run_command(
         context, do="ask", unit=unit, plan=f"drain:{unit}", epoch=epoch, urgency=urgency, queue=wait
     )
 
@@ -73,22 +83,24 @@
 @click.argument("unit")
 @click.pass_context
 def fleet_back(context: click.Context, unit: str) -> None:
-    """Brings a unit back, or takes back that it was asked to go."""
-    _agreed(context, do="back", unit=unit)
+    """Return a unit to service, or withdraw its drain request."""
+    _run_command(context, do="back", unit=unit)
 
 
 @fleet.command("halt")
 @click.argument("why")
-@click.option("--zone", help="there alone; else everywhere")
+@click.option("--zone", help="only in this zone; default: everywhere")
 @click.pass_context
 def fleet_halt(context: click.Context, why: str, zone: Optional[str]) -> None:
-    """Lets nothing more go out, for a reason given in words."""
-    _agreed(context, do="halt", by=getpass.getuser(), why=why, where={"zone": zone} if zone else {})
+    """Halt further drains, for the given reason."""
+    _run_command(
+        context, do="halt", by=getpass.getuser(), why=why, where={"zone": zone} if zone else {}
+    )
 
 
 @fleet.command("resume")
 @click.argument("halt", type=int)
 @click.pass_context
 def fleet_resume(context: click.Context, halt: int) -> None:
-    """Ends the halt of this number."""
-    _agreed(context, do="resume", halt=halt)
+    """End the halt with this number."""
+    _run_command(context, do="resume", halt=halt)
