--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -18,7 +18,7 @@
 # More than ever wait: the queue of the formulas is unlimited.
 UNLIMITED_QUEUE = 10**9
 # This part of the jobs, one in so many, finds the queue emptier than it is later and is left out.
-WARMUP_PART = 20
+WARMUP_DIVISOR = 20
 
 
 class QueueTimes(NamedTuple):
@@ -58,7 +58,7 @@
     rate = load * servers / MEAN_WORK
     gaps = gamma(streams[0], 1 / rate, 1.0)
     works = gamma(streams[1], MEAN_WORK, 1.0)
-    times = np.array(_times_in_queue(servers, count, gaps, works)[count // WARMUP_PART :])
+    times = np.array(_times_in_queue(servers, count, gaps, works)[count // WARMUP_DIVISOR :])
     return QueueTimes(
         float(times.mean()),
         float(np.quantile(times, 0.95)),
--- a/thymeknot/simulation/day_results.py
+++ b/thymeknot/simulation/day_results.py
@@ -11,8 +11,8 @@
 
 LEAST_ASKED = 1e-9  # earnings asked for: it is divided by
 SPARE_SECONDS = 20  # beyond the span of a day, in which the last answers come
-WORST_STRETCH = 10  # seconds
-CALM_SECONDS = 2  # without rejections, after which a fleet has recovered
+WORST_WINDOW_SECONDS = 10  # seconds
+RECOVERY_SECONDS = 2  # without rejections, after which a fleet has recovered
 
 
 class CourseEvent(StrEnum):
@@ -129,14 +129,14 @@
             lane: The request's class.
             build: What has answered.
         """
-        took = now - first
-        is_late = took > lane.latency_objective
+        latency = now - first
+        is_late = latency > lane.latency_objective
         earned = lane.priority_weight * (lane.late_priority_weight if is_late else 1)
         self.earned += earned
         if build < self.newest_good:
             self.behind += earned
         self.at(first).earned += earned
-        self.latencies.setdefault(lane.name, []).append(took)
+        self.latencies.setdefault(lane.name, []).append(latency)
 
     def add_attempt(self, pod: str) -> None:
         """Counts an attempt."""
@@ -150,23 +150,23 @@
         """Returns earnings answered within the objective over earnings asked for."""
         return self.earned / max(LEAST_ASKED, self.asked)
 
-    def worst(self, length: int = WORST_STRETCH) -> float:
-        """Returns the same in the worst stretch of so many seconds."""
+    def worst(self, length: int = WORST_WINDOW_SECONDS) -> float:
+        """Returns the same in the worst window of so many seconds."""
         worst = 1.0
-        whole = self.day.span // TICKS_PER_SECOND
-        for begin in range(max(1, whole - length)):
-            stretch = self.seconds[begin : begin + length]
-            asked = sum(one.asked for one in stretch)
-            earned = sum(one.earned for one in stretch)
+        day_seconds = self.day.span // TICKS_PER_SECOND
+        for begin in range(max(1, day_seconds - length)):
+            window = self.seconds[begin : begin + length]
+            asked = sum(one.asked for one in window)
+            earned = sum(one.earned for one in window)
             worst = min(worst, earned / asked if asked else 1.0)
         return worst
 
     def needless(self, begin: int = 0, end: int | None = None) -> RejectedShares:
         """Returns the shares that were rejected, within these seconds."""
-        stretch = self.seconds[begin:end]
-        tries = max(1, sum(one.tries for one in stretch))
-        rejected = sum(one.rejected for one in stretch)
-        needless = sum(one.needless for one in stretch)
+        window = self.seconds[begin:end]
+        tries = max(1, sum(one.tries for one in window))
+        rejected = sum(one.rejected for one in window)
+        needless = sum(one.needless for one in window)
         return RejectedShares(rejected / tries, needless / tries)
 
     def recovered(self, end: Ticks, least: float = 0.05) -> int:
@@ -179,7 +179,7 @@
         begin = -(-end // TICKS_PER_SECOND)
         last = self.day.span // TICKS_PER_SECOND
         for second in range(begin, last - 1):
-            if self.needless(second, second + CALM_SECONDS).rejected <= least:
+            if self.needless(second, second + RECOVERY_SECONDS).rejected <= least:
                 return second - begin
         return last - begin
 
@@ -193,12 +193,12 @@
             build: The build.
             end: When what is still going on ceases to count.
         """
-        told = {entry.event: entry.at for entry in self.course if entry.build == build}
-        released = told.get(CourseEvent.RELEASED, end)
-        begin = told.get(CourseEvent.RELEASED, told.get(CourseEvent.STAGE, end))
-        back = max(begin, told.get(CourseEvent.BACK, end))
+        event_times = {entry.event: entry.at for entry in self.course if entry.build == build}
+        released = event_times.get(CourseEvent.RELEASED, end)
+        begin = event_times.get(CourseEvent.RELEASED, event_times.get(CourseEvent.STAGE, end))
+        back = max(begin, event_times.get(CourseEvent.BACK, end))
         return BuildTimes(
-            (released - told.get(CourseEvent.OFFERED, end)) / TICKS_PER_SECOND,
+            (released - event_times.get(CourseEvent.OFFERED, end)) / TICKS_PER_SECOND,
             (back - begin) / TICKS_PER_SECOND,
         )
 
--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -155,25 +155,25 @@
         self.open: dict[tuple[int, str], tuple[str, Ticks]] = {}
         self.over: dict[tuple[int, str], Answer] = {}
         # Executions, by request.
-        self.runs: defaultdict[str, list[Ticks]] = defaultdict(list)
+        self.executions: defaultdict[str, list[Ticks]] = defaultdict(list)
         # Attempts, by instance and request.
-        self.sent_of: defaultdict[tuple[int, str], list[Sent]] = defaultdict(list)
+        self.attempts_of: defaultdict[tuple[int, str], list[Sent]] = defaultdict(list)
         # When an instance learned that a server is gone.
-        self.gone: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
+        self.gone_since: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
         # Requests that came, by instance and class ("" for all).
-        self.taken_at: defaultdict[tuple[int, str], list[Ticks]] = defaultdict(list)
+        self.received_at: defaultdict[tuple[int, str], list[Ticks]] = defaultdict(list)
         # Attempts at a build on trial, by instance, build and class ("" for all).
-        self.tried_at: defaultdict[tuple[int, int, str], list[Ticks]] = defaultdict(list)
+        self.trial_attempts_at: defaultdict[tuple[int, int, str], list[Ticks]] = defaultdict(list)
         self.caps: defaultdict[int, list[CapUpdate]] = defaultdict(list)
         # The build that last answered a key, by instance and key.
-        self.kept: defaultdict[int, dict[str, int]] = defaultdict(dict)
+        self.key_builds: defaultdict[int, dict[str, int]] = defaultdict(dict)
         # By server and its start.
-        self.cold_work: defaultdict[tuple[str, Ticks], list[WarmupWork]] = defaultdict(list)
+        self.warmup_work: defaultdict[tuple[str, Ticks], list[WarmupWork]] = defaultdict(list)
         # When the servers that an instance knows started.
-        self.starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
+        self.known_starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
         self.overrun = 0.0
 
-    def _broke(self, rule: Rule, now: Ticks, text: str) -> None:
+    def _record_breach(self, rule: Rule, now: Ticks, text: str) -> None:
         self.broken.append(Breach(rule, now, text))
 
     # What an instance learns.
@@ -181,13 +181,13 @@
     def listed(self, now: Ticks, instance: int, pod: str, state: Listed) -> None:
         """An instance learned the state of a server; READY takes back an earlier one."""
         if state == Listed.READY:
-            self.gone[instance].pop(pod, None)
+            self.gone_since[instance].pop(pod, None)
         else:
-            self.gone[instance].setdefault(pod, now)
+            self.gone_since[instance].setdefault(pod, now)
 
     def started(self, instance: int, pod: str, at: Ticks) -> None:
         """An instance learned when a server started."""
-        self.starts[instance][pod] = at
+        self.known_starts[instance][pod] = at
 
     def cap(
         self, now: Ticks, instance: int, build: int, cap: float, stage: int, *, phase: Phase
@@ -200,37 +200,39 @@
     def taken(self, now: Ticks, instance: int, name: str, lane: str, ends: Ticks) -> None:
         """A request came, whose answer must come by `ends`."""
         self.open[instance, name] = lane, ends
-        self.taken_at[instance, lane if self.by_lane else ""].append(now)
+        self.received_at[instance, lane if self.by_lane else ""].append(now)
 
     def answered(self, now: Ticks, instance: int, name: str, how: Answer) -> None:
         """A request was answered."""
         held = self.open.pop((instance, name), None)
         if held is None:
             again = (instance, name) in self.over
-            self._broke(
+            self._record_breach(
                 Rule.ONE_ANSWER, now, f"{name}: {'a second answer' if again else 'never taken'}"
             )
             return
         lane, ends = held
         self.over[instance, name] = how
         if now > ends + self.slack:
-            self._broke(Rule.ONE_ANSWER, now, f"{name}: answered {now - ends} late")
+            self._record_breach(Rule.ONE_ANSWER, now, f"{name}: answered {now - ends} late")
         if how == Answer.DEFERRED and self._may_have_run(now, instance, name, lane):
-            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: deferred though it may have run")
+            self._record_breach(
+                Rule.NO_UNSAFE_REPEAT, now, f"{name}: deferred though it may have run"
+            )
 
-    def _unproved(self, instance: int, name: str) -> list[Sent]:
+    def _possibly_run(self, instance: int, name: str) -> list[Sent]:
         """The attempts that may have run."""
-        return [one for one in self.sent_of[instance, name] if one.ran is not False]
+        return [one for one in self.attempts_of[instance, name] if one.ran is not False]
 
     def _may_have_run(self, now: Ticks, instance: int, name: str, lane: str) -> bool:
         """Whether a client that tries again could make the request run twice."""
         idempotency = self.lanes[lane].idempotency
         if idempotency == Idempotency.IDEMPOTENT:
             return False
-        unproved = self._unproved(instance, name)
-        return bool(unproved) and (
+        possibly_run = self._possibly_run(instance, name)
+        return bool(possibly_run) and (
             idempotency == Idempotency.NON_IDEMPOTENT
-            or now > unproved[0].at + self.lanes[lane].deduplication_window
+            or now > possibly_run[0].at + self.lanes[lane].deduplication_window
         )
 
     def killed(self, now: Ticks, instance: int) -> None:
@@ -241,19 +243,19 @@
         """
         for request in [key for key in self.open if key[0] == instance]:
             del self.open[request]
-        self.gone.pop(instance, None)
-        self.kept.pop(instance, None)
-        self.starts.pop(instance, None)
-        for received in [key for key in self.taken_at if key[0] == instance]:
-            del self.taken_at[received]
-        for tried in [key for key in self.tried_at if key[0] == instance]:
-            del self.tried_at[tried]
+        self.gone_since.pop(instance, None)
+        self.key_builds.pop(instance, None)
+        self.known_starts.pop(instance, None)
+        for received in [key for key in self.received_at if key[0] == instance]:
+            del self.received_at[received]
+        for tried in [key for key in self.trial_attempts_at if key[0] == instance]:
+            del self.trial_attempts_at[tried]
 
     def ended(self, now: Ticks) -> None:
         """The day has ended: whatever is open past its time was lost."""
         for (_, name), (_, ends) in self.open.items():
             if now > ends + self.slack:
-                self._broke(Rule.ONE_ANSWER, now, f"{name}: no answer")
+                self._record_breach(Rule.ONE_ANSWER, now, f"{name}: no answer")
 
     def sent(
         self,
@@ -283,34 +285,36 @@
             started: when the server started; 0: long ago.
             capacity: work that the server does in a tick when it is warm.
         """
-        learned = self.gone[instance].get(pod)
+        learned = self.gone_since[instance].get(pod)
         if learned is not None and now > learned + self.grace:
-            self._broke(
+            self._record_breach(
                 Rule.DRAINED, now, f"{name}: to {pod} {now - learned} after it was told gone"
             )
         self._check_repeat(now, instance, name, lane)
-        self.sent_of[instance, name].append(Sent(now))
+        self.attempts_of[instance, name].append(Sent(now))
         if (instance, name) in self.over:
-            self._broke(Rule.ONE_ANSWER, now, f"{name}: sent after its answer")
+            self._record_breach(Rule.ONE_ANSWER, now, f"{name}: sent after its answer")
         self._check_trial(now, instance, name, build, lane=lane, key=key)
         if started and now < started + self.cold:
-            informed = self.starts[instance].get(pod) == started
-            sent = self.cold_work[pod, started]
+            informed = self.known_starts[instance].get(pod) == started
+            sent = self.warmup_work[pod, started]
             sent.append(WarmupWork(now, work, informed))
             self._check_warmup(pod, started, sent, capacity)
 
     def _check_repeat(self, now: Ticks, instance: int, name: str, lane: str) -> None:
-        earlier = self._unproved(instance, name)
+        earlier = self._possibly_run(instance, name)
         if not earlier:
             return
         idempotency = self.lanes[lane].idempotency
         if idempotency == Idempotency.NON_IDEMPOTENT:
-            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again though it may have run")
+            self._record_breach(
+                Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again though it may have run"
+            )
         if (
             idempotency == Idempotency.KEYED
             and now > earlier[0].at + self.lanes[lane].deduplication_window
         ):
-            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again after its window")
+            self._record_breach(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again after its window")
 
     def _check_trial(
         self, now: Ticks, instance: int, name: str, build: int, *, lane: str, key: str | None
@@ -321,11 +325,11 @@
         newest = told.build
         if (
             key is not None
-            and key in self.kept[instance]
-            and self.kept[instance][key] == newest > build
+            and key in self.key_builds[instance]
+            and self.key_builds[instance][key] == newest > build
             and told.phase in (Phase.TRIAL, Phase.RELEASED)
         ):
-            self._broke(
+            self._record_breach(
                 Rule.EXPOSURE,
                 now,
                 f"{name}: its key was answered by build {newest} and goes to {build}",
@@ -333,15 +337,15 @@
         if build != newest or told.phase != Phase.TRIAL:
             return
         if told.stage < self.guarded and self.lanes[lane].idempotency != Idempotency.IDEMPOTENT:
-            self._broke(Rule.EXPOSURE, now, f"{name}: {lane} in guarded stage {told.stage}")
+            self._record_breach(Rule.EXPOSURE, now, f"{name}: {lane} in guarded stage {told.stage}")
         self._check_exposure(now, instance, name, told, lane if self.by_lane else "")
 
     def _check_exposure(
         self, now: Ticks, instance: int, name: str, told: CapUpdate, counted: str
     ) -> None:
         """Counts an attempt at the build on trial against the highest cap of the window."""
-        tried = self.tried_at[instance, told.build, counted]
-        taken = self.taken_at[instance, counted]
+        tried = self.trial_attempts_at[instance, told.build, counted]
+        taken = self.received_at[instance, counted]
         tried.append(now)
         within = len(tried) - bisect_left(tried, now - self.window)
         known = len(taken) - bisect_left(taken, now - self.window)
@@ -353,7 +357,7 @@
         ]
         highest = max([*recent, told.cap])
         if within > self.allowance + highest * known + EXPOSURE_ROUNDING:
-            self._broke(
+            self._record_breach(
                 Rule.EXPOSURE,
                 now,
                 f"{name}: {within} deliveries to build {told.build}, {self.allowance} and "
@@ -369,30 +373,35 @@
         share = self.cold_from + (1 - self.cold_from) * max(0, begin - started) / self.cold
         total = sum(one.work for one in sent if one.at > begin)
         known = sum(one.work for one in sent if one.at > begin and one.informed)
-        least = self.multiple * share * capacity * self.overload
-        allowed = least * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * sent[-1].work
+        overload_work = self.multiple * share * capacity * self.overload
+        allowed = overload_work * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * sent[-1].work
         self.overrun = max(self.overrun, total / allowed)
         # It is the instances' fault if two thirds came from such as knew of the start.
         if total > allowed and known >= total * 2 / 3:
-            self._broke(
+            self._record_breach(
                 Rule.WARMUP,
                 now,
-                f"{pod}: {total:.0f} of work in {self.overload}, {least:.0f} push it over",
+                f"{pod}: {total:.0f} of work in {self.overload}, {overload_work:.0f} push it over",
             )
 
     def proved(self, instance: int, name: str, number: int, ran: bool | None) -> None:
         """An attempt ended: it ran, never ran, or may have run (None)."""
-        self.sent_of[instance, name][number].ran = ran
+        self.attempts_of[instance, name][number].ran = ran
 
     def key_answered(self, instance: int, key: str, build: int) -> None:
         """A request with this key was answered by this build."""
-        self.kept[instance][key] = build
+        self.key_builds[instance][key] = build
 
     def ran(self, now: Ticks, name: str, lane: str) -> None:
         """A server carried out a request."""
-        self.runs[name].append(now)
-        if self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT and len(self.runs[name]) > 1:
-            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: ran {len(self.runs[name])} times")
+        self.executions[name].append(now)
+        if (
+            self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT
+            and len(self.executions[name]) > 1
+        ):
+            self._record_breach(
+                Rule.NO_UNSAFE_REPEAT, now, f"{name}: ran {len(self.executions[name])} times"
+            )
 
     def rules_broken(self) -> list[int]:
         """The rules that were broken, each once, in their order."""
--- a/thymeknot/simulation/random_streams.py
+++ b/thymeknot/simulation/random_streams.py
@@ -20,42 +20,42 @@
     """
 
     def __init__(self, draw: Callable[[int], NDArray[np.generic]]) -> None:
-        self.draw = draw
-        self.values = draw(BLOCK_SIZE).tolist()
-        self.at = 0
+        self.draw_block = draw
+        self.block = draw(BLOCK_SIZE).tolist()
+        self.position = 0
 
     def next(self) -> float:
         """The next number; a whole one where the distribution gives whole ones."""
-        if self.at >= BLOCK_SIZE:
-            self.values = self.draw(BLOCK_SIZE).tolist()
-            self.at = 0
-        self.at += 1
-        value: float = self.values[self.at - 1]
+        if self.position >= BLOCK_SIZE:
+            self.block = self.draw_block(BLOCK_SIZE).tolist()
+            self.position = 0
+        self.position += 1
+        value: float = self.block[self.position - 1]
         return value
 
 
-def gamma(chance: Generator, mean: float, spread: float) -> Stream:
+def gamma(generator: Generator, mean: float, spread: float) -> Stream:
     """Gamma-distributed numbers.
 
     Args:
-        chance: what they are drawn from.
+        generator: what they are drawn from.
         mean: of the distribution.
         spread: standard deviation over mean; 1 is exponential, 0 always gives the mean.
     """
     if spread <= 0:
         return Stream(lambda count: np.full(count, mean))
     shape = 1 / spread**2
-    return Stream(lambda count: chance.gamma(shape, mean / shape, count))
+    return Stream(lambda count: generator.gamma(shape, mean / shape, count))
 
 
-def zipf_keys(chance: Generator, count: int, exponent: float) -> Stream:
+def zipf_keys(generator: Generator, count: int, exponent: float) -> Stream:
     """Ranks of keys, from 0, by Zipf's law over a bounded number of them.
 
     Args:
-        chance: what they are drawn from.
+        generator: what they are drawn from.
         count: how many keys there are.
         exponent: of the law.
     """
     weights = 1 / np.arange(1, count + 1) ** exponent
-    steps = np.cumsum(weights) / weights.sum()
-    return Stream(lambda size: np.searchsorted(steps, chance.random(size)))
+    cumulative = np.cumsum(weights) / weights.sum()
+    return Stream(lambda size: np.searchsorted(cumulative, generator.random(size)))
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -19,7 +19,7 @@
 SPARE_PERIODS = 8
 
 
-class Look(NamedTuple):
+class PeriodSnapshot(NamedTuple):
     """What was seen at the begin of a period."""
 
     at: float
@@ -55,33 +55,35 @@
         self.how = {answer: np.zeros(size) for answer in Answer}
         self.cast = {verdict: np.zeros(size) for verdict in Verdict}
         self.took: list[list[float]] = [[] for _ in range(size)]
-        self.looks: list[Look] = []
+        self.looks: list[PeriodSnapshot] = []
         self.load: list[NDArray[np.float64]] = []
 
     def play(self) -> Self:
         """Plays the whole day."""
-        self.at(0, self._look)
+        self.at(0, self._record_snapshot)
         return super().play()
 
     def _period(self) -> int:
         return min(self.now // PERIOD, len(self.took) - 1)
 
-    def _look(self) -> None:
+    def _record_snapshot(self) -> None:
         build, stage, phase, cap = self.platform.state
         running = [pod.build.number for pod in self.servers.up(lambda _: True)]
         counts = {name: running.count(name) for name in self.names}
-        self.looks.append(Look(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts))
-        self.load.append(self._waiting_work())
+        self.looks.append(
+            PeriodSnapshot(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts)
+        )
+        self.load.append(self._waiting_seconds())
         if self.now < self.day.span:
-            self.at(self.now + PERIOD, self._look)
+            self.at(self.now + PERIOD, self._record_snapshot)
 
-    def _waiting_work(self) -> NDArray[np.float64]:
+    def _waiting_seconds(self) -> NDArray[np.float64]:
         by_place = np.zeros(self.day.pods)
         for pod in self.servers.pods.values():
             if pod.state == PodState.UP:
                 place = int(pod.name[1:].split("-")[0])
                 by_place[place] = max(
-                    by_place[place], pod.wait / (pod.cores * pod.speed * TICKS_PER_SECOND)
+                    by_place[place], pod.waiting_work / (pod.cores * pod.speed * TICKS_PER_SECOND)
                 )
         return by_place
 
@@ -97,7 +99,7 @@
             self.how[answer][self._period()] += 1
             if answer == Answer.DONE:
                 self.took[self._period()].append(
-                    (self.now - held.first) / self.lanes[held.lane].lane.latency_objective
+                    (self.now - held.first_asked_at) / self.lanes[held.lane].lane.latency_objective
                 )
         super()._answer(instance, name, answer, wait)
 
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -14,13 +14,13 @@
     from .simulator import Simulator
 
 LISTED_WEIGHT = 1.0
-LISTED_KIND = "m"
+LISTED_MACHINE_KIND = "m"
 FIRST_BUILD = 1
 
 Server: TypeAlias = Pod[SimulatedAttempt]
 
 
-def place_of(name: str) -> int:
+def place_index(name: str) -> int:
     """Returns the place of a server: addresses are p, the place, a dash, and what started it."""
     return int(name[1:].split("-", maxsplit=1)[0])
 
@@ -29,7 +29,7 @@
     """The servers, in the order of their starts.
 
     Attributes:
-        world: The day that is played.
+        simulator: The day that is played.
         pods: Those that are not gone, by address.
         former: Those that are gone, by address.
         failing: The share of attempts that servers fail besides their builds' faults, by address.
@@ -37,21 +37,21 @@
         list_delay: By how much lists come later than usual.
     """
 
-    def __init__(self, world: "Simulator", first: Build) -> None:
+    def __init__(self, simulator: "Simulator", first: Build) -> None:
         """Starts the day's first servers.
 
         Args:
-            world: The day that is played.
+            simulator: The day that is played.
             first: The build that they run.
         """
-        self.world = world
+        self.simulator = simulator
         self.pods: dict[str, Server] = {}
         self.former: dict[str, Server] = {}
         self.failing: dict[str, float] = {}
         self.lost_zones: set[str] = set()
         self.list_delay: Ticks = 0
         self._changes: dict[str, Endpoint] = {}  # not told yet, by address
-        day = world.day
+        day = simulator.day
         for place, speed in enumerate(day.speeds):
             name = f"p{place}-{FIRST_BUILD}"
             self.pods[name] = Pod(
@@ -66,12 +66,12 @@
 
     def zone_of(self, place: int) -> str:
         """Returns the zone of a place."""
-        zones = self.world.day.zones
+        zones = self.simulator.day.zones
         return zones[place % 3]
 
     def start(self, name: str, place: int, build: Build) -> None:
         """Starts a cold server and lists it."""
-        day = self.world.day
+        day = self.simulator.day
         self._add(
             Pod(
                 name,
@@ -80,7 +80,7 @@
                 speed=day.speeds[place],
                 queue_most=day.queue,
                 build=build,
-                started=self.world.now,
+                started=self.simulator.now,
                 cold=day.cold,
                 cold_from=day.cold_from,
             )
@@ -96,15 +96,15 @@
 
     def drain(self, wanted: Callable[[Server], bool]) -> None:
         """Begins to drain servers; they are gone a while later."""
-        world = self.world
+        simulator = self.simulator
         leaving = self.up(wanted)
         for pod in leaving:
             pod.state = PodState.DRAINING
-            world.at(world.now + world.day.gone_after, self._gone, pod)
+            simulator.at(simulator.now + simulator.day.gone_after, self._remove, pod)
         if leaving:
             self.tell(*(self.entry(pod) for pod in leaving))
 
-    def _gone(self, pod: Server) -> None:
+    def _remove(self, pod: Server) -> None:
         pod.state = PodState.DOWN
         self._drop_connections(pod.name)
         self.former[pod.name] = self.pods.pop(pod.name, pod)
@@ -119,7 +119,7 @@
     def restore_zone(self, zone: str) -> None:
         """All that ran in a zone starts again, cold, at the same places."""
         self.lost_zones.discard(zone)
-        day = self.world.day
+        day = self.simulator.day
         for pod in self.up(lambda pod: pod.zone == zone):
             pod.silent = False
             fresh: Server = Pod(
@@ -129,7 +129,7 @@
                 speed=pod.speed,
                 queue_most=pod.queue_most,
                 build=pod.build,
-                started=self.world.now,
+                started=self.simulator.now,
                 cold=day.cold,
                 cold_from=day.cold_from,
             )
@@ -138,7 +138,7 @@
             self._add(fresh)
 
     def _drop_connections(self, name: str) -> None:
-        self.world.connections.drop(lambda line: line[2] == name)
+        self.simulator.connections.close_idle(lambda key: key[2] == name)
 
     # Lists.
 
@@ -159,7 +159,7 @@
             0,
             condition,
             pod.started,
-            LISTED_KIND,
+            LISTED_MACHINE_KIND,
             pod.build.number,
         )
 
@@ -170,12 +170,12 @@
 
     def tell(self, *entries: Endpoint) -> None:
         """Tells of changes, at once or with all others of the moment."""
-        world = self.world
-        if not world.day.list_every:
+        simulator = self.simulator
+        if not simulator.day.list_every:
             self._send(entries)
             return
         if not self._changes:
-            world.at(world.now + world.day.list_every, self._send_changes)
+            simulator.at(simulator.now + simulator.day.list_every, self._send_changes)
         self._changes.update((entry.address, entry) for entry in entries)
 
     def _send_changes(self) -> None:
@@ -184,36 +184,36 @@
 
     def _send(self, entries: Sequence[Endpoint]) -> None:
         """Changes reach each instance a while later."""
-        world = self.world
-        for instance in range(world.day.instances):
-            lag = world.day.list_lag * (0.5 + world.misc.random()) + self.list_delay
-            world.at(world.now + int(lag), self._told, instance, entries)
-
-    def _told(self, instance: int, entries: Sequence[Endpoint]) -> None:
-        world = self.world
-        if not world.runs(instance) or not world.has_watch(instance):
+        simulator = self.simulator
+        for instance in range(simulator.day.instances):
+            lag = simulator.day.list_lag * (0.5 + simulator.misc.random()) + self.list_delay
+            simulator.at(simulator.now + int(lag), self._deliver, instance, entries)
+
+    def _deliver(self, instance: int, entries: Sequence[Endpoint]) -> None:
+        simulator = self.simulator
+        if not simulator.runs(instance) or not simulator.has_watch(instance):
             return
         told = tuple(
             entry
             for entry in entries
             if entry.condition != EndpointCondition.READY or entry.address in self.pods
         )
-        self.note_told(instance, told)
-        world.tell(instance, EndpointUpdate(UpdateKind.DELTA, told))
+        self.record_told(instance, told)
+        simulator.tell(instance, EndpointUpdate(UpdateKind.DELTA, told))
 
-    def note_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
+    def record_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
         """Has the checker know what an instance is told."""
-        checker = self.world.checker
+        checker = self.simulator.checker
         for entry in entries:
             is_ready = entry.condition == EndpointCondition.READY
             listed = Listed.READY if is_ready else Listed.GONE
-            checker.listed(self.world.now, instance, entry.address, listed)
+            checker.listed(self.simulator.now, instance, entry.address, listed)
             checker.started(instance, entry.address, entry.started)
 
-    def note_known(self, instance: int) -> None:
+    def record_known(self, instance: int) -> None:
         """Has the checker know what an instance that starts is given."""
-        checker = self.world.checker
+        checker = self.simulator.checker
         for pod in self.pods.values():
             checker.started(instance, pod.name, pod.started)
             if pod.state == PodState.DRAINING:
-                checker.listed(self.world.now, instance, pod.name, Listed.DRAINING)
+                checker.listed(self.simulator.now, instance, pod.name, Listed.DRAINING)
--- a/thymeknot/simulation/servers.py
+++ b/thymeknot/simulation/servers.py
@@ -95,8 +95,8 @@
         "started",
         "state",
         "turned_away",
-        "wait",
-        "worked",
+        "waiting_work",
+        "worked_ticks",
         "zone",
     )
 
@@ -143,13 +143,13 @@
         """Jobs finished."""
         self.turned_away = 0
         """Jobs rejected."""
-        self.worked = 0.0
+        self.worked_ticks = 0.0
         """Ticks of core time spent."""
         self.paused: Ticks = 0
         """Until when everything in it stands still."""
         self.silent = False
         """Whether it takes jobs and never answers."""
-        self.wait = 0.0
+        self.waiting_work = 0.0
         """Work in its queue."""
 
     def warmth(self, now: float) -> float:
@@ -171,25 +171,25 @@
             self.turned_away += 1
             return False
         if self.busy < self.cores:
-            return self._begin(now, job)
+            return self._start_job(now, job)
         self.queue.append(job)
-        self.wait += job.work
+        self.waiting_work += job.work
         return None
 
-    def fits(self, now: float, goal: float) -> bool:
+    def could_start_within(self, now: float, goal: float) -> bool:
         """Whether a job that came now would begin within this time."""
         return (
             self.state == PodState.UP
             and now >= self.paused
             and not self.silent
-            and self.wait <= goal * self.cores * self.speed * self.warmth(now)
+            and self.waiting_work <= goal * self.cores * self.speed * self.warmth(now)
         )
 
-    def _begin(self, now: float, job: JobT) -> Ticks:
+    def _start_job(self, now: float, job: JobT) -> Ticks:
         self.busy += 1
         slow = self.build.slow if self.build.strikes(self, now, job.lane) else 1.0
         took = job.work * slow / (self.speed * self.warmth(now))
-        self.worked += took
+        self.worked_ticks += took
         return max(1, round(took))
 
     def finish(self, now: float) -> tuple[JobT, Ticks] | None:
@@ -198,6 +198,6 @@
         self.done += 1
         if self.queue:
             job = self.queue.popleft()
-            self.wait -= job.work
-            return job, self._begin(now, job)
+            self.waiting_work -= job.work
+            return job, self._start_job(now, job)
         return None
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -22,7 +22,7 @@
 # and twice this time at most.
 LIST_RETRY_DELAY: Ticks = TICKS_PER_SECOND
 
-Draw = Callable[[], float]
+RandomDraw = Callable[[], float]
 """Gives a random number from 0 to 1."""
 Schedule = Callable[..., None]
 """schedule(moment, call, *arguments) calls back at a moment."""
@@ -31,7 +31,7 @@
 class PollInterval(Protocol):
     """How often an instance asks; an earlier version's may ask twice at the start (`beside`)."""
 
-    draw: Draw
+    draw: RandomDraw
 
     def initial_wait(self, asking: int) -> Ticks:
         """The wait before the first call, where so many callers start at once."""
@@ -45,7 +45,7 @@
 
     beside = True
 
-    def __init__(self, draw: Draw) -> None:
+    def __init__(self, draw: RandomDraw) -> None:
         self.draw = draw
 
     def initial_wait(self, asking: int) -> Ticks:
@@ -76,26 +76,26 @@
             at: schedules a call.
             now: the time.
         """
-        self.step = int(TICKS_PER_SECOND / rate)
-        self.room = int(rate * MAX_QUEUE_SECONDS)
+        self.answer_interval = int(TICKS_PER_SECOND / rate)
+        self.queue_limit = int(rate * MAX_QUEUE_SECONDS)
         self.at = at
         self.now = now
         self.waiting: deque[tuple[Ticks, Callable[[bool], None]]] = deque()
         self.calls = 0
         self.refused = 0
-        self.at(self.now() + self.step, self._next)
+        self.at(self.now() + self.answer_interval, self._next)
 
     def call(self, end: Callable[[bool], None]) -> None:
         """Makes a call; `end` is called once with whether it was answered."""
         self.calls += 1
-        if len(self.waiting) >= self.room:
+        if len(self.waiting) >= self.queue_limit:
             self.refused += 1
             self.at(self.now() + QUEUE_FULL_DELAY, end, False)
         else:
             self.waiting.append((self.now(), end))
 
     def _next(self) -> None:
-        self.at(self.now() + self.step, self._next)
+        self.at(self.now() + self.answer_interval, self._next)
         if self.waiting:
             since, end = self.waiting.popleft()
             good = self.now() <= since + MAX_CALL_WAIT
@@ -139,17 +139,17 @@
         self.told = told
         self.standing: dict[int, int] = {}
 
-    def begin(self, instance: int, turn: int, pace: PollInterval, asking: int) -> None:
+    def begin(self, instance: int, life: int, pace: PollInterval, asking: int) -> None:
         """An instance starts: it asks for the list and the changes to it.
 
         Args:
             instance: its number.
-            turn: its life.
+            life: its life.
             pace: how often it asks.
             asking: how many instances may start at once.
         """
         self.standing.pop(instance, None)
-        poller = Poller(instance, turn, pace)
+        poller = Poller(instance, life, pace)
         self.at(self.now() + pace.initial_wait(asking), self._ask, poller, True)
         if getattr(pace, "beside", False):
             self.at(self.now(), self._ask, poller, False)
@@ -174,7 +174,7 @@
         return LIST_RETRY_DELAY + int(pace.draw() * LIST_RETRY_DELAY)
 
 
-Line = tuple[int, int, str]
+ConnectionKey = tuple[int, int, str]
 """What a connection belongs to: the instance, its life and the name of the server."""
 
 
@@ -183,7 +183,7 @@
 
     Attributes:
         most: How many a server holds at most; 0: as many as come.
-        idle: Since when each idle connection of a line stands idle.
+        idle: Since when each idle connection of a key stands idle.
         held: How many each server holds.
         made: How many were made.
         refused: How many were refused for the limit.
@@ -191,14 +191,14 @@
 
     def __init__(self, most: int) -> None:
         self.most = most
-        self.idle: dict[Line, list[Ticks]] = {}
+        self.idle: dict[ConnectionKey, list[Ticks]] = {}
         self.held: dict[str, int] = {}
         self.made = 0
         self.refused = 0
 
-    def take(self, now: Ticks, line: Line, pod: str) -> bool:
-        """Whether an attempt on this line gets one: an idle one, or a new one if allowed."""
-        idle = self.idle.setdefault(line, [])
+    def take(self, now: Ticks, key: ConnectionKey, pod: str) -> bool:
+        """Whether an attempt with this key gets one: an idle one, or a new one if allowed."""
+        idle = self.idle.setdefault(key, [])
         while idle:
             if now <= idle.pop() + IDLE_TIMEOUT:
                 return True
@@ -219,20 +219,20 @@
                 idle[:] = [at for at in idle if now <= at + IDLE_TIMEOUT]
         return self.held[pod] < before
 
-    def give(self, now: Ticks, line: Line, pod: str, good: bool) -> None:
+    def release(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
         """An attempt has ended: its connection stands idle if it is good, or is closed."""
-        if good and line in self.idle:
-            self.idle[line].append(now)
+        if good and key in self.idle:
+            self.idle[key].append(now)
         else:
             self.held[pod] -= 1
 
-    def drop(self, gone: Callable[[Line], bool]) -> None:
+    def close_idle(self, gone: Callable[[ConnectionKey], bool]) -> None:
         """Closes the idle connections of all lines that `gone` says are no more."""
-        for line in [line for line in self.idle if gone(line)]:
-            self.held[line[2]] -= len(self.idle.pop(line))
+        for key in [key for key in self.idle if gone(key)]:
+            self.held[key[2]] -= len(self.idle.pop(key))
 
 
-def pace_of(policy: Any, draw: Draw) -> PollInterval:
+def poll_interval_of(policy: Any, draw: RandomDraw) -> PollInterval:
     """The interval at which instances of this policy ask: the policy's own, or the present one."""
     interval: PollInterval = getattr(policy, "pace", AdaptiveInterval)(draw)
     return interval
--- a/thymeknot/simulation/simulated_requests.py
+++ b/thymeknot/simulation/simulated_requests.py
@@ -21,7 +21,7 @@
         pod: The server's address.
         build: What the server ran then; 0 where there is none.
         over: Whether it has ended.
-        linked: Whether it has a connection.
+        has_connection: Whether it has a connection.
     """
 
     instance: int
@@ -34,8 +34,8 @@
     sent_at: Ticks
     pod: str
     build: int
-    over: bool = False
-    linked: bool = False
+    has_ended: bool = False
+    has_connection: bool = False
 
 
 @dataclass(slots=True, eq=False)
@@ -56,12 +56,12 @@
     lane: str
     key: str
     tenant: int
-    first: Ticks
-    ends: Ticks
-    tries: int
+    first_asked_at: Ticks
+    deadline: Ticks
+    earlier_tries: int
     work: float
     attempts: list[SimulatedAttempt] = field(default_factory=list)
 
     def is_over(self) -> bool:
         """Returns whether all of its attempts have ended."""
-        return all(attempt.over for attempt in self.attempts)
+        return all(attempt.has_ended for attempt in self.attempts)
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -33,23 +33,23 @@
 from .scenarios import Day, LaneMix
 from .server_fleet import Server, ServerFleet
 from .servers import PodState
-from .shared_services import IDLE_TIMEOUT, Connections, Discovery, Line, pace_of
+from .shared_services import IDLE_TIMEOUT, ConnectionKey, Connections, Discovery, poll_interval_of
 from .simulated_platform import ANSWER_DELAY, SimulatedPlatform
 from .simulated_requests import SimulatedAttempt, SimulatedRequest
 
-GRACE: Ticks = 2_500  # of drains
+DRAIN_GRACE: Ticks = 2_500  # of drains
 CONNECT_TIMEOUT: Ticks = 2_500  # of a connection that does not come up
-REFUSED_AFTER: Ticks = 10  # a connection too many
+REFUSAL_DELAY: Ticks = 10  # a connection too many
 RETRY_DELAY: Ticks = 50  # of clients that do not heed what they are told
-LAST_ANSWERS = 2 * TICKS_PER_SECOND  # ticks beyond the span of a day
+FINAL_ANSWERS_DURATION = 2 * TICKS_PER_SECOND  # ticks beyond the span of a day
 EXPOSURE_WINDOW = 3 * TICKS_PER_SECOND  # ticks
 EXPOSURE_ALLOWANCE = 3.0  # attempts
 NEVER: Ticks = -(10**9)
-HANDSHAKE_WAYS = 5  # one way of a request and two round trips of a new connection
-FAILURES_LEAST = 0.001  # share of the attempts that fail in any case
-ROOM_PART = 0.25  # of the objective: a wait that is no cause to reject
-ROOMY_PART = 0.25  # of the servers: so many must have no more than that
-EXTRA_STREAM = 17  # draws what was added later, so that other days stay as they were
+NEW_CONNECTION_TRIPS = 5  # one way of a request and two round trips of a new connection
+BASE_FAILURE_RATIO = 0.001  # share of the attempts that fail in any case
+MAX_ROOM_WAIT_RATIO = 0.25  # of the objective: a wait that is no cause to reject
+MIN_ROOMY_SERVER_RATIO = 0.25  # of the servers: so many must have no more than that
+EXTRA_STREAM_SEED = 17  # draws what was added later, so that other days stay as they were
 
 Policy: TypeAlias = Callable[[Settings, int, Ticks], Any]
 """policy(settings, seed, now) has handle(now, events) -> actions, as `DecisionEngine` has."""
@@ -109,12 +109,12 @@
         self.cut_zones: set[str] = set()
         self._policy = policy
         self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._count = 0  # of what was scheduled and named
+        self._sequence = 0  # of what was scheduled and named
         self._busy = list(accumulate(day.busy))
-        self._answered_at: dict[Line, Ticks] = {}  # the last answer on a line
+        self._answered_at: dict[ConnectionKey, Ticks] = {}  # the last answer on a line
         self._draw_streams()
         self.checker = self._new_checker()
-        self.platform = SimulatedPlatform(self, self._samples)
+        self.platform = SimulatedPlatform(self, self._sample_draws)
         self.servers = ServerFleet(self, self.platform.builds[1])
         self._faults = FaultInjector(self)
         self.discovery = self._new_discovery()
@@ -127,21 +127,21 @@
         ]
         arrivals, works, network, keys, clients, self.misc = generators
         self._gaps = Stream(lambda count: arrivals.exponential(1.0, count))
-        self._arrivals = Stream(arrivals.random)
+        self._arrival_draws = Stream(arrivals.random)
         self._works = {one.lane.name: gamma(works, one.work, one.spread) for one in day.lanes}
         self._delays = gamma(network, *day.delay)
-        self._losses = Stream(network.random)
+        self._loss_draws = Stream(network.random)
         self._keys = zipf_keys(keys, day.keys, day.zipf)
-        self._clients = Stream(clients.random)
-        self._strikes = Stream(works.random)
-        extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM]))
-        self._samples = Stream(extra.random)
+        self._client_draws = Stream(clients.random)
+        self._failure_draws = Stream(works.random)
+        extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM_SEED]))
+        self._sample_draws = Stream(extra.random)
 
     def _new_checker(self) -> InvariantChecker:
         day = self.day
         return InvariantChecker(
             {name: one.lane for name, one in self.lanes.items()},
-            GRACE,
+            DRAIN_GRACE,
             EXPOSURE_WINDOW,
             EXPOSURE_ALLOWANCE,
             guarded=day.terms.guarded_stages,
@@ -153,12 +153,12 @@
     def _new_discovery(self) -> Discovery | None:
         if not self.day.lists:
             return None
-        return Discovery(self.day.lists, self.at, lambda: self.now, self._watch)
+        return Discovery(self.day.lists, self.at, lambda: self.now, self._deliver_list)
 
     def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedules a call."""
-        self._count += 1
-        heapq.heappush(self._calls, (moment, self._count, call, arguments))
+        self._sequence += 1
+        heapq.heappush(self._calls, (moment, self._sequence, call, arguments))
 
     def play(self) -> Self:
         """Plays the whole day; returns itself."""
@@ -172,7 +172,7 @@
         self.at(0, self._arrive)
         if day.tally_every:
             self.at(day.tally_every, self.platform.end_period)
-        last = day.span + LAST_ANSWERS
+        last = day.span + FINAL_ANSWERS_DURATION
         while self._calls and self._calls[0][0] <= last:
             self.now, _, call, arguments = heapq.heappop(self._calls)
             call(*arguments)
@@ -188,21 +188,21 @@
         seed = self.day.seed * 1000 + instance * 7 + life
         self.engines[instance] = self._policy(self.day.terms, seed, self.now)
         listed = self.servers.entries()
-        self.servers.note_known(instance)
-        self.platform.note_told(instance, self.platform.state)
+        self.servers.record_known(instance)
+        self.platform.record_told(instance, self.platform.state)
         if self.discovery:  # what it knows is of before, until it gets the list
-            chance = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
-            pace = pace_of(self._policy, chance.draw)
-            self.discovery.begin(instance, life, pace, self.day.instances)
+            generator = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
+            poll_interval = poll_interval_of(self._policy, generator.draw)
+            self.discovery.begin(instance, life, poll_interval, self.day.instances)
         self.tell(instance, EndpointUpdate(UpdateKind.CACHED, listed))
-        self.platform.give_known(instance)
+        self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
         """Kills an instance and starts it again after about so many ticks."""
         self.engines[instance] = None
         self.lives[instance] += 1
         self.checker.killed(self.now, instance)
-        self.connections.drop(lambda line: line[0] == instance)
+        self.connections.close_idle(lambda key: key[0] == instance)
         for key in [key for key in self.requests if key[0] == instance]:
             del self.requests[key]
         self.at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
@@ -217,12 +217,12 @@
             return True
         return self.discovery.standing.get(instance) == self.lives[instance]
 
-    def _watch(self, instance: int, life: int, whole: bool) -> bool:
+    def _deliver_list(self, instance: int, life: int, whole: bool) -> bool:
         """Returns whether this life of an instance is still there; it gets the list if `whole`."""
         is_there = self.lives[instance] == life and self.runs(instance)
         if is_there and whole:
             entries = self.servers.entries()
-            self.servers.note_told(instance, entries)
+            self.servers.record_told(instance, entries)
             self.tell(instance, EndpointUpdate(UpdateKind.FULL, entries))
         return is_there
 
@@ -233,11 +233,11 @@
             return
         life = self.lives[instance]
         for action in list(engine.handle(self.now, [event])):
-            self._act(instance, life, action)
+            self._carry_out(instance, life, action)
 
-    def _act(self, instance: int, life: int, action: Action) -> None:
+    def _carry_out(self, instance: int, life: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.at(max(self.now, action.at), self._fire, instance, life, action.token)
+            self.at(max(self.now, action.at), self._fire_timer, instance, life, action.token)
         elif isinstance(action, SendAttempt):
             self._send(instance, life, action)
         elif isinstance(action, CancelAttempt):
@@ -249,7 +249,7 @@
         elif isinstance(action, CastVote):
             self.at(self.now + ANSWER_DELAY, self._vote, instance, life, action)
 
-    def _fire(self, instance: int, life: int, token: int) -> None:
+    def _fire_timer(self, instance: int, life: int, token: int) -> None:
         if self.lives[instance] == life:
             self.tell(instance, TimerFired(token))
 
@@ -270,44 +270,44 @@
             return
         gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.burst)
         self.at(self.now + max(1, round(gap)), self._arrive)
-        instance = min(day.instances - 1, bisect_right(self._busy, self._arrivals.next()))
-        lane = self._drawn_lane().lane
+        instance = min(day.instances - 1, bisect_right(self._busy, self._arrival_draws.next()))
+        lane = self._draw_lane().lane
         if lane.idempotency == Idempotency.NON_IDEMPOTENT:
-            key = f"b{self._count}"
+            key = f"b{self._sequence}"
         else:
             key = f"k{self._keys.next()}"
         self.results.add_request(self.now, lane.priority_weight)
-        tenant = int(self._clients.next() * day.tenants)
+        tenant = int(self._client_draws.next() * day.tenants)
         work = self._works[lane.name].next()
         ends = self.now + lane.outer_limit
         request = SimulatedRequest(lane.name, key, tenant, self.now, ends, 0, work)
         self._ask(instance, request)
 
-    def _drawn_lane(self) -> LaneMix:
-        lot = self._arrivals.next()
+    def _draw_lane(self) -> LaneMix:
+        remaining = self._arrival_draws.next()
         for lane in self.day.lanes:
-            lot -= lane.share
-            if lot < 0:
+            remaining -= lane.share
+            if remaining < 0:
                 return lane
         return self.day.lanes[-1]
 
     def _ask(self, instance: int, request: SimulatedRequest) -> None:
         """A client asks, if its time is not over."""
-        if not self.runs(instance) or request.ends <= self.now:
+        if not self.runs(instance) or request.deadline <= self.now:
             return
-        self._count += 1
-        name = f"t{self._count}"
+        self._sequence += 1
+        name = f"t{self._sequence}"
         self.requests[instance, name] = request
-        self.checker.taken(self.now, instance, name, request.lane, request.ends)
+        self.checker.taken(self.now, instance, name, request.lane, request.deadline)
         self.results.at(self.now).tries += 1
         received = RequestReceived(
             name,
             request.lane,
             f"t{request.tenant}",
             request.key,
-            request.ends - self.now,
+            request.deadline - self.now,
             None,
-            request.tries > 0,
+            request.earlier_tries > 0,
             False,
         )
         self.tell(instance, received)
@@ -328,34 +328,34 @@
         self.results.add_answer(answer)
         lane = self.lanes[held.lane].lane
         if answer == Answer.DONE:
-            self.results.add_done(self.now, held.first, lane, held.attempts[-1].build)
+            self.results.add_done(self.now, held.first_asked_at, lane, held.attempts[-1].build)
         else:
-            self._not_served(instance, held, answer, wait)
+            self._handle_unserved(instance, held, answer, wait)
         if held.is_over():
             del self.requests[instance, name]
 
-    def _not_served(
+    def _handle_unserved(
         self, instance: int, held: SimulatedRequest, answer: Answer, wait: Ticks
     ) -> None:
         if not held.attempts:
             second = self.results.at(self.now)
             second.rejected += 1
             objective = self.lanes[held.lane].lane.latency_objective
-            second.needless += self._had_room(instance, objective)
-        if answer == Answer.DEFERRED and held.tries < self.day.retries:
-            pause = wait if self._clients.next() < self.day.heeds else RETRY_DELAY
+            second.needless += self._had_capacity(instance, objective)
+        if answer == Answer.DEFERRED and held.earlier_tries < self.day.retries:
+            delay = wait if self._client_draws.next() < self.day.heeds else RETRY_DELAY
             again = SimulatedRequest(
                 held.lane,
                 held.key,
                 held.tenant,
-                held.first,
-                held.ends,
-                held.tries + 1,
+                held.first_asked_at,
+                held.deadline,
+                held.earlier_tries + 1,
                 held.work,
             )
-            self.at(self.now + max(1, pause), self._ask, instance, again)
+            self.at(self.now + max(1, delay), self._ask, instance, again)
 
-    def _had_room(self, instance: int, objective: Ticks) -> bool:
+    def _had_capacity(self, instance: int, objective: Ticks) -> bool:
         """Returns whether a part of the servers that are usual and reached had room."""
         state = self.platform.state
         usual = self.servers.up(
@@ -364,8 +364,10 @@
                 and (pod.build.number < state.build or state.phase == ReleasePhase.RELEASED)
             )
         )
-        roomy = sum(pod.fits(self.now, ROOM_PART * objective) for pod in usual)
-        return roomy > ROOMY_PART * len(usual)
+        roomy = sum(
+            pod.could_start_within(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in usual
+        )
+        return roomy > MIN_ROOMY_SERVER_RATIO * len(usual)
 
     # The network.
 
@@ -413,7 +415,7 @@
             started=pod.started,
             capacity=pod.cores * pod.speed,
         )
-        ends = min(self.now + action.timeout, held.ends)
+        ends = min(self.now + action.timeout, held.deadline)
         if pod.silent or not self._reaches(instance, pod):
             self._send_unanswered(attempt, ends)
         else:
@@ -442,7 +444,7 @@
 
     def _send_unanswered(self, attempt: SimulatedAttempt, ends: Ticks) -> None:
         """Nothing is said: an open connection takes it, a new one never comes up."""
-        if self.now - self._answered_at.pop(_line_of(attempt), NEVER) > IDLE_TIMEOUT:
+        if self.now - self._answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
             self.at(failed_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
         else:
@@ -450,29 +452,29 @@
 
     def _connect(self, attempt: SimulatedAttempt, pod: Server, ends: Ticks) -> None:
         made = self.connections.made
-        attempt.linked = self.connections.take(self.now, _line_of(attempt), pod.name)
+        attempt.has_connection = self.connections.take(self.now, _connection_key(attempt), pod.name)
         is_new = self.connections.made > made
         self.results.dispatched += 1
-        self.platform.count_share(attempt.build)
-        if not attempt.linked:
-            refused_at = min(ends, self.now + REFUSED_AFTER)
+        self.platform.update_trial_share(attempt.build)
+        if not attempt.has_connection:
+            refused_at = min(ends, self.now + REFUSAL_DELAY)
             self.at(refused_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
             return
-        if self._losses.next() < self.loss or pod.state == PodState.DOWN:
+        if self._loss_draws.next() < self.loss or pod.state == PodState.DOWN:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
             self.at(failed_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
             return
         self.at(ends, self._end, attempt, Outcome.TIMED_OUT, None)
         way = self._delays.next()
         if self.day.handshake and is_new:
-            way *= HANDSHAKE_WAYS
-            attempt.work += self.day.handshake * (0.5 + self._samples.next())
+            way *= NEW_CONNECTION_TRIPS
+            attempt.work += self.day.handshake * (0.5 + self._sample_draws.next())
         self.at(self.now + max(1, round(way)), self._reach, attempt)
 
     def _reach(self, attempt: SimulatedAttempt) -> None:
         """An attempt reaches its server."""
         pod = self.servers.pods.get(attempt.pod)
-        attempt.work *= self.slow_all * self.platform.slowness()
+        attempt.work *= self.slow_all * self.platform.slowdown_factor()
         took = pod.take(self.now, attempt) if pod else False
         if took is False:
             self.at(self.now + self._one_way(), self._end, attempt, Outcome.REJECTED, False)
@@ -493,20 +495,20 @@
         fails = self._fails(pod, attempt)
         if pod.silent or not self._reaches(attempt.instance, pod):
             return
-        if self.lost_answers and self._strikes.next() < self.lost_answers:
+        if self.lost_answers and self._failure_draws.next() < self.lost_answers:
             self.at(self.now + self._one_way(), self._end, attempt, Outcome.RESET, None)
             return
-        self._answered_at[_line_of(attempt)] = self.now
+        self._answered_at[_connection_key(attempt)] = self.now
         outcome = Outcome.ERROR if fails else Outcome.DONE
         self.at(self.now + self._one_way(), self._end, attempt, outcome, None if fails else True)
 
     def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
         """Draws whether an attempt fails at its server, and counts the harm."""
         build, lane = pod.build, self.lanes[attempt.lane].lane
-        struck = build.strikes(pod, self.now, attempt.lane)
-        fails = self._strikes.next() < (build.fails if struck else FAILURES_LEAST)
+        fault_acts = build.strikes(pod, self.now, attempt.lane)
+        fails = self._failure_draws.next() < (build.fails if fault_acts else BASE_FAILURE_RATIO)
         failing = self.servers.failing.get(pod.name)
-        fails = fails or (failing is not None and self._strikes.next() < failing)
+        fails = fails or (failing is not None and self._failure_draws.next() < failing)
         if fails and build.fails and lane.idempotency != Idempotency.IDEMPOTENT:
             self.results.harm += lane.priority_weight
         return fails
@@ -519,17 +521,17 @@
             outcome: How it ends.
             ran: Whether it ran; None if that is not known.
         """
-        if attempt.over:
+        if attempt.has_ended:
             return
-        attempt.over = True
+        attempt.has_ended = True
         instance = attempt.instance
-        if attempt.linked:
+        if attempt.has_connection:
             is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
-            self.connections.give(self.now, _line_of(attempt), attempt.pod, is_good)
+            self.connections.release(self.now, _connection_key(attempt), attempt.pod, is_good)
         if self.lives[instance] != attempt.life or not self.runs(instance):
             return
         if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
-            self.platform.sample(attempt, outcome)
+            self.platform.sample_attempt(attempt, outcome)
         held = self.requests.get((instance, attempt.name))
         is_answered = self._is_answered(attempt)
         if held is not None and attempt in held.attempts:
@@ -560,7 +562,7 @@
         """Returns the instances that count other attempts in flight than there are."""
         in_flight = dict.fromkeys(range(self.day.instances), 0)
         for (instance, _), held in self.requests.items():
-            in_flight[instance] += sum(not attempt.over for attempt in held.attempts)
+            in_flight[instance] += sum(not attempt.has_ended for attempt in held.attempts)
         found = []
         for instance, engine in self.engines.items():
             if engine is None:
@@ -575,7 +577,7 @@
         return self.results.figures(self.checker)
 
 
-def _line_of(attempt: SimulatedAttempt) -> Line:
+def _connection_key(attempt: SimulatedAttempt) -> ConnectionKey:
     return attempt.instance, attempt.life, attempt.pod
 
 
--- a/thymeknot/simulation/statistics.py
+++ b/thymeknot/simulation/statistics.py
@@ -29,11 +29,11 @@
         servers: how many serve the queue.
         load: mean work in progress, in servers; less than `servers`.
     """
-    blocked = 1.0
+    blocking_probability = 1.0
     for count in range(1, servers + 1):
-        blocked = load * blocked / (count + load * blocked)
+        blocking_probability = load * blocking_probability / (count + load * blocking_probability)
     share = load / servers
-    return blocked / (1 - share * (1 - blocked))
+    return blocking_probability / (1 - share * (1 - blocking_probability))
 
 
 def mmc_mean(servers: int, rate: float, mean: float) -> float:
@@ -103,12 +103,12 @@
     mean = float(gaps.mean())
     if count < 2:
         return Difference(mean, -math.inf, math.inf, math.inf, count)
-    error = float(gaps.std(ddof=1) / math.sqrt(count))
-    width = float(stats.t.ppf(0.5 + level / 2, count - 1)) * error
+    standard_error = float(gaps.std(ddof=1) / math.sqrt(count))
+    half_width = float(stats.t.ppf(0.5 + level / 2, count - 1)) * standard_error
     least = (
         float(stats.t.ppf(0.5 + level / 2, count - 1)) + float(stats.t.ppf(POWER, count - 1))
-    ) * error
-    return Difference(mean, mean - width, mean + width, least, count)
+    ) * standard_error
+    return Difference(mean, mean - half_width, mean + half_width, least, count)
 
 
 def arrivals_p(gaps: ArrayLike) -> float:
@@ -128,8 +128,8 @@
     ranks = np.asarray(ranks)
     weights = 1 / np.arange(1, keys + 1) ** exponent
     expected = weights / weights.sum() * len(ranks)
-    seen = np.bincount(ranks, minlength=keys)
-    often = int(np.sum(expected >= MIN_EXPECTED_COUNT))
-    observed_cells = np.append(seen[:often], seen[often:].sum())
-    expected_cells = np.append(expected[:often], expected[often:].sum())
+    counts = np.bincount(ranks, minlength=keys)
+    frequent = int(np.sum(expected >= MIN_EXPECTED_COUNT))
+    observed_cells = np.append(counts[:frequent], counts[frequent:].sum())
+    expected_cells = np.append(expected[:frequent], expected[frequent:].sum())
     return float(stats.chisquare(observed_cells, expected_cells).pvalue)
