--- a/thymeknot/simulation/__init__.py
+++ b/thymeknot/simulation/__init__.py
@@ -1,9 +1,10 @@
-"""Simulation of fleets and their failures, checkers of the rules, and comparisons of policies.
+"""Simulates fleets and their failures, checks invariants and compares policies.
 
-`scenarios` and `large_fleet_scenarios` say what happens on a day (drawn by seed), `servers` and
-`shared_services` are what instances meet, `simulator` plays a day with any policy, `invariants`
-checks the rules and shares no code with what it checks, `baseline_policies` and `earlier_versions`
-are what the present policy is compared with, `experiments`, `statistics`, `recording` and `report`
-measure and show the results. Installed as its own set of libraries (requirements-laboratory.txt);
-the sidecar never loads it.
+`scenarios` and `large_fleet_scenarios` define what happens during a simulated day, drawn from a
+seed. `servers` and `shared_services` model what the instances depend on. `simulator` runs a day
+with any policy. `invariants` checks the rules and shares no code with what it checks.
+`baseline_policies` and `earlier_versions` provide the policies that the current one is compared
+with. `experiments`, `statistics`, `recording` and `report` measure and present the results.
+
+The package has its own dependencies (requirements-laboratory.txt); the sidecar never imports it.
 """
--- a/thymeknot/simulation/random_streams.py
+++ b/thymeknot/simulation/random_streams.py
@@ -1,4 +1,4 @@
-"""Streams of random numbers of one distribution, drawn in blocks."""
+"""Streams of random numbers from one distribution, drawn in blocks."""
 
 from collections.abc import Callable
 
@@ -6,17 +6,20 @@
 from numpy.random import Generator
 from numpy.typing import NDArray
 
-# Numbers drawn at once. It decides which numbers a seed gives where streams share a generator.
+# Numbers drawn per block. Where streams share a generator, changing this changes the numbers that
+# each stream gets from a seed.
 BLOCK_SIZE = 4096
 
 
 class Stream:
-    """Numbers of one distribution; a numpy call for each would take most of the time.
+    """Random numbers from one distribution.
+
+    They are drawn in blocks because a numpy call per number would dominate the running time.
 
     Attributes:
-        draw: Draws so many numbers.
-        values: The present block.
-        at: How many of the block are used.
+        draw_block: Draws the given number of values.
+        block: The current block of values.
+        position: How many values of the block have been returned.
     """
 
     def __init__(self, draw: Callable[[int], NDArray[np.generic]]) -> None:
@@ -25,7 +28,7 @@
         self.position = 0
 
     def next(self) -> float:
-        """The next number; a whole one where the distribution gives whole ones."""
+        """Returns the next number; it is an integer if the distribution is discrete."""
         if self.position >= BLOCK_SIZE:
             self.block = self.draw_block(BLOCK_SIZE).tolist()
             self.position = 0
@@ -35,12 +38,13 @@
 
 
 def gamma(generator: Generator, mean: float, spread: float) -> Stream:
-    """Gamma-distributed numbers.
+    """Returns a stream of gamma-distributed numbers.
 
     Args:
-        generator: what they are drawn from.
-        mean: of the distribution.
-        spread: standard deviation over mean; 1 is exponential, 0 always gives the mean.
+        generator: Source of randomness.
+        mean: Mean of the distribution.
+        spread: Coefficient of variation (standard deviation divided by the mean): 1 gives the
+            exponential distribution, 0 always gives the mean.
     """
     if spread <= 0:
         return Stream(lambda count: np.full(count, mean))
@@ -49,12 +53,12 @@
 
 
 def zipf_keys(generator: Generator, count: int, exponent: float) -> Stream:
-    """Ranks of keys, from 0, by Zipf's law over a bounded number of them.
+    """Returns a stream of key ranks, starting at 0, that follow Zipf's law over a finite set.
 
     Args:
-        generator: what they are drawn from.
-        count: how many keys there are.
-        exponent: of the law.
+        generator: Source of randomness.
+        count: Number of keys.
+        exponent: Exponent of Zipf's law.
     """
     weights = 1 / np.arange(1, count + 1) ** exponent
     cumulative = np.cumsum(weights) / weights.sum()
--- a/thymeknot/simulation/servers.py
+++ b/thymeknot/simulation/servers.py
@@ -1,8 +1,8 @@
-"""A simulated server: cores, a queue, a warm-up after its start, the faults of its build.
+"""A simulated server with cores, a queue, a warm-up after its start and the faults of its build.
 
-Work is first in, first out over the cores. A server that has just started has a part of its
-capacity, rising evenly. Pure; times are ticks (tenths of a millisecond), work is ticks on one core
-of speed 1.
+Jobs are served first in, first out by all cores. The capacity of a server rises linearly during
+its warm-up. The module does no I/O. Times are in ticks (tenths of a millisecond); work is in ticks
+on one core of speed 1.
 """
 
 from collections import deque
@@ -13,7 +13,7 @@
 
 
 class PodState(StrEnum):
-    """What discovery says of a server."""
+    """State of a server as reported by discovery."""
 
     UP = "up"
     DRAINING = "draining"
@@ -21,10 +21,10 @@
 
 
 class Job(Protocol):
-    """What a server works on."""
+    """A unit of work for a server."""
 
     work: float
-    """Mean ticks on one core of speed 1."""
+    """Mean service time in ticks on one core of speed 1."""
     lane: str
     """The name of its request class."""
 
@@ -33,7 +33,7 @@
 
 
 class Build:
-    """What the servers of a build do to an attempt."""
+    """A build and the faults that its servers show."""
 
     __slots__ = ("after", "fails", "lane", "load", "number", "shared", "slow")
 
@@ -48,16 +48,16 @@
         load: float = 0.0,
         shared: float = 0.0,
     ) -> None:
-        """Describes a build.
+        """Creates a build.
 
         Args:
-            number: of the build.
-            fails: share of the attempts that fail while the fault acts.
-            slow: factor of the work while the fault acts.
-            after: from the start of a server until the fault acts.
-            lane: the only request class that the fault strikes; None: all.
-            load: share of a server's cores that must be busy for the fault to act.
-            shared: factor that slows all servers, by this build's share of the attempts.
+            number: Number of the build.
+            fails: Ratio of attempts that fail while the fault is active.
+            slow: Factor applied to the work while the fault is active.
+            after: Time from the start of a server until the fault becomes active, in ticks.
+            lane: The only request class affected by the fault; None for all classes.
+            load: Ratio of a server's cores that must be busy for the fault to be active.
+            shared: Slowdown of all servers, scaled by this build's share of the attempts.
         """
         self.number = number
         self.fails = fails
@@ -68,7 +68,7 @@
         self.shared = shared
 
     def strikes(self, pod: "Pod[Any]", now: float, lane: str) -> bool:
-        """Whether its fault acts on an attempt of this request class now."""
+        """Returns whether the fault affects an attempt of this request class now."""
         return (
             (self.lane is None or self.lane == lane)
             and now - pod.started >= self.after
@@ -77,7 +77,7 @@
 
 
 class Pod(Generic[JobT]):
-    """A server and what is in it."""
+    """A server with its running and queued jobs."""
 
     __slots__ = (
         "build",
@@ -116,15 +116,15 @@
         """Starts a server with an empty queue.
 
         Args:
-            name: its address.
-            zone: where it stands.
-            cores: jobs that it does at once.
-            speed: work that a core does in a tick.
-            queue_most: jobs that wait at most.
-            build: what it runs.
-            started: when it started.
-            cold: how long it warms up.
-            cold_from: share of its capacity at its start.
+            name: Address of the server.
+            zone: Zone of the server.
+            cores: Number of jobs that run concurrently.
+            speed: Work that a core completes per tick.
+            queue_most: Maximum number of queued jobs.
+            build: Build that the server runs.
+            started: When the server started.
+            cold: Duration of the warm-up, in ticks.
+            cold_from: Ratio of the full capacity that is available at the start.
         """
         self.name = name
         self.zone = zone
@@ -137,33 +137,34 @@
         self.cold_from = cold_from
         self.state = PodState.UP
         self.busy = 0
-        """Cores at work."""
+        """Number of busy cores."""
         self.queue: deque[JobT] = deque()
         self.done = 0
-        """Jobs finished."""
+        """Number of finished jobs."""
         self.turned_away = 0
-        """Jobs rejected."""
+        """Number of rejected jobs."""
         self.worked_ticks = 0.0
-        """Ticks of core time spent."""
+        """Core time used, in ticks."""
         self.paused: Ticks = 0
-        """Until when everything in it stands still."""
+        """The server makes no progress until this time."""
         self.silent = False
-        """Whether it takes jobs and never answers."""
+        """Whether the server accepts jobs but never answers."""
         self.waiting_work = 0.0
-        """Work in its queue."""
+        """Total work of the queued jobs."""
 
     def warmth(self, now: float) -> float:
-        """The share of its capacity that it has."""
+        """Returns the ratio of the full capacity that is available at this time."""
         age = now - self.started
         if not self.cold or age >= self.cold:
             return 1.0
         return self.cold_from + (1 - self.cold_from) * max(0, age) / self.cold
 
     def take(self, now: float, job: JobT) -> Ticks | Literal[False] | None:
-        """Takes a job.
+        """Accepts, queues or rejects a job.
 
         Returns:
-            How long it takes if it begins at once, None if it waits, False if it is rejected.
+            The service time if the job starts at once, None if it is queued, False if it is
+            rejected.
         """
         if self.state != PodState.UP or (
             self.busy >= self.cores and len(self.queue) >= self.queue_most
@@ -177,7 +178,7 @@
         return None
 
     def could_start_within(self, now: float, goal: float) -> bool:
-        """Whether a job that came now would begin within this time."""
+        """Returns whether a job that arrived now would start within `goal` ticks."""
         return (
             self.state == PodState.UP
             and now >= self.paused
@@ -193,7 +194,11 @@
         return max(1, round(took))
 
     def finish(self, now: float) -> tuple[JobT, Ticks] | None:
-        """Ends a job: the next one from the queue and how long it takes, or None."""
+        """Finishes a job and starts the next one from the queue.
+
+        Returns:
+            The started job and its service time, or None if the queue is empty.
+        """
         self.busy -= 1
         self.done += 1
         if self.queue:
--- a/thymeknot/simulation/simulated_requests.py
+++ b/thymeknot/simulation/simulated_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a simulated day, and their attempts on the way to a server or at it."""
+"""Requests of a simulated day and their attempts, in transit or at a server."""
 
 from dataclasses import dataclass, field
 
@@ -7,21 +7,21 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedAttempt:
-    """An attempt of a request.
+    """One attempt to deliver a request to a server.
 
     Attributes:
-        instance: Whose it is.
-        life: Counts the starts of the instance.
+        instance: Number of the instance that sends the attempt.
+        life: Counts the starts of the instance; the attempt belongs to this one.
         name: The request's name at that instance.
-        number: Its number among the request's attempts.
+        number: Index of the attempt among the request's attempts.
         lane: The request's class.
         key: The request's key.
-        work: Mean ticks on one core of speed 1.
-        sent_at: When it was sent.
+        work: Mean service time in ticks on one core of speed 1.
+        sent_at: When the attempt was sent.
         pod: The server's address.
-        build: What the server ran then; 0 where there is none.
-        over: Whether it has ended.
-        has_connection: Whether it has a connection.
+        build: Build that the server ran at that time; 0 if there is no such server.
+        has_ended: Whether the attempt has ended.
+        has_connection: Whether the attempt holds a connection.
     """
 
     instance: int
@@ -40,17 +40,17 @@
 
 @dataclass(slots=True, eq=False)
 class SimulatedRequest:
-    """A request that an instance has taken.
+    """A request that an instance has accepted.
 
     Attributes:
-        lane: Its class.
-        key: Its key.
-        tenant: Number of its tenant.
-        first: When its client asked first.
-        ends: When its client waits no longer.
-        tries: How often its client asked before.
-        work: Mean ticks on one core of speed 1.
-        attempts: Its attempts, by their numbers.
+        lane: The request's class.
+        key: The request's key.
+        tenant: Number of the tenant.
+        first_asked_at: When the client first sent the request.
+        deadline: When the client stops waiting.
+        earlier_tries: How often the client sent the request before.
+        work: Mean service time in ticks on one core of speed 1.
+        attempts: The request's attempts, indexed by number.
     """
 
     lane: str
@@ -63,5 +63,5 @@
     attempts: list[SimulatedAttempt] = field(default_factory=list)
 
     def is_over(self) -> bool:
-        """Returns whether all of its attempts have ended."""
+        """Returns whether all attempts of the request have ended."""
         return all(attempt.has_ended for attempt in self.attempts)
--- a/thymeknot/simulation/statistics.py
+++ b/thymeknot/simulation/statistics.py
@@ -1,6 +1,6 @@
-"""Statistics of experiments: Erlang's formulas, goodness of fit, paired differences with intervals.
+"""Statistics for experiments: Erlang's formulas, goodness of fit and paired differences.
 
-It uses numpy and scipy, which the sidecar never loads.
+This module needs numpy and scipy, which the sidecar never imports.
 """
 
 import math
@@ -10,24 +10,25 @@
 from numpy.typing import ArrayLike
 from scipy import stats
 
-# Halvings of the interval in which a quantile is searched: more than a double has bits.
+# Bisection steps of the quantile search: more than a double has bits.
 QUANTILE_BISECTIONS = 80
-# Upper end of that search, in mean service times.
+# Upper bound of the quantile search, in mean service times.
 QUANTILE_SEARCH_LIMIT = 200
-# Two exponential rates closer than this are taken as equal, where the general formula divides by 0.
+# Exponential rates closer than this are treated as equal, because the general formula would divide
+# by zero.
 EQUAL_RATES = 1e-12
-# The chance with which the least difference would be seen.
+# Statistical power at which the least detectable difference is computed.
 POWER = 0.8
-# Expected number in a cell of a chi-squared test, below which cells are put together.
+# Cells of a chi-squared test with a lower expected count are merged into one.
 MIN_EXPECTED_COUNT = 20
 
 
 def erlang_c(servers: int, load: float) -> float:
-    """The probability of waiting in an M/M/c queue (Erlang's C formula).
+    """Returns the probability of waiting in an M/M/c queue (Erlang's C formula).
 
     Args:
-        servers: how many serve the queue.
-        load: mean work in progress, in servers; less than `servers`.
+        servers: Number of servers.
+        load: Offered load in erlangs, less than `servers`.
     """
     blocking_probability = 1.0
     for count in range(1, servers + 1):
@@ -37,25 +38,25 @@
 
 
 def mmc_mean(servers: int, rate: float, mean: float) -> float:
-    """The mean time in an M/M/c queue, service included, in the unit of `mean`.
+    """Returns the mean sojourn time (waiting and service) in an M/M/c queue, in the unit of `mean`.
 
     Args:
-        servers: how many serve the queue.
-        rate: arrivals per unit of `mean`.
-        mean: mean service time.
+        servers: Number of servers.
+        rate: Arrivals per unit of `mean`.
+        mean: Mean service time.
     """
     load = rate * mean
     return mean + erlang_c(servers, load) * mean / (servers - load)
 
 
 def mmc_quantile(servers: int, rate: float, mean: float, share: float) -> float:
-    """The time in an M/M/c queue, service included, that this share of arrivals does not exceed.
+    """Returns a quantile of the sojourn time (waiting and service) in an M/M/c queue.
 
     Args:
-        servers: how many serve the queue.
-        rate: arrivals per unit of `mean`.
-        mean: mean service time.
-        share: between 0 and 1.
+        servers: Number of servers.
+        rate: Arrivals per unit of `mean`.
+        mean: Mean service time.
+        share: The quantile, between 0 and 1.
     """
     waiting_probability = erlang_c(servers, rate * mean)
     drain_rate = (servers - rate * mean) / mean
@@ -78,25 +79,25 @@
 
 
 class Difference(NamedTuple):
-    """The mean difference of paired results, with its confidence interval."""
+    """The mean difference of paired results and its confidence interval."""
 
     mean: float
     low: float
-    """Lower end of the interval; -inf for a single pair."""
+    """Lower bound of the interval; -inf for a single pair."""
     high: float
-    """Upper end of the interval; inf for a single pair."""
+    """Upper bound of the interval; inf for a single pair."""
     least: float
-    """The smallest true difference that would be seen four times in five."""
+    """The smallest true difference that would be detected with 80% probability."""
     pairs: int
 
 
 def paired(one: ArrayLike, two: ArrayLike, level: float = 0.95) -> Difference:
-    """The mean of one - two over the same seeds, with its interval (Student's t).
+    """Returns the mean of `one - two` over the same seeds with its interval (Student's t).
 
     Args:
-        one: results by seed.
-        two: results of the same seeds in the same order.
-        level: the confidence of the interval.
+        one: One result per seed.
+        two: Results for the same seeds, in the same order.
+        level: Confidence level of the interval.
     """
     gaps = np.asarray(one, float) - np.asarray(two, float)
     count = len(gaps)
@@ -112,18 +113,24 @@
 
 
 def arrivals_p(gaps: ArrayLike) -> float:
-    """The p value of these gaps between arrivals, if arrivals are Poisson (Kolmogorov-Smirnov)."""
+    """Returns the p value of a Kolmogorov-Smirnov test that the arrivals are a Poisson process.
+
+    Args:
+        gaps: Times between successive arrivals.
+    """
     gaps = np.asarray(gaps, float)
     return float(stats.kstest(gaps / gaps.mean(), "expon").pvalue)
 
 
 def zipf_p(ranks: ArrayLike, keys: int, exponent: float) -> float:
-    """The p value of these ranks under Zipf's law (chi squared, the rare ranks in one cell).
+    """Returns the p value of a chi-squared test that key ranks follow Zipf's law.
+
+    The rare ranks are merged into one cell.
 
     Args:
-        ranks: of the keys drawn, from 0.
-        keys: how many keys there are.
-        exponent: of the law.
+        ranks: Ranks of the drawn keys, starting at 0.
+        keys: Number of keys.
+        exponent: Exponent of Zipf's law.
     """
     ranks = np.asarray(ranks)
     weights = 1 / np.arange(1, keys + 1) ** exponent
