--- a/thymeknot/simulation/day_results.py
+++ b/thymeknot/simulation/day_results.py
@@ -1,4 +1,7 @@
-"""What came of a simulated day: earnings, answers, votes, the builds' course, and their figures."""
+"""Results of a simulated day: earnings, answers, votes, rollouts and the figures derived from them.
+
+The earnings of a request are its priority weight.
+"""
 
 from dataclasses import dataclass
 from enum import StrEnum
@@ -9,14 +12,14 @@
 from .invariants import Answer, InvariantChecker
 from .scenarios import Day
 
-LEAST_ASKED = 1e-9  # earnings asked for: it is divided by
-SPARE_SECONDS = 20  # beyond the span of a day, in which the last answers come
-WORST_WINDOW_SECONDS = 10  # seconds
-RECOVERY_SECONDS = 2  # without rejections, after which a fleet has recovered
+LEAST_ASKED = 1e-9  # earnings; keeps divisions by the requested earnings defined
+SPARE_SECONDS = 20  # after the span of a day, in which the last answers arrive
+WORST_WINDOW_SECONDS = 10
+RECOVERY_SECONDS = 2  # almost without rejections, after which a fleet has recovered
 
 
 class CourseEvent(StrEnum):
-    """What becomes of a build."""
+    """An event of a rollout."""
 
     OFFERED = "offered"
     STAGE = "stage"
@@ -25,7 +28,7 @@
 
 
 class CourseEntry(NamedTuple):
-    """A step of a build's course."""
+    """An event in the rollout of a build."""
 
     at: Ticks
     build: int
@@ -34,14 +37,14 @@
 
 @dataclass(slots=True)
 class SecondTotals:
-    """What was asked in a second.
+    """Totals of one second.
 
     Attributes:
-        asked: Earnings that were asked for.
-        earned: Those of them that were answered in time.
-        tries: Requests, with those that were asked again.
-        rejected: Those of them that were rejected without an attempt.
-        needless: Those of these that a server had room for.
+        asked: Earnings of the requests that clients first sent in this second.
+        earned: Earnings of those requests that were answered, less if they were late.
+        tries: Number of requests, including repeated ones.
+        rejected: Requests that were rejected without an attempt.
+        needless: Requests among the rejected ones for which servers had capacity.
     """
 
     asked: float = 0.0
@@ -52,21 +55,21 @@
 
 
 class RejectedShares(NamedTuple):
-    """Shares of all requests, with those that were asked again."""
+    """Ratios to all requests, including repeated ones."""
 
     rejected: float
-    """Rejected without an attempt."""
+    """Ratio of requests rejected without an attempt."""
     needless: float
-    """Of these, those that a server had room for."""
+    """Ratio of requests rejected without an attempt although servers had capacity."""
 
 
 class BuildTimes(NamedTuple):
-    """How long a build took."""
+    """Durations of a build's rollout."""
 
     until_released: float
-    """Seconds from its offer to its release."""
+    """Seconds from the offer of the build to its release."""
     harmful: float
-    """Seconds in which it could do harm."""
+    """Seconds during which the build could do harm."""
 
 
 class DayResults:
@@ -74,20 +77,21 @@
 
     Attributes:
         day: The day.
-        asked: Earnings that were asked for.
-        earned: Those that were answered in time.
-        harm: Earnings of effects that failed at a faulty build.
-        behind: Earnings answered by a build older than the newest good one.
+        asked: Earnings of all requests that clients sent.
+        earned: Earnings of the answered requests; late answers earn less.
+        harm: Earnings of requests that are not idempotent and failed at a faulty build.
+        behind: Earnings from answers of builds older than the newest good one.
         newest_good: The newest good build that was offered.
-        answers: How many requests were answered, by how.
-        latencies: Times of the good answers by class, from the client's first try.
-        attempts_by_pod: How many attempts went to each server.
+        answers: Number of answers, by kind.
+        latencies: Latencies of successful answers by class, from the client's first try.
+        attempts_by_pod: Number of attempts sent to each server.
         dispatched: Attempts that reached the network.
-        votes_asked: Calls with votes: all, those over the platform's rate, those that are moot.
+        votes_asked: Number of vote calls: all (asked), those over the platform's rate limit (full)
+            and those that no longer apply (moot).
         released: The builds that were released.
-        sent_back: The builds that were sent back by votes.
-        course: What became of the builds.
-        seconds: What was asked in each second.
+        sent_back: The builds that were rolled back by votes.
+        course: The events of all rollouts.
+        seconds: The totals of each second.
     """
 
     def __init__(self, day: Day) -> None:
@@ -108,11 +112,11 @@
         self.seconds = [SecondTotals() for _ in range(day.span // TICKS_PER_SECOND + SPARE_SECONDS)]
 
     def at(self, moment: Ticks) -> SecondTotals:
-        """Returns the second of a moment."""
+        """Returns the totals of the second that contains a moment."""
         return self.seconds[moment // TICKS_PER_SECOND]
 
     def add_request(self, now: Ticks, worth: float) -> None:
-        """Counts a request that a client asks for the first time."""
+        """Counts a request that a client sends for the first time."""
         self.asked += worth
         self.at(now).asked += worth
 
@@ -121,13 +125,13 @@
         self.answers[answer] = self.answers.get(answer, 0) + 1
 
     def add_done(self, now: Ticks, first: Ticks, lane: RequestClass, build: int) -> None:
-        """Counts a good answer.
+        """Counts a successful answer.
 
         Args:
             now: The time.
-            first: When the client asked first.
+            first: When the client first sent the request.
             lane: The request's class.
-            build: What has answered.
+            build: The build that answered.
         """
         latency = now - first
         is_late = latency > lane.latency_objective
@@ -143,15 +147,18 @@
         self.attempts_by_pod[pod] = self.attempts_by_pod.get(pod, 0) + 1
 
     def add_course(self, now: Ticks, build: int, event: CourseEvent) -> None:
-        """Notes what becomes of a build."""
+        """Records an event of a rollout."""
         self.course.append(CourseEntry(now, build, event))
 
     def service(self) -> float:
-        """Returns earnings answered within the objective over earnings asked for."""
+        """Returns the ratio of earnings to the earnings of all requests.
+
+        Late answers count with their reduced weight.
+        """
         return self.earned / max(LEAST_ASKED, self.asked)
 
     def worst(self, length: int = WORST_WINDOW_SECONDS) -> float:
-        """Returns the same in the worst window of so many seconds."""
+        """Returns the lowest ratio of earnings in any window of `length` seconds."""
         worst = 1.0
         day_seconds = self.day.span // TICKS_PER_SECOND
         for begin in range(max(1, day_seconds - length)):
@@ -162,7 +169,7 @@
         return worst
 
     def needless(self, begin: int = 0, end: int | None = None) -> RejectedShares:
-        """Returns the shares that were rejected, within these seconds."""
+        """Returns the rejected ratios between two seconds of the day."""
         window = self.seconds[begin:end]
         tries = max(1, sum(one.tries for one in window))
         rejected = sum(one.rejected for one in window)
@@ -170,11 +177,11 @@
         return RejectedShares(rejected / tries, needless / tries)
 
     def recovered(self, end: Ticks, least: float = 0.05) -> int:
-        """Returns how many seconds after a moment hardly any request is rejected any more.
+        """Returns how many seconds after a moment the fleet has recovered from rejecting requests.
 
         Args:
             end: The moment.
-            least: The share of rejected ones that may stay, for two seconds on end.
+            least: Maximum ratio of rejected requests over two successive seconds.
         """
         begin = -(-end // TICKS_PER_SECOND)
         last = self.day.span // TICKS_PER_SECOND
@@ -184,14 +191,14 @@
         return last - begin
 
     def spent(self, build: int, end: Ticks) -> BuildTimes:
-        """Returns how long a build took.
+        """Returns the durations of a build's rollout.
 
-        It can do harm from its release or, where there was none, from the begin of its last stage,
-        until it goes back.
+        A build can do harm from its release, or from the start of its last stage if it was not
+        released, until it is rolled back.
 
         Args:
             build: The build.
-            end: When what is still going on ceases to count.
+            end: Time used for events that have not happened.
         """
         event_times = {entry.event: entry.at for entry in self.course if entry.build == build}
         released = event_times.get(CourseEvent.RELEASED, end)
@@ -203,15 +210,20 @@
         )
 
     def worth(self, behind: float = 0.5, harm: float = 5.0) -> float:
-        """Returns the service less what earlier builds and harm cost, each by its price."""
+        """Returns the ratio of earnings minus the cost of outdated builds and of harm.
+
+        Args:
+            behind: Cost per unit of earnings from outdated builds.
+            harm: Cost per unit of harm.
+        """
         asked = max(LEAST_ASKED, self.asked)
         return self.service() - (behind * self.behind + harm * self.harm) / asked
 
     def figures(self, checker: InvariantChecker) -> dict[str, Any]:
-        """Returns the day's main figures.
+        """Returns the main figures of the day.
 
         Args:
-            checker: Tells which rules were broken.
+            checker: Provides the rules that were broken.
         """
         return {
             "service": round(self.service(), 4),
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -1,4 +1,4 @@
-"""The faults of a simulated day: what begins and ends with each."""
+"""Fault injection: what happens when each fault of a simulated day begins and ends."""
 
 from typing import TYPE_CHECKING
 
@@ -9,12 +9,12 @@
 if TYPE_CHECKING:
     from .simulator import Simulator
 
-PAUSED_RATIO = 0.3  # of the servers concerned, at each moment of pauses
-PAUSE_INTERVAL = TICKS_PER_SECOND  # ticks
+PAUSED_RATIO = 0.3  # of the affected servers, in each interval
+PAUSE_INTERVAL = TICKS_PER_SECOND  # ticks between rounds of pauses
 
 
 class FaultInjector:
-    """Has faults begin and end."""
+    """Begins and ends the faults of a day."""
 
     def __init__(self, simulator: "Simulator") -> None:
         self._simulator = simulator
@@ -36,7 +36,7 @@
         }
 
     def schedule(self, fault: Fault) -> None:
-        """Has a fault begin and end at its moments."""
+        """Schedules the begin and the end of a fault."""
         handler = self._handlers[fault.kind]
         self._simulator.at(fault.begin, handler, fault, True)
         self._simulator.at(fault.end, handler, fault, False)
@@ -83,7 +83,7 @@
             simulator.cut_zones = simulator.cut_zones | zones
         else:
             simulator.cut_zones = simulator.cut_zones - zones
-            simulator.platform.announce()  # it comes again and again: what was missed is told then
+            simulator.platform.announce()  # repeated news make up for what was missed
 
     def _silent_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
@@ -102,7 +102,7 @@
                 self._simulator.restart(instance, fault.size)
 
     def _pauses(self, fault: Fault, begins: bool) -> None:
-        """Servers stand still again and again, for a while each time."""
+        """Repeatedly pauses a random part of the affected servers for a random time."""
         if not begins:
             return
         simulator = self._simulator
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -1,4 +1,4 @@
-"""The servers of a simulated day: which run, and the endpoint lists that tell of them."""
+"""The servers of a simulated day and the endpoint lists that announce them."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import TYPE_CHECKING, TypeAlias
@@ -21,28 +21,32 @@
 
 
 def place_index(name: str) -> int:
-    """Returns the place of a server: addresses are p, the place, a dash, and what started it."""
+    """Returns the place of a server.
+
+    An address consists of "p", the place, a dash and the build (and cause) of the start.
+    """
     return int(name[1:].split("-", maxsplit=1)[0])
 
 
 class ServerFleet:
-    """The servers, in the order of their starts.
+    """The servers, in the order in which they started.
 
     Attributes:
-        simulator: The day that is played.
-        pods: Those that are not gone, by address.
-        former: Those that are gone, by address.
-        failing: The share of attempts that servers fail besides their builds' faults, by address.
-        lost_zones: Zones in which nothing starts.
-        list_delay: By how much lists come later than usual.
+        simulator: The running simulation.
+        pods: Servers that still exist, by address.
+        former: Servers that are gone, by address.
+        failing: Ratio of attempts that a server fails in addition to its build's faults, by
+            address.
+        lost_zones: Zones in which no server can start.
+        list_delay: Additional delay of endpoint lists, in ticks.
     """
 
     def __init__(self, simulator: "Simulator", first: Build) -> None:
-        """Starts the day's first servers.
+        """Starts the initial servers.
 
         Args:
-            simulator: The day that is played.
-            first: The build that they run.
+            simulator: The running simulation.
+            first: The build that these servers run.
         """
         self.simulator = simulator
         self.pods: dict[str, Server] = {}
@@ -50,7 +54,7 @@
         self.failing: dict[str, float] = {}
         self.lost_zones: set[str] = set()
         self.list_delay: Ticks = 0
-        self._changes: dict[str, Endpoint] = {}  # not told yet, by address
+        self._changes: dict[str, Endpoint] = {}  # not yet sent, by address
         day = simulator.day
         for place, speed in enumerate(day.speeds):
             name = f"p{place}-{FIRST_BUILD}"
@@ -70,7 +74,7 @@
         return zones[place % 3]
 
     def start(self, name: str, place: int, build: Build) -> None:
-        """Starts a cold server and lists it."""
+        """Starts a server with its warm-up ahead and announces it."""
         day = self.simulator.day
         self._add(
             Pod(
@@ -91,11 +95,11 @@
         self.tell(self.entry(pod))
 
     def up(self, wanted: Callable[[Server], bool]) -> list[Server]:
-        """Returns the servers that run, do not drain and are wanted."""
+        """Returns the servers that are up, not draining, and satisfy the predicate."""
         return [pod for pod in self.pods.values() if pod.state == PodState.UP and wanted(pod)]
 
     def drain(self, wanted: Callable[[Server], bool]) -> None:
-        """Begins to drain servers; they are gone a while later."""
+        """Begins to drain the servers that satisfy the predicate; they are removed later."""
         simulator = self.simulator
         leaving = self.up(wanted)
         for pod in leaving:
@@ -111,13 +115,13 @@
         self.tell(self.entry(pod, EndpointCondition.GONE))
 
     def lose_zone(self, zone: str) -> None:
-        """All that runs in a zone says nothing from now on."""
+        """Makes all servers of a zone unresponsive."""
         self.lost_zones.add(zone)
         for pod in self.up(lambda pod: pod.zone == zone):
             pod.silent = True
 
     def restore_zone(self, zone: str) -> None:
-        """All that ran in a zone starts again, cold, at the same places."""
+        """Restarts the servers of a lost zone at the same places, with a new warm-up."""
         self.lost_zones.discard(zone)
         day = self.simulator.day
         for pod in self.up(lambda pod: pod.zone == zone):
@@ -140,14 +144,14 @@
     def _drop_connections(self, name: str) -> None:
         self.simulator.connections.close_idle(lambda key: key[2] == name)
 
-    # Lists.
+    # Endpoint lists.
 
     def entry(self, pod: Server, condition: EndpointCondition | None = None) -> Endpoint:
-        """Returns a server as it is listed.
+        """Returns the endpoint entry of a server.
 
         Args:
             pod: The server.
-            condition: Its condition; None for what its state says.
+            condition: Condition to report; None derives it from the server's state.
         """
         if condition is None:
             is_up = pod.state == PodState.UP
@@ -164,12 +168,12 @@
         )
 
     def entries(self) -> tuple[Endpoint, ...]:
-        """Returns the complete list."""
+        """Returns the complete endpoint list."""
         listed = (PodState.UP, PodState.DRAINING)
         return tuple(self.entry(pod) for pod in self.pods.values() if pod.state in listed)
 
     def tell(self, *entries: Endpoint) -> None:
-        """Tells of changes, at once or with all others of the moment."""
+        """Sends changes at once, or batched if the day sets an interval for lists."""
         simulator = self.simulator
         if not simulator.day.list_every:
             self._send(entries)
@@ -183,7 +187,7 @@
         self._changes = {}
 
     def _send(self, entries: Sequence[Endpoint]) -> None:
-        """Changes reach each instance a while later."""
+        """Schedules the delivery of changes to each instance after a random delay."""
         simulator = self.simulator
         for instance in range(simulator.day.instances):
             lag = simulator.day.list_lag * (0.5 + simulator.misc.random()) + self.list_delay
@@ -202,7 +206,7 @@
         simulator.tell(instance, EndpointUpdate(UpdateKind.DELTA, told))
 
     def record_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
-        """Has the checker know what an instance is told."""
+        """Reports to the checker what an instance is told."""
         checker = self.simulator.checker
         for entry in entries:
             is_ready = entry.condition == EndpointCondition.READY
@@ -211,7 +215,7 @@
             checker.started(instance, entry.address, entry.started)
 
     def record_known(self, instance: int) -> None:
-        """Has the checker know what an instance that starts is given."""
+        """Reports to the checker what a starting instance already knows."""
         checker = self.simulator.checker
         for pod in self.pods.values():
             checker.started(instance, pod.name, pod.started)
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -1,6 +1,6 @@
-"""What a fleet shares beside its servers: a discovery of limited rate, and connections.
+"""Shared services of a simulated fleet: rate-limited discovery and connections to servers.
 
-Pure; times are ticks (tenths of a millisecond).
+The module does no I/O. Times are in ticks (tenths of a millisecond).
 """
 
 from collections import deque
@@ -10,38 +10,42 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..polling.adaptive_interval import AdaptiveInterval, CallResult
 
-# A call that has waited longer is rejected.
+# Calls that have waited longer than this are rejected.
 MAX_CALL_WAIT: Ticks = 2 * TICKS_PER_SECOND
-# Calls that wait at most, in seconds of answers.
+# Maximum queue length, in seconds of answers at the service's rate.
 MAX_QUEUE_SECONDS = 2.2
-# Until a caller learns that the queue is full.
+# Time until a caller learns that the queue is full.
 QUEUE_FULL_DELAY: Ticks = 500
-# A connection that stands idle is closed after this time.
+# Idle connections are closed after this time.
 IDLE_TIMEOUT: Ticks = 15 * TICKS_PER_SECOND
-# A list that was refused to a caller without a watch is asked for again after this time at least,
-# and twice this time at most.
+# An instance whose list request was refused and that has no watch stream asks again after a random
+# time between once and twice this delay.
 LIST_RETRY_DELAY: Ticks = TICKS_PER_SECOND
 
 RandomDraw = Callable[[], float]
-"""Gives a random number from 0 to 1."""
+"""Returns a random number between 0 and 1."""
 Schedule = Callable[..., None]
-"""schedule(moment, call, *arguments) calls back at a moment."""
+"""`schedule(moment, call, *arguments)` calls `call(*arguments)` at the given moment."""
 
 
 class PollInterval(Protocol):
-    """How often an instance asks; an earlier version's may ask twice at the start (`beside`)."""
+    """How often an instance polls.
+
+    Earlier versions may have an attribute `beside`: if true, the instance makes two calls at its
+    start.
+    """
 
     draw: RandomDraw
 
     def initial_wait(self, asking: int) -> Ticks:
-        """The wait before the first call, where so many callers start at once."""
+        """Returns the wait before the first call if `asking` callers start at once."""
 
     def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
-        """The wait before the next call, after one that ended like this."""
+        """Returns the wait before the next call, given the result of the last one."""
 
 
 class EarlierPace:
-    """How lists were asked for up to revision 9db9198: soon again, with a second call beside."""
+    """The poll interval up to revision 9db9198: short, with a second call at the start."""
 
     beside = True
 
@@ -49,32 +53,32 @@
         self.draw = draw
 
     def initial_wait(self, asking: int) -> Ticks:
-        """The wait before the first call."""
+        """Returns the wait before the first call."""
         return 0
 
     def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
-        """The wait before the next call, whatever came of the last one."""
+        """Returns the wait before the next call, regardless of the last result."""
         return 2_000 + int(self.draw() * 6_000)
 
 
 class Service:
-    """Answers a limited number of calls a second, in turn.
+    """Answers a limited number of calls per second, in order of arrival.
 
-    A call that finds the queue full, or has waited too long (which costs as much as an answer), is
-    rejected.
+    A call is rejected if the queue is full or if it has waited too long. The latter costs as much
+    as an answer.
 
     Attributes:
-        calls: How many were made.
-        refused: How many were rejected.
+        calls: Number of calls.
+        refused: Number of rejected calls.
     """
 
     def __init__(self, rate: float, at: Schedule, now: Callable[[], Ticks]) -> None:
         """Starts the service.
 
         Args:
-            rate: answers a second.
-            at: schedules a call.
-            now: the time.
+            rate: Answers per second.
+            at: Schedules a call.
+            now: Returns the current time.
         """
         self.answer_interval = int(TICKS_PER_SECOND / rate)
         self.queue_limit = int(rate * MAX_QUEUE_SECONDS)
@@ -86,7 +90,7 @@
         self.at(self.now() + self.answer_interval, self._next)
 
     def call(self, end: Callable[[bool], None]) -> None:
-        """Makes a call; `end` is called once with whether it was answered."""
+        """Makes a call; `end` is called once with whether the call was answered."""
         self.calls += 1
         if len(self.waiting) >= self.queue_limit:
             self.refused += 1
@@ -104,7 +108,7 @@
 
 
 class Poller(NamedTuple):
-    """One life of an instance that asks for lists."""
+    """An instance, between one start and the next, that asks for endpoint lists."""
 
     instance: int
     life: int
@@ -113,10 +117,10 @@
 
 
 class Discovery(Service):
-    """Lists that are asked for.
+    """Discovery that instances ask for endpoint lists.
 
     Attributes:
-        standing: The life of each instance whose watch is established, by instance.
+        standing: Established watch streams: the life of the instance, by instance.
     """
 
     def __init__(
@@ -129,24 +133,24 @@
         """Starts the service.
 
         Args:
-            rate: answers a second.
-            at: schedules a call.
-            now: the time.
-            told: told(instance, life, complete) says whether this life of the instance is still
-                there; it gets the list if `complete`.
+            rate: Answers per second.
+            at: Schedules a call.
+            now: Returns the current time.
+            told: `told(instance, life, complete)` returns whether this life of the instance still
+                runs, and delivers the list to it if `complete` is true.
         """
         super().__init__(rate, at, now)
         self.told = told
         self.standing: dict[int, int] = {}
 
     def begin(self, instance: int, life: int, pace: PollInterval, asking: int) -> None:
-        """An instance starts: it asks for the list and the changes to it.
+        """Starts polling for an instance: it asks for the list and for a watch stream.
 
         Args:
-            instance: its number.
-            life: its life.
-            pace: how often it asks.
-            asking: how many instances may start at once.
+            instance: Number of the instance.
+            life: Number of the instance's start.
+            pace: The instance's poll interval.
+            asking: How many instances may start at once.
         """
         self.standing.pop(instance, None)
         poller = Poller(instance, life, pace)
@@ -164,7 +168,7 @@
                 wait = self._wait_after_refusal(poller.pace, watch)
                 self.at(self.now() + wait, self._ask, poller, watch)
 
-        if self.told(poller.instance, poller.life, False):  # else it has died since
+        if self.told(poller.instance, poller.life, False):  # otherwise it has stopped since
             self.call(ended)
 
     @staticmethod
@@ -175,18 +179,18 @@
 
 
 ConnectionKey = tuple[int, int, str]
-"""What a connection belongs to: the instance, its life and the name of the server."""
+"""Identifies connections by instance, life of the instance and address of the server."""
 
 
 class Connections:
     """The connections of all instances to all servers.
 
     Attributes:
-        most: How many a server holds at most; 0: as many as come.
-        idle: Since when each idle connection of a key stands idle.
-        held: How many each server holds.
-        made: How many were made.
-        refused: How many were refused for the limit.
+        most: Maximum number of connections per server; 0 for no limit.
+        idle: Times since which the idle connections have been idle, by key.
+        held: Number of open connections, by server.
+        made: Number of connections opened.
+        refused: Number of connections refused because of the limit.
     """
 
     def __init__(self, most: int) -> None:
@@ -197,7 +201,7 @@
         self.refused = 0
 
     def take(self, now: Ticks, key: ConnectionKey, pod: str) -> bool:
-        """Whether an attempt with this key gets one: an idle one, or a new one if allowed."""
+        """Takes an idle connection or opens a new one; returns False if the limit is reached."""
         idle = self.idle.setdefault(key, [])
         while idle:
             if now <= idle.pop() + IDLE_TIMEOUT:
@@ -211,7 +215,7 @@
         return True
 
     def _expire(self, now: Ticks, pod: str) -> bool:
-        """Closes what has stood idle for too long at this server; whether there was any."""
+        """Closes expired idle connections of a server; returns whether there were any."""
         before = self.held[pod]
         for (_, _, server), idle in self.idle.items():
             if server == pod:
@@ -220,19 +224,19 @@
         return self.held[pod] < before
 
     def release(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
-        """An attempt has ended: its connection stands idle if it is good, or is closed."""
+        """Returns a connection after an attempt: it becomes idle if good, else it is closed."""
         if good and key in self.idle:
             self.idle[key].append(now)
         else:
             self.held[pod] -= 1
 
     def close_idle(self, gone: Callable[[ConnectionKey], bool]) -> None:
-        """Closes the idle connections of all lines that `gone` says are no more."""
+        """Closes the idle connections of all keys for which `gone` returns true."""
         for key in [key for key in self.idle if gone(key)]:
             self.held[key[2]] -= len(self.idle.pop(key))
 
 
 def poll_interval_of(policy: Any, draw: RandomDraw) -> PollInterval:
-    """The interval at which instances of this policy ask: the policy's own, or the present one."""
+    """Returns the policy's own poll interval, or the current one if it has none."""
     interval: PollInterval = getattr(policy, "pace", AdaptiveInterval)(draw)
     return interval
