--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -1,4 +1,4 @@
-"""Small runs with a known result, by which the simulation itself is checked."""
+"""Small simulation runs with known results, used to validate the simulator itself."""
 
 import heapq
 from dataclasses import dataclass
@@ -13,24 +13,24 @@
 from .servers import Build, Pod
 from .simulator import Simulator
 
-# Mean work of a job of the queue, in ticks.
+# Mean work of a queued job, in ticks.
 MEAN_WORK = 2000.0
-# More than ever wait: the queue of the formulas is unlimited.
+# Never reached; the formulas assume an unlimited queue.
 UNLIMITED_QUEUE = 10**9
-# This part of the jobs, one in so many, finds the queue emptier than it is later and is left out.
+# The first 1/20 of the jobs is left out: they arrive before the queue has reached its steady state.
 WARMUP_DIVISOR = 20
 
 
 class QueueTimes(NamedTuple):
-    """Times in a queue, service included, in ticks."""
+    """Sojourn times (waiting and service) in a queue, in ticks."""
 
     mean: float
     late: float
     """The 95th percentile."""
     expected_mean: float
-    """By Erlang's formulas."""
+    """Mean by Erlang's formulas."""
     expected_late: float
-    """By Erlang's formulas."""
+    """95th percentile by Erlang's formulas."""
 
 
 @dataclass(slots=True)
@@ -40,17 +40,17 @@
     work: float
     lane: str
     at: float
-    """When it arrived."""
+    """Arrival time in ticks."""
 
 
 def queue(servers: int, load: float, count: int, seed: int) -> QueueTimes:
-    """Times in one simulated server with Poisson arrivals and exponential work.
+    """Simulates one server with Poisson arrivals and exponential work.
 
     Args:
-        servers: cores of the server.
-        load: share of the cores at work.
-        count: how many jobs arrive.
-        seed: of arrivals and work.
+        servers: Number of cores of the server.
+        load: Utilization of the cores.
+        count: Number of jobs that arrive.
+        seed: Seed of arrivals and work.
     """
     streams = [
         np.random.Generator(np.random.PCG64(one)) for one in np.random.SeedSequence(seed).spawn(2)
@@ -68,7 +68,7 @@
 
 
 def _times_in_queue(servers: int, count: int, gaps: Stream, works: Stream) -> list[float]:
-    """The times of the jobs that are done before the last one arrives, in the order of ends."""
+    """Returns the sojourn times of jobs that end before the last arrival, in order of ends."""
     pod: Pod[QueueJob] = Pod(
         "p", "a", cores=servers, speed=1.0, queue_most=UNLIMITED_QUEUE, build=Build(1), started=0
     )
@@ -98,9 +98,9 @@
 
 
 def hard_day(seed: int) -> Day:
-    """A day on which each breaker of a rule has its occasion.
+    """Returns a day on which a policy that breaks any one of the rules is detected.
 
-    A release drains the earlier servers, there are errors, and servers that warm up.
+    A release drains the earlier servers, some attempts fail, and servers warm up.
     """
     day = drawn(seed, instances=6, pods=8, rate=100.0, seconds=60, load=0.3, troubles=0)
     offer = Offer(
@@ -110,6 +110,6 @@
 
 
 def broken_by(policy: Any, seed: int) -> list[int]:
-    """The rules that the checkers find broken by a policy on the hard day of this seed."""
+    """Returns the rules that a policy breaks on the hard day of this seed."""
     broken: list[int] = Simulator(hard_day(seed), policy).play().checker.rules_broken()
     return broken
--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -1,7 +1,8 @@
-"""Checkers of the five rules.
+"""Checks the five rules (invariants) that the instances of a fleet must keep.
 
-They see what an instance learned, received, sent and answered, and share no code with what they
-check: plain lists of moments, no sliding windows. Times are ticks (tenths of a millisecond).
+The checker is told what each instance learned, received, sent and answered. It shares no code with
+what it checks: it keeps plain lists of times instead of sliding windows. Times are in ticks (tenths
+of a millisecond).
 """
 
 from bisect import bisect_left
@@ -15,31 +16,31 @@
 from ..interface.enums import Idempotency
 from ..interface.settings import RequestClass
 
-# Rounding of the exposure's bound.
+# Tolerance for rounding errors in the exposure bound.
 EXPOSURE_ROUNDING = 1e-9
-# Work beyond what overloads a server by this factor, and this many requests, is not blamed: what
-# is in flight is not known to who sends.
+# A warming-up server may get this factor times the work that overloads it, plus this many requests:
+# a sender does not know what the other instances have in flight.
 OVERLOAD_MARGIN = 1.1
 OVERLOAD_SPARE_REQUESTS = 4
 
 
 class Rule(IntEnum):
-    """The rules, by their numbers in the reports."""
+    """The rules, with their numbers in reports."""
 
     ONE_ANSWER = 1
-    """Each request gets one answer, in time."""
+    """Each request gets exactly one answer, in time."""
     NO_UNSAFE_REPEAT = 2
-    """What may have run is not sent again, nor called rejected, unless that is safe."""
+    """A request that may have run is neither repeated nor deferred unless that is safe."""
     DRAINED = 3
-    """Nothing goes to a server that is known to be gone."""
+    """No attempt goes to a server that is known to be gone."""
     WARMUP = 4
-    """A server that warms up is not overloaded."""
+    """A server is not overloaded during its warm-up."""
     EXPOSURE = 5
-    """The build on trial gets no more than its cap allows, and keys stay with it."""
+    """The build on trial gets no more than its cap allows; keys that it answered stay with it."""
 
 
 class Listed(StrEnum):
-    """What a list says of a server."""
+    """State of a server in an endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -47,7 +48,7 @@
 
 
 class Phase(StrEnum):
-    """Where the rollout of a build stands."""
+    """Phase of a build's rollout."""
 
     TRIAL = "trial"
     BACK = "back"
@@ -64,7 +65,7 @@
 
 
 class Breach(NamedTuple):
-    """A rule that was broken."""
+    """A violation of a rule."""
 
     rule: Rule
     now: Ticks
@@ -72,18 +73,18 @@
 
 
 class CapUpdate(NamedTuple):
-    """What an instance learned of the newest build."""
+    """What an instance learned about the newest build."""
 
     at: Ticks
     build: int
     cap: float
-    """Share of the requests that may go to it."""
+    """Maximum ratio of requests that may go to the build."""
     stage: int
     phase: Phase
 
 
 class WarmupWork(NamedTuple):
-    """Work sent to a server that warms up."""
+    """Work sent to a server during its warm-up."""
 
     at: Ticks
     work: float
@@ -93,21 +94,21 @@
 
 @dataclass(slots=True)
 class Sent:
-    """An attempt."""
+    """An attempt that was sent."""
 
     at: Ticks
     ran: bool | None = None
-    """Whether it ran; None: it may have."""
+    """Whether the attempt ran; None if unknown."""
 
 
 class InvariantChecker:
-    """Checks what the instances of a fleet do.
+    """Checks the behaviour of the instances of a fleet against the rules.
 
     Attributes:
-        broken: What was found.
-        open: Class and latest end of the requests without an answer, by instance and name.
+        broken: The violations found.
+        open: Class and deadline of the unanswered requests, by instance and name.
         over: The answers, by instance and name.
-        overrun: The highest work sent to a server that warms up, over what is allowed.
+        overrun: Highest ratio of the work sent to a server during its warm-up to the allowed work.
     """
 
     def __init__(
@@ -125,20 +126,20 @@
         overload: Ticks = 0,
         slack: Ticks = 50,
     ) -> None:
-        """Starts with nothing seen.
+        """Creates a checker without history.
 
         Args:
-            lanes: the request classes by name.
-            grace: how long a server may get attempts after an instance learned that it is gone.
-            window: over which exposure is counted.
-            allowance: attempts allowed beyond the cap's share.
-            by_lane: whether exposure is counted for each class alone.
-            guarded: in the stages before this one only idempotent requests go to the trial.
-            cold: how long a server warms up; 0: it is not checked.
-            cold_from: share of its capacity at its start.
-            multiple: a server that warms up fails under this many times its capacity.
-            overload: how long it takes that.
-            slack: how late an answer may be.
+            lanes: The request classes by name.
+            grace: How long a server may get attempts after an instance learned that it is gone.
+            window: Length of the window over which exposure is counted.
+            allowance: Number of attempts allowed beyond the cap.
+            by_lane: Whether exposure is counted separately for each class.
+            guarded: In stages before this one, only idempotent requests may go to the trial.
+            cold: Duration of a server's warm-up; 0 disables the check.
+            cold_from: Ratio of the full capacity that is available at the start.
+            multiple: Load, in multiples of its capacity, that overloads a server in its warm-up.
+            overload: How long a server withstands that load.
+            slack: How late an answer may be.
         """
         self.lanes = lanes
         self.grace = grace
@@ -158,52 +159,52 @@
         self.executions: defaultdict[str, list[Ticks]] = defaultdict(list)
         # Attempts, by instance and request.
         self.attempts_of: defaultdict[tuple[int, str], list[Sent]] = defaultdict(list)
-        # When an instance learned that a server is gone.
+        # When an instance learned that a server is gone, by instance and server.
         self.gone_since: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
-        # Requests that came, by instance and class ("" for all).
+        # Arrival times of requests, by instance and class ("" for all).
         self.received_at: defaultdict[tuple[int, str], list[Ticks]] = defaultdict(list)
-        # Attempts at a build on trial, by instance, build and class ("" for all).
+        # Times of attempts at a build on trial, by instance, build and class ("" for all).
         self.trial_attempts_at: defaultdict[tuple[int, int, str], list[Ticks]] = defaultdict(list)
         self.caps: defaultdict[int, list[CapUpdate]] = defaultdict(list)
         # The build that last answered a key, by instance and key.
         self.key_builds: defaultdict[int, dict[str, int]] = defaultdict(dict)
-        # By server and its start.
+        # Work sent during a warm-up, by server and start time.
         self.warmup_work: defaultdict[tuple[str, Ticks], list[WarmupWork]] = defaultdict(list)
-        # When the servers that an instance knows started.
+        # Start times of the servers, by instance and server, as the instance knows them.
         self.known_starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
         self.overrun = 0.0
 
     def _record_breach(self, rule: Rule, now: Ticks, text: str) -> None:
         self.broken.append(Breach(rule, now, text))
 
-    # What an instance learns.
+    # What instances learn.
 
     def listed(self, now: Ticks, instance: int, pod: str, state: Listed) -> None:
-        """An instance learned the state of a server; READY takes back an earlier one."""
+        """Records that an instance learned a server's state; READY cancels an earlier state."""
         if state == Listed.READY:
             self.gone_since[instance].pop(pod, None)
         else:
             self.gone_since[instance].setdefault(pod, now)
 
     def started(self, instance: int, pod: str, at: Ticks) -> None:
-        """An instance learned when a server started."""
+        """Records that an instance learned when a server started."""
         self.known_starts[instance][pod] = at
 
     def cap(
         self, now: Ticks, instance: int, build: int, cap: float, stage: int, *, phase: Phase
     ) -> None:
-        """An instance learned where the newest build stands."""
+        """Records that an instance learned the state of the newest build."""
         self.caps[instance].append(CapUpdate(now, build, cap, stage, phase))
 
-    # What it does.
+    # What instances do.
 
     def taken(self, now: Ticks, instance: int, name: str, lane: str, ends: Ticks) -> None:
-        """A request came, whose answer must come by `ends`."""
+        """Records the arrival of a request that must be answered by `ends`."""
         self.open[instance, name] = lane, ends
         self.received_at[instance, lane if self.by_lane else ""].append(now)
 
     def answered(self, now: Ticks, instance: int, name: str, how: Answer) -> None:
-        """A request was answered."""
+        """Records and checks the answer to a request."""
         held = self.open.pop((instance, name), None)
         if held is None:
             again = (instance, name) in self.over
@@ -221,11 +222,11 @@
             )
 
     def _possibly_run(self, instance: int, name: str) -> list[Sent]:
-        """The attempts that may have run."""
+        """Returns the attempts that ran or may have run."""
         return [one for one in self.attempts_of[instance, name] if one.ran is not False]
 
     def _may_have_run(self, now: Ticks, instance: int, name: str, lane: str) -> bool:
-        """Whether a client that tries again could make the request run twice."""
+        """Returns whether a retry by the client could make the request run twice."""
         idempotency = self.lanes[lane].idempotency
         if idempotency == Idempotency.IDEMPOTENT:
             return False
@@ -236,10 +237,10 @@
         )
 
     def killed(self, now: Ticks, instance: int) -> None:
-        """An instance died.
+        """Records that an instance died.
 
-        What it held is no longer its duty, and the next one starts with nothing: what an earlier
-        life received is no allowance of it.
+        Its open requests need no answer any more. The instance restarts without history: requests
+        received before do not count towards its exposure allowance.
         """
         for request in [key for key in self.open if key[0] == instance]:
             del self.open[request]
@@ -252,7 +253,7 @@
             del self.trial_attempts_at[tried]
 
     def ended(self, now: Ticks) -> None:
-        """The day has ended: whatever is open past its time was lost."""
+        """Records the end of the day: open requests past their deadline were lost."""
         for (_, name), (_, ends) in self.open.items():
             if now > ends + self.slack:
                 self._record_breach(Rule.ONE_ANSWER, now, f"{name}: no answer")
@@ -271,19 +272,19 @@
         started: Ticks = 0,
         capacity: float = 1.0,
     ) -> None:
-        """An attempt goes out.
+        """Records and checks an attempt that an instance sends.
 
         Args:
-            now: the time.
-            instance: who sends it.
-            name: the request.
-            pod: the server.
-            build: of the server.
-            lane: the request class.
-            key: by which later requests stay with a build.
-            work: of the request.
-            started: when the server started; 0: long ago.
-            capacity: work that the server does in a tick when it is warm.
+            now: The time.
+            instance: The sending instance.
+            name: Name of the request.
+            pod: Address of the server.
+            build: Build that the server runs.
+            lane: The request class.
+            key: Sticky key of the request, or None.
+            work: Work of the request.
+            started: When the server started; 0 for long ago.
+            capacity: Work per tick that the server does after its warm-up.
         """
         learned = self.gone_since[instance].get(pod)
         if learned is not None and now > learned + self.grace:
@@ -343,13 +344,13 @@
     def _check_exposure(
         self, now: Ticks, instance: int, name: str, told: CapUpdate, counted: str
     ) -> None:
-        """Counts an attempt at the build on trial against the highest cap of the window."""
+        """Checks an attempt at the build on trial against the highest cap in the window."""
         tried = self.trial_attempts_at[instance, told.build, counted]
         taken = self.received_at[instance, counted]
         tried.append(now)
         within = len(tried) - bisect_left(tried, now - self.window)
         known = len(taken) - bisect_left(taken, now - self.window)
-        # A lower cap binds once the window has passed.
+        # A lowered cap takes effect only when the window has passed.
         recent = [
             one.cap
             for one in self.caps[instance]
@@ -367,7 +368,7 @@
     def _check_warmup(
         self, pod: str, started: Ticks, sent: list[WarmupWork], capacity: float
     ) -> None:
-        """Compares what all instances together sent with what overloads a server."""
+        """Compares the work sent by all instances with what overloads a server."""
         now = sent[-1].at
         begin = now - self.overload
         share = self.cold_from + (1 - self.cold_from) * max(0, begin - started) / self.cold
@@ -376,7 +377,7 @@
         overload_work = self.multiple * share * capacity * self.overload
         allowed = overload_work * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * sent[-1].work
         self.overrun = max(self.overrun, total / allowed)
-        # It is the instances' fault if two thirds came from such as knew of the start.
+        # The instances are at fault if two thirds of the work came from those that knew the start.
         if total > allowed and known >= total * 2 / 3:
             self._record_breach(
                 Rule.WARMUP,
@@ -385,15 +386,15 @@
             )
 
     def proved(self, instance: int, name: str, number: int, ran: bool | None) -> None:
-        """An attempt ended: it ran, never ran, or may have run (None)."""
+        """Records whether an ended attempt ran (True), never ran (False) or may have run (None)."""
         self.attempts_of[instance, name][number].ran = ran
 
     def key_answered(self, instance: int, key: str, build: int) -> None:
-        """A request with this key was answered by this build."""
+        """Records that a build answered a request with this key."""
         self.key_builds[instance][key] = build
 
     def ran(self, now: Ticks, name: str, lane: str) -> None:
-        """A server carried out a request."""
+        """Records and checks that a server executed a request."""
         self.executions[name].append(now)
         if (
             self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT
@@ -404,5 +405,5 @@
             )
 
     def rules_broken(self) -> list[int]:
-        """The rules that were broken, each once, in their order."""
+        """Returns the numbers of the broken rules, sorted and without duplicates."""
         return sorted({int(rule) for rule, _, _ in self.broken})
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -1,4 +1,4 @@
-"""A simulator that records what a person wants to see of a day: a few numbers every half second."""
+"""A simulator that records time series of a day for reports, one point every half second."""
 
 from typing import Any, NamedTuple, Self
 
@@ -13,38 +13,38 @@
 from .servers import PodState
 from .simulator import Simulator
 
-# How often it looks: what happens in between is counted in one period.
+# Sampling interval; what happens in between is counted in one period.
 PERIOD: Ticks = TICKS_PER_SECOND // 2
-# Periods beyond the day's end, while open requests end.
+# Periods after the end of the day, in which the open requests end.
 SPARE_PERIODS = 8
 
 
 class PeriodSnapshot(NamedTuple):
-    """What was seen at the begin of a period."""
+    """State at the start of a period."""
 
     at: float
-    """In seconds."""
+    """Time in seconds."""
     build: int
-    """The newest one."""
+    """The newest build."""
     stage: int
     phase: ReleasePhase
     cap: float
-    """Share of the requests that may go to the newest build."""
+    """Maximum ratio of requests that may go to the newest build."""
     running: dict[int, int]
-    """How many servers of each build are up."""
+    """Number of servers that are up, by build."""
 
 
 class RecordingSimulator(Simulator):
-    """Plays a day as a Simulator does and records it.
+    """Runs a day like Simulator and records time series.
 
     Attributes:
-        names: The builds of the day.
-        sent: Attempts in each period, by build.
-        how: Answers in each period: done, deferred or abandoned.
-        cast: Votes in each period, by verdict.
-        took: The times of the answers of each period, over their latency objective.
-        looks: What was seen at the begin of each period.
-        load: Seconds of work that waited then at each place.
+        names: Numbers of the builds of the day.
+        sent: Number of attempts per period, by build.
+        how: Number of answers per period, by kind (done, deferred or abandoned).
+        cast: Number of votes per period, by verdict.
+        took: Latencies of the successful answers of each period, divided by the latency objective.
+        looks: Snapshots at the start of each period.
+        load: Seconds of queued work at each place, at the start of each period.
     """
 
     def __init__(self, day: Day, policy: Any) -> None:
@@ -59,7 +59,7 @@
         self.load: list[NDArray[np.float64]] = []
 
     def play(self) -> Self:
-        """Plays the whole day."""
+        """Runs the whole day and returns itself."""
         self.at(0, self._record_snapshot)
         return super().play()
 
@@ -108,8 +108,11 @@
         super()._vote(instance, life, vote)
 
     def late(self, share: float = 0.95) -> NDArray[np.float64]:
-        """The time that this share of the answers of each period stayed under.
+        """Returns a quantile of the latencies in each period.
 
-        It is in latency objectives, and 0 where no answer came.
+        Latencies are in multiples of the latency objective; a period without answers gives 0.
+
+        Args:
+            share: The quantile, between 0 and 1.
         """
         return np.array([np.quantile(one, share) if one else 0.0 for one in self.took])
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -1,4 +1,4 @@
-"""The release platform of a simulated day: offers, stages, votes, counts, and news of them."""
+"""The release platform of a simulated day: offers, stages, votes, counts and release updates."""
 
 from collections.abc import Sequence
 from typing import TYPE_CHECKING, NamedTuple
@@ -18,14 +18,17 @@
 if TYPE_CHECKING:
     from .simulator import Simulator
 
-ANSWER_DELAY: Ticks = 500  # one way of a call
-SILENT_CALLS = 0.0  # sizes of the fault of calls
+ANSWER_DELAY: Ticks = 500  # for one direction of a call
+# Values of the call fault: calls get no answer, or are rejected.
+SILENT_CALLS = 0.0
 REFUSED_CALLS = 1.0
-VOTE_BURST_SECONDS = 2  # of votes, that are taken at once
-WITHDRAWAL_DELAY = 2 * TICKS_PER_SECOND  # ticks from the begin of a way back
-BOOT_MARGIN = TICKS_PER_SECOND  # ticks that a stage's clock waits beyond the slowest start
-ZONE_RETRY_DELAY = TICKS_PER_SECOND  # ticks until a start in a lost zone is tried again
-TRIAL_SHARE_GAIN = 0.002  # of the moving mean of the newest build's part of the attempts
+VOTE_BURST_SECONDS = 2  # capacity of the token bucket for votes
+WITHDRAWAL_DELAY = 2 * TICKS_PER_SECOND  # ticks from the start of a rollback
+BOOT_MARGIN = (
+    TICKS_PER_SECOND  # ticks between the slowest server start and the start of the stage's clock
+)
+ZONE_RETRY_DELAY = TICKS_PER_SECOND  # ticks until a server start in a lost zone is retried
+TRIAL_SHARE_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
 
 PHASES = {
     ReleasePhase.ON_TRIAL: Phase.TRIAL,
@@ -37,13 +40,13 @@
 
 
 class ReleaseState(NamedTuple):
-    """How the newest build stands."""
+    """State of the newest build's rollout."""
 
     build: int
     stage: int
     phase: ReleasePhase
     cap: float
-    """Share of the requests that may go to it."""
+    """Maximum ratio of requests that may go to the build."""
 
 
 class StandingVote(NamedTuple):
@@ -54,12 +57,12 @@
 
 
 class CountedAttempts:
-    """Attempts of a build and class in a period.
+    """Counted attempts of one build and request class in one period.
 
     Attributes:
-        seen: How many ended.
-        failed: Those that failed.
-        took: Ticks that the others took in all.
+        seen: Number of attempts that ended.
+        failed: Number of attempts that failed.
+        took: Total latency of the successful attempts, in ticks.
     """
 
     __slots__ = ("failed", "seen", "took")
@@ -71,34 +74,34 @@
 
 
 class CountsRow(NamedTuple):
-    """What is told of a build and class."""
+    """The counts that instances receive for one build and request class."""
 
     build: int
     lane: str
     attempts: int
     failed: int
     latency: Ticks
-    """Mean of those that did not fail."""
+    """Mean latency of the successful attempts."""
 
 
 class SimulatedPlatform:
-    """Offers builds and moves them by the instances' votes.
+    """Offers builds and advances or rolls them back according to the instances' votes.
 
     Attributes:
-        simulator: The day that is played.
-        state: How the newest build stands.
+        simulator: The running simulation.
+        state: State of the newest build's rollout.
         builds: All builds, by number.
-        trial_share: A moving mean of the newest build's part of the attempts.
-        news_delay: By how much news come later than usual.
-        call_fault: The size of the fault of calls; None while there is none.
+        trial_share: Moving average of the newest build's share of the attempts.
+        news_delay: Additional delay of release updates, in ticks.
+        call_fault: SILENT_CALLS or REFUSED_CALLS during a fault of calls, else None.
     """
 
     def __init__(self, simulator: "Simulator", samples: Stream) -> None:
-        """Begins with a build that is released.
+        """Starts with the first build released.
 
         Args:
-            simulator: The day that is played.
-            samples: Draws which attempts are counted, and the lags of counts.
+            simulator: The running simulation.
+            samples: Random numbers that decide which attempts are counted and when counts arrive.
         """
         day = simulator.day
         self.simulator = simulator
@@ -118,10 +121,10 @@
     def _set_phase(self, phase: ReleasePhase, cap: float) -> None:
         self.state = self.state._replace(phase=phase, cap=cap)
 
-    # News.
+    # Release updates.
 
     def announce(self) -> None:
-        """Has news of the state reach each instance a while later."""
+        """Sends the state to each instance after a random delay."""
         simulator = self.simulator
         for instance in range(simulator.day.instances):
             lag = simulator.day.news_lag * (0.5 + simulator.misc.random()) + self.news_delay
@@ -134,13 +137,13 @@
         answers: bool = False,
         outcome: Outcome = Outcome.DONE,
     ) -> None:
-        """News reach an instance, unless it is cut off.
+        """Delivers a release update to an instance, unless it is cut off from the platform.
 
         Args:
-            instance: Whom.
-            state: The state as it was when they were sent.
-            answers: Whether they answer a vote.
-            outcome: How that call ended.
+            instance: The receiving instance.
+            state: The state at the time of sending.
+            answers: Whether the update answers a vote.
+            outcome: Outcome of the vote call.
         """
         simulator = self.simulator
         if not simulator.runs(instance) or simulator.is_off_platform(instance):
@@ -150,11 +153,11 @@
         simulator.tell(instance, _update(state, answers, outcome))
 
     def send_current_state(self, instance: int) -> None:
-        """Gives an instance that starts the present state."""
+        """Gives a starting instance the current state."""
         self.simulator.tell(instance, _update(self.state, False, Outcome.DONE))
 
     def record_told(self, instance: int, state: ReleaseState) -> None:
-        """Has the checker know what an instance is told."""
+        """Reports to the checker what an instance is told."""
         self.simulator.checker.cap(
             self.simulator.now,
             instance,
@@ -167,7 +170,7 @@
     # Counts.
 
     def update_trial_share(self, build: int) -> None:
-        """Counts an attempt in the newest build's part of them."""
+        """Updates the newest build's share with one more attempt."""
         self.trial_share += TRIAL_SHARE_GAIN * ((build == self.state.build) - self.trial_share)
 
     def slowdown_factor(self) -> float:
@@ -178,7 +181,7 @@
         return 1 + shared * self.trial_share
 
     def sample_attempt(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
-        """Counts a part of the attempts when they end."""
+        """Counts an ended attempt if it is drawn for the sample."""
         day = self.simulator.day
         if self._sample_draws.next() >= day.tally_share:
             return
@@ -190,7 +193,7 @@
             counted.failed += 1
 
     def end_period(self) -> None:
-        """Tells each instance a while later what was counted."""
+        """Ends a counting period and sends its counts to each instance after a delay."""
         simulator = self.simulator
         rows = [
             CountsRow(
@@ -211,14 +214,14 @@
 
     def _deliver_counts(self, instance: int, rows: Sequence[CountsRow], end: Ticks) -> None:
         if self.simulator.is_off_platform(instance) or self.call_fault is not None:
-            return  # it is not told again
+            return  # lost counts are not sent again
         for row in rows:
             self.simulator.tell(instance, FleetCounts(*row, self.simulator.now - end))
 
     # Offers and stages.
 
     def offer(self, offer: Offer) -> None:
-        """Offers a build. One that is still on trial is taken off."""
+        """Offers a build. A build that is still on trial is rolled back first."""
         simulator = self.simulator
         if self.state.phase == ReleasePhase.ON_TRIAL:
             self._roll_back()
@@ -277,7 +280,7 @@
             self._drain_earlier(build)
 
     def _drain_earlier(self, build: int) -> None:
-        """The servers of earlier builds go, unless the released one has been sent back since."""
+        """Drains the servers of earlier builds, unless the build was rolled back meanwhile."""
         if self.state.build > build or self.state.phase == ReleasePhase.RELEASED:
             self.simulator.servers.drain(lambda pod: pod.build.number < build)
 
@@ -286,7 +289,7 @@
         simulator.results.add_course(simulator.now, build, CourseEvent.BACK)
         self._set_phase(ReleasePhase.ROLLING_BACK, 0.0)
         self.announce()
-        # Where the earlier servers have left, others of the earlier build start first.
+        # Servers of the earlier build that have already left are started again first.
         earlier = simulator.servers.up(lambda pod: pod.build.number < build)
         last = max((number for number in self.builds if number < build), default=FIRST_BUILD)
         for place in range(len(earlier), simulator.day.pods):
@@ -302,7 +305,7 @@
     # Votes.
 
     def vote(self, instance: int, life: int, vote: CastVote) -> None:
-        """A vote reaches the platform; the instance is told a while later what came of it."""
+        """Handles a vote that reaches the platform; the instance learns the outcome later."""
         simulator, asked = self.simulator, self.simulator.results.votes_asked
         cut_off = simulator.lives[instance] != life or simulator.is_off_platform(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
@@ -334,7 +337,7 @@
         )
 
     def _accept_call(self) -> bool:
-        """Returns whether one more call fits into the platform's rate, and counts it."""
+        """Returns whether the rate limit allows one more call, and counts the call if so."""
         simulator = self.simulator
         rate = simulator.day.terms.votes_per_second
         earned = (simulator.now - self._calls_at) * rate / TICKS_PER_SECOND
@@ -358,7 +361,7 @@
             self.told(instance, self.state, True, outcome)
 
     def _count_votes(self, build: int, stage: int) -> None:
-        """Moves the build, if the votes that stand say so."""
+        """Advances or rolls back the build if the votes still valid decide so."""
         simulator, day, state = self.simulator, self.simulator.day, self.state
         if (build, stage) != (state.build, state.stage) or state.phase not in OPEN_PHASES:
             return
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -1,7 +1,8 @@
-"""Plays a day in simulated time with any policy: clients, network, servers, instances.
+"""Discrete-event simulator that runs a day of clients, network, servers and instances.
 
-One heap of moments; all chance comes from the day's seed, in streams of its own for traffic, work
-and network, so that two policies meet the same arrivals. Figures from it are simulated.
+All events are in one heap. All random numbers derive from the day's seed, with separate streams
+for traffic, work and network, so that two policies are given the same arrivals. Figures from this
+module are simulated, not measured.
 """
 
 import heapq
@@ -37,26 +38,28 @@
 from .simulated_platform import ANSWER_DELAY, SimulatedPlatform
 from .simulated_requests import SimulatedAttempt, SimulatedRequest
 
-DRAIN_GRACE: Ticks = 2_500  # of drains
-CONNECT_TIMEOUT: Ticks = 2_500  # of a connection that does not come up
-REFUSAL_DELAY: Ticks = 10  # a connection too many
-RETRY_DELAY: Ticks = 50  # of clients that do not heed what they are told
-FINAL_ANSWERS_DURATION = 2 * TICKS_PER_SECOND  # ticks beyond the span of a day
+DRAIN_GRACE: Ticks = 2_500  # in which a server may still get attempts after it was listed as gone
+CONNECT_TIMEOUT: Ticks = 2_500  # of a connection that is never established
+REFUSAL_DELAY: Ticks = 10  # until a connection over the limit is refused
+RETRY_DELAY: Ticks = 50  # of clients that ignore retry-after
+FINAL_ANSWERS_DURATION = 2 * TICKS_PER_SECOND  # ticks simulated after the end of the day
 EXPOSURE_WINDOW = 3 * TICKS_PER_SECOND  # ticks
 EXPOSURE_ALLOWANCE = 3.0  # attempts
 NEVER: Ticks = -(10**9)
-NEW_CONNECTION_TRIPS = 5  # one way of a request and two round trips of a new connection
-BASE_FAILURE_RATIO = 0.001  # share of the attempts that fail in any case
-MAX_ROOM_WAIT_RATIO = 0.25  # of the objective: a wait that is no cause to reject
-MIN_ROOMY_SERVER_RATIO = 0.25  # of the servers: so many must have no more than that
-EXTRA_STREAM_SEED = 17  # draws what was added later, so that other days stay as they were
+NEW_CONNECTION_TRIPS = 5  # one-way delays: the request and two round trips to connect
+BASE_FAILURE_RATIO = 0.001  # ratio of attempts that fail without any fault
+MAX_ROOM_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait has no room
+MIN_ROOMY_SERVER_RATIO = 0.25  # more than this part of the servers must have room
+# Seeds the stream for draws that were added later, so that the other streams are unchanged.
+EXTRA_STREAM_SEED = 17
 
 Policy: TypeAlias = Callable[[Settings, int, Ticks], Any]
-"""policy(settings, seed, now) has handle(now, events) -> actions, as `DecisionEngine` has."""
+"""`policy(settings, seed, now)` returns an engine with `handle(now, events) -> actions`, like
+`DecisionEngine`."""
 
 
 class Disagreement(NamedTuple):
-    """An instance that counts other attempts in flight than there are."""
+    """An instance whose count of attempts in flight is wrong."""
 
     instance: int
     counted: int
@@ -64,35 +67,35 @@
 
 
 class Simulator:
-    """A day that is played.
+    """Simulates one day with one policy.
 
     Attributes:
-        day: What happens on it.
-        now: The time.
+        day: The scenario of the day.
+        now: The simulated time.
         lanes: The request classes by name.
-        misc: Draws lags, starts and pauses.
+        misc: Random numbers for delays, server starts and pauses.
         checker: Checks the five rules.
-        results: The totals.
+        results: The totals of the day.
         connections: Connections to servers.
         platform: The release platform.
         servers: The servers.
-        discovery: Answers calls for lists; None where lists are pushed.
-        requests: The requests that are held, by instance and name.
-        engines: What decides for each instance; None while it does not run.
-        lives: How often each instance has started.
-        loss: Share of the attempts that is lost.
-        burst: Factor of the request rate.
-        slow_all: Factor of all work.
-        lost_answers: Share of the answers that is lost.
-        cut_zones: Zones that do not reach the others.
+        discovery: Answers calls for endpoint lists; None if lists are pushed.
+        requests: The open requests, by instance and name.
+        engines: The decision engine of each instance; None while the instance is down.
+        lives: How often each instance has started or been killed.
+        loss: Ratio of attempts that are lost.
+        burst: Factor applied to the request rate.
+        slow_all: Factor applied to all work.
+        lost_answers: Ratio of answers that are lost.
+        cut_zones: Zones that are partitioned from the others.
     """
 
     def __init__(self, day: Day, policy: Policy) -> None:
-        """Prepares a day.
+        """Prepares the simulation.
 
         Args:
-            day: What happens on it.
-            policy: What decides for the instances.
+            day: The scenario of the day.
+            policy: Creates the decision engine of each instance.
         """
         self.day = day
         self.now: Ticks = 0
@@ -109,9 +112,11 @@
         self.cut_zones: set[str] = set()
         self._policy = policy
         self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._sequence = 0  # of what was scheduled and named
+        self._sequence = 0  # numbers scheduled calls and requests
         self._busy = list(accumulate(day.busy))
-        self._answered_at: dict[ConnectionKey, Ticks] = {}  # the last answer on a line
+        self._answered_at: dict[
+            ConnectionKey, Ticks
+        ] = {}  # time of the last answer, by connection key
         self._draw_streams()
         self.checker = self._new_checker()
         self.platform = SimulatedPlatform(self, self._sample_draws)
@@ -156,12 +161,12 @@
         return Discovery(self.day.lists, self.at, lambda: self.now, self._deliver_list)
 
     def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
-        """Schedules a call."""
+        """Schedules a call at a moment."""
         self._sequence += 1
         heapq.heappush(self._calls, (moment, self._sequence, call, arguments))
 
     def play(self) -> Self:
-        """Plays the whole day; returns itself."""
+        """Runs the whole day and returns itself."""
         day = self.day
         for instance in range(day.instances):
             self._start(instance)
@@ -190,7 +195,7 @@
         listed = self.servers.entries()
         self.servers.record_known(instance)
         self.platform.record_told(instance, self.platform.state)
-        if self.discovery:  # what it knows is of before, until it gets the list
+        if self.discovery:  # the instance has only its cached list until it is sent a new one
             generator = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
             poll_interval = poll_interval_of(self._policy, generator.draw)
             self.discovery.begin(instance, life, poll_interval, self.day.instances)
@@ -198,7 +203,7 @@
         self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
-        """Kills an instance and starts it again after about so many ticks."""
+        """Kills an instance and starts it again after `wait` ticks, give or take half."""
         self.engines[instance] = None
         self.lives[instance] += 1
         self.checker.killed(self.now, instance)
@@ -208,17 +213,17 @@
         self.at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
 
     def runs(self, instance: int) -> bool:
-        """Returns whether an instance runs."""
+        """Returns whether an instance is running."""
         return self.engines.get(instance) is not None
 
     def has_watch(self, instance: int) -> bool:
-        """Returns whether changes of the list reach an instance."""
+        """Returns whether an instance receives changes of the endpoint list."""
         if self.discovery is None:
             return True
         return self.discovery.standing.get(instance) == self.lives[instance]
 
     def _deliver_list(self, instance: int, life: int, whole: bool) -> bool:
-        """Returns whether this life of an instance is still there; it gets the list if `whole`."""
+        """Delivers the list if `whole`; returns whether this life of the instance still runs."""
         is_there = self.lives[instance] == life and self.runs(instance)
         if is_there and whole:
             entries = self.servers.entries()
@@ -227,7 +232,7 @@
         return is_there
 
     def tell(self, instance: int, event: Event) -> None:
-        """Tells an instance of an event and carries out what it decides."""
+        """Passes an event to an instance and carries out the resulting actions."""
         engine = self.engines.get(instance)
         if engine is None:
             return
@@ -292,7 +297,7 @@
         return self.day.lanes[-1]
 
     def _ask(self, instance: int, request: SimulatedRequest) -> None:
-        """A client asks, if its time is not over."""
+        """Sends a client's request to an instance, unless its deadline has passed."""
         if not self.runs(instance) or request.deadline <= self.now:
             return
         self._sequence += 1
@@ -313,13 +318,13 @@
         self.tell(instance, received)
 
     def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
-        """A request gets its answer.
+        """Answers a request.
 
         Args:
-            instance: Whose request it is.
-            name: Its name.
-            answer: How it is answered.
-            wait: After which its client may ask again.
+            instance: The instance that holds the request.
+            name: The request's name.
+            answer: How the request is answered.
+            wait: Time after which the client may try again, in ticks.
         """
         self.checker.answered(self.now, instance, name, answer)
         held = self.requests.get((instance, name))
@@ -356,7 +361,7 @@
             self.at(self.now + max(1, delay), self._ask, instance, again)
 
     def _had_capacity(self, instance: int, objective: Ticks) -> bool:
-        """Returns whether a part of the servers that are usual and reached had room."""
+        """Returns whether enough reachable servers of earlier or released builds had room."""
         state = self.platform.state
         usual = self.servers.up(
             lambda pod: (
@@ -375,25 +380,25 @@
         return self.day.zones[instance % len(self.day.zones)]
 
     def _reaches(self, instance: int, pod: Server) -> bool:
-        """Returns whether an instance reaches a server; a zone that is cut off reaches itself."""
+        """Returns whether an instance reaches a server; zones that are cut off reach themselves."""
         if not self.cut_zones:
             return True
         here = self._zone_of(instance)
         return here == pod.zone or not self.cut_zones & {here, pod.zone}
 
     def is_off_platform(self, instance: int) -> bool:
-        """Returns whether an instance is cut off from the platform, which is in the first zone."""
+        """Returns whether an instance cannot reach the platform, which is in the first zone."""
         here, there = self._zone_of(instance), self.day.zones[0]
         return bool(self.cut_zones) and here != there and bool(self.cut_zones & {here, there})
 
     def _one_way(self) -> Ticks:
-        """Draws how long a message takes."""
+        """Draws the one-way delay of a message."""
         return max(1, round(self._delays.next()))
 
     # Attempts.
 
     def _send(self, instance: int, life: int, action: SendAttempt) -> None:
-        # Where lists do not come, what has gone is sent to: nobody answers there.
+        # An instance with an outdated list may send to a server that is gone and never answers.
         servers = self.servers
         pod = servers.pods.get(action.endpoint) or servers.former.get(action.endpoint)
         held = self.requests.get((instance, action.id))
@@ -443,7 +448,10 @@
         )
 
     def _send_unanswered(self, attempt: SimulatedAttempt, ends: Ticks) -> None:
-        """Nothing is said: an open connection takes it, a new one never comes up."""
+        """Sends an attempt to an unresponsive server.
+
+        On an open connection it times out; a new connection is never established.
+        """
         if self.now - self._answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
             self.at(failed_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
@@ -472,7 +480,7 @@
         self.at(self.now + max(1, round(way)), self._reach, attempt)
 
     def _reach(self, attempt: SimulatedAttempt) -> None:
-        """An attempt reaches its server."""
+        """Handles the arrival of an attempt at its server."""
         pod = self.servers.pods.get(attempt.pod)
         attempt.work *= self.slow_all * self.platform.slowdown_factor()
         took = pod.take(self.now, attempt) if pod else False
@@ -482,8 +490,8 @@
             self.at(self.now + took, self._served, pod, attempt)
 
     def _served(self, pod: Server, attempt: SimulatedAttempt) -> None:
-        """A server has done the work of an attempt."""
-        if self.now < pod.paused:  # everything in it stands still
+        """Finishes the work of an attempt at its server."""
+        if self.now < pod.paused:  # a paused server makes no progress
             self.at(pod.paused + 1, self._served, pod, attempt)
             return
         following = pod.finish(self.now)
@@ -503,7 +511,7 @@
         self.at(self.now + self._one_way(), self._end, attempt, outcome, None if fails else True)
 
     def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
-        """Draws whether an attempt fails at its server, and counts the harm."""
+        """Draws whether an attempt fails at its server and counts the harm done."""
         build, lane = pod.build, self.lanes[attempt.lane].lane
         fault_acts = build.strikes(pod, self.now, attempt.lane)
         fails = self._failure_draws.next() < (build.fails if fault_acts else BASE_FAILURE_RATIO)
@@ -514,12 +522,12 @@
         return fails
 
     def _end(self, attempt: SimulatedAttempt, outcome: Outcome, ran: bool | None) -> None:
-        """An attempt ends; the first end counts.
+        """Ends an attempt; only the first call for an attempt has an effect.
 
         Args:
             attempt: The attempt.
-            outcome: How it ends.
-            ran: Whether it ran; None if that is not known.
+            outcome: Outcome of the attempt.
+            ran: Whether the attempt was executed; None if unknown.
         """
         if attempt.has_ended:
             return
@@ -556,10 +564,10 @@
     def _is_answered(self, attempt: SimulatedAttempt) -> bool:
         return (attempt.instance, attempt.name) in self.checker.over
 
-    # What came of it.
+    # Results.
 
     def disagreements(self) -> list[Disagreement]:
-        """Returns the instances that count other attempts in flight than there are."""
+        """Returns the instances whose count of attempts in flight is wrong."""
         in_flight = dict.fromkeys(range(self.day.instances), 0)
         for (instance, _), held in self.requests.items():
             in_flight[instance] += sum(not attempt.has_ended for attempt in held.attempts)
@@ -573,7 +581,7 @@
         return found
 
     def figures(self) -> dict[str, Any]:
-        """Returns the day's main figures."""
+        """Returns the main figures of the day."""
         return self.results.figures(self.checker)
 
 
@@ -586,7 +594,7 @@
 
 
 def current_engine(settings: Settings, seed: int, now: Ticks) -> Any:
-    """Returns the project's own decisions."""
-    from ..policy.engine import DecisionEngine  # noqa: PLC0415 (other policies do without it)
+    """Returns an engine with the project's own policy."""
+    from ..policy.engine import DecisionEngine  # noqa: PLC0415 (other policies do not need it)
 
     return DecisionEngine(settings, LinearCongruentialGenerator(seed).state, now)
