--- a/tests/integration/test_lifecycle.py
+++ b/tests/integration/test_lifecycle.py
@@ -12,8 +12,14 @@
 from unittest import mock
 
 from tests.integration.test_sockets import READ, WithPods, value
-from tests.support.peers import PATIENCE, DiscoveryPeer, until
-from tests.support.programs import Program, begun_by, coded, patient, stands_still
+from tests.support.peers import TIMEOUT_SECONDS, FakeDiscovery, wait_until
+from tests.support.programs import (
+    Program,
+    pause_at_sigterm,
+    run_after_setup,
+    run_with_code,
+    without_first_list_timeout,
+)
 from thymeknot.proxy.endpoint_updates import notifying_reader
 from thymeknot.service import lifecycle
 
@@ -29,13 +35,13 @@
                 if line.startswith(("SigPnd", "ShdPnd")) and int(line.split()[1], 16)
             ]
 
-    until(lambda: not pending(), lambda: None)
+    wait_until(lambda: not pending(), lambda: None)
 
 
 class Piped(Program):
     """The program whose configuration is a FIFO: it reads when the test writes, and the test knows that it reads."""
 
-    def write(self, told):
+    def write_config(self, told):
         os.mkfifo(self.path)
 
     def fill(self, content):
@@ -50,7 +56,7 @@
                     raise
                 time.sleep(0.005)
 
-        until(lambda: opened, attempt)
+        wait_until(lambda: opened, attempt)
         target = os.fdopen(opened[0], "wb", buffering=0)
         target.write(content if isinstance(content, bytes) else json.dumps(content).encode())
         return target
@@ -72,46 +78,50 @@
         return made
 
     def test_a_sighup_while_the_file_is_read_has_it_read_again_once_it_serves(self):
-        new = DiscoveryPeer()
+        new = FakeDiscovery()
         self.addCleanup(new.close)
         running = self.piped()
-        first = running.fill(running.told)  # the program has it open, and waits for its end
+        first = running.fill(running.config)  # the program has it open, and waits for its end
         running.process.send_signal(signal.SIGHUP)
         running.settled()
         running.end(first)
         running.end(
-            running.fill({**running.told, "discovery": new.address})
+            running.fill({**running.config, "discovery": new.address})
         )  # goes on only where it is read again
-        running.discovery.asked.put(
+        running.discovery.stream_requests.put(
             "perhaps never"
         )  # it may move before it has asked at the former address
         running.__enter__()
-        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=PATIENCE)
+        self.assertEqual(running.wait_for_log("configuration reloaded")["discovery"], new.address)
+        new.stream_requests.get(timeout=TIMEOUT_SECONDS)
 
     def test_a_half_written_file_that_a_sighup_announces_anew_is_read_once_more_at_the_start(self):
         running = self.piped()
-        half = running.fill(json.dumps(running.told).encode()[:100])
+        half = running.fill(json.dumps(running.config).encode()[:100])
         running.process.send_signal(signal.SIGHUP)
         running.settled()
         running.end(half)
-        running.end(running.fill(running.told))
+        running.end(running.fill(running.config))
         running.__enter__()
         with running.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_a_sighup_before_it_serves_has_the_file_read_again(self):
-        with patient():
+        with without_first_list_timeout():
             running = self.piped(silent=True)
-        running.end(running.fill(running.told))
-        running.discovery.asked.get(timeout=PATIENCE)  # it has begun, and waits for the first list
+        running.end(running.fill(running.config))
+        running.discovery.stream_requests.get(
+            timeout=TIMEOUT_SECONDS
+        )  # it has begun, and waits for the first list
         running.process.send_signal(signal.SIGHUP)
         running.settled()
-        running.discovery.say("\n")
-        running.end(running.fill({**running.told, "name": "n2"}))
-        running.discovery.asked.put("again")
+        running.discovery.push_raw("\n")
+        running.end(running.fill({**running.config, "name": "n2"}))
+        running.discovery.stream_requests.put("again")
         running.__enter__()
-        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
+        self.assertEqual(
+            running.wait_for_log("configuration reloaded")["only_at_a_start"], ["name"]
+        )
 
     def in_use(self):
         """The program as it waits for its address; who has that."""
@@ -124,31 +134,35 @@
         running = Program(change=change)
         self.addCleanup(running.__exit__)
         self.addCleanup(held[0].close)
-        until(lambda: b'"address in use"' in running.process.stdout.readline(), lambda: None)
+        wait_until(lambda: b'"address in use"' in running.process.stdout.readline(), lambda: None)
         return running, held[0]
 
     def test_an_address_that_is_in_use_is_waited_for_and_a_sighup_meanwhile_is_heard(self):
         running, other = self.in_use()
-        running.write({**running.told, "name": "n2"})
+        running.write_config({**running.config, "name": "n2"})
         running.process.send_signal(signal.SIGHUP)
         settled(running.process)
         other.close()
         running.__enter__()
         with running.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
-        self.assertEqual(running.logged("configuration reloaded")["only_at_a_start"], ["name"])
+            self.assertEqual(client.request("PING"), b"+PONG")
+        self.assertEqual(
+            running.wait_for_log("configuration reloaded")["only_at_a_start"], ["name"]
+        )
 
     def test_sigterm_ends_that_wait(self):
         running, _ = self.in_use()
         running.process.send_signal(signal.SIGTERM)
-        self.assertEqual((running.process.wait(PATIENCE), running.process.stderr.read()), (0, b""))
+        self.assertEqual(
+            (running.process.wait(TIMEOUT_SECONDS), running.process.stderr.read()), (0, b"")
+        )
 
     def test_sigterm_while_the_file_is_read_ends_it_by_the_signal_without_a_word(self):
         for number in (signal.SIGTERM, signal.SIGINT):
             running = self.piped()
             target = running.fill(b"{")
             running.process.send_signal(number)
-            out, error = running.process.communicate(timeout=PATIENCE)
+            out, error = running.process.communicate(timeout=TIMEOUT_SECONDS)
             target.close()
             self.assertEqual((running.process.returncode, out, error), (-number, b"", b""))
 
@@ -157,15 +171,15 @@
             [signal.SIGTERM],
             [signal.SIGTERM, signal.SIGINT, signal.SIGHUP, signal.SIGTERM],
         ):
-            with patient():
+            with without_first_list_timeout():
                 running = Program(silent=True)
             self.addCleanup(running.__exit__)
-            running.discovery.asked.get(
-                timeout=PATIENCE
+            running.discovery.stream_requests.get(
+                timeout=TIMEOUT_SECONDS
             )  # it has begun, and waits for the first list
             for number in numbers:
                 running.process.send_signal(number)
-            out, error = running.process.communicate(timeout=PATIENCE)
+            out, error = running.process.communicate(timeout=TIMEOUT_SECONDS)
             self.assertEqual((running.process.returncode, error), (0, b""))
             events = [json.loads(line)["event"] for line in out.splitlines()]
             # A watch that hears nothing may have been given up before the signal, too.
@@ -182,11 +196,11 @@
             os.kill(os.getpid(), signal.SIGHUP)
 sys.meta_path.insert(0, Finder())
 runpy.run_module("thymeknot", run_name="__main__")"""
-        with coded(code):
+        with run_with_code(code):
             running = Program()
         self.addCleanup(running.__exit__)
         with running.__enter__().client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_a_signal_as_the_interpreter_ends_does_not_change_how_it_ended(self):
         """The interpreter gives back its handlers before it clears its modules: what comes then would end it."""
@@ -197,21 +211,23 @@
     def __del__(self):
         self.kill(self.own, {int(number)})
 last = Last()"""
-                with begun_by(last):
+                with run_after_setup(last):
                     running = Program(change=told)
                 self.addCleanup(running.__exit__)
                 if not code:
                     running.__enter__().process.send_signal(signal.SIGTERM)
-                self.assertEqual(running.process.wait(PATIENCE), code, number)
+                self.assertEqual(running.process.wait(TIMEOUT_SECONDS), code, number)
 
 
 class FirstList(WithPods):
     def waiting(self, *entries):
         """The program once its watch is asked for: whatever it listens for without a list, it does so by now."""
-        with patient():
+        with without_first_list_timeout():
             running = Program(*entries, silent=True)
         self.addCleanup(running.__exit__)
-        running.discovery.asked.put(running.discovery.asked.get(timeout=PATIENCE))
+        running.discovery.stream_requests.put(
+            running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        )
         with self.assertRaises(ConnectionRefusedError):
             running.client()
         return running
@@ -221,14 +237,14 @@
         running = self.waiting(left.entry("s-1"))
         running.discovery.push_list(9, left.entry("s-1", state="Terminating"), new.entry("s-2"))
         with running.__enter__().client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
-        self.assertEqual((left.heard.qsize(), new.heard.qsize()), (0, 1))
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
+        self.assertEqual((left.received_commands.qsize(), new.received_commands.qsize()), (0, 1))
 
     def test_a_sign_of_life_says_that_there_is_no_list(self):
         running = self.waiting()
-        running.discovery.say("\n")
+        running.discovery.push_raw("\n")
         with running.__enter__().client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
     def test_a_part_of_a_list_is_not_taken_for_it(self):
         heard = []
@@ -246,61 +262,63 @@
         pod = self.pod()
         running = self.program(pod.entry("s-1"), silent=True)
         with running.client() as client:
-            self.assertEqual(client.ask("SVC.QUERY", "a", "01", READ), b"01")
+            self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
 
     def test_lists_that_are_asked_for_are_not_waited_for(self):
         def change(told):
             told["settings"].update(discovery="subscribe", balancers=400)
 
-        with patient():
+        with without_first_list_timeout():
             running = Program(change=change)
         self.addCleanup(running.__exit__)
-        running.discovery.asked.put("later")
+        running.discovery.stream_requests.put("later")
         running.__enter__()
         with running.client() as client:
-            self.assertEqual(client.ask("PING"), b"+PONG")
+            self.assertEqual(client.request("PING"), b"+PONG")
 
 
 class Stopping(WithPods):
     def test_sighup_while_it_stops_moves_it_and_what_is_in_hand_is_answered(self):
-        release, new = threading.Event(), DiscoveryPeer()
+        release, new = threading.Event(), FakeDiscovery()
         self.addCleanup(new.close)
 
         def answer(words):
-            release.wait(PATIENCE)
+            release.wait(TIMEOUT_SECONDS)
             return value(words[2])
 
         pod = self.pod(answer)
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             client.send("SVC.QUERY", "a", "01", READ)
-            pod.heard.get(timeout=PATIENCE)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
-            running.logged("stopping")
-            running.write({**running.told, "discovery": new.address})
+            running.wait_for_log("stopping")
+            running.write_config({**running.config, "discovery": new.address})
             running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
+            self.assertEqual(
+                running.wait_for_log("configuration reloaded")["discovery"], new.address
+            )
             running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration reloaded")
+            running.wait_for_log("configuration reloaded")
             with open(running.path, "w", encoding="utf-8") as target:
                 target.write("{")
             running.process.send_signal(signal.SIGHUP)
-            running.logged("configuration rejected")
+            running.wait_for_log("configuration rejected")
             running.process.send_signal(signal.SIGTERM)
             release.set()
-            self.assertEqual((client.answer(), client.answer()), (b"01", b""))
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+            self.assertEqual((client.read_response(), client.read_response()), (b"01", b""))
+        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_each_connection_that_the_machine_accepted_before_the_end_is_answered(self):
         pod = self.pod()
-        with stands_still():
+        with pause_at_sigterm():
             running = self.program(pod.entry("s-1"))
         with running.client() as first:
             self.assertEqual(
-                first.ask("PING"), b"+PONG"
+                first.request("PING"), b"+PONG"
             )  # one came the last time: so many are taken at once
             running.process.send_signal(signal.SIGTERM)
-            running.stood_still()
+            running.wait_until_stopped()
             begun = time.monotonic()  # its end is set
             clients = [running.client() for _ in range(30)]
             for number, client in enumerate(clients):
@@ -311,25 +329,26 @@
             )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
-                [client.answer() for client in clients], [b"%02x" % number for number in range(30)]
+                [client.read_response() for client in clients],
+                [b"%02x" % number for number in range(30)],
             )
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
 
     def test_at_the_limit_of_descriptors_none_that_the_machine_accepted_is_closed_upon(self):
         """Also where the machine allows fewer than the configuration names."""
         limited = (
             "import resource\nresource.setrlimit(resource.RLIMIT_NOFILE, (64, 64))\n"
-            f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {PATIENCE}"
+            f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {TIMEOUT_SECONDS}"
         )
         for sockets, stops in ((64, False), (64, True), (256, False)):
-            with begun_by(limited):
+            with run_after_setup(limited):
                 running = Program(
                     silent=True,
                     change=lambda told, sockets=sockets: told["limits"].update(sockets=sockets),
                 )
             self.addCleanup(running.__exit__)
-            until(lambda running=running: running.discovery.streams, lambda: time.sleep(0.005))
-            running.discovery.say("\n")
+            wait_until(lambda running=running: running.discovery.streams, lambda: time.sleep(0.005))
+            running.discovery.push_raw("\n")
             running.__enter__().process.send_signal(signal.SIGSTOP)
             clients = [running.client() for _ in range(100)]
             for client in clients:
@@ -342,7 +361,7 @@
                 )  # the end comes while it stands still
             running.process.send_signal(signal.SIGCONT)
             self.assertEqual(
-                [client.answer() for client in clients], [b"+PONG"] * 100, (sockets, stops)
+                [client.read_response() for client in clients], [b"+PONG"] * 100, (sockets, stops)
             )
 
     def test_the_features_of_one_that_stops_take_up_no_file(self):
@@ -361,7 +380,7 @@
 
         def answer(form):
             voted.put(form)
-            release.wait(PATIENCE)
+            release.wait(TIMEOUT_SECONDS)
             return 500, b""
 
         pod = self.pod(
@@ -371,7 +390,7 @@
             pod.entry("s-1", 42),
             self.pod().entry("s-2"),
             answer=answer,
-            news={
+            release_state={
                 "version": 42,
                 "step": 0,
                 "status": "trial",
@@ -382,14 +401,14 @@
         self.addCleanup(release.set)
         count = iter(range(100_000))
         with running.client() as client:
-            until(
+            wait_until(
                 lambda: not voted.empty(),
-                lambda: client.ask("SVC.QUERY", "a", f"{next(count):x}", READ),
+                lambda: client.request("SVC.QUERY", "a", f"{next(count):x}", READ),
             )
             running.process.send_signal(signal.SIGTERM)
-            running.logged("stopping")
-            self.assertEqual(client.answer(), b"")
-        self.assertEqual(running.process.wait(PATIENCE), 0)
+            running.wait_for_log("stopping")
+            self.assertEqual(client.read_response(), b"")
+        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
         self.assertFalse(release.is_set())
 
     def test_it_has_ended_by_itself_when_the_platform_may_kill_it(self):
@@ -400,16 +419,16 @@
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             client.send("SVC.QUERY", "a", "01", "c=read,t=acme,d=3000")
-            pod.heard.get(timeout=PATIENCE)
+            pod.received_commands.get(timeout=TIMEOUT_SECONDS)
             running.process.send_signal(signal.SIGTERM)
-            stopping = running.logged("stopping")
+            stopping = running.wait_for_log("stopping")
             time.sleep(2 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             client.send("SVC.QUERY", "a", "02", "c=read,t=acme,d=3000")
-            answers = [client.answer() for _ in range(3)]
-            stopped = running.logged("stopped")
+            answers = [client.read_response() for _ in range(3)]
+            stopped = running.wait_for_log("stopped")
         self.assertRegex(answers[0], b"^-")
         self.assertRegex(answers[1], b"^-")
-        self.assertEqual((answers[2], running.process.wait(PATIENCE)), (b"", 0))
+        self.assertEqual((answers[2], running.process.wait(TIMEOUT_SECONDS)), (b"", 0))
         # The kill, less the time for which the page lets a sidecar be held up.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
@@ -422,33 +441,34 @@
         running = self.program(pod.entry("s-1"))
         with running.client() as client:
             running.process.send_signal(signal.SIGTERM)
-            stopping = running.logged("stopping")
+            stopping = running.wait_for_log("stopping")
             time.sleep(0.9 * lifecycle.ACCEPT_AFTER_SIGTERM_SECONDS)
             for number in range(90):
                 client.send("SVC.QUERY", "a", f"{number:02x}", "c=read,t=acme,d=3000")
-            answers = [client.answer() for _ in range(91)]
-            stopped = running.logged("stopped")
-            self.assertEqual(running.process.wait(PATIENCE), 0)
+            answers = [client.read_response() for _ in range(91)]
+            stopped = running.wait_for_log("stopped")
+            self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
         self.assertEqual([answer[:1] for answer in answers], [b"-"] * 90 + [b""])
         # The kill, less the time for which the page lets a sidecar be held up.
         self.assertLess(stopped["at"] - stopping["at"], 3.7 - 0.15)
 
     def test_a_half_written_file_is_kept_and_the_whole_one_is_owed_to_the_next_sighup(self):
-        new = DiscoveryPeer()
+        new = FakeDiscovery()
         self.addCleanup(new.close)
         running = self.program()
-        text = json.dumps({**running.told, "discovery": new.address})
+        text = json.dumps({**running.config, "discovery": new.address})
         with open(running.path, "w", encoding="utf-8") as target:
             target.write(text[: len(text) // 2])
             target.flush()
             running.process.send_signal(signal.SIGHUP)
             self.assertRegex(
-                running.logged("configuration rejected")["error"], "^NODE_CONFIG: is not valid JSON"
+                running.wait_for_log("configuration rejected")["error"],
+                "^NODE_CONFIG: is not valid JSON",
             )
             target.write(text[len(text) // 2 :])
         running.process.send_signal(signal.SIGHUP)
-        self.assertEqual(running.logged("configuration reloaded")["discovery"], new.address)
-        new.asked.get(timeout=PATIENCE)
+        self.assertEqual(running.wait_for_log("configuration reloaded")["discovery"], new.address)
+        new.stream_requests.get(timeout=TIMEOUT_SECONDS)
 
 
 if __name__ == "__main__":
