--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -174,7 +174,7 @@
         self.known_starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
         self.overrun = 0.0
 
-    def _record_breach(self, rule: Rule, now: Ticks, text: str) -> None:
+    def _broke(self, rule: Rule, now: Ticks, text: str) -> None:
         self.broken.append(Breach(rule, now, text))
 
     # What instances learn.
@@ -205,21 +205,21 @@
 
     def answered(self, now: Ticks, instance: int, name: str, how: Answer) -> None:
         """Records and checks the answer to a request."""
-        held = self.open.pop((instance, name), None)
-        if held is None:
-            again = (instance, name) in self.over
-            self._record_breach(
-                Rule.ONE_ANSWER, now, f"{name}: {'a second answer' if again else 'never taken'}"
+        open_request = self.open.pop((instance, name), None)
+        if open_request is None:
+            answered_before = (instance, name) in self.over
+            self._broke(
+                Rule.ONE_ANSWER,
+                now,
+                f"{name}: {'a second answer' if answered_before else 'never taken'}",
             )
             return
-        lane, ends = held
+        lane, ends = open_request
         self.over[instance, name] = how
         if now > ends + self.slack:
-            self._record_breach(Rule.ONE_ANSWER, now, f"{name}: answered {now - ends} late")
+            self._broke(Rule.ONE_ANSWER, now, f"{name}: answered {now - ends} late")
         if how == Answer.DEFERRED and self._may_have_run(now, instance, name, lane):
-            self._record_breach(
-                Rule.NO_UNSAFE_REPEAT, now, f"{name}: deferred though it may have run"
-            )
+            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: deferred though it may have run")
 
     def _possibly_run(self, instance: int, name: str) -> list[Sent]:
         """Returns the attempts that ran or may have run."""
@@ -256,7 +256,7 @@
         """Records the end of the day: open requests past their deadline were lost."""
         for (_, name), (_, ends) in self.open.items():
             if now > ends + self.slack:
-                self._record_breach(Rule.ONE_ANSWER, now, f"{name}: no answer")
+                self._broke(Rule.ONE_ANSWER, now, f"{name}: no answer")
 
     def sent(
         self,
@@ -288,13 +288,13 @@
         """
         learned = self.gone_since[instance].get(pod)
         if learned is not None and now > learned + self.grace:
-            self._record_breach(
+            self._broke(
                 Rule.DRAINED, now, f"{name}: to {pod} {now - learned} after it was told gone"
             )
         self._check_repeat(now, instance, name, lane)
         self.attempts_of[instance, name].append(Sent(now))
         if (instance, name) in self.over:
-            self._record_breach(Rule.ONE_ANSWER, now, f"{name}: sent after its answer")
+            self._broke(Rule.ONE_ANSWER, now, f"{name}: sent after its answer")
         self._check_trial(now, instance, name, build, lane=lane, key=key)
         if started and now < started + self.cold:
             informed = self.known_starts[instance].get(pod) == started
@@ -308,14 +308,12 @@
             return
         idempotency = self.lanes[lane].idempotency
         if idempotency == Idempotency.NON_IDEMPOTENT:
-            self._record_breach(
-                Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again though it may have run"
-            )
+            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again though it may have run")
         if (
             idempotency == Idempotency.KEYED
             and now > earlier[0].at + self.lanes[lane].deduplication_window
         ):
-            self._record_breach(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again after its window")
+            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again after its window")
 
     def _check_trial(
         self, now: Ticks, instance: int, name: str, build: int, *, lane: str, key: str | None
@@ -330,7 +328,7 @@
             and self.key_builds[instance][key] == newest > build
             and told.phase in (Phase.TRIAL, Phase.RELEASED)
         ):
-            self._record_breach(
+            self._broke(
                 Rule.EXPOSURE,
                 now,
                 f"{name}: its key was answered by build {newest} and goes to {build}",
@@ -338,7 +336,7 @@
         if build != newest or told.phase != Phase.TRIAL:
             return
         if told.stage < self.guarded and self.lanes[lane].idempotency != Idempotency.IDEMPOTENT:
-            self._record_breach(Rule.EXPOSURE, now, f"{name}: {lane} in guarded stage {told.stage}")
+            self._broke(Rule.EXPOSURE, now, f"{name}: {lane} in guarded stage {told.stage}")
         self._check_exposure(now, instance, name, told, lane if self.by_lane else "")
 
     def _check_exposure(
@@ -358,7 +356,7 @@
         ]
         highest = max([*recent, told.cap])
         if within > self.allowance + highest * known + EXPOSURE_ROUNDING:
-            self._record_breach(
+            self._broke(
                 Rule.EXPOSURE,
                 now,
                 f"{name}: {within} deliveries to build {told.build}, {self.allowance} and "
@@ -379,7 +377,7 @@
         self.overrun = max(self.overrun, total / allowed)
         # The instances are at fault if two thirds of the work came from those that knew the start.
         if total > allowed and known >= total * 2 / 3:
-            self._record_breach(
+            self._broke(
                 Rule.WARMUP,
                 now,
                 f"{pod}: {total:.0f} of work in {self.overload}, {overload_work:.0f} push it over",
@@ -400,7 +398,7 @@
             self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT
             and len(self.executions[name]) > 1
         ):
-            self._record_breach(
+            self._broke(
                 Rule.NO_UNSAFE_REPEAT, now, f"{name}: ran {len(self.executions[name])} times"
             )
 
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -94,12 +94,13 @@
         super()._send(instance, life, action)
 
     def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
-        held = self.requests.get((instance, name))
-        if held is not None:
+        request = self.requests.get((instance, name))
+        if request is not None:
             self.how[answer][self._period()] += 1
             if answer == Answer.DONE:
                 self.took[self._period()].append(
-                    (self.now - held.first_asked_at) / self.lanes[held.lane].lane.latency_objective
+                    (self.now - request.first_asked_at)
+                    / self.lanes[request.lane].lane.latency_objective
                 )
         super()._answer(instance, name, answer, wait)
 
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -92,27 +92,27 @@
 
     def _add(self, pod: Server) -> None:
         self.pods[pod.name] = pod
-        self.tell(self.entry(pod))
+        self.announce(self.entry(pod))
 
-    def up(self, wanted: Callable[[Server], bool]) -> list[Server]:
+    def up(self, predicate: Callable[[Server], bool]) -> list[Server]:
         """Returns the servers that are up, not draining, and satisfy the predicate."""
-        return [pod for pod in self.pods.values() if pod.state == PodState.UP and wanted(pod)]
+        return [pod for pod in self.pods.values() if pod.state == PodState.UP and predicate(pod)]
 
-    def drain(self, wanted: Callable[[Server], bool]) -> None:
+    def drain(self, predicate: Callable[[Server], bool]) -> None:
         """Begins to drain the servers that satisfy the predicate; they are removed later."""
         simulator = self.simulator
-        leaving = self.up(wanted)
+        leaving = self.up(predicate)
         for pod in leaving:
             pod.state = PodState.DRAINING
             simulator.at(simulator.now + simulator.day.gone_after, self._remove, pod)
         if leaving:
-            self.tell(*(self.entry(pod) for pod in leaving))
+            self.announce(*(self.entry(pod) for pod in leaving))
 
     def _remove(self, pod: Server) -> None:
         pod.state = PodState.DOWN
         self._drop_connections(pod.name)
         self.former[pod.name] = self.pods.pop(pod.name, pod)
-        self.tell(self.entry(pod, EndpointCondition.GONE))
+        self.announce(self.entry(pod, EndpointCondition.GONE))
 
     def lose_zone(self, zone: str) -> None:
         """Makes all servers of a zone unresponsive."""
@@ -126,7 +126,7 @@
         day = self.simulator.day
         for pod in self.up(lambda pod: pod.zone == zone):
             pod.silent = False
-            fresh: Server = Pod(
+            restarted: Server = Pod(
                 pod.name,
                 pod.zone,
                 cores=pod.cores,
@@ -139,10 +139,10 @@
             )
             pod.state = PodState.DOWN
             self._drop_connections(pod.name)
-            self._add(fresh)
+            self._add(restarted)
 
     def _drop_connections(self, name: str) -> None:
-        self.simulator.connections.close_idle(lambda key: key[2] == name)
+        self.simulator.connections.drop(lambda key: key[2] == name)
 
     # Endpoint lists.
 
@@ -172,7 +172,7 @@
         listed = (PodState.UP, PodState.DRAINING)
         return tuple(self.entry(pod) for pod in self.pods.values() if pod.state in listed)
 
-    def tell(self, *entries: Endpoint) -> None:
+    def announce(self, *entries: Endpoint) -> None:
         """Sends changes at once, or batched if the day sets an interval for lists."""
         simulator = self.simulator
         if not simulator.day.list_every:
@@ -197,13 +197,13 @@
         simulator = self.simulator
         if not simulator.runs(instance) or not simulator.has_watch(instance):
             return
-        told = tuple(
+        delivered = tuple(
             entry
             for entry in entries
             if entry.condition != EndpointCondition.READY or entry.address in self.pods
         )
-        self.record_told(instance, told)
-        simulator.tell(instance, EndpointUpdate(UpdateKind.DELTA, told))
+        self.record_told(instance, delivered)
+        simulator.tell(instance, EndpointUpdate(UpdateKind.DELTA, delivered))
 
     def record_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
         """Reports to the checker what an instance is told."""
--- a/thymeknot/simulation/servers.py
+++ b/thymeknot/simulation/servers.py
@@ -177,7 +177,7 @@
         self.waiting_work += job.work
         return None
 
-    def could_start_within(self, now: float, goal: float) -> bool:
+    def fits(self, now: float, goal: float) -> bool:
         """Returns whether a job that arrived now would start within `goal` ticks."""
         return (
             self.state == PodState.UP
@@ -188,10 +188,10 @@
 
     def _start_job(self, now: float, job: JobT) -> Ticks:
         self.busy += 1
-        slow = self.build.slow if self.build.strikes(self, now, job.lane) else 1.0
-        took = job.work * slow / (self.speed * self.warmth(now))
-        self.worked_ticks += took
-        return max(1, round(took))
+        slowdown = self.build.slow if self.build.strikes(self, now, job.lane) else 1.0
+        service_time = job.work * slowdown / (self.speed * self.warmth(now))
+        self.worked_ticks += service_time
+        return max(1, round(service_time))
 
     def finish(self, now: float) -> tuple[JobT, Ticks] | None:
         """Finishes a job and starts the next one from the queue.
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -101,8 +101,8 @@
     def _next(self) -> None:
         self.at(self.now() + self.answer_interval, self._next)
         if self.waiting:
-            since, end = self.waiting.popleft()
-            good = self.now() <= since + MAX_CALL_WAIT
+            queued_at, end = self.waiting.popleft()
+            good = self.now() <= queued_at + MAX_CALL_WAIT
             self.refused += not good
             end(good)
 
@@ -128,7 +128,7 @@
         rate: float,
         at: Schedule,
         now: Callable[[], Ticks],
-        told: Callable[[int, int, bool], bool],
+        deliver: Callable[[int, int, bool], bool],
     ) -> None:
         """Starts the service.
 
@@ -136,11 +136,11 @@
             rate: Answers per second.
             at: Schedules a call.
             now: Returns the current time.
-            told: `told(instance, life, complete)` returns whether this life of the instance still
-                runs, and delivers the list to it if `complete` is true.
+            deliver: `deliver(instance, life, complete)` returns whether this life of the instance
+                still runs, and delivers the list to it if `complete` is true.
         """
         super().__init__(rate, at, now)
-        self.told = told
+        self.deliver = deliver
         self.standing: dict[int, int] = {}
 
     def begin(self, instance: int, life: int, pace: PollInterval, asking: int) -> None:
@@ -163,12 +163,12 @@
             if good and watch:
                 self.standing[poller.instance] = poller.life
             if good:
-                self.told(poller.instance, poller.life, True)
+                self.deliver(poller.instance, poller.life, True)
             elif watch or self.standing.get(poller.instance) != poller.life:
                 wait = self._wait_after_refusal(poller.pace, watch)
                 self.at(self.now() + wait, self._ask, poller, watch)
 
-        if self.told(poller.instance, poller.life, False):  # otherwise it has stopped since
+        if self.deliver(poller.instance, poller.life, False):  # otherwise it has stopped since
             self.call(ended)
 
     @staticmethod
@@ -186,15 +186,15 @@
     """The connections of all instances to all servers.
 
     Attributes:
-        most: Maximum number of connections per server; 0 for no limit.
+        max_per_server: Maximum number of connections per server; 0 for no limit.
         idle: Times since which the idle connections have been idle, by key.
         held: Number of open connections, by server.
         made: Number of connections opened.
         refused: Number of connections refused because of the limit.
     """
 
-    def __init__(self, most: int) -> None:
-        self.most = most
+    def __init__(self, max_per_server: int) -> None:
+        self.max_per_server = max_per_server
         self.idle: dict[ConnectionKey, list[Ticks]] = {}
         self.held: dict[str, int] = {}
         self.made = 0
@@ -207,7 +207,11 @@
             if now <= idle.pop() + IDLE_TIMEOUT:
                 return True
             self.held[pod] -= 1
-        if self.most and self.held.get(pod, 0) >= self.most and not self._expire(now, pod):
+        if (
+            self.max_per_server
+            and self.held.get(pod, 0) >= self.max_per_server
+            and not self._expire(now, pod)
+        ):
             self.refused += 1
             return False
         self.held[pod] = self.held.get(pod, 0) + 1
@@ -223,14 +227,14 @@
                 idle[:] = [at for at in idle if now <= at + IDLE_TIMEOUT]
         return self.held[pod] < before
 
-    def release(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
+    def give(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
         """Returns a connection after an attempt: it becomes idle if good, else it is closed."""
         if good and key in self.idle:
             self.idle[key].append(now)
         else:
             self.held[pod] -= 1
 
-    def close_idle(self, gone: Callable[[ConnectionKey], bool]) -> None:
+    def drop(self, gone: Callable[[ConnectionKey], bool]) -> None:
         """Closes the idle connections of all keys for which `gone` returns true."""
         for key in [key for key in self.idle if gone(key)]:
             self.held[key[2]] -= len(self.idle.pop(key))
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -60,17 +60,17 @@
     """Counted attempts of one build and request class in one period.
 
     Attributes:
-        seen: Number of attempts that ended.
+        finished: Number of attempts that ended.
         failed: Number of attempts that failed.
-        took: Total latency of the successful attempts, in ticks.
+        total_latency: Total latency of the successful attempts, in ticks.
     """
 
-    __slots__ = ("failed", "seen", "took")
+    __slots__ = ("failed", "finished", "total_latency")
 
     def __init__(self) -> None:
-        self.seen = 0
+        self.finished = 0
         self.failed = 0
-        self.took: Ticks = 0
+        self.total_latency: Ticks = 0
 
 
 class CountsRow(NamedTuple):
@@ -105,8 +105,8 @@
         """
         day = simulator.day
         self.simulator = simulator
-        last = len(day.terms.stage_fractions) - 1
-        self.state = ReleaseState(FIRST_BUILD, last, ReleasePhase.RELEASED, 1.0)
+        last_stage = len(day.terms.stage_fractions) - 1
+        self.state = ReleaseState(FIRST_BUILD, last_stage, ReleasePhase.RELEASED, 1.0)
         self.builds = {FIRST_BUILD: Build(FIRST_BUILD)}
         self.trial_share = 0.0
         self.news_delay: Ticks = 0
@@ -186,9 +186,9 @@
         if self._sample_draws.next() >= day.tally_share:
             return
         counted = self._counted.setdefault((attempt.build, attempt.lane), CountedAttempts())
-        counted.seen += 1
+        counted.finished += 1
         if outcome == Outcome.DONE:
-            counted.took += self.simulator.now - attempt.sent_at
+            counted.total_latency += self.simulator.now - attempt.sent_at
         else:
             counted.failed += 1
 
@@ -199,9 +199,9 @@
             CountsRow(
                 build,
                 lane,
-                counted.seen,
+                counted.finished,
                 counted.failed,
-                round(counted.took / max(1, counted.seen - counted.failed)),
+                round(counted.total_latency / max(1, counted.finished - counted.failed)),
             )
             for (build, lane), counted in sorted(self._counted.items())
         ]
@@ -246,9 +246,9 @@
         build, stage = self.state.build, self.state.stage
         simulator.results.add_course(simulator.now, build, CourseEvent.STAGE)
         self.announce()
-        wanted = max(1, round(day.terms.stage_fractions[stage] * day.pods))
+        server_count = max(1, round(day.terms.stage_fractions[stage] * day.pods))
         running = sum(pod.build.number == build for pod in simulator.servers.pods.values())
-        places = range(running, wanted)
+        places = range(running, server_count)
         spread = day.boot_spread
         boot_delays = [
             int(day.boot * (1 - spread + 2 * spread * simulator.misc.random())) for _ in places
@@ -291,9 +291,11 @@
         self.announce()
         # Servers of the earlier build that have already left are started again first.
         earlier = simulator.servers.up(lambda pod: pod.build.number < build)
-        last = max((number for number in self.builds if number < build), default=FIRST_BUILD)
+        previous_build = max(
+            (number for number in self.builds if number < build), default=FIRST_BUILD
+        )
         for place in range(len(earlier), simulator.day.pods):
-            simulator.servers.start(f"p{place}-{build}r", place, self.builds[last])
+            simulator.servers.start(f"p{place}-{build}r", place, self.builds[previous_build])
         simulator.servers.drain(lambda pod: pod.build.number == build)
         simulator.at(simulator.now + WITHDRAWAL_DELAY, self._withdraw, build)
 
@@ -306,20 +308,18 @@
 
     def vote(self, instance: int, life: int, vote: CastVote) -> None:
         """Handles a vote that reaches the platform; the instance learns the outcome later."""
-        simulator, asked = self.simulator, self.simulator.results.votes_asked
+        simulator, vote_calls = self.simulator, self.simulator.results.votes_asked
         cut_off = simulator.lives[instance] != life or simulator.is_off_platform(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
             wait = simulator.day.terms.vote_timeout
-            simulator.at(
-                simulator.now + wait, self._deliver_vote_outcome, instance, life, Outcome.TIMED_OUT
-            )
+            simulator.at(simulator.now + wait, self._told_vote, instance, life, Outcome.TIMED_OUT)
             return
-        asked["asked"] += 1
+        vote_calls["asked"] += 1
         if not self._accept_call():
-            asked["full"] += 1
+            vote_calls["full"] += 1
             simulator.at(
                 simulator.now + ANSWER_DELAY,
-                self._deliver_vote_outcome,
+                self._told_vote,
                 instance,
                 life,
                 Outcome.REJECTED,
@@ -330,18 +330,16 @@
             self._votes[instance] = StandingVote(vote.verdict, simulator.now)
             self._count_votes(vote.build, self.state.stage)
         else:
-            asked["moot"] += 1
+            vote_calls["moot"] += 1
         outcome = Outcome.DONE if is_relevant else Outcome.NOT_SENT
-        simulator.at(
-            simulator.now + ANSWER_DELAY, self._deliver_vote_outcome, instance, life, outcome
-        )
+        simulator.at(simulator.now + ANSWER_DELAY, self._told_vote, instance, life, outcome)
 
     def _accept_call(self) -> bool:
         """Returns whether the rate limit allows one more call, and counts the call if so."""
         simulator = self.simulator
         rate = simulator.day.terms.votes_per_second
-        earned = (simulator.now - self._calls_at) * rate / TICKS_PER_SECOND
-        self._calls = min(VOTE_BURST_SECONDS * rate, self._calls + earned)
+        refill = (simulator.now - self._calls_at) * rate / TICKS_PER_SECOND
+        self._calls = min(VOTE_BURST_SECONDS * rate, self._calls + refill)
         self._calls_at = simulator.now
         if self._calls < 1 or self.call_fault == REFUSED_CALLS:
             return False
@@ -356,7 +354,7 @@
             and state.phase in OPEN_PHASES
         )
 
-    def _deliver_vote_outcome(self, instance: int, life: int, outcome: Outcome) -> None:
+    def _told_vote(self, instance: int, life: int, outcome: Outcome) -> None:
         if self.simulator.lives[instance] == life:
             self.told(instance, self.state, True, outcome)
 
@@ -383,12 +381,12 @@
             self._promote()
 
     def _promote(self) -> None:
-        following = self.state.stage + 1
+        next_stage = self.state.stage + 1
         caps = self.simulator.day.caps
-        if following >= len(caps):
+        if next_stage >= len(caps):
             self._release()
             return
-        self.state = self.state._replace(stage=following, cap=caps[following])
+        self.state = self.state._replace(stage=next_stage, cap=caps[next_stage])
         self._begin_stage()
 
 
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -113,7 +113,7 @@
         self._policy = policy
         self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
         self._sequence = 0  # numbers scheduled calls and requests
-        self._busy = list(accumulate(day.busy))
+        self._cumulative_busy = list(accumulate(day.busy))
         self._answered_at: dict[
             ConnectionKey, Ticks
         ] = {}  # time of the last answer, by connection key
@@ -207,7 +207,7 @@
         self.engines[instance] = None
         self.lives[instance] += 1
         self.checker.killed(self.now, instance)
-        self.connections.close_idle(lambda key: key[0] == instance)
+        self.connections.drop(lambda key: key[0] == instance)
         for key in [key for key in self.requests if key[0] == instance]:
             del self.requests[key]
         self.at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
@@ -259,10 +259,10 @@
             self.tell(instance, TimerFired(token))
 
     def _cancel(self, instance: int, action: CancelAttempt) -> None:
-        held = self.requests.get((instance, action.id))
-        if held is not None and action.number < len(held.attempts):
-            attempt = held.attempts[action.number]
-            self.at(self.now, self._end, attempt, Outcome.CANCELLED, None)
+        request = self.requests.get((instance, action.id))
+        if request is not None and action.number < len(request.attempts):
+            attempt = request.attempts[action.number]
+            self.at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
 
     def _vote(self, instance: int, life: int, vote: CastVote) -> None:
         self.platform.vote(instance, life, vote)
@@ -275,7 +275,9 @@
             return
         gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.burst)
         self.at(self.now + max(1, round(gap)), self._arrive)
-        instance = min(day.instances - 1, bisect_right(self._busy, self._arrival_draws.next()))
+        instance = min(
+            day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
+        )
         lane = self._draw_lane().lane
         if lane.idempotency == Idempotency.NON_IDEMPOTENT:
             key = f"b{self._sequence}"
@@ -327,52 +329,52 @@
             wait: Time after which the client may try again, in ticks.
         """
         self.checker.answered(self.now, instance, name, answer)
-        held = self.requests.get((instance, name))
-        if held is None:
+        request = self.requests.get((instance, name))
+        if request is None:
             return
         self.results.add_answer(answer)
-        lane = self.lanes[held.lane].lane
+        lane = self.lanes[request.lane].lane
         if answer == Answer.DONE:
-            self.results.add_done(self.now, held.first_asked_at, lane, held.attempts[-1].build)
+            self.results.add_done(
+                self.now, request.first_asked_at, lane, request.attempts[-1].build
+            )
         else:
-            self._handle_unserved(instance, held, answer, wait)
-        if held.is_over():
+            self._handle_unserved(instance, request, answer, wait)
+        if request.is_over():
             del self.requests[instance, name]
 
     def _handle_unserved(
-        self, instance: int, held: SimulatedRequest, answer: Answer, wait: Ticks
+        self, instance: int, request: SimulatedRequest, answer: Answer, wait: Ticks
     ) -> None:
-        if not held.attempts:
+        if not request.attempts:
             second = self.results.at(self.now)
             second.rejected += 1
-            objective = self.lanes[held.lane].lane.latency_objective
+            objective = self.lanes[request.lane].lane.latency_objective
             second.needless += self._had_capacity(instance, objective)
-        if answer == Answer.DEFERRED and held.earlier_tries < self.day.retries:
+        if answer == Answer.DEFERRED and request.earlier_tries < self.day.retries:
             delay = wait if self._client_draws.next() < self.day.heeds else RETRY_DELAY
             again = SimulatedRequest(
-                held.lane,
-                held.key,
-                held.tenant,
-                held.first_asked_at,
-                held.deadline,
-                held.earlier_tries + 1,
-                held.work,
+                request.lane,
+                request.key,
+                request.tenant,
+                request.first_asked_at,
+                request.deadline,
+                request.earlier_tries + 1,
+                request.work,
             )
             self.at(self.now + max(1, delay), self._ask, instance, again)
 
     def _had_capacity(self, instance: int, objective: Ticks) -> bool:
         """Returns whether enough reachable servers of earlier or released builds had room."""
         state = self.platform.state
-        usual = self.servers.up(
+        eligible = self.servers.up(
             lambda pod: (
                 self._reaches(instance, pod)
                 and (pod.build.number < state.build or state.phase == ReleasePhase.RELEASED)
             )
         )
-        roomy = sum(
-            pod.could_start_within(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in usual
-        )
-        return roomy > MIN_ROOMY_SERVER_RATIO * len(usual)
+        with_room = sum(pod.fits(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in eligible)
+        return with_room > MIN_ROOMY_SERVER_RATIO * len(eligible)
 
     # The network.
 
@@ -383,13 +385,17 @@
         """Returns whether an instance reaches a server; zones that are cut off reach themselves."""
         if not self.cut_zones:
             return True
-        here = self._zone_of(instance)
-        return here == pod.zone or not self.cut_zones & {here, pod.zone}
+        own_zone = self._zone_of(instance)
+        return own_zone == pod.zone or not self.cut_zones & {own_zone, pod.zone}
 
     def is_off_platform(self, instance: int) -> bool:
         """Returns whether an instance cannot reach the platform, which is in the first zone."""
-        here, there = self._zone_of(instance), self.day.zones[0]
-        return bool(self.cut_zones) and here != there and bool(self.cut_zones & {here, there})
+        own_zone, platform_zone = self._zone_of(instance), self.day.zones[0]
+        return (
+            bool(self.cut_zones)
+            and own_zone != platform_zone
+            and bool(self.cut_zones & {own_zone, platform_zone})
+        )
 
     def _one_way(self) -> Ticks:
         """Draws the one-way delay of a message."""
@@ -401,12 +407,12 @@
         # An instance with an outdated list may send to a server that is gone and never answers.
         servers = self.servers
         pod = servers.pods.get(action.endpoint) or servers.former.get(action.endpoint)
-        held = self.requests.get((instance, action.id))
-        attempt = self._new_attempt(instance, life, action, held, pod)
-        if held is None or pod is None:
-            self.at(self.now, self._end, attempt, Outcome.NOT_SENT, False)
+        request = self.requests.get((instance, action.id))
+        attempt = self._new_attempt(instance, life, action, request, pod)
+        if request is None or pod is None:
+            self.at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
             return
-        held.attempts.append(attempt)
+        request.attempts.append(attempt)
         self.results.add_attempt(pod.name)
         self.checker.sent(
             self.now,
@@ -414,13 +420,13 @@
             action.id,
             pod.name,
             attempt.build,
-            lane=held.lane,
-            key=held.key,
-            work=held.work,
+            lane=request.lane,
+            key=request.key,
+            work=request.work,
             started=pod.started,
             capacity=pod.cores * pod.speed,
         )
-        ends = min(self.now + action.timeout, held.deadline)
+        ends = min(self.now + action.timeout, request.deadline)
         if pod.silent or not self._reaches(instance, pod):
             self._send_unanswered(attempt, ends)
         else:
@@ -431,17 +437,17 @@
         instance: int,
         life: int,
         action: SendAttempt,
-        held: SimulatedRequest | None,
+        request: SimulatedRequest | None,
         pod: Server | None,
     ) -> SimulatedAttempt:
         return SimulatedAttempt(
             instance,
             life,
             action.id,
-            len(held.attempts) if held else action.number,
-            held.lane if held else "",
-            held.key if held else "",
-            held.work if held else 1.0,
+            len(request.attempts) if request else action.number,
+            request.lane if request else "",
+            request.key if request else "",
+            request.work if request else 1.0,
             self.now,
             action.endpoint,
             pod.build.number if pod else 0,
@@ -454,9 +460,9 @@
         """
         if self.now - self._answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
+            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
         else:
-            self.at(ends, self._end, attempt, Outcome.TIMED_OUT, None)
+            self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
 
     def _connect(self, attempt: SimulatedAttempt, pod: Server, ends: Ticks) -> None:
         made = self.connections.made
@@ -466,28 +472,28 @@
         self.platform.update_trial_share(attempt.build)
         if not attempt.has_connection:
             refused_at = min(ends, self.now + REFUSAL_DELAY)
-            self.at(refused_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
+            self.at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
         if self._loss_draws.next() < self.loss or pod.state == PodState.DOWN:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
+            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        self.at(ends, self._end, attempt, Outcome.TIMED_OUT, None)
-        way = self._delays.next()
+        self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+        one_way_delay = self._delays.next()
         if self.day.handshake and is_new:
-            way *= NEW_CONNECTION_TRIPS
+            one_way_delay *= NEW_CONNECTION_TRIPS
             attempt.work += self.day.handshake * (0.5 + self._sample_draws.next())
-        self.at(self.now + max(1, round(way)), self._reach, attempt)
+        self.at(self.now + max(1, round(one_way_delay)), self._arrive_at_server, attempt)
 
-    def _reach(self, attempt: SimulatedAttempt) -> None:
+    def _arrive_at_server(self, attempt: SimulatedAttempt) -> None:
         """Handles the arrival of an attempt at its server."""
         pod = self.servers.pods.get(attempt.pod)
         attempt.work *= self.slow_all * self.platform.slowdown_factor()
-        took = pod.take(self.now, attempt) if pod else False
-        if took is False:
-            self.at(self.now + self._one_way(), self._end, attempt, Outcome.REJECTED, False)
-        elif took is not None:
-            self.at(self.now + took, self._served, pod, attempt)
+        service_time = pod.take(self.now, attempt) if pod else False
+        if service_time is False:
+            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False)
+        elif service_time is not None:
+            self.at(self.now + service_time, self._served, pod, attempt)
 
     def _served(self, pod: Server, attempt: SimulatedAttempt) -> None:
         """Finishes the work of an attempt at its server."""
@@ -504,11 +510,13 @@
         if pod.silent or not self._reaches(attempt.instance, pod):
             return
         if self.lost_answers and self._failure_draws.next() < self.lost_answers:
-            self.at(self.now + self._one_way(), self._end, attempt, Outcome.RESET, None)
+            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.RESET, None)
             return
         self._answered_at[_connection_key(attempt)] = self.now
         outcome = Outcome.ERROR if fails else Outcome.DONE
-        self.at(self.now + self._one_way(), self._end, attempt, outcome, None if fails else True)
+        self.at(
+            self.now + self._one_way(), self._end_attempt, attempt, outcome, None if fails else True
+        )
 
     def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
         """Draws whether an attempt fails at its server and counts the harm done."""
@@ -521,7 +529,7 @@
             self.results.harm += lane.priority_weight
         return fails
 
-    def _end(self, attempt: SimulatedAttempt, outcome: Outcome, ran: bool | None) -> None:
+    def _end_attempt(self, attempt: SimulatedAttempt, outcome: Outcome, ran: bool | None) -> None:
         """Ends an attempt; only the first call for an attempt has an effect.
 
         Args:
@@ -535,14 +543,14 @@
         instance = attempt.instance
         if attempt.has_connection:
             is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
-            self.connections.release(self.now, _connection_key(attempt), attempt.pod, is_good)
+            self.connections.give(self.now, _connection_key(attempt), attempt.pod, is_good)
         if self.lives[instance] != attempt.life or not self.runs(instance):
             return
         if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self.platform.sample_attempt(attempt, outcome)
-        held = self.requests.get((instance, attempt.name))
+        request = self.requests.get((instance, attempt.name))
         is_answered = self._is_answered(attempt)
-        if held is not None and attempt in held.attempts:
+        if request is not None and attempt in request.attempts:
             self.checker.proved(instance, attempt.name, attempt.number, ran)
         if outcome == Outcome.DONE:
             self.checker.key_answered(instance, attempt.key, attempt.build)
@@ -558,7 +566,7 @@
             None,
         )
         self.tell(instance, ended)
-        if held is not None and self._is_answered(attempt) and held.is_over():
+        if request is not None and self._is_answered(attempt) and request.is_over():
             self.requests.pop((instance, attempt.name), None)
 
     def _is_answered(self, attempt: SimulatedAttempt) -> bool:
@@ -569,8 +577,8 @@
     def disagreements(self) -> list[Disagreement]:
         """Returns the instances whose count of attempts in flight is wrong."""
         in_flight = dict.fromkeys(range(self.day.instances), 0)
-        for (instance, _), held in self.requests.items():
-            in_flight[instance] += sum(not attempt.has_ended for attempt in held.attempts)
+        for (instance, _), request in self.requests.items():
+            in_flight[instance] += sum(not attempt.has_ended for attempt in request.attempts)
         found = []
         for instance, engine in self.engines.items():
             if engine is None:
