--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -22,11 +22,10 @@
 # Values of the call fault: calls get no answer, or are rejected.
 SILENT_CALLS = 0.0
 REFUSED_CALLS = 1.0
-VOTE_BURST_SECONDS = 2  # capacity of the token bucket for votes
+VOTE_BURST_SECONDS = 2  # capacity of the token bucket for votes, in seconds of its rate
 WITHDRAWAL_DELAY = 2 * TICKS_PER_SECOND  # ticks from the start of a rollback
-BOOT_MARGIN = (
-    TICKS_PER_SECOND  # ticks between the slowest server start and the start of the stage's clock
-)
+# Ticks between the slowest server start and the start of the stage's clock.
+BOOT_MARGIN = TICKS_PER_SECOND
 ZONE_RETRY_DELAY = TICKS_PER_SECOND  # ticks until a server start in a lost zone is retried
 TRIAL_SHARE_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
 
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -114,9 +114,8 @@
         self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
         self._sequence = 0  # numbers scheduled calls and requests
         self._cumulative_busy = list(accumulate(day.busy))
-        self._answered_at: dict[
-            ConnectionKey, Ticks
-        ] = {}  # time of the last answer, by connection key
+        # Time of the last answer, by connection key.
+        self._answered_at: dict[ConnectionKey, Ticks] = {}
         self._draw_streams()
         self.checker = self._new_checker()
         self.platform = SimulatedPlatform(self, self._sample_draws)
