--- a/thymeknot/decision_log/fair_eviction.py
+++ b/thymeknot/decision_log/fair_eviction.py
@@ -1,62 +1,65 @@
-"""Which slot of a full region is used again: the oldest of the holder that holds the most.
+"""Chooses the slot to reuse in a full region: the oldest slot of the holder with the most slots.
 
-Every step takes constant time, however many holders there are; measure/why.py compares it with a
-search through all holders.
+Each operation takes constant time, regardless of the number of holders; measure/why.py compares
+this with a linear search.
 """
 
 from collections import OrderedDict, deque
 from typing import Optional
 
 Holder = Optional[str]
-"""A tenant, or None for entries without one."""
+"""A tenant, or None for entries without a tenant."""
 
 
 class FairEviction:
-    """Slots by holder, and holders by how many slots they hold.
+    """Slots by holder, and holders by their number of slots.
 
     Attributes:
-        held: The slots of each holder, the oldest first.
-        by_count: The holders of each number of slots, in the order in which they came to hold it.
-        most: The highest number of slots that any holder holds.
+        slots_by_holder: The slots of each holder, oldest first.
+        holders_by_count: The holders by number of slots, in the order in which they reached it.
+        max_count: The highest number of slots of any holder.
     """
 
     def __init__(self) -> None:
-        self.held: dict[Holder, deque[int]] = {}
-        self.by_count: dict[int, OrderedDict[Holder, None]] = {0: OrderedDict()}
-        self.most = 0
+        self.slots_by_holder: dict[Holder, deque[int]] = {}
+        self.holders_by_count: dict[int, OrderedDict[Holder, None]] = {0: OrderedDict()}
+        self.max_count = 0
 
     def __len__(self) -> int:
-        return sum(map(len, self.held.values()))
+        return sum(map(len, self.slots_by_holder.values()))
 
     def add(self, holder: Holder, slot: int) -> None:
-        """Records that a holder holds one more slot."""
-        slots = self.held.get(holder)
+        """Adds a slot to a holder."""
+        slots = self.slots_by_holder.get(holder)
         if slots is None:
-            slots = self.held[holder] = deque()
-        self._move(holder, len(slots), len(slots) + 1)
+            slots = self.slots_by_holder[holder] = deque()
+        self._update_count(holder, len(slots), len(slots) + 1)
         slots.append(slot)
 
-    def _move(self, holder: Holder, before: int, after: int) -> None:
+    def _update_count(self, holder: Holder, before: int, after: int) -> None:
         if before:
-            holders = self.by_count[before]
+            holders = self.holders_by_count[before]
             del holders[holder]
             if not holders:
-                del self.by_count[before]
+                del self.holders_by_count[before]
         if after:
-            self.by_count.setdefault(after, OrderedDict())[holder] = None
-        if after > self.most or (before == self.most and before not in self.by_count):
-            self.most = after
+            self.holders_by_count.setdefault(after, OrderedDict())[holder] = None
+        if after > self.max_count or (
+            before == self.max_count and before not in self.holders_by_count
+        ):
+            self.max_count = after
 
     def evict(self) -> int:
-        """Releases the slot to use again.
+        """Removes and returns the slot to reuse.
 
         Returns:
-            The oldest slot of the holder with the most; of equals, the first to grow so large.
+            The oldest slot of the holder with the most slots. Among holders with equally many, the
+            first to reach that number is chosen.
         """
-        holder = next(iter(self.by_count[self.most]))
-        slots = self.held[holder]
+        holder = next(iter(self.holders_by_count[self.max_count]))
+        slots = self.slots_by_holder[holder]
         slot = slots.popleft()
-        self._move(holder, len(slots) + 1, len(slots))
+        self._update_count(holder, len(slots) + 1, len(slots))
         if not slots:
-            del self.held[holder]
+            del self.slots_by_holder[holder]
         return slot
