--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -1,7 +1,8 @@
-"""Checkers of the five rules.
+"""Checks the five rules (invariants) that the instances of a fleet must keep.
 
-They see what an instance learned, received, sent and answered, and share no code with what they
-check: plain lists of moments, no sliding windows. Times are ticks (tenths of a millisecond).
+The checker is told what each instance learned, received, sent and answered. It shares no code with
+what it checks: it keeps plain lists of times instead of sliding windows. Times are in ticks (tenths
+of a millisecond).
 """
 
 from bisect import bisect_left
@@ -15,31 +16,31 @@
 from ..interface.enums import Idempotency
 from ..interface.settings import RequestClass
 
-# Rounding of the exposure's bound.
+# Tolerance for rounding errors in the exposure bound.
 EXPOSURE_ROUNDING = 1e-9
-# Work beyond what overloads a server by this factor, and this many requests, is not blamed: what
-# is in flight is not known to who sends.
+# A warming-up server may get this factor times the work that overloads it, plus this many requests:
+# a sender does not know what the other instances have in flight.
 OVERLOAD_MARGIN = 1.1
 OVERLOAD_SPARE_REQUESTS = 4
 
 
 class Rule(IntEnum):
-    """The rules, by their numbers in the reports."""
+    """The rules, with their numbers in reports."""
 
     ONE_ANSWER = 1
-    """Each request gets one answer, in time."""
+    """Each request gets exactly one answer, in time."""
     NO_UNSAFE_REPEAT = 2
-    """What may have run is not sent again, nor called rejected, unless that is safe."""
+    """A request that may have run is neither repeated nor deferred unless that is safe."""
     DRAINED = 3
-    """Nothing goes to a server that is known to be gone."""
+    """No attempt goes to a server that is known to be gone."""
     WARMUP = 4
-    """A server that warms up is not overloaded."""
+    """A server is not overloaded during its warm-up."""
     EXPOSURE = 5
-    """The build on trial gets no more than its cap allows, and keys stay with it."""
+    """The build on trial gets no more than its cap allows; keys that it answered stay with it."""
 
 
 class Listed(StrEnum):
-    """What a list says of a server."""
+    """State of a server in an endpoint list."""
 
     READY = "ready"
     DRAINING = "draining"
@@ -47,7 +48,7 @@
 
 
 class Phase(StrEnum):
-    """Where the rollout of a build stands."""
+    """Phase of a build's rollout."""
 
     TRIAL = "trial"
     BACK = "back"
@@ -64,7 +65,7 @@
 
 
 class Breach(NamedTuple):
-    """A rule that was broken."""
+    """A violation of a rule."""
 
     rule: Rule
     now: Ticks
@@ -72,18 +73,18 @@
 
 
 class CapUpdate(NamedTuple):
-    """What an instance learned of the newest build."""
+    """What an instance learned about the newest build."""
 
     at: Ticks
     build: int
     cap: float
-    """Share of the requests that may go to it."""
+    """Maximum ratio of requests that may go to the build."""
     stage: int
     phase: Phase
 
 
 class WarmupWork(NamedTuple):
-    """Work sent to a server that warms up."""
+    """Work sent to a server during its warm-up."""
 
     at: Ticks
     work: float
@@ -93,21 +94,21 @@
 
 @dataclass(slots=True)
 class Sent:
-    """An attempt."""
+    """An attempt that was sent."""
 
     at: Ticks
     ran: bool | None = None
-    """Whether it ran; None: it may have."""
+    """Whether the attempt ran; None if unknown."""
 
 
 class InvariantChecker:
-    """Checks what the instances of a fleet do.
+    """Checks the behaviour of the instances of a fleet against the rules.
 
     Attributes:
-        broken: What was found.
-        open: Class and latest end of the requests without an answer, by instance and name.
+        broken: The violations found.
+        open: Class and deadline of the unanswered requests, by instance and name.
         over: The answers, by instance and name.
-        overrun: The highest work sent to a server that warms up, over what is allowed.
+        overrun: Highest ratio of the work sent to a server during its warm-up to the allowed work.
     """
 
     def __init__(
@@ -125,20 +126,20 @@
         overload: Ticks = 0,
         slack: Ticks = 50,
     ) -> None:
-        """Starts with nothing seen.
+        """Creates a checker without history.
 
         Args:
-            lanes: the request classes by name.
-            grace: how long a server may get attempts after an instance learned that it is gone.
-            window: over which exposure is counted.
-            allowance: attempts allowed beyond the cap's share.
-            by_lane: whether exposure is counted for each class alone.
-            guarded: in the stages before this one only idempotent requests go to the trial.
-            cold: how long a server warms up; 0: it is not checked.
-            cold_from: share of its capacity at its start.
-            multiple: a server that warms up fails under this many times its capacity.
-            overload: how long it takes that.
-            slack: how late an answer may be.
+            lanes: The request classes by name.
+            grace: How long a server may get attempts after an instance learned that it is gone.
+            window: Length of the window over which exposure is counted.
+            allowance: Number of attempts allowed beyond the cap.
+            by_lane: Whether exposure is counted separately for each class.
+            guarded: In stages before this one, only idempotent requests may go to the trial.
+            cold: Duration of a server's warm-up; 0 disables the check.
+            cold_from: Ratio of the full capacity that is available at the start.
+            multiple: Load, in multiples of its capacity, that overloads a server in its warm-up.
+            overload: How long a server withstands that load.
+            slack: How late an answer may be.
         """
         self.lanes = lanes
         self.grace = grace
@@ -155,102 +156,104 @@
         self.open: dict[tuple[int, str], tuple[str, Ticks]] = {}
         self.over: dict[tuple[int, str], Answer] = {}
         # Executions, by request.
-        self.runs: defaultdict[str, list[Ticks]] = defaultdict(list)
+        self.executions: defaultdict[str, list[Ticks]] = defaultdict(list)
         # Attempts, by instance and request.
-        self.sent_of: defaultdict[tuple[int, str], list[Sent]] = defaultdict(list)
-        # When an instance learned that a server is gone.
-        self.gone: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
-        # Requests that came, by instance and class ("" for all).
-        self.taken_at: defaultdict[tuple[int, str], list[Ticks]] = defaultdict(list)
-        # Attempts at a build on trial, by instance, build and class ("" for all).
-        self.tried_at: defaultdict[tuple[int, int, str], list[Ticks]] = defaultdict(list)
+        self.attempts_of: defaultdict[tuple[int, str], list[Sent]] = defaultdict(list)
+        # When an instance learned that a server is gone, by instance and server.
+        self.gone_since: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
+        # Arrival times of requests, by instance and class ("" for all).
+        self.received_at: defaultdict[tuple[int, str], list[Ticks]] = defaultdict(list)
+        # Times of attempts at a build on trial, by instance, build and class ("" for all).
+        self.trial_attempts_at: defaultdict[tuple[int, int, str], list[Ticks]] = defaultdict(list)
         self.caps: defaultdict[int, list[CapUpdate]] = defaultdict(list)
         # The build that last answered a key, by instance and key.
-        self.kept: defaultdict[int, dict[str, int]] = defaultdict(dict)
-        # By server and its start.
-        self.cold_work: defaultdict[tuple[str, Ticks], list[WarmupWork]] = defaultdict(list)
-        # When the servers that an instance knows started.
-        self.starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
+        self.key_builds: defaultdict[int, dict[str, int]] = defaultdict(dict)
+        # Work sent during a warm-up, by server and start time.
+        self.warmup_work: defaultdict[tuple[str, Ticks], list[WarmupWork]] = defaultdict(list)
+        # Start times of the servers, by instance and server, as the instance knows them.
+        self.known_starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
         self.overrun = 0.0
 
     def _broke(self, rule: Rule, now: Ticks, text: str) -> None:
         self.broken.append(Breach(rule, now, text))
 
-    # What an instance learns.
+    # What instances learn.
 
     def listed(self, now: Ticks, instance: int, pod: str, state: Listed) -> None:
-        """An instance learned the state of a server; READY takes back an earlier one."""
+        """Records that an instance learned a server's state; READY cancels an earlier state."""
         if state == Listed.READY:
-            self.gone[instance].pop(pod, None)
+            self.gone_since[instance].pop(pod, None)
         else:
-            self.gone[instance].setdefault(pod, now)
+            self.gone_since[instance].setdefault(pod, now)
 
     def started(self, instance: int, pod: str, at: Ticks) -> None:
-        """An instance learned when a server started."""
-        self.starts[instance][pod] = at
+        """Records that an instance learned when a server started."""
+        self.known_starts[instance][pod] = at
 
     def cap(
         self, now: Ticks, instance: int, build: int, cap: float, stage: int, *, phase: Phase
     ) -> None:
-        """An instance learned where the newest build stands."""
+        """Records that an instance learned the state of the newest build."""
         self.caps[instance].append(CapUpdate(now, build, cap, stage, phase))
 
-    # What it does.
+    # What instances do.
 
     def taken(self, now: Ticks, instance: int, name: str, lane: str, ends: Ticks) -> None:
-        """A request came, whose answer must come by `ends`."""
+        """Records the arrival of a request that must be answered by `ends`."""
         self.open[instance, name] = lane, ends
-        self.taken_at[instance, lane if self.by_lane else ""].append(now)
+        self.received_at[instance, lane if self.by_lane else ""].append(now)
 
     def answered(self, now: Ticks, instance: int, name: str, how: Answer) -> None:
-        """A request was answered."""
-        held = self.open.pop((instance, name), None)
-        if held is None:
-            again = (instance, name) in self.over
+        """Records and checks the answer to a request."""
+        open_request = self.open.pop((instance, name), None)
+        if open_request is None:
+            answered_before = (instance, name) in self.over
             self._broke(
-                Rule.ONE_ANSWER, now, f"{name}: {'a second answer' if again else 'never taken'}"
+                Rule.ONE_ANSWER,
+                now,
+                f"{name}: {'a second answer' if answered_before else 'never taken'}",
             )
             return
-        lane, ends = held
+        lane, ends = open_request
         self.over[instance, name] = how
         if now > ends + self.slack:
             self._broke(Rule.ONE_ANSWER, now, f"{name}: answered {now - ends} late")
         if how == Answer.DEFERRED and self._may_have_run(now, instance, name, lane):
             self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: deferred though it may have run")
 
-    def _unproved(self, instance: int, name: str) -> list[Sent]:
-        """The attempts that may have run."""
-        return [one for one in self.sent_of[instance, name] if one.ran is not False]
+    def _possibly_run(self, instance: int, name: str) -> list[Sent]:
+        """Returns the attempts that ran or may have run."""
+        return [one for one in self.attempts_of[instance, name] if one.ran is not False]
 
     def _may_have_run(self, now: Ticks, instance: int, name: str, lane: str) -> bool:
-        """Whether a client that tries again could make the request run twice."""
+        """Returns whether a retry by the client could make the request run twice."""
         idempotency = self.lanes[lane].idempotency
         if idempotency == Idempotency.IDEMPOTENT:
             return False
-        unproved = self._unproved(instance, name)
-        return bool(unproved) and (
+        possibly_run = self._possibly_run(instance, name)
+        return bool(possibly_run) and (
             idempotency == Idempotency.NON_IDEMPOTENT
-            or now > unproved[0].at + self.lanes[lane].deduplication_window
+            or now > possibly_run[0].at + self.lanes[lane].deduplication_window
         )
 
     def killed(self, now: Ticks, instance: int) -> None:
-        """An instance died.
+        """Records that an instance died.
 
-        What it held is no longer its duty, and the next one starts with nothing: what an earlier
-        life received is no allowance of it.
+        Its open requests need no answer any more. The instance restarts without history: requests
+        received before do not count towards its exposure allowance.
         """
         for request in [key for key in self.open if key[0] == instance]:
             del self.open[request]
-        self.gone.pop(instance, None)
-        self.kept.pop(instance, None)
-        self.starts.pop(instance, None)
-        for received in [key for key in self.taken_at if key[0] == instance]:
-            del self.taken_at[received]
-        for tried in [key for key in self.tried_at if key[0] == instance]:
-            del self.tried_at[tried]
+        self.gone_since.pop(instance, None)
+        self.key_builds.pop(instance, None)
+        self.known_starts.pop(instance, None)
+        for received in [key for key in self.received_at if key[0] == instance]:
+            del self.received_at[received]
+        for tried in [key for key in self.trial_attempts_at if key[0] == instance]:
+            del self.trial_attempts_at[tried]
 
     def ended(self, now: Ticks) -> None:
-        """The day has ended: whatever is open past its time was lost."""
+        """Records the end of the day: open requests past their deadline were lost."""
         for (_, name), (_, ends) in self.open.items():
             if now > ends + self.slack:
                 self._broke(Rule.ONE_ANSWER, now, f"{name}: no answer")
@@ -269,38 +272,38 @@
         started: Ticks = 0,
         capacity: float = 1.0,
     ) -> None:
-        """An attempt goes out.
+        """Records and checks an attempt that an instance sends.
 
         Args:
-            now: the time.
-            instance: who sends it.
-            name: the request.
-            pod: the server.
-            build: of the server.
-            lane: the request class.
-            key: by which later requests stay with a build.
-            work: of the request.
-            started: when the server started; 0: long ago.
-            capacity: work that the server does in a tick when it is warm.
+            now: The time.
+            instance: The sending instance.
+            name: Name of the request.
+            pod: Address of the server.
+            build: Build that the server runs.
+            lane: The request class.
+            key: Sticky key of the request, or None.
+            work: Work of the request.
+            started: When the server started; 0 for long ago.
+            capacity: Work per tick that the server does after its warm-up.
         """
-        learned = self.gone[instance].get(pod)
+        learned = self.gone_since[instance].get(pod)
         if learned is not None and now > learned + self.grace:
             self._broke(
                 Rule.DRAINED, now, f"{name}: to {pod} {now - learned} after it was told gone"
             )
         self._check_repeat(now, instance, name, lane)
-        self.sent_of[instance, name].append(Sent(now))
+        self.attempts_of[instance, name].append(Sent(now))
         if (instance, name) in self.over:
             self._broke(Rule.ONE_ANSWER, now, f"{name}: sent after its answer")
         self._check_trial(now, instance, name, build, lane=lane, key=key)
         if started and now < started + self.cold:
-            informed = self.starts[instance].get(pod) == started
-            sent = self.cold_work[pod, started]
+            informed = self.known_starts[instance].get(pod) == started
+            sent = self.warmup_work[pod, started]
             sent.append(WarmupWork(now, work, informed))
             self._check_warmup(pod, started, sent, capacity)
 
     def _check_repeat(self, now: Ticks, instance: int, name: str, lane: str) -> None:
-        earlier = self._unproved(instance, name)
+        earlier = self._possibly_run(instance, name)
         if not earlier:
             return
         idempotency = self.lanes[lane].idempotency
@@ -321,8 +324,8 @@
         newest = told.build
         if (
             key is not None
-            and key in self.kept[instance]
-            and self.kept[instance][key] == newest > build
+            and key in self.key_builds[instance]
+            and self.key_builds[instance][key] == newest > build
             and told.phase in (Phase.TRIAL, Phase.RELEASED)
         ):
             self._broke(
@@ -339,13 +342,13 @@
     def _check_exposure(
         self, now: Ticks, instance: int, name: str, told: CapUpdate, counted: str
     ) -> None:
-        """Counts an attempt at the build on trial against the highest cap of the window."""
-        tried = self.tried_at[instance, told.build, counted]
-        taken = self.taken_at[instance, counted]
+        """Checks an attempt at the build on trial against the highest cap in the window."""
+        tried = self.trial_attempts_at[instance, told.build, counted]
+        taken = self.received_at[instance, counted]
         tried.append(now)
         within = len(tried) - bisect_left(tried, now - self.window)
         known = len(taken) - bisect_left(taken, now - self.window)
-        # A lower cap binds once the window has passed.
+        # A lowered cap takes effect only when the window has passed.
         recent = [
             one.cap
             for one in self.caps[instance]
@@ -363,37 +366,42 @@
     def _check_warmup(
         self, pod: str, started: Ticks, sent: list[WarmupWork], capacity: float
     ) -> None:
-        """Compares what all instances together sent with what overloads a server."""
+        """Compares the work sent by all instances with what overloads a server."""
         now = sent[-1].at
         begin = now - self.overload
         share = self.cold_from + (1 - self.cold_from) * max(0, begin - started) / self.cold
         total = sum(one.work for one in sent if one.at > begin)
         known = sum(one.work for one in sent if one.at > begin and one.informed)
-        least = self.multiple * share * capacity * self.overload
-        allowed = least * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * sent[-1].work
+        overload_work = self.multiple * share * capacity * self.overload
+        allowed = overload_work * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * sent[-1].work
         self.overrun = max(self.overrun, total / allowed)
-        # It is the instances' fault if two thirds came from such as knew of the start.
+        # The instances are at fault if two thirds of the work came from those that knew the start.
         if total > allowed and known >= total * 2 / 3:
             self._broke(
                 Rule.WARMUP,
                 now,
-                f"{pod}: {total:.0f} of work in {self.overload}, {least:.0f} push it over",
+                f"{pod}: {total:.0f} of work in {self.overload}, {overload_work:.0f} push it over",
             )
 
     def proved(self, instance: int, name: str, number: int, ran: bool | None) -> None:
-        """An attempt ended: it ran, never ran, or may have run (None)."""
-        self.sent_of[instance, name][number].ran = ran
+        """Records whether an ended attempt ran (True), never ran (False) or may have run (None)."""
+        self.attempts_of[instance, name][number].ran = ran
 
     def key_answered(self, instance: int, key: str, build: int) -> None:
-        """A request with this key was answered by this build."""
-        self.kept[instance][key] = build
+        """Records that a build answered a request with this key."""
+        self.key_builds[instance][key] = build
 
     def ran(self, now: Ticks, name: str, lane: str) -> None:
-        """A server carried out a request."""
-        self.runs[name].append(now)
-        if self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT and len(self.runs[name]) > 1:
-            self._broke(Rule.NO_UNSAFE_REPEAT, now, f"{name}: ran {len(self.runs[name])} times")
+        """Records and checks that a server executed a request."""
+        self.executions[name].append(now)
+        if (
+            self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT
+            and len(self.executions[name]) > 1
+        ):
+            self._broke(
+                Rule.NO_UNSAFE_REPEAT, now, f"{name}: ran {len(self.executions[name])} times"
+            )
 
     def rules_broken(self) -> list[int]:
-        """The rules that were broken, each once, in their order."""
+        """Returns the numbers of the broken rules, sorted and without duplicates."""
         return sorted({int(rule) for rule, _, _ in self.broken})
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -1,4 +1,4 @@
-"""A simulator that records what a person wants to see of a day: a few numbers every half second."""
+"""A simulator that records time series of a day for reports, one point every half second."""
 
 from typing import Any, NamedTuple, Self
 
@@ -13,38 +13,38 @@
 from .servers import PodState
 from .simulator import Simulator
 
-# How often it looks: what happens in between is counted in one period.
+# Sampling interval; what happens in between is counted in one period.
 PERIOD: Ticks = TICKS_PER_SECOND // 2
-# Periods beyond the day's end, while open requests end.
+# Periods after the end of the day, in which the open requests end.
 SPARE_PERIODS = 8
 
 
-class Look(NamedTuple):
-    """What was seen at the begin of a period."""
+class PeriodSnapshot(NamedTuple):
+    """State at the start of a period."""
 
     at: float
-    """In seconds."""
+    """Time in seconds."""
     build: int
-    """The newest one."""
+    """The newest build."""
     stage: int
     phase: ReleasePhase
     cap: float
-    """Share of the requests that may go to the newest build."""
+    """Maximum ratio of requests that may go to the newest build."""
     running: dict[int, int]
-    """How many servers of each build are up."""
+    """Number of servers that are up, by build."""
 
 
 class RecordingSimulator(Simulator):
-    """Plays a day as a Simulator does and records it.
+    """Runs a day like Simulator and records time series.
 
     Attributes:
-        names: The builds of the day.
-        sent: Attempts in each period, by build.
-        how: Answers in each period: done, deferred or abandoned.
-        cast: Votes in each period, by verdict.
-        took: The times of the answers of each period, over their latency objective.
-        looks: What was seen at the begin of each period.
-        load: Seconds of work that waited then at each place.
+        names: Numbers of the builds of the day.
+        sent: Number of attempts per period, by build.
+        how: Number of answers per period, by kind (done, deferred or abandoned).
+        cast: Number of votes per period, by verdict.
+        took: Latencies of the successful answers of each period, divided by the latency objective.
+        looks: Snapshots at the start of each period.
+        load: Seconds of queued work at each place, at the start of each period.
     """
 
     def __init__(self, day: Day, policy: Any) -> None:
@@ -55,33 +55,35 @@
         self.how = {answer: np.zeros(size) for answer in Answer}
         self.cast = {verdict: np.zeros(size) for verdict in Verdict}
         self.took: list[list[float]] = [[] for _ in range(size)]
-        self.looks: list[Look] = []
+        self.looks: list[PeriodSnapshot] = []
         self.load: list[NDArray[np.float64]] = []
 
     def play(self) -> Self:
-        """Plays the whole day."""
-        self.at(0, self._look)
+        """Runs the whole day and returns itself."""
+        self.at(0, self._record_snapshot)
         return super().play()
 
     def _period(self) -> int:
         return min(self.now // PERIOD, len(self.took) - 1)
 
-    def _look(self) -> None:
+    def _record_snapshot(self) -> None:
         build, stage, phase, cap = self.platform.state
         running = [pod.build.number for pod in self.servers.up(lambda _: True)]
         counts = {name: running.count(name) for name in self.names}
-        self.looks.append(Look(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts))
-        self.load.append(self._waiting_work())
+        self.looks.append(
+            PeriodSnapshot(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts)
+        )
+        self.load.append(self._waiting_seconds())
         if self.now < self.day.span:
-            self.at(self.now + PERIOD, self._look)
+            self.at(self.now + PERIOD, self._record_snapshot)
 
-    def _waiting_work(self) -> NDArray[np.float64]:
+    def _waiting_seconds(self) -> NDArray[np.float64]:
         by_place = np.zeros(self.day.pods)
         for pod in self.servers.pods.values():
             if pod.state == PodState.UP:
                 place = int(pod.name[1:].split("-")[0])
                 by_place[place] = max(
-                    by_place[place], pod.wait / (pod.cores * pod.speed * TICKS_PER_SECOND)
+                    by_place[place], pod.waiting_work / (pod.cores * pod.speed * TICKS_PER_SECOND)
                 )
         return by_place
 
@@ -92,12 +94,13 @@
         super()._send(instance, life, action)
 
     def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
-        held = self.requests.get((instance, name))
-        if held is not None:
+        request = self.requests.get((instance, name))
+        if request is not None:
             self.how[answer][self._period()] += 1
             if answer == Answer.DONE:
                 self.took[self._period()].append(
-                    (self.now - held.first) / self.lanes[held.lane].lane.latency_objective
+                    (self.now - request.first_asked_at)
+                    / self.lanes[request.lane].lane.latency_objective
                 )
         super()._answer(instance, name, answer, wait)
 
@@ -106,8 +109,11 @@
         super()._vote(instance, life, vote)
 
     def late(self, share: float = 0.95) -> NDArray[np.float64]:
-        """The time that this share of the answers of each period stayed under.
+        """Returns a quantile of the latencies in each period.
 
-        It is in latency objectives, and 0 where no answer came.
+        Latencies are in multiples of the latency objective; a period without answers gives 0.
+
+        Args:
+            share: The quantile, between 0 and 1.
         """
         return np.array([np.quantile(one, share) if one else 0.0 for one in self.took])
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -1,4 +1,4 @@
-"""The servers of a simulated day: which run, and the endpoint lists that tell of them."""
+"""The servers of a simulated day and the endpoint lists that announce them."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import TYPE_CHECKING, TypeAlias
@@ -14,44 +14,48 @@
     from .simulator import Simulator
 
 LISTED_WEIGHT = 1.0
-LISTED_KIND = "m"
+LISTED_MACHINE_KIND = "m"
 FIRST_BUILD = 1
 
 Server: TypeAlias = Pod[SimulatedAttempt]
 
 
-def place_of(name: str) -> int:
-    """Returns the place of a server: addresses are p, the place, a dash, and what started it."""
+def place_index(name: str) -> int:
+    """Returns the place of a server.
+
+    An address consists of "p", the place, a dash and the build (and cause) of the start.
+    """
     return int(name[1:].split("-", maxsplit=1)[0])
 
 
 class ServerFleet:
-    """The servers, in the order of their starts.
+    """The servers, in the order in which they started.
 
     Attributes:
-        world: The day that is played.
-        pods: Those that are not gone, by address.
-        former: Those that are gone, by address.
-        failing: The share of attempts that servers fail besides their builds' faults, by address.
-        lost_zones: Zones in which nothing starts.
-        list_delay: By how much lists come later than usual.
+        simulator: The running simulation.
+        pods: Servers that still exist, by address.
+        former: Servers that are gone, by address.
+        failing: Ratio of attempts that a server fails in addition to its build's faults, by
+            address.
+        lost_zones: Zones in which no server can start.
+        list_delay: Additional delay of endpoint lists, in ticks.
     """
 
-    def __init__(self, world: "Simulator", first: Build) -> None:
-        """Starts the day's first servers.
+    def __init__(self, simulator: "Simulator", first: Build) -> None:
+        """Starts the initial servers.
 
         Args:
-            world: The day that is played.
-            first: The build that they run.
+            simulator: The running simulation.
+            first: The build that these servers run.
         """
-        self.world = world
+        self.simulator = simulator
         self.pods: dict[str, Server] = {}
         self.former: dict[str, Server] = {}
         self.failing: dict[str, float] = {}
         self.lost_zones: set[str] = set()
         self.list_delay: Ticks = 0
-        self._changes: dict[str, Endpoint] = {}  # not told yet, by address
-        day = world.day
+        self._changes: dict[str, Endpoint] = {}  # not yet sent, by address
+        day = simulator.day
         for place, speed in enumerate(day.speeds):
             name = f"p{place}-{FIRST_BUILD}"
             self.pods[name] = Pod(
@@ -66,12 +70,12 @@
 
     def zone_of(self, place: int) -> str:
         """Returns the zone of a place."""
-        zones = self.world.day.zones
+        zones = self.simulator.day.zones
         return zones[place % 3]
 
     def start(self, name: str, place: int, build: Build) -> None:
-        """Starts a cold server and lists it."""
-        day = self.world.day
+        """Starts a server with its warm-up ahead and announces it."""
+        day = self.simulator.day
         self._add(
             Pod(
                 name,
@@ -80,7 +84,7 @@
                 speed=day.speeds[place],
                 queue_most=day.queue,
                 build=build,
-                started=self.world.now,
+                started=self.simulator.now,
                 cold=day.cold,
                 cold_from=day.cold_from,
             )
@@ -88,66 +92,66 @@
 
     def _add(self, pod: Server) -> None:
         self.pods[pod.name] = pod
-        self.tell(self.entry(pod))
+        self.announce(self.entry(pod))
 
-    def up(self, wanted: Callable[[Server], bool]) -> list[Server]:
-        """Returns the servers that run, do not drain and are wanted."""
-        return [pod for pod in self.pods.values() if pod.state == PodState.UP and wanted(pod)]
+    def up(self, predicate: Callable[[Server], bool]) -> list[Server]:
+        """Returns the servers that are up, not draining, and satisfy the predicate."""
+        return [pod for pod in self.pods.values() if pod.state == PodState.UP and predicate(pod)]
 
-    def drain(self, wanted: Callable[[Server], bool]) -> None:
-        """Begins to drain servers; they are gone a while later."""
-        world = self.world
-        leaving = self.up(wanted)
+    def drain(self, predicate: Callable[[Server], bool]) -> None:
+        """Begins to drain the servers that satisfy the predicate; they are removed later."""
+        simulator = self.simulator
+        leaving = self.up(predicate)
         for pod in leaving:
             pod.state = PodState.DRAINING
-            world.at(world.now + world.day.gone_after, self._gone, pod)
+            simulator.at(simulator.now + simulator.day.gone_after, self._remove, pod)
         if leaving:
-            self.tell(*(self.entry(pod) for pod in leaving))
+            self.announce(*(self.entry(pod) for pod in leaving))
 
-    def _gone(self, pod: Server) -> None:
+    def _remove(self, pod: Server) -> None:
         pod.state = PodState.DOWN
         self._drop_connections(pod.name)
         self.former[pod.name] = self.pods.pop(pod.name, pod)
-        self.tell(self.entry(pod, EndpointCondition.GONE))
+        self.announce(self.entry(pod, EndpointCondition.GONE))
 
     def lose_zone(self, zone: str) -> None:
-        """All that runs in a zone says nothing from now on."""
+        """Makes all servers of a zone unresponsive."""
         self.lost_zones.add(zone)
         for pod in self.up(lambda pod: pod.zone == zone):
             pod.silent = True
 
     def restore_zone(self, zone: str) -> None:
-        """All that ran in a zone starts again, cold, at the same places."""
+        """Restarts the servers of a lost zone at the same places, with a new warm-up."""
         self.lost_zones.discard(zone)
-        day = self.world.day
+        day = self.simulator.day
         for pod in self.up(lambda pod: pod.zone == zone):
             pod.silent = False
-            fresh: Server = Pod(
+            restarted: Server = Pod(
                 pod.name,
                 pod.zone,
                 cores=pod.cores,
                 speed=pod.speed,
                 queue_most=pod.queue_most,
                 build=pod.build,
-                started=self.world.now,
+                started=self.simulator.now,
                 cold=day.cold,
                 cold_from=day.cold_from,
             )
             pod.state = PodState.DOWN
             self._drop_connections(pod.name)
-            self._add(fresh)
+            self._add(restarted)
 
     def _drop_connections(self, name: str) -> None:
-        self.world.connections.drop(lambda line: line[2] == name)
+        self.simulator.connections.drop(lambda key: key[2] == name)
 
-    # Lists.
+    # Endpoint lists.
 
     def entry(self, pod: Server, condition: EndpointCondition | None = None) -> Endpoint:
-        """Returns a server as it is listed.
+        """Returns the endpoint entry of a server.
 
         Args:
             pod: The server.
-            condition: Its condition; None for what its state says.
+            condition: Condition to report; None derives it from the server's state.
         """
         if condition is None:
             is_up = pod.state == PodState.UP
@@ -159,23 +163,23 @@
             0,
             condition,
             pod.started,
-            LISTED_KIND,
+            LISTED_MACHINE_KIND,
             pod.build.number,
         )
 
     def entries(self) -> tuple[Endpoint, ...]:
-        """Returns the complete list."""
+        """Returns the complete endpoint list."""
         listed = (PodState.UP, PodState.DRAINING)
         return tuple(self.entry(pod) for pod in self.pods.values() if pod.state in listed)
 
-    def tell(self, *entries: Endpoint) -> None:
-        """Tells of changes, at once or with all others of the moment."""
-        world = self.world
-        if not world.day.list_every:
+    def announce(self, *entries: Endpoint) -> None:
+        """Sends changes at once, or batched if the day sets an interval for lists."""
+        simulator = self.simulator
+        if not simulator.day.list_every:
             self._send(entries)
             return
         if not self._changes:
-            world.at(world.now + world.day.list_every, self._send_changes)
+            simulator.at(simulator.now + simulator.day.list_every, self._send_changes)
         self._changes.update((entry.address, entry) for entry in entries)
 
     def _send_changes(self) -> None:
@@ -183,37 +187,37 @@
         self._changes = {}
 
     def _send(self, entries: Sequence[Endpoint]) -> None:
-        """Changes reach each instance a while later."""
-        world = self.world
-        for instance in range(world.day.instances):
-            lag = world.day.list_lag * (0.5 + world.misc.random()) + self.list_delay
-            world.at(world.now + int(lag), self._told, instance, entries)
-
-    def _told(self, instance: int, entries: Sequence[Endpoint]) -> None:
-        world = self.world
-        if not world.runs(instance) or not world.has_watch(instance):
+        """Schedules the delivery of changes to each instance after a random delay."""
+        simulator = self.simulator
+        for instance in range(simulator.day.instances):
+            lag = simulator.day.list_lag * (0.5 + simulator.misc.random()) + self.list_delay
+            simulator.at(simulator.now + int(lag), self._deliver, instance, entries)
+
+    def _deliver(self, instance: int, entries: Sequence[Endpoint]) -> None:
+        simulator = self.simulator
+        if not simulator.runs(instance) or not simulator.has_watch(instance):
             return
-        told = tuple(
+        delivered = tuple(
             entry
             for entry in entries
             if entry.condition != EndpointCondition.READY or entry.address in self.pods
         )
-        self.note_told(instance, told)
-        world.tell(instance, EndpointUpdate(UpdateKind.DELTA, told))
+        self.record_told(instance, delivered)
+        simulator.tell(instance, EndpointUpdate(UpdateKind.DELTA, delivered))
 
-    def note_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
-        """Has the checker know what an instance is told."""
-        checker = self.world.checker
+    def record_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
+        """Reports to the checker what an instance is told."""
+        checker = self.simulator.checker
         for entry in entries:
             is_ready = entry.condition == EndpointCondition.READY
             listed = Listed.READY if is_ready else Listed.GONE
-            checker.listed(self.world.now, instance, entry.address, listed)
+            checker.listed(self.simulator.now, instance, entry.address, listed)
             checker.started(instance, entry.address, entry.started)
 
-    def note_known(self, instance: int) -> None:
-        """Has the checker know what an instance that starts is given."""
-        checker = self.world.checker
+    def record_known(self, instance: int) -> None:
+        """Reports to the checker what a starting instance already knows."""
+        checker = self.simulator.checker
         for pod in self.pods.values():
             checker.started(instance, pod.name, pod.started)
             if pod.state == PodState.DRAINING:
-                checker.listed(self.world.now, instance, pod.name, Listed.DRAINING)
+                checker.listed(self.simulator.now, instance, pod.name, Listed.DRAINING)
