--- a/thymeknot/cli/decision_log_client.py
+++ b/thymeknot/cli/decision_log_client.py
@@ -1,4 +1,4 @@
-"""Asks a running instance's decision log, or a record that was left over."""
+"""Queries the decision log of a running instance or in a file."""
 
 import socket
 from collections.abc import Iterator, Mapping
@@ -7,36 +7,36 @@
 import orjson
 
 ANSWER_TIMEOUT_SECONDS: Final = 10
-"""How long an answer may pause: an instance works on queries beside its traffic."""
+"""The maximum time between lines of an answer; an instance gives traffic priority over queries."""
 UNIX_PREFIX: Final = "unix:"
 
 
 class UnreachableError(Exception):
-    """Nobody answers there, or not in time; the text names the address or file."""
+    """The log can't be queried, or not in time; the message names the address or file."""
 
 
 def query_results(
     address: str, path: Optional[str], query: Mapping[str, Any]
 ) -> Iterator[dict[str, Any]]:
-    """Yields the objects of the answer.
+    """Yields the objects of the answer to a query.
 
     Args:
-        address: `host:port` or `unix:path` of an instance.
-        path: A left-over record, which is asked in place of an instance; None without one.
-        query: The query's fields.
+        address: The address of an instance, `host:port` or `unix:path`.
+        path: The log file to query instead of an instance, or None.
+        query: The fields of the query.
 
     Raises:
-        UnreachableError: With the first object that is missing.
+        UnreachableError: Raised by the iterator if the log can't be read (further).
     """
     if path:
-        # Only here: it needs the decision log's libraries.
-        from .decision_log_file import matching_lines  # noqa: PLC0415
+        # Imported here because it requires the libraries of the decision log.
+        from .decision_log_file import query_file  # noqa: PLC0415
 
-        return matching_lines(path, query)
-    return _lines_of_instance(address, query)
+        return query_file(path, query)
+    return _query_instance(address, query)
 
 
-def _connected(address: str) -> socket.socket:
+def _connect(address: str) -> socket.socket:
     if address.startswith(UNIX_PREFIX):
         connection = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
         connection.settimeout(ANSWER_TIMEOUT_SECONDS)
@@ -46,18 +46,18 @@
     return socket.create_connection((host.strip("[]"), int(port)), ANSWER_TIMEOUT_SECONDS)
 
 
-def _lines_of_instance(address: str, query: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
-    watching = query["ask"] == "watch"
+def _query_instance(address: str, query: Mapping[str, Any]) -> Iterator[dict[str, Any]]:
+    is_watch = query["ask"] == "watch"
     try:
-        connection = _connected(address)
-        if watching:
+        connection = _connect(address)
+        if is_watch:
             connection.settimeout(None)
         with connection, connection.makefile("rb") as source:
             connection.sendall(orjson.dumps(query) + b"\n")
             for line in source:
                 answer = orjson.loads(line)
                 yield answer
-                if not watching and _is_last(answer):
+                if not is_watch and _is_last(answer):
                     return
     except (OSError, ValueError) as error:
         raise UnreachableError(f"{address}: {error}") from None
--- a/thymeknot/load_generator/ramp.py
+++ b/thymeknot/load_generator/ramp.py
@@ -1,4 +1,4 @@
-"""Which rate comes next: a search for the highest rate that holds. Pure."""
+"""Search for the highest rate that meets the goal. Free of I/O and clocks."""
 
 import enum
 import math
@@ -7,81 +7,91 @@
 
 
 class RampState(enum.Enum):
-    """Where the search is: no rate failed yet, between two rates, or at its end."""
+    """State of the search.
 
-    CLIMB = "climb"
-    NARROW = "narrow"
-    OVER = "over"
+    CLIMBING until a rate fails, BISECTING between a held and a failed rate, FINISHED at the end.
+    """
+
+    CLIMBING = "climb"
+    BISECTING = "narrow"
+    FINISHED = "over"
 
 
 TRANSITIONS = {
-    (RampState.CLIMB, Verdict.HELD): RampState.CLIMB,
-    (RampState.CLIMB, Verdict.FAILED): RampState.NARROW,
-    (RampState.CLIMB, Verdict.SATURATED): RampState.OVER,
-    (RampState.NARROW, Verdict.HELD): RampState.NARROW,
-    (RampState.NARROW, Verdict.FAILED): RampState.NARROW,
-    (RampState.NARROW, Verdict.SATURATED): RampState.OVER,
+    (RampState.CLIMBING, Verdict.HELD): RampState.CLIMBING,
+    (RampState.CLIMBING, Verdict.FAILED): RampState.BISECTING,
+    (RampState.CLIMBING, Verdict.SATURATED): RampState.FINISHED,
+    (RampState.BISECTING, Verdict.HELD): RampState.BISECTING,
+    (RampState.BISECTING, Verdict.FAILED): RampState.BISECTING,
+    (RampState.BISECTING, Verdict.SATURATED): RampState.FINISHED,
 }
-"""The next state; a load tool that is saturated says nothing of the server, so the search ends."""
+"""State after a run; the search ends when the load generator is saturated: it measures itself."""
 
 MIN_FAILED_RATE = 1
-"""Requests a second: a search that fails below this rate ends, since halving would never do."""
+"""Requests per second. The search ends if a lower rate fails: bisection would go on forever."""
 
 
 class Ramp:
-    """Climbs by a factor until a goal fails, then halves the gap until it is narrow enough.
+    """Raises the rate by a factor until a run fails, then bisects until the gap is small enough.
+
+    Rates are in requests per second.
 
     Attributes:
-        rate: The rate of the next stretch, in requests a second.
-        state: Where the search is.
-        highest_held_rate: The highest rate that held.
-        lowest_failed_rate: The lowest rate that failed.
-        reason: The reason of the last verdict.
+        rate: Rate of the next run.
+        state: State of the search.
+        highest_held_rate: The highest rate that met the goal; 0 if none did.
+        lowest_failed_rate: The lowest rate that failed; infinite if none did.
+        reason: Reason for the last verdict.
     """
 
     def __init__(
-        self, start: float, factor: float = 1.5, within: float = 0.05, most: float = 1e6
+        self,
+        start_rate: float,
+        growth_factor: float = 1.5,
+        relative_gap: float = 0.05,
+        max_rate: float = 1e6,
     ) -> None:
-        """Begins a search.
+        """Starts a search.
 
         Args:
-            start: The first rate.
-            factor: By which the rate climbs.
-            within: The gap that is narrow enough, as a share of the lowest rate that failed.
-            most: The highest rate that is tried.
+            start_rate: The first rate.
+            growth_factor: Factor by which the rate rises while no run has failed.
+            relative_gap: The search ends when the gap between the highest held and the lowest
+                failed rate is at most this share of the latter.
+            max_rate: The highest rate to try.
         """
-        self.rate = float(start)
-        self.factor = factor
-        self.within = within
-        self.most = most
-        self.state = RampState.CLIMB
+        self.rate = float(start_rate)
+        self.growth_factor = growth_factor
+        self.relative_gap = relative_gap
+        self.max_rate = max_rate
+        self.state = RampState.CLIMBING
         self.highest_held_rate = 0.0
         self.lowest_failed_rate = math.inf
         self.reason = "not begun"
 
     def record(self, verdict: Verdict, reason: str) -> None:
-        """Takes what the stretch at `rate` showed, and sets the next rate or the end."""
+        """Records the verdict of the run at `rate`; sets the next rate, or finishes the search."""
         self.reason = reason
         if verdict == Verdict.HELD:
             self.highest_held_rate = max(self.highest_held_rate, self.rate)
         elif verdict == Verdict.FAILED:
             self.lowest_failed_rate = min(self.lowest_failed_rate, self.rate)
         self.state = TRANSITIONS[self.state, verdict]
-        if self.state == RampState.CLIMB:
-            self._climb()
-        elif self.state == RampState.NARROW:
-            self._narrow()
+        if self.state == RampState.CLIMBING:
+            self._raise_rate()
+        elif self.state == RampState.BISECTING:
+            self._bisect()
 
-    def _climb(self) -> None:
-        self.rate = min(self.most, self.rate * self.factor)
-        if self.highest_held_rate >= self.most:
-            self.state = RampState.OVER
+    def _raise_rate(self) -> None:
+        self.rate = min(self.max_rate, self.rate * self.growth_factor)
+        if self.highest_held_rate >= self.max_rate:
+            self.state = RampState.FINISHED
 
-    def _narrow(self) -> None:
+    def _bisect(self) -> None:
         gap = self.lowest_failed_rate - self.highest_held_rate
         if (
-            gap <= self.within * self.lowest_failed_rate
+            gap <= self.relative_gap * self.lowest_failed_rate
             or self.lowest_failed_rate < MIN_FAILED_RATE
         ):
-            self.state = RampState.OVER
+            self.state = RampState.FINISHED
         self.rate = (self.highest_held_rate + self.lowest_failed_rate) / 2
--- a/thymeknot/load_generator/run.py
+++ b/thymeknot/load_generator/run.py
@@ -1,4 +1,4 @@
-"""One stretch, or a ramp of them, as a program: runs the event loop and gives the results."""
+"""Executes one run, or the runs of a ramp, in the event loop and returns the results."""
 
 import time
 from collections.abc import Callable, Sequence
@@ -12,23 +12,23 @@
 from .latency_histogram import LoadStatistics, Outcome
 from .ramp import Ramp, RampState
 from .schedule import RequestClass, schedule_requests
-from .verdict import Goal, RunSummary, Verdict, judge
+from .verdict import Goal, RunSummary, Verdict, evaluate
 
 NANOSECONDS_PER_TICK = 100_000
 
 OWN_DELAY_PERCENTILE = 99
-"""Of the load tool's own delay, which the verdict is about."""
+"""Percentile of the load generator's own delay that the verdict uses."""
 
 
 class Plan(TypedDict):
-    """What is sent, as the command line gives it.
+    """Parameters of the requests, from the command line.
 
     Keys:
-        seed: Of the random numbers; each stretch of a ramp adds one.
-        rate: Requests a second, unless a ramp sets it.
-        seconds: The length of a stretch.
+        seed: Seed of the random numbers; each further run of a ramp adds one.
+        rate: Requests per second; ignored with a ramp.
+        seconds: Duration of a run.
         lanes: The request classes.
-        keys: The number of different keys.
+        keys: Number of different keys.
     """
 
     seed: int
@@ -39,13 +39,13 @@
 
 
 class RunResult(NamedTuple):
-    """One stretch.
+    """Result of one run.
 
     Attributes:
-        rate: Requests a second.
+        rate: Requests per second.
         verdict: Whether it met the goal.
-        reason: The reason in words.
-        statistics: Its latencies and outcomes.
+        reason: Reason for the verdict, as text.
+        statistics: Latencies and outcomes.
     """
 
     rate: float
@@ -55,12 +55,12 @@
 
 
 def monotonic_ticks() -> Ticks:
-    """A monotonic clock."""
+    """Returns the time of a monotonic clock in ticks."""
     return time.monotonic_ns() // NANOSECONDS_PER_TICK
 
 
-class _Run:
-    """The stretches of one call, one after another; the event loop stops after the last."""
+class _RunSequence:
+    """The consecutive runs of one call; the event loop stops after the last one."""
 
     def __init__(
         self,
@@ -80,80 +80,82 @@
         self.ramp = ramp
         self.results: list[RunResult] = []
 
-    def begin(self) -> None:
-        """Starts the next stretch."""
+    def start_next(self) -> None:
+        """Starts the next run."""
         rate = self.ramp.rate if self.ramp else self.plan["rate"]
-        span = self.plan["seconds"] * TICKS_PER_SECOND
+        duration = self.plan["seconds"] * TICKS_PER_SECOND
         requests = schedule_requests(
             self.plan["seed"] + len(self.results),
             rate,
-            span,
+            duration,
             self.plan["lanes"],
-            keys=self.plan["keys"],
+            key_count=self.plan["keys"],
         )
         driver = Driver(self.reactor, monotonic_ticks, self.settings)
-        driver.run(requests, span).addCallback(self._ended, rate).addErrback(self._failed)
+        driver.run(requests, duration).addCallback(self._run_ended, rate).addErrback(
+            self._run_failed
+        )
 
-    def _ended(self, statistics: LoadStatistics, rate: float) -> None:
-        stretch = _summarize(statistics, rate, self.goal)
-        verdict, reason = judge(stretch, self.goal)
+    def _run_ended(self, statistics: LoadStatistics, rate: float) -> None:
+        summary = _summarize(statistics, rate, self.goal)
+        verdict, reason = evaluate(summary, self.goal)
         self.results.append(RunResult(rate, verdict, reason, statistics))
-        self.notify(f"{rate:8.0f}/s  {verdict:9}  {reason}  (done {stretch.done} of {stretch.due})")
+        self.notify(f"{rate:8.0f}/s  {verdict:9}  {reason}  (done {summary.done} of {summary.due})")
         if self.ramp:
             self.ramp.record(verdict, reason)
-        if self.ramp and self.ramp.state != RampState.OVER:
-            self.begin()
+        if self.ramp and self.ramp.state != RampState.FINISHED:
+            self.start_next()
         else:
             self.reactor.stop()
 
-    def _failed(self, failure: Failure) -> None:
-        failure.printTraceback()  # type: ignore[no-untyped-call]  # twisted's
+    def _run_failed(self, failure: Failure) -> None:
+        failure.printTraceback()  # type: ignore[no-untyped-call]  # untyped in Twisted
         self.reactor.stop()
 
 
 def _summarize(statistics: LoadStatistics, rate: float, goal: Goal) -> RunSummary:
     done = statistics.outcomes[Outcome.DONE]
-    latency = statistics.all.get_value_at_percentile(100 * goal.quantile) if done else 0
+    latency = statistics.corrected_all.get_value_at_percentile(100 * goal.quantile) if done else 0
     return RunSummary(
         rate=rate,
         latency=latency,
         done=done,
         ended=sum(statistics.outcomes.values()),
-        late=statistics.late.get_value_at_percentile(OWN_DELAY_PERCENTILE),
-        due=statistics.due,
+        own_delay=statistics.own_delay.get_value_at_percentile(OWN_DELAY_PERCENTILE),
+        due=statistics.due_count,
     )
 
 
-def run_load(  # noqa: PLR0917  # the command line gives all of them by position
+def run_load(  # noqa: PLR0917  # the `load` command passes all of them by position
     host: str,
     port: int,
     plan: Plan,
     goal: Goal,
     notify: Callable[[str], None],
     max_connections: int = 64,
-    patience: Ticks = 2 * TICKS_PER_SECOND,
+    client_timeout: Ticks = 2 * TICKS_PER_SECOND,
     protocol: str = "resp2",
     ramp: Optional[Ramp] = None,
 ) -> list[RunResult]:
-    """Runs one stretch, or as many as a ramp takes, and the event loop until they are over.
+    """Executes one run, or the runs that a ramp needs, and returns when the event loop has stopped.
 
     Args:
-        host: The server's address.
-        port: The server's port.
-        plan: What is sent.
-        goal: What a stretch has to meet.
-        notify: Takes a line about each stretch.
-        max_connections: Connections at most.
-        patience: How long a client waits.
+        host: Host of the server.
+        port: Port of the server.
+        plan: Parameters of the requests.
+        goal: What a run has to meet.
+        notify: Called with a line of text about each run.
+        max_connections: Maximum number of connections.
+        client_timeout: How long a client waits, from when its request is due.
         protocol: A key of CODECS.
-        ramp: Sets the rates, or None for the plan's own.
+        ramp: Determines the rates; None for a single run at the plan's rate.
     """
-    from twisted.internet import reactor  # noqa: PLC0415  # importing it installs the event loop
+    from twisted.internet import reactor  # noqa: PLC0415  # the import installs the event loop
 
     loop: Any = reactor
     loop.seconds = time.monotonic
-    settings = DriverSettings(host, port, CODECS[protocol], max_connections, patience)
-    run = _Run(loop, settings, plan, goal, notify=notify, ramp=ramp)
-    loop.callWhenRunning(run.begin)
+    settings = DriverSettings(host, port, CODECS[protocol], max_connections, client_timeout)
+    sequence = _RunSequence(loop, settings, plan, goal, notify=notify, ramp=ramp)
+    loop.callWhenRunning(sequence.start_next)
     loop.run(installSignalHandlers=True)
-    return run.results
+    return sequence.results
