--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -67,34 +67,61 @@
 class SentCommand:
     """A command as its client sent it."""
 
-    def __init__(self, kind, end, name=None, nonce=None, lane=None, left=0, wants=None):
-        self.kind, self.end, self.name, self.nonce, self.lane = kind, end, name, nonce, lane
-        self.left, self.wants, self.read_at, self.answered = left, wants, None, None
+    def __init__(
+        self,
+        kind,
+        end_offset,
+        request_id=None,
+        nonce=None,
+        request_class=None,
+        timeout_ms=0,
+        arguments=None,
+    ):
+        self.kind, self.end_offset, self.request_id, self.nonce, self.request_class = (
+            kind,
+            end_offset,
+            request_id,
+            nonce,
+            request_class,
+        )
+        self.timeout_ms, self.arguments, self.read_at, self.answered_at = (
+            timeout_ms,
+            arguments,
+            None,
+            None,
+        )
 
 
 class SteppedClient:
     def __init__(self, rig, number):
-        self.rig, self.number, self.wire = rig, number, FakeSocket(rig)
-        self.asked, self.out, self.buffer, self.got = [], 0, b"", 0
-        self.half, self.spoilt_at, self.gone_at, self.stalled_since, self.freed_at = (
+        self.rig, self.number, self.connection = rig, number, FakeSocket(rig)
+        self.commands, self.sent_bytes, self.buffer, self.answered_count = [], 0, b"", 0
+        (
+            self.partial,
+            self.malformed_at,
+            self.disconnected_at,
+            self.paused_since,
+            self.resumed_at,
+        ) = (
             b"",
             None,
             None,
             None,
             0,
         )
-        self.excused, self.eof, self.was_slow = False, False, False
-        self.begun_at, self.opened_at = rig.now, rig.now
+        self.exempt, self.eof, self.was_slow = False, False, False
+        self.command_started_at, self.opened_at = rig.now, rig.now
 
     def send(self, data):
-        if self.gone_at is None and self.wire.put(data):
-            self.out += len(data)
+        if self.disconnected_at is None and self.connection.send_remote(data):
+            self.sent_bytes += len(data)
 
     @property
-    def slow(self):
+    def is_slow(self):
         """It may be turned away: its first command, or half of one, is too long in coming."""
         self.was_slow |= (
-            bool(self.half or not self.asked) and self.rig.now >= self.begun_at + COMMAND_TIMEOUT
+            bool(self.partial or not self.commands)
+            and self.rig.now >= self.command_started_at + COMMAND_TIMEOUT
         )
         return self.was_slow
 
@@ -102,19 +129,35 @@
 class ReceivedAttempt:
     """A command that came whole to a pod."""
 
-    def __init__(self, pod, wire, words, begun, whole):
-        self.pod, self.wire, self.words, self.begun, self.whole = pod, wire, words, begun, whole
-        self.build, self.nonce, self.turned_away, self.end = pod.build, words[4].decode(), None, 0
+    def __init__(self, endpoint, connection, arguments, first_byte_at, last_byte_at):
+        self.endpoint, self.connection, self.arguments, self.first_byte_at, self.last_byte_at = (
+            endpoint,
+            connection,
+            arguments,
+            first_byte_at,
+            last_byte_at,
+        )
+        self.build, self.nonce, self.rejected_at, self.end_offset = (
+            endpoint.build,
+            arguments[4].decode(),
+            None,
+            0,
+        )
 
 
 class SteppedEndpoint:
     def __init__(self, rig, number, build):
         self.rig, self.name, self.build, self.port = rig, f"s-{number}", build, 7000 + number
-        self.state, self.started, self.mode, self.lag = "Ready", 0, "good", 40 * TICKS_PER_MS
-        self.dials, self.budget = ACCEPTS, None
-        self.known = 0, build
+        self.state, self.started, self.mode, self.response_delay = (
+            "Ready",
+            0,
+            "good",
+            40 * TICKS_PER_MS,
+        )
+        self.connect_mode, self.write_budget = ACCEPTS, None
+        self.known_process = 0, build
         self.builds_known = [(0, build)]  # (from when, the build that it was listed with)
-        self.barred_at, self.stale_at = (
+        self.unavailable_since, self.replaced_at = (
             None,
             None,
         )  # told: nothing new; nothing on what was dialled before
@@ -139,17 +182,17 @@
 
 def parse_command(buffer):
     """The words of the first command in the buffer and its length, or None."""
-    found = re.match(rb"\*(\d+)\r\n", buffer)
-    if not found:
+    parsed = re.match(rb"\*(\d+)\r\n", buffer)
+    if not parsed:
         return None
-    at, words = found.end(), []
-    for _ in range(int(found[1])):
+    at, arguments = parsed.end(), []
+    for _ in range(int(parsed[1])):
         size = re.compile(rb"\$(\d+)\r\n").match(buffer, at)
         if not size or len(buffer) < size.end() + int(size[1]) + 2:
             return None
-        words.append(buffer[size.end() : size.end() + int(size[1])])
+        arguments.append(buffer[size.end() : size.end() + int(size[1])])
         at = size.end() + int(size[1]) + 2
-    return words, at
+    return arguments, at
 
 
 def parse_response(buffer):
@@ -171,30 +214,32 @@
     """play(orders) gives them one after another, lets all run to an end and checks it."""
 
     def __init__(self):
-        self.now, self.wires, self.soon, self.count = START_TICKS, [], [], 0
-        self.hold_ups = []  # (from, until): the sidecar did not run
-        self.stirred = self.touched = False  # in this round; by the others, for the next one
-        self.clients, self.links, self.attempts, self.made, self.faults = [], [], [], {}, []
+        self.now, self.sockets, self.scheduled, self.counter = START_TICKS, [], [], 0
+        self.stalls = []  # (from, until): the sidecar did not run
+        self.progressed = self.peer_progressed = (
+            False  # in this round; by the others, for the next one
+        )
+        self.clients, self.links, self.attempts, self.responses, self.faults = [], [], [], {}, []
         self.ended_links = []
-        self.by_nonce, self.streams, self.stream_mode, self.version = {}, [], "live", 7
-        self.emptied, self.drains, self.state, self.finished_at = 0, 0, "serving", None
-        self.pods = [
+        self.commands_by_nonce, self.streams, self.stream_mode, self.version = {}, [], "live", 7
+        self.shutdown_count, self.drains, self.state, self.finished_at = 0, 0, "serving", None
+        self.endpoints = [
             SteppedEndpoint(self, 1, 41),
             SteppedEndpoint(self, 2, 41),
             SteppedEndpoint(self, 3, 42),
         ]
-        self.news = {
+        self.release = {
             "version": 42,
             "step": 1,
             "status": "trial",
             "maxWeight": 1.0,
             "observedAgoMs": 0,
         }
-        self.told_news, self.closed_at = (
-            dict(self.news),
+        self.known_release, self.cap_zero_since = (
+            dict(self.release),
             None,
         )  # the newest build takes nothing: from when
-        self.waits, self.told = (
+        self.pending_connects, self.config = (
             [],
             {
                 "name": "n1",
@@ -203,8 +248,12 @@
                 "seed": "1f",
                 "limits": {"sockets": 1024},
                 "settings": SHORT_IDLE_SETTINGS,
-                "deployer": {"address": "127.0.0.1:3", "news": dict(self.news)},
-                "known": {"version": 7, "full": True, "servers": [p.entry() for p in self.pods]},
+                "deployer": {"address": "127.0.0.1:3", "news": dict(self.release)},
+                "known": {
+                    "version": 7,
+                    "full": True,
+                    "servers": [endpoint.entry() for endpoint in self.endpoints],
+                },
             },
         )
         self.reactor = SteppedReactor(self)
@@ -218,14 +267,14 @@
         twisted_log.addObserver(self._observe)
         self.overdue = []
         self.proxy = Proxy(
-            configuration.parse(self.told, 0),
+            configuration.parse(self.config, 0),
             self.reactor,
             TimerQueue(lambda: self.now, self.reactor.callLater, fault),
             0,
         )
         self.proxy.begin()
         self.proxy.serve()
-        self.turn()
+        self.run_rounds()
 
     def _fault(self, where, what):
         trace = traceback.extract_tb(what.__traceback__)
@@ -240,412 +289,460 @@
         if event.get("isError"):
             self.faults.append(f"network library: {event.get('failure') or event.get('message')}")
 
-    def over(self):
+    def close(self):
         for patch in self.patches:
             patch.stop()
         twisted_log.removeObserver(self._observe)
-        self.reactor.over()
-        for wire in self.wires:
-            wire.real.close()
-            wire.far.close()
+        self.reactor.close()
+        for connection in self.sockets:
+            connection.local.close()
+            connection.remote.close()
 
     # The loop and the clock.
 
-    def once(self):
-        self.stirred, self.touched = self.touched, False
-        while self.soon and self.soon[0][0] <= self.now:
-            self.stirred = True
-            heappop(self.soon)[2]()
-        due = self.reactor.next_due()
-        self.stirred |= due is not None and due <= self.reactor.seconds()
+    def run_round(self):
+        self.progressed, self.peer_progressed = self.peer_progressed, False
+        while self.scheduled and self.scheduled[0][0] <= self.now:
+            self.progressed = True
+            heappop(self.scheduled)[2]()
+        due = self.reactor.next_call_time()
+        self.progressed |= due is not None and due <= self.reactor.seconds()
         self.reactor.runUntilCurrent()
         self.reactor.doIteration(0)
-        if self.stirred:
-            self.others()
+        if self.progressed:
+            self.run_peers()
 
-    def turn(self, times=None):
+    def run_rounds(self, times=None):
         """So many rounds of the loop; else until nothing stirs."""
         quiet = 0
         for _ in range(2000 if times is None else times):
-            self.once()
-            quiet = 0 if self.stirred else quiet + 1
+            self.run_round()
+            quiet = 0 if self.progressed else quiet + 1
             if quiet == 1 and times is None:
                 return
         if times is None:
             raise CheckFailed("the loop does not come to rest")
 
-    def later(self, after, call):
-        self.count += 1
-        heappush(self.soon, (self.now + after, self.count, call))
+    def schedule(self, after, call):
+        self.counter += 1
+        heappush(self.scheduled, (self.now + after, self.counter, call))
 
-    def wait(self, span):
+    def advance(self, duration):
         """Passes time, from one thing that is due to the next."""
-        until = self.now + span
+        until = self.now + duration
         while self.now < until:
-            due = self.reactor.next_due()
-            times = [until] + ([self.soon[0][0]] if self.soon else [])
+            due = self.reactor.next_call_time()
+            times = [until] + ([self.scheduled[0][0]] if self.scheduled else [])
             if due is not None:
                 times.append(int(due * 10_000 + 0.99))
             self.now = max(self.now + 1, min(times))
-            self.turn()
-            self.check_times()
+            self.run_rounds()
+            self.check_deadlines()
 
     # The others' parts.
 
-    def others(self):
+    def run_peers(self):
         for client in self.clients:
-            self._hear(client)
+            self._read_responses(client)
         for link in self.links:
-            self._serve(link)
+            self._read_connection(link)
         # Read to the end: the rest is for the checker alone.
         self.links = [link for link in self.links if not link[0].closed] + [
             link for link in self.links if link[0].closed and self.ended_links.append(link)
         ]
 
-    def dialled(self, dial):
-        port = dial.addr[1]
+    def on_connect(self, connect):
+        port = connect.addr[1]
         if port in DISCOVERY_PORTS + PLATFORM_PORTS:
-            dial.come_up() if self.stream_mode != "ended" else dial.refuse()
+            connect.succeed() if self.stream_mode != "ended" else connect.refuse()
             return
-        pod = next((pod for pod in self.pods if pod.port == port), None)
-        how = REFUSES if pod is None or pod.state == "Gone" else pod.dials
-        dial.wire.pod = pod
+        endpoint = next((endpoint for endpoint in self.endpoints if endpoint.port == port), None)
+        how = REFUSES if endpoint is None or endpoint.state == "Gone" else endpoint.connect_mode
+        connect.connection.endpoint = endpoint
         if how == ACCEPTS:
-            dial.come_up()
+            connect.succeed()
         elif how == REFUSES:
-            dial.refuse()
+            connect.refuse()
         else:
-            self.waits.append(dial)
+            self.pending_connects.append(connect)
 
-    def came_up(self, wire):
-        if wire.port in DISCOVERY_PORTS + PLATFORM_PORTS:
-            self.links.append([wire, b"", self._stream])
+    def on_connected(self, connection):
+        if connection.port in DISCOVERY_PORTS + PLATFORM_PORTS:
+            self.links.append([connection, b"", self._handle_stream_request])
         else:
-            wire.budget = wire.pod.budget
-            wire.parsed, wire.answers = 0, []
-            self.links.append([wire, b"", self._requests])
+            connection.write_budget = connection.endpoint.write_budget
+            connection.parsed_bytes, connection.answers = 0, []
+            self.links.append([connection, b"", self._handle_commands])
 
-    def _serve(self, link):
-        wire = link[0]
-        data = wire.pull()
+    def _read_connection(self, link):
+        connection = link[0]
+        data = connection.receive_remote()
         if data:
             link[1] += data
             link[2](link)
 
-    def _stream(self, link):
-        wire = link[0]
+    def _handle_stream_request(self, link):
+        connection = link[0]
         while b"\r\n\r\n" in link[1]:
             head, _, link[1] = link[1].partition(b"\r\n\r\n")
             if head.startswith(b"POST"):
                 body = b"<Error><Code>throttled</Code></Error>"
-                wire.put(b"HTTP/1.1 400 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
+                connection.send_remote(
+                    b"HTTP/1.1 400 X\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body)
+                )
                 link[1] = b""
                 continue
-            wire.put(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-            wire.lists = wire.port in DISCOVERY_PORTS
-            self.streams.append(wire)
+            connection.send_remote(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+            connection.is_discovery = connection.port in DISCOVERY_PORTS
+            self.streams.append(connection)
             if self.stream_mode == "live":
-                self.tell_pods(self.pods, full=True, to=[wire]) if wire.lists else self.tell_news(
-                    to=[wire]
-                )
-            self._life(wire)
+                self.push_endpoints(
+                    self.endpoints, full=True, receivers=[connection]
+                ) if connection.is_discovery else self.push_release(receivers=[connection])
+            self._send_heartbeat(connection)
 
-    def _life(self, wire):
-        if wire.closed or wire not in self.streams:
+    def _send_heartbeat(self, connection):
+        if connection.closed or connection not in self.streams:
             return
         if self.stream_mode == "live":
-            wire.put(b"1\r\n\n\r\n" if wire.lists else b"2\r\n:\n\r\n")
-        self.later(10_000, lambda: self._life(wire))
+            connection.send_remote(b"1\r\n\n\r\n" if connection.is_discovery else b"2\r\n:\n\r\n")
+        self.schedule(10_000, lambda: self._send_heartbeat(connection))
 
-    def _push(self, text, lists, told, to=None):
+    def _push_chunk(self, text, to_discovery, on_read, receivers=None):
         """told() is called as the sidecar reads the last byte."""
         data = b"%x\r\n%s\r\n" % (len(text), text)
-        for wire in to or self.streams:
+        for connection in receivers or self.streams:
             if (
-                wire.lists == lists
+                connection.is_discovery == to_discovery
                 and self.stream_mode == "live"
-                and not wire.closed
-                and wire.put(data)
+                and not connection.closed
+                and connection.send_remote(data)
             ):
-                wire.marks.append((self._put_so_far(wire), told))
+                connection.read_callbacks.append((self._bytes_sent_so_far(connection), on_read))
 
-    def _put_so_far(self, wire):
+    def _bytes_sent_so_far(self, connection):
         waiting = 0
         try:
-            waiting = len(wire.real.recv(1 << 24, socket.MSG_PEEK))
+            waiting = len(connection.local.recv(1 << 24, socket.MSG_PEEK))
         except OSError:
             pass
-        return wire.read + waiting
+        return connection.bytes_read + waiting
 
-    def tell_pods(self, pods, full=False, to=None):
+    def push_endpoints(self, endpoints, full=False, receivers=None):
         self.version += 1
-        entries = [pod.entry() for pod in pods if not full or pod.state != "Gone"]
-        states = [(pod, pod.state, pod.started, pod.build) for pod in pods]
-
-        def told():
-            for pod, state, started, build in states:
-                if pod.known != (started, build):
-                    pod.stale_at = self.now
-                pod.known = started, build
-                pod.builds_known.append((self.now, build))
+        entries = [
+            endpoint.entry() for endpoint in endpoints if not full or endpoint.state != "Gone"
+        ]
+        states = [
+            (endpoint, endpoint.state, endpoint.started, endpoint.build) for endpoint in endpoints
+        ]
+
+        def on_read():
+            for endpoint, state, started, build in states:
+                if endpoint.known_process != (started, build):
+                    endpoint.replaced_at = self.now
+                endpoint.known_process = started, build
+                endpoint.builds_known.append((self.now, build))
                 if state == "Ready":
-                    pod.barred_at = None
-                elif pod.barred_at is None:
-                    pod.barred_at = self.now
+                    endpoint.unavailable_since = None
+                elif endpoint.unavailable_since is None:
+                    endpoint.unavailable_since = self.now
 
-        self._push(
+        self._push_chunk(
             json.dumps({"version": self.version, "full": full, "servers": entries}).encode()
             + b"\n",
             True,
-            told,
-            to,
+            on_read,
+            receivers,
+        )
+
+    def push_release(self, receivers=None):
+        release = dict(self.release)
+
+        def on_read():
+            takes_nothing = release["maxWeight"] <= 0
+            if (
+                self.known_release is None
+                or self.known_release["version"] != release["version"]
+                or not takes_nothing
+            ):
+                self.cap_zero_since = None
+            if takes_nothing and self.cap_zero_since is None:
+                self.cap_zero_since = self.now
+            self.known_release = release
+
+        arguments = "&".join(f"{name}={value}" for name, value in release.items())
+        self._push_chunk(
+            f"event: progress\ndata: {arguments}\n\n".encode(), False, on_read, receivers
         )
 
-    def tell_news(self, to=None):
-        news = dict(self.news)
-
-        def told():
-            shut = news["maxWeight"] <= 0
-            if self.told_news is None or self.told_news["version"] != news["version"] or not shut:
-                self.closed_at = None
-            if shut and self.closed_at is None:
-                self.closed_at = self.now
-            self.told_news = news
-
-        words = "&".join(f"{name}={value}" for name, value in news.items())
-        self._push(f"event: progress\ndata: {words}\n\n".encode(), False, told, to)
-
-    def _requests(self, link):
-        wire, pod = link[0], link[0].pod
-        while (found := parse_command(link[1])) is not None:
-            words, length = found
-            begin, link[1] = wire.parsed, link[1][length:]
-            wire.parsed += length
+    def _handle_commands(self, link):
+        connection, endpoint = link[0], link[0].endpoint
+        while (parsed := parse_command(link[1])) is not None:
+            arguments, length = parsed
+            begin, link[1] = connection.parsed_bytes, link[1][length:]
+            connection.parsed_bytes += length
             attempt = ReceivedAttempt(
-                pod, wire, words, wire.written_at(begin), wire.written_at(wire.parsed - 1)
+                endpoint,
+                connection,
+                arguments,
+                connection.send_time(begin),
+                connection.send_time(connection.parsed_bytes - 1),
             )
-            attempt.end = wire.parsed
+            attempt.end_offset = connection.parsed_bytes
             self.attempts.append(attempt)
             self.check_attempt(attempt)
-            if pod.mode != "silent":
-                self.later(
-                    pod.lag, lambda attempt=attempt, mode=pod.mode: self._answer(attempt, mode)
+            if endpoint.mode != "silent":
+                self.schedule(
+                    endpoint.response_delay,
+                    lambda attempt=attempt, mode=endpoint.mode: self._respond(attempt, mode),
                 )
 
-    def _answer(self, attempt, mode):
-        wire = attempt.wire
+    def _respond(self, attempt, mode):
+        connection = attempt.connection
         if mode in ("good", "big", "duplicate", "truncated", "malformed"):
-            self.count += 1
-            value = f"{attempt.nonce}:{self.count}".encode() + b"." * (
+            self.counter += 1
+            value = f"{attempt.nonce}:{self.counter}".encode() + b"." * (
                 60_000 if mode == "big" else 0
             )
             good = b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(value), value)
             if mode == "truncated":
-                wire.put(good[: len(good) // 2])
+                connection.send_remote(good[: len(good) // 2])
                 return
             if mode == "malformed":
-                wire.put(b"*3\r\n$%d\r\n" % (len(value) - 1) + good[good.index(value) :])
+                connection.send_remote(
+                    b"*3\r\n$%d\r\n" % (len(value) - 1) + good[good.index(value) :]
+                )
                 return
-            self.made[value] = attempt.nonce
-            wire.put(good)
+            self.responses[value] = attempt.nonce
+            connection.send_remote(good)
             if mode == "duplicate":
-                self.later(5 * TICKS_PER_MS, lambda: self._second_copy(attempt, good))
+                self.schedule(5 * TICKS_PER_MS, lambda: self._second_copy(attempt, good))
         elif mode == "error":
-            wire.put(b"-ERR failed\r\n")
+            connection.send_remote(b"-ERR failed\r\n")
         elif mode == "busy":
-            if wire.put(b"-BUSY\r\n"):
-                attempt.turned_away = self.now
+            if connection.send_remote(b"-BUSY\r\n"):
+                attempt.rejected_at = self.now
         else:
-            wire.end("reset")
+            connection.end_remote("reset")
 
     def _second_copy(self, attempt, good):
-        if DUPLICATE_RESPONSES_REACH_NEXT_REQUEST or attempt.wire.sent == attempt.end:
-            attempt.wire.put(good)
+        if (
+            DUPLICATE_RESPONSES_REACH_NEXT_REQUEST
+            or attempt.connection.bytes_sent == attempt.end_offset
+        ):
+            attempt.connection.send_remote(good)
 
     # The checker.
 
     def check_attempt(self, attempt):
-        pod, nonce = attempt.pod, attempt.nonce
-        client, asked = self.by_nonce[nonce]
-        if attempt.words[:3] != asked.wants[:3] or attempt.words[4:] != asked.wants[4:]:
-            raise CheckFailed(f"a pod got {attempt.words}, its client sent {asked.wants}")
+        endpoint, nonce = attempt.endpoint, attempt.nonce
+        client, command = self.commands_by_nonce[nonce]
+        if (
+            attempt.arguments[:3] != command.arguments[:3]
+            or attempt.arguments[4:] != command.arguments[4:]
+        ):
+            raise CheckFailed(f"a pod got {attempt.arguments}, its client sent {command.arguments}")
         earlier = [
             other for other in self.attempts if other.nonce == nonce and other is not attempt
         ]
         if len(earlier) >= MAX_ATTEMPTS:
             raise CheckFailed(f"{nonce} is sent for the {len(earlier) + 1}th time")
-        perhaps = [
+        may_have_run = [
             other
             for other in earlier
-            if other.turned_away is None or other.turned_away > attempt.whole
+            if other.rejected_at is None or other.rejected_at > attempt.last_byte_at
         ]
-        if perhaps and asked.lane == "pay":
+        if may_have_run and command.request_class == "pay":
             raise CheckFailed(f"binding {nonce} is sent again while it may have run")
         if (
-            perhaps
-            and asked.lane == "mark"
-            and attempt.whole >= perhaps[0].whole + DEDUPLICATION_WINDOW
+            may_have_run
+            and command.request_class == "mark"
+            and attempt.last_byte_at >= may_have_run[0].last_byte_at + DEDUPLICATION_WINDOW
         ):
             raise CheckFailed(f"fingerprinted {nonce} is sent again after its window")
-        self.check_begun(attempt.wire, attempt.begun, f"{nonce} to {pod.name}")
-        if client.gone_at is not None and attempt.whole > client.gone_at + DISCONNECT_SLACK:
+        self.check_first_byte(
+            attempt.connection, attempt.first_byte_at, f"{nonce} to {endpoint.name}"
+        )
+        if (
+            client.disconnected_at is not None
+            and attempt.last_byte_at > client.disconnected_at + DISCONNECT_SLACK
+        ):
             raise CheckFailed(
-                f"{nonce} is sent {(attempt.whole - client.gone_at) / 10_000} s after its client left"
+                f"{nonce} is sent {(attempt.last_byte_at - client.disconnected_at) / 10_000} s after its client left"
             )
 
-    def check_begun(self, wire, begun, what):
-        pod = wire.pod
-        if pod.barred_at is not None and begun > pod.barred_at + UPDATE_SLACK:
+    def check_first_byte(self, connection, first_byte_at, what):
+        endpoint = connection.endpoint
+        if (
+            endpoint.unavailable_since is not None
+            and first_byte_at > endpoint.unavailable_since + UPDATE_SLACK
+        ):
             raise CheckFailed(f"{what}: begun after its drain was told")
         if (
-            pod.stale_at is not None
-            and wire.made_at < pod.stale_at
-            and begun > pod.stale_at + UPDATE_SLACK
+            endpoint.replaced_at is not None
+            and connection.created_at < endpoint.replaced_at
+            and first_byte_at > endpoint.replaced_at + UPDATE_SLACK
         ):
             raise CheckFailed(f"{what}: begun on a connection to the process before")
         if (
-            self.closed_at is not None
-            and pod.build_known_at(begun) >= self.told_news["version"]
-            and begun > self.closed_at + CAP_UPDATE_SLACK
+            self.cap_zero_since is not None
+            and endpoint.build_known_at(first_byte_at) >= self.known_release["version"]
+            and first_byte_at > self.cap_zero_since + CAP_UPDATE_SLACK
         ):
             raise CheckFailed(f"{what}: begun though the newest build takes nothing")
 
-    def _hear(self, client):
-        wire = client.wire
-        for asked in client.asked:
-            if asked.read_at is None and asked.end <= wire.read:
-                asked.read_at = self.now
-        if wire.far_gone:
+    def _read_responses(self, client):
+        connection = client.connection
+        for command in client.commands:
+            if command.read_at is None and command.end_offset <= connection.bytes_read:
+                command.read_at = self.now
+        if connection.remote_closed:
             return
-        client.buffer += wire.pull()
-        while (found := parse_response(client.buffer)) is not None:
-            answer, length = found
+        client.buffer += connection.receive_remote()
+        while (parsed := parse_response(client.buffer)) is not None:
+            answer, length = parsed
             client.buffer = client.buffer[length:]
-            self._answered(client, answer)
-        if (wire.closed or wire.shut) and not client.eof:
+            self._handle_response(client, answer)
+        if (connection.closed or connection.write_closed) and not client.eof:
             client.eof = True
-            if client.buffer and client.gone_at is None and not wire.aborted:
+            if client.buffer and client.disconnected_at is None and not connection.aborted:
                 raise CheckFailed(
                     f"client {client.number}: closed within an answer: {client.buffer[:40]}"
                 )
-            self.check_closed(client)
+            self.check_connection_close(client)
 
-    def _answered(self, client, answer):
-        if client.got >= len(client.asked):
+    def _handle_response(self, client, answer):
+        if client.answered_count >= len(client.commands):
             if (
-                client.spoilt_at is not None
+                client.malformed_at is not None
                 and answer.startswith(b"-ERR syntax")
-                or (client.slow and client.half and answer.startswith(b"-ERR no whole command"))
+                or (
+                    client.is_slow
+                    and client.partial
+                    and answer.startswith(b"-ERR no whole command")
+                )
             ):
-                client.excused = True
+                client.exempt = True
                 return
             raise CheckFailed(
                 f"client {client.number}: an answer that nothing asked for: {answer[:60]}"
             )
-        asked = client.asked[client.got]
-        if asked.read_at is None:
+        command = client.commands[client.answered_count]
+        if command.read_at is None:
             raise CheckFailed(
-                f"client {client.number}: {answer[:60]} before {asked.nonce or asked.kind} was read"
+                f"client {client.number}: {answer[:60]} before {command.nonce or command.kind} was read"
             )
-        client.got += 1
-        asked.answered = self.now
-        if asked.kind == "ping" and answer != b"+PONG":
+        client.answered_count += 1
+        command.answered_at = self.now
+        if command.kind == "ping" and answer != b"+PONG":
             raise CheckFailed(f"PING is answered with {answer[:60]}")
-        if asked.kind == "wrong" and not answer.startswith(b"-ERR"):
+        if command.kind == "wrong" and not answer.startswith(b"-ERR"):
             raise CheckFailed(f"what is no request is answered with {answer[:60]}")
-        if asked.kind != "request":
+        if command.kind != "request":
             return
         if answer.startswith(b"$"):
-            nonce = self.made.pop(answer[1:], None)
-            if nonce != asked.nonce:
-                raise CheckFailed(f"{asked.nonce} is answered with {answer[:60]}, made for {nonce}")
+            nonce = self.responses.pop(answer[1:], None)
+            if nonce != command.nonce:
+                raise CheckFailed(
+                    f"{command.nonce} is answered with {answer[:60]}, made for {nonce}"
+                )
         elif answer.startswith(b"-BUSY"):
-            perhaps = [
-                one for one in self.attempts if one.nonce == asked.nonce and one.turned_away is None
+            may_have_run = [
+                one
+                for one in self.attempts
+                if one.nonce == command.nonce and one.rejected_at is None
             ]
-            if perhaps and asked.lane == "pay":
-                raise CheckFailed(f"binding {asked.nonce} is refused though it may have run")
+            if may_have_run and command.request_class == "pay":
+                raise CheckFailed(f"binding {command.nonce} is refused though it may have run")
         elif answer.startswith(b"-ERR this id is in hand"):
             others = [
                 (other, one)
-                for other, one in self.by_nonce.values()
-                if one.name == asked.name and one is not asked
+                for other, one in self.commands_by_nonce.values()
+                if one.request_id == command.request_id and one is not command
             ]
             # As it was read: the answer may have waited behind others.
             if all(
-                (one.answered or other.wire.closed_at or asked.read_at) < asked.read_at
+                (one.answered_at or other.connection.closed_at or command.read_at) < command.read_at
                 for other, one in others
             ):
                 raise CheckFailed(
-                    f"{asked.nonce}: no other holds its id, and it is turned away for it"
+                    f"{command.nonce}: no other holds its id, and it is turned away for it"
                 )
         elif not answer.startswith(b"-ERR"):
-            raise CheckFailed(f"{asked.nonce} is answered with {answer[:60]}")
+            raise CheckFailed(f"{command.nonce} is answered with {answer[:60]}")
 
-    def check_times(self):
+    def check_deadlines(self):
         for client in self.clients:
             if (
-                client.gone_at is not None
-                or client.excused
-                or client.slow
-                and client.got == len(client.asked)
+                client.disconnected_at is not None
+                or client.exempt
+                or client.is_slow
+                and client.answered_count == len(client.commands)
             ):
                 continue
-            if client.stalled_since is not None:
-                client.excused |= self.now >= client.stalled_since + STALL_TIMEOUT
+            if client.paused_since is not None:
+                client.exempt |= self.now >= client.paused_since + STALL_TIMEOUT
                 continue
-            self.check_finished(client)
-            due = client.freed_at
-            for asked in client.asked[client.got :]:
-                if asked.read_at is None:
+            self.check_closed_after_shutdown(client)
+            due = client.resumed_at
+            for command in client.commands[client.answered_count :]:
+                if command.read_at is None:
                     break
-                due = max(due, asked.read_at + asked.left * TICKS_PER_MS)
-                if asked.answered is None and self.now > due + RESPONSE_SLACK:
+                due = max(due, command.read_at + command.timeout_ms * TICKS_PER_MS)
+                if command.answered_at is None and self.now > due + RESPONSE_SLACK:
                     raise CheckFailed(
-                        f"client {client.number}: {asked.nonce or asked.kind} is not answered in time"
+                        f"client {client.number}: {command.nonce or command.kind} is not answered in time"
                     )
 
-    def check_finished(self, client):
+    def check_closed_after_shutdown(self, client):
         """After `finish` one that is owed nothing closes."""
         if (
             self.finished_at is None
-            or client.wire.closed
+            or client.connection.closed
             or client.eof
-            or client.half
-            or client.slow
-            or client.spoilt_at is not None
+            or client.partial
+            or client.is_slow
+            or client.malformed_at is not None
         ):
             return
-        if client.got < len(client.asked) or client.wire.read < client.out:
+        if (
+            client.answered_count < len(client.commands)
+            or client.connection.bytes_read < client.sent_bytes
+        ):
             return
         since = max(
-            [self.finished_at, client.opened_at, client.freed_at]
-            + [asked.answered for asked in client.asked[: client.got]]
+            [self.finished_at, client.opened_at, client.resumed_at]
+            + [command.answered_at for command in client.commands[: client.answered_count]]
         )
-        if not client.asked:  # its first command may be on its way
+        if not client.commands:  # its first command may be on its way
             since = max(since, client.opened_at + FIRST_COMMAND_WAIT)
-        if self.now > since + SHUTDOWN_CLOSE_LIMIT + self.held_since(since):
+        if self.now > since + SHUTDOWN_CLOSE_LIMIT + self.stalled_time_since(since):
             raise CheckFailed(
                 f"client {client.number}: owed nothing and open {(self.now - since) / 10_000} s after the end"
             )
 
-    def held_since(self, since):
+    def stalled_time_since(self, since):
         """For how long the sidecar has been held up since this moment: it can't close anything then."""
-        return sum(max(0, until - max(begin, since)) for begin, until in self.hold_ups)
+        return sum(max(0, until - max(begin, since)) for begin, until in self.stalls)
 
-    def check_closed(self, client):
-        if client.gone_at is not None or client.excused:
+    def check_connection_close(self, client):
+        if client.disconnected_at is not None or client.exempt:
             return
-        if client.stalled_since is not None and self.now >= client.stalled_since + STALL_TIMEOUT:
+        if client.paused_since is not None and self.now >= client.paused_since + STALL_TIMEOUT:
             return
-        owed = [asked for asked in client.asked[client.got :] if asked.read_at is not None]
-        if owed:
+        unanswered = [
+            command
+            for command in client.commands[client.answered_count :]
+            if command.read_at is not None
+        ]
+        if unanswered:
             raise CheckFailed(
-                f"client {client.number}: closed with {owed[0].nonce or owed[0].kind} owed"
+                f"client {client.number}: closed with {unanswered[0].nonce or unanswered[0].kind} owed"
             )
         if (
-            client.spoilt_at is None
-            and not client.slow
+            client.malformed_at is None
+            and not client.is_slow
             and self.state == "serving"
             and not self.drains
         ):
@@ -653,24 +750,30 @@
 
     def check_end(self):
         for client in self.clients:
-            owed = [asked for asked in client.asked[client.got :] if asked.read_at is not None]
-            if client.gone_at is None and not client.excused and owed:
+            unanswered = [
+                command
+                for command in client.commands[client.answered_count :]
+                if command.read_at is not None
+            ]
+            if client.disconnected_at is None and not client.exempt and unanswered:
                 raise CheckFailed(
-                    f"client {client.number}: {owed[0].nonce or owed[0].kind} was never answered"
+                    f"client {client.number}: {unanswered[0].nonce or unanswered[0].kind} was never answered"
                 )
-            if not client.wire.closed:
+            if not client.connection.closed:
                 raise CheckFailed(f"client {client.number}: its connection is open at the end")
-        for wire, rest, _ in self.links + self.ended_links:
-            if rest and hasattr(wire, "pod"):
-                self.check_begun(
-                    wire, wire.written_at(wire.parsed), f"half a command to {wire.pod.name}"
+        for connection, unparsed, _ in self.links + self.ended_links:
+            if unparsed and hasattr(connection, "endpoint"):
+                self.check_first_byte(
+                    connection,
+                    connection.send_time(connection.parsed_bytes),
+                    f"half a command to {connection.endpoint.name}",
                 )
-        if any(door.open for door in self.reactor.doors):
+        if any(listener.is_open for listener in self.reactor.listeners):
             raise CheckFailed("it listens at the end")
-        if self.emptied != 1:
-            raise CheckFailed(f"emptied was called {self.emptied} times")
+        if self.shutdown_count != 1:
+            raise CheckFailed(f"emptied was called {self.shutdown_count} times")
         proxy = self.proxy
-        left = {
+        remaining = {
             "clients": len(proxy.clients),
             "transactions": len(proxy.requests_in_flight),
             "ids": len(proxy.requests.by_id),
@@ -684,10 +787,10 @@
             ),
             "idle": sum(len(pool.idle) for pool in proxy.pools.by_pod.values()),
         }
-        left = {what: count for what, count in left.items() if count}
-        if left:
-            raise CheckFailed(f"left at the end: {left}")
-        standing = {
+        remaining = {what: count for what, count in remaining.items() if count}
+        if remaining:
+            raise CheckFailed(f"left at the end: {remaining}")
+        recurring_timers = {
             "Proxy.handle_events",
             "Proxy._log_rejections",
             "WatchStream._check_silence",
@@ -696,27 +799,27 @@
             "Stream.connect_overdue",
             "Call.connect_overdue",
         }
-        live = [
+        request_timers = [
             call.__qualname__
             for call, _ in proxy.timers.pending.values()
-            if call.__qualname__ not in standing
+            if call.__qualname__ not in recurring_timers
         ]
-        periodic = [call.__name__ for call, _ in proxy.timers.pending.values()]
+        pending_names = [call.__name__ for call, _ in proxy.timers.pending.values()]
         if (
-            live
-            or periodic.count("handle_events") != 1
-            or periodic.count("_log_rejections") != 1
-            or len(periodic) > 12
+            request_timers
+            or pending_names.count("handle_events") != 1
+            or pending_names.count("_log_rejections") != 1
+            or len(pending_names) > 12
         ):
-            raise CheckFailed(f"deadlines left: {live or periodic}")
-        open_ = [
-            wire.port
-            for wire in self.wires
-            if not wire.closed and wire.port not in DISCOVERY_PORTS + PLATFORM_PORTS
+            raise CheckFailed(f"deadlines left: {request_timers or pending_names}")
+        open_ports = [
+            connection.port
+            for connection in self.sockets
+            if not connection.closed and connection.port not in DISCOVERY_PORTS + PLATFORM_PORTS
         ]
-        if open_:
-            raise CheckFailed(f"descriptors left open: {open_}")
-        if len([wire for wire in self.wires if not wire.closed]) > 4:
+        if open_ports:
+            raise CheckFailed(f"descriptors left open: {open_ports}")
+        if len([connection for connection in self.sockets if not connection.closed]) > 4:
             raise CheckFailed("streams left open")
 
     def check_faults(self):
@@ -728,272 +831,294 @@
     def play(self, orders):
         for name, *arguments, turns in orders:
             getattr(self, name)(*arguments)
-            self.turn(None if turns < 0 else turns)
-            self.check_times()
+            self.run_rounds(None if turns < 0 else turns)
+            self.check_deadlines()
             self.check_faults()
-        self.end()
+        self.finish_run()
         return self
 
-    def end(self):
-        self.turn()
+    def finish_run(self):
+        self.run_rounds()
         if self.stream_mode != "live":
             self.set_stream_mode("live")
         for client in self.clients:
             self.resume_reading(client.number)
-        for pod in self.pods:
-            pod.mode, pod.lag, pod.dials = (
-                ("good" if pod.mode != "silent" else "silent"),
+        for endpoint in self.endpoints:
+            endpoint.mode, endpoint.response_delay, endpoint.connect_mode = (
+                ("good" if endpoint.mode != "silent" else "silent"),
                 TICKS_PER_MS,
                 ACCEPTS,
             )
-            self.limit_endpoint_reads(self.pods.index(pod), None)
+            self.limit_endpoint_reads(self.endpoints.index(endpoint), None)
         self.finish_connects(True)
-        self.wait(1_000 * TICKS_PER_MS)
-        self.wait(5_000 * TICKS_PER_MS)
+        self.advance(1_000 * TICKS_PER_MS)
+        self.advance(5_000 * TICKS_PER_MS)
         if self.state == "drained":
             self.undrain()
-            self.turn()
+            self.run_rounds()
         if self.state == "serving":
             self.finish()
-        self.wait(6_500 * TICKS_PER_MS)
+        self.advance(6_500 * TICKS_PER_MS)
         self.check_faults()
         self.check_end()
 
-    def client(self, number):
+    def select_client(self, number):
         return self.clients[number % len(self.clients)] if self.clients else None
 
     def open_client(self):
-        door = self.reactor.doors[-1]
+        listener = self.reactor.listeners[-1]
         if (
-            door.open
-            and door.lets_in
-            and len([one for one in self.clients if one.gone_at is None]) < 6
+            listener.is_open
+            and listener.accepting
+            and len([one for one in self.clients if one.disconnected_at is None]) < 6
         ):
             client = SteppedClient(self, len(self.clients))
             self.clients.append(client)
-            door.queue.append(client.wire)
-
-    def _request(self, client, lane, left, key, of=None):
-        self.count += 1
-        nonce = f"n{self.count}"
-        name = of.name if of else f"id{self.count}"
-        lane = of.lane if of else REQUEST_CLASSES[lane % 3]
-        left = DEADLINES_MS[left % 3]
-        words = [
-            b"SVC.QUERY" if lane == "read" else b"SVC.SUBMIT",
+            listener.backlog.append(client.connection)
+
+    def _make_request(self, client, request_class, timeout, key, earlier=None):
+        self.counter += 1
+        nonce = f"n{self.counter}"
+        name = earlier.request_id if earlier else f"id{self.counter}"
+        request_class = earlier.request_class if earlier else REQUEST_CLASSES[request_class % 3]
+        timeout = DEADLINES_MS[timeout % 3]
+        arguments = [
+            b"SVC.QUERY" if request_class == "read" else b"SVC.SUBMIT",
             b"k%d" % (key % 3),
             name.encode(),
-            f"c={lane},t=x,d={left}".encode(),
+            f"c={request_class},t=x,d={timeout}".encode(),
             nonce.encode(),
         ]
-        return SentCommand("request", 0, name, nonce, lane, left, words), encode_command(*words)
+        return SentCommand(
+            "request", 0, name, nonce, request_class, timeout, arguments
+        ), encode_command(*arguments)
 
-    def _put(self, client, asked, data):
+    def _send_command(self, client, command, data):
         if (
             client is None
-            or client.gone_at is not None
-            or client.half
-            or client.spoilt_at is not None
-            or client.slow
+            or client.disconnected_at is not None
+            or client.partial
+            or client.malformed_at is not None
+            or client.is_slow
         ):
             return
-        client.begun_at = self.now if client.asked else client.opened_at
-        before = client.out
+        client.command_started_at = self.now if client.commands else client.opened_at
+        before = client.sent_bytes
         client.send(data)
-        if client.out > before:
-            asked.end = client.out
-            client.asked.append(asked)
-            if asked.nonce:
-                self.by_nonce[asked.nonce] = client, asked
-
-    def send_requests(self, number, lane, left, key, count):
-        client = self.client(number)
+        if client.sent_bytes > before:
+            command.end_offset = client.sent_bytes
+            client.commands.append(command)
+            if command.nonce:
+                self.commands_by_nonce[command.nonce] = client, command
+
+    def send_requests(self, number, request_class, timeout_index, key, count):
+        client = self.select_client(number)
         for _ in range(count):
-            self._put(client, *self._request(client, lane, left, key))
+            self._send_command(
+                client, *self._make_request(client, request_class, timeout_index, key)
+            )
 
-    def flood(self, number, left):
-        self.send_requests(number, 0, left, 0, 70)
+    def flood(self, number, timeout_index):
+        self.send_requests(number, 0, timeout_index, 0, 70)
 
-    def reuse_id(self, number, of):
+    def reuse_id(self, number, earlier_index):
         """With the id of an earlier one, after that one's connection was closed."""
-        earlier = [asked for client, asked in self.by_nonce.values() if client.gone_at is not None]
+        earlier = [
+            command
+            for client, command in self.commands_by_nonce.values()
+            if client.disconnected_at is not None
+        ]
         if earlier:
-            client = self.client(number)
-            self._put(client, *self._request(client, 0, 1, 0, earlier[of % len(earlier)]))
+            client = self.select_client(number)
+            self._send_command(
+                client, *self._make_request(client, 0, 1, 0, earlier[earlier_index % len(earlier)])
+            )
 
     def ping(self, number):
-        self._put(self.client(number), SentCommand("ping", 0), encode_command("PING"))
+        self._send_command(
+            self.select_client(number), SentCommand("ping", 0), encode_command("PING")
+        )
 
     def send_unsupported(self, number):
-        self._put(self.client(number), SentCommand("wrong", 0), encode_command("GET", "x"))
+        self._send_command(
+            self.select_client(number), SentCommand("wrong", 0), encode_command("GET", "x")
+        )
 
-    def send_partial(self, number, lane, left):
-        client = self.client(number)
+    def send_partial(self, number, request_class, timeout_index):
+        client = self.select_client(number)
         if (
             client
-            and client.gone_at is None
-            and not client.half
-            and client.spoilt_at is None
-            and not client.slow
+            and client.disconnected_at is None
+            and not client.partial
+            and client.malformed_at is None
+            and not client.is_slow
         ):
-            asked, data = self._request(client, lane, left, 1)
-            client.begun_at = self.now if client.asked else client.opened_at
+            command, data = self._make_request(client, request_class, timeout_index, 1)
+            client.command_started_at = self.now if client.commands else client.opened_at
             client.send(data[:9])
-            client.half = asked, data[9:]
+            client.partial = command, data[9:]
 
     def send_remainder(self, number):
-        client = self.client(number)
-        if client and client.half and client.gone_at is None and not client.slow:
-            (asked, data), client.half, begun_at = client.half, b"", client.begun_at
-            self._put(client, asked, data)
-            client.begun_at = begun_at  # the command began to come then
+        client = self.select_client(number)
+        if client and client.partial and client.disconnected_at is None and not client.is_slow:
+            (command, data), client.partial, started_at = (
+                client.partial,
+                b"",
+                client.command_started_at,
+            )
+            self._send_command(client, command, data)
+            client.command_started_at = started_at  # the command began to come then
 
     def send_garbage(self, number):
-        client = self.client(number)
+        client = self.select_client(number)
         if (
             client
-            and client.gone_at is None
-            and not client.half
-            and client.spoilt_at is None
-            and not client.slow
+            and client.disconnected_at is None
+            and not client.partial
+            and client.malformed_at is None
+            and not client.is_slow
         ):
             client.send(b"what is this?\r\n")
-            client.spoilt_at = self.now
+            client.malformed_at = self.now
 
     def pause_reading(self, number, budget):
-        client = self.client(number)
-        if client and client.gone_at is None:
-            client.wire.budget = budget
-            if client.stalled_since is None:
-                client.stalled_since = self.now
+        client = self.select_client(number)
+        if client and client.disconnected_at is None:
+            client.connection.write_budget = budget
+            if client.paused_since is None:
+                client.paused_since = self.now
 
     def resume_reading(self, number):
-        client = self.client(number)
+        client = self.select_client(number)
         if client:
-            if (
-                client.stalled_since is not None
-                and self.now >= client.stalled_since + STALL_TIMEOUT
-            ):
-                client.excused = True
-            client.wire.budget, client.stalled_since, client.freed_at = None, None, self.now
+            if client.paused_since is not None and self.now >= client.paused_since + STALL_TIMEOUT:
+                client.exempt = True
+            client.connection.write_budget, client.paused_since, client.resumed_at = (
+                None,
+                None,
+                self.now,
+            )
 
     def disconnect(self, number, how):
-        client = self.client(number)
-        if client and not DISCONNECTS_WHILE_READING_PAUSED and self.may_not_be_read(client):
+        client = self.select_client(number)
+        if client and not DISCONNECTS_WHILE_READING_PAUSED and self.reading_may_be_paused(client):
             return
-        if client and client.gone_at is None:
-            client.gone_at = self.now
+        if client and client.disconnected_at is None:
+            client.disconnected_at = self.now
             unread = (
-                client.wire.budget is not None
+                client.connection.write_budget is not None
             )  # a window that is full is of bytes not read: closing resets
             try:
-                unread |= bool(client.wire.far.recv(1, socket.MSG_PEEK))
+                unread |= bool(client.connection.remote.recv(1, socket.MSG_PEEK))
             except OSError:
                 pass
-            client.wire.end("reset" if unread and how == "close" else how)
+            client.connection.end_remote("reset" if unread and how == "close" else how)
 
-    def disconnect_before_read(self, number, lane, how):
+    def disconnect_before_read(self, number, request_class, how):
         """Asks and leaves while the loop is held up: by the time that it reads what was asked, all is long over."""
-        self.turn()
-        self.send_requests(number, lane, 2, 0, 1)
+        self.run_rounds()
+        self.send_requests(number, request_class, 2, 0, 1)
         self.disconnect(number, how)
         self.stall_process(150)
 
     def stall_process(self, milliseconds):
         """The process gets no processor for so long: the page allows for up to 0.15 s. Its loop does not run."""
-        self.hold_ups.append((self.now, self.now + milliseconds * TICKS_PER_MS))
+        self.stalls.append((self.now, self.now + milliseconds * TICKS_PER_MS))
         self.now += milliseconds * TICKS_PER_MS
 
     def writes_first(self, first):
         self.reactor.writes_first = first
 
-    def may_not_be_read(self, client):
-        return len(client.asked) - client.got > 60 or client.wire.budget is not None
+    def reading_may_be_paused(self, client):
+        return (
+            len(client.commands) - client.answered_count > 60
+            or client.connection.write_budget is not None
+        )
 
-    def set_connect_mode(self, pod, how):
-        self.pods[pod % 3].dials = how
+    def set_connect_mode(self, endpoint, how):
+        self.endpoints[endpoint % 3].connect_mode = how
 
     def finish_connects(self, up):
         """What hangs comes up late, or is refused."""
-        waits, self.waits = self.waits, []
-        for dial in waits:
-            dial.come_up() if up and dial.wire.pod is not None else dial.refuse()
+        pending, self.pending_connects = self.pending_connects, []
+        for connect in pending:
+            connect.succeed() if up and connect.connection.endpoint is not None else connect.refuse()
 
-    def set_response_mode(self, pod, mode, lag):
-        self.pods[pod % 3].mode, self.pods[pod % 3].lag = (
+    def set_response_mode(self, endpoint, mode, response_delay_ms):
+        self.endpoints[endpoint % 3].mode, self.endpoints[endpoint % 3].response_delay = (
             mode,
-            max(lag * TICKS_PER_MS, not RESPONSES_WITHOUT_DELAY),
+            max(response_delay_ms * TICKS_PER_MS, not RESPONSES_WITHOUT_DELAY),
         )
 
-    def limit_endpoint_reads(self, pod, budget):
-        pod = self.pods[pod % 3]
-        budget = pod.budget = 1 if budget == 0 and not ENDPOINTS_READ_NOTHING else budget
-        for wire, *_ in self.links:
-            if getattr(wire, "pod", None) is pod:
-                wire.budget = budget
+    def limit_endpoint_reads(self, endpoint, budget):
+        endpoint = self.endpoints[endpoint % 3]
+        budget = endpoint.write_budget = 1 if budget == 0 and not ENDPOINTS_READ_NOTHING else budget
+        for connection, *_ in self.links:
+            if getattr(connection, "endpoint", None) is endpoint:
+                connection.write_budget = budget
 
-    def close_endpoint_connections(self, pod, how):
-        for wire, *_ in self.links:
-            if getattr(wire, "pod", None) is self.pods[pod % 3]:
-                wire.end(how)
+    def close_endpoint_connections(self, endpoint, how):
+        for connection, *_ in self.links:
+            if getattr(connection, "endpoint", None) is self.endpoints[endpoint % 3]:
+                connection.end_remote(how)
 
-    def change_endpoint(self, pod, what):
-        pod = self.pods[pod % 3]
+    def change_endpoint(self, endpoint, what):
+        endpoint = self.endpoints[endpoint % 3]
         if what == "moved":
-            pod.port += 10
+            endpoint.port += 10
         elif what == "restarted":
-            pod.started, pod.state = self.now // 10, "Ready"
+            endpoint.started, endpoint.state = self.now // 10, "Ready"
         elif what == "other build":
-            pod.build, pod.started, pod.state = (
-                83 - pod.build if pod.build in (41, 42) else 42,
+            endpoint.build, endpoint.started, endpoint.state = (
+                83 - endpoint.build if endpoint.build in (41, 42) else 42,
                 self.now // 10,
                 "Ready",
             )
         else:
-            pod.state = what
-        self.tell_pods([pod])
+            endpoint.state = what
+        self.push_endpoints([endpoint])
 
     def push_full_list(self):
-        if any(pod.state != "Gone" for pod in self.pods):
-            self.tell_pods(self.pods, full=True)
+        if any(endpoint.state != "Gone" for endpoint in self.endpoints):
+            self.push_endpoints(self.endpoints, full=True)
 
     def change_release(self, status, cap):
         if status == "next":
-            self.news = {
-                **self.news,
-                "version": self.news["version"] + 1,
+            self.release = {
+                **self.release,
+                "version": self.release["version"] + 1,
                 "step": 0,
                 "status": "trial",
             }
         else:
-            self.news = {
-                **self.news,
+            self.release = {
+                **self.release,
                 "status": status,
                 "step": 1,
             }  # of two stages, as the settings have it
-        self.news["maxWeight"] = {"rolling_back": 0.0, "withdrawn": 0.0, "released": 1.0}.get(
+        self.release["maxWeight"] = {"rolling_back": 0.0, "withdrawn": 0.0, "released": 1.0}.get(
             status, cap
         )
-        self.tell_news()
+        self.push_release()
 
     def set_stream_mode(self, mode):
         self.stream_mode = mode
         if mode == "ended":
-            for wire in self.streams:
-                wire.end("close")
+            for connection in self.streams:
+                connection.end_remote("close")
             self.streams = []
 
     def change_addresses(self, discovery, platform):
-        told = copy.deepcopy(self.told)
-        told["discovery"] = f"127.0.0.1:{DISCOVERY_PORTS[discovery % 2]}"
-        told["deployer"]["address"] = f"127.0.0.1:{PLATFORM_PORTS[platform % 2]}"
-        self.proxy.reconfigure(configuration.parse(told, 0))
+        config = copy.deepcopy(self.config)
+        config["discovery"] = f"127.0.0.1:{DISCOVERY_PORTS[discovery % 2]}"
+        config["deployer"]["address"] = f"127.0.0.1:{PLATFORM_PORTS[platform % 2]}"
+        self.proxy.reconfigure(configuration.parse(config, 0))
 
     def advance_time(self, milliseconds):
-        self.wait(milliseconds * TICKS_PER_MS)
+        self.advance(milliseconds * TICKS_PER_MS)
 
-    def _emptied(self):
-        self.emptied += 1
+    def _on_shut_down(self):
+        self.shutdown_count += 1
 
     def drain(self):
         if self.state == "serving":
@@ -1005,12 +1130,12 @@
             self.state = "serving"
             self.proxy.undrain(lambda: None, lambda why: self.faults.append(f"undrain: {why}"))
             if not DRAINS_DURING_UNDRAIN:
-                self.turn()
+                self.run_rounds()
 
     def finish(self):
         if self.state != "finishing":
             self.state, self.finished_at = "finishing", self.now
-            self.proxy.shut_down(self._emptied)
+            self.proxy.shut_down(self._on_shut_down)
 
 
 def play(*orders):
@@ -1019,27 +1144,27 @@
     try:
         return rig.play(orders)
     finally:
-        rig.over()
+        rig.close()
 
 
-def minimize(starts, orders, error, tries=150):
+def minimize(setup_orders, orders, error, max_runs=150):
     """Fewer of the orders that show the same; what a bounded search finds."""
 
-    def shows(fewer):
+    def shows(candidate):
         try:
-            play(*starts, *fewer)
+            play(*setup_orders, *candidate)
         except Exception as other:
             return re.sub(r"\d+", "", repr(other)) == re.sub(r"\d+", "", repr(error))
         return False
 
     orders, size = list(orders), max(1, len(orders) // 2)
-    while tries > 0:
+    while max_runs > 0:
         at, before = 0, len(orders)
-        while at < len(orders) and tries > 0:
-            tries -= 1
-            fewer = orders[:at] + orders[at + size :]
-            if shows(fewer):
-                orders = fewer
+        while at < len(orders) and max_runs > 0:
+            max_runs -= 1
+            candidate = orders[:at] + orders[at + size :]
+            if shows(candidate):
+                orders = candidate
             else:
                 at += size
         if size == 1 and len(orders) == before:
--- a/tests/support/stepped_network.py
+++ b/tests/support/stepped_network.py
@@ -16,55 +16,61 @@
     """The sidecar's end of a connection. budget: how many bytes the other side takes yet; None: any."""
 
     def __init__(self, rig, port=None):
-        self.rig, self.port, self.made_at = rig, port, rig.now
-        self.real, self.far = socket.socketpair()
-        self.far.setblocking(False)
-        self.read, self.sends, self.sent, self.budget, self.marks = 0, [], 0, None, []
-        self.reset = self.far_gone = self.closed = self.aborted = self.swallowed = False
-        self.far_ended_at = self.closed_at = None
-        rig.wires.append(self)
+        self.rig, self.port, self.created_at = rig, port, rig.now
+        self.local, self.remote = socket.socketpair()
+        self.remote.setblocking(False)
+        (
+            self.bytes_read,
+            self.send_times,
+            self.bytes_sent,
+            self.write_budget,
+            self.read_callbacks,
+        ) = 0, [], 0, None, []
+        self.reset = self.remote_closed = self.closed = self.aborted = self.write_lost = False
+        self.remote_ended_at = self.closed_at = None
+        rig.sockets.append(self)
 
     # What Twisted asks of a socket.
 
-    def setblocking(self, blocks):
-        self.real.setblocking(blocks)
+    def setblocking(self, blocking):
+        self.local.setblocking(blocking)
 
     def fileno(self):
-        return self.real.fileno()
+        return self.local.fileno()
 
-    def recv(self, most, flags=0):
-        data = self.real.recv(most, flags)
+    def recv(self, size, flags=0):
+        data = self.local.recv(size, flags)
         if not data and self.reset:
             raise ConnectionResetError(104, "reset")
         if not flags:
-            self.read += len(data)
-            self.rig.stirred = True
-            while self.marks and self.marks[0][0] <= self.read:
-                self.marks.pop(0)[1]()
+            self.bytes_read += len(data)
+            self.rig.progressed = True
+            while self.read_callbacks and self.read_callbacks[0][0] <= self.bytes_read:
+                self.read_callbacks.pop(0)[1]()
         return data
 
     def send(self, data):
-        if self.reset or self.swallowed:
+        if self.reset or self.write_lost:
             raise ConnectionResetError(104, "reset")
-        if self.budget is not None:
-            if self.budget <= 0:
+        if self.write_budget is not None:
+            if self.write_budget <= 0:
                 raise BlockingIOError(11, "full")
-            data = data[: self.budget]
-            self.budget -= len(data)
-        self.rig.stirred = True
+            data = data[: self.write_budget]
+            self.write_budget -= len(data)
+        self.rig.progressed = True
         if (
-            self.far_gone
+            self.remote_closed
         ):  # the first bytes to one that has closed go out; what comes back is a reset
-            self.reset = self.swallowed = True
+            self.reset = self.write_lost = True
             return len(data)
-        count = self.real.send(data)
-        self.sends.append((self.sent, self.rig.now))
-        self.sent += count
+        count = self.local.send(data)
+        self.send_times.append((self.bytes_sent, self.rig.now))
+        self.bytes_sent += count
         return count
 
     def shutdown(self, how):
-        self.rig.stirred, self.shut = True, True
-        self.real.shutdown(how)
+        self.rig.progressed, self.write_closed = True, True
+        self.local.shutdown(how)
 
     def setsockopt(self, level, name, value):
         self.aborted |= name == socket.SO_LINGER
@@ -72,84 +78,84 @@
     def getsockopt(self, *_):
         return 0
 
-    shut = False  # the sidecar sends no more: who reads sees the end
+    write_closed = False  # the sidecar sends no more: who reads sees the end
 
     def close(self):
         self.closed, self.closed_at = True, self.rig.now
-        self.rig.stirred = True
-        self.real.close()
+        self.rig.progressed = True
+        self.local.close()
 
     # The other side.
 
-    def written_at(self, offset):
+    def send_time(self, offset):
         """When the byte at this offset went out."""
-        return next(at for begin, at in reversed(self.sends) if begin <= offset)
+        return next(at for begin, at in reversed(self.send_times) if begin <= offset)
 
-    def pull(self):
+    def receive_remote(self):
         data = b""
-        while not self.far_gone:
+        while not self.remote_closed:
             try:
-                more = self.far.recv(1 << 20)
+                chunk = self.remote.recv(1 << 20)
             except (BlockingIOError, ConnectionResetError):
                 break
-            if not more:
+            if not chunk:
                 break
-            data += more
+            data += chunk
         return data
 
-    def put(self, data):
-        if self.far_gone or self.closed or self.far_ended_at is not None:
+    def send_remote(self, data):
+        if self.remote_closed or self.closed or self.remote_ended_at is not None:
             return False
         try:
-            self.rig.touched = True
-            return self.far.send(data) == len(data)
+            self.rig.peer_progressed = True
+            return self.remote.send(data) == len(data)
         except OSError:
             return False
 
-    def end(self, how):
+    def end_remote(self, how):
         """shut: for sending; close; reset."""
-        if self.far_gone:
+        if self.remote_closed:
             return
-        self.rig.touched = True
-        if self.far_ended_at is None:
-            self.far_ended_at = self.rig.now
+        self.rig.peer_progressed = True
+        if self.remote_ended_at is None:
+            self.remote_ended_at = self.rig.now
         if how == "shut":
             try:
-                self.far.shutdown(socket.SHUT_WR)
+                self.remote.shutdown(socket.SHUT_WR)
             except OSError:
                 pass
             return
         self.reset |= how == "reset"
-        self.far_gone = True
-        self.far.close()
+        self.remote_closed = True
+        self.remote.close()
 
 
 class FakeConnect(tcp.Client):
     """A real client's transport whose connection comes up when the rig lets it."""
 
     def createInternetSocket(self):
-        self.wire = FakeSocket(self.connector.reactor.rig, self.addr[1])
-        return self.wire
+        self.connection = FakeSocket(self.connector.reactor.rig, self.addr[1])
+        return self.connection
 
     def resolveAddress(self):
-        self.reactor.rig.dialled(self)
+        self.reactor.rig.on_connect(self)
 
-    def come_up(self):
+    def succeed(self):
         if hasattr(self, "connector") and not self.connected and not self.disconnected:
             self.realAddress = self.addr
-            self.reactor.rig.stirred = True
+            self.reactor.rig.progressed = True
             self._connectDone()
-            self.reactor.rig.came_up(self.wire)
+            self.reactor.rig.on_connected(self.connection)
 
     def refuse(self):
-        self.reactor.rig.stirred = True
+        self.reactor.rig.progressed = True
         self.failIfNotConnected(error.ConnectionRefusedError())
 
     def getPeer(self):
         return self.addr
 
     def getHost(self):
-        return ("127.0.0.1", self.wire.fileno())  # another one than the pod's
+        return ("127.0.0.1", self.connection.fileno())  # another one than the pod's
 
 
 class FakeConnector(tcp.Connector):
@@ -161,7 +167,7 @@
     """A listener, as tcp.Port is one."""
 
     def __init__(self, reactor, factory):
-        self.reactor, self.factory, self.queue, self.open, self.reads = (
+        self.reactor, self.factory, self.backlog, self.is_open, self.reading = (
             reactor,
             factory,
             [],
@@ -169,38 +175,41 @@
             True,
         )
         self.sessionno, self.numberAccepts = 0, 100
-        self.socket, self.lets_in = self, True
+        self.socket, self.accepting = self, True
 
     def setsockopt(self, level, name, value):
         """A filter that lets nobody in any more is all that it is ever given."""
-        self.lets_in = False
+        self.accepting = False
 
     def doRead(self):
-        if not self.open:
+        if not self.is_open:
             raise CheckFailed("a listener that is closed was read")
-        queue, self.queue = self.queue[: self.numberAccepts], self.queue[self.numberAccepts :]
-        for wire in queue:
+        accepted, self.backlog = (
+            self.backlog[: self.numberAccepts],
+            self.backlog[self.numberAccepts :],
+        )
+        for connection in accepted:
             self.sessionno += 1
             protocol = self.factory.buildProtocol(None)
-            transport = tcp.Server(wire, protocol, ("127.0.0.1", 1), None, 0, self.reactor)
-            self.reactor.rig.stirred = True
+            transport = tcp.Server(connection, protocol, ("127.0.0.1", 1), None, 0, self.reactor)
+            self.reactor.rig.progressed = True
             protocol.makeConnection(transport)
 
     def startReading(self):
-        self.reads = True
+        self.reading = True
 
     def stopReading(self):
-        self.reads = False
+        self.reading = False
 
     def stopListening(self):
-        done, self.reads = Deferred(), False
+        done, self.reading = Deferred(), False
 
         def ended():
-            self.open = False
-            for wire in self.queue:
-                wire.reset = True
-                wire.close()
-            self.queue = []
+            self.is_open = False
+            for connection in self.backlog:
+                connection.reset = True
+                connection.close()
+            self.backlog = []
             done.callback(None)
 
         self.reactor.callLater(0, ended)
@@ -214,31 +223,34 @@
     writes_first = False
 
     def __init__(self, rig):
-        self.rig, self.order, self.doors = rig, {}, []
+        self.rig, self.descriptor_order, self.listeners = rig, {}, []
         SelectReactor.__init__(self)
         self.seconds = lambda: rig.now / 10_000 + 1e-6
         self.removeReader(self.waker)
 
     def doIteration(self, _):
-        for door in self.doors:
-            if door.open and door.reads and door.queue:
-                door.doRead()
-        reads, writes = (sorted(some, key=self.order.get) for some in (self._reads, self._writes))
+        for listener in self.listeners:
+            if listener.is_open and listener.reading and listener.backlog:
+                listener.doRead()
+        reads, writes = (
+            sorted(descriptors, key=self.descriptor_order.get)
+            for descriptors in (self._reads, self._writes)
+        )
         reads, writes, _ = select.select(reads, writes, [], 0)
-        turns = (reads, "doRead", self._reads), (writes, "doWrite", self._writes)
-        for ready, method, among in turns[::-1] if self.writes_first else turns:
-            for one in ready:
-                if one in among:
-                    self._doReadOrWrite(one, method)
+        passes = (reads, "doRead", self._reads), (writes, "doWrite", self._writes)
+        for ready, method, registered in passes[::-1] if self.writes_first else passes:
+            for descriptor in ready:
+                if descriptor in registered:
+                    self._doReadOrWrite(descriptor, method)
 
     def addReader(self, reader):
-        self.order.setdefault(
-            reader, len(self.order)
+        self.descriptor_order.setdefault(
+            reader, len(self.descriptor_order)
         )  # else the order would hang on where objects lie in memory
         SelectReactor.addReader(self, reader)
 
     def addWriter(self, writer):
-        self.order.setdefault(writer, len(self.order))
+        self.descriptor_order.setdefault(writer, len(self.descriptor_order))
         SelectReactor.addWriter(self, writer)
 
     def connectTCP(self, host, port, factory, timeout=30, bindAddress=None):
@@ -247,12 +259,12 @@
         return connector
 
     def listenTCP(self, port, factory, backlog=50, interface=""):
-        if any(door.open for door in self.doors):
+        if any(listener.is_open for listener in self.listeners):
             raise error.CannotListenError(interface, port, "in use")
-        self.doors.append(FakeListener(self, factory))
-        return self.doors[-1]
+        self.listeners.append(FakeListener(self, factory))
+        return self.listeners[-1]
 
-    def next_due(self):
+    def next_call_time(self):
         times = [
             call.getTime()
             for call in (*self._pendingTimedCalls, *self._newTimedCalls)
@@ -260,5 +272,5 @@
         ]
         return min(times, default=None)
 
-    def over(self):
+    def close(self):
         self.waker.connectionLost(None)
