--- a/thymeknot/coordination/feature.py
+++ b/thymeknot/coordination/feature.py
@@ -1,4 +1,4 @@
-"""The feature as a whole: identity, key ring, channels, Raft node, clock and drain agent."""
+"""Assembles the feature: identity, key ring, channels, Raft node, cluster clock and drain agent."""
 
 import os
 import secrets
@@ -16,7 +16,7 @@
 from .cluster_clock import ClusterClock
 from .drain_agent import DrainAgent
 from .incarnation import next_incarnation
-from .raft_member import RaftContext, RaftMember, open_member, peer_channels
+from .raft_member import RaftContext, RaftMember, make_peer_channels, open_member
 from .settings import (
     CoordinationSettings,
     CoordinationSettingsError,
@@ -26,16 +26,16 @@
 )
 
 if TYPE_CHECKING:
-    from ..proxy.proxy import Proxy  # the command line needs no sidecar
+    from ..proxy.proxy import Proxy  # for types only: the command line runs without a sidecar
 
 
 class CoordinationParts(NamedTuple):
-    """What is made of the settings alone.
+    """The parts of the feature that depend on the settings alone.
 
     Attributes:
         identity: This instance's name and private key.
-        ring: The public keys of all that may speak.
-        networks: The networks that they may connect from.
+        ring: The public keys of all peers that may send messages.
+        networks: The networks from which peers may connect.
         declaration: The commands that declare the operator's units and budgets.
     """
 
@@ -48,12 +48,12 @@
 def build_parts(
     settings: CoordinationSettings, section: dict[str, Any], folder: str
 ) -> CoordinationParts:
-    """Checks the settings, and makes what can be made without starting anything.
+    """Checks the settings and builds the parts that need no running sidecar.
 
     Args:
         settings: The section of the operator file as a record.
         section: The same section as plain values.
-        folder: The operator file's folder, which relative paths count from.
+        folder: The operator file's folder, to which relative paths refer.
 
     Raises:
         CoordinationSettingsError: The settings can't be used.
@@ -71,23 +71,23 @@
     except KeyringError as error:
         raise CoordinationSettingsError(("fleet",), str(error)) from None
     if ring.owner(identity.key_id, time.time()) not in (None, settings.name):
-        raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the ring")
+        raise CoordinationSettingsError(("fleet", "key"), "belongs to another name in the key ring")
     return CoordinationParts(identity, ring, networks, declaration_commands(settings, section))
 
 
 class CoordinationFeature:
-    """The running feature, from the sidecar's start to its end."""
+    """The running feature, from the start of the sidecar until it stops."""
 
     def __init__(
         self, proxy: "Proxy", settings: CoordinationSettings, section: dict[str, Any], folder: str
     ) -> None:
-        """Starts everything.
+        """Starts the feature.
 
         Args:
             proxy: The running sidecar.
             settings: The section of the operator file as a record.
             section: The same section as plain values.
-            folder: The operator file's folder, which relative paths count from.
+            folder: The operator file's folder, to which relative paths refer.
 
         Raises:
             CoordinationSettingsError: The settings, the data folder or the address can't be used.
@@ -100,13 +100,13 @@
         self.clock: Optional[ClusterClock] = None
         self.agent: Optional[DrainAgent] = None
         own_node = settings.own_node()
-        data = os.path.join(folder, settings.data)
+        data_folder = os.path.join(folder, settings.data)
         try:
-            self.incarnation = next_incarnation(data)
-            self.channels = peer_channels(self.context, settings)
+            self.incarnation = next_incarnation(data_folder)
+            self.channels = make_peer_channels(self.context, settings)
             if own_node:
                 self.member = open_member(
-                    self.context, settings, data, parts.networks, self.channels
+                    self.context, settings, data_folder, parts.networks, self.channels
                 )
         except (OSError, DamagedStorageError) as error:
             raise CoordinationSettingsError(("fleet", "data"), str(error)) from None
@@ -114,14 +114,14 @@
             self._listen(self.member, own_node)
             self.clock = ClusterClock(
                 timers=proxy.timers,
-                client=self._client("clock"),
+                client=self._make_client("clock"),
                 member=self.member,
                 interval=settings.tick,
                 epoch=settings.epoch,
                 declaration=parts.declaration,
             )
         if settings.unit:
-            self.agent = self._drain_agent(proxy, settings.unit)
+            self.agent = self._make_drain_agent(proxy, settings.unit)
 
     def _listen(self, member: RaftMember, own_node: NodeSettings) -> None:
         host, port = parse_address(self.settings.listen or own_node.address)
@@ -130,48 +130,54 @@
         except Exception as error:
             raise CoordinationSettingsError(("fleet", "listen"), str(error)) from None
 
-    def _drain_agent(self, proxy: "Proxy", unit: str) -> DrainAgent:
+    def _make_drain_agent(self, proxy: "Proxy", unit: str) -> DrainAgent:
         durations = DisruptionSettings(
             bound=self.settings.bound, silent=self.settings.silent, permit=self.settings.permit
         )
         return DrainAgent(
             proxy,
-            client=self._client("unit"),
+            client=self._make_client("unit"),
             unit=unit,
             incarnation=self.incarnation,
             build=self.settings.build,
             settings=durations,
         )
 
-    def _client(self, word: str) -> RaftClient:
-        """A client of the cluster with an origin of its own: its commands end no other's."""
+    def _make_client(self, client_name: str) -> RaftClient:
+        """Returns a client of the cluster with its own origin.
+
+        The cluster recognizes repeated commands by origin and number, so each client needs its
+        own origin.
+        """
         return RaftClient(
             self.context.timers,
             self.channels,
             LinearCongruentialGenerator(secrets.randbits(64)),
-            f"{self.settings.name}/{word}",
+            f"{self.settings.name}/{client_name}",
             self.incarnation,
             msgspec.msgpack.encode,
         )
 
-    def reconfigure(self, made: tuple[CoordinationSettings, dict[str, Any]], folder: str) -> None:
-        """Takes the key ring and the networks of new settings; the others take a new start.
+    def reconfigure(
+        self, new_settings: tuple[CoordinationSettings, dict[str, Any]], folder: str
+    ) -> None:
+        """Applies the key ring and the networks of new settings; all other changes need a restart.
 
         Args:
-            made: The section of the new file as a record, and as plain values.
+            new_settings: The section of the new file as a record, and as plain values.
             folder: The operator file's folder.
 
         Raises:
-            ValueError: The new settings can't be used; the present ones are kept.
+            ValueError: The new settings can't be used; the current ones stay in force.
         """
-        settings, section = made
+        settings, section = new_settings
         parts = build_parts(settings, section, folder)
         self.ring = parts.ring
         if self.member:
             self.member.server.allowed_hosts = parts.networks
 
     def stop(self) -> None:
-        """Ends the feature; the unit counts as unavailable once it was not seen for long enough."""
+        """Stops the feature; after the setting `silent` the unit counts as unavailable."""
         if self.agent:
             self.agent.close()
         if self.clock:
--- a/thymeknot/gang_scheduling/jobs.py
+++ b/thymeknot/gang_scheduling/jobs.py
@@ -1,8 +1,8 @@
-"""A gang: workers that step together, and the bytes that cross the boundary of a part of them.
+"""Gangs: workers that run synchronized steps, and the traffic that they exchange.
 
-Ranks are assigned in the order of clusters, zones and racks, so the workers under one uplink are
-always one contiguous range of ranks. The bytes that cross the uplink then follow from the two ends
-of the range, and a score needs no list of half a million pairs.
+Ranks are assigned in the order of clusters, zones and racks, so the workers below an uplink always
+form one contiguous range of ranks. The bytes that cross the uplink therefore depend only on the
+bounds of that range, and scoring does not need to enumerate up to half a million pairs of workers.
 """
 
 from collections.abc import Callable
@@ -13,21 +13,21 @@
 import msgspec
 from msgspec import Meta
 
-MIN_WORKERS = 2  # workers: one worker alone exchanges nothing
-MAX_WORKERS = 512  # workers in one gang, which bounds a search and a command
-MAX_MATRIX_PARTS = 64  # rows of a traffic matrix, which bounds a command
-MAX_RESOURCE_KINDS = 16  # kinds of resources that a worker may need
+MIN_WORKERS = 2  # a single worker exchanges no data
+MAX_WORKERS = 512  # workers per gang; bounds the search and the size of a command
+MAX_MATRIX_PARTS = 64  # rows of a traffic matrix; bounds the size of a command
+MAX_RESOURCE_KINDS = 16  # distinct resources that a worker may need
 
 Name = Annotated[str, Meta(pattern=r"\A[A-Za-z0-9_.:/-]{1,64}\Z")]
-Amount = Annotated[int, Meta(ge=0, le=1 << 50)]
-Span = Annotated[int, Meta(ge=1, le=1 << 50)]
+NonNegativeInt = Annotated[int, Meta(ge=0, le=1 << 50)]
+PositiveInt = Annotated[int, Meta(ge=1, le=1 << 50)]
 
 ResourceShape: TypeAlias = tuple[tuple[str, int], ...]
-"""What one worker needs beside its slot: sorted (resource, amount), without zero amounts."""
+"""Resources that a worker needs besides its slot: sorted (resource, amount), no zero amounts."""
 
 
 class TrafficPattern(StrEnum):
-    """How the workers of a gang exchange data in a step."""
+    """How the workers of a gang exchange data in each step."""
 
     RING = "ring"
     ALL_TO_ALL = "all"
@@ -37,64 +37,64 @@
 
 
 class ReplacementMethod(StrEnum):
-    """How the failed workers of a gang are replaced."""
+    """How the lost workers of a gang are replaced. The values appear in replies."""
 
-    IN_PLACE = "in place"  # the workers that are left stay where they are
-    WHOLE = "whole"  # all workers move
+    IN_PLACE = "in place"  # the surviving workers stay where they are
+    WHOLE = "whole"  # all workers are placed anew
 
 
 class Gang(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a publisher asks for. Its field names are stored keys.
+    """What a publisher asks for. The field names are stored.
 
     Attributes:
         workers: Number of workers.
         pattern: A value of `TrafficPattern`; `validation_error` checks it.
-        bytes: Bytes that a worker sends in a step (ring, pipeline, tree: over each of its edges,
-            each way it has).
-        target: Duration that a step should take, in ticks.
-        publisher: Who owns the gang; shares are by publisher.
+        bytes: Bytes that each worker sends per step (ring, pipeline and tree: over each of its
+            edges, in each direction of the edge).
+        target: Target duration of a step, in ticks.
+        publisher: Owner of the gang; shares are assigned by publisher.
         checkpoint: Interval between checkpoints, in ticks.
-        needs: Amount of each resource that one worker needs beside its slot.
-        priority: Higher is scheduled first.
-        lasts: How long it is expected to run, in ticks; only the score reads it.
-        spare: How many workers may be out at once without the gang's leave, which a drain may take
-            as a unit.
-        matrix: For the pattern "matrix"; row a says what each worker of part a sends to all of
-            part b together.
+        needs: Amount of each resource that a worker needs besides its slot.
+        priority: Gangs of higher priority are scheduled first.
+        lasts: Expected duration of the run, in ticks; only the score uses it.
+        spare: Disruption budget: how many workers may be missing at once without waiting for a
+            checkpoint, so that a drain can take them.
+        matrix: Traffic of the pattern "matrix". The workers are split into equal parts;
+            `matrix[a][b]` is the bytes per step from each worker of part a to part b in total.
     """
 
     workers: Annotated[int, Meta(ge=MIN_WORKERS, le=MAX_WORKERS)]
     pattern: Annotated[str, Meta(max_length=16)]
-    bytes: Amount
-    target: Span
+    bytes: NonNegativeInt
+    target: PositiveInt
     publisher: Name
-    checkpoint: Span
-    needs: dict[Name, Amount] = {}
+    checkpoint: PositiveInt
+    needs: dict[Name, NonNegativeInt] = {}
     priority: Annotated[int, Meta(ge=0, le=100)] = 10
-    lasts: Span = 36_000_000
-    spare: Amount = 0
-    matrix: Annotated[list[list[Amount]], Meta(max_length=MAX_MATRIX_PARTS)] = []
+    lasts: PositiveInt = 36_000_000
+    spare: NonNegativeInt = 0
+    matrix: Annotated[list[list[NonNegativeInt]], Meta(max_length=MAX_MATRIX_PARTS)] = []
 
     def resource_shape(self) -> ResourceShape:
-        """Returns what one worker needs beside its slot, in a form that can be a key."""
+        """Returns the resources that a worker needs besides its slot, in hashable form."""
         return tuple(sorted((name, amount) for name, amount in self.needs.items() if amount))
 
     def crossing_bytes(self, low: int, high: int) -> float:
-        """Returns the bytes a step between ranks low to high (exclusive) and the rest.
+        """Returns the bytes per step between the ranks low to high (exclusive) and all others.
 
-        The two directions may differ; the fuller one counts.
+        Where the two directions differ, the result is the larger one.
         """
         if (low == 0 and high == self.workers) or low == high:
             return 0
-        return CROSSING_BYTES[self.pattern](self, low, high)
+        return CROSSING_BYTES_BY_PATTERN[self.pattern](self, low, high)
 
     def busiest_worker_bytes(self) -> int:
-        """Returns the least that the busiest worker sends or receives on its own link in a step."""
+        """Returns a lower bound of the bytes per step on the link of the busiest worker."""
         if self.pattern == TrafficPattern.MATRIX:
             columns: list[int] = [sum(column) for column in zip(*self.matrix)]
             rows = [sum(row) for row in self.matrix]
             return max(rows + columns)
-        return self.bytes * EDGES_PER_WORKER[self.pattern]
+        return self.bytes * BUSIEST_WORKER_EDGES[self.pattern]
 
 
 def _ring_crossing(gang: Gang, low: int, high: int) -> float:
@@ -112,20 +112,20 @@
 
 @cache
 def tree_parents(workers: int) -> tuple[int, ...]:
-    """Returns each rank's parent (-1 for the root) in a binary tree in preorder.
+    """Returns the parent of each rank (-1 for the root) in a binary tree in preorder.
 
-    Subtrees are contiguous ranges, so a range of ranks cuts few edges.
+    Subtrees are contiguous ranges of ranks, so few edges cross the boundary of a range.
     """
-    found = [-1] * workers
-    open_ranges = [(0, workers)]
-    while open_ranges:
-        root, end = open_ranges.pop()
+    parents = [-1] * workers
+    pending_ranges = [(0, workers)]
+    while pending_ranges:
+        root, end = pending_ranges.pop()
         middle = root + 1 + (end - root) // 2
-        for child, until in ((root + 1, min(middle, end)), (middle, end)):
-            if child < until:
-                found[child] = root
-                open_ranges.append((child, until))
-    return tuple(found)
+        for child, child_end in ((root + 1, min(middle, end)), (middle, end)):
+            if child < child_end:
+                parents[child] = root
+                pending_ranges.append((child, child_end))
+    return tuple(parents)
 
 
 @cache
@@ -149,14 +149,14 @@
     sent = received = 0.0
     for sender, row in enumerate(gang.matrix):
         for receiver, amount in enumerate(row):
-            partners = size - 1 if sender == receiver else size
-            if partners and amount:
-                sent += amount * inside[sender] * (size - inside[receiver]) / partners
-                received += amount * (size - inside[sender]) * inside[receiver] / partners
+            peers = size - 1 if sender == receiver else size
+            if peers and amount:
+                sent += amount * inside[sender] * (size - inside[receiver]) / peers
+                received += amount * (size - inside[sender]) * inside[receiver] / peers
     return max(sent, received)
 
 
-CROSSING_BYTES: dict[str, Callable[[Gang, int, int], float]] = {
+CROSSING_BYTES_BY_PATTERN: dict[str, Callable[[Gang, int, int], float]] = {
     TrafficPattern.RING: _ring_crossing,
     TrafficPattern.ALL_TO_ALL: _all_to_all_crossing,
     TrafficPattern.TREE: _tree_crossing,
@@ -164,8 +164,8 @@
     TrafficPattern.MATRIX: _matrix_crossing,
 }
 
-# Edges over which the busiest worker of a pattern sends `Gang.bytes` in a step.
-EDGES_PER_WORKER: dict[str, int] = {
+# Number of edges over which the busiest worker sends `Gang.bytes` per step.
+BUSIEST_WORKER_EDGES: dict[str, int] = {
     TrafficPattern.RING: 1,
     TrafficPattern.ALL_TO_ALL: 1,
     TrafficPattern.TREE: 3,
@@ -174,13 +174,13 @@
 
 
 def validation_error(gang: Gang) -> str | None:
-    """Returns one sentence on why a well-formed gang is still invalid, or None."""
+    """Returns why a gang of valid types is still invalid, or None if it is valid."""
     parts = len(gang.matrix)
     is_matrix = gang.pattern == TrafficPattern.MATRIX
-    for invalid, sentence in (
+    for invalid, message in (
         (
-            gang.pattern not in CROSSING_BYTES,
-            f"The pattern is none of {', '.join(CROSSING_BYTES)}.",
+            gang.pattern not in CROSSING_BYTES_BY_PATTERN,
+            f"The pattern is none of {', '.join(CROSSING_BYTES_BY_PATTERN)}.",
         ),
         (is_matrix and not parts, "The pattern matrix needs a matrix."),
         (not is_matrix and parts, "A matrix goes with the pattern matrix alone."),
@@ -193,5 +193,5 @@
         ),
     ):
         if invalid:
-            return sentence
+            return message
     return None
