--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -1,8 +1,10 @@
-"""A sidecar between clients, pods, discovery and the platform, on Twisted's own TCP transports and a stepped clock.
+"""Test rig that runs a sidecar between fake clients, endpoints, discovery and release platform.
 
-Each connection is a pair of sockets of the machine's: what is read, written, closed and left unread is real. What a
-pair can't show of TCP (a reset, a window that is full, a dial that hangs) is added in Wire, as tcp.py meets it. The
-checker sees the bytes on the clients' side and the pods' side and the time, not the sidecar's books, but at the end.
+The sidecar uses Twisted's own TCP transports on a stepped clock. Each connection is a real socket
+pair, so reads, writes, closes and unread bytes behave as the kernel has them. What a socket pair
+can't show of TCP (a reset, a full window, a connect that hangs) is added in
+`tests.support.stepped_network`. The checks use the bytes on the clients' and the endpoints' side
+and the time; only the checks at the end of a run read the sidecar's internal state.
 """
 
 import copy
@@ -22,50 +24,49 @@
 from thymeknot.service import configuration, structured_log
 from thymeknot.state.timer_queue import TimerQueue
 
-TICKS_PER_MS = 10  # times are whole tenths of a millisecond, as the sidecar's
+# All times are in ticks of 0.1 ms, as in the sidecar.
+TICKS_PER_MS = 10
 START_TICKS = 1_000_000
-RESPONSE_SLACK = 500 * TICKS_PER_MS  # beyond a request's time, for its answer
-UPDATE_SLACK = 50 * TICKS_PER_MS  # every time limit of the protocol is longer by this
-CAP_UPDATE_SLACK = 150 * TICKS_PER_MS  # a lower cap binds then
-DISCONNECT_SLACK = 100 * TICKS_PER_MS  # attempts for a client that has gone
-STALL_TIMEOUT = 9_900 * TICKS_PER_MS  # a client that reads nothing for so long may be cut off
-SHUTDOWN_CLOSE_LIMIT = (
-    150 * TICKS_PER_MS
-)  # after SIGTERM's end of service, for a connection that is owed nothing
-FIRST_COMMAND_WAIT = (
-    500 * TICKS_PER_MS
-)  # a new connection is waited for so long, for the command that it was opened for
-COMMAND_TIMEOUT = 2_400 * TICKS_PER_MS  # a command that takes so long to come may be turned away
+
+# Tolerances of the checks.
+RESPONSE_SLACK = 500 * TICKS_PER_MS  # for a response, after the request's timeout
+UPDATE_SLACK = 50 * TICKS_PER_MS  # added to every time limit of the protocol
+CAP_UPDATE_SLACK = 150 * TICKS_PER_MS  # until a lower cap must take effect
+DISCONNECT_SLACK = 100 * TICKS_PER_MS  # for attempts whose client has disconnected
+STALL_TIMEOUT = 9_900 * TICKS_PER_MS  # a client that reads nothing for this long may be cut off
+# After shutdown, for closing a connection that waits for no response.
+SHUTDOWN_CLOSE_LIMIT = 150 * TICKS_PER_MS
+# A new connection stays open at least this long for its first command.
+FIRST_COMMAND_WAIT = 500 * TICKS_PER_MS
+COMMAND_TIMEOUT = 2_400 * TICKS_PER_MS  # a command still incomplete after this may be refused
+
 REQUEST_CLASSES = ("read", "mark", "pay")
-DEADLINES_MS = (300, 1500, 4000)  # milliseconds that a client waits
-DEDUPLICATION_WINDOW, MAX_ATTEMPTS = (
-    5_000 * TICKS_PER_MS,
-    4,
-)  # of the settings: how long a fingerprint holds, attempts
+DEADLINES_MS = (300, 1500, 4000)  # the request timeouts that clients use
+# As in the settings: the window for keyed requests, and the attempts per request.
+DEDUPLICATION_WINDOW, MAX_ATTEMPTS = 5_000 * TICKS_PER_MS, 4
 DISCOVERY_PORTS, PLATFORM_PORTS = (2, 8), (3, 9)
-REFUSES, HANGS, ACCEPTS = "refuses", "hangs", "comes up"
-
-# Faults of the program that are known and not mended yet are left out of the drawn orders by these switches; each has
-# a test of its own in test_orders.py. Once one is mended, True draws it again.
-DISCONNECTS_WHILE_READING_PAUSED = True  # a client leaves while the sidecar does not read from it
-DUPLICATE_RESPONSES_REACH_NEXT_REQUEST = (
-    True  # a pod's second copy of an answer comes after the connection's next request
-)
-RESPONSES_WITHOUT_DELAY = True  # a pod answers within the same tenth of a millisecond
-ENDPOINTS_READ_NOTHING = True  # not one byte of an attempt goes out before its pod is told draining
-DRAINS_DURING_UNDRAIN = (
-    True  # `drain` or `finish` before the listener that an `undrain` waits for has closed
-)
-
-
-SHORT_IDLE_SETTINGS = copy.deepcopy(
-    SETTINGS
-)  # idle connections to pods are retired soon, or the ends take long
+REFUSES, HANGS, ACCEPTS = "refuses", "hangs", "accepts"
+
+# Known faults of the sidecar that are not fixed yet can be left out of the drawn orders by setting
+# their switch to False. Each switch has a test of its own in test_event_orders.py; once the fault
+# is fixed, the switch goes back to True.
+DISCONNECTS_WHILE_READING_PAUSED = True  # a client disconnects while the sidecar reads none of it
+# An endpoint's duplicate response arrives after the next request on that connection.
+DUPLICATE_RESPONSES_REACH_NEXT_REQUEST = True
+RESPONSES_WITHOUT_DELAY = True  # an endpoint responds within the same tick
+# No byte of an attempt is written before its endpoint is reported as draining.
+ENDPOINTS_READ_NOTHING = True
+# `drain` or `finish` comes before the listener that an `undrain` waits for has closed.
+DRAINS_DURING_UNDRAIN = True
+
+
+# Idle connections to endpoints are closed early, so that a run ends quickly.
+SHORT_IDLE_SETTINGS = copy.deepcopy(SETTINGS)
 SHORT_IDLE_SETTINGS["permissions"]["conn_idle"] = 4_000_000_000
 
 
 class SentCommand:
-    """A command as its client sent it."""
+    """A command that a client sent, and when it was read and answered."""
 
     def __init__(
         self,
@@ -93,6 +94,8 @@
 
 
 class SteppedClient:
+    """A client's connection, the commands sent on it and the responses read so far."""
+
     def __init__(self, rig, number):
         self.rig, self.number, self.connection = rig, number, FakeSocket(rig)
         self.commands, self.sent_bytes, self.buffer, self.answered_count = [], 0, b"", 0
@@ -118,7 +121,7 @@
 
     @property
     def is_slow(self):
-        """It may be turned away: its first command, or half of one, is too long in coming."""
+        """Whether the sidecar may refuse it, as a command or the first one takes too long."""
         self.was_slow |= (
             bool(self.partial or not self.commands)
             and self.rig.now >= self.command_started_at + COMMAND_TIMEOUT
@@ -127,7 +130,7 @@
 
 
 class ReceivedAttempt:
-    """A command that came whole to a pod."""
+    """A request that an endpoint received completely."""
 
     def __init__(self, endpoint, connection, arguments, first_byte_at, last_byte_at):
         self.endpoint, self.connection, self.arguments, self.first_byte_at, self.last_byte_at = (
@@ -146,6 +149,8 @@
 
 
 class SteppedEndpoint:
+    """An endpoint: how it accepts connections and responds, and what the sidecar knows of it."""
+
     def __init__(self, rig, number, build):
         self.rig, self.name, self.build, self.port = rig, f"s-{number}", build, 7000 + number
         self.state, self.started, self.mode, self.response_delay = (
@@ -156,14 +161,13 @@
         )
         self.connect_mode, self.write_budget = ACCEPTS, None
         self.known_process = 0, build
-        self.builds_known = [(0, build)]  # (from when, the build that it was listed with)
-        self.unavailable_since, self.replaced_at = (
-            None,
-            None,
-        )  # told: nothing new; nothing on what was dialled before
+        self.builds_known = [(0, build)]  # (time, the build it is listed with from then on)
+        # When the sidecar learned that it takes no new attempts, and that its process was replaced:
+        # then nothing may be sent on connections opened before.
+        self.unavailable_since, self.replaced_at = None, None
 
     def build_known_at(self, moment):
-        """The build that it was listed with then."""
+        """Returns the build that the sidecar knew it to run at this time."""
         return next(build for since, build in reversed(self.builds_known) if since <= moment)
 
     def entry(self):
@@ -181,7 +185,7 @@
 
 
 def parse_command(buffer):
-    """The words of the first command in the buffer and its length, or None."""
+    """Returns the first command's arguments and its length; None if it is incomplete."""
     parsed = re.match(rb"\*(\d+)\r\n", buffer)
     if not parsed:
         return None
@@ -196,7 +200,7 @@
 
 
 def parse_response(buffer):
-    """The first answer in the buffer and its length, or None."""
+    """Returns the first response and its length in bytes; None if it is incomplete."""
     end = buffer.find(b"\r\n")
     if end < 0:
         return None
@@ -211,14 +215,17 @@
 
 
 class Rig:
-    """play(orders) gives them one after another, lets all run to an end and checks it."""
+    """Runs a sidecar through a list of orders and checks what its clients and endpoints see.
+
+    An order is a tuple: the name of a method below, its arguments, and the number of event loop
+    rounds that follow (-1: until the loop is idle).
+    """
 
     def __init__(self):
         self.now, self.sockets, self.scheduled, self.counter = START_TICKS, [], [], 0
-        self.stalls = []  # (from, until): the sidecar did not run
-        self.progressed = self.peer_progressed = (
-            False  # in this round; by the others, for the next one
-        )
+        self.stalls = []  # (start, end) of the times in which the sidecar did not run
+        # Whether anything happened in this round, and whether peers did something for the next one.
+        self.progressed = self.peer_progressed = False
         self.clients, self.links, self.attempts, self.responses, self.faults = [], [], [], {}, []
         self.ended_links = []
         self.commands_by_nonce, self.streams, self.stream_mode, self.version = {}, [], "live", 7
@@ -235,10 +242,8 @@
             "maxWeight": 1.0,
             "observedAgoMs": 0,
         }
-        self.known_release, self.cap_zero_since = (
-            dict(self.release),
-            None,
-        )  # the newest build takes nothing: from when
+        # The release state that the sidecar has read, and since when its cap has been 0.
+        self.known_release, self.cap_zero_since = dict(self.release), None
         self.pending_connects, self.config = (
             [],
             {
@@ -290,6 +295,7 @@
             self.faults.append(f"network library: {event.get('failure') or event.get('message')}")
 
     def close(self):
+        """Stops observing and closes all sockets."""
         for patch in self.patches:
             patch.stop()
         twisted_log.removeObserver(self._observe)
@@ -298,9 +304,10 @@
             connection.local.close()
             connection.remote.close()
 
-    # The loop and the clock.
+    # Event loop and clock.
 
     def run_round(self):
+        """Runs one round of the event loop, and the peers if anything happened in it."""
         self.progressed, self.peer_progressed = self.peer_progressed, False
         while self.scheduled and self.scheduled[0][0] <= self.now:
             self.progressed = True
@@ -313,7 +320,7 @@
             self.run_peers()
 
     def run_rounds(self, times=None):
-        """So many rounds of the loop; else until nothing stirs."""
+        """Runs this many rounds of the event loop; None: until a round in which nothing happens."""
         quiet = 0
         for _ in range(2000 if times is None else times):
             self.run_round()
@@ -321,14 +328,15 @@
             if quiet == 1 and times is None:
                 return
         if times is None:
-            raise CheckFailed("the loop does not come to rest")
+            raise CheckFailed("the event loop is still busy after 2000 rounds")
 
     def schedule(self, after, call):
+        """Calls `call` this many ticks from now."""
         self.counter += 1
         heappush(self.scheduled, (self.now + after, self.counter, call))
 
     def advance(self, duration):
-        """Passes time, from one thing that is due to the next."""
+        """Advances the clock by this many ticks, stopping at each timer that is due."""
         until = self.now + duration
         while self.now < until:
             due = self.reactor.next_call_time()
@@ -339,19 +347,20 @@
             self.run_rounds()
             self.check_deadlines()
 
-    # The others' parts.
+    # Clients, endpoints, discovery and the release platform.
 
     def run_peers(self):
         for client in self.clients:
             self._read_responses(client)
         for link in self.links:
             self._read_connection(link)
-        # Read to the end: the rest is for the checker alone.
+        # A closed connection is read to its end; what is left of it matters to the checks alone.
         self.links = [link for link in self.links if not link[0].closed] + [
             link for link in self.links if link[0].closed and self.ended_links.append(link)
         ]
 
     def on_connect(self, connect):
+        """Accepts, refuses or holds back a connection that the sidecar opens."""
         port = connect.addr[1]
         if port in DISCOVERY_PORTS + PLATFORM_PORTS:
             connect.succeed() if self.stream_mode != "ended" else connect.refuse()
@@ -367,6 +376,7 @@
             self.pending_connects.append(connect)
 
     def on_connected(self, connection):
+        """Starts to serve a connection that was accepted."""
         if connection.port in DISCOVERY_PORTS + PLATFORM_PORTS:
             self.links.append([connection, b"", self._handle_stream_request])
         else:
@@ -409,7 +419,7 @@
         self.schedule(10_000, lambda: self._send_heartbeat(connection))
 
     def _push_chunk(self, text, to_discovery, on_read, receivers=None):
-        """told() is called as the sidecar reads the last byte."""
+        """Sends a chunk to watch streams; calls `on_read` once it is read to the end."""
         data = b"%x\r\n%s\r\n" % (len(text), text)
         for connection in receivers or self.streams:
             if (
@@ -429,6 +439,7 @@
         return connection.bytes_read + waiting
 
     def push_endpoints(self, endpoints, full=False, receivers=None):
+        """Sends an endpoint list to the discovery streams, or to these receivers alone."""
         self.version += 1
         entries = [
             endpoint.entry() for endpoint in endpoints if not full or endpoint.state != "Gone"
@@ -457,6 +468,7 @@
         )
 
     def push_release(self, receivers=None):
+        """Sends the release state to the platform streams, or to these receivers alone."""
         release = dict(self.release)
 
         def on_read():
@@ -533,21 +545,26 @@
         ):
             attempt.connection.send_remote(good)
 
-    # The checker.
+    # Checks during a run.
 
     def check_attempt(self, attempt):
+        """Checks that an attempt is unchanged and was allowed when it was sent."""
         endpoint, nonce = attempt.endpoint, attempt.nonce
         client, command = self.commands_by_nonce[nonce]
         if (
             attempt.arguments[:3] != command.arguments[:3]
             or attempt.arguments[4:] != command.arguments[4:]
         ):
-            raise CheckFailed(f"a pod got {attempt.arguments}, its client sent {command.arguments}")
+            raise CheckFailed(
+                f"an endpoint got {attempt.arguments}, the client sent {command.arguments}"
+            )
         earlier = [
             other for other in self.attempts if other.nonce == nonce and other is not attempt
         ]
         if len(earlier) >= MAX_ATTEMPTS:
-            raise CheckFailed(f"{nonce} is sent for the {len(earlier) + 1}th time")
+            raise CheckFailed(
+                f"{nonce}: attempt {len(earlier) + 1}, at most {MAX_ATTEMPTS} are allowed"
+            )
         may_have_run = [
             other
             for other in earlier
@@ -560,7 +577,7 @@
             and command.request_class == "mark"
             and attempt.last_byte_at >= may_have_run[0].last_byte_at + DEDUPLICATION_WINDOW
         ):
-            raise CheckFailed(f"fingerprinted {nonce} is sent again after its window")
+            raise CheckFailed(f"keyed {nonce} is sent again after the deduplication window")
         self.check_first_byte(
             attempt.connection, attempt.first_byte_at, f"{nonce} to {endpoint.name}"
         )
@@ -573,6 +590,7 @@
             )
 
     def check_first_byte(self, connection, first_byte_at, what):
+        """Checks that the endpoint could be used when the first byte of a command was sent."""
         endpoint = connection.endpoint
         if (
             endpoint.unavailable_since is not None
@@ -584,7 +602,7 @@
             and connection.created_at < endpoint.replaced_at
             and first_byte_at > endpoint.replaced_at + UPDATE_SLACK
         ):
-            raise CheckFailed(f"{what}: begun on a connection to the process before")
+            raise CheckFailed(f"{what}: begun on a connection to the former process")
         if (
             self.cap_zero_since is not None
             and endpoint.build_known_at(first_byte_at) >= self.known_release["version"]
@@ -608,7 +626,7 @@
             client.eof = True
             if client.buffer and client.disconnected_at is None and not connection.aborted:
                 raise CheckFailed(
-                    f"client {client.number}: closed within an answer: {client.buffer[:40]}"
+                    f"client {client.number}: closed within a response: {client.buffer[:40]}"
                 )
             self.check_connection_close(client)
 
@@ -625,20 +643,18 @@
             ):
                 client.exempt = True
                 return
-            raise CheckFailed(
-                f"client {client.number}: an answer that nothing asked for: {answer[:60]}"
-            )
+            raise CheckFailed(f"client {client.number}: unexpected response: {answer[:60]}")
         command = client.commands[client.answered_count]
         if command.read_at is None:
             raise CheckFailed(
-                f"client {client.number}: {answer[:60]} before {command.nonce or command.kind} was read"
+                f"client {client.number}: {answer[:60]} came before {command.nonce or command.kind} was read"
             )
         client.answered_count += 1
         command.answered_at = self.now
         if command.kind == "ping" and answer != b"+PONG":
             raise CheckFailed(f"PING is answered with {answer[:60]}")
         if command.kind == "wrong" and not answer.startswith(b"-ERR"):
-            raise CheckFailed(f"what is no request is answered with {answer[:60]}")
+            raise CheckFailed(f"an unsupported command is answered with {answer[:60]}")
         if command.kind != "request":
             return
         if answer.startswith(b"$"):
@@ -654,25 +670,26 @@
                 if one.nonce == command.nonce and one.rejected_at is None
             ]
             if may_have_run and command.request_class == "pay":
-                raise CheckFailed(f"binding {command.nonce} is refused though it may have run")
+                raise CheckFailed(f"binding {command.nonce} is rejected though it may have run")
         elif answer.startswith(b"-ERR this id is in hand"):
             others = [
                 (other, one)
                 for other, one in self.commands_by_nonce.values()
                 if one.request_id == command.request_id and one is not command
             ]
-            # As it was read: the answer may have waited behind others.
+            # Compared with when it was read, as the response may have waited behind others.
             if all(
                 (one.answered_at or other.connection.closed_at or command.read_at) < command.read_at
                 for other, one in others
             ):
                 raise CheckFailed(
-                    f"{command.nonce}: no other holds its id, and it is turned away for it"
+                    f"{command.nonce}: rejected for its id, which no other open request has"
                 )
         elif not answer.startswith(b"-ERR"):
             raise CheckFailed(f"{command.nonce} is answered with {answer[:60]}")
 
     def check_deadlines(self):
+        """Checks that no request is overdue, and that connections close at shutdown."""
         for client in self.clients:
             if (
                 client.disconnected_at is not None
@@ -692,11 +709,11 @@
                 due = max(due, command.read_at + command.timeout_ms * TICKS_PER_MS)
                 if command.answered_at is None and self.now > due + RESPONSE_SLACK:
                     raise CheckFailed(
-                        f"client {client.number}: {command.nonce or command.kind} is not answered in time"
+                        f"client {client.number}: {command.nonce or command.kind} is not answered by its deadline"
                     )
 
     def check_closed_after_shutdown(self, client):
-        """After `finish` one that is owed nothing closes."""
+        """Checks that after `finish` a connection without open requests is closed in time."""
         if (
             self.finished_at is None
             or client.connection.closed
@@ -715,7 +732,7 @@
             [self.finished_at, client.opened_at, client.resumed_at]
             + [command.answered_at for command in client.commands[: client.answered_count]]
         )
-        if not client.commands:  # its first command may be on its way
+        if not client.commands:  # its first command may be in flight
             since = max(since, client.opened_at + FIRST_COMMAND_WAIT)
         if self.now > since + SHUTDOWN_CLOSE_LIMIT + self.stalled_time_since(since):
             raise CheckFailed(
@@ -723,10 +740,11 @@
             )
 
     def stalled_time_since(self, since):
-        """For how long the sidecar has been held up since this moment: it can't close anything then."""
+        """Returns for how many ticks since then the sidecar could not run."""
         return sum(max(0, until - max(begin, since)) for begin, until in self.stalls)
 
     def check_connection_close(self, client):
+        """Checks that the sidecar had a reason to close a client's connection."""
         if client.disconnected_at is not None or client.exempt:
             return
         if client.paused_since is not None and self.now >= client.paused_since + STALL_TIMEOUT:
@@ -746,9 +764,10 @@
             and self.state == "serving"
             and not self.drains
         ):
-            raise CheckFailed(f"client {client.number}: closed for no reason")
+            raise CheckFailed(f"client {client.number}: closed without a reason")
 
     def check_end(self):
+        """Checks that all is answered and closed, and that the sidecar holds no state any more."""
         for client in self.clients:
             unanswered = [
                 command
@@ -760,18 +779,22 @@
                     f"client {client.number}: {unanswered[0].nonce or unanswered[0].kind} was never answered"
                 )
             if not client.connection.closed:
-                raise CheckFailed(f"client {client.number}: its connection is open at the end")
+                raise CheckFailed(
+                    f"client {client.number}: its connection is still open at the end"
+                )
         for connection, unparsed, _ in self.links + self.ended_links:
             if unparsed and hasattr(connection, "endpoint"):
                 self.check_first_byte(
                     connection,
                     connection.send_time(connection.parsed_bytes),
-                    f"half a command to {connection.endpoint.name}",
+                    f"incomplete command to {connection.endpoint.name}",
                 )
         if any(listener.is_open for listener in self.reactor.listeners):
-            raise CheckFailed("it listens at the end")
+            raise CheckFailed("the sidecar still listens at the end")
         if self.shutdown_count != 1:
-            raise CheckFailed(f"emptied was called {self.shutdown_count} times")
+            raise CheckFailed(
+                f"the shutdown callback was called {self.shutdown_count} times, not once"
+            )
         proxy = self.proxy
         remaining = {
             "clients": len(proxy.clients),
@@ -811,24 +834,26 @@
             or pending_names.count("_log_rejections") != 1
             or len(pending_names) > 12
         ):
-            raise CheckFailed(f"deadlines left: {request_timers or pending_names}")
+            raise CheckFailed(f"timers left at the end: {request_timers or pending_names}")
         open_ports = [
             connection.port
             for connection in self.sockets
             if not connection.closed and connection.port not in DISCOVERY_PORTS + PLATFORM_PORTS
         ]
         if open_ports:
-            raise CheckFailed(f"descriptors left open: {open_ports}")
+            raise CheckFailed(f"connections left open to ports {open_ports}")
         if len([connection for connection in self.sockets if not connection.closed]) > 4:
-            raise CheckFailed("streams left open")
+            raise CheckFailed("more than 4 watch stream sockets are left open")
 
     def check_faults(self):
+        """Checks that neither the sidecar nor Twisted has logged an exception."""
         if self.faults:
-            raise CheckFailed(f"a fault: {self.faults[0]}")
+            raise CheckFailed(f"logged exception: {self.faults[0]}")
 
-    # The orders. Numbers choose among what is there.
+    # Orders. Numbers select a client or an endpoint, modulo how many there are.
 
     def play(self, orders):
+        """Runs the orders, then shuts down and checks the end; raises CheckFailed."""
         for name, *arguments, turns in orders:
             getattr(self, name)(*arguments)
             self.run_rounds(None if turns < 0 else turns)
@@ -838,6 +863,7 @@
         return self
 
     def finish_run(self):
+        """Lets every peer work again, shuts the sidecar down and checks what is left."""
         self.run_rounds()
         if self.stream_mode != "live":
             self.set_stream_mode("live")
@@ -863,9 +889,11 @@
         self.check_end()
 
     def select_client(self, number):
+        """Returns the client with this number, modulo their count; None if there is none."""
         return self.clients[number % len(self.clients)] if self.clients else None
 
     def open_client(self):
+        """Connects another client while the sidecar accepts and fewer than 6 are connected."""
         listener = self.reactor.listeners[-1]
         if (
             listener.is_open
@@ -912,6 +940,7 @@
                 self.commands_by_nonce[command.nonce] = client, command
 
     def send_requests(self, number, request_class, timeout_index, key, count):
+        """Sends this many requests of one class, timeout and key."""
         client = self.select_client(number)
         for _ in range(count):
             self._send_command(
@@ -919,10 +948,11 @@
             )
 
     def flood(self, number, timeout_index):
+        """Sends 70 reads, more than the sidecar reads at once from one connection."""
         self.send_requests(number, 0, timeout_index, 0, 70)
 
     def reuse_id(self, number, earlier_index):
-        """With the id of an earlier one, after that one's connection was closed."""
+        """Sends a request with the id of an earlier one whose client has disconnected."""
         earlier = [
             command
             for client, command in self.commands_by_nonce.values()
@@ -935,16 +965,19 @@
             )
 
     def ping(self, number):
+        """Sends a PING."""
         self._send_command(
             self.select_client(number), SentCommand("ping", 0), encode_command("PING")
         )
 
     def send_unsupported(self, number):
+        """Sends a command that the protocol does not have."""
         self._send_command(
             self.select_client(number), SentCommand("wrong", 0), encode_command("GET", "x")
         )
 
     def send_partial(self, number, request_class, timeout_index):
+        """Sends the first 9 bytes of a request."""
         client = self.select_client(number)
         if (
             client
@@ -959,6 +992,7 @@
             client.partial = command, data[9:]
 
     def send_remainder(self, number):
+        """Sends the rest of a partial request."""
         client = self.select_client(number)
         if client and client.partial and client.disconnected_at is None and not client.is_slow:
             (command, data), client.partial, started_at = (
@@ -967,9 +1001,10 @@
                 client.command_started_at,
             )
             self._send_command(client, command, data)
-            client.command_started_at = started_at  # the command began to come then
+            client.command_started_at = started_at  # when its first bytes were sent
 
     def send_garbage(self, number):
+        """Sends bytes that are no command."""
         client = self.select_client(number)
         if (
             client
@@ -982,6 +1017,7 @@
             client.malformed_at = self.now
 
     def pause_reading(self, number, budget):
+        """Lets a client read only this many more bytes."""
         client = self.select_client(number)
         if client and client.disconnected_at is None:
             client.connection.write_budget = budget
@@ -989,6 +1025,7 @@
                 client.paused_since = self.now
 
     def resume_reading(self, number):
+        """Lets a client read any number of bytes again."""
         client = self.select_client(number)
         if client:
             if client.paused_since is not None and self.now >= client.paused_since + STALL_TIMEOUT:
@@ -1000,6 +1037,7 @@
             )
 
     def disconnect(self, number, how):
+        """Ends a client's connection: `shut` for writing, `close` or `reset`."""
         client = self.select_client(number)
         if client and not DISCONNECTS_WHILE_READING_PAUSED and self.reading_may_be_paused(client):
             return
@@ -1007,7 +1045,7 @@
             client.disconnected_at = self.now
             unread = (
                 client.connection.write_budget is not None
-            )  # a window that is full is of bytes not read: closing resets
+            )  # a full window holds unread bytes, and closing with unread bytes resets
             try:
                 unread |= bool(client.connection.remote.recv(1, socket.MSG_PEEK))
             except OSError:
@@ -1015,42 +1053,47 @@
             client.connection.end_remote("reset" if unread and how == "close" else how)
 
     def disconnect_before_read(self, number, request_class, how):
-        """Asks and leaves while the loop is held up: by the time that it reads what was asked, all is long over."""
+        """Sends a request and disconnects while the process is stalled, so both are read late."""
         self.run_rounds()
         self.send_requests(number, request_class, 2, 0, 1)
         self.disconnect(number, how)
         self.stall_process(150)
 
     def stall_process(self, milliseconds):
-        """The process gets no processor for so long: the page allows for up to 0.15 s. Its loop does not run."""
+        """Keeps the event loop from running; the specification allows for up to 0.15 s."""
         self.stalls.append((self.now, self.now + milliseconds * TICKS_PER_MS))
         self.now += milliseconds * TICKS_PER_MS
 
     def writes_first(self, first):
+        """Sets whether the reactor handles writable sockets before readable ones."""
         self.reactor.writes_first = first
 
     def reading_may_be_paused(self, client):
+        """Whether the sidecar may have stopped reading from this client."""
         return (
             len(client.commands) - client.answered_count > 60
             or client.connection.write_budget is not None
         )
 
     def set_connect_mode(self, endpoint, how):
+        """Sets how an endpoint treats new connections: accepts, refuses or hangs."""
         self.endpoints[endpoint % 3].connect_mode = how
 
     def finish_connects(self, up):
-        """What hangs comes up late, or is refused."""
+        """Accepts (`up`) or refuses the connections that hang."""
         pending, self.pending_connects = self.pending_connects, []
         for connect in pending:
             connect.succeed() if up and connect.connection.endpoint is not None else connect.refuse()
 
     def set_response_mode(self, endpoint, mode, response_delay_ms):
+        """Sets what an endpoint responds, and after how many milliseconds."""
         self.endpoints[endpoint % 3].mode, self.endpoints[endpoint % 3].response_delay = (
             mode,
             max(response_delay_ms * TICKS_PER_MS, not RESPONSES_WITHOUT_DELAY),
         )
 
     def limit_endpoint_reads(self, endpoint, budget):
+        """Sets how many more bytes an endpoint reads per connection; None: any number."""
         endpoint = self.endpoints[endpoint % 3]
         budget = endpoint.write_budget = 1 if budget == 0 and not ENDPOINTS_READ_NOTHING else budget
         for connection, *_ in self.links:
@@ -1058,11 +1101,13 @@
                 connection.write_budget = budget
 
     def close_endpoint_connections(self, endpoint, how):
+        """Ends all connections to an endpoint: `shut`, `close` or `reset`."""
         for connection, *_ in self.links:
             if getattr(connection, "endpoint", None) is self.endpoints[endpoint % 3]:
                 connection.end_remote(how)
 
     def change_endpoint(self, endpoint, what):
+        """Changes an endpoint's listed state, port, process or build, and sends the change."""
         endpoint = self.endpoints[endpoint % 3]
         if what == "moved":
             endpoint.port += 10
@@ -1079,10 +1124,12 @@
         self.push_endpoints([endpoint])
 
     def push_full_list(self):
+        """Sends the whole endpoint list."""
         if any(endpoint.state != "Gone" for endpoint in self.endpoints):
             self.push_endpoints(self.endpoints, full=True)
 
     def change_release(self, status, cap):
+        """Changes the release state and its cap, and sends it; `next` starts another build."""
         if status == "next":
             self.release = {
                 **self.release,
@@ -1095,13 +1142,14 @@
                 **self.release,
                 "status": status,
                 "step": 1,
-            }  # of two stages, as the settings have it
+            }  # the last of the two stages in the settings
         self.release["maxWeight"] = {"rolling_back": 0.0, "withdrawn": 0.0, "released": 1.0}.get(
             status, cap
         )
         self.push_release()
 
     def set_stream_mode(self, mode):
+        """Sets whether watch streams are live, silent or ended."""
         self.stream_mode = mode
         if mode == "ended":
             for connection in self.streams:
@@ -1109,23 +1157,27 @@
             self.streams = []
 
     def change_addresses(self, discovery, platform):
+        """Reloads the configuration with other discovery and platform addresses."""
         config = copy.deepcopy(self.config)
         config["discovery"] = f"127.0.0.1:{DISCOVERY_PORTS[discovery % 2]}"
         config["deployer"]["address"] = f"127.0.0.1:{PLATFORM_PORTS[platform % 2]}"
         self.proxy.reconfigure(configuration.parse(config, 0))
 
     def advance_time(self, milliseconds):
+        """Advances the clock."""
         self.advance(milliseconds * TICKS_PER_MS)
 
     def _on_shut_down(self):
         self.shutdown_count += 1
 
     def drain(self):
+        """Drains the sidecar if it serves."""
         if self.state == "serving":
             self.state, self.drains = "drained", self.drains + 1
             self.proxy.drain(lambda: None)
 
     def undrain(self):
+        """Ends a drain."""
         if self.state == "drained":
             self.state = "serving"
             self.proxy.undrain(lambda: None, lambda why: self.faults.append(f"undrain: {why}"))
@@ -1133,13 +1185,14 @@
                 self.run_rounds()
 
     def finish(self):
+        """Shuts the sidecar down."""
         if self.state != "finishing":
             self.state, self.finished_at = "finishing", self.now
             self.proxy.shut_down(self._on_shut_down)
 
 
 def play(*orders):
-    """Gives these orders to a sidecar of their own, and raises CheckFailed where the checker finds something."""
+    """Runs these orders on a new sidecar; raises CheckFailed if a check fails."""
     rig = Rig()
     try:
         return rig.play(orders)
@@ -1148,7 +1201,10 @@
 
 
 def minimize(setup_orders, orders, error, max_runs=150):
-    """Fewer of the orders that show the same; what a bounded search finds."""
+    """Returns fewer orders that fail with the same error, as far as `max_runs` runs can find them.
+
+    Errors are the same if they differ in digits alone.
+    """
 
     def shows(candidate):
         try:
