--- a/tests/__init__.py
+++ b/tests/__init__.py
@@ -1,4 +1,8 @@
-"""No run fails by chance: what is drawn is the same each time, and no draw is held to a time of the machine's clock."""
+"""Tests of thymeknot.
+
+Hypothesis draws the same examples in each run and has no deadline, so that no run fails by chance
+or because the machine is slow.
+"""
 
 from hypothesis import HealthCheck, settings
 
--- a/tests/support/__init__.py
+++ b/tests/support/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, by the package that they test."""
+"""Stand-ins, rigs and helpers that several tests share."""
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -72,23 +72,23 @@
 
 def wait_until(done, act, state=None):
     """Does it again until it is done; never for ever. state() tells how things stood if it did not come about."""
-    end = time.monotonic() + TIMEOUT_SECONDS
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while not done():
-        if time.monotonic() > end:
-            stood = f": {state()}" if state else ""
-            raise AssertionError(f"it did not come about in {TIMEOUT_SECONDS} s{stood}")
+        if time.monotonic() > deadline:
+            description = f": {state()}" if state else ""
+            raise AssertionError(f"it did not come about in {TIMEOUT_SECONDS} s{description}")
         act()
 
 
 def reserve_port():
     """(a socket that keeps a free loopback port, the port). Who asks the machine for any port is never given it, and
     who wants this one can listen there, again and again; until somebody does, connections are refused."""
-    place = socket.socket()
-    place.setsockopt(
+    reservation = socket.socket()
+    reservation.setsockopt(
         socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
     )  # as the listener does; two that do may share it
-    place.bind(("127.0.0.1", 0))
-    return place, place.getsockname()[1]
+    reservation.bind(("127.0.0.1", 0))
+    return reservation, reservation.getsockname()[1]
 
 
 class FakeServer:
@@ -111,9 +111,9 @@
             threading.Thread(target=self._run, args=(connection,), daemon=True).start()
 
     def _run(self, connection):
-        with connection, connection.makefile("rb") as source:
+        with connection, connection.makefile("rb") as reader:
             try:
-                self.serve(connection, source)
+                self.serve(connection, reader)
             except OSError:
                 pass
 
@@ -140,12 +140,12 @@
         self.reset_connections()
 
 
-def read_command(source):
+def read_command(reader):
     """The next command that comes in, or None."""
-    first = source.readline()
+    first = reader.readline()
     if not first:
         return None
-    return [source.read(int(source.readline()[1:]) + 2)[:-2] for _ in range(int(first[1:]))]
+    return [reader.read(int(reader.readline()[1:]) + 2)[:-2] for _ in range(int(first[1:]))]
 
 
 class FakeEndpoint(FakeServer):
@@ -154,14 +154,16 @@
     def __init__(self, answer=None):
         self.received_commands, self.closed_connections = queue.Queue(), queue.Queue()
         self.answer = answer or (
-            lambda words: b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2])
+            lambda arguments: (
+                b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(arguments[2]), arguments[2])
+            )
         )
         super().__init__()
 
-    def serve(self, connection, source):
-        while (words := read_command(source)) is not None:
-            self.received_commands.put(words)
-            answer = self.answer(words)
+    def serve(self, connection, reader):
+        while (arguments := read_command(reader)) is not None:
+            self.received_commands.put(arguments)
+            answer = self.answer(arguments)
             if answer is None:
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 return
@@ -204,15 +206,15 @@
         super().__init__()
         threading.Thread(target=self._send_heartbeats, daemon=True).start()
 
-    def serve(self, connection, source):
-        while first := source.readline():
+    def serve(self, connection, reader):
+        while first := reader.readline():
             length = 0
-            while line := source.readline().strip():
+            while line := reader.readline().strip():
                 if line.lower().startswith(b"content-length:"):
                     length = int(line.split(b":")[1])
             if first.startswith(b"GET"):
-                return self._stream(connection, source, first.split()[1].decode())
-            form = dict(parse_qsl(source.read(length).decode()))
+                return self._stream(connection, reader, first.split()[1].decode())
+            form = dict(parse_qsl(reader.read(length).decode()))
             status, body = (
                 self.answer(form)
                 if self.answer
@@ -225,7 +227,7 @@
             )
             self.calls.put(form)
 
-    def _stream(self, connection, source, path):
+    def _stream(self, connection, reader, path):
         with self.lock:
             self.streams.append(connection)
             try:
@@ -236,7 +238,7 @@
                 self._send(self.raw_chunks or [self.initial_message(path)], [connection])
         self.stream_requests.put(path)
         try:
-            source.read(1)  # it ends, or takes a byte too many: either is its end
+            reader.read(1)  # it ends, or takes a byte too many: either is its end
         finally:
             with self.lock:
                 self.streams.remove(connection)
@@ -292,14 +294,14 @@
     def initial_message(self, path):
         """The first line: what changed after the version that is asked from, or the whole list."""
         since = int(path.rpartition("index=")[2])
-        whole = since < self.full_list_version
+        full = since < self.full_list_version
         return self._line(
             max(self.version, since),
-            whole,
+            full,
             [
                 entry
                 for version, entry in self.entries.values()
-                if whole and entry["state"] != "Gone" or not whole and version > since
+                if full and entry["state"] != "Gone" or not full and version > since
             ],
         )
 
--- a/tests/support/process_rig.py
+++ b/tests/support/process_rig.py
@@ -26,72 +26,72 @@
     connection that is cut both ways for good is the kernel's to give up."""
 
     def __init__(self, port):
-        self.to, self.listener = port, socket.create_server(("127.0.0.1", 0))
+        self.target_port, self.listener = port, socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        self.there = self.back = True  # whether bytes go from the asker, and to it
+        self.forward_open = self.backward_open = True  # whether bytes go from the asker, and to it
         self.delay = 0.0  # seconds for each piece
-        self.closed, self.wake = False, threading.Event()
+        self.closed, self.wake_event = False, threading.Event()
         self.listener.setblocking(False)
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def cut(self, there=True, back=True):
-        self.there, self.back = not there, not back
+    def cut(self, forward=True, backward=True):
+        self.forward_open, self.backward_open = not forward, not backward
 
     def heal(self):
-        self.there = self.back = True
+        self.forward_open = self.backward_open = True
 
     def _run(self):
-        watched, pairs = selectors.DefaultSelector(), {}
-        watched.register(self.listener, selectors.EVENT_READ)
+        selector, links = selectors.DefaultSelector(), {}
+        selector.register(self.listener, selectors.EVENT_READ)
 
-        def drop(one):
-            for side in (one, pairs.pop(one, (None,))[0]):
+        def close_link(connection):
+            for side in (connection, links.pop(connection, (None,))[0]):
                 if side is not None:
-                    pairs.pop(side, None)
+                    links.pop(side, None)
                     try:
-                        watched.unregister(side)
+                        selector.unregister(side)
                     except (KeyError, ValueError):
                         pass
                     side.close()
 
         while not self.closed:
-            ready = watched.select(0.1)
-            held = False
+            ready = selector.select(0.1)
+            blocked = False
             for key, _ in ready:
-                one = key.fileobj
-                if one is self.listener:
-                    if not (self.there and self.back):
-                        held = True
+                connection = key.fileobj
+                if connection is self.listener:
+                    if not (self.forward_open and self.backward_open):
+                        blocked = True
                         continue
-                    asker, _ = self.listener.accept()
+                    client, _ = self.listener.accept()
                     try:
-                        other = socket.create_connection(("127.0.0.1", self.to), timeout=1)
+                        other = socket.create_connection(("127.0.0.1", self.target_port), timeout=1)
                     except OSError:
-                        asker.close()
+                        client.close()
                         continue
-                    pairs[asker], pairs[other] = (other, True), (asker, False)
-                    watched.register(asker, selectors.EVENT_READ)
-                    watched.register(other, selectors.EVENT_READ)
-                elif one in pairs:
-                    other, forth = pairs[one]
-                    if not (self.there if forth else self.back):
-                        held = True
+                    links[client], links[other] = (other, True), (client, False)
+                    selector.register(client, selectors.EVENT_READ)
+                    selector.register(other, selectors.EVENT_READ)
+                elif connection in links:
+                    other, is_forward = links[connection]
+                    if not (self.forward_open if is_forward else self.backward_open):
+                        blocked = True
                         continue
                     try:
-                        content = one.recv(65536)
+                        data = connection.recv(65536)
                         if self.delay:
                             time.sleep(self.delay)
-                        if content:
-                            other.sendall(content)
+                        if data:
+                            other.sendall(data)
                     except OSError:
-                        content = b""
-                    if not content:
-                        drop(one)
-            if held:
+                        data = b""
+                    if not data:
+                        close_link(connection)
+            if blocked:
                 time.sleep(0.02)
-        for one in list(pairs):
-            drop(one)
+        for connection in list(links):
+            close_link(connection)
         self.listener.close()
 
     def close(self):
@@ -112,17 +112,17 @@
     @staticmethod
     def is_serving(port):
         try:
-            with socket.create_connection(("127.0.0.1", port), timeout=1) as one:
-                one.sendall(encode_command("PING"))
-                return one.recv(16).startswith(b"+PONG")
+            with socket.create_connection(("127.0.0.1", port), timeout=1) as connection:
+                connection.sendall(encode_command("PING"))
+                return connection.recv(16).startswith(b"+PONG")
         except OSError:
             return False
 
     def _check(self):
-        out = [name for name, port in self.ports.items() if not self.is_serving(port)]
-        if len(out) > 1:
-            out = [name for name in out if not self.is_serving(self.ports[name])]
-        return frozenset(out)
+        unavailable = [name for name, port in self.ports.items() if not self.is_serving(port)]
+        if len(unavailable) > 1:
+            unavailable = [name for name in unavailable if not self.is_serving(self.ports[name])]
+        return frozenset(unavailable)
 
     def _run(self):
         while not self.closed:
@@ -134,7 +134,10 @@
 
     def max_unavailable(self, but=(), since=0.0):
         """The most that were out at one look; `but`: those whom the test itself killed."""
-        return max((len(out - set(but)) for at, out in self.checks if at >= since), default=0)
+        return max(
+            (len(unavailable - set(but)) for at, unavailable in self.checks if at >= since),
+            default=0,
+        )
 
     def close(self):
         self.closed = True
@@ -158,16 +161,16 @@
         while not self.closed:
             name = names[(at + count) % len(names)]
             count += 1
-            what, words = f"c{at}-{count}", READ_METADATA if count % 2 else PAY_METADATA
+            request_id, metadata = f"c{at}-{count}", READ_METADATA if count % 2 else PAY_METADATA
             try:
-                one = socket.create_connection(("127.0.0.1", self.ports[name]), timeout=8)
+                connection = socket.create_connection(("127.0.0.1", self.ports[name]), timeout=8)
             except OSError:
                 time.sleep(0.005)
                 continue  # not taken: no transaction
-            with one:
-                answer = send_request(one, what, words)
+            with connection:
+                answer = send_request(connection, request_id, metadata)
             with self.lock:
-                self.results.append((what, name, time.monotonic(), answer))
+                self.results.append((request_id, name, time.monotonic(), answer))
             time.sleep(0.01)
 
     def close(self):
@@ -179,9 +182,9 @@
         """Transactions that did not get exactly one answer, be it a refusal: (id, sidecar, what came)."""
         with self.lock:
             return [
-                (what, name, answer)
-                for what, name, _, answer in self.results
-                if answer != b"$%d\r\n%s\r\n+PONG\r\n" % (len(what), what.encode())
+                (request_id, name, answer)
+                for request_id, name, _, answer in self.results
+                if answer != b"$%d\r\n%s\r\n+PONG\r\n" % (len(request_id), request_id.encode())
                 and not (answer.startswith((b"-BUSY", b"-ERR")) and answer.count(b"\r\n") == 2)
             ]
 
@@ -190,18 +193,18 @@
             return sum(answer.startswith(b"$") for *_, answer in self.results)
 
 
-def send_request(one, what, words):
+def send_request(connection, request_id, metadata):
     """Sends one transaction and a PING behind it: what comes up to the PONG is its one answer."""
-    verb = (
-        ("SVC.QUERY", "k", what, words)
-        if words == READ_METADATA
-        else ("SVC.SUBMIT", "k", what, words, "BODY")
+    arguments = (
+        ("SVC.QUERY", "k", request_id, metadata)
+        if metadata == READ_METADATA
+        else ("SVC.SUBMIT", "k", request_id, metadata, "BODY")
     )
     answer = b""
     try:
-        one.sendall(encode_command(*verb) + encode_command("PING"))
-        while not answer.endswith(b"+PONG\r\n") and (part := one.recv(4096)):
-            answer += part
+        connection.sendall(encode_command(*arguments) + encode_command("PING"))
+        while not answer.endswith(b"+PONG\r\n") and (data := connection.recv(4096)):
+            answer += data
     except OSError:
         pass
     return answer
@@ -212,9 +215,9 @@
 
     def __init__(self, count=3, most=1):
         self.folder = tempfile.TemporaryDirectory()
-        self.names, self.most = [f"n{at}" for at in range(count)], most
+        self.names, self.max_out = [f"n{at}" for at in range(count)], most
         self.executed, self.release_slow, self.lock = [], threading.Event(), threading.Lock()
-        self.pods = [FakeEndpoint(self._answer) for _ in range(2)]
+        self.endpoints = [FakeEndpoint(self._answer) for _ in range(2)]
         self.reservations = [
             reserve_port() for _ in self.names
         ]  # also while a process is killed and has not come back
@@ -224,13 +227,13 @@
             for name in [*self.names, "op"]
         }
         self.relays = {
-            (one, two): Relay(self.ports[two])
-            for one in self.names
-            for two in self.names
-            if one != two
+            (origin, target): Relay(self.ports[target])
+            for origin in self.names
+            for target in self.names
+            if origin != target
         }
         self.programs, self.monitor, self.clients, self.operator_clients = {}, None, None, []
-        entries = [pod.entry(f"s-{at}") for at, pod in enumerate(self.pods)]
+        entries = [endpoint.entry(f"s-{at}") for at, endpoint in enumerate(self.endpoints)]
         try:
             for name in self.names:
                 self.programs[name] = Program(
@@ -246,24 +249,24 @@
         ports = {name: program.port for name, program in self.programs.items()}
         self.monitor, self.clients = AvailabilityMonitor(ports), LoadClients(ports)
 
-    def _answer(self, words):
+    def _answer(self, arguments):
         """A pod's: it keeps what ran, and holds what is called slow until it is let go."""
         with self.lock:
-            self.executed.append((words[0], words[2]))
-        if words[2].startswith(b"slow"):
+            self.executed.append((arguments[0], arguments[2]))
+        if arguments[2].startswith(b"slow"):
             self.release_slow.wait(TIMEOUT_SECONDS)
-        return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2])
+        return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(arguments[2]), arguments[2])
 
     def operator_file(self, name):
-        def place(other):
+        def reachable_port(other):
             return self.ports[other] if other == name else self.relays[name, other].port
 
         keepers = ", ".join(
-            f'{{name: "{one}", address: "127.0.0.1:{place(one)}", '
-            f'keys: [{{key: "{self.identities[one].public_key_text()}"}}]}}'
-            for one in self.names
+            f'{{name: "{node}", address: "127.0.0.1:{reachable_port(node)}", '
+            f'keys: [{{key: "{self.identities[node].public_key_text()}"}}]}}'
+            for node in self.names
         )
-        units = ", ".join(f'{{name: "{one}", kind: "sidecar", zone: "z"}}' for one in self.names)
+        units = ", ".join(f'{{name: "{node}", kind: "sidecar", zone: "z"}}' for node in self.names)
         units += ', {name: "p0", kind: "pod"}'  # nobody holds it and no budget binds it: it can be granted always
         return (
             f'fleet: {{name: "{name}", key: "{self.folder.name}/{name}.key", data: "{self.folder.name}/{name}"\n'
@@ -276,37 +279,39 @@
 
     def make_client(self, *names, word="op"):
         """An operator's client, at these keepers alone or at all."""
-        ring = Keyring(
+        keyring = Keyring(
             [
-                Peer(name, None, (PeerKey(one.public_key_text(), None),))
-                for name, one in self.identities.items()
+                Peer(name, None, (PeerKey(identity.public_key_text(), None),))
+                for name, identity in self.identities.items()
             ]
         )
-        made = BlockingClient(
+        client = BlockingClient(
             self.identities["op"],
-            ring,
+            keyring,
             {name: f"127.0.0.1:{self.ports[name]}" for name in names or self.names},
             word,
             time.time_ns(),
         )
-        self.operator_clients.append(made)
-        return made
+        self.operator_clients.append(client)
+        return client
 
     def repeated_submissions(self):
         """Binding transactions that pods ran more than once."""
         with self.lock:
-            ran = Counter(name for verb, name in self.executed if verb == b"SVC.SUBMIT")
-        return [name for name, count in ran.items() if count > 1]
+            executions = Counter(
+                name for command, name in self.executed if command == b"SVC.SUBMIT"
+            )
+        return [name for name, count in executions.items() if count > 1]
 
     def isolate(self, name):
         """Nothing passes between it and the others."""
-        for pair, path in self.relays.items():
+        for pair, relay in self.relays.items():
             if name in pair:
-                path.cut()
+                relay.cut()
 
     def heal(self):
-        for path in self.relays.values():
-            path.heal()
+        for relay in self.relays.values():
+            relay.heal()
 
     def kill(self, name):
         program = self.programs[name]
@@ -316,25 +321,29 @@
     def restart(self, name):
         """With its disk, on its own ports."""
         program = self.programs[name]
-        former = program.process
+        former_process = program.process
         program.process = subprocess.Popen(
-            former.args,
+            former_process.args,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             env={**os.environ, "NODE_CONFIG": program.path},
         )
         program.readers.pop().join()
-        former.stdout.close()
-        former.stderr.close()
+        former_process.stdout.close()
+        former_process.stderr.close()
         program.collect_log(program.process.stdout)
 
     def close(self):
         self.release_slow.set()
-        for part in (self.clients, self.monitor, *self.operator_clients):
-            if part:
-                part.close()
+        for closable in (self.clients, self.monitor, *self.operator_clients):
+            if closable:
+                closable.close()
         for program in self.programs.values():
             program.__exit__()
-        for part in (*self.relays.values(), *self.pods, *(place for place, _ in self.reservations)):
-            part.close()
+        for closable in (
+            *self.relays.values(),
+            *self.endpoints,
+            *(reservation for reservation, _ in self.reservations),
+        ):
+            closable.close()
         self.folder.cleanup()
--- a/tests/support/programs.py
+++ b/tests/support/programs.py
@@ -24,9 +24,10 @@
 
 def run_with_code(code):
     """Programs that are made meanwhile are started by this code."""
-    start = subprocess.Popen
+    popen = subprocess.Popen
     return mock.patch(
-        f"{__name__}.subprocess.Popen", lambda words, **more: start([words[0], "-c", code], **more)
+        f"{__name__}.subprocess.Popen",
+        lambda arguments, **options: popen([arguments[0], "-c", code], **options),
     )
 
 
@@ -88,14 +89,14 @@
         path = self.path = os.path.join(self.folder.name, "config.json")
         self.config, self.lines, self.readers = config, queue.Queue(), []
         self.write_config(config)
-        words = [sys.executable, "-m", "thymeknot"]
+        arguments = [sys.executable, "-m", "thymeknot"]
         if operator:  # the text of an operator's file, its folder given
             self.operator = os.path.join(self.folder.name, "operator.cue")
             with open(self.operator, "w", encoding="utf-8") as target:
                 target.write(operator(self.folder.name))
-            words += ["--operator", self.operator]
+            arguments += ["--operator", self.operator]
         self.process = subprocess.Popen(
-            words,
+            arguments,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             env={**os.environ, "NODE_CONFIG": path},
@@ -156,31 +157,31 @@
 class Client:
     def __init__(self, port):
         self.connection = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_SECONDS)
-        self.source = self.connection.makefile("rb")
+        self.reader = self.connection.makefile("rb")
 
     def __enter__(self):
         return self
 
     def __exit__(self, *_):
-        self.source.close()
+        self.reader.close()
         self.connection.close()
 
-    def send(self, *words):
-        self.connection.sendall(encode_command(*words))
+    def send(self, *arguments):
+        self.connection.sendall(encode_command(*arguments))
 
-    def request(self, *words):
-        self.send(*words)
+    def request(self, *arguments):
+        self.send(*arguments)
         return self.read_response()
 
     def read_response(self):
-        line = self.source.readline()
+        line = self.reader.readline()
         if line.startswith(b"$"):
-            return self.source.read(int(line[1:]) + 2)[:-2]
+            return self.reader.read(int(line[1:]) + 2)[:-2]
         return line.strip()
 
 
-def encode_command(*words):
-    words = [word if isinstance(word, bytes) else word.encode() for word in words]
-    return b"*%d\r\n" % len(words) + b"".join(
-        b"$%d\r\n%s\r\n" % (len(word), word) for word in words
+def encode_command(*arguments):
+    arguments = [word if isinstance(word, bytes) else word.encode() for word in arguments]
+    return b"*%d\r\n" % len(arguments) + b"".join(
+        b"$%d\r\n%s\r\n" % (len(word), word) for word in arguments
     )
--- a/tests/support/stepped_network.py
+++ b/tests/support/stepped_network.py
@@ -1,4 +1,8 @@
-"""Sockets, dials, a listener and a reactor whose clock is stepped, on Twisted's own TCP transports."""
+"""Fake sockets, a listener and a reactor with a stepped clock, for Twisted's own TCP transports.
+
+The rig that owns them has `now` (ticks of 0.1 ms), `sockets`, `progressed`, `peer_progressed` and the
+callbacks `on_connect` and `on_connected`.
+"""
 
 import select
 import socket
@@ -9,11 +13,21 @@
 
 
 class CheckFailed(AssertionError):
-    """What the checker found."""
+    """A check of a rig found a fault."""
 
 
 class FakeSocket:
-    """The sidecar's end of a connection. budget: how many bytes the other side takes yet; None: any."""
+    """A connection on a socket pair: what Twisted uses as a socket, and the remote end.
+
+    Attributes:
+        local: the sidecar's end.
+        remote: the end of the client, endpoint or server.
+        write_budget: how many more bytes the remote end accepts; None: any number.
+        send_times: (offset of the first byte, time) of each write of the sidecar.
+        read_callbacks: (bytes read, function) to call once the sidecar has read that many.
+        write_lost: whether the sidecar has written to a closed remote end.
+        aborted: whether the sidecar has set SO_LINGER, which it does to reset the connection.
+    """
 
     def __init__(self, rig, port=None):
         self.rig, self.port, self.created_at = rig, port, rig.now
@@ -30,7 +44,7 @@
         self.remote_ended_at = self.closed_at = None
         rig.sockets.append(self)
 
-    # What Twisted asks of a socket.
+    # The methods of a socket that Twisted calls.
 
     def setblocking(self, blocking):
         self.local.setblocking(blocking)
@@ -58,9 +72,8 @@
             data = data[: self.write_budget]
             self.write_budget -= len(data)
         self.rig.progressed = True
-        if (
-            self.remote_closed
-        ):  # the first bytes to one that has closed go out; what comes back is a reset
+        # The first write to a closed remote end succeeds, and is answered by a reset.
+        if self.remote_closed:
             self.reset = self.write_lost = True
             return len(data)
         count = self.local.send(data)
@@ -78,20 +91,23 @@
     def getsockopt(self, *_):
         return 0
 
-    write_closed = False  # the sidecar sends no more: who reads sees the end
+    write_closed = (
+        False  # whether the sidecar has shut down writing, so that its peer reads the end
+    )
 
     def close(self):
         self.closed, self.closed_at = True, self.rig.now
         self.rig.progressed = True
         self.local.close()
 
-    # The other side.
+    # The remote end.
 
     def send_time(self, offset):
-        """When the byte at this offset went out."""
+        """Returns when the sidecar wrote the byte at this offset."""
         return next(at for begin, at in reversed(self.send_times) if begin <= offset)
 
     def receive_remote(self):
+        """Returns all that the sidecar has written and the remote end has not read yet."""
         data = b""
         while not self.remote_closed:
             try:
@@ -104,6 +120,7 @@
         return data
 
     def send_remote(self, data):
+        """Sends to the sidecar; returns whether all of it was accepted."""
         if self.remote_closed or self.closed or self.remote_ended_at is not None:
             return False
         try:
@@ -113,7 +130,7 @@
             return False
 
     def end_remote(self, how):
-        """shut: for sending; close; reset."""
+        """Ends the connection at the remote end: `shut` for writing, `close` or `reset`."""
         if self.remote_closed:
             return
         self.rig.peer_progressed = True
@@ -131,7 +148,7 @@
 
 
 class FakeConnect(tcp.Client):
-    """A real client's transport whose connection comes up when the rig lets it."""
+    """Twisted's client transport, whose connect succeeds or fails when the rig decides so."""
 
     def createInternetSocket(self):
         self.connection = FakeSocket(self.connector.reactor.rig, self.addr[1])
@@ -141,6 +158,7 @@
         self.reactor.rig.on_connect(self)
 
     def succeed(self):
+        """Establishes the connection, unless Twisted has given it up."""
         if hasattr(self, "connector") and not self.connected and not self.disconnected:
             self.realAddress = self.addr
             self.reactor.rig.progressed = True
@@ -148,6 +166,7 @@
             self.reactor.rig.on_connected(self.connection)
 
     def refuse(self):
+        """Fails the connect with ConnectionRefusedError."""
         self.reactor.rig.progressed = True
         self.failIfNotConnected(error.ConnectionRefusedError())
 
@@ -155,16 +174,21 @@
         return self.addr
 
     def getHost(self):
-        return ("127.0.0.1", self.connection.fileno())  # another one than the pod's
+        return (
+            "127.0.0.1",
+            self.connection.fileno(),
+        )  # never equal to the endpoint's address, which would be a self-connect
 
 
 class FakeConnector(tcp.Connector):
+    """Makes FakeConnect transports."""
+
     def _makeTransport(self):
         return FakeConnect(self.host, self.port, None, self, self.reactor)
 
 
 class FakeListener:
-    """A listener, as tcp.Port is one."""
+    """A listener with the part of the interface of tcp.Port that the sidecar uses."""
 
     def __init__(self, reactor, factory):
         self.reactor, self.factory, self.backlog, self.is_open, self.reading = (
@@ -178,12 +202,12 @@
         self.socket, self.accepting = self, True
 
     def setsockopt(self, level, name, value):
-        """A filter that lets nobody in any more is all that it is ever given."""
+        """Stops accepting: the only option that the sidecar sets is a filter that drops all connections."""
         self.accepting = False
 
     def doRead(self):
         if not self.is_open:
-            raise CheckFailed("a listener that is closed was read")
+            raise CheckFailed("doRead was called on a closed listener")
         accepted, self.backlog = (
             self.backlog[: self.numberAccepts],
             self.backlog[self.numberAccepts :],
@@ -217,8 +241,11 @@
 
 
 class SteppedReactor(SelectReactor):
-    """Twisted's own, its iterations stepped by hand and in one order, its clock the rig's. The machine may name what
-    is ready in any order: writes_first has what can be written go before what has come."""
+    """Twisted's select reactor with the rig's clock, whose iterations the rig runs one by one.
+
+    Descriptors are handled in the order in which they were added, so runs are reproducible. A real
+    reactor may handle ready descriptors in any order; `writes_first` has writable ones handled first.
+    """
 
     writes_first = False
 
@@ -244,9 +271,8 @@
                     self._doReadOrWrite(descriptor, method)
 
     def addReader(self, reader):
-        self.descriptor_order.setdefault(
-            reader, len(self.descriptor_order)
-        )  # else the order would hang on where objects lie in memory
+        # Without this, the order would depend on the memory addresses of the descriptors.
+        self.descriptor_order.setdefault(reader, len(self.descriptor_order))
         SelectReactor.addReader(self, reader)
 
     def addWriter(self, writer):
@@ -265,6 +291,7 @@
         return self.listeners[-1]
 
     def next_call_time(self):
+        """Returns when the next delayed call is due, in seconds, or None."""
         times = [
             call.getTime()
             for call in (*self._pendingTimedCalls, *self._newTimedCalls)
@@ -273,4 +300,5 @@
         return min(times, default=None)
 
     def close(self):
+        """Closes the reactor's own socket."""
         self.waker.connectionLost(None)
--- a/tests/unit/support/__init__.py
+++ b/tests/unit/support/__init__.py
@@ -1,1 +1,1 @@
-"""Tests, by the package that they test."""
+"""Tests of tests.support."""
