--- a/tests/support/decisions.py
+++ b/tests/support/decisions.py
@@ -1,4 +1,4 @@
-"""A decision engine, and the events and actions that tests feed it and read."""
+"""Factories for decision engines and their events, and helpers that read their actions."""
 
 from thymeknot.interface.actions import SendAttempt
 from thymeknot.interface.clock import TICKS_PER_SECOND
@@ -99,15 +99,23 @@
 
 
 def make_endpoint(address, build=1, started=0, condition=EndpointCondition.READY, zone="a"):
+    """Returns an endpoint of weight 1 in cell 0."""
     return Endpoint(address, zone, 1.0, 0, condition, started, "std", build)
 
 
 def make_release_update(stage=1, phase=ReleasePhase.ON_TRIAL, cap=0.5, build=2):
+    """Returns a release update, by default of build 2 on trial."""
     return ReleaseUpdate(build, stage, phase, False, Outcome.DONE, cap, 0)
 
 
 def make_engine(*endpoints, release_update=None, **changes):
-    """An instance that knows these pods (two of the earlier build, one of the new) and this news."""
+    """Returns an engine that knows these endpoints and, if given, this release update.
+
+    Args:
+        endpoints: by default two of the earlier build and one of the new.
+        release_update: handled after one that has build 1 released.
+        changes: fields of ENGINE_SETTINGS to replace.
+    """
     engine = DecisionEngine(ENGINE_SETTINGS._replace(**changes), 7, NOW - 10 * TICKS_PER_SECOND)
     endpoints = endpoints or (
         make_endpoint("old-1"),
@@ -132,24 +140,28 @@
 
 
 def record_slow_responses(engine, factor, count=40):
-    """Its answers of now took so many times their goal."""
+    """Adds responses at the current time that took `factor` times their latency objective."""
     engine.admission.response_counts.add(engine.context.now, count)
     engine.admission.relative_latencies.add(engine.context.now, count * factor)
 
 
 def make_request(name="t1", lane="read", key=None, remaining=3 * TICKS_PER_SECOND):
+    """Returns a request of this id that has `remaining` ticks until its deadline."""
     return RequestReceived(name, lane, None, key, remaining, None, False, False)
 
 
 def make_attempt_ended(
     name="t1", outcome=Outcome.ERROR, address="old-1", number=0, closed=False, latency=100
 ):
+    """Returns the end of an attempt, by default a failed first one at "old-1"."""
     return AttemptEnded(name, outcome, closed, latency, address, number, None)
 
 
 def action_types(actions):
+    """Returns the type of each action."""
     return [type(action) for action in actions]
 
 
 def attempted_endpoints(actions):
+    """Returns the endpoints of the attempts among these actions."""
     return [action.endpoint for action in actions if isinstance(action, SendAttempt)]
--- a/tests/support/order_rig.py
+++ b/tests/support/order_rig.py
@@ -350,6 +350,7 @@
     # Clients, endpoints, discovery and the release platform.
 
     def run_peers(self):
+        """Lets clients and servers read and handle what the sidecar has written."""
         for client in self.clients:
             self._read_responses(client)
         for link in self.links:
@@ -431,6 +432,7 @@
                 connection.read_callbacks.append((self._bytes_sent_so_far(connection), on_read))
 
     def _bytes_sent_so_far(self, connection):
+        """Returns the stream offset behind all bytes sent to the sidecar, read or not."""
         waiting = 0
         try:
             waiting = len(connection.local.recv(1 << 24, socket.MSG_PEEK))
@@ -489,6 +491,7 @@
         )
 
     def _handle_commands(self, link):
+        """Parses, records and checks the requests that came to an endpoint."""
         connection, endpoint = link[0], link[0].endpoint
         while (parsed := parse_command(link[1])) is not None:
             arguments, length = parsed
@@ -511,6 +514,7 @@
                 )
 
     def _respond(self, attempt, mode):
+        """Sends an endpoint's response in this mode."""
         connection = attempt.connection
         if mode in ("good", "big", "duplicate", "truncated", "malformed"):
             self.counter += 1
@@ -611,6 +615,7 @@
             raise CheckFailed(f"{what}: begun though the newest build takes nothing")
 
     def _read_responses(self, client):
+        """Notes which commands the sidecar has read, and handles the responses that came."""
         connection = client.connection
         for command in client.commands:
             if command.read_at is None and command.end_offset <= connection.bytes_read:
@@ -631,6 +636,7 @@
             self.check_connection_close(client)
 
     def _handle_response(self, client, answer):
+        """Checks a response against the command that it belongs to."""
         if client.answered_count >= len(client.commands):
             if (
                 client.malformed_at is not None
@@ -798,17 +804,18 @@
         proxy = self.proxy
         remaining = {
             "clients": len(proxy.clients),
-            "transactions": len(proxy.requests_in_flight),
-            "ids": len(proxy.requests.by_id),
-            "waiting": len(proxy.pools.unwritten_attempts()),
-            "dialling": proxy.pools.dialling,
+            "requests in flight": len(proxy.requests_in_flight),
+            "request ids": len(proxy.requests.by_id),
+            "unwritten attempts": len(proxy.pools.unwritten_attempts()),
+            "connecting": proxy.pools.dialling,
             "connections": len(proxy.pools.connections),
-            "open to decide": len(proxy.engine.requests.open),
-            "calls": proxy.platform.calls_in_flight + proxy.discovery.calls_in_flight,
-            "counted out": sum(
+            "open requests in the engine": len(proxy.engine.requests.open),
+            "platform and discovery calls": proxy.platform.calls_in_flight
+            + proxy.discovery.calls_in_flight,
+            "attempts in flight per endpoint": sum(
                 known.in_flight for known in proxy.engine.context.endpoints.values()
             ),
-            "idle": sum(len(pool.idle) for pool in proxy.pools.by_pod.values()),
+            "idle connections": sum(len(pool.idle) for pool in proxy.pools.by_pod.values()),
         }
         remaining = {what: count for what, count in remaining.items() if count}
         if remaining:
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -1,4 +1,7 @@
-"""Stand-ins of the systems that the program speaks to, on loopback: endpoints, discovery and the platform."""
+"""Stand-ins for endpoints, discovery and the release platform, on free loopback ports.
+
+Each stand-in listens at `address` and serves each connection in a thread of its own.
+"""
 
 import contextlib
 import json
@@ -10,9 +13,7 @@
 import time
 from urllib.parse import parse_qsl, urlencode
 
-# Stand-ins of the outside systems, on free loopback ports, and the program itself.
-
-TIMEOUT_SECONDS = 20  # seconds that a test waits at most; nothing passes by waiting
+TIMEOUT_SECONDS = 20  # longest wait of a test; no test passes by a timeout
 
 
 SETTINGS = {
@@ -71,28 +72,39 @@
 
 
 def wait_until(done, act, state=None):
-    """Does it again until it is done; never for ever. state() tells how things stood if it did not come about."""
+    """Calls `act` until `done` returns true.
+
+    Raises:
+        AssertionError: after TIMEOUT_SECONDS; the message has what `state` returns.
+    """
     deadline = time.monotonic() + TIMEOUT_SECONDS
     while not done():
         if time.monotonic() > deadline:
             description = f": {state()}" if state else ""
-            raise AssertionError(f"it did not come about in {TIMEOUT_SECONDS} s{description}")
+            raise AssertionError(
+                f"the condition did not hold within {TIMEOUT_SECONDS} s{description}"
+            )
         act()
 
 
 def reserve_port():
-    """(a socket that keeps a free loopback port, the port). Who asks the machine for any port is never given it, and
-    who wants this one can listen there, again and again; until somebody does, connections are refused."""
+    """Returns a socket that reserves a free loopback port, and the port.
+
+    The kernel gives the port to nobody who binds to port 0, but servers can listen on it, one
+    after another. While none does, connections are refused.
+    """
     reservation = socket.socket()
-    reservation.setsockopt(
-        socket.SOL_SOCKET, socket.SO_REUSEADDR, 1
-    )  # as the listener does; two that do may share it
+    # The listener sets it as well; sockets that both do may share the port.
+    reservation.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     reservation.bind(("127.0.0.1", 0))
     return reservation, reservation.getsockname()[1]
 
 
 class FakeServer:
-    """A listener on a free loopback port, a thread for each connection; serve(connection, source) is its part."""
+    """A server on a free loopback port with a thread per connection.
+
+    Subclasses implement `serve(connection, reader)`.
+    """
 
     def __init__(self):
         self.reservation, port = reserve_port()
@@ -118,7 +130,7 @@
                 pass
 
     def reset_connections(self):
-        """Resets what stands."""
+        """Resets all open connections."""
         for connection in self.connections:
             try:
                 connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -127,21 +139,21 @@
                 pass
 
     def stop_listening(self):
-        """Takes no further connection, and nobody else does at its address."""
+        """Stops accepting connections; the port stays reserved, so nobody else listens on it."""
         with contextlib.suppress(OSError):
-            self.listener.shutdown(
-                socket.SHUT_RDWR
-            )  # one that is closed alone takes one more: accept() holds it
+            # Without shutdown, the accept() in progress would still accept one connection.
+            self.listener.shutdown(socket.SHUT_RDWR)
         self.listener.close()
 
     def close(self):
+        """Stops listening, frees the port and resets all connections."""
         self.stop_listening()
         self.reservation.close()
         self.reset_connections()
 
 
 def read_command(reader):
-    """The next command that comes in, or None."""
+    """Returns the arguments of the next command, or None at the end of the stream."""
     first = reader.readline()
     if not first:
         return None
@@ -149,7 +161,11 @@
 
 
 class FakeEndpoint(FakeServer):
-    """A pod. answer(words) gives the bytes to write, b"" to say nothing, or None to reset the connection."""
+    """An endpoint.
+
+    `answer(arguments)` returns the bytes to write, b"" to send nothing, or None to reset the
+    connection. The default answers with the request's id.
+    """
 
     def __init__(self, answer=None):
         self.received_commands, self.closed_connections = queue.Queue(), queue.Queue()
@@ -171,6 +187,7 @@
         self.closed_connections.put(True)
 
     def entry(self, name, build=41, state="Ready", **more):
+        """Returns this endpoint's entry in an endpoint list."""
         return {
             "id": name,
             "addr": self.address,
@@ -186,9 +203,16 @@
 
 
 class FakeHttpServer(FakeServer):
-    """What discovery and the platform have in common. Calls go to answer(form). A stream is told at once what it has
-    missed, then what is new, and a sign of life as often as PROTOCOL.md has it: what was given to tell is kept, so a
-    stream that the sidecar gives up loses nothing. A silent one takes streams and says nothing until it is told to."""
+    """The common part of discovery and the release platform: watch streams and form calls.
+
+    A new stream gets the current state at once, then each change, and heartbeats at the interval
+    of PROTOCOL.md. The state is kept, so nothing is lost when the sidecar gives up a stream and
+    opens another. Calls are answered by `answer(form)`, which returns (status, body).
+
+    Args:
+        answer: answers calls; by default they are throttled.
+        silent: accept streams but send nothing until something is pushed.
+    """
 
     def __init__(self, answer=None, silent=False):
         self.streams, self.stream_requests, self.calls, self.answer = (
@@ -238,7 +262,8 @@
                 self._send(self.raw_chunks or [self.initial_message(path)], [connection])
         self.stream_requests.put(path)
         try:
-            reader.read(1)  # it ends, or takes a byte too many: either is its end
+            # Returns when the sidecar closes the stream, or sends a byte, which ends it as well.
+            reader.read(1)
         finally:
             with self.lock:
                 self.streams.remove(connection)
@@ -251,7 +276,10 @@
                     self._send([self.HEARTBEAT])
 
     def _send(self, texts, streams=None):
-        """Each in a piece of its own. One that has ended is none: who asks instead of it is told what it missed."""
+        """Sends each text as a chunk of its own, by default to all streams.
+
+        Streams that have ended are skipped: their successors start with the current state.
+        """
         data = b"".join(
             b"%x\r\n%s\r\n" % (len(text), text) for text in (text.encode() for text in texts)
         )
@@ -262,14 +290,16 @@
                 pass
 
     def push_raw(self, *texts):
-        """In these pieces and as it is, sound or not: to each stream that stands, and to each that asks, in place of
-        what it has missed, until there is something to tell."""
+        """Sends these chunks as they are, valid or not, to all streams.
+
+        Streams that open later get them in place of the current state, until the next push.
+        """
         with self.lock:
             self.silent, self.raw_chunks = False, texts
             self._send(texts)
 
     def push(self, text):
-        """Something to tell, which is kept by now; the lock is held."""
+        """Sends a change that is part of the state already; the caller holds the lock."""
         self.silent, self.raw_chunks = False, None
         self._send([text])
 
@@ -279,20 +309,17 @@
 
 
 class FakeDiscovery(FakeHttpServer):
-    """Keeps the changes and whole lists that it was given, each entry's last under its version."""
+    """Discovery: keeps the latest entry of each endpoint and the version that changed it."""
 
     HEARTBEAT, HEARTBEAT_SECONDS = "\n", 2.0
 
     def __init__(self, **more):
-        self.entries, self.version, self.full_list_version = (
-            {},
-            0,
-            0,
-        )  # id -> (version, entry); that of the last whole list
+        # Endpoint id -> (version, entry); the latest version; the version of the last full list.
+        self.entries, self.version, self.full_list_version = {}, 0, 0
         super().__init__(**more)
 
     def initial_message(self, path):
-        """The first line: what changed after the version that is asked from, or the whole list."""
+        """Returns a stream's first line: the changes since its version, or the full list."""
         since = int(path.rpartition("index=")[2])
         full = since < self.full_list_version
         return self._line(
@@ -310,6 +337,7 @@
         return json.dumps({"version": version, "full": full, "servers": entries}) + "\n"
 
     def push_list(self, version, *entries, full=False):
+        """Sends a full list or a change of these entries, and keeps it."""
         with self.lock:
             self.version = version
             if full:
@@ -319,7 +347,7 @@
 
 
 class FakePlatform(FakeHttpServer):
-    """Keeps the state of the newest build, also as a vote that counts changes it."""
+    """The release platform: keeps the latest release state, which accepted votes change as well."""
 
     HEARTBEAT, HEARTBEAT_SECONDS = ":\n", 1.0
     RELEASE_STATE = {
@@ -349,6 +377,7 @@
             self._set_release_state(dict(re.findall(r"<(\w+)>([^<>]*)</", body)))
 
     def push_release_state(self, version=41, step=1, status="released", cap=1.0):
+        """Sends a release state and keeps it."""
         with self.lock:
             self._set_release_state(
                 {
--- a/tests/support/process_rig.py
+++ b/tests/support/process_rig.py
@@ -1,5 +1,8 @@
-"""Real programs with the feature `fleet` on loopback, a relay of our own on each path from one to another, clients with
-transactions, and a checker that knows nothing but what sockets answer."""
+"""Test rig of real processes with the feature `fleet` on loopback.
+
+A relay on each path between two processes can cut it; clients send requests all the time, and a
+monitor checks from outside which processes serve.
+"""
 
 import os
 import selectors
@@ -18,27 +21,34 @@
 from thymeknot.gossip.settings import Peer, PeerKey
 
 READ_METADATA, PAY_METADATA = "c=read,t=acme,d=6000", "c=pay,t=acme,d=6000"
-CHECK_INTERVAL_SECONDS = 0.03  # seconds between two looks of the checker
+CHECK_INTERVAL_SECONDS = 0.03  # between two checks of the monitor
 
 
 class Relay:
-    """One path, from a process to another's port. What is cut stays unread (and so unsent) until it is healed; a
-    connection that is cut both ways for good is the kernel's to give up."""
+    """A TCP relay from one process to another's port, which can be cut in each direction.
+
+    While a direction is cut, its bytes stay unread until it is healed. A connection that stays cut
+    both ways is left for the kernel to time out.
+    """
 
     def __init__(self, port):
         self.target_port, self.listener = port, socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        self.forward_open = self.backward_open = True  # whether bytes go from the asker, and to it
-        self.delay = 0.0  # seconds for each piece
+        self.forward_open = self.backward_open = (
+            True  # whether bytes pass from the connecting process, and to it
+        )
+        self.delay = 0.0  # seconds, for each read
         self.closed, self.wake_event = False, threading.Event()
         self.listener.setblocking(False)
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
     def cut(self, forward=True, backward=True):
+        """Cuts these directions; new connections wait if any is cut."""
         self.forward_open, self.backward_open = not forward, not backward
 
     def heal(self):
+        """Opens both directions."""
         self.forward_open = self.backward_open = True
 
     def _run(self):
@@ -100,9 +110,12 @@
 
 
 class AvailabilityMonitor:
-    """Looks from outside, again and again, at who answers PING on its port. `out`: who did not at each look. Several
-    were out together if they were so twice, each time before or after all others: one that came back just before
-    another went does not count, however slow the look is."""
+    """Checks all the time from outside which processes answer PING on their port.
+
+    Several count as unavailable together only if each failed twice, in two passes over the
+    processes. One that came back just before another went away is then not counted with it,
+    however slow a check is.
+    """
 
     def __init__(self, ports):
         self.ports, self.checks, self.closed = ports, [], False
@@ -111,6 +124,7 @@
 
     @staticmethod
     def is_serving(port):
+        """Whether PING is answered on this port."""
         try:
             with socket.create_connection(("127.0.0.1", port), timeout=1) as connection:
                 connection.sendall(encode_command("PING"))
@@ -130,10 +144,11 @@
             time.sleep(CHECK_INTERVAL_SECONDS)
 
     def unavailable(self):
+        """Returns the processes that did not serve at the last check; all before the first one."""
         return self.checks[-1][1] if self.checks else frozenset(self.ports)
 
     def max_unavailable(self, but=(), since=0.0):
-        """The most that were out at one look; `but`: those whom the test itself killed."""
+        """Returns the highest number unavailable at one check, not counting those in `but`."""
         return max(
             (len(unavailable - set(but)) for at, unavailable in self.checks if at >= since),
             default=0,
@@ -145,8 +160,11 @@
 
 
 class LoadClients:
-    """Threads that send one transaction after another, each on a connection of its own to any sidecar that takes it.
-    Each id is used once; what comes back is kept: an answer, an error, or none where the connection broke."""
+    """Threads that send one request after another, each on a connection of its own.
+
+    Each id is used once. `results` has what came back: a response, an error, or b"" where the
+    connection broke.
+    """
 
     def __init__(self, ports, threads=3):
         self.ports, self.closed, self.results, self.lock = ports, False, [], threading.Lock()
@@ -166,7 +184,7 @@
                 connection = socket.create_connection(("127.0.0.1", self.ports[name]), timeout=8)
             except OSError:
                 time.sleep(0.005)
-                continue  # not taken: no transaction
+                continue  # not accepted, so no request was sent
             with connection:
                 answer = send_request(connection, request_id, metadata)
             with self.lock:
@@ -179,7 +197,7 @@
             thread.join(9)
 
     def unanswered(self):
-        """Transactions that did not get exactly one answer, be it a refusal: (id, sidecar, what came)."""
+        """Returns (id, sidecar, bytes) of requests that did not get exactly one response or error."""
         with self.lock:
             return [
                 (request_id, name, answer)
@@ -189,12 +207,13 @@
             ]
 
     def answered_count(self):
+        """Returns how many requests got a response from an endpoint."""
         with self.lock:
             return sum(answer.startswith(b"$") for *_, answer in self.results)
 
 
 def send_request(connection, request_id, metadata):
-    """Sends one transaction and a PING behind it: what comes up to the PONG is its one answer."""
+    """Sends a request and a PING, and returns all that comes up to the PONG."""
     arguments = (
         ("SVC.QUERY", "k", request_id, metadata)
         if metadata == READ_METADATA
@@ -211,16 +230,20 @@
 
 
 class Fleet:
-    """count programs, each a sidecar and a keeper, with an operator's key outside of them."""
+    """Processes that are each a sidecar and a coordination node, with an operator's key of its own.
+
+    Args:
+        count: how many processes.
+        most: how many sidecars the disruption budget allows to be out at once.
+    """
 
     def __init__(self, count=3, most=1):
         self.folder = tempfile.TemporaryDirectory()
         self.names, self.max_out = [f"n{at}" for at in range(count)], most
         self.executed, self.release_slow, self.lock = [], threading.Event(), threading.Lock()
         self.endpoints = [FakeEndpoint(self._answer) for _ in range(2)]
-        self.reservations = [
-            reserve_port() for _ in self.names
-        ]  # also while a process is killed and has not come back
+        # Reserved as long as the fleet exists, also while a process is killed.
+        self.reservations = [reserve_port() for _ in self.names]
         self.ports = {name: port for name, (_, port) in zip(self.names, self.reservations)}
         self.identities = {
             name: keys.create_key_file(name, os.path.join(self.folder.name, f"{name}.key"))
@@ -250,7 +273,7 @@
         self.monitor, self.clients = AvailabilityMonitor(ports), LoadClients(ports)
 
     def _answer(self, arguments):
-        """A pod's: it keeps what ran, and holds what is called slow until it is let go."""
+        """Answers for an endpoint; requests whose id begins with `slow` wait for release_slow."""
         with self.lock:
             self.executed.append((arguments[0], arguments[2]))
         if arguments[2].startswith(b"slow"):
@@ -258,6 +281,8 @@
         return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(arguments[2]), arguments[2])
 
     def operator_file(self, name):
+        """Returns the text of this process's operator file."""
+
         def reachable_port(other):
             return self.ports[other] if other == name else self.relays[name, other].port
 
@@ -267,18 +292,19 @@
             for node in self.names
         )
         units = ", ".join(f'{{name: "{node}", kind: "sidecar", zone: "z"}}' for node in self.names)
-        units += ', {name: "p0", kind: "pod"}'  # nobody holds it and no budget binds it: it can be granted always
+        # No process runs p0 and no budget limits it, so a permit for it is always granted.
+        units += ', {name: "p0", kind: "pod"}'
         return (
             f'fleet: {{name: "{name}", key: "{self.folder.name}/{name}.key", data: "{self.folder.name}/{name}"\n'
             f'founds: true, from: ["127.0.0.0/8"], keepers: [{keepers}]\n'
             f"peers: [{keys.peer_record(self.identities['op'])}]\n"
             f'unit: "{name}", units: [{units}]\n'
-            f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: {self.most}}}]\n'
+            f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: {self.max_out}}}]\n'
             'bound: "1s", silent: "2s", permit: "4s", tick: "100ms"\n}\n'
         )
 
     def make_client(self, *names, word="op"):
-        """An operator's client, at these keepers alone or at all."""
+        """Returns an operator's client that uses these nodes, or all."""
         keyring = Keyring(
             [
                 Peer(name, None, (PeerKey(identity.public_key_text(), None),))
@@ -296,7 +322,7 @@
         return client
 
     def repeated_submissions(self):
-        """Binding transactions that pods ran more than once."""
+        """Returns the ids of non-idempotent requests that endpoints ran more than once."""
         with self.lock:
             executions = Counter(
                 name for command, name in self.executed if command == b"SVC.SUBMIT"
@@ -304,22 +330,24 @@
         return [name for name, count in executions.items() if count > 1]
 
     def isolate(self, name):
-        """Nothing passes between it and the others."""
+        """Cuts all paths between this process and the others."""
         for pair, relay in self.relays.items():
             if name in pair:
                 relay.cut()
 
     def heal(self):
+        """Opens all paths."""
         for relay in self.relays.values():
             relay.heal()
 
     def kill(self, name):
+        """Kills a process with SIGKILL."""
         program = self.programs[name]
         program.process.kill()
         program.process.wait()
 
     def restart(self, name):
-        """With its disk, on its own ports."""
+        """Starts a killed process again with its data and on its ports."""
         program = self.programs[name]
         former_process = program.process
         program.process = subprocess.Popen(
--- a/tests/support/programs.py
+++ b/tests/support/programs.py
@@ -1,4 +1,4 @@
-"""The real program as a process of its own, and clients of it."""
+"""The program as a process of its own, and a client for it."""
 
 import copy
 import json
@@ -23,7 +23,7 @@
 
 
 def run_with_code(code):
-    """Programs that are made meanwhile are started by this code."""
+    """Has each Program made within the context run this code in place of `-m thymeknot`."""
     popen = subprocess.Popen
     return mock.patch(
         f"{__name__}.subprocess.Popen",
@@ -32,7 +32,7 @@
 
 
 def run_after_setup(code):
-    """They begin with this code, and end with Life's."""
+    """Has each Program made within the context run this code before `lifecycle.main`."""
     return run_with_code(f"""import os, signal, sys
 from thymeknot.service import lifecycle
 {code}
@@ -40,24 +40,38 @@
 
 
 def without_first_list_timeout():
-    """Has the program wait for its first list for as long as the test does: what comes before it, comes every time."""
+    """Has the program wait for its first list as long as the test does.
+
+    Whatever a test does before the list then always comes in time.
+    """
     return run_after_setup(f"lifecycle.FIRST_LIST_TIMEOUT_SECONDS = {TIMEOUT_SECONDS}")
 
 
 def pause_at_sigterm():
-    """Has the program stop itself at SIGTERM, its end set, up to SIGCONT: what comes in its last half second, comes
-    every time."""
+    """Has the program stop itself (SIGSTOP) at SIGTERM, with its shutdown begun, until SIGCONT.
+
+    Whatever a test sends for the last half second of the program then always comes in time.
+    """
     return run_after_setup("""stop = lifecycle.Lifecycle._stop
-def stands(one):
-    first = not one.stopping
-    stop(one)
-    if first:
+def stop_and_pause(instance):
+    first_signal = not instance.stopping
+    stop(instance)
+    if first_signal:
         os.kill(os.getpid(), signal.SIGSTOP)
-lifecycle.Lifecycle._stop = stands""")
+lifecycle.Lifecycle._stop = stop_and_pause""")
 
 
 class Program:
-    """The program, started on a configuration beside stand-ins of all that it speaks to."""
+    """The program with a discovery and a release platform of its own.
+
+    Args:
+        entries: the endpoints in the configuration's list.
+        answer: answers calls to the release platform, see FakeHttpServer.
+        release_state: the platform's state, also in the configuration.
+        change: changes the configuration object before it is written.
+        operator: returns the text of the operator file, given its directory.
+        silent: whether discovery sends nothing until something is pushed.
+    """
 
     def __init__(
         self,
@@ -90,7 +104,7 @@
         self.config, self.lines, self.readers = config, queue.Queue(), []
         self.write_config(config)
         arguments = [sys.executable, "-m", "thymeknot"]
-        if operator:  # the text of an operator's file, its folder given
+        if operator:
             self.operator = os.path.join(self.folder.name, "operator.cue")
             with open(self.operator, "w", encoding="utf-8") as target:
                 target.write(operator(self.folder.name))
@@ -103,11 +117,12 @@
         )
 
     def write_config(self, config):
+        """Writes the configuration file."""
         with open(self.path, "w", encoding="utf-8") as target:
             json.dump(config, target)
 
     def wait_for_log(self, event):
-        """The next line of this event."""
+        """Returns the next log line with this event; lines before it are dropped."""
         wait_until(
             lambda: self.line["event"] == event,
             lambda: setattr(self, "line", json.loads(self.lines.get(timeout=TIMEOUT_SECONDS))),
@@ -116,6 +131,8 @@
         return line
 
     def wait_until_stopped(self):
+        """Waits until the process is stopped by SIGSTOP."""
+
         def state():
             with open(f"/proc/{self.process.pid}/stat", encoding="utf-8") as source:
                 return source.read().rpartition(")")[2].split()[0]
@@ -134,7 +151,7 @@
         return self
 
     def collect_log(self, source):
-        """Keeps the lines that are logged there."""
+        """Reads log lines from this stream in a thread."""
         self.readers.append(
             threading.Thread(target=lambda: [self.lines.put(line) for line in source], daemon=True)
         )
@@ -151,10 +168,13 @@
         self.folder.cleanup()
 
     def client(self):
+        """Returns a new connection to the program."""
         return Client(self.port)
 
 
 class Client:
+    """A client's connection to the program."""
+
     def __init__(self, port):
         self.connection = socket.create_connection(("127.0.0.1", port), timeout=TIMEOUT_SECONDS)
         self.reader = self.connection.makefile("rb")
@@ -167,13 +187,16 @@
         self.connection.close()
 
     def send(self, *arguments):
+        """Sends a command."""
         self.connection.sendall(encode_command(*arguments))
 
     def request(self, *arguments):
+        """Sends a command and returns its response."""
         self.send(*arguments)
         return self.read_response()
 
     def read_response(self):
+        """Returns the next response: a string's content or the whole line; b"" at the end."""
         line = self.reader.readline()
         if line.startswith(b"$"):
             return self.reader.read(int(line[1:]) + 2)[:-2]
@@ -181,6 +204,7 @@
 
 
 def encode_command(*arguments):
+    """Returns a command as an array of bulk strings."""
     arguments = [word if isinstance(word, bytes) else word.encode() for word in arguments]
     return b"*%d\r\n" % len(arguments) + b"".join(
         b"$%d\r\n%s\r\n" % (len(word), word) for word in arguments
--- a/tests/support/stepped_network.py
+++ b/tests/support/stepped_network.py
@@ -1,7 +1,7 @@
 """Fake sockets, a listener and a reactor with a stepped clock, for Twisted's own TCP transports.
 
-The rig that owns them has `now` (ticks of 0.1 ms), `sockets`, `progressed`, `peer_progressed` and the
-callbacks `on_connect` and `on_connected`.
+The rig that owns them has `now` (ticks of 0.1 ms), `sockets`, `progressed`, `peer_progressed`
+and the callbacks `on_connect` and `on_connected`.
 """
 
 import select
@@ -202,7 +202,7 @@
         self.socket, self.accepting = self, True
 
     def setsockopt(self, level, name, value):
-        """Stops accepting: the only option that the sidecar sets is a filter that drops all connections."""
+        """Stops accepting: the one option that the sidecar sets is a filter that drops all."""
         self.accepting = False
 
     def doRead(self):
@@ -244,7 +244,7 @@
     """Twisted's select reactor with the rig's clock, whose iterations the rig runs one by one.
 
     Descriptors are handled in the order in which they were added, so runs are reproducible. A real
-    reactor may handle ready descriptors in any order; `writes_first` has writable ones handled first.
+    reactor may handle ready descriptors in any order; `writes_first` puts writable ones first.
     """
 
     writes_first = False
