--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -1,4 +1,4 @@
-"""The `lab` commands: fleets and their failures in simulated time."""
+"""The `lab` commands, which simulate fleets and their failures."""
 
 import os
 from collections.abc import Callable
@@ -9,36 +9,40 @@
 from ..service.required_libraries import LABORATORY, libraries_from
 from .output import json_line
 
-Command = Callable[..., Any]
-"""What click makes a command of."""
+CommandFunction = Callable[..., Any]
+"""A function that click makes a command of."""
 
 
 @click.group("lab")
 def lab() -> None:
-    """The laboratory: fleets and their failures in simulated time."""
+    """Simulate fleets and their failures."""
 
 
-def _size(command: Command) -> Command:
-    for name, default, told in (
-        ("seconds", 40, "of the day"),
-        ("rate", 400.0, "transactions a second"),
-        ("pods", 24, "pods"),
-        ("instances", 40, "sidecars"),
+def _size_options(command: CommandFunction) -> CommandFunction:
+    for name, default, help_text in (
+        ("seconds", 40, "simulated time of a day"),
+        ("rate", 400.0, "requests per second"),
+        ("pods", 24, "number of pods"),
+        ("instances", 40, "number of sidecars"),
     ):
-        command = click.option(f"--{name}", default=default, show_default=True, help=told)(command)
-    command = click.option("--seed", default=1, show_default=True, help="the first day's")(command)
+        command = click.option(f"--{name}", default=default, show_default=True, help=help_text)(
+            command
+        )
+    command = click.option("--seed", default=1, show_default=True, help="seed of the first day")(
+        command
+    )
     return command
 
 
 @lab.command("run")
-@_size
+@_size_options
 @click.option(
     "--policy", default="now", show_default=True, help="now, at:REVISION, random, turns, ..."
 )
 @libraries_from(LABORATORY)
 def lab_run(seed: int, policy: str, **size: int) -> None:
-    """Plays one day and prints its figures."""
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Simulate one day and print its figures."""
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
     try:
         click.echo(json_line(experiments.played((policy, seed, size))))
@@ -49,40 +53,42 @@
 @lab.command("compare")
 @click.argument("one")
 @click.argument("two")
-@_size
+@_size_options
 @click.option("--days", default=8, show_default=True)
 @click.option("--workers", default=os.cpu_count() or 1, show_default="all cores")
-@click.option(
-    "--keep", type=click.Path(), help="a file of results; one that stands there is gone on with"
-)
+@click.option("--keep", type=click.Path(), help="file of results; an existing one is continued")
 @libraries_from(LABORATORY)
 def lab_compare(
     *, one: str, two: str, seed: int, days: int, workers: int, keep: Optional[str], **size: int
 ) -> None:
-    """Two policies on the same days: the difference with its interval, and the least that could be seen."""  # noqa: E501  the help's own words
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Compare two policies on the same days.
+
+    Prints the differences with their confidence intervals and the smallest detectable difference.
+    """
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
     with click.progressbar(
         length=2 * days, label="days", file=click.get_text_stream("stderr")
-    ) as bar:
+    ) as progress:
         try:
-            found, broken, _ = experiments.compared(
+            differences, broken_rules, _ = experiments.compared(
                 one,
                 two,
                 range(seed, seed + days),
                 size,
                 workers,
                 keep,
-                lambda done, count: bar.update(done - bar.pos),
+                lambda done, count: progress.update(done - progress.pos),
             )
         except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
-    for name, gap in found.items():
+    for name, difference in differences.items():
         click.echo(
-            f"{name:10} {one} - {two}: {gap.mean:+.4f}  [{gap.low:+.4f}, {gap.high:+.4f}]  "
-            f"least seen {gap.least:.4f}, {gap.pairs} days"
+            f"{name:10} {one} - {two}: {difference.mean:+.4f}"
+            f"  [{difference.low:+.4f}, {difference.high:+.4f}]  "
+            f"smallest detectable {difference.least:.4f}, {difference.pairs} days"
         )
-    click.echo(f"rules broken: {broken or 'none'}")
+    click.echo(f"rules broken: {broken_rules or 'none'}")
 
 
 @lab.command("fleet")
@@ -92,9 +98,9 @@
     "--kinds",
     default="herd,zone",
     show_default=True,
-    help="of calm, roll, herd, zone, split, join, overload",
+    help="some of calm, roll, herd, zone, split, join, overload",
 )
-@click.option("--days", default=4, show_default=True, help="of each kind")
+@click.option("--days", default=4, show_default=True, help="number of days of each kind")
 @click.option("--instances", default=60, show_default=True)
 @click.option("--pods", default=36, show_default=True)
 @click.option("--seed", default=1, show_default=True)
@@ -103,35 +109,36 @@
 def lab_fleet(
     *, one: str, two: str, kinds: str, days: int, instances: int, pods: int, seed: int, workers: int
 ) -> None:
-    """Two policies on the same days of a whole fleet: two less one with its interval."""
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Compare two policies on the same days of a large fleet: TWO minus ONE, with intervals."""
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
-    chosen = _kinds(kinds)
+    selected_kinds = _parse_kinds(kinds)
     with click.progressbar(
-        length=2 * days * len(chosen), label="days", file=click.get_text_stream("stderr")
-    ) as bar:
+        length=2 * days * len(selected_kinds), label="days", file=click.get_text_stream("stderr")
+    ) as progress:
         try:
             pairs = experiments.crowds_compared(
                 one,
                 two,
-                chosen,
+                selected_kinds,
                 range(seed, seed + days),
                 {"instances": instances, "pods": pods},
                 workers,
-                lambda done, count: bar.update(done - bar.pos),
+                lambda done, count: progress.update(done - progress.pos),
             )
         except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
     click.echo(json_line(experiments.crowd_figures(pairs)))
 
 
-def _kinds(text: str) -> list[str]:
-    from ..simulation import large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
+def _parse_kinds(text: str) -> list[str]:
+    from ..simulation import large_fleet_scenarios  # noqa: PLC0415  requires extra libraries
 
-    wrong = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
-    if wrong:
+    unknown = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
+    if unknown:
         raise click.UsageError(
-            f"{', '.join(wrong)}: none of {', '.join(large_fleet_scenarios.KINDS)}"
+            f"unknown kind {', '.join(unknown)},"
+            f" must be one of {', '.join(large_fleet_scenarios.KINDS)}"
         )
     return text.split(",")
 
@@ -140,7 +147,7 @@
 @click.argument("folder", type=click.Path(file_okay=False))
 @click.option("--kind", default="herd", show_default=True)
 @click.option(
-    "--policy", "names", multiple=True, default=("now",), show_default=True, help="again for each"
+    "--policy", "names", multiple=True, default=("now",), show_default=True, help="may be repeated"
 )
 @click.option("--instances", default=60, show_default=True)
 @click.option("--pods", default=36, show_default=True)
@@ -149,11 +156,11 @@
 def lab_report(
     *, folder: str, kind: str, names: tuple[str, ...], instances: int, pods: int, seed: int
 ) -> None:
-    """A page with pictures of one day of a fleet, played with each policy, in FOLDER."""
-    from ..simulation import experiments, large_fleet_scenarios  # noqa: PLC0415  needs libraries of its own
+    """Write a page with charts of one day of a fleet with each policy to FOLDER."""
+    from ..simulation import experiments, large_fleet_scenarios  # noqa: PLC0415  extra libraries
 
-    _kinds(kind)
-    from ..simulation import report  # noqa: PLC0415  needs libraries of its own
+    _parse_kinds(kind)
+    from ..simulation import report  # noqa: PLC0415  requires extra libraries
 
     try:
         policies = {name: experiments.policy(name) for name in names}
@@ -164,15 +171,15 @@
 
 
 @lab.command("search")
-@_size
+@_size_options
 @click.option("--days", default=24, show_default=True)
 @click.option("--against", default="random", show_default=True)
 @libraries_from(LABORATORY)
 def lab_search(seed: int, days: int, against: str, **size: int) -> None:
-    """The days on which the module does worst beside another policy, shrunk to what matters."""
-    from ..simulation import experiments  # noqa: PLC0415  needs libraries of its own
+    """Find the days with the worst results compared to another policy, reduced to the cause."""
+    from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
-    for one in experiments.searched(
+    for day in experiments.searched(
         "now", range(seed, seed + days), size, os.cpu_count() or 1, against
     ):
-        click.echo(json_line(one))
+        click.echo(json_line(day))
--- a/thymeknot/cli/output.py
+++ b/thymeknot/cli/output.py
@@ -1,4 +1,4 @@
-"""How commands print what they found."""
+"""Output of the commands."""
 
 import time
 from collections.abc import Mapping
@@ -9,15 +9,15 @@
 
 
 def json_line(value: Any) -> str:
-    """Returns a value as one line of JSON."""
+    """Formats a value as one line of JSON."""
     return orjson.dumps(value, option=orjson.OPT_NON_STR_KEYS).decode()
 
 
-def show(content: Mapping[str, Any], plain: bool) -> None:
-    """Prints an object: as a line of JSON if plain, else its `lines` or as indented JSON."""
-    if plain or "lines" not in content:
-        rest = {name: value for name, value in content.items() if name != "lines"}
-        click.echo(orjson.dumps(rest, option=0 if plain else orjson.OPT_INDENT_2).decode())
+def print_object(content: Mapping[str, Any], as_json: bool) -> None:
+    """Prints an object as a line of JSON, or else its `lines`, or else indented JSON."""
+    if as_json or "lines" not in content:
+        fields = {name: value for name, value in content.items() if name != "lines"}
+        click.echo(orjson.dumps(fields, option=0 if as_json else orjson.OPT_INDENT_2).decode())
         return
-    moment = time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(content["at"]))
-    click.echo(moment + "\n".join(content["lines"]))
+    timestamp = time.strftime("%Y-%m-%d %H:%M:%S  ", time.localtime(content["at"]))
+    click.echo(timestamp + "\n".join(content["lines"]))
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -1,7 +1,8 @@
-"""Plays a day in simulated time with any policy: clients, network, servers, instances.
+"""Discrete-event simulator that runs a day of clients, network, servers and instances.
 
-One heap of moments; all chance comes from the day's seed, in streams of its own for traffic, work
-and network, so that two policies meet the same arrivals. Figures from it are simulated.
+All events are in one heap. All random numbers derive from the day's seed, with separate streams
+for traffic, work and network, so that two policies are given the same arrivals. Figures from this
+module are simulated, not measured.
 """
 
 import heapq
@@ -33,30 +34,32 @@
 from .scenarios import Day, LaneMix
 from .server_fleet import Server, ServerFleet
 from .servers import PodState
-from .shared_services import IDLE_TIMEOUT, Connections, Discovery, Line, pace_of
+from .shared_services import IDLE_TIMEOUT, ConnectionKey, Connections, Discovery, poll_interval_of
 from .simulated_platform import ANSWER_DELAY, SimulatedPlatform
 from .simulated_requests import SimulatedAttempt, SimulatedRequest
 
-GRACE: Ticks = 2_500  # of drains
-CONNECT_TIMEOUT: Ticks = 2_500  # of a connection that does not come up
-REFUSED_AFTER: Ticks = 10  # a connection too many
-RETRY_DELAY: Ticks = 50  # of clients that do not heed what they are told
-LAST_ANSWERS = 2 * TICKS_PER_SECOND  # ticks beyond the span of a day
+DRAIN_GRACE: Ticks = 2_500  # in which a server may still get attempts after it was listed as gone
+CONNECT_TIMEOUT: Ticks = 2_500  # of a connection that is never established
+REFUSAL_DELAY: Ticks = 10  # until a connection over the limit is refused
+RETRY_DELAY: Ticks = 50  # of clients that ignore retry-after
+FINAL_ANSWERS_DURATION = 2 * TICKS_PER_SECOND  # ticks simulated after the end of the day
 EXPOSURE_WINDOW = 3 * TICKS_PER_SECOND  # ticks
 EXPOSURE_ALLOWANCE = 3.0  # attempts
 NEVER: Ticks = -(10**9)
-HANDSHAKE_WAYS = 5  # one way of a request and two round trips of a new connection
-FAILURES_LEAST = 0.001  # share of the attempts that fail in any case
-ROOM_PART = 0.25  # of the objective: a wait that is no cause to reject
-ROOMY_PART = 0.25  # of the servers: so many must have no more than that
-EXTRA_STREAM = 17  # draws what was added later, so that other days stay as they were
+NEW_CONNECTION_TRIPS = 5  # one-way delays: the request and two round trips to connect
+BASE_FAILURE_RATIO = 0.001  # ratio of attempts that fail without any fault
+MAX_ROOM_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait has no room
+MIN_ROOMY_SERVER_RATIO = 0.25  # more than this part of the servers must have room
+# Seeds the stream for draws that were added later, so that the other streams are unchanged.
+EXTRA_STREAM_SEED = 17
 
 Policy: TypeAlias = Callable[[Settings, int, Ticks], Any]
-"""policy(settings, seed, now) has handle(now, events) -> actions, as `DecisionEngine` has."""
+"""`policy(settings, seed, now)` returns an engine with `handle(now, events) -> actions`, like
+`DecisionEngine`."""
 
 
 class Disagreement(NamedTuple):
-    """An instance that counts other attempts in flight than there are."""
+    """An instance whose count of attempts in flight is wrong."""
 
     instance: int
     counted: int
@@ -64,35 +67,35 @@
 
 
 class Simulator:
-    """A day that is played.
+    """Simulates one day with one policy.
 
     Attributes:
-        day: What happens on it.
-        now: The time.
+        day: The scenario of the day.
+        now: The simulated time.
         lanes: The request classes by name.
-        misc: Draws lags, starts and pauses.
+        misc: Random numbers for delays, server starts and pauses.
         checker: Checks the five rules.
-        results: The totals.
+        results: The totals of the day.
         connections: Connections to servers.
         platform: The release platform.
         servers: The servers.
-        discovery: Answers calls for lists; None where lists are pushed.
-        requests: The requests that are held, by instance and name.
-        engines: What decides for each instance; None while it does not run.
-        lives: How often each instance has started.
-        loss: Share of the attempts that is lost.
-        burst: Factor of the request rate.
-        slow_all: Factor of all work.
-        lost_answers: Share of the answers that is lost.
-        cut_zones: Zones that do not reach the others.
+        discovery: Answers calls for endpoint lists; None if lists are pushed.
+        requests: The open requests, by instance and name.
+        engines: The decision engine of each instance; None while the instance is down.
+        lives: How often each instance has started or been killed.
+        loss: Ratio of attempts that are lost.
+        burst: Factor applied to the request rate.
+        slow_all: Factor applied to all work.
+        lost_answers: Ratio of answers that are lost.
+        cut_zones: Zones that are partitioned from the others.
     """
 
     def __init__(self, day: Day, policy: Policy) -> None:
-        """Prepares a day.
+        """Prepares the simulation.
 
         Args:
-            day: What happens on it.
-            policy: What decides for the instances.
+            day: The scenario of the day.
+            policy: Creates the decision engine of each instance.
         """
         self.day = day
         self.now: Ticks = 0
@@ -109,12 +112,13 @@
         self.cut_zones: set[str] = set()
         self._policy = policy
         self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._count = 0  # of what was scheduled and named
-        self._busy = list(accumulate(day.busy))
-        self._answered_at: dict[Line, Ticks] = {}  # the last answer on a line
+        self._sequence = 0  # numbers scheduled calls and requests
+        self._cumulative_busy = list(accumulate(day.busy))
+        # Time of the last answer, by connection key.
+        self._answered_at: dict[ConnectionKey, Ticks] = {}
         self._draw_streams()
         self.checker = self._new_checker()
-        self.platform = SimulatedPlatform(self, self._samples)
+        self.platform = SimulatedPlatform(self, self._sample_draws)
         self.servers = ServerFleet(self, self.platform.builds[1])
         self._faults = FaultInjector(self)
         self.discovery = self._new_discovery()
@@ -127,21 +131,21 @@
         ]
         arrivals, works, network, keys, clients, self.misc = generators
         self._gaps = Stream(lambda count: arrivals.exponential(1.0, count))
-        self._arrivals = Stream(arrivals.random)
+        self._arrival_draws = Stream(arrivals.random)
         self._works = {one.lane.name: gamma(works, one.work, one.spread) for one in day.lanes}
         self._delays = gamma(network, *day.delay)
-        self._losses = Stream(network.random)
+        self._loss_draws = Stream(network.random)
         self._keys = zipf_keys(keys, day.keys, day.zipf)
-        self._clients = Stream(clients.random)
-        self._strikes = Stream(works.random)
-        extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM]))
-        self._samples = Stream(extra.random)
+        self._client_draws = Stream(clients.random)
+        self._failure_draws = Stream(works.random)
+        extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM_SEED]))
+        self._sample_draws = Stream(extra.random)
 
     def _new_checker(self) -> InvariantChecker:
         day = self.day
         return InvariantChecker(
             {name: one.lane for name, one in self.lanes.items()},
-            GRACE,
+            DRAIN_GRACE,
             EXPOSURE_WINDOW,
             EXPOSURE_ALLOWANCE,
             guarded=day.terms.guarded_stages,
@@ -153,15 +157,15 @@
     def _new_discovery(self) -> Discovery | None:
         if not self.day.lists:
             return None
-        return Discovery(self.day.lists, self.at, lambda: self.now, self._watch)
+        return Discovery(self.day.lists, self.at, lambda: self.now, self._deliver_list)
 
     def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
-        """Schedules a call."""
-        self._count += 1
-        heapq.heappush(self._calls, (moment, self._count, call, arguments))
+        """Schedules a call at a moment."""
+        self._sequence += 1
+        heapq.heappush(self._calls, (moment, self._sequence, call, arguments))
 
     def play(self) -> Self:
-        """Plays the whole day; returns itself."""
+        """Runs the whole day and returns itself."""
         day = self.day
         for instance in range(day.instances):
             self._start(instance)
@@ -172,7 +176,7 @@
         self.at(0, self._arrive)
         if day.tally_every:
             self.at(day.tally_every, self.platform.end_period)
-        last = day.span + LAST_ANSWERS
+        last = day.span + FINAL_ANSWERS_DURATION
         while self._calls and self._calls[0][0] <= last:
             self.now, _, call, arguments = heapq.heappop(self._calls)
             call(*arguments)
@@ -188,56 +192,56 @@
         seed = self.day.seed * 1000 + instance * 7 + life
         self.engines[instance] = self._policy(self.day.terms, seed, self.now)
         listed = self.servers.entries()
-        self.servers.note_known(instance)
-        self.platform.note_told(instance, self.platform.state)
-        if self.discovery:  # what it knows is of before, until it gets the list
-            chance = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
-            pace = pace_of(self._policy, chance.draw)
-            self.discovery.begin(instance, life, pace, self.day.instances)
+        self.servers.record_known(instance)
+        self.platform.record_told(instance, self.platform.state)
+        if self.discovery:  # the instance has only its cached list until it is sent a new one
+            generator = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
+            poll_interval = poll_interval_of(self._policy, generator.draw)
+            self.discovery.begin(instance, life, poll_interval, self.day.instances)
         self.tell(instance, EndpointUpdate(UpdateKind.CACHED, listed))
-        self.platform.give_known(instance)
+        self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
-        """Kills an instance and starts it again after about so many ticks."""
+        """Kills an instance and starts it again after `wait` ticks, give or take half."""
         self.engines[instance] = None
         self.lives[instance] += 1
         self.checker.killed(self.now, instance)
-        self.connections.drop(lambda line: line[0] == instance)
+        self.connections.drop(lambda key: key[0] == instance)
         for key in [key for key in self.requests if key[0] == instance]:
             del self.requests[key]
         self.at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
 
     def runs(self, instance: int) -> bool:
-        """Returns whether an instance runs."""
+        """Returns whether an instance is running."""
         return self.engines.get(instance) is not None
 
     def has_watch(self, instance: int) -> bool:
-        """Returns whether changes of the list reach an instance."""
+        """Returns whether an instance receives changes of the endpoint list."""
         if self.discovery is None:
             return True
         return self.discovery.standing.get(instance) == self.lives[instance]
 
-    def _watch(self, instance: int, life: int, whole: bool) -> bool:
-        """Returns whether this life of an instance is still there; it gets the list if `whole`."""
+    def _deliver_list(self, instance: int, life: int, whole: bool) -> bool:
+        """Delivers the list if `whole`; returns whether this life of the instance still runs."""
         is_there = self.lives[instance] == life and self.runs(instance)
         if is_there and whole:
             entries = self.servers.entries()
-            self.servers.note_told(instance, entries)
+            self.servers.record_told(instance, entries)
             self.tell(instance, EndpointUpdate(UpdateKind.FULL, entries))
         return is_there
 
     def tell(self, instance: int, event: Event) -> None:
-        """Tells an instance of an event and carries out what it decides."""
+        """Passes an event to an instance and carries out the resulting actions."""
         engine = self.engines.get(instance)
         if engine is None:
             return
         life = self.lives[instance]
         for action in list(engine.handle(self.now, [event])):
-            self._act(instance, life, action)
+            self._carry_out(instance, life, action)
 
-    def _act(self, instance: int, life: int, action: Action) -> None:
+    def _carry_out(self, instance: int, life: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.at(max(self.now, action.at), self._fire, instance, life, action.token)
+            self.at(max(self.now, action.at), self._fire_timer, instance, life, action.token)
         elif isinstance(action, SendAttempt):
             self._send(instance, life, action)
         elif isinstance(action, CancelAttempt):
@@ -249,15 +253,15 @@
         elif isinstance(action, CastVote):
             self.at(self.now + ANSWER_DELAY, self._vote, instance, life, action)
 
-    def _fire(self, instance: int, life: int, token: int) -> None:
+    def _fire_timer(self, instance: int, life: int, token: int) -> None:
         if self.lives[instance] == life:
             self.tell(instance, TimerFired(token))
 
     def _cancel(self, instance: int, action: CancelAttempt) -> None:
-        held = self.requests.get((instance, action.id))
-        if held is not None and action.number < len(held.attempts):
-            attempt = held.attempts[action.number]
-            self.at(self.now, self._end, attempt, Outcome.CANCELLED, None)
+        request = self.requests.get((instance, action.id))
+        if request is not None and action.number < len(request.attempts):
+            attempt = request.attempts[action.number]
+            self.at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
 
     def _vote(self, instance: int, life: int, vote: CastVote) -> None:
         self.platform.vote(instance, life, vote)
@@ -270,102 +274,106 @@
             return
         gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.burst)
         self.at(self.now + max(1, round(gap)), self._arrive)
-        instance = min(day.instances - 1, bisect_right(self._busy, self._arrivals.next()))
-        lane = self._drawn_lane().lane
+        instance = min(
+            day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
+        )
+        lane = self._draw_lane().lane
         if lane.idempotency == Idempotency.NON_IDEMPOTENT:
-            key = f"b{self._count}"
+            key = f"b{self._sequence}"
         else:
             key = f"k{self._keys.next()}"
         self.results.add_request(self.now, lane.priority_weight)
-        tenant = int(self._clients.next() * day.tenants)
+        tenant = int(self._client_draws.next() * day.tenants)
         work = self._works[lane.name].next()
         ends = self.now + lane.outer_limit
         request = SimulatedRequest(lane.name, key, tenant, self.now, ends, 0, work)
         self._ask(instance, request)
 
-    def _drawn_lane(self) -> LaneMix:
-        lot = self._arrivals.next()
+    def _draw_lane(self) -> LaneMix:
+        remaining = self._arrival_draws.next()
         for lane in self.day.lanes:
-            lot -= lane.share
-            if lot < 0:
+            remaining -= lane.share
+            if remaining < 0:
                 return lane
         return self.day.lanes[-1]
 
     def _ask(self, instance: int, request: SimulatedRequest) -> None:
-        """A client asks, if its time is not over."""
-        if not self.runs(instance) or request.ends <= self.now:
+        """Sends a client's request to an instance, unless its deadline has passed."""
+        if not self.runs(instance) or request.deadline <= self.now:
             return
-        self._count += 1
-        name = f"t{self._count}"
+        self._sequence += 1
+        name = f"t{self._sequence}"
         self.requests[instance, name] = request
-        self.checker.taken(self.now, instance, name, request.lane, request.ends)
+        self.checker.taken(self.now, instance, name, request.lane, request.deadline)
         self.results.at(self.now).tries += 1
         received = RequestReceived(
             name,
             request.lane,
             f"t{request.tenant}",
             request.key,
-            request.ends - self.now,
+            request.deadline - self.now,
             None,
-            request.tries > 0,
+            request.earlier_tries > 0,
             False,
         )
         self.tell(instance, received)
 
     def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
-        """A request gets its answer.
+        """Answers a request.
 
         Args:
-            instance: Whose request it is.
-            name: Its name.
-            answer: How it is answered.
-            wait: After which its client may ask again.
+            instance: The instance that holds the request.
+            name: The request's name.
+            answer: How the request is answered.
+            wait: Time after which the client may try again, in ticks.
         """
         self.checker.answered(self.now, instance, name, answer)
-        held = self.requests.get((instance, name))
-        if held is None:
+        request = self.requests.get((instance, name))
+        if request is None:
             return
         self.results.add_answer(answer)
-        lane = self.lanes[held.lane].lane
+        lane = self.lanes[request.lane].lane
         if answer == Answer.DONE:
-            self.results.add_done(self.now, held.first, lane, held.attempts[-1].build)
+            self.results.add_done(
+                self.now, request.first_asked_at, lane, request.attempts[-1].build
+            )
         else:
-            self._not_served(instance, held, answer, wait)
-        if held.is_over():
+            self._handle_unserved(instance, request, answer, wait)
+        if request.is_over():
             del self.requests[instance, name]
 
-    def _not_served(
-        self, instance: int, held: SimulatedRequest, answer: Answer, wait: Ticks
+    def _handle_unserved(
+        self, instance: int, request: SimulatedRequest, answer: Answer, wait: Ticks
     ) -> None:
-        if not held.attempts:
+        if not request.attempts:
             second = self.results.at(self.now)
             second.rejected += 1
-            objective = self.lanes[held.lane].lane.latency_objective
-            second.needless += self._had_room(instance, objective)
-        if answer == Answer.DEFERRED and held.tries < self.day.retries:
-            pause = wait if self._clients.next() < self.day.heeds else RETRY_DELAY
+            objective = self.lanes[request.lane].lane.latency_objective
+            second.needless += self._had_capacity(instance, objective)
+        if answer == Answer.DEFERRED and request.earlier_tries < self.day.retries:
+            delay = wait if self._client_draws.next() < self.day.heeds else RETRY_DELAY
             again = SimulatedRequest(
-                held.lane,
-                held.key,
-                held.tenant,
-                held.first,
-                held.ends,
-                held.tries + 1,
-                held.work,
+                request.lane,
+                request.key,
+                request.tenant,
+                request.first_asked_at,
+                request.deadline,
+                request.earlier_tries + 1,
+                request.work,
             )
-            self.at(self.now + max(1, pause), self._ask, instance, again)
+            self.at(self.now + max(1, delay), self._ask, instance, again)
 
-    def _had_room(self, instance: int, objective: Ticks) -> bool:
-        """Returns whether a part of the servers that are usual and reached had room."""
+    def _had_capacity(self, instance: int, objective: Ticks) -> bool:
+        """Returns whether enough reachable servers of earlier or released builds had room."""
         state = self.platform.state
-        usual = self.servers.up(
+        eligible = self.servers.up(
             lambda pod: (
                 self._reaches(instance, pod)
                 and (pod.build.number < state.build or state.phase == ReleasePhase.RELEASED)
             )
         )
-        roomy = sum(pod.fits(self.now, ROOM_PART * objective) for pod in usual)
-        return roomy > ROOMY_PART * len(usual)
+        with_room = sum(pod.fits(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in eligible)
+        return with_room > MIN_ROOMY_SERVER_RATIO * len(eligible)
 
     # The network.
 
@@ -373,33 +381,37 @@
         return self.day.zones[instance % len(self.day.zones)]
 
     def _reaches(self, instance: int, pod: Server) -> bool:
-        """Returns whether an instance reaches a server; a zone that is cut off reaches itself."""
+        """Returns whether an instance reaches a server; zones that are cut off reach themselves."""
         if not self.cut_zones:
             return True
-        here = self._zone_of(instance)
-        return here == pod.zone or not self.cut_zones & {here, pod.zone}
+        own_zone = self._zone_of(instance)
+        return own_zone == pod.zone or not self.cut_zones & {own_zone, pod.zone}
 
     def is_off_platform(self, instance: int) -> bool:
-        """Returns whether an instance is cut off from the platform, which is in the first zone."""
-        here, there = self._zone_of(instance), self.day.zones[0]
-        return bool(self.cut_zones) and here != there and bool(self.cut_zones & {here, there})
+        """Returns whether an instance cannot reach the platform, which is in the first zone."""
+        own_zone, platform_zone = self._zone_of(instance), self.day.zones[0]
+        return (
+            bool(self.cut_zones)
+            and own_zone != platform_zone
+            and bool(self.cut_zones & {own_zone, platform_zone})
+        )
 
     def _one_way(self) -> Ticks:
-        """Draws how long a message takes."""
+        """Draws the one-way delay of a message."""
         return max(1, round(self._delays.next()))
 
     # Attempts.
 
     def _send(self, instance: int, life: int, action: SendAttempt) -> None:
-        # Where lists do not come, what has gone is sent to: nobody answers there.
+        # An instance with an outdated list may send to a server that is gone and never answers.
         servers = self.servers
         pod = servers.pods.get(action.endpoint) or servers.former.get(action.endpoint)
-        held = self.requests.get((instance, action.id))
-        attempt = self._new_attempt(instance, life, action, held, pod)
-        if held is None or pod is None:
-            self.at(self.now, self._end, attempt, Outcome.NOT_SENT, False)
+        request = self.requests.get((instance, action.id))
+        attempt = self._new_attempt(instance, life, action, request, pod)
+        if request is None or pod is None:
+            self.at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
             return
-        held.attempts.append(attempt)
+        request.attempts.append(attempt)
         self.results.add_attempt(pod.name)
         self.checker.sent(
             self.now,
@@ -407,13 +419,13 @@
             action.id,
             pod.name,
             attempt.build,
-            lane=held.lane,
-            key=held.key,
-            work=held.work,
+            lane=request.lane,
+            key=request.key,
+            work=request.work,
             started=pod.started,
             capacity=pod.cores * pod.speed,
         )
-        ends = min(self.now + action.timeout, held.ends)
+        ends = min(self.now + action.timeout, request.deadline)
         if pod.silent or not self._reaches(instance, pod):
             self._send_unanswered(attempt, ends)
         else:
@@ -424,64 +436,67 @@
         instance: int,
         life: int,
         action: SendAttempt,
-        held: SimulatedRequest | None,
+        request: SimulatedRequest | None,
         pod: Server | None,
     ) -> SimulatedAttempt:
         return SimulatedAttempt(
             instance,
             life,
             action.id,
-            len(held.attempts) if held else action.number,
-            held.lane if held else "",
-            held.key if held else "",
-            held.work if held else 1.0,
+            len(request.attempts) if request else action.number,
+            request.lane if request else "",
+            request.key if request else "",
+            request.work if request else 1.0,
             self.now,
             action.endpoint,
             pod.build.number if pod else 0,
         )
 
     def _send_unanswered(self, attempt: SimulatedAttempt, ends: Ticks) -> None:
-        """Nothing is said: an open connection takes it, a new one never comes up."""
-        if self.now - self._answered_at.pop(_line_of(attempt), NEVER) > IDLE_TIMEOUT:
+        """Sends an attempt to an unresponsive server.
+
+        On an open connection it times out; a new connection is never established.
+        """
+        if self.now - self._answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
+            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
         else:
-            self.at(ends, self._end, attempt, Outcome.TIMED_OUT, None)
+            self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
 
     def _connect(self, attempt: SimulatedAttempt, pod: Server, ends: Ticks) -> None:
         made = self.connections.made
-        attempt.linked = self.connections.take(self.now, _line_of(attempt), pod.name)
+        attempt.has_connection = self.connections.take(self.now, _connection_key(attempt), pod.name)
         is_new = self.connections.made > made
         self.results.dispatched += 1
-        self.platform.count_share(attempt.build)
-        if not attempt.linked:
-            refused_at = min(ends, self.now + REFUSED_AFTER)
-            self.at(refused_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
+        self.platform.update_trial_share(attempt.build)
+        if not attempt.has_connection:
+            refused_at = min(ends, self.now + REFUSAL_DELAY)
+            self.at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        if self._losses.next() < self.loss or pod.state == PodState.DOWN:
+        if self._loss_draws.next() < self.loss or pod.state == PodState.DOWN:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end, attempt, Outcome.CONNECT_FAILED, False)
+            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        self.at(ends, self._end, attempt, Outcome.TIMED_OUT, None)
-        way = self._delays.next()
+        self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+        one_way_delay = self._delays.next()
         if self.day.handshake and is_new:
-            way *= HANDSHAKE_WAYS
-            attempt.work += self.day.handshake * (0.5 + self._samples.next())
-        self.at(self.now + max(1, round(way)), self._reach, attempt)
+            one_way_delay *= NEW_CONNECTION_TRIPS
+            attempt.work += self.day.handshake * (0.5 + self._sample_draws.next())
+        self.at(self.now + max(1, round(one_way_delay)), self._arrive_at_server, attempt)
 
-    def _reach(self, attempt: SimulatedAttempt) -> None:
-        """An attempt reaches its server."""
+    def _arrive_at_server(self, attempt: SimulatedAttempt) -> None:
+        """Handles the arrival of an attempt at its server."""
         pod = self.servers.pods.get(attempt.pod)
-        attempt.work *= self.slow_all * self.platform.slowness()
-        took = pod.take(self.now, attempt) if pod else False
-        if took is False:
-            self.at(self.now + self._one_way(), self._end, attempt, Outcome.REJECTED, False)
-        elif took is not None:
-            self.at(self.now + took, self._served, pod, attempt)
+        attempt.work *= self.slow_all * self.platform.slowdown_factor()
+        service_time = pod.take(self.now, attempt) if pod else False
+        if service_time is False:
+            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False)
+        elif service_time is not None:
+            self.at(self.now + service_time, self._served, pod, attempt)
 
     def _served(self, pod: Server, attempt: SimulatedAttempt) -> None:
-        """A server has done the work of an attempt."""
-        if self.now < pod.paused:  # everything in it stands still
+        """Finishes the work of an attempt at its server."""
+        if self.now < pod.paused:  # a paused server makes no progress
             self.at(pod.paused + 1, self._served, pod, attempt)
             return
         following = pod.finish(self.now)
@@ -493,46 +508,48 @@
         fails = self._fails(pod, attempt)
         if pod.silent or not self._reaches(attempt.instance, pod):
             return
-        if self.lost_answers and self._strikes.next() < self.lost_answers:
-            self.at(self.now + self._one_way(), self._end, attempt, Outcome.RESET, None)
+        if self.lost_answers and self._failure_draws.next() < self.lost_answers:
+            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.RESET, None)
             return
-        self._answered_at[_line_of(attempt)] = self.now
+        self._answered_at[_connection_key(attempt)] = self.now
         outcome = Outcome.ERROR if fails else Outcome.DONE
-        self.at(self.now + self._one_way(), self._end, attempt, outcome, None if fails else True)
+        self.at(
+            self.now + self._one_way(), self._end_attempt, attempt, outcome, None if fails else True
+        )
 
     def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
-        """Draws whether an attempt fails at its server, and counts the harm."""
+        """Draws whether an attempt fails at its server and counts the harm done."""
         build, lane = pod.build, self.lanes[attempt.lane].lane
-        struck = build.strikes(pod, self.now, attempt.lane)
-        fails = self._strikes.next() < (build.fails if struck else FAILURES_LEAST)
+        fault_acts = build.strikes(pod, self.now, attempt.lane)
+        fails = self._failure_draws.next() < (build.fails if fault_acts else BASE_FAILURE_RATIO)
         failing = self.servers.failing.get(pod.name)
-        fails = fails or (failing is not None and self._strikes.next() < failing)
+        fails = fails or (failing is not None and self._failure_draws.next() < failing)
         if fails and build.fails and lane.idempotency != Idempotency.IDEMPOTENT:
             self.results.harm += lane.priority_weight
         return fails
 
-    def _end(self, attempt: SimulatedAttempt, outcome: Outcome, ran: bool | None) -> None:
-        """An attempt ends; the first end counts.
+    def _end_attempt(self, attempt: SimulatedAttempt, outcome: Outcome, ran: bool | None) -> None:
+        """Ends an attempt; only the first call for an attempt has an effect.
 
         Args:
             attempt: The attempt.
-            outcome: How it ends.
-            ran: Whether it ran; None if that is not known.
+            outcome: Outcome of the attempt.
+            ran: Whether the attempt was executed; None if unknown.
         """
-        if attempt.over:
+        if attempt.has_ended:
             return
-        attempt.over = True
+        attempt.has_ended = True
         instance = attempt.instance
-        if attempt.linked:
+        if attempt.has_connection:
             is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
-            self.connections.give(self.now, _line_of(attempt), attempt.pod, is_good)
+            self.connections.give(self.now, _connection_key(attempt), attempt.pod, is_good)
         if self.lives[instance] != attempt.life or not self.runs(instance):
             return
         if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
-            self.platform.sample(attempt, outcome)
-        held = self.requests.get((instance, attempt.name))
+            self.platform.sample_attempt(attempt, outcome)
+        request = self.requests.get((instance, attempt.name))
         is_answered = self._is_answered(attempt)
-        if held is not None and attempt in held.attempts:
+        if request is not None and attempt in request.attempts:
             self.checker.proved(instance, attempt.name, attempt.number, ran)
         if outcome == Outcome.DONE:
             self.checker.key_answered(instance, attempt.key, attempt.build)
@@ -548,19 +565,19 @@
             None,
         )
         self.tell(instance, ended)
-        if held is not None and self._is_answered(attempt) and held.is_over():
+        if request is not None and self._is_answered(attempt) and request.is_over():
             self.requests.pop((instance, attempt.name), None)
 
     def _is_answered(self, attempt: SimulatedAttempt) -> bool:
         return (attempt.instance, attempt.name) in self.checker.over
 
-    # What came of it.
+    # Results.
 
     def disagreements(self) -> list[Disagreement]:
-        """Returns the instances that count other attempts in flight than there are."""
+        """Returns the instances whose count of attempts in flight is wrong."""
         in_flight = dict.fromkeys(range(self.day.instances), 0)
-        for (instance, _), held in self.requests.items():
-            in_flight[instance] += sum(not attempt.over for attempt in held.attempts)
+        for (instance, _), request in self.requests.items():
+            in_flight[instance] += sum(not attempt.has_ended for attempt in request.attempts)
         found = []
         for instance, engine in self.engines.items():
             if engine is None:
@@ -571,11 +588,11 @@
         return found
 
     def figures(self) -> dict[str, Any]:
-        """Returns the day's main figures."""
+        """Returns the main figures of the day."""
         return self.results.figures(self.checker)
 
 
-def _line_of(attempt: SimulatedAttempt) -> Line:
+def _connection_key(attempt: SimulatedAttempt) -> ConnectionKey:
     return attempt.instance, attempt.life, attempt.pod
 
 
@@ -584,7 +601,7 @@
 
 
 def current_engine(settings: Settings, seed: int, now: Ticks) -> Any:
-    """Returns the project's own decisions."""
-    from ..policy.engine import DecisionEngine  # noqa: PLC0415 (other policies do without it)
+    """Returns an engine with the project's own policy."""
+    from ..policy.engine import DecisionEngine  # noqa: PLC0415 (other policies do not need it)
 
     return DecisionEngine(settings, LinearCongruentialGenerator(seed).state, now)
