--- a/tests/support/process_rig.py
+++ b/tests/support/process_rig.py
@@ -1,5 +1,8 @@
-"""Real programs with the feature `fleet` on loopback, a relay of our own on each path from one to another, clients with
-transactions, and a checker that knows nothing but what sockets answer."""
+"""Test rig of real processes with the feature `fleet` on loopback.
+
+A relay on each path between two processes can cut it; clients send requests all the time, and a
+monitor checks from outside which processes serve.
+"""
 
 import os
 import selectors
@@ -18,80 +21,87 @@
 from thymeknot.gossip.settings import Peer, PeerKey
 
 READ_METADATA, PAY_METADATA = "c=read,t=acme,d=6000", "c=pay,t=acme,d=6000"
-CHECK_INTERVAL_SECONDS = 0.03  # seconds between two looks of the checker
+CHECK_INTERVAL_SECONDS = 0.03  # between two checks of the monitor
 
 
 class Relay:
-    """One path, from a process to another's port. What is cut stays unread (and so unsent) until it is healed; a
-    connection that is cut both ways for good is the kernel's to give up."""
+    """A TCP relay from one process to another's port, which can be cut in each direction.
+
+    While a direction is cut, its bytes stay unread until it is healed. A connection that stays cut
+    both ways is left for the kernel to time out.
+    """
 
     def __init__(self, port):
-        self.to, self.listener = port, socket.create_server(("127.0.0.1", 0))
+        self.target_port, self.listener = port, socket.create_server(("127.0.0.1", 0))
         self.port = self.listener.getsockname()[1]
-        self.there = self.back = True  # whether bytes go from the asker, and to it
-        self.delay = 0.0  # seconds for each piece
-        self.closed, self.wake = False, threading.Event()
+        self.forward_open = self.backward_open = (
+            True  # whether bytes pass from the connecting process, and to it
+        )
+        self.delay = 0.0  # seconds, for each read
+        self.closed, self.wake_event = False, threading.Event()
         self.listener.setblocking(False)
         self.thread = threading.Thread(target=self._run, daemon=True)
         self.thread.start()
 
-    def cut(self, there=True, back=True):
-        self.there, self.back = not there, not back
+    def cut(self, forward=True, backward=True):
+        """Cuts these directions; new connections wait if any is cut."""
+        self.forward_open, self.backward_open = not forward, not backward
 
     def heal(self):
-        self.there = self.back = True
+        """Opens both directions."""
+        self.forward_open = self.backward_open = True
 
     def _run(self):
-        watched, pairs = selectors.DefaultSelector(), {}
-        watched.register(self.listener, selectors.EVENT_READ)
+        selector, links = selectors.DefaultSelector(), {}
+        selector.register(self.listener, selectors.EVENT_READ)
 
-        def drop(one):
-            for side in (one, pairs.pop(one, (None,))[0]):
+        def close_link(connection):
+            for side in (connection, links.pop(connection, (None,))[0]):
                 if side is not None:
-                    pairs.pop(side, None)
+                    links.pop(side, None)
                     try:
-                        watched.unregister(side)
+                        selector.unregister(side)
                     except (KeyError, ValueError):
                         pass
                     side.close()
 
         while not self.closed:
-            ready = watched.select(0.1)
-            held = False
+            ready = selector.select(0.1)
+            blocked = False
             for key, _ in ready:
-                one = key.fileobj
-                if one is self.listener:
-                    if not (self.there and self.back):
-                        held = True
+                connection = key.fileobj
+                if connection is self.listener:
+                    if not (self.forward_open and self.backward_open):
+                        blocked = True
                         continue
-                    asker, _ = self.listener.accept()
+                    client, _ = self.listener.accept()
                     try:
-                        other = socket.create_connection(("127.0.0.1", self.to), timeout=1)
+                        other = socket.create_connection(("127.0.0.1", self.target_port), timeout=1)
                     except OSError:
-                        asker.close()
+                        client.close()
                         continue
-                    pairs[asker], pairs[other] = (other, True), (asker, False)
-                    watched.register(asker, selectors.EVENT_READ)
-                    watched.register(other, selectors.EVENT_READ)
-                elif one in pairs:
-                    other, forth = pairs[one]
-                    if not (self.there if forth else self.back):
-                        held = True
+                    links[client], links[other] = (other, True), (client, False)
+                    selector.register(client, selectors.EVENT_READ)
+                    selector.register(other, selectors.EVENT_READ)
+                elif connection in links:
+                    other, is_forward = links[connection]
+                    if not (self.forward_open if is_forward else self.backward_open):
+                        blocked = True
                         continue
                     try:
-                        content = one.recv(65536)
+                        data = connection.recv(65536)
                         if self.delay:
                             time.sleep(self.delay)
-                        if content:
-                            other.sendall(content)
+                        if data:
+                            other.sendall(data)
                     except OSError:
-                        content = b""
-                    if not content:
-                        drop(one)
-            if held:
+                        data = b""
+                    if not data:
+                        close_link(connection)
+            if blocked:
                 time.sleep(0.02)
-        for one in list(pairs):
-            drop(one)
+        for connection in list(links):
+            close_link(connection)
         self.listener.close()
 
     def close(self):
@@ -100,9 +110,12 @@
 
 
 class AvailabilityMonitor:
-    """Looks from outside, again and again, at who answers PING on its port. `out`: who did not at each look. Several
-    were out together if they were so twice, each time before or after all others: one that came back just before
-    another went does not count, however slow the look is."""
+    """Checks all the time from outside which processes answer PING on their port.
+
+    Several count as unavailable together only if each failed twice, in two passes over the
+    processes. One that came back just before another went away is then not counted with it,
+    however slow a check is.
+    """
 
     def __init__(self, ports):
         self.ports, self.checks, self.closed = ports, [], False
@@ -111,18 +124,19 @@
 
     @staticmethod
     def is_serving(port):
+        """Whether PING is answered on this port."""
         try:
-            with socket.create_connection(("127.0.0.1", port), timeout=1) as one:
-                one.sendall(encode_command("PING"))
-                return one.recv(16).startswith(b"+PONG")
+            with socket.create_connection(("127.0.0.1", port), timeout=1) as connection:
+                connection.sendall(encode_command("PING"))
+                return connection.recv(16).startswith(b"+PONG")
         except OSError:
             return False
 
     def _check(self):
-        out = [name for name, port in self.ports.items() if not self.is_serving(port)]
-        if len(out) > 1:
-            out = [name for name in out if not self.is_serving(self.ports[name])]
-        return frozenset(out)
+        unavailable = [name for name, port in self.ports.items() if not self.is_serving(port)]
+        if len(unavailable) > 1:
+            unavailable = [name for name in unavailable if not self.is_serving(self.ports[name])]
+        return frozenset(unavailable)
 
     def _run(self):
         while not self.closed:
@@ -130,11 +144,15 @@
             time.sleep(CHECK_INTERVAL_SECONDS)
 
     def unavailable(self):
+        """Returns the processes that did not serve at the last check; all before the first one."""
         return self.checks[-1][1] if self.checks else frozenset(self.ports)
 
     def max_unavailable(self, but=(), since=0.0):
-        """The most that were out at one look; `but`: those whom the test itself killed."""
-        return max((len(out - set(but)) for at, out in self.checks if at >= since), default=0)
+        """Returns the highest number unavailable at one check, not counting those in `but`."""
+        return max(
+            (len(unavailable - set(but)) for at, unavailable in self.checks if at >= since),
+            default=0,
+        )
 
     def close(self):
         self.closed = True
@@ -142,8 +160,11 @@
 
 
 class LoadClients:
-    """Threads that send one transaction after another, each on a connection of its own to any sidecar that takes it.
-    Each id is used once; what comes back is kept: an answer, an error, or none where the connection broke."""
+    """Threads that send one request after another, each on a connection of its own.
+
+    Each id is used once. `results` has what came back: a response, an error, or b"" where the
+    connection broke.
+    """
 
     def __init__(self, ports, threads=3):
         self.ports, self.closed, self.results, self.lock = ports, False, [], threading.Lock()
@@ -158,16 +179,16 @@
         while not self.closed:
             name = names[(at + count) % len(names)]
             count += 1
-            what, words = f"c{at}-{count}", READ_METADATA if count % 2 else PAY_METADATA
+            request_id, metadata = f"c{at}-{count}", READ_METADATA if count % 2 else PAY_METADATA
             try:
-                one = socket.create_connection(("127.0.0.1", self.ports[name]), timeout=8)
+                connection = socket.create_connection(("127.0.0.1", self.ports[name]), timeout=8)
             except OSError:
                 time.sleep(0.005)
-                continue  # not taken: no transaction
-            with one:
-                answer = send_request(one, what, words)
+                continue  # not accepted, so no request was sent
+            with connection:
+                answer = send_request(connection, request_id, metadata)
             with self.lock:
-                self.results.append((what, name, time.monotonic(), answer))
+                self.results.append((request_id, name, time.monotonic(), answer))
             time.sleep(0.01)
 
     def close(self):
@@ -176,61 +197,66 @@
             thread.join(9)
 
     def unanswered(self):
-        """Transactions that did not get exactly one answer, be it a refusal: (id, sidecar, what came)."""
+        """Returns (id, sidecar, bytes) of requests that did not get exactly one response or error."""
         with self.lock:
             return [
-                (what, name, answer)
-                for what, name, _, answer in self.results
-                if answer != b"$%d\r\n%s\r\n+PONG\r\n" % (len(what), what.encode())
+                (request_id, name, answer)
+                for request_id, name, _, answer in self.results
+                if answer != b"$%d\r\n%s\r\n+PONG\r\n" % (len(request_id), request_id.encode())
                 and not (answer.startswith((b"-BUSY", b"-ERR")) and answer.count(b"\r\n") == 2)
             ]
 
     def answered_count(self):
+        """Returns how many requests got a response from an endpoint."""
         with self.lock:
             return sum(answer.startswith(b"$") for *_, answer in self.results)
 
 
-def send_request(one, what, words):
-    """Sends one transaction and a PING behind it: what comes up to the PONG is its one answer."""
-    verb = (
-        ("SVC.QUERY", "k", what, words)
-        if words == READ_METADATA
-        else ("SVC.SUBMIT", "k", what, words, "BODY")
+def send_request(connection, request_id, metadata):
+    """Sends a request and a PING, and returns all that comes up to the PONG."""
+    arguments = (
+        ("SVC.QUERY", "k", request_id, metadata)
+        if metadata == READ_METADATA
+        else ("SVC.SUBMIT", "k", request_id, metadata, "BODY")
     )
     answer = b""
     try:
-        one.sendall(encode_command(*verb) + encode_command("PING"))
-        while not answer.endswith(b"+PONG\r\n") and (part := one.recv(4096)):
-            answer += part
+        connection.sendall(encode_command(*arguments) + encode_command("PING"))
+        while not answer.endswith(b"+PONG\r\n") and (data := connection.recv(4096)):
+            answer += data
     except OSError:
         pass
     return answer
 
 
 class Fleet:
-    """count programs, each a sidecar and a keeper, with an operator's key outside of them."""
+    """Processes that are each a sidecar and a coordination node, with an operator's key of its own.
+
+    Args:
+        count: how many processes.
+        most: how many sidecars the disruption budget allows to be out at once.
+    """
 
     def __init__(self, count=3, most=1):
         self.folder = tempfile.TemporaryDirectory()
-        self.names, self.most = [f"n{at}" for at in range(count)], most
+        self.names, self.max_out = [f"n{at}" for at in range(count)], most
         self.executed, self.release_slow, self.lock = [], threading.Event(), threading.Lock()
-        self.pods = [FakeEndpoint(self._answer) for _ in range(2)]
-        self.reservations = [
-            reserve_port() for _ in self.names
-        ]  # also while a process is killed and has not come back
+        self.endpoints = [FakeEndpoint(self._answer) for _ in range(2)]
+        # Reserved as long as the fleet exists, also while a process is killed.
+        self.reservations = [reserve_port() for _ in self.names]
         self.ports = {name: port for name, (_, port) in zip(self.names, self.reservations)}
         self.identities = {
             name: keys.create_key_file(name, os.path.join(self.folder.name, f"{name}.key"))
             for name in [*self.names, "op"]
         }
         self.relays = {
-            (one, two): Relay(self.ports[two])
-            for one in self.names
-            for two in self.names
-            if one != two
+            (origin, target): Relay(self.ports[target])
+            for origin in self.names
+            for target in self.names
+            if origin != target
         }
         self.programs, self.monitor, self.clients, self.operator_clients = {}, None, None, []
-        entries = [pod.entry(f"s-{at}") for at, pod in enumerate(self.pods)]
+        entries = [endpoint.entry(f"s-{at}") for at, endpoint in enumerate(self.endpoints)]
         try:
             for name in self.names:
                 self.programs[name] = Program(
@@ -246,95 +272,106 @@
         ports = {name: program.port for name, program in self.programs.items()}
         self.monitor, self.clients = AvailabilityMonitor(ports), LoadClients(ports)
 
-    def _answer(self, words):
-        """A pod's: it keeps what ran, and holds what is called slow until it is let go."""
+    def _answer(self, arguments):
+        """Answers for an endpoint; requests whose id begins with `slow` wait for release_slow."""
         with self.lock:
-            self.executed.append((words[0], words[2]))
-        if words[2].startswith(b"slow"):
+            self.executed.append((arguments[0], arguments[2]))
+        if arguments[2].startswith(b"slow"):
             self.release_slow.wait(TIMEOUT_SECONDS)
-        return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(words[2]), words[2])
+        return b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(arguments[2]), arguments[2])
 
     def operator_file(self, name):
-        def place(other):
+        """Returns the text of this process's operator file."""
+
+        def reachable_port(other):
             return self.ports[other] if other == name else self.relays[name, other].port
 
         keepers = ", ".join(
-            f'{{name: "{one}", address: "127.0.0.1:{place(one)}", '
-            f'keys: [{{key: "{self.identities[one].public_key_text()}"}}]}}'
-            for one in self.names
+            f'{{name: "{node}", address: "127.0.0.1:{reachable_port(node)}", '
+            f'keys: [{{key: "{self.identities[node].public_key_text()}"}}]}}'
+            for node in self.names
         )
-        units = ", ".join(f'{{name: "{one}", kind: "sidecar", zone: "z"}}' for one in self.names)
-        units += ', {name: "p0", kind: "pod"}'  # nobody holds it and no budget binds it: it can be granted always
+        units = ", ".join(f'{{name: "{node}", kind: "sidecar", zone: "z"}}' for node in self.names)
+        # No process runs p0 and no budget limits it, so a permit for it is always granted.
+        units += ', {name: "p0", kind: "pod"}'
         return (
             f'fleet: {{name: "{name}", key: "{self.folder.name}/{name}.key", data: "{self.folder.name}/{name}"\n'
             f'founds: true, from: ["127.0.0.0/8"], keepers: [{keepers}]\n'
             f"peers: [{keys.peer_record(self.identities['op'])}]\n"
             f'unit: "{name}", units: [{units}]\n'
-            f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: {self.most}}}]\n'
+            f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: {self.max_out}}}]\n'
             'bound: "1s", silent: "2s", permit: "4s", tick: "100ms"\n}\n'
         )
 
     def make_client(self, *names, word="op"):
-        """An operator's client, at these keepers alone or at all."""
-        ring = Keyring(
+        """Returns an operator's client that uses these nodes, or all."""
+        keyring = Keyring(
             [
-                Peer(name, None, (PeerKey(one.public_key_text(), None),))
-                for name, one in self.identities.items()
+                Peer(name, None, (PeerKey(identity.public_key_text(), None),))
+                for name, identity in self.identities.items()
             ]
         )
-        made = BlockingClient(
+        client = BlockingClient(
             self.identities["op"],
-            ring,
+            keyring,
             {name: f"127.0.0.1:{self.ports[name]}" for name in names or self.names},
             word,
             time.time_ns(),
         )
-        self.operator_clients.append(made)
-        return made
+        self.operator_clients.append(client)
+        return client
 
     def repeated_submissions(self):
-        """Binding transactions that pods ran more than once."""
+        """Returns the ids of non-idempotent requests that endpoints ran more than once."""
         with self.lock:
-            ran = Counter(name for verb, name in self.executed if verb == b"SVC.SUBMIT")
-        return [name for name, count in ran.items() if count > 1]
+            executions = Counter(
+                name for command, name in self.executed if command == b"SVC.SUBMIT"
+            )
+        return [name for name, count in executions.items() if count > 1]
 
     def isolate(self, name):
-        """Nothing passes between it and the others."""
-        for pair, path in self.relays.items():
+        """Cuts all paths between this process and the others."""
+        for pair, relay in self.relays.items():
             if name in pair:
-                path.cut()
+                relay.cut()
 
     def heal(self):
-        for path in self.relays.values():
-            path.heal()
+        """Opens all paths."""
+        for relay in self.relays.values():
+            relay.heal()
 
     def kill(self, name):
+        """Kills a process with SIGKILL."""
         program = self.programs[name]
         program.process.kill()
         program.process.wait()
 
     def restart(self, name):
-        """With its disk, on its own ports."""
+        """Starts a killed process again with its data and on its ports."""
         program = self.programs[name]
-        former = program.process
+        former_process = program.process
         program.process = subprocess.Popen(
-            former.args,
+            former_process.args,
             stdout=subprocess.PIPE,
             stderr=subprocess.PIPE,
             env={**os.environ, "NODE_CONFIG": program.path},
         )
         program.readers.pop().join()
-        former.stdout.close()
-        former.stderr.close()
+        former_process.stdout.close()
+        former_process.stderr.close()
         program.collect_log(program.process.stdout)
 
     def close(self):
         self.release_slow.set()
-        for part in (self.clients, self.monitor, *self.operator_clients):
-            if part:
-                part.close()
+        for closable in (self.clients, self.monitor, *self.operator_clients):
+            if closable:
+                closable.close()
         for program in self.programs.values():
             program.__exit__()
-        for part in (*self.relays.values(), *self.pods, *(place for place, _ in self.reservations)):
-            part.close()
+        for closable in (
+            *self.relays.values(),
+            *self.endpoints,
+            *(reservation for reservation, _ in self.reservations),
+        ):
+            closable.close()
         self.folder.cleanup()
