--- a/tests/integration/test_event_orders.py
+++ b/tests/integration/test_event_orders.py
@@ -1,4 +1,7 @@
-"""Orders of what clients, pods, the network and the operators do, drawn by chance: nothing stays owed at the end."""
+"""Random orders of events from clients, endpoints, the network and operators.
+
+After each order no request, response, connection or timer may be left over.
+"""
 
 import unittest
 from unittest import mock
@@ -16,9 +19,8 @@
 
 ONE, POD = st.integers(0, 3), st.integers(0, 2)
 LANE = LEFT = KEY = st.integers(0, 2)
-TURNS = st.sampled_from(
-    (-1, -1, -1, 0, 1)
-)  # rounds of the loop after an order; -1: until all is at rest
+# Iterations of the event loop after an event; -1: until nothing is left to do.
+TURNS = st.sampled_from((-1, -1, -1, 0, 1))
 
 
 def order(name, *arguments):
@@ -83,15 +85,15 @@
     order("finish"),
 )
 ASKS = COMMON[0]
-# What is asked, and something that happens to it, three times out of five.
+# Three of the five alternatives draw a request or a common event.
 ORDERS = st.one_of(ASKS, st.one_of(COMMON), st.one_of(COMMON), st.one_of(SELDOM), st.one_of(SELDOM))
 STARTS = ("open_client", -1), ("open_client", -1)
 HANG, COME_UP = (
     [("set_connect_mode", pod, how, -1) for pod in range(3)] for how in (HANGS, ACCEPTS)
 )
 DRAWN = st.lists(ORDERS, min_size=20, max_size=50)
-# Without it the draws would follow from a digest of the test's source, and a formatter would change them: this is that
-# digest before the first formatted commit.
+# Without a fixed seed the draws depend on a digest of the test's source, which a formatter changes.
+# This is the digest before the first formatted commit.
 SEED_HIGH = 0x391C06CA5BE5A373CEBCFFE4FF4AFE851DF38BF072FFC468
 SEED_LOW = 0xF03789D4856C1F038CA2B16B767AF3F8E8AD7A7BC8396DDB
 SEED = (SEED_HIGH << 192) + SEED_LOW
@@ -104,7 +106,7 @@
 )
 
 
-class Drawn(unittest.TestCase):
+class RandomOrderTest(unittest.TestCase):
     @settings(
         HOW, phases=[Phase.generate], report_multiple_bugs=False
     )  # smallest() takes less time than shrinking
@@ -117,11 +119,13 @@
             self.fail(f"{error!r}; {minimize(STARTS, drawn, error)}")
 
 
-class Known(unittest.TestCase):
-    """Faults that were found, each in its smallest order; what is not mended yet is red and left out above by a switch
-    in orders.py."""
+class RegressionTest(unittest.TestCase):
+    """Faults that were found, each as its smallest order of events.
+
+    A fault that is not fixed yet fails here and is excluded above by a switch in order_rig.py.
+    """
 
-    def test_a_client_that_leaves_while_it_is_not_read_from_has_no_more_attempts(self):
+    def test_client_disconnect_while_reading_is_paused_ends_its_attempts(self):
         with mock.patch.object(order_rig, "DISCONNECTS_WHILE_READING_PAUSED", True):
             for how in ("close", "shut", "reset"):
                 with self.subTest(how):
@@ -135,7 +139,7 @@
                         ("advance_time", 400, -1),
                     )
 
-    def test_what_is_read_after_its_client_has_left_is_not_sent_on(self):
+    def test_request_read_after_disconnect_is_not_forwarded(self):
         for how in ("close", "shut", "reset"):
             with self.subTest(how):
                 play(
@@ -147,7 +151,7 @@
                     ("advance_time", 400, -1),
                 )
 
-    def test_a_second_copy_of_an_answer_is_not_taken_for_the_next_requests(self):
+    def test_duplicate_response_is_not_used_for_the_next_request(self):
         with mock.patch.object(order_rig, "DUPLICATE_RESPONSES_REACH_NEXT_REQUEST", True):
             play(
                 *STARTS,
@@ -160,7 +164,7 @@
                 ("advance_time", 100, -1),
             )
 
-    def test_what_has_not_begun_to_go_out_is_not_begun_after_a_drain(self):
+    def test_unwritten_attempt_is_not_sent_after_a_drain(self):
         with mock.patch.object(order_rig, "ENDPOINTS_READ_NOTHING", True):
             play(
                 *STARTS,
@@ -170,7 +174,7 @@
                 ("advance_time", 100, -1),
             )
 
-    def test_an_attempt_decided_after_its_client_has_left_is_ended_by_its_own_number(self):
+    def test_attempt_decided_after_disconnect_is_ended_by_its_own_id(self):
         play(
             *STARTS,
             ("limit_endpoint_reads", 1, 0, 0),
@@ -180,11 +184,14 @@
             ("change_endpoint", 1, "Terminating", -1),
         )
 
-    def test_a_client_that_leaves_while_it_is_not_read_from_is_noticed_in_time(self):
-        """A client asks for more than is read from it at once, one attempt is written in part, and the client leaves.
-        Its connection is looked at by a timer alone. As the looks came each 0.1 s, which is all the time that an
-        attempt may still begin in, and after the writes of their turn, the rest went out 0.1001 s after the client had
-        left: look at 251.0 ms (there), leaves at 251.0 ms, rest written at 351.1 ms, look after that."""
+    def test_disconnect_while_reading_is_paused_is_detected_in_time(self):
+        """A client sends more than is read at once and leaves during a partially written attempt.
+
+        Only a timer checks such a connection. The checks used to come every 0.1 s, which is all
+        the time in which an attempt may still begin, and after the writes of their iteration, so
+        the rest was written 0.1001 s after the client had left: check at 251.0 ms (connected),
+        disconnect at 251.0 ms, rest written at 351.1 ms, next check after that.
+        """
         play(
             *STARTS,
             ("advance_time", 1, 1),
@@ -197,39 +204,49 @@
             ("disconnect", 1, "reset", -1),
         )
 
-    def test_a_connection_is_not_blamed_for_time_in_which_the_process_was_held_up(self):
-        """A connection that is owed nothing was found open 0.151 s after the end of service, 0.150 s of which the
-        process had no processor: the page allows for that. With a turn of the loop it is closed; the checker counts
-        the bound in time in which the sidecar could run, and a connection that stays open is still found."""
-        ended = *STARTS, ("ping", 1, -1), ("finish", -1), ("advance_time", 1, 1)
-        play(*ended, ("disconnect_before_read", 0, 1, "shut", 0))
-        play(*ended, ("stall_process", 150, 0))
+    def test_checker_excludes_time_in_which_the_process_was_suspended(self):
+        """A connection without pending responses was found open 0.151 s after the end of service.
+
+        The process had no processor for 0.150 s of it, which the specification allows for. One
+        iteration of the loop closes the connection. The checker counts only time in which the
+        sidecar could run, and still finds a connection that stays open.
+        """
+        finished = *STARTS, ("ping", 1, -1), ("finish", -1), ("advance_time", 1, 1)
+        play(*finished, ("disconnect_before_read", 0, 1, "shut", 0))
+        play(*finished, ("stall_process", 150, 0))
         with (
             mock.patch.object(ClientConnection, "finish", lambda self: None),
-            self.assertRaises(CheckFailed) as found,
+            self.assertRaises(CheckFailed) as raised,
         ):
-            play(*ended, ("stall_process", 150, 0), ("advance_time", 151, -1))
-        self.assertRegex(str(found.exception), "owed nothing and open 0.3.* s after the end")
-
-    def test_half_a_command_is_judged_by_the_build_that_was_listed_as_it_was_begun(self):
-        """A pod of the earlier build takes a part of a command, 2.6 s later its name is listed with the newest build,
-        which takes nothing: the trace has the command begun before the listing, so nothing went to the newest build.
-        The checker went by what was listed at the end."""
-        begun = (
+            play(*finished, ("stall_process", 150, 0), ("advance_time", 151, -1))
+        self.assertRegex(str(raised.exception), "owed nothing and open 0.3.* s after the end")
+
+    def test_checker_uses_the_build_listed_when_a_partial_command_began(self):
+        """A pod of the earlier build reads part of a command; 2.6 s later its name has a new build.
+
+        The newest build may receive nothing, and the command was begun before the listing, so
+        nothing was sent to the newest build. The checker used to apply the build that was listed
+        at the end.
+        """
+        initial_events = (
             *STARTS,
             ("change_release", "withdrawn", 1.0, 1),
             ("limit_endpoint_reads", 0, 40, 0),
             ("send_requests", 3, 0, 2, 0, 5, 0),
         )
-        play(*begun, ("advance_time", 2600, -1), ("change_endpoint", 0, "other build", 1))
+        play(*initial_events, ("advance_time", 2600, -1), ("change_endpoint", 0, "other build", 1))
         with (
             mock.patch.object(order_rig.SteppedEndpoint, "build_known_at", lambda self, moment: 42),
-            self.assertRaises(CheckFailed) as found,
+            self.assertRaises(CheckFailed) as raised,
         ):
-            play(*begun, ("advance_time", 2600, -1), ("change_endpoint", 0, "Terminating", 1))
-        self.assertRegex(str(found.exception), "though the newest build takes nothing")
+            play(
+                *initial_events,
+                ("advance_time", 2600, -1),
+                ("change_endpoint", 0, "Terminating", 1),
+            )
+        self.assertRegex(str(raised.exception), "though the newest build takes nothing")
 
-    def test_answers_that_take_no_time_are_no_fault(self):
+    def test_immediate_responses_are_allowed(self):
         with mock.patch.object(order_rig, "RESPONSES_WITHOUT_DELAY", True):
             play(
                 *STARTS,
@@ -239,31 +256,31 @@
                 ("advance_time", 11000, -1),
             )
 
-    def test_a_drain_while_it_comes_back_from_another_does_not_leave_it_listening(self):
+    def test_drain_during_undrain_stops_listening(self):
         with mock.patch.object(order_rig, "DRAINS_DURING_UNDRAIN", True):
             play(*STARTS, ("drain", 0), ("undrain", 0), ("finish", -1), ("advance_time", 100, -1))
 
 
-class Checker(unittest.TestCase):
-    """It finds what is broken on purpose: the same orders, drawn until one shows it."""
+class CheckerTest(unittest.TestCase):
+    """The checker detects faults that are injected, with the same random orders of events."""
 
-    def found(self, broken, name, patch, wrong):
+    def assert_detected(self, target, name, replacement, error_pattern):
         @settings(HOW, phases=[Phase.generate], report_multiple_bugs=False)
         @given(DRAWN)
         def run(drawn):
             play(*STARTS, *drawn)
 
-        with mock.patch.object(broken, name, patch), self.assertRaises(CheckFailed) as found:
+        with mock.patch.object(target, name, replacement), self.assertRaises(CheckFailed) as raised:
             run()
-        self.assertRegex(str(found.exception), wrong)
+        self.assertRegex(str(raised.exception), error_pattern)
 
-    def test_answers_that_do_not_keep_the_order_of_the_commands(self):
+    def test_out_of_order_responses_are_detected(self):
         def answer(self, place, content):
             at = place - self.first_sequence
             if not self.connected or at < 0 or self.pending_responses[at] is not None:
                 return
             self.pending_responses[at] = content
-            self.transport.write(content)  # at once, not behind those before it
+            self.transport.write(content)  # immediately, not after earlier responses
             while self.pending_responses and self.pending_responses[0] is not None:
                 self.pending_responses.popleft()
                 self.first_sequence += 1
@@ -271,15 +288,14 @@
             if self.closing:
                 self.finish()
 
-        self.found(ClientConnection, "answer", answer, "is answered with .*, made for")
+        self.assert_detected(ClientConnection, "answer", answer, "is answered with .*, made for")
 
-    def test_deliveries_that_wait_and_are_carried_past_a_drain(self):
+    def test_attempts_written_after_a_drain_are_detected(self):
         with (
             mock.patch.object(Proxy, "withdraw_unwritten", lambda self, fails: None),
-            mock.patch.object(
-                Attempt, "may_be_written", lambda self, address: True
-            ),  # which would hold it, too
-            self.assertRaises(CheckFailed) as found,
+            # may_be_written would prevent the write as well.
+            mock.patch.object(Attempt, "may_be_written", lambda self, address: True),
+            self.assertRaises(CheckFailed) as raised,
         ):
             play(
                 *STARTS,
@@ -289,12 +305,12 @@
                 ("advance_time", 100, -1),
                 ("finish_connects", True, -1),
             )
-        self.assertRegex(str(found.exception), "after its drain was told")
+        self.assertRegex(str(raised.exception), "after its drain was told")
 
-    def test_an_attempt_that_is_given_up_and_does_not_end(self):
-        self.found(Attempt, "give_up", lambda self, outcome=None: None, "left at the end")
+    def test_abandoned_attempt_that_does_not_end_is_detected(self):
+        self.assert_detected(Attempt, "give_up", lambda self, outcome=None: None, "left at the end")
 
-    def test_a_connection_that_is_closed_with_something_owed(self):
+    def test_connection_closed_with_pending_responses_is_detected(self):
         def finish(self):
             self.closing = True
             if not self.ended:
@@ -302,24 +318,24 @@
                 self.transport.unregisterProducer()
                 self.transport.loseConnection()
 
-        self.found(ClientConnection, "finish", finish, "closed with .* owed")
+        self.assert_detected(ClientConnection, "finish", finish, "closed with .* owed")
 
-    def test_a_binding_request_that_is_sent_again_though_it_may_have_run(self):
+    def test_repeated_non_idempotent_request_is_detected(self):
         with (
             mock.patch.object(idempotency, "may_repeat", lambda request, now, by_client: True),
-            self.assertRaises(CheckFailed) as found,
+            self.assertRaises(CheckFailed) as raised,
         ):
             play(
                 *STARTS,
                 *(("set_response_mode", pod, "error", 3, -1) for pod in range(3)),
                 ("send_requests", 0, 2, 2, 0, 1, -1),
             )
-        self.assertRegex(str(found.exception), "binding .* may have run")
+        self.assertRegex(str(raised.exception), "binding .* may have run")
 
-    def test_a_client_that_has_gone_and_is_not_noticed(self):
+    def test_undetected_client_disconnect_is_detected(self):
         with (
             mock.patch.object(ClientRequests, "client_disconnected", lambda self, connection: None),
-            self.assertRaises(CheckFailed) as found,
+            self.assertRaises(CheckFailed) as raised,
         ):
             play(
                 *STARTS,
@@ -331,7 +347,7 @@
                 *COME_UP,
                 ("advance_time", 400, -1),
             )
-        self.assertRegex(str(found.exception), "after its client left")
+        self.assertRegex(str(raised.exception), "after its client left")
 
 
 if __name__ == "__main__":
--- a/tests/integration/test_sockets.py
+++ b/tests/integration/test_sockets.py
@@ -1,4 +1,4 @@
-"""The program over sockets, against stand-ins of pods, discovery and the platform."""
+"""The program over sockets, with stand-ins for pods, discovery and the release platform."""
 
 import itertools
 import signal
@@ -28,13 +28,13 @@
         return peer
 
     def program(self, *entries, **more):
-        running = Program(*entries, **more)
-        self.addCleanup(running.__exit__)
-        return running.__enter__()
+        program = Program(*entries, **more)
+        self.addCleanup(program.__exit__)
+        return program.__enter__()
 
 
-class Served(WithPods):
-    def test_each_kind_is_served_and_passed_on_unchanged_but_for_the_time(self):
+class RequestForwardingTest(WithPods):
+    def test_each_request_class_is_forwarded_unchanged_except_its_deadline(self):
         pod = self.pod()
         with self.program(pod.entry("s-1")).client() as client:
             for words in (
@@ -50,7 +50,7 @@
                 self.assertEqual((name, got[3].replace(b"d=" + left, b"d=15000")), (b"d", sent[3]))
                 self.assertLessEqual(int(left), 15000)
 
-    def test_pipelined_commands_are_answered_in_their_order(self):
+    def test_pipelined_commands_are_answered_in_order(self):
         second = threading.Event()
 
         def answer(words):
@@ -69,7 +69,7 @@
             )
             self.assertEqual([client.read_response() for _ in range(3)], [b"01", b"+PONG", b"02"])
 
-    def test_frames_may_come_in_pieces(self):
+    def test_frames_may_arrive_byte_by_byte(self):
         def piecemeal(words):
             for byte in value(words[2])[:-1]:
                 pod.connections[0].send(bytes([byte]))
@@ -82,20 +82,20 @@
             self.assertEqual(client.read_response(), b"01")
 
 
-class Failing(WithPods):
-    def test_what_all_pods_turn_away_is_deferred(self):
+class EndpointFailureTest(WithPods):
+    def test_request_rejected_by_all_pods_is_deferred(self):
         pod = self.pod(lambda words: b"-BUSY\r\n")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), rb"^-BUSY \d+$")
 
-    def test_a_refused_connection_never_ran_so_a_binding_one_goes_elsewhere(self):
+    def test_non_idempotent_request_is_retried_after_refused_connection(self):
         gone, pod = self.pod(), self.pod()
         gone.stop_listening()
         with self.program(gone.entry("s-1", weight=9.0), pod.entry("s-2")).client() as client:
             for name in ("01", "02", "03"):
                 self.assertEqual(client.request("SVC.SUBMIT", "a", name, PAY, "B"), name.encode())
 
-    def test_a_reset_after_the_last_byte_may_have_run_so_a_binding_one_is_abandoned(self):
+    def test_non_idempotent_request_is_abandoned_after_reset_once_fully_sent(self):
         pods = [self.pod(lambda words: None) for _ in range(2)]
         with self.program(
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
@@ -103,7 +103,7 @@
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", PAY, "B"), b"^-ERR")
         self.assertEqual(sum(pod.received_commands.qsize() for pod in pods), 1)
 
-    def test_a_retriable_one_is_sent_again_after_a_reset(self):
+    def test_idempotent_request_is_retried_after_reset(self):
         pods = [self.pod(lambda words: None), self.pod()]
         with self.program(
             *(pod.entry(f"s-{at}") for at, pod in enumerate(pods))
@@ -113,13 +113,13 @@
                 [b"01", b"02"],
             )
 
-    def test_silence_ends_with_the_clients_time_and_the_connection_with_it(self):
+    def test_connection_to_silent_pod_is_closed_at_the_request_deadline(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             self.assertRegex(client.request("SVC.SUBMIT", "a", "01", "c=pay,d=1500", "B"), b"^-ERR")
         self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
-    def test_an_unreadable_answer_may_have_run(self):
+    def test_request_with_malformed_response_is_not_retried(self):
         for answer in (b"*1\r\n$4\r\nhal", b"$70000\r\n", b"nonsense\r\n", b"*1\r\n$-1\r\n"):
             pod = self.pod(lambda words, answer=answer: answer)
             with self.program(pod.entry("s-1")).client() as client:
@@ -128,7 +128,7 @@
                 )
             self.assertEqual(pod.received_commands.qsize(), 1)
 
-    def test_a_client_that_leaves_ends_its_delivery(self):
+    def test_client_disconnect_cancels_its_attempt(self):
         pod = self.pod(lambda words: b"")
         with self.program(pod.entry("s-1")).client() as client:
             client.send("SVC.SUBMIT", "a", "01", PAY, "B")
@@ -136,10 +136,10 @@
             client.connection.shutdown(2)
             self.assertTrue(pod.closed_connections.get(timeout=TIMEOUT_SECONDS))
 
-    def test_bad_commands_are_named_and_touch_no_other_client(self):
+    def test_invalid_command_is_reported_and_does_not_affect_other_clients(self):
         pod = self.pod()
-        running = self.program(pod.entry("s-1"))
-        with running.client() as good, running.client() as bad:
+        program = self.program(pod.entry("s-1"))
+        with program.client() as good, program.client() as bad:
             for words, reason in (
                 (("NO.SUCH", "a"), b"unknown command"),
                 (("SVC.QUERY", "a"), b"takes a key"),
@@ -155,15 +155,14 @@
             self.assertEqual(good.request("SVC.QUERY", "a", "02", READ), b"02")
 
 
-class Crowded(WithPods):
-    def test_a_burst_of_connections_is_served_within_the_descriptors(self):
+class ConnectionLoadTest(WithPods):
+    def test_burst_of_connections_is_served_within_the_descriptor_limit(self):
         pod = self.pod()
-        running = self.program(
+        program = self.program(
             pod.entry("s-1"), change=lambda told: told["limits"].update(sockets=64)
         )
-        clients = [
-            running.client() for _ in range(40)
-        ]  # 12 find room at once; the eldest idle ones give way
+        # 12 fit at a time; the oldest idle connections are closed for new ones.
+        clients = [program.client() for _ in range(40)]
         served = 0
         for at, client in enumerate(clients):
             with client:
@@ -172,13 +171,13 @@
                 except ConnectionError:
                     pass
         self.assertGreaterEqual(served, 11)
-        with running.client() as late:
-            self.assertEqual(late.request("SVC.QUERY", "a", "late", READ), b"late")
+        with program.client() as late_client:
+            self.assertEqual(late_client.request("SVC.QUERY", "a", "late", READ), b"late")
 
-    def test_a_slow_reader_holds_up_nobody_and_gets_all_its_answers(self):
+    def test_slow_reader_blocks_no_other_client_and_receives_all_responses(self):
         pod = self.pod(lambda words: value(words[2] * 15000))
-        running = self.program(pod.entry("s-1"))
-        with running.client() as slow, running.client() as other:
+        program = self.program(pod.entry("s-1"))
+        with program.client() as slow, program.client() as other:
             for at in range(100, 160):
                 slow.send("SVC.QUERY", "a", f"{at}", READ)
             self.assertEqual(other.request("SVC.QUERY", "a", "999", READ), b"999" * 15000)
@@ -188,8 +187,8 @@
             )
 
 
-class Told(WithPods):
-    def test_a_drain_told_during_work_lets_it_end_and_sends_nothing_new(self):
+class UpdateTest(WithPods):
+    def test_drain_lets_requests_in_flight_finish_and_sends_no_new_ones(self):
         told = threading.Event()
 
         def answer(words):
@@ -197,11 +196,11 @@
             return value(words[2])
 
         old, new = self.pod(answer), self.pod()
-        running = self.program(old.entry("s-1"))
-        with running.client() as first, running.client() as second:
+        program = self.program(old.entry("s-1"))
+        with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
             old.received_commands.get(timeout=TIMEOUT_SECONDS)
-            running.discovery.push_list(8, old.entry("s-1", state="Terminating"), new.entry("s-2"))
+            program.discovery.push_list(8, old.entry("s-1", state="Terminating"), new.entry("s-2"))
             wait_until(
                 lambda: not new.received_commands.empty(),
                 lambda: second.request("SVC.QUERY", "a", "r", READ),
@@ -213,7 +212,7 @@
             told.set()
             self.assertEqual(first.read_response(), b"01")
 
-    def test_a_build_that_fails_is_voted_back_and_the_vote_asked_again_until_it_counts(self):
+    def test_failing_build_is_voted_down_and_the_vote_is_retried_until_accepted(self):
         answers = [
             (400, b"<Error><Code>throttled</Code></Error>"),
             (
@@ -226,7 +225,7 @@
             ),
         ]
         good, bad = self.pod(), self.pod(lambda words: b"-ERR failed\r\n")
-        running = self.program(
+        program = self.program(
             good.entry("s-1"),
             bad.entry("s-2", 42),
             answer=lambda form: answers.pop(0) if len(answers) > 1 else answers[0],
@@ -238,61 +237,58 @@
                 "observedAgoMs": 5,
             },
         )
-        with running.client() as client:
+        with program.client() as client:
             number = itertools.count()
             wait_until(
-                lambda: running.platform.calls.qsize() > 1,
+                lambda: program.platform.calls.qsize() > 1,
                 lambda: client.request("SVC.QUERY", f"key{next(number)}", f"{next(number)}", READ),
             )
             vote = {"Action": "PutApproval", "version": "42", "step": "0", "vote": "abort"}
-            self.assertEqual([running.platform.calls.get() for _ in range(2)], [vote] * 2)
-            wait_until(
-                lambda: running.wait_for_log("vote")["outcome"] == "done", lambda: None
-            )  # its answer was heard
+            self.assertEqual([program.platform.calls.get() for _ in range(2)], [vote] * 2)
+            # The platform's reply to the vote has been received.
+            wait_until(lambda: program.wait_for_log("vote")["outcome"] == "done", lambda: None)
             while not bad.received_commands.empty():
                 bad.received_commands.get()
             for at in range(50):
                 client.request("SVC.QUERY", f"key{at}", f"after{at}", READ)
             self.assertEqual(bad.received_commands.qsize(), 0)
 
-    def test_streams_that_end_are_asked_for_again_and_heard(self):
+    def test_ended_watch_streams_are_reopened(self):
         pod, new = self.pod(), self.pod()
-        running = self.program(pod.entry("s-1"))
-        running.discovery.push_list(9, pod.entry("s-1"))
-        for peer in (running.discovery, running.platform):
+        program = self.program(pod.entry("s-1"))
+        program.discovery.push_list(9, pod.entry("s-1"))
+        for peer in (program.discovery, program.platform):
             peer.reset_connections()
         self.assertEqual(
-            running.platform.stream_requests.get(timeout=TIMEOUT_SECONDS),
+            program.platform.stream_requests.get(timeout=TIMEOUT_SECONDS),
             "/v2/projects/main/stream",
         )
         self.assertRegex(
-            running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS), r"stream=1&index=(7|9)$"
+            program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS), r"stream=1&index=(7|9)$"
         )
-        running.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
-        running.platform.push_release_state(
-            version=42
-        )  # before it is told, nothing goes to that build
-        with running.client() as client:
+        program.discovery.push_list(10, new.entry("s-3", 42), pod.entry("s-1", state="Gone"))
+        program.platform.push_release_state(version=42)  # no request goes to this build before
+        with program.client() as client:
             wait_until(
                 lambda: not new.received_commands.empty(),
                 lambda: client.request("SVC.QUERY", "a", "01", READ),
             )
 
-    def test_what_discovery_says_unreadably_changes_nothing_and_is_asked_again(self):
+    def test_malformed_endpoint_list_is_ignored_and_requested_again(self):
         pod = self.pod()
-        running = self.program(pod.entry("s-1"))
-        running.discovery.push_raw('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
+        program = self.program(pod.entry("s-1"))
+        program.discovery.push_raw('{"version": 9, "full": true, "servers": [{"id": 5}]}\n')
         wait_until(
-            lambda: "servers.0.state" in running.wait_for_log("stream ended")["reason"],
+            lambda: "servers.0.state" in program.wait_for_log("stream ended")["reason"],
             lambda: None,
         )
-        running.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
-        with running.client() as client:
+        program.discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
+        with program.client() as client:
             self.assertEqual(client.request("SVC.QUERY", "a", "01", READ), b"01")
 
 
-class Reconfigured(WithPods):
-    def test_sighup_moves_to_the_new_addresses_and_keeps_what_it_holds_where_the_file_is_bad(self):
+class ReconfigurationTest(WithPods):
+    def test_sighup_applies_new_addresses_and_ignores_an_invalid_file(self):
         release = threading.Event()
 
         def answer(words):
@@ -301,32 +297,32 @@
             return value(words[2])
 
         pod, new = self.pod(answer), self.pod()
-        running = self.program(pod.entry("s-1"))
+        program = self.program(pod.entry("s-1"))
         discovery, platform = FakeDiscovery(), FakePlatform()
         self.addCleanup(discovery.close)
         self.addCleanup(platform.close)
-        with running.client() as first, running.client() as second:
+        with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
             pod.received_commands.get(timeout=TIMEOUT_SECONDS)
-            running.write_config({**running.config, "discovery": "nowhere"})
-            running.process.send_signal(signal.SIGHUP)
+            program.write_config({**program.config, "discovery": "nowhere"})
+            program.process.send_signal(signal.SIGHUP)
             self.assertRegex(
-                running.wait_for_log("configuration rejected")["error"], "^discovery: "
+                program.wait_for_log("configuration rejected")["error"], "^discovery: "
             )
-            running.write_config(
+            program.write_config(
                 {
-                    **running.config,
+                    **program.config,
                     "discovery": discovery.address,
-                    "deployer": {**running.config["deployer"], "address": platform.address},
+                    "deployer": {**program.config["deployer"], "address": platform.address},
                 }
             )
             for _ in range(2):
-                running.process.send_signal(signal.SIGHUP)
-            self.assertEqual(running.wait_for_log("configuration reloaded")["only_at_a_start"], [])
+                program.process.send_signal(signal.SIGHUP)
+            self.assertEqual(program.wait_for_log("configuration reloaded")["only_at_a_start"], [])
             discovery.stream_requests.get(timeout=TIMEOUT_SECONDS)
             platform.stream_requests.get(timeout=TIMEOUT_SECONDS)
-            running.discovery.close()
-            running.platform.close()
+            program.discovery.close()
+            program.platform.close()
             discovery.push_list(8, new.entry("s-2", 42), pod.entry("s-1", state="Terminating"))
             platform.push_release_state(version=42)
             wait_until(
@@ -337,8 +333,8 @@
             self.assertEqual(first.read_response(), b"01")
 
 
-class Stopping(WithPods):
-    def test_sigterm_answers_what_is_in_hand_and_what_comes_meanwhile(self):
+class ShutdownTest(WithPods):
+    def test_sigterm_answers_requests_in_flight_and_new_connections(self):
         stopped = threading.Event()
 
         def answer(words):
@@ -348,24 +344,23 @@
 
         pod = self.pod(answer)
         with pause_at_sigterm():
-            running = self.program(pod.entry("s-1"))
-        with running.client() as first, running.client() as second:
+            program = self.program(pod.entry("s-1"))
+        with program.client() as first, program.client() as second:
             first.send("SVC.QUERY", "a", "01", READ)
             pod.received_commands.get(timeout=TIMEOUT_SECONDS)
-            running.process.send_signal(signal.SIGTERM)
-            running.wait_until_stopped()
-            with (
-                running.client() as late
-            ):  # it comes within the last half second, however busy the machine is
-                running.process.send_signal(signal.SIGTERM)
-                running.process.send_signal(signal.SIGCONT)
-                self.assertEqual(late.request("SVC.QUERY", "a", "02", READ), b"02")
+            program.process.send_signal(signal.SIGTERM)
+            program.wait_until_stopped()
+            # Connects within the last half second, however busy the machine is.
+            with program.client() as late_client:
+                program.process.send_signal(signal.SIGTERM)
+                program.process.send_signal(signal.SIGCONT)
+                self.assertEqual(late_client.request("SVC.QUERY", "a", "02", READ), b"02")
             self.assertEqual(second.read_response(), b"")
             stopped.set()
             self.assertEqual((first.read_response(), first.read_response()), (b"01", b""))
-        self.assertEqual(running.process.wait(TIMEOUT_SECONDS), 0)
+        self.assertEqual(program.process.wait(TIMEOUT_SECONDS), 0)
 
-    def test_a_bad_configuration_ends_it_and_names_the_key(self):
+    def test_invalid_configuration_ends_the_process_and_names_the_key(self):
         def without(*path):
             def change(told):
                 for name in path[:-1]:
@@ -383,8 +378,8 @@
             "deployer.news.status": lambda told: told["deployer"]["news"].update(status="odd"),
         }
         for key, change in cases.items():
-            running = Program(change=change)
-            _, error = running.process.communicate(timeout=TIMEOUT_SECONDS)
-            running.__exit__()
-            self.assertNotEqual(running.process.returncode, 0)
+            program = Program(change=change)
+            _, error = program.process.communicate(timeout=TIMEOUT_SECONDS)
+            program.__exit__()
+            self.assertNotEqual(program.process.returncode, 0)
             self.assertRegex(error.decode(), f"^thymeknot: .*{key}.*\n$")
