--- a/tests/unit/service/test_structured_log.py
+++ b/tests/unit/service/test_structured_log.py
@@ -12,7 +12,7 @@
 from thymeknot.service.structured_log import LEVEL_VARIABLE
 
 CALL = re.compile(
-    r'(?:structured_log\.(?:log|log_rate_limited)|\bsay|self\.log|^\s*log)\(\s*"([^"]+)"|LogEvent\(\s*"([^"]+)"',
+    r'(?:structured_log\.(?:log|log_rate_limited)|\blog_event|self\.log|^\s*log)\(\s*"([^"]+)"|LogEvent\(\s*"([^"]+)"',
     re.M,
 )
 
