--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -39,7 +39,7 @@
     parser.add_argument("--workers", type=int, default=os.cpu_count() or 1)
     parser.add_argument(
         "--kinds",
-        default=",".join((*large_fleet_scenarios.KINDS, "vast", "mass")),
+        default=",".join((*large_fleet_scenarios.STANDARD_KINDS, "vast", "mass")),
         help="vast: the three vast ones, mass: the four mass ones",
     )
     parser.add_argument("--short", action="store_true")
@@ -60,16 +60,16 @@
         )
     begin, kinds = time.monotonic(), told.kinds.split(",")
     vast = (
-        large_fleet_scenarios.VAST
+        large_fleet_scenarios.VAST_KINDS
         if "vast" in kinds
-        else tuple(one for one in kinds if one in large_fleet_scenarios.VAST)
+        else tuple(one for one in kinds if one in large_fleet_scenarios.VAST_KINDS)
     )
     mass = (
-        large_fleet_scenarios.MASS
+        large_fleet_scenarios.MASS_KINDS
         if "mass" in kinds
-        else tuple(one for one in kinds if one in large_fleet_scenarios.MASS)
+        else tuple(one for one in kinds if one in large_fleet_scenarios.MASS_KINDS)
     )
-    usual = [one for one in kinds if one in large_fleet_scenarios.KINDS]
+    usual = [one for one in kinds if one in large_fleet_scenarios.STANDARD_KINDS]
     figures = {"seed": told.seed}
     if usual:
         pairs = crowds_compared(
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -13,7 +13,7 @@
 from tests.support.peers import FakeEndpoint
 from tests.support.programs import Program
 from thymeknot.simulation import scenarios, statistics
-from thymeknot.simulation.baseline_policies import BREAKERS
+from thymeknot.simulation.baseline_policies import RULE_BREAKING_POLICIES
 from thymeknot.simulation.calibration import broken_by, queue
 from thymeknot.simulation.experiments import run
 from thymeknot.simulation.random_streams import gamma, zipf_keys
@@ -78,10 +78,10 @@
         statistics.zipf_p([keys.next() for _ in range(50_000)], 20_000, 0.9), 4
     )
     figures["rules_found"] = sum(
-        rule in broken_by(breaker, seed) for rule, breaker in BREAKERS.items()
+        rule in broken_by(breaker, seed) for rule, breaker in RULE_BREAKING_POLICIES.items()
     )
     figures["rules_false"] = len(broken_by(current_engine, seed))
-    day = scenarios.drawn(seed, instances=400, pods=80, rate=400.0, seconds=60)
+    day = scenarios.draw_day(seed, instances=400, pods=80, rate=400.0, seconds=60)
     begin = time.monotonic()
     big = Simulator(day, current_engine).play()
     figures["sim_seconds"] = round(time.monotonic() - begin, 1)
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -375,9 +375,9 @@
     """(digest of all actions and reasons, figures) of one day of the project's own simulation."""
     seed, size = SIMULATED_DAYS[kind]
     day = (
-        scenarios.drawn(seed, **size)
+        scenarios.draw_day(seed, **size)
         if kind == "drawn"
-        else large_fleet_scenarios.of_kind(seed, kind, **size)[0]
+        else large_fleet_scenarios.draw_day(seed, kind, **size)[0]
     )
     digest = hashlib.blake2b(digest_size=16)
 
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -118,7 +118,7 @@
 
 class SimulationReports(unittest.TestCase):
     def test_recording_changes_nothing_and_counts_all_requests(self):
-        day, _ = large_fleet_scenarios.drawn(3, "herd", **SMALL_FLEET)
+        day, _ = large_fleet_scenarios.draw_standard_day(3, "herd", **SMALL_FLEET)
         plain, recorded = (
             Simulator(day, current_engine).play(),
             RecordingSimulator(day, current_engine).play(),
@@ -131,7 +131,7 @@
         )
 
     def test_a_report_has_a_chart_and_figures_for_each_policy(self):
-        day, _ = large_fleet_scenarios.drawn(3, "zone", **SMALL_FLEET)
+        day, _ = large_fleet_scenarios.draw_standard_day(3, "zone", **SMALL_FLEET)
         with tempfile.TemporaryDirectory() as folder:
             figures = written(
                 day, {"now": current_engine, "<now>": current_engine}, folder, "zone & more"
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -306,7 +306,9 @@
     SIZE = {"instances": 30, "pods": 18, "seconds": 20, "load": 0.45}
 
     def simulate(self, kind, policy=current_engine, seed=2, **more):
-        scenario, (_, end) = large_fleet_scenarios.drawn(seed, kind, **{**self.SIZE, **more})
+        scenario, (_, end) = large_fleet_scenarios.draw_standard_day(
+            seed, kind, **{**self.SIZE, **more}
+        )
         return Simulator(scenario, policy).play(), end
 
     def test_sheds_less_needlessly_than_the_earlier_version(self):
@@ -328,7 +330,7 @@
     def test_good_build_advances_while_seven_in_ten_instances_restart(self):
         current, _ = self.simulate("herd", good=True, seconds=25)
         kills = [fault for fault in current.day.faults if fault.kind == "kill"]
-        self.assertEqual([len(fault.what) for fault in kills], [21])
+        self.assertEqual([len(fault.targets) for fault in kills], [21])
         self.assertNotIn(
             current.platform.state.phase, (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
         )
@@ -337,7 +339,8 @@
         self.assertLess(current.results.needless()[1], 0.1)
         accepted = current.results.votes_asked["asked"] - current.results.votes_asked["full"]
         self.assertLessEqual(
-            accepted, current.day.terms.votes_per_second * (2 + current.now / TICKS_PER_SECOND) + 1
+            accepted,
+            current.day.settings.votes_per_second * (2 + current.now / TICKS_PER_SECOND) + 1,
         )
         self.assertEqual(current.checker.rules_broken(), [])
 
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -94,7 +94,9 @@
     """Effects of injected faults on endpoints and instances, apart from the decisions."""
 
     def simulator_with_fault(self, kind, seed=3):
-        day, (begin, _) = large_fleet_scenarios.drawn(seed, kind, 9, 6, 20, load=0.3, good=True)
+        day, (begin, _) = large_fleet_scenarios.draw_standard_day(
+            seed, kind, 9, 6, 20, load=0.3, good=True
+        )
         return Simulator(day._replace(offers=()), current_engine), begin
 
     def test_lost_zone_is_silent_and_restarts_cold(self):
@@ -152,7 +154,7 @@
     def test_platform_rejects_votes_above_its_rate(self):
         simulator, _ = self.simulator_with_fault("calm")
         simulator.day = simulator.day._replace(
-            terms=simulator.day.terms._replace(votes_per_second=2.0)
+            settings=simulator.day.settings._replace(votes_per_second=2.0)
         )
         simulator.platform.state = ReleaseState(2, 0, ReleasePhase.ON_TRIAL, 0.08)
         simulator.platform._calls = 4.0
@@ -211,6 +213,6 @@
         )
 
     def test_scenarios_of_each_kind_keep_the_invariants(self):
-        for kind in large_fleet_scenarios.KINDS:
-            day, _ = large_fleet_scenarios.drawn(2, kind, 12, 9, 15, load=0.4)
+        for kind in large_fleet_scenarios.STANDARD_KINDS:
+            day, _ = large_fleet_scenarios.draw_standard_day(2, kind, 12, 9, 15, load=0.4)
             self.assertEqual(Simulator(day, current_engine).play().checker.broken, [], kind)
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -14,7 +14,7 @@
 from thymeknot.interface.enums import Outcome
 from thymeknot.interface.events import TimerFired
 from thymeknot.simulation.experiments import crowd_played, vast_figures
-from thymeknot.simulation.large_fleet_scenarios import VAST, vast
+from thymeknot.simulation.large_fleet_scenarios import VAST_KINDS, draw_vast_day
 from thymeknot.simulation.scenarios import Fault, Offer
 from thymeknot.simulation.simulated_platform import REFUSED_CALLS, SILENT_CALLS
 from thymeknot.simulation.simulator import Simulator, current_engine
@@ -46,24 +46,33 @@
         for what, kind, faults, offers, changes, released, service, behind in (
             (
                 "all start at once",
-                VAST[0],
+                VAST_KINDS[0],
                 (PAUSES, ALL_DIE, LATE),
                 GOOD,
-                {"lists": 3.0},
+                {"list_calls_per_second": 3.0},
                 [2],
                 0.8,
                 1.0,
             ),
-            ("votes unanswered", VAST[2], (calls(SILENT_CALLS),), GOOD, {}, [2], 0.9, 1.0),
-            ("votes refused", VAST[2], (calls(REFUSED_CALLS),), GOOD, {}, [2], 0.9, 1.0),
-            ("few connections", VAST[2], (), GOOD, {"connections": 10}, [2], 0.85, 1.0),
-            ("a zone lost twice", VAST[1], (LOST, AGAIN), GOOD, {}, [2], 0.9, 0.39),
-            ("pauses, a good build", VAST[2], (PAUSES,), GOOD, {}, [2], 0.9, 0.42),
-            ("pauses, a bad build", VAST[2], (PAUSES,), BAD, {}, [], 0.9, 0.0),
-            ("one bad pod", VAST[2], (ILL,), GOOD, {}, [2], 0.9, 0.43),
+            ("votes unanswered", VAST_KINDS[2], (calls(SILENT_CALLS),), GOOD, {}, [2], 0.9, 1.0),
+            ("votes refused", VAST_KINDS[2], (calls(REFUSED_CALLS),), GOOD, {}, [2], 0.9, 1.0),
+            (
+                "few connections",
+                VAST_KINDS[2],
+                (),
+                GOOD,
+                {"max_connections_per_pod": 10},
+                [2],
+                0.85,
+                1.0,
+            ),
+            ("a zone lost twice", VAST_KINDS[1], (LOST, AGAIN), GOOD, {}, [2], 0.9, 0.39),
+            ("pauses, a good build", VAST_KINDS[2], (PAUSES,), GOOD, {}, [2], 0.9, 0.42),
+            ("pauses, a bad build", VAST_KINDS[2], (PAUSES,), BAD, {}, [], 0.9, 0.0),
+            ("one bad pod", VAST_KINDS[2], (ILL,), GOOD, {}, [2], 0.9, 0.43),
         ):
             with self.subTest(what):
-                day, _ = vast(5, kind, **SIZE)
+                day, _ = draw_vast_day(5, kind, **SIZE)
                 fleet = Simulator(
                     day._replace(faults=faults, offers=offers, **changes), current_engine
                 ).play()
@@ -79,7 +88,7 @@
                 if fleet.discovery:
                     self.assertEqual(len(fleet.discovery.standing), 16)
                     self.assertLess(figures["lists_per_instance"], 8)
-                if "connections" in changes:
+                if "max_connections_per_pod" in changes:
                     self.assertGreater(fleet.connections.refused, 0)
                     self.assertLessEqual(max(fleet.connections.held.values()), 10)
                 if faults == (ILL,):  # beside the others of its build until that is released
@@ -87,7 +96,7 @@
                     self.assertLess(fleet.results.attempts_by_pod["p0-1"], 0.6 * sum(others) / 14)
 
     def test_the_same_seed_gives_the_same_result(self):
-        for kind in VAST:
+        for kind in VAST_KINDS:
             one, two = (crowd_played(("now", kind, 3, {**SIZE, "seconds": 14})) for _ in range(2))
             self.assertEqual(one, two)
             self.assertGreater(one["handshakes_per_transaction"], 0)
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -6,7 +6,7 @@
 from thymeknot.interface.enums import Outcome
 from thymeknot.interface.events import AttemptEnded, FleetCounts
 from thymeknot.simulation.experiments import crowd_played, mass_compared
-from thymeknot.simulation.large_fleet_scenarios import MASS, mass
+from thymeknot.simulation.large_fleet_scenarios import MASS_KINDS, draw_mass_day
 from thymeknot.simulation.scenarios import Fault
 from thymeknot.simulation.simulated_platform import REFUSED_CALLS
 from thymeknot.simulation.simulator import Simulator, current_engine
@@ -37,10 +37,10 @@
 
 class MassDays(unittest.TestCase):
     def test_tallies_add_up_with_what_ended(self):
-        day, _ = mass(4, "join-mass", **SIZE, seconds=12)
+        day, _ = draw_mass_day(4, "join-mass", **SIZE, seconds=12)
         down = Fault("calls", 5 * TICKS_PER_SECOND, 7 * TICKS_PER_SECOND, (), REFUSED_CALLS)
         fleet = Noted(
-            day._replace(tally_share=1.0, faults=(*day.faults, down)), current_engine
+            day._replace(counted_ratio=1.0, faults=(*day.faults, down)), current_engine
         ).play()
         for instance in (0, 23):
             counted = {}
@@ -62,15 +62,15 @@
         self.assertGreater(sum(one[1] for one in fleet.ended.values()), 0)
 
     def test_a_part_is_sampled_and_other_days_have_none(self):
-        day, _ = mass(4, **SIZE, seconds=12)
+        day, _ = draw_mass_day(4, **SIZE, seconds=12)
         for every in (PERIOD, 0):
-            fleet = Noted(day._replace(tally_every=every), current_engine).play()
+            fleet = Noted(day._replace(counts_interval=every), current_engine).play()
             told = sum(row.attempts for _, row in fleet.tallies.get(0, ()))
             seen = sum(one[0] for one in fleet.ended.values())
             self.assertTrue(0.05 * seen < told < 0.15 * seen if every else not told, (told, seen))
 
     def test_a_good_build_is_released_and_the_earlier_machines_leave_later(self):
-        day, _ = mass(5, **SIZE, seconds=32, good=True)
+        day, _ = draw_mass_day(5, **SIZE, seconds=32, good=True)
         fleet = Simulator(day._replace(offers=day.offers[:1]), current_engine).play()
         self.assertEqual(fleet.results.released, [2])
         self.assertEqual(fleet.checker.rules_broken(), [], fleet.checker.broken[:3])
@@ -82,7 +82,7 @@
         self.assertFalse([name for name in fleet.servers.pods if name.endswith("-1")])
 
     def test_the_same_seed_gives_the_same_result(self):
-        for kind in MASS:
+        for kind in MASS_KINDS:
             one, two = (
                 crowd_played(("now", kind, 3, {"instances": 16, "pods": 12, "seconds": 12}))
                 for _ in range(2)
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -9,7 +9,7 @@
 
 from thymeknot.interface.events import AttemptEnded
 from thymeknot.simulation import scenarios, statistics
-from thymeknot.simulation.baseline_policies import BREAKERS, TEXTBOOK
+from thymeknot.simulation.baseline_policies import BASELINE_POLICIES, RULE_BREAKING_POLICIES
 from thymeknot.simulation.calibration import broken_by, queue
 from thymeknot.simulation.invariants import InvariantChecker
 from thymeknot.simulation.random_streams import gamma, zipf_keys
@@ -17,7 +17,7 @@
 from thymeknot.simulation.simulator import Simulator, current_engine
 
 SECOND = scenarios.TICKS_PER_SECOND
-LANES = {one.lane.name: one.lane for one in scenarios.LANES}
+LANES = {one.request_class.name: one.request_class for one in scenarios.SMALL_FLEET_TRAFFIC}
 SMALL = {"instances": 6, "pods": 8, "rate": 60.0, "seconds": 20}
 
 
@@ -27,28 +27,30 @@
 
 class SameSeed(unittest.TestCase):
     def test_a_day_is_the_same_here_and_in_another_process(self):
-        here = Simulator(scenarios.drawn(5, **SMALL), current_engine).play().figures()
+        here = Simulator(scenarios.draw_day(5, **SMALL), current_engine).play().figures()
         code = (
             "import json; from thymeknot.simulation import scenarios as days; "
             "from thymeknot.simulation.simulator import *; "
-            f"print(json.dumps([repr(days.drawn(5, **{SMALL!r})), "
-            f"Simulator(days.drawn(5, **{SMALL!r}), current_engine).play().figures()]))"
+            f"print(json.dumps([repr(days.draw_day(5, **{SMALL!r})), "
+            f"Simulator(days.draw_day(5, **{SMALL!r}), current_engine).play().figures()]))"
         )
         there = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=60
         )
         drawn, figures = json.loads(there.stdout)
         self.assertEqual(
-            (drawn, figures), (repr(scenarios.drawn(5, **SMALL)), json.loads(json.dumps(here)))
+            (drawn, figures), (repr(scenarios.draw_day(5, **SMALL)), json.loads(json.dumps(here)))
         )
-        self.assertNotEqual(repr(scenarios.drawn(6, **SMALL)), drawn)
+        self.assertNotEqual(repr(scenarios.draw_day(6, **SMALL)), drawn)
 
     def test_two_policies_meet_the_same_arrivals(self):
         asked = {
-            name: Simulator(scenarios.drawn(5, **SMALL)._replace(retries=0, faults=()), policy)
+            name: Simulator(
+                scenarios.draw_day(5, **SMALL)._replace(client_retries=0, faults=()), policy
+            )
             .play()
             .results.asked
-            for name, policy in TEXTBOOK.items()
+            for name, policy in BASELINE_POLICIES.items()
         }
         self.assertEqual(len(set(asked.values())), 1)
 
@@ -59,7 +61,7 @@
     def test_they_agree_on_days_of_many_kinds(self):
         for seed in range(1, 9):
             with self.subTest(seed=seed):
-                day = Simulator(scenarios.drawn(seed, **SMALL), current_engine).play()
+                day = Simulator(scenarios.draw_day(seed, **SMALL), current_engine).play()
                 self.assertEqual(day.disagreements(), [])
 
     def test_an_end_that_is_never_told_is_found(self):
@@ -72,7 +74,7 @@
                 else:
                     super().tell(instance, event)
 
-        drawn = scenarios.drawn(5, **SMALL)._replace(faults=())  # no instance starts anew
+        drawn = scenarios.draw_day(5, **SMALL)._replace(faults=())  # no instance starts anew
         day = Forgets(drawn, current_engine).play()
         self.assertEqual(
             [counted - out for _, counted, out in day.disagreements()], [1], day.disagreements()
@@ -138,9 +140,9 @@
 
 class Rules(unittest.TestCase):
     def test_each_breaker_is_found_and_no_textbook_policy_nor_the_module_is_blamed(self):
-        for rule, policy in BREAKERS.items():
+        for rule, policy in RULE_BREAKING_POLICIES.items():
             self.assertIn(rule, broken_by(policy, 3), policy.__name__)
-        for policy in (current_engine, *TEXTBOOK.values()):
+        for policy in (current_engine, *BASELINE_POLICIES.values()):
             self.assertEqual(broken_by(policy, 3), [], getattr(policy, "__name__", policy))
 
     def test_one_answer_in_time(self):
--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -134,11 +134,11 @@
 def _parse_kinds(text: str) -> list[str]:
     from ..simulation import large_fleet_scenarios  # noqa: PLC0415  requires extra libraries
 
-    unknown = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.KINDS]
+    unknown = [kind for kind in text.split(",") if kind not in large_fleet_scenarios.STANDARD_KINDS]
     if unknown:
         raise click.UsageError(
             f"unknown kind {', '.join(unknown)},"
-            f" must be one of {', '.join(large_fleet_scenarios.KINDS)}"
+            f" must be one of {', '.join(large_fleet_scenarios.STANDARD_KINDS)}"
         )
     return text.split(",")
 
@@ -166,7 +166,7 @@
         policies = {name: experiments.policy(name) for name in names}
     except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
-    day, _ = large_fleet_scenarios.drawn(seed, kind, instances=instances, pods=pods)
+    day, _ = large_fleet_scenarios.draw_standard_day(seed, kind, instances=instances, pods=pods)
     click.echo(json_line(report.written(day, policies, folder, f"{kind}, seed {seed}")))
 
 
--- a/thymeknot/simulation/baseline_policies.py
+++ b/thymeknot/simulation/baseline_policies.py
@@ -322,14 +322,14 @@
 
 
 # By the words of the command.
-TEXTBOOK: dict[str, type[BaselinePolicy]] = {
+BASELINE_POLICIES: dict[str, type[BaselinePolicy]] = {
     "random": RandomChoice,
     "turns": RoundRobin,
     "least-out": LeastInFlight,
     "two-choices": TwoChoices,
 }
 # By the number of the rule that they break.
-BREAKERS: dict[int, type[BaselinePolicy]] = {
+RULE_BREAKING_POLICIES: dict[int, type[BaselinePolicy]] = {
     1: DropsAnswer,
     2: RepeatsUnsafely,
     3: IgnoresDraining,
--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -9,7 +9,7 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from . import statistics
 from .random_streams import Stream, gamma
-from .scenarios import Day, Offer, drawn
+from .scenarios import Day, Offer, draw_day
 from .servers import Build, Pod
 from .simulator import Simulator
 
@@ -102,9 +102,15 @@
 
     A release drains the earlier servers, some attempts fail, and servers warm up.
     """
-    day = drawn(seed, instances=6, pods=8, rate=100.0, seconds=60, load=0.3, troubles=0)
+    day = draw_day(seed, instances=6, pods=8, rate=100.0, seconds=60, load=0.3, fault_count=0)
     offer = Offer(
-        at=3 * TICKS_PER_SECOND, build=2, good=True, fails=0.03, slow=1.0, after=0, load=0.0
+        at=3 * TICKS_PER_SECOND,
+        build=2,
+        good=True,
+        failure_ratio=0.03,
+        slowdown=1.0,
+        fault_delay=0,
+        fault_load=0.0,
     )
     return day._replace(offers=(offer,))
 
--- a/thymeknot/simulation/day_results.py
+++ b/thymeknot/simulation/day_results.py
@@ -109,7 +109,9 @@
         self.released: list[int] = []
         self.sent_back: list[int] = []
         self.course: list[CourseEntry] = []
-        self.seconds = [SecondTotals() for _ in range(day.span // TICKS_PER_SECOND + SPARE_SECONDS)]
+        self.seconds = [
+            SecondTotals() for _ in range(day.duration // TICKS_PER_SECOND + SPARE_SECONDS)
+        ]
 
     def at(self, moment: Ticks) -> SecondTotals:
         """Returns the totals of the second that contains a moment."""
@@ -160,7 +162,7 @@
     def worst(self, length: int = WORST_WINDOW_SECONDS) -> float:
         """Returns the lowest ratio of earnings in any window of `length` seconds."""
         worst = 1.0
-        day_seconds = self.day.span // TICKS_PER_SECOND
+        day_seconds = self.day.duration // TICKS_PER_SECOND
         for begin in range(max(1, day_seconds - length)):
             window = self.seconds[begin : begin + length]
             asked = sum(one.asked for one in window)
@@ -184,7 +186,7 @@
             least: Maximum ratio of rejected requests over two successive seconds.
         """
         begin = -(-end // TICKS_PER_SECOND)
-        last = self.day.span // TICKS_PER_SECOND
+        last = self.day.duration // TICKS_PER_SECOND
         for second in range(begin, last - 1):
             if self.needless(second, second + RECOVERY_SECONDS).rejected <= least:
                 return second - begin
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -16,7 +16,7 @@
 
 from ..interface.enums import ReleasePhase
 from . import large_fleet_scenarios, scenarios, statistics
-from .baseline_policies import TEXTBOOK
+from .baseline_policies import BASELINE_POLICIES
 from .earlier_versions import UnknownRevisionError, load_version
 from .simulator import Simulator, current_engine
 
@@ -57,15 +57,17 @@
             return load_version(name[3:])
         except UnknownRevisionError as error:
             raise UnknownPolicyError(str(error)) from None
-    if name not in TEXTBOOK:
-        raise UnknownPolicyError(f"{name}: none of now, at:REVISION, {', '.join(TEXTBOOK)}")
-    return TEXTBOOK[name]
+    if name not in BASELINE_POLICIES:
+        raise UnknownPolicyError(
+            f"{name}: none of now, at:REVISION, {', '.join(BASELINE_POLICIES)}"
+        )
+    return BASELINE_POLICIES[name]
 
 
 def played(task: tuple[str, int, Size]) -> Result:
     """One day with one policy: its figures, with what it takes to play it again."""
     name, seed, size = task
-    fleet = Simulator(scenarios.drawn(seed, **size), policy(name)).play()
+    fleet = Simulator(scenarios.draw_day(seed, **size), policy(name)).play()
     return {
         "policy": name,
         "seed": seed,
@@ -79,11 +81,11 @@
 def crowd_played(task: tuple[str, str, int, Size]) -> Result:
     """One day of a large fleet (policy, kind, seed, size): what its decisions are judged by."""
     name, kind, seed, size = task
-    day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
+    day, (_, end) = large_fleet_scenarios.draw_day(seed, kind, **size)
     fleet = Simulator(day, policy(name)).play()
     offer = day.offers[0]
     turned_away, needless = fleet.results.needless()
-    if kind in large_fleet_scenarios.VAST:
+    if kind in large_fleet_scenarios.VAST_KINDS:
         return {
             "policy": name,
             "kind": kind,
@@ -92,7 +94,7 @@
             "recover_s": fleet.results.recovered(end),
             **vast_figures(fleet),
         }
-    if kind in large_fleet_scenarios.MASS:
+    if kind in large_fleet_scenarios.MASS_KINDS:
         return {
             "policy": name,
             "kind": kind,
@@ -206,10 +208,10 @@
     """
     day = fleet.day
     figures = vast_figures(fleet)
-    ends = [*(one.at for one in day.offers[1:]), day.span]
+    ends = [*(one.at for one in day.offers[1:]), day.duration]
     spent = {
         one.build: fleet.results.spent(
-            one.build, day.span if one.build in fleet.results.released and not one.good else end
+            one.build, day.duration if one.build in fleet.results.released and not one.good else end
         )
         for one, end in zip(day.offers, ends)
     }
@@ -426,7 +428,7 @@
 
 def shrunk(name: str, against: str, seed: int, size: Size, gap: float) -> list[scenarios.FaultKind]:
     """The kinds of a day's faults without which the gap would close by over a tenth."""
-    day = scenarios.drawn(seed, **size)
+    day = scenarios.draw_day(seed, **size)
     kept = list(day.faults)
     for fault in list(kept):
         fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -29,10 +29,10 @@
             FaultKind.PAUSES: self._pauses,
             FaultKind.SILENT_PODS: self._silent_pods,
             FaultKind.ZONE_LOSS: self._zone_loss,
-            FaultKind.ZONE_CUT: self._zone_cut,
-            FaultKind.LOST_ANSWERS: self._lost_answers,
+            FaultKind.ZONE_PARTITION: self._zone_cut,
+            FaultKind.LOST_RESPONSES: self._lost_answers,
             FaultKind.SLOW_ALL: self._slow_all,
-            FaultKind.CALLS_DOWN: self._calls_down,
+            FaultKind.PLATFORM_CALL_FAILURES: self._calls_down,
         }
 
     def schedule(self, fault: Fault) -> None:
@@ -43,42 +43,42 @@
 
     def _slow_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
-            if place_index(pod.name) in fault.what:
-                pod.speed *= 1 / fault.size if begins else fault.size
+            if place_index(pod.name) in fault.targets:
+                pod.speed *= 1 / fault.magnitude if begins else fault.magnitude
 
     def _errors(self, fault: Fault, begins: bool) -> None:
         failing = self._simulator.servers.failing
-        for place in fault.what:
+        for place in fault.targets:
             name = f"p{place}-{FIRST_BUILD}"
             if begins:
-                failing[name] = fault.size
+                failing[name] = fault.magnitude
             else:
                 failing.pop(name, None)
 
     def _connection_loss(self, fault: Fault, begins: bool) -> None:
-        self._simulator.loss = fault.size if begins else self._simulator.day.loss
+        self._simulator.loss = fault.magnitude if begins else self._simulator.day.loss_ratio
 
     def _late_lists(self, fault: Fault, begins: bool) -> None:
-        self._simulator.servers.list_delay = int(fault.size) if begins else 0
+        self._simulator.servers.list_delay = int(fault.magnitude) if begins else 0
 
     def _late_release_updates(self, fault: Fault, begins: bool) -> None:
-        self._simulator.platform.news_delay = int(fault.size) if begins else 0
+        self._simulator.platform.news_delay = int(fault.magnitude) if begins else 0
 
     def _burst(self, fault: Fault, begins: bool) -> None:
-        self._simulator.burst = fault.size if begins else 1.0
+        self._simulator.burst = fault.magnitude if begins else 1.0
 
     def _slow_all(self, fault: Fault, begins: bool) -> None:
-        self._simulator.slow_all = fault.size if begins else 1.0
+        self._simulator.slow_all = fault.magnitude if begins else 1.0
 
     def _calls_down(self, fault: Fault, begins: bool) -> None:
-        self._simulator.platform.call_fault = fault.size if begins else None
+        self._simulator.platform.call_fault = fault.magnitude if begins else None
 
     def _lost_answers(self, fault: Fault, begins: bool) -> None:
-        self._simulator.lost_answers = fault.size if begins else 0.0
+        self._simulator.lost_answers = fault.magnitude if begins else 0.0
 
     def _zone_cut(self, fault: Fault, begins: bool) -> None:
         simulator = self._simulator
-        zones = {simulator.day.zones[number] for number in fault.what}
+        zones = {simulator.day.zones[number] for number in fault.targets}
         if begins:
             simulator.cut_zones = simulator.cut_zones | zones
         else:
@@ -87,10 +87,10 @@
 
     def _silent_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
-            pod.silent = begins and place_index(pod.name) in fault.what
+            pod.silent = begins and place_index(pod.name) in fault.targets
 
     def _zone_loss(self, fault: Fault, begins: bool) -> None:
-        zone = self._simulator.day.zones[fault.what[0]]
+        zone = self._simulator.day.zones[fault.targets[0]]
         if begins:
             self._simulator.servers.lose_zone(zone)
         else:
@@ -98,8 +98,8 @@
 
     def _restarts(self, fault: Fault, begins: bool) -> None:
         if begins:
-            for instance in fault.what:
-                self._simulator.restart(instance, fault.size)
+            for instance in fault.targets:
+                self._simulator.restart(instance, fault.magnitude)
 
     def _pauses(self, fault: Fault, begins: bool) -> None:
         """Repeatedly pauses a random part of the affected servers for a random time."""
@@ -107,7 +107,7 @@
             return
         simulator = self._simulator
         for pod in simulator.servers.pods.values():
-            if place_index(pod.name) in fault.what and simulator.misc.random() < PAUSED_RATIO:
-                pod.paused = simulator.now + int(fault.size * (0.5 + simulator.misc.random()))
+            if place_index(pod.name) in fault.targets and simulator.misc.random() < PAUSED_RATIO:
+                pod.paused = simulator.now + int(fault.magnitude * (0.5 + simulator.misc.random()))
         if simulator.now + PAUSE_INTERVAL < fault.end:
             simulator.at(simulator.now + PAUSE_INTERVAL, self._pauses, fault, True)
--- a/thymeknot/simulation/large_fleet_scenarios.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -14,15 +14,15 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import DeduplicationScope, Idempotency
 from ..interface.settings import RequestClass, Settings
-from .scenarios import Day, Fault, FaultKind, LaneMix, Offer, settings_for
+from .scenarios import ClassTraffic, Day, Fault, FaultKind, Offer, make_settings
 
-KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
+STANDARD_KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
 # Some forty instances by sixty servers, three stages, two builds, another fault beside each day's.
 # Lists are polled on the first, of a discovery that takes few calls.
-VAST = ("herd-vast", "zone-vast", "join-vast")
+VAST_KINDS = ("herd-vast", "zone-vast", "join-vast")
 # Some two hundred instances by a hundred servers: stages pass by the platform's clock, and it tells
 # what it counted.
-MASS = ("calm-mass", "roll-mass", "zone-mass", "join-mass")
+MASS_KINDS = ("calm-mass", "roll-mass", "zone-mass", "join-mass")
 # Added to the number of a kind, so that no two kinds draw the same day of a seed.
 VAST_SEED_OFFSET = 100
 MASS_SEED_OFFSET = 200
@@ -30,13 +30,13 @@
 BESIDE = (
     FaultKind.SLOW_ALL,
     FaultKind.BURST,
-    FaultKind.CALLS_DOWN,
+    FaultKind.PLATFORM_CALL_FAILURES,
     FaultKind.LATE_LISTS,
     FaultKind.CONNECTION_LOSS,
     FaultKind.SLOW_PODS,
 )
-LANES = (
-    LaneMix(
+LARGE_FLEET_TRAFFIC = (
+    ClassTraffic(
         RequestClass(
             name="fetch",
             idempotency=Idempotency.IDEMPOTENT,
@@ -48,10 +48,10 @@
             late_priority_weight=0.0,
         ),
         share=0.55,
-        work=1_200,
-        spread=0.8,
+        mean_work=1_200,
+        work_variation=0.8,
     ),
-    LaneMix(
+    ClassTraffic(
         RequestClass(
             name="sync",
             idempotency=Idempotency.IDEMPOTENT,
@@ -63,10 +63,10 @@
             late_priority_weight=0.2,
         ),
         share=0.22,
-        work=2_900,
-        spread=0.8,
+        mean_work=2_900,
+        work_variation=0.8,
     ),
-    LaneMix(
+    ClassTraffic(
         RequestClass(
             name="buy",
             idempotency=Idempotency.KEYED,
@@ -78,10 +78,10 @@
             late_priority_weight=0.0,
         ),
         share=0.12,
-        work=1_200,
-        spread=0.7,
+        mean_work=1_200,
+        work_variation=0.7,
     ),
-    LaneMix(
+    ClassTraffic(
         RequestClass(
             name="pay",
             idempotency=Idempotency.NON_IDEMPOTENT,
@@ -93,8 +93,8 @@
             late_priority_weight=0.0,
         ),
         share=0.11,
-        work=2_900,
-        spread=0.8,
+        mean_work=2_900,
+        work_variation=0.8,
     ),
 )
 # Latency objective and outer limit of the classes on mass days.
@@ -187,10 +187,10 @@
     cold: Ticks,
     cold_from: float,
     votes_per_second: float,
-    lanes: tuple[LaneMix, ...] = LANES,
+    lanes: tuple[ClassTraffic, ...] = LARGE_FLEET_TRAFFIC,
 ) -> Settings:
     """What the instances of a large fleet read at start."""
-    return settings_for(
+    return make_settings(
         lanes,
         instances,
         warmup_duration=cold,
@@ -226,7 +226,7 @@
 
 
 def _trouble(kind: str, draws: Draws) -> Trouble:
-    """What happens on a day of one of the KINDS."""
+    """What happens on a day of one of the STANDARD_KINDS."""
     span = draws.span
     begin = int(draws.chance.uniform(0.25, 0.35) * span)
     end = begin + 6 * TICKS_PER_SECOND
@@ -254,8 +254,8 @@
         return _lost_zone(draws, zone, begin, end, errors)
     if kind == "split":
         return _split(draws, zone, begin, end)
-    more = pauses._replace(what=draws.part(draws.pods, 1 / 3))
-    lost = Fault(FaultKind.LOST_ANSWERS, 0, span, (), draws.between(0.005, 0.02))
+    more = pauses._replace(targets=draws.part(draws.pods, 1 / 3))
+    lost = Fault(FaultKind.LOST_RESPONSES, 0, span, (), draws.between(0.005, 0.02))
     return Trouble((more, lost), begin, span)
 
 
@@ -267,18 +267,18 @@
     beside = slow if draws.chance.random() < 0.5 else errors
     lost = Fault(FaultKind.ZONE_LOSS, begin, begin + 5 * TICKS_PER_SECOND, (zone,), 0.0)
     cut_end = later + 4 * TICKS_PER_SECOND
-    cut = Fault(FaultKind.ZONE_CUT, later, cut_end, ((zone + 1) % 3,), 0.0)
+    cut = Fault(FaultKind.ZONE_PARTITION, later, cut_end, ((zone + 1) % 3,), 0.0)
     return Trouble((lost, beside, cut), begin, cut_end)
 
 
 def _split(draws: Draws, zone: int, begin: Ticks, end: Ticks) -> Trouble:
     """A zone is cut off, or some servers are silent, while lists come late."""
     if draws.chance.random() < 0.5:
-        silence = Fault(FaultKind.ZONE_CUT, begin, end, (zone,), 0.0)
+        silence = Fault(FaultKind.ZONE_PARTITION, begin, end, (zone,), 0.0)
     else:
         silence = Fault(FaultKind.SILENT_PODS, begin, end, draws.part(draws.pods, 1 / 5), 0.0)
     late = Fault(FaultKind.LATE_LISTS, begin, end, (), draws.ticks(1, 3))
-    lost = Fault(FaultKind.LOST_ANSWERS, begin // 2, draws.span, (), draws.between(0.005, 0.03))
+    lost = Fault(FaultKind.LOST_RESPONSES, begin // 2, draws.span, (), draws.between(0.005, 0.03))
     return Trouble((silence, late, lost), begin, end)
 
 
@@ -289,7 +289,7 @@
     sizes = {
         FaultKind.SLOW_ALL: draws.between(1.3, 2.5),
         FaultKind.BURST: draws.between(1.2, 1.6),
-        FaultKind.CALLS_DOWN: 0.0,
+        FaultKind.PLATFORM_CALL_FAILURES: 0.0,
         FaultKind.SLOW_PODS: draws.between(1.3, 2),
         FaultKind.LATE_LISTS: draws.ticks(1, 3),
         FaultKind.CONNECTION_LOSS: draws.between(0.02, 0.08),
@@ -299,7 +299,7 @@
 
 
 def _vast_trouble(kind: str, draws: Draws) -> Trouble:
-    """What happens on a day of one of the VAST kinds."""
+    """What happens on a day of one of the VAST_KINDS kinds."""
     begin = int(draws.chance.uniform(0.3, 0.5) * draws.span)
     bad = _slow_or_failing(draws)
     paused = draws.part(draws.pods, 0.4 if kind == "join-vast" else 0.3)
@@ -320,7 +320,7 @@
 
 
 def _mass_trouble(kind: str, draws: Draws) -> Trouble:
-    """What happens on a day of one of the MASS kinds."""
+    """What happens on a day of one of the MASS_KINDS kinds."""
     span = draws.span
     begin = int(draws.chance.uniform(0.2, 0.6) * span)
     length = draws.ticks(0.3, 0.9)
@@ -339,7 +339,7 @@
         zone = int(draws.chance.integers(0, 3))
         end = begin + 5 * TICKS_PER_SECOND
         return Trouble((bad, Fault(FaultKind.ZONE_LOSS, begin, end, (zone,), 0.0)), begin, end)
-    lost = Fault(FaultKind.LOST_ANSWERS, 0, span, (), draws.between(0.005, 0.02))
+    lost = Fault(FaultKind.LOST_RESPONSES, 0, span, (), draws.between(0.005, 0.02))
     return Trouble((pauses, lost), span // 8, span)
 
 
@@ -347,22 +347,22 @@
     return tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
 
 
-def _mean_work(lanes: tuple[LaneMix, ...]) -> float:
+def _mean_work(lanes: tuple[ClassTraffic, ...]) -> float:
     """Of a request, in seconds."""
-    return sum(one.share * one.work for one in lanes) / TICKS_PER_SECOND
+    return sum(one.share * one.mean_work for one in lanes) / TICKS_PER_SECOND
 
 
-def _vast_lanes(chance: Generator) -> tuple[LaneMix, ...]:
+def _vast_lanes(chance: Generator) -> tuple[ClassTraffic, ...]:
     """Work and objectives are of one size: what comes late by half is late."""
     return tuple(
         one._replace(
-            work=one.work / 2,
-            lane=one.lane._replace(
-                latency_objective=int(one.work / 2 * float(chance.uniform(5, 9))),
-                outer_limit=int(one.work * 10),
+            mean_work=one.mean_work / 2,
+            request_class=one.request_class._replace(
+                latency_objective=int(one.mean_work / 2 * float(chance.uniform(5, 9))),
+                outer_limit=int(one.mean_work * 10),
             ),
         )
-        for one in LANES
+        for one in LARGE_FLEET_TRAFFIC
     )
 
 
@@ -378,15 +378,15 @@
         at=int((chance.uniform(3, 5) + number * seconds * 0.45) * TICKS_PER_SECOND),
         build=2 + number,
         good=fine,
-        fails=fails if not fine and how in (0, 3, 4) else 0.0,
-        slow=slow if not fine and how in (1, 4) else float(chance.uniform(0.92, 1.1)),
-        after=late,
-        load=0.3 if not fine and how == 3 else 0.0,
-        shared=shared if not fine and how == 2 else 0.0,
+        failure_ratio=fails if not fine and how in (0, 3, 4) else 0.0,
+        slowdown=slow if not fine and how in (1, 4) else float(chance.uniform(0.92, 1.1)),
+        fault_delay=late,
+        fault_load=0.3 if not fine and how == 3 else 0.0,
+        shared_slowdown=shared if not fine and how == 2 else 0.0,
     )
 
 
-def vast(
+def draw_vast_day(
     seed: int,
     kind: str = "herd-vast",
     instances: int = 40,
@@ -396,12 +396,12 @@
     load: float = 0.55,
     good: bool | None = None,
 ) -> DrawnDay:
-    """Draws a day of one of the VAST kinds; the arguments are those of drawn()."""
-    chance = np.random.Generator(np.random.PCG64([seed, VAST_SEED_OFFSET + VAST.index(kind)]))
+    """Draws a day of one of the VAST_KINDS kinds; the arguments are those of drawn()."""
+    chance = np.random.Generator(np.random.PCG64([seed, VAST_SEED_OFFSET + VAST_KINDS.index(kind)]))
     span = seconds * TICKS_PER_SECOND
     cold = int(chance.uniform(1.9, 4) * TICKS_PER_SECOND)
     speeds = _speeds(chance, pods)
-    work = sum(one.share * one.work / 2 for one in LANES) / TICKS_PER_SECOND
+    work = sum(one.share * one.mean_work / 2 for one in LARGE_FLEET_TRAFFIC) / TICKS_PER_SECOND
     rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * CORES / work
     shares = chance.lognormal(0, 0.6, instances)
     calls = instances * float(chance.uniform(0.3, 0.6))
@@ -412,48 +412,48 @@
     polled = kind == "herd-vast"
     day = Day(
         seed=seed,
-        span=span,
+        duration=span,
         instances=instances,
         pods=pods,
         zones=ZONES,
         cores=CORES,
         speeds=speeds,
-        queue=QUEUE_LIMIT,
-        rate=rate,
-        busy=tuple(float(one) for one in shares / shares.sum()),
-        lanes=lanes,
+        queue_limit=QUEUE_LIMIT,
+        request_rate=rate,
+        instance_shares=tuple(float(one) for one in shares / shares.sum()),
+        traffic=lanes,
         keys=KEYS,
-        zipf=ZIPF,
+        zipf_exponent=ZIPF,
         tenants=TENANTS,
-        retries=1,
-        heeds=0.6,
-        delay=DELAY,
-        loss=LOSS,
-        list_lag=2_500,
-        news_lag=4_000,
-        stage_least=int(0.8 * TICKS_PER_SECOND),
-        boot=boot,
-        cold=cold,
-        cold_from=WARMUP_INITIAL_FRACTION,
+        client_retries=1,
+        retry_after_compliance=0.6,
+        network_delay=DELAY,
+        loss_ratio=LOSS,
+        mean_list_delay=2_500,
+        mean_release_update_delay=4_000,
+        min_stage_duration=int(0.8 * TICKS_PER_SECOND),
+        mean_boot_time=boot,
+        warmup_duration=cold,
+        warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
         offers=offers,
         faults=trouble.faults,
-        terms=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls, lanes)._replace(
+        settings=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls, lanes)._replace(
             stage_fractions=THREE_STAGES, guarded_stages=1, lists_polled=polled
         ),
-        advance=math.ceil(ADVANCE * instances),
-        caps=THREE_CAPS,
-        lists=float(chance.uniform(0.15, 0.3)) * instances if polled else 0.0,
-        connections=int(instances * chance.uniform(1.3, 2.5)),
+        votes_to_promote=math.ceil(ADVANCE * instances),
+        stage_caps=THREE_CAPS,
+        list_calls_per_second=float(chance.uniform(0.15, 0.3)) * instances if polled else 0.0,
+        max_connections_per_pod=int(instances * chance.uniform(1.3, 2.5)),
     )
     return DrawnDay(day, Window(trouble.begin, trouble.end))
 
 
-def _mass_lanes() -> tuple[LaneMix, ...]:
+def _mass_lanes() -> tuple[ClassTraffic, ...]:
     lanes = []
-    for one in LANES:
-        objective, limit = MASS_GOALS[one.lane.name]
-        lane = one.lane._replace(latency_objective=objective, outer_limit=limit)
-        lanes.append(one._replace(lane=lane))
+    for one in LARGE_FLEET_TRAFFIC:
+        objective, limit = MASS_GOALS[one.request_class.name]
+        lane = one.request_class._replace(latency_objective=objective, outer_limit=limit)
+        lanes.append(one._replace(request_class=lane))
     return tuple(lanes)
 
 
@@ -466,19 +466,27 @@
     shared = float(chance.uniform(1.5, 3.5))
     late = int(chance.uniform(2.5, 6) * TICKS_PER_SECOND)
     usual = float(chance.uniform(0.92, 1.1))
-    offer = Offer(at=at, build=build, good=fine, fails=0.0, slow=usual, after=0, load=0.0)
+    offer = Offer(
+        at=at,
+        build=build,
+        good=fine,
+        failure_ratio=0.0,
+        slowdown=usual,
+        fault_delay=0,
+        fault_load=0.0,
+    )
     if fine:
         return offer
     return (
-        offer._replace(fails=fails),
-        offer._replace(slow=slow),
-        offer._replace(shared=shared),
-        offer._replace(fails=fails, load=0.6),
-        offer._replace(fails=fails, slow=slow, after=late),
+        offer._replace(failure_ratio=fails),
+        offer._replace(slowdown=slow),
+        offer._replace(shared_slowdown=shared),
+        offer._replace(failure_ratio=fails, fault_load=0.6),
+        offer._replace(failure_ratio=fails, slowdown=slow, fault_delay=late),
     )[how]
 
 
-def mass(
+def draw_mass_day(
     seed: int,
     kind: str = "calm-mass",
     instances: int = 216,
@@ -488,8 +496,8 @@
     load: float = 0.58,
     good: bool | None = None,
 ) -> DrawnDay:
-    """Draws a day of one of the MASS kinds; the arguments are those of drawn()."""
-    chance = np.random.Generator(np.random.PCG64([seed, MASS_SEED_OFFSET + MASS.index(kind)]))
+    """Draws a day of one of the MASS_KINDS kinds; the arguments are those of drawn()."""
+    chance = np.random.Generator(np.random.PCG64([seed, MASS_SEED_OFFSET + MASS_KINDS.index(kind)]))
     span = seconds * TICKS_PER_SECOND
     cold = int(chance.uniform(1.9, 4.8) * TICKS_PER_SECOND)
     cold_from = float(chance.uniform(0.31, 0.57))
@@ -507,48 +515,54 @@
     settings = _settings(instances, cold, MASS_WARMUP_INITIAL_FRACTION, instances * 0.25, lanes)
     day = Day(
         seed=seed,
-        span=span,
+        duration=span,
         instances=instances,
         pods=pods,
         zones=ZONES,
         cores=CORES,
         speeds=speeds,
-        queue=QUEUE_LIMIT,
-        rate=rate,
-        busy=tuple(float(one) for one in shares / shares.sum()),
-        lanes=lanes,
+        queue_limit=QUEUE_LIMIT,
+        request_rate=rate,
+        instance_shares=tuple(float(one) for one in shares / shares.sum()),
+        traffic=lanes,
         keys=KEYS,
-        zipf=ZIPF,
+        zipf_exponent=ZIPF,
         tenants=TENANTS,
-        retries=int(chance.integers(0, 2)),
-        heeds=0.6,
-        delay=DELAY,
-        loss=LOSS,
-        list_lag=4_000,
-        news_lag=3_000,
-        stage_least=int(3.25 * TICKS_PER_SECOND),
-        boot=int(1.45 * TICKS_PER_SECOND),
-        cold=cold,
-        cold_from=cold_from,
+        client_retries=int(chance.integers(0, 2)),
+        retry_after_compliance=0.6,
+        network_delay=DELAY,
+        loss_ratio=LOSS,
+        mean_list_delay=4_000,
+        mean_release_update_delay=3_000,
+        min_stage_duration=int(3.25 * TICKS_PER_SECOND),
+        mean_boot_time=int(1.45 * TICKS_PER_SECOND),
+        warmup_duration=cold,
+        warmup_initial_fraction=cold_from,
         offers=offers,
         faults=trouble.faults,
-        terms=settings._replace(stage_fractions=THREE_STAGES, guarded_stages=1),
-        advance=math.ceil(ADVANCE * instances),
-        caps=THREE_CAPS,
-        tally_every=2 * TICKS_PER_SECOND,
-        machines_first=False,
-        boot_spread=0.17,
-        drain_after=6_700,
-        gone_after=7 * TICKS_PER_SECOND,
-        list_every=TICKS_PER_SECOND // 10,
-        handshake=int(chance.uniform(5, 16)),
+        settings=settings._replace(stage_fractions=THREE_STAGES, guarded_stages=1),
+        votes_to_promote=math.ceil(ADVANCE * instances),
+        stage_caps=THREE_CAPS,
+        counts_interval=2 * TICKS_PER_SECOND,
+        stage_waits_for_machines=False,
+        boot_time_spread=0.17,
+        drain_delay=6_700,
+        drain_duration=7 * TICKS_PER_SECOND,
+        list_batch_interval=TICKS_PER_SECOND // 10,
+        mean_handshake_work=int(chance.uniform(5, 16)),
     )
     return DrawnDay(day, Window(trouble.begin, trouble.end))
 
 
-def of_kind(seed: int, kind: str, **size: int | float | bool | None) -> DrawnDay:
+def draw_day(seed: int, kind: str, **size: int | float | bool | None) -> DrawnDay:
     """Draws a day of any kind; `size` are the arguments of drawn()."""
-    draw = vast if kind in VAST else mass if kind in MASS else drawn
+    draw = (
+        draw_vast_day
+        if kind in VAST_KINDS
+        else draw_mass_day
+        if kind in MASS_KINDS
+        else draw_standard_day
+    )
     return draw(seed, kind, **size)  # type: ignore[arg-type]  # options of the command, by name
 
 
@@ -562,14 +576,14 @@
         at=int(chance.uniform(3, 6) * TICKS_PER_SECOND),
         build=2,
         good=fine,
-        fails=0.0 if fine or how == 1 else fails,
-        slow=float(chance.uniform(0.92, 1.1)) if fine or how != 1 else slow,
-        after=2 * TICKS_PER_SECOND if how == 2 and not fine else 0,
-        load=0.4 if how == 3 and not fine else 0.0,
+        failure_ratio=0.0 if fine or how == 1 else fails,
+        slowdown=float(chance.uniform(0.92, 1.1)) if fine or how != 1 else slow,
+        fault_delay=2 * TICKS_PER_SECOND if how == 2 and not fine else 0,
+        fault_load=0.4 if how == 3 and not fine else 0.0,
     )
 
 
-def drawn(
+def draw_standard_day(
     seed: int,
     kind: str = "herd",
     instances: int = 200,
@@ -579,7 +593,7 @@
     load: float = 0.5,
     good: bool | None = None,
 ) -> DrawnDay:
-    """Draws a day of one of the KINDS.
+    """Draws a day of one of the STANDARD_KINDS.
 
     Args:
         seed: what the day is drawn from.
@@ -590,11 +604,17 @@
         load: share of what all servers can do; the rate follows from it.
         good: whether the builds offered are good; None: drawn.
     """
-    chance = np.random.Generator(np.random.PCG64([seed, KINDS.index(kind)]))
+    chance = np.random.Generator(np.random.PCG64([seed, STANDARD_KINDS.index(kind)]))
     span = seconds * TICKS_PER_SECOND
     cold = int(chance.uniform(2, 4.8) * TICKS_PER_SECOND)
     speeds = _speeds(chance, pods)
-    rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * CORES / _mean_work(LANES)
+    rate = (
+        load
+        * float(chance.uniform(0.85, 1.1))
+        * sum(speeds)
+        * CORES
+        / _mean_work(LARGE_FLEET_TRAFFIC)
+    )
     shares = chance.lognormal(0, 0.9, instances)
     offer = _offer(chance, good)
     trouble = _trouble(kind, Draws(chance, instances, pods, span))
@@ -604,32 +624,32 @@
     boot = int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND)
     day = Day(
         seed=seed,
-        span=span,
+        duration=span,
         instances=instances,
         pods=pods,
         zones=ZONES,
         cores=CORES,
         speeds=speeds,
-        queue=QUEUE_LIMIT,
-        rate=rate,
-        busy=tuple(float(one) for one in shares / shares.sum()),
-        lanes=LANES,
+        queue_limit=QUEUE_LIMIT,
+        request_rate=rate,
+        instance_shares=tuple(float(one) for one in shares / shares.sum()),
+        traffic=LARGE_FLEET_TRAFFIC,
         keys=KEYS,
-        zipf=ZIPF,
+        zipf_exponent=ZIPF,
         tenants=TENANTS,
-        retries=1 if patient else 3,
-        heeds=0.7 if patient else 0.3,
-        delay=DELAY,
-        loss=LOSS,
-        list_lag=5_000,
-        news_lag=4_000,
-        stage_least=TICKS_PER_SECOND,
-        boot=boot,
-        cold=cold,
-        cold_from=WARMUP_INITIAL_FRACTION,
+        client_retries=1 if patient else 3,
+        retry_after_compliance=0.7 if patient else 0.3,
+        network_delay=DELAY,
+        loss_ratio=LOSS,
+        mean_list_delay=5_000,
+        mean_release_update_delay=4_000,
+        min_stage_duration=TICKS_PER_SECOND,
+        mean_boot_time=boot,
+        warmup_duration=cold,
+        warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
         offers=(offer,),
         faults=trouble.faults,
-        terms=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls),
-        advance=math.ceil(ADVANCE * instances),
+        settings=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls),
+        votes_to_promote=math.ceil(ADVANCE * instances),
     )
     return DrawnDay(day, Window(trouble.begin, trouble.end))
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -49,7 +49,7 @@
 
     def __init__(self, day: Day, policy: Any) -> None:
         super().__init__(day, policy)
-        size = day.span // PERIOD + SPARE_PERIODS
+        size = day.duration // PERIOD + SPARE_PERIODS
         self.names = sorted({1, *(offer.build for offer in day.offers)})
         self.sent = {build: np.zeros(size) for build in self.names}
         self.how = {answer: np.zeros(size) for answer in Answer}
@@ -74,7 +74,7 @@
             PeriodSnapshot(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts)
         )
         self.load.append(self._waiting_seconds())
-        if self.now < self.day.span:
+        if self.now < self.day.duration:
             self.at(self.now + PERIOD, self._record_snapshot)
 
     def _waiting_seconds(self) -> NDArray[np.float64]:
@@ -100,7 +100,7 @@
             if answer == Answer.DONE:
                 self.took[self._period()].append(
                     (self.now - request.first_asked_at)
-                    / self.lanes[request.lane].lane.latency_objective
+                    / self.lanes[request.lane].request_class.latency_objective
                 )
         super()._answer(instance, name, answer, wait)
 
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -52,7 +52,7 @@
             alpha=0.08,
             color=f"C{number}",
         )
-    axis.set_xlim(0, day.span / TICKS_PER_SECOND)
+    axis.set_xlim(0, day.duration / TICKS_PER_SECOND)
 
 
 def draw_day(fleet: RecordingSimulator, path: str, title: str) -> None:
@@ -122,7 +122,7 @@
         if fleet.cast[verdict].any():
             axis.plot(times, fleet.cast[verdict][: len(times)] * PERIODS_PER_SECOND, label=name)
     axis.axhline(
-        fleet.day.terms.votes_per_second,
+        fleet.day.settings.votes_per_second,
         color="black",
         linewidth=0.8,
         linestyle=":",
@@ -198,7 +198,7 @@
     )
     faults = "".join(
         f"<li>{fault.begin / TICKS_PER_SECOND:.1f} to {fault.end / TICKS_PER_SECOND:.1f} s: "
-        f"{html.escape(fault.kind)}, {len(fault.what)} struck</li>"
+        f"{html.escape(fault.kind)}, {len(fault.targets)} struck</li>"
         for fault in day.faults
     )
     names = "".join(f"<th>{html.escape(one.name)}</th>" for one in played)
@@ -208,6 +208,7 @@
     )
     return (
         f"<!doctype html><meta charset=utf-8><title>{title}</title><h1>{title}</h1><p>Simulated: "
-        f"{day.instances} instances, {day.pods} pods, {day.rate:.0f} transactions a second.</p>"
+        f"{day.instances} instances, {day.pods} pods, "
+        f"{day.request_rate:.0f} transactions a second.</p>"
         f"<ul>{faults}</ul><table border=1><tr><th></th>{names}</tr>{table}</table>{pictures}\n"
     )
--- a/thymeknot/simulation/scenarios.py
+++ b/thymeknot/simulation/scenarios.py
@@ -15,15 +15,15 @@
 from ..interface.settings import RequestClass, Settings
 
 
-class LaneMix(NamedTuple):
+class ClassTraffic(NamedTuple):
     """A request class and its part of the traffic."""
 
-    lane: RequestClass
+    request_class: RequestClass
     share: float
     """Of the requests."""
-    work: float
+    mean_work: float
     """Mean, in ticks on one core of speed 1."""
-    spread: float
+    work_variation: float
     """Standard deviation of the work over its mean; 1 is exponential."""
 
 
@@ -50,13 +50,13 @@
     """The servers at the places `what` take requests and do not answer."""
     ZONE_LOSS = "zone"
     """All servers of the zone `what` are silent and start anew at the end."""
-    ZONE_CUT = "cut"
+    ZONE_PARTITION = "cut"
     """The zones `what` do not reach the others."""
-    LOST_ANSWERS = "lost answers"
+    LOST_RESPONSES = "lost answers"
     """A share `size` of the answers is lost."""
     SLOW_ALL = "slow all"
     """All work takes `size` times as long."""
-    CALLS_DOWN = "calls"
+    PLATFORM_CALL_FAILURES = "calls"
     """Calls of the platform fail: 0 silent, 1 refused."""
 
 
@@ -66,9 +66,9 @@
     kind: FaultKind
     begin: Ticks
     end: Ticks
-    what: tuple[int, ...]
+    targets: tuple[int, ...]
     """Whom it strikes: places, instances or zones by number; empty: all."""
-    size: float
+    magnitude: float
     """How hard; see FaultKind."""
 
 
@@ -80,15 +80,15 @@
     build: int
     good: bool
     """Whether it should be released."""
-    fails: float
+    failure_ratio: float
     """Share of the attempts that fail while its fault acts."""
-    slow: float
+    slowdown: float
     """Factor of the work while its fault acts."""
-    after: Ticks
+    fault_delay: Ticks
     """From the start of a server until the fault acts."""
-    load: float
+    fault_load: float
     """Share of a server's cores that must be busy for the fault to act."""
-    shared: float = 0.0
+    shared_slowdown: float = 0.0
     """Factor that slows all servers, by this build's share of the attempts."""
 
 
@@ -96,7 +96,7 @@
     """All that happens on a day. Servers of different builds stand at a place in turn."""
 
     seed: int
-    span: Ticks
+    duration: Ticks
     """How long new requests come."""
     instances: int
     """Sidecars."""
@@ -107,73 +107,73 @@
     """Of each server."""
     speeds: tuple[float, ...]
     """Of each place: the work that a core does in a tick."""
-    queue: int
+    queue_limit: int
     """Jobs that wait at a server at most."""
-    rate: float
+    request_rate: float
     """Requests a second, of all instances."""
-    busy: tuple[float, ...]
+    instance_shares: tuple[float, ...]
     """Share of the traffic of each instance."""
-    lanes: tuple[LaneMix, ...]
+    traffic: tuple[ClassTraffic, ...]
     keys: int
     """How many keys requests have."""
-    zipf: float
+    zipf_exponent: float
     """Exponent of the popularity of keys."""
     tenants: int
-    retries: int
+    client_retries: int
     """Attempts of a client after a rejection."""
-    heeds: float
+    retry_after_compliance: float
     """Share of the clients that heed retry-after."""
-    delay: tuple[float, float]
+    network_delay: tuple[float, float]
     """Of the network, one way: mean in ticks, standard deviation over mean."""
-    loss: float
+    loss_ratio: float
     """Share of the attempts that is lost."""
-    list_lag: Ticks
+    mean_list_delay: Ticks
     """Mean time until an instance learns of a changed endpoint."""
-    news_lag: Ticks
+    mean_release_update_delay: Ticks
     """Mean time until an instance learns of a release update."""
-    stage_least: Ticks
+    min_stage_duration: Ticks
     """How long a stage lasts at least."""
-    boot: Ticks
+    mean_boot_time: Ticks
     """Mean time until a new server is up."""
-    cold: Ticks
+    warmup_duration: Ticks
     """How long a server warms up."""
-    cold_from: float
+    warmup_initial_fraction: float
     """Share of its capacity at its start."""
     offers: tuple[Offer, ...]
     faults: tuple[Fault, ...]
-    terms: Settings
+    settings: Settings
     """What the instances read at start."""
-    advance: int = 0
+    votes_to_promote: int = 0
     """Votes that promote a build; 0: half of the instances."""
-    caps: tuple[float, ...] = (0.08, 0.2, 0.5, 1.0, 1.0)
+    stage_caps: tuple[float, ...] = (0.08, 0.2, 0.5, 1.0, 1.0)
     """Share of the requests that may go to the build on trial, by stage."""
-    lists: float = 0.0
+    list_calls_per_second: float = 0.0
     """Calls a second that discovery answers; 0: it pushes lists."""
-    connections: int = 0
+    max_connections_per_pod: int = 0
     """That a server holds at most; 0: as many as come."""
-    tally_every: Ticks = 0
+    counts_interval: Ticks = 0
     """How often the platform tells what it counted; 0: never."""
-    tally_share: float = 0.1
+    counted_ratio: float = 0.1
     """Of the attempts that ended, which it counts."""
-    tally_lag: Ticks = 5_700
+    counts_delay: Ticks = 5_700
     """From the end of a period until its counts are told."""
-    machines_first: bool = True
+    stage_waits_for_machines: bool = True
     """Whether a stage's clock starts when its machines run, else with the stage."""
-    boot_spread: float = 0.3
+    boot_time_spread: float = 0.3
     """How far boot times differ from their mean, as a share of it."""
-    drain_after: Ticks = 0
+    drain_delay: Ticks = 0
     """From a release until the earlier machines drain."""
-    gone_after: Ticks = 4 * TICKS_PER_SECOND
+    drain_duration: Ticks = 4 * TICKS_PER_SECOND
     """From the begin of a drain until the machine is gone."""
-    list_every: Ticks = 0
+    list_batch_interval: Ticks = 0
     """Changes of the list are told together, at most so often; 0: each by itself."""
-    handshake: int = 0
+    mean_handshake_work: int = 0
     """Mean work of a new connection, which costs two round trips besides; 0: it costs none."""
 
 
 # The classes of small fleets.
-LANES = (
-    LaneMix(
+SMALL_FLEET_TRAFFIC = (
+    ClassTraffic(
         RequestClass(
             name="fetch",
             idempotency=Idempotency.IDEMPOTENT,
@@ -185,10 +185,10 @@
             late_priority_weight=0.0,
         ),
         share=0.7,
-        work=80,
-        spread=0.8,
+        mean_work=80,
+        work_variation=0.8,
     ),
-    LaneMix(
+    ClassTraffic(
         RequestClass(
             name="sync",
             idempotency=Idempotency.KEYED,
@@ -200,10 +200,10 @@
             late_priority_weight=0.2,
         ),
         share=0.2,
-        work=120,
-        spread=0.8,
+        mean_work=120,
+        work_variation=0.8,
     ),
-    LaneMix(
+    ClassTraffic(
         RequestClass(
             name="pay",
             idempotency=Idempotency.NON_IDEMPOTENT,
@@ -215,12 +215,12 @@
             late_priority_weight=0.2,
         ),
         share=0.1,
-        work=150,
-        spread=0.6,
+        mean_work=150,
+        work_variation=0.6,
     ),
 )
 # Fraction of the machines that runs the build on trial, by stage.
-WAVES = (0.04, 0.1, 0.25, 0.55, 1.0)
+STAGE_FRACTIONS = (0.04, 0.1, 0.25, 0.55, 1.0)
 # Jobs that wait at a server at most.
 QUEUE_LIMIT = 64
 # Share of its capacity that a server has at its start.
@@ -257,8 +257,8 @@
 DEFECTS = (Defect.ERRORS, Defect.SLOW, Defect.LATER, Defect.UNDER_LOAD)
 
 
-def settings_for(
-    lanes: tuple[LaneMix, ...],
+def make_settings(
+    lanes: tuple[ClassTraffic, ...],
     instances: int,
     *,
     warmup_duration: Ticks,
@@ -277,7 +277,7 @@
         votes_per_second: what the platform takes from all instances together.
     """
     return Settings(
-        request_classes={one.lane.name: one.lane for one in lanes},
+        request_classes={one.request_class.name: one.request_class for one in lanes},
         instances=instances,
         lists_polled=False,
         max_attempts=4,
@@ -294,7 +294,7 @@
         exposure_window=3 * TICKS_PER_SECOND,
         exposure_allowance=3.0,
         guarded_stages=2,
-        stage_fractions=WAVES,
+        stage_fractions=STAGE_FRACTIONS,
         exposure_by_class=False,
         sticky_keys=True,
         replaces_machines=False,
@@ -306,7 +306,7 @@
     )
 
 
-def drawn(
+def draw_day(
     seed: int,
     *,
     instances: int = 40,
@@ -314,9 +314,9 @@
     rate: float = 400.0,
     seconds: int = 40,
     load: float = 0.5,
-    troubles: int = 2,
-    offers: int = 1,
-    lanes: tuple[LaneMix, ...] = LANES,
+    fault_count: int = 2,
+    offer_count: int = 1,
+    lanes: tuple[ClassTraffic, ...] = SMALL_FLEET_TRAFFIC,
 ) -> Day:
     """Draws a day of a small fleet.
 
@@ -327,55 +327,55 @@
         rate: requests a second, of all instances.
         seconds: how long the day lasts.
         load: share of what all servers can do, by which their speed is set.
-        troubles: how many faults there are.
-        offers: how many builds are offered.
+        fault_count: how many faults there are.
+        offer_count: how many builds are offered.
         lanes: the request classes.
     """
     chance = np.random.Generator(np.random.PCG64(seed))
     span = seconds * TICKS_PER_SECOND
     cold = int(chance.uniform(3, 6) * TICKS_PER_SECOND)
-    work = sum(one.share * one.work for one in lanes) / TICKS_PER_SECOND
+    work = sum(one.share * one.mean_work for one in lanes) / TICKS_PER_SECOND
     speed = rate * work / (load * pods * CORES)
     # Few requests a server at a given load mean long ones: what clients bear grows with them.
     lanes = _stretched(lanes, max(1.0, 1 / speed))
     speeds = tuple(float(speed * one) for one in chance.uniform(0.8, 1.2, pods))
     shares = chance.lognormal(0, 0.8, instances)
     told = tuple(
-        _drawn_offer(chance, 2 + number, 4 + number * seconds / max(1, offers))
-        for number in range(offers)
+        _drawn_offer(chance, 2 + number, 4 + number * seconds / max(1, offer_count))
+        for number in range(offer_count)
     )
     faults = tuple(
         _drawn_fault(FaultKind(str(name)), chance, span, pods, instances)
-        for name in chance.choice(DRAWN_FAULTS, troubles, replace=False)
+        for name in chance.choice(DRAWN_FAULTS, fault_count, replace=False)
     )
     return Day(
         seed=seed,
-        span=span,
+        duration=span,
         instances=instances,
         pods=pods,
         zones=("a", "b", "c"),
         cores=CORES,
         speeds=speeds,
-        queue=QUEUE_LIMIT,
-        rate=rate,
-        busy=tuple(float(one) for one in shares / shares.sum()),
-        lanes=lanes,
+        queue_limit=QUEUE_LIMIT,
+        request_rate=rate,
+        instance_shares=tuple(float(one) for one in shares / shares.sum()),
+        traffic=lanes,
         keys=20_000,
-        zipf=0.9,
+        zipf_exponent=0.9,
         tenants=4,
-        retries=2,
-        heeds=0.7,
-        delay=(8, 0.3),
-        loss=0.0005,
-        list_lag=3000,
-        news_lag=3000,
-        stage_least=TICKS_PER_SECOND,
-        boot=2 * TICKS_PER_SECOND,
-        cold=cold,
-        cold_from=WARMUP_INITIAL_FRACTION,
+        client_retries=2,
+        retry_after_compliance=0.7,
+        network_delay=(8, 0.3),
+        loss_ratio=0.0005,
+        mean_list_delay=3000,
+        mean_release_update_delay=3000,
+        min_stage_duration=TICKS_PER_SECOND,
+        mean_boot_time=2 * TICKS_PER_SECOND,
+        warmup_duration=cold,
+        warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
         offers=told,
         faults=faults,
-        terms=settings_for(
+        settings=make_settings(
             lanes,
             instances,
             warmup_duration=cold,
@@ -386,13 +386,13 @@
     )
 
 
-def _stretched(lanes: tuple[LaneMix, ...], stretch: float) -> tuple[LaneMix, ...]:
+def _stretched(lanes: tuple[ClassTraffic, ...], stretch: float) -> tuple[ClassTraffic, ...]:
     """The same classes with their latency objectives and limits longer by this factor."""
     return tuple(
         one._replace(
-            lane=one.lane._replace(
-                latency_objective=int(one.lane.latency_objective * stretch),
-                outer_limit=int(one.lane.outer_limit * stretch),
+            request_class=one.request_class._replace(
+                latency_objective=int(one.request_class.latency_objective * stretch),
+                outer_limit=int(one.request_class.outer_limit * stretch),
             )
         )
         for one in lanes
@@ -412,10 +412,10 @@
         at=int(seconds * TICKS_PER_SECOND),
         build=build,
         good=good,
-        fails=float(chance.uniform(0.1, 0.5)) if fails else 0.0,
-        slow=float(chance.uniform(2, 4)) if slow else float(chance.uniform(0.9, 1.1)),
-        after=int(chance.uniform(2, 6) * TICKS_PER_SECOND) if later else 0,
-        load=float(chance.uniform(0.3, 0.6)) if under_load else 0.0,
+        failure_ratio=float(chance.uniform(0.1, 0.5)) if fails else 0.0,
+        slowdown=float(chance.uniform(2, 4)) if slow else float(chance.uniform(0.9, 1.1)),
+        fault_delay=int(chance.uniform(2, 6) * TICKS_PER_SECOND) if later else 0,
+        fault_load=float(chance.uniform(0.3, 0.6)) if under_load else 0.0,
     )
 
 
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -63,7 +63,7 @@
                 self.zone_of(place),
                 cores=day.cores,
                 speed=speed,
-                queue_most=day.queue,
+                queue_most=day.queue_limit,
                 build=first,
                 started=0,
             )
@@ -82,11 +82,11 @@
                 self.zone_of(place),
                 cores=day.cores,
                 speed=day.speeds[place],
-                queue_most=day.queue,
+                queue_most=day.queue_limit,
                 build=build,
                 started=self.simulator.now,
-                cold=day.cold,
-                cold_from=day.cold_from,
+                cold=day.warmup_duration,
+                cold_from=day.warmup_initial_fraction,
             )
         )
 
@@ -104,7 +104,7 @@
         leaving = self.up(predicate)
         for pod in leaving:
             pod.state = PodState.DRAINING
-            simulator.at(simulator.now + simulator.day.gone_after, self._remove, pod)
+            simulator.at(simulator.now + simulator.day.drain_duration, self._remove, pod)
         if leaving:
             self.announce(*(self.entry(pod) for pod in leaving))
 
@@ -134,8 +134,8 @@
                 queue_most=pod.queue_most,
                 build=pod.build,
                 started=self.simulator.now,
-                cold=day.cold,
-                cold_from=day.cold_from,
+                cold=day.warmup_duration,
+                cold_from=day.warmup_initial_fraction,
             )
             pod.state = PodState.DOWN
             self._drop_connections(pod.name)
@@ -175,11 +175,11 @@
     def announce(self, *entries: Endpoint) -> None:
         """Sends changes at once, or batched if the day sets an interval for lists."""
         simulator = self.simulator
-        if not simulator.day.list_every:
+        if not simulator.day.list_batch_interval:
             self._send(entries)
             return
         if not self._changes:
-            simulator.at(simulator.now + simulator.day.list_every, self._send_changes)
+            simulator.at(simulator.now + simulator.day.list_batch_interval, self._send_changes)
         self._changes.update((entry.address, entry) for entry in entries)
 
     def _send_changes(self) -> None:
@@ -190,7 +190,7 @@
         """Schedules the delivery of changes to each instance after a random delay."""
         simulator = self.simulator
         for instance in range(simulator.day.instances):
-            lag = simulator.day.list_lag * (0.5 + simulator.misc.random()) + self.list_delay
+            lag = simulator.day.mean_list_delay * (0.5 + simulator.misc.random()) + self.list_delay
             simulator.at(simulator.now + int(lag), self._deliver, instance, entries)
 
     def _deliver(self, instance: int, entries: Sequence[Endpoint]) -> None:
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -104,7 +104,7 @@
         """
         day = simulator.day
         self.simulator = simulator
-        last_stage = len(day.terms.stage_fractions) - 1
+        last_stage = len(day.settings.stage_fractions) - 1
         self.state = ReleaseState(FIRST_BUILD, last_stage, ReleasePhase.RELEASED, 1.0)
         self.builds = {FIRST_BUILD: Build(FIRST_BUILD)}
         self.trial_share = 0.0
@@ -113,7 +113,7 @@
         self._sample_draws = samples
         self._votes: dict[int, StandingVote] = {}
         self._stage_began_at: Ticks = 0
-        self._calls: float = VOTE_BURST_SECONDS * day.terms.votes_per_second
+        self._calls: float = VOTE_BURST_SECONDS * day.settings.votes_per_second
         self._calls_at: Ticks = 0
         self._counted: dict[tuple[int, str], CountedAttempts] = {}
 
@@ -126,7 +126,10 @@
         """Sends the state to each instance after a random delay."""
         simulator = self.simulator
         for instance in range(simulator.day.instances):
-            lag = simulator.day.news_lag * (0.5 + simulator.misc.random()) + self.news_delay
+            lag = (
+                simulator.day.mean_release_update_delay * (0.5 + simulator.misc.random())
+                + self.news_delay
+            )
             simulator.at(simulator.now + int(lag), self.told, instance, self.state)
 
     def told(
@@ -182,7 +185,7 @@
     def sample_attempt(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Counts an ended attempt if it is drawn for the sample."""
         day = self.simulator.day
-        if self._sample_draws.next() >= day.tally_share:
+        if self._sample_draws.next() >= day.counted_ratio:
             return
         counted = self._counted.setdefault((attempt.build, attempt.lane), CountedAttempts())
         counted.finished += 1
@@ -206,10 +209,10 @@
         ]
         self._counted = {}
         for instance in range(simulator.day.instances):
-            lag = int(simulator.day.tally_lag * (0.95 + 0.1 * self._sample_draws.next()))
+            lag = int(simulator.day.counts_delay * (0.95 + 0.1 * self._sample_draws.next()))
             simulator.at(simulator.now + lag, self._deliver_counts, instance, rows, simulator.now)
-        if simulator.now < simulator.day.span:
-            simulator.at(simulator.now + simulator.day.tally_every, self.end_period)
+        if simulator.now < simulator.day.duration:
+            simulator.at(simulator.now + simulator.day.counts_interval, self.end_period)
 
     def _deliver_counts(self, instance: int, rows: Sequence[CountsRow], end: Ticks) -> None:
         if self.simulator.is_off_platform(instance) or self.call_fault is not None:
@@ -226,14 +229,16 @@
             self._roll_back()
         self.builds[offer.build] = Build(
             offer.build,
-            offer.fails,
-            slow=offer.slow,
-            after=offer.after,
-            load=offer.load,
-            shared=offer.shared,
+            offer.failure_ratio,
+            slow=offer.slowdown,
+            after=offer.fault_delay,
+            load=offer.fault_load,
+            shared=offer.shared_slowdown,
         )
         self.trial_share = 0.0
-        self.state = ReleaseState(offer.build, 0, ReleasePhase.ON_TRIAL, simulator.day.caps[0])
+        self.state = ReleaseState(
+            offer.build, 0, ReleasePhase.ON_TRIAL, simulator.day.stage_caps[0]
+        )
         self._votes = {}
         if offer.good:
             simulator.results.newest_good = offer.build
@@ -245,18 +250,19 @@
         build, stage = self.state.build, self.state.stage
         simulator.results.add_course(simulator.now, build, CourseEvent.STAGE)
         self.announce()
-        server_count = max(1, round(day.terms.stage_fractions[stage] * day.pods))
+        server_count = max(1, round(day.settings.stage_fractions[stage] * day.pods))
         running = sum(pod.build.number == build for pod in simulator.servers.pods.values())
         places = range(running, server_count)
-        spread = day.boot_spread
+        spread = day.boot_time_spread
         boot_delays = [
-            int(day.boot * (1 - spread + 2 * spread * simulator.misc.random())) for _ in places
+            int(day.mean_boot_time * (1 - spread + 2 * spread * simulator.misc.random()))
+            for _ in places
         ]
         for place, boot_delay in zip(places, boot_delays, strict=True):
             simulator.at(simulator.now + boot_delay, self._boot, build, place)
-        boot_wait = max(boot_delays, default=0) + BOOT_MARGIN if day.machines_first else 0
+        boot_wait = max(boot_delays, default=0) + BOOT_MARGIN if day.stage_waits_for_machines else 0
         self._stage_began_at = simulator.now + boot_wait
-        simulator.at(self._stage_began_at + day.stage_least, self._count_votes, build, stage)
+        simulator.at(self._stage_began_at + day.min_stage_duration, self._count_votes, build, stage)
 
     def _boot(self, build: int, place: int) -> None:
         simulator = self.simulator
@@ -273,8 +279,8 @@
         simulator.results.released.append(build)
         simulator.results.add_course(simulator.now, build, CourseEvent.RELEASED)
         self.announce()
-        if simulator.day.drain_after:
-            simulator.at(simulator.now + simulator.day.drain_after, self._drain_earlier, build)
+        if simulator.day.drain_delay:
+            simulator.at(simulator.now + simulator.day.drain_delay, self._drain_earlier, build)
         else:
             self._drain_earlier(build)
 
@@ -310,7 +316,7 @@
         simulator, vote_calls = self.simulator, self.simulator.results.votes_asked
         cut_off = simulator.lives[instance] != life or simulator.is_off_platform(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
-            wait = simulator.day.terms.vote_timeout
+            wait = simulator.day.settings.vote_timeout
             simulator.at(simulator.now + wait, self._told_vote, instance, life, Outcome.TIMED_OUT)
             return
         vote_calls["asked"] += 1
@@ -336,7 +342,7 @@
     def _accept_call(self) -> bool:
         """Returns whether the rate limit allows one more call, and counts the call if so."""
         simulator = self.simulator
-        rate = simulator.day.terms.votes_per_second
+        rate = simulator.day.settings.votes_per_second
         refill = (simulator.now - self._calls_at) * rate / TICKS_PER_SECOND
         self._calls = min(VOTE_BURST_SECONDS * rate, self._calls + refill)
         self._calls_at = simulator.now
@@ -365,23 +371,23 @@
         verdicts = [
             vote.verdict
             for vote in self._votes.values()
-            if simulator.now - vote.at <= day.terms.vote_lifetime
+            if simulator.now - vote.at <= day.settings.vote_lifetime
         ]
-        needed = max(1, day.advance or day.instances // 2)
-        if verdicts.count(Verdict.ABORT) >= day.terms.votes_to_revert:
+        needed = max(1, day.votes_to_promote or day.instances // 2)
+        if verdicts.count(Verdict.ABORT) >= day.settings.votes_to_revert:
             simulator.results.sent_back.append(build)
             self._roll_back()
         elif (
             state.phase == ReleasePhase.ON_TRIAL
             and verdicts.count(Verdict.PROMOTE) >= needed
-            and simulator.now >= self._stage_began_at + day.stage_least
+            and simulator.now >= self._stage_began_at + day.min_stage_duration
         ):
             self._votes = {}
             self._promote()
 
     def _promote(self) -> None:
         next_stage = self.state.stage + 1
-        caps = self.simulator.day.caps
+        caps = self.simulator.day.stage_caps
         if next_stage >= len(caps):
             self._release()
             return
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -31,7 +31,7 @@
 from .fault_injection import FaultInjector
 from .invariants import Answer, InvariantChecker
 from .random_streams import Stream, gamma, zipf_keys
-from .scenarios import Day, LaneMix
+from .scenarios import ClassTraffic, Day
 from .server_fleet import Server, ServerFleet
 from .servers import PodState
 from .shared_services import IDLE_TIMEOUT, ConnectionKey, Connections, Discovery, poll_interval_of
@@ -99,13 +99,13 @@
         """
         self.day = day
         self.now: Ticks = 0
-        self.lanes: dict[str, LaneMix] = {one.lane.name: one for one in day.lanes}
+        self.lanes: dict[str, ClassTraffic] = {one.request_class.name: one for one in day.traffic}
         self.results = DayResults(day)
-        self.connections = Connections(day.connections)
+        self.connections = Connections(day.max_connections_per_pod)
         self.requests: dict[tuple[int, str], SimulatedRequest] = {}
         self.engines: dict[int, Any] = {}
         self.lives = [0] * day.instances
-        self.loss = day.loss
+        self.loss = day.loss_ratio
         self.burst = 1.0
         self.slow_all = 1.0
         self.lost_answers = 0.0
@@ -113,7 +113,7 @@
         self._policy = policy
         self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
         self._sequence = 0  # numbers scheduled calls and requests
-        self._cumulative_busy = list(accumulate(day.busy))
+        self._cumulative_busy = list(accumulate(day.instance_shares))
         # Time of the last answer, by connection key.
         self._answered_at: dict[ConnectionKey, Ticks] = {}
         self._draw_streams()
@@ -132,10 +132,13 @@
         arrivals, works, network, keys, clients, self.misc = generators
         self._gaps = Stream(lambda count: arrivals.exponential(1.0, count))
         self._arrival_draws = Stream(arrivals.random)
-        self._works = {one.lane.name: gamma(works, one.work, one.spread) for one in day.lanes}
-        self._delays = gamma(network, *day.delay)
+        self._works = {
+            one.request_class.name: gamma(works, one.mean_work, one.work_variation)
+            for one in day.traffic
+        }
+        self._delays = gamma(network, *day.network_delay)
         self._loss_draws = Stream(network.random)
-        self._keys = zipf_keys(keys, day.keys, day.zipf)
+        self._keys = zipf_keys(keys, day.keys, day.zipf_exponent)
         self._client_draws = Stream(clients.random)
         self._failure_draws = Stream(works.random)
         extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM_SEED]))
@@ -144,20 +147,22 @@
     def _new_checker(self) -> InvariantChecker:
         day = self.day
         return InvariantChecker(
-            {name: one.lane for name, one in self.lanes.items()},
+            {name: one.request_class for name, one in self.lanes.items()},
             DRAIN_GRACE,
             EXPOSURE_WINDOW,
             EXPOSURE_ALLOWANCE,
-            guarded=day.terms.guarded_stages,
-            cold=day.cold,
-            cold_from=day.cold_from,
-            overload=day.terms.overload_window,
+            guarded=day.settings.guarded_stages,
+            cold=day.warmup_duration,
+            cold_from=day.warmup_initial_fraction,
+            overload=day.settings.overload_window,
         )
 
     def _new_discovery(self) -> Discovery | None:
-        if not self.day.lists:
+        if not self.day.list_calls_per_second:
             return None
-        return Discovery(self.day.lists, self.at, lambda: self.now, self._deliver_list)
+        return Discovery(
+            self.day.list_calls_per_second, self.at, lambda: self.now, self._deliver_list
+        )
 
     def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedules a call at a moment."""
@@ -174,9 +179,9 @@
         for offer in day.offers:
             self.at(offer.at, self.platform.offer, offer)
         self.at(0, self._arrive)
-        if day.tally_every:
-            self.at(day.tally_every, self.platform.end_period)
-        last = day.span + FINAL_ANSWERS_DURATION
+        if day.counts_interval:
+            self.at(day.counts_interval, self.platform.end_period)
+        last = day.duration + FINAL_ANSWERS_DURATION
         while self._calls and self._calls[0][0] <= last:
             self.now, _, call, arguments = heapq.heappop(self._calls)
             call(*arguments)
@@ -190,7 +195,7 @@
         self.lives[instance] += 1
         life = self.lives[instance]
         seed = self.day.seed * 1000 + instance * 7 + life
-        self.engines[instance] = self._policy(self.day.terms, seed, self.now)
+        self.engines[instance] = self._policy(self.day.settings, seed, self.now)
         listed = self.servers.entries()
         self.servers.record_known(instance)
         self.platform.record_told(instance, self.platform.state)
@@ -270,14 +275,14 @@
 
     def _arrive(self) -> None:
         day = self.day
-        if self.now >= day.span:
+        if self.now >= day.duration:
             return
-        gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.burst)
+        gap = self._gaps.next() * TICKS_PER_SECOND / (day.request_rate * self.burst)
         self.at(self.now + max(1, round(gap)), self._arrive)
         instance = min(
             day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
         )
-        lane = self._draw_lane().lane
+        lane = self._draw_lane().request_class
         if lane.idempotency == Idempotency.NON_IDEMPOTENT:
             key = f"b{self._sequence}"
         else:
@@ -289,13 +294,13 @@
         request = SimulatedRequest(lane.name, key, tenant, self.now, ends, 0, work)
         self._ask(instance, request)
 
-    def _draw_lane(self) -> LaneMix:
+    def _draw_lane(self) -> ClassTraffic:
         remaining = self._arrival_draws.next()
-        for lane in self.day.lanes:
+        for lane in self.day.traffic:
             remaining -= lane.share
             if remaining < 0:
                 return lane
-        return self.day.lanes[-1]
+        return self.day.traffic[-1]
 
     def _ask(self, instance: int, request: SimulatedRequest) -> None:
         """Sends a client's request to an instance, unless its deadline has passed."""
@@ -332,7 +337,7 @@
         if request is None:
             return
         self.results.add_answer(answer)
-        lane = self.lanes[request.lane].lane
+        lane = self.lanes[request.lane].request_class
         if answer == Answer.DONE:
             self.results.add_done(
                 self.now, request.first_asked_at, lane, request.attempts[-1].build
@@ -348,10 +353,12 @@
         if not request.attempts:
             second = self.results.at(self.now)
             second.rejected += 1
-            objective = self.lanes[request.lane].lane.latency_objective
+            objective = self.lanes[request.lane].request_class.latency_objective
             second.needless += self._had_capacity(instance, objective)
-        if answer == Answer.DEFERRED and request.earlier_tries < self.day.retries:
-            delay = wait if self._client_draws.next() < self.day.heeds else RETRY_DELAY
+        if answer == Answer.DEFERRED and request.earlier_tries < self.day.client_retries:
+            delay = (
+                wait if self._client_draws.next() < self.day.retry_after_compliance else RETRY_DELAY
+            )
             again = SimulatedRequest(
                 request.lane,
                 request.key,
@@ -479,9 +486,9 @@
             return
         self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
         one_way_delay = self._delays.next()
-        if self.day.handshake and is_new:
+        if self.day.mean_handshake_work and is_new:
             one_way_delay *= NEW_CONNECTION_TRIPS
-            attempt.work += self.day.handshake * (0.5 + self._sample_draws.next())
+            attempt.work += self.day.mean_handshake_work * (0.5 + self._sample_draws.next())
         self.at(self.now + max(1, round(one_way_delay)), self._arrive_at_server, attempt)
 
     def _arrive_at_server(self, attempt: SimulatedAttempt) -> None:
@@ -519,7 +526,7 @@
 
     def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
         """Draws whether an attempt fails at its server and counts the harm done."""
-        build, lane = pod.build, self.lanes[attempt.lane].lane
+        build, lane = pod.build, self.lanes[attempt.lane].request_class
         fault_acts = build.strikes(pod, self.now, attempt.lane)
         fails = self._failure_draws.next() < (build.fails if fault_acts else BASE_FAILURE_RATIO)
         failing = self.servers.failing.get(pod.name)
@@ -545,7 +552,7 @@
             self.connections.give(self.now, _connection_key(attempt), attempt.pod, is_good)
         if self.lives[instance] != attempt.life or not self.runs(instance):
             return
-        if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
+        if self.day.counts_interval and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self.platform.sample_attempt(attempt, outcome)
         request = self.requests.get((instance, attempt.name))
         is_answered = self._is_answered(attempt)
