--- a/thymeknot/simulation/scenarios.py
+++ b/thymeknot/simulation/scenarios.py
@@ -225,13 +225,13 @@
 QUEUE_LIMIT = 64
 # Share of its capacity that a server has at its start.
 WARMUP_INITIAL_FRACTION = 0.31
-CORES = 2
+CORES_PER_POD = 2
 # What a small fleet's platform takes of votes, per second.
 VOTES_PER_SECOND = 150.0
 # One instance in so many is enough to roll a build back.
 INSTANCES_PER_REVERT_VOTE = 20
 # What a day's faults are drawn from. The order decides what a seed gives.
-DRAWN_FAULTS = (
+DRAWN_FAULT_KINDS = (
     FaultKind.SLOW_PODS,
     FaultKind.ERRORS,
     FaultKind.CONNECTION_LOSS,
@@ -241,7 +241,7 @@
     FaultKind.BURST,
 )
 # Places, or instances, that a fault strikes: one in so many.
-STRUCK_PART = 5
+TARGET_DIVISOR = 5
 
 
 class Defect(StrEnum):
@@ -249,16 +249,16 @@
 
     ERRORS = "errors"
     SLOW = "slow"
-    LATER = "errors after a while"
-    UNDER_LOAD = "errors where busy"
+    DELAYED_ERRORS = "errors after a while"
+    ERRORS_UNDER_LOAD = "errors where busy"
 
 
 # The order decides what a seed gives.
-DEFECTS = (Defect.ERRORS, Defect.SLOW, Defect.LATER, Defect.UNDER_LOAD)
+DEFECTS = (Defect.ERRORS, Defect.SLOW, Defect.DELAYED_ERRORS, Defect.ERRORS_UNDER_LOAD)
 
 
 def make_settings(
-    lanes: tuple[ClassTraffic, ...],
+    traffic: tuple[ClassTraffic, ...],
     instances: int,
     *,
     warmup_duration: Ticks,
@@ -269,7 +269,7 @@
     """What the instances of a simulated fleet read at start.
 
     Args:
-        lanes: the request classes.
+        traffic: the request classes.
         instances: how many sidecars there are.
         warmup_duration: how long a server warms up.
         warmup_initial_fraction: share of its capacity at its start.
@@ -277,7 +277,7 @@
         votes_per_second: what the platform takes from all instances together.
     """
     return Settings(
-        request_classes={one.request_class.name: one.request_class for one in lanes},
+        request_classes={entry.request_class.name: entry.request_class for entry in traffic},
         instances=instances,
         lists_polled=False,
         max_attempts=4,
@@ -316,7 +316,7 @@
     load: float = 0.5,
     fault_count: int = 2,
     offer_count: int = 1,
-    lanes: tuple[ClassTraffic, ...] = SMALL_FLEET_TRAFFIC,
+    traffic: tuple[ClassTraffic, ...] = SMALL_FLEET_TRAFFIC,
 ) -> Day:
     """Draws a day of a small fleet.
 
@@ -329,37 +329,39 @@
         load: share of what all servers can do, by which their speed is set.
         fault_count: how many faults there are.
         offer_count: how many builds are offered.
-        lanes: the request classes.
+        traffic: the request classes.
     """
-    chance = np.random.Generator(np.random.PCG64(seed))
-    span = seconds * TICKS_PER_SECOND
-    cold = int(chance.uniform(3, 6) * TICKS_PER_SECOND)
-    work = sum(one.share * one.mean_work for one in lanes) / TICKS_PER_SECOND
-    speed = rate * work / (load * pods * CORES)
+    generator = np.random.Generator(np.random.PCG64(seed))
+    duration = seconds * TICKS_PER_SECOND
+    warmup_duration = int(generator.uniform(3, 6) * TICKS_PER_SECOND)
+    mean_work = sum(entry.share * entry.mean_work for entry in traffic) / TICKS_PER_SECOND
+    mean_speed = rate * mean_work / (load * pods * CORES_PER_POD)
     # Few requests a server at a given load mean long ones: what clients bear grows with them.
-    lanes = _stretched(lanes, max(1.0, 1 / speed))
-    speeds = tuple(float(speed * one) for one in chance.uniform(0.8, 1.2, pods))
-    shares = chance.lognormal(0, 0.8, instances)
-    told = tuple(
-        _drawn_offer(chance, 2 + number, 4 + number * seconds / max(1, offer_count))
-        for number in range(offer_count)
+    traffic = _scale_limits(traffic, max(1.0, 1 / mean_speed))
+    speeds = tuple(float(mean_speed * factor) for factor in generator.uniform(0.8, 1.2, pods))
+    instance_weights = generator.lognormal(0, 0.8, instances)
+    drawn_offers = tuple(
+        _draw_offer(generator, 2 + index, 4 + index * seconds / max(1, offer_count))
+        for index in range(offer_count)
     )
     faults = tuple(
-        _drawn_fault(FaultKind(str(name)), chance, span, pods, instances)
-        for name in chance.choice(DRAWN_FAULTS, fault_count, replace=False)
+        _draw_fault(FaultKind(str(name)), generator, duration, pods, instances)
+        for name in generator.choice(DRAWN_FAULT_KINDS, fault_count, replace=False)
     )
     return Day(
         seed=seed,
-        duration=span,
+        duration=duration,
         instances=instances,
         pods=pods,
         zones=("a", "b", "c"),
-        cores=CORES,
+        cores=CORES_PER_POD,
         speeds=speeds,
         queue_limit=QUEUE_LIMIT,
         request_rate=rate,
-        instance_shares=tuple(float(one) for one in shares / shares.sum()),
-        traffic=lanes,
+        instance_shares=tuple(
+            float(weight) for weight in instance_weights / instance_weights.sum()
+        ),
+        traffic=traffic,
         keys=20_000,
         zipf_exponent=0.9,
         tenants=4,
@@ -371,14 +373,14 @@
         mean_release_update_delay=3000,
         min_stage_duration=TICKS_PER_SECOND,
         mean_boot_time=2 * TICKS_PER_SECOND,
-        warmup_duration=cold,
+        warmup_duration=warmup_duration,
         warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
-        offers=told,
+        offers=drawn_offers,
         faults=faults,
         settings=make_settings(
-            lanes,
+            traffic,
             instances,
-            warmup_duration=cold,
+            warmup_duration=warmup_duration,
             warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
             votes_to_revert=instances // INSTANCES_PER_REVERT_VOTE,
             votes_per_second=VOTES_PER_SECOND,
@@ -386,67 +388,67 @@
     )
 
 
-def _stretched(lanes: tuple[ClassTraffic, ...], stretch: float) -> tuple[ClassTraffic, ...]:
+def _scale_limits(traffic: tuple[ClassTraffic, ...], factor: float) -> tuple[ClassTraffic, ...]:
     """The same classes with their latency objectives and limits longer by this factor."""
     return tuple(
-        one._replace(
-            request_class=one.request_class._replace(
-                latency_objective=int(one.request_class.latency_objective * stretch),
-                outer_limit=int(one.request_class.outer_limit * stretch),
+        entry._replace(
+            request_class=entry.request_class._replace(
+                latency_objective=int(entry.request_class.latency_objective * factor),
+                outer_limit=int(entry.request_class.outer_limit * factor),
             )
         )
-        for one in lanes
+        for entry in traffic
     )
 
 
-def _drawn_offer(chance: Generator, build: int, seconds: float) -> Offer:
+def _draw_offer(generator: Generator, build: int, seconds: float) -> Offer:
     """A build that is offered at this second, good or bad with equal chance."""
-    good = bool(chance.random() < 0.5)
+    is_good = bool(generator.random() < 0.5)
     # It is drawn for a good build too.
-    defect = DEFECTS[int(chance.integers(0, len(DEFECTS)))]
-    fails = not good and defect != Defect.SLOW
-    slow = not good and defect == Defect.SLOW
-    later = not good and defect == Defect.LATER
-    under_load = not good and defect == Defect.UNDER_LOAD
+    defect = DEFECTS[int(generator.integers(0, len(DEFECTS)))]
+    has_errors = not is_good and defect != Defect.SLOW
+    is_slow = not is_good and defect == Defect.SLOW
+    is_delayed = not is_good and defect == Defect.DELAYED_ERRORS
+    needs_load = not is_good and defect == Defect.ERRORS_UNDER_LOAD
     return Offer(
         at=int(seconds * TICKS_PER_SECOND),
         build=build,
-        good=good,
-        failure_ratio=float(chance.uniform(0.1, 0.5)) if fails else 0.0,
-        slowdown=float(chance.uniform(2, 4)) if slow else float(chance.uniform(0.9, 1.1)),
-        fault_delay=int(chance.uniform(2, 6) * TICKS_PER_SECOND) if later else 0,
-        fault_load=float(chance.uniform(0.3, 0.6)) if under_load else 0.0,
+        good=is_good,
+        failure_ratio=float(generator.uniform(0.1, 0.5)) if has_errors else 0.0,
+        slowdown=float(generator.uniform(2, 4)) if is_slow else float(generator.uniform(0.9, 1.1)),
+        fault_delay=int(generator.uniform(2, 6) * TICKS_PER_SECOND) if is_delayed else 0,
+        fault_load=float(generator.uniform(0.3, 0.6)) if needs_load else 0.0,
     )
 
 
-def _drawn_fault(
-    kind: FaultKind, chance: Generator, span: Ticks, pods: int, instances: int
+def _draw_fault(
+    kind: FaultKind, generator: Generator, duration: Ticks, pods: int, instances: int
 ) -> Fault:
     """A fault of this kind. What any kind needs is drawn for each, in this order."""
-    begin = int(chance.uniform(0.15, 0.7) * span)
-    end = begin + int(chance.uniform(0.1, 0.25) * span)
-    places = _drawn_part(chance, pods)
-    slow = float(chance.uniform(1.5, 3))
-    failing = float(chance.uniform(0.3, 0.8))
-    lost = float(chance.uniform(0.02, 0.15))
-    list_delay = float(chance.uniform(1, 4)) * TICKS_PER_SECOND
-    update_delay = float(chance.uniform(1, 5)) * TICKS_PER_SECOND
-    restarted = _drawn_part(chance, instances)
-    restart_time = float(chance.uniform(0.3, 2)) * TICKS_PER_SECOND
-    burst = float(chance.uniform(1.3, 2.0))
-    struck: dict[FaultKind, tuple[tuple[int, ...], float]] = {
-        FaultKind.SLOW_PODS: (places, slow),
-        FaultKind.ERRORS: (places[:1], failing),
-        FaultKind.CONNECTION_LOSS: ((), lost),
+    begin = int(generator.uniform(0.15, 0.7) * duration)
+    end = begin + int(generator.uniform(0.1, 0.25) * duration)
+    places = _draw_targets(generator, pods)
+    slowdown = float(generator.uniform(1.5, 3))
+    failure_ratio = float(generator.uniform(0.3, 0.8))
+    loss_ratio = float(generator.uniform(0.02, 0.15))
+    list_delay = float(generator.uniform(1, 4)) * TICKS_PER_SECOND
+    update_delay = float(generator.uniform(1, 5)) * TICKS_PER_SECOND
+    restarted = _draw_targets(generator, instances)
+    restart_delay = float(generator.uniform(0.3, 2)) * TICKS_PER_SECOND
+    rate_factor = float(generator.uniform(1.3, 2.0))
+    effects: dict[FaultKind, tuple[tuple[int, ...], float]] = {
+        FaultKind.SLOW_PODS: (places, slowdown),
+        FaultKind.ERRORS: (places[:1], failure_ratio),
+        FaultKind.CONNECTION_LOSS: ((), loss_ratio),
         FaultKind.LATE_LISTS: ((), list_delay),
         FaultKind.LATE_RELEASE_UPDATES: ((), update_delay),
-        FaultKind.RESTARTS: (restarted, restart_time),
-        FaultKind.BURST: ((), burst),
+        FaultKind.RESTARTS: (restarted, restart_delay),
+        FaultKind.BURST: ((), rate_factor),
     }
-    return Fault(kind, begin, end, *struck[kind])
+    return Fault(kind, begin, end, *effects[kind])
 
 
-def _drawn_part(chance: Generator, count: int) -> tuple[int, ...]:
-    """One in STRUCK_PART of so many, one at least, by number."""
-    part = max(1, count // STRUCK_PART)
-    return tuple(int(one) for one in chance.choice(count, part, replace=False))
+def _draw_targets(generator: Generator, count: int) -> tuple[int, ...]:
+    """One in TARGET_DIVISOR of so many, one at least, by number."""
+    target_count = max(1, count // TARGET_DIVISOR)
+    return tuple(int(number) for number in generator.choice(count, target_count, replace=False))
