--- a/thymeknot/simulation/scenarios.py
+++ b/thymeknot/simulation/scenarios.py
@@ -1,7 +1,7 @@
-"""What a day holds: the fleet, its traffic, its builds and the faults on a timeline.
+"""Scenarios of simulated days: a fleet, its traffic, the builds offered and a timeline of faults.
 
-A day is drawn from ranges by a seed; the same seed gives the same day, byte by byte, wherever it is
-drawn. Times are ticks (tenths of a millisecond).
+The parameters of a day are drawn from ranges with a seeded generator. The same seed gives the same
+day, byte for byte, in any process. Times are in ticks (tenths of a millisecond).
 """
 
 from enum import StrEnum
@@ -16,162 +16,169 @@
 
 
 class ClassTraffic(NamedTuple):
-    """A request class and its part of the traffic."""
+    """The traffic of a request class."""
 
     request_class: RequestClass
     share: float
-    """Of the requests."""
+    """Ratio of all requests that belong to the class."""
     mean_work: float
-    """Mean, in ticks on one core of speed 1."""
+    """Mean service time of a request in ticks on one core of speed 1."""
     work_variation: float
-    """Standard deviation of the work over its mean; 1 is exponential."""
+    """Standard deviation of the work divided by its mean; 1 gives an exponential distribution."""
 
 
 class FaultKind(StrEnum):
-    """What a fault does. `what` and `size` are the fields of Fault."""
+    """The kinds of faults, with the meaning of `targets` and `magnitude` for each."""
 
     SLOW_PODS = "pods"
-    """The servers at the places `what` are slower by the factor `size`."""
+    """The servers at the places `targets` are slower by the factor `magnitude`."""
     ERRORS = "ill"
-    """The first servers at the places `what` fail a share `size` of their jobs."""
+    """The initial servers at the places `targets` fail a ratio `magnitude` of their jobs."""
     CONNECTION_LOSS = "network"
-    """A share `size` of the attempts is lost."""
+    """A ratio `magnitude` of the attempts is lost."""
     LATE_LISTS = "discovery"
-    """Endpoint lists come `size` ticks later."""
+    """Endpoint lists are delayed by `magnitude` more ticks."""
     LATE_RELEASE_UPDATES = "platform"
-    """Release updates come `size` ticks later."""
+    """Release updates are delayed by `magnitude` more ticks."""
     RESTARTS = "kill"
-    """The instances `what` die and start again after about `size` ticks."""
+    """The instances `targets` are killed and start again after about `magnitude` ticks."""
     BURST = "burst"
-    """The request rate is multiplied by `size`."""
+    """The request rate is multiplied by `magnitude`."""
     PAUSES = "pause"
-    """The servers at the places `what` stand still again and again, for about `size` ticks."""
+    """The servers at the places `targets` pause repeatedly for about `magnitude` ticks."""
     SILENT_PODS = "silent"
-    """The servers at the places `what` take requests and do not answer."""
+    """The servers at the places `targets` accept requests but never answer."""
     ZONE_LOSS = "zone"
-    """All servers of the zone `what` are silent and start anew at the end."""
+    """All servers of the zone in `targets` never answer; at the end of the fault they restart."""
     ZONE_PARTITION = "cut"
-    """The zones `what` do not reach the others."""
+    """The zones `targets` are partitioned from the others."""
     LOST_RESPONSES = "lost answers"
-    """A share `size` of the answers is lost."""
+    """A ratio `magnitude` of the answers is lost."""
     SLOW_ALL = "slow all"
-    """All work takes `size` times as long."""
+    """All work takes `magnitude` times as long."""
     PLATFORM_CALL_FAILURES = "calls"
-    """Calls of the platform fail: 0 silent, 1 refused."""
+    """Calls to the platform get no answer if `magnitude` is 0, or are rejected if it is 1."""
 
 
 class Fault(NamedTuple):
-    """A fault on the timeline."""
+    """A fault on the timeline of a day."""
 
     kind: FaultKind
     begin: Ticks
     end: Ticks
     targets: tuple[int, ...]
-    """Whom it strikes: places, instances or zones by number; empty: all."""
+    """Numbers of the affected places, instances or zones; empty if the fault affects all."""
     magnitude: float
-    """How hard; see FaultKind."""
+    """Strength of the fault; FaultKind gives its meaning for each kind."""
 
 
 class Offer(NamedTuple):
     """A build that the platform offers."""
 
     at: Ticks
-    """When."""
+    """When the build is offered."""
     build: int
     good: bool
-    """Whether it should be released."""
+    """Whether the build should be released."""
     failure_ratio: float
-    """Share of the attempts that fail while its fault acts."""
+    """Ratio of attempts that fail while the fault is active."""
     slowdown: float
-    """Factor of the work while its fault acts."""
+    """Factor applied to the work while the fault is active."""
     fault_delay: Ticks
-    """From the start of a server until the fault acts."""
+    """Time from the start of a server until the fault becomes active."""
     fault_load: float
-    """Share of a server's cores that must be busy for the fault to act."""
+    """Ratio of a server's cores that must be busy for the fault to be active."""
     shared_slowdown: float = 0.0
-    """Factor that slows all servers, by this build's share of the attempts."""
+    """Slowdown of all servers, scaled by this build's share of the attempts."""
 
 
 class Day(NamedTuple):
-    """All that happens on a day. Servers of different builds stand at a place in turn."""
+    """The scenario of a day.
+
+    Servers run at numbered places; servers of different builds succeed each other at a place.
+    """
 
     seed: int
     duration: Ticks
-    """How long new requests come."""
+    """How long clients send new requests."""
     instances: int
-    """Sidecars."""
+    """Number of sidecars."""
     pods: int
-    """Places of servers."""
+    """Number of places for servers."""
     zones: tuple[str, ...]
     cores: int
-    """Of each server."""
+    """Number of cores per server."""
     speeds: tuple[float, ...]
-    """Of each place: the work that a core does in a tick."""
+    """Work that a core completes per tick, by place."""
     queue_limit: int
-    """Jobs that wait at a server at most."""
+    """Maximum number of queued jobs per server."""
     request_rate: float
-    """Requests a second, of all instances."""
+    """Requests per second to all instances together."""
     instance_shares: tuple[float, ...]
-    """Share of the traffic of each instance."""
+    """Ratio of the traffic that each instance receives."""
     traffic: tuple[ClassTraffic, ...]
     keys: int
-    """How many keys requests have."""
+    """Number of different keys of requests."""
     zipf_exponent: float
-    """Exponent of the popularity of keys."""
+    """Exponent of the Zipf distribution of the keys' popularity."""
     tenants: int
+    """Number of tenants."""
     client_retries: int
-    """Attempts of a client after a rejection."""
+    """Maximum number of times that a client sends a rejected request again."""
     retry_after_compliance: float
-    """Share of the clients that heed retry-after."""
+    """Probability that a client observes the retry-after time of a rejection."""
     network_delay: tuple[float, float]
-    """Of the network, one way: mean in ticks, standard deviation over mean."""
+    """One-way delay: mean in ticks, and standard deviation divided by the mean."""
     loss_ratio: float
-    """Share of the attempts that is lost."""
+    """Ratio of attempts that are lost without any fault."""
     mean_list_delay: Ticks
-    """Mean time until an instance learns of a changed endpoint."""
+    """Mean time until an instance learns of a change to an endpoint."""
     mean_release_update_delay: Ticks
     """Mean time until an instance learns of a release update."""
     min_stage_duration: Ticks
-    """How long a stage lasts at least."""
+    """Minimum duration of a stage."""
     mean_boot_time: Ticks
-    """Mean time until a new server is up."""
+    """Mean time until a new server runs."""
     warmup_duration: Ticks
-    """How long a server warms up."""
+    """Duration of the warm-up after the start of a server."""
     warmup_initial_fraction: float
-    """Share of its capacity at its start."""
+    """Ratio of its full capacity that a server has at its start."""
     offers: tuple[Offer, ...]
     faults: tuple[Fault, ...]
     settings: Settings
-    """What the instances read at start."""
+    """Settings that the instances read at start."""
     votes_to_promote: int = 0
-    """Votes that promote a build; 0: half of the instances."""
+    """Number of votes that promote a build; 0 for half of the instances."""
     stage_caps: tuple[float, ...] = (0.08, 0.2, 0.5, 1.0, 1.0)
-    """Share of the requests that may go to the build on trial, by stage."""
+    """Maximum ratio of requests that may go to the build on trial, by stage."""
     list_calls_per_second: float = 0.0
-    """Calls a second that discovery answers; 0: it pushes lists."""
+    """Calls for endpoint lists that discovery answers per second; 0 if it pushes lists."""
     max_connections_per_pod: int = 0
-    """That a server holds at most; 0: as many as come."""
+    """Maximum number of connections per server; 0 for no limit."""
     counts_interval: Ticks = 0
-    """How often the platform tells what it counted; 0: never."""
+    """Interval at which the platform sends its counts of attempts; 0 if it sends none."""
     counted_ratio: float = 0.1
-    """Of the attempts that ended, which it counts."""
+    """Ratio of the ended attempts that the platform counts."""
     counts_delay: Ticks = 5_700
-    """From the end of a period until its counts are told."""
+    """Time from the end of a counting period until the instances receive its counts."""
     stage_waits_for_machines: bool = True
-    """Whether a stage's clock starts when its machines run, else with the stage."""
+    """Whether a stage's clock starts once its machines run, rather than with the stage."""
     boot_time_spread: float = 0.3
-    """How far boot times differ from their mean, as a share of it."""
+    """Maximum deviation of boot times from their mean, as a ratio of it."""
     drain_delay: Ticks = 0
-    """From a release until the earlier machines drain."""
+    """Time from a release until the machines of earlier builds begin to drain."""
     drain_duration: Ticks = 4 * TICKS_PER_SECOND
-    """From the begin of a drain until the machine is gone."""
+    """Time from the start of a drain until the machine is gone."""
     list_batch_interval: Ticks = 0
-    """Changes of the list are told together, at most so often; 0: each by itself."""
+    """Interval at which list changes are sent in batches; 0 if each is sent by itself."""
     mean_handshake_work: int = 0
-    """Mean work of a new connection, which costs two round trips besides; 0: it costs none."""
+    """Mean work of opening a connection, in ticks on one core of speed 1.
+
+    A new connection also costs two round trips; if this is 0, it costs neither.
+    """
 
 
-# The classes of small fleets.
+# Traffic of small fleets.
 SMALL_FLEET_TRAFFIC = (
     ClassTraffic(
         RequestClass(
@@ -219,18 +226,18 @@
         work_variation=0.6,
     ),
 )
-# Fraction of the machines that runs the build on trial, by stage.
+# Fraction of the machines that run the build on trial, by stage.
 STAGE_FRACTIONS = (0.04, 0.1, 0.25, 0.55, 1.0)
-# Jobs that wait at a server at most.
+# Maximum number of queued jobs per server.
 QUEUE_LIMIT = 64
-# Share of its capacity that a server has at its start.
+# Ratio of its full capacity that a server has at its start.
 WARMUP_INITIAL_FRACTION = 0.31
 CORES_PER_POD = 2
-# What a small fleet's platform takes of votes, per second.
+# Rate limit of a small fleet's platform for votes.
 VOTES_PER_SECOND = 150.0
-# One instance in so many is enough to roll a build back.
+# Votes of one in this many instances roll a build back.
 INSTANCES_PER_REVERT_VOTE = 20
-# What a day's faults are drawn from. The order decides what a seed gives.
+# Kinds from which a day's faults are drawn. The order determines which day a seed gives.
 DRAWN_FAULT_KINDS = (
     FaultKind.SLOW_PODS,
     FaultKind.ERRORS,
@@ -240,12 +247,12 @@
     FaultKind.RESTARTS,
     FaultKind.BURST,
 )
-# Places, or instances, that a fault strikes: one in so many.
+# A fault affects one in this many places or instances.
 TARGET_DIVISOR = 5
 
 
 class Defect(StrEnum):
-    """How a bad build of a small fleet is bad."""
+    """The defects of bad builds in a small fleet."""
 
     ERRORS = "errors"
     SLOW = "slow"
@@ -253,7 +260,7 @@
     ERRORS_UNDER_LOAD = "errors where busy"
 
 
-# The order decides what a seed gives.
+# The order determines which day a seed gives.
 DEFECTS = (Defect.ERRORS, Defect.SLOW, Defect.DELAYED_ERRORS, Defect.ERRORS_UNDER_LOAD)
 
 
@@ -266,15 +273,15 @@
     votes_to_revert: int,
     votes_per_second: float,
 ) -> Settings:
-    """What the instances of a simulated fleet read at start.
+    """Returns the settings that the instances of a simulated fleet read at start.
 
     Args:
-        traffic: the request classes.
-        instances: how many sidecars there are.
-        warmup_duration: how long a server warms up.
-        warmup_initial_fraction: share of its capacity at its start.
-        votes_to_revert: votes that roll a build back; one at least.
-        votes_per_second: what the platform takes from all instances together.
+        traffic: The request classes and their traffic.
+        instances: Number of sidecars.
+        warmup_duration: Duration of the warm-up after the start of a server.
+        warmup_initial_fraction: Ratio of its full capacity that a server has at its start.
+        votes_to_revert: Number of votes that roll a build back; values below 1 are raised to 1.
+        votes_per_second: The platform's rate limit for votes of all instances together.
     """
     return Settings(
         request_classes={entry.request_class.name: entry.request_class for entry in traffic},
@@ -321,22 +328,23 @@
     """Draws a day of a small fleet.
 
     Args:
-        seed: what the day is drawn from.
-        instances: how many sidecars there are.
-        pods: how many servers.
-        rate: requests a second, of all instances.
-        seconds: how long the day lasts.
-        load: share of what all servers can do, by which their speed is set.
-        fault_count: how many faults there are.
-        offer_count: how many builds are offered.
-        traffic: the request classes.
+        seed: Seed of the random numbers.
+        instances: Number of sidecars.
+        pods: Number of servers.
+        rate: Requests per second to all instances together.
+        seconds: Duration of the day.
+        load: Utilization of all servers together; it determines their speed.
+        fault_count: Number of faults.
+        offer_count: Number of builds that are offered.
+        traffic: The request classes and their traffic.
     """
     generator = np.random.Generator(np.random.PCG64(seed))
     duration = seconds * TICKS_PER_SECOND
     warmup_duration = int(generator.uniform(3, 6) * TICKS_PER_SECOND)
     mean_work = sum(entry.share * entry.mean_work for entry in traffic) / TICKS_PER_SECOND
     mean_speed = rate * mean_work / (load * pods * CORES_PER_POD)
-    # Few requests a server at a given load mean long ones: what clients bear grows with them.
+    # At a given load, fewer requests per server take longer each. The latency objectives and limits
+    # of clients are extended accordingly.
     traffic = _scale_limits(traffic, max(1.0, 1 / mean_speed))
     speeds = tuple(float(mean_speed * factor) for factor in generator.uniform(0.8, 1.2, pods))
     instance_weights = generator.lognormal(0, 0.8, instances)
@@ -389,7 +397,7 @@
 
 
 def _scale_limits(traffic: tuple[ClassTraffic, ...], factor: float) -> tuple[ClassTraffic, ...]:
-    """The same classes with their latency objectives and limits longer by this factor."""
+    """Multiplies the latency objectives and outer limits of all classes by a factor."""
     return tuple(
         entry._replace(
             request_class=entry.request_class._replace(
@@ -402,9 +410,9 @@
 
 
 def _draw_offer(generator: Generator, build: int, seconds: float) -> Offer:
-    """A build that is offered at this second, good or bad with equal chance."""
+    """Draws a build that is offered at this second; it is good with probability 1/2."""
     is_good = bool(generator.random() < 0.5)
-    # It is drawn for a good build too.
+    # Drawn for a good build, too: without this draw, a seed would give other values from here on.
     defect = DEFECTS[int(generator.integers(0, len(DEFECTS)))]
     has_errors = not is_good and defect != Defect.SLOW
     is_slow = not is_good and defect == Defect.SLOW
@@ -424,7 +432,11 @@
 def _draw_fault(
     kind: FaultKind, generator: Generator, duration: Ticks, pods: int, instances: int
 ) -> Fault:
-    """A fault of this kind. What any kind needs is drawn for each, in this order."""
+    """Draws a fault of a kind.
+
+    The parameters of all kinds are drawn in a fixed order, so that the number of draws does not
+    depend on the kind.
+    """
     begin = int(generator.uniform(0.15, 0.7) * duration)
     end = begin + int(generator.uniform(0.1, 0.25) * duration)
     places = _draw_targets(generator, pods)
@@ -449,6 +461,6 @@
 
 
 def _draw_targets(generator: Generator, count: int) -> tuple[int, ...]:
-    """One in TARGET_DIVISOR of so many, one at least, by number."""
+    """Draws one in TARGET_DIVISOR of `count` numbers, starting at 0; at least one is drawn."""
     target_count = max(1, count // TARGET_DIVISOR)
     return tuple(int(number) for number in generator.choice(count, target_count, replace=False))
