--- a/thymeknot/simulation/large_fleet_scenarios.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -27,7 +27,7 @@
 VAST_SEED_OFFSET = 100
 MASS_SEED_OFFSET = 200
 # The other fault of a vast day. The order decides what a seed gives.
-BESIDE = (
+ADDITIONAL_FAULT_KINDS = (
     FaultKind.SLOW_ALL,
     FaultKind.BURST,
     FaultKind.PLATFORM_CALL_FAILURES,
@@ -98,42 +98,42 @@
     ),
 )
 # Latency objective and outer limit of the classes on mass days.
-MASS_GOALS = {
+MASS_LATENCY_LIMITS = {
     "fetch": (8_300, 21_000),
     "sync": (26_000, 78_000),
     "buy": (8_300, 26_000),
     "pay": (15_500, 41_000),
 }
 # Of the instances: votes that promote a build.
-ADVANCE = 0.6
+VOTES_TO_PROMOTE_RATIO = 0.6
 # Of the instances: votes that roll a build back.
-REVERT = 0.25
+VOTES_TO_REVERT_RATIO = 0.25
 ZONES = ("a", "b", "c")
-CORES = 2
+CORES_PER_POD = 2
 # Jobs that wait at a server at most.
 QUEUE_LIMIT = 32
 KEYS = 12_000
 # Exponent of the popularity of keys.
-ZIPF = 0.75
+ZIPF_EXPONENT = 0.75
 TENANTS = 4
 # Of the network, one way: mean in ticks, standard deviation over mean.
-DELAY = (12, 0.5)
+NETWORK_DELAY = (12, 0.5)
 # Share of the attempts that is lost.
-LOSS = 0.0005
+LOSS_RATIO = 0.0005
 # Share of its capacity that a server has at its start; on mass days the least that it may have.
 WARMUP_INITIAL_FRACTION = 0.35
 MASS_WARMUP_INITIAL_FRACTION = 0.31
 # Of vast and mass days: the machines by stage, and the share of the requests.
-THREE_STAGES = (0.08, 0.25, 1.0)
-THREE_CAPS = (0.16, 0.5, 1.0)
+THREE_STAGE_FRACTIONS = (0.08, 0.25, 1.0)
+THREE_STAGE_CAPS = (0.16, 0.5, 1.0)
 # Groups of instances that restart one after the other.
-ROLLING_GROUPS = 10
-# Seconds at which builds are offered on a mass day of MASS_SECONDS.
-MASS_OFFERS = (4.75, 23.75)
-MASS_SECONDS = 46
+RESTART_GROUPS = 10
+# Seconds at which builds are offered on a mass day of MASS_DAY_SECONDS.
+MASS_OFFER_SECONDS = (4.75, 23.75)
+MASS_DAY_SECONDS = 46
 
 
-class Window(NamedTuple):
+class TimeWindow(NamedTuple):
     """The worst time of a day."""
 
     begin: Ticks
@@ -144,10 +144,10 @@
     """A day and when the worst of it is."""
 
     day: Day
-    worst: Window
+    worst_window: TimeWindow
 
 
-class Trouble(NamedTuple):
+class FaultPlan(NamedTuple):
     """The faults of a day, and when the worst of them is."""
 
     faults: tuple[Fault, ...]
@@ -155,234 +155,258 @@
     end: Ticks
 
 
-class Draws(NamedTuple):
+class FaultSampler(NamedTuple):
     """What the faults of a day are drawn from and for."""
 
-    chance: Generator
+    generator: Generator
     instances: int
     pods: int
-    span: Ticks
+    duration: Ticks
     """Of the day."""
 
-    def part(self, count: int, share: float) -> tuple[int, ...]:
+    def sample(self, count: int, ratio: float) -> tuple[int, ...]:
         """This share of so many, one at least, by number."""
-        size = max(1, round(count * share))
-        return tuple(int(one) for one in self.chance.choice(count, size, replace=False))
+        sample_size = max(1, round(count * ratio))
+        return tuple(
+            int(number) for number in self.generator.choice(count, sample_size, replace=False)
+        )
 
-    def between(self, low: float, high: float) -> float:
+    def uniform(self, low: float, high: float) -> float:
         """A number between these."""
-        return float(self.chance.uniform(low, high))
+        return float(self.generator.uniform(low, high))
 
-    def ticks(self, low: float, high: float) -> float:
+    def uniform_ticks(self, low: float, high: float) -> float:
         """A duration between these, given in seconds."""
-        return self.between(low, high) * TICKS_PER_SECOND
+        return self.uniform(low, high) * TICKS_PER_SECOND
 
-    def whole_ticks(self, low: float, high: float) -> Ticks:
+    def uniform_whole_ticks(self, low: float, high: float) -> Ticks:
         """The same in whole ticks."""
-        return int(self.chance.uniform(low, high) * TICKS_PER_SECOND)
+        return int(self.generator.uniform(low, high) * TICKS_PER_SECOND)
 
 
 def _settings(
     instances: int,
-    cold: Ticks,
-    cold_from: float,
+    warmup_duration: Ticks,
+    warmup_initial_fraction: float,
     votes_per_second: float,
-    lanes: tuple[ClassTraffic, ...] = LARGE_FLEET_TRAFFIC,
+    traffic: tuple[ClassTraffic, ...] = LARGE_FLEET_TRAFFIC,
 ) -> Settings:
     """What the instances of a large fleet read at start."""
     return make_settings(
-        lanes,
+        traffic,
         instances,
-        warmup_duration=cold,
-        warmup_initial_fraction=cold_from,
-        votes_to_revert=math.ceil(REVERT * instances),
+        warmup_duration=warmup_duration,
+        warmup_initial_fraction=warmup_initial_fraction,
+        votes_to_revert=math.ceil(VOTES_TO_REVERT_RATIO * instances),
         votes_per_second=votes_per_second,
     )
 
 
-def _rolling_restarts(draws: Draws, begin: Ticks, step: Ticks) -> tuple[Fault, ...]:
-    """All instances die, a tenth of them at each step."""
-    order = [int(one) for one in draws.chance.permutation(draws.instances)]
-    part = math.ceil(draws.instances / ROLLING_GROUPS)
+def _rolling_restarts(sampler: FaultSampler, begin: Ticks, interval: Ticks) -> tuple[Fault, ...]:
+    """All instances die, a tenth of them at each interval."""
+    order = [int(number) for number in sampler.generator.permutation(sampler.instances)]
+    group_size = math.ceil(sampler.instances / RESTART_GROUPS)
     return tuple(
         Fault(
             FaultKind.RESTARTS,
-            begin + at * step,
-            begin + at * step + 1,
-            tuple(order[at * part : (at + 1) * part]),
-            draws.ticks(0.3, 1.0),
+            begin + group * interval,
+            begin + group * interval + 1,
+            tuple(order[group * group_size : (group + 1) * group_size]),
+            sampler.uniform_ticks(0.3, 1.0),
         )
-        for at in range(ROLLING_GROUPS)
+        for group in range(RESTART_GROUPS)
     )
 
 
-def _slow_or_failing(draws: Draws) -> Fault:
+def _slow_or_failing_pods(sampler: FaultSampler) -> Fault:
     """An eighth of the servers is slow, or fails, all day."""
-    slow = draws.chance.random() < 0.5
-    kind = FaultKind.SLOW_PODS if slow else FaultKind.ERRORS
-    places = draws.part(draws.pods, 1 / 8)
-    size = draws.between(1.5, 3) if slow else draws.between(0.3, 0.7)
-    return Fault(kind, 0, draws.span, places, size)
+    is_slow = sampler.generator.random() < 0.5
+    kind = FaultKind.SLOW_PODS if is_slow else FaultKind.ERRORS
+    places = sampler.sample(sampler.pods, 1 / 8)
+    magnitude = sampler.uniform(1.5, 3) if is_slow else sampler.uniform(0.3, 0.7)
+    return Fault(kind, 0, sampler.duration, places, magnitude)
 
 
-def _trouble(kind: str, draws: Draws) -> Trouble:
+def _standard_faults(kind: str, sampler: FaultSampler) -> FaultPlan:
     """What happens on a day of one of the STANDARD_KINDS."""
-    span = draws.span
-    begin = int(draws.chance.uniform(0.25, 0.35) * span)
+    duration = sampler.duration
+    begin = int(sampler.generator.uniform(0.25, 0.35) * duration)
     end = begin + 6 * TICKS_PER_SECOND
     # These are drawn on each day, also where they are not used.
-    paused = draws.part(draws.pods, 0.3)
-    pauses = Fault(FaultKind.PAUSES, begin // 2, span, paused, draws.ticks(0.5, 1.2))
-    failing = draws.part(draws.pods, 1 / 8)
-    errors = Fault(FaultKind.ERRORS, 0, span, failing, draws.between(0.3, 0.7))
-    zone = int(draws.chance.integers(0, 3))
+    paused = sampler.sample(sampler.pods, 0.3)
+    pauses = Fault(FaultKind.PAUSES, begin // 2, duration, paused, sampler.uniform_ticks(0.5, 1.2))
+    failing = sampler.sample(sampler.pods, 1 / 8)
+    errors = Fault(FaultKind.ERRORS, 0, duration, failing, sampler.uniform(0.3, 0.7))
+    zone = int(sampler.generator.integers(0, 3))
     if kind in ("calm", "overload"):
-        size = 1.5
+        rate_factor = 1.5
         if kind == "overload":
-            size = 2.6
+            rate_factor = 2.6
             end += 4 * TICKS_PER_SECOND
-        return Trouble((Fault(FaultKind.BURST, begin, end, (), size),), begin, end)
+        return FaultPlan((Fault(FaultKind.BURST, begin, end, (), rate_factor),), begin, end)
     if kind == "roll":
-        step = (span - begin) // 14
-        restarts = _rolling_restarts(draws, begin, step)
-        return Trouble((pauses, *restarts), begin, begin + ROLLING_GROUPS * step)
+        interval = (duration - begin) // 14
+        restarts = _rolling_restarts(sampler, begin, interval)
+        return FaultPlan((pauses, *restarts), begin, begin + RESTART_GROUPS * interval)
     if kind == "herd":
-        killed = draws.part(draws.instances, 0.7)
-        kill = Fault(FaultKind.RESTARTS, begin, begin + 1, killed, draws.ticks(0.5, 1.5))
-        return Trouble((pauses, errors, kill), begin, begin + 2 * TICKS_PER_SECOND)
+        restarted = sampler.sample(sampler.instances, 0.7)
+        mass_restart = Fault(
+            FaultKind.RESTARTS, begin, begin + 1, restarted, sampler.uniform_ticks(0.5, 1.5)
+        )
+        return FaultPlan((pauses, errors, mass_restart), begin, begin + 2 * TICKS_PER_SECOND)
     if kind == "zone":
-        return _lost_zone(draws, zone, begin, end, errors)
+        return _zone_faults(sampler, zone, begin, end, errors)
     if kind == "split":
-        return _split(draws, zone, begin, end)
-    more = pauses._replace(targets=draws.part(draws.pods, 1 / 3))
-    lost = Fault(FaultKind.LOST_RESPONSES, 0, span, (), draws.between(0.005, 0.02))
-    return Trouble((more, lost), begin, span)
+        return _split_faults(sampler, zone, begin, end)
+    more_pauses = pauses._replace(targets=sampler.sample(sampler.pods, 1 / 3))
+    lost_responses = Fault(FaultKind.LOST_RESPONSES, 0, duration, (), sampler.uniform(0.005, 0.02))
+    return FaultPlan((more_pauses, lost_responses), begin, duration)
 
 
-def _lost_zone(draws: Draws, zone: int, begin: Ticks, end: Ticks, errors: Fault) -> Trouble:
+def _zone_faults(
+    sampler: FaultSampler, zone: int, begin: Ticks, end: Ticks, errors: Fault
+) -> FaultPlan:
     """A zone is lost, and later another one is cut off."""
-    later = min(draws.span - 6 * TICKS_PER_SECOND, end + 4 * TICKS_PER_SECOND)
-    places = draws.part(draws.pods, 1 / 8)
-    slow = Fault(FaultKind.SLOW_PODS, 0, draws.span, places, draws.between(1.5, 3))
-    beside = slow if draws.chance.random() < 0.5 else errors
-    lost = Fault(FaultKind.ZONE_LOSS, begin, begin + 5 * TICKS_PER_SECOND, (zone,), 0.0)
-    cut_end = later + 4 * TICKS_PER_SECOND
-    cut = Fault(FaultKind.ZONE_PARTITION, later, cut_end, ((zone + 1) % 3,), 0.0)
-    return Trouble((lost, beside, cut), begin, cut_end)
+    partition_begin = min(sampler.duration - 6 * TICKS_PER_SECOND, end + 4 * TICKS_PER_SECOND)
+    places = sampler.sample(sampler.pods, 1 / 8)
+    slow_pods = Fault(FaultKind.SLOW_PODS, 0, sampler.duration, places, sampler.uniform(1.5, 3))
+    other_fault = slow_pods if sampler.generator.random() < 0.5 else errors
+    zone_loss = Fault(FaultKind.ZONE_LOSS, begin, begin + 5 * TICKS_PER_SECOND, (zone,), 0.0)
+    partition_end = partition_begin + 4 * TICKS_PER_SECOND
+    partition = Fault(
+        FaultKind.ZONE_PARTITION, partition_begin, partition_end, ((zone + 1) % 3,), 0.0
+    )
+    return FaultPlan((zone_loss, other_fault, partition), begin, partition_end)
 
 
-def _split(draws: Draws, zone: int, begin: Ticks, end: Ticks) -> Trouble:
+def _split_faults(sampler: FaultSampler, zone: int, begin: Ticks, end: Ticks) -> FaultPlan:
     """A zone is cut off, or some servers are silent, while lists come late."""
-    if draws.chance.random() < 0.5:
-        silence = Fault(FaultKind.ZONE_PARTITION, begin, end, (zone,), 0.0)
+    if sampler.generator.random() < 0.5:
+        unreachable = Fault(FaultKind.ZONE_PARTITION, begin, end, (zone,), 0.0)
     else:
-        silence = Fault(FaultKind.SILENT_PODS, begin, end, draws.part(draws.pods, 1 / 5), 0.0)
-    late = Fault(FaultKind.LATE_LISTS, begin, end, (), draws.ticks(1, 3))
-    lost = Fault(FaultKind.LOST_RESPONSES, begin // 2, draws.span, (), draws.between(0.005, 0.03))
-    return Trouble((silence, late, lost), begin, end)
+        unreachable = Fault(
+            FaultKind.SILENT_PODS, begin, end, sampler.sample(sampler.pods, 1 / 5), 0.0
+        )
+    late_lists = Fault(FaultKind.LATE_LISTS, begin, end, (), sampler.uniform_ticks(1, 3))
+    lost_responses = Fault(
+        FaultKind.LOST_RESPONSES, begin // 2, sampler.duration, (), sampler.uniform(0.005, 0.03)
+    )
+    return FaultPlan((unreachable, late_lists, lost_responses), begin, end)
 
 
-def _fault_beside(draws: Draws) -> Fault:
+def _additional_fault(sampler: FaultSampler) -> Fault:
     """The other fault of a vast day. The size of each kind is drawn, whichever it is."""
-    kind = FaultKind(str(draws.chance.choice(BESIDE)))
-    at = int(draws.chance.uniform(0.15, 0.6) * draws.span)
-    sizes = {
-        FaultKind.SLOW_ALL: draws.between(1.3, 2.5),
-        FaultKind.BURST: draws.between(1.2, 1.6),
+    kind = FaultKind(str(sampler.generator.choice(ADDITIONAL_FAULT_KINDS)))
+    begin = int(sampler.generator.uniform(0.15, 0.6) * sampler.duration)
+    magnitudes = {
+        FaultKind.SLOW_ALL: sampler.uniform(1.3, 2.5),
+        FaultKind.BURST: sampler.uniform(1.2, 1.6),
         FaultKind.PLATFORM_CALL_FAILURES: 0.0,
-        FaultKind.SLOW_PODS: draws.between(1.3, 2),
-        FaultKind.LATE_LISTS: draws.ticks(1, 3),
-        FaultKind.CONNECTION_LOSS: draws.between(0.02, 0.08),
+        FaultKind.SLOW_PODS: sampler.uniform(1.3, 2),
+        FaultKind.LATE_LISTS: sampler.uniform_ticks(1, 3),
+        FaultKind.CONNECTION_LOSS: sampler.uniform(0.02, 0.08),
     }
-    end = at + draws.whole_ticks(4, 10)
-    return Fault(kind, at, end, draws.part(draws.pods, 0.3), sizes[kind])
+    end = begin + sampler.uniform_whole_ticks(4, 10)
+    return Fault(kind, begin, end, sampler.sample(sampler.pods, 0.3), magnitudes[kind])
 
 
-def _vast_trouble(kind: str, draws: Draws) -> Trouble:
+def _vast_faults(kind: str, sampler: FaultSampler) -> FaultPlan:
     """What happens on a day of one of the VAST_KINDS kinds."""
-    begin = int(draws.chance.uniform(0.3, 0.5) * draws.span)
-    bad = _slow_or_failing(draws)
-    paused = draws.part(draws.pods, 0.4 if kind == "join-vast" else 0.3)
-    pauses = Fault(FaultKind.PAUSES, begin // 2, draws.span, paused, draws.ticks(0.3, 0.9))
-    beside = _fault_beside(draws)
+    begin = int(sampler.generator.uniform(0.3, 0.5) * sampler.duration)
+    faulty_pods = _slow_or_failing_pods(sampler)
+    paused = sampler.sample(sampler.pods, 0.4 if kind == "join-vast" else 0.3)
+    pauses = Fault(
+        FaultKind.PAUSES, begin // 2, sampler.duration, paused, sampler.uniform_ticks(0.3, 0.9)
+    )
+    additional_fault = _additional_fault(sampler)
     if kind == "herd-vast":
-        killed = draws.part(draws.instances, 0.7)
-        kill = Fault(FaultKind.RESTARTS, begin, begin + 1, killed, draws.ticks(0.3, 1))
-        return Trouble((pauses, kill, beside), begin, begin + 5 * TICKS_PER_SECOND)
+        restarted = sampler.sample(sampler.instances, 0.7)
+        restarts = Fault(
+            FaultKind.RESTARTS, begin, begin + 1, restarted, sampler.uniform_ticks(0.3, 1)
+        )
+        return FaultPlan((pauses, restarts, additional_fault), begin, begin + 5 * TICKS_PER_SECOND)
     if kind == "zone-vast":
-        zone = int(draws.chance.integers(0, 3))
-        end = begin + draws.whole_ticks(4, 7)
-        there = tuple(one for one in range(draws.instances) if one % 3 == zone)
-        lost = Fault(FaultKind.ZONE_LOSS, begin, end, (zone,), 0.0)
-        kill = Fault(FaultKind.RESTARTS, begin, begin + 1, there, float(end - begin))
-        return Trouble((bad, beside, lost, kill), begin, end)
-    return Trouble((pauses, bad, beside), begin, draws.span)
+        zone = int(sampler.generator.integers(0, 3))
+        end = begin + sampler.uniform_whole_ticks(4, 7)
+        zone_instances = tuple(
+            instance for instance in range(sampler.instances) if instance % 3 == zone
+        )
+        zone_loss = Fault(FaultKind.ZONE_LOSS, begin, end, (zone,), 0.0)
+        restarts = Fault(FaultKind.RESTARTS, begin, begin + 1, zone_instances, float(end - begin))
+        return FaultPlan((faulty_pods, additional_fault, zone_loss, restarts), begin, end)
+    return FaultPlan((pauses, faulty_pods, additional_fault), begin, sampler.duration)
 
 
-def _mass_trouble(kind: str, draws: Draws) -> Trouble:
+def _mass_faults(kind: str, sampler: FaultSampler) -> FaultPlan:
     """What happens on a day of one of the MASS_KINDS kinds."""
-    span = draws.span
-    begin = int(draws.chance.uniform(0.2, 0.6) * span)
-    length = draws.ticks(0.3, 0.9)
-    paused = draws.part(draws.pods, 1 / 3 if kind == "join-mass" else 0.3)
-    pauses = Fault(FaultKind.PAUSES, span // 8, span, paused, length)
+    duration = sampler.duration
+    begin = int(sampler.generator.uniform(0.2, 0.6) * duration)
+    pause_duration = sampler.uniform_ticks(0.3, 0.9)
+    paused = sampler.sample(sampler.pods, 1 / 3 if kind == "join-mass" else 0.3)
+    pauses = Fault(FaultKind.PAUSES, duration // 8, duration, paused, pause_duration)
     if kind == "calm-mass":
-        end = begin + draws.whole_ticks(5, 6)
-        return Trouble((Fault(FaultKind.BURST, begin, end, (), 1.5),), begin, end)
+        end = begin + sampler.uniform_whole_ticks(5, 6)
+        return FaultPlan((Fault(FaultKind.BURST, begin, end, (), 1.5),), begin, end)
     if kind == "roll-mass":
-        begin = int(draws.chance.uniform(0.15, 0.4) * span)
-        step = span // 22
-        restarts = _rolling_restarts(draws, begin, step)
-        return Trouble((pauses, *restarts), begin, begin + ROLLING_GROUPS * step)
+        begin = int(sampler.generator.uniform(0.15, 0.4) * duration)
+        interval = duration // 22
+        restarts = _rolling_restarts(sampler, begin, interval)
+        return FaultPlan((pauses, *restarts), begin, begin + RESTART_GROUPS * interval)
     if kind == "zone-mass":
-        bad = _slow_or_failing(draws)
-        zone = int(draws.chance.integers(0, 3))
+        faulty_pods = _slow_or_failing_pods(sampler)
+        zone = int(sampler.generator.integers(0, 3))
         end = begin + 5 * TICKS_PER_SECOND
-        return Trouble((bad, Fault(FaultKind.ZONE_LOSS, begin, end, (zone,), 0.0)), begin, end)
-    lost = Fault(FaultKind.LOST_RESPONSES, 0, span, (), draws.between(0.005, 0.02))
-    return Trouble((pauses, lost), span // 8, span)
+        return FaultPlan(
+            (faulty_pods, Fault(FaultKind.ZONE_LOSS, begin, end, (zone,), 0.0)), begin, end
+        )
+    lost_responses = Fault(FaultKind.LOST_RESPONSES, 0, duration, (), sampler.uniform(0.005, 0.02))
+    return FaultPlan((pauses, lost_responses), duration // 8, duration)
 
 
-def _speeds(chance: Generator, pods: int) -> tuple[float, ...]:
-    return tuple(float(one) for one in chance.uniform(0.85, 1.1, pods))
+def _draw_speeds(generator: Generator, pods: int) -> tuple[float, ...]:
+    return tuple(float(speed) for speed in generator.uniform(0.85, 1.1, pods))
 
 
-def _mean_work(lanes: tuple[ClassTraffic, ...]) -> float:
+def _mean_work(traffic: tuple[ClassTraffic, ...]) -> float:
     """Of a request, in seconds."""
-    return sum(one.share * one.mean_work for one in lanes) / TICKS_PER_SECOND
+    return sum(entry.share * entry.mean_work for entry in traffic) / TICKS_PER_SECOND
 
 
-def _vast_lanes(chance: Generator) -> tuple[ClassTraffic, ...]:
+def _vast_traffic(generator: Generator) -> tuple[ClassTraffic, ...]:
     """Work and objectives are of one size: what comes late by half is late."""
     return tuple(
-        one._replace(
-            mean_work=one.mean_work / 2,
-            request_class=one.request_class._replace(
-                latency_objective=int(one.mean_work / 2 * float(chance.uniform(5, 9))),
-                outer_limit=int(one.mean_work * 10),
+        entry._replace(
+            mean_work=entry.mean_work / 2,
+            request_class=entry.request_class._replace(
+                latency_objective=int(entry.mean_work / 2 * float(generator.uniform(5, 9))),
+                outer_limit=int(entry.mean_work * 10),
             ),
         )
-        for one in LARGE_FLEET_TRAFFIC
+        for entry in LARGE_FLEET_TRAFFIC
     )
 
 
-def _vast_offer(chance: Generator, number: int, seconds: int, good: bool | None) -> Offer:
+def _draw_vast_offer(generator: Generator, index: int, seconds: int, good: bool | None) -> Offer:
     """A bad one has errors (0), is slow (1), slows all (2), or errs under load (3) or later (4)."""
-    fine = bool(chance.random() < 0.5) if good is None else good
-    how = int(chance.integers(0, 5))
-    fails = float(chance.uniform(0.1, 0.5))
-    slow = float(chance.uniform(2, 3.5))
-    shared = float(chance.uniform(1.5, 3.5))
-    late = int(chance.uniform(2.5, 6) * TICKS_PER_SECOND) if how == 4 and not fine else 0
+    is_good = bool(generator.random() < 0.5) if good is None else good
+    defect = int(generator.integers(0, 5))
+    failure_ratio = float(generator.uniform(0.1, 0.5))
+    slowdown = float(generator.uniform(2, 3.5))
+    shared_slowdown = float(generator.uniform(1.5, 3.5))
+    fault_delay = (
+        int(generator.uniform(2.5, 6) * TICKS_PER_SECOND) if defect == 4 and not is_good else 0
+    )
     return Offer(
-        at=int((chance.uniform(3, 5) + number * seconds * 0.45) * TICKS_PER_SECOND),
-        build=2 + number,
-        good=fine,
-        failure_ratio=fails if not fine and how in (0, 3, 4) else 0.0,
-        slowdown=slow if not fine and how in (1, 4) else float(chance.uniform(0.92, 1.1)),
-        fault_delay=late,
-        fault_load=0.3 if not fine and how == 3 else 0.0,
-        shared_slowdown=shared if not fine and how == 2 else 0.0,
+        at=int((generator.uniform(3, 5) + index * seconds * 0.45) * TICKS_PER_SECOND),
+        build=2 + index,
+        good=is_good,
+        failure_ratio=failure_ratio if not is_good and defect in (0, 3, 4) else 0.0,
+        slowdown=slowdown
+        if not is_good and defect in (1, 4)
+        else float(generator.uniform(0.92, 1.1)),
+        fault_delay=fault_delay,
+        fault_load=0.3 if not is_good and defect == 3 else 0.0,
+        shared_slowdown=shared_slowdown if not is_good and defect == 2 else 0.0,
     )
 
 
@@ -397,93 +421,103 @@
     good: bool | None = None,
 ) -> DrawnDay:
     """Draws a day of one of the VAST_KINDS kinds; the arguments are those of drawn()."""
-    chance = np.random.Generator(np.random.PCG64([seed, VAST_SEED_OFFSET + VAST_KINDS.index(kind)]))
-    span = seconds * TICKS_PER_SECOND
-    cold = int(chance.uniform(1.9, 4) * TICKS_PER_SECOND)
-    speeds = _speeds(chance, pods)
-    work = sum(one.share * one.mean_work / 2 for one in LARGE_FLEET_TRAFFIC) / TICKS_PER_SECOND
-    rate = load * float(chance.uniform(0.85, 1.1)) * sum(speeds) * CORES / work
-    shares = chance.lognormal(0, 0.6, instances)
-    calls = instances * float(chance.uniform(0.3, 0.6))
-    boot = int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND)
-    lanes = _vast_lanes(chance)
-    offers = tuple(_vast_offer(chance, number, seconds, good) for number in range(2))
-    trouble = _vast_trouble(kind, Draws(chance, instances, pods, span))
-    polled = kind == "herd-vast"
+    generator = np.random.Generator(
+        np.random.PCG64([seed, VAST_SEED_OFFSET + VAST_KINDS.index(kind)])
+    )
+    duration = seconds * TICKS_PER_SECOND
+    warmup_duration = int(generator.uniform(1.9, 4) * TICKS_PER_SECOND)
+    speeds = _draw_speeds(generator, pods)
+    mean_work = (
+        sum(entry.share * entry.mean_work / 2 for entry in LARGE_FLEET_TRAFFIC) / TICKS_PER_SECOND
+    )
+    rate = load * float(generator.uniform(0.85, 1.1)) * sum(speeds) * CORES_PER_POD / mean_work
+    instance_weights = generator.lognormal(0, 0.6, instances)
+    votes_per_second = instances * float(generator.uniform(0.3, 0.6))
+    boot_time = int(generator.uniform(1.3, 2.0) * TICKS_PER_SECOND)
+    traffic = _vast_traffic(generator)
+    offers = tuple(_draw_vast_offer(generator, index, seconds, good) for index in range(2))
+    fault_plan = _vast_faults(kind, FaultSampler(generator, instances, pods, duration))
+    lists_polled = kind == "herd-vast"
     day = Day(
         seed=seed,
-        duration=span,
+        duration=duration,
         instances=instances,
         pods=pods,
         zones=ZONES,
-        cores=CORES,
+        cores=CORES_PER_POD,
         speeds=speeds,
         queue_limit=QUEUE_LIMIT,
         request_rate=rate,
-        instance_shares=tuple(float(one) for one in shares / shares.sum()),
-        traffic=lanes,
+        instance_shares=tuple(
+            float(weight) for weight in instance_weights / instance_weights.sum()
+        ),
+        traffic=traffic,
         keys=KEYS,
-        zipf_exponent=ZIPF,
+        zipf_exponent=ZIPF_EXPONENT,
         tenants=TENANTS,
         client_retries=1,
         retry_after_compliance=0.6,
-        network_delay=DELAY,
-        loss_ratio=LOSS,
+        network_delay=NETWORK_DELAY,
+        loss_ratio=LOSS_RATIO,
         mean_list_delay=2_500,
         mean_release_update_delay=4_000,
         min_stage_duration=int(0.8 * TICKS_PER_SECOND),
-        mean_boot_time=boot,
-        warmup_duration=cold,
+        mean_boot_time=boot_time,
+        warmup_duration=warmup_duration,
         warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
         offers=offers,
-        faults=trouble.faults,
-        settings=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls, lanes)._replace(
-            stage_fractions=THREE_STAGES, guarded_stages=1, lists_polled=polled
+        faults=fault_plan.faults,
+        settings=_settings(
+            instances, warmup_duration, WARMUP_INITIAL_FRACTION, votes_per_second, traffic
+        )._replace(
+            stage_fractions=THREE_STAGE_FRACTIONS, guarded_stages=1, lists_polled=lists_polled
         ),
-        votes_to_promote=math.ceil(ADVANCE * instances),
-        stage_caps=THREE_CAPS,
-        list_calls_per_second=float(chance.uniform(0.15, 0.3)) * instances if polled else 0.0,
-        max_connections_per_pod=int(instances * chance.uniform(1.3, 2.5)),
+        votes_to_promote=math.ceil(VOTES_TO_PROMOTE_RATIO * instances),
+        stage_caps=THREE_STAGE_CAPS,
+        list_calls_per_second=float(generator.uniform(0.15, 0.3)) * instances
+        if lists_polled
+        else 0.0,
+        max_connections_per_pod=int(instances * generator.uniform(1.3, 2.5)),
     )
-    return DrawnDay(day, Window(trouble.begin, trouble.end))
+    return DrawnDay(day, TimeWindow(fault_plan.begin, fault_plan.end))
 
 
-def _mass_lanes() -> tuple[ClassTraffic, ...]:
-    lanes = []
-    for one in LARGE_FLEET_TRAFFIC:
-        objective, limit = MASS_GOALS[one.request_class.name]
-        lane = one.request_class._replace(latency_objective=objective, outer_limit=limit)
-        lanes.append(one._replace(request_class=lane))
-    return tuple(lanes)
+def _mass_traffic() -> tuple[ClassTraffic, ...]:
+    traffic = []
+    for entry in LARGE_FLEET_TRAFFIC:
+        objective, limit = MASS_LATENCY_LIMITS[entry.request_class.name]
+        request_class = entry.request_class._replace(latency_objective=objective, outer_limit=limit)
+        traffic.append(entry._replace(request_class=request_class))
+    return tuple(traffic)
 
 
-def _mass_offer(chance: Generator, build: int, at: Ticks, good: bool | None) -> Offer:
+def _draw_mass_offer(generator: Generator, build: int, at: Ticks, good: bool | None) -> Offer:
     """A bad one has errors, is slow, slows all, errs where busy only, or after a while."""
-    fine = bool(chance.random() < 0.5) if good is None else good
-    how = int(chance.integers(0, 5))
-    fails = float(chance.uniform(0.1, 0.5))
-    slow = float(chance.uniform(2, 3.5))
-    shared = float(chance.uniform(1.5, 3.5))
-    late = int(chance.uniform(2.5, 6) * TICKS_PER_SECOND)
-    usual = float(chance.uniform(0.92, 1.1))
+    is_good = bool(generator.random() < 0.5) if good is None else good
+    defect = int(generator.integers(0, 5))
+    failure_ratio = float(generator.uniform(0.1, 0.5))
+    slowdown = float(generator.uniform(2, 3.5))
+    shared_slowdown = float(generator.uniform(1.5, 3.5))
+    fault_delay = int(generator.uniform(2.5, 6) * TICKS_PER_SECOND)
+    normal_slowdown = float(generator.uniform(0.92, 1.1))
     offer = Offer(
         at=at,
         build=build,
-        good=fine,
+        good=is_good,
         failure_ratio=0.0,
-        slowdown=usual,
+        slowdown=normal_slowdown,
         fault_delay=0,
         fault_load=0.0,
     )
-    if fine:
+    if is_good:
         return offer
     return (
-        offer._replace(failure_ratio=fails),
-        offer._replace(slowdown=slow),
-        offer._replace(shared_slowdown=shared),
-        offer._replace(failure_ratio=fails, fault_load=0.6),
-        offer._replace(failure_ratio=fails, slowdown=slow, fault_delay=late),
-    )[how]
+        offer._replace(failure_ratio=failure_ratio),
+        offer._replace(slowdown=slowdown),
+        offer._replace(shared_slowdown=shared_slowdown),
+        offer._replace(failure_ratio=failure_ratio, fault_load=0.6),
+        offer._replace(failure_ratio=failure_ratio, slowdown=slowdown, fault_delay=fault_delay),
+    )[defect]
 
 
 def draw_mass_day(
@@ -491,71 +525,82 @@
     kind: str = "calm-mass",
     instances: int = 216,
     pods: int = 108,
-    seconds: int = MASS_SECONDS,
+    seconds: int = MASS_DAY_SECONDS,
     *,
     load: float = 0.58,
     good: bool | None = None,
 ) -> DrawnDay:
     """Draws a day of one of the MASS_KINDS kinds; the arguments are those of drawn()."""
-    chance = np.random.Generator(np.random.PCG64([seed, MASS_SEED_OFFSET + MASS_KINDS.index(kind)]))
-    span = seconds * TICKS_PER_SECOND
-    cold = int(chance.uniform(1.9, 4.8) * TICKS_PER_SECOND)
-    cold_from = float(chance.uniform(0.31, 0.57))
-    speeds = _speeds(chance, pods)
-    lanes = _mass_lanes()
-    work = _mean_work(lanes)
-    rate = load * float(chance.uniform(0.95, 1.05)) * sum(speeds) * CORES / work
-    shares = chance.lognormal(0, 0.9, instances)
+    generator = np.random.Generator(
+        np.random.PCG64([seed, MASS_SEED_OFFSET + MASS_KINDS.index(kind)])
+    )
+    duration = seconds * TICKS_PER_SECOND
+    warmup_duration = int(generator.uniform(1.9, 4.8) * TICKS_PER_SECOND)
+    warmup_initial_fraction = float(generator.uniform(0.31, 0.57))
+    speeds = _draw_speeds(generator, pods)
+    traffic = _mass_traffic()
+    mean_work = _mean_work(traffic)
+    rate = load * float(generator.uniform(0.95, 1.05)) * sum(speeds) * CORES_PER_POD / mean_work
+    instance_weights = generator.lognormal(0, 0.9, instances)
     offers = tuple(
-        _mass_offer(chance, 2 + number, int(at * seconds / MASS_SECONDS * TICKS_PER_SECOND), good)
-        for number, at in enumerate(MASS_OFFERS)
+        _draw_mass_offer(
+            generator,
+            2 + index,
+            int(offer_second * seconds / MASS_DAY_SECONDS * TICKS_PER_SECOND),
+            good,
+        )
+        for index, offer_second in enumerate(MASS_OFFER_SECONDS)
     )
-    trouble = _mass_trouble(kind, Draws(chance, instances, pods, span))
+    fault_plan = _mass_faults(kind, FaultSampler(generator, instances, pods, duration))
     # What instances read of the warm-up is the least that servers have.
-    settings = _settings(instances, cold, MASS_WARMUP_INITIAL_FRACTION, instances * 0.25, lanes)
+    settings = _settings(
+        instances, warmup_duration, MASS_WARMUP_INITIAL_FRACTION, instances * 0.25, traffic
+    )
     day = Day(
         seed=seed,
-        duration=span,
+        duration=duration,
         instances=instances,
         pods=pods,
         zones=ZONES,
-        cores=CORES,
+        cores=CORES_PER_POD,
         speeds=speeds,
         queue_limit=QUEUE_LIMIT,
         request_rate=rate,
-        instance_shares=tuple(float(one) for one in shares / shares.sum()),
-        traffic=lanes,
+        instance_shares=tuple(
+            float(weight) for weight in instance_weights / instance_weights.sum()
+        ),
+        traffic=traffic,
         keys=KEYS,
-        zipf_exponent=ZIPF,
+        zipf_exponent=ZIPF_EXPONENT,
         tenants=TENANTS,
-        client_retries=int(chance.integers(0, 2)),
+        client_retries=int(generator.integers(0, 2)),
         retry_after_compliance=0.6,
-        network_delay=DELAY,
-        loss_ratio=LOSS,
+        network_delay=NETWORK_DELAY,
+        loss_ratio=LOSS_RATIO,
         mean_list_delay=4_000,
         mean_release_update_delay=3_000,
         min_stage_duration=int(3.25 * TICKS_PER_SECOND),
         mean_boot_time=int(1.45 * TICKS_PER_SECOND),
-        warmup_duration=cold,
-        warmup_initial_fraction=cold_from,
+        warmup_duration=warmup_duration,
+        warmup_initial_fraction=warmup_initial_fraction,
         offers=offers,
-        faults=trouble.faults,
-        settings=settings._replace(stage_fractions=THREE_STAGES, guarded_stages=1),
-        votes_to_promote=math.ceil(ADVANCE * instances),
-        stage_caps=THREE_CAPS,
+        faults=fault_plan.faults,
+        settings=settings._replace(stage_fractions=THREE_STAGE_FRACTIONS, guarded_stages=1),
+        votes_to_promote=math.ceil(VOTES_TO_PROMOTE_RATIO * instances),
+        stage_caps=THREE_STAGE_CAPS,
         counts_interval=2 * TICKS_PER_SECOND,
         stage_waits_for_machines=False,
         boot_time_spread=0.17,
         drain_delay=6_700,
         drain_duration=7 * TICKS_PER_SECOND,
         list_batch_interval=TICKS_PER_SECOND // 10,
-        mean_handshake_work=int(chance.uniform(5, 16)),
+        mean_handshake_work=int(generator.uniform(5, 16)),
     )
-    return DrawnDay(day, Window(trouble.begin, trouble.end))
+    return DrawnDay(day, TimeWindow(fault_plan.begin, fault_plan.end))
 
 
-def draw_day(seed: int, kind: str, **size: int | float | bool | None) -> DrawnDay:
-    """Draws a day of any kind; `size` are the arguments of drawn()."""
+def draw_day(seed: int, kind: str, **arguments: int | float | bool | None) -> DrawnDay:
+    """Draws a day of any kind; `arguments` are the arguments of drawn()."""
     draw = (
         draw_vast_day
         if kind in VAST_KINDS
@@ -563,23 +608,23 @@
         if kind in MASS_KINDS
         else draw_standard_day
     )
-    return draw(seed, kind, **size)  # type: ignore[arg-type]  # options of the command, by name
+    return draw(seed, kind, **arguments)  # type: ignore[arg-type]  # options of the command, by name
 
 
-def _offer(chance: Generator, good: bool | None) -> Offer:
+def _draw_standard_offer(generator: Generator, good: bool | None) -> Offer:
     """A bad one has errors (0), is slow (1), or errs after a while (2) or where busy only (3)."""
-    fine = bool(chance.random() < 0.5) if good is None else good
-    how = int(chance.integers(0, 4))
-    fails = float(chance.uniform(0.1, 0.6))
-    slow = float(chance.uniform(2, 4))
+    is_good = bool(generator.random() < 0.5) if good is None else good
+    defect = int(generator.integers(0, 4))
+    failure_ratio = float(generator.uniform(0.1, 0.6))
+    slowdown = float(generator.uniform(2, 4))
     return Offer(
-        at=int(chance.uniform(3, 6) * TICKS_PER_SECOND),
+        at=int(generator.uniform(3, 6) * TICKS_PER_SECOND),
         build=2,
-        good=fine,
-        failure_ratio=0.0 if fine or how == 1 else fails,
-        slowdown=float(chance.uniform(0.92, 1.1)) if fine or how != 1 else slow,
-        fault_delay=2 * TICKS_PER_SECOND if how == 2 and not fine else 0,
-        fault_load=0.4 if how == 3 and not fine else 0.0,
+        good=is_good,
+        failure_ratio=0.0 if is_good or defect == 1 else failure_ratio,
+        slowdown=float(generator.uniform(0.92, 1.1)) if is_good or defect != 1 else slowdown,
+        fault_delay=2 * TICKS_PER_SECOND if defect == 2 and not is_good else 0,
+        fault_load=0.4 if defect == 3 and not is_good else 0.0,
     )
 
 
@@ -604,52 +649,54 @@
         load: share of what all servers can do; the rate follows from it.
         good: whether the builds offered are good; None: drawn.
     """
-    chance = np.random.Generator(np.random.PCG64([seed, STANDARD_KINDS.index(kind)]))
-    span = seconds * TICKS_PER_SECOND
-    cold = int(chance.uniform(2, 4.8) * TICKS_PER_SECOND)
-    speeds = _speeds(chance, pods)
+    generator = np.random.Generator(np.random.PCG64([seed, STANDARD_KINDS.index(kind)]))
+    duration = seconds * TICKS_PER_SECOND
+    warmup_duration = int(generator.uniform(2, 4.8) * TICKS_PER_SECOND)
+    speeds = _draw_speeds(generator, pods)
     rate = (
         load
-        * float(chance.uniform(0.85, 1.1))
+        * float(generator.uniform(0.85, 1.1))
         * sum(speeds)
-        * CORES
+        * CORES_PER_POD
         / _mean_work(LARGE_FLEET_TRAFFIC)
     )
-    shares = chance.lognormal(0, 0.9, instances)
-    offer = _offer(chance, good)
-    trouble = _trouble(kind, Draws(chance, instances, pods, span))
+    instance_weights = generator.lognormal(0, 0.9, instances)
+    offer = _draw_standard_offer(generator, good)
+    fault_plan = _standard_faults(kind, FaultSampler(generator, instances, pods, duration))
     # On a day of joining instances clients are impatient.
-    patient = kind != "join"
-    calls = instances * float(chance.uniform(0.2, 0.75))
-    boot = int(chance.uniform(1.3, 2.0) * TICKS_PER_SECOND)
+    is_patient = kind != "join"
+    votes_per_second = instances * float(generator.uniform(0.2, 0.75))
+    boot_time = int(generator.uniform(1.3, 2.0) * TICKS_PER_SECOND)
     day = Day(
         seed=seed,
-        duration=span,
+        duration=duration,
         instances=instances,
         pods=pods,
         zones=ZONES,
-        cores=CORES,
+        cores=CORES_PER_POD,
         speeds=speeds,
         queue_limit=QUEUE_LIMIT,
         request_rate=rate,
-        instance_shares=tuple(float(one) for one in shares / shares.sum()),
+        instance_shares=tuple(
+            float(weight) for weight in instance_weights / instance_weights.sum()
+        ),
         traffic=LARGE_FLEET_TRAFFIC,
         keys=KEYS,
-        zipf_exponent=ZIPF,
+        zipf_exponent=ZIPF_EXPONENT,
         tenants=TENANTS,
-        client_retries=1 if patient else 3,
-        retry_after_compliance=0.7 if patient else 0.3,
-        network_delay=DELAY,
-        loss_ratio=LOSS,
+        client_retries=1 if is_patient else 3,
+        retry_after_compliance=0.7 if is_patient else 0.3,
+        network_delay=NETWORK_DELAY,
+        loss_ratio=LOSS_RATIO,
         mean_list_delay=5_000,
         mean_release_update_delay=4_000,
         min_stage_duration=TICKS_PER_SECOND,
-        mean_boot_time=boot,
-        warmup_duration=cold,
+        mean_boot_time=boot_time,
+        warmup_duration=warmup_duration,
         warmup_initial_fraction=WARMUP_INITIAL_FRACTION,
         offers=(offer,),
-        faults=trouble.faults,
-        settings=_settings(instances, cold, WARMUP_INITIAL_FRACTION, calls),
-        votes_to_promote=math.ceil(ADVANCE * instances),
+        faults=fault_plan.faults,
+        settings=_settings(instances, warmup_duration, WARMUP_INITIAL_FRACTION, votes_per_second),
+        votes_to_promote=math.ceil(VOTES_TO_PROMOTE_RATIO * instances),
     )
-    return DrawnDay(day, Window(trouble.begin, trouble.end))
+    return DrawnDay(day, TimeWindow(fault_plan.begin, fault_plan.end))
