--- a/thymeknot/simulation/large_fleet_scenarios.py
+++ b/thymeknot/simulation/large_fleet_scenarios.py
@@ -1,8 +1,8 @@
-"""Days of a large fleet, and what then goes wrong for many instances at once.
+"""Scenarios of a large fleet, with faults that affect many instances at once.
 
-Hundreds of instances see a few requests a second each. Days are drawn from ranges by a seed, as
-`scenarios` draws those of small fleets; the order of the draws decides what a seed gives. Times are
-ticks (tenths of a millisecond).
+Hundreds of instances receive a few requests per second each. As in `scenarios`, the parameters of a
+day are drawn from ranges with a seeded generator; the order of the draws determines which day a
+seed gives. Times are in ticks (tenths of a millisecond).
 """
 
 import math
@@ -17,16 +17,17 @@
 from .scenarios import ClassTraffic, Day, Fault, FaultKind, Offer, make_settings
 
 STANDARD_KINDS = ("calm", "roll", "herd", "zone", "split", "join", "overload")
-# Some forty instances by sixty servers, three stages, two builds, another fault beside each day's.
-# Lists are polled on the first, of a discovery that takes few calls.
+# By default 40 instances and 60 servers, with three stages, two builds and an additional fault. On
+# herd-vast days instances poll endpoint lists from a discovery that answers few calls.
 VAST_KINDS = ("herd-vast", "zone-vast", "join-vast")
-# Some two hundred instances by a hundred servers: stages pass by the platform's clock, and it tells
-# what it counted.
+# By default 216 instances and 108 servers. The clock of a stage starts with the stage, and the
+# platform sends counts of attempts.
 MASS_KINDS = ("calm-mass", "roll-mass", "zone-mass", "join-mass")
-# Added to the number of a kind, so that no two kinds draw the same day of a seed.
+# Added to the index of a kind, so that no two kinds draw the same day from a seed.
 VAST_SEED_OFFSET = 100
 MASS_SEED_OFFSET = 200
-# The other fault of a vast day. The order decides what a seed gives.
+# Kinds from which the additional fault of a vast day is drawn. The order determines which day a
+# seed gives.
 ADDITIONAL_FAULT_KINDS = (
     FaultKind.SLOW_ALL,
     FaultKind.BURST,
@@ -97,58 +98,60 @@
         work_variation=0.8,
     ),
 )
-# Latency objective and outer limit of the classes on mass days.
+# Latency objective and outer limit of each request class on mass days.
 MASS_LATENCY_LIMITS = {
     "fetch": (8_300, 21_000),
     "sync": (26_000, 78_000),
     "buy": (8_300, 26_000),
     "pay": (15_500, 41_000),
 }
-# Of the instances: votes that promote a build.
+# Ratio of the instances whose votes promote a build.
 VOTES_TO_PROMOTE_RATIO = 0.6
-# Of the instances: votes that roll a build back.
+# Ratio of the instances whose votes roll a build back.
 VOTES_TO_REVERT_RATIO = 0.25
 ZONES = ("a", "b", "c")
 CORES_PER_POD = 2
-# Jobs that wait at a server at most.
+# Maximum number of queued jobs per server.
 QUEUE_LIMIT = 32
 KEYS = 12_000
-# Exponent of the popularity of keys.
+# Exponent of the Zipf distribution of the keys' popularity.
 ZIPF_EXPONENT = 0.75
 TENANTS = 4
-# Of the network, one way: mean in ticks, standard deviation over mean.
+# One-way delay: mean in ticks, and standard deviation divided by the mean.
 NETWORK_DELAY = (12, 0.5)
-# Share of the attempts that is lost.
+# Ratio of attempts that are lost without any fault.
 LOSS_RATIO = 0.0005
-# Share of its capacity that a server has at its start; on mass days the least that it may have.
+# Ratio of its full capacity that a server has at its start.
 WARMUP_INITIAL_FRACTION = 0.35
+# The lower bound of that ratio on mass days, on which it is drawn.
 MASS_WARMUP_INITIAL_FRACTION = 0.31
-# Of vast and mass days: the machines by stage, and the share of the requests.
+# By stage of vast and mass days: the fraction of the machines that run the build on trial, and the
+# maximum ratio of requests that may go to it.
 THREE_STAGE_FRACTIONS = (0.08, 0.25, 1.0)
 THREE_STAGE_CAPS = (0.16, 0.5, 1.0)
-# Groups of instances that restart one after the other.
+# Number of groups of instances in a rolling restart.
 RESTART_GROUPS = 10
-# Seconds at which builds are offered on a mass day of MASS_DAY_SECONDS.
+# Seconds at which builds are offered on a mass day that lasts MASS_DAY_SECONDS.
 MASS_OFFER_SECONDS = (4.75, 23.75)
 MASS_DAY_SECONDS = 46
 
 
 class TimeWindow(NamedTuple):
-    """The worst time of a day."""
+    """A time window of a day."""
 
     begin: Ticks
     end: Ticks
 
 
 class DrawnDay(NamedTuple):
-    """A day and when the worst of it is."""
+    """A day and the window in which its faults are worst."""
 
     day: Day
     worst_window: TimeWindow
 
 
 class FaultPlan(NamedTuple):
-    """The faults of a day, and when the worst of them is."""
+    """The faults of a day and the begin and end of the window in which they are worst."""
 
     faults: tuple[Fault, ...]
     begin: Ticks
@@ -156,31 +159,31 @@
 
 
 class FaultSampler(NamedTuple):
-    """What the faults of a day are drawn from and for."""
+    """Draws the parameters of a day's faults."""
 
     generator: Generator
     instances: int
     pods: int
     duration: Ticks
-    """Of the day."""
+    """Duration of the day."""
 
     def sample(self, count: int, ratio: float) -> tuple[int, ...]:
-        """This share of so many, one at least, by number."""
+        """Draws this ratio of `count` numbers, starting at 0; at least one is drawn."""
         sample_size = max(1, round(count * ratio))
         return tuple(
             int(number) for number in self.generator.choice(count, sample_size, replace=False)
         )
 
     def uniform(self, low: float, high: float) -> float:
-        """A number between these."""
+        """Draws a number between `low` and `high`."""
         return float(self.generator.uniform(low, high))
 
     def uniform_ticks(self, low: float, high: float) -> float:
-        """A duration between these, given in seconds."""
+        """Draws a duration in ticks between `low` and `high` seconds."""
         return self.uniform(low, high) * TICKS_PER_SECOND
 
     def uniform_whole_ticks(self, low: float, high: float) -> Ticks:
-        """The same in whole ticks."""
+        """Draws a duration in whole ticks between `low` and `high` seconds."""
         return int(self.generator.uniform(low, high) * TICKS_PER_SECOND)
 
 
@@ -191,7 +194,7 @@
     votes_per_second: float,
     traffic: tuple[ClassTraffic, ...] = LARGE_FLEET_TRAFFIC,
 ) -> Settings:
-    """What the instances of a large fleet read at start."""
+    """Returns the settings that the instances of a large fleet read at start."""
     return make_settings(
         traffic,
         instances,
@@ -203,7 +206,7 @@
 
 
 def _rolling_restarts(sampler: FaultSampler, begin: Ticks, interval: Ticks) -> tuple[Fault, ...]:
-    """All instances die, a tenth of them at each interval."""
+    """Plans a rolling restart: one tenth of the instances is restarted at each interval."""
     order = [int(number) for number in sampler.generator.permutation(sampler.instances)]
     group_size = math.ceil(sampler.instances / RESTART_GROUPS)
     return tuple(
@@ -219,7 +222,7 @@
 
 
 def _slow_or_failing_pods(sampler: FaultSampler) -> Fault:
-    """An eighth of the servers is slow, or fails, all day."""
+    """Draws a fault by which one eighth of the servers is slow, or fails requests, all day."""
     is_slow = sampler.generator.random() < 0.5
     kind = FaultKind.SLOW_PODS if is_slow else FaultKind.ERRORS
     places = sampler.sample(sampler.pods, 1 / 8)
@@ -228,11 +231,16 @@
 
 
 def _standard_faults(kind: str, sampler: FaultSampler) -> FaultPlan:
-    """What happens on a day of one of the STANDARD_KINDS."""
+    """Plans the faults of a day of one of the STANDARD_KINDS.
+
+    Calm and overload days have a burst of requests. On roll days all instances restart group by
+    group, on herd days 70% of them at once. Zone days lose a zone, split days make part of the
+    servers unreachable, and join days have pauses of many servers and lost responses.
+    """
     duration = sampler.duration
     begin = int(sampler.generator.uniform(0.25, 0.35) * duration)
     end = begin + 6 * TICKS_PER_SECOND
-    # These are drawn on each day, also where they are not used.
+    # Drawn for every kind, even if unused, so that all kinds make the same draws up to here.
     paused = sampler.sample(sampler.pods, 0.3)
     pauses = Fault(FaultKind.PAUSES, begin // 2, duration, paused, sampler.uniform_ticks(0.5, 1.2))
     failing = sampler.sample(sampler.pods, 1 / 8)
@@ -266,7 +274,7 @@
 def _zone_faults(
     sampler: FaultSampler, zone: int, begin: Ticks, end: Ticks, errors: Fault
 ) -> FaultPlan:
-    """A zone is lost, and later another one is cut off."""
+    """Plans the loss of a zone and, later, a partition of another one."""
     partition_begin = min(sampler.duration - 6 * TICKS_PER_SECOND, end + 4 * TICKS_PER_SECOND)
     places = sampler.sample(sampler.pods, 1 / 8)
     slow_pods = Fault(FaultKind.SLOW_PODS, 0, sampler.duration, places, sampler.uniform(1.5, 3))
@@ -280,7 +288,7 @@
 
 
 def _split_faults(sampler: FaultSampler, zone: int, begin: Ticks, end: Ticks) -> FaultPlan:
-    """A zone is cut off, or some servers are silent, while lists come late."""
+    """Plans a partition of a zone, or unresponsive servers, together with late endpoint lists."""
     if sampler.generator.random() < 0.5:
         unreachable = Fault(FaultKind.ZONE_PARTITION, begin, end, (zone,), 0.0)
     else:
@@ -295,7 +303,10 @@
 
 
 def _additional_fault(sampler: FaultSampler) -> Fault:
-    """The other fault of a vast day. The size of each kind is drawn, whichever it is."""
+    """Draws the additional fault of a vast day.
+
+    The magnitudes of all kinds are drawn, so that the number of draws does not depend on the kind.
+    """
     kind = FaultKind(str(sampler.generator.choice(ADDITIONAL_FAULT_KINDS)))
     begin = int(sampler.generator.uniform(0.15, 0.6) * sampler.duration)
     magnitudes = {
@@ -311,7 +322,7 @@
 
 
 def _vast_faults(kind: str, sampler: FaultSampler) -> FaultPlan:
-    """What happens on a day of one of the VAST_KINDS kinds."""
+    """Plans the faults of a day of one of the VAST_KINDS."""
     begin = int(sampler.generator.uniform(0.3, 0.5) * sampler.duration)
     faulty_pods = _slow_or_failing_pods(sampler)
     paused = sampler.sample(sampler.pods, 0.4 if kind == "join-vast" else 0.3)
@@ -338,7 +349,7 @@
 
 
 def _mass_faults(kind: str, sampler: FaultSampler) -> FaultPlan:
-    """What happens on a day of one of the MASS_KINDS kinds."""
+    """Plans the faults of a day of one of the MASS_KINDS."""
     duration = sampler.duration
     begin = int(sampler.generator.uniform(0.2, 0.6) * duration)
     pause_duration = sampler.uniform_ticks(0.3, 0.9)
@@ -368,12 +379,16 @@
 
 
 def _mean_work(traffic: tuple[ClassTraffic, ...]) -> float:
-    """Of a request, in seconds."""
+    """Returns the mean work of a request, in seconds on one core of speed 1."""
     return sum(entry.share * entry.mean_work for entry in traffic) / TICKS_PER_SECOND
 
 
 def _vast_traffic(generator: Generator) -> tuple[ClassTraffic, ...]:
-    """Work and objectives are of one size: what comes late by half is late."""
+    """Draws the traffic of a vast day.
+
+    The mean work is halved, and latency objectives and outer limits are small multiples of it: a
+    response that takes half as long again is late.
+    """
     return tuple(
         entry._replace(
             mean_work=entry.mean_work / 2,
@@ -387,7 +402,11 @@
 
 
 def _draw_vast_offer(generator: Generator, index: int, seconds: int, good: bool | None) -> Offer:
-    """A bad one has errors (0), is slow (1), slows all (2), or errs under load (3) or later (4)."""
+    """Draws a build that is offered on a vast day.
+
+    The defects of a bad build are: errors (0), slow (1), slows down all servers (2), errors under
+    load (3), and slow with errors after a delay (4).
+    """
     is_good = bool(generator.random() < 0.5) if good is None else good
     defect = int(generator.integers(0, 5))
     failure_ratio = float(generator.uniform(0.1, 0.5))
@@ -420,7 +439,7 @@
     load: float = 0.55,
     good: bool | None = None,
 ) -> DrawnDay:
-    """Draws a day of one of the VAST_KINDS kinds; the arguments are those of drawn()."""
+    """Draws a day of one of the VAST_KINDS; the arguments are those of `draw_standard_day`."""
     generator = np.random.Generator(
         np.random.PCG64([seed, VAST_SEED_OFFSET + VAST_KINDS.index(kind)])
     )
@@ -492,7 +511,10 @@
 
 
 def _draw_mass_offer(generator: Generator, build: int, at: Ticks, good: bool | None) -> Offer:
-    """A bad one has errors, is slow, slows all, errs where busy only, or after a while."""
+    """Draws a build that is offered on a mass day.
+
+    The defects of a bad build are those of `_draw_vast_offer`.
+    """
     is_good = bool(generator.random() < 0.5) if good is None else good
     defect = int(generator.integers(0, 5))
     failure_ratio = float(generator.uniform(0.1, 0.5))
@@ -530,7 +552,7 @@
     load: float = 0.58,
     good: bool | None = None,
 ) -> DrawnDay:
-    """Draws a day of one of the MASS_KINDS kinds; the arguments are those of drawn()."""
+    """Draws a day of one of the MASS_KINDS; the arguments are those of `draw_standard_day`."""
     generator = np.random.Generator(
         np.random.PCG64([seed, MASS_SEED_OFFSET + MASS_KINDS.index(kind)])
     )
@@ -552,7 +574,7 @@
         for index, offer_second in enumerate(MASS_OFFER_SECONDS)
     )
     fault_plan = _mass_faults(kind, FaultSampler(generator, instances, pods, duration))
-    # What instances read of the warm-up is the least that servers have.
+    # The settings hold the lower bound of the initial fraction, not the one that the servers have.
     settings = _settings(
         instances, warmup_duration, MASS_WARMUP_INITIAL_FRACTION, instances * 0.25, traffic
     )
@@ -600,7 +622,7 @@
 
 
 def draw_day(seed: int, kind: str, **arguments: int | float | bool | None) -> DrawnDay:
-    """Draws a day of any kind; `arguments` are the arguments of drawn()."""
+    """Draws a day of any kind; `arguments` are passed on as those of `draw_standard_day`."""
     draw = (
         draw_vast_day
         if kind in VAST_KINDS
@@ -608,11 +630,15 @@
         if kind in MASS_KINDS
         else draw_standard_day
     )
-    return draw(seed, kind, **arguments)  # type: ignore[arg-type]  # options of the command, by name
+    return draw(seed, kind, **arguments)  # type: ignore[arg-type]  # options of a command, by name
 
 
 def _draw_standard_offer(generator: Generator, good: bool | None) -> Offer:
-    """A bad one has errors (0), is slow (1), or errs after a while (2) or where busy only (3)."""
+    """Draws the build that is offered on a day of one of the STANDARD_KINDS.
+
+    The defects of a bad build are: errors (0), slow (1), errors after a delay (2), and errors under
+    load (3).
+    """
     is_good = bool(generator.random() < 0.5) if good is None else good
     defect = int(generator.integers(0, 4))
     failure_ratio = float(generator.uniform(0.1, 0.6))
@@ -641,13 +667,13 @@
     """Draws a day of one of the STANDARD_KINDS.
 
     Args:
-        seed: what the day is drawn from.
-        kind: of the day.
-        instances: how many sidecars there are.
-        pods: how many servers.
-        seconds: how long the day lasts.
-        load: share of what all servers can do; the rate follows from it.
-        good: whether the builds offered are good; None: drawn.
+        seed: Seed of the random numbers.
+        kind: Kind of the day.
+        instances: Number of sidecars.
+        pods: Number of servers.
+        seconds: Duration of the day.
+        load: Utilization of all servers together; it determines the request rate.
+        good: Whether the offered builds are good; None draws it for each.
     """
     generator = np.random.Generator(np.random.PCG64([seed, STANDARD_KINDS.index(kind)]))
     duration = seconds * TICKS_PER_SECOND
@@ -663,7 +689,7 @@
     instance_weights = generator.lognormal(0, 0.9, instances)
     offer = _draw_standard_offer(generator, good)
     fault_plan = _standard_faults(kind, FaultSampler(generator, instances, pods, duration))
-    # On a day of joining instances clients are impatient.
+    # On join days clients are impatient: they retry more often and rarely observe retry-after.
     is_patient = kind != "join"
     votes_per_second = instances * float(generator.uniform(0.2, 0.75))
     boot_time = int(generator.uniform(1.3, 2.0) * TICKS_PER_SECOND)
