--- a/thymeknot/simulation/baseline_policies.py
+++ b/thymeknot/simulation/baseline_policies.py
@@ -29,18 +29,18 @@
 from ..state.random_source import LinearCongruentialGenerator
 
 # From the begin of a stage until a vote to promote.
-VOTE_AFTER: Ticks = 5 * TICKS_PER_SECOND
+VOTE_DELAY: Ticks = 5 * TICKS_PER_SECOND
 # How often the vote is looked at.
 TIMER_INTERVAL: Ticks = TICKS_PER_SECOND // 2
 # Keys that are kept with the newest build at most.
 MAX_STICKY_KEYS = 20_000
 # Timeout of the attempt that breaks rule 2.
-REPEAT_TIMEOUT: Ticks = TICKS_PER_SECOND // 2
+UNSAFE_RETRY_TIMEOUT: Ticks = TICKS_PER_SECOND // 2
 # An attempt that ended like this did not run.
-NEVER_RAN = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
+UNEXECUTED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
-class InFlight(NamedTuple):
+class InFlightRequest(NamedTuple):
     """A request whose attempt is under way."""
 
     endpoint: Endpoint
@@ -48,7 +48,7 @@
     request_class: RequestClass
 
 
-class Release(NamedTuple):
+class ReleaseState(NamedTuple):
     """Where the newest build stands, by the last update that came whole."""
 
     build: int
@@ -61,7 +61,7 @@
     """What the policies share: one attempt a request, and the cap's budget, counted plainly."""
 
     # The method for each event; others are ignored.
-    EVENTS: ClassVar[dict[type, str]] = {
+    EVENT_HANDLERS: ClassVar[dict[type, str]] = {
         EndpointUpdate: "_on_endpoints",
         ReleaseUpdate: "_on_release",
         TimerFired: "_on_timer",
@@ -69,156 +69,170 @@
         AttemptEnded: "_on_attempt_ended",
     }
 
-    def __init__(self, terms: Settings, seed: int, now: Ticks, votes: bool = True) -> None:
+    def __init__(self, settings: Settings, seed: int, now: Ticks, casts_votes: bool = True) -> None:
         """Starts without endpoints.
 
         Args:
-            terms: the settings.
+            settings: the settings.
             seed: of its random choices.
             now: the time.
-            votes: whether it votes.
+            casts_votes: whether it votes.
         """
-        self.terms = terms
-        self.chance = LinearCongruentialGenerator(seed)
-        self.votes = votes
-        self.pods: dict[str, Endpoint] = {}
-        self.news: Release | None = None
-        self.open: dict[str, InFlight] = {}
+        self.settings = settings
+        self.generator = LinearCongruentialGenerator(seed)
+        self.casts_votes = casts_votes
+        self.endpoints: dict[str, Endpoint] = {}
+        self.release: ReleaseState | None = None
+        self.in_flight: dict[str, InFlightRequest] = {}
         # Attempts in flight, by endpoint.
-        self.out: dict[str, int] = {}
-        self.staged_at = now
+        self.in_flight_counts: dict[str, int] = {}
+        self.stage_began_at = now
         # Requests that came and attempts at the build on trial, in the exposure window.
-        self.taken: list[Ticks] = []
-        self.tried: list[Ticks] = []
+        self.request_times: list[Ticks] = []
+        self.trial_times: list[Ticks] = []
         self.actions: list[Any] = []
         self.now = now
         # Whether the timer was set.
-        self.set = False
+        self.timer_is_set = False
         # Keys that the newest build has answered.
-        self.pins: set[str] = set()
+        self.sticky_keys: set[str] = set()
 
     def handle(self, now: Ticks, events: Iterable[Any]) -> list[Any]:
         """The actions that follow from these events."""
         self.now = now
         self.actions = []
         for event in events:
-            method = self.EVENTS.get(type(event))
+            method = self.EVENT_HANDLERS.get(type(event))
             if method:
                 getattr(self, method)(event)
-        if not self.set:
-            self.set = True
+        if not self.timer_is_set:
+            self.timer_is_set = True
             self.actions.append(SetTimer(now + TIMER_INTERVAL, 0))
         return self.actions
 
     def _on_endpoints(self, event: EndpointUpdate) -> None:
         if event.kind not in (UpdateKind.DELTA, UpdateKind.FETCH_FAILED):
-            self.pods = {}
-        for pod in event.endpoints:
-            if pod.condition == EndpointCondition.READY:
-                self.pods[pod.address] = pod
+            self.endpoints = {}
+        for endpoint in event.endpoints:
+            if endpoint.condition == EndpointCondition.READY:
+                self.endpoints[endpoint.address] = endpoint
             else:
-                self.pods.pop(pod.address, None)
+                self.endpoints.pop(endpoint.address, None)
 
-    def _on_release(self, news: ReleaseUpdate) -> None:
+    def _on_release(self, update: ReleaseUpdate) -> None:
         if (
-            news.outcome != Outcome.DONE
-            or news.stage is None
-            or news.phase is None
-            or news.cap is None
+            update.outcome != Outcome.DONE
+            or update.stage is None
+            or update.phase is None
+            or update.cap is None
         ):
             return
-        if self.news is None or (news.build, news.stage) != (self.news.build, self.news.stage):
-            self.staged_at = self.now
-        if self.news is None or news.build != self.news.build:
-            self.tried = []
-            self.pins = set()
-        self.news = Release(news.build, news.stage, news.phase, news.cap)
+        if self.release is None or (update.build, update.stage) != (
+            self.release.build,
+            self.release.stage,
+        ):
+            self.stage_began_at = self.now
+        if self.release is None or update.build != self.release.build:
+            self.trial_times = []
+            self.sticky_keys = set()
+        self.release = ReleaseState(update.build, update.stage, update.phase, update.cap)
 
     def _on_timer(self, _event: TimerFired) -> None:
         self.actions.append(SetTimer(self.now + TIMER_INTERVAL, 0))
-        news = self.news
+        release = self.release
         if (
-            self.votes
-            and news
-            and news.phase == ReleasePhase.ON_TRIAL
-            and self.now >= self.staged_at + VOTE_AFTER
+            self.casts_votes
+            and release
+            and release.phase == ReleasePhase.ON_TRIAL
+            and self.now >= self.stage_began_at + VOTE_DELAY
         ):
-            self.actions.append(CastVote(news.build, news.stage, Verdict.PROMOTE))
+            self.actions.append(CastVote(release.build, release.stage, Verdict.PROMOTE))
 
     def _phase(self) -> ReleasePhase | None:
-        return self.news.phase if self.news else None
+        return self.release.phase if self.release else None
 
-    def _may_try(self, request_class: RequestClass) -> bool:
+    def _may_use_newest(self, request_class: RequestClass) -> bool:
         """Whether the cap and the guarded stages let a request go to the newest build."""
-        news = self.news
-        if news is None:
+        state = self.release
+        if state is None:
             return False
-        if news.phase == ReleasePhase.RELEASED:
+        if state.phase == ReleasePhase.RELEASED:
             return True
-        if news.phase != ReleasePhase.ON_TRIAL or (
-            news.stage < self.terms.guarded_stages
+        if state.phase != ReleasePhase.ON_TRIAL or (
+            state.stage < self.settings.guarded_stages
             and request_class.idempotency != Idempotency.IDEMPOTENT
         ):
             return False
-        since = self.now - self.terms.exposure_window
-        self.taken = [at for at in self.taken if at > since]
-        self.tried = [at for at in self.tried if at > since]
+        window_start = self.now - self.settings.exposure_window
+        self.request_times = [time for time in self.request_times if time > window_start]
+        self.trial_times = [time for time in self.trial_times if time > window_start]
         # Of the requests, the oldest leave the window before the attempts do: half of them must
         # carry it.
-        late = [at for at in self.taken if at > since + self.terms.exposure_window // 2]
-        return len(self.tried) + 1 <= self.terms.exposure_allowance / 2 + news.cap * min(
-            len(late), len(self.taken) / 2
+        recent = [
+            time
+            for time in self.request_times
+            if time > window_start + self.settings.exposure_window // 2
+        ]
+        return len(self.trial_times) + 1 <= self.settings.exposure_allowance / 2 + state.cap * min(
+            len(recent), len(self.request_times) / 2
         )
 
     def _on_request(self, event: RequestReceived) -> None:
-        request_class = self.terms.request_classes[event.request_class]
-        self.taken.append(self.now)
+        request_class = self.settings.request_classes[event.request_class]
+        self.request_times.append(self.now)
         key = event.key or event.id
-        pool = self._pool(key, request_class)
-        if not pool:
-            self.actions.append(Reject(event.id, self.terms.max_retry_after))
+        candidates = self._candidates(key, request_class)
+        if not candidates:
+            self.actions.append(Reject(event.id, self.settings.max_retry_after))
             return
-        pod = self.choose(pool)
-        self.open[event.id] = InFlight(pod, key, request_class)
-        self.out[pod.address] = self.out.get(pod.address, 0) + 1
-        self.actions.append(SendAttempt(event.id, pod.address, event.time_left))
+        endpoint = self.choose(candidates)
+        self.in_flight[event.id] = InFlightRequest(endpoint, key, request_class)
+        self.in_flight_counts[endpoint.address] = self.in_flight_counts.get(endpoint.address, 0) + 1
+        self.actions.append(SendAttempt(event.id, endpoint.address, event.time_left))
 
-    def _pool(self, key: str, request_class: RequestClass) -> list[Endpoint]:
+    def _candidates(self, key: str, request_class: RequestClass) -> list[Endpoint]:
         """The endpoints, of the newest build or of the others, that a request may go to."""
-        newest = self.news.build if self.news else 0
+        newest = self.release.build if self.release else 0
         phase = self._phase()
-        trial = [pod for pod in self.pods.values() if pod.build == newest]
-        usual = [
-            pod
-            for pod in self.pods.values()
-            if pod.build < newest or phase == ReleasePhase.RELEASED
+        newest_endpoints = [
+            endpoint for endpoint in self.endpoints.values() if endpoint.build == newest
+        ]
+        other_endpoints = [
+            endpoint
+            for endpoint in self.endpoints.values()
+            if endpoint.build < newest or phase == ReleasePhase.RELEASED
         ]
-        stays = key in self.pins and phase in (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
-        may = bool(trial) and self._may_try(request_class)
-        part = len(trial) / max(1, len(self.pods))
-        if may and (stays or not usual or self.chance.draw() < part):
+        is_sticky = key in self.sticky_keys and phase in (
+            ReleasePhase.ON_TRIAL,
+            ReleasePhase.RELEASED,
+        )
+        may_use_newest = bool(newest_endpoints) and self._may_use_newest(request_class)
+        newest_share = len(newest_endpoints) / max(1, len(self.endpoints))
+        if may_use_newest and (
+            is_sticky or not other_endpoints or self.generator.draw() < newest_share
+        ):
             if phase == ReleasePhase.ON_TRIAL:
-                self.tried.append(self.now)
-            return trial
-        return [] if stays else usual
+                self.trial_times.append(self.now)
+            return newest_endpoints
+        return [] if is_sticky else other_endpoints
 
-    def choose(self, pool: Sequence[Endpoint]) -> Endpoint:
+    def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
         """One of these endpoints, at random."""
-        return pool[int(self.chance.draw() * len(pool))]
+        return candidates[int(self.generator.draw() * len(candidates))]
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        held = self.open.pop(event.id, None)
-        if held is None:
+        request = self.in_flight.pop(event.id, None)
+        if request is None:
             return
-        self.out[held.endpoint.address] -= 1
+        self.in_flight_counts[request.endpoint.address] -= 1
         if event.outcome == Outcome.DONE:
-            newest = self.news.build if self.news else 0
-            if held.endpoint.build == newest and len(self.pins) < MAX_STICKY_KEYS:
-                self.pins.add(held.key)
+            newest = self.release.build if self.release else 0
+            if request.endpoint.build == newest and len(self.sticky_keys) < MAX_STICKY_KEYS:
+                self.sticky_keys.add(request.key)
         elif not event.closed:
-            idempotent = held.request_class.idempotency == Idempotency.IDEMPOTENT
-            if event.outcome in NEVER_RAN or idempotent:
-                self.actions.append(Reject(event.id, self.terms.max_retry_after))
+            idempotent = request.request_class.idempotency == Idempotency.IDEMPOTENT
+            if event.outcome in UNEXECUTED_OUTCOMES or idempotent:
+                self.actions.append(Reject(event.id, self.settings.max_retry_after))
             else:
                 self.actions.append(Fail(event.id))
 
@@ -230,64 +244,68 @@
 class RoundRobin(BaselinePolicy):
     """Each endpoint in turn."""
 
-    def __init__(self, terms: Settings, seed: int, now: Ticks, votes: bool = True) -> None:
-        super().__init__(terms, seed, now, votes)
-        self.turn = 0
+    def __init__(self, settings: Settings, seed: int, now: Ticks, casts_votes: bool = True) -> None:
+        super().__init__(settings, seed, now, casts_votes)
+        self.position = 0
 
-    def choose(self, pool: Sequence[Endpoint]) -> Endpoint:
+    def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
         """The next endpoint."""
-        self.turn += 1
-        return pool[self.turn % len(pool)]
+        self.position += 1
+        return candidates[self.position % len(candidates)]
 
 
 class LeastInFlight(BaselinePolicy):
     """The endpoint with the fewest attempts of one's own in flight."""
 
-    def choose(self, pool: Sequence[Endpoint]) -> Endpoint:
+    def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
         """One of the endpoints with the fewest, at random."""
-        least = min(self.out.get(pod.address, 0) for pod in pool)
-        some = [pod for pod in pool if self.out.get(pod.address, 0) == least]
-        return some[int(self.chance.draw() * len(some))]
+        fewest = min(self.in_flight_counts.get(endpoint.address, 0) for endpoint in candidates)
+        least_loaded = [
+            endpoint
+            for endpoint in candidates
+            if self.in_flight_counts.get(endpoint.address, 0) == fewest
+        ]
+        return least_loaded[int(self.generator.draw() * len(least_loaded))]
 
 
 class TwoChoices(BaselinePolicy):
     """The one with fewer attempts in flight out of two drawn at random."""
 
-    def choose(self, pool: Sequence[Endpoint]) -> Endpoint:
+    def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
         """The better one of two."""
-        two = [pool[int(self.chance.draw() * len(pool))] for _ in range(2)]
-        return min(two, key=lambda pod: self.out.get(pod.address, 0))
+        pair = [candidates[int(self.generator.draw() * len(candidates))] for _ in range(2)]
+        return min(pair, key=lambda endpoint: self.in_flight_counts.get(endpoint.address, 0))
 
 
 class DropsAnswer(BaselinePolicy):
     """Breaks rule 1: one request never gets an answer."""
 
-    def __init__(self, terms: Settings, seed: int, now: Ticks, votes: bool = True) -> None:
-        super().__init__(terms, seed, now, votes)
+    def __init__(self, settings: Settings, seed: int, now: Ticks, casts_votes: bool = True) -> None:
+        super().__init__(settings, seed, now, casts_votes)
         self.has_dropped = False
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         if event.outcome != Outcome.DONE and not self.has_dropped:
             self.has_dropped = True
-            self.open.pop(event.id, None)
+            self.in_flight.pop(event.id, None)
             return
         super()._on_attempt_ended(event)
 
 
-class RepeatsUnsafely(BaselinePolicy):
+class RetriesUnsafely(BaselinePolicy):
     """Breaks rule 2: sends a request again that may have run and must not run twice."""
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
-        held = self.open.get(event.id)
+        request = self.in_flight.get(event.id)
         if (
-            held
+            request
             and event.outcome == Outcome.ERROR
-            and held.request_class.idempotency == Idempotency.NON_IDEMPOTENT
+            and request.request_class.idempotency == Idempotency.NON_IDEMPOTENT
             and not event.closed
             and event.number == 0
         ):
-            endpoint = self.choose(list(self.pods.values()))
-            self.actions.append(SendAttempt(event.id, endpoint.address, REPEAT_TIMEOUT))
+            endpoint = self.choose(list(self.endpoints.values()))
+            self.actions.append(SendAttempt(event.id, endpoint.address, UNSAFE_RETRY_TIMEOUT))
             return
         super()._on_attempt_ended(event)
 
@@ -297,27 +315,27 @@
 
     def _on_endpoints(self, event: EndpointUpdate) -> None:
         endpoints = tuple(
-            pod._replace(condition=EndpointCondition.READY)
-            if pod.condition == EndpointCondition.DRAINING
-            else pod
-            for pod in event.endpoints
+            endpoint._replace(condition=EndpointCondition.READY)
+            if endpoint.condition == EndpointCondition.DRAINING
+            else endpoint
+            for endpoint in event.endpoints
         )
         super()._on_endpoints(event._replace(endpoints=endpoints))
 
 
-class OverloadsNewest(BaselinePolicy):
+class OverloadsNewestEndpoint(BaselinePolicy):
     """Breaks rule 4: whatever has started last gets everything."""
 
-    def choose(self, pool: Sequence[Endpoint]) -> Endpoint:
+    def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
         """The first of those that started last."""
-        last = max(pod.started for pod in pool)
-        return next(pod for pod in pool if pod.started == last)
+        latest_start = max(endpoint.started for endpoint in candidates)
+        return next(endpoint for endpoint in candidates if endpoint.started == latest_start)
 
 
 class IgnoresCap(BaselinePolicy):
     """Breaks rule 5: sends to the build on trial whatever it likes."""
 
-    def _may_try(self, request_class: RequestClass) -> bool:
+    def _may_use_newest(self, request_class: RequestClass) -> bool:
         return True
 
 
@@ -331,8 +349,8 @@
 # By the number of the rule that they break.
 RULE_BREAKING_POLICIES: dict[int, type[BaselinePolicy]] = {
     1: DropsAnswer,
-    2: RepeatsUnsafely,
+    2: RetriesUnsafely,
     3: IgnoresDraining,
-    4: OverloadsNewest,
+    4: OverloadsNewestEndpoint,
     5: IgnoresCap,
 }
