--- a/thymeknot/simulation/baseline_policies.py
+++ b/thymeknot/simulation/baseline_policies.py
@@ -1,7 +1,7 @@
-"""Policies to compare with, and such as break one rule each, by which the checkers are checked.
+"""Baseline policies for comparisons, and policies that break one rule each to test the checker.
 
-All have the interface of the decision engine: handle(now, events) -> actions. They vote to promote
-after a fixed time, or not at all. Times are ticks (tenths of a millisecond).
+All have the interface of the decision engine: `handle(now, events) -> actions`. They vote to
+promote after a fixed time, or not at all. Times are in ticks (tenths of a millisecond).
 """
 
 from collections.abc import Iterable, Sequence
@@ -28,20 +28,20 @@
 from ..interface.settings import RequestClass, Settings
 from ..state.random_source import LinearCongruentialGenerator
 
-# From the begin of a stage until a vote to promote.
+# Time from the start of a stage until the vote to promote.
 VOTE_DELAY: Ticks = 5 * TICKS_PER_SECOND
-# How often the vote is looked at.
+# Interval at which the policy checks whether to vote.
 TIMER_INTERVAL: Ticks = TICKS_PER_SECOND // 2
-# Keys that are kept with the newest build at most.
+# Maximum number of keys that stay with the newest build.
 MAX_STICKY_KEYS = 20_000
-# Timeout of the attempt that breaks rule 2.
+# Timeout of the retry that breaks rule 2.
 UNSAFE_RETRY_TIMEOUT: Ticks = TICKS_PER_SECOND // 2
-# An attempt that ended like this did not run.
+# Outcomes of attempts that were not executed.
 UNEXECUTED_OUTCOMES = (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.NOT_SENT)
 
 
 class InFlightRequest(NamedTuple):
-    """A request whose attempt is under way."""
+    """A request with an attempt in flight."""
 
     endpoint: Endpoint
     key: str
@@ -49,7 +49,7 @@
 
 
 class ReleaseState(NamedTuple):
-    """Where the newest build stands, by the last update that came whole."""
+    """State of the newest build's rollout by the last complete release update."""
 
     build: int
     stage: int
@@ -58,9 +58,9 @@
 
 
 class BaselinePolicy:
-    """What the policies share: one attempt a request, and the cap's budget, counted plainly."""
+    """Common part of the policies: one attempt per request and a simple count of exposure."""
 
-    # The method for each event; others are ignored.
+    # Method for each type of event; other events are ignored.
     EVENT_HANDLERS: ClassVar[dict[type, str]] = {
         EndpointUpdate: "_on_endpoints",
         ReleaseUpdate: "_on_release",
@@ -70,13 +70,13 @@
     }
 
     def __init__(self, settings: Settings, seed: int, now: Ticks, casts_votes: bool = True) -> None:
-        """Starts without endpoints.
+        """Creates the policy of an instance that knows no endpoints yet.
 
         Args:
-            settings: the settings.
-            seed: of its random choices.
-            now: the time.
-            casts_votes: whether it votes.
+            settings: The settings of the instance.
+            seed: Seed of the random choices.
+            now: The time.
+            casts_votes: Whether the policy votes.
         """
         self.settings = settings
         self.generator = LinearCongruentialGenerator(seed)
@@ -84,21 +84,20 @@
         self.endpoints: dict[str, Endpoint] = {}
         self.release: ReleaseState | None = None
         self.in_flight: dict[str, InFlightRequest] = {}
-        # Attempts in flight, by endpoint.
+        # Number of attempts in flight, by address of the endpoint.
         self.in_flight_counts: dict[str, int] = {}
         self.stage_began_at = now
-        # Requests that came and attempts at the build on trial, in the exposure window.
+        # Times of requests, and of attempts at the build on trial, in the exposure window.
         self.request_times: list[Ticks] = []
         self.trial_times: list[Ticks] = []
         self.actions: list[Any] = []
         self.now = now
-        # Whether the timer was set.
         self.timer_is_set = False
-        # Keys that the newest build has answered.
+        # Keys that the newest build has served.
         self.sticky_keys: set[str] = set()
 
     def handle(self, now: Ticks, events: Iterable[Any]) -> list[Any]:
-        """The actions that follow from these events."""
+        """Handles events and returns the resulting actions."""
         self.now = now
         self.actions = []
         for event in events:
@@ -152,7 +151,7 @@
         return self.release.phase if self.release else None
 
     def _may_use_newest(self, request_class: RequestClass) -> bool:
-        """Whether the cap and the guarded stages let a request go to the newest build."""
+        """Returns whether the cap and the guarded stages permit a request at the newest build."""
         state = self.release
         if state is None:
             return False
@@ -166,8 +165,8 @@
         window_start = self.now - self.settings.exposure_window
         self.request_times = [time for time in self.request_times if time > window_start]
         self.trial_times = [time for time in self.trial_times if time > window_start]
-        # Of the requests, the oldest leave the window before the attempts do: half of them must
-        # carry it.
+        # Requests leave the window before their attempts do. The cap is therefore applied only to
+        # half of the requests, and to no more than arrived in the second half of the window.
         recent = [
             time
             for time in self.request_times
@@ -191,7 +190,7 @@
         self.actions.append(SendAttempt(event.id, endpoint.address, event.time_left))
 
     def _candidates(self, key: str, request_class: RequestClass) -> list[Endpoint]:
-        """The endpoints, of the newest build or of the others, that a request may go to."""
+        """Returns the endpoints that a request may go to: the newest build's or the other ones."""
         newest = self.release.build if self.release else 0
         phase = self._phase()
         newest_endpoints = [
@@ -217,7 +216,7 @@
         return [] if is_sticky else other_endpoints
 
     def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
-        """One of these endpoints, at random."""
+        """Returns a random candidate."""
         return candidates[int(self.generator.draw() * len(candidates))]
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
@@ -238,27 +237,27 @@
 
 
 class RandomChoice(BaselinePolicy):
-    """At random among the endpoints that the cap lets."""
+    """Chooses at random among the endpoints that the cap permits."""
 
 
 class RoundRobin(BaselinePolicy):
-    """Each endpoint in turn."""
+    """Chooses the endpoints in turn."""
 
     def __init__(self, settings: Settings, seed: int, now: Ticks, casts_votes: bool = True) -> None:
         super().__init__(settings, seed, now, casts_votes)
         self.position = 0
 
     def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
-        """The next endpoint."""
+        """Returns the next candidate."""
         self.position += 1
         return candidates[self.position % len(candidates)]
 
 
 class LeastInFlight(BaselinePolicy):
-    """The endpoint with the fewest attempts of one's own in flight."""
+    """Chooses the endpoint with the fewest attempts of this instance in flight."""
 
     def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
-        """One of the endpoints with the fewest, at random."""
+        """Returns a random one of the candidates with the fewest attempts in flight."""
         fewest = min(self.in_flight_counts.get(endpoint.address, 0) for endpoint in candidates)
         least_loaded = [
             endpoint
@@ -269,16 +268,16 @@
 
 
 class TwoChoices(BaselinePolicy):
-    """The one with fewer attempts in flight out of two drawn at random."""
+    """Chooses the endpoint with fewer attempts in flight out of two random ones."""
 
     def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
-        """The better one of two."""
+        """Returns the better one of two random candidates."""
         pair = [candidates[int(self.generator.draw() * len(candidates))] for _ in range(2)]
         return min(pair, key=lambda endpoint: self.in_flight_counts.get(endpoint.address, 0))
 
 
 class DropsAnswer(BaselinePolicy):
-    """Breaks rule 1: one request never gets an answer."""
+    """Breaks rule 1: never answers one request."""
 
     def __init__(self, settings: Settings, seed: int, now: Ticks, casts_votes: bool = True) -> None:
         super().__init__(settings, seed, now, casts_votes)
@@ -293,7 +292,7 @@
 
 
 class RetriesUnsafely(BaselinePolicy):
-    """Breaks rule 2: sends a request again that may have run and must not run twice."""
+    """Breaks rule 2: retries a non-idempotent request that may have been executed."""
 
     def _on_attempt_ended(self, event: AttemptEnded) -> None:
         request = self.in_flight.get(event.id)
@@ -311,7 +310,7 @@
 
 
 class IgnoresDraining(BaselinePolicy):
-    """Breaks rule 3: goes on sending to what drains."""
+    """Breaks rule 3: keeps sending requests to draining endpoints."""
 
     def _on_endpoints(self, event: EndpointUpdate) -> None:
         endpoints = tuple(
@@ -324,29 +323,29 @@
 
 
 class OverloadsNewestEndpoint(BaselinePolicy):
-    """Breaks rule 4: whatever has started last gets everything."""
+    """Breaks rule 4: sends all requests to the endpoint that started last."""
 
     def choose(self, candidates: Sequence[Endpoint]) -> Endpoint:
-        """The first of those that started last."""
+        """Returns the first of the candidates that started last."""
         latest_start = max(endpoint.started for endpoint in candidates)
         return next(endpoint for endpoint in candidates if endpoint.started == latest_start)
 
 
 class IgnoresCap(BaselinePolicy):
-    """Breaks rule 5: sends to the build on trial whatever it likes."""
+    """Breaks rule 5: ignores the cap and the guarded stages of the build on trial."""
 
     def _may_use_newest(self, request_class: RequestClass) -> bool:
         return True
 
 
-# By the words of the command.
+# Baseline policies by the names that the `lab` commands accept.
 BASELINE_POLICIES: dict[str, type[BaselinePolicy]] = {
     "random": RandomChoice,
     "turns": RoundRobin,
     "least-out": LeastInFlight,
     "two-choices": TwoChoices,
 }
-# By the number of the rule that they break.
+# Policies by the number of the rule that they break.
 RULE_BREAKING_POLICIES: dict[int, type[BaselinePolicy]] = {
     1: DropsAnswer,
     2: RetriesUnsafely,
