--- a/tests/soak/campaign.py
+++ b/tests/soak/campaign.py
@@ -5,7 +5,7 @@
 from multiprocessing import get_context
 
 from tests.soak import orders, planted, rounds
-from tests.soak.plan import drawn
+from tests.soak.plan import draw_plan
 from tests.soak.player import play
 
 CHRONOLOGY = 40  # lines of the order of what happened
@@ -21,12 +21,12 @@
     return found
 
 
-def play_seed(seed):
+def run_seed(seed):
     """(seed, what was drawn, what was seen, the report of what broke or "")."""
     try:
         played = play(seed)
     except Exception as error:  # one play must not end the campaign, and counts as broken
-        return seed, drawn(seed).told(), "the play itself failed", f"seed {seed}: {error!r}"
+        return seed, draw_plan(seed).told(), "the play itself failed", f"seed {seed}: {error!r}"
     return seed, played.plan.told(), played.told(), report(played)
 
 
@@ -43,7 +43,7 @@
     return "\n".join(lines)
 
 
-def play_planted(name):
+def run_injected_fault(name):
     """(name, the seeds played, the one that found it or None)."""
     fault = planted.FAULTS[name]
     for count, seed in enumerate(fault.seeds, 1):
@@ -55,7 +55,7 @@
 
 def _seeds(pool, seeds):
     broken = 0
-    for seed, plan, seen, text in pool.map(play_seed, seeds):
+    for seed, plan, seen, text in pool.map(run_seed, seeds):
         print(f"{seed}: {plan}\n   {seen}{'' if text else ': nothing broke'}", flush=True)
         if text:
             broken += 1
@@ -66,7 +66,7 @@
 
 def _planted(pool):
     missed = 0
-    for name, seeds, found in pool.map(play_planted, planted.FAULTS):
+    for name, seeds, found in pool.map(run_injected_fault, planted.FAULTS):
         missed += found is None
         outcome = f"found by seed {found}" if found is not None else "NOT found"
         print(f"planted, {name}: {outcome} (played {', '.join(map(str, seeds))})", flush=True)
@@ -75,7 +75,9 @@
 
 def _orders(pool, seeds, examples):
     broken = 0
-    for seed, found in zip(seeds, pool.map(orders.failing, seeds, [examples] * len(seeds))):
+    for seed, found in zip(
+        seeds, pool.map(orders.find_failing_orders, seeds, [examples] * len(seeds))
+    ):
         if found is not None:
             broken += 1
             print(f"orders of seed {seed} ({examples} lists): {found[1]}; {found[0]}", flush=True)
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -74,12 +74,12 @@
     # One final answer in time.
 
     def _answer(self, request):
-        if len(request.answers) > 1:
-            self.broke("answers", f"{len(request.answers)} answers", request.name)
-        if request.answers:
+        if len(request.responses) > 1:
+            self.broke("answers", f"{len(request.responses)} answers", request.name)
+        if request.responses:
             self._content(request)
-            at = request.answers[0][0]
-            due = request.answer_due() + LATE + HELD_UP
+            at = request.responses[0][0]
+            due = request.response_deadline_at() + LATE + HELD_UP
             if at > due and request.left_at is None:
                 self.broke("late", f"answered {at - due:.3f} s after its time", request.name)
             return
@@ -98,7 +98,7 @@
         self.broke("lost", "never answered", request.name)
 
     def _content(self, request):
-        answer = request.answers[0][1]
+        answer = request.responses[0][1]
         if answer.startswith(b"$"):
             value = answer.split(b"\r\n")[1].decode()
             if value.split(":")[0] != request.name:
@@ -158,7 +158,7 @@
 
     def _timeouts(self, request):
         for attempt in self.by_request.get(request.name, ()):
-            left = request.due() - attempt.whole_at
+            left = request.deadline_at() - attempt.whole_at
             if not request.again and attempt.timeout > max(left, 0) + TIMEOUT_SLACK + SLACK:
                 text = f"told {attempt.timeout:.3f} s with {left:.3f} s left"
                 self.broke("timeout", text, request.name)
@@ -195,7 +195,7 @@
         return [news for news in self.ledger.news_told if news.instance == instance]
 
     def _exposure(self):
-        for instance in range(self.plan.instances):
+        for instance in range(self.plan.instance_count):
             news = self._news_of(instance)
             tried = [
                 attempt
@@ -235,7 +235,7 @@
 
     def _keys(self):
         """A key that the newest build has answered stays with it while that is open to requests."""
-        for instance in range(self.plan.instances):
+        for instance in range(self.plan.instance_count):
             news = self._news_of(instance)
             back = min(
                 (one.at for one in news if one.status in ("rolling_back", "withdrawn")),
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -9,7 +9,7 @@
 import random
 
 from tests.soak.ledger import BadClient, Request
-from tests.soak.plan import DEADLINES, LANES, Habit
+from tests.soak.plan import DEADLINES, LANES, ClientBehaviour
 from tests.soak.stand_ins import reset
 
 KEYS = 40
@@ -43,7 +43,7 @@
             answer = bytes(self.buffer[:length])
             del self.buffer[:length]
             if self.out:
-                self.out.pop(0).answers.append((self.ledger.clock(), answer))
+                self.out.pop(0).responses.append((self.ledger.clock(), answer))
             elif self.expects:
                 self.ledger.odd.append(f"an answer that nothing asked for: {answer[:60]!r}")
             self.answered += 1
@@ -96,13 +96,13 @@
         """Goes on until the play is over."""
         await asyncio.sleep(self.plan.starts_at)
         act = {
-            Habit.STEADY: self._ask_one,
-            Habit.PIPELINED: self._ask_many,
-            Habit.HALF: self._half,
-            Habit.GARBAGE: self._garbage,
-            Habit.LEAVES: self._leave,
-            Habit.RESTS: self._rest,
-        }[self.plan.habit]
+            ClientBehaviour.STEADY: self._ask_one,
+            ClientBehaviour.PIPELINED: self._ask_many,
+            ClientBehaviour.HALF: self._half,
+            ClientBehaviour.GARBAGE: self._garbage,
+            ClientBehaviour.LEAVES: self._leave,
+            ClientBehaviour.RESTS: self._rest,
+        }[self.plan.behaviour]
         while not self.over.is_set():
             if not await self._connected():
                 await asyncio.sleep(0.05)
@@ -133,11 +133,15 @@
     def _send(self, connection, request):
         request.sent_at = self.ledger.clock()
         request.process = self.sidecar.process.number
-        request.follows = connection.out[-1] if connection.out else None
+        request.previous = connection.out[-1] if connection.out else None
         if len(connection.out) >= READ_AHEAD:
-            request.released_by = connection.out[-READ_AHEAD]
-        request.due_after = max((one.due_after for one in connection.out), default=0.0)
-        request.due_after = max(request.due_after, request.sent_at + request.deadline)
+            request.read_after = connection.out[-READ_AHEAD]
+        request.pipeline_deadline_at = max(
+            (one.pipeline_deadline_at for one in connection.out), default=0.0
+        )
+        request.pipeline_deadline_at = max(
+            request.pipeline_deadline_at, request.sent_at + request.deadline
+        )
         if not connection.open:  # it ended between requests, just before this one
             request.closed_at = request.sent_at
             return
@@ -171,7 +175,7 @@
     async def _answered(self, connection, requests):
         """Waits for all of these; what a connection's end has crossed is sent once more."""
         until = self.ledger.clock() + GIVES_UP_AFTER
-        while any(not one.answers for one in requests) and connection.open:
+        while any(not one.responses for one in requests) and connection.open:
             left = until - self.ledger.clock()
             if left <= 0:
                 return
@@ -180,8 +184,10 @@
             not connection.open and connection.ended_at is None
         ):  # a write has failed: its end comes next
             await connection.news(CONNECTS_WITHIN)
-        crossed = [one for one in requests if not one.answers and one.closed_at is not None]
-        for request in crossed if connection.answered or self.plan.habit != Habit.LEAVES else ():
+        crossed = [one for one in requests if not one.responses and one.closed_at is not None]
+        for request in (
+            crossed if connection.answered or self.plan.behaviour != ClientBehaviour.LEAVES else ()
+        ):
             await self._send_again(request)
 
     async def _send_again(self, request):
@@ -195,7 +201,7 @@
         request.closed_at = None
         self._send(connection, request)
         until = self.ledger.clock() + GIVES_UP_AFTER
-        while not request.answers and connection.open and self.ledger.clock() < until:
+        while not request.responses and connection.open and self.ledger.clock() < until:
             await connection.news(until - self.ledger.clock())
 
     async def _ask_one(self):
@@ -220,7 +226,7 @@
             return
         now = self.ledger.clock()
         for request in requests:
-            if not request.answers:
+            if not request.responses:
                 request.left_at = now
         connection.expects = False
         how = self.chance.choice(("close", "reset", "shut"))
@@ -256,7 +262,7 @@
         if connection.open:
             request.sent_at = self.ledger.clock()
             request.process = self.sidecar.process.number
-            request.due_after = request.sent_at + request.deadline
+            request.pipeline_deadline_at = request.sent_at + request.deadline
             connection.out.append(request)
             connection.transport.write(words[cut:])
             await self._answered(connection, [request])
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -11,14 +11,14 @@
     """A request as its client sent it.
 
     Attributes:
-        answers: whole answers that came, with their moments.
+        responses: whole answers that came, with their moments.
         closed_at: when the client's connection ended under it, from the other side.
         left_at: when the client itself closed.
         refused: its connection was refused, or it could not be sent.
         again: it was sent once more after a close that it had crossed.
-        due_after: the end of those before it on its connection.
-        follows: the request before it on its connection that was not answered as it was sent.
-        released_by: the request before it with whose answer its connection is read on; None where it always is.
+        pipeline_deadline_at: the end of those before it on its connection.
+        previous: the request before it on its connection that was not answered as it was sent.
+        read_after: the request before it with whose answer its connection is read on; None where it always is.
     """
 
     name: str
@@ -30,27 +30,29 @@
     sent_at: float
     process: int
     repeated_key: str | None = None
-    answers: list = field(default_factory=list)
+    responses: list = field(default_factory=list)
     closed_at: float | None = None
     left_at: float | None = None
     refused: bool = False
     again: bool = False
-    due_after: float = 0.0
-    follows: "Request | None" = None
-    released_by: "Request | None" = None
+    pipeline_deadline_at: float = 0.0
+    previous: "Request | None" = None
+    read_after: "Request | None" = None
 
-    def due(self):
+    def deadline_at(self):
         """When its time is over. The time spent waiting for the ones before does not count: a connection that has many
-        in hand is not read on until the answer of `released_by`, or later."""
-        if self.released_by is None:
-            return self.due_after
-        if not self.released_by.answers:
+        in hand is not read on until the answer of `read_after`, or later."""
+        if self.read_after is None:
+            return self.pipeline_deadline_at
+        if not self.read_after.responses:
             return float("inf")
-        return max(self.due_after, self.released_by.answers[0][0] + self.deadline)
+        return max(self.pipeline_deadline_at, self.read_after.responses[0][0] + self.deadline)
 
-    def answer_due(self):
+    def response_deadline_at(self):
         """When its answer is due. Answers come in the order of the requests: not before those of the ones before it."""
-        return max(self.due(), self.follows.answer_due() if self.follows else 0.0)
+        return max(
+            self.deadline_at(), self.previous.response_deadline_at() if self.previous else 0.0
+        )
 
 
 @dataclass
@@ -144,7 +146,7 @@
     descriptors: int | None = None
 
 
-class Ledger:
+class Observations:
     """All of it, in the order in which it was seen."""
 
     def __init__(self, clock):
@@ -173,7 +175,7 @@
         if request is not None:
             lines.append((request.sent_at, f"client sends {name} ({request.lane})"))
             lines += [
-                (at, f"client gets {answer[:40]!r} for {name}") for at, answer in request.answers
+                (at, f"client gets {answer[:40]!r} for {name}") for at, answer in request.responses
             ]
             if request.closed_at is not None:
                 lines.append((request.closed_at, f"connection under {name} ends"))
--- a/tests/soak/orders.py
+++ b/tests/soak/orders.py
@@ -12,7 +12,7 @@
 )
 
 
-def failing(number, examples):
+def find_failing_orders(number, examples):
     """The smallest orders found that show a fault, and the fault; None if no list of this seed shows one."""
     found = []
 
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -9,7 +9,7 @@
 DEADLINES = (0.3, 0.8, 1.5, 3.0)  # seconds that a client waits
 LANES = ("read", "mark", "pay")
 EARLIER, NEWEST = 41, 42  # builds
-CROWD_EACH = 3  # every so many seeds
+BURST_SEED_INTERVAL = 3  # every so many seeds
 MOST_RATE = 300.0  # requests a second of an instance, about
 ANSWER_TIME = 0.03  # seconds
 
@@ -22,7 +22,7 @@
     FLEET = "fleet"
 
 
-class Habit(StrEnum):
+class ClientBehaviour(StrEnum):
     """What a client does again and again."""
 
     STEADY = "steady"
@@ -33,7 +33,7 @@
     RESTS = "rests"
 
 
-class Early(StrEnum):
+class EarlySignal(StrEnum):
     """A signal that comes after the process has asked discovery and before it serves."""
 
     NONE = "none"
@@ -41,7 +41,7 @@
     STOP = "stop"
 
 
-class Ending(StrEnum):
+class Shutdown(StrEnum):
     """How a process ends."""
 
     STOP = "stop"
@@ -50,7 +50,7 @@
     KILL_AND_RESTART = "kill and restart"
 
 
-class Trouble(StrEnum):
+class PeerFault(StrEnum):
     """What befalls discovery or the platform."""
 
     STALL = "stall"
@@ -82,7 +82,7 @@
 
     instance: int
     starts_at: float
-    habit: Habit
+    behaviour: ClientBehaviour
     pause: float  # seconds between requests, mean
     depth: int  # requests in flight, where pipelined
     seed: int
@@ -100,17 +100,17 @@
     """A whole play."""
 
     seed: int
-    instances: int
+    instance_count: int
     feature: Feature
     pods: tuple[PodPlan, ...]
     clients: tuple[ClientPlan, ...]
-    crowd: int  # clients that come at once
+    burst_size: int  # clients that come at once
     crowd_at: float
-    early: Early
+    early_signal: EarlySignal
     reloads: tuple[float, ...]
-    troubles: tuple[tuple[float, str, Trouble], ...]  # when, of whom, what
+    peer_faults: tuple[tuple[float, str, PeerFault], ...]  # when, of whom, what
     trial: TrialPlan
-    ending: Ending
+    shutdown: Shutdown
     ends_at: float
     notes: tuple[str, ...] = field(default=())
 
@@ -118,17 +118,17 @@
         """In a line, what is drawn."""
         habits = {}
         for client in self.clients:
-            habits[client.habit] = habits.get(client.habit, 0) + 1
+            habits[client.behaviour] = habits.get(client.behaviour, 0) + 1
         parts = [
-            f"{self.instances} instances",
+            f"{self.instance_count} instances",
             f"feature {self.feature}",
             f"{len(self.pods)} pods",
             ", ".join(f"{count} {habit}" for habit, count in sorted(habits.items())),
-            f"crowd {self.crowd}",
-            f"early {self.early}",
+            f"crowd {self.burst_size}",
+            f"early {self.early_signal}",
             f"reloads {len(self.reloads)}",
-            "troubles " + ", ".join(f"{whose} {what}" for _, whose, what in self.troubles),
-            f"ending {self.ending}",
+            "troubles " + ", ".join(f"{whose} {what}" for _, whose, what in self.peer_faults),
+            f"ending {self.shutdown}",
         ]
         return "; ".join(parts)
 
@@ -158,12 +158,12 @@
 
 
 def _client(chance, instances):
-    habits = list(Habit)
+    habits = list(ClientBehaviour)
     weights = numpy.array((6, 4, 1, 1, 3, 2), float)
     return ClientPlan(
         instance=int(chance.integers(instances)),
         starts_at=float(chance.uniform(0, 0.8)),
-        habit=habits[int(chance.choice(len(habits), p=weights / weights.sum()))],
+        behaviour=habits[int(chance.choice(len(habits), p=weights / weights.sum()))],
         pause=float(chance.choice((0.03, 0.1, 0.3))),
         depth=int(chance.choice((2, 5, 20, 90))),
         seed=int(chance.integers(1 << 32)),
@@ -174,7 +174,11 @@
     """These clients, with longer pauses where an instance would get more than a processor of its own can take."""
     rates = [0.0] * instances
     for client in clients:
-        in_flight = client.depth if client.habit in (Habit.PIPELINED, Habit.LEAVES) else 1
+        in_flight = (
+            client.depth
+            if client.behaviour in (ClientBehaviour.PIPELINED, ClientBehaviour.LEAVES)
+            else 1
+        )
         rates[client.instance] += in_flight / (client.pause + ANSWER_TIME)
     factors = [max(1.0, rate / MOST_RATE) for rate in rates]
     return tuple(
@@ -184,7 +188,7 @@
 
 def _troubles(chance):
     count = int(chance.integers(0, 4))
-    whats = list(Trouble)
+    whats = list(PeerFault)
     return tuple(
         sorted(
             (
@@ -217,27 +221,27 @@
     return instances, Feature.GOSSIP if chance.random() < 0.7 else Feature.NONE
 
 
-def drawn(seed):
+def draw_plan(seed):
     """The play of this seed."""
     chance = numpy.random.Generator(numpy.random.PCG64(seed))
     instances, feature = _feature(chance, seed)
     pods = tuple(_pod(chance, number) for number in range(int(chance.integers(3, 8))))
     drawn_clients = [_client(chance, instances) for _ in range(int(chance.integers(4, 24)))]
-    crowded = seed % CROWD_EACH == 0
-    earlies = list(Early)
-    endings = list(Ending)
+    crowded = seed % BURST_SEED_INTERVAL == 0
+    earlies = list(EarlySignal)
+    endings = list(Shutdown)
     return Plan(
         seed=seed,
-        instances=instances,
+        instance_count=instances,
         feature=feature,
         pods=pods,
         clients=_eased(drawn_clients, instances),
-        crowd=int(chance.integers(60, 140)) if crowded else 0,
+        burst_size=int(chance.integers(60, 140)) if crowded else 0,
         crowd_at=float(chance.uniform(0.5, SECONDS - 1.0)),
-        early=earlies[int(chance.choice(3, p=(0.7, 0.2, 0.1)))],
+        early_signal=earlies[int(chance.choice(3, p=(0.7, 0.2, 0.1)))],
         reloads=tuple(sorted(chance.uniform(0.2, SECONDS, chance.integers(0, 5)).tolist())),
-        troubles=_troubles(chance),
+        peer_faults=_troubles(chance),
         trial=_trial(chance),
-        ending=endings[int(chance.integers(len(endings)))],
+        shutdown=endings[int(chance.integers(len(endings)))],
         ends_at=SECONDS + float(chance.uniform(0, 0.5)),
     )
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -31,7 +31,7 @@
 
 
 FAULTS = {
-    "an answer that is dropped": Planted(
+    "dropped response": Planted(
         "lost",
         (1, 2, 4),
         """
@@ -44,7 +44,7 @@
 ClientConnection.answer = drops
 """,
     ),
-    "an answer that comes late": Planted(
+    "late response": Planted(
         "late",
         (1, 2, 4),
         """
@@ -59,7 +59,7 @@
 ClientConnection.answer = delays
 """,
     ),
-    "an answer that comes twice": Planted(
+    "duplicate response": Planted(
         "answers",
         (1, 2, 4),
         """
@@ -72,7 +72,7 @@
 ClientConnection.answer = twice
 """,
     ),
-    "a connection that is used again at once": Planted(
+    "endpoint connection reused without a pause": Planted(
         "answers",
         (47, 21, 28),
         """
@@ -80,7 +80,7 @@
 connection_pool.REST_AFTER_RESPONSE = 0
 """,
     ),
-    "a binding request that runs again": Planted(
+    "non-idempotent request sent again": Planted(
         "twice",
         (5, 7, 8, 10, 11),
         """
@@ -90,7 +90,7 @@
 Attempt._write_by = lambda self: self.expires_at
 """,
     ),
-    "a drain that is not heard": Planted(
+    "drain ignored": Planted(
         "drain",
         (2, 4, 5, 7),
         """
@@ -98,7 +98,7 @@
 discovery.CONDITIONS["Terminating"] = discovery.CONDITIONS["Ready"]
 """,
     ),
-    "a client that has left and is not noticed": Planted(
+    "client disconnect ignored": Planted(
         "left",
         (5, 1, 4, 7, 10, 50, 3, 24),
         """
@@ -108,7 +108,7 @@
 proxy.close_if_client_gone = lambda request: None
 """,
     ),
-    "exposure without a bound": Planted(
+    "unlimited exposure": Planted(
         "exposure",
         (1, 4, 5, 7, 8),
         """
@@ -119,7 +119,7 @@
 TrafficSplit.builds_for = lambda self, request: (True, False)
 """,
     ),
-    "keys that do not stay": Planted(
+    "keys not sticky": Planted(
         "key",
         (1, 4, 5, 7, 8),
         """
@@ -127,7 +127,7 @@
 TrafficSplit.pin = lambda self, event: None
 """,
     ),
-    "an end that never comes": Planted(
+    "shutdown that never ends": Planted(
         "end",
         (1, 2),
         """
@@ -135,7 +135,7 @@
 GracefulShutdown.notify_if_drained = lambda self: None
 """,
     ),
-    "an end with a status": Planted(
+    "nonzero exit status": Planted(
         "status",
         (2, 4),
         """
@@ -143,7 +143,7 @@
 atexit.register(os._exit, 3)
 """,
     ),
-    "half a command that is waited for": Planted(
+    "no timeout for incomplete commands": Planted(
         "bad client",
         (1, 2, 4, 5, 7, 8),
         """
@@ -151,7 +151,7 @@
 ClientConnection._expect_command = lambda self, within: None
 """,
     ),
-    "an attempt that is told too much time": Planted(
+    "attempt timeout too long": Planted(
         "timeout",
         (1, 2, 4),
         """
@@ -160,7 +160,7 @@
 Command.forwarded_words = lambda self, left: words(self, left + 1_000)
 """,
     ),
-    "an exception in the program": Planted(
+    "exception in the sidecar": Planted(
         "fault",
         (1, 2, 4),
         """
--- a/tests/soak/player.py
+++ b/tests/soak/player.py
@@ -11,8 +11,16 @@
 
 from tests.soak.checks import UNTIMED, Checks
 from tests.soak.clients import Client, crowd
-from tests.soak.ledger import Ledger
-from tests.soak.plan import ClientPlan, Early, Ending, Feature, Habit, Trouble, drawn
+from tests.soak.ledger import Observations
+from tests.soak.plan import (
+    ClientBehaviour,
+    ClientPlan,
+    EarlySignal,
+    Feature,
+    PeerFault,
+    Shutdown,
+    draw_plan,
+)
 from tests.soak.sidecar import READY_WITHIN, Sidecar, clock
 from tests.soak.stand_ins import Pod
 from tests.support.peers import reserve_port
@@ -39,7 +47,7 @@
     """
 
     plan: object
-    ledger: Ledger
+    ledger: Observations
     breaches: list
     lag: float
     starved: float
@@ -55,7 +63,9 @@
 
     def told(self):
         """In a line, what was seen."""
-        answers = [request.answers for request in self.ledger.requests.values() if request.sent_at]
+        answers = [
+            request.responses for request in self.ledger.requests.values() if request.sent_at
+        ]
         served = sum(bool(one) and one[0][1].startswith(b"$") for one in answers)
         return (
             f"{len(answers)} requests, {served} served, {len(self.ledger.attempts)} attempts, "
@@ -76,7 +86,7 @@
 
     def __init__(self, plan):
         self.folder = tempfile.TemporaryDirectory()
-        self.names = [f"n{at}" for at in range(plan.instances)]
+        self.names = [f"n{at}" for at in range(plan.instance_count)]
         self.kept, self.feature = [], plan.feature
         if plan.feature == Feature.NONE:
             return
@@ -137,7 +147,7 @@
     """One play."""
 
     def __init__(self, plan, code=None):
-        self.plan, self.code, self.ledger = plan, code, Ledger(clock)
+        self.plan, self.code, self.ledger = plan, code, Observations(clock)
         self.pods = [Pod(one, self.ledger, plan.seed) for one in plan.pods]
         self.operators, self.sidecars = Operators(plan), []
         self.over, self.lag, self.starved, self.tasks = asyncio.Event(), 0.0, 0.0, []
@@ -174,11 +184,11 @@
 
     async def _open(self):
         for pod in self.pods:
-            await pod.open(self.plan.instances)
-        for instance in range(self.plan.instances):
+            await pod.open(self.plan.instance_count)
+        for instance in range(self.plan.instance_count):
             sidecar = Sidecar(
                 instance,
-                self.plan.instances,
+                self.plan.instance_count,
                 self.ledger,
                 self.pods,
                 self.plan.trial.changes[0][2],
@@ -190,13 +200,13 @@
 
     async def _start_all(self):
         first = self.sidecars[0]
-        if self.plan.early != Early.NONE:
+        if self.plan.early_signal != EarlySignal.NONE:
             first.discovery.stall(1e9)
         for sidecar in self.sidecars:
             await sidecar.start()
-        if self.plan.early != Early.NONE:
+        if self.plan.early_signal != EarlySignal.NONE:
             await asyncio.wait_for(first.discovery.asked.wait(), READY_WITHIN)
-            if self.plan.early == Early.RELOAD:
+            if self.plan.early_signal == EarlySignal.RELOAD:
                 first.reload()
             else:
                 first.stop()
@@ -236,8 +246,8 @@
     def _schedule(self):
         plan = self.plan
         for at in plan.reloads:
-            self._at(at, self.sidecars[plan.seed % plan.instances].reload)
-        for at, whose, what in plan.troubles:
+            self._at(at, self.sidecars[plan.seed % plan.instance_count].reload)
+        for at, whose, what in plan.peer_faults:
             self._at(at, self._trouble, whose, what)
         for at, status, cap in plan.trial.changes[1:]:
             for sidecar in self.sidecars:
@@ -249,17 +259,19 @@
                 self._at(pod.plan.drained_at, self._drain, pod)
             if pod.plan.back_at is not None:
                 self._at(pod.plan.back_at, self._come_back, pod)
-        if plan.crowd:
-            steady = ClientPlan(0, 0.0, Habit.STEADY, 0.01, 1, plan.seed)
-            self._at(plan.crowd_at, crowd, plan.crowd, self.sidecars[0], self.ledger, 1000, steady)
+        if plan.burst_size:
+            steady = ClientPlan(0, 0.0, ClientBehaviour.STEADY, 0.01, 1, plan.seed)
+            self._at(
+                plan.crowd_at, crowd, plan.burst_size, self.sidecars[0], self.ledger, 1000, steady
+            )
 
     def _trouble(self, whose, what):
         self.ledger.note(f"{whose}: {what}")
         for sidecar in self.sidecars:
             part = sidecar.discovery if whose == "discovery" else sidecar.platform
-            if what == Trouble.STALL:
+            if what == PeerFault.STALL:
                 part.stall()
-            elif what == Trouble.CUT or whose == "platform":
+            elif what == PeerFault.CUT or whose == "platform":
                 part.cut()
             else:
                 self.tasks.append(asyncio.create_task(sidecar.move_discovery()))
@@ -275,14 +287,14 @@
         pod.close()
         pod.life += 1
         pod.state, pod.started_ms = "Ready", int(time.time() * 1000)
-        await pod.open(self.plan.instances)
+        await pod.open(self.plan.instance_count)
         self.ledger.note(f"{pod.plan.name} is back, cold")
         for sidecar in self.sidecars:
             sidecar.discovery.change(pod)
 
     async def _end(self):
         """The drawn end at one instance, a plain one at the others."""
-        chosen = self.sidecars[self.plan.seed % self.plan.instances]
+        chosen = self.sidecars[self.plan.seed % self.plan.instance_count]
         await self._drawn_end(chosen)
         for sidecar in self.sidecars:
             if sidecar is not chosen:
@@ -292,20 +304,20 @@
                 await sidecar.ended()
 
     async def _drawn_end(self, sidecar):
-        ending = self.plan.ending
-        if ending == Ending.KILL_AND_RESTART:
+        ending = self.plan.shutdown
+        if ending == Shutdown.KILL_AND_RESTART:
             await sidecar.kill()
             await sidecar.start()
             await asyncio.wait_for(sidecar.ready.wait(), READY_WITHIN)
             await asyncio.sleep(RESTARTED_SERVES)
-        if ending == Ending.RELOADS_AND_STOP:
+        if ending == Shutdown.RELOADS_AND_STOP:
             sidecar.reload()
             sidecar.reload()
         sidecar.stop()
-        if ending == Ending.STOP_TWICE:
+        if ending == Shutdown.STOP_TWICE:
             await asyncio.sleep(SECOND_SIGNAL_AFTER)
             sidecar.stop()
-        if ending == Ending.RELOADS_AND_STOP:
+        if ending == Shutdown.RELOADS_AND_STOP:
             await asyncio.sleep(SECOND_SIGNAL_AFTER)
             sidecar.send(signal.SIGHUP)
         await sidecar.ended()
@@ -315,6 +327,6 @@
     """Plays the plan of this seed, once."""
 
     async def bounded():
-        return await asyncio.wait_for(Player(drawn(seed), code).play(), PLAYS_WITHIN)
+        return await asyncio.wait_for(Player(draw_plan(seed), code).play(), PLAYS_WITHIN)
 
     return asyncio.run(bounded())
--- a/tests/soak/rounds.py
+++ b/tests/soak/rounds.py
@@ -4,8 +4,8 @@
 from dataclasses import dataclass
 
 from tests.soak.clients import Client
-from tests.soak.ledger import Ledger
-from tests.soak.plan import PodPlan, drawn
+from tests.soak.ledger import Observations
+from tests.soak.plan import PodPlan, draw_plan
 from tests.soak.sidecar import READY_WITHIN, Sidecar, clock
 from tests.soak.stand_ins import Pod
 
@@ -61,7 +61,7 @@
 
 
 async def _play(seeds, code, rests):
-    ledger = Ledger(clock)
+    ledger = Observations(clock)
     pods = [Pod(_pod(number), ledger, 0) for number in range(PODS)]
     for pod in pods:
         await pod.open(1)
@@ -92,7 +92,7 @@
     over = asyncio.Event()
     clients = [
         Client(number, one, sidecar, ledger, over)
-        for number, one in enumerate(drawn(seed).clients)
+        for number, one in enumerate(draw_plan(seed).clients)
         if one.instance == 0
     ]
     running = [asyncio.create_task(client.run()) for client in clients]
