--- a/tests/soak/campaign.py
+++ b/tests/soak/campaign.py
@@ -6,40 +6,45 @@
 
 from tests.soak import orders, planted, rounds
 from tests.soak.plan import draw_plan
-from tests.soak.player import play
+from tests.soak.player import run_plan
 
-CHRONOLOGY = 40  # lines of the order of what happened
-SHOWN = 5  # breaches of a play
+TIMELINE_LINES = 40  # lines of the order of what happened
+MAX_VIOLATIONS_SHOWN = 5  # breaches of a play
 
 
-def numbers(text):
+def parse_numbers(text):
     """1-50 or 1,2,7."""
-    found = []
+    parsed = []
     for part in text.split(","):
         first, _, last = part.partition("-")
-        found += range(int(first), int(last or first) + 1)
-    return found
+        parsed += range(int(first), int(last or first) + 1)
+    return parsed
 
 
 def run_seed(seed):
     """(seed, what was drawn, what was seen, the report of what broke or "")."""
     try:
-        played = play(seed)
+        result = run_plan(seed)
     except Exception as error:  # one play must not end the campaign, and counts as broken
-        return seed, draw_plan(seed).told(), "the play itself failed", f"seed {seed}: {error!r}"
-    return seed, played.plan.told(), played.told(), report(played)
+        return seed, draw_plan(seed).summary(), "the play itself failed", f"seed {seed}: {error!r}"
+    return seed, result.plan.summary(), result.summary(), report(result)
 
 
-def report(played):
+def report(result):
     """What broke in a play, the command that shows it, and the order of what happened."""
-    failures = played.failures
+    failures = result.failures
     if not failures:
         return ""
-    seed = played.plan.seed
+    seed = result.plan.seed
     lines = [f"seed {seed}: {len(failures)} breaches: python -m tests.soak --seeds {seed}"]
-    lines += [f"  {one.kind}: {one.name or ''} {one.text}" for one in failures[:SHOWN]]
-    name = next((breach.name for breach in failures if breach.name), None)
-    lines += [f"    {line}" for line in played.ledger.chronology(name, CHRONOLOGY)]
+    lines += [
+        f"  {failure.kind}: {failure.request_id or ''} {failure.text}"
+        for failure in failures[:MAX_VIOLATIONS_SHOWN]
+    ]
+    request_id = next(
+        (violation.request_id for violation in failures if violation.request_id), None
+    )
+    lines += [f"    {line}" for line in result.observations.timeline(request_id, TIMELINE_LINES)]
     return "\n".join(lines)
 
 
@@ -47,24 +52,24 @@
     """(name, the seeds played, the one that found it or None)."""
     fault = planted.FAULTS[name]
     for count, seed in enumerate(fault.seeds, 1):
-        kinds = {breach.kind for breach in play(seed, fault.code).failures}
+        kinds = {violation.kind for violation in run_plan(seed, fault.program).failures}
         if fault.kind in kinds:
             return name, fault.seeds[:count], seed
     return name, fault.seeds, None
 
 
-def _seeds(pool, seeds):
-    broken = 0
-    for seed, plan, seen, text in pool.map(run_seed, seeds):
-        print(f"{seed}: {plan}\n   {seen}{'' if text else ': nothing broke'}", flush=True)
-        if text:
-            broken += 1
-            print(text, flush=True)
-    print(f"{len(seeds) - broken} of {len(seeds)} plays without a breach", flush=True)
-    return broken
+def _run_seeds(pool, seeds):
+    failed = 0
+    for seed, plan, seen, failures in pool.map(run_seed, seeds):
+        print(f"{seed}: {plan}\n   {seen}{'' if failures else ': nothing broke'}", flush=True)
+        if failures:
+            failed += 1
+            print(failures, flush=True)
+    print(f"{len(seeds) - failed} of {len(seeds)} plays without a breach", flush=True)
+    return failed
 
 
-def _planted(pool):
+def _run_injected_faults(pool):
     missed = 0
     for name, seeds, found in pool.map(run_injected_fault, planted.FAULTS):
         missed += found is None
@@ -73,47 +78,47 @@
     return missed
 
 
-def _orders(pool, seeds, examples):
-    broken = 0
+def _run_orders(pool, seeds, examples):
+    failed = 0
     for seed, found in zip(
         seeds, pool.map(orders.find_failing_orders, seeds, [examples] * len(seeds))
     ):
         if found is not None:
-            broken += 1
+            failed += 1
             print(f"orders of seed {seed} ({examples} lists): {found[1]}; {found[0]}", flush=True)
-    print(f"orders: {len(seeds) - broken} of {len(seeds)} seeds without a fault", flush=True)
-    return broken
+    print(f"orders: {len(seeds) - failed} of {len(seeds)} seeds without a fault", flush=True)
+    return failed
 
 
-def _rounds(seeds):
-    held = rounds.play(seeds)
-    faults = held.faults()
+def _run_rounds(seeds):
+    result = rounds.run_rounds(seeds)
+    growth = result.growth()
     print(
-        f"rounds: {len(seeds)}, {held.requests} requests; at rest after {rounds.FIRST}: {held.early}, "
-        f"after all: {held.late}: {'; '.join(faults) or 'nothing has grown'}",
+        f"rounds: {len(seeds)}, {result.request_count} requests; at rest after {rounds.BASELINE_ROUND}: {result.baseline}, "
+        f"after all: {result.final}: {'; '.join(growth) or 'nothing has grown'}",
         flush=True,
     )
-    return len(faults)
+    return len(growth)
 
 
-def main(words):
+def main(arguments):
     """Runs what the words of the command line name; gives an exit code."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
-    parser.add_argument("--seeds", type=numbers, default=[], help="plays, as 1-50 or 1,2,7")
+    parser.add_argument("--seeds", type=parse_numbers, default=[], help="plays, as 1-50 or 1,2,7")
     parser.add_argument("--jobs", type=int, default=3, help="plays at once")
     parser.add_argument("--planted", action="store_true", help="the planted faults, too")
-    parser.add_argument("--orders", type=numbers, default=[], help="seeds of the stepped rig")
+    parser.add_argument("--orders", type=parse_numbers, default=[], help="seeds of the stepped rig")
     parser.add_argument("--lists", type=int, default=80, help="lists of orders a seed")
-    parser.add_argument("--rounds", type=numbers, default=[], help="rounds at one process")
-    given = parser.parse_args(words)
-    broken = 0
-    with ProcessPoolExecutor(given.jobs, mp_context=get_context("spawn")) as pool:
-        if given.seeds:
-            broken += _seeds(pool, given.seeds)
-        if given.planted:
-            broken += _planted(pool)
-        if given.orders:
-            broken += _orders(pool, given.orders, given.lists)
-    if given.rounds:
-        broken += _rounds(given.rounds)
-    return 1 if broken else 0
+    parser.add_argument("--rounds", type=parse_numbers, default=[], help="rounds at one process")
+    options = parser.parse_args(arguments)
+    failures = 0
+    with ProcessPoolExecutor(options.jobs, mp_context=get_context("spawn")) as pool:
+        if options.seeds:
+            failures += _run_seeds(pool, options.seeds)
+        if options.planted:
+            failures += _run_injected_faults(pool)
+        if options.orders:
+            failures += _run_orders(pool, options.orders, options.lists)
+    if options.rounds:
+        failures += _run_rounds(options.rounds)
+    return 1 if failures else 0
--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -6,30 +6,34 @@
 
 from dataclasses import dataclass
 
-from tests.soak.plan import NEWEST
-from tests.soak.sidecar import KILL_AFTER, READY_WITHIN
+from tests.soak.plan import NEWEST_BUILD
+from tests.soak.sidecar import KILL_AFTER_SECONDS, STARTUP_TIMEOUT_SECONDS
 
-HELD_UP = 0.15  # seconds: "a sidecar that is held up for up to 0.15 s"
-SLACK = 0.05  # seconds: "every time limit is longer by 50 ms"
-LATE = 0.5  # seconds: "up to half a second after its time it only earns nothing"
-LEFT = 0.1  # seconds: "begins more than 0.1 s after the close is a break"
-CAP_BINDS = 0.15  # seconds: "a lower cap binds 150 ms later"
-KEY_STAYS = 0.15  # seconds from a good answer: "the key counts as answered"
-BAD_CLIENT = 3.0  # seconds: "their error or close within the 3 s that bad clients are owed"
-CROSSES = 0.1  # seconds before its close was seen in which a request may have crossed it
-WINDOW = 3.0  # seconds, of the settings: exposure
-ALLOWANCE = 3.0  # attempts, of the settings
+STALL_TOLERANCE_SECONDS = 0.15  # seconds: "a sidecar that is held up for up to 0.15 s"
+TIME_LIMIT_SLACK_SECONDS = 0.05  # seconds: "every time limit is longer by 50 ms"
+LATE_RESPONSE_SECONDS = 0.5  # seconds: "up to half a second after its time it only earns nothing"
+DISCONNECT_SLACK_SECONDS = 0.1  # seconds: "begins more than 0.1 s after the close is a break"
+CAP_UPDATE_SLACK_SECONDS = 0.15  # seconds: "a lower cap binds 150 ms later"
+STICKY_KEY_DELAY_SECONDS = 0.15  # seconds from a good answer: "the key counts as answered"
+INVALID_COMMAND_LIMIT_SECONDS = (
+    3.0  # seconds: "their error or close within the 3 s that bad clients are owed"
+)
+CLOSE_RACE_SECONDS = 0.1  # seconds before its close was seen in which a request may have crossed it
+EXPOSURE_WINDOW_SECONDS = 3.0  # seconds, of the settings: exposure
+EXPOSURE_ALLOWANCE = 3.0  # attempts, of the settings
 CAP_SLACK_ATTEMPTS = 2
-CAP_SLACK_PART = 1.04  # "2 attempts and 4% above the cap pass"
-DEDUPLICATION = 5.0  # seconds, of the settings
-TIMEOUT_SLACK = 0.15  # seconds: what an attempt tells its pod may be above what is left
-UNTIMED = frozenset(("lost", "answers", "twice", "fault", "status"))
+CAP_SLACK_FACTOR = 1.04  # "2 attempts and 4% above the cap pass"
+DEDUPLICATION_WINDOW_SECONDS = 5.0  # seconds, of the settings
+TIMEOUT_SLACK_SECONDS = 0.15  # seconds: what an attempt tells its pod may be above what is left
+TIMING_INDEPENDENT_KINDS = frozenset(
+    ("lost response", "wrong response", "duplicate execution", "logged fault", "exit status")
+)
 """Kinds of breaches that no want of a processor excuses."""
-NEW_PROCESS = 0.3  # seconds: "from 300 ms after discovery last wrote it"
+RESTART_UPDATE_SLACK_SECONDS = 0.3  # seconds: "from 300 ms after discovery last wrote it"
 
 
 @dataclass(frozen=True)
-class Breach:
+class Violation:
     """What broke.
 
     Attributes:
@@ -39,258 +43,339 @@
 
     kind: str
     text: str
-    name: str | None = None
+    request_id: str | None = None
 
 
 class Checks:
     """All checks of one play."""
 
-    def __init__(self, plan, ledger):
-        self.plan, self.ledger, self.breaches = plan, ledger, []
-        self.by_request = {}
-        for attempt in ledger.attempts:
-            self.by_request.setdefault(attempt.name, []).append(attempt)
+    def __init__(self, plan, observations):
+        self.plan, self.observations, self.violations = plan, observations, []
+        self.attempts_by_request = {}
+        for attempt in observations.attempts:
+            self.attempts_by_request.setdefault(attempt.request_id, []).append(attempt)
 
-    def broke(self, kind, text, name=None):
-        self.breaches.append(Breach(kind, text, name))
+    def add_violation(self, kind, text, request_id=None):
+        self.violations.append(Violation(kind, text, request_id))
 
     def run(self):
         """Every breach of the play."""
-        for request in self.ledger.requests.values():
+        for request in self.observations.requests.values():
             if request.sent_at:
-                self._answer(request)
-                self._repeats(request)
-                self._left(request)
-                self._timeouts(request)
-        self._drains()
-        self._exposure()
-        self._keys()
-        self._bad_clients()
-        self._processes()
-        for text in self.ledger.odd:
-            self.broke("answers", text)
-        return self.breaches
+                self._check_response(request)
+                self._check_retries(request)
+                self._check_disconnect(request)
+                self._check_timeouts(request)
+        self._check_drains()
+        self._check_exposure()
+        self._check_sticky_keys()
+        self._check_invalid_commands()
+        self._check_processes()
+        for text in self.observations.unexpected_responses:
+            self.add_violation("wrong response", text)
+        return self.violations
 
     # One final answer in time.
 
-    def _answer(self, request):
+    def _check_response(self, request):
         if len(request.responses) > 1:
-            self.broke("answers", f"{len(request.responses)} answers", request.name)
+            self.add_violation(
+                "wrong response", f"{len(request.responses)} answers", request.request_id
+            )
         if request.responses:
-            self._content(request)
-            at = request.responses[0][0]
-            due = request.response_deadline_at() + LATE + HELD_UP
-            if at > due and request.left_at is None:
-                self.broke("late", f"answered {at - due:.3f} s after its time", request.name)
+            self._check_content(request)
+            responded_at = request.responses[0][0]
+            latest = (
+                request.response_deadline_at() + LATE_RESPONSE_SECONDS + STALL_TOLERANCE_SECONDS
+            )
+            if responded_at > latest and request.disconnected_at is None:
+                self.add_violation(
+                    "late response",
+                    f"answered {responded_at - latest:.3f} s after its time",
+                    request.request_id,
+                )
             return
-        if request.left_at is not None:  # "when a client closes its connection, it has gone away"
+        if (
+            request.disconnected_at is not None
+        ):  # "when a client closes its connection, it has gone away"
             return
-        if request.refused:  # "for 0.2 to 0.4 s new connections keep coming": not later
+        if request.connection_refused:  # "for 0.2 to 0.4 s new connections keep coming": not later
             return
-        process = self.ledger.processes[request.process]
-        if process.killed and process.stop_at is None:  # it was killed outright
+        process = self.observations.processes[request.process_number]
+        if process.killed and process.sigterm_at is None:  # it was killed outright
             return
-        if process.ended_at is not None and process.stop_at is None:
-            self.broke("lost", "its process has ended by itself", request.name)
+        if process.ended_at is not None and process.sigterm_at is None:
+            self.add_violation(
+                "lost response", "its process has ended by itself", request.request_id
+            )
             return
-        if process.killed and request.sent_at > process.kill_at - HELD_UP:
+        if process.killed and request.sent_at > process.sigkill_at - STALL_TOLERANCE_SECONDS:
             return
-        self.broke("lost", "never answered", request.name)
+        self.add_violation("lost response", "never answered", request.request_id)
 
-    def _content(self, request):
-        answer = request.responses[0][1]
-        if answer.startswith(b"$"):
-            value = answer.split(b"\r\n")[1].decode()
-            if value.split(":")[0] != request.name:
-                text = f"answered with {value}, {self._copy_of(value)}"
-                self.broke("answers", text, request.name)
-            good = [
-                one
-                for one in self.by_request.get(request.name, ())
-                if one.outcome in ("good", "twice")
+    def _check_content(self, request):
+        response = request.responses[0][1]
+        if response.startswith(b"$"):
+            value = response.split(b"\r\n")[1].decode()
+            if value.split(":")[0] != request.request_id:
+                text = f"answered with {value}, {self._describe_duplicate(value)}"
+                self.add_violation("wrong response", text, request.request_id)
+            successful = [
+                attempt
+                for attempt in self.attempts_by_request.get(request.request_id, ())
+                if attempt.outcome in ("good", "duplicate")
             ]
-            if not good:
-                self.broke("answers", "served with what no endpoint made", request.name)
-        elif answer.startswith(b"-BUSY"):
-            perhaps = [
-                one
-                for one in self.by_request.get(request.name, ())
-                if one.outcome != "busy" and one.lane == "pay"
+            if not successful:
+                self.add_violation(
+                    "wrong response", "served with what no endpoint made", request.request_id
+                )
+        elif response.startswith(b"-BUSY"):
+            maybe_executed = [
+                attempt
+                for attempt in self.attempts_by_request.get(request.request_id, ())
+                if attempt.outcome != "busy" and attempt.request_class == "pay"
             ]
-            if perhaps:
-                self.broke("twice", "refused though it may have run", request.name)
-        elif not answer.startswith(b"-ERR"):
-            self.broke("answers", f"answered with {answer[:60]!r}", request.name)
+            if maybe_executed:
+                self.add_violation(
+                    "duplicate execution", "refused though it may have run", request.request_id
+                )
+        elif not response.startswith(b"-ERR"):
+            self.add_violation(
+                "wrong response", f"answered with {response[:60]!r}", request.request_id
+            )
 
-    def _copy_of(self, value):
+    def _describe_duplicate(self, value):
         """Tells how long after its answer a second copy of this value was written."""
-        name, pod, _ = value.split(":")
-        for attempt in self.by_request.get(name, ()):
-            if attempt.pod == pod and attempt.copied_at is not None:
-                return f"copied {1000 * (attempt.copied_at - attempt.answered_at):.1f} ms later"
+        request_id, endpoint, _ = value.split(":")
+        for attempt in self.attempts_by_request.get(request_id, ()):
+            if attempt.endpoint == endpoint and attempt.duplicate_sent_at is not None:
+                return f"copied {1000 * (attempt.duplicate_sent_at - attempt.responded_at):.1f} ms later"
         return "never copied"
 
     # No effect twice, and nothing for a client that has gone.
 
-    def _repeats(self, request):
-        attempts = self.by_request.get(request.name, [])
-        perhaps = None
+    def _check_retries(self, request):
+        attempts = self.attempts_by_request.get(request.request_id, [])
+        first_maybe_executed = None
         for attempt in attempts:
-            if perhaps is not None and request.lane == "pay":
-                self.broke("twice", "sent again while it may have run", request.name)
+            if first_maybe_executed is not None and request.request_class == "pay":
+                self.add_violation(
+                    "duplicate execution", "sent again while it may have run", request.request_id
+                )
             if (
-                perhaps is not None
-                and request.lane == "mark"
-                and attempt.whole_at > perhaps.whole_at + DEDUPLICATION + SLACK
+                first_maybe_executed is not None
+                and request.request_class == "mark"
+                and attempt.last_byte_at
+                > first_maybe_executed.last_byte_at
+                + DEDUPLICATION_WINDOW_SECONDS
+                + TIME_LIMIT_SLACK_SECONDS
             ):
-                self.broke("twice", "sent again after the deduplication window", request.name)
-            turned_away = attempt.outcome == "busy" and attempt.answered_at is not None
-            if perhaps is None and not turned_away:
-                perhaps = attempt
+                self.add_violation(
+                    "duplicate execution",
+                    "sent again after the deduplication window",
+                    request.request_id,
+                )
+            was_rejected = attempt.outcome == "busy" and attempt.responded_at is not None
+            if first_maybe_executed is None and not was_rejected:
+                first_maybe_executed = attempt
 
-    def _left(self, request):
-        if request.left_at is None:
+    def _check_disconnect(self, request):
+        if request.disconnected_at is None:
             return
-        for attempt in self.by_request.get(request.name, ()):
-            after = attempt.whole_at - request.left_at
-            if after > LEFT + HELD_UP:
-                self.broke("left", f"an attempt {after:.3f} s after its client left", request.name)
+        for attempt in self.attempts_by_request.get(request.request_id, ()):
+            delay = attempt.last_byte_at - request.disconnected_at
+            if delay > DISCONNECT_SLACK_SECONDS + STALL_TOLERANCE_SECONDS:
+                self.add_violation(
+                    "client gone",
+                    f"an attempt {delay:.3f} s after its client left",
+                    request.request_id,
+                )
 
-    def _timeouts(self, request):
-        for attempt in self.by_request.get(request.name, ()):
-            left = request.deadline_at() - attempt.whole_at
-            if not request.again and attempt.timeout > max(left, 0) + TIMEOUT_SLACK + SLACK:
-                text = f"told {attempt.timeout:.3f} s with {left:.3f} s left"
-                self.broke("timeout", text, request.name)
+    def _check_timeouts(self, request):
+        for attempt in self.attempts_by_request.get(request.request_id, ()):
+            time_left = request.deadline_at() - attempt.last_byte_at
+            if (
+                not request.resent
+                and attempt.timeout
+                > max(time_left, 0) + TIMEOUT_SLACK_SECONDS + TIME_LIMIT_SLACK_SECONDS
+            ):
+                text = f"told {attempt.timeout:.3f} s with {time_left:.3f} s left"
+                self.add_violation("timeout", text, request.request_id)
 
     # Nothing new to a drained endpoint.
 
-    def _drains(self):
-        told = {}
-        for state in self.ledger.pods_told:
-            told.setdefault((state.instance, state.pod), []).append(state)
-        for attempt in self.ledger.attempts:
-            states = told.get((attempt.instance, attempt.pod), ())
-            before = [state for state in states if state.at <= attempt.begun_at]
-            if not before:
+    def _check_drains(self):
+        states_by_endpoint = {}
+        for state in self.observations.endpoint_states_sent:
+            states_by_endpoint.setdefault((state.instance, state.endpoint), []).append(state)
+        for attempt in self.observations.attempts:
+            states = states_by_endpoint.get((attempt.instance, attempt.endpoint), ())
+            earlier = [state for state in states if state.sent_at <= attempt.first_byte_at]
+            if not earlier:
                 continue
             # The first word of the present spell of not being ready.
-            spell = None
-            for state in before:
+            unready_since = None
+            for state in earlier:
                 if state.state == "Ready":
-                    spell = None
-                elif spell is None:
-                    spell = state.at
-            if spell is not None and attempt.begun_at > spell + SLACK + HELD_UP:
-                after = attempt.begun_at - spell
-                text = f"{attempt.pod} gets it {after:.3f} s after its drain was told"
-                self.broke("drain", text, attempt.name)
-            newest = before[-1]
-            if attempt.life < newest.life and attempt.begun_at > newest.at + NEW_PROCESS + HELD_UP:
-                self.broke("drain", f"{attempt.pod}: to the process before", attempt.name)
+                    unready_since = None
+                elif unready_since is None:
+                    unready_since = state.sent_at
+            if (
+                unready_since is not None
+                and attempt.first_byte_at
+                > unready_since + TIME_LIMIT_SLACK_SECONDS + STALL_TOLERANCE_SECONDS
+            ):
+                delay = attempt.first_byte_at - unready_since
+                text = f"{attempt.endpoint} gets it {delay:.3f} s after its drain was told"
+                self.add_violation("drain", text, attempt.request_id)
+            latest = earlier[-1]
+            if (
+                attempt.generation < latest.generation
+                and attempt.first_byte_at
+                > latest.sent_at + RESTART_UPDATE_SLACK_SECONDS + STALL_TOLERANCE_SECONDS
+            ):
+                self.add_violation(
+                    "drain", f"{attempt.endpoint}: to the process before", attempt.request_id
+                )
 
     # Exposure and keys.
 
-    def _news_of(self, instance):
-        return [news for news in self.ledger.news_told if news.instance == instance]
+    def _release_states_for(self, instance):
+        return [
+            state for state in self.observations.release_states_sent if state.instance == instance
+        ]
 
-    def _exposure(self):
+    def _check_exposure(self):
         for instance in range(self.plan.instance_count):
-            news = self._news_of(instance)
-            tried = [
+            release_states = self._release_states_for(instance)
+            attempts = [
                 attempt
-                for attempt in self.ledger.attempts
-                if attempt.instance == instance and attempt.build == NEWEST
+                for attempt in self.observations.attempts
+                if attempt.instance == instance and attempt.build == NEWEST_BUILD
             ]
-            taken = sorted(
+            request_times = sorted(
                 request.sent_at
-                for request in self.ledger.requests.values()
+                for request in self.observations.requests.values()
                 if request.instance == instance and request.sent_at
             )
-            first = self.plan.trial.changes[0][2]
-            for attempt in tried:
-                self._one_window(attempt, tried, taken, news, first)
+            initial_cap = self.plan.trial.changes[0][2]
+            for attempt in attempts:
+                self._check_exposure_window(
+                    attempt, attempts, request_times, release_states, initial_cap
+                )
 
-    def _one_window(self, attempt, tried, taken, news, first):
-        end = attempt.whole_at
-        begin = end - WINDOW
-        in_force = [(float("-inf"), "trial", first)]
-        in_force += [(one.at, one.status, one.cap) for one in news]
-        current = [one for one in in_force if one[0] <= end][-1]
-        since = max(at for at, *_ in in_force if at <= end)
-        if current[1] in ("rolling_back", "withdrawn") and end > since + CAP_BINDS + HELD_UP:
-            self.broke("exposure", "to a build that takes nothing any more", attempt.name)
-        lately = [one for one in in_force if one[0] <= end and one[0] > begin - CAP_BINDS]
-        before = [one for one in in_force if one[0] <= begin - CAP_BINDS][-1]
-        caps = [before, *lately]
-        if any(status != "trial" for _, status, _ in caps):
+    def _check_exposure_window(self, attempt, attempts, request_times, release_states, initial_cap):
+        end = attempt.last_byte_at
+        begin = end - EXPOSURE_WINDOW_SECONDS
+        history = [(float("-inf"), "trial", initial_cap)]
+        history += [(one.sent_at, one.status, one.cap) for one in release_states]
+        current = [one for one in history if one[0] <= end][-1]
+        current_since = max(at for at, *_ in history if at <= end)
+        if (
+            current[1] in ("rolling_back", "withdrawn")
+            and end > current_since + CAP_UPDATE_SLACK_SECONDS + STALL_TOLERANCE_SECONDS
+        ):
+            self.add_violation(
+                "exposure", "to a build that takes nothing any more", attempt.request_id
+            )
+        recent = [
+            one for one in history if one[0] <= end and one[0] > begin - CAP_UPDATE_SLACK_SECONDS
+        ]
+        previous = [one for one in history if one[0] <= begin - CAP_UPDATE_SLACK_SECONDS][-1]
+        in_effect = [previous, *recent]
+        if any(status != "trial" for _, status, _ in in_effect):
             return
-        cap = max(one[2] for one in caps)
-        count = sum(begin < one.whole_at <= end for one in tried)
-        requests = sum(begin - HELD_UP < at <= end for at in taken)
-        most = (ALLOWANCE + cap * requests) * CAP_SLACK_PART + CAP_SLACK_ATTEMPTS
-        if count > most:
-            text = f"{count} attempts in {WINDOW} s, {most:.1f} allowed of {requests} requests"
-            self.broke("exposure", text, attempt.name)
+        cap = max(one[2] for one in in_effect)
+        count = sum(begin < one.last_byte_at <= end for one in attempts)
+        requests = sum(begin - STALL_TOLERANCE_SECONDS < at <= end for at in request_times)
+        allowed = (EXPOSURE_ALLOWANCE + cap * requests) * CAP_SLACK_FACTOR + CAP_SLACK_ATTEMPTS
+        if count > allowed:
+            text = f"{count} attempts in {EXPOSURE_WINDOW_SECONDS} s, {allowed:.1f} allowed of {requests} requests"
+            self.add_violation("exposure", text, attempt.request_id)
 
-    def _keys(self):
+    def _check_sticky_keys(self):
         """A key that the newest build has answered stays with it while that is open to requests."""
         for instance in range(self.plan.instance_count):
-            news = self._news_of(instance)
-            back = min(
-                (one.at for one in news if one.status in ("rolling_back", "withdrawn")),
+            release_states = self._release_states_for(instance)
+            revoked_at = min(
+                (
+                    one.sent_at
+                    for one in release_states
+                    if one.status in ("rolling_back", "withdrawn")
+                ),
                 default=float("inf"),
             )
-            starts = [
+            process_starts = [
                 process.started_at
-                for process in self.ledger.processes
+                for process in self.observations.processes
                 if process.instance == instance
             ]
-            answered = {}
+            answered_at_by_key = {}
             for attempt in sorted(
-                (one for one in self.ledger.attempts if one.instance == instance),
-                key=lambda one: one.whole_at,
+                (one for one in self.observations.attempts if one.instance == instance),
+                key=lambda one: one.last_byte_at,
             ):
-                known = answered.get(attempt.key)
+                answered_at = answered_at_by_key.get(attempt.key)
                 # Another process knows nothing of it.
-                known_here = known is not None and not any(
-                    known < start <= attempt.whole_at for start in starts
+                is_sticky = answered_at is not None and not any(
+                    answered_at < start <= attempt.last_byte_at for start in process_starts
                 )
                 if (
-                    known_here
-                    and attempt.build < NEWEST
-                    and known + KEY_STAYS + HELD_UP < attempt.begun_at < back
+                    is_sticky
+                    and attempt.build < NEWEST_BUILD
+                    and answered_at + STICKY_KEY_DELAY_SECONDS + STALL_TOLERANCE_SECONDS
+                    < attempt.first_byte_at
+                    < revoked_at
                 ):
-                    text = f"its key was answered by {NEWEST} {attempt.begun_at - known:.3f} s ago"
-                    self.broke("key", text, attempt.name)
-                if attempt.build == NEWEST and attempt.outcome in ("good", "twice"):
-                    answered.setdefault(attempt.key, attempt.answered_at)
+                    text = f"its key was answered by {NEWEST_BUILD} {attempt.first_byte_at - answered_at:.3f} s ago"
+                    self.add_violation("sticky key", text, attempt.request_id)
+                if attempt.build == NEWEST_BUILD and attempt.outcome in ("good", "duplicate"):
+                    answered_at_by_key.setdefault(attempt.key, attempt.responded_at)
 
     # Bad clients and processes.
 
-    def _bad_clients(self):
-        for bad in self.ledger.bad_clients:
-            process = self.ledger.processes[bad.process]
+    def _check_invalid_commands(self):
+        for command in self.observations.invalid_commands:
+            process = self.observations.processes[command.process_number]
             if process.killed:
                 continue
-            ended = bad.ended_at if bad.ended_at is not None else bad.left_at
-            owed = bad.ended_at is None and (ended or 0) - bad.since < BAD_CLIENT
-            if not owed and (ended is None or ended > bad.since + BAD_CLIENT + HELD_UP + SLACK):
-                self.broke("bad client", f"{bad.what} has no end after {BAD_CLIENT} s")
+            ended = command.ended_at if command.ended_at is not None else command.gave_up_at
+            gave_up_early = (
+                command.ended_at is None
+                and (ended or 0) - command.sent_at < INVALID_COMMAND_LIMIT_SECONDS
+            )
+            if not gave_up_early and (
+                ended is None
+                or ended
+                > command.sent_at
+                + INVALID_COMMAND_LIMIT_SECONDS
+                + STALL_TOLERANCE_SECONDS
+                + TIME_LIMIT_SLACK_SECONDS
+            ):
+                self.add_violation(
+                    "invalid command",
+                    f"{command.description} has no end after {INVALID_COMMAND_LIMIT_SECONDS} s",
+                )
 
-    def _processes(self):
-        for process in self.ledger.processes:
-            told = f"process {process.number}"
-            for line in process.faults[:3]:
-                self.broke("fault", f"{told}: {line[:200]}")
-            if process.killed and process.stop_at is not None:
-                self.broke("end", f"{told} had not ended {KILL_AFTER:.1f} s after SIGTERM")
-            elif not process.killed and process.status != 0:
-                early = process.ready_at is None and process.status == -15
-                if not early:
-                    self.broke("status", f"{told} ended with status {process.status}")
-            ready = process.ready_at
-            if ready is None and process.stop_at is None and not process.killed:
-                self.broke("start", f"{told} was never ready")
-            elif ready is not None and ready > process.started_at + READY_WITHIN:
-                self.broke("start", f"{told} was ready after {ready - process.started_at:.1f} s")
+    def _check_processes(self):
+        for process in self.observations.processes:
+            label = f"process {process.number}"
+            for line in process.fault_lines[:3]:
+                self.add_violation("logged fault", f"{label}: {line[:200]}")
+            if process.killed and process.sigterm_at is not None:
+                self.add_violation(
+                    "shutdown", f"{label} had not ended {KILL_AFTER_SECONDS:.1f} s after SIGTERM"
+                )
+            elif not process.killed and process.exit_status != 0:
+                stopped_at_startup = process.ready_at is None and process.exit_status == -15
+                if not stopped_at_startup:
+                    self.add_violation(
+                        "exit status", f"{label} ended with status {process.exit_status}"
+                    )
+            ready_at = process.ready_at
+            if ready_at is None and process.sigterm_at is None and not process.killed:
+                self.add_violation("startup", f"{label} was never ready")
+            elif ready_at is not None and ready_at > process.started_at + STARTUP_TIMEOUT_SECONDS:
+                self.add_violation(
+                    "startup", f"{label} was ready after {ready_at - process.started_at:.1f} s"
+                )
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -8,48 +8,50 @@
 import contextlib
 import random
 
-from tests.soak.ledger import BadClient, Request
-from tests.soak.plan import DEADLINES, LANES, ClientBehaviour
-from tests.soak.stand_ins import reset
+from tests.soak.ledger import InvalidCommand, Request
+from tests.soak.plan import DEADLINES_SECONDS, REQUEST_CLASSES, ClientBehaviour
+from tests.soak.stand_ins import reset_connection
 
-KEYS = 40
-GIVES_UP_AFTER = 5.0  # seconds: more than any answer may take
-BAD_STAYS = 4.0  # seconds that a bad client waits for its end
-READ_AHEAD = 32  # in hand: a connection with over 64 is not read on until so few are left (docs/design/ends.md)
-CONNECTS_WITHIN = 2.0  # seconds
+KEY_COUNT = 40
+RESPONSE_WAIT_SECONDS = 5.0  # seconds: more than any answer may take
+INVALID_COMMAND_WAIT_SECONDS = 4.0  # seconds that a bad client waits for its end
+READ_RESUME_THRESHOLD = 32  # in hand: a connection with over 64 is not read on until so few are left (docs/design/ends.md)
+CONNECT_TIMEOUT_SECONDS = 2.0  # seconds
 
 
-def command(*words):
+def encode_command(*arguments):
     """A command as bytes."""
-    return b"*%d\r\n" % len(words) + b"".join(
-        b"$%d\r\n%s\r\n" % (len(word), word) for word in map(str.encode, words)
+    return b"*%d\r\n" % len(arguments) + b"".join(
+        b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in map(str.encode, arguments)
     )
 
 
-class Connection(asyncio.Protocol):
+class ClientConnection(asyncio.Protocol):
     """A client's connection. Answers go to the requests in their order."""
 
-    def __init__(self, ledger):
-        self.ledger, self.buffer, self.out = ledger, bytearray(), []
-        self.transport, self.ended_at, self.wake = None, None, asyncio.Event()
-        self.expects, self.answered = True, 0
+    def __init__(self, observations):
+        self.observations, self.buffer, self.pending = observations, bytearray(), []
+        self.transport, self.ended_at, self.changed = None, None, asyncio.Event()
+        self.expects_responses, self.response_count = True, 0
 
     def connection_made(self, transport):
         self.transport = transport
 
     def data_received(self, data):
         self.buffer += data
-        while (length := self._answer_length()) is not None:
-            answer = bytes(self.buffer[:length])
+        while (length := self._response_length()) is not None:
+            response = bytes(self.buffer[:length])
             del self.buffer[:length]
-            if self.out:
-                self.out.pop(0).responses.append((self.ledger.clock(), answer))
-            elif self.expects:
-                self.ledger.odd.append(f"an answer that nothing asked for: {answer[:60]!r}")
-            self.answered += 1
-            self.wake.set()
-
-    def _answer_length(self):
+            if self.pending:
+                self.pending.pop(0).responses.append((self.observations.clock(), response))
+            elif self.expects_responses:
+                self.observations.unexpected_responses.append(
+                    f"an answer that nothing asked for: {response[:60]!r}"
+                )
+            self.response_count += 1
+            self.changed.set()
+
+    def _response_length(self):
         end = self.buffer.find(b"\r\n")
         if end < 0:
             return None
@@ -59,61 +61,66 @@
         return length if len(self.buffer) >= length else None
 
     def eof_received(self):
-        self._end()
+        self._mark_ended()
 
     def connection_lost(self, _):
-        self._end()
+        self._mark_ended()
 
-    def _end(self):
+    def _mark_ended(self):
         if self.ended_at is None:
-            self.ended_at = self.ledger.clock()
-            for request in self.out:
-                if request.left_at is None:
-                    request.closed_at = self.ended_at
-        self.wake.set()
+            self.ended_at = self.observations.clock()
+            for request in self.pending:
+                if request.disconnected_at is None:
+                    request.connection_closed_at = self.ended_at
+        self.changed.set()
 
     @property
-    def open(self):
+    def is_open(self):
         """Whether requests can be sent on it."""
         return self.ended_at is None and not self.transport.is_closing()
 
-    async def news(self, seconds):
+    async def wait_for_change(self, timeout):
         """Waits until something comes, or so long."""
-        self.wake.clear()
+        self.changed.clear()
         with contextlib.suppress(TimeoutError):
-            await asyncio.wait_for(self.wake.wait(), seconds)
+            await asyncio.wait_for(self.changed.wait(), timeout)
 
 
 class Client:
     """One client of an instance."""
 
-    def __init__(self, number, plan, sidecar, ledger, over):
-        self.number, self.plan, self.sidecar, self.ledger = number, plan, sidecar, ledger
-        self.over, self.chance, self.count = over, random.Random(plan.seed), 0
+    def __init__(self, number, plan, sidecar, observations, stop_event):
+        self.number, self.plan, self.sidecar, self.observations = (
+            number,
+            plan,
+            sidecar,
+            observations,
+        )
+        self.stop_event, self.rng, self.request_count = stop_event, random.Random(plan.seed), 0
         self.connection = None
 
     async def run(self):
         """Goes on until the play is over."""
-        await asyncio.sleep(self.plan.starts_at)
-        act = {
-            ClientBehaviour.STEADY: self._ask_one,
-            ClientBehaviour.PIPELINED: self._ask_many,
-            ClientBehaviour.HALF: self._half,
-            ClientBehaviour.GARBAGE: self._garbage,
-            ClientBehaviour.LEAVES: self._leave,
-            ClientBehaviour.RESTS: self._rest,
+        await asyncio.sleep(self.plan.start_at)
+        action = {
+            ClientBehaviour.STEADY: self.send_one,
+            ClientBehaviour.PIPELINED: self._send_pipelined,
+            ClientBehaviour.PARTIAL_COMMAND: self._send_partial_command,
+            ClientBehaviour.GARBAGE: self._send_garbage,
+            ClientBehaviour.DISCONNECTS: self._send_and_disconnect,
+            ClientBehaviour.IDLES: self._send_and_idle,
         }[self.plan.behaviour]
-        while not self.over.is_set():
-            if not await self._connected():
+        while not self.stop_event.is_set():
+            if not await self.ensure_connected():
                 await asyncio.sleep(0.05)
                 continue
-            await act()
-            await asyncio.sleep(self.chance.expovariate(1 / self.plan.pause))
+            await action()
+            await asyncio.sleep(self.rng.expovariate(1 / self.plan.mean_pause_seconds))
         if self.connection is not None:
             self.connection.transport.close()
 
-    async def _connected(self):
-        if self.connection is None or not self.connection.open:
+    async def ensure_connected(self):
+        if self.connection is None or not self.connection.is_open:
             self.connection = await self._connect()
         return self.connection is not None
 
@@ -122,188 +129,202 @@
         try:
             _, connection = await asyncio.wait_for(
                 loop.create_connection(
-                    lambda: Connection(self.ledger), "127.0.0.1", self.sidecar.port
+                    lambda: ClientConnection(self.observations), "127.0.0.1", self.sidecar.port
                 ),
-                CONNECTS_WITHIN,
+                CONNECT_TIMEOUT_SECONDS,
             )
         except (OSError, TimeoutError):
             return None
         return connection
 
     def _send(self, connection, request):
-        request.sent_at = self.ledger.clock()
-        request.process = self.sidecar.process.number
-        request.previous = connection.out[-1] if connection.out else None
-        if len(connection.out) >= READ_AHEAD:
-            request.read_after = connection.out[-READ_AHEAD]
+        request.sent_at = self.observations.clock()
+        request.process_number = self.sidecar.process.number
+        request.previous = connection.pending[-1] if connection.pending else None
+        if len(connection.pending) >= READ_RESUME_THRESHOLD:
+            request.read_after = connection.pending[-READ_RESUME_THRESHOLD]
         request.pipeline_deadline_at = max(
-            (one.pipeline_deadline_at for one in connection.out), default=0.0
+            (earlier.pipeline_deadline_at for earlier in connection.pending), default=0.0
         )
         request.pipeline_deadline_at = max(
-            request.pipeline_deadline_at, request.sent_at + request.deadline
+            request.pipeline_deadline_at, request.sent_at + request.timeout
         )
-        if not connection.open:  # it ended between requests, just before this one
-            request.closed_at = request.sent_at
+        if not connection.is_open:  # it ended between requests, just before this one
+            request.connection_closed_at = request.sent_at
             return
-        connection.out.append(request)
-        connection.transport.write(self._words(request))
+        connection.pending.append(request)
+        connection.transport.write(self._encode(request))
 
     @staticmethod
-    def _words(request):
-        verb = "SVC.QUERY" if request.lane == "read" else "SVC.SUBMIT"
-        told = f"c={request.lane},t=x,d={int(request.deadline * 1000)}"
-        if request.lane == "mark":
-            told += f",k={request.name}"
-        return command(verb, request.key, request.name, told, request.body)
-
-    def _request(self):
-        self.count += 1
-        name = f"r{self.number}-{self.count}"
+    def _encode(request):
+        command_name = "SVC.QUERY" if request.request_class == "read" else "SVC.SUBMIT"
+        metadata = f"c={request.request_class},t=x,d={int(request.timeout * 1000)}"
+        if request.request_class == "mark":
+            metadata += f",k={request.request_id}"
+        return encode_command(command_name, request.key, request.request_id, metadata, request.body)
+
+    def _new_request(self):
+        self.request_count += 1
+        request_id = f"r{self.number}-{self.request_count}"
         request = Request(
-            name=name,
+            request_id=request_id,
             instance=self.sidecar.instance,
-            lane=self.chance.choice(LANES),
-            key=f"k{self.chance.randrange(KEYS)}",
-            body=f"body of {name}",
-            deadline=self.chance.choice(DEADLINES),
+            request_class=self.rng.choice(REQUEST_CLASSES),
+            key=f"k{self.rng.randrange(KEY_COUNT)}",
+            body=f"body of {request_id}",
+            timeout=self.rng.choice(DEADLINES_SECONDS),
             sent_at=0.0,
-            process=0,
+            process_number=0,
         )
-        self.ledger.requests[name] = request
+        self.observations.requests[request_id] = request
         return request
 
-    async def _answered(self, connection, requests):
+    async def _wait_for_responses(self, connection, requests):
         """Waits for all of these; what a connection's end has crossed is sent once more."""
-        until = self.ledger.clock() + GIVES_UP_AFTER
-        while any(not one.responses for one in requests) and connection.open:
-            left = until - self.ledger.clock()
-            if left <= 0:
+        give_up_at = self.observations.clock() + RESPONSE_WAIT_SECONDS
+        while any(not one.responses for one in requests) and connection.is_open:
+            time_left = give_up_at - self.observations.clock()
+            if time_left <= 0:
                 return
-            await connection.news(left)
+            await connection.wait_for_change(time_left)
         while (
-            not connection.open and connection.ended_at is None
+            not connection.is_open and connection.ended_at is None
         ):  # a write has failed: its end comes next
-            await connection.news(CONNECTS_WITHIN)
-        crossed = [one for one in requests if not one.responses and one.closed_at is not None]
+            await connection.wait_for_change(CONNECT_TIMEOUT_SECONDS)
+        unanswered = [
+            one for one in requests if not one.responses and one.connection_closed_at is not None
+        ]
         for request in (
-            crossed if connection.answered or self.plan.behaviour != ClientBehaviour.LEAVES else ()
+            unanswered
+            if connection.response_count or self.plan.behaviour != ClientBehaviour.DISCONNECTS
+            else ()
         ):
-            await self._send_again(request)
+            await self._resend(request)
 
-    async def _send_again(self, request):
-        request.again = True
-        self.ledger.note(f"{request.name} crossed the end of its connection, is sent once more")
+    async def _resend(self, request):
+        request.resent = True
+        self.observations.add_event(
+            f"{request.request_id} crossed the end of its connection, is sent once more"
+        )
         connection = await self._connect()
         if connection is None:
-            request.refused = True
+            request.connection_refused = True
             return
         self.connection = connection
-        request.closed_at = None
+        request.connection_closed_at = None
         self._send(connection, request)
-        until = self.ledger.clock() + GIVES_UP_AFTER
-        while not request.responses and connection.open and self.ledger.clock() < until:
-            await connection.news(until - self.ledger.clock())
+        give_up_at = self.observations.clock() + RESPONSE_WAIT_SECONDS
+        while (
+            not request.responses and connection.is_open and self.observations.clock() < give_up_at
+        ):
+            await connection.wait_for_change(give_up_at - self.observations.clock())
 
-    async def _ask_one(self):
-        request = self._request()
+    async def send_one(self):
+        request = self._new_request()
         self._send(self.connection, request)
-        await self._answered(self.connection, [request])
+        await self._wait_for_responses(self.connection, [request])
 
-    async def _ask_many(self):
-        requests = [self._request() for _ in range(self.plan.depth)]
+    async def _send_pipelined(self):
+        requests = [self._new_request() for _ in range(self.plan.pipeline_depth)]
         for request in requests:
             self._send(self.connection, request)
-        await self._answered(self.connection, requests)
+        await self._wait_for_responses(self.connection, requests)
 
-    async def _leave(self):
+    async def _send_and_disconnect(self):
         """Asks, and is gone after a moment: by a close, a reset, or the end of its sending."""
         connection, requests = self.connection, []
-        for _ in range(self.chance.choice((1, 3, self.plan.depth))):
-            requests.append(self._request())
+        for _ in range(self.rng.choice((1, 3, self.plan.pipeline_depth))):
+            requests.append(self._new_request())
             self._send(connection, requests[-1])
-        await asyncio.sleep(self.chance.choice((0.0, 0.01, 0.05, 0.3)))
-        if not connection.open:
+        await asyncio.sleep(self.rng.choice((0.0, 0.01, 0.05, 0.3)))
+        if not connection.is_open:
             return
-        now = self.ledger.clock()
+        now = self.observations.clock()
         for request in requests:
             if not request.responses:
-                request.left_at = now
-        connection.expects = False
-        how = self.chance.choice(("close", "reset", "shut"))
-        if how == "close":
+                request.disconnected_at = now
+        connection.expects_responses = False
+        method = self.rng.choice(("close", "reset", "shut"))
+        if method == "close":
             connection.transport.close()
-        elif how == "reset":
-            reset(connection.transport)
+        elif method == "reset":
+            reset_connection(connection.transport)
         else:
             connection.transport.write_eof()
         self.connection = None
 
-    async def _rest(self):
+    async def _send_and_idle(self):
         """Asks seldom; its connection rests meanwhile."""
-        await self._ask_one()
+        await self.send_one()
         await asyncio.sleep(0.4)
 
-    async def _half(self):
+    async def _send_partial_command(self):
         """Sends a part of a command, and the rest or nothing more."""
         connection = self.connection
-        await self._ask_one()
-        if not connection.open:
+        await self.send_one()
+        if not connection.is_open:
             return
-        request = self._request()
-        words = self._words(request)
-        cut = self.chance.randrange(1, len(words) - 1)
-        stays = self.chance.random() < 0.5
-        connection.transport.write(words[:cut])
-        if not stays:
-            del self.ledger.requests[request.name]
-            await self._bad(connection, "half a command")
+        request = self._new_request()
+        data = self._encode(request)
+        split_at = self.rng.randrange(1, len(data) - 1)
+        completes = self.rng.random() < 0.5
+        connection.transport.write(data[:split_at])
+        if not completes:
+            del self.observations.requests[request.request_id]
+            await self._wait_for_rejection(connection, "half a command")
             return
-        await asyncio.sleep(self.chance.choice((0.01, 0.2)))
-        if connection.open:
-            request.sent_at = self.ledger.clock()
-            request.process = self.sidecar.process.number
-            request.pipeline_deadline_at = request.sent_at + request.deadline
-            connection.out.append(request)
-            connection.transport.write(words[cut:])
-            await self._answered(connection, [request])
+        await asyncio.sleep(self.rng.choice((0.01, 0.2)))
+        if connection.is_open:
+            request.sent_at = self.observations.clock()
+            request.process_number = self.sidecar.process.number
+            request.pipeline_deadline_at = request.sent_at + request.timeout
+            connection.pending.append(request)
+            connection.transport.write(data[split_at:])
+            await self._wait_for_responses(connection, [request])
         else:
-            del self.ledger.requests[request.name]
+            del self.observations.requests[request.request_id]
 
-    async def _garbage(self):
+    async def _send_garbage(self):
         connection = self.connection
         connection.transport.write(b"what is this?\r\n")
-        await self._bad(connection, "no command")
-
-    async def _bad(self, connection, what):
-        connection.expects = False
-        bad = BadClient(
-            what, self.sidecar.instance, self.ledger.clock(), self.sidecar.process.number
+        await self._wait_for_rejection(connection, "no command")
+
+    async def _wait_for_rejection(self, connection, description):
+        connection.expects_responses = False
+        invalid_command = InvalidCommand(
+            description,
+            self.sidecar.instance,
+            self.observations.clock(),
+            self.sidecar.process.number,
         )
-        self.ledger.bad_clients.append(bad)
-        before = connection.answered
-        until = bad.since + BAD_STAYS
-        while connection.open and connection.answered == before:
-            left = until - self.ledger.clock()
-            if left <= 0 or self.over.is_set():
+        self.observations.invalid_commands.append(invalid_command)
+        responses_before = connection.response_count
+        give_up_at = invalid_command.sent_at + INVALID_COMMAND_WAIT_SECONDS
+        while connection.is_open and connection.response_count == responses_before:
+            time_left = give_up_at - self.observations.clock()
+            if time_left <= 0 or self.stop_event.is_set():
                 break
-            await connection.news(left)
-        if not connection.open or connection.answered > before:
-            bad.ended_at = self.ledger.clock()
+            await connection.wait_for_change(time_left)
+        if not connection.is_open or connection.response_count > responses_before:
+            invalid_command.ended_at = self.observations.clock()
         else:
-            bad.left_at = self.ledger.clock()
+            invalid_command.gave_up_at = self.observations.clock()
         connection.transport.close()
         self.connection = None
 
 
-async def crowd(count, sidecar, ledger, first_number, plan):
+async def send_burst(count, sidecar, observations, first_number, plan):
     """So many clients at once, each with a connection and one request of its own."""
-    over = asyncio.Event()
-    clients = [Client(first_number + at, plan, sidecar, ledger, over) for at in range(count)]
-
-    async def one(client):
-        if await client._connected():
-            await client._ask_one()
+    stop_event = asyncio.Event()
+    clients = [
+        Client(first_number + index, plan, sidecar, observations, stop_event)
+        for index in range(count)
+    ]
+
+    async def send_request(client):
+        if await client.ensure_connected():
+            await client.send_one()
             client.connection.transport.close() if client.connection else None
 
-    ledger.note(f"{count} clients come at once to instance {sidecar.instance}")
-    await asyncio.gather(*(one(client) for client in clients))
+    observations.add_event(f"{count} clients come at once to instance {sidecar.instance}")
+    await asyncio.gather(*(send_request(client) for client in clients))
--- a/tests/soak/orders.py
+++ b/tests/soak/orders.py
@@ -6,9 +6,11 @@
 from tests.integration import test_event_orders as short
 from tests.support.order_rig import minimize, play
 
-HELD_UP = short.order("stall_process", st.sampled_from((20, 60, 150)))  # the page allows for 0.15 s
+STALL = short.order("stall_process", st.sampled_from((20, 60, 150)))  # the page allows for 0.15 s
 LONGER = st.lists(
-    st.one_of(short.ORDERS, short.ORDERS, short.ORDERS, HELD_UP), min_size=40, max_size=120
+    st.one_of(short.ORDERS, short.ORDERS, short.ORDERS, STALL),
+    min_size=40,
+    max_size=120,
 )
 
 
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -2,16 +2,16 @@
 
 from dataclasses import dataclass
 
-BEGIN = """import os, sys
+PROGRAM_START = """import os, sys
 from thymeknot.service import lifecycle
 """
-END = """
+PROGRAM_END = """
 sys.exit(lifecycle.main(os.environ))
 """
 
 
 @dataclass(frozen=True)
-class Planted:
+class InjectedFault:
     """A fault.
 
     Attributes:
@@ -25,14 +25,14 @@
     patch: str
 
     @property
-    def code(self):
+    def program(self):
         """The program with the fault."""
-        return BEGIN + self.patch + END
+        return PROGRAM_START + self.patch + PROGRAM_END
 
 
 FAULTS = {
-    "dropped response": Planted(
-        "lost",
+    "dropped response": InjectedFault(
+        "lost response",
         (1, 2, 4),
         """
 from thymeknot.protocol.client import ClientConnection
@@ -44,8 +44,8 @@
 ClientConnection.answer = drops
 """,
     ),
-    "late response": Planted(
-        "late",
+    "late response": InjectedFault(
+        "late response",
         (1, 2, 4),
         """
 from thymeknot.protocol.client import ClientConnection
@@ -59,8 +59,8 @@
 ClientConnection.answer = delays
 """,
     ),
-    "duplicate response": Planted(
-        "answers",
+    "duplicate response": InjectedFault(
+        "wrong response",
         (1, 2, 4),
         """
 from thymeknot.protocol.client import ClientConnection
@@ -72,16 +72,16 @@
 ClientConnection.answer = twice
 """,
     ),
-    "endpoint connection reused without a pause": Planted(
-        "answers",
+    "endpoint connection reused without a pause": InjectedFault(
+        "wrong response",
         (47, 21, 28),
         """
 from thymeknot.state import connection_pool
 connection_pool.REST_AFTER_RESPONSE = 0
 """,
     ),
-    "non-idempotent request sent again": Planted(
-        "twice",
+    "non-idempotent request sent again": InjectedFault(
+        "duplicate execution",
         (5, 7, 8, 10, 11),
         """
 from thymeknot.policy import idempotency
@@ -90,7 +90,7 @@
 Attempt._write_by = lambda self: self.expires_at
 """,
     ),
-    "drain ignored": Planted(
+    "drain ignored": InjectedFault(
         "drain",
         (2, 4, 5, 7),
         """
@@ -98,8 +98,8 @@
 discovery.CONDITIONS["Terminating"] = discovery.CONDITIONS["Ready"]
 """,
     ),
-    "client disconnect ignored": Planted(
-        "left",
+    "client disconnect ignored": InjectedFault(
+        "client gone",
         (5, 1, 4, 7, 10, 50, 3, 24),
         """
 from thymeknot.proxy.client_requests import ClientRequests
@@ -108,7 +108,7 @@
 proxy.close_if_client_gone = lambda request: None
 """,
     ),
-    "unlimited exposure": Planted(
+    "unlimited exposure": InjectedFault(
         "exposure",
         (1, 4, 5, 7, 8),
         """
@@ -119,39 +119,39 @@
 TrafficSplit.builds_for = lambda self, request: (True, False)
 """,
     ),
-    "keys not sticky": Planted(
-        "key",
+    "keys not sticky": InjectedFault(
+        "sticky key",
         (1, 4, 5, 7, 8),
         """
 from thymeknot.policy.traffic_split import TrafficSplit
 TrafficSplit.pin = lambda self, event: None
 """,
     ),
-    "shutdown that never ends": Planted(
-        "end",
+    "shutdown that never ends": InjectedFault(
+        "shutdown",
         (1, 2),
         """
 from thymeknot.proxy.graceful_shutdown import GracefulShutdown
 GracefulShutdown.notify_if_drained = lambda self: None
 """,
     ),
-    "nonzero exit status": Planted(
-        "status",
+    "nonzero exit status": InjectedFault(
+        "exit status",
         (2, 4),
         """
 import atexit
 atexit.register(os._exit, 3)
 """,
     ),
-    "no timeout for incomplete commands": Planted(
-        "bad client",
+    "no timeout for incomplete commands": InjectedFault(
+        "invalid command",
         (1, 2, 4, 5, 7, 8),
         """
 from thymeknot.protocol.client import ClientConnection
 ClientConnection._expect_command = lambda self, within: None
 """,
     ),
-    "attempt timeout too long": Planted(
+    "attempt timeout too long": InjectedFault(
         "timeout",
         (1, 2, 4),
         """
@@ -160,8 +160,8 @@
 Command.forwarded_words = lambda self, left: words(self, left + 1_000)
 """,
     ),
-    "exception in the sidecar": Planted(
-        "fault",
+    "exception in the sidecar": InjectedFault(
+        "logged fault",
         (1, 2, 4),
         """
 from thymeknot.policy.endpoint_selection import EndpointSelection
--- a/tests/soak/player.py
+++ b/tests/soak/player.py
@@ -9,8 +9,8 @@
 from collections import deque
 from dataclasses import dataclass
 
-from tests.soak.checks import UNTIMED, Checks
-from tests.soak.clients import Client, crowd
+from tests.soak.checks import TIMING_INDEPENDENT_KINDS, Checks
+from tests.soak.clients import Client, send_burst
 from tests.soak.ledger import Observations
 from tests.soak.plan import (
     ClientBehaviour,
@@ -21,23 +21,23 @@
     Shutdown,
     draw_plan,
 )
-from tests.soak.sidecar import READY_WITHIN, Sidecar, clock
-from tests.soak.stand_ins import Pod
+from tests.soak.sidecar import STARTUP_TIMEOUT_SECONDS, Sidecar, clock
+from tests.soak.stand_ins import AsyncEndpoint
 from tests.support.peers import reserve_port
 from thymeknot.gossip import keys
 
-LAG_LOOKS = 0.01  # seconds between two looks at how late this process itself is
-LAG_MOST = 0.1  # seconds: beyond that the stand-ins were held up, and the play says nothing
-STARVED_MOST = 0.15  # seconds without a processor in a stretch: the page allows for no more
-STRETCH_LOOKS = 20  # looks of a stretch
-PLAYS_WITHIN = 90.0  # seconds
-SECOND_SIGNAL_AFTER = 0.1  # seconds
-RESTARTED_SERVES = 1.0  # seconds
-CLIENTS_END_WITHIN = 6.0  # seconds
+LAG_CHECK_INTERVAL_SECONDS = 0.01  # seconds between two looks at how late this process itself is
+MAX_LAG_SECONDS = 0.1  # seconds: beyond that the stand-ins were held up, and the play says nothing
+MAX_CPU_WAIT_SECONDS = 0.15  # seconds without a processor in a stretch: the page allows for no more
+CPU_WAIT_SAMPLES = 20  # looks of a stretch
+RUN_TIMEOUT_SECONDS = 90.0  # seconds
+SECOND_SIGNAL_DELAY_SECONDS = 0.1  # seconds
+SERVING_AFTER_RESTART_SECONDS = 1.0  # seconds
+CLIENT_SHUTDOWN_TIMEOUT_SECONDS = 6.0  # seconds
 
 
 @dataclass(frozen=True)
-class Played:
+class RunResult:
     """What a play came to.
 
     Attributes:
@@ -47,286 +47,320 @@
     """
 
     plan: object
-    ledger: Observations
-    breaches: list
-    lag: float
-    starved: float
+    observations: Observations
+    violations: list
+    max_lag: float
+    max_cpu_wait: float
 
     @property
-    def void(self):
-        return self.lag > LAG_MOST or self.starved > STARVED_MOST
+    def inconclusive(self):
+        return self.max_lag > MAX_LAG_SECONDS or self.max_cpu_wait > MAX_CPU_WAIT_SECONDS
 
     @property
     def failures(self):
         """The breaches that count: "a sidecar that is held up for up to 0.15 s", and no more, is the page's term."""
-        return [one for one in self.breaches if one.kind in UNTIMED or not self.void]
+        return [
+            violation
+            for violation in self.violations
+            if violation.kind in TIMING_INDEPENDENT_KINDS or not self.inconclusive
+        ]
 
-    def told(self):
+    def summary(self):
         """In a line, what was seen."""
-        answers = [
-            request.responses for request in self.ledger.requests.values() if request.sent_at
+        responses = [
+            request.responses for request in self.observations.requests.values() if request.sent_at
         ]
-        served = sum(bool(one) and one[0][1].startswith(b"$") for one in answers)
+        served = sum(bool(one) and one[0][1].startswith(b"$") for one in responses)
         return (
-            f"{len(answers)} requests, {served} served, {len(self.ledger.attempts)} attempts, "
-            f"{len(self.ledger.processes)} processes, own lag {self.lag * 1000:.0f} ms, "
-            f"without a processor {self.starved * 1000:.0f} ms"
-            + (", VOID: what hangs on time says nothing" if self.void else "")
+            f"{len(responses)} requests, {served} served, {len(self.observations.attempts)} attempts, "
+            f"{len(self.observations.processes)} processes, own lag {self.max_lag * 1000:.0f} ms, "
+            f"without a processor {self.max_cpu_wait * 1000:.0f} ms"
+            + (", VOID: what hangs on time says nothing" if self.inconclusive else "")
         )
 
 
-def _udp_port():
-    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as place:
-        place.bind(("127.0.0.1", 0))
-        return place.getsockname()[1]
+def _free_udp_port():
+    with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as probe:
+        probe.bind(("127.0.0.1", 0))
+        return probe.getsockname()[1]
 
 
-class Operators:
+class OperatorFiles:
     """The operator files of the instances, for the feature of the play."""
 
     def __init__(self, plan):
         self.folder = tempfile.TemporaryDirectory()
-        self.names = [f"n{at}" for at in range(plan.instance_count)]
-        self.kept, self.feature = [], plan.feature
+        self.names = [f"n{index}" for index in range(plan.instance_count)]
+        self.reservations, self.feature = [], plan.feature
         if plan.feature == Feature.NONE:
             return
         self.identities = {
-            name: keys.create_key_file(name, self._at(f"{name}.key")) for name in self.names
+            name: keys.create_key_file(name, self._path(f"{name}.key")) for name in self.names
         }
-        self.records = ", ".join(keys.peer_record(one) for one in self.identities.values())
+        self.peer_records = ", ".join(
+            keys.peer_record(identity) for identity in self.identities.values()
+        )
         self.ports = {}
         for name in self.names:
             if plan.feature == Feature.FLEET:
-                place, self.ports[name] = reserve_port()
-                self.kept.append(place)
+                reservation, self.ports[name] = reserve_port()
+                self.reservations.append(reservation)
             else:
-                self.ports[name] = _udp_port()
+                self.ports[name] = _free_udp_port()
 
-    def _at(self, name):
+    def _path(self, name):
         return os.path.join(self.folder.name, name)
 
-    def file(self, instance):
+    def write_file(self, instance):
         """The path of an instance's file; None without a feature."""
         if self.feature == Feature.NONE:
             return None
         name = self.names[instance]
-        text = self._gossip(name) if self.feature == Feature.GOSSIP else self._fleet(name)
-        with open(self._at(f"{name}.cue"), "w", encoding="utf-8") as target:
+        text = (
+            self._gossip_config(name)
+            if self.feature == Feature.GOSSIP
+            else self._fleet_config(name)
+        )
+        with open(self._path(f"{name}.cue"), "w", encoding="utf-8") as target:
             target.write(text)
-        return self._at(f"{name}.cue")
+        return self._path(f"{name}.cue")
 
-    def _gossip(self, name):
-        seeds = ", ".join(f'"127.0.0.1:{self.ports[one]}"' for one in self.names if one != name)
+    def _gossip_config(self, name):
+        seeds = ", ".join(
+            f'"127.0.0.1:{self.ports[other]}"' for other in self.names if other != name
+        )
         return (
             f'gossip: {{name: "{name}", listen: "127.0.0.1:{self.ports[name]}"\n'
             f'key: "{name}.key", seeds: [{seeds}], from: ["127.0.0.0/8"]\n'
-            f"peers: [{self.records}]}}\n"
+            f"peers: [{self.peer_records}]}}\n"
         )
 
-    def _fleet(self, name):
+    def _fleet_config(self, name):
         keepers = ", ".join(
-            f'{{name: "{one}", address: "127.0.0.1:{self.ports[one]}", '
-            f'keys: [{{key: "{self.identities[one].public_key_text()}"}}]}}'
-            for one in self.names
+            f'{{name: "{node}", address: "127.0.0.1:{self.ports[node]}", '
+            f'keys: [{{key: "{self.identities[node].public_key_text()}"}}]}}'
+            for node in self.names
         )
-        units = ", ".join(f'{{name: "{one}", kind: "sidecar", zone: "z"}}' for one in self.names)
+        units = ", ".join(f'{{name: "{node}", kind: "sidecar", zone: "z"}}' for node in self.names)
         return (
-            f'fleet: {{name: "{name}", key: "{name}.key", data: "{self._at(name)}"\n'
+            f'fleet: {{name: "{name}", key: "{name}.key", data: "{self._path(name)}"\n'
             f'founds: true, from: ["127.0.0.0/8"], keepers: [{keepers}]\n'
             f'unit: "{name}", units: [{units}]\n'
             f'budgets: [{{name: "all", where: {{kind: "sidecar"}}, most: 1}}]}}\n'
         )
 
     def close(self):
-        for place in self.kept:
-            place.close()
+        for reservation in self.reservations:
+            reservation.close()
         self.folder.cleanup()
 
 
-class Player:
+class PlanRunner:
     """One play."""
 
     def __init__(self, plan, code=None):
-        self.plan, self.code, self.ledger = plan, code, Observations(clock)
-        self.pods = [Pod(one, self.ledger, plan.seed) for one in plan.pods]
-        self.operators, self.sidecars = Operators(plan), []
-        self.over, self.lag, self.starved, self.tasks = asyncio.Event(), 0.0, 0.0, []
+        self.plan, self.code, self.observations = plan, code, Observations(clock)
+        self.endpoints = [
+            AsyncEndpoint(endpoint_plan, self.observations, plan.seed)
+            for endpoint_plan in plan.endpoints
+        ]
+        self.operator_files, self.sidecars = OperatorFiles(plan), []
+        self.stop_event, self.max_lag, self.max_cpu_wait, self.tasks = (
+            asyncio.Event(),
+            0.0,
+            0.0,
+            [],
+        )
 
-    async def play(self):
-        watching = asyncio.create_task(self._watch_lag())
+    async def run(self):
+        lag_monitor = asyncio.create_task(self._monitor_lag())
         try:
-            await self._open()
-            await self._start_all()
-            await self._go_on()
+            await self._open_peers()
+            await self._start_sidecars()
+            await self._run_traffic()
         finally:
-            watching.cancel()
+            lag_monitor.cancel()
             for task in self.tasks:
                 task.cancel()
             for sidecar in self.sidecars:
                 await sidecar.close()
-            for pod in self.pods:
-                pod.close()
-            self.operators.close()
-        breaches = Checks(self.plan, self.ledger).run()
-        return Played(self.plan, self.ledger, breaches, self.lag, self.starved)
-
-    async def _watch_lag(self):
-        waited = {}
+            for endpoint in self.endpoints:
+                endpoint.close()
+            self.operator_files.close()
+        violations = Checks(self.plan, self.observations).run()
+        return RunResult(self.plan, self.observations, violations, self.max_lag, self.max_cpu_wait)
+
+    async def _monitor_lag(self):
+        cpu_waits = {}
         while True:
             before = clock()
-            await asyncio.sleep(LAG_LOOKS)
-            self.lag = max(self.lag, clock() - before - LAG_LOOKS)
+            await asyncio.sleep(LAG_CHECK_INTERVAL_SECONDS)
+            self.max_lag = max(self.max_lag, clock() - before - LAG_CHECK_INTERVAL_SECONDS)
             for sidecar in self.sidecars:
-                if sidecar.running is not None:
-                    looks = waited.setdefault(sidecar.running.pid, deque(maxlen=STRETCH_LOOKS))
-                    looks.append(sidecar.waited_for_processor())
-                    self.starved = max(self.starved, looks[-1] - looks[0])
-
-    async def _open(self):
-        for pod in self.pods:
-            await pod.open(self.plan.instance_count)
+                if sidecar.child is not None:
+                    samples = cpu_waits.setdefault(
+                        sidecar.child.pid, deque(maxlen=CPU_WAIT_SAMPLES)
+                    )
+                    samples.append(sidecar.cpu_wait_seconds())
+                    self.max_cpu_wait = max(self.max_cpu_wait, samples[-1] - samples[0])
+
+    async def _open_peers(self):
+        for endpoint in self.endpoints:
+            await endpoint.open(self.plan.instance_count)
         for instance in range(self.plan.instance_count):
             sidecar = Sidecar(
                 instance,
                 self.plan.instance_count,
-                self.ledger,
-                self.pods,
+                self.observations,
+                self.endpoints,
                 self.plan.trial.changes[0][2],
-                operator=self.operators.file(instance),
+                operator_file=self.operator_files.write_file(instance),
                 code=self.code,
             )
             self.sidecars.append(sidecar)
             await sidecar.open()
 
-    async def _start_all(self):
+    async def _start_sidecars(self):
         first = self.sidecars[0]
         if self.plan.early_signal != EarlySignal.NONE:
             first.discovery.stall(1e9)
         for sidecar in self.sidecars:
             await sidecar.start()
         if self.plan.early_signal != EarlySignal.NONE:
-            await asyncio.wait_for(first.discovery.asked.wait(), READY_WITHIN)
+            await asyncio.wait_for(first.discovery.stream_opened.wait(), STARTUP_TIMEOUT_SECONDS)
             if self.plan.early_signal == EarlySignal.RELOAD:
                 first.reload()
             else:
                 first.stop()
-                await first.ended()
+                await first.wait_until_ended()
                 await first.start()
             first.discovery.stall(0)
-            first.discovery.tell_all()
+            first.discovery.push_updates()
         for sidecar in self.sidecars:
-            await asyncio.wait_for(sidecar.ready.wait(), READY_WITHIN)
+            await asyncio.wait_for(sidecar.ready.wait(), STARTUP_TIMEOUT_SECONDS)
 
-    async def _go_on(self):
+    async def _run_traffic(self):
         plan = self.plan
         clients = [
-            Client(number, one, self.sidecars[one.instance], self.ledger, self.over)
-            for number, one in enumerate(plan.clients)
+            Client(
+                number,
+                client_plan,
+                self.sidecars[client_plan.instance],
+                self.observations,
+                self.stop_event,
+            )
+            for number, client_plan in enumerate(plan.clients)
         ]
         running = [asyncio.create_task(client.run()) for client in clients]
-        self._schedule()
-        await asyncio.sleep(plan.ends_at)
-        await self._end()
-        self.over.set()
-        done, late = await asyncio.wait(running, timeout=CLIENTS_END_WITHIN)
-        for task in late:
+        self._schedule_events()
+        await asyncio.sleep(plan.shutdown_at)
+        await self._shut_down()
+        self.stop_event.set()
+        done, unfinished = await asyncio.wait(running, timeout=CLIENT_SHUTDOWN_TIMEOUT_SECONDS)
+        for task in unfinished:
             task.cancel()
         for task in done:
             task.result()
 
-    def _at(self, when, act, *arguments):
+    def _run_at(self, delay, action, *arguments):
         async def later():
-            await asyncio.sleep(when)
-            result = act(*arguments)
+            await asyncio.sleep(delay)
+            result = action(*arguments)
             if asyncio.iscoroutine(result):
                 await result
 
         self.tasks.append(asyncio.create_task(later()))
 
-    def _schedule(self):
+    def _schedule_events(self):
         plan = self.plan
-        for at in plan.reloads:
-            self._at(at, self.sidecars[plan.seed % plan.instance_count].reload)
-        for at, whose, what in plan.peer_faults:
-            self._at(at, self._trouble, whose, what)
+        for at in plan.reload_times:
+            self._run_at(at, self.sidecars[plan.seed % plan.instance_count].reload)
+        for at, peer, fault in plan.peer_faults:
+            self._run_at(at, self._inject_peer_fault, peer, fault)
         for at, status, cap in plan.trial.changes[1:]:
             for sidecar in self.sidecars:
-                self._at(at, sidecar.platform.change, status, cap)
-        for pod in self.pods:
-            for at in pod.plan.cuts_idle_at:
-                self._at(at, pod.cut_idle)
-            if pod.plan.drained_at is not None:
-                self._at(pod.plan.drained_at, self._drain, pod)
-            if pod.plan.back_at is not None:
-                self._at(pod.plan.back_at, self._come_back, pod)
+                self._run_at(at, sidecar.platform.update_release_state, status, cap)
+        for endpoint in self.endpoints:
+            for at in endpoint.plan.idle_close_times:
+                self._run_at(at, endpoint.close_idle_connections)
+            if endpoint.plan.drain_at is not None:
+                self._run_at(endpoint.plan.drain_at, self._drain_endpoint, endpoint)
+            if endpoint.plan.restart_at is not None:
+                self._run_at(endpoint.plan.restart_at, self._restart_endpoint, endpoint)
         if plan.burst_size:
-            steady = ClientPlan(0, 0.0, ClientBehaviour.STEADY, 0.01, 1, plan.seed)
-            self._at(
-                plan.crowd_at, crowd, plan.burst_size, self.sidecars[0], self.ledger, 1000, steady
+            client_plan = ClientPlan(0, 0.0, ClientBehaviour.STEADY, 0.01, 1, plan.seed)
+            self._run_at(
+                plan.burst_at,
+                send_burst,
+                plan.burst_size,
+                self.sidecars[0],
+                self.observations,
+                1000,
+                client_plan,
             )
 
-    def _trouble(self, whose, what):
-        self.ledger.note(f"{whose}: {what}")
+    def _inject_peer_fault(self, peer, fault):
+        self.observations.add_event(f"{peer}: {fault}")
         for sidecar in self.sidecars:
-            part = sidecar.discovery if whose == "discovery" else sidecar.platform
-            if what == PeerFault.STALL:
-                part.stall()
-            elif what == PeerFault.CUT or whose == "platform":
-                part.cut()
+            server = sidecar.discovery if peer == "discovery" else sidecar.platform
+            if fault == PeerFault.STALL:
+                server.stall()
+            elif fault == PeerFault.RESET_STREAMS or peer == "platform":
+                server.reset_streams()
             else:
                 self.tasks.append(asyncio.create_task(sidecar.move_discovery()))
 
-    def _drain(self, pod):
-        pod.state = "Terminating"
-        self.ledger.note(f"{pod.plan.name} drains")
+    def _drain_endpoint(self, endpoint):
+        endpoint.state = "Terminating"
+        self.observations.add_event(f"{endpoint.plan.name} drains")
         for sidecar in self.sidecars:
-            sidecar.discovery.change(pod)
+            sidecar.discovery.update_endpoint(endpoint)
 
-    async def _come_back(self, pod):
+    async def _restart_endpoint(self, endpoint):
         """Another process, at the same address."""
-        pod.close()
-        pod.life += 1
-        pod.state, pod.started_ms = "Ready", int(time.time() * 1000)
-        await pod.open(self.plan.instance_count)
-        self.ledger.note(f"{pod.plan.name} is back, cold")
+        endpoint.close()
+        endpoint.generation += 1
+        endpoint.state, endpoint.started_ms = "Ready", int(time.time() * 1000)
+        await endpoint.open(self.plan.instance_count)
+        self.observations.add_event(f"{endpoint.plan.name} is back, cold")
         for sidecar in self.sidecars:
-            sidecar.discovery.change(pod)
+            sidecar.discovery.update_endpoint(endpoint)
 
-    async def _end(self):
+    async def _shut_down(self):
         """The drawn end at one instance, a plain one at the others."""
         chosen = self.sidecars[self.plan.seed % self.plan.instance_count]
-        await self._drawn_end(chosen)
+        await self._shut_down_as_drawn(chosen)
         for sidecar in self.sidecars:
             if sidecar is not chosen:
                 sidecar.stop()
         for sidecar in self.sidecars:
             if sidecar is not chosen:
-                await sidecar.ended()
+                await sidecar.wait_until_ended()
 
-    async def _drawn_end(self, sidecar):
-        ending = self.plan.shutdown
-        if ending == Shutdown.KILL_AND_RESTART:
+    async def _shut_down_as_drawn(self, sidecar):
+        shutdown = self.plan.shutdown
+        if shutdown == Shutdown.KILL_AND_RESTART:
             await sidecar.kill()
             await sidecar.start()
-            await asyncio.wait_for(sidecar.ready.wait(), READY_WITHIN)
-            await asyncio.sleep(RESTARTED_SERVES)
-        if ending == Shutdown.RELOADS_AND_STOP:
+            await asyncio.wait_for(sidecar.ready.wait(), STARTUP_TIMEOUT_SECONDS)
+            await asyncio.sleep(SERVING_AFTER_RESTART_SECONDS)
+        if shutdown == Shutdown.RELOADS_AND_STOP:
             sidecar.reload()
             sidecar.reload()
         sidecar.stop()
-        if ending == Shutdown.STOP_TWICE:
-            await asyncio.sleep(SECOND_SIGNAL_AFTER)
+        if shutdown == Shutdown.STOP_TWICE:
+            await asyncio.sleep(SECOND_SIGNAL_DELAY_SECONDS)
             sidecar.stop()
-        if ending == Shutdown.RELOADS_AND_STOP:
-            await asyncio.sleep(SECOND_SIGNAL_AFTER)
-            sidecar.send(signal.SIGHUP)
-        await sidecar.ended()
+        if shutdown == Shutdown.RELOADS_AND_STOP:
+            await asyncio.sleep(SECOND_SIGNAL_DELAY_SECONDS)
+            sidecar.send_signal(signal.SIGHUP)
+        await sidecar.wait_until_ended()
 
 
-def play(seed, code=None):
+def run_plan(seed, code=None):
     """Plays the plan of this seed, once."""
 
-    async def bounded():
-        return await asyncio.wait_for(Player(draw_plan(seed), code).play(), PLAYS_WITHIN)
+    async def run():
+        return await asyncio.wait_for(PlanRunner(draw_plan(seed), code).run(), RUN_TIMEOUT_SECONDS)
 
-    return asyncio.run(bounded())
+    return asyncio.run(run())
--- a/tests/soak/rounds.py
+++ b/tests/soak/rounds.py
@@ -5,108 +5,112 @@
 
 from tests.soak.clients import Client
 from tests.soak.ledger import Observations
-from tests.soak.plan import PodPlan, draw_plan
-from tests.soak.sidecar import READY_WITHIN, Sidecar, clock
-from tests.soak.stand_ins import Pod
+from tests.soak.plan import EndpointPlan, draw_plan
+from tests.soak.sidecar import STARTUP_TIMEOUT_SECONDS, Sidecar, clock
+from tests.soak.stand_ins import AsyncEndpoint
 
-ROUND = 1.0  # seconds of clients
-FIRST = 5  # rounds after which it is looked at first
-RESTS = 14.0  # seconds: connections to endpoints are retired meanwhile
-MEMORY_NOISE_KB = 2_048  # of the allocator
-PODS = 4
-CLIENTS_END_WITHIN = 6.0  # seconds
+ROUND_SECONDS = 1.0  # seconds of clients
+BASELINE_ROUND = 5  # rounds after which it is looked at first
+IDLE_SECONDS = 14.0  # seconds: connections to endpoints are retired meanwhile
+MEMORY_TOLERANCE_KB = 2_048  # of the allocator
+ENDPOINT_COUNT = 4
+CLIENT_SHUTDOWN_TIMEOUT_SECONDS = 6.0  # seconds
 
 
 @dataclass(frozen=True)
-class AtRest:
+class ResourceUsage:
     """What a process holds at rest."""
 
-    descriptors: int
+    open_descriptors: int
     resident_kb: int
 
 
 @dataclass(frozen=True)
-class Rounds:
+class RoundsResult:
     """What the process held after the fifth and after the last round."""
 
-    early: AtRest
-    late: AtRest
-    requests: int
+    baseline: ResourceUsage
+    final: ResourceUsage
+    request_count: int
 
-    def faults(self):
+    def growth(self):
         """What has grown."""
-        faults = []
-        if self.late.descriptors > self.early.descriptors:
-            faults.append(f"descriptors {self.early.descriptors} -> {self.late.descriptors}")
-        if self.late.resident_kb > self.early.resident_kb + MEMORY_NOISE_KB:
-            faults.append(f"memory {self.early.resident_kb} -> {self.late.resident_kb} kB")
-        return faults
-
-
-def _pod(number):
-    return PodPlan(
+        growth = []
+        if self.final.open_descriptors > self.baseline.open_descriptors:
+            growth.append(
+                f"descriptors {self.baseline.open_descriptors} -> {self.final.open_descriptors}"
+            )
+        if self.final.resident_kb > self.baseline.resident_kb + MEMORY_TOLERANCE_KB:
+            growth.append(f"memory {self.baseline.resident_kb} -> {self.final.resident_kb} kB")
+        return growth
+
+
+def _endpoint_plan(number):
+    return EndpointPlan(
         name=f"s-{number}",
         build=41,
-        lag=0.01,
-        errors=0.1,
-        busy=0.05,
-        hangs=0.02,
-        resets=0.05,
-        twice=0.05,
-        cuts_idle_at=(),
-        drained_at=None,
-        back_at=None,
-        started_cold=False,
+        mean_delay_seconds=0.01,
+        error_share=0.1,
+        reject_share=0.05,
+        no_response_share=0.02,
+        reset_share=0.05,
+        duplicate_share=0.05,
+        idle_close_times=(),
+        drain_at=None,
+        restart_at=None,
+        starts_cold=False,
     )
 
 
-async def _play(seeds, code, rests):
-    ledger = Observations(clock)
-    pods = [Pod(_pod(number), ledger, 0) for number in range(PODS)]
-    for pod in pods:
-        await pod.open(1)
-    sidecar = Sidecar(0, 1, ledger, pods, 0.3, code=code)
-    held, requests = [], 0
+async def _run_rounds(seeds, code, idle_seconds):
+    observations = Observations(clock)
+    endpoints = [
+        AsyncEndpoint(_endpoint_plan(number), observations, 0) for number in range(ENDPOINT_COUNT)
+    ]
+    for endpoint in endpoints:
+        await endpoint.open(1)
+    sidecar = Sidecar(0, 1, observations, endpoints, 0.3, code=code)
+    usage, request_count = [], 0
     try:
         await sidecar.open()
         await sidecar.start()
-        await asyncio.wait_for(sidecar.ready.wait(), READY_WITHIN)
-        for count, seed in enumerate(seeds, 1):
-            await _round(seed, sidecar, ledger)
-            requests += len(ledger.requests)
-            ledger.requests.clear()
-            ledger.attempts.clear()
-            if count in (FIRST, len(seeds)):
-                await asyncio.sleep(rests)
-                held.append(AtRest(sidecar.descriptors(), sidecar.resident_kb()))
+        await asyncio.wait_for(sidecar.ready.wait(), STARTUP_TIMEOUT_SECONDS)
+        for round_number, seed in enumerate(seeds, 1):
+            await _run_round(seed, sidecar, observations)
+            request_count += len(observations.requests)
+            observations.requests.clear()
+            observations.attempts.clear()
+            if round_number in (BASELINE_ROUND, len(seeds)):
+                await asyncio.sleep(idle_seconds)
+                usage.append(ResourceUsage(sidecar.open_descriptors(), sidecar.resident_kb()))
         sidecar.stop()
-        await sidecar.ended()
+        await sidecar.wait_until_ended()
     finally:
         await sidecar.close()
-        for pod in pods:
-            pod.close()
-    return Rounds(held[0], held[-1], requests)
+        for endpoint in endpoints:
+            endpoint.close()
+    return RoundsResult(usage[0], usage[-1], request_count)
 
 
-async def _round(seed, sidecar, ledger):
-    over = asyncio.Event()
+async def _run_round(seed, sidecar, observations):
+    stop_event = asyncio.Event()
     clients = [
-        Client(number, one, sidecar, ledger, over)
-        for number, one in enumerate(draw_plan(seed).clients)
-        if one.instance == 0
+        Client(number, client_plan, sidecar, observations, stop_event)
+        for number, client_plan in enumerate(draw_plan(seed).clients)
+        if client_plan.instance == 0
     ]
     running = [asyncio.create_task(client.run()) for client in clients]
-    await asyncio.sleep(ROUND)
-    over.set()
+    await asyncio.sleep(ROUND_SECONDS)
+    stop_event.set()
     if running:
-        _, late = await asyncio.wait(running, timeout=CLIENTS_END_WITHIN)
-        for task in late:
+        _, unfinished = await asyncio.wait(running, timeout=CLIENT_SHUTDOWN_TIMEOUT_SECONDS)
+        for task in unfinished:
             task.cancel()
     for client in clients:
         if client.connection is not None:
             client.connection.transport.close()
 
 
-def play(seeds, code=None, rests=RESTS):
+def run_rounds(seeds, code=None, idle_seconds=IDLE_SECONDS):
     """Plays a round of each seed against one process."""
-    return asyncio.run(_play(list(seeds), code, rests))
+    return asyncio.run(_run_rounds(list(seeds), code, idle_seconds))
--- a/tests/soak/sidecar.py
+++ b/tests/soak/sidecar.py
@@ -9,14 +9,14 @@
 import tempfile
 import time
 
-from tests.soak.ledger import Process
-from tests.soak.stand_ins import Discovery, Platform, host_of
+from tests.soak.ledger import SidecarProcess
+from tests.soak.stand_ins import AsyncDiscovery, AsyncPlatform, instance_host
 from tests.support.peers import SETTINGS, reserve_port
 
-SOCKETS = 256
-OUTER_LIMIT = 3.0  # seconds: the longest deadline that a client has
-KILL_AFTER = OUTER_LIMIT + 0.7  # seconds from SIGTERM, at the page's earliest
-READY_WITHIN = 30.0  # seconds
+SOCKET_LIMIT = 256
+MAX_DEADLINE_SECONDS = 3.0  # seconds: the longest deadline that a client has
+KILL_AFTER_SECONDS = MAX_DEADLINE_SECONDS + 0.7  # seconds from SIGTERM, at the page's earliest
+STARTUP_TIMEOUT_SECONDS = 30.0  # seconds
 
 
 class Sidecar:
@@ -27,16 +27,31 @@
         process: the record of the process that runs, or ran last.
     """
 
-    def __init__(self, instance, count, ledger, pods, cap, *, operator=None, code=None):
-        self.instance, self.count, self.ledger, self.pods = instance, count, ledger, pods
-        self.operator, self.code = operator, code
-        self.discovery = Discovery(instance, ledger, pods)
-        self.platform = Platform(instance, ledger, cap)
-        self.retired = []
-        self.place, self.port = reserve_port()
+    def __init__(
+        self,
+        instance,
+        instance_count,
+        observations,
+        endpoints,
+        initial_cap,
+        *,
+        operator_file=None,
+        code=None,
+    ):
+        self.instance, self.instance_count, self.observations, self.endpoints = (
+            instance,
+            instance_count,
+            observations,
+            endpoints,
+        )
+        self.operator_file, self.code = operator_file, code
+        self.discovery = AsyncDiscovery(instance, observations, endpoints)
+        self.platform = AsyncPlatform(instance, observations, initial_cap)
+        self.former_discoveries = []
+        self.reservation, self.port = reserve_port()
         self.folder = tempfile.TemporaryDirectory()
-        self.path = os.path.join(self.folder.name, "config.json")
-        self.process, self.running, self.readers = None, None, []
+        self.config_path = os.path.join(self.folder.name, "config.json")
+        self.process, self.child, self.log_readers = None, None, []
         self.ready = asyncio.Event()
 
     async def open(self):
@@ -44,134 +59,147 @@
         await self.platform.open()
 
     async def close(self):
-        if self.running is not None and self.running.returncode is None:
-            self.running.kill()
-            await self.running.wait()
-        for reader in self.readers:
+        if self.child is not None and self.child.returncode is None:
+            self.child.kill()
+            await self.child.wait()
+        for reader in self.log_readers:
             await reader
-        for part in (self.discovery, self.platform, *self.retired):
-            part.close()
-        self.place.close()
+        for server in (self.discovery, self.platform, *self.former_discoveries):
+            server.close()
+        self.reservation.close()
         self.folder.cleanup()
 
-    def write(self):
+    def write_config(self):
         """Writes the configuration as things stand."""
         settings = copy.deepcopy(SETTINGS)
-        settings["balancers"] = self.count
-        told = {
+        settings["balancers"] = self.instance_count
+        config = {
             "name": f"n{self.instance}",
             "listen": f"127.0.0.1:{self.port}",
             "discovery": self.discovery.address,
             "seed": "8c1f30d27a5be964",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
-            "deployer": {"address": self.platform.address, "news": self.platform.standing()},
-            "known": self.discovery.listing(),
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKET_LIMIT},
+            "deployer": {"address": self.platform.address, "news": self.platform.current_state()},
+            "known": self.discovery.full_list(),
             "settings": settings,
         }
-        with open(self.path + ".new", "w", encoding="utf-8") as target:
-            json.dump(told, target)
-        os.replace(self.path + ".new", self.path)
+        with open(self.config_path + ".new", "w", encoding="utf-8") as target:
+            json.dump(config, target)
+        os.replace(self.config_path + ".new", self.config_path)
 
     async def start(self):
         """Starts a process; it is ready once `ready` is set."""
-        self.write()
+        self.write_config()
         self.ready = asyncio.Event()
-        words = [sys.executable, "-m", "thymeknot"]
+        arguments = [sys.executable, "-m", "thymeknot"]
         if self.code:
-            words = [sys.executable, "-c", self.code]
-        elif self.operator:
-            words += ["--operator", self.operator]
-        self.process = Process(len(self.ledger.processes), self.instance, self.ledger.clock())
-        self.ledger.processes.append(self.process)
-        self.ledger.note(f"process {self.process.number} of instance {self.instance} starts")
-        self.running = await asyncio.create_subprocess_exec(
-            *words,
+            arguments = [sys.executable, "-c", self.code]
+        elif self.operator_file:
+            arguments += ["--operator", self.operator_file]
+        self.process = SidecarProcess(
+            len(self.observations.processes), self.instance, self.observations.clock()
+        )
+        self.observations.processes.append(self.process)
+        self.observations.add_event(
+            f"process {self.process.number} of instance {self.instance} starts"
+        )
+        self.child = await asyncio.create_subprocess_exec(
+            *arguments,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
-            env={**os.environ, "NODE_CONFIG": self.path},
+            env={**os.environ, "NODE_CONFIG": self.config_path},
         )
-        self.readers.append(asyncio.create_task(self._read(self.running, self.process)))
+        self.log_readers.append(asyncio.create_task(self._read_log(self.child, self.process)))
 
-    async def _read(self, running, process):
-        async for line in running.stdout:
+    async def _read_log(self, child, process):
+        async for line in child.stdout:
             if b'"event":"ready"' in line:
-                process.ready_at = self.ledger.clock()
-                self.ledger.note(f"process {process.number} is ready")
+                process.ready_at = self.observations.clock()
+                self.observations.add_event(f"process {process.number} is ready")
                 if process is self.process:
                     self.ready.set()
             elif b'"event":"stopping"' in line or b'"event":"stopped"' in line:
-                self.ledger.note(f"process {process.number} logs {line.decode().strip()}")
+                self.observations.add_event(
+                    f"process {process.number} logs {line.decode().strip()}"
+                )
             elif b'"event":"fault"' in line or b"Traceback" in line:
-                process.faults.append(line.decode(errors="replace").strip())
-        process.status = await running.wait()
-        process.ended_at = self.ledger.clock()
-        self.ledger.note(f"process {process.number} ends with status {process.status}")
+                process.fault_lines.append(line.decode(errors="replace").strip())
+        process.exit_status = await child.wait()
+        process.ended_at = self.observations.clock()
+        self.observations.add_event(
+            f"process {process.number} ends with status {process.exit_status}"
+        )
         if process is self.process:
             self.ready.set()
 
-    def send(self, number):
+    def send_signal(self, signal_number):
         """Sends a signal, if the process still runs."""
-        if self.running.returncode is None:
-            self.ledger.note(f"{signal.Signals(number).name} to process {self.process.number}")
-            self.running.send_signal(number)
+        if self.child.returncode is None:
+            self.observations.add_event(
+                f"{signal.Signals(signal_number).name} to process {self.process.number}"
+            )
+            self.child.send_signal(signal_number)
 
     def reload(self):
         """Writes the configuration anew and announces it."""
-        self.write()
-        self.send(signal.SIGHUP)
+        self.write_config()
+        self.send_signal(signal.SIGHUP)
 
     async def move_discovery(self):
         """Discovery goes on at another address; the former one is silent."""
-        former, self.discovery = self.discovery, Discovery(self.instance, self.ledger, self.pods)
+        former, self.discovery = (
+            self.discovery,
+            AsyncDiscovery(self.instance, self.observations, self.endpoints),
+        )
         self.discovery.version, self.discovery.changes = former.version, former.changes
         former.stall(1e9)
-        self.retired.append(former)
+        self.former_discoveries.append(former)
         await self.discovery.open()
-        self.ledger.note(f"discovery of instance {self.instance} moves")
+        self.observations.add_event(f"discovery of instance {self.instance} moves")
         self.reload()
 
     def stop(self):
         """Sends SIGTERM; the kill comes at the page's earliest."""
-        if self.process.stop_at is None:
-            self.process.stop_at = self.ledger.clock()
-        self.send(signal.SIGTERM)
+        if self.process.sigterm_at is None:
+            self.process.sigterm_at = self.observations.clock()
+        self.send_signal(signal.SIGTERM)
 
-    async def ended(self):
+    async def wait_until_ended(self):
         """Waits for the end of a process that was told to stop, and kills it at the page's earliest."""
-        process, running = self.process, self.running
-        left = process.stop_at + KILL_AFTER - self.ledger.clock()
+        process, child = self.process, self.child
+        time_left = process.sigterm_at + KILL_AFTER_SECONDS - self.observations.clock()
         try:
-            await asyncio.wait_for(running.wait(), max(0.0, left))
+            await asyncio.wait_for(child.wait(), max(0.0, time_left))
         except TimeoutError:
-            process.kill_at, process.killed = self.ledger.clock(), True
-            self.send(signal.SIGKILL)
-            await running.wait()
+            process.sigkill_at, process.killed = self.observations.clock(), True
+            self.send_signal(signal.SIGKILL)
+            await child.wait()
 
     async def kill(self):
         """Ends the process at once."""
-        self.process.kill_at, self.process.killed = self.ledger.clock(), True
-        self.send(signal.SIGKILL)
-        await self.running.wait()
+        self.process.sigkill_at, self.process.killed = self.observations.clock(), True
+        self.send_signal(signal.SIGKILL)
+        await self.child.wait()
 
-    def waited_for_processor(self):
+    def cpu_wait_seconds(self):
         """Seconds that the process was ready to run and had no processor, by the kernel; 0 once it has ended."""
         try:
-            with open(f"/proc/{self.running.pid}/schedstat", encoding="utf-8") as source:
+            with open(f"/proc/{self.child.pid}/schedstat", encoding="utf-8") as source:
                 return int(source.read().split()[1]) / 1e9
         except (OSError, IndexError, AttributeError):
             return 0.0
 
-    def descriptors(self):
+    def open_descriptors(self):
         """How many files the process has open; None if it has ended."""
         try:
-            return len(os.listdir(f"/proc/{self.running.pid}/fd"))
+            return len(os.listdir(f"/proc/{self.child.pid}/fd"))
         except OSError:
             return None
 
     def resident_kb(self):
         """Its resident memory; None if it has ended."""
         try:
-            with open(f"/proc/{self.running.pid}/status", encoding="utf-8") as source:
+            with open(f"/proc/{self.child.pid}/status", encoding="utf-8") as source:
                 return next(int(line.split()[1]) for line in source if line.startswith("VmRSS"))
         except (OSError, StopIteration):
             return None
@@ -182,4 +210,11 @@
     return time.monotonic()
 
 
-__all__ = ["KILL_AFTER", "OUTER_LIMIT", "READY_WITHIN", "Sidecar", "clock", "host_of"]
+__all__ = [
+    "KILL_AFTER_SECONDS",
+    "MAX_DEADLINE_SECONDS",
+    "STARTUP_TIMEOUT_SECONDS",
+    "Sidecar",
+    "clock",
+    "instance_host",
+]
--- a/tests/soak/stand_ins.py
+++ b/tests/soak/stand_ins.py
@@ -9,77 +9,82 @@
 import time
 from urllib.parse import urlencode
 
-from tests.soak.ledger import Attempt, NewsTold, PodTold
-from tests.soak.plan import NEWEST
+from tests.soak.ledger import Attempt, EndpointStateSent, ReleaseStateSent
+from tests.soak.plan import NEWEST_BUILD
 
-RESET = struct.pack("ii", 1, 0)
-SECOND_COPY_AFTER = 0.005  # seconds
-SECOND_COPY_LATEST = (
+LINGER_ZERO = struct.pack("ii", 1, 0)
+DUPLICATE_DELAY_SECONDS = 0.005  # seconds
+MAX_DUPLICATE_DELAY_SECONDS = (
     0.008  # seconds: "some milliseconds late"; one that this process is late with is left out
 )
-STALL_LASTS = 0.7  # seconds
-SIGN_EVERY = 0.5  # seconds between two signs of life of a stream
+STALL_SECONDS = 0.7  # seconds
+HEARTBEAT_INTERVAL_SECONDS = 0.5  # seconds between two signs of generation of a stream
 
 
-def host_of(instance):
+def instance_host(instance):
     """The loopback address that is kept for what this instance reaches."""
     return f"127.0.0.{instance + 1}"
 
 
-def reset(transport):
+def reset_connection(transport):
     """Ends a connection with a reset."""
-    opened = transport.get_extra_info("socket")
+    connection_socket = transport.get_extra_info("socket")
     with contextlib.suppress(OSError, AttributeError):
-        opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET)
+        connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
     transport.abort()
 
 
-def first_command(buffer):
+def parse_command(buffer):
     """(words, length) of the first whole command in the buffer, or None."""
     end = buffer.find(b"\r\n")
     if end < 0:
         return None
-    words, at = [], end + 2
+    arguments, position = [], end + 2
     for _ in range(int(buffer[1:end])):
-        end = buffer.find(b"\r\n", at)
+        end = buffer.find(b"\r\n", position)
         if end < 0:
             return None
-        size = int(buffer[at + 1 : end])
-        at = end + 2 + size + 2
-        if len(buffer) < at:
+        size = int(buffer[position + 1 : end])
+        position = end + 2 + size + 2
+        if len(buffer) < position:
             return None
-        words.append(bytes(buffer[end + 2 : end + 2 + size]))
-    return words, at
+        arguments.append(bytes(buffer[end + 2 : end + 2 + size]))
+    return arguments, position
 
 
-class PodConnection(asyncio.Protocol):
+class EndpointConnection(asyncio.Protocol):
     """A connection of an instance to an endpoint."""
 
-    def __init__(self, pod, instance):
-        self.pod, self.instance, self.buffer = pod, instance, bytearray()
-        self.transport, self.first_at, self.connected_at, self.life = None, None, None, pod.life
-        self.out = 0  # commands that are not answered
+    def __init__(self, endpoint, instance):
+        self.endpoint, self.instance, self.buffer = endpoint, instance, bytearray()
+        self.transport, self.first_byte_at, self.connected_at, self.generation = (
+            None,
+            None,
+            None,
+            endpoint.generation,
+        )
+        self.pending_count = 0  # commands that are not answered
 
     def connection_made(self, transport):
         self.transport = transport
-        self.connected_at = self.pod.clock()
-        self.pod.connections.add(self)
+        self.connected_at = self.endpoint.clock()
+        self.endpoint.connections.add(self)
 
     def connection_lost(self, _):
-        self.pod.connections.discard(self)
+        self.endpoint.connections.discard(self)
 
     def data_received(self, data):
-        now = self.pod.clock()
-        if self.first_at is None:
-            self.first_at = now
+        now = self.endpoint.clock()
+        if self.first_byte_at is None:
+            self.first_byte_at = now
         self.buffer += data
-        while (found := first_command(self.buffer)) is not None:
-            words, length = found
+        while (found := parse_command(self.buffer)) is not None:
+            arguments, length = found
             del self.buffer[:length]
-            self.pod.take(self, words, self.first_at, now)
-            self.first_at = now
+            self.endpoint.receive_command(self, arguments, self.first_byte_at, now)
+            self.first_byte_at = now
         if not self.buffer:
-            self.first_at = None
+            self.first_byte_at = None
 
     def write(self, content):
         """Writes, unless the connection has ended."""
@@ -87,22 +92,22 @@
             self.transport.write(content)
 
 
-class Pod:
+class AsyncEndpoint:
     """An endpoint. What comes is answered by the shares of its plan."""
 
-    def __init__(self, plan, ledger, seed):
-        self.plan, self.ledger, self.clock = plan, ledger, ledger.clock
-        self.chance = random.Random(f"{seed} {plan.name}")
+    def __init__(self, plan, observations, seed):
+        self.plan, self.observations, self.clock = plan, observations, observations.clock
+        self.rng = random.Random(f"{seed} {plan.name}")
         self.connections, self.servers, self.ports = set(), {}, {}
-        self.state, self.life, self.count = "Ready", 0, 0
-        self.started_ms = int(time.time() * 1000) if plan.started_cold else 0
+        self.state, self.generation, self.response_count = "Ready", 0, 0
+        self.started_ms = int(time.time() * 1000) if plan.starts_cold else 0
 
     async def open(self, instances):
         loop = asyncio.get_running_loop()
         for instance in range(instances):
             self.servers[instance] = await loop.create_server(
-                lambda instance=instance: PodConnection(self, instance),
-                host_of(instance),
+                lambda instance=instance: EndpointConnection(self, instance),
+                instance_host(instance),
                 self.ports.get(instance, 0),
             )
             self.ports[instance] = self.servers[instance].sockets[0].getsockname()[1]
@@ -111,18 +116,18 @@
         for server in self.servers.values():
             server.close()
         for connection in list(self.connections):
-            reset(connection.transport)
+            reset_connection(connection.transport)
 
-    def cut_idle(self):
+    def close_idle_connections(self):
         """Closes the connections on which nothing is out."""
         for connection in list(self.connections):
-            if not connection.buffer and not connection.out:
+            if not connection.buffer and not connection.pending_count:
                 connection.transport.close()
 
     def entry(self, instance):
         return {
             "id": self.plan.name,
-            "addr": f"{host_of(instance)}:{self.ports[instance]}",
+            "addr": f"{instance_host(instance)}:{self.ports[instance]}",
             "zone": "a",
             "kind": "m",
             "cell": 0,
@@ -132,121 +137,127 @@
             "image_id": self.plan.build,
         }
 
-    def take(self, connection, words, begun_at, whole_at):
+    def receive_command(self, connection, arguments, first_byte_at, last_byte_at):
         """A command is whole: it is kept, and answered after a while."""
-        told = dict(pair.partition("=")[::2] for pair in words[3].decode().split(","))
+        metadata = dict(pair.partition("=")[::2] for pair in arguments[3].decode().split(","))
         attempt = Attempt(
-            pod=self.plan.name,
+            endpoint=self.plan.name,
             instance=connection.instance,
             build=self.plan.build,
-            life=connection.life,
-            name=words[2].decode(),
-            lane=told["c"],
-            key=words[1].decode(),
-            timeout=int(told["d"]) / 1000,
-            begun_at=begun_at,
-            whole_at=whole_at,
+            generation=connection.generation,
+            request_id=arguments[2].decode(),
+            request_class=metadata["c"],
+            key=arguments[1].decode(),
+            timeout=int(metadata["d"]) / 1000,
+            first_byte_at=first_byte_at,
+            last_byte_at=last_byte_at,
             connected_at=connection.connected_at,
         )
-        self.ledger.attempts.append(attempt)
-        connection.out += 1
-        outcome = self._drawn_outcome()
-        if outcome != "held":
-            lag = self.chance.expovariate(1 / self.plan.lag)
-            asyncio.get_running_loop().call_later(lag, self._answer, connection, attempt, outcome)
-
-    def _drawn_outcome(self):
+        self.observations.attempts.append(attempt)
+        connection.pending_count += 1
+        outcome = self._draw_outcome()
+        if outcome != "silent":
+            delay = self.rng.expovariate(1 / self.plan.mean_delay_seconds)
+            asyncio.get_running_loop().call_later(
+                delay, self._respond, connection, attempt, outcome
+            )
+
+    def _draw_outcome(self):
         """How an attempt ends, by the shares of the plan."""
-        plan, lot = self.plan, self.chance.random()
+        plan, draw = self.plan, self.rng.random()
         shares = (
-            (plan.hangs, "held"),
-            (plan.resets, "reset"),
-            (plan.errors, "error"),
-            (plan.busy, "busy"),
-            (plan.twice, "twice"),
+            (plan.no_response_share, "silent"),
+            (plan.reset_share, "reset"),
+            (plan.error_share, "error"),
+            (plan.reject_share, "busy"),
+            (plan.duplicate_share, "duplicate"),
         )
         for share, outcome in shares:
-            if lot < share:
+            if draw < share:
                 return outcome
-            lot -= share
+            draw -= share
         return "good"
 
-    def _answer(self, connection, attempt, outcome):
+    def _respond(self, connection, attempt, outcome):
         if connection.transport.is_closing():
             return
-        connection.out -= 1
-        attempt.outcome, attempt.answered_at = outcome, self.clock()
+        connection.pending_count -= 1
+        attempt.outcome, attempt.responded_at = outcome, self.clock()
         if outcome == "reset":
-            reset(connection.transport)
+            reset_connection(connection.transport)
         elif outcome == "error":
             connection.write(b"-ERR failed\r\n")
         elif outcome == "busy":
             connection.write(b"-BUSY\r\n")
         else:
-            self.count += 1
-            value = f"{attempt.name}:{self.plan.name}:{self.count}".encode()
-            good = b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(value), value)
-            connection.write(good)
-            if outcome == "twice":
+            self.response_count += 1
+            value = f"{attempt.request_id}:{self.plan.name}:{self.response_count}".encode()
+            response = b"*3\r\n$%d\r\n%s\r\n$-1\r\n$-1\r\n" % (len(value), value)
+            connection.write(response)
+            if outcome == "duplicate":
                 loop = asyncio.get_running_loop()
-                loop.call_later(SECOND_COPY_AFTER, self._answer_again, connection, attempt, good)
+                loop.call_later(
+                    DUPLICATE_DELAY_SECONDS, self._send_duplicate, connection, attempt, response
+                )
 
-    def _answer_again(self, connection, attempt, good):
-        if self.clock() > attempt.answered_at + SECOND_COPY_LATEST:
+    def _send_duplicate(self, connection, attempt, response):
+        if self.clock() > attempt.responded_at + MAX_DUPLICATE_DELAY_SECONDS:
             return
-        connection.write(good)
-        attempt.copied_at = self.clock()
+        connection.write(response)
+        attempt.duplicate_sent_at = self.clock()
 
 
-class HttpStandIn:
+class AsyncHttpServer:
     """What discovery and the platform of an instance have in common: streams that stay open, and calls."""
 
-    SIGN = ""
+    HEARTBEAT = ""
 
-    def __init__(self, instance, ledger):
-        self.instance, self.ledger, self.clock = instance, ledger, ledger.clock
+    def __init__(self, instance, observations):
+        self.instance, self.observations, self.clock = instance, observations, observations.clock
         self.server, self.port, self.streams, self.tasks = None, 0, {}, set()
-        self.stalled_until, self.asked = 0.0, asyncio.Event()
+        self.stalled_until, self.stream_opened = 0.0, asyncio.Event()
 
     @property
     def address(self):
-        return f"{host_of(self.instance)}:{self.port}"
+        return f"{instance_host(self.instance)}:{self.port}"
 
     async def open(self):
-        self.server = await asyncio.start_server(self._serve, host_of(self.instance), self.port)
+        self.server = await asyncio.start_server(
+            self._serve, instance_host(self.instance), self.port
+        )
         self.port = self.server.sockets[0].getsockname()[1]
-        self.tasks.add(asyncio.create_task(self._live()))
+        self.tasks.add(asyncio.create_task(self._send_heartbeats()))
 
     def close(self):
         self.server.close()
         for task in self.tasks:
             task.cancel()
-        self.cut()
+        self.reset_streams()
 
-    def cut(self):
+    def reset_streams(self):
         """Resets the streams that stand."""
         for writer in list(self.streams):
-            reset(writer.transport)
+            reset_connection(writer.transport)
         self.streams = {}
 
-    def stall(self, seconds=STALL_LASTS):
+    def stall(self, seconds=STALL_SECONDS):
         """Says nothing for a while."""
         self.stalled_until = self.clock() + seconds
 
-    async def _live(self):
+    async def _send_heartbeats(self):
         while True:
-            await asyncio.sleep(SIGN_EVERY)
+            await asyncio.sleep(HEARTBEAT_INTERVAL_SECONDS)
             if self.clock() >= self.stalled_until:
-                self.tell_all()
+                self.push_updates()
                 for writer in list(self.streams):
-                    self.write(writer, self.SIGN)
+                    self.write_chunk(writer, self.HEARTBEAT)
 
     async def _serve(self, reader, writer):
         try:
             while head := await reader.readuntil(b"\r\n\r\n"):
-                words = head.split(b" ", 2)
-                if words[0] == b"GET":
-                    await self._stream(reader, writer, words[1].decode())
+                request_line = head.split(b" ", 2)
+                if request_line[0] == b"GET":
+                    await self._stream(reader, writer, request_line[1].decode())
                     return
                 length = next(
                     int(line.split(b":")[1])
@@ -264,111 +275,134 @@
 
     async def _stream(self, reader, writer, path):
         if "stream" not in path:
-            body = self.whole().encode()
+            body = self.full_response().encode()
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%s" % (len(body), body))
             return
         writer.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
-        self.streams[writer] = self.begins_at(path)
-        self.asked.set()
+        self.streams[writer] = self.known_version(path)
+        self.stream_opened.set()
         if self.clock() >= self.stalled_until:
-            self.tell(writer)
+            self.push_update(writer)
         await reader.read(1)
 
     @staticmethod
-    def write(writer, text):
+    def write_chunk(writer, text):
         """Writes a piece of a stream."""
         data = text.encode()
         with contextlib.suppress(OSError):
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
-    def tell_all(self):
+    def push_updates(self):
         """Tells each stream what it has missed, unless stalled."""
         if self.clock() >= self.stalled_until:
             for writer in list(self.streams):
-                self.tell(writer)
+                self.push_update(writer)
 
-    def tell(self, writer):
+    def push_update(self, writer):
         """Tells a stream what it has missed."""
 
-    def begins_at(self, path):
+    def known_version(self, path):
         """How much the asker of a stream knows."""
         return 0
 
-    def whole(self):
+    def full_response(self):
         """The answer to a plain call."""
         return "{}"
 
 
-class Discovery(HttpStandIn):
+class AsyncDiscovery(AsyncHttpServer):
     """The agent of one instance: each change has a version, a stream is told what is new to it."""
 
-    SIGN = "\n"
+    HEARTBEAT = "\n"
 
-    def __init__(self, instance, ledger, pods):
-        super().__init__(instance, ledger)
-        self.pods, self.version, self.changes = pods, 7, []
+    def __init__(self, instance, observations, endpoints):
+        super().__init__(instance, observations)
+        self.endpoints, self.version, self.changes = endpoints, 7, []
 
-    def change(self, pod):
+    def update_endpoint(self, endpoint):
         """A pod's state has changed."""
         self.version += 1
-        self.changes.append((self.version, pod.entry(self.instance), pod.life))
-        self.tell_all()
+        self.changes.append((self.version, endpoint.entry(self.instance), endpoint.generation))
+        self.push_updates()
 
-    def listing(self):
+    def full_list(self):
         """The whole list as a configuration holds it."""
-        entries = [pod.entry(self.instance) for pod in self.pods if pod.state != "Gone"]
+        entries = [
+            endpoint.entry(self.instance) for endpoint in self.endpoints if endpoint.state != "Gone"
+        ]
         return {"version": self.version, "full": True, "servers": entries}
 
-    def whole(self):
-        return json.dumps(self.listing())
+    def full_response(self):
+        return json.dumps(self.full_list())
 
-    def begins_at(self, path):
+    def known_version(self, path):
         return int(path.rpartition("index=")[2])
 
-    def tell(self, writer):
+    def push_update(self, writer):
         known = self.streams[writer]
         if known == 0:
-            line = self.listing()
-            told = [(pod.entry(self.instance), pod.life) for pod in self.pods]
+            message = self.full_list()
+            sent = [
+                (endpoint.entry(self.instance), endpoint.generation) for endpoint in self.endpoints
+            ]
         else:
-            told = [(entry, life) for version, entry, life in self.changes if version > known]
-            entries = list({entry["id"]: entry for entry, _ in told}.values())
-            line = {"version": max(known, self.version), "full": False, "servers": entries}
-        if known == 0 or told:
-            self.write(writer, json.dumps(line) + "\n")
+            sent = [
+                (entry, generation)
+                for version, entry, generation in self.changes
+                if version > known
+            ]
+            entries = list({entry["id"]: entry for entry, _ in sent}.values())
+            message = {"version": max(known, self.version), "full": False, "servers": entries}
+        if known == 0 or sent:
+            self.write_chunk(writer, json.dumps(message) + "\n")
         self.streams[writer] = max(known, self.version)
         now = self.clock()
-        for entry, life in told:
-            state = PodTold(now, self.instance, entry["id"], entry["state"], life)
-            self.ledger.pods_told.append(state)
+        for entry, generation in sent:
+            state = EndpointStateSent(now, self.instance, entry["id"], entry["state"], generation)
+            self.observations.endpoint_states_sent.append(state)
 
 
-class Platform(HttpStandIn):
+class AsyncPlatform(AsyncHttpServer):
     """The platform as one instance reaches it: how the newest build stands. It takes no votes."""
 
-    SIGN = ":\n"
+    HEARTBEAT = ":\n"
 
-    def __init__(self, instance, ledger, cap):
-        super().__init__(instance, ledger)
-        self.number, self.since = 1, self.clock()
-        self.news = {"version": NEWEST, "step": 0, "status": "trial", "maxWeight": cap}
+    def __init__(self, instance, observations, cap):
+        super().__init__(instance, observations)
+        self.update_number, self.updated_at = 1, self.clock()
+        self.release_state = {
+            "version": NEWEST_BUILD,
+            "step": 0,
+            "status": "trial",
+            "maxWeight": cap,
+        }
 
-    def standing(self):
+    def current_state(self):
         """The news as a configuration holds it."""
-        age = round(1000 * (self.clock() - self.since))
-        return {**self.news, "observedAgoMs": age}
+        age = round(1000 * (self.clock() - self.updated_at))
+        return {**self.release_state, "observedAgoMs": age}
 
-    def change(self, status, cap):
+    def update_release_state(self, status, cap):
         """The newest build stands otherwise."""
-        self.number, self.since = self.number + 1, self.clock()
-        step = self.news["step"] + (status == "trial")
-        self.news = {**self.news, "status": status, "maxWeight": cap, "step": min(step, 1)}
-        self.tell_all()
+        self.update_number, self.updated_at = self.update_number + 1, self.clock()
+        step = self.release_state["step"] + (status == "trial")
+        self.release_state = {
+            **self.release_state,
+            "status": status,
+            "maxWeight": cap,
+            "step": min(step, 1),
+        }
+        self.push_updates()
 
-    def tell(self, writer):
-        if self.streams[writer] == self.number:
+    def push_update(self, writer):
+        if self.streams[writer] == self.update_number:
             return
-        self.streams[writer] = self.number
-        self.write(writer, f"event: progress\ndata: {urlencode(self.standing())}\n\n")
-        news = NewsTold(self.clock(), self.instance, self.news["status"], self.news["maxWeight"])
-        self.ledger.news_told.append(news)
+        self.streams[writer] = self.update_number
+        self.write_chunk(writer, f"event: progress\ndata: {urlencode(self.current_state())}\n\n")
+        sent = ReleaseStateSent(
+            self.clock(),
+            self.instance,
+            self.release_state["status"],
+            self.release_state["maxWeight"],
+        )
+        self.observations.release_states_sent.append(sent)
