--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,21 +1,24 @@
-"""What happens in a play: drawn whole from the number of its seed, before anything starts."""
+"""Draws the plan of a soak run from a seed, before any process starts.
+
+Times are seconds after the start of traffic unless noted otherwise.
+"""
 
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
 import numpy
 
-TRAFFIC_SECONDS = 3.0  # of traffic before the first signal that ends a process
-DEADLINES_SECONDS = (0.3, 0.8, 1.5, 3.0)  # seconds that a client waits
+TRAFFIC_SECONDS = 3.0  # traffic before the first process is shut down
+DEADLINES_SECONDS = (0.3, 0.8, 1.5, 3.0)  # the timeouts that clients send with their requests
 REQUEST_CLASSES = ("read", "mark", "pay")
-EARLIER_BUILD, NEWEST_BUILD = 41, 42  # builds
-BURST_SEED_INTERVAL = 3  # every so many seeds
-MAX_REQUESTS_PER_SECOND = 300.0  # requests a second of an instance, about
-TYPICAL_RESPONSE_SECONDS = 0.03  # seconds
+EARLIER_BUILD, NEWEST_BUILD = 41, 42
+BURST_SEED_INTERVAL = 3  # plans of every third seed have a burst of clients
+MAX_REQUESTS_PER_SECOND = 300.0  # approximate limit for one instance
+TYPICAL_RESPONSE_SECONDS = 0.03  # assumed response time when request rates are estimated
 
 
 class Feature(StrEnum):
-    """What the instances of a play have in common."""
+    """An optional coordination feature that all instances of a run are configured with."""
 
     NONE = "none"
     GOSSIP = "gossip"
@@ -23,18 +26,18 @@
 
 
 class ClientBehaviour(StrEnum):
-    """What a client does again and again."""
+    """What a client does repeatedly; see `tests.soak.clients.Client`."""
 
     STEADY = "steady"
     PIPELINED = "pipelined"
-    PARTIAL_COMMAND = "half a command"
+    PARTIAL_COMMAND = "partial command"
     GARBAGE = "garbage"
-    DISCONNECTS = "leaves"
-    IDLES = "rests"
+    DISCONNECTS = "disconnects"
+    IDLES = "idles"
 
 
 class EarlySignal(StrEnum):
-    """A signal that comes after the process has asked discovery and before it serves."""
+    """A signal sent after the process has contacted discovery and before it serves clients."""
 
     NONE = "none"
     RELOAD = "reload"
@@ -42,7 +45,7 @@
 
 
 class Shutdown(StrEnum):
-    """How a process ends."""
+    """How a process is shut down."""
 
     STOP = "stop"
     STOP_TWICE = "stop twice"
@@ -51,71 +54,106 @@
 
 
 class PeerFault(StrEnum):
-    """What befalls discovery or the platform."""
+    """A fault of discovery or of the release platform.
+
+    MOVE is a change of discovery's address; for the platform it resets the streams as well.
+    """
 
     STALL = "stall"
-    RESET_STREAMS = "cut"
+    RESET_STREAMS = "reset streams"
     MOVE = "move"
 
 
 @dataclass(frozen=True)
 class EndpointPlan:
-    """An endpoint: shares of attempts that end badly, and what becomes of it."""
+    """An endpoint: how its attempts end, and when it drains and restarts.
+
+    Attributes:
+        mean_delay_seconds: Mean time between a request and its response.
+        error_share: Share of attempts that are answered with an error.
+        reject_share: Share of attempts that are rejected with BUSY.
+        no_response_share: Share of attempts that are never answered.
+        reset_share: Share of attempts whose connection is reset.
+        duplicate_share: Share of attempts whose response is sent twice.
+        idle_close_times: When it closes its idle connections.
+        drain_at: When it begins to drain; None if it does not.
+        restart_at: When a new process, which is cold, takes its place; None if none does.
+        starts_cold: Whether its first process is listed as just started, and so is cold.
+    """
 
     name: str
     build: int
-    mean_delay_seconds: float  # seconds, mean
+    mean_delay_seconds: float
     error_share: float
     reject_share: float
     no_response_share: float
     reset_share: float
     duplicate_share: float
-    idle_close_times: tuple[float, ...]  # it closes its resting connections
+    idle_close_times: tuple[float, ...]
     drain_at: float | None
-    restart_at: float | None  # as another process, cold
+    restart_at: float | None
     starts_cold: bool
 
 
 @dataclass(frozen=True)
 class ClientPlan:
-    """A client: whose it is, when it comes, what it does."""
+    """A client: which instance it uses, when it starts and what it does.
+
+    Attributes:
+        instance: Number of the instance that it connects to.
+        mean_pause_seconds: Mean pause between two requests or pipelines.
+        pipeline_depth: Requests in flight, for clients that pipeline.
+        seed: Seed of the client's random generator.
+    """
 
     instance: int
     start_at: float
     behaviour: ClientBehaviour
-    mean_pause_seconds: float  # seconds between requests, mean
-    pipeline_depth: int  # requests in flight, where pipelined
+    mean_pause_seconds: float
+    pipeline_depth: int
     seed: int
 
 
 @dataclass(frozen=True)
 class TrialPlan:
-    """The newest build's caps: when, status, cap."""
+    """The trial of the newest build.
+
+    Attributes:
+        changes: (time, release status, cap) of each change of the release state.
+    """
 
     changes: tuple[tuple[float, str, float], ...]
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A whole play."""
+    """Everything that happens in a run.
+
+    Attributes:
+        burst_size: Clients that connect at the same time; 0 for no burst.
+        burst_at: When they connect.
+        reload_times: When one of the instances is sent SIGHUP.
+        peer_faults: (time, "discovery" or "platform", fault) of each fault.
+        shutdown: How one of the instances is shut down; the others get a SIGTERM.
+    """
 
     seed: int
     instance_count: int
     feature: Feature
     endpoints: tuple[EndpointPlan, ...]
     clients: tuple[ClientPlan, ...]
-    burst_size: int  # clients that come at once
+    burst_size: int
     burst_at: float
     early_signal: EarlySignal
     reload_times: tuple[float, ...]
-    peer_faults: tuple[tuple[float, str, PeerFault], ...]  # when, of whom, what
+    peer_faults: tuple[tuple[float, str, PeerFault], ...]
     trial: TrialPlan
     shutdown: Shutdown
     shutdown_at: float
     notes: tuple[str, ...] = field(default=())
 
     def summary(self):
-        """In a line, what is drawn."""
+        """Returns the plan in one line."""
         client_counts = {}
         for client in self.clients:
             client_counts[client.behaviour] = client_counts.get(client.behaviour, 0) + 1
@@ -124,11 +162,11 @@
             f"feature {self.feature}",
             f"{len(self.endpoints)} pods",
             ", ".join(f"{count} {behaviour}" for behaviour, count in sorted(client_counts.items())),
-            f"crowd {self.burst_size}",
-            f"early {self.early_signal}",
+            f"burst {self.burst_size}",
+            f"early signal {self.early_signal}",
             f"reloads {len(self.reload_times)}",
-            "troubles " + ", ".join(f"{peer} {fault}" for _, peer, fault in self.peer_faults),
-            f"ending {self.shutdown}",
+            "peer faults " + ", ".join(f"{peer} {fault}" for _, peer, fault in self.peer_faults),
+            f"shutdown {self.shutdown}",
         ]
         return "; ".join(parts)
 
@@ -173,7 +211,7 @@
 
 
 def _limit_request_rates(clients, instance_count):
-    """These clients, with longer pauses where an instance would get more than a processor of its own can take."""
+    """Lengthens pauses so that no instance gets more requests than one processor can handle."""
     rates = [0.0] * instance_count
     for client in clients:
         in_flight = (
@@ -227,7 +265,11 @@
 
 
 def draw_plan(seed):
-    """The play of this seed."""
+    """Returns the plan of this seed.
+
+    The order of the draws, of the enums' members and of the tables drawn from determines the plan:
+    a change of any of them gives each seed another plan.
+    """
     rng = numpy.random.Generator(numpy.random.PCG64(seed))
     instance_count, feature = _draw_feature(rng, seed)
     endpoints = tuple(_draw_endpoint(rng, number) for number in range(int(rng.integers(3, 8))))
