--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,6 +1,6 @@
-"""What is seen from outside in a play: requests of clients, attempts at endpoints, what was told, how processes ended.
+"""Records what clients, endpoints, discovery and the platform see of the sidecars in a run.
 
-Times are seconds of one monotonic clock. Nothing here is taken from the program's own books.
+Times are seconds of one monotonic clock. Nothing is taken from the sidecars' own counters.
 """
 
 from dataclasses import dataclass, field
@@ -8,17 +8,22 @@
 
 @dataclass
 class Request:
-    """A request as its client sent it.
+    """A request that a client sent.
 
     Attributes:
-        responses: whole answers that came, with their moments.
-        connection_closed_at: when the client's connection ended under it, from the other side.
-        disconnected_at: when the client itself closed.
-        connection_refused: its connection was refused, or it could not be sent.
-        resent: it was sent once more after a close that it had crossed.
-        pipeline_deadline_at: the end of those before it on its connection.
-        previous: the request before it on its connection that was not answered as it was sent.
-        read_after: the request before it with whose answer its connection is read on; None where it always is.
+        timeout: Seconds that the client waits for the response.
+        sent_at: When it was sent; 0 while it is not.
+        process_number: Number of the sidecar process that it was sent to.
+        responses: (time, bytes) of each complete response.
+        connection_closed_at: When the sidecar closed the connection before responding.
+        disconnected_at: When the client closed the connection before the response.
+        connection_refused: Whether it could not be resent as no connection was established.
+        resent: Whether it was sent a second time because the sidecar closed the connection.
+        pipeline_deadline_at: The latest deadline among it and the unanswered requests before it
+            on the connection.
+        previous: The last unanswered request before it on the connection when it was sent.
+        read_after: The earlier request whose response makes the sidecar resume reading the
+            connection; None if it is not paused.
     """
 
     request_id: str
@@ -40,8 +45,11 @@
     read_after: "Request | None" = None
 
     def deadline_at(self):
-        """When its time is over. The time spent waiting for the ones before does not count: a connection that has many
-        in hand is not read on until the answer of `read_after`, or later."""
+        """Returns when the request's time is over; infinity while it cannot have been read.
+
+        The wait for earlier requests does not count: the sidecar does not read a connection with
+        many open requests until `read_after` is answered, or later.
+        """
         if self.read_after is None:
             return self.pipeline_deadline_at
         if not self.read_after.responses:
@@ -49,7 +57,10 @@
         return max(self.pipeline_deadline_at, self.read_after.responses[0][0] + self.timeout)
 
     def response_deadline_at(self):
-        """When its answer is due. Answers come in the order of the requests: not before those of the ones before it."""
+        """Returns when the response is due.
+
+        Responses are sent in the order of the requests, so it is not due before the earlier ones.
+        """
         return max(
             self.deadline_at(), self.previous.response_deadline_at() if self.previous else 0.0
         )
@@ -57,14 +68,15 @@
 
 @dataclass
 class Attempt:
-    """A command that came to an endpoint.
+    """A request that an endpoint received.
 
     Attributes:
-        first_byte_at: its first byte.
-        last_byte_at: its last byte.
-        outcome: how the endpoint answered; "silent" where it never did.
-        generation: number of the endpoint's process.
-        duplicate_sent_at: when a second copy of the answer had been written.
+        generation: How often the endpoint had been restarted when the connection was made.
+        timeout: Seconds that the sidecar says are left for the request.
+        first_byte_at: When its first byte arrived.
+        last_byte_at: When its last byte arrived.
+        outcome: How the endpoint responded; "silent" if it did not.
+        duplicate_sent_at: When a duplicate of the response was written.
     """
 
     endpoint: str
@@ -85,7 +97,7 @@
 
 @dataclass
 class EndpointStateSent:
-    """A change of an endpoint's state, as its instance was told."""
+    """A change of an endpoint's state that discovery sent to an instance."""
 
     sent_at: float
     instance: int
@@ -96,7 +108,7 @@
 
 @dataclass
 class ReleaseStateSent:
-    """How the newest build stands, as an instance was told."""
+    """The release state of the newest build that the platform sent to an instance."""
 
     sent_at: float
     instance: int
@@ -106,11 +118,11 @@
 
 @dataclass
 class InvalidCommand:
-    """Half a command, or what is none: what came of it.
+    """An incomplete or malformed command that a client sent.
 
     Attributes:
-        ended_at: when an error or the end came; None if neither did.
-        gave_up_at: when the client gave up itself.
+        ended_at: When the sidecar sent an error or closed the connection; None if it did neither.
+        gave_up_at: When the client closed the connection.
     """
 
     description: str
@@ -123,14 +135,13 @@
 
 @dataclass
 class SidecarProcess:
-    """A process of the program.
+    """A sidecar process.
 
     Attributes:
-        sigterm_at: the first SIGTERM.
-        sigkill_at: the SIGKILL.
-        ended_at: when it had ended.
-        exit_status: its exit status.
-        served: whether it had said that it is ready before it was told to stop.
+        ready_at: When it logged that it is ready; None if it did not.
+        sigterm_at: When the first SIGTERM was sent.
+        sigkill_at: When SIGKILL was sent.
+        fault_lines: Lines of its log that report an unexpected exception.
     """
 
     number: int
@@ -147,7 +158,7 @@
 
 
 class Observations:
-    """All of it, in the order in which it was seen."""
+    """Everything observed in a run, each list in the order of time."""
 
     def __init__(self, clock):
         self.clock = clock
@@ -161,15 +172,15 @@
         self.events = []
 
     def add_event(self, text):
-        """Keeps a line for the order of what happened."""
+        """Adds a line to the timeline."""
         self.events.append((self.clock(), text))
 
     def attempts_for(self, request_id):
-        """The attempts of a request, in their order."""
+        """Returns the attempts of a request, in the order in which they arrived."""
         return [attempt for attempt in self.attempts if attempt.request_id == request_id]
 
     def timeline(self, request_id=None, max_lines=60):
-        """What happened, in order: all that was noted, with a request's own moments."""
+        """Returns the last `max_lines` events in order, including those of the given request."""
         lines = [(at, text) for at, text in self.events]
         request = self.requests.get(request_id)
         if request is not None:
@@ -179,9 +190,9 @@
                 for at, response in request.responses
             ]
             if request.connection_closed_at is not None:
-                lines.append((request.connection_closed_at, f"connection under {request_id} ends"))
+                lines.append((request.connection_closed_at, f"connection of {request_id} ends"))
             if request.disconnected_at is not None:
-                lines.append((request.disconnected_at, f"client of {request_id} leaves"))
+                lines.append((request.disconnected_at, f"client of {request_id} disconnects"))
             for attempt in self.attempts_for(request_id):
                 destination = (
                     f"{attempt.endpoint} build {attempt.build} at instance {attempt.instance}"
@@ -189,7 +200,7 @@
                 lines.append(
                     (
                         attempt.last_byte_at,
-                        f"{request_id} comes to {destination}: {attempt.outcome}",
+                        f"{request_id} arrives at {destination}: {attempt.outcome}",
                     )
                 )
         start = self.processes[0].started_at if self.processes else 0.0
