--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -1,7 +1,8 @@
-"""Judges a play by the users' pages, from what was seen outside of the program alone.
+"""Checks the observations of a run against the specification.
 
-Each bound is the page's, with the time for which the page lets a sidecar be held up between its clock and its writing.
-What is excused names the sentence of the page.
+Only what clients, endpoints, discovery and the platform saw is used, no internal state. Each limit
+is that of the specification, plus the time for which it lets a sidecar be stalled between reading
+its clock and writing.
 """
 
 from dataclasses import dataclass
@@ -9,36 +10,41 @@
 from tests.soak.plan import NEWEST_BUILD
 from tests.soak.sidecar import KILL_AFTER_SECONDS, STARTUP_TIMEOUT_SECONDS
 
-STALL_TOLERANCE_SECONDS = 0.15  # seconds: "a sidecar that is held up for up to 0.15 s"
-TIME_LIMIT_SLACK_SECONDS = 0.05  # seconds: "every time limit is longer by 50 ms"
-LATE_RESPONSE_SECONDS = 0.5  # seconds: "up to half a second after its time it only earns nothing"
-DISCONNECT_SLACK_SECONDS = 0.1  # seconds: "begins more than 0.1 s after the close is a break"
-CAP_UPDATE_SLACK_SECONDS = 0.15  # seconds: "a lower cap binds 150 ms later"
-STICKY_KEY_DELAY_SECONDS = 0.15  # seconds from a good answer: "the key counts as answered"
-INVALID_COMMAND_LIMIT_SECONDS = (
-    3.0  # seconds: "their error or close within the 3 s that bad clients are owed"
-)
-CLOSE_RACE_SECONDS = 0.1  # seconds before its close was seen in which a request may have crossed it
-EXPOSURE_WINDOW_SECONDS = 3.0  # seconds, of the settings: exposure
-EXPOSURE_ALLOWANCE = 3.0  # attempts, of the settings
+# The limits of the specification.
+STALL_TOLERANCE_SECONDS = 0.15  # a sidecar may be stalled for this long
+TIME_LIMIT_SLACK_SECONDS = 0.05  # added to every time limit
+# A response up to this late has no value, but is no violation.
+LATE_RESPONSE_SECONDS = 0.5
+DISCONNECT_SLACK_SECONDS = 0.1  # an attempt may begin this long after its client disconnected
+CAP_UPDATE_SLACK_SECONDS = 0.15  # from sending a lower cap until it must take effect
+# From the newest build's first response to a key until the key must stay with that build.
+STICKY_KEY_DELAY_SECONDS = 0.15
+INVALID_COMMAND_LIMIT_SECONDS = 3.0  # until an invalid command gets an error or is cut off
+# A request sent up to this long before its client saw the connection close may have crossed it.
+CLOSE_RACE_SECONDS = 0.1
+EXPOSURE_WINDOW_SECONDS = 3.0  # as in the settings
+EXPOSURE_ALLOWANCE = 3.0  # in attempts, as in the settings
+# 2 attempts and 4% above the cap are allowed.
 CAP_SLACK_ATTEMPTS = 2
-CAP_SLACK_FACTOR = 1.04  # "2 attempts and 4% above the cap pass"
-DEDUPLICATION_WINDOW_SECONDS = 5.0  # seconds, of the settings
-TIMEOUT_SLACK_SECONDS = 0.15  # seconds: what an attempt tells its pod may be above what is left
+CAP_SLACK_FACTOR = 1.04
+DEDUPLICATION_WINDOW_SECONDS = 5.0  # as in the settings
+# The timeout that an attempt sends to its endpoint may exceed the time left by this much.
+TIMEOUT_SLACK_SECONDS = 0.15
 TIMING_INDEPENDENT_KINDS = frozenset(
     ("lost response", "wrong response", "duplicate execution", "logged fault", "exit status")
 )
-"""Kinds of breaches that no want of a processor excuses."""
-RESTART_UPDATE_SLACK_SECONDS = 0.3  # seconds: "from 300 ms after discovery last wrote it"
+"""Kinds of violations that count even if the machine was too busy for the time limits."""
+# From sending the entry of a restarted endpoint until its former process must get nothing.
+RESTART_UPDATE_SLACK_SECONDS = 0.3
 
 
 @dataclass(frozen=True)
 class Violation:
-    """What broke.
+    """A violation of the specification.
 
     Attributes:
-        kind: the rule in a word.
-        name: the request that it is about, if it is about one.
+        kind: Short name of the violated rule.
+        request_id: The request that it concerns; None if it concerns no single one.
     """
 
     kind: str
@@ -47,7 +53,7 @@
 
 
 class Checks:
-    """All checks of one play."""
+    """All checks of one run."""
 
     def __init__(self, plan, observations):
         self.plan, self.observations, self.violations = plan, observations, []
@@ -59,7 +65,7 @@
         self.violations.append(Violation(kind, text, request_id))
 
     def run(self):
-        """Every breach of the play."""
+        """Returns all violations of the run."""
         for request in self.observations.requests.values():
             if request.sent_at:
                 self._check_response(request)
@@ -75,12 +81,12 @@
             self.add_violation("wrong response", text)
         return self.violations
 
-    # One final answer in time.
+    # Each request gets one response, in time.
 
     def _check_response(self, request):
         if len(request.responses) > 1:
             self.add_violation(
-                "wrong response", f"{len(request.responses)} answers", request.request_id
+                "wrong response", f"{len(request.responses)} responses", request.request_id
             )
         if request.responses:
             self._check_content(request)
@@ -91,22 +97,21 @@
             if responded_at > latest and request.disconnected_at is None:
                 self.add_violation(
                     "late response",
-                    f"answered {responded_at - latest:.3f} s after its time",
+                    f"answered {responded_at - latest:.3f} s after its latest time",
                     request.request_id,
                 )
             return
-        if (
-            request.disconnected_at is not None
-        ):  # "when a client closes its connection, it has gone away"
+        if request.disconnected_at is not None:  # a client that disconnected is owed no response
             return
-        if request.connection_refused:  # "for 0.2 to 0.4 s new connections keep coming": not later
+        # A sidecar accepts new connections only for 0.2 to 0.4 s after SIGTERM.
+        if request.connection_refused:
             return
         process = self.observations.processes[request.process_number]
-        if process.killed and process.sigterm_at is None:  # it was killed outright
+        if process.killed and process.sigterm_at is None:  # killed without SIGTERM
             return
         if process.ended_at is not None and process.sigterm_at is None:
             self.add_violation(
-                "lost response", "its process has ended by itself", request.request_id
+                "lost response", "its process ended without a signal", request.request_id
             )
             return
         if process.killed and request.sent_at > process.sigkill_at - STALL_TOLERANCE_SECONDS:
@@ -127,7 +132,9 @@
             ]
             if not successful:
                 self.add_violation(
-                    "wrong response", "served with what no endpoint made", request.request_id
+                    "wrong response",
+                    "answered with a response that no endpoint sent",
+                    request.request_id,
                 )
         elif response.startswith(b"-BUSY"):
             maybe_executed = [
@@ -137,7 +144,7 @@
             ]
             if maybe_executed:
                 self.add_violation(
-                    "duplicate execution", "refused though it may have run", request.request_id
+                    "duplicate execution", "rejected though it may have run", request.request_id
                 )
         elif not response.startswith(b"-ERR"):
             self.add_violation(
@@ -145,14 +152,14 @@
             )
 
     def _describe_duplicate(self, value):
-        """Tells how long after its answer a second copy of this value was written."""
+        """Returns a text that says when a duplicate of the response with this value was written."""
         request_id, endpoint, _ = value.split(":")
         for attempt in self.attempts_by_request.get(request_id, ()):
             if attempt.endpoint == endpoint and attempt.duplicate_sent_at is not None:
-                return f"copied {1000 * (attempt.duplicate_sent_at - attempt.responded_at):.1f} ms later"
-        return "never copied"
+                return f"duplicated {1000 * (attempt.duplicate_sent_at - attempt.responded_at):.1f} ms later"
+        return "never duplicated"
 
-    # No effect twice, and nothing for a client that has gone.
+    # No request runs twice, and none runs for a client that has disconnected.
 
     def _check_retries(self, request):
         attempts = self.attempts_by_request.get(request.request_id, [])
@@ -187,7 +194,7 @@
             if delay > DISCONNECT_SLACK_SECONDS + STALL_TOLERANCE_SECONDS:
                 self.add_violation(
                     "client gone",
-                    f"an attempt {delay:.3f} s after its client left",
+                    f"attempt {delay:.3f} s after its client disconnected",
                     request.request_id,
                 )
 
@@ -199,10 +206,10 @@
                 and attempt.timeout
                 > max(time_left, 0) + TIMEOUT_SLACK_SECONDS + TIME_LIMIT_SLACK_SECONDS
             ):
-                text = f"told {attempt.timeout:.3f} s with {time_left:.3f} s left"
+                text = f"timeout of {attempt.timeout:.3f} s with {time_left:.3f} s left"
                 self.add_violation("timeout", text, request.request_id)
 
-    # Nothing new to a drained endpoint.
+    # A draining endpoint gets no new requests.
 
     def _check_drains(self):
         states_by_endpoint = {}
@@ -213,7 +220,7 @@
             earlier = [state for state in states if state.sent_at <= attempt.first_byte_at]
             if not earlier:
                 continue
-            # The first word of the present spell of not being ready.
+            # When the sidecar was first told that the endpoint is not ready; None if it is ready.
             unready_since = None
             for state in earlier:
                 if state.state == "Ready":
@@ -226,7 +233,7 @@
                 > unready_since + TIME_LIMIT_SLACK_SECONDS + STALL_TOLERANCE_SECONDS
             ):
                 delay = attempt.first_byte_at - unready_since
-                text = f"{attempt.endpoint} gets it {delay:.3f} s after its drain was told"
+                text = f"sent to {attempt.endpoint} {delay:.3f} s after its drain was announced"
                 self.add_violation("drain", text, attempt.request_id)
             latest = earlier[-1]
             if (
@@ -235,10 +242,10 @@
                 > latest.sent_at + RESTART_UPDATE_SLACK_SECONDS + STALL_TOLERANCE_SECONDS
             ):
                 self.add_violation(
-                    "drain", f"{attempt.endpoint}: to the process before", attempt.request_id
+                    "drain", f"sent to the former process of {attempt.endpoint}", attempt.request_id
                 )
 
-    # Exposure and keys.
+    # The newest build gets its share of requests, and keeps the keys that it answered.
 
     def _release_states_for(self, instance):
         return [
@@ -276,7 +283,7 @@
             and end > current_since + CAP_UPDATE_SLACK_SECONDS + STALL_TOLERANCE_SECONDS
         ):
             self.add_violation(
-                "exposure", "to a build that takes nothing any more", attempt.request_id
+                "exposure", "sent to a build that takes no more requests", attempt.request_id
             )
         recent = [
             one for one in history if one[0] <= end and one[0] > begin - CAP_UPDATE_SLACK_SECONDS
@@ -294,7 +301,7 @@
             self.add_violation("exposure", text, attempt.request_id)
 
     def _check_sticky_keys(self):
-        """A key that the newest build has answered stays with it while that is open to requests."""
+        """Checks that keys answered by the newest build stay with it while it takes requests."""
         for instance in range(self.plan.instance_count):
             release_states = self._release_states_for(instance)
             revoked_at = min(
@@ -316,7 +323,7 @@
                 key=lambda one: one.last_byte_at,
             ):
                 answered_at = answered_at_by_key.get(attempt.key)
-                # Another process knows nothing of it.
+                # A restarted sidecar does not know the keys of the former process.
                 is_sticky = answered_at is not None and not any(
                     answered_at < start <= attempt.last_byte_at for start in process_starts
                 )
@@ -327,12 +334,12 @@
                     < attempt.first_byte_at
                     < revoked_at
                 ):
-                    text = f"its key was answered by {NEWEST_BUILD} {attempt.first_byte_at - answered_at:.3f} s ago"
+                    text = f"build {NEWEST_BUILD} answered its key {attempt.first_byte_at - answered_at:.3f} s ago"
                     self.add_violation("sticky key", text, attempt.request_id)
                 if attempt.build == NEWEST_BUILD and attempt.outcome in ("good", "duplicate"):
                     answered_at_by_key.setdefault(attempt.key, attempt.responded_at)
 
-    # Bad clients and processes.
+    # Invalid commands are rejected in time, and processes start and end as they should.
 
     def _check_invalid_commands(self):
         for command in self.observations.invalid_commands:
@@ -354,7 +361,7 @@
             ):
                 self.add_violation(
                     "invalid command",
-                    f"{command.description} has no end after {INVALID_COMMAND_LIMIT_SECONDS} s",
+                    f"{command.description} is not rejected after {INVALID_COMMAND_LIMIT_SECONDS} s",
                 )
 
     def _check_processes(self):
