--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,7 +1,7 @@
-"""Clients: each goes on by its habit, on connections of its own, until the play is over.
+"""Clients that repeat their planned behaviour on connections of their own until they are stopped.
 
-A client that finds its connection ended between requests opens another. A request that crosses the end of a connection
-is sent once more on a new one, as the users' page has it.
+A client whose connection was closed between requests opens another. As the specification asks of
+clients, a request that crosses the close of its connection is sent once more on a new one.
 """
 
 import asyncio
@@ -13,21 +13,31 @@
 from tests.soak.stand_ins import reset_connection
 
 KEY_COUNT = 40
-RESPONSE_WAIT_SECONDS = 5.0  # seconds: more than any answer may take
-INVALID_COMMAND_WAIT_SECONDS = 4.0  # seconds that a bad client waits for its end
-READ_RESUME_THRESHOLD = 32  # in hand: a connection with over 64 is not read on until so few are left (docs/design/ends.md)
-CONNECT_TIMEOUT_SECONDS = 2.0  # seconds
+RESPONSE_WAIT_SECONDS = 5.0  # longer than any response may take
+INVALID_COMMAND_WAIT_SECONDS = 4.0  # wait for the rejection of an invalid command
+# The sidecar stops reading a connection with more than 64 open requests until this many are left
+# (docs/design/ends.md).
+READ_RESUME_THRESHOLD = 32
+CONNECT_TIMEOUT_SECONDS = 2.0
 
 
 def encode_command(*arguments):
-    """A command as bytes."""
+    """Returns a command as an array of bulk strings."""
     return b"*%d\r\n" % len(arguments) + b"".join(
         b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in map(str.encode, arguments)
     )
 
 
 class ClientConnection(asyncio.Protocol):
-    """A client's connection. Answers go to the requests in their order."""
+    """A client's connection. Responses are assigned to its requests in the order of sending.
+
+    Attributes:
+        pending: Requests without a response.
+        ended_at: When its end was seen; None while it is open.
+        changed: Set when data arrives or the connection ends.
+        expects_responses: Whether an unexpected response is recorded as one.
+        response_count: Responses and errors received.
+    """
 
     def __init__(self, observations):
         self.observations, self.buffer, self.pending = observations, bytearray(), []
@@ -46,7 +56,7 @@
                 self.pending.pop(0).responses.append((self.observations.clock(), response))
             elif self.expects_responses:
                 self.observations.unexpected_responses.append(
-                    f"an answer that nothing asked for: {response[:60]!r}"
+                    f"unexpected response: {response[:60]!r}"
                 )
             self.response_count += 1
             self.changed.set()
@@ -80,14 +90,18 @@
         return self.ended_at is None and not self.transport.is_closing()
 
     async def wait_for_change(self, timeout):
-        """Waits until something comes, or so long."""
+        """Waits until data arrives or the connection ends, but no longer than `timeout` seconds."""
         self.changed.clear()
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.changed.wait(), timeout)
 
 
 class Client:
-    """One client of an instance."""
+    """One client of an instance.
+
+    Args:
+        stop_event: Set when the client is to stop.
+    """
 
     def __init__(self, number, plan, sidecar, observations, stop_event):
         self.number, self.plan, self.sidecar, self.observations = (
@@ -100,7 +114,7 @@
         self.connection = None
 
     async def run(self):
-        """Goes on until the play is over."""
+        """Repeats the planned behaviour until the client is stopped."""
         await asyncio.sleep(self.plan.start_at)
         action = {
             ClientBehaviour.STEADY: self.send_one,
@@ -149,7 +163,7 @@
         request.pipeline_deadline_at = max(
             request.pipeline_deadline_at, request.sent_at + request.timeout
         )
-        if not connection.is_open:  # it ended between requests, just before this one
+        if not connection.is_open:  # it was closed just before this request
             request.connection_closed_at = request.sent_at
             return
         connection.pending.append(request)
@@ -180,16 +194,15 @@
         return request
 
     async def _wait_for_responses(self, connection, requests):
-        """Waits for all of these; what a connection's end has crossed is sent once more."""
+        """Waits for all responses; resends requests that crossed the close of the connection."""
         give_up_at = self.observations.clock() + RESPONSE_WAIT_SECONDS
         while any(not one.responses for one in requests) and connection.is_open:
             time_left = give_up_at - self.observations.clock()
             if time_left <= 0:
                 return
             await connection.wait_for_change(time_left)
-        while (
-            not connection.is_open and connection.ended_at is None
-        ):  # a write has failed: its end comes next
+        # After a failed write the transport is closing; connection_lost follows.
+        while not connection.is_open and connection.ended_at is None:
             await connection.wait_for_change(CONNECT_TIMEOUT_SECONDS)
         unanswered = [
             one for one in requests if not one.responses and one.connection_closed_at is not None
@@ -204,7 +217,7 @@
     async def _resend(self, request):
         request.resent = True
         self.observations.add_event(
-            f"{request.request_id} crossed the end of its connection, is sent once more"
+            f"{request.request_id} crossed the close of its connection and is resent"
         )
         connection = await self._connect()
         if connection is None:
@@ -231,7 +244,7 @@
         await self._wait_for_responses(self.connection, requests)
 
     async def _send_and_disconnect(self):
-        """Asks, and is gone after a moment: by a close, a reset, or the end of its sending."""
+        """Sends requests and soon disconnects, by a close, a reset or a half-close."""
         connection, requests = self.connection, []
         for _ in range(self.rng.choice((1, 3, self.plan.pipeline_depth))):
             requests.append(self._new_request())
@@ -254,12 +267,12 @@
         self.connection = None
 
     async def _send_and_idle(self):
-        """Asks seldom; its connection rests meanwhile."""
+        """Sends a request and leaves the connection idle for a while."""
         await self.send_one()
         await asyncio.sleep(0.4)
 
     async def _send_partial_command(self):
-        """Sends a part of a command, and the rest or nothing more."""
+        """Sends a part of a command, and then the rest or nothing more."""
         connection = self.connection
         await self.send_one()
         if not connection.is_open:
@@ -271,7 +284,7 @@
         connection.transport.write(data[:split_at])
         if not completes:
             del self.observations.requests[request.request_id]
-            await self._wait_for_rejection(connection, "half a command")
+            await self._wait_for_rejection(connection, "incomplete command")
             return
         await asyncio.sleep(self.rng.choice((0.01, 0.2)))
         if connection.is_open:
@@ -287,7 +300,7 @@
     async def _send_garbage(self):
         connection = self.connection
         connection.transport.write(b"what is this?\r\n")
-        await self._wait_for_rejection(connection, "no command")
+        await self._wait_for_rejection(connection, "malformed command")
 
     async def _wait_for_rejection(self, connection, description):
         connection.expects_responses = False
@@ -314,7 +327,7 @@
 
 
 async def send_burst(count, sidecar, observations, first_number, plan):
-    """So many clients at once, each with a connection and one request of its own."""
+    """Starts `count` clients at the same time, each with a connection and one request."""
     stop_event = asyncio.Event()
     clients = [
         Client(first_number + index, plan, sidecar, observations, stop_event)
@@ -326,5 +339,5 @@
             await client.send_one()
             client.connection.transport.close() if client.connection else None
 
-    observations.add_event(f"{count} clients come at once to instance {sidecar.instance}")
+    observations.add_event(f"{count} clients connect at once to instance {sidecar.instance}")
     await asyncio.gather(*(send_request(client) for client in clients))
