--- a/tests/soak/sidecar.py
+++ b/tests/soak/sidecar.py
@@ -1,4 +1,4 @@
-"""An instance of the program: its configuration, its processes one after another, and their signals."""
+"""Runs one sidecar instance: writes its configuration, starts its processes and signals them."""
 
 import asyncio
 import copy
@@ -14,17 +14,27 @@
 from tests.support.peers import SETTINGS, reserve_port
 
 SOCKET_LIMIT = 256
-MAX_DEADLINE_SECONDS = 3.0  # seconds: the longest deadline that a client has
-KILL_AFTER_SECONDS = MAX_DEADLINE_SECONDS + 0.7  # seconds from SIGTERM, at the page's earliest
-STARTUP_TIMEOUT_SECONDS = 30.0  # seconds
+MAX_DEADLINE_SECONDS = 3.0  # the longest request timeout of a client
+# The earliest time after SIGTERM at which the specification allows SIGKILL.
+KILL_AFTER_SECONDS = MAX_DEADLINE_SECONDS + 0.7
+STARTUP_TIMEOUT_SECONDS = 30.0
 
 
 class Sidecar:
-    """One instance.
+    """One sidecar instance with a discovery agent and a release platform of its own.
 
     Attributes:
-        discovery: its agent; another one after a move.
-        process: the record of the process that runs, or ran last.
+        discovery: Its discovery agent; another one after a move.
+        former_discoveries: The agents before the last move.
+        process: The record of the process that runs, or ran last.
+        child: That process.
+        ready: Set once the process has logged that it is ready, or has ended.
+
+    Args:
+        instance: Number of the instance.
+        instance_count: How many instances there are.
+        operator_file: Path of its operator file, if it has one.
+        code: Python code to run in place of the program, with a fault injected.
     """
 
     def __init__(
@@ -70,7 +80,7 @@
         self.folder.cleanup()
 
     def write_config(self):
-        """Writes the configuration as things stand."""
+        """Writes the configuration file with the present endpoints and release state."""
         settings = copy.deepcopy(SETTINGS)
         settings["balancers"] = self.instance_count
         config = {
@@ -88,7 +98,7 @@
         os.replace(self.config_path + ".new", self.config_path)
 
     async def start(self):
-        """Starts a process; it is ready once `ready` is set."""
+        """Starts a process; `ready` is set once it is ready."""
         self.write_config()
         self.ready = asyncio.Event()
         arguments = [sys.executable, "-m", "thymeknot"]
@@ -133,7 +143,7 @@
             self.ready.set()
 
     def send_signal(self, signal_number):
-        """Sends a signal, if the process still runs."""
+        """Sends a signal if the process still runs."""
         if self.child.returncode is None:
             self.observations.add_event(
                 f"{signal.Signals(signal_number).name} to process {self.process.number}"
@@ -141,12 +151,12 @@
             self.child.send_signal(signal_number)
 
     def reload(self):
-        """Writes the configuration anew and announces it."""
+        """Rewrites the configuration file and sends SIGHUP."""
         self.write_config()
         self.send_signal(signal.SIGHUP)
 
     async def move_discovery(self):
-        """Discovery goes on at another address; the former one is silent."""
+        """Starts discovery at another address; the former agent sends nothing any more."""
         former, self.discovery = (
             self.discovery,
             AsyncDiscovery(self.instance, self.observations, self.endpoints),
@@ -159,13 +169,13 @@
         self.reload()
 
     def stop(self):
-        """Sends SIGTERM; the kill comes at the page's earliest."""
+        """Sends SIGTERM and records when the first one was sent."""
         if self.process.sigterm_at is None:
             self.process.sigterm_at = self.observations.clock()
         self.send_signal(signal.SIGTERM)
 
     async def wait_until_ended(self):
-        """Waits for the end of a process that was told to stop, and kills it at the page's earliest."""
+        """Waits until the process ends; kills it KILL_AFTER_SECONDS after the first SIGTERM."""
         process, child = self.process, self.child
         time_left = process.sigterm_at + KILL_AFTER_SECONDS - self.observations.clock()
         try:
@@ -176,13 +186,13 @@
             await child.wait()
 
     async def kill(self):
-        """Ends the process at once."""
+        """Kills the process with SIGKILL."""
         self.process.sigkill_at, self.process.killed = self.observations.clock(), True
         self.send_signal(signal.SIGKILL)
         await self.child.wait()
 
     def cpu_wait_seconds(self):
-        """Seconds that the process was ready to run and had no processor, by the kernel; 0 once it has ended."""
+        """Returns how long the process was runnable without a processor; 0 once it has ended."""
         try:
             with open(f"/proc/{self.child.pid}/schedstat", encoding="utf-8") as source:
                 return int(source.read().split()[1]) / 1e9
@@ -190,14 +200,14 @@
             return 0.0
 
     def open_descriptors(self):
-        """How many files the process has open; None if it has ended."""
+        """Returns the number of the process's open descriptors; None if it has ended."""
         try:
             return len(os.listdir(f"/proc/{self.child.pid}/fd"))
         except OSError:
             return None
 
     def resident_kb(self):
-        """Its resident memory; None if it has ended."""
+        """Returns the process's resident memory in kB; None if it has ended."""
         try:
             with open(f"/proc/{self.child.pid}/status", encoding="utf-8") as source:
                 return next(int(line.split()[1]) for line in source if line.startswith("VmRSS"))
@@ -206,7 +216,7 @@
 
 
 def clock():
-    """Seconds of the machine's monotonic clock."""
+    """Returns the seconds of the machine's monotonic clock."""
     return time.monotonic()
 
 
--- a/tests/soak/stand_ins.py
+++ b/tests/soak/stand_ins.py
@@ -1,4 +1,7 @@
-"""Endpoints, discovery and the platform, on an asyncio loop and loopback addresses kept for each instance."""
+"""Stand-ins for endpoints, discovery and the release platform, run by an asyncio event loop.
+
+Each instance reaches them at a loopback address of its own, so they know which one connects.
+"""
 
 import asyncio
 import contextlib
@@ -12,22 +15,22 @@
 from tests.soak.ledger import Attempt, EndpointStateSent, ReleaseStateSent
 from tests.soak.plan import NEWEST_BUILD
 
-LINGER_ZERO = struct.pack("ii", 1, 0)
-DUPLICATE_DELAY_SECONDS = 0.005  # seconds
-MAX_DUPLICATE_DELAY_SECONDS = (
-    0.008  # seconds: "some milliseconds late"; one that this process is late with is left out
-)
-STALL_SECONDS = 0.7  # seconds
-HEARTBEAT_INTERVAL_SECONDS = 0.5  # seconds between two signs of generation of a stream
+LINGER_ZERO = struct.pack("ii", 1, 0)  # a close with this option resets the connection
+DUPLICATE_DELAY_SECONDS = 0.005
+# Duplicates arrive some milliseconds late by the specification; one that this process would send
+# later than this is left out.
+MAX_DUPLICATE_DELAY_SECONDS = 0.008
+STALL_SECONDS = 0.7
+HEARTBEAT_INTERVAL_SECONDS = 0.5
 
 
 def instance_host(instance):
-    """The loopback address that is kept for what this instance reaches."""
+    """Returns the loopback address of the stand-ins that this instance uses."""
     return f"127.0.0.{instance + 1}"
 
 
 def reset_connection(transport):
-    """Ends a connection with a reset."""
+    """Resets a connection."""
     connection_socket = transport.get_extra_info("socket")
     with contextlib.suppress(OSError, AttributeError):
         connection_socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_ZERO)
@@ -35,7 +38,7 @@
 
 
 def parse_command(buffer):
-    """(words, length) of the first whole command in the buffer, or None."""
+    """Returns the first command's arguments and its length; None if it is incomplete."""
     end = buffer.find(b"\r\n")
     if end < 0:
         return None
@@ -53,7 +56,13 @@
 
 
 class EndpointConnection(asyncio.Protocol):
-    """A connection of an instance to an endpoint."""
+    """A connection of an instance to an endpoint.
+
+    Attributes:
+        first_byte_at: When the first byte of the command being received arrived.
+        generation: Generation of the endpoint when the connection was made.
+        pending_count: Commands without a response.
+    """
 
     def __init__(self, endpoint, instance):
         self.endpoint, self.instance, self.buffer = endpoint, instance, bytearray()
@@ -63,7 +72,7 @@
             None,
             endpoint.generation,
         )
-        self.pending_count = 0  # commands that are not answered
+        self.pending_count = 0
 
     def connection_made(self, transport):
         self.transport = transport
@@ -87,13 +96,18 @@
             self.first_byte_at = None
 
     def write(self, content):
-        """Writes, unless the connection has ended."""
+        """Writes unless the connection is closed."""
         if not self.transport.is_closing():
             self.transport.write(content)
 
 
 class AsyncEndpoint:
-    """An endpoint. What comes is answered by the shares of its plan."""
+    """An endpoint that answers requests by the shares of its plan.
+
+    Attributes:
+        generation: How often it was restarted.
+        started_ms: Start time of its process in the endpoint list; 0 for long ago.
+    """
 
     def __init__(self, plan, observations, seed):
         self.plan, self.observations, self.clock = plan, observations, observations.clock
@@ -119,7 +133,7 @@
             reset_connection(connection.transport)
 
     def close_idle_connections(self):
-        """Closes the connections on which nothing is out."""
+        """Closes the connections without a pending command."""
         for connection in list(self.connections):
             if not connection.buffer and not connection.pending_count:
                 connection.transport.close()
@@ -138,7 +152,7 @@
         }
 
     def receive_command(self, connection, arguments, first_byte_at, last_byte_at):
-        """A command is whole: it is kept, and answered after a while."""
+        """Records a complete command and schedules its response."""
         metadata = dict(pair.partition("=")[::2] for pair in arguments[3].decode().split(","))
         attempt = Attempt(
             endpoint=self.plan.name,
@@ -163,7 +177,7 @@
             )
 
     def _draw_outcome(self):
-        """How an attempt ends, by the shares of the plan."""
+        """Draws the outcome of an attempt by the shares of the plan."""
         plan, draw = self.plan, self.rng.random()
         shares = (
             (plan.no_response_share, "silent"),
@@ -208,7 +222,15 @@
 
 
 class AsyncHttpServer:
-    """What discovery and the platform of an instance have in common: streams that stay open, and calls."""
+    """The common part of discovery and the release platform: watch streams and HTTP calls.
+
+    There is one for each instance. Calls with a body are answered as throttled.
+
+    Attributes:
+        streams: The open streams, each with the version that it was last sent.
+        stalled_until: Time before which the streams are sent nothing.
+        stream_opened: Set once a stream was opened.
+    """
 
     HEARTBEAT = ""
 
@@ -235,13 +257,13 @@
         self.reset_streams()
 
     def reset_streams(self):
-        """Resets the streams that stand."""
+        """Resets all open streams."""
         for writer in list(self.streams):
             reset_connection(writer.transport)
         self.streams = {}
 
     def stall(self, seconds=STALL_SECONDS):
-        """Says nothing for a while."""
+        """Sends nothing on the streams for this long."""
         self.stalled_until = self.clock() + seconds
 
     async def _send_heartbeats(self):
@@ -287,31 +309,31 @@
 
     @staticmethod
     def write_chunk(writer, text):
-        """Writes a piece of a stream."""
+        """Writes a chunk to a stream."""
         data = text.encode()
         with contextlib.suppress(OSError):
             writer.write(b"%x\r\n%s\r\n" % (len(data), data))
 
     def push_updates(self):
-        """Tells each stream what it has missed, unless stalled."""
+        """Sends each stream the changes that it lacks, unless stalled."""
         if self.clock() >= self.stalled_until:
             for writer in list(self.streams):
                 self.push_update(writer)
 
     def push_update(self, writer):
-        """Tells a stream what it has missed."""
+        """Sends a stream the changes that it lacks."""
 
     def known_version(self, path):
-        """How much the asker of a stream knows."""
+        """Returns the version that the client of a new stream already has."""
         return 0
 
     def full_response(self):
-        """The answer to a plain call."""
+        """Returns the response to a call that opens no stream."""
         return "{}"
 
 
 class AsyncDiscovery(AsyncHttpServer):
-    """The agent of one instance: each change has a version, a stream is told what is new to it."""
+    """The discovery agent of one instance; each change of an endpoint has a version."""
 
     HEARTBEAT = "\n"
 
@@ -320,13 +342,13 @@
         self.endpoints, self.version, self.changes = endpoints, 7, []
 
     def update_endpoint(self, endpoint):
-        """A pod's state has changed."""
+        """Publishes the present state of an endpoint."""
         self.version += 1
         self.changes.append((self.version, endpoint.entry(self.instance), endpoint.generation))
         self.push_updates()
 
     def full_list(self):
-        """The whole list as a configuration holds it."""
+        """Returns the complete endpoint list, in the form of the configuration file."""
         entries = [
             endpoint.entry(self.instance) for endpoint in self.endpoints if endpoint.state != "Gone"
         ]
@@ -363,7 +385,7 @@
 
 
 class AsyncPlatform(AsyncHttpServer):
-    """The platform as one instance reaches it: how the newest build stands. It takes no votes."""
+    """The release platform of one instance. It sends the release state and accepts no votes."""
 
     HEARTBEAT = ":\n"
 
@@ -378,12 +400,12 @@
         }
 
     def current_state(self):
-        """The news as a configuration holds it."""
+        """Returns the release state, in the form of the configuration file."""
         age = round(1000 * (self.clock() - self.updated_at))
         return {**self.release_state, "observedAgoMs": age}
 
     def update_release_state(self, status, cap):
-        """The newest build stands otherwise."""
+        """Publishes another status and cap of the newest build."""
         self.update_number, self.updated_at = self.update_number + 1, self.clock()
         step = self.release_state["step"] + (status == "trial")
         self.release_state = {
