--- a/tests/soak/__init__.py
+++ b/tests/soak/__init__.py
@@ -1,7 +1,14 @@
-"""Real processes of the program against stand-ins, each play drawn whole from the number of its seed.
+"""Soak test: runs real sidecar processes under random plans and checks what their peers see.
 
-`plan` draws what happens, `stand_ins` are the endpoints, discovery and the platform, `clients` what clients do,
-`sidecar` starts, signals and ends the processes, `ledger` keeps what was seen from outside, `checks` judges that by the
-users' pages, `player` plays a plan, `planted` holds faults that the checks have to find. `python -m tests.soak` runs
-many seeds; `orders` draws long orders for the stepped rig beside it.
+Each plan is drawn from a seed. The modules:
+
+- `plan` draws clients, endpoints, faults and signals.
+- `stand_ins` has the endpoints, discovery and the release platform; `clients` has the clients.
+- `sidecar` starts, signals and ends the sidecar processes.
+- `player` runs a plan, and `ledger` records what is seen from outside.
+- `checks` compares these records with the specification.
+- `planted` has faults to inject, which the checks must find.
+- `rounds` looks for leaks of memory and descriptors in one process.
+- `orders` draws long orders of events for the stepped rig.
+- `campaign` is the command line, `python -m tests.soak`, which runs many seeds.
 """
--- a/tests/soak/__main__.py
+++ b/tests/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The soak as a program: see `campaign`."""
+"""Runs the soak test's command line, `tests.soak.campaign`."""
 
 import sys
 
--- a/tests/soak/campaign.py
+++ b/tests/soak/campaign.py
@@ -1,4 +1,7 @@
-"""Plays many seeds, and says what broke, with what it takes to see it again: python -m tests.soak --seeds 1-50."""
+"""Runs the soak test over many seeds: python -m tests.soak --seeds 1-50.
+
+Each violation is printed with the command that reproduces it.
+"""
 
 import argparse
 from concurrent.futures import ProcessPoolExecutor
@@ -8,12 +11,12 @@
 from tests.soak.plan import draw_plan
 from tests.soak.player import run_plan
 
-TIMELINE_LINES = 40  # lines of the order of what happened
-MAX_VIOLATIONS_SHOWN = 5  # breaches of a play
+TIMELINE_LINES = 40  # printed for each seed with violations
+MAX_VIOLATIONS_SHOWN = 5  # printed for each seed
 
 
 def parse_numbers(text):
-    """1-50 or 1,2,7."""
+    """Returns the numbers of a text such as 1-50 or 1,2,7."""
     parsed = []
     for part in text.split(","):
         first, _, last = part.partition("-")
@@ -22,21 +25,21 @@
 
 
 def run_seed(seed):
-    """(seed, what was drawn, what was seen, the report of what broke or "")."""
+    """Returns (seed, summary of the plan, summary of the run, report of the violations or "")."""
     try:
         result = run_plan(seed)
-    except Exception as error:  # one play must not end the campaign, and counts as broken
-        return seed, draw_plan(seed).summary(), "the play itself failed", f"seed {seed}: {error!r}"
+    except Exception as error:  # counts as a failure and must not end the other runs
+        return seed, draw_plan(seed).summary(), "the run itself failed", f"seed {seed}: {error!r}"
     return seed, result.plan.summary(), result.summary(), report(result)
 
 
 def report(result):
-    """What broke in a play, the command that shows it, and the order of what happened."""
+    """Returns the violations, the command that reproduces them and the timeline; "" if none."""
     failures = result.failures
     if not failures:
         return ""
     seed = result.plan.seed
-    lines = [f"seed {seed}: {len(failures)} breaches: python -m tests.soak --seeds {seed}"]
+    lines = [f"seed {seed}: {len(failures)} violations: python -m tests.soak --seeds {seed}"]
     lines += [
         f"  {failure.kind}: {failure.request_id or ''} {failure.text}"
         for failure in failures[:MAX_VIOLATIONS_SHOWN]
@@ -49,7 +52,7 @@
 
 
 def run_injected_fault(name):
-    """(name, the seeds played, the one that found it or None)."""
+    """Returns (name, the seeds that were run, the one that found the fault or None)."""
     fault = planted.FAULTS[name]
     for count, seed in enumerate(fault.seeds, 1):
         kinds = {violation.kind for violation in run_plan(seed, fault.program).failures}
@@ -61,11 +64,11 @@
 def _run_seeds(pool, seeds):
     failed = 0
     for seed, plan, seen, failures in pool.map(run_seed, seeds):
-        print(f"{seed}: {plan}\n   {seen}{'' if failures else ': nothing broke'}", flush=True)
+        print(f"{seed}: {plan}\n   {seen}{'' if failures else ': no violations'}", flush=True)
         if failures:
             failed += 1
             print(failures, flush=True)
-    print(f"{len(seeds) - failed} of {len(seeds)} plays without a breach", flush=True)
+    print(f"{len(seeds) - failed} of {len(seeds)} runs without a violation", flush=True)
     return failed
 
 
@@ -74,7 +77,7 @@
     for name, seeds, found in pool.map(run_injected_fault, planted.FAULTS):
         missed += found is None
         outcome = f"found by seed {found}" if found is not None else "NOT found"
-        print(f"planted, {name}: {outcome} (played {', '.join(map(str, seeds))})", flush=True)
+        print(f"injected fault, {name}: {outcome} (ran {', '.join(map(str, seeds))})", flush=True)
     return missed
 
 
@@ -94,22 +97,33 @@
     result = rounds.run_rounds(seeds)
     growth = result.growth()
     print(
-        f"rounds: {len(seeds)}, {result.request_count} requests; at rest after {rounds.BASELINE_ROUND}: {result.baseline}, "
-        f"after all: {result.final}: {'; '.join(growth) or 'nothing has grown'}",
+        f"rounds: {len(seeds)}, {result.request_count} requests; idle after {rounds.BASELINE_ROUND}: {result.baseline}, "
+        f"after all: {result.final}: {'; '.join(growth) or 'no growth'}",
         flush=True,
     )
     return len(growth)
 
 
 def main(arguments):
-    """Runs what the words of the command line name; gives an exit code."""
+    """Runs what the command line asks for and returns the exit status."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
-    parser.add_argument("--seeds", type=parse_numbers, default=[], help="plays, as 1-50 or 1,2,7")
-    parser.add_argument("--jobs", type=int, default=3, help="plays at once")
-    parser.add_argument("--planted", action="store_true", help="the planted faults, too")
-    parser.add_argument("--orders", type=parse_numbers, default=[], help="seeds of the stepped rig")
-    parser.add_argument("--lists", type=int, default=80, help="lists of orders a seed")
-    parser.add_argument("--rounds", type=parse_numbers, default=[], help="rounds at one process")
+    parser.add_argument(
+        "--seeds", type=parse_numbers, default=[], help="seeds of plans to run, as 1-50 or 1,2,7"
+    )
+    parser.add_argument("--jobs", type=int, default=3, help="parallel runs")
+    parser.add_argument(
+        "--planted", action="store_true", help="check that the injected faults are found"
+    )
+    parser.add_argument(
+        "--orders", type=parse_numbers, default=[], help="seeds of event orders for the stepped rig"
+    )
+    parser.add_argument("--lists", type=int, default=80, help="lists of orders for each seed")
+    parser.add_argument(
+        "--rounds",
+        type=parse_numbers,
+        default=[],
+        help="seeds of rounds against one process, to find leaks",
+    )
     options = parser.parse_args(arguments)
     failures = 0
     with ProcessPoolExecutor(options.jobs, mp_context=get_context("spawn")) as pool:
--- a/tests/soak/orders.py
+++ b/tests/soak/orders.py
@@ -1,4 +1,7 @@
-"""Orders for the stepped rig, drawn by other seeds and in longer lists than those of the integration test."""
+"""Random orders of events for `tests.support.order_rig`.
+
+They are drawn from other seeds than those of `tests.integration.test_event_orders` and are longer.
+"""
 
 from hypothesis import HealthCheck, Phase, given, seed, settings
 from hypothesis import strategies as st
@@ -6,7 +9,8 @@
 from tests.integration import test_event_orders as short
 from tests.support.order_rig import minimize, play
 
-STALL = short.order("stall_process", st.sampled_from((20, 60, 150)))  # the page allows for 0.15 s
+# The specification allows for stalls of up to 150 ms.
+STALL = short.order("stall_process", st.sampled_from((20, 60, 150)))
 LONGER = st.lists(
     st.one_of(short.ORDERS, short.ORDERS, short.ORDERS, STALL),
     min_size=40,
@@ -15,7 +19,15 @@
 
 
 def find_failing_orders(number, examples):
-    """The smallest orders found that show a fault, and the fault; None if no list of this seed shows one."""
+    """Draws lists of orders from a seed until one shows a fault.
+
+    Args:
+        number: The seed.
+        examples: How many lists to draw.
+
+    Returns:
+        The list, reduced to the orders needed, and the fault; None if no list shows one.
+    """
     found = []
 
     @settings(
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -1,4 +1,4 @@
-"""Faults that are planted in the program, one of each kind: the checks have to find every one of them."""
+"""Faults to inject into the sidecar; the checks must find each of them."""
 
 from dataclasses import dataclass
 
@@ -12,12 +12,12 @@
 
 @dataclass(frozen=True)
 class InjectedFault:
-    """A fault.
+    """A fault to inject.
 
     Attributes:
-        kind: of the breaches that it has to cause.
-        seeds: plays in which it can show.
-        patch: what is done to the program before it runs.
+        kind: The kind of violation that it must cause.
+        seeds: Seeds of plans in which it can show.
+        patch: Python code that changes the program before it runs.
     """
 
     kind: str
@@ -26,7 +26,7 @@
 
     @property
     def program(self):
-        """The program with the fault."""
+        """The code that runs the sidecar with the fault."""
         return PROGRAM_START + self.patch + PROGRAM_END
 
 
--- a/tests/soak/player.py
+++ b/tests/soak/player.py
@@ -1,4 +1,4 @@
-"""Plays a plan: starts everything, has it happen, and gives what was seen."""
+"""Runs a plan: starts the peers and sidecars, makes the planned events happen, runs the checks."""
 
 import asyncio
 import os
@@ -26,24 +26,28 @@
 from tests.support.peers import reserve_port
 from thymeknot.gossip import keys
 
-LAG_CHECK_INTERVAL_SECONDS = 0.01  # seconds between two looks at how late this process itself is
-MAX_LAG_SECONDS = 0.1  # seconds: beyond that the stand-ins were held up, and the play says nothing
-MAX_CPU_WAIT_SECONDS = 0.15  # seconds without a processor in a stretch: the page allows for no more
-CPU_WAIT_SAMPLES = 20  # looks of a stretch
-RUN_TIMEOUT_SECONDS = 90.0  # seconds
-SECOND_SIGNAL_DELAY_SECONDS = 0.1  # seconds
-SERVING_AFTER_RESTART_SECONDS = 1.0  # seconds
-CLIENT_SHUTDOWN_TIMEOUT_SECONDS = 6.0  # seconds
+LAG_CHECK_INTERVAL_SECONDS = 0.01
+# With more lag of this process the stand-ins were delayed, and timing checks are not conclusive.
+MAX_LAG_SECONDS = 0.1
+# A sidecar that was runnable for longer without a processor, within CPU_WAIT_SAMPLES lag checks, was
+# stalled for longer than the specification tolerates.
+MAX_CPU_WAIT_SECONDS = 0.15
+CPU_WAIT_SAMPLES = 20
+RUN_TIMEOUT_SECONDS = 90.0
+SECOND_SIGNAL_DELAY_SECONDS = 0.1
+SERVING_AFTER_RESTART_SECONDS = 1.0
+CLIENT_SHUTDOWN_TIMEOUT_SECONDS = 6.0
 
 
 @dataclass(frozen=True)
 class RunResult:
-    """What a play came to.
+    """The observations and violations of a run.
 
     Attributes:
-        lag: the most by which this process was late, in seconds.
-        starved: the longest that a process of the program had no processor within a stretch, in seconds.
-        void: whether the machine was too busy for the play to say anything.
+        max_lag: Longest delay of a timer of this process, in seconds.
+        max_cpu_wait: Longest time that a sidecar process was runnable without a processor within
+            CPU_WAIT_SAMPLES lag checks, in seconds.
+        inconclusive: Whether the machine was too busy for the checks that depend on time.
     """
 
     plan: object
@@ -58,7 +62,11 @@
 
     @property
     def failures(self):
-        """The breaches that count: "a sidecar that is held up for up to 0.15 s", and no more, is the page's term."""
+        """The violations that count.
+
+        The specification covers a sidecar that is stalled for at most MAX_CPU_WAIT_SECONDS. On a
+        machine that was too busy, only violations that do not depend on time count.
+        """
         return [
             violation
             for violation in self.violations
@@ -66,7 +74,7 @@
         ]
 
     def summary(self):
-        """In a line, what was seen."""
+        """Returns what was observed in one line."""
         responses = [
             request.responses for request in self.observations.requests.values() if request.sent_at
         ]
@@ -75,7 +83,11 @@
             f"{len(responses)} requests, {served} served, {len(self.observations.attempts)} attempts, "
             f"{len(self.observations.processes)} processes, own lag {self.max_lag * 1000:.0f} ms, "
             f"without a processor {self.max_cpu_wait * 1000:.0f} ms"
-            + (", VOID: what hangs on time says nothing" if self.inconclusive else "")
+            + (
+                ", INCONCLUSIVE: checks that depend on time do not count"
+                if self.inconclusive
+                else ""
+            )
         )
 
 
@@ -86,7 +98,7 @@
 
 
 class OperatorFiles:
-    """The operator files of the instances, for the feature of the play."""
+    """The operator files of the instances, which configure the feature of the plan."""
 
     def __init__(self, plan):
         self.folder = tempfile.TemporaryDirectory()
@@ -112,7 +124,7 @@
         return os.path.join(self.folder.name, name)
 
     def write_file(self, instance):
-        """The path of an instance's file; None without a feature."""
+        """Writes an instance's operator file and returns its path; None without a feature."""
         if self.feature == Feature.NONE:
             return None
         name = self.names[instance]
@@ -156,7 +168,7 @@
 
 
 class PlanRunner:
-    """One play."""
+    """Runs one plan."""
 
     def __init__(self, plan, code=None):
         self.plan, self.code, self.observations = plan, code, Observations(clock)
@@ -317,17 +329,17 @@
             sidecar.discovery.update_endpoint(endpoint)
 
     async def _restart_endpoint(self, endpoint):
-        """Another process, at the same address."""
+        """Replaces the endpoint's process by a new one at the same address."""
         endpoint.close()
         endpoint.generation += 1
         endpoint.state, endpoint.started_ms = "Ready", int(time.time() * 1000)
         await endpoint.open(self.plan.instance_count)
-        self.observations.add_event(f"{endpoint.plan.name} is back, cold")
+        self.observations.add_event(f"{endpoint.plan.name} is restarted, cold")
         for sidecar in self.sidecars:
             sidecar.discovery.update_endpoint(endpoint)
 
     async def _shut_down(self):
-        """The drawn end at one instance, a plain one at the others."""
+        """Shuts one instance down as planned, and the others by SIGTERM."""
         chosen = self.sidecars[self.plan.seed % self.plan.instance_count]
         await self._shut_down_as_drawn(chosen)
         for sidecar in self.sidecars:
@@ -358,7 +370,7 @@
 
 
 def run_plan(seed, code=None):
-    """Plays the plan of this seed, once."""
+    """Runs the plan of this seed once and returns the RunResult."""
 
     async def run():
         return await asyncio.wait_for(PlanRunner(draw_plan(seed), code).run(), RUN_TIMEOUT_SECONDS)
--- a/tests/soak/rounds.py
+++ b/tests/soak/rounds.py
@@ -1,4 +1,7 @@
-"""One process over many rounds of drawn clients: descriptors and memory at rest after the last round as after the fifth."""
+"""Looks for leaks: runs many rounds of clients against one sidecar process.
+
+Its open descriptors and memory while idle may not grow between the fifth and the last round.
+"""
 
 import asyncio
 from dataclasses import dataclass
@@ -9,17 +12,17 @@
 from tests.soak.sidecar import STARTUP_TIMEOUT_SECONDS, Sidecar, clock
 from tests.soak.stand_ins import AsyncEndpoint
 
-ROUND_SECONDS = 1.0  # seconds of clients
-BASELINE_ROUND = 5  # rounds after which it is looked at first
-IDLE_SECONDS = 14.0  # seconds: connections to endpoints are retired meanwhile
-MEMORY_TOLERANCE_KB = 2_048  # of the allocator
+ROUND_SECONDS = 1.0
+BASELINE_ROUND = 5  # the resources used after this round are the baseline
+IDLE_SECONDS = 14.0  # in this time the sidecar closes its idle connections to endpoints
+MEMORY_TOLERANCE_KB = 2_048  # variation due to the allocator
 ENDPOINT_COUNT = 4
-CLIENT_SHUTDOWN_TIMEOUT_SECONDS = 6.0  # seconds
+CLIENT_SHUTDOWN_TIMEOUT_SECONDS = 6.0
 
 
 @dataclass(frozen=True)
 class ResourceUsage:
-    """What a process holds at rest."""
+    """What a process uses while idle."""
 
     open_descriptors: int
     resident_kb: int
@@ -27,14 +30,14 @@
 
 @dataclass(frozen=True)
 class RoundsResult:
-    """What the process held after the fifth and after the last round."""
+    """What the process used after the baseline round and after the last one."""
 
     baseline: ResourceUsage
     final: ResourceUsage
     request_count: int
 
     def growth(self):
-        """What has grown."""
+        """Returns a text for each resource that has grown."""
         growth = []
         if self.final.open_descriptors > self.baseline.open_descriptors:
             growth.append(
@@ -112,5 +115,5 @@
 
 
 def run_rounds(seeds, code=None, idle_seconds=IDLE_SECONDS):
-    """Plays a round of each seed against one process."""
+    """Runs a round of each seed's clients against one process and returns the RoundsResult."""
     return asyncio.run(_run_rounds(list(seeds), code, idle_seconds))
