--- a/tests/soak/checks.py
+++ b/tests/soak/checks.py
@@ -275,8 +275,8 @@
         end = attempt.last_byte_at
         begin = end - EXPOSURE_WINDOW_SECONDS
         history = [(float("-inf"), "trial", initial_cap)]
-        history += [(one.sent_at, one.status, one.cap) for one in release_states]
-        current = [one for one in history if one[0] <= end][-1]
+        history += [(state.sent_at, state.status, state.cap) for state in release_states]
+        current = [entry for entry in history if entry[0] <= end][-1]
         current_since = max(at for at, *_ in history if at <= end)
         if (
             current[1] in ("rolling_back", "withdrawn")
@@ -286,14 +286,16 @@
                 "exposure", "sent to a build that takes no more requests", attempt.request_id
             )
         recent = [
-            one for one in history if one[0] <= end and one[0] > begin - CAP_UPDATE_SLACK_SECONDS
+            entry
+            for entry in history
+            if entry[0] <= end and entry[0] > begin - CAP_UPDATE_SLACK_SECONDS
         ]
-        previous = [one for one in history if one[0] <= begin - CAP_UPDATE_SLACK_SECONDS][-1]
+        previous = [entry for entry in history if entry[0] <= begin - CAP_UPDATE_SLACK_SECONDS][-1]
         in_effect = [previous, *recent]
         if any(status != "trial" for _, status, _ in in_effect):
             return
-        cap = max(one[2] for one in in_effect)
-        count = sum(begin < one.last_byte_at <= end for one in attempts)
+        cap = max(entry[2] for entry in in_effect)
+        count = sum(begin < other.last_byte_at <= end for other in attempts)
         requests = sum(begin - STALL_TOLERANCE_SECONDS < at <= end for at in request_times)
         allowed = (EXPOSURE_ALLOWANCE + cap * requests) * CAP_SLACK_FACTOR + CAP_SLACK_ATTEMPTS
         if count > allowed:
@@ -306,9 +308,9 @@
             release_states = self._release_states_for(instance)
             revoked_at = min(
                 (
-                    one.sent_at
-                    for one in release_states
-                    if one.status in ("rolling_back", "withdrawn")
+                    state.sent_at
+                    for state in release_states
+                    if state.status in ("rolling_back", "withdrawn")
                 ),
                 default=float("inf"),
             )
@@ -319,8 +321,8 @@
             ]
             answered_at_by_key = {}
             for attempt in sorted(
-                (one for one in self.observations.attempts if one.instance == instance),
-                key=lambda one: one.last_byte_at,
+                (other for other in self.observations.attempts if other.instance == instance),
+                key=lambda other: other.last_byte_at,
             ):
                 answered_at = answered_at_by_key.get(attempt.key)
                 # A restarted sidecar does not know the keys of the former process.
--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -9,7 +9,7 @@
 import random
 
 from tests.soak.ledger import InvalidCommand, Request
-from tests.soak.plan import DEADLINES_SECONDS, REQUEST_CLASSES, ClientBehaviour
+from tests.soak.plan import REQUEST_CLASSES, TIMEOUTS_SECONDS, ClientBehaviour
 from tests.soak.stand_ins import reset_connection
 
 KEY_COUNT = 40
@@ -186,7 +186,7 @@
             request_class=self.rng.choice(REQUEST_CLASSES),
             key=f"k{self.rng.randrange(KEY_COUNT)}",
             body=f"body of {request_id}",
-            timeout=self.rng.choice(DEADLINES_SECONDS),
+            timeout=self.rng.choice(TIMEOUTS_SECONDS),
             sent_at=0.0,
             process_number=0,
         )
@@ -196,7 +196,7 @@
     async def _wait_for_responses(self, connection, requests):
         """Waits for all responses; resends requests that crossed the close of the connection."""
         give_up_at = self.observations.clock() + RESPONSE_WAIT_SECONDS
-        while any(not one.responses for one in requests) and connection.is_open:
+        while any(not sent.responses for sent in requests) and connection.is_open:
             time_left = give_up_at - self.observations.clock()
             if time_left <= 0:
                 return
@@ -205,7 +205,9 @@
         while not connection.is_open and connection.ended_at is None:
             await connection.wait_for_change(CONNECT_TIMEOUT_SECONDS)
         unanswered = [
-            one for one in requests if not one.responses and one.connection_closed_at is not None
+            sent
+            for sent in requests
+            if not sent.responses and sent.connection_closed_at is not None
         ]
         for request in (
             unanswered
--- a/tests/soak/orders.py
+++ b/tests/soak/orders.py
@@ -11,7 +11,7 @@
 
 # The specification allows for stalls of up to 150 ms.
 STALL = short.order("stall_process", st.sampled_from((20, 60, 150)))
-LONGER = st.lists(
+LONG_ORDERS = st.lists(
     st.one_of(short.ORDERS, short.ORDERS, short.ORDERS, STALL),
     min_size=40,
     max_size=120,
@@ -39,7 +39,7 @@
         suppress_health_check=list(HealthCheck),
     )
     @seed(number)
-    @given(LONGER)
+    @given(LONG_ORDERS)
     def run(drawn):
         if found:
             return
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -9,7 +9,7 @@
 import numpy
 
 TRAFFIC_SECONDS = 3.0  # traffic before the first process is shut down
-DEADLINES_SECONDS = (0.3, 0.8, 1.5, 3.0)  # the timeouts that clients send with their requests
+TIMEOUTS_SECONDS = (0.3, 0.8, 1.5, 3.0)  # the timeouts that clients send with their requests
 REQUEST_CLASSES = ("read", "mark", "pay")
 EARLIER_BUILD, NEWEST_BUILD = 41, 42
 BURST_SEED_INTERVAL = 3  # plans of every third seed have a burst of clients
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -37,11 +37,11 @@
         """
 from thymeknot.protocol.client import ClientConnection
 answer, count = ClientConnection.answer, [0]
-def drops(self, place, content):
+def drop_some(self, sequence, content):
     count[0] += 1
     if count[0] % 25:
-        answer(self, place, content)
-ClientConnection.answer = drops
+        answer(self, sequence, content)
+ClientConnection.answer = drop_some
 """,
     ),
     "late response": InjectedFault(
@@ -50,13 +50,13 @@
         """
 from thymeknot.protocol.client import ClientConnection
 answer, count = ClientConnection.answer, [0]
-def delays(self, place, content):
+def delay_some(self, sequence, content):
     count[0] += 1
     if count[0] % 25:
-        answer(self, place, content)
+        answer(self, sequence, content)
     else:
-        self.timers.add(self.timers.clock() + 42_000, answer, self, place, content)
-ClientConnection.answer = delays
+        self.timers.add(self.timers.clock() + 42_000, answer, self, sequence, content)
+ClientConnection.answer = delay_some
 """,
     ),
     "duplicate response": InjectedFault(
@@ -65,11 +65,11 @@
         """
 from thymeknot.protocol.client import ClientConnection
 answer = ClientConnection.answer
-def twice(self, place, content):
-    answer(self, place, content)
+def answer_twice(self, sequence, content):
+    answer(self, sequence, content)
     if not self.pending_responses:
         self.transport.write(content)
-ClientConnection.answer = twice
+ClientConnection.answer = answer_twice
 """,
     ),
     "endpoint connection reused without a pause": InjectedFault(
@@ -148,7 +148,7 @@
         (1, 2, 4, 5, 7, 8),
         """
 from thymeknot.protocol.client import ClientConnection
-ClientConnection._expect_command = lambda self, within: None
+ClientConnection._expect_command = lambda self, timeout: None
 """,
     ),
     "attempt timeout too long": InjectedFault(
@@ -156,8 +156,8 @@
         (1, 2, 4),
         """
 from thymeknot.protocol.command import Command
-words = Command.forwarded_words
-Command.forwarded_words = lambda self, left: words(self, left + 1_000)
+forwarded_words = Command.forwarded_words
+Command.forwarded_words = lambda self, timeout_ms: forwarded_words(self, timeout_ms + 1_000)
 """,
     ),
     "exception in the sidecar": InjectedFault(
@@ -166,12 +166,12 @@
         """
 from thymeknot.policy.endpoint_selection import EndpointSelection
 cost, count = EndpointSelection.cost, [0]
-def fails(self, known):
+def fail_sometimes(self, endpoint):
     count[0] += 1
     if count[0] % 50 == 0:
         raise ZeroDivisionError("planted")
-    return cost(self, known)
-EndpointSelection.cost = fails
+    return cost(self, endpoint)
+EndpointSelection.cost = fail_sometimes
 """,
     ),
 }
--- a/tests/soak/player.py
+++ b/tests/soak/player.py
@@ -78,7 +78,7 @@
         responses = [
             request.responses for request in self.observations.requests.values() if request.sent_at
         ]
-        served = sum(bool(one) and one[0][1].startswith(b"$") for one in responses)
+        served = sum(bool(received) and received[0][1].startswith(b"$") for received in responses)
         return (
             f"{len(responses)} requests, {served} served, {len(self.observations.attempts)} attempts, "
             f"{len(self.observations.processes)} processes, own lag {self.max_lag * 1000:.0f} ms, "
--- a/tests/soak/sidecar.py
+++ b/tests/soak/sidecar.py
@@ -14,9 +14,9 @@
 from tests.support.peers import SETTINGS, reserve_port
 
 SOCKET_LIMIT = 256
-MAX_DEADLINE_SECONDS = 3.0  # the longest request timeout of a client
+MAX_TIMEOUT_SECONDS = 3.0  # the longest request timeout of a client
 # The earliest time after SIGTERM at which the specification allows SIGKILL.
-KILL_AFTER_SECONDS = MAX_DEADLINE_SECONDS + 0.7
+KILL_AFTER_SECONDS = MAX_TIMEOUT_SECONDS + 0.7
 STARTUP_TIMEOUT_SECONDS = 30.0
 
 
@@ -222,7 +222,7 @@
 
 __all__ = [
     "KILL_AFTER_SECONDS",
-    "MAX_DEADLINE_SECONDS",
+    "MAX_TIMEOUT_SECONDS",
     "STARTUP_TIMEOUT_SECONDS",
     "Sidecar",
     "clock",
