--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -119,7 +119,7 @@
     """The trial of the newest build.
 
     Attributes:
-        changes: (time, release status, cap) of each change of the release state.
+        changes: (time, release status, cap) of the initial release state and of each change.
     """
 
     changes: tuple[tuple[float, str, float], ...]
