--- a/tests/soak/campaign.py
+++ b/tests/soak/campaign.py
@@ -1,117 +1,138 @@
-"""Plays many seeds, and says what broke, with what it takes to see it again: python -m tests.soak --seeds 1-50."""
+"""Runs the soak test over many seeds: python -m tests.soak --seeds 1-50.
+
+Each violation is printed with the command that reproduces it.
+"""
 
 import argparse
 from concurrent.futures import ProcessPoolExecutor
 from multiprocessing import get_context
 
 from tests.soak import orders, planted, rounds
-from tests.soak.plan import drawn
-from tests.soak.player import play
+from tests.soak.plan import draw_plan
+from tests.soak.player import run_plan
 
-CHRONOLOGY = 40  # lines of the order of what happened
-SHOWN = 5  # breaches of a play
+TIMELINE_LINES = 40  # printed for each seed with violations
+MAX_VIOLATIONS_SHOWN = 5  # printed for each seed
 
 
-def numbers(text):
-    """1-50 or 1,2,7."""
-    found = []
+def parse_numbers(text):
+    """Returns the numbers of a text such as 1-50 or 1,2,7."""
+    parsed = []
     for part in text.split(","):
         first, _, last = part.partition("-")
-        found += range(int(first), int(last or first) + 1)
-    return found
+        parsed += range(int(first), int(last or first) + 1)
+    return parsed
 
 
-def play_seed(seed):
-    """(seed, what was drawn, what was seen, the report of what broke or "")."""
+def run_seed(seed):
+    """Returns (seed, summary of the plan, summary of the run, report of the violations or "")."""
     try:
-        played = play(seed)
-    except Exception as error:  # one play must not end the campaign, and counts as broken
-        return seed, drawn(seed).told(), "the play itself failed", f"seed {seed}: {error!r}"
-    return seed, played.plan.told(), played.told(), report(played)
+        result = run_plan(seed)
+    except Exception as error:  # counts as a failure and must not end the other runs
+        return seed, draw_plan(seed).summary(), "the run itself failed", f"seed {seed}: {error!r}"
+    return seed, result.plan.summary(), result.summary(), report(result)
 
 
-def report(played):
-    """What broke in a play, the command that shows it, and the order of what happened."""
-    failures = played.failures
+def report(result):
+    """Returns the violations, the command that reproduces them and the timeline; "" if none."""
+    failures = result.failures
     if not failures:
         return ""
-    seed = played.plan.seed
-    lines = [f"seed {seed}: {len(failures)} breaches: python -m tests.soak --seeds {seed}"]
-    lines += [f"  {one.kind}: {one.name or ''} {one.text}" for one in failures[:SHOWN]]
-    name = next((breach.name for breach in failures if breach.name), None)
-    lines += [f"    {line}" for line in played.ledger.chronology(name, CHRONOLOGY)]
+    seed = result.plan.seed
+    lines = [f"seed {seed}: {len(failures)} violations: python -m tests.soak --seeds {seed}"]
+    lines += [
+        f"  {failure.kind}: {failure.request_id or ''} {failure.text}"
+        for failure in failures[:MAX_VIOLATIONS_SHOWN]
+    ]
+    request_id = next(
+        (violation.request_id for violation in failures if violation.request_id), None
+    )
+    lines += [f"    {line}" for line in result.observations.timeline(request_id, TIMELINE_LINES)]
     return "\n".join(lines)
 
 
-def play_planted(name):
-    """(name, the seeds played, the one that found it or None)."""
+def run_injected_fault(name):
+    """Returns (name, the seeds that were run, the one that found the fault or None)."""
     fault = planted.FAULTS[name]
     for count, seed in enumerate(fault.seeds, 1):
-        kinds = {breach.kind for breach in play(seed, fault.code).failures}
+        kinds = {violation.kind for violation in run_plan(seed, fault.program).failures}
         if fault.kind in kinds:
             return name, fault.seeds[:count], seed
     return name, fault.seeds, None
 
 
-def _seeds(pool, seeds):
-    broken = 0
-    for seed, plan, seen, text in pool.map(play_seed, seeds):
-        print(f"{seed}: {plan}\n   {seen}{'' if text else ': nothing broke'}", flush=True)
-        if text:
-            broken += 1
-            print(text, flush=True)
-    print(f"{len(seeds) - broken} of {len(seeds)} plays without a breach", flush=True)
-    return broken
+def _run_seeds(pool, seeds):
+    failed = 0
+    for seed, plan, seen, failures in pool.map(run_seed, seeds):
+        print(f"{seed}: {plan}\n   {seen}{'' if failures else ': no violations'}", flush=True)
+        if failures:
+            failed += 1
+            print(failures, flush=True)
+    print(f"{len(seeds) - failed} of {len(seeds)} runs without a violation", flush=True)
+    return failed
 
 
-def _planted(pool):
+def _run_injected_faults(pool):
     missed = 0
-    for name, seeds, found in pool.map(play_planted, planted.FAULTS):
+    for name, seeds, found in pool.map(run_injected_fault, planted.FAULTS):
         missed += found is None
         outcome = f"found by seed {found}" if found is not None else "NOT found"
-        print(f"planted, {name}: {outcome} (played {', '.join(map(str, seeds))})", flush=True)
+        print(f"injected fault, {name}: {outcome} (ran {', '.join(map(str, seeds))})", flush=True)
     return missed
 
 
-def _orders(pool, seeds, examples):
-    broken = 0
-    for seed, found in zip(seeds, pool.map(orders.failing, seeds, [examples] * len(seeds))):
+def _run_orders(pool, seeds, examples):
+    failed = 0
+    for seed, found in zip(
+        seeds, pool.map(orders.find_failing_orders, seeds, [examples] * len(seeds))
+    ):
         if found is not None:
-            broken += 1
+            failed += 1
             print(f"orders of seed {seed} ({examples} lists): {found[1]}; {found[0]}", flush=True)
-    print(f"orders: {len(seeds) - broken} of {len(seeds)} seeds without a fault", flush=True)
-    return broken
+    print(f"orders: {len(seeds) - failed} of {len(seeds)} seeds without a fault", flush=True)
+    return failed
 
 
-def _rounds(seeds):
-    held = rounds.play(seeds)
-    faults = held.faults()
+def _run_rounds(seeds):
+    result = rounds.run_rounds(seeds)
+    growth = result.growth()
     print(
-        f"rounds: {len(seeds)}, {held.requests} requests; at rest after {rounds.FIRST}: {held.early}, "
-        f"after all: {held.late}: {'; '.join(faults) or 'nothing has grown'}",
+        f"rounds: {len(seeds)}, {result.request_count} requests; idle after {rounds.BASELINE_ROUND}: {result.baseline}, "
+        f"after all: {result.final}: {'; '.join(growth) or 'no growth'}",
         flush=True,
     )
-    return len(faults)
+    return len(growth)
 
 
-def main(words):
-    """Runs what the words of the command line name; gives an exit code."""
+def main(arguments):
+    """Runs what the command line asks for and returns the exit status."""
     parser = argparse.ArgumentParser(prog="python -m tests.soak", description=__doc__)
-    parser.add_argument("--seeds", type=numbers, default=[], help="plays, as 1-50 or 1,2,7")
-    parser.add_argument("--jobs", type=int, default=3, help="plays at once")
-    parser.add_argument("--planted", action="store_true", help="the planted faults, too")
-    parser.add_argument("--orders", type=numbers, default=[], help="seeds of the stepped rig")
-    parser.add_argument("--lists", type=int, default=80, help="lists of orders a seed")
-    parser.add_argument("--rounds", type=numbers, default=[], help="rounds at one process")
-    given = parser.parse_args(words)
-    broken = 0
-    with ProcessPoolExecutor(given.jobs, mp_context=get_context("spawn")) as pool:
-        if given.seeds:
-            broken += _seeds(pool, given.seeds)
-        if given.planted:
-            broken += _planted(pool)
-        if given.orders:
-            broken += _orders(pool, given.orders, given.lists)
-    if given.rounds:
-        broken += _rounds(given.rounds)
-    return 1 if broken else 0
+    parser.add_argument(
+        "--seeds", type=parse_numbers, default=[], help="seeds of plans to run, as 1-50 or 1,2,7"
+    )
+    parser.add_argument("--jobs", type=int, default=3, help="parallel runs")
+    parser.add_argument(
+        "--planted", action="store_true", help="check that the injected faults are found"
+    )
+    parser.add_argument(
+        "--orders", type=parse_numbers, default=[], help="seeds of event orders for the stepped rig"
+    )
+    parser.add_argument("--lists", type=int, default=80, help="lists of orders for each seed")
+    parser.add_argument(
+        "--rounds",
+        type=parse_numbers,
+        default=[],
+        help="seeds of rounds against one process, to find leaks",
+    )
+    options = parser.parse_args(arguments)
+    failures = 0
+    with ProcessPoolExecutor(options.jobs, mp_context=get_context("spawn")) as pool:
+        if options.seeds:
+            failures += _run_seeds(pool, options.seeds)
+        if options.planted:
+            failures += _run_injected_faults(pool)
+        if options.orders:
+            failures += _run_orders(pool, options.orders, options.lists)
+    if options.rounds:
+        failures += _run_rounds(options.rounds)
+    return 1 if failures else 0
--- a/tests/soak/ledger.py
+++ b/tests/soak/ledger.py
@@ -1,6 +1,6 @@
-"""What is seen from outside in a play: requests of clients, attempts at endpoints, what was told, how processes ended.
+"""Records what clients, endpoints, discovery and the platform see of the sidecars in a run.
 
-Times are seconds of one monotonic clock. Nothing here is taken from the program's own books.
+Times are seconds of one monotonic clock. Nothing is taken from the sidecars' own counters.
 """
 
 from dataclasses import dataclass, field
@@ -8,179 +8,200 @@
 
 @dataclass
 class Request:
-    """A request as its client sent it.
+    """A request that a client sent.
 
     Attributes:
-        answers: whole answers that came, with their moments.
-        closed_at: when the client's connection ended under it, from the other side.
-        left_at: when the client itself closed.
-        refused: its connection was refused, or it could not be sent.
-        again: it was sent once more after a close that it had crossed.
-        due_after: the end of those before it on its connection.
-        follows: the request before it on its connection that was not answered as it was sent.
-        released_by: the request before it with whose answer its connection is read on; None where it always is.
+        timeout: Seconds that the client waits for the response.
+        sent_at: When it was sent; 0 while it is not.
+        process_number: Number of the sidecar process that it was sent to.
+        responses: (time, bytes) of each complete response.
+        connection_closed_at: When the sidecar closed the connection before responding.
+        disconnected_at: When the client closed the connection before the response.
+        connection_refused: Whether it could not be resent as no connection was established.
+        resent: Whether it was sent a second time because the sidecar closed the connection.
+        pipeline_deadline_at: The latest deadline among it and the unanswered requests before it
+            on the connection.
+        previous: The last unanswered request before it on the connection when it was sent.
+        read_after: The earlier request whose response makes the sidecar resume reading the
+            connection; None if it is not paused.
     """
 
-    name: str
+    request_id: str
     instance: int
-    lane: str
+    request_class: str
     key: str
     body: str
-    deadline: float
+    timeout: float
     sent_at: float
-    process: int
+    process_number: int
     repeated_key: str | None = None
-    answers: list = field(default_factory=list)
-    closed_at: float | None = None
-    left_at: float | None = None
-    refused: bool = False
-    again: bool = False
-    due_after: float = 0.0
-    follows: "Request | None" = None
-    released_by: "Request | None" = None
-
-    def due(self):
-        """When its time is over. The time spent waiting for the ones before does not count: a connection that has many
-        in hand is not read on until the answer of `released_by`, or later."""
-        if self.released_by is None:
-            return self.due_after
-        if not self.released_by.answers:
+    responses: list = field(default_factory=list)
+    connection_closed_at: float | None = None
+    disconnected_at: float | None = None
+    connection_refused: bool = False
+    resent: bool = False
+    pipeline_deadline_at: float = 0.0
+    previous: "Request | None" = None
+    read_after: "Request | None" = None
+
+    def deadline_at(self):
+        """Returns when the request's time is over; infinity while it cannot have been read.
+
+        The wait for earlier requests does not count: the sidecar does not read a connection with
+        many open requests until `read_after` is answered, or later.
+        """
+        if self.read_after is None:
+            return self.pipeline_deadline_at
+        if not self.read_after.responses:
             return float("inf")
-        return max(self.due_after, self.released_by.answers[0][0] + self.deadline)
+        return max(self.pipeline_deadline_at, self.read_after.responses[0][0] + self.timeout)
+
+    def response_deadline_at(self):
+        """Returns when the response is due.
 
-    def answer_due(self):
-        """When its answer is due. Answers come in the order of the requests: not before those of the ones before it."""
-        return max(self.due(), self.follows.answer_due() if self.follows else 0.0)
+        Responses are sent in the order of the requests, so it is not due before the earlier ones.
+        """
+        return max(
+            self.deadline_at(), self.previous.response_deadline_at() if self.previous else 0.0
+        )
 
 
 @dataclass
 class Attempt:
-    """A command that came to an endpoint.
+    """A request that an endpoint received.
 
     Attributes:
-        begun_at: its first byte.
-        whole_at: its last byte.
-        outcome: how the endpoint answered; "held" where it never did.
-        life: number of the endpoint's process.
-        copied_at: when a second copy of the answer had been written.
+        generation: How often the endpoint had been restarted when the connection was made.
+        timeout: Seconds that the sidecar says are left for the request.
+        first_byte_at: When its first byte arrived.
+        last_byte_at: When its last byte arrived.
+        outcome: How the endpoint responded; "silent" if it did not.
+        duplicate_sent_at: When a duplicate of the response was written.
     """
 
-    pod: str
+    endpoint: str
     instance: int
     build: int
-    life: int
-    name: str
-    lane: str
+    generation: int
+    request_id: str
+    request_class: str
     key: str
     timeout: float
-    begun_at: float
-    whole_at: float
+    first_byte_at: float
+    last_byte_at: float
     connected_at: float
-    outcome: str = "held"
-    answered_at: float | None = None
-    copied_at: float | None = None
+    outcome: str = "silent"
+    responded_at: float | None = None
+    duplicate_sent_at: float | None = None
 
 
 @dataclass
-class PodTold:
-    """A change of an endpoint's state, as its instance was told."""
+class EndpointStateSent:
+    """A change of an endpoint's state that discovery sent to an instance."""
 
-    at: float
+    sent_at: float
     instance: int
-    pod: str
+    endpoint: str
     state: str
-    life: int
+    generation: int
 
 
 @dataclass
-class NewsTold:
-    """How the newest build stands, as an instance was told."""
+class ReleaseStateSent:
+    """The release state of the newest build that the platform sent to an instance."""
 
-    at: float
+    sent_at: float
     instance: int
     status: str
     cap: float
 
 
 @dataclass
-class BadClient:
-    """Half a command, or what is none: what came of it.
+class InvalidCommand:
+    """An incomplete or malformed command that a client sent.
 
     Attributes:
-        ended_at: when an error or the end came; None if neither did.
-        left_at: when the client gave up itself.
+        ended_at: When the sidecar sent an error or closed the connection; None if it did neither.
+        gave_up_at: When the client closed the connection.
     """
 
-    what: str
+    description: str
     instance: int
-    since: float
-    process: int
+    sent_at: float
+    process_number: int
     ended_at: float | None = None
-    left_at: float | None = None
+    gave_up_at: float | None = None
 
 
 @dataclass
-class Process:
-    """A process of the program.
+class SidecarProcess:
+    """A sidecar process.
 
     Attributes:
-        stop_at: the first SIGTERM.
-        kill_at: the SIGKILL.
-        ended_at: when it had ended.
-        status: its exit status.
-        served: whether it had said that it is ready before it was told to stop.
+        ready_at: When it logged that it is ready; None if it did not.
+        sigterm_at: When the first SIGTERM was sent.
+        sigkill_at: When SIGKILL was sent.
+        fault_lines: Lines of its log that report an unexpected exception.
     """
 
     number: int
     instance: int
     started_at: float
     ready_at: float | None = None
-    stop_at: float | None = None
-    kill_at: float | None = None
+    sigterm_at: float | None = None
+    sigkill_at: float | None = None
     killed: bool = False
     ended_at: float | None = None
-    status: int | None = None
-    faults: list = field(default_factory=list)
-    descriptors: int | None = None
+    exit_status: int | None = None
+    fault_lines: list = field(default_factory=list)
+    open_descriptors: int | None = None
 
 
-class Ledger:
-    """All of it, in the order in which it was seen."""
+class Observations:
+    """Everything observed in a run, each list in the order of time."""
 
     def __init__(self, clock):
         self.clock = clock
         self.requests = {}
         self.attempts = []
-        self.pods_told = []
-        self.news_told = []
-        self.bad_clients = []
+        self.endpoint_states_sent = []
+        self.release_states_sent = []
+        self.invalid_commands = []
         self.processes = []
-        self.odd = []
+        self.unexpected_responses = []
         self.events = []
 
-    def note(self, text):
-        """Keeps a line for the order of what happened."""
+    def add_event(self, text):
+        """Adds a line to the timeline."""
         self.events.append((self.clock(), text))
 
-    def attempts_of(self, name):
-        """The attempts of a request, in their order."""
-        return [attempt for attempt in self.attempts if attempt.name == name]
+    def attempts_for(self, request_id):
+        """Returns the attempts of a request, in the order in which they arrived."""
+        return [attempt for attempt in self.attempts if attempt.request_id == request_id]
 
-    def chronology(self, name=None, most=60):
-        """What happened, in order: all that was noted, with a request's own moments."""
+    def timeline(self, request_id=None, max_lines=60):
+        """Returns the last `max_lines` events in order, including those of the given request."""
         lines = [(at, text) for at, text in self.events]
-        request = self.requests.get(name)
+        request = self.requests.get(request_id)
         if request is not None:
-            lines.append((request.sent_at, f"client sends {name} ({request.lane})"))
+            lines.append((request.sent_at, f"client sends {request_id} ({request.request_class})"))
             lines += [
-                (at, f"client gets {answer[:40]!r} for {name}") for at, answer in request.answers
+                (at, f"client gets {response[:40]!r} for {request_id}")
+                for at, response in request.responses
             ]
-            if request.closed_at is not None:
-                lines.append((request.closed_at, f"connection under {name} ends"))
-            if request.left_at is not None:
-                lines.append((request.left_at, f"client of {name} leaves"))
-            for attempt in self.attempts_of(name):
-                where = f"{attempt.pod} build {attempt.build} at instance {attempt.instance}"
-                lines.append((attempt.whole_at, f"{name} comes to {where}: {attempt.outcome}"))
+            if request.connection_closed_at is not None:
+                lines.append((request.connection_closed_at, f"connection of {request_id} ends"))
+            if request.disconnected_at is not None:
+                lines.append((request.disconnected_at, f"client of {request_id} disconnects"))
+            for attempt in self.attempts_for(request_id):
+                destination = (
+                    f"{attempt.endpoint} build {attempt.build} at instance {attempt.instance}"
+                )
+                lines.append(
+                    (
+                        attempt.last_byte_at,
+                        f"{request_id} arrives at {destination}: {attempt.outcome}",
+                    )
+                )
         start = self.processes[0].started_at if self.processes else 0.0
-        return [f"{at - start:8.4f} {text}" for at, text in sorted(lines)][-most:]
+        return [f"{at - start:8.4f} {text}" for at, text in sorted(lines)][-max_lines:]
--- a/tests/soak/plan.py
+++ b/tests/soak/plan.py
@@ -1,48 +1,51 @@
-"""What happens in a play: drawn whole from the number of its seed, before anything starts."""
+"""Draws the plan of a soak run from a seed, before any process starts.
+
+Times are seconds after the start of traffic unless noted otherwise.
+"""
 
 from dataclasses import dataclass, field, replace
 from enum import StrEnum
 
 import numpy
 
-SECONDS = 3.0  # of traffic before the first signal that ends a process
-DEADLINES = (0.3, 0.8, 1.5, 3.0)  # seconds that a client waits
-LANES = ("read", "mark", "pay")
-EARLIER, NEWEST = 41, 42  # builds
-CROWD_EACH = 3  # every so many seeds
-MOST_RATE = 300.0  # requests a second of an instance, about
-ANSWER_TIME = 0.03  # seconds
+TRAFFIC_SECONDS = 3.0  # traffic before the first process is shut down
+TIMEOUTS_SECONDS = (0.3, 0.8, 1.5, 3.0)  # the timeouts that clients send with their requests
+REQUEST_CLASSES = ("read", "mark", "pay")
+EARLIER_BUILD, NEWEST_BUILD = 41, 42
+BURST_SEED_INTERVAL = 3  # plans of every third seed have a burst of clients
+MAX_REQUESTS_PER_SECOND = 300.0  # approximate limit for one instance
+TYPICAL_RESPONSE_SECONDS = 0.03  # assumed response time when request rates are estimated
 
 
 class Feature(StrEnum):
-    """What the instances of a play have in common."""
+    """An optional coordination feature that all instances of a run are configured with."""
 
     NONE = "none"
     GOSSIP = "gossip"
     FLEET = "fleet"
 
 
-class Habit(StrEnum):
-    """What a client does again and again."""
+class ClientBehaviour(StrEnum):
+    """What a client does repeatedly; see `tests.soak.clients.Client`."""
 
     STEADY = "steady"
     PIPELINED = "pipelined"
-    HALF = "half a command"
+    PARTIAL_COMMAND = "partial command"
     GARBAGE = "garbage"
-    LEAVES = "leaves"
-    RESTS = "rests"
+    DISCONNECTS = "disconnects"
+    IDLES = "idles"
 
 
-class Early(StrEnum):
-    """A signal that comes after the process has asked discovery and before it serves."""
+class EarlySignal(StrEnum):
+    """A signal sent after the process has contacted discovery and before it serves clients."""
 
     NONE = "none"
     RELOAD = "reload"
     STOP = "stop"
 
 
-class Ending(StrEnum):
-    """How a process ends."""
+class Shutdown(StrEnum):
+    """How a process is shut down."""
 
     STOP = "stop"
     STOP_TWICE = "stop twice"
@@ -50,194 +53,242 @@
     KILL_AND_RESTART = "kill and restart"
 
 
-class Trouble(StrEnum):
-    """What befalls discovery or the platform."""
+class PeerFault(StrEnum):
+    """A fault of discovery or of the release platform.
+
+    MOVE is a change of discovery's address; for the platform it resets the streams as well.
+    """
 
     STALL = "stall"
-    CUT = "cut"
+    RESET_STREAMS = "reset streams"
     MOVE = "move"
 
 
 @dataclass(frozen=True)
-class PodPlan:
-    """An endpoint: shares of attempts that end badly, and what becomes of it."""
+class EndpointPlan:
+    """An endpoint: how its attempts end, and when it drains and restarts.
+
+    Attributes:
+        mean_delay_seconds: Mean time between a request and its response.
+        error_share: Share of attempts that are answered with an error.
+        reject_share: Share of attempts that are rejected with BUSY.
+        no_response_share: Share of attempts that are never answered.
+        reset_share: Share of attempts whose connection is reset.
+        duplicate_share: Share of attempts whose response is sent twice.
+        idle_close_times: When it closes its idle connections.
+        drain_at: When it begins to drain; None if it does not.
+        restart_at: When a new process, which is cold, takes its place; None if none does.
+        starts_cold: Whether its first process is listed as just started, and so is cold.
+    """
 
     name: str
     build: int
-    lag: float  # seconds, mean
-    errors: float
-    busy: float
-    hangs: float
-    resets: float
-    twice: float
-    cuts_idle_at: tuple[float, ...]  # it closes its resting connections
-    drained_at: float | None
-    back_at: float | None  # as another process, cold
-    started_cold: bool
+    mean_delay_seconds: float
+    error_share: float
+    reject_share: float
+    no_response_share: float
+    reset_share: float
+    duplicate_share: float
+    idle_close_times: tuple[float, ...]
+    drain_at: float | None
+    restart_at: float | None
+    starts_cold: bool
 
 
 @dataclass(frozen=True)
 class ClientPlan:
-    """A client: whose it is, when it comes, what it does."""
+    """A client: which instance it uses, when it starts and what it does.
+
+    Attributes:
+        instance: Number of the instance that it connects to.
+        mean_pause_seconds: Mean pause between two requests or pipelines.
+        pipeline_depth: Requests in flight, for clients that pipeline.
+        seed: Seed of the client's random generator.
+    """
 
     instance: int
-    starts_at: float
-    habit: Habit
-    pause: float  # seconds between requests, mean
-    depth: int  # requests in flight, where pipelined
+    start_at: float
+    behaviour: ClientBehaviour
+    mean_pause_seconds: float
+    pipeline_depth: int
     seed: int
 
 
 @dataclass(frozen=True)
 class TrialPlan:
-    """The newest build's caps: when, status, cap."""
+    """The trial of the newest build.
+
+    Attributes:
+        changes: (time, release status, cap) of the initial release state and of each change.
+    """
 
     changes: tuple[tuple[float, str, float], ...]
 
 
 @dataclass(frozen=True)
 class Plan:
-    """A whole play."""
+    """Everything that happens in a run.
+
+    Attributes:
+        burst_size: Clients that connect at the same time; 0 for no burst.
+        burst_at: When they connect.
+        reload_times: When one of the instances is sent SIGHUP.
+        peer_faults: (time, "discovery" or "platform", fault) of each fault.
+        shutdown: How one of the instances is shut down; the others get a SIGTERM.
+    """
 
     seed: int
-    instances: int
+    instance_count: int
     feature: Feature
-    pods: tuple[PodPlan, ...]
+    endpoints: tuple[EndpointPlan, ...]
     clients: tuple[ClientPlan, ...]
-    crowd: int  # clients that come at once
-    crowd_at: float
-    early: Early
-    reloads: tuple[float, ...]
-    troubles: tuple[tuple[float, str, Trouble], ...]  # when, of whom, what
+    burst_size: int
+    burst_at: float
+    early_signal: EarlySignal
+    reload_times: tuple[float, ...]
+    peer_faults: tuple[tuple[float, str, PeerFault], ...]
     trial: TrialPlan
-    ending: Ending
-    ends_at: float
+    shutdown: Shutdown
+    shutdown_at: float
     notes: tuple[str, ...] = field(default=())
 
-    def told(self):
-        """In a line, what is drawn."""
-        habits = {}
+    def summary(self):
+        """Returns the plan in one line."""
+        client_counts = {}
         for client in self.clients:
-            habits[client.habit] = habits.get(client.habit, 0) + 1
+            client_counts[client.behaviour] = client_counts.get(client.behaviour, 0) + 1
         parts = [
-            f"{self.instances} instances",
+            f"{self.instance_count} instances",
             f"feature {self.feature}",
-            f"{len(self.pods)} pods",
-            ", ".join(f"{count} {habit}" for habit, count in sorted(habits.items())),
-            f"crowd {self.crowd}",
-            f"early {self.early}",
-            f"reloads {len(self.reloads)}",
-            "troubles " + ", ".join(f"{whose} {what}" for _, whose, what in self.troubles),
-            f"ending {self.ending}",
+            f"{len(self.endpoints)} pods",
+            ", ".join(f"{count} {behaviour}" for behaviour, count in sorted(client_counts.items())),
+            f"burst {self.burst_size}",
+            f"early signal {self.early_signal}",
+            f"reloads {len(self.reload_times)}",
+            "peer faults " + ", ".join(f"{peer} {fault}" for _, peer, fault in self.peer_faults),
+            f"shutdown {self.shutdown}",
         ]
         return "; ".join(parts)
 
 
-def _share(chance, often, most):
-    return float(chance.uniform(0, most)) if chance.random() < often else 0.0
+def _draw_share(rng, probability, maximum):
+    return float(rng.uniform(0, maximum)) if rng.random() < probability else 0.0
 
 
-def _pod(chance, number):
-    drains = chance.random() < 0.35
-    drained_at = float(chance.uniform(0.6, SECONDS - 0.8)) if drains and number else None
-    back = chance.random() < 0.5 and drained_at is not None
-    return PodPlan(
+def _draw_endpoint(rng, number):
+    is_drained = rng.random() < 0.35
+    drain_at = float(rng.uniform(0.6, TRAFFIC_SECONDS - 0.8)) if is_drained and number else None
+    is_restarted = rng.random() < 0.5 and drain_at is not None
+    return EndpointPlan(
         name=f"s-{number}",
-        build=NEWEST if number % 3 == 2 else EARLIER,
-        lag=float(chance.choice((0.002, 0.01, 0.04, 0.15))),
-        errors=_share(chance, 0.3, 0.4),
-        busy=_share(chance, 0.3, 0.4),
-        hangs=_share(chance, 0.3, 0.2),
-        resets=_share(chance, 0.3, 0.2),
-        twice=_share(chance, 0.2, 0.2),
-        cuts_idle_at=tuple(sorted(chance.uniform(0.3, SECONDS, chance.integers(0, 3)).tolist())),
-        drained_at=drained_at,
-        back_at=drained_at + float(chance.uniform(0.3, 0.7)) if back else None,
-        started_cold=bool(chance.random() < 0.2),
+        build=NEWEST_BUILD if number % 3 == 2 else EARLIER_BUILD,
+        mean_delay_seconds=float(rng.choice((0.002, 0.01, 0.04, 0.15))),
+        error_share=_draw_share(rng, 0.3, 0.4),
+        reject_share=_draw_share(rng, 0.3, 0.4),
+        no_response_share=_draw_share(rng, 0.3, 0.2),
+        reset_share=_draw_share(rng, 0.3, 0.2),
+        duplicate_share=_draw_share(rng, 0.2, 0.2),
+        idle_close_times=tuple(
+            sorted(rng.uniform(0.3, TRAFFIC_SECONDS, rng.integers(0, 3)).tolist())
+        ),
+        drain_at=drain_at,
+        restart_at=drain_at + float(rng.uniform(0.3, 0.7)) if is_restarted else None,
+        starts_cold=bool(rng.random() < 0.2),
     )
 
 
-def _client(chance, instances):
-    habits = list(Habit)
+def _draw_client(rng, instance_count):
+    behaviours = list(ClientBehaviour)
     weights = numpy.array((6, 4, 1, 1, 3, 2), float)
     return ClientPlan(
-        instance=int(chance.integers(instances)),
-        starts_at=float(chance.uniform(0, 0.8)),
-        habit=habits[int(chance.choice(len(habits), p=weights / weights.sum()))],
-        pause=float(chance.choice((0.03, 0.1, 0.3))),
-        depth=int(chance.choice((2, 5, 20, 90))),
-        seed=int(chance.integers(1 << 32)),
+        instance=int(rng.integers(instance_count)),
+        start_at=float(rng.uniform(0, 0.8)),
+        behaviour=behaviours[int(rng.choice(len(behaviours), p=weights / weights.sum()))],
+        mean_pause_seconds=float(rng.choice((0.03, 0.1, 0.3))),
+        pipeline_depth=int(rng.choice((2, 5, 20, 90))),
+        seed=int(rng.integers(1 << 32)),
     )
 
 
-def _eased(clients, instances):
-    """These clients, with longer pauses where an instance would get more than a processor of its own can take."""
-    rates = [0.0] * instances
+def _limit_request_rates(clients, instance_count):
+    """Lengthens pauses so that no instance gets more requests than one processor can handle."""
+    rates = [0.0] * instance_count
     for client in clients:
-        in_flight = client.depth if client.habit in (Habit.PIPELINED, Habit.LEAVES) else 1
-        rates[client.instance] += in_flight / (client.pause + ANSWER_TIME)
-    factors = [max(1.0, rate / MOST_RATE) for rate in rates]
+        in_flight = (
+            client.pipeline_depth
+            if client.behaviour in (ClientBehaviour.PIPELINED, ClientBehaviour.DISCONNECTS)
+            else 1
+        )
+        rates[client.instance] += in_flight / (client.mean_pause_seconds + TYPICAL_RESPONSE_SECONDS)
+    factors = [max(1.0, rate / MAX_REQUESTS_PER_SECOND) for rate in rates]
     return tuple(
-        replace(client, pause=client.pause * factors[client.instance]) for client in clients
+        replace(client, mean_pause_seconds=client.mean_pause_seconds * factors[client.instance])
+        for client in clients
     )
 
 
-def _troubles(chance):
-    count = int(chance.integers(0, 4))
-    whats = list(Trouble)
+def _draw_peer_faults(rng):
+    count = int(rng.integers(0, 4))
+    faults = list(PeerFault)
     return tuple(
         sorted(
             (
-                float(chance.uniform(0.3, SECONDS - 0.5)),
-                str(chance.choice(("discovery", "platform"))),
-                whats[int(chance.integers(len(whats)))],
+                float(rng.uniform(0.3, TRAFFIC_SECONDS - 0.5)),
+                str(rng.choice(("discovery", "platform"))),
+                faults[int(rng.integers(len(faults)))],
             )
             for _ in range(count)
         )
     )
 
 
-def _trial(chance):
-    end = str(chance.choice(("released", "rolling_back", "trial")))
+def _draw_trial(rng):
+    final_status = str(rng.choice(("released", "rolling_back", "trial")))
     changes = [
-        (0.0, "trial", float(chance.choice((0.1, 0.3)))),
-        (float(chance.uniform(0.8, 1.4)), "trial", float(chance.choice((0.1, 0.5)))),
+        (0.0, "trial", float(rng.choice((0.1, 0.3)))),
+        (float(rng.uniform(0.8, 1.4)), "trial", float(rng.choice((0.1, 0.5)))),
     ]
-    if end != "trial":
-        changes.append((float(chance.uniform(1.8, 2.4)), end, float(end == "released")))
+    if final_status != "trial":
+        changes.append(
+            (float(rng.uniform(1.8, 2.4)), final_status, float(final_status == "released"))
+        )
     return TrialPlan(tuple(changes))
 
 
-def _feature(chance, seed):
-    instances = int(chance.choice((1, 1, 2, 3)))
-    if instances == 1:
-        return instances, Feature.NONE
+def _draw_feature(rng, seed):
+    instance_count = int(rng.choice((1, 1, 2, 3)))
+    if instance_count == 1:
+        return instance_count, Feature.NONE
     if seed % 5 == 0:
         return 3, Feature.FLEET
-    return instances, Feature.GOSSIP if chance.random() < 0.7 else Feature.NONE
-
-
-def drawn(seed):
-    """The play of this seed."""
-    chance = numpy.random.Generator(numpy.random.PCG64(seed))
-    instances, feature = _feature(chance, seed)
-    pods = tuple(_pod(chance, number) for number in range(int(chance.integers(3, 8))))
-    drawn_clients = [_client(chance, instances) for _ in range(int(chance.integers(4, 24)))]
-    crowded = seed % CROWD_EACH == 0
-    earlies = list(Early)
-    endings = list(Ending)
+    return instance_count, Feature.GOSSIP if rng.random() < 0.7 else Feature.NONE
+
+
+def draw_plan(seed):
+    """Returns the plan of this seed.
+
+    The order of the draws, of the enums' members and of the tables drawn from determines the plan:
+    a change of any of them gives each seed another plan.
+    """
+    rng = numpy.random.Generator(numpy.random.PCG64(seed))
+    instance_count, feature = _draw_feature(rng, seed)
+    endpoints = tuple(_draw_endpoint(rng, number) for number in range(int(rng.integers(3, 8))))
+    drawn_clients = [_draw_client(rng, instance_count) for _ in range(int(rng.integers(4, 24)))]
+    has_burst = seed % BURST_SEED_INTERVAL == 0
+    early_signals = list(EarlySignal)
+    shutdowns = list(Shutdown)
     return Plan(
         seed=seed,
-        instances=instances,
+        instance_count=instance_count,
         feature=feature,
-        pods=pods,
-        clients=_eased(drawn_clients, instances),
-        crowd=int(chance.integers(60, 140)) if crowded else 0,
-        crowd_at=float(chance.uniform(0.5, SECONDS - 1.0)),
-        early=earlies[int(chance.choice(3, p=(0.7, 0.2, 0.1)))],
-        reloads=tuple(sorted(chance.uniform(0.2, SECONDS, chance.integers(0, 5)).tolist())),
-        troubles=_troubles(chance),
-        trial=_trial(chance),
-        ending=endings[int(chance.integers(len(endings)))],
-        ends_at=SECONDS + float(chance.uniform(0, 0.5)),
+        endpoints=endpoints,
+        clients=_limit_request_rates(drawn_clients, instance_count),
+        burst_size=int(rng.integers(60, 140)) if has_burst else 0,
+        burst_at=float(rng.uniform(0.5, TRAFFIC_SECONDS - 1.0)),
+        early_signal=early_signals[int(rng.choice(3, p=(0.7, 0.2, 0.1)))],
+        reload_times=tuple(sorted(rng.uniform(0.2, TRAFFIC_SECONDS, rng.integers(0, 5)).tolist())),
+        peer_faults=_draw_peer_faults(rng),
+        trial=_draw_trial(rng),
+        shutdown=shutdowns[int(rng.integers(len(shutdowns)))],
+        shutdown_at=TRAFFIC_SECONDS + float(rng.uniform(0, 0.5)),
     )
--- a/tests/soak/planted.py
+++ b/tests/soak/planted.py
@@ -1,23 +1,23 @@
-"""Faults that are planted in the program, one of each kind: the checks have to find every one of them."""
+"""Faults to inject into the sidecar; the checks must find each of them."""
 
 from dataclasses import dataclass
 
-BEGIN = """import os, sys
+PROGRAM_START = """import os, sys
 from thymeknot.service import lifecycle
 """
-END = """
+PROGRAM_END = """
 sys.exit(lifecycle.main(os.environ))
 """
 
 
 @dataclass(frozen=True)
-class Planted:
-    """A fault.
+class InjectedFault:
+    """A fault to inject.
 
     Attributes:
-        kind: of the breaches that it has to cause.
-        seeds: plays in which it can show.
-        patch: what is done to the program before it runs.
+        kind: The kind of violation that it must cause.
+        seeds: Seeds of plans in which it can show.
+        patch: Python code that changes the program before it runs.
     """
 
     kind: str
@@ -25,63 +25,63 @@
     patch: str
 
     @property
-    def code(self):
-        """The program with the fault."""
-        return BEGIN + self.patch + END
+    def program(self):
+        """The code that runs the sidecar with the fault."""
+        return PROGRAM_START + self.patch + PROGRAM_END
 
 
 FAULTS = {
-    "an answer that is dropped": Planted(
-        "lost",
+    "dropped response": InjectedFault(
+        "lost response",
         (1, 2, 4),
         """
 from thymeknot.protocol.client import ClientConnection
 answer, count = ClientConnection.answer, [0]
-def drops(self, place, content):
+def drop_some(self, sequence, content):
     count[0] += 1
     if count[0] % 25:
-        answer(self, place, content)
-ClientConnection.answer = drops
+        answer(self, sequence, content)
+ClientConnection.answer = drop_some
 """,
     ),
-    "an answer that comes late": Planted(
-        "late",
+    "late response": InjectedFault(
+        "late response",
         (1, 2, 4),
         """
 from thymeknot.protocol.client import ClientConnection
 answer, count = ClientConnection.answer, [0]
-def delays(self, place, content):
+def delay_some(self, sequence, content):
     count[0] += 1
     if count[0] % 25:
-        answer(self, place, content)
+        answer(self, sequence, content)
     else:
-        self.timers.add(self.timers.clock() + 42_000, answer, self, place, content)
-ClientConnection.answer = delays
+        self.timers.add(self.timers.clock() + 42_000, answer, self, sequence, content)
+ClientConnection.answer = delay_some
 """,
     ),
-    "an answer that comes twice": Planted(
-        "answers",
+    "duplicate response": InjectedFault(
+        "wrong response",
         (1, 2, 4),
         """
 from thymeknot.protocol.client import ClientConnection
 answer = ClientConnection.answer
-def twice(self, place, content):
-    answer(self, place, content)
+def answer_twice(self, sequence, content):
+    answer(self, sequence, content)
     if not self.pending_responses:
         self.transport.write(content)
-ClientConnection.answer = twice
+ClientConnection.answer = answer_twice
 """,
     ),
-    "a connection that is used again at once": Planted(
-        "answers",
+    "endpoint connection reused without a pause": InjectedFault(
+        "wrong response",
         (47, 21, 28),
         """
 from thymeknot.state import connection_pool
 connection_pool.REST_AFTER_RESPONSE = 0
 """,
     ),
-    "a binding request that runs again": Planted(
-        "twice",
+    "non-idempotent request sent again": InjectedFault(
+        "duplicate execution",
         (5, 7, 8, 10, 11),
         """
 from thymeknot.policy import idempotency
@@ -90,7 +90,7 @@
 Attempt._write_by = lambda self: self.expires_at
 """,
     ),
-    "a drain that is not heard": Planted(
+    "drain ignored": InjectedFault(
         "drain",
         (2, 4, 5, 7),
         """
@@ -98,8 +98,8 @@
 discovery.CONDITIONS["Terminating"] = discovery.CONDITIONS["Ready"]
 """,
     ),
-    "a client that has left and is not noticed": Planted(
-        "left",
+    "client disconnect ignored": InjectedFault(
+        "client gone",
         (5, 1, 4, 7, 10, 50, 3, 24),
         """
 from thymeknot.proxy.client_requests import ClientRequests
@@ -108,7 +108,7 @@
 proxy.close_if_client_gone = lambda request: None
 """,
     ),
-    "exposure without a bound": Planted(
+    "unlimited exposure": InjectedFault(
         "exposure",
         (1, 4, 5, 7, 8),
         """
@@ -119,59 +119,59 @@
 TrafficSplit.builds_for = lambda self, request: (True, False)
 """,
     ),
-    "keys that do not stay": Planted(
-        "key",
+    "keys not sticky": InjectedFault(
+        "sticky key",
         (1, 4, 5, 7, 8),
         """
 from thymeknot.policy.traffic_split import TrafficSplit
 TrafficSplit.pin = lambda self, event: None
 """,
     ),
-    "an end that never comes": Planted(
-        "end",
+    "shutdown that never ends": InjectedFault(
+        "shutdown",
         (1, 2),
         """
 from thymeknot.proxy.graceful_shutdown import GracefulShutdown
 GracefulShutdown.notify_if_drained = lambda self: None
 """,
     ),
-    "an end with a status": Planted(
-        "status",
+    "nonzero exit status": InjectedFault(
+        "exit status",
         (2, 4),
         """
 import atexit
 atexit.register(os._exit, 3)
 """,
     ),
-    "half a command that is waited for": Planted(
-        "bad client",
+    "no timeout for incomplete commands": InjectedFault(
+        "invalid command",
         (1, 2, 4, 5, 7, 8),
         """
 from thymeknot.protocol.client import ClientConnection
-ClientConnection._expect_command = lambda self, within: None
+ClientConnection._expect_command = lambda self, timeout: None
 """,
     ),
-    "an attempt that is told too much time": Planted(
+    "attempt timeout too long": InjectedFault(
         "timeout",
         (1, 2, 4),
         """
 from thymeknot.protocol.command import Command
-words = Command.forwarded_words
-Command.forwarded_words = lambda self, left: words(self, left + 1_000)
+forwarded_words = Command.forwarded_words
+Command.forwarded_words = lambda self, timeout_ms: forwarded_words(self, timeout_ms + 1_000)
 """,
     ),
-    "an exception in the program": Planted(
-        "fault",
+    "exception in the sidecar": InjectedFault(
+        "logged fault",
         (1, 2, 4),
         """
 from thymeknot.policy.endpoint_selection import EndpointSelection
 cost, count = EndpointSelection.cost, [0]
-def fails(self, known):
+def fail_sometimes(self, endpoint):
     count[0] += 1
     if count[0] % 50 == 0:
         raise ZeroDivisionError("planted")
-    return cost(self, known)
-EndpointSelection.cost = fails
+    return cost(self, endpoint)
+EndpointSelection.cost = fail_sometimes
 """,
     ),
 }
