--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -417,7 +417,7 @@
     )
 
 
-def play(seed, turns, kind=state_machine.GangStateMachine):
+def simulate_schedulers(seed, turns, kind=state_machine.GangStateMachine):
     """Two schedulers that score at once over 8 racks and commit later, in any order, die between hold and bind, while
     racks and machines are lost and come back and drains ask. Answers sums by name."""
     chance, machine, at = LinearCongruentialGenerator(seed), kind(), 0
@@ -571,7 +571,7 @@
     )
     by_way, took, placed = fleets(asked.seed, asked.gangs)
     print(f"{time.monotonic() - began:.1f} s", flush=True)
-    sums = play(asked.seed, asked.turns)
+    sums = simulate_schedulers(asked.seed, asked.turns)
     print(f"play: {sums}; {time.monotonic() - began:.1f} s", flush=True)
     mean = {name: float(some.mean()) for name, some in by_way.items()}
     print(
--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -12,12 +12,12 @@
 import time
 from concurrent.futures import ProcessPoolExecutor
 
-from measure.hostile import pods_of
+from measure.hostile import make_endpoint_keys
 from measure.shop import Shop
 from measure.world import SECOND, TERMS, World
 
 SIZES, LOSSES = (8, 64, 512), (0.0, 0.1, 0.3)
-PODS = pods_of(12)
+PODS = make_endpoint_keys(12)
 
 
 def spread(task):
@@ -191,9 +191,9 @@
         for one in figures["simulated"]:
             print(json.dumps(one))
     if chosen.part != "simulated":
-        from measure.gossip_loopback import loopback
+        from measure.gossip_loopback import measure_loopback
 
-        figures.update(loopback(chosen.seed, chosen.short))
+        figures.update(measure_loopback(chosen.seed, chosen.short))
     figures["took_s"] = round(time.monotonic() - began, 1)
     print(json.dumps(figures))
     return 0
--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -65,7 +65,7 @@
         for name in names:
             self.programs[name] = Program(
                 *entries,
-                operator=lambda folder, name=name: self.text(name),
+                operator=lambda folder, name=name: self.operator_file_text(name),
                 change=lambda told: told["settings"].update(balancers=len(names)),
             )
         try:
@@ -75,7 +75,7 @@
             self.close()
             raise
 
-    def text(self, name, peers=None):
+    def operator_file_text(self, name, peers=None):
         path, seeds = os.path.join(self.folder.name, f"{name}.key"), list(self.ports.values())[:2]
         told = ", ".join(f'"127.0.0.1:{port}"' for port in seeds)
         return (
@@ -91,7 +91,7 @@
             ]
         )
 
-    def lines(self, name):
+    def take_log_lines(self, name):
         """The lines logged and not yet taken."""
         found = []
         while True:
@@ -137,7 +137,7 @@
         while not self.over.is_set():
             try:
                 content, source = self.socket.recvfrom(2048)
-                self.liar.overheard(content)
+                self.liar.record_datagram(content)
                 node.receive_datagram(clock(), source, content)
             except TimeoutError:
                 pass
@@ -194,7 +194,7 @@
         return answer
 
 
-def loopback(seed, short):
+def measure_loopback(seed, short):
     figures = {}
     pods = Pods(seed)
     fleet = Fleet([pods.answer(0.6 if at == 5 else 0.0) for at in range(6)])
@@ -211,7 +211,7 @@
 
         def gather():
             for name in HONEST:
-                events[name] += fleet.lines(name)
+                events[name] += fleet.take_log_lines(name)
 
         def met():
             return {
--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -16,7 +16,7 @@
         self.node, self.pods, self.heard, self.round, self.spoil = node, pods, [], 0, spoil
         self.stale = None
 
-    def overheard(self, content):
+    def record_datagram(self, content):
         if len(self.heard) < KEPT:
             self.heard.append(content)
 
@@ -116,5 +116,5 @@
                 self.node.outbox.datagrams.append((peer.address, content))
 
 
-def pods_of(count, build=1):
+def make_endpoint_keys(count, build=1):
     return [EndpointKey(f"s-{at}", "", build, 0) for at in range(count)]
--- a/tests/integration/test_gossip.py
+++ b/tests/integration/test_gossip.py
@@ -5,14 +5,14 @@
 import unittest
 
 from measure.gossip import main
-from measure.gossip_loopback import HONEST, Fleet, loopback
+from measure.gossip_loopback import HONEST, Fleet, measure_loopback
 from tests.support.peers import wait_until
 from thymeknot.gossip import keys
 
 
 class LoopbackTest(unittest.TestCase):
     def test_real_programs_withstand_a_hostile_peer(self):
-        measurements = loopback(3, True)
+        measurements = measure_loopback(3, True)
         for name in ("wrongful_exclusions", "wrong_dead", "rules_broken", "faults"):
             self.assertEqual(measurements[name], 0, name)
         # The ceiling holds per clock second; any window of a second overlaps two of them.
@@ -28,7 +28,7 @@
         def collect_log_lines():
             time.sleep(0.05)
             for name in log_lines:
-                log_lines[name] += fleet.lines(name)
+                log_lines[name] += fleet.take_log_lines(name)
 
         def peer_became(name, other, state):
             return any(
@@ -50,7 +50,7 @@
         n0 = fleet.programs["n0"]
         with open(n0.operator, "w", encoding="utf-8") as output:
             revoked = f']\nrevoked: ["{fleet.identities["n2"].public_key_text()}"]\nhearsay'
-            output.write(fleet.text("n0").replace("]\nhearsay", revoked))
+            output.write(fleet.operator_file_text("n0").replace("]\nhearsay", revoked))
         n0.process.send_signal(signal.SIGHUP)
         wait_until(
             lambda: any(line["event"] == "operator file reloaded" for line in log_lines["n0"]),
--- a/tests/unit/gang_scheduling/test_gang_scheduling.py
+++ b/tests/unit/gang_scheduling/test_gang_scheduling.py
@@ -10,7 +10,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from measure.gangs import play
+from measure.gangs import simulate_schedulers
 from thymeknot.gang_scheduling import (
     jobs,
     placement_score,
@@ -323,7 +323,7 @@
             (IgnoresVersions, "slots_twice"),
             (IgnoresLeases, "half_placed"),
         ):
-            counts = play(3, 600, state_machine_class)
+            counts = simulate_schedulers(3, 600, state_machine_class)
             for name in ("slots_twice", "half_placed"):
                 if (
                     state_machine_class is state_machine.GangStateMachine
--- a/tests/unit/gossip/test_gossip.py
+++ b/tests/unit/gossip/test_gossip.py
@@ -2,12 +2,12 @@
 
 import unittest
 
-from measure.hostile import Liar, pods_of
+from measure.hostile import Liar, make_endpoint_keys
 from measure.world import HEARSAY, SECOND, TERMS, World
 from thymeknot.gossip.rate_limits import SendLimits, SendPurpose, TokenBucket, VerificationLimits
 from thymeknot.gossip.settings import VerificationLimitSettings
 
-ENDPOINTS = pods_of(8)
+ENDPOINTS = make_endpoint_keys(8)
 
 
 def start_world(count=5, seed=3, **options):
@@ -50,7 +50,9 @@
     liar = Liar(world.instances[name].node, endpoints)
     instance = world.instances[name]
     world.taps.append(
-        lambda source, address, content: address == instance.address and liar.overheard(content)
+        lambda source, address, content: (
+            address == instance.address and liar.record_datagram(content)
+        )
     )
 
     def send_lies():
@@ -422,7 +424,7 @@
 
     def test_tables_stay_bounded_with_an_origin_that_floods(self):
         world = converged_world()
-        many_endpoints = pods_of(400)
+        many_endpoints = make_endpoint_keys(400)
         for instance in world.live():
             instance.node.suspicions.set_endpoints(many_endpoints)
         send_lies = add_liar(world, endpoints=many_endpoints)
