--- a/measure/load.py
+++ b/measure/load.py
@@ -6,13 +6,13 @@
 import time
 
 
-def command(*words):
-    return b"*%d\r\n" % len(words) + b"".join(
-        b"$%d\r\n%s\r\n" % (len(word), word) for word in words
+def encode_command(*arguments):
+    return b"*%d\r\n" % len(arguments) + b"".join(
+        b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments
     )
 
 
-class Line:
+class ClientConnection:
     """One client connection that carries a transaction at a time."""
 
     def __init__(self, port):
@@ -22,18 +22,18 @@
     def _connect(self):
         self.connection = socket.create_connection(("127.0.0.1", self.port), timeout=10)
         self.connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.source = self.connection.makefile("rb")
+        self.reader = self.connection.makefile("rb")
 
-    def ask(self, *words):
+    def request(self, *arguments):
         """ "done", "deferred" or "abandoned"; "lost" where there is no answer. Between transactions a sidecar may close
         a connection: then it is sent once more on a new one, as the protocol has it."""
         line = b""
         for _ in range(2):
             try:
-                self.connection.sendall(command(*words))
-                line = self.source.readline()
+                self.connection.sendall(encode_command(*arguments))
+                line = self.reader.readline()
                 if line.startswith(b"$"):
-                    self.source.read(int(line[1:]) + 2)
+                    self.reader.read(int(line[1:]) + 2)
                     return "done"
             except OSError:
                 pass
@@ -49,37 +49,45 @@
         )
 
 
-def drive(port, rate, seconds, seed, lane="read", lines=16, left=2000):
+def drive(port, rate, seconds, seed, request_class="read", connections=16, time_left_ms=2000):
     """[(second of the sending, seconds it took, how it ended, its id)] of transactions at this rate, in whole over
     so many connections. Bounded by its time."""
-    chance, results, lock = random.Random(seed), [], threading.Lock()
-    due, begin = [], time.monotonic() + 0.05
-    at = 0.0
-    while at < seconds:
-        due.append((at, f"{chance.getrandbits(64):016x}", f"{chance.getrandbits(32):08x}"))
-        at += chance.expovariate(rate)
-    due.reverse()
-    word = b"SVC.QUERY" if lane == "read" else b"SVC.SUBMIT"
+    random_source, results, lock = random.Random(seed), [], threading.Lock()
+    schedule, started_at = [], time.monotonic() + 0.05
+    due_at = 0.0
+    while due_at < seconds:
+        schedule.append(
+            (
+                due_at,
+                f"{random_source.getrandbits(64):016x}",
+                f"{random_source.getrandbits(32):08x}",
+            )
+        )
+        due_at += random_source.expovariate(rate)
+    schedule.reverse()
+    command = b"SVC.QUERY" if request_class == "read" else b"SVC.SUBMIT"
 
-    def work():
-        line = Line(port)
+    def send_requests():
+        client = ClientConnection(port)
         while True:
             with lock:
-                if not due:
+                if not schedule:
                     return
-                at, name, key = due.pop()
-            time.sleep(max(0.0, begin + at - time.monotonic()))
-            sent = time.monotonic()
-            words = (
-                word,
+                due_at, request_id, key = schedule.pop()
+            time.sleep(max(0.0, started_at + due_at - time.monotonic()))
+            sent_at = time.monotonic()
+            arguments = (
+                command,
                 key.encode(),
-                name.encode(),
-                f"c={lane},t=t{int(key[0], 16) % 4},d={left}".encode(),
+                request_id.encode(),
+                f"c={request_class},t=t{int(key[0], 16) % 4},d={time_left_ms}".encode(),
+            )
+            outcome = client.request(
+                *(arguments if request_class == "read" else (*arguments, b"BODY"))
             )
-            how = line.ask(*(words if lane == "read" else (*words, b"BODY")))
-            results.append((at, time.monotonic() - sent, how, name))
+            results.append((due_at, time.monotonic() - sent_at, outcome, request_id))
 
-    threads = [threading.Thread(target=work, daemon=True) for _ in range(lines)]
+    threads = [threading.Thread(target=send_requests, daemon=True) for _ in range(connections)]
     for thread in threads:
         thread.start()
     for thread in threads:
@@ -87,6 +95,6 @@
     return results
 
 
-def quantile(values, share):
+def quantile(values, fraction):
     values = sorted(values)
-    return values[min(len(values) - 1, int(len(values) * share))] if values else 0.0
+    return values[min(len(values) - 1, int(len(values) * fraction))] if values else 0.0
