--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -6,21 +6,27 @@
 from thymeknot.gossip.codec import Alive, Evidence, Frame, Hints, Item, Left, Push, Suspect
 from thymeknot.gossip.own_experience import EndpointKey
 
-KEPT = 200  # datagrams it heard, to be sent again
+MAX_RECORDED_DATAGRAMS = 200  # datagrams it heard, to be sent again
 
 
 class Liar:
     """Wraps a node. pods: those it speaks ill of. Each call of `lies` puts a round of them into its outbox."""
 
-    def __init__(self, node, pods, spoil=True):
-        self.node, self.pods, self.heard, self.round, self.spoil = node, pods, [], 0, spoil
+    def __init__(self, node, endpoints, spoil=True):
+        self.node, self.endpoints, self.recorded_datagrams, self.round, self.spoil = (
+            node,
+            endpoints,
+            [],
+            0,
+            spoil,
+        )
         self.stale = None
 
-    def record_datagram(self, content):
-        if len(self.heard) < KEPT:
-            self.heard.append(content)
+    def record_datagram(self, datagram):
+        if len(self.recorded_datagrams) < MAX_RECORDED_DATAGRAMS:
+            self.recorded_datagrams.append(datagram)
 
-    def _item(self, now, body, name=None, start=None, number=None):
+    def _seal_item(self, now, body, name=None, start=None, number=None):
         node = self.node
         if number is None:
             node.local.number += 1
@@ -34,12 +40,12 @@
         )
         return codec.seal_item(item, node.local.identity)
 
-    def _frame(self, now, to, body, items, name=None, start=None):
+    def _seal_frame(self, now, recipient, body, items, name=None, start=None):
         node = self.node
         node.local.number += 1
         frame = Frame(
             name or node.local.name,
-            to,
+            recipient,
             node.local.start if start is None else start,
             node.local.number,
             now - node.local.started_at,
@@ -51,70 +57,82 @@
     def lies(self, now):
         """One round, to every live peer."""
         self.round += 1
-        peers = [one for one in self.node.members.live if one.address]
+        peers = [member for member in self.node.members.live if member.address]
         items = []
         for victim in peers:
             items.append(
-                self._item(
+                self._seal_item(
                     now, Suspect(victim.name, victim.start, victim.incarnation + self.round % 3)
                 )
             )
             items.append(
-                self._item(now, Left(), victim.name, victim.start)
+                self._seal_item(now, Left(), victim.name, victim.start)
             )  # another's name, its own key
             items.append(
-                self._item(now, Alive(*victim.address, 1 << 40), victim.name, victim.start)
+                self._seal_item(now, Alive(*victim.address, 1 << 40), victim.name, victim.start)
             )
-        stale = [
-            self._item(now, Evidence(*pod, 50, 50)) for pod in self.pods
+        reissued_evidence = [
+            self._seal_item(now, Evidence(*endpoint, 50, 50)) for endpoint in self.endpoints
         ]  # old news, ever signed anew
-        numbers = []
-        for _ in self.pods:
+        sequence_numbers = []
+        for _ in self.endpoints:
             self.node.local.number += 1
-            numbers.append(self.node.local.number)
-        for at, peer in enumerate(peers):
-            ill = at % 2 == self.round % 2
+            sequence_numbers.append(self.node.local.number)
+        for index, peer in enumerate(peers):
+            reports_failures = index % 2 == self.round % 2
             # Two tongues: the same number says one thing here and another there.
-            tongues = (
+            equivocations = (
                 [
-                    self._item(now, Evidence(*pod, 40, 40 if ill else 0), number=number)
-                    for pod, number in zip(self.pods, numbers)
+                    self._seal_item(
+                        now,
+                        Evidence(*endpoint, 40, 40 if reports_failures else 0),
+                        number=sequence_number,
+                    )
+                    for endpoint, sequence_number in zip(self.endpoints, sequence_numbers)
                 ]
                 if self.round % 4 == 0
                 else []
             )
-            everything = (
+            all_items = (
                 items
-                + stale
-                + tongues
-                + [self._item(now, Evidence(f"pod-{self.round}", "", 1, 0, 9, 9))]
+                + reissued_evidence
+                + equivocations
+                + [self._seal_item(now, Evidence(f"pod-{self.round}", "", 1, 0, 9, 9))]
             )
-            for begin in range(0, len(everything), 6):
+            for first in range(0, len(all_items), 6):
                 self.node.outbox.datagrams.append(
                     (
                         peer.address,
-                        self._frame(now, peer.name, Push(), everything[begin : begin + 6]),
+                        self._seal_frame(now, peer.name, Push(), all_items[first : first + 6]),
                     )
                 )
-            false = [
-                (one.name, "10.255.255.1" if one.address[0].startswith("10.") else "127.0.0.1", 9)
-                for one in peers
+            false_hints = [
+                (
+                    member.name,
+                    "10.255.255.1" if member.address[0].startswith("10.") else "127.0.0.1",
+                    9,
+                )
+                for member in peers
             ][:20]
             self.node.outbox.datagrams.append(
-                (peer.address, self._frame(now, peer.name, Hints(False, false), []))
+                (peer.address, self._seal_frame(now, peer.name, Hints(False, false_hints), []))
             )
             if not self.spoil:
                 continue
-            other = peers[(at + 1) % len(peers)]
-            forged = self._frame(now, peer.name, Push(), items[:3], other.name, other.start)
+            impersonated = peers[(index + 1) % len(peers)]
+            forged = self._seal_frame(
+                now, peer.name, Push(), items[:3], impersonated.name, impersonated.start
+            )
             self.node.outbox.datagrams.append((peer.address, forged))
-            mine = self._frame(now, peer.name, Push(), items[:3])
-            self.node.outbox.datagrams.append((peer.address, mine[:-1] + bytes((mine[-1] ^ 1,))))
+            own_frame = self._seal_frame(now, peer.name, Push(), items[:3])
+            self.node.outbox.datagrams.append(
+                (peer.address, own_frame[:-1] + bytes((own_frame[-1] ^ 1,)))
+            )
             self.node.outbox.datagrams.append((peer.address, bytes(range(200)) * 3))
-            self.node.outbox.datagrams.append((peer.address, mine[:30] + bytes(range(100))))
-            for content in self.heard[self.round % 7 :: 7][:4]:
-                self.node.outbox.datagrams.append((peer.address, content))
+            self.node.outbox.datagrams.append((peer.address, own_frame[:30] + bytes(range(100))))
+            for datagram in self.recorded_datagrams[self.round % 7 :: 7][:4]:
+                self.node.outbox.datagrams.append((peer.address, datagram))
 
 
 def make_endpoint_keys(count, build=1):
-    return [EndpointKey(f"s-{at}", "", build, 0) for at in range(count)]
+    return [EndpointKey(f"s-{index}", "", build, 0) for index in range(count)]
