--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -16,60 +16,70 @@
 from measure.shop import Shop
 from measure.world import SECOND, TERMS, World
 
-SIZES, LOSSES = (8, 64, 512), (0.0, 0.1, 0.3)
-PODS = make_endpoint_keys(12)
+FLEET_SIZES, LOSS_RATES = (8, 64, 512), (0.0, 0.1, 0.3)
+ENDPOINTS = make_endpoint_keys(12)
 
 
-def spread(task):
+def measure_spread(task):
     """One fleet in simulated time: until the last has heard a claim, messages of each, how many were buried."""
-    count, loss, seed, span = task
-    began = time.monotonic()
-    world = World([f"n{at}" for at in range(count)], seed, loss=loss)
+    instance_count, loss, seed, duration = task
+    started_at = time.monotonic()
+    world = World([f"n{index}" for index in range(instance_count)], seed, loss=loss)
     world.begin()
     world.acquaint()
-    for one in world.live():
-        one.node.suspicions.set_endpoints(PODS)
-    buried, reached, sent, lasts = [0], [], [], []
-
-    def watch():
-        for one in world.live():
-            buried[0] += sum(
-                fields.get("now") == "dead" for _, fields in one.node.context.log_events
+    for instance in world.live():
+        instance.node.suspicions.set_endpoints(ENDPOINTS)
+    death_count, reached_shares, message_rates, spread_times = [0], [], [], []
+
+    def count_deaths():
+        for instance in world.live():
+            death_count[0] += sum(
+                fields.get("now") == "dead" for _, fields in instance.node.context.log_events
             )
-            one.node.context.log_events.clear()
+            instance.node.context.log_events.clear()
 
-    world.run(3 * SECOND, watch)
-    for at in range(3):
-        teller, pod = f"n{(at * 7 + 3) % count}", PODS[at]
-        node = world.instances[teller].node
+    world.run(3 * SECOND, count_deaths)
+    for claim_index in range(3):
+        reporter, endpoint = f"n{(claim_index * 7 + 3) % instance_count}", ENDPOINTS[claim_index]
+        node = world.instances[reporter].node
         for _ in range(8):
-            node.suspicions.record_attempt(world.instances[teller].clock(), pod.id, True)
-        begin, before = world.now, world.sent
-        last = [None]
-
-        def heard(pod=pod, teller=teller, last=last):
-            if last[0] is None and all(
-                teller in one.node.suspicions.evidence.get(pod, {}) or one.name == teller
-                for one in world.live()
+            node.suspicions.record_attempt(world.instances[reporter].clock(), endpoint.id, True)
+        reported_at, sent_before = world.now, world.sent
+        reached_all_at = [None]
+
+        def check_spread(endpoint=endpoint, reporter=reporter, reached_all_at=reached_all_at):
+            if reached_all_at[0] is None and all(
+                reporter in instance.node.suspicions.evidence.get(endpoint, {})
+                or instance.name == reporter
+                for instance in world.live()
             ):
-                last[0] = world.now
+                reached_all_at[0] = world.now
 
-        world.run(span // 3, lambda heard=heard: (heard(), watch()), SECOND // 5)
-        reached.append(
-            sum(teller in one.node.suspicions.evidence.get(pod, {}) for one in world.live())
-            / (count - 1)
+        world.run(
+            duration // 3,
+            lambda check_spread=check_spread: (check_spread(), count_deaths()),
+            SECOND // 5,
         )
-        lasts.append((last[0] - begin) / SECOND if last[0] else None)
-        sent.append((world.sent - before) / count / (span / 3 / SECOND))
+        reached_shares.append(
+            sum(
+                reporter in instance.node.suspicions.evidence.get(endpoint, {})
+                for instance in world.live()
+            )
+            / (instance_count - 1)
+        )
+        spread_times.append(
+            (reached_all_at[0] - reported_at) / SECOND if reached_all_at[0] else None
+        )
+        message_rates.append((world.sent - sent_before) / instance_count / (duration / 3 / SECOND))
     return {
-        "instances": count,
+        "instances": instance_count,
         "loss": loss,
-        "spread_s": max(lasts) if None not in lasts else None,
-        "reached": round(min(reached), 3),
-        "messages_per_instance_s": round(sum(sent) / len(sent), 2),
-        "buried": buried[0],
-        "simulated_s": (span + 3 * SECOND) / SECOND,
-        "took_s": round(time.monotonic() - began, 1),
+        "spread_s": max(spread_times) if None not in spread_times else None,
+        "reached": round(min(reached_shares), 3),
+        "messages_per_instance_s": round(sum(message_rates) / len(message_rates), 2),
+        "buried": death_count[0],
+        "simulated_s": (duration + 3 * SECOND) / SECOND,
+        "took_s": round(time.monotonic() - started_at, 1),
     }
 
 
@@ -79,102 +89,123 @@
         return int(source.read().split()[1]) * 4096 / 1e6
 
 
-def hour(task):
+def simulate_hour(task):
     """A simulated hour with loss, an instance that restarts every minute, and pods that fail by turns."""
-    seed, span = task
-    world, buried = World([f"n{at}" for at in range(8)], seed, loss=0.1), 0
+    seed, duration = task
+    world, false_death_count = World([f"n{index}" for index in range(8)], seed, loss=0.1), 0
     world.begin()
-    memory, minute = [], 60 * SECOND
-    for one in world.live():
-        one.node.suspicions.set_endpoints(PODS)
-    for at in range(span // minute):
-        victim = world.instances[f"n{at % 8}"]
-        victim.kill()
+    memory_samples, minute = [], 60 * SECOND
+    for instance in world.live():
+        instance.node.suspicions.set_endpoints(ENDPOINTS)
+    for minute_index in range(duration // minute):
+        restarted = world.instances[f"n{minute_index % 8}"]
+        restarted.kill()
         world.run(SECOND)
-        victim.begin([one.address for one in world.live()][:2])
-        victim.node.suspicions.set_endpoints(PODS)
-
-        def traffic(at=at, since=world.now):
-            nonlocal buried
-            for one in world.live():
-                for pod in range(3):
-                    one.node.suspicions.record_attempt(one.clock(), PODS[pod].id, pod == at % 3)
-                one.node.changed_suspicions.clear()
-                one.node.context.log_events.clear()
-                buried += sum(
+        restarted.begin([instance.address for instance in world.live()][:2])
+        restarted.node.suspicions.set_endpoints(ENDPOINTS)
+
+        def record_traffic(minute_index=minute_index, restarted_at=world.now):
+            nonlocal false_death_count
+            for instance in world.live():
+                for endpoint_index in range(3):
+                    instance.node.suspicions.record_attempt(
+                        instance.clock(),
+                        ENDPOINTS[endpoint_index].id,
+                        endpoint_index == minute_index % 3,
+                    )
+                instance.node.changed_suspicions.clear()
+                instance.node.context.log_events.clear()
+                false_death_count += sum(
                     member.state == "dead"
                     and world.instances[name].node is not None
-                    and world.now - since > 20 * SECOND
-                    for name, member in one.node.members.all.items()
+                    and world.now - restarted_at > 20 * SECOND
+                    for name, member in instance.node.members.all.items()
                 )
 
-        world.run(minute - SECOND, traffic)
-        if (at + 1) % max(1, span // minute // 4) == 0:
-            memory.append(round(_resident_mb(), 2))
+        world.run(minute - SECOND, record_traffic)
+        if (minute_index + 1) % max(1, duration // minute // 4) == 0:
+            memory_samples.append(round(_resident_mb(), 2))
     return {
-        "memory_mb_by_quarter": memory[:4],
-        "memory_growth": round(memory[-1] / memory[0] - 1, 4),
-        "false_dead_per_hour": round(buried * 3600 * SECOND / span, 2),
+        "memory_mb_by_quarter": memory_samples[:4],
+        "memory_growth": round(memory_samples[-1] / memory_samples[0] - 1, 4),
+        "false_dead_per_hour": round(false_death_count * 3600 * SECOND / duration, 2),
         "sent": world.sent,
     }
 
 
-def gain(task):
+def measure_gain(task):
     """Share of the quiet instances' deliveries that failed, one pod of twelve failing 60%."""
-    kind, gossip, seed, span = task
-    loud, quiet, liars, terms = {
+    kind, gossip, seed, duration = task
+    busy_count, quiet_count, liar_count, settings = {
         "many": (8, 32, 0, TERMS),
         "five": (2, 2, 1, TERMS),
         "crowd": (12, 20, 8, TERMS._replace(hearsay=TERMS.hearsay._replace(liars=8, witnesses=9))),
     }[kind]
-    rates = {f"n{at}": 40.0 if at < loud else 1.0 for at in range(loud + quiet + liars)}
-    names = list(rates)
-    shop = Shop(rates, 12, {"s-5": 0.6}, seed, gossip, names[loud + quiet :], terms)
-    shop.world.run(span)
-    doubted = sum(
-        pod != "s-5" and balancer.context.endpoints[pod].suspected_until > 0
-        for name, balancer in shop.balancers.items()
-        if name not in names[loud + quiet :]
-        for pod in balancer.context.endpoints
+    request_rates = {
+        f"n{index}": 40.0 if index < busy_count else 1.0
+        for index in range(busy_count + quiet_count + liar_count)
+    }
+    names = list(request_rates)
+    shop = Shop(
+        request_rates, 12, {"s-5": 0.6}, seed, gossip, names[busy_count + quiet_count :], settings
+    )
+    shop.world.run(duration)
+    wrongful_suspicions = sum(
+        endpoint != "s-5" and engine.context.endpoints[endpoint].suspected_until > 0
+        for name, engine in shop.balancers.items()
+        if name not in names[busy_count + quiet_count :]
+        for endpoint in engine.context.endpoints
+    )
+    return (
+        kind,
+        gossip,
+        shop.share_failed(names[busy_count : busy_count + quiet_count]),
+        wrongful_suspicions,
     )
-    return kind, gossip, shop.share_failed(names[loud : loud + quiet]), doubted
 
 
-def simulated(seed, short, pool):
+def measure_simulated(seed, short, pool):
     """All figures of simulated time."""
-    span, sizes = (6, (8, 64)) if short else (9, SIZES)
+    claim_seconds, fleet_sizes = (6, (8, 64)) if short else (9, FLEET_SIZES)
     tasks = sorted(
-        ((count, loss, seed, span * SECOND) for count in sizes for loss in LOSSES), reverse=True
+        (
+            (count, loss, seed, claim_seconds * SECOND)
+            for count in fleet_sizes
+            for loss in LOSS_RATES
+        ),
+        reverse=True,
     )
-    spreads = pool.map(spread, tasks)
-    hours = pool.map(hour, [(seed, (4 if short else 60) * 60 * SECOND)])
-    rounds = 1 if short else 3
-    gains = pool.map(
-        gain,
+    spread_results = pool.map(measure_spread, tasks)
+    hour_results = pool.map(simulate_hour, [(seed, (4 if short else 60) * 60 * SECOND)])
+    repetitions = 1 if short else 3
+    gain_results = pool.map(
+        measure_gain,
         [
-            (kind, gossip, seed + at, (20 if short else 40) * SECOND)
+            (kind, gossip, seed + repetition, (20 if short else 40) * SECOND)
             for kind in ("many", "five", "crowd")
-            for at in range(rounds)
+            for repetition in range(repetitions)
             for gossip in (True, False)
         ],
     )
     figures = {
-        "simulated": sorted(spreads, key=lambda one: (one["instances"], one["loss"])),
-        **next(iter(hours)),
+        "simulated": sorted(
+            spread_results, key=lambda result: (result["instances"], result["loss"])
+        ),
+        **next(iter(hour_results)),
     }
-    shares, doubted = {}, {}
-    for kind, gossip, share, wrong in gains:
-        shares.setdefault((kind, gossip), []).append(share)
-        doubted[kind] = doubted.get(kind, 0) + wrong
+    failed_shares, wrongful_suspicions = {}, {}
+    for kind, gossip, share, suspicion_count in gain_results:
+        failed_shares.setdefault((kind, gossip), []).append(share)
+        wrongful_suspicions[kind] = wrongful_suspicions.get(kind, 0) + suspicion_count
     figures["failed_share_quiet"] = {
         kind: {
-            "with": round(sum(shares[kind, True]) / rounds, 4),
-            "without": round(sum(shares[kind, False]) / rounds, 4),
+            "with": round(sum(failed_shares[kind, True]) / repetitions, 4),
+            "without": round(sum(failed_shares[kind, False]) / repetitions, 4),
         }
         for kind in ("many", "five", "crowd")
     }
-    figures["simulated_wrongful_doubts"] = doubted
-    figures["spread_s"] = max((one["spread_s"] or 1e9) for one in figures["simulated"])
+    figures["simulated_wrongful_doubts"] = wrongful_suspicions
+    figures["spread_s"] = max((result["spread_s"] or 1e9) for result in figures["simulated"])
     return figures
 
 
@@ -183,18 +214,18 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--short", action="store_true", help="a form of some seconds")
     parser.add_argument("--part", choices=("all", "simulated", "loopback"), default="all")
-    chosen = parser.parse_args(arguments)
-    figures, began = {"seed": chosen.seed}, time.monotonic()
-    if chosen.part != "loopback":
+    options = parser.parse_args(arguments)
+    figures, started_at = {"seed": options.seed}, time.monotonic()
+    if options.part != "loopback":
         with ProcessPoolExecutor(8, multiprocessing.get_context("spawn")) as pool:
-            figures.update(simulated(chosen.seed, chosen.short, pool))
-        for one in figures["simulated"]:
-            print(json.dumps(one))
-    if chosen.part != "simulated":
+            figures.update(measure_simulated(options.seed, options.short, pool))
+        for result in figures["simulated"]:
+            print(json.dumps(result))
+    if options.part != "simulated":
         from measure.gossip_loopback import measure_loopback
 
-        figures.update(measure_loopback(chosen.seed, chosen.short))
-    figures["took_s"] = round(time.monotonic() - began, 1)
+        figures.update(measure_loopback(options.seed, options.short))
+    figures["took_s"] = round(time.monotonic() - started_at, 1)
     print(json.dumps(figures))
     return 0
 
