--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -26,47 +26,54 @@
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 HONEST, HOSTILE = ("n0", "n1", "n2", "n3"), "n4"
-HEARSAY = 'hearsay: {witnesses: 3, liars: 1, lapse: "20s", doubt: "4s"}'
-CEILING = 32_000
+SUSPICION_CONFIG = 'hearsay: {witnesses: 3, liars: 1, lapse: "20s", doubt: "4s"}'
+BYTES_PER_SECOND_LIMIT = 32_000
 
 
-def clock():
+def monotonic_ticks():
     return time.monotonic_ns() // 100_000
 
 
-def datagram_port():
+def reserve_datagram_port():
     """(a socket that keeps the number, a free port for datagrams). Below those that the machine gives to whoever asks
     for any, and kept among those who call this by a port for streams of the same number."""
     while True:
-        kept = socket.socket()
+        reservation = socket.socket()
         try:
-            kept.bind(("127.0.0.1", random.randrange(18_000, 32_000)))
-            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as one:
-                one.bind(kept.getsockname())
-            return kept, kept.getsockname()[1]
+            reservation.bind(("127.0.0.1", random.randrange(18_000, 32_000)))
+            with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as datagram_socket:
+                datagram_socket.bind(reservation.getsockname())
+            return reservation, reservation.getsockname()[1]
         except OSError:
-            kept.close()
+            reservation.close()
 
 
 class Fleet:
     """Programs that gossip, beside stand-ins of all they speak to. answers: a function for each pod."""
 
-    def __init__(self, answers, names=HONEST, others=(HOSTILE,), more=HEARSAY):
-        self.pods = [FakeEndpoint(answer) for answer in answers]
-        self.folder = tempfile.TemporaryDirectory()
-        self.kept = {name: datagram_port() for name in (*names, *others)}
-        self.identities, self.ports = {}, {name: port for name, (_, port) in self.kept.items()}
+    def __init__(
+        self, answers, names=HONEST, external_names=(HOSTILE,), extra_config=SUSPICION_CONFIG
+    ):
+        self.endpoints = [FakeEndpoint(answer) for answer in answers]
+        self.directory = tempfile.TemporaryDirectory()
+        self.reservations = {name: reserve_datagram_port() for name in (*names, *external_names)}
+        self.identities, self.ports = (
+            {},
+            {name: port for name, (_, port) in self.reservations.items()},
+        )
         for name in self.ports:
-            path = os.path.join(self.folder.name, f"{name}.key")
+            path = os.path.join(self.directory.name, f"{name}.key")
             self.identities[name] = keys.create_key_file(name, path)
-        self.peers = ", ".join(keys.peer_record(identity) for identity in self.identities.values())
-        entries = [pod.entry(f"s-{at}") for at, pod in enumerate(self.pods)]
-        self.programs, self.more = {}, more
+        self.peer_records = ", ".join(
+            keys.peer_record(identity) for identity in self.identities.values()
+        )
+        entries = [endpoint.entry(f"s-{index}") for index, endpoint in enumerate(self.endpoints)]
+        self.programs, self.extra_config = {}, extra_config
         for name in names:
             self.programs[name] = Program(
                 *entries,
-                operator=lambda folder, name=name: self.operator_file_text(name),
-                change=lambda told: told["settings"].update(balancers=len(names)),
+                operator=lambda directory, name=name: self.operator_file_text(name),
+                change=lambda config: config["settings"].update(balancers=len(names)),
             )
         try:
             for program in self.programs.values():
@@ -75,52 +82,58 @@
             self.close()
             raise
 
-    def operator_file_text(self, name, peers=None):
-        path, seeds = os.path.join(self.folder.name, f"{name}.key"), list(self.ports.values())[:2]
-        told = ", ".join(f'"127.0.0.1:{port}"' for port in seeds)
+    def operator_file_text(self, name, peer_records=None):
+        path, seeds = (
+            os.path.join(self.directory.name, f"{name}.key"),
+            list(self.ports.values())[:2],
+        )
+        seed_list = ", ".join(f'"127.0.0.1:{port}"' for port in seeds)
         return (
-            f'gossip: {{name: "{name}", listen: "127.0.0.1:{self.ports[name]}", key: "{path}", seeds: [{told}]\n'
-            f'from: ["127.0.0.1/32"], peers: [{peers or self.peers}]\n{self.more}\n}}\n'
+            f'gossip: {{name: "{name}", listen: "127.0.0.1:{self.ports[name]}", key: "{path}", seeds: [{seed_list}]\n'
+            f'from: ["127.0.0.1/32"], peers: [{peer_records or self.peer_records}]\n{self.extra_config}\n}}\n'
         )
 
-    def ring(self):
+    def keyring(self):
         return Keyring(
             [
-                Peer(name, None, (PeerKey(one.public_key_text(), None),))
-                for name, one in self.identities.items()
+                Peer(name, None, (PeerKey(identity.public_key_text(), None),))
+                for name, identity in self.identities.items()
             ]
         )
 
     def take_log_lines(self, name):
         """The lines logged and not yet taken."""
-        found = []
+        lines = []
         while True:
             try:
-                found.append(self.programs[name].lines.get_nowait())
+                lines.append(self.programs[name].lines.get_nowait())
             except queue.Empty:
-                return [json.loads(line) for line in found]
+                return [json.loads(line) for line in lines]
 
     def close(self):
         for program in self.programs.values():
             program.__exit__()
-        for part in (*self.pods, *(place for place, _ in self.kept.values())):
-            part.close()
-        self.folder.cleanup()
+        for resource in (
+            *self.endpoints,
+            *(reservation for reservation, _ in self.reservations.values()),
+        ):
+            resource.close()
+        self.directory.cleanup()
 
 
 class HostilePeer(threading.Thread):
     """A liar with a valid key on a socket of its own."""
 
-    def __init__(self, fleet, pods):
+    def __init__(self, fleet, endpoints):
         super().__init__(daemon=True)
-        address, now = ("127.0.0.1", fleet.ports[HOSTILE]), clock()
+        address, now = ("127.0.0.1", fleet.ports[HOSTILE]), monotonic_ticks()
         self.socket = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
         self.socket.bind(address)
         self.socket.settimeout(0.02)
         node = GossipNode(
             TERMS,
             fleet.identities[HOSTILE],
-            fleet.ring(),
+            fleet.keyring(),
             AllowedNetworks(["127.0.0.1/32"]),
             announced=address,
             seeds=[("127.0.0.1", fleet.ports["n0"])],
@@ -130,90 +143,105 @@
             new_nonce=lambda: os.urandom(8),
             unix=time.time,
         )
-        self.liar, self.over = Liar(node, pods), threading.Event()
+        self.liar, self.stop_event = Liar(node, endpoints), threading.Event()
 
     def run(self):
-        node, lie_at, tick_at = self.liar.node, clock() + 20_000, clock()
-        while not self.over.is_set():
+        node, next_lies_at, next_tick_at = (
+            self.liar.node,
+            monotonic_ticks() + 20_000,
+            monotonic_ticks(),
+        )
+        while not self.stop_event.is_set():
             try:
-                content, source = self.socket.recvfrom(2048)
-                self.liar.record_datagram(content)
-                node.receive_datagram(clock(), source, content)
+                datagram, source = self.socket.recvfrom(2048)
+                self.liar.record_datagram(datagram)
+                node.receive_datagram(monotonic_ticks(), source, datagram)
             except TimeoutError:
                 pass
-            now = clock()
-            if now >= tick_at:
-                tick_at = now + TICK_INTERVAL
+            now = monotonic_ticks()
+            if now >= next_tick_at:
+                next_tick_at = now + TICK_INTERVAL
                 node.tick(now)
-            if now >= lie_at:
-                lie_at = now + 5_000
+            if now >= next_lies_at:
+                next_lies_at = now + 5_000
                 self.liar.lies(now)
-            out = node.take_datagrams()
-            for address, content in out:
+            datagrams = node.take_datagrams()
+            for address, datagram in datagrams:
                 try:
-                    self.socket.sendto(content, address)
+                    self.socket.sendto(datagram, address)
                 except OSError:
                     pass
         self.socket.close()
 
 
-def flood(port, key_id, rate, seconds):
+def send_flood(port, key_id, rate, seconds):
     """Forged datagrams at this rate to one instance: noise, and such as are well formed under a known key's name.
     Gives how many were sent a second."""
-    out = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
-    stranger = new_identity("n1")
-    stranger.key_id = key_id
-    forged = [
-        codec.seal_frame(Frame("n1", "n0", 5, at, 5, Ping(os.urandom(8), bytes(128)), []), stranger)
-        for at in range(200)
+    sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
+    forger = new_identity("n1")
+    forger.key_id = key_id
+    forged_frames = [
+        codec.seal_frame(
+            Frame("n1", "n0", 5, number, 5, Ping(os.urandom(8), bytes(128)), []), forger
+        )
+        for number in range(200)
     ]
-    datagrams, sent, begin = forged + [os.urandom(300) for _ in range(200)], 0, time.monotonic()
-    while (passed := time.monotonic() - begin) < seconds:
-        while sent < passed * rate:
-            out.sendto(datagrams[sent % len(datagrams)], ("127.0.0.1", port))
+    datagrams, sent, started_at = (
+        forged_frames + [os.urandom(300) for _ in range(200)],
+        0,
+        time.monotonic(),
+    )
+    while (elapsed := time.monotonic() - started_at) < seconds:
+        while sent < elapsed * rate:
+            sender.sendto(datagrams[sent % len(datagrams)], ("127.0.0.1", port))
             sent += 1
         time.sleep(0.001)
     return round(sent / seconds)
 
 
-class Pods:
+class EndpointBehaviour:
     """What the pods do, and what they count: a binding transaction that runs twice breaks a rule."""
 
     def __init__(self, seed):
-        self.chance, self.ran, self.twice, self.lock = random.Random(seed), {}, 0, threading.Lock()
+        self.random_source, self.run_counts, self.duplicate_runs, self.lock = (
+            random.Random(seed),
+            {},
+            0,
+            threading.Lock(),
+        )
 
-    def answer(self, ill):
-        def answer(words):
+    def make_handler(self, failure_rate):
+        def handle(arguments):
             with self.lock:
-                if words[0] == b"SVC.SUBMIT":
-                    self.ran[words[2]] = self.ran.get(words[2], 0) + 1
-                    self.twice += self.ran[words[2]] == 2
-                fails = self.chance.random() < ill
+                if arguments[0] == b"SVC.SUBMIT":
+                    self.run_counts[arguments[2]] = self.run_counts.get(arguments[2], 0) + 1
+                    self.duplicate_runs += self.run_counts[arguments[2]] == 2
+                fails = self.random_source.random() < failure_rate
             return b"-ERR failed\r\n" if fails else b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n"
 
-        return answer
+        return handle
 
 
 def measure_loopback(seed, short):
     figures = {}
-    pods = Pods(seed)
-    fleet = Fleet([pods.answer(0.6 if at == 5 else 0.0) for at in range(6)])
-    hostile = None
+    behaviour = EndpointBehaviour(seed)
+    fleet = Fleet([behaviour.make_handler(0.6 if index == 5 else 0.0) for index in range(6)])
+    hostile_peer = None
     try:
-        healthy = [
-            EndpointKey(f"s-{at}", pod.address, 41, 0)
-            for at, pod in enumerate(fleet.pods)
-            if at != 5
+        healthy_endpoints = [
+            EndpointKey(f"s-{index}", endpoint.address, 41, 0)
+            for index, endpoint in enumerate(fleet.endpoints)
+            if index != 5
         ]
-        hostile = HostilePeer(fleet, healthy)
-        hostile.start()
+        hostile_peer = HostilePeer(fleet, healthy_endpoints)
+        hostile_peer.start()
         events = {name: [] for name in HONEST}
 
-        def gather():
+        def collect_log_lines():
             for name in HONEST:
                 events[name] += fleet.take_log_lines(name)
 
-        def met():
+        def state_changes():
             return {
                 name: [
                     (line["peer"], line["before"], line["now"])
@@ -224,9 +252,11 @@
             }
 
         wait_until(
-            lambda: all(len({peer for peer, *_ in changes}) >= 4 for changes in met().values()),
-            lambda: (time.sleep(0.1), gather()),
-            met,
+            lambda: all(
+                len({peer for peer, *_ in changes}) >= 4 for changes in state_changes().values()
+            ),
+            lambda: (time.sleep(0.1), collect_log_lines()),
+            state_changes,
         )
         figures["met_s"] = round(
             max(
@@ -240,55 +270,62 @@
         )
         context = multiprocessing.get_context("spawn")
         with ProcessPoolExecutor(6, context) as pool:
-            span = 5 if short else 14
-            loads = [
+            load_seconds = 5 if short else 14
+            load_futures = [
                 pool.submit(
                     drive,
                     fleet.programs[name].port,
                     120 if name != "n3" else 15,
-                    span,
-                    seed + at,
+                    load_seconds,
+                    seed + index,
                     "pay" if name == "n1" else "read",
                 )
-                for at, name in enumerate(HONEST)
+                for index, name in enumerate(HONEST)
             ]
-            results = [one for load in loads for one in load.result()]
-            gather()
-            answers = {
-                how: sum(one[2] == how for one in results)
-                for how in ("done", "deferred", "abandoned", "lost")
+            results = [result for future in load_futures for result in future.result()]
+            collect_log_lines()
+            outcome_counts = {
+                outcome: sum(result[2] == outcome for result in results)
+                for outcome in ("done", "deferred", "abandoned", "lost")
             }
             # Latency of usual clients with the flood and without, by turns, against the same instance.
-            windows, with_, without, rates = 1 if short else 8, [], [], []
+            repetitions, latencies_with_flood, latencies_without_flood, flood_rates = (
+                1 if short else 8,
+                [],
+                [],
+                [],
+            )
             key_id, port = fleet.identities["n1"].key_id, fleet.programs["n0"].port
-            for at in range(windows):
-                for flooded in (bool(at % 2), not at % 2):
-                    other = (
-                        pool.submit(flood, fleet.ports["n0"], key_id, 10_000, 1.9)
+            for repetition in range(repetitions):
+                for flooded in (bool(repetition % 2), not repetition % 2):
+                    flood_future = (
+                        pool.submit(send_flood, fleet.ports["n0"], key_id, 10_000, 1.9)
                         if flooded
                         else None
                     )
                     time.sleep(0.2)
-                    took = [
-                        one[1]
-                        for one in pool.submit(drive, port, 250, 1.5, seed + at, "read").result()
+                    latencies = [
+                        result[1]
+                        for result in pool.submit(
+                            drive, port, 250, 1.5, seed + repetition, "read"
+                        ).result()
                     ]
-                    (with_ if flooded else without).extend(took)
-                    if other:
-                        rates.append(other.result())
+                    (latencies_with_flood if flooded else latencies_without_flood).extend(latencies)
+                    if flood_future:
+                        flood_rates.append(flood_future.result())
             time.sleep(1)
-        gather()
-        doubts = [
+        collect_log_lines()
+        suspicions = [
             (name, line)
             for name in HONEST
             for line in events[name]
             if line["event"] == "endpoint suspected"
         ]
         figures["wrongful_exclusions"] = sum(
-            line["pod"] != "s-5" and line["span"] > 0 for _, line in doubts
+            line["pod"] != "s-5" and line["span"] > 0 for _, line in suspicions
         )
         figures["failing_pod_doubted"] = sum(
-            line["pod"] == "s-5" and line["span"] > 0 for _, line in doubts
+            line["pod"] == "s-5" and line["span"] > 0 for _, line in suspicions
         )
         figures["wrong_dead"] = sum(
             line["event"] == "peer state changed"
@@ -297,30 +334,34 @@
             for name in HONEST
             for line in events[name]
         )
-        counts = [line for name in HONEST for line in events[name] if line["event"] == "gossip"]
-        figures["bytes_per_second_most"] = max(line["bytes_most"] for line in counts)
-        figures["datagrams_per_second_most"] = max(line["datagrams_most"] for line in counts)
-        figures["ceiling"] = CEILING
+        gossip_lines = [
+            line for name in HONEST for line in events[name] if line["event"] == "gossip"
+        ]
+        figures["bytes_per_second_most"] = max(line["bytes_most"] for line in gossip_lines)
+        figures["datagrams_per_second_most"] = max(line["datagrams_most"] for line in gossip_lines)
+        figures["ceiling"] = BYTES_PER_SECOND_LIMIT
         figures["verified_per_second_most"] = round(
-            max(line["verified"] / line["span"] for line in counts), 1
+            max(line["verified"] / line["span"] for line in gossip_lines), 1
         )
-        figures["rules_broken"] = pods.twice + answers["lost"]
-        figures["answers"] = answers
+        figures["rules_broken"] = behaviour.duplicate_runs + outcome_counts["lost"]
+        figures["answers"] = outcome_counts
         figures["faults"] = sum(
             line["event"] == "fault" for name in HONEST for line in events[name]
         )
-        figures["flood_per_s"] = min(rates)
+        figures["flood_per_s"] = min(flood_rates)
         figures["p99_ms"] = {
-            "flood": round(1000 * quantile(with_, 0.99), 2),
-            "none": round(1000 * quantile(without, 0.99), 2),
+            "flood": round(1000 * quantile(latencies_with_flood, 0.99), 2),
+            "none": round(1000 * quantile(latencies_without_flood, 0.99), 2),
         }
         figures["p50_ms"] = {
-            "flood": round(1000 * quantile(with_, 0.5), 2),
-            "none": round(1000 * quantile(without, 0.5), 2),
+            "flood": round(1000 * quantile(latencies_with_flood, 0.5), 2),
+            "none": round(1000 * quantile(latencies_without_flood, 0.5), 2),
         }
-        figures["p99_flood_ratio"] = round(quantile(with_, 0.99) / quantile(without, 0.99), 3)
+        figures["p99_flood_ratio"] = round(
+            quantile(latencies_with_flood, 0.99) / quantile(latencies_without_flood, 0.99), 3
+        )
     finally:
-        if hostile:
-            hostile.over.set()
+        if hostile_peer:
+            hostile_peer.stop_event.set()
         fleet.close()
     return figures
