--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -28,23 +28,23 @@
 
 SECOND = TICKS_PER_SECOND
 PATTERNS = ("ring", "all", "tree", "pipeline", "matrix")
-GIGA = 10**9
+GIGABYTE = 10**9
 
 
-def some_gang(chance, workers, most=GIGA):
-    pattern = PATTERNS[int(chance.draw() * len(PATTERNS))]
-    much = int(most * (0.1 + 0.9 * chance.draw()))
+def random_gang(random_source, workers, max_bytes=GIGABYTE):
+    pattern = PATTERNS[int(random_source.draw() * len(PATTERNS))]
+    step_bytes = int(max_bytes * (0.1 + 0.9 * random_source.draw()))
     workers += workers % 2
-    matrix = [[much // 4, much], [much // 2, 0]] if pattern == "matrix" else []
+    matrix = [[step_bytes // 4, step_bytes], [step_bytes // 2, 0]] if pattern == "matrix" else []
     return Gang(
         workers,
         pattern,
-        much,
-        int((2 + 6 * chance.draw()) * SECOND),
-        f"p{int(chance.draw() * 3)}",
+        step_bytes,
+        int((2 + 6 * random_source.draw()) * SECOND),
+        f"p{int(random_source.draw() * 3)}",
         60 * SECOND,
         needs={"gpu": 1},
-        priority=int(chance.draw() * 20),
+        priority=int(random_source.draw() * 20),
         matrix=matrix,
     )
 
@@ -52,376 +52,422 @@
 # -- small cases ------------------------------------------------------------------------------------------------------
 
 
-def small(chance):
+def random_small_case(random_source):
     """4 to 7 racks, partly taken, of unlike uplinks, with plans and others' traffic; a gang of 4 to 20."""
-    racks = 4 + int(chance.draw() * 4)
-    places = Topology(
-        uplinks={f"zone/c{at % 2}/z{at}": int((1 + 3 * chance.draw()) * GIGA) for at in range(3)}
+    rack_count = 4 + int(random_source.draw() * 4)
+    topology = Topology(
+        uplinks={
+            f"zone/c{index % 2}/z{index}": int((1 + 3 * random_source.draw()) * GIGABYTE)
+            for index in range(3)
+        }
     )
-    for at in range(racks):
-        zone = int(chance.draw() * 3)
-        hosts = {
-            f"r{at}m{one}": MachineSpec(4, {"gpu": 4}) for one in range(1 + int(chance.draw() * 4))
+    for index in range(rack_count):
+        zone = int(random_source.draw() * 3)
+        machine_specs = {
+            f"r{index}m{number}": MachineSpec(4, {"gpu": 4})
+            for number in range(1 + int(random_source.draw() * 4))
         }
-        places.add_rack(
-            f"r{at}", f"z{zone}", f"c{zone % 2}", int((0.5 + 2 * chance.draw()) * GIGA), hosts
+        topology.add_rack(
+            f"r{index}",
+            f"z{zone}",
+            f"c{zone % 2}",
+            int((0.5 + 2 * random_source.draw()) * GIGABYTE),
+            machine_specs,
         )
-        for machine in hosts:
-            places.reserve({machine: int(chance.draw() ** 2 * 5)}, (("gpu", 1),))
-            if chance.draw() < 0.15:
-                places.host(machine).planned_removal = 1
-        places.link_traffic[f"rack/r{at}"] = chance.draw() ** 2 * GIGA
-    return places, some_gang(chance, 4 + int(chance.draw() * 17))
+        for machine in machine_specs:
+            topology.reserve({machine: int(random_source.draw() ** 2 * 5)}, (("gpu", 1),))
+            if random_source.draw() < 0.15:
+                topology.host(machine).planned_removal = 1
+        topology.link_traffic[f"rack/r{index}"] = random_source.draw() ** 2 * GIGABYTE
+    return topology, random_gang(random_source, 4 + int(random_source.draw() * 17))
 
 
-def gaps(seed, cases):
+def heuristic_gaps(seed, case_count):
     """Relative gaps of the quick search to the exact best."""
-    chance, found = LinearCongruentialGenerator(seed), []
-    while len(found) < cases:
-        places, gang = small(chance)
-        scorer = placement_score.Scorer(places, gang, 0)
-        quick = placement_search.heuristic_search(scorer)
-        if quick:
-            best = scorer.total(placement_search.exact_search(scorer))
-            found.append(scorer.total(quick) / best - 1)
-    return found
-
-
-def solved(scorer, seconds):
+    random_source, gaps = LinearCongruentialGenerator(seed), []
+    while len(gaps) < case_count:
+        topology, gang = random_small_case(random_source)
+        scorer = placement_score.Scorer(topology, gang, 0)
+        heuristic = placement_search.heuristic_search(scorer)
+        if heuristic:
+            optimum = scorer.total(placement_search.exact_search(scorer))
+            gaps.append(scorer.total(heuristic) / optimum - 1)
+    return gaps
+
+
+def solve_ring(scorer, time_limit):
     """(best total or None, what no placement is under) of a ring by HiGHS, as a program in whole numbers: a yardstick
     that shares no search with ours. A ring crosses each rack's and site's uplink that it enters and is not all within,
     once each way."""
-    weights, workers, much = scorer.weights, scorer.workers, scorer.gang.bytes
-    racks = [at for at, room in enumerate(scorer.capacity) if room > 0]
-    groups = [
-        ([at], scorer.rack_background_load[at] + much * scorer.rack_load_per_byte[at])
-        for at in racks
+    weights, workers, step_bytes = scorer.weights, scorer.workers, scorer.gang.bytes
+    usable_racks = [index for index, capacity in enumerate(scorer.capacity) if capacity > 0]
+    uplinks = [
+        (
+            [index],
+            scorer.rack_background_load[index] + step_bytes * scorer.rack_load_per_byte[index],
+        )
+        for index in usable_racks
     ]
-    for site, (_, base, rate) in enumerate(scorer.sites):
-        inside = [at for at in racks if site in (scorer.rack_zone[at], scorer.rack_cluster[at])]
-        groups += [(inside, base + much * rate)] if inside else []
-    bases = [scorer.rack_background_load[at] for at in racks] + [
-        base
-        for site, (_, base, _) in enumerate(scorer.sites)
-        if any(site in (scorer.rack_zone[at], scorer.rack_cluster[at]) for at in racks)
+    for site, (_, background, load_per_byte) in enumerate(scorer.sites):
+        racks_below = [
+            index
+            for index in usable_racks
+            if site in (scorer.rack_zone[index], scorer.rack_cluster[index])
+        ]
+        uplinks += [(racks_below, background + step_bytes * load_per_byte)] if racks_below else []
+    background_loads = [scorer.rack_background_load[index] for index in usable_racks] + [
+        background
+        for site, (_, background, _) in enumerate(scorer.sites)
+        if any(
+            site in (scorer.rack_zone[index], scorer.rack_cluster[index]) for index in usable_racks
+        )
     ]
-    many, last = len(racks), 2 * len(racks) + 2 * len(groups)
-    place = {at: one for one, at in enumerate(racks)}
-    size = last + 2  # workers, planned, entered, all within, step, loss
-    price, rows, low, high = np.zeros(size), [], [], []
-    price[last], price[last + 1] = weights.step, weights.loss
-
-    def row(least, most):
-        rows.append(np.zeros(size))
-        low.append(least)
-        high.append(most)
+    rack_count, step_variable = len(usable_racks), 2 * len(usable_racks) + 2 * len(uplinks)
+    variable_of_rack = {index: variable for variable, index in enumerate(usable_racks)}
+    variable_count = step_variable + 2  # workers, planned, entered, all within, step, loss
+    objective, rows, row_lower, row_upper = np.zeros(variable_count), [], [], []
+    objective[step_variable], objective[step_variable + 1] = weights.step, weights.loss
+
+    def add_row(lower, upper):
+        rows.append(np.zeros(variable_count))
+        row_lower.append(lower)
+        row_upper.append(upper)
         return rows[-1]
 
-    row(workers, workers)[:many] = 1
-    for at, one in place.items():
-        price[one] -= weights.fragments / scorer.slots[at]
-        price[many + one] = weights.planned
-        price[2 * many + one] += weights.fragments * scorer.capacity[at] / scorer.slots[at]
-        line = row(-scorer.unplanned_capacity[at] / workers, np.inf)
-        line[many + one], line[one] = 1, -1 / workers
-        line = row(0, np.inf)
-        line[last + 1], line[one] = 1, -1 / workers
-    for at, (inside, load) in enumerate(groups):
-        entered, within = 2 * many + at, 2 * many + len(groups) + at
-        over = weights.harm * max(0.0, load - 1) * (bases[at] > 0)
-        price[entered] += over
-        price[within] -= over
-        line = row(-np.inf, 0)
-        line[[place[rack] for rack in inside]] = 1
-        line[entered] = -min(workers, sum(scorer.capacity[rack] for rack in inside))
-        line = row(0, np.inf)
-        line[[place[rack] for rack in inside]] = 1
-        line[within] = -workers
-        line = row(0, np.inf)
-        line[last], line[entered], line[within] = 1, -load, load
-    top = np.concatenate(
+    add_row(workers, workers)[:rack_count] = 1
+    for index, variable in variable_of_rack.items():
+        objective[variable] -= weights.fragments / scorer.slots[index]
+        objective[rack_count + variable] = weights.planned
+        objective[2 * rack_count + variable] += (
+            weights.fragments * scorer.capacity[index] / scorer.slots[index]
+        )
+        coefficients = add_row(-scorer.unplanned_capacity[index] / workers, np.inf)
+        coefficients[rack_count + variable], coefficients[variable] = 1, -1 / workers
+        coefficients = add_row(0, np.inf)
+        coefficients[step_variable + 1], coefficients[variable] = 1, -1 / workers
+    for index, (racks_below, load) in enumerate(uplinks):
+        entered_variable, within_variable = (
+            2 * rack_count + index,
+            2 * rack_count + len(uplinks) + index,
+        )
+        overload_cost = weights.harm * max(0.0, load - 1) * (background_loads[index] > 0)
+        objective[entered_variable] += overload_cost
+        objective[within_variable] -= overload_cost
+        coefficients = add_row(-np.inf, 0)
+        coefficients[[variable_of_rack[rack] for rack in racks_below]] = 1
+        coefficients[entered_variable] = -min(
+            workers, sum(scorer.capacity[rack] for rack in racks_below)
+        )
+        coefficients = add_row(0, np.inf)
+        coefficients[[variable_of_rack[rack] for rack in racks_below]] = 1
+        coefficients[within_variable] = -workers
+        coefficients = add_row(0, np.inf)
+        (
+            coefficients[step_variable],
+            coefficients[entered_variable],
+            coefficients[within_variable],
+        ) = 1, -load, load
+    upper_bounds = np.concatenate(
         [
-            [min(workers, scorer.capacity[at]) for at in racks],
-            np.ones(many + 2 * len(groups)),
+            [min(workers, scorer.capacity[index]) for index in usable_racks],
+            np.ones(rack_count + 2 * len(uplinks)),
             [np.inf, 1],
         ]
     )
-    least = np.zeros(size)
-    least[last] = scorer.min_step
-    whole = np.concatenate([np.ones(many), np.zeros(many), np.ones(2 * len(groups)), [0, 0]])
-    answer = milp(
-        price,
-        integrality=whole,
-        bounds=Bounds(least, top),
-        constraints=LinearConstraint(np.array(rows), low, high),
-        options={"time_limit": seconds, "mip_rel_gap": 1e-6},
+    lower_bounds = np.zeros(variable_count)
+    lower_bounds[step_variable] = scorer.min_step
+    integrality = np.concatenate(
+        [np.ones(rack_count), np.zeros(rack_count), np.ones(2 * len(uplinks)), [0, 0]]
     )
-    return answer.fun, answer.mip_dual_bound
+    solution = milp(
+        objective,
+        integrality=integrality,
+        bounds=Bounds(lower_bounds, upper_bounds),
+        constraints=LinearConstraint(np.array(rows), row_lower, row_upper),
+        options={"time_limit": time_limit, "mip_rel_gap": 1e-6},
+    )
+    return solution.fun, solution.mip_dual_bound
 
 
-def against_solver(seed, cases, vast):
+def compare_with_solver(seed, small_count, large_count):
     """(most that exact and HiGHS differ on small rings, gaps to what HiGHS finds in 3 s at 200 racks). What it proves
     in that time is no yardstick there: its bound stays at the floor of a step."""
-    chance, apart, found = LinearCongruentialGenerator(seed + 99), [], []
-    while len(apart) < cases:
-        places, gang = small(chance)
+    random_source, differences, gaps = LinearCongruentialGenerator(seed + 99), [], []
+    while len(differences) < small_count:
+        topology, gang = random_small_case(random_source)
         scorer = placement_score.Scorer(
-            places, msgspec.structs.replace(gang, pattern="ring", matrix=[]), 0
+            topology, msgspec.structs.replace(gang, pattern="ring", matrix=[]), 0
         )
-        best = placement_search.exact_search(scorer)
-        if best:
-            apart.append(abs(solved(scorer, 10)[0] / scorer.total(best) - 1))
-    places = large(chance)
-    while len(found) < vast:
+        optimum = placement_search.exact_search(scorer)
+        if optimum:
+            differences.append(abs(solve_ring(scorer, 10)[0] / scorer.total(optimum) - 1))
+    topology = random_large_topology(random_source)
+    while len(gaps) < large_count:
         gang = Gang(
-            int(64 + 448 * chance.draw()), "ring", GIGA, 4 * SECOND, "p", SECOND, needs={"gpu": 1}
+            int(64 + 448 * random_source.draw()),
+            "ring",
+            GIGABYTE,
+            4 * SECOND,
+            "p",
+            SECOND,
+            needs={"gpu": 1},
         )
-        scorer = placement_score.Scorer(places, gang, 0)
-        found.append(
-            scorer.total(placement_search.heuristic_search(scorer)) / solved(scorer, 3)[0] - 1
+        scorer = placement_score.Scorer(topology, gang, 0)
+        gaps.append(
+            scorer.total(placement_search.heuristic_search(scorer)) / solve_ring(scorer, 3)[0] - 1
         )
-        places.reserve(
-            placement_search.find_placement(places, gang, 0).placement, gang.resource_shape()
+        topology.reserve(
+            placement_search.find_placement(topology, gang, 0).placement, gang.resource_shape()
         )
-    return max(apart), found
+    return max(differences), gaps
 
 
 # -- a network of its own ---------------------------------------------------------------------------------------------
 
 
-def pairs(gang):
+def worker_pairs(gang):
     """Arrays (from, to, bytes) of all pairs of workers that talk, from what the patterns mean."""
     count = gang.workers
-    one, other = np.divmod(np.arange(count * count), count)
+    sender, receiver = np.divmod(np.arange(count * count), count)
     if gang.pattern == "ring":
-        much = gang.bytes * (other == (one + 1) % count)
+        pair_bytes = gang.bytes * (receiver == (sender + 1) % count)
     elif gang.pattern == "all":
-        much = np.full(count * count, gang.bytes / (count - 1))
+        pair_bytes = np.full(count * count, gang.bytes / (count - 1))
     elif gang.pattern == "pipeline":
-        much = gang.bytes * (abs(one - other) == 1)
+        pair_bytes = gang.bytes * (abs(sender - receiver) == 1)
     elif gang.pattern == "tree":
-        up = np.array(
+        parents = np.array(
             tree_parents(count)
         )  # which tree it is, is agreed; what it loads is counted here
-        much = gang.bytes * ((up[one] == other) | (up[other] == one))
+        pair_bytes = gang.bytes * ((parents[sender] == receiver) | (parents[receiver] == sender))
     else:
-        size = count // len(gang.matrix)
-        here, there = one // size, other // size
-        much = np.array(gang.matrix)[here, there] / np.maximum(1, size - (here == there))
-    keep = (much > 0) & (one != other)
-    return one[keep], other[keep], much[keep].astype(float)
+        part_size = count // len(gang.matrix)
+        sender_part, receiver_part = sender // part_size, receiver // part_size
+        pair_bytes = np.array(gang.matrix)[sender_part, receiver_part] / np.maximum(
+            1, part_size - (sender_part == receiver_part)
+        )
+    selected = (pair_bytes > 0) & (sender != receiver)
+    return sender[selected], receiver[selected], pair_bytes[selected].astype(float)
 
 
 class Network:
     """Directed links: each rack's, zone's and cluster's uplink, up and down. Flows share them max-min fairly."""
 
-    def __init__(self, places):
-        names = sorted(places.racks)
-        zones = sorted({(rack.cluster, rack.zone) for rack in places.racks.values()})
-        clusters = sorted({rack.cluster for rack in places.racks.values()})
-        self.place = {name: at for at, name in enumerate(names)}
-        racks = [places.racks[name] for name in names]
-        self.zone = np.array([zones.index((rack.cluster, rack.zone)) for rack in racks])
-        self.cluster = np.array([clusters.index(rack.cluster) for rack in racks])
-        wide = (
+    def __init__(self, topology):
+        rack_names = sorted(topology.racks)
+        zones = sorted({(rack.cluster, rack.zone) for rack in topology.racks.values()})
+        clusters = sorted({rack.cluster for rack in topology.racks.values()})
+        self.rack_index = {name: index for index, name in enumerate(rack_names)}
+        racks = [topology.racks[name] for name in rack_names]
+        self.zone_index = np.array([zones.index((rack.cluster, rack.zone)) for rack in racks])
+        self.cluster_index = np.array([clusters.index(rack.cluster) for rack in racks])
+        uplink_bandwidths = (
             [rack.bandwidth for rack in racks]
-            + [places.uplinks.get(f"zone/{cluster}/{zone}", np.inf) for cluster, zone in zones]
-            + [places.uplinks.get(f"cluster/{cluster}", np.inf) for cluster in clusters]
+            + [topology.uplinks.get(f"zone/{cluster}/{zone}", np.inf) for cluster, zone in zones]
+            + [topology.uplinks.get(f"cluster/{cluster}", np.inf) for cluster in clusters]
         )
-        self.zones_at, self.clusters_at = len(racks), len(racks) + len(zones)
-        self.wide = np.array(wide + wide, float)
-        self.links = len(wide)
-        self.host = racks[0].link
+        self.first_zone_link, self.first_cluster_link = len(racks), len(racks) + len(zones)
+        self.bandwidths = np.array(uplink_bandwidths + uplink_bandwidths, float)
+        self.link_count = len(uplink_bandwidths)
+        self.machine_bandwidth = racks[0].link
 
     def flows(self, gang, counts):
         """(routes, bytes, how many) of the gang's flows, those of like rack and bytes together."""
-        rack_of = np.concatenate([np.full(many, self.place[name]) for name, many in counts])
-        one, other, much = pairs(gang)
-        here, there = rack_of[one], rack_of[other]
-        keys = np.stack([here, there, np.round(much)], 1)[here != there]
+        rack_of_rank = np.concatenate(
+            [np.full(workers, self.rack_index[name]) for name, workers in counts]
+        )
+        senders, receivers, pair_bytes = worker_pairs(gang)
+        source, target = rack_of_rank[senders], rack_of_rank[receivers]
+        keys = np.stack([source, target, np.round(pair_bytes)], 1)[source != target]
         if not len(keys):
             return np.zeros((0, 6), int), np.zeros(0), np.zeros(0)
-        keys, many = np.unique(keys, axis=0, return_counts=True)
-        here, there = keys[:, 0].astype(int), keys[:, 1].astype(int)
+        keys, flow_counts = np.unique(keys, axis=0, return_counts=True)
+        source, target = keys[:, 0].astype(int), keys[:, 1].astype(int)
         routes = np.full((len(keys), 6), -1)
-        routes[:, 0], routes[:, 1] = here, there + self.links
-        apart = self.zone[here] != self.zone[there]
-        routes[apart, 2] = self.zones_at + self.zone[here[apart]]
-        routes[apart, 3] = self.zones_at + self.zone[there[apart]] + self.links
-        apart = self.cluster[here] != self.cluster[there]
-        routes[apart, 4] = self.clusters_at + self.cluster[here[apart]]
-        routes[apart, 5] = self.clusters_at + self.cluster[there[apart]] + self.links
-        return routes, keys[:, 2], many.astype(float)
-
-    def rates(self, routes, many, most):
+        routes[:, 0], routes[:, 1] = source, target + self.link_count
+        crossing = self.zone_index[source] != self.zone_index[target]
+        routes[crossing, 2] = self.first_zone_link + self.zone_index[source[crossing]]
+        routes[crossing, 3] = (
+            self.first_zone_link + self.zone_index[target[crossing]] + self.link_count
+        )
+        crossing = self.cluster_index[source] != self.cluster_index[target]
+        routes[crossing, 4] = self.first_cluster_link + self.cluster_index[source[crossing]]
+        routes[crossing, 5] = (
+            self.first_cluster_link + self.cluster_index[target[crossing]] + self.link_count
+        )
+        return routes, keys[:, 2], flow_counts.astype(float)
+
+    def max_min_rates(self, routes, flow_counts, max_rates):
         """Bytes a second of each flow of a group, max-min fair, none above its `most`: progressive filling."""
-        rates, at, level = np.zeros(len(routes)), np.arange(len(routes)), 0.0
-        left, used = self.wide.copy(), routes >= 0
-        while len(at):
-            on = used[at]
+        rates, active, level = np.zeros(len(routes)), np.arange(len(routes)), 0.0
+        free_bandwidth, uses_link = self.bandwidths.copy(), routes >= 0
+        while len(active):
+            active_uses = uses_link[active]
             load = np.bincount(
-                routes[at][on], np.broadcast_to(many[at][:, None], on.shape)[on], len(left)
+                routes[active][active_uses],
+                np.broadcast_to(flow_counts[active][:, None], active_uses.shape)[active_uses],
+                len(free_bandwidth),
             )
             with np.errstate(divide="ignore", invalid="ignore"):
-                room = np.where(load > 0, left / load, np.inf)
-            step = max(0.0, min(room.min(), most[at].min() - level))
-            level += step
-            left -= step * load
-            tight = (left <= 1e-6 * self.wide) & (load > 0)
-            full = (on & tight[np.where(on, routes[at], 0)]).any(1) | (
-                most[at] <= level * (1 + 1e-9)
+                headroom = np.where(load > 0, free_bandwidth / load, np.inf)
+            increment = max(0.0, min(headroom.min(), max_rates[active].min() - level))
+            level += increment
+            free_bandwidth -= increment * load
+            saturated = (free_bandwidth <= 1e-6 * self.bandwidths) & (load > 0)
+            frozen = (active_uses & saturated[np.where(active_uses, routes[active], 0)]).any(1) | (
+                max_rates[active] <= level * (1 + 1e-9)
             )
-            rates[at[full]] = level
-            at = at[~full]
+            rates[active[frozen]] = level
+            active = active[~frozen]
         return rates
 
-    def together(self, flows):
+    def merge_flows(self, flows):
         """Demands of many gangs, [(flows, seconds of a step)], as (routes, how many, most) with those of one route and
         nearly one demand in one group: the filling takes a round for each demand that differs."""
-        routes = np.concatenate([some for (some, _, _), _ in flows])
-        most = np.concatenate([much / target for (_, much, _), target in flows])
-        many = np.concatenate([some for (_, _, some), _ in flows])
-        steps = np.round(np.log2(np.maximum(1.0, most)))
-        keys, group = np.unique(
-            np.column_stack([routes[:, 0], routes[:, 1], steps]), axis=0, return_inverse=True
+        routes = np.concatenate([part for (part, _, _), _ in flows])
+        max_rates = np.concatenate([flow_bytes / target for (_, flow_bytes, _), target in flows])
+        flow_counts = np.concatenate([part for (_, _, part), _ in flows])
+        exponents = np.round(np.log2(np.maximum(1.0, max_rates)))
+        keys, group_index = np.unique(
+            np.column_stack([routes[:, 0], routes[:, 1], exponents]), axis=0, return_inverse=True
         )
-        group = group.reshape(-1)
-        first = np.zeros(len(keys), int)
-        first[group] = np.arange(len(group))
-        total = np.bincount(group, many * most)
-        return routes[first], total / 2.0 ** keys[:, 2], 2.0 ** keys[:, 2]
+        group_index = group_index.reshape(-1)
+        representative = np.zeros(len(keys), int)
+        representative[group_index] = np.arange(len(group_index))
+        total_rates = np.bincount(group_index, flow_counts * max_rates)
+        return routes[representative], total_rates / 2.0 ** keys[:, 2], 2.0 ** keys[:, 2]
 
-    def step(self, gang, flows, others):
+    def step_seconds(self, gang, flows, others):
         """Seconds of a step: until the last byte is there, while others send as much as their targets ask for."""
-        routes, much, many = flows
-        sent = gang.busiest_worker_bytes() / self.host
+        routes, flow_bytes, flow_counts = flows
+        own_link_seconds = gang.busiest_worker_bytes() / self.machine_bandwidth
         if not len(routes):
-            return sent
-        mine = len(routes)
-        theirs, some, most = self.together(others)
-        rates = self.rates(
-            np.concatenate([routes, theirs]),
-            np.concatenate([many, some]),
-            np.concatenate([np.full(mine, float(self.host)), most]),
+            return own_link_seconds
+        own_count = len(routes)
+        other_routes, other_counts, other_rates = self.merge_flows(others)
+        rates = self.max_min_rates(
+            np.concatenate([routes, other_routes]),
+            np.concatenate([flow_counts, other_counts]),
+            np.concatenate([np.full(own_count, float(self.machine_bandwidth)), other_rates]),
         )
-        return max(sent, float((much / np.maximum(1.0, rates[:mine])).max()))
+        return max(own_link_seconds, float((flow_bytes / np.maximum(1.0, rates[:own_count])).max()))
 
 
-def large(chance):
+def random_large_topology(random_source):
     """200 racks of 25 machines of 8 slots in 20 zones of 4 clusters; some machines of each rack are others'."""
-    places = Topology(
+    topology = Topology(
         uplinks={
-            **{f"zone/c{at % 4}/z{at}": 40 * GIGA for at in range(20)},
-            **{f"cluster/c{at}": 50 * GIGA for at in range(4)},
+            **{f"zone/c{index % 4}/z{index}": 40 * GIGABYTE for index in range(20)},
+            **{f"cluster/c{index}": 50 * GIGABYTE for index in range(4)},
         }
     )
-    for at in range(200):
-        zone = at % 20
-        places.add_rack(
-            f"r{at:03}",
+    for index in range(200):
+        zone = index % 20
+        topology.add_rack(
+            f"r{index:03}",
             f"z{zone}",
             f"c{zone % 4}",
-            10 * GIGA,
-            {f"r{at:03}m{one:02}": MachineSpec(8, {"gpu": 8}) for one in range(25)},
+            10 * GIGABYTE,
+            {f"r{index:03}m{number:02}": MachineSpec(8, {"gpu": 8}) for number in range(25)},
         )
-        for machine in places.racks[f"r{at:03}"].hosts:
-            if chance.draw() < 0.4:
-                places.reserve({machine: 1 + int(chance.draw() * 8)}, (("gpu", 1),))
-            if chance.draw() < 0.03:
-                places.host(machine).planned_removal = 1
-    return places
-
-
-def filled(seed, how, gangs):
-    """A fleet filled by one way of placing; (places, [(gang, counts)], milliseconds of each search)."""
-    chance = LinearCongruentialGenerator(seed)
-    places, placed, took = large(chance), [], []
-    for _ in range(gangs):
-        gang = some_gang(chance, int(2 * 256 ** chance.draw()), 2 * GIGA)
-        began = time.process_time()
-        plan = placement_search.find_placement(places, gang, 0, search=how)
-        took.append(1000 * (time.process_time() - began))
+        for machine in topology.racks[f"r{index:03}"].hosts:
+            if random_source.draw() < 0.4:
+                topology.reserve({machine: 1 + int(random_source.draw() * 8)}, (("gpu", 1),))
+            if random_source.draw() < 0.03:
+                topology.host(machine).planned_removal = 1
+    return topology
+
+
+def fill_topology(seed, search, gang_count):
+    """A fleet filled by one way of placing; (places, [(gang, workers_by_rack)], milliseconds of each search)."""
+    random_source = LinearCongruentialGenerator(seed)
+    topology, placed, search_ms = random_large_topology(random_source), [], []
+    for _ in range(gang_count):
+        gang = random_gang(random_source, int(2 * 256 ** random_source.draw()), 2 * GIGABYTE)
+        started_at = time.process_time()
+        plan = placement_search.find_placement(topology, gang, 0, search=search)
+        search_ms.append(1000 * (time.process_time() - started_at))
         if plan:
-            places.reserve(plan.placement, gang.resource_shape())
-            counts = places.workers_by_rack(plan.placement)
-            placement_score.add_traffic(places, gang, counts)
-            placed.append((gang, counts))
-    return places, placed, took
+            topology.reserve(plan.placement, gang.resource_shape())
+            workers_by_rack = topology.workers_by_rack(plan.placement)
+            placement_score.add_traffic(topology, gang, workers_by_rack)
+            placed.append((gang, workers_by_rack))
+    return topology, placed, search_ms
 
 
-def steps(places, placed, every):
+def step_ratios(topology, placed, stride):
     """Seconds of a step by the network, over its target, of each `every`th gang."""
-    network, order = Network(places), places.rack_order()
+    network, order = Network(topology), topology.rack_order()
     flows = [
         network.flows(gang, [(name, counts[name]) for name in order if name in counts])
         for gang, counts in placed
     ]
-    found = []
-    for at in range(0, len(placed), every):
-        gang = placed[at][0]
+    ratios = []
+    for index in range(0, len(placed), stride):
+        gang = placed[index][0]
         others = [
-            (flows[other], placed[other][0].target / SECOND)
-            for other in range(len(placed))
-            if other != at
+            (flows[other_index], placed[other_index][0].target / SECOND)
+            for other_index in range(len(placed))
+            if other_index != index
         ]
-        found.append(network.step(gang, flows[at], others) / (gang.target / SECOND))
-    return np.array(found)
+        ratios.append(network.step_seconds(gang, flows[index], others) / (gang.target / SECOND))
+    return np.array(ratios)
 
 
-def fleets(seed, gangs):
-    ways = {
+def compare_placement_methods(seed, gang_count):
+    searches = {
         "search": None,
         "first_fit": placement_search.first_fit,
         "random": placement_search.random_fit(LinearCongruentialGenerator(seed + 7)),
         "packing": placement_search.pack_fullest_first,
         "spreading": placement_search.spread_evenly,
     }
-    found, took, first, began = {}, [], None, time.monotonic()
-    for name, how in ways.items():
-        places, placed, some = filled(seed, how, gangs)
-        found[name] = steps(places, placed, 2)
+    ratios, search_ms, placed_count, started_at = {}, [], None, time.monotonic()
+    for name, search in searches.items():
+        topology, placed, method_search_ms = fill_topology(seed, search, gang_count)
+        ratios[name] = step_ratios(topology, placed, 2)
         if name == "search":
-            took, first = some, len(placed)
+            search_ms, placed_count = method_search_ms, len(placed)
         print(
-            f"{time.monotonic() - began:.1f} s {name}: {len(placed)} gangs, step over target "
-            f"{found[name].mean():.3f} mean, {np.median(found[name]):.3f} p50, "
-            f"{np.quantile(found[name], 0.95):.3f} p95, {(found[name] > 1).mean():.2f} late, "
-            f"search {np.mean(some):.1f} ms",
+            f"{time.monotonic() - started_at:.1f} s {name}: {len(placed)} gangs, step over target "
+            f"{ratios[name].mean():.3f} mean, {np.median(ratios[name]):.3f} p50, "
+            f"{np.quantile(ratios[name], 0.95):.3f} p95, {(ratios[name] > 1).mean():.2f} late, "
+            f"search {np.mean(method_search_ms):.1f} ms",
             flush=True,
         )
-    return found, took, first
+    return ratios, search_ms, placed_count
 
 
 # -- a play of two schedulers -----------------------------------------------------------------------------------------
 
 
-def wrongs(image):
+def count_violations(image):
     """(half placed, slots twice), counted from the image alone."""
-    used, half = {}, 0
-    for life in image["gangs"].values():
-        many = sum(life["places"].values())
-        half += many not in (
+    used_slots, half_placed = {}, 0
+    for record in image["gangs"].values():
+        placed_workers = sum(record["places"].values())
+        half_placed += placed_workers not in (
             (0,)
-            if life["state"] == "offered"
-            else range(life["gang"]["workers"] + 1)
-            if life["state"] == "hurt"
-            else (life["gang"]["workers"],)
+            if record["state"] == "offered"
+            else range(record["gang"]["workers"] + 1)
+            if record["state"] == "hurt"
+            else (record["gang"]["workers"],)
         )
-        half += life["state"] in STATES_WITH_LEASE and life["lease"] <= image["at"]
-        for machine, some in life["places"].items():
-            used[machine] = used.get(machine, 0) + some
-    return half, sum(
-        used.get(machine, 0) > host["slots"]
+        half_placed += record["state"] in STATES_WITH_LEASE and record["lease"] <= image["at"]
+        for machine, workers in record["places"].items():
+            used_slots[machine] = used_slots.get(machine, 0) + workers
+    return half_placed, sum(
+        used_slots.get(machine, 0) > host["slots"]
         for rack in image["places"]["racks"].values()
         for machine, host in rack["hosts"].items()
     )
 
 
-def simulate_schedulers(seed, turns, kind=state_machine.GangStateMachine):
+def simulate_schedulers(seed, turn_count, state_machine_class=state_machine.GangStateMachine):
     """Two schedulers that score at once over 8 racks and commit later, in any order, die between hold and bind, while
     racks and machines are lost and come back and drains ask. Answers sums by name."""
-    chance, machine, at = LinearCongruentialGenerator(seed), kind(), 0
-    sums = {
+    random_source, replica, now = LinearCongruentialGenerator(seed), state_machine_class(), 0
+    counts = {
         "half_placed": 0,
         "slots_twice": 0,
         "holds": 0,
@@ -433,177 +479,190 @@
         "preempted": 0,
     }
     for rack in range(8):
-        machine.apply(
-            at,
+        replica.apply(
+            now,
             {
                 "part": "gangs",
                 "do": "stand",
                 "rack": f"r{rack}",
                 "zone": f"z{rack // 3}",
                 "cluster": "c",
-                "bandwidth": GIGA,
-                "machines": {f"r{rack}m{one}": {"slots": 4, "has": {"gpu": 4}} for one in range(4)},
+                "bandwidth": GIGABYTE,
+                "machines": {
+                    f"r{rack}m{number}": {"slots": 4, "has": {"gpu": 4}} for number in range(4)
+                },
             },
         )
     for publisher in range(3):
-        machine.apply(
-            at, {"part": "gangs", "do": "share", "publisher": f"p{publisher}", "thousandths": 333}
+        replica.apply(
+            now, {"part": "gangs", "do": "share", "publisher": f"p{publisher}", "thousandths": 333}
         )
 
-    def do(what, **fields):
-        reply = machine.apply(at, {"part": "gangs", "do": what, **fields})
-        half, twice = wrongs(machine.image())
-        sums["half_placed"] += half
-        sums["slots_twice"] += twice
+    def apply(operation, **fields):
+        reply = replica.apply(now, {"part": "gangs", "do": operation, **fields})
+        half_placed, slots_twice = count_violations(replica.image())
+        counts["half_placed"] += half_placed
+        counts["slots_twice"] += slots_twice
         return reply
 
-    def pick(names):
+    def choose(names):
         names = list(names)
-        return names[int(chance.draw() * len(names))] if names else None
+        return names[int(random_source.draw() * len(names))] if names else None
 
-    wanted = [None, None]  # what each scheduler has scored and not committed yet
-    everywhere = [f"r{rack}m{one}" for rack in range(8) for one in range(4)]
-    for turn in range(turns):
-        at += int(chance.draw() * 4 * SECOND)
-        gangs = machine.state.gangs
+    pending_plans = [None, None]  # what each scheduler has scored and not committed yet
+    machine_names = [f"r{rack}m{number}" for rack in range(8) for number in range(4)]
+    for turn in range(turn_count):
+        now += int(random_source.draw() * 4 * SECOND)
+        gangs = replica.state.gangs
         in_state = {
-            name: [gang for gang, _ in group]
-            for name, group in groupby(
+            state: [gang for gang, _ in group]
+            for state, group in groupby(
                 sorted(
-                    ((gang, life.state) for gang, life in gangs.items()), key=lambda one: one[1]
+                    ((gang, record.state) for gang, record in gangs.items()),
+                    key=lambda entry: entry[1],
                 ),
-                lambda one: one[1],
+                lambda entry: entry[1],
             )
         }
-        lot = chance.draw()
-        who = int(chance.draw() * 2)
-        if lot < 0.10 and len(gangs) < 30:
-            gang = some_gang(chance, 2 + int(chance.draw() * 24))
+        draw = random_source.draw()
+        scheduler = int(random_source.draw() * 2)
+        if draw < 0.10 and len(gangs) < 30:
+            gang = random_gang(random_source, 2 + int(random_source.draw() * 24))
             job = {name: getattr(gang, name) for name in gang.__struct_fields__}
-            do("offer", gang=f"g{turn}", job=job)
-        elif lot < 0.35:  # score
-            name = pick(machine.queue()[:2])
+            apply("offer", gang=f"g{turn}", job=job)
+        elif draw < 0.35:  # score
+            name = choose(replica.queue()[:2])
             plan = name and placement_search.find_placement(
-                machine.topology_with_traffic(), gangs[name].gang, at
+                replica.topology_with_traffic(), gangs[name].gang, now
             )
-            wanted[who] = plan and (name, plan)
-        elif lot < 0.60 and wanted[who]:
-            name, plan = wanted[who]
-            wanted[who] = None
-            reply = do("hold", gang=name, places=plan.placement, versions=plan.versions)
-            sums["holds"] += "ok" in reply
-            sums["stale"] += "scored at" in reply.get("refused", "")
+            pending_plans[scheduler] = plan and (name, plan)
+        elif draw < 0.60 and pending_plans[scheduler]:
+            name, plan = pending_plans[scheduler]
+            pending_plans[scheduler] = None
+            reply = apply("hold", gang=name, places=plan.placement, versions=plan.versions)
+            counts["holds"] += "ok" in reply
+            counts["stale"] += "scored at" in reply.get("refused", "")
             if (
                 "ok" in reply
-                and chance.draw() < 0.8
-                and "ok" in do("bind", gang=name, fence=reply["fence"])
+                and random_source.draw() < 0.8
+                and "ok" in apply("bind", gang=name, fence=reply["fence"])
             ):
-                do("start", gang=name, fence=reply["fence"])
-        elif lot < 0.72 and (name := pick(in_state.get("running", ()))):
-            sums["preempted"] += (
-                do("checkpoint", gang=name, fence=gangs[name].fence).get("next") == "yield"
+                apply("start", gang=name, fence=reply["fence"])
+        elif draw < 0.72 and (name := choose(in_state.get("running", ()))):
+            counts["preempted"] += (
+                apply("checkpoint", gang=name, fence=gangs[name].fence).get("next") == "yield"
             )
-        elif lot < 0.76 and (name := pick(in_state.get("running", ()))):
-            sums["done"] += "ok" in do("done", gang=name, fence=gangs[name].fence)
-        elif lot < 0.84 and (name := pick(in_state.get("hurt", ()))):
+        elif draw < 0.76 and (name := choose(in_state.get("running", ()))):
+            counts["done"] += "ok" in apply("done", gang=name, fence=gangs[name].fence)
+        elif draw < 0.84 and (name := choose(in_state.get("hurt", ()))):
             replacement = worker_replacement.replace_failed_workers(
-                machine.topology_with_traffic(), gangs[name].gang, at, gangs[name].placement, 0
+                replica.topology_with_traffic(),
+                gangs[name].gang,
+                now,
+                gangs[name].placement,
+                0,
             )
             if replacement:
                 plan = replacement.plan
-                reply = do(
+                reply = apply(
                     "mend",
                     gang=name,
                     fence=gangs[name].fence,
                     places=plan.placement,
                     versions=plan.versions,
                 )
-                sums["mended"] += "ok" in reply and "ok" in do(
+                counts["mended"] += "ok" in reply and "ok" in apply(
                     "start", gang=name, fence=reply["fence"]
                 )
-        elif lot < 0.87 and machine.queue() and (name := pick(in_state.get("running", ()))):
-            do("preempt", gang=name, by=machine.queue()[0])
-        elif 0.87 <= lot < 0.90:
-            sums["drained"] += "ok" in do(
-                "drain_asked", machine=pick(everywhere), drain="d", unit=chance.draw() < 0.3
+        elif draw < 0.87 and replica.queue() and (name := choose(in_state.get("running", ()))):
+            apply("preempt", gang=name, by=replica.queue()[0])
+        elif 0.87 <= draw < 0.90:
+            counts["drained"] += "ok" in apply(
+                "drain_asked",
+                machine=choose(machine_names),
+                drain="d",
+                unit=random_source.draw() < 0.3,
             )
-        elif 0.90 <= lot < 0.92:
-            kind_ = "rack" if chance.draw() < 0.3 else "machine"
-            sums["lost"] += "ok" in do(
+        elif 0.90 <= draw < 0.92:
+            lost_kind = "rack" if random_source.draw() < 0.3 else "machine"
+            counts["lost"] += "ok" in apply(
                 "lost",
-                kind=kind_,
-                name=pick(machine.state.topology.racks if kind_ == "rack" else everywhere),
+                kind=lost_kind,
+                name=choose(replica.state.topology.racks if lost_kind == "rack" else machine_names),
             )
-        elif 0.92 <= lot < 0.99:
-            do(
+        elif 0.92 <= draw < 0.99:
+            apply(
                 "back",
-                machine=pick(
+                machine=choose(
                     name
-                    for name in everywhere
-                    if machine.state.topology.host(name).capacity(()) < 1 or chance.draw() < 0.1
+                    for name in machine_names
+                    if replica.state.topology.host(name).capacity(()) < 1
+                    or random_source.draw() < 0.1
                 )
-                or everywhere[0],
+                or machine_names[0],
             )
         else:
-            do("tick")
-    return sums
+            apply("tick")
+    return counts
 
 
 def main():
-    reader = argparse.ArgumentParser()
-    reader.add_argument("--seed", type=int, default=1)
-    reader.add_argument("--cases", type=int, default=300)
-    reader.add_argument("--gangs", type=int, default=80)
-    reader.add_argument("--turns", type=int, default=12_000)
-    asked, began = reader.parse_args(), time.monotonic()
-    found = np.array(gaps(asked.seed, asked.cases))
+    parser = argparse.ArgumentParser()
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--cases", type=int, default=300)
+    parser.add_argument("--gangs", type=int, default=80)
+    parser.add_argument("--turns", type=int, default=12_000)
+    options, started_at = parser.parse_args(), time.monotonic()
+    gaps = np.array(heuristic_gaps(options.seed, options.cases))
     print(
-        f"{len(found)} small cases: gap {found.mean():.4f} mean, {found.max():.4f} most, {(found < 1e-9).mean():.2f} "
-        f"exact; {time.monotonic() - began:.1f} s",
+        f"{len(gaps)} small cases: gap {gaps.mean():.4f} mean, {gaps.max():.4f} most, {(gaps < 1e-9).mean():.2f} "
+        f"exact; {time.monotonic() - started_at:.1f} s",
         flush=True,
     )
-    apart, proved = against_solver(asked.seed, 40, 6)
+    max_difference, solver_gaps = compare_with_solver(options.seed, 40, 6)
     print(
-        f"rings against HiGHS: exact differs by {apart:.1e} at most on 40 small ones; 6 of 64 to 512 workers at 200 "
-        f"racks are {np.mean(proved):+.3f} mean, {max(proved):+.3f} most over what it finds in 3 s; "
-        f"{time.monotonic() - began:.1f} s",
+        f"rings against HiGHS: exact differs by {max_difference:.1e} at most on 40 small ones; 6 of 64 to 512 workers at 200 "
+        f"racks are {np.mean(solver_gaps):+.3f} mean, {max(solver_gaps):+.3f} most over what it finds in 3 s; "
+        f"{time.monotonic() - started_at:.1f} s",
         flush=True,
     )
-    by_way, took, placed = fleets(asked.seed, asked.gangs)
-    print(f"{time.monotonic() - began:.1f} s", flush=True)
-    sums = simulate_schedulers(asked.seed, asked.turns)
-    print(f"play: {sums}; {time.monotonic() - began:.1f} s", flush=True)
-    mean = {name: float(some.mean()) for name, some in by_way.items()}
+    ratios_by_method, search_ms, placed_count = compare_placement_methods(
+        options.seed, options.gangs
+    )
+    print(f"{time.monotonic() - started_at:.1f} s", flush=True)
+    counts = simulate_schedulers(options.seed, options.turns)
+    print(f"play: {counts}; {time.monotonic() - started_at:.1f} s", flush=True)
+    means = {name: float(ratios.mean()) for name, ratios in ratios_by_method.items()}
     print(
         json.dumps(
             {
-                "seed": asked.seed,
-                "gang_cases": len(found),
-                "gang_gap_mean": round(float(found.mean()), 4),
-                "gang_gap_most": round(float(found.max()), 4),
-                "gangs_placed": placed,
-                "gang_exact_off_solver": round(apart, 6),
-                "gang_ring_over_solver_mean": round(float(np.mean(proved)), 4),
-                "gang_ring_over_solver_most": round(max(proved), 4),
+                "seed": options.seed,
+                "gang_cases": len(gaps),
+                "gang_gap_mean": round(float(gaps.mean()), 4),
+                "gang_gap_most": round(float(gaps.max()), 4),
+                "gangs_placed": placed_count,
+                "gang_exact_off_solver": round(max_difference, 6),
+                "gang_ring_over_solver_mean": round(float(np.mean(solver_gaps)), 4),
+                "gang_ring_over_solver_most": round(max(solver_gaps), 4),
                 **{
-                    f"gang_step_over_{name}": round(mean["search"] / mean[name], 3)
-                    for name in mean
+                    f"gang_step_over_{name}": round(means["search"] / means[name], 3)
+                    for name in means
                     if name != "search"
                 },
                 **{
                     f"gang_step_p50_over_{name}": round(
-                        float(np.median(by_way["search"]) / np.median(some)), 3
+                        float(np.median(ratios_by_method["search"]) / np.median(ratios)), 3
                     )
-                    for name, some in by_way.items()
+                    for name, ratios in ratios_by_method.items()
                     if name != "search"
                 },
-                "gang_late_share": round(float((by_way["search"] > 1).mean()), 3),
-                "gang_ms_p50": round(float(np.quantile(took, 0.5)), 1),
-                "gang_ms_p99": round(float(np.quantile(took, 0.99)), 1),
-                "half_placed": sums.pop("half_placed"),
-                "slots_twice": sums.pop("slots_twice"),
-                **{f"play_{name}": many for name, many in sums.items()},
-                "took_s": round(time.monotonic() - began, 1),
+                "gang_late_share": round(float((ratios_by_method["search"] > 1).mean()), 3),
+                "gang_ms_p50": round(float(np.quantile(search_ms, 0.5)), 1),
+                "gang_ms_p99": round(float(np.quantile(search_ms, 0.99)), 1),
+                "half_placed": counts.pop("half_placed"),
+                "slots_twice": counts.pop("slots_twice"),
+                **{f"play_{name}": count for name, count in counts.items()},
+                "took_s": round(time.monotonic() - started_at, 1),
             }
         )
     )
