--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -19,18 +19,19 @@
     vast_compared,
 )
 
-BEFORE = "at:91b8f20"  # the decisions as the fleet trial first met them
-BEFORE_VAST = "at:9db9198"  # and as the vast days did
-BEFORE_MASS = "at:292be0d"  # and as the mass days did
+DEFAULT_BASELINE = "at:91b8f20"  # the decisions as the fleet trial first met them
+DEFAULT_VAST_BASELINE = "at:9db9198"  # and as the vast days did
+DEFAULT_MASS_BASELINE = "at:292be0d"  # and as the mass days did
 
 
 def main(arguments):
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
-        "--before", help=f"of the usual kinds, {BEFORE} if left out, and of mass, {BEFORE_MASS}"
+        "--before",
+        help=f"of the usual kinds, {DEFAULT_BASELINE} if left out, and of mass, {DEFAULT_MASS_BASELINE}",
     )
-    parser.add_argument("--before-vast", default=BEFORE_VAST)
+    parser.add_argument("--before-vast", default=DEFAULT_VAST_BASELINE)
     parser.add_argument("--vast-days", type=int, default=7, help="of each vast kind")
     parser.add_argument("--mass-days", type=int, default=4, help="of each mass kind")
     parser.add_argument("--days", type=int, default=4, help="of each kind")
@@ -43,92 +44,105 @@
         help="vast: the three vast ones, mass: the four mass ones",
     )
     parser.add_argument("--short", action="store_true")
-    told = parser.parse_args(arguments)
-    size, vast_size, mass_size = {"instances": told.instances, "pods": told.pods}, {}, {}
+    options = parser.parse_args(arguments)
+    size, vast_size, mass_size = {"instances": options.instances, "pods": options.pods}, {}, {}
     days, vast_days, mass_days, before = (
-        told.days,
-        told.vast_days,
-        told.mass_days,
-        told.before or BEFORE,
+        options.days,
+        options.vast_days,
+        options.mass_days,
+        options.before or DEFAULT_BASELINE,
     )
-    if told.short:
+    if options.short:
         size, days, vast_days = {"instances": 12, "pods": 9, "seconds": 12, "load": 0.4}, 1, 1
         vast_size, mass_size, mass_days = (
             {**size, "seconds": 16},
             {"instances": 12, "pods": 9, "seconds": 20},
             1,
         )
-    begin, kinds = time.monotonic(), told.kinds.split(",")
-    vast = (
+    started_at, kinds = time.monotonic(), options.kinds.split(",")
+    vast_kinds = (
         large_fleet_scenarios.VAST
         if "vast" in kinds
-        else tuple(one for one in kinds if one in large_fleet_scenarios.VAST)
+        else tuple(requested for requested in kinds if requested in large_fleet_scenarios.VAST)
     )
-    mass = (
+    mass_kinds = (
         large_fleet_scenarios.MASS
         if "mass" in kinds
-        else tuple(one for one in kinds if one in large_fleet_scenarios.MASS)
+        else tuple(requested for requested in kinds if requested in large_fleet_scenarios.MASS)
     )
-    usual = [one for one in kinds if one in large_fleet_scenarios.KINDS]
-    figures = {"seed": told.seed}
-    if usual:
+    standard_kinds = [requested for requested in kinds if requested in large_fleet_scenarios.KINDS]
+    figures = {"seed": options.seed}
+    if standard_kinds:
         pairs = crowds_compared(
-            before, "now", usual, range(told.seed, told.seed + days), size, told.workers
+            before,
+            "now",
+            standard_kinds,
+            range(options.seed, options.seed + days),
+            size,
+            options.workers,
         )
-        some = crowd_figures(pairs)
-        for kind, one in some.pop("by_kind").items():
+        standard_figures = crowd_figures(pairs)
+        for kind, kind_figures in standard_figures.pop("by_kind").items():
             print(
                 f"{kind:9}",
-                *(f"{name} {of['before']:.3f} -> {of['now']:.3f}" for name, of in one.items()),
+                *(
+                    f"{name} {means['before']:.3f} -> {means['now']:.3f}"
+                    for name, means in kind_figures.items()
+                ),
             )
-        figures.update(days=len(pairs), **size, before=before, **some)
-    if vast:
+        figures.update(days=len(pairs), **size, before=before, **standard_figures)
+    if vast_kinds:
         pairs = crowds_compared(
-            told.before_vast,
+            options.before_vast,
             "now",
-            vast,
-            range(told.seed, told.seed + vast_days),
+            vast_kinds,
+            range(options.seed, options.seed + vast_days),
             vast_size,
-            told.workers,
+            options.workers,
         )
         figures["vast"] = {
             "days": len(pairs),
-            "before": told.before_vast,
+            "before": options.before_vast,
             **vast_compared(pairs),
-            "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5],
+            "breaches": [breach for pair in pairs for breach in pair[1]["breaches"]][:5],
         }
-        for kind in vast:
-            told_of = figures["vast"][kind]
+        for kind in vast_kinds:
+            figures_by_name = figures["vast"][kind]
             print(
                 f"{kind:9}",
                 *(
-                    f"{name} {one['before']} -> {one['now']}"
-                    for name, one in told_of.items()
-                    if isinstance(one, dict)
+                    f"{name} {values['before']} -> {values['now']}"
+                    for name, values in figures_by_name.items()
+                    if isinstance(values, dict)
                 ),
             )
-    if mass:
-        before = told.before or BEFORE_MASS
+    if mass_kinds:
+        before = options.before or DEFAULT_MASS_BASELINE
         pairs = crowds_compared(
-            before, "now", mass, range(told.seed, told.seed + mass_days), mass_size, told.workers
+            before,
+            "now",
+            mass_kinds,
+            range(options.seed, options.seed + mass_days),
+            mass_size,
+            options.workers,
         )
         figures["mass"] = {
             "days": len(pairs),
             "before": before,
             **mass_compared(pairs),
-            "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5],
+            "breaches": [breach for pair in pairs for breach in pair[1]["breaches"]][:5],
         }
-        for kind in (*mass, "all"):
-            told_of = figures["mass"][kind]
+        for kind in (*mass_kinds, "all"):
+            figures_by_name = figures["mass"][kind]
             print(
                 f"{kind:9}",
                 *(
-                    f"{name} {one['before']} -> {one['now']}"
-                    for name, one in told_of.items()
-                    if isinstance(one, dict)
+                    f"{name} {values['before']} -> {values['now']}"
+                    for name, values in figures_by_name.items()
+                    if isinstance(values, dict)
                 ),
             )
-    print(json.dumps({**figures, "took_s": round(time.monotonic() - begin)}))
+    print(json.dumps({**figures, "took_s": round(time.monotonic() - started_at)}))
     return 0
 
 
