--- a/measure/load.py
+++ b/measure/load.py
@@ -49,7 +49,7 @@
         )
 
 
-def drive(port, rate, seconds, seed, request_class="read", connections=16, time_left_ms=2000):
+def drive(port, rate, seconds, seed, request_class="read", connections=16, timeout_ms=2000):
     """[(second of the sending, seconds it took, how it ended, its id)] of transactions at this rate, in whole over
     so many connections. Bounded by its time."""
     random_source, results, lock = random.Random(seed), [], threading.Lock()
@@ -80,7 +80,7 @@
                 command,
                 key.encode(),
                 request_id.encode(),
-                f"c={request_class},t=t{int(key[0], 16) % 4},d={time_left_ms}".encode(),
+                f"c={request_class},t=t{int(key[0], 16) % 4},d={timeout_ms}".encode(),
             )
             outcome = client.request(
                 *(arguments if request_class == "read" else (*arguments, b"BODY"))
