--- a/measure/load.py
+++ b/measure/load.py
@@ -1,4 +1,7 @@
-"""A steady load on one sidecar over its own protocol: sends at its times whatever the answers do, notes each answer."""
+"""A steady load on one sidecar over its own protocol.
+
+Requests become due at scheduled times, whatever the responses are; each outcome is recorded.
+"""
 
 import random
 import socket
@@ -7,13 +10,14 @@
 
 
 def encode_command(*arguments):
+    """Encodes a command as an array of bulk strings."""
     return b"*%d\r\n" % len(arguments) + b"".join(
         b"$%d\r\n%s\r\n" % (len(argument), argument) for argument in arguments
     )
 
 
 class ClientConnection:
-    """One client connection that carries a transaction at a time."""
+    """A client connection that carries one request at a time."""
 
     def __init__(self, port):
         self.port = port
@@ -25,8 +29,14 @@
         self.reader = self.connection.makefile("rb")
 
     def request(self, *arguments):
-        """ "done", "deferred" or "abandoned"; "lost" where there is no answer. Between transactions a sidecar may close
-        a connection: then it is sent once more on a new one, as the protocol has it."""
+        """Sends a request and waits for its response.
+
+        Between requests, the sidecar may close the connection. The request is then sent once more
+        on a new connection, as the protocol specifies.
+
+        Returns:
+            The outcome: "done", "deferred", "abandoned", or "lost" without a complete response.
+        """
         line = b""
         for _ in range(2):
             try:
@@ -50,8 +60,24 @@
 
 
 def drive(port, rate, seconds, seed, request_class="read", connections=16, timeout_ms=2000):
-    """[(second of the sending, seconds it took, how it ended, its id)] of transactions at this rate, in whole over
-    so many connections. Bounded by its time."""
+    """Sends requests to a sidecar at a given rate and returns their outcomes.
+
+    The times between requests are exponentially distributed. A request that is due while all
+    connections are busy is sent late. The run ends in bounded time, even without responses.
+
+    Args:
+        port: Port of the sidecar on loopback.
+        rate: Requests per second, in total over all connections.
+        seconds: Duration of the load in seconds.
+        seed: Seed of the times, ids and keys of the requests.
+        request_class: Request class; all but "read" send SVC.SUBMIT instead of SVC.QUERY.
+        connections: Number of connections.
+        timeout_ms: Timeout that each request states, in milliseconds.
+
+    Returns:
+        A list of (when the request was due, in seconds since the start; seconds from when it was
+        sent to its outcome; outcome; request id).
+    """
     random_source, results, lock = random.Random(seed), [], threading.Lock()
     schedule, started_at = [], time.monotonic() + 0.05
     due_at = 0.0
@@ -96,5 +122,6 @@
 
 
 def quantile(values, fraction):
+    """Returns the quantile of unsorted values at a fraction from 0 to 1, 0.0 without values."""
     values = sorted(values)
     return values[min(len(values) - 1, int(len(values) * fraction))] if values else 0.0
