--- a/measure/hostile.py
+++ b/measure/hostile.py
@@ -1,16 +1,26 @@
-"""A peer with a valid key that does harm in every way it can: stand-in for a captured instance. It takes part like any
-other (so that it is believed to live) and lies besides. Used in simulated time and, over a socket, on loopback.
+"""A hostile peer with a valid key, as a stand-in for a compromised instance.
+
+It takes part in gossip like any other instance, so that the others consider it alive, and also
+attacks in every way it can. It is used in simulated time and, over a socket, on loopback.
 """
 
 from thymeknot.gossip import codec
 from thymeknot.gossip.codec import Alive, Evidence, Frame, Hints, Item, Left, Push, Suspect
 from thymeknot.gossip.own_experience import EndpointKey
 
-MAX_RECORDED_DATAGRAMS = 200  # datagrams it heard, to be sent again
+MAX_RECORDED_DATAGRAMS = 200  # observed datagrams that are replayed later
 
 
 class Liar:
-    """Wraps a node. pods: those it speaks ill of. Each call of `lies` puts a round of them into its outbox."""
+    """Wraps a gossip node; each call of `lies` adds a round of attacks to the node's outbox.
+
+    Attributes:
+        node: The node that takes part in gossip.
+        endpoints: Keys of the endpoints whose failures it claims.
+        recorded_datagrams: Datagrams to replay.
+        round: Number of rounds so far.
+        spoil: Whether it also sends datagrams that are forged, corrupted or replayed.
+    """
 
     def __init__(self, node, endpoints, spoil=True):
         self.node, self.endpoints, self.recorded_datagrams, self.round, self.spoil = (
@@ -23,10 +33,12 @@
         self.stale = None
 
     def record_datagram(self, datagram):
+        """Keeps a datagram to replay it later, up to `MAX_RECORDED_DATAGRAMS`."""
         if len(self.recorded_datagrams) < MAX_RECORDED_DATAGRAMS:
             self.recorded_datagrams.append(datagram)
 
     def _seal_item(self, now, body, name=None, start=None, number=None):
+        """Returns an item signed with its own key, by default in its own name with a new number."""
         node = self.node
         if number is None:
             node.local.number += 1
@@ -41,6 +53,7 @@
         return codec.seal_item(item, node.local.identity)
 
     def _seal_frame(self, now, recipient, body, items, name=None, start=None):
+        """Returns a datagram signed with its own key, by default with its own name as sender."""
         node = self.node
         node.local.number += 1
         frame = Frame(
@@ -55,7 +68,11 @@
         return codec.seal_frame(frame, node.local.identity)
 
     def lies(self, now):
-        """One round, to every live peer."""
+        """Adds one round of attacks on every live peer to the node's outbox.
+
+        Args:
+            now: The node's time in ticks.
+        """
         self.round += 1
         peers = [member for member in self.node.members.live if member.address]
         items = []
@@ -65,22 +82,22 @@
                     now, Suspect(victim.name, victim.start, victim.incarnation + self.round % 3)
                 )
             )
-            items.append(
-                self._seal_item(now, Left(), victim.name, victim.start)
-            )  # another's name, its own key
+            # In the name of another instance, but signed with its own key.
+            items.append(self._seal_item(now, Left(), victim.name, victim.start))
             items.append(
                 self._seal_item(now, Alive(*victim.address, 1 << 40), victim.name, victim.start)
             )
+        # The same outdated claims in each round, signed again so that they look recent.
         reissued_evidence = [
             self._seal_item(now, Evidence(*endpoint, 50, 50)) for endpoint in self.endpoints
-        ]  # old news, ever signed anew
+        ]
         sequence_numbers = []
         for _ in self.endpoints:
             self.node.local.number += 1
             sequence_numbers.append(self.node.local.number)
         for index, peer in enumerate(peers):
             reports_failures = index % 2 == self.round % 2
-            # Two tongues: the same number says one thing here and another there.
+            # Equivocation: items with the same number, but different content for different peers.
             equivocations = (
                 [
                     self._seal_item(
@@ -135,4 +152,5 @@
 
 
 def make_endpoint_keys(count, build=1):
+    """Returns keys of endpoints `s-0`, `s-1`, ... without addresses and start times."""
     return [EndpointKey(f"s-{index}", "", build, 0) for index in range(count)]
