--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -1,7 +1,8 @@
-"""make measure-gossip SEED=n: what gossip costs, how quickly it spreads, what a hostile peer can do, what it gains.
+"""make measure-gossip SEED=n: the cost, speed, robustness and benefit of gossip.
 
-Ends with one line of JSON. Simulated: spread, messages, false deaths, memory, gain. On loopback with real programs
-(own rig): wrongful exclusions, wrong deaths, bytes, rules, latency under a flood.
+In simulated time: how fast evidence spreads, messages, false deaths, memory, and the benefit of
+gossip. With real programs on loopback: endpoints and instances that are wrongly excluded because of
+a hostile peer, bytes sent, broken rules, and latency under a flood. The last line is JSON.
 """
 
 import argparse
@@ -21,7 +22,20 @@
 
 
 def measure_spread(task):
-    """One fleet in simulated time: until the last has heard a claim, messages of each, how many were buried."""
+    """Simulates a fleet and measures how fast evidence reaches all instances.
+
+    One instance after another, three in total, has eight failed attempts at an endpoint.
+
+    Args:
+        task: (number of instances, share of datagrams that are lost, seed, total duration for the
+            three endpoints in ticks).
+
+    Returns:
+        The figures by name. `spread_s` is the longest time until all instances have the evidence,
+        or None if some did not get it; `reached` is the smallest share of the other instances that
+        have it at the end; `buried` is how often an instance declared another dead, although all
+        are alive.
+    """
     instance_count, loss, seed, duration = task
     started_at = time.monotonic()
     world = World([f"n{index}" for index in range(instance_count)], seed, loss=loss)
@@ -84,13 +98,25 @@
 
 
 def _resident_mb():
+    """Returns the resident memory of this process in megabytes, after a garbage collection."""
     gc.collect()
     with open("/proc/self/statm", encoding="ascii") as source:
         return int(source.read().split()[1]) * 4096 / 1e6
 
 
 def simulate_hour(task):
-    """A simulated hour with loss, an instance that restarts every minute, and pods that fail by turns."""
+    """Simulates eight instances with 10% loss for an hour and measures memory and false deaths.
+
+    Each minute one instance restarts, and one of three endpoints fails for all instances in turn.
+
+    Args:
+        task: (seed, duration in ticks).
+
+    Returns:
+        The figures by name. `false_dead_per_hour` counts, once per second and pair of instances,
+        that one considers the other dead although it runs; the first 20 s after a restart are not
+        counted.
+    """
     seed, duration = task
     world, false_death_count = World([f"n{index}" for index in range(8)], seed, loss=0.1), 0
     world.begin()
@@ -134,8 +160,21 @@
 
 
 def measure_gain(task):
-    """Share of the quiet instances' deliveries that failed, one pod of twelve failing 60%."""
+    """Simulates a fleet that serves requests, in which one endpoint of twelve fails 60% of them.
+
+    Quiet instances see too few requests to notice the failing endpoint soon; busy ones can warn
+    them.
+
+    Args:
+        task: (kind of fleet, whether the instances gossip, seed, duration in ticks).
+
+    Returns:
+        A tuple of the kind, whether the instances gossip, the share of the attempts of quiet
+        instances that failed, and how many healthy endpoints have been suspected, summed over the
+        instances that do not lie.
+    """
     kind, gossip, seed, duration = task
+    # The busy instances send 40 requests per second each, all others 1.
     busy_count, quiet_count, liar_count, settings = {
         "many": (8, 32, 0, TERMS),
         "five": (2, 2, 1, TERMS),
@@ -165,7 +204,13 @@
 
 
 def measure_simulated(seed, short, pool):
-    """All figures of simulated time."""
+    """Returns all figures that are measured in simulated time.
+
+    Args:
+        seed: Seed of the simulations.
+        short: Whether to run fewer, smaller and shorter simulations.
+        pool: Executor that runs the simulations.
+    """
     claim_seconds, fleet_sizes = (6, (8, 64)) if short else (9, FLEET_SIZES)
     tasks = sorted(
         (
@@ -210,9 +255,14 @@
 
 
 def main(arguments):
+    """Runs the measurement with these command-line arguments and returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--short", action="store_true", help="a form of some seconds")
+    parser.add_argument(
+        "--short",
+        action="store_true",
+        help="a short form of the measurement that takes some seconds",
+    )
     parser.add_argument("--part", choices=("all", "simulated", "loopback"), default="all")
     options = parser.parse_args(arguments)
     figures, started_at = {"seed": options.seed}, time.monotonic()
