--- a/measure/gossip_loopback.py
+++ b/measure/gossip_loopback.py
@@ -1,4 +1,7 @@
-"""Real programs on loopback: five instances with gossip, of which one is hostile, stand-in pods of which one fails."""
+"""Measures gossip with real programs on loopback.
+
+Five instances gossip, of which one is hostile; of the stand-in endpoints, one fails.
+"""
 
 import json
 import multiprocessing
@@ -31,12 +34,17 @@
 
 
 def monotonic_ticks():
+    """Returns the monotonic clock's time in ticks."""
     return time.monotonic_ns() // 100_000
 
 
 def reserve_datagram_port():
-    """(a socket that keeps the number, a free port for datagrams). Below those that the machine gives to whoever asks
-    for any, and kept among those who call this by a port for streams of the same number."""
+    """Returns a socket that reserves a free loopback port for datagrams, and the port.
+
+    The port is below those that the kernel gives to programs that ask for any port. The socket is
+    bound to the stream port of the same number, which reserves the datagram port among the callers
+    of this function.
+    """
     while True:
         reservation = socket.socket()
         try:
@@ -49,7 +57,14 @@
 
 
 class Fleet:
-    """Programs that gossip, beside stand-ins of all they speak to. answers: a function for each pod."""
+    """Programs that gossip, with stand-ins for all that they communicate with.
+
+    Args:
+        answers: The function of each endpoint that answers requests, see `FakeEndpoint`.
+        names: Names of the instances that run as programs.
+        external_names: Names of the peers that get a key and a port, but no program.
+        extra_config: Text added to the field `gossip` of the operator files.
+    """
 
     def __init__(
         self, answers, names=HONEST, external_names=(HOSTILE,), extra_config=SUSPICION_CONFIG
@@ -83,17 +98,21 @@
             raise
 
     def operator_file_text(self, name, peer_records=None):
+        """Returns an instance's operator file, by default with all peers."""
         path, seeds = (
             os.path.join(self.directory.name, f"{name}.key"),
             list(self.ports.values())[:2],
         )
         seed_list = ", ".join(f'"127.0.0.1:{port}"' for port in seeds)
         return (
-            f'gossip: {{name: "{name}", listen: "127.0.0.1:{self.ports[name]}", key: "{path}", seeds: [{seed_list}]\n'
-            f'from: ["127.0.0.1/32"], peers: [{peer_records or self.peer_records}]\n{self.extra_config}\n}}\n'
+            f'gossip: {{name: "{name}", listen: "127.0.0.1:{self.ports[name]}", key: "{path}", '
+            f"seeds: [{seed_list}]\n"
+            f'from: ["127.0.0.1/32"], peers: [{peer_records or self.peer_records}]\n'
+            f"{self.extra_config}\n}}\n"
         )
 
     def keyring(self):
+        """Returns a keyring with the public keys of all peers."""
         return Keyring(
             [
                 Peer(name, None, (PeerKey(identity.public_key_text(), None),))
@@ -102,7 +121,7 @@
         )
 
     def take_log_lines(self, name):
-        """The lines logged and not yet taken."""
+        """Returns the log lines of an instance that were not returned before, decoded."""
         lines = []
         while True:
             try:
@@ -111,6 +130,7 @@
                 return [json.loads(line) for line in lines]
 
     def close(self):
+        """Kills the programs and closes the stand-ins."""
         for program in self.programs.values():
             program.__exit__()
         for resource in (
@@ -122,7 +142,12 @@
 
 
 class HostilePeer(threading.Thread):
-    """A liar with a valid key on a socket of its own."""
+    """A `Liar` with a valid key that runs in a thread, on its own socket.
+
+    Args:
+        fleet: The fleet, which has its key and port.
+        endpoints: Keys of the endpoints whose failures it claims.
+    """
 
     def __init__(self, fleet, endpoints):
         super().__init__(daemon=True)
@@ -146,6 +171,7 @@
         self.liar, self.stop_event = Liar(node, endpoints), threading.Event()
 
     def run(self):
+        """Takes part in gossip and lies twice per second, until `stop_event` is set."""
         node, next_lies_at, next_tick_at = (
             self.liar.node,
             monotonic_ticks() + 20_000,
@@ -175,8 +201,20 @@
 
 
 def send_flood(port, key_id, rate, seconds):
-    """Forged datagrams at this rate to one instance: noise, and such as are well formed under a known key's name.
-    Gives how many were sent a second."""
+    """Floods one instance with forged datagrams.
+
+    Half of them are random bytes. The others are well-formed pings that state the id of a
+    known key, but are signed with another key.
+
+    Args:
+        port: Port of the instance on loopback.
+        key_id: Id of the known key.
+        rate: Datagrams per second.
+        seconds: Duration in seconds.
+
+    Returns:
+        The number of datagrams sent per second.
+    """
     sender = socket.socket(socket.AF_INET, socket.SOCK_DGRAM)
     forger = new_identity("n1")
     forger.key_id = key_id
@@ -200,7 +238,16 @@
 
 
 class EndpointBehaviour:
-    """What the pods do, and what they count: a binding transaction that runs twice breaks a rule."""
+    """How the endpoints answer, and how often they run each request.
+
+    An SVC.SUBMIT request that runs twice breaks a rule.
+
+    Attributes:
+        random_source: Determines which requests fail.
+        run_counts: How often each SVC.SUBMIT request ran, by its id.
+        duplicate_runs: Number of SVC.SUBMIT requests that ran more than once.
+        lock: Protects the other attributes from the threads of the endpoints.
+    """
 
     def __init__(self, seed):
         self.random_source, self.run_counts, self.duplicate_runs, self.lock = (
@@ -211,6 +258,8 @@
         )
 
     def make_handler(self, failure_rate):
+        """Returns a function that answers requests, of which this share fails."""
+
         def handle(arguments):
             with self.lock:
                 if arguments[0] == b"SVC.SUBMIT":
@@ -223,6 +272,15 @@
 
 
 def measure_loopback(seed, short):
+    """Runs real programs with a hostile peer and returns the figures by name.
+
+    Args:
+        seed: Seed of the load and of the failures of the endpoints.
+        short: Whether to run for a shorter time.
+
+    Raises:
+        AssertionError: If the instances have not met all peers in time.
+    """
     figures = {}
     behaviour = EndpointBehaviour(seed)
     fleet = Fleet([behaviour.make_handler(0.6 if index == 5 else 0.0) for index in range(6)])
@@ -288,7 +346,7 @@
                 outcome: sum(result[2] == outcome for result in results)
                 for outcome in ("done", "deferred", "abandoned", "lost")
             }
-            # Latency of usual clients with the flood and without, by turns, against the same instance.
+            # Latency of ordinary clients of one instance, alternately with and without a flood.
             repetitions, latencies_with_flood, latencies_without_flood, flood_rates = (
                 1 if short else 8,
                 [],
