--- a/measure/gossip.py
+++ b/measure/gossip.py
@@ -211,10 +211,10 @@
         short: Whether to run fewer, smaller and shorter simulations.
         pool: Executor that runs the simulations.
     """
-    claim_seconds, fleet_sizes = (6, (8, 64)) if short else (9, FLEET_SIZES)
+    spread_seconds, fleet_sizes = (6, (8, 64)) if short else (9, FLEET_SIZES)
     tasks = sorted(
         (
-            (count, loss, seed, claim_seconds * SECOND)
+            (count, loss, seed, spread_seconds * SECOND)
             for count in fleet_sizes
             for loss in LOSS_RATES
         ),
