--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -1,6 +1,8 @@
-"""make measure-laboratory SEED=n: whether the laboratory's own figures can be trusted, and what it costs.
+"""make measure-laboratory SEED=n: validates the simulator and measures its speed.
 
-Ends with one line of JSON. All simulated but held_per_core, which is the real program on loopback (own rig)."""
+The last line is JSON. All figures are simulated, except `held_per_core`, which is measured with the
+real program on loopback.
+"""
 
 import argparse
 import json
@@ -21,8 +23,19 @@
 
 
 def max_rate_per_core(seed, start_rate=200):
-    """The highest rate, in steps of a quarter, that one sidecar answers with p99 under 50 ms and that the load tool
-    could offer: where it falls short of its own rate by 3%, it is the one that is saturated."""
+    """Finds the highest rate that one sidecar sustains with p99 latency below 50 ms.
+
+    Each step raises the rate by a quarter. The search also ends if the load tool is saturated: it
+    then falls short of the rate by 3%, so that the last response of a load of 2 s arrives after
+    more than 2.1 s although p99 is low.
+
+    Args:
+        seed: Seed of the load.
+        start_rate: First rate, in requests per second.
+
+    Returns:
+        The rate, 0 if the first one was not sustained, and the reason why the search ended.
+    """
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
 
@@ -53,8 +66,18 @@
 
 
 def max_queue_error(seed, loads=(0.3, 0.6, 0.85), runs=8, job_count=600_000):
-    """The largest relative error of mean and 95th percentile against Erlang's formulas, over the means of several runs:
-    at 85% load one run of this length wanders by some percent, as busy spells last thousands of arrivals."""
+    """Returns the largest relative error of simulated sojourn times against Erlang's formulas.
+
+    The mean and the 95th percentile are compared, each averaged over several runs: at 85% load, a
+    single run of this length varies by some percent, because busy periods last thousands of
+    arrivals.
+
+    Args:
+        seed: Seed of the runs.
+        loads: Utilizations of the servers.
+        runs: Number of runs for each load.
+        job_count: Number of jobs in each run.
+    """
     from concurrent.futures import ProcessPoolExecutor
     from multiprocessing import get_context
 
@@ -73,6 +96,7 @@
 
 
 def main(arguments):
+    """Runs the measurement with these command-line arguments and returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args(arguments).seed
@@ -100,7 +124,7 @@
     figures["same_in_one_and_eight"] = runs[1][0] == runs[8][0]
     figures["cores_speedup"] = round(runs[1][1] / runs[8][1], 2)
     figures["held_per_core"], figures["held_until"] = max_rate_per_core(seed)
-    figures["sim_live_gap"] = None  # days are not played with real programs yet
+    figures["sim_live_gap"] = None  # the days are not run with real programs yet
     print(json.dumps(figures))
     return 0
 
