--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -1,9 +1,12 @@
-"""make measure-fleet SEED=n: days of a whole fleet, the decisions as they were at a revision and as they are, paired.
+"""make measure-fleet SEED=n: compares the decision engine with earlier revisions on simulated days.
 
-Simulated, in the laboratory: hundreds of instances that see a few transactions a second each, and the vast kinds, some
-forty by sixty pods with three stages and two builds, and the mass kinds, 216 by 108 pods with the platform's counts.
-The last line is JSON; each figure has both means and the difference with its 95% interval over the same days. --kinds
-vast is for those three alone, --kinds mass for those four, --short is for CI."""
+Both run on the same days of a large fleet: the standard kinds, with dozens to hundreds of
+instances that receive a few requests per second each; the vast kinds, with about forty instances,
+sixty pods, three stages and two builds; and the mass kinds, with 216 instances, 108 pods and the
+counts of the platform. The last line is JSON; each figure has both means and the difference with
+its 95% confidence interval over the same days.
+--kinds vast selects the three vast kinds, --kinds mass the four mass kinds; --short is for CI.
+"""
 
 import argparse
 import json
@@ -19,29 +22,32 @@
     vast_compared,
 )
 
-DEFAULT_BASELINE = "at:91b8f20"  # the decisions as the fleet trial first met them
-DEFAULT_VAST_BASELINE = "at:9db9198"  # and as the vast days did
-DEFAULT_MASS_BASELINE = "at:292be0d"  # and as the mass days did
+# The decision engine as it was when the standard, vast and mass kinds were first simulated.
+DEFAULT_BASELINE = "at:91b8f20"
+DEFAULT_VAST_BASELINE = "at:9db9198"
+DEFAULT_MASS_BASELINE = "at:292be0d"
 
 
 def main(arguments):
+    """Runs the measurement with these command-line arguments and returns the exit status."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument(
         "--before",
-        help=f"of the usual kinds, {DEFAULT_BASELINE} if left out, and of mass, {DEFAULT_MASS_BASELINE}",
+        help="policy that days of the standard kinds are compared with, "
+        f"{DEFAULT_BASELINE} if left out, and of the mass kinds, {DEFAULT_MASS_BASELINE}",
     )
     parser.add_argument("--before-vast", default=DEFAULT_VAST_BASELINE)
-    parser.add_argument("--vast-days", type=int, default=7, help="of each vast kind")
-    parser.add_argument("--mass-days", type=int, default=4, help="of each mass kind")
-    parser.add_argument("--days", type=int, default=4, help="of each kind")
+    parser.add_argument("--vast-days", type=int, default=7, help="number of days of each vast kind")
+    parser.add_argument("--mass-days", type=int, default=4, help="number of days of each mass kind")
+    parser.add_argument("--days", type=int, default=4, help="number of days of each standard kind")
     parser.add_argument("--instances", type=int, default=60)
     parser.add_argument("--pods", type=int, default=36)
     parser.add_argument("--workers", type=int, default=os.cpu_count() or 1)
     parser.add_argument(
         "--kinds",
         default=",".join((*large_fleet_scenarios.KINDS, "vast", "mass")),
-        help="vast: the three vast ones, mass: the four mass ones",
+        help="vast: the three vast kinds, mass: the four mass kinds",
     )
     parser.add_argument("--short", action="store_true")
     options = parser.parse_args(arguments)
