--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -1,8 +1,14 @@
-"""python -m measure.gangs --seed n: how near the search comes to the best, and whether any slot is ever taken twice.
+"""python -m measure.gangs --seed n: quality of the placement search, and safety of two schedulers.
 
-Ends with one line of JSON. Small cases against the exact best; fleets of 200 racks and 5,000 machines filled by the
-search and by each baseline, with the steps timed by a network of its own (max-min fair flows, pair by pair, none of the
-score's sums); a play of two schedulers that score at once, die and lose racks, checked from the image alone.
+There are three parts, and the last line is JSON:
+
+- Small cases, in which the heuristic search is compared with the exact search, and both with an
+  independent solver.
+- Topologies of 200 racks and 5,000 machines, filled by the search and by each baseline. A network
+  model of its own (max-min fair flows between pairs of workers) predicts the duration of steps; it
+  shares no formula with the score.
+- A simulation of two schedulers that score concurrently, crash and lose racks. Violations, such as
+  a slot that is taken twice, are detected from the state machine's image alone.
 """
 
 import argparse
@@ -32,6 +38,13 @@
 
 
 def random_gang(random_source, workers, max_bytes=GIGABYTE):
+    """Returns a random gang of this size, rounded up to an even number of workers.
+
+    Args:
+        random_source: Source of random numbers.
+        workers: Number of workers.
+        max_bytes: Maximum number of bytes per step.
+    """
     pattern = PATTERNS[int(random_source.draw() * len(PATTERNS))]
     step_bytes = int(max_bytes * (0.1 + 0.9 * random_source.draw()))
     workers += workers % 2
@@ -49,11 +62,15 @@
     )
 
 
-# -- small cases ------------------------------------------------------------------------------------------------------
+# -- Small cases -----------------------------------------------------------------------------------
 
 
 def random_small_case(random_source):
-    """4 to 7 racks, partly taken, of unlike uplinks, with plans and others' traffic; a gang of 4 to 20."""
+    """Returns a topology of 4 to 7 racks and a gang of 4 to 20 workers.
+
+    The racks differ in their bandwidths and are partly in use; some machines have planned removals,
+    and other gangs load the uplinks.
+    """
     rack_count = 4 + int(random_source.draw() * 4)
     topology = Topology(
         uplinks={
@@ -83,7 +100,7 @@
 
 
 def heuristic_gaps(seed, case_count):
-    """Relative gaps of the quick search to the exact best."""
+    """Returns by how much the heuristic's score exceeds the optimum in small cases, as a ratio."""
     random_source, gaps = LinearCongruentialGenerator(seed), []
     while len(gaps) < case_count:
         topology, gang = random_small_case(random_source)
@@ -96,9 +113,19 @@
 
 
 def solve_ring(scorer, time_limit):
-    """(best total or None, what no placement is under) of a ring by HiGHS, as a program in whole numbers: a yardstick
-    that shares no search with ours. A ring crosses each rack's and site's uplink that it enters and is not all within,
-    once each way."""
+    """Solves the placement of a gang with pattern "ring" as a mixed-integer program, with HiGHS.
+
+    The solver is an independent reference: it shares no search code with `placement_search`. A ring
+    crosses the uplink of each rack and site that contains some but not all of its workers, once in
+    each direction.
+
+    Args:
+        scorer: Scores of the gang.
+        time_limit: Time limit in seconds.
+
+    Returns:
+        A tuple of the best score found, or None, and a lower bound of the score of all placements.
+    """
     weights, workers, step_bytes = scorer.weights, scorer.workers, scorer.gang.bytes
     usable_racks = [index for index, capacity in enumerate(scorer.capacity) if capacity > 0]
     uplinks = [
@@ -124,11 +151,14 @@
     ]
     rack_count, step_variable = len(usable_racks), 2 * len(usable_racks) + 2 * len(uplinks)
     variable_of_rack = {index: variable for variable, index in enumerate(usable_racks)}
-    variable_count = step_variable + 2  # workers, planned, entered, all within, step, loss
+    # Per rack: workers, share of workers with planned removals. Per uplink: whether any worker is
+    # below it, whether all are. Finally the step duration and the loss.
+    variable_count = step_variable + 2
     objective, rows, row_lower, row_upper = np.zeros(variable_count), [], [], []
     objective[step_variable], objective[step_variable + 1] = weights.step, weights.loss
 
     def add_row(lower, upper):
+        """Adds a constraint with these bounds and returns its coefficients, all zero."""
         rows.append(np.zeros(variable_count))
         row_lower.append(lower)
         row_upper.append(upper)
@@ -190,8 +220,20 @@
 
 
 def compare_with_solver(seed, small_count, large_count):
-    """(most that exact and HiGHS differ on small rings, gaps to what HiGHS finds in 3 s at 200 racks). What it proves
-    in that time is no yardstick there: its bound stays at the floor of a step."""
+    """Compares the searches with HiGHS on gangs with pattern "ring".
+
+    On the large topology, the heuristic is compared with the best placement that HiGHS finds in
+    3 s. Its lower bound is useless there: in that time it stays at the minimum step duration.
+
+    Args:
+        seed: Seed of the cases.
+        small_count: Number of small cases.
+        large_count: Number of gangs on a topology of 200 racks.
+
+    Returns:
+        A tuple of the largest relative difference between the exact search and HiGHS in small
+        cases, and the relative gaps of the heuristic to HiGHS in large ones.
+    """
     random_source, differences, gaps = LinearCongruentialGenerator(seed + 99), [], []
     while len(differences) < small_count:
         topology, gang = random_small_case(random_source)
@@ -222,11 +264,15 @@
     return max(differences), gaps
 
 
-# -- a network of its own ---------------------------------------------------------------------------------------------
+# -- Independent network model ---------------------------------------------------------------------
 
 
 def worker_pairs(gang):
-    """Arrays (from, to, bytes) of all pairs of workers that talk, from what the patterns mean."""
+    """Returns the traffic of a gang by pairs of workers, from the definition of its pattern.
+
+    Returns:
+        Arrays of the sending ranks, the receiving ranks and the bytes per step.
+    """
     count = gang.workers
     sender, receiver = np.divmod(np.arange(count * count), count)
     if gang.pattern == "ring":
@@ -236,9 +282,8 @@
     elif gang.pattern == "pipeline":
         pair_bytes = gang.bytes * (abs(sender - receiver) == 1)
     elif gang.pattern == "tree":
-        parents = np.array(
-            tree_parents(count)
-        )  # which tree it is, is agreed; what it loads is counted here
+        # The shape of the tree is part of the pattern's definition; the load is computed here.
+        parents = np.array(tree_parents(count))
         pair_bytes = gang.bytes * ((parents[sender] == receiver) | (parents[receiver] == sender))
     else:
         part_size = count // len(gang.matrix)
@@ -251,7 +296,21 @@
 
 
 class Network:
-    """Directed links: each rack's, zone's and cluster's uplink, up and down. Flows share them max-min fairly."""
+    """Directed links that flows share max-min fairly.
+
+    The links are the uplinks of the racks, zones and clusters, in this order; first in upward
+    direction, then in downward direction.
+
+    Attributes:
+        rack_index: {rack name: rack index}.
+        zone_index: Index of the zone of each rack.
+        cluster_index: Index of the cluster of each rack.
+        first_zone_link: Index of the first link of a zone.
+        first_cluster_link: Index of the first link of a cluster.
+        bandwidths: Bandwidth of each link, in bytes per second.
+        link_count: Number of links in one direction.
+        machine_bandwidth: Bandwidth of a machine's link, in bytes per second.
+    """
 
     def __init__(self, topology):
         rack_names = sorted(topology.racks)
@@ -272,7 +331,16 @@
         self.machine_bandwidth = racks[0].link
 
     def flows(self, gang, counts):
-        """(routes, bytes, how many) of the gang's flows, those of like rack and bytes together."""
+        """Returns the flows of a gang that leave a rack, grouped by racks and bytes.
+
+        Args:
+            gang: The gang.
+            counts: (rack name, workers) of each rack, in the order of the ranks.
+
+        Returns:
+            Arrays of the routes, of the bytes per step of a flow, and of the number of flows in
+            each group. A route has six link indexes, -1 for none.
+        """
         rack_of_rank = np.concatenate(
             [np.full(workers, self.rack_index[name]) for name, workers in counts]
         )
@@ -298,7 +366,16 @@
         return routes, keys[:, 2], flow_counts.astype(float)
 
     def max_min_rates(self, routes, flow_counts, max_rates):
-        """Bytes a second of each flow of a group, max-min fair, none above its `most`: progressive filling."""
+        """Computes max-min fair rates by progressive filling.
+
+        Args:
+            routes: Route of each group of flows, see `flows`.
+            flow_counts: Number of flows in each group.
+            max_rates: Upper limit of the rate of one flow in each group, in bytes per second.
+
+        Returns:
+            The rate of one flow in each group, in bytes per second.
+        """
         rates, active, level = np.zeros(len(routes)), np.arange(len(routes)), 0.0
         free_bandwidth, uses_link = self.bandwidths.copy(), routes >= 0
         while len(active):
@@ -322,8 +399,17 @@
         return rates
 
     def merge_flows(self, flows):
-        """Demands of many gangs, [(flows, seconds of a step)], as (routes, how many, most) with those of one route and
-        nearly one demand in one group: the filling takes a round for each demand that differs."""
+        """Merges the flows of many gangs that have the same route and nearly the same demand.
+
+        Progressive filling takes one round for each distinct demand, so demands are rounded to
+        powers of two. The sum of the demands in a group does not change.
+
+        Args:
+            flows: (flows, target duration of a step in seconds) of each gang.
+
+        Returns:
+            Arrays of the routes, the number of flows and the maximum rates.
+        """
         routes = np.concatenate([part for (part, _, _), _ in flows])
         max_rates = np.concatenate([flow_bytes / target for (_, flow_bytes, _), target in flows])
         flow_counts = np.concatenate([part for (_, _, part), _ in flows])
@@ -338,7 +424,14 @@
         return routes[representative], total_rates / 2.0 ** keys[:, 2], 2.0 ** keys[:, 2]
 
     def step_seconds(self, gang, flows, others):
-        """Seconds of a step: until the last byte is there, while others send as much as their targets ask for."""
+        """Returns the duration of a step in seconds: the time until the last byte has arrived.
+
+        Args:
+            gang: The gang.
+            flows: Its flows.
+            others: (flows, target duration of a step in seconds) of each other gang. They send as
+                much as they need to meet their targets.
+        """
         routes, flow_bytes, flow_counts = flows
         own_link_seconds = gang.busiest_worker_bytes() / self.machine_bandwidth
         if not len(routes):
@@ -354,7 +447,10 @@
 
 
 def random_large_topology(random_source):
-    """200 racks of 25 machines of 8 slots in 20 zones of 4 clusters; some machines of each rack are others'."""
+    """Returns a topology of 200 racks with 25 machines of 8 slots, in 20 zones and 4 clusters.
+
+    Some machines of each rack are partly or fully in use, and some have planned removals.
+    """
     topology = Topology(
         uplinks={
             **{f"zone/c{index % 4}/z{index}": 40 * GIGABYTE for index in range(20)},
@@ -379,7 +475,17 @@
 
 
 def fill_topology(seed, search, gang_count):
-    """A fleet filled by one way of placing; (places, [(gang, workers_by_rack)], milliseconds of each search)."""
+    """Fills a large topology with gangs by one search method.
+
+    Args:
+        seed: Seed of the topology and the gangs.
+        search: The search method, None for the default.
+        gang_count: Number of gangs to place.
+
+    Returns:
+        A tuple of the topology, a list of (gang, {rack name: workers}) of the placed gangs, and the
+        milliseconds that each search took.
+    """
     random_source = LinearCongruentialGenerator(seed)
     topology, placed, search_ms = random_large_topology(random_source), [], []
     for _ in range(gang_count):
@@ -396,7 +502,13 @@
 
 
 def step_ratios(topology, placed, stride):
-    """Seconds of a step by the network, over its target, of each `every`th gang."""
+    """Returns the duration of a step, by the network model, as a ratio to the target.
+
+    Args:
+        topology: The topology.
+        placed: (gang, {rack name: workers}) of the placed gangs.
+        stride: The ratio is computed for one gang in this many.
+    """
     network, order = Network(topology), topology.rack_order()
     flows = [
         network.flows(gang, [(name, counts[name]) for name in order if name in counts])
@@ -415,6 +527,12 @@
 
 
 def compare_placement_methods(seed, gang_count):
+    """Fills a large topology by the search and by each baseline, and prints a line for each.
+
+    Returns:
+        A tuple of {method: ratios of `step_ratios`}, the milliseconds of each search, and the
+        number of gangs that the search placed.
+    """
     searches = {
         "search": None,
         "first_fit": placement_search.first_fit,
@@ -438,11 +556,16 @@
     return ratios, search_ms, placed_count
 
 
-# -- a play of two schedulers -----------------------------------------------------------------------------------------
+# -- Simulation of two schedulers ------------------------------------------------------------------
 
 
 def count_violations(image):
-    """(half placed, slots twice), counted from the image alone."""
+    """Counts violations in a state machine's image, without any other data.
+
+    Returns:
+        A tuple of the number of gangs that hold a wrong number of slots or an expired lease, and
+        the number of machines with more workers than slots.
+    """
     used_slots, half_placed = {}, 0
     for record in image["gangs"].values():
         placed_workers = sum(record["places"].values())
@@ -464,8 +587,19 @@
 
 
 def simulate_schedulers(seed, turn_count, state_machine_class=state_machine.GangStateMachine):
-    """Two schedulers that score at once over 8 racks and commit later, in any order, die between hold and bind, while
-    racks and machines are lost and come back and drains ask. Answers sums by name."""
+    """Simulates two schedulers that place gangs on 8 racks, and counts violations.
+
+    The schedulers score concurrently, commit later in any order, and crash between reservation and
+    bind. Meanwhile racks and machines are lost and recover, and drains are requested.
+
+    Args:
+        seed: Seed of the simulation.
+        turn_count: Number of random steps.
+        state_machine_class: Class of the state machine under test.
+
+    Returns:
+        {name: count} of violations and other events.
+    """
     random_source, replica, now = LinearCongruentialGenerator(seed), state_machine_class(), 0
     counts = {
         "half_placed": 0,
@@ -499,6 +633,7 @@
         )
 
     def apply(operation, **fields):
+        """Applies a command, adds the violations in the new state, and returns the reply."""
         reply = replica.apply(now, {"part": "gangs", "do": operation, **fields})
         half_placed, slots_twice = count_violations(replica.image())
         counts["half_placed"] += half_placed
@@ -506,10 +641,11 @@
         return reply
 
     def choose(names):
+        """Returns a random name, or None if there are none."""
         names = list(names)
         return names[int(random_source.draw() * len(names))] if names else None
 
-    pending_plans = [None, None]  # what each scheduler has scored and not committed yet
+    pending_plans = [None, None]  # (gang, plan) that each scheduler has not committed yet
     machine_names = [f"r{rack}m{number}" for rack in range(8) for number in range(4)]
     for turn in range(turn_count):
         now += int(random_source.draw() * 4 * SECOND)
@@ -530,7 +666,7 @@
             gang = random_gang(random_source, 2 + int(random_source.draw() * 24))
             job = {name: getattr(gang, name) for name in gang.__struct_fields__}
             apply("offer", gang=f"g{turn}", job=job)
-        elif draw < 0.35:  # score
+        elif draw < 0.35:  # a scheduler scores
             name = choose(replica.queue()[:2])
             plan = name and placement_search.find_placement(
                 replica.topology_with_traffic(), gangs[name].gang, now
@@ -607,6 +743,7 @@
 
 
 def main():
+    """Runs the measurement."""
     parser = argparse.ArgumentParser()
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--cases", type=int, default=300)
@@ -615,14 +752,15 @@
     options, started_at = parser.parse_args(), time.monotonic()
     gaps = np.array(heuristic_gaps(options.seed, options.cases))
     print(
-        f"{len(gaps)} small cases: gap {gaps.mean():.4f} mean, {gaps.max():.4f} most, {(gaps < 1e-9).mean():.2f} "
-        f"exact; {time.monotonic() - started_at:.1f} s",
+        f"{len(gaps)} small cases: gap {gaps.mean():.4f} mean, {gaps.max():.4f} most, "
+        f"{(gaps < 1e-9).mean():.2f} exact; {time.monotonic() - started_at:.1f} s",
         flush=True,
     )
     max_difference, solver_gaps = compare_with_solver(options.seed, 40, 6)
     print(
-        f"rings against HiGHS: exact differs by {max_difference:.1e} at most on 40 small ones; 6 of 64 to 512 workers at 200 "
-        f"racks are {np.mean(solver_gaps):+.3f} mean, {max(solver_gaps):+.3f} most over what it finds in 3 s; "
+        f"rings against HiGHS: exact differs by {max_difference:.1e} at most on 40 small ones; "
+        f"6 of 64 to 512 workers at 200 racks are {np.mean(solver_gaps):+.3f} mean, "
+        f"{max(solver_gaps):+.3f} most over what it finds in 3 s; "
         f"{time.monotonic() - started_at:.1f} s",
         flush=True,
     )
