--- a/measure/gangs.py
+++ b/measure/gangs.py
@@ -328,7 +328,7 @@
         self.first_zone_link, self.first_cluster_link = len(racks), len(racks) + len(zones)
         self.bandwidths = np.array(uplink_bandwidths + uplink_bandwidths, float)
         self.link_count = len(uplink_bandwidths)
-        self.machine_bandwidth = racks[0].link
+        self.machine_bandwidth = racks[0].machine_bandwidth
 
     def flows(self, gang, counts):
         """Returns the flows of a gang that leave a rack, grouped by racks and bytes.
