--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -13,10 +13,10 @@
 
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.experiments import (
-    crowd_figures,
-    crowds_compared,
-    mass_compared,
-    vast_compared,
+    simulate_large_fleet_pairs,
+    summarize_large_fleet_pairs,
+    summarize_mass_pairs,
+    summarize_vast_pairs,
 )
 
 BEFORE = "at:91b8f20"  # the decisions as the fleet trial first met them
@@ -72,10 +72,10 @@
     usual = [one for one in kinds if one in large_fleet_scenarios.KINDS]
     figures = {"seed": told.seed}
     if usual:
-        pairs = crowds_compared(
+        pairs = simulate_large_fleet_pairs(
             before, "now", usual, range(told.seed, told.seed + days), size, told.workers
         )
-        some = crowd_figures(pairs)
+        some = summarize_large_fleet_pairs(pairs)
         for kind, one in some.pop("by_kind").items():
             print(
                 f"{kind:9}",
@@ -83,7 +83,7 @@
             )
         figures.update(days=len(pairs), **size, before=before, **some)
     if vast:
-        pairs = crowds_compared(
+        pairs = simulate_large_fleet_pairs(
             told.before_vast,
             "now",
             vast,
@@ -94,7 +94,7 @@
         figures["vast"] = {
             "days": len(pairs),
             "before": told.before_vast,
-            **vast_compared(pairs),
+            **summarize_vast_pairs(pairs),
             "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5],
         }
         for kind in vast:
@@ -109,13 +109,13 @@
             )
     if mass:
         before = told.before or BEFORE_MASS
-        pairs = crowds_compared(
+        pairs = simulate_large_fleet_pairs(
             before, "now", mass, range(told.seed, told.seed + mass_days), mass_size, told.workers
         )
         figures["mass"] = {
             "days": len(pairs),
             "before": before,
-            **mass_compared(pairs),
+            **summarize_mass_pairs(pairs),
             "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:5],
         }
         for kind in (*mass, "all"):
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -14,8 +14,8 @@
 from tests.support.programs import Program
 from thymeknot.simulation import scenarios, statistics
 from thymeknot.simulation.baseline_policies import BREAKERS
-from thymeknot.simulation.calibration import broken_by, queue
-from thymeknot.simulation.experiments import run
+from thymeknot.simulation.calibration import find_broken_rules, simulate_queue
+from thymeknot.simulation.experiments import simulate_days
 from thymeknot.simulation.random_streams import gamma, zipf_keys
 from thymeknot.simulation.simulator import Simulator, current_engine
 
@@ -57,7 +57,9 @@
     errors = []
     with ProcessPoolExecutor(runs, get_context("spawn")) as pool:
         waiting = {
-            load: [pool.submit(queue, 4, load, count, seed * 1000 + at) for at in range(runs)]
+            load: [
+                pool.submit(simulate_queue, 4, load, count, seed * 1000 + at) for at in range(runs)
+            ]
             for load in loads
         }
         for some in waiting.values():
@@ -73,14 +75,16 @@
     figures = {"seed": seed, "queue_error": round(queue_error(seed), 4)}
     chance = np.random.Generator(np.random.PCG64(seed))
     gaps, keys = gamma(chance, 1.0, 1.0), zipf_keys(chance, 20_000, 0.9)
-    figures["arrivals_p"] = round(statistics.arrivals_p([gaps.next() for _ in range(50_000)]), 4)
+    figures["arrivals_p"] = round(
+        statistics.poisson_p_value([gaps.next() for _ in range(50_000)]), 4
+    )
     figures["zipf_p"] = round(
-        statistics.zipf_p([keys.next() for _ in range(50_000)], 20_000, 0.9), 4
+        statistics.zipf_p_value([keys.next() for _ in range(50_000)], 20_000, 0.9), 4
     )
     figures["rules_found"] = sum(
-        rule in broken_by(breaker, seed) for rule, breaker in BREAKERS.items()
+        rule in find_broken_rules(breaker, seed) for rule, breaker in BREAKERS.items()
     )
-    figures["rules_false"] = len(broken_by(current_engine, seed))
+    figures["rules_false"] = len(find_broken_rules(current_engine, seed))
     day = scenarios.drawn(seed, instances=400, pods=80, rate=400.0, seconds=60)
     begin = time.monotonic()
     big = Simulator(day, current_engine).play()
@@ -90,7 +94,7 @@
     tasks = [("now", seed + at, size) for at in range(16)]
     for workers in (1, 8):
         begin = time.monotonic()
-        took[workers] = run(tasks, workers), time.monotonic() - begin
+        took[workers] = simulate_days(tasks, workers), time.monotonic() - begin
     figures["same_in_one_and_eight"] = took[1][0] == took[8][0]
     figures["cores_speedup"] = round(took[1][1] / took[8][1], 2)
     figures["held_per_core"], figures["held_until"] = held_per_core(seed)
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -10,9 +10,9 @@
 
 from thymeknot.cli.log_summary import MAX_INTERVALS, Summary
 from thymeknot.simulation import large_fleet_scenarios
-from thymeknot.simulation.experiments import crowd_figures
+from thymeknot.simulation.experiments import summarize_large_fleet_pairs
 from thymeknot.simulation.recording import RecordingSimulator
-from thymeknot.simulation.report import written
+from thymeknot.simulation.report import write_report
 from thymeknot.simulation.simulator import Simulator, current_engine
 
 SMALL_FLEET = {"instances": 12, "pods": 9, "seconds": 12, "load": 0.4}
@@ -133,7 +133,7 @@
     def test_a_report_has_a_chart_and_figures_for_each_policy(self):
         day, _ = large_fleet_scenarios.drawn(3, "zone", **SMALL_FLEET)
         with tempfile.TemporaryDirectory() as folder:
-            figures = written(
+            figures = write_report(
                 day, {"now": current_engine, "<now>": current_engine}, folder, "zone & more"
             )
             with open(os.path.join(folder, "index.html"), encoding="utf-8") as page:
@@ -162,7 +162,9 @@
             "rules_broken": [],
             "breaches": [],
         }
-        comparison = crowd_figures([(day, {**day, "needless": 0.1, "rules_broken": [4]})])
+        comparison = summarize_large_fleet_pairs(
+            [(day, {**day, "needless": 0.1, "rules_broken": [4]})]
+        )
         self.assertEqual(
             comparison["needless_share"],
             {"before": 0.2, "now": 0.1, "gap": -0.1, "low": None, "high": None},
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -27,7 +27,7 @@
 from thymeknot.policy.load_shedding import LoadShedder
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.earlier_versions import load_version
-from thymeknot.simulation.experiments import crowd_played
+from thymeknot.simulation.experiments import simulate_large_fleet_day
 from thymeknot.simulation.simulator import Simulator, current_engine
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
@@ -343,7 +343,9 @@
 
     def test_bad_build_is_not_kept_if_all_instances_have_little_traffic(self):
         results = [
-            crowd_played(("now", "calm", seed, {**self.SIZE, "good": False, "seconds": 30}))
+            simulate_large_fleet_day(
+                ("now", "calm", seed, {**self.SIZE, "good": False, "seconds": 30})
+            )
             for seed in (2, 4)
         ]
         self.assertEqual([result["bad_kept"] for result in results], [False, False])
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -13,7 +13,7 @@
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome
 from thymeknot.interface.events import TimerFired
-from thymeknot.simulation.experiments import crowd_played, vast_figures
+from thymeknot.simulation.experiments import simulate_large_fleet_day, vast_figures
 from thymeknot.simulation.large_fleet_scenarios import VAST, vast
 from thymeknot.simulation.scenarios import Fault, Offer
 from thymeknot.simulation.simulated_platform import REFUSED_CALLS, SILENT_CALLS
@@ -88,7 +88,10 @@
 
     def test_the_same_seed_gives_the_same_result(self):
         for kind in VAST:
-            one, two = (crowd_played(("now", kind, 3, {**SIZE, "seconds": 14})) for _ in range(2))
+            one, two = (
+                simulate_large_fleet_day(("now", kind, 3, {**SIZE, "seconds": 14}))
+                for _ in range(2)
+            )
             self.assertEqual(one, two)
             self.assertGreater(one["handshakes_per_transaction"], 0)
 
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -5,7 +5,7 @@
 from thymeknot.interface.clock import TICKS_PER_SECOND
 from thymeknot.interface.enums import Outcome
 from thymeknot.interface.events import AttemptEnded, FleetCounts
-from thymeknot.simulation.experiments import crowd_played, mass_compared
+from thymeknot.simulation.experiments import simulate_large_fleet_day, summarize_mass_pairs
 from thymeknot.simulation.large_fleet_scenarios import MASS, mass
 from thymeknot.simulation.scenarios import Fault
 from thymeknot.simulation.simulated_platform import REFUSED_CALLS
@@ -84,11 +84,13 @@
     def test_the_same_seed_gives_the_same_result(self):
         for kind in MASS:
             one, two = (
-                crowd_played(("now", kind, 3, {"instances": 16, "pods": 12, "seconds": 12}))
+                simulate_large_fleet_day(
+                    ("now", kind, 3, {"instances": 16, "pods": 12, "seconds": 12})
+                )
                 for _ in range(2)
             )
             self.assertEqual(one, two)
-            told = mass_compared([(one, two)])
+            told = summarize_mass_pairs([(one, two)])
             self.assertEqual(told[kind]["service"]["gap"], 0)
             self.assertEqual(told["all"]["harm_to_back_s"] is None, one["bad"] == 0)
 
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -10,7 +10,7 @@
 from thymeknot.interface.events import AttemptEnded
 from thymeknot.simulation import scenarios, statistics
 from thymeknot.simulation.baseline_policies import BREAKERS, TEXTBOOK
-from thymeknot.simulation.calibration import broken_by, queue
+from thymeknot.simulation.calibration import find_broken_rules, simulate_queue
 from thymeknot.simulation.invariants import InvariantChecker
 from thymeknot.simulation.random_streams import gamma, zipf_keys
 from thymeknot.simulation.servers import Build, Pod
@@ -82,17 +82,19 @@
 class World(unittest.TestCase):
     def test_queues_are_as_erlangs_formulas_have_them(self):
         for load in (0.3, 0.6, 0.85):
-            mean, late, wanted, wanted_late = queue(3, load, 120_000, 11)
+            mean, late, wanted, wanted_late = simulate_queue(3, load, 120_000, 11)
             self.assertLess(abs(mean / wanted - 1), 0.06, load)
             self.assertLess(abs(late / wanted_late - 1), 0.06, load)
 
     def test_draws_fit_what_they_are_drawn_from(self):
         chance = np.random.Generator(np.random.PCG64(4))
         gaps, keys = gamma(chance, 1.0, 1.0), zipf_keys(chance, 500, 0.9)
-        self.assertGreater(statistics.arrivals_p([gaps.next() for _ in range(20_000)]), 0.001)
-        self.assertGreater(statistics.zipf_p([keys.next() for _ in range(20_000)], 500, 0.9), 0.001)
+        self.assertGreater(statistics.poisson_p_value([gaps.next() for _ in range(20_000)]), 0.001)
+        self.assertGreater(
+            statistics.zipf_p_value([keys.next() for _ in range(20_000)], 500, 0.9), 0.001
+        )
         self.assertLess(
-            statistics.zipf_p([keys.next() for _ in range(20_000)], 500, 1.2), 1e-6
+            statistics.zipf_p_value([keys.next() for _ in range(20_000)], 500, 1.2), 1e-6
         )  # it can fail
 
     def test_a_cold_pod_does_its_part_and_a_full_one_turns_away(self):
@@ -131,7 +133,7 @@
         chance, held = np.random.Generator(np.random.PCG64(8)), 0
         for _ in range(300):
             one = chance.normal(0.5, 0.1, 12)
-            found = statistics.paired(one + chance.normal(0.03, 0.02, 12), one)
+            found = statistics.paired_difference(one + chance.normal(0.03, 0.02, 12), one)
             held += found.low <= 0.03 <= found.high
         self.assertTrue(270 <= held <= 298, held)
 
@@ -139,9 +141,9 @@
 class Rules(unittest.TestCase):
     def test_each_breaker_is_found_and_no_textbook_policy_nor_the_module_is_blamed(self):
         for rule, policy in BREAKERS.items():
-            self.assertIn(rule, broken_by(policy, 3), policy.__name__)
+            self.assertIn(rule, find_broken_rules(policy, 3), policy.__name__)
         for policy in (current_engine, *TEXTBOOK.values()):
-            self.assertEqual(broken_by(policy, 3), [], getattr(policy, "__name__", policy))
+            self.assertEqual(find_broken_rules(policy, 3), [], getattr(policy, "__name__", policy))
 
     def test_one_answer_in_time(self):
         one = checker()
--- a/thymeknot/cli/laboratory_commands.py
+++ b/thymeknot/cli/laboratory_commands.py
@@ -45,7 +45,7 @@
     from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
     try:
-        click.echo(json_line(experiments.played((policy, seed, size))))
+        click.echo(json_line(experiments.simulate_day((policy, seed, size))))
     except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
 
@@ -71,7 +71,7 @@
         length=2 * days, label="days", file=click.get_text_stream("stderr")
     ) as progress:
         try:
-            differences, broken_rules, _ = experiments.compared(
+            differences, broken_rules, _ = experiments.compare_policies(
                 one,
                 two,
                 range(seed, seed + days),
@@ -86,7 +86,8 @@
         click.echo(
             f"{name:10} {one} - {two}: {difference.mean:+.4f}"
             f"  [{difference.low:+.4f}, {difference.high:+.4f}]  "
-            f"smallest detectable {difference.least:.4f}, {difference.pairs} days"
+            f"smallest detectable {difference.smallest_detectable:.4f},"
+            f" {difference.pair_count} days"
         )
     click.echo(f"rules broken: {broken_rules or 'none'}")
 
@@ -117,7 +118,7 @@
         length=2 * days * len(selected_kinds), label="days", file=click.get_text_stream("stderr")
     ) as progress:
         try:
-            pairs = experiments.crowds_compared(
+            pairs = experiments.simulate_large_fleet_pairs(
                 one,
                 two,
                 selected_kinds,
@@ -128,7 +129,7 @@
             )
         except experiments.UnknownPolicyError as error:
             raise click.UsageError(str(error)) from None
-    click.echo(json_line(experiments.crowd_figures(pairs)))
+    click.echo(json_line(experiments.summarize_large_fleet_pairs(pairs)))
 
 
 def _parse_kinds(text: str) -> list[str]:
@@ -163,11 +164,11 @@
     from ..simulation import report  # noqa: PLC0415  requires extra libraries
 
     try:
-        policies = {name: experiments.policy(name) for name in names}
+        policies = {name: experiments.load_policy(name) for name in names}
     except experiments.UnknownPolicyError as error:
         raise click.UsageError(str(error)) from None
     day, _ = large_fleet_scenarios.drawn(seed, kind, instances=instances, pods=pods)
-    click.echo(json_line(report.written(day, policies, folder, f"{kind}, seed {seed}")))
+    click.echo(json_line(report.write_report(day, policies, folder, f"{kind}, seed {seed}")))
 
 
 @lab.command("search")
@@ -179,7 +180,7 @@
     """Find the days with the worst results compared to another policy, reduced to the cause."""
     from ..simulation import experiments  # noqa: PLC0415  requires extra libraries
 
-    for day in experiments.searched(
+    for day in experiments.find_worst_days(
         "now", range(seed, seed + days), size, os.cpu_count() or 1, against
     ):
         click.echo(json_line(day))
--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -25,11 +25,11 @@
     """Sojourn times (waiting and service) in a queue, in ticks."""
 
     mean: float
-    late: float
+    p95: float
     """The 95th percentile."""
     expected_mean: float
     """Mean by Erlang's formulas."""
-    expected_late: float
+    expected_p95: float
     """95th percentile by Erlang's formulas."""
 
 
@@ -39,11 +39,11 @@
 
     work: float
     lane: str
-    at: float
+    arrived_at: float
     """Arrival time in ticks."""
 
 
-def queue(servers: int, load: float, count: int, seed: int) -> QueueTimes:
+def simulate_queue(servers: int, load: float, count: int, seed: int) -> QueueTimes:
     """Simulates one server with Poisson arrivals and exponential work.
 
     Args:
@@ -86,7 +86,7 @@
         now += gaps.next()
         while running and running[0][0] <= now:
             moment, _, done = heapq.heappop(running)
-            times.append(moment - done.at)
+            times.append(moment - done.arrived_at)
             following = pod.finish(moment)
             if following:
                 begin(moment, *following)
@@ -97,7 +97,7 @@
     return times
 
 
-def hard_day(seed: int) -> Day:
+def rule_check_day(seed: int) -> Day:
     """Returns a day on which a policy that breaks any one of the rules is detected.
 
     A release drains the earlier servers, some attempts fail, and servers warm up.
@@ -109,7 +109,7 @@
     return day._replace(offers=(offer,))
 
 
-def broken_by(policy: Any, seed: int) -> list[int]:
+def find_broken_rules(policy: Any, seed: int) -> list[int]:
     """Returns the rules that a policy breaks on the hard day of this seed."""
-    broken: list[int] = Simulator(hard_day(seed), policy).play().checker.rules_broken()
+    broken: list[int] = Simulator(rule_check_day(seed), policy).play().checker.rules_broken()
     return broken
--- a/thymeknot/simulation/earlier_versions.py
+++ b/thymeknot/simulation/earlier_versions.py
@@ -21,7 +21,7 @@
 from ..interface.settings import RequestClass, Settings
 from .shared_services import EarlierPace
 
-ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 FORMER_TYPE_NAMES = {
     "Endpoint": "Pod",
@@ -77,7 +77,7 @@
     "vote_timeout": "vote_wait",
     "votes_per_second": "votes_per_s",
 }
-TODAYS_ACTIONS: dict[str, Any] = {
+CURRENT_ACTIONS: dict[str, Any] = {
     name: getattr(actions, today)
     for today, former in FORMER_TYPE_NAMES.items()
     if hasattr(actions, today)
@@ -98,37 +98,37 @@
 
     def handle(self, now: Ticks, told: list[Any]) -> list[Any]:
         """The actions that follow from events; events unknown to the version are left out."""
-        translated = [translate(event, self._interface) for event in told]
+        translated = [translate_event(event, self._interface) for event in told]
         answers = self._engine.handle(now, [event for event in translated if event is not None])
-        return [TODAYS_ACTIONS[type(action).__name__](*action) for action in answers]
+        return [CURRENT_ACTIONS[type(action).__name__](*action) for action in answers]
 
 
 class EarlierVersion(NamedTuple):
     """Makes instances of an earlier version; `pace` is how often that version polled."""
 
     interface: ModuleType
-    make: Any
-    pace: Any
+    create_engine: Any
+    poll_interval_type: Any
 
     def __call__(self, settings: Settings, seed: int, now: Ticks) -> EarlierEngine:
         """An instance with these settings."""
-        made = self.make(translate_settings(settings, self.interface), seed, now)
+        made = self.create_engine(translate_settings(settings, self.interface), seed, now)
         return EarlierEngine(self.interface, made)
 
 
-def type_of(name: str, interface: ModuleType) -> Any:
+def former_type(name: str, interface: ModuleType) -> Any:
     """The earlier version's type of today's name, or None if it has none."""
     return getattr(interface, FORMER_TYPE_NAMES[name], None) or getattr(interface, name, None)
 
 
-def translate(event: Any, interface: ModuleType) -> Any:
+def translate_event(event: Any, interface: ModuleType) -> Any:
     """An event in the types of an earlier version, or None if it has none for it."""
-    kind = type_of(type(event).__name__, interface)
+    kind = former_type(type(event).__name__, interface)
     if kind is None:
         return None
     values = tuple(event)[: len(kind._fields)]
     if isinstance(event, events.EndpointUpdate):
-        endpoint = type_of("Endpoint", interface)
+        endpoint = former_type("Endpoint", interface)
         listed = tuple(endpoint(*one[: len(endpoint._fields)]) for one in event.endpoints)
         values = (event.kind, listed)
     return kind(*values)
@@ -136,7 +136,7 @@
 
 def translate_settings(settings: Settings, interface: ModuleType) -> Any:
     """The settings in the types of an earlier version."""
-    kind = type_of("Settings", interface)
+    kind = former_type("Settings", interface)
     values = {
         FORMER_SETTING_NAMES.get(name, name): value for name, value in settings._asdict().items()
     }
@@ -149,7 +149,7 @@
 
 
 def _request_class(request_class: RequestClass, interface: ModuleType) -> Any:
-    kind = type_of("RequestClass", interface)
+    kind = former_type("RequestClass", interface)
     return kind(*request_class[: len(kind._fields)])
 
 
@@ -162,16 +162,22 @@
     _unpack(revision, folder.name, package)
     sys.path.insert(0, folder.name)
     try:
-        interface, make = _decisions(package)
-        pace = _first_of((f"{package}.polling.adaptive_interval", f"{package}.asking.pace"))
+        interface, create_engine = _decisions(package)
+        interval_module = _first_of(
+            (f"{package}.polling.adaptive_interval", f"{package}.asking.pace")
+        )
     finally:
         sys.path.remove(folder.name)
-    kind = EarlierPace if pace is None else getattr(pace, "AdaptiveInterval", None) or pace.Pace
-    return EarlierVersion(interface, make, kind)
+    kind = (
+        EarlierPace
+        if interval_module is None
+        else getattr(interval_module, "AdaptiveInterval", None) or interval_module.Pace
+    )
+    return EarlierVersion(interface, create_engine, kind)
 
 
 def _unpack(revision: str, folder: str, package: str) -> None:
-    command = ["git", "-C", ROOT, "archive", "--format=tar", revision, "thymeknot"]
+    command = ["git", "-C", REPOSITORY_ROOT, "archive", "--format=tar", revision, "thymeknot"]
     archive = subprocess.run(command, capture_output=True, check=False)
     if archive.returncode:
         raise UnknownRevisionError(f"{revision}: {archive.stderr.decode().strip()}")
@@ -189,8 +195,8 @@
         for part in ("settings", "events", "actions"):
             vars(merged).update(vars(importlib.import_module(f"{package}.interface.{part}")))
         interface = merged
-    make = getattr(engine, "DecisionEngine", None) or getattr(engine, "Balancer", None)
-    return interface, make
+    create_engine = getattr(engine, "DecisionEngine", None) or getattr(engine, "Balancer", None)
+    return interface, create_engine
 
 
 def _first_of(names: tuple[str, ...]) -> ModuleType | None:
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -20,27 +20,27 @@
 from .earlier_versions import UnknownRevisionError, load_version
 from .simulator import Simulator, current_engine
 
-ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 
 Result = dict[str, Any]
 """The figures of one day with one policy."""
-Pair = tuple[Result, Result]
+ResultPair = tuple[Result, Result]
 """The results of two policies on one day."""
-Size = dict[str, Any]
+DaySize = dict[str, Any]
 """Arguments of what draws the day."""
-Progress = Callable[[int, int], object]
+ProgressCallback = Callable[[int, int], object]
 """Called with how many results are done, and of how many."""
 
 # Asked is 0 on a day without requests: the shares of it are then 0.
-LEAST_ASKED = 1e-9
+MIN_REQUESTED = 1e-9
 # Breaches that a result holds at most.
 MAX_BREACHES = 5
 # Days that a search gives at most.
-MAX_SEARCHED = 3
+MAX_SEARCH_RESULTS = 3
 
 
-def no_progress(done: int, count: int) -> None:
+def ignore_progress(done: int, count: int) -> None:
     """Ignores the progress."""
 
 
@@ -48,7 +48,7 @@
     """No such policy, version or result."""
 
 
-def policy(name: str) -> Any:
+def load_policy(name: str) -> Any:
     """`now` is the present engine, `at:REVISION` an earlier one, else a baseline policy."""
     if name == "now":
         return current_engine
@@ -62,10 +62,10 @@
     return TEXTBOOK[name]
 
 
-def played(task: tuple[str, int, Size]) -> Result:
+def simulate_day(task: tuple[str, int, DaySize]) -> Result:
     """One day with one policy: its figures, with what it takes to play it again."""
     name, seed, size = task
-    fleet = Simulator(scenarios.drawn(seed, **size), policy(name)).play()
+    fleet = Simulator(scenarios.drawn(seed, **size), load_policy(name)).play()
     return {
         "policy": name,
         "seed": seed,
@@ -76,11 +76,11 @@
     }
 
 
-def crowd_played(task: tuple[str, str, int, Size]) -> Result:
+def simulate_large_fleet_day(task: tuple[str, str, int, DaySize]) -> Result:
     """One day of a large fleet (policy, kind, seed, size): what its decisions are judged by."""
     name, kind, seed, size = task
     day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
-    fleet = Simulator(day, policy(name)).play()
+    fleet = Simulator(day, load_policy(name)).play()
     offer = day.offers[0]
     turned_away, needless = fleet.results.needless()
     if kind in large_fleet_scenarios.VAST:
@@ -112,7 +112,7 @@
         "worst_10s": fleet.results.worst(),
         "turned_away": turned_away,
         "needless": needless,
-        "behind": fleet.results.behind / max(LEAST_ASKED, fleet.results.asked),
+        "behind": fleet.results.behind / max(MIN_REQUESTED, fleet.results.asked),
         "recover_s": fleet.results.recovered(end),
         "good_back": offer.good and back,
         "bad_released": not offer.good and bool(fleet.results.released),
@@ -125,7 +125,7 @@
     }
 
 
-VAST_FIGURES = (
+VAST_FIGURE_NAMES = (
     "worth",
     "service",
     "worst_10s",
@@ -145,7 +145,7 @@
     All are shares, but for lists_per_instance (calls in all) and cold_overrun (the most that a
     server that warms up was sent, over what overloads it).
     """
-    asked = max(LEAST_ASKED, fleet.results.asked)
+    asked = max(MIN_REQUESTED, fleet.results.asked)
     good = [one.build for one in fleet.day.offers if one.good]
     bad = [one.build for one in fleet.day.offers if not one.good]
     votes = fleet.results.votes_asked
@@ -172,24 +172,24 @@
     }
 
 
-def vast_compared(pairs: Sequence[Pair]) -> dict[str, Any]:
+def summarize_vast_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
     """As crowd_figures, by kind, of the vast kinds alone."""
     told: dict[str, Any] = {}
     for kind in sorted({pair[0]["kind"] for pair in pairs}):
         some = [pair for pair in pairs if pair[0]["kind"] == kind]
-        told[kind] = {name: gap_of(some, name) for name in VAST_FIGURES}
+        told[kind] = {name: compare_figure(some, name) for name in VAST_FIGURE_NAMES}
         for name, of in (("good_back", "good"), ("good_released", "good"), ("bad_released", "bad")):
             told[kind][name] = {
                 when: f"{sum(one[at][name] for one in some)} of {sum(one[at][of] for one in some)}"
                 for at, when in enumerate(("before", "now"))
             }
-        told[kind]["rules_broken"] = broken_by(some)
+        told[kind]["rules_broken"] = broken_rules_of_pairs(some)
     return told
 
 
-MASS_FIGURES = ("service", "worth", "worst_10s", "needless_share")
+MASS_FIGURE_NAMES = ("service", "worth", "worst_10s", "needless_share")
 # Figures of the days alone that offered such builds: the mean by day, and the sum.
-MASS_OF = {
+MASS_BUILD_FIGURES = {
     "bad_released": "bad",
     "harm_to_back_s": "bad",
     "good_back": "good",
@@ -220,14 +220,14 @@
     }
 
 
-def mass_compared(pairs: Sequence[Pair]) -> dict[str, Any]:
+def summarize_mass_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
     """As vast_compared, of the mass kinds: by kind, and of all."""
     told: dict[str, Any] = {}
     kinds = sorted({pair[0]["kind"] for pair in pairs})
     for kind in (*kinds, "all"):
         some = [pair for pair in pairs if kind in (pair[0]["kind"], "all")]
-        told[kind] = {name: gap_of(some, name) for name in MASS_FIGURES}
-        for name, of in MASS_OF.items():
+        told[kind] = {name: compare_figure(some, name) for name in MASS_FIGURE_NAMES}
+        for name, of in MASS_BUILD_FIGURES.items():
             which = [pair for pair in some if pair[0][of]]
             by_build = [
                 ({name: one[name] / one[of]}, {name: two[name] / two[of]}) for one, two in which
@@ -235,20 +235,20 @@
             told[kind][name] = None
             if which:
                 told[kind][name] = {
-                    **(gap_of(by_build, name) or {}),
+                    **(compare_figure(by_build, name) or {}),
                     "of": sum(pair[0][of] for pair in which),
                     "sums": [round(sum(pair[at][name] for pair in which), 1) for at in (0, 1)],
                 }
-        told[kind]["rules_broken"] = broken_by(some)
+        told[kind]["rules_broken"] = broken_rules_of_pairs(some)
     return told
 
 
-def broken_by(pairs: Sequence[Pair]) -> list[list[int]]:
+def broken_rules_of_pairs(pairs: Sequence[ResultPair]) -> list[list[int]]:
     """The rules broken before, and now."""
     return [sorted({rule for pair in pairs for rule in pair[at]["rules_broken"]}) for at in (0, 1)]
 
 
-def gap_of(some: Sequence[Pair], name: str) -> dict[str, float | None] | None:
+def compare_figure(some: Sequence[ResultPair], name: str) -> dict[str, float | None] | None:
     """Means before and now, and the difference with its 95% interval over the same days.
 
     The interval is None for a single day, and all is None without a day.
@@ -257,7 +257,7 @@
     now = [float(two[name]) for _, two in some]
     if not some:
         return None
-    gap = statistics.paired(now, before)
+    gap = statistics.paired_difference(now, before)
     return {
         "before": round(sum(before) / len(before), 4),
         "now": round(sum(now) / len(now), 4),
@@ -267,30 +267,30 @@
     }
 
 
-def crowds_compared(  # noqa: PLR0917  the commands pass them by position
+def simulate_large_fleet_pairs(  # noqa: PLR0917  the commands pass them by position
     one: str,
     two: str,
     kinds: Iterable[str],
     seeds: Sequence[int],
-    size: Size,
+    size: DaySize,
     workers: int,
-    told: Progress = no_progress,
-) -> list[Pair]:
+    told: ProgressCallback = ignore_progress,
+) -> list[ResultPair]:
     """Plays two policies on the same days of these kinds: their results, in the days' order."""
     tasks = [(name, kind, seed, size) for kind in kinds for seed in seeds for name in (one, two)]
     found: list[Result] = []
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
-        for result in pool.map(crowd_played, tasks):
+        for result in pool.map(simulate_large_fleet_day, tasks):
             found.append(result)
             told(len(found), len(tasks))
     return list(zip(found[::2], found[1::2]))
 
 
-def crowd_figures(pairs: Sequence[Pair]) -> dict[str, Any]:
+def summarize_large_fleet_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
     """What pairs of results say by figure: both means, and the difference with its interval."""
-    told = gap_of
+    told = compare_figure
 
-    def which(name: str, value: object) -> list[Pair]:
+    def which(name: str, value: object) -> list[ResultPair]:
         return [pair for pair in pairs if pair[0].get(name) == value]
 
     kinds = sorted({pair[0]["kind"] for pair in pairs})
@@ -301,7 +301,7 @@
         **{name: told(pairs, name) for name in ("service", "worst_10s", "worth", "recover_s")},
         "good_back": told(which("good", True), "good_back"),
         **{name: told(which("good", False), name) for name in ("bad_released", "bad_kept")},
-        "rules_broken": broken_by(pairs),
+        "rules_broken": broken_rules_of_pairs(pairs),
         "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:MAX_BREACHES],
         "by_kind": {
             kind: {
@@ -312,7 +312,7 @@
     }
 
 
-def key_of(task: tuple[str, int, Size]) -> str:
+def task_key(task: tuple[str, int, DaySize]) -> str:
     """By which the result of a task is found again."""
     return orjson.dumps([task[0], task[1], sorted(task[2].items())]).decode()
 
@@ -324,17 +324,17 @@
         for line in source:
             try:
                 one = orjson.loads(line)
-                found[key_of((one["policy"], one["seed"], one["size"]))] = one
+                found[task_key((one["policy"], one["seed"], one["size"]))] = one
             except (orjson.JSONDecodeError, KeyError):
                 continue
     return found
 
 
-def run(
-    tasks: Sequence[tuple[str, int, Size]],
+def simulate_days(
+    tasks: Sequence[tuple[str, int, DaySize]],
     workers: int,
     path: str | None = None,
-    told: Progress = no_progress,
+    told: ProgressCallback = ignore_progress,
 ) -> list[Result]:
     """Plays all tasks.
 
@@ -348,27 +348,27 @@
         The results in the order of the tasks.
     """
     found = _kept(path) if path and os.path.exists(path) else {}
-    missing = [task for task in tasks if key_of(task) not in found]
+    missing = [task for task in tasks if task_key(task) not in found]
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
-        waiting = {pool.submit(played, task): task for task in missing}
+        waiting = {pool.submit(simulate_day, task): task for task in missing}
         for future in as_completed(waiting):
             one = future.result()
-            found[key_of(waiting[future])] = one
+            found[task_key(waiting[future])] = one
             if path:
                 with open(path, "ab") as target:
                     target.write(orjson.dumps(one) + b"\n")
-            told(len(tasks) - sum(key_of(task) not in found for task in tasks), len(tasks))
-    return [found[key_of(task)] for task in tasks]
+            told(len(tasks) - sum(task_key(task) not in found for task in tasks), len(tasks))
+    return [found[task_key(task)] for task in tasks]
 
 
-def compared(  # noqa: PLR0917  the commands pass them by position
+def compare_policies(  # noqa: PLR0917  the commands pass them by position
     one: str,
     two: str,
     seeds: Iterable[int],
-    size: Size,
+    size: DaySize,
     workers: int,
     path: str | None = None,
-    told: Progress = no_progress,
+    told: ProgressCallback = ignore_progress,
 ) -> tuple[dict[str, statistics.Difference], list[int], list[Result]]:
     """Plays two policies on the same days.
 
@@ -376,12 +376,12 @@
         The differences one - two by figure, the rules that either broke, and the results.
     """
     tasks = [(name, seed, size) for seed in seeds for name in (one, two)]
-    results = run(tasks, workers, path, told)
+    results = simulate_days(tasks, workers, path, told)
     first = results[::2]
     second = results[1::2]
     return (
         {
-            figure: statistics.paired(
+            figure: statistics.paired_difference(
                 [each[figure] for each in first], [each[figure] for each in second]
             )
             for figure in ("service", "worst_10s", "harm")
@@ -391,20 +391,20 @@
     )
 
 
-def searched(  # noqa: PLR0917  the commands pass them by position
+def find_worst_days(  # noqa: PLR0917  the commands pass them by position
     name: str,
     seeds: Iterable[int],
-    size: Size,
+    size: DaySize,
     workers: int,
     against: str = "random",
-    told: Progress = no_progress,
+    told: ProgressCallback = ignore_progress,
 ) -> list[dict[str, Any]]:
     """The days on which a policy does worst beside another, the worst first.
 
     There is one for each set of faults, reduced to what matters: a fault is left out if the gap
     does not close by over a tenth without it.
     """
-    results = compared(name, against, seeds, size, workers, None, told)[2]
+    results = compare_policies(name, against, seeds, size, workers, None, told)[2]
     worst: dict[tuple[str, ...], tuple[float, int]] = {}
     for mine, theirs in zip(results[::2], results[1::2]):
         gap = mine["service"] - theirs["service"]
@@ -412,27 +412,29 @@
         if kind not in worst or gap < worst[kind][0]:
             worst[kind] = gap, mine["seed"]
     found = []
-    for kind, (gap, seed) in sorted(worst.items(), key=lambda one: one[1][0])[:MAX_SEARCHED]:
+    for kind, (gap, seed) in sorted(worst.items(), key=lambda one: one[1][0])[:MAX_SEARCH_RESULTS]:
         found.append(
             {
                 "seed": seed,
                 "gap": round(gap, 4),
                 "troubles": kind,
-                "needed": shrunk(name, against, seed, size, gap),
+                "needed": find_needed_fault_kinds(name, against, seed, size, gap),
             }
         )
     return found
 
 
-def shrunk(name: str, against: str, seed: int, size: Size, gap: float) -> list[scenarios.FaultKind]:
+def find_needed_fault_kinds(
+    name: str, against: str, seed: int, size: DaySize, gap: float
+) -> list[scenarios.FaultKind]:
     """The kinds of a day's faults without which the gap would close by over a tenth."""
     day = scenarios.drawn(seed, **size)
     kept = list(day.faults)
     for fault in list(kept):
         fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
         rest = (
-            Simulator(fewer, policy(name)).play().results.service()
-            - Simulator(fewer, policy(against)).play().results.service()
+            Simulator(fewer, load_policy(name)).play().results.service()
+            - Simulator(fewer, load_policy(against)).play().results.service()
         )
         if rest <= gap + abs(gap) * 0.1:
             kept.remove(fault)
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -20,26 +20,26 @@
 from .recording import PERIOD, RecordingSimulator
 from .scenarios import Day
 
-VERDICTS = {
+VERDICT_LABELS = {
     Verdict.ABSTAIN: "withdrawn",
     Verdict.PROMOTE: "on",
     Verdict.PAUSE: "hold",
     Verdict.ABORT: "back",
 }
-COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
+ANSWER_COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
 PERIODS_PER_SECOND = TICKS_PER_SECOND / PERIOD
 # Seconds of waiting work that get the brightest colour.
-BRIGHTEST_LOAD = 3
+BRIGHTEST_LOAD_SECONDS = 3
 # Not shown in the table: they are maps.
 HIDDEN_FIGURES = ("ends", "votes")
 
 
-class PlayedDay(NamedTuple):
+class PolicyRun(NamedTuple):
     """What one policy made of the day."""
 
     name: str
     """Of the policy."""
-    picture: str
+    chart_file: str
     """The file's name in the folder."""
     figures: dict[str, Any]
 
@@ -107,7 +107,7 @@
 
 
 def _draw_answers(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    for how, colour in COLOURS.items():
+    for how, colour in ANSWER_COLOURS.items():
         axis.plot(
             times,
             fleet.how[Answer(how)][: len(times)] * PERIODS_PER_SECOND,
@@ -118,7 +118,7 @@
 
 
 def _draw_votes(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    for verdict, name in VERDICTS.items():
+    for verdict, name in VERDICT_LABELS.items():
         if fleet.cast[verdict].any():
             axis.plot(times, fleet.cast[verdict][: len(times)] * PERIODS_PER_SECOND, label=name)
     axis.axhline(
@@ -143,14 +143,14 @@
         aspect="auto",
         origin="lower",
         cmap="inferno",
-        vmax=BRIGHTEST_LOAD,
+        vmax=BRIGHTEST_LOAD_SECONDS,
         extent=(0, times[-1], 0, fleet.day.pods),
     )
     axis.set_ylabel("pods: work waiting, s")
     axis.set_xlabel("seconds; bands are faults")
 
 
-def written(
+def write_report(
     day: Day, policies: Mapping[str, Any], folder: str, title: str
 ) -> dict[str, dict[str, Any]]:
     """Plays the day with each policy and writes index.html and a PNG for each into the folder.
@@ -168,9 +168,9 @@
     played = []
     for number, (name, policy) in enumerate(policies.items()):
         fleet = RecordingSimulator(day, policy).play()
-        picture = f"day-{number}.png"
-        draw_day(fleet, os.path.join(folder, picture), f"{title}: {name}")
-        played.append(PlayedDay(name, picture, _figures(fleet)))
+        chart_file = f"day-{number}.png"
+        draw_day(fleet, os.path.join(folder, chart_file), f"{title}: {name}")
+        played.append(PolicyRun(name, chart_file, _figures(fleet)))
     with open(os.path.join(folder, "index.html"), "w", encoding="utf-8") as target:
         target.write(_page(day, played, html.escape(title)))
     return {one.name: one.figures for one in played}
@@ -187,7 +187,7 @@
     }
 
 
-def _page(day: Day, played: list[PlayedDay], title: str) -> str:
+def _page(day: Day, played: list[PolicyRun], title: str) -> str:
     """The page as HTML; the title is escaped."""
     keys = [key for key in played[0].figures if key not in HIDDEN_FIGURES]
     table = "".join(
@@ -203,7 +203,8 @@
     )
     names = "".join(f"<th>{html.escape(one.name)}</th>" for one in played)
     pictures = "".join(
-        f'<h2>{html.escape(one.name)}</h2><img src="{one.picture}" alt="{html.escape(one.name)}">'
+        f"<h2>{html.escape(one.name)}</h2>"
+        f'<img src="{one.chart_file}" alt="{html.escape(one.name)}">'
         for one in played
     )
     return (
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -242,5 +242,5 @@
 
 def poll_interval_of(policy: Any, draw: RandomDraw) -> PollInterval:
     """Returns the policy's own poll interval, or the current one if it has none."""
-    interval: PollInterval = getattr(policy, "pace", AdaptiveInterval)(draw)
+    interval: PollInterval = getattr(policy, "poll_interval_type", AdaptiveInterval)(draw)
     return interval
--- a/thymeknot/simulation/statistics.py
+++ b/thymeknot/simulation/statistics.py
@@ -86,12 +86,12 @@
     """Lower bound of the interval; -inf for a single pair."""
     high: float
     """Upper bound of the interval; inf for a single pair."""
-    least: float
+    smallest_detectable: float
     """The smallest true difference that would be detected with 80% probability."""
-    pairs: int
+    pair_count: int
 
 
-def paired(one: ArrayLike, two: ArrayLike, level: float = 0.95) -> Difference:
+def paired_difference(one: ArrayLike, two: ArrayLike, level: float = 0.95) -> Difference:
     """Returns the mean of `one - two` over the same seeds with its interval (Student's t).
 
     Args:
@@ -106,13 +106,13 @@
         return Difference(mean, -math.inf, math.inf, math.inf, count)
     standard_error = float(gaps.std(ddof=1) / math.sqrt(count))
     half_width = float(stats.t.ppf(0.5 + level / 2, count - 1)) * standard_error
-    least = (
+    smallest_detectable = (
         float(stats.t.ppf(0.5 + level / 2, count - 1)) + float(stats.t.ppf(POWER, count - 1))
     ) * standard_error
-    return Difference(mean, mean - half_width, mean + half_width, least, count)
+    return Difference(mean, mean - half_width, mean + half_width, smallest_detectable, count)
 
 
-def arrivals_p(gaps: ArrayLike) -> float:
+def poisson_p_value(gaps: ArrayLike) -> float:
     """Returns the p value of a Kolmogorov-Smirnov test that the arrivals are a Poisson process.
 
     Args:
@@ -122,7 +122,7 @@
     return float(stats.kstest(gaps / gaps.mean(), "expon").pvalue)
 
 
-def zipf_p(ranks: ArrayLike, keys: int, exponent: float) -> float:
+def zipf_p_value(ranks: ArrayLike, keys: int, exponent: float) -> float:
     """Returns the p value of a chi-squared test that key ranks follow Zipf's law.
 
     The rare ranks are merged into one cell.
