--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -64,64 +64,67 @@
 
 def simulate_day(task: tuple[str, int, DaySize]) -> Result:
     """One day with one policy: its figures, with what it takes to play it again."""
-    name, seed, size = task
-    fleet = Simulator(scenarios.drawn(seed, **size), load_policy(name)).play()
+    policy_name, seed, size = task
+    simulator = Simulator(scenarios.drawn(seed, **size), load_policy(policy_name)).play()
     return {
-        "policy": name,
+        "policy": policy_name,
         "seed": seed,
         "size": size,
-        "troubles": [one.kind for one in fleet.day.faults],
-        "faulty": [list(one) for one in fleet.day.offers],
-        **fleet.figures(),
+        "troubles": [fault.kind for fault in simulator.day.faults],
+        "faulty": [list(offer) for offer in simulator.day.offers],
+        **simulator.figures(),
     }
 
 
 def simulate_large_fleet_day(task: tuple[str, str, int, DaySize]) -> Result:
     """One day of a large fleet (policy, kind, seed, size): what its decisions are judged by."""
-    name, kind, seed, size = task
-    day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
-    fleet = Simulator(day, load_policy(name)).play()
+    policy_name, kind, seed, size = task
+    day, (_, worst_end) = large_fleet_scenarios.of_kind(seed, kind, **size)
+    simulator = Simulator(day, load_policy(policy_name)).play()
     offer = day.offers[0]
-    turned_away, needless = fleet.results.needless()
+    rejected, needless = simulator.results.needless()
     if kind in large_fleet_scenarios.VAST:
         return {
-            "policy": name,
+            "policy": policy_name,
             "kind": kind,
             "seed": seed,
-            "turned_away": turned_away,
-            "recover_s": fleet.results.recovered(end),
-            **vast_figures(fleet),
+            "turned_away": rejected,
+            "recover_s": simulator.results.recovered(worst_end),
+            **vast_figures(simulator),
         }
     if kind in large_fleet_scenarios.MASS:
         return {
-            "policy": name,
+            "policy": policy_name,
             "kind": kind,
             "seed": seed,
-            "turned_away": turned_away,
-            "recover_s": fleet.results.recovered(end),
-            **mass_figures(fleet),
+            "turned_away": rejected,
+            "recover_s": simulator.results.recovered(worst_end),
+            **mass_figures(simulator),
         }
-    back = fleet.platform.state.phase in (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
+    rolled_back = simulator.platform.state.phase in (
+        ReleasePhase.ROLLING_BACK,
+        ReleasePhase.WITHDRAWN,
+    )
     return {
-        "policy": name,
+        "policy": policy_name,
         "kind": kind,
         "seed": seed,
         "good": offer.good,
-        "worth": fleet.results.worth(),
-        "service": fleet.results.service(),
-        "worst_10s": fleet.results.worst(),
-        "turned_away": turned_away,
+        "worth": simulator.results.worth(),
+        "service": simulator.results.service(),
+        "worst_10s": simulator.results.worst(),
+        "turned_away": rejected,
         "needless": needless,
-        "behind": fleet.results.behind / max(MIN_REQUESTED, fleet.results.asked),
-        "recover_s": fleet.results.recovered(end),
-        "good_back": offer.good and back,
-        "bad_released": not offer.good and bool(fleet.results.released),
+        "behind": simulator.results.behind / max(MIN_REQUESTED, simulator.results.asked),
+        "recover_s": simulator.results.recovered(worst_end),
+        "good_back": offer.good and rolled_back,
+        "bad_released": not offer.good and bool(simulator.results.released),
         "bad_kept": not offer.good
-        and fleet.platform.state.phase == ReleasePhase.RELEASED
-        and fleet.platform.state.build == offer.build,
-        "votes": fleet.results.votes_asked,
-        "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
+        and simulator.platform.state.phase == ReleasePhase.RELEASED
+        and simulator.platform.state.build == offer.build,
+        "votes": simulator.results.votes_asked,
+        "rules_broken": simulator.checker.rules_broken(),
+        "breaches": [list(breach) for breach in simulator.checker.broken[:MAX_BREACHES]],
     }
 
 
@@ -139,52 +142,58 @@
 )
 
 
-def vast_figures(fleet: Simulator) -> Result:
+def vast_figures(simulator: Simulator) -> Result:
     """What a day of a vast kind is judged by.
 
     All are shares, but for lists_per_instance (calls in all) and cold_overrun (the most that a
     server that warms up was sent, over what overloads it).
     """
-    asked = max(MIN_REQUESTED, fleet.results.asked)
-    good = [one.build for one in fleet.day.offers if one.good]
-    bad = [one.build for one in fleet.day.offers if not one.good]
-    votes = fleet.results.votes_asked
+    requested = max(MIN_REQUESTED, simulator.results.asked)
+    good_builds = [offer.build for offer in simulator.day.offers if offer.good]
+    bad_builds = [offer.build for offer in simulator.day.offers if not offer.good]
+    vote_calls = simulator.results.votes_asked
     return {
-        "worth": fleet.results.worth(),
-        "service": fleet.results.service(),
-        "worst_10s": fleet.results.worst(),
-        "needless_share": fleet.results.needless()[1],
-        "behind": fleet.results.behind / asked,
-        "harm": fleet.results.harm / asked,
-        "handshakes_per_transaction": fleet.connections.made / max(1, fleet.results.dispatched),
-        "lists_per_instance": fleet.discovery.calls / fleet.day.instances
-        if fleet.discovery
+        "worth": simulator.results.worth(),
+        "service": simulator.results.service(),
+        "worst_10s": simulator.results.worst(),
+        "needless_share": simulator.results.needless()[1],
+        "behind": simulator.results.behind / requested,
+        "harm": simulator.results.harm / requested,
+        "handshakes_per_transaction": simulator.connections.made
+        / max(1, simulator.results.dispatched),
+        "lists_per_instance": simulator.discovery.calls / simulator.day.instances
+        if simulator.discovery
         else 0.0,
-        "calls_refused_share": votes["full"] / max(1, votes["asked"]),
-        "cold_overrun": fleet.checker.overrun,
-        "good_back": sum(build in fleet.results.sent_back for build in good),
-        "good": len(good),
-        "bad": len(bad),
-        "bad_released": sum(build in fleet.results.released for build in bad),
-        "good_released": sum(build in fleet.results.released for build in good),
-        "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
+        "calls_refused_share": vote_calls["full"] / max(1, vote_calls["asked"]),
+        "cold_overrun": simulator.checker.overrun,
+        "good_back": sum(build in simulator.results.sent_back for build in good_builds),
+        "good": len(good_builds),
+        "bad": len(bad_builds),
+        "bad_released": sum(build in simulator.results.released for build in bad_builds),
+        "good_released": sum(build in simulator.results.released for build in good_builds),
+        "rules_broken": simulator.checker.rules_broken(),
+        "breaches": [list(breach) for breach in simulator.checker.broken[:MAX_BREACHES]],
     }
 
 
 def summarize_vast_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
     """As crowd_figures, by kind, of the vast kinds alone."""
-    told: dict[str, Any] = {}
+    summary: dict[str, Any] = {}
     for kind in sorted({pair[0]["kind"] for pair in pairs}):
-        some = [pair for pair in pairs if pair[0]["kind"] == kind]
-        told[kind] = {name: compare_figure(some, name) for name in VAST_FIGURE_NAMES}
-        for name, of in (("good_back", "good"), ("good_released", "good"), ("bad_released", "bad")):
-            told[kind][name] = {
-                when: f"{sum(one[at][name] for one in some)} of {sum(one[at][of] for one in some)}"
-                for at, when in enumerate(("before", "now"))
+        kind_pairs = [pair for pair in pairs if pair[0]["kind"] == kind]
+        summary[kind] = {name: compare_figure(kind_pairs, name) for name in VAST_FIGURE_NAMES}
+        for name, total in (
+            ("good_back", "good"),
+            ("good_released", "good"),
+            ("bad_released", "bad"),
+        ):
+            summary[kind][name] = {
+                label: f"{sum(results[index][name] for results in kind_pairs)}"
+                f" of {sum(results[index][total] for results in kind_pairs)}"
+                for index, label in enumerate(("before", "now"))
             }
-        told[kind]["rules_broken"] = broken_rules_of_pairs(some)
-    return told
+        summary[kind]["rules_broken"] = broken_rules_of_pairs(kind_pairs)
+    return summary
 
 
 MASS_FIGURE_NAMES = ("service", "worth", "worst_10s", "needless_share")
@@ -197,115 +206,132 @@
 }
 
 
-def mass_figures(fleet: Simulator) -> Result:
+def mass_figures(simulator: Simulator) -> Result:
     """What a day of a mass kind is judged by: vast_figures, and the seconds that builds took.
 
     Those are sums: from offer to release of the good ones, and for the bad ones from the first harm
     (the begin of the release, or else of the last stage) until it is rolled back. What does not
     come to that is counted until the next offer replaces it, or the day ends.
     """
-    day = fleet.day
-    figures = vast_figures(fleet)
-    ends = [*(one.at for one in day.offers[1:]), day.span]
-    spent = {
-        one.build: fleet.results.spent(
-            one.build, day.span if one.build in fleet.results.released and not one.good else end
+    day = simulator.day
+    figures = vast_figures(simulator)
+    time_limits = [*(offer.at for offer in day.offers[1:]), day.span]
+    build_times = {
+        offer.build: simulator.results.spent(
+            offer.build,
+            day.span
+            if offer.build in simulator.results.released and not offer.good
+            else time_limit,
         )
-        for one, end in zip(day.offers, ends)
+        for offer, time_limit in zip(day.offers, time_limits)
     }
     return {
         **figures,
-        "good_release_s": sum(spent[one.build][0] for one in day.offers if one.good),
-        "harm_to_back_s": sum(spent[one.build][1] for one in day.offers if not one.good),
+        "good_release_s": sum(build_times[offer.build][0] for offer in day.offers if offer.good),
+        "harm_to_back_s": sum(
+            build_times[offer.build][1] for offer in day.offers if not offer.good
+        ),
     }
 
 
 def summarize_mass_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
     """As vast_compared, of the mass kinds: by kind, and of all."""
-    told: dict[str, Any] = {}
+    summary: dict[str, Any] = {}
     kinds = sorted({pair[0]["kind"] for pair in pairs})
     for kind in (*kinds, "all"):
-        some = [pair for pair in pairs if kind in (pair[0]["kind"], "all")]
-        told[kind] = {name: compare_figure(some, name) for name in MASS_FIGURE_NAMES}
-        for name, of in MASS_BUILD_FIGURES.items():
-            which = [pair for pair in some if pair[0][of]]
-            by_build = [
-                ({name: one[name] / one[of]}, {name: two[name] / two[of]}) for one, two in which
+        kind_pairs = [pair for pair in pairs if kind in (pair[0]["kind"], "all")]
+        summary[kind] = {name: compare_figure(kind_pairs, name) for name in MASS_FIGURE_NAMES}
+        for name, count_name in MASS_BUILD_FIGURES.items():
+            pairs_with_builds = [pair for pair in kind_pairs if pair[0][count_name]]
+            means_by_build = [
+                ({name: first[name] / first[count_name]}, {name: second[name] / second[count_name]})
+                for first, second in pairs_with_builds
             ]
-            told[kind][name] = None
-            if which:
-                told[kind][name] = {
-                    **(compare_figure(by_build, name) or {}),
-                    "of": sum(pair[0][of] for pair in which),
-                    "sums": [round(sum(pair[at][name] for pair in which), 1) for at in (0, 1)],
+            summary[kind][name] = None
+            if pairs_with_builds:
+                summary[kind][name] = {
+                    **(compare_figure(means_by_build, name) or {}),
+                    "of": sum(pair[0][count_name] for pair in pairs_with_builds),
+                    "sums": [
+                        round(sum(pair[index][name] for pair in pairs_with_builds), 1)
+                        for index in (0, 1)
+                    ],
                 }
-        told[kind]["rules_broken"] = broken_rules_of_pairs(some)
-    return told
+        summary[kind]["rules_broken"] = broken_rules_of_pairs(kind_pairs)
+    return summary
 
 
 def broken_rules_of_pairs(pairs: Sequence[ResultPair]) -> list[list[int]]:
     """The rules broken before, and now."""
-    return [sorted({rule for pair in pairs for rule in pair[at]["rules_broken"]}) for at in (0, 1)]
+    return [
+        sorted({rule for pair in pairs for rule in pair[index]["rules_broken"]}) for index in (0, 1)
+    ]
 
 
-def compare_figure(some: Sequence[ResultPair], name: str) -> dict[str, float | None] | None:
+def compare_figure(pairs: Sequence[ResultPair], name: str) -> dict[str, float | None] | None:
     """Means before and now, and the difference with its 95% interval over the same days.
 
     The interval is None for a single day, and all is None without a day.
     """
-    before = [float(one[name]) for one, _ in some]
-    now = [float(two[name]) for _, two in some]
-    if not some:
+    before = [float(first[name]) for first, _ in pairs]
+    now = [float(second[name]) for _, second in pairs]
+    if not pairs:
         return None
-    gap = statistics.paired_difference(now, before)
+    difference = statistics.paired_difference(now, before)
     return {
         "before": round(sum(before) / len(before), 4),
         "now": round(sum(now) / len(now), 4),
-        "gap": round(gap.mean, 4),
-        "low": round(gap.low, 4) if math.isfinite(gap.low) else None,
-        "high": round(gap.high, 4) if math.isfinite(gap.high) else None,
+        "gap": round(difference.mean, 4),
+        "low": round(difference.low, 4) if math.isfinite(difference.low) else None,
+        "high": round(difference.high, 4) if math.isfinite(difference.high) else None,
     }
 
 
 def simulate_large_fleet_pairs(  # noqa: PLR0917  the commands pass them by position
-    one: str,
-    two: str,
+    first_policy: str,
+    second_policy: str,
     kinds: Iterable[str],
     seeds: Sequence[int],
     size: DaySize,
     workers: int,
-    told: ProgressCallback = ignore_progress,
+    on_progress: ProgressCallback = ignore_progress,
 ) -> list[ResultPair]:
     """Plays two policies on the same days of these kinds: their results, in the days' order."""
-    tasks = [(name, kind, seed, size) for kind in kinds for seed in seeds for name in (one, two)]
-    found: list[Result] = []
+    tasks = [
+        (policy_name, kind, seed, size)
+        for kind in kinds
+        for seed in seeds
+        for policy_name in (first_policy, second_policy)
+    ]
+    results: list[Result] = []
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
         for result in pool.map(simulate_large_fleet_day, tasks):
-            found.append(result)
-            told(len(found), len(tasks))
-    return list(zip(found[::2], found[1::2]))
+            results.append(result)
+            on_progress(len(results), len(tasks))
+    return list(zip(results[::2], results[1::2]))
 
 
 def summarize_large_fleet_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
     """What pairs of results say by figure: both means, and the difference with its interval."""
-    told = compare_figure
+    compare = compare_figure
 
-    def which(name: str, value: object) -> list[ResultPair]:
+    def select(name: str, value: object) -> list[ResultPair]:
         return [pair for pair in pairs if pair[0].get(name) == value]
 
     kinds = sorted({pair[0]["kind"] for pair in pairs})
-    usual = [pair for pair in pairs if pair[0]["kind"] != "overload"]
+    pairs_without_overload = [pair for pair in pairs if pair[0]["kind"] != "overload"]
     return {
-        "needless_share": told(usual, "needless"),
-        "overload_served": told(which("kind", "overload"), "service"),
-        **{name: told(pairs, name) for name in ("service", "worst_10s", "worth", "recover_s")},
-        "good_back": told(which("good", True), "good_back"),
-        **{name: told(which("good", False), name) for name in ("bad_released", "bad_kept")},
+        "needless_share": compare(pairs_without_overload, "needless"),
+        "overload_served": compare(select("kind", "overload"), "service"),
+        **{name: compare(pairs, name) for name in ("service", "worst_10s", "worth", "recover_s")},
+        "good_back": compare(select("good", True), "good_back"),
+        **{name: compare(select("good", False), name) for name in ("bad_released", "bad_kept")},
         "rules_broken": broken_rules_of_pairs(pairs),
-        "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:MAX_BREACHES],
+        "breaches": [breach for pair in pairs for breach in pair[1]["breaches"]][:MAX_BREACHES],
         "by_kind": {
             kind: {
-                name: told(which("kind", kind), name) for name in ("service", "needless", "behind")
+                name: compare(select("kind", kind), name)
+                for name in ("service", "needless", "behind")
             }
             for kind in kinds
         },
@@ -317,125 +343,135 @@
     return orjson.dumps([task[0], task[1], sorted(task[2].items())]).decode()
 
 
-def _kept(path: str) -> dict[str, Result]:
+def _read_results(path: str) -> dict[str, Result]:
     """The results in a file; a line that a kill cut off is passed over."""
-    found = {}
+    results = {}
     with open(path, "rb") as source:
         for line in source:
             try:
-                one = orjson.loads(line)
-                found[task_key((one["policy"], one["seed"], one["size"]))] = one
+                result = orjson.loads(line)
+                results[task_key((result["policy"], result["seed"], result["size"]))] = result
             except (orjson.JSONDecodeError, KeyError):
                 continue
-    return found
+    return results
 
 
 def simulate_days(
     tasks: Sequence[tuple[str, int, DaySize]],
     workers: int,
-    path: str | None = None,
-    told: ProgressCallback = ignore_progress,
+    results_path: str | None = None,
+    on_progress: ProgressCallback = ignore_progress,
 ) -> list[Result]:
     """Plays all tasks.
 
     Args:
         tasks: policy, seed and size of each.
         workers: processes that play at once.
-        path: where each result is kept as it comes; what is there already is not played again.
-        told: is told the progress.
+        results_path: where each result is kept as it comes; what is there already is not played
+            again.
+        on_progress: is told the progress.
 
     Returns:
         The results in the order of the tasks.
     """
-    found = _kept(path) if path and os.path.exists(path) else {}
-    missing = [task for task in tasks if task_key(task) not in found]
+    results = _read_results(results_path) if results_path and os.path.exists(results_path) else {}
+    missing_tasks = [task for task in tasks if task_key(task) not in results]
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
-        waiting = {pool.submit(simulate_day, task): task for task in missing}
-        for future in as_completed(waiting):
-            one = future.result()
-            found[task_key(waiting[future])] = one
-            if path:
-                with open(path, "ab") as target:
-                    target.write(orjson.dumps(one) + b"\n")
-            told(len(tasks) - sum(task_key(task) not in found for task in tasks), len(tasks))
-    return [found[task_key(task)] for task in tasks]
+        task_by_future = {pool.submit(simulate_day, task): task for task in missing_tasks}
+        for future in as_completed(task_by_future):
+            result = future.result()
+            results[task_key(task_by_future[future])] = result
+            if results_path:
+                with open(results_path, "ab") as target:
+                    target.write(orjson.dumps(result) + b"\n")
+            on_progress(
+                len(tasks) - sum(task_key(task) not in results for task in tasks), len(tasks)
+            )
+    return [results[task_key(task)] for task in tasks]
 
 
 def compare_policies(  # noqa: PLR0917  the commands pass them by position
-    one: str,
-    two: str,
+    first_policy: str,
+    second_policy: str,
     seeds: Iterable[int],
     size: DaySize,
     workers: int,
-    path: str | None = None,
-    told: ProgressCallback = ignore_progress,
+    results_path: str | None = None,
+    on_progress: ProgressCallback = ignore_progress,
 ) -> tuple[dict[str, statistics.Difference], list[int], list[Result]]:
     """Plays two policies on the same days.
 
     Returns:
         The differences one - two by figure, the rules that either broke, and the results.
     """
-    tasks = [(name, seed, size) for seed in seeds for name in (one, two)]
-    results = simulate_days(tasks, workers, path, told)
-    first = results[::2]
-    second = results[1::2]
+    tasks = [
+        (policy_name, seed, size) for seed in seeds for policy_name in (first_policy, second_policy)
+    ]
+    results = simulate_days(tasks, workers, results_path, on_progress)
+    first_results = results[::2]
+    second_results = results[1::2]
     return (
         {
             figure: statistics.paired_difference(
-                [each[figure] for each in first], [each[figure] for each in second]
+                [result[figure] for result in first_results],
+                [result[figure] for result in second_results],
             )
             for figure in ("service", "worst_10s", "harm")
         },
-        sorted({rule for each in results for rule in each["rules_broken"]}),
+        sorted({rule for result in results for rule in result["rules_broken"]}),
         results,
     )
 
 
 def find_worst_days(  # noqa: PLR0917  the commands pass them by position
-    name: str,
+    policy_name: str,
     seeds: Iterable[int],
     size: DaySize,
     workers: int,
-    against: str = "random",
-    told: ProgressCallback = ignore_progress,
+    baseline: str = "random",
+    on_progress: ProgressCallback = ignore_progress,
 ) -> list[dict[str, Any]]:
     """The days on which a policy does worst beside another, the worst first.
 
     There is one for each set of faults, reduced to what matters: a fault is left out if the gap
     does not close by over a tenth without it.
     """
-    results = compare_policies(name, against, seeds, size, workers, None, told)[2]
+    results = compare_policies(policy_name, baseline, seeds, size, workers, None, on_progress)[2]
     worst: dict[tuple[str, ...], tuple[float, int]] = {}
-    for mine, theirs in zip(results[::2], results[1::2]):
-        gap = mine["service"] - theirs["service"]
-        kind = tuple(sorted(mine["troubles"]))
-        if kind not in worst or gap < worst[kind][0]:
-            worst[kind] = gap, mine["seed"]
-    found = []
-    for kind, (gap, seed) in sorted(worst.items(), key=lambda one: one[1][0])[:MAX_SEARCH_RESULTS]:
-        found.append(
+    for result, baseline_result in zip(results[::2], results[1::2]):
+        difference = result["service"] - baseline_result["service"]
+        fault_kinds = tuple(sorted(result["troubles"]))
+        if fault_kinds not in worst or difference < worst[fault_kinds][0]:
+            worst[fault_kinds] = difference, result["seed"]
+    worst_days = []
+    for fault_kinds, (difference, seed) in sorted(worst.items(), key=lambda item: item[1][0])[
+        :MAX_SEARCH_RESULTS
+    ]:
+        worst_days.append(
             {
                 "seed": seed,
-                "gap": round(gap, 4),
-                "troubles": kind,
-                "needed": find_needed_fault_kinds(name, against, seed, size, gap),
+                "gap": round(difference, 4),
+                "troubles": fault_kinds,
+                "needed": find_needed_fault_kinds(policy_name, baseline, seed, size, difference),
             }
         )
-    return found
+    return worst_days
 
 
 def find_needed_fault_kinds(
-    name: str, against: str, seed: int, size: DaySize, gap: float
+    policy_name: str, baseline: str, seed: int, size: DaySize, difference: float
 ) -> list[scenarios.FaultKind]:
     """The kinds of a day's faults without which the gap would close by over a tenth."""
     day = scenarios.drawn(seed, **size)
-    kept = list(day.faults)
-    for fault in list(kept):
-        fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
-        rest = (
-            Simulator(fewer, load_policy(name)).play().results.service()
-            - Simulator(fewer, load_policy(against)).play().results.service()
+    needed_faults = list(day.faults)
+    for fault in list(needed_faults):
+        reduced_day = day._replace(
+            faults=tuple(other for other in needed_faults if other is not fault)
+        )
+        remaining_difference = (
+            Simulator(reduced_day, load_policy(policy_name)).play().results.service()
+            - Simulator(reduced_day, load_policy(baseline)).play().results.service()
         )
-        if rest <= gap + abs(gap) * 0.1:
-            kept.remove(fault)
-    return [one.kind for one in kept]
+        if remaining_difference <= difference + abs(difference) * 0.1:
+            needed_faults.remove(fault)
+    return [needed.kind for needed in needed_faults]
