--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -1,8 +1,9 @@
-"""Experiments: days by seed, played with each policy on all cores, and compared.
+"""Experiments: simulates the same days with several policies in parallel and compares the results.
 
-Results are kept as they come, and an experiment that was interrupted goes on where it was. Every
-result holds what it takes to play it again: seed, size, policy, version. Results and comparisons
-are maps, as they are written and printed as JSON.
+Each result is written to a file as soon as it is available, so that an interrupted experiment can
+be continued. A result contains what is needed to reproduce it: the seed, the size of the fleet and
+the policy with its revision, if it is one of an earlier revision. Results and comparisons are
+dictionaries that are written and printed as JSON.
 """
 
 import math
@@ -24,32 +25,41 @@
 
 
 Result = dict[str, Any]
-"""The figures of one day with one policy."""
+"""The figures of one day simulated with one policy, by name."""
 ResultPair = tuple[Result, Result]
-"""The results of two policies on one day."""
+"""The results of two policies for the same day."""
 DaySize = dict[str, Any]
-"""Arguments of what draws the day."""
+"""Keyword arguments of the function that draws the day, such as `instances` and `pods`."""
 ProgressCallback = Callable[[int, int], object]
-"""Called with how many results are done, and of how many."""
+"""Called with the number of available results and the total number."""
 
-# Asked is 0 on a day without requests: the shares of it are then 0.
+# Least divisor for ratios to the earnings of all requests, which are 0 on a day without requests;
+# the ratios are then 0.
 MIN_REQUESTED = 1e-9
-# Breaches that a result holds at most.
+# Maximum number of rule violations in a result.
 MAX_BREACHES = 5
-# Days that a search gives at most.
+# Maximum number of days that a search returns.
 MAX_SEARCH_RESULTS = 3
 
 
 def ignore_progress(done: int, count: int) -> None:
-    """Ignores the progress."""
+    """Does nothing; the default progress callback."""
 
 
 class UnknownPolicyError(ValueError):
-    """No such policy, version or result."""
+    """There is no policy or revision of this name."""
 
 
 def load_policy(name: str) -> Any:
-    """`now` is the present engine, `at:REVISION` an earlier one, else a baseline policy."""
+    """Returns the policy of a name.
+
+    Args:
+        name: `now` for the current decision engine, `at:REVISION` for the engine of an earlier git
+            revision, or the name of a baseline policy.
+
+    Raises:
+        UnknownPolicyError: There is no such policy or revision.
+    """
     if name == "now":
         return current_engine
     if name.startswith("at:"):
@@ -58,12 +68,21 @@
         except UnknownRevisionError as error:
             raise UnknownPolicyError(str(error)) from None
     if name not in TEXTBOOK:
-        raise UnknownPolicyError(f"{name}: none of now, at:REVISION, {', '.join(TEXTBOOK)}")
+        raise UnknownPolicyError(
+            f"unknown policy {name}, must be one of now, at:REVISION, {', '.join(TEXTBOOK)}"
+        )
     return TEXTBOOK[name]
 
 
 def simulate_day(task: tuple[str, int, DaySize]) -> Result:
-    """One day with one policy: its figures, with what it takes to play it again."""
+    """Simulates a day of a small fleet.
+
+    Args:
+        task: Policy name, seed and size.
+
+    Returns:
+        The figures of the day and the arguments that reproduce it.
+    """
     policy_name, seed, size = task
     simulator = Simulator(scenarios.drawn(seed, **size), load_policy(policy_name)).play()
     return {
@@ -77,7 +96,14 @@
 
 
 def simulate_large_fleet_day(task: tuple[str, str, int, DaySize]) -> Result:
-    """One day of a large fleet (policy, kind, seed, size): what its decisions are judged by."""
+    """Simulates a day of a large fleet.
+
+    Args:
+        task: Policy name, scenario kind, seed and size.
+
+    Returns:
+        The figures by which the policy is judged; which they are depends on the kind.
+    """
     policy_name, kind, seed, size = task
     day, (_, worst_end) = large_fleet_scenarios.of_kind(seed, kind, **size)
     simulator = Simulator(day, load_policy(policy_name)).play()
@@ -143,10 +169,11 @@
 
 
 def vast_figures(simulator: Simulator) -> Result:
-    """What a day of a vast kind is judged by.
+    """Returns the figures by which a policy is judged on a day of a vast kind.
 
-    All are shares, but for lists_per_instance (calls in all) and cold_overrun (the most that a
-    server that warms up was sent, over what overloads it).
+    Most are ratios. `lists_per_instance` is the number of calls for endpoint lists per instance.
+    `cold_overrun` is the highest ratio of the work sent to a server during its warm-up to the work
+    that overloads it. The figures of builds, such as `good_back`, are numbers of builds.
     """
     requested = max(MIN_REQUESTED, simulator.results.asked)
     good_builds = [offer.build for offer in simulator.day.offers if offer.good]
@@ -177,7 +204,10 @@
 
 
 def summarize_vast_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
-    """As crowd_figures, by kind, of the vast kinds alone."""
+    """Returns a comparison of each figure by kind, for results of vast kinds.
+
+    Like `summarize_large_fleet_pairs`, but with the figures of `vast_figures`.
+    """
     summary: dict[str, Any] = {}
     for kind in sorted({pair[0]["kind"] for pair in pairs}):
         kind_pairs = [pair for pair in pairs if pair[0]["kind"] == kind]
@@ -197,7 +227,8 @@
 
 
 MASS_FIGURE_NAMES = ("service", "worth", "worst_10s", "needless_share")
-# Figures of the days alone that offered such builds: the mean by day, and the sum.
+# Figures that are divided by the number of good or bad builds of the day. Only days that offered
+# such builds count.
 MASS_BUILD_FIGURES = {
     "bad_released": "bad",
     "harm_to_back_s": "bad",
@@ -207,11 +238,12 @@
 
 
 def mass_figures(simulator: Simulator) -> Result:
-    """What a day of a mass kind is judged by: vast_figures, and the seconds that builds took.
+    """Returns the figures by which a policy is judged on a day of a mass kind.
 
-    Those are sums: from offer to release of the good ones, and for the bad ones from the first harm
-    (the begin of the release, or else of the last stage) until it is rolled back. What does not
-    come to that is counted until the next offer replaces it, or the day ends.
+    In addition to `vast_figures` these are two sums of seconds: for good builds the time from offer
+    to release, for bad builds the time during which they could do harm, from the release (or else
+    the start of the last stage) until they were rolled back. If the release or rollback did not
+    happen, the time ends when the next offer replaces the build or at the end of the day.
     """
     day = simulator.day
     figures = vast_figures(simulator)
@@ -235,7 +267,11 @@
 
 
 def summarize_mass_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
-    """As vast_compared, of the mass kinds: by kind, and of all."""
+    """Returns a comparison of each figure by kind and over all kinds, for results of mass kinds.
+
+    `of` is the number of builds that a figure refers to, and `sums` holds its totals before and
+    now.
+    """
     summary: dict[str, Any] = {}
     kinds = sorted({pair[0]["kind"] for pair in pairs})
     for kind in (*kinds, "all"):
@@ -262,16 +298,20 @@
 
 
 def broken_rules_of_pairs(pairs: Sequence[ResultPair]) -> list[list[int]]:
-    """The rules broken before, and now."""
+    """Returns the numbers of the rules that were broken before and now."""
     return [
         sorted({rule for pair in pairs for rule in pair[index]["rules_broken"]}) for index in (0, 1)
     ]
 
 
 def compare_figure(pairs: Sequence[ResultPair], name: str) -> dict[str, float | None] | None:
-    """Means before and now, and the difference with its 95% interval over the same days.
+    """Returns the means of a figure before and now and their difference with its 95% interval.
 
-    The interval is None for a single day, and all is None without a day.
+    The bounds of the interval are None for a single day; without days the result is None.
+
+    Args:
+        pairs: The results before and now of each day.
+        name: The key of the figure.
     """
     before = [float(first[name]) for first, _ in pairs]
     now = [float(second[name]) for _, second in pairs]
@@ -287,7 +327,7 @@
     }
 
 
-def simulate_large_fleet_pairs(  # noqa: PLR0917  the commands pass them by position
+def simulate_large_fleet_pairs(  # noqa: PLR0917  commands pass these by position
     first_policy: str,
     second_policy: str,
     kinds: Iterable[str],
@@ -296,7 +336,20 @@
     workers: int,
     on_progress: ProgressCallback = ignore_progress,
 ) -> list[ResultPair]:
-    """Plays two policies on the same days of these kinds: their results, in the days' order."""
+    """Simulates the same days of a large fleet with two policies.
+
+    Args:
+        first_policy: Name of the policy that comes first in each pair.
+        second_policy: Name of the policy that comes second.
+        kinds: Scenario kinds.
+        seeds: Seeds of the days of each kind.
+        size: Size of the fleet.
+        workers: Number of processes.
+        on_progress: Called after each result.
+
+    Returns:
+        The results, in the order of kinds and seeds.
+    """
     tasks = [
         (policy_name, kind, seed, size)
         for kind in kinds
@@ -312,7 +365,11 @@
 
 
 def summarize_large_fleet_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
-    """What pairs of results say by figure: both means, and the difference with its interval."""
+    """Returns a comparison of each figure of the results of two policies.
+
+    See `compare_figure`. Some figures are compared only on the days that they apply to, such as
+    those with a good build; `by_kind` compares three figures by scenario kind.
+    """
     compare = compare_figure
 
     def select(name: str, value: object) -> list[ResultPair]:
@@ -339,12 +396,15 @@
 
 
 def task_key(task: tuple[str, int, DaySize]) -> str:
-    """By which the result of a task is found again."""
+    """Returns the key of a task's result."""
     return orjson.dumps([task[0], task[1], sorted(task[2].items())]).decode()
 
 
 def _read_results(path: str) -> dict[str, Result]:
-    """The results in a file; a line that a kill cut off is passed over."""
+    """Returns the results in a file by the keys of their tasks.
+
+    Lines that can't be parsed are skipped: a process that is killed may leave an incomplete line.
+    """
     results = {}
     with open(path, "rb") as source:
         for line in source:
@@ -362,14 +422,14 @@
     results_path: str | None = None,
     on_progress: ProgressCallback = ignore_progress,
 ) -> list[Result]:
-    """Plays all tasks.
+    """Simulates days of a small fleet in parallel.
 
     Args:
-        tasks: policy, seed and size of each.
-        workers: processes that play at once.
-        results_path: where each result is kept as it comes; what is there already is not played
-            again.
-        on_progress: is told the progress.
+        tasks: Policy name, seed and size of each day.
+        workers: Number of processes.
+        results_path: File to which each result is appended as soon as it is available. Days whose
+            results it already contains are not simulated again.
+        on_progress: Called after each result.
 
     Returns:
         The results in the order of the tasks.
@@ -390,7 +450,7 @@
     return [results[task_key(task)] for task in tasks]
 
 
-def compare_policies(  # noqa: PLR0917  the commands pass them by position
+def compare_policies(  # noqa: PLR0917  commands pass these by position
     first_policy: str,
     second_policy: str,
     seeds: Iterable[int],
@@ -399,10 +459,20 @@
     results_path: str | None = None,
     on_progress: ProgressCallback = ignore_progress,
 ) -> tuple[dict[str, statistics.Difference], list[int], list[Result]]:
-    """Plays two policies on the same days.
+    """Compares two policies on the same days of a small fleet.
+
+    Args:
+        first_policy: Name of a policy.
+        second_policy: Name of the policy whose figures are subtracted.
+        seeds: Seeds of the days.
+        size: Size of the fleet.
+        workers: Number of processes.
+        results_path: See `simulate_days`.
+        on_progress: Called after each result.
 
     Returns:
-        The differences one - two by figure, the rules that either broke, and the results.
+        The differences by figure, the rules that either policy broke, and the results of both
+        policies in alternation.
     """
     tasks = [
         (policy_name, seed, size) for seed in seeds for policy_name in (first_policy, second_policy)
@@ -423,7 +493,7 @@
     )
 
 
-def find_worst_days(  # noqa: PLR0917  the commands pass them by position
+def find_worst_days(  # noqa: PLR0917  commands pass these by position
     policy_name: str,
     seeds: Iterable[int],
     size: DaySize,
@@ -431,10 +501,18 @@
     baseline: str = "random",
     on_progress: ProgressCallback = ignore_progress,
 ) -> list[dict[str, Any]]:
-    """The days on which a policy does worst beside another, the worst first.
+    """Returns the days with the lowest service of a policy relative to another, worst first.
 
-    There is one for each set of faults, reduced to what matters: a fault is left out if the gap
-    does not close by over a tenth without it.
+    At most one day is returned for each combination of fault kinds. `needed` contains those of its
+    faults that contribute to the difference.
+
+    Args:
+        policy_name: Name of the policy to examine.
+        seeds: Seeds of the days that are searched.
+        size: Size of the fleet.
+        workers: Number of processes.
+        baseline: Name of the policy to compare with.
+        on_progress: Called after each result.
     """
     results = compare_policies(policy_name, baseline, seeds, size, workers, None, on_progress)[2]
     worst: dict[tuple[str, ...], tuple[float, int]] = {}
@@ -461,7 +539,18 @@
 def find_needed_fault_kinds(
     policy_name: str, baseline: str, seed: int, size: DaySize, difference: float
 ) -> list[scenarios.FaultKind]:
-    """The kinds of a day's faults without which the gap would close by over a tenth."""
+    """Returns the kinds of those faults of a day that contribute to the difference in service.
+
+    Faults are removed one by one; a fault stays removed if the difference does not rise by more
+    than a tenth of its size without it.
+
+    Args:
+        policy_name: Name of the policy to examine.
+        baseline: Name of the policy to compare with.
+        seed: Seed of the day.
+        size: Size of the fleet.
+        difference: The service of the policy minus that of the baseline, with all faults.
+    """
     day = scenarios.drawn(seed, **size)
     needed_faults = list(day.faults)
     for fault in list(needed_faults):
