--- a/thymeknot/simulation/earlier_versions.py
+++ b/thymeknot/simulation/earlier_versions.py
@@ -78,10 +78,10 @@
     "votes_per_second": "votes_per_s",
 }
 CURRENT_ACTIONS: dict[str, Any] = {
-    name: getattr(actions, today)
-    for today, former in FORMER_TYPE_NAMES.items()
-    if hasattr(actions, today)
-    for name in (today, former)
+    name: getattr(actions, current)
+    for current, former in FORMER_TYPE_NAMES.items()
+    if hasattr(actions, current)
+    for name in (current, former)
 }
 
 
@@ -96,11 +96,13 @@
         self._interface = interface
         self._engine = engine
 
-    def handle(self, now: Ticks, told: list[Any]) -> list[Any]:
+    def handle(self, now: Ticks, received: list[Any]) -> list[Any]:
         """The actions that follow from events; events unknown to the version are left out."""
-        translated = [translate_event(event, self._interface) for event in told]
-        answers = self._engine.handle(now, [event for event in translated if event is not None])
-        return [CURRENT_ACTIONS[type(action).__name__](*action) for action in answers]
+        translated = [translate_event(event, self._interface) for event in received]
+        answered_actions = self._engine.handle(
+            now, [event for event in translated if event is not None]
+        )
+        return [CURRENT_ACTIONS[type(action).__name__](*action) for action in answered_actions]
 
 
 class EarlierVersion(NamedTuple):
@@ -112,8 +114,8 @@
 
     def __call__(self, settings: Settings, seed: int, now: Ticks) -> EarlierEngine:
         """An instance with these settings."""
-        made = self.create_engine(translate_settings(settings, self.interface), seed, now)
-        return EarlierEngine(self.interface, made)
+        engine = self.create_engine(translate_settings(settings, self.interface), seed, now)
+        return EarlierEngine(self.interface, engine)
 
 
 def former_type(name: str, interface: ModuleType) -> Any:
@@ -123,70 +125,73 @@
 
 def translate_event(event: Any, interface: ModuleType) -> Any:
     """An event in the types of an earlier version, or None if it has none for it."""
-    kind = former_type(type(event).__name__, interface)
-    if kind is None:
+    event_type = former_type(type(event).__name__, interface)
+    if event_type is None:
         return None
-    values = tuple(event)[: len(kind._fields)]
+    values = tuple(event)[: len(event_type._fields)]
     if isinstance(event, events.EndpointUpdate):
-        endpoint = former_type("Endpoint", interface)
-        listed = tuple(endpoint(*one[: len(endpoint._fields)]) for one in event.endpoints)
-        values = (event.kind, listed)
-    return kind(*values)
+        endpoint_type = former_type("Endpoint", interface)
+        endpoints = tuple(
+            endpoint_type(*fields[: len(endpoint_type._fields)]) for fields in event.endpoints
+        )
+        values = (event.kind, endpoints)
+    return event_type(*values)
 
 
 def translate_settings(settings: Settings, interface: ModuleType) -> Any:
     """The settings in the types of an earlier version."""
-    kind = former_type("Settings", interface)
+    settings_type = former_type("Settings", interface)
     values = {
         FORMER_SETTING_NAMES.get(name, name): value for name, value in settings._asdict().items()
     }
     values.update(settings._asdict())
     for field in ("request_classes", "lanes"):
         values[field] = {
-            name: _request_class(one, interface) for name, one in settings.request_classes.items()
+            name: _translate_request_class(request_class, interface)
+            for name, request_class in settings.request_classes.items()
         }
-    return kind(**{name: values[name] for name in kind._fields})
+    return settings_type(**{name: values[name] for name in settings_type._fields})
 
 
-def _request_class(request_class: RequestClass, interface: ModuleType) -> Any:
-    kind = former_type("RequestClass", interface)
-    return kind(*request_class[: len(kind._fields)])
+def _translate_request_class(request_class: RequestClass, interface: ModuleType) -> Any:
+    class_type = former_type("RequestClass", interface)
+    return class_type(*request_class[: len(class_type._fields)])
 
 
 @cache
 def load_version(revision: str) -> EarlierVersion:
     """The version of a revision, taken from git once a process. Raises UnknownRevisionError."""
     package = f"thymeknot_{blake2b(revision.encode(), digest_size=4).hexdigest()}"
-    folder = tempfile.TemporaryDirectory()
-    atexit.register(folder.cleanup)
-    _unpack(revision, folder.name, package)
-    sys.path.insert(0, folder.name)
+    directory = tempfile.TemporaryDirectory()
+    atexit.register(directory.cleanup)
+    _unpack(revision, directory.name, package)
+    sys.path.insert(0, directory.name)
     try:
-        interface, create_engine = _decisions(package)
-        interval_module = _first_of(
+        interface, create_engine = _import_decision_engine(package)
+        interval_module = _import_first(
             (f"{package}.polling.adaptive_interval", f"{package}.asking.pace")
         )
     finally:
-        sys.path.remove(folder.name)
-    kind = (
+        sys.path.remove(directory.name)
+    poll_interval_type = (
         EarlierPace
         if interval_module is None
         else getattr(interval_module, "AdaptiveInterval", None) or interval_module.Pace
     )
-    return EarlierVersion(interface, create_engine, kind)
+    return EarlierVersion(interface, create_engine, poll_interval_type)
 
 
-def _unpack(revision: str, folder: str, package: str) -> None:
+def _unpack(revision: str, directory: str, package: str) -> None:
     command = ["git", "-C", REPOSITORY_ROOT, "archive", "--format=tar", revision, "thymeknot"]
     archive = subprocess.run(command, capture_output=True, check=False)
     if archive.returncode:
         raise UnknownRevisionError(f"{revision}: {archive.stderr.decode().strip()}")
-    subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
-    os.rename(os.path.join(folder, "thymeknot"), os.path.join(folder, package))
+    subprocess.run(["tar", "-x", "-C", directory], input=archive.stdout, check=True)
+    os.rename(os.path.join(directory, "thymeknot"), os.path.join(directory, package))
 
 
-def _decisions(package: str) -> tuple[ModuleType, Any]:
-    engine = _first_of((f"{package}.policy.engine", f"{package}.balance"))
+def _import_decision_engine(package: str) -> tuple[ModuleType, Any]:
+    engine = _import_first((f"{package}.policy.engine", f"{package}.balance"))
     if engine is None:
         raise UnknownRevisionError(f"{package}: no decisions")
     interface = importlib.import_module(f"{package}.interface")
@@ -199,7 +204,7 @@
     return interface, create_engine
 
 
-def _first_of(names: tuple[str, ...]) -> ModuleType | None:
+def _import_first(names: tuple[str, ...]) -> ModuleType | None:
     for name in names:
         try:
             return importlib.import_module(name)
