--- a/thymeknot/simulation/earlier_versions.py
+++ b/thymeknot/simulation/earlier_versions.py
@@ -1,8 +1,8 @@
-"""The decisions as they were at an earlier revision of this repository, played beside today's.
+"""Runs the decision engine of an earlier git revision, for comparison with the current one.
 
-The whole package of that revision is taken from git under a name of its own. Events are handed
-over, and actions taken back, field by field: their order has not changed since the first revision,
-only names have.
+The whole package of the revision is extracted from git and imported under a different name. Events
+and actions are converted field by field in order: since the first revision only the names of their
+fields have changed, not their order.
 """
 
 import atexit
@@ -23,6 +23,7 @@
 
 REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
+# Former names of the types of the interface, by current name.
 FORMER_TYPE_NAMES = {
     "Endpoint": "Pod",
     "EndpointUpdate": "PodList",
@@ -53,6 +54,7 @@
     "RequestClass": "Lane",
     "Settings": "Terms",
 }
+# Former names of the settings, by current name.
 FORMER_SETTING_NAMES = {
     "request_classes": "lanes",
     "instances": "balancers",
@@ -77,6 +79,7 @@
     "vote_timeout": "vote_wait",
     "votes_per_second": "votes_per_s",
 }
+# Current types of actions, by current and by former name.
 CURRENT_ACTIONS: dict[str, Any] = {
     name: getattr(actions, current)
     for current, former in FORMER_TYPE_NAMES.items()
@@ -86,18 +89,18 @@
 
 
 class UnknownRevisionError(ValueError):
-    """Git has no such revision, or it holds no decisions."""
+    """The revision does not exist or contains no decision engine."""
 
 
 class EarlierEngine:
-    """An instance of an earlier version, told and answering in today's types."""
+    """Decision engine of an earlier version that takes and returns current types."""
 
     def __init__(self, interface: ModuleType, engine: Any) -> None:
         self._interface = interface
         self._engine = engine
 
     def handle(self, now: Ticks, received: list[Any]) -> list[Any]:
-        """The actions that follow from events; events unknown to the version are left out."""
+        """Returns the actions that follow from events; ignores events that the version lacks."""
         translated = [translate_event(event, self._interface) for event in received]
         answered_actions = self._engine.handle(
             now, [event for event in translated if event is not None]
@@ -106,25 +109,47 @@
 
 
 class EarlierVersion(NamedTuple):
-    """Makes instances of an earlier version; `pace` is how often that version polled."""
+    """Creates decision engines of an earlier version.
+
+    Attributes:
+        interface: Module with the version's settings, events and actions.
+        create_engine: The version's class of decision engines.
+        poll_interval_type: Class that determines how often the version polls; see `PollInterval`.
+    """
 
     interface: ModuleType
     create_engine: Any
     poll_interval_type: Any
 
     def __call__(self, settings: Settings, seed: int, now: Ticks) -> EarlierEngine:
-        """An instance with these settings."""
+        """Returns an engine with these settings."""
         engine = self.create_engine(translate_settings(settings, self.interface), seed, now)
         return EarlierEngine(self.interface, engine)
 
 
 def former_type(name: str, interface: ModuleType) -> Any:
-    """The earlier version's type of today's name, or None if it has none."""
+    """Returns a type of an earlier version.
+
+    Args:
+        name: Current name of the type.
+        interface: The version's interface.
+
+    Returns:
+        The type, or None if the version lacks it.
+    """
     return getattr(interface, FORMER_TYPE_NAMES[name], None) or getattr(interface, name, None)
 
 
 def translate_event(event: Any, interface: ModuleType) -> Any:
-    """An event in the types of an earlier version, or None if it has none for it."""
+    """Converts an event to the types of an earlier version.
+
+    Args:
+        event: An event of the current interface.
+        interface: The version's interface.
+
+    Returns:
+        The event, or None if the version lacks its type.
+    """
     event_type = former_type(type(event).__name__, interface)
     if event_type is None:
         return None
@@ -139,7 +164,12 @@
 
 
 def translate_settings(settings: Settings, interface: ModuleType) -> Any:
-    """The settings in the types of an earlier version."""
+    """Converts settings to the types of an earlier version.
+
+    Args:
+        settings: The current settings.
+        interface: The version's interface.
+    """
     settings_type = former_type("Settings", interface)
     values = {
         FORMER_SETTING_NAMES.get(name, name): value for name, value in settings._asdict().items()
@@ -160,7 +190,11 @@
 
 @cache
 def load_version(revision: str) -> EarlierVersion:
-    """The version of a revision, taken from git once a process. Raises UnknownRevisionError."""
+    """Extracts and imports the package of a git revision, once per process.
+
+    Raises:
+        UnknownRevisionError: The revision does not exist or contains no decision engine.
+    """
     package = f"thymeknot_{blake2b(revision.encode(), digest_size=4).hexdigest()}"
     directory = tempfile.TemporaryDirectory()
     atexit.register(directory.cleanup)
@@ -185,7 +219,9 @@
     command = ["git", "-C", REPOSITORY_ROOT, "archive", "--format=tar", revision, "thymeknot"]
     archive = subprocess.run(command, capture_output=True, check=False)
     if archive.returncode:
-        raise UnknownRevisionError(f"{revision}: {archive.stderr.decode().strip()}")
+        raise UnknownRevisionError(
+            f"cannot read revision {revision}: {archive.stderr.decode().strip()}"
+        )
     subprocess.run(["tar", "-x", "-C", directory], input=archive.stdout, check=True)
     os.rename(os.path.join(directory, "thymeknot"), os.path.join(directory, package))
 
@@ -193,7 +229,7 @@
 def _import_decision_engine(package: str) -> tuple[ModuleType, Any]:
     engine = _import_first((f"{package}.policy.engine", f"{package}.balance"))
     if engine is None:
-        raise UnknownRevisionError(f"{package}: no decisions")
+        raise UnknownRevisionError(f"{package}: the revision contains no decision engine")
     interface = importlib.import_module(f"{package}.interface")
     if hasattr(interface, "__path__"):
         merged = ModuleType(f"{package}.all_of_interface")
