--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -44,7 +44,7 @@
     figures: dict[str, Any]
 
 
-def _bands(axis: Any, day: Day) -> None:
+def _draw_fault_bands(axis: Any, day: Day) -> None:
     for number, fault in enumerate(day.faults):
         axis.axvspan(
             fault.begin / TICKS_PER_SECOND,
@@ -55,50 +55,53 @@
     axis.set_xlim(0, day.span / TICKS_PER_SECOND)
 
 
-def draw_day(fleet: RecordingSimulator, path: str, title: str) -> None:
+def draw_day(simulator: RecordingSimulator, path: str, title: str) -> None:
     """Draws a day that has been played into a PNG file."""
-    times = [look.at for look in fleet.looks]
+    times = [snapshot.at for snapshot in simulator.looks]
     figure, axes = pyplot.subplots(6, 1, figsize=(11, 15), sharex=True, constrained_layout=True)
     figure.suptitle(title)
-    _draw_attempts(axes[0], fleet, times)
-    _draw_exposure(axes[1], fleet, times)
-    _draw_answers(axes[2], fleet, times)
-    _draw_votes(axes[3], fleet, times)
-    _draw_latencies(axes[4], fleet, times)
-    _draw_load(axes[5], fleet, times)
+    _draw_attempts(axes[0], simulator, times)
+    _draw_exposure(axes[1], simulator, times)
+    _draw_answers(axes[2], simulator, times)
+    _draw_votes(axes[3], simulator, times)
+    _draw_latencies(axes[4], simulator, times)
+    _draw_load(axes[5], simulator, times)
     for axis in axes[:5]:
-        _bands(axis, fleet.day)
+        _draw_fault_bands(axis, simulator.day)
         if axis.get_legend_handles_labels()[0]:
             axis.legend(loc="upper right", fontsize=8)
     figure.savefig(path, dpi=90)
     pyplot.close(figure)
 
 
-def _draw_attempts(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
+def _draw_attempts(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
     axis.stackplot(
         times,
-        [fleet.sent[name][: len(times)] * PERIODS_PER_SECOND for name in fleet.names],
-        labels=[f"build {name}" for name in fleet.names],
+        [simulator.sent[build][: len(times)] * PERIODS_PER_SECOND for build in simulator.names],
+        labels=[f"build {build}" for build in simulator.names],
     )
     axis.set_ylabel("deliveries a second")
 
 
-def _draw_exposure(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    total = np.sum(list(fleet.sent.values()), axis=0)[: len(times)]
-    for name in fleet.names[1:]:
+def _draw_exposure(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
+    total = np.sum(list(simulator.sent.values()), axis=0)[: len(times)]
+    for build in simulator.names[1:]:
         axis.plot(
             times,
-            [look.running[name] / fleet.day.pods for look in fleet.looks],
-            label=f"pods of build {name}",
+            [snapshot.running[build] / simulator.day.pods for snapshot in simulator.looks],
+            label=f"pods of build {build}",
         )
         axis.plot(
             times,
-            fleet.sent[name][: len(times)] / total.clip(1),
-            label=f"deliveries to it, share of {name}",
+            simulator.sent[build][: len(times)] / total.clip(1),
+            label=f"deliveries to it, share of {build}",
         )
     axis.step(
         times,
-        [look.cap if look.phase == ReleasePhase.ON_TRIAL else float("nan") for look in fleet.looks],
+        [
+            snapshot.cap if snapshot.phase == ReleasePhase.ON_TRIAL else float("nan")
+            for snapshot in simulator.looks
+        ],
         label="cap",
         color="black",
         linewidth=0.8,
@@ -106,23 +109,25 @@
     axis.set_ylabel("exposure")
 
 
-def _draw_answers(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    for how, colour in ANSWER_COLOURS.items():
+def _draw_answers(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
+    for answer, colour in ANSWER_COLOURS.items():
         axis.plot(
             times,
-            fleet.how[Answer(how)][: len(times)] * PERIODS_PER_SECOND,
-            label=how,
+            simulator.how[Answer(answer)][: len(times)] * PERIODS_PER_SECOND,
+            label=answer,
             color=colour,
         )
     axis.set_ylabel("answers a second")
 
 
-def _draw_votes(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    for verdict, name in VERDICT_LABELS.items():
-        if fleet.cast[verdict].any():
-            axis.plot(times, fleet.cast[verdict][: len(times)] * PERIODS_PER_SECOND, label=name)
+def _draw_votes(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
+    for verdict, label in VERDICT_LABELS.items():
+        if simulator.cast[verdict].any():
+            axis.plot(
+                times, simulator.cast[verdict][: len(times)] * PERIODS_PER_SECOND, label=label
+            )
     axis.axhline(
-        fleet.day.terms.votes_per_second,
+        simulator.day.terms.votes_per_second,
         color="black",
         linewidth=0.8,
         linestyle=":",
@@ -131,84 +136,85 @@
     axis.set_ylabel("votes a second")
 
 
-def _draw_latencies(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    axis.plot(times, fleet.late()[: len(times)], label="95% of the answers within")
+def _draw_latencies(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
+    axis.plot(times, simulator.late()[: len(times)], label="95% of the answers within")
     axis.axhline(1.0, color="black", linewidth=0.8)
     axis.set_ylabel("time, in goals")
 
 
-def _draw_load(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
+def _draw_load(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
     axis.imshow(
-        [list(one) for one in zip(*fleet.load)],
+        [list(place_load) for place_load in zip(*simulator.load)],
         aspect="auto",
         origin="lower",
         cmap="inferno",
         vmax=BRIGHTEST_LOAD_SECONDS,
-        extent=(0, times[-1], 0, fleet.day.pods),
+        extent=(0, times[-1], 0, simulator.day.pods),
     )
     axis.set_ylabel("pods: work waiting, s")
     axis.set_xlabel("seconds; bands are faults")
 
 
 def write_report(
-    day: Day, policies: Mapping[str, Any], folder: str, title: str
+    day: Day, policies: Mapping[str, Any], directory: str, title: str
 ) -> dict[str, dict[str, Any]]:
     """Plays the day with each policy and writes index.html and a PNG for each into the folder.
 
     Args:
         day: what is played.
         policies: by the names that the page shows.
-        folder: made if it is not there.
+        directory: made if it is not there.
         title: of the page.
 
     Returns:
         The figures by the policy's name.
     """
-    os.makedirs(folder, exist_ok=True)
-    played = []
+    os.makedirs(directory, exist_ok=True)
+    runs = []
     for number, (name, policy) in enumerate(policies.items()):
-        fleet = RecordingSimulator(day, policy).play()
+        simulator = RecordingSimulator(day, policy).play()
         chart_file = f"day-{number}.png"
-        draw_day(fleet, os.path.join(folder, chart_file), f"{title}: {name}")
-        played.append(PolicyRun(name, chart_file, _figures(fleet)))
-    with open(os.path.join(folder, "index.html"), "w", encoding="utf-8") as target:
-        target.write(_page(day, played, html.escape(title)))
-    return {one.name: one.figures for one in played}
+        draw_day(simulator, os.path.join(directory, chart_file), f"{title}: {name}")
+        runs.append(PolicyRun(name, chart_file, _report_figures(simulator)))
+    with open(os.path.join(directory, "index.html"), "w", encoding="utf-8") as page:
+        page.write(_render_page(day, runs, html.escape(title)))
+    return {run.name: run.figures for run in runs}
 
 
-def _figures(fleet: RecordingSimulator) -> dict[str, Any]:
-    turned_away, needless = fleet.results.needless()
+def _report_figures(simulator: RecordingSimulator) -> dict[str, Any]:
+    rejected, needless = simulator.results.needless()
     return {
-        **fleet.figures(),
-        "turned_away": round(turned_away, 4),
+        **simulator.figures(),
+        "turned_away": round(rejected, 4),
         "needless": round(needless, 4),
-        "worth": round(fleet.results.worth(), 4),
-        "votes": fleet.results.votes_asked,
+        "worth": round(simulator.results.worth(), 4),
+        "votes": simulator.results.votes_asked,
     }
 
 
-def _page(day: Day, played: list[PolicyRun], title: str) -> str:
+def _render_page(day: Day, runs: list[PolicyRun], title: str) -> str:
     """The page as HTML; the title is escaped."""
-    keys = [key for key in played[0].figures if key not in HIDDEN_FIGURES]
-    table = "".join(
-        f"<tr><th>{html.escape(key)}</th>"
-        + "".join(f"<td>{html.escape(str(one.figures[key]))}</td>" for one in played)
+    figure_names = [figure for figure in runs[0].figures if figure not in HIDDEN_FIGURES]
+    table_rows = "".join(
+        f"<tr><th>{html.escape(figure)}</th>"
+        + "".join(f"<td>{html.escape(str(run.figures[figure]))}</td>" for run in runs)
         + "</tr>"
-        for key in keys
+        for figure in figure_names
     )
-    faults = "".join(
+    fault_items = "".join(
         f"<li>{fault.begin / TICKS_PER_SECOND:.1f} to {fault.end / TICKS_PER_SECOND:.1f} s: "
         f"{html.escape(fault.kind)}, {len(fault.what)} struck</li>"
         for fault in day.faults
     )
-    names = "".join(f"<th>{html.escape(one.name)}</th>" for one in played)
-    pictures = "".join(
-        f"<h2>{html.escape(one.name)}</h2>"
-        f'<img src="{one.chart_file}" alt="{html.escape(one.name)}">'
-        for one in played
+    column_headings = "".join(f"<th>{html.escape(run.name)}</th>" for run in runs)
+    charts = "".join(
+        f"<h2>{html.escape(run.name)}</h2>"
+        f'<img src="{run.chart_file}" alt="{html.escape(run.name)}">'
+        for run in runs
     )
     return (
         f"<!doctype html><meta charset=utf-8><title>{title}</title><h1>{title}</h1><p>Simulated: "
         f"{day.instances} instances, {day.pods} pods, {day.rate:.0f} transactions a second.</p>"
-        f"<ul>{faults}</ul><table border=1><tr><th></th>{names}</tr>{table}</table>{pictures}\n"
+        f"<ul>{fault_items}</ul><table border=1><tr><th></th>{column_headings}</tr>{table_rows}"
+        f"</table>{charts}\n"
     )
