--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -1,6 +1,7 @@
-"""A page on one day: what was sent to which build, what came of it, votes, times, servers.
+"""Writes an HTML report with charts of one day simulated with each of several policies.
 
-Faults are shown as bands.
+The charts show attempts by build, exposure, answers, votes, latencies and the load of the servers.
+Shaded bands mark faults.
 """
 
 import html
@@ -28,19 +29,19 @@
 }
 ANSWER_COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
 PERIODS_PER_SECOND = TICKS_PER_SECOND / PERIOD
-# Seconds of waiting work that get the brightest colour.
+# Seconds of queued work that are shown in the brightest colour.
 BRIGHTEST_LOAD_SECONDS = 3
-# Not shown in the table: they are maps.
+# Not shown in the table, because their values are dictionaries.
 HIDDEN_FIGURES = ("ends", "votes")
 
 
 class PolicyRun(NamedTuple):
-    """What one policy made of the day."""
+    """The results of one policy."""
 
     name: str
-    """Of the policy."""
+    """Name of the policy."""
     chart_file: str
-    """The file's name in the folder."""
+    """Name of the PNG file in the directory of the report."""
     figures: dict[str, Any]
 
 
@@ -56,7 +57,13 @@
 
 
 def draw_day(simulator: RecordingSimulator, path: str, title: str) -> None:
-    """Draws a day that has been played into a PNG file."""
+    """Writes the charts of a simulated day to a PNG file.
+
+    Args:
+        simulator: The simulator after the end of the day.
+        path: The file.
+        title: Title of the charts.
+    """
     times = [snapshot.at for snapshot in simulator.looks]
     figure, axes = pyplot.subplots(6, 1, figsize=(11, 15), sharex=True, constrained_layout=True)
     figure.suptitle(title)
@@ -80,7 +87,7 @@
         [simulator.sent[build][: len(times)] * PERIODS_PER_SECOND for build in simulator.names],
         labels=[f"build {build}" for build in simulator.names],
     )
-    axis.set_ylabel("deliveries a second")
+    axis.set_ylabel("attempts per second")
 
 
 def _draw_exposure(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
@@ -94,7 +101,7 @@
         axis.plot(
             times,
             simulator.sent[build][: len(times)] / total.clip(1),
-            label=f"deliveries to it, share of {build}",
+            label=f"share of attempts at build {build}",
         )
     axis.step(
         times,
@@ -117,7 +124,7 @@
             label=answer,
             color=colour,
         )
-    axis.set_ylabel("answers a second")
+    axis.set_ylabel("answers per second")
 
 
 def _draw_votes(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
@@ -131,15 +138,15 @@
         color="black",
         linewidth=0.8,
         linestyle=":",
-        label="calls that are taken",
+        label="rate limit of vote calls",
     )
-    axis.set_ylabel("votes a second")
+    axis.set_ylabel("votes per second")
 
 
 def _draw_latencies(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
-    axis.plot(times, simulator.late()[: len(times)], label="95% of the answers within")
+    axis.plot(times, simulator.late()[: len(times)], label="95th percentile")
     axis.axhline(1.0, color="black", linewidth=0.8)
-    axis.set_ylabel("time, in goals")
+    axis.set_ylabel("latency / objective")
 
 
 def _draw_load(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
@@ -151,23 +158,23 @@
         vmax=BRIGHTEST_LOAD_SECONDS,
         extent=(0, times[-1], 0, simulator.day.pods),
     )
-    axis.set_ylabel("pods: work waiting, s")
-    axis.set_xlabel("seconds; bands are faults")
+    axis.set_ylabel("pods: queued work (s)")
+    axis.set_xlabel("seconds (shaded bands: faults)")
 
 
 def write_report(
     day: Day, policies: Mapping[str, Any], directory: str, title: str
 ) -> dict[str, dict[str, Any]]:
-    """Plays the day with each policy and writes index.html and a PNG for each into the folder.
+    """Simulates a day with each policy and writes a report with a PNG file for each of them.
 
     Args:
-        day: what is played.
-        policies: by the names that the page shows.
-        directory: made if it is not there.
-        title: of the page.
+        day: The day.
+        policies: The policies by name.
+        directory: Where index.html and the PNG files are written; created if it does not exist.
+        title: Title of the page.
 
     Returns:
-        The figures by the policy's name.
+        The figures of each policy, by its name.
     """
     os.makedirs(directory, exist_ok=True)
     runs = []
@@ -193,7 +200,13 @@
 
 
 def _render_page(day: Day, runs: list[PolicyRun], title: str) -> str:
-    """The page as HTML; the title is escaped."""
+    """Returns the page as HTML.
+
+    Args:
+        day: The day.
+        runs: The results of each policy.
+        title: Title of the page, already escaped.
+    """
     figure_names = [figure for figure in runs[0].figures if figure not in HIDDEN_FIGURES]
     table_rows = "".join(
         f"<tr><th>{html.escape(figure)}</th>"
@@ -203,7 +216,7 @@
     )
     fault_items = "".join(
         f"<li>{fault.begin / TICKS_PER_SECOND:.1f} to {fault.end / TICKS_PER_SECOND:.1f} s: "
-        f"{html.escape(fault.kind)}, {len(fault.what)} struck</li>"
+        f"{html.escape(fault.kind)}, {len(fault.what)} affected</li>"
         for fault in day.faults
     )
     column_headings = "".join(f"<th>{html.escape(run.name)}</th>" for run in runs)
@@ -214,7 +227,7 @@
     )
     return (
         f"<!doctype html><meta charset=utf-8><title>{title}</title><h1>{title}</h1><p>Simulated: "
-        f"{day.instances} instances, {day.pods} pods, {day.rate:.0f} transactions a second.</p>"
+        f"{day.instances} instances, {day.pods} pods, {day.rate:.0f} requests per second.</p>"
         f"<ul>{fault_items}</ul><table border=1><tr><th></th>{column_headings}</tr>{table_rows}"
         f"</table>{charts}\n"
     )
