--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -43,58 +43,65 @@
     """Arrival time in ticks."""
 
 
-def simulate_queue(servers: int, load: float, count: int, seed: int) -> QueueTimes:
+def simulate_queue(cores: int, load: float, job_count: int, seed: int) -> QueueTimes:
     """Simulates one server with Poisson arrivals and exponential work.
 
     Args:
-        servers: Number of cores of the server.
+        cores: Number of cores of the server.
         load: Utilization of the cores.
-        count: Number of jobs that arrive.
+        job_count: Number of jobs that arrive.
         seed: Seed of arrivals and work.
     """
     streams = [
-        np.random.Generator(np.random.PCG64(one)) for one in np.random.SeedSequence(seed).spawn(2)
+        np.random.Generator(np.random.PCG64(stream_seed))
+        for stream_seed in np.random.SeedSequence(seed).spawn(2)
     ]
-    rate = load * servers / MEAN_WORK
-    gaps = gamma(streams[0], 1 / rate, 1.0)
-    works = gamma(streams[1], MEAN_WORK, 1.0)
-    times = np.array(_times_in_queue(servers, count, gaps, works)[count // WARMUP_DIVISOR :])
+    rate = load * cores / MEAN_WORK
+    interarrival_times = gamma(streams[0], 1 / rate, 1.0)
+    service_times = gamma(streams[1], MEAN_WORK, 1.0)
+    sojourn_times = np.array(
+        _simulate_sojourn_times(cores, job_count, interarrival_times, service_times)[
+            job_count // WARMUP_DIVISOR :
+        ]
+    )
     return QueueTimes(
-        float(times.mean()),
-        float(np.quantile(times, 0.95)),
-        statistics.mmc_mean(servers, rate, MEAN_WORK),
-        statistics.mmc_quantile(servers, rate, MEAN_WORK, 0.95),
+        float(sojourn_times.mean()),
+        float(np.quantile(sojourn_times, 0.95)),
+        statistics.mmc_mean(cores, rate, MEAN_WORK),
+        statistics.mmc_quantile(cores, rate, MEAN_WORK, 0.95),
     )
 
 
-def _times_in_queue(servers: int, count: int, gaps: Stream, works: Stream) -> list[float]:
+def _simulate_sojourn_times(
+    cores: int, job_count: int, interarrival_times: Stream, service_times: Stream
+) -> list[float]:
     """Returns the sojourn times of jobs that end before the last arrival, in order of ends."""
     pod: Pod[QueueJob] = Pod(
-        "p", "a", cores=servers, speed=1.0, queue_most=UNLIMITED_QUEUE, build=Build(1), started=0
+        "p", "a", cores=cores, speed=1.0, queue_most=UNLIMITED_QUEUE, build=Build(1), started=0
     )
     running: list[tuple[float, int, QueueJob]] = []
-    times: list[float] = []
-    number = 0
+    sojourn_times: list[float] = []
+    sequence = 0
     now = 0.0
 
-    def begin(moment: float, job: QueueJob, took: Ticks) -> None:
-        nonlocal number
-        number += 1
-        heapq.heappush(running, (moment + took, number, job))
+    def start_job(moment: float, job: QueueJob, duration: Ticks) -> None:
+        nonlocal sequence
+        sequence += 1
+        heapq.heappush(running, (moment + duration, sequence, job))
 
-    for _ in range(count):
-        now += gaps.next()
+    for _ in range(job_count):
+        now += interarrival_times.next()
         while running and running[0][0] <= now:
-            moment, _, done = heapq.heappop(running)
-            times.append(moment - done.arrived_at)
-            following = pod.finish(moment)
-            if following:
-                begin(moment, *following)
-        job = QueueJob(works.next(), "x", now)
-        took = pod.take(now, job)
-        if took is not None:
-            begin(now, job, took)
-    return times
+            moment, _, ended_job = heapq.heappop(running)
+            sojourn_times.append(moment - ended_job.arrived_at)
+            next_start = pod.finish(moment)
+            if next_start:
+                start_job(moment, *next_start)
+        job = QueueJob(service_times.next(), "x", now)
+        duration = pod.take(now, job)
+        if duration is not None:
+            start_job(now, job, duration)
+    return sojourn_times
 
 
 def rule_check_day(seed: int) -> Day:
--- a/thymeknot/simulation/statistics.py
+++ b/thymeknot/simulation/statistics.py
@@ -33,8 +33,8 @@
     blocking_probability = 1.0
     for count in range(1, servers + 1):
         blocking_probability = load * blocking_probability / (count + load * blocking_probability)
-    share = load / servers
-    return blocking_probability / (1 - share * (1 - blocking_probability))
+    utilization = load / servers
+    return blocking_probability / (1 - utilization * (1 - blocking_probability))
 
 
 def mmc_mean(servers: int, rate: float, mean: float) -> float:
@@ -49,14 +49,14 @@
     return mean + erlang_c(servers, load) * mean / (servers - load)
 
 
-def mmc_quantile(servers: int, rate: float, mean: float, share: float) -> float:
+def mmc_quantile(servers: int, rate: float, mean: float, quantile: float) -> float:
     """Returns a quantile of the sojourn time (waiting and service) in an M/M/c queue.
 
     Args:
         servers: Number of servers.
         rate: Arrivals per unit of `mean`.
         mean: Mean service time.
-        share: The quantile, between 0 and 1.
+        quantile: The quantile, between 0 and 1.
     """
     waiting_probability = erlang_c(servers, rate * mean)
     drain_rate = (servers - rate * mean) / mean
@@ -71,7 +71,7 @@
     high = mean * QUANTILE_SEARCH_LIMIT
     for _ in range(QUANTILE_BISECTIONS):
         middle = (low + high) / 2
-        if probability_over(middle) > 1 - share:
+        if probability_over(middle) > 1 - quantile:
             low = middle
         else:
             high = middle
@@ -91,20 +91,20 @@
     pair_count: int
 
 
-def paired_difference(one: ArrayLike, two: ArrayLike, level: float = 0.95) -> Difference:
-    """Returns the mean of `one - two` over the same seeds with its interval (Student's t).
+def paired_difference(first: ArrayLike, second: ArrayLike, level: float = 0.95) -> Difference:
+    """Returns the mean of `first - second` over the same seeds with its interval (Student's t).
 
     Args:
-        one: One result per seed.
-        two: Results for the same seeds, in the same order.
+        first: One result per seed.
+        second: Results for the same seeds, in the same order.
         level: Confidence level of the interval.
     """
-    gaps = np.asarray(one, float) - np.asarray(two, float)
-    count = len(gaps)
-    mean = float(gaps.mean())
+    differences = np.asarray(first, float) - np.asarray(second, float)
+    count = len(differences)
+    mean = float(differences.mean())
     if count < 2:
         return Difference(mean, -math.inf, math.inf, math.inf, count)
-    standard_error = float(gaps.std(ddof=1) / math.sqrt(count))
+    standard_error = float(differences.std(ddof=1) / math.sqrt(count))
     half_width = float(stats.t.ppf(0.5 + level / 2, count - 1)) * standard_error
     smallest_detectable = (
         float(stats.t.ppf(0.5 + level / 2, count - 1)) + float(stats.t.ppf(POWER, count - 1))
@@ -112,14 +112,14 @@
     return Difference(mean, mean - half_width, mean + half_width, smallest_detectable, count)
 
 
-def poisson_p_value(gaps: ArrayLike) -> float:
+def poisson_p_value(interarrival_times: ArrayLike) -> float:
     """Returns the p value of a Kolmogorov-Smirnov test that the arrivals are a Poisson process.
 
     Args:
-        gaps: Times between successive arrivals.
+        interarrival_times: Times between successive arrivals.
     """
-    gaps = np.asarray(gaps, float)
-    return float(stats.kstest(gaps / gaps.mean(), "expon").pvalue)
+    interarrival_times = np.asarray(interarrival_times, float)
+    return float(stats.kstest(interarrival_times / interarrival_times.mean(), "expon").pvalue)
 
 
 def zipf_p_value(ranks: ArrayLike, keys: int, exponent: float) -> float:
