--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -13,7 +13,7 @@
 from .servers import Build, Pod
 from .simulator import Simulator
 
-# Mean work of a queued job, in ticks.
+# Mean service time of a job, in ticks.
 MEAN_WORK = 2000.0
 # Never reached; the formulas assume an unlimited queue.
 UNLIMITED_QUEUE = 10**9
@@ -44,13 +44,13 @@
 
 
 def simulate_queue(cores: int, load: float, job_count: int, seed: int) -> QueueTimes:
-    """Simulates one server with Poisson arrivals and exponential work.
+    """Simulates one server with Poisson arrivals and exponential service times (an M/M/c queue).
 
     Args:
         cores: Number of cores of the server.
         load: Utilization of the cores.
         job_count: Number of jobs that arrive.
-        seed: Seed of arrivals and work.
+        seed: Seed of arrivals and service times.
     """
     streams = [
         np.random.Generator(np.random.PCG64(stream_seed))
@@ -75,7 +75,7 @@
 def _simulate_sojourn_times(
     cores: int, job_count: int, interarrival_times: Stream, service_times: Stream
 ) -> list[float]:
-    """Returns the sojourn times of jobs that end before the last arrival, in order of ends."""
+    """Returns the sojourn times of the jobs that end before the last arrival, ordered by end."""
     pod: Pod[QueueJob] = Pod(
         "p", "a", cores=cores, speed=1.0, queue_most=UNLIMITED_QUEUE, build=Build(1), started=0
     )
@@ -105,7 +105,7 @@
 
 
 def rule_check_day(seed: int) -> Day:
-    """Returns a day on which a policy that breaks any one of the rules is detected.
+    """Returns a day on which a policy that breaks any of the five rules is detected.
 
     A release drains the earlier servers, some attempts fail, and servers warm up.
     """
@@ -117,6 +117,11 @@
 
 
 def find_broken_rules(policy: Any, seed: int) -> list[int]:
-    """Returns the rules that a policy breaks on the hard day of this seed."""
+    """Returns the numbers of the rules that a policy breaks on the day of `rule_check_day`.
+
+    Args:
+        policy: Creates the decision engines.
+        seed: Seed of the day.
+    """
     broken: list[int] = Simulator(rule_check_day(seed), policy).play().checker.rules_broken()
     return broken
