--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -186,12 +186,14 @@
             self.assertEqual(bool(after), is_used_again)
             if is_used_again:
                 self.assertLessEqual(after[0], recovered_at + 9 * TICKS_PER_SECOND)
+                # Of the four requests in these two seconds it gets its share, not all.
                 self.assertLessEqual(
                     sum(time < after[0] + 2 * TICKS_PER_SECOND for time in after), 2
-                )  # of four requests: its share, not all
+                )
                 self.assertGreater(len(after), 2)
             engine.now, attempted = NOW + 40 * TICKS_PER_SECOND, []
-            for number in range(60):  # it is used in any case while the others are busy
+            # It is used in any case while the others are busy.
+            for number in range(60):
                 attempted += attempted_endpoints(
                     engine.handle(engine.now, [make_request(f"busy{number}")])
                 )
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -57,14 +57,12 @@
                 totals[0] += counts.attempts
                 totals[1] += counts.failed
                 totals[2] += counts.latency * (counts.attempts - counts.failed)
-            self.assertEqual(
-                sorted(received), [0, 1, 3, 4, 5]
-            )  # the counts of period 2 were due while calls failed
+            # The counts of period 2 were due while calls failed.
+            self.assertEqual(sorted(received), [0, 1, 3, 4, 5])
             for period, (attempts, failed, total_latency) in received.items():
                 self.assertEqual([attempts, failed], simulator.ended_by_period[period][:2])
-                self.assertLess(
-                    abs(total_latency - simulator.ended_by_period[period][2]), attempts
-                )  # mean latencies are rounded
+                # Mean latencies are rounded to whole ticks.
+                self.assertLess(abs(total_latency - simulator.ended_by_period[period][2]), attempts)
         self.assertGreater(
             sum(period_totals[1] for period_totals in simulator.ended_by_period.values()), 0
         )
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -104,9 +104,10 @@
         self.assertGreater(
             statistics.zipf_p_value([keys.next() for _ in range(20_000)], 500, 0.9), 0.001
         )
+        # The test statistic rejects a wrong exponent.
         self.assertLess(
             statistics.zipf_p_value([keys.next() for _ in range(20_000)], 500, 1.2), 1e-6
-        )  # the test can fail
+        )
 
     def test_warming_server_is_slower_and_full_server_rejects(self):
         pod = Pod(
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -243,7 +243,8 @@
     In addition to `vast_figures` these are two sums of seconds: for good builds the time from offer
     to release, for bad builds the time during which they could do harm, from the release (or else
     the start of the last stage) until they were rolled back. If the release or rollback did not
-    happen, the time ends when the next offer replaces the build or at the end of the day.
+    happen, the time ends when the next offer replaces the build. It ends with the day for the last
+    build and for a bad build that was released.
     """
     day = simulator.day
     figures = vast_figures(simulator)
