--- a/measure/fleet.py
+++ b/measure/fleet.py
@@ -16,10 +16,10 @@
 
 from thymeknot.simulation import large_fleet_scenarios
 from thymeknot.simulation.experiments import (
-    crowd_figures,
-    crowds_compared,
-    mass_compared,
-    vast_compared,
+    simulate_large_fleet_pairs,
+    summarize_large_fleet_pairs,
+    summarize_mass_pairs,
+    summarize_vast_pairs,
 )
 
 # The decision engine as it was when the standard, vast and mass kinds were first simulated.
@@ -85,7 +85,7 @@
     ]
     figures = {"seed": options.seed}
     if standard_kinds:
-        pairs = crowds_compared(
+        pairs = simulate_large_fleet_pairs(
             before,
             "now",
             standard_kinds,
@@ -93,7 +93,7 @@
             size,
             options.workers,
         )
-        standard_figures = crowd_figures(pairs)
+        standard_figures = summarize_large_fleet_pairs(pairs)
         for kind, kind_figures in standard_figures.pop("by_kind").items():
             print(
                 f"{kind:9}",
@@ -104,7 +104,7 @@
             )
         figures.update(days=len(pairs), **size, before=before, **standard_figures)
     if vast_kinds:
-        pairs = crowds_compared(
+        pairs = simulate_large_fleet_pairs(
             options.before_vast,
             "now",
             vast_kinds,
@@ -115,7 +115,7 @@
         figures["vast"] = {
             "days": len(pairs),
             "before": options.before_vast,
-            **vast_compared(pairs),
+            **summarize_vast_pairs(pairs),
             "breaches": [breach for pair in pairs for breach in pair[1]["breaches"]][:5],
         }
         for kind in vast_kinds:
@@ -130,7 +130,7 @@
             )
     if mass_kinds:
         before = options.before or DEFAULT_MASS_BASELINE
-        pairs = crowds_compared(
+        pairs = simulate_large_fleet_pairs(
             before,
             "now",
             mass_kinds,
@@ -141,7 +141,7 @@
         figures["mass"] = {
             "days": len(pairs),
             "before": before,
-            **mass_compared(pairs),
+            **summarize_mass_pairs(pairs),
             "breaches": [breach for pair in pairs for breach in pair[1]["breaches"]][:5],
         }
         for kind in (*mass_kinds, "all"):
--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -16,8 +16,8 @@
 from tests.support.programs import Program
 from thymeknot.simulation import scenarios, statistics
 from thymeknot.simulation.baseline_policies import RULE_BREAKING_POLICIES
-from thymeknot.simulation.calibration import broken_by, queue
-from thymeknot.simulation.experiments import run
+from thymeknot.simulation.calibration import find_broken_rules, simulate_queue
+from thymeknot.simulation.experiments import simulate_days
 from thymeknot.simulation.random_streams import gamma, zipf_keys
 from thymeknot.simulation.simulator import Simulator, current_engine
 
@@ -85,7 +85,8 @@
     with ProcessPoolExecutor(runs, get_context("spawn")) as pool:
         futures_by_load = {
             load: [
-                pool.submit(queue, 4, load, job_count, seed * 1000 + index) for index in range(runs)
+                pool.submit(simulate_queue, 4, load, job_count, seed * 1000 + index)
+                for index in range(runs)
             ]
             for load in loads
         }
@@ -103,14 +104,16 @@
     figures = {"seed": seed, "queue_error": round(max_queue_error(seed), 4)}
     random_source = np.random.Generator(np.random.PCG64(seed))
     gaps, keys = gamma(random_source, 1.0, 1.0), zipf_keys(random_source, 20_000, 0.9)
-    figures["arrivals_p"] = round(statistics.arrivals_p([gaps.next() for _ in range(50_000)]), 4)
+    figures["arrivals_p"] = round(
+        statistics.poisson_p_value([gaps.next() for _ in range(50_000)]), 4
+    )
     figures["zipf_p"] = round(
-        statistics.zipf_p([keys.next() for _ in range(50_000)], 20_000, 0.9), 4
+        statistics.zipf_p_value([keys.next() for _ in range(50_000)], 20_000, 0.9), 4
     )
     figures["rules_found"] = sum(
-        rule in broken_by(breaker, seed) for rule, breaker in RULE_BREAKING_POLICIES.items()
+        rule in find_broken_rules(breaker, seed) for rule, breaker in RULE_BREAKING_POLICIES.items()
     )
-    figures["rules_false"] = len(broken_by(current_engine, seed))
+    figures["rules_false"] = len(find_broken_rules(current_engine, seed))
     day = scenarios.draw_day(seed, instances=400, pods=80, rate=400.0, seconds=60)
     started_at = time.monotonic()
     big = Simulator(day, current_engine).play()
@@ -120,7 +123,7 @@
     tasks = [("now", seed + index, size) for index in range(16)]
     for workers in (1, 8):
         started_at = time.monotonic()
-        runs[workers] = run(tasks, workers), time.monotonic() - started_at
+        runs[workers] = simulate_days(tasks, workers), time.monotonic() - started_at
     figures["same_in_one_and_eight"] = runs[1][0] == runs[8][0]
     figures["cores_speedup"] = round(runs[1][1] / runs[8][1], 2)
     figures["held_per_core"], figures["held_until"] = max_rate_per_core(seed)
--- a/thymeknot/simulation/earlier_versions.py
+++ b/thymeknot/simulation/earlier_versions.py
@@ -1,8 +1,8 @@
-"""The decisions as they were at an earlier revision of this repository, played beside today's.
+"""Runs the decision engine of an earlier git revision, for comparison with the current one.
 
-The whole package of that revision is taken from git under a name of its own. Events are handed
-over, and actions taken back, field by field: their order has not changed since the first revision,
-only names have.
+The whole package of the revision is extracted from git and imported under a different name. Events
+and actions are converted field by field in order: since the first revision only the names of their
+fields have changed, not their order.
 """
 
 import atexit
@@ -21,8 +21,9 @@
 from ..interface.settings import RequestClass, Settings
 from .shared_services import EarlierPace
 
-ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
+# Former names of the types of the interface, by current name.
 FORMER_TYPE_NAMES = {
     "Endpoint": "Pod",
     "EndpointUpdate": "PodList",
@@ -53,6 +54,7 @@
     "RequestClass": "Lane",
     "Settings": "Terms",
 }
+# Former names of the settings, by current name.
 FORMER_SETTING_NAMES = {
     "request_classes": "lanes",
     "instances": "balancers",
@@ -77,123 +79,168 @@
     "vote_timeout": "vote_wait",
     "votes_per_second": "votes_per_s",
 }
-TODAYS_ACTIONS: dict[str, Any] = {
-    name: getattr(actions, today)
-    for today, former in FORMER_TYPE_NAMES.items()
-    if hasattr(actions, today)
-    for name in (today, former)
+# Current types of actions, by current and by former name.
+CURRENT_ACTIONS: dict[str, Any] = {
+    name: getattr(actions, current)
+    for current, former in FORMER_TYPE_NAMES.items()
+    if hasattr(actions, current)
+    for name in (current, former)
 }
 
 
 class UnknownRevisionError(ValueError):
-    """Git has no such revision, or it holds no decisions."""
+    """The revision does not exist or contains no decision engine."""
 
 
 class EarlierEngine:
-    """An instance of an earlier version, told and answering in today's types."""
+    """Decision engine of an earlier version that takes and returns current types."""
 
     def __init__(self, interface: ModuleType, engine: Any) -> None:
         self._interface = interface
         self._engine = engine
 
-    def handle(self, now: Ticks, told: list[Any]) -> list[Any]:
-        """The actions that follow from events; events unknown to the version are left out."""
-        translated = [translate(event, self._interface) for event in told]
-        answers = self._engine.handle(now, [event for event in translated if event is not None])
-        return [TODAYS_ACTIONS[type(action).__name__](*action) for action in answers]
+    def handle(self, now: Ticks, received: list[Any]) -> list[Any]:
+        """Returns the actions that follow from events; ignores events that the version lacks."""
+        translated = [translate_event(event, self._interface) for event in received]
+        answered_actions = self._engine.handle(
+            now, [event for event in translated if event is not None]
+        )
+        return [CURRENT_ACTIONS[type(action).__name__](*action) for action in answered_actions]
 
 
 class EarlierVersion(NamedTuple):
-    """Makes instances of an earlier version; `pace` is how often that version polled."""
+    """Creates decision engines of an earlier version.
+
+    Attributes:
+        interface: Module with the version's settings, events and actions.
+        create_engine: The version's class of decision engines.
+        poll_interval_type: Class that determines how often the version polls; see `PollInterval`.
+    """
 
     interface: ModuleType
-    make: Any
-    pace: Any
+    create_engine: Any
+    poll_interval_type: Any
 
     def __call__(self, settings: Settings, seed: int, now: Ticks) -> EarlierEngine:
-        """An instance with these settings."""
-        made = self.make(translate_settings(settings, self.interface), seed, now)
-        return EarlierEngine(self.interface, made)
+        """Returns an engine with these settings."""
+        engine = self.create_engine(translate_settings(settings, self.interface), seed, now)
+        return EarlierEngine(self.interface, engine)
+
 
+def former_type(name: str, interface: ModuleType) -> Any:
+    """Returns a type of an earlier version.
 
-def type_of(name: str, interface: ModuleType) -> Any:
-    """The earlier version's type of today's name, or None if it has none."""
+    Args:
+        name: Current name of the type.
+        interface: The version's interface.
+
+    Returns:
+        The type, or None if the version lacks it.
+    """
     return getattr(interface, FORMER_TYPE_NAMES[name], None) or getattr(interface, name, None)
 
 
-def translate(event: Any, interface: ModuleType) -> Any:
-    """An event in the types of an earlier version, or None if it has none for it."""
-    kind = type_of(type(event).__name__, interface)
-    if kind is None:
+def translate_event(event: Any, interface: ModuleType) -> Any:
+    """Converts an event to the types of an earlier version.
+
+    Args:
+        event: An event of the current interface.
+        interface: The version's interface.
+
+    Returns:
+        The event, or None if the version lacks its type.
+    """
+    event_type = former_type(type(event).__name__, interface)
+    if event_type is None:
         return None
-    values = tuple(event)[: len(kind._fields)]
+    values = tuple(event)[: len(event_type._fields)]
     if isinstance(event, events.EndpointUpdate):
-        endpoint = type_of("Endpoint", interface)
-        listed = tuple(endpoint(*one[: len(endpoint._fields)]) for one in event.endpoints)
-        values = (event.kind, listed)
-    return kind(*values)
+        endpoint_type = former_type("Endpoint", interface)
+        endpoints = tuple(
+            endpoint_type(*fields[: len(endpoint_type._fields)]) for fields in event.endpoints
+        )
+        values = (event.kind, endpoints)
+    return event_type(*values)
 
 
 def translate_settings(settings: Settings, interface: ModuleType) -> Any:
-    """The settings in the types of an earlier version."""
-    kind = type_of("Settings", interface)
+    """Converts settings to the types of an earlier version.
+
+    Args:
+        settings: The current settings.
+        interface: The version's interface.
+    """
+    settings_type = former_type("Settings", interface)
     values = {
         FORMER_SETTING_NAMES.get(name, name): value for name, value in settings._asdict().items()
     }
     values.update(settings._asdict())
     for field in ("request_classes", "lanes"):
         values[field] = {
-            name: _request_class(one, interface) for name, one in settings.request_classes.items()
+            name: _translate_request_class(request_class, interface)
+            for name, request_class in settings.request_classes.items()
         }
-    return kind(**{name: values[name] for name in kind._fields})
+    return settings_type(**{name: values[name] for name in settings_type._fields})
 
 
-def _request_class(request_class: RequestClass, interface: ModuleType) -> Any:
-    kind = type_of("RequestClass", interface)
-    return kind(*request_class[: len(kind._fields)])
+def _translate_request_class(request_class: RequestClass, interface: ModuleType) -> Any:
+    class_type = former_type("RequestClass", interface)
+    return class_type(*request_class[: len(class_type._fields)])
 
 
 @cache
 def load_version(revision: str) -> EarlierVersion:
-    """The version of a revision, taken from git once a process. Raises UnknownRevisionError."""
+    """Extracts and imports the package of a git revision, once per process.
+
+    Raises:
+        UnknownRevisionError: The revision does not exist or contains no decision engine.
+    """
     package = f"thymeknot_{blake2b(revision.encode(), digest_size=4).hexdigest()}"
-    folder = tempfile.TemporaryDirectory()
-    atexit.register(folder.cleanup)
-    _unpack(revision, folder.name, package)
-    sys.path.insert(0, folder.name)
+    directory = tempfile.TemporaryDirectory()
+    atexit.register(directory.cleanup)
+    _unpack(revision, directory.name, package)
+    sys.path.insert(0, directory.name)
     try:
-        interface, make = _decisions(package)
-        pace = _first_of((f"{package}.polling.adaptive_interval", f"{package}.asking.pace"))
+        interface, create_engine = _import_decision_engine(package)
+        interval_module = _import_first(
+            (f"{package}.polling.adaptive_interval", f"{package}.asking.pace")
+        )
     finally:
-        sys.path.remove(folder.name)
-    kind = EarlierPace if pace is None else getattr(pace, "AdaptiveInterval", None) or pace.Pace
-    return EarlierVersion(interface, make, kind)
+        sys.path.remove(directory.name)
+    poll_interval_type = (
+        EarlierPace
+        if interval_module is None
+        else getattr(interval_module, "AdaptiveInterval", None) or interval_module.Pace
+    )
+    return EarlierVersion(interface, create_engine, poll_interval_type)
 
 
-def _unpack(revision: str, folder: str, package: str) -> None:
-    command = ["git", "-C", ROOT, "archive", "--format=tar", revision, "thymeknot"]
+def _unpack(revision: str, directory: str, package: str) -> None:
+    command = ["git", "-C", REPOSITORY_ROOT, "archive", "--format=tar", revision, "thymeknot"]
     archive = subprocess.run(command, capture_output=True, check=False)
     if archive.returncode:
-        raise UnknownRevisionError(f"{revision}: {archive.stderr.decode().strip()}")
-    subprocess.run(["tar", "-x", "-C", folder], input=archive.stdout, check=True)
-    os.rename(os.path.join(folder, "thymeknot"), os.path.join(folder, package))
+        raise UnknownRevisionError(
+            f"cannot read revision {revision}: {archive.stderr.decode().strip()}"
+        )
+    subprocess.run(["tar", "-x", "-C", directory], input=archive.stdout, check=True)
+    os.rename(os.path.join(directory, "thymeknot"), os.path.join(directory, package))
 
 
-def _decisions(package: str) -> tuple[ModuleType, Any]:
-    engine = _first_of((f"{package}.policy.engine", f"{package}.balance"))
+def _import_decision_engine(package: str) -> tuple[ModuleType, Any]:
+    engine = _import_first((f"{package}.policy.engine", f"{package}.balance"))
     if engine is None:
-        raise UnknownRevisionError(f"{package}: no decisions")
+        raise UnknownRevisionError(f"{package}: the revision contains no decision engine")
     interface = importlib.import_module(f"{package}.interface")
     if hasattr(interface, "__path__"):
         merged = ModuleType(f"{package}.all_of_interface")
         for part in ("settings", "events", "actions"):
             vars(merged).update(vars(importlib.import_module(f"{package}.interface.{part}")))
         interface = merged
-    make = getattr(engine, "DecisionEngine", None) or getattr(engine, "Balancer", None)
-    return interface, make
+    create_engine = getattr(engine, "DecisionEngine", None) or getattr(engine, "Balancer", None)
+    return interface, create_engine
 
 
-def _first_of(names: tuple[str, ...]) -> ModuleType | None:
+def _import_first(names: tuple[str, ...]) -> ModuleType | None:
     for name in names:
         try:
             return importlib.import_module(name)
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -1,8 +1,9 @@
-"""Experiments: days by seed, played with each policy on all cores, and compared.
+"""Experiments: simulates the same days with several policies in parallel and compares the results.
 
-Results are kept as they come, and an experiment that was interrupted goes on where it was. Every
-result holds what it takes to play it again: seed, size, policy, version. Results and comparisons
-are maps, as they are written and printed as JSON.
+Each result is written to a file as soon as it is available, so that an interrupted experiment can
+be continued. A result contains what is needed to reproduce it: the seed, the size of the fleet and
+the policy with its revision, if it is one of an earlier revision. Results and comparisons are
+dictionaries that are written and printed as JSON.
 """
 
 import math
@@ -20,36 +21,45 @@
 from .earlier_versions import UnknownRevisionError, load_version
 from .simulator import Simulator, current_engine
 
-ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
+REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
 
 Result = dict[str, Any]
-"""The figures of one day with one policy."""
-Pair = tuple[Result, Result]
-"""The results of two policies on one day."""
-Size = dict[str, Any]
-"""Arguments of what draws the day."""
-Progress = Callable[[int, int], object]
-"""Called with how many results are done, and of how many."""
-
-# Asked is 0 on a day without requests: the shares of it are then 0.
-LEAST_ASKED = 1e-9
-# Breaches that a result holds at most.
+"""The figures of one day simulated with one policy, by name."""
+ResultPair = tuple[Result, Result]
+"""The results of two policies for the same day."""
+DaySize = dict[str, Any]
+"""Keyword arguments of the function that draws the day, such as `instances` and `pods`."""
+ProgressCallback = Callable[[int, int], object]
+"""Called with the number of available results and the total number."""
+
+# Least divisor for ratios to the earnings of all requests, which are 0 on a day without requests;
+# the ratios are then 0.
+MIN_REQUESTED = 1e-9
+# Maximum number of rule violations in a result.
 MAX_BREACHES = 5
-# Days that a search gives at most.
-MAX_SEARCHED = 3
+# Maximum number of days that a search returns.
+MAX_SEARCH_RESULTS = 3
 
 
-def no_progress(done: int, count: int) -> None:
-    """Ignores the progress."""
+def ignore_progress(done: int, count: int) -> None:
+    """Does nothing; the default progress callback."""
 
 
 class UnknownPolicyError(ValueError):
-    """No such policy, version or result."""
+    """There is no policy or revision of this name."""
 
 
-def policy(name: str) -> Any:
-    """`now` is the present engine, `at:REVISION` an earlier one, else a baseline policy."""
+def load_policy(name: str) -> Any:
+    """Returns the policy of a name.
+
+    Args:
+        name: `now` for the current decision engine, `at:REVISION` for the engine of an earlier git
+            revision, or the name of a baseline policy.
+
+    Raises:
+        UnknownPolicyError: There is no such policy or revision.
+    """
     if name == "now":
         return current_engine
     if name.startswith("at:"):
@@ -59,75 +69,93 @@
             raise UnknownPolicyError(str(error)) from None
     if name not in BASELINE_POLICIES:
         raise UnknownPolicyError(
-            f"{name}: none of now, at:REVISION, {', '.join(BASELINE_POLICIES)}"
+            f"unknown policy {name}, must be one of now, at:REVISION, "
+            f"{', '.join(BASELINE_POLICIES)}"
         )
     return BASELINE_POLICIES[name]
 
 
-def played(task: tuple[str, int, Size]) -> Result:
-    """One day with one policy: its figures, with what it takes to play it again."""
-    name, seed, size = task
-    fleet = Simulator(scenarios.draw_day(seed, **size), policy(name)).play()
+def simulate_day(task: tuple[str, int, DaySize]) -> Result:
+    """Simulates a day of a small fleet.
+
+    Args:
+        task: Policy name, seed and size.
+
+    Returns:
+        The figures of the day and the arguments that reproduce it.
+    """
+    policy_name, seed, size = task
+    simulator = Simulator(scenarios.draw_day(seed, **size), load_policy(policy_name)).play()
     return {
-        "policy": name,
+        "policy": policy_name,
         "seed": seed,
         "size": size,
-        "troubles": [one.kind for one in fleet.day.faults],
-        "faulty": [list(one) for one in fleet.day.offers],
-        **fleet.figures(),
+        "troubles": [fault.kind for fault in simulator.day.faults],
+        "faulty": [list(offer) for offer in simulator.day.offers],
+        **simulator.figures(),
     }
 
 
-def crowd_played(task: tuple[str, str, int, Size]) -> Result:
-    """One day of a large fleet (policy, kind, seed, size): what its decisions are judged by."""
-    name, kind, seed, size = task
-    day, (_, end) = large_fleet_scenarios.draw_day(seed, kind, **size)
-    fleet = Simulator(day, policy(name)).play()
+def simulate_large_fleet_day(task: tuple[str, str, int, DaySize]) -> Result:
+    """Simulates a day of a large fleet.
+
+    Args:
+        task: Policy name, scenario kind, seed and size.
+
+    Returns:
+        The figures by which the policy is judged; which they are depends on the kind.
+    """
+    policy_name, kind, seed, size = task
+    day, (_, worst_end) = large_fleet_scenarios.draw_day(seed, kind, **size)
+    simulator = Simulator(day, load_policy(policy_name)).play()
     offer = day.offers[0]
-    turned_away, needless = fleet.results.needless()
+    rejected, needless = simulator.results.needless()
     if kind in large_fleet_scenarios.VAST_KINDS:
         return {
-            "policy": name,
+            "policy": policy_name,
             "kind": kind,
             "seed": seed,
-            "turned_away": turned_away,
-            "recover_s": fleet.results.recovered(end),
-            **vast_figures(fleet),
+            "turned_away": rejected,
+            "recover_s": simulator.results.recovered(worst_end),
+            **vast_figures(simulator),
         }
     if kind in large_fleet_scenarios.MASS_KINDS:
         return {
-            "policy": name,
+            "policy": policy_name,
             "kind": kind,
             "seed": seed,
-            "turned_away": turned_away,
-            "recover_s": fleet.results.recovered(end),
-            **mass_figures(fleet),
+            "turned_away": rejected,
+            "recover_s": simulator.results.recovered(worst_end),
+            **mass_figures(simulator),
         }
-    back = fleet.platform.state.phase in (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
+    rolled_back = simulator.platform.state.phase in (
+        ReleasePhase.ROLLING_BACK,
+        ReleasePhase.WITHDRAWN,
+    )
     return {
-        "policy": name,
+        "policy": policy_name,
         "kind": kind,
         "seed": seed,
         "good": offer.good,
-        "worth": fleet.results.worth(),
-        "service": fleet.results.service(),
-        "worst_10s": fleet.results.worst(),
-        "turned_away": turned_away,
+        "worth": simulator.results.worth(),
+        "service": simulator.results.service(),
+        "worst_10s": simulator.results.worst(),
+        "turned_away": rejected,
         "needless": needless,
-        "behind": fleet.results.behind / max(LEAST_ASKED, fleet.results.asked),
-        "recover_s": fleet.results.recovered(end),
-        "good_back": offer.good and back,
-        "bad_released": not offer.good and bool(fleet.results.released),
+        "behind": simulator.results.behind / max(MIN_REQUESTED, simulator.results.asked),
+        "recover_s": simulator.results.recovered(worst_end),
+        "good_back": offer.good and rolled_back,
+        "bad_released": not offer.good and bool(simulator.results.released),
         "bad_kept": not offer.good
-        and fleet.platform.state.phase == ReleasePhase.RELEASED
-        and fleet.platform.state.build == offer.build,
-        "votes": fleet.results.votes_asked,
-        "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
+        and simulator.platform.state.phase == ReleasePhase.RELEASED
+        and simulator.platform.state.build == offer.build,
+        "votes": simulator.results.votes_asked,
+        "rules_broken": simulator.checker.rules_broken(),
+        "breaches": [list(breach) for breach in simulator.checker.broken[:MAX_BREACHES]],
     }
 
 
-VAST_FIGURES = (
+VAST_FIGURE_NAMES = (
     "worth",
     "service",
     "worst_10s",
@@ -141,57 +169,68 @@
 )
 
 
-def vast_figures(fleet: Simulator) -> Result:
-    """What a day of a vast kind is judged by.
+def vast_figures(simulator: Simulator) -> Result:
+    """Returns the figures by which a policy is judged on a day of a vast kind.
 
-    All are shares, but for lists_per_instance (calls in all) and cold_overrun (the most that a
-    server that warms up was sent, over what overloads it).
+    Most are ratios. `lists_per_instance` is the number of calls for endpoint lists per instance.
+    `cold_overrun` is the highest ratio of the work sent to a server during its warm-up to the work
+    that overloads it. The figures of builds, such as `good_back`, are numbers of builds.
     """
-    asked = max(LEAST_ASKED, fleet.results.asked)
-    good = [one.build for one in fleet.day.offers if one.good]
-    bad = [one.build for one in fleet.day.offers if not one.good]
-    votes = fleet.results.votes_asked
+    requested = max(MIN_REQUESTED, simulator.results.asked)
+    good_builds = [offer.build for offer in simulator.day.offers if offer.good]
+    bad_builds = [offer.build for offer in simulator.day.offers if not offer.good]
+    vote_calls = simulator.results.votes_asked
     return {
-        "worth": fleet.results.worth(),
-        "service": fleet.results.service(),
-        "worst_10s": fleet.results.worst(),
-        "needless_share": fleet.results.needless()[1],
-        "behind": fleet.results.behind / asked,
-        "harm": fleet.results.harm / asked,
-        "handshakes_per_transaction": fleet.connections.made / max(1, fleet.results.dispatched),
-        "lists_per_instance": fleet.discovery.calls / fleet.day.instances
-        if fleet.discovery
+        "worth": simulator.results.worth(),
+        "service": simulator.results.service(),
+        "worst_10s": simulator.results.worst(),
+        "needless_share": simulator.results.needless()[1],
+        "behind": simulator.results.behind / requested,
+        "harm": simulator.results.harm / requested,
+        "handshakes_per_transaction": simulator.connections.made
+        / max(1, simulator.results.dispatched),
+        "lists_per_instance": simulator.discovery.calls / simulator.day.instances
+        if simulator.discovery
         else 0.0,
-        "calls_refused_share": votes["full"] / max(1, votes["asked"]),
-        "cold_overrun": fleet.checker.overrun,
-        "good_back": sum(build in fleet.results.sent_back for build in good),
-        "good": len(good),
-        "bad": len(bad),
-        "bad_released": sum(build in fleet.results.released for build in bad),
-        "good_released": sum(build in fleet.results.released for build in good),
-        "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
+        "calls_refused_share": vote_calls["full"] / max(1, vote_calls["asked"]),
+        "cold_overrun": simulator.checker.overrun,
+        "good_back": sum(build in simulator.results.sent_back for build in good_builds),
+        "good": len(good_builds),
+        "bad": len(bad_builds),
+        "bad_released": sum(build in simulator.results.released for build in bad_builds),
+        "good_released": sum(build in simulator.results.released for build in good_builds),
+        "rules_broken": simulator.checker.rules_broken(),
+        "breaches": [list(breach) for breach in simulator.checker.broken[:MAX_BREACHES]],
     }
 
 
-def vast_compared(pairs: Sequence[Pair]) -> dict[str, Any]:
-    """As crowd_figures, by kind, of the vast kinds alone."""
-    told: dict[str, Any] = {}
+def summarize_vast_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
+    """Returns a comparison of each figure by kind, for results of vast kinds.
+
+    Like `summarize_large_fleet_pairs`, but with the figures of `vast_figures`.
+    """
+    summary: dict[str, Any] = {}
     for kind in sorted({pair[0]["kind"] for pair in pairs}):
-        some = [pair for pair in pairs if pair[0]["kind"] == kind]
-        told[kind] = {name: gap_of(some, name) for name in VAST_FIGURES}
-        for name, of in (("good_back", "good"), ("good_released", "good"), ("bad_released", "bad")):
-            told[kind][name] = {
-                when: f"{sum(one[at][name] for one in some)} of {sum(one[at][of] for one in some)}"
-                for at, when in enumerate(("before", "now"))
+        kind_pairs = [pair for pair in pairs if pair[0]["kind"] == kind]
+        summary[kind] = {name: compare_figure(kind_pairs, name) for name in VAST_FIGURE_NAMES}
+        for name, total in (
+            ("good_back", "good"),
+            ("good_released", "good"),
+            ("bad_released", "bad"),
+        ):
+            summary[kind][name] = {
+                label: f"{sum(results[index][name] for results in kind_pairs)}"
+                f" of {sum(results[index][total] for results in kind_pairs)}"
+                for index, label in enumerate(("before", "now"))
             }
-        told[kind]["rules_broken"] = broken_by(some)
-    return told
+        summary[kind]["rules_broken"] = broken_rules_of_pairs(kind_pairs)
+    return summary
 
 
-MASS_FIGURES = ("service", "worth", "worst_10s", "needless_share")
-# Figures of the days alone that offered such builds: the mean by day, and the sum.
-MASS_OF = {
+MASS_FIGURE_NAMES = ("service", "worth", "worst_10s", "needless_share")
+# Figures that are divided by the number of good or bad builds of the day. Only days that offered
+# such builds count.
+MASS_BUILD_FIGURES = {
     "bad_released": "bad",
     "harm_to_back_s": "bad",
     "good_back": "good",
@@ -199,243 +238,331 @@
 }
 
 
-def mass_figures(fleet: Simulator) -> Result:
-    """What a day of a mass kind is judged by: vast_figures, and the seconds that builds took.
+def mass_figures(simulator: Simulator) -> Result:
+    """Returns the figures by which a policy is judged on a day of a mass kind.
 
-    Those are sums: from offer to release of the good ones, and for the bad ones from the first harm
-    (the begin of the release, or else of the last stage) until it is rolled back. What does not
-    come to that is counted until the next offer replaces it, or the day ends.
+    In addition to `vast_figures` these are two sums of seconds: for good builds the time from offer
+    to release, for bad builds the time during which they could do harm, from the release (or else
+    the start of the last stage) until they were rolled back. If the release or rollback did not
+    happen, the time ends when the next offer replaces the build. It ends with the day for the last
+    build and for a bad build that was released.
     """
-    day = fleet.day
-    figures = vast_figures(fleet)
-    ends = [*(one.at for one in day.offers[1:]), day.duration]
-    spent = {
-        one.build: fleet.results.spent(
-            one.build, day.duration if one.build in fleet.results.released and not one.good else end
+    day = simulator.day
+    figures = vast_figures(simulator)
+    time_limits = [*(offer.at for offer in day.offers[1:]), day.duration]
+    build_times = {
+        offer.build: simulator.results.spent(
+            offer.build,
+            day.duration
+            if offer.build in simulator.results.released and not offer.good
+            else time_limit,
         )
-        for one, end in zip(day.offers, ends)
+        for offer, time_limit in zip(day.offers, time_limits)
     }
     return {
         **figures,
-        "good_release_s": sum(spent[one.build][0] for one in day.offers if one.good),
-        "harm_to_back_s": sum(spent[one.build][1] for one in day.offers if not one.good),
+        "good_release_s": sum(build_times[offer.build][0] for offer in day.offers if offer.good),
+        "harm_to_back_s": sum(
+            build_times[offer.build][1] for offer in day.offers if not offer.good
+        ),
     }
 
 
-def mass_compared(pairs: Sequence[Pair]) -> dict[str, Any]:
-    """As vast_compared, of the mass kinds: by kind, and of all."""
-    told: dict[str, Any] = {}
+def summarize_mass_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
+    """Returns a comparison of each figure by kind and over all kinds, for results of mass kinds.
+
+    `of` is the number of builds that a figure refers to, and `sums` holds its totals before and
+    now.
+    """
+    summary: dict[str, Any] = {}
     kinds = sorted({pair[0]["kind"] for pair in pairs})
     for kind in (*kinds, "all"):
-        some = [pair for pair in pairs if kind in (pair[0]["kind"], "all")]
-        told[kind] = {name: gap_of(some, name) for name in MASS_FIGURES}
-        for name, of in MASS_OF.items():
-            which = [pair for pair in some if pair[0][of]]
-            by_build = [
-                ({name: one[name] / one[of]}, {name: two[name] / two[of]}) for one, two in which
+        kind_pairs = [pair for pair in pairs if kind in (pair[0]["kind"], "all")]
+        summary[kind] = {name: compare_figure(kind_pairs, name) for name in MASS_FIGURE_NAMES}
+        for name, count_name in MASS_BUILD_FIGURES.items():
+            pairs_with_builds = [pair for pair in kind_pairs if pair[0][count_name]]
+            means_by_build = [
+                ({name: first[name] / first[count_name]}, {name: second[name] / second[count_name]})
+                for first, second in pairs_with_builds
             ]
-            told[kind][name] = None
-            if which:
-                told[kind][name] = {
-                    **(gap_of(by_build, name) or {}),
-                    "of": sum(pair[0][of] for pair in which),
-                    "sums": [round(sum(pair[at][name] for pair in which), 1) for at in (0, 1)],
+            summary[kind][name] = None
+            if pairs_with_builds:
+                summary[kind][name] = {
+                    **(compare_figure(means_by_build, name) or {}),
+                    "of": sum(pair[0][count_name] for pair in pairs_with_builds),
+                    "sums": [
+                        round(sum(pair[index][name] for pair in pairs_with_builds), 1)
+                        for index in (0, 1)
+                    ],
                 }
-        told[kind]["rules_broken"] = broken_by(some)
-    return told
+        summary[kind]["rules_broken"] = broken_rules_of_pairs(kind_pairs)
+    return summary
 
 
-def broken_by(pairs: Sequence[Pair]) -> list[list[int]]:
-    """The rules broken before, and now."""
-    return [sorted({rule for pair in pairs for rule in pair[at]["rules_broken"]}) for at in (0, 1)]
+def broken_rules_of_pairs(pairs: Sequence[ResultPair]) -> list[list[int]]:
+    """Returns the numbers of the rules that were broken before and now."""
+    return [
+        sorted({rule for pair in pairs for rule in pair[index]["rules_broken"]}) for index in (0, 1)
+    ]
 
 
-def gap_of(some: Sequence[Pair], name: str) -> dict[str, float | None] | None:
-    """Means before and now, and the difference with its 95% interval over the same days.
+def compare_figure(pairs: Sequence[ResultPair], name: str) -> dict[str, float | None] | None:
+    """Returns the means of a figure before and now and their difference with its 95% interval.
 
-    The interval is None for a single day, and all is None without a day.
+    The bounds of the interval are None for a single day; without days the result is None.
+
+    Args:
+        pairs: The results before and now of each day.
+        name: The key of the figure.
     """
-    before = [float(one[name]) for one, _ in some]
-    now = [float(two[name]) for _, two in some]
-    if not some:
+    before = [float(first[name]) for first, _ in pairs]
+    now = [float(second[name]) for _, second in pairs]
+    if not pairs:
         return None
-    gap = statistics.paired(now, before)
+    difference = statistics.paired_difference(now, before)
     return {
         "before": round(sum(before) / len(before), 4),
         "now": round(sum(now) / len(now), 4),
-        "gap": round(gap.mean, 4),
-        "low": round(gap.low, 4) if math.isfinite(gap.low) else None,
-        "high": round(gap.high, 4) if math.isfinite(gap.high) else None,
+        "gap": round(difference.mean, 4),
+        "low": round(difference.low, 4) if math.isfinite(difference.low) else None,
+        "high": round(difference.high, 4) if math.isfinite(difference.high) else None,
     }
 
 
-def crowds_compared(  # noqa: PLR0917  the commands pass them by position
-    one: str,
-    two: str,
+def simulate_large_fleet_pairs(  # noqa: PLR0917  commands pass these by position
+    first_policy: str,
+    second_policy: str,
     kinds: Iterable[str],
     seeds: Sequence[int],
-    size: Size,
+    size: DaySize,
     workers: int,
-    told: Progress = no_progress,
-) -> list[Pair]:
-    """Plays two policies on the same days of these kinds: their results, in the days' order."""
-    tasks = [(name, kind, seed, size) for kind in kinds for seed in seeds for name in (one, two)]
-    found: list[Result] = []
+    on_progress: ProgressCallback = ignore_progress,
+) -> list[ResultPair]:
+    """Simulates the same days of a large fleet with two policies.
+
+    Args:
+        first_policy: Name of the policy that comes first in each pair.
+        second_policy: Name of the policy that comes second.
+        kinds: Scenario kinds.
+        seeds: Seeds of the days of each kind.
+        size: Size of the fleet.
+        workers: Number of processes.
+        on_progress: Called after each result.
+
+    Returns:
+        The results, in the order of kinds and seeds.
+    """
+    tasks = [
+        (policy_name, kind, seed, size)
+        for kind in kinds
+        for seed in seeds
+        for policy_name in (first_policy, second_policy)
+    ]
+    results: list[Result] = []
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
-        for result in pool.map(crowd_played, tasks):
-            found.append(result)
-            told(len(found), len(tasks))
-    return list(zip(found[::2], found[1::2]))
+        for result in pool.map(simulate_large_fleet_day, tasks):
+            results.append(result)
+            on_progress(len(results), len(tasks))
+    return list(zip(results[::2], results[1::2]))
 
 
-def crowd_figures(pairs: Sequence[Pair]) -> dict[str, Any]:
-    """What pairs of results say by figure: both means, and the difference with its interval."""
-    told = gap_of
+def summarize_large_fleet_pairs(pairs: Sequence[ResultPair]) -> dict[str, Any]:
+    """Returns a comparison of each figure of the results of two policies.
 
-    def which(name: str, value: object) -> list[Pair]:
+    See `compare_figure`. Some figures are compared only on the days that they apply to, such as
+    those with a good build; `by_kind` compares three figures by scenario kind.
+    """
+    compare = compare_figure
+
+    def select(name: str, value: object) -> list[ResultPair]:
         return [pair for pair in pairs if pair[0].get(name) == value]
 
     kinds = sorted({pair[0]["kind"] for pair in pairs})
-    usual = [pair for pair in pairs if pair[0]["kind"] != "overload"]
+    pairs_without_overload = [pair for pair in pairs if pair[0]["kind"] != "overload"]
     return {
-        "needless_share": told(usual, "needless"),
-        "overload_served": told(which("kind", "overload"), "service"),
-        **{name: told(pairs, name) for name in ("service", "worst_10s", "worth", "recover_s")},
-        "good_back": told(which("good", True), "good_back"),
-        **{name: told(which("good", False), name) for name in ("bad_released", "bad_kept")},
-        "rules_broken": broken_by(pairs),
-        "breaches": [one for pair in pairs for one in pair[1]["breaches"]][:MAX_BREACHES],
+        "needless_share": compare(pairs_without_overload, "needless"),
+        "overload_served": compare(select("kind", "overload"), "service"),
+        **{name: compare(pairs, name) for name in ("service", "worst_10s", "worth", "recover_s")},
+        "good_back": compare(select("good", True), "good_back"),
+        **{name: compare(select("good", False), name) for name in ("bad_released", "bad_kept")},
+        "rules_broken": broken_rules_of_pairs(pairs),
+        "breaches": [breach for pair in pairs for breach in pair[1]["breaches"]][:MAX_BREACHES],
         "by_kind": {
             kind: {
-                name: told(which("kind", kind), name) for name in ("service", "needless", "behind")
+                name: compare(select("kind", kind), name)
+                for name in ("service", "needless", "behind")
             }
             for kind in kinds
         },
     }
 
 
-def key_of(task: tuple[str, int, Size]) -> str:
-    """By which the result of a task is found again."""
+def task_key(task: tuple[str, int, DaySize]) -> str:
+    """Returns the key of a task's result."""
     return orjson.dumps([task[0], task[1], sorted(task[2].items())]).decode()
 
 
-def _kept(path: str) -> dict[str, Result]:
-    """The results in a file; a line that a kill cut off is passed over."""
-    found = {}
+def _read_results(path: str) -> dict[str, Result]:
+    """Returns the results in a file by the keys of their tasks.
+
+    Lines that can't be parsed are skipped: a process that is killed may leave an incomplete line.
+    """
+    results = {}
     with open(path, "rb") as source:
         for line in source:
             try:
-                one = orjson.loads(line)
-                found[key_of((one["policy"], one["seed"], one["size"]))] = one
+                result = orjson.loads(line)
+                results[task_key((result["policy"], result["seed"], result["size"]))] = result
             except (orjson.JSONDecodeError, KeyError):
                 continue
-    return found
+    return results
 
 
-def run(
-    tasks: Sequence[tuple[str, int, Size]],
+def simulate_days(
+    tasks: Sequence[tuple[str, int, DaySize]],
     workers: int,
-    path: str | None = None,
-    told: Progress = no_progress,
+    results_path: str | None = None,
+    on_progress: ProgressCallback = ignore_progress,
 ) -> list[Result]:
-    """Plays all tasks.
+    """Simulates days of a small fleet in parallel.
 
     Args:
-        tasks: policy, seed and size of each.
-        workers: processes that play at once.
-        path: where each result is kept as it comes; what is there already is not played again.
-        told: is told the progress.
+        tasks: Policy name, seed and size of each day.
+        workers: Number of processes.
+        results_path: File to which each result is appended as soon as it is available. Days whose
+            results it already contains are not simulated again.
+        on_progress: Called after each result.
 
     Returns:
         The results in the order of the tasks.
     """
-    found = _kept(path) if path and os.path.exists(path) else {}
-    missing = [task for task in tasks if key_of(task) not in found]
+    results = _read_results(results_path) if results_path and os.path.exists(results_path) else {}
+    missing_tasks = [task for task in tasks if task_key(task) not in results]
     with ProcessPoolExecutor(workers, multiprocessing.get_context("spawn")) as pool:
-        waiting = {pool.submit(played, task): task for task in missing}
-        for future in as_completed(waiting):
-            one = future.result()
-            found[key_of(waiting[future])] = one
-            if path:
-                with open(path, "ab") as target:
-                    target.write(orjson.dumps(one) + b"\n")
-            told(len(tasks) - sum(key_of(task) not in found for task in tasks), len(tasks))
-    return [found[key_of(task)] for task in tasks]
-
-
-def compared(  # noqa: PLR0917  the commands pass them by position
-    one: str,
-    two: str,
+        task_by_future = {pool.submit(simulate_day, task): task for task in missing_tasks}
+        for future in as_completed(task_by_future):
+            result = future.result()
+            results[task_key(task_by_future[future])] = result
+            if results_path:
+                with open(results_path, "ab") as target:
+                    target.write(orjson.dumps(result) + b"\n")
+            on_progress(
+                len(tasks) - sum(task_key(task) not in results for task in tasks), len(tasks)
+            )
+    return [results[task_key(task)] for task in tasks]
+
+
+def compare_policies(  # noqa: PLR0917  commands pass these by position
+    first_policy: str,
+    second_policy: str,
     seeds: Iterable[int],
-    size: Size,
+    size: DaySize,
     workers: int,
-    path: str | None = None,
-    told: Progress = no_progress,
+    results_path: str | None = None,
+    on_progress: ProgressCallback = ignore_progress,
 ) -> tuple[dict[str, statistics.Difference], list[int], list[Result]]:
-    """Plays two policies on the same days.
+    """Compares two policies on the same days of a small fleet.
+
+    Args:
+        first_policy: Name of a policy.
+        second_policy: Name of the policy whose figures are subtracted.
+        seeds: Seeds of the days.
+        size: Size of the fleet.
+        workers: Number of processes.
+        results_path: See `simulate_days`.
+        on_progress: Called after each result.
 
     Returns:
-        The differences one - two by figure, the rules that either broke, and the results.
+        The differences by figure, the rules that either policy broke, and the results of both
+        policies in alternation.
     """
-    tasks = [(name, seed, size) for seed in seeds for name in (one, two)]
-    results = run(tasks, workers, path, told)
-    first = results[::2]
-    second = results[1::2]
+    tasks = [
+        (policy_name, seed, size) for seed in seeds for policy_name in (first_policy, second_policy)
+    ]
+    results = simulate_days(tasks, workers, results_path, on_progress)
+    first_results = results[::2]
+    second_results = results[1::2]
     return (
         {
-            figure: statistics.paired(
-                [each[figure] for each in first], [each[figure] for each in second]
+            figure: statistics.paired_difference(
+                [result[figure] for result in first_results],
+                [result[figure] for result in second_results],
             )
             for figure in ("service", "worst_10s", "harm")
         },
-        sorted({rule for each in results for rule in each["rules_broken"]}),
+        sorted({rule for result in results for rule in result["rules_broken"]}),
         results,
     )
 
 
-def searched(  # noqa: PLR0917  the commands pass them by position
-    name: str,
+def find_worst_days(  # noqa: PLR0917  commands pass these by position
+    policy_name: str,
     seeds: Iterable[int],
-    size: Size,
+    size: DaySize,
     workers: int,
-    against: str = "random",
-    told: Progress = no_progress,
+    baseline: str = "random",
+    on_progress: ProgressCallback = ignore_progress,
 ) -> list[dict[str, Any]]:
-    """The days on which a policy does worst beside another, the worst first.
+    """Returns the days with the lowest service of a policy relative to another, worst first.
 
-    There is one for each set of faults, reduced to what matters: a fault is left out if the gap
-    does not close by over a tenth without it.
+    At most one day is returned for each combination of fault kinds. `needed` contains those of its
+    faults that contribute to the difference.
+
+    Args:
+        policy_name: Name of the policy to examine.
+        seeds: Seeds of the days that are searched.
+        size: Size of the fleet.
+        workers: Number of processes.
+        baseline: Name of the policy to compare with.
+        on_progress: Called after each result.
     """
-    results = compared(name, against, seeds, size, workers, None, told)[2]
+    results = compare_policies(policy_name, baseline, seeds, size, workers, None, on_progress)[2]
     worst: dict[tuple[str, ...], tuple[float, int]] = {}
-    for mine, theirs in zip(results[::2], results[1::2]):
-        gap = mine["service"] - theirs["service"]
-        kind = tuple(sorted(mine["troubles"]))
-        if kind not in worst or gap < worst[kind][0]:
-            worst[kind] = gap, mine["seed"]
-    found = []
-    for kind, (gap, seed) in sorted(worst.items(), key=lambda one: one[1][0])[:MAX_SEARCHED]:
-        found.append(
+    for result, baseline_result in zip(results[::2], results[1::2]):
+        difference = result["service"] - baseline_result["service"]
+        fault_kinds = tuple(sorted(result["troubles"]))
+        if fault_kinds not in worst or difference < worst[fault_kinds][0]:
+            worst[fault_kinds] = difference, result["seed"]
+    worst_days = []
+    for fault_kinds, (difference, seed) in sorted(worst.items(), key=lambda item: item[1][0])[
+        :MAX_SEARCH_RESULTS
+    ]:
+        worst_days.append(
             {
                 "seed": seed,
-                "gap": round(gap, 4),
-                "troubles": kind,
-                "needed": shrunk(name, against, seed, size, gap),
+                "gap": round(difference, 4),
+                "troubles": fault_kinds,
+                "needed": find_needed_fault_kinds(policy_name, baseline, seed, size, difference),
             }
         )
-    return found
+    return worst_days
 
 
-def shrunk(name: str, against: str, seed: int, size: Size, gap: float) -> list[scenarios.FaultKind]:
-    """The kinds of a day's faults without which the gap would close by over a tenth."""
+def find_needed_fault_kinds(
+    policy_name: str, baseline: str, seed: int, size: DaySize, difference: float
+) -> list[scenarios.FaultKind]:
+    """Returns the kinds of those faults of a day that contribute to the difference in service.
+
+    Faults are removed one by one; a fault stays removed if the difference does not rise by more
+    than a tenth of its size without it.
+
+    Args:
+        policy_name: Name of the policy to examine.
+        baseline: Name of the policy to compare with.
+        seed: Seed of the day.
+        size: Size of the fleet.
+        difference: The service of the policy minus that of the baseline, with all faults.
+    """
     day = scenarios.draw_day(seed, **size)
-    kept = list(day.faults)
-    for fault in list(kept):
-        fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
-        rest = (
-            Simulator(fewer, policy(name)).play().results.service()
-            - Simulator(fewer, policy(against)).play().results.service()
+    needed_faults = list(day.faults)
+    for fault in list(needed_faults):
+        reduced_day = day._replace(
+            faults=tuple(other for other in needed_faults if other is not fault)
+        )
+        remaining_difference = (
+            Simulator(reduced_day, load_policy(policy_name)).play().results.service()
+            - Simulator(reduced_day, load_policy(baseline)).play().results.service()
         )
-        if rest <= gap + abs(gap) * 0.1:
-            kept.remove(fault)
-    return [one.kind for one in kept]
+        if remaining_difference <= difference + abs(difference) * 0.1:
+            needed_faults.remove(fault)
+    return [needed.kind for needed in needed_faults]
