--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -20,7 +20,13 @@
 from thymeknot.polling.snapshot_validation import SnapshotValidator
 from thymeknot.protocol.discovery import FIRST_DATA_TIMEOUTS
 from thymeknot.protocol.watch_stream import WatchStream
-from thymeknot.simulation.shared_services import IDLE_TIMEOUT, Connections, Service
+from thymeknot.simulation.earlier_versions import load_version
+from thymeknot.simulation.shared_services import (
+    IDLE_TIMEOUT,
+    Connections,
+    Service,
+    poll_interval_of,
+)
 from thymeknot.state.random_source import LinearCongruentialGenerator
 from thymeknot.state.timer_queue import TimerQueue
 
@@ -80,6 +86,16 @@
             self.assertTrue(MIN_REGULAR_INTERVAL <= pace.record(how, age) <= MAX_INTERVAL)
 
 
+class EarlierRevisionTest(unittest.TestCase):
+    def test_interval_of_an_earlier_revision_answers_to_the_current_method_names(self):
+        """Renamed methods made simulations with an earlier revision fail with AttributeError."""
+        interval = poll_interval_of(load_version("969ec70"), lambda: 0.5)
+        self.assertEqual(
+            (interval.initial_wait(10), interval.record(CallResult.REFUSED), interval.draw()),
+            (5_000, 20_000, 0.5),
+        )
+
+
 class RateLimitedService(Service):
     """The simulator's shared service, dialled by watch streams."""
 
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -61,6 +61,24 @@
         return 2_000 + int(self.draw() * 6_000)
 
 
+class FormerPollInterval:
+    """The poll interval of an earlier git revision, which names its methods `first` and `ended`."""
+
+    def __init__(self, interval: Any) -> None:
+        self._interval = interval
+        self.draw: RandomDraw = interval.draw
+
+    def initial_wait(self, asking: int) -> Ticks:
+        """Returns the wait before the first call if `asking` callers start at once."""
+        wait: Ticks = self._interval.first(asking)
+        return wait
+
+    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
+        """Returns the wait before the next call, given the result of the last one."""
+        wait: Ticks = self._interval.ended(how, age)
+        return wait
+
+
 class Service:
     """Answers a limited number of calls per second, in order of arrival.
 
@@ -242,5 +260,8 @@
 
 def poll_interval_of(policy: Any, draw: RandomDraw) -> PollInterval:
     """Returns the policy's own poll interval, or the current one if it has none."""
-    interval: PollInterval = getattr(policy, "pace", AdaptiveInterval)(draw)
-    return interval
+    interval = getattr(policy, "pace", AdaptiveInterval)(draw)
+    if hasattr(interval, "ended"):
+        return FormerPollInterval(interval)
+    current: PollInterval = interval
+    return current
