--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -339,7 +339,7 @@
         self.assertLessEqual(
             accepted, current.day.terms.votes_per_second * (2 + current.now / TICKS_PER_SECOND) + 1
         )
-        self.assertEqual(current.checker.rules_broken(), [])
+        self.assertEqual(current.checker.violated_rules(), [])
 
     def test_bad_build_is_not_kept_if_all_instances_have_little_traffic(self):
         results = [
--- a/tests/unit/proxy/test_attempts.py
+++ b/tests/unit/proxy/test_attempts.py
@@ -796,13 +796,13 @@
                 engine_settings.exposure_window,
                 engine_settings.exposure_allowance + 2,
             )  # the tolerance of the protocol
-            checker.cap(0, "", 42, cap * 1.04, 0, phase="trial")
+            checker.record_release_state(0, "", 42, cap * 1.04, 0, phase="trial")
             for step in range(2000):
                 now, dials_hang = step * 100, step >= 800 and step % 400 < self.HANG_SECONDS * 100
                 network.reactor.advance(0.01)
                 network.reactor.advance(0)
                 if random_source.random() < self.REQUESTS_PER_SECOND / 100:
-                    checker.taken(now, "", f"{step}", "read", now + 50_000)
+                    checker.record_request(now, "", f"{step}", "read", now + 50_000)
                     client.dataReceived(
                         encode_command(
                             "SVC.QUERY", f"{random_source.random()}", f"{step}", "c=read,d=5000"
@@ -823,7 +823,7 @@
                             connection.transport.value().split(b"\r\n")[6].decode(),
                             proxy.listed_endpoints[endpoint].build,
                         )
-                        checker.sent(now, "", request_id, endpoint, build, lane="read")
+                        checker.record_attempt(now, "", request_id, endpoint, build, lane="read")
                         connection.transport.clear()
                         connection.resumeProducing()
                         trial_requests += build == 42
@@ -834,7 +834,7 @@
                     ):  # the endpoint pauses
                         connections.remove(connection)
                         connection.connectionLost(Failure(ConnectionLost()))
-            self.assertEqual([text for rule, _, text in checker.broken if rule == 5], [])
+            self.assertEqual([text for rule, _, text in checker.violations if rule == 5], [])
             self.assertGreater(trial_requests, 80)
 
 
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -213,4 +213,4 @@
     def test_scenarios_of_each_kind_keep_the_invariants(self):
         for kind in large_fleet_scenarios.KINDS:
             day, _ = large_fleet_scenarios.drawn(2, kind, 12, 9, 15, load=0.4)
-            self.assertEqual(Simulator(day, current_engine).play().checker.broken, [], kind)
+            self.assertEqual(Simulator(day, current_engine).play().checker.violations, [], kind)
--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -635,7 +635,7 @@
             settings.exposure_window,
             settings.exposure_allowance,
             settings.exposure_by_class,
-            guarded=settings.guarded_stages,
+            guarded_stages=settings.guarded_stages,
         )
         self.engine, self.endpoints, self.requests, self.action_log = (
             DecisionEngine(settings, seed, self.now),
@@ -684,7 +684,7 @@
     def update_endpoints(self, endpoints, kind):
         for endpoint in endpoints:
             self.endpoints[endpoint.address] = endpoint
-            self.checker.listed(
+            self.checker.record_endpoint_state(
                 self.now,
                 0,
                 endpoint.address,
@@ -696,7 +696,7 @@
         build, stage, phase, cap = self.release
         if outcome != Outcome.DONE:
             return ReleaseUpdate(build, None, None, answers, outcome, None, None)
-        self.checker.cap(self.now, 0, build, cap, stage, phase=self.PHASES[phase])
+        self.checker.record_release_state(self.now, 0, build, cap, stage, phase=self.PHASES[phase])
         return ReleaseUpdate(build, stage, phase, answers, Outcome.DONE, cap, 0)
 
     def advance_release(self):
@@ -732,7 +732,7 @@
             "attempts": [],
             "streaming": 0,
         }
-        self.checker.taken(self.now, 0, request_id, class_name, self.now + time_left)
+        self.checker.record_request(self.now, 0, request_id, class_name, self.now + time_left)
         self.handle(
             RequestReceived(
                 request_id,
@@ -831,7 +831,7 @@
 
     def close(self, request_id, outcome):
         self.requests[request_id]["closed"] = True
-        self.checker.answered(self.now, 0, request_id, outcome)
+        self.checker.record_answer(self.now, 0, request_id, outcome)
 
     def schedule(self, moment, callback, *values):
         self.number += 1
@@ -845,7 +845,7 @@
 
     def deliver(self, action):
         request, endpoint = self.requests[action.id], self.endpoints[action.endpoint]
-        self.checker.sent(
+        self.checker.record_attempt(
             self.now,
             0,
             action.id,
@@ -860,7 +860,7 @@
             > self.settings.hedging_allowed
             or action.timeout <= 0
         ):
-            self.checker._broke(2, self.now, f"{action}: {request}")
+            self.checker._add_violation(2, self.now, f"{action}: {request}")
         request["attempts"].append(
             {
                 "in_flight": True,
@@ -870,7 +870,7 @@
             }
         )
         if len(request["attempts"]) > self.settings.max_attempts:
-            self.checker._broke(2, self.now, f"{action}: exceeds max_attempts")
+            self.checker._add_violation(2, self.now, f"{action}: exceeds max_attempts")
         within = min(action.timeout, request["expires_at"] - self.now)
         after = self.random.choice((0, 1, 50, 2_000, 10**6)) if not self.calm else self.step // 8
         outcome = self.random.choice(
@@ -891,11 +891,13 @@
         if not attempt["in_flight"]:
             return
         attempt["in_flight"] = False
-        self.checker.proved(0, request_id, number, self.MAY_HAVE_RUN_BY_OUTCOME[outcome])
+        self.checker.record_attempt_end(
+            0, request_id, number, self.MAY_HAVE_RUN_BY_OUTCOME[outcome]
+        )
         if (outcome == Outcome.DONE or request["streaming"]) and not request["closed"]:
             self.close(request_id, "done")
         if outcome == Outcome.DONE and self.settings.sticky_keys:
-            self.checker.key_answered(0, request["key"] or request_id, attempt["build"])
+            self.checker.record_key_answer(0, request["key"] or request_id, attempt["build"])
         load = (
             (float("nan"),) * len(self.settings.load_metrics)
             if self.random.random() < 0.1
@@ -930,7 +932,9 @@
             Verdict.PAUSE: self.settings.promotion_mode == PromotionMode.TIMER,
         }
         if not allowed.get(action.verdict, True):
-            self.checker._broke(5, self.now, f"{action} is not allowed with this promotion mode")
+            self.checker._add_violation(
+                5, self.now, f"{action} is not allowed with this promotion mode"
+            )
         self.schedule(
             self.now + self.random.choice((1, 500)),
             lambda outcome: self.handle(self.release_update(True, outcome)),
@@ -970,13 +974,15 @@
             self.now, _, callback, values = heapq.heappop(self.queue)
             callback(*values)
             yield
-        self.checker.ended(last + 100)
-        if self.engine.requests.open or self.checker.open:
-            self.checker._broke(
-                1, last, f"still open: {list(self.made.requests.open)} {list(self.checker.open)}"
+        self.checker.record_day_end(last + 100)
+        if self.engine.requests.open or self.checker.open_requests:
+            self.checker._add_violation(
+                1,
+                last,
+                f"still open: {list(self.made.requests.open)} {list(self.checker.open_requests)}",
             )
         if not any(values and values[0] == TimerFired(0) for _, _, _, values in self.queue):
-            self.checker._broke(0, last, "the tick timer is not set")
+            self.checker._add_violation(0, last, "the tick timer is not set")
 
 
 def run_alternately(*random_instances):
@@ -997,11 +1003,11 @@
         run_alternately(instance)
         served = {request["request_class"] for request in instance.requests.values()}
         unserved = (
-            [outcome for outcome in instance.checker.over.values() if outcome != "done"]
+            [outcome for outcome in instance.checker.answers.values() if outcome != "done"]
             if calm
             else []
         )
-        return instance.checker.broken[:3], unserved, bool(served)
+        return instance.checker.violations[:3], unserved, bool(served)
 
     def test_random_settings_answer_every_request_once_in_time_and_keep_the_invariants(self):
         for seed in self.SEEDS:
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -68,7 +68,7 @@
                     day._replace(faults=faults, offers=offers, **changes), current_engine
                 ).play()
                 figures = vast_figures(fleet)
-                self.assertEqual(fleet.checker.rules_broken(), [], fleet.checker.broken[:3])
+                self.assertEqual(fleet.checker.violated_rules(), [], fleet.checker.violations[:3])
                 self.assertEqual(
                     (fleet.results.released, fleet.results.sent_back),
                     (released, [] if released else [2]),
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -73,7 +73,7 @@
         day, _ = mass(5, **SIZE, seconds=32, good=True)
         fleet = Simulator(day._replace(offers=day.offers[:1]), current_engine).play()
         self.assertEqual(fleet.results.released, [2])
-        self.assertEqual(fleet.checker.rules_broken(), [], fleet.checker.broken[:3])
+        self.assertEqual(fleet.checker.violated_rules(), [], fleet.checker.violations[:3])
         stages = [at for at, _, what in fleet.results.course if what in ("stage", "released")]
         self.assertTrue(
             all(later - at >= 3.25 * TICKS_PER_SECOND for at, later in zip(stages, stages[1:])),
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -145,83 +145,88 @@
 
     def test_one_answer_in_time(self):
         one = checker()
-        one.taken(0, 0, "t", "fetch", 100)
-        one.answered(150, 0, "t", "done")
-        self.assertEqual(one.broken, [])
-        one.answered(150, 0, "t", "done")
-        one.taken(0, 0, "u", "fetch", 100)
-        one.answered(151, 0, "u", "done")
-        one.taken(0, 0, "v", "fetch", 100)
-        one.taken(0, 1, "w", "fetch", 100)
-        one.killed(50, 1)
-        one.ended(1000)
+        one.record_request(0, 0, "t", "fetch", 100)
+        one.record_answer(150, 0, "t", "done")
+        self.assertEqual(one.violations, [])
+        one.record_answer(150, 0, "t", "done")
+        one.record_request(0, 0, "u", "fetch", 100)
+        one.record_answer(151, 0, "u", "done")
+        one.record_request(0, 0, "v", "fetch", 100)
+        one.record_request(0, 1, "w", "fetch", 100)
+        one.record_kill(50, 1)
+        one.record_day_end(1000)
         self.assertEqual(
-            [text for _, _, text in one.broken],
+            [text for _, _, text in one.violations],
             ["t: a second answer", "u: answered 51 late", "v: no answer"],
         )
 
     def test_a_binding_one_goes_again_only_if_proved_unrun(self):
         for ran, broken in ((False, []), (None, [2]), (True, [2])):
             one = checker()
-            one.taken(0, 0, "t", "pay", 9000)
-            one.sent(0, 0, "t", "p", 1, lane="pay")
-            one.proved(0, "t", 0, ran)
-            one.sent(10, 0, "t", "q", 1, lane="pay")
-            self.assertEqual(one.rules_broken(), broken)
+            one.record_request(0, 0, "t", "pay", 9000)
+            one.record_attempt(0, 0, "t", "p", 1, lane="pay")
+            one.record_attempt_end(0, "t", 0, ran)
+            one.record_attempt(10, 0, "t", "q", 1, lane="pay")
+            self.assertEqual(one.violated_rules(), broken)
 
     def test_a_drain_is_kept_to_the_moment(self):
         one = checker()
-        one.listed(1000, 0, "p", "gone")
-        one.listed(2000, 0, "p", "gone")  # told again: the first time counts
-        one.sent(3500, 0, "t", "p", 1, lane="fetch")
-        self.assertEqual(one.broken, [])
-        one.sent(3501, 0, "t", "p", 1, lane="fetch")
-        self.assertEqual(one.rules_broken(), [3])
+        one.record_endpoint_state(1000, 0, "p", "gone")
+        one.record_endpoint_state(2000, 0, "p", "gone")  # told again: the first time counts
+        one.record_attempt(3500, 0, "t", "p", 1, lane="fetch")
+        self.assertEqual(one.violations, [])
+        one.record_attempt(3501, 0, "t", "p", 1, lane="fetch")
+        self.assertEqual(one.violated_rules(), [3])
 
     def test_one_delivery_too_many_to_the_trial(self):
         one = checker()
-        one.cap(0, 0, 2, 0.5, 3, phase="trial")
+        one.record_release_state(0, 0, 2, 0.5, 3, phase="trial")
         for at in range(10):
-            one.taken(at, 0, f"t{at}", "fetch", 9000)
+            one.record_request(at, 0, f"t{at}", "fetch", 9000)
         for at in range(8):  # 3 and half of 10
-            one.sent(20 + at, 0, f"t{at}", "p", 2, lane="fetch")
-        self.assertEqual(one.broken, [])
-        one.sent(30, 0, "t9", "p", 2, lane="fetch")
-        self.assertEqual(one.rules_broken(), [5])
+            one.record_attempt(20 + at, 0, f"t{at}", "p", 2, lane="fetch")
+        self.assertEqual(one.violations, [])
+        one.record_attempt(30, 0, "t9", "p", 2, lane="fetch")
+        self.assertEqual(one.violated_rules(), [5])
 
     def test_guarded_stages_and_keys_that_stay(self):
-        one = checker(guarded=2)
-        one.cap(0, 0, 2, 1.0, 1, phase="trial")
+        one = checker(guarded_stages=2)
+        one.record_release_state(0, 0, 2, 1.0, 1, phase="trial")
         for at in range(9):
-            one.taken(at, 0, f"t{at}", "pay", 9000)
-        one.key_answered(0, "k", 2)
-        one.sent(20, 0, "t1", "p", 1, lane="fetch", key="other")
-        self.assertEqual(one.broken, [])
-        one.sent(20, 0, "t2", "p", 1, lane="fetch", key="k")
-        one.sent(20, 0, "t3", "p", 2, lane="pay")
+            one.record_request(at, 0, f"t{at}", "pay", 9000)
+        one.record_key_answer(0, "k", 2)
+        one.record_attempt(20, 0, "t1", "p", 1, lane="fetch", key="other")
+        self.assertEqual(one.violations, [])
+        one.record_attempt(20, 0, "t2", "p", 1, lane="fetch", key="k")
+        one.record_attempt(20, 0, "t3", "p", 2, lane="pay")
         self.assertEqual(
-            [text.split(":")[1][:20] for _, _, text in one.broken],
+            [text.split(":")[1][:20] for _, _, text in one.violations],
             [" its key was answere", " pay in guarded stag"],
         )
 
     def test_an_instance_that_starts_anew_has_no_allowance_of_its_earlier_life(self):
         for killed, rules in ((False, []), (True, [5])):
             one = checker()
-            one.cap(0, 1, 2, 0.5, 2, phase="trial")
+            one.record_release_state(0, 1, 2, 0.5, 2, phase="trial")
             for at in range(40):
-                one.taken(100 + at, 1, f"t{at}", "fetch", 10_000)
+                one.record_request(100 + at, 1, f"t{at}", "fetch", 10_000)
             if killed:
-                one.killed(200, 1)
+                one.record_kill(200, 1)
             for at in range(10):
-                one.sent(300 + at, 1, f"t{at}", "p", 2, lane="fetch")
-            self.assertEqual(one.rules_broken(), rules)
+                one.record_attempt(300 + at, 1, f"t{at}", "p", 2, lane="fetch")
+            self.assertEqual(one.violated_rules(), rules)
 
     def test_a_cold_pod_pushed_by_all_together(self):
-        one, untold = (checker(cold=4 * SECOND, cold_from=0.25, overload=SECOND) for _ in range(2))
+        one, untold = (
+            checker(
+                warmup_duration=4 * SECOND, warmup_initial_fraction=0.25, overload_window=SECOND
+            )
+            for _ in range(2)
+        )
         for instance in range(7):
-            one.started(instance, "p", 9_000)
+            one.record_server_start(instance, "p", 9_000)
         for at in range(40):
-            one.sent(
+            one.record_attempt(
                 10_000 + at * 100,
                 at % 7,
                 f"t{at}",
@@ -232,10 +237,10 @@
                 started=9_000,
                 capacity=1.0,
             )
-        self.assertEqual(one.broken, [])
+        self.assertEqual(one.violations, [])
         for at in range(80):
             for some in (one, untold):
-                some.sent(
+                some.record_attempt(
                     15_000 + at * 10,
                     at % 7,
                     f"u{at}",
@@ -246,7 +251,7 @@
                     started=9_000,
                     capacity=1.0,
                 )
-        self.assertEqual((one.rules_broken(), untold.rules_broken()), ([4], []))
+        self.assertEqual((one.violated_rules(), untold.violated_rules()), ([4], []))
 
 
 if __name__ == "__main__":
--- a/thymeknot/simulation/day_results.py
+++ b/thymeknot/simulation/day_results.py
@@ -232,6 +232,6 @@
             "ends": self.answers,
             "released": self.released,
             "good": [offer.build for offer in self.day.offers if offer.good],
-            "rules_broken": checker.rules_broken(),
-            "breaches": len(checker.broken),
+            "rules_broken": checker.violated_rules(),
+            "breaches": len(checker.violations),
         }
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -120,8 +120,8 @@
         and fleet.platform.state.phase == ReleasePhase.RELEASED
         and fleet.platform.state.build == offer.build,
         "votes": fleet.results.votes_asked,
-        "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
+        "rules_broken": fleet.checker.violated_rules(),
+        "breaches": [list(one) for one in fleet.checker.violations[:MAX_BREACHES]],
     }
 
 
@@ -161,14 +161,14 @@
         if fleet.discovery
         else 0.0,
         "calls_refused_share": votes["full"] / max(1, votes["asked"]),
-        "cold_overrun": fleet.checker.overrun,
+        "cold_overrun": fleet.checker.max_warmup_load_ratio,
         "good_back": sum(build in fleet.results.sent_back for build in good),
         "good": len(good),
         "bad": len(bad),
         "bad_released": sum(build in fleet.results.released for build in bad),
         "good_released": sum(build in fleet.results.released for build in good),
-        "rules_broken": fleet.checker.rules_broken(),
-        "breaches": [list(one) for one in fleet.checker.broken[:MAX_BREACHES]],
+        "rules_broken": fleet.checker.violated_rules(),
+        "breaches": [list(one) for one in fleet.checker.violations[:MAX_BREACHES]],
     }
 
 
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -6,7 +6,7 @@
 from ..interface.clock import Ticks
 from ..interface.enums import EndpointCondition, UpdateKind
 from ..interface.events import Endpoint, EndpointUpdate
-from .invariants import Listed
+from .invariants import ListedState
 from .servers import Build, Pod, PodState
 from .simulated_requests import SimulatedAttempt
 
@@ -210,14 +210,16 @@
         checker = self.simulator.checker
         for entry in entries:
             is_ready = entry.condition == EndpointCondition.READY
-            listed = Listed.READY if is_ready else Listed.GONE
-            checker.listed(self.simulator.now, instance, entry.address, listed)
-            checker.started(instance, entry.address, entry.started)
+            listed = ListedState.READY if is_ready else ListedState.GONE
+            checker.record_endpoint_state(self.simulator.now, instance, entry.address, listed)
+            checker.record_server_start(instance, entry.address, entry.started)
 
     def record_known(self, instance: int) -> None:
         """Reports to the checker what a starting instance already knows."""
         checker = self.simulator.checker
         for pod in self.pods.values():
-            checker.started(instance, pod.name, pod.started)
+            checker.record_server_start(instance, pod.name, pod.started)
             if pod.state == PodState.DRAINING:
-                checker.listed(self.simulator.now, instance, pod.name, Listed.DRAINING)
+                checker.record_endpoint_state(
+                    self.simulator.now, instance, pod.name, ListedState.DRAINING
+                )
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -8,7 +8,7 @@
 from ..interface.enums import Outcome, ReleasePhase, Verdict
 from ..interface.events import FleetCounts, ReleaseUpdate
 from .day_results import CourseEvent
-from .invariants import Phase
+from .invariants import RolloutPhase
 from .random_streams import Stream
 from .scenarios import Offer
 from .server_fleet import FIRST_BUILD
@@ -30,10 +30,10 @@
 TRIAL_SHARE_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
 
 PHASES = {
-    ReleasePhase.ON_TRIAL: Phase.TRIAL,
-    ReleasePhase.ROLLING_BACK: Phase.BACK,
-    ReleasePhase.RELEASED: Phase.RELEASED,
-    ReleasePhase.WITHDRAWN: Phase.WITHDRAWN,
+    ReleasePhase.ON_TRIAL: RolloutPhase.TRIAL,
+    ReleasePhase.ROLLING_BACK: RolloutPhase.ROLLING_BACK,
+    ReleasePhase.RELEASED: RolloutPhase.RELEASED,
+    ReleasePhase.WITHDRAWN: RolloutPhase.WITHDRAWN,
 }
 OPEN_PHASES = (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
 
@@ -157,7 +157,7 @@
 
     def record_told(self, instance: int, state: ReleaseState) -> None:
         """Reports to the checker what an instance is told."""
-        self.simulator.checker.cap(
+        self.simulator.checker.record_release_state(
             self.simulator.now,
             instance,
             state.build,
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -148,10 +148,10 @@
             DRAIN_GRACE,
             EXPOSURE_WINDOW,
             EXPOSURE_ALLOWANCE,
-            guarded=day.terms.guarded_stages,
-            cold=day.cold,
-            cold_from=day.cold_from,
-            overload=day.terms.overload_window,
+            guarded_stages=day.terms.guarded_stages,
+            warmup_duration=day.cold,
+            warmup_initial_fraction=day.cold_from,
+            overload_window=day.terms.overload_window,
         )
 
     def _new_discovery(self) -> Discovery | None:
@@ -181,7 +181,7 @@
             self.now, _, call, arguments = heapq.heappop(self._calls)
             call(*arguments)
         self.now = last
-        self.checker.ended(last)
+        self.checker.record_day_end(last)
         return self
 
     # Instances.
@@ -205,7 +205,7 @@
         """Kills an instance and starts it again after `wait` ticks, give or take half."""
         self.engines[instance] = None
         self.lives[instance] += 1
-        self.checker.killed(self.now, instance)
+        self.checker.record_kill(self.now, instance)
         self.connections.drop(lambda key: key[0] == instance)
         for key in [key for key in self.requests if key[0] == instance]:
             del self.requests[key]
@@ -304,7 +304,7 @@
         self._sequence += 1
         name = f"t{self._sequence}"
         self.requests[instance, name] = request
-        self.checker.taken(self.now, instance, name, request.lane, request.deadline)
+        self.checker.record_request(self.now, instance, name, request.lane, request.deadline)
         self.results.at(self.now).tries += 1
         received = RequestReceived(
             name,
@@ -327,7 +327,7 @@
             answer: How the request is answered.
             wait: Time after which the client may try again, in ticks.
         """
-        self.checker.answered(self.now, instance, name, answer)
+        self.checker.record_answer(self.now, instance, name, answer)
         request = self.requests.get((instance, name))
         if request is None:
             return
@@ -413,7 +413,7 @@
             return
         request.attempts.append(attempt)
         self.results.add_attempt(pod.name)
-        self.checker.sent(
+        self.checker.record_attempt(
             self.now,
             instance,
             action.id,
@@ -504,7 +504,7 @@
             self.at(self.now + following[1], self._served, pod, following[0])
         if pod.state == PodState.DOWN:
             return
-        self.checker.ran(self.now, attempt.name, attempt.lane)
+        self.checker.record_execution(self.now, attempt.name, attempt.lane)
         fails = self._fails(pod, attempt)
         if pod.silent or not self._reaches(attempt.instance, pod):
             return
@@ -550,9 +550,9 @@
         request = self.requests.get((instance, attempt.name))
         is_answered = self._is_answered(attempt)
         if request is not None and attempt in request.attempts:
-            self.checker.proved(instance, attempt.name, attempt.number, ran)
+            self.checker.record_attempt_end(instance, attempt.name, attempt.number, ran)
         if outcome == Outcome.DONE:
-            self.checker.key_answered(instance, attempt.key, attempt.build)
+            self.checker.record_key_answer(instance, attempt.key, attempt.build)
             if not is_answered:
                 self._answer(instance, attempt.name, Answer.DONE, 0)
         ended = AttemptEnded(
@@ -569,7 +569,7 @@
             self.requests.pop((instance, attempt.name), None)
 
     def _is_answered(self, attempt: SimulatedAttempt) -> bool:
-        return (attempt.instance, attempt.name) in self.checker.over
+        return (attempt.instance, attempt.name) in self.checker.answers
 
     # Results.
 
