--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -124,7 +124,7 @@
             RecordingSimulator(day, current_engine).play(),
         )
         self.assertEqual(plain.figures(), recorded.figures())
-        self.assertEqual(sum(recorded.how["done"]), plain.results.answers["done"])
+        self.assertEqual(sum(recorded.how["done"]), plain.results.answer_counts["done"])
         self.assertEqual(
             sum(sum(counts) for counts in recorded.sent.values()),
             sum(plain.results.attempts_by_pod.values()),
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -315,15 +315,19 @@
             self.simulate("calm", policy, good=False)
             for policy in (current_engine, earlier_version)
         )
-        self.assertLess(current.results.needless()[1], 0.05)
-        self.assertGreater(earlier.results.needless()[1], 2 * current.results.needless()[1])
+        self.assertLess(current.results.rejection_ratios()[1], 0.05)
+        self.assertGreater(
+            earlier.results.rejection_ratios()[1], 2 * current.results.rejection_ratios()[1]
+        )
         (current, end), (earlier, _) = (
             self.simulate("overload", policy, good=False)
             for policy in (current_engine, earlier_version)
         )
-        self.assertGreater(current.results.needless(8, 14)[0], 0.1)
-        self.assertGreater(current.results.service(), earlier.results.service() - 0.05)
-        self.assertLessEqual(current.results.recovered(end), 5)
+        self.assertGreater(current.results.rejection_ratios(8, 14)[0], 0.1)
+        self.assertGreater(
+            current.results.earnings_ratio(), earlier.results.earnings_ratio() - 0.05
+        )
+        self.assertLessEqual(current.results.recovery_seconds(end), 5)
 
     def test_good_build_advances_while_seven_in_ten_instances_restart(self):
         current, _ = self.simulate("herd", good=True, seconds=25)
@@ -333,9 +337,9 @@
             current.platform.state.phase, (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
         )
         self.assertGreaterEqual(current.platform.state.stage, 2)
-        self.assertTrue(0 < current.results.behind < current.results.asked)
-        self.assertLess(current.results.needless()[1], 0.1)
-        accepted = current.results.votes_asked["asked"] - current.results.votes_asked["full"]
+        self.assertTrue(0 < current.results.outdated_earnings < current.results.possible_earnings)
+        self.assertLess(current.results.rejection_ratios()[1], 0.1)
+        accepted = current.results.vote_calls["asked"] - current.results.vote_calls["full"]
         self.assertLessEqual(
             accepted, current.day.terms.votes_per_second * (2 + current.now / TICKS_PER_SECOND) + 1
         )
@@ -350,5 +354,5 @@
 
     def test_loss_of_a_zone_does_not_shed_load_elsewhere(self):
         current, _ = self.simulate("zone", good=False)
-        self.assertLess(current.results.needless()[1], 0.2)
-        self.assertGreater(current.results.service(), 0.7)
+        self.assertLess(current.results.rejection_ratios()[1], 0.2)
+        self.assertGreater(current.results.earnings_ratio(), 0.7)
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -158,7 +158,7 @@
         simulator.platform._calls = 4.0
         for instance in range(9):
             simulator._vote(instance, simulator.lives[instance], CastVote(2, 0, Verdict.PROMOTE))
-        self.assertEqual(simulator.results.votes_asked["full"], 5)
+        self.assertEqual(simulator.results.vote_calls["full"], 5)
         notified = [
             arguments[2]
             for _, _, call, arguments in simulator._calls
@@ -169,7 +169,7 @@
         simulator.now = 2 * TICKS_PER_SECOND
         simulator._vote(0, simulator.lives[0], CastVote(2, 1, Verdict.PROMOTE))  # for another stage
         self.assertEqual(
-            (simulator.results.votes_asked["full"], simulator.results.votes_asked["moot"]), (5, 1)
+            (simulator.results.vote_calls["full"], simulator.results.vote_calls["moot"]), (5, 1)
         )
         self.assertIn(
             Outcome.NOT_SENT,
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -70,7 +70,7 @@
                 figures = vast_figures(fleet)
                 self.assertEqual(fleet.checker.violated_rules(), [], fleet.checker.violations[:3])
                 self.assertEqual(
-                    (fleet.results.released, fleet.results.sent_back),
+                    (fleet.results.released, fleet.results.rolled_back),
                     (released, [] if released else [2]),
                 )
                 self.assertGreater(figures["service"], service)
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -74,7 +74,9 @@
         fleet = Simulator(day._replace(offers=day.offers[:1]), current_engine).play()
         self.assertEqual(fleet.results.released, [2])
         self.assertEqual(fleet.checker.violated_rules(), [], fleet.checker.violations[:3])
-        stages = [at for at, _, what in fleet.results.course if what in ("stage", "released")]
+        stages = [
+            at for at, _, what in fleet.results.rollout_events if what in ("stage", "released")
+        ]
         self.assertTrue(
             all(later - at >= 3.25 * TICKS_PER_SECOND for at, later in zip(stages, stages[1:])),
             stages,
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -47,7 +47,7 @@
         asked = {
             name: Simulator(scenarios.drawn(5, **SMALL)._replace(retries=0, faults=()), policy)
             .play()
-            .results.asked
+            .results.possible_earnings
             for name, policy in TEXTBOOK.items()
         }
         self.assertEqual(len(set(asked.values())), 1)
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -82,14 +82,14 @@
     day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
     fleet = Simulator(day, policy(name)).play()
     offer = day.offers[0]
-    turned_away, needless = fleet.results.needless()
+    turned_away, needless = fleet.results.rejection_ratios()
     if kind in large_fleet_scenarios.VAST:
         return {
             "policy": name,
             "kind": kind,
             "seed": seed,
             "turned_away": turned_away,
-            "recover_s": fleet.results.recovered(end),
+            "recover_s": fleet.results.recovery_seconds(end),
             **vast_figures(fleet),
         }
     if kind in large_fleet_scenarios.MASS:
@@ -98,7 +98,7 @@
             "kind": kind,
             "seed": seed,
             "turned_away": turned_away,
-            "recover_s": fleet.results.recovered(end),
+            "recover_s": fleet.results.recovery_seconds(end),
             **mass_figures(fleet),
         }
     back = fleet.platform.state.phase in (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
@@ -107,19 +107,20 @@
         "kind": kind,
         "seed": seed,
         "good": offer.good,
-        "worth": fleet.results.worth(),
-        "service": fleet.results.service(),
-        "worst_10s": fleet.results.worst(),
+        "worth": fleet.results.net_earnings_ratio(),
+        "service": fleet.results.earnings_ratio(),
+        "worst_10s": fleet.results.worst_earnings_ratio(),
         "turned_away": turned_away,
         "needless": needless,
-        "behind": fleet.results.behind / max(LEAST_ASKED, fleet.results.asked),
-        "recover_s": fleet.results.recovered(end),
+        "behind": fleet.results.outdated_earnings
+        / max(LEAST_ASKED, fleet.results.possible_earnings),
+        "recover_s": fleet.results.recovery_seconds(end),
         "good_back": offer.good and back,
         "bad_released": not offer.good and bool(fleet.results.released),
         "bad_kept": not offer.good
         and fleet.platform.state.phase == ReleasePhase.RELEASED
         and fleet.platform.state.build == offer.build,
-        "votes": fleet.results.votes_asked,
+        "votes": fleet.results.vote_calls,
         "rules_broken": fleet.checker.violated_rules(),
         "breaches": [list(one) for one in fleet.checker.violations[:MAX_BREACHES]],
     }
@@ -145,24 +146,25 @@
     All are shares, but for lists_per_instance (calls in all) and cold_overrun (the most that a
     server that warms up was sent, over what overloads it).
     """
-    asked = max(LEAST_ASKED, fleet.results.asked)
+    asked = max(LEAST_ASKED, fleet.results.possible_earnings)
     good = [one.build for one in fleet.day.offers if one.good]
     bad = [one.build for one in fleet.day.offers if not one.good]
-    votes = fleet.results.votes_asked
+    votes = fleet.results.vote_calls
     return {
-        "worth": fleet.results.worth(),
-        "service": fleet.results.service(),
-        "worst_10s": fleet.results.worst(),
-        "needless_share": fleet.results.needless()[1],
-        "behind": fleet.results.behind / asked,
+        "worth": fleet.results.net_earnings_ratio(),
+        "service": fleet.results.earnings_ratio(),
+        "worst_10s": fleet.results.worst_earnings_ratio(),
+        "needless_share": fleet.results.rejection_ratios()[1],
+        "behind": fleet.results.outdated_earnings / asked,
         "harm": fleet.results.harm / asked,
-        "handshakes_per_transaction": fleet.connections.made / max(1, fleet.results.dispatched),
+        "handshakes_per_transaction": fleet.connections.made
+        / max(1, fleet.results.dispatched_attempts),
         "lists_per_instance": fleet.discovery.calls / fleet.day.instances
         if fleet.discovery
         else 0.0,
         "calls_refused_share": votes["full"] / max(1, votes["asked"]),
         "cold_overrun": fleet.checker.max_warmup_load_ratio,
-        "good_back": sum(build in fleet.results.sent_back for build in good),
+        "good_back": sum(build in fleet.results.rolled_back for build in good),
         "good": len(good),
         "bad": len(bad),
         "bad_released": sum(build in fleet.results.released for build in bad),
@@ -208,7 +210,7 @@
     figures = vast_figures(fleet)
     ends = [*(one.at for one in day.offers[1:]), day.span]
     spent = {
-        one.build: fleet.results.spent(
+        one.build: fleet.results.build_times(
             one.build, day.span if one.build in fleet.results.released and not one.good else end
         )
         for one, end in zip(day.offers, ends)
@@ -431,8 +433,8 @@
     for fault in list(kept):
         fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
         rest = (
-            Simulator(fewer, policy(name)).play().results.service()
-            - Simulator(fewer, policy(against)).play().results.service()
+            Simulator(fewer, policy(name)).play().results.earnings_ratio()
+            - Simulator(fewer, policy(against)).play().results.earnings_ratio()
         )
         if rest <= gap + abs(gap) * 0.1:
             kept.remove(fault)
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -177,13 +177,13 @@
 
 
 def _figures(fleet: RecordingSimulator) -> dict[str, Any]:
-    turned_away, needless = fleet.results.needless()
+    turned_away, needless = fleet.results.rejection_ratios()
     return {
         **fleet.figures(),
         "turned_away": round(turned_away, 4),
         "needless": round(needless, 4),
-        "worth": round(fleet.results.worth(), 4),
-        "votes": fleet.results.votes_asked,
+        "worth": round(fleet.results.net_earnings_ratio(), 4),
+        "votes": fleet.results.vote_calls,
     }
 
 
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -7,7 +7,7 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import Outcome, ReleasePhase, Verdict
 from ..interface.events import FleetCounts, ReleaseUpdate
-from .day_results import CourseEvent
+from .day_results import RolloutEventKind
 from .invariants import RolloutPhase
 from .random_streams import Stream
 from .scenarios import Offer
@@ -236,14 +236,14 @@
         self.state = ReleaseState(offer.build, 0, ReleasePhase.ON_TRIAL, simulator.day.caps[0])
         self._votes = {}
         if offer.good:
-            simulator.results.newest_good = offer.build
-        simulator.results.add_course(simulator.now, offer.build, CourseEvent.OFFERED)
+            simulator.results.newest_good_build = offer.build
+        simulator.results.add_rollout_event(simulator.now, offer.build, RolloutEventKind.OFFERED)
         self._begin_stage()
 
     def _begin_stage(self) -> None:
         simulator, day = self.simulator, self.simulator.day
         build, stage = self.state.build, self.state.stage
-        simulator.results.add_course(simulator.now, build, CourseEvent.STAGE)
+        simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.STAGE)
         self.announce()
         server_count = max(1, round(day.terms.stage_fractions[stage] * day.pods))
         running = sum(pod.build.number == build for pod in simulator.servers.pods.values())
@@ -271,7 +271,7 @@
         simulator, build = self.simulator, self.state.build
         self._set_phase(ReleasePhase.RELEASED, 1.0)
         simulator.results.released.append(build)
-        simulator.results.add_course(simulator.now, build, CourseEvent.RELEASED)
+        simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.RELEASED)
         self.announce()
         if simulator.day.drain_after:
             simulator.at(simulator.now + simulator.day.drain_after, self._drain_earlier, build)
@@ -285,7 +285,7 @@
 
     def _roll_back(self) -> None:
         simulator, build = self.simulator, self.state.build
-        simulator.results.add_course(simulator.now, build, CourseEvent.BACK)
+        simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.ROLLED_BACK)
         self._set_phase(ReleasePhase.ROLLING_BACK, 0.0)
         self.announce()
         # Servers of the earlier build that have already left are started again first.
@@ -307,7 +307,7 @@
 
     def vote(self, instance: int, life: int, vote: CastVote) -> None:
         """Handles a vote that reaches the platform; the instance learns the outcome later."""
-        simulator, vote_calls = self.simulator, self.simulator.results.votes_asked
+        simulator, vote_calls = self.simulator, self.simulator.results.vote_calls
         cut_off = simulator.lives[instance] != life or simulator.is_off_platform(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
             wait = simulator.day.terms.vote_timeout
@@ -369,7 +369,7 @@
         ]
         needed = max(1, day.advance or day.instances // 2)
         if verdicts.count(Verdict.ABORT) >= day.terms.votes_to_revert:
-            simulator.results.sent_back.append(build)
+            simulator.results.rolled_back.append(build)
             self._roll_back()
         elif (
             state.phase == ReleasePhase.ON_TRIAL
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -305,7 +305,7 @@
         name = f"t{self._sequence}"
         self.requests[instance, name] = request
         self.checker.record_request(self.now, instance, name, request.lane, request.deadline)
-        self.results.at(self.now).tries += 1
+        self.results.second_at(self.now).requests += 1
         received = RequestReceived(
             name,
             request.lane,
@@ -334,7 +334,7 @@
         self.results.add_answer(answer)
         lane = self.lanes[request.lane].lane
         if answer == Answer.DONE:
-            self.results.add_done(
+            self.results.add_success(
                 self.now, request.first_asked_at, lane, request.attempts[-1].build
             )
         else:
@@ -346,10 +346,10 @@
         self, instance: int, request: SimulatedRequest, answer: Answer, wait: Ticks
     ) -> None:
         if not request.attempts:
-            second = self.results.at(self.now)
-            second.rejected += 1
+            second = self.results.second_at(self.now)
+            second.rejections += 1
             objective = self.lanes[request.lane].lane.latency_objective
-            second.needless += self._had_capacity(instance, objective)
+            second.needless_rejections += self._had_capacity(instance, objective)
         if answer == Answer.DEFERRED and request.earlier_tries < self.day.retries:
             delay = wait if self._client_draws.next() < self.day.heeds else RETRY_DELAY
             again = SimulatedRequest(
@@ -467,7 +467,7 @@
         made = self.connections.made
         attempt.has_connection = self.connections.take(self.now, _connection_key(attempt), pod.name)
         is_new = self.connections.made > made
-        self.results.dispatched += 1
+        self.results.dispatched_attempts += 1
         self.platform.update_trial_share(attempt.build)
         if not attempt.has_connection:
             refused_at = min(ends, self.now + REFUSAL_DELAY)
