--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -146,7 +146,7 @@
                     streams[index].start = lambda: None  # its process was killed
                     streams[index] = self.start_stream(service, callers, step + index + 1)
             self.assertEqual(sum(stream.current is not None for stream in streams), 40)
-            self.assertLess(service.refused, max_refused)
+            self.assertLess(service.rejected_count, max_refused)
 
     def test_callers_that_start_at_once_all_get_a_list_at_one_call_each_in_eight_seconds(
         self,
@@ -158,7 +158,7 @@
             for _ in range(seconds * 20):
                 clock.advance(0.05)
             self.assertEqual(sum(stream.current is not None for stream in streams), callers)
-            self.assertLess(service.refused, max_refused)
+            self.assertLess(service.rejected_count, max_refused)
 
     def test_lost_connection_does_not_back_off_and_adds_no_call_to_the_watch(self):
         network = Network()
@@ -280,15 +280,18 @@
             (40 + IDLE_TIMEOUT, other_connection, True, False),
             (60 + IDLE_TIMEOUT, connection, True, None),
         ):
-            self.assertEqual(connections.take(now, requested, "p"), accepted)
+            self.assertEqual(connections.acquire(now, requested, "p"), accepted)
             if reusable is not None:
-                connections.give(now + 10, requested, "p", reusable)
-        self.assertEqual((connections.made, connections.refused, connections.held["p"]), (3, 1, 1))
-        connections.drop(lambda connection: connection[0] == 0)
-        connections.give(
+                connections.release(now + 10, requested, "p", reusable)
+        self.assertEqual(
+            (connections.opened_count, connections.refused_count, connections.open_counts["p"]),
+            (3, 1, 1),
+        )
+        connections.close_idle(lambda connection: connection[0] == 0)
+        connections.release(
             70 + IDLE_TIMEOUT, connection, "p", True
         )  # the connections of the killed process were dropped
-        self.assertEqual(connections.held["p"], 0)
+        self.assertEqual(connections.open_counts["p"], 0)
 
 
 if __name__ == "__main__":
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -77,11 +77,11 @@
                 self.assertLessEqual(figures["behind"], behind)
                 self.assertLess(figures["cold_overrun"], 1.0)
                 if fleet.discovery:
-                    self.assertEqual(len(fleet.discovery.standing), 16)
+                    self.assertEqual(len(fleet.discovery.watch_streams), 16)
                     self.assertLess(figures["lists_per_instance"], 8)
                 if "connections" in changes:
-                    self.assertGreater(fleet.connections.refused, 0)
-                    self.assertLessEqual(max(fleet.connections.held.values()), 10)
+                    self.assertGreater(fleet.connections.refused_count, 0)
+                    self.assertLessEqual(max(fleet.connections.open_counts.values()), 10)
                 if faults == (ILL,):  # beside the others of its build until that is released
                     others = [fleet.results.attempts_by_pod[f"p{at}-1"] for at in range(1, 15)]
                     self.assertLess(fleet.results.attempts_by_pod["p0-1"], 0.6 * sum(others) / 14)
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -21,7 +21,7 @@
         super().__init__(*given)
         self.ended, self.tallies = {}, {}
 
-    def tell(self, instance, event):
+    def deliver_event(self, instance, event):
         if type(event) is AttemptEnded and event.outcome not in (
             Outcome.NOT_SENT,
             Outcome.CANCELLED,
@@ -32,7 +32,7 @@
             some[2] += event.latency * (event.outcome == Outcome.DONE)
         if type(event) is FleetCounts:
             self.tallies.setdefault(instance, []).append((self.now, event))
-        super().tell(instance, event)
+        super().deliver_event(instance, event)
 
 
 class MassDays(unittest.TestCase):
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -66,11 +66,11 @@
         class Forgets(Simulator):
             forgot = False
 
-            def tell(self, instance, event):
+            def deliver_event(self, instance, event):
                 if isinstance(event, AttemptEnded) and self.now > 10 * SECOND and not self.forgot:
                     self.forgot = True
                 else:
-                    super().tell(instance, event)
+                    super().deliver_event(instance, event)
 
         drawn = scenarios.drawn(5, **SMALL)._replace(faults=())  # no instance starts anew
         day = Forgets(drawn, current_engine).play()
--- a/thymeknot/simulation/earlier_versions.py
+++ b/thymeknot/simulation/earlier_versions.py
@@ -19,7 +19,7 @@
 from ..interface import actions, events
 from ..interface.clock import Ticks
 from ..interface.settings import RequestClass, Settings
-from .shared_services import EarlierPace
+from .shared_services import OriginalPollInterval
 
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
@@ -166,7 +166,11 @@
         pace = _first_of((f"{package}.polling.adaptive_interval", f"{package}.asking.pace"))
     finally:
         sys.path.remove(folder.name)
-    kind = EarlierPace if pace is None else getattr(pace, "AdaptiveInterval", None) or pace.Pace
+    kind = (
+        OriginalPollInterval
+        if pace is None
+        else getattr(pace, "AdaptiveInterval", None) or pace.Pace
+    )
     return EarlierVersion(interface, make, kind)
 
 
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -157,9 +157,9 @@
         "needless_share": fleet.results.rejection_ratios()[1],
         "behind": fleet.results.outdated_earnings / asked,
         "harm": fleet.results.harm / asked,
-        "handshakes_per_transaction": fleet.connections.made
+        "handshakes_per_transaction": fleet.connections.opened_count
         / max(1, fleet.results.dispatched_attempts),
-        "lists_per_instance": fleet.discovery.calls / fleet.day.instances
+        "lists_per_instance": fleet.discovery.call_count / fleet.day.instances
         if fleet.discovery
         else 0.0,
         "calls_refused_share": votes["full"] / max(1, votes["asked"]),
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -38,8 +38,8 @@
     def schedule(self, fault: Fault) -> None:
         """Schedules the begin and the end of a fault."""
         handler = self._handlers[fault.kind]
-        self._simulator.at(fault.begin, handler, fault, True)
-        self._simulator.at(fault.end, handler, fault, False)
+        self._simulator.schedule_at(fault.begin, handler, fault, True)
+        self._simulator.schedule_at(fault.end, handler, fault, False)
 
     def _slow_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
@@ -110,4 +110,4 @@
             if place_index(pod.name) in fault.what and simulator.misc.random() < PAUSED_RATIO:
                 pod.paused = simulator.now + int(fault.size * (0.5 + simulator.misc.random()))
         if simulator.now + PAUSE_INTERVAL < fault.end:
-            simulator.at(simulator.now + PAUSE_INTERVAL, self._pauses, fault, True)
+            simulator.schedule_at(simulator.now + PAUSE_INTERVAL, self._pauses, fault, True)
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -60,7 +60,7 @@
 
     def play(self) -> Self:
         """Runs the whole day and returns itself."""
-        self.at(0, self._record_snapshot)
+        self.schedule_at(0, self._record_snapshot)
         return super().play()
 
     def _period(self) -> int:
@@ -75,7 +75,7 @@
         )
         self.load.append(self._waiting_seconds())
         if self.now < self.day.span:
-            self.at(self.now + PERIOD, self._record_snapshot)
+            self.schedule_at(self.now + PERIOD, self._record_snapshot)
 
     def _waiting_seconds(self) -> NDArray[np.float64]:
         by_place = np.zeros(self.day.pods)
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -104,7 +104,7 @@
         leaving = self.up(predicate)
         for pod in leaving:
             pod.state = PodState.DRAINING
-            simulator.at(simulator.now + simulator.day.gone_after, self._remove, pod)
+            simulator.schedule_at(simulator.now + simulator.day.gone_after, self._remove, pod)
         if leaving:
             self.announce(*(self.entry(pod) for pod in leaving))
 
@@ -142,7 +142,7 @@
             self._add(restarted)
 
     def _drop_connections(self, name: str) -> None:
-        self.simulator.connections.drop(lambda key: key[2] == name)
+        self.simulator.connections.close_idle(lambda key: key[2] == name)
 
     # Endpoint lists.
 
@@ -179,7 +179,7 @@
             self._send(entries)
             return
         if not self._changes:
-            simulator.at(simulator.now + simulator.day.list_every, self._send_changes)
+            simulator.schedule_at(simulator.now + simulator.day.list_every, self._send_changes)
         self._changes.update((entry.address, entry) for entry in entries)
 
     def _send_changes(self) -> None:
@@ -191,7 +191,7 @@
         simulator = self.simulator
         for instance in range(simulator.day.instances):
             lag = simulator.day.list_lag * (0.5 + simulator.misc.random()) + self.list_delay
-            simulator.at(simulator.now + int(lag), self._deliver, instance, entries)
+            simulator.schedule_at(simulator.now + int(lag), self._deliver, instance, entries)
 
     def _deliver(self, instance: int, entries: Sequence[Endpoint]) -> None:
         simulator = self.simulator
@@ -203,7 +203,7 @@
             if entry.condition != EndpointCondition.READY or entry.address in self.pods
         )
         self.record_told(instance, delivered)
-        simulator.tell(instance, EndpointUpdate(UpdateKind.DELTA, delivered))
+        simulator.deliver_event(instance, EndpointUpdate(UpdateKind.DELTA, delivered))
 
     def record_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
         """Reports to the checker what an instance is told."""
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -31,51 +31,51 @@
 class PollInterval(Protocol):
     """How often an instance polls.
 
-    Earlier versions may have an attribute `beside`: if true, the instance makes two calls at its
-    start.
+    Earlier versions may have an attribute `makes_two_initial_calls`: if true, the instance makes
+    two calls at its start.
     """
 
     draw: RandomDraw
 
-    def initial_wait(self, asking: int) -> Ticks:
-        """Returns the wait before the first call if `asking` callers start at once."""
+    def initial_wait(self, callers: int) -> Ticks:
+        """Returns the wait before the first call if `callers` start at once."""
 
-    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, result: CallResult, age: Ticks = 0) -> Ticks:
         """Returns the wait before the next call, given the result of the last one."""
 
 
-class EarlierPace:
+class OriginalPollInterval:
     """The poll interval up to revision 9db9198: short, with a second call at the start."""
 
-    beside = True
+    makes_two_initial_calls = True
 
     def __init__(self, draw: RandomDraw) -> None:
         self.draw = draw
 
-    def initial_wait(self, asking: int) -> Ticks:
+    def initial_wait(self, callers: int) -> Ticks:
         """Returns the wait before the first call."""
         return 0
 
-    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, result: CallResult, age: Ticks = 0) -> Ticks:
         """Returns the wait before the next call, regardless of the last result."""
         return 2_000 + int(self.draw() * 6_000)
 
 
-class FormerPollInterval:
+class PollIntervalAdapter:
     """The poll interval of an earlier git revision, which names its methods `first` and `ended`."""
 
     def __init__(self, interval: Any) -> None:
         self._interval = interval
         self.draw: RandomDraw = interval.draw
 
-    def initial_wait(self, asking: int) -> Ticks:
-        """Returns the wait before the first call if `asking` callers start at once."""
-        wait: Ticks = self._interval.first(asking)
+    def initial_wait(self, callers: int) -> Ticks:
+        """Returns the wait before the first call if `callers` start at once."""
+        wait: Ticks = self._interval.first(callers)
         return wait
 
-    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, result: CallResult, age: Ticks = 0) -> Ticks:
         """Returns the wait before the next call, given the result of the last one."""
-        wait: Ticks = self._interval.ended(how, age)
+        wait: Ticks = self._interval.ended(result, age)
         return wait
 
 
@@ -86,42 +86,42 @@
     as an answer.
 
     Attributes:
-        calls: Number of calls.
-        refused: Number of rejected calls.
+        call_count: Number of calls.
+        rejected_count: Number of rejected calls.
     """
 
-    def __init__(self, rate: float, at: Schedule, now: Callable[[], Ticks]) -> None:
+    def __init__(self, rate: float, schedule_at: Schedule, now: Callable[[], Ticks]) -> None:
         """Starts the service.
 
         Args:
             rate: Answers per second.
-            at: Schedules a call.
+            schedule_at: Schedules a call.
             now: Returns the current time.
         """
         self.answer_interval = int(TICKS_PER_SECOND / rate)
         self.queue_limit = int(rate * MAX_QUEUE_SECONDS)
-        self.at = at
+        self.schedule_at = schedule_at
         self.now = now
-        self.waiting: deque[tuple[Ticks, Callable[[bool], None]]] = deque()
-        self.calls = 0
-        self.refused = 0
-        self.at(self.now() + self.answer_interval, self._next)
+        self.queue: deque[tuple[Ticks, Callable[[bool], None]]] = deque()
+        self.call_count = 0
+        self.rejected_count = 0
+        self.schedule_at(self.now() + self.answer_interval, self._next)
 
     def call(self, end: Callable[[bool], None]) -> None:
         """Makes a call; `end` is called once with whether the call was answered."""
-        self.calls += 1
-        if len(self.waiting) >= self.queue_limit:
-            self.refused += 1
-            self.at(self.now() + QUEUE_FULL_DELAY, end, False)
+        self.call_count += 1
+        if len(self.queue) >= self.queue_limit:
+            self.rejected_count += 1
+            self.schedule_at(self.now() + QUEUE_FULL_DELAY, end, False)
         else:
-            self.waiting.append((self.now(), end))
+            self.queue.append((self.now(), end))
 
     def _next(self) -> None:
-        self.at(self.now() + self.answer_interval, self._next)
-        if self.waiting:
-            queued_at, end = self.waiting.popleft()
+        self.schedule_at(self.now() + self.answer_interval, self._next)
+        if self.queue:
+            queued_at, end = self.queue.popleft()
             good = self.now() <= queued_at + MAX_CALL_WAIT
-            self.refused += not good
+            self.rejected_count += not good
             end(good)
 
 
@@ -131,20 +131,20 @@
     instance: int
     life: int
     """Counts the starts of the instance."""
-    pace: PollInterval
+    poll_interval: PollInterval
 
 
 class Discovery(Service):
     """Discovery that instances ask for endpoint lists.
 
     Attributes:
-        standing: Established watch streams: the life of the instance, by instance.
+        watch_streams: Established watch streams: the life of the instance, by instance.
     """
 
     def __init__(
         self,
         rate: float,
-        at: Schedule,
+        schedule_at: Schedule,
         now: Callable[[], Ticks],
         deliver: Callable[[int, int, bool], bool],
     ) -> None:
@@ -152,48 +152,50 @@
 
         Args:
             rate: Answers per second.
-            at: Schedules a call.
+            schedule_at: Schedules a call.
             now: Returns the current time.
             deliver: `deliver(instance, life, complete)` returns whether this life of the instance
                 still runs, and delivers the list to it if `complete` is true.
         """
-        super().__init__(rate, at, now)
+        super().__init__(rate, schedule_at, now)
         self.deliver = deliver
-        self.standing: dict[int, int] = {}
+        self.watch_streams: dict[int, int] = {}
 
-    def begin(self, instance: int, life: int, pace: PollInterval, asking: int) -> None:
+    def start_polling(
+        self, instance: int, life: int, poll_interval: PollInterval, callers: int
+    ) -> None:
         """Starts polling for an instance: it asks for the list and for a watch stream.
 
         Args:
             instance: Number of the instance.
             life: Number of the instance's start.
-            pace: The instance's poll interval.
-            asking: How many instances may start at once.
+            poll_interval: The instance's poll interval.
+            callers: How many instances may start at once.
         """
-        self.standing.pop(instance, None)
-        poller = Poller(instance, life, pace)
-        self.at(self.now() + pace.initial_wait(asking), self._ask, poller, True)
-        if getattr(pace, "beside", False):
-            self.at(self.now(), self._ask, poller, False)
+        self.watch_streams.pop(instance, None)
+        poller = Poller(instance, life, poll_interval)
+        self.schedule_at(self.now() + poll_interval.initial_wait(callers), self._ask, poller, True)
+        if getattr(poll_interval, "makes_two_initial_calls", False):
+            self.schedule_at(self.now(), self._ask, poller, False)
 
     def _ask(self, poller: Poller, watch: bool) -> None:
         def ended(good: bool) -> None:
             if good and watch:
-                self.standing[poller.instance] = poller.life
+                self.watch_streams[poller.instance] = poller.life
             if good:
                 self.deliver(poller.instance, poller.life, True)
-            elif watch or self.standing.get(poller.instance) != poller.life:
-                wait = self._wait_after_refusal(poller.pace, watch)
-                self.at(self.now() + wait, self._ask, poller, watch)
+            elif watch or self.watch_streams.get(poller.instance) != poller.life:
+                wait = self._wait_after_refusal(poller.poll_interval, watch)
+                self.schedule_at(self.now() + wait, self._ask, poller, watch)
 
         if self.deliver(poller.instance, poller.life, False):  # otherwise it has stopped since
             self.call(ended)
 
     @staticmethod
-    def _wait_after_refusal(pace: PollInterval, watch: bool) -> Ticks:
+    def _wait_after_refusal(poll_interval: PollInterval, watch: bool) -> Ticks:
         if watch:
-            return pace.record(CallResult.REFUSED)
-        return LIST_RETRY_DELAY + int(pace.draw() * LIST_RETRY_DELAY)
+            return poll_interval.record(CallResult.REFUSED)
+        return LIST_RETRY_DELAY + int(poll_interval.draw() * LIST_RETRY_DELAY)
 
 
 ConnectionKey = tuple[int, int, str]
@@ -205,63 +207,63 @@
 
     Attributes:
         max_per_server: Maximum number of connections per server; 0 for no limit.
-        idle: Times since which the idle connections have been idle, by key.
-        held: Number of open connections, by server.
-        made: Number of connections opened.
-        refused: Number of connections refused because of the limit.
+        idle_since: Times since which the idle connections have been idle, by key.
+        open_counts: Number of open connections, by server.
+        opened_count: Number of connections opened.
+        refused_count: Number of connections refused because of the limit.
     """
 
     def __init__(self, max_per_server: int) -> None:
         self.max_per_server = max_per_server
-        self.idle: dict[ConnectionKey, list[Ticks]] = {}
-        self.held: dict[str, int] = {}
-        self.made = 0
-        self.refused = 0
+        self.idle_since: dict[ConnectionKey, list[Ticks]] = {}
+        self.open_counts: dict[str, int] = {}
+        self.opened_count = 0
+        self.refused_count = 0
 
-    def take(self, now: Ticks, key: ConnectionKey, pod: str) -> bool:
+    def acquire(self, now: Ticks, key: ConnectionKey, pod: str) -> bool:
         """Takes an idle connection or opens a new one; returns False if the limit is reached."""
-        idle = self.idle.setdefault(key, [])
+        idle = self.idle_since.setdefault(key, [])
         while idle:
             if now <= idle.pop() + IDLE_TIMEOUT:
                 return True
-            self.held[pod] -= 1
+            self.open_counts[pod] -= 1
         if (
             self.max_per_server
-            and self.held.get(pod, 0) >= self.max_per_server
+            and self.open_counts.get(pod, 0) >= self.max_per_server
             and not self._expire(now, pod)
         ):
-            self.refused += 1
+            self.refused_count += 1
             return False
-        self.held[pod] = self.held.get(pod, 0) + 1
-        self.made += 1
+        self.open_counts[pod] = self.open_counts.get(pod, 0) + 1
+        self.opened_count += 1
         return True
 
     def _expire(self, now: Ticks, pod: str) -> bool:
         """Closes expired idle connections of a server; returns whether there were any."""
-        before = self.held[pod]
-        for (_, _, server), idle in self.idle.items():
+        before = self.open_counts[pod]
+        for (_, _, server), idle in self.idle_since.items():
             if server == pod:
-                self.held[pod] -= sum(now > at + IDLE_TIMEOUT for at in idle)
+                self.open_counts[pod] -= sum(now > at + IDLE_TIMEOUT for at in idle)
                 idle[:] = [at for at in idle if now <= at + IDLE_TIMEOUT]
-        return self.held[pod] < before
+        return self.open_counts[pod] < before
 
-    def give(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
+    def release(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
         """Returns a connection after an attempt: it becomes idle if good, else it is closed."""
-        if good and key in self.idle:
-            self.idle[key].append(now)
+        if good and key in self.idle_since:
+            self.idle_since[key].append(now)
         else:
-            self.held[pod] -= 1
+            self.open_counts[pod] -= 1
 
-    def drop(self, gone: Callable[[ConnectionKey], bool]) -> None:
+    def close_idle(self, gone: Callable[[ConnectionKey], bool]) -> None:
         """Closes the idle connections of all keys for which `gone` returns true."""
-        for key in [key for key in self.idle if gone(key)]:
-            self.held[key[2]] -= len(self.idle.pop(key))
+        for key in [key for key in self.idle_since if gone(key)]:
+            self.open_counts[key[2]] -= len(self.idle_since.pop(key))
 
 
 def poll_interval_of(policy: Any, draw: RandomDraw) -> PollInterval:
     """Returns the policy's own poll interval, or the current one if it has none."""
     interval = getattr(policy, "pace", AdaptiveInterval)(draw)
     if hasattr(interval, "ended"):
-        return FormerPollInterval(interval)
+        return PollIntervalAdapter(interval)
     current: PollInterval = interval
     return current
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -127,7 +127,7 @@
         simulator = self.simulator
         for instance in range(simulator.day.instances):
             lag = simulator.day.news_lag * (0.5 + simulator.misc.random()) + self.news_delay
-            simulator.at(simulator.now + int(lag), self.told, instance, self.state)
+            simulator.schedule_at(simulator.now + int(lag), self.told, instance, self.state)
 
     def told(
         self,
@@ -149,11 +149,11 @@
             return
         if outcome == Outcome.DONE:
             self.record_told(instance, state)
-        simulator.tell(instance, _update(state, answers, outcome))
+        simulator.deliver_event(instance, _update(state, answers, outcome))
 
     def send_current_state(self, instance: int) -> None:
         """Gives a starting instance the current state."""
-        self.simulator.tell(instance, _update(self.state, False, Outcome.DONE))
+        self.simulator.deliver_event(instance, _update(self.state, False, Outcome.DONE))
 
     def record_told(self, instance: int, state: ReleaseState) -> None:
         """Reports to the checker what an instance is told."""
@@ -207,15 +207,17 @@
         self._counted = {}
         for instance in range(simulator.day.instances):
             lag = int(simulator.day.tally_lag * (0.95 + 0.1 * self._sample_draws.next()))
-            simulator.at(simulator.now + lag, self._deliver_counts, instance, rows, simulator.now)
+            simulator.schedule_at(
+                simulator.now + lag, self._deliver_counts, instance, rows, simulator.now
+            )
         if simulator.now < simulator.day.span:
-            simulator.at(simulator.now + simulator.day.tally_every, self.end_period)
+            simulator.schedule_at(simulator.now + simulator.day.tally_every, self.end_period)
 
     def _deliver_counts(self, instance: int, rows: Sequence[CountsRow], end: Ticks) -> None:
         if self.simulator.is_off_platform(instance) or self.call_fault is not None:
             return  # lost counts are not sent again
         for row in rows:
-            self.simulator.tell(instance, FleetCounts(*row, self.simulator.now - end))
+            self.simulator.deliver_event(instance, FleetCounts(*row, self.simulator.now - end))
 
     # Offers and stages.
 
@@ -253,17 +255,19 @@
             int(day.boot * (1 - spread + 2 * spread * simulator.misc.random())) for _ in places
         ]
         for place, boot_delay in zip(places, boot_delays, strict=True):
-            simulator.at(simulator.now + boot_delay, self._boot, build, place)
+            simulator.schedule_at(simulator.now + boot_delay, self._boot, build, place)
         boot_wait = max(boot_delays, default=0) + BOOT_MARGIN if day.machines_first else 0
         self._stage_began_at = simulator.now + boot_wait
-        simulator.at(self._stage_began_at + day.stage_least, self._count_votes, build, stage)
+        simulator.schedule_at(
+            self._stage_began_at + day.stage_least, self._count_votes, build, stage
+        )
 
     def _boot(self, build: int, place: int) -> None:
         simulator = self.simulator
         if self.state.build != build or self.state.phase not in OPEN_PHASES:
             return
         if simulator.servers.zone_of(place) in simulator.servers.lost_zones:
-            simulator.at(simulator.now + ZONE_RETRY_DELAY, self._boot, build, place)
+            simulator.schedule_at(simulator.now + ZONE_RETRY_DELAY, self._boot, build, place)
             return
         simulator.servers.start(f"p{place}-{build}", place, self.builds[build])
 
@@ -274,7 +278,9 @@
         simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.RELEASED)
         self.announce()
         if simulator.day.drain_after:
-            simulator.at(simulator.now + simulator.day.drain_after, self._drain_earlier, build)
+            simulator.schedule_at(
+                simulator.now + simulator.day.drain_after, self._drain_earlier, build
+            )
         else:
             self._drain_earlier(build)
 
@@ -296,7 +302,7 @@
         for place in range(len(earlier), simulator.day.pods):
             simulator.servers.start(f"p{place}-{build}r", place, self.builds[previous_build])
         simulator.servers.drain(lambda pod: pod.build.number == build)
-        simulator.at(simulator.now + WITHDRAWAL_DELAY, self._withdraw, build)
+        simulator.schedule_at(simulator.now + WITHDRAWAL_DELAY, self._withdraw, build)
 
     def _withdraw(self, build: int) -> None:
         if self.state.build == build and self.state.phase == ReleasePhase.ROLLING_BACK:
@@ -311,12 +317,14 @@
         cut_off = simulator.lives[instance] != life or simulator.is_off_platform(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
             wait = simulator.day.terms.vote_timeout
-            simulator.at(simulator.now + wait, self._told_vote, instance, life, Outcome.TIMED_OUT)
+            simulator.schedule_at(
+                simulator.now + wait, self._told_vote, instance, life, Outcome.TIMED_OUT
+            )
             return
         vote_calls["asked"] += 1
         if not self._accept_call():
             vote_calls["full"] += 1
-            simulator.at(
+            simulator.schedule_at(
                 simulator.now + ANSWER_DELAY,
                 self._told_vote,
                 instance,
@@ -331,7 +339,9 @@
         else:
             vote_calls["moot"] += 1
         outcome = Outcome.DONE if is_relevant else Outcome.NOT_SENT
-        simulator.at(simulator.now + ANSWER_DELAY, self._told_vote, instance, life, outcome)
+        simulator.schedule_at(
+            simulator.now + ANSWER_DELAY, self._told_vote, instance, life, outcome
+        )
 
     def _accept_call(self) -> bool:
         """Returns whether the rate limit allows one more call, and counts the call if so."""
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -157,9 +157,9 @@
     def _new_discovery(self) -> Discovery | None:
         if not self.day.lists:
             return None
-        return Discovery(self.day.lists, self.at, lambda: self.now, self._deliver_list)
+        return Discovery(self.day.lists, self.schedule_at, lambda: self.now, self._deliver_list)
 
-    def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
+    def schedule_at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedules a call at a moment."""
         self._sequence += 1
         heapq.heappush(self._calls, (moment, self._sequence, call, arguments))
@@ -172,10 +172,10 @@
         for fault in day.faults:
             self._faults.schedule(fault)
         for offer in day.offers:
-            self.at(offer.at, self.platform.offer, offer)
-        self.at(0, self._arrive)
+            self.schedule_at(offer.at, self.platform.offer, offer)
+        self.schedule_at(0, self._arrive)
         if day.tally_every:
-            self.at(day.tally_every, self.platform.end_period)
+            self.schedule_at(day.tally_every, self.platform.end_period)
         last = day.span + FINAL_ANSWERS_DURATION
         while self._calls and self._calls[0][0] <= last:
             self.now, _, call, arguments = heapq.heappop(self._calls)
@@ -197,8 +197,8 @@
         if self.discovery:  # the instance has only its cached list until it is sent a new one
             generator = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
             poll_interval = poll_interval_of(self._policy, generator.draw)
-            self.discovery.begin(instance, life, poll_interval, self.day.instances)
-        self.tell(instance, EndpointUpdate(UpdateKind.CACHED, listed))
+            self.discovery.start_polling(instance, life, poll_interval, self.day.instances)
+        self.deliver_event(instance, EndpointUpdate(UpdateKind.CACHED, listed))
         self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
@@ -206,10 +206,10 @@
         self.engines[instance] = None
         self.lives[instance] += 1
         self.checker.record_kill(self.now, instance)
-        self.connections.drop(lambda key: key[0] == instance)
+        self.connections.close_idle(lambda key: key[0] == instance)
         for key in [key for key in self.requests if key[0] == instance]:
             del self.requests[key]
-        self.at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
+        self.schedule_at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
 
     def runs(self, instance: int) -> bool:
         """Returns whether an instance is running."""
@@ -219,7 +219,7 @@
         """Returns whether an instance receives changes of the endpoint list."""
         if self.discovery is None:
             return True
-        return self.discovery.standing.get(instance) == self.lives[instance]
+        return self.discovery.watch_streams.get(instance) == self.lives[instance]
 
     def _deliver_list(self, instance: int, life: int, whole: bool) -> bool:
         """Delivers the list if `whole`; returns whether this life of the instance still runs."""
@@ -227,10 +227,10 @@
         if is_there and whole:
             entries = self.servers.entries()
             self.servers.record_told(instance, entries)
-            self.tell(instance, EndpointUpdate(UpdateKind.FULL, entries))
+            self.deliver_event(instance, EndpointUpdate(UpdateKind.FULL, entries))
         return is_there
 
-    def tell(self, instance: int, event: Event) -> None:
+    def deliver_event(self, instance: int, event: Event) -> None:
         """Passes an event to an instance and carries out the resulting actions."""
         engine = self.engines.get(instance)
         if engine is None:
@@ -241,7 +241,9 @@
 
     def _carry_out(self, instance: int, life: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.at(max(self.now, action.at), self._fire_timer, instance, life, action.token)
+            self.schedule_at(
+                max(self.now, action.at), self._fire_timer, instance, life, action.token
+            )
         elif isinstance(action, SendAttempt):
             self._send(instance, life, action)
         elif isinstance(action, CancelAttempt):
@@ -251,17 +253,17 @@
         elif isinstance(action, Fail):
             self._answer(instance, action.id, Answer.ABANDONED, 0)
         elif isinstance(action, CastVote):
-            self.at(self.now + ANSWER_DELAY, self._vote, instance, life, action)
+            self.schedule_at(self.now + ANSWER_DELAY, self._vote, instance, life, action)
 
     def _fire_timer(self, instance: int, life: int, token: int) -> None:
         if self.lives[instance] == life:
-            self.tell(instance, TimerFired(token))
+            self.deliver_event(instance, TimerFired(token))
 
     def _cancel(self, instance: int, action: CancelAttempt) -> None:
         request = self.requests.get((instance, action.id))
         if request is not None and action.number < len(request.attempts):
             attempt = request.attempts[action.number]
-            self.at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
+            self.schedule_at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
 
     def _vote(self, instance: int, life: int, vote: CastVote) -> None:
         self.platform.vote(instance, life, vote)
@@ -273,7 +275,7 @@
         if self.now >= day.span:
             return
         gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.burst)
-        self.at(self.now + max(1, round(gap)), self._arrive)
+        self.schedule_at(self.now + max(1, round(gap)), self._arrive)
         instance = min(
             day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
         )
@@ -316,7 +318,7 @@
             request.earlier_tries > 0,
             False,
         )
-        self.tell(instance, received)
+        self.deliver_event(instance, received)
 
     def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
         """Answers a request.
@@ -361,7 +363,7 @@
                 request.earlier_tries + 1,
                 request.work,
             )
-            self.at(self.now + max(1, delay), self._ask, instance, again)
+            self.schedule_at(self.now + max(1, delay), self._ask, instance, again)
 
     def _had_capacity(self, instance: int, objective: Ticks) -> bool:
         """Returns whether enough reachable servers of earlier or released builds had room."""
@@ -409,7 +411,7 @@
         request = self.requests.get((instance, action.id))
         attempt = self._new_attempt(instance, life, action, request, pod)
         if request is None or pod is None:
-            self.at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
+            self.schedule_at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
             return
         request.attempts.append(attempt)
         self.results.add_attempt(pod.name)
@@ -459,30 +461,32 @@
         """
         if self.now - self._answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
+            self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
         else:
-            self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+            self.schedule_at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
 
     def _connect(self, attempt: SimulatedAttempt, pod: Server, ends: Ticks) -> None:
-        made = self.connections.made
-        attempt.has_connection = self.connections.take(self.now, _connection_key(attempt), pod.name)
-        is_new = self.connections.made > made
+        made = self.connections.opened_count
+        attempt.has_connection = self.connections.acquire(
+            self.now, _connection_key(attempt), pod.name
+        )
+        is_new = self.connections.opened_count > made
         self.results.dispatched_attempts += 1
         self.platform.update_trial_share(attempt.build)
         if not attempt.has_connection:
             refused_at = min(ends, self.now + REFUSAL_DELAY)
-            self.at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
+            self.schedule_at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
         if self._loss_draws.next() < self.loss or pod.state == PodState.DOWN:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
+            self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+        self.schedule_at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
         one_way_delay = self._delays.next()
         if self.day.handshake and is_new:
             one_way_delay *= NEW_CONNECTION_TRIPS
             attempt.work += self.day.handshake * (0.5 + self._sample_draws.next())
-        self.at(self.now + max(1, round(one_way_delay)), self._arrive_at_server, attempt)
+        self.schedule_at(self.now + max(1, round(one_way_delay)), self._arrive_at_server, attempt)
 
     def _arrive_at_server(self, attempt: SimulatedAttempt) -> None:
         """Handles the arrival of an attempt at its server."""
@@ -490,18 +494,20 @@
         attempt.work *= self.slow_all * self.platform.slowdown_factor()
         service_time = pod.take(self.now, attempt) if pod else False
         if service_time is False:
-            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False)
+            self.schedule_at(
+                self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False
+            )
         elif service_time is not None:
-            self.at(self.now + service_time, self._served, pod, attempt)
+            self.schedule_at(self.now + service_time, self._served, pod, attempt)
 
     def _served(self, pod: Server, attempt: SimulatedAttempt) -> None:
         """Finishes the work of an attempt at its server."""
         if self.now < pod.paused:  # a paused server makes no progress
-            self.at(pod.paused + 1, self._served, pod, attempt)
+            self.schedule_at(pod.paused + 1, self._served, pod, attempt)
             return
         following = pod.finish(self.now)
         if following:
-            self.at(self.now + following[1], self._served, pod, following[0])
+            self.schedule_at(self.now + following[1], self._served, pod, following[0])
         if pod.state == PodState.DOWN:
             return
         self.checker.record_execution(self.now, attempt.name, attempt.lane)
@@ -509,11 +515,13 @@
         if pod.silent or not self._reaches(attempt.instance, pod):
             return
         if self.lost_answers and self._failure_draws.next() < self.lost_answers:
-            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.RESET, None)
+            self.schedule_at(
+                self.now + self._one_way(), self._end_attempt, attempt, Outcome.RESET, None
+            )
             return
         self._answered_at[_connection_key(attempt)] = self.now
         outcome = Outcome.ERROR if fails else Outcome.DONE
-        self.at(
+        self.schedule_at(
             self.now + self._one_way(), self._end_attempt, attempt, outcome, None if fails else True
         )
 
@@ -542,7 +550,7 @@
         instance = attempt.instance
         if attempt.has_connection:
             is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
-            self.connections.give(self.now, _connection_key(attempt), attempt.pod, is_good)
+            self.connections.release(self.now, _connection_key(attempt), attempt.pod, is_good)
         if self.lives[instance] != attempt.life or not self.runs(instance):
             return
         if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
@@ -564,7 +572,7 @@
             attempt.number,
             None,
         )
-        self.tell(instance, ended)
+        self.deliver_event(instance, ended)
         if request is not None and self._is_answered(attempt) and request.is_over():
             self.requests.pop((instance, attempt.name), None)
 
