--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -102,17 +102,18 @@
         simulator.now = 8 * TICKS_PER_SECOND
         simulator.servers.lose_zone("b")
         lost = [endpoint for endpoint in simulator.servers.pods.values() if endpoint.zone == "b"]
-        self.assertTrue(lost and all(endpoint.silent for endpoint in lost))
+        self.assertTrue(lost and all(endpoint.unresponsive for endpoint in lost))
         simulator.now = 13 * TICKS_PER_SECOND
         simulator.servers.restore_zone("b")
         restarted = [simulator.servers.pods[endpoint.name] for endpoint in lost]
         self.assertTrue(
             all(
-                endpoint.started == simulator.now and endpoint.warmth(simulator.now) < 0.5
+                endpoint.started == simulator.now
+                and endpoint.capacity_fraction(simulator.now) < 0.5
                 for endpoint in restarted
             )
         )
-        self.assertFalse(any(endpoint.silent for endpoint in restarted))
+        self.assertFalse(any(endpoint.unresponsive for endpoint in restarted))
 
     def test_partitioned_zone_reaches_only_itself_and_not_the_platform(self):
         simulator, _ = self.simulator_with_fault("split")
@@ -143,11 +144,11 @@
     def test_work_delayed_by_a_pause_resumes_after_it(self):
         simulator, _ = self.simulator_with_fault("herd")
         endpoint = next(iter(simulator.servers.pods.values()))
-        endpoint.paused = 5 * TICKS_PER_SECOND
+        endpoint.paused_until = 5 * TICKS_PER_SECOND
         simulator.now = TICKS_PER_SECOND
         simulator._served(endpoint, None)
         self.assertEqual(simulator._calls[0][0], 5 * TICKS_PER_SECOND + 1)
-        self.assertFalse(endpoint.fits(TICKS_PER_SECOND, TICKS_PER_SECOND))
+        self.assertFalse(endpoint.can_start_within(TICKS_PER_SECOND, TICKS_PER_SECOND))
 
     def test_platform_rejects_votes_above_its_rate(self):
         simulator, _ = self.simulator_with_fault("calm")
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -101,31 +101,31 @@
             "a",
             cores=1,
             speed=1.0,
-            queue_most=1,
+            queue_limit=1,
             build=Build(1),
             started=1000,
-            cold=1000,
-            cold_from=0.25,
+            warmup_duration=1000,
+            warmup_initial_fraction=0.25,
         )
         self.assertEqual(
-            [pod.warmth(at) for at in (1000, 1500, 2000, 9000)], [0.25, 0.625, 1.0, 1.0]
+            [pod.capacity_fraction(at) for at in (1000, 1500, 2000, 9000)], [0.25, 0.625, 1.0, 1.0]
         )
 
         class Job:
             work, lane = 100, "fetch"
 
-        self.assertEqual(pod.take(1000, Job), 400)
-        self.assertIsNone(pod.take(1000, Job))
-        self.assertIs(pod.take(1000, Job), False)
+        self.assertEqual(pod.submit(1000, Job), 400)
+        self.assertIsNone(pod.submit(1000, Job))
+        self.assertIs(pod.submit(1000, Job), False)
         self.assertEqual(pod.finish(2000), (Job, 100))
 
     def test_builds_fail_as_they_are_told(self):
-        late, loaded = Build(2, 0.5, after=500), Build(2, 0.5, load=0.5)
-        pod = Pod("p", "a", cores=2, speed=1.0, queue_most=9, build=late, started=1000)
-        self.assertEqual([late.strikes(pod, at, "x") for at in (1400, 1500)], [False, True])
-        self.assertFalse(loaded.strikes(pod, 2000, "x"))
-        pod.busy = 1
-        self.assertTrue(loaded.strikes(pod, 2000, "x"))
+        late, loaded = Build(2, 0.5, fault_delay=500), Build(2, 0.5, min_load=0.5)
+        pod = Pod("p", "a", cores=2, speed=1.0, queue_limit=9, build=late, started=1000)
+        self.assertEqual([late.fault_applies(pod, at, "x") for at in (1400, 1500)], [False, True])
+        self.assertFalse(loaded.fault_applies(pod, 2000, "x"))
+        pod.busy_cores = 1
+        self.assertTrue(loaded.fault_applies(pod, 2000, "x"))
 
     def test_intervals_hold_the_true_difference(self):
         chance, held = np.random.Generator(np.random.PCG64(8)), 0
--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -70,7 +70,7 @@
 def _times_in_queue(servers: int, count: int, gaps: Stream, works: Stream) -> list[float]:
     """Returns the sojourn times of jobs that end before the last arrival, in order of ends."""
     pod: Pod[QueueJob] = Pod(
-        "p", "a", cores=servers, speed=1.0, queue_most=UNLIMITED_QUEUE, build=Build(1), started=0
+        "p", "a", cores=servers, speed=1.0, queue_limit=UNLIMITED_QUEUE, build=Build(1), started=0
     )
     running: list[tuple[float, int, QueueJob]] = []
     times: list[float] = []
@@ -91,7 +91,7 @@
             if following:
                 begin(moment, *following)
         job = QueueJob(works.next(), "x", now)
-        took = pod.take(now, job)
+        took = pod.submit(now, job)
         if took is not None:
             begin(now, job, took)
     return times
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -47,7 +47,7 @@
                 pod.speed *= 1 / fault.size if begins else fault.size
 
     def _errors(self, fault: Fault, begins: bool) -> None:
-        failing = self._simulator.servers.failing
+        failing = self._simulator.servers.extra_failure_ratios
         for place in fault.what:
             name = f"p{place}-{FIRST_BUILD}"
             if begins:
@@ -87,7 +87,7 @@
 
     def _silent_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
-            pod.silent = begins and place_index(pod.name) in fault.what
+            pod.unresponsive = begins and place_index(pod.name) in fault.what
 
     def _zone_loss(self, fault: Fault, begins: bool) -> None:
         zone = self._simulator.day.zones[fault.what[0]]
@@ -108,6 +108,6 @@
         simulator = self._simulator
         for pod in simulator.servers.pods.values():
             if place_index(pod.name) in fault.what and simulator.misc.random() < PAUSED_RATIO:
-                pod.paused = simulator.now + int(fault.size * (0.5 + simulator.misc.random()))
+                pod.paused_until = simulator.now + int(fault.size * (0.5 + simulator.misc.random()))
         if simulator.now + PAUSE_INTERVAL < fault.end:
             simulator.schedule_at(simulator.now + PAUSE_INTERVAL, self._pauses, fault, True)
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -68,7 +68,7 @@
 
     def _record_snapshot(self) -> None:
         build, stage, phase, cap = self.platform.state
-        running = [pod.build.number for pod in self.servers.up(lambda _: True)]
+        running = [pod.build.number for pod in self.servers.pods_up(lambda _: True)]
         counts = {name: running.count(name) for name in self.names}
         self.looks.append(
             PeriodSnapshot(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts)
@@ -83,7 +83,7 @@
             if pod.state == PodState.UP:
                 place = int(pod.name[1:].split("-")[0])
                 by_place[place] = max(
-                    by_place[place], pod.waiting_work / (pod.cores * pod.speed * TICKS_PER_SECOND)
+                    by_place[place], pod.queued_work / (pod.cores * pod.speed * TICKS_PER_SECOND)
                 )
         return by_place
 
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -13,8 +13,8 @@
 if TYPE_CHECKING:
     from .simulator import Simulator
 
-LISTED_WEIGHT = 1.0
-LISTED_MACHINE_KIND = "m"
+ENDPOINT_WEIGHT = 1.0
+ENDPOINT_MACHINE_KIND = "m"
 FIRST_BUILD = 1
 
 Server: TypeAlias = Pod[SimulatedAttempt]
@@ -34,24 +34,24 @@
     Attributes:
         simulator: The running simulation.
         pods: Servers that still exist, by address.
-        former: Servers that are gone, by address.
-        failing: Ratio of attempts that a server fails in addition to its build's faults, by
-            address.
+        removed_pods: Servers that are gone, by address.
+        extra_failure_ratios: Ratio of attempts that a server fails in addition to its build's
+            faults, by address.
         lost_zones: Zones in which no server can start.
         list_delay: Additional delay of endpoint lists, in ticks.
     """
 
-    def __init__(self, simulator: "Simulator", first: Build) -> None:
+    def __init__(self, simulator: "Simulator", build: Build) -> None:
         """Starts the initial servers.
 
         Args:
             simulator: The running simulation.
-            first: The build that these servers run.
+            build: The build that these servers run.
         """
         self.simulator = simulator
         self.pods: dict[str, Server] = {}
-        self.former: dict[str, Server] = {}
-        self.failing: dict[str, float] = {}
+        self.removed_pods: dict[str, Server] = {}
+        self.extra_failure_ratios: dict[str, float] = {}
         self.lost_zones: set[str] = set()
         self.list_delay: Ticks = 0
         self._changes: dict[str, Endpoint] = {}  # not yet sent, by address
@@ -63,8 +63,8 @@
                 self.zone_of(place),
                 cores=day.cores,
                 speed=speed,
-                queue_most=day.queue,
-                build=first,
+                queue_limit=day.queue,
+                build=build,
                 started=0,
             )
 
@@ -82,60 +82,60 @@
                 self.zone_of(place),
                 cores=day.cores,
                 speed=day.speeds[place],
-                queue_most=day.queue,
+                queue_limit=day.queue,
                 build=build,
                 started=self.simulator.now,
-                cold=day.cold,
-                cold_from=day.cold_from,
+                warmup_duration=day.cold,
+                warmup_initial_fraction=day.cold_from,
             )
         )
 
     def _add(self, pod: Server) -> None:
         self.pods[pod.name] = pod
-        self.announce(self.entry(pod))
+        self.announce(self.endpoint_of(pod))
 
-    def up(self, predicate: Callable[[Server], bool]) -> list[Server]:
+    def pods_up(self, predicate: Callable[[Server], bool]) -> list[Server]:
         """Returns the servers that are up, not draining, and satisfy the predicate."""
         return [pod for pod in self.pods.values() if pod.state == PodState.UP and predicate(pod)]
 
     def drain(self, predicate: Callable[[Server], bool]) -> None:
         """Begins to drain the servers that satisfy the predicate; they are removed later."""
         simulator = self.simulator
-        leaving = self.up(predicate)
+        leaving = self.pods_up(predicate)
         for pod in leaving:
             pod.state = PodState.DRAINING
             simulator.schedule_at(simulator.now + simulator.day.gone_after, self._remove, pod)
         if leaving:
-            self.announce(*(self.entry(pod) for pod in leaving))
+            self.announce(*(self.endpoint_of(pod) for pod in leaving))
 
     def _remove(self, pod: Server) -> None:
         pod.state = PodState.DOWN
         self._drop_connections(pod.name)
-        self.former[pod.name] = self.pods.pop(pod.name, pod)
-        self.announce(self.entry(pod, EndpointCondition.GONE))
+        self.removed_pods[pod.name] = self.pods.pop(pod.name, pod)
+        self.announce(self.endpoint_of(pod, EndpointCondition.GONE))
 
     def lose_zone(self, zone: str) -> None:
         """Makes all servers of a zone unresponsive."""
         self.lost_zones.add(zone)
-        for pod in self.up(lambda pod: pod.zone == zone):
-            pod.silent = True
+        for pod in self.pods_up(lambda pod: pod.zone == zone):
+            pod.unresponsive = True
 
     def restore_zone(self, zone: str) -> None:
         """Restarts the servers of a lost zone at the same places, with a new warm-up."""
         self.lost_zones.discard(zone)
         day = self.simulator.day
-        for pod in self.up(lambda pod: pod.zone == zone):
-            pod.silent = False
+        for pod in self.pods_up(lambda pod: pod.zone == zone):
+            pod.unresponsive = False
             restarted: Server = Pod(
                 pod.name,
                 pod.zone,
                 cores=pod.cores,
                 speed=pod.speed,
-                queue_most=pod.queue_most,
+                queue_limit=pod.queue_limit,
                 build=pod.build,
                 started=self.simulator.now,
-                cold=day.cold,
-                cold_from=day.cold_from,
+                warmup_duration=day.cold,
+                warmup_initial_fraction=day.cold_from,
             )
             pod.state = PodState.DOWN
             self._drop_connections(pod.name)
@@ -146,7 +146,7 @@
 
     # Endpoint lists.
 
-    def entry(self, pod: Server, condition: EndpointCondition | None = None) -> Endpoint:
+    def endpoint_of(self, pod: Server, condition: EndpointCondition | None = None) -> Endpoint:
         """Returns the endpoint entry of a server.
 
         Args:
@@ -159,18 +159,18 @@
         return Endpoint(
             pod.name,
             pod.zone,
-            LISTED_WEIGHT,
+            ENDPOINT_WEIGHT,
             0,
             condition,
             pod.started,
-            LISTED_MACHINE_KIND,
+            ENDPOINT_MACHINE_KIND,
             pod.build.number,
         )
 
-    def entries(self) -> tuple[Endpoint, ...]:
+    def endpoints(self) -> tuple[Endpoint, ...]:
         """Returns the complete endpoint list."""
         listed = (PodState.UP, PodState.DRAINING)
-        return tuple(self.entry(pod) for pod in self.pods.values() if pod.state in listed)
+        return tuple(self.endpoint_of(pod) for pod in self.pods.values() if pod.state in listed)
 
     def announce(self, *entries: Endpoint) -> None:
         """Sends changes at once, or batched if the day sets an interval for lists."""
@@ -202,10 +202,10 @@
             for entry in entries
             if entry.condition != EndpointCondition.READY or entry.address in self.pods
         )
-        self.record_told(instance, delivered)
+        self.record_update(instance, delivered)
         simulator.deliver_event(instance, EndpointUpdate(UpdateKind.DELTA, delivered))
 
-    def record_told(self, instance: int, entries: Iterable[Endpoint]) -> None:
+    def record_update(self, instance: int, entries: Iterable[Endpoint]) -> None:
         """Reports to the checker what an instance is told."""
         checker = self.simulator.checker
         for entry in entries:
@@ -214,7 +214,7 @@
             checker.record_endpoint_state(self.simulator.now, instance, entry.address, listed)
             checker.record_server_start(instance, entry.address, entry.started)
 
-    def record_known(self, instance: int) -> None:
+    def record_known_pods(self, instance: int) -> None:
         """Reports to the checker what a starting instance already knows."""
         checker = self.simulator.checker
         for pod in self.pods.values():
--- a/thymeknot/simulation/servers.py
+++ b/thymeknot/simulation/servers.py
@@ -35,44 +35,52 @@
 class Build:
     """A build and the faults that its servers show."""
 
-    __slots__ = ("after", "fails", "lane", "load", "number", "shared", "slow")
+    __slots__ = (
+        "failure_ratio",
+        "fault_delay",
+        "fleet_slowdown",
+        "lane",
+        "min_load",
+        "number",
+        "slowdown",
+    )
 
     def __init__(
         self,
         number: int,
-        fails: float = 0.0,
+        failure_ratio: float = 0.0,
         *,
-        slow: float = 1.0,
-        after: Ticks = 0,
+        slowdown: float = 1.0,
+        fault_delay: Ticks = 0,
         lane: str | None = None,
-        load: float = 0.0,
-        shared: float = 0.0,
+        min_load: float = 0.0,
+        fleet_slowdown: float = 0.0,
     ) -> None:
         """Creates a build.
 
         Args:
             number: Number of the build.
-            fails: Ratio of attempts that fail while the fault is active.
-            slow: Factor applied to the work while the fault is active.
-            after: Time from the start of a server until the fault becomes active, in ticks.
+            failure_ratio: Ratio of attempts that fail while the fault is active.
+            slowdown: Factor applied to the work while the fault is active.
+            fault_delay: Time from the start of a server until the fault becomes active, in ticks.
             lane: The only request class affected by the fault; None for all classes.
-            load: Ratio of a server's cores that must be busy for the fault to be active.
-            shared: Slowdown of all servers, scaled by this build's share of the attempts.
+            min_load: Ratio of a server's cores that must be busy for the fault to be active.
+            fleet_slowdown: Slowdown of all servers, scaled by this build's share of the attempts.
         """
         self.number = number
-        self.fails = fails
-        self.slow = slow
-        self.after = after
+        self.failure_ratio = failure_ratio
+        self.slowdown = slowdown
+        self.fault_delay = fault_delay
         self.lane = lane
-        self.load = load
-        self.shared = shared
+        self.min_load = min_load
+        self.fleet_slowdown = fleet_slowdown
 
-    def strikes(self, pod: "Pod[Any]", now: float, lane: str) -> bool:
+    def fault_applies(self, pod: "Pod[Any]", now: float, lane: str) -> bool:
         """Returns whether the fault affects an attempt of this request class now."""
         return (
             (self.lane is None or self.lane == lane)
-            and now - pod.started >= self.after
-            and pod.busy >= self.load * pod.cores
+            and now - pod.started >= self.fault_delay
+            and pod.busy_cores >= self.min_load * pod.cores
         )
 
 
@@ -81,22 +89,22 @@
 
     __slots__ = (
         "build",
-        "busy",
-        "cold",
-        "cold_from",
+        "busy_cores",
+        "busy_ticks",
         "cores",
-        "done",
+        "finished_jobs",
         "name",
-        "paused",
+        "paused_until",
         "queue",
-        "queue_most",
-        "silent",
+        "queue_limit",
+        "queued_work",
+        "rejected_jobs",
         "speed",
         "started",
         "state",
-        "turned_away",
-        "waiting_work",
-        "worked_ticks",
+        "unresponsive",
+        "warmup_duration",
+        "warmup_initial_fraction",
         "zone",
     )
 
@@ -107,11 +115,11 @@
         *,
         cores: int,
         speed: float,
-        queue_most: int,
+        queue_limit: int,
         build: Build,
         started: Ticks,
-        cold: Ticks = 0,
-        cold_from: float = 1.0,
+        warmup_duration: Ticks = 0,
+        warmup_initial_fraction: float = 1.0,
     ) -> None:
         """Starts a server with an empty queue.
 
@@ -120,46 +128,49 @@
             zone: Zone of the server.
             cores: Number of jobs that run concurrently.
             speed: Work that a core completes per tick.
-            queue_most: Maximum number of queued jobs.
+            queue_limit: Maximum number of queued jobs.
             build: Build that the server runs.
             started: When the server started.
-            cold: Duration of the warm-up, in ticks.
-            cold_from: Ratio of the full capacity that is available at the start.
+            warmup_duration: Duration of the warm-up, in ticks.
+            warmup_initial_fraction: Ratio of the full capacity that is available at the start.
         """
         self.name = name
         self.zone = zone
         self.cores = cores
         self.speed = speed
-        self.queue_most = queue_most
+        self.queue_limit = queue_limit
         self.build = build
         self.started = started
-        self.cold = cold
-        self.cold_from = cold_from
+        self.warmup_duration = warmup_duration
+        self.warmup_initial_fraction = warmup_initial_fraction
         self.state = PodState.UP
-        self.busy = 0
+        self.busy_cores = 0
         """Number of busy cores."""
         self.queue: deque[JobT] = deque()
-        self.done = 0
+        self.finished_jobs = 0
         """Number of finished jobs."""
-        self.turned_away = 0
+        self.rejected_jobs = 0
         """Number of rejected jobs."""
-        self.worked_ticks = 0.0
+        self.busy_ticks = 0.0
         """Core time used, in ticks."""
-        self.paused: Ticks = 0
+        self.paused_until: Ticks = 0
         """The server makes no progress until this time."""
-        self.silent = False
+        self.unresponsive = False
         """Whether the server accepts jobs but never answers."""
-        self.waiting_work = 0.0
+        self.queued_work = 0.0
         """Total work of the queued jobs."""
 
-    def warmth(self, now: float) -> float:
+    def capacity_fraction(self, now: float) -> float:
         """Returns the ratio of the full capacity that is available at this time."""
         age = now - self.started
-        if not self.cold or age >= self.cold:
+        if not self.warmup_duration or age >= self.warmup_duration:
             return 1.0
-        return self.cold_from + (1 - self.cold_from) * max(0, age) / self.cold
+        return (
+            self.warmup_initial_fraction
+            + (1 - self.warmup_initial_fraction) * max(0, age) / self.warmup_duration
+        )
 
-    def take(self, now: float, job: JobT) -> Ticks | Literal[False] | None:
+    def submit(self, now: float, job: JobT) -> Ticks | Literal[False] | None:
         """Accepts, queues or rejects a job.
 
         Returns:
@@ -167,30 +178,30 @@
             rejected.
         """
         if self.state != PodState.UP or (
-            self.busy >= self.cores and len(self.queue) >= self.queue_most
+            self.busy_cores >= self.cores and len(self.queue) >= self.queue_limit
         ):
-            self.turned_away += 1
+            self.rejected_jobs += 1
             return False
-        if self.busy < self.cores:
+        if self.busy_cores < self.cores:
             return self._start_job(now, job)
         self.queue.append(job)
-        self.waiting_work += job.work
+        self.queued_work += job.work
         return None
 
-    def fits(self, now: float, goal: float) -> bool:
-        """Returns whether a job that arrived now would start within `goal` ticks."""
+    def can_start_within(self, now: float, max_wait: float) -> bool:
+        """Returns whether a job that arrived now would start within `max_wait` ticks."""
         return (
             self.state == PodState.UP
-            and now >= self.paused
-            and not self.silent
-            and self.waiting_work <= goal * self.cores * self.speed * self.warmth(now)
+            and now >= self.paused_until
+            and not self.unresponsive
+            and self.queued_work <= max_wait * self.cores * self.speed * self.capacity_fraction(now)
         )
 
     def _start_job(self, now: float, job: JobT) -> Ticks:
-        self.busy += 1
-        slowdown = self.build.slow if self.build.strikes(self, now, job.lane) else 1.0
-        service_time = job.work * slowdown / (self.speed * self.warmth(now))
-        self.worked_ticks += service_time
+        self.busy_cores += 1
+        slowdown = self.build.slowdown if self.build.fault_applies(self, now, job.lane) else 1.0
+        service_time = job.work * slowdown / (self.speed * self.capacity_fraction(now))
+        self.busy_ticks += service_time
         return max(1, round(service_time))
 
     def finish(self, now: float) -> tuple[JobT, Ticks] | None:
@@ -199,10 +210,10 @@
         Returns:
             The started job and its service time, or None if the queue is empty.
         """
-        self.busy -= 1
-        self.done += 1
+        self.busy_cores -= 1
+        self.finished_jobs += 1
         if self.queue:
             job = self.queue.popleft()
-            self.waiting_work -= job.work
+            self.queued_work -= job.work
             return job, self._start_job(now, job)
         return None
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -176,7 +176,7 @@
         """Returns the factor by which the newest build slows all servers."""
         shared = 0.0
         if self.state.phase in OPEN_PHASES:
-            shared = self.builds[self.state.build].shared
+            shared = self.builds[self.state.build].fleet_slowdown
         return 1 + shared * self.trial_share
 
     def sample_attempt(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
@@ -229,10 +229,10 @@
         self.builds[offer.build] = Build(
             offer.build,
             offer.fails,
-            slow=offer.slow,
-            after=offer.after,
-            load=offer.load,
-            shared=offer.shared,
+            slowdown=offer.slow,
+            fault_delay=offer.after,
+            min_load=offer.load,
+            fleet_slowdown=offer.shared,
         )
         self.trial_share = 0.0
         self.state = ReleaseState(offer.build, 0, ReleasePhase.ON_TRIAL, simulator.day.caps[0])
@@ -295,7 +295,7 @@
         self._set_phase(ReleasePhase.ROLLING_BACK, 0.0)
         self.announce()
         # Servers of the earlier build that have already left are started again first.
-        earlier = simulator.servers.up(lambda pod: pod.build.number < build)
+        earlier = simulator.servers.pods_up(lambda pod: pod.build.number < build)
         previous_build = max(
             (number for number in self.builds if number < build), default=FIRST_BUILD
         )
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -191,8 +191,8 @@
         life = self.lives[instance]
         seed = self.day.seed * 1000 + instance * 7 + life
         self.engines[instance] = self._policy(self.day.terms, seed, self.now)
-        listed = self.servers.entries()
-        self.servers.record_known(instance)
+        listed = self.servers.endpoints()
+        self.servers.record_known_pods(instance)
         self.platform.record_told(instance, self.platform.state)
         if self.discovery:  # the instance has only its cached list until it is sent a new one
             generator = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
@@ -225,8 +225,8 @@
         """Delivers the list if `whole`; returns whether this life of the instance still runs."""
         is_there = self.lives[instance] == life and self.runs(instance)
         if is_there and whole:
-            entries = self.servers.entries()
-            self.servers.record_told(instance, entries)
+            entries = self.servers.endpoints()
+            self.servers.record_update(instance, entries)
             self.deliver_event(instance, EndpointUpdate(UpdateKind.FULL, entries))
         return is_there
 
@@ -368,13 +368,15 @@
     def _had_capacity(self, instance: int, objective: Ticks) -> bool:
         """Returns whether enough reachable servers of earlier or released builds had room."""
         state = self.platform.state
-        eligible = self.servers.up(
+        eligible = self.servers.pods_up(
             lambda pod: (
                 self._reaches(instance, pod)
                 and (pod.build.number < state.build or state.phase == ReleasePhase.RELEASED)
             )
         )
-        with_room = sum(pod.fits(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in eligible)
+        with_room = sum(
+            pod.can_start_within(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in eligible
+        )
         return with_room > MIN_ROOMY_SERVER_RATIO * len(eligible)
 
     # The network.
@@ -407,7 +409,7 @@
     def _send(self, instance: int, life: int, action: SendAttempt) -> None:
         # An instance with an outdated list may send to a server that is gone and never answers.
         servers = self.servers
-        pod = servers.pods.get(action.endpoint) or servers.former.get(action.endpoint)
+        pod = servers.pods.get(action.endpoint) or servers.removed_pods.get(action.endpoint)
         request = self.requests.get((instance, action.id))
         attempt = self._new_attempt(instance, life, action, request, pod)
         if request is None or pod is None:
@@ -428,7 +430,7 @@
             capacity=pod.cores * pod.speed,
         )
         ends = min(self.now + action.timeout, request.deadline)
-        if pod.silent or not self._reaches(instance, pod):
+        if pod.unresponsive or not self._reaches(instance, pod):
             self._send_unanswered(attempt, ends)
         else:
             self._connect(attempt, pod, ends)
@@ -492,7 +494,7 @@
         """Handles the arrival of an attempt at its server."""
         pod = self.servers.pods.get(attempt.pod)
         attempt.work *= self.slow_all * self.platform.slowdown_factor()
-        service_time = pod.take(self.now, attempt) if pod else False
+        service_time = pod.submit(self.now, attempt) if pod else False
         if service_time is False:
             self.schedule_at(
                 self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False
@@ -502,8 +504,8 @@
 
     def _served(self, pod: Server, attempt: SimulatedAttempt) -> None:
         """Finishes the work of an attempt at its server."""
-        if self.now < pod.paused:  # a paused server makes no progress
-            self.schedule_at(pod.paused + 1, self._served, pod, attempt)
+        if self.now < pod.paused_until:  # a paused server makes no progress
+            self.schedule_at(pod.paused_until + 1, self._served, pod, attempt)
             return
         following = pod.finish(self.now)
         if following:
@@ -512,7 +514,7 @@
             return
         self.checker.record_execution(self.now, attempt.name, attempt.lane)
         fails = self._fails(pod, attempt)
-        if pod.silent or not self._reaches(attempt.instance, pod):
+        if pod.unresponsive or not self._reaches(attempt.instance, pod):
             return
         if self.lost_answers and self._failure_draws.next() < self.lost_answers:
             self.schedule_at(
@@ -528,11 +530,13 @@
     def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
         """Draws whether an attempt fails at its server and counts the harm done."""
         build, lane = pod.build, self.lanes[attempt.lane].lane
-        fault_acts = build.strikes(pod, self.now, attempt.lane)
-        fails = self._failure_draws.next() < (build.fails if fault_acts else BASE_FAILURE_RATIO)
-        failing = self.servers.failing.get(pod.name)
+        fault_acts = build.fault_applies(pod, self.now, attempt.lane)
+        fails = self._failure_draws.next() < (
+            build.failure_ratio if fault_acts else BASE_FAILURE_RATIO
+        )
+        failing = self.servers.extra_failure_ratios.get(pod.name)
         fails = fails or (failing is not None and self._failure_draws.next() < failing)
-        if fails and build.fails and lane.idempotency != Idempotency.IDEMPOTENT:
+        if fails and build.failure_ratio and lane.idempotency != Idempotency.IDEMPOTENT:
             self.results.harm += lane.priority_weight
         return fails
 
