--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -83,7 +83,7 @@
     figures["rules_false"] = len(broken_by(current_engine, seed))
     day = scenarios.drawn(seed, instances=400, pods=80, rate=400.0, seconds=60)
     begin = time.monotonic()
-    big = Simulator(day, current_engine).play()
+    big = Simulator(day, current_engine).run()
     figures["sim_seconds"] = round(time.monotonic() - begin, 1)
     figures["big_day"] = big.figures()
     size, took = {"instances": 20, "pods": 12, "rate": 200.0, "seconds": 30}, {}
--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -384,7 +384,7 @@
     def engine(settings, seed, now):
         return DigestingEngine(settings, LinearCongruentialGenerator(seed).state, now, digest)
 
-    figures = Simulator(day, engine).play().figures()
+    figures = Simulator(day, engine).run().figures()
     return {"digest": digest.hexdigest(), "figures": json.loads(json.dumps(figures))}
 
 
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -120,8 +120,8 @@
     def test_recording_changes_nothing_and_counts_all_requests(self):
         day, _ = large_fleet_scenarios.drawn(3, "herd", **SMALL_FLEET)
         plain, recorded = (
-            Simulator(day, current_engine).play(),
-            RecordingSimulator(day, current_engine).play(),
+            Simulator(day, current_engine).run(),
+            RecordingSimulator(day, current_engine).run(),
         )
         self.assertEqual(plain.figures(), recorded.figures())
         self.assertEqual(sum(recorded.how["done"]), plain.results.answer_counts["done"])
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -307,7 +307,7 @@
 
     def simulate(self, kind, policy=current_engine, seed=2, **more):
         scenario, (_, end) = large_fleet_scenarios.drawn(seed, kind, **{**self.SIZE, **more})
-        return Simulator(scenario, policy).play(), end
+        return Simulator(scenario, policy).run(), end
 
     def test_sheds_less_needlessly_than_the_earlier_version(self):
         earlier_version = load_version("91b8f20")
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -117,7 +117,7 @@
 
     def test_partitioned_zone_reaches_only_itself_and_not_the_platform(self):
         simulator, _ = self.simulator_with_fault("split")
-        simulator.cut_zones = {"b"}
+        simulator.partitioned_zones = {"b"}
         inside, outside = 1, 0
         reached = {
             endpoint.zone: (
@@ -128,17 +128,21 @@
         }
         self.assertEqual(reached, {"a": (False, True), "b": (True, False), "c": (False, True)})
         self.assertEqual(
-            (simulator.is_off_platform(inside), simulator.is_off_platform(outside)), (True, False)
+            (
+                simulator.is_cut_off_from_platform(inside),
+                simulator.is_cut_off_from_platform(outside),
+            ),
+            (True, False),
         )
-        simulator._calls.clear()
+        simulator._scheduled_calls.clear()
         simulator._faults._zone_cut(Fault("cut", 0, 1, (1,), 0.0), False)
         notified = sorted(
             arguments[0]
-            for _, _, call, arguments in simulator._calls
+            for _, _, call, arguments in simulator._scheduled_calls
             if call == simulator.platform.told
         )
         self.assertEqual(
-            (simulator.cut_zones, notified), (set(), list(range(9)))
+            (simulator.partitioned_zones, notified), (set(), list(range(9)))
         )  # missed events are sent again
 
     def test_work_delayed_by_a_pause_resumes_after_it(self):
@@ -147,7 +151,7 @@
         endpoint.paused_until = 5 * TICKS_PER_SECOND
         simulator.now = TICKS_PER_SECOND
         simulator._served(endpoint, None)
-        self.assertEqual(simulator._calls[0][0], 5 * TICKS_PER_SECOND + 1)
+        self.assertEqual(simulator._scheduled_calls[0][0], 5 * TICKS_PER_SECOND + 1)
         self.assertFalse(endpoint.can_start_within(TICKS_PER_SECOND, TICKS_PER_SECOND))
 
     def test_platform_rejects_votes_above_its_rate(self):
@@ -158,17 +162,21 @@
         simulator.platform.state = ReleaseState(2, 0, ReleasePhase.ON_TRIAL, 0.08)
         simulator.platform._calls = 4.0
         for instance in range(9):
-            simulator._vote(instance, simulator.lives[instance], CastVote(2, 0, Verdict.PROMOTE))
+            simulator._vote(
+                instance, simulator.incarnations[instance], CastVote(2, 0, Verdict.PROMOTE)
+            )
         self.assertEqual(simulator.results.vote_calls["full"], 5)
         notified = [
             arguments[2]
-            for _, _, call, arguments in simulator._calls
+            for _, _, call, arguments in simulator._scheduled_calls
             if call == simulator.platform._told_vote
         ]
         self.assertEqual((notified.count(Outcome.DONE), notified.count(Outcome.REJECTED)), (4, 5))
         simulator.now = simulator.platform._calls_at = TICKS_PER_SECOND
         simulator.now = 2 * TICKS_PER_SECOND
-        simulator._vote(0, simulator.lives[0], CastVote(2, 1, Verdict.PROMOTE))  # for another stage
+        simulator._vote(
+            0, simulator.incarnations[0], CastVote(2, 1, Verdict.PROMOTE)
+        )  # for another stage
         self.assertEqual(
             (simulator.results.vote_calls["full"], simulator.results.vote_calls["moot"]), (5, 1)
         )
@@ -176,7 +184,7 @@
             Outcome.NOT_SENT,
             [
                 arguments[2]
-                for _, _, call, arguments in simulator._calls
+                for _, _, call, arguments in simulator._scheduled_calls
                 if call == simulator.platform._told_vote
             ],
         )
@@ -204,7 +212,7 @@
                 return actions
 
         simulator, _ = self.simulator_with_fault("calm")
-        Simulator(simulator.day._replace(faults=()), CancellingEngine).play()
+        Simulator(simulator.day._replace(faults=()), CancellingEngine).run()
         ends = [event.outcome for event in notified if type(event) is AttemptEnded]
         self.assertEqual(
             (set(ends), len(ends)),
@@ -214,4 +222,4 @@
     def test_scenarios_of_each_kind_keep_the_invariants(self):
         for kind in large_fleet_scenarios.KINDS:
             day, _ = large_fleet_scenarios.drawn(2, kind, 12, 9, 15, load=0.4)
-            self.assertEqual(Simulator(day, current_engine).play().checker.violations, [], kind)
+            self.assertEqual(Simulator(day, current_engine).run().checker.violations, [], kind)
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -66,7 +66,7 @@
                 day, _ = vast(5, kind, **SIZE)
                 fleet = Simulator(
                     day._replace(faults=faults, offers=offers, **changes), current_engine
-                ).play()
+                ).run()
                 figures = vast_figures(fleet)
                 self.assertEqual(fleet.checker.violated_rules(), [], fleet.checker.violations[:3])
                 self.assertEqual(
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -41,7 +41,7 @@
         down = Fault("calls", 5 * TICKS_PER_SECOND, 7 * TICKS_PER_SECOND, (), REFUSED_CALLS)
         fleet = Noted(
             day._replace(tally_share=1.0, faults=(*day.faults, down)), current_engine
-        ).play()
+        ).run()
         for instance in (0, 23):
             counted = {}
             for at, row in fleet.tallies[instance]:
@@ -64,14 +64,14 @@
     def test_a_part_is_sampled_and_other_days_have_none(self):
         day, _ = mass(4, **SIZE, seconds=12)
         for every in (PERIOD, 0):
-            fleet = Noted(day._replace(tally_every=every), current_engine).play()
+            fleet = Noted(day._replace(tally_every=every), current_engine).run()
             told = sum(row.attempts for _, row in fleet.tallies.get(0, ()))
             seen = sum(one[0] for one in fleet.ended.values())
             self.assertTrue(0.05 * seen < told < 0.15 * seen if every else not told, (told, seen))
 
     def test_a_good_build_is_released_and_the_earlier_machines_leave_later(self):
         day, _ = mass(5, **SIZE, seconds=32, good=True)
-        fleet = Simulator(day._replace(offers=day.offers[:1]), current_engine).play()
+        fleet = Simulator(day._replace(offers=day.offers[:1]), current_engine).run()
         self.assertEqual(fleet.results.released, [2])
         self.assertEqual(fleet.checker.violated_rules(), [], fleet.checker.violations[:3])
         stages = [
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -27,12 +27,12 @@
 
 class SameSeed(unittest.TestCase):
     def test_a_day_is_the_same_here_and_in_another_process(self):
-        here = Simulator(scenarios.drawn(5, **SMALL), current_engine).play().figures()
+        here = Simulator(scenarios.drawn(5, **SMALL), current_engine).run().figures()
         code = (
             "import json; from thymeknot.simulation import scenarios as days; "
             "from thymeknot.simulation.simulator import *; "
             f"print(json.dumps([repr(days.drawn(5, **{SMALL!r})), "
-            f"Simulator(days.drawn(5, **{SMALL!r}), current_engine).play().figures()]))"
+            f"Simulator(days.drawn(5, **{SMALL!r}), current_engine).run().figures()]))"
         )
         there = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=60
@@ -46,7 +46,7 @@
     def test_two_policies_meet_the_same_arrivals(self):
         asked = {
             name: Simulator(scenarios.drawn(5, **SMALL)._replace(retries=0, faults=()), policy)
-            .play()
+            .run()
             .results.possible_earnings
             for name, policy in TEXTBOOK.items()
         }
@@ -59,8 +59,8 @@
     def test_they_agree_on_days_of_many_kinds(self):
         for seed in range(1, 9):
             with self.subTest(seed=seed):
-                day = Simulator(scenarios.drawn(seed, **SMALL), current_engine).play()
-                self.assertEqual(day.disagreements(), [])
+                day = Simulator(scenarios.drawn(seed, **SMALL), current_engine).run()
+                self.assertEqual(day.in_flight_mismatches(), [])
 
     def test_an_end_that_is_never_told_is_found(self):
         class Forgets(Simulator):
@@ -73,9 +73,11 @@
                     super().deliver_event(instance, event)
 
         drawn = scenarios.drawn(5, **SMALL)._replace(faults=())  # no instance starts anew
-        day = Forgets(drawn, current_engine).play()
+        day = Forgets(drawn, current_engine).run()
         self.assertEqual(
-            [counted - out for _, counted, out in day.disagreements()], [1], day.disagreements()
+            [counted - out for _, counted, out in day.in_flight_mismatches()],
+            [1],
+            day.in_flight_mismatches(),
         )
 
 
--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -111,5 +111,5 @@
 
 def broken_by(policy: Any, seed: int) -> list[int]:
     """Returns the rules that a policy breaks on the hard day of this seed."""
-    broken: list[int] = Simulator(hard_day(seed), policy).play().checker.violated_rules()
+    broken: list[int] = Simulator(hard_day(seed), policy).run().checker.violated_rules()
     return broken
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -65,7 +65,7 @@
 def played(task: tuple[str, int, Size]) -> Result:
     """One day with one policy: its figures, with what it takes to play it again."""
     name, seed, size = task
-    fleet = Simulator(scenarios.drawn(seed, **size), policy(name)).play()
+    fleet = Simulator(scenarios.drawn(seed, **size), policy(name)).run()
     return {
         "policy": name,
         "seed": seed,
@@ -80,7 +80,7 @@
     """One day of a large fleet (policy, kind, seed, size): what its decisions are judged by."""
     name, kind, seed, size = task
     day, (_, end) = large_fleet_scenarios.of_kind(seed, kind, **size)
-    fleet = Simulator(day, policy(name)).play()
+    fleet = Simulator(day, policy(name)).run()
     offer = day.offers[0]
     turned_away, needless = fleet.results.rejection_ratios()
     if kind in large_fleet_scenarios.VAST:
@@ -433,8 +433,8 @@
     for fault in list(kept):
         fewer = day._replace(faults=tuple(one for one in kept if one is not fault))
         rest = (
-            Simulator(fewer, policy(name)).play().results.earnings_ratio()
-            - Simulator(fewer, policy(against)).play().results.earnings_ratio()
+            Simulator(fewer, policy(name)).run().results.earnings_ratio()
+            - Simulator(fewer, policy(against)).run().results.earnings_ratio()
         )
         if rest <= gap + abs(gap) * 0.1:
             kept.remove(fault)
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -56,7 +56,7 @@
                 failing.pop(name, None)
 
     def _connection_loss(self, fault: Fault, begins: bool) -> None:
-        self._simulator.loss = fault.size if begins else self._simulator.day.loss
+        self._simulator.attempt_loss_ratio = fault.size if begins else self._simulator.day.loss
 
     def _late_lists(self, fault: Fault, begins: bool) -> None:
         self._simulator.servers.list_delay = int(fault.size) if begins else 0
@@ -65,24 +65,24 @@
         self._simulator.platform.news_delay = int(fault.size) if begins else 0
 
     def _burst(self, fault: Fault, begins: bool) -> None:
-        self._simulator.burst = fault.size if begins else 1.0
+        self._simulator.request_rate_factor = fault.size if begins else 1.0
 
     def _slow_all(self, fault: Fault, begins: bool) -> None:
-        self._simulator.slow_all = fault.size if begins else 1.0
+        self._simulator.work_factor = fault.size if begins else 1.0
 
     def _calls_down(self, fault: Fault, begins: bool) -> None:
         self._simulator.platform.call_fault = fault.size if begins else None
 
     def _lost_answers(self, fault: Fault, begins: bool) -> None:
-        self._simulator.lost_answers = fault.size if begins else 0.0
+        self._simulator.answer_loss_ratio = fault.size if begins else 0.0
 
     def _zone_cut(self, fault: Fault, begins: bool) -> None:
         simulator = self._simulator
         zones = {simulator.day.zones[number] for number in fault.what}
         if begins:
-            simulator.cut_zones = simulator.cut_zones | zones
+            simulator.partitioned_zones = simulator.partitioned_zones | zones
         else:
-            simulator.cut_zones = simulator.cut_zones - zones
+            simulator.partitioned_zones = simulator.partitioned_zones - zones
             simulator.platform.announce()  # repeated news make up for what was missed
 
     def _silent_pods(self, fault: Fault, begins: bool) -> None:
@@ -107,7 +107,9 @@
             return
         simulator = self._simulator
         for pod in simulator.servers.pods.values():
-            if place_index(pod.name) in fault.what and simulator.misc.random() < PAUSED_RATIO:
-                pod.paused_until = simulator.now + int(fault.size * (0.5 + simulator.misc.random()))
+            if place_index(pod.name) in fault.what and simulator.generator.random() < PAUSED_RATIO:
+                pod.paused_until = simulator.now + int(
+                    fault.size * (0.5 + simulator.generator.random())
+                )
         if simulator.now + PAUSE_INTERVAL < fault.end:
             simulator.schedule_at(simulator.now + PAUSE_INTERVAL, self._pauses, fault, True)
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -58,10 +58,10 @@
         self.looks: list[PeriodSnapshot] = []
         self.load: list[NDArray[np.float64]] = []
 
-    def play(self) -> Self:
+    def run(self) -> Self:
         """Runs the whole day and returns itself."""
         self.schedule_at(0, self._record_snapshot)
-        return super().play()
+        return super().run()
 
     def _period(self) -> int:
         return min(self.now // PERIOD, len(self.took) - 1)
@@ -87,11 +87,11 @@
                 )
         return by_place
 
-    def _send(self, instance: int, life: int, action: SendAttempt) -> None:
+    def _send(self, instance: int, incarnation: int, action: SendAttempt) -> None:
         pod = self.servers.pods.get(action.endpoint)
         if pod:
             self.sent[pod.build.number][self._period()] += 1
-        super()._send(instance, life, action)
+        super()._send(instance, incarnation, action)
 
     def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
         request = self.requests.get((instance, name))
@@ -99,14 +99,14 @@
             self.how[answer][self._period()] += 1
             if answer == Answer.DONE:
                 self.took[self._period()].append(
-                    (self.now - request.first_asked_at)
+                    (self.now - request.first_sent_at)
                     / self.lanes[request.lane].lane.latency_objective
                 )
         super()._answer(instance, name, answer, wait)
 
-    def _vote(self, instance: int, life: int, vote: CastVote) -> None:
+    def _vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
         self.cast[vote.verdict][self._period()] += 1
-        super()._vote(instance, life, vote)
+        super()._vote(instance, incarnation, vote)
 
     def late(self, share: float = 0.95) -> NDArray[np.float64]:
         """Returns a quantile of the latencies in each period.
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -167,7 +167,7 @@
     os.makedirs(folder, exist_ok=True)
     played = []
     for number, (name, policy) in enumerate(policies.items()):
-        fleet = RecordingSimulator(day, policy).play()
+        fleet = RecordingSimulator(day, policy).run()
         picture = f"day-{number}.png"
         draw_day(fleet, os.path.join(folder, picture), f"{title}: {name}")
         played.append(PlayedDay(name, picture, _figures(fleet)))
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -190,12 +190,12 @@
         """Schedules the delivery of changes to each instance after a random delay."""
         simulator = self.simulator
         for instance in range(simulator.day.instances):
-            lag = simulator.day.list_lag * (0.5 + simulator.misc.random()) + self.list_delay
+            lag = simulator.day.list_lag * (0.5 + simulator.generator.random()) + self.list_delay
             simulator.schedule_at(simulator.now + int(lag), self._deliver, instance, entries)
 
     def _deliver(self, instance: int, entries: Sequence[Endpoint]) -> None:
         simulator = self.simulator
-        if not simulator.runs(instance) or not simulator.has_watch(instance):
+        if not simulator.is_running(instance) or not simulator.has_watch(instance):
             return
         delivered = tuple(
             entry
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -129,7 +129,7 @@
     """An instance, between one start and the next, that asks for endpoint lists."""
 
     instance: int
-    life: int
+    incarnation: int
     """Counts the starts of the instance."""
     poll_interval: PollInterval
 
@@ -162,18 +162,18 @@
         self.watch_streams: dict[int, int] = {}
 
     def start_polling(
-        self, instance: int, life: int, poll_interval: PollInterval, callers: int
+        self, instance: int, incarnation: int, poll_interval: PollInterval, callers: int
     ) -> None:
         """Starts polling for an instance: it asks for the list and for a watch stream.
 
         Args:
             instance: Number of the instance.
-            life: Number of the instance's start.
+            incarnation: Number of the instance's start.
             poll_interval: The instance's poll interval.
             callers: How many instances may start at once.
         """
         self.watch_streams.pop(instance, None)
-        poller = Poller(instance, life, poll_interval)
+        poller = Poller(instance, incarnation, poll_interval)
         self.schedule_at(self.now() + poll_interval.initial_wait(callers), self._ask, poller, True)
         if getattr(poll_interval, "makes_two_initial_calls", False):
             self.schedule_at(self.now(), self._ask, poller, False)
@@ -181,14 +181,16 @@
     def _ask(self, poller: Poller, watch: bool) -> None:
         def ended(good: bool) -> None:
             if good and watch:
-                self.watch_streams[poller.instance] = poller.life
+                self.watch_streams[poller.instance] = poller.incarnation
             if good:
-                self.deliver(poller.instance, poller.life, True)
-            elif watch or self.watch_streams.get(poller.instance) != poller.life:
+                self.deliver(poller.instance, poller.incarnation, True)
+            elif watch or self.watch_streams.get(poller.instance) != poller.incarnation:
                 wait = self._wait_after_refusal(poller.poll_interval, watch)
                 self.schedule_at(self.now() + wait, self._ask, poller, watch)
 
-        if self.deliver(poller.instance, poller.life, False):  # otherwise it has stopped since
+        if self.deliver(
+            poller.instance, poller.incarnation, False
+        ):  # otherwise it has stopped since
             self.call(ended)
 
     @staticmethod
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -126,7 +126,7 @@
         """Sends the state to each instance after a random delay."""
         simulator = self.simulator
         for instance in range(simulator.day.instances):
-            lag = simulator.day.news_lag * (0.5 + simulator.misc.random()) + self.news_delay
+            lag = simulator.day.news_lag * (0.5 + simulator.generator.random()) + self.news_delay
             simulator.schedule_at(simulator.now + int(lag), self.told, instance, self.state)
 
     def told(
@@ -145,7 +145,7 @@
             outcome: Outcome of the vote call.
         """
         simulator = self.simulator
-        if not simulator.runs(instance) or simulator.is_off_platform(instance):
+        if not simulator.is_running(instance) or simulator.is_cut_off_from_platform(instance):
             return
         if outcome == Outcome.DONE:
             self.record_told(instance, state)
@@ -214,7 +214,7 @@
             simulator.schedule_at(simulator.now + simulator.day.tally_every, self.end_period)
 
     def _deliver_counts(self, instance: int, rows: Sequence[CountsRow], end: Ticks) -> None:
-        if self.simulator.is_off_platform(instance) or self.call_fault is not None:
+        if self.simulator.is_cut_off_from_platform(instance) or self.call_fault is not None:
             return  # lost counts are not sent again
         for row in rows:
             self.simulator.deliver_event(instance, FleetCounts(*row, self.simulator.now - end))
@@ -252,7 +252,7 @@
         places = range(running, server_count)
         spread = day.boot_spread
         boot_delays = [
-            int(day.boot * (1 - spread + 2 * spread * simulator.misc.random())) for _ in places
+            int(day.boot * (1 - spread + 2 * spread * simulator.generator.random())) for _ in places
         ]
         for place, boot_delay in zip(places, boot_delays, strict=True):
             simulator.schedule_at(simulator.now + boot_delay, self._boot, build, place)
@@ -311,14 +311,16 @@
 
     # Votes.
 
-    def vote(self, instance: int, life: int, vote: CastVote) -> None:
+    def vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
         """Handles a vote that reaches the platform; the instance learns the outcome later."""
         simulator, vote_calls = self.simulator, self.simulator.results.vote_calls
-        cut_off = simulator.lives[instance] != life or simulator.is_off_platform(instance)
+        cut_off = simulator.incarnations[
+            instance
+        ] != incarnation or simulator.is_cut_off_from_platform(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
             wait = simulator.day.terms.vote_timeout
             simulator.schedule_at(
-                simulator.now + wait, self._told_vote, instance, life, Outcome.TIMED_OUT
+                simulator.now + wait, self._told_vote, instance, incarnation, Outcome.TIMED_OUT
             )
             return
         vote_calls["asked"] += 1
@@ -328,7 +330,7 @@
                 simulator.now + ANSWER_DELAY,
                 self._told_vote,
                 instance,
-                life,
+                incarnation,
                 Outcome.REJECTED,
             )
             return
@@ -340,7 +342,7 @@
             vote_calls["moot"] += 1
         outcome = Outcome.DONE if is_relevant else Outcome.NOT_SENT
         simulator.schedule_at(
-            simulator.now + ANSWER_DELAY, self._told_vote, instance, life, outcome
+            simulator.now + ANSWER_DELAY, self._told_vote, instance, incarnation, outcome
         )
 
     def _accept_call(self) -> bool:
@@ -363,8 +365,8 @@
             and state.phase in OPEN_PHASES
         )
 
-    def _told_vote(self, instance: int, life: int, outcome: Outcome) -> None:
-        if self.simulator.lives[instance] == life:
+    def _told_vote(self, instance: int, incarnation: int, outcome: Outcome) -> None:
+        if self.simulator.incarnations[instance] == incarnation:
             self.told(instance, self.state, True, outcome)
 
     def _count_votes(self, build: int, stage: int) -> None:
--- a/thymeknot/simulation/simulated_requests.py
+++ b/thymeknot/simulation/simulated_requests.py
@@ -11,8 +11,8 @@
 
     Attributes:
         instance: Number of the instance that sends the attempt.
-        life: Counts the starts of the instance; the attempt belongs to this one.
-        name: The request's name at that instance.
+        incarnation: Counts the starts of the instance; the attempt belongs to this one.
+        request_id: The request's name at that instance.
         number: Index of the attempt among the request's attempts.
         lane: The request's class.
         key: The request's key.
@@ -25,8 +25,8 @@
     """
 
     instance: int
-    life: int
-    name: str
+    incarnation: int
+    request_id: str
     number: int
     lane: str
     key: str
@@ -46,9 +46,9 @@
         lane: The request's class.
         key: The request's key.
         tenant: Number of the tenant.
-        first_asked_at: When the client first sent the request.
+        first_sent_at: When the client first sent the request.
         deadline: When the client stops waiting.
-        earlier_tries: How often the client sent the request before.
+        client_retries: How often the client sent the request before.
         work: Mean service time in ticks on one core of speed 1.
         attempts: The request's attempts, indexed by number.
     """
@@ -56,12 +56,12 @@
     lane: str
     key: str
     tenant: int
-    first_asked_at: Ticks
+    first_sent_at: Ticks
     deadline: Ticks
-    earlier_tries: int
+    client_retries: int
     work: float
     attempts: list[SimulatedAttempt] = field(default_factory=list)
 
-    def is_over(self) -> bool:
+    def all_attempts_ended(self) -> bool:
         """Returns whether all attempts of the request have ended."""
         return all(attempt.has_ended for attempt in self.attempts)
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -58,7 +58,7 @@
 `DecisionEngine`."""
 
 
-class Disagreement(NamedTuple):
+class InFlightMismatch(NamedTuple):
     """An instance whose count of attempts in flight is wrong."""
 
     instance: int
@@ -73,7 +73,7 @@
         day: The scenario of the day.
         now: The simulated time.
         lanes: The request classes by name.
-        misc: Random numbers for delays, server starts and pauses.
+        generator: Random numbers for delays, server starts and pauses.
         checker: Checks the five rules.
         results: The totals of the day.
         connections: Connections to servers.
@@ -82,12 +82,12 @@
         discovery: Answers calls for endpoint lists; None if lists are pushed.
         requests: The open requests, by instance and name.
         engines: The decision engine of each instance; None while the instance is down.
-        lives: How often each instance has started or been killed.
-        loss: Ratio of attempts that are lost.
-        burst: Factor applied to the request rate.
-        slow_all: Factor applied to all work.
-        lost_answers: Ratio of answers that are lost.
-        cut_zones: Zones that are partitioned from the others.
+        incarnations: How often each instance has started or been killed.
+        attempt_loss_ratio: Ratio of attempts that are lost.
+        request_rate_factor: Factor applied to the request rate.
+        work_factor: Factor applied to all work.
+        answer_loss_ratio: Ratio of answers that are lost.
+        partitioned_zones: Zones that are partitioned from the others.
     """
 
     def __init__(self, day: Day, policy: Policy) -> None:
@@ -104,18 +104,18 @@
         self.connections = Connections(day.connections)
         self.requests: dict[tuple[int, str], SimulatedRequest] = {}
         self.engines: dict[int, Any] = {}
-        self.lives = [0] * day.instances
-        self.loss = day.loss
-        self.burst = 1.0
-        self.slow_all = 1.0
-        self.lost_answers = 0.0
-        self.cut_zones: set[str] = set()
+        self.incarnations = [0] * day.instances
+        self.attempt_loss_ratio = day.loss
+        self.request_rate_factor = 1.0
+        self.work_factor = 1.0
+        self.answer_loss_ratio = 0.0
+        self.partitioned_zones: set[str] = set()
         self._policy = policy
-        self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
+        self._scheduled_calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
         self._sequence = 0  # numbers scheduled calls and requests
         self._cumulative_busy = list(accumulate(day.busy))
         # Time of the last answer, by connection key.
-        self._answered_at: dict[ConnectionKey, Ticks] = {}
+        self._last_answered_at: dict[ConnectionKey, Ticks] = {}
         self._draw_streams()
         self.checker = self._new_checker()
         self.platform = SimulatedPlatform(self, self._sample_draws)
@@ -129,7 +129,7 @@
             np.random.Generator(np.random.PCG64(seed))
             for seed in np.random.SeedSequence(day.seed).spawn(6)
         ]
-        arrivals, works, network, keys, clients, self.misc = generators
+        arrivals, works, network, keys, clients, self.generator = generators
         self._gaps = Stream(lambda count: arrivals.exponential(1.0, count))
         self._arrival_draws = Stream(arrivals.random)
         self._works = {one.lane.name: gamma(works, one.work, one.spread) for one in day.lanes}
@@ -162,9 +162,9 @@
     def schedule_at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedules a call at a moment."""
         self._sequence += 1
-        heapq.heappush(self._calls, (moment, self._sequence, call, arguments))
+        heapq.heappush(self._scheduled_calls, (moment, self._sequence, call, arguments))
 
-    def play(self) -> Self:
+    def run(self) -> Self:
         """Runs the whole day and returns itself."""
         day = self.day
         for instance in range(day.instances):
@@ -177,8 +177,8 @@
         if day.tally_every:
             self.schedule_at(day.tally_every, self.platform.end_period)
         last = day.span + FINAL_ANSWERS_DURATION
-        while self._calls and self._calls[0][0] <= last:
-            self.now, _, call, arguments = heapq.heappop(self._calls)
+        while self._scheduled_calls and self._scheduled_calls[0][0] <= last:
+            self.now, _, call, arguments = heapq.heappop(self._scheduled_calls)
             call(*arguments)
         self.now = last
         self.checker.record_day_end(last)
@@ -187,31 +187,35 @@
     # Instances.
 
     def _start(self, instance: int) -> None:
-        self.lives[instance] += 1
-        life = self.lives[instance]
-        seed = self.day.seed * 1000 + instance * 7 + life
+        self.incarnations[instance] += 1
+        incarnation = self.incarnations[instance]
+        seed = self.day.seed * 1000 + instance * 7 + incarnation
         self.engines[instance] = self._policy(self.day.terms, seed, self.now)
         listed = self.servers.endpoints()
         self.servers.record_known_pods(instance)
         self.platform.record_told(instance, self.platform.state)
         if self.discovery:  # the instance has only its cached list until it is sent a new one
-            generator = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
+            generator = LinearCongruentialGenerator(
+                self.day.seed * 77 + instance * 13 + incarnation << 33
+            )
             poll_interval = poll_interval_of(self._policy, generator.draw)
-            self.discovery.start_polling(instance, life, poll_interval, self.day.instances)
+            self.discovery.start_polling(instance, incarnation, poll_interval, self.day.instances)
         self.deliver_event(instance, EndpointUpdate(UpdateKind.CACHED, listed))
         self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
         """Kills an instance and starts it again after `wait` ticks, give or take half."""
         self.engines[instance] = None
-        self.lives[instance] += 1
+        self.incarnations[instance] += 1
         self.checker.record_kill(self.now, instance)
         self.connections.close_idle(lambda key: key[0] == instance)
         for key in [key for key in self.requests if key[0] == instance]:
             del self.requests[key]
-        self.schedule_at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
+        self.schedule_at(
+            self.now + int(wait * (0.5 + self.generator.random())), self._start, instance
+        )
 
-    def runs(self, instance: int) -> bool:
+    def is_running(self, instance: int) -> bool:
         """Returns whether an instance is running."""
         return self.engines.get(instance) is not None
 
@@ -219,11 +223,11 @@
         """Returns whether an instance receives changes of the endpoint list."""
         if self.discovery is None:
             return True
-        return self.discovery.watch_streams.get(instance) == self.lives[instance]
+        return self.discovery.watch_streams.get(instance) == self.incarnations[instance]
 
-    def _deliver_list(self, instance: int, life: int, whole: bool) -> bool:
+    def _deliver_list(self, instance: int, incarnation: int, whole: bool) -> bool:
         """Delivers the list if `whole`; returns whether this life of the instance still runs."""
-        is_there = self.lives[instance] == life and self.runs(instance)
+        is_there = self.incarnations[instance] == incarnation and self.is_running(instance)
         if is_there and whole:
             entries = self.servers.endpoints()
             self.servers.record_update(instance, entries)
@@ -235,17 +239,17 @@
         engine = self.engines.get(instance)
         if engine is None:
             return
-        life = self.lives[instance]
+        incarnation = self.incarnations[instance]
         for action in list(engine.handle(self.now, [event])):
-            self._carry_out(instance, life, action)
+            self._carry_out(instance, incarnation, action)
 
-    def _carry_out(self, instance: int, life: int, action: Action) -> None:
+    def _carry_out(self, instance: int, incarnation: int, action: Action) -> None:
         if isinstance(action, SetTimer):
             self.schedule_at(
-                max(self.now, action.at), self._fire_timer, instance, life, action.token
+                max(self.now, action.at), self._fire_timer, instance, incarnation, action.token
             )
         elif isinstance(action, SendAttempt):
-            self._send(instance, life, action)
+            self._send(instance, incarnation, action)
         elif isinstance(action, CancelAttempt):
             self._cancel(instance, action)
         elif isinstance(action, Reject):
@@ -253,10 +257,10 @@
         elif isinstance(action, Fail):
             self._answer(instance, action.id, Answer.ABANDONED, 0)
         elif isinstance(action, CastVote):
-            self.schedule_at(self.now + ANSWER_DELAY, self._vote, instance, life, action)
+            self.schedule_at(self.now + ANSWER_DELAY, self._vote, instance, incarnation, action)
 
-    def _fire_timer(self, instance: int, life: int, token: int) -> None:
-        if self.lives[instance] == life:
+    def _fire_timer(self, instance: int, incarnation: int, token: int) -> None:
+        if self.incarnations[instance] == incarnation:
             self.deliver_event(instance, TimerFired(token))
 
     def _cancel(self, instance: int, action: CancelAttempt) -> None:
@@ -265,8 +269,8 @@
             attempt = request.attempts[action.number]
             self.schedule_at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
 
-    def _vote(self, instance: int, life: int, vote: CastVote) -> None:
-        self.platform.vote(instance, life, vote)
+    def _vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
+        self.platform.vote(instance, incarnation, vote)
 
     # Clients.
 
@@ -274,7 +278,7 @@
         day = self.day
         if self.now >= day.span:
             return
-        gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.burst)
+        gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.request_rate_factor)
         self.schedule_at(self.now + max(1, round(gap)), self._arrive)
         instance = min(
             day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
@@ -301,7 +305,7 @@
 
     def _ask(self, instance: int, request: SimulatedRequest) -> None:
         """Sends a client's request to an instance, unless its deadline has passed."""
-        if not self.runs(instance) or request.deadline <= self.now:
+        if not self.is_running(instance) or request.deadline <= self.now:
             return
         self._sequence += 1
         name = f"t{self._sequence}"
@@ -315,7 +319,7 @@
             request.key,
             request.deadline - self.now,
             None,
-            request.earlier_tries > 0,
+            request.client_retries > 0,
             False,
         )
         self.deliver_event(instance, received)
@@ -337,11 +341,11 @@
         lane = self.lanes[request.lane].lane
         if answer == Answer.DONE:
             self.results.add_success(
-                self.now, request.first_asked_at, lane, request.attempts[-1].build
+                self.now, request.first_sent_at, lane, request.attempts[-1].build
             )
         else:
             self._handle_unserved(instance, request, answer, wait)
-        if request.is_over():
+        if request.all_attempts_ended():
             del self.requests[instance, name]
 
     def _handle_unserved(
@@ -352,15 +356,15 @@
             second.rejections += 1
             objective = self.lanes[request.lane].lane.latency_objective
             second.needless_rejections += self._had_capacity(instance, objective)
-        if answer == Answer.DEFERRED and request.earlier_tries < self.day.retries:
+        if answer == Answer.DEFERRED and request.client_retries < self.day.retries:
             delay = wait if self._client_draws.next() < self.day.heeds else RETRY_DELAY
             again = SimulatedRequest(
                 request.lane,
                 request.key,
                 request.tenant,
-                request.first_asked_at,
+                request.first_sent_at,
                 request.deadline,
-                request.earlier_tries + 1,
+                request.client_retries + 1,
                 request.work,
             )
             self.schedule_at(self.now + max(1, delay), self._ask, instance, again)
@@ -386,18 +390,18 @@
 
     def _reaches(self, instance: int, pod: Server) -> bool:
         """Returns whether an instance reaches a server; zones that are cut off reach themselves."""
-        if not self.cut_zones:
+        if not self.partitioned_zones:
             return True
         own_zone = self._zone_of(instance)
-        return own_zone == pod.zone or not self.cut_zones & {own_zone, pod.zone}
+        return own_zone == pod.zone or not self.partitioned_zones & {own_zone, pod.zone}
 
-    def is_off_platform(self, instance: int) -> bool:
+    def is_cut_off_from_platform(self, instance: int) -> bool:
         """Returns whether an instance cannot reach the platform, which is in the first zone."""
         own_zone, platform_zone = self._zone_of(instance), self.day.zones[0]
         return (
-            bool(self.cut_zones)
+            bool(self.partitioned_zones)
             and own_zone != platform_zone
-            and bool(self.cut_zones & {own_zone, platform_zone})
+            and bool(self.partitioned_zones & {own_zone, platform_zone})
         )
 
     def _one_way(self) -> Ticks:
@@ -406,12 +410,12 @@
 
     # Attempts.
 
-    def _send(self, instance: int, life: int, action: SendAttempt) -> None:
+    def _send(self, instance: int, incarnation: int, action: SendAttempt) -> None:
         # An instance with an outdated list may send to a server that is gone and never answers.
         servers = self.servers
         pod = servers.pods.get(action.endpoint) or servers.removed_pods.get(action.endpoint)
         request = self.requests.get((instance, action.id))
-        attempt = self._new_attempt(instance, life, action, request, pod)
+        attempt = self._new_attempt(instance, incarnation, action, request, pod)
         if request is None or pod is None:
             self.schedule_at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
             return
@@ -438,14 +442,14 @@
     def _new_attempt(
         self,
         instance: int,
-        life: int,
+        incarnation: int,
         action: SendAttempt,
         request: SimulatedRequest | None,
         pod: Server | None,
     ) -> SimulatedAttempt:
         return SimulatedAttempt(
             instance,
-            life,
+            incarnation,
             action.id,
             len(request.attempts) if request else action.number,
             request.lane if request else "",
@@ -461,7 +465,7 @@
 
         On an open connection it times out; a new connection is never established.
         """
-        if self.now - self._answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
+        if self.now - self._last_answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
             self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
         else:
@@ -479,7 +483,7 @@
             refused_at = min(ends, self.now + REFUSAL_DELAY)
             self.schedule_at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        if self._loss_draws.next() < self.loss or pod.state == PodState.DOWN:
+        if self._loss_draws.next() < self.attempt_loss_ratio or pod.state == PodState.DOWN:
             failed_at = min(ends, self.now + CONNECT_TIMEOUT)
             self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
@@ -493,7 +497,7 @@
     def _arrive_at_server(self, attempt: SimulatedAttempt) -> None:
         """Handles the arrival of an attempt at its server."""
         pod = self.servers.pods.get(attempt.pod)
-        attempt.work *= self.slow_all * self.platform.slowdown_factor()
+        attempt.work *= self.work_factor * self.platform.slowdown_factor()
         service_time = pod.submit(self.now, attempt) if pod else False
         if service_time is False:
             self.schedule_at(
@@ -512,16 +516,16 @@
             self.schedule_at(self.now + following[1], self._served, pod, following[0])
         if pod.state == PodState.DOWN:
             return
-        self.checker.record_execution(self.now, attempt.name, attempt.lane)
+        self.checker.record_execution(self.now, attempt.request_id, attempt.lane)
         fails = self._fails(pod, attempt)
         if pod.unresponsive or not self._reaches(attempt.instance, pod):
             return
-        if self.lost_answers and self._failure_draws.next() < self.lost_answers:
+        if self.answer_loss_ratio and self._failure_draws.next() < self.answer_loss_ratio:
             self.schedule_at(
                 self.now + self._one_way(), self._end_attempt, attempt, Outcome.RESET, None
             )
             return
-        self._answered_at[_connection_key(attempt)] = self.now
+        self._last_answered_at[_connection_key(attempt)] = self.now
         outcome = Outcome.ERROR if fails else Outcome.DONE
         self.schedule_at(
             self.now + self._one_way(), self._end_attempt, attempt, outcome, None if fails else True
@@ -555,20 +559,20 @@
         if attempt.has_connection:
             is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
             self.connections.release(self.now, _connection_key(attempt), attempt.pod, is_good)
-        if self.lives[instance] != attempt.life or not self.runs(instance):
+        if self.incarnations[instance] != attempt.incarnation or not self.is_running(instance):
             return
         if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self.platform.sample_attempt(attempt, outcome)
-        request = self.requests.get((instance, attempt.name))
+        request = self.requests.get((instance, attempt.request_id))
         is_answered = self._is_answered(attempt)
         if request is not None and attempt in request.attempts:
-            self.checker.record_attempt_end(instance, attempt.name, attempt.number, ran)
+            self.checker.record_attempt_end(instance, attempt.request_id, attempt.number, ran)
         if outcome == Outcome.DONE:
             self.checker.record_key_answer(instance, attempt.key, attempt.build)
             if not is_answered:
-                self._answer(instance, attempt.name, Answer.DONE, 0)
+                self._answer(instance, attempt.request_id, Answer.DONE, 0)
         ended = AttemptEnded(
-            attempt.name,
+            attempt.request_id,
             outcome,
             is_answered or outcome == Outcome.DONE,
             self.now - attempt.sent_at,
@@ -577,15 +581,15 @@
             None,
         )
         self.deliver_event(instance, ended)
-        if request is not None and self._is_answered(attempt) and request.is_over():
-            self.requests.pop((instance, attempt.name), None)
+        if request is not None and self._is_answered(attempt) and request.all_attempts_ended():
+            self.requests.pop((instance, attempt.request_id), None)
 
     def _is_answered(self, attempt: SimulatedAttempt) -> bool:
-        return (attempt.instance, attempt.name) in self.checker.answers
+        return (attempt.instance, attempt.request_id) in self.checker.answers
 
     # Results.
 
-    def disagreements(self) -> list[Disagreement]:
+    def in_flight_mismatches(self) -> list[InFlightMismatch]:
         """Returns the instances whose count of attempts in flight is wrong."""
         in_flight = dict.fromkeys(range(self.day.instances), 0)
         for (instance, _), request in self.requests.items():
@@ -596,7 +600,7 @@
                 continue
             counted = _counted_in_flight(engine.requests.open.values())
             if counted != in_flight[instance]:
-                found.append(Disagreement(instance, counted, in_flight[instance]))
+                found.append(InFlightMismatch(instance, counted, in_flight[instance]))
         return found
 
     def figures(self) -> dict[str, Any]:
@@ -605,7 +609,7 @@
 
 
 def _connection_key(attempt: SimulatedAttempt) -> ConnectionKey:
-    return attempt.instance, attempt.life, attempt.pod
+    return attempt.instance, attempt.incarnation, attempt.pod
 
 
 def _counted_in_flight(requests: Iterable[Any]) -> int:
