--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -124,9 +124,9 @@
             RecordingSimulator(day, current_engine).run(),
         )
         self.assertEqual(plain.figures(), recorded.figures())
-        self.assertEqual(sum(recorded.how["done"]), plain.results.answer_counts["done"])
+        self.assertEqual(sum(recorded.answer_counts["done"]), plain.results.answer_counts["done"])
         self.assertEqual(
-            sum(sum(counts) for counts in recorded.sent.values()),
+            sum(sum(counts) for counts in recorded.attempt_counts.values()),
             sum(plain.results.attempts_by_pod.values()),
         )
 
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -139,7 +139,7 @@
         notified = sorted(
             arguments[0]
             for _, _, call, arguments in simulator._scheduled_calls
-            if call == simulator.platform.told
+            if call == simulator.platform.deliver_update
         )
         self.assertEqual(
             (simulator.partitioned_zones, notified), (set(), list(range(9)))
@@ -150,7 +150,7 @@
         endpoint = next(iter(simulator.servers.pods.values()))
         endpoint.paused_until = 5 * TICKS_PER_SECOND
         simulator.now = TICKS_PER_SECOND
-        simulator._served(endpoint, None)
+        simulator._finish_job(endpoint, None)
         self.assertEqual(simulator._scheduled_calls[0][0], 5 * TICKS_PER_SECOND + 1)
         self.assertFalse(endpoint.can_start_within(TICKS_PER_SECOND, TICKS_PER_SECOND))
 
@@ -160,7 +160,7 @@
             terms=simulator.day.terms._replace(votes_per_second=2.0)
         )
         simulator.platform.state = ReleaseState(2, 0, ReleasePhase.ON_TRIAL, 0.08)
-        simulator.platform._calls = 4.0
+        simulator.platform._vote_tokens = 4.0
         for instance in range(9):
             simulator._vote(
                 instance, simulator.incarnations[instance], CastVote(2, 0, Verdict.PROMOTE)
@@ -169,10 +169,10 @@
         notified = [
             arguments[2]
             for _, _, call, arguments in simulator._scheduled_calls
-            if call == simulator.platform._told_vote
+            if call == simulator.platform._deliver_vote_outcome
         ]
         self.assertEqual((notified.count(Outcome.DONE), notified.count(Outcome.REJECTED)), (4, 5))
-        simulator.now = simulator.platform._calls_at = TICKS_PER_SECOND
+        simulator.now = simulator.platform._tokens_updated_at = TICKS_PER_SECOND
         simulator.now = 2 * TICKS_PER_SECOND
         simulator._vote(
             0, simulator.incarnations[0], CastVote(2, 1, Verdict.PROMOTE)
@@ -185,7 +185,7 @@
             [
                 arguments[2]
                 for _, _, call, arguments in simulator._scheduled_calls
-                if call == simulator.platform._told_vote
+                if call == simulator.platform._deliver_vote_outcome
             ],
         )
 
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -62,7 +62,7 @@
         self._simulator.servers.list_delay = int(fault.size) if begins else 0
 
     def _late_release_updates(self, fault: Fault, begins: bool) -> None:
-        self._simulator.platform.news_delay = int(fault.size) if begins else 0
+        self._simulator.platform.update_delay = int(fault.size) if begins else 0
 
     def _burst(self, fault: Fault, begins: bool) -> None:
         self._simulator.request_rate_factor = fault.size if begins else 1.0
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -14,9 +14,9 @@
 from .simulator import Simulator
 
 # Sampling interval; what happens in between is counted in one period.
-PERIOD: Ticks = TICKS_PER_SECOND // 2
+RECORDING_PERIOD: Ticks = TICKS_PER_SECOND // 2
 # Periods after the end of the day, in which the open requests end.
-SPARE_PERIODS = 8
+TRAILING_PERIODS = 8
 
 
 class PeriodSnapshot(NamedTuple):
@@ -38,25 +38,26 @@
     """Runs a day like Simulator and records time series.
 
     Attributes:
-        names: Numbers of the builds of the day.
-        sent: Number of attempts per period, by build.
-        how: Number of answers per period, by kind (done, deferred or abandoned).
-        cast: Number of votes per period, by verdict.
-        took: Latencies of the successful answers of each period, divided by the latency objective.
-        looks: Snapshots at the start of each period.
-        load: Seconds of queued work at each place, at the start of each period.
+        builds: Numbers of the builds of the day.
+        attempt_counts: Number of attempts per period, by build.
+        answer_counts: Number of answers per period, by kind (done, deferred or abandoned).
+        vote_counts: Number of votes per period, by verdict.
+        relative_latencies: Latencies of the successful answers of each period, divided by the
+            latency objective.
+        snapshots: Snapshots at the start of each period.
+        queued_seconds: Seconds of queued work at each place, at the start of each period.
     """
 
     def __init__(self, day: Day, policy: Any) -> None:
         super().__init__(day, policy)
-        size = day.span // PERIOD + SPARE_PERIODS
-        self.names = sorted({1, *(offer.build for offer in day.offers)})
-        self.sent = {build: np.zeros(size) for build in self.names}
-        self.how = {answer: np.zeros(size) for answer in Answer}
-        self.cast = {verdict: np.zeros(size) for verdict in Verdict}
-        self.took: list[list[float]] = [[] for _ in range(size)]
-        self.looks: list[PeriodSnapshot] = []
-        self.load: list[NDArray[np.float64]] = []
+        size = day.span // RECORDING_PERIOD + TRAILING_PERIODS
+        self.builds = sorted({1, *(offer.build for offer in day.offers)})
+        self.attempt_counts = {build: np.zeros(size) for build in self.builds}
+        self.answer_counts = {answer: np.zeros(size) for answer in Answer}
+        self.vote_counts = {verdict: np.zeros(size) for verdict in Verdict}
+        self.relative_latencies: list[list[float]] = [[] for _ in range(size)]
+        self.snapshots: list[PeriodSnapshot] = []
+        self.queued_seconds: list[NDArray[np.float64]] = []
 
     def run(self) -> Self:
         """Runs the whole day and returns itself."""
@@ -64,18 +65,18 @@
         return super().run()
 
     def _period(self) -> int:
-        return min(self.now // PERIOD, len(self.took) - 1)
+        return min(self.now // RECORDING_PERIOD, len(self.relative_latencies) - 1)
 
     def _record_snapshot(self) -> None:
         build, stage, phase, cap = self.platform.state
         running = [pod.build.number for pod in self.servers.pods_up(lambda _: True)]
-        counts = {name: running.count(name) for name in self.names}
-        self.looks.append(
+        counts = {name: running.count(name) for name in self.builds}
+        self.snapshots.append(
             PeriodSnapshot(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts)
         )
-        self.load.append(self._waiting_seconds())
+        self.queued_seconds.append(self._waiting_seconds())
         if self.now < self.day.span:
-            self.schedule_at(self.now + PERIOD, self._record_snapshot)
+            self.schedule_at(self.now + RECORDING_PERIOD, self._record_snapshot)
 
     def _waiting_seconds(self) -> NDArray[np.float64]:
         by_place = np.zeros(self.day.pods)
@@ -90,30 +91,32 @@
     def _send(self, instance: int, incarnation: int, action: SendAttempt) -> None:
         pod = self.servers.pods.get(action.endpoint)
         if pod:
-            self.sent[pod.build.number][self._period()] += 1
+            self.attempt_counts[pod.build.number][self._period()] += 1
         super()._send(instance, incarnation, action)
 
     def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
         request = self.requests.get((instance, name))
         if request is not None:
-            self.how[answer][self._period()] += 1
+            self.answer_counts[answer][self._period()] += 1
             if answer == Answer.DONE:
-                self.took[self._period()].append(
+                self.relative_latencies[self._period()].append(
                     (self.now - request.first_sent_at)
                     / self.lanes[request.lane].lane.latency_objective
                 )
         super()._answer(instance, name, answer, wait)
 
     def _vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
-        self.cast[vote.verdict][self._period()] += 1
+        self.vote_counts[vote.verdict][self._period()] += 1
         super()._vote(instance, incarnation, vote)
 
-    def late(self, share: float = 0.95) -> NDArray[np.float64]:
+    def latency_quantiles(self, quantile: float = 0.95) -> NDArray[np.float64]:
         """Returns a quantile of the latencies in each period.
 
         Latencies are in multiples of the latency objective; a period without answers gives 0.
 
         Args:
-            share: The quantile, between 0 and 1.
+            quantile: The quantile, between 0 and 1.
         """
-        return np.array([np.quantile(one, share) if one else 0.0 for one in self.took])
+        return np.array(
+            [np.quantile(one, quantile) if one else 0.0 for one in self.relative_latencies]
+        )
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -17,7 +17,7 @@
 from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import ReleasePhase, Verdict
 from .invariants import Answer
-from .recording import PERIOD, RecordingSimulator
+from .recording import RECORDING_PERIOD, RecordingSimulator
 from .scenarios import Day
 
 VERDICTS = {
@@ -27,7 +27,7 @@
     Verdict.ABORT: "back",
 }
 COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
-PERIODS_PER_SECOND = TICKS_PER_SECOND / PERIOD
+PERIODS_PER_SECOND = TICKS_PER_SECOND / RECORDING_PERIOD
 # Seconds of waiting work that get the brightest colour.
 BRIGHTEST_LOAD = 3
 # Not shown in the table: they are maps.
@@ -48,7 +48,7 @@
     for number, fault in enumerate(day.faults):
         axis.axvspan(
             fault.begin / TICKS_PER_SECOND,
-            max(fault.end, fault.begin + PERIOD) / TICKS_PER_SECOND,
+            max(fault.end, fault.begin + RECORDING_PERIOD) / TICKS_PER_SECOND,
             alpha=0.08,
             color=f"C{number}",
         )
@@ -57,7 +57,7 @@
 
 def draw_day(fleet: RecordingSimulator, path: str, title: str) -> None:
     """Draws a day that has been played into a PNG file."""
-    times = [look.at for look in fleet.looks]
+    times = [look.at for look in fleet.snapshots]
     figure, axes = pyplot.subplots(6, 1, figsize=(11, 15), sharex=True, constrained_layout=True)
     figure.suptitle(title)
     _draw_attempts(axes[0], fleet, times)
@@ -77,28 +77,31 @@
 def _draw_attempts(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
     axis.stackplot(
         times,
-        [fleet.sent[name][: len(times)] * PERIODS_PER_SECOND for name in fleet.names],
-        labels=[f"build {name}" for name in fleet.names],
+        [fleet.attempt_counts[name][: len(times)] * PERIODS_PER_SECOND for name in fleet.builds],
+        labels=[f"build {name}" for name in fleet.builds],
     )
     axis.set_ylabel("deliveries a second")
 
 
 def _draw_exposure(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    total = np.sum(list(fleet.sent.values()), axis=0)[: len(times)]
-    for name in fleet.names[1:]:
+    total = np.sum(list(fleet.attempt_counts.values()), axis=0)[: len(times)]
+    for name in fleet.builds[1:]:
         axis.plot(
             times,
-            [look.running[name] / fleet.day.pods for look in fleet.looks],
+            [look.running[name] / fleet.day.pods for look in fleet.snapshots],
             label=f"pods of build {name}",
         )
         axis.plot(
             times,
-            fleet.sent[name][: len(times)] / total.clip(1),
+            fleet.attempt_counts[name][: len(times)] / total.clip(1),
             label=f"deliveries to it, share of {name}",
         )
     axis.step(
         times,
-        [look.cap if look.phase == ReleasePhase.ON_TRIAL else float("nan") for look in fleet.looks],
+        [
+            look.cap if look.phase == ReleasePhase.ON_TRIAL else float("nan")
+            for look in fleet.snapshots
+        ],
         label="cap",
         color="black",
         linewidth=0.8,
@@ -110,7 +113,7 @@
     for how, colour in COLOURS.items():
         axis.plot(
             times,
-            fleet.how[Answer(how)][: len(times)] * PERIODS_PER_SECOND,
+            fleet.answer_counts[Answer(how)][: len(times)] * PERIODS_PER_SECOND,
             label=how,
             color=colour,
         )
@@ -119,8 +122,10 @@
 
 def _draw_votes(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
     for verdict, name in VERDICTS.items():
-        if fleet.cast[verdict].any():
-            axis.plot(times, fleet.cast[verdict][: len(times)] * PERIODS_PER_SECOND, label=name)
+        if fleet.vote_counts[verdict].any():
+            axis.plot(
+                times, fleet.vote_counts[verdict][: len(times)] * PERIODS_PER_SECOND, label=name
+            )
     axis.axhline(
         fleet.day.terms.votes_per_second,
         color="black",
@@ -132,14 +137,14 @@
 
 
 def _draw_latencies(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
-    axis.plot(times, fleet.late()[: len(times)], label="95% of the answers within")
+    axis.plot(times, fleet.latency_quantiles()[: len(times)], label="95% of the answers within")
     axis.axhline(1.0, color="black", linewidth=0.8)
     axis.set_ylabel("time, in goals")
 
 
 def _draw_load(axis: Any, fleet: RecordingSimulator, times: list[float]) -> None:
     axis.imshow(
-        [list(one) for one in zip(*fleet.load)],
+        [list(one) for one in zip(*fleet.queued_seconds)],
         aspect="auto",
         origin="lower",
         cmap="inferno",
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from .simulator import Simulator
 
-ANSWER_DELAY: Ticks = 500  # for one direction of a call
+ONE_WAY_CALL_DELAY: Ticks = 500  # for one direction of a call
 # Values of the call fault: calls get no answer, or are rejected.
 SILENT_CALLS = 0.0
 REFUSED_CALLS = 1.0
@@ -27,15 +27,15 @@
 # Ticks between the slowest server start and the start of the stage's clock.
 BOOT_MARGIN = TICKS_PER_SECOND
 ZONE_RETRY_DELAY = TICKS_PER_SECOND  # ticks until a server start in a lost zone is retried
-TRIAL_SHARE_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
+TRIAL_RATIO_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
 
-PHASES = {
+CHECKER_PHASES = {
     ReleasePhase.ON_TRIAL: RolloutPhase.TRIAL,
     ReleasePhase.ROLLING_BACK: RolloutPhase.ROLLING_BACK,
     ReleasePhase.RELEASED: RolloutPhase.RELEASED,
     ReleasePhase.WITHDRAWN: RolloutPhase.WITHDRAWN,
 }
-OPEN_PHASES = (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
+ACTIVE_PHASES = (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
 
 
 class ReleaseState(NamedTuple):
@@ -48,7 +48,7 @@
     """Maximum ratio of requests that may go to the build."""
 
 
-class StandingVote(NamedTuple):
+class LatestVote(NamedTuple):
     """An instance's latest vote."""
 
     verdict: Verdict
@@ -90,8 +90,8 @@
         simulator: The running simulation.
         state: State of the newest build's rollout.
         builds: All builds, by number.
-        trial_share: Moving average of the newest build's share of the attempts.
-        news_delay: Additional delay of release updates, in ticks.
+        trial_attempt_ratio: Moving average of the newest build's share of the attempts.
+        update_delay: Additional delay of release updates, in ticks.
         call_fault: SILENT_CALLS or REFUSED_CALLS during a fault of calls, else None.
     """
 
@@ -107,14 +107,14 @@
         last_stage = len(day.terms.stage_fractions) - 1
         self.state = ReleaseState(FIRST_BUILD, last_stage, ReleasePhase.RELEASED, 1.0)
         self.builds = {FIRST_BUILD: Build(FIRST_BUILD)}
-        self.trial_share = 0.0
-        self.news_delay: Ticks = 0
+        self.trial_attempt_ratio = 0.0
+        self.update_delay: Ticks = 0
         self.call_fault: float | None = None
         self._sample_draws = samples
-        self._votes: dict[int, StandingVote] = {}
+        self._votes: dict[int, LatestVote] = {}
         self._stage_began_at: Ticks = 0
-        self._calls: float = VOTE_BURST_SECONDS * day.terms.votes_per_second
-        self._calls_at: Ticks = 0
+        self._vote_tokens: float = VOTE_BURST_SECONDS * day.terms.votes_per_second
+        self._tokens_updated_at: Ticks = 0
         self._counted: dict[tuple[int, str], CountedAttempts] = {}
 
     def _set_phase(self, phase: ReleasePhase, cap: float) -> None:
@@ -126,10 +126,12 @@
         """Sends the state to each instance after a random delay."""
         simulator = self.simulator
         for instance in range(simulator.day.instances):
-            lag = simulator.day.news_lag * (0.5 + simulator.generator.random()) + self.news_delay
-            simulator.schedule_at(simulator.now + int(lag), self.told, instance, self.state)
+            lag = simulator.day.news_lag * (0.5 + simulator.generator.random()) + self.update_delay
+            simulator.schedule_at(
+                simulator.now + int(lag), self.deliver_update, instance, self.state
+            )
 
-    def told(
+    def deliver_update(
         self,
         instance: int,
         state: ReleaseState,
@@ -148,14 +150,14 @@
         if not simulator.is_running(instance) or simulator.is_cut_off_from_platform(instance):
             return
         if outcome == Outcome.DONE:
-            self.record_told(instance, state)
+            self.record_update(instance, state)
         simulator.deliver_event(instance, _update(state, answers, outcome))
 
     def send_current_state(self, instance: int) -> None:
         """Gives a starting instance the current state."""
         self.simulator.deliver_event(instance, _update(self.state, False, Outcome.DONE))
 
-    def record_told(self, instance: int, state: ReleaseState) -> None:
+    def record_update(self, instance: int, state: ReleaseState) -> None:
         """Reports to the checker what an instance is told."""
         self.simulator.checker.record_release_state(
             self.simulator.now,
@@ -163,21 +165,23 @@
             state.build,
             state.cap,
             state.stage,
-            phase=PHASES[state.phase],
+            phase=CHECKER_PHASES[state.phase],
         )
 
     # Counts.
 
-    def update_trial_share(self, build: int) -> None:
+    def update_trial_attempt_ratio(self, build: int) -> None:
         """Updates the newest build's share with one more attempt."""
-        self.trial_share += TRIAL_SHARE_GAIN * ((build == self.state.build) - self.trial_share)
+        self.trial_attempt_ratio += TRIAL_RATIO_GAIN * (
+            (build == self.state.build) - self.trial_attempt_ratio
+        )
 
     def slowdown_factor(self) -> float:
         """Returns the factor by which the newest build slows all servers."""
         shared = 0.0
-        if self.state.phase in OPEN_PHASES:
+        if self.state.phase in ACTIVE_PHASES:
             shared = self.builds[self.state.build].fleet_slowdown
-        return 1 + shared * self.trial_share
+        return 1 + shared * self.trial_attempt_ratio
 
     def sample_attempt(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Counts an ended attempt if it is drawn for the sample."""
@@ -221,7 +225,7 @@
 
     # Offers and stages.
 
-    def offer(self, offer: Offer) -> None:
+    def offer_build(self, offer: Offer) -> None:
         """Offers a build. A build that is still on trial is rolled back first."""
         simulator = self.simulator
         if self.state.phase == ReleasePhase.ON_TRIAL:
@@ -234,7 +238,7 @@
             min_load=offer.load,
             fleet_slowdown=offer.shared,
         )
-        self.trial_share = 0.0
+        self.trial_attempt_ratio = 0.0
         self.state = ReleaseState(offer.build, 0, ReleasePhase.ON_TRIAL, simulator.day.caps[0])
         self._votes = {}
         if offer.good:
@@ -264,7 +268,7 @@
 
     def _boot(self, build: int, place: int) -> None:
         simulator = self.simulator
-        if self.state.build != build or self.state.phase not in OPEN_PHASES:
+        if self.state.build != build or self.state.phase not in ACTIVE_PHASES:
             return
         if simulator.servers.zone_of(place) in simulator.servers.lost_zones:
             simulator.schedule_at(simulator.now + ZONE_RETRY_DELAY, self._boot, build, place)
@@ -311,7 +315,7 @@
 
     # Votes.
 
-    def vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
+    def receive_vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
         """Handles a vote that reaches the platform; the instance learns the outcome later."""
         simulator, vote_calls = self.simulator, self.simulator.results.vote_calls
         cut_off = simulator.incarnations[
@@ -320,15 +324,19 @@
         if cut_off or self.call_fault == SILENT_CALLS:
             wait = simulator.day.terms.vote_timeout
             simulator.schedule_at(
-                simulator.now + wait, self._told_vote, instance, incarnation, Outcome.TIMED_OUT
+                simulator.now + wait,
+                self._deliver_vote_outcome,
+                instance,
+                incarnation,
+                Outcome.TIMED_OUT,
             )
             return
         vote_calls["asked"] += 1
-        if not self._accept_call():
+        if not self._take_vote_token():
             vote_calls["full"] += 1
             simulator.schedule_at(
-                simulator.now + ANSWER_DELAY,
-                self._told_vote,
+                simulator.now + ONE_WAY_CALL_DELAY,
+                self._deliver_vote_outcome,
                 instance,
                 incarnation,
                 Outcome.REJECTED,
@@ -336,25 +344,29 @@
             return
         is_relevant = self._is_relevant(vote)
         if is_relevant:
-            self._votes[instance] = StandingVote(vote.verdict, simulator.now)
+            self._votes[instance] = LatestVote(vote.verdict, simulator.now)
             self._count_votes(vote.build, self.state.stage)
         else:
             vote_calls["moot"] += 1
         outcome = Outcome.DONE if is_relevant else Outcome.NOT_SENT
         simulator.schedule_at(
-            simulator.now + ANSWER_DELAY, self._told_vote, instance, incarnation, outcome
+            simulator.now + ONE_WAY_CALL_DELAY,
+            self._deliver_vote_outcome,
+            instance,
+            incarnation,
+            outcome,
         )
 
-    def _accept_call(self) -> bool:
+    def _take_vote_token(self) -> bool:
         """Returns whether the rate limit allows one more call, and counts the call if so."""
         simulator = self.simulator
         rate = simulator.day.terms.votes_per_second
-        refill = (simulator.now - self._calls_at) * rate / TICKS_PER_SECOND
-        self._calls = min(VOTE_BURST_SECONDS * rate, self._calls + refill)
-        self._calls_at = simulator.now
-        if self._calls < 1 or self.call_fault == REFUSED_CALLS:
+        refill = (simulator.now - self._tokens_updated_at) * rate / TICKS_PER_SECOND
+        self._vote_tokens = min(VOTE_BURST_SECONDS * rate, self._vote_tokens + refill)
+        self._tokens_updated_at = simulator.now
+        if self._vote_tokens < 1 or self.call_fault == REFUSED_CALLS:
             return False
-        self._calls -= 1
+        self._vote_tokens -= 1
         return True
 
     def _is_relevant(self, vote: CastVote) -> bool:
@@ -362,17 +374,17 @@
         return (
             vote.build == state.build
             and (vote.stage == state.stage or vote.verdict == Verdict.ABORT)
-            and state.phase in OPEN_PHASES
+            and state.phase in ACTIVE_PHASES
         )
 
-    def _told_vote(self, instance: int, incarnation: int, outcome: Outcome) -> None:
+    def _deliver_vote_outcome(self, instance: int, incarnation: int, outcome: Outcome) -> None:
         if self.simulator.incarnations[instance] == incarnation:
-            self.told(instance, self.state, True, outcome)
+            self.deliver_update(instance, self.state, True, outcome)
 
     def _count_votes(self, build: int, stage: int) -> None:
         """Advances or rolls back the build if the votes still valid decide so."""
         simulator, day, state = self.simulator, self.simulator.day, self.state
-        if (build, stage) != (state.build, state.stage) or state.phase not in OPEN_PHASES:
+        if (build, stage) != (state.build, state.stage) or state.phase not in ACTIVE_PHASES:
             return
         verdicts = [
             vote.verdict
--- a/thymeknot/simulation/simulated_requests.py
+++ b/thymeknot/simulation/simulated_requests.py
@@ -18,7 +18,7 @@
         key: The request's key.
         work: Mean service time in ticks on one core of speed 1.
         sent_at: When the attempt was sent.
-        pod: The server's address.
+        pod_name: The server's address.
         build: Build that the server ran at that time; 0 if there is no such server.
         has_ended: Whether the attempt has ended.
         has_connection: Whether the attempt holds a connection.
@@ -32,7 +32,7 @@
     key: str
     work: float
     sent_at: Ticks
-    pod: str
+    pod_name: str
     build: int
     has_ended: bool = False
     has_connection: bool = False
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -35,7 +35,7 @@
 from .server_fleet import Server, ServerFleet
 from .servers import PodState
 from .shared_services import IDLE_TIMEOUT, ConnectionKey, Connections, Discovery, poll_interval_of
-from .simulated_platform import ANSWER_DELAY, SimulatedPlatform
+from .simulated_platform import ONE_WAY_CALL_DELAY, SimulatedPlatform
 from .simulated_requests import SimulatedAttempt, SimulatedRequest
 
 DRAIN_GRACE: Ticks = 2_500  # in which a server may still get attempts after it was listed as gone
@@ -172,7 +172,7 @@
         for fault in day.faults:
             self._faults.schedule(fault)
         for offer in day.offers:
-            self.schedule_at(offer.at, self.platform.offer, offer)
+            self.schedule_at(offer.at, self.platform.offer_build, offer)
         self.schedule_at(0, self._arrive)
         if day.tally_every:
             self.schedule_at(day.tally_every, self.platform.end_period)
@@ -193,7 +193,7 @@
         self.engines[instance] = self._policy(self.day.terms, seed, self.now)
         listed = self.servers.endpoints()
         self.servers.record_known_pods(instance)
-        self.platform.record_told(instance, self.platform.state)
+        self.platform.record_update(instance, self.platform.state)
         if self.discovery:  # the instance has only its cached list until it is sent a new one
             generator = LinearCongruentialGenerator(
                 self.day.seed * 77 + instance * 13 + incarnation << 33
@@ -257,7 +257,9 @@
         elif isinstance(action, Fail):
             self._answer(instance, action.id, Answer.ABANDONED, 0)
         elif isinstance(action, CastVote):
-            self.schedule_at(self.now + ANSWER_DELAY, self._vote, instance, incarnation, action)
+            self.schedule_at(
+                self.now + ONE_WAY_CALL_DELAY, self._vote, instance, incarnation, action
+            )
 
     def _fire_timer(self, instance: int, incarnation: int, token: int) -> None:
         if self.incarnations[instance] == incarnation:
@@ -270,7 +272,7 @@
             self.schedule_at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
 
     def _vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
-        self.platform.vote(instance, incarnation, vote)
+        self.platform.receive_vote(instance, incarnation, vote)
 
     # Clients.
 
@@ -478,7 +480,7 @@
         )
         is_new = self.connections.opened_count > made
         self.results.dispatched_attempts += 1
-        self.platform.update_trial_share(attempt.build)
+        self.platform.update_trial_attempt_ratio(attempt.build)
         if not attempt.has_connection:
             refused_at = min(ends, self.now + REFUSAL_DELAY)
             self.schedule_at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
@@ -496,7 +498,7 @@
 
     def _arrive_at_server(self, attempt: SimulatedAttempt) -> None:
         """Handles the arrival of an attempt at its server."""
-        pod = self.servers.pods.get(attempt.pod)
+        pod = self.servers.pods.get(attempt.pod_name)
         attempt.work *= self.work_factor * self.platform.slowdown_factor()
         service_time = pod.submit(self.now, attempt) if pod else False
         if service_time is False:
@@ -504,16 +506,16 @@
                 self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False
             )
         elif service_time is not None:
-            self.schedule_at(self.now + service_time, self._served, pod, attempt)
+            self.schedule_at(self.now + service_time, self._finish_job, pod, attempt)
 
-    def _served(self, pod: Server, attempt: SimulatedAttempt) -> None:
+    def _finish_job(self, pod: Server, attempt: SimulatedAttempt) -> None:
         """Finishes the work of an attempt at its server."""
         if self.now < pod.paused_until:  # a paused server makes no progress
-            self.schedule_at(pod.paused_until + 1, self._served, pod, attempt)
+            self.schedule_at(pod.paused_until + 1, self._finish_job, pod, attempt)
             return
         following = pod.finish(self.now)
         if following:
-            self.schedule_at(self.now + following[1], self._served, pod, following[0])
+            self.schedule_at(self.now + following[1], self._finish_job, pod, following[0])
         if pod.state == PodState.DOWN:
             return
         self.checker.record_execution(self.now, attempt.request_id, attempt.lane)
@@ -558,7 +560,7 @@
         instance = attempt.instance
         if attempt.has_connection:
             is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
-            self.connections.release(self.now, _connection_key(attempt), attempt.pod, is_good)
+            self.connections.release(self.now, _connection_key(attempt), attempt.pod_name, is_good)
         if self.incarnations[instance] != attempt.incarnation or not self.is_running(instance):
             return
         if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
@@ -576,7 +578,7 @@
             outcome,
             is_answered or outcome == Outcome.DONE,
             self.now - attempt.sent_at,
-            attempt.pod,
+            attempt.pod_name,
             attempt.number,
             None,
         )
@@ -609,7 +611,7 @@
 
 
 def _connection_key(attempt: SimulatedAttempt) -> ConnectionKey:
-    return attempt.instance, attempt.incarnation, attempt.pod
+    return attempt.instance, attempt.incarnation, attempt.pod_name
 
 
 def _counted_in_flight(requests: Iterable[Any]) -> int:
