--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -88,7 +88,7 @@
 
     at: Ticks
     work: float
-    informed: bool
+    sender_knew_start: bool
     """Whether the sender knew when the server started."""
 
 
@@ -177,8 +177,8 @@
         self.known_starts: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
         self.max_warmup_load_ratio = 0.0
 
-    def _add_violation(self, rule: Rule, now: Ticks, text: str) -> None:
-        self.violations.append(Violation(rule, now, text))
+    def _add_violation(self, rule: Rule, at: Ticks, description: str) -> None:
+        self.violations.append(Violation(rule, at, description))
 
     # What instances learn.
 
@@ -203,41 +203,45 @@
 
     # What instances do.
 
-    def record_request(self, now: Ticks, instance: int, name: str, lane: str, ends: Ticks) -> None:
-        """Records the arrival of a request that must be answered by `ends`."""
-        self.open_requests[instance, name] = lane, ends
+    def record_request(
+        self, now: Ticks, instance: int, request_id: str, lane: str, deadline: Ticks
+    ) -> None:
+        """Records the arrival of a request that must be answered by `deadline`."""
+        self.open_requests[instance, request_id] = lane, deadline
         self.received_at[instance, lane if self.exposure_by_class else ""].append(now)
 
-    def record_answer(self, now: Ticks, instance: int, name: str, how: Answer) -> None:
+    def record_answer(self, now: Ticks, instance: int, request_id: str, answer: Answer) -> None:
         """Records and checks the answer to a request."""
-        open_request = self.open_requests.pop((instance, name), None)
+        open_request = self.open_requests.pop((instance, request_id), None)
         if open_request is None:
-            answered_before = (instance, name) in self.answers
+            answered_before = (instance, request_id) in self.answers
             self._add_violation(
                 Rule.ONE_ANSWER,
                 now,
-                f"{name}: {'a second answer' if answered_before else 'never taken'}",
+                f"{request_id}: {'a second answer' if answered_before else 'never taken'}",
             )
             return
-        lane, ends = open_request
-        self.answers[instance, name] = how
-        if now > ends + self.answer_tolerance:
-            self._add_violation(Rule.ONE_ANSWER, now, f"{name}: answered {now - ends} late")
-        if how == Answer.DEFERRED and self._may_have_run(now, instance, name, lane):
+        lane, deadline = open_request
+        self.answers[instance, request_id] = answer
+        if now > deadline + self.answer_tolerance:
+            self._add_violation(
+                Rule.ONE_ANSWER, now, f"{request_id}: answered {now - deadline} late"
+            )
+        if answer == Answer.DEFERRED and self._may_have_run(now, instance, request_id, lane):
             self._add_violation(
-                Rule.NO_UNSAFE_REPEAT, now, f"{name}: deferred though it may have run"
+                Rule.NO_UNSAFE_REPEAT, now, f"{request_id}: deferred though it may have run"
             )
 
-    def _possibly_run(self, instance: int, name: str) -> list[SentAttempt]:
+    def _possibly_run(self, instance: int, request_id: str) -> list[SentAttempt]:
         """Returns the attempts that ran or may have run."""
-        return [one for one in self.attempts_of[instance, name] if one.ran is not False]
+        return [one for one in self.attempts_of[instance, request_id] if one.ran is not False]
 
-    def _may_have_run(self, now: Ticks, instance: int, name: str, lane: str) -> bool:
+    def _may_have_run(self, now: Ticks, instance: int, request_id: str, lane: str) -> bool:
         """Returns whether a retry by the client could make the request run twice."""
         idempotency = self.lanes[lane].idempotency
         if idempotency == Idempotency.IDEMPOTENT:
             return False
-        possibly_run = self._possibly_run(instance, name)
+        possibly_run = self._possibly_run(instance, request_id)
         return bool(possibly_run) and (
             idempotency == Idempotency.NON_IDEMPOTENT
             or now > possibly_run[0].at + self.lanes[lane].deduplication_window
@@ -249,27 +253,27 @@
         Its open requests need no answer any more. The instance restarts without history: requests
         received before do not count towards its exposure allowance.
         """
-        for request in [key for key in self.open_requests if key[0] == instance]:
-            del self.open_requests[request]
+        for request_key in [key for key in self.open_requests if key[0] == instance]:
+            del self.open_requests[request_key]
         self.gone_since.pop(instance, None)
         self.key_builds.pop(instance, None)
         self.known_starts.pop(instance, None)
-        for received in [key for key in self.received_at if key[0] == instance]:
-            del self.received_at[received]
-        for tried in [key for key in self.trial_attempts_at if key[0] == instance]:
-            del self.trial_attempts_at[tried]
+        for window_key in [key for key in self.received_at if key[0] == instance]:
+            del self.received_at[window_key]
+        for trial_key in [key for key in self.trial_attempts_at if key[0] == instance]:
+            del self.trial_attempts_at[trial_key]
 
     def record_day_end(self, now: Ticks) -> None:
         """Records the end of the day: open requests past their deadline were lost."""
-        for (_, name), (_, ends) in self.open_requests.items():
-            if now > ends + self.answer_tolerance:
-                self._add_violation(Rule.ONE_ANSWER, now, f"{name}: no answer")
+        for (_, request_id), (_, deadline) in self.open_requests.items():
+            if now > deadline + self.answer_tolerance:
+                self._add_violation(Rule.ONE_ANSWER, now, f"{request_id}: no answer")
 
     def record_attempt(
         self,
         now: Ticks,
         instance: int,
-        name: str,
+        request_id: str,
         pod: str,
         build: int,
         *,
@@ -284,7 +288,7 @@
         Args:
             now: The time.
             instance: The sending instance.
-            name: Name of the request.
+            request_id: Name of the request.
             pod: Address of the server.
             build: Build that the server runs.
             lane: The request class.
@@ -293,129 +297,152 @@
             started: When the server started; 0 for long ago.
             capacity: Work per tick that the server does after its warm-up.
         """
-        learned = self.gone_since[instance].get(pod)
-        if learned is not None and now > learned + self.drain_grace:
+        gone_learned_at = self.gone_since[instance].get(pod)
+        if gone_learned_at is not None and now > gone_learned_at + self.drain_grace:
             self._add_violation(
-                Rule.DRAINED, now, f"{name}: to {pod} {now - learned} after it was told gone"
+                Rule.DRAINED,
+                now,
+                f"{request_id}: to {pod} {now - gone_learned_at} after it was told gone",
             )
-        self._check_repeat(now, instance, name, lane)
-        self.attempts_of[instance, name].append(SentAttempt(now))
-        if (instance, name) in self.answers:
-            self._add_violation(Rule.ONE_ANSWER, now, f"{name}: sent after its answer")
-        self._check_trial(now, instance, name, build, lane=lane, key=key)
+        self._check_repeat(now, instance, request_id, lane)
+        self.attempts_of[instance, request_id].append(SentAttempt(now))
+        if (instance, request_id) in self.answers:
+            self._add_violation(Rule.ONE_ANSWER, now, f"{request_id}: sent after its answer")
+        self._check_trial(now, instance, request_id, build, lane=lane, key=key)
         if started and now < started + self.warmup_duration:
-            informed = self.known_starts[instance].get(pod) == started
-            sent = self.warmup_work[pod, started]
-            sent.append(WarmupWork(now, work, informed))
-            self._check_warmup(pod, started, sent, capacity)
-
-    def _check_repeat(self, now: Ticks, instance: int, name: str, lane: str) -> None:
-        earlier = self._possibly_run(instance, name)
-        if not earlier:
+            knew_start = self.known_starts[instance].get(pod) == started
+            warmup_work = self.warmup_work[pod, started]
+            warmup_work.append(WarmupWork(now, work, knew_start))
+            self._check_warmup(pod, started, warmup_work, capacity)
+
+    def _check_repeat(self, now: Ticks, instance: int, request_id: str, lane: str) -> None:
+        earlier_attempts = self._possibly_run(instance, request_id)
+        if not earlier_attempts:
             return
         idempotency = self.lanes[lane].idempotency
         if idempotency == Idempotency.NON_IDEMPOTENT:
             self._add_violation(
-                Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again though it may have run"
+                Rule.NO_UNSAFE_REPEAT, now, f"{request_id}: sent again though it may have run"
             )
         if (
             idempotency == Idempotency.KEYED
-            and now > earlier[0].at + self.lanes[lane].deduplication_window
+            and now > earlier_attempts[0].at + self.lanes[lane].deduplication_window
         ):
-            self._add_violation(Rule.NO_UNSAFE_REPEAT, now, f"{name}: sent again after its window")
+            self._add_violation(
+                Rule.NO_UNSAFE_REPEAT, now, f"{request_id}: sent again after its window"
+            )
 
     def _check_trial(
-        self, now: Ticks, instance: int, name: str, build: int, *, lane: str, key: str | None
+        self, now: Ticks, instance: int, request_id: str, build: int, *, lane: str, key: str | None
     ) -> None:
-        told = self.cap_updates[instance][-1] if self.cap_updates[instance] else None
-        if told is None:
+        newest_update = self.cap_updates[instance][-1] if self.cap_updates[instance] else None
+        if newest_update is None:
             return
-        newest = told.build
+        newest_build = newest_update.build
         if (
             key is not None
             and key in self.key_builds[instance]
-            and self.key_builds[instance][key] == newest > build
-            and told.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED)
+            and self.key_builds[instance][key] == newest_build > build
+            and newest_update.phase in (RolloutPhase.TRIAL, RolloutPhase.RELEASED)
         ):
             self._add_violation(
                 Rule.EXPOSURE,
                 now,
-                f"{name}: its key was answered by build {newest} and goes to {build}",
+                f"{request_id}: its key was answered by build {newest_build} and goes to {build}",
             )
-        if build != newest or told.phase != RolloutPhase.TRIAL:
+        if build != newest_build or newest_update.phase != RolloutPhase.TRIAL:
             return
         if (
-            told.stage < self.guarded_stages
+            newest_update.stage < self.guarded_stages
             and self.lanes[lane].idempotency != Idempotency.IDEMPOTENT
         ):
-            self._add_violation(Rule.EXPOSURE, now, f"{name}: {lane} in guarded stage {told.stage}")
-        self._check_exposure(now, instance, name, told, lane if self.exposure_by_class else "")
+            self._add_violation(
+                Rule.EXPOSURE, now, f"{request_id}: {lane} in guarded stage {newest_update.stage}"
+            )
+        self._check_exposure(
+            now, instance, request_id, newest_update, lane if self.exposure_by_class else ""
+        )
 
     def _check_exposure(
-        self, now: Ticks, instance: int, name: str, told: CapUpdate, counted: str
+        self,
+        now: Ticks,
+        instance: int,
+        request_id: str,
+        newest_update: CapUpdate,
+        counted_class: str,
     ) -> None:
         """Checks an attempt at the build on trial against the highest cap in the window."""
-        tried = self.trial_attempts_at[instance, told.build, counted]
-        taken = self.received_at[instance, counted]
-        tried.append(now)
-        within = len(tried) - bisect_left(tried, now - self.exposure_window)
-        known = len(taken) - bisect_left(taken, now - self.exposure_window)
+        attempt_times = self.trial_attempts_at[instance, newest_update.build, counted_class]
+        request_times = self.received_at[instance, counted_class]
+        attempt_times.append(now)
+        attempt_count = len(attempt_times) - bisect_left(attempt_times, now - self.exposure_window)
+        request_count = len(request_times) - bisect_left(request_times, now - self.exposure_window)
         # A lowered cap takes effect only when the window has passed.
-        recent = [
+        recent_caps = [
             one.cap
             for one in self.cap_updates[instance]
-            if one.build == told.build and one.at > now - self.exposure_window
+            if one.build == newest_update.build and one.at > now - self.exposure_window
         ]
-        highest = max([*recent, told.cap])
-        if within > self.exposure_allowance + highest * known + EXPOSURE_ROUNDING:
+        max_cap = max([*recent_caps, newest_update.cap])
+        if attempt_count > self.exposure_allowance + max_cap * request_count + EXPOSURE_ROUNDING:
             self._add_violation(
                 Rule.EXPOSURE,
                 now,
-                f"{name}: {within} deliveries to build {told.build}, {self.exposure_allowance} and "
-                f"{highest} of {known} allowed",
+                f"{request_id}: {attempt_count} deliveries to build {newest_update.build}, "
+                f"{self.exposure_allowance} and {max_cap} of {request_count} allowed",
             )
 
     def _check_warmup(
-        self, pod: str, started: Ticks, sent: list[WarmupWork], capacity: float
+        self, pod: str, started: Ticks, warmup_work: list[WarmupWork], capacity: float
     ) -> None:
         """Compares the work sent by all instances with what overloads a server."""
-        now = sent[-1].at
-        begin = now - self.overload_window
-        share = (
+        now = warmup_work[-1].at
+        window_start = now - self.overload_window
+        capacity_fraction = (
             self.warmup_initial_fraction
-            + (1 - self.warmup_initial_fraction) * max(0, begin - started) / self.warmup_duration
+            + (1 - self.warmup_initial_fraction)
+            * max(0, window_start - started)
+            / self.warmup_duration
         )
-        total = sum(one.work for one in sent if one.at > begin)
-        known = sum(one.work for one in sent if one.at > begin and one.informed)
-        overload_work = self.overload_factor * share * capacity * self.overload_window
-        allowed = overload_work * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * sent[-1].work
-        self.max_warmup_load_ratio = max(self.max_warmup_load_ratio, total / allowed)
+        total_work = sum(one.work for one in warmup_work if one.at > window_start)
+        informed_work = sum(
+            one.work for one in warmup_work if one.at > window_start and one.sender_knew_start
+        )
+        overload_work = self.overload_factor * capacity_fraction * capacity * self.overload_window
+        allowed_work = (
+            overload_work * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * warmup_work[-1].work
+        )
+        self.max_warmup_load_ratio = max(self.max_warmup_load_ratio, total_work / allowed_work)
         # The instances are at fault if two thirds of the work came from those that knew the start.
-        if total > allowed and known >= total * 2 / 3:
+        if total_work > allowed_work and informed_work >= total_work * 2 / 3:
             self._add_violation(
                 Rule.WARMUP,
                 now,
-                f"{pod}: {total:.0f} of work in {self.overload_window}, "
+                f"{pod}: {total_work:.0f} of work in {self.overload_window}, "
                 f"{overload_work:.0f} push it over",
             )
 
-    def record_attempt_end(self, instance: int, name: str, number: int, ran: bool | None) -> None:
+    def record_attempt_end(
+        self, instance: int, request_id: str, number: int, ran: bool | None
+    ) -> None:
         """Records whether an ended attempt ran (True), never ran (False) or may have run (None)."""
-        self.attempts_of[instance, name][number].ran = ran
+        self.attempts_of[instance, request_id][number].ran = ran
 
     def record_key_answer(self, instance: int, key: str, build: int) -> None:
         """Records that a build answered a request with this key."""
         self.key_builds[instance][key] = build
 
-    def record_execution(self, now: Ticks, name: str, lane: str) -> None:
+    def record_execution(self, now: Ticks, request_id: str, lane: str) -> None:
         """Records and checks that a server executed a request."""
-        self.execution_times[name].append(now)
+        self.execution_times[request_id].append(now)
         if (
             self.lanes[lane].idempotency == Idempotency.NON_IDEMPOTENT
-            and len(self.execution_times[name]) > 1
+            and len(self.execution_times[request_id]) > 1
         ):
             self._add_violation(
-                Rule.NO_UNSAFE_REPEAT, now, f"{name}: ran {len(self.execution_times[name])} times"
+                Rule.NO_UNSAFE_REPEAT,
+                now,
+                f"{request_id}: ran {len(self.execution_times[request_id])} times",
             )
 
     def violated_rules(self) -> list[int]:
