--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -129,8 +129,8 @@
         self.assertEqual(reached, {"a": (False, True), "b": (True, False), "c": (False, True)})
         self.assertEqual(
             (
-                simulator.is_cut_off_from_platform(inside),
-                simulator.is_cut_off_from_platform(outside),
+                simulator.is_cut_off(inside),
+                simulator.is_cut_off(outside),
             ),
             (True, False),
         )
--- a/thymeknot/simulation/day_results.py
+++ b/thymeknot/simulation/day_results.py
@@ -165,18 +165,18 @@
         day_seconds = self.day.span // TICKS_PER_SECOND
         for begin in range(max(1, day_seconds - length)):
             window = self.seconds[begin : begin + length]
-            asked = sum(one.possible_earnings for one in window)
+            possible = sum(one.possible_earnings for one in window)
             earned = sum(one.earnings for one in window)
-            worst = min(worst, earned / asked if asked else 1.0)
+            worst = min(worst, earned / possible if possible else 1.0)
         return worst
 
     def rejection_ratios(self, begin: int = 0, end: int | None = None) -> RejectionRatios:
         """Returns the rejected ratios between two seconds of the day."""
         window = self.seconds[begin:end]
-        tries = max(1, sum(one.requests for one in window))
+        requests = max(1, sum(one.requests for one in window))
         rejected = sum(one.rejections for one in window)
         needless = sum(one.needless_rejections for one in window)
-        return RejectionRatios(rejected / tries, needless / tries)
+        return RejectionRatios(rejected / requests, needless / requests)
 
     def recovery_seconds(self, end: Ticks, max_rejected_ratio: float = 0.05) -> int:
         """Returns how many seconds after a moment the fleet has recovered from rejecting requests.
@@ -208,14 +208,14 @@
         event_times = {
             entry.kind: entry.at for entry in self.rollout_events if entry.build == build
         }
-        released = event_times.get(RolloutEventKind.RELEASED, end)
-        begin = event_times.get(
+        released_at = event_times.get(RolloutEventKind.RELEASED, end)
+        harmful_from = event_times.get(
             RolloutEventKind.RELEASED, event_times.get(RolloutEventKind.STAGE, end)
         )
-        back = max(begin, event_times.get(RolloutEventKind.ROLLED_BACK, end))
+        rolled_back_at = max(harmful_from, event_times.get(RolloutEventKind.ROLLED_BACK, end))
         return BuildTimes(
-            (released - event_times.get(RolloutEventKind.OFFERED, end)) / TICKS_PER_SECOND,
-            (back - begin) / TICKS_PER_SECOND,
+            (released_at - event_times.get(RolloutEventKind.OFFERED, end)) / TICKS_PER_SECOND,
+            (rolled_back_at - harmful_from) / TICKS_PER_SECOND,
         )
 
     def net_earnings_ratio(self, outdated_cost: float = 0.5, harm_cost: float = 5.0) -> float:
@@ -225,10 +225,10 @@
             outdated_cost: Cost per unit of earnings from outdated builds.
             harm_cost: Cost per unit of harm.
         """
-        asked = max(MIN_POSSIBLE_EARNINGS, self.possible_earnings)
+        possible = max(MIN_POSSIBLE_EARNINGS, self.possible_earnings)
         return (
             self.earnings_ratio()
-            - (outdated_cost * self.outdated_earnings + harm_cost * self.harm) / asked
+            - (outdated_cost * self.outdated_earnings + harm_cost * self.harm) / possible
         )
 
     def figures(self, checker: InvariantChecker) -> dict[str, Any]:
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -47,13 +47,13 @@
                 pod.speed *= 1 / fault.size if begins else fault.size
 
     def _errors(self, fault: Fault, begins: bool) -> None:
-        failing = self._simulator.servers.extra_failure_ratios
+        failure_ratios = self._simulator.servers.extra_failure_ratios
         for place in fault.what:
-            name = f"p{place}-{FIRST_BUILD}"
+            address = f"p{place}-{FIRST_BUILD}"
             if begins:
-                failing[name] = fault.size
+                failure_ratios[address] = fault.size
             else:
-                failing.pop(name, None)
+                failure_ratios.pop(address, None)
 
     def _connection_loss(self, fault: Fault, begins: bool) -> None:
         self._simulator.attempt_loss_ratio = fault.size if begins else self._simulator.day.loss
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -70,7 +70,7 @@
     def _record_snapshot(self) -> None:
         build, stage, phase, cap = self.platform.state
         running = [pod.build.number for pod in self.servers.pods_up(lambda _: True)]
-        counts = {name: running.count(name) for name in self.builds}
+        counts = {build_number: running.count(build_number) for build_number in self.builds}
         self.snapshots.append(
             PeriodSnapshot(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts)
         )
@@ -94,8 +94,8 @@
             self.attempt_counts[pod.build.number][self._period()] += 1
         super()._send(instance, incarnation, action)
 
-    def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
-        request = self.requests.get((instance, name))
+    def _answer(self, instance: int, request_id: str, answer: Answer, retry_after: Ticks) -> None:
+        request = self.requests.get((instance, request_id))
         if request is not None:
             self.answer_counts[answer][self._period()] += 1
             if answer == Answer.DONE:
@@ -103,7 +103,7 @@
                     (self.now - request.first_sent_at)
                     / self.lanes[request.lane].lane.latency_objective
                 )
-        super()._answer(instance, name, answer, wait)
+        super()._answer(instance, request_id, answer, retry_after)
 
     def _vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
         self.vote_counts[vote.verdict][self._period()] += 1
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -54,7 +54,7 @@
         self.extra_failure_ratios: dict[str, float] = {}
         self.lost_zones: set[str] = set()
         self.list_delay: Ticks = 0
-        self._changes: dict[str, Endpoint] = {}  # not yet sent, by address
+        self._pending_changes: dict[str, Endpoint] = {}  # not yet sent, by address
         day = simulator.day
         for place, speed in enumerate(day.speeds):
             name = f"p{place}-{FIRST_BUILD}"
@@ -101,12 +101,12 @@
     def drain(self, predicate: Callable[[Server], bool]) -> None:
         """Begins to drain the servers that satisfy the predicate; they are removed later."""
         simulator = self.simulator
-        leaving = self.pods_up(predicate)
-        for pod in leaving:
+        drained_pods = self.pods_up(predicate)
+        for pod in drained_pods:
             pod.state = PodState.DRAINING
             simulator.schedule_at(simulator.now + simulator.day.gone_after, self._remove, pod)
-        if leaving:
-            self.announce(*(self.endpoint_of(pod) for pod in leaving))
+        if drained_pods:
+            self.announce(*(self.endpoint_of(pod) for pod in drained_pods))
 
     def _remove(self, pod: Server) -> None:
         pod.state = PodState.DOWN
@@ -169,8 +169,10 @@
 
     def endpoints(self) -> tuple[Endpoint, ...]:
         """Returns the complete endpoint list."""
-        listed = (PodState.UP, PodState.DRAINING)
-        return tuple(self.endpoint_of(pod) for pod in self.pods.values() if pod.state in listed)
+        listed_states = (PodState.UP, PodState.DRAINING)
+        return tuple(
+            self.endpoint_of(pod) for pod in self.pods.values() if pod.state in listed_states
+        )
 
     def announce(self, *entries: Endpoint) -> None:
         """Sends changes at once, or batched if the day sets an interval for lists."""
@@ -178,13 +180,13 @@
         if not simulator.day.list_every:
             self._send(entries)
             return
-        if not self._changes:
+        if not self._pending_changes:
             simulator.schedule_at(simulator.now + simulator.day.list_every, self._send_changes)
-        self._changes.update((entry.address, entry) for entry in entries)
+        self._pending_changes.update((entry.address, entry) for entry in entries)
 
     def _send_changes(self) -> None:
-        self._send(tuple(self._changes.values()))
-        self._changes = {}
+        self._send(tuple(self._pending_changes.values()))
+        self._pending_changes = {}
 
     def _send(self, entries: Sequence[Endpoint]) -> None:
         """Schedules the delivery of changes to each instance after a random delay."""
@@ -210,8 +212,8 @@
         checker = self.simulator.checker
         for entry in entries:
             is_ready = entry.condition == EndpointCondition.READY
-            listed = ListedState.READY if is_ready else ListedState.GONE
-            checker.record_endpoint_state(self.simulator.now, instance, entry.address, listed)
+            state = ListedState.READY if is_ready else ListedState.GONE
+            checker.record_endpoint_state(self.simulator.now, instance, entry.address, state)
             checker.record_server_start(instance, entry.address, entry.started)
 
     def record_known_pods(self, instance: int) -> None:
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -105,24 +105,24 @@
         self.queue: deque[tuple[Ticks, Callable[[bool], None]]] = deque()
         self.call_count = 0
         self.rejected_count = 0
-        self.schedule_at(self.now() + self.answer_interval, self._next)
+        self.schedule_at(self.now() + self.answer_interval, self._answer_next)
 
-    def call(self, end: Callable[[bool], None]) -> None:
-        """Makes a call; `end` is called once with whether the call was answered."""
+    def call(self, callback: Callable[[bool], None]) -> None:
+        """Makes a call; `callback` is called once with whether the call was answered."""
         self.call_count += 1
         if len(self.queue) >= self.queue_limit:
             self.rejected_count += 1
-            self.schedule_at(self.now() + QUEUE_FULL_DELAY, end, False)
+            self.schedule_at(self.now() + QUEUE_FULL_DELAY, callback, False)
         else:
-            self.queue.append((self.now(), end))
+            self.queue.append((self.now(), callback))
 
-    def _next(self) -> None:
-        self.schedule_at(self.now() + self.answer_interval, self._next)
+    def _answer_next(self) -> None:
+        self.schedule_at(self.now() + self.answer_interval, self._answer_next)
         if self.queue:
-            queued_at, end = self.queue.popleft()
-            good = self.now() <= queued_at + MAX_CALL_WAIT
-            self.rejected_count += not good
-            end(good)
+            queued_at, callback = self.queue.popleft()
+            in_time = self.now() <= queued_at + MAX_CALL_WAIT
+            self.rejected_count += not in_time
+            callback(in_time)
 
 
 class Poller(NamedTuple):
@@ -174,24 +174,26 @@
         """
         self.watch_streams.pop(instance, None)
         poller = Poller(instance, incarnation, poll_interval)
-        self.schedule_at(self.now() + poll_interval.initial_wait(callers), self._ask, poller, True)
+        self.schedule_at(
+            self.now() + poll_interval.initial_wait(callers), self._request_list, poller, True
+        )
         if getattr(poll_interval, "makes_two_initial_calls", False):
-            self.schedule_at(self.now(), self._ask, poller, False)
+            self.schedule_at(self.now(), self._request_list, poller, False)
 
-    def _ask(self, poller: Poller, watch: bool) -> None:
-        def ended(good: bool) -> None:
-            if good and watch:
+    def _request_list(self, poller: Poller, watch: bool) -> None:
+        def handle_result(answered: bool) -> None:
+            if answered and watch:
                 self.watch_streams[poller.instance] = poller.incarnation
-            if good:
+            if answered:
                 self.deliver(poller.instance, poller.incarnation, True)
             elif watch or self.watch_streams.get(poller.instance) != poller.incarnation:
                 wait = self._wait_after_refusal(poller.poll_interval, watch)
-                self.schedule_at(self.now() + wait, self._ask, poller, watch)
+                self.schedule_at(self.now() + wait, self._request_list, poller, watch)
 
         if self.deliver(
             poller.instance, poller.incarnation, False
         ):  # otherwise it has stopped since
-            self.call(ended)
+            self.call(handle_result)
 
     @staticmethod
     def _wait_after_refusal(poll_interval: PollInterval, watch: bool) -> Ticks:
@@ -232,7 +234,7 @@
         if (
             self.max_per_server
             and self.open_counts.get(pod, 0) >= self.max_per_server
-            and not self._expire(now, pod)
+            and not self._close_expired(now, pod)
         ):
             self.refused_count += 1
             return False
@@ -240,25 +242,25 @@
         self.opened_count += 1
         return True
 
-    def _expire(self, now: Ticks, pod: str) -> bool:
+    def _close_expired(self, now: Ticks, pod: str) -> bool:
         """Closes expired idle connections of a server; returns whether there were any."""
-        before = self.open_counts[pod]
+        count_before = self.open_counts[pod]
         for (_, _, server), idle in self.idle_since.items():
             if server == pod:
                 self.open_counts[pod] -= sum(now > at + IDLE_TIMEOUT for at in idle)
                 idle[:] = [at for at in idle if now <= at + IDLE_TIMEOUT]
-        return self.open_counts[pod] < before
+        return self.open_counts[pod] < count_before
 
-    def release(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
+    def release(self, now: Ticks, key: ConnectionKey, pod: str, reusable: bool) -> None:
         """Returns a connection after an attempt: it becomes idle if good, else it is closed."""
-        if good and key in self.idle_since:
+        if reusable and key in self.idle_since:
             self.idle_since[key].append(now)
         else:
             self.open_counts[pod] -= 1
 
-    def close_idle(self, gone: Callable[[ConnectionKey], bool]) -> None:
-        """Closes the idle connections of all keys for which `gone` returns true."""
-        for key in [key for key in self.idle_since if gone(key)]:
+    def close_idle(self, predicate: Callable[[ConnectionKey], bool]) -> None:
+        """Closes the idle connections of all keys for which `predicate` returns true."""
+        for key in [key for key in self.idle_since if predicate(key)]:
             self.open_counts[key[2]] -= len(self.idle_since.pop(key))
 
 
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -95,12 +95,13 @@
         call_fault: SILENT_CALLS or REFUSED_CALLS during a fault of calls, else None.
     """
 
-    def __init__(self, simulator: "Simulator", samples: Stream) -> None:
+    def __init__(self, simulator: "Simulator", sample_draws: Stream) -> None:
         """Starts with the first build released.
 
         Args:
             simulator: The running simulation.
-            samples: Random numbers that decide which attempts are counted and when counts arrive.
+            sample_draws: Random numbers that decide which attempts are counted and when counts
+                arrive.
         """
         day = simulator.day
         self.simulator = simulator
@@ -110,9 +111,9 @@
         self.trial_attempt_ratio = 0.0
         self.update_delay: Ticks = 0
         self.call_fault: float | None = None
-        self._sample_draws = samples
+        self._sample_draws = sample_draws
         self._votes: dict[int, LatestVote] = {}
-        self._stage_began_at: Ticks = 0
+        self._stage_started_at: Ticks = 0
         self._vote_tokens: float = VOTE_BURST_SECONDS * day.terms.votes_per_second
         self._tokens_updated_at: Ticks = 0
         self._counted: dict[tuple[int, str], CountedAttempts] = {}
@@ -135,7 +136,7 @@
         self,
         instance: int,
         state: ReleaseState,
-        answers: bool = False,
+        answers_vote: bool = False,
         outcome: Outcome = Outcome.DONE,
     ) -> None:
         """Delivers a release update to an instance, unless it is cut off from the platform.
@@ -143,19 +144,19 @@
         Args:
             instance: The receiving instance.
             state: The state at the time of sending.
-            answers: Whether the update answers a vote.
+            answers_vote: Whether the update answers a vote.
             outcome: Outcome of the vote call.
         """
         simulator = self.simulator
-        if not simulator.is_running(instance) or simulator.is_cut_off_from_platform(instance):
+        if not simulator.is_running(instance) or simulator.is_cut_off(instance):
             return
         if outcome == Outcome.DONE:
             self.record_update(instance, state)
-        simulator.deliver_event(instance, _update(state, answers, outcome))
+        simulator.deliver_event(instance, _release_update(state, answers_vote, outcome))
 
     def send_current_state(self, instance: int) -> None:
         """Gives a starting instance the current state."""
-        self.simulator.deliver_event(instance, _update(self.state, False, Outcome.DONE))
+        self.simulator.deliver_event(instance, _release_update(self.state, False, Outcome.DONE))
 
     def record_update(self, instance: int, state: ReleaseState) -> None:
         """Reports to the checker what an instance is told."""
@@ -178,10 +179,10 @@
 
     def slowdown_factor(self) -> float:
         """Returns the factor by which the newest build slows all servers."""
-        shared = 0.0
+        fleet_slowdown = 0.0
         if self.state.phase in ACTIVE_PHASES:
-            shared = self.builds[self.state.build].fleet_slowdown
-        return 1 + shared * self.trial_attempt_ratio
+            fleet_slowdown = self.builds[self.state.build].fleet_slowdown
+        return 1 + fleet_slowdown * self.trial_attempt_ratio
 
     def sample_attempt(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Counts an ended attempt if it is drawn for the sample."""
@@ -218,7 +219,7 @@
             simulator.schedule_at(simulator.now + simulator.day.tally_every, self.end_period)
 
     def _deliver_counts(self, instance: int, rows: Sequence[CountsRow], end: Ticks) -> None:
-        if self.simulator.is_cut_off_from_platform(instance) or self.call_fault is not None:
+        if self.simulator.is_cut_off(instance) or self.call_fault is not None:
             return  # lost counts are not sent again
         for row in rows:
             self.simulator.deliver_event(instance, FleetCounts(*row, self.simulator.now - end))
@@ -244,34 +245,36 @@
         if offer.good:
             simulator.results.newest_good_build = offer.build
         simulator.results.add_rollout_event(simulator.now, offer.build, RolloutEventKind.OFFERED)
-        self._begin_stage()
+        self._start_stage()
 
-    def _begin_stage(self) -> None:
+    def _start_stage(self) -> None:
         simulator, day = self.simulator, self.simulator.day
         build, stage = self.state.build, self.state.stage
         simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.STAGE)
         self.announce()
         server_count = max(1, round(day.terms.stage_fractions[stage] * day.pods))
-        running = sum(pod.build.number == build for pod in simulator.servers.pods.values())
-        places = range(running, server_count)
+        running_count = sum(pod.build.number == build for pod in simulator.servers.pods.values())
+        places = range(running_count, server_count)
         spread = day.boot_spread
         boot_delays = [
             int(day.boot * (1 - spread + 2 * spread * simulator.generator.random())) for _ in places
         ]
         for place, boot_delay in zip(places, boot_delays, strict=True):
-            simulator.schedule_at(simulator.now + boot_delay, self._boot, build, place)
+            simulator.schedule_at(simulator.now + boot_delay, self._start_server, build, place)
         boot_wait = max(boot_delays, default=0) + BOOT_MARGIN if day.machines_first else 0
-        self._stage_began_at = simulator.now + boot_wait
+        self._stage_started_at = simulator.now + boot_wait
         simulator.schedule_at(
-            self._stage_began_at + day.stage_least, self._count_votes, build, stage
+            self._stage_started_at + day.stage_least, self._count_votes, build, stage
         )
 
-    def _boot(self, build: int, place: int) -> None:
+    def _start_server(self, build: int, place: int) -> None:
         simulator = self.simulator
         if self.state.build != build or self.state.phase not in ACTIVE_PHASES:
             return
         if simulator.servers.zone_of(place) in simulator.servers.lost_zones:
-            simulator.schedule_at(simulator.now + ZONE_RETRY_DELAY, self._boot, build, place)
+            simulator.schedule_at(
+                simulator.now + ZONE_RETRY_DELAY, self._start_server, build, place
+            )
             return
         simulator.servers.start(f"p{place}-{build}", place, self.builds[build])
 
@@ -318,9 +321,7 @@
     def receive_vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
         """Handles a vote that reaches the platform; the instance learns the outcome later."""
         simulator, vote_calls = self.simulator, self.simulator.results.vote_calls
-        cut_off = simulator.incarnations[
-            instance
-        ] != incarnation or simulator.is_cut_off_from_platform(instance)
+        cut_off = simulator.incarnations[instance] != incarnation or simulator.is_cut_off(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
             wait = simulator.day.terms.vote_timeout
             simulator.schedule_at(
@@ -342,13 +343,13 @@
                 Outcome.REJECTED,
             )
             return
-        is_relevant = self._is_relevant(vote)
-        if is_relevant:
+        is_current = self._is_current_vote(vote)
+        if is_current:
             self._votes[instance] = LatestVote(vote.verdict, simulator.now)
             self._count_votes(vote.build, self.state.stage)
         else:
             vote_calls["moot"] += 1
-        outcome = Outcome.DONE if is_relevant else Outcome.NOT_SENT
+        outcome = Outcome.DONE if is_current else Outcome.NOT_SENT
         simulator.schedule_at(
             simulator.now + ONE_WAY_CALL_DELAY,
             self._deliver_vote_outcome,
@@ -369,7 +370,7 @@
         self._vote_tokens -= 1
         return True
 
-    def _is_relevant(self, vote: CastVote) -> bool:
+    def _is_current_vote(self, vote: CastVote) -> bool:
         state = self.state
         return (
             vote.build == state.build
@@ -398,7 +399,7 @@
         elif (
             state.phase == ReleasePhase.ON_TRIAL
             and verdicts.count(Verdict.PROMOTE) >= needed
-            and simulator.now >= self._stage_began_at + day.stage_least
+            and simulator.now >= self._stage_started_at + day.stage_least
         ):
             self._votes = {}
             self._promote()
@@ -410,8 +411,8 @@
             self._release()
             return
         self.state = self.state._replace(stage=next_stage, cap=caps[next_stage])
-        self._begin_stage()
+        self._start_stage()
 
 
-def _update(state: ReleaseState, answers: bool, outcome: Outcome) -> ReleaseUpdate:
-    return ReleaseUpdate(state.build, state.stage, state.phase, answers, outcome, state.cap, 0)
+def _release_update(state: ReleaseState, answers_vote: bool, outcome: Outcome) -> ReleaseUpdate:
+    return ReleaseUpdate(state.build, state.stage, state.phase, answers_vote, outcome, state.cap, 0)
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -112,30 +112,32 @@
         self.partitioned_zones: set[str] = set()
         self._policy = policy
         self._scheduled_calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._sequence = 0  # numbers scheduled calls and requests
+        self._last_number = 0  # numbers scheduled calls and requests
         self._cumulative_busy = list(accumulate(day.busy))
         # Time of the last answer, by connection key.
         self._last_answered_at: dict[ConnectionKey, Ticks] = {}
-        self._draw_streams()
+        self._create_streams()
         self.checker = self._new_checker()
         self.platform = SimulatedPlatform(self, self._sample_draws)
         self.servers = ServerFleet(self, self.platform.builds[1])
         self._faults = FaultInjector(self)
         self.discovery = self._new_discovery()
 
-    def _draw_streams(self) -> None:
+    def _create_streams(self) -> None:
         day = self.day
         generators = [
             np.random.Generator(np.random.PCG64(seed))
             for seed in np.random.SeedSequence(day.seed).spawn(6)
         ]
         arrivals, works, network, keys, clients, self.generator = generators
-        self._gaps = Stream(lambda count: arrivals.exponential(1.0, count))
+        self._gap_stream = Stream(lambda count: arrivals.exponential(1.0, count))
         self._arrival_draws = Stream(arrivals.random)
-        self._works = {one.lane.name: gamma(works, one.work, one.spread) for one in day.lanes}
-        self._delays = gamma(network, *day.delay)
+        self._work_streams = {
+            one.lane.name: gamma(works, one.work, one.spread) for one in day.lanes
+        }
+        self._delay_stream = gamma(network, *day.delay)
         self._loss_draws = Stream(network.random)
-        self._keys = zipf_keys(keys, day.keys, day.zipf)
+        self._key_stream = zipf_keys(keys, day.keys, day.zipf)
         self._client_draws = Stream(clients.random)
         self._failure_draws = Stream(works.random)
         extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM_SEED]))
@@ -161,8 +163,8 @@
 
     def schedule_at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
         """Schedules a call at a moment."""
-        self._sequence += 1
-        heapq.heappush(self._scheduled_calls, (moment, self._sequence, call, arguments))
+        self._last_number += 1
+        heapq.heappush(self._scheduled_calls, (moment, self._last_number, call, arguments))
 
     def run(self) -> Self:
         """Runs the whole day and returns itself."""
@@ -173,7 +175,7 @@
             self._faults.schedule(fault)
         for offer in day.offers:
             self.schedule_at(offer.at, self.platform.offer_build, offer)
-        self.schedule_at(0, self._arrive)
+        self.schedule_at(0, self._generate_request)
         if day.tally_every:
             self.schedule_at(day.tally_every, self.platform.end_period)
         last = day.span + FINAL_ANSWERS_DURATION
@@ -191,7 +193,7 @@
         incarnation = self.incarnations[instance]
         seed = self.day.seed * 1000 + instance * 7 + incarnation
         self.engines[instance] = self._policy(self.day.terms, seed, self.now)
-        listed = self.servers.endpoints()
+        endpoints = self.servers.endpoints()
         self.servers.record_known_pods(instance)
         self.platform.record_update(instance, self.platform.state)
         if self.discovery:  # the instance has only its cached list until it is sent a new one
@@ -200,7 +202,7 @@
             )
             poll_interval = poll_interval_of(self._policy, generator.draw)
             self.discovery.start_polling(instance, incarnation, poll_interval, self.day.instances)
-        self.deliver_event(instance, EndpointUpdate(UpdateKind.CACHED, listed))
+        self.deliver_event(instance, EndpointUpdate(UpdateKind.CACHED, endpoints))
         self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
@@ -225,14 +227,14 @@
             return True
         return self.discovery.watch_streams.get(instance) == self.incarnations[instance]
 
-    def _deliver_list(self, instance: int, incarnation: int, whole: bool) -> bool:
-        """Delivers the list if `whole`; returns whether this life of the instance still runs."""
-        is_there = self.incarnations[instance] == incarnation and self.is_running(instance)
-        if is_there and whole:
-            entries = self.servers.endpoints()
-            self.servers.record_update(instance, entries)
-            self.deliver_event(instance, EndpointUpdate(UpdateKind.FULL, entries))
-        return is_there
+    def _deliver_list(self, instance: int, incarnation: int, deliver: bool) -> bool:
+        """Delivers the list if `deliver`; returns whether this life of the instance still runs."""
+        is_current = self.incarnations[instance] == incarnation and self.is_running(instance)
+        if is_current and deliver:
+            endpoints = self.servers.endpoints()
+            self.servers.record_update(instance, endpoints)
+            self.deliver_event(instance, EndpointUpdate(UpdateKind.FULL, endpoints))
+        return is_current
 
     def deliver_event(self, instance: int, event: Event) -> None:
         """Passes an event to an instance and carries out the resulting actions."""
@@ -276,26 +278,26 @@
 
     # Clients.
 
-    def _arrive(self) -> None:
+    def _generate_request(self) -> None:
         day = self.day
         if self.now >= day.span:
             return
-        gap = self._gaps.next() * TICKS_PER_SECOND / (day.rate * self.request_rate_factor)
-        self.schedule_at(self.now + max(1, round(gap)), self._arrive)
+        gap = self._gap_stream.next() * TICKS_PER_SECOND / (day.rate * self.request_rate_factor)
+        self.schedule_at(self.now + max(1, round(gap)), self._generate_request)
         instance = min(
             day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
         )
         lane = self._draw_lane().lane
         if lane.idempotency == Idempotency.NON_IDEMPOTENT:
-            key = f"b{self._sequence}"
+            key = f"b{self._last_number}"
         else:
-            key = f"k{self._keys.next()}"
+            key = f"k{self._key_stream.next()}"
         self.results.add_request(self.now, lane.priority_weight)
         tenant = int(self._client_draws.next() * day.tenants)
-        work = self._works[lane.name].next()
-        ends = self.now + lane.outer_limit
-        request = SimulatedRequest(lane.name, key, tenant, self.now, ends, 0, work)
-        self._ask(instance, request)
+        work = self._work_streams[lane.name].next()
+        deadline = self.now + lane.outer_limit
+        request = SimulatedRequest(lane.name, key, tenant, self.now, deadline, 0, work)
+        self._send_request(instance, request)
 
     def _draw_lane(self) -> LaneMix:
         remaining = self._arrival_draws.next()
@@ -305,17 +307,17 @@
                 return lane
         return self.day.lanes[-1]
 
-    def _ask(self, instance: int, request: SimulatedRequest) -> None:
+    def _send_request(self, instance: int, request: SimulatedRequest) -> None:
         """Sends a client's request to an instance, unless its deadline has passed."""
         if not self.is_running(instance) or request.deadline <= self.now:
             return
-        self._sequence += 1
-        name = f"t{self._sequence}"
-        self.requests[instance, name] = request
-        self.checker.record_request(self.now, instance, name, request.lane, request.deadline)
+        self._last_number += 1
+        request_id = f"t{self._last_number}"
+        self.requests[instance, request_id] = request
+        self.checker.record_request(self.now, instance, request_id, request.lane, request.deadline)
         self.results.second_at(self.now).requests += 1
         received = RequestReceived(
-            name,
+            request_id,
             request.lane,
             f"t{request.tenant}",
             request.key,
@@ -326,17 +328,17 @@
         )
         self.deliver_event(instance, received)
 
-    def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
+    def _answer(self, instance: int, request_id: str, answer: Answer, retry_after: Ticks) -> None:
         """Answers a request.
 
         Args:
             instance: The instance that holds the request.
-            name: The request's name.
+            request_id: The request's name.
             answer: How the request is answered.
-            wait: Time after which the client may try again, in ticks.
+            retry_after: Time after which the client may try again, in ticks.
         """
-        self.checker.record_answer(self.now, instance, name, answer)
-        request = self.requests.get((instance, name))
+        self.checker.record_answer(self.now, instance, request_id, answer)
+        request = self.requests.get((instance, request_id))
         if request is None:
             return
         self.results.add_answer(answer)
@@ -346,12 +348,12 @@
                 self.now, request.first_sent_at, lane, request.attempts[-1].build
             )
         else:
-            self._handle_unserved(instance, request, answer, wait)
+            self._handle_unserved(instance, request, answer, retry_after)
         if request.all_attempts_ended():
-            del self.requests[instance, name]
+            del self.requests[instance, request_id]
 
     def _handle_unserved(
-        self, instance: int, request: SimulatedRequest, answer: Answer, wait: Ticks
+        self, instance: int, request: SimulatedRequest, answer: Answer, retry_after: Ticks
     ) -> None:
         if not request.attempts:
             second = self.results.second_at(self.now)
@@ -359,8 +361,8 @@
             objective = self.lanes[request.lane].lane.latency_objective
             second.needless_rejections += self._had_capacity(instance, objective)
         if answer == Answer.DEFERRED and request.client_retries < self.day.retries:
-            delay = wait if self._client_draws.next() < self.day.heeds else RETRY_DELAY
-            again = SimulatedRequest(
+            delay = retry_after if self._client_draws.next() < self.day.heeds else RETRY_DELAY
+            retry = SimulatedRequest(
                 request.lane,
                 request.key,
                 request.tenant,
@@ -369,7 +371,7 @@
                 request.client_retries + 1,
                 request.work,
             )
-            self.schedule_at(self.now + max(1, delay), self._ask, instance, again)
+            self.schedule_at(self.now + max(1, delay), self._send_request, instance, retry)
 
     def _had_capacity(self, instance: int, objective: Ticks) -> bool:
         """Returns whether enough reachable servers of earlier or released builds had room."""
@@ -397,7 +399,7 @@
         own_zone = self._zone_of(instance)
         return own_zone == pod.zone or not self.partitioned_zones & {own_zone, pod.zone}
 
-    def is_cut_off_from_platform(self, instance: int) -> bool:
+    def is_cut_off(self, instance: int) -> bool:
         """Returns whether an instance cannot reach the platform, which is in the first zone."""
         own_zone, platform_zone = self._zone_of(instance), self.day.zones[0]
         return (
@@ -406,9 +408,9 @@
             and bool(self.partitioned_zones & {own_zone, platform_zone})
         )
 
-    def _one_way(self) -> Ticks:
+    def _draw_one_way_delay(self) -> Ticks:
         """Draws the one-way delay of a message."""
-        return max(1, round(self._delays.next()))
+        return max(1, round(self._delay_stream.next()))
 
     # Attempts.
 
@@ -435,11 +437,11 @@
             started=pod.started,
             capacity=pod.cores * pod.speed,
         )
-        ends = min(self.now + action.timeout, request.deadline)
+        timeout_at = min(self.now + action.timeout, request.deadline)
         if pod.unresponsive or not self._reaches(instance, pod):
-            self._send_unanswered(attempt, ends)
+            self._send_unanswered(attempt, timeout_at)
         else:
-            self._connect(attempt, pod, ends)
+            self._connect(attempt, pod, timeout_at)
 
     def _new_attempt(
         self,
@@ -462,35 +464,35 @@
             pod.build.number if pod else 0,
         )
 
-    def _send_unanswered(self, attempt: SimulatedAttempt, ends: Ticks) -> None:
+    def _send_unanswered(self, attempt: SimulatedAttempt, timeout_at: Ticks) -> None:
         """Sends an attempt to an unresponsive server.
 
         On an open connection it times out; a new connection is never established.
         """
         if self.now - self._last_answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
-            failed_at = min(ends, self.now + CONNECT_TIMEOUT)
+            failed_at = min(timeout_at, self.now + CONNECT_TIMEOUT)
             self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
         else:
-            self.schedule_at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+            self.schedule_at(timeout_at, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
 
-    def _connect(self, attempt: SimulatedAttempt, pod: Server, ends: Ticks) -> None:
-        made = self.connections.opened_count
+    def _connect(self, attempt: SimulatedAttempt, pod: Server, timeout_at: Ticks) -> None:
+        opened_before = self.connections.opened_count
         attempt.has_connection = self.connections.acquire(
             self.now, _connection_key(attempt), pod.name
         )
-        is_new = self.connections.opened_count > made
+        is_new = self.connections.opened_count > opened_before
         self.results.dispatched_attempts += 1
         self.platform.update_trial_attempt_ratio(attempt.build)
         if not attempt.has_connection:
-            refused_at = min(ends, self.now + REFUSAL_DELAY)
+            refused_at = min(timeout_at, self.now + REFUSAL_DELAY)
             self.schedule_at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
         if self._loss_draws.next() < self.attempt_loss_ratio or pod.state == PodState.DOWN:
-            failed_at = min(ends, self.now + CONNECT_TIMEOUT)
+            failed_at = min(timeout_at, self.now + CONNECT_TIMEOUT)
             self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        self.schedule_at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
-        one_way_delay = self._delays.next()
+        self.schedule_at(timeout_at, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+        one_way_delay = self._delay_stream.next()
         if self.day.handshake and is_new:
             one_way_delay *= NEW_CONNECTION_TRIPS
             attempt.work += self.day.handshake * (0.5 + self._sample_draws.next())
@@ -503,7 +505,11 @@
         service_time = pod.submit(self.now, attempt) if pod else False
         if service_time is False:
             self.schedule_at(
-                self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False
+                self.now + self._draw_one_way_delay(),
+                self._end_attempt,
+                attempt,
+                Outcome.REJECTED,
+                False,
             )
         elif service_time is not None:
             self.schedule_at(self.now + service_time, self._finish_job, pod, attempt)
@@ -513,35 +519,45 @@
         if self.now < pod.paused_until:  # a paused server makes no progress
             self.schedule_at(pod.paused_until + 1, self._finish_job, pod, attempt)
             return
-        following = pod.finish(self.now)
-        if following:
-            self.schedule_at(self.now + following[1], self._finish_job, pod, following[0])
+        next_job = pod.finish(self.now)
+        if next_job:
+            self.schedule_at(self.now + next_job[1], self._finish_job, pod, next_job[0])
         if pod.state == PodState.DOWN:
             return
         self.checker.record_execution(self.now, attempt.request_id, attempt.lane)
-        fails = self._fails(pod, attempt)
+        fails = self._draw_failure(pod, attempt)
         if pod.unresponsive or not self._reaches(attempt.instance, pod):
             return
         if self.answer_loss_ratio and self._failure_draws.next() < self.answer_loss_ratio:
             self.schedule_at(
-                self.now + self._one_way(), self._end_attempt, attempt, Outcome.RESET, None
+                self.now + self._draw_one_way_delay(),
+                self._end_attempt,
+                attempt,
+                Outcome.RESET,
+                None,
             )
             return
         self._last_answered_at[_connection_key(attempt)] = self.now
         outcome = Outcome.ERROR if fails else Outcome.DONE
         self.schedule_at(
-            self.now + self._one_way(), self._end_attempt, attempt, outcome, None if fails else True
+            self.now + self._draw_one_way_delay(),
+            self._end_attempt,
+            attempt,
+            outcome,
+            None if fails else True,
         )
 
-    def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
+    def _draw_failure(self, pod: Server, attempt: SimulatedAttempt) -> bool:
         """Draws whether an attempt fails at its server and counts the harm done."""
         build, lane = pod.build, self.lanes[attempt.lane].lane
-        fault_acts = build.fault_applies(pod, self.now, attempt.lane)
+        fault_applies = build.fault_applies(pod, self.now, attempt.lane)
         fails = self._failure_draws.next() < (
-            build.failure_ratio if fault_acts else BASE_FAILURE_RATIO
+            build.failure_ratio if fault_applies else BASE_FAILURE_RATIO
+        )
+        extra_failure_ratio = self.servers.extra_failure_ratios.get(pod.name)
+        fails = fails or (
+            extra_failure_ratio is not None and self._failure_draws.next() < extra_failure_ratio
         )
-        failing = self.servers.extra_failure_ratios.get(pod.name)
-        fails = fails or (failing is not None and self._failure_draws.next() < failing)
         if fails and build.failure_ratio and lane.idempotency != Idempotency.IDEMPOTENT:
             self.results.harm += lane.priority_weight
         return fails
@@ -573,7 +589,7 @@
             self.checker.record_key_answer(instance, attempt.key, attempt.build)
             if not is_answered:
                 self._answer(instance, attempt.request_id, Answer.DONE, 0)
-        ended = AttemptEnded(
+        event = AttemptEnded(
             attempt.request_id,
             outcome,
             is_answered or outcome == Outcome.DONE,
@@ -582,7 +598,7 @@
             attempt.number,
             None,
         )
-        self.deliver_event(instance, ended)
+        self.deliver_event(instance, event)
         if request is not None and self._is_answered(attempt) and request.all_attempts_ended():
             self.requests.pop((instance, attempt.request_id), None)
 
@@ -596,14 +612,14 @@
         in_flight = dict.fromkeys(range(self.day.instances), 0)
         for (instance, _), request in self.requests.items():
             in_flight[instance] += sum(not attempt.has_ended for attempt in request.attempts)
-        found = []
+        mismatches = []
         for instance, engine in self.engines.items():
             if engine is None:
                 continue
             counted = _counted_in_flight(engine.requests.open.values())
             if counted != in_flight[instance]:
-                found.append(InFlightMismatch(instance, counted, in_flight[instance]))
-        return found
+                mismatches.append(InFlightMismatch(instance, counted, in_flight[instance]))
+        return mismatches
 
     def figures(self) -> dict[str, Any]:
         """Returns the main figures of the day."""
