--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -10,7 +10,7 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..polling.adaptive_interval import AdaptiveInterval, CallResult
 
-# Calls that have waited longer than this are rejected.
+# Calls that have waited longer than this in the queue are rejected.
 MAX_CALL_WAIT: Ticks = 2 * TICKS_PER_SECOND
 # Maximum queue length, in seconds of answers at the service's rate.
 MAX_QUEUE_SECONDS = 2.2
@@ -18,7 +18,7 @@
 QUEUE_FULL_DELAY: Ticks = 500
 # Idle connections are closed after this time.
 IDLE_TIMEOUT: Ticks = 15 * TICKS_PER_SECOND
-# An instance whose list request was refused and that has no watch stream asks again after a random
+# An instance without a watch stream whose request for a list was refused repeats it after a random
 # time between once and twice this delay.
 LIST_RETRY_DELAY: Ticks = TICKS_PER_SECOND
 
@@ -29,10 +29,10 @@
 
 
 class PollInterval(Protocol):
-    """How often an instance polls.
+    """The waits between the calls of one instance to discovery.
 
-    Earlier versions may have an attribute `makes_two_initial_calls`: if true, the instance makes
-    two calls at its start.
+    The attribute `makes_two_initial_calls` is optional: if true, the instance makes two calls at
+    its start.
     """
 
     draw: RandomDraw
@@ -45,7 +45,7 @@
 
 
 class OriginalPollInterval:
-    """The poll interval up to revision 9db9198: short, with a second call at the start."""
+    """The poll interval of git revisions up to 9db9198: short, with a second call at the start."""
 
     makes_two_initial_calls = True
 
@@ -62,7 +62,7 @@
 
 
 class PollIntervalAdapter:
-    """The poll interval of an earlier git revision, which names its methods `first` and `ended`."""
+    """Adapts the poll interval of a git revision whose methods are named `first` and `ended`."""
 
     def __init__(self, interval: Any) -> None:
         self._interval = interval
@@ -82,8 +82,8 @@
 class Service:
     """Answers a limited number of calls per second, in order of arrival.
 
-    A call is rejected if the queue is full or if it has waited too long. The latter costs as much
-    as an answer.
+    A call is rejected if the queue is full or if it has waited too long. The latter takes as much
+    of the service's time as an answer.
 
     Attributes:
         call_count: Number of calls.
@@ -108,7 +108,7 @@
         self.schedule_at(self.now() + self.answer_interval, self._answer_next)
 
     def call(self, callback: Callable[[bool], None]) -> None:
-        """Makes a call; `callback` is called once with whether the call was answered."""
+        """Makes a call; `callback` gets True once it is answered, or False once it is rejected."""
         self.call_count += 1
         if len(self.queue) >= self.queue_limit:
             self.rejected_count += 1
@@ -126,19 +126,19 @@
 
 
 class Poller(NamedTuple):
-    """An instance, between one start and the next, that asks for endpoint lists."""
+    """One incarnation of an instance that polls for endpoint lists."""
 
     instance: int
     incarnation: int
-    """Counts the starts of the instance."""
+    """Number of the instance's start."""
     poll_interval: PollInterval
 
 
 class Discovery(Service):
-    """Discovery that instances ask for endpoint lists.
+    """The discovery service, from which instances request endpoint lists and watch streams.
 
     Attributes:
-        watch_streams: Established watch streams: the life of the instance, by instance.
+        watch_streams: Incarnation of each instance with an established watch stream, by instance.
     """
 
     def __init__(
@@ -154,8 +154,8 @@
             rate: Answers per second.
             schedule_at: Schedules a call.
             now: Returns the current time.
-            deliver: `deliver(instance, life, complete)` returns whether this life of the instance
-                still runs, and delivers the list to it if `complete` is true.
+            deliver: `deliver(instance, incarnation, deliver)` returns whether this incarnation is
+                still running, and delivers the list to it if `deliver` is true.
         """
         super().__init__(rate, schedule_at, now)
         self.deliver = deliver
@@ -164,11 +164,11 @@
     def start_polling(
         self, instance: int, incarnation: int, poll_interval: PollInterval, callers: int
     ) -> None:
-        """Starts polling for an instance: it asks for the list and for a watch stream.
+        """Starts to request the list and a watch stream for an instance.
 
         Args:
             instance: Number of the instance.
-            incarnation: Number of the instance's start.
+            incarnation: Number of this start of the instance.
             poll_interval: The instance's poll interval.
             callers: How many instances may start at once.
         """
@@ -190,9 +190,8 @@
                 wait = self._wait_after_refusal(poller.poll_interval, watch)
                 self.schedule_at(self.now() + wait, self._request_list, poller, watch)
 
-        if self.deliver(
-            poller.instance, poller.incarnation, False
-        ):  # otherwise it has stopped since
+        # An instance that has stopped since then makes no call.
+        if self.deliver(poller.instance, poller.incarnation, False):
             self.call(handle_result)
 
     @staticmethod
@@ -203,7 +202,7 @@
 
 
 ConnectionKey = tuple[int, int, str]
-"""Identifies connections by instance, life of the instance and address of the server."""
+"""Identifies connections by instance, incarnation and address of the server."""
 
 
 class Connections:
@@ -211,7 +210,7 @@
 
     Attributes:
         max_per_server: Maximum number of connections per server; 0 for no limit.
-        idle_since: Times since which the idle connections have been idle, by key.
+        idle_since: When each idle connection became idle, by key.
         open_counts: Number of open connections, by server.
         opened_count: Number of connections opened.
         refused_count: Number of connections refused because of the limit.
@@ -252,7 +251,7 @@
         return self.open_counts[pod] < count_before
 
     def release(self, now: Ticks, key: ConnectionKey, pod: str, reusable: bool) -> None:
-        """Returns a connection after an attempt: it becomes idle if good, else it is closed."""
+        """Returns a connection after an attempt: it becomes idle if reusable, else it is closed."""
         if reusable and key in self.idle_since:
             self.idle_since[key].append(now)
         else:
--- a/thymeknot/simulation/simulated_requests.py
+++ b/thymeknot/simulation/simulated_requests.py
@@ -1,4 +1,4 @@
-"""Requests of a simulated day and their attempts, in transit or at a server."""
+"""Requests of a simulated day and the attempts to deliver them."""
 
 from dataclasses import dataclass, field
 
@@ -11,15 +11,15 @@
 
     Attributes:
         instance: Number of the instance that sends the attempt.
-        incarnation: Counts the starts of the instance; the attempt belongs to this one.
-        request_id: The request's name at that instance.
+        incarnation: The start of the instance to which the attempt belongs.
+        request_id: Identifies the request at that instance.
         number: Index of the attempt among the request's attempts.
         lane: The request's class.
         key: The request's key.
         work: Mean service time in ticks on one core of speed 1.
         sent_at: When the attempt was sent.
         pod_name: The server's address.
-        build: Build that the server ran at that time; 0 if there is no such server.
+        build: Build that the server ran at that time; 0 if there was no such server.
         has_ended: Whether the attempt has ended.
         has_connection: Whether the attempt holds a connection.
     """
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -1,8 +1,8 @@
-"""Discrete-event simulator that runs a day of clients, network, servers and instances.
+"""Discrete-event simulation of one day: clients, network, servers and instances.
 
-All events are in one heap. All random numbers derive from the day's seed, with separate streams
-for traffic, work and network, so that two policies are given the same arrivals. Figures from this
-module are simulated, not measured.
+Scheduled calls are kept in one heap, ordered by time. All random numbers derive from the day's
+seed, with separate streams for traffic, work and network, so that two policies receive the same
+arrivals. Figures from this module are simulated, not measured.
 """
 
 import heapq
@@ -38,19 +38,20 @@
 from .simulated_platform import ONE_WAY_CALL_DELAY, SimulatedPlatform
 from .simulated_requests import SimulatedAttempt, SimulatedRequest
 
-DRAIN_GRACE: Ticks = 2_500  # in which a server may still get attempts after it was listed as gone
-CONNECT_TIMEOUT: Ticks = 2_500  # of a connection that is never established
+DRAIN_GRACE: Ticks = 2_500  # a server may still get attempts this long after it is listed as gone
+CONNECT_TIMEOUT: Ticks = 2_500  # until an attempt to connect fails
 REFUSAL_DELAY: Ticks = 10  # until a connection over the limit is refused
-RETRY_DELAY: Ticks = 50  # of clients that ignore retry-after
+RETRY_DELAY: Ticks = 50  # before the retry of a client that ignores retry-after
 FINAL_ANSWERS_DURATION = 2 * TICKS_PER_SECOND  # ticks simulated after the end of the day
 EXPOSURE_WINDOW = 3 * TICKS_PER_SECOND  # ticks
 EXPOSURE_ALLOWANCE = 3.0  # attempts
-NEVER: Ticks = -(10**9)
+NEVER: Ticks = -(10**9)  # a time before any event of the day
 NEW_CONNECTION_TRIPS = 5  # one-way delays: the request and two round trips to connect
 BASE_FAILURE_RATIO = 0.001  # ratio of attempts that fail without any fault
-MAX_ROOM_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait has no room
-MIN_ROOMY_SERVER_RATIO = 0.25  # more than this part of the servers must have room
-# Seeds the stream for draws that were added later, so that the other streams are unchanged.
+MAX_ROOM_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait is busy
+MIN_ROOMY_SERVER_RATIO = 0.25  # a rejection is needless if more than this ratio is not busy
+# Seeds a separate generator for draws that were added later, so that the other streams give the
+# same numbers as before.
 EXTRA_STREAM_SEED = 17
 
 Policy: TypeAlias = Callable[[Settings, int, Ticks], Any]
@@ -59,7 +60,13 @@
 
 
 class InFlightMismatch(NamedTuple):
-    """An instance whose count of attempts in flight is wrong."""
+    """An instance whose engine counts a wrong number of attempts in flight.
+
+    Attributes:
+        instance: Number of the instance.
+        counted: Attempts in flight as the engine counts them.
+        in_flight: Attempts in flight in the simulation.
+    """
 
     instance: int
     counted: int
@@ -73,21 +80,22 @@
         day: The scenario of the day.
         now: The simulated time.
         lanes: The request classes by name.
-        generator: Random numbers for delays, server starts and pauses.
-        checker: Checks the five rules.
+        generator: Source of random numbers for delays, server starts, pauses and restarts.
+        checker: Checks the invariants.
         results: The totals of the day.
-        connections: Connections to servers.
+        connections: The connections of all instances to all servers.
         platform: The release platform.
         servers: The servers.
         discovery: Answers calls for endpoint lists; None if lists are pushed.
-        requests: The open requests, by instance and name.
+        requests: The open requests, by instance and request id.
         engines: The decision engine of each instance; None while the instance is down.
-        incarnations: How often each instance has started or been killed.
-        attempt_loss_ratio: Ratio of attempts that are lost.
+        incarnations: Number of each instance's current start; kills count too, so that what was
+            scheduled for an earlier start is recognised.
+        attempt_loss_ratio: Ratio of attempts whose connection fails.
         request_rate_factor: Factor applied to the request rate.
         work_factor: Factor applied to all work.
         answer_loss_ratio: Ratio of answers that are lost.
-        partitioned_zones: Zones that are partitioned from the others.
+        partitioned_zones: Zones that have no network connection to the others.
     """
 
     def __init__(self, day: Day, policy: Policy) -> None:
@@ -112,7 +120,7 @@
         self.partitioned_zones: set[str] = set()
         self._policy = policy
         self._scheduled_calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._last_number = 0  # numbers scheduled calls and requests
+        self._last_number = 0  # of a scheduled call or request
         self._cumulative_busy = list(accumulate(day.busy))
         # Time of the last answer, by connection key.
         self._last_answered_at: dict[ConnectionKey, Ticks] = {}
@@ -162,7 +170,7 @@
         return Discovery(self.day.lists, self.schedule_at, lambda: self.now, self._deliver_list)
 
     def schedule_at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
-        """Schedules a call at a moment."""
+        """Schedules a call; calls at the same moment run in the order of their scheduling."""
         self._last_number += 1
         heapq.heappush(self._scheduled_calls, (moment, self._last_number, call, arguments))
 
@@ -196,7 +204,7 @@
         endpoints = self.servers.endpoints()
         self.servers.record_known_pods(instance)
         self.platform.record_update(instance, self.platform.state)
-        if self.discovery:  # the instance has only its cached list until it is sent a new one
+        if self.discovery:  # until it answers, the instance has only the cached list
             generator = LinearCongruentialGenerator(
                 self.day.seed * 77 + instance * 13 + incarnation << 33
             )
@@ -206,7 +214,7 @@
         self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
-        """Kills an instance and starts it again after `wait` ticks, give or take half."""
+        """Kills an instance and starts it again after `wait` ticks, plus or minus up to half."""
         self.engines[instance] = None
         self.incarnations[instance] += 1
         self.checker.record_kill(self.now, instance)
@@ -228,7 +236,7 @@
         return self.discovery.watch_streams.get(instance) == self.incarnations[instance]
 
     def _deliver_list(self, instance: int, incarnation: int, deliver: bool) -> bool:
-        """Delivers the list if `deliver`; returns whether this life of the instance still runs."""
+        """Delivers the list if `deliver`; returns whether this incarnation is still running."""
         is_current = self.incarnations[instance] == incarnation and self.is_running(instance)
         if is_current and deliver:
             endpoints = self.servers.endpoints()
@@ -333,9 +341,9 @@
 
         Args:
             instance: The instance that holds the request.
-            request_id: The request's name.
+            request_id: Identifies the request at that instance.
             answer: How the request is answered.
-            retry_after: Time after which the client may try again, in ticks.
+            retry_after: Time after which the client may retry, in ticks.
         """
         self.checker.record_answer(self.now, instance, request_id, answer)
         request = self.requests.get((instance, request_id))
@@ -374,7 +382,7 @@
             self.schedule_at(self.now + max(1, delay), self._send_request, instance, retry)
 
     def _had_capacity(self, instance: int, objective: Ticks) -> bool:
-        """Returns whether enough reachable servers of earlier or released builds had room."""
+        """Returns whether enough reachable servers of earlier or released builds had capacity."""
         state = self.platform.state
         eligible = self.servers.pods_up(
             lambda pod: (
@@ -393,14 +401,14 @@
         return self.day.zones[instance % len(self.day.zones)]
 
     def _reaches(self, instance: int, pod: Server) -> bool:
-        """Returns whether an instance reaches a server; zones that are cut off reach themselves."""
+        """Returns whether an instance reaches a server; a partitioned zone reaches only itself."""
         if not self.partitioned_zones:
             return True
         own_zone = self._zone_of(instance)
         return own_zone == pod.zone or not self.partitioned_zones & {own_zone, pod.zone}
 
     def is_cut_off(self, instance: int) -> bool:
-        """Returns whether an instance cannot reach the platform, which is in the first zone."""
+        """Returns whether a partition separates an instance from the platform in the first zone."""
         own_zone, platform_zone = self._zone_of(instance), self.day.zones[0]
         return (
             bool(self.partitioned_zones)
@@ -415,7 +423,7 @@
     # Attempts.
 
     def _send(self, instance: int, incarnation: int, action: SendAttempt) -> None:
-        # An instance with an outdated list may send to a server that is gone and never answers.
+        # An instance with an outdated list may send to a removed server, which never answers.
         servers = self.servers
         pod = servers.pods.get(action.endpoint) or servers.removed_pods.get(action.endpoint)
         request = self.requests.get((instance, action.id))
@@ -548,7 +556,7 @@
         )
 
     def _draw_failure(self, pod: Server, attempt: SimulatedAttempt) -> bool:
-        """Draws whether an attempt fails at its server and counts the harm done."""
+        """Draws whether an attempt fails at its server, and counts the harm of a faulty build."""
         build, lane = pod.build, self.lanes[attempt.lane].lane
         fault_applies = build.fault_applies(pod, self.now, attempt.lane)
         fails = self._failure_draws.next() < (
@@ -608,7 +616,7 @@
     # Results.
 
     def in_flight_mismatches(self) -> list[InFlightMismatch]:
-        """Returns the instances whose count of attempts in flight is wrong."""
+        """Returns the instances whose engine counts a wrong number of attempts in flight."""
         in_flight = dict.fromkeys(range(self.day.instances), 0)
         for (instance, _), request in self.requests.items():
             in_flight[instance] += sum(not attempt.has_ended for attempt in request.attempts)
