--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -161,9 +161,9 @@
         # Executions, by request.
         self.execution_times: defaultdict[str, list[Ticks]] = defaultdict(list)
         # Attempts, by instance and request.
-        self.attempts_of: defaultdict[tuple[int, str], list[SentAttempt]] = defaultdict(list)
+        self.attempts: defaultdict[tuple[int, str], list[SentAttempt]] = defaultdict(list)
         # When an instance learned that a server is gone, by instance and server.
-        self.gone_since: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
+        self.gone_learned_at: defaultdict[int, dict[str, Ticks]] = defaultdict(dict)
         # Arrival times of requests, by instance and class ("" for all).
         self.received_at: defaultdict[tuple[int, str], list[Ticks]] = defaultdict(list)
         # Times of attempts at a build on trial, by instance, build and class ("" for all).
@@ -187,9 +187,9 @@
     ) -> None:
         """Records that an instance learned a server's state; READY cancels an earlier state."""
         if state == ListedState.READY:
-            self.gone_since[instance].pop(pod, None)
+            self.gone_learned_at[instance].pop(pod, None)
         else:
-            self.gone_since[instance].setdefault(pod, now)
+            self.gone_learned_at[instance].setdefault(pod, now)
 
     def record_server_start(self, instance: int, pod: str, at: Ticks) -> None:
         """Records that an instance learned when a server started."""
@@ -234,7 +234,7 @@
 
     def _possibly_run(self, instance: int, request_id: str) -> list[SentAttempt]:
         """Returns the attempts that ran or may have run."""
-        return [one for one in self.attempts_of[instance, request_id] if one.ran is not False]
+        return [one for one in self.attempts[instance, request_id] if one.ran is not False]
 
     def _may_have_run(self, now: Ticks, instance: int, request_id: str, lane: str) -> bool:
         """Returns whether a retry by the client could make the request run twice."""
@@ -255,7 +255,7 @@
         """
         for request_key in [key for key in self.open_requests if key[0] == instance]:
             del self.open_requests[request_key]
-        self.gone_since.pop(instance, None)
+        self.gone_learned_at.pop(instance, None)
         self.key_builds.pop(instance, None)
         self.known_starts.pop(instance, None)
         for window_key in [key for key in self.received_at if key[0] == instance]:
@@ -297,7 +297,7 @@
             started: When the server started; 0 for long ago.
             capacity: Work per tick that the server does after its warm-up.
         """
-        gone_learned_at = self.gone_since[instance].get(pod)
+        gone_learned_at = self.gone_learned_at[instance].get(pod)
         if gone_learned_at is not None and now > gone_learned_at + self.drain_grace:
             self._add_violation(
                 Rule.DRAINED,
@@ -305,7 +305,7 @@
                 f"{request_id}: to {pod} {now - gone_learned_at} after it was told gone",
             )
         self._check_repeat(now, instance, request_id, lane)
-        self.attempts_of[instance, request_id].append(SentAttempt(now))
+        self.attempts[instance, request_id].append(SentAttempt(now))
         if (instance, request_id) in self.answers:
             self._add_violation(Rule.ONE_ANSWER, now, f"{request_id}: sent after its answer")
         self._check_trial(now, instance, request_id, build, lane=lane, key=key)
@@ -426,7 +426,7 @@
         self, instance: int, request_id: str, number: int, ran: bool | None
     ) -> None:
         """Records whether an ended attempt ran (True), never ran (False) or may have run (None)."""
-        self.attempts_of[instance, request_id][number].ran = ran
+        self.attempts[instance, request_id][number].ran = ran
 
     def record_key_answer(self, instance: int, key: str, build: int) -> None:
         """Records that a build answered a request with this key."""
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -74,11 +74,11 @@
         self.snapshots.append(
             PeriodSnapshot(self.now / TICKS_PER_SECOND, build, stage, phase, cap, counts)
         )
-        self.queued_seconds.append(self._waiting_seconds())
+        self.queued_seconds.append(self._queued_seconds())
         if self.now < self.day.span:
             self.schedule_at(self.now + RECORDING_PERIOD, self._record_snapshot)
 
-    def _waiting_seconds(self) -> NDArray[np.float64]:
+    def _queued_seconds(self) -> NDArray[np.float64]:
         by_place = np.zeros(self.day.pods)
         for pod in self.servers.pods.values():
             if pod.state == PodState.UP:
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -48,8 +48,8 @@
 NEVER: Ticks = -(10**9)  # a time before any event of the day
 NEW_CONNECTION_TRIPS = 5  # one-way delays: the request and two round trips to connect
 BASE_FAILURE_RATIO = 0.001  # ratio of attempts that fail without any fault
-MAX_ROOM_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait is busy
-MIN_ROOMY_SERVER_RATIO = 0.25  # a rejection is needless if more than this ratio is not busy
+MAX_START_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait is busy
+MIN_AVAILABLE_RATIO = 0.25  # a rejection is needless if more than this ratio is not busy
 # Seeds a separate generator for draws that were added later, so that the other streams give the
 # same numbers as before.
 EXTRA_STREAM_SEED = 17
@@ -121,15 +121,15 @@
         self._policy = policy
         self._scheduled_calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
         self._last_number = 0  # of a scheduled call or request
-        self._cumulative_busy = list(accumulate(day.busy))
+        self._cumulative_traffic = list(accumulate(day.busy))
         # Time of the last answer, by connection key.
         self._last_answered_at: dict[ConnectionKey, Ticks] = {}
         self._create_streams()
-        self.checker = self._new_checker()
+        self.checker = self._create_checker()
         self.platform = SimulatedPlatform(self, self._sample_draws)
         self.servers = ServerFleet(self, self.platform.builds[1])
         self._faults = FaultInjector(self)
-        self.discovery = self._new_discovery()
+        self.discovery = self._create_discovery()
 
     def _create_streams(self) -> None:
         day = self.day
@@ -151,7 +151,7 @@
         extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM_SEED]))
         self._sample_draws = Stream(extra.random)
 
-    def _new_checker(self) -> InvariantChecker:
+    def _create_checker(self) -> InvariantChecker:
         day = self.day
         return InvariantChecker(
             {name: one.lane for name, one in self.lanes.items()},
@@ -164,7 +164,7 @@
             overload_window=day.terms.overload_window,
         )
 
-    def _new_discovery(self) -> Discovery | None:
+    def _create_discovery(self) -> Discovery | None:
         if not self.day.lists:
             return None
         return Discovery(self.day.lists, self.schedule_at, lambda: self.now, self._deliver_list)
@@ -293,7 +293,7 @@
         gap = self._gap_stream.next() * TICKS_PER_SECOND / (day.rate * self.request_rate_factor)
         self.schedule_at(self.now + max(1, round(gap)), self._generate_request)
         instance = min(
-            day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
+            day.instances - 1, bisect_right(self._cumulative_traffic, self._arrival_draws.next())
         )
         lane = self._draw_lane().lane
         if lane.idempotency == Idempotency.NON_IDEMPOTENT:
@@ -390,10 +390,10 @@
                 and (pod.build.number < state.build or state.phase == ReleasePhase.RELEASED)
             )
         )
-        with_room = sum(
-            pod.can_start_within(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in eligible
+        available_count = sum(
+            pod.can_start_within(self.now, MAX_START_WAIT_RATIO * objective) for pod in eligible
         )
-        return with_room > MIN_ROOMY_SERVER_RATIO * len(eligible)
+        return available_count > MIN_AVAILABLE_RATIO * len(eligible)
 
     # The network.
 
@@ -427,7 +427,7 @@
         servers = self.servers
         pod = servers.pods.get(action.endpoint) or servers.removed_pods.get(action.endpoint)
         request = self.requests.get((instance, action.id))
-        attempt = self._new_attempt(instance, incarnation, action, request, pod)
+        attempt = self._create_attempt(instance, incarnation, action, request, pod)
         if request is None or pod is None:
             self.schedule_at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
             return
@@ -451,7 +451,7 @@
         else:
             self._connect(attempt, pod, timeout_at)
 
-    def _new_attempt(
+    def _create_attempt(
         self,
         instance: int,
         incarnation: int,
@@ -583,8 +583,8 @@
         attempt.has_ended = True
         instance = attempt.instance
         if attempt.has_connection:
-            is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
-            self.connections.release(self.now, _connection_key(attempt), attempt.pod_name, is_good)
+            reusable = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
+            self.connections.release(self.now, _connection_key(attempt), attempt.pod_name, reusable)
         if self.incarnations[instance] != attempt.incarnation or not self.is_running(instance):
             return
         if self.day.tally_every and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
