--- a/measure/laboratory.py
+++ b/measure/laboratory.py
@@ -116,7 +116,7 @@
     figures["rules_false"] = len(find_broken_rules(current_engine, seed))
     day = scenarios.draw_day(seed, instances=400, pods=80, rate=400.0, seconds=60)
     started_at = time.monotonic()
-    big = Simulator(day, current_engine).play()
+    big = Simulator(day, current_engine).run()
     figures["sim_seconds"] = round(time.monotonic() - started_at, 1)
     figures["big_day"] = big.figures()
     size, runs = {"instances": 20, "pods": 12, "rate": 200.0, "seconds": 30}, {}
--- a/tests/unit/cli/test_reports.py
+++ b/tests/unit/cli/test_reports.py
@@ -120,13 +120,13 @@
     def test_recording_changes_nothing_and_counts_all_requests(self):
         day, _ = large_fleet_scenarios.draw_standard_day(3, "herd", **SMALL_FLEET)
         plain, recorded = (
-            Simulator(day, current_engine).play(),
-            RecordingSimulator(day, current_engine).play(),
+            Simulator(day, current_engine).run(),
+            RecordingSimulator(day, current_engine).run(),
         )
         self.assertEqual(plain.figures(), recorded.figures())
-        self.assertEqual(sum(recorded.how["done"]), plain.results.answers["done"])
+        self.assertEqual(sum(recorded.answer_counts["done"]), plain.results.answer_counts["done"])
         self.assertEqual(
-            sum(sum(counts) for counts in recorded.sent.values()),
+            sum(sum(counts) for counts in recorded.attempt_counts.values()),
             sum(plain.results.attempts_by_pod.values()),
         )
 
--- a/tests/unit/policy/test_load_shedding.py
+++ b/tests/unit/policy/test_load_shedding.py
@@ -309,7 +309,7 @@
         scenario, (_, end) = large_fleet_scenarios.draw_standard_day(
             seed, kind, **{**self.SIZE, **more}
         )
-        return Simulator(scenario, policy).play(), end
+        return Simulator(scenario, policy).run(), end
 
     def test_sheds_less_needlessly_than_the_earlier_version(self):
         earlier_version = load_version("91b8f20")
@@ -317,15 +317,19 @@
             self.simulate("calm", policy, good=False)
             for policy in (current_engine, earlier_version)
         )
-        self.assertLess(current.results.needless()[1], 0.05)
-        self.assertGreater(earlier.results.needless()[1], 2 * current.results.needless()[1])
+        self.assertLess(current.results.rejection_ratios()[1], 0.05)
+        self.assertGreater(
+            earlier.results.rejection_ratios()[1], 2 * current.results.rejection_ratios()[1]
+        )
         (current, end), (earlier, _) = (
             self.simulate("overload", policy, good=False)
             for policy in (current_engine, earlier_version)
         )
-        self.assertGreater(current.results.needless(8, 14)[0], 0.1)
-        self.assertGreater(current.results.service(), earlier.results.service() - 0.05)
-        self.assertLessEqual(current.results.recovered(end), 5)
+        self.assertGreater(current.results.rejection_ratios(8, 14)[0], 0.1)
+        self.assertGreater(
+            current.results.earnings_ratio(), earlier.results.earnings_ratio() - 0.05
+        )
+        self.assertLessEqual(current.results.recovery_seconds(end), 5)
 
     def test_good_build_advances_while_seven_in_ten_instances_restart(self):
         current, _ = self.simulate("herd", good=True, seconds=25)
@@ -335,14 +339,14 @@
             current.platform.state.phase, (ReleasePhase.ROLLING_BACK, ReleasePhase.WITHDRAWN)
         )
         self.assertGreaterEqual(current.platform.state.stage, 2)
-        self.assertTrue(0 < current.results.behind < current.results.asked)
-        self.assertLess(current.results.needless()[1], 0.1)
-        accepted = current.results.votes_asked["asked"] - current.results.votes_asked["full"]
+        self.assertTrue(0 < current.results.outdated_earnings < current.results.possible_earnings)
+        self.assertLess(current.results.rejection_ratios()[1], 0.1)
+        accepted = current.results.vote_calls["asked"] - current.results.vote_calls["full"]
         self.assertLessEqual(
             accepted,
             current.day.settings.votes_per_second * (2 + current.now / TICKS_PER_SECOND) + 1,
         )
-        self.assertEqual(current.checker.rules_broken(), [])
+        self.assertEqual(current.checker.violated_rules(), [])
 
     def test_bad_build_is_not_kept_if_all_instances_have_little_traffic(self):
         results = [
@@ -355,5 +359,5 @@
 
     def test_loss_of_a_zone_does_not_shed_load_elsewhere(self):
         current, _ = self.simulate("zone", good=False)
-        self.assertLess(current.results.needless()[1], 0.2)
-        self.assertGreater(current.results.service(), 0.7)
+        self.assertLess(current.results.rejection_ratios()[1], 0.2)
+        self.assertGreater(current.results.earnings_ratio(), 0.7)
--- a/tests/unit/service/test_rejection_summary.py
+++ b/tests/unit/service/test_rejection_summary.py
@@ -104,21 +104,22 @@
         simulator.now = 8 * TICKS_PER_SECOND
         simulator.servers.lose_zone("b")
         lost = [endpoint for endpoint in simulator.servers.pods.values() if endpoint.zone == "b"]
-        self.assertTrue(lost and all(endpoint.silent for endpoint in lost))
+        self.assertTrue(lost and all(endpoint.unresponsive for endpoint in lost))
         simulator.now = 13 * TICKS_PER_SECOND
         simulator.servers.restore_zone("b")
         restarted = [simulator.servers.pods[endpoint.name] for endpoint in lost]
         self.assertTrue(
             all(
-                endpoint.started == simulator.now and endpoint.warmth(simulator.now) < 0.5
+                endpoint.started == simulator.now
+                and endpoint.capacity_fraction(simulator.now) < 0.5
                 for endpoint in restarted
             )
         )
-        self.assertFalse(any(endpoint.silent for endpoint in restarted))
+        self.assertFalse(any(endpoint.unresponsive for endpoint in restarted))
 
     def test_partitioned_zone_reaches_only_itself_and_not_the_platform(self):
         simulator, _ = self.simulator_with_fault("split")
-        simulator.cut_zones = {"b"}
+        simulator.partitioned_zones = {"b"}
         inside, outside = 1, 0
         reached = {
             endpoint.zone: (
@@ -129,27 +130,31 @@
         }
         self.assertEqual(reached, {"a": (False, True), "b": (True, False), "c": (False, True)})
         self.assertEqual(
-            (simulator.is_off_platform(inside), simulator.is_off_platform(outside)), (True, False)
+            (
+                simulator.is_cut_off(inside),
+                simulator.is_cut_off(outside),
+            ),
+            (True, False),
         )
-        simulator._calls.clear()
+        simulator._scheduled_calls.clear()
         simulator._faults._zone_cut(Fault("cut", 0, 1, (1,), 0.0), False)
         notified = sorted(
             arguments[0]
-            for _, _, call, arguments in simulator._calls
-            if call == simulator.platform.told
+            for _, _, call, arguments in simulator._scheduled_calls
+            if call == simulator.platform.deliver_update
         )
         self.assertEqual(
-            (simulator.cut_zones, notified), (set(), list(range(9)))
+            (simulator.partitioned_zones, notified), (set(), list(range(9)))
         )  # missed events are sent again
 
     def test_work_delayed_by_a_pause_resumes_after_it(self):
         simulator, _ = self.simulator_with_fault("herd")
         endpoint = next(iter(simulator.servers.pods.values()))
-        endpoint.paused = 5 * TICKS_PER_SECOND
+        endpoint.paused_until = 5 * TICKS_PER_SECOND
         simulator.now = TICKS_PER_SECOND
-        simulator._served(endpoint, None)
-        self.assertEqual(simulator._calls[0][0], 5 * TICKS_PER_SECOND + 1)
-        self.assertFalse(endpoint.fits(TICKS_PER_SECOND, TICKS_PER_SECOND))
+        simulator._finish_job(endpoint, None)
+        self.assertEqual(simulator._scheduled_calls[0][0], 5 * TICKS_PER_SECOND + 1)
+        self.assertFalse(endpoint.can_start_within(TICKS_PER_SECOND, TICKS_PER_SECOND))
 
     def test_platform_rejects_votes_above_its_rate(self):
         simulator, _ = self.simulator_with_fault("calm")
@@ -157,28 +162,32 @@
             settings=simulator.day.settings._replace(votes_per_second=2.0)
         )
         simulator.platform.state = ReleaseState(2, 0, ReleasePhase.ON_TRIAL, 0.08)
-        simulator.platform._calls = 4.0
+        simulator.platform._vote_tokens = 4.0
         for instance in range(9):
-            simulator._vote(instance, simulator.lives[instance], CastVote(2, 0, Verdict.PROMOTE))
-        self.assertEqual(simulator.results.votes_asked["full"], 5)
+            simulator._vote(
+                instance, simulator.incarnations[instance], CastVote(2, 0, Verdict.PROMOTE)
+            )
+        self.assertEqual(simulator.results.vote_calls["full"], 5)
         notified = [
             arguments[2]
-            for _, _, call, arguments in simulator._calls
-            if call == simulator.platform._told_vote
+            for _, _, call, arguments in simulator._scheduled_calls
+            if call == simulator.platform._deliver_vote_outcome
         ]
         self.assertEqual((notified.count(Outcome.DONE), notified.count(Outcome.REJECTED)), (4, 5))
-        simulator.now = simulator.platform._calls_at = TICKS_PER_SECOND
+        simulator.now = simulator.platform._tokens_updated_at = TICKS_PER_SECOND
         simulator.now = 2 * TICKS_PER_SECOND
-        simulator._vote(0, simulator.lives[0], CastVote(2, 1, Verdict.PROMOTE))  # for another stage
+        simulator._vote(
+            0, simulator.incarnations[0], CastVote(2, 1, Verdict.PROMOTE)
+        )  # for another stage
         self.assertEqual(
-            (simulator.results.votes_asked["full"], simulator.results.votes_asked["moot"]), (5, 1)
+            (simulator.results.vote_calls["full"], simulator.results.vote_calls["moot"]), (5, 1)
         )
         self.assertIn(
             Outcome.NOT_SENT,
             [
                 arguments[2]
-                for _, _, call, arguments in simulator._calls
-                if call == simulator.platform._told_vote
+                for _, _, call, arguments in simulator._scheduled_calls
+                if call == simulator.platform._deliver_vote_outcome
             ],
         )
 
@@ -205,7 +214,7 @@
                 return actions
 
         simulator, _ = self.simulator_with_fault("calm")
-        Simulator(simulator.day._replace(faults=()), CancellingEngine).play()
+        Simulator(simulator.day._replace(faults=()), CancellingEngine).run()
         ends = [event.outcome for event in notified if type(event) is AttemptEnded]
         self.assertEqual(
             (set(ends), len(ends)),
@@ -215,4 +224,4 @@
     def test_scenarios_of_each_kind_keep_the_invariants(self):
         for kind in large_fleet_scenarios.STANDARD_KINDS:
             day, _ = large_fleet_scenarios.draw_standard_day(2, kind, 12, 9, 15, load=0.4)
-            self.assertEqual(Simulator(day, current_engine).play().checker.broken, [], kind)
+            self.assertEqual(Simulator(day, current_engine).run().checker.violations, [], kind)
--- a/tests/unit/simulation/test_hard_cases.py
+++ b/tests/unit/simulation/test_hard_cases.py
@@ -106,22 +106,24 @@
                 day, _ = draw_vast_day(5, kind, **SIZE)
                 simulator = Simulator(
                     day._replace(faults=faults, offers=offers, **day_changes), current_engine
-                ).play()
+                ).run()
                 figures = vast_figures(simulator)
-                self.assertEqual(simulator.checker.rules_broken(), [], simulator.checker.broken[:3])
                 self.assertEqual(
-                    (simulator.results.released, simulator.results.sent_back),
+                    simulator.checker.violated_rules(), [], simulator.checker.violations[:3]
+                )
+                self.assertEqual(
+                    (simulator.results.released, simulator.results.rolled_back),
                     (expected_releases, [] if expected_releases else [2]),
                 )
                 self.assertGreater(figures["service"], min_service)
                 self.assertLessEqual(figures["behind"], max_behind)
                 self.assertLess(figures["cold_overrun"], 1.0)
                 if simulator.discovery:
-                    self.assertEqual(len(simulator.discovery.standing), 16)
+                    self.assertEqual(len(simulator.discovery.watch_streams), 16)
                     self.assertLess(figures["lists_per_instance"], 8)
                 if "max_connections_per_pod" in day_changes:
-                    self.assertGreater(simulator.connections.refused, 0)
-                    self.assertLessEqual(max(simulator.connections.held.values()), 10)
+                    self.assertGreater(simulator.connections.refused_count, 0)
+                    self.assertLessEqual(max(simulator.connections.open_counts.values()), 10)
                 if faults == (ERRORS,):
                     # Compared with the other servers of its build, until build 2 is released.
                     other_attempts = [
--- a/tests/unit/simulation/test_platform_counts.py
+++ b/tests/unit/simulation/test_platform_counts.py
@@ -27,7 +27,7 @@
         super().__init__(*arguments)
         self.ended_by_period, self.counts_by_instance = {}, {}
 
-    def tell(self, instance, event):
+    def deliver_event(self, instance, event):
         if type(event) is AttemptEnded and event.outcome not in (
             Outcome.NOT_SENT,
             Outcome.CANCELLED,
@@ -38,7 +38,7 @@
             totals[2] += event.latency * (event.outcome == Outcome.DONE)
         if type(event) is FleetCounts:
             self.counts_by_instance.setdefault(instance, []).append((self.now, event))
-        super().tell(instance, event)
+        super().deliver_event(instance, event)
 
 
 class PlatformCounts(unittest.TestCase):
@@ -47,7 +47,7 @@
         call_outage = Fault("calls", 5 * TICKS_PER_SECOND, 7 * TICKS_PER_SECOND, (), REFUSED_CALLS)
         simulator = CountingSimulator(
             day._replace(counted_ratio=1.0, faults=(*day.faults, call_outage)), current_engine
-        ).play()
+        ).run()
         for instance in (0, 23):
             received = {}
             for now, counts in simulator.counts_by_instance[instance]:
@@ -72,7 +72,7 @@
         for tally_every in (PERIOD, 0):
             simulator = CountingSimulator(
                 day._replace(counts_interval=tally_every), current_engine
-            ).play()
+            ).run()
             counted = sum(counts.attempts for _, counts in simulator.counts_by_instance.get(0, ()))
             ended = sum(totals[0] for totals in simulator.ended_by_period.values())
             self.assertTrue(
@@ -82,11 +82,13 @@
 
     def test_good_build_is_released_and_earlier_servers_leave(self):
         day, _ = draw_mass_day(5, **SIZE, seconds=32, good=True)
-        simulator = Simulator(day._replace(offers=day.offers[:1]), current_engine).play()
+        simulator = Simulator(day._replace(offers=day.offers[:1]), current_engine).run()
         self.assertEqual(simulator.results.released, [2])
-        self.assertEqual(simulator.checker.rules_broken(), [], simulator.checker.broken[:3])
+        self.assertEqual(simulator.checker.violated_rules(), [], simulator.checker.violations[:3])
         stage_times = [
-            now for now, _, event in simulator.results.course if event in ("stage", "released")
+            now
+            for now, _, event in simulator.results.rollout_events
+            if event in ("stage", "released")
         ]
         self.assertTrue(
             all(
--- a/tests/unit/simulation/test_simulation.py
+++ b/tests/unit/simulation/test_simulation.py
@@ -27,12 +27,12 @@
 
 class Reproducibility(unittest.TestCase):
     def test_same_seed_gives_the_same_day_in_another_process(self):
-        expected = Simulator(scenarios.draw_day(5, **SMALL_FLEET), current_engine).play().figures()
+        expected = Simulator(scenarios.draw_day(5, **SMALL_FLEET), current_engine).run().figures()
         code = (
             "import json; from thymeknot.simulation import scenarios as days; "
             "from thymeknot.simulation.simulator import *; "
             f"print(json.dumps([repr(days.draw_day(5, **{SMALL_FLEET!r})), "
-            f"Simulator(days.draw_day(5, **{SMALL_FLEET!r}), current_engine).play().figures()]))"
+            f"Simulator(days.draw_day(5, **{SMALL_FLEET!r}), current_engine).run().figures()]))"
         )
         completed = subprocess.run(
             [sys.executable, "-c", code], capture_output=True, text=True, timeout=60
@@ -49,8 +49,8 @@
             name: Simulator(
                 scenarios.draw_day(5, **SMALL_FLEET)._replace(client_retries=0, faults=()), policy
             )
-            .play()
-            .results.asked
+            .run()
+            .results.possible_earnings
             for name, policy in BASELINE_POLICIES.items()
         }
         self.assertEqual(len(set(requested.values())), 1)
@@ -62,16 +62,14 @@
     def test_engines_and_simulator_agree_on_attempts_in_flight(self):
         for seed in range(1, 9):
             with self.subTest(seed=seed):
-                simulator = Simulator(
-                    scenarios.draw_day(seed, **SMALL_FLEET), current_engine
-                ).play()
-                self.assertEqual(simulator.disagreements(), [])
+                simulator = Simulator(scenarios.draw_day(seed, **SMALL_FLEET), current_engine).run()
+                self.assertEqual(simulator.in_flight_mismatches(), [])
 
     def test_undelivered_attempt_end_is_detected(self):
         class LosesAttemptEnd(Simulator):
             has_lost_one = False
 
-            def tell(self, instance, event):
+            def deliver_event(self, instance, event):
                 if (
                     isinstance(event, AttemptEnded)
                     and self.now > 10 * SECOND
@@ -79,14 +77,14 @@
                 ):
                     self.has_lost_one = True
                 else:
-                    super().tell(instance, event)
+                    super().deliver_event(instance, event)
 
         day = scenarios.draw_day(5, **SMALL_FLEET)._replace(faults=())  # no instance restarts
-        simulator = LosesAttemptEnd(day, current_engine).play()
+        simulator = LosesAttemptEnd(day, current_engine).run()
         self.assertEqual(
-            [counted - in_flight for _, counted, in_flight in simulator.disagreements()],
+            [counted - in_flight for _, counted, in_flight in simulator.in_flight_mismatches()],
             [1],
-            simulator.disagreements(),
+            simulator.in_flight_mismatches(),
         )
 
 
@@ -117,31 +115,34 @@
             "a",
             cores=1,
             speed=1.0,
-            queue_most=1,
+            queue_limit=1,
             build=Build(1),
             started=1000,
-            cold=1000,
-            cold_from=0.25,
+            warmup_duration=1000,
+            warmup_initial_fraction=0.25,
         )
         self.assertEqual(
-            [pod.warmth(now) for now in (1000, 1500, 2000, 9000)], [0.25, 0.625, 1.0, 1.0]
+            [pod.capacity_fraction(now) for now in (1000, 1500, 2000, 9000)],
+            [0.25, 0.625, 1.0, 1.0],
         )
 
         class Job:
             work, lane = 100, "fetch"
 
-        self.assertEqual(pod.take(1000, Job), 400)
-        self.assertIsNone(pod.take(1000, Job))
-        self.assertIs(pod.take(1000, Job), False)
+        self.assertEqual(pod.submit(1000, Job), 400)
+        self.assertIsNone(pod.submit(1000, Job))
+        self.assertIs(pod.submit(1000, Job), False)
         self.assertEqual(pod.finish(2000), (Job, 100))
 
     def test_build_faults_start_after_a_delay_or_under_load(self):
-        fails_late, fails_under_load = Build(2, 0.5, after=500), Build(2, 0.5, load=0.5)
-        pod = Pod("p", "a", cores=2, speed=1.0, queue_most=9, build=fails_late, started=1000)
-        self.assertEqual([fails_late.strikes(pod, now, "x") for now in (1400, 1500)], [False, True])
-        self.assertFalse(fails_under_load.strikes(pod, 2000, "x"))
-        pod.busy = 1
-        self.assertTrue(fails_under_load.strikes(pod, 2000, "x"))
+        fails_late, fails_under_load = Build(2, 0.5, fault_delay=500), Build(2, 0.5, min_load=0.5)
+        pod = Pod("p", "a", cores=2, speed=1.0, queue_limit=9, build=fails_late, started=1000)
+        self.assertEqual(
+            [fails_late.fault_applies(pod, now, "x") for now in (1400, 1500)], [False, True]
+        )
+        self.assertFalse(fails_under_load.fault_applies(pod, 2000, "x"))
+        pod.busy_cores = 1
+        self.assertTrue(fails_under_load.fault_applies(pod, 2000, "x"))
 
     def test_confidence_intervals_cover_the_true_difference(self):
         generator, covered = np.random.Generator(np.random.PCG64(8)), 0
@@ -163,85 +164,88 @@
 
     def test_each_request_gets_one_answer_in_time(self):
         checker = make_checker()
-        checker.taken(0, 0, "t", "fetch", 100)
-        checker.answered(150, 0, "t", "done")
-        self.assertEqual(checker.broken, [])
-        checker.answered(150, 0, "t", "done")
-        checker.taken(0, 0, "u", "fetch", 100)
-        checker.answered(151, 0, "u", "done")
-        checker.taken(0, 0, "v", "fetch", 100)
-        checker.taken(0, 1, "w", "fetch", 100)
-        checker.killed(50, 1)
-        checker.ended(1000)
+        checker.record_request(0, 0, "t", "fetch", 100)
+        checker.record_answer(150, 0, "t", "done")
+        self.assertEqual(checker.violations, [])
+        checker.record_answer(150, 0, "t", "done")
+        checker.record_request(0, 0, "u", "fetch", 100)
+        checker.record_answer(151, 0, "u", "done")
+        checker.record_request(0, 0, "v", "fetch", 100)
+        checker.record_request(0, 1, "w", "fetch", 100)
+        checker.record_kill(50, 1)
+        checker.record_day_end(1000)
         self.assertEqual(
-            [text for _, _, text in checker.broken],
+            [text for _, _, text in checker.violations],
             ["t: a second answer", "u: answered 51 late", "v: no answer"],
         )
 
     def test_non_idempotent_request_is_repeated_only_if_it_did_not_run(self):
         for ran, expected_rules in ((False, []), (None, [2]), (True, [2])):
             checker = make_checker()
-            checker.taken(0, 0, "t", "pay", 9000)
-            checker.sent(0, 0, "t", "p", 1, lane="pay")
-            checker.proved(0, "t", 0, ran)
-            checker.sent(10, 0, "t", "q", 1, lane="pay")
-            self.assertEqual(checker.rules_broken(), expected_rules)
+            checker.record_request(0, 0, "t", "pay", 9000)
+            checker.record_attempt(0, 0, "t", "p", 1, lane="pay")
+            checker.record_attempt_end(0, "t", 0, ran)
+            checker.record_attempt(10, 0, "t", "q", 1, lane="pay")
+            self.assertEqual(checker.violated_rules(), expected_rules)
 
     def test_no_attempt_after_the_drain_grace(self):
         checker = make_checker()
-        checker.listed(1000, 0, "p", "gone")
-        checker.listed(2000, 0, "p", "gone")  # the first report counts
-        checker.sent(3500, 0, "t", "p", 1, lane="fetch")
-        self.assertEqual(checker.broken, [])
-        checker.sent(3501, 0, "t", "p", 1, lane="fetch")
-        self.assertEqual(checker.rules_broken(), [3])
+        checker.record_endpoint_state(1000, 0, "p", "gone")
+        checker.record_endpoint_state(2000, 0, "p", "gone")  # the first report counts
+        checker.record_attempt(3500, 0, "t", "p", 1, lane="fetch")
+        self.assertEqual(checker.violations, [])
+        checker.record_attempt(3501, 0, "t", "p", 1, lane="fetch")
+        self.assertEqual(checker.violated_rules(), [3])
 
     def test_trial_gets_no_more_attempts_than_its_cap_allows(self):
         checker = make_checker()
-        checker.cap(0, 0, 2, 0.5, 3, phase="trial")
+        checker.record_release_state(0, 0, 2, 0.5, 3, phase="trial")
         for number in range(10):
-            checker.taken(number, 0, f"t{number}", "fetch", 9000)
+            checker.record_request(number, 0, f"t{number}", "fetch", 9000)
         for number in range(8):  # the allowance of 3 and half of 10 requests
-            checker.sent(20 + number, 0, f"t{number}", "p", 2, lane="fetch")
-        self.assertEqual(checker.broken, [])
-        checker.sent(30, 0, "t9", "p", 2, lane="fetch")
-        self.assertEqual(checker.rules_broken(), [5])
+            checker.record_attempt(20 + number, 0, f"t{number}", "p", 2, lane="fetch")
+        self.assertEqual(checker.violations, [])
+        checker.record_attempt(30, 0, "t9", "p", 2, lane="fetch")
+        self.assertEqual(checker.violated_rules(), [5])
 
     def test_guarded_stages_and_sticky_keys(self):
-        checker = make_checker(guarded=2)
-        checker.cap(0, 0, 2, 1.0, 1, phase="trial")
+        checker = make_checker(guarded_stages=2)
+        checker.record_release_state(0, 0, 2, 1.0, 1, phase="trial")
         for number in range(9):
-            checker.taken(number, 0, f"t{number}", "pay", 9000)
-        checker.key_answered(0, "k", 2)
-        checker.sent(20, 0, "t1", "p", 1, lane="fetch", key="other")
-        self.assertEqual(checker.broken, [])
-        checker.sent(20, 0, "t2", "p", 1, lane="fetch", key="k")
-        checker.sent(20, 0, "t3", "p", 2, lane="pay")
+            checker.record_request(number, 0, f"t{number}", "pay", 9000)
+        checker.record_key_answer(0, "k", 2)
+        checker.record_attempt(20, 0, "t1", "p", 1, lane="fetch", key="other")
+        self.assertEqual(checker.violations, [])
+        checker.record_attempt(20, 0, "t2", "p", 1, lane="fetch", key="k")
+        checker.record_attempt(20, 0, "t3", "p", 2, lane="pay")
         self.assertEqual(
-            [text.split(":")[1][:20] for _, _, text in checker.broken],
+            [text.split(":")[1][:20] for _, _, text in checker.violations],
             [" its key was answere", " pay in guarded stag"],
         )
 
     def test_restarted_instance_has_no_allowance_from_before_its_restart(self):
         for is_killed, expected_rules in ((False, []), (True, [5])):
             checker = make_checker()
-            checker.cap(0, 1, 2, 0.5, 2, phase="trial")
+            checker.record_release_state(0, 1, 2, 0.5, 2, phase="trial")
             for number in range(40):
-                checker.taken(100 + number, 1, f"t{number}", "fetch", 10_000)
+                checker.record_request(100 + number, 1, f"t{number}", "fetch", 10_000)
             if is_killed:
-                checker.killed(200, 1)
+                checker.record_kill(200, 1)
             for number in range(10):
-                checker.sent(300 + number, 1, f"t{number}", "p", 2, lane="fetch")
-            self.assertEqual(checker.rules_broken(), expected_rules)
+                checker.record_attempt(300 + number, 1, f"t{number}", "p", 2, lane="fetch")
+            self.assertEqual(checker.violated_rules(), expected_rules)
 
     def test_warming_server_is_not_overloaded_by_all_instances_together(self):
         informed, uninformed = (
-            make_checker(cold=4 * SECOND, cold_from=0.25, overload=SECOND) for _ in range(2)
+            make_checker(
+                warmup_duration=4 * SECOND, warmup_initial_fraction=0.25, overload_window=SECOND
+            )
+            for _ in range(2)
         )
         for instance in range(7):
-            informed.started(instance, "p", 9_000)
+            informed.record_server_start(instance, "p", 9_000)
         for number in range(40):
-            informed.sent(
+            informed.record_attempt(
                 10_000 + number * 100,
                 number % 7,
                 f"t{number}",
@@ -252,10 +256,10 @@
                 started=9_000,
                 capacity=1.0,
             )
-        self.assertEqual(informed.broken, [])
+        self.assertEqual(informed.violations, [])
         for number in range(80):
             for checker in (informed, uninformed):
-                checker.sent(
+                checker.record_attempt(
                     15_000 + number * 10,
                     number % 7,
                     f"u{number}",
@@ -266,7 +270,7 @@
                     started=9_000,
                     capacity=1.0,
                 )
-        self.assertEqual((informed.rules_broken(), uninformed.rules_broken()), ([4], []))
+        self.assertEqual((informed.violated_rules(), uninformed.violated_rules()), ([4], []))
 
 
 if __name__ == "__main__":
--- a/thymeknot/simulation/calibration.py
+++ b/thymeknot/simulation/calibration.py
@@ -77,7 +77,7 @@
 ) -> list[float]:
     """Returns the sojourn times of the jobs that end before the last arrival, ordered by end."""
     pod: Pod[QueueJob] = Pod(
-        "p", "a", cores=cores, speed=1.0, queue_most=UNLIMITED_QUEUE, build=Build(1), started=0
+        "p", "a", cores=cores, speed=1.0, queue_limit=UNLIMITED_QUEUE, build=Build(1), started=0
     )
     running: list[tuple[float, int, QueueJob]] = []
     sojourn_times: list[float] = []
@@ -98,7 +98,7 @@
             if next_start:
                 start_job(moment, *next_start)
         job = QueueJob(service_times.next(), "x", now)
-        duration = pod.take(now, job)
+        duration = pod.submit(now, job)
         if duration is not None:
             start_job(now, job, duration)
     return sojourn_times
@@ -129,5 +129,5 @@
         policy: Creates the decision engines.
         seed: Seed of the day.
     """
-    broken: list[int] = Simulator(rule_check_day(seed), policy).play().checker.rules_broken()
+    broken: list[int] = Simulator(rule_check_day(seed), policy).run().checker.violated_rules()
     return broken
--- a/thymeknot/simulation/earlier_versions.py
+++ b/thymeknot/simulation/earlier_versions.py
@@ -19,7 +19,7 @@
 from ..interface import actions, events
 from ..interface.clock import Ticks
 from ..interface.settings import RequestClass, Settings
-from .shared_services import EarlierPace
+from .shared_services import OriginalPollInterval
 
 REPOSITORY_ROOT = os.path.dirname(os.path.dirname(os.path.dirname(os.path.abspath(__file__))))
 
@@ -208,7 +208,7 @@
     finally:
         sys.path.remove(directory.name)
     poll_interval_type = (
-        EarlierPace
+        OriginalPollInterval
         if interval_module is None
         else getattr(interval_module, "AdaptiveInterval", None) or interval_module.Pace
     )
--- a/thymeknot/simulation/experiments.py
+++ b/thymeknot/simulation/experiments.py
@@ -85,7 +85,7 @@
         The figures of the day and the arguments that reproduce it.
     """
     policy_name, seed, size = task
-    simulator = Simulator(scenarios.draw_day(seed, **size), load_policy(policy_name)).play()
+    simulator = Simulator(scenarios.draw_day(seed, **size), load_policy(policy_name)).run()
     return {
         "policy": policy_name,
         "seed": seed,
@@ -107,16 +107,16 @@
     """
     policy_name, kind, seed, size = task
     day, (_, worst_end) = large_fleet_scenarios.draw_day(seed, kind, **size)
-    simulator = Simulator(day, load_policy(policy_name)).play()
+    simulator = Simulator(day, load_policy(policy_name)).run()
     offer = day.offers[0]
-    rejected, needless = simulator.results.needless()
+    rejected, needless = simulator.results.rejection_ratios()
     if kind in large_fleet_scenarios.VAST_KINDS:
         return {
             "policy": policy_name,
             "kind": kind,
             "seed": seed,
             "turned_away": rejected,
-            "recover_s": simulator.results.recovered(worst_end),
+            "recover_s": simulator.results.recovery_seconds(worst_end),
             **vast_figures(simulator),
         }
     if kind in large_fleet_scenarios.MASS_KINDS:
@@ -125,7 +125,7 @@
             "kind": kind,
             "seed": seed,
             "turned_away": rejected,
-            "recover_s": simulator.results.recovered(worst_end),
+            "recover_s": simulator.results.recovery_seconds(worst_end),
             **mass_figures(simulator),
         }
     rolled_back = simulator.platform.state.phase in (
@@ -137,21 +137,22 @@
         "kind": kind,
         "seed": seed,
         "good": offer.good,
-        "worth": simulator.results.worth(),
-        "service": simulator.results.service(),
-        "worst_10s": simulator.results.worst(),
+        "worth": simulator.results.net_earnings_ratio(),
+        "service": simulator.results.earnings_ratio(),
+        "worst_10s": simulator.results.worst_earnings_ratio(),
         "turned_away": rejected,
         "needless": needless,
-        "behind": simulator.results.behind / max(MIN_REQUESTED, simulator.results.asked),
-        "recover_s": simulator.results.recovered(worst_end),
+        "behind": simulator.results.outdated_earnings
+        / max(MIN_REQUESTED, simulator.results.possible_earnings),
+        "recover_s": simulator.results.recovery_seconds(worst_end),
         "good_back": offer.good and rolled_back,
         "bad_released": not offer.good and bool(simulator.results.released),
         "bad_kept": not offer.good
         and simulator.platform.state.phase == ReleasePhase.RELEASED
         and simulator.platform.state.build == offer.build,
-        "votes": simulator.results.votes_asked,
-        "rules_broken": simulator.checker.rules_broken(),
-        "breaches": [list(breach) for breach in simulator.checker.broken[:MAX_BREACHES]],
+        "votes": simulator.results.vote_calls,
+        "rules_broken": simulator.checker.violated_rules(),
+        "breaches": [list(breach) for breach in simulator.checker.violations[:MAX_BREACHES]],
     }
 
 
@@ -176,31 +177,31 @@
     `cold_overrun` is the highest ratio of the work sent to a server during its warm-up to the work
     that overloads it. The figures of builds, such as `good_back`, are numbers of builds.
     """
-    requested = max(MIN_REQUESTED, simulator.results.asked)
+    requested = max(MIN_REQUESTED, simulator.results.possible_earnings)
     good_builds = [offer.build for offer in simulator.day.offers if offer.good]
     bad_builds = [offer.build for offer in simulator.day.offers if not offer.good]
-    vote_calls = simulator.results.votes_asked
+    vote_calls = simulator.results.vote_calls
     return {
-        "worth": simulator.results.worth(),
-        "service": simulator.results.service(),
-        "worst_10s": simulator.results.worst(),
-        "needless_share": simulator.results.needless()[1],
-        "behind": simulator.results.behind / requested,
+        "worth": simulator.results.net_earnings_ratio(),
+        "service": simulator.results.earnings_ratio(),
+        "worst_10s": simulator.results.worst_earnings_ratio(),
+        "needless_share": simulator.results.rejection_ratios()[1],
+        "behind": simulator.results.outdated_earnings / requested,
         "harm": simulator.results.harm / requested,
-        "handshakes_per_transaction": simulator.connections.made
-        / max(1, simulator.results.dispatched),
-        "lists_per_instance": simulator.discovery.calls / simulator.day.instances
+        "handshakes_per_transaction": simulator.connections.opened_count
+        / max(1, simulator.results.dispatched_attempts),
+        "lists_per_instance": simulator.discovery.call_count / simulator.day.instances
         if simulator.discovery
         else 0.0,
         "calls_refused_share": vote_calls["full"] / max(1, vote_calls["asked"]),
-        "cold_overrun": simulator.checker.overrun,
-        "good_back": sum(build in simulator.results.sent_back for build in good_builds),
+        "cold_overrun": simulator.checker.max_warmup_load_ratio,
+        "good_back": sum(build in simulator.results.rolled_back for build in good_builds),
         "good": len(good_builds),
         "bad": len(bad_builds),
         "bad_released": sum(build in simulator.results.released for build in bad_builds),
         "good_released": sum(build in simulator.results.released for build in good_builds),
-        "rules_broken": simulator.checker.rules_broken(),
-        "breaches": [list(breach) for breach in simulator.checker.broken[:MAX_BREACHES]],
+        "rules_broken": simulator.checker.violated_rules(),
+        "breaches": [list(breach) for breach in simulator.checker.violations[:MAX_BREACHES]],
     }
 
 
@@ -251,7 +252,7 @@
     figures = vast_figures(simulator)
     time_limits = [*(offer.at for offer in day.offers[1:]), day.duration]
     build_times = {
-        offer.build: simulator.results.spent(
+        offer.build: simulator.results.build_times(
             offer.build,
             day.duration
             if offer.build in simulator.results.released and not offer.good
@@ -560,8 +561,8 @@
             faults=tuple(other for other in needed_faults if other is not fault)
         )
         remaining_difference = (
-            Simulator(reduced_day, load_policy(policy_name)).play().results.service()
-            - Simulator(reduced_day, load_policy(baseline)).play().results.service()
+            Simulator(reduced_day, load_policy(policy_name)).run().results.earnings_ratio()
+            - Simulator(reduced_day, load_policy(baseline)).run().results.earnings_ratio()
         )
         if remaining_difference <= difference + abs(difference) * 0.1:
             needed_faults.remove(fault)
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -38,8 +38,8 @@
     def schedule(self, fault: Fault) -> None:
         """Schedules the begin and the end of a fault."""
         handler = self._handlers[fault.kind]
-        self._simulator.at(fault.begin, handler, fault, True)
-        self._simulator.at(fault.end, handler, fault, False)
+        self._simulator.schedule_at(fault.begin, handler, fault, True)
+        self._simulator.schedule_at(fault.end, handler, fault, False)
 
     def _slow_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
@@ -47,47 +47,49 @@
                 pod.speed *= 1 / fault.magnitude if begins else fault.magnitude
 
     def _errors(self, fault: Fault, begins: bool) -> None:
-        failing = self._simulator.servers.failing
+        failure_ratios = self._simulator.servers.extra_failure_ratios
         for place in fault.targets:
-            name = f"p{place}-{FIRST_BUILD}"
+            address = f"p{place}-{FIRST_BUILD}"
             if begins:
-                failing[name] = fault.magnitude
+                failure_ratios[address] = fault.magnitude
             else:
-                failing.pop(name, None)
+                failure_ratios.pop(address, None)
 
     def _connection_loss(self, fault: Fault, begins: bool) -> None:
-        self._simulator.loss = fault.magnitude if begins else self._simulator.day.loss_ratio
+        self._simulator.attempt_loss_ratio = (
+            fault.magnitude if begins else self._simulator.day.loss_ratio
+        )
 
     def _late_lists(self, fault: Fault, begins: bool) -> None:
         self._simulator.servers.list_delay = int(fault.magnitude) if begins else 0
 
     def _late_release_updates(self, fault: Fault, begins: bool) -> None:
-        self._simulator.platform.news_delay = int(fault.magnitude) if begins else 0
+        self._simulator.platform.update_delay = int(fault.magnitude) if begins else 0
 
     def _burst(self, fault: Fault, begins: bool) -> None:
-        self._simulator.burst = fault.magnitude if begins else 1.0
+        self._simulator.request_rate_factor = fault.magnitude if begins else 1.0
 
     def _slow_all(self, fault: Fault, begins: bool) -> None:
-        self._simulator.slow_all = fault.magnitude if begins else 1.0
+        self._simulator.work_factor = fault.magnitude if begins else 1.0
 
     def _calls_down(self, fault: Fault, begins: bool) -> None:
         self._simulator.platform.call_fault = fault.magnitude if begins else None
 
     def _lost_answers(self, fault: Fault, begins: bool) -> None:
-        self._simulator.lost_answers = fault.magnitude if begins else 0.0
+        self._simulator.answer_loss_ratio = fault.magnitude if begins else 0.0
 
     def _zone_cut(self, fault: Fault, begins: bool) -> None:
         simulator = self._simulator
         zones = {simulator.day.zones[number] for number in fault.targets}
         if begins:
-            simulator.cut_zones = simulator.cut_zones | zones
+            simulator.partitioned_zones = simulator.partitioned_zones | zones
         else:
-            simulator.cut_zones = simulator.cut_zones - zones
+            simulator.partitioned_zones = simulator.partitioned_zones - zones
             simulator.platform.announce()  # repeated news make up for what was missed
 
     def _silent_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
-            pod.silent = begins and place_index(pod.name) in fault.targets
+            pod.unresponsive = begins and place_index(pod.name) in fault.targets
 
     def _zone_loss(self, fault: Fault, begins: bool) -> None:
         zone = self._simulator.day.zones[fault.targets[0]]
@@ -107,7 +109,12 @@
             return
         simulator = self._simulator
         for pod in simulator.servers.pods.values():
-            if place_index(pod.name) in fault.targets and simulator.misc.random() < PAUSED_RATIO:
-                pod.paused = simulator.now + int(fault.magnitude * (0.5 + simulator.misc.random()))
+            if (
+                place_index(pod.name) in fault.targets
+                and simulator.generator.random() < PAUSED_RATIO
+            ):
+                pod.paused_until = simulator.now + int(
+                    fault.magnitude * (0.5 + simulator.generator.random())
+                )
         if simulator.now + PAUSE_INTERVAL < fault.end:
-            simulator.at(simulator.now + PAUSE_INTERVAL, self._pauses, fault, True)
+            simulator.schedule_at(simulator.now + PAUSE_INTERVAL, self._pauses, fault, True)
--- a/thymeknot/simulation/report.py
+++ b/thymeknot/simulation/report.py
@@ -18,7 +18,7 @@
 from ..interface.clock import TICKS_PER_SECOND
 from ..interface.enums import ReleasePhase, Verdict
 from .invariants import Answer
-from .recording import PERIOD, RecordingSimulator
+from .recording import RECORDING_PERIOD, RecordingSimulator
 from .scenarios import Day
 
 VERDICT_LABELS = {
@@ -28,7 +28,7 @@
     Verdict.ABORT: "back",
 }
 ANSWER_COLOURS = {"done": "tab:green", "deferred": "tab:orange", "abandoned": "tab:red"}
-PERIODS_PER_SECOND = TICKS_PER_SECOND / PERIOD
+PERIODS_PER_SECOND = TICKS_PER_SECOND / RECORDING_PERIOD
 # Seconds of queued work that are shown in the brightest colour.
 BRIGHTEST_LOAD_SECONDS = 3
 # Not shown in the table, because their values are dictionaries.
@@ -49,7 +49,7 @@
     for number, fault in enumerate(day.faults):
         axis.axvspan(
             fault.begin / TICKS_PER_SECOND,
-            max(fault.end, fault.begin + PERIOD) / TICKS_PER_SECOND,
+            max(fault.end, fault.begin + RECORDING_PERIOD) / TICKS_PER_SECOND,
             alpha=0.08,
             color=f"C{number}",
         )
@@ -64,7 +64,7 @@
         path: The file.
         title: Title of the charts.
     """
-    times = [snapshot.at for snapshot in simulator.looks]
+    times = [snapshot.at for snapshot in simulator.snapshots]
     figure, axes = pyplot.subplots(6, 1, figsize=(11, 15), sharex=True, constrained_layout=True)
     figure.suptitle(title)
     _draw_attempts(axes[0], simulator, times)
@@ -84,30 +84,33 @@
 def _draw_attempts(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
     axis.stackplot(
         times,
-        [simulator.sent[build][: len(times)] * PERIODS_PER_SECOND for build in simulator.names],
-        labels=[f"build {build}" for build in simulator.names],
+        [
+            simulator.attempt_counts[build][: len(times)] * PERIODS_PER_SECOND
+            for build in simulator.builds
+        ],
+        labels=[f"build {build}" for build in simulator.builds],
     )
     axis.set_ylabel("attempts per second")
 
 
 def _draw_exposure(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
-    total = np.sum(list(simulator.sent.values()), axis=0)[: len(times)]
-    for build in simulator.names[1:]:
+    total = np.sum(list(simulator.attempt_counts.values()), axis=0)[: len(times)]
+    for build in simulator.builds[1:]:
         axis.plot(
             times,
-            [snapshot.running[build] / simulator.day.pods for snapshot in simulator.looks],
+            [snapshot.running[build] / simulator.day.pods for snapshot in simulator.snapshots],
             label=f"pods of build {build}",
         )
         axis.plot(
             times,
-            simulator.sent[build][: len(times)] / total.clip(1),
+            simulator.attempt_counts[build][: len(times)] / total.clip(1),
             label=f"share of attempts at build {build}",
         )
     axis.step(
         times,
         [
             snapshot.cap if snapshot.phase == ReleasePhase.ON_TRIAL else float("nan")
-            for snapshot in simulator.looks
+            for snapshot in simulator.snapshots
         ],
         label="cap",
         color="black",
@@ -120,7 +123,7 @@
     for answer, colour in ANSWER_COLOURS.items():
         axis.plot(
             times,
-            simulator.how[Answer(answer)][: len(times)] * PERIODS_PER_SECOND,
+            simulator.answer_counts[Answer(answer)][: len(times)] * PERIODS_PER_SECOND,
             label=answer,
             color=colour,
         )
@@ -129,9 +132,11 @@
 
 def _draw_votes(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
     for verdict, label in VERDICT_LABELS.items():
-        if simulator.cast[verdict].any():
+        if simulator.vote_counts[verdict].any():
             axis.plot(
-                times, simulator.cast[verdict][: len(times)] * PERIODS_PER_SECOND, label=label
+                times,
+                simulator.vote_counts[verdict][: len(times)] * PERIODS_PER_SECOND,
+                label=label,
             )
     axis.axhline(
         simulator.day.settings.votes_per_second,
@@ -144,14 +149,14 @@
 
 
 def _draw_latencies(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
-    axis.plot(times, simulator.late()[: len(times)], label="95th percentile")
+    axis.plot(times, simulator.latency_quantiles()[: len(times)], label="95th percentile")
     axis.axhline(1.0, color="black", linewidth=0.8)
     axis.set_ylabel("latency / objective")
 
 
 def _draw_load(axis: Any, simulator: RecordingSimulator, times: list[float]) -> None:
     axis.imshow(
-        [list(place_load) for place_load in zip(*simulator.load)],
+        [list(place_load) for place_load in zip(*simulator.queued_seconds)],
         aspect="auto",
         origin="lower",
         cmap="inferno",
@@ -179,7 +184,7 @@
     os.makedirs(directory, exist_ok=True)
     runs = []
     for number, (name, policy) in enumerate(policies.items()):
-        simulator = RecordingSimulator(day, policy).play()
+        simulator = RecordingSimulator(day, policy).run()
         chart_file = f"day-{number}.png"
         draw_day(simulator, os.path.join(directory, chart_file), f"{title}: {name}")
         runs.append(PolicyRun(name, chart_file, _report_figures(simulator)))
@@ -189,13 +194,13 @@
 
 
 def _report_figures(simulator: RecordingSimulator) -> dict[str, Any]:
-    rejected, needless = simulator.results.needless()
+    rejected, needless = simulator.results.rejection_ratios()
     return {
         **simulator.figures(),
         "turned_away": round(rejected, 4),
         "needless": round(needless, 4),
-        "worth": round(simulator.results.worth(), 4),
-        "votes": simulator.results.votes_asked,
+        "worth": round(simulator.results.net_earnings_ratio(), 4),
+        "votes": simulator.results.vote_calls,
     }
 
 
--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -10,7 +10,7 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..polling.adaptive_interval import AdaptiveInterval, CallResult
 
-# Calls that have waited longer than this are rejected.
+# Calls that have waited longer than this in the queue are rejected.
 MAX_CALL_WAIT: Ticks = 2 * TICKS_PER_SECOND
 # Maximum queue length, in seconds of answers at the service's rate.
 MAX_QUEUE_SECONDS = 2.2
@@ -18,7 +18,7 @@
 QUEUE_FULL_DELAY: Ticks = 500
 # Idle connections are closed after this time.
 IDLE_TIMEOUT: Ticks = 15 * TICKS_PER_SECOND
-# An instance whose list request was refused and that has no watch stream asks again after a random
+# An instance without a watch stream whose request for a list was refused repeats it after a random
 # time between once and twice this delay.
 LIST_RETRY_DELAY: Ticks = TICKS_PER_SECOND
 
@@ -29,104 +29,122 @@
 
 
 class PollInterval(Protocol):
-    """How often an instance polls.
+    """The waits between the calls of one instance to discovery.
 
-    Earlier versions may have an attribute `beside`: if true, the instance makes two calls at its
-    start.
+    The attribute `makes_two_initial_calls` is optional: if true, the instance makes two calls at
+    its start.
     """
 
     draw: RandomDraw
 
-    def initial_wait(self, asking: int) -> Ticks:
-        """Returns the wait before the first call if `asking` callers start at once."""
+    def initial_wait(self, callers: int) -> Ticks:
+        """Returns the wait before the first call if `callers` start at once."""
 
-    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, result: CallResult, age: Ticks = 0) -> Ticks:
         """Returns the wait before the next call, given the result of the last one."""
 
 
-class EarlierPace:
-    """The poll interval up to revision 9db9198: short, with a second call at the start."""
+class OriginalPollInterval:
+    """The poll interval of git revisions up to 9db9198: short, with a second call at the start."""
 
-    beside = True
+    makes_two_initial_calls = True
 
     def __init__(self, draw: RandomDraw) -> None:
         self.draw = draw
 
-    def initial_wait(self, asking: int) -> Ticks:
+    def initial_wait(self, callers: int) -> Ticks:
         """Returns the wait before the first call."""
         return 0
 
-    def record(self, how: CallResult, age: Ticks = 0) -> Ticks:
+    def record(self, result: CallResult, age: Ticks = 0) -> Ticks:
         """Returns the wait before the next call, regardless of the last result."""
         return 2_000 + int(self.draw() * 6_000)
 
 
+class PollIntervalAdapter:
+    """Adapts the poll interval of a git revision whose methods are named `first` and `ended`."""
+
+    def __init__(self, interval: Any) -> None:
+        self._interval = interval
+        self.draw: RandomDraw = interval.draw
+
+    def initial_wait(self, callers: int) -> Ticks:
+        """Returns the wait before the first call if `callers` start at once."""
+        wait: Ticks = self._interval.first(callers)
+        return wait
+
+    def record(self, result: CallResult, age: Ticks = 0) -> Ticks:
+        """Returns the wait before the next call, given the result of the last one."""
+        wait: Ticks = self._interval.ended(result, age)
+        return wait
+
+
 class Service:
     """Answers a limited number of calls per second, in order of arrival.
 
-    A call is rejected if the queue is full or if it has waited too long. The latter costs as much
-    as an answer.
+    A call is rejected if the queue is full or if it has waited too long. The latter takes as much
+    of the service's time as an answer.
 
     Attributes:
-        calls: Number of calls.
-        refused: Number of rejected calls.
+        call_count: Number of calls.
+        rejected_count: Number of rejected calls.
     """
 
-    def __init__(self, rate: float, at: Schedule, now: Callable[[], Ticks]) -> None:
+    def __init__(self, rate: float, schedule_at: Schedule, now: Callable[[], Ticks]) -> None:
         """Starts the service.
 
         Args:
             rate: Answers per second.
-            at: Schedules a call.
+            schedule_at: Schedules a call.
             now: Returns the current time.
         """
         self.answer_interval = int(TICKS_PER_SECOND / rate)
         self.queue_limit = int(rate * MAX_QUEUE_SECONDS)
-        self.at = at
+        self.schedule_at = schedule_at
         self.now = now
-        self.waiting: deque[tuple[Ticks, Callable[[bool], None]]] = deque()
-        self.calls = 0
-        self.refused = 0
-        self.at(self.now() + self.answer_interval, self._next)
-
-    def call(self, end: Callable[[bool], None]) -> None:
-        """Makes a call; `end` is called once with whether the call was answered."""
-        self.calls += 1
-        if len(self.waiting) >= self.queue_limit:
-            self.refused += 1
-            self.at(self.now() + QUEUE_FULL_DELAY, end, False)
+        self.queue: deque[tuple[Ticks, Callable[[bool], None]]] = deque()
+        self.call_count = 0
+        self.rejected_count = 0
+        self.schedule_at(self.now() + self.answer_interval, self._answer_next)
+
+    def call(self, callback: Callable[[bool], None]) -> None:
+        """Makes a call; `callback` gets True once it is answered, or False once it is rejected."""
+        self.call_count += 1
+        if len(self.queue) >= self.queue_limit:
+            self.rejected_count += 1
+            self.schedule_at(self.now() + QUEUE_FULL_DELAY, callback, False)
         else:
-            self.waiting.append((self.now(), end))
+            self.queue.append((self.now(), callback))
 
-    def _next(self) -> None:
-        self.at(self.now() + self.answer_interval, self._next)
-        if self.waiting:
-            queued_at, end = self.waiting.popleft()
-            good = self.now() <= queued_at + MAX_CALL_WAIT
-            self.refused += not good
-            end(good)
+    def _answer_next(self) -> None:
+        self.schedule_at(self.now() + self.answer_interval, self._answer_next)
+        if self.queue:
+            queued_at, callback = self.queue.popleft()
+            in_time = self.now() <= queued_at + MAX_CALL_WAIT
+            self.rejected_count += not in_time
+            callback(in_time)
 
 
 class Poller(NamedTuple):
-    """An instance, between one start and the next, that asks for endpoint lists."""
+    """One incarnation of an instance that polls for endpoint lists."""
 
     instance: int
-    life: int
-    """Counts the starts of the instance."""
-    pace: PollInterval
+    incarnation: int
+    """Number of the instance's start."""
+    poll_interval: PollInterval
 
 
 class Discovery(Service):
-    """Discovery that instances ask for endpoint lists.
+    """The discovery service, from which instances request endpoint lists and watch streams.
 
     Attributes:
-        standing: Established watch streams: the life of the instance, by instance.
+        watch_streams: Incarnation of each instance with an established watch stream, by instance.
     """
 
     def __init__(
         self,
         rate: float,
-        at: Schedule,
+        schedule_at: Schedule,
         now: Callable[[], Ticks],
         deliver: Callable[[int, int, bool], bool],
     ) -> None:
@@ -134,52 +152,57 @@
 
         Args:
             rate: Answers per second.
-            at: Schedules a call.
+            schedule_at: Schedules a call.
             now: Returns the current time.
-            deliver: `deliver(instance, life, complete)` returns whether this life of the instance
-                still runs, and delivers the list to it if `complete` is true.
+            deliver: `deliver(instance, incarnation, deliver)` returns whether this incarnation is
+                still running, and delivers the list to it if `deliver` is true.
         """
-        super().__init__(rate, at, now)
+        super().__init__(rate, schedule_at, now)
         self.deliver = deliver
-        self.standing: dict[int, int] = {}
+        self.watch_streams: dict[int, int] = {}
 
-    def begin(self, instance: int, life: int, pace: PollInterval, asking: int) -> None:
-        """Starts polling for an instance: it asks for the list and for a watch stream.
+    def start_polling(
+        self, instance: int, incarnation: int, poll_interval: PollInterval, callers: int
+    ) -> None:
+        """Starts to request the list and a watch stream for an instance.
 
         Args:
             instance: Number of the instance.
-            life: Number of the instance's start.
-            pace: The instance's poll interval.
-            asking: How many instances may start at once.
+            incarnation: Number of this start of the instance.
+            poll_interval: The instance's poll interval.
+            callers: How many instances may start at once.
         """
-        self.standing.pop(instance, None)
-        poller = Poller(instance, life, pace)
-        self.at(self.now() + pace.initial_wait(asking), self._ask, poller, True)
-        if getattr(pace, "beside", False):
-            self.at(self.now(), self._ask, poller, False)
-
-    def _ask(self, poller: Poller, watch: bool) -> None:
-        def ended(good: bool) -> None:
-            if good and watch:
-                self.standing[poller.instance] = poller.life
-            if good:
-                self.deliver(poller.instance, poller.life, True)
-            elif watch or self.standing.get(poller.instance) != poller.life:
-                wait = self._wait_after_refusal(poller.pace, watch)
-                self.at(self.now() + wait, self._ask, poller, watch)
-
-        if self.deliver(poller.instance, poller.life, False):  # otherwise it has stopped since
-            self.call(ended)
+        self.watch_streams.pop(instance, None)
+        poller = Poller(instance, incarnation, poll_interval)
+        self.schedule_at(
+            self.now() + poll_interval.initial_wait(callers), self._request_list, poller, True
+        )
+        if getattr(poll_interval, "makes_two_initial_calls", False):
+            self.schedule_at(self.now(), self._request_list, poller, False)
+
+    def _request_list(self, poller: Poller, watch: bool) -> None:
+        def handle_result(answered: bool) -> None:
+            if answered and watch:
+                self.watch_streams[poller.instance] = poller.incarnation
+            if answered:
+                self.deliver(poller.instance, poller.incarnation, True)
+            elif watch or self.watch_streams.get(poller.instance) != poller.incarnation:
+                wait = self._wait_after_refusal(poller.poll_interval, watch)
+                self.schedule_at(self.now() + wait, self._request_list, poller, watch)
+
+        # An instance that has stopped since then makes no call.
+        if self.deliver(poller.instance, poller.incarnation, False):
+            self.call(handle_result)
 
     @staticmethod
-    def _wait_after_refusal(pace: PollInterval, watch: bool) -> Ticks:
+    def _wait_after_refusal(poll_interval: PollInterval, watch: bool) -> Ticks:
         if watch:
-            return pace.record(CallResult.REFUSED)
-        return LIST_RETRY_DELAY + int(pace.draw() * LIST_RETRY_DELAY)
+            return poll_interval.record(CallResult.REFUSED)
+        return LIST_RETRY_DELAY + int(poll_interval.draw() * LIST_RETRY_DELAY)
 
 
 ConnectionKey = tuple[int, int, str]
-"""Identifies connections by instance, life of the instance and address of the server."""
+"""Identifies connections by instance, incarnation and address of the server."""
 
 
 class Connections:
@@ -187,60 +210,63 @@
 
     Attributes:
         max_per_server: Maximum number of connections per server; 0 for no limit.
-        idle: Times since which the idle connections have been idle, by key.
-        held: Number of open connections, by server.
-        made: Number of connections opened.
-        refused: Number of connections refused because of the limit.
+        idle_since: When each idle connection became idle, by key.
+        open_counts: Number of open connections, by server.
+        opened_count: Number of connections opened.
+        refused_count: Number of connections refused because of the limit.
     """
 
     def __init__(self, max_per_server: int) -> None:
         self.max_per_server = max_per_server
-        self.idle: dict[ConnectionKey, list[Ticks]] = {}
-        self.held: dict[str, int] = {}
-        self.made = 0
-        self.refused = 0
+        self.idle_since: dict[ConnectionKey, list[Ticks]] = {}
+        self.open_counts: dict[str, int] = {}
+        self.opened_count = 0
+        self.refused_count = 0
 
-    def take(self, now: Ticks, key: ConnectionKey, pod: str) -> bool:
+    def acquire(self, now: Ticks, key: ConnectionKey, pod: str) -> bool:
         """Takes an idle connection or opens a new one; returns False if the limit is reached."""
-        idle = self.idle.setdefault(key, [])
+        idle = self.idle_since.setdefault(key, [])
         while idle:
             if now <= idle.pop() + IDLE_TIMEOUT:
                 return True
-            self.held[pod] -= 1
+            self.open_counts[pod] -= 1
         if (
             self.max_per_server
-            and self.held.get(pod, 0) >= self.max_per_server
-            and not self._expire(now, pod)
+            and self.open_counts.get(pod, 0) >= self.max_per_server
+            and not self._close_expired(now, pod)
         ):
-            self.refused += 1
+            self.refused_count += 1
             return False
-        self.held[pod] = self.held.get(pod, 0) + 1
-        self.made += 1
+        self.open_counts[pod] = self.open_counts.get(pod, 0) + 1
+        self.opened_count += 1
         return True
 
-    def _expire(self, now: Ticks, pod: str) -> bool:
+    def _close_expired(self, now: Ticks, pod: str) -> bool:
         """Closes expired idle connections of a server; returns whether there were any."""
-        before = self.held[pod]
-        for (_, _, server), idle in self.idle.items():
+        count_before = self.open_counts[pod]
+        for (_, _, server), idle in self.idle_since.items():
             if server == pod:
-                self.held[pod] -= sum(now > at + IDLE_TIMEOUT for at in idle)
+                self.open_counts[pod] -= sum(now > at + IDLE_TIMEOUT for at in idle)
                 idle[:] = [at for at in idle if now <= at + IDLE_TIMEOUT]
-        return self.held[pod] < before
+        return self.open_counts[pod] < count_before
 
-    def give(self, now: Ticks, key: ConnectionKey, pod: str, good: bool) -> None:
-        """Returns a connection after an attempt: it becomes idle if good, else it is closed."""
-        if good and key in self.idle:
-            self.idle[key].append(now)
+    def release(self, now: Ticks, key: ConnectionKey, pod: str, reusable: bool) -> None:
+        """Returns a connection after an attempt: it becomes idle if reusable, else it is closed."""
+        if reusable and key in self.idle_since:
+            self.idle_since[key].append(now)
         else:
-            self.held[pod] -= 1
+            self.open_counts[pod] -= 1
 
-    def drop(self, gone: Callable[[ConnectionKey], bool]) -> None:
-        """Closes the idle connections of all keys for which `gone` returns true."""
-        for key in [key for key in self.idle if gone(key)]:
-            self.held[key[2]] -= len(self.idle.pop(key))
+    def close_idle(self, predicate: Callable[[ConnectionKey], bool]) -> None:
+        """Closes the idle connections of all keys for which `predicate` returns true."""
+        for key in [key for key in self.idle_since if predicate(key)]:
+            self.open_counts[key[2]] -= len(self.idle_since.pop(key))
 
 
 def poll_interval_of(policy: Any, draw: RandomDraw) -> PollInterval:
     """Returns the policy's own poll interval, or the current one if it has none."""
-    interval: PollInterval = getattr(policy, "poll_interval_type", AdaptiveInterval)(draw)
-    return interval
+    interval = getattr(policy, "poll_interval_type", AdaptiveInterval)(draw)
+    if hasattr(interval, "ended"):
+        return PollIntervalAdapter(interval)
+    current: PollInterval = interval
+    return current
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -7,8 +7,8 @@
 from ..interface.clock import TICKS_PER_SECOND, Ticks
 from ..interface.enums import Outcome, ReleasePhase, Verdict
 from ..interface.events import FleetCounts, ReleaseUpdate
-from .day_results import CourseEvent
-from .invariants import Phase
+from .day_results import RolloutEventKind
+from .invariants import RolloutPhase
 from .random_streams import Stream
 from .scenarios import Offer
 from .server_fleet import FIRST_BUILD
@@ -18,7 +18,7 @@
 if TYPE_CHECKING:
     from .simulator import Simulator
 
-ANSWER_DELAY: Ticks = 500  # for one direction of a call
+ONE_WAY_CALL_DELAY: Ticks = 500  # for one direction of a call
 # Values of the call fault: calls get no answer, or are rejected.
 SILENT_CALLS = 0.0
 REFUSED_CALLS = 1.0
@@ -27,15 +27,15 @@
 # Ticks between the slowest server start and the start of the stage's clock.
 BOOT_MARGIN = TICKS_PER_SECOND
 ZONE_RETRY_DELAY = TICKS_PER_SECOND  # ticks until a server start in a lost zone is retried
-TRIAL_SHARE_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
+TRIAL_RATIO_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
 
-PHASES = {
-    ReleasePhase.ON_TRIAL: Phase.TRIAL,
-    ReleasePhase.ROLLING_BACK: Phase.BACK,
-    ReleasePhase.RELEASED: Phase.RELEASED,
-    ReleasePhase.WITHDRAWN: Phase.WITHDRAWN,
+CHECKER_PHASES = {
+    ReleasePhase.ON_TRIAL: RolloutPhase.TRIAL,
+    ReleasePhase.ROLLING_BACK: RolloutPhase.ROLLING_BACK,
+    ReleasePhase.RELEASED: RolloutPhase.RELEASED,
+    ReleasePhase.WITHDRAWN: RolloutPhase.WITHDRAWN,
 }
-OPEN_PHASES = (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
+ACTIVE_PHASES = (ReleasePhase.ON_TRIAL, ReleasePhase.RELEASED)
 
 
 class ReleaseState(NamedTuple):
@@ -48,7 +48,7 @@
     """Maximum ratio of requests that may go to the build."""
 
 
-class StandingVote(NamedTuple):
+class LatestVote(NamedTuple):
     """An instance's latest vote."""
 
     verdict: Verdict
@@ -90,31 +90,32 @@
         simulator: The running simulation.
         state: State of the newest build's rollout.
         builds: All builds, by number.
-        trial_share: Moving average of the newest build's share of the attempts.
-        news_delay: Additional delay of release updates, in ticks.
+        trial_attempt_ratio: Moving average of the newest build's share of the attempts.
+        update_delay: Additional delay of release updates, in ticks.
         call_fault: SILENT_CALLS or REFUSED_CALLS during a fault of calls, else None.
     """
 
-    def __init__(self, simulator: "Simulator", samples: Stream) -> None:
+    def __init__(self, simulator: "Simulator", sample_draws: Stream) -> None:
         """Starts with the first build released.
 
         Args:
             simulator: The running simulation.
-            samples: Random numbers that decide which attempts are counted and when counts arrive.
+            sample_draws: Random numbers that decide which attempts are counted and when counts
+                arrive.
         """
         day = simulator.day
         self.simulator = simulator
         last_stage = len(day.settings.stage_fractions) - 1
         self.state = ReleaseState(FIRST_BUILD, last_stage, ReleasePhase.RELEASED, 1.0)
         self.builds = {FIRST_BUILD: Build(FIRST_BUILD)}
-        self.trial_share = 0.0
-        self.news_delay: Ticks = 0
+        self.trial_attempt_ratio = 0.0
+        self.update_delay: Ticks = 0
         self.call_fault: float | None = None
-        self._sample_draws = samples
-        self._votes: dict[int, StandingVote] = {}
-        self._stage_began_at: Ticks = 0
-        self._calls: float = VOTE_BURST_SECONDS * day.settings.votes_per_second
-        self._calls_at: Ticks = 0
+        self._sample_draws = sample_draws
+        self._votes: dict[int, LatestVote] = {}
+        self._stage_started_at: Ticks = 0
+        self._vote_tokens: float = VOTE_BURST_SECONDS * day.settings.votes_per_second
+        self._tokens_updated_at: Ticks = 0
         self._counted: dict[tuple[int, str], CountedAttempts] = {}
 
     def _set_phase(self, phase: ReleasePhase, cap: float) -> None:
@@ -127,16 +128,18 @@
         simulator = self.simulator
         for instance in range(simulator.day.instances):
             lag = (
-                simulator.day.mean_release_update_delay * (0.5 + simulator.misc.random())
-                + self.news_delay
+                simulator.day.mean_release_update_delay * (0.5 + simulator.generator.random())
+                + self.update_delay
+            )
+            simulator.schedule_at(
+                simulator.now + int(lag), self.deliver_update, instance, self.state
             )
-            simulator.at(simulator.now + int(lag), self.told, instance, self.state)
 
-    def told(
+    def deliver_update(
         self,
         instance: int,
         state: ReleaseState,
-        answers: bool = False,
+        answers_vote: bool = False,
         outcome: Outcome = Outcome.DONE,
     ) -> None:
         """Delivers a release update to an instance, unless it is cut off from the platform.
@@ -144,43 +147,45 @@
         Args:
             instance: The receiving instance.
             state: The state at the time of sending.
-            answers: Whether the update answers a vote.
+            answers_vote: Whether the update answers a vote.
             outcome: Outcome of the vote call.
         """
         simulator = self.simulator
-        if not simulator.runs(instance) or simulator.is_off_platform(instance):
+        if not simulator.is_running(instance) or simulator.is_cut_off(instance):
             return
         if outcome == Outcome.DONE:
-            self.record_told(instance, state)
-        simulator.tell(instance, _update(state, answers, outcome))
+            self.record_update(instance, state)
+        simulator.deliver_event(instance, _release_update(state, answers_vote, outcome))
 
     def send_current_state(self, instance: int) -> None:
         """Gives a starting instance the current state."""
-        self.simulator.tell(instance, _update(self.state, False, Outcome.DONE))
+        self.simulator.deliver_event(instance, _release_update(self.state, False, Outcome.DONE))
 
-    def record_told(self, instance: int, state: ReleaseState) -> None:
+    def record_update(self, instance: int, state: ReleaseState) -> None:
         """Reports to the checker what an instance is told."""
-        self.simulator.checker.cap(
+        self.simulator.checker.record_release_state(
             self.simulator.now,
             instance,
             state.build,
             state.cap,
             state.stage,
-            phase=PHASES[state.phase],
+            phase=CHECKER_PHASES[state.phase],
         )
 
     # Counts.
 
-    def update_trial_share(self, build: int) -> None:
+    def update_trial_attempt_ratio(self, build: int) -> None:
         """Updates the newest build's share with one more attempt."""
-        self.trial_share += TRIAL_SHARE_GAIN * ((build == self.state.build) - self.trial_share)
+        self.trial_attempt_ratio += TRIAL_RATIO_GAIN * (
+            (build == self.state.build) - self.trial_attempt_ratio
+        )
 
     def slowdown_factor(self) -> float:
         """Returns the factor by which the newest build slows all servers."""
-        shared = 0.0
-        if self.state.phase in OPEN_PHASES:
-            shared = self.builds[self.state.build].shared
-        return 1 + shared * self.trial_share
+        fleet_slowdown = 0.0
+        if self.state.phase in ACTIVE_PHASES:
+            fleet_slowdown = self.builds[self.state.build].fleet_slowdown
+        return 1 + fleet_slowdown * self.trial_attempt_ratio
 
     def sample_attempt(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
         """Counts an ended attempt if it is drawn for the sample."""
@@ -210,19 +215,21 @@
         self._counted = {}
         for instance in range(simulator.day.instances):
             lag = int(simulator.day.counts_delay * (0.95 + 0.1 * self._sample_draws.next()))
-            simulator.at(simulator.now + lag, self._deliver_counts, instance, rows, simulator.now)
+            simulator.schedule_at(
+                simulator.now + lag, self._deliver_counts, instance, rows, simulator.now
+            )
         if simulator.now < simulator.day.duration:
-            simulator.at(simulator.now + simulator.day.counts_interval, self.end_period)
+            simulator.schedule_at(simulator.now + simulator.day.counts_interval, self.end_period)
 
     def _deliver_counts(self, instance: int, rows: Sequence[CountsRow], end: Ticks) -> None:
-        if self.simulator.is_off_platform(instance) or self.call_fault is not None:
+        if self.simulator.is_cut_off(instance) or self.call_fault is not None:
             return  # lost counts are not sent again
         for row in rows:
-            self.simulator.tell(instance, FleetCounts(*row, self.simulator.now - end))
+            self.simulator.deliver_event(instance, FleetCounts(*row, self.simulator.now - end))
 
     # Offers and stages.
 
-    def offer(self, offer: Offer) -> None:
+    def offer_build(self, offer: Offer) -> None:
         """Offers a build. A build that is still on trial is rolled back first."""
         simulator = self.simulator
         if self.state.phase == ReleasePhase.ON_TRIAL:
@@ -230,46 +237,50 @@
         self.builds[offer.build] = Build(
             offer.build,
             offer.failure_ratio,
-            slow=offer.slowdown,
-            after=offer.fault_delay,
-            load=offer.fault_load,
-            shared=offer.shared_slowdown,
+            slowdown=offer.slowdown,
+            fault_delay=offer.fault_delay,
+            min_load=offer.fault_load,
+            fleet_slowdown=offer.shared_slowdown,
         )
-        self.trial_share = 0.0
+        self.trial_attempt_ratio = 0.0
         self.state = ReleaseState(
             offer.build, 0, ReleasePhase.ON_TRIAL, simulator.day.stage_caps[0]
         )
         self._votes = {}
         if offer.good:
-            simulator.results.newest_good = offer.build
-        simulator.results.add_course(simulator.now, offer.build, CourseEvent.OFFERED)
-        self._begin_stage()
+            simulator.results.newest_good_build = offer.build
+        simulator.results.add_rollout_event(simulator.now, offer.build, RolloutEventKind.OFFERED)
+        self._start_stage()
 
-    def _begin_stage(self) -> None:
+    def _start_stage(self) -> None:
         simulator, day = self.simulator, self.simulator.day
         build, stage = self.state.build, self.state.stage
-        simulator.results.add_course(simulator.now, build, CourseEvent.STAGE)
+        simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.STAGE)
         self.announce()
         server_count = max(1, round(day.settings.stage_fractions[stage] * day.pods))
-        running = sum(pod.build.number == build for pod in simulator.servers.pods.values())
-        places = range(running, server_count)
+        running_count = sum(pod.build.number == build for pod in simulator.servers.pods.values())
+        places = range(running_count, server_count)
         spread = day.boot_time_spread
         boot_delays = [
-            int(day.mean_boot_time * (1 - spread + 2 * spread * simulator.misc.random()))
+            int(day.mean_boot_time * (1 - spread + 2 * spread * simulator.generator.random()))
             for _ in places
         ]
         for place, boot_delay in zip(places, boot_delays, strict=True):
-            simulator.at(simulator.now + boot_delay, self._boot, build, place)
+            simulator.schedule_at(simulator.now + boot_delay, self._start_server, build, place)
         boot_wait = max(boot_delays, default=0) + BOOT_MARGIN if day.stage_waits_for_machines else 0
-        self._stage_began_at = simulator.now + boot_wait
-        simulator.at(self._stage_began_at + day.min_stage_duration, self._count_votes, build, stage)
+        self._stage_started_at = simulator.now + boot_wait
+        simulator.schedule_at(
+            self._stage_started_at + day.min_stage_duration, self._count_votes, build, stage
+        )
 
-    def _boot(self, build: int, place: int) -> None:
+    def _start_server(self, build: int, place: int) -> None:
         simulator = self.simulator
-        if self.state.build != build or self.state.phase not in OPEN_PHASES:
+        if self.state.build != build or self.state.phase not in ACTIVE_PHASES:
             return
         if simulator.servers.zone_of(place) in simulator.servers.lost_zones:
-            simulator.at(simulator.now + ZONE_RETRY_DELAY, self._boot, build, place)
+            simulator.schedule_at(
+                simulator.now + ZONE_RETRY_DELAY, self._start_server, build, place
+            )
             return
         simulator.servers.start(f"p{place}-{build}", place, self.builds[build])
 
@@ -277,10 +288,12 @@
         simulator, build = self.simulator, self.state.build
         self._set_phase(ReleasePhase.RELEASED, 1.0)
         simulator.results.released.append(build)
-        simulator.results.add_course(simulator.now, build, CourseEvent.RELEASED)
+        simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.RELEASED)
         self.announce()
         if simulator.day.drain_delay:
-            simulator.at(simulator.now + simulator.day.drain_delay, self._drain_earlier, build)
+            simulator.schedule_at(
+                simulator.now + simulator.day.drain_delay, self._drain_earlier, build
+            )
         else:
             self._drain_earlier(build)
 
@@ -291,18 +304,18 @@
 
     def _roll_back(self) -> None:
         simulator, build = self.simulator, self.state.build
-        simulator.results.add_course(simulator.now, build, CourseEvent.BACK)
+        simulator.results.add_rollout_event(simulator.now, build, RolloutEventKind.ROLLED_BACK)
         self._set_phase(ReleasePhase.ROLLING_BACK, 0.0)
         self.announce()
         # Servers of the earlier build that have already left are started again first.
-        earlier = simulator.servers.up(lambda pod: pod.build.number < build)
+        earlier = simulator.servers.pods_up(lambda pod: pod.build.number < build)
         previous_build = max(
             (number for number in self.builds if number < build), default=FIRST_BUILD
         )
         for place in range(len(earlier), simulator.day.pods):
             simulator.servers.start(f"p{place}-{build}r", place, self.builds[previous_build])
         simulator.servers.drain(lambda pod: pod.build.number == build)
-        simulator.at(simulator.now + WITHDRAWAL_DELAY, self._withdraw, build)
+        simulator.schedule_at(simulator.now + WITHDRAWAL_DELAY, self._withdraw, build)
 
     def _withdraw(self, build: int) -> None:
         if self.state.build == build and self.state.phase == ReleasePhase.ROLLING_BACK:
@@ -311,62 +324,74 @@
 
     # Votes.
 
-    def vote(self, instance: int, life: int, vote: CastVote) -> None:
+    def receive_vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
         """Handles a vote that reaches the platform; the instance learns the outcome later."""
-        simulator, vote_calls = self.simulator, self.simulator.results.votes_asked
-        cut_off = simulator.lives[instance] != life or simulator.is_off_platform(instance)
+        simulator, vote_calls = self.simulator, self.simulator.results.vote_calls
+        cut_off = simulator.incarnations[instance] != incarnation or simulator.is_cut_off(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
             wait = simulator.day.settings.vote_timeout
-            simulator.at(simulator.now + wait, self._told_vote, instance, life, Outcome.TIMED_OUT)
+            simulator.schedule_at(
+                simulator.now + wait,
+                self._deliver_vote_outcome,
+                instance,
+                incarnation,
+                Outcome.TIMED_OUT,
+            )
             return
         vote_calls["asked"] += 1
-        if not self._accept_call():
+        if not self._take_vote_token():
             vote_calls["full"] += 1
-            simulator.at(
-                simulator.now + ANSWER_DELAY,
-                self._told_vote,
+            simulator.schedule_at(
+                simulator.now + ONE_WAY_CALL_DELAY,
+                self._deliver_vote_outcome,
                 instance,
-                life,
+                incarnation,
                 Outcome.REJECTED,
             )
             return
-        is_relevant = self._is_relevant(vote)
-        if is_relevant:
-            self._votes[instance] = StandingVote(vote.verdict, simulator.now)
+        is_current = self._is_current_vote(vote)
+        if is_current:
+            self._votes[instance] = LatestVote(vote.verdict, simulator.now)
             self._count_votes(vote.build, self.state.stage)
         else:
             vote_calls["moot"] += 1
-        outcome = Outcome.DONE if is_relevant else Outcome.NOT_SENT
-        simulator.at(simulator.now + ANSWER_DELAY, self._told_vote, instance, life, outcome)
+        outcome = Outcome.DONE if is_current else Outcome.NOT_SENT
+        simulator.schedule_at(
+            simulator.now + ONE_WAY_CALL_DELAY,
+            self._deliver_vote_outcome,
+            instance,
+            incarnation,
+            outcome,
+        )
 
-    def _accept_call(self) -> bool:
+    def _take_vote_token(self) -> bool:
         """Returns whether the rate limit allows one more call, and counts the call if so."""
         simulator = self.simulator
         rate = simulator.day.settings.votes_per_second
-        refill = (simulator.now - self._calls_at) * rate / TICKS_PER_SECOND
-        self._calls = min(VOTE_BURST_SECONDS * rate, self._calls + refill)
-        self._calls_at = simulator.now
-        if self._calls < 1 or self.call_fault == REFUSED_CALLS:
+        refill = (simulator.now - self._tokens_updated_at) * rate / TICKS_PER_SECOND
+        self._vote_tokens = min(VOTE_BURST_SECONDS * rate, self._vote_tokens + refill)
+        self._tokens_updated_at = simulator.now
+        if self._vote_tokens < 1 or self.call_fault == REFUSED_CALLS:
             return False
-        self._calls -= 1
+        self._vote_tokens -= 1
         return True
 
-    def _is_relevant(self, vote: CastVote) -> bool:
+    def _is_current_vote(self, vote: CastVote) -> bool:
         state = self.state
         return (
             vote.build == state.build
             and (vote.stage == state.stage or vote.verdict == Verdict.ABORT)
-            and state.phase in OPEN_PHASES
+            and state.phase in ACTIVE_PHASES
         )
 
-    def _told_vote(self, instance: int, life: int, outcome: Outcome) -> None:
-        if self.simulator.lives[instance] == life:
-            self.told(instance, self.state, True, outcome)
+    def _deliver_vote_outcome(self, instance: int, incarnation: int, outcome: Outcome) -> None:
+        if self.simulator.incarnations[instance] == incarnation:
+            self.deliver_update(instance, self.state, True, outcome)
 
     def _count_votes(self, build: int, stage: int) -> None:
         """Advances or rolls back the build if the votes still valid decide so."""
         simulator, day, state = self.simulator, self.simulator.day, self.state
-        if (build, stage) != (state.build, state.stage) or state.phase not in OPEN_PHASES:
+        if (build, stage) != (state.build, state.stage) or state.phase not in ACTIVE_PHASES:
             return
         verdicts = [
             vote.verdict
@@ -375,12 +400,12 @@
         ]
         needed = max(1, day.votes_to_promote or day.instances // 2)
         if verdicts.count(Verdict.ABORT) >= day.settings.votes_to_revert:
-            simulator.results.sent_back.append(build)
+            simulator.results.rolled_back.append(build)
             self._roll_back()
         elif (
             state.phase == ReleasePhase.ON_TRIAL
             and verdicts.count(Verdict.PROMOTE) >= needed
-            and simulator.now >= self._stage_began_at + day.min_stage_duration
+            and simulator.now >= self._stage_started_at + day.min_stage_duration
         ):
             self._votes = {}
             self._promote()
@@ -392,8 +417,8 @@
             self._release()
             return
         self.state = self.state._replace(stage=next_stage, cap=caps[next_stage])
-        self._begin_stage()
+        self._start_stage()
 
 
-def _update(state: ReleaseState, answers: bool, outcome: Outcome) -> ReleaseUpdate:
-    return ReleaseUpdate(state.build, state.stage, state.phase, answers, outcome, state.cap, 0)
+def _release_update(state: ReleaseState, answers_vote: bool, outcome: Outcome) -> ReleaseUpdate:
+    return ReleaseUpdate(state.build, state.stage, state.phase, answers_vote, outcome, state.cap, 0)
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -1,8 +1,8 @@
-"""Discrete-event simulator that runs a day of clients, network, servers and instances.
+"""Discrete-event simulation of one day: clients, network, servers and instances.
 
-All events are in one heap. All random numbers derive from the day's seed, with separate streams
-for traffic, work and network, so that two policies are given the same arrivals. Figures from this
-module are simulated, not measured.
+Scheduled calls are kept in one heap, ordered by time. All random numbers derive from the day's
+seed, with separate streams for traffic, work and network, so that two policies receive the same
+arrivals. Figures from this module are simulated, not measured.
 """
 
 import heapq
@@ -35,22 +35,23 @@
 from .server_fleet import Server, ServerFleet
 from .servers import PodState
 from .shared_services import IDLE_TIMEOUT, ConnectionKey, Connections, Discovery, poll_interval_of
-from .simulated_platform import ANSWER_DELAY, SimulatedPlatform
+from .simulated_platform import ONE_WAY_CALL_DELAY, SimulatedPlatform
 from .simulated_requests import SimulatedAttempt, SimulatedRequest
 
-DRAIN_GRACE: Ticks = 2_500  # in which a server may still get attempts after it was listed as gone
-CONNECT_TIMEOUT: Ticks = 2_500  # of a connection that is never established
+DRAIN_GRACE: Ticks = 2_500  # a server may still get attempts this long after it is listed as gone
+CONNECT_TIMEOUT: Ticks = 2_500  # until an attempt to connect fails
 REFUSAL_DELAY: Ticks = 10  # until a connection over the limit is refused
-RETRY_DELAY: Ticks = 50  # of clients that ignore retry-after
+RETRY_DELAY: Ticks = 50  # before the retry of a client that ignores retry-after
 FINAL_ANSWERS_DURATION = 2 * TICKS_PER_SECOND  # ticks simulated after the end of the day
 EXPOSURE_WINDOW = 3 * TICKS_PER_SECOND  # ticks
 EXPOSURE_ALLOWANCE = 3.0  # attempts
-NEVER: Ticks = -(10**9)
+NEVER: Ticks = -(10**9)  # a time before any event of the day
 NEW_CONNECTION_TRIPS = 5  # one-way delays: the request and two round trips to connect
 BASE_FAILURE_RATIO = 0.001  # ratio of attempts that fail without any fault
-MAX_ROOM_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait has no room
-MIN_ROOMY_SERVER_RATIO = 0.25  # more than this part of the servers must have room
-# Seeds the stream for draws that were added later, so that the other streams are unchanged.
+MAX_START_WAIT_RATIO = 0.25  # of the latency objective; a server with a longer wait is busy
+MIN_AVAILABLE_RATIO = 0.25  # a rejection is needless if more than this ratio is not busy
+# Seeds a separate generator for draws that were added later, so that the other streams give the
+# same numbers as before.
 EXTRA_STREAM_SEED = 17
 
 Policy: TypeAlias = Callable[[Settings, int, Ticks], Any]
@@ -58,8 +59,14 @@
 `DecisionEngine`."""
 
 
-class Disagreement(NamedTuple):
-    """An instance whose count of attempts in flight is wrong."""
+class InFlightMismatch(NamedTuple):
+    """An instance whose engine counts a wrong number of attempts in flight.
+
+    Attributes:
+        instance: Number of the instance.
+        counted: Attempts in flight as the engine counts them.
+        in_flight: Attempts in flight in the simulation.
+    """
 
     instance: int
     counted: int
@@ -73,21 +80,22 @@
         day: The scenario of the day.
         now: The simulated time.
         lanes: The request classes by name.
-        misc: Random numbers for delays, server starts and pauses.
-        checker: Checks the five rules.
+        generator: Source of random numbers for delays, server starts, pauses and restarts.
+        checker: Checks the invariants.
         results: The totals of the day.
-        connections: Connections to servers.
+        connections: The connections of all instances to all servers.
         platform: The release platform.
         servers: The servers.
         discovery: Answers calls for endpoint lists; None if lists are pushed.
-        requests: The open requests, by instance and name.
+        requests: The open requests, by instance and request id.
         engines: The decision engine of each instance; None while the instance is down.
-        lives: How often each instance has started or been killed.
-        loss: Ratio of attempts that are lost.
-        burst: Factor applied to the request rate.
-        slow_all: Factor applied to all work.
-        lost_answers: Ratio of answers that are lost.
-        cut_zones: Zones that are partitioned from the others.
+        incarnations: Number of each instance's current start; kills count too, so that what was
+            scheduled for an earlier start is recognised.
+        attempt_loss_ratio: Ratio of attempts whose connection fails.
+        request_rate_factor: Factor applied to the request rate.
+        work_factor: Factor applied to all work.
+        answer_loss_ratio: Ratio of answers that are lost.
+        partitioned_zones: Zones that have no network connection to the others.
     """
 
     def __init__(self, day: Day, policy: Policy) -> None:
@@ -104,72 +112,72 @@
         self.connections = Connections(day.max_connections_per_pod)
         self.requests: dict[tuple[int, str], SimulatedRequest] = {}
         self.engines: dict[int, Any] = {}
-        self.lives = [0] * day.instances
-        self.loss = day.loss_ratio
-        self.burst = 1.0
-        self.slow_all = 1.0
-        self.lost_answers = 0.0
-        self.cut_zones: set[str] = set()
+        self.incarnations = [0] * day.instances
+        self.attempt_loss_ratio = day.loss_ratio
+        self.request_rate_factor = 1.0
+        self.work_factor = 1.0
+        self.answer_loss_ratio = 0.0
+        self.partitioned_zones: set[str] = set()
         self._policy = policy
-        self._calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
-        self._sequence = 0  # numbers scheduled calls and requests
-        self._cumulative_busy = list(accumulate(day.instance_shares))
+        self._scheduled_calls: list[tuple[Ticks, int, Callable[..., Any], tuple[Any, ...]]] = []
+        self._last_number = 0  # of a scheduled call or request
+        self._cumulative_traffic = list(accumulate(day.instance_shares))
         # Time of the last answer, by connection key.
-        self._answered_at: dict[ConnectionKey, Ticks] = {}
-        self._draw_streams()
-        self.checker = self._new_checker()
+        self._last_answered_at: dict[ConnectionKey, Ticks] = {}
+        self._create_streams()
+        self.checker = self._create_checker()
         self.platform = SimulatedPlatform(self, self._sample_draws)
         self.servers = ServerFleet(self, self.platform.builds[1])
         self._faults = FaultInjector(self)
-        self.discovery = self._new_discovery()
+        self.discovery = self._create_discovery()
 
-    def _draw_streams(self) -> None:
+    def _create_streams(self) -> None:
         day = self.day
         generators = [
             np.random.Generator(np.random.PCG64(seed))
             for seed in np.random.SeedSequence(day.seed).spawn(6)
         ]
-        arrivals, works, network, keys, clients, self.misc = generators
-        self._gaps = Stream(lambda count: arrivals.exponential(1.0, count))
+        arrivals, works, network, keys, clients, self.generator = generators
+        self._gap_stream = Stream(lambda count: arrivals.exponential(1.0, count))
         self._arrival_draws = Stream(arrivals.random)
-        self._works = {
+        self._work_streams = {
             one.request_class.name: gamma(works, one.mean_work, one.work_variation)
             for one in day.traffic
         }
-        self._delays = gamma(network, *day.network_delay)
+        self._delay_stream = gamma(network, *day.network_delay)
         self._loss_draws = Stream(network.random)
-        self._keys = zipf_keys(keys, day.keys, day.zipf_exponent)
+        self._key_stream = zipf_keys(keys, day.keys, day.zipf_exponent)
         self._client_draws = Stream(clients.random)
         self._failure_draws = Stream(works.random)
         extra = np.random.Generator(np.random.PCG64([day.seed, EXTRA_STREAM_SEED]))
         self._sample_draws = Stream(extra.random)
 
-    def _new_checker(self) -> InvariantChecker:
+    def _create_checker(self) -> InvariantChecker:
         day = self.day
         return InvariantChecker(
             {name: one.request_class for name, one in self.lanes.items()},
             DRAIN_GRACE,
             EXPOSURE_WINDOW,
             EXPOSURE_ALLOWANCE,
-            guarded=day.settings.guarded_stages,
-            cold=day.warmup_duration,
-            cold_from=day.warmup_initial_fraction,
-            overload=day.settings.overload_window,
+            guarded_stages=day.settings.guarded_stages,
+            warmup_duration=day.warmup_duration,
+            warmup_initial_fraction=day.warmup_initial_fraction,
+            overload_window=day.settings.overload_window,
         )
 
-    def _new_discovery(self) -> Discovery | None:
+    def _create_discovery(self) -> Discovery | None:
         if not self.day.list_calls_per_second:
             return None
         return Discovery(
-            self.day.list_calls_per_second, self.at, lambda: self.now, self._deliver_list
+            self.day.list_calls_per_second, self.schedule_at, lambda: self.now, self._deliver_list
         )
 
-    def at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
-        """Schedules a call at a moment."""
-        self._sequence += 1
-        heapq.heappush(self._calls, (moment, self._sequence, call, arguments))
+    def schedule_at(self, moment: Ticks, call: Callable[..., Any], *arguments: Any) -> None:
+        """Schedules a call; calls at the same moment run in the order of their scheduling."""
+        self._last_number += 1
+        heapq.heappush(self._scheduled_calls, (moment, self._last_number, call, arguments))
 
-    def play(self) -> Self:
+    def run(self) -> Self:
         """Runs the whole day and returns itself."""
         day = self.day
         for instance in range(day.instances):
@@ -177,46 +185,50 @@
         for fault in day.faults:
             self._faults.schedule(fault)
         for offer in day.offers:
-            self.at(offer.at, self.platform.offer, offer)
-        self.at(0, self._arrive)
+            self.schedule_at(offer.at, self.platform.offer_build, offer)
+        self.schedule_at(0, self._generate_request)
         if day.counts_interval:
-            self.at(day.counts_interval, self.platform.end_period)
+            self.schedule_at(day.counts_interval, self.platform.end_period)
         last = day.duration + FINAL_ANSWERS_DURATION
-        while self._calls and self._calls[0][0] <= last:
-            self.now, _, call, arguments = heapq.heappop(self._calls)
+        while self._scheduled_calls and self._scheduled_calls[0][0] <= last:
+            self.now, _, call, arguments = heapq.heappop(self._scheduled_calls)
             call(*arguments)
         self.now = last
-        self.checker.ended(last)
+        self.checker.record_day_end(last)
         return self
 
     # Instances.
 
     def _start(self, instance: int) -> None:
-        self.lives[instance] += 1
-        life = self.lives[instance]
-        seed = self.day.seed * 1000 + instance * 7 + life
+        self.incarnations[instance] += 1
+        incarnation = self.incarnations[instance]
+        seed = self.day.seed * 1000 + instance * 7 + incarnation
         self.engines[instance] = self._policy(self.day.settings, seed, self.now)
-        listed = self.servers.entries()
-        self.servers.record_known(instance)
-        self.platform.record_told(instance, self.platform.state)
-        if self.discovery:  # the instance has only its cached list until it is sent a new one
-            generator = LinearCongruentialGenerator(self.day.seed * 77 + instance * 13 + life << 33)
+        endpoints = self.servers.endpoints()
+        self.servers.record_known_pods(instance)
+        self.platform.record_update(instance, self.platform.state)
+        if self.discovery:  # until it answers, the instance has only the cached list
+            generator = LinearCongruentialGenerator(
+                self.day.seed * 77 + instance * 13 + incarnation << 33
+            )
             poll_interval = poll_interval_of(self._policy, generator.draw)
-            self.discovery.begin(instance, life, poll_interval, self.day.instances)
-        self.tell(instance, EndpointUpdate(UpdateKind.CACHED, listed))
+            self.discovery.start_polling(instance, incarnation, poll_interval, self.day.instances)
+        self.deliver_event(instance, EndpointUpdate(UpdateKind.CACHED, endpoints))
         self.platform.send_current_state(instance)
 
     def restart(self, instance: int, wait: float) -> None:
-        """Kills an instance and starts it again after `wait` ticks, give or take half."""
+        """Kills an instance and starts it again after `wait` ticks, plus or minus up to half."""
         self.engines[instance] = None
-        self.lives[instance] += 1
-        self.checker.killed(self.now, instance)
-        self.connections.drop(lambda key: key[0] == instance)
+        self.incarnations[instance] += 1
+        self.checker.record_kill(self.now, instance)
+        self.connections.close_idle(lambda key: key[0] == instance)
         for key in [key for key in self.requests if key[0] == instance]:
             del self.requests[key]
-        self.at(self.now + int(wait * (0.5 + self.misc.random())), self._start, instance)
+        self.schedule_at(
+            self.now + int(wait * (0.5 + self.generator.random())), self._start, instance
+        )
 
-    def runs(self, instance: int) -> bool:
+    def is_running(self, instance: int) -> bool:
         """Returns whether an instance is running."""
         return self.engines.get(instance) is not None
 
@@ -224,31 +236,33 @@
         """Returns whether an instance receives changes of the endpoint list."""
         if self.discovery is None:
             return True
-        return self.discovery.standing.get(instance) == self.lives[instance]
-
-    def _deliver_list(self, instance: int, life: int, whole: bool) -> bool:
-        """Delivers the list if `whole`; returns whether this life of the instance still runs."""
-        is_there = self.lives[instance] == life and self.runs(instance)
-        if is_there and whole:
-            entries = self.servers.entries()
-            self.servers.record_told(instance, entries)
-            self.tell(instance, EndpointUpdate(UpdateKind.FULL, entries))
-        return is_there
-
-    def tell(self, instance: int, event: Event) -> None:
+        return self.discovery.watch_streams.get(instance) == self.incarnations[instance]
+
+    def _deliver_list(self, instance: int, incarnation: int, deliver: bool) -> bool:
+        """Delivers the list if `deliver`; returns whether this incarnation is still running."""
+        is_current = self.incarnations[instance] == incarnation and self.is_running(instance)
+        if is_current and deliver:
+            endpoints = self.servers.endpoints()
+            self.servers.record_update(instance, endpoints)
+            self.deliver_event(instance, EndpointUpdate(UpdateKind.FULL, endpoints))
+        return is_current
+
+    def deliver_event(self, instance: int, event: Event) -> None:
         """Passes an event to an instance and carries out the resulting actions."""
         engine = self.engines.get(instance)
         if engine is None:
             return
-        life = self.lives[instance]
+        incarnation = self.incarnations[instance]
         for action in list(engine.handle(self.now, [event])):
-            self._carry_out(instance, life, action)
+            self._carry_out(instance, incarnation, action)
 
-    def _carry_out(self, instance: int, life: int, action: Action) -> None:
+    def _carry_out(self, instance: int, incarnation: int, action: Action) -> None:
         if isinstance(action, SetTimer):
-            self.at(max(self.now, action.at), self._fire_timer, instance, life, action.token)
+            self.schedule_at(
+                max(self.now, action.at), self._fire_timer, instance, incarnation, action.token
+            )
         elif isinstance(action, SendAttempt):
-            self._send(instance, life, action)
+            self._send(instance, incarnation, action)
         elif isinstance(action, CancelAttempt):
             self._cancel(instance, action)
         elif isinstance(action, Reject):
@@ -256,43 +270,49 @@
         elif isinstance(action, Fail):
             self._answer(instance, action.id, Answer.ABANDONED, 0)
         elif isinstance(action, CastVote):
-            self.at(self.now + ANSWER_DELAY, self._vote, instance, life, action)
+            self.schedule_at(
+                self.now + ONE_WAY_CALL_DELAY, self._vote, instance, incarnation, action
+            )
 
-    def _fire_timer(self, instance: int, life: int, token: int) -> None:
-        if self.lives[instance] == life:
-            self.tell(instance, TimerFired(token))
+    def _fire_timer(self, instance: int, incarnation: int, token: int) -> None:
+        if self.incarnations[instance] == incarnation:
+            self.deliver_event(instance, TimerFired(token))
 
     def _cancel(self, instance: int, action: CancelAttempt) -> None:
         request = self.requests.get((instance, action.id))
         if request is not None and action.number < len(request.attempts):
             attempt = request.attempts[action.number]
-            self.at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
+            self.schedule_at(self.now, self._end_attempt, attempt, Outcome.CANCELLED, None)
 
-    def _vote(self, instance: int, life: int, vote: CastVote) -> None:
-        self.platform.vote(instance, life, vote)
+    def _vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
+        self.platform.receive_vote(instance, incarnation, vote)
 
     # Clients.
 
-    def _arrive(self) -> None:
+    def _generate_request(self) -> None:
         day = self.day
         if self.now >= day.duration:
             return
-        gap = self._gaps.next() * TICKS_PER_SECOND / (day.request_rate * self.burst)
-        self.at(self.now + max(1, round(gap)), self._arrive)
+        gap = (
+            self._gap_stream.next()
+            * TICKS_PER_SECOND
+            / (day.request_rate * self.request_rate_factor)
+        )
+        self.schedule_at(self.now + max(1, round(gap)), self._generate_request)
         instance = min(
-            day.instances - 1, bisect_right(self._cumulative_busy, self._arrival_draws.next())
+            day.instances - 1, bisect_right(self._cumulative_traffic, self._arrival_draws.next())
         )
         lane = self._draw_lane().request_class
         if lane.idempotency == Idempotency.NON_IDEMPOTENT:
-            key = f"b{self._sequence}"
+            key = f"b{self._last_number}"
         else:
-            key = f"k{self._keys.next()}"
+            key = f"k{self._key_stream.next()}"
         self.results.add_request(self.now, lane.priority_weight)
         tenant = int(self._client_draws.next() * day.tenants)
-        work = self._works[lane.name].next()
-        ends = self.now + lane.outer_limit
-        request = SimulatedRequest(lane.name, key, tenant, self.now, ends, 0, work)
-        self._ask(instance, request)
+        work = self._work_streams[lane.name].next()
+        deadline = self.now + lane.outer_limit
+        request = SimulatedRequest(lane.name, key, tenant, self.now, deadline, 0, work)
+        self._send_request(instance, request)
 
     def _draw_lane(self) -> ClassTraffic:
         remaining = self._arrival_draws.next()
@@ -302,85 +322,89 @@
                 return lane
         return self.day.traffic[-1]
 
-    def _ask(self, instance: int, request: SimulatedRequest) -> None:
+    def _send_request(self, instance: int, request: SimulatedRequest) -> None:
         """Sends a client's request to an instance, unless its deadline has passed."""
-        if not self.runs(instance) or request.deadline <= self.now:
+        if not self.is_running(instance) or request.deadline <= self.now:
             return
-        self._sequence += 1
-        name = f"t{self._sequence}"
-        self.requests[instance, name] = request
-        self.checker.taken(self.now, instance, name, request.lane, request.deadline)
-        self.results.at(self.now).tries += 1
+        self._last_number += 1
+        request_id = f"t{self._last_number}"
+        self.requests[instance, request_id] = request
+        self.checker.record_request(self.now, instance, request_id, request.lane, request.deadline)
+        self.results.second_at(self.now).requests += 1
         received = RequestReceived(
-            name,
+            request_id,
             request.lane,
             f"t{request.tenant}",
             request.key,
             request.deadline - self.now,
             None,
-            request.earlier_tries > 0,
+            request.client_retries > 0,
             False,
         )
-        self.tell(instance, received)
+        self.deliver_event(instance, received)
 
-    def _answer(self, instance: int, name: str, answer: Answer, wait: Ticks) -> None:
+    def _answer(self, instance: int, request_id: str, answer: Answer, retry_after: Ticks) -> None:
         """Answers a request.
 
         Args:
             instance: The instance that holds the request.
-            name: The request's name.
+            request_id: Identifies the request at that instance.
             answer: How the request is answered.
-            wait: Time after which the client may try again, in ticks.
+            retry_after: Time after which the client may retry, in ticks.
         """
-        self.checker.answered(self.now, instance, name, answer)
-        request = self.requests.get((instance, name))
+        self.checker.record_answer(self.now, instance, request_id, answer)
+        request = self.requests.get((instance, request_id))
         if request is None:
             return
         self.results.add_answer(answer)
         lane = self.lanes[request.lane].request_class
         if answer == Answer.DONE:
-            self.results.add_done(
-                self.now, request.first_asked_at, lane, request.attempts[-1].build
+            self.results.add_success(
+                self.now, request.first_sent_at, lane, request.attempts[-1].build
             )
         else:
-            self._handle_unserved(instance, request, answer, wait)
-        if request.is_over():
-            del self.requests[instance, name]
+            self._handle_unserved(instance, request, answer, retry_after)
+        if request.all_attempts_ended():
+            del self.requests[instance, request_id]
 
     def _handle_unserved(
-        self, instance: int, request: SimulatedRequest, answer: Answer, wait: Ticks
+        self, instance: int, request: SimulatedRequest, answer: Answer, retry_after: Ticks
     ) -> None:
         if not request.attempts:
-            second = self.results.at(self.now)
-            second.rejected += 1
+            second = self.results.second_at(self.now)
+            second.rejections += 1
             objective = self.lanes[request.lane].request_class.latency_objective
-            second.needless += self._had_capacity(instance, objective)
-        if answer == Answer.DEFERRED and request.earlier_tries < self.day.client_retries:
+            second.needless_rejections += self._had_capacity(instance, objective)
+        if answer == Answer.DEFERRED and request.client_retries < self.day.client_retries:
             delay = (
-                wait if self._client_draws.next() < self.day.retry_after_compliance else RETRY_DELAY
+                retry_after
+                if self._client_draws.next() < self.day.retry_after_compliance
+                else RETRY_DELAY
             )
-            again = SimulatedRequest(
+            retry = SimulatedRequest(
                 request.lane,
                 request.key,
                 request.tenant,
-                request.first_asked_at,
+                request.first_sent_at,
                 request.deadline,
-                request.earlier_tries + 1,
+                request.client_retries + 1,
                 request.work,
             )
-            self.at(self.now + max(1, delay), self._ask, instance, again)
+            self.schedule_at(self.now + max(1, delay), self._send_request, instance, retry)
 
     def _had_capacity(self, instance: int, objective: Ticks) -> bool:
-        """Returns whether enough reachable servers of earlier or released builds had room."""
+        """Returns whether enough reachable servers of earlier or released builds had capacity."""
         state = self.platform.state
-        eligible = self.servers.up(
+        eligible = self.servers.pods_up(
             lambda pod: (
                 self._reaches(instance, pod)
                 and (pod.build.number < state.build or state.phase == ReleasePhase.RELEASED)
             )
         )
-        with_room = sum(pod.fits(self.now, MAX_ROOM_WAIT_RATIO * objective) for pod in eligible)
-        return with_room > MIN_ROOMY_SERVER_RATIO * len(eligible)
+        available_count = sum(
+            pod.can_start_within(self.now, MAX_START_WAIT_RATIO * objective) for pod in eligible
+        )
+        return available_count > MIN_AVAILABLE_RATIO * len(eligible)
 
     # The network.
 
@@ -388,39 +412,39 @@
         return self.day.zones[instance % len(self.day.zones)]
 
     def _reaches(self, instance: int, pod: Server) -> bool:
-        """Returns whether an instance reaches a server; zones that are cut off reach themselves."""
-        if not self.cut_zones:
+        """Returns whether an instance reaches a server; a partitioned zone reaches only itself."""
+        if not self.partitioned_zones:
             return True
         own_zone = self._zone_of(instance)
-        return own_zone == pod.zone or not self.cut_zones & {own_zone, pod.zone}
+        return own_zone == pod.zone or not self.partitioned_zones & {own_zone, pod.zone}
 
-    def is_off_platform(self, instance: int) -> bool:
-        """Returns whether an instance cannot reach the platform, which is in the first zone."""
+    def is_cut_off(self, instance: int) -> bool:
+        """Returns whether a partition separates an instance from the platform in the first zone."""
         own_zone, platform_zone = self._zone_of(instance), self.day.zones[0]
         return (
-            bool(self.cut_zones)
+            bool(self.partitioned_zones)
             and own_zone != platform_zone
-            and bool(self.cut_zones & {own_zone, platform_zone})
+            and bool(self.partitioned_zones & {own_zone, platform_zone})
         )
 
-    def _one_way(self) -> Ticks:
+    def _draw_one_way_delay(self) -> Ticks:
         """Draws the one-way delay of a message."""
-        return max(1, round(self._delays.next()))
+        return max(1, round(self._delay_stream.next()))
 
     # Attempts.
 
-    def _send(self, instance: int, life: int, action: SendAttempt) -> None:
-        # An instance with an outdated list may send to a server that is gone and never answers.
+    def _send(self, instance: int, incarnation: int, action: SendAttempt) -> None:
+        # An instance with an outdated list may send to a removed server, which never answers.
         servers = self.servers
-        pod = servers.pods.get(action.endpoint) or servers.former.get(action.endpoint)
+        pod = servers.pods.get(action.endpoint) or servers.removed_pods.get(action.endpoint)
         request = self.requests.get((instance, action.id))
-        attempt = self._new_attempt(instance, life, action, request, pod)
+        attempt = self._create_attempt(instance, incarnation, action, request, pod)
         if request is None or pod is None:
-            self.at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
+            self.schedule_at(self.now, self._end_attempt, attempt, Outcome.NOT_SENT, False)
             return
         request.attempts.append(attempt)
         self.results.add_attempt(pod.name)
-        self.checker.sent(
+        self.checker.record_attempt(
             self.now,
             instance,
             action.id,
@@ -432,23 +456,23 @@
             started=pod.started,
             capacity=pod.cores * pod.speed,
         )
-        ends = min(self.now + action.timeout, request.deadline)
-        if pod.silent or not self._reaches(instance, pod):
-            self._send_unanswered(attempt, ends)
+        timeout_at = min(self.now + action.timeout, request.deadline)
+        if pod.unresponsive or not self._reaches(instance, pod):
+            self._send_unanswered(attempt, timeout_at)
         else:
-            self._connect(attempt, pod, ends)
+            self._connect(attempt, pod, timeout_at)
 
-    def _new_attempt(
+    def _create_attempt(
         self,
         instance: int,
-        life: int,
+        incarnation: int,
         action: SendAttempt,
         request: SimulatedRequest | None,
         pod: Server | None,
     ) -> SimulatedAttempt:
         return SimulatedAttempt(
             instance,
-            life,
+            incarnation,
             action.id,
             len(request.attempts) if request else action.number,
             request.lane if request else "",
@@ -459,79 +483,101 @@
             pod.build.number if pod else 0,
         )
 
-    def _send_unanswered(self, attempt: SimulatedAttempt, ends: Ticks) -> None:
+    def _send_unanswered(self, attempt: SimulatedAttempt, timeout_at: Ticks) -> None:
         """Sends an attempt to an unresponsive server.
 
         On an open connection it times out; a new connection is never established.
         """
-        if self.now - self._answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
-            failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
+        if self.now - self._last_answered_at.pop(_connection_key(attempt), NEVER) > IDLE_TIMEOUT:
+            failed_at = min(timeout_at, self.now + CONNECT_TIMEOUT)
+            self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
         else:
-            self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
-
-    def _connect(self, attempt: SimulatedAttempt, pod: Server, ends: Ticks) -> None:
-        made = self.connections.made
-        attempt.has_connection = self.connections.take(self.now, _connection_key(attempt), pod.name)
-        is_new = self.connections.made > made
-        self.results.dispatched += 1
-        self.platform.update_trial_share(attempt.build)
+            self.schedule_at(timeout_at, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+
+    def _connect(self, attempt: SimulatedAttempt, pod: Server, timeout_at: Ticks) -> None:
+        opened_before = self.connections.opened_count
+        attempt.has_connection = self.connections.acquire(
+            self.now, _connection_key(attempt), pod.name
+        )
+        is_new = self.connections.opened_count > opened_before
+        self.results.dispatched_attempts += 1
+        self.platform.update_trial_attempt_ratio(attempt.build)
         if not attempt.has_connection:
-            refused_at = min(ends, self.now + REFUSAL_DELAY)
-            self.at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
+            refused_at = min(timeout_at, self.now + REFUSAL_DELAY)
+            self.schedule_at(refused_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        if self._loss_draws.next() < self.loss or pod.state == PodState.DOWN:
-            failed_at = min(ends, self.now + CONNECT_TIMEOUT)
-            self.at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
+        if self._loss_draws.next() < self.attempt_loss_ratio or pod.state == PodState.DOWN:
+            failed_at = min(timeout_at, self.now + CONNECT_TIMEOUT)
+            self.schedule_at(failed_at, self._end_attempt, attempt, Outcome.CONNECT_FAILED, False)
             return
-        self.at(ends, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
-        one_way_delay = self._delays.next()
+        self.schedule_at(timeout_at, self._end_attempt, attempt, Outcome.TIMED_OUT, None)
+        one_way_delay = self._delay_stream.next()
         if self.day.mean_handshake_work and is_new:
             one_way_delay *= NEW_CONNECTION_TRIPS
             attempt.work += self.day.mean_handshake_work * (0.5 + self._sample_draws.next())
-        self.at(self.now + max(1, round(one_way_delay)), self._arrive_at_server, attempt)
+        self.schedule_at(self.now + max(1, round(one_way_delay)), self._arrive_at_server, attempt)
 
     def _arrive_at_server(self, attempt: SimulatedAttempt) -> None:
         """Handles the arrival of an attempt at its server."""
-        pod = self.servers.pods.get(attempt.pod)
-        attempt.work *= self.slow_all * self.platform.slowdown_factor()
-        service_time = pod.take(self.now, attempt) if pod else False
+        pod = self.servers.pods.get(attempt.pod_name)
+        attempt.work *= self.work_factor * self.platform.slowdown_factor()
+        service_time = pod.submit(self.now, attempt) if pod else False
         if service_time is False:
-            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.REJECTED, False)
+            self.schedule_at(
+                self.now + self._draw_one_way_delay(),
+                self._end_attempt,
+                attempt,
+                Outcome.REJECTED,
+                False,
+            )
         elif service_time is not None:
-            self.at(self.now + service_time, self._served, pod, attempt)
+            self.schedule_at(self.now + service_time, self._finish_job, pod, attempt)
 
-    def _served(self, pod: Server, attempt: SimulatedAttempt) -> None:
+    def _finish_job(self, pod: Server, attempt: SimulatedAttempt) -> None:
         """Finishes the work of an attempt at its server."""
-        if self.now < pod.paused:  # a paused server makes no progress
-            self.at(pod.paused + 1, self._served, pod, attempt)
+        if self.now < pod.paused_until:  # a paused server makes no progress
+            self.schedule_at(pod.paused_until + 1, self._finish_job, pod, attempt)
             return
-        following = pod.finish(self.now)
-        if following:
-            self.at(self.now + following[1], self._served, pod, following[0])
+        next_job = pod.finish(self.now)
+        if next_job:
+            self.schedule_at(self.now + next_job[1], self._finish_job, pod, next_job[0])
         if pod.state == PodState.DOWN:
             return
-        self.checker.ran(self.now, attempt.name, attempt.lane)
-        fails = self._fails(pod, attempt)
-        if pod.silent or not self._reaches(attempt.instance, pod):
+        self.checker.record_execution(self.now, attempt.request_id, attempt.lane)
+        fails = self._draw_failure(pod, attempt)
+        if pod.unresponsive or not self._reaches(attempt.instance, pod):
             return
-        if self.lost_answers and self._failure_draws.next() < self.lost_answers:
-            self.at(self.now + self._one_way(), self._end_attempt, attempt, Outcome.RESET, None)
+        if self.answer_loss_ratio and self._failure_draws.next() < self.answer_loss_ratio:
+            self.schedule_at(
+                self.now + self._draw_one_way_delay(),
+                self._end_attempt,
+                attempt,
+                Outcome.RESET,
+                None,
+            )
             return
-        self._answered_at[_connection_key(attempt)] = self.now
+        self._last_answered_at[_connection_key(attempt)] = self.now
         outcome = Outcome.ERROR if fails else Outcome.DONE
-        self.at(
-            self.now + self._one_way(), self._end_attempt, attempt, outcome, None if fails else True
+        self.schedule_at(
+            self.now + self._draw_one_way_delay(),
+            self._end_attempt,
+            attempt,
+            outcome,
+            None if fails else True,
         )
 
-    def _fails(self, pod: Server, attempt: SimulatedAttempt) -> bool:
-        """Draws whether an attempt fails at its server and counts the harm done."""
+    def _draw_failure(self, pod: Server, attempt: SimulatedAttempt) -> bool:
+        """Draws whether an attempt fails at its server, and counts the harm of a faulty build."""
         build, lane = pod.build, self.lanes[attempt.lane].request_class
-        fault_acts = build.strikes(pod, self.now, attempt.lane)
-        fails = self._failure_draws.next() < (build.fails if fault_acts else BASE_FAILURE_RATIO)
-        failing = self.servers.failing.get(pod.name)
-        fails = fails or (failing is not None and self._failure_draws.next() < failing)
-        if fails and build.fails and lane.idempotency != Idempotency.IDEMPOTENT:
+        fault_applies = build.fault_applies(pod, self.now, attempt.lane)
+        fails = self._failure_draws.next() < (
+            build.failure_ratio if fault_applies else BASE_FAILURE_RATIO
+        )
+        extra_failure_ratio = self.servers.extra_failure_ratios.get(pod.name)
+        fails = fails or (
+            extra_failure_ratio is not None and self._failure_draws.next() < extra_failure_ratio
+        )
+        if fails and build.failure_ratio and lane.idempotency != Idempotency.IDEMPOTENT:
             self.results.harm += lane.priority_weight
         return fails
 
@@ -548,51 +594,51 @@
         attempt.has_ended = True
         instance = attempt.instance
         if attempt.has_connection:
-            is_good = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
-            self.connections.give(self.now, _connection_key(attempt), attempt.pod, is_good)
-        if self.lives[instance] != attempt.life or not self.runs(instance):
+            reusable = outcome in (Outcome.DONE, Outcome.ERROR, Outcome.REJECTED)
+            self.connections.release(self.now, _connection_key(attempt), attempt.pod_name, reusable)
+        if self.incarnations[instance] != attempt.incarnation or not self.is_running(instance):
             return
         if self.day.counts_interval and outcome not in (Outcome.NOT_SENT, Outcome.CANCELLED):
             self.platform.sample_attempt(attempt, outcome)
-        request = self.requests.get((instance, attempt.name))
+        request = self.requests.get((instance, attempt.request_id))
         is_answered = self._is_answered(attempt)
         if request is not None and attempt in request.attempts:
-            self.checker.proved(instance, attempt.name, attempt.number, ran)
+            self.checker.record_attempt_end(instance, attempt.request_id, attempt.number, ran)
         if outcome == Outcome.DONE:
-            self.checker.key_answered(instance, attempt.key, attempt.build)
+            self.checker.record_key_answer(instance, attempt.key, attempt.build)
             if not is_answered:
-                self._answer(instance, attempt.name, Answer.DONE, 0)
-        ended = AttemptEnded(
-            attempt.name,
+                self._answer(instance, attempt.request_id, Answer.DONE, 0)
+        event = AttemptEnded(
+            attempt.request_id,
             outcome,
             is_answered or outcome == Outcome.DONE,
             self.now - attempt.sent_at,
-            attempt.pod,
+            attempt.pod_name,
             attempt.number,
             None,
         )
-        self.tell(instance, ended)
-        if request is not None and self._is_answered(attempt) and request.is_over():
-            self.requests.pop((instance, attempt.name), None)
+        self.deliver_event(instance, event)
+        if request is not None and self._is_answered(attempt) and request.all_attempts_ended():
+            self.requests.pop((instance, attempt.request_id), None)
 
     def _is_answered(self, attempt: SimulatedAttempt) -> bool:
-        return (attempt.instance, attempt.name) in self.checker.over
+        return (attempt.instance, attempt.request_id) in self.checker.answers
 
     # Results.
 
-    def disagreements(self) -> list[Disagreement]:
-        """Returns the instances whose count of attempts in flight is wrong."""
+    def in_flight_mismatches(self) -> list[InFlightMismatch]:
+        """Returns the instances whose engine counts a wrong number of attempts in flight."""
         in_flight = dict.fromkeys(range(self.day.instances), 0)
         for (instance, _), request in self.requests.items():
             in_flight[instance] += sum(not attempt.has_ended for attempt in request.attempts)
-        found = []
+        mismatches = []
         for instance, engine in self.engines.items():
             if engine is None:
                 continue
             counted = _counted_in_flight(engine.requests.open.values())
             if counted != in_flight[instance]:
-                found.append(Disagreement(instance, counted, in_flight[instance]))
-        return found
+                mismatches.append(InFlightMismatch(instance, counted, in_flight[instance]))
+        return mismatches
 
     def figures(self) -> dict[str, Any]:
         """Returns the main figures of the day."""
@@ -600,7 +646,7 @@
 
 
 def _connection_key(attempt: SimulatedAttempt) -> ConnectionKey:
-    return attempt.instance, attempt.life, attempt.pod
+    return attempt.instance, attempt.incarnation, attempt.pod_name
 
 
 def _counted_in_flight(requests: Iterable[Any]) -> int:
