--- a/tests/unit/polling/test_adaptive_interval.py
+++ b/tests/unit/polling/test_adaptive_interval.py
@@ -1,12 +1,16 @@
 """Polling intervals and snapshot validation, and the simulator's model of shared services."""
 
+import os
+import shutil
 import unittest
+from unittest import mock
 
 from hypothesis import given
 from hypothesis import strategies as st
 from twisted.internet.task import Clock
 
 from tests.unit.proxy.test_proxy import Network, Transport, endpoint_entry
+from thymeknot.interface import actions
 from thymeknot.interface.actions import SubscribeToEndpoints
 from thymeknot.polling.adaptive_interval import (
     ESTABLISHED_AFTER,
@@ -20,7 +24,8 @@
 from thymeknot.polling.snapshot_validation import SnapshotValidator
 from thymeknot.protocol.discovery import FIRST_DATA_TIMEOUTS
 from thymeknot.protocol.watch_stream import WatchStream
-from thymeknot.simulation.earlier_versions import load_version
+from thymeknot.simulation import earlier_versions
+from thymeknot.simulation.earlier_versions import EarlierVersion
 from thymeknot.simulation.shared_services import (
     IDLE_TIMEOUT,
     Connections,
@@ -86,10 +91,75 @@
             self.assertTrue(MIN_REGULAR_INTERVAL <= pace.record(how, age) <= MAX_INTERVAL)
 
 
+class FormerInterval:
+    """Poll interval with the method and parameter names of revision 969ec70; records its calls."""
+
+    def __init__(self, draw):
+        self.draw = draw
+        self.calls = []
+
+    def first(self, asking):
+        self.calls.append(("first", asking))
+        return int(self.draw() * 1_000 * asking)
+
+    def ended(self, how, age=0):
+        self.calls.append(("ended", how, age))
+        return int(self.draw() * 40_000)
+
+
 class EarlierRevisionTest(unittest.TestCase):
+    def draw(self):
+        return 0.5
+
     def test_interval_of_an_earlier_revision_answers_to_the_current_method_names(self):
         """Renamed methods made simulations with an earlier revision fail with AttributeError."""
-        interval = poll_interval_of(load_version("969ec70"), lambda: 0.5)
+        intervals = []
+
+        def create_interval(draw):
+            intervals.append(FormerInterval(draw))
+            return intervals[-1]
+
+        interval = poll_interval_of(EarlierVersion(actions, None, create_interval), self.draw)
+        self.assertEqual(
+            (interval.initial_wait(10), interval.record(CallResult.REFUSED), interval.draw()),
+            (5_000, 20_000, 0.5),
+        )
+        self.assertEqual(interval.record(CallResult.LOST, 7), 20_000)
+        (former,) = intervals
+        self.assertEqual(
+            former.calls,
+            [("first", 10), ("ended", CallResult.REFUSED, 0), ("ended", CallResult.LOST, 7)],
+        )
+        self.assertEqual((former.draw, interval.draw), (self.draw, self.draw))
+
+    def test_policy_without_a_poll_interval_gets_the_current_one(self):
+        interval = poll_interval_of(object(), self.draw)
+        self.assertIs(type(interval), AdaptiveInterval)
+        self.assertEqual(
+            (interval.initial_wait(10), interval.record(CallResult.REFUSED), interval.draw()),
+            (5_000, 20_000, 0.5),
+        )
+
+    def test_loaded_version_brings_its_own_poll_interval(self):
+        """A copy of the current package stands in for the revision: no git history is needed."""
+
+        def copy_current_package(revision, directory, package):
+            shutil.copytree(
+                os.path.join(earlier_versions.REPOSITORY_ROOT, "thymeknot"),
+                os.path.join(directory, package),
+                ignore=shutil.ignore_patterns("__pycache__"),
+            )
+
+        with mock.patch.object(earlier_versions, "_unpack", copy_current_package):
+            # Not through the cache, which other tests use with revisions from git.
+            version = earlier_versions.load_version.__wrapped__("copy of the current package")
+        interval = poll_interval_of(version, self.draw)
+        package = version.interface.__name__.partition(".")[0]
+        self.assertNotEqual(package, "thymeknot")
+        self.assertEqual(
+            (type(interval).__module__, type(interval).__name__),
+            (f"{package}.polling.adaptive_interval", "AdaptiveInterval"),
+        )
         self.assertEqual(
             (interval.initial_wait(10), interval.record(CallResult.REFUSED), interval.draw()),
             (5_000, 20_000, 0.5),
