--- a/thymeknot/simulation/shared_services.py
+++ b/thymeknot/simulation/shared_services.py
@@ -62,7 +62,10 @@
 
 
 class PollIntervalAdapter:
-    """Adapts the poll interval of a git revision whose methods are named `first` and `ended`."""
+    """Adapts the poll interval of a git revision before c2fb222 to `PollInterval`.
+
+    The methods of that interval have their former names, `first` and `ended`.
+    """
 
     def __init__(self, interval: Any) -> None:
         self._interval = interval
