--- a/thymeknot/simulation/day_results.py
+++ b/thymeknot/simulation/day_results.py
@@ -12,10 +12,10 @@
 from .invariants import Answer, InvariantChecker
 from .scenarios import Day
 
-MIN_POSSIBLE_EARNINGS = 1e-9  # earnings; keeps divisions by the requested earnings defined
-TRAILING_SECONDS = 20  # after the span of a day, in which the last answers arrive
+MIN_POSSIBLE_EARNINGS = 1e-9  # divisor instead of 0 on a day without requests
+TRAILING_SECONDS = 20  # after the span of a day, for the last answers
 WORST_WINDOW_SECONDS = 10
-RECOVERY_SECONDS = 2  # almost without rejections, after which a fleet has recovered
+RECOVERY_SECONDS = 2  # a fleet has recovered after so many seconds with few rejections
 
 
 class RolloutEventKind(StrEnum):
@@ -40,8 +40,8 @@
     """Totals of one second.
 
     Attributes:
-        possible_earnings: Earnings of the requests that clients first sent in this second.
-        earnings: Earnings of those requests that were answered, less if they were late.
+        possible_earnings: Earnings if all requests first sent in this second succeed in time.
+        earnings: Earnings of those requests that succeeded; late answers earn less.
         requests: Number of requests, including repeated ones.
         rejections: Requests that were rejected without an attempt.
         needless_rejections: Requests among the rejected ones for which servers had capacity.
@@ -77,13 +77,13 @@
 
     Attributes:
         day: The day.
-        possible_earnings: Earnings of all requests that clients sent.
-        earnings: Earnings of the answered requests; late answers earn less.
-        harm: Earnings of requests that are not idempotent and failed at a faulty build.
-        outdated_earnings: Earnings from answers of builds older than the newest good one.
+        possible_earnings: Earnings if all requests of the day succeed in time.
+        earnings: Earnings of the requests that succeeded; late answers earn less.
+        harm: Possible earnings of requests that are not idempotent and failed at a faulty build.
+        outdated_earnings: Earnings from builds older than the newest good one.
         newest_good_build: The newest good build that was offered.
         answer_counts: Number of answers, by kind.
-        latencies: Latencies of successful answers by class, from the client's first try.
+        latencies: Latencies of successful answers from the client's first attempt, by class.
         attempts_by_pod: Number of attempts sent to each server.
         dispatched_attempts: Attempts that reached the network.
         vote_calls: Number of vote calls: all (asked), those over the platform's rate limit (full)
@@ -153,14 +153,14 @@
         self.rollout_events.append(RolloutEvent(now, build, kind))
 
     def earnings_ratio(self) -> float:
-        """Returns the ratio of earnings to the earnings of all requests.
+        """Returns the ratio of the earnings to the possible earnings.
 
         Late answers count with their reduced weight.
         """
         return self.earnings / max(MIN_POSSIBLE_EARNINGS, self.possible_earnings)
 
     def worst_earnings_ratio(self, length: int = WORST_WINDOW_SECONDS) -> float:
-        """Returns the lowest ratio of earnings in any window of `length` seconds."""
+        """Returns the lowest ratio of earnings to possible ones in any `length` seconds."""
         worst = 1.0
         day_seconds = self.day.span // TICKS_PER_SECOND
         for begin in range(max(1, day_seconds - length)):
@@ -171,7 +171,7 @@
         return worst
 
     def rejection_ratios(self, begin: int = 0, end: int | None = None) -> RejectionRatios:
-        """Returns the rejected ratios between two seconds of the day."""
+        """Returns the ratios of rejected requests between two seconds of the day."""
         window = self.seconds[begin:end]
         requests = max(1, sum(one.requests for one in window))
         rejected = sum(one.rejections for one in window)
@@ -182,7 +182,7 @@
         """Returns how many seconds after a moment the fleet has recovered from rejecting requests.
 
         Args:
-            end: The moment.
+            end: The moment, for instance the end of a fault.
             max_rejected_ratio: Maximum ratio of rejected requests over two successive seconds.
         """
         begin = -(-end // TICKS_PER_SECOND)
@@ -219,7 +219,7 @@
         )
 
     def net_earnings_ratio(self, outdated_cost: float = 0.5, harm_cost: float = 5.0) -> float:
-        """Returns the ratio of earnings minus the cost of outdated builds and of harm.
+        """Returns the earnings ratio minus the costs of outdated builds and of harm.
 
         Args:
             outdated_cost: Cost per unit of earnings from outdated builds.
@@ -235,7 +235,7 @@
         """Returns the main figures of the day.
 
         Args:
-            checker: Provides the rules that were broken.
+            checker: Provides the violations of the rules.
         """
         return {
             "service": round(self.earnings_ratio(), 4),
--- a/thymeknot/simulation/fault_injection.py
+++ b/thymeknot/simulation/fault_injection.py
@@ -9,7 +9,7 @@
 if TYPE_CHECKING:
     from .simulator import Simulator
 
-PAUSED_RATIO = 0.3  # of the affected servers, in each interval
+PAUSED_RATIO = 0.3  # of the affected servers, in each round of pauses
 PAUSE_INTERVAL = TICKS_PER_SECOND  # ticks between rounds of pauses
 
 
@@ -83,7 +83,7 @@
             simulator.partitioned_zones = simulator.partitioned_zones | zones
         else:
             simulator.partitioned_zones = simulator.partitioned_zones - zones
-            simulator.platform.announce()  # repeated news make up for what was missed
+            simulator.platform.announce()  # the zones have missed updates
 
     def _silent_pods(self, fault: Fault, begins: bool) -> None:
         for pod in self._simulator.servers.pods.values():
--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -1,8 +1,8 @@
 """Checks the five rules (invariants) that the instances of a fleet must keep.
 
-The checker is told what each instance learned, received, sent and answered. It shares no code with
-what it checks: it keeps plain lists of times instead of sliding windows. Times are in ticks (tenths
-of a millisecond).
+The methods record what each instance learned, received, sent and answered. The checker shares no
+code with the program that it checks: it keeps plain lists of times instead of sliding windows.
+Times are in ticks (tenths of a millisecond).
 """
 
 from bisect import bisect_left
@@ -18,8 +18,8 @@
 
 # Tolerance for rounding errors in the exposure bound.
 EXPOSURE_ROUNDING = 1e-9
-# A warming-up server may get this factor times the work that overloads it, plus this many requests:
-# a sender does not know what the other instances have in flight.
+# A server in its warm-up may get this factor times the work that overloads it, plus this many
+# requests, because a sender does not know what the other instances have in flight.
 OVERLOAD_MARGIN = 1.1
 OVERLOAD_SPARE_REQUESTS = 4
 
@@ -106,8 +106,8 @@
 
     Attributes:
         violations: The violations found.
-        open_requests: Class and deadline of the unanswered requests, by instance and name.
-        answers: The answers, by instance and name.
+        open_requests: Class and deadline of the unanswered requests, by instance and request id.
+        answers: The answers, by instance and request id.
         max_warmup_load_ratio: Highest ratio of the work sent to a server during its warm-up to the
             allowed work.
     """
@@ -134,15 +134,16 @@
             drain_grace: How long a server may get attempts after an instance learned that it is
                 gone.
             exposure_window: Length of the window over which exposure is counted.
-            exposure_allowance: Number of attempts allowed beyond the cap.
+            exposure_allowance: Number of attempts at a build on trial allowed beyond its cap.
             exposure_by_class: Whether exposure is counted separately for each class.
-            guarded_stages: In stages before this one, only idempotent requests may go to the trial.
+            guarded_stages: Number of first stages in which only idempotent requests may go to a
+                build on trial.
             warmup_duration: Duration of a server's warm-up; 0 disables the check.
             warmup_initial_fraction: Ratio of the full capacity that is available at the start.
             overload_factor: Load, in multiples of its capacity, that overloads a server in its
                 warm-up.
             overload_window: How long a server withstands that load.
-            answer_tolerance: How late an answer may be.
+            answer_tolerance: How long after its deadline a request may be answered.
         """
         self.lanes = lanes
         self.drain_grace = drain_grace
@@ -158,7 +159,7 @@
         self.violations: list[Violation] = []
         self.open_requests: dict[tuple[int, str], tuple[str, Ticks]] = {}
         self.answers: dict[tuple[int, str], Answer] = {}
-        # Executions, by request.
+        # Times of executions, by request.
         self.execution_times: defaultdict[str, list[Ticks]] = defaultdict(list)
         # Attempts, by instance and request.
         self.attempts: defaultdict[tuple[int, str], list[SentAttempt]] = defaultdict(list)
@@ -185,7 +186,7 @@
     def record_endpoint_state(
         self, now: Ticks, instance: int, pod: str, state: ListedState
     ) -> None:
-        """Records that an instance learned a server's state; READY cancels an earlier state."""
+        """Records that an instance learned a server's state; READY replaces an earlier state."""
         if state == ListedState.READY:
             self.gone_learned_at[instance].pop(pod, None)
         else:
@@ -218,7 +219,7 @@
             self._add_violation(
                 Rule.ONE_ANSWER,
                 now,
-                f"{request_id}: {'a second answer' if answered_before else 'never taken'}",
+                f"{request_id}: {'a second answer' if answered_before else 'never received'}",
             )
             return
         lane, deadline = open_request
@@ -248,9 +249,9 @@
         )
 
     def record_kill(self, now: Ticks, instance: int) -> None:
-        """Records that an instance died.
+        """Records that an instance was killed.
 
-        Its open requests need no answer any more. The instance restarts without history: requests
+        Its open requests no longer need an answer. The instance restarts without history: requests
         received before do not count towards its exposure allowance.
         """
         for request_key in [key for key in self.open_requests if key[0] == instance]:
@@ -288,7 +289,7 @@
         Args:
             now: The time.
             instance: The sending instance.
-            request_id: Name of the request.
+            request_id: Identifies the request at the instance.
             pod: Address of the server.
             build: Build that the server runs.
             lane: The request class.
@@ -302,7 +303,7 @@
             self._add_violation(
                 Rule.DRAINED,
                 now,
-                f"{request_id}: to {pod} {now - gone_learned_at} after it was told gone",
+                f"{request_id}: to {pod} {now - gone_learned_at} after it was reported gone",
             )
         self._check_repeat(now, instance, request_id, lane)
         self.attempts[instance, request_id].append(SentAttempt(now))
@@ -377,7 +378,7 @@
         attempt_times.append(now)
         attempt_count = len(attempt_times) - bisect_left(attempt_times, now - self.exposure_window)
         request_count = len(request_times) - bisect_left(request_times, now - self.exposure_window)
-        # A lowered cap takes effect only when the window has passed.
+        # A lowered cap takes full effect only after the window has passed.
         recent_caps = [
             one.cap
             for one in self.cap_updates[instance]
@@ -388,14 +389,14 @@
             self._add_violation(
                 Rule.EXPOSURE,
                 now,
-                f"{request_id}: {attempt_count} deliveries to build {newest_update.build}, "
-                f"{self.exposure_allowance} and {max_cap} of {request_count} allowed",
+                f"{request_id}: {attempt_count} attempts at build {newest_update.build}, "
+                f"allowed {self.exposure_allowance} and {max_cap} of {request_count} requests",
             )
 
     def _check_warmup(
         self, pod: str, started: Ticks, warmup_work: list[WarmupWork], capacity: float
     ) -> None:
-        """Compares the work sent by all instances with what overloads a server."""
+        """Compares the work sent by all instances with the work that overloads a server."""
         now = warmup_work[-1].at
         window_start = now - self.overload_window
         capacity_fraction = (
@@ -413,13 +414,13 @@
             overload_work * OVERLOAD_MARGIN + OVERLOAD_SPARE_REQUESTS * warmup_work[-1].work
         )
         self.max_warmup_load_ratio = max(self.max_warmup_load_ratio, total_work / allowed_work)
-        # The instances are at fault if two thirds of the work came from those that knew the start.
+        # It is a violation if two thirds of the work came from instances that knew the start.
         if total_work > allowed_work and informed_work >= total_work * 2 / 3:
             self._add_violation(
                 Rule.WARMUP,
                 now,
-                f"{pod}: {total_work:.0f} of work in {self.overload_window}, "
-                f"{overload_work:.0f} push it over",
+                f"{pod}: {total_work:.0f} ticks of work in {self.overload_window}, "
+                f"{overload_work:.0f} overload it",
             )
 
     def record_attempt_end(
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -13,9 +13,9 @@
 from .servers import PodState
 from .simulator import Simulator
 
-# Sampling interval; what happens in between is counted in one period.
+# Interval between snapshots; events in between are counted in one period.
 RECORDING_PERIOD: Ticks = TICKS_PER_SECOND // 2
-# Periods after the end of the day, in which the open requests end.
+# Periods after the end of the day, for the requests that are still open.
 TRAILING_PERIODS = 8
 
 
@@ -38,13 +38,13 @@
     """Runs a day like Simulator and records time series.
 
     Attributes:
-        builds: Numbers of the builds of the day.
+        builds: Numbers of the day's builds, sorted.
         attempt_counts: Number of attempts per period, by build.
         answer_counts: Number of answers per period, by kind (done, deferred or abandoned).
         vote_counts: Number of votes per period, by verdict.
         relative_latencies: Latencies of the successful answers of each period, divided by the
             latency objective.
-        snapshots: Snapshots at the start of each period.
+        snapshots: The state at the start of each period.
         queued_seconds: Seconds of queued work at each place, at the start of each period.
     """
 
--- a/thymeknot/simulation/server_fleet.py
+++ b/thymeknot/simulation/server_fleet.py
@@ -1,4 +1,4 @@
-"""The servers of a simulated day and the endpoint lists that announce them."""
+"""The servers of a simulated day and the endpoint lists that report them."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import TYPE_CHECKING, TypeAlias
@@ -21,9 +21,10 @@
 
 
 def place_index(name: str) -> int:
-    """Returns the place of a server.
+    """Returns the number of a server's place.
 
-    An address consists of "p", the place, a dash and the build (and cause) of the start.
+    An address consists of "p", the place, a dash, the build that was newest at the start and, after
+    a rollback, "r".
     """
     return int(name[1:].split("-", maxsplit=1)[0])
 
@@ -74,7 +75,7 @@
         return zones[place % 3]
 
     def start(self, name: str, place: int, build: Build) -> None:
-        """Starts a server with its warm-up ahead and announces it."""
+        """Starts a server, which then warms up, and announces it."""
         day = self.simulator.day
         self._add(
             Pod(
@@ -99,7 +100,7 @@
         return [pod for pod in self.pods.values() if pod.state == PodState.UP and predicate(pod)]
 
     def drain(self, predicate: Callable[[Server], bool]) -> None:
-        """Begins to drain the servers that satisfy the predicate; they are removed later."""
+        """Starts to drain the servers that satisfy the predicate; they are removed later."""
         simulator = self.simulator
         drained_pods = self.pods_up(predicate)
         for pod in drained_pods:
@@ -208,7 +209,7 @@
         simulator.deliver_event(instance, EndpointUpdate(UpdateKind.DELTA, delivered))
 
     def record_update(self, instance: int, entries: Iterable[Endpoint]) -> None:
-        """Reports to the checker what an instance is told."""
+        """Records with the checker what an instance learns from endpoint entries."""
         checker = self.simulator.checker
         for entry in entries:
             is_ready = entry.condition == EndpointCondition.READY
@@ -217,7 +218,7 @@
             checker.record_server_start(instance, entry.address, entry.started)
 
     def record_known_pods(self, instance: int) -> None:
-        """Reports to the checker what a starting instance already knows."""
+        """Records with the checker what a starting instance already knows."""
         checker = self.simulator.checker
         for pod in self.pods.values():
             checker.record_server_start(instance, pod.name, pod.started)
--- a/thymeknot/simulation/simulated_platform.py
+++ b/thymeknot/simulation/simulated_platform.py
@@ -18,13 +18,13 @@
 if TYPE_CHECKING:
     from .simulator import Simulator
 
-ONE_WAY_CALL_DELAY: Ticks = 500  # for one direction of a call
-# Values of the call fault: calls get no answer, or are rejected.
+ONE_WAY_CALL_DELAY: Ticks = 500  # of a call to the platform, or of its response
+# Values of `call_fault`: calls get no response, or are rejected.
 SILENT_CALLS = 0.0
 REFUSED_CALLS = 1.0
 VOTE_BURST_SECONDS = 2  # capacity of the token bucket for votes, in seconds of its rate
 WITHDRAWAL_DELAY = 2 * TICKS_PER_SECOND  # ticks from the start of a rollback
-# Ticks between the slowest server start and the start of the stage's clock.
+# Ticks from the slowest server start until the time of the stage begins to count.
 BOOT_MARGIN = TICKS_PER_SECOND
 ZONE_RETRY_DELAY = TICKS_PER_SECOND  # ticks until a server start in a lost zone is retried
 TRIAL_RATIO_GAIN = 0.002  # weight of an attempt in the moving average of the newest build's share
@@ -100,8 +100,7 @@
 
         Args:
             simulator: The running simulation.
-            sample_draws: Random numbers that decide which attempts are counted and when counts
-                arrive.
+            sample_draws: Random numbers that select the counted attempts and delay the counts.
         """
         day = simulator.day
         self.simulator = simulator
@@ -155,11 +154,11 @@
         simulator.deliver_event(instance, _release_update(state, answers_vote, outcome))
 
     def send_current_state(self, instance: int) -> None:
-        """Gives a starting instance the current state."""
+        """Sends the current state to a starting instance."""
         self.simulator.deliver_event(instance, _release_update(self.state, False, Outcome.DONE))
 
     def record_update(self, instance: int, state: ReleaseState) -> None:
-        """Reports to the checker what an instance is told."""
+        """Records with the checker what an instance learns."""
         self.simulator.checker.record_release_state(
             self.simulator.now,
             instance,
@@ -172,7 +171,7 @@
     # Counts.
 
     def update_trial_attempt_ratio(self, build: int) -> None:
-        """Updates the newest build's share with one more attempt."""
+        """Updates the moving average of the newest build's share with one more attempt."""
         self.trial_attempt_ratio += TRIAL_RATIO_GAIN * (
             (build == self.state.build) - self.trial_attempt_ratio
         )
@@ -185,7 +184,7 @@
         return 1 + fleet_slowdown * self.trial_attempt_ratio
 
     def sample_attempt(self, attempt: SimulatedAttempt, outcome: Outcome) -> None:
-        """Counts an ended attempt if it is drawn for the sample."""
+        """Counts an ended attempt if it is selected for the sample."""
         day = self.simulator.day
         if self._sample_draws.next() >= day.tally_share:
             return
@@ -319,7 +318,7 @@
     # Votes.
 
     def receive_vote(self, instance: int, incarnation: int, vote: CastVote) -> None:
-        """Handles a vote that reaches the platform; the instance learns the outcome later."""
+        """Handles a vote at the platform; the instance learns the outcome later."""
         simulator, vote_calls = self.simulator, self.simulator.results.vote_calls
         cut_off = simulator.incarnations[instance] != incarnation or simulator.is_cut_off(instance)
         if cut_off or self.call_fault == SILENT_CALLS:
@@ -359,7 +358,7 @@
         )
 
     def _take_vote_token(self) -> bool:
-        """Returns whether the rate limit allows one more call, and counts the call if so."""
+        """Takes a token for one call; returns False if there is none or calls are refused."""
         simulator = self.simulator
         rate = simulator.day.terms.votes_per_second
         refill = (simulator.now - self._tokens_updated_at) * rate / TICKS_PER_SECOND
@@ -383,7 +382,7 @@
             self.deliver_update(instance, self.state, True, outcome)
 
     def _count_votes(self, build: int, stage: int) -> None:
-        """Advances or rolls back the build if the votes still valid decide so."""
+        """Advances or rolls back the build if enough votes that have not expired say so."""
         simulator, day, state = self.simulator, self.simulator.day, self.state
         if (build, stage) != (state.build, state.stage) or state.phase not in ACTIVE_PHASES:
             return
