--- a/thymeknot/simulation/day_results.py
+++ b/thymeknot/simulation/day_results.py
@@ -126,23 +126,27 @@
         """Counts an answer."""
         self.answer_counts[answer] = self.answer_counts.get(answer, 0) + 1
 
-    def add_success(self, now: Ticks, first_sent_at: Ticks, lane: RequestClass, build: int) -> None:
+    def add_success(
+        self, now: Ticks, first_sent_at: Ticks, request_class: RequestClass, build: int
+    ) -> None:
         """Counts a successful answer.
 
         Args:
             now: The time.
             first_sent_at: When the client first sent the request.
-            lane: The request's class.
+            request_class: The request's class.
             build: The build that answered.
         """
         latency = now - first_sent_at
-        is_late = latency > lane.latency_objective
-        earned = lane.priority_weight * (lane.late_priority_weight if is_late else 1)
+        is_late = latency > request_class.latency_objective
+        earned = request_class.priority_weight * (
+            request_class.late_priority_weight if is_late else 1
+        )
         self.earnings += earned
         if build < self.newest_good_build:
             self.outdated_earnings += earned
         self.second_at(first_sent_at).earnings += earned
-        self.latencies.setdefault(lane.name, []).append(latency)
+        self.latencies.setdefault(request_class.name, []).append(latency)
 
     def add_attempt(self, pod: str) -> None:
         """Counts an attempt."""
@@ -165,17 +169,17 @@
         day_seconds = self.day.span // TICKS_PER_SECOND
         for begin in range(max(1, day_seconds - length)):
             window = self.seconds[begin : begin + length]
-            possible = sum(one.possible_earnings for one in window)
-            earned = sum(one.earnings for one in window)
+            possible = sum(second.possible_earnings for second in window)
+            earned = sum(second.earnings for second in window)
             worst = min(worst, earned / possible if possible else 1.0)
         return worst
 
     def rejection_ratios(self, begin: int = 0, end: int | None = None) -> RejectionRatios:
         """Returns the ratios of rejected requests between two seconds of the day."""
         window = self.seconds[begin:end]
-        requests = max(1, sum(one.requests for one in window))
-        rejected = sum(one.rejections for one in window)
-        needless = sum(one.needless_rejections for one in window)
+        requests = max(1, sum(second.requests for second in window))
+        rejected = sum(second.rejections for second in window)
+        needless = sum(second.needless_rejections for second in window)
         return RejectionRatios(rejected / requests, needless / requests)
 
     def recovery_seconds(self, end: Ticks, max_rejected_ratio: float = 0.05) -> int:
@@ -206,7 +210,7 @@
             end: Time used for events that have not happened.
         """
         event_times = {
-            entry.kind: entry.at for entry in self.rollout_events if entry.build == build
+            event.kind: event.at for event in self.rollout_events if event.build == build
         }
         released_at = event_times.get(RolloutEventKind.RELEASED, end)
         harmful_from = event_times.get(
--- a/thymeknot/simulation/invariants.py
+++ b/thymeknot/simulation/invariants.py
@@ -235,7 +235,9 @@
 
     def _possibly_run(self, instance: int, request_id: str) -> list[SentAttempt]:
         """Returns the attempts that ran or may have run."""
-        return [one for one in self.attempts[instance, request_id] if one.ran is not False]
+        return [
+            attempt for attempt in self.attempts[instance, request_id] if attempt.ran is not False
+        ]
 
     def _may_have_run(self, now: Ticks, instance: int, request_id: str, lane: str) -> bool:
         """Returns whether a retry by the client could make the request run twice."""
@@ -380,9 +382,9 @@
         request_count = len(request_times) - bisect_left(request_times, now - self.exposure_window)
         # A lowered cap takes full effect only after the window has passed.
         recent_caps = [
-            one.cap
-            for one in self.cap_updates[instance]
-            if one.build == newest_update.build and one.at > now - self.exposure_window
+            update.cap
+            for update in self.cap_updates[instance]
+            if update.build == newest_update.build and update.at > now - self.exposure_window
         ]
         max_cap = max([*recent_caps, newest_update.cap])
         if attempt_count > self.exposure_allowance + max_cap * request_count + EXPOSURE_ROUNDING:
@@ -405,9 +407,9 @@
             * max(0, window_start - started)
             / self.warmup_duration
         )
-        total_work = sum(one.work for one in warmup_work if one.at > window_start)
+        total_work = sum(sent.work for sent in warmup_work if sent.at > window_start)
         informed_work = sum(
-            one.work for one in warmup_work if one.at > window_start and one.sender_knew_start
+            sent.work for sent in warmup_work if sent.at > window_start and sent.sender_knew_start
         )
         overload_work = self.overload_factor * capacity_fraction * capacity * self.overload_window
         allowed_work = (
--- a/thymeknot/simulation/recording.py
+++ b/thymeknot/simulation/recording.py
@@ -118,5 +118,8 @@
             quantile: The quantile, between 0 and 1.
         """
         return np.array(
-            [np.quantile(one, quantile) if one else 0.0 for one in self.relative_latencies]
+            [
+                np.quantile(latencies, quantile) if latencies else 0.0
+                for latencies in self.relative_latencies
+            ]
         )
--- a/thymeknot/simulation/simulator.py
+++ b/thymeknot/simulation/simulator.py
@@ -107,7 +107,7 @@
         """
         self.day = day
         self.now: Ticks = 0
-        self.lanes: dict[str, LaneMix] = {one.lane.name: one for one in day.lanes}
+        self.lanes: dict[str, LaneMix] = {mix.lane.name: mix for mix in day.lanes}
         self.results = DayResults(day)
         self.connections = Connections(day.connections)
         self.requests: dict[tuple[int, str], SimulatedRequest] = {}
@@ -138,10 +138,10 @@
             for seed in np.random.SeedSequence(day.seed).spawn(6)
         ]
         arrivals, works, network, keys, clients, self.generator = generators
-        self._gap_stream = Stream(lambda count: arrivals.exponential(1.0, count))
+        self._interval_stream = Stream(lambda count: arrivals.exponential(1.0, count))
         self._arrival_draws = Stream(arrivals.random)
         self._work_streams = {
-            one.lane.name: gamma(works, one.work, one.spread) for one in day.lanes
+            mix.lane.name: gamma(works, mix.work, mix.spread) for mix in day.lanes
         }
         self._delay_stream = gamma(network, *day.delay)
         self._loss_draws = Stream(network.random)
@@ -154,7 +154,7 @@
     def _create_checker(self) -> InvariantChecker:
         day = self.day
         return InvariantChecker(
-            {name: one.lane for name, one in self.lanes.items()},
+            {name: mix.lane for name, mix in self.lanes.items()},
             DRAIN_GRACE,
             EXPOSURE_WINDOW,
             EXPOSURE_ALLOWANCE,
@@ -290,29 +290,31 @@
         day = self.day
         if self.now >= day.span:
             return
-        gap = self._gap_stream.next() * TICKS_PER_SECOND / (day.rate * self.request_rate_factor)
-        self.schedule_at(self.now + max(1, round(gap)), self._generate_request)
+        interval = (
+            self._interval_stream.next() * TICKS_PER_SECOND / (day.rate * self.request_rate_factor)
+        )
+        self.schedule_at(self.now + max(1, round(interval)), self._generate_request)
         instance = min(
             day.instances - 1, bisect_right(self._cumulative_traffic, self._arrival_draws.next())
         )
-        lane = self._draw_lane().lane
-        if lane.idempotency == Idempotency.NON_IDEMPOTENT:
+        request_class = self._draw_request_mix().lane
+        if request_class.idempotency == Idempotency.NON_IDEMPOTENT:
             key = f"b{self._last_number}"
         else:
             key = f"k{self._key_stream.next()}"
-        self.results.add_request(self.now, lane.priority_weight)
+        self.results.add_request(self.now, request_class.priority_weight)
         tenant = int(self._client_draws.next() * day.tenants)
-        work = self._work_streams[lane.name].next()
-        deadline = self.now + lane.outer_limit
-        request = SimulatedRequest(lane.name, key, tenant, self.now, deadline, 0, work)
+        work = self._work_streams[request_class.name].next()
+        deadline = self.now + request_class.outer_limit
+        request = SimulatedRequest(request_class.name, key, tenant, self.now, deadline, 0, work)
         self._send_request(instance, request)
 
-    def _draw_lane(self) -> LaneMix:
+    def _draw_request_mix(self) -> LaneMix:
         remaining = self._arrival_draws.next()
-        for lane in self.day.lanes:
-            remaining -= lane.share
+        for mix in self.day.lanes:
+            remaining -= mix.share
             if remaining < 0:
-                return lane
+                return mix
         return self.day.lanes[-1]
 
     def _send_request(self, instance: int, request: SimulatedRequest) -> None:
@@ -350,10 +352,10 @@
         if request is None:
             return
         self.results.add_answer(answer)
-        lane = self.lanes[request.lane].lane
+        request_class = self.lanes[request.lane].lane
         if answer == Answer.DONE:
             self.results.add_success(
-                self.now, request.first_sent_at, lane, request.attempts[-1].build
+                self.now, request.first_sent_at, request_class, request.attempts[-1].build
             )
         else:
             self._handle_unserved(instance, request, answer, retry_after)
@@ -364,10 +366,10 @@
         self, instance: int, request: SimulatedRequest, answer: Answer, retry_after: Ticks
     ) -> None:
         if not request.attempts:
-            second = self.results.second_at(self.now)
-            second.rejections += 1
+            second_totals = self.results.second_at(self.now)
+            second_totals.rejections += 1
             objective = self.lanes[request.lane].lane.latency_objective
-            second.needless_rejections += self._had_capacity(instance, objective)
+            second_totals.needless_rejections += self._had_capacity(instance, objective)
         if answer == Answer.DEFERRED and request.client_retries < self.day.retries:
             delay = retry_after if self._client_draws.next() < self.day.heeds else RETRY_DELAY
             retry = SimulatedRequest(
@@ -557,7 +559,7 @@
 
     def _draw_failure(self, pod: Server, attempt: SimulatedAttempt) -> bool:
         """Draws whether an attempt fails at its server, and counts the harm of a faulty build."""
-        build, lane = pod.build, self.lanes[attempt.lane].lane
+        build, request_class = pod.build, self.lanes[attempt.lane].lane
         fault_applies = build.fault_applies(pod, self.now, attempt.lane)
         fails = self._failure_draws.next() < (
             build.failure_ratio if fault_applies else BASE_FAILURE_RATIO
@@ -566,8 +568,8 @@
         fails = fails or (
             extra_failure_ratio is not None and self._failure_draws.next() < extra_failure_ratio
         )
-        if fails and build.failure_ratio and lane.idempotency != Idempotency.IDEMPOTENT:
-            self.results.harm += lane.priority_weight
+        if fails and build.failure_ratio and request_class.idempotency != Idempotency.IDEMPOTENT:
+            self.results.harm += request_class.priority_weight
         return fails
 
     def _end_attempt(self, attempt: SimulatedAttempt, outcome: Outcome, ran: bool | None) -> None:
