--- a/tests/unit/service/test_settings.py
+++ b/tests/unit/service/test_settings.py
@@ -973,7 +973,7 @@
         self.checker.ended(last + 100)
         if self.engine.requests.open or self.checker.open:
             self.checker._broke(
-                1, last, f"still open: {list(self.made.requests.open)} {list(self.checker.open)}"
+                1, last, f"still open: {list(self.engine.requests.open)} {list(self.checker.open)}"
             )
         if not any(values and values[0] == TimerFired(0) for _, _, _, values in self.queue):
             self.checker._broke(0, last, "the tick timer is not set")
