--- a/measure/why.py
+++ b/measure/why.py
@@ -17,7 +17,7 @@
 from multiprocessing import get_context
 
 from measure.load import drive, quantile
-from measure.why_cases import NOW, WHY, mix
+from measure.why_cases import DECISION_LOG_SETTINGS, NOW, run_case_mix
 from tests.support.decisions import REQUEST_CLASSES
 from tests.support.peers import FakeEndpoint, reserve_port, wait_until
 from tests.support.programs import Program
@@ -32,14 +32,14 @@
 SECOND = 10_000
 
 
-class Clocked:
+class RecorderRig:
     """A record with a clock of its own, and traffic made for it."""
 
-    def __init__(self, seed, megabytes=2, path=None, span=900):
+    def __init__(self, seed, megabytes=2, path=None, span_seconds=900):
         self.now, self.chance = NOW, random.Random(seed)
-        terms = WHY._replace(megabytes=megabytes, span=span * SECOND)
+        terms = DECISION_LOG_SETTINGS._replace(megabytes=megabytes, span=span_seconds * SECOND)
         arena = SlotFile(megabytes * 1_000_000 // SLOT_BYTES, path)
-        self.record = Recorder(
+        self.recorder = Recorder(
             terms,
             REQUEST_CLASSES,
             arena,
@@ -48,52 +48,62 @@
             random_source=LinearCongruentialGenerator(seed),
         )
 
-    def one(self, name, lane="read", tenant="t0", key=None, end=R.DONE, sent=1):
-        record = self.record
-        record.request_received(name, key or name, tenant, lane, False)
+    def record_request(
+        self, name, request_class="read", tenant="t0", key=None, final_reason=R.DONE, attempts=1
+    ):
+        record = self.recorder
+        record.request_received(name, key or name, tenant, request_class, False)
         record.record_reason(name, R.POSITION, 0.3, 0.2, 0.5)
-        for number in range(sent):
+        for number in range(attempts):
             record.record_reason(
                 name, R.SENT, f"s-{self.chance.randrange(12)}", 1, False, 9000, 1.0
             )
             record.record_reason(
-                name, R.ENDED, "s-1", number, "done" if end == R.DONE else "error", 200, False
+                name,
+                R.ENDED,
+                "s-1",
+                number,
+                "done" if final_reason == R.DONE else "error",
+                200,
+                False,
             )
-        if end == R.DONE:
-            record.request_answered(name, end)
+        if final_reason == R.DONE:
+            record.request_answered(name, final_reason)
         else:
-            record.record_reason(name, end, *((50,) if end == R.DEFERRED else ("s-1",)))
+            record.record_reason(
+                name, final_reason, *((50,) if final_reason == R.DEFERRED else ("s-1",))
+            )
         record.request_finished(name)
 
 
-def flood(seed):
+def simulate_flood(seed):
     """Costly transactions among 10,000 cheap ones a second of one tenant with ever new keys: how many of those that
     are within the stated guarantee are still explained."""
-    rig, costly = Clocked(seed), []
+    rig, costly = RecorderRig(seed), []
     for second in range(20):
         for at in range(10_000):
             rig.now += 1
-            rig.one(
+            rig.record_request(
                 f"c{second}-{at}",
                 tenant="loud",
                 key=f"k{second}-{at}",
-                end=R.DEFERRED if at % 2 else R.DONE,
+                final_reason=R.DEFERRED if at % 2 else R.DONE,
             )
             if at % 5000 == 77:
                 name = f"pay{second}-{at}"
-                rig.one(
+                rig.record_request(
                     name,
                     "pay",
                     tenant=f"t{second % 3}",
-                    end=(R.ABANDONED, R.DONE, R.DEFERRED)[second % 3],
+                    final_reason=(R.ABANDONED, R.DONE, R.DEFERRED)[second % 3],
                 )
                 costly.append(name)
-    rig.record.flush(rig.now + SECOND)
-    kept = {one["region"]: one for one in rig.record.retention_report()["regions"]}
+    rig.recorder.flush(rig.now + SECOND)
+    kept = {one["region"]: one for one in rig.recorder.retention_report()["regions"]}
     slots = min(kept["pay, unusual"]["slots"], kept["pay, as usual"]["slots"])
     within = costly[-slots:]  # the guarantee: as many as the region's slots, whatever else comes
     return {
-        "costly_kept": sum(any(rig.record.find_by_name(name)) for name in within),
+        "costly_kept": sum(any(rig.recorder.find_by_name(name)) for name in within),
         "costly_within": len(within),
         "flooded": 200_000,
         "stays_s": kept["pay, unusual"]["stays_s"],
@@ -109,21 +119,21 @@
 def hours(task):
     """Hours of simulated traffic at 40 a second, a million tenants and ever new keys and pods."""
     seed, seconds = task
-    rig, memory = Clocked(seed), []
+    rig, memory = RecorderRig(seed), []
     for second in range(seconds):
         for at in range(40):
             rig.now += SECOND // 40
             tenant = f"t{rig.chance.randrange(1_000_000)}"
-            rig.one(
+            rig.record_request(
                 f"{second}-{at}",
                 "pay" if at == 3 else "read",
                 tenant,
-                end=R.DEFERRED if at % 7 == 0 else R.DONE,
-                sent=1 + (at % 9 == 0),
+                final_reason=R.DEFERRED if at % 7 == 0 else R.DONE,
+                attempts=1 + (at % 9 == 0),
             )
         if (second + 1) % (seconds // 4) == 0:
             memory.append(resident_mb())
-    record = rig.record
+    record = rig.recorder
     assert (
         len(record.index.slots) <= record.slot_file.slots
         and len(record.index.by_id) <= record.slot_file.slots
@@ -133,17 +143,17 @@
 
 def write_for_ever(path, seed):
     """A writer that tells each number it has written whole, until it is killed."""
-    rig = Clocked(seed, 1, path)
+    rig = RecorderRig(seed, 1, path)
     number = 0
     while True:
         rig.now += 10 * SECOND
-        rig.one(f"w-{number}", "pay", end=R.ABANDONED)
-        rig.record.flush(rig.now, 0)
+        rig.record_request(f"w-{number}", "pay", final_reason=R.ABANDONED)
+        rig.recorder.flush(rig.now, 0)
         os.write(1, b"%d\n" % number)
         number += 1
 
 
-def kills(seed, count):
+def kill_writers(seed, count):
     """A writer killed at random moments; what it had told must be read again, each entry whole."""
     chance, recovered, torn = random.Random(seed), 0, 0
     with tempfile.TemporaryDirectory() as folder:
@@ -162,17 +172,17 @@
                 time.sleep(chance.random() * 0.03)
                 process.send_signal(signal.SIGKILL)
                 told = process.stdout.read().split()
-            rig = Clocked(seed, 1, path)
+            rig = RecorderRig(seed, 1, path)
             last = told[-1].decode() if told else "0"
-            entries = list(rig.record.find_by_name(f"w-{last}"))
+            entries = list(rig.recorder.find_by_name(f"w-{last}"))
             whole = (
                 bool(entries)
                 and entries[-1].final_reason == R.ABANDONED
                 and len(entries[-1].notes) == 4
             )
-            recovered += whole and rig.record.torn_slots <= 1
-            torn += rig.record.torn_slots
-            rig.record.slot_file.close()
+            recovered += whole and rig.recorder.torn_slots <= 1
+            torn += rig.recorder.torn_slots
+            rig.recorder.slot_file.close()
     return {"recovered_after_kill": recovered, "kills": count, "torn_found": torn}
 
 
@@ -288,7 +298,7 @@
     chosen = parser.parse_args(arguments)
     short, figures = chosen.short, {"seed": chosen.seed}
     if chosen.part != "sockets":
-        right, total, met, wrong = mix(10 if short else 100)
+        right, total, met, wrong = run_case_mix(10 if short else 100)
         for one in wrong[:5]:
             print("wrong:", one)
         figures.update(
@@ -296,8 +306,8 @@
         )
         with ProcessPoolExecutor(2, get_context("spawn")) as pool:
             simulated = pool.submit(hours, (chosen.seed, 400 if short else 4 * 3600))
-            flooded = pool.submit(flood, chosen.seed)
-            figures.update(kills(chosen.seed, 5 if short else 200))
+            flooded = pool.submit(simulate_flood, chosen.seed)
+            figures.update(kill_writers(chosen.seed, 5 if short else 200))
             figures["memory_mb_by_quarter"] = simulated.result()
             figures.update(flooded.result())
         figures.update(shares_against_plain())
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -23,7 +23,7 @@
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 NOW = 1000 * TICKS_PER_SECOND
-WHY = DecisionLogSettings(8, None, "", 0.4, 0.2, 15 * 60 * TICKS_PER_SECOND, 200)
+DECISION_LOG_SETTINGS = DecisionLogSettings(8, None, "", 0.4, 0.2, 15 * 60 * TICKS_PER_SECOND, 200)
 LOW, HIGH = "k-9", "a"  # placed by the ramp that the case sets: 0 is above no key, 1 below none
 
 
@@ -38,7 +38,7 @@
             else make_engine(*pods, release_update=told, **changes)
         )
         self.record = record or Recorder(
-            WHY,
+            DECISION_LOG_SETTINGS,
             REQUEST_CLASSES,
             SlotFile(10_000),
             epoch=0,
@@ -362,20 +362,21 @@
     return [entry for entry in case.record.find(EntryFilter(reason=int(R.VOTED))) if entry]
 
 
-def mix(count):
+def run_case_mix(count):
     """(right, all, reasons met, wrong) over so many transactions of each case."""
     right = total = 0
     met, wrong = set(), []
     for name, (make, act, _) in CASES.items():
         record = Recorder(
-            WHY,
+            DECISION_LOG_SETTINGS,
             REQUEST_CLASSES,
             SlotFile(10_000),
             epoch=0,
             clock=lambda: NOW,
             random_source=LinearCongruentialGenerator(3),
         )
-        record.settings = WHY._replace(span=1)  # of what goes as usual all is kept here
+        # of what goes as usual all is kept here
+        record.settings = DECISION_LOG_SETTINGS._replace(span=1)
         for at in range(count):
             case = make(record=record)
             act(case, f"{name}-{at}")
@@ -384,7 +385,7 @@
             met |= {reason for _, reasons in case.expected.values() for reason in reasons}
     for make, act in ((filled, over_limit), (pressed, by_lot)):
         case = make()
-        case.record.settings = WHY._replace(span=1)
+        case.record.settings = DECISION_LOG_SETTINGS._replace(span=1)
         for at in range(count):
             act(case, f"{act.__name__}-{at}")
         good, all_, bad = case.right()
--- a/tests/unit/decision_log/test_decision_log.py
+++ b/tests/unit/decision_log/test_decision_log.py
@@ -12,8 +12,8 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from measure.why import Clocked, flood, kills
-from measure.why_cases import NOW, WHY, mix
+from measure.why import RecorderRig, kill_writers, simulate_flood
+from measure.why_cases import DECISION_LOG_SETTINGS, NOW, run_case_mix
 from tests.support.decisions import REQUEST_CLASSES
 from tests.support.peers import SETTINGS, TIMEOUT_SECONDS, FakeEndpoint, reserve_port, wait_until
 from tests.support.programs import Program
@@ -41,7 +41,7 @@
 
 class Explanations(unittest.TestCase):
     def test_each_case_has_exactly_the_expected_reasons_and_all_reasons_occur(self):
-        explained, total, reasons, wrong = mix(4)
+        explained, total, reasons, wrong = run_case_mix(4)
         self.assertEqual(wrong, [])
         self.assertEqual((explained, reasons), (total, set(R)))
 
@@ -122,55 +122,57 @@
 
 class Retention(unittest.TestCase):
     def test_a_flood_of_idempotent_requests_evicts_no_others(self):
-        figures = flood(5)
+        figures = simulate_flood(5)
         self.assertEqual(figures["costly_kept"], figures["costly_within"])
         self.assertGreater(figures["costly_within"], 30)
 
     def test_a_busy_tenant_evicts_only_its_own_entries(self):
-        rig = Clocked(1, 1)
+        rig = RecorderRig(1, 1)
         for number in range(20):
-            rig.one(f"quiet-{number}", tenant=f"q{number % 4}", end=R.DEFERRED)
+            rig.record_request(f"quiet-{number}", tenant=f"q{number % 4}", final_reason=R.DEFERRED)
         for number in range(20_000):
             rig.now += 1
-            rig.one(f"loud-{number}", tenant="loud", key=f"k-{number}", end=R.DEFERRED)
-        rig.record.flush(rig.now + SLOT_BYTES)
+            rig.record_request(
+                f"loud-{number}", tenant="loud", key=f"k-{number}", final_reason=R.DEFERRED
+            )
+        rig.recorder.flush(rig.now + SLOT_BYTES)
         self.assertEqual(
-            sum(any(rig.record.find_by_name(f"quiet-{number}")) for number in range(20)), 20
+            sum(any(rig.recorder.find_by_name(f"quiet-{number}")) for number in range(20)), 20
         )
-        self.assertLessEqual(len(rig.record.index.by_key), rig.record.slot_file.slots)
+        self.assertLessEqual(len(rig.recorder.index.by_key), rig.recorder.slot_file.slots)
 
     def test_ordinary_requests_are_sampled_uniformly(self):
-        rig = Clocked(2, 1, span=60)
+        rig = RecorderRig(2, 1, span_seconds=60)
         for number in range(60 * 100):
             rig.now += 100
-            rig.one(f"u-{number}")
+            rig.record_request(f"u-{number}")
         ages = [
             int(entry.id[2:]) // 1500
-            for entry in rig.record.find(EntryFilter(request_class="read"))
+            for entry in rig.recorder.find(EntryFilter(request_class="read"))
             if entry
         ]
-        slots = rig.record.regions["ordinary"].slots
+        slots = rig.recorder.regions["ordinary"].slots
         self.assertGreater(len(ages), slots * 0.7)
         for quarter in range(1, 4):
             self.assertGreater(ages.count(quarter), slots * 0.1)
 
     def test_repeated_ids_and_client_retries(self):
-        rig = Clocked(3)
-        rig.one("x", "pay", key="k", end=R.DEFERRED)
-        rig.one("x", "pay", key="k", end=R.ABANDONED)
+        rig = RecorderRig(3)
+        rig.record_request("x", "pay", key="k", final_reason=R.DEFERRED)
+        rig.record_request("x", "pay", key="k", final_reason=R.ABANDONED)
         rig.now += 10_000
-        rig.one("y", "pay", key="k")  # the client retries with a new id and succeeds
-        rig.record.flush(rig.now + 10_000)
+        rig.record_request("y", "pay", key="k")  # the client retries with a new id and succeeds
+        rig.recorder.flush(rig.now + 10_000)
         self.assertEqual(
-            [entry.final_reason for entry in rig.record.find_by_name("x")],
+            [entry.final_reason for entry in rig.recorder.find_by_name("x")],
             [R.DEFERRED, R.ABANDONED],
         )
-        self.assertEqual([entry.id for entry in rig.record.find_by_name("k")], ["x", "x", "y"])
+        self.assertEqual([entry.id for entry in rig.recorder.find_by_name("k")], ["x", "x", "y"])
         self.assertEqual(
-            [match.id for match in rig.record.find(EntryFilter(reason=int(R.DEFERRED))) if match],
+            [match.id for match in rig.recorder.find(EntryFilter(reason=int(R.DEFERRED))) if match],
             ["x"],
         )
-        self.assertEqual(rig.record.tally_report()["reasons"]["ABANDONED"], 1)
+        self.assertEqual(rig.recorder.tally_report()["reasons"]["ABANDONED"], 1)
 
     def test_an_entry_too_long_for_its_slot_keeps_its_first_and_last_notes(self):
         notes = [[int(R.SENT), elapsed, "s" * 60, 1, False, 9, 1.0] for elapsed in range(40)]
@@ -180,7 +182,7 @@
         self.assertEqual(entry.omitted_notes + len(entry.notes), 40)
 
     def test_regions_follow_priority_weights_and_fill_the_slots(self):
-        regions = lay_out_regions(WHY, REQUEST_CLASSES, 1000)
+        regions = lay_out_regions(DECISION_LOG_SETTINGS, REQUEST_CLASSES, 1000)
         self.assertLessEqual(sum(count for _, count in regions.values()), 1000)
         self.assertGreater(sum(count for _, count in regions.values()), 980)
         self.assertGreater(regions["pay", True][1], 50)
@@ -253,7 +255,7 @@
         self.assertEqual(self.events, [])
 
     def test_entries_that_were_written_before_a_kill_are_recovered(self):
-        self.assertEqual(kills(4, 4)["recovered_after_kill"], 4)
+        self.assertEqual(kill_writers(4, 4)["recovered_after_kill"], 4)
 
     def test_an_unusable_file_is_renamed_and_an_unwritable_path_means_memory(self):
         SlotFile(3, self.path, self.log_event).close()
@@ -288,22 +290,23 @@
         self.assertFalse(os.path.exists(self.path))
 
     def test_a_log_continues_after_a_restart_and_is_readable_as_a_file(self):
-        rig = Clocked(1, 1, self.path)
+        rig = RecorderRig(1, 1, self.path)
         for at in range(2000):
             rig.now += 100
-            rig.one(f"p-{at}", "pay", f"t{at % 3}", end=R.ABANDONED)
-        rig.record.flush(rig.now + 10_000)
-        kept = len(rig.record.index.slots)
-        restarted = Clocked(1, 1, self.path)
+            rig.record_request(f"p-{at}", "pay", f"t{at % 3}", final_reason=R.ABANDONED)
+        rig.recorder.flush(rig.now + 10_000)
+        kept = len(rig.recorder.index.slots)
+        restarted = RecorderRig(1, 1, self.path)
         self.assertEqual(
-            (restarted.record.recovered_entries, restarted.record.torn_slots), (kept, 0)
+            (restarted.recorder.recovered_entries, restarted.recorder.torn_slots), (kept, 0)
         )
         self.assertEqual(
-            [entry.final_reason for entry in restarted.record.find_by_name("p-1999")], [R.ABANDONED]
+            [entry.final_reason for entry in restarted.recorder.find_by_name("p-1999")],
+            [R.ABANDONED],
         )
-        restarted.one("later", "pay", end=R.ABANDONED)
-        restarted.record.flush(restarted.now + 10_000)
-        self.assertEqual(len(restarted.record.index.slots), kept)
+        restarted.record_request("later", "pay", final_reason=R.ABANDONED)
+        restarted.recorder.flush(restarted.now + 10_000)
+        self.assertEqual(len(restarted.recorder.index.slots), kept)
         self.assertEqual(load_slot_file(self.path).read_all()[1], 0)
         lines = list(query_results("", self.path, {"ask": "why", "id": "later"}))
         self.assertEqual((lines[0]["end"], lines[-1]["end"]), ("ABANDONED", 1))
@@ -314,10 +317,10 @@
         return [json.loads(line) for line in answer_query(json.dumps(fields), record, 5) if line]
 
     def test_invalid_queries_get_an_error_and_answers_are_limited(self):
-        rig = Clocked(1)
+        rig = RecorderRig(1)
         for at in range(30):
-            rig.one(f"p-{at}", "pay", end=R.ABANDONED)
-        rig.record.flush(rig.now + 10_000)
+            rig.record_request(f"p-{at}", "pay", final_reason=R.ABANDONED)
+        rig.recorder.flush(rig.now + 10_000)
         for fields in (
             {"ask": "what"},
             {"ask": "find", "reason": "no such"},
@@ -325,11 +328,11 @@
             {"ask": "why", "id": 7},
             {"ask": "find", "lane": "x" * 500},
         ):
-            self.assertIn("error", self.query(rig.record, **fields)[0])
-        self.assertIn("error", json.loads(next(answer_query(b"no json", rig.record, 5))))
-        found = self.query(rig.record, ask="find", lane="pay")
+            self.assertIn("error", self.query(rig.recorder, **fields)[0])
+        self.assertIn("error", json.loads(next(answer_query(b"no json", rig.recorder, 5))))
+        found = self.query(rig.recorder, ask="find", lane="pay")
         self.assertEqual((len(found), found[-1]), (6, {"end": 5, "more": True}))
-        self.assertEqual(self.query(rig.record, ask="find", pod="nowhere"), [{"end": 0}])
+        self.assertEqual(self.query(rig.recorder, ask="find", pod="nowhere"), [{"end": 0}])
 
     def test_a_slow_watcher_gets_the_number_of_missed_entries(self):
         watch = Watch(EntryFilter())
