--- a/tests/golden/generate.py
+++ b/tests/golden/generate.py
@@ -19,7 +19,7 @@
 from cryptography.hazmat.primitives.asymmetric.ed25519 import Ed25519PrivateKey
 from twisted.protocols.amp import AmpBox
 
-from tests.golden.state_machine_commands import DISRUPTION, GANG_SCHEDULING
+from tests.golden.state_machine_commands import DISRUPTION_COMMANDS, GANG_SCHEDULING_COMMANDS
 from thymeknot.cli.log_summary import Summary
 from thymeknot.decision_log.entry_codec import Entry, pack_slot
 from thymeknot.decision_log.recorder import Recorder
@@ -34,7 +34,7 @@
 from thymeknot.interface.reasons import Reason
 from thymeknot.interface.settings import RequestClass
 from thymeknot.policy.engine import DecisionEngine
-from thymeknot.raft import message_codec as letters
+from thymeknot.raft import message_codec as raft_codec
 from thymeknot.raft import messages, records
 from thymeknot.raft.client_sessions import ClientSessions
 from thymeknot.raft.state_machine import CompositeStateMachine
@@ -46,31 +46,31 @@
 from thymeknot.simulator_wire.codec import write_action
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
-FOLDER = os.path.dirname(os.path.abspath(__file__))
-RAFT_FOLDER = "raft"
-DISK_INCARNATION = 7
-RECORD_SLOTS = 42
-_SMALL_FLEET = {"instances": 12, "pods": 9, "seconds": 36, "load": 0.4}
-SIMULATED_DAYS = {
+GOLDEN_DIRECTORY = os.path.dirname(os.path.abspath(__file__))
+RAFT_DIRECTORY = "raft"
+RAFT_INCARNATION = 7
+DECISION_LOG_SLOTS = 42
+_SMALL_FLEET_SIZE = {"instances": 12, "pods": 9, "seconds": 36, "load": 0.4}
+SCENARIOS = {
     "drawn": (1, {"instances": 6, "pods": 8, "rate": 80.0, "seconds": 40}),
-    "overload": (4, _SMALL_FLEET),
-    "split": (5, _SMALL_FLEET),
-    "herd": (4, _SMALL_FLEET),
-    "zone": (1, _SMALL_FLEET),
-    "join-vast": (2, _SMALL_FLEET),
-    "calm-mass": (2, _SMALL_FLEET),
-    "roll-mass": (6, _SMALL_FLEET),
+    "overload": (4, _SMALL_FLEET_SIZE),
+    "split": (5, _SMALL_FLEET_SIZE),
+    "herd": (4, _SMALL_FLEET_SIZE),
+    "zone": (1, _SMALL_FLEET_SIZE),
+    "join-vast": (2, _SMALL_FLEET_SIZE),
+    "calm-mass": (2, _SMALL_FLEET_SIZE),
+    "roll-mass": (6, _SMALL_FLEET_SIZE),
 }
 
 
-def identity(name):
+def make_identity(name):
     """An identity whose private key follows from its name."""
     return Identity(
         name, Ed25519PrivateKey.from_private_bytes(hashlib.sha256(name.encode()).digest())
     )
 
 
-def as_json(value):
+def encode_json(value):
     """Readable JSON, one entry a line for the outermost sequence or mapping."""
     return (json.dumps(value, indent=1) + "\n").encode()
 
@@ -78,7 +78,7 @@
 # The record of decisions on disk.
 
 
-def lanes():
+def make_request_classes():
     """Two request classes, one that may be repeated and one that may not."""
     return {
         "read": RequestClass(
@@ -90,115 +90,118 @@
     }
 
 
-def record_settings():
+def decision_log_settings():
     """Settings of the record of decisions."""
     return DecisionLogSettings(1, None, "127.0.0.1:0", 0.5, 0.2, 600_000, 4)
 
 
-def decision_record(path):
+def write_decision_log(path):
     """Writes a record through its public calls, then one slot by hand, and gives the file's bytes."""
-    arena = SlotFile(RECORD_SLOTS, path)
+    slot_file = SlotFile(DECISION_LOG_SLOTS, path)
     clock = iter(range(0, 10_000_000, 70)).__next__
-    record = Recorder(
-        record_settings(),
-        lanes(),
-        arena,
+    recorder = Recorder(
+        decision_log_settings(),
+        make_request_classes(),
+        slot_file,
         epoch=1_000_000,
         clock=clock,
         random_source=LinearCongruentialGenerator(5),
     )
     for number in range(30):
-        name, lane = f"{number:016x}", "pay" if number % 3 else "read"
-        record.request_received(
-            name, f"key{number}", "acme" if number % 2 else None, lane, number % 5 == 0
+        name, request_class = f"{number:016x}", "pay" if number % 3 else "read"
+        recorder.request_received(
+            name, f"key{number}", "acme" if number % 2 else None, request_class, number % 5 == 0
         )
-        record.record_reason(name, Reason.POSITION, 0.25, 0.5, 0.3)
-        record.record_reason(name, Reason.SENT, f"s-{number % 4}", 41, True, 1500, 0.75)
-        record.record_reason(
+        recorder.record_reason(name, Reason.POSITION, 0.25, 0.5, 0.3)
+        recorder.record_reason(name, Reason.SENT, f"s-{number % 4}", 41, True, 1500, 0.75)
+        recorder.record_reason(
             name, Reason.ENDED, f"s-{number % 4}", 0, "done" if number % 4 else "reset", 120, False
         )
         if number % 4:
-            record.request_answered(name, Reason.DONE)
+            recorder.request_answered(name, Reason.DONE)
         else:
-            record.record_reason(name, Reason.ABANDONED, f"s-{number % 4}")
-        record.request_finished(name)
-    record.record_reason(None, Reason.VOTED, 41, 2, 3, 1.25, 250)
-    record.flush(10_000_000)
+            recorder.record_reason(name, Reason.ABANDONED, f"s-{number % 4}")
+        recorder.request_finished(name)
+    recorder.record_reason(None, Reason.VOTED, 41, 2, 3, 1.25, 250)
+    recorder.flush(10_000_000)
     notes = [[int(reason), 10, "s-1", 2, 3.5, True, None] for reason in Reason]
-    arena.write(
-        RECORD_SLOTS - 1,
+    slot_file.write(
+        DECISION_LOG_SLOTS - 1,
         pack_slot(Entry(5, "e" * 40, "k", "t", "pay", True, int(Reason.LEFT), 9, notes), 999),
     )
-    arena.memory.flush()
-    arena.close()
+    slot_file.memory.flush()
+    slot_file.close()
     with open(path, "rb") as source:
         return source.read()
 
 
-def record_layout():
+def decision_log_layout():
     """Where each region of the record lies."""
-    regions = lay_out_regions(record_settings(), lanes(), RECORD_SLOTS)
+    regions = lay_out_regions(decision_log_settings(), make_request_classes(), DECISION_LOG_SLOTS)
     return [
-        [list(name) if isinstance(name, tuple) else name, *where] for name, where in regions.items()
+        [list(name) if isinstance(name, tuple) else name, *extent]
+        for name, extent in regions.items()
     ]
 
 
 # The replicated log on disk, and its messages.
 
 
-def log_entry(index, term=2, **command):
+def raft_entry(index, term=2, **command):
     return records.Entry(index, term, 1000 * index, "op/ann", 3, index, command)
 
 
-def disk_records():
+def persisted_groups():
     """What a node persists in turn: votes, entries, a truncation, a snapshot and entries after it."""
     members = records.Members({"a": 0, "b": 0, "c": 7}, {"d": 9})
     return [
         [
             records.VoteRecord(1, "a"),
-            log_entry(1, 1, part="turns", do="tick"),
-            log_entry(2, 1, part="gangs", do="tick"),
+            raft_entry(1, 1, part="turns", do="tick"),
+            raft_entry(2, 1, part="gangs", do="tick"),
         ],
         [records.VoteRecord(2, None), records.TruncationRecord(2)],
         [
-            log_entry(2, part="keepers", voters={"a": 0}, learners={"d": 9}),
-            log_entry(3, part="turns", do="tick"),
+            raft_entry(2, part="keepers", voters={"a": 0}, learners={"d": 9}),
+            raft_entry(3, part="turns", do="tick"),
         ],
         [records.Snapshot(2, 2, 2000, members, b"\x00state\xff")],
         [
-            log_entry(4, part="turns", do="seen", as_of=1, units={"u": ["ready", 0, "b"]}),
+            raft_entry(4, part="turns", do="seen", as_of=1, units={"u": ["ready", 0, "b"]}),
             records.VoteRecord(3, "b"),
         ],
     ]
 
 
-def raft_directory(folder, case, groups):
+def write_raft_directory(directory, case_name, record_groups):
     """Writes a node's directory and lineage file; gives bytes by file name."""
-    store = RaftStorage(
-        os.path.join(folder, "disk"), os.path.join(folder, "lineage"), lambda: DISK_INCARNATION
+    storage = RaftStorage(
+        os.path.join(directory, "disk"),
+        os.path.join(directory, "lineage"),
+        lambda: RAFT_INCARNATION,
     )
-    store.open()
-    for group in groups:
-        fault = store.persist(group)
-        if fault is not None:
-            raise RuntimeError(fault.reason)
-    store.close()
-    found = {}
-    for parent, _, names in os.walk(folder):
+    storage.open()
+    for group in record_groups:
+        failure = storage.persist(group)
+        if failure is not None:
+            raise RuntimeError(failure.reason)
+    storage.close()
+    contents = {}
+    for parent, _, names in os.walk(directory):
         for name in names:
             with open(os.path.join(parent, name), "rb") as source:
-                found[f"{RAFT_FOLDER}/{case}/{name}"] = source.read()
-    return found
+                contents[f"{RAFT_DIRECTORY}/{case_name}/{name}"] = source.read()
+    return contents
 
 
-def raft_messages():
+def sample_raft_messages():
     """One message of each kind among nodes, in the order of their numbers on the wire."""
     members = records.Members({"a": 0, "b": 0, "c": 7}, {"d": 9})
     return [
         messages.VoteRequest(4, 1, 2, True, 10, 3, False),
         messages.VoteResponse(4, 1, True, False),
         messages.AppendRequest(
-            4, 1, 9, 3, (log_entry(10), log_entry(11, part="turns", do="tick")), 8, 77
+            4, 1, 9, 3, (raft_entry(10), raft_entry(11, part="turns", do="tick")), 8, 77
         ),
         messages.AppendResponse(4, 1, True, 11, 77),
         messages.SnapshotChunk(4, 1, 9, 3, 9000, members, 64, 128, b"part", 78),
@@ -207,61 +210,67 @@
     ]
 
 
-def raft_wire():
+def encode_raft_messages():
     """Encoded messages, a signed letter of each kind, and the AMP boxes that carry them, in hex."""
     session = bytes(range(32))
-    found = {
-        f"message {number}": messages.encode_message(one).hex()
-        for number, one in enumerate(raft_messages())
+    encoded = {
+        f"message {number}": messages.encode_message(message).hex()
+        for number, message in enumerate(sample_raft_messages())
     }
-    for kind in (letters.PEER, letters.PROPOSE, letters.READ, letters.REPLY):
+    for kind in (raft_codec.PEER, raft_codec.PROPOSE, raft_codec.READ, raft_codec.REPLY):
         body = msgspec.msgpack.encode({"kind": kind})
-        sealed = letters.sign_message(identity("a"), "b", session, kind + 1, kind, body)
-        found[f"letter {kind}"] = {name: value.hex() for name, value in sealed.items()}
+        signed = raft_codec.sign_message(make_identity("a"), "b", session, kind + 1, kind, body)
+        encoded[f"letter {kind}"] = {name: value.hex() for name, value in signed.items()}
     for number, (command, arguments) in enumerate(
         (
-            (letters.Hello, {"nonce": bytes(16)}),
+            (raft_codec.Hello, {"nonce": bytes(16)}),
             (
-                letters.DeliverMessage,
-                letters.sign_message(identity("a"), "b", session, 1, letters.PEER, b"\x80"),
+                raft_codec.DeliverMessage,
+                raft_codec.sign_message(
+                    make_identity("a"), "b", session, 1, raft_codec.PEER, b"\x80"
+                ),
             ),
             (
-                letters.ClientRequest,
-                letters.sign_message(identity("a"), "b", session, 2, letters.PROPOSE, b"\x80"),
+                raft_codec.ClientRequest,
+                raft_codec.sign_message(
+                    make_identity("a"), "b", session, 2, raft_codec.PROPOSE, b"\x80"
+                ),
             ),
         )
     ):
         box = AmpBox({b"_command": command.commandName, **command.makeArguments(arguments, None)})
-        answer = AmpBox(command.makeResponse(arguments, None) if command.response else {})
-        found[f"box {number}"] = [box.serialize().hex(), answer.serialize().hex()]
-    found["error"] = [code.hex() for code in letters.ClientRequest.reverseErrors]
-    return found
+        response = AmpBox(command.makeResponse(arguments, None) if command.response else {})
+        encoded[f"box {number}"] = [box.serialize().hex(), response.serialize().hex()]
+    encoded["error"] = [code.hex() for code in raft_codec.ClientRequest.reverseErrors]
+    return encoded
 
 
 # The replicated state machines.
 
 
-def applied(machine, commands):
+def apply_commands(machine, commands):
     """(replies, snapshot bytes) of a sequence of commands under the session table that nodes use."""
     sessions = ClientSessions(CompositeStateMachine({"turns": machine, "gangs": machine}), 4)
     replies = []
-    for number, (at, command) in enumerate(commands):
+    for number, (agreed_time, command) in enumerate(commands):
 
-        def work(now, command=command):
+        def apply_command(now, command=command):
             return machine.apply(now, command)
 
-        replies.append(sessions.apply(at, f"op/{number % 6}", 1, number, work))
+        replies.append(sessions.apply(agreed_time, f"op/{number % 6}", 1, number, apply_command))
     return replies, msgspec.msgpack.encode(machine.image()), sessions.image()
 
 
-def state_machine(name, machine, commands):
+def state_machine_files(name, machine, commands):
     """The files of one state machine."""
-    replies, image, sessions = applied(machine, commands)
-    exchanges = [[at, command, reply] for (at, command), reply in zip(commands, replies)]
-    text = "[\n" + ",\n".join(json.dumps(one) for one in exchanges) + "\n]\n"
+    replies, snapshot, sessions = apply_commands(machine, commands)
+    exchanges = [
+        [agreed_time, command, reply] for (agreed_time, command), reply in zip(commands, replies)
+    ]
+    exchange_lines = "[\n" + ",\n".join(json.dumps(exchange) for exchange in exchanges) + "\n]\n"
     return {
-        f"{name}_exchanges.json": text.encode(),
-        f"{name}_snapshot.msgpack": image,
+        f"{name}_exchanges.json": exchange_lines.encode(),
+        f"{name}_snapshot.msgpack": snapshot,
         f"{name}_sessions.msgpack": sessions,
     }
 
@@ -269,9 +278,9 @@
 # Gossip.
 
 
-def gossip_datagrams():
+def encode_gossip_messages():
     """One signed datagram of each kind of body and one signed item of each kind, in hex."""
-    signer = identity("a")
+    signer = make_identity("a")
     items = [
         codec.Item("a", 1000, number, 2000 + number, body)
         for number, body in enumerate(
@@ -283,7 +292,7 @@
             )
         )
     ]
-    sealed = [codec.seal_item(item, signer) for item in items]
+    signed_items = [codec.seal_item(item, signer) for item in items]
     bodies = (
         codec.Ping(b"12345678", b"\0" * 128),
         codec.Ack(b"12345678", b"87654321"),
@@ -294,18 +303,18 @@
         codec.Hints(True, [("b", "127.0.0.1", 7002)]),
     )
     frames = [
-        codec.Frame("a", "b", 1000, at, 3000 + at, body, sealed[:2])
-        for at, body in enumerate(bodies)
+        codec.Frame("a", "b", 1000, sequence, 3000 + sequence, body, signed_items[:2])
+        for sequence, body in enumerate(bodies)
     ]
     return {
-        "items": [one.hex() for one in sealed],
+        "items": [signed_item.hex() for signed_item in signed_items],
         "datagrams": [codec.seal_frame(frame, signer).hex() for frame in frames],
     }
 
 
 # Logs.
 
-LOG_FIELDS = {
+EVENT_FIELDS = {
     "turned away": {
         "deferred": {"over limit": 3, "no pod": 1},
         "abandoned": {"may have run": 2},
@@ -319,24 +328,26 @@
 }
 
 
-def event_log(names):
+def render_event_log(event_names):
     """One line of each event, in the order of their declaration, by these names."""
     lines = []
-    former = {current: name for name, current in CURRENT_NAMES.items()}
+    former_names = {current: name for name, current in CURRENT_NAMES.items()}
     with mock.patch.object(structured_log.time, "time", lambda: 1.5):
         for event, level in LEVELS.items():
-            fields = LOG_FIELDS.get(former.get(event, event), {})
+            fields = EVENT_FIELDS.get(former_names.get(event, event), {})
             lines.append(
-                structured_log._rendered(None, level, {"event": names.get(event, event), **fields})
+                structured_log._rendered(
+                    None, level, {"event": event_names.get(event, event), **fields}
+                )
             )
     return b"".join(lines)
 
 
-def log_summary(content):
+def summarize_log(content):
     """What `thymeknot logs` says of these lines."""
     summary = Summary()
-    for one in content.splitlines():
-        summary.feed("n1", one)
+    for line in content.splitlines():
+        summary.feed("n1", line)
     return {"figures": summary.figures(), "stretches": list(summary.intervals())}
 
 
@@ -348,12 +359,14 @@
 
     def __init__(self, settings, seed, now, digest):
         self.digest = digest
-        self.engine = DecisionEngine(settings, seed, now, self.hear)
+        self.engine = DecisionEngine(settings, seed, now, self.add_reason)
 
-    def hear(self, name, reason, *operands):
+    def add_reason(self, request_id, reason, *operands):
         """Takes in a reason as it is named."""
         self.digest.update(
-            "|".join(f"{one}" for one in (name, int(reason), *map(_plain, operands))).encode()
+            "|".join(
+                f"{part}" for part in (request_id, int(reason), *map(_normalize_operand, operands))
+            ).encode()
         )
 
     def handle(self, now, events):
@@ -367,57 +380,59 @@
         return getattr(self.engine, name)
 
 
-def _plain(operand):
+def _normalize_operand(operand):
     return float(operand) if isinstance(operand, int | float) else operand
 
 
-def simulated_day(kind):
+def run_scenario(name):
     """(digest of all actions and reasons, figures) of one day of the project's own simulation."""
-    seed, size = SIMULATED_DAYS[kind]
-    day = (
+    seed, size = SCENARIOS[name]
+    scenario = (
         scenarios.draw_day(seed, **size)
-        if kind == "drawn"
-        else large_fleet_scenarios.draw_day(seed, kind, **size)[0]
+        if name == "drawn"
+        else large_fleet_scenarios.draw_day(seed, name, **size)[0]
     )
     digest = hashlib.blake2b(digest_size=16)
 
     def engine(settings, seed, now):
         return DigestingEngine(settings, LinearCongruentialGenerator(seed).state, now, digest)
 
-    figures = Simulator(day, engine).play().figures()
+    figures = Simulator(scenario, engine).play().figures()
     return {"digest": digest.hexdigest(), "figures": json.loads(json.dumps(figures))}
 
 
-def files():
+def make_golden_files():
     """All golden files: bytes by name."""
-    found = {}
-    with tempfile.TemporaryDirectory() as folder:
-        found["decision_record.bin"] = decision_record(os.path.join(folder, "record.bin"))
-    found["decision_record_layout.json"] = as_json(record_layout())
-    for case, groups in (("log", disk_records()[:2]), ("snapshot", disk_records())):
-        with tempfile.TemporaryDirectory() as folder:
-            found.update(raft_directory(folder, case, groups))
-    found["raft_wire.json"] = as_json(raft_wire())
-    found.update(state_machine("disruption", DisruptionMachine(), DISRUPTION))
-    found.update(state_machine("gang_scheduling", GangMachine(), GANG_SCHEDULING))
-    found["gossip.json"] = as_json(gossip_datagrams())
-    former = {current: name for name, current in CURRENT_NAMES.items()}
-    found["events.log"] = event_log(former)
-    found["events_current.log"] = event_log({})
-    found["events_summary.json"] = as_json(log_summary(found["events.log"]))
-    return found
-
-
-def main(words):
+    contents = {}
+    with tempfile.TemporaryDirectory() as directory:
+        contents["decision_record.bin"] = write_decision_log(os.path.join(directory, "record.bin"))
+    contents["decision_record_layout.json"] = encode_json(decision_log_layout())
+    for case, groups in (("log", persisted_groups()[:2]), ("snapshot", persisted_groups())):
+        with tempfile.TemporaryDirectory() as directory:
+            contents.update(write_raft_directory(directory, case, groups))
+    contents["raft_wire.json"] = encode_json(encode_raft_messages())
+    contents.update(state_machine_files("disruption", DisruptionMachine(), DISRUPTION_COMMANDS))
+    contents.update(state_machine_files("gang_scheduling", GangMachine(), GANG_SCHEDULING_COMMANDS))
+    contents["gossip.json"] = encode_json(encode_gossip_messages())
+    former_names = {current: name for name, current in CURRENT_NAMES.items()}
+    contents["events.log"] = render_event_log(former_names)
+    contents["events_current.log"] = render_event_log({})
+    contents["events_summary.json"] = encode_json(summarize_log(contents["events.log"]))
+    return contents
+
+
+def main(arguments):
     """Writes the files, or with --check names those that differ."""
-    found = {
-        **files(),
-        "simulated_days.json": as_json({kind: simulated_day(kind) for kind in SIMULATED_DAYS}),
+    contents = {
+        **make_golden_files(),
+        "simulated_days.json": encode_json(
+            {scenario: run_scenario(scenario) for scenario in SCENARIOS}
+        ),
     }
     status = 0
-    for name, content in found.items():
-        path = os.path.join(FOLDER, name)
-        if "--check" not in words:
+    for name, content in contents.items():
+        path = os.path.join(GOLDEN_DIRECTORY, name)
+        if "--check" not in arguments:
             os.makedirs(os.path.dirname(path), exist_ok=True)
             with open(path, "wb") as target:
                 target.write(content)
@@ -426,7 +441,7 @@
             if source.read() != content:
                 print(f"{name} differs")
                 status = 1
-    print(f"{len(found)} files, {sum(map(len, found.values()))} bytes")
+    print(f"{len(contents)} files, {sum(map(len, contents.values()))} bytes")
     return status
 
 
--- a/tests/golden/state_machine_commands.py
+++ b/tests/golden/state_machine_commands.py
@@ -1,11 +1,11 @@
 """Command sequences for the replicated state machines: every command at least once accepted and once rejected."""
 
-SECOND = 10_000  # whole tenths of a millisecond
+TICKS_PER_SECOND = 10_000  # whole tenths of a millisecond
 
-_PODS = [f"u{number}" for number in range(8)]
+_POD_NAMES = [f"u{number}" for number in range(8)]
 _UNITS = {
     name: {"kind": "pod", "rack": f"r{number // 2}", "zone": "z", "service": "shop"}
-    for number, name in enumerate(_PODS)
+    for number, name in enumerate(_POD_NAMES)
 }
 _BUDGETS = [
     {"name": "racks", "each": "rack", "most": 1},
@@ -13,15 +13,15 @@
 ]
 
 
-def _seen(at, names, status="ready", build="old", start=0):
-    return at, {
+def _status_update(agreed_time, names, status="ready", build="old", start=0):
+    return agreed_time, {
         "do": "seen",
-        "as_of": at,
+        "as_of": agreed_time,
         "units": {name: [status, start, build] for name in names},
     }
 
 
-def _release(at, name, **fields):
+def _release_command(agreed_time, name, **fields):
     command = {
         "do": "release",
         "release": name,
@@ -29,11 +29,11 @@
         "where": {"service": "shop"},
         "build": "new",
     }
-    return at, {**command, "earlier": "old", "waves": [0.25, 1.0], **fields}
+    return agreed_time, {**command, "earlier": "old", "waves": [0.25, 1.0], **fields}
 
 
 # (agreed time, command); fencing numbers follow from the order of the grants.
-DISRUPTION = [
+DISRUPTION_COMMANDS = [
     (
         0,
         {
@@ -49,7 +49,7 @@
     (3, {"do": "declare", "epoch": 2, "units": {"u8": {"kind": "train"}}}),
     (4, {"do": "declare", "epoch": 2, "terms": {"bound": 1}}),
     (5, {"do": "declare", "epoch": 2, "gone": ["nobody"]}),
-    _seen(10, _PODS),
+    _status_update(10, _POD_NAMES),
     (11, {"do": "seen", "as_of": 99, "units": {}}),
     (
         12,
@@ -72,7 +72,7 @@
     (35, {"do": "out", "unit": "u1", "fence": 1}),
     (36, {"do": "return", "unit": "u0", "fence": 1, "fault": "the disk is slow"}),
     (37, {"do": "return", "unit": "u3", "fence": 1}),
-    _seen(40, ["u0"], "ready", "old", 1),
+    _status_update(40, ["u0"], "ready", "old", 1),
     (41, {"do": "cancel", "unit": "u1", "plan": "bob"}),
     (42, {"do": "cancel", "unit": "u1", "plan": "ann", "epoch": 1}),
     (43, {"do": "halt", "by": "ann", "why": "smoke", "where": {"rack": ["r3"]}}),
@@ -84,20 +84,20 @@
     (49, {"do": "back", "plan": "ann", "epoch": 2}),
     (50, {"do": "back"}),
     (51, {"do": "back", "unit": "u6"}),
-    _seen(52, _PODS[1:]),
-    _seen(53, ["u0"], "ready", "old", 1),
-    _release(60, "summer", waves=[0.5]),
-    _release(61, "summer"),
-    _release(62, "summer"),
-    _release(63, "autumn"),
-    _release(64, "autumn", wait=True),
+    _status_update(52, _POD_NAMES[1:]),
+    _status_update(53, ["u0"], "ready", "old", 1),
+    _release_command(60, "summer", waves=[0.5]),
+    _release_command(61, "summer"),
+    _release_command(62, "summer"),
+    _release_command(63, "autumn"),
+    _release_command(64, "autumn", wait=True),
     (65, {"do": "vote", "release": "summer", "epoch": 1, "wave": 3, "verdict": "on"}),
     (66, {"do": "vote", "release": "summer", "epoch": 1, "wave": 0, "verdict": "on"}),
     (67, {"do": "status"}),
     (68, {"do": "halt", "by": "gang", "why": "it trains", "release": "summer", "cause": "gang"}),
     (69, {"do": "tick"}),
     (70, {"do": "resume", "halt": 2}),
-    _seen(71, ["u3"], "gone"),
+    _status_update(71, ["u3"], "gone"),
     (
         72,
         {
@@ -116,18 +116,24 @@
     (77, {"do": "tick", "speed": 3}),
     (78, {"do": "ask", "unit": 3, "plan": "ann", "epoch": 1}),
     (79, ["not", "a", "mapping"]),
-    _seen(20 * SECOND, _PODS),
-    (20 * SECOND, {"do": "tick"}),
-    (21 * SECOND, {"do": "status", "where": {"zone": "z"}}),
+    _status_update(20 * TICKS_PER_SECOND, _POD_NAMES),
+    (20 * TICKS_PER_SECOND, {"do": "tick"}),
+    (21 * TICKS_PER_SECOND, {"do": "status", "where": {"zone": "z"}}),
 ]
 
 
-def _job(**fields):
-    job = {"workers": 4, "pattern": "ring", "bytes": 10**6, "target": SECOND, "publisher": "p"}
-    return {**job, "checkpoint": 60 * SECOND, **fields}
+def _make_job(**fields):
+    job = {
+        "workers": 4,
+        "pattern": "ring",
+        "bytes": 10**6,
+        "target": TICKS_PER_SECOND,
+        "publisher": "p",
+    }
+    return {**job, "checkpoint": 60 * TICKS_PER_SECOND, **fields}
 
 
-def _rack(rack, zone, slots=4):
+def _rack_command(rack, zone, slots=4):
     machines = {f"{rack}m{number}": {"slots": slots, "has": {"gpu": 2}} for number in range(2)}
     return {
         "do": "stand",
@@ -139,49 +145,49 @@
     }
 
 
-_FIRST = {"gang": "g", "fence": 1}
-_HOLD = {"do": "hold", "gang": "g", "places": {"r0m0": 2, "r0m1": 2}}
-_MEND = {
+_FIRST_FENCE = {"gang": "g", "fence": 1}
+_HOLD_COMMAND = {"do": "hold", "gang": "g", "places": {"r0m0": 2, "r0m1": 2}}
+_MEND_COMMAND = {
     "do": "mend",
     "gang": "g",
     "fence": 1,
     "versions": {"r1": 1},
     "places": {"r0m1": 2, "r1m0": 2},
 }
-GANG_SCHEDULING = [
-    (1, _rack("r0", "z0")),
-    (2, _rack("r1", "z1")),
-    (3, _rack("r0", "z0")),
+GANG_SCHEDULING_COMMANDS = [
+    (1, _rack_command("r0", "z0")),
+    (2, _rack_command("r1", "z1")),
+    (3, _rack_command("r0", "z0")),
     (4, {"do": "uplink", "of": "cluster/c", "bandwidth": 10**9}),
     (4, {"do": "uplink", "of": "zone/c/z0", "bandwidth": 10**9}),
     (5, {"do": "uplink", "of": "moon", "bandwidth": 10**9}),
     (6, {"do": "share", "publisher": "p", "thousandths": 700}),
     (7, {"do": "share", "publisher": "q", "thousandths": 700}),
-    (8, {"do": "planned", "machines": ["r1m1"], "at": 90 * SECOND}),
+    (8, {"do": "planned", "machines": ["r1m1"], "at": 90 * TICKS_PER_SECOND}),
     (9, {"do": "planned", "machines": ["moon"], "at": 1}),
-    (10, {"do": "offer", "gang": "g", "job": _job(needs={"gpu": 1}, spare=1)}),
-    (11, {"do": "offer", "gang": "g", "job": _job()}),
-    (12, {"do": "offer", "gang": "big", "job": _job(workers=17)}),
-    (13, {"do": "offer", "gang": "odd", "job": _job(pattern="star")}),
-    (14, {**_HOLD, "places": {"r0m0": 3}, "versions": {"r0": 1}}),
-    (15, {**_HOLD, "versions": {"r1": 1}}),
-    (16, {**_HOLD, "versions": {"r0": 9}}),
-    (17, {**_HOLD, "versions": {"r0": 1}}),
-    (18, {"do": "start", **_FIRST}),
+    (10, {"do": "offer", "gang": "g", "job": _make_job(needs={"gpu": 1}, spare=1)}),
+    (11, {"do": "offer", "gang": "g", "job": _make_job()}),
+    (12, {"do": "offer", "gang": "big", "job": _make_job(workers=17)}),
+    (13, {"do": "offer", "gang": "odd", "job": _make_job(pattern="star")}),
+    (14, {**_HOLD_COMMAND, "places": {"r0m0": 3}, "versions": {"r0": 1}}),
+    (15, {**_HOLD_COMMAND, "versions": {"r1": 1}}),
+    (16, {**_HOLD_COMMAND, "versions": {"r0": 9}}),
+    (17, {**_HOLD_COMMAND, "versions": {"r0": 1}}),
+    (18, {"do": "start", **_FIRST_FENCE}),
     (19, {"do": "bind", "gang": "g", "fence": 8}),
-    (20, {"do": "bind", **_FIRST}),
-    (21, {"do": "start", **_FIRST}),
-    (22, {"do": "checkpoint", **_FIRST}),
+    (20, {"do": "bind", **_FIRST_FENCE}),
+    (21, {"do": "start", **_FIRST_FENCE}),
+    (22, {"do": "checkpoint", **_FIRST_FENCE}),
     (23, {"do": "lost", "kind": "worker", "name": "r1m0", "gang": "g"}),
     (24, {"do": "drain_asked", "machine": "r0m1", "drain": "d"}),
     (25, {"do": "drain_asked", "machine": "r0m1", "drain": "e"}),
     (26, {"do": "back", "machine": "r0m1"}),
     (27, {"do": "lost", "kind": "machine", "name": "r0m0"}),
-    (28, {**_MEND, "versions": {"r1": 7}}),
-    (29, {**_MEND, "versions": {"r0": 4, "r1": 2}}),
+    (28, {**_MEND_COMMAND, "versions": {"r1": 7}}),
+    (29, {**_MEND_COMMAND, "versions": {"r0": 4, "r1": 2}}),
     (30, {"do": "start", "gang": "g", "fence": 1}),
     (31, {"do": "start", "gang": "g", "fence": 2}),
-    (32, {"do": "offer", "gang": "h", "job": _job(publisher="q", workers=3, priority=90)}),
+    (32, {"do": "offer", "gang": "h", "job": _make_job(publisher="q", workers=3, priority=90)}),
     (33, {"do": "preempt", "gang": "g", "by": "h"}),
     (34, {"do": "preempt", "gang": "h", "by": "g"}),
     (35, {"do": "checkpoint", "gang": "g", "fence": 2}),
@@ -190,7 +196,7 @@
         {
             "do": "offer",
             "gang": "i",
-            "job": _job(pattern="matrix", workers=2, matrix=[[0, 5], [5, 0]]),
+            "job": _make_job(pattern="matrix", workers=2, matrix=[[0, 5], [5, 0]]),
         },
     ),
     (37, {"do": "withdraw", "gang": "i"}),
@@ -201,16 +207,16 @@
     (42, {"do": "dance"}),
     (43, {"do": "tick", "part": "turns"}),
     (44, 17),
-    (45, {"do": "offer", "gang": "j", "job": _job(workers=2, pattern="tree")}),
+    (45, {"do": "offer", "gang": "j", "job": _make_job(workers=2, pattern="tree")}),
     (46, {"do": "hold", "gang": "j", "places": {"r0m0": 2}, "versions": {"r0": 1}}),
     (47, {"do": "hold", "gang": "j", "places": {"r0m0": 2}, "versions": {"r0": 8}}),
     (48, {"do": "bind", "gang": "j", "fence": 3}),
     (49, {"do": "start", "gang": "j", "fence": 3}),
     (50, {"do": "done", "gang": "j", "fence": 3}),
-    (50 * SECOND, {"do": "tick"}),
-    (200 * SECOND, {"do": "tick"}),
+    (50 * TICKS_PER_SECOND, {"do": "tick"}),
+    (200 * TICKS_PER_SECOND, {"do": "tick"}),
 ]
-GANG_SCHEDULING = [
-    (at, {"part": "gangs", **command} if isinstance(command, dict) else command)
-    for at, command in GANG_SCHEDULING
+GANG_SCHEDULING_COMMANDS = [
+    (agreed_time, {"part": "gangs", **command} if isinstance(command, dict) else command)
+    for agreed_time, command in GANG_SCHEDULING_COMMANDS
 ]
