--- a/tests/golden/state_machine_commands.py
+++ b/tests/golden/state_machine_commands.py
@@ -1,6 +1,9 @@
-"""Command sequences for the replicated state machines: every command at least once accepted and once rejected."""
+"""Command sequences for the replicated state machines.
 
-TICKS_PER_SECOND = 10_000  # whole tenths of a millisecond
+Every command is accepted at least once and rejected at least once.
+"""
+
+TICKS_PER_SECOND = 10_000  # a tick is 0.1 ms
 
 _POD_NAMES = [f"u{number}" for number in range(8)]
 _UNITS = {
@@ -14,6 +17,7 @@
 
 
 def _status_update(agreed_time, names, status="ready", build="old", start=0):
+    """Returns a `seen` command that reports the same status for these units, with its time."""
     return agreed_time, {
         "do": "seen",
         "as_of": agreed_time,
@@ -22,6 +26,7 @@
 
 
 def _release_command(agreed_time, name, **fields):
+    """Returns a `release` command in two waves, with its time; `fields` replace its defaults."""
     command = {
         "do": "release",
         "release": name,
@@ -32,7 +37,7 @@
     return agreed_time, {**command, "earlier": "old", "waves": [0.25, 1.0], **fields}
 
 
-# (agreed time, command); fencing numbers follow from the order of the grants.
+# Pairs of the agreed time and the command. Fencing tokens are numbered in the order of the grants.
 DISRUPTION_COMMANDS = [
     (
         0,
@@ -123,6 +128,7 @@
 
 
 def _make_job(**fields):
+    """Returns a job of four workers; `fields` replace its defaults."""
     job = {
         "workers": 4,
         "pattern": "ring",
@@ -134,6 +140,7 @@
 
 
 def _rack_command(rack, zone, slots=4):
+    """Returns a `stand` command that adds a rack of two machines."""
     machines = {f"{rack}m{number}": {"slots": slots, "has": {"gpu": 2}} for number in range(2)}
     return {
         "do": "stand",
--- a/tests/unit/test_golden.py
+++ b/tests/unit/test_golden.py
@@ -1,4 +1,4 @@
-"""Stored data, messages between instances and decisions are what they were: files of tests/golden, read and written."""
+"""Compares stored data, messages between instances and decisions with the files of tests/golden."""
 
 import json
 import os
@@ -28,25 +28,25 @@
 
 
 def read_golden(name):
-    """The bytes of a golden file."""
+    """Returns the bytes of a golden file."""
     with open(os.path.join(generate.GOLDEN_DIRECTORY, name), "rb") as source:
         return source.read()
 
 
 def read_golden_json(name):
-    """The content of a golden JSON file."""
+    """Returns the content of a golden JSON file."""
     return json.loads(read_golden(name))
 
 
 def make_keyring():
-    """The public key of the identity that signed the golden messages."""
+    """Returns a keyring with the public key of the identity that signed the golden messages."""
     return Keyring(
         [Peer("a", None, (PeerKey(generate.make_identity("a").public_key_text(), None),))]
     )
 
 
 class GoldenFiles(unittest.TestCase):
-    """The program writes the same bytes as the version that made the files."""
+    """The program writes the same bytes as the version that generated the files."""
 
     def test_program_writes_the_stored_bytes(self):
         for name, content in generate.make_golden_files().items():
@@ -64,7 +64,7 @@
 
 
 class Scenarios(unittest.TestCase):
-    """Every action and reason of whole simulated days."""
+    """The actions and reasons of whole simulated scenarios."""
 
     def test_scenarios_have_the_stored_actions_and_reasons(self):
         digests = read_golden_json("simulated_days.json")
@@ -75,7 +75,7 @@
 
 
 class DecisionLogFile(unittest.TestCase):
-    """The record of decisions on disk."""
+    """The decision log file."""
 
     def setUp(self):
         self.directory = tempfile.TemporaryDirectory()
@@ -117,10 +117,10 @@
 
 
 class RaftFiles(unittest.TestCase):
-    """A node's directory and the messages among nodes."""
+    """A node's raft directory and the messages between nodes."""
 
     def recover(self, case):
-        """The directory of a case as the store opens it: what was recovered, and the segment's bytes by then."""
+        """Opens a copy of the raft directory of a case; returns what the storage recovers."""
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         shutil.copytree(
@@ -181,7 +181,7 @@
 
 
 class StateMachines(unittest.TestCase):
-    """The replicated state machines: replies to stored commands, and stored snapshots."""
+    """The replicated state machines: replies to stored commands, stored snapshots and sessions."""
 
     def state_machines(self):
         return (("disruption", DisruptionMachine), ("gang_scheduling", GangMachine))
@@ -215,7 +215,7 @@
 
 
 class GossipMessages(unittest.TestCase):
-    """Every kind of datagram and item that instances exchange."""
+    """Datagrams and items of every kind that instances exchange."""
 
     def test_datagrams_are_decoded_and_verified(self):
         for number, text in enumerate(read_golden_json("gossip.json")["datagrams"]):
@@ -234,7 +234,7 @@
 
 
 class EventLog(unittest.TestCase):
-    """Log lines are stored data: what an earlier version logged is summed alike."""
+    """Log lines are stored data: those of an earlier version give the same summary."""
 
     def test_log_of_all_events_has_the_stored_summary(self):
         summary = generate.summarize_log(read_golden("events.log"))
