--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -13,123 +13,144 @@
 import sys
 from typing import NamedTuple
 
-PARTS = "command", "seed", "seen", "issue"
-AT_TIMES = "at times"
-ISSUE = re.compile(r"docs/ROADMAP\.md (\d+)")
-OPEN = re.compile(r"^## Open$(.*?)(?=^## |\Z)", re.M | re.S)
-NUMBERED = re.compile(r"^(\d+)\. ", re.M)
-BLOCK = re.compile(r"^={70}\n(?:FAIL|ERROR|UNEXPECTED SUCCESS): (\S+) \(([\w.]+)\)", re.M)
-BEGUN = re.compile(r"^(\S+) \(([\w.]+)\)", re.M)
-RAN = re.compile(r"^Ran (\d+) tests? in ", re.M)
-CLOSED = re.compile(r"^(OK|FAILED)(?: \((.*)\))?$", re.M)
-COUNTED = "failures", "errors", "unexpected successes"
-
-
-def is_test(name, place):
+REQUIRED_FIELDS = "command", "seed", "seen", "issue"
+FAILS_AT_TIMES = "at times"
+ISSUE_PATTERN = re.compile(r"docs/ROADMAP\.md (\d+)")
+OPEN_SECTION_PATTERN = re.compile(r"^## Open$(.*?)(?=^## |\Z)", re.M | re.S)
+NUMBERED_ENTRY_PATTERN = re.compile(r"^(\d+)\. ", re.M)
+FAILURE_PATTERN = re.compile(r"^={70}\n(?:FAIL|ERROR|UNEXPECTED SUCCESS): (\S+) \(([\w.]+)\)", re.M)
+TEST_PATTERN = re.compile(r"^(\S+) \(([\w.]+)\)", re.M)
+TEST_COUNT_PATTERN = re.compile(r"^Ran (\d+) tests? in ", re.M)
+SUMMARY_PATTERN = re.compile(r"^(OK|FAILED)(?: \((.*)\))?$", re.M)
+FAILURE_KINDS = "failures", "errors", "unexpected successes"
+
+
+def is_test_id(method_name, qualified_name):
     """Whether a name and the place beside it are a test's, and not a class's or a module's."""
-    return place.endswith(f".{name}") and not place.startswith("unittest.")
+    return qualified_name.endswith(f".{method_name}") and not qualified_name.startswith("unittest.")
 
 
-class Entry(NamedTuple):
+class KnownFailure(NamedTuple):
     """A test that is known to fail."""
 
-    test: str
-    parts: dict
+    test_id: str
+    fields: dict
 
     @classmethod
-    def read(cls, line):
+    def parse(cls, line):
         test, *parts = (part.strip() for part in line.split(" | "))
         pairs = (part.partition(":") for part in parts)
-        return cls(test, {name.strip(): told.strip() for name, _, told in pairs})
+        return cls(test, {field.strip(): value.strip() for field, _, value in pairs})
 
-    def faults(self, issues):
+    def problems(self, open_issue_numbers):
         """What is wrong with it, where these numbers are open."""
-        faults = [f"{self.test}: {part} is not told" for part in PARTS if not self.parts.get(part)]
-        issue = self.parts.get("issue")
-        number = ISSUE.fullmatch(issue or "")
-        if issue and (number is None or number[1] not in issues):
-            faults.append(f"{self.test}: {issue} is no numbered entry under Open of the road map")
-        if self.parts.get("fails", AT_TIMES) != AT_TIMES:
-            faults.append(f"{self.test}: fails is '{AT_TIMES}' or is left out")
-        return faults
+        problems = [
+            f"{self.test_id}: {field} is not told"
+            for field in REQUIRED_FIELDS
+            if not self.fields.get(field)
+        ]
+        issue = self.fields.get("issue")
+        issue_match = ISSUE_PATTERN.fullmatch(issue or "")
+        if issue and (issue_match is None or issue_match[1] not in open_issue_numbers):
+            problems.append(
+                f"{self.test_id}: {issue} is no numbered entry under Open of the road map"
+            )
+        if self.fields.get("fails", FAILS_AT_TIMES) != FAILS_AT_TIMES:
+            problems.append(f"{self.test_id}: fails is '{FAILS_AT_TIMES}' or is left out")
+        return problems
 
 
 def open_issues(roadmap):
     """The numbers of the entries under Open."""
-    section = OPEN.search(roadmap)
-    return set(NUMBERED.findall(section[1])) if section else set()
+    section = OPEN_SECTION_PATTERN.search(roadmap)
+    return set(NUMBERED_ENTRY_PATTERN.findall(section[1])) if section else set()
 
 
-def named(text, roadmap):
+def parse_list(content, roadmap):
     """The entries of a list, and what is wrong with it."""
-    entries = [Entry.read(line) for line in text.splitlines() if line.strip()]
-    issues = open_issues(roadmap)
-    faults = [fault for entry in entries for fault in entry.faults(issues)]
-    ids = [entry.test for entry in entries]
-    faults += [
-        f"{one}: is named twice" for one in sorted({one for one in ids if ids.count(one) > 1})
+    entries = [KnownFailure.parse(line) for line in content.splitlines() if line.strip()]
+    open_issue_numbers = open_issues(roadmap)
+    problems = [problem for entry in entries for problem in entry.problems(open_issue_numbers)]
+    test_ids = [entry.test_id for entry in entries]
+    problems += [
+        f"{test_id}: is named twice"
+        for test_id in sorted({test_id for test_id in test_ids if test_ids.count(test_id) > 1})
     ]
-    return entries, faults
+    return entries, problems
 
 
-def judge(log, status, known="", roadmap=""):
+def check_run(log, status, list_content="", roadmap_content=""):
     """(faults, those passed over, passed, failed) of a run."""
-    entries, faults = named(known, roadmap)
-    ids = [entry.test for entry in entries]
-    at_times = {entry.test for entry in entries if "fails" in entry.parts}
-    ran, closed = RAN.findall(log), CLOSED.findall(log)
-    if not ran or not closed or ran[-1] == "0":
-        return faults + ["no test ran"], [], 0, 0
-    counts = dict(pair.split("=") for pair in closed[-1][1].split(", ") if pair)
-    blocks = BLOCK.findall(log)
-    red = sorted({place for name, place in blocks if is_test(name, place)})
-    other = sorted({f"{name} ({place})" for name, place in blocks if not is_test(name, place)})
-    if len(blocks) != sum(int(counts.get(name, 0)) for name in COUNTED):
-        faults.append(
+    entries, problems = parse_list(list_content, roadmap_content)
+    test_ids = [entry.test_id for entry in entries]
+    flaky_ids = {entry.test_id for entry in entries if "fails" in entry.fields}
+    test_counts, summaries = TEST_COUNT_PATTERN.findall(log), SUMMARY_PATTERN.findall(log)
+    if not test_counts or not summaries or test_counts[-1] == "0":
+        return problems + ["no test ran"], [], 0, 0
+    counts = dict(pair.split("=") for pair in summaries[-1][1].split(", ") if pair)
+    failures = FAILURE_PATTERN.findall(log)
+    failed_tests = sorted(
+        {qualified_name for name, qualified_name in failures if is_test_id(name, qualified_name)}
+    )
+    other_failures = sorted(
+        {
+            f"{name} ({qualified_name})"
+            for name, qualified_name in failures
+            if not is_test_id(name, qualified_name)
+        }
+    )
+    if len(failures) != sum(int(counts.get(name, 0)) for name in FAILURE_KINDS):
+        problems.append(
             "the output can't be read: it closes with other counts than it tells failures"
         )
-    if (status != 0) != bool(blocks):
-        faults.append(f"the run ended with status {status} and told {len(blocks)} failures")
-    begun = {place for name, place in BEGUN.findall(log) if is_test(name, place)}
-    for one in dict.fromkeys(ids):
-        if one not in begun:
-            faults.append(f"{one}: is named in the list and did not run")
-        elif one not in red and one not in at_times:
-            faults.append(f"{one}: is named in the list and does not fail")
-    faults += [f"{one}: failed" for one in red if one not in ids] + [
-        f"{one}: failed" for one in other
+    if (status != 0) != bool(failures):
+        problems.append(f"the run ended with status {status} and told {len(failures)} failures")
+    started_tests = {
+        qualified_name
+        for name, qualified_name in TEST_PATTERN.findall(log)
+        if is_test_id(name, qualified_name)
+    }
+    for test_id in dict.fromkeys(test_ids):
+        if test_id not in started_tests:
+            problems.append(f"{test_id}: is named in the list and did not run")
+        elif test_id not in failed_tests and test_id not in flaky_ids:
+            problems.append(f"{test_id}: is named in the list and does not fail")
+    problems += [f"{test_id}: failed" for test_id in failed_tests if test_id not in test_ids] + [
+        f"{test_id}: failed" for test_id in other_failures
     ]
     skipped = int(counts.get("skipped", 0))
     # One that stands for no test is not among those that ran, except a module that can't be loaded.
-    among = len(red) + sum("_FailedTest" in one for one in other)
+    failed_of_run = len(failed_tests) + sum("_FailedTest" in test_id for test_id in other_failures)
     return (
-        faults,
-        [one for one in red if one in ids],
-        max(0, int(ran[-1]) - among - skipped),
-        len(red) + len(other),
+        problems,
+        [test_id for test_id in failed_tests if test_id in test_ids],
+        max(0, int(test_counts[-1]) - failed_of_run - skipped),
+        len(failed_tests) + len(other_failures),
     )
 
 
-def _read_if_there(place):
-    if not os.path.exists(place):
+def _read_if_present(path):
+    if not os.path.exists(path):
         return ""
-    with open(place, encoding="utf-8") as source:
+    with open(path, encoding="utf-8") as source:
         return source.read()
 
 
-def main(words):
-    log, status = words[0], int(words[1])
-    known = _read_if_there(words[2] if len(words) > 2 else "KNOWN-RED.txt")
-    roadmap = _read_if_there(words[3] if len(words) > 3 else "docs/ROADMAP.md")
-    with open(log, encoding="utf-8", errors="replace") as source:
-        faults, over, passed, failed = judge(source.read(), status, known, roadmap)
-    for line in known.splitlines():
-        if line.split() and line.split()[0] in over:
+def main(arguments):
+    log_path, status = arguments[0], int(arguments[1])
+    list_content = _read_if_present(arguments[2] if len(arguments) > 2 else "KNOWN-RED.txt")
+    roadmap_content = _read_if_present(arguments[3] if len(arguments) > 3 else "docs/ROADMAP.md")
+    with open(log_path, encoding="utf-8", errors="replace") as source:
+        problems, ignored, passed, failed = check_run(
+            source.read(), status, list_content, roadmap_content
+        )
+    for line in list_content.splitlines():
+        if line.split() and line.split()[0] in ignored:
             print(f"known red, passed over: {line}")
-    for fault in faults:
-        print(f"red: {fault}")
+    for problem in problems:
+        print(f"red: {problem}")
     print(f"{passed} passed, {failed} failed")
-    return 1 if faults else 0
+    return 1 if problems else 0
 
 
 if __name__ == "__main__":
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -10,10 +10,12 @@
 import unittest
 
 ROOT = os.path.abspath(os.path.join(os.path.dirname(__file__), *[os.pardir] * 2))
-CI = os.path.join(ROOT, ".ci")
-SPEC = importlib.util.spec_from_file_location("known_red", os.path.join(CI, "known_red.py"))
-known_red = importlib.util.module_from_spec(SPEC)
-SPEC.loader.exec_module(known_red)
+CI_DIRECTORY = os.path.join(ROOT, ".ci")
+KNOWN_RED_SPEC = importlib.util.spec_from_file_location(
+    "known_red", os.path.join(CI_DIRECTORY, "known_red.py")
+)
+known_red = importlib.util.module_from_spec(KNOWN_RED_SPEC)
+KNOWN_RED_SPEC.loader.exec_module(known_red)
 
 SUITE = """
 import unittest
@@ -46,13 +48,13 @@
     def test_skipped(self):
         self.fail("unseen")
 """
-BAD = [
+FAILING_TESTS = [
     f"tests.test_a.Case.{name}"
     for name in ("test_bad", "test_parts", "test_raises", "test_surprise")
 ]
-REASON = " | command: make test | seed: none | seen: it fails | issue: docs/ROADMAP.md 7"
+ENTRY_FIELDS = " | command: make test | seed: none | seen: it fails | issue: docs/ROADMAP.md 7"
 ROADMAP = "# Roadmap\n\n5. Done\n\n## Open\n\n7. A fault.\n8. Another.\n\n## Next\n\n9. Later.\n"
-UP = """
+SETUP_FAILURE = """
 import unittest
 
 class Up(unittest.TestCase):
@@ -65,156 +67,191 @@
 """
 
 
-def run(**modules):
+def run_suite(**modules):
     """The output and the exit status of a run of these modules."""
-    with tempfile.TemporaryDirectory() as folder:
-        os.mkdir(os.path.join(folder, "tests"))
-        for name, text in {"__init__": "", **modules}.items():
-            with open(os.path.join(folder, "tests", f"{name}.py"), "w", encoding="utf-8") as target:
-                target.write(text)
-        ended = subprocess.run(
+    with tempfile.TemporaryDirectory() as directory:
+        os.mkdir(os.path.join(directory, "tests"))
+        for name, content in {"__init__": "", **modules}.items():
+            with open(
+                os.path.join(directory, "tests", f"{name}.py"), "w", encoding="utf-8"
+            ) as target:
+                target.write(content)
+        completed = subprocess.run(
             [sys.executable, "-m", "unittest", "discover", "-s", "tests", "-t", ".", "-v"],
-            cwd=folder,
+            cwd=directory,
             stdout=subprocess.PIPE,
             stderr=subprocess.STDOUT,
             text=True,
             timeout=60,
         )
-        return ended.stdout, ended.returncode
+        return completed.stdout, completed.returncode
 
 
-def without(*names):
+def suite_with_passing(*passing):
     """The suite with these tests made good."""
-    text = (
-        SUITE.replace("    @unittest.expectedFailure\n", "") if "test_surprise" in names else SUITE
+    suite = (
+        SUITE.replace("    @unittest.expectedFailure\n", "")
+        if "test_surprise" in passing
+        else SUITE
     )
-    for name in names:
-        text = text.replace(f"def {name}(self):", f"def {name}(self):\n        return")
-    return text
+    for name in passing:
+        suite = suite.replace(f"def {name}(self):", f"def {name}(self):\n        return")
+    return suite
 
 
-class KnownRed(unittest.TestCase):
+class KnownFailures(unittest.TestCase):
     @classmethod
     def setUpClass(cls):
-        cls.all, cls.three = run(test_a=SUITE), run(test_a=without("test_surprise"))
-        cls.good = run(test_a=without("test_bad", "test_parts", "test_raises", "test_surprise"))
+        cls.all_failing, cls.three_failing = (
+            run_suite(test_a=SUITE),
+            run_suite(test_a=suite_with_passing("test_surprise")),
+        )
+        cls.all_passing = run_suite(
+            test_a=suite_with_passing("test_bad", "test_parts", "test_raises", "test_surprise")
+        )
 
-    def judged(self, ran, *known):
-        return known_red.judge(*ran, "".join(f"{one}{REASON}\n" for one in known), ROADMAP)
+    def check(self, result, *listed):
+        return known_red.check_run(
+            *result, "".join(f"{test_id}{ENTRY_FIELDS}\n" for test_id in listed), ROADMAP
+        )
 
-    def test_a_good_run_passes_and_counts_what_passed(self):
-        self.assertEqual(self.judged(self.good), ([], [], 6, 0))
+    def test_run_without_failures_passes(self):
+        self.assertEqual(self.check(self.all_passing), ([], [], 6, 0))
 
-    def test_failures_errors_subtests_and_unexpected_successes_fail_where_they_are_not_named(self):
-        faults, over, passed, failed = self.judged(self.all)
-        self.assertEqual(faults, [f"{one}: failed" for one in BAD])
-        self.assertEqual((over, passed, failed), ([], 2, 4))
+    def test_unlisted_failures_of_every_kind_fail_the_run(self):
+        problems, ignored, passed, failed = self.check(self.all_failing)
+        self.assertEqual(problems, [f"{test_id}: failed" for test_id in FAILING_TESTS])
+        self.assertEqual((ignored, passed, failed), ([], 2, 4))
 
-    def test_what_is_named_is_passed_over_and_still_counted_as_failed(self):
-        self.assertEqual(self.judged(self.three, *BAD[:3]), ([], BAD[:3], 3, 3))
+    def test_listed_failures_are_ignored_but_counted(self):
+        self.assertEqual(
+            self.check(self.three_failing, *FAILING_TESTS[:3]), ([], FAILING_TESTS[:3], 3, 3)
+        )
 
-    def test_one_that_is_not_named_beside_it_fails(self):
-        self.assertEqual(self.judged(self.three, *BAD[:2])[0], [f"{BAD[2]}: failed"])
+    def test_unlisted_failure_beside_listed_ones_fails_the_run(self):
+        self.assertEqual(
+            self.check(self.three_failing, *FAILING_TESTS[:2])[0], [f"{FAILING_TESTS[2]}: failed"]
+        )
 
-    def test_one_that_is_named_and_passes_fails(self):
+    def test_listed_test_that_passes_fails_the_run(self):
         self.assertEqual(
-            self.judged(self.good, BAD[0])[0], [f"{BAD[0]}: is named in the list and does not fail"]
+            self.check(self.all_passing, FAILING_TESTS[0])[0],
+            [f"{FAILING_TESTS[0]}: is named in the list and does not fail"],
         )
 
-    def test_one_that_is_named_and_skipped_fails(self):
-        name = "tests.test_a.Case.test_skipped"
+    def test_listed_test_that_is_skipped_fails_the_run(self):
+        test_id = "tests.test_a.Case.test_skipped"
         self.assertEqual(
-            self.judged(self.good, name)[0], [f"{name}: is named in the list and does not fail"]
+            self.check(self.all_passing, test_id)[0],
+            [f"{test_id}: is named in the list and does not fail"],
         )
 
-    def test_one_that_is_named_and_does_not_exist_fails(self):
-        name = "tests.test_a.Case.test_gone"
+    def test_listed_test_that_does_not_exist_fails_the_run(self):
+        test_id = "tests.test_a.Case.test_gone"
         self.assertEqual(
-            self.judged(self.good, name)[0], [f"{name}: is named in the list and did not run"]
+            self.check(self.all_passing, test_id)[0],
+            [f"{test_id}: is named in the list and did not run"],
         )
 
-    def test_any_number_may_be_named(self):
-        self.assertEqual(self.judged(self.all, *BAD), ([], BAD, 2, 4))
+    def test_all_failures_may_be_listed(self):
+        self.assertEqual(self.check(self.all_failing, *FAILING_TESTS), ([], FAILING_TESTS, 2, 4))
 
-    def test_an_entry_that_lacks_a_part_and_a_name_twice_fail(self):
-        whole = f"{BAD[0]}{REASON}"
-        for left_out in known_red.PARTS:
-            parts = [part for part in whole.split(" | ") if not part.startswith(left_out)]
-            for line in (" | ".join(parts), " | ".join([*parts, f"{left_out}:"])):
-                faults = known_red.judge(*self.three, line, ROADMAP)[0]
-                self.assertIn(f"{BAD[0]}: {left_out} is not told", faults)
-        faults = self.judged(self.three, BAD[0], *BAD[:3])[0]
-        self.assertEqual(faults, [f"{BAD[0]}: is named twice"])
+    def test_missing_fields_and_duplicate_entries_fail_the_run(self):
+        entry = f"{FAILING_TESTS[0]}{ENTRY_FIELDS}"
+        for field in known_red.REQUIRED_FIELDS:
+            parts = [part for part in entry.split(" | ") if not part.startswith(field)]
+            for line in (" | ".join(parts), " | ".join([*parts, f"{field}:"])):
+                problems = known_red.check_run(*self.three_failing, line, ROADMAP)[0]
+                self.assertIn(f"{FAILING_TESTS[0]}: {field} is not told", problems)
+        problems = self.check(self.three_failing, FAILING_TESTS[0], *FAILING_TESTS[:3])[0]
+        self.assertEqual(problems, [f"{FAILING_TESTS[0]}: is named twice"])
 
-    def test_an_issue_that_is_no_numbered_entry_under_open_fails(self):
+    def test_issue_must_be_a_numbered_entry_under_open(self):
         for issue in ("docs/ROADMAP.md 5", "docs/ROADMAP.md 9", "docs/ROADMAP.md", "7", "page 7"):
-            line = f"{BAD[0]}{REASON}".replace("docs/ROADMAP.md 7", issue)
+            line = f"{FAILING_TESTS[0]}{ENTRY_FIELDS}".replace("docs/ROADMAP.md 7", issue)
             self.assertIn(
-                f"{BAD[0]}: {issue} is no numbered entry under Open of the road map",
-                known_red.judge(*self.three, line, ROADMAP)[0],
+                f"{FAILING_TESTS[0]}: {issue} is no numbered entry under Open of the road map",
+                known_red.check_run(*self.three_failing, line, ROADMAP)[0],
             )
         self.assertEqual(known_red.open_issues(ROADMAP), {"7", "8"})
         self.assertEqual(known_red.open_issues(""), set())
 
-    def test_one_that_fails_at_times_may_pass_or_fail_and_has_to_run(self):
-        line = f"{BAD[0]}{REASON} | fails: at times"
-        self.assertEqual(known_red.judge(*self.good, line, ROADMAP)[0], [])
-        others = "".join(f"{one}{REASON}\n" for one in BAD[1:3])
-        faults, over, _, _ = known_red.judge(*self.three, others + line, ROADMAP)
-        self.assertEqual((faults, over), ([], BAD[:3]))
-        gone = line.replace("test_bad", "test_gone")
-        self.assertIn("did not run", known_red.judge(*self.good, gone, ROADMAP)[0][0])
+    def test_test_that_fails_at_times_may_pass_or_fail_but_must_run(self):
+        line = f"{FAILING_TESTS[0]}{ENTRY_FIELDS} | fails: at times"
+        self.assertEqual(known_red.check_run(*self.all_passing, line, ROADMAP)[0], [])
+        others = "".join(f"{test_id}{ENTRY_FIELDS}\n" for test_id in FAILING_TESTS[1:3])
+        problems, ignored, _, _ = known_red.check_run(*self.three_failing, others + line, ROADMAP)
+        self.assertEqual((problems, ignored), ([], FAILING_TESTS[:3]))
+        missing = line.replace("test_bad", "test_gone")
+        self.assertIn("did not run", known_red.check_run(*self.all_passing, missing, ROADMAP)[0][0])
         wrong = line.replace("at times", "never")
-        self.assertIn("'at times' or is left", known_red.judge(*self.good, wrong, ROADMAP)[0][0])
-
-    def test_a_module_that_can_t_be_loaded_fails_also_where_it_is_named(self):
-        ran = run(test_a=SUITE, test_b="import no_such_module_at_all\n")
-        for name in ("tests.test_b", "unittest.loader._FailedTest.tests.test_b"):
-            faults, _, passed, failed = self.judged(ran, *BAD[:1], name)
-            self.assertIn("tests.test_b (unittest.loader._FailedTest.tests.test_b): failed", faults)
-            self.assertIn(f"{name}: is named in the list and did not run", faults)
+        self.assertIn(
+            "'at times' or is left", known_red.check_run(*self.all_passing, wrong, ROADMAP)[0][0]
+        )
+
+    def test_module_that_cannot_be_loaded_cannot_be_listed(self):
+        result = run_suite(test_a=SUITE, test_b="import no_such_module_at_all\n")
+        for test_id in ("tests.test_b", "unittest.loader._FailedTest.tests.test_b"):
+            problems, _, passed, failed = self.check(result, *FAILING_TESTS[:1], test_id)
+            self.assertIn(
+                "tests.test_b (unittest.loader._FailedTest.tests.test_b): failed", problems
+            )
+            self.assertIn(f"{test_id}: is named in the list and did not run", problems)
             self.assertEqual((passed, failed), (2, 5))
 
-    def test_a_class_that_can_t_be_set_up_fails_also_where_it_is_named(self):
-        faults, _, passed, failed = self.judged(
-            run(test_a=without(*(one.split(".")[-1] for one in BAD)), test_b=UP),
+    def test_class_that_cannot_be_set_up_cannot_be_listed(self):
+        problems, _, passed, failed = self.check(
+            run_suite(
+                test_a=suite_with_passing(*(test_id.split(".")[-1] for test_id in FAILING_TESTS)),
+                test_b=SETUP_FAILURE,
+            ),
             "tests.test_b.Up.test_unseen",
         )
-        self.assertIn("setUpClass (tests.test_b.Up): failed", faults)
-        self.assertIn("tests.test_b.Up.test_unseen: is named in the list and did not run", faults)
+        self.assertIn("setUpClass (tests.test_b.Up): failed", problems)
+        self.assertIn("tests.test_b.Up.test_unseen: is named in the list and did not run", problems)
         self.assertEqual((passed, failed), (6, 1))
 
-    def test_a_run_that_ends_before_it_tells_its_counts_fails(self):
-        log, _ = self.good
-        for cut in ("", log.split("Ran ")[0], run(test_a="")[0]):
-            self.assertEqual(known_red.judge(cut, 0)[0], ["no test ran"])
+    def test_run_without_a_summary_fails(self):
+        log, _ = self.all_passing
+        for cut in ("", log.split("Ran ")[0], run_suite(test_a="")[0]):
+            self.assertEqual(known_red.check_run(cut, 0)[0], ["no test ran"])
 
-    def test_a_status_or_counts_that_do_not_fit_what_was_told_fail(self):
-        self.assertEqual(len(known_red.judge(self.good[0], 139)[0]), 1)
+    def test_status_and_counts_must_match_the_failures(self):
+        self.assertEqual(len(known_red.check_run(self.all_passing[0], 139)[0]), 1)
         self.assertEqual(
-            len(known_red.judge(self.good[0].replace("OK (", "FAILED (failures=1, "), 0)[0]), 1
+            len(
+                known_red.check_run(self.all_passing[0].replace("OK (", "FAILED (failures=1, "), 0)[
+                    0
+                ]
+            ),
+            1,
         )
 
-    def test_it_prints_what_it_passes_over_and_closes_with_the_counts(self):
-        with tempfile.TemporaryDirectory() as folder:
-            log, known, roadmap = (
-                os.path.join(folder, name) for name in ("log", "KNOWN-RED.txt", "ROADMAP.md")
+    def test_ignored_failures_and_final_counts_are_printed(self):
+        with tempfile.TemporaryDirectory() as directory:
+            log_path, list_path, roadmap_path = (
+                os.path.join(directory, name) for name in ("log", "KNOWN-RED.txt", "ROADMAP.md")
             )
-            with open(roadmap, "w", encoding="utf-8") as target:
+            with open(roadmap_path, "w", encoding="utf-8") as target:
                 target.write(ROADMAP)
-            with open(log, "w", encoding="utf-8") as target:
-                target.write(self.three[0])
-            for lines, status in ((BAD[:3], 0), (BAD[:2], 1)):
-                with open(known, "w", encoding="utf-8") as target:
-                    target.write("".join(f"{one}{REASON}\n" for one in lines))
-                told = io.StringIO()
-                with contextlib.redirect_stdout(told):
+            with open(log_path, "w", encoding="utf-8") as target:
+                target.write(self.three_failing[0])
+            for listed, status in ((FAILING_TESTS[:3], 0), (FAILING_TESTS[:2], 1)):
+                with open(list_path, "w", encoding="utf-8") as target:
+                    target.write("".join(f"{test_id}{ENTRY_FIELDS}\n" for test_id in listed))
+                output = io.StringIO()
+                with contextlib.redirect_stdout(output):
                     self.assertEqual(
-                        known_red.main([log, str(self.three[1]), known, roadmap]), status
+                        known_red.main(
+                            [log_path, str(self.three_failing[1]), list_path, roadmap_path]
+                        ),
+                        status,
+                    )
+                for test_id in listed:
+                    self.assertIn(
+                        f"known red, passed over: {test_id}{ENTRY_FIELDS}\n", output.getvalue()
                     )
-                for one in lines:
-                    self.assertIn(f"known red, passed over: {one}{REASON}\n", told.getvalue())
-                self.assertTrue(told.getvalue().endswith("3 passed, 3 failed\n"))
+                self.assertTrue(output.getvalue().endswith("3 passed, 3 failed\n"))
 
 
 if __name__ == "__main__":
--- a/tests/unit/test_sites.py
+++ b/tests/unit/test_sites.py
@@ -7,78 +7,90 @@
 import unittest
 
 ROOT = os.path.abspath(os.path.join(os.path.dirname(__file__), *[os.pardir] * 2))
-FOLDER = os.path.join(ROOT, "deploy", "sites")
-NAMED = "class", "tenant"
+SITES_DIRECTORY = os.path.join(ROOT, "deploy", "sites")
+NAMED_TABLES = "class", "tenant"
 
 
-def sites():
-    read = {}
-    for file in sorted(os.listdir(FOLDER)):
+def read_sites():
+    contents = {}
+    for file in sorted(os.listdir(SITES_DIRECTORY)):
         if file.endswith(".toml"):
-            with open(os.path.join(FOLDER, file), "rb") as source:
-                read[file.removesuffix(".toml")] = tomllib.load(source)
-    return read
+            with open(os.path.join(SITES_DIRECTORY, file), "rb") as source:
+                contents[file.removesuffix(".toml")] = tomllib.load(source)
+    return contents
 
 
-def names(site):
+def declared_names(site):
     """What a deployment names by itself: classes, tenants, zones, tiers and kinds of machine."""
-    found = [one["name"] for table in NAMED for one in site.get(table, ())] + site["net"]["zones"]
+    names = [entry["name"] for table in NAMED_TABLES for entry in site.get(table, ())] + site[
+        "net"
+    ]["zones"]
     for tier in site["tier"]:
-        found += [tier["name"]] + [kind["name"] for kind in tier["kind"]]
-    return [site["name"]] + found
+        names += [tier["name"]] + [kind["name"] for kind in tier["kind"]]
+    return [site["name"]] + names
 
 
 class Sites(unittest.TestCase):
     def setUp(self):
-        self.sites = sites()
+        self.sites = read_sites()
 
-    def test_each_has_its_file_s_name_and_says_what_it_is_for(self):
-        with open(os.path.join(FOLDER, "README.md"), encoding="utf-8") as source:
-            told = source.read()
+    def test_sites_are_named_like_their_files_and_described(self):
+        with open(os.path.join(SITES_DIRECTORY, "README.md"), encoding="utf-8") as source:
+            readme = source.read()
         self.assertEqual(len(self.sites), 2)
         for name, site in self.sites.items():
             self.assertEqual(site["name"], name)
-            self.assertIn(f"| `{name}` |", told)
+            self.assertIn(f"| `{name}` |", readme)
 
-    def test_no_name_comes_twice(self):
-        found = [name for site in self.sites.values() for name in names(site)]
-        self.assertEqual(sorted(found), sorted(set(found)))
+    def test_declared_names_are_unique(self):
+        names = [name for site in self.sites.values() for name in declared_names(site)]
+        self.assertEqual(sorted(names), sorted(set(names)))
 
-    def test_nothing_in_the_program_or_the_deploy_file_knows_a_name_of_theirs(self):
-        places = [
+    def test_program_and_deploy_files_contain_no_name_of_a_site(self):
+        paths = [
             os.path.join(ROOT, "deploy", file)
             for file in os.listdir(os.path.join(ROOT, "deploy"))
             if file.endswith((".toml", ".json", ".cue"))
         ]
-        for folder, _, files in os.walk(os.path.join(ROOT, "thymeknot")):
-            places += [
-                os.path.join(folder, file)
+        for directory, _, files in os.walk(os.path.join(ROOT, "thymeknot")):
+            paths += [
+                os.path.join(directory, file)
                 for file in files
                 if file.endswith((".py", ".cue", ".json"))
             ]
-        self.assertGreater(len(places), 50)
-        found = {name for site in self.sites.values() for name in names(site)}
-        for place in places:
-            with open(place, encoding="utf-8") as source:
+        self.assertGreater(len(paths), 50)
+        names = {name for site in self.sites.values() for name in declared_names(site)}
+        for path in paths:
+            with open(path, encoding="utf-8") as source:
                 text = source.read()
-            for name in found:
-                self.assertNotRegex(text, rf"(?<![\w-]){name}(?![\w-])", f"{place} names {name}")
+            for name in names:
+                self.assertNotRegex(text, rf"(?<![\w-]){name}(?![\w-])", f"{path} names {name}")
 
-    def test_deploy_files_show_no_lane_but_the_example_s(self):
-        folder = os.path.dirname(FOLDER)
-        with open(os.path.join(folder, "example.json"), encoding="utf-8") as source:
-            known = {lane["name"] for lane in json.load(source)["settings"]["categories"]}
-        shown = set()
-        for file in os.listdir(folder):
+    def test_commands_in_deploy_files_use_request_classes_of_the_example(self):
+        directory = os.path.dirname(SITES_DIRECTORY)
+        with open(os.path.join(directory, "example.json"), encoding="utf-8") as source:
+            example_classes = {
+                category["name"] for category in json.load(source)["settings"]["categories"]
+            }
+        shown_classes = set()
+        for file in os.listdir(directory):
             if file.endswith((".toml", ".json", ".cue")):
-                with open(os.path.join(folder, file), encoding="utf-8") as source:
-                    shown.update(re.findall(r"--lane[ =]([^\s`]+)", source.read()))
-        self.assertTrue(shown and shown <= known, shown - known)
+                with open(os.path.join(directory, file), encoding="utf-8") as source:
+                    shown_classes.update(re.findall(r"--lane[ =]([^\s`]+)", source.read()))
+        self.assertTrue(
+            shown_classes and shown_classes <= example_classes, shown_classes - example_classes
+        )
 
-    def test_one_has_every_effect_and_scope_the_other_few_classes_and_short_times(self):
-        many, few = self.sites["harbour-permits"]["class"], self.sites["kiln-orders"]
+    def test_sites_differ_in_classes_scopes_deadlines_and_discovery(self):
+        harbour_classes, kiln_orders = (
+            self.sites["harbour-permits"]["class"],
+            self.sites["kiln-orders"],
+        )
         self.assertEqual(
-            {(one["effect"], one.get("group")) for one in many},
+            {
+                (request_class["effect"], request_class.get("group"))
+                for request_class in harbour_classes
+            },
             {
                 ("safe", None),
                 ("keyed", "all"),
@@ -87,9 +99,9 @@
                 ("unsafe", None),
             },
         )
-        self.assertEqual((len(many), len(few["class"])), (6, 2))
-        for one in few["class"]:
-            self.assertLess(one.get("window_ms", 0), one["deadline_ms"])
+        self.assertEqual((len(harbour_classes), len(kiln_orders["class"])), (6, 2))
+        for request_class in kiln_orders["class"]:
+            self.assertLess(request_class.get("window_ms", 0), request_class["deadline_ms"])
         self.assertEqual(
             [site["discovery"]["mode"] for site in self.sites.values()], ["ask", "push"]
         )
