--- a/.ci/known_red.py
+++ b/.ci/known_red.py
@@ -1,12 +1,18 @@
-"""Judges a run of the tests by its -v output: which failures KNOWN-RED.txt names, and whether it names them rightly.
+"""Checks the output of a test run against the list of known failures in KNOWN-RED.txt.
 
-    known_red.py LOG STATUS [KNOWN-RED.txt [ROADMAP.md]]     the output, unittest's exit status, the list, open issues
+    known_red.py LOG STATUS [KNOWN-RED.txt [ROADMAP.md]]
 
-An entry of the list is a line of parts with ` | ` between them: a test by its id, then `command`, `seed`, `seen` and
-`issue`, each as `name: text`. The issue is a numbered entry under Open of the road map: `docs/ROADMAP.md 7`. An entry
-without one of these is refused. What is named has to fail, as long as it is named; one that fails only now and then
-says so in a part `fails: at times`. What no test stands for (a module that can't be loaded, a class that can't be set
-up) can't be named: it hides how many tests there are behind it."""
+LOG is the output of `unittest -v` and STATUS its exit status. Failures that the list names are
+ignored; any other failure, and any error in the list, fails the run.
+
+An entry of the list is one line with ` | ` between its parts: the id of a test, then the fields
+`command`, `seed`, `seen` and `issue`, each as `name: text`. The issue is a numbered entry under
+Open in the roadmap, such as `docs/ROADMAP.md 7`. All of these are required.
+
+A listed test must fail for as long as it is listed. One that fails only sometimes has the field
+`fails: at times`; it may pass but must run. Only tests can be listed: a module that cannot be
+loaded or a class that cannot be set up would hide an unknown number of tests.
+"""
 
 import os
 import re
@@ -22,30 +28,42 @@
 TEST_PATTERN = re.compile(r"^(\S+) \(([\w.]+)\)", re.M)
 TEST_COUNT_PATTERN = re.compile(r"^Ran (\d+) tests? in ", re.M)
 SUMMARY_PATTERN = re.compile(r"^(OK|FAILED)(?: \((.*)\))?$", re.M)
+# The counts in the last line of the output that are reported as failures.
 FAILURE_KINDS = "failures", "errors", "unexpected successes"
 
 
 def is_test_id(method_name, qualified_name):
-    """Whether a name and the place beside it are a test's, and not a class's or a module's."""
+    """Returns whether these are the names of a test, rather than of a class or a module.
+
+    Args:
+        method_name: The first word of a line of the output.
+        qualified_name: The name in parentheses after it.
+    """
     return qualified_name.endswith(f".{method_name}") and not qualified_name.startswith("unittest.")
 
 
 class KnownFailure(NamedTuple):
-    """A test that is known to fail."""
+    """An entry of the list: a test that is known to fail."""
 
     test_id: str
     fields: dict
+    """Texts by field name."""
 
     @classmethod
     def parse(cls, line):
+        """Returns the entry on a line of the list."""
         test, *parts = (part.strip() for part in line.split(" | "))
         pairs = (part.partition(":") for part in parts)
         return cls(test, {field.strip(): value.strip() for field, _, value in pairs})
 
     def problems(self, open_issue_numbers):
-        """What is wrong with it, where these numbers are open."""
+        """Returns error messages about this entry; empty if it is valid.
+
+        Args:
+            open_issue_numbers: The numbers of the open issues, as texts.
+        """
         problems = [
-            f"{self.test_id}: {field} is not told"
+            f"{self.test_id}: {field} is missing"
             for field in REQUIRED_FIELDS
             if not self.fields.get(field)
         ]
@@ -53,34 +71,45 @@
         issue_match = ISSUE_PATTERN.fullmatch(issue or "")
         if issue and (issue_match is None or issue_match[1] not in open_issue_numbers):
             problems.append(
-                f"{self.test_id}: {issue} is no numbered entry under Open of the road map"
+                f"{self.test_id}: {issue} is not a numbered entry under Open in the roadmap"
             )
         if self.fields.get("fails", FAILS_AT_TIMES) != FAILS_AT_TIMES:
-            problems.append(f"{self.test_id}: fails is '{FAILS_AT_TIMES}' or is left out")
+            problems.append(f"{self.test_id}: fails must be '{FAILS_AT_TIMES}' or absent")
         return problems
 
 
 def open_issues(roadmap):
-    """The numbers of the entries under Open."""
+    """Returns the numbers of the entries under Open in the roadmap, as texts."""
     section = OPEN_SECTION_PATTERN.search(roadmap)
     return set(NUMBERED_ENTRY_PATTERN.findall(section[1])) if section else set()
 
 
 def parse_list(content, roadmap):
-    """The entries of a list, and what is wrong with it."""
+    """Returns the entries of a list and error messages about it."""
     entries = [KnownFailure.parse(line) for line in content.splitlines() if line.strip()]
     open_issue_numbers = open_issues(roadmap)
     problems = [problem for entry in entries for problem in entry.problems(open_issue_numbers)]
     test_ids = [entry.test_id for entry in entries]
     problems += [
-        f"{test_id}: is named twice"
+        f"{test_id}: is listed twice"
         for test_id in sorted({test_id for test_id in test_ids if test_ids.count(test_id) > 1})
     ]
     return entries, problems
 
 
 def check_run(log, status, list_content="", roadmap_content=""):
-    """(faults, those passed over, passed, failed) of a run."""
+    """Checks the output of a run against the list.
+
+    Args:
+        log: The output of `unittest -v`.
+        status: Its exit status.
+        list_content: The list of known failures.
+        roadmap_content: The roadmap, which has the open issues.
+
+    Returns:
+        Error messages, the ids of the ignored tests, and the numbers of passed and failed tests.
+        The run is good if there are no error messages.
+    """
     entries, problems = parse_list(list_content, roadmap_content)
     test_ids = [entry.test_id for entry in entries]
     flaky_ids = {entry.test_id for entry in entries if "fails" in entry.fields}
@@ -101,10 +130,10 @@
     )
     if len(failures) != sum(int(counts.get(name, 0)) for name in FAILURE_KINDS):
         problems.append(
-            "the output can't be read: it closes with other counts than it tells failures"
+            "the output is inconsistent: its final counts differ from the failures it reports"
         )
     if (status != 0) != bool(failures):
-        problems.append(f"the run ended with status {status} and told {len(failures)} failures")
+        problems.append(f"the run ended with status {status} and reported {len(failures)} failures")
     started_tests = {
         qualified_name
         for name, qualified_name in TEST_PATTERN.findall(log)
@@ -112,14 +141,15 @@
     }
     for test_id in dict.fromkeys(test_ids):
         if test_id not in started_tests:
-            problems.append(f"{test_id}: is named in the list and did not run")
+            problems.append(f"{test_id}: is listed but did not run")
         elif test_id not in failed_tests and test_id not in flaky_ids:
-            problems.append(f"{test_id}: is named in the list and does not fail")
+            problems.append(f"{test_id}: is listed but did not fail")
     problems += [f"{test_id}: failed" for test_id in failed_tests if test_id not in test_ids] + [
         f"{test_id}: failed" for test_id in other_failures
     ]
     skipped = int(counts.get("skipped", 0))
-    # One that stands for no test is not among those that ran, except a module that can't be loaded.
+    # unittest counts a module that cannot be loaded as a test that ran, but not a class that cannot
+    # be set up.
     failed_of_run = len(failed_tests) + sum("_FailedTest" in test_id for test_id in other_failures)
     return (
         problems,
@@ -137,6 +167,7 @@
 
 
 def main(arguments):
+    """Prints the ignored failures, the error messages and the counts; returns the exit status."""
     log_path, status = arguments[0], int(arguments[1])
     list_content = _read_if_present(arguments[2] if len(arguments) > 2 else "KNOWN-RED.txt")
     roadmap_content = _read_if_present(arguments[3] if len(arguments) > 3 else "docs/ROADMAP.md")
@@ -146,7 +177,7 @@
         )
     for line in list_content.splitlines():
         if line.split() and line.split()[0] in ignored:
-            print(f"known red, passed over: {line}")
+            print(f"known red, ignored: {line}")
     for problem in problems:
         print(f"red: {problem}")
     print(f"{passed} passed, {failed} failed")
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/test_known_red.py
@@ -1,4 +1,4 @@
-"""What CI passes over: real runs of small suites, judged by their output."""
+"""Tests of .ci/known_red.py, which checks test runs against the list of known failures."""
 
 import contextlib
 import importlib.util
@@ -24,8 +24,8 @@
     def test_good(self):
         pass
 
-    def test_told(self):
-        "What it is for."
+    def test_prints(self):
+        "A description, which -v prints on a line of its own."
         print("test_other (tests.test_a.Case.test_other) ... ok")
 
     def test_bad(self):
@@ -37,7 +37,7 @@
                 self.assertEqual(part, 1)
 
     def test_raises(self):
-        "What it is for."
+        "A description, which -v prints on a line of its own."
         raise ValueError("odd")
 
     @unittest.expectedFailure
@@ -68,7 +68,7 @@
 
 
 def run_suite(**modules):
-    """The output and the exit status of a run of these modules."""
+    """Runs these modules as a test suite; returns the output and the exit status."""
     with tempfile.TemporaryDirectory() as directory:
         os.mkdir(os.path.join(directory, "tests"))
         for name, content in {"__init__": "", **modules}.items():
@@ -88,7 +88,7 @@
 
 
 def suite_with_passing(*passing):
-    """The suite with these tests made good."""
+    """Returns the source of the suite, changed so that these tests pass."""
     suite = (
         SUITE.replace("    @unittest.expectedFailure\n", "")
         if "test_surprise" in passing
@@ -136,21 +136,21 @@
     def test_listed_test_that_passes_fails_the_run(self):
         self.assertEqual(
             self.check(self.all_passing, FAILING_TESTS[0])[0],
-            [f"{FAILING_TESTS[0]}: is named in the list and does not fail"],
+            [f"{FAILING_TESTS[0]}: is listed but did not fail"],
         )
 
     def test_listed_test_that_is_skipped_fails_the_run(self):
         test_id = "tests.test_a.Case.test_skipped"
         self.assertEqual(
             self.check(self.all_passing, test_id)[0],
-            [f"{test_id}: is named in the list and does not fail"],
+            [f"{test_id}: is listed but did not fail"],
         )
 
     def test_listed_test_that_does_not_exist_fails_the_run(self):
         test_id = "tests.test_a.Case.test_gone"
         self.assertEqual(
             self.check(self.all_passing, test_id)[0],
-            [f"{test_id}: is named in the list and did not run"],
+            [f"{test_id}: is listed but did not run"],
         )
 
     def test_all_failures_may_be_listed(self):
@@ -162,15 +162,15 @@
             parts = [part for part in entry.split(" | ") if not part.startswith(field)]
             for line in (" | ".join(parts), " | ".join([*parts, f"{field}:"])):
                 problems = known_red.check_run(*self.three_failing, line, ROADMAP)[0]
-                self.assertIn(f"{FAILING_TESTS[0]}: {field} is not told", problems)
+                self.assertIn(f"{FAILING_TESTS[0]}: {field} is missing", problems)
         problems = self.check(self.three_failing, FAILING_TESTS[0], *FAILING_TESTS[:3])[0]
-        self.assertEqual(problems, [f"{FAILING_TESTS[0]}: is named twice"])
+        self.assertEqual(problems, [f"{FAILING_TESTS[0]}: is listed twice"])
 
     def test_issue_must_be_a_numbered_entry_under_open(self):
         for issue in ("docs/ROADMAP.md 5", "docs/ROADMAP.md 9", "docs/ROADMAP.md", "7", "page 7"):
             line = f"{FAILING_TESTS[0]}{ENTRY_FIELDS}".replace("docs/ROADMAP.md 7", issue)
             self.assertIn(
-                f"{FAILING_TESTS[0]}: {issue} is no numbered entry under Open of the road map",
+                f"{FAILING_TESTS[0]}: {issue} is not a numbered entry under Open in the roadmap",
                 known_red.check_run(*self.three_failing, line, ROADMAP)[0],
             )
         self.assertEqual(known_red.open_issues(ROADMAP), {"7", "8"})
@@ -186,7 +186,8 @@
         self.assertIn("did not run", known_red.check_run(*self.all_passing, missing, ROADMAP)[0][0])
         wrong = line.replace("at times", "never")
         self.assertIn(
-            "'at times' or is left", known_red.check_run(*self.all_passing, wrong, ROADMAP)[0][0]
+            "must be 'at times' or absent",
+            known_red.check_run(*self.all_passing, wrong, ROADMAP)[0][0],
         )
 
     def test_module_that_cannot_be_loaded_cannot_be_listed(self):
@@ -196,7 +197,7 @@
             self.assertIn(
                 "tests.test_b (unittest.loader._FailedTest.tests.test_b): failed", problems
             )
-            self.assertIn(f"{test_id}: is named in the list and did not run", problems)
+            self.assertIn(f"{test_id}: is listed but did not run", problems)
             self.assertEqual((passed, failed), (2, 5))
 
     def test_class_that_cannot_be_set_up_cannot_be_listed(self):
@@ -208,7 +209,7 @@
             "tests.test_b.Up.test_unseen",
         )
         self.assertIn("setUpClass (tests.test_b.Up): failed", problems)
-        self.assertIn("tests.test_b.Up.test_unseen: is named in the list and did not run", problems)
+        self.assertIn("tests.test_b.Up.test_unseen: is listed but did not run", problems)
         self.assertEqual((passed, failed), (6, 1))
 
     def test_run_without_a_summary_fails(self):
@@ -249,7 +250,7 @@
                     )
                 for test_id in listed:
                     self.assertIn(
-                        f"known red, passed over: {test_id}{ENTRY_FIELDS}\n", output.getvalue()
+                        f"known red, ignored: {test_id}{ENTRY_FIELDS}\n", output.getvalue()
                     )
                 self.assertTrue(output.getvalue().endswith("3 passed, 3 failed\n"))
 
--- a/tests/unit/test_sites.py
+++ b/tests/unit/test_sites.py
@@ -1,4 +1,4 @@
-"""The sites of our own: names of their own, and what each is meant to bring out."""
+"""Tests of the sites in deploy/sites: their names are unique, and they differ as intended."""
 
 import json
 import os
@@ -12,6 +12,7 @@
 
 
 def read_sites():
+    """Returns the content of each site file, by site name."""
     contents = {}
     for file in sorted(os.listdir(SITES_DIRECTORY)):
         if file.endswith(".toml"):
@@ -21,7 +22,10 @@
 
 
 def declared_names(site):
-    """What a deployment names by itself: classes, tenants, zones, tiers and kinds of machine."""
+    """Returns the names that a site declares: its own and those of its parts.
+
+    The parts are request classes, tenants, zones, tiers and kinds of machine.
+    """
     names = [entry["name"] for table in NAMED_TABLES for entry in site.get(table, ())] + site[
         "net"
     ]["zones"]
