--- a/measure/shop.py
+++ b/measure/shop.py
@@ -6,7 +6,7 @@
 
 from measure.hostile import Liar
 from measure.world import TERMS, World
-from tests.support.decisions import ENGINE_SETTINGS as SETTINGS
+from tests.support.decisions import ENGINE_SETTINGS
 from thymeknot.gossip.own_experience import EndpointKey
 from thymeknot.interface.actions import SendAttempt, SetTimer
 from thymeknot.interface.enums import (
@@ -30,7 +30,7 @@
 from thymeknot.policy.engine import DecisionEngine
 
 SECOND = 10_000
-LANES = {
+REQUEST_CLASSES = {
     "read": RequestClass(
         "read",
         Idempotency.IDEMPOTENT,
@@ -42,8 +42,8 @@
         0.0,
     )
 }
-SHOP = SETTINGS._replace(
-    request_classes=LANES,
+SHOP_SETTINGS = ENGINE_SETTINGS._replace(
+    request_classes=REQUEST_CLASSES,
     instances=1,
     max_attempts=3,
     hedging_allowed=False,
@@ -56,24 +56,45 @@
     """names: rates of transactions a second by instance. ill: {pod: share of its deliveries that fail}. liars: names
     that lie about all other pods each second. gossip: whether the nodes speak at all."""
 
-    def __init__(self, rates, pods, ill, seed, gossip=True, liars=(), terms=TERMS, loss=0.0):
-        self.world, self.chance = World(list(rates), seed, loss=loss), random.Random(seed)
-        self.rates, self.ill, self.gossip, self.terms = rates, ill, gossip, terms
-        self.pods = [
-            Endpoint(f"s-{at}", "a", 1.0, 0, EndpointCondition.READY, 0, "m", 1)
-            for at in range(pods)
+    def __init__(
+        self,
+        rates,
+        endpoint_count,
+        failure_rates,
+        seed,
+        gossip=True,
+        liars=(),
+        settings=TERMS,
+        loss=0.0,
+    ):
+        self.world, self.random_source = World(list(rates), seed, loss=loss), random.Random(seed)
+        self.rates, self.failure_rates, self.gossip, self.settings = (
+            rates,
+            failure_rates,
+            gossip,
+            settings,
+        )
+        self.endpoints = [
+            Endpoint(f"s-{index}", "a", 1.0, 0, EndpointCondition.READY, 0, "m", 1)
+            for index in range(endpoint_count)
+        ]
+        self.endpoint_keys = [
+            EndpointKey(endpoint.address, "", 1, 0) for endpoint in self.endpoints
         ]
-        self.said = [EndpointKey(pod.address, "", 1, 0) for pod in self.pods]
-        self.balancers, self.counts, self.numbers = {}, {}, 0
+        self.balancers, self.counts, self.request_count = {}, {}, 0
         for instance in self.world.instances.values():
-            instance.terms = terms
+            instance.settings = settings
         if gossip:
             self.world.begin()
             self.world.acquaint()
         self.liars = {
             name: Liar(
                 self.world.instances[name].node,
-                [one for one in self.said if one.id not in ill],
+                [
+                    endpoint_key
+                    for endpoint_key in self.endpoint_keys
+                    if endpoint_key.id not in failure_rates
+                ],
                 spoil=False,
             )
             for name in liars
@@ -81,98 +102,104 @@
         }
         for name in rates:
             balancer = DecisionEngine(
-                SHOP._replace(instances=len(rates)), self.chance.getrandbits(60), self.world.now
+                SHOP_SETTINGS._replace(instances=len(rates)),
+                self.random_source.getrandbits(60),
+                self.world.now,
             )
             self.balancers[name] = balancer
             self.counts[name] = {"deliveries": 0, "failed": 0, "ill": 0, "done": 0, "taken": 0}
-            news = ReleaseUpdate(1, 2, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0)
-            self._act(
+            release_update = ReleaseUpdate(1, 2, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0)
+            self._execute(
                 name,
                 balancer.handle(
-                    self.world.now, [EndpointUpdate(UpdateKind.CACHED, tuple(self.pods)), news]
+                    self.world.now,
+                    [EndpointUpdate(UpdateKind.CACHED, tuple(self.endpoints)), release_update],
                 ),
             )
             if gossip:
-                self.world.instances[name].node.suspicions.set_endpoints(self.said)
-            self._next(name)
-        self.world.at(self.world.now + SECOND, self._lie)
+                self.world.instances[name].node.suspicions.set_endpoints(self.endpoint_keys)
+            self._schedule_request(name)
+        self.world.schedule(self.world.now + SECOND, self._send_lies)
 
-    def _lie(self):
+    def _send_lies(self):
         for name, liar in self.liars.items():
             liar.lies(self.world.instances[name].clock())
             self.world.instances[name].flush()
-        self.world.at(self.world.now + SECOND, self._lie)
+        self.world.schedule(self.world.now + SECOND, self._send_lies)
 
-    def _next(self, name):
-        self.world.at(
-            self.world.now + max(1, int(self.chance.expovariate(self.rates[name]) * SECOND)),
-            self._arrive,
+    def _schedule_request(self, name):
+        self.world.schedule(
+            self.world.now + max(1, int(self.random_source.expovariate(self.rates[name]) * SECOND)),
+            self._receive_request,
             name,
         )
 
-    def _arrive(self, name):
-        self.numbers += 1
+    def _receive_request(self, name):
+        self.request_count += 1
         self.counts[name]["taken"] += 1
-        self._tell(
+        self._handle_event(
             name,
             RequestReceived(
-                f"{self.numbers:x}",
+                f"{self.request_count:x}",
                 "read",
                 None,
-                f"{self.chance.getrandbits(40):x}",
+                f"{self.random_source.getrandbits(40):x}",
                 2 * SECOND,
                 None,
                 False,
                 False,
             ),
         )
-        self._next(name)
+        self._schedule_request(name)
 
-    def _tell(self, name, event):
+    def _handle_event(self, name, event):
         now = self.world.now
         node = self.world.instances[name].node
         events = []
         if node is not None and node.changed_suspicions:
-            doubts = node.take_suspicions()
+            suspicions = node.take_suspicions()
             events = [
                 SuspicionReported(
-                    one.endpoint.id, one.endpoint.build, one.endpoint.started, one.until
+                    suspicion.endpoint.id,
+                    suspicion.endpoint.build,
+                    suspicion.endpoint.started,
+                    suspicion.until,
                 )
-                for one in doubts
+                for suspicion in suspicions
             ]
-        self._act(name, self.balancers[name].handle(now, [*events, event]))
+        self._execute(name, self.balancers[name].handle(now, [*events, event]))
 
-    def _act(self, name, actions):
+    def _execute(self, name, actions):
         for action in list(actions):
             if type(action) is SetTimer:
-                self.world.at(action.at, self._tell, name, TimerFired(action.token))
+                self.world.schedule(action.at, self._handle_event, name, TimerFired(action.token))
             elif type(action) is SendAttempt:
-                latency = int(self.chance.gammavariate(4, 50))
-                self.world.at(
+                latency = int(self.random_source.gammavariate(4, 50))
+                self.world.schedule(
                     self.world.now + latency,
-                    self._ended,
+                    self._end_attempt,
                     name,
                     action,
                     latency,
-                    self._number(name, action),
+                    self._attempt_number(name, action),
                 )
 
-    def _number(self, name, action):
+    def _attempt_number(self, name, action):
         return len(self.balancers[name].requests.open[action.id].attempts) - 1
 
-    def _ended(self, name, action, latency, number):
-        failed = self.chance.random() < self.ill.get(action.endpoint, 0.002)
+    def _end_attempt(self, name, action, latency, attempt_number):
+        failed = self.random_source.random() < self.failure_rates.get(action.endpoint, 0.002)
         counts = self.counts[name]
         counts["deliveries"] += 1
         counts["failed"] += failed
-        counts["ill"] += action.endpoint in self.ill
+        counts["ill"] += action.endpoint in self.failure_rates
         counts["done"] += not failed
         node = self.world.instances[name].node
         if node is not None:
             node.suspicions.record_attempt(
                 self.world.instances[name].clock(), action.endpoint, failed
             )
-        self._tell(
+        self._handle_event(
             name,
             AttemptEnded(
                 action.id,
@@ -180,7 +207,7 @@
                 not failed,
                 latency,
                 action.endpoint,
-                number,
+                attempt_number,
                 None,
             ),
         )
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -6,7 +6,7 @@
 import random
 import sys
 
-from measure.shop import SHOP
+from measure.shop import SHOP_SETTINGS
 from measure.world import World
 from tests.support.decisions import REQUEST_CLASSES
 from thymeknot.decision_log.entry_filter import EntryFilter
@@ -29,109 +29,118 @@
 from thymeknot.state.random_source import LinearCongruentialGenerator
 
 SECOND = 10_000
-TERMS = SHOP._replace(
+ENGINE_SETTINGS = SHOP_SETTINGS._replace(
     request_classes={name: REQUEST_CLASSES[name] for name in ("read", "pay")},
     instances=3,
     guarded_stages=0,
 )
-WHY = DecisionLogSettings(8, None, "", 0.4, 0.3, 60 * SECOND, 200)
+DECISION_LOG_SETTINGS = DecisionLogSettings(8, None, "", 0.4, 0.3, 60 * SECOND, 200)
 
 
 class Sidecar:
     """One sidecar's decisions with a record, at so many transactions a second; ill: {pod: share that fails}."""
 
-    def __init__(self, seed, rate, pods, ill, news, pace=150):
-        self.world, self.chance = World([], seed), random.Random(seed)
-        self.rate, self.ill, self.pace = rate, ill, pace
-        self.record = Recorder(
-            WHY,
-            TERMS.request_classes,
+    def __init__(self, seed, rate, endpoints, failure_rates, release_update, latency_scale=150):
+        self.world, self.random_source = World([], seed), random.Random(seed)
+        self.rate, self.failure_rates, self.latency_scale = rate, failure_rates, latency_scale
+        self.recorder = Recorder(
+            DECISION_LOG_SETTINGS,
+            ENGINE_SETTINGS.request_classes,
             SlotFile(10_000),
             epoch=0,
             clock=lambda: self.world.now,
             random_source=LinearCongruentialGenerator(seed),
         )
-        self.balancer = DecisionEngine(TERMS, seed, self.world.now, self.record.record_reason)
-        self.tell(EndpointUpdate(UpdateKind.CACHED, tuple(pods)))
-        self.tell(news)
-        self.arrive()
+        self.engine = DecisionEngine(
+            ENGINE_SETTINGS, seed, self.world.now, self.recorder.record_reason
+        )
+        self.handle_event(EndpointUpdate(UpdateKind.CACHED, tuple(endpoints)))
+        self.handle_event(release_update)
+        self.receive_request()
 
-    def tell(self, event):
-        for action in list(self.balancer.handle(self.world.now, [event])):
+    def handle_event(self, event):
+        for action in list(self.engine.handle(self.world.now, [event])):
             if type(action) is SetTimer:
-                self.world.at(action.at, self.tell, TimerFired(action.token))
+                self.world.schedule(action.at, self.handle_event, TimerFired(action.token))
             elif type(action) is SendAttempt:
-                number = len(self.balancer.requests.open[action.id].attempts) - 1
-                took = int(self.chance.gammavariate(4, self.pace))
-                self.world.at(self.world.now + took, self.ended, action, number, took)
+                attempt_number = len(self.engine.requests.open[action.id].attempts) - 1
+                latency = int(self.random_source.gammavariate(4, self.latency_scale))
+                self.world.schedule(
+                    self.world.now + latency, self.end_attempt, action, attempt_number, latency
+                )
             elif type(action) is CastVote:
-                self.tell(
+                self.handle_event(
                     ReleaseUpdate(
                         action.build, action.stage, self.phase, True, Outcome.DONE, 0.5, 0
                     )
                 )
             elif type(action) in (Reject, Fail):
-                self.record.request_finished(action.id)
+                self.recorder.request_finished(action.id)
 
-    phase, swarm = ReleasePhase.ON_TRIAL, (0, 0, 0.0)
+    phase, outage = ReleasePhase.ON_TRIAL, (0, 0, 0.0)
 
-    def arrive(self):
-        name, lane = (
-            f"{self.chance.getrandbits(48):012x}",
-            "pay" if self.chance.random() < 0.2 else "read",
+    def receive_request(self):
+        name, request_class = (
+            f"{self.random_source.getrandbits(48):012x}",
+            "pay" if self.random_source.random() < 0.2 else "read",
         )
-        self.record.request_received(name, name, "t", lane, False)
-        self.tell(RequestReceived(name, lane, "t", name, 3 * SECOND, None, False, False))
-        self.world.at(
-            self.world.now + max(1, int(self.chance.expovariate(self.rate) * SECOND)), self.arrive
+        self.recorder.request_received(name, name, "t", request_class, False)
+        self.handle_event(
+            RequestReceived(name, request_class, "t", name, 3 * SECOND, None, False, False)
+        )
+        self.world.schedule(
+            self.world.now + max(1, int(self.random_source.expovariate(self.rate) * SECOND)),
+            self.receive_request,
         )
 
-    def ended(self, action, number, took):
-        first, last, share = self.swarm
-        hit = first <= self.world.now < last and action.endpoint.startswith("new")
-        failed = self.chance.random() < (share if hit else self.ill.get(action.endpoint, 0.001))
+    def end_attempt(self, action, attempt_number, latency):
+        start, end, failure_rate = self.outage
+        affected = start <= self.world.now < end and action.endpoint.startswith("new")
+        failed = self.random_source.random() < (
+            failure_rate if affected else self.failure_rates.get(action.endpoint, 0.001)
+        )
         if not failed:
-            self.record.request_answered(action.id, R.DONE)
-        self.tell(
+            self.recorder.request_answered(action.id, R.DONE)
+        self.handle_event(
             AttemptEnded(
                 action.id,
                 Outcome.ERROR if failed else Outcome.DONE,
                 not failed,
-                took,
+                latency,
                 action.endpoint,
-                number,
+                attempt_number,
                 None,
             )
         )
         if not failed:
-            self.record.request_finished(action.id)
+            self.recorder.request_finished(action.id)
 
 
-def pods(prefix, count, build, started=0):
+def make_endpoints(prefix, count, build, started=0):
     return [
-        Endpoint(f"{prefix}-{at}", "a", 1.0, 0, EndpointCondition.READY, started, "m", build)
-        for at in range(count)
+        Endpoint(f"{prefix}-{index}", "a", 1.0, 0, EndpointCondition.READY, started, "m", build)
+        for index in range(count)
     ]
 
 
-def went_back(seed):
+def simulate_rollback(seed):
     """A good build whose machines are behind something that fails for half a second: the votes that a sidecar cast, and
     what the record holds of the build's failures."""
     sidecar = Sidecar(
         seed,
         40,
-        pods("old", 12, 1) + pods("new", 8, 2),
+        make_endpoints("old", 12, 1) + make_endpoints("new", 8, 2),
         {},
         ReleaseUpdate(2, 2, ReleasePhase.ON_TRIAL, False, Outcome.DONE, 0.5, 0),
     )
-    sidecar.swarm = sidecar.world.now + 6 * SECOND, sidecar.world.now + 13 * SECOND // 2, 0.6
+    sidecar.outage = sidecar.world.now + 6 * SECOND, sidecar.world.now + 13 * SECOND // 2, 0.6
     sidecar.world.run(12 * SECOND)
-    record = sidecar.record
-    record.flush(sidecar.world.now, 0)
-    votes = [one for one in record.find(EntryFilter(reason=int(R.VOTED))) if one]
+    recorder = sidecar.recorder
+    recorder.flush(sidecar.world.now, 0)
+    votes = [match for match in recorder.find(EntryFilter(reason=int(R.VOTED))) if match]
     failures = collections.Counter(
         note[2]
-        for entry in record.find(EntryFilter(reason=int(R.ENDED)))
+        for entry in recorder.find(EntryFilter(reason=int(R.ENDED)))
         if entry
         for note in entry.notes
         if note[0] == R.ENDED and note[4] == "error"
@@ -139,45 +148,45 @@
     return list(reversed(votes)), failures
 
 
-def after_restart(seed):
+def simulate_restart(seed):
     """All pods cold just after a release, at a sidecar that has just restarted: why transactions were deferred."""
     now = 1000 * SECOND
     sidecar = Sidecar(
         seed,
         60,
-        pods("new", 4, 2, now - SECOND),
+        make_endpoints("new", 4, 2, now - SECOND),
         {},
         ReleaseUpdate(2, 2, ReleasePhase.RELEASED, False, Outcome.DONE, 1.0, 0),
         400,
     )
     sidecar.phase = ReleasePhase.RELEASED
     sidecar.world.run(6 * SECOND)
-    record = sidecar.record
-    record.flush(sidecar.world.now, 0)
-    deferred = [one for one in record.find(EntryFilter(reason=int(R.DEFERRED))) if one]
-    why = collections.Counter(
+    recorder = sidecar.recorder
+    recorder.flush(sidecar.world.now, 0)
+    deferred = [match for match in recorder.find(EntryFilter(reason=int(R.DEFERRED))) if match]
+    reasons = collections.Counter(
         R(note[0]).name
         for entry in deferred
         for note in entry.notes
         if note[0] not in (R.POSITION, R.DEFERRED, R.SENT, R.ENDED)
     )
-    return deferred, why, record.tally_report()
+    return deferred, reasons, recorder.tally_report()
 
 
 def main(arguments):
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args(arguments).seed
-    votes, failures = went_back(seed)
+    votes, failures = simulate_rollback(seed)
     print("A good build, of whose machines deliveries fail for half a second:")
     for entry in votes:
         print("\n".join(explain_entry(entry)))
     print("failed deliveries by pod:", dict(sorted(failures.items())))
-    deferred, why, tally = after_restart(seed)
-    print(f"Just after a restart with all pods cold: {len(deferred)} deferred, for", dict(why))
+    deferred, reasons, tallies = simulate_restart(seed)
+    print(f"Just after a restart with all pods cold: {len(deferred)} deferred, for", dict(reasons))
     for entry in deferred[-1:] + deferred[:1]:
         print("\n".join(explain_entry(entry)))
-    print(tally["ends"])
+    print(tallies["ends"])
     return 0
 
 
