--- a/measure/shop.py
+++ b/measure/shop.py
@@ -1,5 +1,8 @@
-"""A fleet in simulated time that serves transactions by the real decisions, with or without gossip: pods that answer
-after a while, some of which fail; instances of which few are loud. Figures from it are simulated.
+"""A simulated fleet whose instances send requests to endpoints, with or without gossip.
+
+The decisions are those of the real decision engine. Endpoints respond after a random latency; some
+fail a share of their attempts. Instances may have different request rates. Figures from it are
+simulated.
 """
 
 import random
@@ -53,8 +56,24 @@
 
 
 class Shop:
-    """names: rates of transactions a second by instance. ill: {pod: share of its deliveries that fail}. liars: names
-    that lie about all other pods each second. gossip: whether the nodes speak at all."""
+    """A simulated fleet.
+
+    Attributes:
+        world: The simulated network of gossip nodes; its event queue also runs the requests.
+        random_source: Random numbers of the requests.
+        rates: Requests per second, by instance name.
+        failure_rates: Share of attempts that fail, by the address of a faulty endpoint.
+        gossip: Whether the gossip nodes are started.
+        settings: Gossip settings.
+        endpoints: The endpoints.
+        endpoint_keys: Their keys in gossip.
+        liars: Hostile peers by instance name; once a second they send false evidence about all
+            endpoints that are not faulty.
+        balancers: Decision engines by instance name.
+        counts: Counts by instance name: `taken` requests, `deliveries` (attempts), how many of them
+            `failed`, were `done` or were sent to a faulty (`ill`) endpoint.
+        request_count: Number of requests so far, from which the request ids are derived.
+    """
 
     def __init__(
         self,
@@ -213,5 +232,6 @@
         )
 
     def share_failed(self, names):
+        """Returns the share of failed attempts of these instances."""
         deliveries = sum(self.counts[name]["deliveries"] for name in names)
         return sum(self.counts[name]["failed"] for name in names) / max(1, deliveries)
--- a/measure/why_story.py
+++ b/measure/why_story.py
@@ -1,5 +1,8 @@
-"""Two of the standing's riddles on own stand-ins, told from the record alone: a good build that goes back, and what is
-deferred just after a sidecar's restart. Simulated. python -m measure.why_story --seed n"""
+"""Explains two situations of simulated sidecars from the decision log alone.
+
+A good build that is rolled back, and requests that are deferred just after a sidecar's restart. Run
+with `python -m measure.why_story --seed n`.
+"""
 
 import argparse
 import collections
@@ -38,7 +41,20 @@
 
 
 class Sidecar:
-    """One sidecar's decisions with a record, at so many transactions a second; ill: {pod: share that fails}."""
+    """A simulated sidecar: a decision engine with a decision log and a steady rate of requests.
+
+    Attributes:
+        world: Its event queue; it has no gossip nodes.
+        random_source: Random numbers of the requests.
+        rate: Requests per second.
+        failure_rates: Share of attempts that fail, by the address of a faulty endpoint.
+        latency_scale: Scale of the gamma distribution of latencies, whose shape is 4.
+        recorder: Recorder of the decision log.
+        engine: The decision engine.
+        phase: Phase of the release updates that follow a vote.
+        outage: When the endpoints of the new build start and stop failing, and the share of their
+            attempts that fail.
+    """
 
     def __init__(self, seed, rate, endpoints, failure_rates, release_update, latency_scale=150):
         self.world, self.random_source = World([], seed), random.Random(seed)
@@ -59,6 +75,7 @@
         self.receive_request()
 
     def handle_event(self, event):
+        """Passes an event to the engine and executes its actions."""
         for action in list(self.engine.handle(self.world.now, [event])):
             if type(action) is SetTimer:
                 self.world.schedule(action.at, self.handle_event, TimerFired(action.token))
@@ -80,6 +97,7 @@
     phase, outage = ReleasePhase.ON_TRIAL, (0, 0, 0.0)
 
     def receive_request(self):
+        """Receives a request and schedules the next one."""
         name, request_class = (
             f"{self.random_source.getrandbits(48):012x}",
             "pay" if self.random_source.random() < 0.2 else "read",
@@ -94,6 +112,7 @@
         )
 
     def end_attempt(self, action, attempt_number, latency):
+        """Ends an attempt, with success or an error."""
         start, end, failure_rate = self.outage
         affected = start <= self.world.now < end and action.endpoint.startswith("new")
         failed = self.random_source.random() < (
@@ -117,6 +136,7 @@
 
 
 def make_endpoints(prefix, count, build, started=0):
+    """Returns ready endpoints whose addresses have this prefix."""
     return [
         Endpoint(f"{prefix}-{index}", "a", 1.0, 0, EndpointCondition.READY, started, "m", build)
         for index in range(count)
@@ -124,8 +144,12 @@
 
 
 def simulate_rollback(seed):
-    """A good build whose machines are behind something that fails for half a second: the votes that a sidecar cast, and
-    what the record holds of the build's failures."""
+    """Simulates a good build on trial whose endpoints fail for half a second.
+
+    Returns:
+        The log entries of the votes that the sidecar cast, oldest first, and the number of failed
+        attempts by endpoint according to the log.
+    """
     sidecar = Sidecar(
         seed,
         40,
@@ -149,7 +173,12 @@
 
 
 def simulate_restart(seed):
-    """All pods cold just after a release, at a sidecar that has just restarted: why transactions were deferred."""
+    """Simulates a sidecar that restarts just after a release, when all endpoints are cold.
+
+    Returns:
+        The log entries of the deferred requests, the number of notes by reason why they were
+        deferred, and the tallies of the log.
+    """
     now = 1000 * SECOND
     sidecar = Sidecar(
         seed,
@@ -174,6 +203,7 @@
 
 
 def main(arguments):
+    """Runs both simulations and prints the explanations."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
     seed = parser.parse_args(arguments).seed
--- a/measure/world.py
+++ b/measure/world.py
@@ -1,5 +1,7 @@
-"""Instances in simulated time: gossip nodes on a network that loses, copies, delays and cuts, each with a clock of its
-own, started and killed at will. Signatures are keyed hashes here, since Ed25519 would take most of the time.
+"""Gossip nodes on a simulated network that loses, duplicates, delays and partitions datagrams.
+
+Each node has its own clock and can be started, stalled and killed. Signatures are keyed hashes,
+since Ed25519 would take most of the time. Times are in ticks of 0.1 ms.
 """
 
 import heapq
@@ -39,35 +41,66 @@
 
 
 class KeyedHashIdentity:
-    """What an identity is to a node, by a keyed hash. Who holds the key can forge: tests of that use real ones."""
+    """A stand-in for an identity that signs with a keyed hash.
+
+    The key is the public key id, so anyone can forge signatures. Tests of forgery use real keys.
+
+    Attributes:
+        name: Name of the instance.
+        key_id: Key id, derived from the name.
+    """
 
     def __init__(self, name):
         self.name = name
         self.key_id = blake2b(name.encode(), digest_size=8).digest()
 
     def sign(self, message):
+        """Returns the keyed hash of a message."""
         return blake2b(message, key=self.key_id, digest_size=64).digest()
 
 
 class KeyedHashKeyring:
+    """A stand-in for a keyring with the key ids of KeyedHashIdentity.
+
+    Attributes:
+        groups: Group by name; peers in a group count as one witness. By default each has its own.
+        names: Name by key id.
+        revoked: Names whose keys are revoked.
+    """
+
     def __init__(self, names, groups=None):
         self.groups = {name: (groups or {}).get(name, name) for name in names}
         self.names = {KeyedHashIdentity(name).key_id: name for name in names}
         self.revoked = set()
 
     def owner(self, key_id, unix_time):
+        """Returns the name that a key belongs to, or None if it is unknown or revoked."""
         name = self.names.get(key_id)
         return None if name in self.revoked else name
 
     def active_names(self, unix_time):
+        """Returns the names whose keys are not revoked."""
         return self.groups.keys() - self.revoked
 
     def verifies(self, key_id, message, signature):
+        """Returns whether this is the keyed hash of the message."""
         return blake2b(message, key=key_id, digest_size=64).digest() == signature
 
 
 class Instance:
-    """A node at an address, with a clock that may be ahead or stand still."""
+    """A gossip node at an address that can be started, stalled and killed.
+
+    Attributes:
+        world: The simulated network.
+        name: Name of the instance.
+        address: Its address, (host, port).
+        ahead: By how much its clock is ahead of the simulated time.
+        settings: Gossip settings.
+        node: The gossip node; None while it is not running.
+        stalled_until: Until when it processes nothing.
+        pending_datagrams: Datagrams received while it is stalled, as (source, content).
+        generation: Number of starts and kills, to recognize ticks of an earlier start.
+    """
 
     def __init__(self, world, name, address, ahead=0, settings=TERMS):
         self.world, self.name, self.address, self.ahead, self.settings = (
@@ -80,6 +113,7 @@
         self.node, self.stalled_until, self.pending_datagrams, self.generation = None, 0, [], 0
 
     def begin(self, seeds):
+        """Starts the node with the addresses of these seeds."""
         world, self.generation = self.world, self.generation + 1
         start_id = int(world.random_source.draw() * (1 << 50))
         self.node = GossipNode(
@@ -100,6 +134,7 @@
         )
 
     def clock(self):
+        """Returns the time of its own clock."""
         return self.world.now + self.ahead
 
     def _tick(self, generation):
@@ -116,6 +151,7 @@
         )
 
     def received(self, source, content):
+        """Processes a datagram; keeps it until the end of a stall, up to 500 of them."""
         if self.node is None:
             return
         if self.world.now < self.stalled_until:
@@ -126,19 +162,41 @@
         self.flush()
 
     def flush(self):
+        """Sends the datagrams in the node's outbox."""
         datagrams = self.node.take_datagrams()
         for address, content in datagrams:
             self.world.send(self.address, address, content)
 
     def stall(self, duration):
+        """Stops all processing for this time."""
         self.stalled_until = self.world.now + duration
 
     def kill(self):
+        """Stops the node and discards its state."""
         self.node, self.pending_datagrams, self.generation = None, [], self.generation + 1
 
 
 class World:
-    """Time in tenths of a millisecond. loss, copies: shares of the datagrams; delay: (least, most)."""
+    """A simulated network of instances, and its event queue.
+
+    Attributes:
+        now: Simulated time.
+        unix_time: Unix time in seconds, constant.
+        random_source: Random numbers of the network and of the starts.
+        scheduled_events: Number of events scheduled so far; orders events of the same time.
+        loss: Share of the datagrams that are lost.
+        copies: Share of the datagrams that are duplicated.
+        delay: Minimum and maximum delay of a datagram.
+        event_queue: Heap of (time, number, callback, arguments).
+        ring: Keyring of all instances.
+        allowed_networks: Networks that peers may send from.
+        instances: Instances by name.
+        by_address: Instances by address.
+        side: Side of a network partition by address, 0 by default. Datagrams between different
+            sides are dropped.
+        sent: Number of datagrams sent.
+        taps: Functions that are called with the source, address and content of each datagram sent.
+    """
 
     def __init__(self, names, seed, loss=0.0, copies=0.0, delay=(2, 30), groups=None):
         self.now, self.unix_time, self.random_source, self.scheduled_events = (
@@ -158,18 +216,22 @@
             self.instances[name] = self.by_address[address] = Instance(self, name, address)
 
     def identity(self, name):
+        """Returns the identity of an instance. Subclasses may return one with a real key."""
         return KeyedHashIdentity(name)
 
     def new_nonce(self):
+        """Returns a nonce of 8 bytes."""
         return int(self.random_source.draw() * (1 << 31)).to_bytes(4, "big") + int(
             self.random_source.draw() * (1 << 31)
         ).to_bytes(4, "big")
 
     def schedule(self, time, callback, *arguments):
+        """Schedules a call at this time."""
         self.scheduled_events += 1
         heapq.heappush(self.event_queue, (time, self.scheduled_events, callback, arguments))
 
     def send(self, source, address, content):
+        """Sends a datagram, which may be lost, duplicated or cut off by a partition."""
         self.sent += 1
         for tap in self.taps:
             tap(source, address, content)
@@ -192,7 +254,13 @@
             instance.received(source, content)
 
     def run(self, duration, observe=None, interval=SECOND):
-        """On by so much; each() is called at every `every`."""
+        """Advances the simulated time by a duration.
+
+        Args:
+            duration: How far to advance.
+            observe: Called without arguments once per interval.
+            interval: Time between the calls of `observe`.
+        """
         end, next_call = self.now + duration, self.now + interval
         while self.event_queue and self.event_queue[0][0] <= end:
             time, _, callback, arguments = heapq.heappop(self.event_queue)
@@ -204,12 +272,16 @@
         self.now = end
 
     def begin(self, seeds=2):
+        """Starts all instances with the addresses of the first few as seeds."""
         seed_addresses = [seed.address for seed in list(self.instances.values())[:seeds]]
         for instance in self.instances.values():
             instance.begin(seed_addresses)
 
     def acquaint(self):
-        """All have met all, as after some minutes; with hundreds, meeting itself would take most of the time."""
+        """Makes all running instances know each other, as after some minutes of gossip.
+
+        With hundreds of instances, simulating those minutes would take most of the time.
+        """
         for instance in self.instances.values():
             for other in self.instances.values():
                 if instance is not other and instance.node and other.node:
@@ -225,10 +297,11 @@
             instance.node.limits.set_validated_addresses(instance.node.context.by_address)
 
     def live(self):
+        """Returns the running instances."""
         return [instance for instance in self.instances.values() if instance.node]
 
     def states(self, name):
-        """How the others see this one."""
+        """Returns the states of an instance in the views of the other running instances."""
         return [
             observer.node.members.all[name].state
             for observer in self.live()
