--- a/measure/why.py
+++ b/measure/why.py
@@ -36,13 +36,13 @@
     """A record with a clock of its own, and traffic made for it."""
 
     def __init__(self, seed, megabytes=2, path=None, span_seconds=900):
-        self.now, self.chance = NOW, random.Random(seed)
-        terms = DECISION_LOG_SETTINGS._replace(megabytes=megabytes, span=span_seconds * SECOND)
-        arena = SlotFile(megabytes * 1_000_000 // SLOT_BYTES, path)
+        self.now, self.random_source = NOW, random.Random(seed)
+        settings = DECISION_LOG_SETTINGS._replace(megabytes=megabytes, span=span_seconds * SECOND)
+        slot_file = SlotFile(megabytes * 1_000_000 // SLOT_BYTES, path)
         self.recorder = Recorder(
-            terms,
+            settings,
             REQUEST_CLASSES,
-            arena,
+            slot_file,
             epoch=0,
             clock=lambda: self.now,
             random_source=LinearCongruentialGenerator(seed),
@@ -51,97 +51,98 @@
     def record_request(
         self, name, request_class="read", tenant="t0", key=None, final_reason=R.DONE, attempts=1
     ):
-        record = self.recorder
-        record.request_received(name, key or name, tenant, request_class, False)
-        record.record_reason(name, R.POSITION, 0.3, 0.2, 0.5)
-        for number in range(attempts):
-            record.record_reason(
-                name, R.SENT, f"s-{self.chance.randrange(12)}", 1, False, 9000, 1.0
+        recorder = self.recorder
+        recorder.request_received(name, key or name, tenant, request_class, False)
+        recorder.record_reason(name, R.POSITION, 0.3, 0.2, 0.5)
+        for attempt_number in range(attempts):
+            recorder.record_reason(
+                name, R.SENT, f"s-{self.random_source.randrange(12)}", 1, False, 9000, 1.0
             )
-            record.record_reason(
+            recorder.record_reason(
                 name,
                 R.ENDED,
                 "s-1",
-                number,
+                attempt_number,
                 "done" if final_reason == R.DONE else "error",
                 200,
                 False,
             )
         if final_reason == R.DONE:
-            record.request_answered(name, final_reason)
+            recorder.request_answered(name, final_reason)
         else:
-            record.record_reason(
+            recorder.record_reason(
                 name, final_reason, *((50,) if final_reason == R.DEFERRED else ("s-1",))
             )
-        record.request_finished(name)
+        recorder.request_finished(name)
 
 
 def simulate_flood(seed):
     """Costly transactions among 10,000 cheap ones a second of one tenant with ever new keys: how many of those that
     are within the stated guarantee are still explained."""
-    rig, costly = RecorderRig(seed), []
+    rig, costly_ids = RecorderRig(seed), []
     for second in range(20):
-        for at in range(10_000):
+        for index in range(10_000):
             rig.now += 1
             rig.record_request(
-                f"c{second}-{at}",
+                f"c{second}-{index}",
                 tenant="loud",
-                key=f"k{second}-{at}",
-                final_reason=R.DEFERRED if at % 2 else R.DONE,
+                key=f"k{second}-{index}",
+                final_reason=R.DEFERRED if index % 2 else R.DONE,
             )
-            if at % 5000 == 77:
-                name = f"pay{second}-{at}"
+            if index % 5000 == 77:
+                name = f"pay{second}-{index}"
                 rig.record_request(
                     name,
                     "pay",
                     tenant=f"t{second % 3}",
                     final_reason=(R.ABANDONED, R.DONE, R.DEFERRED)[second % 3],
                 )
-                costly.append(name)
+                costly_ids.append(name)
     rig.recorder.flush(rig.now + SECOND)
-    kept = {one["region"]: one for one in rig.recorder.retention_report()["regions"]}
-    slots = min(kept["pay, unusual"]["slots"], kept["pay, as usual"]["slots"])
-    within = costly[-slots:]  # the guarantee: as many as the region's slots, whatever else comes
+    regions = {region["region"]: region for region in rig.recorder.retention_report()["regions"]}
+    region_slots = min(regions["pay, unusual"]["slots"], regions["pay, as usual"]["slots"])
+    # the guarantee: as many as the region's slots, whatever else comes
+    guaranteed = costly_ids[-region_slots:]
     return {
-        "costly_kept": sum(any(rig.recorder.find_by_name(name)) for name in within),
-        "costly_within": len(within),
+        "costly_kept": sum(any(rig.recorder.find_by_name(name)) for name in guaranteed),
+        "costly_within": len(guaranteed),
         "flooded": 200_000,
-        "stays_s": kept["pay, unusual"]["stays_s"],
+        "stays_s": regions["pay, unusual"]["stays_s"],
     }
 
 
-def resident_mb():
+def resident_megabytes():
     gc.collect()
     with open("/proc/self/statm", encoding="ascii") as source:
         return round(int(source.read().split()[1]) * 4096 / 1e6, 2)
 
 
-def hours(task):
+def simulate_hours(task):
     """Hours of simulated traffic at 40 a second, a million tenants and ever new keys and pods."""
     seed, seconds = task
     rig, memory = RecorderRig(seed), []
     for second in range(seconds):
-        for at in range(40):
+        for index in range(40):
             rig.now += SECOND // 40
-            tenant = f"t{rig.chance.randrange(1_000_000)}"
+            tenant = f"t{rig.random_source.randrange(1_000_000)}"
             rig.record_request(
-                f"{second}-{at}",
-                "pay" if at == 3 else "read",
+                f"{second}-{index}",
+                "pay" if index == 3 else "read",
                 tenant,
-                final_reason=R.DEFERRED if at % 7 == 0 else R.DONE,
-                attempts=1 + (at % 9 == 0),
+                final_reason=R.DEFERRED if index % 7 == 0 else R.DONE,
+                attempts=1 + (index % 9 == 0),
             )
         if (second + 1) % (seconds // 4) == 0:
-            memory.append(resident_mb())
-    record = rig.recorder
+            memory.append(resident_megabytes())
+    recorder = rig.recorder
     assert (
-        len(record.index.slots) <= record.slot_file.slots
-        and len(record.index.by_id) <= record.slot_file.slots
+        len(recorder.index.slots) <= recorder.slot_file.slots
+        and len(recorder.index.by_id) <= recorder.slot_file.slots
     )
     return memory[:4]
 
 
-def write_for_ever(path, seed):
+def write_until_killed(path, seed):
     """A writer that tells each number it has written whole, until it is killed."""
     rig = RecorderRig(seed, 1, path)
     number = 0
@@ -155,89 +156,97 @@
 
 def kill_writers(seed, count):
     """A writer killed at random moments; what it had told must be read again, each entry whole."""
-    chance, recovered, torn = random.Random(seed), 0, 0
+    random_source, recovered_count, torn_count = random.Random(seed), 0, 0
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "n1.why")
-        for at in range(count):
+        for index in range(count):
             with subprocess.Popen(
                 [
                     sys.executable,
                     "-c",
-                    "import sys; from measure.why import write_for_ever; "
-                    f"write_for_ever({path!r}, {seed + at})",
+                    "import sys; from measure.why import write_until_killed; "
+                    f"write_until_killed({path!r}, {seed + index})",
                 ],
                 stdout=subprocess.PIPE,
-            ) as process:
-                process.stdout.readline()
-                time.sleep(chance.random() * 0.03)
-                process.send_signal(signal.SIGKILL)
-                told = process.stdout.read().split()
+            ) as writer:
+                writer.stdout.readline()
+                time.sleep(random_source.random() * 0.03)
+                writer.send_signal(signal.SIGKILL)
+                written = writer.stdout.read().split()
             rig = RecorderRig(seed, 1, path)
-            last = told[-1].decode() if told else "0"
-            entries = list(rig.recorder.find_by_name(f"w-{last}"))
-            whole = (
+            last_number = written[-1].decode() if written else "0"
+            entries = list(rig.recorder.find_by_name(f"w-{last_number}"))
+            is_whole = (
                 bool(entries)
                 and entries[-1].final_reason == R.ABANDONED
                 and len(entries[-1].notes) == 4
             )
-            recovered += whole and rig.recorder.torn_slots <= 1
-            torn += rig.recorder.torn_slots
+            recovered_count += is_whole and rig.recorder.torn_slots <= 1
+            torn_count += rig.recorder.torn_slots
             rig.recorder.slot_file.close()
-    return {"recovered_after_kill": recovered, "kills": count, "torn_found": torn}
+    return {"recovered_after_kill": recovered_count, "kills": count, "torn_found": torn_count}
 
 
-def shares_against_plain(slots=4000):
+def compare_eviction_times(slots=4000):
     """Microseconds for a step of Shares, and of looking through all holders, each with a slot of its own."""
-    took = []
-    for plain in (False, True):
-        shares, held = FairEviction(), {}
+    durations = []
+    for use_scan in (False, True):
+        eviction, slots_by_holder = FairEviction(), {}
         for slot in range(slots):
-            shares.add(slot, slot)
-            held[slot] = [slot]
-        begin, steps = time.perf_counter(), 300
-        for at in range(steps):
-            if plain:
-                most = max(held, key=lambda one: len(held[one]))
-                slot = held[most].pop(0)
-                if not held[most]:
-                    del held[most]
-                held.setdefault(("new", at), []).append(slot)
+            eviction.add(slot, slot)
+            slots_by_holder[slot] = [slot]
+        start, steps = time.perf_counter(), 300
+        for index in range(steps):
+            if use_scan:
+                largest_holder = max(
+                    slots_by_holder, key=lambda holder: len(slots_by_holder[holder])
+                )
+                slot = slots_by_holder[largest_holder].pop(0)
+                if not slots_by_holder[largest_holder]:
+                    del slots_by_holder[largest_holder]
+                slots_by_holder.setdefault(("new", index), []).append(slot)
             else:
-                shares.add(("new", at), shares.evict())
-        took.append(round((time.perf_counter() - begin) / steps * 1e6, 2))
-    return {"shares_us": took[0], "plain_us": took[1]}
+                eviction.add(("new", index), eviction.evict())
+        durations.append(round((time.perf_counter() - start) / steps * 1e6, 2))
+    return {"shares_us": durations[0], "plain_us": durations[1]}
 
 
-def cpu_of(process):
+def cpu_seconds(process):
     with open(f"/proc/{process.pid}/stat", encoding="ascii") as source:
         fields = source.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
-def ask_for_ever(port, seconds):
+def send_queries(port, seconds):
     """Asks as much as it can for a while; every other answer is not read."""
     import socket
 
-    end, asked = time.monotonic() + seconds, 0
-    unread = socket.create_connection(("127.0.0.1", port))
-    unread.sendall(b'{"ask":"find"}\n' * 50)
-    while time.monotonic() < end:
-        asked += sum(
+    deadline, line_count = time.monotonic() + seconds, 0
+    unread_connection = socket.create_connection(("127.0.0.1", port))
+    unread_connection.sendall(b'{"ask":"find"}\n' * 50)
+    while time.monotonic() < deadline:
+        line_count += sum(
             1 for _ in query_results(f"127.0.0.1:{port}", None, {"ask": "find", "limit": 200})
         )
         time.sleep(0.02)
-    unread.close()
-    return asked
+    unread_connection.close()
+    return line_count
 
 
-def on_sockets(seed, short):
+def measure_programs(seed, short):
     """Two programs in turn under the same load, one with the record: CPU of a transaction; and latency while it is
     asked and while it is not."""
-    kept, port = reserve_port()
-    pods = [FakeEndpoint(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
-    entries = [pod.entry(f"s-{at}") for at, pod in enumerate(pods)]
+    reservation, port = reserve_port()
+    endpoints = [FakeEndpoint(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
+    entries = [endpoint.entry(f"s-{index}") for index, endpoint in enumerate(endpoints)]
     programs = {}
-    cpu, count, asked, calm, lines = {True: 0.0, False: 0.0}, {True: 0, False: 0}, [], [], 0
+    cpu_times, counts, queried_latencies, unqueried_latencies, line_count = (
+        {True: 0.0, False: 0.0},
+        {True: 0, False: 0},
+        [],
+        [],
+        0,
+    )
     try:
         programs[False] = Program(*entries)
         programs[True] = Program(
@@ -246,47 +255,58 @@
         for program in programs.values():
             program.__enter__()
         with ProcessPoolExecutor(3, get_context("spawn")) as pool:
-            for at in range(2 if short else 8):
-                for on in (True, False) if at % 2 else (False, True):
-                    before = cpu_of(programs[on].process)
+            for round_number in range(2 if short else 8):
+                for log_enabled in (True, False) if round_number % 2 else (False, True):
+                    cpu_before = cpu_seconds(programs[log_enabled].process)
                     results = pool.submit(
-                        drive, programs[on].port, 400, 1 if short else 3, seed + at
+                        drive,
+                        programs[log_enabled].port,
+                        400,
+                        1 if short else 3,
+                        seed + round_number,
                     ).result()
-                    cpu[on] += cpu_of(programs[on].process) - before
-                    count[on] += len(results)
-            for at in range(2 if short else 6):
-                for ask in (True, False) if at % 2 else (False, True):
-                    other = pool.submit(ask_for_ever, port, 2) if ask else None
-                    took = [
-                        one[1]
-                        for one in pool.submit(
-                            drive, programs[True].port, 200, 1.8, seed + at
+                    cpu_times[log_enabled] += (
+                        cpu_seconds(programs[log_enabled].process) - cpu_before
+                    )
+                    counts[log_enabled] += len(results)
+            for round_number in range(2 if short else 6):
+                for with_queries in (True, False) if round_number % 2 else (False, True):
+                    query_task = pool.submit(send_queries, port, 2) if with_queries else None
+                    latencies = [
+                        result[1]
+                        for result in pool.submit(
+                            drive, programs[True].port, 200, 1.8, seed + round_number
                         ).result()
                     ]
-                    (asked if ask else calm).extend(took)
-                    lines += other.result() if other else 0
-        found = {}
+                    (queried_latencies if with_queries else unqueried_latencies).extend(latencies)
+                    line_count += query_task.result() if query_task else 0
+        retention = {}
         wait_until(
-            lambda: found,
-            lambda: found.update(
+            lambda: retention,
+            lambda: retention.update(
                 next(iter(query_results(f"127.0.0.1:{port}", None, {"ask": "kept"})))
             ),
         )
     finally:
         for program in programs.values():
             program.__exit__()
-        for part in (*pods, kept):
-            part.close()
-    each = {on: 1000 * cpu[on] / max(1, count[on]) for on in (True, False)}
+        for resource in (*endpoints, reservation):
+            resource.close()
+    cpu_per_request = {
+        log_enabled: 1000 * cpu_times[log_enabled] / max(1, counts[log_enabled])
+        for log_enabled in (True, False)
+    }
     return {
-        "cpu_ms": {"on": round(each[True], 4), "off": round(each[False], 4)},
-        "cpu_ratio_on": round(each[True] / each[False], 3),
+        "cpu_ms": {"on": round(cpu_per_request[True], 4), "off": round(cpu_per_request[False], 4)},
+        "cpu_ratio_on": round(cpu_per_request[True] / cpu_per_request[False], 3),
         "p99_ms": {
-            "asked": round(1000 * quantile(asked, 0.99), 2),
-            "calm": round(1000 * quantile(calm, 0.99), 2),
+            "asked": round(1000 * quantile(queried_latencies, 0.99), 2),
+            "calm": round(1000 * quantile(unqueried_latencies, 0.99), 2),
         },
-        "query_p99_effect": round(quantile(asked, 0.99) / quantile(calm, 0.99), 3),
-        "lines_answered": lines,
+        "query_p99_effect": round(
+            quantile(queried_latencies, 0.99) / quantile(unqueried_latencies, 0.99), 3
+        ),
+        "lines_answered": line_count,
     }
 
 
@@ -295,24 +315,27 @@
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--short", action="store_true", help="a form of some seconds")
     parser.add_argument("--part", choices=("all", "record", "sockets"), default="all")
-    chosen = parser.parse_args(arguments)
-    short, figures = chosen.short, {"seed": chosen.seed}
-    if chosen.part != "sockets":
-        right, total, met, wrong = run_case_mix(10 if short else 100)
-        for one in wrong[:5]:
-            print("wrong:", one)
+    options = parser.parse_args(arguments)
+    short, figures = options.short, {"seed": options.seed}
+    if options.part != "sockets":
+        explained, total, reasons_met, wrong = run_case_mix(10 if short else 100)
+        for case in wrong[:5]:
+            print("wrong:", case)
         figures.update(
-            explained_right=right, transactions=total, reasons_covered=len(met), reasons=len(R)
+            explained_right=explained,
+            transactions=total,
+            reasons_covered=len(reasons_met),
+            reasons=len(R),
         )
         with ProcessPoolExecutor(2, get_context("spawn")) as pool:
-            simulated = pool.submit(hours, (chosen.seed, 400 if short else 4 * 3600))
-            flooded = pool.submit(simulate_flood, chosen.seed)
-            figures.update(kill_writers(chosen.seed, 5 if short else 200))
-            figures["memory_mb_by_quarter"] = simulated.result()
-            figures.update(flooded.result())
-        figures.update(shares_against_plain())
-    if chosen.part != "record":
-        figures.update(on_sockets(chosen.seed, short))
+            hours_task = pool.submit(simulate_hours, (options.seed, 400 if short else 4 * 3600))
+            flood_task = pool.submit(simulate_flood, options.seed)
+            figures.update(kill_writers(options.seed, 5 if short else 200))
+            figures["memory_mb_by_quarter"] = hours_task.result()
+            figures.update(flood_task.result())
+        figures.update(compare_eviction_times())
+    if options.part != "record":
+        figures.update(measure_programs(options.seed, short))
     print(json.dumps(figures))
     return 0
 
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -24,20 +24,28 @@
 
 NOW = 1000 * TICKS_PER_SECOND
 DECISION_LOG_SETTINGS = DecisionLogSettings(8, None, "", 0.4, 0.2, 15 * 60 * TICKS_PER_SECOND, 200)
-LOW, HIGH = "k-9", "a"  # placed by the ramp that the case sets: 0 is above no key, 1 below none
+# placed by the ramp that the case sets: 0 is above no key, 1 below none
+LOWER_KEY, HIGHER_KEY = "k-9", "a"
 
 
 class Case:
     """A balancer in a state of its own with a record that listens; ids and what each must be explained by."""
 
-    def __init__(self, *pods, told=None, bare=False, record=None, **changes):
+    def __init__(
+        self,
+        *endpoints,
+        release_update=None,
+        without_release_update=False,
+        recorder=None,
+        **changes,
+    ):
         self.now = NOW
-        self.balancer = (
+        self.engine = (
             DecisionEngine(ENGINE_SETTINGS, 7, NOW)
-            if bare
-            else make_engine(*pods, release_update=told, **changes)
+            if without_release_update
+            else make_engine(*endpoints, release_update=release_update, **changes)
         )
-        self.record = record or Recorder(
+        self.recorder = recorder or Recorder(
             DECISION_LOG_SETTINGS,
             REQUEST_CLASSES,
             SlotFile(10_000),
@@ -45,43 +53,51 @@
             clock=lambda: self.now,
             random_source=LinearCongruentialGenerator(3),
         )
-        self.record.clock = lambda: self.now
-        self.balancer.context.reason_callback = self.record.record_reason
+        self.recorder.clock = lambda: self.now
+        self.engine.context.reason_callback = self.recorder.record_reason
         self.expected = {}
 
-    def take(self, name, lane="read", key=None, left=3 * TICKS_PER_SECOND, tenant="t"):
-        self.record.request_received(name, key, tenant, lane, False)
-        return self.balancer.handle(self.now, [make_request(name, lane, key, left)])
+    def receive(
+        self, name, request_class="read", key=None, time_left=3 * TICKS_PER_SECOND, tenant="t"
+    ):
+        self.recorder.request_received(name, key, tenant, request_class, False)
+        return self.engine.handle(self.now, [make_request(name, request_class, key, time_left)])
 
-    def end(self, name, outcome=Outcome.ERROR, address="old-1", number=0, latency=100):
+    def end_attempt(
+        self, name, outcome=Outcome.ERROR, address="old-1", attempt_number=0, latency=100
+    ):
         if outcome == Outcome.DONE:
-            self.record.request_answered(name, R.DONE)
-        return self.balancer.handle(
+            self.recorder.request_answered(name, R.DONE)
+        return self.engine.handle(
             self.now,
-            [make_attempt_ended(name, outcome, address, number, outcome == Outcome.DONE, latency)],
+            [
+                make_attempt_ended(
+                    name, outcome, address, attempt_number, outcome == Outcome.DONE, latency
+                )
+            ],
         )
 
-    def expect(self, name, end, *reasons):
-        self.expected[name] = end, {*reasons, *((end,) if end else ())}
-        self.record.request_finished(name)
+    def expect(self, name, final_reason, *reasons):
+        self.expected[name] = final_reason, {*reasons, *((final_reason,) if final_reason else ())}
+        self.recorder.request_finished(name)
 
-    def right(self):
+    def check(self):
         """How many are explained by just what was expected, how many there are, and the wrong ones."""
-        self.record.flush(self.now + TICKS_PER_SECOND)
+        self.recorder.flush(self.now + TICKS_PER_SECOND)
         wrong = []
-        for name, (end, reasons) in self.expected.items():
-            found = list(self.record.find_by_name(name))
+        for name, (final_reason, reasons) in self.expected.items():
+            entries = list(self.recorder.find_by_name(name))
             if (
-                not found
-                or found[-1].final_reason != (end or 0)
-                or {note[0] for note in found[-1].notes} != set(reasons)
+                not entries
+                or entries[-1].final_reason != (final_reason or 0)
+                or {note[0] for note in entries[-1].notes} != set(reasons)
             ):
                 wrong.append(
                     (
                         name,
-                        end,
-                        sorted(R(one).name for one in reasons),
-                        sorted(R(note[0]).name for one in found for note in one.notes),
+                        final_reason,
+                        sorted(R(reason).name for reason in reasons),
+                        sorted(R(note[0]).name for entry in entries for note in entry.notes),
                     )
                 )
         return len(self.expected) - len(wrong), len(self.expected), wrong
@@ -91,283 +107,317 @@
     return [action.endpoint for action in actions if isinstance(action, SendAttempt)][-1]
 
 
-def usual(case, name, **more):
-    where = sent_to(case.take(name, **more))
-    case.end(name, Outcome.DONE, where)
+def serve_ordinary_request(case, name, **options):
+    endpoint = sent_to(case.receive(name, **options))
+    case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION)
 
 
-def by_position(case, name):
-    case.balancer.split.fraction, case.balancer.split.fraction_updated_at = 1.0, NOW + 10**9
-    usual(case, name, key=LOW)
+def split_by_position(case, name):
+    case.engine.split.fraction, case.engine.split.fraction_updated_at = 1.0, NOW + 10**9
+    serve_ordinary_request(case, name, key=LOWER_KEY)
 
 
-def staying(case, name):
-    case.balancer.split.pinned_keys = {name}
-    where = sent_to(case.take(name, key=name))
-    case.end(name, Outcome.DONE, where)
+def keep_sticky_key(case, name):
+    case.engine.split.pinned_keys = {name}
+    endpoint = sent_to(case.receive(name, key=name))
+    case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.STAYS)
 
 
-def astray(case, name):
-    case.balancer.split.fraction, case.balancer.split.failing_keys = 1.0, {name}
-    where = sent_to(case.take(name, key=name))
-    case.end(name, Outcome.DONE, where)
+def keep_failing_key_off_trial(case, name):
+    case.engine.split.fraction, case.engine.split.failing_keys = 1.0, {name}
+    endpoint = sent_to(case.receive(name, key=name))
+    case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.ASTRAY)
 
 
-def guarded(case, name):
-    case.balancer.split.fraction = 1.0
-    where = sent_to(case.take(name, "pay", key=HIGH))
-    case.end(name, Outcome.DONE, where)
+def hit_guarded_stage(case, name):
+    case.engine.split.fraction = 1.0
+    endpoint = sent_to(case.receive(name, "pay", key=HIGHER_KEY))
+    case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.GUARDED)
 
 
-def exposed(case, name):
-    case.balancer.split.fraction = 1.0
-    where = sent_to(case.take(name, key=HIGH))
-    case.end(name, Outcome.DONE, where)
+def exhaust_exposure_budget(case, name):
+    case.engine.split.fraction = 1.0
+    endpoint = sent_to(case.receive(name, key=HIGHER_KEY))
+    case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION, R.EXPOSURE)
 
 
-def closed(case, name):
-    case.balancer.split.pinned_keys = {name}
-    case.take(name, key=name)
+def hit_closed_trial(case, name):
+    case.engine.split.pinned_keys = {name}
+    case.receive(name, key=name)
     case.expect(name, R.DEFERRED, R.STAYS, R.CLOSED)
 
 
-def unreachable(case, name):
-    case.balancer.context.endpoints["old-1"].ejected_until = NOW + TICKS_PER_SECOND
-    where = sent_to(case.take(name))
-    case.end(name, Outcome.DONE, where)
+def skip_ejected_endpoint(case, name):
+    case.engine.context.endpoints["old-1"].ejected_until = NOW + TICKS_PER_SECOND
+    endpoint = sent_to(case.receive(name))
+    case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.UNREACHABLE, R.POSITION)
 
 
-def doubted(case, name):
-    case.balancer.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + TICKS_PER_SECOND)])
-    where = sent_to(case.take(name))
-    case.end(name, Outcome.DONE, where)
+def skip_suspected_endpoint(case, name):
+    case.engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + TICKS_PER_SECOND)])
+    endpoint = sent_to(case.receive(name))
+    case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.DOUBTED, R.POSITION)
 
 
-def again(case, name):
-    where = sent_to(case.take(name))
-    case.balancer.requests.retry_budget.tokens = 2.0
-    other = sent_to(case.end(name, Outcome.ERROR, where))
-    case.end(name, Outcome.DONE, other, 1)
+def retry_elsewhere(case, name):
+    endpoint = sent_to(case.receive(name))
+    case.engine.requests.retry_budget.tokens = 2.0
+    second_endpoint = sent_to(case.end_attempt(name, Outcome.ERROR, endpoint))
+    case.end_attempt(name, Outcome.DONE, second_endpoint, 1)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.USED, R.POSITION)
 
 
-def cold(case, name):
-    case.take(name)
+def find_only_cold_endpoints(case, name):
+    case.receive(name)
     case.expect(name, R.DEFERRED, R.COLD, R.NO_POD, R.POSITION)
 
 
-def outside(case, name):
-    where = sent_to(case.take(name, "zoned"))
-    case.balancer.context.endpoints[where].listed = case.balancer.context.endpoints[
-        where
+def find_no_deduplicating_endpoint(case, name):
+    endpoint = sent_to(case.receive(name, "zoned"))
+    case.engine.context.endpoints[endpoint].listed = case.engine.context.endpoints[
+        endpoint
     ].listed._replace(zone="a")
-    case.balancer.requests.retry_budget.tokens = 2.0
-    del case.balancer.context.endpoints[where]
-    case.balancer.selection.group_by_build()
-    case.end(name, Outcome.ERROR, where)
+    case.engine.requests.retry_budget.tokens = 2.0
+    del case.engine.context.endpoints[endpoint]
+    case.engine.selection.group_by_build()
+    case.end_attempt(name, Outcome.ERROR, endpoint)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.OUTSIDE, R.NO_POD, R.POSITION)
 
 
-def no_pod(case, name):
-    case.take(name)
+def find_no_endpoint(case, name):
+    case.receive(name)
     case.expect(name, R.DEFERRED, R.NO_POD, R.POSITION)
 
 
 def over_limit(case, name):
-    case.take(name)
+    case.receive(name)
     case.expect(name, R.DEFERRED, R.OVER_LIMIT)
 
 
-def pressed_by(balancer):
+def add_slow_response(engine):
     """Answers of now that took a hundred times their goal."""
-    balancer.admission.response_counts.add(balancer.context.now)
-    balancer.admission.relative_latencies.add(balancer.context.now, 100.0)
+    engine.admission.response_counts.add(engine.context.now)
+    engine.admission.relative_latencies.add(engine.context.now, 100.0)
 
 
 def by_lot(case, name):
-    actions = case.take(name)
-    if any(
-        isinstance(action, SendAttempt) for action in actions
-    ):  # one in ten is let in all the same
-        case.end(name, Outcome.DONE, sent_to(actions))
+    actions = case.receive(name)
+    # one in ten is let in all the same
+    if any(isinstance(action, SendAttempt) for action in actions):
+        case.end_attempt(name, Outcome.DONE, sent_to(actions))
         case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION)
     else:
         case.expect(name, R.DEFERRED, R.BY_LOT)
-    pressed_by(case.balancer)
+    add_slow_response(case.engine)
 
 
-def no_news(case, name):
-    case.take(name)
+def lack_release_update(case, name):
+    case.receive(name)
     case.expect(name, R.DEFERRED, R.NO_NEWS)
 
 
-def most(case, name):
-    where = sent_to(case.take(name))
-    case.balancer.requests.retry_budget.tokens = 2.0
-    case.end(name, Outcome.ERROR, where)
+def reach_max_attempts(case, name):
+    endpoint = sent_to(case.receive(name))
+    case.engine.requests.retry_budget.tokens = 2.0
+    case.end_attempt(name, Outcome.ERROR, endpoint)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.MOST_DELIVERIES, R.POSITION)
 
 
-def too_late(case, name):
-    where = sent_to(case.take(name))
+def run_out_of_time(case, name):
+    endpoint = sent_to(case.receive(name))
     case.now += 2 * TICKS_PER_SECOND
-    case.end(name, Outcome.ERROR, where, latency=2 * TICKS_PER_SECOND)
+    case.end_attempt(name, Outcome.ERROR, endpoint, latency=2 * TICKS_PER_SECOND)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.TIME_OVER, R.POSITION)
     case.now -= 2 * TICKS_PER_SECOND
 
 
-def no_budget(case, name):
-    where = sent_to(case.take(name))
-    case.balancer.requests.retry_budget.tokens = 0.0
-    case.end(name, Outcome.ERROR, where)
+def exhaust_retry_budget(case, name):
+    endpoint = sent_to(case.receive(name))
+    case.engine.requests.retry_budget.tokens = 0.0
+    case.end_attempt(name, Outcome.ERROR, endpoint)
     case.expect(name, R.DEFERRED, R.SENT, R.ENDED, R.NO_BUDGET, R.POSITION)
 
 
-def may_have_run(case, name):
-    where = sent_to(case.take(name, "pay"))
-    case.balancer.requests.retry_budget.tokens = 2.0
-    case.end(name, Outcome.RESET, where)
+def leave_attempt_unresolved(case, name):
+    endpoint = sent_to(case.receive(name, "pay"))
+    case.engine.requests.retry_budget.tokens = 2.0
+    case.end_attempt(name, Outcome.RESET, endpoint)
     case.expect(name, R.ABANDONED, R.SENT, R.ENDED, R.MAY_HAVE_RUN, R.POSITION)
 
 
-def went_away(case, name):
-    case.take(name)
-    case.record.request_answered(name, R.LEFT)
-    case.balancer.handle(case.now, [ClientDisconnected(name)])
+def disconnect_client(case, name):
+    case.receive(name)
+    case.recorder.request_answered(name, R.LEFT)
+    case.engine.handle(case.now, [ClientDisconnected(name)])
     case.expect(name, R.LEFT, R.SENT, R.POSITION)
 
 
-def second_copy(case, name):
-    balancer_ = case.balancer
-    balancer_.requests.hedging.budget.tokens = 2.0
-    where = sent_to(case.take(name))
-    token = next(token for token, one in balancer_.requests.hedging.timers.items() if one == name)
+def send_hedged_request(case, name):
+    engine = case.engine
+    engine.requests.hedging.budget.tokens = 2.0
+    endpoint = sent_to(case.receive(name))
+    token = next(
+        token for token, request_id in engine.requests.hedging.timers.items() if request_id == name
+    )
     case.now += TICKS_PER_SECOND // 2
-    other = sent_to(balancer_.handle(case.now, [TimerFired(token)]))
-    case.end(name, Outcome.DONE, other, 1)
-    case.end(name, Outcome.TIMED_OUT, where, 0)
+    second_endpoint = sent_to(engine.handle(case.now, [TimerFired(token)]))
+    case.end_attempt(name, Outcome.DONE, second_endpoint, 1)
+    case.end_attempt(name, Outcome.TIMED_OUT, endpoint, 0)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.SECOND_COPY, R.USED, R.POSITION)
     case.now -= TICKS_PER_SECOND // 2
 
 
-OLD = make_endpoint("old-1"), make_endpoint("old-2")
-TRIAL = OLD + (make_endpoint("new-1", 2),)
+OLD_ENDPOINTS = make_endpoint("old-1"), make_endpoint("old-2")
+TRIAL_ENDPOINTS = OLD_ENDPOINTS + (make_endpoint("new-1", 2),)
 # What makes the state, what is done to each transaction; "each": every transaction has a state of its own.
 CASES = {
-    "as usual": (lambda **more: Case(*OLD, **more), usual, True),
+    "as usual": (lambda **options: Case(*OLD_ENDPOINTS, **options), serve_ordinary_request, True),
     "position": (
-        lambda **more: Case(
-            *TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0, **more
+        lambda **options: Case(
+            *TRIAL_ENDPOINTS,
+            release_update=make_release_update(2, cap=1.0),
+            exposure_allowance=1000.0,
+            **options,
         ),
-        by_position,
+        split_by_position,
         True,
     ),
     "stays": (
-        lambda **more: Case(
-            *TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0, **more
+        lambda **options: Case(
+            *TRIAL_ENDPOINTS,
+            release_update=make_release_update(2, cap=1.0),
+            exposure_allowance=1000.0,
+            **options,
         ),
-        staying,
+        keep_sticky_key,
         True,
     ),
     "astray": (
-        lambda **more: Case(
-            *TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0, **more
+        lambda **options: Case(
+            *TRIAL_ENDPOINTS,
+            release_update=make_release_update(2, cap=1.0),
+            exposure_allowance=1000.0,
+            **options,
         ),
-        astray,
+        keep_failing_key_off_trial,
         True,
     ),
     "guarded": (
-        lambda **more: Case(
-            *TRIAL, told=make_release_update(0, cap=1.0), exposure_allowance=1000.0, **more
+        lambda **options: Case(
+            *TRIAL_ENDPOINTS,
+            release_update=make_release_update(0, cap=1.0),
+            exposure_allowance=1000.0,
+            **options,
         ),
-        guarded,
+        hit_guarded_stage,
         True,
     ),
     "exposed": (
-        lambda **more: Case(
-            *TRIAL, told=make_release_update(2, cap=0.01), exposure_allowance=0.0, **more
+        lambda **options: Case(
+            *TRIAL_ENDPOINTS,
+            release_update=make_release_update(2, cap=0.01),
+            exposure_allowance=0.0,
+            **options,
         ),
-        exposed,
+        exhaust_exposure_budget,
         True,
     ),
     "closed": (
-        lambda **more: Case(*TRIAL, told=make_release_update(2, cap=0.0), **more),
-        closed,
+        lambda **options: Case(
+            *TRIAL_ENDPOINTS, release_update=make_release_update(2, cap=0.0), **options
+        ),
+        hit_closed_trial,
         True,
     ),
-    "unreachable": (lambda **more: Case(*OLD, **more), unreachable, True),
-    "doubted": (lambda **more: Case(*OLD, **more), doubted, True),
-    "again": (lambda **more: Case(*OLD, **more), again, True),
+    "unreachable": (lambda **options: Case(*OLD_ENDPOINTS, **options), skip_ejected_endpoint, True),
+    "doubted": (lambda **options: Case(*OLD_ENDPOINTS, **options), skip_suspected_endpoint, True),
+    "again": (lambda **options: Case(*OLD_ENDPOINTS, **options), retry_elsewhere, True),
     "cold": (
-        lambda **more: Case(
+        lambda **options: Case(
             make_endpoint("c-1", started=NOW - 1),
             make_endpoint("c-2", started=NOW - 1),
             instances=10**6,
-            **more,
+            **options,
         ),
-        cold,
+        find_only_cold_endpoints,
         True,
     ),
     "outside": (
-        lambda **more: Case(
+        lambda **options: Case(
             make_endpoint("z-1", zone="a"),
             make_endpoint("z-2", zone="b")._replace(size=1e-6),
-            **more,
+            **options,
         ),
-        outside,
+        find_no_deduplicating_endpoint,
         True,
     ),
     "no pod": (
-        lambda **more: Case(make_endpoint("old-1", condition=EndpointCondition.DRAINING), **more),
-        no_pod,
+        lambda **options: Case(
+            make_endpoint("old-1", condition=EndpointCondition.DRAINING), **options
+        ),
+        find_no_endpoint,
+        True,
+    ),
+    "no news": (
+        lambda **options: Case(without_release_update=True, **options),
+        lack_release_update,
         True,
     ),
-    "no news": (lambda **more: Case(bare=True, **more), no_news, True),
-    "most": (lambda **more: Case(*OLD, max_attempts=1, **more), most, True),
-    "too late": (lambda **more: Case(*OLD, **more), too_late, True),
-    "no budget": (lambda **more: Case(*OLD, **more), no_budget, True),
-    "may have run": (lambda **more: Case(*OLD, **more), may_have_run, True),
-    "went away": (lambda **more: Case(*OLD, **more), went_away, True),
-    "second copy": (lambda **more: Case(*OLD, **more), second_copy, True),
+    "most": (
+        lambda **options: Case(*OLD_ENDPOINTS, max_attempts=1, **options),
+        reach_max_attempts,
+        True,
+    ),
+    "too late": (lambda **options: Case(*OLD_ENDPOINTS, **options), run_out_of_time, True),
+    "no budget": (lambda **options: Case(*OLD_ENDPOINTS, **options), exhaust_retry_budget, True),
+    "may have run": (
+        lambda **options: Case(*OLD_ENDPOINTS, **options),
+        leave_attempt_unresolved,
+        True,
+    ),
+    "went away": (lambda **options: Case(*OLD_ENDPOINTS, **options), disconnect_client, True),
+    "second copy": (lambda **options: Case(*OLD_ENDPOINTS, **options), send_hedged_request, True),
 }
 
 
-def filled(**more):
+def make_full_sidecar(**options):
     """A sidecar with as much open as its limit lets in."""
-    case = Case(*OLD, **more)
-    for at in range(60):
-        case.take(f"fill-{at}")
+    case = Case(*OLD_ENDPOINTS, **options)
+    for index in range(60):
+        case.receive(f"fill-{index}")
     return case
 
 
-def pressed(**more):
-    case = Case(*OLD, **more)
-    pressed_by(case.balancer)
+def make_overloaded_sidecar(**options):
+    case = Case(*OLD_ENDPOINTS, **options)
+    add_slow_response(case.engine)
     return case
 
 
-def voting():
+def cast_votes():
     """A bad build on trial, and the votes that the record holds of it."""
-    case = Case(*TRIAL, told=make_release_update(2, cap=1.0), exposure_allowance=1000.0)
+    case = Case(
+        *TRIAL_ENDPOINTS, release_update=make_release_update(2, cap=1.0), exposure_allowance=1000.0
+    )
     for _ in range(40):
-        case.balancer.sequential_test.add("failed", True)
-    case.balancer.handle(NOW + TICKS_PER_SECOND, [TimerFired(0)])
-    return [entry for entry in case.record.find(EntryFilter(reason=int(R.VOTED))) if entry]
+        case.engine.sequential_test.add("failed", True)
+    case.engine.handle(NOW + TICKS_PER_SECOND, [TimerFired(0)])
+    return [entry for entry in case.recorder.find(EntryFilter(reason=int(R.VOTED))) if entry]
 
 
 def run_case_mix(count):
     """(right, all, reasons met, wrong) over so many transactions of each case."""
-    right = total = 0
-    met, wrong = set(), []
-    for name, (make, act, _) in CASES.items():
-        record = Recorder(
+    explained = total = 0
+    reasons_met, wrong = set(), []
+    for name, (make_case, run_request, _) in CASES.items():
+        recorder = Recorder(
             DECISION_LOG_SETTINGS,
             REQUEST_CLASSES,
             SlotFile(10_000),
@@ -376,22 +426,33 @@
             random_source=LinearCongruentialGenerator(3),
         )
         # of what goes as usual all is kept here
-        record.settings = DECISION_LOG_SETTINGS._replace(span=1)
-        for at in range(count):
-            case = make(record=record)
-            act(case, f"{name}-{at}")
-            good, all_, bad = case.right()
-            right, total, wrong = right + good, total + all_, wrong + bad
-            met |= {reason for _, reasons in case.expected.values() for reason in reasons}
-    for make, act in ((filled, over_limit), (pressed, by_lot)):
-        case = make()
-        case.record.settings = DECISION_LOG_SETTINGS._replace(span=1)
-        for at in range(count):
-            act(case, f"{act.__name__}-{at}")
-        good, all_, bad = case.right()
-        right, total, wrong = right + good, total + all_, wrong + bad
-        met |= {reason for _, reasons in case.expected.values() for reason in reasons}
-    votes = voting()
-    right, total = right + bool(votes and votes[0].notes[0][4] == Verdict.ABORT), total + 1
-    met |= {R.VOTED} if votes else set()
-    return right, total, met, wrong
+        recorder.settings = DECISION_LOG_SETTINGS._replace(span=1)
+        for index in range(count):
+            case = make_case(recorder=recorder)
+            run_request(case, f"{name}-{index}")
+            explained_of_case, total_of_case, wrong_of_case = case.check()
+            explained, total, wrong = (
+                explained + explained_of_case,
+                total + total_of_case,
+                wrong + wrong_of_case,
+            )
+            reasons_met |= {reason for _, reasons in case.expected.values() for reason in reasons}
+    for make_case, run_request in (
+        (make_full_sidecar, over_limit),
+        (make_overloaded_sidecar, by_lot),
+    ):
+        case = make_case()
+        case.recorder.settings = DECISION_LOG_SETTINGS._replace(span=1)
+        for index in range(count):
+            run_request(case, f"{run_request.__name__}-{index}")
+        explained_of_case, total_of_case, wrong_of_case = case.check()
+        explained, total, wrong = (
+            explained + explained_of_case,
+            total + total_of_case,
+            wrong + wrong_of_case,
+        )
+        reasons_met |= {reason for _, reasons in case.expected.values() for reason in reasons}
+    votes = cast_votes()
+    explained, total = explained + bool(votes and votes[0].notes[0][4] == Verdict.ABORT), total + 1
+    reasons_met |= {R.VOTED} if votes else set()
+    return explained, total, reasons_met, wrong
