--- a/measure/why.py
+++ b/measure/why.py
@@ -1,7 +1,9 @@
-"""make measure-why SEED=n: whether explanations are right, what the record keeps and what it costs.
+"""Measures the decision log: `make measure-why SEED=n`.
 
-Ends with one line of JSON. Simulated: the mix of cases, the flood, hours of traffic. Own rig: kills of a writer, CPU
-and latency with real programs on loopback."""
+Checks whether explanations are right, and measures what the log retains and what it costs. The last
+line of the output is a JSON object. Simulated: the mix of cases, the flood, hours of traffic. On
+the own rig: killed writers, CPU time and latency of real programs on loopback.
+"""
 
 import argparse
 import gc
@@ -33,7 +35,13 @@
 
 
 class RecorderRig:
-    """A record with a clock of its own, and traffic made for it."""
+    """A recorder with a simulated clock, and requests for it.
+
+    Attributes:
+        now: Simulated time, in ticks.
+        random_source: Random numbers of the requests.
+        recorder: The recorder.
+    """
 
     def __init__(self, seed, megabytes=2, path=None, span_seconds=900):
         self.now, self.random_source = NOW, random.Random(seed)
@@ -51,6 +59,16 @@
     def record_request(
         self, name, request_class="read", tenant="t0", key=None, final_reason=R.DONE, attempts=1
     ):
+        """Records a request with all its attempts.
+
+        Args:
+            name: Request id.
+            request_class: Name of its request class.
+            tenant: Its tenant.
+            key: Its key, by default its id.
+            final_reason: Reason of the final response: DONE, DEFERRED, ABANDONED.
+            attempts: Number of attempts.
+        """
         recorder = self.recorder
         recorder.request_received(name, key or name, tenant, request_class, False)
         recorder.record_reason(name, R.POSITION, 0.3, 0.2, 0.5)
@@ -77,8 +95,13 @@
 
 
 def simulate_flood(seed):
-    """Costly transactions among 10,000 cheap ones a second of one tenant with ever new keys: how many of those that
-    are within the stated guarantee are still explained."""
+    """Records costly requests among a flood of cheap ones.
+
+    The flood has 200,000 requests of one tenant, each with a new key: 10,000 per simulated second.
+
+    Returns:
+        Figures: how many costly requests the log must still have, and how many it has.
+    """
     rig, costly_ids = RecorderRig(seed), []
     for second in range(20):
         for index in range(10_000):
@@ -101,7 +124,7 @@
     rig.recorder.flush(rig.now + SECOND)
     regions = {region["region"]: region for region in rig.recorder.retention_report()["regions"]}
     region_slots = min(regions["pay, unusual"]["slots"], regions["pay, as usual"]["slots"])
-    # the guarantee: as many as the region's slots, whatever else comes
+    # The guarantee: as many as the region has slots are retained, whatever else is recorded.
     guaranteed = costly_ids[-region_slots:]
     return {
         "costly_kept": sum(any(rig.recorder.find_by_name(name)) for name in guaranteed),
@@ -112,13 +135,21 @@
 
 
 def resident_megabytes():
+    """Returns the resident memory of this process, in units of 10^6 bytes."""
     gc.collect()
     with open("/proc/self/statm", encoding="ascii") as source:
         return round(int(source.read().split()[1]) * 4096 / 1e6, 2)
 
 
 def simulate_hours(task):
-    """Hours of simulated traffic at 40 a second, a million tenants and ever new keys and pods."""
+    """Simulates hours of traffic: 40 requests per second of a million tenants, with new keys.
+
+    Args:
+        task: Seed and duration in seconds.
+
+    Returns:
+        Resident memory after each quarter of the time, in units of 10^6 bytes.
+    """
     seed, seconds = task
     rig, memory = RecorderRig(seed), []
     for second in range(seconds):
@@ -143,7 +174,10 @@
 
 
 def write_until_killed(path, seed):
-    """A writer that tells each number it has written whole, until it is killed."""
+    """Writes entries to a log file until the process is killed.
+
+    Prints the number of each entry after it has been written completely.
+    """
     rig = RecorderRig(seed, 1, path)
     number = 0
     while True:
@@ -155,7 +189,14 @@
 
 
 def kill_writers(seed, count):
-    """A writer killed at random moments; what it had told must be read again, each entry whole."""
+    """Kills writers at random moments and reopens the log file.
+
+    The last entry that a writer has printed must be recovered completely.
+
+    Returns:
+        Figures: the number of kills, after how many of them the entry was recovered and at most one
+        slot was torn, and the number of torn slots.
+    """
     random_source, recovered_count, torn_count = random.Random(seed), 0, 0
     with tempfile.TemporaryDirectory() as folder:
         path = os.path.join(folder, "n1.why")
@@ -188,7 +229,11 @@
 
 
 def compare_eviction_times(slots=4000):
-    """Microseconds for a step of Shares, and of looking through all holders, each with a slot of its own."""
+    """Compares FairEviction with a scan of all holders, each of which holds one slot at first.
+
+    Returns:
+        Figures: microseconds per eviction of FairEviction (`shares_us`) and the scan (`plain_us`).
+    """
     durations = []
     for use_scan in (False, True):
         eviction, slots_by_holder = FairEviction(), {}
@@ -212,13 +257,17 @@
 
 
 def cpu_seconds(process):
+    """Returns the CPU time that a process has used so far, in seconds."""
     with open(f"/proc/{process.pid}/stat", encoding="ascii") as source:
         fields = source.read().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / os.sysconf("SC_CLK_TCK")
 
 
 def send_queries(port, seconds):
-    """Asks as much as it can for a while; every other answer is not read."""
+    """Sends queries for a while; returns the number of result lines.
+
+    A second connection sends 50 queries and reads no results.
+    """
     import socket
 
     deadline, line_count = time.monotonic() + seconds, 0
@@ -234,8 +283,16 @@
 
 
 def measure_programs(seed, short):
-    """Two programs in turn under the same load, one with the record: CPU of a transaction; and latency while it is
-    asked and while it is not."""
+    """Measures the cost of the decision log in real programs on loopback.
+
+    Two programs, one with the decision log and one without, get the same load in turn. Then the one
+    with the log gets load, in turn with and without queries.
+
+    Returns:
+        Figures: CPU milliseconds per request with (`on`) and without the log, the 99th percentile
+        of latency in milliseconds with (`asked`) and without (`calm`) queries, their ratios, and
+        the number of result lines.
+    """
     reservation, port = reserve_port()
     endpoints = [FakeEndpoint(lambda words: b"*3\r\n$2\r\nok\r\n$-1\r\n$-1\r\n") for _ in range(3)]
     entries = [endpoint.entry(f"s-{index}") for index, endpoint in enumerate(endpoints)]
@@ -311,9 +368,10 @@
 
 
 def main(arguments):
+    """Prints the figures as one line of JSON."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seed", type=int, default=1)
-    parser.add_argument("--short", action="store_true", help="a form of some seconds")
+    parser.add_argument("--short", action="store_true", help="a short run of some seconds")
     parser.add_argument("--part", choices=("all", "record", "sockets"), default="all")
     options = parser.parse_args(arguments)
     short, figures = options.short, {"seed": options.seed}
--- a/measure/why_cases.py
+++ b/measure/why_cases.py
@@ -1,5 +1,8 @@
-"""A known mix of transactions: each is brought about by a state built for it, and what explains it is known from that.
-Every reason of the table occurs. Figures from it are simulated."""
+"""Cases with known explanations, to check the decision log.
+
+Each case builds a state of the decision engine and sends a request to it, so that the reasons for
+its decisions are known. Together the cases cover every reason. Figures from them are simulated.
+"""
 
 from tests.support.decisions import (
     ENGINE_SETTINGS,
@@ -24,12 +27,19 @@
 
 NOW = 1000 * TICKS_PER_SECOND
 DECISION_LOG_SETTINGS = DecisionLogSettings(8, None, "", 0.4, 0.2, 15 * 60 * TICKS_PER_SECOND, 200)
-# placed by the ramp that the case sets: 0 is above no key, 1 below none
+# The ramp that a case sets decides their side: at 0 no key is below the ramp, at 1 every key is.
 LOWER_KEY, HIGHER_KEY = "k-9", "a"
 
 
 class Case:
-    """A balancer in a state of its own with a record that listens; ids and what each must be explained by."""
+    """A decision engine in a state of its own, with a decision log.
+
+    Attributes:
+        now: Current time, in ticks.
+        engine: The decision engine.
+        recorder: Recorder of the decision log.
+        expected: Final reason and set of all reasons that are expected, by request id.
+    """
 
     def __init__(
         self,
@@ -60,12 +70,14 @@
     def receive(
         self, name, request_class="read", key=None, time_left=3 * TICKS_PER_SECOND, tenant="t"
     ):
+        """Receives a request; returns the actions of the engine."""
         self.recorder.request_received(name, key, tenant, request_class, False)
         return self.engine.handle(self.now, [make_request(name, request_class, key, time_left)])
 
     def end_attempt(
         self, name, outcome=Outcome.ERROR, address="old-1", attempt_number=0, latency=100
     ):
+        """Ends an attempt; returns the actions of the engine."""
         if outcome == Outcome.DONE:
             self.recorder.request_answered(name, R.DONE)
         return self.engine.handle(
@@ -78,11 +90,17 @@
         )
 
     def expect(self, name, final_reason, *reasons):
+        """Finishes a request and notes the reasons that must explain it."""
         self.expected[name] = final_reason, {*reasons, *((final_reason,) if final_reason else ())}
         self.recorder.request_finished(name)
 
     def check(self):
-        """How many are explained by just what was expected, how many there are, and the wrong ones."""
+        """Compares the explanations with the expected reasons.
+
+        Returns:
+            The number of requests with exactly the expected reasons, the number of all requests,
+            and the wrong ones, each as (id, final reason, expected reasons, recorded reasons).
+        """
         self.recorder.flush(self.now + TICKS_PER_SECOND)
         wrong = []
         for name, (final_reason, reasons) in self.expected.items():
@@ -104,21 +122,25 @@
 
 
 def sent_to(actions):
+    """Returns the endpoint of the last attempt that the actions send."""
     return [action.endpoint for action in actions if isinstance(action, SendAttempt)][-1]
 
 
 def serve_ordinary_request(case, name, **options):
+    """A request succeeds at the first attempt."""
     endpoint = sent_to(case.receive(name, **options))
     case.end_attempt(name, Outcome.DONE, endpoint)
     case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION)
 
 
 def split_by_position(case, name):
+    """The position of its key assigns a request to the newest build."""
     case.engine.split.fraction, case.engine.split.fraction_updated_at = 1.0, NOW + 10**9
     serve_ordinary_request(case, name, key=LOWER_KEY)
 
 
 def keep_sticky_key(case, name):
+    """The key of a request is sticky to the newest build."""
     case.engine.split.pinned_keys = {name}
     endpoint = sent_to(case.receive(name, key=name))
     case.end_attempt(name, Outcome.DONE, endpoint)
@@ -126,6 +148,7 @@
 
 
 def keep_failing_key_off_trial(case, name):
+    """The key of a request has failed on the build on trial, so an earlier build serves it."""
     case.engine.split.fraction, case.engine.split.failing_keys = 1.0, {name}
     endpoint = sent_to(case.receive(name, key=name))
     case.end_attempt(name, Outcome.DONE, endpoint)
@@ -133,6 +156,7 @@
 
 
 def hit_guarded_stage(case, name):
+    """A non-idempotent request comes in a guarded stage."""
     case.engine.split.fraction = 1.0
     endpoint = sent_to(case.receive(name, "pay", key=HIGHER_KEY))
     case.end_attempt(name, Outcome.DONE, endpoint)
@@ -140,6 +164,7 @@
 
 
 def exhaust_exposure_budget(case, name):
+    """The exposure budget of the build on trial is exhausted."""
     case.engine.split.fraction = 1.0
     endpoint = sent_to(case.receive(name, key=HIGHER_KEY))
     case.end_attempt(name, Outcome.DONE, endpoint)
@@ -147,12 +172,14 @@
 
 
 def hit_closed_trial(case, name):
+    """The key of a request is sticky to a build on trial that accepts no requests."""
     case.engine.split.pinned_keys = {name}
     case.receive(name, key=name)
     case.expect(name, R.DEFERRED, R.STAYS, R.CLOSED)
 
 
 def skip_ejected_endpoint(case, name):
+    """One endpoint is ejected; the other serves the request."""
     case.engine.context.endpoints["old-1"].ejected_until = NOW + TICKS_PER_SECOND
     endpoint = sent_to(case.receive(name))
     case.end_attempt(name, Outcome.DONE, endpoint)
@@ -160,6 +187,7 @@
 
 
 def skip_suspected_endpoint(case, name):
+    """Peers suspect one endpoint; the other serves the request."""
     case.engine.handle(NOW, [SuspicionReported("old-1", 1, 0, NOW + TICKS_PER_SECOND)])
     endpoint = sent_to(case.receive(name))
     case.end_attempt(name, Outcome.DONE, endpoint)
@@ -167,6 +195,7 @@
 
 
 def retry_elsewhere(case, name):
+    """An attempt fails, and a retry at another endpoint succeeds."""
     endpoint = sent_to(case.receive(name))
     case.engine.requests.retry_budget.tokens = 2.0
     second_endpoint = sent_to(case.end_attempt(name, Outcome.ERROR, endpoint))
@@ -175,11 +204,13 @@
 
 
 def find_only_cold_endpoints(case, name):
+    """All endpoints are warming up and at capacity."""
     case.receive(name)
     case.expect(name, R.DEFERRED, R.COLD, R.NO_POD, R.POSITION)
 
 
 def find_no_deduplicating_endpoint(case, name):
+    """An attempt fails, and the other endpoint, in another zone, would not deduplicate a retry."""
     endpoint = sent_to(case.receive(name, "zoned"))
     case.engine.context.endpoints[endpoint].listed = case.engine.context.endpoints[
         endpoint
@@ -192,24 +223,27 @@
 
 
 def find_no_endpoint(case, name):
+    """No endpoint is ready."""
     case.receive(name)
     case.expect(name, R.DEFERRED, R.NO_POD, R.POSITION)
 
 
 def over_limit(case, name):
+    """More requests are in flight than can be served in time."""
     case.receive(name)
     case.expect(name, R.DEFERRED, R.OVER_LIMIT)
 
 
 def add_slow_response(engine):
-    """Answers of now that took a hundred times their goal."""
+    """Adds a response that took a hundred times its latency objective."""
     engine.admission.response_counts.add(engine.context.now)
     engine.admission.relative_latencies.add(engine.context.now, 100.0)
 
 
 def by_lot(case, name):
+    """Random load shedding rejects the request, or admits it."""
     actions = case.receive(name)
-    # one in ten is let in all the same
+    # One request in ten is admitted nevertheless.
     if any(isinstance(action, SendAttempt) for action in actions):
         case.end_attempt(name, Outcome.DONE, sent_to(actions))
         case.expect(name, R.DONE, R.SENT, R.ENDED, R.POSITION)
@@ -219,11 +253,13 @@
 
 
 def lack_release_update(case, name):
+    """No release update has been received yet."""
     case.receive(name)
     case.expect(name, R.DEFERRED, R.NO_NEWS)
 
 
 def reach_max_attempts(case, name):
+    """An attempt fails, and the maximum number of attempts is one."""
     endpoint = sent_to(case.receive(name))
     case.engine.requests.retry_budget.tokens = 2.0
     case.end_attempt(name, Outcome.ERROR, endpoint)
@@ -231,6 +267,7 @@
 
 
 def run_out_of_time(case, name):
+    """An attempt fails when too little time is left for a retry."""
     endpoint = sent_to(case.receive(name))
     case.now += 2 * TICKS_PER_SECOND
     case.end_attempt(name, Outcome.ERROR, endpoint, latency=2 * TICKS_PER_SECOND)
@@ -239,6 +276,7 @@
 
 
 def exhaust_retry_budget(case, name):
+    """An attempt fails when the retry budget is exhausted."""
     endpoint = sent_to(case.receive(name))
     case.engine.requests.retry_budget.tokens = 0.0
     case.end_attempt(name, Outcome.ERROR, endpoint)
@@ -246,6 +284,7 @@
 
 
 def leave_attempt_unresolved(case, name):
+    """The connection of a non-idempotent attempt is reset, so a retry might execute it twice."""
     endpoint = sent_to(case.receive(name, "pay"))
     case.engine.requests.retry_budget.tokens = 2.0
     case.end_attempt(name, Outcome.RESET, endpoint)
@@ -253,6 +292,7 @@
 
 
 def disconnect_client(case, name):
+    """The client disconnects while an attempt is in flight."""
     case.receive(name)
     case.recorder.request_answered(name, R.LEFT)
     case.engine.handle(case.now, [ClientDisconnected(name)])
@@ -260,6 +300,7 @@
 
 
 def send_hedged_request(case, name):
+    """An attempt is slow, and a hedged request succeeds first."""
     engine = case.engine
     engine.requests.hedging.budget.tokens = 2.0
     endpoint = sent_to(case.receive(name))
@@ -276,7 +317,8 @@
 
 OLD_ENDPOINTS = make_endpoint("old-1"), make_endpoint("old-2")
 TRIAL_ENDPOINTS = OLD_ENDPOINTS + (make_endpoint("new-1", 2),)
-# What makes the state, what is done to each transaction; "each": every transaction has a state of its own.
+# By case name, which is part of the request ids: a function that makes the state, a function that
+# runs a request in it, and whether each request has a state of its own.
 CASES = {
     "as usual": (lambda **options: Case(*OLD_ENDPOINTS, **options), serve_ordinary_request, True),
     "position": (
@@ -388,7 +430,7 @@
 
 
 def make_full_sidecar(**options):
-    """A sidecar with as much open as its limit lets in."""
+    """Returns a case with as many requests in flight as its limit admits."""
     case = Case(*OLD_ENDPOINTS, **options)
     for index in range(60):
         case.receive(f"fill-{index}")
@@ -396,13 +438,14 @@
 
 
 def make_overloaded_sidecar(**options):
+    """Returns a case whose last response was slow."""
     case = Case(*OLD_ENDPOINTS, **options)
     add_slow_response(case.engine)
     return case
 
 
 def cast_votes():
-    """A bad build on trial, and the votes that the record holds of it."""
+    """Lets a faulty build on trial fail; returns the log entries of the votes on it."""
     case = Case(
         *TRIAL_ENDPOINTS, release_update=make_release_update(2, cap=1.0), exposure_allowance=1000.0
     )
@@ -413,7 +456,17 @@
 
 
 def run_case_mix(count):
-    """(right, all, reasons met, wrong) over so many transactions of each case."""
+    """Runs every case.
+
+    The two cases of load shedding share one state for all their requests.
+
+    Args:
+        count: Number of requests of each case.
+
+    Returns:
+        The number of requests with exactly the expected reasons, the number of all requests, the
+        set of expected reasons, and the wrong requests (see `Case.check`).
+    """
     explained = total = 0
     reasons_met, wrong = set(), []
     for name, (make_case, run_request, _) in CASES.items():
@@ -425,7 +478,7 @@
             clock=lambda: NOW,
             random_source=LinearCongruentialGenerator(3),
         )
-        # of what goes as usual all is kept here
+        # Keeps all ordinary requests instead of a sample.
         recorder.settings = DECISION_LOG_SETTINGS._replace(span=1)
         for index in range(count):
             case = make_case(recorder=recorder)
